--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run sites clean
+.PHONY: build test lint format run sites clean
 
 build:
 	mvn -q -DskipTests package
@@ -10,6 +10,10 @@
 lint:
 	mvn -q test-compile
 
+# Writes the layout that verify checks.
+format:
+	mvn -q spotless:apply
+
 # One real backend, told by the file that GW_CONFIG names.
 run: build
 	sh -c "$$(sed -n 's/^run = "\(.*\)".*/\1/p' deploy/balancer.toml)"
