--- a/src/main/java/merlinlever/Settled.java
+++ b/src/main/java/merlinlever/Settled.java
@@ -11,12 +11,10 @@
 public final class Settled {
 
     /** An operation with the span that goes with the decision. */
-    public record Timed(Operation operation, Duration span) {
-    }
+    public record Timed(Operation operation, Duration span) {}
 
     /** A refusal: whether to ask the caller to try nowhere else, and for how long to stay away (zero: not said). */
-    public record Pushback(Operation operation, boolean nowhereElse, Duration stayAway) {
-    }
+    public record Pushback(Operation operation, boolean nowhereElse, Duration stayAway) {}
 
     /** The value to send back with every answer from here on, or NaN: as before. */
     public double level = Double.NaN;
--- a/src/main/java/merlinlever/Spans.java
+++ b/src/main/java/merlinlever/Spans.java
@@ -5,8 +5,7 @@
 /** Short words for the arithmetic of times. */
 public final class Spans {
 
-    private Spans() {
-    }
+    private Spans() {}
 
     public static Duration millis(double ms) {
         return Duration.ofNanos((long) (ms * 1e6));
--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/agent/AgentLink.java
@@ -12,8 +12,8 @@
 import merlinlever.core.Work;
 import merlinlever.json.Json;
 import merlinlever.log.Log;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 
 /** The link to the agent: made again when it is lost, with each notice taken once and in its order. */
@@ -37,15 +37,18 @@
     private Link link;
     /** The one that is being made and takes its place with the greeting, or null. */
     private Link coming;
+
     private Loop.Timer retry;
     private Duration pause = FIRST_PAUSE;
     private long lastRead, tokens;
     /** What is asked on the link in use and not answered yet, or null: for the gauges, and whether all notices are read. */
     private Question gauges, caughtUp;
+
     private String exercise;
     private Loop.Timer exerciseLimit;
     /** The link in use stood then, and took what had been sent before: a question that was asked then has its answer. */
     private Duration stood = Duration.ZERO;
+
     private int unanswered;
 
     private record Question(String token, Duration at) {
@@ -60,12 +63,14 @@
         private Connection connection;
         private Duration madeAt;
 
-        @Override public void made() {
+        @Override
+        public void made() {
             madeAt = loop.clock().now();
             send("{\"cmd\":\"subscribe\",\"offset\":" + lastRead + "}\n");
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             if (!lines.take(in, this::line)) {
                 // On a new link it would come again.
                 log.warn("passed over a line of the agent that is too long");
@@ -79,7 +84,8 @@
             }
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             if (this == link) {
                 log.warn("link to the agent lost: " + how + ", last notice " + lastRead);
                 link = null;
@@ -205,8 +211,7 @@
                     backend.ended(loop.clock().now(), notice.id(), Ending.NEVER_BEGUN, null);
                 }
             }
-            case "aside" -> {
-            }
+            case "aside" -> {}
             default -> log.warn("unknown word of the agent: " + notice.word());
         }
     }
--- a/src/main/java/merlinlever/agent/Notice.java
+++ b/src/main/java/merlinlever/agent/Notice.java
@@ -14,8 +14,16 @@
  * @param ending how the run ended, where that is what it says
  * @param row the gauges, where it brings them
  */
-record Notice(String word, long offset, long id, String text, Ending ending, double elapsedMs, byte[] payload,
-        String token, double[] row) {
+record Notice(
+        String word,
+        long offset,
+        long id,
+        String text,
+        Ending ending,
+        double elapsedMs,
+        byte[] payload,
+        String token,
+        double[] row) {
 
     /** The notice on the line. */
     static Notice read(String line) throws Json.Malformed {
@@ -24,9 +32,15 @@
             String text = string(object, "result");
             String id = string(object, "req");
             String payload = string(object, "payload");
-            return new Notice(string(object, "cmd"), offset(object),
-                    id == null ? 0 : Long.parseUnsignedLong(id, 16), text, ending(text), number(object, "elapsed_ms"),
-                    payload == null ? new byte[0] : Base64.getDecoder().decode(payload), string(object, "token"),
+            return new Notice(
+                    string(object, "cmd"),
+                    offset(object),
+                    id == null ? 0 : Long.parseUnsignedLong(id, 16),
+                    text,
+                    ending(text),
+                    number(object, "elapsed_ms"),
+                    payload == null ? new byte[0] : Base64.getDecoder().decode(payload),
+                    string(object, "token"),
                     row(object.get("load")));
         } catch (IllegalArgumentException e) {
             throw new Json.Malformed("not a notice: " + e.getMessage());
@@ -62,20 +76,24 @@
         if (!(value instanceof List<?> list)) {
             return new double[0];
         }
-        return list.stream().mapToDouble(item -> {
-            if (item instanceof Number number) {
-                return number.doubleValue();
-            }
-            throw new IllegalArgumentException("a gauge is no number");
-        }).toArray();
+        return list.stream()
+                .mapToDouble(item -> {
+                    if (item instanceof Number number) {
+                        return number.doubleValue();
+                    }
+                    throw new IllegalArgumentException("a gauge is no number");
+                })
+                .toArray();
     }
 
     private static Ending ending(String text) {
-        return text == null ? null : switch (text) {
-            case "OK" -> Ending.OK;
-            case "STOPPED" -> Ending.STOPPED;
-            case "MOOT" -> Ending.NEVER_BEGUN;
-            default -> Ending.ERROR;
-        };
+        return text == null
+                ? null
+                : switch (text) {
+                    case "OK" -> Ending.OK;
+                    case "STOPPED" -> Ending.STOPPED;
+                    case "MOOT" -> Ending.NEVER_BEGUN;
+                    default -> Ending.ERROR;
+                };
     }
 }
--- a/src/main/java/merlinlever/budgets/Book.java
+++ b/src/main/java/merlinlever/budgets/Book.java
@@ -21,12 +21,10 @@
      * @param held what it holds at this moment, by the grant of that number (0: none in this leadership)
      * @param inUse calls that are out at this moment, for a budget of calls at once
      */
-    public record Request(String holder, long life, long grant, long held, long inUse, long wanted) {
-    }
+    public record Request(String holder, long life, long grant, long held, long inUse, long wanted) {}
 
     /** What was granted, under a number that the asker's next request tells it has. */
-    public record Grant(long number, long amount) {
-    }
+    public record Grant(long number, long amount) {}
 
     /** One amount that may be held until then. */
     private static final class Out {
@@ -61,6 +59,7 @@
     private Budget budget;
     /** When every share that leaders before gave has run out. */
     private final Duration settledAt;
+
     private final Map<String, Account> accounts = new TreeMap<>();
     private long numbers;
     private int turn;
@@ -82,7 +81,9 @@
 
     private void expire(Duration now) {
         accounts.values().forEach(account -> account.out.removeIf(out -> now.compareTo(out.until) >= 0));
-        accounts.values().removeIf(account -> account.out.isEmpty() && now.minus(account.askedAt).compareTo(budget.lease()) >= 0);
+        accounts.values()
+                .removeIf(account ->
+                        account.out.isEmpty() && now.minus(account.askedAt).compareTo(budget.lease()) >= 0);
     }
 
     /** The most that all may hold together now. */
@@ -104,9 +105,11 @@
         }
         account.askedAt = now;
         account.wanted = Math.max(0, request.wanted());
-        Duration until = now.plus(Budget.slowest(budget.lease(), budget.drift())).plus(budget.linger());
+        Duration until =
+                now.plus(Budget.slowest(budget.lease(), budget.drift())).plus(budget.linger());
         if (request.grant() == 0 && request.held() > 0 && account.out.isEmpty()) {
-            // By a leader before: it may hold that until its lease runs out, which no leader can have given later than now.
+            // By a leader before: it may hold that until its lease runs out, which no leader can have given later than
+            // now.
             account.out.add(new Out(0, request.held(), until));
         }
         // It has a later grant: what it had before counts only as long as its last calls may.
@@ -153,10 +156,18 @@
     /** All that its next steps hang on, for a walk of its states. */
     String key(Duration now) {
         expire(now);
-        StringBuilder key = new StringBuilder().append(numbers).append(now.compareTo(settledAt) < 0 ? settledAt.minus(now) : "").append(turn);
+        StringBuilder key = new StringBuilder()
+                .append(numbers)
+                .append(now.compareTo(settledAt) < 0 ? settledAt.minus(now) : "")
+                .append(turn);
         accounts.forEach((holder, account) -> {
             key.append(holder).append(account.wanted).append(now.minus(account.askedAt));
-            account.out.forEach(out -> key.append('/').append(out.number).append(':').append(out.amount).append(':').append(out.until.minus(now)));
+            account.out.forEach(out -> key.append('/')
+                    .append(out.number)
+                    .append(':')
+                    .append(out.amount)
+                    .append(':')
+                    .append(out.until.minus(now)));
         });
         return key.toString();
     }
--- a/src/main/java/merlinlever/budgets/Budget.java
+++ b/src/main/java/merlinlever/budgets/Budget.java
@@ -15,9 +15,20 @@
  * @param longest of one call, for a budget of calls at once: one that outlives its share is given up by then
  * @param weights by the name of a backend; 1 where none is stated
  */
-public record Budget(String name, String of, long whole, Per per, Duration lease, double drift, Duration longest, Map<String, Integer> weights) {
-
-    public enum Per { SECOND, AT_ONCE }
+public record Budget(
+        String name,
+        String of,
+        long whole,
+        Per per,
+        Duration lease,
+        double drift,
+        Duration longest,
+        Map<String, Integer> weights) {
+
+    public enum Per {
+        SECOND,
+        AT_ONCE
+    }
 
     public Budget {
         weights = Map.copyOf(weights);
--- a/src/main/java/merlinlever/budgets/Division.java
+++ b/src/main/java/merlinlever/budgets/Division.java
@@ -6,8 +6,7 @@
 /** Weighted max-min fair shares: nobody gets more than it wants, and nobody could get more without one that has less by weight losing. */
 public final class Division {
 
-    private Division() {
-    }
+    private Division() {}
 
     /**
      * Whole shares that sum to the smaller of the whole and what is wanted.
@@ -55,8 +54,9 @@
     /** Fewer than one for each weight: each goes to whoever has the least by weight with it, in turn among the same. */
     private static void rest(long left, long[] shares, long[] wanted, int[] weights, int turn) {
         int n = shares.length;
-        PriorityQueue<Integer> next = new PriorityQueue<>(Comparator.<Integer>comparingDouble(i -> (shares[i] + 1.0) / weights[i])
-                .thenComparingInt(i -> Math.floorMod(i - turn, n)));
+        PriorityQueue<Integer> next =
+                new PriorityQueue<>(Comparator.<Integer>comparingDouble(i -> (shares[i] + 1.0) / weights[i])
+                        .thenComparingInt(i -> Math.floorMod(i - turn, n)));
         for (int i = 0; i < n; i++) {
             if (shares[i] < wanted[i]) {
                 next.add(i);
--- a/src/main/java/merlinlever/budgets/Holding.java
+++ b/src/main/java/merlinlever/budgets/Holding.java
@@ -10,8 +10,7 @@
 public final class Holding {
 
     /** A question for a share, under a number that the answer has to bear. */
-    public record Ask(long number, long grant, long held, long inUse, long wanted) {
-    }
+    public record Ask(long number, long grant, long held, long inUse, long wanted) {}
 
     private Budget budget;
     private long number, answered;
@@ -37,8 +36,8 @@
 
     /** All that its next steps hang on, for a walk of its states. */
     String key(Duration now) {
-        return number + "," + answered + "," + (askedAt == null ? "" : now.minus(askedAt)) + "," + term + "," + grant + "," + share(now) + ","
-                + (share(now) == 0 ? "" : until.minus(now));
+        return number + "," + answered + "," + (askedAt == null ? "" : now.minus(askedAt)) + "," + term + "," + grant
+                + "," + share(now) + "," + (share(now) == 0 ? "" : until.minus(now));
     }
 
     /** What may be spent now. */
--- a/src/main/java/merlinlever/budgets/Sharing.java
+++ b/src/main/java/merlinlever/budgets/Sharing.java
@@ -50,6 +50,7 @@
     private long bookTerm = -1;
     /** Null where there is no view of the fleet; then terms alone say who may give. */
     private Seen seen;
+
     private Duration nextTurn = Duration.ZERO;
     private final List<Terms.Say> out = new ArrayList<>();
 
@@ -57,7 +58,14 @@
      * @param life a number that no other life of this backend has
      * @param terms who leads; looked at and told by its owner, before this one is looked at
      */
-    public Sharing(Duration now, String self, long life, List<Budget> budgets, Terms terms, SplittableRandom chance, Spender spender,
+    public Sharing(
+            Duration now,
+            String self,
+            long life,
+            List<Budget> budgets,
+            Terms terms,
+            SplittableRandom chance,
+            Spender spender,
             Consumer<String> log) {
         this.self = self;
         this.life = life;
@@ -106,8 +114,14 @@
             used[i] |= demand[1] > 0;
             // One that is out of share and wants some does not wait for its turn as long.
             boolean wants = demand[1] > holding.share(now);
-            if (now.compareTo(nextAsk[i]) >= 0 || wants && now.compareTo(nextAsk[i].minus(pause(i).multipliedBy(3).dividedBy(4))) >= 0) {
-                nextAsk[i] = now.plus(pause(i)).plus(Duration.ofNanos(chance.nextLong(pause(i).dividedBy(4).toNanos() + 1)));
+            if (now.compareTo(nextAsk[i]) >= 0
+                    || wants
+                            && now.compareTo(nextAsk[i].minus(
+                                            pause(i).multipliedBy(3).dividedBy(4)))
+                                    >= 0) {
+                nextAsk[i] = now.plus(pause(i))
+                        .plus(Duration.ofNanos(
+                                chance.nextLong(pause(i).dividedBy(4).toNanos() + 1)));
                 ask(now, i, leader, demand);
             }
             spender.share(budgets.get(i), holding.share(now), holding.until());
@@ -139,19 +153,28 @@
             return;
         }
         long wanted = demand[1] == 0 && !used[i] ? 0 : demand[1] + demand[1] / MORE + 1;
-        Holding.Ask ask = holdings.get(i).ask(now, leader.term(), demand[0], Math.min(wanted, budgets.get(i).whole()));
+        Holding.Ask ask = holdings.get(i)
+                .ask(
+                        now,
+                        leader.term(),
+                        demand[0],
+                        Math.min(wanted, budgets.get(i).whole()));
         used[i] = false;
         if (ask == null) {
             return;
         }
         if (leader.name().equals(self)) {
-            Book.Grant grant = grant(now, i, new Book.Request(self, life, ask.grant(), ask.held(), ask.inUse(), ask.wanted()));
+            Book.Grant grant =
+                    grant(now, i, new Book.Request(self, life, ask.grant(), ask.held(), ask.inUse(), ask.wanted()));
             if (grant != null) {
                 holdings.get(i).granted(now, leader.term(), ask.number(), grant.number(), grant.amount());
             }
         } else {
-            say(leader.name(), ask.number(), "Q/" + leader.term() + "/" + budgets.get(i).name() + "/" + Long.toHexString(life) + "/"
-                    + ask.grant() + "/" + ask.held() + "/" + ask.inUse() + "/" + ask.wanted());
+            say(
+                    leader.name(),
+                    ask.number(),
+                    "Q/" + leader.term() + "/" + budgets.get(i).name() + "/" + Long.toHexString(life) + "/"
+                            + ask.grant() + "/" + ask.held() + "/" + ask.inUse() + "/" + ask.wanted());
         }
     }
 
@@ -174,7 +197,8 @@
             log.accept("budgets: leads, term " + bookTerm);
         }
         if (now.compareTo(nextTurn) >= 0) {
-            nextTurn = now.plus(budgets.isEmpty() ? Duration.ofSeconds(1) : budgets.get(0).lease());
+            nextTurn = now.plus(
+                    budgets.isEmpty() ? Duration.ofSeconds(1) : budgets.get(0).lease());
             books.forEach(Book::turn);
         }
     }
@@ -190,7 +214,9 @@
                 case "G" -> {
                     int i = index(part[2]);
                     long term = Long.parseLong(part[1]);
-                    if (i >= 0 && holdings.get(i).granted(now, term, number, Long.parseLong(part[3]), Long.parseLong(part[4]))) {
+                    if (i >= 0
+                            && holdings.get(i)
+                                    .granted(now, term, number, Long.parseLong(part[3]), Long.parseLong(part[4]))) {
                         terms.heardLeader(now, name, term);
                     }
                 }
@@ -224,8 +250,16 @@
         if (i < 0) {
             return;
         }
-        Book.Grant grant = grant(now, i, new Book.Request(name, Long.parseUnsignedLong(part[3], 16), Long.parseLong(part[4]), Long.parseLong(part[5]),
-                Long.parseLong(part[6]), Long.parseLong(part[7])));
+        Book.Grant grant = grant(
+                now,
+                i,
+                new Book.Request(
+                        name,
+                        Long.parseUnsignedLong(part[3], 16),
+                        Long.parseLong(part[4]),
+                        Long.parseLong(part[5]),
+                        Long.parseLong(part[6]),
+                        Long.parseLong(part[7])));
         if (grant != null) {
             say(name, number, "G/" + bookTerm + "/" + part[2] + "/" + grant.number() + "/" + grant.amount());
         }
@@ -246,11 +280,24 @@
         Leadership.Leader leader = terms.leader(now);
         for (int i = 0; i < budgets.size(); i++) {
             Holding holding = holdings.get(i);
-            text.append(i == 0 ? "" : ",").append("{\"name\":\"").append(budgets.get(i).name()).append("\",\"whole\":").append(budgets.get(i).whole())
-                    .append(",\"share\":").append(holding.share(now)).append(",\"left_ms\":").append(Math.max(0, holding.until().minus(now).toMillis()))
-                    .append(",\"in_use\":").append(spender.demand(now, budgets.get(i))[0]).append(",\"leader\":\"").append(leader == null ? "" : leader.name())
-                    .append("\",\"term\":").append(leader == null ? 0 : leader.term()).append(",\"out\":")
-                    .append(books.isEmpty() ? -1 : books.get(i).out(now)).append('}');
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"")
+                    .append(budgets.get(i).name())
+                    .append("\",\"whole\":")
+                    .append(budgets.get(i).whole())
+                    .append(",\"share\":")
+                    .append(holding.share(now))
+                    .append(",\"left_ms\":")
+                    .append(Math.max(0, holding.until().minus(now).toMillis()))
+                    .append(",\"in_use\":")
+                    .append(spender.demand(now, budgets.get(i))[0])
+                    .append(",\"leader\":\"")
+                    .append(leader == null ? "" : leader.name())
+                    .append("\",\"term\":")
+                    .append(leader == null ? 0 : leader.term())
+                    .append(",\"out\":")
+                    .append(books.isEmpty() ? -1 : books.get(i).out(now))
+                    .append('}');
         }
         return text.append(']').toString();
     }
--- a/src/main/java/merlinlever/budgets/net/Budgets.java
+++ b/src/main/java/merlinlever/budgets/net/Budgets.java
@@ -25,12 +25,27 @@
     private final Sharing sharing;
 
     /** @param life a number that no other life of this backend has */
-    public Budgets(Loop loop, Rejoin rejoin, List<Budget> budgets, Leading leading, Seen seen, long life, long seed, Sharing.Spender spender,
+    public Budgets(
+            Loop loop,
+            Rejoin rejoin,
+            List<Budget> budgets,
+            Leading leading,
+            Seen seen,
+            long life,
+            long seed,
+            Sharing.Spender spender,
             Consumer<String> log) {
         this.loop = loop;
         this.rejoin = rejoin;
-        sharing = new Sharing(loop.clock().uptime(), rejoin.members().views().self(), life, budgets, leading.terms(),
-                new SplittableRandom(seed), spender, log);
+        sharing = new Sharing(
+                loop.clock().uptime(),
+                rejoin.members().views().self(),
+                life,
+                budgets,
+                leading.terms(),
+                new SplittableRandom(seed),
+                spender,
+                log);
         sharing.under(seen);
         rejoin.members().hears(WORDS, this);
         loop.every(LOOK, () -> say(sharing.look(loop.clock().uptime())));
@@ -43,7 +58,8 @@
         }
     }
 
-    @Override public void said(String name, long number, String what) {
+    @Override
+    public void said(String name, long number, String what) {
         say(sharing.said(loop.clock().uptime(), name, number, what));
     }
 
--- a/src/main/java/merlinlever/cli/Assembly.java
+++ b/src/main/java/merlinlever/cli/Assembly.java
@@ -24,8 +24,14 @@
     private final Log log;
     private Loop.Timer alarm;
 
-    Assembly(Loop loop, Map<String, String> given, long seed, InetSocketAddress agentAt, InetSocketAddress recordsAt,
-            int mostCalls, Log log) {
+    Assembly(
+            Loop loop,
+            Map<String, String> given,
+            long seed,
+            InetSocketAddress agentAt,
+            InetSocketAddress recordsAt,
+            int mostCalls,
+            Log log) {
         this.loop = loop;
         this.log = log;
         backend = new Backend(given, seed, this);
@@ -36,46 +42,57 @@
         agent.start();
     }
 
-    @Override public void launch(Work work) {
+    @Override
+    public void launch(Work work) {
         agent.launch(work);
     }
 
-    @Override public void freeze(Work work) {
+    @Override
+    public void freeze(Work work) {
         agent.freeze(work);
     }
 
-    @Override public void deliver(Work work, byte[] reply) {
+    @Override
+    public void deliver(Work work, byte[] reply) {
         agent.deliver(work, reply);
     }
 
-    @Override public void forgo(Work work) {
+    @Override
+    public void forgo(Work work) {
         agent.forgo(work);
     }
 
-    @Override public boolean sample() {
+    @Override
+    public boolean sample() {
         return agent.sample();
     }
 
-    @Override public void exercise() {
+    @Override
+    public void exercise() {
         agent.exercise();
     }
 
-    @Override public Calls calls() {
+    @Override
+    public Calls calls() {
         return records;
     }
 
-    @Override public void closeIdle(Duration after) {
+    @Override
+    public void closeIdle(Duration after) {
         edge.closeIdle(after);
     }
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
-        alarm = loop.in(at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
+        alarm = loop.in(
+                at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
         log.info(line);
     }
 }
--- a/src/main/java/merlinlever/cli/Commands.java
+++ b/src/main/java/merlinlever/cli/Commands.java
@@ -17,51 +17,77 @@
  * The command line beside {@code serve} and {@code wirehost}. A command ends with 0, with 1 where what was asked for did
  * not hold, and with 2 where it was asked for wrongly.
  */
-@Command(name = "merlinlever", mixinStandardHelpOptions = true, version = "merlinlever 0.2.0",
+@Command(
+        name = "merlinlever",
+        mixinStandardHelpOptions = true,
+        version = "merlinlever 0.2.0",
         description = "Decides, inside each server of a fleet, what it takes, runs and turns away.",
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {Commands.ServeHelp.class, Commands.WireHostHelp.class, ZoneCommands.class, HostCommands.class, FleetCommands.class, FaultsCommands.class,
+        subcommands = {
+            Commands.ServeHelp.class,
+            Commands.WireHostHelp.class,
+            ZoneCommands.class,
+            HostCommands.class,
+            FleetCommands.class,
+            FaultsCommands.class,
             Commands.SheetCommands.class,
-            Commands.Measure.class})
+            Commands.Measure.class
+        })
 public final class Commands implements Runnable {
 
     @Spec
     private CommandSpec spec;
 
     /** Listed here for the help; {@link Main} starts it without this class. */
-    @Command(name = "serve", mixinStandardHelpOptions = true,
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
             description = "Serve as one real backend, told by the file that GW_CONFIG names. Takes no arguments.")
     static final class ServeHelp implements Callable<Integer> {
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             return Serve.main(System.getenv());
         }
     }
 
-    @Command(name = "wirehost", mixinStandardHelpOptions = true,
+    @Command(
+            name = "wirehost",
+            mixinStandardHelpOptions = true,
             description = "Host decision modules on the bench's wire (standard input and output). Takes no arguments.")
     static final class WireHostHelp implements Callable<Integer> {
-        @Override public Integer call() throws java.io.IOException {
+        @Override
+        public Integer call() throws java.io.IOException {
             return new merlinlever.wire.WireHost(System.in, System.out, System.err).serve();
         }
     }
 
-    @Command(name = "config", mixinStandardHelpOptions = true, description = "The forms of configuration files.",
+    @Command(
+            name = "config",
+            mixinStandardHelpOptions = true,
+            description = "The forms of configuration files.",
             synopsisSubcommandLabel = "COMMAND")
     static final class SheetCommands implements Runnable {
         @Spec
         private CommandSpec spec;
 
-        @Override public void run() {
+        @Override
+        public void run() {
             throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
         }
 
-        @Command(name = "schema", mixinStandardHelpOptions = true,
-                description = "Print the JSON Schema that a configuration is checked against: zone-serve, zone-follow, host-run or faults.")
-        int schema(@Parameters(paramLabel = "NAME", description = "zone-serve, zone-follow, host-run or faults") String name) {
+        @Command(
+                name = "schema",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Print the JSON Schema that a configuration is checked against: zone-serve, zone-follow, host-run or faults.")
+        int schema(
+                @Parameters(paramLabel = "NAME", description = "zone-serve, zone-follow, host-run or faults")
+                        String name) {
             String text = Sheet.schema(name);
             if (text == null) {
-                spec.commandLine().getErr().println("merlinlever: no schema " + name + "; there are "
-                        + String.join(", ", Sheet.SCHEMAS));
+                spec.commandLine()
+                        .getErr()
+                        .println("merlinlever: no schema " + name + "; there are " + String.join(", ", Sheet.SCHEMAS));
                 return 2;
             }
             PrintWriter out = spec.commandLine().getOut();
@@ -70,9 +96,13 @@
             return 0;
         }
 
-        @Command(name = "check", mixinStandardHelpOptions = true,
+        @Command(
+                name = "check",
+                mixinStandardHelpOptions = true,
                 description = "Check a configuration file against its schema; one line for each fault.")
-        int check(@Parameters(paramLabel = "NAME", description = "zone-serve, zone-follow, host-run or faults") String name,
+        int check(
+                @Parameters(paramLabel = "NAME", description = "zone-serve, zone-follow, host-run or faults")
+                        String name,
                 @Parameters(paramLabel = "FILE", description = "the file") java.nio.file.Path file) {
             if (Sheet.schema(name) == null) {
                 return schema(name);
@@ -90,72 +120,103 @@
 
     /** Where a measurement leaves its tables and charts, and how large it is. */
     static final class To {
-        @CommandLine.Option(names = "--out", required = true, paramLabel = "FOLDER", description = "for tables and charts")
+        @CommandLine.Option(
+                names = "--out",
+                required = true,
+                paramLabel = "FOLDER",
+                description = "for tables and charts")
         private java.nio.file.Path out;
+
         @CommandLine.Option(names = "--quick", description = "small sizes, to see that it runs")
         private boolean quick;
     }
 
-    @Command(name = "measure", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
+    @Command(
+            name = "measure",
+            mixinStandardHelpOptions = true,
+            synopsisSubcommandLabel = "COMMAND",
             description = "Measure parts of this program against plain ones, on this machine alone.")
     static final class Measure implements Runnable {
         @Spec
         private CommandSpec spec;
 
-        @Override public void run() {
+        @Override
+        public void run() {
             throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
         }
 
-        @Command(name = "dns", mixinStandardHelpOptions = true, description = "Zone files, index, updates, queries, following. Some minutes.")
+        @Command(
+                name = "dns",
+                mixinStandardHelpOptions = true,
+                description = "Zone files, index, updates, queries, following. Some minutes.")
         int dns(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.DnsMeasure(to.out, to.quick).run();
             return 0;
         }
 
-        @Command(name = "budgets", mixinStandardHelpOptions = true,
-                description = "Limits of the whole fleet: on virtual time with up to 1,000 backends, and on real ones under faults. Some minutes.")
+        @Command(
+                name = "budgets",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Limits of the whole fleet: on virtual time with up to 1,000 backends, and on real ones under faults. Some minutes.")
         int budgets(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.BudgetMeasure(to.out, to.quick).run();
             return 0;
         }
 
-        @Command(name = "trials", mixinStandardHelpOptions = true,
-                description = "Trials stopped early: wrong winners, operations needed, the way of an end through fleets on virtual time. Some minutes.")
+        @Command(
+                name = "trials",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Trials stopped early: wrong winners, operations needed, the way of an end through fleets on virtual time. Some minutes.")
         int trials(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.TrialMeasure(to.out, to.quick).run();
             return 0;
         }
 
-        @Command(name = "routes", mixinStandardHelpOptions = true,
-                description = "Routes of partner sites: merging, and on virtual time tightening and the loss of a records service. Some minutes.")
+        @Command(
+                name = "routes",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Routes of partner sites: merging, and on virtual time tightening and the loss of a records service. Some minutes.")
         int routes(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.RoutesMeasure(to.out, to.quick).run();
             return 0;
         }
 
-        @Command(name = "shared", mixinStandardHelpOptions = true,
-                description = "Words that all backends share, on virtual time with up to 500 of them, against telling everything. Some minutes.")
+        @Command(
+                name = "shared",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Words that all backends share, on virtual time with up to 500 of them, against telling everything. Some minutes.")
         int shared(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.SharedMeasure(to.out, to.quick).run();
             return 0;
         }
 
-        @Command(name = "view", mixinStandardHelpOptions = true,
-                description = "Who is there: up to 1,000 backends in virtual time, beside membership alone. Some minutes.")
+        @Command(
+                name = "view",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Who is there: up to 1,000 backends in virtual time, beside membership alone. Some minutes.")
         int view(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.ViewMeasure(to.out, to.quick).run();
             return 0;
         }
 
-        @Command(name = "recovery", mixinStandardHelpOptions = true,
-                description = "Fleets of backends that lose their power and come back, with what they keep and without. Some minutes.")
+        @Command(
+                name = "recovery",
+                mixinStandardHelpOptions = true,
+                description =
+                        "Fleets of backends that lose their power and come back, with what they keep and without. Some minutes.")
         int recovery(@CommandLine.Mixin To to) throws Exception {
             new merlinlever.measure.RecoveryMeasure(to.out, to.quick).run();
             return 0;
         }
     }
 
-    @Override public void run() {
+    @Override
+    public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
--- a/src/main/java/merlinlever/cli/Configuration.java
+++ b/src/main/java/merlinlever/cli/Configuration.java
@@ -26,11 +26,21 @@
  * @param stopAfter the notice to leave
  * @param remarks what is not known, or missing and assumed, one line each
  */
-record Configuration(Map<String, String> rest, Map<String, String> given, InetSocketAddress agent, InetSocketAddress records,
-        InetSocketAddress lookup, Duration stopAfter, int sockets, long seed, String name, List<String> remarks) {
+record Configuration(
+        Map<String, String> rest,
+        Map<String, String> given,
+        InetSocketAddress agent,
+        InetSocketAddress records,
+        InetSocketAddress lookup,
+        Duration stopAfter,
+        int sockets,
+        long seed,
+        String name,
+        List<String> remarks) {
 
     /** Longer is no configuration: it is read by the one thread that serves. */
     private static final int LONGEST = 1 << 20;
+
     private static final double USUAL_STOP_MS = 3000;
     private static final double LONGEST_STOP_MS = 86_400_000;
     private static final int USUAL_SOCKETS = 1024;
@@ -48,7 +58,12 @@
             if (bytes.length > LONGEST) {
                 throw new Serve.Unusable("is longer than " + LONGEST + " bytes");
             }
-            return of(Json.object(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString()), environment);
+            return of(
+                    Json.object(StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(bytes))
+                            .toString()),
+                    environment);
         } catch (CharacterCodingException e) {
             throw new Serve.Unusable("is not UTF-8");
         } catch (IOException e) {
@@ -87,8 +102,17 @@
         if (!missing.isEmpty()) {
             remarks.add("missing, and assumed: " + String.join(", ", missing));
         }
-        return new Configuration(rest, Stated.translate(stated), agent, records, lookup, Duration.ofMillis((long) stopMs), sockets,
-                hex ? Long.parseUnsignedLong(seed, 16) : name.hashCode(), name, remarks);
+        return new Configuration(
+                rest,
+                Stated.translate(stated),
+                agent,
+                records,
+                lookup,
+                Duration.ofMillis((long) stopMs),
+                sockets,
+                hex ? Long.parseUnsignedLong(seed, 16) : name.hashCode(),
+                name,
+                remarks);
     }
 
     private static void assumed(List<String> missing, boolean there, String what) {
@@ -106,11 +130,12 @@
         return address;
     }
 
-    private static double ranged(Map<String, String> rest, String name, double absent, double least, double most) throws Serve.Unusable {
+    private static double ranged(Map<String, String> rest, String name, double absent, double least, double most)
+            throws Serve.Unusable {
         double number = Serve.number(rest, name, absent);
         if (!(number >= least && number <= most)) {
-            throw new Serve.Unusable("the configuration's " + name + " is " + rest.get(name) + "; allowed: a number from "
-                    + (long) least + " to " + (long) most);
+            throw new Serve.Unusable("the configuration's " + name + " is " + rest.get(name)
+                    + "; allowed: a number from " + (long) least + " to " + (long) most);
         }
         return number;
     }
--- a/src/main/java/merlinlever/cli/Libraries.java
+++ b/src/main/java/merlinlever/cli/Libraries.java
@@ -17,11 +17,15 @@
  */
 final class Libraries {
 
-    private Libraries() {
-    }
+    private Libraries() {}
 
     static int run(String... args) throws IOException {
-        Path self = Path.of(new File(Libraries.class.getProtectionDomain().getCodeSource().getLocation().getPath()).getPath());
+        Path self = Path.of(new File(Libraries.class
+                        .getProtectionDomain()
+                        .getCodeSource()
+                        .getLocation()
+                        .getPath())
+                .getPath());
         Path beside = self.resolveSibling("lib");
         if (!Files.isRegularFile(self) || !Files.isDirectory(beside)) {
             // Not started from the jar: they are on the class path.
@@ -30,11 +34,14 @@
         List<URL> jars = new ArrayList<>();
         jars.add(self.toUri().toURL());
         try (Stream<Path> found = Files.list(beside)) {
-            for (Path jar : found.filter(path -> path.toString().endsWith(".jar")).sorted().toList()) {
+            for (Path jar : found.filter(path -> path.toString().endsWith(".jar"))
+                    .sorted()
+                    .toList()) {
                 jars.add(jar.toUri().toURL());
             }
         }
-        ClassLoader loader = new URLClassLoader("merlinlever", jars.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
+        ClassLoader loader =
+                new URLClassLoader("merlinlever", jars.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
         Thread.currentThread().setContextClassLoader(loader);
         try {
             Class<?> commands = Class.forName("merlinlever.cli.Commands", true, loader);
--- a/src/main/java/merlinlever/cli/Logging.java
+++ b/src/main/java/merlinlever/cli/Logging.java
@@ -14,11 +14,13 @@
 public final class Logging {
 
     /** The two forms of a log. */
-    public enum Form { text, json }
-
-    private Logging() {
+    public enum Form {
+        text,
+        json
     }
 
+    private Logging() {}
+
     public static void start(Form form) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
--- a/src/main/java/merlinlever/cli/Recovering.java
+++ b/src/main/java/merlinlever/cli/Recovering.java
@@ -24,8 +24,17 @@
  */
 final class Recovering implements Rejoin.Service {
 
-    private static final List<String> NAMES = List.of("state", "listen", "advertise", "seeds", "secret-file", "mark-ms", "patience-ms",
-            "spread-ms", "voters", "lease");
+    private static final List<String> NAMES = List.of(
+            "state",
+            "listen",
+            "advertise",
+            "seeds",
+            "secret-file",
+            "mark-ms",
+            "patience-ms",
+            "spread-ms",
+            "voters",
+            "lease");
 
     private final Loop loop;
     private final Backend backend;
@@ -39,13 +48,15 @@
         this.backend = backend;
         for (String name : rest.keySet()) {
             if (name.startsWith("recovery.") && !NAMES.contains(name.substring(9))) {
-                throw new Serve.Unusable("the configuration's " + name + " is not known; recovery has " + String.join(", ", NAMES));
+                throw new Serve.Unusable(
+                        "the configuration's " + name + " is not known; recovery has " + String.join(", ", NAMES));
             }
         }
         List<String> seeds = new ArrayList<>();
         for (String seedAt : rest.getOrDefault("recovery.seeds", "").split(",")) {
             if (!seedAt.isEmpty() && Link.address(seedAt) == null) {
-                throw new Serve.Unusable("the configuration's recovery.seeds has '" + seedAt + "', which is no ADDRESS:PORT");
+                throw new Serve.Unusable(
+                        "the configuration's recovery.seeds has '" + seedAt + "', which is no ADDRESS:PORT");
             } else if (!seedAt.isEmpty()) {
                 seeds.add(seedAt);
             }
@@ -59,15 +70,35 @@
             throw new Serve.Unusable("with recovery the configuration's name has 1 to 40 printable characters");
         }
         Return.Stated usual = Return.Stated.usual(window(given));
-        Return.Stated stated = new Return.Stated(span(rest, "patience-ms", usual.patience()), span(rest, "spread-ms", usual.spread()),
-                usual.askAgain(), usual.longestAskAgain(), usual.window(), usual.mostAsked());
+        Return.Stated stated = new Return.Stated(
+                span(rest, "patience-ms", usual.patience()),
+                span(rest, "spread-ms", usual.spread()),
+                usual.askAgain(),
+                usual.longestAskAgain(),
+                usual.window(),
+                usual.mostAsked());
         Duration mark = span(rest, "mark-ms", Duration.ofSeconds(1));
         Consumer<String> told = line -> log.info("recovery: " + line);
-        rejoin = new Rejoin(loop, Folders.open(Path.of(rest.get("recovery.state")), System.getenv()),
-                new Rejoin.Place(name, Serve.address(rest, "recovery.listen"), advertise, rest.getOrDefault("listen", "-"), seeds, secret(rest)),
-                stated, mark, seed, System::currentTimeMillis, this, told);
-        together = rest.keySet().stream().anyMatch(each -> each.startsWith("recovery.voters")) || rest.containsKey("budgets.0.name")
-                ? new Together(rest, loop, rejoin, backend, seed, told) : null;
+        rejoin = new Rejoin(
+                loop,
+                Folders.open(Path.of(rest.get("recovery.state")), System.getenv()),
+                new Rejoin.Place(
+                        name,
+                        Serve.address(rest, "recovery.listen"),
+                        advertise,
+                        rest.getOrDefault("listen", "-"),
+                        seeds,
+                        secret(rest)),
+                stated,
+                mark,
+                seed,
+                System::currentTimeMillis,
+                this,
+                told);
+        together = rest.keySet().stream().anyMatch(each -> each.startsWith("recovery.voters"))
+                        || rest.containsKey("budgets.0.name")
+                ? new Together(rest, loop, rejoin, backend, seed, told)
+                : null;
     }
 
     /** In which a repeat of keyed work may come, the longest of all tariffs. */
@@ -94,7 +125,8 @@
         try {
             String secret = file == null ? "" : Files.readString(Path.of(file)).strip();
             if (secret.length() < 16) {
-                throw new Serve.Unusable("the configuration's recovery.secret-file names no file with 16 characters or more");
+                throw new Serve.Unusable(
+                        "the configuration's recovery.secret-file names no file with 16 characters or more");
             }
             return secret;
         } catch (IOException e) {
@@ -107,21 +139,25 @@
         return loop.clock().now().plus(sinceBegin.minus(loop.clock().uptime()));
     }
 
-    @Override public void keyed(Duration from, Duration to) {
+    @Override
+    public void keyed(Duration from, Duration to) {
         boolean may = together == null || together.mayKeyed();
         backend.keyed(ofModule(loop, from), ofModule(loop, may ? to : Duration.ZERO));
     }
 
-    @Override public void guess(double capacity, double completions) {
+    @Override
+    public void guess(double capacity, double completions) {
         backend.guess(capacity, completions);
     }
 
-    @Override public double capacity() {
+    @Override
+    public double capacity() {
         Control.Figures figures = backend.figures();
         return figures == null || !Double.isFinite(figures.capacity()) ? 0 : figures.capacity();
     }
 
-    @Override public boolean fullSpeed() {
+    @Override
+    public boolean fullSpeed() {
         Control.Figures figures = backend.figures();
         return figures != null && figures.speedShare() >= 1;
     }
--- a/src/main/java/merlinlever/cli/Rehearsal.java
+++ b/src/main/java/merlinlever/cli/Rehearsal.java
@@ -12,8 +12,8 @@
 import merlinlever.json.Json;
 import merlinlever.log.Log;
 import merlinlever.net.Clock;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 
 /**
@@ -28,6 +28,7 @@
     private static final Duration THROUGH = Duration.ofSeconds(5);
     /** What the runtime takes before the program begins, in parts of what the program takes up to here: a little under one. */
     private static final int RUNTIME = 1;
+
     private static final int OPERATIONS = 1500;
     private static final int CALLERS = 6;
     private static final InetSocketAddress AGENT = new InetSocketAddress(1);
@@ -42,7 +43,8 @@
     private abstract static class StandIn implements Connection.Party {
         private Connection connection;
 
-        @Override public void on(Connection mine) {
+        @Override
+        public void on(Connection mine) {
             connection = mine;
         }
 
@@ -50,8 +52,8 @@
             connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
         }
 
-        @Override public void ended(CloseReason how) {
-        }
+        @Override
+        public void ended(CloseReason how) {}
     }
 
     /** Runs each operation at once, with a call in it where there is someone to call. */
@@ -64,22 +66,23 @@
             this.calls = calls;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             lines.take(in, this::command);
         }
 
         private void command(String line) {
             try {
                 Map<?, ?> command = Json.object(line);
-                String request = "\",\"offset\":" + (offset + 1) + ",\"req\":\"" + command.get("req") + "\",\"payload\":\"AQID\"";
+                String request = "\",\"offset\":" + (offset + 1) + ",\"req\":\"" + command.get("req")
+                        + "\",\"payload\":\"AQID\"";
                 switch (String.valueOf(command.get("cmd"))) {
                     case "subscribe" -> say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":1.5}\n");
                     case "sample" -> say("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token")
                             + "\",\"load\":[0.1,0,0.1,9]}\n");
                     case "launch" -> numbered(calls ? "{\"cmd\":\"request" + request : done(request));
                     case "deliver" -> numbered(done(request));
-                    default -> {
-                    }
+                    default -> {}
                 }
             } catch (Json.Malformed e) {
                 throw new IllegalStateException(e);
@@ -98,7 +101,8 @@
 
     /** Answers each call at once. */
     private static final class Records extends StandIn {
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
             int end = text.indexOf("\r\n");
             int length = end < 0 ? 0 : Integer.parseInt(text.substring(text.lastIndexOf(' ', end) + 1, end));
@@ -111,7 +115,8 @@
 
     /** Asks for one operation after the other. */
     private final class Caller extends StandIn {
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             // Answers come whole; the next message may follow each.
             in.position(in.limit());
             ask();
@@ -128,17 +133,20 @@
             }
             String at = "tariffs." + asked % tariffs + ".";
             String token = given.getOrDefault(at + "kind", "").equals("fingerprinted")
-                    ? "Req-Token: " + String.format("%032x", asked) + "\r\n" : "";
+                    ? "Req-Token: " + String.format("%032x", asked) + "\r\n"
+                    : "";
             say("POST /svc/" + given.get(at + "name") + " HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
                     + String.format("%016x", asked) + "\r\nReq-Time: " + System.currentTimeMillis()
-                    + "\r\nReq-From: 1\r\nReq-Wait-Ms: 5000\r\nReq-Cost: 1.25\r\nReq-Kb: 1.5\r\nReq-Rank: 0.5000\r\n" + token
+                    + "\r\nReq-From: 1\r\nReq-Wait-Ms: 5000\r\nReq-Cost: 1.25\r\nReq-Kb: 1.5\r\nReq-Rank: 0.5000\r\n"
+                    + token
                     + "Content-Length: 3\r\n\r\nabc");
         }
     }
 
     private Rehearsal(Map<String, String> given, boolean calls) {
         this.given = given;
-        loop = new Loop(Clock.system(), failure -> { }, address -> address.equals(AGENT) ? new Agent(calls) : new Records());
+        loop = new Loop(
+                Clock.system(), failure -> {}, address -> address.equals(AGENT) ? new Agent(calls) : new Records());
         Log unheard = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
         Assembly assembly = new Assembly(loop, given, 1, AGENT, RECORDS, 64, unheard);
         for (int i = 0; i < CALLERS; i++) {
--- a/src/main/java/merlinlever/cli/Serve.java
+++ b/src/main/java/merlinlever/cli/Serve.java
@@ -22,6 +22,7 @@
 
     /** So often it is looked at whether all is answered. */
     private static final Duration POLL = Duration.ofMillis(10);
+
     private static final Duration COMPARE = Duration.ofSeconds(1);
     /** What is answered at the last moment has this long to leave before the stop. */
     private static final Duration LAST_WRITES = Duration.ofMillis(150);
@@ -33,9 +34,11 @@
     private static final int CALLS_PART = 8;
     /** Descriptors that are for neither edge nodes nor calls: the other links, files of the runtime. */
     private static final int OTHER_DESCRIPTORS = 24;
+
     private static final int LEAST_CALLS = 4;
     /** A configuration that cannot be used may be half written still: so often and so much later it is read again. */
     private static final int READINGS = 5;
+
     private static final Duration READ_AGAIN = Duration.ofMillis(100);
 
     /** What cannot be started with; its message is for the person at the console. */
@@ -60,10 +63,12 @@
     private final Manage manage;
     /** Null where it keeps nothing for a return, as on the platform; its class is not loaded then. */
     private final Recovering recovering;
+
     private final boolean listFollows;
     private final String rehearsed;
     /** The next reading of a configuration that could not be used, or null. */
     private Loop.Timer readingAgain;
+
     private boolean shutResting, ended;
 
     /** All but the listening, so that nobody is taken in before it is known who hears of the notice to leave. */
@@ -78,17 +83,29 @@
             long rehearsing = System.nanoTime();
             Duration longest = Rehearsal.longest(Duration.ofNanos(rehearsing - began));
             int operations = Rehearsal.run(given, started.records() != null, longest);
-            rehearsed = "rehearsed with " + operations + " operations in " + (System.nanoTime() - rehearsing) / 1_000_000 + " ms";
+            rehearsed = "rehearsed with " + operations + " operations in "
+                    + (System.nanoTime() - rehearsing) / 1_000_000 + " ms";
             clock = Clock.system();
             loop = new Loop(clock, failure -> log.error("failed", failure));
             assembly = new Assembly(loop, given, started.seed(), started.agent(), started.records(), calls(), log);
             backend = assembly.backend;
             edge = assembly.edge;
             heartbeats = new Heartbeats(started.lookup(), started.name());
-            recovering = rest.containsKey("recovery.state") ? new Recovering(rest, loop, backend, given, started.seed(), log) : null;
-            manage = rest.containsKey("manage") ? new Manage(loop, address(rest, "manage"), () -> Telling.of(backend.leaving(),
-                    backend.healthy(), backend.inHand(), clock.uptime().toMillis(), backend.figures(),
-                    recovering == null ? null : recovering.json())) : null;
+            recovering = rest.containsKey("recovery.state")
+                    ? new Recovering(rest, loop, backend, given, started.seed(), log)
+                    : null;
+            manage = rest.containsKey("manage")
+                    ? new Manage(
+                            loop,
+                            address(rest, "manage"),
+                            () -> Telling.of(
+                                    backend.leaving(),
+                                    backend.healthy(),
+                                    backend.inHand(),
+                                    clock.uptime().toMillis(),
+                                    backend.figures(),
+                                    recovering == null ? null : recovering.json()))
+                    : null;
         } catch (IOException e) {
             throw new Unusable("cannot be started with: " + e.getMessage());
         } catch (RuntimeException e) {
@@ -129,12 +146,14 @@
     static InetSocketAddress address(Map<String, String> rest, String name) throws Unusable {
         String text = rest.get(name);
         int colon = text == null ? -1 : text.lastIndexOf(':');
-        if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")
+        if (colon <= 0
+                || !text.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > 65535) {
-            throw new Unusable("the configuration's " + name + (text == null ? " is missing" : " is " + text) + "; allowed: ADDRESS:PORT");
+            throw new Unusable("the configuration's " + name + (text == null ? " is missing" : " is " + text)
+                    + "; allowed: ADDRESS:PORT");
         }
-        InetSocketAddress address = new InetSocketAddress(text.substring(0, colon),
-                Integer.parseInt(text.substring(colon + 1)));
+        InetSocketAddress address =
+                new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         if (address.isUnresolved()) {
             throw new Unusable("the configuration's " + name + " is not known: " + text);
         }
@@ -170,11 +189,13 @@
         return environment.containsKey("GW_CONFIG") ? environment.get("GW_CONFIG") + ": " : "";
     }
 
-    @Override public void hangUp() {
+    @Override
+    public void hangUp() {
         loop.execute(() -> reread(READINGS, null));
     }
 
-    @Override public void terminate() {
+    @Override
+    public void terminate() {
         loop.execute(this::leave);
     }
 
@@ -194,7 +215,8 @@
             if (recovering != null) {
                 recovering.reread(read.rest());
             }
-            log.info("configuration read again: agent " + read.agent() + ", records " + read.records() + ", lookup " + read.lookup());
+            log.info("configuration read again: agent " + read.agent() + ", records " + read.records() + ", lookup "
+                    + read.lookup());
             if (!read.given().equals(started.given())) {
                 log.warn("other settings than at the start, for the next start");
             }
@@ -203,7 +225,8 @@
             heartbeats.moveTo(read.lookup());
             beat();
         } catch (Unusable e) {
-            // One line, however often it is read, and one more where it is whole at last and can't be used for another cause.
+            // One line, however often it is read, and one more where it is whole at last and can't be used for another
+            // cause.
             boolean last = readings <= 1;
             if (said == null || last && !said.equals(e.getMessage())) {
                 log.warn("configuration not taken over, the one before stays: " + inFile(environment) + e.getMessage());
--- a/src/main/java/merlinlever/cli/Together.java
+++ b/src/main/java/merlinlever/cli/Together.java
@@ -44,17 +44,29 @@
         List<Budget> shared = budgets(rest);
         List<String> voters = List.of(rest.getOrDefault("recovery.voters", "").split(","));
         if (voters.contains("")) {
-            throw new Serve.Unusable("with budgets the configuration's recovery.voters names who may lead, the same everywhere");
+            throw new Serve.Unusable(
+                    "with budgets the configuration's recovery.voters names who may lead, the same everywhere");
         }
         // Who this life is: no other of this backend began in the same millisecond with the same pid.
         long life = System.currentTimeMillis() << 20 ^ ProcessHandle.current().pid();
-        Duration lease = shared.isEmpty() ? text(rest, "recovery.lease", "2s") : shared.get(0).lease();
+        Duration lease = shared.isEmpty()
+                ? text(rest, "recovery.lease", "2s")
+                : shared.get(0).lease();
         double drift = shared.isEmpty() ? 0.01 : shared.get(0).drift();
         Leading leading = new Leading(loop, rejoin, voters, lease, drift, seed, told);
         viewing = new Viewing(loop, rejoin, leading.terms(), Stated.usual(), life, seed, told);
-        spread = new Spread(loop, rejoin, Folders.open(Path.of(rest.get("recovery.state"), "shared"), System.getenv()), Words.Stated.usual(true),
-                leading.terms(), viewing.seen(), seed, told);
-        budgets = shared.isEmpty() ? null : new Budgets(loop, rejoin, shared, leading, viewing.seen(), life, seed, this, told);
+        spread = new Spread(
+                loop,
+                rejoin,
+                Folders.open(Path.of(rest.get("recovery.state"), "shared"), System.getenv()),
+                Words.Stated.usual(true),
+                leading.terms(),
+                viewing.seen(),
+                seed,
+                told);
+        budgets = shared.isEmpty()
+                ? null
+                : new Budgets(loop, rejoin, shared, leading, viewing.seen(), life, seed, this, told);
     }
 
     /** The limits of the whole fleet, as the configuration has them; checked here, as serve loads no schema. */
@@ -78,18 +90,27 @@
             }
             String of = rest.getOrDefault(at + "of", "calls");
             if (!name.matches("[a-z0-9-]{1,20}")) {
-                throw new Serve.Unusable("the configuration's " + at + "name has 1 to 20 of a-z, 0-9 and -, not " + name);
+                throw new Serve.Unusable(
+                        "the configuration's " + at + "name has 1 to 20 of a-z, 0-9 and -, not " + name);
             } else if (!per.equals("second") && !per.equals("at-once")) {
                 throw new Serve.Unusable("the configuration's " + at + "per is second or at-once, not '" + per + "'");
             } else if (!(whole >= 0 && whole <= 1e9) || whole != Math.rint(whole)) {
-                throw new Serve.Unusable("the configuration's " + at + "whole is to be a whole number from 0 to 1000000000");
+                throw new Serve.Unusable(
+                        "the configuration's " + at + "whole is to be a whole number from 0 to 1000000000");
             } else if (!(drift >= 0 && drift <= 0.2)) {
                 throw new Serve.Unusable("the configuration's " + at + "drift is to be from 0 to 0.2");
             } else if (!of.equals("calls") && backend.tariff(of) < 0) {
                 throw new Serve.Unusable("the configuration's " + at + "of is calls or a tariff, not " + of);
             }
-            budgets.add(new Budget(name, of, (long) whole, per.equals("second") ? Budget.Per.SECOND : Budget.Per.AT_ONCE, text(rest, at + "lease", "2s"),
-                    drift, text(rest, at + "longest", "5s"), weights));
+            budgets.add(new Budget(
+                    name,
+                    of,
+                    (long) whole,
+                    per.equals("second") ? Budget.Per.SECOND : Budget.Per.AT_ONCE,
+                    text(rest, at + "lease", "2s"),
+                    drift,
+                    text(rest, at + "longest", "5s"),
+                    weights));
         }
         return budgets;
     }
@@ -97,9 +118,11 @@
     private static Duration text(Map<String, String> rest, String name, String usual) throws Serve.Unusable {
         String text = rest.getOrDefault(name, usual);
         if (!text.matches("[0-9]{1,6}(ms|s)")) {
-            throw new Serve.Unusable("the configuration's " + name + " is a span such as 500ms or 2s, not '" + text + "'");
+            throw new Serve.Unusable(
+                    "the configuration's " + name + " is a span such as 500ms or 2s, not '" + text + "'");
         }
-        Duration span = text.endsWith("ms") ? Duration.ofMillis(Long.parseLong(text.substring(0, text.length() - 2)))
+        Duration span = text.endsWith("ms")
+                ? Duration.ofMillis(Long.parseLong(text.substring(0, text.length() - 2)))
                 : Duration.ofSeconds(Long.parseLong(text.substring(0, text.length() - 1)));
         if (span.compareTo(Duration.ofMillis(200)) < 0 || span.compareTo(Duration.ofMinutes(10)) > 0) {
             throw new Serve.Unusable("the configuration's " + name + " is to be from 200ms to 600s");
@@ -118,12 +141,18 @@
         }
     }
 
-    @Override public long[] demand(Duration now, Budget budget) {
+    @Override
+    public long[] demand(Duration now, Budget budget) {
         return backend.demand(ofModule(now), backend.tariff(budget.of()));
     }
 
-    @Override public void share(Budget budget, long share, Duration until) {
-        backend.share(backend.tariff(budget.of()), share, budget.per() == Budget.Per.SECOND, ofModule(until),
+    @Override
+    public void share(Budget budget, long share, Duration until) {
+        backend.share(
+                backend.tariff(budget.of()),
+                share,
+                budget.per() == Budget.Per.SECOND,
+                ofModule(until),
                 budget.of().equals("calls") && budget.per() == Budget.Per.AT_ONCE ? budget.longest() : null);
     }
 
@@ -133,6 +162,7 @@
 
     /** Further members of the JSON object that tells how far this one has come. */
     String json() {
-        return ",\"view\":" + viewing.json() + ",\"shared\":" + spread.json() + (budgets == null ? "" : ",\"budgets\":" + budgets.json());
+        return ",\"view\":" + viewing.json() + ",\"shared\":" + spread.json()
+                + (budgets == null ? "" : ",\"budgets\":" + budgets.json());
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/AgentClient.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentClient.java
@@ -17,12 +17,14 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** What an agent answered; status 0 where it did not, and then why. */
-    record Answer(int status, JsonNode body, String why) {
-    }
+    record Answer(int status, JsonNode body, String why) {}
 
     private final String address;
     private final String secret;
-    private final HttpClient client = HttpClient.newBuilder().connectTimeout(PATIENCE).version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient client = HttpClient.newBuilder()
+            .connectTimeout(PATIENCE)
+            .version(HttpClient.Version.HTTP_1_1)
+            .build();
 
     AgentClient(String address, String secret) {
         this.address = address;
@@ -46,7 +48,8 @@
     Answer order(JsonNode order) {
         Answer answer = null;
         for (int i = 0; i < TRIES && (answer == null || answer.status == 0); i++) {
-            answer = send(HttpRequest.newBuilder(uri("/orders")).POST(HttpRequest.BodyPublishers.ofString(order.toString())));
+            answer = send(
+                    HttpRequest.newBuilder(uri("/orders")).POST(HttpRequest.BodyPublishers.ofString(order.toString())));
         }
         return answer;
     }
@@ -57,12 +60,17 @@
 
     private Answer send(HttpRequest.Builder request) {
         try {
-            HttpResponse<String> response = client.send(request.timeout(PATIENCE).header("Authorization", "Bearer " + secret).build(),
+            HttpResponse<String> response = client.send(
+                    request.timeout(PATIENCE)
+                            .header("Authorization", "Bearer " + secret)
+                            .build(),
                     HttpResponse.BodyHandlers.ofString());
             JsonNode body = JSON.readTree(response.body());
-            return new Answer(response.statusCode(), body, body.path("error").asText("answers " + response.statusCode()));
+            return new Answer(
+                    response.statusCode(), body, body.path("error").asText("answers " + response.statusCode()));
         } catch (IOException e) {
-            return new Answer(0, null, e instanceof java.net.ConnectException ? "cannot be reached" : "gives no answer");
+            return new Answer(
+                    0, null, e instanceof java.net.ConnectException ? "cannot be reached" : "gives no answer");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new Answer(0, null, "interrupted");
--- a/src/main/java/merlinlever/cli/fleet/FleetBase.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetBase.java
@@ -28,10 +28,20 @@
 
     /** Which agents, and how their answers are shown. */
     static final class Where {
-        @Option(names = "--agent", paramLabel = "ADDRESS:PORT", required = true, description = "an agent; may come several times")
+        @Option(
+                names = "--agent",
+                paramLabel = "ADDRESS:PORT",
+                required = true,
+                description = "an agent; may come several times")
         private List<String> agents = List.of();
-        @Option(names = "--secret-file", paramLabel = "FILE", required = true, description = "the secret that the agents know")
+
+        @Option(
+                names = "--secret-file",
+                paramLabel = "FILE",
+                required = true,
+                description = "the secret that the agents know")
         private Path secretFile;
+
         @Option(names = "--output", paramLabel = "FORM", description = "table or json (default: table)")
         Form form = Form.table;
 
@@ -41,13 +51,15 @@
                 List<AgentClient> clients = new ArrayList<>();
                 for (String agent : agents) {
                     if (!agent.matches("(\\[[0-9a-fA-F:.]+\\]|[0-9.]+):[0-9]{1,5}")) {
-                        throw new CommandLine.ParameterException(spec.commandLine(), "--agent: expected ADDRESS:PORT, found " + agent);
+                        throw new CommandLine.ParameterException(
+                                spec.commandLine(), "--agent: expected ADDRESS:PORT, found " + agent);
                     }
                     clients.add(new AgentClient(agent, secret));
                 }
                 return clients;
             } catch (IOException e) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--secret-file: cannot be read: " + secretFile);
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "--secret-file: cannot be read: " + secretFile);
             }
         }
     }
@@ -56,12 +68,23 @@
     static final class Which {
         @Parameters(paramLabel = "NAME", arity = "0..*", description = "instances, by name")
         List<String> names = List.of();
+
         @Option(names = "--host", paramLabel = "NAME", description = "those of this machine")
         private String host;
-        @Option(names = "--label", paramLabel = "KEY=VALUE", description = "those with this label; may come several times")
+
+        @Option(
+                names = "--label",
+                paramLabel = "KEY=VALUE",
+                description = "those with this label; may come several times")
         private Map<String, String> labels = new LinkedHashMap<>();
-        @Option(names = "--state", paramLabel = "STATE", description = "those in this state: down, starting, cold, warm, there, slow, hung, draining, unreached, given_up")
+
+        @Option(
+                names = "--state",
+                paramLabel = "STATE",
+                description =
+                        "those in this state: down, starting, cold, warm, there, slow, hung, draining, unreached, given_up")
         private String state;
+
         @Option(names = "--all", description = "all of them")
         private boolean all;
 
@@ -70,21 +93,30 @@
         }
 
         boolean takes(JsonNode instance) {
-            boolean takes = names.isEmpty() || names.contains(instance.path("name").asText());
+            boolean takes =
+                    names.isEmpty() || names.contains(instance.path("name").asText());
             takes &= host == null || host.equals(instance.path("host").asText());
-            takes &= state == null || state.toLowerCase(Locale.ROOT).replace('-', '_').equals(instance.path("state").asText());
+            takes &= state == null
+                    || state.toLowerCase(Locale.ROOT)
+                            .replace('-', '_')
+                            .equals(instance.path("state").asText());
             for (Map.Entry<String, String> label : labels.entrySet()) {
-                takes &= label.getValue().equals(instance.path("labels").path(label.getKey()).asText(null));
+                takes &= label.getValue()
+                        .equals(instance.path("labels").path(label.getKey()).asText(null));
             }
             return takes;
         }
     }
 
     /** The forms of output. */
-    enum Form { table, json }
+    enum Form {
+        table,
+        json
+    }
 
     @Spec
     CommandSpec spec;
+
     @Mixin
     Where where;
 
@@ -112,8 +144,10 @@
                 String host = agent.path("host").asText();
                 if (!agent.path("report_ms_ago").isNumber()) {
                     if (!agent.path("status").asText().equals("left")) {
-                        unknown.putIfAbsent(host, "agent " + host + " at " + agent.path("api").asText() + " is " + agent.path("status").asText()
-                                + " and has not told of its instances");
+                        unknown.putIfAbsent(
+                                host,
+                                "agent " + host + " at " + agent.path("api").asText() + " is "
+                                        + agent.path("status").asText() + " and has not told of its instances");
                     }
                     continue;
                 }
@@ -122,7 +156,10 @@
                     String key = host + " " + instance.path("name").asText();
                     if (age < ages.getOrDefault(key, Long.MAX_VALUE)) {
                         ages.put(key, age);
-                        youngest.put(key, ((ObjectNode) instance).put("agent", agent.path("api").asText()));
+                        youngest.put(
+                                key,
+                                ((ObjectNode) instance)
+                                        .put("agent", agent.path("api").asText()));
                     }
                 }
                 unknown.put(host, "");
@@ -143,17 +180,28 @@
         rows.add(new String[] {"NAME", "HOST", "STATE", "HEARD", "AGE", "PID", "HELD", "RUN", "VIEW", "ABOUT"});
         for (JsonNode instance : instances) {
             JsonNode told = instance.path("told");
-            rows.add(new String[] {instance.path("name").asText(), instance.path("host").asText(), instance.path("state").asText(),
-                ago(instance.path("heard_ms_ago")), ago(instance.path("age_ms")), instance.path("pid").asLong() == 0 ? "-" : instance.path("pid").asText(),
-                told.path("held").asText("-"), told.path("running").asText("-"), view(told.path("view")), instance.path("why").asText()});
+            rows.add(new String[] {
+                instance.path("name").asText(),
+                instance.path("host").asText(),
+                instance.path("state").asText(),
+                ago(instance.path("heard_ms_ago")),
+                ago(instance.path("age_ms")),
+                instance.path("pid").asLong() == 0 ? "-" : instance.path("pid").asText(),
+                told.path("held").asText("-"),
+                told.path("running").asText("-"),
+                view(told.path("view")),
+                instance.path("why").asText()
+            });
         }
         table(rows);
     }
 
     /** Its standing, and which view it holds by the first digits of the digest: who holds another stands out in the column. */
     static String view(JsonNode view) {
-        return !view.isObject() ? "-" : view.path("standing").asText() + " " + view.path("number").asText() + "/"
-                + view.path("digest").asText().replaceFirst("(.{6}).*", "$1");
+        return !view.isObject()
+                ? "-"
+                : view.path("standing").asText() + " " + view.path("number").asText() + "/"
+                        + view.path("digest").asText().replaceFirst("(.{6}).*", "$1");
     }
 
     void table(List<String[]> rows) {
@@ -178,7 +226,9 @@
             return "-";
         }
         double seconds = ms.asLong() / 1000.0;
-        return seconds < 100 ? String.format(Locale.ROOT, "%.1fs", seconds) : String.format(Locale.ROOT, "%dm", (long) seconds / 60);
+        return seconds < 100
+                ? String.format(Locale.ROOT, "%.1fs", seconds)
+                : String.format(Locale.ROOT, "%dm", (long) seconds / 60);
     }
 
     int told(List<String> silent) {
--- a/src/main/java/merlinlever/cli/fleet/FleetCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetCommands.java
@@ -16,11 +16,24 @@
 import picocli.CommandLine.Spec;
 
 /** What operators do with instances through the agents. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
         description = "List, start, drain, stop and restart instances through their agents.",
-        subcommands = {FleetCommands.ListAll.class, FleetCommands.Show.class, FleetOrders.Start.class, FleetOrders.Drain.class,
-            FleetOrders.Stop.class, FleetOrders.Restart.class, FleetRoll.class, FleetCommands.Events.class, FleetCommands.Watch.class,
-            FleetCommands.Budgets.class, Recover.class})
+        subcommands = {
+            FleetCommands.ListAll.class,
+            FleetCommands.Show.class,
+            FleetOrders.Start.class,
+            FleetOrders.Drain.class,
+            FleetOrders.Stop.class,
+            FleetOrders.Restart.class,
+            FleetRoll.class,
+            FleetCommands.Events.class,
+            FleetCommands.Watch.class,
+            FleetCommands.Budgets.class,
+            Recover.class
+        })
 public final class FleetCommands implements Runnable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,33 +41,47 @@
     @Spec
     private CommandSpec spec;
 
-    @Override public void run() {
+    @Override
+    public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
     /** All instances, a line each. */
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "List instances with their states, and how long ago each was heard.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
+    @Command(
+            name = "list",
+            mixinStandardHelpOptions = true,
+            description = "List instances with their states, and how long ago each was heard.",
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
     static final class ListAll extends FleetBase {
         @Mixin
         private Which which;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             List<String> silent = new ArrayList<>();
-            print(instances(where.clients(spec), silent).stream().filter(which::takes).toList());
+            print(instances(where.clients(spec), silent).stream()
+                    .filter(which::takes)
+                    .toList());
             return told(silent);
         }
     }
 
     /** Everything about some. */
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Show everything that is known of instances, as JSON.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Show everything that is known of instances, as JSON.")
     static final class Show extends FleetBase {
         @Mixin
         private Which which;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             List<String> silent = new ArrayList<>();
-            List<JsonNode> found = instances(where.clients(spec), silent).stream().filter(which::takes).toList();
+            List<JsonNode> found = instances(where.clients(spec), silent).stream()
+                    .filter(which::takes)
+                    .toList();
             found.forEach(instance -> out().println(instance.toPrettyString()));
             out().flush();
             if (found.isEmpty() && silent.isEmpty()) {
@@ -66,18 +93,27 @@
     }
 
     /** A table that is drawn again and again. */
-    @Command(name = "budgets", mixinStandardHelpOptions = true,
+    @Command(
+            name = "budgets",
+            mixinStandardHelpOptions = true,
             description = "Show each backend's share of the limits of the whole fleet, how old that is, and the sum.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
     static final class Budgets extends FleetBase {
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             List<String> silent = new ArrayList<>();
             List<JsonNode> instances = instances(where.clients(spec), silent);
             if (where.form == Form.json) {
                 ArrayNode array = JSON.createArrayNode();
-                instances.forEach(instance -> instance.path("told").path("shares").forEach(share -> array.add(((ObjectNode) share.deepCopy())
-                        .put("instance", instance.path("name").asText()).put("host", instance.path("host").asText())
-                        .put("heard_ms_ago", instance.path("heard_ms_ago").asLong()))));
+                instances.forEach(instance -> instance.path("told")
+                        .path("shares")
+                        .forEach(share -> array.add(((ObjectNode) share.deepCopy())
+                                .put("instance", instance.path("name").asText())
+                                .put("host", instance.path("host").asText())
+                                .put(
+                                        "heard_ms_ago",
+                                        instance.path("heard_ms_ago").asLong()))));
                 out().println(array.toPrettyString());
                 out().flush();
                 return told(silent);
@@ -87,9 +123,19 @@
             Map<String, long[]> sums = new java.util.TreeMap<>();
             for (JsonNode instance : instances) {
                 for (JsonNode share : instance.path("told").path("shares")) {
-                    rows.add(new String[] {share.path("name").asText(), instance.path("name").asText(), instance.path("host").asText(),
-                        share.path("share").asText(), share.path("inUse").asText(), ago(share.path("leftMs")), ago(instance.path("heard_ms_ago")),
-                        share.path("leader").asText().isEmpty() ? "nobody" : share.path("leader").asText() + ", term " + share.path("term").asText()});
+                    rows.add(new String[] {
+                        share.path("name").asText(),
+                        instance.path("name").asText(),
+                        instance.path("host").asText(),
+                        share.path("share").asText(),
+                        share.path("inUse").asText(),
+                        ago(share.path("leftMs")),
+                        ago(instance.path("heard_ms_ago")),
+                        share.path("leader").asText().isEmpty()
+                                ? "nobody"
+                                : share.path("leader").asText() + ", term "
+                                        + share.path("term").asText()
+                    });
                     long[] sum = sums.computeIfAbsent(share.path("name").asText(), none -> new long[3]);
                     sum[0] += share.path("share").asLong();
                     sum[1] = Math.max(sum[1], share.path("whole").asLong());
@@ -104,18 +150,24 @@
         }
     }
 
-    @Command(name = "watch", mixinStandardHelpOptions = true, description = "Show the list again each second, until it is interrupted.")
+    @Command(
+            name = "watch",
+            mixinStandardHelpOptions = true,
+            description = "Show the list again each second, until it is interrupted.")
     static final class Watch extends FleetBase {
         @Mixin
         private Which which;
+
         @Option(names = "--times", paramLabel = "N", description = "so often, then end (default: until interrupted)")
         private int times = Integer.MAX_VALUE;
 
-        @Override public Integer call() throws InterruptedException {
+        @Override
+        public Integer call() throws InterruptedException {
             List<AgentClient> clients = where.clients(spec);
             for (int i = 0; i < times; i++) {
                 List<String> silent = new ArrayList<>();
-                List<JsonNode> found = instances(clients, silent).stream().filter(which::takes).toList();
+                List<JsonNode> found =
+                        instances(clients, silent).stream().filter(which::takes).toList();
                 if (where.form == Form.table && System.console() != null) {
                     out().print("\033[H\033[2J");
                 }
@@ -132,7 +184,8 @@
     /** What happened. */
     @Command(name = "events", mixinStandardHelpOptions = true, description = "Show what has happened, oldest first.")
     static final class Events extends FleetBase {
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             List<String> silent = new ArrayList<>();
             List<String[]> rows = new ArrayList<>();
             rows.add(new String[] {"AGO", "HOST", "INSTANCE", "WHAT"});
@@ -144,10 +197,17 @@
                     continue;
                 }
                 for (JsonNode event : answer.body().path("events")) {
-                    double ago = (answer.body().path("now_ms").asLong() - event.path("at_ms").asLong()) / 1000.0;
-                    rows.add(new String[] {String.format(Locale.ROOT, "%.1fs", ago), answer.body().path("host").asText(), event.path("instance").asText(),
-                        event.path("what").asText()});
-                    all.add(((ObjectNode) event).put("host", answer.body().path("host").asText()));
+                    double ago = (answer.body().path("now_ms").asLong()
+                                    - event.path("at_ms").asLong())
+                            / 1000.0;
+                    rows.add(new String[] {
+                        String.format(Locale.ROOT, "%.1fs", ago),
+                        answer.body().path("host").asText(),
+                        event.path("instance").asText(),
+                        event.path("what").asText()
+                    });
+                    all.add(((ObjectNode) event)
+                            .put("host", answer.body().path("host").asText()));
                 }
             }
             if (where.form == Form.json) {
--- a/src/main/java/merlinlever/cli/fleet/FleetOrders.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetOrders.java
@@ -23,13 +23,20 @@
 
     @Mixin
     Which which;
+
     @Option(names = "--wait", description = "until it has happened, or cannot")
     boolean wait;
+
     @Option(names = "--timeout", paramLabel = "SECONDS", description = "for --wait (default: 120)")
     int timeout = 120;
+
     @Option(names = "--dry-run", description = "show which instances it would be and order nothing")
     boolean dryRun;
-    @Option(names = "--id", paramLabel = "ID", description = "of the order; sent again under the same id it is not done again")
+
+    @Option(
+            names = "--id",
+            paramLabel = "ID",
+            description = "of the order; sent again under the same id it is not done again")
     String id;
 
     abstract String verb();
@@ -43,16 +50,21 @@
         return true;
     }
 
-    @Override public Integer call() throws InterruptedException {
+    @Override
+    public Integer call() throws InterruptedException {
         if (!which.any()) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
         }
         List<AgentClient> clients = where.clients(spec);
         List<String> silent = new ArrayList<>();
-        List<JsonNode> chosen = instances(clients, silent).stream().filter(which::takes).toList();
+        List<JsonNode> chosen =
+                instances(clients, silent).stream().filter(which::takes).toList();
         for (String name : which.names) {
-            if (chosen.stream().noneMatch(instance -> instance.path("name").asText().equals(name))) {
-                silent.add("no instance " + name + " is known" + (silent.isEmpty() ? "" : " to the agents that answered"));
+            if (chosen.stream()
+                    .noneMatch(instance -> instance.path("name").asText().equals(name))) {
+                silent.add(
+                        "no instance " + name + " is known" + (silent.isEmpty() ? "" : " to the agents that answered"));
             }
         }
         if (!silent.isEmpty()) {
@@ -66,7 +78,9 @@
             return 1;
         }
         if (dryRun) {
-            chosen.forEach(instance -> out().println("would " + verb() + " " + instance.path("name").asText() + " (" + instance.path("state").asText() + ")"));
+            chosen.forEach(instance -> out().println(
+                            "would " + verb() + " " + instance.path("name").asText() + " ("
+                                    + instance.path("state").asText() + ")"));
             out().flush();
             return 0;
         }
@@ -75,20 +89,26 @@
             return 1;
         }
         String base = id == null ? UUID.randomUUID().toString() : id;
-        Map<String, List<JsonNode>> byAgent = chosen.stream().collect(Collectors.groupingBy(i -> i.path("agent").asText(), LinkedHashMap::new, Collectors.toList()));
+        Map<String, List<JsonNode>> byAgent = chosen.stream()
+                .collect(Collectors.groupingBy(i -> i.path("agent").asText(), LinkedHashMap::new, Collectors.toList()));
         Map<AgentClient, JsonNode> orders = new LinkedHashMap<>();
         boolean well = true;
         for (String address : byAgent.keySet()) {
             AgentClient client = clients.get(0).at(address);
-            ObjectNode order = JSON.createObjectNode().put("id", base).put("verb", verb()).put("now", now());
+            ObjectNode order =
+                    JSON.createObjectNode().put("id", base).put("verb", verb()).put("now", now());
             ArrayNode names = order.putArray("names");
-            byAgent.get(client.address()).forEach(instance -> names.add(instance.path("name").asText()));
+            byAgent.get(client.address())
+                    .forEach(instance -> names.add(instance.path("name").asText()));
             AgentClient.Answer answer = client.order(order);
             if (answer.status() == 200) {
                 orders.put(client, answer.body());
             } else {
                 well = false;
-                err().println("agent " + client.address() + ": " + answer.why() + (answer.status() == 0 ? "; whether it took the order is not known, send it again with --id " + base : ""));
+                err().println("agent " + client.address() + ": " + answer.why()
+                        + (answer.status() == 0
+                                ? "; whether it took the order is not known, send it again with --id " + base
+                                : ""));
             }
         }
         return follow(orders, base) && well ? 0 : 1;
@@ -101,8 +121,12 @@
             boolean over = true;
             for (Map.Entry<AgentClient, JsonNode> entry : orders.entrySet()) {
                 for (JsonNode instance : entry.getValue().path("instances")) {
-                    String line = instance.path("end").asText().equals("under way") ? "under way, " + instance.path("state").asText()
-                            + (instance.path("state").asText().equals("draining") ? " (" + instance.path("why").asText() + ")" : "") : instance.path("end").asText();
+                    String line = instance.path("end").asText().equals("under way")
+                            ? "under way, " + instance.path("state").asText()
+                                    + (instance.path("state").asText().equals("draining")
+                                            ? " (" + instance.path("why").asText() + ")"
+                                            : "")
+                            : instance.path("end").asText();
                     if (!line.equals(shown.put(instance.path("name").asText(), line))) {
                         out().println(instance.path("name").asText() + ": " + verb() + " " + line);
                     }
@@ -117,7 +141,8 @@
                 boolean done = true;
                 for (JsonNode order : orders.values()) {
                     for (JsonNode instance : order.path("instances")) {
-                        done &= instance.path("end").asText().equals("done") || !wait && instance.path("end").asText().equals("under way");
+                        done &= instance.path("end").asText().equals("done")
+                                || !wait && instance.path("end").asText().equals("under way");
                     }
                 }
                 return done;
@@ -131,45 +156,65 @@
     }
 
     /** Wanted. */
-    @Command(name = "start", mixinStandardHelpOptions = true, description = "Start instances. With --wait until they serve.")
+    @Command(
+            name = "start",
+            mixinStandardHelpOptions = true,
+            description = "Start instances. With --wait until they serve.")
     static final class Start extends FleetOrders {
-        @Override String verb() {
+        @Override
+        String verb() {
             return "start";
         }
     }
 
     /** Not wanted any more, in good order. */
-    @Command(name = "drain", mixinStandardHelpOptions = true, description = "Tell instances to leave: they answer what they have read, then end.")
+    @Command(
+            name = "drain",
+            mixinStandardHelpOptions = true,
+            description = "Tell instances to leave: they answer what they have read, then end.")
     static final class Drain extends FleetOrders {
-        @Override String verb() {
+        @Override
+        String verb() {
             return "drain";
         }
     }
 
     /** Not wanted any more. */
-    @Command(name = "stop", mixinStandardHelpOptions = true,
+    @Command(
+            name = "stop",
+            mixinStandardHelpOptions = true,
             description = "Stop instances. One that still answers what it has read is waited for, but with --now.")
     static final class Stop extends FleetOrders {
         @Option(names = "--now", description = "end them at once; says how many operations are lost by it and asks")
         private boolean now;
+
         @Option(names = "--yes", description = "with --now: do not ask")
         private boolean yes;
 
-        @Override String verb() {
+        @Override
+        String verb() {
             return "stop";
         }
 
-        @Override boolean now() {
+        @Override
+        boolean now() {
             return now;
         }
 
-        @Override boolean agreed(List<JsonNode> chosen) {
+        @Override
+        boolean agreed(List<JsonNode> chosen) {
             if (!now) {
                 return true;
             }
-            int lost = chosen.stream().mapToInt(instance -> instance.path("told").path("inHand").asInt()).sum();
-            long unknown = chosen.stream().filter(instance -> instance.path("told").isNull() && instance.path("pid").asLong() != 0).count();
-            out().println(lost + " operations are in hand and would be lost" + (unknown == 0 ? "" : "; of " + unknown + " instances it is not known"));
+            int lost = chosen.stream()
+                    .mapToInt(instance -> instance.path("told").path("inHand").asInt())
+                    .sum();
+            long unknown = chosen.stream()
+                    .filter(instance -> instance.path("told").isNull()
+                            && instance.path("pid").asLong() != 0)
+                    .count();
+            out().println(lost + " operations are in hand and would be lost"
+                    + (unknown == 0 ? "" : "; of " + unknown + " instances it is not known"));
             out().flush();
             if (yes) {
                 return true;
@@ -183,9 +228,13 @@
     }
 
     /** Out and in again. */
-    @Command(name = "restart", mixinStandardHelpOptions = true, description = "Drain instances and start them again. With --wait until they serve.")
+    @Command(
+            name = "restart",
+            mixinStandardHelpOptions = true,
+            description = "Drain instances and start them again. With --wait until they serve.")
     static final class Restart extends FleetOrders {
-        @Override String verb() {
+        @Override
+        String verb() {
             return "restart";
         }
     }
--- a/src/main/java/merlinlever/cli/fleet/Host.java
+++ b/src/main/java/merlinlever/cli/fleet/Host.java
@@ -43,6 +43,7 @@
     private final HostFront front;
     /** Null where there are no other agents. */
     private final Rejoin rejoin;
+
     private final boolean drain;
     private final Duration stop;
     private final CountDownLatch over = new CountDownLatch(1);
@@ -70,15 +71,23 @@
                     throw sheet.fault("kinds." + kind + ".name", "an instance " + one.name() + " is there already");
                 }
                 if (one.manage() != null && !places.add(one.manage())) {
-                    throw sheet.fault("kinds." + kind + ".manage", "another instance tells of itself at " + one.manage().getPort());
+                    throw sheet.fault(
+                            "kinds." + kind + ".manage",
+                            "another instance tells of itself at "
+                                    + one.manage().getPort());
                 }
                 hosted.add(one);
             }
         }
         long seed = Long.parseUnsignedLong(sheet.text("seed", Long.toHexString(System.nanoTime())), 16);
         Keeper.Stated usual = Keeper.Stated.USUAL;
-        Keeper.Stated stated = new Keeper.Stated(usual.firstPause(), usual.longestPause(), usual.steadyAfter(), (int) sheet.number("deaths", usual.budget()),
-                usual.budgetSpan(), sheet.span("silent-after", usual.silentAfter()));
+        Keeper.Stated stated = new Keeper.Stated(
+                usual.firstPause(),
+                usual.longestPause(),
+                usual.steadyAfter(),
+                (int) sheet.number("deaths", usual.budget()),
+                usual.budgetSpan(),
+                sheet.span("silent-after", usual.silentAfter()));
         try {
             Clock clock = Clock.system();
             loop = new Loop(clock, failure -> LOG.error("failed", failure));
@@ -91,17 +100,42 @@
                 if (api.endsWith(":0")) {
                     throw sheet.fault("listen", "with members the port has to be stated, as others are told it");
                 }
-                // Others send to the address it tells, which is its own unless something stands between (the fault harness).
-                Rejoin.Place place = new Rejoin.Place(name, address(sheet.text("members.listen", "")),
-                        sheet.has("members.advertise") ? sheet.text("members.advertise", "") : null, api, sheet.texts("members.seeds"), secret);
-                rejoin = new Rejoin(loop, folder, place, Return.Stated.usual(Duration.ZERO), Duration.ZERO, seed, System::currentTimeMillis,
-                        Rejoin.Service.NONE, line -> LOG.info("{}", line));
+                // Others send to the address it tells, which is its own unless something stands between (the fault
+                // harness).
+                Rejoin.Place place = new Rejoin.Place(
+                        name,
+                        address(sheet.text("members.listen", "")),
+                        sheet.has("members.advertise") ? sheet.text("members.advertise", "") : null,
+                        api,
+                        sheet.texts("members.seeds"),
+                        secret);
+                rejoin = new Rejoin(
+                        loop,
+                        folder,
+                        place,
+                        Return.Stated.usual(Duration.ZERO),
+                        Duration.ZERO,
+                        seed,
+                        System::currentTimeMillis,
+                        Rejoin.Service.NONE,
+                        line -> LOG.info("{}", line));
                 neighbours = new Neighbours(loop, rejoin.members(), secret);
             } else {
                 rejoin = null;
             }
-            agent = new HostAgent(loop, ledger, hosted, stated, sheet.span("spread", SPREAD), new SplittableRandom(seed), LOG::info);
-            front = new HostFront(loop, address(sheet.text("listen", "")), name, agent, neighbours, rejoin, secret, stop.dividedBy(5), seed, LOG::info);
+            agent = new HostAgent(
+                    loop, ledger, hosted, stated, sheet.span("spread", SPREAD), new SplittableRandom(seed), LOG::info);
+            front = new HostFront(
+                    loop,
+                    address(sheet.text("listen", "")),
+                    name,
+                    agent,
+                    neighbours,
+                    rejoin,
+                    secret,
+                    stop.dividedBy(5),
+                    seed,
+                    LOG::info);
         } catch (Ledger.Spoilt e) {
             throw new Sheet.Unusable(e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
@@ -111,7 +145,8 @@
 
     private static InetSocketAddress address(String text) throws IOException {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private static Hosted hosted(Sheet sheet, String at, int n, Path state) throws Sheet.Unusable {
@@ -122,7 +157,14 @@
         words.put("{name}", name);
         words.put("{folder}", folder.toString());
         words.put("{budgets}", sheet.json("budgets"));
-        words.put("{program}", new java.io.File(Host.class.getProtectionDomain().getCodeSource().getLocation().getPath()).getPath());
+        words.put(
+                "{program}",
+                new java.io.File(Host.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .getPath())
+                        .getPath());
         InetSocketAddress manage = null;
         if (sheet.has(at + ".manage")) {
             String text = sheet.text(at + ".manage", "");
@@ -138,7 +180,8 @@
         }
         List<String> command = new ArrayList<>();
         if (sheet.has(at + ".limits.sockets")) {
-            command.addAll(List.of("/bin/sh", "-c", "ulimit -n " + sheet.number(at + ".limits.sockets", 0) + " && exec \"$@\"", "sh"));
+            command.addAll(List.of(
+                    "/bin/sh", "-c", "ulimit -n " + sheet.number(at + ".limits.sockets", 0) + " && exec \"$@\"", "sh"));
         }
         sheet.texts(at + ".command").forEach(word -> command.add(filled(word, words)));
         Map<String, String> environment = new LinkedHashMap<>();
@@ -155,8 +198,16 @@
         } catch (IOException e) {
             throw new Sheet.Unusable(sheet.file() + ": state: " + folder + " cannot be written: " + e.getMessage());
         }
-        return new Hosted(name, sheet.text(at + ".name", ""), sheet.pairs(at + ".labels"), command, environment, folder, manage,
-                !sheet.text(at + ".start", "true").equals("false"), sheet.number(at + ".log-mb", 10) << 20);
+        return new Hosted(
+                name,
+                sheet.text(at + ".name", ""),
+                sheet.pairs(at + ".labels"),
+                command,
+                environment,
+                folder,
+                manage,
+                !sheet.text(at + ".start", "true").equals("false"),
+                sheet.number(at + ".log-mb", 10) << 20);
     }
 
     private static String filled(String text, Map<String, String> words) {
@@ -176,7 +227,10 @@
             }
         }));
         try {
-            LOG.info("listening on {}:{}", front.address().getAddress().getHostAddress(), front.address().getPort());
+            LOG.info(
+                    "listening on {}:{}",
+                    front.address().getAddress().getHostAddress(),
+                    front.address().getPort());
             loop.run();
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -11,33 +11,49 @@
 import picocli.CommandLine.Spec;
 
 /** The agent of one machine. */
-@Command(name = "host", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        description = "The agent that keeps the instances of one machine.", subcommands = HostCommands.Run.class)
+@Command(
+        name = "host",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
+        description = "The agent that keeps the instances of one machine.",
+        subcommands = HostCommands.Run.class)
 public final class HostCommands implements Runnable {
 
     @Spec
     private CommandSpec spec;
 
-    @Override public void run() {
+    @Override
+    public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
     /** Runs until it is told to leave; the instances stay. */
-    @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Keep the instances that a file describes. SIGTERM ends the agent and leaves them running; the next agent takes them over.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage",
-                "143:told to leave"})
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Keep the instances that a file describes. SIGTERM ends the agent and leaves them running; the next agent takes them over.",
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
     static final class Run implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
-        @Option(names = "--config", required = true, paramLabel = "FILE", description = "YAML; 'config schema host-run' prints its form")
+
+        @Option(
+                names = "--config",
+                required = true,
+                paramLabel = "FILE",
+                description = "YAML; 'config schema host-run' prints its form")
         private Path file;
+
         @Option(names = "--drain", description = "at SIGTERM tell all instances to leave, and end when all are down")
         private boolean drain;
+
         @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
         private Logging.Form form = Logging.Form.text;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             Logging.start(form);
             try {
                 new Host(Sheet.read(file, "host-run"), drain).run();
--- a/src/main/java/merlinlever/cli/fleet/Recover.java
+++ b/src/main/java/merlinlever/cli/fleet/Recover.java
@@ -18,20 +18,38 @@
 import picocli.CommandLine.Spec;
 
 /** What the next life of each process would believe of its state folder; changes nothing in it. */
-@Command(name = "recover", mixinStandardHelpOptions = true,
-        description = "After a power loss, before anything is started: tell for each state folder what is found in it, what is thrown away and why.",
-        exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:everything found is believed", "1:something is thrown away or cannot be looked at",
-            "2:wrong usage"})
+@Command(
+        name = "recover",
+        mixinStandardHelpOptions = true,
+        description =
+                "After a power loss, before anything is started: tell for each state folder what is found in it, what is thrown away and why.",
+        exitCodeListHeading = "%nExit status:%n",
+        exitCodeList = {
+            "0:everything found is believed",
+            "1:something is thrown away or cannot be looked at",
+            "2:wrong usage"
+        })
 final class Recover implements Callable<Integer> {
 
     @Spec
     private CommandSpec spec;
-    @Option(names = "--state", paramLabel = "DIR", required = true, arity = "1..*", description = "a state folder of an agent or a backend; may come several times")
+
+    @Option(
+            names = "--state",
+            paramLabel = "DIR",
+            required = true,
+            arity = "1..*",
+            description = "a state folder of an agent or a backend; may come several times")
     private List<Path> folders = List.of();
-    @Option(names = "--owner", paramLabel = "NAME@ADDRESS:PORT", description = "whose they have to be; without it each is taken for that of its own owner")
+
+    @Option(
+            names = "--owner",
+            paramLabel = "NAME@ADDRESS:PORT",
+            description = "whose they have to be; without it each is taken for that of its own owner")
     private String owner;
 
-    @Override public Integer call() {
+    @Override
+    public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
         if (owner != null && !owner.matches("[!-~]+@[!-~]+")) {
@@ -48,7 +66,10 @@
                 out.println(path);
                 whole &= look(folder, out);
             } catch (IOException e) {
-                err.println(path + ": " + e.getMessage() + (Files.exists(path.resolve("lock")) ? "; a running process told at its start what it found" : ""));
+                err.println(path + ": " + e.getMessage()
+                        + (Files.exists(path.resolve("lock"))
+                                ? "; a running process told at its start what it found"
+                                : ""));
                 whole = false;
             }
         }
@@ -59,7 +80,8 @@
 
     private boolean look(Folder folder, PrintWriter out) throws IOException {
         Store.Found found = new Store(folder).read();
-        String whose = owner != null || found.memory() == null ? owner : found.memory().owner();
+        String whose =
+                owner != null || found.memory() == null ? owner : found.memory().owner();
         Trust.Verdict verdict = Trust.judge(found.memory(), found.spoilt(), whose, System.currentTimeMillis());
         boolean whole = true;
         if (found.memory() != null) {
@@ -71,7 +93,8 @@
         }
         if (folder.has("instances")) {
             try {
-                out.println("  instances: kept, " + new Ledger(folder).names().size() + " noted; a process that still runs is taken over, others that are wanted are launched");
+                out.println("  instances: kept, " + new Ledger(folder).names().size()
+                        + " noted; a process that still runs is taken over, others that are wanted are launched");
             } catch (Ledger.Spoilt e) {
                 out.println("  instances: " + e.getMessage());
                 whole = false;
--- a/src/main/java/merlinlever/cli/zone/Given.java
+++ b/src/main/java/merlinlever/cli/zone/Given.java
@@ -17,14 +17,14 @@
 
     private static final int MOST_SECRET = 4096;
 
-    private Given() {
-    }
+    private Given() {}
 
     /** HOST:PORT with an address as HOST; names are not looked up. */
     static InetSocketAddress address(String text) throws Malformed {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
-        if (!host.matches("\\[[0-9a-fA-F:.]+\\]|[0-9]+(\\.[0-9]+){3}") || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
+        if (!host.matches("\\[[0-9a-fA-F:.]+\\]|[0-9]+(\\.[0-9]+){3}")
+                || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
             throw new Malformed("expected ADDRESS:PORT, found " + text);
         }
         int port = Integer.parseInt(text.substring(colon + 1));
@@ -58,9 +58,13 @@
     static Tsig.Key key(String name, String algorithm, Path secret) throws Malformed {
         try {
             if (!Files.isRegularFile(secret) || Files.size(secret) > MOST_SECRET) {
-                throw new Malformed(secret + (Files.exists(secret) ? " is not a file with a secret" : ": no such file"));
+                throw new Malformed(
+                        secret + (Files.exists(secret) ? " is not a file with a secret" : ": no such file"));
             }
-            return new Tsig.Key(Names.absolute(name), algorithm, Base64.getMimeDecoder().decode(Files.readString(secret).strip()));
+            return new Tsig.Key(
+                    Names.absolute(name),
+                    algorithm,
+                    Base64.getMimeDecoder().decode(Files.readString(secret).strip()));
         } catch (IOException | IllegalArgumentException e) {
             throw new Malformed(secret + " holds no secret in base64");
         }
@@ -68,7 +72,10 @@
 
     static Tsig.Key key(Sheet sheet, String path) throws Sheet.Unusable {
         try {
-            return key(sheet.text(path + ".name", ""), sheet.text(path + ".algorithm", "hmac-sha256"), sheet.path(path + ".secret-file", ""));
+            return key(
+                    sheet.text(path + ".name", ""),
+                    sheet.text(path + ".algorithm", "hmac-sha256"),
+                    sheet.path(path + ".secret-file", ""));
         } catch (Malformed e) {
             throw sheet.fault(path, e.getMessage());
         }
--- a/src/main/java/merlinlever/cli/zone/ZoneApply.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneApply.java
@@ -34,7 +34,15 @@
     private List<Plan.Batch> batches = List.of();
     private int status;
 
-    ZoneApply(Zone wanted, Path file, InetSocketAddress server, Tsig.Key key, Duration patience, boolean dryRun, PrintWriter out, PrintWriter err) {
+    ZoneApply(
+            Zone wanted,
+            Path file,
+            InetSocketAddress server,
+            Tsig.Key key,
+            Duration patience,
+            boolean dryRun,
+            PrintWriter out,
+            PrintWriter err) {
         this.wanted = wanted;
         this.file = file;
         this.server = server;
@@ -48,7 +56,8 @@
     int run() {
         Thread stopped = new Thread(() -> {
             if (!over && planned >= 0) {
-                err.println("stopped: " + done + " of " + planned + " updates were done" + (dryRun ? "" : ", the next may have been; run it again"));
+                err.println("stopped: " + done + " of " + planned + " updates were done"
+                        + (dryRun ? "" : ", the next may have been; run it again"));
                 err.flush();
             }
         });
@@ -69,7 +78,8 @@
         return status;
     }
 
-    @Override public void planned(Zone live, List<Plan.Batch> made) {
+    @Override
+    public void planned(Zone live, List<Plan.Batch> made) {
         batches = made;
         planned = made.size();
         out.println(Names.text(live.origin()) + ": serial " + live.serial() + " live, " + made.size() + " updates, "
@@ -82,20 +92,27 @@
         out.flush();
     }
 
-    @Override public void done(int batch) {
+    @Override
+    public void done(int batch) {
         done = batch + 1;
-        out.println("update " + done + " of " + planned + " done: " + batches.get(batch).names() + " names");
+        out.println("update " + done + " of " + planned + " done: "
+                + batches.get(batch).names() + " names");
         out.flush();
     }
 
-    @Override public void ended(int count, String why) {
+    @Override
+    public void ended(int count, String why) {
         over = true;
         if (why != null) {
             err.println("not done: " + why + "; " + count + " of " + Math.max(0, planned) + " updates were done");
             status = 1;
         } else {
-            out.println(dryRun ? "nothing was changed" : planned == 0 ? "the live zone says what " + file + " says already"
-                    : "done: the live zone says what " + file + " says");
+            out.println(
+                    dryRun
+                            ? "nothing was changed"
+                            : planned == 0
+                                    ? "the live zone says what " + file + " says already"
+                                    : "done: the live zone says what " + file + " says");
         }
         loop.stop();
     }
--- a/src/main/java/merlinlever/cli/zone/ZoneCommands.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneCommands.java
@@ -23,16 +23,25 @@
 import picocli.CommandLine.Spec;
 
 /** What the program does with DNS zones. */
-@Command(name = "zone", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
+@Command(
+        name = "zone",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
         description = "DNS zones: read, compare, serve, update, and follow the live fleet.",
-        subcommands = {ZoneCommands.Check.class, ZoneCommands.Diff.class, ZoneCommands.Apply.class, ZoneCommands.ServeZones.class,
-            ZoneCommands.Follow.class})
+        subcommands = {
+            ZoneCommands.Check.class,
+            ZoneCommands.Diff.class,
+            ZoneCommands.Apply.class,
+            ZoneCommands.ServeZones.class,
+            ZoneCommands.Follow.class
+        })
 public final class ZoneCommands implements Runnable {
 
     @Spec
     private CommandSpec spec;
 
-    @Override public void run() {
+    @Override
+    public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
@@ -60,17 +69,25 @@
     }
 
     /** Reads zone files and tells their faults. */
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Read zone files as zone serve would. One line for each good one; the faults go to standard error.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:all are good", "1:at least one is not", "2:wrong usage"})
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Read zone files as zone serve would. One line for each good one; the faults go to standard error.",
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {"0:all are good", "1:at least one is not", "2:wrong usage"})
     static final class Check extends Base {
         @Parameters(paramLabel = "FILE", arity = "1..*", description = "zone files")
         private List<Path> files;
-        @Option(names = "--origin", paramLabel = "NAME",
+
+        @Option(
+                names = "--origin",
+                paramLabel = "NAME",
                 description = "the zone that is expected, and what relative names stand below; else the file says it")
         private String origin;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             int status = 0;
             for (Path file : files) {
                 try {
@@ -92,18 +109,24 @@
     }
 
     /** Compares two zone files by what they say. */
-    @Command(name = "diff", mixinStandardHelpOptions = true,
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
             description = "Compare two zone files by the records that they hold, whatever their order and form.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:they say the same", "1:they differ", "2:one cannot be read"})
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {"0:they say the same", "1:they differ", "2:one cannot be read"})
     static final class Diff extends Base {
         @Parameters(index = "0", paramLabel = "OLD")
         private Path old;
+
         @Parameters(index = "1", paramLabel = "NEW")
         private Path made;
+
         @Option(names = "--origin", paramLabel = "NAME", description = "the zone, where the files do not say it")
         private String origin;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             Zone before;
             Zone after;
             try {
@@ -127,17 +150,30 @@
     }
 
     /** Serves zones until it is told to leave. */
-    @Command(name = "serve", mixinStandardHelpOptions = true,
-            description = "Serve zones: queries, transfers and signed updates over UDP and TCP. Ends with 143 after SIGTERM.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"1:it cannot start; the reason is on standard error",
-                "2:wrong usage", "143:told to leave, all was answered"})
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Serve zones: queries, transfers and signed updates over UDP and TCP. Ends with 143 after SIGTERM.",
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {
+                "1:it cannot start; the reason is on standard error",
+                "2:wrong usage",
+                "143:told to leave, all was answered"
+            })
     static final class ServeZones extends Base {
-        @Option(names = "--config", required = true, paramLabel = "FILE", description = "YAML; 'config schema zone-serve' prints its form")
+        @Option(
+                names = "--config",
+                required = true,
+                paramLabel = "FILE",
+                description = "YAML; 'config schema zone-serve' prints its form")
         private Path file;
+
         @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
         private Logging.Form form = Logging.Form.text;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             Logging.start(form);
             try {
                 new ZoneServer(Sheet.read(file, "zone-serve")).run();
@@ -150,27 +186,47 @@
     }
 
     /** Brings a live zone to what a file says. */
-    @Command(name = "apply", mixinStandardHelpOptions = true,
-            description = "Bring a live zone to what a file says, by signed updates: fetch it, show what differs, send it in batches, look again.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"0:the live zone says what the file says (with --dry-run: the plan is shown)",
-                "1:it does not; what was done is told", "2:wrong usage"})
+    @Command(
+            name = "apply",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Bring a live zone to what a file says, by signed updates: fetch it, show what differs, send it in batches, look again.",
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {
+                "0:the live zone says what the file says (with --dry-run: the plan is shown)",
+                "1:it does not; what was done is told",
+                "2:wrong usage"
+            })
     static final class Apply extends Base {
         @Parameters(paramLabel = "FILE", description = "zone file")
         private Path file;
+
         @Option(names = "--server", required = true, paramLabel = "ADDRESS:PORT", description = "the zone's primary")
         private String server;
-        @Option(names = "--key", paramLabel = "NAME:FILE", description = "name of a key, and the file with its secret in base64")
+
+        @Option(
+                names = "--key",
+                paramLabel = "NAME:FILE",
+                description = "name of a key, and the file with its secret in base64")
         private String key;
-        @Option(names = "--algorithm", paramLabel = "NAME", description = "of the key: hmac-sha224, -sha256 (default), -sha384, -sha512")
+
+        @Option(
+                names = "--algorithm",
+                paramLabel = "NAME",
+                description = "of the key: hmac-sha224, -sha256 (default), -sha384, -sha512")
         private String algorithm = "hmac-sha256";
+
         @Option(names = "--origin", paramLabel = "NAME", description = "the zone, where the file does not say it")
         private String origin;
+
         @Option(names = "--dry-run", description = "show what would change and change nothing")
         private boolean dryRun;
+
         @Option(names = "--timeout", paramLabel = "SECONDS", description = "for each answer, 1 to 300 (default: 10)")
         private int timeout = 10;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             InetSocketAddress at;
             Tsig.Key with;
             try {
@@ -182,7 +238,9 @@
                 if (timeout < 1 || timeout > 300) {
                     throw new Malformed("--timeout: expected 1 to 300, found " + timeout);
                 }
-                with = key == null ? null : Given.key(key.substring(0, colon), algorithm, Path.of(key.substring(colon + 1)));
+                with = key == null
+                        ? null
+                        : Given.key(key.substring(0, colon), algorithm, Path.of(key.substring(colon + 1)));
             } catch (Malformed e) {
                 throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
             }
@@ -198,17 +256,26 @@
     }
 
     /** Keeps a name on the live instances. */
-    @Command(name = "follow", mixinStandardHelpOptions = true,
-            description = "Keep a name in a zone on the instances that report to be alive. Ends with 143 after SIGTERM.",
-            exitCodeListHeading = "%nExit status:%n", exitCodeList = {"1:it cannot start; the reason is on standard error",
-                "2:wrong usage", "143:told to leave"})
+    @Command(
+            name = "follow",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Keep a name in a zone on the instances that report to be alive. Ends with 143 after SIGTERM.",
+            exitCodeListHeading = "%nExit status:%n",
+            exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
     static final class Follow extends Base {
-        @Option(names = "--config", required = true, paramLabel = "FILE", description = "YAML; 'config schema zone-follow' prints its form")
+        @Option(
+                names = "--config",
+                required = true,
+                paramLabel = "FILE",
+                description = "YAML; 'config schema zone-follow' prints its form")
         private Path file;
+
         @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
         private Logging.Form form = Logging.Form.text;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             Logging.start(form);
             try {
                 new ZoneFollower(Sheet.read(file, "zone-follow")).run();
--- a/src/main/java/merlinlever/cli/zone/ZoneFollower.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneFollower.java
@@ -63,9 +63,18 @@
         }
         SplittableRandom chance = new SplittableRandom(Given.seed(sheet));
         String holder = sheet.text("holder", "f" + Long.toHexString(chance.nextLong()));
-        Follower.Stated stated = new Follower.Stated(name, records, ttl, sheet.span("lapse", Duration.ofSeconds(3)),
-                sheet.share("keep-at-least", 0.5), sheet.text("owner", "fleet"), holder, (int) sheet.number("most-updates", 60),
-                sheet.span("damp", Duration.ofSeconds(60)), sheet.span("beat", Duration.ofSeconds(20)), servers.size());
+        Follower.Stated stated = new Follower.Stated(
+                name,
+                records,
+                ttl,
+                sheet.span("lapse", Duration.ofSeconds(3)),
+                sheet.share("keep-at-least", 0.5),
+                sheet.text("owner", "fleet"),
+                holder,
+                (int) sheet.number("most-updates", 60),
+                sheet.span("damp", Duration.ofSeconds(60)),
+                sheet.span("beat", Duration.ofSeconds(20)),
+                servers.size());
         try {
             loop = new Loop(clock, failure -> LOG.error("failed", failure));
             asker = new Asker(loop, chance.split(), () -> System.currentTimeMillis() / 1000);
@@ -74,7 +83,10 @@
                 throw sheet.fault("instances", records.size() + " records do not fit one update of 65,535 octets");
             }
             link = new FollowerLink(loop, asker, follower, servers, key, zone, name, names, Duration.ofSeconds(2));
-            pulses = sheet.has("pulse") ? new Datagrams(loop, Given.address(sheet, "pulse"), 1024, (octets, from, waited) -> link.came(octets)) : null;
+            pulses = sheet.has("pulse")
+                    ? new Datagrams(
+                            loop, Given.address(sheet, "pulse"), 1024, (octets, from, waited) -> link.came(octets))
+                    : null;
         } catch (IllegalArgumentException e) {
             throw sheet.fault("name", e.getMessage());
         } catch (IOException e) {
@@ -103,11 +115,17 @@
         return ttl;
     }
 
-    private static Rec record(Sheet sheet, byte[] name, byte[] zone, boolean srv, long ttl, Map.Entry<String, String> instance) throws Sheet.Unusable {
+    private static Rec record(
+            Sheet sheet, byte[] name, byte[] zone, boolean srv, long ttl, Map.Entry<String, String> instance)
+            throws Sheet.Unusable {
         String value = instance.getValue();
         try {
             if (srv) {
-                return new Rec(name, Types.SRV, ttl, Rdata.fromText(Types.SRV, List.of("0", "1", sheet.text("port", ""), value), zone));
+                return new Rec(
+                        name,
+                        Types.SRV,
+                        ttl,
+                        Rdata.fromText(Types.SRV, List.of("0", "1", sheet.text("port", ""), value), zone));
             }
             boolean six = value.indexOf(':') >= 0;
             return new Rec(name, six ? Types.AAAA : Types.A, ttl, six ? Rdata.address6(value) : Rdata.address4(value));
@@ -127,7 +145,12 @@
             }
         }));
         try {
-            LOG.info("following{}", pulses == null ? "" : " on " + pulses.address().getAddress().getHostAddress() + ":" + pulses.address().getPort());
+            LOG.info(
+                    "following{}",
+                    pulses == null
+                            ? ""
+                            : " on " + pulses.address().getAddress().getHostAddress() + ":"
+                                    + pulses.address().getPort());
             loop.run();
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/merlinlever/cli/zone/ZoneServer.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServer.java
@@ -14,19 +14,19 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import merlinlever.durable.Folder;
+import merlinlever.durable.Folders;
 import merlinlever.manage.Manage;
 import merlinlever.manage.Telling;
 import merlinlever.net.Clock;
-import merlinlever.net.SignalHandler;
 import merlinlever.net.Loop;
+import merlinlever.net.SignalHandler;
 import merlinlever.sheet.Sheet;
 import merlinlever.zone.front.Counts;
 import merlinlever.zone.front.Desk;
 import merlinlever.zone.front.Front;
 import merlinlever.zone.front.Notices;
 import merlinlever.zone.front.Served;
-import merlinlever.durable.Folder;
-import merlinlever.durable.Folders;
 import merlinlever.zone.journal.ZoneStore;
 import merlinlever.zone.record.Names;
 import merlinlever.zone.state.Replays;
@@ -52,6 +52,7 @@
     private final Folder folder;
     /** Each zone with the operator's file. */
     private final Map<Served, Path> zones = new LinkedHashMap<>();
+
     private final List<ZoneStore> stores = new ArrayList<>();
     private final Front front;
     private final Notices notices;
@@ -93,14 +94,32 @@
         }
         InetSocketAddress listen = Given.address(sheet, "listen");
         try {
-            front = new Front(loop, listen, (int) sheet.number("connections", 256), List.copyOf(zones.keySet()), new Tsig.Keys(keys),
-                    new Desk.Stated(sheet.number("memory-mb", 256), stopAfter.dividedBy(GRACE_PART),
-                            !sheet.text("queries-decided", "true").equals("false"), Given.seed(sheet)),
-                    ZoneServer::unix, LOG::info, counts);
+            front = new Front(
+                    loop,
+                    listen,
+                    (int) sheet.number("connections", 256),
+                    List.copyOf(zones.keySet()),
+                    new Tsig.Keys(keys),
+                    new Desk.Stated(
+                            sheet.number("memory-mb", 256),
+                            stopAfter.dividedBy(GRACE_PART),
+                            !sheet.text("queries-decided", "true").equals("false"),
+                            Given.seed(sheet)),
+                    ZoneServer::unix,
+                    LOG::info,
+                    counts);
             notices = new Notices(loop, Given.seed(sheet));
             if (sheet.has("manage")) {
-                new Manage(loop, Given.address(sheet, "manage"), () -> Telling.of(front.desk().figures().leaving(), true, front.desk().inHand(),
-                        clock.uptime().toMillis(), front.desk().figures(), null));
+                new Manage(
+                        loop,
+                        Given.address(sheet, "manage"),
+                        () -> Telling.of(
+                                front.desk().figures().leaving(),
+                                true,
+                                front.desk().inHand(),
+                                clock.uptime().toMillis(),
+                                front.desk().figures(),
+                                null));
             }
         } catch (IOException e) {
             throw new Sheet.Unusable("cannot listen on " + sheet.text("listen", "") + ": " + e.getMessage());
@@ -126,8 +145,15 @@
         Path file = sheet.path(at + ".file", "");
         Set<String> updaters = allowed(sheet, at + ".update", keys);
         Set<String> transferers = allowed(sheet, at + ".transfer", keys);
-        ZoneStore store = new ZoneStore(folder, origin, disk, snapshots, loop, LOG::warn,
-                (int) sheet.number("snapshot-after", 10_000), Desk.REPLAY);
+        ZoneStore store = new ZoneStore(
+                folder,
+                origin,
+                disk,
+                snapshots,
+                loop,
+                LOG::warn,
+                (int) sheet.number("snapshot-after", 10_000),
+                Desk.REPLAY);
         stores.add(store);
         Replays replays = new Replays(Desk.REPLAY);
         try {
@@ -144,7 +170,10 @@
             }
             Served served = new Served(recovered.zone(), updaters, transferers, store, replays);
             recovered.steps().forEach(served.history()::add);
-            LOG.info("{}, from the state, {} updates since the snapshot", ZoneCommands.summary(recovered.zone()), recovered.steps().size());
+            LOG.info(
+                    "{}, from the state, {} updates since the snapshot",
+                    ZoneCommands.summary(recovered.zone()),
+                    recovered.steps().size());
             reload(served, file, origin);
             return served;
         } catch (ZoneFile.Rejected | ZoneStore.Unusable e) {
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -18,9 +18,19 @@
 public final class Backend implements Port<Work>, Calls.Maker {
 
     /** What an edge node sends with an operation. */
-    public record Asked(long id, String name, int tariff, String tariffName, Duration arrival, Duration clientTimeout, double kb,
-            Duration work, boolean again, String token, String subject, byte[] body) {
-    }
+    public record Asked(
+            long id,
+            String name,
+            int tariff,
+            String tariffName,
+            Duration arrival,
+            Duration clientTimeout,
+            double kb,
+            Duration work,
+            boolean again,
+            String token,
+            String subject,
+            byte[] body) {}
 
     /** The most fingerprints, with bodies and results, that the memory of this process is planned for. */
     private static final int MOST_KEPT = 4000;
@@ -65,7 +75,8 @@
         subjects = Stated.number(given, "server.fresh-for", 0) > 0;
         // A limit of this process, in the terms that the module knows: it turns away what it cannot remember.
         double leastKb = Stated.number(given, "server.memory-kb", 100_000) / MOST_KEPT;
-        this.given.put("server.kb-per-fingerprint",
+        this.given.put(
+                "server.kb-per-fingerprint",
                 "" + Math.max(leastKb, Stated.number(given, "server.kb-per-fingerprint", 0)));
         // What is stated badly is to be found now, and not when the agent is up.
         new Control(this.given, seed);
@@ -169,15 +180,28 @@
             return null;
         }
         touch(now);
-        String mark = asked.token() != null ? "token " + asked.token()
+        String mark = asked.token() != null
+                ? "token " + asked.token()
                 : asked.subject() != null && readsShare(asked.tariff()) ? asked.tariff() + " " + asked.subject() : null;
-        Work work = new Work(asked.id(), asked.name(), asked.tariff(), asked.tariffName(), arrival, mark,
-                asked.body(), caller);
+        Work work = new Work(
+                asked.id(), asked.name(), asked.tariff(), asked.tariffName(), arrival, mark, asked.body(), caller);
         byId.put(work.id, work);
         endings.owes();
         Operation original = repeats.enter(work, asked.token() != null);
-        work.handle = conductor.know(conductor.control().take(now, asked.tariff(), now.minus(arrival),
-                asked.clientTimeout(), asked.kb(), asked.work(), asked.again(), asked.subject() != null, original), work);
+        work.handle = conductor.know(
+                conductor
+                        .control()
+                        .take(
+                                now,
+                                asked.tariff(),
+                                now.minus(arrival),
+                                asked.clientTimeout(),
+                                asked.kb(),
+                                asked.work(),
+                                asked.again(),
+                                asked.subject() != null,
+                                original),
+                work);
         return work;
     }
 
@@ -226,7 +250,8 @@
         }
     }
 
-    @Override public void callEnded(Duration now, long id, Ending how, byte[] reply) {
+    @Override
+    public void callEnded(Duration now, long id, Ending how, byte[] reply) {
         Work work = byId.get(id);
         if (work == null || !work.calling) {
             return;
@@ -320,51 +345,61 @@
 
     // ---- what the module decides
 
-    @Override public void level(double value) {
+    @Override
+    public void level(double value) {
         level = value;
     }
 
-    @Override public void health(boolean good) {
+    @Override
+    public void health(boolean good) {
         checks.health(good);
     }
 
-    @Override public void closeIdle(Duration after) {
+    @Override
+    public void closeIdle(Duration after) {
         outside.closeIdle(after);
     }
 
-    @Override public void keep(Work work, Duration span) {
+    @Override
+    public void keep(Work work, Duration span) {
         repeats.keep(work, now.plus(span));
     }
 
-    @Override public void breakOff(Work work) {
+    @Override
+    public void breakOff(Work work) {
         endings.answer(work, Ending.ERROR, null);
         calling.giveUp(work);
         repeats.unkept(work);
     }
 
-    @Override public void halt(Work work) {
+    @Override
+    public void halt(Work work) {
         if (work.launched && work.end == null) {
             work.halted = true;
             outside.freeze(work);
         }
     }
 
-    @Override public void pushBack(Work work, boolean nowhereElse, Duration stayAway) {
+    @Override
+    public void pushBack(Work work, boolean nowhereElse, Duration stayAway) {
         endings.pushBack(work, nowhereElse, stayAway);
         repeats.unkept(work);
     }
 
-    @Override public void forget(Work work) {
+    @Override
+    public void forget(Work work) {
         repeats.forget(work);
     }
 
-    @Override public void start(Work work) {
+    @Override
+    public void start(Work work) {
         work.launched = true;
         ontoCores++;
         inDoubt.launch(work, now);
     }
 
-    @Override public void share(Work work) {
+    @Override
+    public void share(Work work) {
         Work original = repeats.original(work);
         if (original != null && original.launched && original.end == null) {
             original.sharedBy(work);
@@ -373,24 +408,29 @@
         }
     }
 
-    @Override public void call(Work work, Duration giveUpAfter) {
+    @Override
+    public void call(Work work, Duration giveUpAfter) {
         calling.make(work, now, giveUpAfter);
     }
 
-    @Override public void omit(Work work) {
+    @Override
+    public void omit(Work work) {
         work.callBody = null;
         outside.forgo(work);
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
         outside.log(line);
     }
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         outside.alarm(at);
     }
 
-    @Override public void release(Work work) {
+    @Override
+    public void release(Work work) {
         byId.remove(work.id);
         work.released = true;
         repeats.forget(work);
--- a/src/main/java/merlinlever/core/Conductor.java
+++ b/src/main/java/merlinlever/core/Conductor.java
@@ -15,17 +15,17 @@
 
     /** Stands for an operation of which nothing is known any more; what happens to it has no effect. */
     public static final Operation UNKNOWN = new Operation() {
-        @Override public void ended(Duration now, Ending how) {
-        }
+        @Override
+        public void ended(Duration now, Ending how) {}
 
-        @Override public void reachedCall(Duration now) {
-        }
+        @Override
+        public void reachedCall(Duration now) {}
 
-        @Override public void callEnded(Duration now, Ending how, Duration took) {
-        }
+        @Override
+        public void callEnded(Duration now, Ending how, Duration took) {}
 
-        @Override public void callerGone(Duration now) {
-        }
+        @Override
+        public void callerGone(Duration now) {}
     };
 
     private final Control control;
--- a/src/main/java/merlinlever/core/Fleetwide.java
+++ b/src/main/java/merlinlever/core/Fleetwide.java
@@ -11,6 +11,7 @@
     private Control control;
     /** Null as long as nothing is told of a return. */
     private Duration keyedFrom, keyedTo;
+
     private double guessed, completions;
     /** The limits of the whole fleet that it has a share of, by tariff, -1 for calls; whether they are a second's. */
     private final Map<Integer, Boolean> limited = new TreeMap<>();
--- a/src/main/java/merlinlever/core/Repeats.java
+++ b/src/main/java/merlinlever/core/Repeats.java
@@ -42,7 +42,8 @@
         if (ran != null && ran.covers(work)) {
             return ran.work;
         }
-        // With an effect at stake, one that is not over stands for all that comes: its window may be shorter than its run.
+        // With an effect at stake, one that is not over stands for all that comes: its window may be shorter than its
+        // run.
         if (kept != null && (kept.covers(work) || token && kept.work.end == null)) {
             return kept.work;
         }
@@ -56,7 +57,9 @@
      */
     Operation enter(Work work, boolean token) {
         work.repeats = work.mark == null ? null : findOrEnter(work, token);
-        return work.repeats == null ? null : !token || work.repeats.sameAs(work) ? work.repeats.handle : Conductor.UNKNOWN;
+        return work.repeats == null
+                ? null
+                : !token || work.repeats.sameAs(work) ? work.repeats.handle : Conductor.UNKNOWN;
     }
 
     /** The one whose outcome this is to share, or null. */
--- a/src/main/java/merlinlever/core/SettingsCheck.java
+++ b/src/main/java/merlinlever/core/SettingsCheck.java
@@ -17,7 +17,9 @@
 
     /** What a number may be. */
     private enum Range {
-        POSITIVE("a number above 0, at most 1e12"), AT_LEAST_0("a number from 0 to 1e12"), SHARE("a number from 0 to 1"),
+        POSITIVE("a number above 0, at most 1e12"),
+        AT_LEAST_0("a number from 0 to 1e12"),
+        SHARE("a number from 0 to 1"),
         /** Above 0 and under it the module reckons with one core. */
         FINITE("a number");
 
@@ -39,29 +41,54 @@
     }
 
     private static final Map<String, Range> NUMBERS = new TreeMap<>(Map.ofEntries(
-            Map.entry("server.cores", Range.POSITIVE), Map.entry("server.memory-kb", Range.POSITIVE),
-            Map.entry("server.run-factor", Range.POSITIVE), Map.entry("server.kb-per-fingerprint", Range.AT_LEAST_0),
-            Map.entry("server.idle", Range.AT_LEAST_0), Map.entry("server.callers", Range.AT_LEAST_0),
-            Map.entry("server.fresh-for", Range.AT_LEAST_0), Map.entry("server.calls-over", Range.AT_LEAST_0),
-            Map.entry("server.share-of-calls", Range.AT_LEAST_0), Map.entry("servers", Range.AT_LEAST_0),
-            Map.entry("rules.crowd-factor", Range.POSITIVE), Map.entry("rules.cold", Range.AT_LEAST_0),
-            Map.entry("rules.cold-share", Range.SHARE), Map.entry("rules.drain-grace", Range.AT_LEAST_0),
+            Map.entry("server.cores", Range.POSITIVE),
+            Map.entry("server.memory-kb", Range.POSITIVE),
+            Map.entry("server.run-factor", Range.POSITIVE),
+            Map.entry("server.kb-per-fingerprint", Range.AT_LEAST_0),
+            Map.entry("server.idle", Range.AT_LEAST_0),
+            Map.entry("server.callers", Range.AT_LEAST_0),
+            Map.entry("server.fresh-for", Range.AT_LEAST_0),
+            Map.entry("server.calls-over", Range.AT_LEAST_0),
+            Map.entry("server.share-of-calls", Range.AT_LEAST_0),
+            Map.entry("servers", Range.AT_LEAST_0),
+            Map.entry("rules.crowd-factor", Range.POSITIVE),
+            Map.entry("rules.cold", Range.AT_LEAST_0),
+            Map.entry("rules.cold-share", Range.SHARE),
+            Map.entry("rules.drain-grace", Range.AT_LEAST_0),
             Map.entry("limits.longest-stay-away", Range.AT_LEAST_0)));
     private static final Map<String, Range> OF_A_CLASS = new TreeMap<>(Map.of(
-            "soft-limit", Range.POSITIVE, "client-timeout", Range.POSITIVE,
-            "soft-limit-stretch", Range.AT_LEAST_0, "value", Range.AT_LEAST_0, "late-value", Range.FINITE));
+            "soft-limit",
+            Range.POSITIVE,
+            "client-timeout",
+            Range.POSITIVE,
+            "soft-limit-stretch",
+            Range.AT_LEAST_0,
+            "value",
+            Range.AT_LEAST_0,
+            "late-value",
+            Range.FINITE));
     private static final Set<String> KINDS = Set.of("retriable", "fingerprinted", "binding");
 
     /** What the program takes where one of these is not stated, as it is told. */
     private static final Map<String, String> ASSUMED = new TreeMap<>(Map.of(
-            "server.cores", "1", "server.memory-kb", "no limit", "server.gauges", "none",
-            "rules.crowd-factor", "2", "rules.drain-grace", "0 ms"));
-    private static final Map<String, String> ASSUMED_OF_A_CLASS = new TreeMap<>(Map.of(
-            "soft-limit", "1000 ms", "client-timeout", "2000 ms", "kind", "once"));
+            "server.cores",
+            "1",
+            "server.memory-kb",
+            "no limit",
+            "server.gauges",
+            "none",
+            "rules.crowd-factor",
+            "2",
+            "rules.drain-grace",
+            "0 ms"));
+
+    private static final Map<String, String> ASSUMED_OF_A_CLASS =
+            new TreeMap<>(Map.of("soft-limit", "1000 ms", "client-timeout", "2000 ms", "kind", "once"));
 
     private final Map<String, String> given;
     /** Under which name each is stated, by ours. */
     private final Map<String, String> names = new HashMap<>();
+
     private final List<String> problems = new ArrayList<>();
     private final List<String> missing = new ArrayList<>();
     private int classes;
@@ -73,12 +100,14 @@
         while (given.containsKey("tariffs." + classes + ".name")) {
             classes++;
         }
-        Shape.problems(given).forEach(each -> problems.add(each.replace("settings: server.", "settings: family-info.")));
+        Shape.problems(given)
+                .forEach(each -> problems.add(each.replace("settings: server.", "settings: family-info.")));
         NUMBERS.forEach(this::number);
         classes();
         row("server.value-without-call", "a number", "0", each -> Range.FINITE.holds(parsed(each)));
         row("server.calls-by-tariff", "true, false", "true", each -> each.equals("true") || each.equals("false"));
-        if (!List.of(given.getOrDefault("server.gauges", "run-queue").split(",")).contains("run-queue")) {
+        if (!List.of(given.getOrDefault("server.gauges", "run-queue").split(","))
+                .contains("run-queue")) {
             missing.add("runnable in " + Stated.theirs("server.gauges") + " (only own runs counted)");
         }
         ASSUMED.forEach((name, assumed) -> {
@@ -101,7 +130,9 @@
     private void problem(String name, String allowed) {
         String value = given.get(name);
         String stated = names.getOrDefault(name, Stated.theirs(name));
-        problems.add("settings: " + stated + (value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"") + "; allowed: " + allowed);
+        problems.add(
+                "settings: " + stated + (value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"")
+                        + "; allowed: " + allowed);
     }
 
     private static double parsed(String value) {
@@ -139,7 +170,10 @@
         // The classes end where one has no name: those after it would be left out.
         for (String name : given.keySet()) {
             String[] parts = name.split("\\.");
-            if (parts.length > 2 && parts[0].equals("tariffs") && classes > 0 && !given.containsKey("tariffs." + parts[1] + ".name")) {
+            if (parts.length > 2
+                    && parts[0].equals("tariffs")
+                    && classes > 0
+                    && !given.containsKey("tariffs." + parts[1] + ".name")) {
                 problem("tariffs." + parts[1] + ".name", "a name that no other class has");
                 break;
             }
@@ -157,7 +191,8 @@
             }
         }
         if (!without.isEmpty()) {
-            missing.add(Stated.theirs("tariffs") + "." + String.join("+", without) + "." + Stated.theirs(name) + " (" + assumed + ")");
+            missing.add(Stated.theirs("tariffs") + "." + String.join("+", without) + "." + Stated.theirs(name) + " ("
+                    + assumed + ")");
         }
     }
 
--- a/src/main/java/merlinlever/core/Shape.java
+++ b/src/main/java/merlinlever/core/Shape.java
@@ -22,11 +22,12 @@
             "readiness", List.of("false", "true"),
             "say", List.of("credit", "level", "none", "weight")));
     /** What an absent setting means: the present behaviour. */
-    private static final Map<String, String> ABSENT = Map.of(
-            "halt", "none", "say", "none", "readiness", "false", "below", "none");
+    private static final Map<String, String> ABSENT =
+            Map.of("halt", "none", "say", "none", "readiness", "false", "below", "none");
 
     /** The kinds whose watched value is not the one in force. */
     private final Set<String> differing;
+
     private final Map<String, Long> otherwise = new TreeMap<>();
 
     private Shape(Set<String> differing) {
--- a/src/main/java/merlinlever/core/Stated.java
+++ b/src/main/java/merlinlever/core/Stated.java
@@ -47,23 +47,26 @@
 
     /** Names that pass as they are; any other that is not translated is new to this program. */
     private static final Set<String> SAME = Set.of(("name window late-value memory-kb run-factor callers cold halt "
-            + "idle say below calls-over gauges deep-checks heeded linger readiness fresh-for allowance-per-s share "
-            + "cold-share drain-grace answer-slack cpu-us-per-request cpu-us-per-s goal whole worst-class "
-            + "worst-tenant worst-window penalties connection handshake late-fail origin waste telemetry how names "
-            + "tenants servers service-type ordinal tick tier tiers zone zones clients marks-retry count watch")
+                    + "idle say below calls-over gauges deep-checks heeded linger readiness fresh-for allowance-per-s share "
+                    + "cold-share drain-grace answer-slack cpu-us-per-request cpu-us-per-s goal whole worst-class "
+                    + "worst-tenant worst-window penalties connection handshake late-fail origin waste telemetry how names "
+                    + "tenants servers service-type ordinal tick tier tiers zone zones clients marks-retry count watch")
             .split(" "));
 
     /** What these hold was named by others, and stays as it is whatever word it is. */
-    private static final Set<String> NAMED_BY_OTHERS = Set.of("name", "names", "zone", "zones", "tiers", "service-type");
+    private static final Set<String> NAMED_BY_OTHERS =
+            Set.of("name", "names", "zone", "zones", "tiers", "service-type");
 
-    private Stated() {
-    }
+    private Stated() {}
 
     /** The values by our names. */
     public static Map<String, String> translate(Map<String, String> theirs) {
         Map<String, String> given = new HashMap<>();
-        theirs.forEach((path, value) -> given.put(ours(path), NAMED_BY_OTHERS.contains(path.substring(path.lastIndexOf('.') + 1))
-                ? value : words(value, ",", part -> VALUES.getOrDefault(part, part))));
+        theirs.forEach((path, value) -> given.put(
+                ours(path),
+                NAMED_BY_OTHERS.contains(path.substring(path.lastIndexOf('.') + 1))
+                        ? value
+                        : words(value, ",", part -> VALUES.getOrDefault(part, part))));
         return given;
     }
 
@@ -74,8 +77,11 @@
 
     /** The operators' name of what is ours; a name that is the same in both stays. */
     static String theirs(String name) {
-        return words(name, ".", part -> NAMES.entrySet().stream().filter(each -> each.getValue().equals(part))
-                .map(Map.Entry::getKey).findFirst().orElse(part));
+        return words(name, ".", part -> NAMES.entrySet().stream()
+                .filter(each -> each.getValue().equals(part))
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse(part));
     }
 
     /** The number stated under our name, or the other where there is none. */
--- a/src/main/java/merlinlever/core/Work.java
+++ b/src/main/java/merlinlever/core/Work.java
@@ -17,17 +17,26 @@
     final Duration arrival;
     /** What a repeat of it is known by, or null. */
     final String mark;
+
     Operation handle = Conductor.UNKNOWN;
     Caller caller;
     /** What it repeats, as it was known at its arrival. */
     Work repeats;
+
     byte[] body, callBody, reply, result;
     boolean answered, launched, halted, calling, launchInDoubt, replyInDoubt, released;
     Ending end;
     Duration launchedAt = Duration.ZERO, calledAt = Duration.ZERO, repliedAt = Duration.ZERO;
     List<Work> sharers = List.of();
 
-    Work(long id, String name, int tariff, String tariffName, Duration arrival, String mark, byte[] body,
+    Work(
+            long id,
+            String name,
+            int tariff,
+            String tariffName,
+            Duration arrival,
+            String mark,
+            byte[] body,
             Caller caller) {
         this.id = id;
         this.name = name;
--- a/src/main/java/merlinlever/durable/DiskFolder.java
+++ b/src/main/java/merlinlever/durable/DiskFolder.java
@@ -37,49 +37,60 @@
         }
     }
 
-    @Override public List<String> names() throws IOException {
+    @Override
+    public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(path)) {
-            return files.filter(Files::isRegularFile).map(file -> file.getFileName().toString()).filter(name -> !name.equals("lock"))
-                    .sorted().toList();
+            return files.filter(Files::isRegularFile)
+                    .map(file -> file.getFileName().toString())
+                    .filter(name -> !name.equals("lock"))
+                    .sorted()
+                    .toList();
         }
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         if (Files.size(path.resolve(name)) > MOST) {
             throw new IOException(name + " is over 2 GiB");
         }
         return Files.readAllBytes(path.resolve(name));
     }
 
-    @Override public Out append(String name) throws IOException {
+    @Override
+    public Out append(String name) throws IOException {
         FileChannel channel = FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         long end = channel.size();
         channel.position(end);
         return new Out() {
             private long length = end;
 
-            @Override public long length() {
+            @Override
+            public long length() {
                 return length;
             }
 
-            @Override public void write(ByteBuffer octets) throws IOException {
+            @Override
+            public void write(ByteBuffer octets) throws IOException {
                 while (octets.hasRemaining()) {
                     length += channel.write(octets);
                 }
             }
 
-            @Override public void force() throws IOException {
+            @Override
+            public void force() throws IOException {
                 channel.force(false);
             }
 
-            @Override public void truncate(long to) throws IOException {
+            @Override
+            public void truncate(long to) throws IOException {
                 channel.truncate(to);
                 channel.position(to);
                 channel.force(true);
                 length = to;
             }
 
-            @Override public void close() {
+            @Override
+            public void close() {
                 try {
                     channel.close();
                 } catch (IOException e) {
@@ -89,22 +100,30 @@
         };
     }
 
-    @Override public void rename(String from, String to) throws IOException {
-        Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    @Override
+    public void rename(String from, String to) throws IOException {
+        Files.move(
+                path.resolve(from),
+                path.resolve(to),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         force();
     }
 
-    @Override public void delete(String name) throws IOException {
+    @Override
+    public void delete(String name) throws IOException {
         Files.deleteIfExists(path.resolve(name));
     }
 
-    @Override public void force() throws IOException {
+    @Override
+    public void force() throws IOException {
         try (FileChannel folder = FileChannel.open(path, StandardOpenOption.READ)) {
             folder.force(true);
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         lockFile.close();
     }
 }
--- a/src/main/java/merlinlever/durable/Folder.java
+++ b/src/main/java/merlinlever/durable/Folder.java
@@ -23,7 +23,8 @@
 
         void truncate(long length) throws IOException;
 
-        @Override void close();
+        @Override
+        void close();
     }
 
     /** In the order of their names. */
@@ -58,8 +59,8 @@
     }
 
     /** Lets the folder go; one on disk is then free for another process. */
-    @Override default void close() throws IOException {
-    }
+    @Override
+    default void close() throws IOException {}
 
     /** Whether there is a file of that name. */
     default boolean has(String name) throws IOException {
--- a/src/main/java/merlinlever/durable/Folders.java
+++ b/src/main/java/merlinlever/durable/Folders.java
@@ -11,8 +11,7 @@
     /** Names a folder; each state folder of the process then adds what passes through it to a file there. */
     public static final String RECORD = "MERLINLEVER_DISK_RECORD";
 
-    private Folders() {
-    }
+    private Folders() {}
 
     /** Held by this process alone until it is closed. */
     public static Folder open(Path path, Map<String, String> environment) throws IOException {
--- a/src/main/java/merlinlever/durable/Recorded.java
+++ b/src/main/java/merlinlever/durable/Recorded.java
@@ -25,21 +25,24 @@
     public interface Record extends Closeable {
         void line(String text) throws IOException;
 
-        @Override void close();
+        @Override
+        void close();
 
         /** Added to a file, never forced: a kill keeps it, and a power loss is what the harness plays itself. */
         static Record to(Path file) throws IOException {
-            FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                    StandardOpenOption.APPEND);
+            FileChannel channel = FileChannel.open(
+                    file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
             return new Record() {
-                @Override public synchronized void line(String text) throws IOException {
+                @Override
+                public synchronized void line(String text) throws IOException {
                     ByteBuffer octets = ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.US_ASCII));
                     while (octets.hasRemaining()) {
                         channel.write(octets);
                     }
                 }
 
-                @Override public void close() {
+                @Override
+                public void close() {
                     try {
                         channel.close();
                     } catch (IOException e) {
@@ -66,23 +69,28 @@
         }
     }
 
-    @Override public List<String> names() throws IOException {
+    @Override
+    public List<String> names() throws IOException {
         return inner.names();
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         return inner.read(name);
     }
 
-    @Override public Out append(String name) throws IOException {
+    @Override
+    public Out append(String name) throws IOException {
         record.line("open " + name);
         Out out = inner.append(name);
         return new Out() {
-            @Override public long length() {
+            @Override
+            public long length() {
                 return out.length();
             }
 
-            @Override public void write(ByteBuffer octets) throws IOException {
+            @Override
+            public void write(ByteBuffer octets) throws IOException {
                 ByteBuffer copy = octets.duplicate();
                 byte[] bytes = new byte[copy.remaining()];
                 copy.get(bytes);
@@ -90,38 +98,45 @@
                 out.write(octets);
             }
 
-            @Override public void force() throws IOException {
+            @Override
+            public void force() throws IOException {
                 out.force();
                 record.line("force " + name);
             }
 
-            @Override public void truncate(long length) throws IOException {
+            @Override
+            public void truncate(long length) throws IOException {
                 out.truncate(length);
                 record.line("truncate " + name + " " + length);
             }
 
-            @Override public void close() {
+            @Override
+            public void close() {
                 out.close();
             }
         };
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         inner.rename(from, to);
         record.line("rename " + from + " " + to);
     }
 
-    @Override public void delete(String name) throws IOException {
+    @Override
+    public void delete(String name) throws IOException {
         record.line("delete " + name);
         inner.delete(name);
     }
 
-    @Override public void force() throws IOException {
+    @Override
+    public void force() throws IOException {
         inner.force();
         record.line("sync");
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         record.close();
         inner.close();
     }
--- a/src/main/java/merlinlever/faults/AgentFleet.java
+++ b/src/main/java/merlinlever/faults/AgentFleet.java
@@ -78,14 +78,24 @@
             }
             Path folder = root.resolve("a-" + i);
             Files.createDirectories(folder);
-            Files.writeString(folder.resolve("host.yaml"), "name: a-" + i + "\nlisten: " + text(apis.get(i)) + "\nstate: state\n"
-                    + "secret-file: " + secret + "\nseed: \"" + Long.toHexString(seed + i) + "\"\nmembers:\n  listen: "
-                    + text(real.get(i)) + "\n  advertise: " + text(hub.front(i)) + "\n  seeds: [" + String.join(", ", seeds) + "]\n"
-                    + "kinds:\n  - name: idle\n    start: false\n    command: [none]\n");
+            Files.writeString(
+                    folder.resolve("host.yaml"),
+                    "name: a-" + i + "\nlisten: " + text(apis.get(i)) + "\nstate: state\n"
+                            + "secret-file: " + secret + "\nseed: \"" + Long.toHexString(seed + i)
+                            + "\"\nmembers:\n  listen: "
+                            + text(real.get(i)) + "\n  advertise: " + text(hub.front(i)) + "\n  seeds: ["
+                            + String.join(", ", seeds) + "]\n"
+                            + "kinds:\n  - name: idle\n    start: false\n    command: [none]\n");
             List<String> command = new ArrayList<>(java);
-            command.addAll(List.of("host", "run", "--config", folder.resolve("host.yaml").toString()));
-            specs.add(new Processes.Spec("a-" + i, command, Map.of(Folders.RECORD, root.resolve("records").resolve("a-" + i)
-                    .toString()), folder));
+            command.addAll(List.of(
+                    "host", "run", "--config", folder.resolve("host.yaml").toString()));
+            specs.add(new Processes.Spec(
+                    "a-" + i,
+                    command,
+                    Map.of(
+                            Folders.RECORD,
+                            root.resolve("records").resolve("a-" + i).toString()),
+                    folder));
         }
     }
 
@@ -96,8 +106,15 @@
         for (String entry : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
             path.add(Path.of(entry).toAbsolutePath().toString());
         }
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-XX:+UseSerialGC", "-Xss256k", "-Xmx96m", "-cp", String.join(java.io.File.pathSeparator, path), "merlinlever.cli.Main");
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xss256k",
+                "-Xmx96m",
+                "-cp",
+                String.join(java.io.File.pathSeparator, path),
+                "merlinlever.cli.Main");
     }
 
     static String text(InetSocketAddress address) {
@@ -153,8 +170,13 @@
         List<Agreement.Said> said = new ArrayList<>();
         JsonNode fleet = ask(i, "/fleet", patience);
         for (JsonNode agent : fleet.path("agents")) {
-            if (agent.has("status") && agent.has("host") && !agent.path("host").asText().equals(name(i))) {
-                said.add(new Agreement.Said(name(i), agent.path("host").asText(), agent.path("status").asText()));
+            if (agent.has("status")
+                    && agent.has("host")
+                    && !agent.path("host").asText().equals(name(i))) {
+                said.add(new Agreement.Said(
+                        name(i),
+                        agent.path("host").asText(),
+                        agent.path("status").asText()));
             }
         }
         return said;
@@ -178,18 +200,20 @@
         try (Socket socket = new Socket()) {
             socket.connect(address, (int) patience.toMillis());
             socket.setSoTimeout((int) patience.toMillis());
-            socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: harness\r\n" + fields
-                    + "Content-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("GET " + path + " HTTP/1.1\r\nHost: harness\r\n" + fields + "Content-Length: 0\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             byte[] chunk = new byte[8192];
-            for (int read; (read = in.read(chunk)) >= 0 && all.size() < (4 << 20);) {
+            for (int read; (read = in.read(chunk)) >= 0 && all.size() < (4 << 20); ) {
                 all.write(chunk, 0, read);
                 String text = all.toString(StandardCharsets.UTF_8);
                 int head = text.indexOf("\r\n\r\n");
                 int at = text.toLowerCase(java.util.Locale.ROOT).indexOf("content-length:");
                 if (head > 0 && at > 0 && at < head) {
-                    int length = Integer.parseInt(text.substring(at + 15, text.indexOf('\r', at)).strip());
+                    int length = Integer.parseInt(
+                            text.substring(at + 15, text.indexOf('\r', at)).strip());
                     byte[] body = all.toByteArray();
                     int start = text.substring(0, head + 4).getBytes(StandardCharsets.UTF_8).length;
                     if (body.length - start >= length) {
@@ -204,7 +228,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         processes.close();
         hub.close();
         loop.execute(loop::stop);
--- a/src/main/java/merlinlever/faults/BudgetFaults.java
+++ b/src/main/java/merlinlever/faults/BudgetFaults.java
@@ -48,7 +48,9 @@
     public record Outcome(Kind kind, long seed, Duration dividedAfter, List<String> breaches) {
         public String told() {
             StringBuilder text = new StringBuilder(kind.word() + ", seed " + Long.toHexString(seed) + ": "
-                    + (breaches.isEmpty() ? "passed, divided anew after " + dividedAfter.toMillis() + " ms" : "FAILED"));
+                    + (breaches.isEmpty()
+                            ? "passed, divided anew after " + dividedAfter.toMillis() + " ms"
+                            : "FAILED"));
             breaches.forEach(breach -> text.append("\n  breach: ").append(breach));
             return text.toString();
         }
@@ -132,10 +134,12 @@
             case PAUSE, PAUSE_LEADER -> {
                 String who = fleet.name(kind == Kind.PAUSE ? one : leader);
                 // What it owes meanwhile it cannot answer in time; that is not what is looked at here.
-                fleet.on(none -> fleet.callers(kind == Kind.PAUSE ? one : leader).away(true));
+                fleet.on(
+                        none -> fleet.callers(kind == Kind.PAUSE ? one : leader).away(true));
                 fleet.processes().pause(who);
                 Thread.sleep(lease + chance.nextInt(2 * lease));
-                fleet.on(none -> fleet.callers(kind == Kind.PAUSE ? one : leader).away(false));
+                fleet.on(
+                        none -> fleet.callers(kind == Kind.PAUSE ? one : leader).away(false));
                 fleet.processes().resume(who);
             }
             case PARTITION, THREE_SIDES -> {
@@ -150,14 +154,22 @@
                 fleet.on(Links::heal);
             }
             case SLOW_LEADER -> {
-                fleet.on(links -> fleet.all().stream().filter(i -> i != leader).forEach(i -> links.both(leader, i,
-                        Links.Fault.delayed(Duration.ofMillis(lease / 4), Duration.ofMillis(lease / 2)))));
+                fleet.on(links -> fleet.all().stream()
+                        .filter(i -> i != leader)
+                        .forEach(i -> links.both(
+                                leader,
+                                i,
+                                Links.Fault.delayed(Duration.ofMillis(lease / 4), Duration.ofMillis(lease / 2)))));
                 Thread.sleep(3 * lease);
                 fleet.on(Links::heal);
             }
             case LOSSY -> {
-                fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream().filter(k -> k != i).forEach(k -> links.set(i, k,
-                        new Links.Fault(0.33, 0.33, Duration.ofMillis(5), Duration.ofMillis(100), 0, false)))));
+                fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream()
+                        .filter(k -> k != i)
+                        .forEach(k -> links.set(
+                                i,
+                                k,
+                                new Links.Fault(0.33, 0.33, Duration.ofMillis(5), Duration.ofMillis(100), 0, false)))));
                 Thread.sleep(3 * lease);
                 fleet.on(Links::heal);
             }
@@ -190,7 +202,8 @@
         });
         if (divided == null) {
             for (int i : fleet.all()) {
-                breaches.add("not divided anew after " + patience.toMillis() + " ms: " + fleet.name(i) + " tells " + budget(i));
+                breaches.add("not divided anew after " + patience.toMillis() + " ms: " + fleet.name(i) + " tells "
+                        + budget(i));
             }
         }
         Outcome outcome = new Outcome(kind, seed, divided == null ? Duration.ZERO : divided, breaches);
--- a/src/main/java/merlinlever/faults/BudgetModel.java
+++ b/src/main/java/merlinlever/faults/BudgetModel.java
@@ -31,6 +31,7 @@
     final List<Object[]> net = new ArrayList<>();
     /** Of each node and each of its lives that may still count: what it could spend, and when. */
     final ArrayDeque<long[]> lately = new ArrayDeque<>();
+
     public long now, used, usable, over, octets;
     private long lives;
     public double loss;
@@ -85,18 +86,36 @@
     public void begin(int i) {
         offset[i] = now - chance.nextInt(100_000);
         int who = i;
-        terms[i] = new Terms(clock(i), "b" + i, voters, budget.lease(), budget.drift(), noted[i], term -> {
-            noted[who] = Math.max(noted[who], term);
-            return true;
-        }, chance.split(), line -> { });
-        nodes[i] = new Sharing(clock(i), "b" + i, (life[i] = ++lives) << 20, List.of(budget), terms[i], chance.split(), new Sharing.Spender() {
-            @Override public long[] demand(Duration at, Budget of) {
-                return new long[] {0, wanted[who][0]};
-            }
+        terms[i] = new Terms(
+                clock(i),
+                "b" + i,
+                voters,
+                budget.lease(),
+                budget.drift(),
+                noted[i],
+                term -> {
+                    noted[who] = Math.max(noted[who], term);
+                    return true;
+                },
+                chance.split(),
+                line -> {});
+        nodes[i] = new Sharing(
+                clock(i),
+                "b" + i,
+                (life[i] = ++lives) << 20,
+                List.of(budget),
+                terms[i],
+                chance.split(),
+                new Sharing.Spender() {
+                    @Override
+                    public long[] demand(Duration at, Budget of) {
+                        return new long[] {0, wanted[who][0]};
+                    }
 
-            @Override public void share(Budget of, long share, Duration until) {
-            }
-        }, line -> { });
+                    @Override
+                    public void share(Budget of, long share, Duration until) {}
+                },
+                line -> {});
     }
 
     boolean up(int i) {
@@ -140,8 +159,11 @@
         for (Object[] message : due) {
             int to = (int) message[2];
             String what = (String) message[4];
-            send(to, Terms.WORDS.contains(what.split("/")[0]) ? terms[to].said(clock(to), "b" + message[1], (long) message[3], what)
-                    : nodes[to].said(clock(to), "b" + message[1], (long) message[3], what));
+            send(
+                    to,
+                    Terms.WORDS.contains(what.split("/")[0])
+                            ? terms[to].said(clock(to), "b" + message[1], (long) message[3], what)
+                            : nodes[to].said(clock(to), "b" + message[1], (long) message[3], what));
         }
         long all = 0;
         for (int i = 0; i < n; i++) {
--- a/src/main/java/merlinlever/faults/Harness.java
+++ b/src/main/java/merlinlever/faults/Harness.java
@@ -33,8 +33,8 @@
 
         /** In a few lines: the seed, and for a failure each step and each breach. */
         public String told() {
-            StringBuilder text = new StringBuilder((passed() ? "passed" : "FAILED") + ", seed " + Long.toHexString(seed) + ", "
-                    + played.size() + " steps");
+            StringBuilder text = new StringBuilder((passed() ? "passed" : "FAILED") + ", seed " + Long.toHexString(seed)
+                    + ", " + played.size() + " steps");
             if (passed()) {
                 text.append(", agreed ").append(agreedAfter.toMillis()).append(" ms after the faults");
             } else {
@@ -108,7 +108,8 @@
         do {
             Thread.sleep(LOOK.toMillis());
             breaches = audit();
-        } while (!breaches.isEmpty() && System.nanoTime() - healed < plan.settle().toNanos());
+        } while (!breaches.isEmpty()
+                && System.nanoTime() - healed < plan.settle().toNanos());
         return new Verdict(plan.seed(), played, breaches, Duration.ofNanos(System.nanoTime() - healed));
     }
 
@@ -179,7 +180,8 @@
         List<Integer> to = step.to().isEmpty() ? all(n) : step.to();
         switch (step.kind()) {
             case ISOLATE -> who.forEach(member -> links.isolate(member, step.oneWay()));
-            case PARTITION -> links.partition(step.sides().stream().map(Set::copyOf).toList());
+            case PARTITION -> links.partition(
+                    step.sides().stream().map(Set::copyOf).toList());
             case HEAL -> links.heal();
             default -> {
                 for (int from : who) {
@@ -190,7 +192,10 @@
                         switch (step.kind()) {
                             case DELAY -> links.both(from, other, Links.Fault.delayed(step.delay(), step.jitter()));
                             case DROP -> links.both(from, other, Links.Fault.lossy(step.share()));
-                            case DUPLICATE -> links.both(from, other, new Links.Fault(0, step.share(), Duration.ZERO, Duration.ZERO, 0, false));
+                            case DUPLICATE -> links.both(
+                                    from,
+                                    other,
+                                    new Links.Fault(0, step.share(), Duration.ZERO, Duration.ZERO, 0, false));
                             case SLOW -> links.both(from, other, Links.Fault.slow(step.bytes()));
                             case RESET -> links.reset(from, other);
                             default -> throw new IllegalArgumentException("not a fault of links: " + step.kind());
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/faults/PowerLoss.java
@@ -14,8 +14,6 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import merlinlever.faults.disk.CrashStates;
-import merlinlever.faults.disk.Lay;
 import merlinlever.faults.link.Links;
 import merlinlever.recovery.Memory;
 import merlinlever.recovery.disk.Store;
@@ -63,7 +61,10 @@
     public record Outcome(Kind kind, long seed, Duration firstAfter, Duration fullAfter, List<String> breaches) {
         public String told() {
             StringBuilder text = new StringBuilder(kind.word() + ", seed " + Long.toHexString(seed) + ": "
-                    + (breaches.isEmpty() ? "passed, serves after " + firstAfter.toMillis() + " ms, all of it after " + fullAfter.toMillis() + " ms" : "FAILED"));
+                    + (breaches.isEmpty()
+                            ? "passed, serves after " + firstAfter.toMillis() + " ms, all of it after "
+                                    + fullAfter.toMillis() + " ms"
+                            : "FAILED"));
             breaches.forEach(breach -> text.append("\n  breach: ").append(breach));
             return text.toString();
         }
@@ -87,7 +88,8 @@
         fleet.startAll();
         Duration[] at = served(fleet.all(), fleet.now(), new ArrayList<>());
         if (at[1] == null) {
-            throw new IOException("the fleet does not serve within " + patience.toMillis() + " ms of its start; see the logs");
+            throw new IOException(
+                    "the fleet does not serve within " + patience.toMillis() + " ms of its start; see the logs");
         }
     }
 
@@ -107,15 +109,18 @@
         Collections.shuffle(order, new Random(seed));
         if (kind == Kind.SLOW_LINK) {
             int spared = order.remove(0);
-            fleet.on(links -> fleet.all().stream().filter(i -> i != spared).forEach(i -> links.both(spared, i,
-                    Links.Fault.delayed(Duration.ofMillis(400), Duration.ofMillis(200)))));
+            fleet.on(links -> fleet.all().stream()
+                    .filter(i -> i != spared)
+                    .forEach(i -> links.both(
+                            spared, i, Links.Fault.delayed(Duration.ofMillis(400), Duration.ofMillis(200)))));
         }
         lose(order, kind == Kind.LAST_FIRST, chance);
         // From the last that lost its power.
         Duration lost = fleet.now();
         if (kind == Kind.PARTITION) {
             int half = fleet.count() / 2;
-            fleet.on(links -> links.partition(List.of(Set.copyOf(order.subList(0, half)), Set.copyOf(order.subList(half, order.size())))));
+            fleet.on(links -> links.partition(
+                    List.of(Set.copyOf(order.subList(0, half)), Set.copyOf(order.subList(half, order.size())))));
         }
         lay(order, kind, chance);
         List<Integer> back = new ArrayList<>(kind == Kind.HALF ? order.subList(0, (order.size() + 1) / 2) : order);
@@ -135,7 +140,12 @@
         List<String> found = new ArrayList<>();
         fleet.on(none -> found.addAll(fleet.rules().breaches()));
         breaches.addAll(found.subList(before[0], found.size()));
-        Outcome outcome = new Outcome(kind, seed, at[0] == null ? Duration.ZERO : at[0].minus(lost), at[1] == null ? Duration.ZERO : at[1].minus(lost), breaches);
+        Outcome outcome = new Outcome(
+                kind,
+                seed,
+                at[0] == null ? Duration.ZERO : at[0].minus(lost),
+                at[1] == null ? Duration.ZERO : at[1].minus(lost),
+                breaches);
         log.accept(outcome.told());
         return outcome;
     }
@@ -148,7 +158,8 @@
         int[] open = {1};
         while (open[0] > 0 && System.nanoTime() < until) {
             Thread.sleep(LOOK.toMillis());
-            fleet.on(none -> open[0] = fleet.all().stream().mapToInt(i -> fleet.callers(i).open()).sum());
+            fleet.on(none -> open[0] =
+                    fleet.all().stream().mapToInt(i -> fleet.callers(i).open()).sum());
         }
         fleet.on(none -> found.addAll(fleet.rules().breaches()));
         if (open[0] > 0) {
@@ -204,18 +215,31 @@
                 Files.write(file, octets);
             }
             case EMPTIED -> Files.deleteIfExists(file);
-            case COPIED -> Files.copy(fleet.state(who.get(1)).resolve(Store.FILE), file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+            case COPIED -> Files.copy(
+                    fleet.state(who.get(1)).resolve(Store.FILE),
+                    file,
+                    java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             case CLOCK_BACK -> {
                 for (int i : who) {
                     Path each = fleet.state(i).resolve(Store.FILE);
-                    Memory left = Files.exists(each) ? Store.parsed(Files.readAllBytes(each)).memory() : null;
+                    Memory left = Files.exists(each)
+                            ? Store.parsed(Files.readAllBytes(each)).memory()
+                            : null;
                     if (left != null) {
-                        Files.write(each, Store.text(new Memory(left.owner(), left.incarnations(), left.term(), left.keyedUntil() + 30_000,
-                                left.wroteAt() + 30_000, left.capacity(), left.peers())));
+                        Files.write(
+                                each,
+                                Store.text(new Memory(
+                                        left.owner(),
+                                        left.incarnations(),
+                                        left.term(),
+                                        left.keyedUntil() + 30_000,
+                                        left.wroteAt() + 30_000,
+                                        left.capacity(),
+                                        left.peers())));
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -240,8 +264,8 @@
                 boolean[] served = new boolean[1];
                 fleet.on(none -> served[0] = fleet.callers(i).servedSince(since, true));
                 if (!served[0]) {
-                    breaches.add("service is not back at " + fleet.name(i) + " after " + patience.toMillis() + " ms; it "
-                            + (told == null ? "does not answer" : "tells " + told.path("recovery")));
+                    breaches.add("service is not back at " + fleet.name(i) + " after " + patience.toMillis()
+                            + " ms; it " + (told == null ? "does not answer" : "tells " + told.path("recovery")));
                 }
             }
         }
@@ -258,7 +282,8 @@
                 breaches.add(counts[1] + " datagrams of backends were not read by the audit");
             }
             if (counts[0] < counts[2] && fleet.stated().recovery()) {
-                breaches.add("the audit heard " + counts[0] + " incarnations told in " + counts[2] + " lives, too few to say anything");
+                breaches.add("the audit heard " + counts[0] + " incarnations told in " + counts[2]
+                        + " lives, too few to say anything");
             }
         });
         return breaches;
