--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -33,8 +33,10 @@
 public final class RoutesModel extends Sometime {
 
     private static final double DRIFT = 0.01;
-    private static final Exits.Tariff[] TARIFFS = {new Exits.Tariff("reads", Exits.Kind.RETRIABLE, true),
-            new Exits.Tariff("orders", Exits.Kind.FINGERPRINTED, true)};
+    private static final Exits.Tariff[] TARIFFS = {
+        new Exits.Tariff("reads", Exits.Kind.RETRIABLE, true),
+        new Exits.Tariff("orders", Exits.Kind.FINGERPRINTED, true)
+    };
     private static final int STEP = 20;
 
     /** One site: its service, and what it publishes. */
@@ -44,9 +46,11 @@
         public final List<Node> nodes = new ArrayList<>();
         /** Of its own routes; null for none. */
         Restrictions restrictions;
+
         public boolean serviceUp = true;
         /** It passes on all that it has, whatever it may. */
         public boolean leaks;
+
         final Map<String, Table> published = new TreeMap<>();
         long incarnation = 1, sequence;
         public int calls = 200;
@@ -82,19 +86,33 @@
             List<Route> own = new ArrayList<>();
             for (Exits.Tariff each : TARIFFS) {
                 if (restrictions != null) {
-                    own.add(new Route(each.name(), "records", place(), calls, 1, false, List.of(name), null, restrictions));
+                    own.add(new Route(
+                            each.name(), "records", place(), calls, 1, false, List.of(name), null, restrictions));
                 }
             }
-            List<Route> all = leaks ? new ArrayList<>(own) : first.routes.export(first.clock(), to, own, place(), calls, 1);
+            List<Route> all =
+                    leaks ? new ArrayList<>(own) : first.routes.export(first.clock(), to, own, place(), calls, 1);
             if (leaks) {
                 for (String from : first.routes.sites()) {
                     Table its = first.routes.latest(from);
                     if (its != null) {
-                        its.routes().values().stream().filter(each -> each.path().size() < 4 && !each.path().contains(name)).forEach(each -> {
-                            List<String> path = new ArrayList<>(List.of(name));
-                            path.addAll(each.path());
-                            all.add(new Route(each.tariff(), each.group(), place(), each.calls(), 0, false, path, each.downFrom(), each.restrictions()));
-                        });
+                        its.routes().values().stream()
+                                .filter(each ->
+                                        each.path().size() < 4 && !each.path().contains(name))
+                                .forEach(each -> {
+                                    List<String> path = new ArrayList<>(List.of(name));
+                                    path.addAll(each.path());
+                                    all.add(new Route(
+                                            each.tariff(),
+                                            each.group(),
+                                            place(),
+                                            each.calls(),
+                                            0,
+                                            false,
+                                            path,
+                                            each.downFrom(),
+                                            each.restrictions()));
+                                });
                     }
                 }
             }
@@ -139,7 +157,8 @@
         /** It begins anew and knows nothing. */
         public void begin() {
             List<Routes.Stated> stated = new ArrayList<>();
-            sites.forEach(each -> Optional.ofNullable(relations.get(site.name + " " + each.name)).ifPresent(its -> stated.add(new Routes.Stated(each.name, its))));
+            sites.forEach(each -> Optional.ofNullable(relations.get(site.name + " " + each.name))
+                    .ifPresent(its -> stated.add(new Routes.Stated(each.name, its))));
             routes = new Routes(new Rules(site.name), stated, DRIFT, Damping.Figures.PUBLISHED, this, line -> {
                 if (told.size() < 200) {
                     told.add(now + " " + line);
@@ -157,16 +176,21 @@
             return up && other.up && side == other.side;
         }
 
-        @Override public Standing standing(Duration at) {
+        @Override
+        public Standing standing(Duration at) {
             long heard = site.nodes.stream().filter(this::hears).count();
-            return heard == perSite ? Standing.WHOLE : 2 * heard > perSite ? Standing.MOST : heard > 1 ? Standing.FEW : Standing.ALONE;
+            return heard == perSite
+                    ? Standing.WHOLE
+                    : 2 * heard > perSite ? Standing.MOST : heard > 1 ? Standing.FEW : Standing.ALONE;
         }
 
-        @Override public Duration since() {
+        @Override
+        public Duration since() {
             return Duration.ZERO;
         }
 
-        @Override public View view() {
+        @Override
+        public View view() {
             return View.NONE;
         }
 
@@ -193,12 +217,17 @@
         }
 
         private List<String> others() {
-            return site.nodes.stream().filter(each -> each != this).map(each -> "" + each.index).toList();
+            return site.nodes.stream()
+                    .filter(each -> each != this)
+                    .map(each -> "" + each.index)
+                    .toList();
         }
 
         private void say(Fellows.Say each) {
             Node to = site.nodes.get(Integer.parseInt(each.to()));
-            toFellow(this, to, () -> to.fellows.said(to.clock(), "" + index, each.number(), each.what()).forEach(to::say));
+            toFellow(this, to, () -> to.fellows
+                    .said(to.clock(), "" + index, each.number(), each.what())
+                    .forEach(to::say));
         }
 
         private void ask(String partner, long number, Duration from) {
@@ -224,7 +253,14 @@
             }
             Routes.Holds holds = routes.holds(clock(), table.site());
             if (holds != null && table.equals(routes.latest(table.site()))) {
-                routes.stoodBy(clock(), table.site(), table.incarnation(), table.sequence(), holds.digest(), from, table.lease());
+                routes.stoodBy(
+                        clock(),
+                        table.site(),
+                        table.incarnation(),
+                        table.sequence(),
+                        holds.digest(),
+                        from,
+                        table.lease());
             }
         }
 
@@ -259,13 +295,15 @@
                 });
                 return;
             }
-            Optional<Exits.Way> way = exits.way(clock(), new Exits.Call(tariff, "records", key, tried, missing), own.state(), false);
+            Optional<Exits.Way> way =
+                    exits.way(clock(), new Exits.Call(tariff, "records", key, tried, missing), own.state(), false);
             if (way.isEmpty()) {
                 ended(id, tariff, key, tried, missing, 9, Ending.UNREACHABLE);
                 return;
             }
             String route = way.get().route();
-            List<String> path = List.of(route.substring(route.lastIndexOf('/') + 1).split(">"));
+            List<String> path =
+                    List.of(route.substring(route.lastIndexOf('/') + 1).split(">"));
             tried.add(way.get().place());
             Site first = site(path.get(0)), last = site(path.get(path.size() - 1));
             boolean[] over = new boolean[1];
@@ -296,8 +334,11 @@
             });
         }
 
-        private void ended(long id, Exits.Tariff tariff, String key, Set<String> tried, boolean missing, int times, Ending how) {
-            boolean again = how != Ending.OK && times < 3 && (how.provesUnrun() || tariff.kind() == Exits.Kind.RETRIABLE || secondWay);
+        private void ended(
+                long id, Exits.Tariff tariff, String key, Set<String> tried, boolean missing, int times, Ending how) {
+            boolean again = how != Ending.OK
+                    && times < 3
+                    && (how.provesUnrun() || tariff.kind() == Exits.Kind.RETRIABLE || secondWay);
             if (again) {
                 attempt(id, tariff, key, tried, missing || !how.provesUnrun(), times + 1);
                 return;
@@ -316,6 +357,7 @@
     private long operations;
     /** Pairs of sites that do not hear each other; and calls stay home. */
     public final Set<String> cut = new HashSet<>();
+
     public boolean without;
     /** The module asks again whatever happened; only the exits hold a second way back. */
     public boolean secondWay;
@@ -327,7 +369,9 @@
         this.perSite = perSite;
         relations.forEach((pair, its) -> {
             this.relations.put(pair, its);
-            this.relations.put(pair.substring(pair.indexOf(' ') + 1) + " " + pair.substring(0, pair.indexOf(' ')), its.seenFromThere());
+            this.relations.put(
+                    pair.substring(pair.indexOf(' ') + 1) + " " + pair.substring(0, pair.indexOf(' ')),
+                    its.seenFromThere());
         });
         audit = new Exports((one, other) -> this.relations.get(one + " " + other), lease.toMillis());
         names.forEach(name -> sites.add(new Site(sites.size(), name)));
@@ -355,7 +399,9 @@
     }
 
     private void toSite(Node from, Site to, Runnable what) {
-        if (from.up && !cut.contains(from.site.name + " " + to.name) && !cut.contains(from.site.name + from.side + " " + to.name)) {
+        if (from.up
+                && !cut.contains(from.site.name + " " + to.name)
+                && !cut.contains(from.site.name + from.side + " " + to.name)) {
             carry(what);
         }
     }
--- a/src/main/java/merlinlever/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/faults/ServeFleet.java
@@ -44,7 +44,8 @@
      * @param recovery whether the backends keep anything for their return; without it they start as they do on the platform
      * @param together whether voters are named, so that they know who leads and who is there
      */
-    public record Stated(int count, boolean recovery, double perSecond, Duration window, Whole budget, boolean together) {
+    public record Stated(
+            int count, boolean recovery, double perSecond, Duration window, Whole budget, boolean together) {
         public Stated(int count, boolean recovery, double perSecond, Duration window, Whole budget) {
             this(count, recovery, perSecond, window, budget, budget != null);
         }
@@ -57,8 +58,8 @@
     /** A limit of the whole fleet on the calls to the party that all share; each run makes one call. */
     public record Whole(long whole, boolean perSecond, Duration lease, Duration takes) {
         String json(long now) {
-            return "[{\"name\":\"calls\",\"whole\":" + now + ",\"per\":\"" + (perSecond ? "second" : "at-once") + "\",\"lease\":\"" + lease.toMillis()
-                    + "ms\",\"longest\":\"1000ms\"}]";
+            return "[{\"name\":\"calls\",\"whole\":" + now + ",\"per\":\"" + (perSecond ? "second" : "at-once")
+                    + "\",\"lease\":\"" + lease.toMillis() + "ms\",\"longest\":\"1000ms\"}]";
         }
     }
 
@@ -81,6 +82,7 @@
     private final Incarnations incarnations = new Incarnations();
     /** Null where no calls are made. */
     private final SharedParty party;
+
     private final Shares shares;
 
     public ServeFleet(Path root, Stated stated, List<String> java, long seed) throws IOException, InterruptedException {
@@ -111,7 +113,9 @@
         IOException[] failed = new IOException[1];
         on(none -> {
             try {
-                shared[0] = budget == null ? null : new SharedParty(loop, new InetSocketAddress(HERE, 0), budget.takes(), shares);
+                shared[0] = budget == null
+                        ? null
+                        : new SharedParty(loop, new InetSocketAddress(HERE, 0), budget.takes(), shares);
             } catch (IOException e) {
                 failed[0] = e;
             }
@@ -125,7 +129,12 @@
             on(none -> {
                 try {
                     farms.add(new RenderFarm(loop, name, new InetSocketAddress(HERE, 0), WORK, budget != null, rules));
-                    callers.add(new Callers(loop, listen, new Callers.Stated(stated.perSecond(), 0.4, WAIT, stated.window()), rules, its));
+                    callers.add(new Callers(
+                            loop,
+                            listen,
+                            new Callers.Stated(stated.perSecond(), 0.4, WAIT, stated.window()),
+                            rules,
+                            its));
                 } catch (IOException e) {
                     failed[0] = e;
                 }
@@ -140,12 +149,23 @@
             Files.writeString(file, configured(i, budget == null ? 0 : budget.whole()));
             List<String> command = new ArrayList<>(java);
             command.add("serve");
-            specs.add(new Processes.Spec(name, command, Map.of("GW_CONFIG", file.toString(), Folders.RECORD, records(i).toString()), folder));
+            specs.add(new Processes.Spec(
+                    name,
+                    command,
+                    Map.of(
+                            "GW_CONFIG",
+                            file.toString(),
+                            Folders.RECORD,
+                            records(i).toString()),
+                    folder));
         }
     }
 
     private String configured(int i, long whole) {
-        return configurations.get(i) + (stated.budget() == null ? "" : ",\"budgets\":" + stated.budget().json(whole)) + "}";
+        return configurations.get(i)
+                + (stated.budget() == null
+                        ? ""
+                        : ",\"budgets\":" + stated.budget().json(whole)) + "}";
     }
 
     /** Another whole, told to all that run by SIGHUP. */
@@ -158,26 +178,35 @@
         }
     }
 
-    private String configuration(int i, InetSocketAddress listen, InetSocketAddress real, Path secret, long seed) throws IOException {
+    private String configuration(int i, InetSocketAddress listen, InetSocketAddress real, Path secret, long seed)
+            throws IOException {
         List<String> seeds = new ArrayList<>();
         for (int other = 0; other < stated.count() && seeds.size() < 8; other++) {
             if (other != i) {
                 seeds.add("\"" + AgentFleet.text(hub.front(other)) + "\"");
             }
         }
-        String recovery = !stated.recovery() ? "" : ",\"recovery\":{\"state\":\"" + state(i) + "\",\"listen\":\"" + AgentFleet.text(real)
-                + "\",\"advertise\":\"" + AgentFleet.text(hub.front(i)) + "\",\"seeds\":[" + String.join(",", seeds)
-                + "],\"secret-file\":\"" + secret + "\",\"mark-ms\":200,\"patience-ms\":1500,\"spread-ms\":200"
-                + (!stated.together() ? "" : ",\"voters\":[" + voters() + "]") + "}";
+        String recovery = !stated.recovery()
+                ? ""
+                : ",\"recovery\":{\"state\":\"" + state(i) + "\",\"listen\":\"" + AgentFleet.text(real)
+                        + "\",\"advertise\":\"" + AgentFleet.text(hub.front(i)) + "\",\"seeds\":["
+                        + String.join(",", seeds)
+                        + "],\"secret-file\":\"" + secret + "\",\"mark-ms\":200,\"patience-ms\":1500,\"spread-ms\":200"
+                        + (!stated.together() ? "" : ",\"voters\":[" + voters() + "]") + "}";
         // Nobody reads the directory's reports here.
-        return "{\"name\":\"" + name(i) + "\",\"listen\":\"" + AgentFleet.text(listen) + "\",\"agent\":\"" + AgentFleet.text(farms.get(i).address())
-                + "\",\"lookup\":\"127.0.0.1:9\",\"seed\":\"" + Long.toHexString(seed) + "\",\"stop_ms\":3000,\"manage\":\""
-                + AgentFleet.text(manages.get(i)) + "\",\"limits\":{\"sockets\":200},\"settings\":{\"family-info\":{\"n-cores\":8,"
-                + "\"memory-kb\":200000,\"gauges\":[\"runnable\"],\"halt\":\"drop\",\"kb-per-key\":10" + (stated.budget() == null ? ""
-                : ",\"calls-by-class\":[true,true]") + "},\"invariants\":{\"drain-grace\":100,"
+        return "{\"name\":\"" + name(i) + "\",\"listen\":\"" + AgentFleet.text(listen) + "\",\"agent\":\""
+                + AgentFleet.text(farms.get(i).address())
+                + "\",\"lookup\":\"127.0.0.1:9\",\"seed\":\"" + Long.toHexString(seed)
+                + "\",\"stop_ms\":3000,\"manage\":\""
+                + AgentFleet.text(manages.get(i))
+                + "\",\"limits\":{\"sockets\":200},\"settings\":{\"family-info\":{\"n-cores\":8,"
+                + "\"memory-kb\":200000,\"gauges\":[\"runnable\"],\"halt\":\"drop\",\"kb-per-key\":10"
+                + (stated.budget() == null ? "" : ",\"calls-by-class\":[true,true]")
+                + "},\"invariants\":{\"drain-grace\":100,"
                 + "\"overload-factor\":8,\"cold\":1000,\"cold-share\":0.5},\"bounds\":{\"retry-after\":true,\"max-retry-after\":1000},"
                 + "\"services\":[{\"name\":\"look\",\"semantics\":\"repeatable\",\"aim\":1000,\"hard-limit\":2000},"
-                + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":1000,\"hard-limit\":2000,\"window\":" + stated.window().toMillis()
+                + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":1000,\"hard-limit\":2000,\"window\":"
+                + stated.window().toMillis()
                 + "}]}" + recovery + (party == null ? "" : ",\"records\":\"" + AgentFleet.text(party.address()) + "\"");
     }
 
@@ -324,7 +353,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         processes.close();
         loop.execute(() -> {
             farms.forEach(RenderFarm::close);
--- a/src/main/java/merlinlever/faults/SharedModel.java
+++ b/src/main/java/merlinlever/faults/SharedModel.java
@@ -16,8 +16,7 @@
 public final class SharedModel {
 
     /** A datagram under way; of two due together the one sent first. */
-    private record Coming(long at, long order, int from, int to, byte[] body) {
-    }
+    private record Coming(long at, long order, int from, int to, byte[] body) {}
 
     private static final int STEP = 20;
 
@@ -28,7 +27,8 @@
     private final long[] offset, pausedUntil, downUntil, forcedAt;
     private final Words.Kept[] disk, forcing;
     public final int[] side;
-    private final PriorityQueue<Coming> net = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Coming> net =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     public long now, octets, letters;
     private long orders;
     public double loss;
@@ -69,7 +69,7 @@
     private void begin(int i) {
         offset[i] = now - chance.nextInt(100_000);
         forcing[i] = null;
-        nodes[i] = new Words(clock(i), name(i), 1, disk[i], stated, () -> others(i), chance.split(), line -> { });
+        nodes[i] = new Words(clock(i), name(i), 1, disk[i], stated, () -> others(i), chance.split(), line -> {});
     }
 
     /** Whom membership would hold alive; one that is down is noticed at once, one cut off not. */
--- a/src/main/java/merlinlever/faults/Sometime.java
+++ b/src/main/java/merlinlever/faults/Sometime.java
@@ -6,11 +6,11 @@
 /** Virtual time in ms, what happens in it in its order, and words that are late, lost or doubled; all from a seed. */
 abstract class Sometime {
 
-    private record Event(long at, long order, Runnable what) {
-    }
+    private record Event(long at, long order, Runnable what) {}
 
     final SplittableRandom chance;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long order;
     public long now;
     public double loss;
--- a/src/main/java/merlinlever/faults/TrialModel.java
+++ b/src/main/java/merlinlever/faults/TrialModel.java
@@ -29,11 +29,9 @@
  */
 public final class TrialModel {
 
-    private record Coming(long at, long order, int from, int to, byte[] body, long number, String what) {
-    }
+    private record Coming(long at, long order, int from, int to, byte[] body, long number, String what) {}
 
-    private record Written(long term, byte[] value) {
-    }
+    private record Written(long term, byte[] value) {}
 
     private static final int STEP = 20;
 
@@ -48,18 +46,22 @@
     private final long[] offset, noted, downUntil, bornAt;
     private final List<Map<String, Written>> registers = new ArrayList<>();
     public final int[] side;
-    private final PriorityQueue<Coming> net = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Coming> net =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long orders, operations;
     public long now;
     public double loss;
     /** Operations that come in a step, from how many callers; what part of each arm's is satisfied. */
     public int traffic = 20, callers = 20_000;
+
     public double[] good = {0.6, 0.6};
     /** The arm of which an operation in so many kills its backend; -1: none. */
     public int deadly = -1;
+
     public int deadlyOneIn = 1000;
     /** A leader dies as soon as an end is on the disks, before it is told. */
     public boolean killAtCrossing;
+
     public long crossedAt = -1;
     /** All ends that anybody ever knew, by the trial's key. */
     public final Map<String, Set<End>> ends = new TreeMap<>();
@@ -133,13 +135,23 @@
         offset[i] = now - chance.nextInt(100_000);
         bornAt[i] = now;
         Duration at = clock(i);
-        words[i] = new Words(at, "b" + i, 1, disk[i], Words.Stated.usual(true), () -> others(i), chance.split(), line -> { });
-        terms[i] = new Terms(at, "b" + i, voters, Duration.ofSeconds(2), 0.01, noted[i], term -> {
-            noted[i] = Math.max(noted[i], term);
-            return true;
-        }, chance.split(), line -> { });
+        words[i] = new Words(
+                at, "b" + i, 1, disk[i], Words.Stated.usual(true), () -> others(i), chance.split(), line -> {});
+        terms[i] = new Terms(
+                at,
+                "b" + i,
+                voters,
+                Duration.ofSeconds(2),
+                0.01,
+                noted[i],
+                term -> {
+                    noted[i] = Math.max(noted[i], term);
+                    return true;
+                },
+                chance.split(),
+                line -> {});
         Seen seen = new Stands(when -> TrialModel.this.standing(i));
-        parts[i] = new Part(at, "b" + i, trials[i], seen, terms[i], new Register(i), words[i], line -> { });
+        parts[i] = new Part(at, "b" + i, trials[i], seen, terms[i], new Register(i), words[i], line -> {});
     }
 
     private List<String> others(int i) {
@@ -155,7 +167,9 @@
     /** By what the partition leaves of the voters; one that has just begun is told what it missed first. */
     private Standing standing(int i) {
         long heard = reached(i).size();
-        return now - bornAt[i] < 1500 ? Standing.RETURNING : heard == voters.size() ? Standing.WHOLE : heard * 2 > voters.size() ? Standing.MOST : Standing.FEW;
+        return now - bornAt[i] < 1500
+                ? Standing.RETURNING
+                : heard == voters.size() ? Standing.WHOLE : heard * 2 > voters.size() ? Standing.MOST : Standing.FEW;
     }
 
     private List<Integer> reached(int i) {
@@ -175,7 +189,8 @@
             this.i = i;
         }
 
-        @Override public void propose(Duration at, String name, byte[] value) {
+        @Override
+        public void propose(Duration at, String name, byte[] value) {
             List<Integer> reached = reached(i);
             if (!terms[i].leads(at) || reached.size() * 2 <= voters.size()) {
                 return;
@@ -205,7 +220,8 @@
             }
         }
 
-        @Override public Optional<byte[]> written(String name) {
+        @Override
+        public Optional<byte[]> written(String name) {
             return words[i].all(topic(name)).stream().findFirst().map(word -> word.value());
         }
 
--- a/src/main/java/merlinlever/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/faults/ViewFaults.java
@@ -56,12 +56,16 @@
      * @param parted until each side knew its standing, or null where that is not asked for
      * @param healed until all were whole under one view
      */
-    public record Outcome(Kind kind, long seed, int views, Duration parted, Duration healed, List<String> breaches, String timeline) {
+    public record Outcome(
+            Kind kind, long seed, int views, Duration parted, Duration healed, List<String> breaches, String timeline) {
         public String told() {
-            return kind.word() + ", seed " + seed + ": " + (breaches.isEmpty() ? "passed" : "FAILED") + ", " + views + " views"
-                    + (parted == null ? "" : ", known after " + parted.toMillis() + " ms") 
+            return kind.word() + ", seed " + seed + ": " + (breaches.isEmpty() ? "passed" : "FAILED") + ", " + views
+                    + " views"
+                    + (parted == null ? "" : ", known after " + parted.toMillis() + " ms")
                     + (healed == null ? "" : ", healed after " + healed.toMillis() + " ms")
-                    + (breaches.isEmpty() ? "" : "\n  breach: " + String.join("\n  breach: ", breaches) + "\n" + timeline);
+                    + (breaches.isEmpty()
+                            ? ""
+                            : "\n  breach: " + String.join("\n  breach: ", breaches) + "\n" + timeline);
         }
     }
 
@@ -88,7 +92,8 @@
             start(i);
         }
         if (until(this::allWhole) == null) {
-            throw new IOException("not whole within " + patience.toMillis() + " ms: " + audit.last().values() + "\n" + drawn("The start"));
+            throw new IOException("not whole within " + patience.toMillis() + " ms: "
+                    + audit.last().values() + "\n" + drawn("The start"));
         }
     }
 
@@ -115,12 +120,20 @@
             // Term and count.
             String[] place = view.path("view").asText("0.0").split("\\.");
             long number = place.length == 2 ? View.number(Long.parseLong(place[0]), Integer.parseInt(place[1])) : 0;
-            OneView.Told its = new OneView.Told(fleet.name(i), fleet.processes().starts(fleet.name(i)), view.path("standing").asText(),
-                    number, view.path("digest").asText(), view.path("members").asInt());
+            OneView.Told its = new OneView.Told(
+                    fleet.name(i),
+                    fleet.processes().starts(fleet.name(i)),
+                    view.path("standing").asText(),
+                    number,
+                    view.path("digest").asText(),
+                    view.path("members").asInt());
             OneView.Told before = audit.last().get(its.by());
             if (before == null || !before.standing().equals(its.standing()) || before.number() != its.number()) {
-                logs.note(Instant.now(), its.by(), "* " + its.standing() + ", view " + view.path("view").asText() + " of " + its.members() + " members, hears "
-                        + view.path("hears").size());
+                logs.note(
+                        Instant.now(),
+                        its.by(),
+                        "* " + its.standing() + ", view " + view.path("view").asText() + " of " + its.members()
+                                + " members, hears " + view.path("hears").size());
             }
             audit.told(its);
             now.put(i, its);
@@ -141,18 +154,24 @@
     }
 
     private void watch(long ms) throws InterruptedException {
-        for (long until = System.nanoTime() + ms * 1_000_000; System.nanoTime() < until; Thread.sleep(LOOK.toMillis())) {
+        for (long until = System.nanoTime() + ms * 1_000_000;
+                System.nanoTime() < until;
+                Thread.sleep(LOOK.toMillis())) {
             look();
         }
     }
 
     private boolean allWhole(Map<Integer, OneView.Told> told) {
-        return told.size() == fleet.count() && told.values().stream().allMatch(each -> each.standing().equals("whole") && each.members() == fleet.count())
+        return told.size() == fleet.count()
+                && told.values().stream()
+                        .allMatch(each -> each.standing().equals("whole") && each.members() == fleet.count())
                 && told.values().stream().map(OneView.Told::number).distinct().count() == 1;
     }
 
     private static boolean stand(Map<Integer, OneView.Told> told, Set<Integer> who, List<String> standings) {
-        return who.stream().allMatch(i -> told.containsKey(i) && standings.contains(told.get(i).standing()));
+        return who.stream()
+                .allMatch(i ->
+                        told.containsKey(i) && standings.contains(told.get(i).standing()));
     }
 
     public Outcome play(Kind kind, long seed) throws IOException, InterruptedException {
@@ -178,7 +197,8 @@
                 fleet.on(links -> links.partition(List.of(less, most)));
                 // One that is gone for so long is taken out of the view; two of five are not waited for.
                 int members = kind == Kind.PARTED ? fleet.count() : most.size();
-                known = until(told -> stand(told, most, List.of("most")) && stand(told, less, List.of("few", "alone"))
+                known = until(told -> stand(told, most, List.of("most"))
+                        && stand(told, less, List.of("few", "alone"))
                         && most.stream().allMatch(i -> told.get(i).members() <= members));
             }
             case ONE_WAY -> {
@@ -209,8 +229,10 @@
             }
             default -> {
                 all("every link takes 150 to 250 ms");
-                fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream().filter(k -> k != i).forEach(k -> links.set(i, k,
-                        Links.Fault.delayed(Duration.ofMillis(150), Duration.ofMillis(100))))));
+                fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream()
+                        .filter(k -> k != i)
+                        .forEach(k ->
+                                links.set(i, k, Links.Fault.delayed(Duration.ofMillis(150), Duration.ofMillis(100))))));
                 watch(4000);
                 within(breaches, List.of("few", "alone"));
             }
@@ -231,7 +253,9 @@
 
     /** Nobody may have come to these. */
     private void within(List<String> breaches, List<String> standings) {
-        audit.last().values().stream().filter(told -> standings.contains(told.standing())).forEach(told -> breaches.add(told.by() + " is " + told.standing()));
+        audit.last().values().stream()
+                .filter(told -> standings.contains(told.standing()))
+                .forEach(told -> breaches.add(told.by() + " is " + told.standing()));
     }
 
     private String standings() {
--- a/src/main/java/merlinlever/faults/ViewModel.java
+++ b/src/main/java/merlinlever/faults/ViewModel.java
@@ -31,11 +31,9 @@
     /** Datagrams that a process that stands still keeps for later, at the most. */
     private static final int KEPT = 500;
 
-    private record Datagram(int from, int to, Members.Message message) {
-    }
+    private record Datagram(int from, int to, Members.Message message) {}
 
-    private record Held(Datagram datagram, long at) {
-    }
+    private record Held(Datagram datagram, long at) {}
 
     /** One process; a new life is a new one. */
     public final class Node {
@@ -49,6 +47,7 @@
         public final Terms terms;
         /** Null where membership is alone. */
         public final Sight sight;
+
         long number;
 
         Node(int place, String name, long incarnation) {
@@ -59,11 +58,27 @@
             offset = now - chance.nextInt(100_000);
             Duration at = clock();
             List<String> seeds = List.of("g0", "g1", "g2");
-            members = new Members(at, new Views(name, "g" + place, "-", incarnation), Members.Stated.usual(seeds), chance.split(), line -> { });
+            members = new Members(
+                    at,
+                    new Views(name, "g" + place, "-", incarnation),
+                    Members.Stated.usual(seeds),
+                    chance.split(),
+                    line -> {});
             long floor = onDisk[place];
-            terms = new Terms(at, name, voters, LEASE, DRIFT, floor, term -> noted(place, term), chance.split(), line -> { });
-            sight = alone ? null : new Sight(at, Stated.usual(), members.views(), terms, ++lives << 30, floor, term -> noted(place, term), chance.split(),
-                    line -> log.add(now + " " + name + " " + line));
+            terms = new Terms(
+                    at, name, voters, LEASE, DRIFT, floor, term -> noted(place, term), chance.split(), line -> {});
+            sight = alone
+                    ? null
+                    : new Sight(
+                            at,
+                            Stated.usual(),
+                            members.views(),
+                            terms,
+                            ++lives << 30,
+                            floor,
+                            term -> noted(place, term),
+                            chance.split(),
+                            line -> log.add(now + " " + name + " " + line));
             members.hears(Terms.WORDS, (who, number, what) -> say(terms.said(clock(), who, number, what)));
             if (sight != null) {
                 members.hears(Sight.WORDS, (who, number, what) -> tell(sight.said(clock(), who, number, what)));
@@ -121,10 +136,12 @@
     public double replays;
     /** Added to each delay. */
     public int slow;
+
     public long now, octets, octetsOfMembers, datagrams;
     private long lives;
     /** Every membership that was numbered, and what was found that may not be. */
     private final ViewAudit audit = new ViewAudit();
+
     public final TreeMap<Long, View> numbered = audit.numbered;
     public final List<String> breaches = audit.breaches;
     public final ArrayDeque<String> log = new ArrayDeque<>();
@@ -233,9 +250,15 @@
         int to = Integer.parseInt(sending.to().substring(1));
         Members.Message message = sending.message();
         // As the wire has it; the heads of UDP and IP come on top.
-        int size = 32 + message.from().length() + message.about().length() + (message.body() == null ? 0 : message.body().length + 4);
+        int size = 32
+                + message.from().length()
+                + message.about().length()
+                + (message.body() == null ? 0 : message.body().length + 4);
         for (Views.Rumour rumour : message.rumours()) {
-            size += 12 + rumour.name().length() + rumour.gossip().length() + rumour.api().length();
+            size += 12
+                    + rumour.name().length()
+                    + rumour.gossip().length()
+                    + rumour.api().length();
         }
         octets += size;
         datagrams++;
@@ -253,7 +276,8 @@
         }
         for (int copies = chance.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
             int late = slow + 1 + chance.nextInt(chance.nextInt(50) == 0 ? 500 : 30);
-            net.computeIfAbsent((now + late + STEP - 1) / STEP * STEP, at -> new ArrayList<>()).add(datagram);
+            net.computeIfAbsent((now + late + STEP - 1) / STEP * STEP, at -> new ArrayList<>())
+                    .add(datagram);
         }
     }
 
@@ -271,7 +295,7 @@
     }
 
     public void run(long ms) {
-        for (long until = now + ms; now < until;) {
+        for (long until = now + ms; now < until; ) {
             step();
         }
     }
@@ -388,7 +412,7 @@
 
     /** Runs until all that run hold one view of just those, and returns how long it took; -1 where it did not come to that. */
     public long untilAgreed(long most) {
-        for (long began = now; now - began < most;) {
+        for (long began = now; now - began < most; ) {
             if (agreed(running())) {
                 return now - began;
             }
--- a/src/main/java/merlinlever/faults/audit/Agreement.java
+++ b/src/main/java/merlinlever/faults/audit/Agreement.java
@@ -11,11 +11,9 @@
 public final class Agreement {
 
     /** What one process said of another: alive, suspect, dead, left, or absent where it knows none of that name. */
-    public record Said(String by, String of, String status) {
-    }
+    public record Said(String by, String of, String status) {}
 
-    private Agreement() {
-    }
+    private Agreement() {}
 
     /**
      * After the faults have ended and the processes had their time: every running one holds every other running one alive,
@@ -34,8 +32,11 @@
                 if (of.getKey().equals(by.getKey())) {
                     continue;
                 }
-                String status = said.stream().filter(one -> one.by().equals(by.getKey()) && one.of().equals(of.getKey()))
-                        .map(Said::status).findFirst().orElse("absent");
+                String status = said.stream()
+                        .filter(one -> one.by().equals(by.getKey()) && one.of().equals(of.getKey()))
+                        .map(Said::status)
+                        .findFirst()
+                        .orElse("absent");
                 if (of.getValue() && !status.equals("alive")) {
                     breaches.add(by.getKey() + " holds " + of.getKey() + " " + status + ", which runs");
                 } else if (!of.getValue() && status.equals("alive")) {
--- a/src/main/java/merlinlever/faults/audit/Exports.java
+++ b/src/main/java/merlinlever/faults/audit/Exports.java
@@ -21,8 +21,7 @@
     private static final int MOST = 20;
 
     /** What an origin said of its route from then on; null for withdrawn. */
-    private record Said(long ms, Restrictions what) {
-    }
+    private record Said(long ms, Restrictions what) {}
 
     private final BiFunction<String, String, Relation> relations;
     private final long lease;
@@ -60,7 +59,8 @@
         tables++;
         for (Route each : table.routes().values()) {
             if (!each.path().get(0).equals(from)) {
-                breach(ms + ": table of " + from + " to " + to + " has a route of " + each.path().get(0));
+                breach(ms + ": table of " + from + " to " + to + " has a route of "
+                        + each.path().get(0));
             }
             String why = look(to, each.path(), ms, (each.path().size() - 1) * lease, false);
             if (why != null && leaking.contains(from)) {
@@ -89,7 +89,10 @@
         boolean allowed = false;
         for (int i = 0; i < all.size(); i++) {
             boolean past = i + 1 < all.size() && all.get(i + 1).ms() < ms - leases;
-            allowed |= !past && all.get(i).ms() <= ms && all.get(i).what() != null && allows(all.get(i).what(), to, path, effect);
+            allowed |= !past
+                    && all.get(i).ms() <= ms
+                    && all.get(i).what() != null
+                    && allows(all.get(i).what(), to, path, effect);
         }
         return allowed ? null : to + " along " + path + " is forbidden since more than " + leases + " ms";
     }
@@ -100,12 +103,18 @@
             String next = i == 0 ? to : path.get(i - 1);
             Relation step = relations.apply(path.get(i), next);
             boolean only = down || its.customersOnly() && i < path.size() - 1;
-            if (step == null || only && step != Relation.CUSTOMER || its.notTo().contains(next) || its.onlyTo() != null && !its.onlyTo().contains(next)) {
+            if (step == null
+                    || only && step != Relation.CUSTOMER
+                    || its.notTo().contains(next)
+                    || its.onlyTo() != null && !its.onlyTo().contains(next)) {
                 return false;
             }
             down |= step != Relation.PROVIDER;
         }
-        return !its.unreadable() && path.size() <= its.mostSites() && !(its.noFurther() && path.size() > 1) && !(its.retriableOnly() && effect);
+        return !its.unreadable()
+                && path.size() <= its.mostSites()
+                && !(its.noFurther() && path.size() > 1)
+                && !(its.retriableOnly() && effect);
     }
 
     /** An operation has come and is owed an end until then. */
--- a/src/main/java/merlinlever/faults/audit/Incarnations.java
+++ b/src/main/java/merlinlever/faults/audit/Incarnations.java
@@ -23,6 +23,7 @@
         long before = NONE, highest = NONE;
         /** To each other the last that this life told; datagrams of one way are read in the order of their sending. */
         final Map<String, Long> last = new TreeMap<>();
+
         int life;
     }
 
@@ -77,7 +78,8 @@
         One one = one(name);
         told++;
         if (incarnation <= one.before && incarnation > one.highest) {
-            breach(name + " tells incarnation " + incarnation + " in life " + one.life + "; its lives before told up to " + one.before);
+            breach(name + " tells incarnation " + incarnation + " in life " + one.life
+                    + "; its lives before told up to " + one.before);
         }
         one.highest = Math.max(one.highest, incarnation);
         Long last = one.last.put(to, incarnation);
@@ -97,6 +99,8 @@
 
     /** How often one told its own incarnation; datagrams that were no messages of the fleet; lives begun. */
     public long[] counts() {
-        return new long[] {told, unread, all.values().stream().mapToInt(one -> one.life).sum()};
+        return new long[] {
+            told, unread, all.values().stream().mapToInt(one -> one.life).sum()
+        };
     }
 }
--- a/src/main/java/merlinlever/faults/audit/OneView.java
+++ b/src/main/java/merlinlever/faults/audit/OneView.java
@@ -12,8 +12,7 @@
 public final class OneView {
 
     /** What one of them told; the digest is of the number and of who is in it. */
-    public record Told(String by, int life, String standing, long number, String digest, int members) {
-    }
+    public record Told(String by, int life, String standing, long number, String digest, int members) {}
 
     static final int MOST = 10_000;
 
@@ -30,8 +29,10 @@
             return;
         }
         Told other = views.putIfAbsent(now.number(), now);
-        if (other != null && (other.members() != now.members() || !other.digest().equals(now.digest()))) {
-            breaches.add("view " + now.number() + " is " + other.digest() + " at " + other.by() + " and " + now.digest() + " at " + now.by());
+        if (other != null
+                && (other.members() != now.members() || !other.digest().equals(now.digest()))) {
+            breaches.add("view " + now.number() + " is " + other.digest() + " at " + other.by() + " and " + now.digest()
+                    + " at " + now.by());
         }
     }
 
--- a/src/main/java/merlinlever/faults/audit/Rules.java
+++ b/src/main/java/merlinlever/faults/audit/Rules.java
@@ -50,7 +50,8 @@
     /** The try was answered; {@code lateMs} is how long after its due time, with the slack, or below 0. */
     public void answered(String operation, String id, int status, String body, long lateMs) {
         if (lateMs > 0) {
-            breach("late: try " + id + " of " + operation + " was answered " + status + " " + lateMs + " ms after its due time");
+            breach("late: try " + id + " of " + operation + " was answered " + status + " " + lateMs
+                    + " ms after its due time");
         }
         if (status == 200) {
             served++;
--- a/src/main/java/merlinlever/faults/audit/Shares.java
+++ b/src/main/java/merlinlever/faults/audit/Shares.java
@@ -13,6 +13,7 @@
 
     /** What a connection on a busy machine may hold a call up. */
     public static final long JITTER = 250;
+
     private static final int MOST = 20;
 
     private final boolean perSecond;
@@ -41,7 +42,8 @@
         long now = perSecond ? begun.size() : atOnce;
         most = Math.max(most, now);
         if (now > whole && breaches.size() < MOST) {
-            breaches.add(now + (perSecond ? " calls within a second" : " calls at once") + " with the call for " + by + ", over " + whole);
+            breaches.add(now + (perSecond ? " calls within a second" : " calls at once") + " with the call for " + by
+                    + ", over " + whole);
         }
     }
 
--- a/src/main/java/merlinlever/faults/disk/CrashStates.java
+++ b/src/main/java/merlinlever/faults/disk/CrashStates.java
@@ -30,8 +30,7 @@
 public final class CrashStates {
 
     /** One state: what the folder holds, and how it came to be. */
-    public record State(int cut, String how, SortedMap<String, byte[]> files) {
-    }
+    public record State(int cut, String how, SortedMap<String, byte[]> files) {}
 
     /** A line of the record that is not one the seam writes. */
     public static final class Malformed extends Exception {
@@ -42,37 +41,27 @@
         }
     }
 
-    private sealed interface Op permits Begin, Had, Open, Write, Force, Truncate, Rename, Delete, Sync {
-    }
+    private sealed interface Op permits Begin, Had, Open, Write, Force, Truncate, Rename, Delete, Sync {}
 
     /** The folder was opened anew (a start of the process): what it holds is told by the lines that follow. */
     /** @param had files that were there, each told by a line of its own after this one */
-    private record Begin(String folder, int had) implements Op {
-    }
+    private record Begin(String folder, int had) implements Op {}
 
-    private record Had(String name, byte[] octets) implements Op {
-    }
+    private record Had(String name, byte[] octets) implements Op {}
 
-    private record Open(String name) implements Op {
-    }
+    private record Open(String name) implements Op {}
 
-    private record Write(String name, long offset, byte[] octets) implements Op {
-    }
+    private record Write(String name, long offset, byte[] octets) implements Op {}
 
-    private record Force(String name) implements Op {
-    }
+    private record Force(String name) implements Op {}
 
-    private record Truncate(String name, long length) implements Op {
-    }
+    private record Truncate(String name, long length) implements Op {}
 
-    private record Rename(String from, String to) implements Op {
-    }
+    private record Rename(String from, String to) implements Op {}
 
-    private record Delete(String name) implements Op {
-    }
+    private record Delete(String name) implements Op {}
 
-    private record Sync() implements Op {
-    }
+    private record Sync() implements Op {}
 
     /** A file apart from its names. */
     private static final class Node {
@@ -87,8 +76,7 @@
     }
 
     /** What the folder's names go through, kept till the folder is forced. */
-    private record Naming(String name, String to, Node made) {
-    }
+    private record Naming(String name, String to, Node made) {}
 
     private static final Base64.Decoder BASE64 = Base64.getDecoder();
     /** Files larger than this in a record are refused, as the harness lays every state whole. */
@@ -137,18 +125,24 @@
     private static Op op(int at, String line) throws Malformed {
         String[] words = line.split(" ", -1);
         try {
-            Op op = switch (words[0]) {
-                case "folder" -> words.length == 3 ? new Begin(words[1], Integer.parseInt(words[2])) : null;
-                case "had" -> words.length == 3 ? new Had(words[1], BASE64.decode(words[2])) : null;
-                case "open" -> words.length == 2 ? new Open(words[1]) : null;
-                case "write" -> words.length == 4 ? new Write(words[1], Long.parseLong(words[2]), BASE64.decode(words[3])) : null;
-                case "force" -> words.length == 2 ? new Force(words[1]) : null;
-                case "truncate" -> words.length == 3 ? new Truncate(words[1], Long.parseLong(words[2])) : null;
-                case "rename" -> words.length == 3 ? new Rename(words[1], words[2]) : null;
-                case "delete" -> words.length == 2 ? new Delete(words[1]) : null;
-                case "sync" -> words.length == 1 ? new Sync() : null;
-                default -> throw new Malformed(at, "'" + words[0] + "' is none of folder, had, open, write, force, truncate, rename, delete, sync");
-            };
+            Op op =
+                    switch (words[0]) {
+                        case "folder" -> words.length == 3 ? new Begin(words[1], Integer.parseInt(words[2])) : null;
+                        case "had" -> words.length == 3 ? new Had(words[1], BASE64.decode(words[2])) : null;
+                        case "open" -> words.length == 2 ? new Open(words[1]) : null;
+                        case "write" -> words.length == 4
+                                ? new Write(words[1], Long.parseLong(words[2]), BASE64.decode(words[3]))
+                                : null;
+                        case "force" -> words.length == 2 ? new Force(words[1]) : null;
+                        case "truncate" -> words.length == 3 ? new Truncate(words[1], Long.parseLong(words[2])) : null;
+                        case "rename" -> words.length == 3 ? new Rename(words[1], words[2]) : null;
+                        case "delete" -> words.length == 2 ? new Delete(words[1]) : null;
+                        case "sync" -> words.length == 1 ? new Sync() : null;
+                        default -> throw new Malformed(
+                                at,
+                                "'" + words[0]
+                                        + "' is none of folder, had, open, write, force, truncate, rename, delete, sync");
+                    };
             if (op == null) {
                 throw new Malformed(at, "'" + words[0] + "' with " + (words.length - 1) + " words after it");
             }
@@ -212,7 +206,8 @@
         return told[0];
     }
 
-    private static void apply(int at, Op op, Map<String, Node> names, Map<String, Node> forcedNames, List<Naming> namings)
+    private static void apply(
+            int at, Op op, Map<String, Node> names, Map<String, Node> forcedNames, List<Naming> namings)
             throws Malformed {
         if (op instanceof Begin) {
             names.clear();
@@ -241,7 +236,8 @@
             node.unforced.clear();
         } else if (op instanceof Truncate truncate) {
             Node node = node(at, names, truncate.name());
-            node.current = Arrays.copyOf(node.current, (int) Math.max(0, Math.min(truncate.length(), node.current.length)));
+            node.current =
+                    Arrays.copyOf(node.current, (int) Math.max(0, Math.min(truncate.length(), node.current.length)));
             node.forced = node.current;
             node.unforced.clear();
         } else if (op instanceof Rename rename) {
@@ -294,7 +290,11 @@
         return after;
     }
 
-    private static void states(int cut, Map<String, Node> names, Map<String, Node> forcedNames, List<Naming> namings,
+    private static void states(
+            int cut,
+            Map<String, Node> names,
+            Map<String, Node> forcedNames,
+            List<Naming> namings,
             Consumer<State> into) {
         into.accept(new State(cut, "kill: all that was written", contents(names, true, null, null)));
         into.accept(new State(cut, "power: what was forced", contents(forcedNames, false, null, null)));
@@ -307,19 +307,28 @@
                     kept = written(kept, write);
                 }
                 if (k > 0) {
-                    into.accept(new State(cut, "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
-                            + " writes since its force", contents(names, false, node, kept)));
+                    into.accept(new State(
+                            cut,
+                            "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
+                                    + " writes since its force",
+                            contents(names, false, node, kept)));
                 }
                 Write next = writes.get(k);
                 if (next.octets().length > 1) {
-                    Write half = new Write(next.name(), next.offset(), Arrays.copyOf(next.octets(), next.octets().length / 2));
-                    into.accept(new State(cut, "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
-                            + " writes since its force and half of the next", contents(names, false, node, written(kept, half))));
+                    Write half = new Write(
+                            next.name(), next.offset(), Arrays.copyOf(next.octets(), next.octets().length / 2));
+                    into.accept(new State(
+                            cut,
+                            "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
+                                    + " writes since its force and half of the next",
+                            contents(names, false, node, written(kept, half))));
                 }
             }
             if (writes.size() > 1) {
                 Write last = writes.get(writes.size() - 1);
-                into.accept(new State(cut, "power: " + entry.getKey() + " keeps the last of its writes since its force alone",
+                into.accept(new State(
+                        cut,
+                        "power: " + entry.getKey() + " keeps the last of its writes since its force alone",
                         contents(names, false, node, written(node.forced, last))));
             }
         }
@@ -328,7 +337,9 @@
             for (Naming naming : namings.subList(0, k)) {
                 name(named, naming);
             }
-            into.accept(new State(cut, "power: " + k + " of " + namings.size() + " changes of names since the folder's force",
+            into.accept(new State(
+                    cut,
+                    "power: " + k + " of " + namings.size() + " changes of names since the folder's force",
                     contents(named, false, null, null)));
         }
     }
@@ -348,7 +359,12 @@
         for (Map.Entry<String, byte[]> entry : files.entrySet()) {
             CRC32C crc = new CRC32C();
             crc.update(entry.getValue());
-            key.append(entry.getKey()).append(' ').append(entry.getValue().length).append(' ').append(crc.getValue()).append('/');
+            key.append(entry.getKey())
+                    .append(' ')
+                    .append(entry.getValue().length)
+                    .append(' ')
+                    .append(crc.getValue())
+                    .append('/');
         }
         return key.toString();
     }
--- a/src/main/java/merlinlever/faults/disk/Lay.java
+++ b/src/main/java/merlinlever/faults/disk/Lay.java
@@ -9,8 +9,7 @@
 /** Lays a state that a power loss may leave into a folder, in place of the files that were there; folders in it stay. */
 public final class Lay {
 
-    private Lay() {
-    }
+    private Lay() {}
 
     public static void into(Path folder, CrashStates.State state) throws IOException {
         Files.createDirectories(folder);
--- a/src/main/java/merlinlever/faults/link/Links.java
+++ b/src/main/java/merlinlever/faults/link/Links.java
@@ -23,14 +23,18 @@
      * @param bytesPerSecond 0 for no bound
      * @param cut nothing passes: datagrams are lost, a stream is held (a partition looks so to TCP)
      */
-    public record Fault(double drop, double duplicate, Duration delay, Duration jitter, long bytesPerSecond, boolean cut) {
+    public record Fault(
+            double drop, double duplicate, Duration delay, Duration jitter, long bytesPerSecond, boolean cut) {
         public static final Fault NONE = new Fault(0, 0, Duration.ZERO, Duration.ZERO, 0, false);
         public static final Fault CUT = new Fault(0, 0, Duration.ZERO, Duration.ZERO, 0, true);
 
         public Fault {
-            if (!(drop >= 0 && drop <= 1 && duplicate >= 0 && duplicate <= 1) || delay.isNegative() || jitter.isNegative()
+            if (!(drop >= 0 && drop <= 1 && duplicate >= 0 && duplicate <= 1)
+                    || delay.isNegative()
+                    || jitter.isNegative()
                     || bytesPerSecond < 0) {
-                throw new IllegalArgumentException("drop and duplicate from 0 to 1, delay, jitter and bytes a second not below 0");
+                throw new IllegalArgumentException(
+                        "drop and duplicate from 0 to 1, delay, jitter and bytes a second not below 0");
             }
         }
 
@@ -51,6 +55,7 @@
     private final Fault[][] faults;
     /** When a link has carried what it was given, for the bound on bytes a second and for a stream's order. */
     private final Duration[][] freeAt;
+
     private final long[][] resets;
 
     public Links(int members) {
@@ -166,7 +171,9 @@
     }
 
     private static Duration jitter(Fault fault, SplittableRandom chance) {
-        return fault.jitter().isZero() ? Duration.ZERO : Duration.ofNanos(chance.nextLong(fault.jitter().toNanos() + 1));
+        return fault.jitter().isZero()
+                ? Duration.ZERO
+                : Duration.ofNanos(chance.nextLong(fault.jitter().toNanos() + 1));
     }
 
     private static Duration carrying(int size, long bytesPerSecond) {
--- a/src/main/java/merlinlever/faults/link/TcpProxy.java
+++ b/src/main/java/merlinlever/faults/link/TcpProxy.java
@@ -38,7 +38,8 @@
     private final Set<Pair> open = new LinkedHashSet<>();
     private long accepted, refused, resets;
 
-    public TcpProxy(Loop loop, Links links, int client, int server, InetSocketAddress front, InetSocketAddress real, long seed)
+    public TcpProxy(
+            Loop loop, Links links, int client, int server, InetSocketAddress front, InetSocketAddress real, long seed)
             throws IOException {
         this.loop = loop;
         this.links = links;
@@ -61,7 +62,8 @@
 
     private void accept() {
         listener.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
-            @Override public void completed(AsynchronousSocketChannel caller, Void nothing) {
+            @Override
+            public void completed(AsynchronousSocketChannel caller, Void nothing) {
                 accept();
                 if (open.size() >= MOST) {
                     refused++;
@@ -72,7 +74,8 @@
                 new Pair(caller).connect();
             }
 
-            @Override public void failed(Throwable failure, Void nothing) {
+            @Override
+            public void failed(Throwable failure, Void nothing) {
                 if (listener.isOpen()) {
                     loop.in(AGAIN, TcpProxy.this::accept);
                 }
@@ -101,12 +104,14 @@
                 return;
             }
             callee.connect(real, null, new CompletionHandler<Void, Void>() {
-                @Override public void completed(Void result, Void nothing) {
+                @Override
+                public void completed(Void result, Void nothing) {
                     carry(caller, callee, client, server, ByteBuffer.allocate(CHUNK));
                     carry(callee, caller, server, client, ByteBuffer.allocate(CHUNK));
                 }
 
-                @Override public void failed(Throwable failure, Void nothing) {
+                @Override
+                public void failed(Throwable failure, Void nothing) {
                     end(false);
                 }
             });
@@ -120,13 +125,19 @@
             return over;
         }
 
-        void carry(AsynchronousSocketChannel from, AsynchronousSocketChannel to, int fromMember, int toMember, ByteBuffer buffer) {
+        void carry(
+                AsynchronousSocketChannel from,
+                AsynchronousSocketChannel to,
+                int fromMember,
+                int toMember,
+                ByteBuffer buffer) {
             if (resetNow()) {
                 return;
             }
             buffer.clear();
             from.read(buffer, null, new CompletionHandler<Integer, Void>() {
-                @Override public void completed(Integer read, Void nothing) {
+                @Override
+                public void completed(Integer read, Void nothing) {
                     if (read < 0) {
                         // The one side ended its sending; so does ours to the other.
                         try {
@@ -140,13 +151,19 @@
                     pass(from, to, fromMember, toMember, buffer);
                 }
 
-                @Override public void failed(Throwable failure, Void nothing) {
+                @Override
+                public void failed(Throwable failure, Void nothing) {
                     end(false);
                 }
             });
         }
 
-        void pass(AsynchronousSocketChannel from, AsynchronousSocketChannel to, int fromMember, int toMember, ByteBuffer buffer) {
+        void pass(
+                AsynchronousSocketChannel from,
+                AsynchronousSocketChannel to,
+                int fromMember,
+                int toMember,
+                ByteBuffer buffer) {
             if (resetNow()) {
                 return;
             }
@@ -159,12 +176,18 @@
             loop.in(leaves.minus(now), () -> write(from, to, fromMember, toMember, buffer));
         }
 
-        void write(AsynchronousSocketChannel from, AsynchronousSocketChannel to, int fromMember, int toMember, ByteBuffer buffer) {
+        void write(
+                AsynchronousSocketChannel from,
+                AsynchronousSocketChannel to,
+                int fromMember,
+                int toMember,
+                ByteBuffer buffer) {
             if (resetNow()) {
                 return;
             }
             to.write(buffer, null, new CompletionHandler<Integer, Void>() {
-                @Override public void completed(Integer written, Void nothing) {
+                @Override
+                public void completed(Integer written, Void nothing) {
                     if (buffer.hasRemaining()) {
                         write(from, to, fromMember, toMember, buffer);
                     } else {
@@ -172,7 +195,8 @@
                     }
                 }
 
-                @Override public void failed(Throwable failure, Void nothing) {
+                @Override
+                public void failed(Throwable failure, Void nothing) {
                     end(false);
                 }
             });
@@ -220,7 +244,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         for (Pair pair : Set.copyOf(open)) {
             pair.end(false);
         }
--- a/src/main/java/merlinlever/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/faults/link/UdpSwitch.java
@@ -26,6 +26,7 @@
 
     /** Datagrams held back for their delay at the most; beyond, they are lost and counted. */
     private static final int HELD = 20_000;
+
     private static final int LARGEST = 65_507;
 
     private final Loop loop;
@@ -34,7 +35,7 @@
     private final List<InetSocketAddress> real;
     private final Map<String, Integer> byReal = new HashMap<>();
     private final List<Datagrams> fronts = new ArrayList<>();
-    private Tap tap = (from, to, octets) -> { };
+    private Tap tap = (from, to, octets) -> {};
     private int held;
     private long carried, lost, strangers, overHeld;
 
@@ -57,7 +58,8 @@
         try {
             for (int i = 0; i < fronts.size(); i++) {
                 int to = i;
-                this.fronts.add(new Datagrams(loop, fronts.get(i), LARGEST, (octets, from, waited) -> came(to, octets, from)));
+                this.fronts.add(
+                        new Datagrams(loop, fronts.get(i), LARGEST, (octets, from, waited) -> came(to, octets, from)));
             }
         } catch (IOException e) {
             close();
@@ -122,7 +124,8 @@
         return new long[] {carried, lost, strangers, overHeld};
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         fronts.forEach(Datagrams::close);
     }
 }
--- a/src/main/java/merlinlever/faults/party/Callers.java
+++ b/src/main/java/merlinlever/faults/party/Callers.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import merlinlever.faults.audit.Rules;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 
 /**
@@ -27,11 +27,11 @@
      * @param patience for one try
      * @param window in which a keyed operation is tried again
      */
-    public record Stated(double perSecond, double keyed, Duration patience, Duration window) {
-    }
+    public record Stated(double perSecond, double keyed, Duration patience, Duration window) {}
 
     /** Many processes share one machine here, and the harness is late itself at times. */
     private static final Duration SLACK = Duration.ofSeconds(1);
+
     private static final Duration SOON = Duration.ofMillis(150);
     private static final int ANSWER = 16 * 1024;
 
@@ -44,6 +44,7 @@
     private int life, open;
     /** When what was satisfied last, by kind: retriable, keyed. */
     private final Duration[] satisfiedAt = new Duration[2];
+
     private final List<long[]> ends = new ArrayList<>();
 
     public Callers(Loop loop, InetSocketAddress backend, Stated stated, Rules rules, SplittableRandom chance) {
@@ -77,7 +78,8 @@
 
     /** Whether both kinds were satisfied after the moment. */
     public boolean servedSince(Duration moment, boolean keyedToo) {
-        return satisfiedAt[0] != null && satisfiedAt[0].compareTo(moment) > 0
+        return satisfiedAt[0] != null
+                && satisfiedAt[0].compareTo(moment) > 0
                 && (!keyedToo || satisfiedAt[1] != null && satisfiedAt[1].compareTo(moment) > 0);
     }
 
@@ -122,17 +124,23 @@
                 over(0, null, "no channel", true);
                 return;
             }
-            connection.write(ByteBuffer.wrap(("POST /svc/" + (keyed ? "buy" : "look") + " HTTP/1.1\r\nHost: harness\r\nReq-Id: " + id
-                    + "\r\nReq-Time: " + System.currentTimeMillis() + "\r\nReq-From: 1\r\nReq-Wait-Ms: " + stated.patience.toMillis()
-                    + "\r\nReq-Kb: 10\r\nReq-Rank: 0.5\r\n" + (keyed ? "Req-Token: " + operation + "\r\n" : "") + "Content-Length: "
-                    + operation.length() + "\r\n\r\n" + operation).getBytes(StandardCharsets.US_ASCII)));
+            connection.write(ByteBuffer.wrap(
+                    ("POST /svc/" + (keyed ? "buy" : "look") + " HTTP/1.1\r\nHost: harness\r\nReq-Id: " + id
+                                    + "\r\nReq-Time: " + System.currentTimeMillis() + "\r\nReq-From: 1\r\nReq-Wait-Ms: "
+                                    + stated.patience.toMillis()
+                                    + "\r\nReq-Kb: 10\r\nReq-Rank: 0.5\r\n"
+                                    + (keyed ? "Req-Token: " + operation + "\r\n" : "") + "Content-Length: "
+                                    + operation.length() + "\r\n\r\n" + operation)
+                            .getBytes(StandardCharsets.US_ASCII)));
         }
 
-        @Override public void made() {
+        @Override
+        public void made() {
             made = true;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             String text = StandardCharsets.US_ASCII.decode(in.duplicate()).toString();
             int head = text.indexOf("\r\n\r\n");
             int at = text.indexOf("Content-Length: ");
@@ -147,7 +155,8 @@
             over(Integer.parseInt(text.substring(9, 12)), text, null, false);
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             // A refused connection proves that nothing ran.
             over(0, null, "its connection ended: " + how, !made);
         }
@@ -162,7 +171,11 @@
             Duration now = loop.clock().uptime();
             ends.add(new long[] {now.toMillis(), keyed ? 1 : 0, status});
             if (status > 0) {
-                rules.answered(operation, id, status, text.substring(text.indexOf("\r\n\r\n") + 4),
+                rules.answered(
+                        operation,
+                        id,
+                        status,
+                        text.substring(text.indexOf("\r\n\r\n") + 4),
                         now.minus(sent).minus(stated.patience).minus(SLACK).toMillis());
             } else {
                 rules.unanswered(operation, id, excused || away || life != begunIn, how);
--- a/src/main/java/merlinlever/faults/party/RenderFarm.java
+++ b/src/main/java/merlinlever/faults/party/RenderFarm.java
@@ -13,8 +13,8 @@
 import merlinlever.agent.Lines;
 import merlinlever.faults.audit.Rules;
 import merlinlever.json.Json;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Listener;
 import merlinlever.net.Loop;
 
@@ -44,6 +44,7 @@
     private final Duration work;
     /** Whether each run makes one call before it ends. */
     private final boolean calls;
+
     private final Listener listener;
     private final Map<String, Run> runs = new LinkedHashMap<>();
     private final List<String> notices = new ArrayList<>();
@@ -52,18 +53,24 @@
     private boolean dark;
 
     /** On the loop's thread, as all of it. */
-    public RenderFarm(Loop loop, String name, InetSocketAddress address, Duration work, boolean calls, Rules rules) throws IOException {
+    public RenderFarm(Loop loop, String name, InetSocketAddress address, Duration work, boolean calls, Rules rules)
+            throws IOException {
         this.loop = loop;
         this.calls = calls;
         this.name = name;
         this.work = work;
         this.rules = rules;
         began = loop.clock().uptime();
-        listener = new Listener(loop, address, 64, channel -> {
-            Link made = new Link();
-            made.connection = Connection.accepted(loop, channel, made, LINE, 1 << 20);
-            made.connection.readOn();
-        }, () -> { });
+        listener = new Listener(
+                loop,
+                address,
+                64,
+                channel -> {
+                    Link made = new Link();
+                    made.connection = Connection.accepted(loop, channel, made, LINE, 1 << 20);
+                    made.connection.readOn();
+                },
+                () -> {});
         listener.accept();
     }
 
@@ -101,7 +108,8 @@
         private final Lines lines = new Lines(LINE);
         private Connection connection;
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             lines.take(in, this::command);
         }
 
@@ -120,9 +128,12 @@
             String id = String.valueOf(command.get("req"));
             switch (String.valueOf(command.get("cmd"))) {
                 case "subscribe" -> subscribed(((Number) command.get("offset")).intValue());
-                case "sample" -> say("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":[" + runs.size() + "]}");
-                case "exercise" -> say("{\"cmd\":\"exercised\",\"token\":\"" + command.get("token") + "\",\"result\":\"OK\"}");
-                case "launch" -> launch(id, String.valueOf(command.get("payload")), "buy".equals(command.get("method")));
+                case "sample" -> say("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":["
+                        + runs.size() + "]}");
+                case "exercise" -> say(
+                        "{\"cmd\":\"exercised\",\"token\":\"" + command.get("token") + "\",\"result\":\"OK\"}");
+                case "launch" -> launch(
+                        id, String.valueOf(command.get("payload")), "buy".equals(command.get("method")));
                 case "deliver" -> {
                     Run run = runs.get(id);
                     if (run != null && run.then != null) {
@@ -138,7 +149,7 @@
                         notice("\"cmd\":\"outcome\"", id, "\"result\":\"STOPPED\",\"elapsed_ms\":1");
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -156,11 +167,13 @@
                 notices.clear();
             }
             double elapsed = loop.clock().uptime().minus(began).toNanos() / 1e6;
-            say("{\"cmd\":\"greeting\",\"result\":\"" + (elapsed < 30_000 ? "COLD" : "WARM") + "\",\"elapsed_ms\":" + elapsed + "}");
+            say("{\"cmd\":\"greeting\",\"result\":\"" + (elapsed < 30_000 ? "COLD" : "WARM") + "\",\"elapsed_ms\":"
+                    + elapsed + "}");
             notices.subList(Math.min(offset, notices.size()), notices.size()).forEach(this::say);
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             if (link == this) {
                 link = null;
             }
@@ -185,8 +198,11 @@
             runs.remove(id);
             String result = "done " + operation + " by " + id;
             rules.made(operation, result);
-            notice("\"cmd\":\"outcome\"", id, "\"result\":\"OK\",\"elapsed_ms\":" + work.toMillis() + ",\"payload\":\""
-                    + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.US_ASCII)) + "\"");
+            notice(
+                    "\"cmd\":\"outcome\"",
+                    id,
+                    "\"result\":\"OK\",\"elapsed_ms\":" + work.toMillis() + ",\"payload\":\""
+                            + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.US_ASCII)) + "\"");
         };
         run.end = loop.in(work, () -> {
             if (calls) {
--- a/src/main/java/merlinlever/faults/party/SharedParty.java
+++ b/src/main/java/merlinlever/faults/party/SharedParty.java
@@ -8,8 +8,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import merlinlever.faults.audit.Shares;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Listener;
 import merlinlever.net.Loop;
 
@@ -29,12 +29,17 @@
         this.loop = loop;
         this.takes = takes;
         this.shares = shares;
-        listener = new Listener(loop, address, 4000, channel -> {
-            Line made = new Line();
-            made.connection = Connection.accepted(loop, channel, made, BUFFER, BUFFER);
-            lines.add(made);
-            made.connection.readOn();
-        }, () -> { });
+        listener = new Listener(
+                loop,
+                address,
+                4000,
+                channel -> {
+                    Line made = new Line();
+                    made.connection = Connection.accepted(loop, channel, made, BUFFER, BUFFER);
+                    lines.add(made);
+                    made.connection.readOn();
+                },
+                () -> {});
         listener.accept();
     }
 
@@ -56,7 +61,8 @@
         private final Map<String, Loop.Timer> calls = new HashMap<>();
         private Connection connection;
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             while (true) {
                 String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
                 int end = text.indexOf("\r\n");
@@ -98,7 +104,8 @@
             }
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             lines.remove(this);
             java.util.List.copyOf(calls.keySet()).forEach(this::over);
             listener.gone();
--- a/src/main/java/merlinlever/faults/proc/Ports.java
+++ b/src/main/java/merlinlever/faults/proc/Ports.java
@@ -29,8 +29,7 @@
     /** Kept, as a lock that is let go of is no claim; not more than there are ports. */
     private static final List<FileLock> CLAIMED = new ArrayList<>();
 
-    private Ports() {
-    }
+    private Ports() {}
 
     /** Where the search goes on; two that start at the same place are told apart by their claims alone. */
     static synchronized void from(int place) {
@@ -48,7 +47,8 @@
             throw new IllegalArgumentException("1 to 1000 ports, not " + count);
         }
         if (claims == null) {
-            Path file = Path.of(System.getProperty("java.io.tmpdir")).resolve("merlinlever-ports-" + System.getProperty("user.name"));
+            Path file = Path.of(System.getProperty("java.io.tmpdir"))
+                    .resolve("merlinlever-ports-" + System.getProperty("user.name"));
             claims = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
         for (int tries = 0; tries < PORTS; tries++) {
@@ -77,7 +77,8 @@
     }
 
     private static boolean bindable(int port) {
-        try (ServerSocket tcp = new ServerSocket(port, 1, HERE); DatagramSocket udp = new DatagramSocket(port, HERE)) {
+        try (ServerSocket tcp = new ServerSocket(port, 1, HERE);
+                DatagramSocket udp = new DatagramSocket(port, HERE)) {
             return tcp.isBound() && udp.isBound();
         } catch (IOException e) {
             return false;
--- a/src/main/java/merlinlever/faults/proc/Processes.java
+++ b/src/main/java/merlinlever/faults/proc/Processes.java
@@ -26,7 +26,11 @@
     }
 
     /** What became of one, as seen from outside. */
-    public enum Seen { RUNNING, PAUSED, ENDED }
+    public enum Seen {
+        RUNNING,
+        PAUSED,
+        ENDED
+    }
 
     private static final class One {
         final Spec spec;
@@ -48,8 +52,11 @@
             throw new IllegalStateException(spec.name() + " runs already");
         }
         Files.createDirectories(spec.folder());
-        ProcessBuilder builder = new ProcessBuilder(spec.command()).directory(spec.folder().toFile()).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(spec.folder().resolve("log").toFile()));
+        ProcessBuilder builder = new ProcessBuilder(spec.command())
+                .directory(spec.folder().toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        spec.folder().resolve("log").toFile()));
         builder.environment().putAll(spec.environment());
         one.process = builder.start();
         one.paused = false;
@@ -137,14 +144,17 @@
             return;
         }
         // Java sends TERM and KILL alone; the system's kill sends the others.
-        Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).inheritIO().start();
+        Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                .inheritIO()
+                .start();
         if (!kill.waitFor(5, TimeUnit.SECONDS) || kill.exitValue() != 0) {
             throw new IOException("kill -" + signal + " " + process.pid() + " did not succeed");
         }
     }
 
     /** Every one still running is killed hard; the harness leaves nothing behind. */
-    @Override public void close() {
+    @Override
+    public void close() {
         for (One one : all.values()) {
             if (one.process != null && one.process.isAlive()) {
                 // A paused one ends by SIGKILL too.
--- a/src/main/java/merlinlever/faults/script/Script.java
+++ b/src/main/java/merlinlever/faults/script/Script.java
@@ -18,7 +18,20 @@
 public final class Script {
 
     public enum Kind {
-        KILL, TERM, PAUSE, RESUME, RESTART, POWER, ISOLATE, PARTITION, DELAY, DROP, DUPLICATE, SLOW, RESET, HEAL;
+        KILL,
+        TERM,
+        PAUSE,
+        RESUME,
+        RESTART,
+        POWER,
+        ISOLATE,
+        PARTITION,
+        DELAY,
+        DROP,
+        DUPLICATE,
+        SLOW,
+        RESET,
+        HEAL;
 
         String word() {
             return name().toLowerCase(Locale.ROOT);
@@ -33,8 +46,17 @@
      * @param share for drop and duplicate, from 0 to 1
      * @param bytes for slow, octets a second
      */
-    public record Step(Duration at, Kind kind, List<Integer> who, List<Integer> to, boolean oneWay, List<List<Integer>> sides,
-            Duration delay, Duration jitter, double share, long bytes) {
+    public record Step(
+            Duration at,
+            Kind kind,
+            List<Integer> who,
+            List<Integer> to,
+            boolean oneWay,
+            List<List<Integer>> sides,
+            Duration delay,
+            Duration jitter,
+            double share,
+            long bytes) {
 
         static Step of(Duration at, Kind kind, List<Integer> who) {
             return new Step(at, kind, who, List.of(), false, List.of(), Duration.ZERO, Duration.ZERO, 0, 0);
@@ -62,7 +84,9 @@
                 line.append(", jitter: ").append(jitter.toMillis()).append("ms");
             }
             if (share > 0) {
-                line.append(", share: ").append(Math.round(share * 100_000) / 1000.0).append('%');
+                line.append(", share: ")
+                        .append(Math.round(share * 100_000) / 1000.0)
+                        .append('%');
             }
             if (bytes > 0) {
                 line.append(", bytes: ").append(bytes);
@@ -72,16 +96,14 @@
     }
 
     /** All that a file says, its drawn steps among the written ones, in the order of their moments. */
-    public record Plan(int processes, long seed, Duration length, Duration settle, List<Step> steps) {
-    }
+    public record Plan(int processes, long seed, Duration length, Duration settle, List<Step> steps) {}
 
     private static final Duration SETTLE = Duration.ofSeconds(10);
     private static final Duration LONGEST = Duration.ofSeconds(3);
     /** A drawn fault lasts at least so long, so that something comes of it. */
     private static final Duration SHORTEST = Duration.ofMillis(200);
 
-    private Script() {
-    }
+    private Script() {}
 
     public static Plan read(Sheet sheet) throws Sheet.Unusable {
         int processes = (int) sheet.number("processes", 1);
@@ -90,10 +112,17 @@
         List<Step> steps = new ArrayList<>();
         for (int i = 0; i < sheet.size("steps"); i++) {
             String at = "steps." + i;
-            Step step = new Step(sheet.span(at + ".at", Duration.ZERO), Kind.valueOf(sheet.text(at + ".do", "").toUpperCase(Locale.ROOT)
-                    .replace('-', '_')), members(sheet, at + ".who", processes), members(sheet, at + ".to", processes),
-                    sheet.text(at + ".one-way", "false").equals("true"), sides(sheet, at + ".sides", processes),
-                    sheet.span(at + ".delay", Duration.ZERO), sheet.span(at + ".jitter", Duration.ZERO), sheet.share(at + ".share", 0),
+            Step step = new Step(
+                    sheet.span(at + ".at", Duration.ZERO),
+                    Kind.valueOf(
+                            sheet.text(at + ".do", "").toUpperCase(Locale.ROOT).replace('-', '_')),
+                    members(sheet, at + ".who", processes),
+                    members(sheet, at + ".to", processes),
+                    sheet.text(at + ".one-way", "false").equals("true"),
+                    sides(sheet, at + ".sides", processes),
+                    sheet.span(at + ".delay", Duration.ZERO),
+                    sheet.span(at + ".jitter", Duration.ZERO),
+                    sheet.share(at + ".share", 0),
                     sheet.number(at + ".bytes", 0));
             if (step.kind() == Kind.PARTITION && step.sides().isEmpty()) {
                 throw sheet.fault(at, "a partition needs its sides");
@@ -105,12 +134,18 @@
         }
         if (sheet.has("draw")) {
             Map<Kind, Integer> weights = new EnumMap<>(Kind.class);
-            sheet.pairs("draw.kinds").forEach((kind, weight) -> weights.put(Kind.valueOf(kind.toUpperCase(Locale.ROOT)),
-                    Integer.parseInt(weight)));
+            sheet.pairs("draw.kinds")
+                    .forEach((kind, weight) ->
+                            weights.put(Kind.valueOf(kind.toUpperCase(Locale.ROOT)), Integer.parseInt(weight)));
             if (weights.values().stream().allMatch(weight -> weight == 0)) {
                 throw sheet.fault("draw.kinds", "every weight is 0, so nothing can be drawn");
             }
-            steps.addAll(draw(processes, seed, (int) sheet.number("draw.count", 1), length, sheet.span("draw.longest", LONGEST),
+            steps.addAll(draw(
+                    processes,
+                    seed,
+                    (int) sheet.number("draw.count", 1),
+                    length,
+                    sheet.span("draw.longest", LONGEST),
                     weights));
         }
         return new Plan(processes, seed, length, sheet.span("settle", SETTLE), ordered(steps));
@@ -147,7 +182,8 @@
      * Faults drawn with the weights, each at a moment within the length and undone a while later: a kill by a restart, a
      * pause by a resume, a leaving by a start, a power loss of all by a start of all, a link by healing it.
      */
-    public static List<Step> draw(int processes, long seed, int count, Duration length, Duration longest, Map<Kind, Integer> weights) {
+    public static List<Step> draw(
+            int processes, long seed, int count, Duration length, Duration longest, Map<Kind, Integer> weights) {
         SplittableRandom chance = new SplittableRandom(seed);
         List<Kind> kinds = new ArrayList<>(weights.keySet());
         int total = weights.values().stream().mapToInt(Integer::intValue).sum();
@@ -163,7 +199,8 @@
                 }
             }
             Duration at = Duration.ofMillis(chance.nextLong(Math.max(1, length.toMillis())));
-            Duration lasts = Duration.ofMillis(SHORTEST.toMillis() + chance.nextLong(Math.max(1, longest.minus(SHORTEST).toMillis())));
+            Duration lasts = Duration.ofMillis(SHORTEST.toMillis()
+                    + chance.nextLong(Math.max(1, longest.minus(SHORTEST).toMillis())));
             Duration undone = at.plus(lasts).compareTo(length) > 0 ? length : at.plus(lasts);
             List<Integer> who = List.of(chance.nextInt(processes));
             List<Integer> to = List.of((who.get(0) + 1 + chance.nextInt(Math.max(1, processes - 1))) % processes);
@@ -181,7 +218,17 @@
                     steps.add(Step.of(undone, Kind.RESUME, who));
                 }
                 case ISOLATE -> {
-                    steps.add(new Step(at, kind, who, List.of(), chance.nextBoolean(), List.of(), Duration.ZERO, Duration.ZERO, 0, 0));
+                    steps.add(new Step(
+                            at,
+                            kind,
+                            who,
+                            List.of(),
+                            chance.nextBoolean(),
+                            List.of(),
+                            Duration.ZERO,
+                            Duration.ZERO,
+                            0,
+                            0));
                     steps.add(Step.of(undone, Kind.HEAL, List.of()));
                 }
                 case PARTITION -> {
@@ -190,21 +237,59 @@
                     if (one.isEmpty() || other.isEmpty()) {
                         (one.isEmpty() ? one : other).add((one.isEmpty() ? other : one).remove(0));
                     }
-                    steps.add(new Step(at, kind, List.of(), List.of(), false, List.of(List.copyOf(one), List.copyOf(other)),
-                            Duration.ZERO, Duration.ZERO, 0, 0));
+                    steps.add(new Step(
+                            at,
+                            kind,
+                            List.of(),
+                            List.of(),
+                            false,
+                            List.of(List.copyOf(one), List.copyOf(other)),
+                            Duration.ZERO,
+                            Duration.ZERO,
+                            0,
+                            0));
                     steps.add(Step.of(undone, Kind.HEAL, List.of()));
                 }
                 case DELAY -> {
-                    steps.add(new Step(at, kind, who, to, false, List.of(), Duration.ofMillis(10 + chance.nextInt(490)),
-                            Duration.ofMillis(chance.nextInt(100)), 0, 0));
+                    steps.add(new Step(
+                            at,
+                            kind,
+                            who,
+                            to,
+                            false,
+                            List.of(),
+                            Duration.ofMillis(10 + chance.nextInt(490)),
+                            Duration.ofMillis(chance.nextInt(100)),
+                            0,
+                            0));
                     steps.add(Step.of(undone, Kind.HEAL, List.of()));
                 }
                 case DROP, DUPLICATE -> {
-                    steps.add(new Step(at, kind, who, to, false, List.of(), Duration.ZERO, Duration.ZERO, 0.1 + chance.nextDouble() * 0.8, 0));
+                    steps.add(new Step(
+                            at,
+                            kind,
+                            who,
+                            to,
+                            false,
+                            List.of(),
+                            Duration.ZERO,
+                            Duration.ZERO,
+                            0.1 + chance.nextDouble() * 0.8,
+                            0));
                     steps.add(Step.of(undone, Kind.HEAL, List.of()));
                 }
                 case SLOW -> {
-                    steps.add(new Step(at, kind, who, to, false, List.of(), Duration.ZERO, Duration.ZERO, 0, 1_000 + chance.nextInt(99_000)));
+                    steps.add(new Step(
+                            at,
+                            kind,
+                            who,
+                            to,
+                            false,
+                            List.of(),
+                            Duration.ZERO,
+                            Duration.ZERO,
+                            0,
+                            1_000 + chance.nextInt(99_000)));
                     steps.add(Step.of(undone, Kind.HEAL, List.of()));
                 }
                 default -> steps.add(Step.of(at, kind, who));
--- a/src/main/java/merlinlever/faults/timeline/Beliefs.java
+++ b/src/main/java/merlinlever/faults/timeline/Beliefs.java
@@ -8,8 +8,7 @@
 /** What a node believes, in words: what changed of it, and how several of one kind are said together. */
 final class Beliefs {
 
-    private Beliefs() {
-    }
+    private Beliefs() {}
 
     /** By what each is about; what is empty is not said. */
     static List<String> changed(Map<String, String> before, Map<String, String> now) {
@@ -19,7 +18,9 @@
                 changed.add(what);
             }
         });
-        before.keySet().stream().filter(about -> !now.containsKey(about)).forEach(about -> changed.add("no more of " + about));
+        before.keySet().stream()
+                .filter(about -> !now.containsKey(about))
+                .forEach(about -> changed.add("no more of " + about));
         return changed;
     }
 
--- a/src/main/java/merlinlever/faults/timeline/BudgetPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/BudgetPlays.java
@@ -9,15 +9,20 @@
 
     private static final List<String> THREE = List.of("b1", "b2", "b3");
 
-    private BudgetPlays() {
-    }
+    private BudgetPlays() {}
 
     private static Play<Word> play(long seed) {
         TreeMap<String, Long> disk = new TreeMap<>();
         Play<Word> play = new Play<>(seed, THREE, born -> new BudgetNode(born, THREE, disk, 8), BudgetNode.WORDS);
-        play.never("two lead", p -> THREE.stream().filter(name -> leads(p, name)).count() > 1);
-        play.never("more is held than there is", p -> THREE.stream().mapToLong(name -> p.node(name) instanceof BudgetNode node
-                ? node.share(p.clock(name)) : 0).sum() > BudgetNode.BUDGET.whole());
+        play.never(
+                "two lead", p -> THREE.stream().filter(name -> leads(p, name)).count() > 1);
+        play.never(
+                "more is held than there is",
+                p -> THREE.stream()
+                                .mapToLong(
+                                        name -> p.node(name) instanceof BudgetNode node ? node.share(p.clock(name)) : 0)
+                                .sum()
+                        > BudgetNode.BUDGET.whole());
         return play;
     }
 
@@ -30,7 +35,9 @@
     }
 
     static Timeline first() {
-        return play(1).until(7000).timeline("""
+        return play(1).until(7000)
+                .timeline(
+                        """
                 The first leader, and shares from an empty book
                 A voter that has just begun may have promised anything before: it waits a whole lease. A new leader gives nothing
                 that is not renewed until all that leaders before it may have given has run out.""");
@@ -39,7 +46,8 @@
     static Timeline killed() {
         Play<Word> play = play(1).until(9000).begin();
         play.at(9200, p -> p.kill(leader(p))).until(18_000);
-        return play.timeline("""
+        return play.timeline(
+                """
                 The leader is killed while it grants
                 What the others hold is spent until its lease runs out, and they hold to their promises as long. Then one of them
                 leads under a higher term; it gives no more than what they still hold until it is sure that nothing is out.""");
@@ -47,9 +55,18 @@
 
     static Timeline parted() {
         Play<Word> play = play(1).until(9000).begin();
-        play.at(9200, p -> p.partition(leader(p) + " | " + String.join(" ", THREE.stream().filter(name -> !name.equals(leader(p))).toList())))
-                .at(19_000, Play::heal).until(22_000);
-        return play.timeline("""
+        play.at(
+                        9200,
+                        p -> p.partition(leader(p) + " | "
+                                + String.join(
+                                        " ",
+                                        THREE.stream()
+                                                .filter(name -> !name.equals(leader(p)))
+                                                .toList())))
+                .at(19_000, Play::heal)
+                .until(22_000);
+        return play.timeline(
+                """
                 The leader alone on one side, two voters on the other
                 It cannot renew its promises, so it leads no longer before anybody else may; its share runs out with its lease.
                 It stands for terms that nobody promises, itself neither; so it can promise the next one once the links are well.""");
@@ -58,8 +75,11 @@
     static Timeline paused() {
         Play<Word> play = play(1).until(9000).begin();
         String[] who = new String[1];
-        play.at(9200, p -> p.pause(who[0] = leader(p))).at(17_000, p -> p.resume(who[0])).until(20_000);
-        return play.timeline("""
+        play.at(9200, p -> p.pause(who[0] = leader(p)))
+                .at(17_000, p -> p.resume(who[0]))
+                .until(20_000);
+        return play.timeline(
+                """
                 The leader stands still past its lease
                 When it goes on its steady clock tells it that it leads no longer, before it does anything else. What was asked
                 of it meanwhile is not granted.""");
@@ -68,11 +88,18 @@
     static Timeline lostPromises() {
         Play<Word> play = play(2);
         play.at(0, p -> {
-            for (String voter : List.of("b1", "b3")) {
-                p.link(voter, "b2", merlinlever.faults.link.Links.Fault.CUT, "nothing from " + voter + " reaches b2");
-            }
-        }).at(6000, Play::heal).until(11_000);
-        return play.timeline("""
+                    for (String voter : List.of("b1", "b3")) {
+                        p.link(
+                                voter,
+                                "b2",
+                                merlinlever.faults.link.Links.Fault.CUT,
+                                "nothing from " + voter + " reaches b2");
+                    }
+                })
+                .at(6000, Play::heal)
+                .until(11_000);
+        return play.timeline(
+                """
                 Promises that are lost
                 b2 asks for promises and is given them, but the answers are lost: it does not lead, promises itself nothing, and
                 the others keep their promise to it for a lease. Nobody leads until somebody has two that it can count.""");
@@ -82,11 +109,19 @@
         Play<Word> play = play(1).until(9000).begin();
         String[] who = new String[1];
         play.at(9200, p -> {
-            who[0] = leader(p);
-            p.kill(who[0]);
-            THREE.stream().filter(name -> !name.equals(who[0])).findFirst().ifPresent(p::kill);
-        }).at(9300, p -> THREE.stream().filter(name -> p.node(name) == null).forEach(p::start)).until(16_000);
-        return play.timeline("""
+                    who[0] = leader(p);
+                    p.kill(who[0]);
+                    THREE.stream()
+                            .filter(name -> !name.equals(who[0]))
+                            .findFirst()
+                            .ifPresent(p::kill);
+                })
+                .at(
+                        9300,
+                        p -> THREE.stream().filter(name -> p.node(name) == null).forEach(p::start))
+                .until(16_000);
+        return play.timeline(
+                """
                 Two of three voters begin again at once, the leader among them
                 Both have the last term on their disks and wait a whole lease before they promise anything, so the next term is a
                 higher one, and begins when nothing of the last can hold any more.""");
--- a/src/main/java/merlinlever/faults/timeline/Event.java
+++ b/src/main/java/merlinlever/faults/timeline/Event.java
@@ -13,7 +13,10 @@
 public record Event(Duration at, String node, String what) {
 
     /** What was done to a node changes how its column goes on. */
-    public static final String KILLED = "! killed", STARTED = "! starts", PAUSED = "! stands still", RESUMED = "! goes on";
+    public static final String KILLED = "! killed",
+            STARTED = "! starts",
+            PAUSED = "! stands still",
+            RESUMED = "! goes on";
 
     /** The first word: what kind of thing it is. */
     public char mark() {
--- a/src/main/java/merlinlever/faults/timeline/Logs.java
+++ b/src/main/java/merlinlever/faults/timeline/Logs.java
@@ -20,8 +20,7 @@
     /** Lines begin so: the time, the level, and who of the program says it. */
     private static final String LEVELS = "INFO|WARN|ERROR";
 
-    private record Noted(Instant at, String node, String what) {
-    }
+    private record Noted(Instant at, String node, String what) {}
 
     private final Instant began;
     private final List<String> nodes;
@@ -50,7 +49,9 @@
         }
         for (Map.Entry<String, Path> log : logs.entrySet()) {
             if (Files.exists(log.getValue())) {
-                for (String line : Files.readString(log.getValue(), StandardCharsets.UTF_8).lines().toList()) {
+                for (String line : Files.readString(log.getValue(), StandardCharsets.UTF_8)
+                        .lines()
+                        .toList()) {
                     read(timeline, log.getKey(), line, from);
                 }
             }
--- a/src/main/java/merlinlever/faults/timeline/MemberNode.java
+++ b/src/main/java/merlinlever/faults/timeline/MemberNode.java
@@ -14,7 +14,8 @@
     /** Pings are drawn where they bring news or are lost, and whatever else is of one of these kinds; news are what its hearer did not believe yet. */
     static Play.Words<Members.Message> words(Members.Kind... always) {
         return new Play.Words<>() {
-            @Override public String of(Members.Message message) {
+            @Override
+            public String of(Members.Message message) {
                 return switch (message.kind()) {
                     case ASK_FOR -> "ping " + message.about() + " for me";
                     case SYNC -> "all I know";
@@ -24,16 +25,22 @@
                 };
             }
 
-            @Override public Play.Show show(Members.Message message) {
-                return List.of(always).contains(message.kind()) ? Play.Show.ALWAYS : message.kind() == Members.Kind.ASK_FOR ? Play.Show.SAID
-                        : message.kind() == Members.Kind.PING ? Play.Show.EFFECT_OR_LOST : Play.Show.EFFECT;
+            @Override
+            public Play.Show show(Members.Message message) {
+                return List.of(always).contains(message.kind())
+                        ? Play.Show.ALWAYS
+                        : message.kind() == Members.Kind.ASK_FOR
+                                ? Play.Show.SAID
+                                : message.kind() == Members.Kind.PING ? Play.Show.EFFECT_OR_LOST : Play.Show.EFFECT;
             }
 
-            @Override public String news(Members.Message message, Map<String, String> believed) {
+            @Override
+            public String news(Members.Message message, Map<String, String> believed) {
                 List<String> news = new ArrayList<>();
                 for (Views.Rumour rumour : message.rumours()) {
                     // Of the hearer itself, what is not so; of others, what it did not know.
-                    if (believed.containsKey(rumour.name()) ? !told(rumour).equals(believed.get(rumour.name())) && !mine(rumour, believed)
+                    if (believed.containsKey(rumour.name())
+                            ? !told(rumour).equals(believed.get(rumour.name())) && !mine(rumour, believed)
                             : rumour.status() != Views.Status.ALIVE || rumour.incarnation() > 0) {
                         news.add(told(rumour));
                     }
@@ -44,14 +51,20 @@
     }
 
     private static boolean mine(Views.Rumour rumour, Map<String, String> believed) {
-        return believed.get(rumour.name()).equals("I am alive/" + rumour.incarnation()) && rumour.status() == Views.Status.ALIVE;
+        return believed.get(rumour.name()).equals("I am alive/" + rumour.incarnation())
+                && rumour.status() == Views.Status.ALIVE;
     }
 
     private final Members members;
 
     MemberNode(Play.Born born, List<String> seeds) {
         String name = born.node().replace("'", "");
-        members = new Members(born.now(), new Views(name, born.node(), "api-" + born.node(), 0), Members.Stated.usual(seeds), born.chance(), line -> { });
+        members = new Members(
+                born.now(),
+                new Views(name, born.node(), "api-" + born.node(), 0),
+                Members.Stated.usual(seeds),
+                born.chance(),
+                line -> {});
     }
 
     Members members() {
@@ -60,23 +73,28 @@
 
     /** The incarnation of its life, where it is not the first, behind. */
     static String told(Views.Rumour rumour) {
-        return rumour.name() + " " + rumour.status().name().toLowerCase(java.util.Locale.ROOT) + (rumour.incarnation() == 0 ? "" : "/" + rumour.incarnation())
+        return rumour.name() + " " + rumour.status().name().toLowerCase(java.util.Locale.ROOT)
+                + (rumour.incarnation() == 0 ? "" : "/" + rumour.incarnation())
                 + (rumour.gossip().equals(rumour.name()) ? "" : " at " + rumour.gossip());
     }
 
-    @Override public List<Play.Out<Members.Message>> look(Duration now) {
+    @Override
+    public List<Play.Out<Members.Message>> look(Duration now) {
         List<Play.Out<Members.Message>> out = new ArrayList<>();
         members.settle(now).forEach(sending -> out.add(new Play.Out<>(sending.to(), sending.message())));
         return out;
     }
 
-    @Override public List<Play.Out<Members.Message>> heard(Duration now, String from, Members.Message message) {
+    @Override
+    public List<Play.Out<Members.Message>> heard(Duration now, String from, Members.Message message) {
         members.heard(now, from, message);
-        // What it answers it says when it is looked at, in the same moment; what its own time brings is not the other's doing.
+        // What it answers it says when it is looked at, in the same moment; what its own time brings is not the other's
+        // doing.
         return List.of();
     }
 
-    @Override public Map<String, String> believes(Duration now) {
+    @Override
+    public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
         for (Views.Rumour rumour : members.views().all()) {
             if (!rumour.name().equals(members.views().self())) {
--- a/src/main/java/merlinlever/faults/timeline/MemberPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/MemberPlays.java
@@ -8,18 +8,20 @@
 
     private static final List<String> THREE = List.of("b1", "b2", "b3"), FOUR = List.of("b1", "b2", "b3", "b4");
 
-    private MemberPlays() {
-    }
+    private MemberPlays() {}
 
     /** They know each other when it begins. */
     private static Play<Members.Message> play(long seed, List<String> names, Members.Kind... always) {
-        return new Play<>(seed, names, born -> new MemberNode(born, List.of("b1", "b2")), MemberNode.words(always)).until(12_000).begin();
+        return new Play<>(seed, names, born -> new MemberNode(born, List.of("b1", "b2")), MemberNode.words(always))
+                .until(12_000)
+                .begin();
     }
 
     static Timeline death() {
         Play<Members.Message> play = play(1, FOUR);
         play.at(12_500, p -> p.kill("b3")).until(40_000);
-        return play.timeline("""
+        return play.timeline(
+                """
                 A death
                 b3 is killed. Whoever pings it and hears nothing asks the others to ping it too; then it suspects b3 and says so.
                 Each who found the same makes it surer: with two, a suspicion that b3 does not refute is a death after 4 s.""");
@@ -28,7 +30,8 @@
     static Timeline refutation() {
         Play<Members.Message> play = play(2, FOUR);
         play.at(12_500, p -> p.pause("b3")).at(16_000, p -> p.resume("b3")).until(24_000);
-        return play.timeline("""
+        return play.timeline(
+                """
                 A suspicion refuted
                 b3 stands still for 3.5 s. When it goes on it hears that it is suspected and says that it lives under its next
                 incarnation (alive/1), which counts more than all that was said of the one before.""");
@@ -37,7 +40,8 @@
     static Timeline oneWay() {
         Play<Members.Message> play = play(3, FOUR, Members.Kind.PING, Members.Kind.ACK);
         play.until(12_990).begin().at(12_990, p -> p.cut("b1", "b2")).until(13_400);
-        return play.timeline("""
+        return play.timeline(
+                """
                 A one-way link
                 What b1 says does not reach b2; the other way is well. b1 has no answer to its ping, so b3 and b4 ping b2 for it
                 and bring the answer back: b2 is not suspected. All pings of one period are drawn.""");
@@ -46,17 +50,20 @@
     static Timeline restart() {
         Play<Members.Message> play = play(4, THREE);
         play.at(12_500, p -> p.kill("b3")).at(21_000, p -> p.start("b3")).until(30_000);
-        return play.timeline("""
+        return play.timeline(
+                """
                 Begun again under the same name
                 b3 is held dead when it begins again, knowing nobody, under incarnation 0 like its life before. It asks for all
                 that b1 and b2 know, hears that it is dead, and says better under incarnation 1.""");
     }
 
     static Timeline twins() {
-        Play<Members.Message> play = new Play<>(5, List.of("b1", "b2", "b2'"), born -> new MemberNode(born, List.of("b1", "b2")), MemberNode.words());
+        Play<Members.Message> play = new Play<>(
+                5, List.of("b1", "b2", "b2'"), born -> new MemberNode(born, List.of("b1", "b2")), MemberNode.words());
         play.until(12_000).begin();
         play.at(12_500, p -> p.start("b2'")).until(17_000);
-        return play.timeline("""
+        return play.timeline(
+                """
                 Two under one name
                 Another b2 is started by mistake, on another address (b2'). Each hears of the other's life and answers with a
                 higher incarnation, without end; b1 holds now the one for b2, now the other. Both count it (Views.rivals).""");
@@ -64,8 +71,13 @@
 
     static Timeline healed() {
         Play<Members.Message> play = play(6, FOUR);
-        play.at(12_500, p -> p.partition("b1 b2 | b3 b4")).until(60_000).begin().at(60_500, Play::heal).until(95_000);
-        return play.timeline("""
+        play.at(12_500, p -> p.partition("b1 b2 | b3 b4"))
+                .until(60_000)
+                .begin()
+                .at(60_500, Play::heal)
+                .until(95_000);
+        return play.timeline(
+                """
                 Two halves that hold each other dead find each other again
                 The links between b1 b2 and b3 b4 were cut for 48 s. Nobody pings the dead; but every ten periods each tells another
                 all that it knows, a dead one too. So the halves meet, and each of the dead says that it lives.""");
--- a/src/main/java/merlinlever/faults/timeline/Play.java
+++ b/src/main/java/merlinlever/faults/timeline/Play.java
@@ -24,8 +24,7 @@
 public final class Play<M> {
 
     /** Something that is to be said to another. */
-    public record Out<M>(String to, M message) {
-    }
+    public record Out<M>(String to, M message) {}
 
     /** One that decides, without input and output; times are since it began. */
     public interface Node<M> {
@@ -45,8 +44,7 @@
      * @param life from 1, counted up with each start
      * @param notes what it decides, in words, beside what it believes
      */
-    public record Born(String node, int life, Duration now, SplittableRandom chance, Consumer<String> notes) {
-    }
+    public record Born(String node, int life, Duration now, SplittableRandom chance, Consumer<String> notes) {}
 
     /** Makes a node where one begins. */
     public interface Birth<M> {
@@ -54,7 +52,13 @@
     }
 
     /** When a message is drawn, where it was said and where it was heard; {@code SAID} is drawn always, and only where it was said. */
-    public enum Show { NEVER, EFFECT, EFFECT_OR_LOST, SAID, ALWAYS }
+    public enum Show {
+        NEVER,
+        EFFECT,
+        EFFECT_OR_LOST,
+        SAID,
+        ALWAYS
+    }
 
     /** How messages are drawn. */
     public interface Words<M> {
@@ -73,14 +77,13 @@
 
     /** Messages on their way at the most. */
     private static final int MOST_UNDER_WAY = 20_000;
+
     private static final long STEP = 10;
     private static final Links.Fault USUAL = Links.Fault.delayed(Duration.ofMillis(STEP), Duration.ZERO);
 
-    private record Sent<M>(long at, long order, int from, int to, M message, Draft draft) {
-    }
+    private record Sent<M>(long at, long order, int from, int to, M message, Draft draft) {}
 
-    private record Fault<M>(long at, Consumer<Play<M>> act) {
-    }
+    private record Fault<M>(long at, Consumer<Play<M>> act) {}
 
     private static final class Place<M> {
         Node<M> node;
@@ -97,7 +100,8 @@
     private final SplittableRandom chance;
     private final Links links;
     private final List<Place<M>> places = new ArrayList<>();
-    private final PriorityQueue<Sent<M>> net = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Sent<M>> net =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final List<Fault<M>> script = new ArrayList<>();
     private final Map<Predicate<Play<M>>, Consumer<Play<M>>> when = new LinkedHashMap<>();
     private final List<Draft> drafts = new ArrayList<>();
@@ -169,7 +173,8 @@
         place.paused = false;
         place.held.clear();
         note(name, place.life == 1 ? Event.STARTED : Event.STARTED + " again");
-        place.node = birth.born(new Born(name, place.life, Duration.ZERO, chance.split(), told -> note(name, "* " + told)));
+        place.node =
+                birth.born(new Born(name, place.life, Duration.ZERO, chance.split(), told -> note(name, "* " + told)));
         place.believed = Map.of();
     }
 
@@ -317,7 +322,11 @@
             to.held.add(sent);
             return;
         }
-        Draft heard = new Draft(now, names.get(sent.to), "< " + names.get(sent.from) + ": " + words.of(sent.message), show == Show.ALWAYS);
+        Draft heard = new Draft(
+                now,
+                names.get(sent.to),
+                "< " + names.get(sent.from) + ": " + words.of(sent.message),
+                show == Show.ALWAYS);
         drafts.add(heard);
         int before = drafts.size();
         Map<String, String> believed = to.believed;
@@ -354,10 +363,14 @@
             List<Duration> times = links.datagram(Duration.ofMillis(now), from, to, 100, chance);
             boolean lost = times.isEmpty();
             boolean gone = places.get(to).node == null;
-            Draft draft = new Draft(now, names.get(from), (lost || gone ? "x " : "> ") + out.to + ": " + words.of(out.message),
+            Draft draft = new Draft(
+                    now,
+                    names.get(from),
+                    (lost || gone ? "x " : "> ") + out.to + ": " + words.of(out.message),
                     show == Show.ALWAYS || show == Show.SAID || lost && show == Show.EFFECT_OR_LOST);
             drafts.add(draft);
-            times.forEach(at -> net.add(new Sent<>(Math.max(now + 1, at.toMillis()), orders++, from, to, out.message, draft)));
+            times.forEach(at ->
+                    net.add(new Sent<>(Math.max(now + 1, at.toMillis()), orders++, from, to, out.message, draft)));
         }
     }
 
@@ -376,7 +389,9 @@
 
     public Timeline timeline(String title) {
         Timeline timeline = new Timeline(title, names);
-        drafts.stream().filter(draft -> draft.shown).forEach(draft -> timeline.add(Duration.ofMillis(draft.at - drawn), draft.node, draft.what));
+        drafts.stream()
+                .filter(draft -> draft.shown)
+                .forEach(draft -> timeline.add(Duration.ofMillis(draft.at - drawn), draft.node, draft.what));
         return timeline;
     }
 }
--- a/src/main/java/merlinlever/faults/timeline/Plays.java
+++ b/src/main/java/merlinlever/faults/timeline/Plays.java
@@ -39,8 +39,7 @@
         ALL.put("view-restart", ViewPlays::restarted);
     }
 
-    private Plays() {
-    }
+    private Plays() {}
 
     public static Map<String, Supplier<Timeline>> all() {
         return Collections.unmodifiableMap(ALL);
--- a/src/main/java/merlinlever/faults/timeline/RoutesPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/RoutesPlays.java
@@ -15,8 +15,7 @@
 
     private static final List<String> CHAIN = List.of("s1", "s2", "s3");
 
-    private RoutesPlays() {
-    }
+    private RoutesPlays() {}
 
     private static Route own(String site, Restrictions restrictions) {
         return new Route("gold", "eu", site + ":1", 10, 1, false, List.of(site), null, restrictions);
@@ -24,8 +23,13 @@
 
     /** s1 buys of s2, and s2 of s3: what s3 sells goes down to s1. */
     private static Play<Word> chain(long seed) {
-        Map<String, Map<String, Relation>> all = Map.of("s1", Map.of("s2", Relation.PROVIDER), "s2", Map.of("s1", Relation.CUSTOMER, "s3", Relation.PROVIDER),
-                "s3", Map.of("s2", Relation.CUSTOMER));
+        Map<String, Map<String, Relation>> all = Map.of(
+                "s1",
+                Map.of("s2", Relation.PROVIDER),
+                "s2",
+                Map.of("s1", Relation.CUSTOMER, "s3", Relation.PROVIDER),
+                "s3",
+                Map.of("s2", Relation.CUSTOMER));
         return new Play<>(seed, CHAIN, born -> new RoutesNode(born, all.get(born.node()), false), RoutesNode.WORDS);
     }
 
@@ -39,8 +43,12 @@
     }
 
     static Timeline withdrawn() {
-        return chain(1).at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu")).at(5000, p -> p.cut("s2", "s1"))
-                .at(5500, p -> sells(p, "s3", null, "sells it no longer")).until(16_000).timeline("""
+        return chain(1).at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu"))
+                .at(5000, p -> p.cut("s2", "s1"))
+                .at(5500, p -> sells(p, "s3", null, "sells it no longer"))
+                .until(16_000)
+                .timeline(
+                        """
                 A withdrawal that does not get there
                 s1 buys of s2, and s2 of s3. What s3 sells passes down. Then s1 does not hear s2 any more: when half of its lease
                 is over s1 uses it last, and when all of it is over not at all, whoever withdrew it and why.""");
@@ -48,18 +56,34 @@
 
     static Timeline tightened() {
         Restrictions none = new Restrictions(null, new TreeSet<>(), true, Restrictions.MOST_SITES, false, false, false);
-        return chain(2).at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu")).at(5000, p -> sells(p, "s3", none, "says: no further"))
-                .until(10_000).timeline("""
+        return chain(2).at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu"))
+                .at(5000, p -> sells(p, "s3", none, "says: no further"))
+                .until(10_000)
+                .timeline(
+                        """
                 A restriction that comes later
                 s3 says of its route that whoever has it from s3 passes it on to nobody. s2 goes on using it and passes it on no
                 longer; s1 has no way as soon as it hears s2's next table.""");
     }
 
     static Timeline leak() {
-        Map<String, Map<String, Relation>> all = Map.of("s1", Map.of("s2", Relation.CUSTOMER), "s2", Map.of("s1", Relation.PROVIDER, "s3", Relation.PROVIDER),
-                "s3", Map.of("s2", Relation.CUSTOMER));
-        return new Play<>(3, CHAIN, born -> new RoutesNode(born, all.get(born.node()), born.node().equals("s2")), RoutesNode.WORDS)
-                .at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu")).until(5000).timeline("""
+        Map<String, Map<String, Relation>> all = Map.of(
+                "s1",
+                Map.of("s2", Relation.CUSTOMER),
+                "s2",
+                Map.of("s1", Relation.PROVIDER, "s3", Relation.PROVIDER),
+                "s3",
+                Map.of("s2", Relation.CUSTOMER));
+        return new Play<>(
+                        3,
+                        CHAIN,
+                        born -> new RoutesNode(
+                                born, all.get(born.node()), born.node().equals("s2")),
+                        RoutesNode.WORDS)
+                .at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu"))
+                .until(5000)
+                .timeline(
+                        """
                 A leak
                 s2 buys of both s1 and s3, and by mistake offers s1 what it has of s3: all of it would go through the small s2. The
                 route bears the mark that it went down from s3 already, so s1 takes it from no customer (RFC 9234).""");
--- a/src/main/java/merlinlever/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewNode.java
@@ -27,17 +27,24 @@
 
     /** New views and what is said about terms; questions and answers that all is as it was are not drawn. */
     static final Play.Words<Members.Message> WORDS = new Play.Words<>() {
-        @Override public String of(Members.Message message) {
+        @Override
+        public String of(Members.Message message) {
             if (message.kind() == Members.Kind.CARRY) {
                 return body(new String(message.body(), StandardCharsets.US_ASCII).split("\n"));
             }
-            return message.kind() == Members.Kind.SAY && Terms.WORDS.contains(message.about().split("/")[0])
-                    ? BudgetNode.WORDS.of(new BudgetNode.Word(message.number(), message.about())) : message.about();
+            return message.kind() == Members.Kind.SAY
+                            && Terms.WORDS.contains(message.about().split("/")[0])
+                    ? BudgetNode.WORDS.of(new BudgetNode.Word(message.number(), message.about()))
+                    : message.about();
         }
 
-        @Override public Play.Show show(Members.Message message) {
-            return message.kind() == Members.Kind.CARRY ? Play.Show.EFFECT_OR_LOST
-                    : message.kind() == Members.Kind.SAY && message.about().matches("[VP]/.*") ? Play.Show.EFFECT : Play.Show.NEVER;
+        @Override
+        public Play.Show show(Members.Message message) {
+            return message.kind() == Members.Kind.CARRY
+                    ? Play.Show.EFFECT_OR_LOST
+                    : message.kind() == Members.Kind.SAY && message.about().matches("[VP]/.*")
+                            ? Play.Show.EFFECT
+                            : Play.Show.NEVER;
         }
     };
 
@@ -50,10 +57,32 @@
         now = born.now();
         String name = born.node().replace("'", "");
         long floor = disk.terms.getOrDefault(born.node(), 0L);
-        members = new Members(now, new Views(name, born.node(), "-", born.life() - 1), Members.Stated.usual(voters), born.chance().split(), line -> { });
-        terms = new Terms(now, name, voters, Duration.ofSeconds(2), 0.01, floor, term -> noted(disk, born.node(), term), born.chance().split(), line -> { });
-        sight = new Sight(now, Stated.usual(), members.views(), terms, (long) born.life() << 30, floor, term -> noted(disk, born.node(), term),
-                born.chance().split(), line -> { });
+        members = new Members(
+                now,
+                new Views(name, born.node(), "-", born.life() - 1),
+                Members.Stated.usual(voters),
+                born.chance().split(),
+                line -> {});
+        terms = new Terms(
+                now,
+                name,
+                voters,
+                Duration.ofSeconds(2),
+                0.01,
+                floor,
+                term -> noted(disk, born.node(), term),
+                born.chance().split(),
+                line -> {});
+        sight = new Sight(
+                now,
+                Stated.usual(),
+                members.views(),
+                terms,
+                (long) born.life() << 30,
+                floor,
+                term -> noted(disk, born.node(), term),
+                born.chance().split(),
+                line -> {});
         members.hears(Terms.WORDS, (who, number, what) -> say(terms.said(now, who, number, what)));
         members.hears(Sight.WORDS, (who, number, what) -> tell(sight.said(now, who, number, what)));
         members.takes((who, body) -> sight.carried(now, who, body));
@@ -105,7 +134,8 @@
         return terms.leads(at);
     }
 
-    @Override public List<Play.Out<Members.Message>> look(Duration at) {
+    @Override
+    public List<Play.Out<Members.Message>> look(Duration at) {
         now = at;
         List<Play.Out<Members.Message>> out = new ArrayList<>();
         // As often as in a process, but at its own steps.
@@ -117,18 +147,24 @@
         return out;
     }
 
-    @Override public List<Play.Out<Members.Message>> heard(Duration at, String from, Members.Message message) {
+    @Override
+    public List<Play.Out<Members.Message>> heard(Duration at, String from, Members.Message message) {
         now = at;
         members.heard(now, from, message);
         return List.of();
     }
 
-    @Override public Map<String, String> believes(Duration at) {
+    @Override
+    public Map<String, String> believes(Duration at) {
         Map<String, String> all = new LinkedHashMap<>();
         Leadership.Leader leader = terms.leader(at);
         all.put("standing", sight.standing(at).name());
-        all.put("view", sight.view().number() == 0 ? "no view"
-                : "view " + place(sight.view().number()) + ": " + String.join(" ", sight.view().members()));
+        all.put(
+                "view",
+                sight.view().number() == 0
+                        ? "no view"
+                        : "view " + place(sight.view().number()) + ": "
+                                + String.join(" ", sight.view().members()));
         all.put("leader", terms.leads(at) ? "I lead, term " + leader.term() : "");
         return all;
     }
--- a/src/main/java/merlinlever/faults/timeline/ViewPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewPlays.java
@@ -13,23 +13,35 @@
     private static final List<String> THREE = List.of("b1", "b2", "b3"), FIVE = List.of("b1", "b2", "b3", "b4", "b5");
     private static final long BEGIN = 25_000;
 
-    private ViewPlays() {
-    }
+    private ViewPlays() {}
 
     /** They are whole when it begins; of one number there is one membership, and never may two who do not lead alike decide. */
     private static Play<Members.Message> play(long seed, List<String> names) {
         ViewNode.Disk disk = new ViewNode.Disk();
         Map<Long, String> digests = new HashMap<>();
         return new Play<>(seed, names, born -> new ViewNode(born, names, disk), ViewNode.WORDS)
-                .never("one number, two memberships", p -> names.stream().anyMatch(name -> p.node(name) instanceof ViewNode node
-                        && !digests.computeIfAbsent(node.view().number(), none -> node.view().digest()).equals(node.view().digest())))
-                .never("two may decide", p -> names.stream().filter(name -> p.node(name) instanceof ViewNode node && node.leads(p.clock(name))
-                        && node.may(p.clock(name), Act.DECIDE)).count() > 1)
-                .until(BEGIN).begin();
+                .never("one number, two memberships", p -> names.stream()
+                        .anyMatch(name -> p.node(name) instanceof ViewNode node
+                                && !digests.computeIfAbsent(node.view().number(), none -> node.view()
+                                                .digest())
+                                        .equals(node.view().digest())))
+                .never(
+                        "two may decide",
+                        p -> names.stream()
+                                        .filter(name -> p.node(name) instanceof ViewNode node
+                                                && node.leads(p.clock(name))
+                                                && node.may(p.clock(name), Act.DECIDE))
+                                        .count()
+                                > 1)
+                .until(BEGIN)
+                .begin();
     }
 
     private static String leader(Play<Members.Message> play) {
-        return play.names().stream().filter(name -> play.node(name) instanceof ViewNode node && node.leads(play.clock(name))).findFirst().orElseThrow();
+        return play.names().stream()
+                .filter(name -> play.node(name) instanceof ViewNode node && node.leads(play.clock(name)))
+                .findFirst()
+                .orElseThrow();
     }
 
     private static List<String> others(Play<Members.Message> play, String... without) {
@@ -40,9 +52,14 @@
 
     static Timeline parted() {
         Play<Members.Message> play = play(1, THREE);
-        play.at(BEGIN + 500, p -> p.partition(others(p, leader(p)).get(0) + " | " + leader(p) + " " + others(p, leader(p)).get(1)))
-                .at(BEGIN + 20_000, Play::heal).until(BEGIN + 40_000);
-        return play.timeline("""
+        play.at(
+                        BEGIN + 500,
+                        p -> p.partition(others(p, leader(p)).get(0) + " | " + leader(p) + " "
+                                + others(p, leader(p)).get(1)))
+                .at(BEGIN + 20_000, Play::heal)
+                .until(BEGIN + 40_000);
+        return play.timeline(
+                """
                 One of three is cut off
                 Two of the three voters hear each other: MOST, and may go on. The third hears nobody: ALONE; it keeps the last view
                 that it had. When the links are well it learns of the later view, and is let in again.""");
@@ -51,8 +68,10 @@
     static Timeline leaderParted() {
         Play<Members.Message> play = play(2, THREE);
         play.at(BEGIN + 500, p -> p.partition(leader(p) + " | " + String.join(" ", others(p, leader(p)))))
-                .at(BEGIN + 20_000, Play::heal).until(BEGIN + 45_000);
-        return play.timeline("""
+                .at(BEGIN + 20_000, Play::heal)
+                .until(BEGIN + 45_000);
+        return play.timeline(
+                """
                 The one that leads is cut off
                 It leads no longer when its promises run out, and numbers no view; the other two have a new leader, and a new term
                 for the numbers of views, so no number is ever given twice.""");
@@ -60,8 +79,11 @@
 
     static Timeline stoodStill() {
         Play<Members.Message> play = play(3, THREE);
-        play.at(BEGIN + 500, p -> p.pause(others(p, leader(p)).get(0))).at(BEGIN + 20_500, p -> p.resume(others(p, leader(p)).get(0))).until(BEGIN + 40_000);
-        return play.timeline("""
+        play.at(BEGIN + 500, p -> p.pause(others(p, leader(p)).get(0)))
+                .at(BEGIN + 20_500, p -> p.resume(others(p, leader(p)).get(0)))
+                .until(BEGIN + 40_000);
+        return play.timeline(
+                """
                 One stands still for 20 s
                 When it goes on it sees that its steady clock jumped: RETURNING, and it does nothing that hangs on the others until
                 it has been told what it missed.""");
@@ -69,8 +91,11 @@
 
     static Timeline oneWay() {
         Play<Members.Message> play = play(4, FIVE);
-        play.at(BEGIN + 500, p -> p.cut("b1", "b2")).at(BEGIN + 25_000, Play::heal).until(BEGIN + 40_000);
-        return play.timeline("""
+        play.at(BEGIN + 500, p -> p.cut("b1", "b2"))
+                .at(BEGIN + 25_000, Play::heal)
+                .until(BEGIN + 40_000);
+        return play.timeline(
+                """
                 A one-way link among five
                 What b1 says does not reach b2. The two hear no answers of each other, so neither is WHOLE; but nobody else finds
                 either gone, so nobody is taken out.""");
@@ -82,7 +107,8 @@
             play.at(BEGIN + 500 + i * 2000L, p -> p.pause("b3")).at(BEGIN + 1500 + i * 2000L, p -> p.resume("b3"));
         }
         play.until(BEGIN + 30_000);
-        return play.timeline("""
+        return play.timeline(
+                """
                 One that stands still each other second
                 b3 answers late each time, but it answers: nobody holds it gone, and its standing and the view stay as they are.
                 A change for each stop would be twenty.""");
@@ -90,8 +116,11 @@
 
     static Timeline bridge() {
         Play<Members.Message> play = play(6, FIVE);
-        play.at(BEGIN + 500, p -> p.partition("b1 b2 | b4 b5")).at(BEGIN + 25_000, Play::heal).until(BEGIN + 45_000);
-        return play.timeline("""
+        play.at(BEGIN + 500, p -> p.partition("b1 b2 | b4 b5"))
+                .at(BEGIN + 25_000, Play::heal)
+                .until(BEGIN + 45_000);
+        return play.timeline(
+                """
                 Two sides, and one that both reach
                 b1 b2 and b4 b5 do not reach each other; b3 reaches all. Each hears three of the five voters, so each side alone
                 would have most. There is one leader, with the promises of its side and b3, and so one view, which b3 tells on.""");
@@ -99,8 +128,11 @@
 
     static Timeline restarted() {
         Play<Members.Message> play = play(7, THREE);
-        play.at(BEGIN + 500, p -> p.kill("b3")).at(BEGIN + 1500, p -> p.start("b3")).until(BEGIN + 20_000);
-        return play.timeline("""
+        play.at(BEGIN + 500, p -> p.kill("b3"))
+                .at(BEGIN + 1500, p -> p.start("b3"))
+                .until(BEGIN + 20_000);
+        return play.timeline(
+                """
                 Begun again under the same name
                 b3 is back a second after it was killed. It holds no view before it knows that it is not one older than what its
                 life before may have held.""");
--- a/src/main/java/merlinlever/faults/timeline/Writer.java
+++ b/src/main/java/merlinlever/faults/timeline/Writer.java
@@ -16,11 +16,14 @@
 
     /** So wide at the most for up to five nodes; more of them have this much each, however wide it gets. */
     public static final int WIDTH = 100;
+
     private static final int NARROWEST = 14;
     private static final int TIME = 7;
 
     private enum Line {
-        RUNS('|'), STANDS(':'), DOWN(' ');
+        RUNS('|'),
+        STANDS(':'),
+        DOWN(' ');
 
         final char drawn;
 
@@ -40,7 +43,9 @@
         Entry(Event event) {
             first = event;
             last = event.at();
-            int colon = event.mark() == '*' || event.mark() == '!' ? -1 : event.what().indexOf(": ");
+            int colon = event.mark() == '*' || event.mark() == '!'
+                    ? -1
+                    : event.what().indexOf(": ");
             before = colon < 0 ? event.what() : event.what().substring(0, 2);
             after = colon < 0 ? "" : event.what().substring(colon);
             if (colon >= 0) {
@@ -53,12 +58,14 @@
         }
 
         String drawn() {
-            return before + String.join(" ", others) + after + (times == 1 ? "" : " (x" + times + " to " + last.toMillis() + ")");
+            return before
+                    + String.join(" ", others)
+                    + after
+                    + (times == 1 ? "" : " (x" + times + " to " + last.toMillis() + ")");
         }
     }
 
-    private Writer() {
-    }
+    private Writer() {}
 
     public static String draw(Timeline timeline) {
         List<String> nodes = timeline.nodes();
@@ -83,10 +90,15 @@
         Map<String, Map<String, Entry>> lately = new HashMap<>();
         // First what is said at one moment to several, then what is said again.
         for (Event event : timeline.events()) {
-            List<Entry> cell = rows.computeIfAbsent(event.at(), at -> new LinkedHashMap<>()).computeIfAbsent(event.node(), node -> new ArrayList<>());
+            List<Entry> cell = rows.computeIfAbsent(event.at(), at -> new LinkedHashMap<>())
+                    .computeIfAbsent(event.node(), node -> new ArrayList<>());
             Entry entry = new Entry(event);
-            Entry same = entry.others.isEmpty() ? null : cell.stream()
-                    .filter(each -> each.before.equals(entry.before) && each.after.equals(entry.after)).findFirst().orElse(null);
+            Entry same = entry.others.isEmpty()
+                    ? null
+                    : cell.stream()
+                            .filter(each -> each.before.equals(entry.before) && each.after.equals(entry.after))
+                            .findFirst()
+                            .orElse(null);
             if (same == null) {
                 cell.add(entry);
             } else if (!same.others.contains(entry.others.get(0))) {
@@ -118,14 +130,22 @@
         return rows;
     }
 
-    private static void row(StringBuilder text, Duration at, Map<String, List<Entry>> row, List<String> nodes, Map<Integer, Line> lines, int wide) {
+    private static void row(
+            StringBuilder text,
+            Duration at,
+            Map<String, List<Entry>> row,
+            List<String> nodes,
+            Map<Integer, Line> lines,
+            int wide) {
         String time = Long.toString(at.toMillis());
         for (Entry entry : row.getOrDefault("", List.of())) {
             int whole = (wide + 3) * nodes.size();
             String said = " == " + entry.drawn() + " ";
             for (String part : wrapped(said, whole)) {
-                text.append(String.format("%" + TIME + "s", time)).append(part)
-                        .append(part.equals(said) ? "=".repeat(Math.max(0, whole - part.length())) : "").append('\n');
+                text.append(String.format("%" + TIME + "s", time))
+                        .append(part)
+                        .append(part.equals(said) ? "=".repeat(Math.max(0, whole - part.length())) : "")
+                        .append('\n');
                 time = "";
             }
         }
@@ -141,7 +161,8 @@
         }
         for (int k = 0; k < nodes.size(); k++) {
             for (Entry entry : row.getOrDefault(nodes.get(k), List.of())) {
-                if (entry.first.what().startsWith(Event.STARTED) || entry.first.what().startsWith(Event.RESUMED)) {
+                if (entry.first.what().startsWith(Event.STARTED)
+                        || entry.first.what().startsWith(Event.RESUMED)) {
                     lines.put(k, Line.RUNS);
                 }
             }
@@ -168,7 +189,11 @@
         StringBuilder line = new StringBuilder(String.format("%" + TIME + "s", time));
         for (int k = 0; k < parts.size(); k++) {
             String part = parts.get(k);
-            line.append(' ').append(lines.getOrDefault(k, Line.RUNS).drawn).append(' ').append(part).append(" ".repeat(Math.max(0, wide - part.length())));
+            line.append(' ')
+                    .append(lines.getOrDefault(k, Line.RUNS).drawn)
+                    .append(' ')
+                    .append(part)
+                    .append(" ".repeat(Math.max(0, wide - part.length())));
         }
         text.append(line.toString().stripTrailing()).append('\n');
     }
@@ -202,6 +227,7 @@
                 used.add(told);
             }
         });
-        return String.join("   ", used) + "\n| runs   : stands still   (no line) is down   == for all   (x3 to 900) three times, last at 900\n";
+        return String.join("   ", used)
+                + "\n| runs   : stands still   (no line) is down   == for all   (x3 to 900) three times, last at 900\n";
     }
 }
--- a/src/main/java/merlinlever/host/disk/Ledger.java
+++ b/src/main/java/merlinlever/host/disk/Ledger.java
@@ -74,13 +74,20 @@
         byte[] rest = text.substring(end + 1).getBytes(StandardCharsets.ISO_8859_1);
         try {
             if (end < 0 || !text.substring(0, end).equals(sum(rest))) {
-                throw new Spoilt(FILE + ": spoilt; running instances are found by their environment if the file is moved away, "
-                        + "but which are wanted has then to be said again");
+                throw new Spoilt(
+                        FILE + ": spoilt; running instances are found by their environment if the file is moved away, "
+                                + "but which are wanted has then to be said again");
             }
-            for (Map.Entry<String, com.fasterxml.jackson.databind.JsonNode> entry : json.readTree(rest).properties()) {
+            for (Map.Entry<String, com.fasterxml.jackson.databind.JsonNode> entry :
+                    json.readTree(rest).properties()) {
                 com.fasterxml.jackson.databind.JsonNode one = entry.getValue();
-                noted.put(entry.getKey(), new Noted(one.path("wanted").asBoolean(), one.path("token").asText(), one.path("pid").asLong(),
-                        one.path("startTicks").asLong()));
+                noted.put(
+                        entry.getKey(),
+                        new Noted(
+                                one.path("wanted").asBoolean(),
+                                one.path("token").asText(),
+                                one.path("pid").asLong(),
+                                one.path("startTicks").asLong()));
             }
         } catch (JsonProcessingException e) {
             throw new Spoilt(FILE + ": is not what an agent writes");
@@ -109,7 +116,10 @@
         Noted before = noted.put(instance, what);
         try {
             byte[] rest = json.writeValueAsBytes(noted);
-            folder.replace(FILE, (sum(rest) + "\n" + new String(rest, StandardCharsets.ISO_8859_1)).getBytes(StandardCharsets.ISO_8859_1));
+            folder.replace(
+                    FILE,
+                    (sum(rest) + "\n" + new String(rest, StandardCharsets.ISO_8859_1))
+                            .getBytes(StandardCharsets.ISO_8859_1));
         } catch (IOException e) {
             if (before == null) {
                 noted.remove(instance);
@@ -120,7 +130,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         folder.close();
     }
 }
--- a/src/main/java/merlinlever/host/front/Desk.java
+++ b/src/main/java/merlinlever/host/front/Desk.java
@@ -80,8 +80,18 @@
         inHand++;
         Asked asked = new Asked(mark, run, pushedBack);
         Asked original = mark == null ? null : byMark.putIfAbsent(mark, asked);
-        Operation taken = conductor.control().take(at, mark == null ? LOOK : ORDER, Duration.ZERO, null, 4, null, false, false,
-                original == null ? null : original.handle);
+        Operation taken = conductor
+                .control()
+                .take(
+                        at,
+                        mark == null ? LOOK : ORDER,
+                        Duration.ZERO,
+                        null,
+                        4,
+                        null,
+                        false,
+                        false,
+                        original == null ? null : original.handle);
         asked.handle = conductor.know(taken, asked);
     }
 
@@ -116,16 +126,19 @@
         asked.handle.ended(now, Ending.OK);
     }
 
-    @Override public void start(Asked asked) {
+    @Override
+    public void start(Asked asked) {
         run(asked);
     }
 
-    @Override public void share(Asked asked) {
+    @Override
+    public void share(Asked asked) {
         // The order is found by its id, and what has become of it is told.
         run(asked);
     }
 
-    @Override public void pushBack(Asked asked, boolean nowhereElse, Duration stayAway) {
+    @Override
+    public void pushBack(Asked asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             asked.answered = true;
             inHand--;
@@ -134,53 +147,65 @@
         forget(asked);
     }
 
-    @Override public void breakOff(Asked asked) {
+    @Override
+    public void breakOff(Asked asked) {
         pushBack(asked, false, Duration.ZERO);
     }
 
-    @Override public void forget(Asked asked) {
+    @Override
+    public void forget(Asked asked) {
         if (asked.mark != null) {
             byMark.remove(asked.mark, asked);
         }
     }
 
-    @Override public void release(Asked asked) {
+    @Override
+    public void release(Asked asked) {
         forget(asked);
     }
 
-    @Override public void keep(Asked asked, Duration span) {
+    @Override
+    public void keep(Asked asked, Duration span) {
         // Entered when it came.
     }
 
-    @Override public void halt(Asked asked) {
+    @Override
+    public void halt(Asked asked) {
         // Nothing runs longer than a batch.
     }
 
-    @Override public void call(Asked asked, Duration giveUpAfter) {
+    @Override
+    public void call(Asked asked, Duration giveUpAfter) {
         // Nothing here calls.
     }
 
-    @Override public void omit(Asked asked) {
+    @Override
+    public void omit(Asked asked) {
         // Nothing here calls.
     }
 
-    @Override public void level(double level) {
+    @Override
+    public void level(double level) {
         // Told nowhere.
     }
 
-    @Override public void health(boolean good) {
+    @Override
+    public void health(boolean good) {
         // Told nowhere.
     }
 
-    @Override public void closeIdle(Duration after) {
+    @Override
+    public void closeIdle(Duration after) {
         // Each connection carries one message.
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
         log.accept(line);
     }
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         alarm.accept(at);
     }
 }
--- a/src/main/java/merlinlever/host/front/HostFront.java
+++ b/src/main/java/merlinlever/host/front/HostFront.java
@@ -23,8 +23,8 @@
 import merlinlever.host.run.Neighbours;
 import merlinlever.host.state.Keeper;
 import merlinlever.host.state.Orders;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Listener;
 import merlinlever.net.Loop;
 import merlinlever.recovery.net.Rejoin;
@@ -39,6 +39,7 @@
     private static final int MESSAGE = 256 * 1024;
     /** A report that is older says only what was so. */
     private static final Duration OLD = Duration.ofMillis(2500);
+
     private static final Duration SLOW = Duration.ofSeconds(5);
     private static final Duration LOOK = Duration.ofMillis(500);
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -50,6 +51,7 @@
     private final Neighbours neighbours;
     /** Null likewise. */
     private final Rejoin rejoin;
+
     private final byte[] secret;
     private final Desk desk;
     private final Listener listener;
@@ -57,8 +59,18 @@
     private Loop.Timer alarm;
 
     /** @param secret that each message has to carry */
-    public HostFront(Loop loop, InetSocketAddress address, String host, HostAgent agent, Neighbours neighbours, Rejoin rejoin, String secret,
-            Duration grace, long seed, Consumer<String> log) throws IOException {
+    public HostFront(
+            Loop loop,
+            InetSocketAddress address,
+            String host,
+            HostAgent agent,
+            Neighbours neighbours,
+            Rejoin rejoin,
+            String secret,
+            Duration grace,
+            long seed,
+            Consumer<String> log)
+            throws IOException {
         this.neighbours = neighbours;
         this.rejoin = rejoin;
         this.loop = loop;
@@ -66,7 +78,7 @@
         this.agent = agent;
         this.secret = secret.getBytes(StandardCharsets.UTF_8);
         desk = new Desk(grace, seed, this::alarm, log);
-        listener = new Listener(loop, address, CONNECTIONS, this::accepted, () -> { });
+        listener = new Listener(loop, address, CONNECTIONS, this::accepted, () -> {});
         listener.accept();
         loop.after(() -> desk.settle(loop.clock().now()));
         loop.every(LOOK, () -> List.copyOf(open).forEach(Visit::look));
@@ -80,7 +92,8 @@
         if (alarm != null) {
             alarm.callOff();
         }
-        alarm = loop.in(at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
+        alarm = loop.in(
+                at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
     }
 
     public void leave(Duration stop) {
@@ -108,11 +121,19 @@
         Hosted one = agent.hosted().get(index);
         Keeper keeper = agent.keeper(index);
         Duration now = loop.clock().now();
-        ObjectNode node = JSON.createObjectNode().put("name", one.name()).put("host", host).put("kind", one.kind())
-                .put("state", keeper.state(now).name().toLowerCase(Locale.ROOT)).put("why", keeper.why(now)).put("wanted", keeper.wanted())
-                .put("pid", agent.pid(index)).put("launches", keeper.launches());
+        ObjectNode node = JSON.createObjectNode()
+                .put("name", one.name())
+                .put("host", host)
+                .put("kind", one.kind())
+                .put("state", keeper.state(now).name().toLowerCase(Locale.ROOT))
+                .put("why", keeper.why(now))
+                .put("wanted", keeper.wanted())
+                .put("pid", agent.pid(index))
+                .put("launches", keeper.launches());
         node.set("labels", JSON.valueToTree(one.labels()));
-        node.put("heard_ms_ago", keeper.heardAgo(now) == null ? null : keeper.heardAgo(now).toMillis());
+        node.put(
+                "heard_ms_ago",
+                keeper.heardAgo(now) == null ? null : keeper.heardAgo(now).toMillis());
         node.put("age_ms", keeper.age(now) == null ? null : keeper.age(now).toMillis());
         node.set("told", keeper.told() == null ? JSON.nullNode() : JSON.valueToTree(keeper.told()));
         return node;
@@ -134,10 +155,19 @@
     private ObjectNode fleet() throws IOException {
         ObjectNode all = JSON.createObjectNode();
         ArrayNode agents = all.putArray("agents");
-        agents.add(instances().put("api", address().getAddress().getHostAddress() + ":" + address().getPort()).put("status", "alive").put("report_ms_ago", 0));
+        agents.add(instances()
+                .put(
+                        "api",
+                        address().getAddress().getHostAddress() + ":"
+                                + address().getPort())
+                .put("status", "alive")
+                .put("report_ms_ago", 0));
         for (Neighbours.Known known : neighbours == null ? List.<Neighbours.Known>of() : neighbours.all()) {
-            ObjectNode one = agents.addObject().put("host", known.agent().name()).put("api", known.agent().api())
-                    .put("status", known.agent().status().name().toLowerCase(Locale.ROOT)).put("status_ms", known.changedAgo().toMillis());
+            ObjectNode one = agents.addObject()
+                    .put("host", known.agent().name())
+                    .put("api", known.agent().api())
+                    .put("status", known.agent().status().name().toLowerCase(Locale.ROOT))
+                    .put("status_ms", known.changedAgo().toMillis());
             if (known.report() != null) {
                 long ago = known.reportAgo().toMillis();
                 one.put("report_ms_ago", ago);
@@ -156,21 +186,30 @@
             instance.put("heard_ms_ago", instance.path("heard_ms_ago").asLong() + ago);
         }
         if (ago > OLD.toMillis()) {
-            instance.put("why", "its agent " + known.agent().name() + " (" + known.agent().status().name().toLowerCase(Locale.ROOT) + ") not reached for "
-                    + ago + " ms; it was " + instance.path("state").asText() + " then");
+            instance.put(
+                    "why",
+                    "its agent " + known.agent().name() + " ("
+                            + known.agent().status().name().toLowerCase(Locale.ROOT) + ") not reached for " + ago
+                            + " ms; it was " + instance.path("state").asText() + " then");
             instance.put("state", Keeper.State.UNREACHED.name().toLowerCase(Locale.ROOT));
         }
         return instance;
     }
 
     private ObjectNode order(Orders.Order order) {
-        ObjectNode node = JSON.createObjectNode().put("id", order.id()).put("verb", order.verb().name().toLowerCase(Locale.ROOT)).put("over", order.over());
+        ObjectNode node = JSON.createObjectNode()
+                .put("id", order.id())
+                .put("verb", order.verb().name().toLowerCase(Locale.ROOT))
+                .put("over", order.over());
         ArrayNode each = node.putArray("instances");
         for (int i = 0; i < order.instances().size(); i++) {
             int index = order.instances().get(i);
             Keeper keeper = agent.keeper(index);
-            each.addObject().put("name", agent.hosted().get(index).name()).put("end", order.end(i).name().toLowerCase(Locale.ROOT).replace('_', ' '))
-                    .put("state", keeper.state(loop.clock().now()).name().toLowerCase(Locale.ROOT)).put("why", keeper.why(loop.clock().now()))
+            each.addObject()
+                    .put("name", agent.hosted().get(index).name())
+                    .put("end", order.end(i).name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .put("state", keeper.state(loop.clock().now()).name().toLowerCase(Locale.ROOT))
+                    .put("why", keeper.why(loop.clock().now()))
                     .put("in_hand", keeper.told() == null ? 0 : keeper.told().inHand());
         }
         return node;
@@ -182,7 +221,8 @@
         private Connection connection;
         private boolean said, written;
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             String text = StandardCharsets.UTF_8.decode(in.duplicate()).toString();
             int head = text.indexOf("\r\n\r\n");
             if (said || head < 0) {
@@ -197,7 +237,8 @@
             for (String line : lines) {
                 String low = line.toLowerCase(Locale.ROOT);
                 if (low.matches("content-length: *[0-9]{1,6}")) {
-                    length = Integer.parseInt(low.substring(low.indexOf(':') + 1).strip());
+                    length =
+                            Integer.parseInt(low.substring(low.indexOf(':') + 1).strip());
                 } else if (low.startsWith("authorization: bearer ")) {
                     known = MessageDigest.isEqual(line.substring(22).strip().getBytes(StandardCharsets.UTF_8), secret);
                 }
@@ -209,7 +250,10 @@
             said = true;
             String[] words = lines[0].split(" ");
             if (words.length != 3 || !known) {
-                say(words.length != 3 ? 400 : 401, error(words.length != 3 ? "not HTTP" : "the secret is missing or another"), Duration.ZERO);
+                say(
+                        words.length != 3 ? 400 : 401,
+                        error(words.length != 3 ? "not HTTP" : "the secret is missing or another"),
+                        Duration.ZERO);
                 return;
             }
             asked(words[0], words[1], text.substring(head + 4));
@@ -231,16 +275,24 @@
             } else if (method.equals("GET") && path.matches("/events(\\?after=[0-9]{1,18})?")) {
                 long after = path.indexOf('=') < 0 ? 0 : Long.parseLong(path.substring(path.indexOf('=') + 1));
                 look(() -> {
-                    ObjectNode all = JSON.createObjectNode().put("host", host).put("now_ms", loop.clock().now().toMillis());
+                    ObjectNode all = JSON.createObjectNode()
+                            .put("host", host)
+                            .put("now_ms", loop.clock().now().toMillis());
                     ArrayNode list = all.putArray("events");
-                    agent.events(after).forEach(event -> list.addObject().put("number", event.number()).put("at_ms", event.at().toMillis())
-                            .put("instance", event.instance()).put("what", event.what()));
+                    agent.events(after).forEach(event -> list.addObject()
+                            .put("number", event.number())
+                            .put("at_ms", event.at().toMillis())
+                            .put("instance", event.instance())
+                            .put("what", event.what()));
                     say(200, all, Duration.ZERO);
                 });
             } else if (method.equals("GET") && path.startsWith("/orders/")) {
                 look(() -> {
                     Orders.Order found = agent.find(path.substring(8));
-                    say(found == null ? 404 : 200, found == null ? error("no order of that id is known") : HostFront.this.order(found), Duration.ZERO);
+                    say(
+                            found == null ? 404 : 200,
+                            found == null ? error("no order of that id is known") : HostFront.this.order(found),
+                            Duration.ZERO);
                 });
             } else {
                 say(404, error("nothing is at " + path), Duration.ZERO);
@@ -256,7 +308,11 @@
         }
 
         private void look(Runnable run) {
-            desk.came(loop.clock().now(), null, run, stayAway -> say(503, error("turned away, nothing was done"), stayAway));
+            desk.came(
+                    loop.clock().now(),
+                    null,
+                    run,
+                    stayAway -> say(503, error("turned away, nothing was done"), stayAway));
         }
 
         private void order(String body) {
@@ -289,18 +345,30 @@
                 return;
             }
             if (agent.behind() && agent.find(id) == null) {
-                say(503, error("this agent was held up, and the order may be an old one; nothing was done, send it again"), Duration.ofSeconds(1));
+                say(
+                        503,
+                        error(
+                                "this agent was held up, and the order may be an old one; nothing was done, send it again"),
+                        Duration.ofSeconds(1));
                 return;
             }
-            desk.came(loop.clock().now(), id, () -> {
-                if (!agent.room()) {
-                    say(503, error("too many orders are under way"), Duration.ofSeconds(1));
-                    return;
-                }
-                Orders.Order taken = agent.order(id, verb, atOnce, instances);
-                say(taken == null ? 507 : 200, taken == null ? error("the agent cannot write its state; the order was not taken") : HostFront.this.order(taken),
-                        Duration.ZERO);
-            }, stayAway -> say(503, error("turned away, nothing was done"), stayAway));
+            desk.came(
+                    loop.clock().now(),
+                    id,
+                    () -> {
+                        if (!agent.room()) {
+                            say(503, error("too many orders are under way"), Duration.ofSeconds(1));
+                            return;
+                        }
+                        Orders.Order taken = agent.order(id, verb, atOnce, instances);
+                        say(
+                                taken == null ? 507 : 200,
+                                taken == null
+                                        ? error("the agent cannot write its state; the order was not taken")
+                                        : HostFront.this.order(taken),
+                                Duration.ZERO);
+                    },
+                    stayAway -> say(503, error("turned away, nothing was done"), stayAway));
         }
 
         private ObjectNode error(String why) {
@@ -309,17 +377,21 @@
 
         private void say(int status, JsonNode body, Duration stayAway) {
             byte[] octets = body.toString().getBytes(StandardCharsets.UTF_8);
-            String head = "HTTP/1.1 " + status + (status == 200 ? " OK" : " Not done") + "\r\nContent-Type: application/json\r\nConnection: close\r\n"
-                    + (stayAway.isZero() ? "" : "Retry-After: " + Math.max(1, stayAway.toSeconds()) + "\r\n") + "Content-Length: " + octets.length + "\r\n\r\n";
+            String head = "HTTP/1.1 " + status + (status == 200 ? " OK" : " Not done")
+                    + "\r\nContent-Type: application/json\r\nConnection: close\r\n"
+                    + (stayAway.isZero() ? "" : "Retry-After: " + Math.max(1, stayAway.toSeconds()) + "\r\n")
+                    + "Content-Length: " + octets.length + "\r\n\r\n";
             connection.write(StandardCharsets.US_ASCII.encode(head), ByteBuffer.wrap(octets));
         }
 
-        @Override public void written() {
+        @Override
+        public void written() {
             written = true;
             connection.end(CloseReason.DONE);
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             written = true;
             open.remove(this);
             listener.gone();
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -23,8 +23,7 @@
 public final class HostAgent {
 
     /** Something that happened, numbered from 1. */
-    public record Event(long number, Duration at, String instance, String what) {
-    }
+    public record Event(long number, Duration at, String instance, String what) {}
 
     private static final Duration LOOK = Duration.ofMillis(100);
     private static final Duration VISIT = Duration.ofMillis(500);
@@ -51,7 +50,13 @@
     private boolean noteFailed;
 
     /** @param spread those that it launches at its start are launched over so long, so that they do not all begin at once */
-    public HostAgent(Loop loop, Ledger ledger, List<Hosted> hosted, Keeper.Stated stated, Duration spread, SplittableRandom chance,
+    public HostAgent(
+            Loop loop,
+            Ledger ledger,
+            List<Hosted> hosted,
+            Keeper.Stated stated,
+            Duration spread,
+            SplittableRandom chance,
             Consumer<String> log) {
         this.loop = loop;
         this.ledger = ledger;
@@ -109,7 +114,8 @@
             return true;
         } catch (IOException e) {
             if (!noteFailed) {
-                log.accept("the state cannot be written: " + e.getMessage() + "; nothing is launched and no order taken until it can");
+                log.accept("the state cannot be written: " + e.getMessage()
+                        + "; nothing is launched and no order taken until it can");
             }
             noteFailed = true;
             return false;
@@ -138,7 +144,8 @@
     private void look() {
         if (stalled()) {
             distrustUntil = now().plus(STALE);
-            log.accept("was stopped or held up for " + now().minus(lastLook).toMillis() + " ms; orders that came meanwhile are turned away");
+            log.accept("was stopped or held up for " + now().minus(lastLook).toMillis()
+                    + " ms; orders that came meanwhile are turned away");
         }
         lastLook = now();
         for (int i = 0; i < hosted.size(); i++) {
@@ -159,12 +166,15 @@
                     event(i, "killed");
                     Processes.signal(processes[i], true);
                 }
-                default -> { }
+                default -> {}
             }
             Keeper.State state = keeper.state(now());
             if (state != last[i]) {
-                event(i, (last[i] == null ? "" : last[i].name().toLowerCase(java.util.Locale.ROOT) + " -> ") + state.name().toLowerCase(java.util.Locale.ROOT)
-                        + (keeper.why(now()).isEmpty() ? "" : ": " + keeper.why(now())));
+                event(
+                        i,
+                        (last[i] == null ? "" : last[i].name().toLowerCase(java.util.Locale.ROOT) + " -> ")
+                                + state.name().toLowerCase(java.util.Locale.ROOT)
+                                + (keeper.why(now()).isEmpty() ? "" : ": " + keeper.why(now())));
                 last[i] = state;
             }
         }
@@ -186,7 +196,8 @@
         }
         try {
             Files.createDirectories(one.folder());
-            Processes.Known made = Processes.launch(one.command(), one.environment(), token, one.folder(), logFile(index));
+            Processes.Known made =
+                    Processes.launch(one.command(), one.environment(), token, one.folder(), logFile(index));
             processes[index] = made;
             keeper.there(now(), now());
             event(index, "launched, pid " + made.pid());
@@ -203,7 +214,8 @@
         for (int i = 0; i < hosted.size(); i++) {
             Keeper keeper = keepers.get(i);
             Told told = keeper.told();
-            boolean counts = told != null && told.phase().equals("warm") && keeper.state(now()) != Keeper.State.UNREACHED;
+            boolean counts =
+                    told != null && told.phase().equals("warm") && keeper.state(now()) != Keeper.State.UNREACHED;
             capacity[i] = counts ? told.capacity() : Double.NaN;
             cutLog(i);
             if (processes[i] != null && hosted.get(i).manage() != null && !visiting[i]) {
@@ -252,7 +264,9 @@
                     return null;
                 }
             }
-            instances.forEach(index -> event(index, verb.name().toLowerCase(java.util.Locale.ROOT) + (atOnce ? " at once" : "") + " ordered, " + id));
+            instances.forEach(index -> event(
+                    index,
+                    verb.name().toLowerCase(java.util.Locale.ROOT) + (atOnce ? " at once" : "") + " ordered, " + id));
         }
         return orders.take(now(), id, verb, atOnce, instances);
     }
--- a/src/main/java/merlinlever/host/run/Hosted.java
+++ b/src/main/java/merlinlever/host/run/Hosted.java
@@ -11,6 +11,13 @@
  * @param manage where it tells of itself, or null
  * @param logBytes of its log before it is cut
  */
-public record Hosted(String name, String kind, Map<String, String> labels, List<String> command, Map<String, String> environment, Path folder,
-        InetSocketAddress manage, boolean atStart, long logBytes) {
-}
+public record Hosted(
+        String name,
+        String kind,
+        Map<String, String> labels,
+        List<String> command,
+        Map<String, String> environment,
+        Path folder,
+        InetSocketAddress manage,
+        boolean atStart,
+        long logBytes) {}
--- a/src/main/java/merlinlever/host/run/Neighbours.java
+++ b/src/main/java/merlinlever/host/run/Neighbours.java
@@ -19,14 +19,13 @@
 public final class Neighbours {
 
     /** What is known of one agent; {@code report} is null before its first answer. */
-    public record Known(Views.Rumour agent, Duration changedAgo, JsonNode report, Duration reportAgo) {
-    }
+    public record Known(Views.Rumour agent, Duration changedAgo, JsonNode report, Duration reportAgo) {}
 
-    private record Report(JsonNode body, Duration at) {
-    }
+    private record Report(JsonNode body, Duration at) {}
 
     /** A report that is younger than this is not asked for again; of two thousand agents so many are asked at once. */
     private static final Duration FRESH = Duration.ofMillis(200);
+
     private static final int AT_ONCE = 64;
 
     private final Loop loop;
@@ -54,7 +53,9 @@
         for (Views.Rumour agent : members.views().all()) {
             Report report = reports.get(agent.name());
             boolean gone = agent.status() == Views.Status.DEAD || agent.status() == Views.Status.LEFT;
-            if (!agent.name().equals(members.views().self()) && !gone && (report == null || now.minus(report.at).compareTo(FRESH) > 0)) {
+            if (!agent.name().equals(members.views().self())
+                    && !gone
+                    && (report == null || now.minus(report.at).compareTo(FRESH) > 0)) {
                 toAsk.add(agent);
             }
         }
@@ -91,7 +92,10 @@
         for (Views.Rumour agent : members.views().all()) {
             if (!agent.name().equals(members.views().self())) {
                 Report report = reports.get(agent.name());
-                all.add(new Known(agent, members.changedAgo(now, agent.name()), report == null ? null : report.body,
+                all.add(new Known(
+                        agent,
+                        members.changedAgo(now, agent.name()),
+                        report == null ? null : report.body,
                         report == null ? null : now.minus(report.at)));
             }
         }
--- a/src/main/java/merlinlever/host/run/Processes.java
+++ b/src/main/java/merlinlever/host/run/Processes.java
@@ -16,15 +16,16 @@
     public static final String TOKEN = "MERLINLEVER_LAUNCH";
 
     /** A process that cannot be taken for a later one with its pid. */
-    public record Known(long pid, long startTicks) {
-    }
+    public record Known(long pid, long startTicks) {}
 
-    private Processes() {
-    }
+    private Processes() {}
 
     /** Starts a command; its output goes to the end of the file. */
-    static Known launch(List<String> command, Map<String, String> environment, String token, Path folder, Path log) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).directory(folder.toFile())
+    static Known launch(List<String> command, Map<String, String> environment, String token, Path folder, Path log)
+            throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .directory(folder.toFile())
                 .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
@@ -56,9 +57,11 @@
     static Known byToken(String token) {
         String wanted = TOKEN + "=" + token;
         try (Stream<Path> all = Files.list(Path.of("/proc"))) {
-            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+")).toList()) {
+            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
+                    .toList()) {
                 try {
-                    String environment = new String(Files.readAllBytes(each.resolve("environ")), StandardCharsets.ISO_8859_1);
+                    String environment =
+                            new String(Files.readAllBytes(each.resolve("environ")), StandardCharsets.ISO_8859_1);
                     for (String variable : environment.split("\0")) {
                         if (variable.equals(wanted)) {
                             long pid = Long.parseLong(each.getFileName().toString());
@@ -81,6 +84,7 @@
     /** Asks it to leave, or kills it; false where it is not there any more. */
     static boolean signal(Known process, boolean kill) {
         Optional<ProcessHandle> handle = alive(process) ? ProcessHandle.of(process.pid) : Optional.empty();
-        return handle.isPresent() && (kill ? handle.get().destroyForcibly() : handle.get().destroy());
+        return handle.isPresent()
+                && (kill ? handle.get().destroyForcibly() : handle.get().destroy());
     }
 }
--- a/src/main/java/merlinlever/host/run/Visit.java
+++ b/src/main/java/merlinlever/host/run/Visit.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import merlinlever.host.state.Told;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 
 /** Asks an instance, or another agent, once for one JSON object; no answer in time is none. */
@@ -23,6 +23,7 @@
     static final Duration PATIENCE = Duration.ofSeconds(1);
     /** Octets of an answer: an instance tells little, an agent of all its instances. */
     private static final int INSTANCE = 32 * 1024, AGENT = 2 << 20;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final int most;
@@ -54,12 +55,14 @@
         pay(loop, address, "/instances", "Authorization: Bearer " + secret + "\r\n", AGENT, done);
     }
 
-    private static void pay(Loop loop, InetSocketAddress address, String path, String head, int most, Consumer<JsonNode> done) {
+    private static void pay(
+            Loop loop, InetSocketAddress address, String path, String head, int most, Consumer<JsonNode> done) {
         Visit visit = new Visit(most, done);
         visit.late = loop.in(PATIENCE, () -> visit.end(null));
         try {
             visit.connection = Connection.to(loop, address, visit, most, 4096, PATIENCE);
-            visit.connection.write(StandardCharsets.US_ASCII.encode("GET " + path + " HTTP/1.1\r\nHost: it\r\n" + head + "\r\n"));
+            visit.connection.write(
+                    StandardCharsets.US_ASCII.encode("GET " + path + " HTTP/1.1\r\nHost: it\r\n" + head + "\r\n"));
         } catch (IOException e) {
             visit.end(null);
         }
@@ -77,9 +80,12 @@
         done.accept(body);
     }
 
-    @Override public void read(ByteBuffer in) {
+    @Override
+    public void read(ByteBuffer in) {
         // The head alone is looked at until all is there.
-        String head = StandardCharsets.ISO_8859_1.decode(in.slice(in.position(), Math.min(in.remaining(), 1024))).toString();
+        String head = StandardCharsets.ISO_8859_1
+                .decode(in.slice(in.position(), Math.min(in.remaining(), 1024)))
+                .toString();
         int headEnd = head.indexOf("\r\n\r\n");
         int at = head.indexOf("Content-Length: ");
         if (headEnd < 0 || at < 0 || at > headEnd) {
@@ -89,7 +95,8 @@
             return;
         }
         try {
-            int length = Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)).strip());
+            int length = Integer.parseInt(
+                    head.substring(at + 16, head.indexOf('\r', at)).strip());
             if (length > most - headEnd - 4) {
                 end(null);
             } else if (in.remaining() - headEnd - 4 >= length) {
@@ -104,21 +111,46 @@
 
     private static Told told(JsonNode node) {
         Map<String, Long> reasons = new TreeMap<>();
-        node.path("pushed_back").properties().forEach(entry -> reasons.put(entry.getKey(), entry.getValue().asLong()));
+        node.path("pushed_back")
+                .properties()
+                .forEach(entry -> reasons.put(entry.getKey(), entry.getValue().asLong()));
         List<Told.Share> shares = new ArrayList<>();
         for (JsonNode each : node.path("recovery").path("budgets")) {
-            shares.add(new Told.Share(each.path("name").asText(), each.path("whole").asLong(), each.path("share").asLong(), each.path("left_ms").asLong(),
-                    each.path("in_use").asLong(), each.path("leader").asText(), each.path("term").asLong()));
+            shares.add(new Told.Share(
+                    each.path("name").asText(),
+                    each.path("whole").asLong(),
+                    each.path("share").asLong(),
+                    each.path("left_ms").asLong(),
+                    each.path("in_use").asLong(),
+                    each.path("leader").asText(),
+                    each.path("term").asLong()));
         }
         JsonNode seen = node.path("recovery").path("view");
-        Told.View view = !seen.isObject() ? null : new Told.View(seen.path("standing").asText(), seen.path("since_ms").asLong(),
-                seen.path("view").asText(), seen.path("digest").asText());
-        return new Told(node.required("phase").asText(), node.path("healthy").asBoolean(), node.path("hung").asBoolean(), node.path("held").asInt(),
-                node.path("running").asInt(), node.path("in_hand").asInt(), node.path("capacity").asDouble(Double.NaN), node.path("avg").asDouble(),
-                node.path("level").asDouble(), reasons, node.path("broken_off").asLong(), shares, view);
+        Told.View view = !seen.isObject()
+                ? null
+                : new Told.View(
+                        seen.path("standing").asText(),
+                        seen.path("since_ms").asLong(),
+                        seen.path("view").asText(),
+                        seen.path("digest").asText());
+        return new Told(
+                node.required("phase").asText(),
+                node.path("healthy").asBoolean(),
+                node.path("hung").asBoolean(),
+                node.path("held").asInt(),
+                node.path("running").asInt(),
+                node.path("in_hand").asInt(),
+                node.path("capacity").asDouble(Double.NaN),
+                node.path("avg").asDouble(),
+                node.path("level").asDouble(),
+                reasons,
+                node.path("broken_off").asLong(),
+                shares,
+                view);
     }
 
-    @Override public void ended(CloseReason how) {
+    @Override
+    public void ended(CloseReason how) {
         end(null);
     }
 }
--- a/src/main/java/merlinlever/host/state/Keeper.java
+++ b/src/main/java/merlinlever/host/state/Keeper.java
@@ -35,7 +35,12 @@
     }
 
     /** What is to be done with the process. */
-    public enum Act { NOTHING, LAUNCH, LEAVE, KILL }
+    public enum Act {
+        NOTHING,
+        LAUNCH,
+        LEAVE,
+        KILL
+    }
 
     /**
      * What is stated.
@@ -45,10 +50,20 @@
      * @param budget deaths within the span after which it is given up
      * @param silentAfter without an answer for so long it is not reached
      */
-    public record Stated(Duration firstPause, Duration longestPause, Duration steadyAfter, int budget, Duration budgetSpan,
+    public record Stated(
+            Duration firstPause,
+            Duration longestPause,
+            Duration steadyAfter,
+            int budget,
+            Duration budgetSpan,
             Duration silentAfter) {
-        public static final Stated USUAL = new Stated(Duration.ofMillis(200), Duration.ofSeconds(30), Duration.ofSeconds(60), 5,
-                Duration.ofMinutes(10), Duration.ofMillis(2500));
+        public static final Stated USUAL = new Stated(
+                Duration.ofMillis(200),
+                Duration.ofSeconds(30),
+                Duration.ofSeconds(60),
+                5,
+                Duration.ofMinutes(10),
+                Duration.ofMillis(2500));
     }
 
     private final Stated stated;
@@ -219,28 +234,42 @@
             return State.THERE;
         }
         Duration heard = toldAt == null ? launchedAt : toldAt;
-        boolean silent = now.minus(heard).compareTo(toldAt == null ? stated.silentAfter.multipliedBy(4) : stated.silentAfter) > 0;
+        boolean silent =
+                now.minus(heard).compareTo(toldAt == null ? stated.silentAfter.multipliedBy(4) : stated.silentAfter)
+                        > 0;
         if (silent) {
             return State.UNREACHED;
         }
         if (told == null) {
             return State.STARTING;
         }
-        return told.hung() ? State.HUNG : switch (told.phase()) {
-            case "leaving" -> State.DRAINING;
-            case "starting" -> State.STARTING;
-            case "cold" -> State.COLD;
-            default -> slow ? State.SLOW : State.WARM;
-        };
+        return told.hung()
+                ? State.HUNG
+                : switch (told.phase()) {
+                    case "leaving" -> State.DRAINING;
+                    case "starting" -> State.STARTING;
+                    case "cold" -> State.COLD;
+                    default -> slow ? State.SLOW : State.WARM;
+                };
     }
 
     /** One sentence for people about why it is so. */
     public String why(Duration now) {
         return switch (state(now)) {
-            case DOWN -> wanted ? String.format(Locale.ROOT, "%s; launched again in %d ms", lastEnd, Math.max(0, launchAt.minus(now).toMillis()))
+            case DOWN -> wanted
+                    ? String.format(
+                            Locale.ROOT,
+                            "%s; launched again in %d ms",
+                            lastEnd,
+                            Math.max(0, launchAt.minus(now).toMillis()))
                     : lastEnd.isEmpty() ? "not wanted" : "not wanted; " + lastEnd;
             case GIVEN_UP -> "died " + deaths.size() + " times, last: " + lastEnd + "; start it by hand";
-            case UNREACHED -> toldAt == null ? "has not answered since it was launched" : String.format(Locale.ROOT, "not reached for %d ms", now.minus(toldAt).toMillis());
+            case UNREACHED -> toldAt == null
+                    ? "has not answered since it was launched"
+                    : String.format(
+                            Locale.ROOT,
+                            "not reached for %d ms",
+                            now.minus(toldAt).toMillis());
             case DRAINING -> told == null ? "leaving" : told.inHand() + " operations to be answered when last heard";
             case SLOW -> "its capacity is far under that of its peers";
             case HUNG -> "no run gets on";
--- a/src/main/java/merlinlever/host/state/Orders.java
+++ b/src/main/java/merlinlever/host/state/Orders.java
@@ -13,10 +13,20 @@
 public final class Orders {
 
     /** What operators ask for. */
-    public enum Verb { START, DRAIN, STOP, RESTART }
+    public enum Verb {
+        START,
+        DRAIN,
+        STOP,
+        RESTART
+    }
 
     /** How far an order is with one instance. */
-    public enum End { UNDER_WAY, DONE, SUPERSEDED, GIVEN_UP }
+    public enum End {
+        UNDER_WAY,
+        DONE,
+        SUPERSEDED,
+        GIVEN_UP
+    }
 
     /** One order. */
     public static final class Order {
@@ -34,7 +44,8 @@
             this.instances = List.copyOf(instances);
             ends = new End[instances.size()];
             java.util.Arrays.fill(ends, End.UNDER_WAY);
-            launchesBefore = instances.stream().mapToLong(i -> keepers.get(i).launches()).toArray();
+            launchesBefore =
+                    instances.stream().mapToLong(i -> keepers.get(i).launches()).toArray();
         }
 
         public String id() {
@@ -143,11 +154,14 @@
     private End end(java.time.Duration at, Order order, int place) {
         Keeper keeper = keepers.get(order.instances.get(place));
         Keeper.State state = keeper.state(at);
-        boolean serving = state == Keeper.State.COLD || state == Keeper.State.WARM || state == Keeper.State.SLOW
+        boolean serving = state == Keeper.State.COLD
+                || state == Keeper.State.WARM
+                || state == Keeper.State.SLOW
                 || state == Keeper.State.THERE;
         return switch (order.verb) {
             case START -> state == Keeper.State.GIVEN_UP ? End.GIVEN_UP : serving ? End.DONE : End.UNDER_WAY;
-            case RESTART -> state == Keeper.State.GIVEN_UP ? End.GIVEN_UP
+            case RESTART -> state == Keeper.State.GIVEN_UP
+                    ? End.GIVEN_UP
                     : serving && keeper.launches() > order.launchesBefore[place] ? End.DONE : End.UNDER_WAY;
             default -> keeper.there() ? End.UNDER_WAY : End.DONE;
         };
--- a/src/main/java/merlinlever/host/state/Peers.java
+++ b/src/main/java/merlinlever/host/state/Peers.java
@@ -23,7 +23,8 @@
 
     /** @param capacity of each, NaN where it is cold or not known */
     public void look(double[] capacity) {
-        double[] known = Arrays.stream(capacity).filter(c -> !Double.isNaN(c)).sorted().toArray();
+        double[] known =
+                Arrays.stream(capacity).filter(c -> !Double.isNaN(c)).sorted().toArray();
         for (int i = 0; i < capacity.length; i++) {
             if (known.length < LEAST || Double.isNaN(capacity[i])) {
                 against[i] = 0;
--- a/src/main/java/merlinlever/host/state/Roll.java
+++ b/src/main/java/merlinlever/host/state/Roll.java
@@ -17,7 +17,12 @@
 public final class Roll {
 
     /** How far it is. */
-    public enum Phase { WATCHING, ROLLING, DONE, STOPPED }
+    public enum Phase {
+        WATCHING,
+        ROLLING,
+        DONE,
+        STOPPED
+    }
 
     /**
      * One instance as it was last seen.
@@ -39,8 +44,7 @@
      * @param watch so long callers are watched before the first batch and behind each
      * @param worse the roll is stopped where so many times as many are turned away as before it
      */
-    public record Stated(int batch, double mostAway, Duration warmWithin, Duration watch, double worse) {
-    }
+    public record Stated(int batch, double mostAway, Duration warmWithin, Duration watch, double worse) {}
 
     /** Turned away a second that nobody minds, so that one in a quiet fleet is no reason to stop. */
     private static final double UNMINDED = 1;
@@ -123,7 +127,8 @@
             }
             double is = rate(now);
             if (is > UNMINDED + stated.worse * usual) {
-                return stop(String.format(Locale.ROOT, "%.1f operations a second are turned away, %.1f were before", is, usual));
+                return stop(String.format(
+                        Locale.ROOT, "%.1f operations a second are turned away, %.1f were before", is, usual));
             }
         }
         if (todo.isEmpty()) {
@@ -139,7 +144,9 @@
         for (Seen seen : fleet) {
             Seen before = last.put(seen.name, seen);
             if (before != null) {
-                turnedAway += seen.launches == before.launches && seen.turnedAway >= before.turnedAway ? seen.turnedAway - before.turnedAway : seen.turnedAway;
+                turnedAway += seen.launches == before.launches && seen.turnedAway >= before.turnedAway
+                        ? seen.turnedAway - before.turnedAway
+                        : seen.turnedAway;
             }
         }
     }
@@ -164,7 +171,8 @@
                 since = now;
                 turnedAway = 0;
             } else if (now.minus(batchAt).compareTo(stated.warmWithin) > 0) {
-                return seen.name + " is not warm " + stated.warmWithin.toSeconds() + " s after it was restarted, but " + seen.state.name().toLowerCase(Locale.ROOT);
+                return seen.name + " is not warm " + stated.warmWithin.toSeconds() + " s after it was restarted, but "
+                        + seen.state.name().toLowerCase(Locale.ROOT);
             }
         }
         return null;
@@ -172,8 +180,14 @@
 
     private List<String> next(Duration now, List<Seen> fleet) {
         int allowed = Math.max(1, (int) (stated.mostAway * fleet.size()));
-        List<String> away = fleet.stream().filter(seen -> !seen.serves()).map(Seen::name).toList();
-        int room = Math.min(stated.batch, allowed - (int) away.stream().filter(name -> !todo.contains(name)).count());
+        List<String> away =
+                fleet.stream().filter(seen -> !seen.serves()).map(Seen::name).toList();
+        int room = Math.min(
+                stated.batch,
+                allowed
+                        - (int) away.stream()
+                                .filter(name -> !todo.contains(name))
+                                .count());
         // One that is away already and is to be restarted takes nobody else away.
         List<String> chosen = new ArrayList<>();
         String host = null;
@@ -192,7 +206,8 @@
             }
         }
         if (chosen.isEmpty()) {
-            why = away.size() + " of " + fleet.size() + " are away (" + String.join(", ", away.subList(0, Math.min(5, away.size()))) + "), at most " + allowed
+            why = away.size() + " of " + fleet.size() + " are away ("
+                    + String.join(", ", away.subList(0, Math.min(5, away.size()))) + "), at most " + allowed
                     + " may be: waiting";
             return List.of();
         }
--- a/src/main/java/merlinlever/host/state/Told.java
+++ b/src/main/java/merlinlever/host/state/Told.java
@@ -13,19 +13,39 @@
  * @param shares of the limits of the whole fleet
  * @param view its standing among the others of its fleet, or null where it has none
  */
-public record Told(String phase, boolean healthy, boolean hung, int held, int running, int inHand, double capacity, double avg, double level,
-        Map<String, Long> pushedBack, long brokenOff, List<Share> shares, View view) {
+public record Told(
+        String phase,
+        boolean healthy,
+        boolean hung,
+        int held,
+        int running,
+        int inHand,
+        double capacity,
+        double avg,
+        double level,
+        Map<String, Long> pushedBack,
+        long brokenOff,
+        List<Share> shares,
+        View view) {
 
     /** Its share of one limit, how long that holds still, and who divides under which term. */
-    public record Share(String name, long whole, long share, long leftMs, long inUse, String leader, long term) {
-    }
+    public record Share(String name, long whole, long share, long leftMs, long inUse, String leader, long term) {}
 
     /** How far its word goes since when, and which view of the fleet it holds. */
-    public record View(String standing, long sinceMs, String number, String digest) {
-    }
+    public record View(String standing, long sinceMs, String number, String digest) {}
 
-    public Told(String phase, boolean healthy, boolean hung, int held, int running, int inHand, double capacity, double avg, double level,
-            Map<String, Long> pushedBack, long brokenOff) {
+    public Told(
+            String phase,
+            boolean healthy,
+            boolean hung,
+            int held,
+            int running,
+            int inHand,
+            double capacity,
+            double avg,
+            double level,
+            Map<String, Long> pushedBack,
+            long brokenOff) {
         this(phase, healthy, hung, held, running, inHand, capacity, avg, level, pushedBack, brokenOff, List.of(), null);
     }
 }
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -7,8 +7,8 @@
 import merlinlever.core.Backend;
 import merlinlever.core.Caller;
 import merlinlever.core.Work;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 
 /** One connection of an edge node: one message at a time, answered before the next is looked at. */
 final class EdgeConnection implements Connection.User, Caller {
@@ -20,7 +20,14 @@
     private static final byte[] GO_ON = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What it is about: before its first whole message, waiting for one, reading one, having one in hand, answering, awaiting its end. */
-    enum State { NEW, IDLE, RECEIVING, IN_HAND, ANSWERING, LINGERING }
+    enum State {
+        NEW,
+        IDLE,
+        RECEIVING,
+        IN_HAND,
+        ANSWERING,
+        LINGERING
+    }
 
     private final EdgeNodes owner;
     private final Head head = new Head();
@@ -69,7 +76,8 @@
         }
     }
 
-    @Override public void read(ByteBuffer in) {
+    @Override
+    public void read(ByteBuffer in) {
         if (state == State.LINGERING) {
             in.position(in.limit());
         } else if (state == State.NEW || state == State.IDLE || state == State.RECEIVING) {
@@ -172,24 +180,33 @@
         work = state == State.IN_HAND ? taken : null;
     }
 
-    @Override public void satisfied(byte[] result) {
+    @Override
+    public void satisfied(byte[] result) {
         answer(200, result, "");
     }
 
-    @Override public void pushedBack(boolean nowhereElse, Duration stayAway) {
+    @Override
+    public void pushedBack(boolean nowhereElse, Duration stayAway) {
         String fields = stayAway.isZero() ? "" : "Srv-Wait-Ms: " + Math.max(1, stayAway.toMillis()) + "\r\n";
         answer(503, NOTHING, nowhereElse ? fields + "Srv-Last: 1\r\n" : fields);
     }
 
-    @Override public void brokenOff() {
+    @Override
+    public void brokenOff() {
         answer(500, NOTHING, "");
     }
 
     private void answer(int status, byte[] body, String fields) {
         work = null;
         last |= owner.closing();
-        StringBuilder out = new StringBuilder(120).append("HTTP/1.1 ").append(status).append(' ')
-                .append(reason(status)).append("\r\nContent-Length: ").append(body.length).append("\r\n");
+        StringBuilder out = new StringBuilder(120)
+                .append("HTTP/1.1 ")
+                .append(status)
+                .append(' ')
+                .append(reason(status))
+                .append("\r\nContent-Length: ")
+                .append(body.length)
+                .append("\r\n");
         out.append(owner.level()).append(fields).append(last ? "Connection: close\r\n\r\n" : "\r\n");
         become(State.ANSWERING);
         connection.write(ByteBuffer.wrap(out.toString().getBytes(StandardCharsets.US_ASCII)), ByteBuffer.wrap(body));
@@ -210,7 +227,8 @@
         };
     }
 
-    @Override public void written() {
+    @Override
+    public void written() {
         if (state != State.ANSWERING) {
             return;
         }
@@ -223,7 +241,8 @@
         connection.readAgain();
     }
 
-    @Override public void ended(CloseReason how) {
+    @Override
+    public void ended(CloseReason how) {
         Work open = work;
         work = null;
         owner.gone(this, state);
--- a/src/main/java/merlinlever/http/EdgeNodes.java
+++ b/src/main/java/merlinlever/http/EdgeNodes.java
@@ -13,8 +13,8 @@
 import merlinlever.core.Backend;
 import merlinlever.core.Stated;
 import merlinlever.net.Clock;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Listener;
 import merlinlever.net.Loop;
 
@@ -25,19 +25,23 @@
     static final String HEALTH = "/status/live";
 
     /** What may be shut with nobody waiting for an answer. */
-    private static final List<EdgeConnection.State> RESTING = List.of(EdgeConnection.State.NEW, EdgeConnection.State.IDLE,
-            EdgeConnection.State.RECEIVING);
+    private static final List<EdgeConnection.State> RESTING =
+            List.of(EdgeConnection.State.NEW, EdgeConnection.State.IDLE, EdgeConnection.State.RECEIVING);
+
     private static final Duration SWEEP = Duration.ofMillis(100);
     private static final Duration SLOWEST = Duration.ofSeconds(5);
     /** Whoever connects is to hear something within 3 s; who has said nothing whole so long after it is no edge node. */
     private static final Duration FIRST = Duration.ofMillis(2500);
+
     private static final Duration LINGER = Duration.ofSeconds(1);
     /** Out of room: what was shut has at least so long for what crosses that, and these states are shut after so long. */
     private static final Duration CROSSING = Duration.ofMillis(50);
+
     private static final Duration SILENT = Duration.ofMillis(250);
     private static final Duration SLOW = Duration.ofSeconds(1);
     /** So many connections, one part of them, are kept free for whoever comes next. */
     private static final int FREE_PART = 8;
+
     private static final int LEAST_FREE = 4;
     /** A stall, of the process or the machine, counts as no more than this: nothing was read meanwhile. */
     private static final Duration LONGEST_STALL = Duration.ofMillis(500);
@@ -72,8 +76,13 @@
 
     public void listen(InetSocketAddress address, int mostConnections) throws IOException {
         mostKept = mostConnections - Math.min(Math.max(LEAST_FREE, mostConnections / FREE_PART), mostConnections / 2);
-        listener = new Listener(loop, address, mostConnections, channel -> take(user -> Connection.accepted(loop, channel,
-                user, EdgeConnection.BUFFER, EdgeConnection.MOST_QUEUED)), this::makeRoom);
+        listener = new Listener(
+                loop,
+                address,
+                mostConnections,
+                channel -> take(user ->
+                        Connection.accepted(loop, channel, user, EdgeConnection.BUFFER, EdgeConnection.MOST_QUEUED)),
+                this::makeRoom);
         listener.accept();
     }
 
@@ -217,7 +226,8 @@
 
     /** The one that is in the state for longest, if that is so long, or null. */
     private EdgeConnection oldest(EdgeConnection.State state, Duration least) {
-        Iterator<Map.Entry<EdgeConnection, Duration>> all = since.get(state).entrySet().iterator();
+        Iterator<Map.Entry<EdgeConnection, Duration>> all =
+                since.get(state).entrySet().iterator();
         Map.Entry<EdgeConnection, Duration> first = all.hasNext() ? all.next() : null;
         return first == null || first.getValue().plus(least).compareTo(awake()) > 0 ? null : first.getKey();
     }
--- a/src/main/java/merlinlever/http/Fields.java
+++ b/src/main/java/merlinlever/http/Fields.java
@@ -30,8 +30,12 @@
         double cost = head.has(Field.COST) ? head.number(Field.COST) : 0;
         double rank = head.has(Field.RANK) ? head.number(Field.RANK) : 0;
         boolean marked = "fingerprinted".equals(given.get("tariffs." + index + ".kind"));
-        boolean wrong = !head.hex(Field.ID, 16) || time < 0 || time > LATEST || !(kb > 0 && kb < LARGEST_KB)
-                || !(cost >= 0 && cost < LONGEST_WAIT) || !(rank >= 0 && rank < 1)
+        boolean wrong = !head.hex(Field.ID, 16)
+                || time < 0
+                || time > LATEST
+                || !(kb > 0 && kb < LARGEST_KB)
+                || !(cost >= 0 && cost < LONGEST_WAIT)
+                || !(rank >= 0 && rank < 1)
                 || head.has(Field.WAIT) && (wait < 0 || wait > LONGEST_WAIT)
                 || head.has(Field.FROM) && head.digits(Field.FROM) < 0
                 || (marked || head.has(Field.TOKEN)) && !head.hex(Field.TOKEN, 32)
@@ -44,10 +48,18 @@
             return null;
         }
         String id = head.text(Field.ID);
-        return new Backend.Asked(Long.parseUnsignedLong(id, 16), id, index, tariff, arrival,
-                wait < 0 ? null : arrival.plusMillis(wait), kb, cost > 0 ? Duration.ofNanos((long) (cost * 1e6)) : null,
+        return new Backend.Asked(
+                Long.parseUnsignedLong(id, 16),
+                id,
+                index,
+                tariff,
+                arrival,
+                wait < 0 ? null : arrival.plusMillis(wait),
+                kb,
+                cost > 0 ? Duration.ofNanos((long) (cost * 1e6)) : null,
                 head.has(Field.AGAIN) && head.text(Field.AGAIN).matches("1|true"),
                 marked ? head.text(Field.TOKEN).toLowerCase(Locale.ROOT) : null,
-                head.has(Field.KEY) ? head.text(Field.KEY) : null, body);
+                head.has(Field.KEY) ? head.text(Field.KEY) : null,
+                body);
     }
 }
