--- a/src/main/java/merlinlever/http/Head.java
+++ b/src/main/java/merlinlever/http/Head.java
@@ -12,14 +12,27 @@
 
     /** A head may take this much. */
     static final int LONGEST = 4096;
+
     static final int LONGEST_BODY = 2048;
 
     /** The fields that mean something here; any other is passed over. */
     // Nothing reads OWNER since tenant shares went; known, two that differ are still refused.
     enum Field {
-        LENGTH("content-length"), ENCODING("transfer-encoding"), CONNECTION("connection"), EXPECT("expect"),
-        ID("req-id"), TIME("req-time"), FROM("req-from"), WAIT("req-wait-ms"), COST("req-cost"), KB("req-kb"),
-        RANK("req-rank"), TOKEN("req-token"), KEY("req-key"), OWNER("req-owner"), AGAIN("req-retry");
+        LENGTH("content-length"),
+        ENCODING("transfer-encoding"),
+        CONNECTION("connection"),
+        EXPECT("expect"),
+        ID("req-id"),
+        TIME("req-time"),
+        FROM("req-from"),
+        WAIT("req-wait-ms"),
+        COST("req-cost"),
+        KB("req-kb"),
+        RANK("req-rank"),
+        TOKEN("req-token"),
+        KEY("req-key"),
+        OWNER("req-owner"),
+        AGAIN("req-retry");
 
         private final byte[] name;
 
@@ -113,8 +126,11 @@
     }
 
     private int token(int at, int end) {
-        while (at < end && (bytes[at] >= 'a' && bytes[at] <= 'z' || bytes[at] >= 'A' && bytes[at] <= 'Z'
-                || bytes[at] >= '0' && bytes[at] <= '9' || "!#$%&'*+-.^_`|~".indexOf(bytes[at]) >= 0)) {
+        while (at < end
+                && (bytes[at] >= 'a' && bytes[at] <= 'z'
+                        || bytes[at] >= 'A' && bytes[at] <= 'Z'
+                        || bytes[at] >= '0' && bytes[at] <= '9'
+                        || "!#$%&'*+-.^_`|~".indexOf(bytes[at]) >= 0)) {
             at++;
         }
         return at;
--- a/src/main/java/merlinlever/log/Log.java
+++ b/src/main/java/merlinlever/log/Log.java
@@ -54,7 +54,10 @@
 
     private void print(Instant now, String level, String text) {
         StringBuilder line = new StringBuilder(text.length() + 40);
-        line.append(now.truncatedTo(ChronoUnit.MILLIS)).append(' ').append(level).append(' ');
+        line.append(now.truncatedTo(ChronoUnit.MILLIS))
+                .append(' ')
+                .append(level)
+                .append(' ');
         for (int i = 0; i < text.length() && i < 500; i++) {
             line.append(text.charAt(i) < ' ' ? ' ' : text.charAt(i));
         }
--- a/src/main/java/merlinlever/manage/Manage.java
+++ b/src/main/java/merlinlever/manage/Manage.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Listener;
 import merlinlever.net.Loop;
 
@@ -40,7 +40,7 @@
     public Manage(Loop loop, InetSocketAddress address, Supplier<String> state) throws IOException {
         this.loop = loop;
         this.state = state;
-        listener = new Listener(loop, address, CONNECTIONS, this::accepted, () -> { });
+        listener = new Listener(loop, address, CONNECTIONS, this::accepted, () -> {});
         listener.accept();
         loop.every(LOOK, () -> List.copyOf(open).forEach(Visit::look));
     }
@@ -75,7 +75,8 @@
         private Connection connection;
         private boolean said;
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
             if (said || !text.contains("\r\n\r\n")) {
                 if (in.remaining() == MESSAGE) {
@@ -87,15 +88,18 @@
             said = true;
             String body = text.startsWith("GET /state HTTP/1.") ? state.get() : null;
             String head = "HTTP/1.1 " + (body != null ? "200 OK\r\nContent-Type: application/json" : "404 Not Found")
-                    + "\r\nConnection: close\r\nContent-Length: " + (body == null ? 0 : body.getBytes(StandardCharsets.UTF_8).length) + "\r\n\r\n";
+                    + "\r\nConnection: close\r\nContent-Length: "
+                    + (body == null ? 0 : body.getBytes(StandardCharsets.UTF_8).length) + "\r\n\r\n";
             connection.write(StandardCharsets.UTF_8.encode(head + (body == null ? "" : body)));
         }
 
-        @Override public void written() {
+        @Override
+        public void written() {
             connection.end(CloseReason.DONE);
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             open.remove(this);
             listener.gone();
         }
--- a/src/main/java/merlinlever/manage/Telling.java
+++ b/src/main/java/merlinlever/manage/Telling.java
@@ -9,8 +9,7 @@
     /** JSON has no figure for what no limit was learned of. */
     private static final double MOST = 1e9;
 
-    private Telling() {
-    }
+    private Telling() {}
 
     /**
      * @param inHand operations that are read and not yet answered
@@ -18,17 +17,39 @@
      * @param figures null where the module is not there yet
      * @param recovery a JSON object that says how far it has come back, or null where nothing is kept for a return
      */
-    public static String of(boolean leaving, boolean healthy, int inHand, long ageMs, Control.Figures figures, String recovery) {
-        StringBuilder text = new StringBuilder(512).append("{\"phase\":\"")
+    public static String of(
+            boolean leaving, boolean healthy, int inHand, long ageMs, Control.Figures figures, String recovery) {
+        StringBuilder text = new StringBuilder(512)
+                .append("{\"phase\":\"")
                 .append(leaving ? "leaving" : figures == null ? "starting" : figures.speedShare() < 1 ? "cold" : "warm")
-                .append("\",\"healthy\":").append(healthy).append(",\"in_hand\":").append(inHand).append(",\"age_ms\":").append(ageMs);
+                .append("\",\"healthy\":")
+                .append(healthy)
+                .append(",\"in_hand\":")
+                .append(inHand)
+                .append(",\"age_ms\":")
+                .append(ageMs);
         if (figures != null) {
-            text.append(",\"hung\":").append(figures.hung()).append(",\"held\":").append(figures.held()).append(",\"running\":")
-                    .append(figures.onCores()).append(",\"calls\":").append(figures.atCalls()).append(",\"capacity\":")
-                    .append(Math.min(MOST, figures.capacity())).append(",\"avg\":").append(figures.avg()).append(",\"level\":")
-                    .append(figures.level()).append(",\"broken_off\":").append(figures.brokenOff()).append(",\"pushed_back\":{");
+            text.append(",\"hung\":")
+                    .append(figures.hung())
+                    .append(",\"held\":")
+                    .append(figures.held())
+                    .append(",\"running\":")
+                    .append(figures.onCores())
+                    .append(",\"calls\":")
+                    .append(figures.atCalls())
+                    .append(",\"capacity\":")
+                    .append(Math.min(MOST, figures.capacity()))
+                    .append(",\"avg\":")
+                    .append(figures.avg())
+                    .append(",\"level\":")
+                    .append(figures.level())
+                    .append(",\"broken_off\":")
+                    .append(figures.brokenOff())
+                    .append(",\"pushed_back\":{");
             for (Control.Reason reason : Control.Reason.values()) {
-                text.append(reason.ordinal() == 0 ? "\"" : ",\"").append(reason.name().toLowerCase(Locale.ROOT)).append("\":")
+                text.append(reason.ordinal() == 0 ? "\"" : ",\"")
+                        .append(reason.name().toLowerCase(Locale.ROOT))
+                        .append("\":")
                         .append(figures.pushedBack().get(reason.ordinal()));
             }
             text.append('}');
--- a/src/main/java/merlinlever/measure/BudgetMeasure.java
+++ b/src/main/java/merlinlever/measure/BudgetMeasure.java
@@ -26,7 +26,10 @@
     }
 
     private static BudgetModel model(int n, long whole) {
-        return new BudgetModel(n, n, new Budget("calls", "calls", whole, Budget.Per.SECOND, LEASE, 0.01, Duration.ofSeconds(1), Map.of()));
+        return new BudgetModel(
+                n,
+                n,
+                new Budget("calls", "calls", whole, Budget.Per.SECOND, LEASE, 0.01, Duration.ofSeconds(1), Map.of()));
     }
 
     private static void run(BudgetModel model, long ms) {
@@ -38,9 +41,13 @@
 
     public void run() throws IOException, InterruptedException {
         Files.createDirectories(out);
-        StringBuilder page = new StringBuilder("# Measurements: budgets of the whole fleet\n\nMade by `java -jar target/merlinlever.jar measure budgets --out docs/measurements/budgets")
-                .append(quick ? " --quick" : "").append("`. The first two tables are simulated: the dividing modules on a network and clocks of the model's own "
-                        + "(1 to 40 ms a datagram, one in fifty up to 5 s, one in twenty doubled), leases of ").append(LEASE.toSeconds())
+        StringBuilder page = new StringBuilder(
+                        "# Measurements: budgets of the whole fleet\n\nMade by `java -jar target/merlinlever.jar measure budgets --out docs/measurements/budgets")
+                .append(quick ? " --quick" : "")
+                .append(
+                        "`. The first two tables are simulated: the dividing modules on a network and clocks of the model's own "
+                                + "(1 to 40 ms a datagram, one in fifty up to 5 s, one in twenty doubled), leases of ")
+                .append(LEASE.toSeconds())
                 .append(" s. The third is of real processes on loopback, leases of 1 s.\n\n");
         page.append(used().write(out, "share of the whole", java.util.List.of(0, 1), java.util.List.of(2), false));
         page.append(again().write(out, "ms", java.util.List.of(0), java.util.List.of(1, 2, 3), false));
@@ -50,8 +57,14 @@
 
     /** How much of the whole is held where so much of it is wanted, and what that costs. */
     private Table used() {
-        Table table = new Table("used", "Simulated: the whole held against demand and fleet size", "backends", "wanted, of the whole", "held, of what can be",
-                "octets a second and backend", "over the whole, at the most");
+        Table table = new Table(
+                "used",
+                "Simulated: the whole held against demand and fleet size",
+                "backends",
+                "wanted, of the whole",
+                "held, of what can be",
+                "octets a second and backend",
+                "over the whole, at the most");
         for (int n : quick ? new int[] {3, 10} : new int[] {3, 10, 30, 100, 300, 1000}) {
             for (double demand : new double[] {0.5, 1, 2}) {
                 long whole = 20L * n;
@@ -66,7 +79,12 @@
                 long began = model.now;
                 run(model, n >= 300 ? 10_000 : 30_000);
                 double can = Math.min(1, demand);
-                table.row(n, demand, model.used / (double) model.usable / can, model.octets * 1000.0 / (model.now - began) / n, Math.max(0, model.over));
+                table.row(
+                        n,
+                        demand,
+                        model.used / (double) model.usable / can,
+                        model.octets * 1000.0 / (model.now - began) / n,
+                        Math.max(0, model.over));
             }
         }
         return table;
@@ -74,8 +92,13 @@
 
     /** Until those that are there hold what they could, after one came, one was killed, and the one that divides was. */
     private Table again() {
-        Table table = new Table("again", "Simulated: ms until nine tenths of the whole are held again (all want more than there is)", "backends", "after one joins: it has its share",
-                "after a death", "after the death of the one that divides");
+        Table table = new Table(
+                "again",
+                "Simulated: ms until nine tenths of the whole are held again (all want more than there is)",
+                "backends",
+                "after one joins: it has its share",
+                "after a death",
+                "after the death of the one that divides");
         for (int n : quick ? new int[] {3} : new int[] {3, 10, 30, 100}) {
             long[] took = new long[3];
             for (int what = 0; what < 3; what++) {
@@ -109,20 +132,38 @@
     }
 
     private Table faults() throws IOException, InterruptedException {
-        Table table = new Table("faults", "Real processes: the most calls seen by the party, and the time to divide anew after each fault", "fault", "limit", "whole",
-                "most seen so far", "divided anew after, ms", "breaches");
+        Table table = new Table(
+                "faults",
+                "Real processes: the most calls seen by the party, and the time to divide anew after each fault",
+                "fault",
+                "limit",
+                "whole",
+                "most seen so far",
+                "divided anew after, ms",
+                "breaches");
         for (boolean perSecond : new boolean[] {true, false}) {
-            ServeFleet.Whole whole = perSecond ? new ServeFleet.Whole(40, true, Duration.ofSeconds(1), Duration.ofMillis(20))
+            ServeFleet.Whole whole = perSecond
+                    ? new ServeFleet.Whole(40, true, Duration.ofSeconds(1), Duration.ofMillis(20))
                     : new ServeFleet.Whole(10, false, Duration.ofSeconds(1), Duration.ofMillis(300));
             Path folder = Files.createTempDirectory("merlinlever-measure");
-            try (ServeFleet fleet = new ServeFleet(folder, new ServeFleet.Stated(quick ? 3 : 5, true, 12, Duration.ofMillis(500), whole), AgentFleet.sameJava(), 27)) {
-                BudgetFaults faults = new BudgetFaults(fleet, Duration.ofSeconds(60), line -> { });
+            try (ServeFleet fleet = new ServeFleet(
+                    folder,
+                    new ServeFleet.Stated(quick ? 3 : 5, true, 12, Duration.ofMillis(500), whole),
+                    AgentFleet.sameJava(),
+                    27)) {
+                BudgetFaults faults = new BudgetFaults(fleet, Duration.ofSeconds(60), line -> {});
                 faults.begin();
                 for (BudgetFaults.Kind kind : BudgetFaults.Kind.values()) {
                     BudgetFaults.Outcome outcome = faults.play(kind, kind.ordinal());
                     long[] counts = new long[2];
                     fleet.on(none -> System.arraycopy(fleet.shares().counts(), 0, counts, 0, 2));
-                    table.row(kind.word(), perSecond ? "a second" : "at once", whole.whole(), counts[0], outcome.dividedAfter().toMillis(), outcome.breaches().size());
+                    table.row(
+                            kind.word(),
+                            perSecond ? "a second" : "at once",
+                            whole.whole(),
+                            counts[0],
+                            outcome.dividedAfter().toMillis(),
+                            outcome.breaches().size());
                 }
             } finally {
                 Scratch.remove(folder);
--- a/src/main/java/merlinlever/measure/DnsMeasure.java
+++ b/src/main/java/merlinlever/measure/DnsMeasure.java
@@ -22,6 +22,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import merlinlever.durable.DiskFolder;
 import merlinlever.net.Clock;
 import merlinlever.net.Loop;
 import merlinlever.zone.client.Asker;
@@ -32,7 +33,6 @@
 import merlinlever.zone.front.Desk;
 import merlinlever.zone.front.Front;
 import merlinlever.zone.front.Served;
-import merlinlever.durable.DiskFolder;
 import merlinlever.zone.journal.ZoneStore;
 import merlinlever.zone.record.Malformed;
 import merlinlever.zone.record.Names;
@@ -54,8 +54,10 @@
 /** The measurements of docs/measurements/dns. */
 public final class DnsMeasure {
 
-    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-    private static final String HEAD = "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 1 3600 900 604800 300\n@ NS ns1\nns1 A 127.0.0.1\n";
+    private static final byte[] SECRET =
+            "0123456789abcdef0123456789abcdef".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
+    private static final String HEAD =
+            "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 1 3600 900 604800 300\n@ NS ns1\nns1 A 127.0.0.1\n";
 
     private final Path out;
     private final Path scratch;
@@ -69,9 +71,13 @@
     }
 
     public void run() throws Exception {
-        page.append("# DNS: measurements\n\nMade by `java -Xmx6g -jar target/merlinlever.jar measure dns --out docs/measurements/dns")
-                .append(quick ? " --quick" : "").append("` on ").append(Runtime.getRuntime().availableProcessors())
-                .append(" cores, loopback, state on the machine's own disk. Figures of one table come from one run on one machine;\n")
+        page.append(
+                        "# DNS: measurements\n\nMade by `java -Xmx6g -jar target/merlinlever.jar measure dns --out docs/measurements/dns")
+                .append(quick ? " --quick" : "")
+                .append("` on ")
+                .append(Runtime.getRuntime().availableProcessors())
+                .append(
+                        " cores, loopback, state on the machine's own disk. Figures of one table come from one run on one machine;\n")
                 .append("compare them with each other, not with other machines.\n\n");
         try {
             reading();
@@ -81,7 +87,8 @@
             truth();
         } finally {
             try (Stream<Path> left = Files.walk(scratch)) {
-                left.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+                left.sorted(Comparator.reverseOrder())
+                        .forEach(path -> path.toFile().delete());
             }
         }
         Files.writeString(out.resolve("README.md"), page);
@@ -101,8 +108,10 @@
             to.write(HEAD);
             for (int i = 0; i < records - 3; i++) {
                 switch (i % 4) {
-                    case 0 -> to.write("host" + i + " A 10." + (i >> 16 & 255) + "." + (i >> 8 & 255) + "." + (i & 255) + "\n");
-                    case 1 -> to.write("host" + i + ".sub" + i % 100 + " 300 IN AAAA 2001:db8::" + Integer.toHexString(i & 0xffff) + "\n");
+                    case 0 -> to.write(
+                            "host" + i + " A 10." + (i >> 16 & 255) + "." + (i >> 8 & 255) + "." + (i & 255) + "\n");
+                    case 1 -> to.write("host" + i + ".sub" + i % 100 + " 300 IN AAAA 2001:db8::"
+                            + Integer.toHexString(i & 0xffff) + "\n");
                     case 2 -> to.write("mail" + i + " MX 10 host" + (i - 2) + "\n");
                     default -> to.write("text" + i + " TXT \"value " + i + "\"\n");
                 }
@@ -115,7 +124,9 @@
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 4; i++) {
             System.gc();
-            least = Math.min(least, Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
+            least = Math.min(
+                    least,
+                    Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
         }
         return least;
     }
@@ -128,8 +139,15 @@
 
     private void reading() throws Exception {
         System.out.println("reading zone files");
-        Table table = new Table("reading", "Reading a zone file: ours, with all checks and the index, against the library's reader", "records",
-                "ours s", "library s", "ratio of times", "ours bytes a record", "library bytes a record");
+        Table table = new Table(
+                "reading",
+                "Reading a zone file: ours, with all checks and the index, against the library's reader",
+                "records",
+                "ours s",
+                "library s",
+                "ratio of times",
+                "ours bytes a record",
+                "library bytes a record");
         for (int records : quick ? new int[] {10_000} : new int[] {10_000, 100_000, 1_000_000}) {
             Path file = file(records);
             double ours = Double.MAX_VALUE;
@@ -148,7 +166,9 @@
                 began = System.nanoTime();
                 List<org.xbill.DNS.Record> list = new ArrayList<>();
                 try (Master master = new Master(file.toString(), Name.root)) {
-                    for (org.xbill.DNS.Record record = master.nextRecord(); record != null; record = master.nextRecord()) {
+                    for (org.xbill.DNS.Record record = master.nextRecord();
+                            record != null;
+                            record = master.nextRecord()) {
                         list.add(record);
                     }
                 }
@@ -156,7 +176,8 @@
                 theirBytes = used() - before;
                 keep(list.size());
             }
-            table.row(records, ours, theirs, ours / theirs, (double) oursBytes / records, (double) theirBytes / records);
+            table.row(
+                    records, ours, theirs, ours / theirs, (double) oursBytes / records, (double) theirBytes / records);
             Files.delete(file);
         }
         page.append(table.write(out, "seconds", List.of(0), List.of(1, 2), true));
@@ -172,8 +193,18 @@
 
     private void index() throws IOException {
         System.out.println("index against a sorted map");
-        Table table = new Table("index", "Index against the plain sorted map of octets: microseconds", "names", "ours look", "map look",
-                "ours neighbours", "map neighbours", "ours new version", "map new version (copy)", "ours bytes a name", "map bytes a name");
+        Table table = new Table(
+                "index",
+                "Index against the plain sorted map of octets: microseconds",
+                "names",
+                "ours look",
+                "map look",
+                "ours neighbours",
+                "map neighbours",
+                "ours new version",
+                "map new version (copy)",
+                "ours bytes a name",
+                "map bytes a name");
         for (int names : quick ? new int[] {10_000} : new int[] {10_000, 100_000, 1_000_000}) {
             List<byte[]> keys = new ArrayList<>();
             for (int i = 0; i < names; i++) {
@@ -246,7 +277,16 @@
                 }
                 micros[5] = Math.min(micros[5], seconds(began) / copies * 1e6);
             }
-            table.row(names, micros[0], micros[1], micros[2], micros[3], micros[4], micros[5], (double) oursBytes / names, (double) mapBytes / names);
+            table.row(
+                    names,
+                    micros[0],
+                    micros[1],
+                    micros[2],
+                    micros[3],
+                    micros[4],
+                    micros[5],
+                    (double) oursBytes / names,
+                    (double) mapBytes / names);
         }
         page.append(table.write(out, "microseconds", List.of(0), List.of(1, 2, 3, 4, 5, 6), true));
     }
@@ -273,15 +313,23 @@
             store.first(zone);
             Served served = new Served(zone, Set.of("k."), Set.of("k."), store, new Replays(Desk.REPLAY));
             Tsig.Key key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
-            front = new Front(loop, new InetSocketAddress("127.0.0.1", 0), 64, List.of(served), new Tsig.Keys(List.of(key)),
-                    new Desk.Stated(1024, Duration.ofSeconds(1), decided, 1), () -> System.currentTimeMillis() / 1000, line -> { },
+            front = new Front(
+                    loop,
+                    new InetSocketAddress("127.0.0.1", 0),
+                    64,
+                    List.of(served),
+                    new Tsig.Keys(List.of(key)),
+                    new Desk.Stated(1024, Duration.ofSeconds(1), decided, 1),
+                    () -> System.currentTimeMillis() / 1000,
+                    line -> {},
                     new Counts(new SimpleMeterRegistry()));
             address = front.address();
             thread = new Thread(loop::run);
             thread.start();
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             loop.execute(() -> {
                 front.close();
                 front.end();
@@ -304,8 +352,15 @@
 
     private void updates() throws Exception {
         System.out.println("updates a second");
-        Table table = new Table("updates", "Signed updates a second, each on the disk before its answer", "clients", "one a force", "many a force", "ratio",
-                "p99 ms one a force", "p99 ms many a force");
+        Table table = new Table(
+                "updates",
+                "Signed updates a second, each on the disk before its answer",
+                "clients",
+                "one a force",
+                "many a force",
+                "ratio",
+                "p99 ms one a force",
+                "p99 ms many a force");
         Path file = file(10_000);
         // The first play of anything is one of cold code.
         updates(file, 16, Integer.MAX_VALUE);
@@ -335,9 +390,15 @@
                         return;
                     }
                     byte[] owner = name("u" + number + "-" + turn++ % 50 + ".example.org.");
-                    byte[] message = Updates.message(name("example.org."), List.of(), List.of(
-                            new Entry(owner, Types.A, Types.CLASS_ANY, 0, null),
-                            new Entry(owner, Types.A, Types.IN, 60, new byte[] {10, (byte) number, (byte) (turn >> 8), (byte) turn})), key);
+                    byte[] message = Updates.message(
+                            name("example.org."),
+                            List.of(),
+                            List.of(
+                                    new Entry(owner, Types.A, Types.CLASS_ANY, 0, null),
+                                    new Entry(owner, Types.A, Types.IN, 60, new byte[] {
+                                        10, (byte) number, (byte) (turn >> 8), (byte) turn
+                                    })),
+                            key);
                     long asked = System.nanoTime();
                     asker.ask(server.address, message, key, Duration.ofSeconds(5), answered -> {
                         if (answered.well()) {
@@ -368,8 +429,16 @@
 
     private void queries() throws Exception {
         System.out.println("queries a second");
-        Table table = new Table("queries", "Queries over UDP, zone of 100,000 records, with and without the decision module", "clients", "in hand each",
-                "decided a s", "undecided a s", "ratio", "p99 ms decided", "p99 ms undecided");
+        Table table = new Table(
+                "queries",
+                "Queries over UDP, zone of 100,000 records, with and without the decision module",
+                "clients",
+                "in hand each",
+                "decided a s",
+                "undecided a s",
+                "ratio",
+                "p99 ms decided",
+                "p99 ms undecided");
         Path file = file(quick ? 10_000 : 100_000);
         queries(file, 4, 8, true);
         queries(file, 4, 8, false);
@@ -418,7 +487,9 @@
                 while (open < inHand) {
                     id = id + 1 & 0xffff;
                     int host = chance.nextInt(2500) * 4;
-                    byte[] question = new Writer(id, Message.DESIRED, 512).question(name("host" + host + ".example.org."), Types.A, Types.IN).done();
+                    byte[] question = new Writer(id, Message.DESIRED, 512)
+                            .question(name("host" + host + ".example.org."), Types.A, Types.IN)
+                            .done();
                     sentAt[id] = System.nanoTime();
                     socket.send(new DatagramPacket(question, question.length));
                     open++;
@@ -446,8 +517,15 @@
 
     private void truth() throws IOException {
         System.out.println("time until the name tells the truth (virtual time)");
-        Table table = new Table("truth", "Simulated seconds until the name tells the truth after instances die at once (lapse 3 s, reports each second)",
-                "instances", "die %", "datagrams lost %", "median s", "worst s", "wrong removals a minute before");
+        Table table = new Table(
+                "truth",
+                "Simulated seconds until the name tells the truth after instances die at once (lapse 3 s, reports each second)",
+                "instances",
+                "die %",
+                "datagrams lost %",
+                "median s",
+                "worst s",
+                "wrong removals a minute before");
         for (int instances : quick ? new int[] {40} : new int[] {40, 300, 3000}) {
             for (int share : new int[] {1, 20, 50}) {
                 for (int loss : new int[] {0, 25}) {
@@ -460,7 +538,13 @@
                         wrong += got[1];
                     }
                     times.sort(null);
-                    table.row(instances, share, loss, times.get(times.size() / 2), times.get(times.size() - 1), wrong / rounds);
+                    table.row(
+                            instances,
+                            share,
+                            loss,
+                            times.get(times.size() / 2),
+                            times.get(times.size() - 1),
+                            wrong / rounds);
                 }
             }
         }
@@ -476,10 +560,30 @@
             records.add(new Rec(at, Types.A, 30, new byte[] {10, 0, (byte) (i >> 8), (byte) i}));
         }
         byte[] soa = new byte[22];
-        Zone[] zone = {Zone.of(name("example.org."), List.of(new Rec(name("example.org."), Types.SOA, 60, soa), new Rec(name("example.org."), Types.NS, 60, at)))};
+        Zone[] zone = {
+            Zone.of(
+                    name("example.org."),
+                    List.of(
+                            new Rec(name("example.org."), Types.SOA, 60, soa),
+                            new Rec(name("example.org."), Types.NS, 60, at)))
+        };
         // With a share that half of the fleet does not go under: what is measured is the time, not the guard.
-        Follower follower = new Follower(Duration.ZERO, new Follower.Stated(at, records, 30, Duration.ofSeconds(3), 0.4, "web", "a", 60,
-                Duration.ofSeconds(60), Duration.ofSeconds(20), 1), chance.split(), line -> { });
+        Follower follower = new Follower(
+                Duration.ZERO,
+                new Follower.Stated(
+                        at,
+                        records,
+                        30,
+                        Duration.ofSeconds(3),
+                        0.4,
+                        "web",
+                        "a",
+                        60,
+                        Duration.ofSeconds(60),
+                        Duration.ofSeconds(20),
+                        1),
+                chance.split(),
+                line -> {});
         boolean[] alive = new boolean[instances];
         Arrays.fill(alive, true);
         int[] phase = new int[instances];
@@ -506,17 +610,24 @@
             Follower.Step step = follower.settle(now);
             long back = ms + 5 + chance.nextInt(10);
             if (step instanceof Follower.Read read) {
-                later.computeIfAbsent(back, k -> new ArrayList<>()).add(() -> read.answered(Duration.ofMillis(back),
-                        new Seen(zone[0].serial(), set(zone[0], claim, Types.TXT), set(zone[0], at, Types.A))));
+                later.computeIfAbsent(back, k -> new ArrayList<>())
+                        .add(() -> read.answered(
+                                Duration.ofMillis(back),
+                                new Seen(zone[0].serial(), set(zone[0], claim, Types.TXT), set(zone[0], at, Types.A))));
             } else if (step instanceof Follower.Write write) {
                 Update.Outcome outcome = Update.judge(zone[0], write.prerequisites(), write.changes());
                 if (ms < dies && ms > 30_000 && outcome.difference() != null) {
-                    wrong += outcome.difference().removed().stream().filter(rec -> rec.type() == Types.A).count();
+                    wrong += outcome.difference().removed().stream()
+                            .filter(rec -> rec.type() == Types.A)
+                            .count();
                 }
                 zone[0] = outcome.zone();
-                later.computeIfAbsent(back, k -> new ArrayList<>()).add(() -> write.answered(Duration.ofMillis(back), outcome.code()));
+                later.computeIfAbsent(back, k -> new ArrayList<>())
+                        .add(() -> write.answered(Duration.ofMillis(back), outcome.code()));
             }
-            if (ms > dies && set(zone[0], at, Types.A).stream().noneMatch(rec -> ((rec.data()[2] & 0xff) << 8 | rec.data()[3] & 0xff) < dead)) {
+            if (ms > dies
+                    && set(zone[0], at, Types.A).stream()
+                            .noneMatch(rec -> ((rec.data()[2] & 0xff) << 8 | rec.data()[3] & 0xff) < dead)) {
                 return new double[] {(ms - dies) / 1000.0, wrong};
             }
         }
--- a/src/main/java/merlinlever/measure/RecoveryMeasure.java
+++ b/src/main/java/merlinlever/measure/RecoveryMeasure.java
@@ -28,16 +28,37 @@
     }
 
     /** What some losses of one fleet came to. */
-    private record Came(double first, double full, double pushedBack, double unanswered, long twice, long breaches, String thrownAway) {
-    }
+    private record Came(
+            double first,
+            double full,
+            double pushedBack,
+            double unanswered,
+            long twice,
+            long breaches,
+            String thrownAway) {}
 
     public void run() throws IOException, InterruptedException {
         Files.createDirectories(out);
-        Table times = new Table("return", "After a power loss of all: the whole service back (median of the losses)", "processes", "losses",
-                "kept: something served, ms", "kept: all served, ms", "nothing kept: all served, ms", "ratio of all served");
-        Table effects = new Table("effects", "The same losses: what callers met, and effects twice", "processes", "losses",
-                "kept: pushed back, share of tries", "nothing kept: pushed back, share", "kept: effects twice", "nothing kept: effects twice");
-        StringBuilder thrown = new StringBuilder("## What was thrown away at the starts of the kept runs\n\n| processes | piece and belief: starts |\n| --- | --- |\n");
+        Table times = new Table(
+                "return",
+                "After a power loss of all: the whole service back (median of the losses)",
+                "processes",
+                "losses",
+                "kept: something served, ms",
+                "kept: all served, ms",
+                "nothing kept: all served, ms",
+                "ratio of all served");
+        Table effects = new Table(
+                "effects",
+                "The same losses: what callers met, and effects twice",
+                "processes",
+                "losses",
+                "kept: pushed back, share of tries",
+                "nothing kept: pushed back, share",
+                "kept: effects twice",
+                "nothing kept: effects twice");
+        StringBuilder thrown = new StringBuilder(
+                "## What was thrown away at the starts of the kept runs\n\n| processes | piece and belief: starts |\n| --- | --- |\n");
         for (int processes : quick ? new int[] {3} : new int[] {5, 20, 50}) {
             int losses = quick ? 2 : processes > 20 ? 3 : 5;
             System.out.println(processes + " processes");
@@ -45,12 +66,21 @@
             Came bare = losses(processes, losses, false);
             times.row(processes, losses, kept.first, kept.full, bare.full, kept.full / bare.full);
             effects.row(processes, losses, kept.pushedBack, bare.pushedBack, kept.twice, bare.twice);
-            thrown.append("| ").append(processes).append(" | ").append(kept.thrownAway).append(" |\n");
+            thrown.append("| ")
+                    .append(processes)
+                    .append(" | ")
+                    .append(kept.thrownAway)
+                    .append(" |\n");
         }
-        StringBuilder page = new StringBuilder("# Measurements: the return after a power loss\n\nMade by `java -jar target/merlinlever.jar measure recovery --out docs/measurements/recovery")
-                .append(quick ? " --quick" : "").append("`. Real processes of `serve` on loopback, 12 operations a second each, two in five keyed, tried again under their tokens for ")
-                .append(WINDOW.toMillis()).append(" ms; every machine's power lost at once and back at once. *Kept*: with `recovery` in the configuration. "
-                        + "*Nothing kept*: without, all take everything as soon as they listen. Both in turn on one machine in one run; times are to be read as ratios.\n\n");
+        StringBuilder page = new StringBuilder(
+                        "# Measurements: the return after a power loss\n\nMade by `java -jar target/merlinlever.jar measure recovery --out docs/measurements/recovery")
+                .append(quick ? " --quick" : "")
+                .append(
+                        "`. Real processes of `serve` on loopback, 12 operations a second each, two in five keyed, tried again under their tokens for ")
+                .append(WINDOW.toMillis())
+                .append(
+                        " ms; every machine's power lost at once and back at once. *Kept*: with `recovery` in the configuration. "
+                                + "*Nothing kept*: without, all take everything as soon as they listen. Both in turn on one machine in one run; times are to be read as ratios.\n\n");
         page.append(times.write(out, "ms", List.of(0), List.of(2, 3, 4), false));
         page.append(effects.write(out, "share of tries", List.of(0), List.of(2, 3), false));
         page.append(thrown);
@@ -61,8 +91,12 @@
         Path folder = Files.createTempDirectory("merlinlever-measure");
         List<Double> first = new ArrayList<>();
         List<Double> full = new ArrayList<>();
-        try (ServeFleet fleet = new ServeFleet(folder, new ServeFleet.Stated(processes, kept, 12, WINDOW), AgentFleet.sameJava(), 0x26L + processes)) {
-            PowerLoss power = new PowerLoss(fleet, Duration.ofSeconds(120), line -> System.out.println("  " + line.lines().findFirst().orElse("")));
+        try (ServeFleet fleet = new ServeFleet(
+                folder, new ServeFleet.Stated(processes, kept, 12, WINDOW), AgentFleet.sameJava(), 0x26L + processes)) {
+            PowerLoss power = new PowerLoss(
+                    fleet,
+                    Duration.ofSeconds(120),
+                    line -> System.out.println("  " + line.lines().findFirst().orElse("")));
             power.begin();
             for (int i = 0; i < losses; i++) {
                 PowerLoss.Outcome outcome = power.play(PowerLoss.Kind.ALL, 0x2600L + i);
@@ -72,8 +106,17 @@
             List<String> breaches = power.end();
             long[] counts = fleet.rules().counts();
             double tries = counts[0] + counts[1] + counts[2] + counts[3];
-            long twice = breaches.stream().filter(breach -> breach.startsWith("effect twice")).count();
-            return new Came(middle(first), middle(full), counts[1] / tries, counts[3] / tries, twice, fleet.rules().breached(), thrownAway(fleet));
+            long twice = breaches.stream()
+                    .filter(breach -> breach.startsWith("effect twice"))
+                    .count();
+            return new Came(
+                    middle(first),
+                    middle(full),
+                    counts[1] / tries,
+                    counts[3] / tries,
+                    twice,
+                    fleet.rules().breached(),
+                    thrownAway(fleet));
         } finally {
             Scratch.remove(folder);
         }
@@ -91,7 +134,11 @@
                 }
             }
         }
-        return String.join("; ", counts.entrySet().stream().map(entry -> entry.getKey() + ": " + entry.getValue()).toList());
+        return String.join(
+                "; ",
+                counts.entrySet().stream()
+                        .map(entry -> entry.getKey() + ": " + entry.getValue())
+                        .toList());
     }
 
     private static double middle(List<Double> of) {
--- a/src/main/java/merlinlever/measure/RoutesMeasure.java
+++ b/src/main/java/merlinlever/measure/RoutesMeasure.java
@@ -32,10 +32,15 @@
 
     public void run() throws IOException {
         Files.createDirectories(out);
-        StringBuilder page = new StringBuilder("# Measurements: routes of partner sites\n\nMade by `java -jar target/merlinlever.jar measure routes --out docs/measurements/routes")
-                .append(quick ? " --quick" : "").append("`. Times are of one run on one machine that other work shares; compare within a row. The second and third table are "
-                        + "simulated: the modules on a network and clocks of the model's own (1 to 30 ms a word, one in fifty up to 4 s, one in twenty doubled), five backends a site, "
-                        + "leases of ").append(LEASE.toSeconds()).append(" s.\n\n");
+        StringBuilder page = new StringBuilder(
+                        "# Measurements: routes of partner sites\n\nMade by `java -jar target/merlinlever.jar measure routes --out docs/measurements/routes")
+                .append(quick ? " --quick" : "")
+                .append(
+                        "`. Times are of one run on one machine that other work shares; compare within a row. The second and third table are "
+                                + "simulated: the modules on a network and clocks of the model's own (1 to 30 ms a word, one in fifty up to 4 s, one in twenty doubled), five backends a site, "
+                                + "leases of ")
+                .append(LEASE.toSeconds())
+                .append(" s.\n\n");
         page.append(merging().write(out, "ms", List.of(0), List.of(1, 2, 3), true));
         page.append(tightening().write(out, "ms", List.of(0), List.of(1, 2, 3), false));
         page.append(served().write(out, "share of 200 calls", List.of(0), List.of(1, 2, 3), false));
@@ -46,8 +51,16 @@
         List<Route> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             // One in three of a key that others have as well.
-            all.add(new Route("t" + (i % 3 == 0 ? i : partner * 100_000 + i), "records", "10.0." + partner + ".1:7000", 10 + i % 90, i % 7 + (i == count / 2 ? cost : 0), false,
-                    List.of("p" + partner), null, Restrictions.NONE));
+            all.add(new Route(
+                    "t" + (i % 3 == 0 ? i : partner * 100_000 + i),
+                    "records",
+                    "10.0." + partner + ".1:7000",
+                    10 + i % 90,
+                    i % 7 + (i == count / 2 ? cost : 0),
+                    false,
+                    List.of("p" + partner),
+                    null,
+                    Restrictions.NONE));
         }
         return all;
     }
@@ -73,15 +86,24 @@
     }
 
     private Table merging() {
-        Table table = new Table("merge", "Merging, ms (middle of the runs)", "routes in all", "all tables merged",
-                "one route of one changed: merged in", "the same by a plain rebuild", "rebuild to change", "all routes of one partner withdrawn");
+        Table table = new Table(
+                "merge",
+                "Merging, ms (middle of the runs)",
+                "routes in all",
+                "all tables merged",
+                "one route of one changed: merged in",
+                "the same by a plain rebuild",
+                "rebuild to change",
+                "all routes of one partner withdrawn");
         for (int all : quick ? new int[] {10, 1000} : new int[] {10, 100, 1000, 10_000, 100_000}) {
             int each = all / PARTNERS;
             List<merlinlever.routes.Table> tables = new ArrayList<>();
             for (int partner = 0; partner < PARTNERS; partner++) {
                 tables.add(table(partner, 1, routes(partner, each, 0)));
             }
-            merlinlever.routes.Table one = table(3, 2, routes(3, each, 1)), other = table(3, 3, routes(3, each, 2)), none = table(3, 4, List.of());
+            merlinlever.routes.Table one = table(3, 2, routes(3, each, 1)),
+                    other = table(3, 3, routes(3, each, 2)),
+                    none = table(3, 4, List.of());
             int runs = all >= 100_000 ? 15 : 51;
             Merge lived = new Merge(new Rules("me"));
             Runnable rebuild = () -> {
@@ -112,13 +134,25 @@
 
     /** a and c are customers of b, which is a peer of d. */
     private static RoutesModel model(long seed) {
-        return new RoutesModel(seed, 5, LEASE, List.of("a", "b", "c", "d"), Map.of("b a", Relation.CUSTOMER, "b c", Relation.CUSTOMER, "b d", Relation.PEER));
+        return new RoutesModel(
+                seed,
+                5,
+                LEASE,
+                List.of("a", "b", "c", "d"),
+                Map.of("b a", Relation.CUSTOMER, "b c", Relation.CUSTOMER, "b d", Relation.PEER));
     }
 
     private Table tightening() {
-        Table table = new Table("tightening", "Simulated: ms from a withdrawal by a to the last call along its routes, over seeds", "links",
-                "the middle", "the longest", "stated: a lease for each step of the way", "breaches");
-        for (String what : List.of("all well", "b cut off from a", "two of b cut off from all", "half of all words lost")) {
+        Table table = new Table(
+                "tightening",
+                "Simulated: ms from a withdrawal by a to the last call along its routes, over seeds",
+                "links",
+                "the middle",
+                "the longest",
+                "stated: a lease for each step of the way",
+                "breaches");
+        for (String what :
+                List.of("all well", "b cut off from a", "two of b cut off from all", "half of all words lost")) {
             double[] took = new double[quick ? 2 : 10];
             int breaches = 0;
             for (int seed = 0; seed < took.length; seed++) {
@@ -135,7 +169,8 @@
                 } else if (what.startsWith("half")) {
                     model.loss = 0.5;
                 }
-                // Calls are still to get there: what is cut is the word of a, as the auditor counts calls where they are sent.
+                // Calls are still to get there: what is cut is the word of a, as the auditor counts calls where they
+                // are sent.
                 model.site("a").restrict(null);
                 long began = model.now;
                 model.run(4 * LEASE.toMillis(), 4);
@@ -149,8 +184,14 @@
     }
 
     private Table served() {
-        Table table = new Table("served", "Simulated: 200 calls of one site, its records service lost at a quarter of them", "partners",
-                "with routes", "without", "at best", "breaches");
+        Table table = new Table(
+                "served",
+                "Simulated: 200 calls of one site, its records service lost at a quarter of them",
+                "partners",
+                "with routes",
+                "without",
+                "at best",
+                "breaches");
         for (String what : List.of("as they are", "a tenth of words lost", "reads only", "room for some")) {
             double[] share = new double[2];
             int seeds = quick ? 2 : 10, breaches = 0;
@@ -159,14 +200,16 @@
                     RoutesModel model = model(seed);
                     model.loss = what.startsWith("a tenth") ? 0.1 : 0;
                     if (what.startsWith("reads")) {
-                        model.sites.forEach(site -> site.restrict(new Restrictions(null, new TreeSet<>(), false, 16, true, false, false)));
+                        model.sites.forEach(site ->
+                                site.restrict(new Restrictions(null, new TreeSet<>(), false, 16, true, false, false)));
                     }
                     model.sites.forEach(site -> site.calls = what.startsWith("room") ? 16 : 200);
                     model.run(10_000, 0);
                     model.without = without == 1;
                     for (int i = 0; i < 200; i++) {
                         int at = i;
-                        model.later(i * 5, () -> model.site("b").nodes.get(at % 5).operation());
+                        model.later(
+                                i * 5, () -> model.site("b").nodes.get(at % 5).operation());
                     }
                     model.later(250, () -> model.site("b").serviceUp = false);
                     model.run(8000, 0);
@@ -174,7 +217,8 @@
                     breaches += model.audit.breaches().size();
                 }
             }
-            // Half of the calls are orders; three partners of 16 calls a second for each of two tariffs take 96 within the second.
+            // Half of the calls are orders; three partners of 16 calls a second for each of two tariffs take 96 within
+            // the second.
             double best = what.startsWith("reads") ? 0.25 + 0.75 / 2 : what.startsWith("room") ? 0.25 + 0.48 : 1;
             table.row(what, share[0], share[1], best, breaches);
         }
--- a/src/main/java/merlinlever/measure/Scratch.java
+++ b/src/main/java/merlinlever/measure/Scratch.java
@@ -10,8 +10,7 @@
 /** Folders that a measurement makes for itself. */
 final class Scratch {
 
-    private Scratch() {
-    }
+    private Scratch() {}
 
     /** Removes it with all that is in it. */
     static void remove(Path folder) throws IOException {
--- a/src/main/java/merlinlever/measure/SharedMeasure.java
+++ b/src/main/java/merlinlever/measure/SharedMeasure.java
@@ -29,14 +29,27 @@
     }
 
     /** What some new words came to. */
-    private record Came(double middle, double most, double octets) {
-    }
+    private record Came(double middle, double most, double octets) {}
 
     public void run() throws IOException {
         Files.createDirectories(out);
-        Table spread = new Table("spread", "Simulated: periods until all have a new word", "backends", "lost datagrams", "words: median", "words: most",
-                "all pushed: median", "all pushed: most");
-        Table octets = new Table("octets", "Simulated: octets a second told by each backend", "backends", "changes a second and backend", "words", "all pushed", "ratio");
+        Table spread = new Table(
+                "spread",
+                "Simulated: periods until all have a new word",
+                "backends",
+                "lost datagrams",
+                "words: median",
+                "words: most",
+                "all pushed: median",
+                "all pushed: most");
+        Table octets = new Table(
+                "octets",
+                "Simulated: octets a second told by each backend",
+                "backends",
+                "changes a second and backend",
+                "words",
+                "all pushed",
+                "ratio");
         for (int n : quick ? new int[] {5, 50} : new int[] {5, 50, 500}) {
             for (double loss : new double[] {0, 0.2, 0.4}) {
                 Came words = words(n, loss, 0, quick ? 3 : n > 100 ? 7 : 21);
@@ -49,10 +62,16 @@
                 octets.row(n, changes, words.octets, pushed, words.octets / pushed);
             }
         }
-        StringBuilder page = new StringBuilder("# Measurements: what the fleet shares\n\nMade by `java -jar target/merlinlever.jar measure shared --out docs/measurements/shared")
-                .append(quick ? " --quick" : "").append("`. All simulated: virtual time, datagrams of 1 to 40 ms, periods of ").append(PERIOD.toMillis())
-                .append(" ms that begin at drawn times, each backend with one word of ").append(VALUE).append(" octets, told to three others in each of two periods. *All pushed*, the baseline in the same run: each "
-                        + "backend tells three drawn others all that it holds, each period. Times are in periods; octets are those of the letters, without the datagrams' own.\n\n");
+        StringBuilder page = new StringBuilder(
+                        "# Measurements: what the fleet shares\n\nMade by `java -jar target/merlinlever.jar measure shared --out docs/measurements/shared")
+                .append(quick ? " --quick" : "")
+                .append("`. All simulated: virtual time, datagrams of 1 to 40 ms, periods of ")
+                .append(PERIOD.toMillis())
+                .append(" ms that begin at drawn times, each backend with one word of ")
+                .append(VALUE)
+                .append(
+                        " octets, told to three others in each of two periods. *All pushed*, the baseline in the same run: each "
+                                + "backend tells three drawn others all that it holds, each period. Times are in periods; octets are those of the letters, without the datagrams' own.\n\n");
         page.append(spread.write(out, "periods", List.of(0, 1), List.of(2, 4), false));
         page.append(octets.write(out, "octets a second", List.of(0, 1), List.of(2, 3), false));
         Files.writeString(out.resolve("README.md"), page);
--- a/src/main/java/merlinlever/measure/Table.java
+++ b/src/main/java/merlinlever/measure/Table.java
@@ -30,7 +30,10 @@
     void row(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
-            row.add(cell instanceof Double d ? d >= 100 ? String.format(Locale.ROOT, "%.0f", d) : String.format(Locale.ROOT, "%.3g", d) : String.valueOf(cell));
+            row.add(
+                    cell instanceof Double d
+                            ? d >= 100 ? String.format(Locale.ROOT, "%.0f", d) : String.format(Locale.ROOT, "%.3g", d)
+                            : String.valueOf(cell));
         }
         rows.add(row);
         System.out.println("  " + String.join("  ", row));
@@ -46,12 +49,18 @@
      * @param labels columns that together name a row
      * @param shown columns that the chart shows
      */
-    String write(Path folder, String unit, List<Integer> labels, List<Integer> shown, boolean logarithmic) throws IOException {
+    String write(Path folder, String unit, List<Integer> labels, List<Integer> shown, boolean logarithmic)
+            throws IOException {
         Files.createDirectories(folder);
         StringBuilder csv = new StringBuilder(String.join(",", columns)).append('\n');
         rows.forEach(row -> csv.append(String.join(",", row)).append('\n'));
         Files.writeString(folder.resolve(name + ".csv"), csv);
-        CategoryChart chart = new CategoryChartBuilder().width(900).height(420).title(title).yAxisTitle(unit).build();
+        CategoryChart chart = new CategoryChartBuilder()
+                .width(900)
+                .height(420)
+                .title(title)
+                .yAxisTitle(unit)
+                .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.InsideNW);
         chart.getStyler().setYAxisLogarithmic(logarithmic);
         if (logarithmic) {
@@ -70,10 +79,21 @@
             }
             chart.addSeries(columns.get(column), at, values);
         }
-        VectorGraphicsEncoder.saveVectorGraphic(chart, folder.resolve(name + ".svg").toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
-        StringBuilder page = new StringBuilder("## ").append(title).append("\n\n| ").append(String.join(" | ", columns)).append(" |\n|")
-                .append(" --- |".repeat(columns.size())).append('\n');
+        VectorGraphicsEncoder.saveVectorGraphic(
+                chart, folder.resolve(name + ".svg").toString(), VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+        StringBuilder page = new StringBuilder("## ")
+                .append(title)
+                .append("\n\n| ")
+                .append(String.join(" | ", columns))
+                .append(" |\n|")
+                .append(" --- |".repeat(columns.size()))
+                .append('\n');
         rows.forEach(row -> page.append("| ").append(String.join(" | ", row)).append(" |\n"));
-        return page.append("\n![").append(title).append("](").append(name).append(".svg)\n\n").toString();
+        return page.append("\n![")
+                .append(title)
+                .append("](")
+                .append(name)
+                .append(".svg)\n\n")
+                .toString();
     }
 }
--- a/src/main/java/merlinlever/measure/TrialMeasure.java
+++ b/src/main/java/merlinlever/measure/TrialMeasure.java
@@ -26,21 +26,38 @@
 
     public void run() throws IOException {
         Files.createDirectories(out);
-        StringBuilder page = new StringBuilder("# Measurements: trials stopped early\n\nMade by `java -jar target/merlinlever.jar measure trials --out docs/measurements/trials")
-                .append(quick ? " --quick" : "").append("`. All of it is simulated: operations and callers are drawn, fleets are on virtual time. Level ")
-                .append(LEVEL).append(" for a winner, 0.1 for harm, shares of satisfied operations about 0.6, split by halves.\n\n");
+        StringBuilder page = new StringBuilder(
+                        "# Measurements: trials stopped early\n\nMade by `java -jar target/merlinlever.jar measure trials --out docs/measurements/trials")
+                .append(quick ? " --quick" : "")
+                .append(
+                        "`. All of it is simulated: operations and callers are drawn, fleets are on virtual time. Level ")
+                .append(LEVEL)
+                .append(" for a winner, 0.1 for harm, shares of satisfied operations about 0.6, split by halves.\n\n");
         page.append(equal().write(out, "wrong, of the trials", List.of(0, 1), List.of(3, 5), false));
         page.append(needed().write(out, "operations, both arms", List.of(0, 1, 2), List.of(3, 4, 6), true));
         Files.writeString(out.resolve("README.md"), page);
     }
 
     private static Trial trial(double difference) {
-        return new Trial("t", 1, List.of(new Trial.Arm("safe", 1, null, null, null), new Trial.Arm("new", 1, null, null, null)), 0, LEVEL, 0.1, difference,
-                Duration.ofDays(7), Duration.ofSeconds(10), 1, 3);
+        return new Trial(
+                "t",
+                1,
+                List.of(new Trial.Arm("safe", 1, null, null, null), new Trial.Arm("new", 1, null, null, null)),
+                0,
+                LEVEL,
+                0.1,
+                difference,
+                Duration.ofDays(7),
+                Duration.ofSeconds(10),
+                1,
+                3);
     }
 
     private static List<Rehearsed.Outcome> play(int n, double difference, Rehearsed.Drawn drawn) {
-        return IntStream.range(0, n).parallel().mapToObj(i -> Rehearsed.play(trial(difference), drawn, 7919L * i + 1)).toList();
+        return IntStream.range(0, n)
+                .parallel()
+                .mapToObj(i -> Rehearsed.play(trial(difference), drawn, 7919L * i + 1))
+                .toList();
     }
 
     private static double part(List<Rehearsed.Outcome> all, Verdict.Kind kind) {
@@ -51,15 +68,30 @@
     private Table equal() {
         int n = quick ? 500 : 20_000;
         int most = quick ? 4000 : 20_000;
-        Table table = new Table("equal", "Simulated: two equal arms, looked at after each of " + most + " operations", "callers", "smallest difference", "trials",
-                "called a winner", "ended for harm", "a fixed test at 0.05 looked at as often");
-        Rehearsed.Drawn[] drawn = {new Rehearsed.Drawn(0.6, 0.6, 0, 0, 0, most), new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, 0, most),
-            new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, 0.5, most)};
+        Table table = new Table(
+                "equal",
+                "Simulated: two equal arms, looked at after each of " + most + " operations",
+                "callers",
+                "smallest difference",
+                "trials",
+                "called a winner",
+                "ended for harm",
+                "a fixed test at 0.05 looked at as often");
+        Rehearsed.Drawn[] drawn = {
+            new Rehearsed.Drawn(0.6, 0.6, 0, 0, 0, most),
+            new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, 0, most),
+            new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, 0.5, most)
+        };
         String[] names = {"one for each operation", "200 an arm who differ", "the same and one with half the traffic"};
         for (int i = 0; i < drawn.length; i++) {
             for (double difference : new double[] {0, 0.02}) {
                 List<Rehearsed.Outcome> all = play(n, difference, drawn[i]);
-                table.row(names[i], difference, n, part(all, Verdict.Kind.WINNER), part(all, Verdict.Kind.HARM),
+                table.row(
+                        names[i],
+                        difference,
+                        n,
+                        part(all, Verdict.Kind.WINNER),
+                        part(all, Verdict.Kind.HARM),
                         all.stream().filter(each -> each.peeked() > 0).count() / (double) n);
             }
         }
@@ -74,22 +106,57 @@
 
     /** How long it takes to tell arms apart that differ. */
     private Table needed() {
-        Table table = new Table("needed", "Simulated: operations until the end, where the arms differ", "difference", "the new arm is", "smallest difference",
-                "fixed size at a power of 0.8", "median", "mean", "80 of 100 are over by", "ended rightly", "lost to the worse arm, fixed", "lost to the worse arm, here");
+        Table table = new Table(
+                "needed",
+                "Simulated: operations until the end, where the arms differ",
+                "difference",
+                "the new arm is",
+                "smallest difference",
+                "fixed size at a power of 0.8",
+                "median",
+                "mean",
+                "80 of 100 are over by",
+                "ended rightly",
+                "lost to the worse arm, fixed",
+                "lost to the worse arm, here");
         for (double difference : new double[] {0.01, 0.03, 0.1}) {
             for (boolean better : new boolean[] {true, false}) {
                 for (double part : new double[] {0, 0.2, 0.5}) {
                     int n = quick ? 20 : difference < 0.02 ? 200 : 1000;
                     double fixed = fixed(0.6, 0.6 + difference);
-                    List<Rehearsed.Outcome> all = play(n, part * difference,
-                            new Rehearsed.Drawn(better ? 0.6 : 0.6 + difference, better ? 0.6 + difference : 0.6, 0, 0, 0, (int) (fixed * 30)));
-                    double[] at = all.stream().mapToDouble(Rehearsed.Outcome::at).sorted().toArray();
-                    double worse = all.stream().mapToDouble(each -> better ? each.at() - each.toSecond() : each.toSecond()).average().orElse(0);
+                    List<Rehearsed.Outcome> all = play(
+                            n,
+                            part * difference,
+                            new Rehearsed.Drawn(
+                                    better ? 0.6 : 0.6 + difference, better ? 0.6 + difference : 0.6, 0, 0, 0, (int)
+                                            (fixed * 30)));
+                    double[] at = all.stream()
+                            .mapToDouble(Rehearsed.Outcome::at)
+                            .sorted()
+                            .toArray();
+                    double worse = all.stream()
+                            .mapToDouble(each -> better ? each.at() - each.toSecond() : each.toSecond())
+                            .average()
+                            .orElse(0);
                     // For the safe arm there is no need to win: the new one is stopped.
-                    long right = all.stream().filter(each -> better ? each.verdict().kind() == Verdict.Kind.WINNER && each.verdict().arm() == 1
-                            : each.verdict().kind() != Verdict.Kind.TIME && each.verdict().arm() == 0).count();
-                    table.row(difference, better ? "better" : "worse", part * difference, Math.rint(fixed), at[n / 2], Math.rint(Arrays.stream(at).average().orElse(0)),
-                            at[n * 4 / 5], right / (double) n, fixed / 2 * difference, worse * difference);
+                    long right = all.stream()
+                            .filter(each -> better
+                                    ? each.verdict().kind() == Verdict.Kind.WINNER
+                                            && each.verdict().arm() == 1
+                                    : each.verdict().kind() != Verdict.Kind.TIME
+                                            && each.verdict().arm() == 0)
+                            .count();
+                    table.row(
+                            difference,
+                            better ? "better" : "worse",
+                            part * difference,
+                            Math.rint(fixed),
+                            at[n / 2],
+                            Math.rint(Arrays.stream(at).average().orElse(0)),
+                            at[n * 4 / 5],
+                            right / (double) n,
+                            fixed / 2 * difference,
+                            worse * difference);
                 }
             }
         }
--- a/src/main/java/merlinlever/measure/ViewMeasure.java
+++ b/src/main/java/merlinlever/measure/ViewMeasure.java
@@ -23,11 +23,16 @@
 
     public void run() throws IOException {
         Files.createDirectories(out);
-        StringBuilder page = new StringBuilder("# Measurements: who is there\n\nMade by `java -jar target/merlinlever.jar measure view --out docs/measurements/view")
-                .append(quick ? " --quick" : "").append("`. All of it is simulated, in virtual time: the real memberships, terms and views on a network and clocks "
-                        + "of the model's own (steps of 50 ms; a datagram takes 1 to 30 ms, one in fifty up to 500; one in fifty comes twice), five voters at the "
-                        + "most. \"members\" is membership alone, as it was before, under the same seed and faults. Octets are of the datagrams' contents, without "
-                        + "the heads of UDP and IP. -1: not within ").append(MOST / 1000).append(" s.\n\n");
+        StringBuilder page = new StringBuilder(
+                        "# Measurements: who is there\n\nMade by `java -jar target/merlinlever.jar measure view --out docs/measurements/view")
+                .append(quick ? " --quick" : "")
+                .append(
+                        "`. All of it is simulated, in virtual time: the real memberships, terms and views on a network and clocks "
+                                + "of the model's own (steps of 50 ms; a datagram takes 1 to 30 ms, one in fifty up to 500; one in fifty comes twice), five voters at the "
+                                + "most. \"members\" is membership alone, as it was before, under the same seed and faults. Octets are of the datagrams' contents, without "
+                                + "the heads of UDP and IP. -1: not within ")
+                .append(MOST / 1000)
+                .append(" s.\n\n");
         page.append(until().write(out, "s", List.of(0), List.of(1, 2, 3, 4, 5, 6), false));
         page.append(changes().write(out, "changes of the membership", List.of(0), List.of(2), false));
         page.append(wrong().write(out, "wrong deaths an hour", List.of(0, 1), List.of(2, 3), false));
@@ -66,7 +71,7 @@
     }
 
     private static long untilBelieved(ViewModel model, long most) {
-        for (long began = model.now; model.now - began < most;) {
+        for (long began = model.now; model.now - began < most; ) {
             if (believed(model)) {
                 return model.now - began;
             }
@@ -85,8 +90,18 @@
 
     /** Times until all agree, and what it costs while nothing happens. */
     private Table until() {
-        Table table = new Table("until", "Virtual time: seconds until all that run agree, and octets a second and backend at rest", "backends", "death, views",
-                "death, members", "join, views", "join, members", "heal, views", "heal, members", "octets, views and members", "octets, members");
+        Table table = new Table(
+                "until",
+                "Virtual time: seconds until all that run agree, and octets a second and backend at rest",
+                "backends",
+                "death, views",
+                "death, members",
+                "join, views",
+                "join, members",
+                "heal, views",
+                "heal, members",
+                "octets, views and members",
+                "octets, members");
         for (int n : quick ? new int[] {5, 20} : new int[] {5, 20, 50, 200, 1000}) {
             double[][] took = new double[2][4];
             for (int alone = 0; alone < 2; alone++) {
@@ -110,7 +125,8 @@
                 model.heal();
                 took[alone][2] = seconds(until(model, alone == 1));
             }
-            table.row(n, took[0][0], took[1][0], took[0][1], took[1][1], took[0][2], took[1][2], took[0][3], took[1][3]);
+            table.row(
+                    n, took[0][0], took[1][0], took[0][1], took[1][1], took[0][2], took[1][2], took[0][3], took[1][3]);
         }
         return table;
     }
@@ -118,10 +134,28 @@
     /** Each fault on 20 backends; one change is the goal, and one more for what comes back. */
     private Table changes() {
         int n = quick ? 7 : 20;
-        Table table = new Table("changes", "Virtual time: changes of the membership for each fault, " + n + " backends, 60 s each", "fault", "until all agree at the end, s",
+        Table table = new Table(
+                "changes",
+                "Virtual time: changes of the membership for each fault, " + n + " backends, 60 s each",
+                "fault",
+                "until all agree at the end, s",
                 "changes");
-        List<String> faults = List.of("death", "death of who leads", "three deaths at once", "join", "join of ten in 2 s", "partition 3:2", "heal",
-                "one-way link", "one mute to all", "pause of 3 s", "pause of 30 s and back", "flap each second", "quick restart", "all links 1.5 s", "loss of 20 %");
+        List<String> faults = List.of(
+                "death",
+                "death of who leads",
+                "three deaths at once",
+                "join",
+                "join of ten in 2 s",
+                "partition 3:2",
+                "heal",
+                "one-way link",
+                "one mute to all",
+                "pause of 3 s",
+                "pause of 30 s and back",
+                "flap each second",
+                "quick restart",
+                "all links 1.5 s",
+                "loss of 20 %");
         for (String fault : faults) {
             ViewModel model = fleet(n, 7, false);
             if (fault.equals("heal") || fault.startsWith("join")) {
@@ -198,8 +232,14 @@
     private Table wrong() {
         int n = quick ? 5 : 10;
         long span = quick ? 120_000 : 600_000;
-        Table table = new Table("wrong", "Virtual time: live ones held dead, for an hour, " + n + " backends, " + span / 60_000 + " minutes each", "loss, %", "pauses",
-                "wrong deaths an hour, views", "wrong deaths an hour, members");
+        Table table = new Table(
+                "wrong",
+                "Virtual time: live ones held dead, for an hour, " + n + " backends, " + span / 60_000
+                        + " minutes each",
+                "loss, %",
+                "pauses",
+                "wrong deaths an hour, views",
+                "wrong deaths an hour, members");
         for (int loss : new int[] {0, 10, 20, 30}) {
             for (boolean pauses : new boolean[] {false, true}) {
                 double[] found = new double[2];
--- a/src/main/java/merlinlever/members/Beside.java
+++ b/src/main/java/merlinlever/members/Beside.java
@@ -30,7 +30,8 @@
             return;
         }
         int end = message.about().indexOf('/');
-        Members.Hearer hearer = hearers.get(end < 0 ? message.about() : message.about().substring(0, end));
+        Members.Hearer hearer =
+                hearers.get(end < 0 ? message.about() : message.about().substring(0, end));
         if (hearer != null) {
             hearer.said(message.from(), message.number(), message.about());
         }
--- a/src/main/java/merlinlever/members/Link.java
+++ b/src/main/java/merlinlever/members/Link.java
@@ -79,7 +79,8 @@
             String host = colon < 0 ? "" : text.substring(0, colon);
             int port = Integer.parseInt(text.substring(colon + 1));
             return host.matches("[0-9]+(\\.[0-9]+){3}|[0-9a-fA-F:]+") && port > 0 && port <= 0xffff
-                    ? new InetSocketAddress(InetAddress.getByName(host), port) : null;
+                    ? new InetSocketAddress(InetAddress.getByName(host), port)
+                    : null;
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
         }
--- a/src/main/java/merlinlever/members/Members.java
+++ b/src/main/java/merlinlever/members/Members.java
@@ -15,7 +15,18 @@
 public final class Members {
 
     /** The kinds of messages; only asking ones are answered. */
-    public enum Kind { PING, ACK, ASK_FOR, NACK, SYNC, SYNC_BACK, RECALL, RECALLED, SAY, CARRY }
+    public enum Kind {
+        PING,
+        ACK,
+        ASK_FOR,
+        NACK,
+        SYNC,
+        SYNC_BACK,
+        RECALL,
+        RECALLED,
+        SAY,
+        CARRY
+    }
 
     /**
      * One message.
@@ -50,8 +61,7 @@
     }
 
     /** A message and where it goes. */
-    public record Sending(String to, Message message) {
-    }
+    public record Sending(String to, Message message) {}
 
     /**
      * What is stated.
@@ -69,10 +79,12 @@
 
     /** Members known, and octets carried in one message, at the most. */
     public static final int MOST = 2000;
+
     public static final int MOST_CARRIED = 48 << 10;
     private static final int HEALTH_MOST = 8;
     /** A whole exchange with one other, a dead one too: so two halves of a network find each other again. */
     private static final int SYNC_PERIODS = 10;
+
     private static final Duration FORGET = Duration.ofHours(24);
 
     /** A question that waits for its answer. */
@@ -90,8 +102,7 @@
     }
 
     /** A question that was put for somebody else. */
-    private record Relayed(String to, long number, Duration nackAt, Duration until) {
-    }
+    private record Relayed(String to, long number, Duration nackAt, Duration until) {}
 
     private final Stated stated;
     private final Views views;
@@ -191,14 +202,17 @@
             suspicions.end(rumour.name());
         }
         if (!rumour.name().equals(views.self())) {
-            log.accept("agent " + rumour.name() + " is " + rumour.status().name().toLowerCase(java.util.Locale.ROOT) + ", incarnation " + rumour.incarnation());
+            log.accept(
+                    "agent " + rumour.name() + " is " + rumour.status().name().toLowerCase(java.util.Locale.ROOT)
+                            + ", incarnation " + rumour.incarnation());
         } else if (rumour.status() == Views.Status.ALIVE && rumour.incarnation() > 0) {
             worse(1);
         }
     }
 
     private void send(String to, Kind kind, long number, String about) {
-        List<Views.Rumour> with = kind == Kind.SYNC || kind == Kind.SYNC_BACK || kind == Kind.RECALLED ? views.all() : rumours.next();
+        List<Views.Rumour> with =
+                kind == Kind.SYNC || kind == Kind.SYNC_BACK || kind == Kind.RECALLED ? views.all() : rumours.next();
         out.add(new Sending(to, new Message(kind, views.self(), number, about, with)));
     }
 
@@ -222,7 +236,13 @@
             case PING -> send(fromAddress, Kind.ACK, message.number, "");
             case ASK_FOR -> {
                 long number = ++numbers;
-                relayed.put(number, new Relayed(fromAddress, message.number, now.plus(stated.timeout.multipliedBy(4).dividedBy(5)), now.plus(stated.period)));
+                relayed.put(
+                        number,
+                        new Relayed(
+                                fromAddress,
+                                message.number,
+                                now.plus(stated.timeout.multipliedBy(4).dividedBy(5)),
+                                now.plus(stated.period)));
                 send(message.about, Kind.PING, number, "");
             }
             case ACK -> {
@@ -253,7 +273,7 @@
                 }
             }
             case SAY, CARRY -> beside.came(message);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -269,7 +289,8 @@
     private List<Views.Rumour> alive() {
         List<Views.Rumour> alive = new ArrayList<>();
         for (Views.Rumour each : views.all()) {
-            if (!each.name().equals(views.self()) && (each.status() == Views.Status.ALIVE || each.status() == Views.Status.SUSPECT)) {
+            if (!each.name().equals(views.self())
+                    && (each.status() == Views.Status.ALIVE || each.status() == Views.Status.SUSPECT)) {
                 alive.add(each);
             }
         }
@@ -347,7 +368,9 @@
         }
         for (Views.Rumour each : views.all()) {
             boolean gone = each.status() == Views.Status.DEAD || each.status() == Views.Status.LEFT;
-            if (gone && !each.name().equals(views.self()) && changedAgo(now, each.name()).compareTo(FORGET) > 0) {
+            if (gone
+                    && !each.name().equals(views.self())
+                    && changedAgo(now, each.name()).compareTo(FORGET) > 0) {
                 views.forget(each.name());
                 rumours.forget(each.name());
             }
@@ -385,7 +408,9 @@
             }
         }
         if (to.isEmpty()) {
-            stated.seeds.stream().filter(seed -> !seed.equals(views.of(views.self()).gossip())).forEach(to::add);
+            stated.seeds.stream()
+                    .filter(seed -> !seed.equals(views.of(views.self()).gossip()))
+                    .forEach(to::add);
             for (String seed : to) {
                 send(seed, Kind.SYNC, ++numbers, "");
             }
--- a/src/main/java/merlinlever/members/Rumours.java
+++ b/src/main/java/merlinlever/members/Rumours.java
@@ -12,6 +12,7 @@
 
     /** On one message at the most. */
     private static final int MOST = 12;
+
     private static final int TELL = 3;
 
     private final Views views;
--- a/src/main/java/merlinlever/members/Views.java
+++ b/src/main/java/merlinlever/members/Views.java
@@ -12,7 +12,12 @@
 public final class Views {
 
     /** What is believed of an agent; a later one is more against it. */
-    public enum Status { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum Status {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     /**
      * What is told of an agent.
@@ -20,8 +25,7 @@
      * @param gossip where it takes these datagrams
      * @param api where it takes commands
      */
-    public record Rumour(String name, String gossip, String api, Status status, long incarnation) {
-    }
+    public record Rumour(String name, String gossip, String api, Status status, long incarnation) {}
 
     private final String self;
     private final Map<String, Rumour> all = new TreeMap<>();
@@ -64,7 +68,9 @@
 
     /** Whether the one says more than the other of the same agent. */
     public static boolean overrides(Rumour made, Rumour known) {
-        return made.incarnation != known.incarnation ? made.incarnation > known.incarnation : made.status.compareTo(known.status) > 0;
+        return made.incarnation != known.incarnation
+                ? made.incarnation > known.incarnation
+                : made.status.compareTo(known.status) > 0;
     }
 
     /** Takes a rumour in; returns what is new to be told on, or null where it says nothing new. */
@@ -72,7 +78,9 @@
         if (rumour.name.equals(self)) {
             Rumour mine = all.get(self);
             // Two lives that happen to be told under the same incarnation must not pass for one.
-            boolean elsewhere = rumour.status == Status.ALIVE && !rumour.gossip.equals(mine.gossip) && rumour.incarnation >= mine.incarnation;
+            boolean elsewhere = rumour.status == Status.ALIVE
+                    && !rumour.gossip.equals(mine.gossip)
+                    && rumour.incarnation >= mine.incarnation;
             if (left || !elsewhere && !overrides(rumour, mine)) {
                 return null;
             }
@@ -111,7 +119,9 @@
 
     private Rumour against(String name, Status status) {
         Rumour known = all.get(name);
-        return known == null || name.equals(self) ? null : heard(new Rumour(name, known.gossip, known.api, status, known.incarnation));
+        return known == null || name.equals(self)
+                ? null
+                : heard(new Rumour(name, known.gossip, known.api, status, known.incarnation));
     }
 
     /** This one goes, in good order. */
--- a/src/main/java/merlinlever/members/Wire.java
+++ b/src/main/java/merlinlever/members/Wire.java
@@ -22,6 +22,7 @@
 
     /** Octets at the most. */
     public static final int MOST = 60_000;
+
     private static final short MARK = 0x4d4c;
     private static final byte VERSION = 1;
     private static final int MAC = 16;
@@ -96,7 +97,9 @@
     /** The message, or null where this is none of ours. */
     public Members.Message read(byte[] octets) {
         int end = octets.length - MAC;
-        if (end < 4 || octets.length > MOST || !MessageDigest.isEqual(mac(octets, end), Arrays.copyOfRange(octets, end, octets.length))) {
+        if (end < 4
+                || octets.length > MOST
+                || !MessageDigest.isEqual(mac(octets, end), Arrays.copyOfRange(octets, end, octets.length))) {
             return null;
         }
         try {
@@ -124,7 +127,9 @@
                 }
                 in.get(body = new byte[length]);
             }
-            return in.hasRemaining() || from.isEmpty() ? null : new Members.Message(kind, from, number, about, rumours, body);
+            return in.hasRemaining() || from.isEmpty()
+                    ? null
+                    : new Members.Message(kind, from, number, about, rumours, body);
         } catch (BufferUnderflowException | IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
             return null;
         }
--- a/src/main/java/merlinlever/net/Clock.java
+++ b/src/main/java/merlinlever/net/Clock.java
@@ -29,10 +29,12 @@
     }
 
     public static Clock system() {
-        return new Clock(() -> {
-            Instant now = Instant.now();
-            return now.getEpochSecond() * 1_000_000_000L + now.getNano();
-        }, System::nanoTime);
+        return new Clock(
+                () -> {
+                    Instant now = Instant.now();
+                    return now.getEpochSecond() * 1_000_000_000L + now.getNano();
+                },
+                System::nanoTime);
     }
 
     /** Reads again how far the Unix clock is ahead. */
--- a/src/main/java/merlinlever/net/Connection.java
+++ b/src/main/java/merlinlever/net/Connection.java
@@ -19,15 +19,13 @@
     /** Who uses a connection. */
     public interface User {
         /** It is made; for one that was accepted this is not called. */
-        default void made() {
-        }
+        default void made() {}
 
         /** Bytes lie between position and limit; those that are taken are passed over, the others come again. */
         void read(ByteBuffer in);
 
         /** All that was queued has been handed to the system. */
-        default void written() {
-        }
+        default void written() {}
 
         /** It is over; called once. */
         void ended(CloseReason how);
@@ -47,6 +45,7 @@
     private final ByteBuffer in;
     /** What a pending read brings while something lies in {@link #in}; made where that comes up. */
     private ByteBuffer beside;
+
     private final int mostQueued;
     private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
     private int queued;
@@ -54,6 +53,7 @@
     private CloseReason ended;
     /** In memory: the other end, and what it has written and was not read here yet. */
     private Connection other;
+
     private final ArrayDeque<ByteBuffer> arriving = new ArrayDeque<>(0);
 
     private Connection(Loop loop, AsynchronousSocketChannel channel, User user, int readBuffer, int mostQueued) {
@@ -74,8 +74,8 @@
     }
 
     /** One that was accepted; {@link #start} begins to read. */
-    public static Connection accepted(Loop loop, AsynchronousSocketChannel channel, User user, int readBuffer,
-            int mostQueued) {
+    public static Connection accepted(
+            Loop loop, AsynchronousSocketChannel channel, User user, int readBuffer, int mostQueued) {
         Connection connection = new Connection(loop, channel, user, readBuffer, mostQueued);
         connection.made = true;
         return connection;
@@ -91,16 +91,17 @@
     }
 
     /** Makes one; what is queued before it is made is written then. Its end comes later even if it fails at once. */
-    public static Connection to(Loop loop, SocketAddress address, User user, int readBuffer, int mostQueued,
-            Duration patience) throws IOException {
+    public static Connection to(
+            Loop loop, SocketAddress address, User user, int readBuffer, int mostQueued, Duration patience)
+            throws IOException {
         Party party = loop.party(address);
         if (party != null) {
             Connection here = pair(loop, user, party, readBuffer, mostQueued);
             loop.execute(user::made);
             return here;
         }
-        Connection connection = new Connection(loop, AsynchronousSocketChannel.open(loop.group()), user, readBuffer,
-                mostQueued);
+        Connection connection =
+                new Connection(loop, AsynchronousSocketChannel.open(loop.group()), user, readBuffer, mostQueued);
         Loop.Timer late = loop.in(patience, () -> connection.notMade(CloseReason.NOT_MADE));
         loop.execute(() -> connection.connect(address, late));
         return connection;
@@ -111,7 +112,8 @@
             return;
         }
         channel.connect(address, null, new CompletionHandler<Void, Void>() {
-            @Override public void completed(Void nothing, Void none) {
+            @Override
+            public void completed(Void nothing, Void none) {
                 late.callOff();
                 if (ended == null) {
                     made = true;
@@ -121,7 +123,8 @@
                 }
             }
 
-            @Override public void failed(Throwable cause, Void none) {
+            @Override
+            public void failed(Throwable cause, Void none) {
                 late.callOff();
                 notMade(CloseReason.REFUSED);
             }
@@ -200,7 +203,8 @@
     }
 
     private final CompletionHandler<Integer, Void> ON_READ = new CompletionHandler<>() {
-        @Override public void completed(Integer count, Void none) {
+        @Override
+        public void completed(Integer count, Void none) {
             reading = false;
             if (ended != null) {
                 return;
@@ -216,7 +220,8 @@
             readOn();
         }
 
-        @Override public void failed(Throwable cause, Void none) {
+        @Override
+        public void failed(Throwable cause, Void none) {
             reading = false;
             end(CloseReason.BROKEN);
         }
@@ -266,7 +271,8 @@
     }
 
     private final CompletionHandler<Long, Void> ON_WRITTEN = new CompletionHandler<>() {
-        @Override public void completed(Long count, Void none) {
+        @Override
+        public void completed(Long count, Void none) {
             writing = false;
             queued -= (int) (long) count;
             while (!out.isEmpty() && !out.peek().hasRemaining()) {
@@ -282,7 +288,8 @@
             }
         }
 
-        @Override public void failed(Throwable cause, Void none) {
+        @Override
+        public void failed(Throwable cause, Void none) {
             writing = false;
             end(CloseReason.BROKEN);
         }
--- a/src/main/java/merlinlever/net/Datagrams.java
+++ b/src/main/java/merlinlever/net/Datagrams.java
@@ -110,8 +110,7 @@
 
     private void drain() {
         try {
-            for (int i = 0; i < BATCH && readOne(); i++) {
-            }
+            for (int i = 0; i < BATCH && readOne(); i++) {}
         } catch (IOException e) {
             // Such as an answer that found nobody at its place: the next ones are read.
         } finally {
--- a/src/main/java/merlinlever/net/Listener.java
+++ b/src/main/java/merlinlever/net/Listener.java
@@ -15,6 +15,7 @@
     private static final Duration PAUSE = Duration.ofMillis(50);
     /** Whoever is at the door as it is closed has been let in after so long, or longer where there was no room. */
     private static final Duration LAST_LOOK = Duration.ofMillis(50);
+
     private static final Duration LONGEST_CLOSING = Duration.ofSeconds(3);
 
     private final Loop loop;
@@ -31,8 +32,13 @@
      * @param taker is given each; {@link #gone} is to be called when it is over
      * @param makeRoom closes the idlest connection, if any is idle
      */
-    public Listener(Loop loop, InetSocketAddress address, int most, Consumer<AsynchronousSocketChannel> taker,
-            Runnable makeRoom) throws IOException {
+    public Listener(
+            Loop loop,
+            InetSocketAddress address,
+            int most,
+            Consumer<AsynchronousSocketChannel> taker,
+            Runnable makeRoom)
+            throws IOException {
         this.loop = loop;
         this.most = most;
         this.taker = taker;
@@ -61,14 +67,16 @@
         accepting = true;
         looks++;
         channel.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
-            @Override public void completed(AsynchronousSocketChannel accepted, Void none) {
+            @Override
+            public void completed(AsynchronousSocketChannel accepted, Void none) {
                 accepting = false;
                 open++;
                 taker.accept(accepted);
                 accept();
             }
 
-            @Override public void failed(Throwable cause, Void none) {
+            @Override
+            public void failed(Throwable cause, Void none) {
                 accepting = false;
                 if (!closed) {
                     pausing = true;
--- a/src/main/java/merlinlever/net/Loop.java
+++ b/src/main/java/merlinlever/net/Loop.java
@@ -50,12 +50,13 @@
     private final Queue<Runnable> ready = new ConcurrentLinkedQueue<>();
     /** The thread that runs it, once there is one. */
     private volatile Thread runner;
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(
-            Comparator.<Timer>comparingLong(t -> t.at).thenComparingLong(t -> t.order));
+
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.<Timer>comparingLong(t -> t.at).thenComparingLong(t -> t.order));
     private final AsynchronousChannelGroup group;
     private final Function<SocketAddress, Connection.Party> parties;
     private List<Connection> unwritten = new ArrayList<>();
-    private Runnable after = () -> { };
+    private Runnable after = () -> {};
     private long timersSet;
     private volatile boolean stopping;
 
@@ -104,7 +105,8 @@
         task.run();
     }
 
-    @Override public void execute(Runnable task) {
+    @Override
+    public void execute(Runnable task) {
         ready.add(task);
         Thread waiting = runner;
         if (waiting != null && waiting != Thread.currentThread()) {
@@ -133,7 +135,7 @@
     /** Ends it with the batch that runs now, or at once where it waits for one. */
     public void stop() {
         stopping = true;
-        execute(() -> { });
+        execute(() -> {});
     }
 
     private long untilNextTimer() {
@@ -178,24 +180,29 @@
         }
     }
 
-    @Override public void shutdown() {
+    @Override
+    public void shutdown() {
         stop();
     }
 
-    @Override public List<Runnable> shutdownNow() {
+    @Override
+    public List<Runnable> shutdownNow() {
         stop();
         return List.of();
     }
 
-    @Override public boolean isShutdown() {
+    @Override
+    public boolean isShutdown() {
         return stopping;
     }
 
-    @Override public boolean isTerminated() {
+    @Override
+    public boolean isTerminated() {
         return stopping;
     }
 
-    @Override public boolean awaitTermination(long timeout, TimeUnit unit) {
+    @Override
+    public boolean awaitTermination(long timeout, TimeUnit unit) {
         return stopping;
     }
 }
--- a/src/main/java/merlinlever/net/SignalHandler.java
+++ b/src/main/java/merlinlever/net/SignalHandler.java
@@ -9,8 +9,7 @@
  */
 public final class SignalHandler {
 
-    private SignalHandler() {
-    }
+    private SignalHandler() {}
 
     /** Runs the task at each signal from here on, on a thread of the runtime's. */
     public static void handle(Runnable task) {
@@ -23,8 +22,12 @@
                 }
                 return null;
             };
-            signal.getMethod("handle", signal, handler).invoke(null, signal.getConstructor(String.class).newInstance("HUP"),
-                    Proxy.newProxyInstance(SignalHandler.class.getClassLoader(), new Class<?>[] {handler}, run));
+            signal.getMethod("handle", signal, handler)
+                    .invoke(
+                            null,
+                            signal.getConstructor(String.class).newInstance("HUP"),
+                            Proxy.newProxyInstance(
+                                    SignalHandler.class.getClassLoader(), new Class<?>[] {handler}, run));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this runtime knows no SIGHUP", e);
         }
--- a/src/main/java/merlinlever/policy/Admission.java
+++ b/src/main/java/merlinlever/policy/Admission.java
@@ -34,10 +34,11 @@
     Admission(Server server, Given given, long seed) {
         this.server = server;
         chance = new SplittableRandom(seed);
-        longestStayAway = given.flag("limits.stay-away")
-                ? given.span("limits.longest-stay-away", 0) : Duration.ZERO;
-        double least = Math.max(NIL, server.tariffs.stream().mapToDouble(t -> t.value).min().orElse(1));
-        double span = Math.log(server.tariffs.stream().mapToDouble(t -> t.value).max().orElse(1) / least);
+        longestStayAway = given.flag("limits.stay-away") ? given.span("limits.longest-stay-away", 0) : Duration.ZERO;
+        double least = Math.max(
+                NIL, server.tariffs.stream().mapToDouble(t -> t.value).min().orElse(1));
+        double span =
+                Math.log(server.tariffs.stream().mapToDouble(t -> t.value).max().orElse(1) / least);
         for (Tariff t : server.tariffs) {
             double rank = span > 0 ? Math.log(Math.max(1, t.value / least)) / span : 0.5;
             t.coefficient = C_LEAST * Math.pow(C_MOST / C_LEAST, rank);
@@ -50,8 +51,8 @@
         quickestRead = Math.min(unread, quickestRead + FORGET * (unread - quickestRead));
         // Neither the arrival itself nor what free cores take at once is waiting: on two cores either alone
         // was over min_th, and an idle server refused its next arrival.
-        double waiting = Math.max(0, server.held - 1 - Math.max(0, server.cores - server.onCores))
-                / server.capacity.hold();
+        double waiting =
+                Math.max(0, server.held - 1 - Math.max(0, server.cores - server.onCores)) / server.capacity.hold();
         double q = waiting + (unread - quickestRead) / ms(server.span);
         avgAt = now;
         avg = (1 - W_Q) * avg + W_Q * q;
--- a/src/main/java/merlinlever/policy/Calls.java
+++ b/src/main/java/merlinlever/policy/Calls.java
@@ -49,7 +49,8 @@
     // Where it is less than one at once, a call has to fit into what is saved up, and with it its lingering.
     private boolean mayCall() {
         double left = creditMs - lingerMs;
-        return server.calling + 1 <= cap ? left >= 0
+        return server.calling + 1 <= cap
+                ? left >= 0
                 : server.calling == 0 && most < 1 && left >= Math.min(leastMs, burstMs - lingerMs);
     }
 
--- a/src/main/java/merlinlever/policy/Control.java
+++ b/src/main/java/merlinlever/policy/Control.java
@@ -23,12 +23,29 @@
     private static final Duration IDLE_LOOK = Duration.ofMillis(500);
 
     /** Why an operation was pushed back. */
-    public enum Reason { LEAVING, HUNG, MEMORY, HOPELESS, CHANCE, LATE, UNSETTLED }
+    public enum Reason {
+        LEAVING,
+        HUNG,
+        MEMORY,
+        HOPELESS,
+        CHANCE,
+        LATE,
+        UNSETTLED
+    }
 
     /** What the module sees of its server; pushbacks and breaking off are counted from the start. */
-    public record Figures(int held, int onCores, int atCalls, double capacity, double avg, double level,
-            boolean hung, boolean leaving, double speedShare, List<Long> pushedBack, long brokenOff) {
-    }
+    public record Figures(
+            int held,
+            int onCores,
+            int atCalls,
+            double capacity,
+            double avg,
+            double level,
+            boolean hung,
+            boolean leaving,
+            double speedShare,
+            List<Long> pushedBack,
+            long brokenOff) {}
 
     private final Server server;
 
@@ -46,14 +63,29 @@
      * @param sharable whether it is a read that names its subject
      * @param repeats the kept operation that it repeats, or null
      */
-    public Operation take(Duration now, int tariff, Duration unread, Duration clientTimeout, double kb,
-            Duration work, boolean again, boolean sharable, Operation repeats) {
+    public Operation take(
+            Duration now,
+            int tariff,
+            Duration unread,
+            Duration clientTimeout,
+            double kb,
+            Duration work,
+            boolean again,
+            boolean sharable,
+            Operation repeats) {
         server.clock(now);
         Tariff t = server.tariffs.get(tariff);
         Duration arrival = now.minus(unread);
         Duration due = later(now, clientTimeout != null ? clientTimeout : arrival.plus(t.clientTimeout));
-        Op op = new Op(server, t, arrival, due, kb, work == null ? 0 : ms(work),
-                sharable && server.repeats.sharable(t), again);
+        Op op = new Op(
+                server,
+                t,
+                arrival,
+                due,
+                kb,
+                work == null ? 0 : ms(work),
+                sharable && server.repeats.sharable(t),
+                again);
         if (server.hand.isEmpty()) {
             server.mode.progress = now;
         }
@@ -96,8 +128,11 @@
 
     /** What is out of such a limit now, and what would be if it were larger; see {@link Limit}. */
     public long[] demand(Duration now, int tariff) {
-        long waits = tariff < 0 ? server.atCalls : server.hand.stream()
-                .filter(op -> op.phase == Op.Phase.HELD && op.tariff.index == tariff).count();
+        long waits = tariff < 0
+                ? server.atCalls
+                : server.hand.stream()
+                        .filter(op -> op.phase == Op.Phase.HELD && op.tariff.index == tariff)
+                        .count();
         return server.limits.get(tariff + 1).demand(now, waits);
     }
 
@@ -109,10 +144,18 @@
 
     /** For whoever manages the server: a look at the figures, which changes nothing. */
     public Figures figures() {
-        return new Figures(server.held, server.onCores, server.atCalls + server.calling,
-                server.capacity.hold(), server.admission.avg, server.level.level, server.mode.hung,
-                server.mode.leaveAt != null, server.capacity.speedShare(),
-                Arrays.stream(server.endings.pushbacks).boxed().toList(), server.endings.brokenOff);
+        return new Figures(
+                server.held,
+                server.onCores,
+                server.atCalls + server.calling,
+                server.capacity.hold(),
+                server.admission.avg,
+                server.level.level,
+                server.mode.hung,
+                server.mode.leaveAt != null,
+                server.capacity.speedShare(),
+                Arrays.stream(server.endings.pushbacks).boxed().toList(),
+                server.endings.brokenOff);
     }
 
     /** Decides all that is open and returns it with what was decided since the last time. */
--- a/src/main/java/merlinlever/policy/Endings.java
+++ b/src/main/java/merlinlever/policy/Endings.java
@@ -85,8 +85,10 @@
 
     void halt(Op op) {
         // Those that share its outcome are owed it still.
-        if (mayHalt && op.phase == Phase.RUNNING && !op.halting && server.hand.stream()
-                .noneMatch(other -> other.phase == Phase.SHARING && other.original == op)) {
+        if (mayHalt
+                && op.phase == Phase.RUNNING
+                && !op.halting
+                && server.hand.stream().noneMatch(other -> other.phase == Phase.SHARING && other.original == op)) {
             op.halting = true;
             server.next.halted.add(op);
         }
@@ -114,10 +116,19 @@
                 boolean late = reached(now.plus(op.hintMs > 0 ? millis(op.hintMs) : op.usualRun()), op.soft)
                         || servers > Level.MANY && server.admission.dear();
                 Duration longest = server.admission.longestStayAway;
-                pushBack(op, now, hung ? Reason.HUNG : Reason.LATE, !hung && late, hung ? longest
-                        : earlier(longest, millis(server.held * ms(server.span) / server.capacity.hold())));
+                pushBack(
+                        op,
+                        now,
+                        hung ? Reason.HUNG : Reason.LATE,
+                        !hung && late,
+                        hung
+                                ? longest
+                                : earlier(longest, millis(server.held * ms(server.span) / server.capacity.hold())));
             }
-        } else if (mayHalt && server.held > 0 && op.phase != Phase.SHARING && reached(now, op.soft)
+        } else if (mayHalt
+                && server.held > 0
+                && op.phase != Phase.SHARING
+                && reached(now, op.soft)
                 && op.tariff.lateValue == 0) {
             breakOff(op, now);
             halt(op);
--- a/src/main/java/merlinlever/policy/Mode.java
+++ b/src/main/java/merlinlever/policy/Mode.java
@@ -29,8 +29,12 @@
     void leave(Duration now, Duration stop) {
         leaveAt = now;
         stopAt = stop;
-        server.next.log.add(String.format(Locale.ROOT, "leaving: stop in %.0f ms, held=%d run=%d",
-                ms(stop.minus(now)), server.held, server.running()));
+        server.next.log.add(String.format(
+                Locale.ROOT,
+                "leaving: stop in %.0f ms, held=%d run=%d",
+                ms(stop.minus(now)),
+                server.held,
+                server.running()));
     }
 
     boolean pastGrace(Op op) {
@@ -53,14 +57,20 @@
 
     void watch(Duration now) {
         // One long run is no hang: the fewer run, the longer they may be silent; cold cores are slow as told.
-        double usual = server.tariffs.stream().mapToDouble(t -> t.times.meanMs()).max().orElse(0)
-                * (HANG_RUNS + HANG_RUNS_ALONE / Math.max(1, server.onCores));
+        double usual =
+                server.tariffs.stream().mapToDouble(t -> t.times.meanMs()).max().orElse(0)
+                        * (HANG_RUNS + HANG_RUNS_ALONE / Math.max(1, server.onCores));
         Duration patience = later(millis(ms(HANG) / server.capacity.speedShare()), millis(usual));
         boolean stuck = server.onCores > 0 && reached(now, progress.plus(patience));
         if (stuck != hung) {
             hung = stuck;
-            server.next.log.add(String.format(Locale.ROOT, "%s: run=%d held=%d silent=%.0f ms",
-                    hung ? "hangs" : "works again", server.onCores, server.held, ms(now.minus(progress))));
+            server.next.log.add(String.format(
+                    Locale.ROOT,
+                    "%s: run=%d held=%d silent=%.0f ms",
+                    hung ? "hangs" : "works again",
+                    server.onCores,
+                    server.held,
+                    ms(now.minus(progress))));
         }
         boolean healthy = !hung && leaveAt == null;
         if (saidHealthy == null || healthy != saidHealthy) {
--- a/src/main/java/merlinlever/policy/Op.java
+++ b/src/main/java/merlinlever/policy/Op.java
@@ -14,7 +14,15 @@
  * decided here.
  */
 final class Op implements Operation {
-    enum Phase { HELD, FOLLOWING, RUNNING, AT_CALL, CALLING, SHARING, OVER }
+    enum Phase {
+        HELD,
+        FOLLOWING,
+        RUNNING,
+        AT_CALL,
+        CALLING,
+        SHARING,
+        OVER
+    }
 
     private final Server server;
     final Tariff tariff;
@@ -28,8 +36,15 @@
     Op original;
     final List<Op> followers = new ArrayList<>(0);
 
-    Op(Server server, Tariff tariff, Duration arrival, Duration due, double kb, double hintMs,
-            boolean sharable, boolean again) {
+    Op(
+            Server server,
+            Tariff tariff,
+            Duration arrival,
+            Duration due,
+            double kb,
+            double hintMs,
+            boolean sharable,
+            boolean again) {
         this.server = server;
         this.tariff = tariff;
         this.arrival = arrival;
@@ -58,12 +73,14 @@
         return ran && phase != Phase.HELD && phase != Phase.SHARING ? kb * server.runFactor : kb;
     }
 
-    @Override public void ended(Duration now, Ending how) {
+    @Override
+    public void ended(Duration now, Ending how) {
         server.clock(now);
         server.endings.ended(this, now, how);
     }
 
-    @Override public void reachedCall(Duration now) {
+    @Override
+    public void reachedCall(Duration now) {
         server.clock(now);
         server.mode.progress = now;
         if (phase == Phase.RUNNING) {
@@ -71,14 +88,16 @@
         }
     }
 
-    @Override public void callEnded(Duration now, Ending how, Duration took) {
+    @Override
+    public void callEnded(Duration now, Ending how, Duration took) {
         server.clock(now);
         if (phase == Phase.CALLING) {
             server.calls.ended(this, now, how, took);
         }
     }
 
-    @Override public void callerGone(Duration now) {
+    @Override
+    public void callerGone(Duration now) {
         server.clock(now);
         server.endings.callerGone(this, now);
     }
--- a/src/main/java/merlinlever/policy/Repeats.java
+++ b/src/main/java/merlinlever/policy/Repeats.java
@@ -18,8 +18,7 @@
     private static final double LONGEST_UNREAD = 30_000;
 
     /** That an operation is known until then, in the table unless its entry was renewed or struck since. */
-    private record Entry(Op op, Duration until) {
-    }
+    private record Entry(Op op, Duration until) {}
 
     private final Server server;
     private final double fingerprintKb;
@@ -42,8 +41,9 @@
     boolean joins(Op op, Operation repeats, Duration now) {
         Op original = repeats instanceof Op ? (Op) repeats : null;
         // Who ended unrun in this batch is still named; another may have its place.
-        while (original != null && original.original != null && (original.phase == Phase.FOLLOWING
-                || original.phase == Phase.OVER && !original.ran)) {
+        while (original != null
+                && original.original != null
+                && (original.phase == Phase.FOLLOWING || original.phase == Phase.OVER && !original.ran)) {
             original = original.original;
         }
         if (original == null) {
@@ -64,8 +64,9 @@
             }
             return true;
         }
-        boolean usable = original.inHand() ? !original.halting : original.end == Ending.OK
-                || original.end == Ending.ERROR && !op.tariff.retriable;
+        boolean usable = original.inHand()
+                ? !original.halting
+                : original.end == Ending.OK || original.end == Ending.ERROR && !op.tariff.retriable;
         if (usable && server.capacity.fits(0)) {
             share(op, original);
         } else if (!op.tariff.retriable && original.ran) {
--- a/src/main/java/merlinlever/policy/RunTimes.java
+++ b/src/main/java/merlinlever/policy/RunTimes.java
@@ -21,7 +21,10 @@
                 total /= 2;
                 Arrays.setAll(bins, i -> bins[i] / 2);
             }
-            mean = IntStream.range(0, 32).mapToDouble(i -> bins[i] * Math.pow(1.5, i + 0.5)).sum() / total;
+            mean = IntStream.range(0, 32)
+                            .mapToDouble(i -> bins[i] * Math.pow(1.5, i + 0.5))
+                            .sum()
+                    / total;
         }
     }
 
@@ -41,7 +44,8 @@
      * most half the soft limit, or a machine that was slow would never learn better.
      */
     Duration usual(double hintMs, boolean pressed, Duration softLimit) {
-        return hintMs > 0 && perHint.total > 5 && pressed ? millis(hintMs * perHint.mean / 100)
+        return hintMs > 0 && perHint.total > 5 && pressed
+                ? millis(hintMs * perHint.mean / 100)
                 : earlier(millis(runs.mean), softLimit.dividedBy(2));
     }
 }
--- a/src/main/java/merlinlever/policy/Server.java
+++ b/src/main/java/merlinlever/policy/Server.java
@@ -18,11 +18,13 @@
     final int cores;
     /** The shortest soft limit. */
     final Duration span;
+
     final double runFactor;
     final Mode mode;
     final Capacity capacity;
     /** Of calls, then of the runs of each tariff. */
     final List<Limit> limits = new ArrayList<>();
+
     final Calls calls;
     final Admission admission;
     final Repeats repeats;
@@ -81,7 +83,7 @@
             case RUNNING -> onCores += sign;
             case AT_CALL -> atCalls += sign;
             case CALLING -> calling += sign;
-            default -> { }
+            default -> {}
         }
         limits.get(0).inUse = calling;
         if (op.phase == Phase.RUNNING || op.phase == Phase.AT_CALL || op.phase == Phase.CALLING) {
--- a/src/main/java/merlinlever/policy/Starts.java
+++ b/src/main/java/merlinlever/policy/Starts.java
@@ -37,7 +37,9 @@
     void start(Duration now) {
         double most = server.capacity.survivable();
         for (Op op : server.hand) {
-            if (op.phase != Phase.HELD || op.answered || op.ran && !op.tariff.retriable
+            if (op.phase != Phase.HELD
+                    || op.answered
+                    || op.ran && !op.tariff.retriable
                     || server.mode.unknownNext(op, now)) {
                 continue;
             }
--- a/src/main/java/merlinlever/records/RecordsLink.java
+++ b/src/main/java/merlinlever/records/RecordsLink.java
@@ -15,8 +15,8 @@
 import merlinlever.core.Calls;
 import merlinlever.core.Work;
 import merlinlever.log.Log;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 
 /**
@@ -46,6 +46,7 @@
     private final ArrayDeque<Call> waiting = new ArrayDeque<>();
     /** Lines without a call, the one used last first. */
     private final ArrayDeque<Line> idle = new ArrayDeque<>();
+
     private int lines;
     /** While calls get their lines, a line that ends has the next one to do. */
     private boolean dealing;
@@ -74,6 +75,7 @@
         private boolean made, surplus;
         /** Since when it has been idle, or has held a part of a reply. */
         private Duration since;
+
         private boolean partly;
 
         private void carry(Call next) {
@@ -81,15 +83,19 @@
             next.line = this;
             lastId = next.work.id();
             long wait = Math.max(1, next.until.minus(loop.clock().uptime()).toMillis());
-            connection.write(ascii("OP " + next.work.name() + " " + wait + " " + next.body.length + "\r\n"),
-                    ByteBuffer.wrap(next.body), ascii("\r\n"));
+            connection.write(
+                    ascii("OP " + next.work.name() + " " + wait + " " + next.body.length + "\r\n"),
+                    ByteBuffer.wrap(next.body),
+                    ascii("\r\n"));
         }
 
-        @Override public void made() {
+        @Override
+        public void made() {
             made = true;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             try {
                 Reply reply = Reply.read(in.array(), in.position(), in.limit());
                 while (reply != null) {
@@ -119,7 +125,8 @@
             }
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             lines--;
             idle.remove(this);
             if (call != null) {
@@ -149,8 +156,11 @@
             return;
         }
         address = there;
-        List<Line> unmade = calls.values().stream().map(call -> call.line).filter(line -> line != null && !line.made).toList();
-        for (int i = unmade.size(); i-- > 0;) {
+        List<Line> unmade = calls.values().stream()
+                .map(call -> call.line)
+                .filter(line -> line != null && !line.made)
+                .toList();
+        for (int i = unmade.size(); i-- > 0; ) {
             Line line = unmade.get(i);
             waiting.addFirst(line.call);
             line.call.line = null;
@@ -165,17 +175,23 @@
 
     private void sweep() {
         Duration now = loop.clock().uptime();
-        calls.values().stream().map(call -> call.line).filter(line -> line != null && line.partly
-                && line.since.plus(STALLED).compareTo(now) <= 0).toList().forEach(line -> line.connection.end(CloseReason.SLOW));
+        calls.values().stream()
+                .map(call -> call.line)
+                .filter(line ->
+                        line != null && line.partly && line.since.plus(STALLED).compareTo(now) <= 0)
+                .toList()
+                .forEach(line -> line.connection.end(CloseReason.SLOW));
         while (!idle.isEmpty()
-                && (!idle.peekLast().to.equals(address) || idle.peekLast().since.plus(IDLE).compareTo(now) <= 0)) {
+                && (!idle.peekLast().to.equals(address)
+                        || idle.peekLast().since.plus(IDLE).compareTo(now) <= 0)) {
             idle.pollLast().connection.end(CloseReason.IDLE);
         }
         // There may be a descriptor now where there was none.
         nextWaiting();
     }
 
-    @Override public void call(Work work, byte[] body, Duration within) {
+    @Override
+    public void call(Work work, byte[] body, Duration within) {
         if (address == null) {
             loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), CloseReason.NOT_MADE.ofCall(), null));
             return;
@@ -197,7 +213,8 @@
         }
     }
 
-    @Override public void giveUp(Work work) {
+    @Override
+    public void giveUp(Work work) {
         Call call = calls.get(work.id());
         if (call != null) {
             giveUp(call, null);
@@ -243,7 +260,7 @@
 
     /** One for the operation's call, or null as long as there is none; never the one that its last call was on. */
     private Line line(long id) {
-        for (Iterator<Line> all = idle.iterator(); all.hasNext();) {
+        for (Iterator<Line> all = idle.iterator(); all.hasNext(); ) {
             Line line = all.next();
             if (line.lastId != id) {
                 all.remove();
@@ -259,8 +276,8 @@
         }
         Line made = new Line();
         try {
-            made.connection = Connection.to(loop, address, made, Reply.LONGEST_LINE + Reply.LONGEST_BODY + 4,
-                    MOST_QUEUED, CONNECT);
+            made.connection = Connection.to(
+                    loop, address, made, Reply.LONGEST_LINE + Reply.LONGEST_BODY + 4, MOST_QUEUED, CONNECT);
         } catch (IOException e) {
             log.error("no channel to the records service", e);
             return null;
--- a/src/main/java/merlinlever/records/Reply.java
+++ b/src/main/java/merlinlever/records/Reply.java
@@ -64,8 +64,7 @@
         if (ending == Ending.OK && parts.length != 3) {
             throw new Malformed("done, without a length");
         }
-        return new Reply(number(parts[0], 16), ending,
-                Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
+        return new Reply(number(parts[0], 16), ending, Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
     }
 
     private static long number(String digits, int radix) throws Malformed {
--- a/src/main/java/merlinlever/recovery/Memory.java
+++ b/src/main/java/merlinlever/recovery/Memory.java
@@ -13,7 +13,14 @@
  * @param capacity operations that the hold could take, learned in service; 0 where nothing was learned
  * @param peers where others were known to listen
  */
-public record Memory(String owner, long incarnations, long term, long keyedUntil, long wroteAt, double capacity, List<String> peers) {
+public record Memory(
+        String owner,
+        long incarnations,
+        long term,
+        long keyedUntil,
+        long wroteAt,
+        double capacity,
+        List<String> peers) {
 
     /** Of the others so many are remembered; membership brings the rest. */
     public static final int MOST_PEERS = 64;
--- a/src/main/java/merlinlever/recovery/Return.java
+++ b/src/main/java/merlinlever/recovery/Return.java
@@ -19,7 +19,10 @@
 
     /** How far it has come; it never goes back. */
     public enum Stage {
-        COLD, REJOINED, RECONCILED, WARM;
+        COLD,
+        REJOINED,
+        RECONCILED,
+        WARM;
 
         public String word() {
             return name().toLowerCase(Locale.ROOT);
@@ -35,9 +38,21 @@
      * @param window in which a repeat of keyed work may come
      * @param mostAsked others that are asked, at the most
      */
-    public record Stated(Duration patience, Duration spread, Duration askAgain, Duration longestAskAgain, Duration window, int mostAsked) {
+    public record Stated(
+            Duration patience,
+            Duration spread,
+            Duration askAgain,
+            Duration longestAskAgain,
+            Duration window,
+            int mostAsked) {
         public static Stated usual(Duration window) {
-            return new Stated(Duration.ofSeconds(3), Duration.ofMillis(500), Duration.ofMillis(200), Duration.ofSeconds(2), window, 16);
+            return new Stated(
+                    Duration.ofSeconds(3),
+                    Duration.ofMillis(500),
+                    Duration.ofMillis(200),
+                    Duration.ofSeconds(2),
+                    window,
+                    16);
         }
     }
 
@@ -47,16 +62,13 @@
      * @param unixMs its clock when it told
      * @param capacity that it has learned, 0 for none
      */
-    public record Told(long unixMs, Stage stage, double capacity) {
-    }
+    public record Told(long unixMs, Stage stage, double capacity) {}
 
     /** A question to be put now. */
-    public record Ask(String name, long number) {
-    }
+    public record Ask(String name, long number) {}
 
     /** Something that came to pass, for the log. */
-    public record Step(Duration at, Stage stage, String why) {
-    }
+    public record Step(Duration at, Stage stage, String why) {}
 
     /** A repeat may be read so much later than its own time says, and clocks are read one after the other. */
     private static final Duration SLACK = Duration.ofMillis(100);
@@ -93,7 +105,13 @@
      * @param expected whether there are others to be heard of at all
      * @param unixNow the Unix clock at {@code now}
      */
-    public Return(Duration now, long unixNow, Trust.Verdict verdict, Stated stated, boolean expected, SplittableRandom chance) {
+    public Return(
+            Duration now,
+            long unixNow,
+            Trust.Verdict verdict,
+            Stated stated,
+            boolean expected,
+            SplittableRandom chance) {
         this.stated = stated;
         this.verdict = verdict;
         this.chance = chance;
@@ -145,7 +163,8 @@
     /** Another process tells others that it is this one. */
     public void rival(Duration now) {
         if (rivalAt == null) {
-            steps.add(new Step(now, stage, "another process lives under this one's name; keyed work is held until it is silent"));
+            steps.add(new Step(
+                    now, stage, "another process lives under this one's name; keyed work is held until it is silent"));
         }
         rivalAt = now;
     }
@@ -176,14 +195,22 @@
         boolean waited = now.minus(began).compareTo(stated.patience) >= 0;
         if (alive == 0 && waited && !alone) {
             alone = true;
-            steps.add(new Step(now, stage, "no other is reached after " + stated.patience.toMillis()
-                    + " ms; retriable work is served, keyed work is turned away until one is"));
+            steps.add(new Step(
+                    now,
+                    stage,
+                    "no other is reached after " + stated.patience.toMillis()
+                            + " ms; retriable work is served, keyed work is turned away until one is"));
         }
         long told = peers.values().stream().filter(peer -> peer.told != null).count();
         if (stage == Stage.REJOINED && told > 0 && enough(now, told)) {
             distrusted = clocksDisagree();
-            step(now, Stage.RECONCILED, told + " of " + peers.size() + " others told what they know"
-                    + (distrusted ? "; most of their clocks differ from this one's, the disk's times are not believed" : ""));
+            step(
+                    now,
+                    Stage.RECONCILED,
+                    told + " of " + peers.size() + " others told what they know"
+                            + (distrusted
+                                    ? "; most of their clocks differ from this one's, the disk's times are not believed"
+                                    : ""));
             return asks;
         }
         for (Map.Entry<String, Peer> entry : peers.entrySet()) {
@@ -195,7 +222,9 @@
                     peer.asked.remove(peer.asked.keySet().iterator().next());
                 }
                 peer.nextAsk = now.plus(peer.pause).plus(drawn(peer.pause.dividedBy(2)));
-                peer.pause = peer.pause.multipliedBy(2).compareTo(stated.longestAskAgain) > 0 ? stated.longestAskAgain : peer.pause.multipliedBy(2);
+                peer.pause = peer.pause.multipliedBy(2).compareTo(stated.longestAskAgain) > 0
+                        ? stated.longestAskAgain
+                        : peer.pause.multipliedBy(2);
                 asks.add(new Ask(entry.getKey(), number));
             }
         }
@@ -252,8 +281,11 @@
         if (verdict.capacity() > 0) {
             return verdict.capacity();
         }
-        List<Double> learned = peers.values().stream().filter(peer -> peer.told != null && peer.told.capacity() > 0)
-                .map(peer -> peer.told.capacity()).sorted().toList();
+        List<Double> learned = peers.values().stream()
+                .filter(peer -> peer.told != null && peer.told.capacity() > 0)
+                .map(peer -> peer.told.capacity())
+                .sorted()
+                .toList();
         return learned.isEmpty() ? 0 : learned.get(learned.size() / 2);
     }
 
@@ -275,6 +307,9 @@
 
     /** Others it knows of, and how many of them have told. */
     public int[] counts() {
-        return new int[] {peers.size(), (int) peers.values().stream().filter(peer -> peer.told != null).count()};
+        return new int[] {
+            peers.size(),
+            (int) peers.values().stream().filter(peer -> peer.told != null).count()
+        };
     }
 }
--- a/src/main/java/merlinlever/recovery/Trust.java
+++ b/src/main/java/merlinlever/recovery/Trust.java
@@ -12,7 +12,12 @@
 public final class Trust {
 
     /** What became of one piece. */
-    public enum Belief { KEPT, AGED, THROWN_AWAY, ABSENT }
+    public enum Belief {
+        KEPT,
+        AGED,
+        THROWN_AWAY,
+        ABSENT
+    }
 
     /** One piece and why it is believed or not, for people. */
     public record Finding(String piece, Belief belief, String why) {
@@ -31,17 +36,22 @@
      * @param capacity a starting guess, 0 for none
      * @param weight of the guess, in completions of operations
      */
-    public record Verdict(List<Finding> findings, long incarnation, long term, long keyedUntil, double capacity, double weight,
-            List<String> peers) {
-    }
+    public record Verdict(
+            List<Finding> findings,
+            long incarnation,
+            long term,
+            long keyedUntil,
+            double capacity,
+            double weight,
+            List<String> peers) {}
 
     public static final long UNKNOWN = Long.MIN_VALUE;
     /** A guess of the capacity counts as so many completions, half of it for each span that the process was down. */
     private static final double WEIGHT = 8;
+
     private static final Duration HALF_LIFE = Duration.ofMinutes(5);
 
-    private Trust() {
-    }
+    private Trust() {}
 
     /**
      * Judges what was found.
@@ -55,8 +65,12 @@
         if (left == null) {
             Belief belief = spoilt == null ? Belief.ABSENT : Belief.THROWN_AWAY;
             String why = spoilt == null ? "the folder holds none" : spoilt;
-            findings.add(new Finding("incarnation", belief, why + "; starts at 1 and rises above what others have heard"));
-            findings.add(new Finding("term", belief, why + "; leases from before are held lost, and a whole one passes before anything is promised"));
+            findings.add(
+                    new Finding("incarnation", belief, why + "; starts at 1 and rises above what others have heard"));
+            findings.add(new Finding(
+                    "term",
+                    belief,
+                    why + "; leases from before are held lost, and a whole one passes before anything is promised"));
             findings.add(new Finding("keyed work", belief, why + "; may have been begun until this start"));
             findings.add(new Finding("capacity", belief, why + "; learned anew"));
             findings.add(new Finding("peers", belief, why + "; those that the configuration names are asked"));
@@ -65,21 +79,37 @@
         long incarnation = left.incarnations() + 1;
         if (!left.owner().equals(owner)) {
             String why = "it is that of " + left.owner() + ", not of " + owner;
-            findings.add(new Finding("incarnation", Belief.KEPT, "above " + left.incarnations() + ", as a higher one does no harm; " + why));
+            findings.add(new Finding(
+                    "incarnation",
+                    Belief.KEPT,
+                    "above " + left.incarnations() + ", as a higher one does no harm; " + why));
             findings.add(new Finding("term", Belief.KEPT, "none under " + left.term() + " is promised; " + why));
-            findings.add(new Finding("keyed work", Belief.THROWN_AWAY, why + "; may have been begun here until this start"));
+            findings.add(
+                    new Finding("keyed work", Belief.THROWN_AWAY, why + "; may have been begun here until this start"));
             findings.add(new Finding("capacity", Belief.THROWN_AWAY, why));
             findings.add(new Finding("peers", Belief.THROWN_AWAY, why));
             return new Verdict(findings, incarnation, left.term(), UNKNOWN, 0, 0, List.of());
         }
-        findings.add(new Finding("incarnation", Belief.KEPT, "up to " + left.incarnations() + " may have been told, goes on at " + incarnation));
-        findings.add(new Finding("term", Belief.KEPT, "none under " + left.term() + " is promised; leases from before are held lost"));
+        findings.add(new Finding(
+                "incarnation",
+                Belief.KEPT,
+                "up to " + left.incarnations() + " may have been told, goes on at " + incarnation));
+        findings.add(new Finding(
+                "term", Belief.KEPT, "none under " + left.term() + " is promised; leases from before are held lost"));
         long down = unixNow - left.wroteAt();
         boolean back = down < 0;
         long keyedUntil = back ? UNKNOWN : left.keyedUntil();
-        findings.add(back ? new Finding("keyed work", Belief.THROWN_AWAY, "the clock went back by " + -down
-                + " ms across the outage; may have been begun until this start")
-                : new Finding("keyed work", Belief.KEPT, "may have been begun until " + Math.max(0, unixNow - keyedUntil) + " ms ago"));
+        findings.add(
+                back
+                        ? new Finding(
+                                "keyed work",
+                                Belief.THROWN_AWAY,
+                                "the clock went back by " + -down
+                                        + " ms across the outage; may have been begun until this start")
+                        : new Finding(
+                                "keyed work",
+                                Belief.KEPT,
+                                "may have been begun until " + Math.max(0, unixNow - keyedUntil) + " ms ago"));
         double weight = 0;
         if (left.capacity() <= 0) {
             findings.add(new Finding("capacity", Belief.ABSENT, "none was learned"));
@@ -87,10 +117,21 @@
             findings.add(new Finding("capacity", Belief.THROWN_AWAY, "how old it is cannot be told"));
         } else {
             weight = WEIGHT * Math.pow(0.5, down / (double) HALF_LIFE.toMillis());
-            findings.add(new Finding("capacity", Belief.AGED, String.format(Locale.ROOT, "%.1f operations, %d ms old, counts as %.1f completions",
-                    left.capacity(), down, weight)));
+            findings.add(new Finding(
+                    "capacity",
+                    Belief.AGED,
+                    String.format(
+                            Locale.ROOT,
+                            "%.1f operations, %d ms old, counts as %.1f completions",
+                            left.capacity(),
+                            down,
+                            weight)));
         }
-        findings.add(new Finding("peers", left.peers().isEmpty() ? Belief.ABSENT : Belief.KEPT, left.peers().size() + " addresses to ask, nothing more is believed of them"));
-        return new Verdict(findings, incarnation, left.term(), keyedUntil, back ? 0 : left.capacity(), weight, left.peers());
+        findings.add(new Finding(
+                "peers",
+                left.peers().isEmpty() ? Belief.ABSENT : Belief.KEPT,
+                left.peers().size() + " addresses to ask, nothing more is believed of them"));
+        return new Verdict(
+                findings, incarnation, left.term(), keyedUntil, back ? 0 : left.capacity(), weight, left.peers());
     }
 }
--- a/src/main/java/merlinlever/recovery/disk/Store.java
+++ b/src/main/java/merlinlever/recovery/disk/Store.java
@@ -16,8 +16,7 @@
 public final class Store {
 
     /** What was found: a memory, or why there is none; both null where the folder holds nothing. */
-    public record Found(Memory memory, String spoilt) {
-    }
+    public record Found(Memory memory, String spoilt) {}
 
     public static final String FILE = "recovery";
     private static final String FORM = "merlinlever recovery 1";
@@ -44,9 +43,20 @@
 
     /** The octets of the file. */
     public static byte[] text(Memory memory) {
-        StringBuilder rest = new StringBuilder(FORM).append("\nowner ").append(memory.owner()).append("\nincarnations ")
-                .append(memory.incarnations()).append("\nterm ").append(memory.term()).append("\nkeyed-until ").append(memory.keyedUntil()).append("\nwrote-at ")
-                .append(memory.wroteAt()).append("\ncapacity ").append(String.format(Locale.ROOT, "%.3f", memory.capacity())).append('\n');
+        StringBuilder rest = new StringBuilder(FORM)
+                .append("\nowner ")
+                .append(memory.owner())
+                .append("\nincarnations ")
+                .append(memory.incarnations())
+                .append("\nterm ")
+                .append(memory.term())
+                .append("\nkeyed-until ")
+                .append(memory.keyedUntil())
+                .append("\nwrote-at ")
+                .append(memory.wroteAt())
+                .append("\ncapacity ")
+                .append(String.format(Locale.ROOT, "%.3f", memory.capacity()))
+                .append('\n');
         memory.peers().forEach(peer -> rest.append("peer ").append(peer).append('\n'));
         return (sum(rest.toString()) + "\n" + rest).getBytes(StandardCharsets.US_ASCII);
     }
@@ -77,9 +87,16 @@
             for (int i = 7; i < lines.length; i++) {
                 peers.add(value(lines[i], "peer"));
             }
-            return new Found(new Memory(value(lines[1], "owner"), Long.parseLong(value(lines[2], "incarnations")),
-                    Long.parseLong(value(lines[3], "term")), Long.parseLong(value(lines[4], "keyed-until")),
-                    Long.parseLong(value(lines[5], "wrote-at")), Double.parseDouble(value(lines[6], "capacity")), peers), null);
+            return new Found(
+                    new Memory(
+                            value(lines[1], "owner"),
+                            Long.parseLong(value(lines[2], "incarnations")),
+                            Long.parseLong(value(lines[3], "term")),
+                            Long.parseLong(value(lines[4], "keyed-until")),
+                            Long.parseLong(value(lines[5], "wrote-at")),
+                            Double.parseDouble(value(lines[6], "capacity")),
+                            peers),
+                    null);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
             return new Found(null, "not what this program writes");
         }
--- a/src/main/java/merlinlever/recovery/disk/Writer.java
+++ b/src/main/java/merlinlever/recovery/disk/Writer.java
@@ -13,8 +13,7 @@
  */
 public final class Writer {
 
-    private record Job(Memory memory, Consumer<IOException> done) {
-    }
+    private record Job(Memory memory, Consumer<IOException> done) {}
 
     private static final Job END = new Job(null, null);
 
@@ -22,6 +21,7 @@
     private final Executor loop;
     /** One to be written, and the end. */
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>(2);
+
     private final Thread thread;
     private boolean busy, closed;
 
--- a/src/main/java/merlinlever/recovery/net/Rejoin.java
+++ b/src/main/java/merlinlever/recovery/net/Rejoin.java
@@ -47,17 +47,19 @@
 
         /** One without operations. */
         Service NONE = new Service() {
-            @Override public void keyed(Duration from, Duration to) {
-            }
+            @Override
+            public void keyed(Duration from, Duration to) {}
 
-            @Override public void guess(double capacity, double completions) {
-            }
+            @Override
+            public void guess(double capacity, double completions) {}
 
-            @Override public double capacity() {
+            @Override
+            public double capacity() {
                 return 0;
             }
 
-            @Override public boolean fullSpeed() {
+            @Override
+            public boolean fullSpeed() {
                 return true;
             }
         };
@@ -70,8 +72,8 @@
      * @param api told to others as where it takes commands
      * @param seeds where some of the others listen
      */
-    public record Place(String name, InetSocketAddress listen, String advertise, String api, List<String> seeds, String secret) {
-    }
+    public record Place(
+            String name, InetSocketAddress listen, String advertise, String api, List<String> seeds, String secret) {}
 
     private static final Duration LOOK = Duration.ofMillis(50);
     /** Incarnations noted ahead, so that refuting a rumour seldom waits for the disk. */
@@ -95,6 +97,7 @@
     private long onDisk;
     /** The highest term that may be promised: wanted, and on the disk. */
     private long term, termOnDisk;
+
     private Duration keyedTo = Duration.ZERO, nextMark = Duration.ZERO, since = Duration.ZERO;
     private long leadAtMark;
     private boolean guessed, writeFailed, closed;
@@ -105,18 +108,30 @@
      * @param mark between two notes of how far ahead keyed work may be begun; zero where there is none
      * @param unix the Unix clock, in milliseconds
      */
-    public Rejoin(Loop loop, Folder folder, Place place, Return.Stated stated, Duration mark, long seed, LongSupplier unix, Service service,
-            Consumer<String> log) throws IOException {
+    public Rejoin(
+            Loop loop,
+            Folder folder,
+            Place place,
+            Return.Stated stated,
+            Duration mark,
+            long seed,
+            LongSupplier unix,
+            Service service,
+            Consumer<String> log)
+            throws IOException {
         this.loop = loop;
         this.unix = unix;
         this.service = service;
         this.log = log;
         this.mark = mark;
-        Datagrams datagrams = new Datagrams(loop, place.listen(), Wire.MOST, (octets, from, waited) -> link[0].came(octets, from));
+        Datagrams datagrams =
+                new Datagrams(loop, place.listen(), Wire.MOST, (octets, from, waited) -> link[0].came(octets, from));
         String told = place.advertise() != null ? place.advertise() : Link.text(datagrams.address());
         // A port that is drawn anew at each start tells nothing of whose the folder is.
-        owner = place.name() + "@" + (place.advertise() != null || place.listen().getPort() != 0 ? told
-                : place.listen().getAddress().getHostAddress());
+        owner = place.name() + "@"
+                + (place.advertise() != null || place.listen().getPort() != 0
+                        ? told
+                        : place.listen().getAddress().getHostAddress());
         Store store = new Store(folder);
         Store.Found found = store.read();
         long now = unix.getAsLong();
@@ -126,12 +141,17 @@
         ask.addAll(verdict.peers());
         ask.remove(told);
         SplittableRandom chance = new SplittableRandom(seed);
-        members = new Members(loop.clock().uptime(), new Views(place.name(), told, place.api(), verdict.incarnation()),
-                Members.Stated.usual(List.copyOf(ask)), chance.split(), log);
+        members = new Members(
+                loop.clock().uptime(),
+                new Views(place.name(), told, place.api(), verdict.incarnation()),
+                Members.Stated.usual(List.copyOf(ask)),
+                chance.split(),
+                log);
         members.recall(this);
         term = verdict.term();
         order = new Return(loop.clock().uptime(), now, verdict, stated, !ask.isEmpty(), chance.split());
-        link[0] = new Link(loop, datagrams, members, new Wire(place.secret().getBytes(StandardCharsets.UTF_8)), this::mayTell);
+        link[0] = new Link(
+                loop, datagrams, members, new Wire(place.secret().getBytes(StandardCharsets.UTF_8)), this::mayTell);
         writer = new Writer(store, loop);
         loop.every(LOOK, this::look);
     }
@@ -180,15 +200,25 @@
 
     // ---- what others ask and tell
 
-    @Override public String tells() {
-        return String.format(Locale.ROOT, "%d/%s/%.2f", unix.getAsLong(), order.stage().word(), Math.min(1e9, service.capacity()));
+    @Override
+    public String tells() {
+        return String.format(
+                Locale.ROOT, "%d/%s/%.2f", unix.getAsLong(), order.stage().word(), Math.min(1e9, service.capacity()));
     }
 
-    @Override public void told(String name, long number, String what) {
+    @Override
+    public void told(String name, long number, String what) {
         String[] parts = what.split("/");
         try {
-            order.told(now(), unix.getAsLong(), name, number, new Return.Told(Long.parseLong(parts[0]),
-                    Return.Stage.valueOf(parts[1].toUpperCase(Locale.ROOT)), Double.parseDouble(parts[2])));
+            order.told(
+                    now(),
+                    unix.getAsLong(),
+                    name,
+                    number,
+                    new Return.Told(
+                            Long.parseLong(parts[0]),
+                            Return.Stage.valueOf(parts[1].toUpperCase(Locale.ROOT)),
+                            Double.parseDouble(parts[2])));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             log.accept(name + " told what is not understood: " + what);
         }
@@ -230,7 +260,8 @@
             nextMark = now;
         }
         service.keyed(order.keyedFrom(now), keyedTo);
-        if (!writer.busy() && (incarnation() > onDisk || term > termOnDisk || !mark.isZero() && now.compareTo(nextMark) >= 0)) {
+        if (!writer.busy()
+                && (incarnation() > onDisk || term > termOnDisk || !mark.isZero() && now.compareTo(nextMark) >= 0)) {
             write(now);
         }
     }
@@ -253,7 +284,8 @@
             }
         }
         long terms = term;
-        Memory memory = new Memory(owner, incarnations, terms, wroteAt + to.minus(now).toMillis(), wroteAt, service.capacity(), peers);
+        Memory memory = new Memory(
+                owner, incarnations, terms, wroteAt + to.minus(now).toMillis(), wroteAt, service.capacity(), peers);
         writer.write(memory, failed -> {
             if (failed == null) {
                 onDisk = incarnations;
@@ -263,8 +295,11 @@
             }
             if (failed != null != writeFailed) {
                 writeFailed = failed != null;
-                log.accept(writeFailed ? "what the next life has to know cannot be written: " + failed.getMessage()
-                        + "; keyed work is turned away until it can" : "it can be written again");
+                log.accept(
+                        writeFailed
+                                ? "what the next life has to know cannot be written: " + failed.getMessage()
+                                        + "; keyed work is turned away until it can"
+                                : "it can be written again");
             }
         });
     }
@@ -288,7 +323,8 @@
         Duration now = now();
         int[] counts = order.counts();
         long wait = Math.max(0, order.keyedFrom(now).minus(now).toMillis());
-        return "{\"stage\":\"" + order.stage().word() + "\",\"since_ms\":" + now.minus(since).toMillis() + ",\"incarnation\":" + incarnation()
+        return "{\"stage\":\"" + order.stage().word() + "\",\"since_ms\":"
+                + now.minus(since).toMillis() + ",\"incarnation\":" + incarnation()
                 + ",\"others\":" + counts[0] + ",\"told\":" + counts[1] + ",\"keyed_in_ms\":" + wait + ",\"mark_ms\":"
                 + Math.max(0, keyedTo.minus(now).toMillis()) + ",\"disk\":" + !writeFailed + "}";
     }
--- a/src/main/java/merlinlever/routes/Damping.java
+++ b/src/main/java/merlinlever/routes/Damping.java
@@ -8,7 +8,8 @@
 public final class Damping {
 
     /** @param suppress from which penalty on a route is left out, and reuse below which it is used again */
-    public record Figures(double withdrawal, double change, double suppress, double reuse, Duration halfLife, double most) {
+    public record Figures(
+            double withdrawal, double change, double suppress, double reuse, Duration halfLife, double most) {
         /** The threshold that RFC 7196 recommends at the least; nothing is left out for more than an hour. */
         public static final Figures PUBLISHED = new Figures(1000, 500, 6000, 750, Duration.ofMinutes(15), 12_000);
     }
@@ -30,7 +31,11 @@
     }
 
     private double penalty(Duration now, Figure figure) {
-        return figure.penalty * Math.pow(0.5, now.minus(figure.at).toNanos() / (double) figures.halfLife().toNanos());
+        return figure.penalty
+                * Math.pow(
+                        0.5,
+                        now.minus(figure.at).toNanos()
+                                / (double) figures.halfLife().toNanos());
     }
 
     void withdrawn(Duration now, String route) {
--- a/src/main/java/merlinlever/routes/Exits.java
+++ b/src/main/java/merlinlever/routes/Exits.java
@@ -17,20 +17,21 @@
 public final class Exits {
 
     /** As the settings have them. */
-    public enum Kind { RETRIABLE, FINGERPRINTED, BINDING }
+    public enum Kind {
+        RETRIABLE,
+        FINGERPRINTED,
+        BINDING
+    }
 
     /** @param leaves whether it may leave the site; for binding work the route has to say so as well */
-    public record Tariff(String name, Kind kind, boolean leaves) {
-    }
+    public record Tariff(String name, Kind kind, boolean leaves) {}
 
     /** @param tried places that this operation's calls were sent to already
      *  @param missing whether one of those calls may have had its effect: its answer never came */
-    public record Call(Tariff tariff, String group, String key, Set<String> tried, boolean missing) {
-    }
+    public record Call(Tariff tariff, String group, String key, Set<String> tried, boolean missing) {}
 
     /** Where it goes. */
-    public record Way(String site, String place, String route) {
-    }
+    public record Way(String site, String place, String route) {}
 
     /** Routes whose begins are remembered; what is over is used no more than if it were full. */
     private static final int MOST_ROOMS = 4096;
@@ -65,7 +66,8 @@
                 Room room = room(now, its);
                 if (room != null && room.allows(now)) {
                     room.begin(now);
-                    return Optional.of(new Way(its.from(), its.route().place(), its.route().id()));
+                    return Optional.of(
+                            new Way(its.from(), its.route().place(), its.route().id()));
                 }
                 score[least] = Double.POSITIVE_INFINITY;
             }
@@ -81,8 +83,11 @@
         }
         Merge.Candidate last = null;
         for (Merge.Candidate each : routes.ways(now, call.tariff().name() + "/" + call.group())) {
-            if (mayGo(call.tariff(), each.route()) && !call.tried().contains(each.route().place())) {
-                if (last == null || !each.asGoodAs(last) || routes.stale(now, each.from()) != routes.stale(now, last.from())) {
+            if (mayGo(call.tariff(), each.route())
+                    && !call.tried().contains(each.route().place())) {
+                if (last == null
+                        || !each.asGoodAs(last)
+                        || routes.stale(now, each.from()) != routes.stale(now, last.from())) {
                     tiers.add(new ArrayList<>());
                 }
                 tiers.get(tiers.size() - 1).add(each);
@@ -94,12 +99,14 @@
 
     /** Whether calls of the tariff may go along the route at all. */
     static boolean mayGo(Tariff tariff, Route route) {
-        return tariff.leaves() && (tariff.kind() != Kind.BINDING || route.binding())
+        return tariff.leaves()
+                && (tariff.kind() != Kind.BINDING || route.binding())
                 && (tariff.kind() == Kind.RETRIABLE || !route.restrictions().retriableOnly());
     }
 
     private Room room(Duration now, Merge.Candidate each) {
-        String id = each.from() + " " + each.route().calls() + " " + each.route().id();
+        String id =
+                each.from() + " " + each.route().calls() + " " + each.route().id();
         Room its = rooms.get(id);
         if (its == null) {
             if (rooms.size() >= MOST_ROOMS) {
--- a/src/main/java/merlinlever/routes/Exports.java
+++ b/src/main/java/merlinlever/routes/Exports.java
@@ -9,16 +9,25 @@
 /** What one site's table to a partner holds: its own routes and, of each key, the best that may go there (Wang, Schapira and Rexford 2009). */
 final class Exports {
 
-    private Exports() {
-    }
+    private Exports() {}
 
-    static List<Route> of(Rules rules, Merge merge, Relation relation, String receiver, Collection<Route> own, String place, int calls, int cost,
+    static List<Route> of(
+            Rules rules,
+            Merge merge,
+            Relation relation,
+            String receiver,
+            Collection<Route> own,
+            String place,
+            int calls,
+            int cost,
             Predicate<Merge.Candidate> usable) {
         TreeMap<String, Route> all = new TreeMap<>();
         for (Route each : own) {
             if (rules.refusal(null, each, receiver, relation) == null) {
                 // Its own mark on what goes down or across comes with the first that has it.
-                all.put(each.id(), relation == Relation.PROVIDER || each.downFrom() != null ? each : each.with(rules.self()));
+                all.put(
+                        each.id(),
+                        relation == Relation.PROVIDER || each.downFrom() != null ? each : each.with(rules.self()));
             }
         }
         for (String key : merge.keys()) {
--- a/src/main/java/merlinlever/routes/Fellows.java
+++ b/src/main/java/merlinlever/routes/Fellows.java
@@ -17,8 +17,7 @@
 public final class Fellows {
 
     /** Something to be said to another. */
-    public record Say(String to, long number, String what) {
-    }
+    public record Say(String to, long number, String what) {}
 
     /** The last question about a partner, and who has had the longest lease of it. */
     private static final class Asked {
@@ -65,10 +64,14 @@
         List<Say> all = new ArrayList<>();
         for (String site : routes.sites()) {
             Routes.Holds holds = routes.holds(now, site);
-            Duration lease = holds == null ? Table.SHORTEST.multipliedBy(4) : routes.latest(site).lease();
+            Duration lease = holds == null
+                    ? Table.SHORTEST.multipliedBy(4)
+                    : routes.latest(site).lease();
             Duration pause = lease.dividedBy(8).compareTo(SHORTEST) < 0 ? SHORTEST : lease.dividedBy(8);
             Asked last = asked.computeIfAbsent(site, each -> new Asked());
-            if (!others.isEmpty() && (holds == null || holds.left().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0)
+            if (!others.isEmpty()
+                    && (holds == null
+                            || holds.left().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0)
                     && (last.at == null || now.minus(last.at).compareTo(pause) >= 0)) {
                 last.number = ++number;
                 last.at = now;
@@ -89,8 +92,13 @@
         String[] part = what.split("/", -1);
         if (part[0].equals("K") && part.length == 2) {
             Routes.Holds holds = routes.holds(now, part[1]);
-            return holds == null || holds.left().isZero() ? List.of() : List.of(new Say(name, itsNumber, "L/" + part[1] + "/" + holds.incarnation() + "/"
-                    + holds.sequence() + "/" + holds.digest() + "/" + holds.left().toMillis()));
+            return holds == null || holds.left().isZero()
+                    ? List.of()
+                    : List.of(new Say(
+                            name,
+                            itsNumber,
+                            "L/" + part[1] + "/" + holds.incarnation() + "/" + holds.sequence() + "/" + holds.digest()
+                                    + "/" + holds.left().toMillis()));
         }
         Asked last = part.length == 6 ? asked.get(part[1]) : null;
         if (part[0].equals("L") && last != null && last.number == itsNumber) {
@@ -102,7 +110,14 @@
                         last.bestLeft = left;
                         last.bestAnswered = true;
                     }
-                    routes.stoodBy(now, part[1], Long.parseLong(part[2]), Long.parseLong(part[3]), part[4], last.at, Duration.ofMillis(left));
+                    routes.stoodBy(
+                            now,
+                            part[1],
+                            Long.parseLong(part[2]),
+                            Long.parseLong(part[3]),
+                            part[4],
+                            last.at,
+                            Duration.ofMillis(left));
                 }
             } catch (NumberFormatException e) {
                 return List.of();
--- a/src/main/java/merlinlever/routes/Merge.java
+++ b/src/main/java/merlinlever/routes/Merge.java
@@ -21,17 +21,23 @@
     /** One usable way, by which partner it came. */
     public record Candidate(String from, Relation relation, Route route) implements Comparable<Candidate> {
 
-        private static final Comparator<Candidate> ORDER = Comparator.comparing(Candidate::relation).thenComparing(each -> each.route.path().size())
-                .thenComparing(each -> each.route.cost()).thenComparing(Candidate::from).thenComparing(each -> each.route.place())
+        private static final Comparator<Candidate> ORDER = Comparator.comparing(Candidate::relation)
+                .thenComparing(each -> each.route.path().size())
+                .thenComparing(each -> each.route.cost())
+                .thenComparing(Candidate::from)
+                .thenComparing(each -> each.route.place())
                 .thenComparing(each -> String.join(">", each.route.path()));
 
-        @Override public int compareTo(Candidate other) {
+        @Override
+        public int compareTo(Candidate other) {
             return ORDER.compare(this, other);
         }
 
         /** Whether neither is better but for names: calls are spread over such. */
         public boolean asGoodAs(Candidate other) {
-            return relation == other.relation && route.path().size() == other.route.path().size() && route.cost() == other.route.cost();
+            return relation == other.relation
+                    && route.path().size() == other.route.path().size()
+                    && route.cost() == other.route.cost();
         }
     }
 
@@ -47,20 +53,21 @@
 
     /** Hears nothing. */
     public static final Hearer NOBODY = new Hearer() {
-        @Override public void refused(Route route, String rule) {
-        }
+        @Override
+        public void refused(Route route, String rule) {}
 
-        @Override public void withdrawn(Route route) {
-        }
+        @Override
+        public void withdrawn(Route route) {}
 
-        @Override public void changed(Route route) {
-        }
+        @Override
+        public void changed(Route route) {}
     };
 
     /** Routes at the most of all partners; a table that would go beyond is not taken. */
     public static final int MOST = 8 * Table.MOST;
     /** Alternatives of one key that are looked at. */
     public static final int MOST_ALTERNATIVES = 64;
+
     private static final NavigableSet<Candidate> NO_WAYS = Collections.unmodifiableNavigableSet(new TreeSet<>());
 
     private final Rules rules;
@@ -89,25 +96,34 @@
             tables.put(site, table);
             relations.put(site, relation);
         }
-        differ(before == null ? new TreeMap<>() : before.routes(), table == null ? new TreeMap<>() : table.routes(), itWas != relation, (old, now) -> {
-            if (old != null) {
-                drop(site, itWas, old);
-            }
-            if (old != null && now == null) {
-                hearer.withdrawn(old);
-            } else if (old != null && !old.equals(now)) {
-                hearer.changed(now);
-            }
-            if (now != null) {
-                add(site, relation, now, hearer);
-            }
-        });
+        differ(
+                before == null ? new TreeMap<>() : before.routes(),
+                table == null ? new TreeMap<>() : table.routes(),
+                itWas != relation,
+                (old, now) -> {
+                    if (old != null) {
+                        drop(site, itWas, old);
+                    }
+                    if (old != null && now == null) {
+                        hearer.withdrawn(old);
+                    } else if (old != null && !old.equals(now)) {
+                        hearer.changed(now);
+                    }
+                    if (now != null) {
+                        add(site, relation, now, hearer);
+                    }
+                });
         return true;
     }
 
     /** Goes along both at once and names what differs; both are in the same order. */
-    private static void differ(SortedMap<String, Route> before, SortedMap<String, Route> after, boolean all, BiConsumer<Route, Route> each) {
-        Iterator<Map.Entry<String, Route>> olds = before.entrySet().iterator(), news = after.entrySet().iterator();
+    private static void differ(
+            SortedMap<String, Route> before,
+            SortedMap<String, Route> after,
+            boolean all,
+            BiConsumer<Route, Route> each) {
+        Iterator<Map.Entry<String, Route>> olds = before.entrySet().iterator(),
+                news = after.entrySet().iterator();
         Map.Entry<String, Route> old = next(olds), now = next(news);
         while (old != null || now != null) {
             int order = old == null ? 1 : now == null ? -1 : old.getKey().compareTo(now.getKey());
@@ -130,7 +146,8 @@
     private void add(String site, Relation relation, Route route, Hearer hearer) {
         Rules.Intake why = rules.refusal(site, relation, route);
         if (why == null) {
-            ways.computeIfAbsent(route.key(), key -> new TreeSet<>()).add(new Candidate(site, relation, Rules.marked(site, relation, route)));
+            ways.computeIfAbsent(route.key(), key -> new TreeSet<>())
+                    .add(new Candidate(site, relation, Rules.marked(site, relation, route)));
         } else {
             hearer.refused(route, why.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
         }
@@ -146,7 +163,6 @@
         }
     }
 
-
     public Table table(String site) {
         return tables.get(site);
     }
@@ -167,8 +183,14 @@
     /** All of it as text: two with the same text decide the same. */
     public String told() {
         StringBuilder text = new StringBuilder();
-        ways.forEach((key, all) -> all.forEach(each -> text.append(key).append(' ').append(each.relation().word()).append(' ').append(each.from()).append(' ')
-                .append(each.route()).append('\n')));
+        ways.forEach((key, all) -> all.forEach(each -> text.append(key)
+                .append(' ')
+                .append(each.relation().word())
+                .append(' ')
+                .append(each.from())
+                .append(' ')
+                .append(each.route())
+                .append('\n')));
         return text.toString();
     }
 }
--- a/src/main/java/merlinlever/routes/Own.java
+++ b/src/main/java/merlinlever/routes/Own.java
@@ -9,7 +9,11 @@
  */
 public final class Own {
 
-    public enum State { GOOD, SLOW, AWAY }
+    public enum State {
+        GOOD,
+        SLOW,
+        AWAY
+    }
 
     /**
      * @param inARow ends that did not get through, one after the other, that make it away
--- a/src/main/java/merlinlever/routes/Partner.java
+++ b/src/main/java/merlinlever/routes/Partner.java
@@ -16,10 +16,12 @@
     private final double drift;
     /** The latest it said, and what is in use of it: all of it, or what was in use before as well. */
     private Table latest, used;
+
     private String digest;
     private Duration until = Duration.ZERO;
     /** What was in use before the latest, and until when, for the case that the latest was said in two ways. */
     private Table before;
+
     private Duration beforeUntil = Duration.ZERO;
     private boolean clashing;
 
@@ -32,7 +34,8 @@
     /** It is said to have said that; true where what is in use changed. */
     boolean offer(Duration now, Table table, String itsDigest, boolean mayWiden, Consumer<String> told) {
         if (!table.site().equals(site) || table.relation() != relation) {
-            told.accept("a table of " + table.site() + " that calls itself " + table.relation().word() + " is not that of " + site + ", " + relation.word());
+            told.accept("a table of " + table.site() + " that calls itself "
+                    + table.relation().word() + " is not that of " + site + ", " + relation.word());
             return false;
         }
         if (latest != null && !table.after(latest)) {
@@ -65,13 +68,15 @@
 
     private boolean again(Table table, String itsDigest, Consumer<String> told) {
         if (!table.sameVersion(latest)) {
-            told.accept(site + " came with " + version(table) + ", which is older than " + version(latest) + "; it is not taken");
+            told.accept(site + " came with " + version(table) + ", which is older than " + version(latest)
+                    + "; it is not taken");
             return false;
         }
         if (itsDigest.equals(digest)) {
             return false;
         }
-        told.accept(site + " has two tables under " + version(table) + ", " + digest + " and " + itsDigest + "; neither is taken");
+        told.accept(site + " has two tables under " + version(table) + ", " + digest + " and " + itsDigest
+                + "; neither is taken");
         if (!clashing) {
             clashing = true;
             used = before == null ? none(table) : before.narrowed(latest);
@@ -83,7 +88,11 @@
 
     /** It surely stood by that version at a moment, or later, and so it may be used for so long from then. */
     boolean stoodBy(long incarnation, long sequence, String itsDigest, Duration from, Duration lasts) {
-        if (latest == null || clashing || latest.incarnation() != incarnation || latest.sequence() != sequence || !itsDigest.equals(digest)) {
+        if (latest == null
+                || clashing
+                || latest.incarnation() != incarnation
+                || latest.sequence() != sequence
+                || !itsDigest.equals(digest)) {
             return false;
         }
         Duration most = lasts.compareTo(latest.lease()) < 0 ? lasts : latest.lease();
--- a/src/main/java/merlinlever/routes/Parts.java
+++ b/src/main/java/merlinlever/routes/Parts.java
@@ -20,6 +20,7 @@
 
     /** Parts of a table at the most. */
     static final int MOST = 256;
+
     private static final int OCTETS = Snapshot.MOST_OCTETS - 64;
 
     /** The parts of one version of a partner's, as far as they came. */
@@ -76,16 +77,24 @@
         if (!head.matches("[1-9][0-9]{0,2} [0-9a-f]{32}") || !part.topic().matches("routes\\.[0-9]{1,3}")) {
             return null;
         }
-        int count = Integer.parseInt(head.substring(0, head.indexOf(' '))), which = Integer.parseInt(part.topic().substring(7));
-        if (count > MOST || which >= count || !coming.containsKey(part.owner()) && coming.size() >= Routes.MOST_PARTNERS) {
+        int count = Integer.parseInt(head.substring(0, head.indexOf(' '))),
+                which = Integer.parseInt(part.topic().substring(7));
+        if (count > MOST
+                || which >= count
+                || !coming.containsKey(part.owner()) && coming.size() >= Routes.MOST_PARTNERS) {
             return null;
         }
         Coming its = coming.get(part.owner());
-        if (its != null && !head.equals(its.head) && part.incarnation() == its.incarnation && part.sequence() == its.sequence) {
+        if (its != null
+                && !head.equals(its.head)
+                && part.incarnation() == its.incarnation
+                && part.sequence() == its.sequence) {
             // Two under one version; it begins anew with this one, and the other was taken or will come again.
             its = null;
         }
-        if (its == null || part.incarnation() > its.incarnation || part.incarnation() == its.incarnation && part.sequence() > its.sequence) {
+        if (its == null
+                || part.incarnation() > its.incarnation
+                || part.incarnation() == its.incarnation && part.sequence() > its.sequence) {
             coming.put(part.owner(), its = new Coming(part, head, count));
         } else if (part.incarnation() != its.incarnation || part.sequence() != its.sequence) {
             return null;
@@ -107,9 +116,14 @@
                 text.write(some, 0, got);
                 got = inflater.inflate(some);
             }
-            Table table = TableReader.read(text.toString(StandardCharsets.UTF_8)).table();
-            return table.site().equals(site) && table.incarnation() == its.incarnation && table.sequence() == its.sequence
-                    && TableWriter.digest(table).equals(its.head.substring(its.head.indexOf(' ') + 1)) ? table : null;
+            Table table =
+                    TableReader.read(text.toString(StandardCharsets.UTF_8)).table();
+            return table.site().equals(site)
+                            && table.incarnation() == its.incarnation
+                            && table.sequence() == its.sequence
+                            && TableWriter.digest(table).equals(its.head.substring(its.head.indexOf(' ') + 1))
+                    ? table
+                    : null;
         } catch (DataFormatException | TableReader.Unusable e) {
             return null;
         } finally {
--- a/src/main/java/merlinlever/routes/Restrictions.java
+++ b/src/main/java/merlinlever/routes/Restrictions.java
@@ -15,14 +15,22 @@
  * @param customersOnly passed on only to customers
  * @param unreadable it says something that is not understood, and so forbids all
  */
-public record Restrictions(SortedSet<String> onlyTo, SortedSet<String> notTo, boolean noFurther, int mostSites, boolean retriableOnly,
-        boolean customersOnly, boolean unreadable) {
+public record Restrictions(
+        SortedSet<String> onlyTo,
+        SortedSet<String> notTo,
+        boolean noFurther,
+        int mostSites,
+        boolean retriableOnly,
+        boolean customersOnly,
+        boolean unreadable) {
 
     /** Sites on the way at the most, whatever is said. */
     public static final int MOST_SITES = 16;
 
-    public static final Restrictions NONE = new Restrictions(null, new TreeSet<>(), false, MOST_SITES, false, false, false);
-    public static final Restrictions UNREADABLE = new Restrictions(new TreeSet<>(), new TreeSet<>(), true, 1, true, true, true);
+    public static final Restrictions NONE =
+            new Restrictions(null, new TreeSet<>(), false, MOST_SITES, false, false, false);
+    public static final Restrictions UNREADABLE =
+            new Restrictions(new TreeSet<>(), new TreeSet<>(), true, 1, true, true, true);
 
     public Restrictions {
         onlyTo = onlyTo == null ? null : Collections.unmodifiableSortedSet(new TreeSet<>(onlyTo));
@@ -42,7 +50,13 @@
         }
         SortedSet<String> not = new TreeSet<>(notTo);
         not.addAll(other.notTo);
-        return new Restrictions(only, not, noFurther || other.noFurther, Math.min(mostSites, other.mostSites), retriableOnly || other.retriableOnly,
-                customersOnly || other.customersOnly, unreadable || other.unreadable);
+        return new Restrictions(
+                only,
+                not,
+                noFurther || other.noFurther,
+                Math.min(mostSites, other.mostSites),
+                retriableOnly || other.retriableOnly,
+                customersOnly || other.customersOnly,
+                unreadable || other.unreadable);
     }
 }
--- a/src/main/java/merlinlever/routes/Room.java
+++ b/src/main/java/merlinlever/routes/Room.java
@@ -7,6 +7,7 @@
 
     /** Remembered begins at the most, and so the most calls of one route and backend in a stretch. */
     static final int MOST = 4096;
+
     private static final long SECOND = 1_000_000_000L;
 
     private final long[] begun;
--- a/src/main/java/merlinlever/routes/Route.java
+++ b/src/main/java/merlinlever/routes/Route.java
@@ -12,7 +12,15 @@
  * @param path the sites that a call passes, the publisher first, the origin last
  * @param downFrom the site from which on it goes only to customers (OTC in RFC 9234); null while it only went up
  */
-public record Route(String tariff, String group, String place, int calls, int cost, boolean binding, List<String> path, String downFrom,
+public record Route(
+        String tariff,
+        String group,
+        String place,
+        int calls,
+        int cost,
+        boolean binding,
+        List<String> path,
+        String downFrom,
         Restrictions restrictions) {
 
     public Route {
@@ -38,8 +46,18 @@
         if (equals(other)) {
             return this;
         }
-        String down = downFrom == null || other.downFrom != null && other.downFrom.compareTo(downFrom) < 0 ? other.downFrom : downFrom;
-        return new Route(tariff, group, place, Math.min(calls, other.calls), Math.max(cost, other.cost), binding && other.binding, path, down,
+        String down = downFrom == null || other.downFrom != null && other.downFrom.compareTo(downFrom) < 0
+                ? other.downFrom
+                : downFrom;
+        return new Route(
+                tariff,
+                group,
+                place,
+                Math.min(calls, other.calls),
+                Math.max(cost, other.cost),
+                binding && other.binding,
+                path,
+                down,
                 restrictions.and(other.restrictions));
     }
 
--- a/src/main/java/merlinlever/routes/Routes.java
+++ b/src/main/java/merlinlever/routes/Routes.java
@@ -15,8 +15,7 @@
 public final class Routes {
 
     /** What is stated of one partner. */
-    public record Stated(String site, Relation relation) {
-    }
+    public record Stated(String site, Relation relation) {}
 
     /** Partners at the most. */
     public static final int MOST_PARTNERS = 64;
@@ -30,7 +29,8 @@
     /** Changes with whatever {@link #ways} may say, but for the time. */
     private long edition;
 
-    public Routes(Rules rules, List<Stated> stated, double drift, Damping.Figures figures, Seen seen, Consumer<String> told) {
+    public Routes(
+            Rules rules, List<Stated> stated, double drift, Damping.Figures figures, Seen seen, Consumer<String> told) {
         this.rules = rules;
         this.seen = seen;
         this.told = told;
@@ -58,7 +58,8 @@
             return false;
         }
         Table latest = its.latest();
-        boolean changed = its.offer(now, table, TableWriter.digest(table), seen.may(now, Act.ADOPT) == Permits.May.YES, told);
+        boolean changed =
+                its.offer(now, table, TableWriter.digest(table), seen.may(now, Act.ADOPT) == Permits.May.YES, told);
         if (changed) {
             apply(now, its, hearer(now, its.site));
         }
@@ -69,17 +70,21 @@
         return new Merge.Hearer() {
             private int lines;
 
-            @Override public void refused(Route route, String rule) {
+            @Override
+            public void refused(Route route, String rule) {
                 if (lines++ < 20) {
-                    told.accept(site + ": " + route.key() + " by " + String.join(" ", route.path()) + " is refused: " + rule);
+                    told.accept(site + ": " + route.key() + " by " + String.join(" ", route.path()) + " is refused: "
+                            + rule);
                 }
             }
 
-            @Override public void withdrawn(Route route) {
+            @Override
+            public void withdrawn(Route route) {
                 damping.withdrawn(now, site + " " + route.id());
             }
 
-            @Override public void changed(Route route) {
+            @Override
+            public void changed(Route route) {
                 damping.changed(now, site + " " + route.id());
             }
         };
@@ -97,7 +102,8 @@
     }
 
     /** The partner surely stood by the version at that moment of this process, or later, and it may be used for so long from then. */
-    public boolean stoodBy(Duration now, String site, long incarnation, long sequence, String digest, Duration from, Duration lasts) {
+    public boolean stoodBy(
+            Duration now, String site, long incarnation, long sequence, String digest, Duration from, Duration lasts) {
         Partner its = partners.get(site);
         if (its == null) {
             return false;
@@ -137,7 +143,8 @@
         int looked = 0;
         for (Merge.Candidate each : merge.ways(key)) {
             Partner its = partners.get(each.from());
-            if (its.used(now) != null && !damping.leftOut(now, each.from() + " " + each.route().id())) {
+            if (its.used(now) != null
+                    && !damping.leftOut(now, each.from() + " " + each.route().id())) {
                 (its.stale(now) ? stale : fresh).add(each);
                 if (++looked >= Merge.MOST_ALTERNATIVES) {
                     break;
@@ -153,13 +160,13 @@
     }
 
     /** What of it is held here, as word for another backend. */
-    public record Holds(String site, long incarnation, long sequence, String digest, Duration left) {
-    }
+    public record Holds(String site, long incarnation, long sequence, String digest, Duration left) {}
 
     /** What is held of a partner; null where nothing is. */
     public Holds holds(Duration now, String site) {
         Partner its = partners.get(site);
-        return its == null || its.latest() == null ? null
+        return its == null || its.latest() == null
+                ? null
                 : new Holds(site, its.latest().incarnation(), its.latest().sequence(), its.digest(), its.left(now));
     }
 
@@ -174,8 +181,18 @@
 
     /** What this site's own table to a partner may hold: its own routes and what may be passed on, the best of each key. */
     public List<Route> export(Duration now, String receiver, Collection<Route> own, String place, int calls, int cost) {
-        return Exports.of(rules, merge, partners.get(receiver).relation, receiver, own, place, calls, cost,
-                each -> partners.get(each.from()).used(now) != null && !damping.leftOut(now, each.from() + " " + each.route().id()));
+        return Exports.of(
+                rules,
+                merge,
+                partners.get(receiver).relation,
+                receiver,
+                own,
+                place,
+                calls,
+                cost,
+                each -> partners.get(each.from()).used(now) != null
+                        && !damping.leftOut(
+                                now, each.from() + " " + each.route().id()));
     }
 
     /** Of all tables in use, as text: two backends with the same text decide the same. */
--- a/src/main/java/merlinlever/routes/Rules.java
+++ b/src/main/java/merlinlever/routes/Rules.java
@@ -54,7 +54,8 @@
     Rules(String self, Set<Intake> without, Set<Export> withoutExport) {
         this.self = self;
         intake = EnumSet.complementOf(without.isEmpty() ? EnumSet.noneOf(Intake.class) : EnumSet.copyOf(without));
-        export = EnumSet.complementOf(withoutExport.isEmpty() ? EnumSet.noneOf(Export.class) : EnumSet.copyOf(withoutExport));
+        export = EnumSet.complementOf(
+                withoutExport.isEmpty() ? EnumSet.noneOf(Export.class) : EnumSet.copyOf(withoutExport));
     }
 
     public String self() {
@@ -77,12 +78,16 @@
         return switch (rule) {
             case UNREADABLE -> its.unreadable();
             case FIRST -> !route.path().get(0).equals(from);
-            case LOOP -> route.path().contains(self) || new HashSet<>(route.path()).size() < route.path().size();
-            case NOT_HERE -> its.onlyTo() != null && !its.onlyTo().contains(self) || its.notTo().contains(self);
+            case LOOP -> route.path().contains(self)
+                    || new HashSet<>(route.path()).size() < route.path().size();
+            case NOT_HERE -> its.onlyTo() != null && !its.onlyTo().contains(self)
+                    || its.notTo().contains(self);
             case NO_FURTHER -> its.noFurther() && passedOn;
             case TOO_LONG -> route.path().size() > Math.min(its.mostSites(), Restrictions.MOST_SITES);
             case LEAK -> relation == Relation.CUSTOMER && route.downFrom() != null
-                    || relation == Relation.PEER && route.downFrom() != null && !route.downFrom().equals(from)
+                    || relation == Relation.PEER
+                            && route.downFrom() != null
+                            && !route.downFrom().equals(from)
                     || relation != Relation.PROVIDER && its.customersOnly() && passedOn;
         };
     }
@@ -108,10 +113,13 @@
             case BACK -> route.path().contains(receiver);
             case NOT_THERE -> !said.allows(receiver);
             case NO_FURTHER -> from != null && said.noFurther();
-            // The path of this site's own begins with it already.
-            case TOO_LONG -> route.path().size() + (from == null ? 0 : 1) > Math.min(said.mostSites(), Restrictions.MOST_SITES);
+                // The path of this site's own begins with it already.
+            case TOO_LONG -> route.path().size() + (from == null ? 0 : 1)
+                    > Math.min(said.mostSites(), Restrictions.MOST_SITES);
             case CUSTOMERS_ONLY -> from != null && said.customersOnly() && its != Relation.CUSTOMER;
-            case VALLEY -> its != Relation.CUSTOMER && from != null && (from != Relation.CUSTOMER || route.downFrom() != null);
+            case VALLEY -> its != Relation.CUSTOMER
+                    && from != null
+                    && (from != Relation.CUSTOMER || route.downFrom() != null);
         };
     }
 
@@ -119,7 +127,15 @@
     Route passedOn(Route route, String place, int calls, int cost, Relation receiver) {
         List<String> path = new ArrayList<>(Collections.singleton(self));
         path.addAll(route.path());
-        return new Route(route.tariff(), route.group(), place, Math.min(calls, route.calls()), Math.min(TableReader.MOST_COST, route.cost() + cost),
-                route.binding(), path, route.downFrom() == null && receiver != Relation.PROVIDER ? self : route.downFrom(), route.restrictions());
+        return new Route(
+                route.tariff(),
+                route.group(),
+                place,
+                Math.min(calls, route.calls()),
+                Math.min(TableReader.MOST_COST, route.cost() + cost),
+                route.binding(),
+                path,
+                route.downFrom() == null && receiver != Relation.PROVIDER ? self : route.downFrom(),
+                route.restrictions());
     }
 }
--- a/src/main/java/merlinlever/routes/Table.java
+++ b/src/main/java/merlinlever/routes/Table.java
@@ -13,17 +13,25 @@
  * @param lease so long it may be used from when the publisher was last heard to stand by it
  * @param routes by {@link Route#id}; {@link #MOST} at the most
  */
-public record Table(String site, long incarnation, long sequence, Relation relation, Duration lease, SortedMap<String, Route> routes) {
+public record Table(
+        String site,
+        long incarnation,
+        long sequence,
+        Relation relation,
+        Duration lease,
+        SortedMap<String, Route> routes) {
 
     /** Routes of one table at the most. */
     public static final int MOST = 16_384;
+
     public static final Duration SHORTEST = Duration.ofSeconds(1), LONGEST = Duration.ofHours(1);
 
     public Table {
         routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
     }
 
-    public static Table of(String site, long incarnation, long sequence, Relation relation, Duration lease, Collection<Route> routes) {
+    public static Table of(
+            String site, long incarnation, long sequence, Relation relation, Duration lease, Collection<Route> routes) {
         TreeMap<String, Route> byId = new TreeMap<>();
         routes.forEach(route -> byId.put(route.id(), route));
         return new Table(site, incarnation, sequence, relation, lease, byId);
@@ -50,6 +58,12 @@
             }
         });
         Table later = other.after(this) ? other : this;
-        return new Table(site, later.incarnation, later.sequence, later.relation, lease.compareTo(other.lease) < 0 ? lease : other.lease, both);
+        return new Table(
+                site,
+                later.incarnation,
+                later.sequence,
+                later.relation,
+                lease.compareTo(other.lease) < 0 ? lease : other.lease,
+                both);
     }
 }
--- a/src/main/java/merlinlever/routes/TableReader.java
+++ b/src/main/java/merlinlever/routes/TableReader.java
@@ -28,8 +28,7 @@
     }
 
     /** @param faults one line for each route that is not used as it was said, 50 at the most */
-    public record Read(Table table, List<String> faults) {
-    }
+    public record Read(Table table, List<String> faults) {}
 
     public static final int MOST_CHARACTERS = 8 << 20;
     public static final int MOST_CALLS = 100_000;
@@ -39,13 +38,15 @@
     private static final long MOST_VERSION = 1L << 52;
     private static final Pattern SITE = Pattern.compile("[a-z0-9-]{1,20}");
     private static final Pattern WORD = Pattern.compile("[!-.0-~]{1,40}");
-    private static final Pattern PLACE = Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3}):([0-9]{1,5})");
+    private static final Pattern PLACE =
+            Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3}):([0-9]{1,5})");
     private static final Set<String> HEAD = Set.of("site", "incarnation", "sequence", "relation", "lease-ms", "routes");
-    private static final Set<String> ROUTE = Set.of("tariff", "group", "place", "calls", "cost", "binding", "path", "down-from", "restrictions");
-    private static final Set<String> LIMITS = Set.of("only-to", "not-to", "no-further", "most-sites", "retriable-only", "customers-only");
+    private static final Set<String> ROUTE =
+            Set.of("tariff", "group", "place", "calls", "cost", "binding", "path", "down-from", "restrictions");
+    private static final Set<String> LIMITS =
+            Set.of("only-to", "not-to", "no-further", "most-sites", "retriable-only", "customers-only");
 
-    private TableReader() {
-    }
+    private TableReader() {}
 
     private static final class Fault extends Exception {
         private static final long serialVersionUID = 1;
@@ -69,9 +70,11 @@
     private static Read read(Map<?, ?> head) throws Fault {
         known(head, HEAD);
         String site = word(head, "site", SITE);
-        long incarnation = number(head, "incarnation", 0, MOST_VERSION), sequence = number(head, "sequence", 0, MOST_VERSION);
+        long incarnation = number(head, "incarnation", 0, MOST_VERSION),
+                sequence = number(head, "sequence", 0, MOST_VERSION);
         Relation relation = relation(word(head, "relation", WORD));
-        Duration lease = Duration.ofMillis(number(head, "lease-ms", Table.SHORTEST.toMillis(), Table.LONGEST.toMillis()));
+        Duration lease =
+                Duration.ofMillis(number(head, "lease-ms", Table.SHORTEST.toMillis(), Table.LONGEST.toMillis()));
         if (!(head.get("routes") instanceof List<?> list)) {
             throw new Fault("'routes' is no list");
         }
@@ -119,8 +122,15 @@
             throw new Fault("'path' is empty");
         }
         String down = map.get("down-from") == null ? null : word(map, "down-from", SITE);
-        return new Route(word(map, "tariff", WORD), map.containsKey("group") ? word(map, "group", WORD) : "records", place,
-                (int) number(map, "calls", 1, MOST_CALLS), (int) number(map, "cost", 0, MOST_COST), flag(map, "binding"), path, down,
+        return new Route(
+                word(map, "tariff", WORD),
+                map.containsKey("group") ? word(map, "group", WORD) : "records",
+                place,
+                (int) number(map, "calls", 1, MOST_CALLS),
+                (int) number(map, "cost", 0, MOST_COST),
+                flag(map, "binding"),
+                path,
+                down,
                 map.containsKey("restrictions") ? restrictions(map.get("restrictions")) : Restrictions.NONE);
     }
 
@@ -131,11 +141,22 @@
                 return Restrictions.UNREADABLE;
             }
             known(map, LIMITS);
-            SortedSet<String> only = map.containsKey("only-to") ? new TreeSet<>(sites(map.get("only-to"), "only-to", MOST_SITES_NAMED)) : null;
-            SortedSet<String> not = map.containsKey("not-to") ? new TreeSet<>(sites(map.get("not-to"), "not-to", MOST_SITES_NAMED)) : new TreeSet<>();
-            return new Restrictions(only, not, flag(map, "no-further"),
-                    map.containsKey("most-sites") ? (int) number(map, "most-sites", 1, Restrictions.MOST_SITES) : Restrictions.MOST_SITES,
-                    flag(map, "retriable-only"), flag(map, "customers-only"), false);
+            SortedSet<String> only = map.containsKey("only-to")
+                    ? new TreeSet<>(sites(map.get("only-to"), "only-to", MOST_SITES_NAMED))
+                    : null;
+            SortedSet<String> not = map.containsKey("not-to")
+                    ? new TreeSet<>(sites(map.get("not-to"), "not-to", MOST_SITES_NAMED))
+                    : new TreeSet<>();
+            return new Restrictions(
+                    only,
+                    not,
+                    flag(map, "no-further"),
+                    map.containsKey("most-sites")
+                            ? (int) number(map, "most-sites", 1, Restrictions.MOST_SITES)
+                            : Restrictions.MOST_SITES,
+                    flag(map, "retriable-only"),
+                    flag(map, "customers-only"),
+                    false);
         } catch (Fault e) {
             return Restrictions.UNREADABLE;
         }
@@ -172,7 +193,9 @@
         for (Object name : map.keySet()) {
             if (!names.contains(name)) {
                 String shown = String.valueOf(name);
-                throw new Fault("'" + shown.substring(0, Math.min(40, shown.length())).replaceAll("[^ -~]", "?") + "' is not known");
+                throw new Fault(
+                        "'" + shown.substring(0, Math.min(40, shown.length())).replaceAll("[^ -~]", "?")
+                                + "' is not known");
             }
         }
     }
--- a/src/main/java/merlinlever/routes/TableWriter.java
+++ b/src/main/java/merlinlever/routes/TableWriter.java
@@ -11,13 +11,20 @@
 /** Writes a table as {@link TableReader} reads it, the same text for the same table. */
 public final class TableWriter {
 
-    private TableWriter() {
-    }
+    private TableWriter() {}
 
     public static String text(Table table) {
-        StringBuilder text = new StringBuilder("{\"site\":").append(Json.quoted(table.site())).append(",\"incarnation\":").append(table.incarnation())
-                .append(",\"sequence\":").append(table.sequence()).append(",\"relation\":\"").append(table.relation().word()).append("\",\"lease-ms\":")
-                .append(table.lease().toMillis()).append(",\"routes\":[");
+        StringBuilder text = new StringBuilder("{\"site\":")
+                .append(Json.quoted(table.site()))
+                .append(",\"incarnation\":")
+                .append(table.incarnation())
+                .append(",\"sequence\":")
+                .append(table.sequence())
+                .append(",\"relation\":\"")
+                .append(table.relation().word())
+                .append("\",\"lease-ms\":")
+                .append(table.lease().toMillis())
+                .append(",\"routes\":[");
         String between = "\n";
         for (Route route : table.routes().values()) {
             text.append(between);
@@ -28,9 +35,19 @@
     }
 
     private static void route(StringBuilder text, Route route) {
-        text.append("{\"tariff\":").append(Json.quoted(route.tariff())).append(",\"group\":").append(Json.quoted(route.group())).append(",\"place\":\"")
-                .append(route.place()).append("\",\"calls\":").append(route.calls()).append(",\"cost\":").append(route.cost())
-                .append(route.binding() ? ",\"binding\":true" : "").append(",\"path\":").append(list(route.path()));
+        text.append("{\"tariff\":")
+                .append(Json.quoted(route.tariff()))
+                .append(",\"group\":")
+                .append(Json.quoted(route.group()))
+                .append(",\"place\":\"")
+                .append(route.place())
+                .append("\",\"calls\":")
+                .append(route.calls())
+                .append(",\"cost\":")
+                .append(route.cost())
+                .append(route.binding() ? ",\"binding\":true" : "")
+                .append(",\"path\":")
+                .append(list(route.path()));
         if (route.downFrom() != null) {
             text.append(",\"down-from\":").append(Json.quoted(route.downFrom()));
         }
@@ -38,9 +55,15 @@
         if (its.unreadable()) {
             text.append(",\"restrictions\":null");
         } else if (!its.equals(Restrictions.NONE)) {
-            text.append(",\"restrictions\":{\"no-further\":").append(its.noFurther()).append(its.onlyTo() == null ? "" : ",\"only-to\":" + list(its.onlyTo()))
-                    .append(its.notTo().isEmpty() ? "" : ",\"not-to\":" + list(its.notTo())).append(",\"most-sites\":").append(its.mostSites())
-                    .append(its.retriableOnly() ? ",\"retriable-only\":true" : "").append(its.customersOnly() ? ",\"customers-only\":true" : "").append('}');
+            text.append(",\"restrictions\":{\"no-further\":")
+                    .append(its.noFurther())
+                    .append(its.onlyTo() == null ? "" : ",\"only-to\":" + list(its.onlyTo()))
+                    .append(its.notTo().isEmpty() ? "" : ",\"not-to\":" + list(its.notTo()))
+                    .append(",\"most-sites\":")
+                    .append(its.mostSites())
+                    .append(its.retriableOnly() ? ",\"retriable-only\":true" : "")
+                    .append(its.customersOnly() ? ",\"customers-only\":true" : "")
+                    .append('}');
         }
         text.append('}');
     }
--- a/src/main/java/merlinlever/routes/net/Partners.java
+++ b/src/main/java/merlinlever/routes/net/Partners.java
@@ -31,6 +31,7 @@
     private static final int MOST_PLACES = 64;
     /** Operations whose tries are remembered, the oldest forgotten first: as many as the core keeps marks for. */
     private static final int MOST_TRIES = 8192;
+
     private static final Duration LOOK = Duration.ofMillis(50);
     private static final Exits.Tariff STAYS = new Exits.Tariff("-", Exits.Kind.BINDING, false);
 
@@ -64,8 +65,18 @@
      * @param most connections to the own service, and to each place of a partner, at the same time
      * @param room hears how many calls a second there is room for, or -1 while its own service is good; whenever that changes
      */
-    public Partners(Loop loop, InetSocketAddress ownAt, Maker maker, Log log, int most, Routes routes, Exits exits, Own state,
-            List<Exits.Tariff> tariffs, String group, LongConsumer room) {
+    public Partners(
+            Loop loop,
+            InetSocketAddress ownAt,
+            Maker maker,
+            Log log,
+            int most,
+            Routes routes,
+            Exits exits,
+            Own state,
+            List<Exits.Tariff> tariffs,
+            String group,
+            LongConsumer room) {
         this.loop = loop;
         this.maker = maker;
         this.log = log;
@@ -79,7 +90,9 @@
         long[] last = {-1};
         loop.every(LOOK, () -> {
             routes.settle(loop.clock().uptime());
-            long now = state.state() == Own.State.GOOD ? -1 : exits.room(loop.clock().uptime(), tariffs, group);
+            long now = state.state() == Own.State.GOOD
+                    ? -1
+                    : exits.room(loop.clock().uptime(), tariffs, group);
             if (now != last[0]) {
                 last[0] = now;
                 room.accept(now);
@@ -97,7 +110,8 @@
         return ways;
     }
 
-    @Override public void call(Work work, byte[] body, Duration within) {
+    @Override
+    public void call(Work work, byte[] body, Duration within) {
         Duration now = loop.clock().uptime();
         Tries its = all.computeIfAbsent(work.id(), id -> new Tries());
         if (all.size() > MOST_TRIES) {
@@ -122,7 +136,11 @@
 
     /** Sends it along a route; false where there is none. */
     private boolean elsewhere(Duration now, Tries its, boolean overShare) {
-        Optional<Exits.Way> way = exits.way(now, new Exits.Call(tariff(its.work), group, its.work.key(), its.places, its.missing), state.state(), overShare);
+        Optional<Exits.Way> way = exits.way(
+                now,
+                new Exits.Call(tariff(its.work), group, its.work.key(), its.places, its.missing),
+                state.state(),
+                overShare);
         RecordsLink link = way.isEmpty() ? null : link(way.get().place());
         if (link == null || its.until.compareTo(now) <= 0) {
             return false;
@@ -140,7 +158,8 @@
         if (link == null && links.size() < MOST_PLACES) {
             int colon = place.lastIndexOf(':');
             // Numbers alone, by the reader of tables: nothing is looked up.
-            InetSocketAddress at = new InetSocketAddress(place.substring(0, colon), Integer.parseInt(place.substring(colon + 1)));
+            InetSocketAddress at =
+                    new InetSocketAddress(place.substring(0, colon), Integer.parseInt(place.substring(colon + 1)));
             link = new RecordsLink(loop, at, (now, id, how, reply) -> ended(now, id, how, reply, place), log, most);
             links.put(place, link);
         }
@@ -173,7 +192,8 @@
         maker.callEnded(moduleNow, id, how, reply);
     }
 
-    @Override public void giveUp(Work work) {
+    @Override
+    public void giveUp(Work work) {
         Tries its = all.get(work.id());
         if (its != null && its.link != null) {
             its.link.giveUp(work);
@@ -184,6 +204,7 @@
 
     /** What it knows, as members of a JSON object. */
     public String json() {
-        return "\"routes\":{\"own\":\"" + state.state().name().toLowerCase(java.util.Locale.ROOT) + "\",\"known\":" + routes.routes() + ",\"sent\":" + ways + "}";
+        return "\"routes\":{\"own\":\"" + state.state().name().toLowerCase(java.util.Locale.ROOT) + "\",\"known\":"
+                + routes.routes() + ",\"sent\":" + ways + "}";
     }
 }
--- a/src/main/java/merlinlever/routes/net/TableFiles.java
+++ b/src/main/java/merlinlever/routes/net/TableFiles.java
@@ -27,6 +27,7 @@
     private final Consumer<String> told;
     /** When each was written, as the file system says; for telling writes apart alone. */
     private final Map<String, String> written = new TreeMap<>();
+
     private Duration before;
 
     /** @param fetching the job has a table in its file at most so long after it asked the partner, and looks are not counted */
@@ -47,7 +48,8 @@
                     read(now, site, file, was != null);
                 }
             } catch (IOException e) {
-                told.accept(site + ": " + file.getFileName() + " cannot be read: " + e.getClass().getSimpleName());
+                told.accept(site + ": " + file.getFileName() + " cannot be read: "
+                        + e.getClass().getSimpleName());
             }
         });
         before = now;
@@ -69,7 +71,14 @@
             routes.offer(now, table);
             if (anew) {
                 // Written after the last look, and asked for at most so long before it was written.
-                routes.stoodBy(now, site, table.incarnation(), table.sequence(), TableWriter.digest(table), before.minus(fetching), table.lease());
+                routes.stoodBy(
+                        now,
+                        site,
+                        table.incarnation(),
+                        table.sequence(),
+                        TableWriter.digest(table),
+                        before.minus(fetching),
+                        table.lease());
             }
         } catch (TableReader.Unusable e) {
             told.accept(site + ": " + e.getMessage());
