--- a/src/main/java/merlinlever/shared/Ballots.java
+++ b/src/main/java/merlinlever/shared/Ballots.java
@@ -19,6 +19,7 @@
 
     /** Registers at the most; they are never dropped, so that none can be written a second time. */
     static final int MOST = 256;
+
     static final int MOST_VALUE = 1 << 10;
     private static final int FORM = 0x4d4c4431;
 
@@ -28,8 +29,7 @@
      * @param term under which the value was accepted last; means nothing once it is written
      * @param written more than half of the voters have accepted it under one term
      */
-    record Entry(String name, long term, byte[] value, boolean written) {
-    }
+    record Entry(String name, long term, byte[] value, boolean written) {}
 
     private long promised;
     private final TreeMap<String, Entry> all = new TreeMap<>();
@@ -62,7 +62,9 @@
     /** A leader of the term proposes the value; false where a later one was promised, there is no room, or it proposed another. */
     boolean accept(long term, String name, byte[] value) {
         Entry known = all.get(name);
-        if (term < promised || !room(name) || known != null && (known.written || known.term == term) && !Arrays.equals(known.value, value)) {
+        if (term < promised
+                || !room(name)
+                || known != null && (known.written || known.term == term) && !Arrays.equals(known.value, value)) {
             return false;
         }
         promised = term;
@@ -101,7 +103,9 @@
     static byte[] safe(Collection<Entry> told, byte[] mine) {
         Entry highest = null;
         for (Entry each : told) {
-            highest = each != null && each.value != null && (highest == null || each.term > highest.term) ? each : highest;
+            highest = each != null && each.value != null && (highest == null || each.term > highest.term)
+                    ? each
+                    : highest;
         }
         return highest == null ? mine : highest.value;
     }
@@ -114,7 +118,12 @@
 
     static void put(ByteBuffer out, Entry entry) {
         byte[] name = entry.name.getBytes(StandardCharsets.US_ASCII);
-        out.put((byte) name.length).put(name).putLong(entry.term).put((byte) (entry.written ? 1 : 0)).putShort((short) entry.value.length).put(entry.value);
+        out.put((byte) name.length)
+                .put(name)
+                .putLong(entry.term)
+                .put((byte) (entry.written ? 1 : 0))
+                .putShort((short) entry.value.length)
+                .put(entry.value);
     }
 
     /** Throws what a buffer or an argument does where this is none. */
@@ -134,7 +143,8 @@
     }
 
     byte[] octets() {
-        ByteBuffer out = ByteBuffer.allocate(24 + all.values().stream().mapToInt(Ballots::octets).sum());
+        ByteBuffer out = ByteBuffer.allocate(
+                24 + all.values().stream().mapToInt(Ballots::octets).sum());
         out.putInt(0).putInt(FORM).putLong(promised).putShort((short) all.size());
         all.values().forEach(entry -> put(out, entry));
         byte[] octets = Arrays.copyOf(out.array(), out.position());
@@ -171,7 +181,12 @@
     long mark() {
         long mark = 0;
         for (Entry entry : all.values()) {
-            mark ^= entry.written ? ByteBuffer.wrap(Word.sha().digest((entry.name + " " + Word.digest(entry.value)).getBytes(StandardCharsets.US_ASCII))).getLong() : 0;
+            mark ^= entry.written
+                    ? ByteBuffer.wrap(Word.sha()
+                                    .digest((entry.name + " " + Word.digest(entry.value))
+                                            .getBytes(StandardCharsets.US_ASCII)))
+                            .getLong()
+                    : 0;
         }
         return mark;
     }
--- a/src/main/java/merlinlever/shared/Common.java
+++ b/src/main/java/merlinlever/shared/Common.java
@@ -8,8 +8,7 @@
 public interface Common {
 
     /** One value under two digests of the same owner, topic, incarnation and sequence: neither is taken, both owners are told. */
-    record Clash(String owner, String topic, long incarnation, long sequence, String one, String other) {
-    }
+    record Clash(String owner, String topic, long incarnation, long sequence, String one, String other) {}
 
     /** Hears of what came anew from other backends; what this one puts or passes itself it knows. */
     interface Hearer {
@@ -17,12 +16,10 @@
         void came(Duration now, Snapshot snapshot);
 
         /** The word counts no longer: it grew too old without its owner's refresh, or this one was away for too long. */
-        default void gone(Duration now, String owner, String topic) {
-        }
+        default void gone(Duration now, String owner, String topic) {}
 
         /** The word was claimed twice and is set aside; what was adopted of an earlier version is the hearer's to keep or end. */
-        default void clashed(Duration now, Clash clash) {
-        }
+        default void clashed(Duration now, Clash clash) {}
     }
 
     /** This backend's own word on the topic, in place of its last; false where there is no room for it. */
--- a/src/main/java/merlinlever/shared/Decree.java
+++ b/src/main/java/merlinlever/shared/Decree.java
@@ -36,11 +36,9 @@
     private static final int MOST_WAITING = 1000;
 
     /** What must be on the disk; {@code version} goes back to {@link #kept}. */
-    public record Keep(long version, byte[] octets) {
-    }
+    public record Keep(long version, byte[] octets) {}
 
-    private record Waiting(long version, Carry carry) {
-    }
+    private record Waiting(long version, Carry carry) {}
 
     /** A register that this leader writes now. */
     private static final class Proposal {
@@ -48,9 +46,11 @@
         long term = -1;
         /** Null while voters are asked; then it is never changed within the term. */
         byte[] value;
+
         final Map<String, Ballots.Entry> told = new TreeMap<>();
         /** Who has, and when that question was put, in ms of this one's clock. */
         final Map<String, Long> promised = new TreeMap<>(), accepted = new TreeMap<>();
+
         Duration next;
 
         Proposal(byte[] mine) {
@@ -74,10 +74,19 @@
     private boolean votes;
     /** While it does not: of other voters that told all, whether they vote. */
     private final Map<String, Boolean> toldAll = new TreeMap<>();
+
     private long malformed, conflicts;
 
     /** @param found the octets that were kept last, or null where there are none or they are spoilt */
-    public Decree(Duration now, String self, byte[] found, Leadership leadership, Seen seen, Supplier<List<String>> live, SplittableRandom chance, Consumer<String> log) {
+    public Decree(
+            Duration now,
+            String self,
+            byte[] found,
+            Leadership leadership,
+            Seen seen,
+            Supplier<List<String>> live,
+            SplittableRandom chance,
+            Consumer<String> log) {
         this.self = self;
         this.leadership = leadership;
         this.seen = seen;
@@ -101,7 +110,8 @@
         return leadership.leads(now) && seen.may(now, Act.DECIDE) == Permits.May.YES;
     }
 
-    @Override public void propose(Duration now, String name, byte[] value) {
+    @Override
+    public void propose(Duration now, String name, byte[] value) {
         if (!Letters.fits("-", name) || value.length > Ballots.MOST_VALUE) {
             throw new IllegalArgumentException("register " + name + " of " + value.length + " octets");
         }
@@ -110,7 +120,8 @@
         }
     }
 
-    @Override public Optional<byte[]> written(String name) {
+    @Override
+    public Optional<byte[]> written(String name) {
         Ballots.Entry entry = ballots.get(name);
         return entry != null && entry.written() ? Optional.of(entry.value().clone()) : Optional.empty();
     }
@@ -119,7 +130,9 @@
 
     /** What is to be written now; null where all of it is on the disk, one write is under way, or this voter is not yet told what it lost. */
     public Keep keep() {
-        if (version == onDisk || keeping > onDisk || !votes && leadership.voters().contains(self)) {
+        if (version == onDisk
+                || keeping > onDisk
+                || !votes && leadership.voters().contains(self)) {
             return null;
         }
         keeping = version;
@@ -166,10 +179,13 @@
             next = now.plus(PERIOD);
             List<String> others = live.get();
             if (!others.isEmpty()) {
-                out.add(carry(others.get(chance.nextInt(others.size())), Slip.Kind.KNOWN, 0, ballots.mark(), "", List.of()));
+                out.add(carry(
+                        others.get(chance.nextInt(others.size())), Slip.Kind.KNOWN, 0, ballots.mark(), "", List.of()));
             }
             if (leadership.voters().contains(self) && !votes && now.compareTo(fence) >= 0) {
-                leadership.voters().stream().filter(voter -> !voter.equals(self)).forEach(voter -> out.add(carry(voter, Slip.Kind.ASK, 0, now.toMillis(), "", List.of())));
+                leadership.voters().stream()
+                        .filter(voter -> !voter.equals(self))
+                        .forEach(voter -> out.add(carry(voter, Slip.Kind.ASK, 0, now.toMillis(), "", List.of())));
             }
         }
         return own(now, out);
@@ -189,15 +205,26 @@
             most(now, proposal.promised);
             most(now, proposal.accepted);
             for (String voter : leadership.voters()) {
-                if (proposal.value == null ? !proposal.promised.containsKey(voter) : !proposal.accepted.containsKey(voter)) {
-                    out.add(proposal.value == null ? carry(voter, Slip.Kind.PREPARE, proposal.term, now.toMillis(), name, List.of())
-                            : carry(voter, Slip.Kind.ACCEPT, proposal.term, now.toMillis(), name, List.of(new Ballots.Entry(name, proposal.term, proposal.value, false))));
+                if (proposal.value == null
+                        ? !proposal.promised.containsKey(voter)
+                        : !proposal.accepted.containsKey(voter)) {
+                    out.add(
+                            proposal.value == null
+                                    ? carry(voter, Slip.Kind.PREPARE, proposal.term, now.toMillis(), name, List.of())
+                                    : carry(
+                                            voter,
+                                            Slip.Kind.ACCEPT,
+                                            proposal.term,
+                                            now.toMillis(),
+                                            name,
+                                            List.of(new Ballots.Entry(name, proposal.term, proposal.value, false))));
                 }
             }
         }
     }
 
-    private static Carry carry(String to, Slip.Kind kind, long term, long number, String name, List<Ballots.Entry> entries) {
+    private static Carry carry(
+            String to, Slip.Kind kind, long term, long number, String name, List<Ballots.Entry> entries) {
         return new Carry(to, new Slip(kind, term, number, name, entries).octets());
     }
 
@@ -218,8 +245,12 @@
 
     public List<Carry> came(Duration now, String from, byte[] body) {
         Slip slip = Slip.read(body);
-        boolean one = slip != null && slip.entries().size() == 1 && slip.entries().get(0).name().equals(slip.name());
-        if (slip == null || (slip.kind() == Slip.Kind.ACCEPT || slip.kind() == Slip.Kind.WRITTEN) && !one || slip.kind() == Slip.Kind.PROMISED && !one && !slip.entries().isEmpty()) {
+        boolean one = slip != null
+                && slip.entries().size() == 1
+                && slip.entries().get(0).name().equals(slip.name());
+        if (slip == null
+                || (slip.kind() == Slip.Kind.ACCEPT || slip.kind() == Slip.Kind.WRITTEN) && !one
+                || slip.kind() == Slip.Kind.PROMISED && !one && !slip.entries().isEmpty()) {
             malformed++;
             return List.of();
         }
@@ -237,14 +268,23 @@
             case ASK -> {
                 // Told only once it is on the disk: who asks may take its own vote from it.
                 List<Ballots.Entry> page = ballots.page(slip.name(), Slip.PAGE);
-                boolean last = page.isEmpty() || ballots.page(page.get(page.size() - 1).name(), Slip.PAGE).isEmpty();
-                afterDisk(from, new Slip(Slip.Kind.PAGE, ballots.promised(), slip.number() << 2 | (votes ? 1 : 0) | (last ? 2 : 0), slip.name(), page));
+                boolean last = page.isEmpty()
+                        || ballots.page(page.get(page.size() - 1).name(), Slip.PAGE)
+                                .isEmpty();
+                afterDisk(
+                        from,
+                        new Slip(
+                                Slip.Kind.PAGE,
+                                ballots.promised(),
+                                slip.number() << 2 | (votes ? 1 : 0) | (last ? 2 : 0),
+                                slip.name(),
+                                page));
                 if (version == onDisk) {
                     out.addAll(kept(now, onDisk));
                 }
             }
             case PAGE -> page(from, slip, out);
-            default -> { }
+            default -> {}
         }
         return own(now, out);
     }
@@ -256,14 +296,24 @@
         boolean prepare = slip.kind() == Slip.Kind.PREPARE;
         long promisedBefore = ballots.promised();
         Ballots.Entry before = ballots.get(slip.name());
-        if (!(prepare ? ballots.promise(slip.term()) : ballots.accept(slip.term(), slip.name(), slip.entries().get(0).value()))) {
+        if (!(prepare
+                ? ballots.promise(slip.term())
+                : ballots.accept(slip.term(), slip.name(), slip.entries().get(0).value()))) {
             out.add(carry(from, Slip.Kind.REFUSED, ballots.promised(), 0, slip.name(), List.of()));
             return;
         }
         Ballots.Entry entry = ballots.get(slip.name());
         version += promisedBefore == ballots.promised() && before == entry ? 0 : 1;
-        afterDisk(from, prepare ? new Slip(Slip.Kind.PROMISED, slip.term(), slip.number(), slip.name(), entry == null ? List.of() : List.of(entry))
-                : new Slip(Slip.Kind.ACCEPTED, slip.term(), slip.number(), slip.name(), List.of()));
+        afterDisk(
+                from,
+                prepare
+                        ? new Slip(
+                                Slip.Kind.PROMISED,
+                                slip.term(),
+                                slip.number(),
+                                slip.name(),
+                                entry == null ? List.of() : List.of(entry))
+                        : new Slip(Slip.Kind.ACCEPTED, slip.term(), slip.number(), slip.name(), List.of()));
         if (version == onDisk) {
             while (!waiting.isEmpty()) {
                 out.add(waiting.poll().carry);
@@ -273,7 +323,11 @@
 
     private void promised(Duration now, String from, Slip slip, List<Carry> out) {
         Proposal proposal = proposals.get(slip.name());
-        if (proposal == null || slip.term() != proposal.term || proposal.value != null || !leadership.voters().contains(from) || !decides(now)) {
+        if (proposal == null
+                || slip.term() != proposal.term
+                || proposal.value != null
+                || !leadership.voters().contains(from)
+                || !decides(now)) {
             return;
         }
         proposal.promised.put(from, slip.number());
@@ -294,7 +348,11 @@
 
     private void accepted(Duration now, String from, Slip slip, List<Carry> out) {
         Proposal proposal = proposals.get(slip.name());
-        if (proposal == null || slip.term() != proposal.term || proposal.value == null || !leadership.voters().contains(from) || !decides(now)) {
+        if (proposal == null
+                || slip.term() != proposal.term
+                || proposal.value == null
+                || !leadership.voters().contains(from)
+                || !decides(now)) {
             return;
         }
         proposal.accepted.put(from, slip.number());
@@ -302,17 +360,22 @@
             proposals.remove(slip.name());
             Ballots.Entry entry = new Ballots.Entry(slip.name(), slip.term(), proposal.value, true);
             learn(entry);
-            live.get().forEach(other -> out.add(carry(other, Slip.Kind.WRITTEN, slip.term(), 0, slip.name(), List.of(entry))));
+            live.get()
+                    .forEach(other ->
+                            out.add(carry(other, Slip.Kind.WRITTEN, slip.term(), 0, slip.name(), List.of(entry))));
         }
     }
 
     private void learn(Ballots.Entry entry) {
-        if (written(entry.name()).filter(known -> Arrays.equals(known, entry.value())).isPresent()) {
+        if (written(entry.name())
+                .filter(known -> Arrays.equals(known, entry.value()))
+                .isPresent()) {
             return;
         }
         if (!ballots.written(entry.name(), entry.value())) {
             if (conflicts++ == 0) {
-                log.accept("register " + entry.name() + " is told with another value than the one that was written; it is not taken");
+                log.accept("register " + entry.name()
+                        + " is told with another value than the one that was written; it is not taken");
             }
             return;
         }
@@ -322,11 +385,23 @@
 
     private void page(String from, Slip slip, List<Carry> out) {
         boolean last = (slip.number() & 2) != 0;
-        slip.entries().stream().filter(Ballots.Entry::written).filter(entry -> written(entry.name()).isEmpty()).forEach(this::learn);
+        slip.entries().stream()
+                .filter(Ballots.Entry::written)
+                .filter(entry -> written(entry.name()).isEmpty())
+                .forEach(this::learn);
         if (!last && !slip.entries().isEmpty()) {
-            out.add(carry(from, Slip.Kind.ASK, 0, slip.number() >> 2, slip.entries().get(slip.entries().size() - 1).name(), List.of()));
+            out.add(carry(
+                    from,
+                    Slip.Kind.ASK,
+                    0,
+                    slip.number() >> 2,
+                    slip.entries().get(slip.entries().size() - 1).name(),
+                    List.of()));
         }
-        if (votes || !leadership.voters().contains(self) || !leadership.voters().contains(from) || slip.number() >> 2 < fence.toMillis()) {
+        if (votes
+                || !leadership.voters().contains(self)
+                || !leadership.voters().contains(from)
+                || slip.number() >> 2 < fence.toMillis()) {
             return;
         }
         ballots.recovered(slip.term(), slip.entries());
@@ -336,17 +411,21 @@
         }
         int voters = leadership.voters().size();
         long voting = toldAll.values().stream().filter(its -> its).count();
-        // So many others that one of them is in every majority that this one was in; or all others, as at the first start of a fleet.
+        // So many others that one of them is in every majority that this one was in; or all others, as at the first
+        // start of a fleet.
         if (voting > voters - (voters / 2 + 1) || toldAll.size() == voters - 1) {
             votes = true;
-            log.accept("has been told by " + toldAll.size() + " of " + (voters - 1) + " other voters, " + voting + " of which vote; votes on registers");
+            log.accept("has been told by " + toldAll.size() + " of " + (voters - 1) + " other voters, " + voting
+                    + " of which vote; votes on registers");
         }
     }
 
     /** For operators, as a JSON object. */
     public String json() {
         long written = ballots.entries().stream().filter(Ballots.Entry::written).count();
-        return "{\"written\":" + written + ",\"begun\":" + (ballots.entries().size() - written) + ",\"term\":" + ballots.promised() + ",\"votes\":"
-                + (votes && leadership.voters().contains(self)) + ",\"conflicts\":" + conflicts + ",\"malformed\":" + malformed + "}";
+        return "{\"written\":" + written + ",\"begun\":" + (ballots.entries().size() - written) + ",\"term\":"
+                + ballots.promised() + ",\"votes\":"
+                + (votes && leadership.voters().contains(self)) + ",\"conflicts\":" + conflicts + ",\"malformed\":"
+                + malformed + "}";
     }
 }
--- a/src/main/java/merlinlever/shared/Gossip.java
+++ b/src/main/java/merlinlever/shared/Gossip.java
@@ -35,6 +35,7 @@
     private final LinkedHashMap<Word.Key, Integer> fresh = new LinkedHashMap<>();
     /** What was asked for, and until when the answer is waited for: not from two at once. */
     private final LinkedHashMap<Word.Key, Duration> wanted = new LinkedHashMap<>();
+
     private Duration next;
     private Duration filled;
     private long room;
@@ -185,7 +186,9 @@
         for (int i = 0; i < sums.length; i++) {
             int bucket = (first + i) % sums.length;
             if ((mask >>> bucket & 1) == 1) {
-                int more = byBucket.get(bucket).stream().mapToInt(Letters::lineOctets).sum();
+                int more = byBucket.get(bucket).stream()
+                        .mapToInt(Letters::lineOctets)
+                        .sum();
                 if (octets + more <= Math.min(Letters.MOST, room)) {
                     octets += more;
                     whole |= 1L << bucket;
@@ -208,11 +211,17 @@
         for (Lot.Line line : lines.lines()) {
             named.add(line.key());
             Lot.Line mine = lot.line(line.key());
-            int by = mine == null ? 1 : line.incarnation() != mine.incarnation() ? Long.compare(line.incarnation(), mine.incarnation())
-                    : Long.compare(line.sequence(), mine.sequence());
+            int by = mine == null
+                    ? 1
+                    : line.incarnation() != mine.incarnation()
+                            ? Long.compare(line.incarnation(), mine.incarnation())
+                            : Long.compare(line.sequence(), mine.sequence());
             boolean clash = by == 0 && mine.mark() != line.mark();
             int more = line.key().owner().length() + line.key().topic().length() + 2;
-            if ((by > 0 || clash) && octets + more <= Letters.MOST && wanted.size() < Lot.MOST && !wanted.containsKey(line.key())) {
+            if ((by > 0 || clash)
+                    && octets + more <= Letters.MOST
+                    && wanted.size() < Lot.MOST
+                    && !wanted.containsKey(line.key())) {
                 octets += more;
                 want.add(line.key());
                 wanted.put(line.key(), now.plus(stated.period()));
@@ -221,7 +230,10 @@
                 give.add(line.key());
             }
         }
-        lot.lines(lines.whole()).stream().map(Lot.Line::key).filter(key -> !named.contains(key)).forEach(give::add);
+        lot.lines(lines.whole()).stream()
+                .map(Lot.Line::key)
+                .filter(key -> !named.contains(key))
+                .forEach(give::add);
         if (!want.isEmpty() && octets <= room) {
             room -= octets;
             out.add(new Carry(from, Letters.want(want)));
--- a/src/main/java/merlinlever/shared/Letters.java
+++ b/src/main/java/merlinlever/shared/Letters.java
@@ -20,40 +20,38 @@
     static final int MOST = 32 << 10;
     /** Ages beyond that are not told. */
     private static final long MOST_AGE = Duration.ofDays(1000).toMillis();
+
     private static final byte VERSION = 1;
     private static final int MOST_OWNER = 120;
     private static final int MOST_TOPIC = 40;
     private static final int DIGEST = 32;
 
     /** Sums of all buckets: what differs? */
-    record Sums(long[] sums) {
-    }
+    record Sums(long[] sums) {}
 
     /**
      * Versions held.
      *
      * @param whole the buckets of which these are all; none where it only announces what is new
      */
-    record Lines(long whole, List<Lot.Line> lines) {
-    }
+    record Lines(long whole, List<Lot.Line> lines) {}
 
     /** The words, with their ages. */
-    record Told(List<Aged> words) {
-    }
+    record Told(List<Aged> words) {}
 
     /** Born is as long before now as its age says, by the reader's clock. */
-    record Aged(Word word, long ageMs) {
-    }
+    record Aged(Word word, long ageMs) {}
 
     /** These words are asked for. */
-    record Want(List<Word.Key> keys) {
-    }
+    record Want(List<Word.Key> keys) {}
 
-    private Letters() {
-    }
+    private Letters() {}
 
     static boolean printable(String text, int most) {
-        return text != null && !text.isEmpty() && text.length() <= most && text.chars().allMatch(c -> c > ' ' && c <= '~');
+        return text != null
+                && !text.isEmpty()
+                && text.length() <= most
+                && text.chars().allMatch(c -> c > ' ' && c <= '~');
     }
 
     static boolean fits(String owner, String topic) {
@@ -75,7 +73,11 @@
     }
 
     static byte[] lines(long whole, List<Lot.Line> lines) {
-        ByteBuffer out = ByteBuffer.allocate(MOST).put(VERSION).put((byte) 1).putLong(whole).putShort((short) lines.size());
+        ByteBuffer out = ByteBuffer.allocate(MOST)
+                .put(VERSION)
+                .put((byte) 1)
+                .putLong(whole)
+                .putShort((short) lines.size());
         for (Lot.Line line : lines) {
             put(out, line.key());
             number(out, line.incarnation());
@@ -86,7 +88,12 @@
     }
 
     static int wordOctets(Word word) {
-        return word.key().owner().length() + word.key().topic().length() + 2 + 3 * 9 + 1 + (word.clashes() ? 2 * DIGEST : word.value() == null ? 0 : 2 + word.value().length);
+        return word.key().owner().length()
+                + word.key().topic().length()
+                + 2
+                + 3 * 9
+                + 1
+                + (word.clashes() ? 2 * DIGEST : word.value() == null ? 0 : 2 + word.value().length);
     }
 
     static byte[] words(Duration now, List<Word> words) {
@@ -143,13 +150,14 @@
             if (in.get() != VERSION) {
                 return null;
             }
-            Object letter = switch (in.get()) {
-                case 0 -> readSums(in);
-                case 1 -> readLines(in);
-                case 2 -> readWords(in);
-                case 3 -> readWant(in);
-                default -> null;
-            };
+            Object letter =
+                    switch (in.get()) {
+                        case 0 -> readSums(in);
+                        case 1 -> readLines(in);
+                        case 2 -> readWords(in);
+                        case 3 -> readWant(in);
+                        default -> null;
+                    };
             return in.hasRemaining() ? null : letter;
         } catch (BufferUnderflowException | BufferOverflowException | IllegalArgumentException e) {
             return null;
--- a/src/main/java/merlinlever/shared/Lot.java
+++ b/src/main/java/merlinlever/shared/Lot.java
@@ -17,11 +17,18 @@
 
     /** Words and octets at the most. */
     static final int MOST = 2000;
+
     static final long MOST_OCTETS = 8L << 20;
     /** Whose sums are compared to find what differs. */
     static final int BUCKETS = 64;
 
-    enum Taken { NEWER, KNOWN, OLDER, CLASHES, NO_ROOM }
+    enum Taken {
+        NEWER,
+        KNOWN,
+        OLDER,
+        CLASHES,
+        NO_ROOM
+    }
 
     private static final class Held {
         final Word word;
@@ -36,8 +43,7 @@
     }
 
     /** A word's version and mark, for comparing. */
-    record Line(Word.Key key, long incarnation, long sequence, long mark) {
-    }
+    record Line(Word.Key key, long incarnation, long sequence, long mark) {}
 
     private final TreeMap<Word.Key, Held> all = new TreeMap<>();
     private final long[] sums = new long[BUCKETS];
@@ -69,7 +75,8 @@
 
     boolean room(Word word) {
         Held held = all.get(word.key());
-        return (held != null || all.size() < MOST) && octets + word.octets() - (held == null ? 0 : held.word.octets()) <= MOST_OCTETS;
+        return (held != null || all.size() < MOST)
+                && octets + word.octets() - (held == null ? 0 : held.word.octets()) <= MOST_OCTETS;
     }
 
     Taken merge(Word word) {
@@ -144,7 +151,9 @@
     /** SHA-256 of all: alike where two hold the same. */
     String digest() {
         MessageDigest sha = Word.sha();
-        all.values().forEach(held -> sha.update(ByteBuffer.allocate(8).putLong(held.mark).array()));
+        all.values()
+                .forEach(held ->
+                        sha.update(ByteBuffer.allocate(8).putLong(held.mark).array()));
         return HexFormat.of().formatHex(sha.digest());
     }
 
--- a/src/main/java/merlinlever/shared/Slip.java
+++ b/src/main/java/merlinlever/shared/Slip.java
@@ -20,7 +20,17 @@
      * A leader asks (PREPARE) and proposes (ACCEPT), a voter answers each or refuses with the term it holds to; WRITTEN is told to
      * all; KNOWN is compared, and ASK is answered with a PAGE of all registers.
      */
-    enum Kind { PREPARE, PROMISED, ACCEPT, ACCEPTED, REFUSED, WRITTEN, KNOWN, ASK, PAGE }
+    enum Kind {
+        PREPARE,
+        PROMISED,
+        ACCEPT,
+        ACCEPTED,
+        REFUSED,
+        WRITTEN,
+        KNOWN,
+        ASK,
+        PAGE
+    }
 
     private static final byte VERSION = 1;
     /** Octets of registers on one page. */
@@ -28,8 +38,15 @@
 
     byte[] octets() {
         byte[] text = name.getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer out = ByteBuffer.allocate(64 + text.length + entries.stream().mapToInt(Ballots::octets).sum());
-        out.put(VERSION).put((byte) kind.ordinal()).putLong(term).putLong(number).put((byte) text.length).put(text).putShort((short) entries.size());
+        ByteBuffer out = ByteBuffer.allocate(
+                64 + text.length + entries.stream().mapToInt(Ballots::octets).sum());
+        out.put(VERSION)
+                .put((byte) kind.ordinal())
+                .putLong(term)
+                .putLong(number)
+                .put((byte) text.length)
+                .put(text)
+                .putShort((short) entries.size());
         entries.forEach(entry -> Ballots.put(out, entry));
         return Arrays.copyOf(out.array(), out.position());
     }
@@ -51,7 +68,11 @@
             for (int left = in.getShort() & 0xffff; left > 0; left--) {
                 entries.add(Ballots.entry(in));
             }
-            boolean ours = version == VERSION && kind >= 0 && kind < Kind.values().length && term >= 0 && (name.isEmpty() || Letters.fits("-", name));
+            boolean ours = version == VERSION
+                    && kind >= 0
+                    && kind < Kind.values().length
+                    && term >= 0
+                    && (name.isEmpty() || Letters.fits("-", name));
             return !ours || in.hasRemaining() ? null : new Slip(Kind.values()[kind], term, number, name, entries);
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
--- a/src/main/java/merlinlever/shared/Spoken.java
+++ b/src/main/java/merlinlever/shared/Spoken.java
@@ -8,16 +8,20 @@
 public final class Spoken {
 
     /** Kinds of letters. */
-    public enum Kind { SUMS, VERSIONS, WANT, WORDS, NOTHING }
+    public enum Kind {
+        SUMS,
+        VERSIONS,
+        WANT,
+        WORDS,
+        NOTHING
+    }
 
     /** @param what in a few words; values as text, of a few letters at the most */
-    public record Letter(Kind kind, String what) {
-    }
+    public record Letter(Kind kind, String what) {}
 
     private static final int MOST = 20;
 
-    private Spoken() {
-    }
+    private Spoken() {}
 
     public static Letter of(byte[] body) {
         Object letter = Letters.read(body);
@@ -25,8 +29,10 @@
         if (letter instanceof Letters.Sums) {
             return new Letter(Kind.SUMS, "sums of all I hold");
         } else if (letter instanceof Letters.Lines lines) {
-            lines.lines().forEach(line -> parts.add(key(line.key()) + " " + line.incarnation() + "." + line.sequence()));
-            return new Letter(Kind.VERSIONS, parts.isEmpty() ? "I hold none there" : "I hold " + String.join(", ", parts));
+            lines.lines()
+                    .forEach(line -> parts.add(key(line.key()) + " " + line.incarnation() + "." + line.sequence()));
+            return new Letter(
+                    Kind.VERSIONS, parts.isEmpty() ? "I hold none there" : "I hold " + String.join(", ", parts));
         } else if (letter instanceof Letters.Want want) {
             want.keys().forEach(key -> parts.add(key(key)));
             return new Letter(Kind.WANT, "give me " + String.join(", ", parts));
@@ -42,7 +48,10 @@
     }
 
     private static String of(Word word) {
-        String value = word.clashes() ? "claimed twice" : word.takenBack() ? "taken back" : new String(word.value(), StandardCharsets.UTF_8);
-        return key(word.key()) + " " + word.incarnation() + "." + word.sequence() + ": " + (value.length() > MOST ? value.substring(0, MOST) + "..." : value);
+        String value = word.clashes()
+                ? "claimed twice"
+                : word.takenBack() ? "taken back" : new String(word.value(), StandardCharsets.UTF_8);
+        return key(word.key()) + " " + word.incarnation() + "." + word.sequence() + ": "
+                + (value.length() > MOST ? value.substring(0, MOST) + "..." : value);
     }
 }
--- a/src/main/java/merlinlever/shared/Word.java
+++ b/src/main/java/merlinlever/shared/Word.java
@@ -20,7 +20,8 @@
 
     /** Whose word on what. */
     record Key(String owner, String topic) implements Comparable<Key> {
-        @Override public int compareTo(Key other) {
+        @Override
+        public int compareTo(Key other) {
             int by = owner.compareTo(other.owner);
             return by != 0 ? by : topic.compareTo(other.topic);
         }
@@ -28,7 +29,13 @@
 
     static Word of(Snapshot snapshot, Duration born) {
         byte[] value = snapshot.value() == null ? null : snapshot.value().clone();
-        return new Word(new Key(snapshot.owner(), snapshot.topic()), snapshot.incarnation(), snapshot.sequence(), value, List.of(digest(value)), born);
+        return new Word(
+                new Key(snapshot.owner(), snapshot.topic()),
+                snapshot.incarnation(),
+                snapshot.sequence(),
+                value,
+                List.of(digest(value)),
+                born);
     }
 
     boolean clashes() {
@@ -72,7 +79,8 @@
     /** Of key, version and digests: alike where the words are. */
     long mark() {
         MessageDigest sha = sha();
-        sha.update((key.owner + " " + key.topic + " " + incarnation + " " + sequence + " " + digests).getBytes(StandardCharsets.US_ASCII));
+        sha.update((key.owner + " " + key.topic + " " + incarnation + " " + sequence + " " + digests)
+                .getBytes(StandardCharsets.US_ASCII));
         return ByteBuffer.wrap(sha.digest()).getLong();
     }
 
--- a/src/main/java/merlinlever/shared/Words.java
+++ b/src/main/java/merlinlever/shared/Words.java
@@ -41,6 +41,7 @@
     static final long MOST_VERSION = 1L << 48;
     /** Own topics and the octets of all of them, at the most; they are written to the disk together. */
     public static final int MOST_OWN = 64;
+
     public static final int MOST_OWN_OCTETS = 256 << 10;
     /** A stillness that is longer than a message's way: what comes right after may have waited as long. */
     private static final Duration STILL = Duration.ofSeconds(2);
@@ -56,10 +57,12 @@
     private final TreeMap<String, Word> own = new TreeMap<>();
     /** Of those, what waits for the disk. */
     private final TreeMap<String, Word> pending = new TreeMap<>();
+
     private long incarnation;
     private long sequence;
     /** The highest incarnation under which others have words of this one that it did not say in this life. */
     private long overtakenBy = -1;
+
     private Duration last;
     private Duration stillness = Duration.ZERO, stillUntil = Duration.ZERO;
     private long refused;
@@ -69,7 +72,15 @@
      * @param kept what the life before left, or {@link Kept#NOTHING}
      * @param live the others that can be told something, now
      */
-    public Words(Duration now, String self, long incarnation, Kept kept, Stated stated, Supplier<List<String>> live, SplittableRandom chance, Consumer<String> log) {
+    public Words(
+            Duration now,
+            String self,
+            long incarnation,
+            Kept kept,
+            Stated stated,
+            Supplier<List<String>> live,
+            SplittableRandom chance,
+            Consumer<String> log) {
         this.self = self;
         this.stated = stated;
         this.log = log;
@@ -82,14 +93,17 @@
 
     // ---- own words
 
-    @Override public boolean put(Duration now, String topic, byte[] value) {
+    @Override
+    public boolean put(Duration now, String topic, byte[] value) {
         alive(now);
         if (!Letters.fits(self, topic) || value.length > Snapshot.MOST_OCTETS) {
             return false;
         }
         long octets = value.length;
         for (Map.Entry<String, Word> each : own.entrySet()) {
-            octets += each.getKey().equals(topic) || each.getValue().value() == null ? 0 : each.getValue().value().length;
+            octets += each.getKey().equals(topic) || each.getValue().value() == null
+                    ? 0
+                    : each.getValue().value().length;
         }
         Word word = next(now, topic, value.clone());
         if (!own.containsKey(topic) && own.size() >= MOST_OWN || octets > MOST_OWN_OCTETS || !lot.room(word)) {
@@ -99,7 +113,8 @@
         return true;
     }
 
-    @Override public void remove(Duration now, String topic) {
+    @Override
+    public void remove(Duration now, String topic) {
         alive(now);
         if (own.containsKey(topic) || lot.get(new Word.Key(self, topic)) != null) {
             say(next(now, topic, null));
@@ -122,7 +137,8 @@
     /** What waits for the disk goes out, up to that version. */
     private void tell(long upToIncarnation, long upToSequence) {
         pending.values().removeIf(word -> {
-            boolean on = word.incarnation() < upToIncarnation || word.incarnation() == upToIncarnation && word.sequence() <= upToSequence;
+            boolean on = word.incarnation() < upToIncarnation
+                    || word.incarnation() == upToIncarnation && word.sequence() <= upToSequence;
             Lot.Taken taken = on ? lot.merge(word) : Lot.Taken.NO_ROOM;
             if (taken == Lot.Taken.NEWER || taken == Lot.Taken.CLASHES) {
                 gossip.fresh(word.key());
@@ -143,7 +159,10 @@
             }
         }
         words.putAll(own);
-        return new Kept(incarnation, sequence, words.values().stream().map(Word::snapshot).toList());
+        return new Kept(
+                incarnation,
+                sequence,
+                words.values().stream().map(Word::snapshot).toList());
     }
 
     /** It is on the disk. */
@@ -153,10 +172,14 @@
 
     // ---- words of others
 
-    @Override public boolean pass(Duration now, Snapshot snapshot) {
+    @Override
+    public boolean pass(Duration now, Snapshot snapshot) {
         alive(now);
-        if (!Letters.fits(snapshot.owner(), snapshot.topic()) || snapshot.owner().equals(self) || snapshot.value() != null && snapshot.value().length > Snapshot.MOST_OCTETS
-                || Math.min(snapshot.incarnation(), snapshot.sequence()) < 0 || Math.max(snapshot.incarnation(), snapshot.sequence()) > MOST_VERSION) {
+        if (!Letters.fits(snapshot.owner(), snapshot.topic())
+                || snapshot.owner().equals(self)
+                || snapshot.value() != null && snapshot.value().length > Snapshot.MOST_OCTETS
+                || Math.min(snapshot.incarnation(), snapshot.sequence()) < 0
+                || Math.max(snapshot.incarnation(), snapshot.sequence()) > MOST_VERSION) {
             return false;
         }
         return take(now, Word.of(snapshot, now), false) == Lot.Taken.NEWER;
@@ -169,7 +192,8 @@
         }
         Lot.Taken taken = lot.merge(word);
         if (taken == Lot.Taken.NO_ROOM && refused++ % 1000 == 0) {
-            log.accept("no room for the word of " + word.key().owner() + " on " + word.key().topic() + ": " + lot.size() + " words, " + lot.octets() + " octets are held");
+            log.accept("no room for the word of " + word.key().owner() + " on "
+                    + word.key().topic() + ": " + lot.size() + " words, " + lot.octets() + " octets are held");
         }
         if (taken == Lot.Taken.NEWER) {
             gossip.fresh(word.key());
@@ -181,8 +205,9 @@
         } else if (taken == Lot.Taken.CLASHES) {
             gossip.fresh(word.key());
             Clash clash = lot.get(word.key()).clash();
-            log.accept("the word of " + clash.owner() + " on " + clash.topic() + " was claimed twice under " + clash.incarnation() + "." + clash.sequence() + ", as "
-                    + clash.one() + " and as " + clash.other() + ": neither is taken");
+            log.accept("the word of " + clash.owner() + " on " + clash.topic() + " was claimed twice under "
+                    + clash.incarnation() + "." + clash.sequence() + ", as " + clash.one() + " and as " + clash.other()
+                    + ": neither is taken");
             List.copyOf(hearers).forEach(hearer -> hearer.clashed(now, clash));
         }
         return taken;
@@ -191,19 +216,23 @@
     /** Others hold a word of this one that it does not: of a life before whose disk is lost, or of another under its name. */
     private void overtaken(Word word) {
         Word mine = own.get(word.key().topic());
-        if (word.incarnation() > incarnation || word.incarnation() == incarnation && word.sequence() > sequence || mine != null && word.after(mine)) {
+        if (word.incarnation() > incarnation
+                || word.incarnation() == incarnation && word.sequence() > sequence
+                || mine != null && word.after(mine)) {
             overtakenBy = Math.max(overtakenBy, word.incarnation());
         }
     }
 
-    @Override public Optional<Snapshot> of(String owner, String topic) {
+    @Override
+    public Optional<Snapshot> of(String owner, String topic) {
         Word word = lot.get(new Word.Key(owner, topic));
         Word mine = owner.equals(self) ? own.get(topic) : null;
         Word counts = mine == null || word != null && word.clashes() && !mine.after(word) ? word : mine;
         return counts == null || counts.value() == null ? Optional.empty() : Optional.of(counts.snapshot());
     }
 
-    @Override public List<Snapshot> all(String topic) {
+    @Override
+    public List<Snapshot> all(String topic) {
         TreeMap<String, Snapshot> found = new TreeMap<>();
         for (Word word : lot.words()) {
             if (word.key().topic().equals(topic) && word.value() != null) {
@@ -215,11 +244,13 @@
         return List.copyOf(found.values());
     }
 
-    @Override public List<Clash> clashes() {
+    @Override
+    public List<Clash> clashes() {
         return lot.words().stream().filter(Word::clashes).map(Word::clash).toList();
     }
 
-    @Override public void hears(Hearer hearer) {
+    @Override
+    public void hears(Hearer hearer) {
         hearers.add(hearer);
     }
 
@@ -234,11 +265,13 @@
         for (Word gone : lot.expire(now, ages)) {
             gone(now, gone);
         }
-        own.values().removeIf(word -> word.value() == null && now.minus(word.born()).compareTo(ages.most(word)) >= 0);
+        own.values()
+                .removeIf(word -> word.value() == null && now.minus(word.born()).compareTo(ages.most(word)) >= 0);
         if (overtakenBy >= 0) {
             incarnation = Math.max(incarnation, overtakenBy) + 1;
             overtakenBy = -1;
-            log.accept("others hold words of this one that it did not say; it says its own again, under incarnation " + incarnation);
+            log.accept("others hold words of this one that it did not say; it says its own again, under incarnation "
+                    + incarnation);
             List.copyOf(own.values()).forEach(word -> say(next(now, word.key().topic(), word.value())));
         }
         for (Word word : List.copyOf(own.values())) {
@@ -298,7 +331,9 @@
     }
 
     private void gone(Duration now, Word word) {
-        List.copyOf(hearers).forEach(hearer -> hearer.gone(now, word.key().owner(), word.key().topic()));
+        List.copyOf(hearers)
+                .forEach(hearer ->
+                        hearer.gone(now, word.key().owner(), word.key().topic()));
     }
 
     /** Alike where two hold the same. */
@@ -308,7 +343,8 @@
 
     /** For operators, as a JSON object. */
     public String json() {
-        return "{\"words\":" + lot.size() + ",\"octets\":" + lot.octets() + ",\"clashes\":" + clashes().size() + ",\"refused\":" + refused + ",\"malformed\":" + gossip.malformed
+        return "{\"words\":" + lot.size() + ",\"octets\":" + lot.octets() + ",\"clashes\":"
+                + clashes().size() + ",\"refused\":" + refused + ",\"malformed\":" + gossip.malformed
                 + ",\"waiting_for_disk\":" + pending.size() + ",\"digest\":\"" + digest().substring(0, 16) + "\"}";
     }
 }
--- a/src/main/java/merlinlever/shared/disk/Keeper.java
+++ b/src/main/java/merlinlever/shared/disk/Keeper.java
@@ -9,8 +9,7 @@
 /** Replaces files on a thread of its own, one after the other; what came of each is told on the loop. */
 public final class Keeper {
 
-    private record Job(String name, byte[] octets, Consumer<IOException> done) {
-    }
+    private record Job(String name, byte[] octets, Consumer<IOException> done) {}
 
     /** Words and registers, each one at a time. */
     private static final int MOST = 2;
--- a/src/main/java/merlinlever/shared/disk/WordsFile.java
+++ b/src/main/java/merlinlever/shared/disk/WordsFile.java
@@ -15,8 +15,7 @@
 
     private static final int FORM = 0x4d4c5731;
 
-    private WordsFile() {
-    }
+    private WordsFile() {}
 
     public static byte[] octets(String owner, Words.Kept kept) {
         int size = 64 + owner.length();
@@ -29,7 +28,9 @@
         out.putShort((short) kept.words().size());
         for (Snapshot word : kept.words()) {
             put(out, word.topic());
-            out.putLong(word.incarnation()).putLong(word.sequence()).putInt(word.value() == null ? -1 : word.value().length);
+            out.putLong(word.incarnation())
+                    .putLong(word.sequence())
+                    .putInt(word.value() == null ? -1 : word.value().length);
             if (word.value() != null) {
                 out.put(word.value());
             }
--- a/src/main/java/merlinlever/shared/net/Spread.java
+++ b/src/main/java/merlinlever/shared/net/Spread.java
@@ -46,7 +46,16 @@
     private boolean writing, failed, returning;
 
     /** @param folder for {@code words} and {@code registers}, held by this process */
-    public Spread(Loop loop, Rejoin rejoin, Folder folder, Words.Stated stated, Leadership leadership, Seen seen, long seed, Consumer<String> log) throws IOException {
+    public Spread(
+            Loop loop,
+            Rejoin rejoin,
+            Folder folder,
+            Words.Stated stated,
+            Leadership leadership,
+            Seen seen,
+            long seed,
+            Consumer<String> log)
+            throws IOException {
         this.loop = loop;
         this.rejoin = rejoin;
         this.seen = seen;
@@ -61,7 +70,15 @@
             log.accept("found its own words spoilt, thrown away: others tell what they have heard of them");
             kept = Words.Kept.NOTHING;
         }
-        words = new Words(now, self, rejoin.members().views().of(self).incarnation(), kept, stated, this::live, chance.split(), log);
+        words = new Words(
+                now,
+                self,
+                rejoin.members().views().of(self).incarnation(),
+                kept,
+                stated,
+                this::live,
+                chance.split(),
+                log);
         decree = new Decree(now, self, keeper.read(REGISTERS), leadership, seen, this::live, chance.split(), log);
         rejoin.members().takes(this);
         loop.every(LOOK, this::look);
@@ -78,7 +95,8 @@
     private List<String> live() {
         List<String> live = new ArrayList<>();
         for (Views.Rumour each : rejoin.members().views().all()) {
-            if (!each.name().equals(self) && (each.status() == Views.Status.ALIVE || each.status() == Views.Status.SUSPECT)) {
+            if (!each.name().equals(self)
+                    && (each.status() == Views.Status.ALIVE || each.status() == Views.Status.SUSPECT)) {
                 live.add(each.name());
             }
         }
@@ -125,7 +143,11 @@
         }
         if (how != null != failed) {
             failed = how != null;
-            log.accept(failed ? "what is shared cannot be written: " + how.getMessage() + "; nothing new of its own is told until it can" : "what is shared can be written again");
+            log.accept(
+                    failed
+                            ? "what is shared cannot be written: " + how.getMessage()
+                                    + "; nothing new of its own is told until it can"
+                            : "what is shared can be written again");
         }
     }
 
@@ -141,7 +163,8 @@
         }
     }
 
-    @Override public void carried(String name, byte[] body) {
+    @Override
+    public void carried(String name, byte[] body) {
         if (body.length == 0) {
             return;
         }
--- a/src/main/java/merlinlever/sheet/Sheet.java
+++ b/src/main/java/merlinlever/sheet/Sheet.java
@@ -41,6 +41,7 @@
 
     /** The names of all schemas. */
     public static final List<String> SCHEMAS = List.of("zone-serve", "zone-follow", "host-run", "faults");
+
     private static final long MOST_BYTES = 1 << 20;
     private static final int MOST_FAULTS = 50;
 
@@ -86,11 +87,19 @@
             String at = fault.getInstanceLocation().toString();
             String extra = fault.getProperty() != null ? at + "/" + fault.getProperty() : at;
             int line = lines.getOrDefault(extra, lines.getOrDefault(at, 1));
-            faults.computeIfAbsent(line, l -> new ArrayList<>()).add(file + ":" + line + ": "
-                    + (at.isEmpty() ? "" : at.substring(1).replace('/', '.') + ": ") + plain(fault, at(schema, fault)));
+            faults.computeIfAbsent(line, l -> new ArrayList<>())
+                    .add(file + ":" + line + ": "
+                            + (at.isEmpty() ? "" : at.substring(1).replace('/', '.') + ": ")
+                            + plain(fault, at(schema, fault)));
         }
         if (!faults.isEmpty()) {
-            throw new Unusable(String.join("\n", faults.values().stream().flatMap(List::stream).distinct().limit(MOST_FAULTS).toList()));
+            throw new Unusable(String.join(
+                    "\n",
+                    faults.values().stream()
+                            .flatMap(List::stream)
+                            .distinct()
+                            .limit(MOST_FAULTS)
+                            .toList()));
         }
         return new Sheet(file, values, lines);
     }
@@ -110,9 +119,14 @@
         String about = form.path("description").asText("");
         return switch (String.valueOf(fault.getKeyword())) {
             case "additionalProperties" -> "no key '" + fault.getProperty() + "' is known here; allowed are "
-                    + String.join(", ", form.path("properties").properties().stream().map(Map.Entry::getKey).toList());
+                    + String.join(
+                            ", ",
+                            form.path("properties").properties().stream()
+                                    .map(Map.Entry::getKey)
+                                    .toList());
             case "required" -> "the key '" + fault.getProperty() + "' is missing";
-            case "pattern" -> "not of the form " + form.path("pattern").asText() + (about.isEmpty() ? "" : " (" + about + ")");
+            case "pattern" -> "not of the form " + form.path("pattern").asText()
+                    + (about.isEmpty() ? "" : " (" + about + ")");
             default -> fault.getMessage().replaceFirst("^/[^:]*: ", "") + (about.isEmpty() ? "" : " (" + about + ")");
         };
     }
@@ -125,7 +139,10 @@
             if (Files.size(file) > MOST_BYTES) {
                 throw new Unusable(file + ": over " + MOST_BYTES + " bytes");
             }
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(Files.readAllBytes(file))).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(Files.readAllBytes(file)))
+                    .toString();
         } catch (CharacterCodingException e) {
             throw new Unusable(file + ": not UTF-8");
         } catch (IOException e) {
@@ -147,11 +164,13 @@
             int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
             throw new Unusable(file + ":" + line + ": " + e.getProblem());
         } catch (YAMLException e) {
-            throw new Unusable(file + ":1: " + e.getMessage().lines().findFirst().orElse("not YAML"));
+            throw new Unusable(
+                    file + ":1: " + e.getMessage().lines().findFirst().orElse("not YAML"));
         }
     }
 
-    private static JsonNode node(Path file, Node node, String path, Map<String, Integer> lines, int depth) throws Unusable {
+    private static JsonNode node(Path file, Node node, String path, Map<String, Integer> lines, int depth)
+            throws Unusable {
         int line = node.getStartMark().getLine() + 1;
         lines.putIfAbsent(path, line);
         if (depth > 20) {
@@ -184,10 +203,14 @@
         String value = ((ScalarNode) node).getValue();
         Tag tag = node.getTag();
         try {
-            return tag.equals(Tag.INT) ? make.numberNode(Long.decode(value.replace("_", "")))
-                    : tag.equals(Tag.FLOAT) ? make.numberNode(Double.parseDouble(value))
-                    : tag.equals(Tag.BOOL) ? make.booleanNode(List.of("true", "yes", "on").contains(value.toLowerCase(java.util.Locale.ROOT)))
-                    : tag.equals(Tag.NULL) ? make.nullNode() : make.textNode(value);
+            return tag.equals(Tag.INT)
+                    ? make.numberNode(Long.decode(value.replace("_", "")))
+                    : tag.equals(Tag.FLOAT)
+                            ? make.numberNode(Double.parseDouble(value))
+                            : tag.equals(Tag.BOOL)
+                                    ? make.booleanNode(List.of("true", "yes", "on")
+                                            .contains(value.toLowerCase(java.util.Locale.ROOT)))
+                                    : tag.equals(Tag.NULL) ? make.nullNode() : make.textNode(value);
         } catch (NumberFormatException e) {
             return make.textNode(value);
         }
@@ -263,12 +286,14 @@
     /** The keys of a mapping with their values as text, in the order of the file. */
     public Map<String, String> pairs(String path) {
         Map<String, String> pairs = new java.util.LinkedHashMap<>();
-        at(path).properties().forEach(each -> pairs.put(each.getKey(), each.getValue().asText()));
+        at(path).properties()
+                .forEach(each -> pairs.put(each.getKey(), each.getValue().asText()));
         return pairs;
     }
 
     /** What is wrong with a value beyond its form, in the same one line as the schema's faults. */
     public Unusable fault(String path, String reason) {
-        return new Unusable(file + ":" + lines.getOrDefault("/" + path.replace('.', '/'), 1) + ": " + path + ": " + reason);
+        return new Unusable(
+                file + ":" + lines.getOrDefault("/" + path.replace('.', '/'), 1) + ": " + path + ": " + reason);
     }
 }
--- a/src/main/java/merlinlever/term/Drift.java
+++ b/src/main/java/merlinlever/term/Drift.java
@@ -5,8 +5,7 @@
 /** Spans of leases on clocks that run apart. */
 public final class Drift {
 
-    private Drift() {
-    }
+    private Drift() {}
 
     /** What was given by a clock that runs fast is out for so long by any other. */
     public static Duration slowest(Duration span, double drift) {
--- a/src/main/java/merlinlever/term/Election.java
+++ b/src/main/java/merlinlever/term/Election.java
@@ -17,8 +17,7 @@
 public final class Election {
 
     /** A question for a promise, or for its renewal; {@code number} comes back with the answer. */
-    public record Ask(String to, long term, long number) {
-    }
+    public record Ask(String to, long term, long number) {}
 
     private final String self;
     private final List<String> voters;
@@ -28,11 +27,13 @@
 
     /** As a voter: the highest term that was promised, and to whom until when. */
     private long promised;
+
     private String promisedTo;
     private Duration promisedUntil;
 
     /** As a candidate or leader: its term, its questions that are out, and when the promises that it has were asked for. */
     private long term;
+
     private boolean leads;
     private long numbers;
     private final Map<Long, Duration> out = new HashMap<>();
@@ -46,7 +47,14 @@
      * @param voters the same everywhere; only they lead
      * @param term the highest that is on the disk
      */
-    public Election(Duration now, String self, List<String> voters, Duration lease, double drift, long term, SplittableRandom chance) {
+    public Election(
+            Duration now,
+            String self,
+            List<String> voters,
+            Duration lease,
+            double drift,
+            long term,
+            SplittableRandom chance) {
         this.self = self;
         this.voters = List.copyOf(voters);
         this.lease = lease;
@@ -141,7 +149,9 @@
 
     /** Whether it leads, or the promises that hold at the least want but one more. */
     boolean oneShort(Duration now) {
-        long hold = promisedSince.values().stream().filter(since -> now.compareTo(since.plus(Drift.surest(lease, drift))) < 0).count();
+        long hold = promisedSince.values().stream()
+                .filter(since -> now.compareTo(since.plus(Drift.surest(lease, drift))) < 0)
+                .count();
         return leads || hold >= voters.size() / 2;
     }
 
@@ -152,7 +162,8 @@
 
     /** Until when more than half of the promises hold at the least, by any clock; null without them. */
     private Duration leadsUntil() {
-        // Its own promise is needed: so the term is on its own disk, and no later life of it comes to the same term again.
+        // Its own promise is needed: so the term is on its own disk, and no later life of it comes to the same term
+        // again.
         if (promisedSince.size() <= voters.size() / 2 || !promisedSince.containsKey(self)) {
             return null;
         }
--- a/src/main/java/merlinlever/term/Leadership.java
+++ b/src/main/java/merlinlever/term/Leadership.java
@@ -11,8 +11,7 @@
 public interface Leadership {
 
     /** Who leads, and under which term. */
-    record Leader(String name, long term) {
-    }
+    record Leader(String name, long term) {}
 
     /** Whether this one leads for certain, by its own steady clock. */
     boolean leads(Duration now);
--- a/src/main/java/merlinlever/term/Terms.java
+++ b/src/main/java/merlinlever/term/Terms.java
@@ -21,11 +21,9 @@
     public static final Set<String> WORDS = Set.of("V", "P", "N", "H");
 
     /** Something to be said to another. */
-    public record Say(String to, long number, String what) {
-    }
+    public record Say(String to, long number, String what) {}
 
-    private record Pending(String asker, long term, long number) {
-    }
+    private record Pending(String asker, long term, long number) {}
 
     private final String self;
     private final Election election;
@@ -43,8 +41,16 @@
      * @param term the highest that is on the disk
      * @param noted asks for a term on the disk; true once it is there
      */
-    public Terms(Duration now, String self, List<String> voters, Duration lease, double drift, long term, LongPredicate noted,
-            SplittableRandom chance, Consumer<String> log) {
+    public Terms(
+            Duration now,
+            String self,
+            List<String> voters,
+            Duration lease,
+            double drift,
+            long term,
+            LongPredicate noted,
+            SplittableRandom chance,
+            Consumer<String> log) {
         this.self = self;
         this.noted = noted;
         this.log = log;
@@ -149,19 +155,23 @@
         election.heardLeader(now, name, term);
     }
 
-    @Override public boolean leads(Duration now) {
+    @Override
+    public boolean leads(Duration now) {
         return election.leads(now);
     }
 
-    @Override public long term() {
+    @Override
+    public long term() {
         return election.term();
     }
 
-    @Override public Leader leader(Duration now) {
+    @Override
+    public Leader leader(Duration now) {
         return election.leader(now);
     }
 
-    @Override public List<String> voters() {
+    @Override
+    public List<String> voters() {
         return election.voters();
     }
 }
--- a/src/main/java/merlinlever/term/net/Leading.java
+++ b/src/main/java/merlinlever/term/net/Leading.java
@@ -19,11 +19,26 @@
     private final Terms terms;
 
     /** @param voters who may lead; the same everywhere */
-    public Leading(Loop loop, Rejoin rejoin, List<String> voters, Duration lease, double drift, long seed, Consumer<String> log) {
+    public Leading(
+            Loop loop,
+            Rejoin rejoin,
+            List<String> voters,
+            Duration lease,
+            double drift,
+            long seed,
+            Consumer<String> log) {
         this.loop = loop;
         this.rejoin = rejoin;
-        terms = new Terms(loop.clock().uptime(), rejoin.members().views().self(), voters, lease, drift, rejoin.term(), rejoin::noted,
-                new SplittableRandom(seed), log);
+        terms = new Terms(
+                loop.clock().uptime(),
+                rejoin.members().views().self(),
+                voters,
+                lease,
+                drift,
+                rejoin.term(),
+                rejoin::noted,
+                new SplittableRandom(seed),
+                log);
         rejoin.members().hears(Terms.WORDS, this);
         loop.every(LOOK, () -> say(terms.look(loop.clock().uptime())));
     }
@@ -39,7 +54,8 @@
         }
     }
 
-    @Override public void said(String name, long number, String what) {
+    @Override
+    public void said(String name, long number, String what) {
         say(terms.said(loop.clock().uptime(), name, number, what));
     }
 }
--- a/src/main/java/merlinlever/trials/Allowed.java
+++ b/src/main/java/merlinlever/trials/Allowed.java
@@ -17,10 +17,33 @@
     /** Which of the stated routes is asked first, where several may serve. */
     ROUTE("route", null, null);
 
-    private static final List<String> RULED = List.of("invariants", "rules", "drain-grace", "longest-unread", "cold", "halt", "kind",
-            "semantics", "memory-kb", "cores", "allowance-per-s", "crowd-factor");
-    private static final List<String> WORTH = List.of("value", "gain", "late-value", "value-by", "worth-by", "value-over-share", "services",
-            "tariffs", "soft-limit", "aim", "client-timeout", "hard-limit", "value-without-call");
+    private static final List<String> RULED = List.of(
+            "invariants",
+            "rules",
+            "drain-grace",
+            "longest-unread",
+            "cold",
+            "halt",
+            "kind",
+            "semantics",
+            "memory-kb",
+            "cores",
+            "allowance-per-s",
+            "crowd-factor");
+    private static final List<String> WORTH = List.of(
+            "value",
+            "gain",
+            "late-value",
+            "value-by",
+            "worth-by",
+            "value-over-share",
+            "services",
+            "tariffs",
+            "soft-limit",
+            "aim",
+            "client-timeout",
+            "hard-limit",
+            "value-without-call");
     private static final List<String> FIGURES = List.of("w-q", "min-th", "max-th", "max-p", "coefficient");
 
     final String word;
@@ -46,9 +69,13 @@
     /** Why a word that is none of these cannot be tried. */
     static String refusal(String word) {
         String first = word.contains(".") ? word.substring(0, word.indexOf('.')) : word;
-        String why = RULED.contains(word) || RULED.contains(first) ? "it belongs to the four rules, which are the same in all arms"
-                : WORTH.contains(word) || WORTH.contains(first) ? "it belongs to the order by worth, which is the same in all arms"
-                : FIGURES.contains(word) ? "the figures of the design are the same in all arms" : "it is not known";
+        String why = RULED.contains(word) || RULED.contains(first)
+                ? "it belongs to the four rules, which are the same in all arms"
+                : WORTH.contains(word) || WORTH.contains(first)
+                        ? "it belongs to the order by worth, which is the same in all arms"
+                        : FIGURES.contains(word)
+                                ? "the figures of the design are the same in all arms"
+                                : "it is not known";
         return why + "; an arm may set stay-away-longest, call-longest or route";
     }
 }
--- a/src/main/java/merlinlever/trials/Lease.java
+++ b/src/main/java/merlinlever/trials/Lease.java
@@ -18,11 +18,11 @@
 
     /** Questions that may still be answered, and backends that are answered, at the most. */
     private static final int MOST = 64;
+
     private static final int MOST_ANSWERED = 250;
     private static final String NONE = "";
 
-    private record Asked(long incarnation, long sequence, Duration at) {
-    }
+    private record Asked(long incarnation, long sequence, Duration at) {}
 
     private final Common common;
     private final String self;
@@ -66,7 +66,8 @@
         }
         nextAsk = now.plus(pause());
         if (common.put(now, questions(), trial.key().getBytes(StandardCharsets.US_ASCII))) {
-            common.of(self, questions()).ifPresent(word -> asked.add(new Asked(word.incarnation(), word.sequence(), now)));
+            common.of(self, questions())
+                    .ifPresent(word -> asked.add(new Asked(word.incarnation(), word.sequence(), now)));
         }
         while (asked.size() > MOST) {
             asked.poll();
@@ -83,7 +84,12 @@
         int n = 0;
         for (Snapshot word : common.all(questions())) {
             if (n++ < MOST_ANSWERED && new String(word.value(), StandardCharsets.US_ASCII).equals(trial.key())) {
-                text.append(' ').append(word.owner()).append(' ').append(word.incarnation()).append(' ').append(word.sequence());
+                text.append(' ')
+                        .append(word.owner())
+                        .append(' ')
+                        .append(word.incarnation())
+                        .append(' ')
+                        .append(word.sequence());
             }
         }
         common.put(now, answers(), text.toString().getBytes(StandardCharsets.US_ASCII));
@@ -118,7 +124,9 @@
 
     private void heard(long incarnation, long sequence) {
         for (Asked question : asked) {
-            if (question.incarnation == incarnation && question.sequence == sequence && question.at.plus(trial.lease()).compareTo(until) > 0) {
+            if (question.incarnation == incarnation
+                    && question.sequence == sequence
+                    && question.at.plus(trial.lease()).compareTo(until) > 0) {
                 until = question.at.plus(trial.lease());
             }
         }
--- a/src/main/java/merlinlever/trials/Moments.java
+++ b/src/main/java/merlinlever/trials/Moments.java
@@ -16,7 +16,13 @@
     double square;
 
     /** A bucket held so much, and now holds so much. */
-    void change(double fromAsked, double fromSatisfied, double fromValue, double toAsked, double toSatisfied, double toValue) {
+    void change(
+            double fromAsked,
+            double fromSatisfied,
+            double fromValue,
+            double toAsked,
+            double toSatisfied,
+            double toValue) {
         buckets += (toAsked > 0 ? 1 : 0) - (fromAsked > 0 ? 1 : 0);
         asked += toAsked - fromAsked;
         satisfied += toSatisfied - fromSatisfied;
--- a/src/main/java/merlinlever/trials/Part.java
+++ b/src/main/java/merlinlever/trials/Part.java
@@ -39,7 +39,15 @@
     private End end;
     private End proposed;
 
-    public Part(Duration now, String self, Trial trial, Seen seen, Leadership leadership, Registers registers, Common common, Consumer<String> log) {
+    public Part(
+            Duration now,
+            String self,
+            Trial trial,
+            Seen seen,
+            Leadership leadership,
+            Registers registers,
+            Common common,
+            Consumer<String> log) {
         this.self = self;
         this.trial = trial;
         this.seen = seen;
@@ -84,7 +92,8 @@
         if (written.isPresent()) {
             end = written.get();
             splits = false;
-            log.accept("trial " + trial.name() + " is over, " + end.kind() + ": all go by " + trial.arms().get(end.arm()).name() + "; " + end.why());
+            log.accept("trial " + trial.name() + " is over, " + end.kind() + ": all go by "
+                    + trial.arms().get(end.arm()).name() + "; " + end.why());
             if (carried) {
                 tell(now, false);
             }
@@ -95,11 +104,13 @@
     private void carry() {
         if (!carried) {
             carried = true;
-            common.of(self, trial.topic()).map(word -> Tally.read(trial, word.value())).ifPresent(before -> {
-                Tally former = before.former();
-                mine.add(former);
-                mine.ran(former.ran());
-            });
+            common.of(self, trial.topic())
+                    .map(word -> Tally.read(trial, word.value()))
+                    .ifPresent(before -> {
+                        Tally former = before.former();
+                        mine.add(former);
+                        mine.ran(former.ran());
+                    });
         }
     }
 
@@ -171,7 +182,8 @@
         return end != null ? end.arm() : splits ? split.arm(caller) : trial.safe();
     }
 
-    @Override public int arm(String caller) {
+    @Override
+    public int arm(String caller) {
         return arm(last, caller);
     }
 
--- a/src/main/java/merlinlever/trials/Ratio.java
+++ b/src/main/java/merlinlever/trials/Ratio.java
@@ -12,8 +12,7 @@
     /** How near the stated split the mixture lies. */
     private static final double NEAR = 20;
 
-    private Ratio() {
-    }
+    private Ratio() {}
 
     /** The logarithm of the ratio. */
     static double log(long[] counts, double[] parts) {
--- a/src/main/java/merlinlever/trials/Rehearsed.java
+++ b/src/main/java/merlinlever/trials/Rehearsed.java
@@ -16,8 +16,7 @@
      * @param heavy the part of the traffic that one caller has
      * @param most operations, in both arms together
      */
-    public record Drawn(double first, double second, int callers, double apart, double heavy, int most) {
-    }
+    public record Drawn(double first, double second, int callers, double apart, double heavy, int most) {}
 
     /**
      * How one went.
@@ -26,11 +25,9 @@
      * @param peeked where a fixed test at 0.05, looked at after each operation, first called a winner; 0: never
      * @param toSecond operations that the second arm was given until it ended
      */
-    public record Outcome(Verdict verdict, int at, int peeked, int toSecond) {
-    }
+    public record Outcome(Verdict verdict, int at, int peeked, int toSecond) {}
 
-    private Rehearsed() {
-    }
+    private Rehearsed() {}
 
     public static Outcome play(Trial trial, Drawn drawn, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
@@ -66,10 +63,12 @@
             if (verdict == null) {
                 toSecond += arm;
                 // As Tally has it.
-                if (asked[arm][b] < Tally.FIRST + Tally.OVER_MEAN * (long) (arms[0].asked + arms[1].asked) / Split.BUCKETS) {
+                if (asked[arm][b]
+                        < Tally.FIRST + Tally.OVER_MEAN * (long) (arms[0].asked + arms[1].asked) / Split.BUCKETS) {
                     int before = satisfied[arm][b];
                     satisfied[arm][b] += good ? 1 : 0;
-                    arms[arm].change(asked[arm][b], before, before, ++asked[arm][b], satisfied[arm][b], satisfied[arm][b]);
+                    arms[arm].change(
+                            asked[arm][b], before, before, ++asked[arm][b], satisfied[arm][b], satisfied[arm][b]);
                     arms[arm].square = arms[arm].satisfied / arms[arm].asked;
                 }
                 Verdict now = test.test(arms);
@@ -82,11 +81,16 @@
                 peeked = n;
             }
         }
-        return new Outcome(verdict == null ? new Verdict(Verdict.Kind.TIME, trial.safe(), "") : verdict, verdict == null ? drawn.most() : at, peeked, toSecond);
+        return new Outcome(
+                verdict == null ? new Verdict(Verdict.Kind.TIME, trial.safe(), "") : verdict,
+                verdict == null ? drawn.most() : at,
+                peeked,
+                toSecond);
     }
 
     private static double z(int[] asked, int[] satisfied) {
         double pooled = (double) (satisfied[0] + satisfied[1]) / (asked[0] + asked[1]);
-        return ((double) satisfied[0] / asked[0] - (double) satisfied[1] / asked[1]) / Math.sqrt(pooled * (1 - pooled) * (1.0 / asked[0] + 1.0 / asked[1]));
+        return ((double) satisfied[0] / asked[0] - (double) satisfied[1] / asked[1])
+                / Math.sqrt(pooled * (1 - pooled) * (1.0 / asked[0] + 1.0 / asked[1]));
     }
 }
--- a/src/main/java/merlinlever/trials/Sequential.java
+++ b/src/main/java/merlinlever/trials/Sequential.java
@@ -17,14 +17,15 @@
 
     /** Nothing is said of an arm with fewer operations, or fewer buckets that hold any. */
     static final int LEAST_ASKED = 200;
+
     static final int LEAST_BUCKETS = 8;
     /** A difference under this is not what the bounds are made for. */
     private static final double FINEST = 0.005;
+
     private static final double COARSER = 4;
 
     /** How much better the one arm is than the other, between these at all times. */
-    public record Bounds(double low, double high) {
-    }
+    public record Bounds(double low, double high) {}
 
     private final Trial trial;
     private final double[] parts;
@@ -40,7 +41,8 @@
         for (int arm = 0; arm < arms; arm++) {
             parts[arm] = split.part(arm);
         }
-        // Each mixture is tightest where a difference of its own size is about to be seen: twice the smallest one, and coarser ones.
+        // Each mixture is tightest where a difference of its own size is about to be seen: twice the smallest one, and
+        // coarser ones.
         for (int i = 0; i < nearness.length; i++) {
             double size = 2 * Math.max(FINEST, trial.difference()) * Math.pow(COARSER, i);
             nearness[i] = 1.5 / (size * size);
@@ -59,9 +61,13 @@
         if (Ratio.wrong(callers, parts, all.sample.level())) {
             StringBuilder seen = new StringBuilder();
             for (int arm = 0; arm < callers.length; arm++) {
-                seen.append(arm == 0 ? "" : ", ").append(callers[arm]).append(" of ").append(trial.arms().get(arm).name());
+                seen.append(arm == 0 ? "" : ", ")
+                        .append(callers[arm])
+                        .append(" of ")
+                        .append(trial.arms().get(arm).name());
             }
-            return new Verdict(Verdict.Kind.VOID, trial.safe(), "the split is not the stated one: of the sampled callers " + seen);
+            return new Verdict(
+                    Verdict.Kind.VOID, trial.safe(), "the split is not the stated one: of the sampled callers " + seen);
         }
         if (all.deaths() >= trial.deaths()) {
             return new Verdict(Verdict.Kind.HARM, trial.safe(), all.deaths() + " backends died while they split");
@@ -71,13 +77,13 @@
             arms[arm] = all.moments(arm);
         }
         Verdict verdict = test(arms);
-        return verdict.ends() || ran.compareTo(trial.longest()) < 0 ? verdict
+        return verdict.ends() || ran.compareTo(trial.longest()) < 0
+                ? verdict
                 : new Verdict(Verdict.Kind.TIME, trial.safe(), "no difference was shown in the longest time");
     }
 
     /** How far one arm is seen to be over another, and how surely. */
-    private record Lead(double difference, double variance, double freedom, double asked) {
-    }
+    private record Lead(double difference, double variance, double freedom, double asked) {}
 
     /** What the counts alone say. */
     Verdict test(Moments... arms) {
@@ -122,16 +128,24 @@
             for (int m = 0; m < 2; m++) {
                 // It lags behind none by the other measure for certain.
                 if (low[i][m] > trial.difference() && high[i][1 - m] >= 0) {
-                    return new Verdict(Verdict.Kind.WINNER, i, trial.arms().get(i).name() + " is better by more than " + told(low[i][m], m));
+                    return new Verdict(
+                            Verdict.Kind.WINNER,
+                            i,
+                            trial.arms().get(i).name() + " is better by more than " + told(low[i][m], m));
                 }
                 futile &= high[i][m] < trial.difference();
             }
         }
         if (harms >= 0) {
-            return new Verdict(Verdict.Kind.HARM, trial.safe(), trial.arms().get(harms).name() + " is worse than the safe arm by more than "
-                    + String.format(Locale.ROOT, "%.4f", harmed));
+            return new Verdict(
+                    Verdict.Kind.HARM,
+                    trial.safe(),
+                    trial.arms().get(harms).name() + " is worse than the safe arm by more than "
+                            + String.format(Locale.ROOT, "%.4f", harmed));
         }
-        return futile ? new Verdict(Verdict.Kind.FUTILE, trial.safe(), "none is better than another by the smallest difference")
+        return futile
+                ? new Verdict(
+                        Verdict.Kind.FUTILE, trial.safe(), "none is better than another by the smallest difference")
                 : new Verdict(Verdict.Kind.GOES_ON, trial.safe(), "nothing is shown yet");
     }
 
@@ -142,7 +156,8 @@
     }
 
     private static String told(double part, int measure) {
-        return String.format(Locale.ROOT, "%.4f", part) + (measure == 0 ? " of the operations asked" : " of the highest value");
+        return String.format(Locale.ROOT, "%.4f", part)
+                + (measure == 0 ? " of the operations asked" : " of the highest value");
     }
 
     /**
@@ -158,7 +173,8 @@
 
     private static Lead lead(Moments i, Moments k, boolean ofValue) {
         double pooled = ((ofValue ? i.value + k.value : i.satisfied + k.satisfied) + 1) / (i.asked + k.asked + 2);
-        double single = ofValue ? Math.max(0, (i.square * i.asked + k.square * k.asked + 1) / (i.asked + k.asked + 2) - pooled * pooled)
+        double single = ofValue
+                ? Math.max(0, (i.square * i.asked + k.square * k.asked + 1) / (i.asked + k.asked + 2) - pooled * pooled)
                 : pooled * (1 - pooled);
         double ofI = Math.max(i.variance(ofValue), single / i.asked);
         double ofK = Math.max(k.variance(ofValue), single / k.asked);
@@ -175,8 +191,12 @@
         double information = 1 / lead.variance();
         double least = Double.MAX_VALUE;
         for (double near : nearness) {
-            least = Math.min(least, (1 + near / information) * (Math.log(1 + information / near) + 2 * Math.log(nearness.length / chance)));
+            least = Math.min(
+                    least,
+                    (1 + near / information)
+                            * (Math.log(1 + information / near) + 2 * Math.log(nearness.length / chance)));
         }
-        return Math.sqrt(lead.variance() * lead.freedom() * (Math.exp(Math.min(50, least / lead.freedom())) - 1)) + Math.log(2 / chance) / 3 / lead.asked();
+        return Math.sqrt(lead.variance() * lead.freedom() * (Math.exp(Math.min(50, least / lead.freedom())) - 1))
+                + Math.log(2 / chance) / 3 / lead.asked();
     }
 }
--- a/src/main/java/merlinlever/trials/Stating.java
+++ b/src/main/java/merlinlever/trials/Stating.java
@@ -24,7 +24,18 @@
 
     /** At a time, all of them. */
     public static final int MOST = 4;
-    private static final Set<String> NAMES = Set.of("name", "version", "arms", "safe", "alpha", "harm", "difference", "longest", "lease", "value-most",
+
+    private static final Set<String> NAMES = Set.of(
+            "name",
+            "version",
+            "arms",
+            "safe",
+            "alpha",
+            "harm",
+            "difference",
+            "longest",
+            "lease",
+            "value-most",
             "deaths");
     private static final String NAME = "[a-z0-9-]{1,20}";
 
@@ -51,7 +62,8 @@
             if (path.startsWith("trials.")) {
                 String[] part = path.split("\\.");
                 if (!part[1].matches("[0-9]{1,2}") || part.length < 3 || !NAMES.contains(part[2])) {
-                    throw new Fault("the configuration's " + path + " is not known; a trial has " + String.join(", ", new TreeSet<>(NAMES)));
+                    throw new Fault("the configuration's " + path + " is not known; a trial has "
+                            + String.join(", ", new TreeSet<>(NAMES)));
                 }
                 n = Math.max(n, Integer.parseInt(part[1]) + 1);
             }
@@ -81,25 +93,29 @@
             if (path.startsWith(at + "arms.")) {
                 String[] part = path.substring(at.length() + 5).split("\\.", 2);
                 if (!part[0].matches("[0-9]")) {
-                    throw new Fault("the configuration's " + at + "arms is a list of 2 to " + Trial.MOST_ARMS + " arms");
+                    throw new Fault(
+                            "the configuration's " + at + "arms is a list of 2 to " + Trial.MOST_ARMS + " arms");
                 }
                 count = Math.max(count, Integer.parseInt(part[0]) + 1);
             }
         }
         if (count < 2 || count > Trial.MOST_ARMS) {
-            throw new Fault("the configuration's " + at + "arms has " + count + "; 2 to " + Trial.MOST_ARMS + " are needed");
+            throw new Fault(
+                    "the configuration's " + at + "arms has " + count + "; 2 to " + Trial.MOST_ARMS + " are needed");
         }
         for (int i = 0; i < count; i++) {
             Trial.Arm arm = arm(at + "arms." + i + ".");
             if (!names.add(arm.name())) {
-                throw new Fault("the configuration's " + at + "arms." + i + ".name is that of another arm: " + arm.name());
+                throw new Fault(
+                        "the configuration's " + at + "arms." + i + ".name is that of another arm: " + arm.name());
             }
             arms.add(arm);
             weights += arm.weight();
         }
         for (int i = 0; i < count; i++) {
             if (arms.get(i).weight() * 16 < weights) {
-                throw new Fault("the configuration's " + at + "arms." + i + ".weight is under a sixteenth of all weights, too little to tell anything by");
+                throw new Fault("the configuration's " + at + "arms." + i
+                        + ".weight is under a sixteenth of all weights, too little to tell anything by");
             }
         }
         int safe = -1;
@@ -107,8 +123,8 @@
             safe = arms.get(i).name().equals(rest.get(at + "safe")) ? i : safe;
         }
         if (safe < 0) {
-            throw new Fault("the configuration's " + at + "safe names the arm that runs where nothing is split; '" + rest.getOrDefault(at + "safe", "")
-                    + "' is none");
+            throw new Fault("the configuration's " + at + "safe names the arm that runs where nothing is split; '"
+                    + rest.getOrDefault(at + "safe", "") + "' is none");
         }
         double alpha = number(at + "alpha", 0.05, 1e-6, 0.2);
         double harm = number(at + "harm", Math.max(0.1, alpha), 1e-6, 0.5);
@@ -117,8 +133,18 @@
         }
         Duration longest = span(at + "longest", "7d", Duration.ofMinutes(1), Duration.ofDays(90));
         Duration lease = span(at + "lease", "10s", Duration.ofSeconds(1), Duration.ofMinutes(10));
-        return new Trial(name, (int) whole(at + "version", 1, 1, 1_000_000), arms, safe, alpha, harm, number(at + "difference", 0.01, 0, 0.5), longest, lease,
-                number(at + "value-most", 1, 1e-6, 1e9), (int) whole(at + "deaths", 3, 1, 10_000));
+        return new Trial(
+                name,
+                (int) whole(at + "version", 1, 1, 1_000_000),
+                arms,
+                safe,
+                alpha,
+                harm,
+                number(at + "difference", 0.01, 0, 0.5),
+                longest,
+                lease,
+                number(at + "value-most", 1, 1e-6, 1e9),
+                (int) whole(at + "deaths", 3, 1, 10_000));
     }
 
     private Trial.Arm arm(String at) throws Fault {
@@ -132,7 +158,8 @@
             }
             Allowed allowed = Allowed.of(path.substring(at.length()));
             if (allowed == null) {
-                throw new Fault("the configuration's " + path + " cannot be tried: " + Allowed.refusal(path.substring(at.length())));
+                throw new Fault("the configuration's " + path + " cannot be tried: "
+                        + Allowed.refusal(path.substring(at.length())));
             }
             switch (allowed) {
                 case STAY_AWAY -> stayAway = span(path, "", allowed.least, allowed.most);
@@ -174,7 +201,8 @@
         } catch (NumberFormatException e) {
             // Said below.
         }
-        throw new Fault("the configuration's " + path + " is to be from " + plain(least) + " to " + plain(most) + ", not '" + text + "'");
+        throw new Fault("the configuration's " + path + " is to be from " + plain(least) + " to " + plain(most)
+                + ", not '" + text + "'");
     }
 
     private static String plain(double number) {
@@ -184,11 +212,15 @@
     private Duration span(String path, String absent, Duration least, Duration most) throws Fault {
         String text = rest.getOrDefault(path, absent);
         if (!text.matches("[0-9]{1,7}(ms|s|h|d)")) {
-            throw new Fault("the configuration's " + path + " is a span such as 500ms, 10s, 12h or 7d, not '" + text + "'");
+            throw new Fault(
+                    "the configuration's " + path + " is a span such as 500ms, 10s, 12h or 7d, not '" + text + "'");
         }
         long number = Long.parseLong(text.replaceAll("[a-z]", ""));
-        Duration span = text.endsWith("ms") ? Duration.ofMillis(number) : text.endsWith("s") ? Duration.ofSeconds(number)
-                : text.endsWith("h") ? Duration.ofHours(number) : Duration.ofDays(number);
+        Duration span = text.endsWith("ms")
+                ? Duration.ofMillis(number)
+                : text.endsWith("s")
+                        ? Duration.ofSeconds(number)
+                        : text.endsWith("h") ? Duration.ofHours(number) : Duration.ofDays(number);
         if (span.compareTo(least) < 0 || span.compareTo(most) > 0) {
             throw new Fault("the configuration's " + path + " is to be from " + told(least) + " to " + told(most));
         }
@@ -196,6 +228,8 @@
     }
 
     private static String told(Duration span) {
-        return span.toMillis() < 1000 ? span.toMillis() + "ms" : span.toDays() > 0 ? span.toDays() + "d" : span.toSeconds() + "s";
+        return span.toMillis() < 1000
+                ? span.toMillis() + "ms"
+                : span.toDays() > 0 ? span.toDays() + "d" : span.toSeconds() + "s";
     }
 }
--- a/src/main/java/merlinlever/trials/Tally.java
+++ b/src/main/java/merlinlever/trials/Tally.java
@@ -23,11 +23,15 @@
 public final class Tally {
 
     /** What became of one try. */
-    public enum Became { SATISFIED, LATE, PUSHED_BACK, OTHER }
+    public enum Became {
+        SATISFIED,
+        LATE,
+        PUSHED_BACK,
+        OTHER
+    }
 
     /** All operations of one arm; values in thousandths of the highest, squares in millionths. */
-    public record Counts(long asked, long satisfied, long late, long pushedBack, long value, long squared) {
-    }
+    public record Counts(long asked, long satisfied, long late, long pushedBack, long value, long squared) {}
 
     /** One operation, over all its tries here. */
     public static final class Op {
@@ -71,12 +75,14 @@
     final Sample sample = new Sample();
     /** Lives that ended without leaving while they split. */
     private long deaths;
+
     private long ranMs;
     private boolean open = true;
     private final Map<Long, Op> known = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<Long, Op> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Long, Op> eldest) {
             return size() > KNOWN;
         }
     };
@@ -203,7 +209,12 @@
         for (int bucket = 0; bucket < Split.BUCKETS; bucket++) {
             if (split.arm(bucket) == arm && asked[bucket] > 0) {
                 // A further try that was asked for elsewhere, where that count is lost, is not more than one operation.
-                moments.change(0, 0, 0, asked[bucket], Math.min(satisfied[bucket], asked[bucket]),
+                moments.change(
+                        0,
+                        0,
+                        0,
+                        asked[bucket],
+                        Math.min(satisfied[bucket], asked[bucket]),
                         Math.min(value[bucket], PARTS * asked[bucket]) / (double) PARTS);
             }
         }
--- a/src/main/java/merlinlever/trials/Trial.java
+++ b/src/main/java/merlinlever/trials/Trial.java
@@ -18,8 +18,18 @@
  * @param valueMost an operation's value counts as this at the most
  * @param deaths so many backends that die while they split end it, with the safe arm
  */
-public record Trial(String name, int version, List<Arm> arms, int safe, double alpha, double harm, double difference, Duration longest,
-        Duration lease, double valueMost, int deaths) {
+public record Trial(
+        String name,
+        int version,
+        List<Arm> arms,
+        int safe,
+        double alpha,
+        double harm,
+        double difference,
+        Duration longest,
+        Duration lease,
+        double valueMost,
+        int deaths) {
 
     public static final int MOST_ARMS = 8;
 
--- a/src/main/java/merlinlever/trials/Verdict.java
+++ b/src/main/java/merlinlever/trials/Verdict.java
@@ -9,7 +9,14 @@
 public record Verdict(Kind kind, int arm, String why) {
 
     /** Whether it goes on, and why it does not: one is better, one does harm, none is better by what matters, time, a wrong split. */
-    public enum Kind { GOES_ON, WINNER, HARM, FUTILE, TIME, VOID }
+    public enum Kind {
+        GOES_ON,
+        WINNER,
+        HARM,
+        FUTILE,
+        TIME,
+        VOID
+    }
 
     public boolean ends() {
         return kind != Kind.GOES_ON;
--- a/src/main/java/merlinlever/view/Bodies.java
+++ b/src/main/java/merlinlever/view/Bodies.java
@@ -15,7 +15,6 @@
     /** Earlier views that are kept for differences. */
     private static final int KEPT = 8;
 
-
     private final ArrayDeque<View> earlier = new ArrayDeque<>();
 
     /** The latest; the ones before it are kept for a while. */
@@ -32,8 +31,14 @@
         for (View each : earlier) {
             base = each.number() == from ? each : base;
         }
-        StringBuilder text = new StringBuilder(MARK).append('\n').append(Long.toString(view.number(), 36)).append('\n').append(view.digest()).append('\n')
-                .append(Long.toString(base.number(), 36)).append('\n');
+        StringBuilder text = new StringBuilder(MARK)
+                .append('\n')
+                .append(Long.toString(view.number(), 36))
+                .append('\n')
+                .append(view.digest())
+                .append('\n')
+                .append(Long.toString(base.number(), 36))
+                .append('\n');
         for (String name : base.members()) {
             text.append(view.members().contains(name) ? "" : "-" + name + "\n");
         }
@@ -44,7 +49,8 @@
     }
 
     static boolean ours(byte[] body) {
-        return new String(body, 0, Math.min(body.length, MARK.length() + 1), StandardCharsets.US_ASCII).equals(MARK + "\n");
+        return new String(body, 0, Math.min(body.length, MARK.length() + 1), StandardCharsets.US_ASCII)
+                .equals(MARK + "\n");
     }
 
     /** The view, or null where it is none, does not fit its digest, or differs from one that is not kept here. */
--- a/src/main/java/merlinlever/view/Cut.java
+++ b/src/main/java/merlinlever/view/Cut.java
@@ -30,12 +30,10 @@
      * @param hears voters that answer it
      * @param gone subjects that it holds gone
      */
-    record Told(Duration at, long number, Duration since, long view, long floor, int hears, List<String> gone) {
-    }
+    record Told(Duration at, long number, Duration since, long view, long floor, int hears, List<String> gone) {}
 
     /** Taken out, and how long it stays so. */
-    private record Penalty(Duration outAt, Duration span) {
-    }
+    private record Penalty(Duration outAt, Duration span) {}
 
     /** Backends of which it keeps what they told, at the most. */
     private static final int MOST = 2 * View.MOST;
@@ -54,7 +52,15 @@
     }
 
     /** One told; an older question than its last is a late or a replayed one, unless it was silent since. */
-    void told(Duration now, String name, long number, long view, long floor, int hears, List<String> gone, Duration within) {
+    void told(
+            Duration now,
+            String name,
+            long number,
+            long view,
+            long floor,
+            int hears,
+            List<String> gone,
+            Duration within) {
         Told before = told.get(name);
         boolean fresh = before != null && now.minus(before.at).compareTo(within) < 0;
         if (fresh && number <= before.number) {
@@ -113,7 +119,14 @@
      *
      * @param most more than half of the voters
      */
-    SortedSet<String> due(Duration now, String self, View view, Rings rings, int most, Function<String, Views.Rumour> members, Duration within) {
+    SortedSet<String> due(
+            Duration now,
+            String self,
+            View view,
+            Rings rings,
+            int most,
+            Function<String, Views.Rumour> members,
+            Duration within) {
         Set<String> out = new TreeSet<>();
         Set<String> doubtful = new TreeSet<>();
         for (String name : view.members()) {
@@ -129,7 +142,8 @@
         doubtful.forEach(name -> between.putIfAbsent(name, now));
         Set<String> in = new TreeSet<>();
         told.forEach((name, last) -> {
-            if (!view.members().contains(name) && mayJoin(now, name, last, most, members.apply(name), within)
+            if (!view.members().contains(name)
+                    && mayJoin(now, name, last, most, members.apply(name), within)
                     && view.members().size() - out.size() + in.size() < View.MOST) {
                 in.add(name);
             }
@@ -143,8 +157,10 @@
         firstAt = candidates.isEmpty() ? now : firstAt;
         lastAt = candidates.containsAll(all) ? lastAt : now;
         candidates = all;
-        boolean waits = between.values().stream().anyMatch(since -> now.minus(since).compareTo(stated.between()) < 0);
-        boolean quiet = now.minus(lastAt).compareTo(stated.quiet()) >= 0 || now.minus(firstAt).compareTo(stated.longest()) >= 0;
+        boolean waits =
+                between.values().stream().anyMatch(since -> now.minus(since).compareTo(stated.between()) < 0);
+        boolean quiet = now.minus(lastAt).compareTo(stated.quiet()) >= 0
+                || now.minus(firstAt).compareTo(stated.longest()) >= 0;
         if (waits && !out.isEmpty() || !quiet) {
             return null;
         }
@@ -162,8 +178,11 @@
 
     private boolean mayJoin(Duration now, String name, Told last, int most, Views.Rumour known, Duration within) {
         Penalty penalty = penalties.get(name);
-        return now.minus(last.at).compareTo(within) < 0 && now.minus(last.since).compareTo(stated.steady()) >= 0 && last.hears >= most
-                && known != null && !left(known)
+        return now.minus(last.at).compareTo(within) < 0
+                && now.minus(last.since).compareTo(stated.steady()) >= 0
+                && last.hears >= most
+                && known != null
+                && !left(known)
                 && (penalty == null || now.minus(penalty.outAt).compareTo(penalty.span) >= 0);
     }
 
--- a/src/main/java/merlinlever/view/Differing.java
+++ b/src/main/java/merlinlever/view/Differing.java
@@ -29,11 +29,16 @@
             if (same && before != null) {
                 held.remove(voter);
                 log.accept("view: " + voter + " holds the same view again");
-            } else if (!same && now.minus(voice.since()).compareTo(patience) >= 0 && now.minus(viewSince).compareTo(patience) >= 0
-                    && (before == null || before.number() != voice.number() || !before.digest().equals(voice.digest()))) {
+            } else if (!same
+                    && now.minus(voice.since()).compareTo(patience) >= 0
+                    && now.minus(viewSince).compareTo(patience) >= 0
+                    && (before == null
+                            || before.number() != voice.number()
+                            || !before.digest().equals(voice.digest()))) {
                 held.put(voter, voice);
-                log.accept("view: " + voter + " holds another view since " + now.minus(voice.since()).toMillis() + " ms: "
-                        + View.place(voice.number()) + " (" + voice.digest() + "), here it is " + view.told());
+                log.accept("view: " + voter + " holds another view since "
+                        + now.minus(voice.since()).toMillis() + " ms: " + View.place(voice.number()) + " ("
+                        + voice.digest() + "), here it is " + view.told());
             }
         }
         for (String voter : new ArrayList<>(held.keySet())) {
@@ -46,8 +51,9 @@
     /** As the elements of a JSON array. */
     String json(Duration now) {
         List<String> each = new ArrayList<>();
-        held.forEach((name, voice) -> each.add("{\"name\":\"" + name + "\",\"view\":\"" + View.place(voice.number()) + "\",\"digest\":\"" + voice.digest()
-                + "\",\"since_ms\":" + now.minus(voice.since()).toMillis() + "}"));
+        held.forEach((name, voice) -> each.add("{\"name\":\"" + name + "\",\"view\":\"" + View.place(voice.number())
+                + "\",\"digest\":\"" + voice.digest() + "\",\"since_ms\":"
+                + now.minus(voice.since()).toMillis() + "}"));
         return String.join(",", each);
     }
 }
--- a/src/main/java/merlinlever/view/Permits.java
+++ b/src/main/java/merlinlever/view/Permits.java
@@ -10,7 +10,11 @@
 public final class Permits {
 
     /** The answer: always, only while what was adopted holds its lease (then what is safe alone), or not at all. */
-    public enum May { YES, LEASED, NO }
+    public enum May {
+        YES,
+        LEASED,
+        NO
+    }
 
     /** In the order of {@link Standing}: whole, most, few, alone, disagreeing, returning. */
     private static final Map<Act, May[]> TABLE = Map.of(
@@ -22,8 +26,7 @@
             // Its own marks on the disk hold it; the others know nothing of what it ran (docs/fleet/recovery.md).
             Act.KEYED, new May[] {YES, YES, YES, YES, NO, NO});
 
-    private Permits() {
-    }
+    private Permits() {}
 
     public static May may(Act act, Standing standing) {
         return TABLE.get(act)[standing.ordinal()];
--- a/src/main/java/merlinlever/view/Probing.java
+++ b/src/main/java/merlinlever/view/Probing.java
@@ -15,19 +15,19 @@
 final class Probing {
 
     /** A question to be put. */
-    record Ask(String to, long number) {
-    }
+    record Ask(String to, long number) {}
 
-    private record Out(String name, Duration at) {
-    }
+    private record Out(String name, Duration at) {}
 
     private final Stated stated;
     private final SplittableRandom chance;
     /** When each subject last answered, or began to be asked. */
     private final Map<String, Duration> heardAt = new TreeMap<>();
+
     private final Map<String, Duration> nextAt = new TreeMap<>();
     /** Questions that may be answered still: what is asked of all subjects in twice the silence, at the most. */
     private final Map<Long, Out> out = new LinkedHashMap<>();
+
     private long numbers;
 
     /** @param first number of its questions, which no other life comes near */
@@ -43,7 +43,8 @@
         nextAt.keySet().retainAll(names);
         for (String name : names) {
             heardAt.putIfAbsent(name, now);
-            nextAt.putIfAbsent(name, now.plusNanos(chance.nextLong(stated.probe().toNanos())));
+            nextAt.putIfAbsent(
+                    name, now.plusNanos(chance.nextLong(stated.probe().toNanos())));
         }
     }
 
@@ -63,7 +64,9 @@
             }
         }
         if (!asks.isEmpty()) {
-            out.values().removeIf(each -> now.minus(each.at).compareTo(stated.silence().multipliedBy(2)) > 0);
+            out.values()
+                    .removeIf(each ->
+                            now.minus(each.at).compareTo(stated.silence().multipliedBy(2)) > 0);
         }
         return asks;
     }
--- a/src/main/java/merlinlever/view/Sight.java
+++ b/src/main/java/merlinlever/view/Sight.java
@@ -27,11 +27,11 @@
     public static final Set<String> WORDS = Set.of("WP", "WO", "WQ", "WA", "WG");
 
     /** A word to be said to another, or a body to be carried to it. */
-    public record Say(String to, long number, String what, byte[] body) {
-    }
+    public record Say(String to, long number, String what, byte[] body) {}
 
     /** Words and octets of bodies in a second, and views pushed at one look, at the most; what is over is lost and asked for again. */
     private static final int MOST_WORDS = 5000;
+
     private static final int MOST_OCTETS = 2 << 20;
     private static final int PUSHED = 64;
 
@@ -52,6 +52,7 @@
     private final Differing differing;
     /** The one adopted, and the latest that it knows of, which may not be adopted yet. */
     private View view = View.NONE, known = View.NONE;
+
     private List<String> order = List.of();
     private Rings rings = new Rings(view.members());
     private Duration viewSince, lastLook, nextAsk, nextFetch, second, returnedAt, rivalUntil = Duration.ZERO;
@@ -66,7 +67,15 @@
      * @param floor the highest term that is on the disk: views of it may have been held in lives before
      * @param noted asks for a term on the disk; true once it is there
      */
-    public Sight(Duration now, Stated stated, Views members, Terms terms, long life, long floor, LongPredicate noted, SplittableRandom chance,
+    public Sight(
+            Duration now,
+            Stated stated,
+            Views members,
+            Terms terms,
+            long life,
+            long floor,
+            LongPredicate noted,
+            SplittableRandom chance,
             Consumer<String> log) {
         this.stated = stated;
         this.members = members;
@@ -88,15 +97,18 @@
 
     // ---- what depends on others asks
 
-    @Override public Standing standing(Duration now) {
+    @Override
+    public Standing standing(Duration now) {
         return now.minus(lastLook).compareTo(stated.jump()) > 0 ? Standing.RETURNING : bearing.shown();
     }
 
-    @Override public Duration since() {
+    @Override
+    public Duration since() {
         return bearing.since();
     }
 
-    @Override public View view() {
+    @Override
+    public View view() {
         return view;
     }
 
@@ -140,8 +152,8 @@
         push();
         Standing before = bearing.shown();
         if (bearing.found(now, found(now))) {
-            log.accept("view: standing is " + bearing.shown().word() + ", was " + before.word() + "; hears " + hears(now) + " of "
-                    + terms.voters().size() + " voters, view " + view.told());
+            log.accept("view: standing is " + bearing.shown().word() + ", was " + before.word() + "; hears "
+                    + hears(now) + " of " + terms.voters().size() + " voters, view " + view.told());
         }
         return said();
     }
@@ -169,7 +181,8 @@
         List<String> gone = probing.gone(now);
         StringBuilder places = new StringBuilder();
         gone.forEach(name -> places.append('.').append(Integer.toString(order.indexOf(name), 36)));
-        String what = "WQ/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/" + Long.toString(floor, 36) + "/" + hears(now) + "/" + places;
+        String what = "WQ/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/" + Long.toString(floor, 36)
+                + "/" + hears(now) + "/" + places;
         for (String voter : terms.voters()) {
             numbers++;
             if (voter.equals(self)) {
@@ -220,7 +233,8 @@
     private void learn(Duration now, View told) {
         if (told.number() == known.number() && !told.digest().equals(known.digest())) {
             clashes++;
-            log.accept("view: two memberships under one number, " + known.told() + " and " + told.told() + "; the second is not taken");
+            log.accept("view: two memberships under one number, " + known.told() + " and " + told.told()
+                    + "; the second is not taken");
         } else if (told.number() > known.number()) {
             known = told;
             bodies.latest(told);
@@ -238,7 +252,8 @@
         SortedSet<String> come = new TreeSet<>(known.members());
         gone.removeAll(known.members());
         come.removeAll(view.members());
-        log.accept("view: " + known.told() + " in place of " + view.told() + list(", with ", come) + list(", without ", gone));
+        log.accept("view: " + known.told() + " in place of " + view.told() + list(", with ", come)
+                + list(", without ", gone));
         view = known;
         viewSince = now;
         order = List.copyOf(view.members());
@@ -247,7 +262,9 @@
     }
 
     private static String list(String word, SortedSet<String> names) {
-        return names.isEmpty() ? "" : word + String.join(" ", names.stream().limit(20).toList()) + (names.size() > 20 ? " and more" : "");
+        return names.isEmpty()
+                ? ""
+                : word + String.join(" ", names.stream().limit(20).toList()) + (names.size() > 20 ? " and more" : "");
     }
 
     /** The one that leads numbers the next view, when one is due. */
@@ -265,13 +282,17 @@
         if (voices.beyond(now, within(), known.number()) || voices.notBeyond(leadSince, known.number()) + 1 < most()) {
             return;
         }
-        // The first view, the one that takes the leader in, and a new number for the same members cannot wait for the agreement they bring.
+        // The first view, the one that takes the leader in, and a new number for the same members cannot wait for the
+        // agreement they bring.
         boolean outside = view.number() < known.number() || !known.members().contains(self);
-        boolean anew = known.term() < leadTerm && known.number() > 0 && (view.number() < known.number() || cut.waits(now, known, within()));
+        boolean anew = known.term() < leadTerm
+                && known.number() > 0
+                && (view.number() < known.number() || cut.waits(now, known, within()));
         if (!outside && !anew && may(now, Act.DECIDE) != Permits.May.YES) {
             return;
         }
-        SortedSet<String> next = anew ? known.members() : cut.due(now, self, known, rings, most(), members::of, within());
+        SortedSet<String> next =
+                anew ? known.members() : cut.due(now, self, known, rings, most(), members::of, within());
         if (next == null || next.stream().filter(terms.voters()::contains).count() < most() || !View.has(count + 1)) {
             return;
         }
@@ -312,7 +333,8 @@
                 case "WP" -> say(name, number, "WO/");
                 case "WO" -> probing.answered(now, name, number);
                 case "WQ" -> asked(now, name, number, part);
-                case "WA" -> answered(now, name, number, Long.parseLong(part[1], 36), part[2], Long.parseLong(part[3], 36));
+                case "WA" -> answered(
+                        now, name, number, Long.parseLong(part[1], 36), part[2], Long.parseLong(part[3], 36));
                 case "WG" -> {
                     if (known.number() >= Long.parseLong(part[2], 36)) {
                         carry(name, bodies.of(known, Long.parseLong(part[1], 36)));
@@ -338,7 +360,11 @@
             }
         }
         cut.told(now, name, number, its, Long.parseLong(part[3], 36), Integer.parseInt(part[4]), gone, within());
-        say(name, number, "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/" + (terms.leads(now) ? Long.toString(terms.term(), 36) : "0"));
+        say(
+                name,
+                number,
+                "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/"
+                        + (terms.leads(now) ? Long.toString(terms.term(), 36) : "0"));
     }
 
     private void answered(Duration now, String name, long question, long number, String digest, long leads) {
@@ -360,10 +386,25 @@
 
     /** As a JSON object. */
     public String json(Duration now) {
-        StringBuilder text = new StringBuilder("{\"standing\":\"").append(standing(now).word()).append("\",\"since_ms\":").append(now.minus(since()).toMillis())
-                .append(",\"view\":\"").append(view.place()).append("\",\"digest\":\"").append(view.digest()).append("\",\"members\":")
-                .append(view.members().size()).append(",\"inside\":").append(view.members().contains(self)).append(",\"clashes\":").append(clashes)
-                .append(",\"hears\":").append(names(voices.heard(now, within()))).append(",\"gone\":").append(names(probing.gone(now))).append(",\"others\":[");
+        StringBuilder text = new StringBuilder("{\"standing\":\"")
+                .append(standing(now).word())
+                .append("\",\"since_ms\":")
+                .append(now.minus(since()).toMillis())
+                .append(",\"view\":\"")
+                .append(view.place())
+                .append("\",\"digest\":\"")
+                .append(view.digest())
+                .append("\",\"members\":")
+                .append(view.members().size())
+                .append(",\"inside\":")
+                .append(view.members().contains(self))
+                .append(",\"clashes\":")
+                .append(clashes)
+                .append(",\"hears\":")
+                .append(names(voices.heard(now, within())))
+                .append(",\"gone\":")
+                .append(names(probing.gone(now)))
+                .append(",\"others\":[");
         text.append(differing.json(now));
         return text.append("]}").toString();
     }
--- a/src/main/java/merlinlever/view/Stated.java
+++ b/src/main/java/merlinlever/view/Stated.java
@@ -18,12 +18,34 @@
  * @param penalty one that was taken out is let in again after so long, twice as long each time
  * @param mostPenalty and this at the most
  */
-public record Stated(Duration probe, Duration silence, Duration ask, int asked, Duration heard, Duration quiet, Duration longest, Duration between,
-        Duration jump, Duration steady, Duration penalty, Duration mostPenalty) {
+public record Stated(
+        Duration probe,
+        Duration silence,
+        Duration ask,
+        int asked,
+        Duration heard,
+        Duration quiet,
+        Duration longest,
+        Duration between,
+        Duration jump,
+        Duration steady,
+        Duration penalty,
+        Duration mostPenalty) {
 
     public static Stated usual() {
-        return new Stated(Duration.ofMillis(500), Duration.ofSeconds(5), Duration.ofMillis(500), 500, Duration.ofSeconds(4), Duration.ofSeconds(1),
-                Duration.ofSeconds(3), Duration.ofSeconds(10), Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(5), Duration.ofMinutes(5));
+        return new Stated(
+                Duration.ofMillis(500),
+                Duration.ofSeconds(5),
+                Duration.ofMillis(500),
+                500,
+                Duration.ofSeconds(4),
+                Duration.ofSeconds(1),
+                Duration.ofSeconds(3),
+                Duration.ofSeconds(10),
+                Duration.ofSeconds(2),
+                Duration.ofSeconds(2),
+                Duration.ofSeconds(5),
+                Duration.ofMinutes(5));
     }
 
     /** In a fleet of so many. */
--- a/src/main/java/merlinlever/view/Voices.java
+++ b/src/main/java/merlinlever/view/Voices.java
@@ -19,11 +19,9 @@
      * @param since when it was first heard to hold that view
      * @param agreedAt when it last held the same as this one, or null
      */
-    record Voice(Duration heardAt, long number, String digest, Duration since, Duration agreedAt) {
-    }
+    record Voice(Duration heardAt, long number, String digest, Duration since, Duration agreedAt) {}
 
-    private record Out(String name, Duration at) {
-    }
+    private record Out(String name, Duration at) {}
 
     private final List<String> voters;
     private final Map<String, Voice> voices = new TreeMap<>();
@@ -48,7 +46,14 @@
         Voice before = voices.get(voter);
         boolean same = before != null && before.number == number && before.digest.equals(digest);
         boolean agrees = number == mine.number() && digest.equals(mine.digest());
-        voices.put(voter, new Voice(now, number, digest, same ? before.since : now, agrees ? now : before == null ? null : before.agreedAt));
+        voices.put(
+                voter,
+                new Voice(
+                        now,
+                        number,
+                        digest,
+                        same ? before.since : now,
+                        agrees ? now : before == null ? null : before.agreedAt));
         return true;
     }
 
@@ -85,7 +90,8 @@
         for (String name : heard(now, within)) {
             Voice voice = voices.get(name);
             boolean clash = voice.number == mine.number() && !voice.digest.equals(mine.digest());
-            boolean lately = now.minus(mineSince).compareTo(within) < 0 || voice.agreedAt != null && now.minus(voice.agreedAt).compareTo(within) < 0;
+            boolean lately = now.minus(mineSince).compareTo(within) < 0
+                    || voice.agreedAt != null && now.minus(voice.agreedAt).compareTo(within) < 0;
             agreeing += !clash && lately ? 1 : 0;
         }
         return agreeing;
--- a/src/main/java/merlinlever/view/net/Viewing.java
+++ b/src/main/java/merlinlever/view/net/Viewing.java
@@ -30,8 +30,16 @@
         this.loop = loop;
         this.rejoin = rejoin;
         // The term of this moment, before this life votes on any: what its lives before may have held.
-        sight = new Sight(loop.clock().uptime(), stated, rejoin.members().views(), terms, life, rejoin.term(), rejoin::noted,
-                new SplittableRandom(seed), log);
+        sight = new Sight(
+                loop.clock().uptime(),
+                stated,
+                rejoin.members().views(),
+                terms,
+                life,
+                rejoin.term(),
+                rejoin::noted,
+                new SplittableRandom(seed),
+                log);
         rejoin.members().hears(Sight.WORDS, this);
         rejoin.members().takes(this);
         loop.every(LOOK, () -> say(sight.look(loop.clock().uptime())));
@@ -55,11 +63,13 @@
         }
     }
 
-    @Override public void said(String name, long number, String what) {
+    @Override
+    public void said(String name, long number, String what) {
         say(sight.said(loop.clock().uptime(), name, number, what));
     }
 
-    @Override public void carried(String name, byte[] body) {
+    @Override
+    public void carried(String name, byte[] body) {
         sight.carried(loop.clock().uptime(), name, body);
     }
 
--- a/src/main/java/merlinlever/wire/Instance.java
+++ b/src/main/java/merlinlever/wire/Instance.java
@@ -12,8 +12,16 @@
 /** One decision module and the ids by which the wire knows what it holds. */
 final class Instance implements Port<Long> {
 
-    private static final Ending[] ENDINGS = {Ending.OK, Ending.ERROR, Ending.TURNED_AWAY, Ending.GIVEN_UP,
-        Ending.UNREACHABLE, Ending.CUT_OFF, Ending.STOPPED, Ending.NEVER_BEGUN};
+    private static final Ending[] ENDINGS = {
+        Ending.OK,
+        Ending.ERROR,
+        Ending.TURNED_AWAY,
+        Ending.GIVEN_UP,
+        Ending.UNREACHABLE,
+        Ending.CUT_OFF,
+        Ending.STOPPED,
+        Ending.NEVER_BEGUN
+    };
 
     private final String name;
     private final double startedAt;
@@ -50,8 +58,7 @@
             case "req" -> take(line, now);
             case "completed" -> operation(line).ended(now, ending(line));
             case "at_call" -> operation(line).reachedCall(now);
-            case "downstream" -> operation(line).callEnded(now, ending(line),
-                    span(line.number("cost-time", 0)));
+            case "downstream" -> operation(line).callEnded(now, ending(line), span(line.number("cost-time", 0)));
             case "withdrawn" -> operation(line).callerGone(now);
             case "drain" -> conductor.control().leave(now, sinceStart(line.neededNumber("not-after")));
             case "timeout_fired" -> {
@@ -77,11 +84,18 @@
         double leaves = line.number("not-after", 0);
         double work = line.number("work", 0);
         long repeats = line.whole("same-as", 0);
-        Operation taken = conductor.control().take(now, tariff, span(line.number("unread-for", 0)),
-                leaves == 0 ? null : sinceStart(leaves), line.number("size-kb", 0), work == 0 ? null : span(work),
-                line.flag("resent"),
-                line.text("name-key") != null && !line.flag("write"),
-                repeats == 0 ? null : byId.getOrDefault(repeats, Conductor.UNKNOWN));
+        Operation taken = conductor
+                .control()
+                .take(
+                        now,
+                        tariff,
+                        span(line.number("unread-for", 0)),
+                        leaves == 0 ? null : sinceStart(leaves),
+                        line.number("size-kb", 0),
+                        work == 0 ? null : span(work),
+                        line.flag("resent"),
+                        line.text("name-key") != null && !line.flag("write"),
+                        repeats == 0 ? null : byId.getOrDefault(repeats, Conductor.UNKNOWN));
         byId.put(id, conductor.know(taken, id));
     }
 
@@ -92,31 +106,38 @@
         conductor.settle(sinceStart(now));
     }
 
-    @Override public void level(double level) {
+    @Override
+    public void level(double level) {
         action("announce").append(" amount=").append(level).append('\n');
     }
 
-    @Override public void health(boolean good) {
+    @Override
+    public void health(boolean good) {
         action("report_health").append(good ? " on=1" : " on=0").append(" from-state=1\n");
     }
 
-    @Override public void closeIdle(Duration after) {
+    @Override
+    public void closeIdle(Duration after) {
         ms(action("reap_after").append(" for-time="), after).append('\n');
     }
 
-    @Override public void keep(Long id, Duration span) {
+    @Override
+    public void keep(Long id, Duration span) {
         ms(about("pin", id).append(" for-time="), span).append('\n');
     }
 
-    @Override public void breakOff(Long id) {
+    @Override
+    public void breakOff(Long id) {
         about("report_failure", id).append('\n');
     }
 
-    @Override public void halt(Long id) {
+    @Override
+    public void halt(Long id) {
         about("stop", id).append('\n');
     }
 
-    @Override public void pushBack(Long id, boolean nowhereElse, Duration stayAway) {
+    @Override
+    public void pushBack(Long id, boolean nowhereElse, Duration stayAway) {
         about("deny", id);
         if (nowhereElse) {
             out.append(" final=1");
@@ -127,37 +148,47 @@
         out.append('\n');
     }
 
-    @Override public void forget(Long id) {
+    @Override
+    public void forget(Long id) {
         about("unpin", id).append('\n');
     }
 
-    @Override public void start(Long id) {
+    @Override
+    public void start(Long id) {
         about("dispatch", id).append('\n');
     }
 
-    @Override public void share(Long id) {
+    @Override
+    public void share(Long id) {
         about("echo", id).append('\n');
     }
 
-    @Override public void call(Long id, Duration giveUpAfter) {
+    @Override
+    public void call(Long id, Duration giveUpAfter) {
         ms(about("call", id).append(" give-up-after="), giveUpAfter).append('\n');
     }
 
-    @Override public void omit(Long id) {
+    @Override
+    public void omit(Long id) {
         about("omit", id).append('\n');
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
         action("log").append(" line=").append(line).append('\n');
     }
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         alarms++;
         ms(action("set_alarm").append(" offset="), span(Math.max(startedAt + at.toNanos() / 1e6 - now, 0.001)))
-                .append(" handle=look").append(alarms).append('\n');
+                .append(" handle=look")
+                .append(alarms)
+                .append('\n');
     }
 
-    @Override public void release(Long id) {
+    @Override
+    public void release(Long id) {
         byId.remove(id);
     }
 
--- a/src/main/java/merlinlever/wire/Line.java
+++ b/src/main/java/merlinlever/wire/Line.java
@@ -123,7 +123,9 @@
             return new double[0];
         }
         try {
-            return Arrays.stream(value.split(",")).mapToDouble(Double::parseDouble).toArray();
+            return Arrays.stream(value.split(","))
+                    .mapToDouble(Double::parseDouble)
+                    .toArray();
         } catch (NumberFormatException e) {
             throw fault("not a row of numbers: " + name + "=" + value);
         }
--- a/src/main/java/merlinlever/wire/WireHost.java
+++ b/src/main/java/merlinlever/wire/WireHost.java
@@ -105,7 +105,11 @@
             throw e;
         } catch (RuntimeException e) {
             String text = e + " at " + e.getStackTrace()[0];
-            reply.append("die who=").append(who).append(" line=").append(text.replace('\n', ' ')).append('\n');
+            reply.append("die who=")
+                    .append(who)
+                    .append(" line=")
+                    .append(text.replace('\n', ' '))
+                    .append('\n');
         }
     }
 }
--- a/src/main/java/merlinlever/zone/client/Answered.java
+++ b/src/main/java/merlinlever/zone/client/Answered.java
@@ -28,8 +28,12 @@
     /** One line for people. */
     public String told() {
         return switch (way) {
-            case ANSWERED -> org.xbill.DNS.Rcode.string(message.code()) + (message.signature() != null && message.signature().error() != 0
-                    ? " (" + org.xbill.DNS.Rcode.TSIGstring(message.signature().error()) + ")" : "");
+            case ANSWERED -> org.xbill.DNS.Rcode.string(message.code())
+                    + (message.signature() != null && message.signature().error() != 0
+                            ? " ("
+                                    + org.xbill.DNS.Rcode.TSIGstring(
+                                            message.signature().error()) + ")"
+                            : "");
             case UNREACHABLE -> "cannot be reached";
             case LOST -> "no answer in time; it may have been done";
             case KEY_REFUSED -> "does not take the key";
--- a/src/main/java/merlinlever/zone/client/Applier.java
+++ b/src/main/java/merlinlever/zone/client/Applier.java
@@ -37,7 +37,14 @@
     private final Watcher watcher;
     private List<Plan.Batch> batches;
 
-    private Applier(Asker asker, InetSocketAddress server, Tsig.Key key, Duration patience, Zone wanted, boolean dryRun, Watcher watcher) {
+    private Applier(
+            Asker asker,
+            InetSocketAddress server,
+            Tsig.Key key,
+            Duration patience,
+            Zone wanted,
+            boolean dryRun,
+            Watcher watcher) {
         this.asker = asker;
         this.server = server;
         this.key = key;
@@ -47,7 +54,14 @@
         this.watcher = watcher;
     }
 
-    public static void start(Asker asker, InetSocketAddress server, Tsig.Key key, Duration patience, Zone wanted, boolean dryRun, Watcher watcher) {
+    public static void start(
+            Asker asker,
+            InetSocketAddress server,
+            Tsig.Key key,
+            Duration patience,
+            Zone wanted,
+            boolean dryRun,
+            Watcher watcher) {
         Applier applier = new Applier(asker, server, key, patience, wanted, dryRun, watcher);
         applier.fetch(applier::plan);
     }
@@ -77,15 +91,20 @@
             fetch(live -> {
                 Difference left = Difference.between(live, wanted);
                 int records = left.records() - 2;
-                watcher.ended(index, records == 0 ? null : "the zone was changed by somebody else meanwhile: " + records
-                        + " records differ; run it again");
+                watcher.ended(
+                        index,
+                        records == 0
+                                ? null
+                                : "the zone was changed by somebody else meanwhile: " + records
+                                        + " records differ; run it again");
             });
             return;
         }
         Plan.Batch batch = batches.get(index);
         byte[] message = Updates.message(wanted.origin(), batch.prerequisites(), batch.changes(), key);
         if (message == null) {
-            watcher.ended(index, "update " + (index + 1) + " does not fit one message: a single name has too many records");
+            watcher.ended(
+                    index, "update " + (index + 1) + " does not fit one message: a single name has too many records");
             return;
         }
         asker.ask(server, message, key, patience, answered -> {
@@ -93,9 +112,13 @@
                 watcher.done(index);
                 send(index + 1);
             } else {
-                boolean changed = answered.way() == Answered.Way.ANSWERED && answered.message().code() >= 6 && answered.message().code() <= 8;
-                watcher.ended(index, "update " + (index + 1) + ": " + answered.told()
-                        + (changed ? ": what it touches was changed by somebody else since the plan" : ""));
+                boolean changed = answered.way() == Answered.Way.ANSWERED
+                        && answered.message().code() >= 6
+                        && answered.message().code() <= 8;
+                watcher.ended(
+                        index,
+                        "update " + (index + 1) + ": " + answered.told()
+                                + (changed ? ": what it touches was changed by somebody else since the plan" : ""));
             }
         });
     }
--- a/src/main/java/merlinlever/zone/client/Asker.java
+++ b/src/main/java/merlinlever/zone/client/Asker.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.Ending;
+import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
 import merlinlever.net.Datagrams;
-import merlinlever.net.CloseReason;
 import merlinlever.net.Loop;
 import merlinlever.zone.record.Malformed;
 import merlinlever.zone.wire.Message;
@@ -34,6 +34,7 @@
     private static final int AGAIN = 5;
     /** Who does not take the key says so without a signature: it counts only if nothing better comes in this part. */
     private static final int UNSIGNED = 3;
+
     private static final int MOST_OPEN = 1000;
 
     /** One question on its way. */
@@ -50,7 +51,8 @@
         Connection connection;
         boolean over, reached, keyRefused;
 
-        Open(InetSocketAddress server, byte[] question, Tsig.Key key, Duration patience, Consumer<Answered> done) throws Malformed {
+        Open(InetSocketAddress server, byte[] question, Tsig.Key key, Duration patience, Consumer<Answered> done)
+                throws Malformed {
             this.server = server;
             this.key = key;
             this.patience = patience;
@@ -93,8 +95,11 @@
         Message believed(byte[] answer) {
             try {
                 Message message = Message.read(answer);
-                if (!message.response() || message.id() != sent.id() || message.operation() != sent.operation()
-                        || message.asks() && !(Arrays.equals(message.name(), sent.name()) && message.type() == sent.type())) {
+                if (!message.response()
+                        || message.id() != sent.id()
+                        || message.operation() != sent.operation()
+                        || message.asks()
+                                && !(Arrays.equals(message.name(), sent.name()) && message.type() == sent.type())) {
                     return null;
                 }
                 if (key == null) {
@@ -144,12 +149,14 @@
             this.one = one;
         }
 
-        @Override public void made() {
+        @Override
+        public void made() {
             // From here on it may get there.
             one.reached = true;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             while (!one.over) {
                 byte[] octets = message(in);
                 if (octets == null) {
@@ -162,11 +169,16 @@
             }
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             if (!one.over) {
                 one.connection = null;
                 boolean never = how.ofCall() == Ending.UNREACHABLE;
-                one.end(never ? Answered.Way.UNREACHABLE : one.keyRefused ? Answered.Way.KEY_REFUSED : Answered.Way.LOST, null);
+                one.end(
+                        never
+                                ? Answered.Way.UNREACHABLE
+                                : one.keyRefused ? Answered.Way.KEY_REFUSED : Answered.Way.LOST,
+                        null);
             }
         }
     }
@@ -182,11 +194,15 @@
         this.loop = loop;
         this.chance = chance;
         this.unix = unix;
-        datagrams = new Datagrams(loop, new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0), Message.MOST, this::came);
+        datagrams = new Datagrams(
+                loop, new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0), Message.MOST, this::came);
     }
 
     static ByteBuffer framed(byte[] octets) {
-        return ByteBuffer.allocate(2 + octets.length).putShort((short) octets.length).put(octets).flip();
+        return ByteBuffer.allocate(2 + octets.length)
+                .putShort((short) octets.length)
+                .put(octets)
+                .flip();
     }
 
     /** The next whole message of a stream, or null. */
@@ -210,7 +226,8 @@
      * @param question without id and signature, which are put in here
      * @param key null for none
      */
-    public void ask(InetSocketAddress server, byte[] question, Tsig.Key key, Duration patience, Consumer<Answered> done) {
+    public void ask(
+            InetSocketAddress server, byte[] question, Tsig.Key key, Duration patience, Consumer<Answered> done) {
         if (open.size() >= MOST_OPEN) {
             loop.execute(() -> done.accept(new Answered(Answered.Way.UNREACHABLE, null)));
             return;
--- a/src/main/java/merlinlever/zone/client/Fetch.java
+++ b/src/main/java/merlinlever/zone/client/Fetch.java
@@ -8,8 +8,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 import merlinlever.zone.record.Malformed;
 import merlinlever.zone.record.Names;
@@ -29,8 +29,7 @@
     private static final Duration SILENT = Duration.ofSeconds(5);
 
     /** A zone, or why there is none. */
-    public record Fetched(Zone zone, String why) {
-    }
+    public record Fetched(Zone zone, String why) {}
 
     private final Loop loop;
     private final Asker asker;
@@ -54,10 +53,14 @@
     }
 
     /** @param key null for none */
-    public static void zone(Asker asker, InetSocketAddress server, byte[] origin, Tsig.Key key, Consumer<Fetched> done) {
+    public static void zone(
+            Asker asker, InetSocketAddress server, byte[] origin, Tsig.Key key, Consumer<Fetched> done) {
         int id = asker.id();
-        byte[] question = new Writer(id, 0, Message.PLAIN_DATAGRAM).question(origin, Types.AXFR, Types.IN).done();
-        Tsig.Signed signed = key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
+        byte[] question = new Writer(id, 0, Message.PLAIN_DATAGRAM)
+                .question(origin, Types.AXFR, Types.IN)
+                .done();
+        Tsig.Signed signed =
+                key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
         Fetch fetch = new Fetch(asker, origin, key, signed == null ? null : signed.mac(), id, done);
         try {
             fetch.connection = Connection.to(fetch.loop, server, fetch, 2 + Message.MOST, Message.MOST, SILENT);
@@ -72,7 +75,8 @@
         if (silent != null) {
             silent.callOff();
         }
-        silent = loop.in(SILENT, () -> end(null, "the transfer stopped: nothing came for " + SILENT.toSeconds() + " s"));
+        silent =
+                loop.in(SILENT, () -> end(null, "the transfer stopped: nothing came for " + SILENT.toSeconds() + " s"));
     }
 
     private void end(Zone zone, String why) {
@@ -89,7 +93,8 @@
         done.accept(new Fetched(zone, why));
     }
 
-    @Override public void read(ByteBuffer in) {
+    @Override
+    public void read(ByteBuffer in) {
         listen();
         try {
             for (byte[] octets = Asker.message(in); octets != null && !over; octets = Asker.message(in)) {
@@ -145,7 +150,12 @@
         }
     }
 
-    @Override public void ended(CloseReason how) {
-        end(null, how == CloseReason.REFUSED || how == CloseReason.NOT_MADE ? "cannot be reached" : "the transfer was cut");
+    @Override
+    public void ended(CloseReason how) {
+        end(
+                null,
+                how == CloseReason.REFUSED || how == CloseReason.NOT_MADE
+                        ? "cannot be reached"
+                        : "the transfer was cut");
     }
 }
--- a/src/main/java/merlinlever/zone/client/FollowerLink.java
+++ b/src/main/java/merlinlever/zone/client/FollowerLink.java
@@ -37,8 +37,16 @@
     private long unknown;
 
     /** @param instances names in the order of their indices */
-    public FollowerLink(Loop loop, Asker asker, Follower follower, List<InetSocketAddress> servers, Tsig.Key key, byte[] zone, byte[] name,
-            List<String> instances, Duration patience) {
+    public FollowerLink(
+            Loop loop,
+            Asker asker,
+            Follower follower,
+            List<InetSocketAddress> servers,
+            Tsig.Key key,
+            byte[] zone,
+            byte[] name,
+            List<String> instances,
+            Duration patience) {
         this.loop = loop;
         this.asker = asker;
         this.follower = follower;
@@ -53,8 +61,11 @@
 
     /** A datagram such as {@code PULSE n3 open}; says whether it was one of a known instance. */
     public boolean came(byte[] octets) {
-        String[] words = octets.length > 512 ? new String[0] : new String(octets, StandardCharsets.UTF_8).strip().split(" ");
-        boolean good = words.length == 3 && words[0].equals("PULSE") && (words[2].equals("open") || words[2].equals("closed"));
+        String[] words = octets.length > 512
+                ? new String[0]
+                : new String(octets, StandardCharsets.UTF_8).strip().split(" ");
+        boolean good =
+                words.length == 3 && words[0].equals("PULSE") && (words[2].equals("open") || words[2].equals("closed"));
         Integer instance = good ? instances.get(words[1]) : null;
         if (instance == null) {
             unknown++;
@@ -129,7 +140,8 @@
                 case KEY_REFUSED -> read.refused(now, Update.NOTAUTH);
                 default -> {
                     int code = answered.message().code();
-                    if (code != Update.NOERROR && code != Update.NXDOMAIN || type == Types.SOA && answered.message().answers().isEmpty()) {
+                    if (code != Update.NOERROR && code != Update.NXDOMAIN
+                            || type == Types.SOA && answered.message().answers().isEmpty()) {
                         read.refused(now, code == Update.NOERROR ? Update.NOTZONE : code);
                         return;
                     }
@@ -138,7 +150,8 @@
                             if (type == Types.SOA) {
                                 serial = Zone.serial(entry.data());
                             } else {
-                                (type == Types.TXT ? claims : records).add(new Rec(entry.owner(), entry.type(), entry.ttl(), entry.data()));
+                                (type == Types.TXT ? claims : records)
+                                        .add(new Rec(entry.owner(), entry.type(), entry.ttl(), entry.data()));
                             }
                         }
                     }
--- a/src/main/java/merlinlever/zone/client/Updates.java
+++ b/src/main/java/merlinlever/zone/client/Updates.java
@@ -10,8 +10,7 @@
 /** Update messages (RFC 2136 section 2). */
 public final class Updates {
 
-    private Updates() {
-    }
+    private Updates() {}
 
     /** Without id and signature; null where it does not fit one message with a signature of the key. */
     public static byte[] message(byte[] zone, List<Entry> prerequisites, List<Entry> changes, Tsig.Key key) {
--- a/src/main/java/merlinlever/zone/follow/Claim.java
+++ b/src/main/java/merlinlever/zone/follow/Claim.java
@@ -15,7 +15,8 @@
  */
 record Claim(String owner, String holder, long term, long beat) {
 
-    private static final Pattern FORM = Pattern.compile("merlinlever owner=([a-z0-9-]{1,40}) holder=([a-z0-9-]{1,40}) term=([0-9]{1,15}) beat=([0-9]{1,15})");
+    private static final Pattern FORM = Pattern.compile(
+            "merlinlever owner=([a-z0-9-]{1,40}) holder=([a-z0-9-]{1,40}) term=([0-9]{1,15}) beat=([0-9]{1,15})");
 
     /** From the data of a TXT record; null where it is something else. */
     static Claim read(byte[] data) {
@@ -23,11 +24,18 @@
             return null;
         }
         Matcher matcher = FORM.matcher(new String(data, 1, data.length - 1, StandardCharsets.ISO_8859_1));
-        return matcher.matches() ? new Claim(matcher.group(1), matcher.group(2), Long.parseLong(matcher.group(3)), Long.parseLong(matcher.group(4))) : null;
+        return matcher.matches()
+                ? new Claim(
+                        matcher.group(1),
+                        matcher.group(2),
+                        Long.parseLong(matcher.group(3)),
+                        Long.parseLong(matcher.group(4)))
+                : null;
     }
 
     byte[] data() {
-        byte[] text = ("merlinlever owner=" + owner + " holder=" + holder + " term=" + term + " beat=" + beat).getBytes(StandardCharsets.ISO_8859_1);
+        byte[] text = ("merlinlever owner=" + owner + " holder=" + holder + " term=" + term + " beat=" + beat)
+                .getBytes(StandardCharsets.ISO_8859_1);
         byte[] data = new byte[text.length + 1];
         data[0] = (byte) text.length;
         System.arraycopy(text, 0, data, 1, text.length);
--- a/src/main/java/merlinlever/zone/follow/Fleet.java
+++ b/src/main/java/merlinlever/zone/follow/Fleet.java
@@ -12,6 +12,7 @@
 
     /** A departure counts one; above the first figure an instance stays away until below the second. */
     private static final double SUPPRESS = 2.5;
+
     private static final double REUSE = 1;
 
     private static final class Instance {
@@ -47,7 +48,9 @@
     }
 
     private boolean alive(Duration now, Instance instance) {
-        return instance.open && instance.heard != null && now.minus(instance.heard).compareTo(lapse) < 0;
+        return instance.open
+                && instance.heard != null
+                && now.minus(instance.heard).compareTo(lapse) < 0;
     }
 
     private void look(Duration now, Instance instance) {
--- a/src/main/java/merlinlever/zone/follow/Follower.java
+++ b/src/main/java/merlinlever/zone/follow/Follower.java
@@ -37,9 +37,18 @@
      * @param beat between two signs of life of the one that writes; others wait three of them
      * @param servers how many there are, in the order in which they are tried
      */
-    public record Stated(byte[] name, List<Rec> instances, long ttl, Duration lapse, double keepAtLeast, String owner, String holder,
-            int updatesAMinute, Duration damp, Duration beat, int servers) {
-    }
+    public record Stated(
+            byte[] name,
+            List<Rec> instances,
+            long ttl,
+            Duration lapse,
+            double keepAtLeast,
+            String owner,
+            String holder,
+            int updatesAMinute,
+            Duration damp,
+            Duration beat,
+            int servers) {}
 
     /** A step that was decided; exactly one of its ends is to be told. */
     public abstract class Step {
@@ -129,6 +138,7 @@
 
     /** What changes within this is one update. */
     private static final Duration GATHER = Duration.ofMillis(100);
+
     private static final Duration FIRST_PAUSE = Duration.ofMillis(200);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
     private static final int BEATS_TO_WAIT = 3;
@@ -147,12 +157,15 @@
     private String lastFailure = "";
     /** The last that is known for certain to stand on the server, or null. */
     private Seen known;
+
     private long lastSerial = -1;
     /** Of another holder: its claim as it was last seen, and since when. */
     private Claim watched;
+
     private Duration watchedSince;
     /** The term that this one holds, or -1. */
     private long myTerm = -1;
+
     private Duration beatAt = Duration.ZERO;
     private Duration differsSince;
     private double tokens;
@@ -240,7 +253,8 @@
     private void seen(Duration now, Seen seen) {
         well();
         if (lastSerial >= 0 && Serial.after(lastSerial, seen.serial())) {
-            log.accept("server " + server + " went back from serial " + lastSerial + " to " + seen.serial() + "; going on from what it says");
+            log.accept("server " + server + " went back from serial " + lastSerial + " to " + seen.serial()
+                    + "; going on from what it says");
         }
         lastSerial = seen.serial();
         known = seen;
@@ -257,14 +271,17 @@
         switch (code) {
             case Update.NOERROR -> {
                 well();
-                known = new Seen(lastSerial, List.of(new Rec(claimName, Types.TXT, stated.ttl, write.claim.data())), write.records);
+                known = new Seen(
+                        lastSerial,
+                        List.of(new Rec(claimName, Types.TXT, stated.ttl, write.claim.data())),
+                        write.records);
                 myTerm = write.claim.term();
                 watched = write.claim;
                 watchedSince = now;
                 beatAt = now.plus(stated.beat);
                 differsSince = null;
             }
-            // Somebody else has written since it was read: read again, and not in step with whoever it was.
+                // Somebody else has written since it was read: read again, and not in step with whoever it was.
             case Update.NXDOMAIN, Update.YXDOMAIN, Update.NXRRSET, Update.YXRRSET -> {
                 known = null;
                 nextAt = now.plusNanos((long) (FIRST_PAUSE.toNanos() * chance.nextDouble()));
@@ -297,20 +314,30 @@
         Claim mine;
         if (known.claims().isEmpty()) {
             if (!known.records().isEmpty()) {
-                mode("foreign", () -> Names.text(stated.name) + " has records that are not ours: they are left alone; delete them, or choose another name");
+                mode(
+                        "foreign",
+                        () -> Names.text(stated.name)
+                                + " has records that are not ours: they are left alone; delete them, or choose another name");
                 return null;
             }
             mine = new Claim(stated.owner, stated.holder, 1, 1);
         } else if (claim == null || !claim.owner().equals(stated.owner)) {
-            mode("foreign", () -> Names.text(stated.name) + " belongs to " + (claim == null ? "somebody else" : claim.owner()) + ": it is left alone");
+            mode(
+                    "foreign",
+                    () -> Names.text(stated.name) + " belongs to " + (claim == null ? "somebody else" : claim.owner())
+                            + ": it is left alone");
             return null;
         } else if (claim.holder().equals(stated.holder) && (myTerm < 0 || claim.term() <= myTerm)) {
             // Ours: from this life, or from the one before, whose name we bear.
-            mine = myTerm < 0 ? new Claim(stated.owner, stated.holder, claim.term() + 1, 1) : new Claim(stated.owner, stated.holder, myTerm, Math.max(claim.beat(), 0) + 1);
+            mine = myTerm < 0
+                    ? new Claim(stated.owner, stated.holder, claim.term() + 1, 1)
+                    : new Claim(stated.owner, stated.holder, myTerm, Math.max(claim.beat(), 0) + 1);
         } else {
             Duration silent = now.minus(watchedSince);
             if (silent.compareTo(stated.beat.multipliedBy(BEATS_TO_WAIT)) < 0) {
-                mode("by " + claim.holder(), () -> claim.holder() + " keeps " + Names.text(stated.name) + "; this one stands by");
+                mode(
+                        "by " + claim.holder(),
+                        () -> claim.holder() + " keeps " + Names.text(stated.name) + "; this one stands by");
                 return null;
             }
             mine = new Claim(stated.owner, stated.holder, Math.max(claim.term(), myTerm) + 1, 1);
@@ -398,14 +425,28 @@
     private List<Rec> wanted(Duration now) {
         List<Integer> all = fleet.alive(true);
         if (all.isEmpty() || all.size() < stated.keepAtLeast * fleet.size()) {
-            mode("keeping", () -> String.format(Locale.ROOT, "only %d of %d instances alive: the last answer stays", all.size(), fleet.size()));
+            mode(
+                    "keeping",
+                    () -> String.format(
+                            Locale.ROOT,
+                            "only %d of %d instances alive: the last answer stays",
+                            all.size(),
+                            fleet.size()));
             return null;
         }
         List<Integer> steady = fleet.alive(false);
         boolean enough = !steady.isEmpty() && steady.size() >= stated.keepAtLeast * fleet.size();
         List<Integer> chosen = enough ? steady : all;
-        mode(chosen.size() < all.size() ? "damping" : "following", () -> String.format(Locale.ROOT, "%d of %d instances alive%s", all.size(), fleet.size(),
-                chosen.size() < all.size() ? ", " + (all.size() - chosen.size()) + " of them kept away for coming and going" : ""));
+        mode(
+                chosen.size() < all.size() ? "damping" : "following",
+                () -> String.format(
+                        Locale.ROOT,
+                        "%d of %d instances alive%s",
+                        all.size(),
+                        fleet.size(),
+                        chosen.size() < all.size()
+                                ? ", " + (all.size() - chosen.size()) + " of them kept away for coming and going"
+                                : ""));
         return chosen.stream().map(stated.instances::get).toList();
     }
 
--- a/src/main/java/merlinlever/zone/follow/Seen.java
+++ b/src/main/java/merlinlever/zone/follow/Seen.java
@@ -10,5 +10,4 @@
  * @param claims the TXT records where the claim stands
  * @param records the address and service records at the name
  */
-public record Seen(long serial, List<Rec> claims, List<Rec> records) {
-}
+public record Seen(long serial, List<Rec> claims, List<Rec> records) {}
--- a/src/main/java/merlinlever/zone/front/Answers.java
+++ b/src/main/java/merlinlever/zone/front/Answers.java
@@ -17,6 +17,7 @@
 
     /** Octets of a datagram that pass everywhere unbroken, stated and kept to (RFC 9715 section 3). */
     static final int DATAGRAM = 1232;
+
     private static final int BADVERS = 16;
     /** An extended error (RFC 8914): its option, and the code for what cannot be answered now. */
     private static final int EXTENDED_ERROR = 15, NOT_READY = 14;
@@ -29,7 +30,8 @@
 
     /** Of what could not be read as a message, by its id alone. */
     static byte[] malformed(byte[] octets) {
-        return new Writer(Message.id(octets), Message.RESPONSE | Message.flags(octets) & 0x7900 | Update.FORMERR, 12).done();
+        return new Writer(Message.id(octets), Message.RESPONSE | Message.flags(octets) & 0x7900 | Update.FORMERR, 12)
+                .done();
     }
 
     /** A code without records. */
@@ -49,7 +51,11 @@
             options[5] = NOT_READY;
             System.arraycopy(text, 0, options, 6, text.length);
         }
-        return signed(asked, signed, head(asked, Update.REFUSED, room(signed), Update.REFUSED, options).done());
+        return signed(
+                asked,
+                signed,
+                head(asked, Update.REFUSED, room(signed), Update.REFUSED, options)
+                        .done());
     }
 
     byte[] unknownEdns(Message asked, Tsig.Verdict signed) {
@@ -76,8 +82,10 @@
             return made;
         }
         return switch (signed.error()) {
-            case 0 -> Tsig.sign(made, signed.key(), unix.getAsLong(), signed.mac()).octets();
-            case Tsig.BADTIME -> Tsig.signBadTime(made, signed.key(), signed.time(), unix.getAsLong(), signed.mac()).octets();
+            case 0 -> Tsig.sign(made, signed.key(), unix.getAsLong(), signed.mac())
+                    .octets();
+            case Tsig.BADTIME -> Tsig.signBadTime(made, signed.key(), signed.time(), unix.getAsLong(), signed.mac())
+                    .octets();
             default -> Tsig.unsignedError(made, asked.signature(), signed.error());
         };
     }
@@ -85,12 +93,18 @@
     byte[] found(Message asked, Tsig.Verdict signed, Lookup.Answer answer, boolean datagram) {
         int most = Message.MOST;
         if (datagram) {
-            int theirs = asked.edns() == null ? Message.PLAIN_DATAGRAM : asked.edns().payload();
+            int theirs =
+                    asked.edns() == null ? Message.PLAIN_DATAGRAM : asked.edns().payload();
             most = Math.max(Message.PLAIN_DATAGRAM, Math.min(theirs, DATAGRAM));
         }
         most -= signed == null ? 0 : Tsig.room(signed.key());
-        Writer out = new Writer(asked.id(), Message.RESPONSE | (answer.authoritative ? Message.AUTHORITATIVE : 0)
-                | asked.flags() & 0x7900 | answer.code, most);
+        Writer out = new Writer(
+                asked.id(),
+                Message.RESPONSE
+                        | (answer.authoritative ? Message.AUTHORITATIVE : 0)
+                        | asked.flags() & 0x7900
+                        | answer.code,
+                most);
         out.question(asked.name(), asked.type(), asked.dclass());
         int questionEnd = out.length();
         int reserved = asked.edns() == null ? 0 : 11;
@@ -115,7 +129,8 @@
             RecordSet set = shown.set();
             for (int i = 0; i < set.size(); i++) {
                 byte[] data = set.data((i + turn) % set.size());
-                if (out.length() + shown.owner().length + 10 + data.length > most && out.length() + 12 + data.length > most
+                if (out.length() + shown.owner().length + 10 + data.length > most
+                                && out.length() + 12 + data.length > most
                         || !out.record(section, shown.owner(), set.type(), Types.IN, shown.ttl(), data)) {
                     return false;
                 }
--- a/src/main/java/merlinlever/zone/front/Asked.java
+++ b/src/main/java/merlinlever/zone/front/Asked.java
@@ -11,7 +11,11 @@
 final class Asked {
 
     /** What it asks for; the order is that of the tariffs. */
-    enum Kind { QUERY, UPDATE, TRANSFER }
+    enum Kind {
+        QUERY,
+        UPDATE,
+        TRANSFER
+    }
 
     /** Code of an operation that has none yet. */
     static final int OPEN = -2;
@@ -20,11 +24,13 @@
     final Served zone;
     /** Null once it is answered: what is kept of it then is its code. */
     Message message;
+
     Tsig.Verdict signed;
     Caller caller;
     Operation handle = Conductor.UNKNOWN;
     /** What a repeat of it is known by, or null; and what it repeats. */
     Object mark;
+
     Asked repeats;
     byte[] markOctets = {};
     boolean answered, begun, calling;
--- a/src/main/java/merlinlever/zone/front/Counts.java
+++ b/src/main/java/merlinlever/zone/front/Counts.java
@@ -74,10 +74,17 @@
         StringBuilder line = new StringBuilder();
         for (Asked.Kind kind : Asked.Kind.values()) {
             int i = kind.ordinal();
-            line.append(String.format(java.util.Locale.ROOT, "%s %.0f (satisfied %.0f, pushed back %.0f, broken off %.0f), ",
-                    kind.name().toLowerCase(java.util.Locale.ROOT), taken[i].count(), satisfied[i].count(), pushedBack[i].count(),
+            line.append(String.format(
+                    java.util.Locale.ROOT,
+                    "%s %.0f (satisfied %.0f, pushed back %.0f, broken off %.0f), ",
+                    kind.name().toLowerCase(java.util.Locale.ROOT),
+                    taken[i].count(),
+                    satisfied[i].count(),
+                    pushedBack[i].count(),
                     brokenOff[i].count()));
         }
-        return line.append(String.format(java.util.Locale.ROOT, "malformed %.0f, dropped %.0f", malformed.count(), dropped.count())).toString();
+        return line.append(String.format(
+                        java.util.Locale.ROOT, "malformed %.0f, dropped %.0f", malformed.count(), dropped.count()))
+                .toString();
     }
 }
--- a/src/main/java/merlinlever/zone/front/Desk.java
+++ b/src/main/java/merlinlever/zone/front/Desk.java
@@ -34,8 +34,7 @@
 public final class Desk implements Port<Asked> {
 
     /** What is stated to the module of the front. */
-    public record Stated(double memoryMb, Duration grace, boolean queriesDecided, long seed) {
-    }
+    public record Stated(double memoryMb, Duration grace, boolean queriesDecided, long seed) {}
 
     /** Begun in one go; the module looks again behind each. Calls in hand are four times as many at the most. */
     private static final int IN_ONE_GO = 16;
@@ -43,6 +42,7 @@
     public static final long REPLAY = 2L * Tsig.FUDGE;
     /** What remembering one update takes here, with its repeats. */
     private static final double KB_PER_UPDATE = 0.5;
+
     private static final int SERVFAIL_FROM_DISK = -1;
 
     private final Map<Octets, Served> zones = new HashMap<>();
@@ -62,11 +62,13 @@
 
     /** Octets as a key of a map. */
     private record Octets(byte[] octets) {
-        @Override public boolean equals(Object other) {
+        @Override
+        public boolean equals(Object other) {
             return other instanceof Octets name && Arrays.equals(octets, name.octets);
         }
 
-        @Override public int hashCode() {
+        @Override
+        public int hashCode() {
             return Arrays.hashCode(octets);
         }
     }
@@ -75,8 +77,14 @@
      * @param unix seconds of the Unix clock
      * @param alarm is told when {@link #alarmed} is wanted
      */
-    public Desk(List<Served> served, Tsig.Keys keys, Stated stated, LongSupplier unix, Consumer<String> log,
-            Consumer<Duration> alarm, Counts counts) {
+    public Desk(
+            List<Served> served,
+            Tsig.Keys keys,
+            Stated stated,
+            LongSupplier unix,
+            Consumer<String> log,
+            Consumer<Duration> alarm,
+            Counts counts) {
         served.forEach(zone -> zones.put(new Octets(zone.origin()), zone));
         this.keys = keys;
         this.unix = unix;
@@ -108,7 +116,13 @@
         return given;
     }
 
-    private static void tariff(Map<String, String> given, Asked.Kind kind, String how, int value, long softMs, long timeoutMs,
+    private static void tariff(
+            Map<String, String> given,
+            Asked.Kind kind,
+            String how,
+            int value,
+            long softMs,
+            long timeoutMs,
             long windowMs) {
         String at = "tariffs." + kind.ordinal() + ".";
         given.put(at + "name", kind.name());
@@ -162,7 +176,7 @@
         return switch (message.operation()) {
             case Message.QUERY -> query(message, signed, waited, caller);
             case Message.UPDATE -> update(message, signed, waited, caller);
-            // This front has no primary that could have news for it.
+                // This front has no primary that could have news for it.
             case Message.NOTIFY -> told(caller, message, signed, Update.REFUSED);
             default -> told(caller, message, signed, Update.NOTIMP);
         };
@@ -178,7 +192,8 @@
         if (!message.asks() || (message.flags() & Message.TRUNCATED) != 0) {
             return told(caller, message, signed, Update.FORMERR);
         }
-        Served zone = message.dclass() == Types.IN || message.dclass() == Types.CLASS_ANY ? closest(message.name()) : null;
+        Served zone =
+                message.dclass() == Types.IN || message.dclass() == Types.CLASS_ANY ? closest(message.name()) : null;
         if (message.type() == Types.AXFR || message.type() == Types.IXFR) {
             if (zone == null || !Arrays.equals(zone.origin(), message.name())) {
                 return told(caller, message, signed, Update.NOTAUTH);
@@ -187,7 +202,9 @@
                 return told(caller, message, signed, Update.REFUSED);
             }
             if (message.type() == Types.AXFR && caller.datagram()
-                    || message.type() == Types.IXFR && (message.authority().size() != 1 || message.authority().get(0).type() != Types.SOA)) {
+                    || message.type() == Types.IXFR
+                            && (message.authority().size() != 1
+                                    || message.authority().get(0).type() != Types.SOA)) {
                 return told(caller, message, signed, Update.FORMERR);
             }
             return take(new Asked(Asked.Kind.TRANSFER, zone, message, signed, caller), waited, null);
@@ -200,7 +217,8 @@
         }
         Asked asked = new Asked(Asked.Kind.QUERY, zone, message, signed, caller);
         if (!queriesDecided) {
-            caller.answer(answers.found(message, signed, Lookup.find(zone.zone(), message.name(), message.type()), caller.datagram()));
+            caller.answer(answers.found(
+                    message, signed, Lookup.find(zone.zone(), message.name(), message.type()), caller.datagram()));
             counts.satisfied(Asked.Kind.QUERY);
             return null;
         }
@@ -209,7 +227,7 @@
 
     /** The zone that the name is in, the deepest of them. */
     private Served closest(byte[] name) {
-        for (byte[] at = name;; at = Names.parent(at)) {
+        for (byte[] at = name; ; at = Names.parent(at)) {
             Served zone = zones.get(new Octets(at));
             if (zone != null || at.length == 1) {
                 return zone;
@@ -261,8 +279,18 @@
         inHand++;
         counts.taken(asked.kind);
         asked.repeats = original;
-        Operation taken = conductor.control().take(now, asked.kind.ordinal(), waited, null,
-                1 + asked.message.octets().length / 1024.0, null, false, false, original == null ? null : original.handle);
+        Operation taken = conductor
+                .control()
+                .take(
+                        now,
+                        asked.kind.ordinal(),
+                        waited,
+                        null,
+                        1 + asked.message.octets().length / 1024.0,
+                        null,
+                        false,
+                        false,
+                        original == null ? null : original.handle);
         asked.handle = conductor.know(taken, asked);
         return asked;
     }
@@ -354,7 +382,8 @@
 
     // ---- what the module decides
 
-    @Override public void start(Asked asked) {
+    @Override
+    public void start(Asked asked) {
         asked.begun = true;
         touched = true;
         if (asked.kind == Asked.Kind.QUERY) {
@@ -374,7 +403,8 @@
         }
     }
 
-    @Override public void call(Asked asked, Duration giveUpAfter) {
+    @Override
+    public void call(Asked asked, Duration giveUpAfter) {
         asked.calling = true;
         Duration calledAt = now;
         if (asked.kind == Asked.Kind.TRANSFER) {
@@ -420,10 +450,14 @@
         Transfer transfer;
         if (message.type() == Types.IXFR) {
             long theirs = Zone.serial(message.authority().get(0).data());
-            List<Difference> since = Serial.after(zone.serial(), theirs) ? asked.zone.history().since(theirs) : List.of();
-            int records = since == null ? Integer.MAX_VALUE : since.stream().mapToInt(Difference::records).sum();
+            List<Difference> since =
+                    Serial.after(zone.serial(), theirs) ? asked.zone.history().since(theirs) : List.of();
+            int records = since == null
+                    ? Integer.MAX_VALUE
+                    : since.stream().mapToInt(Difference::records).sum();
             // A history longer than the zone is no help.
-            transfer = records > zone.records() + 2 && !List.of().equals(since) ? Transfer.whole(message, asked.signed, unix, zone)
+            transfer = records > zone.records() + 2 && !List.of().equals(since)
+                    ? Transfer.whole(message, asked.signed, unix, zone)
                     : Transfer.since(message, asked.signed, unix, zone, since);
             if (asked.caller.datagram() && records > 0) {
                 transfer = Transfer.since(message, asked.signed, unix, zone, List.of());
@@ -445,7 +479,8 @@
         });
     }
 
-    @Override public void pushBack(Asked asked, boolean nowhereElse, Duration stayAway) {
+    @Override
+    public void pushBack(Asked asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             counts.pushedBack(asked.kind);
             Message message = asked.message;
@@ -455,7 +490,8 @@
         repeatsUnkept(asked);
     }
 
-    @Override public void breakOff(Asked asked) {
+    @Override
+    public void breakOff(Asked asked) {
         if (!asked.answered) {
             counts.brokenOff(asked.kind);
             if (asked.kind == Asked.Kind.TRANSFER && asked.calling) {
@@ -477,7 +513,8 @@
         }
     }
 
-    @Override public void share(Asked asked) {
+    @Override
+    public void share(Asked asked) {
         Asked original = asked.repeats;
         while (original != null && !original.begun && original.repeats != null) {
             original = original.repeats;
@@ -495,46 +532,56 @@
         }
     }
 
-    @Override public void forget(Asked asked) {
+    @Override
+    public void forget(Asked asked) {
         if (asked.mark != null) {
             byMark.remove(asked.mark, asked);
         }
     }
 
-    @Override public void keep(Asked asked, Duration span) {
+    @Override
+    public void keep(Asked asked, Duration span) {
         // Entered when it came; the module says when it may go.
         byMark.put(asked.mark, asked);
     }
 
-    @Override public void release(Asked asked) {
+    @Override
+    public void release(Asked asked) {
         forget(asked);
     }
 
-    @Override public void omit(Asked asked) {
+    @Override
+    public void omit(Asked asked) {
         // No tariff here has a value without its call.
     }
 
-    @Override public void halt(Asked asked) {
+    @Override
+    public void halt(Asked asked) {
         // Nothing here can be stopped half way.
     }
 
-    @Override public void level(double level) {
+    @Override
+    public void level(double level) {
         // The protocol has no place for it.
     }
 
-    @Override public void health(boolean good) {
+    @Override
+    public void health(boolean good) {
         counts.healthy(good);
     }
 
-    @Override public void closeIdle(Duration after) {
+    @Override
+    public void closeIdle(Duration after) {
         // Connections are few and closed by their own time.
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
         log.accept(line);
     }
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         alarm.accept(at);
     }
 }
--- a/src/main/java/merlinlever/zone/front/Front.java
+++ b/src/main/java/merlinlever/zone/front/Front.java
@@ -31,8 +31,17 @@
     private Loop.Timer alarm;
 
     /** @param connections open at once at the most */
-    public Front(Loop loop, InetSocketAddress address, int connections, List<Served> zones, Tsig.Keys keys, Desk.Stated stated,
-            LongSupplier unix, Consumer<String> log, Counts counts) throws IOException {
+    public Front(
+            Loop loop,
+            InetSocketAddress address,
+            int connections,
+            List<Served> zones,
+            Tsig.Keys keys,
+            Desk.Stated stated,
+            LongSupplier unix,
+            Consumer<String> log,
+            Counts counts)
+            throws IOException {
         this.loop = loop;
         this.zones = zones;
         desk = new Desk(zones, keys, stated, unix, log, this::alarm, counts);
@@ -59,7 +68,8 @@
         datagrams = taking;
         listener.accept();
         loop.after(() -> desk.settle(loop.clock().now()));
-        loop.every(LOOK, () -> List.copyOf(streams).forEach(stream -> stream.look(loop.clock().now())));
+        loop.every(LOOK, () -> List.copyOf(streams)
+                .forEach(stream -> stream.look(loop.clock().now())));
     }
 
     public InetSocketAddress address() throws IOException {
@@ -74,22 +84,26 @@
         if (alarm != null) {
             alarm.callOff();
         }
-        alarm = loop.in(at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
+        alarm = loop.in(
+                at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
     }
 
     private void came(byte[] octets, InetSocketAddress from, Duration waited) {
         desk.came(loop.clock().now(), octets, waited, new Caller() {
-            @Override public boolean datagram() {
+            @Override
+            public boolean datagram() {
                 return true;
             }
 
-            @Override public void answer(byte[] answer) {
+            @Override
+            public void answer(byte[] answer) {
                 if (answer != null) {
                     datagrams.send(answer, from);
                 }
             }
 
-            @Override public void answer(Transfer transfer, Consumer<Boolean> done) {
+            @Override
+            public void answer(Transfer transfer, Consumer<Boolean> done) {
                 // By a datagram only the newest version's SOA is told (RFC 1995 section 2).
                 datagrams.send(transfer.next(), from);
                 done.accept(true);
--- a/src/main/java/merlinlever/zone/front/Notices.java
+++ b/src/main/java/merlinlever/zone/front/Notices.java
@@ -29,8 +29,7 @@
         boolean newer;
     }
 
-    private record Whom(String zone, InetSocketAddress server) {
-    }
+    private record Whom(String zone, InetSocketAddress server) {}
 
     private final Loop loop;
     private final SplittableRandom chance;
@@ -57,7 +56,11 @@
     private void send(Served zone, InetSocketAddress server, Telling one, int tries) {
         try {
             if (datagrams == null) {
-                datagrams = new Datagrams(loop, new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0), Message.MOST, this::came);
+                datagrams = new Datagrams(
+                        loop,
+                        new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0),
+                        Message.MOST,
+                        this::came);
             }
         } catch (IOException e) {
             // Tried again like one that was lost.
@@ -65,7 +68,13 @@
         if (datagrams != null) {
             Writer out = new Writer(one.id, Message.NOTIFY << 11 | Message.AUTHORITATIVE, Message.PLAIN_DATAGRAM);
             out.question(zone.origin(), Types.SOA, Types.IN);
-            out.record(1, zone.origin(), Types.SOA, Types.IN, zone.zone().soa().ttl(), zone.zone().soa().data(0));
+            out.record(
+                    1,
+                    zone.origin(),
+                    Types.SOA,
+                    Types.IN,
+                    zone.zone().soa().ttl(),
+                    zone.zone().soa().data(0));
             datagrams.send(out.done(), server);
         }
         one.newer = false;
--- a/src/main/java/merlinlever/zone/front/Served.java
+++ b/src/main/java/merlinlever/zone/front/Served.java
@@ -38,6 +38,7 @@
     private int onTheWay;
     /** What waits for the newest step that is on its way, and whether the last step got there. */
     private List<Runnable> newest;
+
     private boolean lastWell;
 
     /** @param updaters names of keys as text, as are {@code transferers} */
@@ -147,9 +148,10 @@
             return name + ": the file is not taken over: its serial " + difference.to() + " does not come after "
                     + difference.from() + ", which is served";
         }
-        put(at, new byte[0], file, difference, well -> { });
-        return name + ": taken from the file: serial " + difference.to() + ", " + (difference.removed().size() - 1)
-                + " records out, " + (difference.added().size() - 1) + " in";
+        put(at, new byte[0], file, difference, well -> {});
+        return name + ": taken from the file: serial " + difference.to() + ", "
+                + (difference.removed().size() - 1) + " records out, "
+                + (difference.added().size() - 1) + " in";
     }
 
     /** Whether all updates have been heard of from the disk. */
--- a/src/main/java/merlinlever/zone/front/Stream.java
+++ b/src/main/java/merlinlever/zone/front/Stream.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import merlinlever.net.Loop;
 
 /** One TCP connection (RFC 7766): messages with their length before them, answers in the order in which they are ready. */
@@ -15,9 +15,11 @@
 
     /** A message and its length fit; what waits to be written may be a few answers of the largest kind. */
     static final int READ_BUFFER = 2 + 65_535;
+
     static final int MOST_QUEUED = 8 * 65_537;
     /** Messages of one connection in hand; what comes beyond is read when one is answered. */
     private static final int MOST_IN_HAND = 64;
+
     private static final Duration WHOLE = Duration.ofSeconds(5);
     private static final Duration IDLE = Duration.ofSeconds(10);
 
@@ -44,7 +46,8 @@
         connection.readOn();
     }
 
-    @Override public void read(ByteBuffer in) {
+    @Override
+    public void read(ByteBuffer in) {
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
         while (in.remaining() >= 2 && inHand.size() < MOST_IN_HAND) {
@@ -75,7 +78,8 @@
         private Asked asked;
         private boolean answered;
 
-        @Override public boolean datagram() {
+        @Override
+        public boolean datagram() {
             return false;
         }
 
@@ -87,7 +91,8 @@
             loop.execute(connection::readAgain);
         }
 
-        @Override public void answer(byte[] octets) {
+        @Override
+        public void answer(byte[] octets) {
             over();
             if (octets == null) {
                 connection.end(CloseReason.DONE);
@@ -96,7 +101,8 @@
             }
         }
 
-        @Override public void answer(Transfer transfer, Consumer<Boolean> done) {
+        @Override
+        public void answer(Transfer transfer, Consumer<Boolean> done) {
             if (connection.ended() != null) {
                 done.accept(false);
                 return;
@@ -118,7 +124,9 @@
     }
 
     private void write(byte[] octets) {
-        ByteBuffer out = ByteBuffer.allocate(2 + octets.length).putShort((short) octets.length).put(octets);
+        ByteBuffer out = ByteBuffer.allocate(2 + octets.length)
+                .putShort((short) octets.length)
+                .put(octets);
         unwrittenSince = unwrittenSince == null ? loop.clock().now() : unwrittenSince;
         connection.write(out.flip());
     }
@@ -138,7 +146,8 @@
         }
     }
 
-    @Override public void written() {
+    @Override
+    public void written() {
         unwrittenSince = null;
         idleSince = loop.clock().now();
         if (sending != null) {
@@ -148,7 +157,8 @@
         }
     }
 
-    @Override public void ended(CloseReason how) {
+    @Override
+    public void ended(CloseReason how) {
         Duration now = loop.clock().now();
         for (Asked asked : List.copyOf(inHand)) {
             desk.callerGone(now, asked);
--- a/src/main/java/merlinlever/zone/front/Transfer.java
+++ b/src/main/java/merlinlever/zone/front/Transfer.java
@@ -18,6 +18,7 @@
 
     /** Octets of a message: records share their names' ends, and a reader need not hold much. */
     private static final int MESSAGE = 16_384;
+
     private static final int CHUNK = 500;
 
     private final Message asked;
@@ -43,7 +44,11 @@
     }
 
     /** What has changed; none gives the SOA alone, which says that nothing has. */
-    static Transfer since(Message asked, Tsig.Verdict signed, java.util.function.LongSupplier unix, Zone zone,
+    static Transfer since(
+            Message asked,
+            Tsig.Verdict signed,
+            java.util.function.LongSupplier unix,
+            Zone zone,
             List<Difference> differences) {
         List<Rec> all = new ArrayList<>();
         zone.soa().each(zone.origin(), all::add);
@@ -62,13 +67,17 @@
         if (next == null) {
             return null;
         }
-        Writer out = new Writer(asked.id(), Message.RESPONSE | Message.AUTHORITATIVE | asked.flags() & Message.DESIRED,
+        Writer out = new Writer(
+                asked.id(),
+                Message.RESPONSE | Message.AUTHORITATIVE | asked.flags() & Message.DESIRED,
                 Message.MOST - signatureRoom);
         if (first) {
             out.question(asked.name(), asked.type(), asked.dclass());
         }
         first = false;
-        while (next != null && out.length() < MESSAGE && out.record(1, next.owner(), next.type(), Types.IN, next.ttl(), next.data())) {
+        while (next != null
+                && out.length() < MESSAGE
+                && out.record(1, next.owner(), next.type(), Types.IN, next.ttl(), next.data())) {
             next = records.hasNext() ? records.next() : null;
         }
         return chain == null ? out.done() : chain.sign(out.done(), unix.getAsLong());
@@ -85,7 +94,8 @@
             zone.soa().each(zone.origin(), ready::add);
         }
 
-        @Override public boolean hasNext() {
+        @Override
+        public boolean hasNext() {
             if (ready.isEmpty() && from != null) {
                 fill();
             }
@@ -113,7 +123,8 @@
             }
         }
 
-        @Override public Rec next() {
+        @Override
+        public Rec next() {
             if (!hasNext()) {
                 throw new java.util.NoSuchElementException();
             }
--- a/src/main/java/merlinlever/zone/journal/Form.java
+++ b/src/main/java/merlinlever/zone/journal/Form.java
@@ -32,11 +32,9 @@
      * @param at when it was made, in Unix seconds
      * @param mark of the message that asked for it, for telling a repeat; empty for none
      */
-    record Step(long sequence, long forced, long at, byte[] mark, Difference difference) {
-    }
+    record Step(long sequence, long forced, long at, byte[] mark, Difference difference) {}
 
-    private Form() {
-    }
+    private Form() {}
 
     private static int crc(ByteBuffer octets) {
         CRC32C crc = new CRC32C();
@@ -67,7 +65,10 @@
     }
 
     static void put(ByteBuffer out, Rec rec) {
-        out.put((byte) rec.owner().length).put(rec.owner()).putShort((short) rec.type()).putInt((int) rec.ttl());
+        out.put((byte) rec.owner().length)
+                .put(rec.owner())
+                .putShort((short) rec.type())
+                .putInt((int) rec.ttl());
         out.putInt(rec.data().length).put(rec.data());
     }
 
@@ -82,8 +83,13 @@
 
     static ByteBuffer entry(Step step) {
         int length = 8 + 8 + 8 + 1 + step.mark.length + size(step.difference.removed()) + size(step.difference.added());
-        ByteBuffer out = ByteBuffer.allocate(FRONT + length).putInt(ENTRY).putInt(length).putInt(0);
-        out.putLong(step.sequence).putLong(step.forced).putLong(step.at).put((byte) step.mark.length).put(step.mark);
+        ByteBuffer out =
+                ByteBuffer.allocate(FRONT + length).putInt(ENTRY).putInt(length).putInt(0);
+        out.putLong(step.sequence)
+                .putLong(step.forced)
+                .putLong(step.at)
+                .put((byte) step.mark.length)
+                .put(step.mark);
         put(out, step.difference.removed());
         put(out, step.difference.added());
         out.flip();
@@ -116,7 +122,9 @@
         }
         ByteBuffer in = ByteBuffer.wrap(file);
         int length = in.getInt(at + 4);
-        return in.getInt(at) == ENTRY && length >= 0 && length <= MOST_ENTRY && length <= file.length - at - FRONT ? length : -1;
+        return in.getInt(at) == ENTRY && length >= 0 && length <= MOST_ENTRY && length <= file.length - at - FRONT
+                ? length
+                : -1;
     }
 
     static List<Rec> records(ByteBuffer in) {
--- a/src/main/java/merlinlever/zone/journal/Recovery.java
+++ b/src/main/java/merlinlever/zone/journal/Recovery.java
@@ -11,11 +11,9 @@
 final class Recovery {
 
     /** The entries of one journal, and how many octets of it are good. */
-    record Read(List<Form.Step> steps, int good) {
-    }
+    record Read(List<Form.Step> steps, int good) {}
 
-    private Recovery() {
-    }
+    private Recovery() {}
 
     /** @throws Spoilt with one line that says where */
     static Read read(String name, byte[] file) throws Spoilt {
@@ -23,11 +21,14 @@
         int at = Form.HEADER;
         while (at < file.length) {
             Form.Step step = Form.step(file, at);
-            boolean follows = step != null && (steps.isEmpty() || step.sequence() == steps.get(steps.size() - 1).sequence() + 1);
+            boolean follows = step != null
+                    && (steps.isEmpty()
+                            || step.sequence() == steps.get(steps.size() - 1).sequence() + 1);
             if (!follows) {
                 if (forcedBehind(file, at)) {
-                    throw new Spoilt(name + ": spoilt at octet " + at + ", behind which there are updates that were answered; "
-                            + "bring the file back from a copy, or move the zone's files away to start from the zone file");
+                    throw new Spoilt(
+                            name + ": spoilt at octet " + at + ", behind which there are updates that were answered; "
+                                    + "bring the file back from a copy, or move the zone's files away to start from the zone file");
                 }
                 break;
             }
--- a/src/main/java/merlinlever/zone/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/zone/journal/ZoneStore.java
@@ -1,6 +1,5 @@
 package merlinlever.zone.journal;
 
-import merlinlever.durable.Folder;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -9,6 +8,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
+import merlinlever.durable.Folder;
 import merlinlever.zone.record.Names;
 import merlinlever.zone.record.Rec;
 import merlinlever.zone.state.Difference;
@@ -21,12 +21,10 @@
 public final class ZoneStore {
 
     /** A message that a repeat is known by, with its time in Unix seconds. */
-    public record Marked(long at, byte[] mark) {
-    }
+    public record Marked(long at, byte[] mark) {}
 
     /** What lay on the disk. */
-    public record Recovered(Zone zone, List<Difference> steps, List<Marked> marks, String told) {
-    }
+    public record Recovered(Zone zone, List<Difference> steps, List<Marked> marks, String told) {}
 
     /** State that cannot be used; the message is one line for the operator. */
     public static final class Unusable extends Exception {
@@ -38,8 +36,7 @@
     }
 
     /** An update that waits for the disk. */
-    private record Waiting(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {
-    }
+    private record Waiting(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {}
 
     private static final int CHUNK = 1 << 16;
 
@@ -59,6 +56,7 @@
     private int sinceSnapshot;
     /** Of the last write, those that have not been told yet: no version that the caller has seen holds all of it. */
     private int unheard;
+
     private final List<Marked> marks = new ArrayList<>();
     private boolean failed;
     private int mostAWrite = Integer.MAX_VALUE;
@@ -73,8 +71,15 @@
      * @param home runs things on the caller's thread
      * @param trouble hears lines about the disk
      */
-    public ZoneStore(Folder folder, byte[] origin, Executor disk, Executor snapshots, Executor home, Consumer<String> trouble,
-            int snapshotAfter, long marksFor) {
+    public ZoneStore(
+            Folder folder,
+            byte[] origin,
+            Executor disk,
+            Executor snapshots,
+            Executor home,
+            Consumer<String> trouble,
+            int snapshotAfter,
+            long marksFor) {
         this.folder = folder;
         this.name = Form.fileName(origin);
         this.disk = disk;
@@ -90,7 +95,9 @@
     }
 
     private List<String> journals() throws IOException {
-        return folder.names().stream().filter(file -> file.matches(java.util.regex.Pattern.quote(name) + "\\.journal\\.[0-9a-f]{16}")).toList();
+        return folder.names().stream()
+                .filter(file -> file.matches(java.util.regex.Pattern.quote(name) + "\\.journal\\.[0-9a-f]{16}"))
+                .toList();
     }
 
     // ---- at the start
@@ -125,8 +132,10 @@
                     continue;
                 }
                 if (base < 0 || !journals.get(i).equals(journal(base)) || base > sequence) {
-                    throw new Unusable(journals.get(i) + (base > sequence ? ": begins at update " + base + ", but only "
-                            + sequence + " are known" : ": its header is spoilt"));
+                    throw new Unusable(journals.get(i)
+                            + (base > sequence
+                                    ? ": begins at update " + base + ", but only " + sequence + " are known"
+                                    : ": its header is spoilt"));
                 }
                 Recovery.Read read = Recovery.read(journals.get(i), file);
                 for (Form.Step step : read.steps()) {
@@ -135,7 +144,8 @@
                         continue;
                     }
                     if (step.sequence() != sequence + 1 || step.difference().from() != zone.serial()) {
-                        throw new Unusable(journals.get(i) + ": update " + step.sequence() + " does not follow update " + sequence);
+                        throw new Unusable(journals.get(i) + ": update " + step.sequence() + " does not follow update "
+                                + sequence);
                     }
                     zone = step.difference().on(zone);
                     steps.add(step.difference());
@@ -267,7 +277,8 @@
         writing = false;
         if (failure != null) {
             if (!failed) {
-                trouble.accept("updates of " + name + " are turned away: the journal cannot be written: " + failure.getMessage());
+                trouble.accept("updates of " + name + " are turned away: the journal cannot be written: "
+                        + failure.getMessage());
             }
             failed = true;
             List<Waiting> behind = waiting;
@@ -423,8 +434,9 @@
         crc.update(file, 0, Math.max(0, file.length - 4));
         ByteBuffer in = ByteBuffer.wrap(file);
         if (file.length < 24 || in.getInt() != Form.SNAPSHOT || in.getInt(file.length - 4) != (int) crc.getValue()) {
-            throw new Unusable(name + ".snapshot: spoilt; bring it back from a copy, or move the zone's files away to start "
-                    + "from the zone file");
+            throw new Unusable(
+                    name + ".snapshot: spoilt; bring it back from a copy, or move the zone's files away to start "
+                            + "from the zone file");
         }
         sequence = in.getLong();
         for (int count = in.getInt(); count > 0; count--) {
--- a/src/main/java/merlinlever/zone/record/Names.java
+++ b/src/main/java/merlinlever/zone/record/Names.java
@@ -10,12 +10,12 @@
 
     /** Octets of a name on the wire at the most, and of a label. */
     public static final int MOST = 255;
+
     public static final int MOST_LABEL = 63;
     /** The root. */
     public static final byte[] ROOT = {0};
 
-    private Names() {
-    }
+    private Names() {}
 
     /** A name from its text; a relative one stands below the origin. A null origin allows none. */
     public static byte[] parse(String text, byte[] origin) throws Malformed {
@@ -130,7 +130,10 @@
             for (int i = at + 1; i <= at + wire[at]; i++) {
                 int c = wire[i] & 0xff;
                 if (c < '!' || c > '~') {
-                    text.append('\\').append((char) ('0' + c / 100)).append((char) ('0' + c / 10 % 10)).append((char) ('0' + c % 10));
+                    text.append('\\')
+                            .append((char) ('0' + c / 100))
+                            .append((char) ('0' + c / 10 % 10))
+                            .append((char) ('0' + c % 10));
                 } else {
                     if (".\\\"();@$".indexOf(c) >= 0) {
                         text.append('\\');
@@ -149,7 +152,8 @@
         while (name.length - at > ancestor.length) {
             at += name[at] + 1;
         }
-        return name.length - at == ancestor.length && Arrays.equals(name, at, name.length, ancestor, 0, ancestor.length);
+        return name.length - at == ancestor.length
+                && Arrays.equals(name, at, name.length, ancestor, 0, ancestor.length);
     }
 
     /** The name without its first label. */
--- a/src/main/java/merlinlever/zone/record/Rdata.java
+++ b/src/main/java/merlinlever/zone/record/Rdata.java
@@ -16,8 +16,7 @@
     /** Octets of one record's data at the most. */
     public static final int MOST = 65_535;
 
-    private Rdata() {
-    }
+    private Rdata() {}
 
     /** Where names lie that may come compressed or in any case: N a name, S a character string, digits octets. */
     private static String layout(int type) {
@@ -62,13 +61,21 @@
             }
             case Types.SRV -> {
                 expect(words, 4, "priority, weight, port and a name");
-                yield joined(number(words.get(0), 2, 0xffff), number(words.get(1), 2, 0xffff), number(words.get(2), 2, 0xffff),
+                yield joined(
+                        number(words.get(0), 2, 0xffff),
+                        number(words.get(1), 2, 0xffff),
+                        number(words.get(2), 2, 0xffff),
                         Names.parse(words.get(3), origin));
             }
             case Types.SOA -> {
                 expect(words, 7, "two names, serial, refresh, retry, expire and minimum");
-                yield joined(Names.parse(words.get(0), origin), Names.parse(words.get(1), origin),
-                        number(words.get(2), 4, 0xffff_ffffL), span(words.get(3)), span(words.get(4)), span(words.get(5)),
+                yield joined(
+                        Names.parse(words.get(0), origin),
+                        Names.parse(words.get(1), origin),
+                        number(words.get(2), 4, 0xffff_ffffL),
+                        span(words.get(3)),
+                        span(words.get(4)),
+                        span(words.get(5)),
                         span(words.get(6)));
             }
             case Types.TXT, 99 -> strings(words);
@@ -78,7 +85,8 @@
 
     private static void expect(List<String> words, int count, String what) throws Malformed {
         if (words.size() != count) {
-            throw new Malformed("expected " + what + ", found " + words.size() + (words.size() == 1 ? " word" : " words"));
+            throw new Malformed(
+                    "expected " + what + ", found " + words.size() + (words.size() == 1 ? " word" : " words"));
         }
     }
 
@@ -166,7 +174,9 @@
         int start = 0;
         for (int i = 0; i <= word.length(); i++) {
             if (i == word.length() || word.charAt(i) == '.') {
-                long value = i - start > 3 || i - start > 1 && word.charAt(start) == '0' ? -1 : digits(word.substring(start, i), 255);
+                long value = i - start > 3 || i - start > 1 && word.charAt(start) == '0'
+                        ? -1
+                        : digits(word.substring(start, i), 255);
                 if (value < 0 || part == 4) {
                     throw new Malformed("no IPv4 address: " + shortened(word));
                 }
@@ -318,7 +328,8 @@
         }
         try {
             Name below = origin == null ? null : new Name(origin);
-            byte[] data = Record.fromString(Name.root, type, DClass.IN, 0, line.toString(), below).rdataToWireCanonical();
+            byte[] data = Record.fromString(Name.root, type, DClass.IN, 0, line.toString(), below)
+                    .rdataToWireCanonical();
             return fromWire(type, data, 0, data.length);
         } catch (java.io.IOException | RuntimeException e) {
             // Unknown types come here too, whose data has the one form above; dnsjava's own words name its parser.
@@ -404,7 +415,9 @@
         }
         StringBuilder hex = new StringBuilder("\\# ").append(data.length);
         for (int i = 0; i < data.length; i++) {
-            hex.append(i == 0 ? " " : "").append(Character.forDigit(data[i] >> 4 & 15, 16)).append(Character.forDigit(data[i] & 15, 16));
+            hex.append(i == 0 ? " " : "")
+                    .append(Character.forDigit(data[i] >> 4 & 15, 16))
+                    .append(Character.forDigit(data[i] & 15, 16));
         }
         return hex.toString();
     }
--- a/src/main/java/merlinlever/zone/record/Rec.java
+++ b/src/main/java/merlinlever/zone/record/Rec.java
@@ -14,17 +14,23 @@
     /** The longest time to live, in seconds. */
     public static final long MOST_TTL = Integer.MAX_VALUE;
 
-    @Override public boolean equals(Object other) {
-        return other instanceof Rec rec && type == rec.type && ttl == rec.ttl && Arrays.equals(owner, rec.owner)
+    @Override
+    public boolean equals(Object other) {
+        return other instanceof Rec rec
+                && type == rec.type
+                && ttl == rec.ttl
+                && Arrays.equals(owner, rec.owner)
                 && Arrays.equals(data, rec.data);
     }
 
-    @Override public int hashCode() {
+    @Override
+    public int hashCode() {
         return (Arrays.hashCode(owner) * 31 + type) * 31 + Arrays.hashCode(data);
     }
 
     /** As in a zone file. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return Names.text(owner) + " " + ttl + " IN " + Types.text(type) + " " + Rdata.text(type, data);
     }
 }
--- a/src/main/java/merlinlever/zone/record/Types.java
+++ b/src/main/java/merlinlever/zone/record/Types.java
@@ -5,13 +5,26 @@
 /** The types that this program treats in a way of their own, and the names of all. */
 public final class Types {
 
-    public static final int A = 1, NS = 2, CNAME = 5, SOA = 6, PTR = 12, MX = 15, TXT = 16, AAAA = 28, SRV = 33,
-            DNAME = 39, OPT = 41, DS = 43, TSIG = 250, IXFR = 251, AXFR = 252, ANY = 255;
+    public static final int A = 1,
+            NS = 2,
+            CNAME = 5,
+            SOA = 6,
+            PTR = 12,
+            MX = 15,
+            TXT = 16,
+            AAAA = 28,
+            SRV = 33,
+            DNAME = 39,
+            OPT = 41,
+            DS = 43,
+            TSIG = 250,
+            IXFR = 251,
+            AXFR = 252,
+            ANY = 255;
     /** Classes (RFC 1035 section 3.2.4, RFC 2136 section 2.4). */
     public static final int IN = 1, CLASS_NONE = 254, CLASS_ANY = 255;
 
-    private Types() {
-    }
+    private Types() {}
 
     /** Types that no zone holds: questions, and what is made for one message. */
     public static boolean meta(int type) {
--- a/src/main/java/merlinlever/zone/record/Wire.java
+++ b/src/main/java/merlinlever/zone/record/Wire.java
@@ -3,8 +3,7 @@
 /** Names in messages, with compression (RFC 1035 section 4.1.4). */
 public final class Wire {
 
-    private Wire() {
-    }
+    private Wire() {}
 
     /**
      * Reads a name, in lower case. A pointer may only lead back before the part that it ends, so none leads round.
--- a/src/main/java/merlinlever/zone/state/Difference.java
+++ b/src/main/java/merlinlever/zone/state/Difference.java
@@ -60,7 +60,12 @@
         for (byte[] key : keys) {
             Owner before = old.names().get(key);
             Owner after = made.names().get(key);
-            compare(Names.wire(key), before == null ? Owner.NONE : before, after == null ? Owner.NONE : after, removed, added);
+            compare(
+                    Names.wire(key),
+                    before == null ? Owner.NONE : before,
+                    after == null ? Owner.NONE : after,
+                    removed,
+                    added);
         }
         return new Difference(removed, added);
     }
--- a/src/main/java/merlinlever/zone/state/Index.java
+++ b/src/main/java/merlinlever/zone/state/Index.java
@@ -44,8 +44,7 @@
     }
 
     /** What a look finds. */
-    public record Entry<V>(byte[] key, V value) {
-    }
+    public record Entry<V>(byte[] key, V value) {}
 
     /** Is shown entries in order; returns whether to go on. */
     public interface Visitor<V> {
@@ -78,13 +77,16 @@
         for (int i = 0; i < level.length; i++) {
             int from = (int) ((long) count * i / level.length);
             int to = (int) ((long) count * (i + 1) / level.length);
-            level[i] = new Node(keys.subList(from, to).toArray(new byte[0][]), values.subList(from, to).toArray(), true);
+            level[i] = new Node(
+                    keys.subList(from, to).toArray(new byte[0][]),
+                    values.subList(from, to).toArray(),
+                    true);
         }
         while (level.length > 1) {
             Node[] above = new Node[(level.length + fill - 1) / fill];
             for (int i = 0; i < above.length; i++) {
-                Node[] part = Arrays.copyOfRange(level, (int) ((long) level.length * i / above.length),
-                        (int) ((long) level.length * (i + 1) / above.length));
+                Node[] part = Arrays.copyOfRange(level, (int) ((long) level.length * i / above.length), (int)
+                        ((long) level.length * (i + 1) / above.length));
                 above[i] = over(part);
             }
             level = above;
@@ -183,7 +185,8 @@
     private static <V> boolean walk(Node node, byte[] key, Visitor<V> visitor) {
         int at = key == null ? 0 : node.leaf ? node.find(key) : node.child(key);
         for (int i = at >= 0 ? at : -at - 1; i < node.slots.length; i++) {
-            boolean on = node.leaf ? visitor.visit(node.keys[i], Index.<V>value(node.slots[i]))
+            boolean on = node.leaf
+                    ? visitor.visit(node.keys[i], Index.<V>value(node.slots[i]))
                     : walk(node.below(i), i == at ? key : null, visitor);
             if (!on) {
                 return false;
