--- a/src/main/java/merlinlever/zone/state/Lookup.java
+++ b/src/main/java/merlinlever/zone/state/Lookup.java
@@ -14,11 +14,11 @@
 
     /** Names followed from one to the next at the most. */
     private static final int MOST_STEPS = 8;
+
     private static final byte[] STAR = {'*', 0};
 
     /** A set under the name that it is shown with, and how long it may be kept. */
-    public record Shown(byte[] owner, RecordSet set, long ttl) {
-    }
+    public record Shown(byte[] owner, RecordSet set, long ttl) {}
 
     /** The answer: its code, and the sets of each section. */
     public static final class Answer {
@@ -88,7 +88,9 @@
             return null;
         }
         Index.Entry<Owner> before = zone.names().floor(key);
-        int closest = Math.max(before == null ? 0 : Names.shared(before.key(), key), after == null ? 0 : Names.shared(after.key(), key));
+        int closest = Math.max(
+                before == null ? 0 : Names.shared(before.key(), key),
+                after == null ? 0 : Names.shared(after.key(), key));
         byte[] star = Arrays.copyOf(key, closest + STAR.length);
         System.arraycopy(STAR, 0, star, closest, STAR.length);
         Owner wildcard = zone.names().get(star);
@@ -141,16 +143,18 @@
     private void glue() {
         for (List<Shown> section : List.of(answer.answer, answer.authority)) {
             for (Shown shown : section) {
-                int skipped = switch (shown.set.type) {
-                    case Types.NS -> 0;
-                    case Types.MX -> 2;
-                    case Types.SRV -> 6;
-                    default -> -1;
-                };
+                int skipped =
+                        switch (shown.set.type) {
+                            case Types.NS -> 0;
+                            case Types.MX -> 2;
+                            case Types.SRV -> 6;
+                            default -> -1;
+                        };
                 for (int i = 0; skipped >= 0 && i < shown.set.data.length && i < 16; i++) {
                     byte[] data = shown.set.data[i];
                     byte[] target = skipped == 0 ? data : Arrays.copyOfRange(data, skipped, data.length);
-                    Owner owner = Names.under(target, zone.origin()) ? zone.names().get(Names.key(target)) : null;
+                    Owner owner =
+                            Names.under(target, zone.origin()) ? zone.names().get(Names.key(target)) : null;
                     for (int address : owner == null ? new int[0] : new int[] {Types.A, Types.AAAA}) {
                         RecordSet set = owner.set(address);
                         if (set != null) {
--- a/src/main/java/merlinlever/zone/state/Plan.java
+++ b/src/main/java/merlinlever/zone/state/Plan.java
@@ -21,11 +21,10 @@
      *
      * @param names that it changes
      */
-    public record Batch(List<Entry> prerequisites, List<Entry> changes, int names, List<Rec> removed, List<Rec> added) {
-    }
+    public record Batch(
+            List<Entry> prerequisites, List<Entry> changes, int names, List<Rec> removed, List<Rec> added) {}
 
-    private Plan() {
-    }
+    private Plan() {}
 
     /** @param most entries of an update, but for a single name that has more */
     public static List<Batch> of(Zone live, Zone wanted, int most) {
@@ -38,8 +37,15 @@
         List<Batch> batches = new ArrayList<>();
         Batch open = empty();
         for (byte[] key : names.keySet()) {
-            Batch one = name(live, wanted, Names.wire(key), removed.getOrDefault(key, List.of()), added.getOrDefault(key, List.of()));
-            if (open.names > 0 && open.changes.size() + open.prerequisites.size() + one.changes.size() + one.prerequisites.size() > most) {
+            Batch one = name(
+                    live,
+                    wanted,
+                    Names.wire(key),
+                    removed.getOrDefault(key, List.of()),
+                    added.getOrDefault(key, List.of()));
+            if (open.names > 0
+                    && open.changes.size() + open.prerequisites.size() + one.changes.size() + one.prerequisites.size()
+                            > most) {
                 batches.add(open);
                 open = empty();
             }
@@ -67,7 +73,8 @@
 
     private static Map<byte[], List<Rec>> byName(List<Rec> records) {
         Map<byte[], List<Rec>> byName = new TreeMap<>(Arrays::compareUnsigned);
-        records.stream().skip(1).forEach(rec -> byName.computeIfAbsent(Names.key(rec.owner()), key -> new ArrayList<>()).add(rec));
+        records.stream().skip(1).forEach(rec -> byName.computeIfAbsent(Names.key(rec.owner()), key -> new ArrayList<>())
+                .add(rec));
         return byName;
     }
 
@@ -79,12 +86,14 @@
         Rec old = difference.removed().get(0);
         Rec made = difference.added().get(0);
         boolean later = Serial.after(difference.to(), difference.from());
-        boolean other = old.ttl() != made.ttl() || !Arrays.equals(Zone.withSerial(old.data(), difference.to()), made.data());
+        boolean other =
+                old.ttl() != made.ttl() || !Arrays.equals(Zone.withSerial(old.data(), difference.to()), made.data());
         if (!later && !other) {
             return null;
         }
         long moved = difference.from() + before & 0xffff_ffffL;
-        byte[] data = Serial.after(difference.to(), moved) ? made.data() : Zone.withSerial(made.data(), Serial.next(moved));
+        byte[] data =
+                Serial.after(difference.to(), moved) ? made.data() : Zone.withSerial(made.data(), Serial.next(moved));
         return new Entry(old.owner(), Types.SOA, Types.IN, made.ttl(), data);
     }
 
--- a/src/main/java/merlinlever/zone/state/Replays.java
+++ b/src/main/java/merlinlever/zone/state/Replays.java
@@ -14,17 +14,18 @@
 
     /** A mark, by what is in it. */
     private record Mark(byte[] octets) {
-        @Override public boolean equals(Object other) {
+        @Override
+        public boolean equals(Object other) {
             return other instanceof Mark mark && Arrays.equals(octets, mark.octets);
         }
 
-        @Override public int hashCode() {
+        @Override
+        public int hashCode() {
             return Arrays.hashCode(octets);
         }
     }
 
-    private record Timed(long at, Mark mark) {
-    }
+    private record Timed(long at, Mark mark) {}
 
     private final long span;
     private final Set<Mark> known = new HashSet<>();
--- a/src/main/java/merlinlever/zone/state/Serial.java
+++ b/src/main/java/merlinlever/zone/state/Serial.java
@@ -3,8 +3,7 @@
 /** Serial numbers of 32 bits, which wrap (RFC 1982). */
 public final class Serial {
 
-    private Serial() {
-    }
+    private Serial() {}
 
     /** Whether a comes after b; of two that are exactly half of all numbers apart neither does. */
     public static boolean after(long a, long b) {
--- a/src/main/java/merlinlever/zone/state/Update.java
+++ b/src/main/java/merlinlever/zone/state/Update.java
@@ -13,8 +13,17 @@
 public final class Update {
 
     /** Response codes (RFC 1035 section 4.1.1, RFC 2136 section 2.2). */
-    public static final int NOERROR = 0, FORMERR = 1, SERVFAIL = 2, NXDOMAIN = 3, NOTIMP = 4, REFUSED = 5,
-            YXDOMAIN = 6, YXRRSET = 7, NXRRSET = 8, NOTAUTH = 9, NOTZONE = 10;
+    public static final int NOERROR = 0,
+            FORMERR = 1,
+            SERVFAIL = 2,
+            NXDOMAIN = 3,
+            NOTIMP = 4,
+            REFUSED = 5,
+            YXDOMAIN = 6,
+            YXRRSET = 7,
+            NXRRSET = 8,
+            NOTAUTH = 9,
+            NOTZONE = 10;
 
     /** Records of a zone at the most, for the memory of the process. */
     public static final int MOST_RECORDS = 4_000_000;
@@ -25,8 +34,7 @@
      * @param zone the version after it; the same one where nothing changed
      * @param difference what changed, or null
      */
-    public record Outcome(int code, Zone zone, Difference difference) {
-    }
+    public record Outcome(int code, Zone zone, Difference difference) {}
 
     private final Zone zone;
     private final Map<byte[], Owner> changed = new TreeMap<>(Arrays::compareUnsigned);
@@ -60,22 +68,29 @@
             }
             Owner owner = zone.names().get(Names.key(entry.owner()));
             boolean set = owner != null && owner.set(entry.type()) != null;
-            int code = switch (entry.dclass()) {
-                case Types.CLASS_ANY -> entry.data() != null ? FORMERR
-                        : entry.type() == Types.ANY ? owner == null ? NXDOMAIN : NOERROR
-                        : set ? NOERROR : NXRRSET;
-                case Types.CLASS_NONE -> entry.data() != null ? FORMERR
-                        : entry.type() == Types.ANY ? owner != null ? YXDOMAIN : NOERROR
-                        : set ? YXRRSET : NOERROR;
-                case Types.IN -> {
-                    if (entry.data() == null || Types.meta(entry.type())) {
-                        yield FORMERR;
-                    }
-                    exact.computeIfAbsent(Names.text(entry.owner()) + " " + entry.type(), k -> new ArrayList<>()).add(entry);
-                    yield NOERROR;
-                }
-                default -> FORMERR;
-            };
+            int code =
+                    switch (entry.dclass()) {
+                        case Types.CLASS_ANY -> entry.data() != null
+                                ? FORMERR
+                                : entry.type() == Types.ANY
+                                        ? owner == null ? NXDOMAIN : NOERROR
+                                        : set ? NOERROR : NXRRSET;
+                        case Types.CLASS_NONE -> entry.data() != null
+                                ? FORMERR
+                                : entry.type() == Types.ANY
+                                        ? owner != null ? YXDOMAIN : NOERROR
+                                        : set ? YXRRSET : NOERROR;
+                        case Types.IN -> {
+                            if (entry.data() == null || Types.meta(entry.type())) {
+                                yield FORMERR;
+                            }
+                            exact.computeIfAbsent(
+                                            Names.text(entry.owner()) + " " + entry.type(), k -> new ArrayList<>())
+                                    .add(entry);
+                            yield NOERROR;
+                        }
+                        default -> FORMERR;
+                    };
             if (code != NOERROR) {
                 return code;
             }
@@ -97,13 +112,15 @@
             if (!Names.under(entry.owner(), zone.origin())) {
                 return NOTZONE;
             }
-            boolean wrong = switch (entry.dclass()) {
-                case Types.IN -> Types.meta(entry.type()) || entry.data() == null;
-                case Types.CLASS_ANY -> entry.ttl() != 0 || entry.data() != null
-                        || Types.meta(entry.type()) && entry.type() != Types.ANY;
-                case Types.CLASS_NONE -> entry.ttl() != 0 || entry.data() == null || Types.meta(entry.type());
-                default -> true;
-            };
+            boolean wrong =
+                    switch (entry.dclass()) {
+                        case Types.IN -> Types.meta(entry.type()) || entry.data() == null;
+                        case Types.CLASS_ANY -> entry.ttl() != 0
+                                || entry.data() != null
+                                || Types.meta(entry.type()) && entry.type() != Types.ANY;
+                        case Types.CLASS_NONE -> entry.ttl() != 0 || entry.data() == null || Types.meta(entry.type());
+                        default -> true;
+                    };
             if (wrong) {
                 return FORMERR;
             }
@@ -118,25 +135,30 @@
             byte[] key = Names.key(entry.owner());
             Owner owner = owner(key);
             boolean apex = Arrays.equals(key, zone.apex());
-            Owner made = switch (entry.dclass()) {
-                case Types.IN -> added(owner, entry, apex);
-                case Types.CLASS_ANY -> entry.type() == Types.ANY ? cleared(owner, apex)
-                        : kept(apex, entry.type()) ? owner : owner.with(entry.type(), null);
-                default -> without(owner, entry, apex);
-            };
+            Owner made =
+                    switch (entry.dclass()) {
+                        case Types.IN -> added(owner, entry, apex);
+                        case Types.CLASS_ANY -> entry.type() == Types.ANY
+                                ? cleared(owner, apex)
+                                : kept(apex, entry.type()) ? owner : owner.with(entry.type(), null);
+                        default -> without(owner, entry, apex);
+                    };
             if (made != owner) {
                 changed.put(key, made);
             }
         }
         Zone made = zone.with(changed);
         Difference difference = Difference.between(zone, made, changed.keySet());
-        if (difference.records() == 2 && difference.from() == difference.to() && zone.soa().same(made.soa())) {
+        if (difference.records() == 2
+                && difference.from() == difference.to()
+                && zone.soa().same(made.soa())) {
             return new Outcome(NOERROR, zone, null);
         }
         if (difference.from() == difference.to()) {
             // Section 3.6: whoever changes a zone gives it a new serial.
             RecordSet soa = made.soa();
-            RecordSet next = RecordSet.of(Types.SOA, soa.ttl, Zone.withSerial(soa.data[0], Serial.next(difference.from())));
+            RecordSet next =
+                    RecordSet.of(Types.SOA, soa.ttl, Zone.withSerial(soa.data[0], Serial.next(difference.from())));
             changed.put(zone.apex(), owner(zone.apex()).with(Types.SOA, next));
             made = zone.with(changed);
             difference = Difference.between(zone, made, changed.keySet());
@@ -161,7 +183,8 @@
         if (entry.type() == Types.SOA) {
             // One is there and is replaced by a later one; elsewhere than at the apex none may be.
             return apex && Serial.after(Zone.serial(entry.data()), Zone.serial(set.data[0]))
-                    ? owner.with(Types.SOA, RecordSet.of(Types.SOA, entry.ttl(), entry.data())) : owner;
+                    ? owner.with(Types.SOA, RecordSet.of(Types.SOA, entry.ttl(), entry.data()))
+                    : owner;
         }
         boolean cname = owner.set(Types.CNAME) != null;
         if (entry.type() == Types.CNAME ? owner.sets.length > (cname ? 1 : 0) : cname) {
--- a/src/main/java/merlinlever/zone/state/Zone.java
+++ b/src/main/java/merlinlever/zone/state/Zone.java
@@ -25,8 +25,7 @@
 
     /** From records of this zone in any order; the caller has seen to it that they make one. */
     public static Zone of(byte[] origin, List<Rec> records) {
-        record Keyed(byte[] key, Rec rec) {
-        }
+        record Keyed(byte[] key, Rec rec) {}
 
         List<Keyed> sorted = new ArrayList<>(records.size());
         byte[] lastOwner = null;
@@ -45,7 +44,7 @@
         List<byte[]> keys = new ArrayList<>();
         List<Owner> owners = new ArrayList<>();
         int count = 0;
-        for (int i = 0; i < sorted.size();) {
+        for (int i = 0; i < sorted.size(); ) {
             byte[] key = sorted.get(i).key;
             List<RecordSet> sets = new ArrayList<>(2);
             while (i < sorted.size() && Arrays.equals(sorted.get(i).key, key)) {
@@ -118,7 +117,10 @@
     }
 
     private static long number(byte[] data, int at) {
-        return (data[at] & 0xffL) << 24 | (data[at + 1] & 0xffL) << 16 | (data[at + 2] & 0xffL) << 8 | data[at + 3] & 0xffL;
+        return (data[at] & 0xffL) << 24
+                | (data[at + 1] & 0xffL) << 16
+                | (data[at + 2] & 0xffL) << 8
+                | data[at + 3] & 0xffL;
     }
 
     /** All records, names in canonical order. */
@@ -139,7 +141,9 @@
         for (java.util.Map.Entry<byte[], Owner> entry : changed.entrySet()) {
             Owner before = names.get(entry.getKey());
             count += entry.getValue().records() - (before == null ? 0 : before.records());
-            made = entry.getValue().sets.length == 0 ? made.without(entry.getKey()) : made.with(entry.getKey(), entry.getValue());
+            made = entry.getValue().sets.length == 0
+                    ? made.without(entry.getKey())
+                    : made.with(entry.getKey(), entry.getValue());
         }
         return new Zone(origin, made, count);
     }
--- a/src/main/java/merlinlever/zone/text/Lexer.java
+++ b/src/main/java/merlinlever/zone/text/Lexer.java
@@ -10,6 +10,7 @@
 
     /** Words of one entry, and octets of one word, at the most. */
     static final int MOST_WORDS = 8_192;
+
     static final int MOST_WORD = 65_535 * 2;
 
     private final byte[] text;
@@ -18,6 +19,7 @@
 
     /** Of the last entry: where it began, whether its first word was left out, its words. */
     private int startLine;
+
     private boolean blank;
     private final List<String> words = new ArrayList<>();
 
--- a/src/main/java/merlinlever/zone/text/ZoneFile.java
+++ b/src/main/java/merlinlever/zone/text/ZoneFile.java
@@ -32,6 +32,7 @@
 
     /** Octets of a file with all that it includes, depth of inclusion, faults told, at the most. */
     public static final long MOST_OCTETS = 160L << 20;
+
     public static final int MOST_DEPTH = 8;
     public static final int MOST_FAULTS = 50;
 
@@ -51,8 +52,7 @@
     }
 
     /** Where a record stood, for the checks that need more than one. */
-    private record Place(Path file, int line) {
-    }
+    private record Place(Path file, int line) {}
 
     /** What holds for one file from some line on. */
     private static final class Scope {
@@ -71,6 +71,7 @@
     private final List<Rec> records = new ArrayList<>();
     /** The line of each record, and from which record on it is which file. */
     private int[] lines = new int[64];
+
     private final List<Integer> fileFrom = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
     private byte[] zone;
@@ -221,12 +222,14 @@
             String word = words.get(next);
             if (!classed && word.equalsIgnoreCase("IN")) {
                 classed = true;
-            } else if (!classed && (word.equalsIgnoreCase("CH") || word.equalsIgnoreCase("HS") || word.equalsIgnoreCase("CS"))) {
+            } else if (!classed
+                    && (word.equalsIgnoreCase("CH") || word.equalsIgnoreCase("HS") || word.equalsIgnoreCase("CS"))) {
                 throw new Malformed("the class " + word + " is not held here, only IN");
             } else if (ttl < 0 && word.charAt(0) >= '0' && word.charAt(0) <= '9') {
                 ttl = Rdata.seconds(word);
                 if (ttl < 0) {
-                    throw new Malformed("expected a time to live from 0 to " + Rec.MOST_TTL + " seconds, found " + word);
+                    throw new Malformed(
+                            "expected a time to live from 0 to " + Rec.MOST_TTL + " seconds, found " + word);
                 }
             } else {
                 break;
@@ -246,8 +249,10 @@
         if (ttl < 0) {
             ttl = defaultTtl >= 0 ? defaultTtl : lastTtl;
             if (ttl < 0 && type == Types.SOA) {
-                ttl = (data[data.length - 4] & 0x7fL) << 24 | (data[data.length - 3] & 0xffL) << 16
-                        | (data[data.length - 2] & 0xffL) << 8 | data[data.length - 1] & 0xffL;
+                ttl = (data[data.length - 4] & 0x7fL) << 24
+                        | (data[data.length - 3] & 0xffL) << 16
+                        | (data[data.length - 2] & 0xffL) << 8
+                        | data[data.length - 1] & 0xffL;
             }
             if (ttl < 0) {
                 throw new Malformed("no time to live: none here, no $TTL, none in an entry before");
@@ -301,7 +306,8 @@
                 count(words, 2, 2, "$TTL SECONDS");
                 defaultTtl = Rdata.seconds(words.get(1));
                 if (defaultTtl < 0) {
-                    throw new Malformed("expected a time to live from 0 to " + Rec.MOST_TTL + " seconds, found " + words.get(1));
+                    throw new Malformed(
+                            "expected a time to live from 0 to " + Rec.MOST_TTL + " seconds, found " + words.get(1));
                 }
             }
             case "$INCLUDE" -> {
@@ -316,7 +322,8 @@
                 lastOwnerText = null;
                 enter(scope.file);
             }
-            default -> throw new Malformed("unknown directive " + shortened(words.get(0)) + "; known are $ORIGIN, $TTL, $INCLUDE");
+            default -> throw new Malformed(
+                    "unknown directive " + shortened(words.get(0)) + "; known are $ORIGIN, $TTL, $INCLUDE");
         }
     }
 
@@ -331,8 +338,10 @@
         String name = word.startsWith("\"") ? word.substring(1, word.length() - 1) : word;
         Path shown = from.resolveSibling(name);
         try {
-            Path real = folder.resolve(from.toAbsolutePath().getParent().relativize(shown.toAbsolutePath())).normalize();
-            if (Path.of(name).isAbsolute() || !shown.toAbsolutePath().normalize().startsWith(folder)
+            Path real = folder.resolve(from.toAbsolutePath().getParent().relativize(shown.toAbsolutePath()))
+                    .normalize();
+            if (Path.of(name).isAbsolute()
+                    || !shown.toAbsolutePath().normalize().startsWith(folder)
                     || !real.startsWith(folder)
                     || Files.exists(shown) && !shown.toRealPath().startsWith(folder.toRealPath())
                     || Files.isSymbolicLink(shown) && !Files.exists(shown, LinkOption.NOFOLLOW_LINKS)) {
@@ -364,11 +373,13 @@
         }
         // What stood before the SOA of a zone that was not named was not held against it yet.
         record Key(int hash, byte[] owner) {
-            @Override public boolean equals(Object other) {
+            @Override
+            public boolean equals(Object other) {
                 return other instanceof Key key && Arrays.equals(owner, key.owner);
             }
 
-            @Override public int hashCode() {
+            @Override
+            public int hashCode() {
                 return hash;
             }
         }
@@ -391,14 +402,19 @@
             ns |= rec.type() == Types.NS && Arrays.equals(rec.owner(), zone);
             Integer first = firstOfType.putIfAbsent(rec.type(), i);
             if (first != null && records.get(first).ttl() != rec.ttl()) {
-                fault(place(i).file, lines[i], "times to live differ within " + Names.text(rec.owner()) + " "
-                        + Types.text(rec.type()) + ": " + rec.ttl() + " here, " + records.get(first).ttl() + " in line " + lines[first]);
+                fault(
+                        place(i).file,
+                        lines[i],
+                        "times to live differ within " + Names.text(rec.owner()) + " " + Types.text(rec.type()) + ": "
+                                + rec.ttl() + " here, " + records.get(first).ttl() + " in line " + lines[first]);
             }
-            if (first != null && (rec.type() == Types.CNAME || rec.type() == Types.DNAME)
+            if (first != null
+                    && (rec.type() == Types.CNAME || rec.type() == Types.DNAME)
                     && !Arrays.equals(records.get(first).data(), rec.data())) {
                 fault(place(i).file, lines[i], "a second " + Types.text(rec.type()) + " at " + Names.text(rec.owner()));
             }
-            if (first == null && (rec.type() == Types.CNAME ? firstOfType.size() > 1 : firstOfType.containsKey(Types.CNAME))) {
+            if (first == null
+                    && (rec.type() == Types.CNAME ? firstOfType.size() > 1 : firstOfType.containsKey(Types.CNAME))) {
                 fault(place(i).file, lines[i], "a CNAME beside other data at " + Names.text(rec.owner()));
             }
         }
--- a/src/main/java/merlinlever/zone/wire/Message.java
+++ b/src/main/java/merlinlever/zone/wire/Message.java
@@ -19,17 +19,16 @@
     public static final int RESPONSE = 0x8000, AUTHORITATIVE = 0x0400, TRUNCATED = 0x0200, DESIRED = 0x0100;
     /** Octets of a message at the most, and of a datagram before EDNS. */
     public static final int MOST = 65_535;
+
     public static final int PLAIN_DATAGRAM = 512;
     private static final int HEADER = 12;
 
     /** EDNS as the sender stated it. */
-    public record Edns(int payload, int version, boolean dnssec) {
-    }
+    public record Edns(int payload, int version, boolean dnssec) {}
 
     /** What a signature record said, and where in the message it begins. */
-    public record Signature(int at, byte[] key, byte[] algorithm, long time, int fudge, byte[] mac, int id, int error,
-            byte[] other) {
-    }
+    public record Signature(
+            int at, byte[] key, byte[] algorithm, long time, int fudge, byte[] mac, int id, int error, byte[] other) {}
 
     private final byte[] octets;
     private int id, flags, at;
@@ -38,6 +37,7 @@
     private int questions;
     /** Answers, authority, additional; in an update, prerequisites, changes, additional. */
     private final List<List<Entry>> sections = List.of(new ArrayList<>(0), new ArrayList<>(0), new ArrayList<>(0));
+
     private Edns edns;
     private Signature signature;
 
@@ -134,9 +134,11 @@
             }
             signature = signature(begins, owner, room, length);
         } else {
-            byte[] data = length == 0 && recordClass != Types.IN ? null : Rdata.fromWire(recordType, octets, at, length);
+            byte[] data =
+                    length == 0 && recordClass != Types.IN ? null : Rdata.fromWire(recordType, octets, at, length);
             // RFC 2181 section 8: with the top bit set it counts as 0.
-            sections.get(section).add(new Entry(owner, recordType, recordClass, ttl > Integer.MAX_VALUE ? 0 : ttl, data));
+            sections.get(section)
+                    .add(new Entry(owner, recordType, recordClass, ttl > Integer.MAX_VALUE ? 0 : ttl, data));
         }
         at += length;
     }
@@ -161,7 +163,15 @@
         if (from + 6 + others != end) {
             throw new Malformed("a signature of a wrong length");
         }
-        return new Signature(begins, key, algorithm, time, fudge, mac, u16(from), u16(from + 2),
+        return new Signature(
+                begins,
+                key,
+                algorithm,
+                time,
+                fudge,
+                mac,
+                u16(from),
+                u16(from + 2),
                 Arrays.copyOfRange(octets, from + 6, end));
     }
 
--- a/src/main/java/merlinlever/zone/wire/Tsig.java
+++ b/src/main/java/merlinlever/zone/wire/Tsig.java
@@ -24,8 +24,15 @@
     /** Seconds that clocks may differ by. */
     public static final int FUDGE = 300;
     /** Algorithms by the names that are given at start. */
-    private static final Map<String, String> ALGORITHMS = Map.of("hmac-sha224", "HmacSHA224", "hmac-sha256", "HmacSHA256",
-            "hmac-sha384", "HmacSHA384", "hmac-sha512", "HmacSHA512");
+    private static final Map<String, String> ALGORITHMS = Map.of(
+            "hmac-sha224",
+            "HmacSHA224",
+            "hmac-sha256",
+            "HmacSHA256",
+            "hmac-sha384",
+            "HmacSHA384",
+            "hmac-sha512",
+            "HmacSHA512");
 
     /** A shared secret under its name. */
     public static final class Key {
@@ -40,7 +47,9 @@
          */
         public Key(byte[] name, String algorithm, byte[] secret) throws Malformed {
             if (!ALGORITHMS.containsKey(algorithm)) {
-                throw new Malformed("no algorithm " + algorithm + "; there are " + String.join(", ", ALGORITHMS.keySet().stream().sorted().toList()));
+                throw new Malformed("no algorithm " + algorithm + "; there are "
+                        + String.join(
+                                ", ", ALGORITHMS.keySet().stream().sorted().toList()));
             }
             if (secret.length < 16) {
                 throw new Malformed("a secret of under 16 octets");
@@ -85,11 +94,9 @@
      * @param error 0, or one of the errors; {@code key} is null where it is not known
      * @param mac of the message, for what answers it
      */
-    public record Verdict(int error, Key key, byte[] mac, long time) {
-    }
+    public record Verdict(int error, Key key, byte[] mac, long time) {}
 
-    private Tsig() {
-    }
+    private Tsig() {}
 
     /** The message's signature against the keys; {@code prior} is the MAC of what it answers, or null. */
     public static Verdict verify(Message message, Keys keys, long now, byte[] prior) throws Malformed {
@@ -159,8 +166,7 @@
     }
 
     /** A signed message. */
-    public record Signed(byte[] octets, byte[] mac) {
-    }
+    public record Signed(byte[] octets, byte[] mac) {}
 
     public static Signed sign(byte[] message, Key key, long now, byte[] prior) {
         return sign(message, key, now, prior, 0, new byte[0]);
@@ -182,11 +188,19 @@
 
     /** An answer that tells of a key or a signature that does not hold carries no MAC (section 5.3.2). */
     public static byte[] unsignedError(byte[] message, Message.Signature theirs, int error) {
-        return appended(message, theirs.key(), theirs.algorithm(), theirs.time(), theirs.fudge(), new byte[0], error, new byte[0]);
+        return appended(
+                message,
+                theirs.key(),
+                theirs.algorithm(),
+                theirs.time(),
+                theirs.fudge(),
+                new byte[0],
+                error,
+                new byte[0]);
     }
 
-    private static byte[] appended(byte[] message, byte[] key, byte[] algorithm, long time, int fudge, byte[] mac, int error,
-            byte[] other) {
+    private static byte[] appended(
+            byte[] message, byte[] key, byte[] algorithm, long time, int fudge, byte[] mac, int error, byte[] other) {
         int length = algorithm.length + 16 + mac.length + other.length;
         byte[] out = Arrays.copyOf(message, message.length + key.length + 10 + length);
         int at = message.length;
--- a/src/main/java/merlinlever/zone/wire/Writer.java
+++ b/src/main/java/merlinlever/zone/wire/Writer.java
@@ -14,6 +14,7 @@
     private final int most;
     /** Where names and their ends lie that can be pointed to. */
     private final int[] known = new int[MOST_KNOWN];
+
     private int knownCount;
     private final int[] counts = new int[4];
 
@@ -132,7 +133,8 @@
 
     /** EDNS: what datagrams are taken, the upper part of the response code, options (RFC 6891 section 6.1). */
     public boolean edns(int payload, int code, byte[] options) {
-        return record(3, Names.ROOT, Types.OPT, payload, (long) (code >> 4) << 24, options == null ? new byte[0] : options);
+        return record(
+                3, Names.ROOT, Types.OPT, payload, (long) (code >> 4) << 24, options == null ? new byte[0] : options);
     }
 
     public int count(int section) {
--- a/src/test/java/merlinlever/FleetCallsTest.java
+++ b/src/test/java/merlinlever/FleetCallsTest.java
@@ -30,9 +30,11 @@
         final Operation operation;
         /** When it comes to its call or, with the call behind it, ends. */
         int at;
+
         boolean called;
         /** Of its call: what is left of it, until when it is waited for, and how long it stays after that. */
         double left;
+
         int madeAt;
         int givenUpAt;
         int lingers;
@@ -63,9 +65,14 @@
         List<Process> fleet = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
             Process process = new Process();
-            process.server = new Server().with("server.below", "shared").with("server.share-of-calls", share)
-                    .with("server.calls-over", OVER).with("server.linger", LINGER).with("server.cold", true)
-                    .with("rules.cold-share", 0.25).with("rules.cold", 10_000);
+            process.server = new Server()
+                    .with("server.below", "shared")
+                    .with("server.share-of-calls", share)
+                    .with("server.calls-over", OVER)
+                    .with("server.linger", LINGER)
+                    .with("server.cold", true)
+                    .with("rules.cold-share", 0.25)
+                    .with("rules.cold", 10_000);
             if (told > 0) {
                 process.server.with("servers", told);
             }
@@ -104,7 +111,9 @@
                 run.out = false;
                 served += over ? 1 : 0;
                 run.process.server.now = Server.millis(now - run.process.startsAt);
-                run.operation.callEnded(run.process.server.now, over ? Ending.OK : Ending.GIVEN_UP,
+                run.operation.callEnded(
+                        run.process.server.now,
+                        over ? Ending.OK : Ending.GIVEN_UP,
                         Duration.ofMillis(now - run.madeAt));
                 run.at = over ? now + STEP : Integer.MAX_VALUE;
                 run.lingers = now + LINGER;
@@ -134,7 +143,8 @@
             server.take(Server.CALLING);
         }
         Settled settled = server.settle();
-        int running = (int) process.runs.stream().filter(run -> run.at != Integer.MAX_VALUE).count();
+        int running = (int)
+                process.runs.stream().filter(run -> run.at != Integer.MAX_VALUE).count();
         server.control().look(server.now, new double[] {0, running});
         carryOut(process, settled, now, callMs);
         double speed = Math.min(1, 0.25 + 0.75 * (now - process.startsAt) / 10_000);
@@ -143,15 +153,18 @@
 
     private void carryOut(Process process, Settled settled, int now, double callMs) {
         for (Operation answered : settled.brokenOff) {
-            process.runs.stream().filter(run -> run.operation == answered).findFirst().ifPresent(run -> {
-                if (run.at == Integer.MAX_VALUE) {
-                    // At its call, and over: the run ends, and the call is given up.
-                    run.lingers = now + LINGER;
-                    run.out = false;
-                    run.operation.ended(process.server.now, Ending.STOPPED);
-                    process.runs.remove(run);
-                }
-            });
+            process.runs.stream()
+                    .filter(run -> run.operation == answered)
+                    .findFirst()
+                    .ifPresent(run -> {
+                        if (run.at == Integer.MAX_VALUE) {
+                            // At its call, and over: the run ends, and the call is given up.
+                            run.lingers = now + LINGER;
+                            run.out = false;
+                            run.operation.ended(process.server.now, Ending.STOPPED);
+                            process.runs.remove(run);
+                        }
+                    });
         }
         for (Operation halted : settled.halted) {
             process.runs.removeIf(run -> run.operation == halted);
@@ -161,7 +174,10 @@
             process.runs.add(new Run(process, started, now + STEP));
         }
         for (Settled.Timed call : settled.called) {
-            Run run = process.runs.stream().filter(r -> r.operation == call.operation()).findFirst().orElseThrow();
+            Run run = process.runs.stream()
+                    .filter(r -> r.operation == call.operation())
+                    .findFirst()
+                    .orElseThrow();
             run.left = callMs;
             run.madeAt = now;
             run.givenUpAt = now + (int) Math.ceil(Server.ms(call.span()));
@@ -174,8 +190,17 @@
         double share = total / processes;
         double highest = highest(processes, told, share, callMs, Math.max(1, total / 5), aligned);
         double most = total + 2 * Math.sqrt(total) + 2;
-        String what = String.format(Locale.ROOT, "%d processes (told %d), %s, N %.1f, calls of %.0f ms: %.2f of %.2f, %d went well", processes,
-                told, aligned ? "aligned" : "random", total, callMs, highest, most, served);
+        String what = String.format(
+                Locale.ROOT,
+                "%d processes (told %d), %s, N %.1f, calls of %.0f ms: %.2f of %.2f, %d went well",
+                processes,
+                told,
+                aligned ? "aligned" : "random",
+                total,
+                callMs,
+                highest,
+                most,
+                served);
         if (highest > most) {
             over.add(what);
         }
--- a/src/test/java/merlinlever/GuardsTest.java
+++ b/src/test/java/merlinlever/GuardsTest.java
@@ -73,19 +73,23 @@
 
     private static Operation foreign(Operation operation) {
         return new Operation() {
-            @Override public void ended(java.time.Duration now, Ending how) {
+            @Override
+            public void ended(java.time.Duration now, Ending how) {
                 operation.ended(now, how);
             }
 
-            @Override public void reachedCall(java.time.Duration now) {
+            @Override
+            public void reachedCall(java.time.Duration now) {
                 operation.reachedCall(now);
             }
 
-            @Override public void callEnded(java.time.Duration now, Ending how, java.time.Duration took) {
+            @Override
+            public void callEnded(java.time.Duration now, Ending how, java.time.Duration took) {
                 operation.callEnded(now, how, took);
             }
 
-            @Override public void callerGone(java.time.Duration now) {
+            @Override
+            public void callerGone(java.time.Duration now) {
                 operation.callerGone(now);
             }
         };
@@ -238,8 +242,17 @@
         for (int hint : new int[] {0, 100, 900}) {
             Server server = new Server().warmedUp(10, 800);
             server.full();
-            Operation waiting = server.control().take(server.now, Server.LOOKUP, Duration.ZERO, null, 10,
-                    hint == 0 ? null : Server.millis(hint), false, true, null);
+            Operation waiting = server.control()
+                    .take(
+                            server.now,
+                            Server.LOOKUP,
+                            Duration.ZERO,
+                            null,
+                            10,
+                            hint == 0 ? null : Server.millis(hint),
+                            false,
+                            true,
+                            null);
             for (int i = 0; i < 60 && !server.pushedBack(waiting); i++) {
                 server.after(10);
             }
@@ -315,7 +328,8 @@
         server.control().look(server.now, new double[] {0, 0});
         Operation lookup = server.take(Server.LOOKUP);
         Operation next = server.take(Server.CHARGE);
-        assertEquals(List.of(lookup), server.settle().started, "the mark has run out: neither the held one nor a new one");
+        assertEquals(
+                List.of(lookup), server.settle().started, "the mark has run out: neither the held one nor a new one");
         assertTrue(server.pushedBack(next));
         server.control().keyed(Duration.ZERO, server.now.plusMillis(500));
         assertEquals(List.of(charge), server.after(10).started, "the next mark is on the disk");
--- a/src/test/java/merlinlever/MechanismTest.java
+++ b/src/test/java/merlinlever/MechanismTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
 import net.jqwik.api.Example;
--- a/src/test/java/merlinlever/RulesModelTest.java
+++ b/src/test/java/merlinlever/RulesModelTest.java
@@ -51,8 +51,11 @@
         order.clear();
         leave = null;
         double memory = chance.nextBoolean() ? 1500 : 20000;
-        server = new Server().with("server.memory-kb", memory).with("server.cold", chance.nextBoolean())
-                .with("rules.cold-share", 0.25).with("rules.cold", 8000)
+        server = new Server()
+                .with("server.memory-kb", memory)
+                .with("server.cold", chance.nextBoolean())
+                .with("rules.cold-share", 0.25)
+                .with("rules.cold", 8000)
                 .with("server.halt", chance.nextBoolean() ? "drop" : "none");
         boolean cold = server.given.get("server.cold").equals("true");
         boolean hangs = chance.nextInt(4) == 0;
@@ -104,7 +107,8 @@
     }
 
     private void advance() {
-        order.removeIf(o -> all.get(o).over && (all.get(o).kept == null || all.get(o).kept.compareTo(server.now) < 0));
+        order.removeIf(o ->
+                all.get(o).over && (all.get(o).kept == null || all.get(o).kept.compareTo(server.now) < 0));
         for (Operation operation : new ArrayList<>(order)) {
             Entry e = all.get(operation);
             if (e.over) {
@@ -150,7 +154,9 @@
         for (Settled.Timed kept : settled.kept) {
             Entry e = all.get(kept.operation());
             if (e.same != null) {
-                all.values().stream().filter(o -> o == e.same || o.same == e.same).forEach(o -> o.kept = null);
+                all.values().stream()
+                        .filter(o -> o == e.same || o.same == e.same)
+                        .forEach(o -> o.kept = null);
             }
             e.kept = server.now.plus(kept.span());
         }
@@ -208,7 +214,10 @@
     }
 
     private int onCores() {
-        return (int) order.stream().map(all::get).filter(e -> e.running && !e.calling).count();
+        return (int) order.stream()
+                .map(all::get)
+                .filter(e -> e.running && !e.calling)
+                .count();
     }
 
     private void checkLoad(double memory, boolean cold) {
--- a/src/test/java/merlinlever/Server.java
+++ b/src/test/java/merlinlever/Server.java
@@ -16,10 +16,26 @@
     static final int CALLING = 3;
 
     final Map<String, String> given = new HashMap<>(Map.of(
-            "server.cores", "8", "server.memory-kb", "100000", "server.run-factor", "4", "server.halt", "drop",
-            "server.gauges", "busy,run-queue", "server.calls-by-tariff", "false,false,false,true",
-            "rules.crowd-factor", "4", "rules.drain-grace", "2000", "server.kb-per-fingerprint", "100",
-            "limits.longest-stay-away", "1000"));
+            "server.cores",
+            "8",
+            "server.memory-kb",
+            "100000",
+            "server.run-factor",
+            "4",
+            "server.halt",
+            "drop",
+            "server.gauges",
+            "busy,run-queue",
+            "server.calls-by-tariff",
+            "false,false,false,true",
+            "rules.crowd-factor",
+            "4",
+            "rules.drain-grace",
+            "2000",
+            "server.kb-per-fingerprint",
+            "100",
+            "limits.longest-stay-away",
+            "1000"));
     long seed = 7;
     Duration now = Duration.ZERO;
     Settled last = new Settled();
@@ -36,8 +52,19 @@
 
     private void tariff(int index, String kind, double value) {
         String at = "tariffs." + index + ".";
-        given.putAll(Map.of(at + "name", "t" + index, at + "kind", kind, at + "value", "" + value,
-                at + "soft-limit", "1000", at + "client-timeout", "3000", at + "window", "10000"));
+        given.putAll(Map.of(
+                at + "name",
+                "t" + index,
+                at + "kind",
+                kind,
+                at + "value",
+                "" + value,
+                at + "soft-limit",
+                "1000",
+                at + "client-timeout",
+                "3000",
+                at + "window",
+                "10000"));
     }
 
     Server with(String name, Object value) {
--- a/src/test/java/merlinlever/agent/LinkCrossingsTest.java
+++ b/src/test/java/merlinlever/agent/LinkCrossingsTest.java
@@ -314,7 +314,8 @@
         agent.read();
         assertEquals(List.of(true, false), heard);
         // Health that goes bad in between counts more than an exercise that went well.
-        driven.run(() -> around.backend.leave(driven.loop.clock().now(), driven.loop.clock().now().plusSeconds(3)));
+        driven.run(() -> around.backend.leave(
+                driven.loop.clock().now(), driven.loop.clock().now().plusSeconds(3)));
         driven.until(() -> !around.backend.healthy(), "bad health");
         agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
         agent.read();
--- a/src/test/java/merlinlever/agent/LinkOrdersTest.java
+++ b/src/test/java/merlinlever/agent/LinkOrdersTest.java
@@ -17,9 +17,9 @@
 import java.util.Random;
 import java.util.Set;
 import merlinlever.agent.LinkedBackend.Agent;
+import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
 import merlinlever.net.DrivenLoop;
-import merlinlever.net.CloseReason;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -119,7 +119,8 @@
             for (String name : names) {
                 around.answered(name, "satisfied of " + name);
             }
-            assertTrue(driven(around).stream().noneMatch(line -> line.contains("missed") || line.contains("passed over")));
+            assertTrue(
+                    driven(around).stream().noneMatch(line -> line.contains("missed") || line.contains("passed over")));
             String last = around.take();
             Set<String> launched = new HashSet<>();
             Map<?, ?> command = teller.agent.next();
@@ -139,18 +140,20 @@
         private final StringBuilder heard = new StringBuilder();
         private Connection mine;
 
-        @Override public void on(Connection connection) {
+        @Override
+        public void on(Connection connection) {
             mine = connection;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             while (in.hasRemaining()) {
                 heard.append((char) in.get());
             }
         }
 
-        @Override public void ended(CloseReason how) {
-        }
+        @Override
+        public void ended(CloseReason how) {}
 
         void say(String line) {
             mine.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
@@ -183,7 +186,8 @@
             });
             driven.until(() -> parties.get(1).heard.indexOf("\"up") > 0, "the question whether all is read");
             String heard = driven.on(() -> parties.get(1).heard.toString());
-            assertFalse(heard.contains("deliver") || driven.on(() -> parties.get(0).heard.toString()).contains("deliver"));
+            assertFalse(heard.contains("deliver")
+                    || driven.on(() -> parties.get(0).heard.toString()).contains("deliver"));
             String token = heard.substring(heard.indexOf("\"up") + 1, heard.indexOf('"', heard.indexOf("\"up") + 1));
             driven.run(() -> parties.get(1).say("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":[0]}"));
             driven.batches(4);
--- a/src/test/java/merlinlever/agent/LinkedBackend.java
+++ b/src/test/java/merlinlever/agent/LinkedBackend.java
@@ -22,8 +22,8 @@
 import merlinlever.Ending;
 import merlinlever.core.Backend;
 import merlinlever.core.Caller;
-import merlinlever.core.HeardCaller;
 import merlinlever.core.Calls;
+import merlinlever.core.HeardCaller;
 import merlinlever.core.Outside;
 import merlinlever.core.Work;
 import merlinlever.json.Json;
@@ -48,11 +48,13 @@
     final AgentLink link;
     /** What it has logged, line by line. */
     final List<String> logged = Collections.synchronizedList(new ArrayList<>());
+
     final Map<String, List<String>> answers = new HashMap<>();
     final Map<String, Work> taken = new HashMap<>();
     final List<String> calls = Collections.synchronizedList(new ArrayList<>());
     /** Runs once after a batch, before what was written in it leaves. */
     Runnable afterBatch;
+
     private final List<ServerSocket> places = new ArrayList<>();
     private Loop.Timer alarm;
     private long ids = 0x9b1f03aa5c7e2d41L, seconds;
@@ -128,7 +130,8 @@
 
     static String outcome(long offset, String name, String result, String bytes) {
         return "{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + name + "\",\"result\":\"" + result
-                + "\",\"elapsed_ms\":3.5,\"payload\":\"" + Base64.getEncoder().encodeToString(bytes.getBytes(StandardCharsets.UTF_8)) + "\"}";
+                + "\",\"elapsed_ms\":3.5,\"payload\":\""
+                + Base64.getEncoder().encodeToString(bytes.getBytes(StandardCharsets.UTF_8)) + "\"}";
     }
 
     static String request(long offset, String name) {
@@ -140,7 +143,8 @@
         OutputStream lines = new OutputStream() {
             private final StringBuilder line = new StringBuilder();
 
-            @Override public void write(int next) {
+            @Override
+            public void write(int next) {
                 if (next == '\n') {
                     logged.add(line.toString());
                     line.setLength(0);
@@ -218,7 +222,9 @@
     }
 
     private long losses() {
-        return logged.stream().filter(line -> line.contains("link to the agent lost")).count();
+        return logged.stream()
+                .filter(line -> line.contains("link to the agent lost"))
+                .count();
     }
 
     /** The new link takes over, and all notices are read. */
@@ -244,8 +250,24 @@
         answers.put(name, heard);
         Caller caller = new HeardCaller(heard);
         Duration now = driven.loop.clock().now();
-        taken.put(name, backend.arrived(now, new Backend.Asked(ids, name, 0, "look", now, now.plusSeconds(100), 10, null,
-                false, null, null, name.getBytes(StandardCharsets.UTF_8)), caller));
+        taken.put(
+                name,
+                backend.arrived(
+                        now,
+                        new Backend.Asked(
+                                ids,
+                                name,
+                                0,
+                                "look",
+                                now,
+                                now.plusSeconds(100),
+                                10,
+                                null,
+                                false,
+                                null,
+                                null,
+                                name.getBytes(StandardCharsets.UTF_8)),
+                        caller));
         return name;
     }
 
@@ -264,66 +286,83 @@
     }
 
     void replyNow(String name, String bytes) {
-        backend.callEnded(driven.loop.clock().now(), Long.parseUnsignedLong(name, 16), Ending.OK, bytes.getBytes(StandardCharsets.UTF_8));
+        backend.callEnded(
+                driven.loop.clock().now(),
+                Long.parseUnsignedLong(name, 16),
+                Ending.OK,
+                bytes.getBytes(StandardCharsets.UTF_8));
     }
 
     void check(Consumer<Boolean> asker) {
         driven.run(() -> backend.checkDeeply(asker));
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         for (ServerSocket place : places) {
             place.close();
         }
         driven.close();
     }
 
-    @Override public void launch(Work work) {
+    @Override
+    public void launch(Work work) {
         link.launch(work);
     }
 
-    @Override public void freeze(Work work) {
+    @Override
+    public void freeze(Work work) {
         link.freeze(work);
     }
 
-    @Override public void deliver(Work work, byte[] reply) {
+    @Override
+    public void deliver(Work work, byte[] reply) {
         link.deliver(work, reply);
     }
 
-    @Override public void forgo(Work work) {
+    @Override
+    public void forgo(Work work) {
         link.forgo(work);
     }
 
-    @Override public boolean sample() {
+    @Override
+    public boolean sample() {
         return link.sample();
     }
 
-    @Override public void exercise() {
+    @Override
+    public void exercise() {
         link.exercise();
     }
 
-    @Override public Calls calls() {
+    @Override
+    public Calls calls() {
         return this;
     }
 
-    @Override public void call(Work operation, byte[] body, Duration within) {
+    @Override
+    public void call(Work operation, byte[] body, Duration within) {
         calls.add("call " + operation.name());
     }
 
-    @Override public void giveUp(Work operation) {
+    @Override
+    public void giveUp(Work operation) {
         calls.add("give up " + operation.name());
     }
 
-    @Override public void closeIdle(Duration after) {
-    }
+    @Override
+    public void closeIdle(Duration after) {}
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
-        alarm = driven.loop.in(at.minus(driven.loop.clock().now()), () -> backend.alarmed(driven.loop.clock().now()));
+        alarm = driven.loop.in(
+                at.minus(driven.loop.clock().now()),
+                () -> backend.alarmed(driven.loop.clock().now()));
     }
 
-    @Override public void log(String line) {
-    }
+    @Override
+    public void log(String line) {}
 }
--- a/src/test/java/merlinlever/agent/NoticeTest.java
+++ b/src/test/java/merlinlever/agent/NoticeTest.java
@@ -27,7 +27,10 @@
         assertEquals(Long.parseUnsignedLong("ff1f03aa5c7e2d41", 16), outcome.id());
         assertEquals(Ending.OK, outcome.ending());
         assertArrayEquals(new byte[] {0, -1}, outcome.payload());
-        assertArrayEquals(new double[] {0.5, 3}, Notice.read("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}").row());
+        assertArrayEquals(
+                new double[] {0.5, 3},
+                Notice.read("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}")
+                        .row());
     }
 
     @Property(tries = 200, seed = "47")
@@ -51,20 +54,30 @@
 
     @Example
     void aLineWithoutAnEndIsNotWaitedForWithoutBound() {
-        assertFalse(new Lines(16).take(ByteBuffer.wrap(new byte[16]), line -> { }));
+        assertFalse(new Lines(16).take(ByteBuffer.wrap(new byte[16]), line -> {}));
     }
 
     @Example
     void whatIsNoNoticeIsMalformed() {
-        for (String bad : new String[] {"", "[]", "{\"req\":5}", "{\"req\":\"xyz\"}", "{\"payload\":\"?\"}",
-            "{\"offset\":\"1\"}", "{\"load\":[true]}", "{\"cmd\":\"a\"", "{} {}"}) {
+        for (String bad : new String[] {
+            "",
+            "[]",
+            "{\"req\":5}",
+            "{\"req\":\"xyz\"}",
+            "{\"payload\":\"?\"}",
+            "{\"offset\":\"1\"}",
+            "{\"load\":[true]}",
+            "{\"cmd\":\"a\"",
+            "{} {}"
+        }) {
             assertThrows(Json.Malformed.class, () -> Notice.read(bad), bad);
         }
     }
 
     @Property(tries = 1000, seed = "44")
     void hostileLinesAreMalformedAndNothingElse(@ForAll String noise, @ForAll int at) {
-        String line = "{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"9b1f03aa5c7e2d41\",\"result\":\"OK\",\"payload\":\"AP8=\"}";
+        String line =
+                "{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"9b1f03aa5c7e2d41\",\"result\":\"OK\",\"payload\":\"AP8=\"}";
         int cut = Math.floorMod(at, line.length());
         try {
             Notice.read(line.substring(0, cut) + noise + line.substring(Math.min(line.length(), cut + 2)));
--- a/src/test/java/merlinlever/budgets/SharingTest.java
+++ b/src/test/java/merlinlever/budgets/SharingTest.java
@@ -34,23 +34,32 @@
     }
 
     @Property(tries = 1000, seed = "27")
-    void sharesAreMaxMinFairByWeight(@ForAll @LongRange(min = 0, max = 500) long whole, @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int n) {
+    void sharesAreMaxMinFairByWeight(
+            @ForAll @LongRange(min = 0, max = 500) long whole,
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 40) int n) {
         SplittableRandom chance = new SplittableRandom(seed);
         long[] wanted = chance.longs(n, 0, 40).toArray();
         int[] weights = chance.ints(n, 1, 5).toArray();
         long[] shares = Division.shares(whole, wanted, weights, chance.nextInt(n));
-        assertEquals(Math.min(whole, Arrays.stream(wanted).sum()), Arrays.stream(shares).sum(), "all of it, and no more than is wanted");
+        assertEquals(
+                Math.min(whole, Arrays.stream(wanted).sum()),
+                Arrays.stream(shares).sum(),
+                "all of it, and no more than is wanted");
         for (int i = 0; i < n; i++) {
             assertTrue(shares[i] >= 0 && shares[i] <= wanted[i]);
             for (int k = 0; k < n; k++) {
                 // Who wants more has, by weight, no less than any other but for the last unit.
-                assertTrue(shares[i] == wanted[i] || (shares[i] + 1.0) / weights[i] >= (shares[k] - 1.0) / weights[k],
-                        "i has " + shares[i] + " of " + wanted[i] + " by " + weights[i] + ", k " + shares[k] + " by " + weights[k]);
+                assertTrue(
+                        shares[i] == wanted[i] || (shares[i] + 1.0) / weights[i] >= (shares[k] - 1.0) / weights[k],
+                        "i has " + shares[i] + " of " + wanted[i] + " by " + weights[i] + ", k " + shares[k] + " by "
+                                + weights[k]);
             }
         }
     }
 
-    // ---- every state of one leadership after another, two backends, any message at any later time, any number of times
+    // ---- every state of one leadership after another, two backends, any message at any later time, any number of
+    // times
 
     private static final class State {
         Duration now = Duration.ZERO;
@@ -60,7 +69,8 @@
         int leaderships = 1;
     }
 
-    private static final Budget SMALL = new Budget("calls", "calls", 2, Budget.Per.SECOND, Duration.ofSeconds(2), 0, Duration.ofSeconds(1), Map.of());
+    private static final Budget SMALL = new Budget(
+            "calls", "calls", 2, Budget.Per.SECOND, Duration.ofSeconds(2), 0, Duration.ofSeconds(1), Map.of());
 
     /** Plays a path of actions from the start; null where one of them cannot be. Each is checked after it. */
     private static State play(List<String> path) {
@@ -80,7 +90,8 @@
                 case "ask" -> {
                     int who = Integer.parseInt(word[1]);
                     Holding.Ask ask = state.holders[who].ask(state.now, state.leaderships, 0, 1 + who);
-                    state.net.add("Q/" + who + "/" + state.leaderships + "/" + ask.number() + "/" + ask.grant() + "/" + ask.held());
+                    state.net.add("Q/" + who + "/" + state.leaderships + "/" + ask.number() + "/" + ask.grant() + "/"
+                            + ask.held());
                 }
                 case "Q" -> {
                     int term = Integer.parseInt(word[2]);
@@ -88,18 +99,32 @@
                     if (term != state.leaderships) {
                         return null;
                     }
-                    Book.Grant grant = state.books[term - 1].grant(state.now, new Book.Request("b" + word[1], 1, Long.parseLong(word[4]), Long.parseLong(word[5]), 0,
-                            1 + Integer.parseInt(word[1])));
-                    state.net.add("G/" + word[1] + "/" + term + "/" + word[3] + "/" + grant.number() + "/" + grant.amount());
+                    Book.Grant grant = state.books[term - 1].grant(
+                            state.now,
+                            new Book.Request(
+                                    "b" + word[1],
+                                    1,
+                                    Long.parseLong(word[4]),
+                                    Long.parseLong(word[5]),
+                                    0,
+                                    1 + Integer.parseInt(word[1])));
+                    state.net.add(
+                            "G/" + word[1] + "/" + term + "/" + word[3] + "/" + grant.number() + "/" + grant.amount());
                 }
                 default -> {
-                    if (!state.holders[Integer.parseInt(word[1])].granted(state.now, Long.parseLong(word[2]), Long.parseLong(word[3]), Long.parseLong(word[4]),
+                    if (!state.holders[Integer.parseInt(word[1])].granted(
+                            state.now,
+                            Long.parseLong(word[2]),
+                            Long.parseLong(word[3]),
+                            Long.parseLong(word[4]),
                             Long.parseLong(word[5]))) {
                         return null;
                     }
                 }
             }
-            lately.add(new long[] {state.now.toMillis(), state.holders[0].share(state.now), state.holders[1].share(state.now)});
+            lately.add(new long[] {
+                state.now.toMillis(), state.holders[0].share(state.now), state.holders[1].share(state.now)
+            });
             long[] most = new long[2];
             for (long[] each : lately) {
                 // Within less than a second of now; a share may be spent at its last moment.
@@ -128,7 +153,10 @@
             }
             StringBuilder key = new StringBuilder().append(state.leaderships).append(state.net);
             for (int i = 0; i < 2; i++) {
-                key.append('|').append(state.holders[i].key(state.now)).append('|').append(state.books[i] == null ? "" : state.books[i].key(state.now));
+                key.append('|')
+                        .append(state.holders[i].key(state.now))
+                        .append('|')
+                        .append(state.books[i] == null ? "" : state.books[i].key(state.now));
             }
             if (!seen.add(key.toString())) {
                 continue;
@@ -166,7 +194,9 @@
                     fleet.wanted[chance.nextInt(n)][0] = chance.nextInt(80);
                 }
                 fleet.step();
-                assertTrue(fleet.over <= 0, "seed " + seed + ": " + fleet.over + " over the whole at " + fleet.now + " ms");
+                assertTrue(
+                        fleet.over <= 0,
+                        "seed " + seed + ": " + fleet.over + " over the whole at " + fleet.now + " ms");
             }
         }
     }
@@ -198,7 +228,8 @@
     /** A leader whose standing does not let it gives nothing, not even to itself, and gives again when it does. */
     @Example
     void sharesAreGivenOnlyWhereTheStandingAmongTheOthersLetsThem() {
-        Budget budget = new Budget("calls", "calls", 100, Budget.Per.SECOND, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
+        Budget budget = new Budget(
+                "calls", "calls", 100, Budget.Per.SECOND, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
         BudgetModel model = new BudgetModel(5, 3, budget);
         Standing[] standing = {Standing.FEW};
         Seen seen = new Stands(now -> standing[0]);
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -24,8 +24,7 @@
     private Path root;
 
     /** How a script ended, and what it wrote. */
-    private record Ran(int status, List<String> out) {
-    }
+    private record Ran(int status, List<String> out) {}
 
     @BeforeTry
     void layACheckout() throws IOException {
@@ -33,17 +32,21 @@
         for (String script : List.of("run", "known-red")) {
             write(".ci/" + script, Files.readString(Path.of(".ci", script)));
         }
-        write("src/test/java/some/place/FirstTest.java", "class FirstTest {\n    @Example\n    void red() {\n    }\n\n"
-                + "    @Property(tries = 3)\n    void redder(@ForAll int one,\n            @ForAll int two) {\n    }\n\n"
-                + "    @Test void fourth() { }\n\n    @Test void onOneLine() throws Exception { }\n    void helper() {\n    }\n\n"
-                + "    @Example\n    void twice() {\n    }\n\n    @Example\n    void twice(int n) {\n    }\n\n"
-                + "    @Group\n    class Inner {\n        @Example\n        void red() {\n        }\n\n"
-                + "        @Example\n        void within() {\n        }\n    }\n}\n");
+        write(
+                "src/test/java/some/place/FirstTest.java",
+                "class FirstTest {\n    @Example\n    void red() {\n    }\n\n"
+                        + "    @Property(tries = 3)\n    void redder(@ForAll int one,\n            @ForAll int two) {\n    }\n\n"
+                        + "    @Test void fourth() { }\n\n    @Test void onOneLine() throws Exception { }\n    void helper() {\n    }\n\n"
+                        + "    @Example\n    void twice() {\n    }\n\n    @Example\n    void twice(int n) {\n    }\n\n"
+                        + "    @Group\n    class Inner {\n        @Example\n        void red() {\n        }\n\n"
+                        + "        @Example\n        void within() {\n        }\n    }\n}\n");
         write("src/test/java/some/place/Helper.java", "class Helper {\n    @Example\n    void red() {\n    }\n}\n");
         write("src/main/java/some/place/MainTest.java", "class MainTest {\n    @Example\n    void red() {\n    }\n}\n");
-        write("bin/mvn", "#!/bin/sh\necho \"$@\" >> calls\n[ ! -d target ] || cp target/known-red/excludes . 2>/dev/null\n"
-                + "case \"$*\" in *verify*) echo 'Tests run: 9'; exit $(cat verdict);;\n"
-                + "*'#red '*) cp reports/* target/surefire-reports;; esac\nexit 1\n");
+        write(
+                "bin/mvn",
+                "#!/bin/sh\necho \"$@\" >> calls\n[ ! -d target ] || cp target/known-red/excludes . 2>/dev/null\n"
+                        + "case \"$*\" in *verify*) echo 'Tests run: 9'; exit $(cat verdict);;\n"
+                        + "*'#red '*) cp reports/* target/surefire-reports;; esac\nexit 1\n");
         write("verdict", "0");
         Files.createDirectory(root.resolve("reports"));
     }
@@ -66,8 +69,10 @@
     /** A listed test is told of and doesn't count; the others' counts come last and their status is CI's. */
     @Example
     void aListedTestRunsByItselfAndOnlyTheOthersCount() throws Exception {
-        write("KNOWN-RED.txt", RED + "some.place.FirstTest.redder | it hangs | issue 36\n"
-                + "some.place.FirstTest.onOneLine | mended, perhaps | #7");
+        write(
+                "KNOWN-RED.txt",
+                RED + "some.place.FirstTest.redder | it hangs | issue 36\n"
+                        + "some.place.FirstTest.onOneLine | mended, perhaps | #7");
         write("reports/TEST-some.place.FirstTest-known-red.xml", "<testcase name=\"red\">\n<failure message=\"x\"/>\n");
         Ran failed = run(".ci/run");
         assertEquals(0, failed.status());
@@ -77,14 +82,17 @@
         assertEquals(4, calls.size());
         assertTrue(calls.get(0).startsWith("-B -ntp test -Dtest=some.place.FirstTest#red "), calls.get(0));
         assertTrue(calls.get(3).startsWith(PLAIN + " -Dsurefire.excludesFile="), calls.get(3));
-        assertEquals(List.of("some.place.FirstTest#red", "some.place.FirstTest#redder", "some.place.FirstTest#onOneLine"),
+        assertEquals(
+                List.of("some.place.FirstTest#red", "some.place.FirstTest#redder", "some.place.FirstTest#onOneLine"),
                 lines("excludes"));
 
         write("verdict", "3");
         write("reports/TEST-some.place.FirstTest-known-red.xml", "<testcase name=\"red\"/>\n");
         Ran passed = run(".ci/run");
         assertEquals(3, passed.status(), "the others' verdict");
-        assertTrue(passed.out().contains("KNOWN RED some.place.FirstTest#red: passed, it may come off the list"), passed.out()::toString);
+        assertTrue(
+                passed.out().contains("KNOWN RED some.place.FirstTest#red: passed, it may come off the list"),
+                passed.out()::toString);
 
         // One test's report is not taken for the next one's of its class.
         assertTrue(passed.out().contains("KNOWN RED some.place.FirstTest#redder: no result"), passed.out()::toString);
@@ -98,12 +106,23 @@
     /** Whatever is not a line of the form, or one too many, ends CI before Maven is asked. */
     @Example
     void aListOfAnotherFormFails() throws Exception {
-        for (String wrong : List.of("\n", "# why\n", "some.place.FirstTest.red\n", "some.place.FirstTest.red | it breaks\n",
-                "some.place.FirstTest.red | | 36\n", "some.place.FirstTest.red | it breaks | soon\n",
-                "some.place.FirstTest.red | it breaks | 36 | more\n", "some.place.FirstTest | it breaks | 36\n",
-                "some.place.FirstTest.* | it breaks | 36\n", "some.place.FirstTest$Inner.red | it breaks | 36\n",
-                "some.place.*.red | it breaks | 36\n", "FirstTest.red | it breaks | 36\n", " some.place.FirstTest.red | it breaks | 36\n",
-                "some.place.FirstTest.red | it breaks | 36\r\n", RED + "\n", RED + RED,
+        for (String wrong : List.of(
+                "\n",
+                "# why\n",
+                "some.place.FirstTest.red\n",
+                "some.place.FirstTest.red | it breaks\n",
+                "some.place.FirstTest.red | | 36\n",
+                "some.place.FirstTest.red | it breaks | soon\n",
+                "some.place.FirstTest.red | it breaks | 36 | more\n",
+                "some.place.FirstTest | it breaks | 36\n",
+                "some.place.FirstTest.* | it breaks | 36\n",
+                "some.place.FirstTest$Inner.red | it breaks | 36\n",
+                "some.place.*.red | it breaks | 36\n",
+                "FirstTest.red | it breaks | 36\n",
+                " some.place.FirstTest.red | it breaks | 36\n",
+                "some.place.FirstTest.red | it breaks | 36\r\n",
+                RED + "\n",
+                RED + RED,
                 RED + RED.replace("red", "redder") + RED.replace("red", "onOneLine") + RED.replace("red", "fourth"))) {
             refused(wrong);
         }
@@ -112,8 +131,14 @@
     /** A name that is no test would pass over nothing today, and over a test of that name once there is one. */
     @Example
     void aTestThatDoesNotExistFails() throws Exception {
-        for (String name : List.of("SecondTest.red", "FirstTest.green", "FirstTest.re", "FirstTest.helper", "FirstTest.within",
-                "Helper.red", "MainTest.red")) {
+        for (String name : List.of(
+                "SecondTest.red",
+                "FirstTest.green",
+                "FirstTest.re",
+                "FirstTest.helper",
+                "FirstTest.within",
+                "Helper.red",
+                "MainTest.red")) {
             refused("some.place." + name + " | it breaks | 36\n");
         }
         refused("other.place.FirstTest.red | it breaks | 36\n");
@@ -135,7 +160,9 @@
     }
 
     private Ran run(String script) throws Exception {
-        ProcessBuilder builder = new ProcessBuilder(root.resolve(script).toString()).directory(root.toFile()).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder(root.resolve(script).toString())
+                .directory(root.toFile())
+                .redirectErrorStream(true);
         builder.environment().merge("PATH", root.resolve("bin").toString(), (path, bin) -> bin + ":" + path);
         Path out = root.resolve("out");
         Process process = builder.redirectOutput(out.toFile()).start();
--- a/src/test/java/merlinlever/cli/CommandsTest.java
+++ b/src/test/java/merlinlever/cli/CommandsTest.java
@@ -6,7 +6,8 @@
 
 class CommandsTest {
 
-    @Test void wrongUseIsStatusTwo() {
+    @Test
+    void wrongUseIsStatusTwo() {
         assertEquals(2, Commands.start());
         assertEquals(2, Commands.start("nothing-of-the-kind"));
         assertEquals(2, Commands.start("zone"));
@@ -14,14 +15,17 @@
         assertEquals(2, Commands.start("serve", "argument"));
     }
 
-    @Test void helpIsThereOnEveryLevel() {
-        for (String[] at : new String[][] {{"--help"}, {"zone", "--help"}, {"config", "schema", "--help"}, {"serve", "--help"}}) {
+    @Test
+    void helpIsThereOnEveryLevel() {
+        for (String[] at :
+                new String[][] {{"--help"}, {"zone", "--help"}, {"config", "schema", "--help"}, {"serve", "--help"}}) {
             assertEquals(0, Commands.start(at));
         }
         assertEquals(0, Commands.start("config", "schema", "zone-serve"));
     }
 
-    @Test void aBadFileIsStatusOne() {
+    @Test
+    void aBadFileIsStatusOne() {
         assertEquals(1, Commands.start("config", "check", "zone-serve", "/nonexistent/file.yaml"));
     }
 }
--- a/src/test/java/merlinlever/cli/ConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ConfigurationTest.java
@@ -16,13 +16,14 @@
 /** What a backend can be served with, and what is said where it can't or where something is assumed. */
 class ConfigurationTest {
 
-    private static final String GOOD = "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:2\","
-            + "\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":3200,\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":384},\"settings\":{"
-            + "\"family-info\":{\"n-cores\":4,\"memory-kb\":90000,\"gauges\":[\"cpu_busy\",\"runnable\"],\"halt\":\"drop\",\"say\":\"silent\","
-            + "\"calls-by-class\":[true,false],\"class-skip-worth\":[0.0,0.0]},"
-            + "\"invariants\":{\"drain-grace\":2000.0,\"overload-factor\":8.0},"
-            + "\"services\":[{\"name\":\"look\",\"semantics\":\"repeatable\",\"aim\":200.0,\"hard-limit\":400.0,\"gain\":1.0},"
-            + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":200.0,\"hard-limit\":400.0,\"window\":900.0}]}}";
+    private static final String GOOD =
+            "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:2\","
+                    + "\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":3200,\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":384},\"settings\":{"
+                    + "\"family-info\":{\"n-cores\":4,\"memory-kb\":90000,\"gauges\":[\"cpu_busy\",\"runnable\"],\"halt\":\"drop\",\"say\":\"silent\","
+                    + "\"calls-by-class\":[true,false],\"class-skip-worth\":[0.0,0.0]},"
+                    + "\"invariants\":{\"drain-grace\":2000.0,\"overload-factor\":8.0},"
+                    + "\"services\":[{\"name\":\"look\",\"semantics\":\"repeatable\",\"aim\":200.0,\"hard-limit\":400.0,\"gain\":1.0},"
+                    + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":200.0,\"hard-limit\":400.0,\"window\":900.0}]}}";
 
     private static Configuration read(byte[] text) throws IOException, Serve.Unusable {
         Path file = Files.createTempFile("merlinlever", ".json");
@@ -45,7 +46,8 @@
     }
 
     private static void refused(String text, String... says) {
-        String message = assertThrows(Serve.Unusable.class, () -> read(text), text).getMessage();
+        String message =
+                assertThrows(Serve.Unusable.class, () -> read(text), text).getMessage();
         for (String each : says) {
             assertTrue(message.contains(each), message + " for " + text);
         }
@@ -83,8 +85,11 @@
         refused(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
         refused(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
         refused(with("\"name\":\"look\",", ""), "services");
-        refused(with("\"name\":\"buy\",", "") .replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
-        refused(GOOD.substring(0, GOOD.indexOf("\"services\"")) + "\"services\":[]}}", "services is missing", "one class or more");
+        refused(with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
+        refused(
+                GOOD.substring(0, GOOD.indexOf("\"services\"")) + "\"services\":[]}}",
+                "services is missing",
+                "one class or more");
         refused(with("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
         for (String bad : new String[] {"-1", "1e12", "\"NaN\"", "\"soon\"", "true"}) {
             refused(with("3200", bad), "stop_ms is", "allowed: a number");
@@ -103,7 +108,8 @@
     @Example
     void whatIsNoTextOrNoFileIsSaid() {
         assertThrows(Serve.Unusable.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
-        String message = assertThrows(Serve.Unusable.class, () -> Configuration.read(Map.of("GW_CONFIG", "src"))).getMessage();
+        String message = assertThrows(Serve.Unusable.class, () -> Configuration.read(Map.of("GW_CONFIG", "src")))
+                .getMessage();
         assertTrue(message.contains("cannot be read"), message);
         assertThrows(Serve.Unusable.class, () -> Configuration.read(Map.of()));
     }
@@ -111,47 +117,70 @@
     /** Against defaults that hide a missing setting: each that matters is named in one line, with what is assumed. */
     @Example
     void whatIsMissingAndMattersIsSaidInOneLine() throws Exception {
-        String[][] each = {{"\"n-cores\":4,", "family-info.n-cores (1)"}, {"\"memory-kb\":90000,", "family-info.memory-kb (no limit)"},
-            {"\"drain-grace\":2000.0,", "invariants.drain-grace (0 ms)"}, {",\"overload-factor\":8.0", "invariants.overload-factor (2)"},
-            {",\"window\":900.0", "services.1.window (10000 ms)"}, {"\"aim\":200.0,", "services.0+1.aim (1000 ms)"},
-            {"\"semantics\":\"repeatable\",", "services.0.semantics (once)"}, {",\"runnable\"", "runnable in family-info.gauges"},
-            {"\"stop_ms\":3200,", "stop_ms (3000)"}, {",\"sockets\":384", "limits.sockets (1024)"}, {"\"seed\":\"8c1f30d27a5be964\",", "seed"}};
+        String[][] each = {
+            {"\"n-cores\":4,", "family-info.n-cores (1)"},
+            {"\"memory-kb\":90000,", "family-info.memory-kb (no limit)"},
+            {"\"drain-grace\":2000.0,", "invariants.drain-grace (0 ms)"},
+            {",\"overload-factor\":8.0", "invariants.overload-factor (2)"},
+            {",\"window\":900.0", "services.1.window (10000 ms)"},
+            {"\"aim\":200.0,", "services.0+1.aim (1000 ms)"},
+            {"\"semantics\":\"repeatable\",", "services.0.semantics (once)"},
+            {",\"runnable\"", "runnable in family-info.gauges"},
+            {"\"stop_ms\":3200,", "stop_ms (3000)"},
+            {",\"sockets\":384", "limits.sockets (1024)"},
+            {"\"seed\":\"8c1f30d27a5be964\",", "seed"}
+        };
         String none = GOOD;
         for (String[] one : each) {
             Configuration read = read(with(one[0], ""));
             assertEquals(1, read.remarks().size(), one[0]);
-            assertTrue(read.remarks().get(0).startsWith("missing, and assumed: ") && read.remarks().get(0).contains(one[1]), read.remarks().get(0));
+            assertTrue(
+                    read.remarks().get(0).startsWith("missing, and assumed: ")
+                            && read.remarks().get(0).contains(one[1]),
+                    read.remarks().get(0));
             none = none.replace(one[0], "");
         }
         assertEquals(1, read(none).remarks().size());
-        assertTrue(read(with("[true,false]", "[true]")).remarks().get(0).contains("family-info.calls-by-class has 1 of 2"));
-        assertTrue(read(with("8c1f30d27a5be964", "8c1f30d27a5be96x")).remarks().get(0).contains("16 hex digits"));
+        assertTrue(read(with("[true,false]", "[true]"))
+                .remarks()
+                .get(0)
+                .contains("family-info.calls-by-class has 1 of 2"));
+        assertTrue(read(with("8c1f30d27a5be964", "8c1f30d27a5be96x"))
+                .remarks()
+                .get(0)
+                .contains("16 hex digits"));
     }
 
     /** A window that is stated as none, and a class of no value, do no harm. */
     @Example
     void aClassThatIsNotKeyedMayHaveNoWindowAndAnyMayHaveNoValue() throws Exception {
-        assertEquals(List.of(), read(with("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).remarks());
+        assertEquals(
+                List.of(),
+                read(with("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).remarks());
     }
 
     /** The fleet's chances fall apart also where no seed is told. */
     @Example
     void withoutASeedTwoNamesHaveTwo() throws Exception {
         String without = with("\"seed\":\"8c1f30d27a5be964\",", "");
-        assertFalse(read(without).seed() == read(without.replace("\"n3\"", "\"n4\"")).seed());
+        assertFalse(read(without).seed()
+                == read(without.replace("\"n3\"", "\"n4\"")).seed());
     }
 
     /** A class may have any name, also one that is a word of the settings; it was looked for under another then. */
     @Example
     void aClassNamedAsAWordOfTheSettingsKeepsItsName() throws Exception {
         for (String name : new String[] {"sockets", "once", "silent", "repeatable"}) {
-            assertEquals(name, read(with("\"look\"", "\"" + name + "\"")).given().get("tariffs.0.name"));
+            assertEquals(
+                    name, read(with("\"look\"", "\"" + name + "\"")).given().get("tariffs.0.name"));
         }
     }
 
     /** New keys are skipped and named, as before. */
     @Example
     void aKeyThatIsNotKnownIsNoFault() throws Exception {
-        assertEquals(List.of("settings that are not known: family-info.cpus"), read(with("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).remarks());
+        assertEquals(
+                List.of("settings that are not known: family-info.cpus"),
+                read(with("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).remarks());
     }
 }
--- a/src/test/java/merlinlever/cli/DescriptorsTest.java
+++ b/src/test/java/merlinlever/cli/DescriptorsTest.java
@@ -23,14 +23,21 @@
     private final List<Socket> held = new ArrayList<>();
     private int limit = 40;
 
-    DescriptorsTest() throws IOException {
-    }
+    DescriptorsTest() throws IOException {}
 
-    @Override Process start(String configuration) throws IOException {
+    @Override
+    Process start(String configuration) throws IOException {
         Files.writeString(file, configuration);
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + limit + " && exec \"$0\" \"$@\"",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-cp",
-                "target/classes", "merlinlever.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                "ulimit -n " + limit + " && exec \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                "target/classes",
+                "merlinlever.cli.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         program = builder.start();
         return program;
--- a/src/test/java/merlinlever/cli/DrainEndTest.java
+++ b/src/test/java/merlinlever/cli/DrainEndTest.java
@@ -16,11 +16,14 @@
 
     private static final int STOP_MS = 1000;
 
-    DrainEndTest() throws IOException {
-    }
+    DrainEndTest() throws IOException {}
 
     private void signal(String name) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, "" + program.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, "" + program.pid())
+                        .start()
+                        .waitFor());
     }
 
     /**
@@ -28,7 +31,8 @@
      * when it goes on, the bytes and its end. It must not end over what is unread, as that resets the connection.
      */
     @Example
-    void aRequestThatIsUnreadAtTheLastMomentMeetsAnAnswerOrAGoodEndAndNoReset() throws IOException, InterruptedException {
+    void aRequestThatIsUnreadAtTheLastMomentMeetsAnAnswerOrAGoodEndAndNoReset()
+            throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":" + STOP_MS));
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
@@ -44,7 +48,8 @@
         // Bad from the notice on: it has been heard.
         int status = 200;
         while (status != 503) {
-            status = answer(ask(resting[0], "GET /status/live HTTP/1.1\r\n\r\n")).status();
+            status =
+                    answer(ask(resting[0], "GET /status/live HTTP/1.1\r\n\r\n")).status();
         }
         signal("STOP");
         Socket silent = resting[resting.length - 1];
@@ -67,9 +72,14 @@
         }
         assertTrue(program.waitFor(10, TimeUnit.SECONDS));
         assertEquals(143, program.exitValue());
-        // What the half-close does on the sockets is EdgeClosingTest's; here it comes before the end, for those that rest still.
-        List<String> log = program.inputReader().lines().map(each -> each.replaceFirst(".* INFO ", "")).toList();
-        assertEquals(List.of("the stop is near: resting connections are half-closed and read on", "all is answered"),
+        // What the half-close does on the sockets is EdgeClosingTest's; here it comes before the end, for those that
+        // rest still.
+        List<String> log = program.inputReader()
+                .lines()
+                .map(each -> each.replaceFirst(".* INFO ", ""))
+                .toList();
+        assertEquals(
+                List.of("the stop is near: resting connections are half-closed and read on", "all is answered"),
                 log.subList(log.size() - 2, log.size()));
     }
 }
--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -32,9 +32,10 @@
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"");
     /** Packages of ours and libraries that `serve` must never load. */
-    private static final Pattern FOREIGN = Pattern.compile("^(merlinlever\\.(host|members|recovery|budgets|term|view|shared|routes|trials|zone|sheet|measure|faults|durable|cli\\.faults|cli\\.fleet"
-            + "|cli\\.zone)\\.|merlinlever\\.cli\\.(Recovering|Together)|picocli\\.|org\\.xbill\\.|ch\\.qos\\.|org\\.slf4j\\.|com\\.networknt\\.|io\\.micrometer\\."
-            + "|org\\.knowm\\.|org\\.HdrHistogram\\.|java\\.lang\\.ProcessImpl|java\\.lang\\.ProcessBuilder)");
+    private static final Pattern FOREIGN = Pattern.compile(
+            "^(merlinlever\\.(host|members|recovery|budgets|term|view|shared|routes|trials|zone|sheet|measure|faults|durable|cli\\.faults|cli\\.fleet"
+                    + "|cli\\.zone)\\.|merlinlever\\.cli\\.(Recovering|Together)|picocli\\.|org\\.xbill\\.|ch\\.qos\\.|org\\.slf4j\\.|com\\.networknt\\.|io\\.micrometer\\."
+                    + "|org\\.knowm\\.|org\\.HdrHistogram\\.|java\\.lang\\.ProcessImpl|java\\.lang\\.ProcessBuilder)");
 
     static String runLine() throws IOException {
         for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
@@ -52,7 +53,8 @@
         assertEquals("exec", words.get(0), "the shell is replaced, not kept as a parent");
         assertEquals("java", words.get(1));
         assertEquals(List.of("-jar", "target/merlinlever.jar", "serve"), words.subList(words.size() - 3, words.size()));
-        assertFalse(runLine().contains("&") || runLine().contains("|") || runLine().contains(";"), "one command alone");
+        assertFalse(
+                runLine().contains("&") || runLine().contains("|") || runLine().contains(";"), "one command alone");
     }
 
     @Example
@@ -64,28 +66,33 @@
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(words.subList(2, words.indexOf("-jar")));
         // The jar is made after the tests; its manifest names no class path, so the classes folder loads the same.
-        command.addAll(List.of("-Xlog:class+load=info:file=" + classes, "-cp", "target/classes", "merlinlever.cli.Main",
-                "serve"));
-        try (ServerSocket agents = new ServerSocket(0, 50, HERE); DatagramSocket directory = new DatagramSocket(0, HERE)) {
+        command.addAll(List.of(
+                "-Xlog:class+load=info:file=" + classes, "-cp", "target/classes", "merlinlever.cli.Main", "serve"));
+        try (ServerSocket agents = new ServerSocket(0, 50, HERE);
+                DatagramSocket directory = new DatagramSocket(0, HERE)) {
             agents.setSoTimeout(20_000);
-            Files.writeString(file, "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:"
-                    + agents.getLocalPort() + "\",\"lookup\":\"127.0.0.1:" + directory.getLocalPort()
-                    + "\",\"seed\":\"5e1f30d27a5be964\",\"stop_ms\":2000,\"limits\":{\"sockets\":40},\"settings\":{"
-                    + "\"family-info\":{\"n-cores\":1,\"memory-kb\":60000,\"gauges\":[\"runnable\"],\"halt\":\"drop\"},"
-                    + "\"invariants\":{\"drain-grace\":100,\"overload-factor\":8},\"services\":[{\"name\":\"look\","
-                    + "\"semantics\":\"repeatable\",\"aim\":20000,\"hard-limit\":40000}]}}");
+            Files.writeString(
+                    file,
+                    "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:"
+                            + agents.getLocalPort() + "\",\"lookup\":\"127.0.0.1:" + directory.getLocalPort()
+                            + "\",\"seed\":\"5e1f30d27a5be964\",\"stop_ms\":2000,\"limits\":{\"sockets\":40},\"settings\":{"
+                            + "\"family-info\":{\"n-cores\":1,\"memory-kb\":60000,\"gauges\":[\"runnable\"],\"halt\":\"drop\"},"
+                            + "\"invariants\":{\"drain-grace\":100,\"overload-factor\":8},\"services\":[{\"name\":\"look\","
+                            + "\"semantics\":\"repeatable\",\"aim\":20000,\"hard-limit\":40000}]}}");
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
             builder.environment().put("GW_CONFIG", file.toString());
             Process program = builder.start();
             try {
-                BufferedReader out = new BufferedReader(new InputStreamReader(program.getInputStream(),
-                        StandardCharsets.UTF_8));
+                BufferedReader out =
+                        new BufferedReader(new InputStreamReader(program.getInputStream(), StandardCharsets.UTF_8));
                 String listening = out.readLine();
-                assertTrue(listening != null && listening.matches(".*:[0-9]+$"), "it says where it listens: " + listening);
+                assertTrue(
+                        listening != null && listening.matches(".*:[0-9]+$"), "it says where it listens: " + listening);
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
-                try (Socket agent = agents.accept(); Socket edge = new Socket(HERE, port)) {
-                    edge.getOutputStream().write("GET /health HTTP/1.1\r\nHost: api\r\n\r\n"
-                            .getBytes(StandardCharsets.US_ASCII));
+                try (Socket agent = agents.accept();
+                        Socket edge = new Socket(HERE, port)) {
+                    edge.getOutputStream()
+                            .write("GET /health HTTP/1.1\r\nHost: api\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     edge.setSoTimeout(20_000);
                     assertTrue(agent.isConnected(), "it links to its render farm agent");
                     assertTrue(edge.getInputStream().read() >= 0, "an edge node is answered");
@@ -104,7 +111,9 @@
                     loaded.add(name);
                 }
             }
-            assertTrue(Files.readString(classes).contains("merlinlever.core.Backend"), "the log of loaded classes is read");
+            assertTrue(
+                    Files.readString(classes).contains("merlinlever.core.Backend"),
+                    "the log of loaded classes is read");
             assertEquals(List.of(), loaded, "classes that serve must not load");
         } finally {
             Files.deleteIfExists(file);
--- a/src/test/java/merlinlever/cli/ServeTest.java
+++ b/src/test/java/merlinlever/cli/ServeTest.java
@@ -19,8 +19,7 @@
 /** What the whole program does on sockets. */
 class ServeTest extends ServedProcess {
 
-    ServeTest() throws IOException {
-    }
+    ServeTest() throws IOException {}
 
     @Example
     void anOperationWithACallIsServedAndItsRepeatGetsTheSameBytes() throws IOException {
@@ -33,7 +32,8 @@
         String token = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
         Socket edge = new Socket(HERE, port);
         edge.setTcpNoDelay(true);
-        for (char c : operation("buy", token, new String(bytes, StandardCharsets.ISO_8859_1)).toCharArray()) {
+        for (char c : operation("buy", token, new String(bytes, StandardCharsets.ISO_8859_1))
+                .toCharArray()) {
             ask(edge, "" + c);
         }
         Map<?, ?> launch = hear("launch");
@@ -74,7 +74,8 @@
         assertEquals(200, answer(ask("GET /status/live HTTP/1.1\r\n\r\n")).status());
         for (String how : new String[] {"OK", "ERROR"}) {
             Socket check = ask("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
-            tell("{\"cmd\":\"exercised\",\"token\":\"" + hear("exercise").get("token") + "\",\"result\":\"" + how + "\"}");
+            tell("{\"cmd\":\"exercised\",\"token\":\"" + hear("exercise").get("token") + "\",\"result\":\"" + how
+                    + "\"}");
             assertEquals(how.equals("OK") ? 200 : 503, answer(check).status());
         }
     }
@@ -85,15 +86,23 @@
         greet();
         String good = operation("look", "", "");
         String[][] bad = {
-            {"404", good.replace("/svc/look", "/svc/other")}, {"404", good.replace("/svc/look", "/")},
-            {"405", good.replace("POST", "PUT")}, {"405", "POST /status/live HTTP/1.1\r\nContent-Length: 0\r\n\r\n"},
-            {"411", good.replace("Content-Length: 0\r\n", "")}, {"413", good.replace("Length: 0", "Length: 2049")},
-            {"431", "GET / HTTP/1.1\r\na: " + "b".repeat(5000) + "\r\n\r\n"}, {"400", "nonsense\r\n\r\n"},
+            {"404", good.replace("/svc/look", "/svc/other")},
+            {"404", good.replace("/svc/look", "/")},
+            {"405", good.replace("POST", "PUT")},
+            {"405", "POST /status/live HTTP/1.1\r\nContent-Length: 0\r\n\r\n"},
+            {"411", good.replace("Content-Length: 0\r\n", "")},
+            {"413", good.replace("Length: 0", "Length: 2049")},
+            {"431", "GET / HTTP/1.1\r\na: " + "b".repeat(5000) + "\r\n\r\n"},
+            {"400", "nonsense\r\n\r\n"},
             {"501", good.replace("Content-Length: 0", "Transfer-Encoding: chunked")},
-            {"400", good.replace("Req-Id: ", "Req-Id: x")}, {"400", good.replace("Req-Kb: 24.5", "Req-Kb: 0")},
-            {"400", good.replace("Req-Kb: 24.5\r\n", "")}, {"400", good.replace("Req-Rank: 0", "Req-Rank: 1")},
-            {"400", good.replace("Req-Wait-Ms: ", "Req-Wait-Ms: -")}, {"400", operation("buy", "", "")},
-            {"400", good.replace("Req-Time: ", "Req-Time: 9")}};
+            {"400", good.replace("Req-Id: ", "Req-Id: x")},
+            {"400", good.replace("Req-Kb: 24.5", "Req-Kb: 0")},
+            {"400", good.replace("Req-Kb: 24.5\r\n", "")},
+            {"400", good.replace("Req-Rank: 0", "Req-Rank: 1")},
+            {"400", good.replace("Req-Wait-Ms: ", "Req-Wait-Ms: -")},
+            {"400", operation("buy", "", "")},
+            {"400", good.replace("Req-Time: ", "Req-Time: 9")}
+        };
         for (String[] each : bad) {
             assertEquals(Integer.parseInt(each[0]), answer(ask(each[1])).status(), each[1]);
         }
@@ -138,7 +147,8 @@
     }
 
     private void reachesCall(long offset, Map<?, ?> launch) throws IOException {
-        tell("{\"cmd\":\"request\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"payload\":\"AQI=\"}");
+        tell("{\"cmd\":\"request\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req")
+                + "\",\"payload\":\"AQI=\"}");
     }
 
     private void reply(Socket socket, String text) throws IOException {
@@ -292,7 +302,8 @@
         }
         outcome(1, launch, "OK", new byte[] {7});
         assertArrayEquals(new byte[] {7}, answer(edge).body());
-        // All is answered and the grace is over: what still comes on a connection that stayed open hears that it did not run.
+        // All is answered and the grace is over: what still comes on a connection that stayed open hears that it did
+        // not run.
         Thread.sleep(500);
         Answer late = answer(ask(check, operation("look", "", "")));
         assertEquals(503, late.status());
@@ -305,10 +316,20 @@
 
     @Example
     void whatItCannotStartWithIsSaidInOneLine() throws IOException, InterruptedException {
-        String good = "{\"listen\":\"127.0.0.1:" + agents.getLocalPort() + "\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:1\"}";
-        String[] bad = {"{", "[]", "{}", good.replace("\"agent\":", "\"other\":"), good.replace("127.0.0.1:1\"}", "nowhere\"}"),
-            good, good.replace("}", ",\"settings\":{\"family-info\":{\"idle\":\"soon\"}}}"),
-            good.replace("}", ",\"settings\":{\"family-info\":{\"class-skip-worth\":[\"x\"]},\"services\":[{\"name\":\"a\"}]}}")};
+        String good = "{\"listen\":\"127.0.0.1:" + agents.getLocalPort()
+                + "\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:1\"}";
+        String[] bad = {
+            "{",
+            "[]",
+            "{}",
+            good.replace("\"agent\":", "\"other\":"),
+            good.replace("127.0.0.1:1\"}", "nowhere\"}"),
+            good,
+            good.replace("}", ",\"settings\":{\"family-info\":{\"idle\":\"soon\"}}}"),
+            good.replace(
+                    "}",
+                    ",\"settings\":{\"family-info\":{\"class-skip-worth\":[\"x\"]},\"services\":[{\"name\":\"a\"}]}}")
+        };
         for (String each : bad) {
             start(each);
             String said = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/merlinlever/cli/ServedProcess.java
+++ b/src/test/java/merlinlever/cli/ServedProcess.java
@@ -48,8 +48,7 @@
     }
 
     /** What an edge node hears. */
-    record Answer(int status, String head, byte[] body) {
-    }
+    record Answer(int status, String head, byte[] body) {}
 
     Process start(String configuration) throws IOException {
         Files.writeString(file, configuration);
@@ -58,8 +57,13 @@
 
     /** With the file as it is. */
     Process startAgain() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", "target/classes", "merlinlever.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                "target/classes",
+                "merlinlever.cli.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         Process started = builder.start();
         // Whoever reads what it says reads to its end: a test that fails is over, too.
@@ -71,7 +75,8 @@
     String configuration() {
         return "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:" + agents.getLocalPort()
                 + "\",\"lookup\":\"127.0.0.1:" + directory.getLocalPort() + "\",\"records\":\"127.0.0.1:"
-                + records.getLocalPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":8000,\"limits\":{\"sockets\":40},"
+                + records.getLocalPort()
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":8000,\"limits\":{\"sockets\":40},"
                 + "\"settings\":{\"family-info\":{\"n-cores\":4,\"memory-kb\":90000,\"gauges\":[\"runnable\"],"
                 + "\"halt\":\"drop\",\"calls-by-class\":[true,true],\"kb-per-key\":10},\"invariants\":{"
                 + "\"drain-grace\":100,\"overload-factor\":8},\"services\":[{\"name\":\"look\",\"semantics\":\"repeatable\","
@@ -133,13 +138,15 @@
     }
 
     void outcome(long offset, Map<?, ?> launch, String result, byte[] payload) throws IOException {
-        tell("{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"result\":\"" + result
-                + "\",\"elapsed_ms\":3.5,\"payload\":\"" + Base64.getEncoder().encodeToString(payload) + "\"}");
+        tell("{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"result\":\""
+                + result + "\",\"elapsed_ms\":3.5,\"payload\":\""
+                + Base64.getEncoder().encodeToString(payload) + "\"}");
     }
 
     String operation(String tariff, String more, String body) {
         return "POST /svc/" + tariff + " HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", ids++)
-                + "\r\nReq-Time: " + System.currentTimeMillis() + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
+                + "\r\nReq-Time: " + System.currentTimeMillis()
+                + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
                 + "Req-Rank: 0.6250\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/SignalsTest.java
@@ -18,11 +18,13 @@
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final CountDownLatch told = new CountDownLatch(1);
     private final Signals.Receiver receiver = new Signals.Receiver() {
-        @Override public void hangUp() {
+        @Override
+        public void hangUp() {
             heard.add("hang up");
         }
 
-        @Override public void terminate() {
+        @Override
+        public void terminate() {
             heard.add("terminate");
             told.countDown();
         }
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -35,11 +35,14 @@
 
     private static final String TOKEN = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
-    StartAndStopTest() throws IOException {
-    }
+    StartAndStopTest() throws IOException {}
 
     private void signal(String name) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, "" + program.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, "" + program.pid())
+                        .start()
+                        .waitFor());
     }
 
     /** Sends it, and returns once the runtime has run its handler: its dispatcher waits again, and the handler's thread is over. */
@@ -85,12 +88,13 @@
         Path here = file;
         try {
             return CompletableFuture.supplyAsync(() -> {
-                try {
-                    return Files.newOutputStream(here);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            }).get(10, TimeUnit.SECONDS);
+                        try {
+                            return Files.newOutputStream(here);
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                    })
+                    .get(10, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new AssertionError("it does not read its configuration", e);
         }
@@ -168,9 +172,17 @@
     @Example
     void whatCannotStartEndsWithOneLineThatNamesTheFile() throws IOException, InterruptedException {
         String good = configuration();
-        String[][] bad = {{good.replace("\"stop_ms\":8000", "\"stop_ms\":-1"), "stop_ms is -1; allowed: a number from 0"},
-            {good.replace("127.0.0.1:0", "127.0.0.1:" + agents.getLocalPort()), "cannot listen on 127.0.0.1:" + agents.getLocalPort()},
-            {good.replace("\"drain-grace\":100", "\"drain-grace\":\"s\\noon\""), "invariants.drain-grace is \"s oon\"; allowed: a number"}};
+        String[][] bad = {
+            {good.replace("\"stop_ms\":8000", "\"stop_ms\":-1"), "stop_ms is -1; allowed: a number from 0"},
+            {
+                good.replace("127.0.0.1:0", "127.0.0.1:" + agents.getLocalPort()),
+                "cannot listen on 127.0.0.1:" + agents.getLocalPort()
+            },
+            {
+                good.replace("\"drain-grace\":100", "\"drain-grace\":\"s\\noon\""),
+                "invariants.drain-grace is \"s oon\"; allowed: a number"
+            }
+        };
         for (String[] each : bad) {
             start(each[0]);
             ends(1);
@@ -251,7 +263,9 @@
         }
         lines.removeIf(each -> !each.contains("not taken over"));
         assertEquals(2, lines.size(), "" + lines);
-        assertTrue(lines.get(0).contains(file + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"), lines.get(0));
+        assertTrue(
+                lines.get(0).contains(file + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
+                lines.get(0));
         assertTrue(lines.get(1).contains("no JSON object"), lines.get(1));
         // The old one stayed: the link is the one that it named.
         Socket edge = ask(operation("look", "", ""));
@@ -301,7 +315,9 @@
     /** Against a stop before the grace is over, or so soon that no time is left for last writes: all is answered still. */
     @Example
     void aStopShorterThanTheGraceAnswersAllAndEnds() throws IOException, InterruptedException {
-        start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":100").replace("\"drain-grace\":100", "\"drain-grace\":60000"));
+        start(configuration()
+                .replace("\"stop_ms\":8000", "\"stop_ms\":100")
+                .replace("\"drain-grace\":100", "\"drain-grace\":60000"));
         String line = said("listening on ");
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
         link(0);
--- a/src/test/java/merlinlever/cli/fleet/FleetTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetTest.java
@@ -36,7 +36,9 @@
     private static final int EACH = Integer.getInteger("fleet.each", 10);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     private final Process[] agents = new Process[AGENTS];
     private final int[] ports = new int[AGENTS];
     private final int[] gossip = new int[AGENTS];
@@ -44,7 +46,9 @@
     private void describe(int agent, int manage) throws IOException {
         Files.writeString(folder.resolve("secret"), "a-secret-of-16-or-more");
         Files.writeString(folder.resolve("mode"), "0");
-        Files.writeString(folder.resolve("m" + agent + ".yaml"), """
+        Files.writeString(
+                folder.resolve("m" + agent + ".yaml"),
+                """
                 name: m%d
                 listen: 127.0.0.1:%d
                 state: state-%d
@@ -58,29 +62,67 @@
                     labels: {zone: %s}
                     command: ["%s", -XX:TieredStopAtLevel=1, -XX:+UseSerialGC, -Xmx24m, -cp, "%s", merlinlever.host.run.FakeInstance, "{port}", "%s"]
                     ports: {port: %d}
-                """.formatted(agent, ports[agent], agent, gossip[agent], gossip[0], gossip[1], agent, EACH, manage, agent < 2 ? "west" : "east",
-                Path.of(System.getProperty("java.home"), "bin", "java"), System.getProperty("java.class.path"), folder.resolve("mode"), manage));
+                """
+                        .formatted(
+                                agent,
+                                ports[agent],
+                                agent,
+                                gossip[agent],
+                                gossip[0],
+                                gossip[1],
+                                agent,
+                                EACH,
+                                manage,
+                                agent < 2 ? "west" : "east",
+                                Path.of(System.getProperty("java.home"), "bin", "java"),
+                                System.getProperty("java.class.path"),
+                                folder.resolve("mode"),
+                                manage));
     }
 
     private void launch(int agent) throws IOException {
-        agents[agent] = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-XX:+UseSerialGC", "-Xmx128m", "-cp", System.getProperty("java.class.path"), "merlinlever.cli.Main", "host", "run", "--config",
-                folder.resolve("m" + agent + ".yaml").toString()).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("m" + agent + ".log").toFile())).start();
+        agents[agent] = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-XX:+UseSerialGC",
+                        "-Xmx128m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "merlinlever.cli.Main",
+                        "host",
+                        "run",
+                        "--config",
+                        folder.resolve("m" + agent + ".yaml").toString())
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve("m" + agent + ".log").toFile()))
+                .start();
     }
 
     /** The auditor's view: pid and name of each instance's process that is not stopped, and of those that are. */
     private Map<String, Long> table(Set<String> stopped) throws IOException {
         Map<String, Long> table = new TreeMap<>();
         try (var all = Files.list(Path.of("/proc"))) {
-            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+")).toList()) {
+            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
+                    .toList()) {
                 try {
                     String line = Files.readString(each.resolve("cmdline"), StandardCharsets.ISO_8859_1);
                     String stat = Files.readString(each.resolve("stat"), StandardCharsets.ISO_8859_1);
                     char state = stat.charAt(stat.lastIndexOf(')') + 2);
-                    if (line.contains("FakeInstance") && line.contains(folder.toString()) && state != 'Z' && state != 'X') {
-                        String name = Files.readSymbolicLink(each.resolve("cwd")).getFileName().toString();
-                        assertTrue(table.put(name, Long.parseLong(each.getFileName().toString())) == null, name + " is there twice");
+                    if (line.contains("FakeInstance")
+                            && line.contains(folder.toString())
+                            && state != 'Z'
+                            && state != 'X') {
+                        String name = Files.readSymbolicLink(each.resolve("cwd"))
+                                .getFileName()
+                                .toString();
+                        assertTrue(
+                                table.put(
+                                                name,
+                                                Long.parseLong(
+                                                        each.getFileName().toString()))
+                                        == null,
+                                name + " is there twice");
                         if (state == 'T') {
                             stopped.add(name);
                         }
@@ -96,7 +138,13 @@
     private String said;
 
     private int fleet(String... words) {
-        List<String> args = new ArrayList<>(List.of("fleet", words[0], "--agent", "127.0.0.1:" + ports[asked], "--secret-file", folder.resolve("secret").toString()));
+        List<String> args = new ArrayList<>(List.of(
+                "fleet",
+                words[0],
+                "--agent",
+                "127.0.0.1:" + ports[asked],
+                "--secret-file",
+                folder.resolve("secret").toString()));
         args.addAll(Arrays.asList(words).subList(1, words.length));
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
@@ -116,14 +164,19 @@
         return list;
     }
 
-    private Map<String, JsonNode> await(String what, long seconds, Predicate<Map<String, JsonNode>> holds) throws Exception {
+    private Map<String, JsonNode> await(String what, long seconds, Predicate<Map<String, JsonNode>> holds)
+            throws Exception {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         Map<String, JsonNode> list = list();
         while (!holds.test(list)) {
             if (System.nanoTime() > end) {
                 StringBuilder lines = new StringBuilder();
-                list.values().forEach(each -> lines.append(each.path("name").asText()).append(' ').append(each.path("state").asText()).append(' ')
-                        .append(each.path("why").asText()).append('\n'));
+                list.values().forEach(each -> lines.append(each.path("name").asText())
+                        .append(' ')
+                        .append(each.path("state").asText())
+                        .append(' ')
+                        .append(each.path("why").asText())
+                        .append('\n'));
                 throw new AssertionError("not after " + seconds + " s: " + what + "\n" + lines + said);
             }
             Thread.sleep(200);
@@ -146,12 +199,16 @@
             boolean there = before.containsKey(name) && before.get(name).equals(after.get(name));
             boolean gone = !before.containsKey(name) && !after.containsKey(name);
             if (there && !state.equals("unreached")) {
-                assertTrue(!state.equals("down") && !state.equals("given_up") || each.path("age_ms").isNull() && wasYoung(before.get(name)),
+                assertTrue(
+                        !state.equals("down") && !state.equals("given_up")
+                                || each.path("age_ms").isNull() && wasYoung(before.get(name)),
                         name + " is said to be " + state + " and its process " + before.get(name) + " is there");
             }
             if (gone) {
                 // What ended within the last look of the agent may still be shown as it was, with its age.
-                assertTrue(!List.of("warm", "slow", "cold").contains(state) || justEnded.contains(name), name + " is said to be " + state + " and no process is there");
+                assertTrue(
+                        !List.of("warm", "slow", "cold").contains(state) || justEnded.contains(name),
+                        name + " is said to be " + state + " and no process is there");
             }
         }
     }
@@ -159,7 +216,10 @@
     private final Set<String> justEnded = new HashSet<>();
 
     private static boolean wasYoung(long pid) {
-        return ProcessHandle.of(pid).flatMap(handle -> handle.info().startInstant()).map(at -> at.isAfter(java.time.Instant.now().minusSeconds(3))).orElse(true);
+        return ProcessHandle.of(pid)
+                .flatMap(handle -> handle.info().startInstant())
+                .map(at -> at.isAfter(java.time.Instant.now().minusSeconds(3)))
+                .orElse(true);
     }
 
     private static void signal(String name, long pid) throws Exception {
@@ -167,14 +227,17 @@
     }
 
     private static boolean all(Map<String, JsonNode> list, String state) {
-        return list.size() == AGENTS * EACH && list.values().stream().allMatch(each -> each.path("state").asText().equals(state));
+        return list.size() == AGENTS * EACH
+                && list.values().stream()
+                        .allMatch(each -> each.path("state").asText().equals(state));
     }
 
     private static String state(Map<String, JsonNode> list, String name) {
         return list.containsKey(name) ? list.get(name).path("state").asText() : "";
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         for (Process agent : agents) {
             if (agent != null) {
                 agent.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
@@ -185,7 +248,8 @@
         }
     }
 
-    @Test void whatIsReportedIsSoThroughKillsStopsDrainsAndTheDeathOfAnAgent() throws Exception {
+    @Test
+    void whatIsReportedIsSoThroughKillsStopsDrainsAndTheDeathOfAnAgent() throws Exception {
         for (int i = 0; i < AGENTS; i++) {
             ports[i] = Ports.free();
             gossip[i] = Ports.free();
@@ -211,14 +275,21 @@
         signal("KILL", before.get("t1-1"));
         signal("STOP", before.get("t2-2"));
         await("t2-2 not reached", 10, list -> state(list, "t2-2").equals("unreached"));
-        await("t1-1 warm again", 15, list -> state(list, "t1-1").equals("warm") && list.get("t1-1").path("launches").asInt() == 2);
+        await(
+                "t1-1 warm again",
+                15,
+                list -> state(list, "t1-1").equals("warm")
+                        && list.get("t1-1").path("launches").asInt() == 2);
         justEnded.clear();
         signal("CONT", before.get("t2-2"));
         await("all warm", 10, list -> all(list, "warm"));
         // A drain of a zone, by the agent that is asked, at two others.
         assertEquals(0, fleet("drain", "--label", "zone=east", "--wait"), said);
         Map<String, JsonNode> drained = list();
-        drained.values().forEach(each -> assertEquals(each.path("labels").path("zone").asText().equals("east") ? "down" : "warm", each.path("state").asText()));
+        drained.values()
+                .forEach(each -> assertEquals(
+                        each.path("labels").path("zone").asText().equals("east") ? "down" : "warm",
+                        each.path("state").asText()));
         assertEquals(2 * EACH, table(new HashSet<>()).size());
         assertEquals(0, fleet("start", "--state", "down", "--wait"), said);
         await("all warm", 20, list -> all(list, "warm"));
@@ -226,8 +297,13 @@
         Map<String, Long> running = table(new HashSet<>());
         signal("STOP", agents[3].pid());
         agents[2].destroyForcibly().waitFor();
-        await("two agents not reached", 20, list -> list.size() == AGENTS * EACH && list.values().stream()
-                .allMatch(each -> each.path("state").asText().equals(each.path("host").asText().compareTo("m2") < 0 ? "warm" : "unreached")));
+        await(
+                "two agents not reached",
+                20,
+                list -> list.size() == AGENTS * EACH
+                        && list.values().stream().allMatch(each -> each.path("state")
+                                .asText()
+                                .equals(each.path("host").asText().compareTo("m2") < 0 ? "warm" : "unreached")));
         assertEquals(1, fleet("drain", "t3-1"), "an order to an agent that cannot be reached is not taken for done");
         signal("CONT", agents[3].pid());
         launch(2);
@@ -240,10 +316,15 @@
         // A roll of two more, batch by batch; then one of a version that crashes, which stops behind its first batch.
         assertEquals(0, fleet("roll", "t0-1", "t0-2", "t3-1", "--watch", "1"), said);
         Map<String, Long> rolled = table(new HashSet<>());
-        restarted.forEach((name, pid) -> assertEquals(!List.of("t0-1", "t0-2", "t3-1").contains(name), pid.equals(rolled.get(name)), name));
+        restarted.forEach((name, pid) ->
+                assertEquals(!List.of("t0-1", "t0-2", "t3-1").contains(name), pid.equals(rolled.get(name)), name));
         Files.writeString(folder.resolve("mode"), "crash");
         assertEquals(1, fleet("roll", "--host", "m0", "--watch", "1", "--warm-within", "30"), said);
-        assertTrue(said.contains("stopped: t0-1 ") && said.contains("0 done, 1 restarted and not serving yet (t0-1), " + (EACH - 1) + " not begun"), said);
+        assertTrue(
+                said.contains("stopped: t0-1 ")
+                        && said.contains(
+                                "0 done, 1 restarted and not serving yet (t0-1), " + (EACH - 1) + " not begun"),
+                said);
         Files.writeString(folder.resolve("mode"), "0");
         assertEquals(0, fleet("start", "t0-1", "--wait"), said);
         assertEquals(1, fleet("stop", "no-such-instance"));
--- a/src/test/java/merlinlever/cli/fleet/RecoverTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverTest.java
@@ -36,26 +36,49 @@
         try {
             Path good = root.resolve("good");
             try (DiskFolder folder = new DiskFolder(good)) {
-                new Store(folder).write(new Memory("b-1@127.0.0.1:1", 64, 3, System.currentTimeMillis(), System.currentTimeMillis() - 1000, 12.5, List.of()));
+                new Store(folder)
+                        .write(new Memory(
+                                "b-1@127.0.0.1:1",
+                                64,
+                                3,
+                                System.currentTimeMillis(),
+                                System.currentTimeMillis() - 1000,
+                                12.5,
+                                List.of()));
                 Ledger ledger = new Ledger(folder);
                 ledger.note("i-1", new Ledger.Noted(true, "t", 1, 1));
             }
             assertEquals(0, recover("--state", good.toString()), err::toString);
-            assertTrue(out.toString().contains("  incarnation: kept, up to 64 may have been told, goes on at 65\n"), out.toString());
+            assertTrue(
+                    out.toString().contains("  incarnation: kept, up to 64 may have been told, goes on at 65\n"),
+                    out.toString());
             assertTrue(out.toString().contains("  capacity: aged, 12.5 operations, "), out.toString());
             assertTrue(out.toString().contains("  instances: kept, 1 noted"), out.toString());
             assertEquals(1, recover("--state", good.toString(), "--owner", "b-2@127.0.0.1:2"));
-            assertTrue(out.toString().contains("  keyed work: thrown away, it is that of b-1@127.0.0.1:1, not of b-2@127.0.0.1:2"), out.toString());
+            assertTrue(
+                    out.toString()
+                            .contains(
+                                    "  keyed work: thrown away, it is that of b-1@127.0.0.1:1, not of b-2@127.0.0.1:2"),
+                    out.toString());
             Path spoilt = root.resolve("spoilt");
             Files.createDirectories(spoilt);
             Files.writeString(spoilt.resolve(Store.FILE), "0000");
             Path held = root.resolve("held");
             try (DiskFolder folder = new DiskFolder(held)) {
                 assertEquals(List.of(), folder.names());
-                assertEquals(1, recover("--state", spoilt.toString(), held.toString(), root.resolve("none").toString()));
+                assertEquals(
+                        1,
+                        recover(
+                                "--state",
+                                spoilt.toString(),
+                                held.toString(),
+                                root.resolve("none").toString()));
             }
             assertTrue(out.toString().contains("  incarnation: thrown away, spoilt: "), out.toString());
-            assertTrue(err.toString().contains("held: the state folder ") && err.toString().contains("a running process told at its start"), err.toString());
+            assertTrue(
+                    err.toString().contains("held: the state folder ")
+                            && err.toString().contains("a running process told at its start"),
+                    err.toString());
             assertTrue(err.toString().contains("none: no such folder"), err.toString());
             assertEquals(2, recover());
             assertEquals(2, recover("--state", good.toString(), "--owner", "nobody"));
--- a/src/test/java/merlinlever/cli/zone/KillTest.java
+++ b/src/test/java/merlinlever/cli/zone/KillTest.java
@@ -36,7 +36,8 @@
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
     private static final byte[] ORIGIN = name("example.org.");
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
 
     private static byte[] name(String text) {
         try {
@@ -51,26 +52,42 @@
     private BufferedReader log;
 
     private void launch() throws Exception {
-        process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC",
-                "-Xmx128m", "-cp", System.getProperty("java.class.path"), "merlinlever.cli.Main", "zone", "serve", "--config",
-                folder.resolve("c.yaml").toString()).redirectErrorStream(true).start();
+        process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-XX:+UseSerialGC",
+                        "-Xmx128m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "merlinlever.cli.Main",
+                        "zone",
+                        "serve",
+                        "--config",
+                        folder.resolve("c.yaml").toString())
+                .redirectErrorStream(true)
+                .start();
         log = new BufferedReader(new InputStreamReader(process.getInputStream()));
         StringBuilder said = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             said.append(line).append('\n');
             int at = line.indexOf("listening on ");
             if (at >= 0) {
-                address = new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
+                address =
+                        new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
                 return;
             }
         }
         throw new AssertionError("did not start: " + said);
     }
 
-    @Test void whatWasAnsweredIsThereAfterEveryKill() throws Exception {
+    @Test
+    void whatWasAnsweredIsThereAfterEveryKill() throws Exception {
         Files.writeString(folder.resolve("k"), Base64.getEncoder().encodeToString(SECRET));
-        Files.writeString(folder.resolve("z"), "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n");
-        Files.writeString(folder.resolve("c.yaml"), """
+        Files.writeString(
+                folder.resolve("z"), "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n");
+        Files.writeString(
+                folder.resolve("c.yaml"),
+                """
                 listen: 127.0.0.1:0
                 state: state
                 snapshot-after: 200
@@ -93,10 +110,15 @@
                 if (kill > 0) {
                     Zone zone = fetch(loop, asker, key);
                     for (int i = 0; i < CLIENTS; i++) {
-                        int there = zone.set(name("c" + i + ".example.org."), Types.TXT) == null ? 0
-                                : Integer.parseInt(new String(zone.set(name("c" + i + ".example.org."), Types.TXT).data(0)).substring(1));
-                        assertTrue(there >= answered[i] && there <= sent[i],
-                                "kill " + kill + ": answered " + answered[i] + ", sent " + sent[i] + ", there " + there);
+                        int there = zone.set(name("c" + i + ".example.org."), Types.TXT) == null
+                                ? 0
+                                : Integer.parseInt(new String(zone.set(name("c" + i + ".example.org."), Types.TXT)
+                                                .data(0))
+                                        .substring(1));
+                        assertTrue(
+                                there >= answered[i] && there <= sent[i],
+                                "kill " + kill + ": answered " + answered[i] + ", sent " + sent[i] + ", there "
+                                        + there);
                         all += there - before[i];
                         before[i] = there;
                         answered[i] = there;
@@ -145,7 +167,8 @@
         return fetch(loop, asker, address, key);
     }
 
-    private static void go(Asker asker, InetSocketAddress to, Tsig.Key key, int client, int[] sent, int[] answered, boolean[] over) {
+    private static void go(
+            Asker asker, InetSocketAddress to, Tsig.Key key, int client, int[] sent, int[] answered, boolean[] over) {
         if (over[0]) {
             return;
         }
@@ -153,8 +176,13 @@
         byte[] owner = name("c" + client + ".example.org.");
         byte[] text = (" " + number).getBytes();
         text[0] = (byte) (text.length - 1);
-        byte[] message = Updates.message(ORIGIN, List.of(), List.of(new Entry(owner, Types.TXT, Types.CLASS_ANY, 0, null),
-                new Entry(owner, Types.TXT, Types.IN, 60, text)), key);
+        byte[] message = Updates.message(
+                ORIGIN,
+                List.of(),
+                List.of(
+                        new Entry(owner, Types.TXT, Types.CLASS_ANY, 0, null),
+                        new Entry(owner, Types.TXT, Types.IN, 60, text)),
+                key);
         asker.ask(to, message, key, Duration.ofSeconds(1), ended -> {
             if (ended.well() && !over[0]) {
                 answered[client] = number;
@@ -174,11 +202,14 @@
         throw new AssertionError("not said: " + part + "\n" + said);
     }
 
-    @Test void aBadFileUnderLoadChangesNothingAndAGoodOneIsTakenWhole() throws Exception {
+    @Test
+    void aBadFileUnderLoadChangesNothingAndAGoodOneIsTakenWhole() throws Exception {
         String good = "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\nold TXT a\n";
         Files.writeString(folder.resolve("k"), Base64.getEncoder().encodeToString(SECRET));
         Files.writeString(folder.resolve("z"), good);
-        Files.writeString(folder.resolve("c.yaml"), """
+        Files.writeString(
+                folder.resolve("c.yaml"),
+                """
                 listen: 127.0.0.1:0
                 state: state
                 stop: 1s
@@ -206,7 +237,8 @@
             Zone zone = fetch(loop, asker, key);
             assertNotNull(zone.set(name("old.example.org."), Types.TXT));
             assertTrue(zone.serial() < 9_000_000);
-            Files.writeString(folder.resolve("z"), good.replace("host 7", "host 9000000").replace("old", "new"));
+            Files.writeString(
+                    folder.resolve("z"), good.replace("host 7", "host 9000000").replace("old", "new"));
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
             awaitLine("taken from the file: serial 9000000");
             // Seen once it is on the disk.
--- a/src/test/java/merlinlever/core/Around.java
+++ b/src/test/java/merlinlever/core/Around.java
@@ -15,14 +15,22 @@
 final class Around implements Outside, Calls {
 
     static final Map<String, String> GIVEN = Map.ofEntries(
-            Map.entry("server.cores", "4"), Map.entry("server.memory-kb", "20000"),
-            Map.entry("server.run-factor", "4"), Map.entry("server.gauges", "busy,run-queue"),
-            Map.entry("server.halt", "drop"), Map.entry("server.calls-by-tariff", "true,true"),
-            Map.entry("rules.crowd-factor", "8"), Map.entry("rules.drain-grace", "500"),
-            Map.entry("tariffs.0.name", "look"), Map.entry("tariffs.0.kind", "retriable"),
-            Map.entry("tariffs.0.soft-limit", "500"), Map.entry("tariffs.0.client-timeout", "1000"),
-            Map.entry("tariffs.1.name", "buy"), Map.entry("tariffs.1.kind", "fingerprinted"),
-            Map.entry("tariffs.1.soft-limit", "500"), Map.entry("tariffs.1.client-timeout", "1000"),
+            Map.entry("server.cores", "4"),
+            Map.entry("server.memory-kb", "20000"),
+            Map.entry("server.run-factor", "4"),
+            Map.entry("server.gauges", "busy,run-queue"),
+            Map.entry("server.halt", "drop"),
+            Map.entry("server.calls-by-tariff", "true,true"),
+            Map.entry("rules.crowd-factor", "8"),
+            Map.entry("rules.drain-grace", "500"),
+            Map.entry("tariffs.0.name", "look"),
+            Map.entry("tariffs.0.kind", "retriable"),
+            Map.entry("tariffs.0.soft-limit", "500"),
+            Map.entry("tariffs.0.client-timeout", "1000"),
+            Map.entry("tariffs.1.name", "buy"),
+            Map.entry("tariffs.1.kind", "fingerprinted"),
+            Map.entry("tariffs.1.soft-limit", "500"),
+            Map.entry("tariffs.1.client-timeout", "1000"),
             Map.entry("tariffs.1.window", "5000"));
 
     final List<String> asked = new ArrayList<>();
@@ -52,8 +60,24 @@
         List<String> heard = new ArrayList<>();
         answers.put(name, heard);
         Caller caller = new HeardCaller(heard);
-        taken.put(name, backend.arrived(now, new Backend.Asked(ids, name, backend.tariff(tariff), tariff, now,
-                now.plusMillis(1000), 10, null, false, token, null, body.getBytes(StandardCharsets.UTF_8)), caller));
+        taken.put(
+                name,
+                backend.arrived(
+                        now,
+                        new Backend.Asked(
+                                ids,
+                                name,
+                                backend.tariff(tariff),
+                                tariff,
+                                now,
+                                now.plusMillis(1000),
+                                10,
+                                null,
+                                false,
+                                token,
+                                null,
+                                body.getBytes(StandardCharsets.UTF_8)),
+                        caller));
         settle();
         return name;
     }
@@ -99,51 +123,61 @@
         return answers.get(name).get(0);
     }
 
-    @Override public void launch(Work work) {
+    @Override
+    public void launch(Work work) {
         asked.add("launch " + work.name());
     }
 
-    @Override public void freeze(Work work) {
+    @Override
+    public void freeze(Work work) {
         asked.add("freeze " + work.name());
     }
 
-    @Override public void deliver(Work work, byte[] reply) {
+    @Override
+    public void deliver(Work work, byte[] reply) {
         assertArrayEquals(new byte[] {2}, reply);
         asked.add("deliver " + work.name());
     }
 
-    @Override public void forgo(Work work) {
+    @Override
+    public void forgo(Work work) {
         asked.add("forgo " + work.name());
     }
 
-    @Override public boolean sample() {
+    @Override
+    public boolean sample() {
         return true;
     }
 
-    @Override public void exercise() {
+    @Override
+    public void exercise() {
         asked.add("exercise");
     }
 
-    @Override public Calls calls() {
+    @Override
+    public Calls calls() {
         return below;
     }
 
-    @Override public void call(Work work, byte[] body, Duration within) {
+    @Override
+    public void call(Work work, byte[] body, Duration within) {
         assertArrayEquals(new byte[] {1}, body);
         asked.add("call " + work.name());
     }
 
-    @Override public void giveUp(Work work) {
+    @Override
+    public void giveUp(Work work) {
         asked.add("give up " + work.name());
     }
 
-    @Override public void closeIdle(Duration after) {
-    }
+    @Override
+    public void closeIdle(Duration after) {}
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         alarm = at;
     }
 
-    @Override public void log(String line) {
-    }
+    @Override
+    public void log(String line) {}
 }
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/core/BackendTest.java
@@ -123,17 +123,32 @@
             Work[] works = new Work[3];
             List<String> heard = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                works[i] = around.backend.arrived(around.now, new Backend.Asked(++around.ids, "w", 0, "look", around.now,
-                        null, 10, null, false, null, "s", new byte[0]), new Caller() {
-                            @Override public void satisfied(byte[] result) {
+                works[i] = around.backend.arrived(
+                        around.now,
+                        new Backend.Asked(
+                                ++around.ids,
+                                "w",
+                                0,
+                                "look",
+                                around.now,
+                                null,
+                                10,
+                                null,
+                                false,
+                                null,
+                                "s",
+                                new byte[0]),
+                        new Caller() {
+                            @Override
+                            public void satisfied(byte[] result) {
                                 heard.add(new String(result, StandardCharsets.UTF_8));
                             }
 
-                            @Override public void pushedBack(boolean nowhereElse, Duration stayAway) {
-                            }
+                            @Override
+                            public void pushedBack(boolean nowhereElse, Duration stayAway) {}
 
-                            @Override public void brokenOff() {
-                            }
+                            @Override
+                            public void brokenOff() {}
                         });
                 around.settle();
                 if (i == 1) {
@@ -184,13 +199,15 @@
         List<String> made = new ArrayList<>();
         for (Ending how : List.of(Ending.OK, Ending.UNREACHABLE, Ending.TURNED_AWAY)) {
             around.below = new Calls() {
-                @Override public void call(Work operation, byte[] body, Duration within) {
+                @Override
+                public void call(Work operation, byte[] body, Duration within) {
                     assertTrue(body.length == 1 && within.toMillis() == 1000, "the body and the time that is left");
                     made.add(how + " " + operation.name());
                     around.backend.callEnded(around.now, operation.id(), how, new byte[] {2});
                 }
 
-                @Override public void giveUp(Work operation) {
+                @Override
+                public void giveUp(Work operation) {
                     made.add("given up " + operation.name());
                 }
             };
@@ -301,15 +318,16 @@
         early.checkDeeply(checked::add);
         assertFalse(early.healthy() || checked.get(0));
         assertEquals(null, early.arrived(Duration.ZERO, null, new Caller() {
-            @Override public void satisfied(byte[] result) {
-            }
+            @Override
+            public void satisfied(byte[] result) {}
 
-            @Override public void pushedBack(boolean nowhereElse, Duration stayAway) {
+            @Override
+            public void pushedBack(boolean nowhereElse, Duration stayAway) {
                 checked.add(true);
             }
 
-            @Override public void brokenOff() {
-            }
+            @Override
+            public void brokenOff() {}
         }));
         assertEquals(2, checked.size());
     }
@@ -325,8 +343,12 @@
         Set<String> over = new HashSet<>();
         boolean linked = true;
         for (int step = 0; step < 400; step++) {
-            List<String> running = around.asked.stream().filter(w -> w.startsWith("launch ")).map(w -> w.substring(7))
-                    .distinct().filter(n -> !over.contains(n)).toList();
+            List<String> running = around.asked.stream()
+                    .filter(w -> w.startsWith("launch "))
+                    .map(w -> w.substring(7))
+                    .distinct()
+                    .filter(n -> !over.contains(n))
+                    .toList();
             String some = running.isEmpty() ? null : running.get(chance.nextInt(running.size()));
             int what = chance.nextInt(10);
             if (what < 3) {
@@ -360,18 +382,29 @@
             Duration now = around.now;
             around.answers.forEach((name, heard) -> {
                 assertTrue(heard.size() <= 1, name + " " + heard);
-                assertTrue(heard.size() == 1 || gone.contains(name) || now.compareTo(due.get(name).plusMillis(20)) <= 0);
-                assertTrue(heard.isEmpty() || !heard.get(0).startsWith("satisfied")
-                        || heard.get(0).equals("satisfied " + tokens.get(name)), name);
+                assertTrue(heard.size() == 1
+                        || gone.contains(name)
+                        || now.compareTo(due.get(name).plusMillis(20)) <= 0);
+                assertTrue(
+                        heard.isEmpty()
+                                || !heard.get(0).startsWith("satisfied")
+                                || heard.get(0).equals("satisfied " + tokens.get(name)),
+                        name);
             });
         }
         Map<String, Set<String>> runs = new HashMap<>();
-        around.asked.stream().filter(w -> w.startsWith("launch ")).map(w -> w.substring(7))
+        around.asked.stream()
+                .filter(w -> w.startsWith("launch "))
+                .map(w -> w.substring(7))
                 .filter(n -> !tokens.get(n).equals("null"))
-                .forEach(n -> runs.computeIfAbsent(tokens.get(n), t -> new HashSet<>()).add(n));
+                .forEach(n -> runs.computeIfAbsent(tokens.get(n), t -> new HashSet<>())
+                        .add(n));
         // The windows of one mark's runs do not overlap.
         runs.values().forEach(names -> {
-            List<Duration> at = names.stream().map(n -> due.get(n).minusMillis(1000)).sorted().toList();
+            List<Duration> at = names.stream()
+                    .map(n -> due.get(n).minusMillis(1000))
+                    .sorted()
+                    .toList();
             for (int i = 1; i < at.size(); i++) {
                 assertTrue(at.get(i).minus(at.get(i - 1)).toMillis() > 5000, "" + at);
             }
--- a/src/test/java/merlinlever/core/Batches.java
+++ b/src/test/java/merlinlever/core/Batches.java
@@ -77,8 +77,22 @@
         List<String> heard = new ArrayList<>();
         around.answers.put(name, heard);
         Caller caller = new HeardCaller(heard);
-        Work work = backend.arrived(now(), new Backend.Asked(id, name, backend.tariff(tariff), tariff, arrival,
-                arrival.plus(wait), 10, null, false, token, subject, body.getBytes(StandardCharsets.UTF_8)), caller);
+        Work work = backend.arrived(
+                now(),
+                new Backend.Asked(
+                        id,
+                        name,
+                        backend.tariff(tariff),
+                        tariff,
+                        arrival,
+                        arrival.plus(wait),
+                        10,
+                        null,
+                        false,
+                        token,
+                        subject,
+                        body.getBytes(StandardCharsets.UTF_8)),
+                caller);
         around.taken.put(name, work);
         return work;
     }
@@ -109,12 +123,17 @@
 
     /** Of these, the ones that were launched. */
     List<String> launched(String... names) {
-        return List.of(names).stream().filter(name -> around.times("launch " + name) > 0).toList();
+        return List.of(names).stream()
+                .filter(name -> around.times("launch " + name) > 0)
+                .toList();
     }
 
     /** What was asked of the agent and of what lies below for this one, in order. */
     List<String> asked(String name) {
-        return around.asked.stream().filter(word -> word.endsWith(" " + name)).map(word -> word.replace(" " + name, "")).toList();
+        return around.asked.stream()
+                .filter(word -> word.endsWith(" " + name))
+                .map(word -> word.replace(" " + name, ""))
+                .toList();
     }
 
     static Map<String, String> with(String... pairs) {
--- a/src/test/java/merlinlever/core/EndingCrossingsTest.java
+++ b/src/test/java/merlinlever/core/EndingCrossingsTest.java
@@ -103,7 +103,8 @@
                 batches.settle();
             }
             assertEquals(BROKEN_OFF, batches.heard(name));
-            assertEquals(after ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
+            assertEquals(
+                    after ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
                     batches.asked(name));
             batches.ended(name, Ending.STOPPED, "");
             batches.settle();
@@ -128,7 +129,8 @@
                 batches.gone(name);
             }
             batches.settle();
-            assertEquals(goneFirst ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
+            assertEquals(
+                    goneFirst ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
                     batches.asked(name));
         }
     }
--- a/src/test/java/merlinlever/core/HeardCaller.java
+++ b/src/test/java/merlinlever/core/HeardCaller.java
@@ -7,15 +7,18 @@
 /** A caller that writes down, as words, what it is answered. */
 public record HeardCaller(List<String> heard) implements Caller {
 
-    @Override public void satisfied(byte[] result) {
+    @Override
+    public void satisfied(byte[] result) {
         heard.add("satisfied " + new String(result, StandardCharsets.UTF_8));
     }
 
-    @Override public void pushedBack(boolean nowhereElse, Duration stayAway) {
+    @Override
+    public void pushedBack(boolean nowhereElse, Duration stayAway) {
         heard.add("pushed back");
     }
 
-    @Override public void brokenOff() {
+    @Override
+    public void brokenOff() {
         heard.add("broken off");
     }
 }
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/core/InDoubtCommandsTest.java
@@ -71,8 +71,13 @@
         back(around);
         String on = around.take("buy", "w", "d");
         caughtUp(around);
-        assertEquals(List.of(1L, 2L, 2L, 1L), List.of(around.times("launch " + sure), around.times("launch " + doubtful),
-                around.times("launch " + without), around.times("launch " + on)));
+        assertEquals(
+                List.of(1L, 2L, 2L, 1L),
+                List.of(
+                        around.times("launch " + sure),
+                        around.times("launch " + doubtful),
+                        around.times("launch " + without),
+                        around.times("launch " + on)));
     }
 
     /** The clock need not move between two events of one batch: which came first counts, and not what it shows. */
--- a/src/test/java/merlinlever/core/LeaveCrossingsTest.java
+++ b/src/test/java/merlinlever/core/LeaveCrossingsTest.java
@@ -90,15 +90,18 @@
         assertFalse(early.started() || early.healthy());
         List<String> heard = new ArrayList<>();
         assertNull(early.arrived(Duration.ofMillis(6), null, new Caller() {
-            @Override public void satisfied(byte[] result) {
+            @Override
+            public void satisfied(byte[] result) {
                 heard.add("satisfied");
             }
 
-            @Override public void pushedBack(boolean nowhereElse, Duration stayAway) {
+            @Override
+            public void pushedBack(boolean nowhereElse, Duration stayAway) {
                 heard.add("pushed back");
             }
 
-            @Override public void brokenOff() {
+            @Override
+            public void brokenOff() {
                 heard.add("broken off");
             }
         }));
--- a/src/test/java/merlinlever/core/RepeatCrossingsTest.java
+++ b/src/test/java/merlinlever/core/RepeatCrossingsTest.java
@@ -285,7 +285,8 @@
         batches.settle();
         batches.replied(one, Ending.CUT_OFF);
         batches.settle();
-        assertEquals(List.of("launch", "call"), batches.asked(one), "a call that may have had its effect is not made again");
+        assertEquals(
+                List.of("launch", "call"), batches.asked(one), "a call that may have had its effect is not made again");
         assertEquals(List.of("broken off"), batches.heard(one));
         assertEquals(List.of("launch"), batches.asked(two));
     }
--- a/src/test/java/merlinlever/core/RepeatInterleavingsTest.java
+++ b/src/test/java/merlinlever/core/RepeatInterleavingsTest.java
@@ -84,7 +84,9 @@
         read.token = "t" + chance.nextInt(6);
         long late = chance.nextInt(4) == 0 ? chance.nextInt(600) : 0;
         boolean ahead = chance.nextInt(12) == 0;
-        Duration dated = ahead ? batches.now().plusMillis(chance.nextInt(4000)) : batches.now().minusMillis(late);
+        Duration dated = ahead
+                ? batches.now().plusMillis(chance.nextInt(4000))
+                : batches.now().minusMillis(late);
         read.arrival = ahead ? batches.now() : dated;
         read.due = dated.plusMillis(1000);
         read.name = batches.read("buy", read.token, null, "body of " + read.token, dated);
@@ -95,7 +97,9 @@
         for (Try each : tries) {
             long times = each.launched ? 0 : batches.around.times("launch " + each.name);
             assertTrue(times <= 1, "launched more than once");
-            assertTrue(times == 0 || graceEnds == null || each.arrival.compareTo(graceEnds) < 0, "rule 3: came after the grace");
+            assertTrue(
+                    times == 0 || graceEnds == null || each.arrival.compareTo(graceEnds) < 0,
+                    "rule 3: came after the grace");
             each.launched |= times == 1;
         }
     }
@@ -104,10 +108,15 @@
         for (Try each : tries) {
             List<String> heard = batches.heard(each.name);
             assertTrue(heard.size() <= (each.gone ? 0 : 1), each.name + " " + heard);
-            assertTrue(heard.size() == 1 || each.gone || batches.now().compareTo(each.due.plusMillis(60)) <= 0, "rule 1: in time");
+            assertTrue(
+                    heard.size() == 1 || each.gone || batches.now().compareTo(each.due.plusMillis(60)) <= 0,
+                    "rule 1: in time");
             if (!heard.isEmpty()) {
-                assertTrue(!heard.get(0).startsWith("satisfied") || heard.get(0).equals("satisfied " + each.token), each.name);
-                assertTrue(!heard.get(0).equals("pushed back") || !each.launched, "rule 2: what ran is not called unrun");
+                assertTrue(
+                        !heard.get(0).startsWith("satisfied") || heard.get(0).equals("satisfied " + each.token),
+                        each.name);
+                assertTrue(
+                        !heard.get(0).equals("pushed back") || !each.launched, "rule 2: what ran is not called unrun");
             }
         }
     }
@@ -115,13 +124,16 @@
     /** No try that came from the arrival of one that ran to the end of its window ran as well. */
     private void windows(int window) {
         Map<String, List<Try>> ran = new HashMap<>();
-        tries.stream().filter(each -> each.launched)
-                .forEach(each -> ran.computeIfAbsent(each.token, token -> new ArrayList<>()).add(each));
+        tries.stream().filter(each -> each.launched).forEach(each -> ran.computeIfAbsent(
+                        each.token, token -> new ArrayList<>())
+                .add(each));
         ran.forEach((token, runs) -> {
             for (Try one : runs) {
                 for (Try other : runs) {
                     long after = other.arrival.minus(one.arrival).toMillis();
-                    assertTrue(one == other || after < 0 || after > window, token + ": " + after + " ms after one that ran");
+                    assertTrue(
+                            one == other || after < 0 || after > window,
+                            token + ": " + after + " ms after one that ran");
                 }
             }
         });
--- a/src/test/java/merlinlever/core/RepeatMemoryTest.java
+++ b/src/test/java/merlinlever/core/RepeatMemoryTest.java
@@ -64,7 +64,9 @@
             batches.gone(again);
             batches.settle();
         }
-        assertTrue(batches.work(first).sharers.size() <= 1, batches.work(first).sharers.size() + " kept");
+        assertTrue(
+                batches.work(first).sharers.size() <= 1,
+                batches.work(first).sharers.size() + " kept");
         assertEquals(1, batches.backend.known());
     }
 
--- a/src/test/java/merlinlever/core/ShapeTest.java
+++ b/src/test/java/merlinlever/core/ShapeTest.java
@@ -27,8 +27,17 @@
 
     @Example
     void haltsAndLevelsAreCountedWhereTheWatchedSettingsDiffer() {
-        Shape shape = Shape.watching(Map.of("server.halt", "drop", "watch.halt", "pause",
-                "server.say", "level", "watch.say", "level", "watch.readiness", "true"));
+        Shape shape = Shape.watching(Map.of(
+                "server.halt",
+                "drop",
+                "watch.halt",
+                "pause",
+                "server.say",
+                "level",
+                "watch.say",
+                "level",
+                "watch.readiness",
+                "true"));
         Settled settled = new Settled();
         settled.halted.add(Conductor.UNKNOWN);
         settled.halted.add(Conductor.UNKNOWN);
--- a/src/test/java/merlinlever/core/StatedTest.java
+++ b/src/test/java/merlinlever/core/StatedTest.java
@@ -38,6 +38,7 @@
     /** A name that changed would fall back to a default in silence. */
     @Example
     void aNameThatIsNotKnownIsFound() {
-        assertEquals(List.of("family-info.cpus"), Stated.unknown(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
+        assertEquals(
+                List.of("family-info.cpus"), Stated.unknown(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
     }
 }
--- a/src/test/java/merlinlever/directory/HeartbeatsTest.java
+++ b/src/test/java/merlinlever/directory/HeartbeatsTest.java
@@ -59,7 +59,8 @@
             heartbeats.beat(false);
             DatagramPacket packet = new DatagramPacket(new byte[100], 100);
             directory.receive(packet);
-            assertEquals("PULSE n3 closed", new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8));
+            assertEquals(
+                    "PULSE n3 closed", new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8));
         }
     }
 }
--- a/src/test/java/merlinlever/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/faults/AgentFaultsTest.java
@@ -23,7 +23,8 @@
     private static final Duration SETTLE = Duration.ofSeconds(30);
 
     private static Script.Step step(long ms, Script.Kind kind, List<Integer> who, List<List<Integer>> sides) {
-        return new Script.Step(Duration.ofMillis(ms), kind, who, List.of(), false, sides, Duration.ZERO, Duration.ZERO, 0, 0);
+        return new Script.Step(
+                Duration.ofMillis(ms), kind, who, List.of(), false, sides, Duration.ZERO, Duration.ZERO, 0, 0);
     }
 
     /** Until the audit is clean or the time is out; the last breaches, none where they agreed. */
@@ -49,7 +50,8 @@
             fleet.links(links -> links.isolate(2, false));
             List<String> during = agreed(harness, Duration.ofMillis(1));
             long until = System.nanoTime() + SETTLE.toNanos();
-            while (during.stream().noneMatch(breach -> breach.startsWith("a-0 holds a-2")) && System.nanoTime() < until) {
+            while (during.stream().noneMatch(breach -> breach.startsWith("a-0 holds a-2"))
+                    && System.nanoTime() < until) {
                 Thread.sleep(300);
                 during = harness.audit();
             }
@@ -72,15 +74,23 @@
             fleet.processes().kill("a-1");
             assertEquals(List.of(), agreed(harness, SETTLE), "the two others come to hold a-1 dead");
             assertEquals(Map.of("a-0", true, "a-1", false, "a-2", true), fleet.running());
-            Harness.Verdict verdict = harness.play(new Script.Plan(3, 0x26L, Duration.ofMillis(1500), SETTLE, List.of(
-                    step(0, Script.Kind.RESTART, List.of(1), List.of()),
-                    step(1000, Script.Kind.POWER, List.of(), List.of()))));
+            Harness.Verdict verdict = harness.play(new Script.Plan(
+                    3,
+                    0x26L,
+                    Duration.ofMillis(1500),
+                    SETTLE,
+                    List.of(
+                            step(0, Script.Kind.RESTART, List.of(1), List.of()),
+                            step(1000, Script.Kind.POWER, List.of(), List.of()))));
             assertTrue(verdict.passed(), verdict.told() + "\n" + String.join("\n", log));
-            assertTrue(log.stream().anyMatch(line -> line.startsWith("laid ") && line.contains("as after a power loss")),
+            assertTrue(
+                    log.stream().anyMatch(line -> line.startsWith("laid ") && line.contains("as after a power loss")),
                     "the state folders were laid as a power loss may leave them: " + log);
             for (int i = 0; i < 3; i++) {
                 assertTrue(fleet.processes().starts("a-" + i) >= 2, "a-" + i + " was started again");
-                assertFalse(Files.readString(fleet.processes().log("a-" + i)).contains("spoilt"), "a-" + i + " trusted its ledger");
+                assertFalse(
+                        Files.readString(fleet.processes().log("a-" + i)).contains("spoilt"),
+                        "a-" + i + " trusted its ledger");
             }
         } finally {
             TestFolders.remove(root);
@@ -89,13 +99,26 @@
 
     @Example
     void drawnFaultsFromOneSeedPlayTheSameStepsAndEndInAgreement() throws Exception {
-        Map<Script.Kind, Integer> kinds = Map.of(Script.Kind.PAUSE, 2, Script.Kind.PARTITION, 1, Script.Kind.DROP, 1,
-                Script.Kind.DELAY, 1, Script.Kind.KILL, 1);
-        List<Script.Step> drawn = Script.draw(3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds));
-        assertEquals(drawn, Script.draw(3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds)));
+        Map<Script.Kind, Integer> kinds = Map.of(
+                Script.Kind.PAUSE,
+                2,
+                Script.Kind.PARTITION,
+                1,
+                Script.Kind.DROP,
+                1,
+                Script.Kind.DELAY,
+                1,
+                Script.Kind.KILL,
+                1);
+        List<Script.Step> drawn = Script.draw(
+                3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds));
+        assertEquals(
+                drawn,
+                Script.draw(
+                        3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds)));
         Path root = Files.createTempDirectory("merlinlever-faults");
         try (AgentFleet fleet = new AgentFleet(root, 3, AgentFleet.sameJava(), 0x2026L)) {
-            Harness harness = new Harness(fleet, 0x2026L, line -> { });
+            Harness harness = new Harness(fleet, 0x2026L, line -> {});
             harness.startAll(START);
             assertEquals(List.of(), agreed(harness, SETTLE));
             Harness.Verdict verdict = harness.play(new Script.Plan(3, 0x2026L, Duration.ofSeconds(6), SETTLE, drawn));
--- a/src/test/java/merlinlever/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/faults/PowerLossTest.java
@@ -42,8 +42,12 @@
             failed.addAll(power.end());
             failed.addAll(power.incarnations());
             long[] counts = fleet.rules().counts();
-            assertTrue(counts[0] > 100 && counts[4] > 20, "there was load: " + counts[0] + " satisfied, " + counts[4] + " with an effect");
-            assertEquals((last - first + 1), log.stream().filter(line -> line.contains(", seed ")).count());
+            assertTrue(
+                    counts[0] > 100 && counts[4] > 20,
+                    "there was load: " + counts[0] + " satisfied, " + counts[4] + " with an effect");
+            assertEquals(
+                    (last - first + 1),
+                    log.stream().filter(line -> line.contains(", seed ")).count());
         } finally {
             TestFolders.remove(root);
         }
@@ -75,11 +79,14 @@
     @Example
     void withoutWhatIsKeptTheSameLossesHaveEffectsTwice() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-power");
-        try (ServeFleet fleet = new ServeFleet(root, new ServeFleet.Stated(3, false, 25, Duration.ofSeconds(8)), AgentFleet.sameJava(), 0x77L)) {
-            PowerLoss power = new PowerLoss(fleet, PATIENCE, line -> { });
+        try (ServeFleet fleet = new ServeFleet(
+                root, new ServeFleet.Stated(3, false, 25, Duration.ofSeconds(8)), AgentFleet.sameJava(), 0x77L)) {
+            PowerLoss power = new PowerLoss(fleet, PATIENCE, line -> {});
             power.begin();
             List<String> found = new ArrayList<>();
-            for (int i = 0; i < 8 && found.stream().noneMatch(breach -> breach.startsWith("effect twice: operation ")); i++) {
+            for (int i = 0;
+                    i < 8 && found.stream().noneMatch(breach -> breach.startsWith("effect twice: operation "));
+                    i++) {
                 found.addAll(power.play(PowerLoss.Kind.ALL, i).breaches());
             }
             assertTrue(found.stream().anyMatch(breach -> breach.startsWith("effect twice: operation ")), "" + found);
@@ -101,8 +108,13 @@
         rules.answered("op", "t3", 200, "else", 4);
         rules.answered("op", "t1", 503, "", -5);
         rules.unanswered("op", "t4", false, "its connection ended");
-        assertEquals(List.of("effect twice: operation op, by t1 at b-0 and t3 at b-1", "late: try t3 of op was answered 200 4 ms after its due time",
-                "no run made it: try t3 of op was satisfied with 'else'", "pushed back after it began: try t1 of op",
-                "lost: try t4 of op, its connection ended"), rules.breaches());
+        assertEquals(
+                List.of(
+                        "effect twice: operation op, by t1 at b-0 and t3 at b-1",
+                        "late: try t3 of op was answered 200 4 ms after its due time",
+                        "no run made it: try t3 of op was satisfied with 'else'",
+                        "pushed back after it began: try t1 of op",
+                        "lost: try t4 of op, its connection ended"),
+                rules.breaches());
     }
 }
--- a/src/test/java/merlinlever/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/faults/RoutesModelTest.java
@@ -26,7 +26,12 @@
 
     /** a and c are customers of b, which is a peer of d. */
     private static RoutesModel model(long seed) {
-        return new RoutesModel(seed, 5, LEASE, List.of("a", "b", "c", "d"), Map.of("b a", Relation.CUSTOMER, "b c", Relation.CUSTOMER, "b d", Relation.PEER));
+        return new RoutesModel(
+                seed,
+                5,
+                LEASE,
+                List.of("a", "b", "c", "d"),
+                Map.of("b a", Relation.CUSTOMER, "b c", Relation.CUSTOMER, "b d", Relation.PEER));
     }
 
     private static void passed(RoutesModel model) {
@@ -39,7 +44,8 @@
         return model.hasWay(model.site(site).nodes.get(node));
     }
 
-    @Example void allBackendsOfASiteComeToTheSame() {
+    @Example
+    void allBackendsOfASiteComeToTheSame() {
         RoutesModel model = model(1);
         model.loss = 0.2;
         model.run(12_000, 1);
@@ -51,7 +57,8 @@
         passed(model);
     }
 
-    @Example void tightenedWhileHalfIsCutOff() {
+    @Example
+    void tightenedWhileHalfIsCutOff() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RoutesModel model = model(seed);
             model.run(10_000, 1);
@@ -66,7 +73,9 @@
             assertTrue(model.audit.counts()[0] > 50, "calls were sent");
             model.run(LEASE.toMillis(), 2);
             for (int node = 0; node < 5; node++) {
-                assertFalse(model.merged(model.site("b").nodes.get(node)).contains("[a]"), "backend " + node + " has a route of a still");
+                assertFalse(
+                        model.merged(model.site("b").nodes.get(node)).contains("[a]"),
+                        "backend " + node + " has a route of a still");
             }
             // Looser again: those that are cut off and few do not take it on, the others do.
             model.cut.clear();
@@ -81,10 +90,23 @@
         }
     }
 
-    @Example void aPartnerThatLeaksAnothersTable() {
+    @Example
+    void aPartnerThatLeaksAnothersTable() {
         // d leaks to b what it has of c over its provider e; b is d's peer.
-        RoutesModel model = new RoutesModel(3, 3, LEASE, List.of("a", "b", "c", "d", "e"),
-                Map.of("d e", Relation.PROVIDER, "e c", Relation.CUSTOMER, "b d", Relation.PEER, "b a", Relation.CUSTOMER));
+        RoutesModel model = new RoutesModel(
+                3,
+                3,
+                LEASE,
+                List.of("a", "b", "c", "d", "e"),
+                Map.of(
+                        "d e",
+                        Relation.PROVIDER,
+                        "e c",
+                        Relation.CUSTOMER,
+                        "b d",
+                        Relation.PEER,
+                        "b a",
+                        Relation.CUSTOMER));
         model.site("d").leaks = true;
         model.audit.leaks("d");
         model.run(12_000, 1);
@@ -98,9 +120,22 @@
         passed(model);
     }
 
-    @Example void aCircleOfFourThatReExport() {
-        RoutesModel model = new RoutesModel(4, 3, LEASE, List.of("a", "b", "c", "d"), Map.of("a b", Relation.PROVIDER, "b c", Relation.PROVIDER,
-                "a d", Relation.PROVIDER, "d c", Relation.PROVIDER));
+    @Example
+    void aCircleOfFourThatReExport() {
+        RoutesModel model = new RoutesModel(
+                4,
+                3,
+                LEASE,
+                List.of("a", "b", "c", "d"),
+                Map.of(
+                        "a b",
+                        Relation.PROVIDER,
+                        "b c",
+                        Relation.PROVIDER,
+                        "a d",
+                        Relation.PROVIDER,
+                        "d c",
+                        Relation.PROVIDER));
         model.run(15_000, 1);
         assertTrue(model.merged(model.site("d").nodes.get(2)).contains("path=[c, b]"));
         model.site("a").serviceUp = false;
@@ -108,11 +143,13 @@
         model.run(5000, 2);
         model.site("a").restrict(null);
         model.run(4 * LEASE.toMillis(), 2);
-        model.sites.forEach(site -> site.nodes.forEach(node -> assertFalse(model.merged(node).contains("a]"), site.name)));
+        model.sites.forEach(site ->
+                site.nodes.forEach(node -> assertFalse(model.merged(node).contains("a]"), site.name)));
         passed(model);
     }
 
-    @Example void aPartnerBackWithAnOlderTableAndASilentOne() {
+    @Example
+    void aPartnerBackWithAnOlderTableAndASilentOne() {
         RoutesModel model = model(5);
         model.run(10_000, 1);
         model.site("a").restrict(notTo("d"));
@@ -132,7 +169,8 @@
         passed(model);
     }
 
-    @Example void ownServiceLostInTheMiddleOfTwoHundredCalls() {
+    @Example
+    void ownServiceLostInTheMiddleOfTwoHundredCalls() {
         for (boolean without : new boolean[] {false, true}) {
             RoutesModel model = model(6);
             model.run(10_000, 0);
@@ -144,12 +182,15 @@
             model.later(500, () -> model.site("b").serviceUp = false);
             passed(model);
             assertEquals(200, model.site("b").served + model.site("b").brokenOff);
-            assertTrue(without ? model.site("b").served <= 105 : model.site("b").served >= 185, without + ": " + model.site("b").served);
+            assertTrue(
+                    without ? model.site("b").served <= 105 : model.site("b").served >= 185,
+                    without + ": " + model.site("b").served);
         }
     }
 
     /** Whatever asks again: what may have had its effect goes no second way. */
-    @Example void noEffectTwiceThoughAnswersAreLost() {
+    @Example
+    void noEffectTwiceThoughAnswersAreLost() {
         RoutesModel model = model(7);
         model.run(10_000, 0);
         model.site("b").serviceUp = false;
@@ -161,7 +202,8 @@
     }
 
     /** The backend that read the table is killed while its words are on their way. */
-    @Example void theReaderKilledWhileATableIsAdopted() {
+    @Example
+    void theReaderKilledWhileATableIsAdopted() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RoutesModel model = model(seed);
             model.run(8000, 1);
@@ -174,12 +216,16 @@
             model.site("b").nodes.forEach(node -> assertEquals(second, node.up ? model.merged(node) : second));
             model.site("b").nodes.get(0).begin();
             model.run(8000, 1);
-            model.site("b").nodes.forEach(node -> assertEquals(model.merged(model.site("b").nodes.get(1)), model.merged(node)));
+            model.site("b")
+                    .nodes
+                    .forEach(node ->
+                            assertEquals(model.merged(model.site("b").nodes.get(1)), model.merged(node)));
             passed(model);
         }
     }
 
-    @Example void drawnTroubles() {
+    @Example
+    void drawnTroubles() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RoutesModel model = model(seed * 77L + 5);
             SplittableRandom chance = new SplittableRandom(seed);
@@ -188,9 +234,17 @@
                 RoutesModel.Site site = model.sites.get(chance.nextInt(4));
                 RoutesModel.Node node = site.nodes.get(chance.nextInt(5));
                 switch (chance.nextInt(10)) {
-                    case 0 -> site.restrict(chance.nextInt(4) == 0 ? null : new Restrictions(chance.nextBoolean() ? null : new TreeSet<>(Set.of("b", "c")),
-                            new TreeSet<>(Set.of(chance.nextBoolean() ? "d" : "c")), chance.nextBoolean(), 1 + chance.nextInt(3), chance.nextBoolean(),
-                            chance.nextBoolean(), false));
+                    case 0 -> site.restrict(
+                            chance.nextInt(4) == 0
+                                    ? null
+                                    : new Restrictions(
+                                            chance.nextBoolean() ? null : new TreeSet<>(Set.of("b", "c")),
+                                            new TreeSet<>(Set.of(chance.nextBoolean() ? "d" : "c")),
+                                            chance.nextBoolean(),
+                                            1 + chance.nextInt(3),
+                                            chance.nextBoolean(),
+                                            chance.nextBoolean(),
+                                            false));
                     case 1 -> site.restrict(Restrictions.NONE);
                     case 2 -> node.up = false;
                     case 3 -> site.nodes.stream().filter(each -> !each.up).forEach(RoutesModel.Node::begin);
--- a/src/test/java/merlinlever/faults/TestFolders.java
+++ b/src/test/java/merlinlever/faults/TestFolders.java
@@ -11,8 +11,7 @@
 /** Folders of tests, and a record kept in memory. */
 public final class TestFolders {
 
-    private TestFolders() {
-    }
+    private TestFolders() {}
 
     /** Removes it with all that is in it. */
     public static void remove(Path folder) {
@@ -27,12 +26,13 @@
 
     public static Recorded.Record into(List<String> lines) {
         return new Recorded.Record() {
-            @Override public void line(String text) {
+            @Override
+            public void line(String text) {
                 lines.add(text);
             }
 
-            @Override public void close() {
-            }
+            @Override
+            public void close() {}
         };
     }
 }
--- a/src/test/java/merlinlever/faults/ViewFaultsTest.java
+++ b/src/test/java/merlinlever/faults/ViewFaultsTest.java
@@ -24,7 +24,11 @@
     private static List<String> some(int part, int parts) throws Exception {
         Path root = Files.createTempDirectory("merlinlever-view");
         List<String> failed = new ArrayList<>();
-        try (ServeFleet fleet = new ServeFleet(root, new ServeFleet.Stated(5, true, 1, Duration.ofSeconds(4), null, true), AgentFleet.sameJava(), 0x2800L + part)) {
+        try (ServeFleet fleet = new ServeFleet(
+                root,
+                new ServeFleet.Stated(5, true, 1, Duration.ofSeconds(4), null, true),
+                AgentFleet.sameJava(),
+                0x2800L + part)) {
             ViewFaults faults = new ViewFaults(fleet, PATIENCE);
             faults.begin();
             ViewFaults.Kind[] kinds = ViewFaults.Kind.values();
--- a/src/test/java/merlinlever/faults/ViewModelTest.java
+++ b/src/test/java/merlinlever/faults/ViewModelTest.java
@@ -39,7 +39,9 @@
 
     private static void agrees(ViewModel model, long most, int changes, long since) {
         long took = model.untilAgreed(most);
-        assertTrue(took >= 0, () -> "not agreed within " + most + " ms on " + model.running() + "\n" + String.join("\n", model.log));
+        assertTrue(
+                took >= 0,
+                () -> "not agreed within " + most + " ms on " + model.running() + "\n" + String.join("\n", model.log));
         assertEquals(changes, model.changesSince(since), () -> String.join("\n", model.log));
         sound(model);
     }
@@ -145,8 +147,10 @@
             agrees(model, 1000, 1, since);
             since = model.highest();
             model.run(1050);
-            // Where its clock went on it knows at once that it knows nothing; where that stood too, nothing tells it, but its lease lies behind.
-            assertTrue(still || model.nodes[who].standing() == Standing.RETURNING, () -> model.nodes[who].standing() + "");
+            // Where its clock went on it knows at once that it knows nothing; where that stood too, nothing tells it,
+            // but its lease lies behind.
+            assertTrue(
+                    still || model.nodes[who].standing() == Standing.RETURNING, () -> model.nodes[who].standing() + "");
             agrees(model, 15_000, 1, since);
         }
     }
@@ -203,7 +207,8 @@
         boolean told = false;
         for (int i = 0; i < 600; i++) {
             model.step();
-            told |= model.nodes[4].standing() == Standing.DISAGREEING || model.nodes[5].standing() == Standing.DISAGREEING;
+            told |= model.nodes[4].standing() == Standing.DISAGREEING
+                    || model.nodes[5].standing() == Standing.DISAGREEING;
         }
         assertTrue(told);
         assertTrue(model.changesSince(since) <= 1);
@@ -252,7 +257,8 @@
                 model.step();
                 quiet++;
                 if (quiet * ViewModel.STEP > 8000 && side > 0) {
-                    assertTrue(model.decidersOnOneSide(), "seed " + seed + " at " + model.now + ": two sides may decide");
+                    assertTrue(
+                            model.decidersOnOneSide(), "seed " + seed + " at " + model.now + ": two sides may decide");
                 }
             }
             model.heal();
@@ -262,7 +268,9 @@
                 }
             }
             int which = seed;
-            assertTrue(model.untilAgreed(400_000) >= 0, () -> "seed " + which + " never agreed\n" + String.join("\n", model.log));
+            assertTrue(
+                    model.untilAgreed(400_000) >= 0,
+                    () -> "seed " + which + " never agreed\n" + String.join("\n", model.log));
             assertEquals("[]", model.breaches.toString(), () -> "seed " + which + "\n" + String.join("\n", model.log));
         }
     }
--- a/src/test/java/merlinlever/faults/audit/IncarnationsTest.java
+++ b/src/test/java/merlinlever/faults/audit/IncarnationsTest.java
@@ -13,7 +13,12 @@
     private final Incarnations audit = new Incarnations();
 
     private static Members.Message telling(String from, String of, long incarnation) {
-        return new Members.Message(Members.Kind.PING, from, 1, "", List.of(new Views.Rumour(of, "127.0.0.1:1", "-", Views.Status.ALIVE, incarnation)));
+        return new Members.Message(
+                Members.Kind.PING,
+                from,
+                1,
+                "",
+                List.of(new Views.Rumour(of, "127.0.0.1:1", "-", Views.Status.ALIVE, incarnation)));
     }
 
     private void tells(String to, long incarnation) {
@@ -53,8 +58,13 @@
         tells("b-1", 5);
         audit.sent("b-0", "b-1", telling("b-2", "b-1", 9));
         audit.sent("b-0", "b-1", null);
-        assertEquals(List.of("b-0 tells incarnation 7 in life 2; its lives before told up to 7", "b-0 tells b-2 incarnation 6 after 8 in life 2",
-                "b-0 tells incarnation 5 in life 3; its lives before told up to 8", "b-0 sent under the name of b-2"), audit.breaches());
+        assertEquals(
+                List.of(
+                        "b-0 tells incarnation 7 in life 2; its lives before told up to 7",
+                        "b-0 tells b-2 incarnation 6 after 8 in life 2",
+                        "b-0 tells incarnation 5 in life 3; its lives before told up to 8",
+                        "b-0 sent under the name of b-2"),
+                audit.breaches());
         assertEquals(1, audit.counts()[1]);
         assertEquals(4, audit.breached());
     }
--- a/src/test/java/merlinlever/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/faults/disk/CrashStatesTest.java
@@ -34,9 +34,13 @@
     }
 
     private static boolean holds(List<CrashStates.State> states, int cut, Map<String, String> files) {
-        return states.stream().anyMatch(state -> state.cut() == cut && state.files().size() == files.size()
-                && files.entrySet().stream().allMatch(file -> state.files().containsKey(file.getKey())
-                        && new String(state.files().get(file.getKey()), StandardCharsets.US_ASCII).equals(file.getValue())));
+        return states.stream()
+                .anyMatch(state -> state.cut() == cut
+                        && state.files().size() == files.size()
+                        && files.entrySet().stream()
+                                .allMatch(file -> state.files().containsKey(file.getKey())
+                                        && new String(state.files().get(file.getKey()), StandardCharsets.US_ASCII)
+                                                .equals(file.getValue())));
     }
 
     @Example
@@ -52,32 +56,47 @@
         assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwoth")), "the next torn");
         assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwo\0\0\0\0\0four")), "the last alone");
         // Never more than was written, never something that was not.
-        assertTrue(states.stream().noneMatch(state -> state.files().containsKey("b")
-                && new String(state.files().get("b"), StandardCharsets.US_ASCII).contains("fourthree")));
+        assertTrue(states.stream()
+                .noneMatch(state -> state.files().containsKey("b")
+                        && new String(state.files().get("b"), StandardCharsets.US_ASCII).contains("fourthree")));
         // Each state once, over the whole record too.
         states = all(record);
-        assertEquals(states.size(), states.stream().map(state -> state.files().toString() + state.files().keySet()
-                + state.files().values().stream().map(octets -> new String(octets, StandardCharsets.US_ASCII)).toList())
-                .distinct().count());
+        assertEquals(
+                states.size(),
+                states.stream()
+                        .map(state -> state.files().toString()
+                                + state.files().keySet()
+                                + state.files().values().stream()
+                                        .map(octets -> new String(octets, StandardCharsets.US_ASCII))
+                                        .toList())
+                        .distinct()
+                        .count());
     }
 
     @Example
     void aRenameReturnsForcedAndADeleteNeedsTheFolderForced() throws CrashStates.Malformed {
-        String record = "had x " + b64("1") + "\nopen x.new\nwrite x.new 0 " + b64("2") + "\nforce x.new\nrename x.new x\n"
-                + "delete x\n";
+        String record = "had x " + b64("1") + "\nopen x.new\nwrite x.new 0 " + b64("2")
+                + "\nforce x.new\nrename x.new x\n" + "delete x\n";
         List<CrashStates.State> states = all(record);
         assertTrue(holds(states, 5, Map.of("x", "2")));
         List<CrashStates.State> last = CrashStates.of(record).last();
-        assertTrue(states.stream().filter(state -> state.cut() == 5).noneMatch(state -> state.files().containsKey("x")
-                && new String(state.files().get("x"), StandardCharsets.US_ASCII).equals("1")), "a rename is not undone");
+        assertTrue(
+                states.stream()
+                        .filter(state -> state.cut() == 5)
+                        .noneMatch(state -> state.files().containsKey("x")
+                                && new String(state.files().get("x"), StandardCharsets.US_ASCII).equals("1")),
+                "a rename is not undone");
         assertTrue(holds(last, 6, Map.of()) && holds(last, 6, Map.of("x", "2")), "the delete may or may not be there");
     }
 
     @Example
     void aLineThatIsNotTheSeamsIsToldWithItsNumber() {
-        assertEquals("line 2: 'scribble' is none of folder, had, open, write, force, truncate, rename, delete, sync",
-                assertThrows(CrashStates.Malformed.class, () -> CrashStates.of("open a\nscribble a\n")).getMessage());
-        assertThrows(CrashStates.Malformed.class, () -> CrashStates.of("write a 0 " + b64("x") + "\n").each(state -> { }));
+        assertEquals(
+                "line 2: 'scribble' is none of folder, had, open, write, force, truncate, rename, delete, sync",
+                assertThrows(CrashStates.Malformed.class, () -> CrashStates.of("open a\nscribble a\n"))
+                        .getMessage());
+        assertThrows(CrashStates.Malformed.class, () -> CrashStates.of("write a 0 " + b64("x") + "\n")
+                .each(state -> {}));
     }
 
     /**
@@ -93,7 +112,8 @@
             List<Map<String, Ledger.Noted>> after = new ArrayList<>();
             List<Integer> returnedAt = new ArrayList<>();
             Map<String, Ledger.Noted> now = new java.util.TreeMap<>();
-            try (Ledger ledger = new Ledger(new Recorded(new DiskFolder(root.resolve("day")), TestFolders.into(lines), "day"))) {
+            try (Ledger ledger =
+                    new Ledger(new Recorded(new DiskFolder(root.resolve("day")), TestFolders.into(lines), "day"))) {
                 for (int i = 0; i < 24; i++) {
                     String instance = "i-" + chance.nextInt(4);
                     Ledger.Noted noted = new Ledger.Noted(chance.nextBoolean(), "t" + i, chance.nextInt(1, 99_999), i);
@@ -116,8 +136,9 @@
                     try (Ledger opened = new Ledger(folder)) {
                         boolean asBefore = agrees(opened, done == 0 ? Map.of() : after.get(done - 1));
                         boolean asNext = done < after.size() && agrees(opened, after.get(done));
-                        assertTrue(asBefore || asNext, "cut " + state.cut() + " (" + state.how() + ") after "
-                                + done + " notes returned");
+                        assertTrue(
+                                asBefore || asNext,
+                                "cut " + state.cut() + " (" + state.how() + ") after " + done + " notes returned");
                     }
                 } catch (IOException | Ledger.Spoilt e) {
                     throw new AssertionError("cut " + state.cut() + " (" + state.how() + "): " + e.getMessage(), e);
@@ -146,7 +167,8 @@
         Path folder = Files.createTempDirectory("merlinlever-lay");
         try {
             Files.writeString(folder.resolve("stale"), "gone");
-            CrashStates.State state = CrashStates.of("had k " + b64("v") + "\n").last().get(0);
+            CrashStates.State state =
+                    CrashStates.of("had k " + b64("v") + "\n").last().get(0);
             Lay.into(folder, state);
             assertArrayEquals("v".getBytes(StandardCharsets.US_ASCII), Files.readAllBytes(folder.resolve("k")));
             assertTrue(Files.notExists(folder.resolve("stale")));
@@ -164,6 +186,12 @@
                 assertEquals(Set.of("a"), state.files().keySet(), cutOff + state.how());
             }
         }
-        assertEquals(Set.of("b"), CrashStates.of(before + "folder f 1\nhad b eA==\n").last().get(0).files().keySet());
+        assertEquals(
+                Set.of("b"),
+                CrashStates.of(before + "folder f 1\nhad b eA==\n")
+                        .last()
+                        .get(0)
+                        .files()
+                        .keySet());
     }
 }
--- a/src/test/java/merlinlever/faults/link/LinksTest.java
+++ b/src/test/java/merlinlever/faults/link/LinksTest.java
@@ -17,8 +17,11 @@
 
     /** A stream keeps its order and its pace whatever the jitter; a datagram is never earlier than its delay. */
     @Property(tries = 200, seed = "24")
-    void aStreamKeepsItsOrderAndItsPace(@ForAll long seed, @ForAll @IntRange(min = 0, max = 200) int delayMs,
-            @ForAll @IntRange(min = 0, max = 200) int jitterMs, @ForAll @IntRange(min = 1_000, max = 1_000_000) int bytes) {
+    void aStreamKeepsItsOrderAndItsPace(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 0, max = 200) int delayMs,
+            @ForAll @IntRange(min = 0, max = 200) int jitterMs,
+            @ForAll @IntRange(min = 1_000, max = 1_000_000) int bytes) {
         SplittableRandom chance = new SplittableRandom(seed);
         Links links = new Links(2);
         links.set(0, 1, new Links.Fault(0, 0, Duration.ofMillis(delayMs), Duration.ofMillis(jitterMs), bytes, false));
@@ -31,7 +34,9 @@
             carried += size;
             assertTrue(leaves.compareTo(last) >= 0, "in order");
             assertTrue(leaves.compareTo(now.plusMillis(delayMs)) >= 0, "not before its delay");
-            assertTrue(leaves.toNanos() + 50 >= carried * 1_000_000_000L / bytes, "not faster than the bound, but for rounding");
+            assertTrue(
+                    leaves.toNanos() + 50 >= carried * 1_000_000_000L / bytes,
+                    "not faster than the bound, but for rounding");
             last = leaves;
             for (Duration at : links.datagram(now, 1, 0, size, chance)) {
                 assertEquals(now, at, "the other way has no fault");
--- a/src/test/java/merlinlever/faults/proc/PortsTest.java
+++ b/src/test/java/merlinlever/faults/proc/PortsTest.java
@@ -17,8 +17,7 @@
 
     /** Starts where it is told, takes so many, and holds them until its input ends. */
     public static final class Taker {
-        private Taker() {
-        }
+        private Taker() {}
 
         public static void main(String[] args) throws Exception {
             Ports.from(Integer.parseInt(args[0]));
@@ -39,12 +38,24 @@
         List<Process> takers = new ArrayList<>();
         try {
             for (int i = 0; i < 2; i++) {
-                takers.add(new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-Xmx32m",
-                        "-cp", System.getProperty("java.class.path"), Taker.class.getName(), "4321", "" + each).redirectErrorStream(true).start());
+                takers.add(new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx32m",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Taker.class.getName(),
+                                "4321",
+                                "" + each)
+                        .redirectErrorStream(true)
+                        .start());
             }
             Set<String> all = new TreeSet<>();
             for (Process taker : takers) {
-                String line = new java.io.BufferedReader(new java.io.InputStreamReader(taker.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+                String line = new java.io.BufferedReader(
+                                new java.io.InputStreamReader(taker.getInputStream(), StandardCharsets.US_ASCII))
+                        .readLine();
                 all.addAll(List.of(line.strip().split(" ")));
             }
             assertEquals(2 * each, all.size(), "each its own: " + all);
--- a/src/test/java/merlinlever/faults/script/ScriptTest.java
+++ b/src/test/java/merlinlever/faults/script/ScriptTest.java
@@ -18,17 +18,38 @@
 
 class ScriptTest {
 
-    private static final Map<Script.Kind, Integer> ALL = new EnumMap<>(Map.of(Script.Kind.KILL, 2, Script.Kind.PAUSE, 2,
-            Script.Kind.POWER, 1, Script.Kind.ISOLATE, 1, Script.Kind.PARTITION, 1, Script.Kind.DELAY, 1, Script.Kind.DROP, 1,
-            Script.Kind.SLOW, 1, Script.Kind.TERM, 1));
+    private static final Map<Script.Kind, Integer> ALL = new EnumMap<>(Map.of(
+            Script.Kind.KILL,
+            2,
+            Script.Kind.PAUSE,
+            2,
+            Script.Kind.POWER,
+            1,
+            Script.Kind.ISOLATE,
+            1,
+            Script.Kind.PARTITION,
+            1,
+            Script.Kind.DELAY,
+            1,
+            Script.Kind.DROP,
+            1,
+            Script.Kind.SLOW,
+            1,
+            Script.Kind.TERM,
+            1));
 
     /** Drawn steps lie within the length, in order, and each fault is undone by a later step of its kind. */
     @Property(tries = 300, seed = "24")
-    void drawnFaultsAreInOrderAndEachIsUndone(@ForAll long seed, @ForAll @IntRange(min = 1, max = 9) int processes,
+    void drawnFaultsAreInOrderAndEachIsUndone(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 9) int processes,
             @ForAll @IntRange(min = 1, max = 40) int count) {
         Duration length = Duration.ofSeconds(20);
         List<Script.Step> steps = Script.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL);
-        assertEquals(steps, Script.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL), "the same seed, the same steps");
+        assertEquals(
+                steps,
+                Script.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL),
+                "the same seed, the same steps");
         assertEquals(2 * count, steps.size());
         for (int i = 0; i < steps.size(); i++) {
             Script.Step step = steps.get(i);
@@ -36,12 +57,15 @@
             assertTrue(i == 0 || steps.get(i - 1).at().compareTo(step.at()) <= 0, "in order");
             step.who().forEach(member -> assertTrue(member >= 0 && member < processes, step.told()));
             if (step.kind() == Script.Kind.PARTITION) {
-                assertEquals(processes, step.sides().stream().mapToInt(List::size).sum(), step.told());
+                assertEquals(
+                        processes, step.sides().stream().mapToInt(List::size).sum(), step.told());
                 assertTrue(step.sides().stream().noneMatch(List::isEmpty) || processes == 1, step.told());
             }
         }
-        long undoing = steps.stream().filter(step -> List.of(Script.Kind.RESTART, Script.Kind.RESUME, Script.Kind.HEAL)
-                .contains(step.kind())).count();
+        long undoing = steps.stream()
+                .filter(step -> List.of(Script.Kind.RESTART, Script.Kind.RESUME, Script.Kind.HEAL)
+                        .contains(step.kind()))
+                .count();
         assertEquals(count, undoing, "each drawn fault is undone");
     }
 
@@ -49,20 +73,30 @@
     void aScriptIsReadWithItsDrawnStepsAndAFaultyOneIsToldByLine() throws Exception {
         Path file = Files.createTempFile("faults", ".yaml");
         try {
-            Files.writeString(file, "processes: 3\nseed: \"24\"\nlength: 5s\nsteps:\n  - {at: 1s, do: isolate, who: [2]}\n"
-                    + "  - {at: 2s, do: heal}\ndraw:\n  count: 2\n  kinds: {kill: 1}\n");
+            Files.writeString(
+                    file,
+                    "processes: 3\nseed: \"24\"\nlength: 5s\nsteps:\n  - {at: 1s, do: isolate, who: [2]}\n"
+                            + "  - {at: 2s, do: heal}\ndraw:\n  count: 2\n  kinds: {kill: 1}\n");
             Script.Plan plan = Script.read(Sheet.read(file, "faults"));
             assertEquals(6, plan.steps().size());
-            assertEquals(Script.Kind.ISOLATE, plan.steps().stream().filter(step -> step.at().equals(Duration.ofSeconds(1)))
-                    .findFirst().orElseThrow().kind());
+            assertEquals(
+                    Script.Kind.ISOLATE,
+                    plan.steps().stream()
+                            .filter(step -> step.at().equals(Duration.ofSeconds(1)))
+                            .findFirst()
+                            .orElseThrow()
+                            .kind());
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: explode}\n");
-            String told = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "faults")).getMessage();
+            String told = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "faults"))
+                    .getMessage();
             assertTrue(told.startsWith(file + ":4: steps.0.do: "), told);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: kill, who: [3]}\n");
-            told = assertThrows(Sheet.Unusable.class, () -> Script.read(Sheet.read(file, "faults"))).getMessage();
+            told = assertThrows(Sheet.Unusable.class, () -> Script.read(Sheet.read(file, "faults")))
+                    .getMessage();
             assertTrue(told.contains("process 3 of 3 (they are numbered from 0)"), told);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 9s, do: heal}\n");
-            told = assertThrows(Sheet.Unusable.class, () -> Script.read(Sheet.read(file, "faults"))).getMessage();
+            told = assertThrows(Sheet.Unusable.class, () -> Script.read(Sheet.read(file, "faults")))
+                    .getMessage();
             assertTrue(told.contains("after the length"), told);
         } finally {
             Files.delete(file);
--- a/src/test/java/merlinlever/faults/timeline/LogsTest.java
+++ b/src/test/java/merlinlever/faults/timeline/LogsTest.java
@@ -17,7 +17,9 @@
     void whatTheHarnessDidAndWhatTheProcessesLoggedAreOneTimeline() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-logs");
         try {
-            Path one = Files.writeString(root.resolve("one"), """
+            Path one = Files.writeString(
+                    root.resolve("one"),
+                    """
                     2026-12-02T00:59:59.999Z INFO recovery: from before
                     2026-12-02T01:00:00.250Z INFO recovery: terms: led by b-1, term 3
                     2026-12-02T01:00:00.260Z INFO config: not of this
