--- a/src/test/java/merlinlever/faults/timeline/PlaysTest.java
+++ b/src/test/java/merlinlever/faults/timeline/PlaysTest.java
@@ -26,7 +26,8 @@
             String one = i < was.size() ? was.get(i) : "(nothing)";
             String other = i < is.size() ? is.get(i) : "(nothing)";
             if (!one.equals(other)) {
-                return name + " is drawn otherwise, first on line " + (i + 1) + ":\n  was " + one + "\n  is  " + other + "\nnow it is\n" + drawn;
+                return name + " is drawn otherwise, first on line " + (i + 1) + ":\n  was " + one + "\n  is  " + other
+                        + "\nnow it is\n" + drawn;
             }
         }
         return null;
@@ -65,15 +66,21 @@
             return;
         }
         try (Stream<Path> files = Files.list(GOLDEN)) {
-            assertEquals(new TreeSet<>(Plays.all().keySet()), files.map(file -> file.getFileName().toString().replace(".txt", ""))
-                    .collect(java.util.stream.Collectors.toCollection(TreeSet::new)));
+            assertEquals(
+                    new TreeSet<>(Plays.all().keySet()),
+                    files.map(file -> file.getFileName().toString().replace(".txt", ""))
+                            .collect(java.util.stream.Collectors.toCollection(TreeSet::new)));
         }
     }
 
     @Example
     void theFirstRowThatDiffersIsTold() {
         assertEquals(null, differs("a", "x\ny\n", "x\ny\n"));
-        assertEquals("a is drawn otherwise, first on line 2:\n  was y\n  is  z\nnow it is\nx\nz\n", differs("a", "x\ny\n", "x\nz\n"));
-        assertEquals("a is drawn otherwise, first on line 2:\n  was y\n  is  (nothing)\nnow it is\nx\n", differs("a", "x\ny\n", "x\n"));
+        assertEquals(
+                "a is drawn otherwise, first on line 2:\n  was y\n  is  z\nnow it is\nx\nz\n",
+                differs("a", "x\ny\n", "x\nz\n"));
+        assertEquals(
+                "a is drawn otherwise, first on line 2:\n  was y\n  is  (nothing)\nnow it is\nx\n",
+                differs("a", "x\ny\n", "x\n"));
     }
 }
--- a/src/test/java/merlinlever/faults/timeline/WriterTest.java
+++ b/src/test/java/merlinlever/faults/timeline/WriterTest.java
@@ -32,7 +32,8 @@
         timeline.add(ms(1020), "b3", "! stands still");
         timeline.add(ms(1030), "b1", "x b2: ask");
         timeline.add(ms(123456), "b2", "! starts, with a reason that does not fit into its column");
-        assertEquals("""
+        assertEquals(
+                """
                 One asks, the other is killed
 
                      ms | b1                           | b2                           | b3
@@ -49,7 +50,8 @@
 
                 > to: says   x to: says, and it is lost   < from: hears   * believes or decides   ! is done to it
                 | runs   : stands still   (no line) is down   == for all   (x3 to 900) three times, last at 900
-                """, Writer.draw(timeline));
+                """,
+                Writer.draw(timeline));
     }
 
     @Example
@@ -75,7 +77,9 @@
     @Example
     void upToFiveNodesAreNoWiderThanATerminalAndSevenAreAllThere() {
         for (int nodes = 1; nodes <= 7; nodes++) {
-            List<String> names = java.util.stream.IntStream.range(0, nodes).mapToObj(i -> "b" + i).toList();
+            List<String> names = java.util.stream.IntStream.range(0, nodes)
+                    .mapToObj(i -> "b" + i)
+                    .toList();
             Timeline timeline = new Timeline("", names);
             for (String name : names) {
                 // At the same moment at each, some without a space to wrap at.
@@ -88,9 +92,12 @@
             String together = String.join("", rows(timeline)).replaceAll("[ |]", "");
             assertTrue(together.contains("word"), together);
             int last = nodes;
-            String one = rows(timeline).stream().filter(row -> row.startsWith(" ") && row.contains("|")).map(row -> row.split("\\|")[last].strip())
+            String one = rows(timeline).stream()
+                    .filter(row -> row.startsWith(" ") && row.contains("|"))
+                    .map(row -> row.split("\\|")[last].strip())
                     .reduce("", String::concat);
-            assertTrue(one.replace(" ", "").contains("*members" + "abcdefghij".repeat(6) + "andmore"), nodes + ": " + one);
+            assertTrue(
+                    one.replace(" ", "").contains("*members" + "abcdefghij".repeat(6) + "andmore"), nodes + ": " + one);
         }
     }
 
--- a/src/test/java/merlinlever/host/run/FakeInstance.java
+++ b/src/test/java/merlinlever/host/run/FakeInstance.java
@@ -14,8 +14,7 @@
  */
 final class FakeInstance {
 
-    private FakeInstance() {
-    }
+    private FakeInstance() {}
 
     public static void main(String[] args) throws Exception {
         String mode = Files.readString(Path.of(args[1])).strip();
@@ -27,9 +26,14 @@
         Manage[] manage = new Manage[1];
         loop.execute(() -> {
             try {
-                manage[0] = new Manage(loop, new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0])), () -> "{\"phase\":\""
-                        + (leaving[0] ? "leaving" : loop.clock().uptime().toMillis() < 300 ? "cold" : "warm")
-                        + "\",\"healthy\":true,\"hung\":false,\"held\":0,\"running\":1,\"in_hand\":5,\"capacity\":10,\"pushed_back\":{\"chance\":2}}");
+                manage[0] = new Manage(
+                        loop,
+                        new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0])),
+                        () -> "{\"phase\":\""
+                                + (leaving[0]
+                                        ? "leaving"
+                                        : loop.clock().uptime().toMillis() < 300 ? "cold" : "warm")
+                                + "\",\"healthy\":true,\"hung\":false,\"held\":0,\"running\":1,\"in_hand\":5,\"capacity\":10,\"pushed_back\":{\"chance\":2}}");
             } catch (Exception e) {
                 e.printStackTrace();
                 Runtime.getRuntime().halt(4);
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -34,7 +34,9 @@
 /** The agent with real processes, audited by the process table. */
 class HostAgentTest {
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     private Loop loop;
     private Ledger ledger;
     private HostAgent agent;
@@ -42,15 +44,32 @@
     private List<Hosted> hosted;
     private final List<String> log = new ArrayList<>();
 
-    @BeforeEach void describe() throws Exception {
+    @BeforeEach
+    void describe() throws Exception {
         hosted = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int port = Ports.free();
             Path mode = Files.writeString(folder.resolve("mode" + i), "0");
-            hosted.add(new Hosted("t-" + i, "t", Map.of("zone", i == 0 ? "west" : "east"), List.of(
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx32m", "-cp",
-                    System.getProperty("java.class.path"), "merlinlever.host.run.FakeInstance", "" + port, mode.toString()), Map.of("WHO", "t-" + i),
-                    folder.resolve("t-" + i), new InetSocketAddress("127.0.0.1", port), true, 4096));
+            hosted.add(new Hosted(
+                    "t-" + i,
+                    "t",
+                    Map.of("zone", i == 0 ? "west" : "east"),
+                    List.of(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-XX:TieredStopAtLevel=1",
+                            "-XX:+UseSerialGC",
+                            "-Xmx32m",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "merlinlever.host.run.FakeInstance",
+                            "" + port,
+                            mode.toString()),
+                    Map.of("WHO", "t-" + i),
+                    folder.resolve("t-" + i),
+                    new InetSocketAddress("127.0.0.1", port),
+                    true,
+                    4096));
         }
         begin(1);
     }
@@ -59,9 +78,31 @@
         loop = new Loop(Clock.system(), Throwable::printStackTrace);
         ledger = new Ledger(folder.resolve("state"));
         Keeper.Stated usual = Keeper.Stated.USUAL;
-        agent = new HostAgent(loop, ledger, hosted, new Keeper.Stated(usual.firstPause(), usual.longestPause(), usual.steadyAfter(), 4,
-                usual.budgetSpan(), Duration.ofMillis(1500)), Duration.ZERO, new SplittableRandom(seed), log::add);
-        front = new HostFront(loop, new InetSocketAddress("127.0.0.1", 0), "m1", agent, null, null, "a-secret-of-16-or-more", Duration.ofSeconds(1), 1, line -> { });
+        agent = new HostAgent(
+                loop,
+                ledger,
+                hosted,
+                new Keeper.Stated(
+                        usual.firstPause(),
+                        usual.longestPause(),
+                        usual.steadyAfter(),
+                        4,
+                        usual.budgetSpan(),
+                        Duration.ofMillis(1500)),
+                Duration.ZERO,
+                new SplittableRandom(seed),
+                log::add);
+        front = new HostFront(
+                loop,
+                new InetSocketAddress("127.0.0.1", 0),
+                "m1",
+                agent,
+                null,
+                null,
+                "a-secret-of-16-or-more",
+                Duration.ofSeconds(1),
+                1,
+                line -> {});
         new Thread(loop::run).start();
     }
 
@@ -78,7 +119,8 @@
         ledger.close();
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         killAgent();
         for (long pid : table().keySet()) {
             ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
@@ -89,12 +131,18 @@
     private Map<Long, String> table() throws Exception {
         Map<Long, String> table = new TreeMap<>();
         try (var all = Files.list(Path.of("/proc"))) {
-            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+")).toList()) {
+            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
+                    .toList()) {
                 try {
-                    String line = Files.readString(each.resolve("cmdline"), java.nio.charset.StandardCharsets.ISO_8859_1);
+                    String line =
+                            Files.readString(each.resolve("cmdline"), java.nio.charset.StandardCharsets.ISO_8859_1);
                     String stat = Files.readString(each.resolve("stat"), java.nio.charset.StandardCharsets.ISO_8859_1);
-                    if (line.contains("FakeInstance") && line.contains(folder.toString()) && stat.charAt(stat.lastIndexOf(')') + 2) != 'Z') {
-                        table.put(Long.parseLong(each.getFileName().toString()), line.substring(line.lastIndexOf("mode"), line.lastIndexOf("mode") + 5));
+                    if (line.contains("FakeInstance")
+                            && line.contains(folder.toString())
+                            && stat.charAt(stat.lastIndexOf(')') + 2) != 'Z') {
+                        table.put(
+                                Long.parseLong(each.getFileName().toString()),
+                                line.substring(line.lastIndexOf("mode"), line.lastIndexOf("mode") + 5));
                     }
                 } catch (java.io.IOException e) {
                     // Gone meanwhile.
@@ -130,7 +178,8 @@
         new ProcessBuilder("kill", "-" + name, "" + pid).start().waitFor();
     }
 
-    @Test void instancesAreLaunchedRelaunchedAndTakenOverAndNeverTwice() throws Exception {
+    @Test
+    void instancesAreLaunchedRelaunchedAndTakenOverAndNeverTwice() throws Exception {
         for (int i = 0; i < 3; i++) {
             await(i, Keeper.State.WARM, 15_000);
         }
@@ -172,7 +221,8 @@
         throw new AssertionError("no process of " + of.get(index).name());
     }
 
-    @Test void aLaunchThatWasNotNotedAnyMoreIsFoundByItsToken() throws Exception {
+    @Test
+    void aLaunchThatWasNotNotedAnyMoreIsFoundByItsToken() throws Exception {
         for (int i = 0; i < 3; i++) {
             await(i, Keeper.State.WARM, 15_000);
         }
@@ -182,7 +232,13 @@
         try (Ledger edited = new Ledger(folder.resolve("state"))) {
             edited.note("t-0", new Ledger.Noted(true, edited.of("t-0").token(), 0, 0));
             // And a pid that now belongs to somebody else.
-            edited.note("t-1", new Ledger.Noted(true, edited.of("t-1").token(), ProcessHandle.current().pid(), 12345));
+            edited.note(
+                    "t-1",
+                    new Ledger.Noted(
+                            true,
+                            edited.of("t-1").token(),
+                            ProcessHandle.current().pid(),
+                            12345));
         }
         begin(3);
         Thread.sleep(300);
@@ -192,7 +248,8 @@
         assertEquals(3, table().size());
     }
 
-    @Test void stopWaitsForWhatWasReadAndNowDoesNot() throws Exception {
+    @Test
+    void stopWaitsForWhatWasReadAndNowDoesNot() throws Exception {
         for (int i = 0; i < 3; i++) {
             Files.writeString(folder.resolve("mode" + i), "1500");
             await(i, Keeper.State.WARM, 15_000);
@@ -226,7 +283,8 @@
         assertEquals(1, table().size());
     }
 
-    @Test void oneThatKeepsDyingIsLeftDownAndTold() throws Exception {
+    @Test
+    void oneThatKeepsDyingIsLeftDownAndTold() throws Exception {
         await(0, Keeper.State.WARM, 15_000);
         Files.writeString(folder.resolve("mode0"), "crash");
         signal("KILL", pid(0));
@@ -240,7 +298,8 @@
         await(0, Keeper.State.WARM, 15_000);
     }
 
-    @Test void aLedgerThatIsSpoiltIsRefusedAndOneThatCannotBeWrittenTakesNoOrder() throws Exception {
+    @Test
+    void aLedgerThatIsSpoiltIsRefusedAndOneThatCannotBeWrittenTakesNoOrder() throws Exception {
         for (int i = 0; i < 3; i++) {
             await(i, Keeper.State.WARM, 15_000);
         }
--- a/src/test/java/merlinlever/host/state/KeeperTest.java
+++ b/src/test/java/merlinlever/host/state/KeeperTest.java
@@ -23,7 +23,8 @@
         return new Told(phase, true, false, 0, 0, inHand, 10, 0, 0, Map.of(), 0);
     }
 
-    @Test void whatDiesIsLaunchedAgainAfterGrowingPausesUntilTheBudgetIsSpent() {
+    @Test
+    void whatDiesIsLaunchedAgainAfterGrowingPausesUntilTheBudgetIsSpent() {
         keeper.start(ms(0));
         long at = 0;
         long[] pauses = new long[8];
@@ -37,13 +38,16 @@
             at += 10;
         }
         assertEquals(5, deaths);
-        assertEquals(List.of(0L, 200L, 600L, 1400L, 3000L), java.util.Arrays.stream(pauses).limit(5).boxed().toList());
+        assertEquals(
+                List.of(0L, 200L, 600L, 1400L, 3000L),
+                java.util.Arrays.stream(pauses).limit(5).boxed().toList());
         assertEquals(Keeper.State.GIVEN_UP, keeper.state(ms(at)));
         keeper.start(ms(at));
         assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(at)));
     }
 
-    @Test void silenceIsNotDeathAndNothingIsLaunchedBeside() {
+    @Test
+    void silenceIsNotDeathAndNothingIsLaunchedBeside() {
         keeper.start(ms(0));
         assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(0)));
         assertEquals(Keeper.Act.NOTHING, keeper.settle(ms(1)));
@@ -62,7 +66,8 @@
         assertEquals(Keeper.State.WARM, keeper.state(ms(600_001)));
     }
 
-    @Test void oneThatLeavesIsToldOnceAndWaitedFor() {
+    @Test
+    void oneThatLeavesIsToldOnceAndWaitedFor() {
         keeper.start(ms(0));
         keeper.settle(ms(0));
         keeper.there(ms(0), ms(0));
@@ -78,7 +83,8 @@
         assertEquals(Keeper.State.DOWN, keeper.state(ms(99_000)));
     }
 
-    @Test void startWhileItLeavesLaunchesItOnceItIsDown() {
+    @Test
+    void startWhileItLeavesLaunchesItOnceItIsDown() {
         keeper.start(ms(0));
         keeper.settle(ms(0));
         keeper.there(ms(0), ms(0));
@@ -90,7 +96,8 @@
         assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(50)));
     }
 
-    @Test void anOrderIsDoneOnceAndALaterOneTakesItsPlace() {
+    @Test
+    void anOrderIsDoneOnceAndALaterOneTakesItsPlace() {
         Orders orders = new Orders(List.of(keeper));
         Orders.Order start = orders.take(ms(0), "order-one", Orders.Verb.START, false, List.of(0));
         keeper.settle(ms(0));
@@ -106,7 +113,8 @@
         assertEquals(Orders.End.DONE, stop.end(0));
     }
 
-    @Test void aRestartIsDoneWhenItsSuccessorServes() {
+    @Test
+    void aRestartIsDoneWhenItsSuccessorServes() {
         Orders orders = new Orders(List.of(keeper));
         keeper.start(ms(0));
         keeper.settle(ms(0));
@@ -127,7 +135,8 @@
     }
 
     /** Any orders, deaths and answers: never two processes, a LEAVE at most once a process, none launched that is not wanted. */
-    @Test void anyOrderOfEventsKeepsOneProcessAtTheMost() {
+    @Test
+    void anyOrderOfEventsKeepsOneProcessAtTheMost() {
         for (long seed = 0; seed < 3000; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             Keeper one = new Keeper(Keeper.Stated.USUAL, true);
@@ -161,7 +170,7 @@
                         }
                     }
                     case 5 -> one.told(ms(at), told("warm", 1));
-                    default -> { }
+                    default -> {}
                 }
                 Keeper.Act act = one.settle(ms(at));
                 if (act == Keeper.Act.LAUNCH) {
@@ -180,12 +189,16 @@
                 }
                 assertEquals(running, one.there(), "seed " + seed);
                 Keeper.State state = one.state(ms(at));
-                assertTrue(running || state == Keeper.State.DOWN || state == Keeper.State.GIVEN_UP || state == Keeper.State.STARTING);
+                assertTrue(running
+                        || state == Keeper.State.DOWN
+                        || state == Keeper.State.GIVEN_UP
+                        || state == Keeper.State.STARTING);
             }
         }
     }
 
-    @Test void slowIsToldAgainstPeersAndNotAtOnce() {
+    @Test
+    void slowIsToldAgainstPeersAndNotAtOnce() {
         Peers peers = new Peers(4);
         double[] fine = {100, 98, 103, 101};
         double[] one = {100, 98, 40, 101};
--- a/src/test/java/merlinlever/host/state/RollTest.java
+++ b/src/test/java/merlinlever/host/state/RollTest.java
@@ -34,9 +34,19 @@
             for (int i = 0; i < count; i++) {
                 long since = ms - restartedAt[i];
                 boolean made = restartedAt[i] >= 0;
-                Keeper.State state = deadHost[i / 4] ? Keeper.State.UNREACHED : since < 500 ? Keeper.State.DRAINING
-                        : made && crashes ? Keeper.State.GIVEN_UP : since < 2000 || made && never ? Keeper.State.COLD : Keeper.State.WARM;
-                seen.add(new Roll.Seen("t" + i, "m" + i / 4, state, launches[i] + (made && since >= 500 ? 1 : 0), made && since < 500 ? 0 : turned[i]));
+                Keeper.State state = deadHost[i / 4]
+                        ? Keeper.State.UNREACHED
+                        : since < 500
+                                ? Keeper.State.DRAINING
+                                : made && crashes
+                                        ? Keeper.State.GIVEN_UP
+                                        : since < 2000 || made && never ? Keeper.State.COLD : Keeper.State.WARM;
+                seen.add(new Roll.Seen(
+                        "t" + i,
+                        "m" + i / 4,
+                        state,
+                        launches[i] + (made && since >= 500 ? 1 : 0),
+                        made && since < 500 ? 0 : turned[i]));
             }
             return seen;
         }
@@ -67,7 +77,10 @@
         while (fleet.ms < until && roll.phase() != Roll.Phase.DONE && roll.phase() != Roll.Phase.STOPPED) {
             fleet.tick();
             List<String> chosen = roll.settle(Duration.ofMillis(fleet.ms), fleet.seen());
-            long hosts = chosen.stream().map(name -> Integer.parseInt(name.substring(1)) / 4).distinct().count();
+            long hosts = chosen.stream()
+                    .map(name -> Integer.parseInt(name.substring(1)) / 4)
+                    .distinct()
+                    .count();
             assertTrue(hosts <= 1, "one machine at a time: " + chosen);
             for (String name : chosen) {
                 int i = Integer.parseInt(name.substring(1));
@@ -78,7 +91,8 @@
         }
     }
 
-    @Test void allAreRestartedOnceAndNeverMoreThanAllowedAreAway() {
+    @Test
+    void allAreRestartedOnceAndNeverMoreThanAllowedAreAway() {
         SplittableRandom chance = new SplittableRandom(2);
         for (int round = 0; round < 200; round++) {
             int count = 1 + chance.nextInt(40);
@@ -93,7 +107,8 @@
         }
     }
 
-    @Test void aBadVersionStopsItBehindTheFirstBatch() {
+    @Test
+    void aBadVersionStopsItBehindTheFirstBatch() {
         for (int bad = 0; bad < 3; bad++) {
             Fleet fleet = new Fleet(12);
             fleet.crashes = bad == 0;
@@ -103,13 +118,15 @@
             run(roll, fleet, 100_000);
             assertEquals(Roll.Phase.STOPPED, roll.phase());
             assertTrue(roll.done().size() + roll.inHand().size() <= 2, "stopped at " + roll.done());
-            String expected = new String[] {"keeps dying", "is not warm 10 s", "operations a second are turned away"}[bad];
+            String expected =
+                    new String[] {"keeps dying", "is not warm 10 s", "operations a second are turned away"}[bad];
             assertTrue(roll.why().contains(expected), roll.why());
             assertTrue(roll.settle(Duration.ofHours(1), fleet.seen()).isEmpty());
         }
     }
 
-    @Test void aMachineThatIsLostMeanwhileCountsAndItWaits() {
+    @Test
+    void aMachineThatIsLostMeanwhileCountsAndItWaits() {
         Fleet fleet = new Fleet(16);
         Roll roll = roll(16, 0.25);
         run(roll, fleet, 12_000);
--- a/src/test/java/merlinlever/http/EdgeClosingTest.java
+++ b/src/test/java/merlinlever/http/EdgeClosingTest.java
@@ -10,15 +10,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import merlinlever.http.EdgeConnection.State;
-import merlinlever.net.Connection;
 import merlinlever.net.CloseReason;
+import merlinlever.net.Connection;
 import net.jqwik.api.Example;
 
 /** Bytes of an edge node that cross the close of its connection: idle, never used, half read, out of room, leaving. */
 class EdgeClosingTest extends EdgeFixture {
 
-    EdgeClosingTest() throws IOException {
-    }
+    EdgeClosingTest() throws IOException {}
 
     /**
      * What crosses the close of a resting connection: the edge node sees a good end and may write more than once without a
@@ -82,35 +81,47 @@
         listen(100);
         StringBuilder heard = new StringBuilder();
         Connection[] mine = new Connection[1];
-        on(() -> edge.take(user -> Connection.pair(loop, user, new Connection.Party() {
-            @Override public void on(Connection connection) {
-                mine[0] = connection;
-            }
-
-            @Override public void read(ByteBuffer in) {
-                heard.append(StandardCharsets.ISO_8859_1.decode(in));
-            }
-
-            @Override public void ended(CloseReason how) {
-                heard.append(how);
-            }
-        }, EdgeConnection.BUFFER, EdgeConnection.MOST_QUEUED)));
+        on(() -> edge.take(user -> Connection.pair(
+                loop,
+                user,
+                new Connection.Party() {
+                    @Override
+                    public void on(Connection connection) {
+                        mine[0] = connection;
+                    }
+
+                    @Override
+                    public void read(ByteBuffer in) {
+                        heard.append(StandardCharsets.ISO_8859_1.decode(in));
+                    }
+
+                    @Override
+                    public void ended(CloseReason how) {
+                        heard.append(how);
+                    }
+                },
+                EdgeConnection.BUFFER,
+                EdgeConnection.MOST_QUEUED)));
         on(() -> mine[0].write(ByteBuffer.wrap(CHECK.getBytes(StandardCharsets.US_ASCII))));
         await(State.IDLE, 1);
         pass(7_900);
-        // Batches of 256: what is written is queued behind these with the end of the first, the time passes in the second,
+        // Batches of 256: what is written is queued behind these with the end of the first, the time passes in the
+        // second,
         // whose timers are due at once, and the third comes to what was written.
         on(() -> {
             mine[0].write(ByteBuffer.wrap(operation("", "body").getBytes(StandardCharsets.ISO_8859_1)));
             for (int i = 0; i < 600; i++) {
-                loop.execute(i == 400 ? () -> nanos.addAndGet(400_000_000) : () -> { });
+                loop.execute(i == 400 ? () -> nanos.addAndGet(400_000_000) : () -> {});
             }
         });
         settle();
         awaitAsked(1);
         heard.setLength(0);
         ends(asked.get(0), new byte[] {'7'});
-        assertTrue(heard.toString().startsWith("HTTP/1.1 200 OK") && heard.toString().endsWith("\r\n\r\n7"), heard.toString());
+        assertTrue(
+                heard.toString().startsWith("HTTP/1.1 200 OK")
+                        && heard.toString().endsWith("\r\n\r\n7"),
+                heard.toString());
     }
 
     /** The machine stands still for longer than any time limit: what was written to it meanwhile is read first. */
@@ -174,7 +185,8 @@
         await(State.NEW, 1);
         on(edge::close);
         pass(100);
-        on(() -> backend.leave(loop.clock().now().minusMillis(200), loop.clock().now().plusSeconds(2)));
+        on(() -> backend.leave(
+                loop.clock().now().minusMillis(200), loop.clock().now().plusSeconds(2)));
         write(half, operation.substring(operation.length() - 3));
         String answer = answer(half);
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
--- a/src/test/java/merlinlever/http/EdgeFixture.java
+++ b/src/test/java/merlinlever/http/EdgeFixture.java
@@ -41,12 +41,23 @@
     final List<Throwable> failures = new CopyOnWriteArrayList<>();
     /** What the agent was asked, as words. */
     final List<String> asked = new CopyOnWriteArrayList<>();
+
     private final List<Socket> sockets = new ArrayList<>();
     final Loop loop = new Loop(new Clock(() -> nanos.get() + 1_700_000_000_000_000_000L, nanos::get), failures::add);
-    final Backend backend = new Backend(Map.ofEntries(Map.entry("server.cores", "16"), Map.entry("server.memory-kb", "90000"),
-            Map.entry("server.run-factor", "4"), Map.entry("server.halt", "drop"), Map.entry("rules.crowd-factor", "8"),
-            Map.entry("rules.drain-grace", "100"), Map.entry("tariffs.0.name", "look"), Map.entry("tariffs.0.kind", "retriable"),
-            Map.entry("tariffs.0.soft-limit", "20000"), Map.entry("tariffs.0.client-timeout", "40000")), 5, this);
+    final Backend backend = new Backend(
+            Map.ofEntries(
+                    Map.entry("server.cores", "16"),
+                    Map.entry("server.memory-kb", "90000"),
+                    Map.entry("server.run-factor", "4"),
+                    Map.entry("server.halt", "drop"),
+                    Map.entry("rules.crowd-factor", "8"),
+                    Map.entry("rules.drain-grace", "100"),
+                    Map.entry("tariffs.0.name", "look"),
+                    Map.entry("tariffs.0.kind", "retriable"),
+                    Map.entry("tariffs.0.soft-limit", "20000"),
+                    Map.entry("tariffs.0.client-timeout", "40000")),
+            5,
+            this);
     final EdgeNodes edge = new EdgeNodes(loop, backend, Map.of("server.idle", "4000"));
     private final Thread thread = new Thread(loop::run, "loop");
     private volatile long batches;
@@ -91,7 +102,7 @@
         // Tasks that come while a batch runs may join it; the timers and writes of each come behind its tasks.
         for (int i = 0; i < 4; i++) {
             long before = batches;
-            on(() -> { });
+            on(() -> {});
             long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
             while (batches == before) {
                 assertTrue(System.nanoTime() < until, "the loop stands still");
@@ -136,7 +147,8 @@
 
     String operation(String more, String body) {
         return "POST /svc/look HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", ids++) + "\r\nReq-Time: "
-                + (nanos.get() / 1_000_000 + 1_700_000_000_000L) + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
+                + (nanos.get() / 1_000_000 + 1_700_000_000_000L)
+                + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
                 + "Req-Rank: 0.6250\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -192,53 +204,63 @@
         settle();
     }
 
-    @Override public void launch(Work work) {
+    @Override
+    public void launch(Work work) {
         asked.add("launch " + work.name());
     }
 
-    @Override public void freeze(Work work) {
+    @Override
+    public void freeze(Work work) {
         asked.add("freeze " + work.name());
     }
 
-    @Override public void deliver(Work work, byte[] reply) {
+    @Override
+    public void deliver(Work work, byte[] reply) {
         asked.add("deliver " + work.name());
     }
 
-    @Override public void forgo(Work work) {
+    @Override
+    public void forgo(Work work) {
         asked.add("forgo " + work.name());
     }
 
-    @Override public boolean sample() {
+    @Override
+    public boolean sample() {
         return true;
     }
 
-    @Override public void exercise() {
+    @Override
+    public void exercise() {
         asked.add("exercise");
     }
 
-    @Override public Calls calls() {
+    @Override
+    public Calls calls() {
         return this;
     }
 
-    @Override public void call(Work work, byte[] body, Duration within) {
+    @Override
+    public void call(Work work, byte[] body, Duration within) {
         asked.add("call " + work.name());
     }
 
-    @Override public void giveUp(Work work) {
-    }
+    @Override
+    public void giveUp(Work work) {}
 
-    @Override public void closeIdle(Duration after) {
-    }
+    @Override
+    public void closeIdle(Duration after) {}
 
     private Loop.Timer alarm;
 
-    @Override public void alarm(Duration at) {
+    @Override
+    public void alarm(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
-        alarm = loop.in(at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
+        alarm = loop.in(
+                at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
     }
 
-    @Override public void log(String line) {
-    }
+    @Override
+    public void log(String line) {}
 }
--- a/src/test/java/merlinlever/http/EdgeRoomTest.java
+++ b/src/test/java/merlinlever/http/EdgeRoomTest.java
@@ -16,8 +16,7 @@
     private static final int MOST = 8;
     private final List<Socket> full = new ArrayList<>();
 
-    EdgeRoomTest() throws IOException {
-    }
+    EdgeRoomTest() throws IOException {}
 
     /** A health check on a new connection has its answer after so much time, and no sooner than it takes to make room. */
     private void checkIsAnsweredWithin(long ms) throws Exception {
--- a/src/test/java/merlinlever/http/EdgeStatesTest.java
+++ b/src/test/java/merlinlever/http/EdgeStatesTest.java
@@ -13,8 +13,7 @@
 /** Resets, late verdicts and floods that meet a connection in each of its states. */
 class EdgeStatesTest extends EdgeFixture {
 
-    EdgeStatesTest() throws IOException {
-    }
+    EdgeStatesTest() throws IOException {}
 
     private static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
@@ -57,7 +56,9 @@
         flood.join();
         await(() -> edge.count() == 0, "some are left");
         awaitAsked(2);
-        assertEquals(List.of("launch", "freeze"), asked.stream().map(word -> word.split(" ")[0]).toList());
+        assertEquals(
+                List.of("launch", "freeze"),
+                asked.stream().map(word -> word.split(" ")[0]).toList());
         // The run ends after its caller has gone: nobody is answered.
         ends(asked.get(0), new byte[] {'7'});
         on(() -> assertTrue(edge.allWritten() && edge.none()));
@@ -110,12 +111,19 @@
     @Example
     void aBodyWithoutEndIsRefusedAndCutOff() throws Exception {
         listen(100);
-        for (String head : new String[] {"Content-Length: 60000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n",
-            "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", "Content-Length: -1\r\n\r\n"}) {
+        for (String head : new String[] {
+            "Content-Length: 60000000\r\n\r\n",
+            "Transfer-Encoding: chunked\r\n\r\n",
+            "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "Content-Length: -1\r\n\r\n"
+        }) {
             Socket socket = ask("POST /svc/look HTTP/1.1\r\n" + head);
             String answer = answer(socket);
-            assertTrue(answer.startsWith("HTTP/1.1 413 ") || answer.startsWith("HTTP/1.1 501 ")
-                    || answer.startsWith("HTTP/1.1 400 "), answer);
+            assertTrue(
+                    answer.startsWith("HTTP/1.1 413 ")
+                            || answer.startsWith("HTTP/1.1 501 ")
+                            || answer.startsWith("HTTP/1.1 400 "),
+                    answer);
             assertTrue(answer.contains("Connection: close\r\n"));
             for (int i = 0; i < 20; i++) {
                 write(socket, operation("", "hidden"));
--- a/src/test/java/merlinlever/http/HeadTest.java
+++ b/src/test/java/merlinlever/http/HeadTest.java
@@ -42,12 +42,25 @@
     void whatIsWrongWithAHeadIsSaidByItsStatus() {
         String start = "POST /svc/a HTTP/1.1\r\n";
         assertEquals(0, read(start + "\r\n"));
-        for (String bad : new String[] {"POST /svc/a\r\n\r\n", "POST svc HTTP/1.1\r\n\r\n", "POST /a b HTTP/1.1\r\n\r\n",
-            "POST /a HTTP/2.0\r\n\r\n", " /a HTTP/1.1\r\n\r\n", "P@ST /a HTTP/1.1\r\n\r\n", start + "no colon\r\n\r\n",
-            start + ": x\r\n\r\n", start + "a : x\r\n\r\n", start + " folded: x\r\n\r\n", start + "a: x\u0001\r\n\r\n",
-            start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", start + "Content-Length: -1\r\n\r\n",
-            start + "Content-Length: 1x\r\n\r\n", start + "Content-Length:\r\n\r\n",
-            start + "Req-Id: a\r\nReq-Id: b\r\n\r\n", start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"}) {
+        for (String bad : new String[] {
+            "POST /svc/a\r\n\r\n",
+            "POST svc HTTP/1.1\r\n\r\n",
+            "POST /a b HTTP/1.1\r\n\r\n",
+            "POST /a HTTP/2.0\r\n\r\n",
+            " /a HTTP/1.1\r\n\r\n",
+            "P@ST /a HTTP/1.1\r\n\r\n",
+            start + "no colon\r\n\r\n",
+            start + ": x\r\n\r\n",
+            start + "a : x\r\n\r\n",
+            start + " folded: x\r\n\r\n",
+            start + "a: x\u0001\r\n\r\n",
+            start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\n",
+            start + "Content-Length: -1\r\n\r\n",
+            start + "Content-Length: 1x\r\n\r\n",
+            start + "Content-Length:\r\n\r\n",
+            start + "Req-Id: a\r\nReq-Id: b\r\n\r\n",
+            start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
+        }) {
             assertEquals(400, read(bad), bad);
         }
         assertEquals(0, read(start + "Content-Length: 4\r\nContent-Length: 4\r\n\r\n"));
@@ -67,7 +80,8 @@
 
     @Property(tries = 2000, seed = "43")
     void hostileBytesNeverThrow(@ForAll byte[] noise, @ForAll int at) {
-        byte[] bytes = ascii("POST /svc/buy?x HTTP/1.1\r\nReq-Kb: 1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 3\r\n\r\n");
+        byte[] bytes =
+                ascii("POST /svc/buy?x HTTP/1.1\r\nReq-Kb: 1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 3\r\n\r\n");
         for (int i = 0; i < noise.length && i < 6; i++) {
             bytes[Math.floorMod(at + i * 7, bytes.length)] = noise[i];
         }
--- a/src/test/java/merlinlever/json/JsonTest.java
+++ b/src/test/java/merlinlever/json/JsonTest.java
@@ -14,17 +14,37 @@
 
     @Example
     void valuesAreRead() throws Json.Malformed {
-        assertEquals(Map.of("a", Arrays.asList(1L, -2.5, 1e3, true, false, null), "b", Map.of("c", "x\n\u00e9\"")),
+        assertEquals(
+                Map.of("a", Arrays.asList(1L, -2.5, 1e3, true, false, null), "b", Map.of("c", "x\n\u00e9\"")),
                 Json.parse(" {\"a\":[1,-2.5,1e3,true,false,null],\"b\":{\"c\":\"x\\n\\u00e9\\\"\"}} "));
         assertEquals(List.of(), Json.parse("[]"));
-        assertEquals("{a.0.b=1, c=1,2, d.e=true}",
-                Json.flat(Json.object("{\"a\":[{\"b\":1}],\"c\":[1,2],\"d\":{\"e\":true}}")).toString());
+        assertEquals(
+                "{a.0.b=1, c=1,2, d.e=true}",
+                Json.flat(Json.object("{\"a\":[{\"b\":1}],\"c\":[1,2],\"d\":{\"e\":true}}"))
+                        .toString());
     }
 
     @Example
     void whatIsNoJsonIsMalformed() {
-        for (String bad : new String[] {"", "{", "[1,]", "{\"a\"}", "01", "1.", "--1", "tru", "\"a", "\"\\x\"", "\"\\u12\"",
-            "\"\u0001\"", "1 2", "{a:1}", "[".repeat(100), "+1", "NaN"}) {
+        for (String bad : new String[] {
+            "",
+            "{",
+            "[1,]",
+            "{\"a\"}",
+            "01",
+            "1.",
+            "--1",
+            "tru",
+            "\"a",
+            "\"\\x\"",
+            "\"\\u12\"",
+            "\"\u0001\"",
+            "1 2",
+            "{a:1}",
+            "[".repeat(100),
+            "+1",
+            "NaN"
+        }) {
             assertThrows(Json.Malformed.class, () -> Json.parse(bad), bad);
         }
     }
--- a/src/test/java/merlinlever/manage/ManageTest.java
+++ b/src/test/java/merlinlever/manage/ManageTest.java
@@ -22,7 +22,8 @@
         }
     }
 
-    @Test void itTellsItsStateAndNothingElseAndAFloodIsClosedUnread() throws Exception {
+    @Test
+    void itTellsItsStateAndNothingElseAndAFloodIsClosedUnread() throws Exception {
         Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
         AtomicInteger told = new AtomicInteger();
         Manage manage = new Manage(loop, new InetSocketAddress("127.0.0.1", 0), () -> {
--- a/src/test/java/merlinlever/members/MembersTest.java
+++ b/src/test/java/merlinlever/members/MembersTest.java
@@ -41,13 +41,17 @@
         }
 
         void start(int i) {
-            agents[i] = new Members(Duration.ofMillis(ms), new Views("n" + i, "g" + i, "p" + i, 0),
-                    Members.Stated.usual(List.of("g0", "g1")), chance.split(), line -> { });
+            agents[i] = new Members(
+                    Duration.ofMillis(ms),
+                    new Views("n" + i, "g" + i, "p" + i, 0),
+                    Members.Stated.usual(List.of("g0", "g1")),
+                    chance.split(),
+                    line -> {});
             up[i] = true;
         }
 
         void run(long span) {
-            for (long end = ms + span; ms < end;) {
+            for (long end = ms + span; ms < end; ) {
                 ms += 50;
                 while (!later.isEmpty() && later.firstKey() <= ms) {
                     later.pollFirstEntry().getValue().forEach(Runnable::run);
@@ -66,7 +70,8 @@
                 for (int copies = chance.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
                     if (side[from] == side[to] && chance.nextInt(100) >= loss) {
                         long at = ms + 1 + chance.nextInt(chance.nextInt(20) == 0 ? 600 : 30);
-                        later.computeIfAbsent(at, k -> new ArrayList<>()).add(() -> arrive(from, to, sending.message()));
+                        later.computeIfAbsent(at, k -> new ArrayList<>())
+                                .add(() -> arrive(from, to, sending.message()));
                     }
                 }
             }
@@ -98,7 +103,8 @@
         }
     }
 
-    @Test void deathsAreFoundTheLivingStayAndHalvesFindEachOther() {
+    @Test
+    void deathsAreFoundTheLivingStayAndHalvesFindEachOther() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             try {
                 play(seed);
@@ -162,7 +168,8 @@
         }
     }
 
-    @Test void messagesThatAreNotOursAreNothing() {
+    @Test
+    void messagesThatAreNotOursAreNothing() {
         Wire wire = new Wire("0123456789abcdef".getBytes());
         List<Views.Rumour> rumours = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -190,7 +197,8 @@
         }
         rumours.clear();
         for (int i = 0; i < 2000; i++) {
-            rumours.add(new Views.Rumour("name-of-a-machine-" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, Views.Status.ALIVE, i));
+            rumours.add(new Views.Rumour(
+                    "name-of-a-machine-" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, Views.Status.ALIVE, i));
         }
         byte[] large = wire.write(new Members.Message(Members.Kind.SYNC, "n1", 7, "", rumours));
         assertTrue(large.length <= Wire.MOST);
@@ -201,13 +209,19 @@
     void whatIsCarriedAndSaidReachesThoseThatHearItAndNobodyElse() {
         Wire wire = new Wire("0123456789abcdef".getBytes());
         Members.Stated stated = Members.Stated.usual(List.of("127.0.0.1:2"));
-        Members one = new Members(Duration.ZERO, new Views("n1", "127.0.0.1:1", "-", 1), stated, new SplittableRandom(1), line -> { });
-        Members two = new Members(Duration.ZERO, new Views("n2", "127.0.0.1:2", "-", 1), stated, new SplittableRandom(2), line -> { });
+        Members one = new Members(
+                Duration.ZERO, new Views("n1", "127.0.0.1:1", "-", 1), stated, new SplittableRandom(1), line -> {});
+        Members two = new Members(
+                Duration.ZERO, new Views("n2", "127.0.0.1:2", "-", 1), stated, new SplittableRandom(2), line -> {});
         List<String> heard = new ArrayList<>();
         two.hears(java.util.Set.of("A"), (name, number, what) -> heard.add(name + " " + number + " " + what));
         two.hears(java.util.Set.of("B"), (name, number, what) -> heard.add("B " + what));
         two.takes((name, body) -> heard.add(name + " carries " + body.length + " " + body[body.length - 1]));
-        one.heard(Duration.ZERO, "127.0.0.1:2", new Members.Message(Members.Kind.SYNC_BACK, "n2", 0, "", two.views().all()));
+        one.heard(
+                Duration.ZERO,
+                "127.0.0.1:2",
+                new Members.Message(
+                        Members.Kind.SYNC_BACK, "n2", 0, "", two.views().all()));
         byte[] body = new byte[Members.MOST_CARRIED];
         body[body.length - 1] = 7;
         one.carry("n2", body);
--- a/src/test/java/merlinlever/members/ViewsCheckTest.java
+++ b/src/test/java/merlinlever/members/ViewsCheckTest.java
@@ -25,6 +25,7 @@
         final Views[] views = new Views[3];
         /** Which of all rumours that there can be were told. */
         long told;
+
         boolean restarted, cLeft;
 
         State copy() {
@@ -79,7 +80,8 @@
     static {
         for (int place = 0; place < RUMOURS.length; place++) {
             int who = place / EACH;
-            RUMOURS[place] = new Views.Rumour(NAMES[who], "g" + who, "p" + who, Views.Status.values()[place % 4], place % EACH / 4);
+            RUMOURS[place] = new Views.Rumour(
+                    NAMES[who], "g" + who, "p" + who, Views.Status.values()[place % 4], place % EACH / 4);
         }
     }
 
@@ -120,7 +122,8 @@
                 Views.Rumour before = made.views[i].of(rumour.name());
                 made.views[i].heard(rumour);
                 Views.Rumour after = made.views[i].of(rumour.name());
-                assertTrue(before == null || after.equals(before) || Views.overrides(after, before), "a belief went back");
+                assertTrue(
+                        before == null || after.equals(before) || Views.overrides(after, before), "a belief went back");
                 next.add(made);
             }
         }
@@ -158,7 +161,8 @@
         }
     }
 
-    @Test void noLiveOneStaysDeadALeftOneStaysAwayAndViewsAgree() {
+    @Test
+    void noLiveOneStaysDeadALeftOneStaysAwayAndViewsAgree() {
         assertTrue(MOST_INCARNATION <= 1, "the key has room for incarnations up to 4");
         State first = new State();
         for (int i = 0; i < 3; i++) {
@@ -185,13 +189,16 @@
             for (int i = 0; i < 3; i++) {
                 for (int k = 0; k < 3; k++) {
                     if (calm.live(i) && calm.live(k)) {
-                        assertEquals(Views.Status.ALIVE, calm.views[i].of(NAMES[k]).status(), state::key);
+                        assertEquals(
+                                Views.Status.ALIVE, calm.views[i].of(NAMES[k]).status(), state::key);
                         assertEquals(calm.views[k].of(NAMES[k]), calm.views[i].of(NAMES[k]), state::key);
                     }
                 }
             }
             assertEquals(calm.views[0].of("c"), calm.views[1].of("c"));
-            assertFalse(knewLeft.get(0) && calm.cLeft && calm.views[0].of("c").status() != Views.Status.LEFT, "one that left came back");
+            assertFalse(
+                    knewLeft.get(0) && calm.cLeft && calm.views[0].of("c").status() != Views.Status.LEFT,
+                    "one that left came back");
             for (State each : next(state)) {
                 if (seen.add(each.key())) {
                     open.add(each);
--- a/src/test/java/merlinlever/net/CrossingTest.java
+++ b/src/test/java/merlinlever/net/CrossingTest.java
@@ -47,11 +47,13 @@
             this.loop = loop;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             in.position(in.limit());
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             heard.add(how);
             loop.stop();
         }
@@ -68,14 +70,19 @@
     void nothingIsHeldBackOnAcceptedAndOnDialledStreams() throws Exception {
         Loop loop = loop();
         List<Boolean> accepted = new ArrayList<>();
-        Listener listener = new Listener(loop, new InetSocketAddress(HERE, 0), 4, channel -> {
-            try {
-                accepted.add(noDelay(Connection.accepted(loop, channel, new Ends(loop), 64, 64)));
-            } catch (ReflectiveOperationException | IOException e) {
-                failures.add(e);
-            }
-            loop.stop();
-        }, () -> { });
+        Listener listener = new Listener(
+                loop,
+                new InetSocketAddress(HERE, 0),
+                4,
+                channel -> {
+                    try {
+                        accepted.add(noDelay(Connection.accepted(loop, channel, new Ends(loop), 64, 64)));
+                    } catch (ReflectiveOperationException | IOException e) {
+                        failures.add(e);
+                    }
+                    loop.stop();
+                },
+                () -> {});
         listener.accept();
         Connection dialled = Connection.to(loop, listener.address(), new Ends(loop), 64, 64, Duration.ofSeconds(5));
         loop.run();
@@ -93,17 +100,20 @@
             try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
                 Loop loop = loop();
                 Ends ends = new Ends(loop) {
-                    @Override public void made() {
+                    @Override
+                    public void made() {
                         if (asMade) {
                             throw new IllegalStateException("on purpose");
                         }
                     }
 
-                    @Override public void written() {
+                    @Override
+                    public void written() {
                         throw new IllegalStateException("on purpose");
                     }
                 };
-                Connection connection = Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 64, Duration.ofSeconds(5));
+                Connection connection =
+                        Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 64, Duration.ofSeconds(5));
                 connection.write(ByteBuffer.wrap(new byte[] {1}));
                 loop.run();
                 assertEquals(List.of(CloseReason.FAILED), ends.heard);
@@ -126,35 +136,43 @@
             Socket[] peer = new Socket[1];
             Connection[] made = new Connection[1];
             StringBuilder read = new StringBuilder();
-            made[0] = Connection.to(loop, server.getLocalSocketAddress(), new Connection.User() {
-                private int offers;
+            made[0] = Connection.to(
+                    loop,
+                    server.getLocalSocketAddress(),
+                    new Connection.User() {
+                        private int offers;
 
-                @Override public void read(ByteBuffer in) {
-                    if (++offers == 1) {
-                        // Left; by then the next read is pending.
-                        loop.execute(() -> loop.execute(made[0]::readAgain));
-                    } else if (offers == 2) {
-                        try {
-                            peer[0].getOutputStream().write("cdef".getBytes(StandardCharsets.US_ASCII));
-                            while (((Queue<?>) ready.get(loop)).isEmpty()) {
-                                Thread.onSpinWait();
+                        @Override
+                        public void read(ByteBuffer in) {
+                            if (++offers == 1) {
+                                // Left; by then the next read is pending.
+                                loop.execute(() -> loop.execute(made[0]::readAgain));
+                            } else if (offers == 2) {
+                                try {
+                                    peer[0].getOutputStream().write("cdef".getBytes(StandardCharsets.US_ASCII));
+                                    while (((Queue<?>) ready.get(loop)).isEmpty()) {
+                                        Thread.onSpinWait();
+                                    }
+                                } catch (IOException | ReflectiveOperationException e) {
+                                    failures.add(e);
+                                }
+                                assertEquals(0, in.position());
+                                assertEquals(2, in.limit());
+                            } else {
+                                read.append(StandardCharsets.US_ASCII.decode(in));
+                                loop.stop();
                             }
-                        } catch (IOException | ReflectiveOperationException e) {
-                            failures.add(e);
                         }
-                        assertEquals(0, in.position());
-                        assertEquals(2, in.limit());
-                    } else {
-                        read.append(StandardCharsets.US_ASCII.decode(in));
-                        loop.stop();
-                    }
-                }
 
-                @Override public void ended(CloseReason how) {
-                    failures.add(new IllegalStateException("" + how));
-                    loop.stop();
-                }
-            }, 64, 64, Duration.ofSeconds(5));
+                        @Override
+                        public void ended(CloseReason how) {
+                            failures.add(new IllegalStateException("" + how));
+                            loop.stop();
+                        }
+                    },
+                    64,
+                    64,
+                    Duration.ofSeconds(5));
             Thread accepting = new Thread(() -> {
                 try {
                     peer[0] = server.accept();
@@ -180,11 +198,13 @@
             Loop loop = loop();
             int[] written = new int[1];
             Ends ends = new Ends(loop) {
-                @Override public void written() {
+                @Override
+                public void written() {
                     written[0]++;
                 }
             };
-            Connection connection = Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 16 << 20, Duration.ofSeconds(5));
+            Connection connection =
+                    Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 16 << 20, Duration.ofSeconds(5));
             byte[] sent = new byte[12 << 20];
             for (int i = 0; i < sent.length; i++) {
                 sent[i] = (byte) (i * 31 + i / 251);
@@ -220,30 +240,40 @@
             Loop loop = loop();
             List<CloseReason> heard = new ArrayList<>();
             Connection[] made = new Connection[1];
-            made[0] = Connection.to(loop, server.getLocalSocketAddress(), new Connection.User() {
-                @Override public void made() {
-                    made[0].write(ByteBuffer.allocate(8 << 20));
-                    loop.in(Duration.ofMillis(20), () -> made[0].end(CloseReason.DONE));
-                    // Past the time limit of the dialling.
-                    loop.in(Duration.ofMillis(150), loop::stop);
-                }
+            made[0] = Connection.to(
+                    loop,
+                    server.getLocalSocketAddress(),
+                    new Connection.User() {
+                        @Override
+                        public void made() {
+                            made[0].write(ByteBuffer.allocate(8 << 20));
+                            loop.in(Duration.ofMillis(20), () -> made[0].end(CloseReason.DONE));
+                            // Past the time limit of the dialling.
+                            loop.in(Duration.ofMillis(150), loop::stop);
+                        }
 
-                @Override public void read(ByteBuffer in) {
-                    failures.add(new IllegalStateException("read after its end"));
-                }
+                        @Override
+                        public void read(ByteBuffer in) {
+                            failures.add(new IllegalStateException("read after its end"));
+                        }
 
-                @Override public void written() {
-                    failures.add(new IllegalStateException("written after its end"));
-                }
+                        @Override
+                        public void written() {
+                            failures.add(new IllegalStateException("written after its end"));
+                        }
 
-                @Override public void ended(CloseReason how) {
-                    heard.add(how);
-                    made[0].write(ByteBuffer.wrap(new byte[] {1}));
-                    made[0].readAgain();
-                    made[0].writeNoMore();
-                    made[0].end(CloseReason.BROKEN);
-                }
-            }, 64, 16 << 20, Duration.ofMillis(100));
+                        @Override
+                        public void ended(CloseReason how) {
+                            heard.add(how);
+                            made[0].write(ByteBuffer.wrap(new byte[] {1}));
+                            made[0].readAgain();
+                            made[0].writeNoMore();
+                            made[0].end(CloseReason.BROKEN);
+                        }
+                    },
+                    64,
+                    16 << 20,
+                    Duration.ofMillis(100));
             loop.run();
             assertEquals(List.of(CloseReason.DONE), heard);
             assertEquals(List.of(), failures);
@@ -277,14 +307,15 @@
         // The clock stands still, so the pause does not end.
         Loop loop = new Loop(new Clock(() -> 0, () -> 0), failures::add);
         int[] asked = new int[1];
-        Listener listener = new Listener(loop, new InetSocketAddress(HERE, 0), 4, channel -> { }, () -> asked[0]++);
+        Listener listener = new Listener(loop, new InetSocketAddress(HERE, 0), 4, channel -> {}, () -> asked[0]++);
         // A closed channel fails each accept, as a full table of descriptors does.
         Field field = Listener.class.getDeclaredField("channel");
         field.setAccessible(true);
         ((AsynchronousServerSocketChannel) field.get(listener)).close();
         int[] left = {2000};
         loop.execute(new Runnable() {
-            @Override public void run() {
+            @Override
+            public void run() {
                 listener.accept();
                 if (--left[0] > 0) {
                     loop.execute(this);
--- a/src/test/java/merlinlever/net/DrivenLoop.java
+++ b/src/test/java/merlinlever/net/DrivenLoop.java
@@ -102,7 +102,8 @@
     }
 
     /** Ends it; nothing on it may have failed. */
-    @Override public void close() {
+    @Override
+    public void close() {
         loop.stop();
         try {
             thread.join(PATIENCE_MS);
--- a/src/test/java/merlinlever/net/HandOver.java
+++ b/src/test/java/merlinlever/net/HandOver.java
@@ -8,11 +8,10 @@
     static volatile int ticks;
     private static volatile int taken;
 
-    private HandOver() {
-    }
+    private HandOver() {}
 
     public static void main(String[] none) throws Exception {
-        Loop loop = new Loop(Clock.system(), failure -> { });
+        Loop loop = new Loop(Clock.system(), failure -> {});
         loop.every(Duration.ofMillis(1), () -> ticks++);
         Thread thread = new Thread(loop::run, "loop");
         thread.setDaemon(true);
--- a/src/test/java/merlinlever/net/HandOverTest.java
+++ b/src/test/java/merlinlever/net/HandOverTest.java
@@ -52,17 +52,19 @@
                 for (Event event : set) {
                     if (event instanceof ClassPrepareEvent ready) {
                         type = ready.referenceType();
-                        EventRequest at = machine.eventRequestManager().createBreakpointRequest(
-                                type.methodsByName("handOver").get(0).location());
+                        EventRequest at = machine.eventRequestManager()
+                                .createBreakpointRequest(
+                                        type.methodsByName("handOver").get(0).location());
                         at.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
                         at.enable();
                     } else if (event instanceof BreakpointEvent begun) {
-                        StepRequest step = machine.eventRequestManager().createStepRequest(begun.thread(), StepRequest.STEP_LINE,
-                                StepRequest.STEP_INTO);
+                        StepRequest step = machine.eventRequestManager()
+                                .createStepRequest(begun.thread(), StepRequest.STEP_LINE, StepRequest.STEP_INTO);
                         step.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
                         step.enable();
                     } else if (event instanceof StepEvent at) {
-                        boolean over = at.location().declaringType().equals(type) && at.location().method().name().equals("main");
+                        boolean over = at.location().declaringType().equals(type)
+                                && at.location().method().name().equals("main");
                         if (over) {
                             event.request().disable();
                             machine.eventRequestManager().deleteEventRequest(event.request());
@@ -87,9 +89,12 @@
         int before = ((IntegerValue) type.getValue(ticks)).value();
         long until = System.nanoTime() + LONGEST;
         while (((IntegerValue) type.getValue(ticks)).value() < before + 3) {
-            assertTrue(System.nanoTime() < until, "the loop stands still while " + at.thread().name() + " is held at "
-                    + at.location().declaringType().name() + "." + at.location().method().name() + ", line "
-                    + at.location().lineNumber());
+            assertTrue(
+                    System.nanoTime() < until,
+                    "the loop stands still while " + at.thread().name() + " is held at "
+                            + at.location().declaringType().name() + "."
+                            + at.location().method().name() + ", line "
+                            + at.location().lineNumber());
             Thread.sleep(1);
         }
     }
--- a/src/test/java/merlinlever/net/NetTest.java
+++ b/src/test/java/merlinlever/net/NetTest.java
@@ -32,14 +32,16 @@
             this.fails = fails;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             if (fails) {
                 throw new IllegalStateException("on purpose");
             }
             in.position(in.limit());
         }
 
-        @Override public void ended(CloseReason how) {
+        @Override
+        public void ended(CloseReason how) {
             heard.add(how);
             loop.stop();
         }
@@ -55,14 +57,16 @@
         AtomicLong unix = new AtomicLong(10_000_000_000L);
         // Held up by 400 ms between its first two readings of the clocks, and by nothing between later ones.
         AtomicLong readings = new AtomicLong();
-        Clock clock = new Clock(() -> {
-            long then = unix.get();
-            if (readings.incrementAndGet() == 1) {
-                nanos.addAndGet(400_000_000);
-                unix.addAndGet(400_000_000);
-            }
-            return then;
-        }, nanos::get);
+        Clock clock = new Clock(
+                () -> {
+                    long then = unix.get();
+                    if (readings.incrementAndGet() == 1) {
+                        nanos.addAndGet(400_000_000);
+                        unix.addAndGet(400_000_000);
+                    }
+                    return then;
+                },
+                nanos::get);
         assertEquals(Duration.ofMillis(400), clock.now());
         assertEquals(Duration.ofMillis(-500), clock.ofUnix(9_500));
         clock.startWas(Duration.ofMillis(100));
@@ -113,7 +117,8 @@
         int closed = Ports.free();
         Ends refused = connectTo(closed, loop(), false);
         assertEquals(List.of(CloseReason.REFUSED), refused.heard);
-        assertTrue(CloseReason.REFUSED.ofCall().provesUnrun() && !CloseReason.BROKEN.ofCall().provesUnrun()
+        assertTrue(CloseReason.REFUSED.ofCall().provesUnrun()
+                && !CloseReason.BROKEN.ofCall().provesUnrun()
                 && CloseReason.CLOSED_THERE.ofCall() == Ending.CUT_OFF);
         for (boolean fails : new boolean[] {false, true}) {
             try (ServerSocket server = new ServerSocket(0)) {
@@ -140,11 +145,13 @@
         Connection.Party party = new Connection.Party() {
             private Connection mine;
 
-            @Override public void on(Connection connection) {
+            @Override
+            public void on(Connection connection) {
                 mine = connection;
             }
 
-            @Override public void read(ByteBuffer in) {
+            @Override
+            public void read(ByteBuffer in) {
                 while (in.hasRemaining()) {
                     there.append((char) in.get());
                 }
@@ -153,21 +160,29 @@
                 }
             }
 
-            @Override public void ended(CloseReason how) {
+            @Override
+            public void ended(CloseReason how) {
                 ends.add(how);
             }
         };
         Loop loop = new Loop(Clock.system(), failures::add, address -> party);
         ByteBuffer heard = ByteBuffer.allocate(3);
-        Connection here = Connection.pair(loop, new Connection.User() {
-            @Override public void read(ByteBuffer in) {
-                heard.put(in);
-            }
+        Connection here = Connection.pair(
+                loop,
+                new Connection.User() {
+                    @Override
+                    public void read(ByteBuffer in) {
+                        heard.put(in);
+                    }
 
-            @Override public void ended(CloseReason how) {
-                ends.add(how);
-            }
-        }, party, 4, 100);
+                    @Override
+                    public void ended(CloseReason how) {
+                        ends.add(how);
+                    }
+                },
+                party,
+                4,
+                100);
         byte[] alphabet = "abcdefghijklmnopqrstuvwxyz".getBytes(StandardCharsets.US_ASCII);
         loop.execute(() -> here.write(ByteBuffer.wrap(alphabet)));
         loop.after(() -> {
@@ -188,8 +203,8 @@
         try (ServerSocket server = new ServerSocket(0)) {
             Loop loop = loop();
             Ends ends = new Ends(loop, false);
-            Connection connection = Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 1024,
-                    Duration.ofSeconds(5));
+            Connection connection =
+                    Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 1024, Duration.ofSeconds(5));
             loop.execute(() -> connection.write(ByteBuffer.allocate(1000), ByteBuffer.allocate(30)));
             loop.run();
             assertEquals(List.of(CloseReason.OVERFULL), ends.heard);
--- a/src/test/java/merlinlever/policy/PolicyFilesTest.java
+++ b/src/test/java/merlinlever/policy/PolicyFilesTest.java
@@ -21,8 +21,13 @@
 
     private static Set<String> named() throws IOException {
         String row = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
-        return Pattern.compile("\"([^\"]+)\"").matcher(row).results().map(m -> m.group(1))
+                .filter(line -> line.startsWith("policy = "))
+                .findFirst()
+                .orElseThrow();
+        return Pattern.compile("\"([^\"]+)\"")
+                .matcher(row)
+                .results()
+                .map(m -> m.group(1))
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
@@ -39,7 +44,9 @@
     void theyKeepTheLimits() throws IOException {
         long lines = 0;
         for (String file : named()) {
-            lines += Files.readAllLines(Path.of(file)).stream().filter(line -> !line.isBlank()).count();
+            lines += Files.readAllLines(Path.of(file)).stream()
+                    .filter(line -> !line.isBlank())
+                    .count();
         }
         assertTrue(lines <= 890, lines + " lines");
         try (var files = Files.list(PACKAGE)) {
--- a/src/test/java/merlinlever/records/PlayedRecords.java
+++ b/src/test/java/merlinlever/records/PlayedRecords.java
@@ -17,9 +17,9 @@
 import java.util.List;
 import merlinlever.core.Works;
 import merlinlever.log.Log;
+import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
 import merlinlever.net.DrivenLoop;
-import merlinlever.net.CloseReason;
 
 /** The link to a records service that the test plays; time stands still but where the test moves it on. */
 abstract class PlayedRecords {
@@ -29,14 +29,20 @@
 
     /** How each call ended, in order, as "id ending reply". */
     final List<String> ended = new ArrayList<>();
+
     DrivenLoop driven;
     RecordsLink link;
 
     RecordsLink link(DrivenLoop on, InetSocketAddress address, int most) {
         driven = on;
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
-        return driven.on(() -> new RecordsLink(driven.loop, address, (now, id, how, reply) -> ended.add(id + " " + how
-                + (reply == null ? "" : " " + new String(reply, StandardCharsets.UTF_8))), log, most));
+        return driven.on(() -> new RecordsLink(
+                driven.loop,
+                address,
+                (now, id, how, reply) -> ended.add(
+                        id + " " + how + (reply == null ? "" : " " + new String(reply, StandardCharsets.UTF_8))),
+                log,
+                most));
     }
 
     void call(long id) {
@@ -93,18 +99,20 @@
         Connection mine;
         final StringBuilder heard = new StringBuilder();
 
-        @Override public void on(Connection connection) {
+        @Override
+        public void on(Connection connection) {
             mine = connection;
         }
 
-        @Override public void read(ByteBuffer in) {
+        @Override
+        public void read(ByteBuffer in) {
             while (in.hasRemaining()) {
                 heard.append((char) in.get());
             }
         }
 
-        @Override public void ended(CloseReason how) {
-        }
+        @Override
+        public void ended(CloseReason how) {}
 
         void say(String text) {
             mine.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
--- a/src/test/java/merlinlever/records/RecordsCrossingsTest.java
+++ b/src/test/java/merlinlever/records/RecordsCrossingsTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import merlinlever.core.Works;
 import merlinlever.faults.proc.Ports;
-import merlinlever.net.DrivenLoop;
 import merlinlever.net.CloseReason;
+import merlinlever.net.DrivenLoop;
 import net.jqwik.api.Example;
 
 /** Events that cross on the connections to the records service. */
@@ -90,7 +90,9 @@
      */
     @Example
     void aDialThatHangsEndsWithItsCallOrMovesWithTheService() throws IOException {
-        try (ServerSocket silent = new ServerSocket(0, 1, HERE); ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket silent = new ServerSocket(0, 1, HERE);
+                ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             List<Socket> queued = fill(silent);
             link = link(on, at(silent), 2);
             call(1);
@@ -118,7 +120,9 @@
     /** The service moves: a call that has left ends where it is, and its connection with it; the next goes to the new place. */
     @Example
     void aCallThatHasLeftEndsWhereItIsWhenTheServiceMoves() throws IOException {
-        try (ServerSocket old = place(); ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket old = place();
+                ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(old), 1);
             call(1);
             Socket line = accept(old, 1);
@@ -139,7 +143,8 @@
     /** All connections had the operation's own last call, on which a copy may follow: one makes room for a new one. */
     @Example
     void anOperationWhoseOwnConnectionsAreAllThatIsIdleGetsANewOne() throws IOException {
-        try (ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(place), 1);
             call(1);
             Socket line = accept(place, 1);
@@ -155,7 +160,8 @@
     /** A second call for an operation gives up its first, here as at the service: one ending is heard, the second's. */
     @Example
     void aSecondCallForAnOperationGivesUpItsFirst() throws IOException {
-        try (ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(place), 4);
             call(1);
             Socket line = accept(place, 1);
@@ -181,7 +187,12 @@
                 }
             });
             on.until(() -> ended.size() == 3000, "all endings");
-            assertEquals(3000, ended.stream().filter(each -> each.endsWith(" UNREACHABLE")).distinct().count());
+            assertEquals(
+                    3000,
+                    ended.stream()
+                            .filter(each -> each.endsWith(" UNREACHABLE"))
+                            .distinct()
+                            .count());
         }
     }
 }
--- a/src/test/java/merlinlever/records/RepliesCrossingsTest.java
+++ b/src/test/java/merlinlever/records/RepliesCrossingsTest.java
@@ -18,7 +18,8 @@
     /** A whole reply with a close right behind it is a reply; a close without one proves nothing. */
     @Example
     void aReplyThatCrossesTheEndOfItsConnectionCounts() throws IOException {
-        try (ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(place), 4);
             call(1);
             Socket line = accept(place, 1);
@@ -46,9 +47,9 @@
                 party.say(done(1, "r"));
                 // More is ready than one batch takes, the reply behind it; then the limit is due.
                 on.loop.after(() -> {
-                    on.loop.after(() -> { });
+                    on.loop.after(() -> {});
                     for (int i = 0; i < 300; i++) {
-                        on.loop.execute(() -> { });
+                        on.loop.execute(() -> {});
                     }
                     on.laterNow(400);
                 });
@@ -60,7 +61,8 @@
     /** Given up as its reply arrives, in either order: the reply is nobody's, and its connection carries no other call. */
     @Example
     void aCallThatIsGivenUpTakesItsConnectionAndItsReplyAlong() throws IOException {
-        try (ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(place), 4);
             call(1);
             Socket line = accept(place, 1);
@@ -86,10 +88,15 @@
     /** What comes with a reply, before or behind it or much later, is nobody's reply; the connection gets no call after it. */
     @Example
     void whatComesBesideAReplyIsNobodys() throws IOException {
-        try (ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(place), 4);
-            String[] beside = {done(99, "ahead") + done(1, "r"), done(1, "r") + done(1, "copy"), done(1, "r") + "\u0007noise",
-                done(1, "r") + "half a li"};
+            String[] beside = {
+                done(99, "ahead") + done(1, "r"),
+                done(1, "r") + done(1, "copy"),
+                done(1, "r") + "\u0007noise",
+                done(1, "r") + "half a li"
+            };
             List<String> all = new ArrayList<>();
             for (String each : beside) {
                 call(1);
@@ -99,7 +106,8 @@
                 hasEnded(all.toArray(String[]::new));
                 assertEquals(-1, line.getInputStream().read(), each);
             }
-            // In pieces of a byte it is the same reply; a copy that follows while another has the connection is not that one's.
+            // In pieces of a byte it is the same reply; a copy that follows while another has the connection is not
+            // that one's.
             call(1);
             Socket line = accept(place, 1);
             for (char c : done(1, "r").toCharArray()) {
@@ -120,10 +128,16 @@
     /** Lengths that do not fit, lines without end, a rest that never comes: each ends its call, which proves nothing, in time. */
     @Example
     void aSpoiltReplyEndsItsCallAtOnceOrInItsBound() throws IOException {
-        try (ServerSocket place = place(); DrivenLoop on = new DrivenLoop()) {
+        try (ServerSocket place = place();
+                DrivenLoop on = new DrivenLoop()) {
             link = link(on, at(place), 4);
-            String[] spoilt = {"0000000000000001 DONE 3221225472\r\nabc", "0000000000000001 DONE -1\r\n", "x".repeat(200),
-                "\u0000\u0000", "0000000000000001 DONE 2\r\nabcd"};
+            String[] spoilt = {
+                "0000000000000001 DONE 3221225472\r\nabc",
+                "0000000000000001 DONE -1\r\n",
+                "x".repeat(200),
+                "\u0000\u0000",
+                "0000000000000001 DONE 2\r\nabcd"
+            };
             List<String> all = new ArrayList<>();
             // Not to be closed from here: what is let go of may be.
             List<Socket> held = new ArrayList<>();
--- a/src/test/java/merlinlever/records/ReplyTest.java
+++ b/src/test/java/merlinlever/records/ReplyTest.java
@@ -26,7 +26,9 @@
             Reply reply = Reply.read(bytes, 0, bytes.length);
             assertEquals(endings[i], reply.ending());
             assertEquals(bytes.length, reply.end());
-            assertEquals(words[i].equals("WAIT") || words[i].equals("EMPTY"), reply.ending().provesUnrun());
+            assertEquals(
+                    words[i].equals("WAIT") || words[i].equals("EMPTY"),
+                    reply.ending().provesUnrun());
         }
     }
 
@@ -51,9 +53,17 @@
 
     @Example
     void whatIsNoReplyIsMalformed() {
-        for (String bad : new String[] {"x", "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d41 GONE", "9b1f03aa5c7e2d41 DONE",
+        for (String bad : new String[] {
+            "x",
+            "9b1f03aa5c7e2d41",
+            "9b1f03aa5c7e2d41 GONE",
+            "9b1f03aa5c7e2d41 DONE",
             "9b1f03aa5c7e2d41 DONE -1",
-            "9b1f03aa5c7e2d41 DONE 99999", "9b1f03aa5c7e2d41 DONE 1 2", "9b1f03aa5c7e2d41 DONE 1\r\nabc", "a".repeat(200)}) {
+            "9b1f03aa5c7e2d41 DONE 99999",
+            "9b1f03aa5c7e2d41 DONE 1 2",
+            "9b1f03aa5c7e2d41 DONE 1\r\nabc",
+            "a".repeat(200)
+        }) {
             byte[] bytes = ascii(bad + "\r\n");
             assertThrows(Reply.Malformed.class, () -> Reply.read(bytes, 0, bytes.length), bad);
         }
--- a/src/test/java/merlinlever/recovery/ReturnTest.java
+++ b/src/test/java/merlinlever/recovery/ReturnTest.java
@@ -36,12 +36,18 @@
     }
 
     private static Return begin(Memory left, long unixNow, String owner) {
-        return new Return(Duration.ZERO, unixNow, Trust.judge(left, null, owner, unixNow), Return.Stated.usual(WINDOW), true,
+        return new Return(
+                Duration.ZERO,
+                unixNow,
+                Trust.judge(left, null, owner, unixNow),
+                Return.Stated.usual(WINDOW),
+                true,
                 new SplittableRandom(5));
     }
 
     /** All that is alive answers what it is asked, its clock ahead by so much, after so long; until that moment. */
-    private static void answers(Return order, long fromMs, long untilMs, long unixAtZero, long aheadMs, long tookMs, String... names) {
+    private static void answers(
+            Return order, long fromMs, long untilMs, long unixAtZero, long aheadMs, long tookMs, String... names) {
         List<long[]> coming = new ArrayList<>();
         List<String> who = new ArrayList<>();
         for (long now = fromMs; now <= untilMs; now += 50) {
@@ -50,7 +56,11 @@
             }
             for (int i = 0; i < coming.size(); i++) {
                 if (coming.get(i)[0] == now) {
-                    order.told(ms(now), unixAtZero + now, who.get(i), coming.get(i)[1],
+                    order.told(
+                            ms(now),
+                            unixAtZero + now,
+                            who.get(i),
+                            coming.get(i)[1],
                             new Return.Told(unixAtZero + now - tookMs / 2 + aheadMs, Return.Stage.WARM, 30));
                 }
             }
@@ -69,24 +79,34 @@
      * across the outage; forward is found out by the others alone.
      */
     @Property(tries = 2000, seed = "26")
-    void noRepeatOfTheLifeBeforeIsTakenWithinItsWindow(@ForAll @LongRange(min = 0, max = 20_000) long down,
-            @ForAll @LongRange(min = 0, max = 3000) long lastBegunAfterMark, @ForAll @LongRange(min = -60_000, max = 60_000) long set,
+    void noRepeatOfTheLifeBeforeIsTakenWithinItsWindow(
+            @ForAll @LongRange(min = 0, max = 20_000) long down,
+            @ForAll @LongRange(min = 0, max = 3000) long lastBegunAfterMark,
+            @ForAll @LongRange(min = -60_000, max = 60_000) long set,
             @ForAll @IntRange(min = 0, max = 3) int disk) {
         // The life before wrote its last mark at NOON and began keyed work until so long after; it died no earlier.
         long died = NOON + lastBegunAfterMark;
         long began = died + down;
         Memory memory = disk == 0 ? null : left(NOON);
-        Trust.Verdict verdict = Trust.judge(disk == 1 ? null : memory, disk == 1 ? "spoilt" : null, disk == 2 ? "b-2@127.0.0.1:2" : "b-1@127.0.0.1:1",
+        Trust.Verdict verdict = Trust.judge(
+                disk == 1 ? null : memory,
+                disk == 1 ? "spoilt" : null,
+                disk == 2 ? "b-2@127.0.0.1:2" : "b-1@127.0.0.1:1",
                 began + set);
-        Return order = new Return(Duration.ZERO, began + set, verdict, Return.Stated.usual(WINDOW), true, new SplittableRandom(down));
+        Return order = new Return(
+                Duration.ZERO, began + set, verdict, Return.Stated.usual(WINDOW), true, new SplittableRandom(down));
         answers(order, 0, 1500, began + set, -set, 100, "b-3", "b-4", "b-5");
         assertEquals(Return.Stage.RECONCILED, order.stage());
         long realFrom = began + order.keyedFrom(ms(1500)).toMillis();
         // A clock that is off by under a second is not told apart from the time a message takes.
         long unseen = Math.abs(set) <= 1200 ? Math.max(0, set) : 0;
-        assertTrue(realFrom >= NOON + lastBegunAfterMark + WINDOW.toMillis() - unseen, "down " + down + ", begun " + lastBegunAfterMark + " after the mark, set "
-                + set + ", disk " + disk + ": taken from " + (realFrom - NOON) + " after the mark");
-        assertTrue(order.keyedFrom(ms(1500)).compareTo(WINDOW.plus(ms(200))) <= 0, "and never held longer than a window after the start");
+        assertTrue(
+                realFrom >= NOON + lastBegunAfterMark + WINDOW.toMillis() - unseen,
+                "down " + down + ", begun " + lastBegunAfterMark + " after the mark, set " + set + ", disk " + disk
+                        + ": taken from " + (realFrom - NOON) + " after the mark");
+        assertTrue(
+                order.keyedFrom(ms(1500)).compareTo(WINDOW.plus(ms(200))) <= 0,
+                "and never held longer than a window after the start");
     }
 
     @Example
@@ -98,7 +118,10 @@
         assertEquals(Return.Stage.WARM, longOne.stage());
         Return shortOne = begin(left(NOON), NOON + 4000, "b-1@127.0.0.1:1");
         answers(shortOne, 0, 1500, NOON + 4000, 0, 100, "b-3");
-        assertEquals(ms(3000 + 4000 - 4000 + 100), shortOne.keyedFrom(ms(1500)), "a mark that reached 3 s ahead, and the window");
+        assertEquals(
+                ms(3000 + 4000 - 4000 + 100),
+                shortOne.keyedFrom(ms(1500)),
+                "a mark that reached 3 s ahead, and the window");
         shortOne.fullSpeed(ms(1500));
         assertEquals(Return.Stage.RECONCILED, shortOne.stage(), "not warm while keyed work waits");
     }
@@ -113,7 +136,9 @@
         assertEquals(Return.Stage.COLD, order.stage());
         List<Return.Step> steps = order.steps();
         assertEquals(1, steps.size());
-        assertTrue(steps.get(0).why().startsWith("no other is reached after 3000 ms"), steps.get(0).why());
+        assertTrue(
+                steps.get(0).why().startsWith("no other is reached after 3000 ms"),
+                steps.get(0).why());
         answers(order, 20_000, 21_500, NOON + 60_000, 0, 100, "b-3");
         assertEquals(Return.Stage.RECONCILED, order.stage(), "the partition is over");
         assertTrue(order.keyedFrom(ms(21_500)).isNegative());
@@ -168,7 +193,8 @@
         Trust.Verdict aged = Trust.judge(left(NOON), null, "b-1@127.0.0.1:1", NOON + 600_000);
         assertEquals(2.0, aged.weight(), 1e-9, "two half-lives after its last note");
         assertEquals(65, aged.incarnation());
-        assertEquals(65, Trust.judge(left(NOON), null, "other@127.0.0.1:1", NOON).incarnation(), "a floor may be another's");
+        assertEquals(
+                65, Trust.judge(left(NOON), null, "other@127.0.0.1:1", NOON).incarnation(), "a floor may be another's");
     }
 
     /** Every state that a power loss may leave of a day of notes: the last that was forced, or the one under way; never spoilt. */
@@ -182,7 +208,14 @@
             try (Recorded folder = new Recorded(new DiskFolder(root.resolve("day")), TestFolders.into(lines), "day")) {
                 Store store = new Store(folder);
                 for (int i = 0; i < 200; i++) {
-                    Memory memory = new Memory("b-1@127.0.0.1:1", 64 + i / 10, i / 20, NOON + i * 1000 + 3000, NOON + i * 1000, i / 2.0, List.of("127.0.0.1:" + (i + 1)));
+                    Memory memory = new Memory(
+                            "b-1@127.0.0.1:1",
+                            64 + i / 10,
+                            i / 20,
+                            NOON + i * 1000 + 3000,
+                            NOON + i * 1000,
+                            i / 2.0,
+                            List.of("127.0.0.1:" + (i + 1)));
                     store.write(memory);
                     written.add(memory);
                     returnedAt.add(lines.size());
@@ -204,7 +237,11 @@
                     Memory last = done == 0 ? null : written.get(done - 1);
                     Memory next = done < written.size() ? written.get(done) : last;
                     assertEquals(null, found.spoilt(), "cut " + state.cut() + ", " + state.how());
-                    assertTrue(found.memory() == null ? last == null : found.memory().equals(last) || found.memory().equals(next),
+                    assertTrue(
+                            found.memory() == null
+                                    ? last == null
+                                    : found.memory().equals(last)
+                                            || found.memory().equals(next),
                             "cut " + state.cut() + ", " + state.how() + ": " + found.memory());
                 } catch (IOException e) {
                     throw new AssertionError(e);
@@ -219,7 +256,8 @@
     }
 
     @Property(tries = 500, seed = "27")
-    void aFlippedBitOrATornFileIsToldAndThrownAway(@ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll boolean tear) {
+    void aFlippedBitOrATornFileIsToldAndThrownAway(
+            @ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll boolean tear) {
         byte[] octets = Store.text(left(NOON));
         if (tear) {
             octets = java.util.Arrays.copyOf(octets, at % octets.length);
--- a/src/test/java/merlinlever/recovery/net/ForwardingFolder.java
+++ b/src/test/java/merlinlever/recovery/net/ForwardingFolder.java
@@ -13,31 +13,38 @@
         this.inner = inner;
     }
 
-    @Override public List<String> names() throws IOException {
+    @Override
+    public List<String> names() throws IOException {
         return inner.names();
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         return inner.read(name);
     }
 
-    @Override public Out append(String name) throws IOException {
+    @Override
+    public Out append(String name) throws IOException {
         return inner.append(name);
     }
 
-    @Override public void rename(String from, String to) throws IOException {
+    @Override
+    public void rename(String from, String to) throws IOException {
         inner.rename(from, to);
     }
 
-    @Override public void delete(String name) throws IOException {
+    @Override
+    public void delete(String name) throws IOException {
         inner.delete(name);
     }
 
-    @Override public void force() throws IOException {
+    @Override
+    public void force() throws IOException {
         inner.force();
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         inner.close();
     }
 }
--- a/src/test/java/merlinlever/recovery/net/RejoinTest.java
+++ b/src/test/java/merlinlever/recovery/net/RejoinTest.java
@@ -62,7 +62,8 @@
             super(inner);
         }
 
-        @Override public void replace(String name, byte[] octets) throws IOException {
+        @Override
+        public void replace(String name, byte[] octets) throws IOException {
             permits.acquireUninterruptibly();
             if (fails) {
                 throw new IOException("no space left");
@@ -72,19 +73,22 @@
     }
 
     private final Rejoin.Service service = new Rejoin.Service() {
-        @Override public void keyed(Duration from, Duration to) {
+        @Override
+        public void keyed(Duration from, Duration to) {
             keyedFrom = from;
             keyedTo = to;
         }
 
-        @Override public void guess(double capacity, double completions) {
-        }
+        @Override
+        public void guess(double capacity, double completions) {}
 
-        @Override public double capacity() {
+        @Override
+        public double capacity() {
             return 12;
         }
 
-        @Override public boolean fullSpeed() {
+        @Override
+        public boolean fullSpeed() {
             return true;
         }
     };
@@ -152,9 +156,22 @@
         Rejoin[] made = new Rejoin[1];
         loop.execute(() -> {
             try {
-                made[0] = new Rejoin(loop, folder, place,
-                        new Return.Stated(Duration.ofMillis(800), Duration.ofMillis(100), Duration.ofMillis(100), Duration.ofMillis(400), Duration.ofMillis(600), 16),
-                        Duration.ofMillis(100), 3, () -> System.currentTimeMillis() + set.get(), its, line -> log.add(place.name() + " " + line));
+                made[0] = new Rejoin(
+                        loop,
+                        folder,
+                        place,
+                        new Return.Stated(
+                                Duration.ofMillis(800),
+                                Duration.ofMillis(100),
+                                Duration.ofMillis(100),
+                                Duration.ofMillis(400),
+                                Duration.ofMillis(600),
+                                16),
+                        Duration.ofMillis(100),
+                        3,
+                        () -> System.currentTimeMillis() + set.get(),
+                        its,
+                        line -> log.add(place.name() + " " + line));
             } catch (IOException e) {
                 log.add("failed: " + e);
             }
@@ -175,7 +192,8 @@
 
     private Memory left(String folder) {
         try {
-            return Store.parsed(Files.readAllBytes(root.resolve(folder).resolve(Store.FILE))).memory();
+            return Store.parsed(Files.readAllBytes(root.resolve(folder).resolve(Store.FILE)))
+                    .memory();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -210,9 +228,13 @@
         Held held = held("b");
         held.permits.release(1_000_000);
         make("b", held, List.of(), service);
-        until("keyed work is taken", () -> keyedTo != null && keyedTo.compareTo(loop.clock().uptime()) > 0);
+        until(
+                "keyed work is taken",
+                () -> keyedTo != null && keyedTo.compareTo(loop.clock().uptime()) > 0);
         held.fails = true;
-        until("a write has failed", () -> logged("cannot be written: no space left; keyed work is turned away until it can"));
+        until(
+                "a write has failed",
+                () -> logged("cannot be written: no space left; keyed work is turned away until it can"));
         until("the last mark has run out", () -> keyedTo.compareTo(loop.clock().uptime()) <= 0);
         held.fails = false;
         until("marks are made again", () -> keyedTo.compareTo(loop.clock().uptime()) > 0);
@@ -224,7 +246,9 @@
         Held held = held("b");
         held.permits.release(1_000_000);
         make("b", held, List.of(), service);
-        until("keyed work is taken", () -> keyedTo != null && keyedTo.compareTo(loop.clock().uptime()) > 0);
+        until(
+                "keyed work is taken",
+                () -> keyedTo != null && keyedTo.compareTo(loop.clock().uptime()) > 0);
         held.permits.drainPermits();
         set.set(30_000);
         until("the mark is not believed", () -> keyedTo.isZero());
@@ -272,8 +296,10 @@
             hub.tap((from, to, octets) -> audit.sent(from == 0 ? "a" : "b", to == 0 ? "a" : "b", wire.read(octets)));
             List<String> fronts = List.of(Link.text(hub.front(0)), Link.text(hub.front(1)));
             Rejoin.Place place = new Rejoin.Place("b", real.get(1), fronts.get(1), "-", List.of(fronts.get(0)), SECRET);
-            Rejoin first = make(new Rejoin.Place("a", real.get(0), fronts.get(0), "-", List.of(fronts.get(1)), SECRET),
-                    new DiskFolder(root.resolve("a")), Rejoin.Service.NONE);
+            Rejoin first = make(
+                    new Rejoin.Place("a", real.get(0), fronts.get(0), "-", List.of(fronts.get(1)), SECRET),
+                    new DiskFolder(root.resolve("a")),
+                    Rejoin.Service.NONE);
             long[] heard = new long[1];
             for (int life = 0; life < 3; life++) {
                 on(() -> {
@@ -291,14 +317,18 @@
                     held.fails = true;
                     held.permits.release(1_000_000);
                 } else {
-                    until("a hears this life", () -> first.members().views().of("b") != null
-                            && first.members().views().of("b").incarnation() > heard[0]);
+                    until(
+                            "a hears this life",
+                            () -> first.members().views().of("b") != null
+                                    && first.members().views().of("b").incarnation() > heard[0]);
                     heard[0] = first.members().views().of("b").incarnation();
                 }
                 end(its);
                 held.close();
             }
-            List<String> began = List.copyOf(log).stream().filter(line -> line.startsWith("b found incarnation: ") && line.contains(" goes on at ")).toList();
+            List<String> began = List.copyOf(log).stream()
+                    .filter(line -> line.startsWith("b found incarnation: ") && line.contains(" goes on at "))
+                    .toList();
             assertEquals(2, began.size(), "" + log);
             assertEquals(began.get(0), began.get(1), "the log tells the same of two lives");
             on(() -> {
--- a/src/test/java/merlinlever/routes/FellowsTest.java
+++ b/src/test/java/merlinlever/routes/FellowsTest.java
@@ -14,19 +14,28 @@
     }
 
     private static Routes routes() {
-        return new Routes(new Rules("me"), List.of(new Routes.Stated("east", Relation.PEER)), 0, Damping.Figures.PUBLISHED, ExitsTest.whole(), line -> { });
+        return new Routes(
+                new Rules("me"),
+                List.of(new Routes.Stated("east", Relation.PEER)),
+                0,
+                Damping.Figures.PUBLISHED,
+                ExitsTest.whole(),
+                line -> {});
     }
 
     /** Whatever the answer takes, twice or late: the lease counts from the question, and an answer to an earlier one is none. */
-    @Example void aLeaseCountsFromTheQuestion() {
+    @Example
+    void aLeaseCountsFromTheQuestion() {
         Routes heard = routes(), told = routes();
         Table table = MergeTest.table("east", 1, Relation.PEER, MergeTest.route("t", 1, "east"));
         heard.offer(s(0), table);
         heard.stoodBy(s(0), "east", 1, 1, TableWriter.digest(table), s(0), s(10));
         told.offer(s(0), table);
-        Fellows one = new Fellows(heard, 1000, new SplittableRandom(1)), other = new Fellows(told, 5000, new SplittableRandom(2));
+        Fellows one = new Fellows(heard, 1000, new SplittableRandom(1)),
+                other = new Fellows(told, 5000, new SplittableRandom(2));
         Fellows.Say question = other.look(s(2), List.of("one")).get(0);
-        Fellows.Say answer = one.said(s(3), "other", question.number(), question.what()).get(0);
+        Fellows.Say answer =
+                one.said(s(3), "other", question.number(), question.what()).get(0);
         assertEquals("L/east/1/1/" + TableWriter.digest(table) + "/7000", answer.what());
         other.said(s(6), "one", answer.number(), answer.what());
         other.said(s(8), "one", answer.number(), answer.what());
@@ -37,7 +46,14 @@
         assertEquals(0, told.ways(s(20), "t/records").size());
         // Who has no lease left says nothing; and what is no word is passed over.
         assertEquals(List.of(), one.said(s(20), "other", next.number(), next.what()));
-        for (String odd : List.of("", "L", "K/", "L/east/1/1/x/-1", "L/east/a/1/x/5", "L/west/1/1/x/5", "L/east/1/1/x/99999999999999999999")) {
+        for (String odd : List.of(
+                "",
+                "L",
+                "K/",
+                "L/east/1/1/x/-1",
+                "L/east/a/1/x/5",
+                "L/west/1/1/x/5",
+                "L/east/1/1/x/99999999999999999999")) {
             assertEquals(List.of(), other.said(s(20), "one", next.number(), odd));
         }
         assertEquals(0, told.ways(s(20), "t/records").size());
--- a/src/test/java/merlinlever/routes/MergeTest.java
+++ b/src/test/java/merlinlever/routes/MergeTest.java
@@ -18,7 +18,16 @@
 class MergeTest {
 
     static Route route(String tariff, int cost, String... path) {
-        return new Route(tariff, "records", "10.0.0.1:700" + path.length, 10, cost, false, List.of(path), null, Restrictions.NONE);
+        return new Route(
+                tariff,
+                "records",
+                "10.0.0.1:700" + path.length,
+                10,
+                cost,
+                false,
+                List.of(path),
+                null,
+                Restrictions.NONE);
     }
 
     static Table table(String site, long sequence, Relation relation, Route... routes) {
@@ -30,15 +39,31 @@
         for (int more = chance.nextInt(3); more > 0; more--) {
             path.add("s" + chance.nextInt(6));
         }
-        Restrictions its = chance.nextInt(3) > 0 ? Restrictions.NONE : new Restrictions(chance.nextBoolean() ? null : new TreeSet<>(Set.of("me", "s1")),
-                new TreeSet<>(Set.of(chance.nextInt(4) == 0 ? "me" : "s2")), chance.nextBoolean(), 1 + chance.nextInt(4), false, chance.nextBoolean(),
-                chance.nextInt(9) == 0);
-        return new Route("t" + chance.nextInt(3), "records", "10.0.0." + chance.nextInt(3) + ":1", 1 + chance.nextInt(50), chance.nextInt(3), false, path,
-                chance.nextInt(4) == 0 ? "s" + chance.nextInt(6) : null, its);
+        Restrictions its = chance.nextInt(3) > 0
+                ? Restrictions.NONE
+                : new Restrictions(
+                        chance.nextBoolean() ? null : new TreeSet<>(Set.of("me", "s1")),
+                        new TreeSet<>(Set.of(chance.nextInt(4) == 0 ? "me" : "s2")),
+                        chance.nextBoolean(),
+                        1 + chance.nextInt(4),
+                        false,
+                        chance.nextBoolean(),
+                        chance.nextInt(9) == 0);
+        return new Route(
+                "t" + chance.nextInt(3),
+                "records",
+                "10.0.0." + chance.nextInt(3) + ":1",
+                1 + chance.nextInt(50),
+                chance.nextInt(3),
+                false,
+                path,
+                chance.nextInt(4) == 0 ? "s" + chance.nextInt(6) : null,
+                its);
     }
 
     /** Any history of tables, in any order over the partners, ends as the last tables alone put in at once. */
-    @Property(tries = 300, seed = "41") void theSameWhateverTheOrder(@ForAll long seed) {
+    @Property(tries = 300, seed = "41")
+    void theSameWhateverTheOrder(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         Merge lived = new Merge(new Rules("me"));
         TreeMap<String, Table> last = new TreeMap<>();
@@ -49,7 +74,8 @@
                 routes.add(drawn(chance, site));
             }
             Relation relation = Relation.values()[site.charAt(1) % 3];
-            Table table = chance.nextInt(5) == 0 ? null : Table.of(site, 1, step, relation, Duration.ofSeconds(1), routes);
+            Table table =
+                    chance.nextInt(5) == 0 ? null : Table.of(site, 1, step, relation, Duration.ofSeconds(1), routes);
             assertTrue(lived.put(site, relation, table, Merge.NOBODY));
             if (table == null) {
                 last.remove(site);
@@ -58,9 +84,11 @@
             }
         }
         Merge fresh = new Merge(new Rules("me"));
-        last.descendingMap().forEach((site, table) -> fresh.put(site, Relation.values()[site.charAt(1) % 3], table, Merge.NOBODY));
+        last.descendingMap()
+                .forEach((site, table) -> fresh.put(site, Relation.values()[site.charAt(1) % 3], table, Merge.NOBODY));
         assertEquals(fresh.told(), lived.told());
-        assertEquals(last.values().stream().mapToInt(each -> each.routes().size()).sum(), lived.routes());
+        assertEquals(
+                last.values().stream().mapToInt(each -> each.routes().size()).sum(), lived.routes());
         for (String key : lived.keys()) {
             for (Merge.Candidate each : lived.ways(key)) {
                 assertFalse(each.route().path().contains("me"));
@@ -69,15 +97,25 @@
         }
     }
 
-    @Example void customersBeforePeersBeforeProvidersThenShortThenCheap() {
+    @Example
+    void customersBeforePeersBeforeProvidersThenShortThenCheap() {
         Merge merge = new Merge(new Rules("me"));
         merge.put("pro", Relation.PROVIDER, table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")), Merge.NOBODY);
         merge.put("peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), Merge.NOBODY);
-        merge.put("cus", Relation.CUSTOMER, table("cus", 1, Relation.CUSTOMER, route("t", 5, "cus", "x"), route("t", 7, "cus")), Merge.NOBODY);
-        assertEquals(List.of(7, 5, 9, 0), merge.ways("t/records").stream().map(each -> each.route().cost()).toList());
+        merge.put(
+                "cus",
+                Relation.CUSTOMER,
+                table("cus", 1, Relation.CUSTOMER, route("t", 5, "cus", "x"), route("t", 7, "cus")),
+                Merge.NOBODY);
+        assertEquals(
+                List.of(7, 5, 9, 0),
+                merge.ways("t/records").stream()
+                        .map(each -> each.route().cost())
+                        .toList());
     }
 
-    @Example void tenThousandWithdrawnAtOnceLeaveNothing() {
+    @Example
+    void tenThousandWithdrawnAtOnceLeaveNothing() {
         List<Route> many = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             many.add(route("t" + i, 1, "east"));
@@ -86,33 +124,44 @@
         Merge merge = new Merge(new Rules("me"));
         merge.put("west", Relation.PEER, table("west", 1, Relation.PEER, route("t7", 3, "west")), Merge.NOBODY);
         String before = merge.told();
-        merge.put("east", Relation.PEER, Table.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), many), Merge.NOBODY);
+        merge.put(
+                "east",
+                Relation.PEER,
+                Table.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
+                Merge.NOBODY);
         assertEquals(10_000, merge.keys().size());
         merge.put("east", Relation.PEER, table("east", 2, Relation.PEER), new Merge.Hearer() {
-            @Override public void refused(Route route, String rule) {
-            }
+            @Override
+            public void refused(Route route, String rule) {}
 
-            @Override public void withdrawn(Route route) {
+            @Override
+            public void withdrawn(Route route) {
                 withdrawn[0]++;
             }
 
-            @Override public void changed(Route route) {
-            }
+            @Override
+            public void changed(Route route) {}
         });
         assertEquals(10_000, withdrawn[0]);
         assertEquals(before, merge.told());
     }
 
-    @Example void aTableBeyondTheRoomIsNotTaken() {
+    @Example
+    void aTableBeyondTheRoomIsNotTaken() {
         Merge merge = new Merge(new Rules("me"));
         List<Route> many = new ArrayList<>();
         for (int i = 0; i < Table.MOST; i++) {
             many.add(route("t" + i, 1, "x"));
         }
         for (int i = 0; i < 8; i++) {
-            assertTrue(merge.put("p" + i, Relation.PEER, Table.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), many), Merge.NOBODY));
+            assertTrue(merge.put(
+                    "p" + i,
+                    Relation.PEER,
+                    Table.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
+                    Merge.NOBODY));
         }
-        assertFalse(merge.put("late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), Merge.NOBODY));
+        assertFalse(
+                merge.put("late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), Merge.NOBODY));
         assertEquals(Merge.MOST, merge.routes());
     }
 }
--- a/src/test/java/merlinlever/routes/PartnerTest.java
+++ b/src/test/java/merlinlever/routes/PartnerTest.java
@@ -25,8 +25,13 @@
     private final Routes routes = fresh();
 
     private Routes fresh() {
-        return new Routes(new Rules("me"), List.of(new Routes.Stated("east", Relation.PEER), new Routes.Stated("west", Relation.PEER)), 0.01,
-                Damping.Figures.PUBLISHED, new Stands(now -> standing), told::add);
+        return new Routes(
+                new Rules("me"),
+                List.of(new Routes.Stated("east", Relation.PEER), new Routes.Stated("west", Relation.PEER)),
+                0.01,
+                Damping.Figures.PUBLISHED,
+                new Stands(now -> standing),
+                told::add);
     }
 
     private static Duration s(double seconds) {
@@ -35,12 +40,15 @@
 
     private void says(double at, Table table) {
         routes.offer(s(at), table);
-        routes.stoodBy(s(at), "east", table.incarnation(), table.sequence(), TableWriter.digest(table), s(at), table.lease());
+        routes.stoodBy(
+                s(at), "east", table.incarnation(), table.sequence(), TableWriter.digest(table), s(at), table.lease());
     }
 
     private List<Integer> costs(double at) {
         routes.settle(s(at));
-        return routes.ways(s(at), "t/records").stream().map(each -> each.route().cost()).toList();
+        return routes.ways(s(at), "t/records").stream()
+                .map(each -> each.route().cost())
+                .toList();
     }
 
     private static Table of(long sequence, Route... all) {
@@ -48,11 +56,20 @@
     }
 
     private static Route tight(Route route) {
-        return new Route(route.tariff(), route.group(), route.place(), route.calls(), route.cost(), route.binding(), route.path(), null,
+        return new Route(
+                route.tariff(),
+                route.group(),
+                route.place(),
+                route.calls(),
+                route.cost(),
+                route.binding(),
+                route.path(),
+                null,
                 new Restrictions(new TreeSet<>(List.of("other")), new TreeSet<>(), false, 16, false, false, false));
     }
 
-    @Example void usedOnlyWhileItsLeaseHoldsAndLastWhileItIsSilent() {
+    @Example
+    void usedOnlyWhileItsLeaseHoldsAndLastWhileItIsSilent() {
         routes.offer(s(0), of(1, route("t", 1, "east")));
         assertEquals(List.of(), costs(0.1), "nobody knows yet whether it stands by it");
         says(0.2, of(1, route("t", 1, "east")));
@@ -63,7 +80,8 @@
         assertEquals(List.of(), costs(10.11));
     }
 
-    @Example void whatIsSilentIsUsedLast() {
+    @Example
+    void whatIsSilentIsUsedLast() {
         says(0, of(1, route("t", 1, "east")));
         Table west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(s(4), west);
@@ -73,7 +91,8 @@
         assertEquals(List.of(9), costs(11));
     }
 
-    @Example void whatComesLateTwiceOrOldWidensNothing() {
+    @Example
+    void whatComesLateTwiceOrOldWidensNothing() {
         Table first = of(1, route("t", 1, "east")), second = of(2, tight(route("t", 1, "east")));
         says(0, first);
         says(1, second);
@@ -87,8 +106,10 @@
     }
 
     /** Of one version there are two: the one before runs out, in no order is either taken, and it is told. */
-    @Example void twoTablesUnderOneVersion() {
-        Table one = of(2, route("t", 1, "east"), route("t", 2, "east", "x")), other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
+    @Example
+    void twoTablesUnderOneVersion() {
+        Table one = of(2, route("t", 1, "east"), route("t", 2, "east", "x")),
+                other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
         for (List<Table> order : List.of(List.of(one, other), List.of(other, one))) {
             Routes each = fresh();
             Table before = of(1, route("t", 1, "east"));
@@ -100,21 +121,34 @@
             });
             order.forEach(table -> each.stoodBy(s(5), "east", 1, 2, TableWriter.digest(table), s(5), s(10)));
             each.settle(s(9));
-            assertEquals(List.of(1), each.ways(s(9), "t/records").stream().map(way -> way.route().cost()).toList());
+            assertEquals(
+                    List.of(1),
+                    each.ways(s(9), "t/records").stream()
+                            .map(way -> way.route().cost())
+                            .toList());
             each.settle(s(10));
             assertEquals(List.of(), each.ways(s(10), "t/records"));
             assertTrue(each.clashing("east"));
             assertEquals(Duration.ZERO, each.holds(s(9), "east").left());
         }
-        assertEquals(2, told.stream().filter(line -> line.contains("two tables")).count());
+        assertEquals(
+                2, told.stream().filter(line -> line.contains("two tables")).count());
     }
 
     /** Cut off: a tightening and a withdrawal are taken, a new route and a looser one wait until enough are heard again. */
-    @Example void cutOffItOnlyNarrows() {
+    @Example
+    void cutOffItOnlyNarrows() {
         says(0, of(1, route("t", 1, "east"), tight(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
         standing = Standing.FEW;
-        says(1, of(2, tight(route("t", 1, "east")), route("t", 2, "east", "x"), route("t", 3, "east", "x", "y"), route("t", 4, "east", "x", "y", "z")));
+        says(
+                1,
+                of(
+                        2,
+                        tight(route("t", 1, "east")),
+                        route("t", 2, "east", "x"),
+                        route("t", 3, "east", "x", "y"),
+                        route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(3), costs(1));
         says(2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(), costs(2));
@@ -125,7 +159,8 @@
     }
 
     /** Any words in any order: what is used allows no more than one that was said at most a lease before. */
-    @Property(tries = 300, seed = "43") void neverMoreThanWasSaidWithinALease(@ForAll long seed) {
+    @Property(tries = 300, seed = "43")
+    void neverMoreThanWasSaidWithinALease(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         Routes routes = fresh();
         List<Table> said = new ArrayList<>();
@@ -134,7 +169,10 @@
             double now = step * 0.7;
             if (chance.nextInt(3) == 0 || said.isEmpty()) {
                 Route its = route("t", said.size(), "east");
-                said.add(chance.nextInt(4) == 0 ? of(said.size() + 1) : of(said.size() + 1, chance.nextBoolean() ? its : tight(its)));
+                said.add(
+                        chance.nextInt(4) == 0
+                                ? of(said.size() + 1)
+                                : of(said.size() + 1, chance.nextBoolean() ? its : tight(its)));
                 at.add(now);
             }
             standing = Standing.values()[chance.nextInt(5)];
@@ -151,12 +189,19 @@
                 // The latest version that it may come from was the last one at some moment of the lease before.
                 double until = cost + 1 < at.size() ? at.get(cost + 1) : now;
                 assertTrue(now - until <= 10, cost + " at " + now);
-                assertTrue(said.get(cost).routes().values().iterator().next().restrictions().allows("me"));
+                assertTrue(said.get(cost)
+                        .routes()
+                        .values()
+                        .iterator()
+                        .next()
+                        .restrictions()
+                        .allows("me"));
             }
         }
     }
 
-    @Example void whatComesAndGoesIsLeftOutByThePublishedFigures() {
+    @Example
+    void whatComesAndGoesIsLeftOutByThePublishedFigures() {
         Damping damping = new Damping(Damping.Figures.PUBLISHED);
         for (int i = 0; i < 5; i++) {
             damping.withdrawn(s(i), "r");
@@ -178,9 +223,14 @@
         assertEquals(Damping.MOST, damping.size());
     }
 
-    @Example void aRouteThatComesAndGoesIsLeftOutOfTheWays() {
+    @Example
+    void aRouteThatComesAndGoesIsLeftOutOfTheWays() {
         for (int i = 1; i < 16; i++) {
-            says(i, i % 2 == 1 ? of(i, route("t", 1, "east"), route("t", 2, "east", "x")) : of(i, route("t", 2, "east", "x")));
+            says(
+                    i,
+                    i % 2 == 1
+                            ? of(i, route("t", 1, "east"), route("t", 2, "east", "x"))
+                            : of(i, route("t", 2, "east", "x")));
         }
         assertEquals(List.of(2), costs(15));
     }
--- a/src/test/java/merlinlever/routes/PartsTest.java
+++ b/src/test/java/merlinlever/routes/PartsTest.java
@@ -19,16 +19,27 @@
         List<Route> many = new ArrayList<>();
         SplittableRandom chance = new SplittableRandom(sequence);
         for (int i = from; i < from + 10_000; i++) {
-            many.add(new Route("t" + i, "records", "10.0.0.1:" + (1 + chance.nextInt(60_000)), 1 + chance.nextInt(1000), chance.nextInt(1000), false,
-                    List.of("east"), null, Restrictions.NONE));
+            many.add(new Route(
+                    "t" + i,
+                    "records",
+                    "10.0.0.1:" + (1 + chance.nextInt(60_000)),
+                    1 + chance.nextInt(1000),
+                    chance.nextInt(1000),
+                    false,
+                    List.of("east"),
+                    null,
+                    Restrictions.NONE));
         }
         return Table.of("east", 1, sequence, Relation.PEER, Duration.ofSeconds(5), many);
     }
 
-    @Example void inAnyOrderOnceAllIsThereAndNeverInHalves() {
+    @Example
+    void inAnyOrderOnceAllIsThereAndNeverInHalves() {
         Table first = large(1, 0), second = large(2, 50);
         List<Snapshot> parts = new ArrayList<>(Parts.cut(first));
-        assertTrue(parts.size() > 3 && parts.size() < Parts.MOST && parts.stream().allMatch(each -> each.value().length <= Snapshot.MOST_OCTETS));
+        assertTrue(parts.size() > 3
+                && parts.size() < Parts.MOST
+                && parts.stream().allMatch(each -> each.value().length <= Snapshot.MOST_OCTETS));
         Collections.shuffle(parts, new Random(5));
         Parts gather = new Parts();
         for (Snapshot each : parts.subList(1, parts.size())) {
@@ -46,7 +57,8 @@
         assertEquals(second, whole);
     }
 
-    @Example void spoiltOrMixedPartsAreNoTable() {
+    @Example
+    void spoiltOrMixedPartsAreNoTable() {
         List<Snapshot> one = Parts.cut(large(1, 0)), other = Parts.cut(large(2, 50));
         for (int spoilt = 0; spoilt < 200; spoilt++) {
             SplittableRandom chance = new SplittableRandom(spoilt);
@@ -65,9 +77,21 @@
             Snapshot each = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
             assertNull(gather.came(new Snapshot("east", each.topic(), 1, 1, each.value())));
         }
-        for (Snapshot odd : List.of(new Snapshot("east", "routes.0", 9, 9, null), new Snapshot("east", "routes.0", 9, 9, new byte[0]),
-                new Snapshot("east", "routes.7", 9, 9, "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
-                new Snapshot("east", "routes.x", 9, 9, "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)))) {
+        for (Snapshot odd : List.of(
+                new Snapshot("east", "routes.0", 9, 9, null),
+                new Snapshot("east", "routes.0", 9, 9, new byte[0]),
+                new Snapshot(
+                        "east",
+                        "routes.7",
+                        9,
+                        9,
+                        "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
+                new Snapshot(
+                        "east",
+                        "routes.x",
+                        9,
+                        9,
+                        "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)))) {
             assertNull(gather.came(odd));
         }
     }
--- a/src/test/java/merlinlever/routes/Search.java
+++ b/src/test/java/merlinlever/routes/Search.java
@@ -25,10 +25,12 @@
 
     /** What the second is to the first, by index; null where they are no partners. */
     final Relation[][] relations = new Relation[N][N];
+
     private final List<Restrictions> variants;
     private final Rules[] rules = new Rules[N];
     /** Passes on all that it has; or even as if it were the other's own table. */
     int leaker = -1;
+
     boolean strips;
     final Set<String> breaches = new TreeSet<>();
     final Map<Integer, Set<String>> results = new TreeMap<>();
@@ -60,7 +62,10 @@
     /** held[y][x]: what y has of x; way[x][y]: what is on its way from x to y, -1 for none; said: variants announced. */
     private record State(int said, int[][] held, int[][] way) {
         State copy(int nowSaid) {
-            return new State(nowSaid, Arrays.stream(held).map(int[]::clone).toArray(int[][]::new), Arrays.stream(way).map(int[]::clone).toArray(int[][]::new));
+            return new State(
+                    nowSaid,
+                    Arrays.stream(held).map(int[]::clone).toArray(int[][]::new),
+                    Arrays.stream(way).map(int[]::clone).toArray(int[][]::new));
         }
 
         String key() {
@@ -78,8 +83,17 @@
         Merge merge = new Merge(rules[site]);
         for (int from = 0; from < N; from++) {
             if (relations[site][from] != null && held[from] != NOTHING) {
-                merge.put(SITES[from], relations[site][from], Table.of(SITES[from], 1, 1, relations[site][from], Duration.ofSeconds(1),
-                        contents.get(held[from])), Merge.NOBODY);
+                merge.put(
+                        SITES[from],
+                        relations[site][from],
+                        Table.of(
+                                SITES[from],
+                                1,
+                                1,
+                                relations[site][from],
+                                Duration.ofSeconds(1),
+                                contents.get(held[from])),
+                        Merge.NOBODY);
             }
         }
         return merge;
@@ -87,31 +101,46 @@
 
     /** What the site would publish to the other, as a number. */
     private int export(State state, int site, int to) {
-        return exports.computeIfAbsent(site + ">" + to + (site == 0 ? "/" + state.said : "") + Arrays.toString(state.held[site]), key -> {
-            Route own = site == 0 ? own(state.said) : null;
-            Merge merge = merge(site, state.held[site]);
-            List<Route> all = new ArrayList<>();
-            if (site == leaker) {
-                all.addAll(own == null ? List.of() : List.of(own));
-                for (int from = 0; from < N; from++) {
-                    for (Route each : contents.get(state.held[site][from])) {
-                        all.add(strips ? each : rules[site].passedOn(each, "10.0.0.9:1", 100, 1, relations[site][to]));
+        return exports.computeIfAbsent(
+                site + ">" + to + (site == 0 ? "/" + state.said : "") + Arrays.toString(state.held[site]), key -> {
+                    Route own = site == 0 ? own(state.said) : null;
+                    Merge merge = merge(site, state.held[site]);
+                    List<Route> all = new ArrayList<>();
+                    if (site == leaker) {
+                        all.addAll(own == null ? List.of() : List.of(own));
+                        for (int from = 0; from < N; from++) {
+                            for (Route each : contents.get(state.held[site][from])) {
+                                all.add(
+                                        strips
+                                                ? each
+                                                : rules[site].passedOn(
+                                                        each, "10.0.0.9:1", 100, 1, relations[site][to]));
+                            }
+                        }
+                    } else {
+                        all = Exports.of(
+                                rules[site],
+                                merge,
+                                relations[site][to],
+                                SITES[to],
+                                own == null ? List.of() : List.of(own),
+                                "10.0.0." + (site + 1) + ":1",
+                                100,
+                                1,
+                                any -> true);
+                        all.forEach(each -> look("sent", each, site, to));
                     }
-                }
-            } else {
-                all = Exports.of(rules[site], merge, relations[site][to], SITES[to], own == null ? List.of() : List.of(own), "10.0.0." + (site + 1) + ":1",
-                        100, 1, any -> true);
-                all.forEach(each -> look("sent", each, site, to));
-            }
-            merge.keys().forEach(way -> merge.ways(way).forEach(each -> look("taken", each.route(), Arrays.asList(SITES).indexOf(each.from()), site)));
-            List<Route> content = List.copyOf(all);
-            Integer number = numbers.get(content);
-            if (number == null) {
-                numbers.put(content, number = contents.size());
-                contents.add(content);
-            }
-            return number;
-        });
+                    merge.keys().forEach(way -> merge.ways(way)
+                            .forEach(each -> look(
+                                    "taken", each.route(), Arrays.asList(SITES).indexOf(each.from()), site)));
+                    List<Route> content = List.copyOf(all);
+                    Integer number = numbers.get(content);
+                    if (number == null) {
+                        numbers.put(content, number = contents.size());
+                        contents.add(content);
+                    }
+                    return number;
+                });
     }
 
     /** The auditor's own rules; it knows the variant by its figure, and who is what to whom. */
@@ -119,11 +148,26 @@
         Restrictions said = variants.get(route.calls() - 10);
         List<String> path = route.path();
         boolean first = path.size() == 1;
-        String why = said.unreadable() && to != 0 ? "unreadable" : said.onlyTo() != null && !said.onlyTo().contains(SITES[to]) ? "not among the only"
-                : said.notTo().contains(SITES[to]) ? "not to it" : said.noFurther() && !first ? "further" : path.size() > said.mostSites() ? "too long"
-                : said.customersOnly() && !first && relations[from][to] != Relation.CUSTOMER ? "not a customer"
-                : path.contains(SITES[to]) || new HashSet<>(path).size() < path.size() ? "loop" : !path.get(0).equals(SITES[from]) ? "not its own"
-                : valley(path, to) ? "valley" : null;
+        String why = said.unreadable() && to != 0
+                ? "unreadable"
+                : said.onlyTo() != null && !said.onlyTo().contains(SITES[to])
+                        ? "not among the only"
+                        : said.notTo().contains(SITES[to])
+                                ? "not to it"
+                                : said.noFurther() && !first
+                                        ? "further"
+                                        : path.size() > said.mostSites()
+                                                ? "too long"
+                                                : said.customersOnly()
+                                                                && !first
+                                                                && relations[from][to] != Relation.CUSTOMER
+                                                        ? "not a customer"
+                                                        : path.contains(SITES[to])
+                                                                        || new HashSet<>(path).size() < path.size()
+                                                                ? "loop"
+                                                                : !path.get(0).equals(SITES[from])
+                                                                        ? "not its own"
+                                                                        : valley(path, to) ? "valley" : null;
         if (why != null) {
             breaches.add(what + " to " + SITES[to] + " by " + path + ": " + why);
         }
@@ -216,7 +260,11 @@
         StringBuilder all = new StringBuilder(moved ? "no rest\n" : "");
         for (int x = 0; x < N; x++) {
             int site = x;
-            all.append(SITES[x]).append(":\n").append(merges.computeIfAbsent(x + Arrays.toString(state.held[x]), key -> merge(site, state.held[site]).told()));
+            all.append(SITES[x])
+                    .append(":\n")
+                    .append(merges.computeIfAbsent(
+                            x + Arrays.toString(state.held[x]),
+                            key -> merge(site, state.held[site]).told()));
         }
         results.computeIfAbsent(state.said, said -> new TreeSet<>()).add(all.toString());
     }
--- a/src/test/java/merlinlever/routes/SearchTest.java
+++ b/src/test/java/merlinlever/routes/SearchTest.java
@@ -14,38 +14,55 @@
 class SearchTest {
 
     private static final Restrictions OPEN = Restrictions.NONE;
-    private static final Restrictions ONLY = new Restrictions(new TreeSet<>(Set.of("b", "d")), new TreeSet<>(), false, 16, false, false, false);
-    private static final Restrictions NOT = new Restrictions(null, new TreeSet<>(Set.of("c")), false, 16, false, false, false);
+    private static final Restrictions ONLY =
+            new Restrictions(new TreeSet<>(Set.of("b", "d")), new TreeSet<>(), false, 16, false, false, false);
+    private static final Restrictions NOT =
+            new Restrictions(null, new TreeSet<>(Set.of("c")), false, 16, false, false, false);
     private static final Restrictions STAY = new Restrictions(null, new TreeSet<>(), true, 16, false, false, false);
     private static final Restrictions ONE = new Restrictions(null, new TreeSet<>(), false, 1, false, false, false);
     private static final Restrictions DOWN = new Restrictions(null, new TreeSet<>(), false, 16, false, true, false);
     /** What the rest of it says does not count. */
-    private static final Restrictions UNREADABLE = new Restrictions(null, new TreeSet<>(), false, 16, false, false, true);
+    private static final Restrictions UNREADABLE =
+            new Restrictions(null, new TreeSet<>(), false, 16, false, false, true);
+
     private static final List<Restrictions> EACH = List.of(ONLY, NOT, STAY, ONE, DOWN, UNREADABLE);
     /** A larger bound walks all of it: 2,000,000 does, in some minutes. */
     private static final int MOST = Integer.getInteger("merlinlever.states", 10_000);
 
     /** A circle: the first pays the second and fourth, which both pay the third. */
     private static Search circle(Search search) {
-        return search.link(0, 1, Relation.PROVIDER).link(0, 3, Relation.PROVIDER).link(1, 2, Relation.PROVIDER).link(3, 2, Relation.PROVIDER);
+        return search.link(0, 1, Relation.PROVIDER)
+                .link(0, 3, Relation.PROVIDER)
+                .link(1, 2, Relation.PROVIDER)
+                .link(3, 2, Relation.PROVIDER);
     }
 
     /** A circle with peers in it: the first is the second's customer, which is a peer of the third; the fourth is the third's customer and the first's peer. */
     private static Search peers(Search search) {
-        return search.link(0, 1, Relation.PROVIDER).link(1, 2, Relation.PEER).link(2, 3, Relation.CUSTOMER).link(3, 0, Relation.PEER);
+        return search.link(0, 1, Relation.PROVIDER)
+                .link(1, 2, Relation.PEER)
+                .link(2, 3, Relation.CUSTOMER)
+                .link(3, 0, Relation.PEER);
     }
 
     /** The first is the provider of the second and fourth, and these of the third: all goes down. */
     private static Search down(Search search) {
-        return search.link(0, 1, Relation.CUSTOMER).link(0, 3, Relation.CUSTOMER).link(1, 2, Relation.CUSTOMER).link(3, 2, Relation.CUSTOMER);
+        return search.link(0, 1, Relation.CUSTOMER)
+                .link(0, 3, Relation.CUSTOMER)
+                .link(1, 2, Relation.CUSTOMER)
+                .link(3, 2, Relation.CUSTOMER);
     }
 
-    private static List<Search> shapes(List<Restrictions> variants, Set<Rules.Intake> without, Set<Rules.Export> withoutExport) {
-        return List.of(circle(new Search(variants, without, withoutExport)), peers(new Search(variants, without, withoutExport)),
+    private static List<Search> shapes(
+            List<Restrictions> variants, Set<Rules.Intake> without, Set<Rules.Export> withoutExport) {
+        return List.of(
+                circle(new Search(variants, without, withoutExport)),
+                peers(new Search(variants, without, withoutExport)),
                 down(new Search(variants, without, withoutExport)));
     }
 
-    @Example void everyOrderEndsAlikeAndNothingForbiddenIsSent() {
+    @Example
+    void everyOrderEndsAlikeAndNothingForbiddenIsSent() {
         int states = 0, whole = 0, walks = 0;
         for (Restrictions tight : EACH) {
             for (Search each : shapes(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
@@ -59,31 +76,38 @@
                 walks++;
             }
         }
-        System.out.println("routes search: " + states + " states; " + whole + " of " + walks + " walks saw all of theirs");
+        System.out.println(
+                "routes search: " + states + " states; " + whole + " of " + walks + " walks saw all of theirs");
         assertTrue(states > 10_000, "only " + states + " states");
     }
 
-    @Example void eachExportRuleThatIsLeftOutIsFound() {
+    @Example
+    void eachExportRuleThatIsLeftOutIsFound() {
         for (Rules.Export rule : Rules.Export.values()) {
             assertTrue(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.of(rule), -1, "sent"), "not found: " + rule);
         }
     }
 
-    @Example void nothingThatALeakingSitePassesOnIsTaken() {
+    @Example
+    void nothingThatALeakingSitePassesOnIsTaken() {
         assertFalse(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class), 0, ""));
         assertFalse(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class), 1, ""));
         assertFalse(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class), 3, ""));
     }
 
-    @Example void eachIntakeRuleThatIsLeftOutIsFound() {
+    @Example
+    void eachIntakeRuleThatIsLeftOutIsFound() {
         for (Rules.Intake rule : Rules.Intake.values()) {
-            assertTrue(found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 0, "taken")
-                    || found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 1, "taken")
-                    || found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 3, "taken"), "not found: " + rule);
+            assertTrue(
+                    found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 0, "taken")
+                            || found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 1, "taken")
+                            || found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 3, "taken"),
+                    "not found: " + rule);
         }
     }
 
-    private static boolean found(EnumSet<Rules.Intake> without, EnumSet<Rules.Export> withoutExport, int leaker, String what) {
+    private static boolean found(
+            EnumSet<Rules.Intake> without, EnumSet<Rules.Export> withoutExport, int leaker, String what) {
         boolean found = false;
         for (Restrictions tight : EACH) {
             for (boolean strips : leaker < 0 ? new boolean[] {false} : new boolean[] {false, true}) {
--- a/src/test/java/merlinlever/routes/TableFilesTest.java
+++ b/src/test/java/merlinlever/routes/TableFilesTest.java
@@ -26,11 +26,18 @@
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000 * times++));
     }
 
-    @Example void aLeaseCountsFromTheLastLookBeforeItWasWritten() throws IOException {
+    @Example
+    void aLeaseCountsFromTheLastLookBeforeItWasWritten() throws IOException {
         Path file = Files.createTempFile("merlinlever-routes", ".json");
         try {
             List<String> told = new ArrayList<>();
-            Routes routes = new Routes(new Rules("me"), List.of(new Routes.Stated("east", Relation.PEER)), 0, Damping.Figures.PUBLISHED, ExitsTest.whole(), told::add);
+            Routes routes = new Routes(
+                    new Rules("me"),
+                    List.of(new Routes.Stated("east", Relation.PEER)),
+                    0,
+                    Damping.Figures.PUBLISHED,
+                    ExitsTest.whole(),
+                    told::add);
             TableFiles files = new TableFiles(routes, Map.of("east", file), s(2), told::add);
             String text = TableWriter.text(MergeTest.table("east", 1, Relation.PEER, MergeTest.route("t", 1, "east")));
             write(file, text);
@@ -46,11 +53,20 @@
             assertEquals(0, routes.ways(s(109), "t/records").size(), "a look alone is no word of the partner");
             write(file, text.substring(0, text.length() / 2));
             files.look(s(107));
-            assertEquals(1, told.stream().filter(line -> line.startsWith("east: the table")).count(), "a file in halves");
+            assertEquals(
+                    1,
+                    told.stream()
+                            .filter(line -> line.startsWith("east: the table"))
+                            .count(),
+                    "a file in halves");
             assertEquals(1, routes.ways(s(108), "t/records").size());
             write(file, text.replace("\"site\":\"east\"", "\"site\":\"west\""));
             files.look(s(108));
-            assertEquals(1, told.stream().filter(line -> line.endsWith("has a table of west")).count());
+            assertEquals(
+                    1,
+                    told.stream()
+                            .filter(line -> line.endsWith("has a table of west"))
+                            .count());
         } finally {
             Files.delete(file);
         }
--- a/src/test/java/merlinlever/routes/TableReaderTest.java
+++ b/src/test/java/merlinlever/routes/TableReaderTest.java
@@ -17,47 +17,104 @@
 
 class TableReaderTest {
 
-    private static final String ROUTE = "{\"tariff\":\"t\",\"place\":\"10.0.0.1:7\",\"calls\":5,\"cost\":1,\"path\":[\"east\"]";
+    private static final String ROUTE =
+            "{\"tariff\":\"t\",\"place\":\"10.0.0.1:7\",\"calls\":5,\"cost\":1,\"path\":[\"east\"]";
 
     private static String table(String... routes) {
-        return "{\"site\":\"east\",\"incarnation\":1,\"sequence\":2,\"relation\":\"peer\",\"lease-ms\":5000,\"routes\":[" + String.join(",", routes) + "]}";
+        return "{\"site\":\"east\",\"incarnation\":1,\"sequence\":2,\"relation\":\"peer\",\"lease-ms\":5000,\"routes\":["
+                + String.join(",", routes) + "]}";
     }
 
     private static Table full() {
-        Restrictions its = new Restrictions(new TreeSet<>(Set.of("me", "west")), new TreeSet<>(Set.of("north")), true, 3, true, true, false);
-        return Table.of("east", 3, 9, Relation.PROVIDER, Duration.ofMillis(2500), List.of(
-                new Route("t", "g", "10.1.2.3:65535", 100_000, 1_000_000, true, List.of("east", "south"), "south", its),
-                new Route("t", "g", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.UNREADABLE),
-                new Route("u", "records", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.NONE)));
+        Restrictions its = new Restrictions(
+                new TreeSet<>(Set.of("me", "west")), new TreeSet<>(Set.of("north")), true, 3, true, true, false);
+        return Table.of(
+                "east",
+                3,
+                9,
+                Relation.PROVIDER,
+                Duration.ofMillis(2500),
+                List.of(
+                        new Route(
+                                "t",
+                                "g",
+                                "10.1.2.3:65535",
+                                100_000,
+                                1_000_000,
+                                true,
+                                List.of("east", "south"),
+                                "south",
+                                its),
+                        new Route("t", "g", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.UNREADABLE),
+                        new Route(
+                                "u", "records", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.NONE)));
     }
 
-    @Example void readsWhatIsWritten() throws TableReader.Unusable {
+    @Example
+    void readsWhatIsWritten() throws TableReader.Unusable {
         TableReader.Read read = TableReader.read(TableWriter.text(full()));
         assertEquals(full(), read.table());
         assertEquals(1, read.faults().size(), () -> read.faults().toString());
     }
 
     /** Whatever is said of restrictions and not understood forbids; so does a route with what is not known. */
-    @Example void whatIsNotUnderstoodForbids() throws TableReader.Unusable {
-        for (String bad : List.of("null", "[]", "7", "{\"only-too\":[\"me\"]}", "{\"only-to\":\"me\"}", "{\"only-to\":null}", "{\"not-to\":[\"ME\"]}",
-                "{\"no-further\":1}", "{\"no-further\":null}", "{\"most-sites\":0}", "{\"most-sites\":1.5}", "{\"retriable-only\":\"yes\"}",
+    @Example
+    void whatIsNotUnderstoodForbids() throws TableReader.Unusable {
+        for (String bad : List.of(
+                "null",
+                "[]",
+                "7",
+                "{\"only-too\":[\"me\"]}",
+                "{\"only-to\":\"me\"}",
+                "{\"only-to\":null}",
+                "{\"not-to\":[\"ME\"]}",
+                "{\"no-further\":1}",
+                "{\"no-further\":null}",
+                "{\"most-sites\":0}",
+                "{\"most-sites\":1.5}",
+                "{\"retriable-only\":\"yes\"}",
                 "{\"customers-only\":true,\"not-to\":[{}]}")) {
             TableReader.Read read = TableReader.read(table(ROUTE + ",\"restrictions\":" + bad + "}"));
-            assertTrue(read.table().routes().values().stream().allMatch(each -> each.restrictions().unreadable() && !each.restrictions().allows("me")), bad);
+            assertTrue(
+                    read.table().routes().values().stream()
+                            .allMatch(each -> each.restrictions().unreadable()
+                                    && !each.restrictions().allows("me")),
+                    bad);
             assertEquals(1, read.faults().size(), bad);
         }
-        TableReader.Read newer = TableReader.read(table(ROUTE + ",\"only-on-mondays\":true}", ROUTE + ",\"group\":\"other\"}"));
-        assertEquals(List.of("t/other/10.0.0.1:7/east"), List.copyOf(newer.table().routes().keySet()));
+        TableReader.Read newer =
+                TableReader.read(table(ROUTE + ",\"only-on-mondays\":true}", ROUTE + ",\"group\":\"other\"}"));
+        assertEquals(
+                List.of("t/other/10.0.0.1:7/east"),
+                List.copyOf(newer.table().routes().keySet()));
         assertEquals(List.of("routes[0]: 'only-on-mondays' is not known"), newer.faults());
         // A name that comes twice could hide the first.
-        assertThrows(TableReader.Unusable.class, () -> TableReader.read(table(ROUTE + ",\"restrictions\":{\"no-further\":true},\"restrictions\":{}}")));
-        assertThrows(TableReader.Unusable.class, () -> TableReader.read(table().replace("\"routes\"", "\"all-forbidden\":true,\"routes\"")));
-        assertEquals(0, TableReader.read(table(ROUTE + "}", ROUTE + ",\"restrictions\":{\"no-further\":true}}")).table().routes().size());
+        assertThrows(
+                TableReader.Unusable.class,
+                () -> TableReader.read(table(ROUTE + ",\"restrictions\":{\"no-further\":true},\"restrictions\":{}}")));
+        assertThrows(
+                TableReader.Unusable.class,
+                () -> TableReader.read(table().replace("\"routes\"", "\"all-forbidden\":true,\"routes\"")));
+        assertEquals(
+                0,
+                TableReader.read(table(ROUTE + "}", ROUTE + ",\"restrictions\":{\"no-further\":true}}"))
+                        .table()
+                        .routes()
+                        .size());
     }
 
-    @Example void eachBoundIsKept() {
-        for (String bad : List.of("[]", "", "{}", table().replace("east", "East"), table().replace("5000", "999"), table().replace("5000", "3600001"),
-                table().replace("peer", "friend"), table().replace("\"sequence\":2", "\"sequence\":-1"), table().replace("[]", "{}"))) {
+    @Example
+    void eachBoundIsKept() {
+        for (String bad : List.of(
+                "[]",
+                "",
+                "{}",
+                table().replace("east", "East"),
+                table().replace("5000", "999"),
+                table().replace("5000", "3600001"),
+                table().replace("peer", "friend"),
+                table().replace("\"sequence\":2", "\"sequence\":-1"),
+                table().replace("[]", "{}"))) {
             assertThrows(TableReader.Unusable.class, () -> TableReader.read(bad), bad);
         }
         List<String> many = new ArrayList<>();
@@ -69,10 +126,28 @@
     }
 
     /** A table with anything changed, cut or put in ends in a table within the bounds or in the one fault; and never allows more than it said. */
-    @Property(tries = 4000, seed = "42") void spoiltTextsAreReadOrRefused(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
+    @Property(tries = 4000, seed = "42")
+    void spoiltTextsAreReadOrRefused(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
         SplittableRandom chance = new SplittableRandom(seed);
         StringBuilder text = new StringBuilder(TableWriter.text(full()));
-        String[] words = {"\"", "{", "}", "[", "]", ",", ":", "null", "true", "-1", "1e9", "99999999999999999999", "\\u0000", "\"path\":[]", "east", " "};
+        String[] words = {
+            "\"",
+            "{",
+            "}",
+            "[",
+            "]",
+            ",",
+            ":",
+            "null",
+            "true",
+            "-1",
+            "1e9",
+            "99999999999999999999",
+            "\\u0000",
+            "\"path\":[]",
+            "east",
+            " "
+        };
         for (int i = 0; i < times && text.length() > 2; i++) {
             int at = chance.nextInt(text.length());
             switch (chance.nextInt(4)) {
@@ -86,13 +161,22 @@
             TableReader.Read read = TableReader.read(text.toString());
             assertTrue(read.table().routes().size() <= Table.MOST);
             for (Route each : read.table().routes().values()) {
-                assertTrue(each.calls() >= 1 && each.calls() <= TableReader.MOST_CALLS && each.cost() >= 0 && !each.path().isEmpty()
-                        && each.path().size() <= Restrictions.MOST_SITES && each.path().stream().allMatch(TableReader::isSite));
+                assertTrue(each.calls() >= 1
+                        && each.calls() <= TableReader.MOST_CALLS
+                        && each.cost() >= 0
+                        && !each.path().isEmpty()
+                        && each.path().size() <= Restrictions.MOST_SITES
+                        && each.path().stream().allMatch(TableReader::isSite));
             }
             // What is read is written and read as the same.
-            assertEquals(read.table(), TableReader.read(TableWriter.text(read.table())).table());
+            assertEquals(
+                    read.table(),
+                    TableReader.read(TableWriter.text(read.table())).table());
         } catch (TableReader.Unusable e) {
-            assertTrue(e.getMessage().startsWith("the table") && e.getMessage().lines().count() == 1, e.getMessage());
+            assertTrue(
+                    e.getMessage().startsWith("the table")
+                            && e.getMessage().lines().count() == 1,
+                    e.getMessage());
         }
     }
 }
--- a/src/test/java/merlinlever/shared/DecreeTest.java
+++ b/src/test/java/merlinlever/shared/DecreeTest.java
@@ -76,24 +76,29 @@
             forcing[i] = null;
             leadsUntil[i] = 0;
             Leadership leadership = new Leadership() {
-                @Override public boolean leads(Duration at) {
+                @Override
+                public boolean leads(Duration at) {
                     return now < leadsUntil[i];
                 }
 
-                @Override public long term() {
+                @Override
+                public long term() {
                     return term[i];
                 }
 
-                @Override public Leader leader(Duration at) {
+                @Override
+                public Leader leader(Duration at) {
                     return null;
                 }
 
-                @Override public List<String> voters() {
+                @Override
+                public List<String> voters() {
                     return voters;
                 }
             };
             Seen seen = new Stands(at -> may ? Standing.MOST : Standing.FEW);
-            nodes[i] = new Decree(clock(i), "b" + i, disk[i], leadership, seen, () -> others(i), chance.split(), line -> { });
+            nodes[i] = new Decree(
+                    clock(i), "b" + i, disk[i], leadership, seen, () -> others(i), chance.split(), line -> {});
         }
 
         List<String> others(int i) {
@@ -118,7 +123,12 @@
                 assertTrue(to != from && each.body().length <= Letters.MOST);
                 if (side[from] == side[to] && chance.nextDouble() >= loss) {
                     for (int copies = chance.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-                        net.add(new Object[] {now + 1 + (chance.nextInt(20) == 0 ? chance.nextInt(4000) : chance.nextInt(60)), from, to, each.body()});
+                        net.add(new Object[] {
+                            now + 1 + (chance.nextInt(20) == 0 ? chance.nextInt(4000) : chance.nextInt(60)),
+                            from,
+                            to,
+                            each.body()
+                        });
                     }
                 }
             }
@@ -128,7 +138,8 @@
             now += 20;
             List<Object[]> due = new ArrayList<>();
             net.removeIf(each -> (long) each[0] <= now && due.add(each));
-            due.forEach(each -> send((int) each[2], nodes[(int) each[2]].came(clock((int) each[2]), "b" + each[1], (byte[]) each[3])));
+            due.forEach(each -> send(
+                    (int) each[2], nodes[(int) each[2]].came(clock((int) each[2]), "b" + each[1], (byte[]) each[3])));
             for (int i = 0; i < n; i++) {
                 send(i, nodes[i].look(clock(i)));
                 if (forcing[i] != null && now >= forcedAt[i] && !held) {
@@ -178,7 +189,8 @@
                     case 3 -> Arrays.setAll(fleet.side, k -> chance.nextInt(2));
                     case 4, 5 -> Arrays.fill(fleet.side, 0);
                     case 6 -> fleet.loss = chance.nextDouble() * 0.4;
-                    default -> fleet.nodes[i].propose(fleet.clock(i), "r" + chance.nextInt(3), octets("b" + i + "at" + fleet.now));
+                    default -> fleet.nodes[i].propose(
+                            fleet.clock(i), "r" + chance.nextInt(3), octets("b" + i + "at" + fleet.now));
                 }
                 fleet.step();
                 check(fleet, ever, seed);
@@ -195,7 +207,9 @@
             check(fleet, ever, seed);
             for (Decree node : fleet.nodes) {
                 for (int r = 0; r < 3; r++) {
-                    assertTrue(node.written("r" + r).isPresent(), "seed " + seed + ": not all know r" + r + " " + node.json());
+                    assertTrue(
+                            node.written("r" + r).isPresent(),
+                            "seed " + seed + ": not all know r" + r + " " + node.json());
                 }
                 assertTrue(node.json().contains("\"conflicts\":0"));
             }
@@ -207,7 +221,8 @@
         for (Decree node : fleet.nodes) {
             for (int r = 0; r < 3; r++) {
                 String name = "r" + r;
-                node.written(name).ifPresent(value -> ever.computeIfAbsent(name, none -> new HashSet<>()).add(new String(value, StandardCharsets.US_ASCII)));
+                node.written(name).ifPresent(value -> ever.computeIfAbsent(name, none -> new HashSet<>())
+                        .add(new String(value, StandardCharsets.US_ASCII)));
             }
         }
         ever.forEach((name, values) -> assertEquals(1, values.size(), "seed " + seed + ", " + name + ": " + values));
@@ -285,7 +300,8 @@
         fleet.lead(2, 1_000_000);
         fleet.nodes[2].propose(fleet.clock(2), "end", octets("c"));
         fleet.run(30_000);
-        assertTrue(fleet.nodes[2].written("end").isEmpty() && fleet.nodes[1].json().contains("\"votes\":false"));
+        assertTrue(
+                fleet.nodes[2].written("end").isEmpty() && fleet.nodes[1].json().contains("\"votes\":false"));
         fleet.side[0] = 0;
         fleet.run(5000);
         assertArrayEquals(octets("a"), fleet.nodes[2].written("end").orElseThrow());
@@ -308,7 +324,13 @@
         spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
         assertNull(Ballots.parsed(spoilt));
         assertNull(Ballots.parsed(Arrays.copyOf(disk, chance.nextInt(disk.length))));
-        byte[] slip = new Slip(Slip.Kind.values()[chance.nextInt(9)], chance.nextInt(9), chance.nextLong(), "r1", List.copyOf(ballots.entries())).octets();
+        byte[] slip = new Slip(
+                        Slip.Kind.values()[chance.nextInt(9)],
+                        chance.nextInt(9),
+                        chance.nextLong(),
+                        "r1",
+                        List.copyOf(ballots.entries()))
+                .octets();
         assertArrayEquals(slip, Slip.read(slip).octets());
         assertNull(Slip.read(Arrays.copyOf(slip, chance.nextInt(slip.length))));
         for (int k = chance.nextInt(4); k >= 0; k--) {
@@ -329,7 +351,8 @@
         assertTrue(ballots.written("r0", new byte[Ballots.MOST_VALUE]));
         assertFalse(ballots.written("r0", octets("other")));
         assertFalse(ballots.accept(9, "r0", octets("other")));
-        assertArrayEquals(new byte[Ballots.MOST_VALUE], ballots.get("r0").value(), "what is written stays, whatever is proposed");
+        assertArrayEquals(
+                new byte[Ballots.MOST_VALUE], ballots.get("r0").value(), "what is written stays, whatever is proposed");
         assertEquals(Ballots.MOST, Ballots.parsed(ballots.octets()).entries().size());
     }
 }
--- a/src/test/java/merlinlever/shared/DecreeWalkTest.java
+++ b/src/test/java/merlinlever/shared/DecreeWalkTest.java
@@ -17,10 +17,27 @@
 /** Walks every state of three voters and two leaders that want two values. */
 class DecreeWalkTest {
 
-    private enum Fault { NONE, ANSWER_BEFORE_FORCE, SKIP_ASKING, ACCEPT_OLDER }
+    private enum Fault {
+        NONE,
+        ANSWER_BEFORE_FORCE,
+        SKIP_ASKING,
+        ACCEPT_OLDER
+    }
 
     /** Of each voter memory, disk and answers that wait for it; all answers ever sent; the value of each term. By their numbers in {@link Walk}. */
-    private record State(int m0, int m1, int m2, int d0, int d1, int d2, long w0, long w1, long w2, long net, int value1, int value2) {
+    private record State(
+            int m0,
+            int m1,
+            int m2,
+            int d0,
+            int d1,
+            int d2,
+            long w0,
+            long w1,
+            long w2,
+            long net,
+            int value1,
+            int value2) {
         int memory(int v) {
             return v == 0 ? m0 : v == 1 ? m1 : m2;
         }
@@ -34,8 +51,19 @@
         }
 
         State with(int v, int memory, int disk, long waits, long sent) {
-            return new State(v == 0 ? memory : m0, v == 1 ? memory : m1, v == 2 ? memory : m2, v == 0 ? disk : d0, v == 1 ? disk : d1, v == 2 ? disk : d2,
-                    v == 0 ? waits : w0, v == 1 ? waits : w1, v == 2 ? waits : w2, net | sent, value1, value2);
+            return new State(
+                    v == 0 ? memory : m0,
+                    v == 1 ? memory : m1,
+                    v == 2 ? memory : m2,
+                    v == 0 ? disk : d0,
+                    v == 1 ? disk : d1,
+                    v == 2 ? disk : d2,
+                    v == 0 ? waits : w0,
+                    v == 1 ? waits : w1,
+                    v == 2 ? waits : w2,
+                    net | sent,
+                    value1,
+                    value2);
         }
 
         State proposed(int t, int value) {
@@ -52,21 +80,33 @@
     }
 
     /** What a voter does when it is asked (its memory after it, and the answer or an empty one); worked out once for each. */
-    private static String[] answered(Map<String, String[]> known, Fault fault, String memory, String ask, String value) {
+    private static String[] answered(
+            Map<String, String[]> known, Fault fault, String memory, String ask, String value) {
         return known.computeIfAbsent(memory + ask + value, none -> {
             Ballots voter = ballots(memory);
             int term = ask.charAt(1) - '0';
             if (ask.charAt(0) == 'P') {
                 boolean promises = voter.promise(term);
                 Ballots.Entry entry = voter.get("end");
-                return new String[] {text(voter), promises ? "R" + term + (entry == null ? "0-" : entry.term() + new String(entry.value(), StandardCharsets.US_ASCII)) : ""};
+                return new String[] {
+                    text(voter),
+                    promises
+                            ? "R" + term
+                                    + (entry == null
+                                            ? "0-"
+                                            : entry.term() + new String(entry.value(), StandardCharsets.US_ASCII))
+                            : ""
+                };
             }
             if (fault == Fault.ACCEPT_OLDER && term < voter.promised()) {
                 Ballots careless = new Ballots();
                 careless.recovered(0, voter.entries());
                 voter = careless;
             }
-            return new String[] {voter.accept(term, "end", DecreeTest.octets(value)) ? text(voter) : memory, text(voter).equals(memory) && voter.promised() > term ? "" : "A" + term};
+            return new String[] {
+                voter.accept(term, "end", DecreeTest.octets(value)) ? text(voter) : memory,
+                text(voter).equals(memory) && voter.promised() > term ? "" : "A" + term
+            };
         });
     }
 
@@ -83,7 +123,8 @@
         List<String> answers = new ArrayList<>();
         List<String> values = List.of("", "x", "y");
         Map<String, String[]> known = new HashMap<>();
-        State first = new State(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, fault == Fault.SKIP_ASKING ? 1 : 0, fault == Fault.SKIP_ASKING ? 2 : 0);
+        State first = new State(
+                0, 0, 0, 0, 0, 0, 0, 0, 0, 0, fault == Fault.SKIP_ASKING ? 1 : 0, fault == Fault.SKIP_ASKING ? 2 : 0);
         Set<State> seen = new HashSet<>(Set.of(first));
         ArrayDeque<State> open = new ArrayDeque<>(List.of(first));
         int written = 0;
@@ -110,13 +151,19 @@
                     then.add(state.with(v, memory, memory, 0, state.waiting(v)));
                     then.add(state.with(v, state.disk(v), state.disk(v), 0, 0));
                 }
-                // What is taken while another waits for the disk comes to what is taken after it, as either is lost or not.
+                // What is taken while another waits for the disk comes to what is taken after it, as either is lost or
+                // not.
                 for (int t = 0; t < 2 && state.waiting(v) == 0 && memory == state.disk(v); t++) {
                     for (String ask : value[t] == 0 ? List.of("P" + (t + 1)) : List.of("P" + (t + 1), "A" + (t + 1))) {
                         String[] does = answered(known, fault, memories.get(memory), ask, values.get(value[t]));
                         long answer = does[1].isEmpty() ? 0 : 1L << number(answers, does[1] + v);
                         boolean early = fault == Fault.ANSWER_BEFORE_FORCE;
-                        then.add(state.with(v, number(memories, does[0]), state.disk(v), state.waiting(v) | (early ? 0 : answer), early ? answer : 0));
+                        then.add(state.with(
+                                v,
+                                number(memories, does[0]),
+                                state.disk(v),
+                                state.waiting(v) | (early ? 0 : answer),
+                                early ? answer : 0));
                     }
                 }
             }
@@ -124,7 +171,8 @@
                 for (String one : told.get(t)) {
                     for (String other : told.get(t)) {
                         if (value[t] == 0 && one.charAt(4) < other.charAt(4)) {
-                            byte[] safe = Ballots.safe(List.of(entry(one), entry(other)), DecreeTest.octets(values.get(t + 1)));
+                            byte[] safe = Ballots.safe(
+                                    List.of(entry(one), entry(other)), DecreeTest.octets(values.get(t + 1)));
                             then.add(state.proposed(t, values.indexOf(new String(safe, StandardCharsets.US_ASCII))));
                         }
                     }
@@ -137,7 +185,11 @@
     }
 
     private static Ballots.Entry entry(String told) {
-        return new Ballots.Entry("end", told.charAt(2) - '0', told.charAt(3) == '-' ? null : DecreeTest.octets(told.substring(3, 4)), false);
+        return new Ballots.Entry(
+                "end",
+                told.charAt(2) - '0',
+                told.charAt(3) == '-' ? null : DecreeTest.octets(told.substring(3, 4)),
+                false);
     }
 
     @Example
--- a/src/test/java/merlinlever/shared/LettersTest.java
+++ b/src/test/java/merlinlever/shared/LettersTest.java
@@ -20,12 +20,13 @@
         for (int i = chance.nextInt(8); i >= 0; i--) {
             lot.merge(WordsTest.drawn(chance));
         }
-        byte[] letter = switch (chance.nextInt(4)) {
-            case 0 -> Letters.sums(lot.sums());
-            case 1 -> Letters.lines(chance.nextLong(), lot.lines(-1));
-            case 2 -> Letters.words(Duration.ofSeconds(9), lot.words());
-            default -> Letters.want(lot.words().stream().map(Word::key).toList());
-        };
+        byte[] letter =
+                switch (chance.nextInt(4)) {
+                    case 0 -> Letters.sums(lot.sums());
+                    case 1 -> Letters.lines(chance.nextLong(), lot.lines(-1));
+                    case 2 -> Letters.words(Duration.ofSeconds(9), lot.words());
+                    default -> Letters.want(lot.words().stream().map(Word::key).toList());
+                };
         assertArrayEquals(letter, again(Letters.read(letter)), "a letter reads as what was written");
         byte[] spoilt = letter.clone();
         switch (chance.nextInt(3)) {
@@ -61,6 +62,10 @@
         }
         List<Letters.Aged> words = ((Letters.Told) letter).words();
         Duration now = Duration.ofDays(2000);
-        return Letters.words(now, words.stream().map(each -> each.word().born(now.minusMillis(each.ageMs()))).toList());
+        return Letters.words(
+                now,
+                words.stream()
+                        .map(each -> each.word().born(now.minusMillis(each.ageMs())))
+                        .toList());
     }
 }
--- a/src/test/java/merlinlever/shared/WordsTest.java
+++ b/src/test/java/merlinlever/shared/WordsTest.java
@@ -21,7 +21,8 @@
 
 class WordsTest {
 
-    private static final Words.Stated SHORT = new Words.Stated(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 512 << 10, true);
+    private static final Words.Stated SHORT =
+            new Words.Stated(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 512 << 10, true);
 
     private static byte[] octets(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
@@ -32,13 +33,24 @@
     }
 
     static Words alone(String name, String... live) {
-        return new Words(Duration.ZERO, name, 1, Words.Kept.NOTHING, keepless(), () -> List.of(live), new SplittableRandom(7), line -> { });
+        return new Words(
+                Duration.ZERO,
+                name,
+                1,
+                Words.Kept.NOTHING,
+                keepless(),
+                () -> List.of(live),
+                new SplittableRandom(7),
+                line -> {});
     }
 
     /** Few owners, topics, versions and values, so that much meets. */
     static Word drawn(SplittableRandom chance) {
         byte[] value = chance.nextInt(4) == 0 ? null : octets("v" + chance.nextInt(3));
-        return Word.of(new Snapshot("o" + chance.nextInt(3), "t" + chance.nextInt(2), chance.nextInt(3), chance.nextInt(3), value), Duration.ofMillis(chance.nextInt(5)));
+        return Word.of(
+                new Snapshot(
+                        "o" + chance.nextInt(3), "t" + chance.nextInt(2), chance.nextInt(3), chance.nextInt(3), value),
+                Duration.ofMillis(chance.nextInt(5)));
     }
 
     private static Lot lot(List<Word> words) {
@@ -60,7 +72,8 @@
     }
 
     @Property(tries = 2000, seed = "31")
-    void lotsMergeAlikeInAnyOrderAnyNumberOfTimesAndInAnyGroups(@ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int n) {
+    void lotsMergeAlikeInAnyOrderAnyNumberOfTimesAndInAnyGroups(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int n) {
         SplittableRandom chance = new SplittableRandom(seed);
         List<Word> words = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -78,11 +91,15 @@
         same(all, left);
         all.words().forEach(left::merge);
         same(all, left);
-        // What is held of a key is the highest version of it that was said, and a clash just where it was said in two ways.
+        // What is held of a key is the highest version of it that was said, and a clash just where it was said in two
+        // ways.
         for (Word held : all.words()) {
-            List<Word> top = words.stream().filter(word -> word.key().equals(held.key()) && !held.after(word)).toList();
+            List<Word> top = words.stream()
+                    .filter(word -> word.key().equals(held.key()) && !held.after(word))
+                    .toList();
             assertTrue(top.stream().noneMatch(word -> word.after(held)));
-            assertEquals(top.stream().map(word -> word.digests().get(0)).distinct().count() > 1, held.clashes());
+            assertEquals(
+                    top.stream().map(word -> word.digests().get(0)).distinct().count() > 1, held.clashes());
         }
     }
 
@@ -133,7 +150,10 @@
             for (int i = 0; i < n; i++) {
                 for (int k = 0; k < n; k++) {
                     for (int t = 0; t < 3; t++) {
-                        String value = fleet.nodes[k].of("b" + i, "t" + t).map(word -> new String(word.value(), StandardCharsets.US_ASCII)).orElse(null);
+                        String value = fleet.nodes[k]
+                                .of("b" + i, "t" + t)
+                                .map(word -> new String(word.value(), StandardCharsets.US_ASCII))
+                                .orElse(null);
                         assertEquals(last.get(i).get("t" + t), value, "seed " + seed + ": of b" + i + " at b" + k);
                     }
                 }
@@ -154,12 +174,22 @@
                 }
                 if (fleet.up(0)) {
                     // As a counter does: it goes on from what its life before left.
-                    count = fleet.nodes[0].of("b0", "count").map(word -> Long.parseLong(new String(word.value(), StandardCharsets.US_ASCII))).orElse(0L);
-                    assertTrue(count >= told, "seed " + seed + ": it goes on from " + count + ", others have heard " + told);
+                    count = fleet.nodes[0]
+                            .of("b0", "count")
+                            .map(word -> Long.parseLong(new String(word.value(), StandardCharsets.US_ASCII)))
+                            .orElse(0L);
+                    assertTrue(
+                            count >= told,
+                            "seed " + seed + ": it goes on from " + count + ", others have heard " + told);
                     fleet.nodes[0].put(fleet.clock(0), "count", octets("" + (count + 1)));
                 }
                 fleet.step();
-                told = Math.max(told, fleet.nodes[1].of("b0", "count").map(word -> Long.parseLong(new String(word.value(), StandardCharsets.US_ASCII))).orElse(0L));
+                told = Math.max(
+                        told,
+                        fleet.nodes[1]
+                                .of("b0", "count")
+                                .map(word -> Long.parseLong(new String(word.value(), StandardCharsets.US_ASCII)))
+                                .orElse(0L));
             }
             assertTrue(told > 200, "" + told);
         }
@@ -194,8 +224,13 @@
                 }
             }
             assertTrue(fleet.equal(), "seed " + seed);
-            assertTrue(fleet.nodes[4].of("b0", "gone").isEmpty(), "seed " + seed + ": the one that was away has dropped it");
-            assertTrue(fleet.nodes[0].of("b4", "keep").isPresent() && fleet.nodes[4].of("b0", "keep").isPresent(), "what is refreshed lives");
+            assertTrue(
+                    fleet.nodes[4].of("b0", "gone").isEmpty(),
+                    "seed " + seed + ": the one that was away has dropped it");
+            assertTrue(
+                    fleet.nodes[0].of("b4", "keep").isPresent()
+                            && fleet.nodes[4].of("b0", "keep").isPresent(),
+                    "what is refreshed lives");
         }
     }
 
@@ -229,10 +264,11 @@
         SharedModel fleet = new SharedModel(5, 4, SHORT);
         List<String> gone = new ArrayList<>();
         fleet.nodes[1].hears(new Common.Hearer() {
-            @Override public void came(Duration now, Snapshot snapshot) {
-            }
+            @Override
+            public void came(Duration now, Snapshot snapshot) {}
 
-            @Override public void gone(Duration now, String owner, String topic) {
+            @Override
+            public void gone(Duration now, String owner, String topic) {
                 gone.add(owner + " " + topic);
             }
         });
@@ -245,7 +281,9 @@
         assertTrue(fleet.nodes[1].of("b3", "count").isPresent(), "its counts are held on");
         fleet.run(15_000);
         for (int i = 0; i < 3; i++) {
-            assertEquals(List.of("b0", "b1", "b2"), fleet.nodes[i].all("count").stream().map(Snapshot::owner).toList());
+            assertEquals(
+                    List.of("b0", "b1", "b2"),
+                    fleet.nodes[i].all("count").stream().map(Snapshot::owner).toList());
         }
         assertEquals(List.of("b3 count"), gone);
     }
@@ -255,10 +293,11 @@
         SharedModel fleet = new SharedModel(6, 4, SHORT);
         List<Common.Clash> heard = new ArrayList<>();
         fleet.nodes[3].hears(new Common.Hearer() {
-            @Override public void came(Duration now, Snapshot snapshot) {
-            }
+            @Override
+            public void came(Duration now, Snapshot snapshot) {}
 
-            @Override public void clashed(Duration now, Common.Clash clash) {
+            @Override
+            public void clashed(Duration now, Common.Clash clash) {
                 heard.add(clash);
             }
         });
@@ -267,15 +306,21 @@
         assertTrue(fleet.nodes[2].pass(fleet.clock(2), new Snapshot("site", "table", 4, 7, octets("two"))));
         assertFalse(fleet.nodes[2].pass(fleet.clock(2), new Snapshot("site", "table", 4, 6, octets("older"))));
         fleet.run(2000);
-        assertTrue(fleet.nodes[1].of("site", "table").isPresent() && fleet.nodes[3].of("site", "table").isPresent());
+        assertTrue(fleet.nodes[1].of("site", "table").isPresent()
+                && fleet.nodes[3].of("site", "table").isPresent());
         fleet.heal();
         fleet.run(4000);
-        List<String> digests = List.of(Word.digest(octets("one")), Word.digest(octets("two"))).stream().sorted().toList();
+        List<String> digests = List.of(Word.digest(octets("one")), Word.digest(octets("two"))).stream()
+                .sorted()
+                .toList();
         Common.Clash clash = new Common.Clash("site", "table", 4, 7, digests.get(0), digests.get(1));
         for (int i = 0; i < 4; i++) {
             assertEquals(List.of(clash), fleet.nodes[i].clashes(), "at b" + i);
-            assertTrue(fleet.nodes[i].of("site", "table").isEmpty() && fleet.nodes[i].all("table").isEmpty());
-            assertFalse(fleet.nodes[i].pass(fleet.clock(i), new Snapshot("site", "table", 4, 7, octets("one"))), "neither is taken any more");
+            assertTrue(fleet.nodes[i].of("site", "table").isEmpty()
+                    && fleet.nodes[i].all("table").isEmpty());
+            assertFalse(
+                    fleet.nodes[i].pass(fleet.clock(i), new Snapshot("site", "table", 4, 7, octets("one"))),
+                    "neither is taken any more");
         }
         assertEquals(List.of(clash), heard);
         assertTrue(fleet.equal());
@@ -283,7 +328,9 @@
         fleet.run(4000);
         for (int i = 0; i < 4; i++) {
             assertEquals(List.of(), fleet.nodes[i].clashes());
-            assertArrayEquals(octets("three"), fleet.nodes[i].of("site", "table").orElseThrow().value());
+            assertArrayEquals(
+                    octets("three"),
+                    fleet.nodes[i].of("site", "table").orElseThrow().value());
         }
     }
 
@@ -300,7 +347,8 @@
         assertTrue(fleet.nodes[0].of("b0", "count").isEmpty(), "it has nothing of its own");
         fleet.nodes[0].put(fleet.clock(0), "count", octets("now"));
         fleet.run(4000);
-        assertArrayEquals(octets("now"), fleet.nodes[2].of("b0", "count").orElseThrow().value());
+        assertArrayEquals(
+                octets("now"), fleet.nodes[2].of("b0", "count").orElseThrow().value());
         assertTrue(fleet.equal());
     }
 
@@ -316,19 +364,26 @@
             own++;
         }
         assertEquals(Words.MOST_OWN, own);
-        assertFalse(words.put(Duration.ZERO, "t0", new byte[Snapshot.MOST_OCTETS]) && words.put(Duration.ZERO, "t1", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t2", new byte[Snapshot.MOST_OCTETS]) && words.put(Duration.ZERO, "t3", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t4", new byte[Snapshot.MOST_OCTETS]) && words.put(Duration.ZERO, "t5", new byte[Snapshot.MOST_OCTETS]));
+        assertFalse(words.put(Duration.ZERO, "t0", new byte[Snapshot.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t1", new byte[Snapshot.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t2", new byte[Snapshot.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t3", new byte[Snapshot.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t4", new byte[Snapshot.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t5", new byte[Snapshot.MOST_OCTETS]));
         Words full = alone("b1");
         int passed = 0;
         while (passed < 3000 && full.pass(Duration.ZERO, new Snapshot("s" + passed, "table", 1, 1, octets("x")))) {
             passed++;
         }
         assertEquals(Lot.MOST, passed);
-        assertTrue(full.pass(Duration.ZERO, new Snapshot("s0", "table", 1, 2, octets("newer"))), "what is held goes forward all the same");
+        assertTrue(
+                full.pass(Duration.ZERO, new Snapshot("s0", "table", 1, 2, octets("newer"))),
+                "what is held goes forward all the same");
         Words wide = alone("b2");
         passed = 0;
-        while (passed < 3000 && wide.pass(Duration.ZERO, new Snapshot("s" + passed, "table", 1, 1, new byte[Snapshot.MOST_OCTETS]))) {
+        while (passed < 3000
+                && wide.pass(
+                        Duration.ZERO, new Snapshot("s" + passed, "table", 1, 1, new byte[Snapshot.MOST_OCTETS]))) {
             passed++;
         }
         assertTrue(passed >= 500 && passed <= 512, "8 MiB: " + passed);
@@ -337,7 +392,15 @@
     @Example
     void noLetterAndNoSecondIsOverItsOctets() {
         Words.Stated small = new Words.Stated(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 100 << 10, false);
-        Words words = new Words(Duration.ZERO, "b0", 1, Words.Kept.NOTHING, small, () -> List.of("b1", "b2", "b3"), new SplittableRandom(7), line -> { });
+        Words words = new Words(
+                Duration.ZERO,
+                "b0",
+                1,
+                Words.Kept.NOTHING,
+                small,
+                () -> List.of("b1", "b2", "b3"),
+                new SplittableRandom(7),
+                line -> {});
         for (int i = 0; i < 400; i++) {
             words.pass(Duration.ZERO, new Snapshot("s" + i, "table", 1, 1, new byte[i % 2 == 0 ? 800 : 15_000]));
         }
@@ -351,7 +414,13 @@
                 for (Carry lines : words.came(now, "b9", nothing)) {
                     out.add(lines);
                     Letters.Lines read = (Letters.Lines) Letters.read(lines.body());
-                    out.addAll(words.came(now, "b9", Letters.want(read.lines().stream().map(Lot.Line::key).limit(50).toList())));
+                    out.addAll(words.came(
+                            now,
+                            "b9",
+                            Letters.want(read.lines().stream()
+                                    .map(Lot.Line::key)
+                                    .limit(50)
+                                    .toList())));
                 }
                 for (Carry each : out) {
                     assertTrue(each.body().length <= Letters.MOST);
--- a/src/test/java/merlinlever/shared/net/SpreadTest.java
+++ b/src/test/java/merlinlever/shared/net/SpreadTest.java
@@ -96,12 +96,42 @@
     private One make(String name, List<String> seeds) throws Exception {
         return on(() -> {
             try {
-                Rejoin rejoin = new Rejoin(loop, new DiskFolder(root.resolve(name)), new Rejoin.Place(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), null, "-",
-                        seeds, "a-secret-of-16-or-more"), Return.Stated.usual(Duration.ofSeconds(1)), Duration.ofMillis(100), 3, System::currentTimeMillis, Rejoin.Service.NONE,
+                Rejoin rejoin = new Rejoin(
+                        loop,
+                        new DiskFolder(root.resolve(name)),
+                        new Rejoin.Place(
+                                name,
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                null,
+                                "-",
+                                seeds,
+                                "a-secret-of-16-or-more"),
+                        Return.Stated.usual(Duration.ofSeconds(1)),
+                        Duration.ofMillis(100),
+                        3,
+                        System::currentTimeMillis,
+                        Rejoin.Service.NONE,
                         line -> log.add(name + " " + line));
-                Leading leading = new Leading(loop, rejoin, List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01, name.hashCode(), line -> log.add(name + " " + line));
-                return new One(rejoin, new Spread(loop, rejoin, new DiskFolder(root.resolve(name + "-shared")), Words.Stated.usual(true), leading.terms(), WHOLE, name.hashCode(),
-                        line -> log.add(name + " " + line)), leading);
+                Leading leading = new Leading(
+                        loop,
+                        rejoin,
+                        List.of("a", "b", "c"),
+                        Duration.ofSeconds(3),
+                        0.01,
+                        name.hashCode(),
+                        line -> log.add(name + " " + line));
+                return new One(
+                        rejoin,
+                        new Spread(
+                                loop,
+                                rejoin,
+                                new DiskFolder(root.resolve(name + "-shared")),
+                                Words.Stated.usual(true),
+                                leading.terms(),
+                                WHOLE,
+                                name.hashCode(),
+                                line -> log.add(name + " " + line)),
+                        leading);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -115,22 +145,38 @@
         One c = make("c", List.of(on(a::address)));
         assertTrue(on(() -> a.spread.words().put(loop.clock().uptime(), "counts", octets("7"))));
         assertTrue(on(() -> b.spread.words().put(loop.clock().uptime(), "large", new byte[Snapshot.MOST_OCTETS])));
-        until("all hold both", () -> List.of(a, b, c).stream().allMatch(each -> each.spread.words().of("a", "counts").isPresent() && each.spread.words().of("b", "large").isPresent()));
-        Words.Kept kept = WordsFile.parsed("a", Files.readAllBytes(root.resolve("a-shared").resolve("words")));
+        until("all hold both", () -> List.of(a, b, c).stream()
+                .allMatch(each -> each.spread.words().of("a", "counts").isPresent()
+                        && each.spread.words().of("b", "large").isPresent()));
+        Words.Kept kept = WordsFile.parsed(
+                "a", Files.readAllBytes(root.resolve("a-shared").resolve("words")));
         assertArrayEquals(octets("7"), kept.words().get(0).value());
         until("the end is written everywhere", () -> {
             for (One each : List.of(a, b, c)) {
-                each.spread.decree().propose(loop.clock().uptime(), "end", octets("won by " + each.rejoin.members().views().self()));
+                each.spread
+                        .decree()
+                        .propose(
+                                loop.clock().uptime(),
+                                "end",
+                                octets("won by " + each.rejoin.members().views().self()));
             }
-            return List.of(a, b, c).stream().allMatch(each -> each.spread.decree().written("end").isPresent());
+            return List.of(a, b, c).stream()
+                    .allMatch(each -> each.spread.decree().written("end").isPresent());
         });
-        assertEquals(1, List.of(a, b, c).stream().map(each -> new String(each.spread.decree().written("end").orElseThrow(), StandardCharsets.US_ASCII)).distinct().count());
+        assertEquals(
+                1,
+                List.of(a, b, c).stream()
+                        .map(each -> new String(
+                                each.spread.decree().written("end").orElseThrow(), StandardCharsets.US_ASCII))
+                        .distinct()
+                        .count());
         assertTrue(on(() -> a.spread.json()).startsWith("{\"disk\":true,\"words\":{\"words\":2"), a.spread.json());
     }
 
     @Example
     void aSpoiltOrCopiedFileOfWordsIsNotTakenForItsOwn() {
-        Words.Kept kept = new Words.Kept(4, 9, List.of(new Snapshot("a", "t", 4, 8, octets("x")), new Snapshot("a", "gone", 4, 9, null)));
+        Words.Kept kept = new Words.Kept(
+                4, 9, List.of(new Snapshot("a", "t", 4, 8, octets("x")), new Snapshot("a", "gone", 4, 9, null)));
         byte[] file = WordsFile.octets("a", kept);
         Words.Kept again = WordsFile.parsed("a", file);
         assertArrayEquals(file, WordsFile.octets("a", again));
--- a/src/test/java/merlinlever/sheet/SheetTest.java
+++ b/src/test/java/merlinlever/sheet/SheetTest.java
@@ -12,47 +12,62 @@
 
 class SheetTest {
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
 
     private Path file(String text) throws Exception {
         return Files.writeString(folder.resolve("c.yaml"), text);
     }
 
-    @Test void aGoodFileIsReadWithItsTypes() throws Exception {
-        Sheet sheet = Sheet.read(file("""
+    @Test
+    void aGoodFileIsReadWithItsTypes() throws Exception {
+        Sheet sheet = Sheet.read(
+                file(
+                        """
                 listen: 127.0.0.1:0
                 state: state
                 stop: 250ms
                 zones:
                   - {origin: example.org., file: z, update: [a., b.]}
-                """), "zone-serve");
+                """),
+                "zone-serve");
         assertEquals(Duration.ofMillis(250), sheet.span("stop", null));
         assertEquals(folder.resolve("state"), sheet.path("state", ""));
         assertEquals(java.util.List.of("a.", "b."), sheet.texts("zones.0.update"));
         assertEquals(1, sheet.size("zones"));
     }
 
-    @Test void everyFaultIsOneLineWithItsPlace() throws Exception {
+    @Test
+    void everyFaultIsOneLineWithItsPlace() throws Exception {
         Path file = file("listen: 127.0.0.1:0\nstate: 3\nkys: 4\nzones:\n  - {origin: a.}\nstop: 3 seconds\n");
-        String[] said = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "zone-serve")).getMessage().split("\n");
+        String[] said = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "zone-serve"))
+                .getMessage()
+                .split("\n");
         assertEquals(4, said.length);
         assertTrue(said[0].startsWith(file + ":2: state: "), said[0]);
-        assertTrue(said[1].startsWith(file + ":3: no key 'kys' is known here; allowed are listen, state, keys, "), said[1]);
+        assertTrue(
+                said[1].startsWith(file + ":3: no key 'kys' is known here; allowed are listen, state, keys, "),
+                said[1]);
         assertEquals(file + ":5: zones.0: the key 'file' is missing", said[2]);
-        assertEquals(file + ":6: stop: not of the form ^[0-9]{1,9}(ms|s|m)$ (from SIGTERM to the end at the latest)", said[3]);
+        assertEquals(
+                file + ":6: stop: not of the form ^[0-9]{1,9}(ms|s|m)$ (from SIGTERM to the end at the latest)",
+                said[3]);
     }
 
-    @Test void whatIsNoYamlIsOneLine() throws Exception {
+    @Test
+    void whatIsNoYamlIsOneLine() throws Exception {
         for (String bad : new String[] {"listen: [", "", "a: 1\na: 2\n", "\t- x", "{{a: b}: c}"}) {
             Path file = file(bad);
-            String said = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "zone-serve")).getMessage();
+            String said = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "zone-serve"))
+                    .getMessage();
             assertEquals(1, said.lines().count(), said);
             assertTrue(said.matches(java.util.regex.Pattern.quote(file.toString()) + ":[0-9]+: .*"), said);
         }
         assertThrows(Sheet.Unusable.class, () -> Sheet.read(folder, "zone-serve"));
     }
 
-    @Test void everySchemaIsThere() {
+    @Test
+    void everySchemaIsThere() {
         Sheet.SCHEMAS.forEach(name -> assertTrue(Sheet.schema(name).contains("\"title\"")));
     }
 }
--- a/src/test/java/merlinlever/term/TermsTest.java
+++ b/src/test/java/merlinlever/term/TermsTest.java
@@ -15,8 +15,7 @@
 
     private static final List<String> VOTERS = List.of("b0", "b1", "b2");
 
-    private record Sent(int from, int to, Terms.Say say) {
-    }
+    private record Sent(int from, int to, Terms.Say say) {}
 
     private final List<Terms> nodes = new ArrayList<>();
     private final Set<String> asked = new TreeSet<>();
@@ -45,7 +44,9 @@
         for (long end = ms + span; ms < end; ms += 20) {
             List<Sent> due = net;
             net = new ArrayList<>();
-            due.forEach(sent -> send(sent.to, nodes.get(sent.to).said(now(), VOTERS.get(sent.from), sent.say.number(), sent.say.what())));
+            due.forEach(sent -> send(
+                    sent.to,
+                    nodes.get(sent.to).said(now(), VOTERS.get(sent.from), sent.say.number(), sent.say.what())));
             for (int i = 0; i < nodes.size(); i++) {
                 send(i, nodes.get(i).look(now()));
             }
@@ -54,7 +55,8 @@
     }
 
     private int leader() {
-        return nodes.indexOf(nodes.stream().filter(node -> node.leads(now())).findFirst().orElseThrow());
+        return nodes.indexOf(
+                nodes.stream().filter(node -> node.leads(now())).findFirst().orElseThrow());
     }
 
     /** One that was cut off promises the leader again when it is back, and does not stand on for terms of its own. */
@@ -66,7 +68,8 @@
             ms = 0;
             cut = -1;
             SplittableRandom chance = new SplittableRandom(seed);
-            VOTERS.forEach(name -> nodes.add(new Terms(now(), name, VOTERS, Duration.ofSeconds(2), 0.01, 0, term -> true, chance.split(), line -> { })));
+            VOTERS.forEach(name -> nodes.add(new Terms(
+                    now(), name, VOTERS, Duration.ofSeconds(2), 0.01, 0, term -> true, chance.split(), line -> {})));
             run(6000);
             cut = chance.nextInt(3);
             run(10_000);
@@ -78,7 +81,10 @@
             run(3000);
             asked.clear();
             run(6000);
-            assertEquals(Set.of(VOTERS.get(leads) + " V/" + term), asked, "seed " + seed + ": only the leader asks, for its own term");
+            assertEquals(
+                    Set.of(VOTERS.get(leads) + " V/" + term),
+                    asked,
+                    "seed " + seed + ": only the leader asks, for its own term");
             // Its promise counts: the leader goes on without the third.
             cut = 3 - gone - leads;
             run(6000);
--- a/src/test/java/merlinlever/trials/PartTest.java
+++ b/src/test/java/merlinlever/trials/PartTest.java
@@ -13,8 +13,18 @@
 class PartTest {
 
     private static Trial trial(int version, int deaths, Duration longest) {
-        return new Trial("t", version, List.of(new Trial.Arm("a", 1, null, null, null), new Trial.Arm("b", 1, null, null, null)), 0, 0.05, 0.1, 0.02, longest,
-                Duration.ofSeconds(4), 1, deaths);
+        return new Trial(
+                "t",
+                version,
+                List.of(new Trial.Arm("a", 1, null, null, null), new Trial.Arm("b", 1, null, null, null)),
+                0,
+                0.05,
+                0.1,
+                0.02,
+                longest,
+                Duration.ofSeconds(4),
+                1,
+                deaths);
     }
 
     private static TrialModel fleet(long seed, int deaths) {
@@ -103,7 +113,8 @@
         fleet.run(40_000);
         fleet.traffic = 0;
         fleet.run(5000);
-        long asked = fleet.parts[0].all().counts(0).asked() + fleet.parts[0].all().counts(1).asked();
+        long asked = fleet.parts[0].all().counts(0).asked()
+                + fleet.parts[0].all().counts(1).asked();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 5; i++) {
                 fleet.kill(i, 500);
@@ -112,7 +123,11 @@
         }
         fleet.run(10_000);
         for (int i = 0; i < 5; i++) {
-            assertEquals(asked, fleet.parts[i].all().counts(0).asked() + fleet.parts[i].all().counts(1).asked(), "at " + i);
+            assertEquals(
+                    asked,
+                    fleet.parts[i].all().counts(0).asked()
+                            + fleet.parts[i].all().counts(1).asked(),
+                    "at " + i);
         }
         assertEquals(15, fleet.parts[0].all().deaths());
     }
--- a/src/test/java/merlinlever/trials/SequentialTest.java
+++ b/src/test/java/merlinlever/trials/SequentialTest.java
@@ -15,11 +15,25 @@
 
     private static Trial trial(double difference) {
         Trial.Arm a = new Trial.Arm("a", 1, null, null, null);
-        return new Trial("t", 1, List.of(a, new Trial.Arm("b", 1, null, null, null)), 0, ALPHA, 0.1, difference, Duration.ofDays(1), Duration.ofSeconds(10), 1, 3);
+        return new Trial(
+                "t",
+                1,
+                List.of(a, new Trial.Arm("b", 1, null, null, null)),
+                0,
+                ALPHA,
+                0.1,
+                difference,
+                Duration.ofDays(1),
+                Duration.ofSeconds(10),
+                1,
+                3);
     }
 
     private static List<Rehearsed.Outcome> play(int n, Trial trial, Rehearsed.Drawn drawn) {
-        return IntStream.range(0, n).parallel().mapToObj(i -> Rehearsed.play(trial, drawn, 31L * i + 7)).toList();
+        return IntStream.range(0, n)
+                .parallel()
+                .mapToObj(i -> Rehearsed.play(trial, drawn, 31L * i + 7))
+                .toList();
     }
 
     private static long count(List<Rehearsed.Outcome> all, Verdict.Kind kind) {
@@ -38,7 +52,8 @@
         assertTrue(count(all, Verdict.Kind.WINNER) <= most(n, ALPHA), "" + count(all, Verdict.Kind.WINNER));
         assertTrue(count(all, Verdict.Kind.HARM) <= most(n, 0.1), "" + count(all, Verdict.Kind.HARM));
         long peeked = all.stream().filter(each -> each.peeked() > 0).count();
-        assertTrue(peeked > 5 * ALPHA * n, "a fixed test that is looked at as often is wrong far more often: " + peeked);
+        assertTrue(
+                peeked > 5 * ALPHA * n, "a fixed test that is looked at as often is wrong far more often: " + peeked);
     }
 
     @Example
@@ -46,7 +61,8 @@
         int n = 200;
         for (double heavy : new double[] {0, 0.5}) {
             List<Rehearsed.Outcome> all = play(n, trial(0), new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, heavy, 10_000));
-            assertTrue(count(all, Verdict.Kind.WINNER) <= most(n, ALPHA), heavy + ": " + count(all, Verdict.Kind.WINNER));
+            assertTrue(
+                    count(all, Verdict.Kind.WINNER) <= most(n, ALPHA), heavy + ": " + count(all, Verdict.Kind.WINNER));
             assertTrue(count(all, Verdict.Kind.HARM) <= most(n, 0.1), heavy + ": " + count(all, Verdict.Kind.HARM));
         }
     }
@@ -54,10 +70,18 @@
     @Example
     void aBetterArmWinsAndAWorseOneIsStoppedForHarm() {
         List<Rehearsed.Outcome> better = play(60, trial(0.02), new Rehearsed.Drawn(0.5, 0.6, 0, 0, 0, 40_000));
-        assertTrue(better.stream().allMatch(each -> each.verdict().kind() == Verdict.Kind.WINNER && each.verdict().arm() == 1));
+        assertTrue(better.stream()
+                .allMatch(each -> each.verdict().kind() == Verdict.Kind.WINNER
+                        && each.verdict().arm() == 1));
         List<Rehearsed.Outcome> worse = play(60, trial(0.02), new Rehearsed.Drawn(0.6, 0.5, 0, 0, 0, 40_000));
-        assertTrue(worse.stream().allMatch(each -> each.verdict().ends() && each.verdict().arm() == 0));
-        assertTrue(worse.stream().mapToInt(Rehearsed.Outcome::at).average().getAsDouble() < better.stream().mapToInt(Rehearsed.Outcome::at).average().getAsDouble(),
+        assertTrue(worse.stream()
+                .allMatch(each -> each.verdict().ends() && each.verdict().arm() == 0));
+        assertTrue(
+                worse.stream().mapToInt(Rehearsed.Outcome::at).average().getAsDouble()
+                        < better.stream()
+                                .mapToInt(Rehearsed.Outcome::at)
+                                .average()
+                                .getAsDouble(),
                 "the looser level is sooner");
     }
 
@@ -92,7 +116,10 @@
         Tally lost = tally(trial, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 0.5);
         assertEquals(Verdict.Kind.VOID, test.look(lost, Duration.ZERO).kind());
         Tally whole = tally(trial, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 1);
-        assertEquals(new Verdict(Verdict.Kind.WINNER, 1, test.look(whole, Duration.ZERO).why()), test.look(whole, Duration.ZERO));
+        assertEquals(
+                new Verdict(
+                        Verdict.Kind.WINNER, 1, test.look(whole, Duration.ZERO).why()),
+                test.look(whole, Duration.ZERO));
     }
 
     @Example
@@ -120,7 +147,8 @@
         Tally worth = tally(trial, 2, 6000, new double[] {0.7, 0.7}, new double[] {0.5, 0.8}, 1);
         assertEquals(Verdict.Kind.WINNER, test.look(worth, Duration.ZERO).kind());
         assertEquals(1, test.look(worth, Duration.ZERO).arm());
-        // More are satisfied, with less: neither wins, and an arm that is worse by one measure than the safe one does harm.
+        // More are satisfied, with less: neither wins, and an arm that is worse by one measure than the safe one does
+        // harm.
         Tally mixed = tally(trial, 3, 6000, new double[] {0.6, 0.8}, new double[] {0.9, 0.3}, 1);
         assertEquals(Verdict.Kind.HARM, test.look(mixed, Duration.ZERO).kind());
         assertEquals(0, test.look(mixed, Duration.ZERO).arm());
@@ -130,7 +158,13 @@
     void noDifferenceEndsAtTheLongestTimeAndNoSooner() {
         Trial trial = trial(0.02);
         Tally equal = tally(trial, 4, 2000, new double[] {0.7, 0.7}, new double[] {1, 1}, 1);
-        assertEquals(Verdict.Kind.GOES_ON, new Sequential(trial).look(equal, trial.longest().minusMillis(1)).kind());
-        assertEquals(Verdict.Kind.TIME, new Sequential(trial).look(equal, trial.longest()).kind());
+        assertEquals(
+                Verdict.Kind.GOES_ON,
+                new Sequential(trial)
+                        .look(equal, trial.longest().minusMillis(1))
+                        .kind());
+        assertEquals(
+                Verdict.Kind.TIME,
+                new Sequential(trial).look(equal, trial.longest()).kind());
     }
 }
