--- a/src/test/java/merlinlever/trials/StatingTest.java
+++ b/src/test/java/merlinlever/trials/StatingTest.java
@@ -14,10 +14,17 @@
 class StatingTest {
 
     private static Map<String, String> good() {
-        return new HashMap<>(Map.ofEntries(Map.entry("name", "n1"), Map.entry("trials.0.name", "advice"), Map.entry("trials.0.safe", "now"),
-                Map.entry("trials.0.difference", "0.02"), Map.entry("trials.0.lease", "5s"), Map.entry("trials.0.arms.0.name", "now"),
-                Map.entry("trials.0.arms.1.name", "short"), Map.entry("trials.0.arms.1.weight", "3"),
-                Map.entry("trials.0.arms.1.stay-away-longest", "300ms"), Map.entry("trials.0.arms.0.route", "near")));
+        return new HashMap<>(Map.ofEntries(
+                Map.entry("name", "n1"),
+                Map.entry("trials.0.name", "advice"),
+                Map.entry("trials.0.safe", "now"),
+                Map.entry("trials.0.difference", "0.02"),
+                Map.entry("trials.0.lease", "5s"),
+                Map.entry("trials.0.arms.0.name", "now"),
+                Map.entry("trials.0.arms.1.name", "short"),
+                Map.entry("trials.0.arms.1.weight", "3"),
+                Map.entry("trials.0.arms.1.stay-away-longest", "300ms"),
+                Map.entry("trials.0.arms.0.route", "near")));
     }
 
     private static List<Trial> read(Map<String, String> rest) throws Stating.Fault {
@@ -27,13 +34,16 @@
     @Example
     void whatIsStatedIsReadAndOnlyMakesAdviceShorter() throws Stating.Fault {
         Trial trial = read(good()).get(0);
-        assertEquals(List.of("now", "short"), trial.arms().stream().map(Trial.Arm::name).toList());
+        assertEquals(
+                List.of("now", "short"),
+                trial.arms().stream().map(Trial.Arm::name).toList());
         assertEquals(0, trial.safe());
         assertEquals(Duration.ofSeconds(5), trial.lease());
         assertEquals("near", trial.arms().get(0).route());
         Trial.Arm shortened = trial.arms().get(1);
         assertEquals(Duration.ofMillis(300), shortened.advice(Duration.ofSeconds(2)));
-        assertEquals(Duration.ofMillis(100), shortened.advice(Duration.ofMillis(100)), "never longer than the module says");
+        assertEquals(
+                Duration.ofMillis(100), shortened.advice(Duration.ofMillis(100)), "never longer than the module says");
         assertEquals(Duration.ofSeconds(2), shortened.call(Duration.ofSeconds(2)));
         assertEquals(List.of(), read(Map.of("name", "n1")));
     }
@@ -41,17 +51,30 @@
     @Example
     void eachFaultIsOneLineThatNamesTheSetting() {
         String[][] faults = {
-            {"trials.0.arms.1.value", "3", "order by worth"}, {"trials.0.arms.1.rules.drain-grace", "1", "four rules"},
-            {"trials.0.arms.1.max-p", "0.2", "design"}, {"trials.0.arms.1.colour", "red", "not known"},
-            {"trials.0.arms.1.route", "far", "no stated route"}, {"trials.0.safe", "none", "names the arm"},
-            {"trials.0.arms.1.weight", "100", "sixteenth"}, {"trials.0.alpha", "0.9", "from 0.000001 to 0.2"}, {"trials.0.harm", "0.01", "looser"},
-            {"trials.0.lease", "soon", "is a span"}, {"trials.0.arms.1.name", "now", "another arm"}, {"trials.0.colour", "red", "is not known"},
-            {"trials.0.name", "A B", "a-z"}, {"trials.0.version", "1.5", "whole number"}, {"trials.9.name", "late", "4 at the most"},
-            {"trials.1.name", "advice", "arms"}, {"trials.0.arms.1.stay-away-longest", "2h", "from 0ms to 60s"}, {"trials.0.deaths", "0", "from 1"}};
+            {"trials.0.arms.1.value", "3", "order by worth"},
+            {"trials.0.arms.1.rules.drain-grace", "1", "four rules"},
+            {"trials.0.arms.1.max-p", "0.2", "design"},
+            {"trials.0.arms.1.colour", "red", "not known"},
+            {"trials.0.arms.1.route", "far", "no stated route"},
+            {"trials.0.safe", "none", "names the arm"},
+            {"trials.0.arms.1.weight", "100", "sixteenth"},
+            {"trials.0.alpha", "0.9", "from 0.000001 to 0.2"},
+            {"trials.0.harm", "0.01", "looser"},
+            {"trials.0.lease", "soon", "is a span"},
+            {"trials.0.arms.1.name", "now", "another arm"},
+            {"trials.0.colour", "red", "is not known"},
+            {"trials.0.name", "A B", "a-z"},
+            {"trials.0.version", "1.5", "whole number"},
+            {"trials.9.name", "late", "4 at the most"},
+            {"trials.1.name", "advice", "arms"},
+            {"trials.0.arms.1.stay-away-longest", "2h", "from 0ms to 60s"},
+            {"trials.0.deaths", "0", "from 1"}
+        };
         for (String[] fault : faults) {
             Map<String, String> rest = good();
             rest.put(fault[0], fault[1]);
-            String said = assertThrows(Stating.Fault.class, () -> read(rest), fault[0]).getMessage();
+            String said = assertThrows(Stating.Fault.class, () -> read(rest), fault[0])
+                    .getMessage();
             assertTrue(said.contains(fault[2]) && !said.contains("\n"), fault[0] + ": " + said);
         }
     }
@@ -60,8 +83,13 @@
     void oneThatIsChangedUnderTheSameNameIsAnotherTrial() throws Stating.Fault {
         Trial before = read(good()).get(0);
         assertEquals(before.key(), read(good()).get(0).key());
-        for (String[] change : new String[][] {{"trials.0.version", "2"}, {"trials.0.difference", "0.03"}, {"trials.0.arms.1.stay-away-longest", "301ms"},
-            {"trials.0.safe", "short"}, {"trials.0.arms.0.weight", "2"}}) {
+        for (String[] change : new String[][] {
+            {"trials.0.version", "2"},
+            {"trials.0.difference", "0.03"},
+            {"trials.0.arms.1.stay-away-longest", "301ms"},
+            {"trials.0.safe", "short"},
+            {"trials.0.arms.0.weight", "2"}
+        }) {
             Map<String, String> rest = good();
             rest.put(change[0], change[1]);
             assertNotEquals(before.key(), read(rest).get(0).key(), change[0]);
--- a/src/test/java/merlinlever/trials/TallyTest.java
+++ b/src/test/java/merlinlever/trials/TallyTest.java
@@ -19,12 +19,15 @@
 class TallyTest {
 
     static Trial trial(int version, int... weights) {
-        List<Trial.Arm> arms = java.util.stream.IntStream.range(0, weights.length).mapToObj(i -> new Trial.Arm("a" + i, weights[i], null, null, null)).toList();
+        List<Trial.Arm> arms = java.util.stream.IntStream.range(0, weights.length)
+                .mapToObj(i -> new Trial.Arm("a" + i, weights[i], null, null, null))
+                .toList();
         return new Trial("t", version, arms, 0, 0.05, 0.1, 0.02, Duration.ofDays(1), Duration.ofSeconds(10), 2, 3);
     }
 
     @Property(tries = 30, seed = "5")
-    void callersFallToTheArmsByTheirWeightsAndStay(@ForAll @IntRange(min = 1, max = 1000) int version, @ForAll @IntRange(min = 1, max = 5) int weight) {
+    void callersFallToTheArmsByTheirWeightsAndStay(
+            @ForAll @IntRange(min = 1, max = 1000) int version, @ForAll @IntRange(min = 1, max = 5) int weight) {
         Trial trial = trial(version, weight, 3, 4);
         Split here = new Split(trial);
         Split there = new Split(trial(version, weight, 3, 4));
@@ -59,11 +62,17 @@
         tally.became(further, Tally.Became.PUSHED_BACK, 0);
         tally.became(tally.asked("c", "op1", true), Tally.Became.SATISFIED, 1);
         tally.became(tally.asked("c", "op1", true), Tally.Became.SATISFIED, 1);
-        assertEquals(new Tally.Counts(1, 1, 0, 0, 500, 250_000), tally.counts(op.arm()), "asked once, satisfied once, pushed back no more");
+        assertEquals(
+                new Tally.Counts(1, 1, 0, 0, 500, 250_000),
+                tally.counts(op.arm()),
+                "asked once, satisfied once, pushed back no more");
         // Tried first at another backend: asked there, satisfied here.
         Tally there = new Tally(trial);
         there.became(there.asked("c", "op2", true), Tally.Became.LATE, 5);
-        assertEquals(new Tally.Counts(0, 0, 1, 0, 1000, 1_000_000), there.counts(op.arm()), "never more than the highest value");
+        assertEquals(
+                new Tally.Counts(0, 0, 1, 0, 1000, 1_000_000),
+                there.counts(op.arm()),
+                "never more than the highest value");
         tally.became(tally.asked("c", "op2", false), Tally.Became.PUSHED_BACK, 0);
         tally.add(there);
         assertEquals(2, tally.counts(op.arm()).asked());
@@ -88,8 +97,10 @@
         Tally tally = new Tally(trial);
         SplittableRandom chance = new SplittableRandom(seed);
         for (int i = 0; i < n; i++) {
-            tally.became(tally.asked("c" + chance.nextInt(5000), "o" + i, chance.nextInt(10) == 0),
-                    Tally.Became.values()[chance.nextInt(4)], 2 * chance.nextDouble());
+            tally.became(
+                    tally.asked("c" + chance.nextInt(5000), "o" + i, chance.nextInt(10) == 0),
+                    Tally.Became.values()[chance.nextInt(4)],
+                    2 * chance.nextDouble());
         }
         tally.ran(Duration.ofSeconds(seed));
         return tally;
--- a/src/test/java/merlinlever/view/ViewTest.java
+++ b/src/test/java/merlinlever/view/ViewTest.java
@@ -84,7 +84,9 @@
             byte[] spoilt = difference.clone();
             spoilt[chance.nextInt(spoilt.length)] ^= 1 << chance.nextInt(7);
             View read = Bodies.ours(spoilt) ? there.read(spoilt) : null;
-            assertTrue(read == null || read.equals(second), () -> "passed for a view: " + new String(spoilt, java.nio.charset.StandardCharsets.US_ASCII));
+            assertTrue(
+                    read == null || read.equals(second),
+                    () -> "passed for a view: " + new String(spoilt, java.nio.charset.StandardCharsets.US_ASCII));
         }
         assertNotEquals(View.of(1, names(3)).digest(), View.of(2, names(3)).digest());
     }
@@ -119,7 +121,8 @@
         }
 
         /** Each of the tellers tells what it observes of the gone; each 500 ms until then. Returns the first change, and its time in {@code at}. */
-        TreeSet<String> play(long from, long to, Set<String> mute, java.util.function.BiPredicate<String, String> gone) {
+        TreeSet<String> play(
+                long from, long to, Set<String> mute, java.util.function.BiPredicate<String, String> gone) {
             for (long at = from; at < to; at += 100) {
                 if (at % 500 == 0) {
                     number++;
@@ -131,8 +134,14 @@
                         }
                     }
                 }
-                Set<String> next = cut.due(ms(at), "b0", view, rings, most,
-                        name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0), ms(4000));
+                Set<String> next = cut.due(
+                        ms(at),
+                        "b0",
+                        view,
+                        rings,
+                        most,
+                        name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0),
+                        ms(4000));
                 if (next != null) {
                     return new TreeSet<>(next);
                 }
@@ -147,7 +156,11 @@
             Counted few = new Counted(n, 5);
             int low = Rings.low(few.rings.observers("b3").size());
             List<String> observers = new ArrayList<>(few.rings.observers("b3"));
-            assertNull(few.play(0, 30_000, Set.of(), (who, whom) -> whom.equals("b3") && observers.indexOf(who) >= 0 && observers.indexOf(who) < low));
+            assertNull(few.play(
+                    0,
+                    30_000,
+                    Set.of(),
+                    (who, whom) -> whom.equals("b3") && observers.indexOf(who) >= 0 && observers.indexOf(who) < low));
             TreeSet<String> without = names(n);
             without.remove("b3");
             assertEquals(without, new Counted(n, 5).play(0, 30_000, Set.of("b3"), (who, whom) -> whom.equals("b3")));
@@ -162,8 +175,14 @@
         long[] at = {0};
         TreeSet<String> first = null;
         for (; at[0] < 20_000 && first == null; at[0] += 500) {
-            first = some.play(at[0], at[0] + 500, Set.of("b10", "b20", "b30"), (who, whom) -> dead.contains(whom)
-                    && (whom.equals("b10") || at[0] >= 3000 || new ArrayList<>(some.rings.observers(whom)).indexOf(who) < 4));
+            first = some.play(
+                    at[0],
+                    at[0] + 500,
+                    Set.of("b10", "b20", "b30"),
+                    (who, whom) -> dead.contains(whom)
+                            && (whom.equals("b10")
+                                    || at[0] >= 3000
+                                    || new ArrayList<>(some.rings.observers(whom)).indexOf(who) < 4));
         }
         TreeSet<String> without = names(40);
         without.removeAll(dead);
@@ -179,7 +198,14 @@
             all.cut.told(ms(at), "b0", all.number, all.view.number(), 0, 3, List.of(), ms(4000));
             all.cut.told(ms(at), "b1", all.number, all.view.number(), 0, 2, List.of("b2"), ms(4000));
             all.cut.told(ms(at), "b2", all.number, all.view.number(), 0, 1, List.of("b0", "b1"), ms(4000));
-            assertNull(all.cut.due(ms(at), "b0", all.view, all.rings, 2, name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0), ms(4000)));
+            assertNull(all.cut.due(
+                    ms(at),
+                    "b0",
+                    all.view,
+                    all.rings,
+                    2,
+                    name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0),
+                    ms(4000)));
         }
     }
 
@@ -189,9 +215,24 @@
         for (long at = 0; at < 30_000; at += 100) {
             all.number++;
             for (String name : all.view.members()) {
-                all.cut.told(ms(at), name, all.number, all.view.number(), 0, name.equals("b3") ? 5 : 2, name.equals("b3") ? List.of() : List.of("b3"), ms(4000));
+                all.cut.told(
+                        ms(at),
+                        name,
+                        all.number,
+                        all.view.number(),
+                        0,
+                        name.equals("b3") ? 5 : 2,
+                        name.equals("b3") ? List.of() : List.of("b3"),
+                        ms(4000));
             }
-            assertNull(all.cut.due(ms(at), "b0", all.view, all.rings, 3, name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0), ms(4000)));
+            assertNull(all.cut.due(
+                    ms(at),
+                    "b0",
+                    all.view,
+                    all.rings,
+                    3,
+                    name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0),
+                    ms(4000)));
         }
     }
 
@@ -203,13 +244,27 @@
         Views members = new Views("b0", "g0", "-", 1);
         members.heard(new Views.Rumour("b1", "g1", "-", Views.Status.ALIVE, 1));
         List<String> log = new ArrayList<>();
-        Terms terms = new Terms(ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 0, term -> true, chance.split(), log::add);
+        Terms terms = new Terms(
+                ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 0, term -> true, chance.split(), log::add);
         Sight sight = new Sight(ms(0), STATED, members, terms, 1 << 20, 0, term -> true, chance.split(), log::add);
         View view = View.of(View.number(2, 1), names(3));
         Bodies bodies = new Bodies();
         sight.carried(ms(50), "b1", bodies.of(view, 0));
         assertEquals(view, sight.view());
-        String[] words = {"WQ", "WA", "WG", "WO", "WP", "WQ/1", "WQ/zz/-/0/3/.0.1.99", "WA/zzzz/ab/1", "WA/!/x/0", "WG/0", "WG/0/zzzzzzzzzzzzzzzzzzz", "WQ/1/x/y/z/./"};
+        String[] words = {
+            "WQ",
+            "WA",
+            "WG",
+            "WO",
+            "WP",
+            "WQ/1",
+            "WQ/zz/-/0/3/.0.1.99",
+            "WA/zzzz/ab/1",
+            "WA/!/x/0",
+            "WG/0",
+            "WG/0/zzzzzzzzzzzzzzzzzzz",
+            "WQ/1/x/y/z/./"
+        };
         for (int i = 0; i < 3000; i++) {
             String what = words[chance.nextInt(words.length)];
             sight.said(ms(100), "b" + chance.nextInt(4), chance.nextLong(), what);
@@ -220,7 +275,11 @@
         assertEquals(view, sight.view());
         // An answer to no question is not heard, be it well formed.
         for (int i = 0; i < 200; i++) {
-            sight.said(ms(100), "b1", (1 << 20) + i, "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/0");
+            sight.said(
+                    ms(100),
+                    "b1",
+                    (1 << 20) + i,
+                    "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/0");
         }
         assertTrue(sight.json(ms(100)).contains("\"hears\":[]"), sight.json(ms(100)));
         // An older view, and another under the same number.
@@ -234,8 +293,18 @@
     void aNewStartTakesNothingThatALifeBeforeMayHaveBeenBeyond() {
         SplittableRandom chance = new SplittableRandom(8);
         long[] disk = {4};
-        Terms terms = new Terms(ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 4, term -> true, chance.split(), line -> { });
-        Sight sight = new Sight(ms(0), STATED, new Views("b0", "g0", "-", 1), terms, 1, 4, term -> term <= disk[0], chance.split(), line -> { });
+        Terms terms = new Terms(
+                ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 4, term -> true, chance.split(), line -> {});
+        Sight sight = new Sight(
+                ms(0),
+                STATED,
+                new Views("b0", "g0", "-", 1),
+                terms,
+                1,
+                4,
+                term -> term <= disk[0],
+                chance.split(),
+                line -> {});
         Bodies bodies = new Bodies();
         sight.carried(ms(50), "b1", bodies.of(View.of(View.number(4, 2), names(3)), 0));
         sight.look(ms(100));
@@ -255,7 +324,8 @@
                 assertTrue(Permits.may(act, standing) != null);
             }
         }
-        for (Standing standing : new Standing[] {Standing.FEW, Standing.ALONE, Standing.DISAGREEING, Standing.RETURNING}) {
+        for (Standing standing :
+                new Standing[] {Standing.FEW, Standing.ALONE, Standing.DISAGREEING, Standing.RETURNING}) {
             assertEquals(Permits.May.NO, Permits.may(Act.DECIDE, standing));
             assertEquals(Permits.May.NO, Permits.may(Act.GRANT, standing));
             assertEquals(Permits.May.YES, Permits.may(Act.TIGHTEN, standing));
--- a/src/test/java/merlinlever/wire/WireHostTest.java
+++ b/src/test/java/merlinlever/wire/WireHostTest.java
@@ -22,8 +22,11 @@
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
     private int serve(String input) throws IOException {
-        return new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out,
-                new PrintStream(errors, true, StandardCharsets.UTF_8)).serve();
+        return new WireHost(
+                        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+                        out,
+                        new PrintStream(errors, true, StandardCharsets.UTF_8))
+                .serve();
     }
 
     private void rejects(String input, String line) throws IOException {
@@ -39,8 +42,11 @@
 
     @Example
     void anOperationIsRememberedBeforeItRuns() throws IOException {
-        assertEquals(0, serve("frame now=100.0 n=1\n" + ENLIST + "eof_batch\nframe now=105.0 n=2\n"
-                + "req who=backend-1 id=77 kind=buy size-kb=2.5 odd=1 unread-for=1.0 origin-peer=3\neof_batch\n"));
+        assertEquals(
+                0,
+                serve(
+                        "frame now=100.0 n=1\n" + ENLIST + "eof_batch\nframe now=105.0 n=2\n"
+                                + "req who=backend-1 id=77 kind=buy size-kb=2.5 odd=1 unread-for=1.0 origin-peer=3\neof_batch\n"));
         String reply = out.toString(StandardCharsets.UTF_8);
         int pin = reply.indexOf("pin who=backend-1 id=77 for-time=5000.000\n");
         assertTrue(pin > 0 && reply.indexOf("dispatch who=backend-1 id=77\n") > pin, reply);
@@ -49,8 +55,11 @@
 
     @Example
     void anInstanceThatDiesAndComesBackInABatchKnowsNothing() throws IOException {
-        assertEquals(0, serve("frame now=100.0 n=1\n" + ENLIST
-                + "req who=backend-1 id=77 kind=buy size-kb=2.5\nexit who=backend-1\n" + ENLIST + "eof_batch\n"));
+        assertEquals(
+                0,
+                serve("frame now=100.0 n=1\n" + ENLIST
+                        + "req who=backend-1 id=77 kind=buy size-kb=2.5\nexit who=backend-1\n" + ENLIST
+                        + "eof_batch\n"));
         String reply = out.toString(StandardCharsets.UTF_8);
         assertTrue(!reply.contains("id=77") && reply.contains("report_health who=backend-1 on=1"), reply);
     }
@@ -62,12 +71,16 @@
 
     @Example
     void anEventForNoInstanceIsMalformed() throws IOException {
-        rejects("frame now=1 n=1\ndrain who=backend-9 not-after=5\neof_batch\n", "wirehost: line 2: no instance backend-9");
+        rejects(
+                "frame now=1 n=1\ndrain who=backend-9 not-after=5\neof_batch\n",
+                "wirehost: line 2: no instance backend-9");
     }
 
     @Example
     void anUnknownEventIsMalformed() throws IOException {
-        rejects("frame now=1 n=1\n" + ENLIST + "dance who=backend-1\neof_batch\n", "wirehost: line 3: unknown event dance");
+        rejects(
+                "frame now=1 n=1\n" + ENLIST + "dance who=backend-1\neof_batch\n",
+                "wirehost: line 3: unknown event dance");
     }
 
     @Example
--- a/src/test/java/merlinlever/zone/client/ClientTest.java
+++ b/src/test/java/merlinlever/zone/client/ClientTest.java
@@ -51,7 +51,8 @@
         void on(byte[] asked, InetSocketAddress from) throws Exception;
     }
 
-    @BeforeEach void start() throws Exception {
+    @BeforeEach
+    void start() throws Exception {
         loop = new Loop(Clock.system(), Throwable::printStackTrace);
         asker = new Asker(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
         key = new Tsig.Key(Names.absolute("k."), "hmac-sha256", SECRET);
@@ -60,7 +61,8 @@
         tcp = new ServerSocket(udp.getLocalPort(), 5, InetAddress.getLoopbackAddress());
     }
 
-    @AfterEach void stop() throws Exception {
+    @AfterEach
+    void stop() throws Exception {
         asker.close();
         loop.stop();
         udp.close();
@@ -114,16 +116,25 @@
     private static byte[] answer(byte[] asked, int id, int code, int flags) throws Exception {
         Message message = Message.read(asked);
         return new Writer(id, Message.RESPONSE | flags | message.operation() << 11 | code, Message.MOST)
-                .question(message.name(), message.type(), message.dclass()).done();
+                .question(message.name(), message.type(), message.dclass())
+                .done();
     }
 
     private byte[] signed(byte[] asked, byte[] answer) throws Exception {
-        return Tsig.sign(answer, key, System.currentTimeMillis() / 1000, Message.read(asked).signature().mac()).octets();
+        return Tsig.sign(
+                        answer,
+                        key,
+                        System.currentTimeMillis() / 1000,
+                        Message.read(asked).signature().mac())
+                .octets();
     }
 
     private static byte[] update() throws Exception {
-        return Updates.message(Names.absolute("example.org."), List.of(),
-                List.of(new Entry(Names.absolute("a.example.org."), Types.A, Types.IN, 1, new byte[4])), null);
+        return Updates.message(
+                Names.absolute("example.org."),
+                List.of(),
+                List.of(new Entry(Names.absolute("a.example.org."), Types.A, Types.IN, 1, new byte[4])),
+                null);
     }
 
     private Answered ask(Tsig.Key with) throws Exception {
@@ -134,7 +145,8 @@
         return ended.get(5, TimeUnit.SECONDS);
     }
 
-    @Test void onlyTheAnswerToTheQuestionFromTheServerWithItsSignatureCounts() throws Exception {
+    @Test
+    void onlyTheAnswerToTheQuestionFromTheServerWithItsSignatureCounts() throws Exception {
         datagrams((asked, from) -> {
             int id = Message.id(asked);
             // A wrong id, another address, no signature, one of another question, one cut, then the right one.
@@ -144,7 +156,10 @@
                 other.send(new DatagramPacket(forged, forged.length, from));
             }
             send(answer(asked, id, 5, 0), from);
-            send(Tsig.sign(answer(asked, id, 5, 0), key, System.currentTimeMillis() / 1000, new byte[32]).octets(), from);
+            send(
+                    Tsig.sign(answer(asked, id, 5, 0), key, System.currentTimeMillis() / 1000, new byte[32])
+                            .octets(),
+                    from);
             byte[] cut = signed(asked, answer(asked, id, 5, 0));
             send(Arrays.copyOf(cut, cut.length - 7), from);
             Thread.sleep(30);
@@ -153,7 +168,8 @@
         assertTrue(ask(key).well());
     }
 
-    @Test void noAnswerIsLostNotUndoneAndTheSameDatagramGoesAgain() throws Exception {
+    @Test
+    void noAnswerIsLostNotUndoneAndTheSameDatagramGoesAgain() throws Exception {
         byte[][] first = new byte[1][];
         datagrams((asked, from) -> {
             first[0] = first[0] == null ? asked : first[0];
@@ -163,12 +179,19 @@
         assertTrue(came.get() >= 2 && came.get() <= 5, "" + came.get());
     }
 
-    @Test void aKeyThatIsNotTakenIsToldApartFromSilence() throws Exception {
-        datagrams((asked, from) -> send(Tsig.unsignedError(answer(asked, Message.id(asked), 9, 0), Message.read(asked).signature(), Tsig.BADKEY), from));
+    @Test
+    void aKeyThatIsNotTakenIsToldApartFromSilence() throws Exception {
+        datagrams((asked, from) -> send(
+                Tsig.unsignedError(
+                        answer(asked, Message.id(asked), 9, 0),
+                        Message.read(asked).signature(),
+                        Tsig.BADKEY),
+                from));
         assertEquals(Answered.Way.KEY_REFUSED, ask(key).way());
     }
 
-    @Test void aTruncatedAnswerIsFetchedOverAConnection() throws Exception {
+    @Test
+    void aTruncatedAnswerIsFetchedOverAConnection() throws Exception {
         datagrams((asked, from) -> send(answer(asked, Message.id(asked), 0, Message.TRUNCATED), from));
         connections((asked, out, socket) -> {
             byte[] answer = answer(asked, Message.id(asked), 3, 0);
@@ -183,7 +206,8 @@
         assertEquals(3, answered.message().code());
     }
 
-    @Test void halfAnAnswerOrOneThatTakesForEverIsLost() throws Exception {
+    @Test
+    void halfAnAnswerOrOneThatTakesForEverIsLost() throws Exception {
         datagrams((asked, from) -> send(answer(asked, Message.id(asked), 0, Message.TRUNCATED), from));
         connections((asked, out, socket) -> {
             byte[] answer = answer(asked, Message.id(asked), 0, 0);
@@ -200,7 +224,8 @@
         assertEquals(Answered.Way.LOST, ask(null).way());
     }
 
-    @Test void nobodyThereIsUnreachable() throws Exception {
+    @Test
+    void nobodyThereIsUnreachable() throws Exception {
         tcp.close();
         datagrams((asked, from) -> send(answer(asked, Message.id(asked), 0, Message.TRUNCATED), from));
         assertEquals(Answered.Way.UNREACHABLE, ask(null).way());
@@ -224,7 +249,8 @@
             out.record(1, message.name(), Types.SOA, Types.IN, 1, soa);
         }
         for (int i = 0; i < records; i++) {
-            out.record(1, Names.absolute("n" + i + ".example.org."), Types.A, Types.IN, 1, new byte[] {1, 2, 3, (byte) i});
+            out.record(
+                    1, Names.absolute("n" + i + ".example.org."), Types.A, Types.IN, 1, new byte[] {1, 2, 3, (byte) i});
         }
         if (last) {
             out.record(1, message.name(), Types.SOA, Types.IN, 1, soa);
@@ -232,9 +258,11 @@
         return out.done();
     }
 
-    @Test void aTransferIsWholeOrNothing() throws Exception {
+    @Test
+    void aTransferIsWholeOrNothing() throws Exception {
         Fetch.Fetched whole = fetch((asked, out, socket) -> {
-            Tsig.Chain chain = new Tsig.Chain(key, Message.read(asked).signature().mac());
+            Tsig.Chain chain =
+                    new Tsig.Chain(key, Message.read(asked).signature().mac());
             for (int i = 0; i < 3; i++) {
                 byte[] message = chain.sign(part(asked, i == 0, i == 2, 50), System.currentTimeMillis() / 1000);
                 out.writeShort(message.length);
@@ -246,10 +274,12 @@
         assertEquals(51, whole.zone().records());
     }
 
-    @Test void aTransferThatIsCutOrNotSignedToItsEndIsNothing() throws Exception {
+    @Test
+    void aTransferThatIsCutOrNotSignedToItsEndIsNothing() throws Exception {
         int[] round = {0};
         Talk talk = (asked, out, socket) -> {
-            Tsig.Chain chain = new Tsig.Chain(key, Message.read(asked).signature().mac());
+            Tsig.Chain chain =
+                    new Tsig.Chain(key, Message.read(asked).signature().mac());
             byte[] first = chain.sign(part(asked, true, false, 50), System.currentTimeMillis() / 1000);
             out.writeShort(first.length);
             out.write(first);
--- a/src/test/java/merlinlever/zone/client/LiveTest.java
+++ b/src/test/java/merlinlever/zone/client/LiveTest.java
@@ -20,6 +20,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import merlinlever.durable.DiskFolder;
 import merlinlever.net.Clock;
 import merlinlever.net.Loop;
 import merlinlever.zone.follow.Follower;
@@ -28,7 +29,6 @@
 import merlinlever.zone.front.Front;
 import merlinlever.zone.front.Notices;
 import merlinlever.zone.front.Served;
-import merlinlever.durable.DiskFolder;
 import merlinlever.zone.journal.ZoneStore;
 import merlinlever.zone.record.Names;
 import merlinlever.zone.record.Rec;
@@ -52,7 +52,9 @@
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
     private static final String HEAD = "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n";
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     private Loop loop;
     private Front front;
     private Served served;
@@ -63,25 +65,34 @@
     private DiskFolder state;
     private final ExecutorService disk = Executors.newSingleThreadExecutor();
 
-    @BeforeEach void start() throws Exception {
+    @BeforeEach
+    void start() throws Exception {
         loop = new Loop(Clock.system(), Throwable::printStackTrace);
         key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
         next = new Tsig.Key(name("n."), "hmac-sha384", SECRET);
         byte[] origin = name("example.org.");
         state = new DiskFolder(folder.resolve("state"));
-        store = new ZoneStore(state, origin, disk, disk, loop, line -> { }, 1000, Desk.REPLAY);
+        store = new ZoneStore(state, origin, disk, disk, loop, line -> {}, 1000, Desk.REPLAY);
         store.recover(origin);
         Zone zone = read(HEAD + "a A 1.1.1.1\nb A 1.1.1.2\nc TXT c\n");
         store.first(zone);
         served = new Served(zone, Set.of("k.", "n."), Set.of("k."), store, new Replays(Desk.REPLAY));
-        front = new Front(loop, new InetSocketAddress("127.0.0.1", 0), 64, List.of(served), new Tsig.Keys(List.of(key, next)),
-                new Desk.Stated(64, Duration.ofSeconds(1), true, 1), () -> System.currentTimeMillis() / 1000, line -> { },
+        front = new Front(
+                loop,
+                new InetSocketAddress("127.0.0.1", 0),
+                64,
+                List.of(served),
+                new Tsig.Keys(List.of(key, next)),
+                new Desk.Stated(64, Duration.ofSeconds(1), true, 1),
+                () -> System.currentTimeMillis() / 1000,
+                line -> {},
                 new Counts(new SimpleMeterRegistry()));
         asker = new Asker(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
         new Thread(loop::run).start();
     }
 
-    @AfterEach void stop() throws Exception {
+    @AfterEach
+    void stop() throws Exception {
         loop.execute(() -> {
             front.close();
             front.end();
@@ -118,19 +129,22 @@
         CompletableFuture<String> ended = new CompletableFuture<>();
         InetSocketAddress to = front.address();
         loop.execute(() -> Applier.start(asker, to, key, Duration.ofSeconds(3), wanted, dryRun, new Applier.Watcher() {
-            @Override public void planned(Zone live, List<Plan.Batch> batches) {
+            @Override
+            public void planned(Zone live, List<Plan.Batch> batches) {
                 told.add("planned " + batches.size());
                 afterPlan.run();
             }
 
-            @Override public void done(int batch) {
+            @Override
+            public void done(int batch) {
                 told.add("done " + batch);
                 if (batch == 0) {
                     afterFirst.run();
                 }
             }
 
-            @Override public void ended(int done, String why) {
+            @Override
+            public void ended(int done, String why) {
                 ended.complete(done + " " + why);
             }
         }));
@@ -138,52 +152,77 @@
     }
 
     private void change(String owner, byte[] data) {
-        byte[] message = Updates.message(name("example.org."), List.of(), List.of(new Entry(name(owner), Types.A, Types.CLASS_ANY, 0, null),
-                new Entry(name(owner), Types.A, Types.IN, 60, data)), next);
+        byte[] message = Updates.message(
+                name("example.org."),
+                List.of(),
+                List.of(
+                        new Entry(name(owner), Types.A, Types.CLASS_ANY, 0, null),
+                        new Entry(name(owner), Types.A, Types.IN, 60, data)),
+                next);
         try {
             // On the loop already: what was put first leaves first.
-            asker.ask(front.address(), message, next, Duration.ofSeconds(3), answered -> told.add("other " + answered.told()));
+            asker.ask(
+                    front.address(),
+                    message,
+                    next,
+                    Duration.ofSeconds(3),
+                    answered -> told.add("other " + answered.told()));
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    @Test void applyMakesTheLiveZoneSayWhatTheFileSaysAndTwiceIsNothing() throws Exception {
+    @Test
+    void applyMakesTheLiveZoneSayWhatTheFileSaysAndTwiceIsNothing() throws Exception {
         Zone wanted = read(HEAD.replace("host 7", "host 8") + "a A 1.1.1.9\nc CNAME a\nd 5 A 1.1.1.3\nd 5 A 1.1.1.4\n");
-        assertEquals("0 null", apply(wanted, true, () -> { }, () -> { }));
+        assertEquals("0 null", apply(wanted, true, () -> {}, () -> {}));
         assertEquals(7L, on(() -> served.zone().serial()));
-        assertEquals("1 null", apply(wanted, false, () -> { }, () -> { }));
-        assertEquals("0 null", apply(wanted, false, () -> { }, () -> { }));
+        assertEquals("1 null", apply(wanted, false, () -> {}, () -> {}));
+        assertEquals("0 null", apply(wanted, false, () -> {}, () -> {}));
         assertEquals("planned 0", told.get(told.size() - 1));
         assertEquals(8L, on(() -> served.zone().serial()));
     }
 
-    @Test void anUpdateRefusedHalfWayStopsThereAndIsTold() throws Exception {
+    @Test
+    void anUpdateRefusedHalfWayStopsThereAndIsTold() throws Exception {
         StringBuilder many = new StringBuilder(HEAD);
         for (int i = 0; i < 2500; i++) {
-            many.append("n").append(String.format("%05d", i)).append(" A 10.0.").append(i / 250).append('.').append(i % 250).append('\n');
+            many.append("n")
+                    .append(String.format("%05d", i))
+                    .append(" A 10.0.")
+                    .append(i / 250)
+                    .append('.')
+                    .append(i % 250)
+                    .append('\n');
         }
         Zone wanted = read(many.toString());
         // Somebody else changes what a later batch is about, after the plan was made.
-        String said = apply(wanted, false, () -> change("n02400.example.org.", new byte[] {6, 6, 6, 6}), () -> { });
-        assertTrue(said.matches("[1-9] update [0-9]: YXRRSET: what it touches was changed by somebody else since the plan"), said + told);
+        String said = apply(wanted, false, () -> change("n02400.example.org.", new byte[] {6, 6, 6, 6}), () -> {});
+        assertTrue(
+                said.matches(
+                        "[1-9] update [0-9]: YXRRSET: what it touches was changed by somebody else since the plan"),
+                said + told);
         int done = Integer.parseInt(said.substring(0, 1));
         Zone half = on(() -> served.zone());
         assertTrue(done < 5 && half.records() > done * 400, half.records() + " " + said);
         assertEquals(6, half.set(name("n02400.example.org."), Types.A).data(0)[0], "what somebody else wrote stays");
-        assertTrue(apply(wanted, false, () -> { }, () -> { }).endsWith(" null"));
+        assertTrue(apply(wanted, false, () -> {}, () -> {}).endsWith(" null"));
         assertEquals(2502, on(() -> served.zone()).records());
     }
 
-    @Test void keysChangeWhileUpdatesAreOnTheirWay() throws Exception {
+    @Test
+    void keysChangeWhileUpdatesAreOnTheirWay() throws Exception {
         InetSocketAddress to = front.address();
         CompletableFuture<int[]> ended = new CompletableFuture<>();
         int[] counts = new int[2];
         loop.execute(() -> {
             for (int i = 0; i < 80; i++) {
                 Tsig.Key with = i < 40 ? key : next;
-                byte[] message = Updates.message(name("example.org."), List.of(), List.of(new Entry(name("k" + i + ".example.org."), Types.A,
-                        Types.IN, 60, new byte[4])), with);
+                byte[] message = Updates.message(
+                        name("example.org."),
+                        List.of(),
+                        List.of(new Entry(name("k" + i + ".example.org."), Types.A, Types.IN, 60, new byte[4])),
+                        with);
                 asker.ask(to, message, with, Duration.ofSeconds(5), answered -> {
                     counts[answered.well() ? 0 : 1]++;
                     if (counts[0] + counts[1] == 80) {
@@ -213,7 +252,8 @@
         assertEquals(wanted, tickets());
     }
 
-    @Test void aNameFollowsReportsAndStaysWhenNearlyAllAreSilent() throws Exception {
+    @Test
+    void aNameFollowsReportsAndStaysWhenNearlyAllAreSilent() throws Exception {
         List<Rec> records = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -226,10 +266,31 @@
             servers.add((InetSocketAddress) silent.getLocalSocketAddress());
             servers.add(front.address());
             FollowerLink[] link = new FollowerLink[1];
-            loop.execute(() -> link[0] = new FollowerLink(loop, asker, new Follower(loop.clock().now(), new Follower.Stated(
-                    name("tickets.example.org."), records, 30, Duration.ofMillis(600), 0.5, "web", "a", 600, Duration.ofSeconds(10),
-                    Duration.ofSeconds(2), 2), new SplittableRandom(3), told::add), servers, key, name("example.org."),
-                    name("tickets.example.org."), names, Duration.ofMillis(300)));
+            loop.execute(() -> link[0] = new FollowerLink(
+                    loop,
+                    asker,
+                    new Follower(
+                            loop.clock().now(),
+                            new Follower.Stated(
+                                    name("tickets.example.org."),
+                                    records,
+                                    30,
+                                    Duration.ofMillis(600),
+                                    0.5,
+                                    "web",
+                                    "a",
+                                    600,
+                                    Duration.ofSeconds(10),
+                                    Duration.ofSeconds(2),
+                                    2),
+                            new SplittableRandom(3),
+                            told::add),
+                    servers,
+                    key,
+                    name("example.org."),
+                    name("tickets.example.org."),
+                    names,
+                    Duration.ofMillis(300)));
             boolean[] alive = {true, true, true, true};
             loop.execute(() -> loop.every(Duration.ofMillis(100), () -> {
                 for (int i = 0; i < 4; i++) {
@@ -255,7 +316,8 @@
         }
     }
 
-    @Test void otherServersAreToldOfANewVersionUntilTheySayThatTheyHeard() throws Exception {
+    @Test
+    void otherServersAreToldOfANewVersionUntilTheySayThatTheyHeard() throws Exception {
         try (DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             other.setSoTimeout(3000);
             InetSocketAddress to = (InetSocketAddress) other.getLocalSocketAddress();
--- a/src/test/java/merlinlever/zone/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/zone/follow/FollowerTest.java
@@ -14,7 +14,6 @@
 import merlinlever.zone.record.Names;
 import merlinlever.zone.record.Rec;
 import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
 import merlinlever.zone.state.RecordSet;
 import merlinlever.zone.state.Update;
 import merlinlever.zone.state.Zone;
@@ -93,8 +92,22 @@
             for (int i = 0; i < instances; i++) {
                 records.add(new Rec(NAME, Types.A, 30, new byte[] {127, 0, 1, (byte) i}));
             }
-            return new Follower(now(), new Follower.Stated(NAME, records, 30, Duration.ofSeconds(3), keep, "web", holder, 60,
-                    Duration.ofSeconds(30), Duration.ofSeconds(10), 2), chance.split(), log::add);
+            return new Follower(
+                    now(),
+                    new Follower.Stated(
+                            NAME,
+                            records,
+                            30,
+                            Duration.ofSeconds(3),
+                            keep,
+                            "web",
+                            holder,
+                            60,
+                            Duration.ofSeconds(30),
+                            Duration.ofSeconds(10),
+                            2),
+                    chance.split(),
+                    log::add);
         }
 
         void in(long span, Runnable what) {
@@ -157,13 +170,18 @@
                     // The claim and the records are two questions: what lies between them may change.
                     in(there, () -> {
                         List<Rec> claims = records(Names.below("_merlinlever".getBytes(), NAME), Types.TXT);
-                        in(1 + chance.nextInt(faults ? 300 : 2), () -> read.answered(now(), new Seen(zone.serial(), claims, records(NAME, Types.A))));
+                        in(
+                                1 + chance.nextInt(faults ? 300 : 2),
+                                () -> read.answered(now(), new Seen(zone.serial(), claims, records(NAME, Types.A))));
                     });
                 }
             } else if (step instanceof Follower.Write write) {
                 boolean answerLost = fault(8);
                 if (fault(10)) {
-                    in(there, () -> write.answered(now(), faults && chance.nextBoolean() ? Update.SERVFAIL : Update.REFUSED));
+                    in(
+                            there,
+                            () -> write.answered(
+                                    now(), faults && chance.nextBoolean() ? Update.SERVFAIL : Update.REFUSED));
                 } else if (answerLost) {
                     in(there, () -> apply(write));
                     in(2000, () -> write.lost(now()));
@@ -215,8 +233,11 @@
             records(NAME, Types.A).forEach(rec -> assertTrue(rec.data()[0] == 127 && rec.data()[3] < instances));
             RecordSet txt = zone.set(NAME, Types.TXT);
             RecordSet other = zone.set(name("other.example.org."), Types.A);
-            assertTrue(txt != null && txt.size() == 1 && txt.data(0)[1] == 'x', "records that are not owned were touched");
-            assertTrue(other != null && other.size() == 1 && other.data(0)[0] == 9, "records that are not owned were touched");
+            assertTrue(
+                    txt != null && txt.size() == 1 && txt.data(0)[1] == 'x', "records that are not owned were touched");
+            assertTrue(
+                    other != null && other.size() == 1 && other.data(0)[0] == 9,
+                    "records that are not owned were touched");
             long recent = writes.stream().filter(at -> at > ms - 60_000).count();
             assertTrue(recent <= 2 * (60 + 11), "over the bound of updates a minute: " + recent);
         }
@@ -256,12 +277,16 @@
                 assertTrue(!world.set().isEmpty());
             }
         } catch (AssertionError e) {
-            throw new AssertionError("seed " + seed + " (-Dfollower.first=" + seed + " -Dfollower.seeds=1): " + e.getMessage()
-                    + "\n" + String.join("\n", world.log.subList(Math.max(0, world.log.size() - 30), world.log.size())), e);
+            throw new AssertionError(
+                    "seed " + seed + " (-Dfollower.first=" + seed + " -Dfollower.seeds=1): " + e.getMessage() + "\n"
+                            + String.join(
+                                    "\n", world.log.subList(Math.max(0, world.log.size() - 30), world.log.size())),
+                    e);
         }
     }
 
-    @Test void whateverTheServerDoesTheNameEndsOnTheLiveFleetAndNothingElseIsTouched() {
+    @Test
+    void whateverTheServerDoesTheNameEndsOnTheLiveFleetAndNothingElseIsTouched() {
         // Found among 60,000: a name was emptied where claim and records were read of two versions.
         for (long seed : SEEDS == 1 ? new long[0] : new long[] {30243, 44393, 67365, 78710}) {
             play(seed);
@@ -276,14 +301,31 @@
         for (int i = 0; i < 4; i++) {
             records.add(new Rec(NAME, Types.A, 30, new byte[] {127, 0, 1, (byte) i}));
         }
-        return new Follower(Duration.ZERO, new Follower.Stated(NAME, records, 30, Duration.ofSeconds(3), keep, "web", "a", 60,
-                Duration.ofSeconds(30), Duration.ofSeconds(10), 1), chance, log::add);
+        return new Follower(
+                Duration.ZERO,
+                new Follower.Stated(
+                        NAME,
+                        records,
+                        30,
+                        Duration.ofSeconds(3),
+                        keep,
+                        "web",
+                        "a",
+                        60,
+                        Duration.ofSeconds(30),
+                        Duration.ofSeconds(10),
+                        1),
+                chance,
+                log::add);
     }
 
-    @Test void recordsOfSomebodyElseAreLeftAloneAndSaidSo() {
-        for (Rec foreign : new Rec[] {new Rec(NAME, Types.A, 30, new byte[] {1, 2, 3, 4}),
+    @Test
+    void recordsOfSomebodyElseAreLeftAloneAndSaidSo() {
+        for (Rec foreign : new Rec[] {
+            new Rec(NAME, Types.A, 30, new byte[] {1, 2, 3, 4}),
             new Rec(Names.below("_merlinlever".getBytes(), NAME), Types.TXT, 30, new byte[] {1, 'q'}),
-            new Rec(Names.below("_merlinlever".getBytes(), NAME), Types.TXT, 30, new Claim("other", "b", 1, 1).data())}) {
+            new Rec(Names.below("_merlinlever".getBytes(), NAME), Types.TXT, 30, new Claim("other", "b", 1, 1).data())
+        }) {
             List<String> log = new ArrayList<>();
             Follower follower = alone(new SplittableRandom(1), log, 0);
             Zone zone = start(foreign);
@@ -294,8 +336,12 @@
                 }
                 Follower.Step step = follower.settle(now);
                 if (step instanceof Follower.Read read) {
-                    read.answered(now, new Seen(zone.serial(), foreign.type() == Types.TXT ? List.of(foreign) : List.of(),
-                            foreign.type() == Types.A ? List.of(foreign) : List.of()));
+                    read.answered(
+                            now,
+                            new Seen(
+                                    zone.serial(),
+                                    foreign.type() == Types.TXT ? List.of(foreign) : List.of(),
+                                    foreign.type() == Types.A ? List.of(foreign) : List.of()));
                 } else {
                     assertTrue(step == null, "wrote");
                 }
@@ -304,7 +350,8 @@
         }
     }
 
-    @Test void oneThatComesAndGoesIsKeptAwayAndTheOthersAreNotChanged() {
+    @Test
+    void oneThatComesAndGoesIsKeptAwayAndTheOthersAreNotChanged() {
         Fleet fleet = new Fleet(2, Duration.ofSeconds(3), Duration.ofSeconds(60));
         int shown = 0;
         boolean was = false;
--- a/src/test/java/merlinlever/zone/front/FrontTest.java
+++ b/src/test/java/merlinlever/zone/front/FrontTest.java
@@ -38,13 +38,26 @@
         return new Update(new Name("example.org."));
     }
 
-    @Test void questionsAreAnsweredAsAZoneAnswersThem() throws Exception {
+    @Test
+    void questionsAreAnsweredAsAZoneAnswersThem() throws Exception {
         Message found = ask("Tickets.Example.ORG.", Type.A);
         assertEquals(2, found.getSection(Section.ANSWER).size());
         assertTrue(found.getHeader().getFlag(Flags.AA));
-        assertEquals(Type.CNAME, ask("alias.example.org.", Type.A).getSection(Section.ANSWER).get(0).getType());
-        assertEquals(3, ask("alias.example.org.", Type.A).getSection(Section.ANSWER).size());
-        assertEquals("x.y.w.example.org.", ask("x.y.w.example.org.", Type.TXT).getSection(Section.ANSWER).get(0).getName().toString());
+        assertEquals(
+                Type.CNAME,
+                ask("alias.example.org.", Type.A)
+                        .getSection(Section.ANSWER)
+                        .get(0)
+                        .getType());
+        assertEquals(
+                3, ask("alias.example.org.", Type.A).getSection(Section.ANSWER).size());
+        assertEquals(
+                "x.y.w.example.org.",
+                ask("x.y.w.example.org.", Type.TXT)
+                        .getSection(Section.ANSWER)
+                        .get(0)
+                        .getName()
+                        .toString());
         Message empty = ask("b.example.org.", Type.A);
         assertEquals(Rcode.NOERROR, empty.getRcode());
         assertEquals(Type.SOA, empty.getSection(Section.AUTHORITY).get(0).getType());
@@ -52,32 +65,53 @@
         Message referred = ask("x.sub.example.org.", Type.A);
         assertFalse(referred.getHeader().getFlag(Flags.AA));
         assertEquals(Type.NS, referred.getSection(Section.AUTHORITY).get(0).getType());
-        assertEquals("127.0.0.9", ((ARecord) referred.getSection(Section.ADDITIONAL).get(0)).getAddress().getHostAddress());
+        assertEquals(
+                "127.0.0.9",
+                ((ARecord) referred.getSection(Section.ADDITIONAL).get(0))
+                        .getAddress()
+                        .getHostAddress());
         assertEquals(Rcode.REFUSED, ask("example.com.", Type.A).getRcode());
     }
 
-    @Test void aSignedUpdateIsSeenAndLastsAndAnUnsignedOneIsNot() throws Exception {
+    @Test
+    void aSignedUpdateIsSeenAndLastsAndAnUnsignedOneIsNot() throws Exception {
         Update update = update();
         update.present(new Name("tickets.example.org."));
         update.replace(new Name("tickets.example.org."), Type.A, 30, "127.0.1.9");
         assertEquals(Rcode.REFUSED, resolver(null).send(update).getRcode());
-        assertEquals(2, ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
+        assertEquals(
+                2,
+                ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
         assertEquals(Rcode.NOERROR, resolver(key()).send(update).getRcode());
-        assertEquals(1, ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
+        assertEquals(
+                1,
+                ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
         stop();
         start();
-        assertEquals(1, ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
+        assertEquals(
+                1,
+                ask("tickets.example.org.", Type.A).getSection(Section.ANSWER).size());
         assertEquals(8, zone.zone().serial());
     }
 
-    @Test void keysFollowOneAnotherAndEachBadSignatureIsToldApart() throws Exception {
+    @Test
+    void keysFollowOneAnotherAndEachBadSignatureIsToldApart() throws Exception {
         Update update = update();
         update.add(new Name("n.example.org."), Type.A, 30, "127.0.1.9");
-        assertEquals(Rcode.NOERROR, resolver(new TSIG(TSIG.HMAC_SHA512, new Name("next."), new byte[48])).send(update).getRcode());
-        assertEquals(Rcode.REFUSED, resolver(new TSIG(TSIG.HMAC_SHA256, new Name("reader."), new byte[48])).send(update).getRcode());
+        assertEquals(
+                Rcode.NOERROR,
+                resolver(new TSIG(TSIG.HMAC_SHA512, new Name("next."), new byte[48]))
+                        .send(update)
+                        .getRcode());
+        assertEquals(
+                Rcode.REFUSED,
+                resolver(new TSIG(TSIG.HMAC_SHA256, new Name("reader."), new byte[48]))
+                        .send(update)
+                        .getRcode());
         // Raw, as the library's resolver checks what it gets itself.
         assertEquals(Rcode.BADKEY, error(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("unknown."), SECRET))));
-        assertEquals(Rcode.BADSIG, error(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("updater."), new byte[33]))));
+        assertEquals(
+                Rcode.BADSIG, error(signed(update, new TSIG(TSIG.HMAC_SHA256, new Name("updater."), new byte[33]))));
         unixAhead = 1000;
         assertEquals(Rcode.BADTIME, error(signed(update, key())));
         unixAhead = 0;
@@ -108,7 +142,8 @@
         }
     }
 
-    @Test void theSameDatagramTwiceIsDoneOnceEvenAcrossARestart() throws Exception {
+    @Test
+    void theSameDatagramTwiceIsDoneOnceEvenAcrossARestart() throws Exception {
         Update add = update();
         add.add(new Name("twice.example.org."), Type.A, 30, "127.0.1.9");
         byte[] octets = signed(add, key());
@@ -125,7 +160,8 @@
         assertEquals(Rcode.NXDOMAIN, ask("twice.example.org.", Type.A).getRcode());
     }
 
-    @Test void whatDoesNotFitADatagramIsCutAndComesWholeOverTcp() throws Exception {
+    @Test
+    void whatDoesNotFitADatagramIsCutAndComesWholeOverTcp() throws Exception {
         Update many = update();
         for (int i = 0; i < 200; i++) {
             many.add(new Name("many.example.org."), Type.A, 30, "127.0.2." + i);
@@ -134,10 +170,12 @@
         Message cut = new Message(exchange(question("many.example.org.", Type.A).toWire()));
         assertTrue(cut.getHeader().getFlag(Flags.TC));
         assertEquals(0, cut.getSection(Section.ANSWER).size());
-        assertEquals(200, ask("many.example.org.", Type.A).getSection(Section.ANSWER).size());
+        assertEquals(
+                200, ask("many.example.org.", Type.A).getSection(Section.ANSWER).size());
     }
 
-    @Test void transfersGiveTheWholeZoneOrWhatHasChanged() throws Exception {
+    @Test
+    void transfersGiveTheWholeZoneOrWhatHasChanged() throws Exception {
         ZoneTransferIn all = ZoneTransferIn.newAXFR(new Name("example.org."), address, key());
         all.run();
         assertEquals(zone.zone().records() + 1, all.getAXFR().size());
@@ -159,7 +197,8 @@
         assertThrows(Exception.class, () -> resolver(null).send(question("example.org.", Type.AXFR)), "REFUSED");
     }
 
-    @Test void garbageIsAnsweredOrDroppedAndHarmsNobody() throws Exception {
+    @Test
+    void garbageIsAnsweredOrDroppedAndHarmsNobody() throws Exception {
         byte[] good = question("tickets.example.org.", Type.A).toWire();
         byte[] loops = good.clone();
         loops[12] = (byte) 0xc0;
@@ -186,7 +225,8 @@
         assertEquals(Rcode.NOERROR, ask("tickets.example.org.", Type.A).getRcode());
     }
 
-    @Test void aPeerThatSendsHalfAMessageIsClosedAndOthersGoOn() throws Exception {
+    @Test
+    void aPeerThatSendsHalfAMessageIsClosedAndOthersGoOn() throws Exception {
         try (Socket slow = new Socket(address.getAddress(), address.getPort())) {
             byte[] good = question("tickets.example.org.", Type.A).toWire();
             OutputStream out = slow.getOutputStream();
@@ -211,7 +251,8 @@
         }
     }
 
-    @Test void aBurstOnAColdServerIsBegunAsItIsRead() throws Exception {
+    @Test
+    void aBurstOnAColdServerIsBegunAsItIsRead() throws Exception {
         byte[] good = question("tickets.example.org.", Type.A).toWire();
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.setSoTimeout(2000);
@@ -230,7 +271,8 @@
         }
     }
 
-    @Test void moreConnectionsThanAllowedMakeRoom() throws Exception {
+    @Test
+    void moreConnectionsThanAllowedMakeRoom() throws Exception {
         Socket[] idle = new Socket[12];
         for (int i = 0; i < idle.length; i++) {
             idle[i] = new Socket(address.getAddress(), address.getPort());
@@ -238,13 +280,16 @@
         Thread.sleep(100);
         SimpleResolver tcp = resolver(null);
         tcp.setTCP(true);
-        assertEquals(Rcode.NOERROR, tcp.send(question("tickets.example.org.", Type.A)).getRcode());
+        assertEquals(
+                Rcode.NOERROR,
+                tcp.send(question("tickets.example.org.", Type.A)).getRcode());
         for (Socket socket : idle) {
             socket.close();
         }
     }
 
-    @Test void aDrainAnswersWhatWasReadAndRefusesWhatCameLate() throws Exception {
+    @Test
+    void aDrainAnswersWhatWasReadAndRefusesWhatCameLate() throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             byte[] good = question("tickets.example.org.", Type.A).toWire();
             byte[] framed = new byte[good.length + 2];
@@ -277,10 +322,13 @@
         return new Message(answer).getRcode();
     }
 
-    @Test void everyKindOfPrerequisiteDecidesTheWhole() throws Exception {
+    @Test
+    void everyKindOfPrerequisiteDecidesTheWhole() throws Exception {
         Name tickets = new Name("tickets.example.org.");
         Name none = new Name("none.example.org.");
-        int[] expected = {Rcode.NXDOMAIN, Rcode.YXDOMAIN, Rcode.NXRRSET, Rcode.YXRRSET, Rcode.NXRRSET, Rcode.NOTZONE, Rcode.NOERROR};
+        int[] expected = {
+            Rcode.NXDOMAIN, Rcode.YXDOMAIN, Rcode.NXRRSET, Rcode.YXRRSET, Rcode.NXRRSET, Rcode.NOTZONE, Rcode.NOERROR
+        };
         for (int i = 0; i < expected.length; i++) {
             Update update = update();
             switch (i) {
@@ -297,7 +345,8 @@
             }
             update.add(new Name("done" + i + ".example.org."), Type.A, 30, "127.0.1.9");
             assertEquals(expected[i], resolver(key()).send(update).getRcode(), "case " + i);
-            assertEquals(expected[i] == Rcode.NOERROR ? Rcode.NOERROR : Rcode.NXDOMAIN,
+            assertEquals(
+                    expected[i] == Rcode.NOERROR ? Rcode.NOERROR : Rcode.NXDOMAIN,
                     ask("done" + i + ".example.org.", Type.A).getRcode());
         }
     }
--- a/src/test/java/merlinlever/zone/front/ServedFront.java
+++ b/src/test/java/merlinlever/zone/front/ServedFront.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import merlinlever.durable.DiskFolder;
 import merlinlever.net.Clock;
 import merlinlever.net.Loop;
-import merlinlever.durable.DiskFolder;
 import merlinlever.zone.journal.ZoneStore;
 import merlinlever.zone.record.Names;
 import merlinlever.zone.state.Replays;
@@ -30,7 +30,8 @@
 /** The whole front on loopback sockets; the other side is the library, which knows nothing of our own reading and signing. */
 abstract class ServedFront {
 
-    static final String ZONE = """
+    static final String ZONE =
+            """
             $ORIGIN example.org.
             $TTL 60
             @ IN SOA ns1 host 7 3600 900 604800 300
@@ -46,7 +47,9 @@
             """;
     static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     Loop loop;
     Front front;
     Served zone;
@@ -56,12 +59,14 @@
     InetSocketAddress address;
     long unixAhead;
 
-    @BeforeEach void start() throws Exception {
+    @BeforeEach
+    void start() throws Exception {
         Path file = Files.writeString(folder.resolve("z"), ZONE);
         loop = new Loop(Clock.system(), Throwable::printStackTrace);
         byte[] origin = Names.absolute("example.org.");
         state = new DiskFolder(folder.resolve("state"));
-        store = new ZoneStore(state, origin, Executors.newSingleThreadExecutor(), threads, loop, line -> { }, 50, Desk.REPLAY);
+        store = new ZoneStore(
+                state, origin, Executors.newSingleThreadExecutor(), threads, loop, line -> {}, 50, Desk.REPLAY);
         ZoneStore.Recovered recovered = store.recover(origin);
         Replays replays = new Replays(Desk.REPLAY);
         if (recovered == null) {
@@ -69,19 +74,32 @@
         } else {
             recovered.marks().forEach(mark -> replays.add(mark.at(), mark.mark()));
         }
-        zone = new Served(recovered == null ? ZoneFile.read(file, origin) : recovered.zone(), Set.of("updater.", "next."),
-                Set.of("updater."), store, replays);
-        List<Tsig.Key> keys = List.of(new Tsig.Key(Names.absolute("updater."), "hmac-sha256", SECRET),
+        zone = new Served(
+                recovered == null ? ZoneFile.read(file, origin) : recovered.zone(),
+                Set.of("updater.", "next."),
+                Set.of("updater."),
+                store,
+                replays);
+        List<Tsig.Key> keys = List.of(
+                new Tsig.Key(Names.absolute("updater."), "hmac-sha256", SECRET),
                 new Tsig.Key(Names.absolute("next."), "hmac-sha512", new byte[48]),
                 new Tsig.Key(Names.absolute("reader."), "hmac-sha256", new byte[48]));
-        front = new Front(loop, new InetSocketAddress("127.0.0.1", 0), 8, List.of(zone), new Tsig.Keys(keys),
-                new Desk.Stated(64, Duration.ofMillis(200), true, 1), () -> System.currentTimeMillis() / 1000 + unixAhead,
-                line -> { }, new Counts(new SimpleMeterRegistry()));
+        front = new Front(
+                loop,
+                new InetSocketAddress("127.0.0.1", 0),
+                8,
+                List.of(zone),
+                new Tsig.Keys(keys),
+                new Desk.Stated(64, Duration.ofMillis(200), true, 1),
+                () -> System.currentTimeMillis() / 1000 + unixAhead,
+                line -> {},
+                new Counts(new SimpleMeterRegistry()));
         address = front.address();
         threads.execute(loop::run);
     }
 
-    @AfterEach void stop() throws Exception {
+    @AfterEach
+    void stop() throws Exception {
         loop.execute(() -> {
             front.close();
             front.end();
--- a/src/test/java/merlinlever/zone/journal/MemoryFolder.java
+++ b/src/test/java/merlinlever/zone/journal/MemoryFolder.java
@@ -1,6 +1,5 @@
 package merlinlever.zone.journal;
 
-import merlinlever.durable.Folder;
 import java.io.FileNotFoundException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,6 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
+import merlinlever.durable.Folder;
 
 /** A folder in memory that remembers what was forced, and loses of the rest what a kill loses. */
 final class MemoryFolder implements Folder {
@@ -34,7 +34,10 @@
     }
 
     int unforced() {
-        return files.values().stream().mapToInt(content -> content.octets.length - content.forced).max().orElse(0);
+        return files.values().stream()
+                .mapToInt(content -> content.octets.length - content.forced)
+                .max()
+                .orElse(0);
     }
 
     void put(String name, byte[] octets) {
@@ -44,25 +47,30 @@
         files.put(name, content);
     }
 
-    @Override public List<String> names() {
+    @Override
+    public List<String> names() {
         return new ArrayList<>(files.keySet());
     }
 
-    @Override public byte[] read(String name) throws IOException {
+    @Override
+    public byte[] read(String name) throws IOException {
         if (!files.containsKey(name)) {
             throw new FileNotFoundException(name);
         }
         return files.get(name).octets.clone();
     }
 
-    @Override public Out append(String name) {
+    @Override
+    public Out append(String name) {
         Content content = files.computeIfAbsent(name, n -> new Content());
         return new Out() {
-            @Override public long length() {
+            @Override
+            public long length() {
                 return content.octets.length;
             }
 
-            @Override public void write(ByteBuffer octets) throws IOException {
+            @Override
+            public void write(ByteBuffer octets) throws IOException {
                 int fits = (int) Math.min(room, octets.remaining());
                 int from = content.octets.length;
                 content.octets = Arrays.copyOf(content.octets, from + fits);
@@ -74,29 +82,33 @@
                 }
             }
 
-            @Override public void force() {
+            @Override
+            public void force() {
                 content.forced = content.octets.length;
             }
 
-            @Override public void truncate(long length) {
+            @Override
+            public void truncate(long length) {
                 room += content.octets.length - length;
                 content.octets = Arrays.copyOf(content.octets, (int) length);
                 content.forced = (int) length;
             }
 
-            @Override public void close() {
-            }
+            @Override
+            public void close() {}
         };
     }
 
-    @Override public void rename(String from, String to) {
+    @Override
+    public void rename(String from, String to) {
         files.put(to, files.remove(from));
     }
 
-    @Override public void delete(String name) {
+    @Override
+    public void delete(String name) {
         files.remove(name);
     }
 
-    @Override public void force() {
-    }
+    @Override
+    public void force() {}
 }
--- a/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
@@ -1,6 +1,5 @@
 package merlinlever.zone.journal;
 
-import merlinlever.durable.Folder;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -12,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import merlinlever.durable.Folder;
 import merlinlever.zone.record.Names;
 import merlinlever.zone.record.Rdata;
 import merlinlever.zone.record.Rec;
@@ -39,13 +39,20 @@
     }
 
     private Zone zone() throws Exception {
-        return Zone.of(origin, List.of(
-                new Rec(origin, Types.SOA, 60, Rdata.fromText(Types.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
-                new Rec(origin, Types.NS, 60, name("ns.example.org."))));
+        return Zone.of(
+                origin,
+                List.of(
+                        new Rec(
+                                origin,
+                                Types.SOA,
+                                60,
+                                Rdata.fromText(Types.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
+                        new Rec(origin, Types.NS, 60, name("ns.example.org."))));
     }
 
     private ZoneStore store(Folder folder, int snapshotAfter) {
-        return new ZoneStore(folder, origin, disk::add, snapshots::add, Runnable::run, trouble::add, snapshotAfter, 600);
+        return new ZoneStore(
+                folder, origin, disk::add, snapshots::add, Runnable::run, trouble::add, snapshotAfter, 600);
     }
 
     private void work() {
@@ -55,14 +62,18 @@
     }
 
     private static Update.Outcome changed(Zone zone, int i) {
-        return Update.judge(zone, List.of(), List.of(new Entry(name("n" + i + ".example.org."), Types.A, Types.IN, 60, new byte[] {10, 0, 0, (byte) i})));
+        return Update.judge(
+                zone, List.of(), List.of(new Entry(name("n" + i + ".example.org."), Types.A, Types.IN, 60, new byte[] {
+                    10, 0, 0, (byte) i
+                })));
     }
 
     private static boolean same(Zone a, Zone b) {
         return a.serial() == b.serial() && Difference.between(a, b).records() == 2;
     }
 
-    @Test void afterAKillAtAnyOctetExactlyTheAnsweredUpdatesAreThere() throws Exception {
+    @Test
+    void afterAKillAtAnyOctetExactlyTheAnsweredUpdatesAreThere() throws Exception {
         MemoryFolder folder = new MemoryFolder();
         ZoneStore store = store(folder, 1000);
         assertNull(store.recover(origin));
@@ -109,7 +120,8 @@
         }
     }
 
-    @Test void whatWasForcedAndIsSpoiltIsRefusedWithItsPlace() throws Exception {
+    @Test
+    void whatWasForcedAndIsSpoiltIsRefusedWithItsPlace() throws Exception {
         MemoryFolder folder = new MemoryFolder();
         ZoneStore store = store(folder, 1000);
         store.recover(origin);
@@ -118,7 +130,7 @@
         for (int i = 0; i < 4; i++) {
             Update.Outcome outcome = changed(zone, i);
             zone = outcome.zone();
-            store.put(0, new byte[0], outcome.difference(), well -> { });
+            store.put(0, new byte[0], outcome.difference(), well -> {});
             work();
         }
         String name = "example.org..journal.0000000000000000";
@@ -132,7 +144,9 @@
             bad[at] ^= 1;
             MemoryFolder left = folder.after(0);
             left.put(name, bad);
-            String said = assertThrows(ZoneStore.Unusable.class, () -> store(left, 1000).recover(origin), "at " + at).getMessage();
+            String said = assertThrows(
+                            ZoneStore.Unusable.class, () -> store(left, 1000).recover(origin), "at " + at)
+                    .getMessage();
             assertTrue(said.contains("spoilt"), said);
         }
         byte[] snapshot = folder.read("example.org..snapshot");
@@ -148,7 +162,8 @@
         assertThrows(ZoneStore.Unusable.class, () -> store(left, 1000).recover(origin));
     }
 
-    @Test void aFullDiskTurnsAwayAllThatStoodOnItAndWorksAgainLater() throws Exception {
+    @Test
+    void aFullDiskTurnsAwayAllThatStoodOnItAndWorksAgainLater() throws Exception {
         MemoryFolder folder = new MemoryFolder();
         ZoneStore store = store(folder, 1000);
         store.recover(origin);
@@ -170,10 +185,13 @@
         store.put(0, new byte[0], changed(zone, 9).difference(), heard::add);
         work();
         assertTrue(heard.get(3));
-        assertTrue(same(changed(zone, 9).zone(), store(folder.after(0), 1000).recover(origin).zone()));
+        assertTrue(same(
+                changed(zone, 9).zone(),
+                store(folder.after(0), 1000).recover(origin).zone()));
     }
 
-    @Test void snapshotsBoundTheJournalAndAKillBetweenAnyTwoStepsLosesNothing() throws Exception {
+    @Test
+    void snapshotsBoundTheJournalAndAKillBetweenAnyTwoStepsLosesNothing() throws Exception {
         SplittableRandom chance = new SplittableRandom(3);
         for (int round = 0; round < 300; round++) {
             MemoryFolder folder = new MemoryFolder();
@@ -206,7 +224,8 @@
             assertNotNull(recovered);
             assertTrue(same(answered[0], recovered.zone()), "round " + round);
             work();
-            assertTrue(folder.names().size() <= 3 || !store.idle(), folder.names().toString());
+            assertTrue(
+                    folder.names().size() <= 3 || !store.idle(), folder.names().toString());
             assertFalse(folder.names().contains("example.org..snapshot.new"));
         }
     }
--- a/src/test/java/merlinlever/zone/state/IndexTest.java
+++ b/src/test/java/merlinlever/zone/state/IndexTest.java
@@ -24,7 +24,8 @@
         return key;
     }
 
-    private static void same(TreeMap<byte[], Integer> model, Index<Integer> index, SplittableRandom chance, int spread) {
+    private static void same(
+            TreeMap<byte[], Integer> model, Index<Integer> index, SplittableRandom chance, int spread) {
         assertEquals(model.size(), index.size());
         List<Map.Entry<byte[], Integer>> all = new ArrayList<>(model.entrySet());
         int[] at = {0};
@@ -58,7 +59,8 @@
     }
 
     /** Against the plain sorted map, through growth, and down to nothing and up again; an old version stays what it was. */
-    @Property(tries = 150, seed = "11") void isASortedMapWhoseVersionsStay(@ForAll long seed, @ForAll @IntRange(min = 2, max = 200) int spread) {
+    @Property(tries = 150, seed = "11")
+    void isASortedMapWhoseVersionsStay(@ForAll long seed, @ForAll @IntRange(min = 2, max = 200) int spread) {
         SplittableRandom chance = new SplittableRandom(seed);
         TreeMap<byte[], Integer> model = new TreeMap<>(Arrays::compareUnsigned);
         Index<Integer> index = Index.empty();
--- a/src/test/java/merlinlever/zone/state/LookupTest.java
+++ b/src/test/java/merlinlever/zone/state/LookupTest.java
@@ -62,7 +62,8 @@
         } while (true);
     }
 
-    @Test void namesWildcardsAndEmptyOnesAsTheSlowWayFindsThem() throws Exception {
+    @Test
+    void namesWildcardsAndEmptyOnesAsTheSlowWayFindsThem() throws Exception {
         SplittableRandom chance = new SplittableRandom(5);
         for (int round = 0; round < 400; round++) {
             TreeSet<String> names = new TreeSet<>(List.of("z."));
@@ -78,19 +79,29 @@
                 String asked = random(chance);
                 String wanted = slowly(names, asked);
                 Lookup.Answer answer = Lookup.find(zone, name(asked), Types.TXT);
-                String found = answer.code == Update.NXDOMAIN ? "none" : answer.answer.isEmpty() ? "empty"
-                        : new String(answer.answer.get(0).set().data(0)).substring(1);
+                String found = answer.code == Update.NXDOMAIN
+                        ? "none"
+                        : answer.answer.isEmpty()
+                                ? "empty"
+                                : new String(answer.answer.get(0).set().data(0)).substring(1);
                 assertEquals(wanted, found, asked + " in " + names);
             }
         }
     }
 
-    @Test void renamedTreesAndCutsDecideBeforeWhatIsBelowThem() throws Exception {
-        Zone zone = zone(List.of(new Rec(name("old.z."), Types.DNAME, 60, name("new.z.")), new Rec(name("x.new.z."), Types.A, 60, new byte[4]),
-                new Rec(name("cut.z."), Types.NS, 60, name("ns.cut.z.")), new Rec(name("ns.cut.z."), Types.A, 60, new byte[4]),
-                new Rec(name("cut.z."), Types.DS, 60, new byte[8]), new Rec(name("loop.z."), Types.CNAME, 60, name("loop.z."))));
+    @Test
+    void renamedTreesAndCutsDecideBeforeWhatIsBelowThem() throws Exception {
+        Zone zone = zone(List.of(
+                new Rec(name("old.z."), Types.DNAME, 60, name("new.z.")),
+                new Rec(name("x.new.z."), Types.A, 60, new byte[4]),
+                new Rec(name("cut.z."), Types.NS, 60, name("ns.cut.z.")),
+                new Rec(name("ns.cut.z."), Types.A, 60, new byte[4]),
+                new Rec(name("cut.z."), Types.DS, 60, new byte[8]),
+                new Rec(name("loop.z."), Types.CNAME, 60, name("loop.z."))));
         Lookup.Answer renamed = Lookup.find(zone, name("x.old.z."), Types.A);
-        assertEquals(List.of(Types.DNAME, Types.CNAME, Types.A), renamed.answer.stream().map(shown -> shown.set().type()).toList());
+        assertEquals(
+                List.of(Types.DNAME, Types.CNAME, Types.A),
+                renamed.answer.stream().map(shown -> shown.set().type()).toList());
         Lookup.Answer cut = Lookup.find(zone, name("a.b.cut.z."), Types.A);
         assertFalse(cut.authoritative);
         assertEquals(Types.NS, cut.authority.get(0).set().type());
@@ -99,7 +110,8 @@
         assertEquals(8, Lookup.find(zone, name("loop.z."), Types.A).answer.size());
     }
 
-    @Test void serialsWrap() {
+    @Test
+    void serialsWrap() {
         assertTrue(Serial.after(1, 0xffff_ffffL));
         assertFalse(Serial.after(0xffff_ffffL, 1));
         assertFalse(Serial.after(0x8000_0000L, 0));
@@ -109,14 +121,17 @@
     }
 
     /** Any two versions: what lies between them leads from one to the other, and back. */
-    @Test void differencesLeadFromOneVersionToTheOther() throws Exception {
+    @Test
+    void differencesLeadFromOneVersionToTheOther() throws Exception {
         SplittableRandom chance = new SplittableRandom(6);
         for (int round = 0; round < 300; round++) {
             Zone[] zones = new Zone[2];
             for (int side = 0; side < 2; side++) {
                 List<Rec> records = new ArrayList<>();
                 for (int i = chance.nextInt(20); i >= 0; i--) {
-                    records.add(new Rec(name(random(chance)), 16 + chance.nextInt(2), 60, new byte[] {1, (byte) chance.nextInt(3)}));
+                    records.add(new Rec(
+                            name(random(chance)), 16 + chance.nextInt(2), 60, new byte[] {1, (byte) chance.nextInt(3)
+                            }));
                 }
                 zones[side] = zone(records);
             }
--- a/src/test/java/merlinlever/zone/wire/WireTest.java
+++ b/src/test/java/merlinlever/zone/wire/WireTest.java
@@ -27,7 +27,9 @@
         Writer out = new Writer(7, Message.UPDATE << 11, Message.MOST);
         out.question(Names.absolute("example.org."), Types.SOA, Types.IN);
         for (int i = 0; i < records; i++) {
-            out.record(2, Names.absolute("n" + i + ".deep.example.org."), Types.MX, Types.IN, 60, new byte[] {0, 1, 1, 'x', 0});
+            out.record(2, Names.absolute("n" + i + ".deep.example.org."), Types.MX, Types.IN, 60, new byte[] {
+                0, 1, 1, 'x', 0
+            });
         }
         out.edns(1232, 0, null);
         return out.done();
@@ -37,14 +39,18 @@
         return new Tsig.Key(Names.absolute("k."), "hmac-sha256", SECRET);
     }
 
-    @Test void whatIsWrittenIsReadAndTheLibraryReadsTheSame() throws Exception {
+    @Test
+    void whatIsWrittenIsReadAndTheLibraryReadsTheSame() throws Exception {
         byte[] octets = message(200);
         Message read = Message.read(octets);
         assertEquals(200, read.authority().size());
-        assertEquals("n199.deep.example.org.", Names.text(read.authority().get(199).owner()));
+        assertEquals(
+                "n199.deep.example.org.", Names.text(read.authority().get(199).owner()));
         org.xbill.DNS.Message theirs = new org.xbill.DNS.Message(octets);
         assertEquals(200, theirs.getSection(2).size());
-        assertEquals("n199.deep.example.org.", theirs.getSection(2).get(199).getName().toString());
+        assertEquals(
+                "n199.deep.example.org.",
+                theirs.getSection(2).get(199).getName().toString());
         assertTrue(octets.length < 200 * 30, "compressed");
     }
 
@@ -75,7 +81,8 @@
         }
     }
 
-    @AfterContainer static void bothHappened() {
+    @AfterContainer
+    static void bothHappened() {
         assertTrue(read > 1000 && malformed > 1000, read + " read, " + malformed + " malformed");
     }
 
@@ -83,31 +90,41 @@
 
     private static byte[][] good() {
         try {
-            return new byte[][] {message(5), Tsig.sign(message(2), key(), 1000, null).octets(), new byte[40]};
+            return new byte[][] {
+                message(5), Tsig.sign(message(2), key(), 1000, null).octets(), new byte[40]
+            };
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    @Test void everyOctetOfASignedMessageCounts() throws Exception {
+    @Test
+    void everyOctetOfASignedMessageCounts() throws Exception {
         Tsig.Keys keys = new Tsig.Keys(List.of(key()));
         byte[] signed = Tsig.sign(message(2), key(), 1000, null).octets();
         assertEquals(0, Tsig.verify(Message.read(signed), keys, 1200, null).error());
-        assertEquals(Tsig.BADTIME, Tsig.verify(Message.read(signed), keys, 1301, null).error());
+        assertEquals(
+                Tsig.BADTIME,
+                Tsig.verify(Message.read(signed), keys, 1301, null).error());
         for (int at = 0; at < signed.length; at++) {
             byte[] bad = signed.clone();
             bad[at] ^= 0x04;
             try {
                 Message message = Message.read(bad);
                 // The id that the message travels under is not signed, the one in the signature is.
-                assertTrue(at < 2 || message.signature() == null || Tsig.verify(message, keys, 1000, null).error() != 0, "octet " + at);
+                assertTrue(
+                        at < 2
+                                || message.signature() == null
+                                || Tsig.verify(message, keys, 1000, null).error() != 0,
+                        "octet " + at);
             } catch (Malformed e) {
                 continue;
             }
         }
     }
 
-    @Test void signaturesAreThoseOfTheLibrary() throws Exception {
+    @Test
+    void signaturesAreThoseOfTheLibrary() throws Exception {
         TSIG theirs = new TSIG(TSIG.HMAC_SHA256, new Name("k."), SECRET);
         long now = System.currentTimeMillis() / 1000;
         byte[] signed = Tsig.sign(message(3), key(), now, null).octets();
@@ -116,10 +133,14 @@
         org.xbill.DNS.Message made = new org.xbill.DNS.Message(message(1));
         made.setTSIG(theirs, 0, null);
         byte[] octets = made.toWire(65_535);
-        assertEquals(0, Tsig.verify(Message.read(octets), new Tsig.Keys(List.of(key())), now, null).error());
+        assertEquals(
+                0,
+                Tsig.verify(Message.read(octets), new Tsig.Keys(List.of(key())), now, null)
+                        .error());
     }
 
-    @Test void aStreamHoldsOnlyWholeAndInOrder() throws Exception {
+    @Test
+    void aStreamHoldsOnlyWholeAndInOrder() throws Exception {
         byte[] mac = {1, 2, 3};
         Tsig.Chain server = new Tsig.Chain(key(), mac);
         byte[][] messages = new byte[5][];
@@ -138,11 +159,13 @@
         assertFalse(unsigned.holds(Message.read(message(1)), 1000));
     }
 
-    @Test void writingStopsWhereThereIsNoRoom() throws Exception {
+    @Test
+    void writingStopsWhereThereIsNoRoom() throws Exception {
         Writer out = new Writer(1, 0, 100);
         out.question(Names.absolute("example.org."), Types.A, Types.IN);
         int written = 0;
-        while (out.record(1, Names.absolute("example.org."), Types.A, Types.IN, 1, new byte[] {1, 2, 3, (byte) written})) {
+        while (out.record(
+                1, Names.absolute("example.org."), Types.A, Types.IN, 1, new byte[] {1, 2, 3, (byte) written})) {
             written++;
         }
         byte[] octets = out.done();
