--- a/src/main/java/merlinlever/cli/fleet/FleetRoll.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetRoll.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.UUID;
+import merlinlever.WireNamed;
 import merlinlever.host.state.Keeper;
 import merlinlever.host.state.Roll;
 import picocli.CommandLine;
@@ -72,7 +72,7 @@
         return new Roll.Seen(
                 instance.path("name").asText(),
                 instance.path("host").asText(),
-                Keeper.State.valueOf(instance.path("state").asText().toUpperCase(Locale.ROOT)),
+                WireNamed.parse(Keeper.State.class, instance.path("state").asText()),
                 instance.path("launches").asLong(),
                 turnedAway);
     }
--- a/src/main/java/merlinlever/faults/BudgetFaults.java
+++ b/src/main/java/merlinlever/faults/BudgetFaults.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import merlinlever.WireNamed;
 import merlinlever.faults.link.Links;
 
 /**
@@ -17,37 +18,44 @@
 public final class BudgetFaults {
 
     /** What happens; some of it to whoever divides. */
-    public enum Kind {
+    public enum Kind implements WireNamed {
         /** One is killed and comes back. */
-        KILL,
+        KILL("kill"),
         /** Whoever divides is killed while it grants. */
-        KILL_LEADER,
+        KILL_LEADER("kill-leader"),
         /** One is paused beyond its lease and goes on. */
-        PAUSE,
+        PAUSE("pause"),
         /** Whoever divides is. */
-        PAUSE_LEADER,
+        PAUSE_LEADER("pause-leader"),
         /** Two sides, and healed. */
-        PARTITION,
+        PARTITION("partition"),
         /** Three, none with more than half of the voters, and healed. */
-        THREE_SIDES,
+        THREE_SIDES("three-sides"),
         /** The links to whoever divides are slow. */
-        SLOW_LEADER,
+        SLOW_LEADER("slow-leader"),
         /** A third of the datagrams lost, a third doubled, on every link. */
-        LOSSY,
+        LOSSY("lossy"),
         /** All lose their power at once and come back. */
-        POWER,
+        POWER("power"),
         /** The whole is halved and restored, under load. */
-        WHOLE;
+        WHOLE("whole");
 
-        public String word() {
-            return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
         }
     }
 
     /** @param dividedAfter from the end of the fault until every running backend has a share again */
     public record Outcome(Kind kind, long seed, Duration dividedAfter, List<String> breaches) {
         public String told() {
-            StringBuilder text = new StringBuilder(kind.word() + ", seed " + Long.toHexString(seed) + ": "
+            StringBuilder text = new StringBuilder(kind.wireName() + ", seed " + Long.toHexString(seed) + ": "
                     + (breaches.isEmpty()
                             ? "passed, divided anew after " + dividedAfter.toMillis() + " ms"
                             : "FAILED"));
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/faults/PowerLoss.java
@@ -14,6 +14,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
+import merlinlever.WireNamed;
 import merlinlever.faults.link.Links;
 import merlinlever.recovery.Memory;
 import merlinlever.recovery.disk.Store;
@@ -25,30 +26,37 @@
 public final class PowerLoss {
 
     /** What is hard about it. */
-    public enum Kind {
+    public enum Kind implements WireNamed {
         /** All down at once, all back at once. */
-        ALL,
+        ALL("all"),
         /** One after the other; the last to lose its power is the first back. */
-        LAST_FIRST,
+        LAST_FIRST("last-first"),
         /** Half of them stay away until the next loss. */
-        HALF,
+        HALF("half"),
         /** One state folder is torn, or a bit of it has flipped. */
-        TORN,
+        TORN("torn"),
         /** One state folder is empty. */
-        EMPTIED,
+        EMPTIED("emptied"),
         /** One state folder is that of another. */
-        COPIED,
+        COPIED("copied"),
         /** All clocks went back across the outage (the times on the disks lie ahead by as much). */
-        CLOCK_BACK,
+        CLOCK_BACK("clock-back"),
         /** The power is lost again while they come back. */
-        TWICE,
+        TWICE("twice"),
         /** A partition lasts through the restart. */
-        PARTITION,
+        PARTITION("partition"),
         /** All but one lose their power, and the links to that one are slow. */
-        SLOW_LINK;
+        SLOW_LINK("slow-link");
 
-        public String word() {
-            return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
         }
     }
 
@@ -60,7 +68,7 @@
      */
     public record Outcome(Kind kind, long seed, Duration firstAfter, Duration fullAfter, List<String> breaches) {
         public String told() {
-            StringBuilder text = new StringBuilder(kind.word() + ", seed " + Long.toHexString(seed) + ": "
+            StringBuilder text = new StringBuilder(kind.wireName() + ", seed " + Long.toHexString(seed) + ": "
                     + (breaches.isEmpty()
                             ? "passed, serves after " + firstAfter.toMillis() + " ms, all of it after "
                                     + fullAfter.toMillis() + " ms"
--- a/src/main/java/merlinlever/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/faults/ViewFaults.java
@@ -14,6 +14,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
+import merlinlever.WireNamed;
 import merlinlever.faults.audit.OneView;
 import merlinlever.faults.link.Links;
 import merlinlever.faults.timeline.Event;
@@ -28,24 +29,31 @@
 public final class ViewFaults {
 
     /** What happens. */
-    public enum Kind {
+    public enum Kind implements WireNamed {
         /** The smaller part is cut off from the larger, and healed. */
-        PARTED,
+        PARTED("parted"),
         /** One is cut off from all others, and healed. */
-        ONE_CUT_OFF,
+        ONE_CUT_OFF("one-cut-off"),
         /** What one says does not reach one other. */
-        ONE_WAY,
+        ONE_WAY("one-way"),
         /** One stands still past every lease and goes on. */
-        PAUSE,
+        PAUSE("pause"),
         /** One is killed and begins again. */
-        KILL,
+        KILL("kill"),
         /** One stands still half of the time. */
-        FLAP,
+        FLAP("flap"),
         /** Every link is slow. */
-        SLOW;
+        SLOW("slow");
 
-        public String word() {
-            return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
         }
     }
 
@@ -59,7 +67,7 @@
     public record Outcome(
             Kind kind, long seed, int views, Duration parted, Duration healed, List<String> breaches, String timeline) {
         public String told() {
-            return kind.word() + ", seed " + seed + ": " + (breaches.isEmpty() ? "passed" : "FAILED") + ", " + views
+            return kind.wireName() + ", seed " + seed + ": " + (breaches.isEmpty() ? "passed" : "FAILED") + ", " + views
                     + " views"
                     + (parted == null ? "" : ", known after " + parted.toMillis() + " ms")
                     + (healed == null ? "" : ", healed after " + healed.toMillis() + " ms")
@@ -247,7 +255,7 @@
             breaches.add("after " + patience.toMillis() + " ms not whole under one view: " + standings());
         }
         breaches.addAll(audit.breaches());
-        String title = kind.word() + ", seed " + seed + "\n" + String.join("\n", breaches);
+        String title = kind.wireName() + ", seed " + seed + "\n" + String.join("\n", breaches);
         return new Outcome(kind, seed, audit.views() - before, known, healed, breaches, drawn(title));
     }
 
--- a/src/main/java/merlinlever/faults/script/Script.java
+++ b/src/main/java/merlinlever/faults/script/Script.java
@@ -5,10 +5,10 @@
 import java.util.Comparator;
 import java.util.EnumMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
+import merlinlever.WireNamed;
 import merlinlever.sheet.Sheet;
 
 /**
@@ -17,24 +17,31 @@
  */
 public final class Script {
 
-    public enum Kind {
-        KILL,
-        TERM,
-        PAUSE,
-        RESUME,
-        RESTART,
-        POWER,
-        ISOLATE,
-        PARTITION,
-        DELAY,
-        DROP,
-        DUPLICATE,
-        SLOW,
-        RESET,
-        HEAL;
+    public enum Kind implements WireNamed {
+        KILL("kill"),
+        TERM("term"),
+        PAUSE("pause"),
+        RESUME("resume"),
+        RESTART("restart"),
+        POWER("power"),
+        ISOLATE("isolate"),
+        PARTITION("partition"),
+        DELAY("delay"),
+        DROP("drop"),
+        DUPLICATE("duplicate"),
+        SLOW("slow"),
+        RESET("reset"),
+        HEAL("heal");
 
-        String word() {
-            return name().toLowerCase(Locale.ROOT);
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
         }
     }
 
@@ -64,7 +71,7 @@
 
         /** In one line, as it would be written in a script. */
         public String told() {
-            StringBuilder line = new StringBuilder("{at: " + at.toMillis() + "ms, do: " + kind.word());
+            StringBuilder line = new StringBuilder("{at: " + at.toMillis() + "ms, do: " + kind.wireName());
             if (!who.isEmpty()) {
                 line.append(", who: ").append(who);
             }
@@ -114,8 +121,7 @@
             String at = "steps." + i;
             Step step = new Step(
                     sheet.span(at + ".at", Duration.ZERO),
-                    Kind.valueOf(
-                            sheet.text(at + ".do", "").toUpperCase(Locale.ROOT).replace('-', '_')),
+                    WireNamed.parse(Kind.class, sheet.text(at + ".do", "")),
                     members(sheet, at + ".who", processes),
                     members(sheet, at + ".to", processes),
                     sheet.text(at + ".one-way", "false").equals("true"),
@@ -135,8 +141,8 @@
         if (sheet.has("draw")) {
             Map<Kind, Integer> weights = new EnumMap<>(Kind.class);
             sheet.pairs("draw.kinds")
-                    .forEach((kind, weight) ->
-                            weights.put(Kind.valueOf(kind.toUpperCase(Locale.ROOT)), Integer.parseInt(weight)));
+                    .forEach(
+                            (kind, weight) -> weights.put(WireNamed.parse(Kind.class, kind), Integer.parseInt(weight)));
             if (weights.values().stream().allMatch(weight -> weight == 0)) {
                 throw sheet.fault("draw.kinds", "every weight is 0, so nothing can be drawn");
             }
--- a/src/main/java/merlinlever/faults/timeline/MemberNode.java
+++ b/src/main/java/merlinlever/faults/timeline/MemberNode.java
@@ -21,7 +21,7 @@
                     case SYNC -> "all I know";
                     case SYNC_BACK -> "and all I know";
                     case NACK -> "no ack";
-                    default -> message.kind().name().toLowerCase(java.util.Locale.ROOT);
+                    default -> message.kind().wireName();
                 };
             }
 
@@ -73,7 +73,7 @@
 
     /** The incarnation of its life, where it is not the first, behind. */
     static String told(Views.Rumour rumour) {
-        return rumour.name() + " " + rumour.status().name().toLowerCase(java.util.Locale.ROOT)
+        return rumour.name() + " " + rumour.status().wireName()
                 + (rumour.incarnation() == 0 ? "" : "/" + rumour.incarnation())
                 + (rumour.gossip().equals(rumour.name()) ? "" : " at " + rumour.gossip());
     }
--- a/src/main/java/merlinlever/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewNode.java
@@ -158,7 +158,7 @@
     public Map<String, String> believes(Duration at) {
         Map<String, String> all = new LinkedHashMap<>();
         Leadership.Leader leader = terms.leader(at);
-        all.put("standing", sight.standing(at).name());
+        all.put("standing", sight.standing(at).wireName().toUpperCase(java.util.Locale.ROOT));
         all.put(
                 "view",
                 sight.view().number() == 0
--- a/src/main/java/merlinlever/host/disk/Ledger.java
+++ b/src/main/java/merlinlever/host/disk/Ledger.java
@@ -1,5 +1,6 @@
 package merlinlever.host.disk;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.Closeable;
@@ -27,7 +28,11 @@
      * @param pid 0 before the launch is known to have been made
      * @param startTicks when the process began, by the kernel's count, which a reused pid does not share
      */
-    public record Noted(boolean wanted, String token, long pid, long startTicks) {
+    public record Noted(
+            @JsonProperty("wanted") boolean wanted,
+            @JsonProperty("token") String token,
+            @JsonProperty("pid") long pid,
+            @JsonProperty("startTicks") long startTicks) {
         public static final Noted NOTHING = new Noted(false, "", 0, 0);
     }
 
--- a/src/main/java/merlinlever/host/front/HostFront.java
+++ b/src/main/java/merlinlever/host/front/HostFront.java
@@ -18,6 +18,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Consumer;
+import merlinlever.WireNamed;
 import merlinlever.host.run.HostAgent;
 import merlinlever.host.run.Hosted;
 import merlinlever.host.run.Neighbours;
@@ -125,7 +126,7 @@
                 .put("name", one.name())
                 .put("host", host)
                 .put("kind", one.kind())
-                .put("state", keeper.state(now).name().toLowerCase(Locale.ROOT))
+                .put("state", keeper.state(now).wireName())
                 .put("why", keeper.why(now))
                 .put("wanted", keeper.wanted())
                 .put("pid", agent.pid(index))
@@ -166,7 +167,7 @@
             ObjectNode one = agents.addObject()
                     .put("host", known.agent().name())
                     .put("api", known.agent().api())
-                    .put("status", known.agent().status().name().toLowerCase(Locale.ROOT))
+                    .put("status", known.agent().status().wireName())
                     .put("status_ms", known.changedAgo().toMillis());
             if (known.report() != null) {
                 long ago = known.reportAgo().toMillis();
@@ -189,9 +190,9 @@
             instance.put(
                     "why",
                     "its agent " + known.agent().name() + " ("
-                            + known.agent().status().name().toLowerCase(Locale.ROOT) + ") not reached for " + ago
+                            + known.agent().status().wireName() + ") not reached for " + ago
                             + " ms; it was " + instance.path("state").asText() + " then");
-            instance.put("state", Keeper.State.UNREACHED.name().toLowerCase(Locale.ROOT));
+            instance.put("state", Keeper.State.UNREACHED.wireName());
         }
         return instance;
     }
@@ -199,7 +200,7 @@
     private ObjectNode order(Orders.Order order) {
         ObjectNode node = JSON.createObjectNode()
                 .put("id", order.id())
-                .put("verb", order.verb().name().toLowerCase(Locale.ROOT))
+                .put("verb", order.verb().wireName())
                 .put("over", order.over());
         ArrayNode each = node.putArray("instances");
         for (int i = 0; i < order.instances().size(); i++) {
@@ -207,8 +208,8 @@
             Keeper keeper = agent.keeper(index);
             each.addObject()
                     .put("name", agent.hosted().get(index).name())
-                    .put("end", order.end(i).name().toLowerCase(Locale.ROOT).replace('_', ' '))
-                    .put("state", keeper.state(loop.clock().now()).name().toLowerCase(Locale.ROOT))
+                    .put("end", order.end(i).wireName())
+                    .put("state", keeper.state(loop.clock().now()).wireName())
                     .put("why", keeper.why(loop.clock().now()))
                     .put("in_hand", keeper.told() == null ? 0 : keeper.told().inHand());
         }
@@ -323,7 +324,7 @@
             try {
                 JsonNode node = JSON.readTree(body);
                 id = node.path("id").asText();
-                verb = Orders.Verb.valueOf(node.path("verb").asText().toUpperCase(Locale.ROOT));
+                verb = WireNamed.parse(Orders.Verb.class, node.path("verb").asText());
                 atOnce = node.path("now").asBoolean();
                 if (!id.matches("[0-9a-zA-Z-]{8,64}")) {
                     throw new IllegalArgumentException("an order's id has 8 to 64 letters, digits or -");
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -172,8 +172,8 @@
             if (state != last[i]) {
                 event(
                         i,
-                        (last[i] == null ? "" : last[i].name().toLowerCase(java.util.Locale.ROOT) + " -> ")
-                                + state.name().toLowerCase(java.util.Locale.ROOT)
+                        (last[i] == null ? "" : last[i].wireName() + " -> ")
+                                + state.wireName()
                                 + (keeper.why(now()).isEmpty() ? "" : ": " + keeper.why(now())));
                 last[i] = state;
             }
@@ -264,9 +264,7 @@
                     return null;
                 }
             }
-            instances.forEach(index -> event(
-                    index,
-                    verb.name().toLowerCase(java.util.Locale.ROOT) + (atOnce ? " at once" : "") + " ordered, " + id));
+            instances.forEach(index -> event(index, verb.wireName() + (atOnce ? " at once" : "") + " ordered, " + id));
         }
         return orders.take(now(), id, verb, atOnce, instances);
     }
--- a/src/main/java/merlinlever/host/state/Keeper.java
+++ b/src/main/java/merlinlever/host/state/Keeper.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Locale;
+import merlinlever.WireNamed;
 
 /**
  * Keeps one instance: decides when it is launched, told to leave or killed, and says what is so of it. What is not known it
@@ -12,26 +13,37 @@
 public final class Keeper {
 
     /** What is so of an instance. */
-    public enum State {
+    public enum State implements WireNamed {
         /** No process, and none is wanted or its next launch is waited for. */
-        DOWN,
+        DOWN("down"),
         /** A process is there, of a kind that tells nothing of itself: more is not known. */
-        THERE,
+        THERE("there"),
         /** A process that has not told anything of itself yet. */
-        STARTING,
+        STARTING("starting"),
         /** It tells that it is not at its full speed yet. */
-        COLD,
-        WARM,
+        COLD("cold"),
+        WARM("warm"),
         /** Warm, and much slower than most of its kind. */
-        SLOW,
+        SLOW("slow"),
         /** It tells that its work does not get on. */
-        HUNG,
+        HUNG("hung"),
         /** Told to leave; what it has read is being answered. */
-        DRAINING,
+        DRAINING("draining"),
         /** The process is there and does not answer. */
-        UNREACHED,
+        UNREACHED("unreached"),
         /** It died too often and is left down until it is started by hand. */
-        GIVEN_UP
+        GIVEN_UP("given_up");
+
+        private final String wireName;
+
+        State(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** What is to be done with the process. */
--- a/src/main/java/merlinlever/host/state/Orders.java
+++ b/src/main/java/merlinlever/host/state/Orders.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import merlinlever.WireNamed;
 
 /**
  * Orders of operators, each done once whatever number of times it is sent: its id says which it is. What has happened to
@@ -13,19 +14,41 @@
 public final class Orders {
 
     /** What operators ask for. */
-    public enum Verb {
-        START,
-        DRAIN,
-        STOP,
-        RESTART
+    public enum Verb implements WireNamed {
+        START("start"),
+        DRAIN("drain"),
+        STOP("stop"),
+        RESTART("restart");
+
+        private final String wireName;
+
+        Verb(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** How far an order is with one instance. */
-    public enum End {
-        UNDER_WAY,
-        DONE,
-        SUPERSEDED,
-        GIVEN_UP
+    public enum End implements WireNamed {
+        UNDER_WAY("under way"),
+        DONE("done"),
+        SUPERSEDED("superseded"),
+        GIVEN_UP("given up");
+
+        private final String wireName;
+
+        End(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** One order. */
--- a/src/main/java/merlinlever/host/state/Roll.java
+++ b/src/main/java/merlinlever/host/state/Roll.java
@@ -172,7 +172,7 @@
                 turnedAway = 0;
             } else if (now.minus(batchAt).compareTo(stated.warmWithin) > 0) {
                 return seen.name + " is not warm " + stated.warmWithin.toSeconds() + " s after it was restarted, but "
-                        + seen.state.name().toLowerCase(Locale.ROOT);
+                        + seen.state.wireName();
             }
         }
         return null;
--- a/src/main/java/merlinlever/host/state/Told.java
+++ b/src/main/java/merlinlever/host/state/Told.java
@@ -1,5 +1,6 @@
 package merlinlever.host.state;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 import java.util.Map;
 
@@ -14,25 +15,36 @@
  * @param view its standing among the others of its fleet, or null where it has none
  */
 public record Told(
-        String phase,
-        boolean healthy,
-        boolean hung,
-        int held,
-        int running,
-        int inHand,
-        double capacity,
-        double avg,
-        double level,
-        Map<String, Long> pushedBack,
-        long brokenOff,
-        List<Share> shares,
-        View view) {
+        @JsonProperty("phase") String phase,
+        @JsonProperty("healthy") boolean healthy,
+        @JsonProperty("hung") boolean hung,
+        @JsonProperty("held") int held,
+        @JsonProperty("running") int running,
+        @JsonProperty("inHand") int inHand,
+        @JsonProperty("capacity") double capacity,
+        @JsonProperty("avg") double avg,
+        @JsonProperty("level") double level,
+        @JsonProperty("pushedBack") Map<String, Long> pushedBack,
+        @JsonProperty("brokenOff") long brokenOff,
+        @JsonProperty("shares") List<Share> shares,
+        @JsonProperty("view") View view) {
 
     /** Its share of one limit, how long that holds still, and who divides under which term. */
-    public record Share(String name, long whole, long share, long leftMs, long inUse, String leader, long term) {}
+    public record Share(
+            @JsonProperty("name") String name,
+            @JsonProperty("whole") long whole,
+            @JsonProperty("share") long share,
+            @JsonProperty("leftMs") long leftMs,
+            @JsonProperty("inUse") long inUse,
+            @JsonProperty("leader") String leader,
+            @JsonProperty("term") long term) {}
 
     /** How far its word goes since when, and which view of the fleet it holds. */
-    public record View(String standing, long sinceMs, String number, String digest) {}
+    public record View(
+            @JsonProperty("standing") String standing,
+            @JsonProperty("sinceMs") long sinceMs,
+            @JsonProperty("number") String number,
+            @JsonProperty("digest") String digest) {}
 
     public Told(
             String phase,
--- a/src/main/java/merlinlever/manage/Telling.java
+++ b/src/main/java/merlinlever/manage/Telling.java
@@ -1,6 +1,5 @@
 package merlinlever.manage;
 
-import java.util.Locale;
 import merlinlever.policy.Control;
 
 /** What an instance tells of itself, as one JSON object. */
@@ -48,7 +47,7 @@
                     .append(",\"pushed_back\":{");
             for (Control.Reason reason : Control.Reason.values()) {
                 text.append(reason.ordinal() == 0 ? "\"" : ",\"")
-                        .append(reason.name().toLowerCase(Locale.ROOT))
+                        .append(reason.wireName())
                         .append("\":")
                         .append(figures.pushedBack().get(reason.ordinal()));
             }
--- a/src/main/java/merlinlever/measure/BudgetMeasure.java
+++ b/src/main/java/merlinlever/measure/BudgetMeasure.java
@@ -158,7 +158,7 @@
                     long[] counts = new long[2];
                     fleet.on(none -> System.arraycopy(fleet.shares().counts(), 0, counts, 0, 2));
                     table.row(
-                            kind.word(),
+                            kind.wireName(),
                             perSecond ? "a second" : "at once",
                             whole.whole(),
                             counts[0],
--- a/src/main/java/merlinlever/members/Members.java
+++ b/src/main/java/merlinlever/members/Members.java
@@ -10,22 +10,34 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import merlinlever.WireNamed;
 
 /** Decides whom to ask when, whom to suspect, and which rumours go along. */
 public final class Members {
 
     /** The kinds of messages; only asking ones are answered. */
-    public enum Kind {
-        PING,
-        ACK,
-        ASK_FOR,
-        NACK,
-        SYNC,
-        SYNC_BACK,
-        RECALL,
-        RECALLED,
-        SAY,
-        CARRY
+    public enum Kind implements WireNamed {
+        PING("ping"),
+        ACK("ack"),
+        ASK_FOR("ask_for"),
+        NACK("nack"),
+        SYNC("sync"),
+        SYNC_BACK("sync_back"),
+        RECALL("recall"),
+        RECALLED("recalled"),
+        SAY("say"),
+        CARRY("carry");
+
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /**
@@ -202,9 +214,8 @@
             suspicions.end(rumour.name());
         }
         if (!rumour.name().equals(views.self())) {
-            log.accept(
-                    "agent " + rumour.name() + " is " + rumour.status().name().toLowerCase(java.util.Locale.ROOT)
-                            + ", incarnation " + rumour.incarnation());
+            log.accept("agent " + rumour.name() + " is " + rumour.status().wireName() + ", incarnation "
+                    + rumour.incarnation());
         } else if (rumour.status() == Views.Status.ALIVE && rumour.incarnation() > 0) {
             worse(1);
         }
--- a/src/main/java/merlinlever/members/Views.java
+++ b/src/main/java/merlinlever/members/Views.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import merlinlever.WireNamed;
 
 /**
  * What one agent believes of all. Beliefs only move forward: by incarnation, which only the agent itself raises, and within
@@ -12,11 +13,22 @@
 public final class Views {
 
     /** What is believed of an agent; a later one is more against it. */
-    public enum Status {
-        ALIVE,
-        SUSPECT,
-        DEAD,
-        LEFT
+    public enum Status implements WireNamed {
+        ALIVE("alive"),
+        SUSPECT("suspect"),
+        DEAD("dead"),
+        LEFT("left");
+
+        private final String wireName;
+
+        Status(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /**
--- a/src/main/java/merlinlever/policy/Control.java
+++ b/src/main/java/merlinlever/policy/Control.java
@@ -9,6 +9,7 @@
 import merlinlever.Given;
 import merlinlever.Operation;
 import merlinlever.Settled;
+import merlinlever.WireNamed;
 
 /**
  * Decides, inside one server, what it takes, runs and turns away (docs/design.md says why). An adapter makes
@@ -23,14 +24,25 @@
     private static final Duration IDLE_LOOK = Duration.ofMillis(500);
 
     /** Why an operation was pushed back. */
-    public enum Reason {
-        LEAVING,
-        HUNG,
-        MEMORY,
-        HOPELESS,
-        CHANCE,
-        LATE,
-        UNSETTLED
+    public enum Reason implements WireNamed {
+        LEAVING("leaving"),
+        HUNG("hung"),
+        MEMORY("memory"),
+        HOPELESS("hopeless"),
+        CHANCE("chance"),
+        LATE("late"),
+        UNSETTLED("unsettled");
+
+        private final String wireName;
+
+        Reason(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** What the module sees of its server; pushbacks and breaking off are counted from the start. */
--- a/src/main/java/merlinlever/recovery/Return.java
+++ b/src/main/java/merlinlever/recovery/Return.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import merlinlever.WireNamed;
 
 /**
  * The order in which a process takes up service again: cold, rejoined (it hears others), reconciled (others have told it
@@ -18,14 +18,21 @@
 public final class Return {
 
     /** How far it has come; it never goes back. */
-    public enum Stage {
-        COLD,
-        REJOINED,
-        RECONCILED,
-        WARM;
+    public enum Stage implements WireNamed {
+        COLD("cold"),
+        REJOINED("rejoined"),
+        RECONCILED("reconciled"),
+        WARM("warm");
 
-        public String word() {
-            return name().toLowerCase(Locale.ROOT);
+        private final String wireName;
+
+        Stage(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
         }
     }
 
--- a/src/main/java/merlinlever/recovery/Trust.java
+++ b/src/main/java/merlinlever/recovery/Trust.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import merlinlever.WireNamed;
 
 /**
  * What a new life believes of what the one before left. Believed is only what was forced to the disk and is this
@@ -12,17 +13,28 @@
 public final class Trust {
 
     /** What became of one piece. */
-    public enum Belief {
-        KEPT,
-        AGED,
-        THROWN_AWAY,
-        ABSENT
+    public enum Belief implements WireNamed {
+        KEPT("kept"),
+        AGED("aged"),
+        THROWN_AWAY("thrown away"),
+        ABSENT("absent");
+
+        private final String wireName;
+
+        Belief(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** One piece and why it is believed or not, for people. */
     public record Finding(String piece, Belief belief, String why) {
         public String told() {
-            return piece + ": " + belief.name().toLowerCase(Locale.ROOT).replace('_', ' ') + ", " + why;
+            return piece + ": " + belief.wireName() + ", " + why;
         }
     }
 
--- a/src/main/java/merlinlever/recovery/net/Rejoin.java
+++ b/src/main/java/merlinlever/recovery/net/Rejoin.java
@@ -12,6 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import merlinlever.WireNamed;
 import merlinlever.durable.Folder;
 import merlinlever.members.Link;
 import merlinlever.members.Members;
@@ -203,7 +204,11 @@
     @Override
     public String tells() {
         return String.format(
-                Locale.ROOT, "%d/%s/%.2f", unix.getAsLong(), order.stage().word(), Math.min(1e9, service.capacity()));
+                Locale.ROOT,
+                "%d/%s/%.2f",
+                unix.getAsLong(),
+                order.stage().wireName(),
+                Math.min(1e9, service.capacity()));
     }
 
     @Override
@@ -217,7 +222,7 @@
                     number,
                     new Return.Told(
                             Long.parseLong(parts[0]),
-                            Return.Stage.valueOf(parts[1].toUpperCase(Locale.ROOT)),
+                            WireNamed.parse(Return.Stage.class, parts[1]),
                             Double.parseDouble(parts[2])));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             log.accept(name + " told what is not understood: " + what);
@@ -248,7 +253,7 @@
         }
         for (Return.Step step : order.steps()) {
             since = step.at();
-            log.accept(step.stage().word() + ": " + step.why());
+            log.accept(step.stage().wireName() + ": " + step.why());
         }
         if (!guessed && order.weight() > 0) {
             guessed = true;
@@ -323,7 +328,7 @@
         Duration now = now();
         int[] counts = order.counts();
         long wait = Math.max(0, order.keyedFrom(now).minus(now).toMillis());
-        return "{\"stage\":\"" + order.stage().word() + "\",\"since_ms\":"
+        return "{\"stage\":\"" + order.stage().wireName() + "\",\"since_ms\":"
                 + now.minus(since).toMillis() + ",\"incarnation\":" + incarnation()
                 + ",\"others\":" + counts[0] + ",\"told\":" + counts[1] + ",\"keyed_in_ms\":" + wait + ",\"mark_ms\":"
                 + Math.max(0, keyedTo.minus(now).toMillis()) + ",\"disk\":" + !writeFailed + "}";
--- a/src/main/java/merlinlever/routes/Merge.java
+++ b/src/main/java/merlinlever/routes/Merge.java
@@ -149,7 +149,7 @@
             ways.computeIfAbsent(route.key(), key -> new TreeSet<>())
                     .add(new Candidate(site, relation, Rules.marked(site, relation, route)));
         } else {
-            hearer.refused(route, why.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+            hearer.refused(route, why.wireName());
         }
     }
 
@@ -185,7 +185,7 @@
         StringBuilder text = new StringBuilder();
         ways.forEach((key, all) -> all.forEach(each -> text.append(key)
                 .append(' ')
-                .append(each.relation().word())
+                .append(each.relation().wireName())
                 .append(' ')
                 .append(each.from())
                 .append(' ')
--- a/src/main/java/merlinlever/routes/Own.java
+++ b/src/main/java/merlinlever/routes/Own.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import merlinlever.Ending;
+import merlinlever.WireNamed;
 
 /**
  * How this site's own records service does, by how the calls to it end: away when several in a row did not get through, slow when
@@ -9,10 +10,21 @@
  */
 public final class Own {
 
-    public enum State {
-        GOOD,
-        SLOW,
-        AWAY
+    public enum State implements WireNamed {
+        GOOD("good"),
+        SLOW("slow"),
+        AWAY("away");
+
+        private final String wireName;
+
+        State(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /**
--- a/src/main/java/merlinlever/routes/Partner.java
+++ b/src/main/java/merlinlever/routes/Partner.java
@@ -35,7 +35,7 @@
     boolean offer(Duration now, Table table, String itsDigest, boolean mayWiden, Consumer<String> told) {
         if (!table.site().equals(site) || table.relation() != relation) {
             told.accept("a table of " + table.site() + " that calls itself "
-                    + table.relation().word() + " is not that of " + site + ", " + relation.word());
+                    + table.relation().wireName() + " is not that of " + site + ", " + relation.wireName());
             return false;
         }
         if (latest != null && !table.after(latest)) {
--- a/src/main/java/merlinlever/routes/Relation.java
+++ b/src/main/java/merlinlever/routes/Relation.java
@@ -1,20 +1,29 @@
 package merlinlever.routes;
 
+import merlinlever.WireNamed;
+
 /** What a partner site is to the one that says so; the first is liked best (Gao and Rexford 2001). */
-public enum Relation {
+public enum Relation implements WireNamed {
     /** It pays for calls. */
-    CUSTOMER,
+    CUSTOMER("customer"),
     /** Neither pays. */
-    PEER,
+    PEER("peer"),
     /** It is paid for calls. */
-    PROVIDER;
+    PROVIDER("provider");
+
+    private final String wireName;
+
+    Relation(String wireName) {
+        this.wireName = wireName;
+    }
+
+    @Override
+    public String wireName() {
+        return wireName;
+    }
 
     /** What the one that says so is to the partner. */
     public Relation seenFromThere() {
         return this == PEER ? PEER : this == CUSTOMER ? PROVIDER : CUSTOMER;
     }
-
-    public String word() {
-        return name().toLowerCase(java.util.Locale.ROOT);
-    }
 }
--- a/src/main/java/merlinlever/routes/Rules.java
+++ b/src/main/java/merlinlever/routes/Rules.java
@@ -6,26 +6,38 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import merlinlever.WireNamed;
 
 /** What may be taken from a partner, and what may be passed on to another. Each rule can be left out by a test that is to notice. */
 public final class Rules {
 
     /** On what is taken. */
-    enum Intake {
+    enum Intake implements WireNamed {
         /** Its restrictions were not understood. */
-        UNREADABLE,
+        UNREADABLE("unreadable"),
         /** It begins at another than the publisher. */
-        FIRST,
+        FIRST("first"),
         /** It comes back to this site or passes one twice (RFC 4271). */
-        LOOP,
+        LOOP("loop"),
         /** Its origin does not let this site have it. */
-        NOT_HERE,
+        NOT_HERE("not-here"),
         /** It was not to be passed on. */
-        NO_FURTHER,
+        NO_FURTHER("no-further"),
         /** More sites on the way than its origin allows. */
-        TOO_LONG,
+        TOO_LONG("too-long"),
         /** It went down or across before, and the publisher is not this site's provider (RFC 7908, RFC 9234). */
-        LEAK
+        LEAK("leak");
+
+        private final String wireName;
+
+        Intake(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** On what is passed on. */
--- a/src/main/java/merlinlever/routes/TableReader.java
+++ b/src/main/java/merlinlever/routes/TableReader.java
@@ -177,7 +177,7 @@
 
     static Relation relation(String word) throws Fault {
         for (Relation each : Relation.values()) {
-            if (each.word().equals(word)) {
+            if (each.wireName().equals(word)) {
                 return each;
             }
         }
--- a/src/main/java/merlinlever/routes/TableWriter.java
+++ b/src/main/java/merlinlever/routes/TableWriter.java
@@ -21,7 +21,7 @@
                 .append(",\"sequence\":")
                 .append(table.sequence())
                 .append(",\"relation\":\"")
-                .append(table.relation().word())
+                .append(table.relation().wireName())
                 .append("\",\"lease-ms\":")
                 .append(table.lease().toMillis())
                 .append(",\"routes\":[");
--- a/src/main/java/merlinlever/routes/net/Partners.java
+++ b/src/main/java/merlinlever/routes/net/Partners.java
@@ -178,7 +178,7 @@
             state.ended(now, how, now.minus(its.began));
             if (state.state() != told) {
                 told = state.state();
-                log.info("records service: " + told.name().toLowerCase(java.util.Locale.ROOT));
+                log.info("records service: " + told.wireName());
             }
         }
         its.missing |= how != Ending.OK && !how.provesUnrun();
@@ -204,7 +204,7 @@
 
     /** What it knows, as members of a JSON object. */
     public String json() {
-        return "\"routes\":{\"own\":\"" + state.state().name().toLowerCase(java.util.Locale.ROOT) + "\",\"known\":"
-                + routes.routes() + ",\"sent\":" + ways + "}";
+        return "\"routes\":{\"own\":\"" + state.state().wireName() + "\",\"known\":" + routes.routes() + ",\"sent\":"
+                + ways + "}";
     }
 }
--- a/src/main/java/merlinlever/trials/Trial.java
+++ b/src/main/java/merlinlever/trials/Trial.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
+import java.util.StringJoiner;
 
 /**
  * A trial as it is stated, alike at every backend. What is stated is its identity: {@link #key} holds a digest of all of it, so
@@ -58,7 +59,19 @@
 
     /** Of all that is stated; never the same for two that differ (by 64 bits of hash). */
     public long digest() {
-        return Split.hash(0x7472_6961_6cL, toString().getBytes(StandardCharsets.UTF_8));
+        return Split.hash(0x7472_6961_6cL, canonical().getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** What the digest is of; backends of all versions agree on it, so it names things as the first of them did. */
+    private String canonical() {
+        StringJoiner all = new StringJoiner(", ", "[", "]");
+        for (Arm arm : arms) {
+            all.add("Arm[name=" + arm.name + ", weight=" + arm.weight + ", stayAway=" + arm.stayAway + ", callLongest="
+                    + arm.callLongest + ", route=" + arm.route + "]");
+        }
+        return "Trial[name=" + name + ", version=" + version + ", arms=" + all + ", safe=" + safe + ", alpha=" + alpha
+                + ", harm=" + harm + ", difference=" + difference + ", longest=" + longest + ", lease=" + lease
+                + ", valueMost=" + valueMost + ", deaths=" + deaths + "]";
     }
 
     /** Its name everywhere: of its register, its counts and its salt. */
--- a/src/main/java/merlinlever/view/Sight.java
+++ b/src/main/java/merlinlever/view/Sight.java
@@ -152,7 +152,7 @@
         push();
         Standing before = bearing.shown();
         if (bearing.found(now, found(now))) {
-            log.accept("view: standing is " + bearing.shown().word() + ", was " + before.word() + "; hears "
+            log.accept("view: standing is " + bearing.shown().wireName() + ", was " + before.wireName() + "; hears "
                     + hears(now) + " of " + terms.voters().size() + " voters, view " + view.told());
         }
         return said();
@@ -387,7 +387,7 @@
     /** As a JSON object. */
     public String json(Duration now) {
         StringBuilder text = new StringBuilder("{\"standing\":\"")
-                .append(standing(now).word())
+                .append(standing(now).wireName())
                 .append("\",\"since_ms\":")
                 .append(now.minus(since()).toMillis())
                 .append(",\"view\":\"")
--- a/src/main/java/merlinlever/view/Standing.java
+++ b/src/main/java/merlinlever/view/Standing.java
@@ -1,22 +1,30 @@
 package merlinlever.view;
 
+import merlinlever.WireNamed;
+
 /** How much of the fleet a backend speaks with, and so how far its word goes. */
-public enum Standing {
+public enum Standing implements WireNamed {
     /** All stated voters are heard, and agree with it on the view. */
-    WHOLE,
+    WHOLE("whole"),
     /** More than half of the voters are heard, itself among them where it is one, and agree. */
-    MOST,
+    MOST("most"),
     /** Others are heard, but half of the voters or fewer. */
-    FEW,
+    FEW("few"),
     /** Nobody is heard. */
-    ALONE,
+    ALONE("alone"),
     /** Enough are heard, but they hold other views, or two live under its name. */
-    DISAGREEING,
+    DISAGREEING("disagreeing"),
     /** It stood still or began anew, and has not yet been told what it missed. */
-    RETURNING;
+    RETURNING("returning");
+
+    private final String wireName;
+
+    Standing(String wireName) {
+        this.wireName = wireName;
+    }
 
-    /** In the lower case of logs, JSON and pages. */
-    public String word() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+    @Override
+    public String wireName() {
+        return wireName;
     }
 }
--- a/src/main/java/merlinlever/zone/front/Asked.java
+++ b/src/main/java/merlinlever/zone/front/Asked.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import merlinlever.Operation;
+import merlinlever.WireNamed;
 import merlinlever.core.Conductor;
 import merlinlever.zone.wire.Message;
 import merlinlever.zone.wire.Tsig;
@@ -11,10 +12,21 @@
 final class Asked {
 
     /** What it asks for; the order is that of the tariffs. */
-    enum Kind {
-        QUERY,
-        UPDATE,
-        TRANSFER
+    enum Kind implements WireNamed {
+        QUERY("query"),
+        UPDATE("update"),
+        TRANSFER("transfer");
+
+        private final String wireName;
+
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        @Override
+        public String wireName() {
+            return wireName;
+        }
     }
 
     /** Code of an operation that has none yet. */
--- a/src/main/java/merlinlever/zone/front/Counts.java
+++ b/src/main/java/merlinlever/zone/front/Counts.java
@@ -20,7 +20,7 @@
 
     public Counts(MeterRegistry registry) {
         for (Asked.Kind kind : Asked.Kind.values()) {
-            String name = kind.name().toLowerCase(java.util.Locale.ROOT);
+            String name = kind.wireName();
             taken[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "taken");
             satisfied[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "satisfied");
             pushedBack[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "pushed-back");
@@ -77,7 +77,7 @@
             line.append(String.format(
                     java.util.Locale.ROOT,
                     "%s %.0f (satisfied %.0f, pushed back %.0f, broken off %.0f), ",
-                    kind.name().toLowerCase(java.util.Locale.ROOT),
+                    kind.wireName(),
                     taken[i].count(),
                     satisfied[i].count(),
                     pushedBack[i].count(),
--- a/src/main/java/merlinlever/zone/front/Desk.java
+++ b/src/main/java/merlinlever/zone/front/Desk.java
@@ -125,7 +125,7 @@
             long timeoutMs,
             long windowMs) {
         String at = "tariffs." + kind.ordinal() + ".";
-        given.put(at + "name", kind.name());
+        given.put(at + "name", kind.wireName().toUpperCase(java.util.Locale.ROOT));
         given.put(at + "kind", how);
         given.put(at + "value", "" + value);
         given.put(at + "soft-limit", "" + softMs);
--- /dev/null
+++ b/src/test/java/merlinlever/agent/AgentBytesTest.java
@@ -0,0 +1,58 @@
+package merlinlever.agent;
+
+import java.io.BufferedReader;
+import java.io.InputStreamReader;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.TreeMap;
+import merlinlever.compatibility.Fixture;
+import merlinlever.core.Works;
+import merlinlever.net.DrivenLoop;
+import net.jqwik.api.Example;
+
+/** Commands to the agent, byte for byte; a token's number counts up. */
+class AgentBytesTest {
+
+    @Example
+    void eachCommand() throws Exception {
+        Fixture fixture = new Fixture("agent.txt");
+        Map<String, String> lines = new TreeMap<>();
+        try (ServerSocket place = new ServerSocket(0, 5, LinkedBackend.HERE);
+                LinkedBackend backend = new LinkedBackend(new DrivenLoop(), LinkedBackend.at(place));
+                Socket agent = place.accept()) {
+            agent.setSoTimeout(DrivenLoop.PATIENCE_MS);
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.UTF_8));
+            fixture.pins("subscribe", in.readLine());
+            agent.getOutputStream()
+                    .write("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}\n"
+                            .getBytes(StandardCharsets.UTF_8));
+            // The link is in use once something comes on it.
+            while (!lines.containsKey("sample")) {
+                backend.driven.later(100);
+                backend.driven.run(() -> backend.link.sample());
+                add(lines, in);
+            }
+            backend.driven.run(() -> {
+                backend.link.exercise();
+                backend.link.launch(Works.of(1));
+                backend.link.freeze(Works.of(2));
+                backend.link.deliver(Works.of(3), new byte[] {1, 2});
+                backend.link.forgo(Works.of(4));
+            });
+            while (!lines.containsKey("forgo")) {
+                add(lines, in);
+            }
+        }
+        for (String word : new String[] {"sample", "exercise", "launch", "freeze", "deliver", "forgo"}) {
+            fixture.pins(word, lines.get(word));
+        }
+    }
+
+    private static void add(Map<String, String> lines, BufferedReader in) throws Exception {
+        String line = in.readLine();
+        lines.put(line.split("\"")[3], line.replaceAll("(\"token\":\"[sx])[0-9]+", "$10"));
+    }
+}
--- /dev/null
+++ b/src/test/java/merlinlever/http/EdgeBytesTest.java
@@ -0,0 +1,36 @@
+package merlinlever.http;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import merlinlever.compatibility.Fixture;
+import net.jqwik.api.Example;
+
+/** What an edge node reads, byte for byte. */
+class EdgeBytesTest extends EdgeFixture {
+
+    private final Fixture fixture = new Fixture("edge.txt");
+
+    EdgeBytesTest() throws IOException {}
+
+    @Example
+    void eachAnswer() throws Exception {
+        listen(10);
+        Socket socket = ask(CHECK);
+        fixture.pins("check", answer(socket));
+        for (String[] each : new String[][] {
+            {"no-tariff", operation("", "x").replace("/svc/look", "/svc/none")},
+            {"no-body", "POST /svc/look HTTP/1.1\r\n\r\n"},
+            {"get", "GET /svc/look HTTP/1.1\r\n\r\n"},
+            {"bad", "POST\r\n\r\n"},
+            {"long", "POST /svc/look HTTP/1.1\r\nContent-Length: 3000\r\n\r\n"},
+            {"chunked", "POST /svc/look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"}
+        }) {
+            fixture.pins(each[0], answer(ask(each[1])));
+        }
+        write(socket, operation("", "body"));
+        awaitAsked(1);
+        ends(asked.get(0), "result".getBytes(StandardCharsets.US_ASCII));
+        fixture.pins("satisfied", answer(socket));
+    }
+}
--- /dev/null
+++ b/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
@@ -0,0 +1,76 @@
+package merlinlever.zone.journal;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.ArrayDeque;
+import java.util.List;
+import merlinlever.compatibility.Fixture;
+import merlinlever.zone.record.Names;
+import merlinlever.zone.record.Rdata;
+import merlinlever.zone.record.Rec;
+import merlinlever.zone.record.Types;
+import merlinlever.zone.state.Entry;
+import merlinlever.zone.state.Update;
+import merlinlever.zone.state.Zone;
+import org.junit.jupiter.api.Test;
+
+/** A zone's files: the snapshot, the journal that goes on from it, and what is read back from both. */
+class ZoneBytesTest {
+
+    private final ArrayDeque<Runnable> work = new ArrayDeque<>();
+    private final Fixture fixture = new Fixture("zone.txt");
+
+    private ZoneStore store(MemoryFolder folder, byte[] origin) {
+        return new ZoneStore(folder, origin, work::add, work::add, Runnable::run, line -> {}, 2, 600);
+    }
+
+    private void work() {
+        while (!work.isEmpty()) {
+            work.poll().run();
+        }
+    }
+
+    @Test
+    void theSnapshotAndTheJournal() throws Exception {
+        byte[] origin = Names.absolute("example.org.");
+        Zone zone = Zone.of(
+                origin,
+                List.of(
+                        new Rec(
+                                origin,
+                                Types.SOA,
+                                60,
+                                Rdata.fromText(Types.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
+                        new Rec(origin, Types.NS, 60, Names.absolute("ns.example.org."))));
+        MemoryFolder folder = new MemoryFolder();
+        ZoneStore store = store(folder, origin);
+        assertNull(store.recover(origin));
+        store.first(zone);
+        for (int i = 1; i <= 3; i++) {
+            Update.Outcome outcome = Update.judge(
+                    zone,
+                    List.of(),
+                    List.of(new Entry(Names.absolute("n" + i + ".example.org."), Types.A, Types.IN, 60, new byte[] {
+                        10, 0, 0, (byte) i
+                    })));
+            zone = outcome.zone();
+            store.put(1_700_000_000L + i, new byte[] {(byte) i, 7}, outcome.difference(), well -> {});
+            work();
+            if (store.snapshotDue()) {
+                store.snapshot(zone, 1_700_000_010L);
+                work();
+            }
+        }
+        assertEquals(List.of("example.org..journal.0000000000000002", "example.org..snapshot"), folder.names());
+        MemoryFolder before = new MemoryFolder();
+        for (String name : folder.names()) {
+            fixture.pins(name, folder.read(name));
+            before.put(name, fixture.bytes(name));
+        }
+        ZoneStore.Recovered recovered = store(before, origin).recover(origin);
+        assertEquals(zone.serial(), recovered.zone().serial());
+        assertEquals(zone.records(), recovered.zone().records());
+        assertEquals(3, recovered.marks().size());
+    }
+}
