--- a/src/main/java/merlinlever/Settled.java
+++ b/src/main/java/merlinlever/Decisions.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * What one {@link merlinlever.policy.Control#settle} decided. The lists are to be carried out in the order in which
+ * What one {@link merlinlever.policy.OverloadController#settle} decided. The lists are to be carried out in the order in which
  * they stand here and each from its first entry on; every operation stands in the order that keeps the rules.
  */
-public final class Settled {
+public final class Decisions {
 
     /** An operation with the span that goes with the decision. */
-    public record Timed(Operation operation, Duration span) {}
+    public record TimedDecision(RequestHandle operation, Duration span) {}
 
     /** A refusal: whether to ask the caller to try nowhere else, and for how long to stay away (zero: not said). */
-    public record Pushback(Operation operation, boolean nowhereElse, Duration stayAway) {}
+    public record Rejection(RequestHandle operation, boolean nowhereElse, Duration stayAway) {}
 
     /** The value to send back with every answer from here on, or NaN: as before. */
     public double level = Double.NaN;
@@ -23,27 +23,27 @@
     /** Connections without traffic for this long are to be closed from here on, or null: as before. */
     public Duration closeIdle;
     /** Enter these in the table of fingerprints (and of shared reads) for the span. */
-    public final List<Timed> kept = new ArrayList<>();
+    public final List<TimedDecision> kept = new ArrayList<>();
     /** Final answer: an error. */
-    public final List<Operation> brokenOff = new ArrayList<>();
+    public final List<RequestHandle> brokenOff = new ArrayList<>();
     /** Stop the work on these. */
-    public final List<Operation> halted = new ArrayList<>();
+    public final List<RequestHandle> halted = new ArrayList<>();
     /** Final answer: turned away, never run. */
-    public final List<Pushback> pushedBack = new ArrayList<>();
+    public final List<Rejection> pushedBack = new ArrayList<>();
     /** Take these out of the table. */
-    public final List<Operation> forgotten = new ArrayList<>();
+    public final List<RequestHandle> forgotten = new ArrayList<>();
     /** Start these. */
-    public final List<Operation> started = new ArrayList<>();
+    public final List<RequestHandle> started = new ArrayList<>();
     /** Answer these with the outcome of the operation that they repeat. */
-    public final List<Operation> shared = new ArrayList<>();
+    public final List<RequestHandle> shared = new ArrayList<>();
     /** Make the call that these wait for, and give it up after the span. */
-    public final List<Timed> called = new ArrayList<>();
+    public final List<TimedDecision> called = new ArrayList<>();
     /** Let these go on without the call. */
-    public final List<Operation> omitted = new ArrayList<>();
+    public final List<RequestHandle> omitted = new ArrayList<>();
     /** Lines for the log. */
     public final List<String> log = new ArrayList<>();
     /** Nothing will name these handles again. */
-    public final List<Operation> released = new ArrayList<>();
+    public final List<RequestHandle> released = new ArrayList<>();
     /** When a look and a settling are wanted next, or null: not before something happens. */
     public Duration nextLook;
 }
--- a/src/main/java/merlinlever/Spans.java
+++ b/src/main/java/merlinlever/Durations.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /** Short words for the arithmetic of times. */
-public final class Spans {
+public final class Durations {
 
-    private Spans() {}
+    private Durations() {}
 
     public static Duration millis(double ms) {
         return Duration.ofNanos((long) (ms * 1e6));
--- a/src/main/java/merlinlever/Ending.java
+++ b/src/main/java/merlinlever/Outcome.java
@@ -1,7 +1,7 @@
 package merlinlever;
 
 /** How a run or a call ended. */
-public enum Ending {
+public enum Outcome {
     /** It worked. */
     OK(false),
     /** It was carried out and did not work; it may have had its effect. */
@@ -21,7 +21,7 @@
 
     private final boolean provesUnrun;
 
-    Ending(boolean provesUnrun) {
+    Outcome(boolean provesUnrun) {
         this.provesUnrun = provesUnrun;
     }
 
--- a/src/main/java/merlinlever/Given.java
+++ b/src/main/java/merlinlever/Settings.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What is stated at start, by name, each as the kind of value that is asked for. */
-public record Given(Map<String, String> values) {
+public record Settings(Map<String, String> values) {
 
     public boolean has(String name) {
         return values.containsKey(name);
@@ -28,7 +28,7 @@
     }
 
     public Duration span(String name, double absentMs) {
-        return Spans.millis(number(name, absentMs));
+        return Durations.millis(number(name, absentMs));
     }
 
     /** One place of a row of values; {@code absent} also stands for an empty one. */
--- a/src/main/java/merlinlever/agent/Notice.java
+++ b/src/main/java/merlinlever/agent/AgentEvent.java
@@ -3,7 +3,7 @@
 import java.util.Base64;
 import java.util.List;
 import java.util.Map;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.json.Json;
 
 /**
@@ -14,25 +14,25 @@
  * @param ending how the run ended, where that is what it says
  * @param row the gauges, where it brings them
  */
-record Notice(
+record AgentEvent(
         String word,
         long offset,
         long id,
         String text,
-        Ending ending,
+        Outcome ending,
         double elapsedMs,
         byte[] payload,
         String token,
         double[] row) {
 
     /** The notice on the line. */
-    static Notice read(String line) throws Json.Malformed {
+    static AgentEvent read(String line) throws Json.MalformedJsonException {
         Map<?, ?> object = Json.object(line);
         try {
             String text = string(object, "result");
             String id = string(object, "req");
             String payload = string(object, "payload");
-            return new Notice(
+            return new AgentEvent(
                     string(object, "cmd"),
                     offset(object),
                     id == null ? 0 : Long.parseUnsignedLong(id, 16),
@@ -43,7 +43,7 @@
                     string(object, "token"),
                     row(object.get("load")));
         } catch (IllegalArgumentException e) {
-            throw new Json.Malformed("not a notice: " + e.getMessage());
+            throw new Json.MalformedJsonException("not a notice: " + e.getMessage());
         }
     }
 
@@ -86,14 +86,14 @@
                 .toArray();
     }
 
-    private static Ending ending(String text) {
+    private static Outcome ending(String text) {
         return text == null
                 ? null
                 : switch (text) {
-                    case "OK" -> Ending.OK;
-                    case "STOPPED" -> Ending.STOPPED;
-                    case "MOOT" -> Ending.NEVER_BEGUN;
-                    default -> Ending.ERROR;
+                    case "OK" -> Outcome.OK;
+                    case "STOPPED" -> Outcome.STOPPED;
+                    case "MOOT" -> Outcome.NEVER_BEGUN;
+                    default -> Outcome.ERROR;
                 };
     }
 }
--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/agent/AgentLink.java
@@ -7,14 +7,14 @@
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.Base64;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.core.Backend;
-import merlinlever.core.Work;
+import merlinlever.core.TrackedRequest;
 import merlinlever.json.Json;
 import merlinlever.log.Log;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 
 /** The link to the agent: made again when it is lost, with each notice taken once and in its order. */
 public final class AgentLink {
@@ -29,37 +29,37 @@
     private static final int CHECKS = 6;
     private static final Duration EXERCISE = Duration.ofSeconds(1);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Backend backend;
     private final Log log;
     private InetSocketAddress address;
     /** The greeted one that commands go over, or null. */
-    private Link link;
+    private Session link;
     /** The one that is being made and takes its place with the greeting, or null. */
-    private Link coming;
+    private Session coming;
 
-    private Loop.Timer retry;
+    private EventLoop.Timer retry;
     private Duration pause = FIRST_PAUSE;
     private long lastRead, tokens;
     /** What is asked on the link in use and not answered yet, or null: for the gauges, and whether all notices are read. */
-    private Question gauges, caughtUp;
+    private PendingSample gauges, caughtUp;
 
     private String exercise;
-    private Loop.Timer exerciseLimit;
+    private EventLoop.Timer exerciseLimit;
     /** The link in use stood then, and took what had been sent before: a question that was asked then has its answer. */
     private Duration stood = Duration.ZERO;
 
     private int unanswered;
 
-    private record Question(String token, Duration at) {
-        boolean answeredBy(Notice notice) {
+    private record PendingSample(String token, Duration at) {
+        boolean answeredBy(AgentEvent notice) {
             return token.equals(notice.token());
         }
     }
 
     /** One connection; what comes on one that is neither in use nor coming is passed over. */
-    private final class Link implements Connection.User {
-        private final Lines lines = new Lines(LONGEST_LINE);
+    private final class Session implements Connection.Handler {
+        private final LineDecoder lines = new LineDecoder(LONGEST_LINE);
         private Connection connection;
         private Duration madeAt;
 
@@ -105,7 +105,7 @@
         }
     }
 
-    public AgentLink(Loop loop, InetSocketAddress address, Backend backend, Log log) {
+    public AgentLink(EventLoop loop, InetSocketAddress address, Backend backend, Log log) {
         this.loop = loop;
         this.address = address;
         this.backend = backend;
@@ -124,7 +124,7 @@
         }
         address = there;
         pause = FIRST_PAUSE;
-        Link stale = coming;
+        Session stale = coming;
         coming = null;
         if (stale != null) {
             stale.connection.end(CloseReason.DONE);
@@ -149,7 +149,7 @@
             retry = null;
         }
         unanswered = 0;
-        Link made = new Link();
+        Session made = new Session();
         try {
             made.connection = Connection.to(loop, address, made, LONGEST_LINE, MOST_QUEUED, CONNECT);
             coming = made;
@@ -168,18 +168,18 @@
         pause = pause.multipliedBy(2).compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause.multipliedBy(2);
     }
 
-    private void line(Link from, String line) {
+    private void line(Session from, String line) {
         if (line.isBlank()) {
             return;
         }
         try {
-            notice(from, Notice.read(line));
-        } catch (Json.Malformed e) {
+            notice(from, AgentEvent.read(line));
+        } catch (Json.MalformedJsonException e) {
             log.warn("passed over a line of the agent: " + e.getMessage());
         }
     }
 
-    private void notice(Link from, Notice notice) {
+    private void notice(Session from, AgentEvent notice) {
         if (notice.offset() > 0) {
             if (notice.offset() <= lastRead) {
                 return;
@@ -202,13 +202,13 @@
             case "exercised" -> {
                 if (notice.token() != null && notice.token().equals(exercise)) {
                     exerciseOver();
-                    backend.exercised(notice.ending() == Ending.OK);
+                    backend.exercised(notice.ending() == Outcome.OK);
                 }
             }
             case "refusal" -> {
                 log.warn("the agent would not " + notice.text() + " " + Long.toHexString(notice.id()));
                 if ("launch".equals(notice.text())) {
-                    backend.ended(loop.clock().now(), notice.id(), Ending.NEVER_BEGUN, null);
+                    backend.ended(loop.clock().now(), notice.id(), Outcome.NEVER_BEGUN, null);
                 }
             }
             case "aside" -> {}
@@ -216,8 +216,8 @@
         }
     }
 
-    private void greeted(Notice notice) {
-        Link before = link;
+    private void greeted(AgentEvent notice) {
+        Session before = link;
         link = coming;
         coming = null;
         gauges = null;
@@ -244,20 +244,20 @@
         }
     }
 
-    private void outcome(Notice notice) {
-        Ending how = notice.ending();
+    private void outcome(AgentEvent notice) {
+        Outcome how = notice.ending();
         if (how == null) {
             log.warn("an outcome without a result");
-            how = Ending.ERROR;
+            how = Outcome.ERROR;
         }
-        if (how == Ending.OK && notice.payload().length > LONGEST_RESULT) {
+        if (how == Outcome.OK && notice.payload().length > LONGEST_RESULT) {
             log.warn("a result of " + notice.payload().length + " bytes is not passed on");
-            how = Ending.ERROR;
+            how = Outcome.ERROR;
         }
         backend.ended(loop.clock().now(), notice.id(), how, notice.payload());
     }
 
-    private void sampled(Notice notice) {
+    private void sampled(AgentEvent notice) {
         if (caughtUp != null && caughtUp.answeredBy(notice)) {
             stood = caughtUp.at;
             caughtUp = null;
@@ -276,8 +276,8 @@
         }
     }
 
-    private Question ask(String kind) {
-        Question question = new Question(kind + tokens++, loop.clock().now());
+    private PendingSample ask(String kind) {
+        PendingSample question = new PendingSample(kind + tokens++, loop.clock().now());
         link.send("{\"cmd\":\"sample\",\"token\":\"" + question.token + "\"}\n");
         return question;
     }
@@ -292,7 +292,7 @@
 
     // ---- commands; without a link they are lost, and the backend sends again what matters
 
-    private void command(String word, Work work, String rest) {
+    private void command(String word, TrackedRequest work, String rest) {
         if (link != null) {
             link.send("{\"cmd\":\"" + word + "\",\"req\":\"" + work.name() + "\"" + rest + "}\n");
         }
@@ -302,19 +302,19 @@
         return ",\"payload\":\"" + Base64.getEncoder().encodeToString(bytes) + "\"";
     }
 
-    public void launch(Work work) {
+    public void launch(TrackedRequest work) {
         command("launch", work, ",\"method\":" + Json.quoted(work.tariffName()) + payload(work.body()));
     }
 
-    public void freeze(Work work) {
+    public void freeze(TrackedRequest work) {
         command("freeze", work, "");
     }
 
-    public void deliver(Work work, byte[] reply) {
+    public void deliver(TrackedRequest work, byte[] reply) {
         command("deliver", work, payload(reply));
     }
 
-    public void forgo(Work work) {
+    public void forgo(TrackedRequest work) {
         command("forgo", work, "");
     }
 
--- a/src/main/java/merlinlever/agent/Lines.java
+++ b/src/main/java/merlinlever/agent/LineDecoder.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /** Cuts what is read into lines; the bytes of a line that is not whole are left, and not looked at twice. */
-public final class Lines {
+public final class LineDecoder {
 
     private final int longest;
     private int seen;
     private boolean passingOver;
 
-    public Lines(int longest) {
+    public LineDecoder(int longest) {
         this.longest = longest;
     }
 
--- a/src/main/java/merlinlever/cli/Assembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -5,27 +5,27 @@
 import java.util.Map;
 import merlinlever.agent.AgentLink;
 import merlinlever.core.Backend;
-import merlinlever.core.Calls;
-import merlinlever.core.Outside;
-import merlinlever.core.Work;
-import merlinlever.http.EdgeNodes;
+import merlinlever.core.BackendDependencies;
+import merlinlever.core.DownstreamService;
+import merlinlever.core.TrackedRequest;
+import merlinlever.http.EdgeServer;
 import merlinlever.log.Log;
-import merlinlever.net.Loop;
-import merlinlever.records.RecordsLink;
+import merlinlever.net.EventLoop;
+import merlinlever.records.RecordsClient;
 
 /** The core with its parties round it on one loop. */
-final class Assembly implements Outside {
+final class BackendAssembly implements BackendDependencies {
 
     final Backend backend;
     final AgentLink agent;
-    final RecordsLink records;
-    final EdgeNodes edge;
-    private final Loop loop;
+    final RecordsClient records;
+    final EdgeServer edge;
+    private final EventLoop loop;
     private final Log log;
-    private Loop.Timer alarm;
+    private EventLoop.Timer alarm;
 
-    Assembly(
-            Loop loop,
+    BackendAssembly(
+            EventLoop loop,
             Map<String, String> given,
             long seed,
             InetSocketAddress agentAt,
@@ -36,29 +36,29 @@
         this.log = log;
         backend = new Backend(given, seed, this);
         agent = new AgentLink(loop, agentAt, backend, log);
-        records = new RecordsLink(loop, recordsAt, backend, log, mostCalls);
-        edge = new EdgeNodes(loop, backend, given);
+        records = new RecordsClient(loop, recordsAt, backend, log, mostCalls);
+        edge = new EdgeServer(loop, backend, given);
         loop.after(() -> backend.settle(loop.clock().now()));
         agent.start();
     }
 
     @Override
-    public void launch(Work work) {
+    public void launch(TrackedRequest work) {
         agent.launch(work);
     }
 
     @Override
-    public void freeze(Work work) {
+    public void freeze(TrackedRequest work) {
         agent.freeze(work);
     }
 
     @Override
-    public void deliver(Work work, byte[] reply) {
+    public void deliver(TrackedRequest work, byte[] reply) {
         agent.deliver(work, reply);
     }
 
     @Override
-    public void forgo(Work work) {
+    public void forgo(TrackedRequest work) {
         agent.forgo(work);
     }
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public Calls calls() {
+    public DownstreamService calls() {
         return records;
     }
 
--- a/src/main/java/merlinlever/cli/Commands.java
+++ b/src/main/java/merlinlever/cli/Commands.java
@@ -6,7 +6,7 @@
 import merlinlever.cli.fleet.FleetCommands;
 import merlinlever.cli.fleet.HostCommands;
 import merlinlever.cli.zone.ZoneCommands;
-import merlinlever.sheet.Sheet;
+import merlinlever.config.ConfigFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -30,8 +30,8 @@
             HostCommands.class,
             FleetCommands.class,
             FaultsCommands.class,
-            Commands.SheetCommands.class,
-            Commands.Measure.class
+            Commands.ConfigCommands.class,
+            Commands.MeasureCommands.class
         })
 public final class Commands implements Runnable {
 
@@ -46,7 +46,7 @@
     static final class ServeHelp implements Callable<Integer> {
         @Override
         public Integer call() {
-            return Serve.main(System.getenv());
+            return ServeCommand.main(System.getenv());
         }
     }
 
@@ -66,7 +66,7 @@
             mixinStandardHelpOptions = true,
             description = "The forms of configuration files.",
             synopsisSubcommandLabel = "COMMAND")
-    static final class SheetCommands implements Runnable {
+    static final class ConfigCommands implements Runnable {
         @Spec
         private CommandSpec spec;
 
@@ -83,11 +83,12 @@
         int schema(
                 @Parameters(paramLabel = "NAME", description = "zone-serve, zone-follow, host-run or faults")
                         String name) {
-            String text = Sheet.schema(name);
+            String text = ConfigFile.schema(name);
             if (text == null) {
                 spec.commandLine()
                         .getErr()
-                        .println("merlinlever: no schema " + name + "; there are " + String.join(", ", Sheet.SCHEMAS));
+                        .println("merlinlever: no schema " + name + "; there are "
+                                + String.join(", ", ConfigFile.SCHEMAS));
                 return 2;
             }
             PrintWriter out = spec.commandLine().getOut();
@@ -104,14 +105,14 @@
                 @Parameters(paramLabel = "NAME", description = "zone-serve, zone-follow, host-run or faults")
                         String name,
                 @Parameters(paramLabel = "FILE", description = "the file") java.nio.file.Path file) {
-            if (Sheet.schema(name) == null) {
+            if (ConfigFile.schema(name) == null) {
                 return schema(name);
             }
             try {
-                Sheet.read(file, name);
+                ConfigFile.read(file, name);
                 spec.commandLine().getOut().println(file + ": good");
                 return 0;
-            } catch (Sheet.Unusable e) {
+            } catch (ConfigFile.InvalidConfigFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
                 return 1;
             }
@@ -119,7 +120,7 @@
     }
 
     /** Where a measurement leaves its tables and charts, and how large it is. */
-    static final class To {
+    static final class MeasureOptions {
         @CommandLine.Option(
                 names = "--out",
                 required = true,
@@ -136,7 +137,7 @@
             mixinStandardHelpOptions = true,
             synopsisSubcommandLabel = "COMMAND",
             description = "Measure parts of this program against plain ones, on this machine alone.")
-    static final class Measure implements Runnable {
+    static final class MeasureCommands implements Runnable {
         @Spec
         private CommandSpec spec;
 
@@ -149,8 +150,8 @@
                 name = "dns",
                 mixinStandardHelpOptions = true,
                 description = "Zone files, index, updates, queries, following. Some minutes.")
-        int dns(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.DnsMeasure(to.out, to.quick).run();
+        int dns(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.DnsMeasurement(to.out, to.quick).run();
             return 0;
         }
 
@@ -159,8 +160,8 @@
                 mixinStandardHelpOptions = true,
                 description =
                         "Limits of the whole fleet: on virtual time with up to 1,000 backends, and on real ones under faults. Some minutes.")
-        int budgets(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.BudgetMeasure(to.out, to.quick).run();
+        int budgets(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.QuotaMeasurement(to.out, to.quick).run();
             return 0;
         }
 
@@ -169,8 +170,8 @@
                 mixinStandardHelpOptions = true,
                 description =
                         "Trials stopped early: wrong winners, operations needed, the way of an end through fleets on virtual time. Some minutes.")
-        int trials(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.TrialMeasure(to.out, to.quick).run();
+        int trials(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.ExperimentMeasurement(to.out, to.quick).run();
             return 0;
         }
 
@@ -179,8 +180,8 @@
                 mixinStandardHelpOptions = true,
                 description =
                         "Routes of partner sites: merging, and on virtual time tightening and the loss of a records service. Some minutes.")
-        int routes(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.RoutesMeasure(to.out, to.quick).run();
+        int routes(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.RoutesMeasurement(to.out, to.quick).run();
             return 0;
         }
 
@@ -189,8 +190,8 @@
                 mixinStandardHelpOptions = true,
                 description =
                         "Words that all backends share, on virtual time with up to 500 of them, against telling everything. Some minutes.")
-        int shared(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.SharedMeasure(to.out, to.quick).run();
+        int shared(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.ReplicationMeasurement(to.out, to.quick).run();
             return 0;
         }
 
@@ -199,8 +200,8 @@
                 mixinStandardHelpOptions = true,
                 description =
                         "Who is there: up to 1,000 backends in virtual time, beside membership alone. Some minutes.")
-        int view(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.ViewMeasure(to.out, to.quick).run();
+        int view(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.ViewMeasurement(to.out, to.quick).run();
             return 0;
         }
 
@@ -209,8 +210,8 @@
                 mixinStandardHelpOptions = true,
                 description =
                         "Fleets of backends that lose their power and come back, with what they keep and without. Some minutes.")
-        int recovery(@CommandLine.Mixin To to) throws Exception {
-            new merlinlever.measure.RecoveryMeasure(to.out, to.quick).run();
+        int recovery(@CommandLine.Mixin MeasureOptions to) throws Exception {
+            new merlinlever.measure.RecoveryMeasurement(to.out, to.quick).run();
             return 0;
         }
     }
--- a/src/main/java/merlinlever/cli/Libraries.java
+++ b/src/main/java/merlinlever/cli/LibraryLauncher.java
@@ -15,12 +15,12 @@
  * Starts the commands that need libraries with those in the folder {@code lib} beside the program's jar. Named in the
  * manifest instead, each of them would be opened for {@code serve} as well and take a descriptor of its limit.
  */
-final class Libraries {
+final class LibraryLauncher {
 
-    private Libraries() {}
+    private LibraryLauncher() {}
 
     static int run(String... args) throws IOException {
-        Path self = Path.of(new File(Libraries.class
+        Path self = Path.of(new File(LibraryLauncher.class
                         .getProtectionDomain()
                         .getCodeSource()
                         .getLocation()
--- a/src/main/java/merlinlever/cli/Logging.java
+++ b/src/main/java/merlinlever/cli/LoggingSetup.java
@@ -11,21 +11,21 @@
 import org.slf4j.LoggerFactory;
 
 /** Sets up the log of the commands that stay: standard output, as text or as one JSON object a line. */
-public final class Logging {
+public final class LoggingSetup {
 
     /** The two forms of a log. */
-    public enum Form {
+    public enum LogFormat {
         text,
         json
     }
 
-    private Logging() {}
+    private LoggingSetup() {}
 
-    public static void start(Form form) {
+    public static void start(LogFormat form) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         Encoder<ILoggingEvent> encoder;
-        if (form == Form.json) {
+        if (form == LogFormat.json) {
             JsonEncoder json = new JsonEncoder();
             json.setWithContext(false);
             json.setWithSequenceNumber(false);
--- a/src/main/java/merlinlever/cli/Main.java
+++ b/src/main/java/merlinlever/cli/Main.java
@@ -12,8 +12,8 @@
         System.exit(
                 switch (args.length == 1 ? args[0] : "") {
                     case "wirehost" -> new WireHost(System.in, System.out, System.err).serve();
-                    case "serve" -> Serve.main(System.getenv());
-                    default -> Libraries.run(args);
+                    case "serve" -> ServeCommand.main(System.getenv());
+                    default -> LibraryLauncher.run(args);
                 });
     }
 }
--- a/src/main/java/merlinlever/cli/Recovering.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import merlinlever.core.Backend;
-import merlinlever.core.Stated;
-import merlinlever.durable.Folders;
+import merlinlever.core.SettingsTranslator;
 import merlinlever.log.Log;
-import merlinlever.members.Link;
-import merlinlever.net.Loop;
-import merlinlever.policy.Control;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.net.Rejoin;
+import merlinlever.membership.MembershipTransport;
+import merlinlever.net.EventLoop;
+import merlinlever.policy.OverloadController;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.storage.StateDirectories;
 
 /**
  * The return of one backend, where its configuration has {@code recovery}: state on disk, membership with the others.
  * The platform has neither, and there this class is never loaded.
  */
-final class Recovering implements Rejoin.Service {
+final class RecoveryAssembly implements RecoveryCoordinator.RecoveringService {
 
     private static final List<String> NAMES = List.of(
             "state",
@@ -36,41 +36,44 @@
             "voters",
             "lease");
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Backend backend;
-    private final Rejoin rejoin;
+    private final RecoveryCoordinator rejoin;
     /** Null where nothing is decided or shared with the others. */
-    private final Together together;
+    private final FleetAssembly together;
 
-    Recovering(Map<String, String> rest, Loop loop, Backend backend, Map<String, String> given, long seed, Log log)
-            throws Serve.Unusable, IOException {
+    RecoveryAssembly(
+            Map<String, String> rest, EventLoop loop, Backend backend, Map<String, String> given, long seed, Log log)
+            throws ServeCommand.InvalidConfigurationException, IOException {
         this.loop = loop;
         this.backend = backend;
         for (String name : rest.keySet()) {
             if (name.startsWith("recovery.") && !NAMES.contains(name.substring(9))) {
-                throw new Serve.Unusable(
+                throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + name + " is not known; recovery has " + String.join(", ", NAMES));
             }
         }
         List<String> seeds = new ArrayList<>();
         for (String seedAt : rest.getOrDefault("recovery.seeds", "").split(",")) {
-            if (!seedAt.isEmpty() && Link.address(seedAt) == null) {
-                throw new Serve.Unusable(
+            if (!seedAt.isEmpty() && MembershipTransport.address(seedAt) == null) {
+                throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's recovery.seeds has '" + seedAt + "', which is no ADDRESS:PORT");
             } else if (!seedAt.isEmpty()) {
                 seeds.add(seedAt);
             }
         }
         String advertise = rest.get("recovery.advertise");
-        if (advertise != null && Link.address(advertise) == null) {
-            throw new Serve.Unusable("the configuration's recovery.advertise is no ADDRESS:PORT: " + advertise);
+        if (advertise != null && MembershipTransport.address(advertise) == null) {
+            throw new ServeCommand.InvalidConfigurationException(
+                    "the configuration's recovery.advertise is no ADDRESS:PORT: " + advertise);
         }
         String name = rest.getOrDefault("name", "");
         if (!name.matches("[!-~]{1,40}")) {
-            throw new Serve.Unusable("with recovery the configuration's name has 1 to 40 printable characters");
+            throw new ServeCommand.InvalidConfigurationException(
+                    "with recovery the configuration's name has 1 to 40 printable characters");
         }
-        Return.Stated usual = Return.Stated.usual(window(given));
-        Return.Stated stated = new Return.Stated(
+        RecoverySequence.RecoverySettings usual = RecoverySequence.RecoverySettings.usual(window(given));
+        RecoverySequence.RecoverySettings stated = new RecoverySequence.RecoverySettings(
                 span(rest, "patience-ms", usual.patience()),
                 span(rest, "spread-ms", usual.spread()),
                 usual.askAgain(),
@@ -79,12 +82,12 @@
                 usual.mostAsked());
         Duration mark = span(rest, "mark-ms", Duration.ofSeconds(1));
         Consumer<String> told = line -> log.info("recovery: " + line);
-        rejoin = new Rejoin(
+        rejoin = new RecoveryCoordinator(
                 loop,
-                Folders.open(Path.of(rest.get("recovery.state")), System.getenv()),
-                new Rejoin.Place(
+                StateDirectories.open(Path.of(rest.get("recovery.state")), System.getenv()),
+                new RecoveryCoordinator.NodeSettings(
                         name,
-                        Serve.address(rest, "recovery.listen"),
+                        ServeCommand.address(rest, "recovery.listen"),
                         advertise,
                         rest.getOrDefault("listen", "-"),
                         seeds,
@@ -97,7 +100,7 @@
                 told);
         together = rest.keySet().stream().anyMatch(each -> each.startsWith("recovery.voters"))
                         || rest.containsKey("budgets.0.name")
-                ? new Together(rest, loop, rejoin, backend, seed, told)
+                ? new FleetAssembly(rest, loop, rejoin, backend, seed, told)
                 : null;
     }
 
@@ -106,36 +109,39 @@
         double longest = 0;
         for (int i = 0; given.containsKey("tariffs." + i + ".name"); i++) {
             if (!"retriable".equals(given.get("tariffs." + i + ".kind"))) {
-                longest = Math.max(longest, Stated.number(given, "tariffs." + i + ".window", 10_000));
+                longest = Math.max(longest, SettingsTranslator.number(given, "tariffs." + i + ".window", 10_000));
             }
         }
         return Duration.ofNanos((long) (longest * 1e6));
     }
 
-    private static Duration span(Map<String, String> rest, String name, Duration usual) throws Serve.Unusable {
-        double ms = Serve.number(rest, "recovery." + name, usual.toMillis());
+    private static Duration span(Map<String, String> rest, String name, Duration usual)
+            throws ServeCommand.InvalidConfigurationException {
+        double ms = ServeCommand.number(rest, "recovery." + name, usual.toMillis());
         if (!(ms >= 10 && ms <= 600_000)) {
-            throw new Serve.Unusable("the configuration's recovery." + name + " is to be from 10 to 600000");
+            throw new ServeCommand.InvalidConfigurationException(
+                    "the configuration's recovery." + name + " is to be from 10 to 600000");
         }
         return Duration.ofMillis((long) ms);
     }
 
-    private static String secret(Map<String, String> rest) throws Serve.Unusable {
+    private static String secret(Map<String, String> rest) throws ServeCommand.InvalidConfigurationException {
         String file = rest.get("recovery.secret-file");
         try {
             String secret = file == null ? "" : Files.readString(Path.of(file)).strip();
             if (secret.length() < 16) {
-                throw new Serve.Unusable(
+                throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's recovery.secret-file names no file with 16 characters or more");
             }
             return secret;
         } catch (IOException e) {
-            throw new Serve.Unusable("the configuration's recovery.secret-file cannot be read: " + file);
+            throw new ServeCommand.InvalidConfigurationException(
+                    "the configuration's recovery.secret-file cannot be read: " + file);
         }
     }
 
     /** A time since the process began, by the clock that the module's times count on. */
-    static Duration ofModule(Loop loop, Duration sinceBegin) {
+    static Duration ofModule(EventLoop loop, Duration sinceBegin) {
         return loop.clock().now().plus(sinceBegin.minus(loop.clock().uptime()));
     }
 
@@ -152,18 +158,18 @@
 
     @Override
     public double capacity() {
-        Control.Figures figures = backend.figures();
+        OverloadController.ControllerMetrics figures = backend.figures();
         return figures == null || !Double.isFinite(figures.capacity()) ? 0 : figures.capacity();
     }
 
     @Override
     public boolean fullSpeed() {
-        Control.Figures figures = backend.figures();
+        OverloadController.ControllerMetrics figures = backend.figures();
         return figures != null && figures.speedShare() >= 1;
     }
 
     /** The configuration was read again: what the others share is taken from it, all else stays as it was at the start. */
-    void reread(Map<String, String> rest) throws Serve.Unusable {
+    void reread(Map<String, String> rest) throws ServeCommand.InvalidConfigurationException {
         if (together != null) {
             together.reread(rest);
         }
--- a/src/main/java/merlinlever/cli/Serve.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -7,18 +7,18 @@
 import java.time.Instant;
 import java.util.Map;
 import merlinlever.core.Backend;
-import merlinlever.core.Stated;
-import merlinlever.directory.Heartbeats;
-import merlinlever.http.EdgeNodes;
+import merlinlever.core.SettingsTranslator;
+import merlinlever.directory.HeartbeatSender;
+import merlinlever.http.EdgeServer;
 import merlinlever.log.Log;
-import merlinlever.manage.Manage;
-import merlinlever.manage.Telling;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.net.Signals;
+import merlinlever.management.ManagementServer;
+import merlinlever.management.StatusReport;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.net.ProcessSignals;
 
 /** One real backend: puts the parties round the core and runs until it is told to leave. */
-public final class Serve implements Signals.Receiver {
+public final class ServeCommand implements ProcessSignals.Subscriber {
 
     /** So often it is looked at whether all is answered. */
     private static final Duration POLL = Duration.ofMillis(10);
@@ -42,63 +42,64 @@
     private static final Duration READ_AGAIN = Duration.ofMillis(100);
 
     /** What cannot be started with; its message is for the person at the console. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String message) {
+        InvalidConfigurationException(String message) {
             super(message);
         }
     }
 
     private final Map<String, String> environment;
     private final Log log;
-    private final Clock clock;
-    private final Loop loop;
-    private final Configuration started;
-    private final Assembly assembly;
+    private final MonotonicClock clock;
+    private final EventLoop loop;
+    private final ServeConfiguration started;
+    private final BackendAssembly assembly;
     private final Backend backend;
-    private final EdgeNodes edge;
-    private final Heartbeats heartbeats;
+    private final EdgeServer edge;
+    private final HeartbeatSender heartbeats;
     /** Null where nobody manages it, as on the platform. */
-    private final Manage manage;
+    private final ManagementServer manage;
     /** Null where it keeps nothing for a return, as on the platform; its class is not loaded then. */
-    private final Recovering recovering;
+    private final RecoveryAssembly recovering;
 
     private final boolean listFollows;
     private final String rehearsed;
     /** The next reading of a configuration that could not be used, or null. */
-    private Loop.Timer readingAgain;
+    private EventLoop.Timer readingAgain;
 
     private boolean shutResting, ended;
 
     /** All but the listening, so that nobody is taken in before it is known who hears of the notice to leave. */
-    private Serve(Map<String, String> environment, Log log, long began) throws Unusable {
+    private ServeCommand(Map<String, String> environment, Log log, long began) throws InvalidConfigurationException {
         this.environment = environment;
         this.log = log;
-        started = Configuration.read(environment);
+        started = ServeConfiguration.read(environment);
         started.remarks().forEach(log::warn);
         Map<String, String> rest = started.rest();
         Map<String, String> given = started.given();
         try {
             long rehearsing = System.nanoTime();
-            Duration longest = Rehearsal.longest(Duration.ofNanos(rehearsing - began));
-            int operations = Rehearsal.run(given, started.records() != null, longest);
+            Duration longest = WarmUp.longest(Duration.ofNanos(rehearsing - began));
+            int operations = WarmUp.run(given, started.records() != null, longest);
             rehearsed = "rehearsed with " + operations + " operations in "
                     + (System.nanoTime() - rehearsing) / 1_000_000 + " ms";
-            clock = Clock.system();
-            loop = new Loop(clock, failure -> log.error("failed", failure));
-            assembly = new Assembly(loop, given, started.seed(), started.agent(), started.records(), calls(), log);
+            clock = MonotonicClock.system();
+            loop = new EventLoop(clock, failure -> log.error("failed", failure));
+            assembly =
+                    new BackendAssembly(loop, given, started.seed(), started.agent(), started.records(), calls(), log);
             backend = assembly.backend;
             edge = assembly.edge;
-            heartbeats = new Heartbeats(started.lookup(), started.name());
+            heartbeats = new HeartbeatSender(started.lookup(), started.name());
             recovering = rest.containsKey("recovery.state")
-                    ? new Recovering(rest, loop, backend, given, started.seed(), log)
+                    ? new RecoveryAssembly(rest, loop, backend, given, started.seed(), log)
                     : null;
             manage = rest.containsKey("manage")
-                    ? new Manage(
+                    ? new ManagementServer(
                             loop,
                             address(rest, "manage"),
-                            () -> Telling.of(
+                            () -> StatusReport.of(
                                     backend.leaving(),
                                     backend.healthy(),
                                     backend.inHand(),
@@ -107,9 +108,9 @@
                                     recovering == null ? null : recovering.json()))
                     : null;
         } catch (IOException e) {
-            throw new Unusable("cannot be started with: " + e.getMessage());
+            throw new InvalidConfigurationException("cannot be started with: " + e.getMessage());
         } catch (RuntimeException e) {
-            throw new Unusable("cannot be served: " + e);
+            throw new InvalidConfigurationException("cannot be served: " + e);
         }
         // Any report keeps a backend listed, but where the list follows what is reported: there one takes it off.
         listFollows = Boolean.parseBoolean(given.get("server.readiness"));
@@ -119,13 +120,14 @@
         return Math.max(LEAST_CALLS, started.sockets() / CALLS_PART);
     }
 
-    private void listen() throws Unusable {
+    private void listen() throws InvalidConfigurationException {
         try {
             edge.listen(address(started.rest(), "listen"), started.sockets() - OTHER_DESCRIPTORS - calls());
         } catch (IOException e) {
-            throw new Unusable("cannot listen on " + started.rest().get("listen") + ": " + e.getMessage());
+            throw new InvalidConfigurationException(
+                    "cannot listen on " + started.rest().get("listen") + ": " + e.getMessage());
         }
-        loop.every(Heartbeats.PERIOD, this::beat);
+        loop.every(HeartbeatSender.PERIOD, this::beat);
         loop.every(COMPARE, clock::compare);
     }
 
@@ -135,39 +137,40 @@
         }
     }
 
-    static double number(Map<String, String> rest, String name, double absent) throws Unusable {
+    static double number(Map<String, String> rest, String name, double absent) throws InvalidConfigurationException {
         try {
-            return Stated.number(rest, name, absent);
+            return SettingsTranslator.number(rest, name, absent);
         } catch (NumberFormatException e) {
-            throw new Unusable("the configuration's " + name + " is " + rest.get(name) + "; allowed: a number");
+            throw new InvalidConfigurationException(
+                    "the configuration's " + name + " is " + rest.get(name) + "; allowed: a number");
         }
     }
 
-    static InetSocketAddress address(Map<String, String> rest, String name) throws Unusable {
+    static InetSocketAddress address(Map<String, String> rest, String name) throws InvalidConfigurationException {
         String text = rest.get(name);
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0
                 || !text.substring(colon + 1).matches("[0-9]{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > 65535) {
-            throw new Unusable("the configuration's " + name + (text == null ? " is missing" : " is " + text)
-                    + "; allowed: ADDRESS:PORT");
+            throw new InvalidConfigurationException("the configuration's " + name
+                    + (text == null ? " is missing" : " is " + text) + "; allowed: ADDRESS:PORT");
         }
         InetSocketAddress address =
                 new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         if (address.isUnresolved()) {
-            throw new Unusable("the configuration's " + name + " is not known: " + text);
+            throw new InvalidConfigurationException("the configuration's " + name + " is not known: " + text);
         }
         return address;
     }
 
     static int main(Map<String, String> environment) {
         // Before anything else: a SIGHUP that nobody handles ends the runtime.
-        return main(environment, Signals.ofProcess(), new Log(System.out, Instant::now), System.err);
+        return main(environment, ProcessSignals.ofProcess(), new Log(System.out, Instant::now), System.err);
     }
 
-    private static int main(Map<String, String> environment, Signals signals, Log log, PrintStream console) {
+    private static int main(Map<String, String> environment, ProcessSignals signals, Log log, PrintStream console) {
         try {
-            Serve serve = new Serve(environment, log, System.nanoTime());
+            ServeCommand serve = new ServeCommand(environment, log, System.nanoTime());
             if (!signals.receive(serve)) {
                 return 0;
             }
@@ -176,7 +179,7 @@
             log.info(serve.rehearsed);
             serve.loop.run();
             return 0;
-        } catch (Unusable | IOException e) {
+        } catch (InvalidConfigurationException | IOException e) {
             console.println(("merlinlever: " + inFile(environment) + e.getMessage()).replaceAll("\\p{Cntrl}", " "));
             return 1;
         } finally {
@@ -211,7 +214,7 @@
             readingAgain = null;
         }
         try {
-            Configuration read = Configuration.read(environment);
+            ServeConfiguration read = ServeConfiguration.read(environment);
             if (recovering != null) {
                 recovering.reread(read.rest());
             }
@@ -224,7 +227,7 @@
             assembly.records.moveTo(read.records());
             heartbeats.moveTo(read.lookup());
             beat();
-        } catch (Unusable e) {
+        } catch (InvalidConfigurationException e) {
             // One line, however often it is read, and one more where it is whole at last and can't be used for another
             // cause.
             boolean last = readings <= 1;
@@ -240,7 +243,7 @@
 
     private void leave() {
         Duration stop = started.stopAfter().minus(LAST_WRITES);
-        Duration grace = Duration.ofMillis((long) Stated.number(started.given(), "rules.drain-grace", 0));
+        Duration grace = Duration.ofMillis((long) SettingsTranslator.number(started.given(), "rules.drain-grace", 0));
         if (recovering != null) {
             recovering.leave();
         }
--- a/src/main/java/merlinlever/cli/Configuration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -12,8 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import merlinlever.core.SettingsCheck;
-import merlinlever.core.Stated;
+import merlinlever.core.SettingsTranslator;
+import merlinlever.core.SettingsValidator;
 import merlinlever.json.Json;
 
 /**
@@ -26,7 +26,7 @@
  * @param stopAfter the notice to leave
  * @param remarks what is not known, or missing and assumed, one line each
  */
-record Configuration(
+record ServeConfiguration(
         Map<String, String> rest,
         Map<String, String> given,
         InetSocketAddress agent,
@@ -48,15 +48,15 @@
     static final int LEAST_SOCKETS = 32;
 
     /** Reads the file that the environment names. */
-    static Configuration read(Map<String, String> environment) throws Serve.Unusable {
+    static ServeConfiguration read(Map<String, String> environment) throws ServeCommand.InvalidConfigurationException {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
-            throw new Serve.Unusable("GW_CONFIG names no configuration");
+            throw new ServeCommand.InvalidConfigurationException("GW_CONFIG names no configuration");
         }
         try (InputStream in = Files.newInputStream(Path.of(file))) {
             byte[] bytes = in.readNBytes(LONGEST + 1);
             if (bytes.length > LONGEST) {
-                throw new Serve.Unusable("is longer than " + LONGEST + " bytes");
+                throw new ServeCommand.InvalidConfigurationException("is longer than " + LONGEST + " bytes");
             }
             return of(
                     Json.object(StandardCharsets.UTF_8
@@ -65,24 +65,27 @@
                             .toString()),
                     environment);
         } catch (CharacterCodingException e) {
-            throw new Serve.Unusable("is not UTF-8");
+            throw new ServeCommand.InvalidConfigurationException("is not UTF-8");
         } catch (IOException e) {
-            throw new Serve.Unusable("cannot be read: " + e.getClass().getSimpleName());
-        } catch (Json.Malformed e) {
-            throw new Serve.Unusable("is no JSON object: " + e.getMessage());
+            throw new ServeCommand.InvalidConfigurationException(
+                    "cannot be read: " + e.getClass().getSimpleName());
+        } catch (Json.MalformedJsonException e) {
+            throw new ServeCommand.InvalidConfigurationException("is no JSON object: " + e.getMessage());
         }
     }
 
-    private static Configuration of(Map<?, ?> configuration, Map<String, String> environment) throws Serve.Unusable {
+    private static ServeConfiguration of(Map<?, ?> configuration, Map<String, String> environment)
+            throws ServeCommand.InvalidConfigurationException {
         Map<String, String> rest = Json.flat(configuration);
         Map<String, String> stated = configuration.get("settings") instanceof Map<?, ?> map ? Json.flat(map) : Map.of();
-        Serve.address(rest, "listen");
-        SettingsCheck check = new SettingsCheck(stated);
+        ServeCommand.address(rest, "listen");
+        SettingsValidator check = new SettingsValidator(stated);
         InetSocketAddress records = rest.containsKey("records") ? party(rest, "records") : null;
         InetSocketAddress agent = party(rest, "agent");
         InetSocketAddress lookup = party(rest, "lookup");
         if (!check.problems().isEmpty()) {
-            throw new Serve.Unusable(check.problems().get(0));
+            throw new ServeCommand.InvalidConfigurationException(
+                    check.problems().get(0));
         }
         double stopMs = ranged(rest, "stop_ms", USUAL_STOP_MS, 0, LONGEST_STOP_MS);
         int sockets = (int) ranged(rest, "limits.sockets", USUAL_SOCKETS, LEAST_SOCKETS, 1e9);
@@ -95,16 +98,16 @@
         assumed(missing, hex, "a seed of 1 to 16 hex digits (one made of the name)");
         assumed(missing, !name.isEmpty(), "name (reports name nobody)");
         List<String> remarks = new ArrayList<>();
-        List<String> unknown = Stated.unknown(stated);
+        List<String> unknown = SettingsTranslator.unknown(stated);
         if (!unknown.isEmpty()) {
             remarks.add("settings that are not known: " + String.join(" ", unknown));
         }
         if (!missing.isEmpty()) {
             remarks.add("missing, and assumed: " + String.join(", ", missing));
         }
-        return new Configuration(
+        return new ServeConfiguration(
                 rest,
-                Stated.translate(stated),
+                SettingsTranslator.translate(stated),
                 agent,
                 records,
                 lookup,
@@ -122,19 +125,21 @@
     }
 
     /** The address of a party, which is one that can be connected to. */
-    private static InetSocketAddress party(Map<String, String> rest, String name) throws Serve.Unusable {
-        InetSocketAddress address = Serve.address(rest, name);
+    private static InetSocketAddress party(Map<String, String> rest, String name)
+            throws ServeCommand.InvalidConfigurationException {
+        InetSocketAddress address = ServeCommand.address(rest, name);
         if (address.getPort() == 0) {
-            throw new Serve.Unusable("the configuration's " + name + " has port 0; allowed: 1 to 65535");
+            throw new ServeCommand.InvalidConfigurationException(
+                    "the configuration's " + name + " has port 0; allowed: 1 to 65535");
         }
         return address;
     }
 
     private static double ranged(Map<String, String> rest, String name, double absent, double least, double most)
-            throws Serve.Unusable {
-        double number = Serve.number(rest, name, absent);
+            throws ServeCommand.InvalidConfigurationException {
+        double number = ServeCommand.number(rest, name, absent);
         if (!(number >= least && number <= most)) {
-            throw new Serve.Unusable("the configuration's " + name + " is " + rest.get(name)
+            throw new ServeCommand.InvalidConfigurationException("the configuration's " + name + " is " + rest.get(name)
                     + "; allowed: a number from " + (long) least + " to " + (long) most);
         }
         return number;
--- a/src/main/java/merlinlever/cli/Rehearsal.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -8,20 +8,20 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
-import merlinlever.agent.Lines;
+import merlinlever.agent.LineDecoder;
 import merlinlever.json.Json;
 import merlinlever.log.Log;
-import merlinlever.net.Clock;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
 
 /**
  * Takes the program's own code through some operations before the first real one, on connections in memory and with
  * everything of its own, so that the runtime has read and compiled it: on part of a core the first seconds of cold code
  * cost a good part of the operations that came in them.
  */
-final class Rehearsal {
+final class WarmUp {
 
     private static final Duration LONGEST = Duration.ofMillis(2500);
     /** From the beginning of the program; with what the first answers take it is to be ready in twice that. */
@@ -36,11 +36,11 @@
     private static final int BUFFER = 8 * 1024;
 
     private final Map<String, String> given;
-    private final Loop loop;
+    private final EventLoop loop;
     private int asked;
 
     /** What all stand-ins are: they say things on their connection, and what happens to it does not matter to them. */
-    private abstract static class StandIn implements Connection.Party {
+    private abstract static class StubPeer implements Connection.InMemoryPeer {
         private Connection connection;
 
         @Override
@@ -57,12 +57,12 @@
     }
 
     /** Runs each operation at once, with a call in it where there is someone to call. */
-    private static final class Agent extends StandIn {
-        private final Lines lines = new Lines(BUFFER * 8);
+    private static final class StubAgent extends StubPeer {
+        private final LineDecoder lines = new LineDecoder(BUFFER * 8);
         private final boolean calls;
         private int offset;
 
-        Agent(boolean calls) {
+        StubAgent(boolean calls) {
             this.calls = calls;
         }
 
@@ -84,7 +84,7 @@
                     case "deliver" -> numbered(done(request));
                     default -> {}
                 }
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
                 throw new IllegalStateException(e);
             }
         }
@@ -100,7 +100,7 @@
     }
 
     /** Answers each call at once. */
-    private static final class Records extends StandIn {
+    private static final class StubRecordsService extends StubPeer {
         @Override
         public void read(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
@@ -114,7 +114,7 @@
     }
 
     /** Asks for one operation after the other. */
-    private final class Caller extends StandIn {
+    private final class StubEdgeClient extends StubPeer {
         @Override
         public void read(ByteBuffer in) {
             // Answers come whole; the next message may follow each.
@@ -143,14 +143,16 @@
         }
     }
 
-    private Rehearsal(Map<String, String> given, boolean calls) {
+    private WarmUp(Map<String, String> given, boolean calls) {
         this.given = given;
-        loop = new Loop(
-                Clock.system(), failure -> {}, address -> address.equals(AGENT) ? new Agent(calls) : new Records());
+        loop = new EventLoop(
+                MonotonicClock.system(),
+                failure -> {},
+                address -> address.equals(AGENT) ? new StubAgent(calls) : new StubRecordsService());
         Log unheard = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
-        Assembly assembly = new Assembly(loop, given, 1, AGENT, RECORDS, 64, unheard);
+        BackendAssembly assembly = new BackendAssembly(loop, given, 1, AGENT, RECORDS, 64, unheard);
         for (int i = 0; i < CALLERS; i++) {
-            Caller caller = new Caller();
+            StubEdgeClient caller = new StubEdgeClient();
             assembly.edge.take(user -> Connection.pair(loop, user, caller, BUFFER, 8 * BUFFER));
             loop.in(Duration.ofMillis(5), caller::ask);
         }
@@ -171,7 +173,7 @@
             return 0;
         }
         long began = System.nanoTime();
-        Rehearsal rehearsal = new Rehearsal(given, calls);
+        WarmUp rehearsal = new WarmUp(given, calls);
         // Putting it together loads most of the classes: where processor is short that alone takes a second or more.
         rehearsal.loop.in(longest.minusNanos(System.nanoTime() - began), rehearsal.loop::stop);
         rehearsal.loop.run();
--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -6,14 +6,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
+import merlinlever.config.ConfigFile;
 import merlinlever.faults.AgentFleet;
-import merlinlever.faults.Harness;
+import merlinlever.faults.FaultHarness;
 import merlinlever.faults.PowerLoss;
 import merlinlever.faults.ServeFleet;
 import merlinlever.faults.disk.CrashStates;
-import merlinlever.faults.disk.Lay;
-import merlinlever.faults.script.Script;
-import merlinlever.sheet.Sheet;
+import merlinlever.faults.disk.StateRestorer;
+import merlinlever.faults.script.FaultScript;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -57,10 +57,10 @@
             throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        Script.Plan plan;
+        FaultScript.FaultPlan plan;
         try {
-            plan = Script.read(Sheet.read(script, "faults"));
-        } catch (Sheet.Unusable e) {
+            plan = FaultScript.read(ConfigFile.read(script, "faults"));
+        } catch (ConfigFile.InvalidConfigFileException e) {
             err.println(e.getMessage());
             return 2;
         }
@@ -69,7 +69,7 @@
                 err.println("merlinlever: --seed takes 1 to 16 hex digits, not " + seed);
                 return 2;
             }
-            plan = new Script.Plan(
+            plan = new FaultScript.FaultPlan(
                     plan.processes(), Long.parseUnsignedLong(seed, 16), plan.length(), plan.settle(), plan.steps());
         }
         if (Files.exists(folder) && !Files.isDirectory(folder)) {
@@ -78,7 +78,7 @@
         }
         try (AgentFleet fleet =
                 new AgentFleet(folder.toAbsolutePath(), plan.processes(), AgentFleet.sameJava(), plan.seed())) {
-            Harness harness = new Harness(fleet, plan.seed(), line -> {
+            FaultHarness harness = new FaultHarness(fleet, plan.seed(), line -> {
                 out.println(line);
                 out.flush();
             });
@@ -86,7 +86,7 @@
             out.println(plan.processes() + " agents answer; playing "
                     + plan.steps().size() + " steps over " + plan.length().toMillis() + " ms");
             out.flush();
-            Harness.Verdict verdict = harness.play(plan);
+            FaultHarness.HarnessResult verdict = harness.play(plan);
             out.println(verdict.told());
             return verdict.passed() ? 0 : 1;
         }
@@ -137,7 +137,7 @@
         int failed = 0;
         try (ServeFleet fleet = new ServeFleet(
                 folder.toAbsolutePath(),
-                new ServeFleet.Stated(processes, !without, 12, Duration.ofSeconds(4)),
+                new ServeFleet.ServeFleetSettings(processes, !without, 12, Duration.ofSeconds(4)),
                 AgentFleet.sameJava(),
                 first)) {
             PowerLoss power = new PowerLoss(fleet, Duration.ofSeconds(60), line -> {
@@ -145,9 +145,9 @@
                 out.flush();
             });
             power.begin();
-            PowerLoss.Kind[] kinds = PowerLoss.Kind.values();
+            PowerLoss.PowerLossKind[] kinds = PowerLoss.PowerLossKind.values();
             for (int i = 0; i < losses; i++) {
-                PowerLoss.Outcome outcome =
+                PowerLoss.PowerLossOutcome outcome =
                         power.play(kinds[(int) Long.remainderUnsigned(first + i, kinds.length)], first + i);
                 failed += outcome.breaches().isEmpty() ? 0 : 1;
             }
@@ -193,7 +193,7 @@
                         + state.how() + ", " + state.files().size() + " files");
                 if (into != null && failed[0] == null) {
                     try {
-                        Lay.into(into.resolve(String.format("%05d", n[0])), state);
+                        StateRestorer.into(into.resolve(String.format("%05d", n[0])), state);
                     } catch (IOException e) {
                         failed[0] = e;
                     }
@@ -205,7 +205,7 @@
             }
             out.println(told + " states of " + states.operations() + " operations");
             return 0;
-        } catch (CrashStates.Malformed e) {
+        } catch (CrashStates.MalformedRecordingException e) {
             spec.commandLine().getErr().println(record + ": " + e.getMessage());
             return 2;
         }
--- a/src/main/java/merlinlever/cli/fleet/AgentClient.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentClient.java
@@ -17,7 +17,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** What an agent answered; status 0 where it did not, and then why. */
-    record Answer(int status, JsonNode body, String why) {}
+    record AgentResponse(int status, JsonNode body, String why) {}
 
     private final String address;
     private final String secret;
@@ -40,13 +40,13 @@
         return address;
     }
 
-    Answer get(String path) {
+    AgentResponse get(String path) {
         return send(HttpRequest.newBuilder(uri(path)).GET());
     }
 
     /** Sent again where no answer came: an order is done once for its id. */
-    Answer order(JsonNode order) {
-        Answer answer = null;
+    AgentResponse order(JsonNode order) {
+        AgentResponse answer = null;
         for (int i = 0; i < TRIES && (answer == null || answer.status == 0); i++) {
             answer = send(
                     HttpRequest.newBuilder(uri("/orders")).POST(HttpRequest.BodyPublishers.ofString(order.toString())));
@@ -58,7 +58,7 @@
         return URI.create("http://" + address + path);
     }
 
-    private Answer send(HttpRequest.Builder request) {
+    private AgentResponse send(HttpRequest.Builder request) {
         try {
             HttpResponse<String> response = client.send(
                     request.timeout(PATIENCE)
@@ -66,14 +66,14 @@
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
             JsonNode body = JSON.readTree(response.body());
-            return new Answer(
+            return new AgentResponse(
                     response.statusCode(), body, body.path("error").asText("answers " + response.statusCode()));
         } catch (IOException e) {
-            return new Answer(
+            return new AgentResponse(
                     0, null, e instanceof java.net.ConnectException ? "cannot be reached" : "gives no answer");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new Answer(0, null, "interrupted");
+            return new AgentResponse(0, null, "interrupted");
         }
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/FleetCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetCommands.java
@@ -22,17 +22,17 @@
         synopsisSubcommandLabel = "COMMAND",
         description = "List, start, drain, stop and restart instances through their agents.",
         subcommands = {
-            FleetCommands.ListAll.class,
-            FleetCommands.Show.class,
-            FleetOrders.Start.class,
-            FleetOrders.Drain.class,
-            FleetOrders.Stop.class,
-            FleetOrders.Restart.class,
-            FleetRoll.class,
-            FleetCommands.Events.class,
-            FleetCommands.Watch.class,
-            FleetCommands.Budgets.class,
-            Recover.class
+            FleetCommands.ListCommand.class,
+            FleetCommands.ShowCommand.class,
+            OrderCommand.StartCommand.class,
+            OrderCommand.DrainCommand.class,
+            OrderCommand.StopCommand.class,
+            OrderCommand.RestartCommand.class,
+            RollCommand.class,
+            FleetCommands.EventsCommand.class,
+            FleetCommands.WatchCommand.class,
+            FleetCommands.QuotasCommand.class,
+            RecoverCommand.class
         })
 public final class FleetCommands implements Runnable {
 
@@ -53,9 +53,9 @@
             description = "List instances with their states, and how long ago each was heard.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
-    static final class ListAll extends FleetBase {
+    static final class ListCommand extends FleetSubcommand {
         @Mixin
-        private Which which;
+        private InstanceFilter which;
 
         @Override
         public Integer call() {
@@ -72,9 +72,9 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description = "Show everything that is known of instances, as JSON.")
-    static final class Show extends FleetBase {
+    static final class ShowCommand extends FleetSubcommand {
         @Mixin
-        private Which which;
+        private InstanceFilter which;
 
         @Override
         public Integer call() {
@@ -99,12 +99,12 @@
             description = "Show each backend's share of the limits of the whole fleet, how old that is, and the sum.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
-    static final class Budgets extends FleetBase {
+    static final class QuotasCommand extends FleetSubcommand {
         @Override
         public Integer call() {
             List<String> silent = new ArrayList<>();
             List<JsonNode> instances = instances(where.clients(spec), silent);
-            if (where.form == Form.json) {
+            if (where.form == OutputFormat.json) {
                 ArrayNode array = JSON.createArrayNode();
                 instances.forEach(instance -> instance.path("told")
                         .path("shares")
@@ -154,9 +154,9 @@
             name = "watch",
             mixinStandardHelpOptions = true,
             description = "Show the list again each second, until it is interrupted.")
-    static final class Watch extends FleetBase {
+    static final class WatchCommand extends FleetSubcommand {
         @Mixin
-        private Which which;
+        private InstanceFilter which;
 
         @Option(names = "--times", paramLabel = "N", description = "so often, then end (default: until interrupted)")
         private int times = Integer.MAX_VALUE;
@@ -168,7 +168,7 @@
                 List<String> silent = new ArrayList<>();
                 List<JsonNode> found =
                         instances(clients, silent).stream().filter(which::takes).toList();
-                if (where.form == Form.table && System.console() != null) {
+                if (where.form == OutputFormat.table && System.console() != null) {
                     out().print("\033[H\033[2J");
                 }
                 print(found);
@@ -183,7 +183,7 @@
 
     /** What happened. */
     @Command(name = "events", mixinStandardHelpOptions = true, description = "Show what has happened, oldest first.")
-    static final class Events extends FleetBase {
+    static final class EventsCommand extends FleetSubcommand {
         @Override
         public Integer call() {
             List<String> silent = new ArrayList<>();
@@ -191,7 +191,7 @@
             rows.add(new String[] {"AGO", "HOST", "INSTANCE", "WHAT"});
             ArrayNode all = JSON.createArrayNode();
             for (AgentClient client : where.clients(spec)) {
-                AgentClient.Answer answer = client.get("/events");
+                AgentClient.AgentResponse answer = client.get("/events");
                 if (answer.status() != 200) {
                     silent.add("agent " + client.address() + ": " + answer.why());
                     continue;
@@ -210,7 +210,7 @@
                             .put("host", answer.body().path("host").asText()));
                 }
             }
-            if (where.form == Form.json) {
+            if (where.form == OutputFormat.json) {
                 out().println(all.toPrettyString());
             } else {
                 table(rows);
--- a/src/main/java/merlinlever/cli/fleet/FleetBase.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetSubcommand.java
@@ -22,12 +22,12 @@
 import picocli.CommandLine.Spec;
 
 /** What all commands here share. */
-abstract class FleetBase implements Callable<Integer> {
+abstract class FleetSubcommand implements Callable<Integer> {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** Which agents, and how their answers are shown. */
-    static final class Where {
+    static final class AgentOptions {
         @Option(
                 names = "--agent",
                 paramLabel = "ADDRESS:PORT",
@@ -43,7 +43,7 @@
         private Path secretFile;
 
         @Option(names = "--output", paramLabel = "FORM", description = "table or json (default: table)")
-        Form form = Form.table;
+        OutputFormat form = OutputFormat.table;
 
         List<AgentClient> clients(CommandSpec spec) {
             try {
@@ -65,7 +65,7 @@
     }
 
     /** Which instances; all conditions have to hold. */
-    static final class Which {
+    static final class InstanceFilter {
         @Parameters(paramLabel = "NAME", arity = "0..*", description = "instances, by name")
         List<String> names = List.of();
 
@@ -109,7 +109,7 @@
     }
 
     /** The forms of output. */
-    enum Form {
+    enum OutputFormat {
         table,
         json
     }
@@ -118,7 +118,7 @@
     CommandSpec spec;
 
     @Mixin
-    Where where;
+    AgentOptions where;
 
     PrintWriter out() {
         return spec.commandLine().getOut();
@@ -135,7 +135,7 @@
         Map<String, Long> ages = new LinkedHashMap<>();
         Map<String, String> unknown = new LinkedHashMap<>();
         for (AgentClient client : clients) {
-            AgentClient.Answer answer = client.get("/fleet");
+            AgentClient.AgentResponse answer = client.get("/fleet");
             if (answer.status() != 200) {
                 silent.add("agent " + client.address() + ": " + answer.why());
                 continue;
@@ -170,7 +170,7 @@
     }
 
     void print(List<JsonNode> instances) {
-        if (where.form == Form.json) {
+        if (where.form == OutputFormat.json) {
             ArrayNode array = JSON.createArrayNode();
             instances.forEach(array::add);
             out().println(array.toPrettyString());
--- a/src/main/java/merlinlever/cli/fleet/Host.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -14,44 +14,44 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
-import merlinlever.durable.Folder;
-import merlinlever.durable.Folders;
-import merlinlever.host.disk.Ledger;
-import merlinlever.host.front.HostFront;
+import merlinlever.config.ConfigFile;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.host.front.HostApiServer;
 import merlinlever.host.run.HostAgent;
-import merlinlever.host.run.Hosted;
-import merlinlever.host.run.Neighbours;
-import merlinlever.host.state.Keeper;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.sheet.Sheet;
+import merlinlever.host.run.InstanceSpec;
+import merlinlever.host.run.PeerAgents;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.storage.StateDirectories;
+import merlinlever.storage.StateDirectory;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Puts the agent of one machine together and runs it. */
-final class Host {
+final class HostAgentProcess {
 
     private static final Logger LOG = LoggerFactory.getLogger("host");
     private static final Duration ANSWERED = Duration.ofMillis(20);
     /** After a power loss all machines begin at once: what each launches is spread over so long. */
     private static final Duration SPREAD = Duration.ofMillis(500);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HostAgent agent;
-    private final HostFront front;
+    private final HostApiServer front;
     /** Null where there are no other agents. */
-    private final Rejoin rejoin;
+    private final RecoveryCoordinator rejoin;
 
     private final boolean drain;
     private final Duration stop;
     private final CountDownLatch over = new CountDownLatch(1);
 
-    Host(Sheet sheet, boolean drain) throws Sheet.Unusable {
+    HostAgentProcess(ConfigFile sheet, boolean drain) throws ConfigFile.InvalidConfigFileException {
         this.drain = drain;
         stop = sheet.span("stop", Duration.ofSeconds(drain ? 60 : 5));
-        List<Hosted> hosted = new ArrayList<>();
+        List<InstanceSpec> hosted = new ArrayList<>();
         Set<String> names = new HashSet<>();
         Set<InetSocketAddress> places = new HashSet<>();
         Path state = sheet.path("state", "state");
@@ -66,7 +66,7 @@
         }
         for (int kind = 0; kind < sheet.size("kinds"); kind++) {
             for (int n = 1; n <= sheet.number("kinds." + kind + ".count", 1); n++) {
-                Hosted one = hosted(sheet, "kinds." + kind, n, state);
+                InstanceSpec one = hosted(sheet, "kinds." + kind, n, state);
                 if (!names.add(one.name())) {
                     throw sheet.fault("kinds." + kind + ".name", "an instance " + one.name() + " is there already");
                 }
@@ -80,8 +80,8 @@
             }
         }
         long seed = Long.parseUnsignedLong(sheet.text("seed", Long.toHexString(System.nanoTime())), 16);
-        Keeper.Stated usual = Keeper.Stated.USUAL;
-        Keeper.Stated stated = new Keeper.Stated(
+        InstanceSupervisor.SupervisorSettings usual = InstanceSupervisor.SupervisorSettings.USUAL;
+        InstanceSupervisor.SupervisorSettings stated = new InstanceSupervisor.SupervisorSettings(
                 usual.firstPause(),
                 usual.longestPause(),
                 usual.steadyAfter(),
@@ -89,12 +89,12 @@
                 usual.budgetSpan(),
                 sheet.span("silent-after", usual.silentAfter()));
         try {
-            Clock clock = Clock.system();
-            loop = new Loop(clock, failure -> LOG.error("failed", failure));
-            Folder folder = Folders.open(state, System.getenv());
-            Ledger ledger = new Ledger(folder);
+            MonotonicClock clock = MonotonicClock.system();
+            loop = new EventLoop(clock, failure -> LOG.error("failed", failure));
+            StateDirectory folder = StateDirectories.open(state, System.getenv());
+            InstanceLedger ledger = new InstanceLedger(folder);
             String name = sheet.text("name", "");
-            Neighbours neighbours = null;
+            PeerAgents neighbours = null;
             if (sheet.has("members")) {
                 String api = sheet.text("listen", "");
                 if (api.endsWith(":0")) {
@@ -102,30 +102,30 @@
                 }
                 // Others send to the address it tells, which is its own unless something stands between (the fault
                 // harness).
-                Rejoin.Place place = new Rejoin.Place(
+                RecoveryCoordinator.NodeSettings place = new RecoveryCoordinator.NodeSettings(
                         name,
                         address(sheet.text("members.listen", "")),
                         sheet.has("members.advertise") ? sheet.text("members.advertise", "") : null,
                         api,
                         sheet.texts("members.seeds"),
                         secret);
-                rejoin = new Rejoin(
+                rejoin = new RecoveryCoordinator(
                         loop,
                         folder,
                         place,
-                        Return.Stated.usual(Duration.ZERO),
+                        RecoverySequence.RecoverySettings.usual(Duration.ZERO),
                         Duration.ZERO,
                         seed,
                         System::currentTimeMillis,
-                        Rejoin.Service.NONE,
+                        RecoveryCoordinator.RecoveringService.NONE,
                         line -> LOG.info("{}", line));
-                neighbours = new Neighbours(loop, rejoin.members(), secret);
+                neighbours = new PeerAgents(loop, rejoin.members(), secret);
             } else {
                 rejoin = null;
             }
             agent = new HostAgent(
                     loop, ledger, hosted, stated, sheet.span("spread", SPREAD), new SplittableRandom(seed), LOG::info);
-            front = new HostFront(
+            front = new HostApiServer(
                     loop,
                     address(sheet.text("listen", "")),
                     name,
@@ -136,10 +136,10 @@
                     stop.dividedBy(5),
                     seed,
                     LOG::info);
-        } catch (Ledger.Spoilt e) {
-            throw new Sheet.Unusable(e.getMessage());
+        } catch (InstanceLedger.CorruptLedgerException e) {
+            throw new ConfigFile.InvalidConfigFileException(e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
-            throw new Sheet.Unusable(sheet.file() + ": " + e.getMessage());
+            throw new ConfigFile.InvalidConfigFileException(sheet.file() + ": " + e.getMessage());
         }
     }
 
@@ -149,7 +149,8 @@
                 InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private static Hosted hosted(Sheet sheet, String at, int n, Path state) throws Sheet.Unusable {
+    private static InstanceSpec hosted(ConfigFile sheet, String at, int n, Path state)
+            throws ConfigFile.InvalidConfigFileException {
         String name = sheet.text(at + ".name", "") + "-" + n;
         Path folder = state.resolve(name);
         Map<String, String> words = new LinkedHashMap<>();
@@ -159,7 +160,7 @@
         words.put("{budgets}", sheet.json("budgets"));
         words.put(
                 "{program}",
-                new java.io.File(Host.class
+                new java.io.File(HostAgentProcess.class
                                 .getProtectionDomain()
                                 .getCodeSource()
                                 .getLocation()
@@ -196,9 +197,10 @@
                 Files.writeString(path, filled(file.getValue(), words));
             }
         } catch (IOException e) {
-            throw new Sheet.Unusable(sheet.file() + ": state: " + folder + " cannot be written: " + e.getMessage());
+            throw new ConfigFile.InvalidConfigFileException(
+                    sheet.file() + ": state: " + folder + " cannot be written: " + e.getMessage());
         }
-        return new Hosted(
+        return new InstanceSpec(
                 name,
                 sheet.text(at + ".name", ""),
                 sheet.pairs(at + ".labels"),
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -2,8 +2,8 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import merlinlever.cli.Logging;
-import merlinlever.sheet.Sheet;
+import merlinlever.cli.LoggingSetup;
+import merlinlever.config.ConfigFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -16,7 +16,7 @@
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
         description = "The agent that keeps the instances of one machine.",
-        subcommands = HostCommands.Run.class)
+        subcommands = HostCommands.HostRunCommand.class)
 public final class HostCommands implements Runnable {
 
     @Spec
@@ -35,7 +35,7 @@
                     "Keep the instances that a file describes. SIGTERM ends the agent and leaves them running; the next agent takes them over.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
-    static final class Run implements Callable<Integer> {
+    static final class HostRunCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -50,15 +50,15 @@
         private boolean drain;
 
         @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
-        private Logging.Form form = Logging.Form.text;
+        private LoggingSetup.LogFormat form = LoggingSetup.LogFormat.text;
 
         @Override
         public Integer call() {
-            Logging.start(form);
+            LoggingSetup.start(form);
             try {
-                new Host(Sheet.read(file, "host-run"), drain).run();
+                new HostAgentProcess(ConfigFile.read(file, "host-run"), drain).run();
                 return 0;
-            } catch (Sheet.Unusable e) {
+            } catch (ConfigFile.InvalidConfigFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
                 return 1;
             }
--- a/src/main/java/merlinlever/cli/fleet/FleetOrders.java
+++ b/src/main/java/merlinlever/cli/fleet/OrderCommand.java
@@ -17,12 +17,12 @@
 import picocli.CommandLine.Option;
 
 /** What the orders share. */
-abstract class FleetOrders extends FleetBase {
+abstract class OrderCommand extends FleetSubcommand {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Mixin
-    Which which;
+    InstanceFilter which;
 
     @Option(names = "--wait", description = "until it has happened, or cannot")
     boolean wait;
@@ -100,7 +100,7 @@
             ArrayNode names = order.putArray("names");
             byAgent.get(client.address())
                     .forEach(instance -> names.add(instance.path("name").asText()));
-            AgentClient.Answer answer = client.order(order);
+            AgentClient.AgentResponse answer = client.order(order);
             if (answer.status() == 200) {
                 orders.put(client, answer.body());
             } else {
@@ -149,7 +149,7 @@
             }
             Thread.sleep(200);
             orders.replaceAll((client, order) -> {
-                AgentClient.Answer answer = client.get("/orders/" + base);
+                AgentClient.AgentResponse answer = client.get("/orders/" + base);
                 return answer.status() == 200 ? answer.body() : order;
             });
         }
@@ -160,7 +160,7 @@
             name = "start",
             mixinStandardHelpOptions = true,
             description = "Start instances. With --wait until they serve.")
-    static final class Start extends FleetOrders {
+    static final class StartCommand extends OrderCommand {
         @Override
         String verb() {
             return "start";
@@ -172,7 +172,7 @@
             name = "drain",
             mixinStandardHelpOptions = true,
             description = "Tell instances to leave: they answer what they have read, then end.")
-    static final class Drain extends FleetOrders {
+    static final class DrainCommand extends OrderCommand {
         @Override
         String verb() {
             return "drain";
@@ -184,7 +184,7 @@
             name = "stop",
             mixinStandardHelpOptions = true,
             description = "Stop instances. One that still answers what it has read is waited for, but with --now.")
-    static final class Stop extends FleetOrders {
+    static final class StopCommand extends OrderCommand {
         @Option(names = "--now", description = "end them at once; says how many operations are lost by it and asks")
         private boolean now;
 
@@ -232,7 +232,7 @@
             name = "restart",
             mixinStandardHelpOptions = true,
             description = "Drain instances and start them again. With --wait until they serve.")
-    static final class Restart extends FleetOrders {
+    static final class RestartCommand extends OrderCommand {
         @Override
         String verb() {
             return "restart";
--- a/src/main/java/merlinlever/cli/fleet/Recover.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -6,11 +6,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import merlinlever.durable.DiskFolder;
-import merlinlever.durable.Folder;
-import merlinlever.host.disk.Ledger;
-import merlinlever.recovery.Trust;
-import merlinlever.recovery.disk.Store;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.recovery.PersistedStateAssessor;
+import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.storage.StateDirectory;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -29,7 +29,7 @@
             "1:something is thrown away or cannot be looked at",
             "2:wrong usage"
         })
-final class Recover implements Callable<Integer> {
+final class RecoverCommand implements Callable<Integer> {
 
     @Spec
     private CommandSpec spec;
@@ -62,7 +62,7 @@
                 whole = false;
                 continue;
             }
-            try (Folder folder = new DiskFolder(path)) {
+            try (StateDirectory folder = new FileStateDirectory(path)) {
                 out.println(path);
                 whole &= look(folder, out);
             } catch (IOException e) {
@@ -78,24 +78,26 @@
         return whole ? 0 : 1;
     }
 
-    private boolean look(Folder folder, PrintWriter out) throws IOException {
-        Store.Found found = new Store(folder).read();
+    private boolean look(StateDirectory folder, PrintWriter out) throws IOException {
+        RecoveryFile.LoadResult found = new RecoveryFile(folder).read();
         String whose =
                 owner != null || found.memory() == null ? owner : found.memory().owner();
-        Trust.Verdict verdict = Trust.judge(found.memory(), found.spoilt(), whose, System.currentTimeMillis());
+        PersistedStateAssessor.TrustedState verdict =
+                PersistedStateAssessor.judge(found.memory(), found.spoilt(), whose, System.currentTimeMillis());
         boolean whole = true;
         if (found.memory() != null) {
             out.println("  owner: " + found.memory().owner());
         }
-        for (Trust.Finding finding : verdict.findings()) {
+        for (PersistedStateAssessor.Finding finding : verdict.findings()) {
             out.println("  " + finding.told());
-            whole &= finding.belief() != Trust.Belief.THROWN_AWAY;
+            whole &= finding.belief() != PersistedStateAssessor.Disposition.THROWN_AWAY;
         }
         if (folder.has("instances")) {
             try {
-                out.println("  instances: kept, " + new Ledger(folder).names().size()
+                out.println("  instances: kept, "
+                        + new InstanceLedger(folder).names().size()
                         + " noted; a process that still runs is taken over, others that are wanted are launched");
-            } catch (Ledger.Spoilt e) {
+            } catch (InstanceLedger.CorruptLedgerException e) {
                 out.println("  instances: " + e.getMessage());
                 whole = false;
             }
--- a/src/main/java/merlinlever/cli/fleet/FleetRoll.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.UUID;
 import merlinlever.WireNamed;
-import merlinlever.host.state.Keeper;
-import merlinlever.host.state.Roll;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.RollingRestart;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -24,12 +24,12 @@
                         + "and callers are not worse off. Interrupted or stopped, it says what was done and begins nothing more.",
         exitCodeListHeading = "%nExit status:%n",
         exitCodeList = {"0:all were restarted and serve", "1:it was stopped; the reason is told", "2:wrong usage"})
-final class FleetRoll extends FleetBase {
+final class RollCommand extends FleetSubcommand {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Mixin
-    private Which which;
+    private InstanceFilter which;
 
     @Option(names = "--batch", paramLabel = "N", description = "restarted at once at the most (default: 1)")
     private int batch = 1;
@@ -61,18 +61,20 @@
     @Option(names = "--dry-run", description = "show which instances it would be, in their order, and restart nothing")
     private boolean dryRun;
 
-    private volatile Roll roll;
+    private volatile RollingRestart roll;
 
-    private static Roll.Seen seen(JsonNode instance) {
+    private static RollingRestart.InstanceObservation seen(JsonNode instance) {
         JsonNode told = instance.path("told");
         long turnedAway = told.path("brokenOff").asLong();
         for (JsonNode count : told.path("pushedBack")) {
             turnedAway += count.asLong();
         }
-        return new Roll.Seen(
+        return new RollingRestart.InstanceObservation(
                 instance.path("name").asText(),
                 instance.path("host").asText(),
-                WireNamed.parse(Keeper.State.class, instance.path("state").asText()),
+                WireNamed.parse(
+                        InstanceSupervisor.InstanceState.class,
+                        instance.path("state").asText()),
                 instance.path("launches").asLong(),
                 turnedAway);
     }
@@ -112,21 +114,22 @@
             out().flush();
             return 0;
         }
-        roll = new Roll(
-                new Roll.Stated(
+        roll = new RollingRestart(
+                new RollingRestart.RollingRestartSettings(
                         batch, mostAway / 100.0, Duration.ofSeconds(warmWithin), Duration.ofSeconds(watch), worse),
                 chosen.stream().map(instance -> instance.path("name").asText()).toList());
         Thread interrupted = new Thread(this::tellDone);
         Runtime.getRuntime().addShutdownHook(interrupted);
         long began = System.nanoTime();
         String shown = "";
-        while (roll.phase() != Roll.Phase.DONE && roll.phase() != Roll.Phase.STOPPED) {
+        while (roll.phase() != RollingRestart.RolloutPhase.DONE
+                && roll.phase() != RollingRestart.RolloutPhase.STOPPED) {
             List<JsonNode> fleet = instances(clients, new ArrayList<>());
             List<String> next = fleet.isEmpty()
                     ? List.of()
                     : roll.settle(
                             Duration.ofNanos(System.nanoTime() - began),
-                            fleet.stream().map(FleetRoll::seen).toList());
+                            fleet.stream().map(RollCommand::seen).toList());
             if (!next.isEmpty()) {
                 out().println("restarting " + String.join(", ", next) + "; "
                         + roll.done().size() + " of " + chosen.size() + " done");
@@ -144,12 +147,12 @@
             Thread.sleep(300);
         }
         Runtime.getRuntime().removeShutdownHook(interrupted);
-        if (roll.phase() == Roll.Phase.STOPPED) {
+        if (roll.phase() == RollingRestart.RolloutPhase.STOPPED) {
             err().println("stopped: " + roll.why());
             err().flush();
         }
         tellDone();
-        return roll.phase() == Roll.Phase.DONE ? 0 : 1;
+        return roll.phase() == RollingRestart.RolloutPhase.DONE ? 0 : 1;
     }
 
     private boolean order(AgentClient any, List<JsonNode> fleet, List<String> names) {
@@ -165,7 +168,7 @@
                 .put("verb", "restart")
                 .put("now", false);
         names.forEach(order.putArray("names")::add);
-        AgentClient.Answer answer = any.at(agent).order(order);
+        AgentClient.AgentResponse answer = any.at(agent).order(order);
         if (answer.status() != 200) {
             err().println("agent " + agent + ": " + answer.why() + "; stopped");
             err().flush();
--- a/src/main/java/merlinlever/cli/zone/ZoneApply.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneApplyRunner.java
@@ -7,38 +7,38 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.zone.client.Applier;
-import merlinlever.zone.client.Asker;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.state.Plan;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.zone.client.DnsClient;
+import merlinlever.zone.client.ZoneApplier;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.state.UpdatePlan;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.wire.Tsig;
 
 /** Carries out {@code zone apply} and tells the person who asked how it goes. */
-final class ZoneApply implements Applier.Watcher {
+final class ZoneApplyRunner implements ZoneApplier.ProgressListener {
 
     private final Zone wanted;
     private final Path file;
     private final InetSocketAddress server;
-    private final Tsig.Key key;
+    private final Tsig.TsigKey key;
     private final Duration patience;
     private final boolean dryRun;
     private final PrintWriter out;
     private final PrintWriter err;
-    private Loop loop;
+    private EventLoop loop;
     private volatile int planned = -1;
     private volatile int done;
     private volatile boolean over;
-    private List<Plan.Batch> batches = List.of();
+    private List<UpdatePlan.Batch> batches = List.of();
     private int status;
 
-    ZoneApply(
+    ZoneApplyRunner(
             Zone wanted,
             Path file,
             InetSocketAddress server,
-            Tsig.Key key,
+            Tsig.TsigKey key,
             Duration patience,
             boolean dryRun,
             PrintWriter out,
@@ -62,15 +62,16 @@
             }
         });
         Runtime.getRuntime().addShutdownHook(stopped);
-        Asker asker;
+        DnsClient asker;
         try {
-            loop = new Loop(Clock.system(), failure -> ended(done, "failed: " + failure));
-            asker = new Asker(loop, new SplittableRandom(System.nanoTime()), () -> System.currentTimeMillis() / 1000);
+            loop = new EventLoop(MonotonicClock.system(), failure -> ended(done, "failed: " + failure));
+            asker = new DnsClient(
+                    loop, new SplittableRandom(System.nanoTime()), () -> System.currentTimeMillis() / 1000);
         } catch (IOException e) {
             err.println("no socket: " + e.getMessage());
             return 1;
         }
-        loop.execute(() -> Applier.start(asker, server, key, patience, wanted, dryRun, this));
+        loop.execute(() -> ZoneApplier.start(asker, server, key, patience, wanted, dryRun, this));
         loop.run();
         asker.close();
         out.flush();
@@ -79,13 +80,14 @@
     }
 
     @Override
-    public void planned(Zone live, List<Plan.Batch> made) {
+    public void planned(Zone live, List<UpdatePlan.Batch> made) {
         batches = made;
         planned = made.size();
-        out.println(Names.text(live.origin()) + ": serial " + live.serial() + " live, " + made.size() + " updates, "
+        out.println(DomainNames.text(live.origin()) + ": serial " + live.serial() + " live, " + made.size()
+                + " updates, "
                 + made.stream().mapToInt(batch -> batch.removed().size()).sum() + " records out, "
                 + made.stream().mapToInt(batch -> batch.added().size()).sum() + " in");
-        for (Plan.Batch batch : made) {
+        for (UpdatePlan.Batch batch : made) {
             batch.removed().forEach(rec -> out.println("- " + rec));
             batch.added().forEach(rec -> out.println("+ " + rec));
         }
--- a/src/main/java/merlinlever/cli/zone/ZoneCommands.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneCommands.java
@@ -6,11 +6,11 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.Callable;
-import merlinlever.cli.Logging;
-import merlinlever.sheet.Sheet;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
+import merlinlever.cli.LoggingSetup;
+import merlinlever.config.ConfigFile;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Difference;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.text.ZoneFile;
@@ -29,11 +29,11 @@
         synopsisSubcommandLabel = "COMMAND",
         description = "DNS zones: read, compare, serve, update, and follow the live fleet.",
         subcommands = {
-            ZoneCommands.Check.class,
-            ZoneCommands.Diff.class,
-            ZoneCommands.Apply.class,
-            ZoneCommands.ServeZones.class,
-            ZoneCommands.Follow.class
+            ZoneCommands.ZoneCheckCommand.class,
+            ZoneCommands.ZoneDiffCommand.class,
+            ZoneCommands.ZoneApplyCommand.class,
+            ZoneCommands.ZoneServeCommand.class,
+            ZoneCommands.ZoneFollowCommand.class
         })
 public final class ZoneCommands implements Runnable {
 
@@ -46,7 +46,7 @@
     }
 
     /** What several commands share. */
-    abstract static class Base implements Callable<Integer> {
+    abstract static class ZoneSubcommand implements Callable<Integer> {
         @Spec
         CommandSpec spec;
 
@@ -61,8 +61,8 @@
         /** The origin as it was given, or null; a bad one is bad usage. */
         byte[] origin(String text) {
             try {
-                return text == null ? null : Names.absolute(text);
-            } catch (Malformed e) {
+                return text == null ? null : DomainNames.absolute(text);
+            } catch (MalformedDnsException e) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "--origin: " + e.getMessage());
             }
         }
@@ -76,7 +76,7 @@
                     "Read zone files as zone serve would. One line for each good one; the faults go to standard error.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"0:all are good", "1:at least one is not", "2:wrong usage"})
-    static final class Check extends Base {
+    static final class ZoneCheckCommand extends ZoneSubcommand {
         @Parameters(paramLabel = "FILE", arity = "1..*", description = "zone files")
         private List<Path> files;
 
@@ -92,7 +92,7 @@
             for (Path file : files) {
                 try {
                     out().println(summary(ZoneFile.read(file, origin(origin))));
-                } catch (ZoneFile.Rejected e) {
+                } catch (ZoneFile.InvalidZoneFileException e) {
                     e.faults().forEach(err()::println);
                     status = 1;
                 }
@@ -104,7 +104,7 @@
     }
 
     static String summary(Zone zone) {
-        return Names.text(zone.origin()) + ": serial " + zone.serial() + ", " + zone.records() + " records, "
+        return DomainNames.text(zone.origin()) + ": serial " + zone.serial() + ", " + zone.records() + " records, "
                 + zone.names().size() + " names";
     }
 
@@ -115,7 +115,7 @@
             description = "Compare two zone files by the records that they hold, whatever their order and form.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"0:they say the same", "1:they differ", "2:one cannot be read"})
-    static final class Diff extends Base {
+    static final class ZoneDiffCommand extends ZoneSubcommand {
         @Parameters(index = "0", paramLabel = "OLD")
         private Path old;
 
@@ -132,7 +132,7 @@
             try {
                 before = ZoneFile.read(old, origin(origin));
                 after = ZoneFile.read(made, origin == null ? before.origin() : origin(origin));
-            } catch (ZoneFile.Rejected e) {
+            } catch (ZoneFile.InvalidZoneFileException e) {
                 e.faults().forEach(err()::println);
                 return 2;
             }
@@ -144,7 +144,7 @@
             return soa || difference.records() > 2 ? 1 : 0;
         }
 
-        private void print(String sign, List<Rec> records, boolean soa) {
+        private void print(String sign, List<ResourceRecord> records, boolean soa) {
             records.stream().skip(soa ? 0 : 1).forEach(rec -> out().println(sign + rec));
         }
     }
@@ -161,7 +161,7 @@
                 "2:wrong usage",
                 "143:told to leave, all was answered"
             })
-    static final class ServeZones extends Base {
+    static final class ZoneServeCommand extends ZoneSubcommand {
         @Option(
                 names = "--config",
                 required = true,
@@ -170,15 +170,15 @@
         private Path file;
 
         @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
-        private Logging.Form form = Logging.Form.text;
+        private LoggingSetup.LogFormat form = LoggingSetup.LogFormat.text;
 
         @Override
         public Integer call() {
-            Logging.start(form);
+            LoggingSetup.start(form);
             try {
-                new ZoneServer(Sheet.read(file, "zone-serve")).run();
+                new ZoneServerProcess(ConfigFile.read(file, "zone-serve")).run();
                 return 0;
-            } catch (Sheet.Unusable e) {
+            } catch (ConfigFile.InvalidConfigFileException e) {
                 err().println(e.getMessage());
                 return 1;
             }
@@ -197,7 +197,7 @@
                 "1:it does not; what was done is told",
                 "2:wrong usage"
             })
-    static final class Apply extends Base {
+    static final class ZoneApplyCommand extends ZoneSubcommand {
         @Parameters(paramLabel = "FILE", description = "zone file")
         private Path file;
 
@@ -228,30 +228,30 @@
         @Override
         public Integer call() {
             InetSocketAddress at;
-            Tsig.Key with;
+            Tsig.TsigKey with;
             try {
-                at = Given.address(server);
+                at = ZoneConfigParser.address(server);
                 int colon = key == null ? -1 : key.indexOf(':');
                 if (key != null && colon < 1) {
-                    throw new Malformed("--key: expected NAME:FILE, found " + key);
+                    throw new MalformedDnsException("--key: expected NAME:FILE, found " + key);
                 }
                 if (timeout < 1 || timeout > 300) {
-                    throw new Malformed("--timeout: expected 1 to 300, found " + timeout);
+                    throw new MalformedDnsException("--timeout: expected 1 to 300, found " + timeout);
                 }
                 with = key == null
                         ? null
-                        : Given.key(key.substring(0, colon), algorithm, Path.of(key.substring(colon + 1)));
-            } catch (Malformed e) {
+                        : ZoneConfigParser.key(key.substring(0, colon), algorithm, Path.of(key.substring(colon + 1)));
+            } catch (MalformedDnsException e) {
                 throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
             }
             Zone wanted;
             try {
                 wanted = ZoneFile.read(file, origin(origin));
-            } catch (ZoneFile.Rejected e) {
+            } catch (ZoneFile.InvalidZoneFileException e) {
                 e.faults().forEach(err()::println);
                 return 1;
             }
-            return new ZoneApply(wanted, file, at, with, Duration.ofSeconds(timeout), dryRun, out(), err()).run();
+            return new ZoneApplyRunner(wanted, file, at, with, Duration.ofSeconds(timeout), dryRun, out(), err()).run();
         }
     }
 
@@ -263,7 +263,7 @@
                     "Keep a name in a zone on the instances that report to be alive. Ends with 143 after SIGTERM.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
-    static final class Follow extends Base {
+    static final class ZoneFollowCommand extends ZoneSubcommand {
         @Option(
                 names = "--config",
                 required = true,
@@ -272,15 +272,15 @@
         private Path file;
 
         @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
-        private Logging.Form form = Logging.Form.text;
+        private LoggingSetup.LogFormat form = LoggingSetup.LogFormat.text;
 
         @Override
         public Integer call() {
-            Logging.start(form);
+            LoggingSetup.start(form);
             try {
-                new ZoneFollower(Sheet.read(file, "zone-follow")).run();
+                new ZoneFollowerProcess(ConfigFile.read(file, "zone-follow")).run();
                 return 0;
-            } catch (Sheet.Unusable e) {
+            } catch (ConfigFile.InvalidConfigFileException e) {
                 err().println(e.getMessage());
                 return 1;
             }
--- a/src/main/java/merlinlever/cli/zone/ZoneServer.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -14,22 +14,22 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import merlinlever.durable.Folder;
-import merlinlever.durable.Folders;
-import merlinlever.manage.Manage;
-import merlinlever.manage.Telling;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.net.SignalHandler;
-import merlinlever.sheet.Sheet;
-import merlinlever.zone.front.Counts;
-import merlinlever.zone.front.Desk;
-import merlinlever.zone.front.Front;
-import merlinlever.zone.front.Notices;
-import merlinlever.zone.front.Served;
+import merlinlever.config.ConfigFile;
+import merlinlever.management.ManagementServer;
+import merlinlever.management.StatusReport;
+import merlinlever.net.EventLoop;
+import merlinlever.net.HangupSignal;
+import merlinlever.net.MonotonicClock;
+import merlinlever.storage.StateDirectories;
+import merlinlever.storage.StateDirectory;
 import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.state.Replays;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.server.DnsServer;
+import merlinlever.zone.server.NotifySender;
+import merlinlever.zone.server.RequestProcessor;
+import merlinlever.zone.server.ServedZone;
+import merlinlever.zone.server.ZoneServerMetrics;
+import merlinlever.zone.state.ReplayWindow;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.text.ZoneFile;
 import merlinlever.zone.wire.Tsig;
@@ -37,7 +37,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Puts the front for zones together with its state and runs it. */
-final class ZoneServer {
+final class ZoneServerProcess {
 
     private static final Logger LOG = LoggerFactory.getLogger("zone");
     private static final Duration COMPARE = Duration.ofSeconds(1);
@@ -45,42 +45,42 @@
     /** Of the time between the notice and the stop, this part is grace. */
     private static final int GRACE_PART = 5;
 
-    private final Clock clock = Clock.system();
-    private final Loop loop;
+    private final MonotonicClock clock = MonotonicClock.system();
+    private final EventLoop loop;
     private final ExecutorService disk = thread("zone-disk");
     private final ExecutorService snapshots = thread("zone-snapshots");
-    private final Folder folder;
+    private final StateDirectory folder;
     /** Each zone with the operator's file. */
-    private final Map<Served, Path> zones = new LinkedHashMap<>();
+    private final Map<ServedZone, Path> zones = new LinkedHashMap<>();
 
     private final List<ZoneStore> stores = new ArrayList<>();
-    private final Front front;
-    private final Notices notices;
-    private final Counts counts = new Counts(new SimpleMeterRegistry());
+    private final DnsServer front;
+    private final NotifySender notices;
+    private final ZoneServerMetrics counts = new ZoneServerMetrics(new SimpleMeterRegistry());
     private final Duration stopAfter;
     private final CountDownLatch over = new CountDownLatch(1);
 
-    ZoneServer(Sheet sheet) throws Sheet.Unusable {
+    ZoneServerProcess(ConfigFile sheet) throws ConfigFile.InvalidConfigFileException {
         try {
-            loop = new Loop(clock, failure -> LOG.error("failed", failure));
-            folder = Folders.open(sheet.path("state", "state"), System.getenv());
+            loop = new EventLoop(clock, failure -> LOG.error("failed", failure));
+            folder = StateDirectories.open(sheet.path("state", "state"), System.getenv());
         } catch (IOException e) {
-            throw new Sheet.Unusable(sheet.file() + ": state: " + e.getMessage());
+            throw new ConfigFile.InvalidConfigFileException(sheet.file() + ": state: " + e.getMessage());
         }
-        List<Tsig.Key> keys = new ArrayList<>();
+        List<Tsig.TsigKey> keys = new ArrayList<>();
         Set<String> names = new TreeSet<>();
         for (int i = 0; i < sheet.size("keys"); i++) {
-            keys.add(Given.key(sheet, "keys." + i));
-            if (!names.add(Names.text(keys.get(i).name()))) {
+            keys.add(ZoneConfigParser.key(sheet, "keys." + i));
+            if (!names.add(DomainNames.text(keys.get(i).name()))) {
                 throw sheet.fault("keys." + i + ".name", "a key of this name is there already");
             }
         }
         stopAfter = sheet.span("stop", Duration.ofSeconds(5));
-        Map<Served, List<InetSocketAddress>> notified = new LinkedHashMap<>();
+        Map<ServedZone, List<InetSocketAddress>> notified = new LinkedHashMap<>();
         for (int i = 0; i < sheet.size("zones"); i++) {
             String at = "zones." + i;
-            Served zone = zone(sheet, at, names);
-            for (Served other : zones.keySet()) {
+            ServedZone zone = zone(sheet, at, names);
+            for (ServedZone other : zones.keySet()) {
                 if (other.name().equals(zone.name())) {
                     throw sheet.fault(at + ".origin", "this zone is there already");
                 }
@@ -88,32 +88,32 @@
             zones.put(zone, sheet.path(at + ".file", ""));
             List<InetSocketAddress> told = new ArrayList<>();
             for (int k = 0; k < sheet.size(at + ".notify"); k++) {
-                told.add(Given.address(sheet, at + ".notify." + k));
+                told.add(ZoneConfigParser.address(sheet, at + ".notify." + k));
             }
             notified.put(zone, told);
         }
-        InetSocketAddress listen = Given.address(sheet, "listen");
+        InetSocketAddress listen = ZoneConfigParser.address(sheet, "listen");
         try {
-            front = new Front(
+            front = new DnsServer(
                     loop,
                     listen,
                     (int) sheet.number("connections", 256),
                     List.copyOf(zones.keySet()),
-                    new Tsig.Keys(keys),
-                    new Desk.Stated(
+                    new Tsig.TsigKeyRing(keys),
+                    new RequestProcessor.ProcessorSettings(
                             sheet.number("memory-mb", 256),
                             stopAfter.dividedBy(GRACE_PART),
                             !sheet.text("queries-decided", "true").equals("false"),
-                            Given.seed(sheet)),
-                    ZoneServer::unix,
+                            ZoneConfigParser.seed(sheet)),
+                    ZoneServerProcess::unix,
                     LOG::info,
                     counts);
-            notices = new Notices(loop, Given.seed(sheet));
+            notices = new NotifySender(loop, ZoneConfigParser.seed(sheet));
             if (sheet.has("manage")) {
-                new Manage(
+                new ManagementServer(
                         loop,
-                        Given.address(sheet, "manage"),
-                        () -> Telling.of(
+                        ZoneConfigParser.address(sheet, "manage"),
+                        () -> StatusReport.of(
                                 front.desk().figures().leaving(),
                                 true,
                                 front.desk().inHand(),
@@ -122,7 +122,8 @@
                                 null));
             }
         } catch (IOException e) {
-            throw new Sheet.Unusable("cannot listen on " + sheet.text("listen", "") + ": " + e.getMessage());
+            throw new ConfigFile.InvalidConfigFileException(
+                    "cannot listen on " + sheet.text("listen", "") + ": " + e.getMessage());
         }
         notified.forEach((zone, servers) -> zone.watch(seen -> notices.tell(seen, servers)));
         loop.every(COMPARE, clock::compare);
@@ -140,8 +141,9 @@
         return System.currentTimeMillis() / 1000;
     }
 
-    private Served zone(Sheet sheet, String at, Set<String> keys) throws Sheet.Unusable {
-        byte[] origin = Given.name(sheet, at + ".origin");
+    private ServedZone zone(ConfigFile sheet, String at, Set<String> keys)
+            throws ConfigFile.InvalidConfigFileException {
+        byte[] origin = ZoneConfigParser.name(sheet, at + ".origin");
         Path file = sheet.path(at + ".file", "");
         Set<String> updaters = allowed(sheet, at + ".update", keys);
         Set<String> transferers = allowed(sheet, at + ".transfer", keys);
@@ -153,22 +155,22 @@
                 loop,
                 LOG::warn,
                 (int) sheet.number("snapshot-after", 10_000),
-                Desk.REPLAY);
+                RequestProcessor.REPLAY);
         stores.add(store);
-        Replays replays = new Replays(Desk.REPLAY);
+        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY);
         try {
-            ZoneStore.Recovered recovered = store.recover(origin);
+            ZoneStore.RecoveredZone recovered = store.recover(origin);
             if (recovered == null) {
                 Zone zone = ZoneFile.read(file, origin);
                 store.first(zone);
                 LOG.info("{}, from {}", ZoneCommands.summary(zone), file);
-                return new Served(zone, updaters, transferers, store, replays);
+                return new ServedZone(zone, updaters, transferers, store, replays);
             }
             recovered.marks().forEach(mark -> replays.add(mark.at(), mark.mark()));
             if (!recovered.told().isEmpty()) {
                 LOG.warn("{}", recovered.told());
             }
-            Served served = new Served(recovered.zone(), updaters, transferers, store, replays);
+            ServedZone served = new ServedZone(recovered.zone(), updaters, transferers, store, replays);
             recovered.steps().forEach(served.history()::add);
             LOG.info(
                     "{}, from the state, {} updates since the snapshot",
@@ -176,15 +178,16 @@
                     recovered.steps().size());
             reload(served, file, origin);
             return served;
-        } catch (ZoneFile.Rejected | ZoneStore.Unusable e) {
-            throw new Sheet.Unusable(e.getMessage());
+        } catch (ZoneFile.InvalidZoneFileException | ZoneStore.UnusableStateException e) {
+            throw new ConfigFile.InvalidConfigFileException(e.getMessage());
         }
     }
 
-    private static Set<String> allowed(Sheet sheet, String path, Set<String> keys) throws Sheet.Unusable {
+    private static Set<String> allowed(ConfigFile sheet, String path, Set<String> keys)
+            throws ConfigFile.InvalidConfigFileException {
         Set<String> allowed = new TreeSet<>();
         for (int i = 0; i < sheet.size(path); i++) {
-            String name = Names.text(Given.name(sheet, path + "." + i));
+            String name = DomainNames.text(ZoneConfigParser.name(sheet, path + "." + i));
             if (!keys.contains(name)) {
                 throw sheet.fault(path + "." + i, "no key of this name is given");
             }
@@ -194,15 +197,15 @@
     }
 
     /** Reads the operator's file again. A bad one is told, and what is served stays. */
-    private void reload(Served served, Path file, byte[] origin) {
+    private void reload(ServedZone served, Path file, byte[] origin) {
         try {
             LOG.info(served.reload(ZoneFile.read(file, origin), unix()));
-        } catch (ZoneFile.Rejected e) {
+        } catch (ZoneFile.InvalidZoneFileException e) {
             rejected(served, e);
         }
     }
 
-    private static void rejected(Served served, ZoneFile.Rejected why) {
+    private static void rejected(ServedZone served, ZoneFile.InvalidZoneFileException why) {
         LOG.warn("{}: the file is rejected, what was served before stays", served.name());
         why.faults().forEach(LOG::warn);
     }
@@ -213,14 +216,14 @@
             try {
                 Zone read = ZoneFile.read(file, served.origin());
                 loop.execute(() -> LOG.info(served.reload(read, unix())));
-            } catch (ZoneFile.Rejected e) {
+            } catch (ZoneFile.InvalidZoneFileException e) {
                 rejected(served, e);
             }
         }));
     }
 
     void run() {
-        SignalHandler.handle(() -> loop.execute(this::reloadAll));
+        HangupSignal.handle(() -> loop.execute(this::reloadAll));
         Thread hook = new Thread(this::leaveAndWait);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
--- a/src/main/java/merlinlever/sheet/Sheet.java
+++ b/src/main/java/merlinlever/config/ConfigFile.java
@@ -1,4 +1,4 @@
-package merlinlever.sheet;
+package merlinlever.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -37,7 +37,7 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /** One configuration file that was found good: every value is of the type and in the range that its schema states. */
-public final class Sheet {
+public final class ConfigFile {
 
     /** The names of all schemas. */
     public static final List<String> SCHEMAS = List.of("zone-serve", "zone-follow", "host-run", "faults");
@@ -46,10 +46,10 @@
     private static final int MOST_FAULTS = 50;
 
     /** A file that cannot be used: one line for each fault, {@code FILE:LINE: reason}. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidConfigFileException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public Unusable(String message) {
+        public InvalidConfigFileException(String message) {
             super(message);
         }
     }
@@ -58,7 +58,7 @@
     private final JsonNode values;
     private final Map<String, Integer> lines;
 
-    private Sheet(Path file, JsonNode values, Map<String, Integer> lines) {
+    private ConfigFile(Path file, JsonNode values, Map<String, Integer> lines) {
         this.file = file;
         this.values = values;
         this.lines = lines;
@@ -69,14 +69,14 @@
         if (!SCHEMAS.contains(name)) {
             return null;
         }
-        try (InputStream in = Sheet.class.getResourceAsStream("/schemas/" + name + ".json")) {
+        try (InputStream in = ConfigFile.class.getResourceAsStream("/schemas/" + name + ".json")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    public static Sheet read(Path file, String schema) throws Unusable {
+    public static ConfigFile read(Path file, String schema) throws InvalidConfigFileException {
         String text = text(file);
         Map<String, Integer> lines = new HashMap<>();
         JsonNode values = compose(file, text, lines);
@@ -93,7 +93,7 @@
                             + plain(fault, at(schema, fault)));
         }
         if (!faults.isEmpty()) {
-            throw new Unusable(String.join(
+            throw new InvalidConfigFileException(String.join(
                     "\n",
                     faults.values().stream()
                             .flatMap(List::stream)
@@ -101,7 +101,7 @@
                             .limit(MOST_FAULTS)
                             .toList()));
         }
-        return new Sheet(file, values, lines);
+        return new ConfigFile(file, values, lines);
     }
 
     /** The part of the schema that the fault is about. */
@@ -131,50 +131,53 @@
         };
     }
 
-    private static String text(Path file) throws Unusable {
+    private static String text(Path file) throws InvalidConfigFileException {
         try {
             if (!Files.isRegularFile(file)) {
-                throw new Unusable(file + ": " + (Files.exists(file) ? "not a plain file" : "no such file"));
+                throw new InvalidConfigFileException(
+                        file + ": " + (Files.exists(file) ? "not a plain file" : "no such file"));
             }
             if (Files.size(file) > MOST_BYTES) {
-                throw new Unusable(file + ": over " + MOST_BYTES + " bytes");
+                throw new InvalidConfigFileException(file + ": over " + MOST_BYTES + " bytes");
             }
             return StandardCharsets.UTF_8
                     .newDecoder()
                     .decode(ByteBuffer.wrap(Files.readAllBytes(file)))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new Unusable(file + ": not UTF-8");
+            throw new InvalidConfigFileException(file + ": not UTF-8");
         } catch (IOException e) {
-            throw new Unusable(file + ": cannot be read: " + e.getClass().getSimpleName());
+            throw new InvalidConfigFileException(
+                    file + ": cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
-    private static JsonNode compose(Path file, String text, Map<String, Integer> lines) throws Unusable {
+    private static JsonNode compose(Path file, String text, Map<String, Integer> lines)
+            throws InvalidConfigFileException {
         LoaderOptions bounds = new LoaderOptions();
         bounds.setMaxAliasesForCollections(10);
         bounds.setNestingDepthLimit(20);
         try {
             Node root = new Yaml(new SafeConstructor(bounds)).compose(new StringReader(text));
             if (root == null) {
-                throw new Unusable(file + ":1: nothing in it");
+                throw new InvalidConfigFileException(file + ":1: nothing in it");
             }
             return node(file, root, "", lines, 0);
         } catch (MarkedYAMLException e) {
             int line = e.getProblemMark() == null ? 1 : e.getProblemMark().getLine() + 1;
-            throw new Unusable(file + ":" + line + ": " + e.getProblem());
+            throw new InvalidConfigFileException(file + ":" + line + ": " + e.getProblem());
         } catch (YAMLException e) {
-            throw new Unusable(
+            throw new InvalidConfigFileException(
                     file + ":1: " + e.getMessage().lines().findFirst().orElse("not YAML"));
         }
     }
 
     private static JsonNode node(Path file, Node node, String path, Map<String, Integer> lines, int depth)
-            throws Unusable {
+            throws InvalidConfigFileException {
         int line = node.getStartMark().getLine() + 1;
         lines.putIfAbsent(path, line);
         if (depth > 20) {
-            throw new Unusable(file + ":" + line + ": nested too deeply");
+            throw new InvalidConfigFileException(file + ":" + line + ": nested too deeply");
         }
         JsonNodeFactory make = JsonNodeFactory.instance;
         if (node instanceof MappingNode mapping) {
@@ -182,11 +185,12 @@
             for (NodeTuple pair : mapping.getValue()) {
                 int at = pair.getKeyNode().getStartMark().getLine() + 1;
                 if (!(pair.getKeyNode() instanceof ScalarNode key)) {
-                    throw new Unusable(file + ":" + at + ": a key is one word");
+                    throw new InvalidConfigFileException(file + ":" + at + ": a key is one word");
                 }
                 String below = path + "/" + key.getValue();
                 if (object.has(key.getValue())) {
-                    throw new Unusable(file + ":" + at + ": the key '" + key.getValue() + "' comes twice");
+                    throw new InvalidConfigFileException(
+                            file + ":" + at + ": the key '" + key.getValue() + "' comes twice");
                 }
                 lines.put(below, at);
                 object.set(key.getValue(), node(file, pair.getValueNode(), below, lines, depth + 1));
@@ -292,8 +296,8 @@
     }
 
     /** What is wrong with a value beyond its form, in the same one line as the schema's faults. */
-    public Unusable fault(String path, String reason) {
-        return new Unusable(
+    public InvalidConfigFileException fault(String path, String reason) {
+        return new InvalidConfigFileException(
                 file + ":" + lines.getOrDefault("/" + path.replace('.', '/'), 1) + ": " + path + ": " + reason);
     }
 }
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import merlinlever.Ending;
-import merlinlever.Operation;
-import merlinlever.Spans;
-import merlinlever.policy.Control;
+import merlinlever.Durations;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
+import merlinlever.policy.OverloadController;
 
 /**
  * The real backend without its sockets: follows each operation from its reading to its one answer, through the agent
  * that runs it and the calls that its run makes. It decides nothing; what is decided comes out of the module.
  */
-public final class Backend implements Port<Work>, Calls.Maker {
+public final class Backend implements DecisionHandler<TrackedRequest>, DownstreamService.CompletionListener {
 
     /** What an edge node sends with an operation. */
-    public record Asked(
+    public record RequestMetadata(
             long id,
             String name,
             int tariff,
@@ -39,47 +39,48 @@
 
     private final Map<String, String> given;
     private final long seed;
-    private final Outside outside;
+    private final BackendDependencies outside;
     private final Map<String, Integer> tariffs;
-    private final Map<Long, Work> byId = new LinkedHashMap<>();
-    private final Repeats repeats = new Repeats();
-    private final Endings endings = new Endings();
-    private final Calling calling;
-    private final Checks checks;
+    private final Map<Long, TrackedRequest> byId = new LinkedHashMap<>();
+    private final IdempotencyCache repeats = new IdempotencyCache();
+    private final ResponseTracker endings = new ResponseTracker();
+    private final DownstreamCallTracker calling;
+    private final HealthChecks checks;
     private final InDoubtCommands inDoubt;
-    private final Fleetwide fleetwide = new Fleetwide();
+    private final PendingFleetState fleetwide = new PendingFleetState();
     private final boolean subjects;
     private final Duration longestUnread;
     private final int runQueueAt;
-    private Conductor<Work> conductor;
+    private ControllerDriver<TrackedRequest> conductor;
     private Duration now = Duration.ZERO;
     private boolean touched, leaving;
     private double level = Double.NaN;
     /** Runs that were sent onto the cores since the agent was last asked for its gauges. */
     private int ontoCores;
 
-    public Backend(Map<String, String> given, long seed, Outside outside) {
+    public Backend(Map<String, String> given, long seed, BackendDependencies outside) {
         this.given = new HashMap<>(given);
         this.seed = seed;
         this.outside = outside;
-        calling = new Calling(outside::calls);
-        checks = new Checks(outside::exercise);
+        calling = new DownstreamCallTracker(outside::calls);
+        checks = new HealthChecks(outside::exercise);
         inDoubt = new InDoubtCommands(outside);
-        tariffs = Conductor.indices(given, "tariffs");
+        tariffs = ControllerDriver.indices(given, "tariffs");
         runQueueAt = List.of(given.getOrDefault("server.gauges", "").split(",")).indexOf("run-queue");
         Duration longest = LONGEST_UNREAD;
         for (int i = 0; i < tariffs.size(); i++) {
-            longest = Spans.later(longest, Spans.millis(Stated.number(given, "tariffs." + i + ".client-timeout", 0)));
+            longest = Durations.later(
+                    longest, Durations.millis(SettingsTranslator.number(given, "tariffs." + i + ".client-timeout", 0)));
         }
         longestUnread = longest;
-        subjects = Stated.number(given, "server.fresh-for", 0) > 0;
+        subjects = SettingsTranslator.number(given, "server.fresh-for", 0) > 0;
         // A limit of this process, in the terms that the module knows: it turns away what it cannot remember.
-        double leastKb = Stated.number(given, "server.memory-kb", 100_000) / MOST_KEPT;
+        double leastKb = SettingsTranslator.number(given, "server.memory-kb", 100_000) / MOST_KEPT;
         this.given.put(
                 "server.kb-per-fingerprint",
-                "" + Math.max(leastKb, Stated.number(given, "server.kb-per-fingerprint", 0)));
+                "" + Math.max(leastKb, SettingsTranslator.number(given, "server.kb-per-fingerprint", 0)));
         // What is stated badly is to be found now, and not when the agent is up.
-        new Control(this.given, seed);
+        new OverloadController(this.given, seed);
     }
 
     // ---- what others ask
@@ -109,7 +110,7 @@
     }
 
     /** What the module sees of this server, or null before the agent is up. */
-    public Control.Figures figures() {
+    public OverloadController.ControllerMetrics figures() {
         return conductor == null ? null : conductor.control().figures();
     }
 
@@ -137,27 +138,27 @@
         }
         this.now = now;
         given.put("server.cold", "" + cold);
-        conductor = new Conductor<>(given, seed, this);
+        conductor = new ControllerDriver<>(given, seed, this);
         fleetwide.begin(conductor.control(), now);
         touched = true;
     }
 
-    /** See {@link Control#keyed}; told again whenever it changes. */
+    /** See {@link OverloadController#keyed}; told again whenever it changes. */
     public void keyed(Duration from, Duration to) {
         fleetwide.keyed(from, to);
     }
 
-    /** See {@link Control#share}. */
+    /** See {@link OverloadController#share}. */
     public void share(int tariff, long share, boolean perSecond, Duration until, Duration longest) {
         fleetwide.share(tariff, share, perSecond, until, longest);
     }
 
-    /** See {@link Control#demand}. */
+    /** See {@link OverloadController#demand}. */
     public long[] demand(Duration now, int tariff) {
         return fleetwide.demand(now, tariff);
     }
 
-    /** See {@link Control#guess}. */
+    /** See {@link OverloadController#guess}. */
     public void guess(double capacity, double of) {
         fleetwide.guess(capacity, of);
     }
@@ -167,13 +168,13 @@
     }
 
     /** An operation has been read. Returns null where it was answered on the spot. */
-    public Work arrived(Duration now, Asked asked, Caller caller) {
+    public TrackedRequest arrived(Duration now, RequestMetadata asked, ResponseSink caller) {
         if (conductor == null) {
             caller.pushedBack(false, Duration.ZERO);
             return null;
         }
         // Nothing came later than it was read: a time ahead of ours takes no repeat out of its window.
-        Duration arrival = Spans.earlier(asked.arrival(), now);
+        Duration arrival = Durations.earlier(asked.arrival(), now);
         // Nor does a time long past tell the module how long others wait unread.
         if (byId.containsKey(asked.id()) || now.minus(arrival).compareTo(longestUnread) > 0) {
             caller.brokenOff();
@@ -183,11 +184,11 @@
         String mark = asked.token() != null
                 ? "token " + asked.token()
                 : asked.subject() != null && readsShare(asked.tariff()) ? asked.tariff() + " " + asked.subject() : null;
-        Work work = new Work(
+        TrackedRequest work = new TrackedRequest(
                 asked.id(), asked.name(), asked.tariff(), asked.tariffName(), arrival, mark, asked.body(), caller);
         byId.put(work.id, work);
         endings.owes();
-        Operation original = repeats.enter(work, asked.token() != null);
+        RequestHandle original = repeats.enter(work, asked.token() != null);
         work.handle = conductor.know(
                 conductor
                         .control()
@@ -210,7 +211,7 @@
         return subjects && "retriable".equals(given.get("tariffs." + tariff + ".kind"));
     }
 
-    public void callerGone(Duration now, Work work) {
+    public void callerGone(Duration now, TrackedRequest work) {
         if (work.answered) {
             return;
         }
@@ -221,20 +222,20 @@
     }
 
     /** A run has ended, with a result if it was satisfied. */
-    public void ended(Duration now, long id, Ending how, byte[] result) {
-        Work work = byId.get(id);
+    public void ended(Duration now, long id, Outcome how, byte[] result) {
+        TrackedRequest work = byId.get(id);
         if (work == null || !work.launched || work.end != null) {
             return;
         }
         touch(now);
-        if (how == Ending.STOPPED && work.halted && !work.answered) {
+        if (how == Outcome.STOPPED && work.halted && !work.answered) {
             work.launched = false;
             work.halted = false;
             work.handle.ended(now, how);
             return;
         }
         work.end = how;
-        work.result = how == Ending.OK ? result : null;
+        work.result = how == Outcome.OK ? result : null;
         calling.over(work);
         endings.ended(work, now, how, result);
         repeats.ended(work, now);
@@ -242,7 +243,7 @@
 
     /** A run waits for a call. */
     public void needsCall(Duration now, long id, byte[] body) {
-        Work work = byId.get(id);
+        TrackedRequest work = byId.get(id);
         if (work != null && work.launched && work.end == null) {
             touch(now);
             calling.reached(work, body);
@@ -251,14 +252,14 @@
     }
 
     @Override
-    public void callEnded(Duration now, long id, Ending how, byte[] reply) {
-        Work work = byId.get(id);
+    public void callEnded(Duration now, long id, Outcome how, byte[] reply) {
+        TrackedRequest work = byId.get(id);
         if (work == null || !work.calling) {
             return;
         }
         touch(now);
         Duration took = calling.ended(work, now, how, reply);
-        if (how == Ending.OK) {
+        if (how == Outcome.OK) {
             ontoCores++;
             inDoubt.deliver(work, now);
         }
@@ -321,9 +322,9 @@
 
     /** Notices were missed for good: how the runs of that time ended is not known, and they are not begun again. */
     public void noticesMissed(Duration now) {
-        for (Work work : List.copyOf(byId.values())) {
+        for (TrackedRequest work : List.copyOf(byId.values())) {
             if (work.launched && work.end == null) {
-                ended(now, work.id, Ending.ERROR, null);
+                ended(now, work.id, Outcome.ERROR, null);
             }
         }
     }
@@ -361,19 +362,19 @@
     }
 
     @Override
-    public void keep(Work work, Duration span) {
+    public void keep(TrackedRequest work, Duration span) {
         repeats.keep(work, now.plus(span));
     }
 
     @Override
-    public void breakOff(Work work) {
-        endings.answer(work, Ending.ERROR, null);
+    public void breakOff(TrackedRequest work) {
+        endings.answer(work, Outcome.ERROR, null);
         calling.giveUp(work);
         repeats.unkept(work);
     }
 
     @Override
-    public void halt(Work work) {
+    public void halt(TrackedRequest work) {
         if (work.launched && work.end == null) {
             work.halted = true;
             outside.freeze(work);
@@ -381,26 +382,26 @@
     }
 
     @Override
-    public void pushBack(Work work, boolean nowhereElse, Duration stayAway) {
+    public void pushBack(TrackedRequest work, boolean nowhereElse, Duration stayAway) {
         endings.pushBack(work, nowhereElse, stayAway);
         repeats.unkept(work);
     }
 
     @Override
-    public void forget(Work work) {
+    public void forget(TrackedRequest work) {
         repeats.forget(work);
     }
 
     @Override
-    public void start(Work work) {
+    public void start(TrackedRequest work) {
         work.launched = true;
         ontoCores++;
         inDoubt.launch(work, now);
     }
 
     @Override
-    public void share(Work work) {
-        Work original = repeats.original(work);
+    public void share(TrackedRequest work) {
+        TrackedRequest original = repeats.original(work);
         if (original != null && original.launched && original.end == null) {
             original.sharedBy(work);
         } else if (endings.endAs(work, now, original)) {
@@ -409,12 +410,12 @@
     }
 
     @Override
-    public void call(Work work, Duration giveUpAfter) {
+    public void call(TrackedRequest work, Duration giveUpAfter) {
         calling.make(work, now, giveUpAfter);
     }
 
     @Override
-    public void omit(Work work) {
+    public void omit(TrackedRequest work) {
         work.callBody = null;
         outside.forgo(work);
     }
@@ -430,7 +431,7 @@
     }
 
     @Override
-    public void release(Work work) {
+    public void release(TrackedRequest work) {
         byId.remove(work.id);
         work.released = true;
         repeats.forget(work);
--- a/src/main/java/merlinlever/core/Outside.java
+++ b/src/main/java/merlinlever/core/BackendDependencies.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /** What the real backend asks of the parties around it; each of these may be lost with a link. */
-public interface Outside {
+public interface BackendDependencies {
 
     /** Run it; for one that runs already nothing happens. */
-    void launch(Work work);
+    void launch(TrackedRequest work);
 
     /** Stop its run. */
-    void freeze(Work work);
+    void freeze(TrackedRequest work);
 
     /** The reply to the call that its run waits for. */
-    void deliver(Work work, byte[] reply);
+    void deliver(TrackedRequest work, byte[] reply);
 
     /** Its run goes on without the call. */
-    void forgo(Work work);
+    void forgo(TrackedRequest work);
 
     /** Ask for the gauges, if no such question is open; {@link Backend#gauges} brings them. Says whether it did. */
     boolean sample();
@@ -24,7 +24,7 @@
     void exercise();
 
     /** What lies below, which ends calls with {@link Backend#callEnded}. */
-    Calls calls();
+    DownstreamService calls();
 
     void closeIdle(Duration after);
 
--- a/src/main/java/merlinlever/core/Conductor.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -5,41 +5,41 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import merlinlever.Ending;
-import merlinlever.Operation;
-import merlinlever.Settled;
-import merlinlever.policy.Control;
+import merlinlever.Decisions;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
+import merlinlever.policy.OverloadController;
 
 /** Drives one decision module: knows its handles, sets its alarm and carries out what it settles. */
-public final class Conductor<T> {
+public final class ControllerDriver<T> {
 
     /** Stands for an operation of which nothing is known any more; what happens to it has no effect. */
-    public static final Operation UNKNOWN = new Operation() {
+    public static final RequestHandle UNKNOWN = new RequestHandle() {
         @Override
-        public void ended(Duration now, Ending how) {}
+        public void ended(Duration now, Outcome how) {}
 
         @Override
         public void reachedCall(Duration now) {}
 
         @Override
-        public void callEnded(Duration now, Ending how, Duration took) {}
+        public void callEnded(Duration now, Outcome how, Duration took) {}
 
         @Override
         public void callerGone(Duration now) {}
     };
 
-    private final Control control;
-    private final Port<T> port;
+    private final OverloadController control;
+    private final DecisionHandler<T> port;
     private final Map<String, Integer> tariffs;
-    private final Map<Operation, T> known = new IdentityHashMap<>();
+    private final Map<RequestHandle, T> known = new IdentityHashMap<>();
     private Duration alarm;
-    private final Shape watch;
+    private final DeploymentProfile watch;
 
-    public Conductor(Map<String, String> given, long seed, Port<T> port) {
+    public ControllerDriver(Map<String, String> given, long seed, DecisionHandler<T> port) {
         this.port = port;
         tariffs = indices(given, "tariffs");
-        control = new Control(given, seed);
-        watch = Shape.watching(given);
+        control = new OverloadController(given, seed);
+        watch = DeploymentProfile.watching(given);
     }
 
     /** In the watch mode, how often by kind the watched settings would have decided otherwise; else empty. */
@@ -55,7 +55,7 @@
         return indices;
     }
 
-    public Control control() {
+    public OverloadController control() {
         return control;
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** From here on the port hears of the operation by this name. */
-    public Operation know(Operation taken, T as) {
+    public RequestHandle know(RequestHandle taken, T as) {
         known.put(taken, as);
         return taken;
     }
@@ -76,7 +76,7 @@
     }
 
     public void settle(Duration now) {
-        Settled settled = control.settle(now);
+        Decisions settled = control.settle(now);
         if (watch != null) {
             watch.seen(settled);
         }
@@ -106,8 +106,8 @@
         settled.released.forEach(operation -> port.release(known.remove(operation)));
     }
 
-    private void each(Iterable<Operation> operations, Consumer<T> part) {
-        for (Operation operation : operations) {
+    private void each(Iterable<RequestHandle> operations, Consumer<T> part) {
+        for (RequestHandle operation : operations) {
             part.accept(known.get(operation));
         }
     }
--- a/src/main/java/merlinlever/core/Port.java
+++ b/src/main/java/merlinlever/core/DecisionHandler.java
@@ -8,7 +8,7 @@
  *
  * @param <T> what the adapter knows an operation by
  */
-public interface Port<T> {
+public interface DecisionHandler<T> {
 
     void level(double level);
 
--- a/src/main/java/merlinlever/core/Shape.java
+++ b/src/main/java/merlinlever/core/DeploymentProfile.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.Settled;
+import merlinlever.Decisions;
 
 /**
  * The settings that give a deployment its shape: how running work is halted, what is said to callers, whether the
  * list follows health, what lies below. Checks them, and in the watch mode counts, by kind, where the settings
  * under {@code watch.} would have decided otherwise than those in force. No I/O.
  */
-public final class Shape {
+public final class DeploymentProfile {
 
     /** The settings of a shape, in order, with what each allows, in order. */
     private static final Map<String, List<String>> ALLOWED = new TreeMap<>(Map.of(
@@ -30,7 +30,7 @@
 
     private final Map<String, Long> otherwise = new TreeMap<>();
 
-    private Shape(Set<String> differing) {
+    private DeploymentProfile(Set<String> differing) {
         this.differing = differing;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** The watch over these settings, or null where no {@code watch.} setting is given. */
-    public static Shape watching(Map<String, String> given) {
+    public static DeploymentProfile watching(Map<String, String> given) {
         if (given.keySet().stream().noneMatch(k -> k.startsWith("watch."))) {
             return null;
         }
@@ -61,7 +61,7 @@
                 differing.add(name);
             }
         }
-        return new Shape(differing);
+        return new DeploymentProfile(differing);
     }
 
     private void count(String kind, long times) {
@@ -71,7 +71,7 @@
     }
 
     /** Counts what the watched settings would have decided otherwise in one batch of decisions. */
-    public void seen(Settled settled) {
+    public void seen(Decisions settled) {
         // Dropped work is lost and its call abandoned; paused work keeps its progress and memory.
         count("halt", settled.halted.size());
         count("say", Double.isNaN(settled.level) ? 0 : 1);
--- a/src/main/java/merlinlever/core/Checks.java
+++ b/src/main/java/merlinlever/core/HealthChecks.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /** Health, as the module has it, and the deep checks: one exercise at a time serves all that ask meanwhile. */
-final class Checks {
+final class HealthChecks {
 
     private final Runnable exercise;
     private final List<Consumer<Boolean>> askers = new ArrayList<>();
     private boolean healthy, exercising;
 
-    Checks(Runnable exercise) {
+    HealthChecks(Runnable exercise) {
         this.exercise = exercise;
     }
 
--- a/src/main/java/merlinlever/core/Repeats.java
+++ b/src/main/java/merlinlever/core/IdempotencyCache.java
@@ -5,13 +5,13 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import merlinlever.Operation;
+import merlinlever.RequestHandle;
 
 /**
  * The operations that a repeat is known by, each under its mark. An entry stands from the arrival on, before the
  * operation can run, and counts for repeats that arrived within its time, however late those are read.
  */
-final class Repeats {
+final class IdempotencyCache {
 
     /** A repeat that was read later than this after its time no longer finds the result, and is broken off. */
     private static final Duration READ_LATE = Duration.ofSeconds(2);
@@ -20,24 +20,24 @@
      * What stands under a mark, until when (null as long as the module has not said so), and, as long as it has not begun,
      * what ran before it under the same mark.
      */
-    private record Kept(Work work, Duration until, Kept before) {
+    private record Entry(TrackedRequest work, Duration until, Entry before) {
 
-        boolean covers(Work repeat) {
+        boolean covers(TrackedRequest repeat) {
             return until == null || repeat.arrival.compareTo(until) <= 0;
         }
 
-        Kept alone() {
-            return new Kept(work, until, null);
+        Entry alone() {
+            return new Entry(work, until, null);
         }
     }
 
-    private final Map<String, Kept> byMark = new HashMap<>();
-    private final PriorityQueue<Kept> ends = new PriorityQueue<>(Comparator.comparing(Kept::until));
+    private final Map<String, Entry> byMark = new HashMap<>();
+    private final PriorityQueue<Entry> ends = new PriorityQueue<>(Comparator.comparing(Entry::until));
 
     /** The operation that this one repeats, or null; then this one is entered. */
-    private Work findOrEnter(Work work, boolean token) {
-        Kept kept = byMark.get(work.mark);
-        Kept ran = kept == null || kept.work.launched ? kept : kept.before;
+    private TrackedRequest findOrEnter(TrackedRequest work, boolean token) {
+        Entry kept = byMark.get(work.mark);
+        Entry ran = kept == null || kept.work.launched ? kept : kept.before;
         // A try of the time of one that ran is judged by that one, also where a later one has been entered since.
         if (ran != null && ran.covers(work)) {
             return ran.work;
@@ -47,7 +47,7 @@
         if (kept != null && (kept.covers(work) || token && kept.work.end == null)) {
             return kept.work;
         }
-        byMark.put(work.mark, new Kept(work, null, ran == null ? null : ran.alone()));
+        byMark.put(work.mark, new Entry(work, null, ran == null ? null : ran.alone()));
         return null;
     }
 
@@ -55,16 +55,16 @@
      * Enters what has just been read under its mark, if it has one, and returns what the module is to be told that it
      * repeats, or null. A token that stands for another body is not known: the module breaks such an operation off.
      */
-    Operation enter(Work work, boolean token) {
+    RequestHandle enter(TrackedRequest work, boolean token) {
         work.repeats = work.mark == null ? null : findOrEnter(work, token);
         return work.repeats == null
                 ? null
-                : !token || work.repeats.sameAs(work) ? work.repeats.handle : Conductor.UNKNOWN;
+                : !token || work.repeats.sameAs(work) ? work.repeats.handle : ControllerDriver.UNKNOWN;
     }
 
     /** The one whose outcome this is to share, or null. */
-    Work original(Work work) {
-        Work original = work.repeats;
+    TrackedRequest original(TrackedRequest work) {
+        TrackedRequest original = work.repeats;
         while (original != null && !original.launched && original.repeats != null) {
             original = original.repeats;
         }
@@ -73,15 +73,15 @@
     }
 
     /** What never ran is not to be found by a repeat. */
-    void unkept(Work work) {
+    void unkept(TrackedRequest work) {
         if (!work.launched) {
             forget(work);
         }
     }
 
     /** What ended and no repeat can find holds on to no bytes; what came while it ran can find it, however short its window. */
-    void ended(Work work, Duration now) {
-        Kept kept = work.mark == null ? null : byMark.get(work.mark);
+    void ended(TrackedRequest work, Duration now) {
+        Entry kept = work.mark == null ? null : byMark.get(work.mark);
         if (kept == null || kept.work != work) {
             dropBytes(work);
         } else if (kept.until != null && kept.until.compareTo(now) < 0) {
@@ -89,24 +89,24 @@
         }
     }
 
-    private Work holder(String mark) {
-        Kept kept = byMark.get(mark);
+    private TrackedRequest holder(String mark) {
+        Entry kept = byMark.get(mark);
         return kept == null ? null : kept.work;
     }
 
-    void keep(Work work, Duration until) {
+    void keep(TrackedRequest work, Duration until) {
         if (work.mark == null) {
             return;
         }
-        Kept before = byMark.get(work.mark);
-        Kept kept = new Kept(work, until, before == null ? null : before.before);
+        Entry before = byMark.get(work.mark);
+        Entry kept = new Entry(work, until, before == null ? null : before.before);
         byMark.put(work.mark, kept);
         ends.add(kept);
     }
 
     /** Where it never ran, what ran before it stands again. */
-    void forget(Work work) {
-        Kept kept = work.mark == null ? null : byMark.get(work.mark);
+    void forget(TrackedRequest work) {
+        Entry kept = work.mark == null ? null : byMark.get(work.mark);
         if (kept != null && kept.work == work) {
             if (work.launched || kept.before == null || kept.before.work.released) {
                 byMark.remove(work.mark);
@@ -122,8 +122,8 @@
     /** Lets go of the bytes of what no repeat can ask for any more. */
     void sweep(Duration now) {
         while (!ends.isEmpty() && ends.peek().until.plus(READ_LATE).compareTo(now) < 0) {
-            Kept over = ends.poll();
-            Kept kept = byMark.get(over.work.mark);
+            Entry over = ends.poll();
+            Entry kept = byMark.get(over.work.mark);
             boolean renewed = kept != null && kept.work == over.work && !over.until.equals(kept.until);
             if (!renewed && over.work.end != null) {
                 dropBytes(over.work);
@@ -131,7 +131,7 @@
         }
     }
 
-    private static void dropBytes(Work work) {
+    private static void dropBytes(TrackedRequest work) {
         work.result = null;
         work.body = null;
     }
--- a/src/main/java/merlinlever/core/InDoubtCommands.java
+++ b/src/main/java/merlinlever/core/InDoubtCommands.java
@@ -13,21 +13,21 @@
     /** What left within 50 ms before a link broke may be lost. */
     private static final Duration IN_TRANSIT = Duration.ofMillis(55);
 
-    private final Outside outside;
+    private final BackendDependencies outside;
     /** What left from then on is in doubt; null while nothing is. */
     private Duration from;
 
-    InDoubtCommands(Outside outside) {
+    InDoubtCommands(BackendDependencies outside) {
         this.outside = outside;
     }
 
-    void launch(Work work, Duration now) {
+    void launch(TrackedRequest work, Duration now) {
         work.launchedAt = now;
         work.launchInDoubt = false;
         outside.launch(work);
     }
 
-    void deliver(Work work, Duration now) {
+    void deliver(TrackedRequest work, Duration now) {
         work.repliedAt = now;
         work.replyInDoubt = false;
         outside.deliver(work, work.reply);
@@ -42,17 +42,17 @@
     }
 
     /** What is sent after this goes over the new link; it is in doubt only if that one is lost too. */
-    void back(Collection<Work> all) {
-        for (Work work : all) {
+    void back(Collection<TrackedRequest> all) {
+        for (TrackedRequest work : all) {
             work.launchInDoubt = from != null && work.launchedAt.compareTo(from) >= 0;
             work.replyInDoubt = from != null && work.repliedAt.compareTo(from) >= 0;
         }
     }
 
-    void settle(Collection<Work> all, Duration now) {
+    void settle(Collection<TrackedRequest> all, Duration now) {
         // Whatever is sent from here on is sent anew: a link that is lost once more puts it in doubt once more.
         from = null;
-        for (Work work : all) {
+        for (TrackedRequest work : all) {
             if (!work.launched || work.end != null) {
                 continue;
             }
--- a/src/main/java/merlinlever/core/Fleetwide.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.policy.Control;
+import merlinlever.policy.OverloadController;
 
 /** What this backend is told of its return and of its part in the fleet, kept for a module that is not there yet. */
-final class Fleetwide {
+final class PendingFleetState {
 
-    private Control control;
+    private OverloadController control;
     /** Null as long as nothing is told of a return. */
     private Duration keyedFrom, keyedTo;
 
@@ -17,7 +17,7 @@
     private final Map<Integer, Boolean> limited = new TreeMap<>();
 
     /** The module is there; told what came before it. */
-    void begin(Control module, Duration now) {
+    void begin(OverloadController module, Duration now) {
         control = module;
         control.guess(guessed, completions);
         // Nothing of what is shared with others before it is told its share.
--- a/src/main/java/merlinlever/core/Caller.java
+++ b/src/main/java/merlinlever/core/ResponseSink.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** Who waits for the answer to an operation; hears one of these, once. */
-public interface Caller {
+public interface ResponseSink {
 
     /** The result that a run of the operation, or of one that it repeats, has made. */
     void satisfied(byte[] result);
--- a/src/main/java/merlinlever/core/Stated.java
+++ b/src/main/java/merlinlever/core/SettingsTranslator.java
@@ -8,7 +8,7 @@
 import java.util.function.UnaryOperator;
 
 /** What is stated at start, by path: the operators' names and ours. The one translation, for every adapter. */
-public final class Stated {
+public final class SettingsTranslator {
 
     private static final Map<String, String> NAMES = Map.ofEntries(
             Map.entry("services", "tariffs"),
@@ -57,7 +57,7 @@
     private static final Set<String> NAMED_BY_OTHERS =
             Set.of("name", "names", "zone", "zones", "tiers", "service-type");
 
-    private Stated() {}
+    private SettingsTranslator() {}
 
     /** The values by our names. */
     public static Map<String, String> translate(Map<String, String> theirs) {
--- a/src/main/java/merlinlever/core/SettingsCheck.java
+++ b/src/main/java/merlinlever/core/SettingsValidator.java
@@ -13,7 +13,7 @@
  * what is missing and matters. Only what this program reads is looked at. Settings go by our names, and are told of by
  * those that they were stated under.
  */
-public final class SettingsCheck {
+public final class SettingsValidator {
 
     /** What a number may be. */
     private enum Range {
@@ -94,13 +94,13 @@
     private int classes;
 
     /** Checks what is stated, by whatever names. */
-    public SettingsCheck(Map<String, String> stated) {
-        given = Stated.translate(stated);
-        stated.keySet().forEach(name -> names.put(Stated.ours(name), name));
+    public SettingsValidator(Map<String, String> stated) {
+        given = SettingsTranslator.translate(stated);
+        stated.keySet().forEach(name -> names.put(SettingsTranslator.ours(name), name));
         while (given.containsKey("tariffs." + classes + ".name")) {
             classes++;
         }
-        Shape.problems(given)
+        DeploymentProfile.problems(given)
                 .forEach(each -> problems.add(each.replace("settings: server.", "settings: family-info.")));
         NUMBERS.forEach(this::number);
         classes();
@@ -108,11 +108,11 @@
         row("server.calls-by-tariff", "true, false", "true", each -> each.equals("true") || each.equals("false"));
         if (!List.of(given.getOrDefault("server.gauges", "run-queue").split(","))
                 .contains("run-queue")) {
-            missing.add("runnable in " + Stated.theirs("server.gauges") + " (only own runs counted)");
+            missing.add("runnable in " + SettingsTranslator.theirs("server.gauges") + " (only own runs counted)");
         }
         ASSUMED.forEach((name, assumed) -> {
             if (!given.containsKey(name)) {
-                missing.add(Stated.theirs(name) + " (" + assumed + ")");
+                missing.add(SettingsTranslator.theirs(name) + " (" + assumed + ")");
             }
         });
     }
@@ -129,7 +129,7 @@
 
     private void problem(String name, String allowed) {
         String value = given.get(name);
-        String stated = names.getOrDefault(name, Stated.theirs(name));
+        String stated = names.getOrDefault(name, SettingsTranslator.theirs(name));
         problems.add(
                 "settings: " + stated + (value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"")
                         + "; allowed: " + allowed);
@@ -191,8 +191,8 @@
             }
         }
         if (!without.isEmpty()) {
-            missing.add(Stated.theirs("tariffs") + "." + String.join("+", without) + "." + Stated.theirs(name) + " ("
-                    + assumed + ")");
+            missing.add(SettingsTranslator.theirs("tariffs") + "." + String.join("+", without) + "."
+                    + SettingsTranslator.theirs(name) + " (" + assumed + ")");
         }
     }
 
@@ -210,7 +210,8 @@
             }
         }
         if (row.length != classes) {
-            missing.add(Stated.theirs(name) + " has " + row.length + " of " + classes + " (" + assumed + ")");
+            missing.add(
+                    SettingsTranslator.theirs(name) + " has " + row.length + " of " + classes + " (" + assumed + ")");
         }
     }
 }
--- a/src/main/java/merlinlever/core/Work.java
+++ b/src/main/java/merlinlever/core/TrackedRequest.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import merlinlever.Ending;
-import merlinlever.Operation;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
 
 /** One operation of the real backend, from its reading until nothing names it any more. */
-public final class Work {
+public final class TrackedRequest {
 
     final long id;
     final String name;
@@ -18,18 +18,18 @@
     /** What a repeat of it is known by, or null. */
     final String mark;
 
-    Operation handle = Conductor.UNKNOWN;
-    Caller caller;
+    RequestHandle handle = ControllerDriver.UNKNOWN;
+    ResponseSink caller;
     /** What it repeats, as it was known at its arrival. */
-    Work repeats;
+    TrackedRequest repeats;
 
     byte[] body, callBody, reply, result;
     boolean answered, launched, halted, calling, launchInDoubt, replyInDoubt, released;
-    Ending end;
+    Outcome end;
     Duration launchedAt = Duration.ZERO, calledAt = Duration.ZERO, repliedAt = Duration.ZERO;
-    List<Work> sharers = List.of();
+    List<TrackedRequest> sharers = List.of();
 
-    Work(
+    TrackedRequest(
             long id,
             String name,
             int tariff,
@@ -37,7 +37,7 @@
             Duration arrival,
             String mark,
             byte[] body,
-            Caller caller) {
+            ResponseSink caller) {
         this.id = id;
         this.name = name;
         this.tariff = tariff;
@@ -70,11 +70,11 @@
         return body;
     }
 
-    boolean sameAs(Work other) {
+    boolean sameAs(TrackedRequest other) {
         return tariff == other.tariff && Arrays.equals(body, other.body);
     }
 
-    void sharedBy(Work other) {
+    void sharedBy(TrackedRequest other) {
         if (sharers.isEmpty()) {
             sharers = new ArrayList<>(2);
         }
--- a/src/main/java/merlinlever/directory/Heartbeats.java
+++ b/src/main/java/merlinlever/directory/HeartbeatSender.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 
 /** Heartbeats to the directory, one datagram each, which nobody has to receive. */
-public final class Heartbeats {
+public final class HeartbeatSender {
 
     /**
      * A quarter of the reports may be lost, and an entry lapses 3 s after the last. With one a second the third report
@@ -20,7 +20,7 @@
     private final String name;
     private InetSocketAddress address;
 
-    public Heartbeats(InetSocketAddress address, String name) throws IOException {
+    public HeartbeatSender(InetSocketAddress address, String name) throws IOException {
         this.address = address;
         this.name = name;
         channel = DatagramChannel.open();
--- a/src/main/java/merlinlever/term/Drift.java
+++ b/src/main/java/merlinlever/election/ClockDrift.java
@@ -1,11 +1,11 @@
-package merlinlever.term;
+package merlinlever.election;
 
 import java.time.Duration;
 
 /** Spans of leases on clocks that run apart. */
-public final class Drift {
+public final class ClockDrift {
 
-    private Drift() {}
+    private ClockDrift() {}
 
     /** What was given by a clock that runs fast is out for so long by any other. */
     public static Duration slowest(Duration span, double drift) {
--- a/src/main/java/merlinlever/term/Election.java
+++ b/src/main/java/merlinlever/election/ElectionState.java
@@ -1,4 +1,4 @@
-package merlinlever.term;
+package merlinlever.election;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -14,10 +14,10 @@
  * is on the voter's disk before it is given, so terms only go up. A voter that has just started may have promised anything
  * before and waits a whole lease. Times are since the process began.
  */
-public final class Election {
+public final class ElectionState {
 
     /** A question for a promise, or for its renewal; {@code number} comes back with the answer. */
-    public record Ask(String to, long term, long number) {}
+    public record PromiseRequest(String to, long term, long number) {}
 
     private final String self;
     private final List<String> voters;
@@ -47,7 +47,7 @@
      * @param voters the same everywhere; only they lead
      * @param term the highest that is on the disk
      */
-    public Election(
+    public ElectionState(
             Duration now,
             String self,
             List<String> voters,
@@ -62,7 +62,7 @@
         this.chance = chance;
         promised = term;
         heardTerm = term;
-        promisedUntil = now.plus(Drift.slowest(lease, drift));
+        promisedUntil = now.plus(ClockDrift.slowest(lease, drift));
         nextAsk = promisedUntil.plus(drawn());
     }
 
@@ -103,8 +103,8 @@
     // ---- as a candidate or leader
 
     /** The questions to be put now: for a new term where nobody leads, or for the renewal of its own. */
-    public List<Ask> settle(Duration now) {
-        List<Ask> asks = new ArrayList<>();
+    public List<PromiseRequest> settle(Duration now) {
+        List<PromiseRequest> asks = new ArrayList<>();
         if (leads && now.compareTo(leadsUntil()) >= 0) {
             leads = false;
             nextAsk = now.plus(drawn());
@@ -128,7 +128,7 @@
         for (String voter : voters) {
             long number = ++numbers;
             out.put(number, now);
-            asks.add(new Ask(voter, term, number));
+            asks.add(new PromiseRequest(voter, term, number));
         }
         out.values().removeIf(at -> now.minus(at).compareTo(lease) >= 0);
         return asks;
@@ -150,7 +150,7 @@
     /** Whether it leads, or the promises that hold at the least want but one more. */
     boolean oneShort(Duration now) {
         long hold = promisedSince.values().stream()
-                .filter(since -> now.compareTo(since.plus(Drift.surest(lease, drift))) < 0)
+                .filter(since -> now.compareTo(since.plus(ClockDrift.surest(lease, drift))) < 0)
                 .count();
         return leads || hold >= voters.size() / 2;
     }
@@ -171,7 +171,7 @@
         Arrays.sort(since);
         // The oldest of the youngest majority.
         Duration oldest = since[since.length - voters.size() / 2 - 1];
-        return oldest.plus(Drift.surest(lease, drift));
+        return oldest.plus(ClockDrift.surest(lease, drift));
     }
 
     public boolean leads(Duration now) {
--- a/src/main/java/merlinlever/term/Terms.java
+++ b/src/main/java/merlinlever/election/LeaderElection.java
@@ -1,4 +1,4 @@
-package merlinlever.term;
+package merlinlever.election;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -15,23 +15,23 @@
  * <p>Words, each with its number: {@code V/term} asks for a promise, {@code P/term} gives it, {@code N/term} names a higher
  * one, {@code H/term/leader} says who leads.
  */
-public final class Terms implements Leadership {
+public final class LeaderElection implements Leadership {
 
     /** First parts of the words that {@link #said} takes. */
     public static final Set<String> WORDS = Set.of("V", "P", "N", "H");
 
     /** Something to be said to another. */
-    public record Say(String to, long number, String what) {}
+    public record PeerMessage(String to, long number, String what) {}
 
-    private record Pending(String asker, long term, long number) {}
+    private record PendingVote(String asker, long term, long number) {}
 
     private final String self;
-    private final Election election;
+    private final ElectionState election;
     private final LongPredicate noted;
     private final Consumer<String> log;
-    private final List<Say> out = new ArrayList<>();
-    private Pending pending;
-    private Election.Ask own;
+    private final List<PeerMessage> out = new ArrayList<>();
+    private PendingVote pending;
+    private ElectionState.PromiseRequest own;
     private String lastLeader = "";
 
     /**
@@ -41,7 +41,7 @@
      * @param term the highest that is on the disk
      * @param noted asks for a term on the disk; true once it is there
      */
-    public Terms(
+    public LeaderElection(
             Duration now,
             String self,
             List<String> voters,
@@ -54,21 +54,21 @@
         this.self = self;
         this.noted = noted;
         this.log = log;
-        election = new Election(now, self, voters, lease, drift, term, chance);
+        election = new ElectionState(now, self, voters, lease, drift, term, chance);
     }
 
     /** What is to be said now; to be asked for every few ms. */
-    public List<Say> look(Duration now) {
+    public List<PeerMessage> look(Duration now) {
         if (pending != null && noted.test(pending.term)) {
-            Pending is = pending;
+            PendingVote is = pending;
             pending = null;
             vote(now, is.asker, is.term, is.number);
         }
-        for (Election.Ask ask : election.settle(now)) {
+        for (ElectionState.PromiseRequest ask : election.settle(now)) {
             if (ask.to().equals(self)) {
                 own = ask;
             } else {
-                out.add(new Say(ask.to(), ask.number(), "V/" + ask.term()));
+                out.add(new PeerMessage(ask.to(), ask.number(), "V/" + ask.term()));
             }
         }
         own(now);
@@ -81,8 +81,8 @@
         return said();
     }
 
-    private List<Say> said() {
-        List<Say> all = List.copyOf(out);
+    private List<PeerMessage> said() {
+        List<PeerMessage> all = List.copyOf(out);
         out.clear();
         return all;
     }
@@ -93,7 +93,7 @@
      */
     private void own(Duration now) {
         if (own != null && own.term() == election.term() && election.oneShort(now)) {
-            Election.Ask is = own;
+            ElectionState.PromiseRequest is = own;
             own = null;
             vote(now, self, is.term(), is.number());
         }
@@ -102,25 +102,25 @@
     private void vote(Duration now, String asker, long term, long number) {
         if (!election.mayPromise(now, asker, term)) {
             if (!asker.equals(self)) {
-                out.add(new Say(asker, number, "N/" + election.promised()));
+                out.add(new PeerMessage(asker, number, "N/" + election.promised()));
             }
             return;
         }
         if (!noted.test(term)) {
             // One at a time; whoever is not answered asks again.
-            pending = new Pending(asker, term, number);
+            pending = new PendingVote(asker, term, number);
             return;
         }
         election.promise(now, asker, term);
         if (asker.equals(self)) {
             election.promisedBy(now, self, term, number);
         } else {
-            out.add(new Say(asker, number, "P/" + term));
+            out.add(new PeerMessage(asker, number, "P/" + term));
         }
     }
 
     /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<Say> said(Duration now, String name, long number, String what) {
+    public List<PeerMessage> said(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
--- a/src/main/java/merlinlever/term/Leadership.java
+++ b/src/main/java/merlinlever/election/Leadership.java
@@ -1,4 +1,4 @@
-package merlinlever.term;
+package merlinlever.election;
 
 import java.time.Duration;
 import java.util.List;
--- a/src/main/java/merlinlever/term/net/Leading.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -1,27 +1,27 @@
-package merlinlever.term.net;
+package merlinlever.election.net;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.members.Members;
-import merlinlever.net.Loop;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.term.Terms;
+import merlinlever.election.LeaderElection;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.net.EventLoop;
+import merlinlever.recovery.net.RecoveryCoordinator;
 
 /** One backend's part in who leads, on the loop and membership's datagrams; one for all that ask for a leader. */
-public final class Leading implements Members.Hearer {
+public final class ElectionTransport implements SwimProtocol.TextMessageHandler {
 
     private static final Duration LOOK = Duration.ofMillis(20);
 
-    private final Loop loop;
-    private final Rejoin rejoin;
-    private final Terms terms;
+    private final EventLoop loop;
+    private final RecoveryCoordinator rejoin;
+    private final LeaderElection terms;
 
     /** @param voters who may lead; the same everywhere */
-    public Leading(
-            Loop loop,
-            Rejoin rejoin,
+    public ElectionTransport(
+            EventLoop loop,
+            RecoveryCoordinator rejoin,
             List<String> voters,
             Duration lease,
             double drift,
@@ -29,7 +29,7 @@
             Consumer<String> log) {
         this.loop = loop;
         this.rejoin = rejoin;
-        terms = new Terms(
+        terms = new LeaderElection(
                 loop.clock().uptime(),
                 rejoin.members().views().self(),
                 voters,
@@ -39,15 +39,15 @@
                 rejoin::noted,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().hears(Terms.WORDS, this);
+        rejoin.members().hears(LeaderElection.WORDS, this);
         loop.every(LOOK, () -> say(terms.look(loop.clock().uptime())));
     }
 
-    public Terms terms() {
+    public LeaderElection terms() {
         return terms;
     }
 
-    private void say(List<Terms.Say> all) {
+    private void say(List<LeaderElection.PeerMessage> all) {
         all.forEach(each -> rejoin.members().say(each.to(), each.number(), each.what()));
         if (!all.isEmpty()) {
             rejoin.send();
--- a/src/main/java/merlinlever/term/net/package-info.java
+++ b/src/main/java/merlinlever/election/net/package-info.java
@@ -1,2 +1,2 @@
 /** Who leads, over membership's datagrams. */
-package merlinlever.term.net;
+package merlinlever.election.net;
--- a/src/main/java/merlinlever/term/package-info.java
+++ b/src/main/java/merlinlever/election/package-info.java
@@ -1,2 +1,2 @@
 /** Who leads: terms, promises and leases among stated voters. Decisions alone. */
-package merlinlever.term;
+package merlinlever.election;
--- a/src/main/java/merlinlever/trials/Allowed.java
+++ b/src/main/java/merlinlever/experiments/ArmSetting.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.time.Duration;
 import java.util.List;
@@ -9,7 +9,7 @@
  * So no arm changes what is taken, what runs first, what is repeated or what is turned away: the four rules, the figures of
  * docs/design.md and the order by worth are the same in all arms.
  */
-public enum Allowed {
+public enum ArmSetting {
     /** The longest stretch that a pushed back caller is told to stay away; the module's own where that is shorter. */
     STAY_AWAY("stay-away-longest", Duration.ZERO, Duration.ofMinutes(1)),
     /** The longest that a call is waited for before it is given up; the module's own where that is shorter. */
@@ -50,15 +50,15 @@
     final Duration least;
     final Duration most;
 
-    Allowed(String word, Duration least, Duration most) {
+    ArmSetting(String word, Duration least, Duration most) {
         this.word = word;
         this.least = least;
         this.most = most;
     }
 
     /** By the word of the configuration, or null. */
-    static Allowed of(String word) {
-        for (Allowed each : values()) {
+    static ArmSetting of(String word) {
+        for (ArmSetting each : values()) {
             if (each.word.equals(word)) {
                 return each;
             }
--- a/src/main/java/merlinlever/trials/Split.java
+++ b/src/main/java/merlinlever/experiments/BucketAssignment.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -9,16 +9,16 @@
  * one trial are scattered anew in the next, and every bucket of every arm holds callers drawn alike: the unit that the test
  * counts by.
  */
-public final class Split {
+public final class BucketAssignment {
 
     public static final int BUCKETS = 256;
 
     private final long salt;
     private final int[] armOf = new int[BUCKETS];
 
-    public Split(Trial trial) {
+    public BucketAssignment(Experiment trial) {
         salt = trial.digest();
-        long all = trial.arms().stream().mapToLong(Trial.Arm::weight).sum();
+        long all = trial.arms().stream().mapToLong(Experiment.Arm::weight).sum();
         long weight = 0;
         int from = 0;
         for (int arm = 0; arm < trial.arms().size(); arm++) {
--- a/src/main/java/merlinlever/trials/Sample.java
+++ b/src/main/java/merlinlever/experiments/DistinctSample.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.util.TreeSet;
 
@@ -7,7 +7,7 @@
  * whenever more than {@value #MOST} are under it (P. Gibbons, Distinct Sampling, 2001). Which are kept hangs on the callers
  * alone, so samples merge alike in any order and any number of times, and a caller that asks a thousand times is one.
  */
-final class Sample {
+final class DistinctSample {
 
     static final int MOST = 1024;
 
@@ -16,7 +16,7 @@
     private final TreeSet<Long> callers = new TreeSet<>();
 
     void seen(long hash, int arm) {
-        add((Split.mix(hash ^ 0x5851f42d4c957f2dL) >>> 32) << 8 | arm);
+        add((BucketAssignment.mix(hash ^ 0x5851f42d4c957f2dL) >>> 32) << 8 | arm);
     }
 
     private void add(long caller) {
@@ -32,7 +32,7 @@
         callers.tailSet(1L << 40 - level).clear();
     }
 
-    void add(Sample other) {
+    void add(DistinctSample other) {
         if (other.level > level) {
             raise(other.level);
         }
@@ -50,7 +50,7 @@
         return counts;
     }
 
-    void write(Octets out) {
+    void write(VarInts out) {
         out.put(level);
         out.put(callers.size());
         long last = 0;
@@ -60,8 +60,8 @@
         }
     }
 
-    static Sample read(Octets in, int arms) {
-        Sample sample = new Sample();
+    static DistinctSample read(VarInts in, int arms) {
+        DistinctSample sample = new DistinctSample();
         sample.level = (int) in.number(32);
         long n = in.number(MOST);
         long caller = 0;
--- a/src/main/java/merlinlever/trials/Trial.java
+++ b/src/main/java/merlinlever/experiments/Experiment.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -19,7 +19,7 @@
  * @param valueMost an operation's value counts as this at the most
  * @param deaths so many backends that die while they split end it, with the safe arm
  */
-public record Trial(
+public record Experiment(
         String name,
         int version,
         List<Arm> arms,
@@ -53,13 +53,13 @@
         }
     }
 
-    public Trial {
+    public Experiment {
         arms = List.copyOf(arms);
     }
 
     /** Of all that is stated; never the same for two that differ (by 64 bits of hash). */
     public long digest() {
-        return Split.hash(0x7472_6961_6cL, canonical().getBytes(StandardCharsets.UTF_8));
+        return BucketAssignment.hash(0x7472_6961_6cL, canonical().getBytes(StandardCharsets.UTF_8));
     }
 
     /** What the digest is of; backends of all versions agree on it, so it names things as the first of them did. */
--- a/src/main/java/merlinlever/trials/Tally.java
+++ b/src/main/java/merlinlever/experiments/ExperimentCounts.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * What became of what callers asked in one trial, by arm and by bucket of callers ({@link Split}). Tallies add up: over the lives
+ * What became of what callers asked in one trial, by arm and by bucket of callers ({@link BucketAssignment}). Tallies add up: over the lives
  * of a backend and over backends. It is of one trial as it is stated; the counts of another, though of the same name, are refused.
  *
  * <p>A further try of an operation is the operation: it is not asked again, and what becomes of it takes the place of what became of
@@ -17,13 +17,13 @@
  * <p>For the test a bucket counts no more than {@value #OVER_MEAN} times the mean of all buckets (and {@value #FIRST}), so a caller with
  * half of the traffic weighs little; which operations count is settled when they are asked, so no outcome has a part in it.
  *
- * <p>Bounded: {@value Split#BUCKETS} buckets, {@link Sample#MOST} sampled callers, {@value #KNOWN} operations known for their further
+ * <p>Bounded: {@value BucketAssignment#BUCKETS} buckets, {@link DistinctSample#MOST} sampled callers, {@value #KNOWN} operations known for their further
  * tries; written it is under 14 KiB.
  */
-public final class Tally {
+public final class ExperimentCounts {
 
     /** What became of one try. */
-    public enum Became {
+    public enum RequestResult {
         SATISFIED,
         LATE,
         PUSHED_BACK,
@@ -31,17 +31,17 @@
     }
 
     /** All operations of one arm; values in thousandths of the highest, squares in millionths. */
-    public record Counts(long asked, long satisfied, long late, long pushedBack, long value, long squared) {}
+    public record ArmTotals(long asked, long satisfied, long late, long pushedBack, long value, long squared) {}
 
     /** One operation, over all its tries here. */
-    public static final class Op {
+    public static final class CountedRequest {
         final int bucket;
         final int arm;
         final boolean counts;
         private boolean good;
         private boolean pushedBack;
 
-        private Op(int bucket, int arm, boolean counts) {
+        private CountedRequest(int bucket, int arm, boolean counts) {
             this.bucket = bucket;
             this.arm = arm;
             this.counts = counts;
@@ -65,31 +65,31 @@
     private static final int VALUE = 4;
     private static final int SQUARED = 5;
 
-    private final Trial trial;
-    private final Split split;
+    private final Experiment trial;
+    private final BucketAssignment split;
     private final long[][] raw;
-    final long[] asked = new long[Split.BUCKETS];
-    final long[] satisfied = new long[Split.BUCKETS];
-    final long[] value = new long[Split.BUCKETS];
+    final long[] asked = new long[BucketAssignment.BUCKETS];
+    final long[] satisfied = new long[BucketAssignment.BUCKETS];
+    final long[] value = new long[BucketAssignment.BUCKETS];
     private long counted;
-    final Sample sample = new Sample();
+    final DistinctSample sample = new DistinctSample();
     /** Lives that ended without leaving while they split. */
     private long deaths;
 
     private long ranMs;
     private boolean open = true;
-    private final Map<Long, Op> known = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Long, CountedRequest> known = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Op> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<Long, CountedRequest> eldest) {
             return size() > KNOWN;
         }
     };
 
-    public Tally(Trial trial) {
+    public ExperimentCounts(Experiment trial) {
         this.trial = trial;
-        split = new Split(trial);
+        split = new BucketAssignment(trial);
         raw = new long[trial.arms().size()][6];
     }
 
@@ -101,17 +101,17 @@
      * @param operation what a further try of it has as well, or null
      * @param again whether it is marked as a further try
      */
-    public Op asked(String caller, String operation, boolean again) {
+    public CountedRequest asked(String caller, String operation, boolean again) {
         long hash = split.hash(caller);
-        int bucket = Split.bucket(hash);
+        int bucket = BucketAssignment.bucket(hash);
         int arm = split.arm(bucket);
-        Long mark = operation == null ? null : Split.hash(hash, operation.getBytes(StandardCharsets.UTF_8));
-        Op before = mark == null ? null : known.get(mark);
+        Long mark = operation == null ? null : BucketAssignment.hash(hash, operation.getBytes(StandardCharsets.UTF_8));
+        CountedRequest before = mark == null ? null : known.get(mark);
         if (before != null) {
             return before;
         }
         sample.seen(hash, arm);
-        boolean counts = asked[bucket] < FIRST + OVER_MEAN * (counted / Split.BUCKETS);
+        boolean counts = asked[bucket] < FIRST + OVER_MEAN * (counted / BucketAssignment.BUCKETS);
         if (!again) {
             raw[arm][ASKED]++;
             if (counts) {
@@ -119,7 +119,7 @@
                 counted++;
             }
         }
-        Op op = new Op(bucket, arm, counts);
+        CountedRequest op = new CountedRequest(bucket, arm, counts);
         if (mark != null) {
             known.put(mark, op);
         }
@@ -127,29 +127,29 @@
     }
 
     /** A try of it ended so, with that value. */
-    public void became(Op op, Became how, double worth) {
+    public void became(CountedRequest op, RequestResult how, double worth) {
         long[] mine = raw[op.arm];
         if (op.good) {
             return;
         }
-        if (op.pushedBack && how != Became.PUSHED_BACK) {
+        if (op.pushedBack && how != RequestResult.PUSHED_BACK) {
             mine[PUSHED]--;
             op.pushedBack = false;
         }
-        if (how == Became.PUSHED_BACK && !op.pushedBack) {
+        if (how == RequestResult.PUSHED_BACK && !op.pushedBack) {
             mine[PUSHED]++;
             op.pushedBack = true;
         }
-        if (how != Became.SATISFIED && how != Became.LATE) {
+        if (how != RequestResult.SATISFIED && how != RequestResult.LATE) {
             return;
         }
         op.good = true;
         long parts = Math.round(PARTS * Math.max(0, Math.min(1, worth / trial.valueMost())));
-        mine[how == Became.SATISFIED ? SATISFIED : LATE]++;
+        mine[how == RequestResult.SATISFIED ? SATISFIED : LATE]++;
         mine[VALUE] += parts;
         mine[SQUARED] += parts * parts;
         if (op.counts) {
-            satisfied[op.bucket] += how == Became.SATISFIED ? 1 : 0;
+            satisfied[op.bucket] += how == RequestResult.SATISFIED ? 1 : 0;
             value[op.bucket] += parts;
         }
     }
@@ -166,13 +166,13 @@
 
     // ---- adding up
 
-    public void add(Tally other) {
+    public void add(ExperimentCounts other) {
         for (int arm = 0; arm < raw.length; arm++) {
             for (int i = 0; i < raw[arm].length; i++) {
                 raw[arm][i] += other.raw[arm][i];
             }
         }
-        for (int bucket = 0; bucket < Split.BUCKETS; bucket++) {
+        for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
             asked[bucket] += other.asked[bucket];
             satisfied[bucket] += other.satisfied[bucket];
             value[bucket] += other.value[bucket];
@@ -183,7 +183,7 @@
     }
 
     /** As what is left behind by a life of this backend: one that was not ended in good order died. */
-    Tally former() {
+    ExperimentCounts former() {
         deaths += open ? 1 : 0;
         open = false;
         return this;
@@ -198,15 +198,15 @@
         return Duration.ofMillis(ranMs);
     }
 
-    public Counts counts(int arm) {
+    public ArmTotals counts(int arm) {
         long[] mine = raw[arm];
-        return new Counts(mine[ASKED], mine[SATISFIED], mine[LATE], mine[PUSHED], mine[VALUE], mine[SQUARED]);
+        return new ArmTotals(mine[ASKED], mine[SATISFIED], mine[LATE], mine[PUSHED], mine[VALUE], mine[SQUARED]);
     }
 
     /** What the test needs of an arm. */
-    Moments moments(int arm) {
-        Moments moments = new Moments();
-        for (int bucket = 0; bucket < Split.BUCKETS; bucket++) {
+    RunningMoments moments(int arm) {
+        RunningMoments moments = new RunningMoments();
+        for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
             if (split.arm(bucket) == arm && asked[bucket] > 0) {
                 // A further try that was asked for elsewhere, where that count is lost, is not more than one operation.
                 moments.change(
@@ -218,7 +218,7 @@
                         Math.min(value[bucket], PARTS * asked[bucket]) / (double) PARTS);
             }
         }
-        Counts all = counts(arm);
+        ArmTotals all = counts(arm);
         moments.square = all.asked() == 0 ? 0 : Math.min(1, all.squared() / (double) PARTS / PARTS / all.asked());
         return moments;
     }
@@ -227,7 +227,7 @@
 
     /** All of it, in one piece. */
     public byte[] write() {
-        Octets out = new Octets();
+        VarInts out = new VarInts();
         out.put(FORM);
         out.put(trial.digest() >>> 1);
         out.put(open ? 1 : 0);
@@ -238,7 +238,7 @@
                 out.put(count);
             }
         }
-        for (int bucket = 0; bucket < Split.BUCKETS; bucket++) {
+        for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
             boolean none = asked[bucket] == 0 && satisfied[bucket] == 0 && value[bucket] == 0;
             out.put(none ? 0 : asked[bucket] + 1);
             if (!none) {
@@ -251,9 +251,9 @@
     }
 
     /** What was written, or null where it is of another trial or form, or spoilt: then nothing of it counts. */
-    public static Tally read(Trial trial, byte[] octets) {
-        Tally tally = new Tally(trial);
-        Octets in = new Octets(octets);
+    public static ExperimentCounts read(Experiment trial, byte[] octets) {
+        ExperimentCounts tally = new ExperimentCounts(trial);
+        VarInts in = new VarInts(octets);
         try {
             if (in.number(FORM) != FORM || in.number(Long.MAX_VALUE) != trial.digest() >>> 1) {
                 return null;
@@ -266,7 +266,7 @@
                     mine[i] = in.number(MOST * PARTS * (i == SQUARED ? PARTS : 1));
                 }
             }
-            for (int bucket = 0; bucket < Split.BUCKETS; bucket++) {
+            for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
                 long asked = in.number(MOST);
                 if (asked > 0) {
                     tally.asked[bucket] = asked - 1;
@@ -275,7 +275,7 @@
                     tally.counted += asked - 1;
                 }
             }
-            tally.sample.add(Sample.read(in, trial.arms().size()));
+            tally.sample.add(DistinctSample.read(in, trial.arms().size()));
             // In one way only: what is written otherwise was not written here.
             return in.over() && Arrays.equals(octets, tally.write()) ? tally : null;
         } catch (IllegalArgumentException e) {
