--- a/src/main/java/merlinlever/trials/Part.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -1,52 +1,52 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.shared.Common;
-import merlinlever.shared.Registers;
-import merlinlever.shared.Snapshot;
-import merlinlever.term.Leadership;
-import merlinlever.view.Act;
-import merlinlever.view.Permits;
-import merlinlever.view.Seen;
+import merlinlever.election.Leadership;
+import merlinlever.replication.SharedStore;
+import merlinlever.replication.VersionedEntry;
+import merlinlever.replication.WriteOnceRegisters;
+import merlinlever.view.ActionPermissions;
+import merlinlever.view.FleetView;
+import merlinlever.view.GuardedAction;
 
 /**
- * One backend's part in one trial: splits callers while it holds a lease ({@link Lease}), counts, says its counts, and ends the trial
+ * One backend's part in one trial: splits callers while it holds a lease ({@link SplitLease}), counts, says its counts, and ends the trial
  * where it leads and may decide. The end is what its register holds, once it is written there; before, nobody runs by it, and
  * after, nobody splits who knows it.
  */
-public final class Part implements Arms {
+public final class ExperimentNode implements ArmSelector {
 
     /** By a look that comes later than this the trial has not run for longer: the process stood still, or its clock was moved. */
     private static final Duration MOST_RUN = Duration.ofSeconds(1);
 
     private final String self;
-    private final Trial trial;
-    private final Split split;
-    private final Sequential sequential;
-    private final Seen seen;
+    private final Experiment trial;
+    private final BucketAssignment split;
+    private final SequentialAnalysis sequential;
+    private final FleetView seen;
     private final Leadership leadership;
-    private final Registers registers;
-    private final Common common;
+    private final WriteOnceRegisters registers;
+    private final SharedStore common;
     private final Consumer<String> log;
-    private final Lease lease;
-    private final Tally mine;
+    private final SplitLease lease;
+    private final ExperimentCounts mine;
     private boolean carried;
     private boolean splits;
     private Duration last;
     private Duration nextTold = Duration.ZERO;
-    private End end;
-    private End proposed;
+    private ExperimentResult end;
+    private ExperimentResult proposed;
 
-    public Part(
+    public ExperimentNode(
             Duration now,
             String self,
-            Trial trial,
-            Seen seen,
+            Experiment trial,
+            FleetView seen,
             Leadership leadership,
-            Registers registers,
-            Common common,
+            WriteOnceRegisters registers,
+            SharedStore common,
             Consumer<String> log) {
         this.self = self;
         this.trial = trial;
@@ -55,10 +55,10 @@
         this.registers = registers;
         this.common = common;
         this.log = log;
-        split = new Split(trial);
-        sequential = new Sequential(trial);
-        lease = new Lease(common, self, trial);
-        mine = new Tally(trial);
+        split = new BucketAssignment(trial);
+        sequential = new SequentialAnalysis(trial);
+        lease = new SplitLease(common, self, trial);
+        mine = new ExperimentCounts(trial);
         last = now;
     }
 
@@ -73,9 +73,9 @@
             mine.ran(since.compareTo(MOST_RUN) > 0 ? MOST_RUN : since);
         }
         last = now;
-        if (seen.may(now, Act.SERVE) != Permits.May.NO) {
+        if (seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO) {
             carry();
-            if (seen.may(now, Act.ADOPT) == Permits.May.YES) {
+            if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES) {
                 lease.ask(now);
             }
             lease.hear(leadership.leader(now));
@@ -88,7 +88,8 @@
     }
 
     private void adopt(Duration now) {
-        Optional<End> written = end != null ? Optional.empty() : End.of(trial, registers.written(trial.key()));
+        Optional<ExperimentResult> written =
+                end != null ? Optional.empty() : ExperimentResult.of(trial, registers.written(trial.key()));
         if (written.isPresent()) {
             end = written.get();
             splits = false;
@@ -105,9 +106,9 @@
         if (!carried) {
             carried = true;
             common.of(self, trial.topic())
-                    .map(word -> Tally.read(trial, word.value()))
+                    .map(word -> ExperimentCounts.read(trial, word.value()))
                     .ifPresent(before -> {
-                        Tally former = before.former();
+                        ExperimentCounts former = before.former();
                         mine.add(former);
                         mine.ran(former.ran());
                     });
@@ -131,15 +132,15 @@
     // ---- the end
 
     private void decide(Duration now) {
-        if (!leadership.leads(now) || seen.may(now, Act.DECIDE) != Permits.May.YES) {
+        if (!leadership.leads(now) || seen.may(now, GuardedAction.DECIDE) != ActionPermissions.Permission.YES) {
             // A leader after it decides by what it knows then.
             proposed = null;
             return;
         }
         if (proposed == null) {
-            Verdict verdict = sequential.look(all(), ran());
+            StoppingDecision verdict = sequential.look(all(), ran());
             if (verdict.ends()) {
-                proposed = new End(verdict.kind(), verdict.arm(), verdict.why());
+                proposed = new ExperimentResult(verdict.kind(), verdict.arm(), verdict.why());
             } else {
                 lease.answer(now, leadership.term());
             }
@@ -150,10 +151,10 @@
     }
 
     /** All that is known of this very trial; what is of another, or spoilt, counts for nothing. */
-    Tally all() {
-        Tally all = new Tally(trial);
-        for (Snapshot word : common.all(trial.topic())) {
-            Tally one = word.owner().equals(self) ? mine : Tally.read(trial, word.value());
+    ExperimentCounts all() {
+        ExperimentCounts all = new ExperimentCounts(trial);
+        for (VersionedEntry word : common.all(trial.topic())) {
+            ExperimentCounts one = word.owner().equals(self) ? mine : ExperimentCounts.read(trial, word.value());
             if (one != null) {
                 all.add(one);
             }
@@ -163,8 +164,8 @@
 
     private Duration ran() {
         Duration longest = mine.ran();
-        for (Snapshot word : common.all(trial.topic())) {
-            Tally one = Tally.read(trial, word.value());
+        for (VersionedEntry word : common.all(trial.topic())) {
+            ExperimentCounts one = ExperimentCounts.read(trial, word.value());
             longest = one != null && one.ran().compareTo(longest) > 0 ? one.ran() : longest;
         }
         return longest;
@@ -173,7 +174,10 @@
     // ---- the split
 
     private boolean splits(Duration now) {
-        return end == null && carried && lease.holds(now) && seen.may(now, Act.SERVE) != Permits.May.NO;
+        return end == null
+                && carried
+                && lease.holds(now)
+                && seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO;
     }
 
     /** By which arm the caller's operation goes. */
@@ -187,21 +191,21 @@
         return arm(last, caller);
     }
 
-    /** An operation was asked; null where nothing is split, and it does not count. See {@link Tally#asked}. */
-    public Tally.Op asked(Duration now, String caller, String operation, boolean again) {
+    /** An operation was asked; null where nothing is split, and it does not count. See {@link ExperimentCounts#asked}. */
+    public ExperimentCounts.CountedRequest asked(Duration now, String caller, String operation, boolean again) {
         arm(now, caller);
         return splits ? mine.asked(caller, operation, again) : null;
     }
 
-    /** See {@link Tally#became}. */
-    public void became(Tally.Op op, Tally.Became how, double worth) {
+    /** See {@link ExperimentCounts#became}. */
+    public void became(ExperimentCounts.CountedRequest op, ExperimentCounts.RequestResult how, double worth) {
         if (op != null && end == null) {
             mine.became(op, how, worth);
         }
     }
 
     /** The end, once it is known here to be written. */
-    public Optional<End> end() {
+    public Optional<ExperimentResult> end() {
         return Optional.ofNullable(end);
     }
 
@@ -209,11 +213,11 @@
         return splits;
     }
 
-    public Trial trial() {
+    public Experiment trial() {
         return trial;
     }
 
-    Tally counts() {
+    ExperimentCounts counts() {
         return mine;
     }
 }
--- a/src/main/java/merlinlever/trials/End.java
+++ b/src/main/java/merlinlever/experiments/ExperimentResult.java
@@ -1,16 +1,16 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
 /** The end of a trial as it stands in its register: written once for the whole fleet, and never changed. */
-public record End(Verdict.Kind kind, int arm, String why) {
+public record ExperimentResult(StoppingDecision.Kind kind, int arm, String why) {
 
     private static final int FORM = 1;
     private static final int MOST_WHY = 200;
 
     byte[] write() {
-        Octets out = new Octets();
+        VarInts out = new VarInts();
         out.put(FORM);
         out.put(kind.ordinal());
         out.put(arm);
@@ -22,25 +22,27 @@
     }
 
     /** Whatever stands there is the end; what is not understood (of a later program) runs the safe arm. */
-    static End read(Trial trial, byte[] octets) {
-        Octets in = new Octets(octets);
+    static ExperimentResult read(Experiment trial, byte[] octets) {
+        VarInts in = new VarInts(octets);
         try {
             if (in.number(FORM) == FORM) {
-                Verdict.Kind kind = Verdict.Kind.values()[(int) in.number(Verdict.Kind.values().length - 1)];
+                StoppingDecision.Kind kind =
+                        StoppingDecision.Kind.values()[(int) in.number(StoppingDecision.Kind.values().length - 1)];
                 int arm = (int) in.number(trial.arms().size() - 1);
                 StringBuilder why = new StringBuilder();
                 while (!in.over()) {
                     why.append((char) in.number(127));
                 }
-                return new End(kind, arm, why.toString());
+                return new ExperimentResult(kind, arm, why.toString());
             }
         } catch (IllegalArgumentException e) {
             // Said below.
         }
-        return new End(Verdict.Kind.VOID, trial.safe(), "the register holds what is not understood");
+        return new ExperimentResult(
+                StoppingDecision.Kind.VOID, trial.safe(), "the register holds what is not understood");
     }
 
-    static Optional<End> of(Trial trial, Optional<byte[]> written) {
+    static Optional<ExperimentResult> of(Experiment trial, Optional<byte[]> written) {
         return written.map(octets -> read(trial, octets));
     }
 }
--- a/src/main/java/merlinlever/trials/Moments.java
+++ b/src/main/java/merlinlever/experiments/RunningMoments.java
@@ -1,7 +1,7 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 /** Sums over the buckets of one arm, kept up as a bucket changes: operations, satisfied ones, value (a part of the highest). */
-final class Moments {
+final class RunningMoments {
 
     int buckets;
     double asked;
--- a/src/main/java/merlinlever/trials/Ratio.java
+++ b/src/main/java/merlinlever/experiments/SampleRatioCheck.java
@@ -1,18 +1,18 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 /**
  * Whether callers came to the arms as the split is stated: the ratio of a mixture of splits to the stated one, which may be looked
  * at after each caller (M. Lindon, A. Malek, Anytime-Valid Inference for Multinomial Count Data, 2022). It is over a bound with a
  * chance of one over the bound at the most, however long one looks (J. Ville, 1939).
  */
-final class Ratio {
+final class SampleRatioCheck {
 
     /** Chance that a good split is called wrong; each halving of the sample begins anew, with half of what is left of it. */
     static final double LEVEL = 0.001;
     /** How near the stated split the mixture lies. */
     private static final double NEAR = 20;
 
-    private Ratio() {}
+    private SampleRatioCheck() {}
 
     /** The logarithm of the ratio. */
     static double log(long[] counts, double[] parts) {
--- a/src/main/java/merlinlever/trials/Sequential.java
+++ b/src/main/java/merlinlever/experiments/SequentialAnalysis.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.time.Duration;
 import java.util.Locale;
@@ -13,7 +13,7 @@
  * the pooled mean; Student's distribution stands for the normal one, by the number of buckets; and a term for bounded summands, as in
  * Bernstein's inequality. The level is divided among the pairs of arms and the two measures.
  */
-public final class Sequential {
+public final class SequentialAnalysis {
 
     /** Nothing is said of an arm with fewer operations, or fewer buckets that hold any. */
     static final int LEAST_ASKED = 200;
@@ -25,17 +25,17 @@
     private static final double COARSER = 4;
 
     /** How much better the one arm is than the other, between these at all times. */
-    public record Bounds(double low, double high) {}
+    public record ConfidenceInterval(double low, double high) {}
 
-    private final Trial trial;
+    private final Experiment trial;
     private final double[] parts;
     private final double[] nearness = new double[3];
     private final double level;
     private final double harm;
 
-    public Sequential(Trial trial) {
+    public SequentialAnalysis(Experiment trial) {
         this.trial = trial;
-        Split split = new Split(trial);
+        BucketAssignment split = new BucketAssignment(trial);
         int arms = trial.arms().size();
         parts = new double[arms];
         for (int arm = 0; arm < arms; arm++) {
@@ -56,9 +56,9 @@
      *
      * @param ran how long the trial has split
      */
-    public Verdict look(Tally all, Duration ran) {
+    public StoppingDecision look(ExperimentCounts all, Duration ran) {
         long[] callers = all.sample.counts(parts.length);
-        if (Ratio.wrong(callers, parts, all.sample.level())) {
+        if (SampleRatioCheck.wrong(callers, parts, all.sample.level())) {
             StringBuilder seen = new StringBuilder();
             for (int arm = 0; arm < callers.length; arm++) {
                 seen.append(arm == 0 ? "" : ", ")
@@ -66,30 +66,34 @@
                         .append(" of ")
                         .append(trial.arms().get(arm).name());
             }
-            return new Verdict(
-                    Verdict.Kind.VOID, trial.safe(), "the split is not the stated one: of the sampled callers " + seen);
+            return new StoppingDecision(
+                    StoppingDecision.Kind.VOID,
+                    trial.safe(),
+                    "the split is not the stated one: of the sampled callers " + seen);
         }
         if (all.deaths() >= trial.deaths()) {
-            return new Verdict(Verdict.Kind.HARM, trial.safe(), all.deaths() + " backends died while they split");
+            return new StoppingDecision(
+                    StoppingDecision.Kind.HARM, trial.safe(), all.deaths() + " backends died while they split");
         }
-        Moments[] arms = new Moments[parts.length];
+        RunningMoments[] arms = new RunningMoments[parts.length];
         for (int arm = 0; arm < arms.length; arm++) {
             arms[arm] = all.moments(arm);
         }
-        Verdict verdict = test(arms);
+        StoppingDecision verdict = test(arms);
         return verdict.ends() || ran.compareTo(trial.longest()) < 0
                 ? verdict
-                : new Verdict(Verdict.Kind.TIME, trial.safe(), "no difference was shown in the longest time");
+                : new StoppingDecision(
+                        StoppingDecision.Kind.TIME, trial.safe(), "no difference was shown in the longest time");
     }
 
     /** How far one arm is seen to be over another, and how surely. */
-    private record Lead(double difference, double variance, double freedom, double asked) {}
+    private record EstimatedDifference(double difference, double variance, double freedom, double asked) {}
 
     /** What the counts alone say. */
-    Verdict test(Moments... arms) {
-        for (Moments arm : arms) {
+    StoppingDecision test(RunningMoments... arms) {
+        for (RunningMoments arm : arms) {
             if (arm.asked < LEAST_ASKED || arm.buckets < LEAST_BUCKETS) {
-                return new Verdict(Verdict.Kind.GOES_ON, trial.safe(), "too few are counted");
+                return new StoppingDecision(StoppingDecision.Kind.GOES_ON, trial.safe(), "too few are counted");
             }
         }
         int n = arms.length;
@@ -105,7 +109,7 @@
         for (int i = 0; i < n; i++) {
             for (int k = i + 1; k < n; k++) {
                 for (int m = 0; m < 2; m++) {
-                    Lead lead = lead(arms[i], arms[k], m == 1);
+                    EstimatedDifference lead = lead(arms[i], arms[k], m == 1);
                     if (saysNothing(lead)) {
                         low[i][m] = low[k][m] = -1;
                         continue;
@@ -128,8 +132,8 @@
             for (int m = 0; m < 2; m++) {
                 // It lags behind none by the other measure for certain.
                 if (low[i][m] > trial.difference() && high[i][1 - m] >= 0) {
-                    return new Verdict(
-                            Verdict.Kind.WINNER,
+                    return new StoppingDecision(
+                            StoppingDecision.Kind.WINNER,
                             i,
                             trial.arms().get(i).name() + " is better by more than " + told(low[i][m], m));
                 }
@@ -137,20 +141,22 @@
             }
         }
         if (harms >= 0) {
-            return new Verdict(
-                    Verdict.Kind.HARM,
+            return new StoppingDecision(
+                    StoppingDecision.Kind.HARM,
                     trial.safe(),
                     trial.arms().get(harms).name() + " is worse than the safe arm by more than "
                             + String.format(Locale.ROOT, "%.4f", harmed));
         }
         return futile
-                ? new Verdict(
-                        Verdict.Kind.FUTILE, trial.safe(), "none is better than another by the smallest difference")
-                : new Verdict(Verdict.Kind.GOES_ON, trial.safe(), "nothing is shown yet");
+                ? new StoppingDecision(
+                        StoppingDecision.Kind.FUTILE,
+                        trial.safe(),
+                        "none is better than another by the smallest difference")
+                : new StoppingDecision(StoppingDecision.Kind.GOES_ON, trial.safe(), "nothing is shown yet");
     }
 
     /** Whether no bounds of these levels can be clear of nothing or within the smallest difference; most looks end here. */
-    private boolean saysNothing(Lead lead) {
+    private boolean saysNothing(EstimatedDifference lead) {
         double least = lead.variance() * 2 * Math.log(1 / Math.max(level, harm));
         return lead.difference() * lead.difference() < least && least > trial.difference() * trial.difference();
     }
@@ -165,13 +171,13 @@
      * are bounds for each arm of which i's lower one is over k's upper one just where the lower one here is over nothing (H. Goldstein,
      * M. Healy, 1995).
      */
-    Bounds bounds(Moments i, Moments k, boolean ofValue, double chance) {
-        Lead lead = lead(i, k, ofValue);
+    ConfidenceInterval bounds(RunningMoments i, RunningMoments k, boolean ofValue, double chance) {
+        EstimatedDifference lead = lead(i, k, ofValue);
         double radius = radius(lead, chance);
-        return new Bounds(lead.difference() - radius, lead.difference() + radius);
+        return new ConfidenceInterval(lead.difference() - radius, lead.difference() + radius);
     }
 
-    private static Lead lead(Moments i, Moments k, boolean ofValue) {
+    private static EstimatedDifference lead(RunningMoments i, RunningMoments k, boolean ofValue) {
         double pooled = ((ofValue ? i.value + k.value : i.satisfied + k.satisfied) + 1) / (i.asked + k.asked + 2);
         double single = ofValue
                 ? Math.max(0, (i.square * i.asked + k.square * k.asked + 1) / (i.asked + k.asked + 2) - pooled * pooled)
@@ -180,14 +186,15 @@
         double ofK = Math.max(k.variance(ofValue), single / k.asked);
         double variance = ofI + ofK;
         double freedom = variance * variance / (ofI * ofI / (i.buckets - 1) + ofK * ofK / (k.buckets - 1));
-        return new Lead(i.mean(ofValue) - k.mean(ofValue), variance, freedom, Math.min(i.asked, k.asked));
+        return new EstimatedDifference(
+                i.mean(ofValue) - k.mean(ofValue), variance, freedom, Math.min(i.asked, k.asked));
     }
 
     /**
      * Of the normal mixtures at the information 1/variance, the narrowest, each with its part of the chance; Student's distribution by
      * D. Wallace's approximation (1959).
      */
-    private double radius(Lead lead, double chance) {
+    private double radius(EstimatedDifference lead, double chance) {
         double information = 1 / lead.variance();
         double least = Double.MAX_VALUE;
         for (double near : nearness) {
--- a/src/main/java/merlinlever/trials/Rehearsed.java
+++ b/src/main/java/merlinlever/experiments/SimulatedExperiments.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.util.SplittableRandom;
 
@@ -6,7 +6,7 @@
  * Drawn trials of two arms, one operation after another, looked at after each: how often and when the test stops, beside a test of
  * fixed size that is looked at as often. For measurements and tests.
  */
-public final class Rehearsed {
+public final class SimulatedExperiments {
 
     /**
      * What is drawn.
@@ -16,7 +16,7 @@
      * @param heavy the part of the traffic that one caller has
      * @param most operations, in both arms together
      */
-    public record Drawn(double first, double second, int callers, double apart, double heavy, int most) {}
+    public record SimulationSettings(double first, double second, int callers, double apart, double heavy, int most) {}
 
     /**
      * How one went.
@@ -25,15 +25,15 @@
      * @param peeked where a fixed test at 0.05, looked at after each operation, first called a winner; 0: never
      * @param toSecond operations that the second arm was given until it ended
      */
-    public record Outcome(Verdict verdict, int at, int peeked, int toSecond) {}
+    public record SimulationResult(StoppingDecision verdict, int at, int peeked, int toSecond) {}
 
-    private Rehearsed() {}
+    private SimulatedExperiments() {}
 
-    public static Outcome play(Trial trial, Drawn drawn, long seed) {
+    public static SimulationResult play(Experiment trial, SimulationSettings drawn, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Sequential test = new Sequential(trial);
-        int half = Split.BUCKETS / 2;
-        Moments[] arms = {new Moments(), new Moments()};
+        SequentialAnalysis test = new SequentialAnalysis(trial);
+        int half = BucketAssignment.BUCKETS / 2;
+        RunningMoments[] arms = {new RunningMoments(), new RunningMoments()};
         int[][] asked = new int[2][half];
         int[][] satisfied = new int[2][half];
         int[] raw = new int[2];
@@ -48,7 +48,7 @@
         }
         int heavyArm = chance.nextInt(2);
         int peeked = 0;
-        Verdict verdict = null;
+        StoppingDecision verdict = null;
         int at = 0;
         int toSecond = 0;
         for (int n = 1; n <= drawn.most() && (verdict == null || peeked == 0); n++) {
@@ -64,14 +64,17 @@
                 toSecond += arm;
                 // As Tally has it.
                 if (asked[arm][b]
-                        < Tally.FIRST + Tally.OVER_MEAN * (long) (arms[0].asked + arms[1].asked) / Split.BUCKETS) {
+                        < ExperimentCounts.FIRST
+                                + ExperimentCounts.OVER_MEAN
+                                        * (long) (arms[0].asked + arms[1].asked)
+                                        / BucketAssignment.BUCKETS) {
                     int before = satisfied[arm][b];
                     satisfied[arm][b] += good ? 1 : 0;
                     arms[arm].change(
                             asked[arm][b], before, before, ++asked[arm][b], satisfied[arm][b], satisfied[arm][b]);
                     arms[arm].square = arms[arm].satisfied / arms[arm].asked;
                 }
-                Verdict now = test.test(arms);
+                StoppingDecision now = test.test(arms);
                 if (now.ends()) {
                     verdict = now;
                     at = n;
@@ -81,8 +84,8 @@
                 peeked = n;
             }
         }
-        return new Outcome(
-                verdict == null ? new Verdict(Verdict.Kind.TIME, trial.safe(), "") : verdict,
+        return new SimulationResult(
+                verdict == null ? new StoppingDecision(StoppingDecision.Kind.TIME, trial.safe(), "") : verdict,
                 verdict == null ? drawn.most() : at,
                 peeked,
                 toSecond);
--- a/src/main/java/merlinlever/trials/Lease.java
+++ b/src/main/java/merlinlever/experiments/SplitLease.java
@@ -1,12 +1,12 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Optional;
-import merlinlever.shared.Common;
-import merlinlever.shared.Snapshot;
-import merlinlever.term.Leadership;
+import merlinlever.election.Leadership;
+import merlinlever.replication.SharedStore;
+import merlinlever.replication.VersionedEntry;
 
 /**
  * For how long a backend may split. It asks by a word of its own; whoever leads and has not ended the trial answers with the versions
@@ -14,7 +14,7 @@
  * D. Cheriton, Leases, 1989). A leader that has an end to write answers no more; so one that was away, and asks anew, splits again only
  * by an answer that was given before anybody had ended the trial, or not at all.
  */
-final class Lease {
+final class SplitLease {
 
     /** Questions that may still be answered, and backends that are answered, at the most. */
     private static final int MOST = 64;
@@ -22,19 +22,19 @@
     private static final int MOST_ANSWERED = 250;
     private static final String NONE = "";
 
-    private record Asked(long incarnation, long sequence, Duration at) {}
+    private record PendingLeaseRequest(long incarnation, long sequence, Duration at) {}
 
-    private final Common common;
+    private final SharedStore common;
     private final String self;
-    private final Trial trial;
-    private final ArrayDeque<Asked> asked = new ArrayDeque<>();
+    private final Experiment trial;
+    private final ArrayDeque<PendingLeaseRequest> asked = new ArrayDeque<>();
     private Duration until = Duration.ZERO;
     private Duration nextAsk = Duration.ZERO;
     private Duration nextAnswer = Duration.ZERO;
     private long term;
     private String answered = NONE;
 
-    Lease(Common common, String self, Trial trial) {
+    SplitLease(SharedStore common, String self, Experiment trial) {
         this.common = common;
         this.self = self;
         this.trial = trial;
@@ -67,7 +67,7 @@
         nextAsk = now.plus(pause());
         if (common.put(now, questions(), trial.key().getBytes(StandardCharsets.US_ASCII))) {
             common.of(self, questions())
-                    .ifPresent(word -> asked.add(new Asked(word.incarnation(), word.sequence(), now)));
+                    .ifPresent(word -> asked.add(new PendingLeaseRequest(word.incarnation(), word.sequence(), now)));
         }
         while (asked.size() > MOST) {
             asked.poll();
@@ -82,7 +82,7 @@
         nextAnswer = now.plus(pause());
         StringBuilder text = new StringBuilder(trial.key()).append(' ').append(ofTerm);
         int n = 0;
-        for (Snapshot word : common.all(questions())) {
+        for (VersionedEntry word : common.all(questions())) {
             if (n++ < MOST_ANSWERED && new String(word.value(), StandardCharsets.US_ASCII).equals(trial.key())) {
                 text.append(' ')
                         .append(word.owner())
@@ -97,7 +97,7 @@
 
     /** Takes what whoever leads has answered. */
     void hear(Leadership.Leader leader) {
-        Optional<Snapshot> word = leader == null ? Optional.empty() : common.of(leader.name(), answers());
+        Optional<VersionedEntry> word = leader == null ? Optional.empty() : common.of(leader.name(), answers());
         if (word.isEmpty()) {
             return;
         }
@@ -123,7 +123,7 @@
     }
 
     private void heard(long incarnation, long sequence) {
-        for (Asked question : asked) {
+        for (PendingLeaseRequest question : asked) {
             if (question.incarnation == incarnation
                     && question.sequence == sequence
                     && question.at.plus(trial.lease()).compareTo(until) > 0) {
--- a/src/main/java/merlinlever/trials/Verdict.java
+++ b/src/main/java/merlinlever/experiments/StoppingDecision.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 /**
  * What a look at the counts says.
@@ -6,7 +6,7 @@
  * @param arm what runs from then on
  * @param why for people, in one line
  */
-public record Verdict(Kind kind, int arm, String why) {
+public record StoppingDecision(Kind kind, int arm, String why) {
 
     /** Whether it goes on, and why it does not: one is better, one does harm, none is better by what matters, time, a wrong split. */
     public enum Kind {
--- a/src/main/java/merlinlever/trials/Octets.java
+++ b/src/main/java/merlinlever/experiments/VarInts.java
@@ -1,21 +1,21 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import java.io.ByteArrayOutputStream;
 
 /** Whole numbers of seven bits an octet, the lowest first, written and read; a reader refuses what is over its bound or cut off. */
-final class Octets {
+final class VarInts {
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final byte[] in;
     private int at;
 
     /** To write. */
-    Octets() {
+    VarInts() {
         in = new byte[0];
     }
 
     /** To read. */
-    Octets(byte[] in) {
+    VarInts(byte[] in) {
         this.in = in;
     }
 
--- a/src/main/java/merlinlever/faults/AgentFleet.java
+++ b/src/main/java/merlinlever/faults/AgentFleet.java
@@ -17,14 +17,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.durable.Folders;
-import merlinlever.faults.audit.Agreement;
-import merlinlever.faults.link.Links;
+import merlinlever.faults.audit.AgreementAudit;
+import merlinlever.faults.link.LinkFaults;
 import merlinlever.faults.link.UdpSwitch;
-import merlinlever.faults.proc.Ports;
-import merlinlever.faults.proc.Processes;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.faults.process.ManagedProcesses;
+import merlinlever.faults.process.PortAllocator;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.storage.StateDirectories;
 
 /**
  * Host agents of the program (`host run`), each a real process with a folder of its own, that know each other through
@@ -39,11 +39,11 @@
 
     private final Path root;
     private final int count;
-    private final List<Processes.Spec> specs = new ArrayList<>();
+    private final List<ManagedProcesses.ProcessSpec> specs = new ArrayList<>();
     private final List<InetSocketAddress> apis = new ArrayList<>();
-    private final Processes processes = new Processes();
-    private final Links links;
-    private final Loop loop;
+    private final ManagedProcesses processes = new ManagedProcesses();
+    private final LinkFaults links;
+    private final EventLoop loop;
     private final Thread looping;
     private final UdpSwitch hub;
 
@@ -54,16 +54,16 @@
     public AgentFleet(Path root, int count, List<String> java, long seed) throws IOException {
         this.root = root;
         this.count = count;
-        links = new Links(count);
-        loop = new Loop(Clock.system(), failure -> failure.printStackTrace());
+        links = new LinkFaults(count);
+        loop = new EventLoop(MonotonicClock.system(), failure -> failure.printStackTrace());
         looping = new Thread(loop::run, "fault-harness");
         looping.setDaemon(true);
         looping.start();
         List<InetSocketAddress> real = new ArrayList<>(), fronts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            real.add(new InetSocketAddress(HERE, Ports.free()));
+            real.add(new InetSocketAddress(HERE, PortAllocator.free()));
             fronts.add(new InetSocketAddress(HERE, 0));
-            apis.add(new InetSocketAddress(HERE, Ports.free()));
+            apis.add(new InetSocketAddress(HERE, PortAllocator.free()));
         }
         hub = new UdpSwitch(loop, links, real, fronts, seed);
         Files.createDirectories(root);
@@ -89,11 +89,11 @@
             List<String> command = new ArrayList<>(java);
             command.addAll(List.of(
                     "host", "run", "--config", folder.resolve("host.yaml").toString()));
-            specs.add(new Processes.Spec(
+            specs.add(new ManagedProcesses.ProcessSpec(
                     "a-" + i,
                     command,
                     Map.of(
-                            Folders.RECORD,
+                            StateDirectories.RECORD,
                             root.resolve("records").resolve("a-" + i).toString()),
                     folder));
         }
@@ -125,7 +125,7 @@
         return count;
     }
 
-    public Processes processes() {
+    public ManagedProcesses processes() {
         return processes;
     }
 
@@ -147,7 +147,7 @@
     }
 
     /** Links are the loop's: changed on its thread, and this returns when that is done. */
-    public void links(java.util.function.Consumer<Links> change) throws InterruptedException {
+    public void links(java.util.function.Consumer<LinkFaults> change) throws InterruptedException {
         java.util.concurrent.CountDownLatch done = new java.util.concurrent.CountDownLatch(1);
         loop.execute(() -> {
             change.accept(links);
@@ -166,14 +166,14 @@
     }
 
     /** What agent i believes of the others, by what its front says. */
-    public List<Agreement.Said> said(int i, Duration patience) throws IOException {
-        List<Agreement.Said> said = new ArrayList<>();
+    public List<AgreementAudit.ReportedStatus> said(int i, Duration patience) throws IOException {
+        List<AgreementAudit.ReportedStatus> said = new ArrayList<>();
         JsonNode fleet = ask(i, "/fleet", patience);
         for (JsonNode agent : fleet.path("agents")) {
             if (agent.has("status")
                     && agent.has("host")
                     && !agent.path("host").asText().equals(name(i))) {
-                said.add(new Agreement.Said(
+                said.add(new AgreementAudit.ReportedStatus(
                         name(i),
                         agent.path("host").asText(),
                         agent.path("status").asText()));
@@ -186,7 +186,9 @@
     public Map<String, Boolean> running() {
         Map<String, Boolean> running = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
-            running.put(name(i), processes.starts(name(i)) > 0 && processes.seen(name(i)) == Processes.Seen.RUNNING);
+            running.put(
+                    name(i),
+                    processes.starts(name(i)) > 0 && processes.seen(name(i)) == ManagedProcesses.ProcessState.RUNNING);
         }
         return running;
     }
--- a/src/main/java/merlinlever/faults/TrialModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -11,42 +11,42 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import merlinlever.shared.Carry;
-import merlinlever.shared.Registers;
-import merlinlever.shared.Words;
-import merlinlever.term.Terms;
-import merlinlever.trials.End;
-import merlinlever.trials.Part;
-import merlinlever.trials.Tally;
-import merlinlever.trials.Trial;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.election.LeaderElection;
+import merlinlever.experiments.Experiment;
+import merlinlever.experiments.ExperimentCounts;
+import merlinlever.experiments.ExperimentNode;
+import merlinlever.experiments.ExperimentResult;
+import merlinlever.replication.OutgoingMessage;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.WriteOnceRegisters;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 
 /**
  * Backends with one trial, on a network and clocks of the model's own: steps of 20 ms. Words and terms are the program's; standing is
  * what the partitions leave, and a register is a value on the disks of voters, written by a leader that reaches more than half of
  * them (it takes over the value of the highest term that it finds there) and told by a word. All from a seed.
  */
-public final class TrialModel {
+public final class ExperimentModel {
 
-    private record Coming(long at, long order, int from, int to, byte[] body, long number, String what) {}
+    private record Datagram(long at, long order, int from, int to, byte[] body, long number, String what) {}
 
-    private record Written(long term, byte[] value) {}
+    private record RegisterValue(long term, byte[] value) {}
 
     private static final int STEP = 20;
 
     private final SplittableRandom chance;
     private final int n;
     private final List<String> voters = new ArrayList<>();
-    public final Trial[] trials;
-    public final Part[] parts;
-    private final Words[] words;
-    private final Terms[] terms;
-    private final Words.Kept[] disk;
+    public final Experiment[] trials;
+    public final ExperimentNode[] parts;
+    private final ReplicatedStore[] words;
+    private final LeaderElection[] terms;
+    private final ReplicatedStore.PersistedEntries[] disk;
     private final long[] offset, noted, downUntil, bornAt;
-    private final List<Map<String, Written>> registers = new ArrayList<>();
+    private final List<Map<String, RegisterValue>> registers = new ArrayList<>();
     public final int[] side;
-    private final PriorityQueue<Coming> net =
+    private final PriorityQueue<Datagram> net =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long orders, operations;
     public long now;
@@ -64,23 +64,23 @@
 
     public long crossedAt = -1;
     /** All ends that anybody ever knew, by the trial's key. */
-    public final Map<String, Set<End>> ends = new TreeMap<>();
+    public final Map<String, Set<ExperimentResult>> ends = new TreeMap<>();
 
-    public TrialModel(long seed, int n, Trial trial) {
+    public ExperimentModel(long seed, int n, Experiment trial) {
         chance = new SplittableRandom(seed);
         this.n = n;
-        trials = new Trial[n];
-        parts = new Part[n];
-        words = new Words[n];
-        terms = new Terms[n];
-        disk = new Words.Kept[n];
+        trials = new Experiment[n];
+        parts = new ExperimentNode[n];
+        words = new ReplicatedStore[n];
+        terms = new LeaderElection[n];
+        disk = new ReplicatedStore.PersistedEntries[n];
         offset = new long[n];
         noted = new long[n];
         downUntil = new long[n];
         bornAt = new long[n];
         side = new int[n];
         Arrays.fill(trials, trial);
-        Arrays.fill(disk, Words.Kept.NOTHING);
+        Arrays.fill(disk, ReplicatedStore.PersistedEntries.NOTHING);
         for (int i = 0; i < n; i++) {
             registers.add(new TreeMap<>());
             if (i < 5) {
@@ -116,7 +116,7 @@
     }
 
     /** All go by what the configuration says of it now; a backend that is up is started anew. */
-    public void restate(int i, Trial trial) {
+    public void restate(int i, Experiment trial) {
         trials[i] = trial;
         parts[i].leave(clock(i));
         force(i);
@@ -124,7 +124,7 @@
     }
 
     private void force(int i) {
-        Words.Kept keep = words[i].keep();
+        ReplicatedStore.PersistedEntries keep = words[i].keep();
         if (keep != null) {
             disk[i] = keep;
             words[i].kept(keep);
@@ -135,9 +135,16 @@
         offset[i] = now - chance.nextInt(100_000);
         bornAt[i] = now;
         Duration at = clock(i);
-        words[i] = new Words(
-                at, "b" + i, 1, disk[i], Words.Stated.usual(true), () -> others(i), chance.split(), line -> {});
-        terms[i] = new Terms(
+        words[i] = new ReplicatedStore(
+                at,
+                "b" + i,
+                1,
+                disk[i],
+                ReplicatedStore.ReplicationSettings.usual(true),
+                () -> others(i),
+                chance.split(),
+                line -> {});
+        terms[i] = new LeaderElection(
                 at,
                 "b" + i,
                 voters,
@@ -150,8 +157,9 @@
                 },
                 chance.split(),
                 line -> {});
-        Seen seen = new Stands(when -> TrialModel.this.standing(i));
-        parts[i] = new Part(at, "b" + i, trials[i], seen, terms[i], new Register(i), words[i], line -> {});
+        FleetView seen = new FixedFleetView(when -> ExperimentModel.this.standing(i));
+        parts[i] = new ExperimentNode(
+                at, "b" + i, trials[i], seen, terms[i], new SimulatedRegister(i), words[i], line -> {});
     }
 
     private List<String> others(int i) {
@@ -165,11 +173,13 @@
     }
 
     /** By what the partition leaves of the voters; one that has just begun is told what it missed first. */
-    private Standing standing(int i) {
+    private QuorumStatus standing(int i) {
         long heard = reached(i).size();
         return now - bornAt[i] < 1500
-                ? Standing.RETURNING
-                : heard == voters.size() ? Standing.WHOLE : heard * 2 > voters.size() ? Standing.MOST : Standing.FEW;
+                ? QuorumStatus.RETURNING
+                : heard == voters.size()
+                        ? QuorumStatus.WHOLE
+                        : heard * 2 > voters.size() ? QuorumStatus.MOST : QuorumStatus.FEW;
     }
 
     private List<Integer> reached(int i) {
@@ -182,10 +192,10 @@
         return reached;
     }
 
-    private final class Register implements Registers {
+    private final class SimulatedRegister implements WriteOnceRegisters {
         private final int i;
 
-        Register(int i) {
+        SimulatedRegister(int i) {
             this.i = i;
         }
 
@@ -195,16 +205,16 @@
             if (!terms[i].leads(at) || reached.size() * 2 <= voters.size()) {
                 return;
             }
-            Written highest = null;
+            RegisterValue highest = null;
             for (int voter : reached) {
-                Written found = registers.get(voter).get(name);
+                RegisterValue found = registers.get(voter).get(name);
                 highest = found != null && (highest == null || found.term > highest.term) ? found : highest;
             }
             byte[] taken = highest == null ? value : highest.value;
             int on = 0;
             for (int voter : reached) {
                 if (chance.nextDouble() >= loss) {
-                    registers.get(voter).put(name, new Written(terms[i].term(), taken));
+                    registers.get(voter).put(name, new RegisterValue(terms[i].term(), taken));
                     on++;
                 }
             }
@@ -234,12 +244,12 @@
         if (side[from] == side[to] && chance.nextDouble() >= loss) {
             for (int copies = chance.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
                 long at = now + 1 + (chance.nextInt(50) == 0 ? chance.nextInt(3000) : chance.nextInt(40));
-                net.add(new Coming(at, orders++, from, to, body, number, what));
+                net.add(new Datagram(at, orders++, from, to, body, number, what));
             }
         }
     }
 
-    private void sendAll(int from, List<Terms.Say> says, List<Carry> carries) {
+    private void sendAll(int from, List<LeaderElection.PeerMessage> says, List<OutgoingMessage> carries) {
         says.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), null, each.number(), each.what()));
         carries.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), each.body(), 0, null));
     }
@@ -252,7 +262,7 @@
             }
         }
         while (!net.isEmpty() && net.peek().at <= now) {
-            Coming one = net.poll();
+            Datagram one = net.poll();
             if (parts[one.to] == null) {
                 continue;
             }
@@ -269,8 +279,8 @@
             }
             Duration at = clock(i);
             force(i);
-            List<Terms.Say> says = terms[i].look(at);
-            Terms.Leader leader = terms[i].leader(at);
+            List<LeaderElection.PeerMessage> says = terms[i].look(at);
+            LeaderElection.Leader leader = terms[i].leader(at);
             if (leader != null && leader.name().equals("b" + i) && now % 500 == 0) {
                 for (int k = 0; k < n; k++) {
                     send(i, k, null, 0, terms[i].toldWho(at));
@@ -297,13 +307,18 @@
         if (parts[i] == null) {
             return;
         }
-        Tally.Op op = parts[i].asked(clock(i), caller, "o" + operations++, false);
+        ExperimentCounts.CountedRequest op = parts[i].asked(clock(i), caller, "o" + operations++, false);
         int arm = parts[i].arm(clock(i), caller);
         if (arm == deadly && chance.nextInt(deadlyOneIn) == 0) {
             kill(i, 2000);
             return;
         }
-        parts[i].became(op, chance.nextDouble() < good[arm] ? Tally.Became.SATISFIED : Tally.Became.OTHER, 1);
+        parts[i].became(
+                op,
+                chance.nextDouble() < good[arm]
+                        ? ExperimentCounts.RequestResult.SATISFIED
+                        : ExperimentCounts.RequestResult.OTHER,
+                1);
     }
 
     public void run(long ms) {
@@ -318,7 +333,7 @@
     }
 
     /** The one end of the trial, or an empty one; more than one is what must never be. */
-    public Set<End> ended() {
+    public Set<ExperimentResult> ended() {
         return ends.getOrDefault(trials[0].key(), Set.of());
     }
 
--- a/src/main/java/merlinlever/faults/Harness.java
+++ b/src/main/java/merlinlever/faults/FaultHarness.java
@@ -11,22 +11,22 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import merlinlever.faults.audit.Agreement;
+import merlinlever.faults.audit.AgreementAudit;
 import merlinlever.faults.disk.CrashStates;
-import merlinlever.faults.disk.Lay;
-import merlinlever.faults.link.Links;
-import merlinlever.faults.proc.Processes;
-import merlinlever.faults.script.Script;
+import merlinlever.faults.disk.StateRestorer;
+import merlinlever.faults.link.LinkFaults;
+import merlinlever.faults.process.ManagedProcesses;
+import merlinlever.faults.script.FaultScript;
 
 /**
  * Plays a script of faults on a fleet of agents in real time, then heals all, resumes and starts again what it stopped,
  * and audits from outside whether the agents agree with what is so. A run that fails tells its seed and every step played,
  * so that the same faults come again in the same order.
  */
-public final class Harness {
+public final class FaultHarness {
 
     /** How a play ended. */
-    public record Verdict(long seed, List<String> played, List<String> breaches, Duration agreedAfter) {
+    public record HarnessResult(long seed, List<String> played, List<String> breaches, Duration agreedAfter) {
         public boolean passed() {
             return breaches.isEmpty();
         }
@@ -53,7 +53,7 @@
     private final boolean[] powered;
     private final SplittableRandom chance;
 
-    public Harness(AgentFleet fleet, long seed, Consumer<String> log) {
+    public FaultHarness(AgentFleet fleet, long seed, Consumer<String> log) {
         this.fleet = fleet;
         this.log = log;
         powered = new boolean[fleet.count()];
@@ -77,10 +77,10 @@
         }
     }
 
-    public Verdict play(Script.Plan plan) throws IOException, InterruptedException {
+    public HarnessResult play(FaultScript.FaultPlan plan) throws IOException, InterruptedException {
         List<String> played = new ArrayList<>();
         long begun = System.nanoTime();
-        for (Script.Step step : plan.steps()) {
+        for (FaultScript.FaultStep step : plan.steps()) {
             long wait = step.at().toNanos() - (System.nanoTime() - begun);
             if (wait > 0) {
                 Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
@@ -93,13 +93,13 @@
         if (rest > 0) {
             Thread.sleep(rest / 1_000_000);
         }
-        fleet.links(Links::heal);
+        fleet.links(LinkFaults::heal);
         for (int i = 0; i < fleet.count(); i++) {
             String name = fleet.name(i);
-            if (fleet.processes().seen(name) == Processes.Seen.PAUSED) {
+            if (fleet.processes().seen(name) == ManagedProcesses.ProcessState.PAUSED) {
                 fleet.processes().resume(name);
             }
-            if (fleet.processes().seen(name) == Processes.Seen.ENDED) {
+            if (fleet.processes().seen(name) == ManagedProcesses.ProcessState.ENDED) {
                 restart(i);
             }
         }
@@ -110,12 +110,12 @@
             breaches = audit();
         } while (!breaches.isEmpty()
                 && System.nanoTime() - healed < plan.settle().toNanos());
-        return new Verdict(plan.seed(), played, breaches, Duration.ofNanos(System.nanoTime() - healed));
+        return new HarnessResult(plan.seed(), played, breaches, Duration.ofNanos(System.nanoTime() - healed));
     }
 
     /** What each running agent says of the others against which run; one that cannot be asked is a breach too. */
     public List<String> audit() {
-        List<Agreement.Said> said = new ArrayList<>();
+        List<AgreementAudit.ReportedStatus> said = new ArrayList<>();
         List<String> breaches = new ArrayList<>();
         for (int i = 0; i < fleet.count(); i++) {
             if (fleet.running().get(fleet.name(i))) {
@@ -126,7 +126,7 @@
                 }
             }
         }
-        breaches.addAll(Agreement.breaches(fleet.running(), said));
+        breaches.addAll(AgreementAudit.breaches(fleet.running(), said));
         return breaches;
     }
 
@@ -134,20 +134,21 @@
         return who.isEmpty() ? all(fleet.count()) : who;
     }
 
-    private void apply(Script.Step step) throws IOException, InterruptedException {
-        Processes processes = fleet.processes();
+    private void apply(FaultScript.FaultStep step) throws IOException, InterruptedException {
+        ManagedProcesses processes = fleet.processes();
         switch (step.kind()) {
             case KILL, POWER -> {
                 for (int i : who(step.who())) {
-                    if (processes.seen(fleet.name(i)) != Processes.Seen.ENDED) {
+                    if (processes.seen(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED) {
                         processes.kill(fleet.name(i));
-                        powered[i] = step.kind() == Script.Kind.POWER;
+                        powered[i] = step.kind() == FaultScript.FaultKind.POWER;
                     }
                 }
             }
             case TERM -> {
                 for (int i : who(step.who())) {
-                    if (processes.seen(fleet.name(i)) != Processes.Seen.ENDED && !processes.term(fleet.name(i), TERM)) {
+                    if (processes.seen(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED
+                            && !processes.term(fleet.name(i), TERM)) {
                         log.accept(fleet.name(i) + " did not end within " + TERM.toMillis() + " ms of SIGTERM; killed");
                         processes.kill(fleet.name(i));
                     }
@@ -155,17 +156,18 @@
             }
             case PAUSE, RESUME -> {
                 for (int i : who(step.who())) {
-                    Processes.Seen seen = processes.seen(fleet.name(i));
-                    if (step.kind() == Script.Kind.PAUSE && seen == Processes.Seen.RUNNING) {
+                    ManagedProcesses.ProcessState seen = processes.seen(fleet.name(i));
+                    if (step.kind() == FaultScript.FaultKind.PAUSE && seen == ManagedProcesses.ProcessState.RUNNING) {
                         processes.pause(fleet.name(i));
-                    } else if (step.kind() == Script.Kind.RESUME && seen == Processes.Seen.PAUSED) {
+                    } else if (step.kind() == FaultScript.FaultKind.RESUME
+                            && seen == ManagedProcesses.ProcessState.PAUSED) {
                         processes.resume(fleet.name(i));
                     }
                 }
             }
             case RESTART -> {
                 for (int i : who(step.who())) {
-                    if (processes.seen(fleet.name(i)) == Processes.Seen.ENDED) {
+                    if (processes.seen(fleet.name(i)) == ManagedProcesses.ProcessState.ENDED) {
                         restart(i);
                     }
                 }
@@ -174,7 +176,7 @@
         }
     }
 
-    private static void change(Links links, Script.Step step) {
+    private static void change(LinkFaults links, FaultScript.FaultStep step) {
         int n = links.members();
         List<Integer> who = step.who().isEmpty() ? all(n) : step.who();
         List<Integer> to = step.to().isEmpty() ? all(n) : step.to();
@@ -190,13 +192,14 @@
                             continue;
                         }
                         switch (step.kind()) {
-                            case DELAY -> links.both(from, other, Links.Fault.delayed(step.delay(), step.jitter()));
-                            case DROP -> links.both(from, other, Links.Fault.lossy(step.share()));
+                            case DELAY -> links.both(
+                                    from, other, LinkFaults.LinkFault.delayed(step.delay(), step.jitter()));
+                            case DROP -> links.both(from, other, LinkFaults.LinkFault.lossy(step.share()));
                             case DUPLICATE -> links.both(
                                     from,
                                     other,
-                                    new Links.Fault(0, step.share(), Duration.ZERO, Duration.ZERO, 0, false));
-                            case SLOW -> links.both(from, other, Links.Fault.slow(step.bytes()));
+                                    new LinkFaults.LinkFault(0, step.share(), Duration.ZERO, Duration.ZERO, 0, false));
+                            case SLOW -> links.both(from, other, LinkFaults.LinkFault.slow(step.bytes()));
                             case RESET -> links.reset(from, other);
                             default -> throw new IllegalArgumentException("not a fault of links: " + step.kind());
                         }
@@ -235,13 +238,13 @@
         try {
             CrashStates states = CrashStates.of(Files.readString(record, StandardCharsets.US_ASCII));
             // Where all was forced, what a kill leaves is all that a power loss may leave.
-            List<CrashStates.State> last = states.last();
+            List<CrashStates.CrashState> last = states.last();
             if (states.folder() != null && !last.isEmpty()) {
-                CrashStates.State state = last.get(chance.nextInt(last.size()));
-                Lay.into(Path.of(states.folder()), state);
+                CrashStates.CrashState state = last.get(chance.nextInt(last.size()));
+                StateRestorer.into(Path.of(states.folder()), state);
                 log.accept("laid " + states.folder() + " as after a power loss: " + state.how());
             }
-        } catch (CrashStates.Malformed e) {
+        } catch (CrashStates.MalformedRecordingException e) {
             throw new IOException(record + ": " + e.getMessage(), e);
         }
     }
--- a/src/main/java/merlinlever/faults/Stands.java
+++ b/src/main/java/merlinlever/faults/FixedFleetView.java
@@ -2,15 +2,15 @@
 
 import java.time.Duration;
 import java.util.function.Function;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
-import merlinlever.view.View;
+import merlinlever.view.FleetView;
+import merlinlever.view.MembershipView;
+import merlinlever.view.QuorumStatus;
 
 /** A sight of the fleet that stands as a model or a test says, and holds no view. */
-public record Stands(Function<Duration, Standing> by) implements Seen {
+public record FixedFleetView(Function<Duration, QuorumStatus> by) implements FleetView {
 
     @Override
-    public Standing standing(Duration now) {
+    public QuorumStatus standing(Duration now) {
         return by.apply(now);
     }
 
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public View view() {
-        return View.NONE;
+    public MembershipView view() {
+        return MembershipView.NONE;
     }
 }
--- a/src/main/java/merlinlever/faults/Cuts.java
+++ b/src/main/java/merlinlever/faults/NetworkPartitions.java
@@ -4,11 +4,11 @@
 import java.util.TreeSet;
 
 /** Which one-way links of a model's network are cut, and into how many sides that parts it. */
-final class Cuts {
+final class NetworkPartitions {
 
     private final boolean[][] cut;
 
-    Cuts(int n) {
+    NetworkPartitions(int n) {
         cut = new boolean[n][n];
     }
 
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/faults/PowerLoss.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import merlinlever.WireNamed;
-import merlinlever.faults.link.Links;
-import merlinlever.recovery.Memory;
-import merlinlever.recovery.disk.Store;
+import merlinlever.faults.link.LinkFaults;
+import merlinlever.recovery.PersistedState;
+import merlinlever.recovery.disk.RecoveryFile;
 
 /**
  * Power losses of a fleet of backends under load, each of a kind and drawn from a seed; after each one service has to come
@@ -26,7 +26,7 @@
 public final class PowerLoss {
 
     /** What is hard about it. */
-    public enum Kind implements WireNamed {
+    public enum PowerLossKind implements WireNamed {
         /** All down at once, all back at once. */
         ALL("all"),
         /** One after the other; the last to lose its power is the first back. */
@@ -50,7 +50,7 @@
 
         private final String wireName;
 
-        Kind(String wireName) {
+        PowerLossKind(String wireName) {
             this.wireName = wireName;
         }
 
@@ -66,7 +66,8 @@
      * @param firstAfter from the loss until each that came back served something again
      * @param fullAfter until each served keyed work too
      */
-    public record Outcome(Kind kind, long seed, Duration firstAfter, Duration fullAfter, List<String> breaches) {
+    public record PowerLossOutcome(
+            PowerLossKind kind, long seed, Duration firstAfter, Duration fullAfter, List<String> breaches) {
         public String told() {
             StringBuilder text = new StringBuilder(kind.wireName() + ", seed " + Long.toHexString(seed) + ": "
                     + (breaches.isEmpty()
@@ -102,7 +103,7 @@
     }
 
     /** Plays one, drawn from the seed; breaches of rules that the audit finds meanwhile are its own. */
-    public Outcome play(Kind kind, long seed) throws IOException, InterruptedException {
+    public PowerLossOutcome play(PowerLossKind kind, long seed) throws IOException, InterruptedException {
         SplittableRandom chance = new SplittableRandom(seed);
         List<String> breaches = new ArrayList<>();
         int[] before = new int[1];
@@ -115,28 +116,29 @@
         Thread.sleep(300 + chance.nextInt(900));
         List<Integer> order = fleet.all();
         Collections.shuffle(order, new Random(seed));
-        if (kind == Kind.SLOW_LINK) {
+        if (kind == PowerLossKind.SLOW_LINK) {
             int spared = order.remove(0);
             fleet.on(links -> fleet.all().stream()
                     .filter(i -> i != spared)
                     .forEach(i -> links.both(
-                            spared, i, Links.Fault.delayed(Duration.ofMillis(400), Duration.ofMillis(200)))));
+                            spared, i, LinkFaults.LinkFault.delayed(Duration.ofMillis(400), Duration.ofMillis(200)))));
         }
-        lose(order, kind == Kind.LAST_FIRST, chance);
+        lose(order, kind == PowerLossKind.LAST_FIRST, chance);
         // From the last that lost its power.
         Duration lost = fleet.now();
-        if (kind == Kind.PARTITION) {
+        if (kind == PowerLossKind.PARTITION) {
             int half = fleet.count() / 2;
             fleet.on(links -> links.partition(
                     List.of(Set.copyOf(order.subList(0, half)), Set.copyOf(order.subList(half, order.size())))));
         }
         lay(order, kind, chance);
-        List<Integer> back = new ArrayList<>(kind == Kind.HALF ? order.subList(0, (order.size() + 1) / 2) : order);
-        if (kind == Kind.LAST_FIRST) {
+        List<Integer> back =
+                new ArrayList<>(kind == PowerLossKind.HALF ? order.subList(0, (order.size() + 1) / 2) : order);
+        if (kind == PowerLossKind.LAST_FIRST) {
             Collections.reverse(back);
         }
-        start(back, kind == Kind.LAST_FIRST ? 200 : 0);
-        if (kind == Kind.TWICE) {
+        start(back, kind == PowerLossKind.LAST_FIRST ? 200 : 0);
+        if (kind == PowerLossKind.TWICE) {
             Thread.sleep(200 + chance.nextInt(2500));
             lose(order, false, chance);
             lost = fleet.now();
@@ -144,11 +146,11 @@
             start(back, 0);
         }
         Duration[] at = served(back, lost, breaches);
-        fleet.on(Links::heal);
+        fleet.on(LinkFaults::heal);
         List<String> found = new ArrayList<>();
         fleet.on(none -> found.addAll(fleet.rules().breaches()));
         breaches.addAll(found.subList(before[0], found.size()));
-        Outcome outcome = new Outcome(
+        PowerLossOutcome outcome = new PowerLossOutcome(
                 kind,
                 seed,
                 at[0] == null ? Duration.ZERO : at[0].minus(lost),
@@ -195,12 +197,13 @@
     }
 
     /** Lays each folder as the loss may have left it, and spoils one as the kind says. */
-    private void lay(List<Integer> who, Kind kind, SplittableRandom chance) throws IOException, InterruptedException {
+    private void lay(List<Integer> who, PowerLossKind kind, SplittableRandom chance)
+            throws IOException, InterruptedException {
         for (int i : who) {
             if (Files.isDirectory(fleet.records(i))) {
                 try (Stream<Path> records = Files.list(fleet.records(i))) {
                     for (Path record : records.sorted().toList()) {
-                        Harness.lay(record, chance, log);
+                        FaultHarness.lay(record, chance, log);
                     }
                 }
             }
@@ -208,8 +211,8 @@
         if (who.isEmpty() || !fleet.stated().recovery()) {
             return;
         }
-        Path file = fleet.state(who.get(0)).resolve(Store.FILE);
-        if (kind == Kind.TORN || kind == Kind.EMPTIED || kind == Kind.COPIED) {
+        Path file = fleet.state(who.get(0)).resolve(RecoveryFile.FILE);
+        if (kind == PowerLossKind.TORN || kind == PowerLossKind.EMPTIED || kind == PowerLossKind.COPIED) {
             fleet.forgot(who.get(0));
         }
         switch (kind) {
@@ -224,19 +227,19 @@
             }
             case EMPTIED -> Files.deleteIfExists(file);
             case COPIED -> Files.copy(
-                    fleet.state(who.get(1)).resolve(Store.FILE),
+                    fleet.state(who.get(1)).resolve(RecoveryFile.FILE),
                     file,
                     java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             case CLOCK_BACK -> {
                 for (int i : who) {
-                    Path each = fleet.state(i).resolve(Store.FILE);
-                    Memory left = Files.exists(each)
-                            ? Store.parsed(Files.readAllBytes(each)).memory()
+                    Path each = fleet.state(i).resolve(RecoveryFile.FILE);
+                    PersistedState left = Files.exists(each)
+                            ? RecoveryFile.parsed(Files.readAllBytes(each)).memory()
                             : null;
                     if (left != null) {
                         Files.write(
                                 each,
-                                Store.text(new Memory(
+                                RecoveryFile.text(new PersistedState(
                                         left.owner(),
                                         left.incarnations(),
                                         left.term(),
--- a/src/main/java/merlinlever/faults/BudgetFaults.java
+++ b/src/main/java/merlinlever/faults/QuotaFaults.java
@@ -9,16 +9,16 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.WireNamed;
-import merlinlever.faults.link.Links;
+import merlinlever.faults.link.LinkFaults;
 
 /**
  * Faults among backends that share a limit of the whole fleet, under more load than it allows: after each the shares are
  * divided anew, and the party that all call counts all the while.
  */
-public final class BudgetFaults {
+public final class QuotaFaults {
 
     /** What happens; some of it to whoever divides. */
-    public enum Kind implements WireNamed {
+    public enum QuotaFaultKind implements WireNamed {
         /** One is killed and comes back. */
         KILL("kill"),
         /** Whoever divides is killed while it grants. */
@@ -42,7 +42,7 @@
 
         private final String wireName;
 
-        Kind(String wireName) {
+        QuotaFaultKind(String wireName) {
             this.wireName = wireName;
         }
 
@@ -53,7 +53,7 @@
     }
 
     /** @param dividedAfter from the end of the fault until every running backend has a share again */
-    public record Outcome(Kind kind, long seed, Duration dividedAfter, List<String> breaches) {
+    public record QuotaFaultOutcome(QuotaFaultKind kind, long seed, Duration dividedAfter, List<String> breaches) {
         public String told() {
             StringBuilder text = new StringBuilder(kind.wireName() + ", seed " + Long.toHexString(seed) + ": "
                     + (breaches.isEmpty()
@@ -70,7 +70,7 @@
     private final Duration patience;
     private final Consumer<String> log;
 
-    public BudgetFaults(ServeFleet fleet, Duration patience, Consumer<String> log) {
+    public QuotaFaults(ServeFleet fleet, Duration patience, Consumer<String> log) {
         this.fleet = fleet;
         this.patience = patience;
         this.log = log;
@@ -121,7 +121,7 @@
         return null;
     }
 
-    public Outcome play(Kind kind, long seed) throws IOException, InterruptedException {
+    public QuotaFaultOutcome play(QuotaFaultKind kind, long seed) throws IOException, InterruptedException {
         SplittableRandom chance = new SplittableRandom(seed);
         int[] before = new int[2];
         fleet.on(none -> {
@@ -134,32 +134,32 @@
         int one = chance.nextInt(fleet.count());
         switch (kind) {
             case KILL, KILL_LEADER -> {
-                int who = kind == Kind.KILL ? one : leader;
+                int who = kind == QuotaFaultKind.KILL ? one : leader;
                 fleet.powerOff(who);
                 Thread.sleep(chance.nextInt(2 * lease));
                 fleet.start(who);
             }
             case PAUSE, PAUSE_LEADER -> {
-                String who = fleet.name(kind == Kind.PAUSE ? one : leader);
+                String who = fleet.name(kind == QuotaFaultKind.PAUSE ? one : leader);
                 // What it owes meanwhile it cannot answer in time; that is not what is looked at here.
-                fleet.on(
-                        none -> fleet.callers(kind == Kind.PAUSE ? one : leader).away(true));
+                fleet.on(none -> fleet.callers(kind == QuotaFaultKind.PAUSE ? one : leader)
+                        .away(true));
                 fleet.processes().pause(who);
                 Thread.sleep(lease + chance.nextInt(2 * lease));
-                fleet.on(
-                        none -> fleet.callers(kind == Kind.PAUSE ? one : leader).away(false));
+                fleet.on(none -> fleet.callers(kind == QuotaFaultKind.PAUSE ? one : leader)
+                        .away(false));
                 fleet.processes().resume(who);
             }
             case PARTITION, THREE_SIDES -> {
                 List<Set<Integer>> sides = new ArrayList<>();
-                int parts = kind == Kind.PARTITION ? 2 : 3;
+                int parts = kind == QuotaFaultKind.PARTITION ? 2 : 3;
                 for (int part = 0; part < parts; part++) {
                     sides.add(new java.util.HashSet<>());
                 }
                 fleet.all().forEach(i -> sides.get((i + one) % parts).add(i));
                 fleet.on(links -> links.partition(sides));
                 Thread.sleep(2 * lease + chance.nextInt(2 * lease));
-                fleet.on(Links::heal);
+                fleet.on(LinkFaults::heal);
             }
             case SLOW_LEADER -> {
                 fleet.on(links -> fleet.all().stream()
@@ -167,9 +167,10 @@
                         .forEach(i -> links.both(
                                 leader,
                                 i,
-                                Links.Fault.delayed(Duration.ofMillis(lease / 4), Duration.ofMillis(lease / 2)))));
+                                LinkFaults.LinkFault.delayed(
+                                        Duration.ofMillis(lease / 4), Duration.ofMillis(lease / 2)))));
                 Thread.sleep(3 * lease);
-                fleet.on(Links::heal);
+                fleet.on(LinkFaults::heal);
             }
             case LOSSY -> {
                 fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream()
@@ -177,9 +178,10 @@
                         .forEach(k -> links.set(
                                 i,
                                 k,
-                                new Links.Fault(0.33, 0.33, Duration.ofMillis(5), Duration.ofMillis(100), 0, false)))));
+                                new LinkFaults.LinkFault(
+                                        0.33, 0.33, Duration.ofMillis(5), Duration.ofMillis(100), 0, false)))));
                 Thread.sleep(3 * lease);
-                fleet.on(Links::heal);
+                fleet.on(LinkFaults::heal);
             }
             case POWER -> {
                 for (int i : fleet.all()) {
@@ -214,7 +216,8 @@
                         + budget(i));
             }
         }
-        Outcome outcome = new Outcome(kind, seed, divided == null ? Duration.ZERO : divided, breaches);
+        QuotaFaultOutcome outcome =
+                new QuotaFaultOutcome(kind, seed, divided == null ? Duration.ZERO : divided, breaches);
         log.accept(outcome.told());
         return outcome;
     }
--- a/src/main/java/merlinlever/faults/BudgetModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -8,22 +8,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.budgets.Budget;
-import merlinlever.budgets.Sharing;
-import merlinlever.term.Terms;
+import merlinlever.election.LeaderElection;
+import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaCoordinator;
 
 /**
  * Backends that share one limit, on a network and clocks of the model's own: steps of 20 ms, each clock running apart by
  * what is stated, datagrams late, lost, doubled and out of order, partitions, pauses, deaths and restarts, all from a seed.
  * It sees what each could spend at every step, and how much of that was over the whole.
  */
-public final class BudgetModel {
+public final class QuotaModel {
     final SplittableRandom chance;
-    final Budget budget;
+    final FleetQuota budget;
     final int n;
     final List<String> voters = new ArrayList<>();
-    public final Sharing[] nodes;
-    final Terms[] terms;
+    public final QuotaCoordinator[] nodes;
+    final LeaderElection[] terms;
     final double[] rate;
     final long[] offset, noted, pausedUntil, downUntil, life;
     final int[] side;
@@ -36,12 +36,12 @@
     private long lives;
     public double loss;
 
-    public BudgetModel(long seed, int n, Budget budget) {
+    public QuotaModel(long seed, int n, FleetQuota budget) {
         chance = new SplittableRandom(seed);
         this.n = n;
         this.budget = budget;
-        nodes = new Sharing[n];
-        terms = new Terms[n];
+        nodes = new QuotaCoordinator[n];
+        terms = new LeaderElection[n];
         rate = new double[n];
         offset = new long[n];
         noted = new long[n];
@@ -86,7 +86,7 @@
     public void begin(int i) {
         offset[i] = now - chance.nextInt(100_000);
         int who = i;
-        terms[i] = new Terms(
+        terms[i] = new LeaderElection(
                 clock(i),
                 "b" + i,
                 voters,
@@ -99,21 +99,21 @@
                 },
                 chance.split(),
                 line -> {});
-        nodes[i] = new Sharing(
+        nodes[i] = new QuotaCoordinator(
                 clock(i),
                 "b" + i,
                 (life[i] = ++lives) << 20,
                 List.of(budget),
                 terms[i],
                 chance.split(),
-                new Sharing.Spender() {
+                new QuotaCoordinator.QuotaConsumer() {
                     @Override
-                    public long[] demand(Duration at, Budget of) {
+                    public long[] demand(Duration at, FleetQuota of) {
                         return new long[] {0, wanted[who][0]};
                     }
 
                     @Override
-                    public void share(Budget of, long share, Duration until) {}
+                    public void share(FleetQuota of, long share, Duration until) {}
                 },
                 line -> {});
     }
@@ -122,8 +122,8 @@
         return now >= downUntil[i] && nodes[i] != null;
     }
 
-    void send(int from, List<Terms.Say> all) {
-        for (Terms.Say each : all) {
+    void send(int from, List<LeaderElection.PeerMessage> all) {
+        for (LeaderElection.PeerMessage each : all) {
             int to = Integer.parseInt(each.to().substring(1));
             // With the head, the sender, the number and the seal of membership's datagrams, without rumours.
             octets += 40 + each.what().length();
@@ -161,7 +161,7 @@
             String what = (String) message[4];
             send(
                     to,
-                    Terms.WORDS.contains(what.split("/")[0])
+                    LeaderElection.WORDS.contains(what.split("/")[0])
                             ? terms[to].said(clock(to), "b" + message[1], (long) message[3], what)
                             : nodes[to].said(clock(to), "b" + message[1], (long) message[3], what));
         }
--- a/src/main/java/merlinlever/faults/SharedModel.java
+++ b/src/main/java/merlinlever/faults/ReplicationModel.java
@@ -6,28 +6,28 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import merlinlever.shared.Carry;
-import merlinlever.shared.Words;
+import merlinlever.replication.OutgoingMessage;
+import merlinlever.replication.ReplicatedStore;
 
 /**
  * Backends that share words, on a network, clocks and disks of the model's own: steps of 20 ms, datagrams late, lost, doubled
  * and out of order, partitions, pauses, deaths and restarts with what was forced, all from a seed.
  */
-public final class SharedModel {
+public final class ReplicationModel {
 
     /** A datagram under way; of two due together the one sent first. */
-    private record Coming(long at, long order, int from, int to, byte[] body) {}
+    private record Datagram(long at, long order, int from, int to, byte[] body) {}
 
     private static final int STEP = 20;
 
     private final SplittableRandom chance;
-    private final Words.Stated stated;
-    public final Words[] nodes;
+    private final ReplicatedStore.ReplicationSettings stated;
+    public final ReplicatedStore[] nodes;
     private final double[] rate;
     private final long[] offset, pausedUntil, downUntil, forcedAt;
-    private final Words.Kept[] disk, forcing;
+    private final ReplicatedStore.PersistedEntries[] disk, forcing;
     public final int[] side;
-    private final PriorityQueue<Coming> net =
+    private final PriorityQueue<Datagram> net =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     public long now, octets, letters;
     private long orders;
@@ -35,19 +35,19 @@
     /** Of 10,000 datagrams so many come up to five seconds late. */
     public int late = 200;
 
-    public SharedModel(long seed, int n, Words.Stated stated) {
+    public ReplicationModel(long seed, int n, ReplicatedStore.ReplicationSettings stated) {
         chance = new SplittableRandom(seed);
         this.stated = stated;
-        nodes = new Words[n];
+        nodes = new ReplicatedStore[n];
         rate = new double[n];
         offset = new long[n];
         pausedUntil = new long[n];
         downUntil = new long[n];
         forcedAt = new long[n];
-        disk = new Words.Kept[n];
-        forcing = new Words.Kept[n];
+        disk = new ReplicatedStore.PersistedEntries[n];
+        forcing = new ReplicatedStore.PersistedEntries[n];
         side = new int[n];
-        Arrays.fill(disk, Words.Kept.NOTHING);
+        Arrays.fill(disk, ReplicatedStore.PersistedEntries.NOTHING);
         for (int i = 0; i < n; i++) {
             rate[i] = 1 + (chance.nextDouble() - 0.5) * 0.01;
             begin(i);
@@ -69,7 +69,8 @@
     private void begin(int i) {
         offset[i] = now - chance.nextInt(100_000);
         forcing[i] = null;
-        nodes[i] = new Words(clock(i), name(i), 1, disk[i], stated, () -> others(i), chance.split(), line -> {});
+        nodes[i] =
+                new ReplicatedStore(clock(i), name(i), 1, disk[i], stated, () -> others(i), chance.split(), line -> {});
     }
 
     /** Whom membership would hold alive; one that is down is noticed at once, one cut off not. */
@@ -87,22 +88,22 @@
     public void kill(int i, long ms, boolean diskLost) {
         nodes[i] = null;
         downUntil[i] = now + ms;
-        disk[i] = diskLost ? Words.Kept.NOTHING : disk[i];
+        disk[i] = diskLost ? ReplicatedStore.PersistedEntries.NOTHING : disk[i];
     }
 
     public void pause(int i, long ms) {
         pausedUntil[i] = now + ms;
     }
 
-    private void send(int from, List<Carry> all) {
-        for (Carry each : all) {
+    private void send(int from, List<OutgoingMessage> all) {
+        for (OutgoingMessage each : all) {
             int to = Integer.parseInt(each.to().substring(1));
             octets += each.body().length;
             letters++;
             if (side[from] == side[to] && chance.nextDouble() >= loss) {
                 for (int copies = chance.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
                     long at = now + 1 + (chance.nextInt(10_000) < late ? chance.nextInt(5000) : chance.nextInt(40));
-                    net.add(new Coming(at, orders++, from, to, each.body()));
+                    net.add(new Datagram(at, orders++, from, to, each.body()));
                 }
             }
         }
@@ -115,9 +116,9 @@
                 begin(i);
             }
         }
-        List<Coming> wait = new ArrayList<>();
+        List<Datagram> wait = new ArrayList<>();
         while (!net.isEmpty() && net.peek().at <= now) {
-            Coming one = net.poll();
+            Datagram one = net.poll();
             if (up(one.to)) {
                 send(one.to, nodes[one.to].came(clock(one.to), name(one.from), one.body));
             } else if (nodes[one.to] != null) {
@@ -133,7 +134,7 @@
                     forcing[i] = null;
                     nodes[i].kept(disk[i]);
                 }
-                Words.Kept keep = forcing[i] == null ? nodes[i].keep() : null;
+                ReplicatedStore.PersistedEntries keep = forcing[i] == null ? nodes[i].keep() : null;
                 if (keep != null) {
                     forcing[i] = keep;
                     forcedAt[i] = now + chance.nextInt(100);
@@ -176,7 +177,7 @@
     /** Whether all hold the same. */
     public boolean equal() {
         String first = null;
-        for (Words node : nodes) {
+        for (ReplicatedStore node : nodes) {
             if (node == null || first != null && !first.equals(node.digest())) {
                 return false;
             }
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -8,34 +8,34 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import merlinlever.Ending;
-import merlinlever.faults.audit.Exports;
-import merlinlever.routes.Damping;
-import merlinlever.routes.Exits;
-import merlinlever.routes.Fellows;
-import merlinlever.routes.Own;
+import merlinlever.Outcome;
+import merlinlever.faults.audit.RouteExportAudit;
+import merlinlever.replication.VersionedEntry;
+import merlinlever.routes.FlapDamping;
+import merlinlever.routes.LocalServiceHealth;
+import merlinlever.routes.PeerTableSync;
 import merlinlever.routes.Relation;
 import merlinlever.routes.Restrictions;
 import merlinlever.routes.Route;
-import merlinlever.routes.Routes;
-import merlinlever.routes.Rules;
-import merlinlever.routes.Table;
-import merlinlever.shared.Snapshot;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
-import merlinlever.view.View;
+import merlinlever.routes.RouteSelector;
+import merlinlever.routes.RouteTable;
+import merlinlever.routes.RoutingPolicy;
+import merlinlever.routes.RoutingTable;
+import merlinlever.view.FleetView;
+import merlinlever.view.MembershipView;
+import merlinlever.view.QuorumStatus;
 
 /**
  * Sites with several backends each that publish routes to each other and send calls along them, on a network and clocks of the
  * model's own: words late, lost, doubled and out of order, backends and sites cut off, killed and back, records services lost.
  * All from a seed; an auditor sees what passes between sites.
  */
-public final class RoutesModel extends Sometime {
+public final class RoutesModel extends VirtualNetwork {
 
     private static final double DRIFT = 0.01;
-    private static final Exits.Tariff[] TARIFFS = {
-        new Exits.Tariff("reads", Exits.Kind.RETRIABLE, true),
-        new Exits.Tariff("orders", Exits.Kind.FINGERPRINTED, true)
+    private static final RouteSelector.RoutingClass[] TARIFFS = {
+        new RouteSelector.RoutingClass("reads", RouteSelector.RetrySafety.RETRIABLE, true),
+        new RouteSelector.RoutingClass("orders", RouteSelector.RetrySafety.FINGERPRINTED, true)
     };
     private static final int STEP = 20;
 
@@ -43,7 +43,7 @@
     public final class Site {
         final int index;
         final String name;
-        public final List<Node> nodes = new ArrayList<>();
+        public final List<SiteBackend> nodes = new ArrayList<>();
         /** Of its own routes; null for none. */
         Restrictions restrictions;
 
@@ -51,7 +51,7 @@
         /** It passes on all that it has, whatever it may. */
         public boolean leaks;
 
-        final Map<String, Table> published = new TreeMap<>();
+        final Map<String, RouteTable> published = new TreeMap<>();
         long incarnation = 1, sequence;
         public int calls = 200;
         public long served, brokenOff;
@@ -82,9 +82,9 @@
         }
 
         /** What it publishes to another: asked of its first backend. */
-        private Table publish(Node first, String to) {
+        private RouteTable publish(SiteBackend first, String to) {
             List<Route> own = new ArrayList<>();
-            for (Exits.Tariff each : TARIFFS) {
+            for (RouteSelector.RoutingClass each : TARIFFS) {
                 if (restrictions != null) {
                     own.add(new Route(
                             each.name(), "records", place(), calls, 1, false, List.of(name), null, restrictions));
@@ -94,7 +94,7 @@
                     leaks ? new ArrayList<>(own) : first.routes.export(first.clock(), to, own, place(), calls, 1);
             if (leaks) {
                 for (String from : first.routes.sites()) {
-                    Table its = first.routes.latest(from);
+                    RouteTable its = first.routes.latest(from);
                     if (its != null) {
                         its.routes().values().stream()
                                 .filter(each ->
@@ -117,8 +117,8 @@
                 }
             }
             Relation relation = relations.get(to + " " + name);
-            Table before = published.get(to);
-            Table next = Table.of(name, incarnation, sequence + 1, relation, lease, all);
+            RouteTable before = published.get(to);
+            RouteTable next = RouteTable.of(name, incarnation, sequence + 1, relation, lease, all);
             if (before == null || !before.routes().equals(next.routes()) || before.incarnation() != incarnation) {
                 sequence++;
                 published.put(to, next);
@@ -128,22 +128,22 @@
     }
 
     /** One backend. */
-    public final class Node implements Seen {
+    public final class SiteBackend implements FleetView {
         final Site site;
         final int index;
         final double rate;
         final long offset;
         public boolean up = true;
         public int side;
-        Routes routes;
-        Fellows fellows;
-        Exits exits;
-        Own own;
+        RoutingTable routes;
+        PeerTableSync fellows;
+        RouteSelector exits;
+        LocalServiceHealth own;
         final Map<String, long[]> asked = new TreeMap<>();
-        final Map<String, List<Snapshot>> words = new TreeMap<>();
+        final Map<String, List<VersionedEntry>> words = new TreeMap<>();
         public final List<String> told = new ArrayList<>();
 
-        Node(Site site, int index) {
+        SiteBackend(Site site, int index) {
             this.site = site;
             this.index = index;
             rate = 1 + (chance.nextDouble() - 0.5) * DRIFT;
@@ -156,32 +156,38 @@
 
         /** It begins anew and knows nothing. */
         public void begin() {
-            List<Routes.Stated> stated = new ArrayList<>();
+            List<RoutingTable.PartnerSettings> stated = new ArrayList<>();
             sites.forEach(each -> Optional.ofNullable(relations.get(site.name + " " + each.name))
-                    .ifPresent(its -> stated.add(new Routes.Stated(each.name, its))));
-            routes = new Routes(new Rules(site.name), stated, DRIFT, Damping.Figures.PUBLISHED, this, line -> {
-                if (told.size() < 200) {
-                    told.add(now + " " + line);
-                }
-            });
-            fellows = new Fellows(routes, chance.nextLong(1L << 40), chance.split());
-            exits = new Exits(routes, site.nodes.size() == 0 ? 1 : perSite);
-            own = new Own(Own.Stated.USUAL);
+                    .ifPresent(its -> stated.add(new RoutingTable.PartnerSettings(each.name, its))));
+            routes = new RoutingTable(
+                    new RoutingPolicy(site.name),
+                    stated,
+                    DRIFT,
+                    FlapDamping.FlapDampingSettings.PUBLISHED,
+                    this,
+                    line -> {
+                        if (told.size() < 200) {
+                            told.add(now + " " + line);
+                        }
+                    });
+            fellows = new PeerTableSync(routes, chance.nextLong(1L << 40), chance.split());
+            exits = new RouteSelector(routes, site.nodes.size() == 0 ? 1 : perSite);
+            own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.USUAL);
             words.clear();
             asked.clear();
             up = true;
         }
 
-        private boolean hears(Node other) {
+        private boolean hears(SiteBackend other) {
             return up && other.up && side == other.side;
         }
 
         @Override
-        public Standing standing(Duration at) {
+        public QuorumStatus standing(Duration at) {
             long heard = site.nodes.stream().filter(this::hears).count();
             return heard == perSite
-                    ? Standing.WHOLE
-                    : 2 * heard > perSite ? Standing.MOST : heard > 1 ? Standing.FEW : Standing.ALONE;
+                    ? QuorumStatus.WHOLE
+                    : 2 * heard > perSite ? QuorumStatus.MOST : heard > 1 ? QuorumStatus.FEW : QuorumStatus.ALONE;
         }
 
         @Override
@@ -190,13 +196,13 @@
         }
 
         @Override
-        public View view() {
-            return View.NONE;
+        public MembershipView view() {
+            return MembershipView.NONE;
         }
 
         private void look() {
             routes.settle(clock());
-            for (Fellows.Say each : fellows.look(clock(), others())) {
+            for (PeerTableSync.TableMessage each : fellows.look(clock(), others())) {
                 say(each);
             }
             if (index < 2) {
@@ -211,7 +217,7 @@
                 }
             }
             if (chance.nextInt(10) == 0) {
-                Node other = site.nodes.get(chance.nextInt(perSite));
+                SiteBackend other = site.nodes.get(chance.nextInt(perSite));
                 words.values().forEach(all -> all.forEach(word -> toFellow(this, other, () -> other.came(word))));
             }
         }
@@ -223,8 +229,8 @@
                     .toList();
         }
 
-        private void say(Fellows.Say each) {
-            Node to = site.nodes.get(Integer.parseInt(each.to()));
+        private void say(PeerTableSync.TableMessage each) {
+            SiteBackend to = site.nodes.get(Integer.parseInt(each.to()));
             toFellow(this, to, () -> to.fellows
                     .said(to.clock(), "" + index, each.number(), each.what())
                     .forEach(to::say));
@@ -232,10 +238,10 @@
 
         private void ask(String partner, long number, Duration from) {
             Site there = site(partner);
-            Node first = there.nodes.get(0);
+            SiteBackend first = there.nodes.get(0);
             toSite(this, there, () -> {
                 if (first.up) {
-                    Table table = there.publish(first, site.name);
+                    RouteTable table = there.publish(first, site.name);
                     audit.table(now, partner, site.name, table);
                     toSite(first, site, () -> {
                         long[] last = asked.get(partner);
@@ -247,11 +253,11 @@
             });
         }
 
-        private void read(Table table, Duration from) {
+        private void read(RouteTable table, Duration from) {
             if (routes.offer(clock(), table)) {
-                words.put(table.site(), Fellows.words(table));
+                words.put(table.site(), PeerTableSync.words(table));
             }
-            Routes.Holds holds = routes.holds(clock(), table.site());
+            RoutingTable.TableLease holds = routes.holds(clock(), table.site());
             if (holds != null && table.equals(routes.latest(table.site()))) {
                 routes.stoodBy(
                         clock(),
@@ -264,9 +270,9 @@
             }
         }
 
-        private void came(Snapshot word) {
+        private void came(VersionedEntry word) {
             if (fellows.came(clock(), word)) {
-                words.put(word.owner(), Fellows.words(routes.latest(word.owner())));
+                words.put(word.owner(), PeerTableSync.words(routes.latest(word.owner())));
             }
         }
 
@@ -274,20 +280,21 @@
 
         /** An operation whose run needs a call. */
         public void operation() {
-            Exits.Tariff tariff = TARIFFS[chance.nextInt(2)];
+            RouteSelector.RoutingClass tariff = TARIFFS[chance.nextInt(2)];
             long id = ++operations;
             audit.begun(id, now + 4000);
             attempt(id, tariff, "k" + chance.nextInt(500), new HashSet<>(), false, 0);
         }
 
-        private void attempt(long id, Exits.Tariff tariff, String key, Set<String> tried, boolean missing, int times) {
-            boolean effect = tariff.kind() != Exits.Kind.RETRIABLE;
-            if (own.state() == Own.State.GOOD || own.tries(clock()) || without) {
+        private void attempt(
+                long id, RouteSelector.RoutingClass tariff, String key, Set<String> tried, boolean missing, int times) {
+            boolean effect = tariff.kind() != RouteSelector.RetrySafety.RETRIABLE;
+            if (own.state() == LocalServiceHealth.HealthState.GOOD || own.tries(clock()) || without) {
                 long began = now;
                 boolean lostThen = !site.serviceUp;
                 later(lostThen ? 1 : 5 + chance.nextInt(20), () -> {
-                    Ending how = lostThen ? Ending.UNREACHABLE : site.serviceUp ? Ending.OK : Ending.CUT_OFF;
-                    if (how == Ending.OK && effect || how == Ending.CUT_OFF && effect && chance.nextBoolean()) {
+                    Outcome how = lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CUT_OFF;
+                    if (how == Outcome.OK && effect || how == Outcome.CUT_OFF && effect && chance.nextBoolean()) {
                         audit.effect(now, id, site.name);
                     }
                     own.ended(clock(), how, Duration.ofMillis(now - began));
@@ -295,10 +302,10 @@
                 });
                 return;
             }
-            Optional<Exits.Way> way =
-                    exits.way(clock(), new Exits.Call(tariff, "records", key, tried, missing), own.state(), false);
+            Optional<RouteSelector.SelectedRoute> way = exits.way(
+                    clock(), new RouteSelector.RoutedCall(tariff, "records", key, tried, missing), own.state(), false);
             if (way.isEmpty()) {
-                ended(id, tariff, key, tried, missing, 9, Ending.UNREACHABLE);
+                ended(id, tariff, key, tried, missing, 9, Outcome.UNREACHABLE);
                 return;
             }
             String route = way.get().route();
@@ -310,7 +317,7 @@
             later(600, () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    ended(id, tariff, key, tried, missing, times, Ending.CUT_OFF);
+                    ended(id, tariff, key, tried, missing, times, Outcome.CUT_OFF);
                 }
             });
             boolean[] came = new boolean[1];
@@ -328,24 +335,30 @@
                 toSite(first.nodes.get(0), site, () -> {
                     if (!over[0]) {
                         over[0] = true;
-                        ended(id, tariff, key, tried, missing, times, ran ? Ending.OK : Ending.TURNED_AWAY);
+                        ended(id, tariff, key, tried, missing, times, ran ? Outcome.OK : Outcome.TURNED_AWAY);
                     }
                 });
             });
         }
 
         private void ended(
-                long id, Exits.Tariff tariff, String key, Set<String> tried, boolean missing, int times, Ending how) {
-            boolean again = how != Ending.OK
+                long id,
+                RouteSelector.RoutingClass tariff,
+                String key,
+                Set<String> tried,
+                boolean missing,
+                int times,
+                Outcome how) {
+            boolean again = how != Outcome.OK
                     && times < 3
-                    && (how.provesUnrun() || tariff.kind() == Exits.Kind.RETRIABLE || secondWay);
+                    && (how.provesUnrun() || tariff.kind() == RouteSelector.RetrySafety.RETRIABLE || secondWay);
             if (again) {
                 attempt(id, tariff, key, tried, missing || !how.provesUnrun(), times + 1);
                 return;
             }
             audit.ended(now, id);
-            site.served += how == Ending.OK ? 1 : 0;
-            site.brokenOff += how == Ending.OK ? 0 : 1;
+            site.served += how == Outcome.OK ? 1 : 0;
+            site.brokenOff += how == Outcome.OK ? 0 : 1;
         }
     }
 
@@ -353,7 +366,7 @@
     final int perSite;
     public final List<Site> sites = new ArrayList<>();
     private final Map<String, Relation> relations = new TreeMap<>();
-    public final Exports audit;
+    public final RouteExportAudit audit;
     private long operations;
     /** Pairs of sites that do not hear each other; and calls stay home. */
     public final Set<String> cut = new HashSet<>();
@@ -373,22 +386,22 @@
                     pair.substring(pair.indexOf(' ') + 1) + " " + pair.substring(0, pair.indexOf(' ')),
                     its.seenFromThere());
         });
-        audit = new Exports((one, other) -> this.relations.get(one + " " + other), lease.toMillis());
+        audit = new RouteExportAudit((one, other) -> this.relations.get(one + " " + other), lease.toMillis());
         names.forEach(name -> sites.add(new Site(sites.size(), name)));
         for (Site each : sites) {
             for (int i = 0; i < perSite; i++) {
-                each.nodes.add(new Node(each, i));
+                each.nodes.add(new SiteBackend(each, i));
             }
             each.restrict(Restrictions.NONE);
         }
-        sites.forEach(each -> each.nodes.forEach(Node::begin));
+        sites.forEach(each -> each.nodes.forEach(SiteBackend::begin));
     }
 
     public Site site(String name) {
         return sites.stream().filter(each -> each.name.equals(name)).findFirst().orElseThrow();
     }
 
-    private void toFellow(Node from, Node to, Runnable what) {
+    private void toFellow(SiteBackend from, SiteBackend to, Runnable what) {
         if (from != to && from.hears(to)) {
             carry(() -> {
                 if (to.up) {
@@ -398,7 +411,7 @@
         }
     }
 
-    private void toSite(Node from, Site to, Runnable what) {
+    private void toSite(SiteBackend from, Site to, Runnable what) {
         if (from.up
                 && !cut.contains(from.site.name + " " + to.name)
                 && !cut.contains(from.site.name + from.side + " " + to.name)) {
@@ -416,9 +429,9 @@
         long end = now + ms;
         while (now < end) {
             until(now + STEP);
-            sites.forEach(site -> site.nodes.stream().filter(node -> node.up).forEach(Node::look));
+            sites.forEach(site -> site.nodes.stream().filter(node -> node.up).forEach(SiteBackend::look));
             for (int i = 0; i < perStep; i++) {
-                Node node = sites.get(chance.nextInt(sites.size())).nodes.get(chance.nextInt(perSite));
+                SiteBackend node = sites.get(chance.nextInt(sites.size())).nodes.get(chance.nextInt(perSite));
                 if (node.up) {
                     node.operation();
                 }
@@ -427,12 +440,12 @@
     }
 
     /** Whether a backend has a way for reads. */
-    public boolean hasWay(Node node) {
+    public boolean hasWay(SiteBackend node) {
         return !node.routes.ways(node.clock(), "reads/records").isEmpty();
     }
 
     /** What a backend would decide with, as text. */
-    public String merged(Node node) {
+    public String merged(SiteBackend node) {
         return node.routes.merged();
     }
 }
--- a/src/main/java/merlinlever/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/faults/ServeFleet.java
@@ -15,20 +15,20 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
-import merlinlever.durable.Folders;
-import merlinlever.faults.audit.Incarnations;
-import merlinlever.faults.audit.Rules;
-import merlinlever.faults.audit.Shares;
-import merlinlever.faults.link.Links;
+import merlinlever.faults.audit.IncarnationAudit;
+import merlinlever.faults.audit.QuotaAudit;
+import merlinlever.faults.audit.RequestAudit;
+import merlinlever.faults.link.LinkFaults;
 import merlinlever.faults.link.UdpSwitch;
-import merlinlever.faults.party.Callers;
-import merlinlever.faults.party.RenderFarm;
-import merlinlever.faults.party.SharedParty;
-import merlinlever.faults.proc.Ports;
-import merlinlever.faults.proc.Processes;
-import merlinlever.members.Wire;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.faults.process.ManagedProcesses;
+import merlinlever.faults.process.PortAllocator;
+import merlinlever.faults.standins.LoadGenerator;
+import merlinlever.faults.standins.SimulatedAgent;
+import merlinlever.faults.standins.SimulatedRecordsService;
+import merlinlever.membership.MembershipCodec;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.storage.StateDirectories;
 
 /**
  * Real backends of the program (`serve`), each with an agent of its own that runs its operations, callers of its own, a
@@ -44,19 +44,19 @@
      * @param recovery whether the backends keep anything for their return; without it they start as they do on the platform
      * @param together whether voters are named, so that they know who leads and who is there
      */
-    public record Stated(
-            int count, boolean recovery, double perSecond, Duration window, Whole budget, boolean together) {
-        public Stated(int count, boolean recovery, double perSecond, Duration window, Whole budget) {
+    public record ServeFleetSettings(
+            int count, boolean recovery, double perSecond, Duration window, SharedLimit budget, boolean together) {
+        public ServeFleetSettings(int count, boolean recovery, double perSecond, Duration window, SharedLimit budget) {
             this(count, recovery, perSecond, window, budget, budget != null);
         }
 
-        public Stated(int count, boolean recovery, double perSecond, Duration window) {
+        public ServeFleetSettings(int count, boolean recovery, double perSecond, Duration window) {
             this(count, recovery, perSecond, window, null);
         }
     }
 
     /** A limit of the whole fleet on the calls to the party that all share; each run makes one call. */
-    public record Whole(long whole, boolean perSecond, Duration lease, Duration takes) {
+    public record SharedLimit(long whole, boolean perSecond, Duration lease, Duration takes) {
         String json(long now) {
             return "[{\"name\":\"calls\",\"whole\":" + now + ",\"per\":\"" + (perSecond ? "second" : "at-once")
                     + "\",\"lease\":\"" + lease.toMillis() + "ms\",\"longest\":\"1000ms\"}]";
@@ -68,71 +68,73 @@
     private static final Duration WORK = Duration.ofMillis(150), WAIT = Duration.ofSeconds(2);
 
     private final Path root;
-    private final Stated stated;
-    private final Processes processes = new Processes();
-    private final List<Processes.Spec> specs = new ArrayList<>();
+    private final ServeFleetSettings stated;
+    private final ManagedProcesses processes = new ManagedProcesses();
+    private final List<ManagedProcesses.ProcessSpec> specs = new ArrayList<>();
     private final List<InetSocketAddress> manages = new ArrayList<>();
-    private final List<RenderFarm> farms = new ArrayList<>();
-    private final List<Callers> callers = new ArrayList<>();
+    private final List<SimulatedAgent> farms = new ArrayList<>();
+    private final List<LoadGenerator> callers = new ArrayList<>();
     private final List<String> configurations = new ArrayList<>();
-    private final Links links;
-    private final Loop loop;
+    private final LinkFaults links;
+    private final EventLoop loop;
     private final UdpSwitch hub;
-    private final Rules rules = new Rules();
-    private final Incarnations incarnations = new Incarnations();
+    private final RequestAudit rules = new RequestAudit();
+    private final IncarnationAudit incarnations = new IncarnationAudit();
     /** Null where no calls are made. */
-    private final SharedParty party;
+    private final SimulatedRecordsService party;
 
-    private final Shares shares;
+    private final QuotaAudit shares;
 
-    public ServeFleet(Path root, Stated stated, List<String> java, long seed) throws IOException, InterruptedException {
+    public ServeFleet(Path root, ServeFleetSettings stated, List<String> java, long seed)
+            throws IOException, InterruptedException {
         this.root = root;
         this.stated = stated;
         int count = stated.count();
-        links = new Links(count);
-        loop = new Loop(Clock.system(), failure -> failure.printStackTrace());
+        links = new LinkFaults(count);
+        loop = new EventLoop(MonotonicClock.system(), failure -> failure.printStackTrace());
         Thread looping = new Thread(loop::run, "fault-harness");
         looping.setDaemon(true);
         looping.start();
         List<InetSocketAddress> real = new ArrayList<>();
         List<InetSocketAddress> fronts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            real.add(new InetSocketAddress(HERE, Ports.free()));
+            real.add(new InetSocketAddress(HERE, PortAllocator.free()));
             fronts.add(new InetSocketAddress(HERE, 0));
         }
         hub = new UdpSwitch(loop, links, real, fronts, seed);
-        Wire wire = new Wire(SECRET.getBytes(StandardCharsets.UTF_8));
+        MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
         on(none -> hub.tap((from, to, octets) -> incarnations.sent(name(from), name(to), wire.read(octets))));
         Files.createDirectories(root);
         Path secret = root.resolve("secret");
         Files.writeString(secret, SECRET);
         SplittableRandom chance = new SplittableRandom(seed);
-        Whole budget = stated.budget();
-        shares = budget == null ? null : new Shares(budget.whole(), budget.perSecond());
-        SharedParty[] shared = new SharedParty[1];
+        SharedLimit budget = stated.budget();
+        shares = budget == null ? null : new QuotaAudit(budget.whole(), budget.perSecond());
+        SimulatedRecordsService[] shared = new SimulatedRecordsService[1];
         IOException[] failed = new IOException[1];
         on(none -> {
             try {
                 shared[0] = budget == null
                         ? null
-                        : new SharedParty(loop, new InetSocketAddress(HERE, 0), budget.takes(), shares);
+                        : new SimulatedRecordsService(loop, new InetSocketAddress(HERE, 0), budget.takes(), shares);
             } catch (IOException e) {
                 failed[0] = e;
             }
         });
         party = shared[0];
         for (int i = 0; i < count; i++) {
-            InetSocketAddress listen = new InetSocketAddress(HERE, Ports.free());
-            manages.add(new InetSocketAddress(HERE, Ports.free()));
+            InetSocketAddress listen = new InetSocketAddress(HERE, PortAllocator.free());
+            manages.add(new InetSocketAddress(HERE, PortAllocator.free()));
             String name = name(i);
             SplittableRandom its = chance.split();
             on(none -> {
                 try {
-                    farms.add(new RenderFarm(loop, name, new InetSocketAddress(HERE, 0), WORK, budget != null, rules));
-                    callers.add(new Callers(
+                    farms.add(new SimulatedAgent(
+                            loop, name, new InetSocketAddress(HERE, 0), WORK, budget != null, rules));
+                    callers.add(new LoadGenerator(
                             loop,
                             listen,
-                            new Callers.Stated(stated.perSecond(), 0.4, WAIT, stated.window()),
+                            new LoadGenerator.LoadSettings(stated.perSecond(), 0.4, WAIT, stated.window()),
                             rules,
                             its));
                 } catch (IOException e) {
@@ -149,13 +151,13 @@
             Files.writeString(file, configured(i, budget == null ? 0 : budget.whole()));
             List<String> command = new ArrayList<>(java);
             command.add("serve");
-            specs.add(new Processes.Spec(
+            specs.add(new ManagedProcesses.ProcessSpec(
                     name,
                     command,
                     Map.of(
                             "GW_CONFIG",
                             file.toString(),
-                            Folders.RECORD,
+                            StateDirectories.RECORD,
                             records(i).toString()),
                     folder));
         }
@@ -220,7 +222,7 @@
     }
 
     /** What the party that all share saw; read on the loop's thread. */
-    public Shares shares() {
+    public QuotaAudit shares() {
         return shares;
     }
 
@@ -242,10 +244,10 @@
         for (int i : all()) {
             start(i);
         }
-        on(none -> callers.forEach(Callers::begin));
+        on(none -> callers.forEach(LoadGenerator::begin));
     }
 
-    public Stated stated() {
+    public ServeFleetSettings stated() {
         return stated;
     }
 
@@ -261,20 +263,20 @@
         return root.resolve("records").resolve(name(i));
     }
 
-    public Processes processes() {
+    public ManagedProcesses processes() {
         return processes;
     }
 
-    public RenderFarm farm(int i) {
+    public SimulatedAgent farm(int i) {
         return farms.get(i);
     }
 
-    public Callers callers(int i) {
+    public LoadGenerator callers(int i) {
         return callers.get(i);
     }
 
     /** What the audit found; read on the loop's thread. */
-    public Rules rules() {
+    public RequestAudit rules() {
         return rules;
     }
 
@@ -283,7 +285,7 @@
     }
 
     /** Runs it on the thread of the parties and returns when that is done. */
-    public void on(Consumer<Links> run) throws InterruptedException {
+    public void on(Consumer<LinkFaults> run) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             try {
@@ -296,7 +298,7 @@
     }
 
     /** What the audit of the incarnations found; read on the loop's thread. */
-    public Incarnations incarnations() {
+    public IncarnationAudit incarnations() {
         return incarnations;
     }
 
@@ -332,7 +334,7 @@
     }
 
     public boolean runs(int i) {
-        return processes.starts(name(i)) > 0 && processes.seen(name(i)) == Processes.Seen.RUNNING;
+        return processes.starts(name(i)) > 0 && processes.seen(name(i)) == ManagedProcesses.ProcessState.RUNNING;
     }
 
     /** The machine loses its power: the backend and all that its agent runs are gone at once. */
@@ -357,7 +359,7 @@
     public void close() {
         processes.close();
         loop.execute(() -> {
-            farms.forEach(RenderFarm::close);
+            farms.forEach(SimulatedAgent::close);
             if (party != null) {
                 party.close();
             }
--- a/src/main/java/merlinlever/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/faults/ViewFaults.java
@@ -15,12 +15,12 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import merlinlever.WireNamed;
-import merlinlever.faults.audit.OneView;
-import merlinlever.faults.link.Links;
-import merlinlever.faults.timeline.Event;
-import merlinlever.faults.timeline.Logs;
-import merlinlever.faults.timeline.Writer;
-import merlinlever.view.View;
+import merlinlever.faults.audit.ViewConsistencyAudit;
+import merlinlever.faults.link.LinkFaults;
+import merlinlever.faults.timeline.LogTimeline;
+import merlinlever.faults.timeline.TimelineEvent;
+import merlinlever.faults.timeline.TimelineRenderer;
+import merlinlever.view.MembershipView;
 
 /**
  * Faults among real backends that know who is there: what each tells of its standing and its view is asked for all the
@@ -29,7 +29,7 @@
 public final class ViewFaults {
 
     /** What happens. */
-    public enum Kind implements WireNamed {
+    public enum ViewFaultKind implements WireNamed {
         /** The smaller part is cut off from the larger, and healed. */
         PARTED("parted"),
         /** One is cut off from all others, and healed. */
@@ -47,7 +47,7 @@
 
         private final String wireName;
 
-        Kind(String wireName) {
+        ViewFaultKind(String wireName) {
             this.wireName = wireName;
         }
 
@@ -64,8 +64,14 @@
      * @param parted until each side knew its standing, or null where that is not asked for
      * @param healed until all were whole under one view
      */
-    public record Outcome(
-            Kind kind, long seed, int views, Duration parted, Duration healed, List<String> breaches, String timeline) {
+    public record ViewFaultOutcome(
+            ViewFaultKind kind,
+            long seed,
+            int views,
+            Duration parted,
+            Duration healed,
+            List<String> breaches,
+            String timeline) {
         public String told() {
             return kind.wireName() + ", seed " + seed + ": " + (breaches.isEmpty() ? "passed" : "FAILED") + ", " + views
                     + " views"
@@ -81,8 +87,8 @@
 
     private final ServeFleet fleet;
     private final Duration patience;
-    private OneView audit = new OneView();
-    private Logs logs;
+    private ViewConsistencyAudit audit = new ViewConsistencyAudit();
+    private LogTimeline logs;
 
     public ViewFaults(ServeFleet fleet, Duration patience) {
         this.fleet = fleet;
@@ -90,8 +96,9 @@
         logs = logs();
     }
 
-    private Logs logs() {
-        return new Logs(Instant.now(), fleet.all().stream().map(fleet::name).toList());
+    private LogTimeline logs() {
+        return new LogTimeline(
+                Instant.now(), fleet.all().stream().map(fleet::name).toList());
     }
 
     /** Starts all; returns when they are whole under one view. */
@@ -106,19 +113,19 @@
     }
 
     private void start(int i) throws IOException, InterruptedException {
-        logs.note(Instant.now(), fleet.name(i), Event.STARTED);
+        logs.note(Instant.now(), fleet.name(i), TimelineEvent.STARTED);
         fleet.start(i);
     }
 
     private String drawn(String title) throws IOException {
         Map<String, Path> files = new LinkedHashMap<>();
         fleet.all().forEach(i -> files.put(fleet.name(i), fleet.processes().log(fleet.name(i))));
-        return Writer.draw(logs.timeline(title, files, "recovery: "));
+        return TimelineRenderer.draw(logs.timeline(title, files, "recovery: "));
     }
 
     /** Asks all that run, and notes what changed. */
-    private Map<Integer, OneView.Told> look() {
-        Map<Integer, OneView.Told> now = new TreeMap<>();
+    private Map<Integer, ViewConsistencyAudit.ReportedView> look() {
+        Map<Integer, ViewConsistencyAudit.ReportedView> now = new TreeMap<>();
         for (int i : fleet.all()) {
             JsonNode told = fleet.runs(i) ? fleet.told(i) : null;
             JsonNode view = told == null ? null : told.path("recovery").path("view");
@@ -127,15 +134,16 @@
             }
             // Term and count.
             String[] place = view.path("view").asText("0.0").split("\\.");
-            long number = place.length == 2 ? View.number(Long.parseLong(place[0]), Integer.parseInt(place[1])) : 0;
-            OneView.Told its = new OneView.Told(
+            long number =
+                    place.length == 2 ? MembershipView.number(Long.parseLong(place[0]), Integer.parseInt(place[1])) : 0;
+            ViewConsistencyAudit.ReportedView its = new ViewConsistencyAudit.ReportedView(
                     fleet.name(i),
                     fleet.processes().starts(fleet.name(i)),
                     view.path("standing").asText(),
                     number,
                     view.path("digest").asText(),
                     view.path("members").asInt());
-            OneView.Told before = audit.last().get(its.by());
+            ViewConsistencyAudit.ReportedView before = audit.last().get(its.by());
             if (before == null || !before.standing().equals(its.standing()) || before.number() != its.number()) {
                 logs.note(
                         Instant.now(),
@@ -150,7 +158,7 @@
     }
 
     /** Looks until it is so; null where that took too long. */
-    private Duration until(Predicate<Map<Integer, OneView.Told>> so) throws InterruptedException {
+    private Duration until(Predicate<Map<Integer, ViewConsistencyAudit.ReportedView>> so) throws InterruptedException {
         long began = System.nanoTime();
         while (System.nanoTime() - began < patience.toNanos()) {
             if (so.test(look())) {
@@ -169,22 +177,27 @@
         }
     }
 
-    private boolean allWhole(Map<Integer, OneView.Told> told) {
+    private boolean allWhole(Map<Integer, ViewConsistencyAudit.ReportedView> told) {
         return told.size() == fleet.count()
                 && told.values().stream()
                         .allMatch(each -> each.standing().equals("whole") && each.members() == fleet.count())
-                && told.values().stream().map(OneView.Told::number).distinct().count() == 1;
+                && told.values().stream()
+                                .map(ViewConsistencyAudit.ReportedView::number)
+                                .distinct()
+                                .count()
+                        == 1;
     }
 
-    private static boolean stand(Map<Integer, OneView.Told> told, Set<Integer> who, List<String> standings) {
+    private static boolean stand(
+            Map<Integer, ViewConsistencyAudit.ReportedView> told, Set<Integer> who, List<String> standings) {
         return who.stream()
                 .allMatch(i ->
                         told.containsKey(i) && standings.contains(told.get(i).standing()));
     }
 
-    public Outcome play(Kind kind, long seed) throws IOException, InterruptedException {
+    public ViewFaultOutcome play(ViewFaultKind kind, long seed) throws IOException, InterruptedException {
         SplittableRandom chance = new SplittableRandom(seed);
-        audit = new OneView();
+        audit = new ViewConsistencyAudit();
         logs = logs();
         look();
         int before = audit.views();
@@ -194,17 +207,17 @@
             java.util.Collections.swap(drawn, i, chance.nextInt(i + 1));
         }
         int one = drawn.get(0);
-        int few = kind == Kind.PARTED ? (fleet.count() - 1) / 2 : 1;
+        int few = kind == ViewFaultKind.PARTED ? (fleet.count() - 1) / 2 : 1;
         Set<Integer> less = new TreeSet<>(drawn.subList(0, few));
         Set<Integer> most = new TreeSet<>(drawn.subList(few, drawn.size()));
         Duration known = null;
-        boolean parts = kind == Kind.PARTED || kind == Kind.ONE_CUT_OFF;
+        boolean parts = kind == ViewFaultKind.PARTED || kind == ViewFaultKind.ONE_CUT_OFF;
         switch (kind) {
             case PARTED, ONE_CUT_OFF -> {
                 all("parted: " + names(less) + " | " + names(most));
                 fleet.on(links -> links.partition(List.of(less, most)));
                 // One that is gone for so long is taken out of the view; two of five are not waited for.
-                int members = kind == Kind.PARTED ? fleet.count() : most.size();
+                int members = kind == ViewFaultKind.PARTED ? fleet.count() : most.size();
                 known = until(told -> stand(told, most, List.of("most"))
                         && stand(told, less, List.of("few", "alone"))
                         && most.stream().allMatch(i -> told.get(i).members() <= members));
@@ -212,7 +225,7 @@
             case ONE_WAY -> {
                 int other = drawn.get(1);
                 all("nothing from " + fleet.name(one) + " reaches " + fleet.name(other));
-                fleet.on(links -> links.set(one, other, Links.Fault.CUT));
+                fleet.on(links -> links.set(one, other, LinkFaults.LinkFault.CUT));
                 watch(4000);
                 within(breaches, List.of("few", "alone"));
             }
@@ -222,7 +235,7 @@
                 resume(one);
             }
             case KILL -> {
-                logs.note(Instant.now(), fleet.name(one), Event.KILLED);
+                logs.note(Instant.now(), fleet.name(one), TimelineEvent.KILLED);
                 fleet.powerOff(one);
                 known = until(told -> stand(told, most, List.of("most")));
                 start(one);
@@ -239,24 +252,24 @@
                 all("every link takes 150 to 250 ms");
                 fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream()
                         .filter(k -> k != i)
-                        .forEach(k ->
-                                links.set(i, k, Links.Fault.delayed(Duration.ofMillis(150), Duration.ofMillis(100))))));
+                        .forEach(k -> links.set(
+                                i, k, LinkFaults.LinkFault.delayed(Duration.ofMillis(150), Duration.ofMillis(100))))));
                 watch(4000);
                 within(breaches, List.of("few", "alone"));
             }
         }
-        if ((parts || kind == Kind.KILL) && known == null) {
+        if ((parts || kind == ViewFaultKind.KILL) && known == null) {
             breaches.add("after " + patience.toMillis() + " ms not known on both sides: " + standings());
         }
         all("all links are well");
-        fleet.on(Links::heal);
+        fleet.on(LinkFaults::heal);
         Duration healed = until(this::allWhole);
         if (healed == null) {
             breaches.add("after " + patience.toMillis() + " ms not whole under one view: " + standings());
         }
         breaches.addAll(audit.breaches());
         String title = kind.wireName() + ", seed " + seed + "\n" + String.join("\n", breaches);
-        return new Outcome(kind, seed, audit.views() - before, known, healed, breaches, drawn(title));
+        return new ViewFaultOutcome(kind, seed, audit.views() - before, known, healed, breaches, drawn(title));
     }
 
     /** Nobody may have come to these. */
@@ -281,12 +294,12 @@
     }
 
     private void pause(int i) throws IOException, InterruptedException {
-        logs.note(Instant.now(), fleet.name(i), Event.PAUSED);
+        logs.note(Instant.now(), fleet.name(i), TimelineEvent.PAUSED);
         fleet.processes().pause(fleet.name(i));
     }
 
     private void resume(int i) throws IOException, InterruptedException {
-        logs.note(Instant.now(), fleet.name(i), Event.RESUMED);
+        logs.note(Instant.now(), fleet.name(i), TimelineEvent.RESUMED);
         fleet.processes().resume(fleet.name(i));
     }
 }
--- a/src/main/java/merlinlever/faults/ViewAudit.java
+++ b/src/main/java/merlinlever/faults/ViewInvariants.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.view.View;
+import merlinlever.view.MembershipView;
 
 /** What is held of views at each step of a model: one membership of each number, and at each process numbers that only go up. */
-final class ViewAudit {
+final class ViewInvariants {
 
     private static final int MOST = 5;
 
-    final TreeMap<Long, View> numbered = new TreeMap<>();
+    final TreeMap<Long, MembershipView> numbered = new TreeMap<>();
     final List<String> breaches = new ArrayList<>();
     private final Map<String, Long> highest = new TreeMap<>();
 
     /** The process holds that view; {@code before} is the number it held at the last step. */
-    void holds(long now, String name, int place, long before, View view) {
-        View same = numbered.putIfAbsent(view.number(), view);
+    void holds(long now, String name, int place, long before, MembershipView view) {
+        MembershipView same = numbered.putIfAbsent(view.number(), view);
         if (same != null && !same.members().equals(view.members())) {
             breach(now, name + " holds another membership under " + view.told());
         }
@@ -34,8 +34,8 @@
     /** Memberships that followed on another one since that number. */
     int changesSince(long number) {
         int changes = 0;
-        View before = numbered.get(number);
-        for (View view : numbered.tailMap(number, false).values()) {
+        MembershipView before = numbered.get(number);
+        for (MembershipView view : numbered.tailMap(number, false).values()) {
             changes += before != null && before.members().equals(view.members()) ? 0 : 1;
             before = view;
         }
--- a/src/main/java/merlinlever/faults/ViewModel.java
+++ b/src/main/java/merlinlever/faults/ViewModel.java
@@ -7,15 +7,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
-import merlinlever.term.Terms;
-import merlinlever.view.Act;
-import merlinlever.view.Permits;
-import merlinlever.view.Sight;
-import merlinlever.view.Standing;
-import merlinlever.view.Stated;
-import merlinlever.view.View;
+import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.view.ActionPermissions;
+import merlinlever.view.GuardedAction;
+import merlinlever.view.MembershipView;
+import merlinlever.view.QuorumStatus;
+import merlinlever.view.ViewManager;
+import merlinlever.view.ViewSettings;
 
 /**
  * A fleet whose nodes are the real membership, terms and views, on a network and clocks of the model's own: steps of 50 ms,
@@ -31,26 +31,26 @@
     /** Datagrams that a process that stands still keeps for later, at the most. */
     private static final int KEPT = 500;
 
-    private record Datagram(int from, int to, Members.Message message) {}
+    private record Datagram(int from, int to, SwimProtocol.MembershipMessage message) {}
 
-    private record Held(Datagram datagram, long at) {}
+    private record HeldDatagram(Datagram datagram, long at) {}
 
     /** One process; a new life is a new one. */
-    public final class Node {
+    public final class FleetNode {
         final int place;
         public final String name;
         final long offset;
         final double rate;
         final long began;
         long stood;
-        public final Members members;
-        public final Terms terms;
+        public final SwimProtocol members;
+        public final LeaderElection terms;
         /** Null where membership is alone. */
-        public final Sight sight;
+        public final ViewManager sight;
 
         long number;
 
-        Node(int place, String name, long incarnation) {
+        FleetNode(int place, String name, long incarnation) {
             this.place = place;
             this.name = name;
             began = now;
@@ -58,20 +58,20 @@
             offset = now - chance.nextInt(100_000);
             Duration at = clock();
             List<String> seeds = List.of("g0", "g1", "g2");
-            members = new Members(
+            members = new SwimProtocol(
                     at,
-                    new Views(name, "g" + place, "-", incarnation),
-                    Members.Stated.usual(seeds),
+                    new MemberTable(name, "g" + place, "-", incarnation),
+                    SwimProtocol.SwimSettings.usual(seeds),
                     chance.split(),
                     line -> {});
             long floor = onDisk[place];
-            terms = new Terms(
+            terms = new LeaderElection(
                     at, name, voters, LEASE, DRIFT, floor, term -> noted(place, term), chance.split(), line -> {});
             sight = alone
                     ? null
-                    : new Sight(
+                    : new ViewManager(
                             at,
-                            Stated.usual(),
+                            ViewSettings.usual(),
                             members.views(),
                             terms,
                             ++lives << 30,
@@ -79,9 +79,9 @@
                             term -> noted(place, term),
                             chance.split(),
                             line -> log.add(now + " " + name + " " + line));
-            members.hears(Terms.WORDS, (who, number, what) -> say(terms.said(clock(), who, number, what)));
+            members.hears(LeaderElection.WORDS, (who, number, what) -> say(terms.said(clock(), who, number, what)));
             if (sight != null) {
-                members.hears(Sight.WORDS, (who, number, what) -> tell(sight.said(clock(), who, number, what)));
+                members.hears(ViewManager.WORDS, (who, number, what) -> tell(sight.said(clock(), who, number, what)));
                 members.takes((who, body) -> sight.carried(clock(), who, body));
             }
         }
@@ -90,12 +90,12 @@
             return Duration.ofNanos((long) ((now - offset - stood) * rate * 1e6));
         }
 
-        private void say(List<Terms.Say> all) {
+        private void say(List<LeaderElection.PeerMessage> all) {
             all.forEach(each -> members.say(each.to(), each.number(), each.what()));
         }
 
-        private void tell(List<Sight.Say> all) {
-            for (Sight.Say each : all) {
+        private void tell(List<ViewManager.ViewMessage> all) {
+            for (ViewManager.ViewMessage each : all) {
                 if (each.body() != null) {
                     members.carry(each.to(), each.body());
                 } else {
@@ -112,12 +112,12 @@
             members.settle(clock()).forEach(each -> send(place, each));
         }
 
-        public Standing standing() {
+        public QuorumStatus standing() {
             return sight.standing(clock());
         }
 
-        public boolean may(Act act) {
-            return sight.may(clock(), act) == Permits.May.YES;
+        public boolean may(GuardedAction act) {
+            return sight.may(clock(), act) == ActionPermissions.Permission.YES;
         }
     }
 
@@ -125,12 +125,12 @@
     public final int n;
     public final List<String> voters = new ArrayList<>();
     private final boolean alone;
-    public final Node[] nodes;
+    public final FleetNode[] nodes;
     private final long[] onDisk, wanted, diskAt, incarnation, pausedUntil;
     private final boolean[] frozen;
-    private final Cuts cuts;
+    private final NetworkPartitions cuts;
     private final TreeMap<Long, List<Datagram>> net = new TreeMap<>();
-    private final List<ArrayDeque<Held>> held = new ArrayList<>();
+    private final List<ArrayDeque<HeldDatagram>> held = new ArrayList<>();
     private final List<Datagram> old = new ArrayList<>();
     public double loss;
     public double replays;
@@ -140,9 +140,9 @@
     public long now, octets, octetsOfMembers, datagrams;
     private long lives;
     /** Every membership that was numbered, and what was found that may not be. */
-    private final ViewAudit audit = new ViewAudit();
+    private final ViewInvariants audit = new ViewInvariants();
 
-    public final TreeMap<Long, View> numbered = audit.numbered;
+    public final TreeMap<Long, MembershipView> numbered = audit.numbered;
     public final List<String> breaches = audit.breaches;
     public final ArrayDeque<String> log = new ArrayDeque<>();
 
@@ -151,14 +151,14 @@
         chance = new SplittableRandom(seed);
         this.n = n;
         this.alone = alone;
-        nodes = new Node[n];
+        nodes = new FleetNode[n];
         onDisk = new long[n];
         wanted = new long[n];
         diskAt = new long[n];
         incarnation = new long[n];
         pausedUntil = new long[n];
         frozen = new boolean[n];
-        cuts = new Cuts(n);
+        cuts = new NetworkPartitions(n);
         for (int i = 0; i < n; i++) {
             held.add(new ArrayDeque<>());
         }
@@ -180,7 +180,7 @@
         incarnation[i] += 64;
         pausedUntil[i] = 0;
         held.get(i).clear();
-        nodes[i] = new Node(i, name, incarnation[i]);
+        nodes[i] = new FleetNode(i, name, incarnation[i]);
     }
 
     public void startAll() {
@@ -217,7 +217,7 @@
     public boolean decidersOnOneSide() {
         TreeSet<Integer> sides = new TreeSet<>();
         for (int i = 0; i < n; i++) {
-            if (runs(i) && !excused(i) && nodes[i].may(Act.DECIDE)) {
+            if (runs(i) && !excused(i) && nodes[i].may(GuardedAction.DECIDE)) {
                 sides.add(cuts.sideOf(i));
             }
         }
@@ -246,15 +246,15 @@
 
     // ---- the network
 
-    private void send(int from, Members.Sending sending) {
+    private void send(int from, SwimProtocol.OutboundDatagram sending) {
         int to = Integer.parseInt(sending.to().substring(1));
-        Members.Message message = sending.message();
+        SwimProtocol.MembershipMessage message = sending.message();
         // As the wire has it; the heads of UDP and IP come on top.
         int size = 32
                 + message.from().length()
                 + message.about().length()
                 + (message.body() == null ? 0 : message.body().length + 4);
-        for (Views.Rumour rumour : message.rumours()) {
+        for (MemberTable.MemberRecord rumour : message.rumours()) {
             size += 12
                     + rumour.name().length()
                     + rumour.gossip().length()
@@ -262,7 +262,7 @@
         }
         octets += size;
         datagrams++;
-        octetsOfMembers += message.kind().compareTo(Members.Kind.SAY) < 0 ? size : 0;
+        octetsOfMembers += message.kind().compareTo(SwimProtocol.MessageKind.SAY) < 0 ? size : 0;
         Datagram datagram = new Datagram(from, to, message);
         if (replays > 0) {
             if (old.size() < 2000) {
@@ -287,7 +287,7 @@
         }
         if (now < pausedUntil[datagram.to]) {
             if (held.get(datagram.to).size() < KEPT) {
-                held.get(datagram.to).add(new Held(datagram, now));
+                held.get(datagram.to).add(new HeldDatagram(datagram, now));
             }
             return;
         }
@@ -341,11 +341,11 @@
 
     private void check() {
         String leader = null;
-        for (Node node : nodes) {
+        for (FleetNode node : nodes) {
             if (node == null) {
                 continue;
             }
-            View view = node.sight.view();
+            MembershipView view = node.sight.view();
             audit.holds(now, node.name, node.place, node.number, view);
             node.number = view.number();
             if (node.terms.leads(node.clock()) && !excused(node.place)) {
@@ -386,10 +386,10 @@
 
     /** Whether all that run hold one view of exactly these places. */
     public boolean agreed(TreeSet<String> members) {
-        View view = null;
+        MembershipView view = null;
         for (int i = 0; i < n; i++) {
             if (runs(i)) {
-                View its = nodes[i].sight.view();
+                MembershipView its = nodes[i].sight.view();
                 if (!its.members().equals(members) || view != null && view.number() != its.number()) {
                     return false;
                 }
--- a/src/main/java/merlinlever/faults/Sometime.java
+++ b/src/main/java/merlinlever/faults/VirtualNetwork.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 
 /** Virtual time in ms, what happens in it in its order, and words that are late, lost or doubled; all from a seed. */
-abstract class Sometime {
+abstract class VirtualNetwork {
 
     private record Event(long at, long order, Runnable what) {}
 
@@ -15,7 +15,7 @@
     public long now;
     public double loss;
 
-    Sometime(long seed) {
+    VirtualNetwork(long seed) {
         chance = new SplittableRandom(seed);
     }
 
--- a/src/main/java/merlinlever/faults/audit/Agreement.java
+++ b/src/main/java/merlinlever/faults/audit/AgreementAudit.java
@@ -8,12 +8,12 @@
  * Whether what the processes say of each other is what is so, judged from outside: the harness knows which processes run,
  * and each running one is asked what it believes of the others. Decisions alone.
  */
-public final class Agreement {
+public final class AgreementAudit {
 
     /** What one process said of another: alive, suspect, dead, left, or absent where it knows none of that name. */
-    public record Said(String by, String of, String status) {}
+    public record ReportedStatus(String by, String of, String status) {}
 
-    private Agreement() {}
+    private AgreementAudit() {}
 
     /**
      * After the faults have ended and the processes had their time: every running one holds every other running one alive,
@@ -22,7 +22,7 @@
      * @param running each process by name, whether it runs (and is not paused)
      * @return each breach in one line, naming both; empty where all agree
      */
-    public static List<String> breaches(Map<String, Boolean> running, List<Said> said) {
+    public static List<String> breaches(Map<String, Boolean> running, List<ReportedStatus> said) {
         List<String> breaches = new ArrayList<>();
         for (Map.Entry<String, Boolean> by : running.entrySet()) {
             if (!by.getValue()) {
@@ -34,7 +34,7 @@
                 }
                 String status = said.stream()
                         .filter(one -> one.by().equals(by.getKey()) && one.of().equals(of.getKey()))
-                        .map(Said::status)
+                        .map(ReportedStatus::status)
                         .findFirst()
                         .orElse("absent");
                 if (of.getValue() && !status.equals("alive")) {
--- a/src/main/java/merlinlever/faults/audit/Incarnations.java
+++ b/src/main/java/merlinlever/faults/audit/IncarnationAudit.java
@@ -4,21 +4,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.SwimProtocol;
 
 /**
  * Whether every life of a process told others an incarnation of its own, above all that its lives before told: by what it
  * sent alone. What a life writes in its log before it is on the disk is told to nobody, and the next may begin at the same.
  * The harness says where a life begins; whatever the process sent before has to be given to this first. Decisions alone.
  */
-public final class Incarnations {
+public final class IncarnationAudit {
 
     private static final int MOST = 20;
     private static final long NONE = -1;
 
     /** What one process told. */
-    private static final class One {
+    private static final class ProcessHistory {
         /** The lives before this one, and this one: the highest that they told. */
         long before = NONE, highest = NONE;
         /** To each other the last that this life told; datagrams of one way are read in the order of their sending. */
@@ -27,12 +27,12 @@
         int life;
     }
 
-    private final Map<String, One> all = new TreeMap<>();
+    private final Map<String, ProcessHistory> all = new TreeMap<>();
     private final List<String> breaches = new ArrayList<>();
     private long breached, told, unread;
 
-    private One one(String name) {
-        return all.computeIfAbsent(name, none -> new One());
+    private ProcessHistory one(String name) {
+        return all.computeIfAbsent(name, none -> new ProcessHistory());
     }
 
     private void breach(String what) {
@@ -44,7 +44,7 @@
 
     /** Another life of the process begins; what it sends from here on is this one's. */
     public void began(String name) {
-        One one = one(name);
+        ProcessHistory one = one(name);
         one.before = Math.max(one.before, one.highest);
         one.highest = NONE;
         one.last.clear();
@@ -53,13 +53,13 @@
 
     /** Its disk was spoilt, emptied or another's: it cannot know what it told, and rises above it by what others heard. */
     public void forgot(String name) {
-        One one = one(name);
+        ProcessHistory one = one(name);
         one.before = NONE;
         one.highest = NONE;
     }
 
     /** It sent this to the other; null where it is no message of the fleet. */
-    public void sent(String name, String to, Members.Message message) {
+    public void sent(String name, String to, SwimProtocol.MembershipMessage message) {
         if (message == null) {
             unread++;
             return;
@@ -67,7 +67,7 @@
         if (!message.from().equals(name)) {
             breach(name + " sent under the name of " + message.from());
         }
-        for (Views.Rumour rumour : message.rumours()) {
+        for (MemberTable.MemberRecord rumour : message.rumours()) {
             if (rumour.name().equals(name)) {
                 told(name, to, rumour.incarnation());
             }
@@ -75,7 +75,7 @@
     }
 
     private void told(String name, String to, long incarnation) {
-        One one = one(name);
+        ProcessHistory one = one(name);
         told++;
         if (incarnation <= one.before && incarnation > one.highest) {
             breach(name + " tells incarnation " + incarnation + " in life " + one.life
--- a/src/main/java/merlinlever/faults/audit/Shares.java
+++ b/src/main/java/merlinlever/faults/audit/QuotaAudit.java
@@ -9,7 +9,7 @@
  * in any second. Decisions alone. A call may be held up on its way by up to {@link #JITTER}, so a second is counted as
  * shorter by that.
  */
-public final class Shares {
+public final class QuotaAudit {
 
     /** What a connection on a busy machine may hold a call up. */
     public static final long JITTER = 250;
@@ -21,7 +21,7 @@
     private final List<String> breaches = new ArrayList<>();
     private long whole, atOnce, most, calls;
 
-    public Shares(long whole, boolean perSecond) {
+    public QuotaAudit(long whole, boolean perSecond) {
         this.whole = whole;
         this.perSecond = perSecond;
     }
--- a/src/main/java/merlinlever/faults/audit/Rules.java
+++ b/src/main/java/merlinlever/faults/audit/RequestAudit.java
@@ -11,7 +11,7 @@
  * The rules for operations, by what passed outside the processes alone: what callers sent and were answered, and what the
  * parties called saw run and have its effect. Decisions alone; each breach names the operation.
  */
-public final class Rules {
+public final class RequestAudit {
 
     private static final int MOST = 50;
 
--- a/src/main/java/merlinlever/faults/audit/Exports.java
+++ b/src/main/java/merlinlever/faults/audit/RouteExportAudit.java
@@ -9,23 +9,23 @@
 import merlinlever.routes.Relation;
 import merlinlever.routes.Restrictions;
 import merlinlever.routes.Route;
-import merlinlever.routes.Table;
+import merlinlever.routes.RouteTable;
 
 /**
  * Whether sites kept to what the origins of routes allow, by what passed between them: no table and no call came to or from a site
  * that was not allowed it at any moment of the leases before (one for each step of the way), none went round, no effect came
  * twice, and every operation ended. Decisions alone; its rules are its own and not those of the program.
  */
-public final class Exports {
+public final class RouteExportAudit {
 
     private static final int MOST = 20;
 
     /** What an origin said of its route from then on; null for withdrawn. */
-    private record Said(long ms, Restrictions what) {}
+    private record PublishedRestrictions(long ms, Restrictions what) {}
 
     private final BiFunction<String, String, Relation> relations;
     private final long lease;
-    private final Map<String, List<Said>> said = new TreeMap<>();
+    private final Map<String, List<PublishedRestrictions>> said = new TreeMap<>();
     private final Map<Long, String> effects = new TreeMap<>();
     private final Map<Long, Long> open = new TreeMap<>();
     private final List<String> breaches = new ArrayList<>();
@@ -34,14 +34,14 @@
     private long calls, tables, leaks;
 
     /** @param relations what the second site is to the first */
-    public Exports(BiFunction<String, String, Relation> relations, long leaseMs) {
+    public RouteExportAudit(BiFunction<String, String, Relation> relations, long leaseMs) {
         this.relations = relations;
         lease = leaseMs;
     }
 
     /** The origin says that of its routes from now on; null withdraws them. */
     public void said(long ms, String origin, Restrictions what) {
-        said.computeIfAbsent(origin, site -> new ArrayList<>()).add(new Said(ms, what));
+        said.computeIfAbsent(origin, site -> new ArrayList<>()).add(new PublishedRestrictions(ms, what));
     }
 
     /** What that site publishes is only counted: it is known to leak. */
@@ -55,7 +55,7 @@
     }
 
     /** A table came to a site. */
-    public void table(long ms, String from, String to, Table table) {
+    public void table(long ms, String from, String to, RouteTable table) {
         tables++;
         for (Route each : table.routes().values()) {
             if (!each.path().get(0).equals(from)) {
@@ -85,7 +85,7 @@
         if (path.contains(to) || new HashSet<>(path).size() < path.size()) {
             return to + " goes round: " + path;
         }
-        List<Said> all = said.getOrDefault(path.get(path.size() - 1), List.of());
+        List<PublishedRestrictions> all = said.getOrDefault(path.get(path.size() - 1), List.of());
         boolean allowed = false;
         for (int i = 0; i < all.size(); i++) {
             boolean past = i + 1 < all.size() && all.get(i + 1).ms() < ms - leases;
--- a/src/main/java/merlinlever/faults/disk/CrashStates.java
+++ b/src/main/java/merlinlever/faults/disk/CrashStates.java
@@ -15,7 +15,7 @@
 
 /**
  * The states that a power loss may leave of one folder, made from the record of what passed through its seam
- * ({@link merlinlever.durable.Recorded}). Decisions alone: lines in, states out.
+ * ({@link merlinlever.storage.RecordingStateDirectory}). Decisions alone: lines in, states out.
  *
  * <p>What the disk is taken to do, after each operation of the record in turn:
  * <ul>
@@ -30,71 +30,71 @@
 public final class CrashStates {
 
     /** One state: what the folder holds, and how it came to be. */
-    public record State(int cut, String how, SortedMap<String, byte[]> files) {}
+    public record CrashState(int cut, String how, SortedMap<String, byte[]> files) {}
 
     /** A line of the record that is not one the seam writes. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedRecordingException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Malformed(int line, String message) {
+        MalformedRecordingException(int line, String message) {
             super("line " + line + ": " + message);
         }
     }
 
-    private sealed interface Op permits Begin, Had, Open, Write, Force, Truncate, Rename, Delete, Sync {}
+    private sealed interface RecordedOperation permits Begin, Had, Open, Write, Force, Truncate, Rename, Delete, Sync {}
 
     /** The folder was opened anew (a start of the process): what it holds is told by the lines that follow. */
     /** @param had files that were there, each told by a line of its own after this one */
-    private record Begin(String folder, int had) implements Op {}
+    private record Begin(String folder, int had) implements RecordedOperation {}
 
-    private record Had(String name, byte[] octets) implements Op {}
+    private record Had(String name, byte[] octets) implements RecordedOperation {}
 
-    private record Open(String name) implements Op {}
+    private record Open(String name) implements RecordedOperation {}
 
-    private record Write(String name, long offset, byte[] octets) implements Op {}
+    private record Write(String name, long offset, byte[] octets) implements RecordedOperation {}
 
-    private record Force(String name) implements Op {}
+    private record Force(String name) implements RecordedOperation {}
 
-    private record Truncate(String name, long length) implements Op {}
+    private record Truncate(String name, long length) implements RecordedOperation {}
 
-    private record Rename(String from, String to) implements Op {}
+    private record Rename(String from, String to) implements RecordedOperation {}
 
-    private record Delete(String name) implements Op {}
+    private record Delete(String name) implements RecordedOperation {}
 
-    private record Sync() implements Op {}
+    private record Sync() implements RecordedOperation {}
 
     /** A file apart from its names. */
-    private static final class Node {
+    private static final class FileContents {
         byte[] current;
         byte[] forced;
         final List<Write> unforced = new ArrayList<>();
 
-        Node(byte[] octets) {
+        FileContents(byte[] octets) {
             current = octets;
             forced = octets;
         }
     }
 
     /** What the folder's names go through, kept till the folder is forced. */
-    private record Naming(String name, String to, Node made) {}
+    private record DirectoryChange(String name, String to, FileContents made) {}
 
     private static final Base64.Decoder BASE64 = Base64.getDecoder();
     /** Files larger than this in a record are refused, as the harness lays every state whole. */
     private static final long MOST = 64 << 20;
 
-    private final List<Op> ops;
+    private final List<RecordedOperation> ops;
     private final List<String> lines;
 
-    private CrashStates(List<Op> ops, List<String> lines) {
+    private CrashStates(List<RecordedOperation> ops, List<String> lines) {
         this.ops = ops;
         this.lines = lines;
     }
 
     /** Of the lines of a record; a last line without its end (the process was killed while telling it) is left out. */
-    public static CrashStates of(String record) throws Malformed {
+    public static CrashStates of(String record) throws MalformedRecordingException {
         List<String> lines = new ArrayList<>(Arrays.asList(record.split("\n", -1)));
         lines.remove(lines.size() - 1);
-        List<Op> ops = new ArrayList<>();
+        List<RecordedOperation> ops = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
             ops.add(op(i + 1, lines.get(i)));
         }
@@ -102,8 +102,8 @@
     }
 
     /** Without starts that ended before all was told that was there: they changed nothing, and what was before stands. */
-    private static CrashStates whole(List<Op> all, List<String> allLines) {
-        List<Op> ops = new ArrayList<>();
+    private static CrashStates whole(List<RecordedOperation> all, List<String> allLines) {
+        List<RecordedOperation> ops = new ArrayList<>();
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             int told = 0;
@@ -122,10 +122,10 @@
         return new CrashStates(ops, lines);
     }
 
-    private static Op op(int at, String line) throws Malformed {
+    private static RecordedOperation op(int at, String line) throws MalformedRecordingException {
         String[] words = line.split(" ", -1);
         try {
-            Op op =
+            RecordedOperation op =
                     switch (words[0]) {
                         case "folder" -> words.length == 3 ? new Begin(words[1], Integer.parseInt(words[2])) : null;
                         case "had" -> words.length == 3 ? new Had(words[1], BASE64.decode(words[2])) : null;
@@ -138,24 +138,25 @@
                         case "rename" -> words.length == 3 ? new Rename(words[1], words[2]) : null;
                         case "delete" -> words.length == 2 ? new Delete(words[1]) : null;
                         case "sync" -> words.length == 1 ? new Sync() : null;
-                        default -> throw new Malformed(
+                        default -> throw new MalformedRecordingException(
                                 at,
                                 "'" + words[0]
                                         + "' is none of folder, had, open, write, force, truncate, rename, delete, sync");
                     };
             if (op == null) {
-                throw new Malformed(at, "'" + words[0] + "' with " + (words.length - 1) + " words after it");
+                throw new MalformedRecordingException(
+                        at, "'" + words[0] + "' with " + (words.length - 1) + " words after it");
             }
             return op;
         } catch (IllegalArgumentException e) {
-            throw new Malformed(at, "not a number or not base64: " + e.getMessage());
+            throw new MalformedRecordingException(at, "not a number or not base64: " + e.getMessage());
         }
     }
 
     /** The folder that the record is of, as its last start named it; null where no line names it. */
     public String folder() {
         String folder = null;
-        for (Op op : ops) {
+        for (RecordedOperation op : ops) {
             if (op instanceof Begin begin) {
                 folder = begin.folder();
             }
@@ -164,8 +165,8 @@
     }
 
     /** The states after the last operation of the record: what the folder may hold after a power loss now. */
-    public List<State> last() throws Malformed {
-        List<State> last = new ArrayList<>();
+    public List<CrashState> last() throws MalformedRecordingException {
+        List<CrashState> last = new ArrayList<>();
         each(last::add, ops.size());
         return last;
     }
@@ -181,18 +182,18 @@
     }
 
     /** Every state, cut by cut, each once; returns how many. */
-    public int each(Consumer<State> into) throws Malformed {
+    public int each(Consumer<CrashState> into) throws MalformedRecordingException {
         return each(into, -1);
     }
 
     /** Of one cut alone where it is not below 0. */
-    private int each(Consumer<State> into, int onlyCut) throws Malformed {
-        Map<String, Node> names = new LinkedHashMap<>();
-        Map<String, Node> forcedNames = new LinkedHashMap<>();
-        List<Naming> namings = new ArrayList<>();
+    private int each(Consumer<CrashState> into, int onlyCut) throws MalformedRecordingException {
+        Map<String, FileContents> names = new LinkedHashMap<>();
+        Map<String, FileContents> forcedNames = new LinkedHashMap<>();
+        List<DirectoryChange> namings = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         int[] told = {0};
-        Consumer<State> once = state -> {
+        Consumer<CrashState> once = state -> {
             if ((onlyCut < 0 || state.cut() == onlyCut) && seen.add(key(state.files()))) {
                 told[0]++;
                 into.accept(state);
@@ -207,35 +208,39 @@
     }
 
     private static void apply(
-            int at, Op op, Map<String, Node> names, Map<String, Node> forcedNames, List<Naming> namings)
-            throws Malformed {
+            int at,
+            RecordedOperation op,
+            Map<String, FileContents> names,
+            Map<String, FileContents> forcedNames,
+            List<DirectoryChange> namings)
+            throws MalformedRecordingException {
         if (op instanceof Begin) {
             names.clear();
             forcedNames.clear();
             namings.clear();
         } else if (op instanceof Had had) {
-            Node node = new Node(had.octets());
+            FileContents node = new FileContents(had.octets());
             names.put(had.name(), node);
             forcedNames.put(had.name(), node);
         } else if (op instanceof Open open) {
             if (!names.containsKey(open.name())) {
-                Node node = new Node(new byte[0]);
+                FileContents node = new FileContents(new byte[0]);
                 names.put(open.name(), node);
-                namings.add(new Naming(open.name(), null, node));
+                namings.add(new DirectoryChange(open.name(), null, node));
             }
         } else if (op instanceof Write write) {
-            Node node = node(at, names, write.name());
+            FileContents node = node(at, names, write.name());
             if (write.offset() < 0 || write.offset() + write.octets().length > MOST) {
-                throw new Malformed(at, "a write outside 0 to " + MOST + " octets");
+                throw new MalformedRecordingException(at, "a write outside 0 to " + MOST + " octets");
             }
             node.current = written(node.current, write);
             node.unforced.add(write);
         } else if (op instanceof Force force) {
-            Node node = node(at, names, force.name());
+            FileContents node = node(at, names, force.name());
             node.forced = node.current;
             node.unforced.clear();
         } else if (op instanceof Truncate truncate) {
-            Node node = node(at, names, truncate.name());
+            FileContents node = node(at, names, truncate.name());
             node.current =
                     Arrays.copyOf(node.current, (int) Math.max(0, Math.min(truncate.length(), node.current.length)));
             node.forced = node.current;
@@ -243,38 +248,39 @@
         } else if (op instanceof Rename rename) {
             names.put(rename.to(), node(at, names, rename.from()));
             names.remove(rename.from());
-            namings.add(new Naming(rename.from(), rename.to(), null));
+            namings.add(new DirectoryChange(rename.from(), rename.to(), null));
             named(forcedNames, namings, namings.size());
         } else if (op instanceof Delete delete) {
             if (names.remove(delete.name()) != null) {
-                namings.add(new Naming(delete.name(), null, null));
+                namings.add(new DirectoryChange(delete.name(), null, null));
             }
         } else {
             named(forcedNames, namings, namings.size());
         }
     }
 
-    private static Node node(int at, Map<String, Node> names, String name) throws Malformed {
-        Node node = names.get(name);
+    private static FileContents node(int at, Map<String, FileContents> names, String name)
+            throws MalformedRecordingException {
+        FileContents node = names.get(name);
         if (node == null) {
-            throw new Malformed(at, name + " is not there");
+            throw new MalformedRecordingException(at, name + " is not there");
         }
         return node;
     }
 
     /** The first so many namings are on the disk, and leave the list. */
-    private static void named(Map<String, Node> forcedNames, List<Naming> namings, int first) {
-        for (Naming naming : namings.subList(0, first)) {
+    private static void named(Map<String, FileContents> forcedNames, List<DirectoryChange> namings, int first) {
+        for (DirectoryChange naming : namings.subList(0, first)) {
             name(forcedNames, naming);
         }
         namings.subList(0, first).clear();
     }
 
-    private static void name(Map<String, Node> into, Naming naming) {
+    private static void name(Map<String, FileContents> into, DirectoryChange naming) {
         if (naming.made() != null) {
             into.put(naming.name(), naming.made());
         } else if (naming.to() != null) {
-            Node node = into.remove(naming.name());
+            FileContents node = into.remove(naming.name());
             if (node != null) {
                 into.put(naming.to(), node);
             }
@@ -292,14 +298,14 @@
 
     private static void states(
             int cut,
-            Map<String, Node> names,
-            Map<String, Node> forcedNames,
-            List<Naming> namings,
-            Consumer<State> into) {
-        into.accept(new State(cut, "kill: all that was written", contents(names, true, null, null)));
-        into.accept(new State(cut, "power: what was forced", contents(forcedNames, false, null, null)));
-        for (Map.Entry<String, Node> entry : names.entrySet()) {
-            Node node = entry.getValue();
+            Map<String, FileContents> names,
+            Map<String, FileContents> forcedNames,
+            List<DirectoryChange> namings,
+            Consumer<CrashState> into) {
+        into.accept(new CrashState(cut, "kill: all that was written", contents(names, true, null, null)));
+        into.accept(new CrashState(cut, "power: what was forced", contents(forcedNames, false, null, null)));
+        for (Map.Entry<String, FileContents> entry : names.entrySet()) {
+            FileContents node = entry.getValue();
             List<Write> writes = node.unforced;
             for (int k = 0; k < writes.size(); k++) {
                 byte[] kept = node.forced;
@@ -307,7 +313,7 @@
                     kept = written(kept, write);
                 }
                 if (k > 0) {
-                    into.accept(new State(
+                    into.accept(new CrashState(
                             cut,
                             "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
                                     + " writes since its force",
@@ -317,7 +323,7 @@
                 if (next.octets().length > 1) {
                     Write half = new Write(
                             next.name(), next.offset(), Arrays.copyOf(next.octets(), next.octets().length / 2));
-                    into.accept(new State(
+                    into.accept(new CrashState(
                             cut,
                             "power: " + entry.getKey() + " keeps " + k + " of " + writes.size()
                                     + " writes since its force and half of the next",
@@ -326,18 +332,18 @@
             }
             if (writes.size() > 1) {
                 Write last = writes.get(writes.size() - 1);
-                into.accept(new State(
+                into.accept(new CrashState(
                         cut,
                         "power: " + entry.getKey() + " keeps the last of its writes since its force alone",
                         contents(names, false, node, written(node.forced, last))));
             }
         }
         for (int k = 1; k <= namings.size(); k++) {
-            Map<String, Node> named = new LinkedHashMap<>(forcedNames);
-            for (Naming naming : namings.subList(0, k)) {
+            Map<String, FileContents> named = new LinkedHashMap<>(forcedNames);
+            for (DirectoryChange naming : namings.subList(0, k)) {
                 name(named, naming);
             }
-            into.accept(new State(
+            into.accept(new CrashState(
                     cut,
                     "power: " + k + " of " + namings.size() + " changes of names since the folder's force",
                     contents(named, false, null, null)));
@@ -345,10 +351,11 @@
     }
 
     /** Each file as it is now, or as forced but for one that holds what is given (none where odd is null). */
-    private static SortedMap<String, byte[]> contents(Map<String, Node> names, boolean now, Node odd, byte[] octets) {
+    private static SortedMap<String, byte[]> contents(
+            Map<String, FileContents> names, boolean now, FileContents odd, byte[] octets) {
         SortedMap<String, byte[]> files = new TreeMap<>();
-        for (Map.Entry<String, Node> entry : names.entrySet()) {
-            Node node = entry.getValue();
+        for (Map.Entry<String, FileContents> entry : names.entrySet()) {
+            FileContents node = entry.getValue();
             files.put(entry.getKey(), now ? node.current : node == odd ? octets : node.forced);
         }
         return files;
--- a/src/main/java/merlinlever/faults/disk/Lay.java
+++ b/src/main/java/merlinlever/faults/disk/StateRestorer.java
@@ -7,11 +7,11 @@
 import java.util.stream.Stream;
 
 /** Lays a state that a power loss may leave into a folder, in place of the files that were there; folders in it stay. */
-public final class Lay {
+public final class StateRestorer {
 
-    private Lay() {}
+    private StateRestorer() {}
 
-    public static void into(Path folder, CrashStates.State state) throws IOException {
+    public static void into(Path folder, CrashStates.CrashState state) throws IOException {
         Files.createDirectories(folder);
         try (Stream<Path> there = Files.list(folder)) {
             for (Path file : (Iterable<Path>) there::iterator) {
--- a/src/main/java/merlinlever/faults/link/Links.java
+++ b/src/main/java/merlinlever/faults/link/LinkFaults.java
@@ -11,7 +11,7 @@
  * What each one-way link between the processes of a test does to what it carries, changed while they run. Decisions alone:
  * the proxies ask, with the time and the size, when something goes on, and carry it out.
  */
-public final class Links {
+public final class LinkFaults {
 
     /**
      * What one link does.
@@ -23,12 +23,12 @@
      * @param bytesPerSecond 0 for no bound
      * @param cut nothing passes: datagrams are lost, a stream is held (a partition looks so to TCP)
      */
-    public record Fault(
+    public record LinkFault(
             double drop, double duplicate, Duration delay, Duration jitter, long bytesPerSecond, boolean cut) {
-        public static final Fault NONE = new Fault(0, 0, Duration.ZERO, Duration.ZERO, 0, false);
-        public static final Fault CUT = new Fault(0, 0, Duration.ZERO, Duration.ZERO, 0, true);
+        public static final LinkFault NONE = new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, 0, false);
+        public static final LinkFault CUT = new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, 0, true);
 
-        public Fault {
+        public LinkFault {
             if (!(drop >= 0 && drop <= 1 && duplicate >= 0 && duplicate <= 1)
                     || delay.isNegative()
                     || jitter.isNegative()
@@ -38,33 +38,33 @@
             }
         }
 
-        public static Fault delayed(Duration delay, Duration jitter) {
-            return new Fault(0, 0, delay, jitter, 0, false);
+        public static LinkFault delayed(Duration delay, Duration jitter) {
+            return new LinkFault(0, 0, delay, jitter, 0, false);
         }
 
-        public static Fault lossy(double drop) {
-            return new Fault(drop, 0, Duration.ZERO, Duration.ZERO, 0, false);
+        public static LinkFault lossy(double drop) {
+            return new LinkFault(drop, 0, Duration.ZERO, Duration.ZERO, 0, false);
         }
 
-        public static Fault slow(long bytesPerSecond) {
-            return new Fault(0, 0, Duration.ZERO, Duration.ZERO, bytesPerSecond, false);
+        public static LinkFault slow(long bytesPerSecond) {
+            return new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, bytesPerSecond, false);
         }
     }
 
     private final int members;
-    private final Fault[][] faults;
+    private final LinkFault[][] faults;
     /** When a link has carried what it was given, for the bound on bytes a second and for a stream's order. */
     private final Duration[][] freeAt;
 
     private final long[][] resets;
 
-    public Links(int members) {
+    public LinkFaults(int members) {
         this.members = members;
-        faults = new Fault[members][members];
+        faults = new LinkFault[members][members];
         freeAt = new Duration[members][members];
         resets = new long[members][members];
         for (int i = 0; i < members; i++) {
-            Arrays.fill(faults[i], Fault.NONE);
+            Arrays.fill(faults[i], LinkFault.NONE);
             Arrays.fill(freeAt[i], Duration.ZERO);
         }
     }
@@ -73,17 +73,17 @@
         return members;
     }
 
-    public Fault of(int from, int to) {
+    public LinkFault of(int from, int to) {
         return faults[from][to];
     }
 
     /** One way. */
-    public void set(int from, int to, Fault fault) {
+    public void set(int from, int to, LinkFault fault) {
         faults[from][to] = fault;
     }
 
     /** Both ways. */
-    public void both(int one, int other, Fault fault) {
+    public void both(int one, int other, LinkFault fault) {
         set(one, other, fault);
         set(other, one, fault);
     }
@@ -95,7 +95,7 @@
                 if (a != b) {
                     for (int from : sides.get(a)) {
                         for (int to : sides.get(b)) {
-                            set(from, to, Fault.CUT);
+                            set(from, to, LinkFault.CUT);
                         }
                     }
                 }
@@ -107,9 +107,9 @@
     public void isolate(int member, boolean oneWay) {
         for (int other = 0; other < members; other++) {
             if (other != member) {
-                set(member, other, Fault.CUT);
+                set(member, other, LinkFault.CUT);
                 if (!oneWay) {
-                    set(other, member, Fault.CUT);
+                    set(other, member, LinkFault.CUT);
                 }
             }
         }
@@ -117,8 +117,8 @@
 
     /** Every link as it was; what is held in streams goes on. */
     public void heal() {
-        for (Fault[] row : faults) {
-            Arrays.fill(row, Fault.NONE);
+        for (LinkFault[] row : faults) {
+            Arrays.fill(row, LinkFault.NONE);
         }
     }
 
@@ -135,7 +135,7 @@
 
     /** When a datagram that came now goes on: none where it is lost, two where it is duplicated. */
     public List<Duration> datagram(Duration now, int from, int to, int size, SplittableRandom chance) {
-        Fault fault = faults[from][to];
+        LinkFault fault = faults[from][to];
         List<Duration> at = new ArrayList<>(2);
         if (fault.cut() || chance.nextDouble() < fault.drop()) {
             return at;
@@ -158,7 +158,7 @@
      * cut, and they are asked about again later.
      */
     public Duration stream(Duration now, int from, int to, int size, SplittableRandom chance) {
-        Fault fault = faults[from][to];
+        LinkFault fault = faults[from][to];
         if (fault.cut()) {
             return null;
         }
@@ -170,7 +170,7 @@
         return leaves;
     }
 
-    private static Duration jitter(Fault fault, SplittableRandom chance) {
+    private static Duration jitter(LinkFault fault, SplittableRandom chance) {
         return fault.jitter().isZero()
                 ? Duration.ZERO
                 : Duration.ofNanos(chance.nextLong(fault.jitter().toNanos() + 1));
--- a/src/main/java/merlinlever/faults/link/TcpProxy.java
+++ b/src/main/java/merlinlever/faults/link/TcpProxy.java
@@ -12,11 +12,11 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 
 /**
  * Stands between a client member and a server member on TCP: each connection to the front is carried to the server's own
- * address, both ways, as {@link Links} decide. A cut link holds what it is given (as a partition does to TCP), a slow one
+ * address, both ways, as {@link LinkFaults} decide. A cut link holds what it is given (as a partition does to TCP), a slow one
  * lets it through at its pace, a reset breaks open connections off hard. One buffer a direction, so a slow link pushes
  * back on the sender through TCP itself.
  */
@@ -29,17 +29,23 @@
     /** Connections at once at the most; more are closed at once. */
     private static final int MOST = 512;
 
-    private final Loop loop;
-    private final Links links;
+    private final EventLoop loop;
+    private final LinkFaults links;
     private final int client, server;
     private final InetSocketAddress real;
     private final SplittableRandom chance;
     private final AsynchronousServerSocketChannel listener;
-    private final Set<Pair> open = new LinkedHashSet<>();
+    private final Set<ProxiedConnection> open = new LinkedHashSet<>();
     private long accepted, refused, resets;
 
     public TcpProxy(
-            Loop loop, Links links, int client, int server, InetSocketAddress front, InetSocketAddress real, long seed)
+            EventLoop loop,
+            LinkFaults links,
+            int client,
+            int server,
+            InetSocketAddress front,
+            InetSocketAddress real,
+            long seed)
             throws IOException {
         this.loop = loop;
         this.links = links;
@@ -71,7 +77,7 @@
                     return;
                 }
                 accepted++;
-                new Pair(caller).connect();
+                new ProxiedConnection(caller).connect();
             }
 
             @Override
@@ -84,13 +90,13 @@
     }
 
     /** One connection: the caller's and ours to the server. */
-    private final class Pair {
+    private final class ProxiedConnection {
         final AsynchronousSocketChannel caller;
         AsynchronousSocketChannel callee;
         final long epoch;
         boolean over;
 
-        Pair(AsynchronousSocketChannel caller) {
+        ProxiedConnection(AsynchronousSocketChannel caller) {
             this.caller = caller;
             epoch = links.resets(client, server);
             open.add(this);
@@ -239,14 +245,14 @@
 
     /** A reset of the link breaks off at once even the connections that wait for octets. */
     public void look() {
-        for (Pair pair : Set.copyOf(open)) {
+        for (ProxiedConnection pair : Set.copyOf(open)) {
             pair.resetNow();
         }
     }
 
     @Override
     public void close() {
-        for (Pair pair : Set.copyOf(open)) {
+        for (ProxiedConnection pair : Set.copyOf(open)) {
             pair.end(false);
         }
         try {
--- a/src/main/java/merlinlever/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/faults/link/UdpSwitch.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.net.Datagrams;
-import merlinlever.net.Loop;
+import merlinlever.net.DatagramEndpoint;
+import merlinlever.net.EventLoop;
 
 /**
  * Stands between processes that talk in datagrams. Each member is told to others by the address of its front here; what
  * reaches the front of k from member s's own socket goes on to k from the front of s, so that k sees s's told address as
- * the sender and answers there. On the way {@link Links} decide on loss, delay, copies and order.
+ * the sender and answers there. On the way {@link LinkFaults} decide on loss, delay, copies and order.
  */
 public final class UdpSwitch implements Closeable {
 
     /** Hears of each datagram as its sender sent it, before the links lose, delay or double it. */
-    public interface Tap {
+    public interface DatagramTap {
         void sent(int from, int to, byte[] octets);
     }
 
@@ -29,13 +29,13 @@
 
     private static final int LARGEST = 65_507;
 
-    private final Loop loop;
-    private final Links links;
+    private final EventLoop loop;
+    private final LinkFaults links;
     private final SplittableRandom chance;
     private final List<InetSocketAddress> real;
     private final Map<String, Integer> byReal = new HashMap<>();
-    private final List<Datagrams> fronts = new ArrayList<>();
-    private Tap tap = (from, to, octets) -> {};
+    private final List<DatagramEndpoint> fronts = new ArrayList<>();
+    private DatagramTap tap = (from, to, octets) -> {};
     private int held;
     private long carried, lost, strangers, overHeld;
 
@@ -43,7 +43,8 @@
      * @param real where each member's own socket is bound
      * @param fronts where each member is to be told to the others; port 0 takes a free one
      */
-    public UdpSwitch(Loop loop, Links links, List<InetSocketAddress> real, List<InetSocketAddress> fronts, long seed)
+    public UdpSwitch(
+            EventLoop loop, LinkFaults links, List<InetSocketAddress> real, List<InetSocketAddress> fronts, long seed)
             throws IOException {
         if (real.size() != links.members() || fronts.size() != links.members()) {
             throw new IllegalArgumentException("one real address and one front for each member of the links");
@@ -58,8 +59,8 @@
         try {
             for (int i = 0; i < fronts.size(); i++) {
                 int to = i;
-                this.fronts.add(
-                        new Datagrams(loop, fronts.get(i), LARGEST, (octets, from, waited) -> came(to, octets, from)));
+                this.fronts.add(new DatagramEndpoint(
+                        loop, fronts.get(i), LARGEST, (octets, from, waited) -> came(to, octets, from)));
             }
         } catch (IOException e) {
             close();
@@ -77,7 +78,7 @@
     }
 
     /** From here on it hears of each datagram, on the loop's thread. */
-    public void tap(Tap with) {
+    public void tap(DatagramTap with) {
         tap = with;
     }
 
@@ -86,7 +87,7 @@
      * sent from what the other sends: a datagram on this machine is at its front before its sender goes on.
      */
     public void takeIn() throws IOException {
-        for (Datagrams front : fronts) {
+        for (DatagramEndpoint front : fronts) {
             if (!front.readAll()) {
                 throw new IOException("more came to a front than it can hold");
             }
@@ -126,6 +127,6 @@
 
     @Override
     public void close() {
-        fronts.forEach(Datagrams::close);
+        fronts.forEach(DatagramEndpoint::close);
     }
 }
--- a/src/main/java/merlinlever/faults/proc/Processes.java
+++ b/src/main/java/merlinlever/faults/process/ManagedProcesses.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.proc;
+package merlinlever.faults.process;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -15,39 +15,39 @@
  * Real processes of a test, each with a folder and a log of its own: started, killed hard, paused and resumed, told to
  * leave, started again. The harness's alone: the deployed program never starts a process.
  */
-public final class Processes implements Closeable {
+public final class ManagedProcesses implements Closeable {
 
     /** How one is started; the same again on a restart. */
-    public record Spec(String name, List<String> command, Map<String, String> environment, Path folder) {
-        public Spec {
+    public record ProcessSpec(String name, List<String> command, Map<String, String> environment, Path folder) {
+        public ProcessSpec {
             command = List.copyOf(command);
             environment = Map.copyOf(environment);
         }
     }
 
     /** What became of one, as seen from outside. */
-    public enum Seen {
+    public enum ProcessState {
         RUNNING,
         PAUSED,
         ENDED
     }
 
-    private static final class One {
-        final Spec spec;
+    private static final class ManagedProcess {
+        final ProcessSpec spec;
         Process process;
         boolean paused;
         int starts;
 
-        One(Spec spec) {
+        ManagedProcess(ProcessSpec spec) {
             this.spec = spec;
         }
     }
 
-    private final Map<String, One> all = new LinkedHashMap<>();
+    private final Map<String, ManagedProcess> all = new LinkedHashMap<>();
 
     /** Starts it, its standard output and error added to log in its folder. */
-    public void start(Spec spec) throws IOException {
-        One one = all.computeIfAbsent(spec.name(), name -> new One(spec));
+    public void start(ProcessSpec spec) throws IOException {
+        ManagedProcess one = all.computeIfAbsent(spec.name(), name -> new ManagedProcess(spec));
         if (one.process != null && one.process.isAlive()) {
             throw new IllegalStateException(spec.name() + " runs already");
         }
@@ -68,8 +68,8 @@
         start(one(name).spec);
     }
 
-    private One one(String name) {
-        One one = all.get(name);
+    private ManagedProcess one(String name) {
+        ManagedProcess one = all.get(name);
         if (one == null || one.process == null) {
             throw new IllegalArgumentException("no process " + name + " was started");
         }
@@ -88,9 +88,9 @@
         return all.containsKey(name) ? all.get(name).starts : 0;
     }
 
-    public Seen seen(String name) {
-        One one = one(name);
-        return !one.process.isAlive() ? Seen.ENDED : one.paused ? Seen.PAUSED : Seen.RUNNING;
+    public ProcessState seen(String name) {
+        ManagedProcess one = one(name);
+        return !one.process.isAlive() ? ProcessState.ENDED : one.paused ? ProcessState.PAUSED : ProcessState.RUNNING;
     }
 
     /** The exit status, once it has ended. */
@@ -105,7 +105,7 @@
 
     /** SIGKILL, as a power loss or the kernel's killer: returns once it is gone. */
     public void kill(String name) throws InterruptedException {
-        One one = one(name);
+        ManagedProcess one = one(name);
         one.process.destroyForcibly();
         one.process.waitFor();
         one.paused = false;
@@ -113,7 +113,7 @@
 
     /** SIGTERM: the program's own leaving; returns whether it ended within the time. */
     public boolean term(String name, Duration within) throws IOException, InterruptedException {
-        One one = one(name);
+        ManagedProcess one = one(name);
         if (one.paused) {
             resume(name);
         }
@@ -155,7 +155,7 @@
     /** Every one still running is killed hard; the harness leaves nothing behind. */
     @Override
     public void close() {
-        for (One one : all.values()) {
+        for (ManagedProcess one : all.values()) {
             if (one.process != null && one.process.isAlive()) {
                 // A paused one ends by SIGKILL too.
                 one.process.destroyForcibly();
--- a/src/main/java/merlinlever/faults/proc/Ports.java
+++ b/src/main/java/merlinlever/faults/process/PortAllocator.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.proc;
+package merlinlever.faults.process;
 
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -17,7 +17,7 @@
  * that asks here meanwhile, as for each a byte of a file that all share is locked; the system lets go of the locks with
  * the process. Other users of the machine are seen by whether the port can be bound now.
  */
-public final class Ports {
+public final class PortAllocator {
 
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     /** Below those that the system gives to connections, so that none of these takes one before the process listens there. */
@@ -29,7 +29,7 @@
     /** Kept, as a lock that is let go of is no claim; not more than there are ports. */
     private static final List<FileLock> CLAIMED = new ArrayList<>();
 
-    private Ports() {}
+    private PortAllocator() {}
 
     /** Where the search goes on; two that start at the same place are told apart by their claims alone. */
     static synchronized void from(int place) {
--- a/src/main/java/merlinlever/faults/script/Script.java
+++ b/src/main/java/merlinlever/faults/script/FaultScript.java
@@ -9,15 +9,15 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import merlinlever.WireNamed;
-import merlinlever.sheet.Sheet;
+import merlinlever.config.ConfigFile;
 
 /**
  * Faults in the order they are played: written in a YAML file (schema {@code faults}), drawn from a seed, or both. Decisions
  * alone: the same file and seed give the same steps, and each step can be told in one line to play it again.
  */
-public final class Script {
+public final class FaultScript {
 
-    public enum Kind implements WireNamed {
+    public enum FaultKind implements WireNamed {
         KILL("kill"),
         TERM("term"),
         PAUSE("pause"),
@@ -35,7 +35,7 @@
 
         private final String wireName;
 
-        Kind(String wireName) {
+        FaultKind(String wireName) {
             this.wireName = wireName;
         }
 
@@ -53,9 +53,9 @@
      * @param share for drop and duplicate, from 0 to 1
      * @param bytes for slow, octets a second
      */
-    public record Step(
+    public record FaultStep(
             Duration at,
-            Kind kind,
+            FaultKind kind,
             List<Integer> who,
             List<Integer> to,
             boolean oneWay,
@@ -65,8 +65,8 @@
             double share,
             long bytes) {
 
-        static Step of(Duration at, Kind kind, List<Integer> who) {
-            return new Step(at, kind, who, List.of(), false, List.of(), Duration.ZERO, Duration.ZERO, 0, 0);
+        static FaultStep of(Duration at, FaultKind kind, List<Integer> who) {
+            return new FaultStep(at, kind, who, List.of(), false, List.of(), Duration.ZERO, Duration.ZERO, 0, 0);
         }
 
         /** In one line, as it would be written in a script. */
@@ -103,25 +103,25 @@
     }
 
     /** All that a file says, its drawn steps among the written ones, in the order of their moments. */
-    public record Plan(int processes, long seed, Duration length, Duration settle, List<Step> steps) {}
+    public record FaultPlan(int processes, long seed, Duration length, Duration settle, List<FaultStep> steps) {}
 
     private static final Duration SETTLE = Duration.ofSeconds(10);
     private static final Duration LONGEST = Duration.ofSeconds(3);
     /** A drawn fault lasts at least so long, so that something comes of it. */
     private static final Duration SHORTEST = Duration.ofMillis(200);
 
-    private Script() {}
+    private FaultScript() {}
 
-    public static Plan read(Sheet sheet) throws Sheet.Unusable {
+    public static FaultPlan read(ConfigFile sheet) throws ConfigFile.InvalidConfigFileException {
         int processes = (int) sheet.number("processes", 1);
         long seed = Long.parseUnsignedLong(sheet.text("seed", "0"), 16);
         Duration length = sheet.span("length", Duration.ZERO);
-        List<Step> steps = new ArrayList<>();
+        List<FaultStep> steps = new ArrayList<>();
         for (int i = 0; i < sheet.size("steps"); i++) {
             String at = "steps." + i;
-            Step step = new Step(
+            FaultStep step = new FaultStep(
                     sheet.span(at + ".at", Duration.ZERO),
-                    WireNamed.parse(Kind.class, sheet.text(at + ".do", "")),
+                    WireNamed.parse(FaultKind.class, sheet.text(at + ".do", "")),
                     members(sheet, at + ".who", processes),
                     members(sheet, at + ".to", processes),
                     sheet.text(at + ".one-way", "false").equals("true"),
@@ -130,7 +130,7 @@
                     sheet.span(at + ".jitter", Duration.ZERO),
                     sheet.share(at + ".share", 0),
                     sheet.number(at + ".bytes", 0));
-            if (step.kind() == Kind.PARTITION && step.sides().isEmpty()) {
+            if (step.kind() == FaultKind.PARTITION && step.sides().isEmpty()) {
                 throw sheet.fault(at, "a partition needs its sides");
             }
             if (step.at().compareTo(length) > 0) {
@@ -139,10 +139,10 @@
             steps.add(step);
         }
         if (sheet.has("draw")) {
-            Map<Kind, Integer> weights = new EnumMap<>(Kind.class);
+            Map<FaultKind, Integer> weights = new EnumMap<>(FaultKind.class);
             sheet.pairs("draw.kinds")
-                    .forEach(
-                            (kind, weight) -> weights.put(WireNamed.parse(Kind.class, kind), Integer.parseInt(weight)));
+                    .forEach((kind, weight) ->
+                            weights.put(WireNamed.parse(FaultKind.class, kind), Integer.parseInt(weight)));
             if (weights.values().stream().allMatch(weight -> weight == 0)) {
                 throw sheet.fault("draw.kinds", "every weight is 0, so nothing can be drawn");
             }
@@ -154,10 +154,11 @@
                     sheet.span("draw.longest", LONGEST),
                     weights));
         }
-        return new Plan(processes, seed, length, sheet.span("settle", SETTLE), ordered(steps));
+        return new FaultPlan(processes, seed, length, sheet.span("settle", SETTLE), ordered(steps));
     }
 
-    private static List<Integer> members(Sheet sheet, String path, int processes) throws Sheet.Unusable {
+    private static List<Integer> members(ConfigFile sheet, String path, int processes)
+            throws ConfigFile.InvalidConfigFileException {
         List<Integer> members = new ArrayList<>();
         for (String text : sheet.texts(path)) {
             int member = Integer.parseInt(text);
@@ -169,7 +170,8 @@
         return List.copyOf(members);
     }
 
-    private static List<List<Integer>> sides(Sheet sheet, String path, int processes) throws Sheet.Unusable {
+    private static List<List<Integer>> sides(ConfigFile sheet, String path, int processes)
+            throws ConfigFile.InvalidConfigFileException {
         List<List<Integer>> sides = new ArrayList<>();
         for (int i = 0; i < sheet.size(path); i++) {
             sides.add(members(sheet, path + "." + i, processes));
@@ -178,9 +180,9 @@
     }
 
     /** By moment; steps of one moment in the order they were given, so that the order does not hang on a sort's whim. */
-    private static List<Step> ordered(List<Step> steps) {
-        List<Step> sorted = new ArrayList<>(steps);
-        sorted.sort(Comparator.comparing(Step::at));
+    private static List<FaultStep> ordered(List<FaultStep> steps) {
+        List<FaultStep> sorted = new ArrayList<>(steps);
+        sorted.sort(Comparator.comparing(FaultStep::at));
         return List.copyOf(sorted);
     }
 
@@ -188,16 +190,16 @@
      * Faults drawn with the weights, each at a moment within the length and undone a while later: a kill by a restart, a
      * pause by a resume, a leaving by a start, a power loss of all by a start of all, a link by healing it.
      */
-    public static List<Step> draw(
-            int processes, long seed, int count, Duration length, Duration longest, Map<Kind, Integer> weights) {
+    public static List<FaultStep> draw(
+            int processes, long seed, int count, Duration length, Duration longest, Map<FaultKind, Integer> weights) {
         SplittableRandom chance = new SplittableRandom(seed);
-        List<Kind> kinds = new ArrayList<>(weights.keySet());
+        List<FaultKind> kinds = new ArrayList<>(weights.keySet());
         int total = weights.values().stream().mapToInt(Integer::intValue).sum();
-        List<Step> steps = new ArrayList<>();
+        List<FaultStep> steps = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int pick = chance.nextInt(total);
-            Kind kind = kinds.get(0);
-            for (Kind each : kinds) {
+            FaultKind kind = kinds.get(0);
+            for (FaultKind each : kinds) {
                 pick -= weights.get(each);
                 if (pick < 0) {
                     kind = each;
@@ -212,19 +214,19 @@
             List<Integer> to = List.of((who.get(0) + 1 + chance.nextInt(Math.max(1, processes - 1))) % processes);
             switch (kind) {
                 case KILL, TERM -> {
-                    steps.add(Step.of(at, kind, who));
-                    steps.add(Step.of(undone, Kind.RESTART, who));
+                    steps.add(FaultStep.of(at, kind, who));
+                    steps.add(FaultStep.of(undone, FaultKind.RESTART, who));
                 }
                 case POWER -> {
-                    steps.add(Step.of(at, kind, List.of()));
-                    steps.add(Step.of(undone, Kind.RESTART, List.of()));
+                    steps.add(FaultStep.of(at, kind, List.of()));
+                    steps.add(FaultStep.of(undone, FaultKind.RESTART, List.of()));
                 }
                 case PAUSE -> {
-                    steps.add(Step.of(at, kind, who));
-                    steps.add(Step.of(undone, Kind.RESUME, who));
+                    steps.add(FaultStep.of(at, kind, who));
+                    steps.add(FaultStep.of(undone, FaultKind.RESUME, who));
                 }
                 case ISOLATE -> {
-                    steps.add(new Step(
+                    steps.add(new FaultStep(
                             at,
                             kind,
                             who,
@@ -235,7 +237,7 @@
                             Duration.ZERO,
                             0,
                             0));
-                    steps.add(Step.of(undone, Kind.HEAL, List.of()));
+                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
                 }
                 case PARTITION -> {
                     List<Integer> one = new ArrayList<>(), other = new ArrayList<>();
@@ -243,7 +245,7 @@
                     if (one.isEmpty() || other.isEmpty()) {
                         (one.isEmpty() ? one : other).add((one.isEmpty() ? other : one).remove(0));
                     }
-                    steps.add(new Step(
+                    steps.add(new FaultStep(
                             at,
                             kind,
                             List.of(),
@@ -254,10 +256,10 @@
                             Duration.ZERO,
                             0,
                             0));
-                    steps.add(Step.of(undone, Kind.HEAL, List.of()));
+                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
                 }
                 case DELAY -> {
-                    steps.add(new Step(
+                    steps.add(new FaultStep(
                             at,
                             kind,
                             who,
@@ -268,10 +270,10 @@
                             Duration.ofMillis(chance.nextInt(100)),
                             0,
                             0));
-                    steps.add(Step.of(undone, Kind.HEAL, List.of()));
+                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
                 }
                 case DROP, DUPLICATE -> {
-                    steps.add(new Step(
+                    steps.add(new FaultStep(
                             at,
                             kind,
                             who,
@@ -282,10 +284,10 @@
                             Duration.ZERO,
                             0.1 + chance.nextDouble() * 0.8,
                             0));
-                    steps.add(Step.of(undone, Kind.HEAL, List.of()));
+                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
                 }
                 case SLOW -> {
-                    steps.add(new Step(
+                    steps.add(new FaultStep(
                             at,
                             kind,
                             who,
@@ -296,9 +298,9 @@
                             Duration.ZERO,
                             0,
                             1_000 + chance.nextInt(99_000)));
-                    steps.add(Step.of(undone, Kind.HEAL, List.of()));
+                    steps.add(FaultStep.of(undone, FaultKind.HEAL, List.of()));
                 }
-                default -> steps.add(Step.of(at, kind, who));
+                default -> steps.add(FaultStep.of(at, kind, who));
             }
         }
         return ordered(steps);
