--- a/src/main/java/merlinlever/faults/party/Callers.java
+++ b/src/main/java/merlinlever/faults/standins/LoadGenerator.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.party;
+package merlinlever.faults.standins;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,17 +8,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.faults.audit.Rules;
+import merlinlever.faults.audit.RequestAudit;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 
 /**
  * Those who call one backend: so many operations a second, a part of them keyed. A keyed one that was not satisfied is
  * tried again, under its token, at the same backend, until its window is over: after a refusal when it was told to come
  * back, after a lost connection soon. Each try is judged when it ends.
  */
-public final class Callers {
+public final class LoadGenerator {
 
     /**
      * What is stated.
@@ -27,7 +27,7 @@
      * @param patience for one try
      * @param window in which a keyed operation is tried again
      */
-    public record Stated(double perSecond, double keyed, Duration patience, Duration window) {}
+    public record LoadSettings(double perSecond, double keyed, Duration patience, Duration window) {}
 
     /** Many processes share one machine here, and the harness is late itself at times. */
     private static final Duration SLACK = Duration.ofSeconds(1);
@@ -35,10 +35,10 @@
     private static final Duration SOON = Duration.ofMillis(150);
     private static final int ANSWER = 16 * 1024;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress backend;
-    private final Stated stated;
-    private final Rules rules;
+    private final LoadSettings stated;
+    private final RequestAudit rules;
     private final SplittableRandom chance;
     private boolean calling, away;
     private int life, open;
@@ -47,7 +47,12 @@
 
     private final List<long[]> ends = new ArrayList<>();
 
-    public Callers(Loop loop, InetSocketAddress backend, Stated stated, Rules rules, SplittableRandom chance) {
+    public LoadGenerator(
+            EventLoop loop,
+            InetSocketAddress backend,
+            LoadSettings stated,
+            RequestAudit rules,
+            SplittableRandom chance) {
         this.loop = loop;
         this.backend = backend;
         this.stated = stated;
@@ -92,13 +97,15 @@
         if (calling) {
             boolean keyed = chance.nextDouble() < stated.keyed;
             String token = String.format("%016x%016x", chance.nextLong(), chance.nextLong());
-            new Try(keyed ? token : "look-" + token, keyed, loop.clock().uptime()).send();
+            new RequestAttempt(
+                            keyed ? token : "look-" + token, keyed, loop.clock().uptime())
+                    .send();
             // As a Poisson stream, so that no two backends are in step.
             loop.in(Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / stated.perSecond * 1e9)), this::next);
         }
     }
 
-    private final class Try implements Connection.User {
+    private final class RequestAttempt implements Connection.Handler {
         private final String operation;
         private final boolean keyed;
         private final Duration first;
@@ -106,10 +113,10 @@
         private final int begunIn = life;
         private final String id = String.format("%016x", chance.nextLong());
         private Connection connection;
-        private Loop.Timer late;
+        private EventLoop.Timer late;
         private boolean over, made;
 
-        Try(String operation, boolean keyed, Duration first) {
+        RequestAttempt(String operation, boolean keyed, Duration first) {
             this.operation = operation;
             this.keyed = keyed;
             this.first = first;
@@ -188,7 +195,7 @@
             } else if (keyed && now.minus(first).compareTo(stated.window) < 0) {
                 loop.in(pause(text), () -> {
                     if (loop.clock().uptime().minus(first).compareTo(stated.window) < 0) {
-                        new Try(operation, true, first).send();
+                        new RequestAttempt(operation, true, first).send();
                     }
                 });
             }
--- a/src/main/java/merlinlever/faults/party/RenderFarm.java
+++ b/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.party;
+package merlinlever.faults.standins;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,50 +10,51 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.agent.Lines;
-import merlinlever.faults.audit.Rules;
+import merlinlever.agent.LineDecoder;
+import merlinlever.faults.audit.RequestAudit;
 import merlinlever.json.Json;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Listener;
-import merlinlever.net.Loop;
+import merlinlever.net.ConnectionAcceptor;
+import merlinlever.net.EventLoop;
 
 /**
  * The agent of one machine as the protocol page has it: runs what it is told to, each for the same time, and has the
  * effect of keyed work at some moment within. It outlives its backend; a power loss takes it too, with all runs that have
  * had no effect yet.
  */
-public final class RenderFarm {
+public final class SimulatedAgent {
 
     private static final int LINE = 64 * 1024;
 
-    private static final class Run {
+    private static final class RunningRequest {
         final String id;
-        Loop.Timer effect, end;
+        EventLoop.Timer effect, end;
         /** What goes on once its call is answered. */
         Runnable then;
 
-        Run(String id) {
+        RunningRequest(String id) {
             this.id = id;
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String name;
-    private final Rules rules;
+    private final RequestAudit rules;
     private final Duration work;
     /** Whether each run makes one call before it ends. */
     private final boolean calls;
 
-    private final Listener listener;
-    private final Map<String, Run> runs = new LinkedHashMap<>();
+    private final ConnectionAcceptor listener;
+    private final Map<String, RunningRequest> runs = new LinkedHashMap<>();
     private final List<String> notices = new ArrayList<>();
-    private Link link;
+    private BackendConnection link;
     private Duration began;
     private boolean dark;
 
     /** On the loop's thread, as all of it. */
-    public RenderFarm(Loop loop, String name, InetSocketAddress address, Duration work, boolean calls, Rules rules)
+    public SimulatedAgent(
+            EventLoop loop, String name, InetSocketAddress address, Duration work, boolean calls, RequestAudit rules)
             throws IOException {
         this.loop = loop;
         this.calls = calls;
@@ -61,12 +62,12 @@
         this.work = work;
         this.rules = rules;
         began = loop.clock().uptime();
-        listener = new Listener(
+        listener = new ConnectionAcceptor(
                 loop,
                 address,
                 64,
                 channel -> {
-                    Link made = new Link();
+                    BackendConnection made = new BackendConnection();
                     made.connection = Connection.accepted(loop, channel, made, LINE, 1 << 20);
                     made.connection.readOn();
                 },
@@ -80,7 +81,7 @@
 
     /** The machine loses its power: all runs end where they are, and nobody is told. */
     public void powerOff() {
-        runs.values().forEach(RenderFarm::stop);
+        runs.values().forEach(SimulatedAgent::stop);
         runs.clear();
         notices.clear();
         dark = true;
@@ -94,7 +95,7 @@
         began = loop.clock().uptime();
     }
 
-    private static void stop(Run run) {
+    private static void stop(RunningRequest run) {
         run.effect.callOff();
         run.end.callOff();
     }
@@ -104,8 +105,8 @@
         listener.close();
     }
 
-    private final class Link implements Connection.User {
-        private final Lines lines = new Lines(LINE);
+    private final class BackendConnection implements Connection.Handler {
+        private final LineDecoder lines = new LineDecoder(LINE);
         private Connection connection;
 
         @Override
@@ -121,7 +122,7 @@
             Map<?, ?> command;
             try {
                 command = Json.object(line);
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
                 connection.end(CloseReason.MALFORMED);
                 return;
             }
@@ -135,7 +136,7 @@
                 case "launch" -> launch(
                         id, String.valueOf(command.get("payload")), "buy".equals(command.get("method")));
                 case "deliver" -> {
-                    Run run = runs.get(id);
+                    RunningRequest run = runs.get(id);
                     if (run != null && run.then != null) {
                         Runnable then = run.then;
                         run.then = null;
@@ -143,7 +144,7 @@
                     }
                 }
                 case "freeze" -> {
-                    Run run = runs.remove(id);
+                    RunningRequest run = runs.remove(id);
                     if (run != null) {
                         stop(run);
                         notice("\"cmd\":\"outcome\"", id, "\"result\":\"STOPPED\",\"elapsed_ms\":1");
@@ -187,7 +188,7 @@
         }
         String operation = new String(Base64.getDecoder().decode(payload), StandardCharsets.US_ASCII);
         rules.launched(id);
-        Run run = new Run(id);
+        RunningRequest run = new RunningRequest(id);
         runs.put(id, run);
         run.effect = loop.in(work.multipliedBy(2).dividedBy(5), () -> {
             if (keyed) {
--- a/src/main/java/merlinlever/faults/party/SharedParty.java
+++ b/src/main/java/merlinlever/faults/standins/SimulatedRecordsService.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.party;
+package merlinlever.faults.standins;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,34 +7,35 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
-import merlinlever.faults.audit.Shares;
+import merlinlever.faults.audit.QuotaAudit;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Listener;
-import merlinlever.net.Loop;
+import merlinlever.net.ConnectionAcceptor;
+import merlinlever.net.EventLoop;
 
 /** The records service as the protocol page has it, one for all backends: answers each call after the same time, and counts. */
-public final class SharedParty {
+public final class SimulatedRecordsService {
 
     private static final int BUFFER = 16 * 1024;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Duration takes;
-    private final Shares shares;
-    private final Listener listener;
-    private final java.util.Set<Line> lines = new java.util.LinkedHashSet<>();
+    private final QuotaAudit shares;
+    private final ConnectionAcceptor listener;
+    private final java.util.Set<CallConnection> lines = new java.util.LinkedHashSet<>();
 
     /** On the loop's thread, as all of it. */
-    public SharedParty(Loop loop, InetSocketAddress address, Duration takes, Shares shares) throws IOException {
+    public SimulatedRecordsService(EventLoop loop, InetSocketAddress address, Duration takes, QuotaAudit shares)
+            throws IOException {
         this.loop = loop;
         this.takes = takes;
         this.shares = shares;
-        listener = new Listener(
+        listener = new ConnectionAcceptor(
                 loop,
                 address,
                 4000,
                 channel -> {
-                    Line made = new Line();
+                    CallConnection made = new CallConnection();
                     made.connection = Connection.accepted(loop, channel, made, BUFFER, BUFFER);
                     lines.add(made);
                     made.connection.readOn();
@@ -57,8 +58,8 @@
         java.util.List.copyOf(lines).forEach(line -> line.connection.end(CloseReason.FAILED));
     }
 
-    private final class Line implements Connection.User {
-        private final Map<String, Loop.Timer> calls = new HashMap<>();
+    private final class CallConnection implements Connection.Handler {
+        private final Map<String, EventLoop.Timer> calls = new HashMap<>();
         private Connection connection;
 
         @Override
@@ -97,7 +98,7 @@
         }
 
         private void over(String id) {
-            Loop.Timer call = calls.remove(id);
+            EventLoop.Timer call = calls.remove(id);
             if (call != null) {
                 call.callOff();
                 shares.ended();
--- a/src/main/java/merlinlever/faults/timeline/Logs.java
+++ b/src/main/java/merlinlever/faults/timeline/LogTimeline.java
@@ -15,26 +15,26 @@
  * A timeline of real processes of one machine: what its harness did and saw, and what they logged. Their times are the
  * machine's clock to the ms; what happened at two of them within a few ms may be drawn the other way round.
  */
-public final class Logs {
+public final class LogTimeline {
 
     /** Lines begin so: the time, the level, and who of the program says it. */
     private static final String LEVELS = "INFO|WARN|ERROR";
 
-    private record Noted(Instant at, String node, String what) {}
+    private record LogEntry(Instant at, String node, String what) {}
 
     private final Instant began;
     private final List<String> nodes;
-    private final List<Noted> noted = new ArrayList<>();
+    private final List<LogEntry> noted = new ArrayList<>();
 
-    public Logs(Instant began, List<String> nodes) {
+    public LogTimeline(Instant began, List<String> nodes) {
         this.began = began;
         this.nodes = List.copyOf(nodes);
     }
 
-    /** The harness did or saw that; written as {@link Event#what}. Bounded as a timeline is. */
+    /** The harness did or saw that; written as {@link TimelineEvent#what}. Bounded as a timeline is. */
     public synchronized void note(Instant at, String node, String what) {
         if (noted.size() < Timeline.MOST) {
-            noted.add(new Noted(at, node, what));
+            noted.add(new LogEntry(at, node, what));
         }
     }
 
@@ -44,7 +44,7 @@
      */
     public synchronized Timeline timeline(String title, Map<String, Path> logs, String from) throws IOException {
         Timeline timeline = new Timeline(title, nodes);
-        for (Noted each : noted) {
+        for (LogEntry each : noted) {
             timeline.add(Duration.between(began, each.at), each.node, each.what);
         }
         for (Map.Entry<String, Path> log : logs.entrySet()) {
--- a/src/main/java/merlinlever/faults/timeline/MemberPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/MembershipScenarios.java
@@ -1,24 +1,29 @@
 package merlinlever.faults.timeline;
 
 import java.util.List;
-import merlinlever.members.Members;
+import merlinlever.membership.SwimProtocol;
 
 /** Hard cases of membership. */
-final class MemberPlays {
+final class MembershipScenarios {
 
     private static final List<String> THREE = List.of("b1", "b2", "b3"), FOUR = List.of("b1", "b2", "b3", "b4");
 
-    private MemberPlays() {}
+    private MembershipScenarios() {}
 
     /** They know each other when it begins. */
-    private static Play<Members.Message> play(long seed, List<String> names, Members.Kind... always) {
-        return new Play<>(seed, names, born -> new MemberNode(born, List.of("b1", "b2")), MemberNode.words(always))
+    private static Scenario<SwimProtocol.MembershipMessage> play(
+            long seed, List<String> names, SwimProtocol.MessageKind... always) {
+        return new Scenario<>(
+                        seed,
+                        names,
+                        born -> new MembershipNode(born, List.of("b1", "b2")),
+                        MembershipNode.words(always))
                 .until(12_000)
                 .begin();
     }
 
     static Timeline death() {
-        Play<Members.Message> play = play(1, FOUR);
+        Scenario<SwimProtocol.MembershipMessage> play = play(1, FOUR);
         play.at(12_500, p -> p.kill("b3")).until(40_000);
         return play.timeline(
                 """
@@ -28,7 +33,7 @@
     }
 
     static Timeline refutation() {
-        Play<Members.Message> play = play(2, FOUR);
+        Scenario<SwimProtocol.MembershipMessage> play = play(2, FOUR);
         play.at(12_500, p -> p.pause("b3")).at(16_000, p -> p.resume("b3")).until(24_000);
         return play.timeline(
                 """
@@ -38,7 +43,8 @@
     }
 
     static Timeline oneWay() {
-        Play<Members.Message> play = play(3, FOUR, Members.Kind.PING, Members.Kind.ACK);
+        Scenario<SwimProtocol.MembershipMessage> play =
+                play(3, FOUR, SwimProtocol.MessageKind.PING, SwimProtocol.MessageKind.ACK);
         play.until(12_990).begin().at(12_990, p -> p.cut("b1", "b2")).until(13_400);
         return play.timeline(
                 """
@@ -48,7 +54,7 @@
     }
 
     static Timeline restart() {
-        Play<Members.Message> play = play(4, THREE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(4, THREE);
         play.at(12_500, p -> p.kill("b3")).at(21_000, p -> p.start("b3")).until(30_000);
         return play.timeline(
                 """
@@ -58,8 +64,11 @@
     }
 
     static Timeline twins() {
-        Play<Members.Message> play = new Play<>(
-                5, List.of("b1", "b2", "b2'"), born -> new MemberNode(born, List.of("b1", "b2")), MemberNode.words());
+        Scenario<SwimProtocol.MembershipMessage> play = new Scenario<>(
+                5,
+                List.of("b1", "b2", "b2'"),
+                born -> new MembershipNode(born, List.of("b1", "b2")),
+                MembershipNode.words());
         play.until(12_000).begin();
         play.at(12_500, p -> p.start("b2'")).until(17_000);
         return play.timeline(
@@ -70,11 +79,11 @@
     }
 
     static Timeline healed() {
-        Play<Members.Message> play = play(6, FOUR);
+        Scenario<SwimProtocol.MembershipMessage> play = play(6, FOUR);
         play.at(12_500, p -> p.partition("b1 b2 | b3 b4"))
                 .until(60_000)
                 .begin()
-                .at(60_500, Play::heal)
+                .at(60_500, Scenario::heal)
                 .until(95_000);
         return play.timeline(
                 """
--- a/src/main/java/merlinlever/faults/timeline/Beliefs.java
+++ b/src/main/java/merlinlever/faults/timeline/NodeStateFormatter.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /** What a node believes, in words: what changed of it, and how several of one kind are said together. */
-final class Beliefs {
+final class NodeStateFormatter {
 
-    private Beliefs() {}
+    private NodeStateFormatter() {}
 
     /** By what each is about; what is empty is not said. */
     static List<String> changed(Map<String, String> before, Map<String, String> now) {
--- a/src/main/java/merlinlever/faults/timeline/BudgetNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -7,24 +7,31 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import merlinlever.budgets.Budget;
-import merlinlever.budgets.Sharing;
-import merlinlever.term.Leadership;
-import merlinlever.term.Terms;
+import merlinlever.election.LeaderElection;
+import merlinlever.election.Leadership;
+import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaCoordinator;
 
 /** Leadership and one budget in a play. */
-final class BudgetNode implements Play.Node<BudgetNode.Word> {
+final class QuotaNode implements Scenario.ScenarioNode<QuotaNode.QuotaMessage> {
 
     /** What passes between them. */
-    record Word(long number, String what) {}
+    record QuotaMessage(long number, String what) {}
 
-    static final Budget BUDGET = new Budget(
-            "calls", "calls", 12, Budget.Per.SECOND, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
+    static final FleetQuota BUDGET = new FleetQuota(
+            "calls",
+            "calls",
+            12,
+            FleetQuota.QuotaKind.SECOND,
+            Duration.ofSeconds(2),
+            0.01,
+            Duration.ofSeconds(1),
+            Map.of());
     private static final Pattern OUT = Pattern.compile("\"out\":(-?[0-9]+)");
 
-    static final Play.Words<Word> WORDS = new Play.Words<>() {
+    static final Scenario.MessageDescriber<QuotaMessage> WORDS = new Scenario.MessageDescriber<>() {
         @Override
-        public String of(Word word) {
+        public String of(QuotaMessage word) {
             String[] part = word.what.split("/");
             return switch (part[0]) {
                 case "V" -> "promise me term " + part[1] + "?";
@@ -39,21 +46,21 @@
         }
 
         @Override
-        public Play.Show show(Word word) {
+        public Scenario.MessageVisibility show(QuotaMessage word) {
             return word.what.startsWith("N")
-                    ? Play.Show.ALWAYS
+                    ? Scenario.MessageVisibility.ALWAYS
                     : word.what.startsWith("H") || word.what.startsWith("Q/0/")
-                            ? Play.Show.EFFECT
-                            : Play.Show.EFFECT_OR_LOST;
+                            ? Scenario.MessageVisibility.EFFECT
+                            : Scenario.MessageVisibility.EFFECT_OR_LOST;
         }
     };
 
-    private final Terms terms;
-    private final Sharing sharing;
+    private final LeaderElection terms;
+    private final QuotaCoordinator sharing;
 
     /** @param disk the highest term that was promised, over its lives */
-    BudgetNode(Play.Born born, List<String> voters, Map<String, Long> disk, long wants) {
-        terms = new Terms(
+    QuotaNode(Scenario.NodeContext born, List<String> voters, Map<String, Long> disk, long wants) {
+        terms = new LeaderElection(
                 born.now(),
                 born.node(),
                 voters,
@@ -66,21 +73,21 @@
                 },
                 born.chance().split(),
                 line -> {});
-        sharing = new Sharing(
+        sharing = new QuotaCoordinator(
                 born.now(),
                 born.node(),
                 (long) born.life() << 20,
                 List.of(BUDGET),
                 terms,
                 born.chance().split(),
-                new Sharing.Spender() {
+                new QuotaCoordinator.QuotaConsumer() {
                     @Override
-                    public long[] demand(Duration now, Budget budget) {
+                    public long[] demand(Duration now, FleetQuota budget) {
                         return new long[] {0, wants};
                     }
 
                     @Override
-                    public void share(Budget budget, long share, Duration until) {}
+                    public void share(FleetQuota budget, long share, Duration until) {}
                 },
                 line -> {});
     }
@@ -93,23 +100,23 @@
         return sharing.share(now, 0);
     }
 
-    private static List<Play.Out<Word>> out(List<Terms.Say> said) {
+    private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<LeaderElection.PeerMessage> said) {
         return said.stream()
-                .map(say -> new Play.Out<>(say.to(), new Word(say.number(), say.what())))
+                .map(say -> new Scenario.AddressedMessage<>(say.to(), new QuotaMessage(say.number(), say.what())))
                 .toList();
     }
 
     @Override
-    public List<Play.Out<Word>> look(Duration now) {
-        List<Play.Out<Word>> out = new ArrayList<>(out(terms.look(now)));
+    public List<Scenario.AddressedMessage<QuotaMessage>> look(Duration now) {
+        List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.look(now)));
         out.addAll(out(sharing.look(now)));
         return out;
     }
 
     @Override
-    public List<Play.Out<Word>> heard(Duration now, String from, Word word) {
+    public List<Scenario.AddressedMessage<QuotaMessage>> heard(Duration now, String from, QuotaMessage word) {
         return out(
-                Terms.WORDS.contains(word.what.split("/")[0])
+                LeaderElection.WORDS.contains(word.what.split("/")[0])
                         ? terms.said(now, from, word.number, word.what)
                         : sharing.said(now, from, word.number, word.what));
     }
--- a/src/main/java/merlinlever/faults/timeline/BudgetPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaScenarios.java
@@ -2,35 +2,36 @@
 
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.faults.timeline.BudgetNode.Word;
+import merlinlever.faults.timeline.QuotaNode.QuotaMessage;
 
 /** Hard cases of leadership, and of a limit of the whole fleet (12 calls a second; leases of 2 s) that each would use 8 of. */
-final class BudgetPlays {
+final class QuotaScenarios {
 
     private static final List<String> THREE = List.of("b1", "b2", "b3");
 
-    private BudgetPlays() {}
+    private QuotaScenarios() {}
 
-    private static Play<Word> play(long seed) {
+    private static Scenario<QuotaMessage> play(long seed) {
         TreeMap<String, Long> disk = new TreeMap<>();
-        Play<Word> play = new Play<>(seed, THREE, born -> new BudgetNode(born, THREE, disk, 8), BudgetNode.WORDS);
+        Scenario<QuotaMessage> play =
+                new Scenario<>(seed, THREE, born -> new QuotaNode(born, THREE, disk, 8), QuotaNode.WORDS);
         play.never(
                 "two lead", p -> THREE.stream().filter(name -> leads(p, name)).count() > 1);
         play.never(
                 "more is held than there is",
                 p -> THREE.stream()
                                 .mapToLong(
-                                        name -> p.node(name) instanceof BudgetNode node ? node.share(p.clock(name)) : 0)
+                                        name -> p.node(name) instanceof QuotaNode node ? node.share(p.clock(name)) : 0)
                                 .sum()
-                        > BudgetNode.BUDGET.whole());
+                        > QuotaNode.BUDGET.whole());
         return play;
     }
 
-    private static boolean leads(Play<Word> play, String name) {
-        return play.node(name) instanceof BudgetNode node && node.leads(play.clock(name));
+    private static boolean leads(Scenario<QuotaMessage> play, String name) {
+        return play.node(name) instanceof QuotaNode node && node.leads(play.clock(name));
     }
 
-    private static String leader(Play<Word> play) {
+    private static String leader(Scenario<QuotaMessage> play) {
         return THREE.stream().filter(name -> leads(play, name)).findFirst().orElseThrow();
     }
 
@@ -44,7 +45,7 @@
     }
 
     static Timeline killed() {
-        Play<Word> play = play(1).until(9000).begin();
+        Scenario<QuotaMessage> play = play(1).until(9000).begin();
         play.at(9200, p -> p.kill(leader(p))).until(18_000);
         return play.timeline(
                 """
@@ -54,7 +55,7 @@
     }
 
     static Timeline parted() {
-        Play<Word> play = play(1).until(9000).begin();
+        Scenario<QuotaMessage> play = play(1).until(9000).begin();
         play.at(
                         9200,
                         p -> p.partition(leader(p) + " | "
@@ -63,7 +64,7 @@
                                         THREE.stream()
                                                 .filter(name -> !name.equals(leader(p)))
                                                 .toList())))
-                .at(19_000, Play::heal)
+                .at(19_000, Scenario::heal)
                 .until(22_000);
         return play.timeline(
                 """
@@ -73,7 +74,7 @@
     }
 
     static Timeline paused() {
-        Play<Word> play = play(1).until(9000).begin();
+        Scenario<QuotaMessage> play = play(1).until(9000).begin();
         String[] who = new String[1];
         play.at(9200, p -> p.pause(who[0] = leader(p)))
                 .at(17_000, p -> p.resume(who[0]))
@@ -86,17 +87,17 @@
     }
 
     static Timeline lostPromises() {
-        Play<Word> play = play(2);
+        Scenario<QuotaMessage> play = play(2);
         play.at(0, p -> {
                     for (String voter : List.of("b1", "b3")) {
                         p.link(
                                 voter,
                                 "b2",
-                                merlinlever.faults.link.Links.Fault.CUT,
+                                merlinlever.faults.link.LinkFaults.LinkFault.CUT,
                                 "nothing from " + voter + " reaches b2");
                     }
                 })
-                .at(6000, Play::heal)
+                .at(6000, Scenario::heal)
                 .until(11_000);
         return play.timeline(
                 """
@@ -106,7 +107,7 @@
     }
 
     static Timeline restarted() {
-        Play<Word> play = play(1).until(9000).begin();
+        Scenario<QuotaMessage> play = play(1).until(9000).begin();
         String[] who = new String[1];
         play.at(9200, p -> {
                     who[0] = leader(p);
--- a/src/main/java/merlinlever/faults/timeline/WordsNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ReplicationNode.java
@@ -8,50 +8,51 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.shared.Carry;
-import merlinlever.shared.Common;
-import merlinlever.shared.Spoken;
-import merlinlever.shared.Words;
+import merlinlever.replication.MessageFormatter;
+import merlinlever.replication.OutgoingMessage;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.SharedStore;
 
 /** What is known in common, in a play: all words on one topic. A column that ends on {@code '} speaks under the name before that. */
-final class WordsNode implements Play.Node<byte[]> {
+final class ReplicationNode implements Scenario.ScenarioNode<byte[]> {
 
     static final String TOPIC = "route";
 
     /** Sums are not drawn; what follows from them is. */
-    static final Play.Words<byte[]> WORDS = new Play.Words<>() {
+    static final Scenario.MessageDescriber<byte[]> WORDS = new Scenario.MessageDescriber<>() {
         @Override
         public String of(byte[] body) {
-            return Spoken.of(body).what();
+            return MessageFormatter.of(body).what();
         }
 
         @Override
-        public Play.Show show(byte[] body) {
-            return switch (Spoken.of(body).kind()) {
-                case SUMS -> Play.Show.NEVER;
-                case VERSIONS, WANT -> Play.Show.SAID;
-                default -> Play.Show.EFFECT_OR_LOST;
+        public Scenario.MessageVisibility show(byte[] body) {
+            return switch (MessageFormatter.of(body).kind()) {
+                case SUMS -> Scenario.MessageVisibility.NEVER;
+                case VERSIONS, WANT -> Scenario.MessageVisibility.SAID;
+                default -> Scenario.MessageVisibility.EFFECT_OR_LOST;
             };
         }
     };
 
-    private final Words words;
+    private final ReplicatedStore words;
     private final List<String> owners;
     /** Who said something once. */
     private final Set<String> spoke = new TreeSet<>();
 
     /** @param disk what each life leaves to the next; null where nothing is kept */
-    WordsNode(Play.Born born, List<String> all, Map<String, Words.Kept> disk) {
+    ReplicationNode(Scenario.NodeContext born, List<String> all, Map<String, ReplicatedStore.PersistedEntries> disk) {
         String name = born.node().replace("'", "");
         owners = all.stream().map(each -> each.replace("'", "")).distinct().toList();
         List<String> others =
                 all.stream().filter(each -> !each.equals(born.node())).toList();
-        Words.Stated stated = new Words.Stated(Duration.ofMillis(500), 1, Duration.ofHours(24), 512 << 10, false);
-        words = new Words(
+        ReplicatedStore.ReplicationSettings stated = new ReplicatedStore.ReplicationSettings(
+                Duration.ofMillis(500), 1, Duration.ofHours(24), 512 << 10, false);
+        words = new ReplicatedStore(
                 born.now(),
                 name,
                 0,
-                disk.getOrDefault(born.node(), Words.Kept.NOTHING),
+                disk.getOrDefault(born.node(), ReplicatedStore.PersistedEntries.NOTHING),
                 stated,
                 () -> others,
                 born.chance(),
@@ -71,26 +72,26 @@
         words.remove(now, TOPIC);
     }
 
-    private static List<Play.Out<byte[]>> out(List<Carry> all) {
+    private static List<Scenario.AddressedMessage<byte[]>> out(List<OutgoingMessage> all) {
         return all.stream()
-                .map(carry -> new Play.Out<>(carry.to(), carry.body()))
+                .map(carry -> new Scenario.AddressedMessage<>(carry.to(), carry.body()))
                 .toList();
     }
 
     @Override
-    public List<Play.Out<byte[]>> look(Duration now) {
+    public List<Scenario.AddressedMessage<byte[]>> look(Duration now) {
         return out(words.look(now));
     }
 
     @Override
-    public List<Play.Out<byte[]>> heard(Duration now, String from, byte[] body) {
+    public List<Scenario.AddressedMessage<byte[]>> heard(Duration now, String from, byte[] body) {
         return out(words.came(now, from, body));
     }
 
     @Override
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
-        Map<String, Common.Clash> clashes = new TreeMap<>();
+        Map<String, SharedStore.VersionConflict> clashes = new TreeMap<>();
         words.clashes().forEach(clash -> clashes.put(clash.owner(), clash));
         for (String owner : owners) {
             all.put(
--- a/src/main/java/merlinlever/faults/timeline/WordsPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/ReplicationScenarios.java
@@ -2,35 +2,35 @@
 
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.shared.Words;
+import merlinlever.replication.ReplicatedStore;
 
 /** Hard cases of what all know in common. Here each tells one other a new word each 500 ms, and compares with one other. */
-final class WordsPlays {
+final class ReplicationScenarios {
 
     private static final List<String> THREE = List.of("b1", "b2", "b3"), TWINS = List.of("b1", "b1'", "b2", "b3");
 
-    private WordsPlays() {}
+    private ReplicationScenarios() {}
 
-    private static Play<byte[]> play(long seed, List<String> names) {
-        TreeMap<String, Words.Kept> disk = new TreeMap<>();
-        return new Play<>(seed, names, born -> new WordsNode(born, names, disk), WordsNode.WORDS);
+    private static Scenario<byte[]> play(long seed, List<String> names) {
+        TreeMap<String, ReplicatedStore.PersistedEntries> disk = new TreeMap<>();
+        return new Scenario<>(seed, names, born -> new ReplicationNode(born, names, disk), ReplicationNode.WORDS);
     }
 
-    private static void put(Play<byte[]> play, String name, String value) {
+    private static void put(Scenario<byte[]> play, String name, String value) {
         play.note(name, "! is told to say " + value);
-        ((WordsNode) play.node(name)).put(play.clock(name), value);
+        ((ReplicationNode) play.node(name)).put(play.clock(name), value);
     }
 
-    private static void remove(Play<byte[]> play, String name) {
+    private static void remove(Scenario<byte[]> play, String name) {
         play.note(name, "! is told to take it back");
-        ((WordsNode) play.node(name)).remove(play.clock(name));
+        ((ReplicationNode) play.node(name)).remove(play.clock(name));
     }
 
     static Timeline missed() {
         return play(1, THREE)
                 .at(1000, p -> p.partition("b1 b2 | b3"))
                 .at(1100, p -> put(p, "b1", "x"))
-                .at(4000, Play::heal)
+                .at(4000, Scenario::heal)
                 .until(7000)
                 .timeline(
                         """
@@ -44,7 +44,7 @@
                 .at(500, p -> put(p, "b1", "x"))
                 .at(3000, p -> p.partition("b1 b2 | b3"))
                 .at(3500, p -> remove(p, "b1"))
-                .at(6000, Play::heal)
+                .at(6000, Scenario::heal)
                 .until(9000)
                 .timeline(
                         """
@@ -59,7 +59,7 @@
                 .at(20, p -> p.start("b1'"))
                 .at(500, p -> put(p, "b1", "x"))
                 .at(600, p -> put(p, "b1'", "y"))
-                .at(4000, Play::heal)
+                .at(4000, Scenario::heal)
                 .until(7000)
                 .timeline(
                         """
--- a/src/main/java/merlinlever/faults/timeline/RoutesNode.java
+++ b/src/main/java/merlinlever/faults/timeline/RoutesNode.java
@@ -6,31 +6,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.faults.Stands;
-import merlinlever.routes.Damping;
-import merlinlever.routes.Merge;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.routes.FlapDamping;
 import merlinlever.routes.Relation;
 import merlinlever.routes.Route;
-import merlinlever.routes.Routes;
-import merlinlever.routes.Rules;
-import merlinlever.routes.Table;
-import merlinlever.routes.TableWriter;
-import merlinlever.view.Standing;
+import merlinlever.routes.RouteMerger;
+import merlinlever.routes.RouteTable;
+import merlinlever.routes.RouteTableWriter;
+import merlinlever.routes.RoutingPolicy;
+import merlinlever.routes.RoutingTable;
+import merlinlever.view.QuorumStatus;
 
 /**
  * A site of one backend in a play: each second it asks each partner what that stands by, and uses it for a lease from its
  * question. One that is careless passes on all that it knows, whatever the rules say.
  */
-final class RoutesNode implements Play.Node<RoutesNode.Word> {
+final class RoutesNode implements Scenario.ScenarioNode<RoutesNode.RouteMessage> {
 
     /** A question where there is no table, else the answer to it. */
-    record Word(long number, Table table) {}
+    record RouteMessage(long number, RouteTable table) {}
 
     static final Duration LEASE = Duration.ofSeconds(6);
 
-    static final Play.Words<Word> WORDS = new Play.Words<>() {
+    static final Scenario.MessageDescriber<RouteMessage> WORDS = new Scenario.MessageDescriber<>() {
         @Override
-        public String of(Word word) {
+        public String of(RouteMessage word) {
             if (word.table == null) {
                 return "what do you say?";
             }
@@ -44,35 +44,35 @@
         }
 
         @Override
-        public Play.Show show(Word word) {
-            return word.table == null ? Play.Show.NEVER : Play.Show.EFFECT_OR_LOST;
+        public Scenario.MessageVisibility show(RouteMessage word) {
+            return word.table == null ? Scenario.MessageVisibility.NEVER : Scenario.MessageVisibility.EFFECT_OR_LOST;
         }
     };
 
     private final String self;
     private final Map<String, Relation> partners;
     private final boolean careless;
-    private final Routes routes;
+    private final RoutingTable routes;
     private final List<Route> own = new ArrayList<>();
-    private final Map<String, Table> said = new TreeMap<>();
-    private final Map<String, Word> asked = new TreeMap<>();
+    private final Map<String, RouteTable> said = new TreeMap<>();
+    private final Map<String, RouteMessage> asked = new TreeMap<>();
     private final Map<String, Duration> askedAt = new TreeMap<>();
     private Duration next;
     private long numbers;
 
-    RoutesNode(Play.Born born, Map<String, Relation> partners, boolean careless) {
+    RoutesNode(Scenario.NodeContext born, Map<String, Relation> partners, boolean careless) {
         self = born.node();
         this.partners = new TreeMap<>(partners);
         this.careless = careless;
         next = born.now();
-        List<Routes.Stated> stated = new ArrayList<>();
-        this.partners.forEach((site, relation) -> stated.add(new Routes.Stated(site, relation)));
-        routes = new Routes(
-                new Rules(self),
+        List<RoutingTable.PartnerSettings> stated = new ArrayList<>();
+        this.partners.forEach((site, relation) -> stated.add(new RoutingTable.PartnerSettings(site, relation)));
+        routes = new RoutingTable(
+                new RoutingPolicy(self),
                 stated,
                 0.01,
-                Damping.Figures.PUBLISHED,
-                new Stands(now -> Standing.WHOLE),
+                FlapDamping.FlapDampingSettings.PUBLISHED,
+                new FixedFleetView(now -> QuorumStatus.WHOLE),
                 born.notes());
     }
 
@@ -81,25 +81,25 @@
     }
 
     @Override
-    public List<Play.Out<Word>> look(Duration now) {
+    public List<Scenario.AddressedMessage<RouteMessage>> look(Duration now) {
         routes.settle(now);
-        List<Play.Out<Word>> out = new ArrayList<>();
+        List<Scenario.AddressedMessage<RouteMessage>> out = new ArrayList<>();
         if (now.compareTo(next) >= 0) {
             next = now.plusSeconds(1);
             for (String site : partners.keySet()) {
-                Word question = new Word(++numbers, null);
+                RouteMessage question = new RouteMessage(++numbers, null);
                 asked.put(site, question);
                 askedAt.put(site, now);
-                out.add(new Play.Out<>(site, question));
+                out.add(new Scenario.AddressedMessage<>(site, question));
             }
         }
         return out;
     }
 
     @Override
-    public List<Play.Out<Word>> heard(Duration now, String from, Word word) {
+    public List<Scenario.AddressedMessage<RouteMessage>> heard(Duration now, String from, RouteMessage word) {
         if (word.table == null) {
-            return List.of(new Play.Out<>(from, new Word(word.number, table(now, from))));
+            return List.of(new Scenario.AddressedMessage<>(from, new RouteMessage(word.number, table(now, from))));
         }
         if (asked.get(from) != null && asked.get(from).number == word.number) {
             routes.offer(now, word.table);
@@ -108,22 +108,22 @@
                     from,
                     word.table.incarnation(),
                     word.table.sequence(),
-                    TableWriter.digest(word.table),
+                    RouteTableWriter.digest(word.table),
                     askedAt.get(from),
                     LEASE);
         }
         return List.of();
     }
 
-    private Table table(Duration now, String to) {
+    private RouteTable table(Duration now, String to) {
         List<Route> all = new ArrayList<>(routes.export(now, to, own, self + ":1", 10, 1));
         if (careless) {
-            routes.ways(now, RoutesPlays.KEY).stream()
+            routes.ways(now, RoutesScenarios.KEY).stream()
                     .filter(way -> !way.from().equals(to))
                     .forEach(way -> all.add(passed(way.route())));
         }
-        Table before = said.get(to);
-        Table present = Table.of(
+        RouteTable before = said.get(to);
+        RouteTable present = RouteTable.of(
                 self,
                 1,
                 before == null ? 1 : before.sequence() + 1,
@@ -155,7 +155,7 @@
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
         List<String> ways = new ArrayList<>();
-        for (Merge.Candidate way : routes.ways(now, RoutesPlays.KEY)) {
+        for (RouteMerger.Candidate way : routes.ways(now, RoutesScenarios.KEY)) {
             ways.add(String.join(" ", way.route().path())
                     + (way.route().restrictions().noFurther() ? ", not to be passed on" : "")
                     + (routes.stale(now, way.from()) ? ", used last" : ""));
--- a/src/main/java/merlinlever/faults/timeline/RoutesPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/RoutesScenarios.java
@@ -3,26 +3,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import merlinlever.faults.timeline.RoutesNode.Word;
+import merlinlever.faults.timeline.RoutesNode.RouteMessage;
 import merlinlever.routes.Relation;
 import merlinlever.routes.Restrictions;
 import merlinlever.routes.Route;
 
 /** Hard cases of routes between sites: each asks its partners each second, and uses what they say for 6 s from its question. */
-final class RoutesPlays {
+final class RoutesScenarios {
 
     static final String KEY = "gold/eu";
 
     private static final List<String> CHAIN = List.of("s1", "s2", "s3");
 
-    private RoutesPlays() {}
+    private RoutesScenarios() {}
 
     private static Route own(String site, Restrictions restrictions) {
         return new Route("gold", "eu", site + ":1", 10, 1, false, List.of(site), null, restrictions);
     }
 
     /** s1 buys of s2, and s2 of s3: what s3 sells goes down to s1. */
-    private static Play<Word> chain(long seed) {
+    private static Scenario<RouteMessage> chain(long seed) {
         Map<String, Map<String, Relation>> all = Map.of(
                 "s1",
                 Map.of("s2", Relation.PROVIDER),
@@ -30,10 +30,10 @@
                 Map.of("s1", Relation.CUSTOMER, "s3", Relation.PROVIDER),
                 "s3",
                 Map.of("s2", Relation.CUSTOMER));
-        return new Play<>(seed, CHAIN, born -> new RoutesNode(born, all.get(born.node()), false), RoutesNode.WORDS);
+        return new Scenario<>(seed, CHAIN, born -> new RoutesNode(born, all.get(born.node()), false), RoutesNode.WORDS);
     }
 
-    private static void sells(Play<Word> play, String site, Restrictions restrictions, String told) {
+    private static void sells(Scenario<RouteMessage> play, String site, Restrictions restrictions, String told) {
         play.note(site, "! " + told);
         List<Route> own = ((RoutesNode) play.node(site)).own();
         own.clear();
@@ -74,7 +74,7 @@
                 Map.of("s1", Relation.PROVIDER, "s3", Relation.PROVIDER),
                 "s3",
                 Map.of("s2", Relation.CUSTOMER));
-        return new Play<>(
+        return new Scenario<>(
                         3,
                         CHAIN,
                         born -> new RoutesNode(
--- a/src/main/java/merlinlever/faults/timeline/Play.java
+++ b/src/main/java/merlinlever/faults/timeline/Scenario.java
@@ -11,28 +11,28 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import merlinlever.faults.link.Links;
+import merlinlever.faults.link.LinkFaults;
 
 /**
  * A few nodes of decisions alone on a network and clocks of the play's own, with faults at stated moments; what passes
  * becomes a timeline. Exact: the same nodes, seed and faults are always the same play.
  *
- * <p>A message is drawn as {@link Show} says: most of them matter only where hearing them changed what the hearer believes.
+ * <p>A message is drawn as {@link MessageVisibility} says: most of them matter only where hearing them changed what the hearer believes.
  *
  * @param <M> what nodes say to each other
  */
-public final class Play<M> {
+public final class Scenario<M> {
 
     /** Something that is to be said to another. */
-    public record Out<M>(String to, M message) {}
+    public record AddressedMessage<M>(String to, M message) {}
 
     /** One that decides, without input and output; times are since it began. */
-    public interface Node<M> {
+    public interface ScenarioNode<M> {
         /** What it says now; asked for each step. */
-        List<Out<M>> look(Duration now);
+        List<AddressedMessage<M>> look(Duration now);
 
         /** It hears that; returns what it says to it. */
-        List<Out<M>> heard(Duration now, String from, M message);
+        List<AddressedMessage<M>> heard(Duration now, String from, M message);
 
         /** What it believes, in words, by what it is about; in the order in which it is drawn. What is empty is not drawn. */
         Map<String, String> believes(Duration now);
@@ -44,15 +44,15 @@
      * @param life from 1, counted up with each start
      * @param notes what it decides, in words, beside what it believes
      */
-    public record Born(String node, int life, Duration now, SplittableRandom chance, Consumer<String> notes) {}
+    public record NodeContext(String node, int life, Duration now, SplittableRandom chance, Consumer<String> notes) {}
 
     /** Makes a node where one begins. */
-    public interface Birth<M> {
-        Node<M> born(Born born);
+    public interface NodeFactory<M> {
+        ScenarioNode<M> born(NodeContext born);
     }
 
     /** When a message is drawn, where it was said and where it was heard; {@code SAID} is drawn always, and only where it was said. */
-    public enum Show {
+    public enum MessageVisibility {
         NEVER,
         EFFECT,
         EFFECT_OR_LOST,
@@ -61,10 +61,10 @@
     }
 
     /** How messages are drawn. */
-    public interface Words<M> {
+    public interface MessageDescriber<M> {
         String of(M message);
 
-        Show show(M message);
+        MessageVisibility show(M message);
 
         /** What of it is new to one that believed that before, to be drawn behind it where it had an effect; may be empty. */
         default String news(M message, Map<String, String> believed) {
@@ -79,64 +79,65 @@
     private static final int MOST_UNDER_WAY = 20_000;
 
     private static final long STEP = 10;
-    private static final Links.Fault USUAL = Links.Fault.delayed(Duration.ofMillis(STEP), Duration.ZERO);
+    private static final LinkFaults.LinkFault USUAL =
+            LinkFaults.LinkFault.delayed(Duration.ofMillis(STEP), Duration.ZERO);
 
-    private record Sent<M>(long at, long order, int from, int to, M message, Draft draft) {}
+    private record SentMessage<M>(long at, long order, int from, int to, M message, LazyEvent draft) {}
 
-    private record Fault<M>(long at, Consumer<Play<M>> act) {}
+    private record ScheduledAction<M>(long at, Consumer<Scenario<M>> act) {}
 
-    private static final class Place<M> {
-        Node<M> node;
+    private static final class NodeSlot<M> {
+        ScenarioNode<M> node;
         boolean paused;
         int life;
         long began;
-        final List<Sent<M>> held = new ArrayList<>();
+        final List<SentMessage<M>> held = new ArrayList<>();
         Map<String, String> believed = Map.of();
     }
 
     private final List<String> names;
-    private final Birth<M> birth;
-    private final Words<M> words;
+    private final NodeFactory<M> birth;
+    private final MessageDescriber<M> words;
     private final SplittableRandom chance;
-    private final Links links;
-    private final List<Place<M>> places = new ArrayList<>();
-    private final PriorityQueue<Sent<M>> net =
+    private final LinkFaults links;
+    private final List<NodeSlot<M>> places = new ArrayList<>();
+    private final PriorityQueue<SentMessage<M>> net =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final List<Fault<M>> script = new ArrayList<>();
-    private final Map<Predicate<Play<M>>, Consumer<Play<M>>> when = new LinkedHashMap<>();
-    private final List<Draft> drafts = new ArrayList<>();
+    private final List<ScheduledAction<M>> script = new ArrayList<>();
+    private final Map<Predicate<Scenario<M>>, Consumer<Scenario<M>>> when = new LinkedHashMap<>();
+    private final List<LazyEvent> drafts = new ArrayList<>();
     private long now;
     private long orders;
     /** The moment that is drawn as 0. */
     private long drawn;
 
     /** @param names one column each, in this order; all begin at 0, but for those that end on {@code '}, which are started by the script */
-    public Play(long seed, List<String> names, Birth<M> birth, Words<M> words) {
+    public Scenario(long seed, List<String> names, NodeFactory<M> birth, MessageDescriber<M> words) {
         this.names = List.copyOf(names);
         this.birth = birth;
         this.words = words;
         chance = new SplittableRandom(seed);
-        links = new Links(names.size());
-        names.forEach(name -> places.add(new Place<>()));
+        links = new LinkFaults(names.size());
+        names.forEach(name -> places.add(new NodeSlot<>()));
         heal(null);
     }
 
     // ---- the script
 
     /** It is done at that moment, before anything else then. */
-    public Play<M> at(long ms, Consumer<Play<M>> act) {
-        script.add(new Fault<>(ms, act));
+    public Scenario<M> at(long ms, Consumer<Scenario<M>> act) {
+        script.add(new ScheduledAction<>(ms, act));
         return this;
     }
 
     /** It is done once, as soon as that is so. */
-    public Play<M> when(Predicate<Play<M>> so, Consumer<Play<M>> act) {
+    public Scenario<M> when(Predicate<Scenario<M>> so, Consumer<Scenario<M>> act) {
         when.put(so, act);
         return this;
     }
 
     /** It must not be so at any moment; where it is, that is drawn. */
-    public Play<M> never(String told, Predicate<Play<M>> so) {
+    public Scenario<M> never(String told, Predicate<Scenario<M>> so) {
         return when(so, play -> play.all(BROKEN + told));
     }
 
@@ -145,7 +146,7 @@
     }
 
     /** The node now, or null where it is down. */
-    public Node<M> node(String name) {
+    public ScenarioNode<M> node(String name) {
         return place(name).node;
     }
 
@@ -158,7 +159,7 @@
         return names;
     }
 
-    private Place<M> place(String name) {
+    private NodeSlot<M> place(String name) {
         int i = names.indexOf(name);
         if (i < 0) {
             throw new IllegalArgumentException("no node " + name);
@@ -167,33 +168,33 @@
     }
 
     public void start(String name) {
-        Place<M> place = place(name);
+        NodeSlot<M> place = place(name);
         place.life++;
         place.began = now;
         place.paused = false;
         place.held.clear();
-        note(name, place.life == 1 ? Event.STARTED : Event.STARTED + " again");
-        place.node =
-                birth.born(new Born(name, place.life, Duration.ZERO, chance.split(), told -> note(name, "* " + told)));
+        note(name, place.life == 1 ? TimelineEvent.STARTED : TimelineEvent.STARTED + " again");
+        place.node = birth.born(
+                new NodeContext(name, place.life, Duration.ZERO, chance.split(), told -> note(name, "* " + told)));
         place.believed = Map.of();
     }
 
     public void kill(String name) {
         place(name).node = null;
         place(name).held.clear();
-        note(name, Event.KILLED);
+        note(name, TimelineEvent.KILLED);
     }
 
     public void pause(String name) {
         place(name).paused = true;
-        note(name, Event.PAUSED);
+        note(name, TimelineEvent.PAUSED);
     }
 
     /** What came meanwhile is read now. */
     public void resume(String name) {
-        Place<M> place = place(name);
+        NodeSlot<M> place = place(name);
         place.paused = false;
-        note(name, Event.RESUMED);
+        note(name, TimelineEvent.RESUMED);
         net.addAll(place.held);
         place.held.clear();
     }
@@ -205,14 +206,14 @@
     }
 
     /** One way. */
-    public void link(String from, String to, Links.Fault fault, String told) {
+    public void link(String from, String to, LinkFaults.LinkFault fault, String told) {
         links.set(names.indexOf(from), names.indexOf(to), fault);
         all(told);
     }
 
     /** One way: nothing comes through. */
     public void cut(String from, String to) {
-        link(from, to, Links.Fault.CUT, "nothing from " + from + " reaches " + to);
+        link(from, to, LinkFaults.LinkFault.CUT, "nothing from " + from + " reaches " + to);
     }
 
     /** Both ways; each side is names with spaces between, and sides have a bar between. */
@@ -232,17 +233,17 @@
 
     /** Every link loses that share. */
     public void lose(double share) {
-        each(new Links.Fault(share, 0, Duration.ofMillis(STEP), Duration.ZERO, 0, false));
+        each(new LinkFaults.LinkFault(share, 0, Duration.ofMillis(STEP), Duration.ZERO, 0, false));
         all("every link loses " + Math.round(100 * share) + " % of what is said");
     }
 
     /** Every link is slow. */
     public void delay(long ms) {
-        each(Links.Fault.delayed(Duration.ofMillis(ms), Duration.ZERO));
+        each(LinkFaults.LinkFault.delayed(Duration.ofMillis(ms), Duration.ZERO));
         all("every link takes " + ms + " ms");
     }
 
-    private void each(Links.Fault fault) {
+    private void each(LinkFaults.LinkFault fault) {
         for (int i = 0; i < names.size(); i++) {
             for (int k = 0; k < names.size(); k++) {
                 links.set(i, k, fault);
@@ -263,17 +264,17 @@
 
     /** Drawn across all columns. */
     public void all(String told) {
-        drafts.add(new Draft(now, "", told, true));
+        drafts.add(new LazyEvent(now, "", told, true));
     }
 
     public void note(String name, String what) {
-        drafts.add(new Draft(now, name, what, true));
+        drafts.add(new LazyEvent(now, name, what, true));
     }
 
     // ---- the play
 
     /** Plays until then, on from where it was. */
-    public Play<M> until(long ms) {
+    public Scenario<M> until(long ms) {
         while (now < ms) {
             if (now == 0) {
                 for (String name : names) {
@@ -282,7 +283,7 @@
                     }
                 }
             }
-            for (Fault<M> fault : List.copyOf(script)) {
+            for (ScheduledAction<M> fault : List.copyOf(script)) {
                 if (fault.at <= now) {
                     script.remove(fault);
                     fault.act.accept(this);
@@ -292,14 +293,14 @@
                 arrive(net.poll());
             }
             for (int i = 0; i < places.size(); i++) {
-                Place<M> place = places.get(i);
+                NodeSlot<M> place = places.get(i);
                 if (place.node != null && !place.paused) {
-                    List<Out<M>> said = place.node.look(clock(names.get(i)));
+                    List<AddressedMessage<M>> said = place.node.look(clock(names.get(i)));
                     believes(i);
                     send(i, said);
                 }
             }
-            for (Map.Entry<Predicate<Play<M>>, Consumer<Play<M>>> entry : List.copyOf(when.entrySet())) {
+            for (Map.Entry<Predicate<Scenario<M>>, Consumer<Scenario<M>>> entry : List.copyOf(when.entrySet())) {
                 if (entry.getKey().test(this)) {
                     when.remove(entry.getKey());
                     entry.getValue().accept(this);
@@ -310,31 +311,31 @@
         return this;
     }
 
-    private void arrive(Sent<M> sent) {
-        Place<M> to = places.get(sent.to);
-        Show show = words.show(sent.message);
+    private void arrive(SentMessage<M> sent) {
+        NodeSlot<M> to = places.get(sent.to);
+        MessageVisibility show = words.show(sent.message);
         if (to.node == null) {
-            sent.draft.shown |= show == Show.EFFECT_OR_LOST;
+            sent.draft.shown |= show == MessageVisibility.EFFECT_OR_LOST;
             return;
         }
         if (to.paused) {
-            sent.draft.shown |= show == Show.EFFECT_OR_LOST;
+            sent.draft.shown |= show == MessageVisibility.EFFECT_OR_LOST;
             to.held.add(sent);
             return;
         }
-        Draft heard = new Draft(
+        LazyEvent heard = new LazyEvent(
                 now,
                 names.get(sent.to),
                 "< " + names.get(sent.from) + ": " + words.of(sent.message),
-                show == Show.ALWAYS);
+                show == MessageVisibility.ALWAYS);
         drafts.add(heard);
         int before = drafts.size();
         Map<String, String> believed = to.believed;
-        List<Out<M>> said = to.node.heard(clock(names.get(sent.to)), names.get(sent.from), sent.message);
+        List<AddressedMessage<M>> said = to.node.heard(clock(names.get(sent.to)), names.get(sent.from), sent.message);
         believes(sent.to);
-        if (show != Show.NEVER && drafts.size() > before) {
+        if (show != MessageVisibility.NEVER && drafts.size() > before) {
             String news = words.news(sent.message, believed);
-            heard.shown = show != Show.SAID;
+            heard.shown = show != MessageVisibility.SAID;
             sent.draft.shown = true;
             heard.what += news;
             sent.draft.what += news;
@@ -344,43 +345,45 @@
 
     /** What changed of what it believes is drawn together. */
     private void believes(int i) {
-        Place<M> place = places.get(i);
+        NodeSlot<M> place = places.get(i);
         Map<String, String> believed = new LinkedHashMap<>(place.node.believes(clock(names.get(i))));
-        List<String> changed = Beliefs.changed(place.believed, believed);
+        List<String> changed = NodeStateFormatter.changed(place.believed, believed);
         place.believed = believed;
         if (!changed.isEmpty()) {
-            note(names.get(i), "* " + Beliefs.together(changed));
+            note(names.get(i), "* " + NodeStateFormatter.together(changed));
         }
     }
 
-    private void send(int from, List<Out<M>> said) {
-        for (Out<M> out : said) {
+    private void send(int from, List<AddressedMessage<M>> said) {
+        for (AddressedMessage<M> out : said) {
             int to = names.indexOf(out.to);
             if (to < 0 || net.size() >= MOST_UNDER_WAY) {
                 throw new IllegalStateException(to < 0 ? "nobody is at " + out.to : "too much is under way");
             }
-            Show show = words.show(out.message);
+            MessageVisibility show = words.show(out.message);
             List<Duration> times = links.datagram(Duration.ofMillis(now), from, to, 100, chance);
             boolean lost = times.isEmpty();
             boolean gone = places.get(to).node == null;
-            Draft draft = new Draft(
+            LazyEvent draft = new LazyEvent(
                     now,
                     names.get(from),
                     (lost || gone ? "x " : "> ") + out.to + ": " + words.of(out.message),
-                    show == Show.ALWAYS || show == Show.SAID || lost && show == Show.EFFECT_OR_LOST);
+                    show == MessageVisibility.ALWAYS
+                            || show == MessageVisibility.SAID
+                            || lost && show == MessageVisibility.EFFECT_OR_LOST);
             drafts.add(draft);
-            times.forEach(at ->
-                    net.add(new Sent<>(Math.max(now + 1, at.toMillis()), orders++, from, to, out.message, draft)));
+            times.forEach(at -> net.add(
+                    new SentMessage<>(Math.max(now + 1, at.toMillis()), orders++, from, to, out.message, draft)));
         }
     }
 
     /** What was before is left out, but for what each believes now; times count from here. */
-    public Play<M> begin() {
+    public Scenario<M> begin() {
         drafts.clear();
         for (int i = 0; i < places.size(); i++) {
-            Place<M> place = places.get(i);
+            NodeSlot<M> place = places.get(i);
             if (place.node != null && !place.believed.isEmpty()) {
-                note(names.get(i), "* " + Beliefs.together(place.believed.values()));
+                note(names.get(i), "* " + NodeStateFormatter.together(place.believed.values()));
             }
         }
         drawn = now;
--- a/src/main/java/merlinlever/faults/timeline/Timeline.java
+++ b/src/main/java/merlinlever/faults/timeline/Timeline.java
@@ -13,7 +13,7 @@
 
     private final String title;
     private final List<String> nodes;
-    private final List<Event> events = new ArrayList<>();
+    private final List<TimelineEvent> events = new ArrayList<>();
     private long left;
 
     /** @param title what is played, and on further lines what is to be seen */
@@ -35,15 +35,15 @@
             throw new IllegalArgumentException("no column for " + node);
         }
         if (events.size() < MOST) {
-            events.add(new Event(at, node, what));
+            events.add(new TimelineEvent(at, node, what));
         } else {
             left++;
         }
     }
 
-    public List<Event> events() {
-        List<Event> sorted = new ArrayList<>(events);
-        sorted.sort(Comparator.comparing(Event::at));
+    public List<TimelineEvent> events() {
+        List<TimelineEvent> sorted = new ArrayList<>(events);
+        sorted.sort(Comparator.comparing(TimelineEvent::at));
         return sorted;
     }
 
@@ -58,7 +58,7 @@
      */
     public String missing(String... wanted) {
         int next = 0;
-        for (Event event : events()) {
+        for (TimelineEvent event : events()) {
             if (next < wanted.length && matches(event, wanted[next])) {
                 next++;
             }
@@ -66,7 +66,7 @@
         return next == wanted.length ? null : wanted[next];
     }
 
-    private static boolean matches(Event event, String wanted) {
+    private static boolean matches(TimelineEvent event, String wanted) {
         int space = wanted.indexOf(' ');
         return event.node().equals(wanted.substring(0, space)) && event.what().contains(wanted.substring(space + 1));
     }
--- a/src/main/java/merlinlever/faults/timeline/Event.java
+++ b/src/main/java/merlinlever/faults/timeline/TimelineEvent.java
@@ -10,7 +10,7 @@
  * @param what begins with a mark: {@code > to: said}, {@code x to: said and lost}, {@code < from: heard}, {@code * believed or
  *         decided}, {@code ! done to it}
  */
-public record Event(Duration at, String node, String what) {
+public record TimelineEvent(Duration at, String node, String what) {
 
     /** What was done to a node changes how its column goes on. */
     public static final String KILLED = "! killed",
--- a/src/main/java/merlinlever/faults/timeline/Writer.java
+++ b/src/main/java/merlinlever/faults/timeline/TimelineRenderer.java
@@ -12,7 +12,7 @@
  * Draws a timeline: time downwards in ms, one row a moment, one column a node. The same timeline is always drawn the same.
  * What a node does again before anything turns in its column is drawn once, with how often and until when.
  */
-public final class Writer {
+public final class TimelineRenderer {
 
     /** So wide at the most for up to five nodes; more of them have this much each, however wide it gets. */
     public static final int WIDTH = 100;
@@ -20,27 +20,27 @@
     private static final int NARROWEST = 14;
     private static final int TIME = 7;
 
-    private enum Line {
+    private enum LaneStyle {
         RUNS('|'),
         STANDS(':'),
         DOWN(' ');
 
         final char drawn;
 
-        Line(char drawn) {
+        LaneStyle(char drawn) {
             this.drawn = drawn;
         }
     }
 
     /** One cell's entry: several sayings of the same at the same moment to several are one. */
-    private static final class Entry {
+    private static final class RowEntry {
         final String before, after;
         final List<String> others = new ArrayList<>();
-        final Event first;
+        final TimelineEvent first;
         int times = 1;
         Duration last;
 
-        Entry(Event event) {
+        RowEntry(TimelineEvent event) {
             first = event;
             last = event.at();
             int colon = event.mark() == '*' || event.mark() == '!'
@@ -65,7 +65,7 @@
         }
     }
 
-    private Writer() {}
+    private TimelineRenderer() {}
 
     public static String draw(Timeline timeline) {
         List<String> nodes = timeline.nodes();
@@ -73,9 +73,9 @@
         StringBuilder text = new StringBuilder(timeline.title()).append("\n\n");
         line(text, "ms", nodes, new HashMap<>(), wide);
         line(text, "", nodes.stream().map(node -> "-".repeat(wide)).toList(), new HashMap<>(), wide);
-        Map<Integer, Line> lines = new HashMap<>();
-        Map<Duration, Map<String, List<Entry>>> rows = rows(timeline);
-        for (Map.Entry<Duration, Map<String, List<Entry>>> row : rows.entrySet()) {
+        Map<Integer, LaneStyle> lines = new HashMap<>();
+        Map<Duration, Map<String, List<RowEntry>>> rows = rows(timeline);
+        for (Map.Entry<Duration, Map<String, List<RowEntry>>> row : rows.entrySet()) {
             row(text, row.getKey(), row.getValue(), nodes, lines, wide);
         }
         if (timeline.left() > 0) {
@@ -85,15 +85,15 @@
     }
 
     /** By moment and node, repeats folded into the first of them. */
-    private static Map<Duration, Map<String, List<Entry>>> rows(Timeline timeline) {
-        Map<Duration, Map<String, List<Entry>>> rows = new TreeMap<>();
-        Map<String, Map<String, Entry>> lately = new HashMap<>();
+    private static Map<Duration, Map<String, List<RowEntry>>> rows(Timeline timeline) {
+        Map<Duration, Map<String, List<RowEntry>>> rows = new TreeMap<>();
+        Map<String, Map<String, RowEntry>> lately = new HashMap<>();
         // First what is said at one moment to several, then what is said again.
-        for (Event event : timeline.events()) {
-            List<Entry> cell = rows.computeIfAbsent(event.at(), at -> new LinkedHashMap<>())
+        for (TimelineEvent event : timeline.events()) {
+            List<RowEntry> cell = rows.computeIfAbsent(event.at(), at -> new LinkedHashMap<>())
                     .computeIfAbsent(event.node(), node -> new ArrayList<>());
-            Entry entry = new Entry(event);
-            Entry same = entry.others.isEmpty()
+            RowEntry entry = new RowEntry(event);
+            RowEntry same = entry.others.isEmpty()
                     ? null
                     : cell.stream()
                             .filter(each -> each.before.equals(entry.before) && each.after.equals(entry.after))
@@ -107,18 +107,18 @@
                 same.times++;
             }
         }
-        for (Map<String, List<Entry>> row : rows.values()) {
+        for (Map<String, List<RowEntry>> row : rows.values()) {
             if (row.containsKey("")) {
                 lately.clear();
             }
             row.forEach((node, cell) -> {
-                Map<String, Entry> its = lately.computeIfAbsent(node, none -> new HashMap<>());
+                Map<String, RowEntry> its = lately.computeIfAbsent(node, none -> new HashMap<>());
                 cell.removeIf(entry -> {
                     if (entry.first.turns()) {
                         its.clear();
                         return false;
                     }
-                    Entry before = its.putIfAbsent(entry.key(), entry);
+                    RowEntry before = its.putIfAbsent(entry.key(), entry);
                     if (before != null) {
                         before.times += entry.times;
                         before.last = entry.last;
@@ -133,12 +133,12 @@
     private static void row(
             StringBuilder text,
             Duration at,
-            Map<String, List<Entry>> row,
+            Map<String, List<RowEntry>> row,
             List<String> nodes,
-            Map<Integer, Line> lines,
+            Map<Integer, LaneStyle> lines,
             int wide) {
         String time = Long.toString(at.toMillis());
-        for (Entry entry : row.getOrDefault("", List.of())) {
+        for (RowEntry entry : row.getOrDefault("", List.of())) {
             int whole = (wide + 3) * nodes.size();
             String said = " == " + entry.drawn() + " ";
             for (String part : wrapped(said, whole)) {
@@ -153,17 +153,17 @@
         int high = 0;
         for (String node : nodes) {
             List<String> cell = new ArrayList<>();
-            for (Entry entry : row.getOrDefault(node, List.of())) {
+            for (RowEntry entry : row.getOrDefault(node, List.of())) {
                 cell.addAll(wrapped(entry.drawn(), wide));
             }
             cells.add(cell);
             high = Math.max(high, cell.size());
         }
         for (int k = 0; k < nodes.size(); k++) {
-            for (Entry entry : row.getOrDefault(nodes.get(k), List.of())) {
-                if (entry.first.what().startsWith(Event.STARTED)
-                        || entry.first.what().startsWith(Event.RESUMED)) {
-                    lines.put(k, Line.RUNS);
+            for (RowEntry entry : row.getOrDefault(nodes.get(k), List.of())) {
+                if (entry.first.what().startsWith(TimelineEvent.STARTED)
+                        || entry.first.what().startsWith(TimelineEvent.RESUMED)) {
+                    lines.put(k, LaneStyle.RUNS);
                 }
             }
         }
@@ -175,22 +175,23 @@
             line(text, i == 0 ? time : "", parts, lines, wide);
         }
         for (int k = 0; k < nodes.size(); k++) {
-            for (Entry entry : row.getOrDefault(nodes.get(k), List.of())) {
-                if (entry.first.what().startsWith(Event.KILLED)) {
-                    lines.put(k, Line.DOWN);
-                } else if (entry.first.what().startsWith(Event.PAUSED)) {
-                    lines.put(k, Line.STANDS);
+            for (RowEntry entry : row.getOrDefault(nodes.get(k), List.of())) {
+                if (entry.first.what().startsWith(TimelineEvent.KILLED)) {
+                    lines.put(k, LaneStyle.DOWN);
+                } else if (entry.first.what().startsWith(TimelineEvent.PAUSED)) {
+                    lines.put(k, LaneStyle.STANDS);
                 }
             }
         }
     }
 
-    private static void line(StringBuilder text, String time, List<String> parts, Map<Integer, Line> lines, int wide) {
+    private static void line(
+            StringBuilder text, String time, List<String> parts, Map<Integer, LaneStyle> lines, int wide) {
         StringBuilder line = new StringBuilder(String.format("%" + TIME + "s", time));
         for (int k = 0; k < parts.size(); k++) {
             String part = parts.get(k);
             line.append(' ')
-                    .append(lines.getOrDefault(k, Line.RUNS).drawn)
+                    .append(lines.getOrDefault(k, LaneStyle.RUNS).drawn)
                     .append(' ')
                     .append(part)
                     .append(" ".repeat(Math.max(0, wide - part.length())));
--- a/src/main/java/merlinlever/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewNode.java
@@ -7,63 +7,64 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
-import merlinlever.term.Leadership;
-import merlinlever.term.Terms;
-import merlinlever.view.Act;
-import merlinlever.view.Permits;
-import merlinlever.view.Sight;
-import merlinlever.view.Stated;
-import merlinlever.view.View;
+import merlinlever.election.LeaderElection;
+import merlinlever.election.Leadership;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.view.ActionPermissions;
+import merlinlever.view.GuardedAction;
+import merlinlever.view.MembershipView;
+import merlinlever.view.ViewManager;
+import merlinlever.view.ViewSettings;
 
 /** Who is there, in a play: membership, leadership and views together, as in a backend. A column is the address and, but for a {@code '}, the name. */
-final class ViewNode implements Play.Node<Members.Message> {
+final class ViewNode implements Scenario.ScenarioNode<SwimProtocol.MembershipMessage> {
 
     /** What outlasts a life. */
-    static final class Disk {
+    static final class SimulatedDisk {
         final Map<String, Long> terms = new TreeMap<>();
     }
 
     /** New views and what is said about terms; questions and answers that all is as it was are not drawn. */
-    static final Play.Words<Members.Message> WORDS = new Play.Words<>() {
+    static final Scenario.MessageDescriber<SwimProtocol.MembershipMessage> WORDS = new Scenario.MessageDescriber<>() {
         @Override
-        public String of(Members.Message message) {
-            if (message.kind() == Members.Kind.CARRY) {
+        public String of(SwimProtocol.MembershipMessage message) {
+            if (message.kind() == SwimProtocol.MessageKind.CARRY) {
                 return body(new String(message.body(), StandardCharsets.US_ASCII).split("\n"));
             }
-            return message.kind() == Members.Kind.SAY
-                            && Terms.WORDS.contains(message.about().split("/")[0])
-                    ? BudgetNode.WORDS.of(new BudgetNode.Word(message.number(), message.about()))
+            return message.kind() == SwimProtocol.MessageKind.SAY
+                            && LeaderElection.WORDS.contains(message.about().split("/")[0])
+                    ? QuotaNode.WORDS.of(new QuotaNode.QuotaMessage(message.number(), message.about()))
                     : message.about();
         }
 
         @Override
-        public Play.Show show(Members.Message message) {
-            return message.kind() == Members.Kind.CARRY
-                    ? Play.Show.EFFECT_OR_LOST
-                    : message.kind() == Members.Kind.SAY && message.about().matches("[VP]/.*")
-                            ? Play.Show.EFFECT
-                            : Play.Show.NEVER;
+        public Scenario.MessageVisibility show(SwimProtocol.MembershipMessage message) {
+            return message.kind() == SwimProtocol.MessageKind.CARRY
+                    ? Scenario.MessageVisibility.EFFECT_OR_LOST
+                    : message.kind() == SwimProtocol.MessageKind.SAY
+                                    && message.about().matches("[VP]/.*")
+                            ? Scenario.MessageVisibility.EFFECT
+                            : Scenario.MessageVisibility.NEVER;
         }
     };
 
-    private final Members members;
-    private final Terms terms;
-    private final Sight sight;
+    private final SwimProtocol members;
+    private final LeaderElection terms;
+    private final ViewManager sight;
     private Duration now;
 
-    ViewNode(Play.Born born, List<String> voters, Disk disk) {
+    ViewNode(Scenario.NodeContext born, List<String> voters, SimulatedDisk disk) {
         now = born.now();
         String name = born.node().replace("'", "");
         long floor = disk.terms.getOrDefault(born.node(), 0L);
-        members = new Members(
+        members = new SwimProtocol(
                 now,
-                new Views(name, born.node(), "-", born.life() - 1),
-                Members.Stated.usual(voters),
+                new MemberTable(name, born.node(), "-", born.life() - 1),
+                SwimProtocol.SwimSettings.usual(voters),
                 born.chance().split(),
                 line -> {});
-        terms = new Terms(
+        terms = new LeaderElection(
                 now,
                 name,
                 voters,
@@ -73,9 +74,9 @@
                 term -> noted(disk, born.node(), term),
                 born.chance().split(),
                 line -> {});
-        sight = new Sight(
+        sight = new ViewManager(
                 now,
-                Stated.usual(),
+                ViewSettings.usual(),
                 members.views(),
                 terms,
                 (long) born.life() << 30,
@@ -83,12 +84,12 @@
                 term -> noted(disk, born.node(), term),
                 born.chance().split(),
                 line -> {});
-        members.hears(Terms.WORDS, (who, number, what) -> say(terms.said(now, who, number, what)));
-        members.hears(Sight.WORDS, (who, number, what) -> tell(sight.said(now, who, number, what)));
+        members.hears(LeaderElection.WORDS, (who, number, what) -> say(terms.said(now, who, number, what)));
+        members.hears(ViewManager.WORDS, (who, number, what) -> tell(sight.said(now, who, number, what)));
         members.takes((who, body) -> sight.carried(now, who, body));
     }
 
-    private static boolean noted(Disk disk, String node, long term) {
+    private static boolean noted(SimulatedDisk disk, String node, long term) {
         disk.terms.merge(node, term, Math::max);
         return true;
     }
@@ -108,12 +109,12 @@
         return (number >> 20) + "." + (number & 0xfffff);
     }
 
-    private void say(List<Terms.Say> all) {
+    private void say(List<LeaderElection.PeerMessage> all) {
         all.forEach(each -> members.say(each.to(), each.number(), each.what()));
     }
 
-    private void tell(List<Sight.Say> all) {
-        for (Sight.Say each : all) {
+    private void tell(List<ViewManager.ViewMessage> all) {
+        for (ViewManager.ViewMessage each : all) {
             if (each.body() != null) {
                 members.carry(each.to(), each.body());
             } else {
@@ -122,12 +123,12 @@
         }
     }
 
-    View view() {
+    MembershipView view() {
         return sight.view();
     }
 
-    boolean may(Duration at, Act act) {
-        return sight.may(at, act) == Permits.May.YES;
+    boolean may(Duration at, GuardedAction act) {
+        return sight.may(at, act) == ActionPermissions.Permission.YES;
     }
 
     boolean leads(Duration at) {
@@ -135,20 +136,22 @@
     }
 
     @Override
-    public List<Play.Out<Members.Message>> look(Duration at) {
+    public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> look(Duration at) {
         now = at;
-        List<Play.Out<Members.Message>> out = new ArrayList<>();
+        List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> out = new ArrayList<>();
         // As often as in a process, but at its own steps.
         if (at.toMillis() % 50 == 0) {
             say(terms.look(now));
             tell(sight.look(now));
         }
-        members.settle(now).forEach(sending -> out.add(new Play.Out<>(sending.to(), sending.message())));
+        members.settle(now)
+                .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.to(), sending.message())));
         return out;
     }
 
     @Override
-    public List<Play.Out<Members.Message>> heard(Duration at, String from, Members.Message message) {
+    public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> heard(
+            Duration at, String from, SwimProtocol.MembershipMessage message) {
         now = at;
         members.heard(now, from, message);
         return List.of();
--- a/src/main/java/merlinlever/faults/timeline/ViewPlays.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewScenarios.java
@@ -4,22 +4,22 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.members.Members;
-import merlinlever.view.Act;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.view.GuardedAction;
 
 /** Hard cases of who is there: all are voters, with the times that are usual. */
-final class ViewPlays {
+final class ViewScenarios {
 
     private static final List<String> THREE = List.of("b1", "b2", "b3"), FIVE = List.of("b1", "b2", "b3", "b4", "b5");
     private static final long BEGIN = 25_000;
 
-    private ViewPlays() {}
+    private ViewScenarios() {}
 
     /** They are whole when it begins; of one number there is one membership, and never may two who do not lead alike decide. */
-    private static Play<Members.Message> play(long seed, List<String> names) {
-        ViewNode.Disk disk = new ViewNode.Disk();
+    private static Scenario<SwimProtocol.MembershipMessage> play(long seed, List<String> names) {
+        ViewNode.SimulatedDisk disk = new ViewNode.SimulatedDisk();
         Map<Long, String> digests = new HashMap<>();
-        return new Play<>(seed, names, born -> new ViewNode(born, names, disk), ViewNode.WORDS)
+        return new Scenario<>(seed, names, born -> new ViewNode(born, names, disk), ViewNode.WORDS)
                 .never("one number, two memberships", p -> names.stream()
                         .anyMatch(name -> p.node(name) instanceof ViewNode node
                                 && !digests.computeIfAbsent(node.view().number(), none -> node.view()
@@ -30,33 +30,33 @@
                         p -> names.stream()
                                         .filter(name -> p.node(name) instanceof ViewNode node
                                                 && node.leads(p.clock(name))
-                                                && node.may(p.clock(name), Act.DECIDE))
+                                                && node.may(p.clock(name), GuardedAction.DECIDE))
                                         .count()
                                 > 1)
                 .until(BEGIN)
                 .begin();
     }
 
-    private static String leader(Play<Members.Message> play) {
+    private static String leader(Scenario<SwimProtocol.MembershipMessage> play) {
         return play.names().stream()
                 .filter(name -> play.node(name) instanceof ViewNode node && node.leads(play.clock(name)))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static List<String> others(Play<Members.Message> play, String... without) {
+    private static List<String> others(Scenario<SwimProtocol.MembershipMessage> play, String... without) {
         List<String> others = new ArrayList<>(play.names());
         others.removeAll(List.of(without));
         return others;
     }
 
     static Timeline parted() {
-        Play<Members.Message> play = play(1, THREE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(1, THREE);
         play.at(
                         BEGIN + 500,
                         p -> p.partition(others(p, leader(p)).get(0) + " | " + leader(p) + " "
                                 + others(p, leader(p)).get(1)))
-                .at(BEGIN + 20_000, Play::heal)
+                .at(BEGIN + 20_000, Scenario::heal)
                 .until(BEGIN + 40_000);
         return play.timeline(
                 """
@@ -66,9 +66,9 @@
     }
 
     static Timeline leaderParted() {
-        Play<Members.Message> play = play(2, THREE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(2, THREE);
         play.at(BEGIN + 500, p -> p.partition(leader(p) + " | " + String.join(" ", others(p, leader(p)))))
-                .at(BEGIN + 20_000, Play::heal)
+                .at(BEGIN + 20_000, Scenario::heal)
                 .until(BEGIN + 45_000);
         return play.timeline(
                 """
@@ -78,7 +78,7 @@
     }
 
     static Timeline stoodStill() {
-        Play<Members.Message> play = play(3, THREE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(3, THREE);
         play.at(BEGIN + 500, p -> p.pause(others(p, leader(p)).get(0)))
                 .at(BEGIN + 20_500, p -> p.resume(others(p, leader(p)).get(0)))
                 .until(BEGIN + 40_000);
@@ -90,9 +90,9 @@
     }
 
     static Timeline oneWay() {
-        Play<Members.Message> play = play(4, FIVE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(4, FIVE);
         play.at(BEGIN + 500, p -> p.cut("b1", "b2"))
-                .at(BEGIN + 25_000, Play::heal)
+                .at(BEGIN + 25_000, Scenario::heal)
                 .until(BEGIN + 40_000);
         return play.timeline(
                 """
@@ -102,7 +102,7 @@
     }
 
     static Timeline flapping() {
-        Play<Members.Message> play = play(5, FIVE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(5, FIVE);
         for (int i = 0; i < 10; i++) {
             play.at(BEGIN + 500 + i * 2000L, p -> p.pause("b3")).at(BEGIN + 1500 + i * 2000L, p -> p.resume("b3"));
         }
@@ -115,9 +115,9 @@
     }
 
     static Timeline bridge() {
-        Play<Members.Message> play = play(6, FIVE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(6, FIVE);
         play.at(BEGIN + 500, p -> p.partition("b1 b2 | b4 b5"))
-                .at(BEGIN + 25_000, Play::heal)
+                .at(BEGIN + 25_000, Scenario::heal)
                 .until(BEGIN + 45_000);
         return play.timeline(
                 """
@@ -127,7 +127,7 @@
     }
 
     static Timeline restarted() {
-        Play<Members.Message> play = play(7, THREE);
+        Scenario<SwimProtocol.MembershipMessage> play = play(7, THREE);
         play.at(BEGIN + 500, p -> p.kill("b3"))
                 .at(BEGIN + 1500, p -> p.start("b3"))
                 .until(BEGIN + 20_000);
--- a/src/main/java/merlinlever/host/disk/Ledger.java
+++ b/src/main/java/merlinlever/host/disk/InstanceLedger.java
@@ -11,15 +11,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import merlinlever.durable.Folder;
-import merlinlever.durable.Folders;
+import merlinlever.storage.StateDirectories;
+import merlinlever.storage.StateDirectory;
 
 /**
  * Which instances are wanted, and which process each has. A launch is noted before it is made, with a token that the new
  * process carries in its environment: whoever dies between the two leaves something that can be found. The file is
- * replaced whole ({@link Folder#replace}); its first line is the CRC-32C of the rest.
+ * replaced whole ({@link StateDirectory#replace}); its first line is the CRC-32C of the rest.
  */
-public final class Ledger implements Closeable {
+public final class InstanceLedger implements Closeable {
 
     /**
      * What is noted of one instance.
@@ -28,19 +28,19 @@
      * @param pid 0 before the launch is known to have been made
      * @param startTicks when the process began, by the kernel's count, which a reused pid does not share
      */
-    public record Noted(
+    public record InstanceRecord(
             @JsonProperty("wanted") boolean wanted,
             @JsonProperty("token") String token,
             @JsonProperty("pid") long pid,
             @JsonProperty("startTicks") long startTicks) {
-        public static final Noted NOTHING = new Noted(false, "", 0, 0);
+        public static final InstanceRecord NOTHING = new InstanceRecord(false, "", 0, 0);
     }
 
     /** The folder's file is not what was written; the message is for the operator. */
-    public static final class Spoilt extends Exception {
+    public static final class CorruptLedgerException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Spoilt(String message) {
+        CorruptLedgerException(String message) {
             super(message);
         }
     }
@@ -48,38 +48,38 @@
     private static final int MOST = 4 << 20;
     private static final String FILE = "instances";
 
-    private final Folder folder;
+    private final StateDirectory folder;
     private final ObjectMapper json = new ObjectMapper();
-    private final Map<String, Noted> noted = new LinkedHashMap<>();
+    private final Map<String, InstanceRecord> noted = new LinkedHashMap<>();
 
     /** On disk, as nobody records it. */
-    public Ledger(Path folder) throws IOException, Spoilt {
-        this(Folders.open(folder, Map.of()));
+    public InstanceLedger(Path folder) throws IOException, CorruptLedgerException {
+        this(StateDirectories.open(folder, Map.of()));
     }
 
     /** Held until the ledger is closed; closed with it, and at once where it cannot be read. */
-    public Ledger(Folder folder) throws IOException, Spoilt {
+    public InstanceLedger(StateDirectory folder) throws IOException, CorruptLedgerException {
         this.folder = folder;
         try {
             if (folder.has(FILE)) {
                 read(folder.read(FILE));
             }
-        } catch (IOException | Spoilt e) {
+        } catch (IOException | CorruptLedgerException e) {
             folder.close();
             throw e;
         }
     }
 
-    private void read(byte[] octets) throws Spoilt {
+    private void read(byte[] octets) throws CorruptLedgerException {
         if (octets.length > MOST) {
-            throw new Spoilt(FILE + ": over " + MOST + " octets");
+            throw new CorruptLedgerException(FILE + ": over " + MOST + " octets");
         }
         String text = new String(octets, StandardCharsets.ISO_8859_1);
         int end = text.indexOf('\n');
         byte[] rest = text.substring(end + 1).getBytes(StandardCharsets.ISO_8859_1);
         try {
             if (end < 0 || !text.substring(0, end).equals(sum(rest))) {
-                throw new Spoilt(
+                throw new CorruptLedgerException(
                         FILE + ": spoilt; running instances are found by their environment if the file is moved away, "
                                 + "but which are wanted has then to be said again");
             }
@@ -88,16 +88,16 @@
                 com.fasterxml.jackson.databind.JsonNode one = entry.getValue();
                 noted.put(
                         entry.getKey(),
-                        new Noted(
+                        new InstanceRecord(
                                 one.path("wanted").asBoolean(),
                                 one.path("token").asText(),
                                 one.path("pid").asLong(),
                                 one.path("startTicks").asLong()));
             }
         } catch (JsonProcessingException e) {
-            throw new Spoilt(FILE + ": is not what an agent writes");
+            throw new CorruptLedgerException(FILE + ": is not what an agent writes");
         } catch (java.io.IOException e) {
-            throw new Spoilt(FILE + ": cannot be read: " + e.getMessage());
+            throw new CorruptLedgerException(FILE + ": cannot be read: " + e.getMessage());
         }
     }
 
@@ -112,13 +112,13 @@
         return List.copyOf(noted.keySet());
     }
 
-    public Noted of(String instance) {
-        return noted.getOrDefault(instance, Noted.NOTHING);
+    public InstanceRecord of(String instance) {
+        return noted.getOrDefault(instance, InstanceRecord.NOTHING);
     }
 
     /** Notes it; returns when it is on the disk. After a failure what was noted before stands. */
-    public void note(String instance, Noted what) throws IOException {
-        Noted before = noted.put(instance, what);
+    public void note(String instance, InstanceRecord what) throws IOException {
+        InstanceRecord before = noted.put(instance, what);
         try {
             byte[] rest = json.writeValueAsBytes(noted);
             folder.replace(
--- a/src/main/java/merlinlever/host/front/HostFront.java
+++ b/src/main/java/merlinlever/host/front/HostApiServer.java
@@ -20,21 +20,21 @@
 import java.util.function.Consumer;
 import merlinlever.WireNamed;
 import merlinlever.host.run.HostAgent;
-import merlinlever.host.run.Hosted;
-import merlinlever.host.run.Neighbours;
-import merlinlever.host.state.Keeper;
-import merlinlever.host.state.Orders;
+import merlinlever.host.run.InstanceSpec;
+import merlinlever.host.run.PeerAgents;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Listener;
-import merlinlever.net.Loop;
-import merlinlever.recovery.net.Rejoin;
+import merlinlever.net.ConnectionAcceptor;
+import merlinlever.net.EventLoop;
+import merlinlever.recovery.net.RecoveryCoordinator;
 
 /**
  * What the {@code fleet} commands talk to: {@code GET /instances}, {@code GET /events?after=N}, {@code POST /orders},
  * {@code GET /orders/ID}. One message on each connection, with the shared secret in its head.
  */
-public final class HostFront {
+public final class HostApiServer {
 
     private static final int CONNECTIONS = 64;
     private static final int MESSAGE = 256 * 1024;
@@ -45,28 +45,28 @@
     private static final Duration LOOK = Duration.ofMillis(500);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String host;
     private final HostAgent agent;
     /** Null where there are no other agents to know of. */
-    private final Neighbours neighbours;
+    private final PeerAgents neighbours;
     /** Null likewise. */
-    private final Rejoin rejoin;
+    private final RecoveryCoordinator rejoin;
 
     private final byte[] secret;
-    private final Desk desk;
-    private final Listener listener;
-    private final Set<Visit> open = new LinkedHashSet<>();
-    private Loop.Timer alarm;
+    private final OrderAdmission desk;
+    private final ConnectionAcceptor listener;
+    private final Set<ClientConnection> open = new LinkedHashSet<>();
+    private EventLoop.Timer alarm;
 
     /** @param secret that each message has to carry */
-    public HostFront(
-            Loop loop,
+    public HostApiServer(
+            EventLoop loop,
             InetSocketAddress address,
             String host,
             HostAgent agent,
-            Neighbours neighbours,
-            Rejoin rejoin,
+            PeerAgents neighbours,
+            RecoveryCoordinator rejoin,
             String secret,
             Duration grace,
             long seed,
@@ -78,11 +78,11 @@
         this.host = host;
         this.agent = agent;
         this.secret = secret.getBytes(StandardCharsets.UTF_8);
-        desk = new Desk(grace, seed, this::alarm, log);
-        listener = new Listener(loop, address, CONNECTIONS, this::accepted, () -> {});
+        desk = new OrderAdmission(grace, seed, this::alarm, log);
+        listener = new ConnectionAcceptor(loop, address, CONNECTIONS, this::accepted, () -> {});
         listener.accept();
         loop.after(() -> desk.settle(loop.clock().now()));
-        loop.every(LOOK, () -> List.copyOf(open).forEach(Visit::look));
+        loop.every(LOOK, () -> List.copyOf(open).forEach(ClientConnection::look));
     }
 
     public InetSocketAddress address() throws IOException {
@@ -110,7 +110,7 @@
     }
 
     private void accepted(AsynchronousSocketChannel channel) {
-        Visit visit = new Visit();
+        ClientConnection visit = new ClientConnection();
         open.add(visit);
         visit.connection = Connection.accepted(loop, channel, visit, MESSAGE, 8 << 20);
         visit.connection.readOn();
@@ -119,8 +119,8 @@
     // ---- what is told
 
     private ObjectNode instance(int index) {
-        Hosted one = agent.hosted().get(index);
-        Keeper keeper = agent.keeper(index);
+        InstanceSpec one = agent.hosted().get(index);
+        InstanceSupervisor keeper = agent.keeper(index);
         Duration now = loop.clock().now();
         ObjectNode node = JSON.createObjectNode()
                 .put("name", one.name())
@@ -163,7 +163,7 @@
                                 + address().getPort())
                 .put("status", "alive")
                 .put("report_ms_ago", 0));
-        for (Neighbours.Known known : neighbours == null ? List.<Neighbours.Known>of() : neighbours.all()) {
+        for (PeerAgents.PeerAgent known : neighbours == null ? List.<PeerAgents.PeerAgent>of() : neighbours.all()) {
             ObjectNode one = agents.addObject()
                     .put("host", known.agent().name())
                     .put("api", known.agent().api())
@@ -182,7 +182,7 @@
     }
 
     /** An old report says what was so, and no more. */
-    private static ObjectNode aged(ObjectNode instance, Neighbours.Known known, long ago) {
+    private static ObjectNode aged(ObjectNode instance, PeerAgents.PeerAgent known, long ago) {
         if (instance.path("heard_ms_ago").isNumber()) {
             instance.put("heard_ms_ago", instance.path("heard_ms_ago").asLong() + ago);
         }
@@ -192,12 +192,12 @@
                     "its agent " + known.agent().name() + " ("
                             + known.agent().status().wireName() + ") not reached for " + ago
                             + " ms; it was " + instance.path("state").asText() + " then");
-            instance.put("state", Keeper.State.UNREACHED.wireName());
+            instance.put("state", InstanceSupervisor.InstanceState.UNREACHED.wireName());
         }
         return instance;
     }
 
-    private ObjectNode order(Orders.Order order) {
+    private ObjectNode order(OrderTracker.Order order) {
         ObjectNode node = JSON.createObjectNode()
                 .put("id", order.id())
                 .put("verb", order.verb().wireName())
@@ -205,7 +205,7 @@
         ArrayNode each = node.putArray("instances");
         for (int i = 0; i < order.instances().size(); i++) {
             int index = order.instances().get(i);
-            Keeper keeper = agent.keeper(index);
+            InstanceSupervisor keeper = agent.keeper(index);
             each.addObject()
                     .put("name", agent.hosted().get(index).name())
                     .put("end", order.end(i).wireName())
@@ -217,7 +217,7 @@
     }
 
     /** One connection with its one message. */
-    private final class Visit implements Connection.User {
+    private final class ClientConnection implements Connection.Handler {
         private final Duration since = loop.clock().uptime();
         private Connection connection;
         private boolean said, written;
@@ -289,10 +289,10 @@
                 });
             } else if (method.equals("GET") && path.startsWith("/orders/")) {
                 look(() -> {
-                    Orders.Order found = agent.find(path.substring(8));
+                    OrderTracker.Order found = agent.find(path.substring(8));
                     say(
                             found == null ? 404 : 200,
-                            found == null ? error("no order of that id is known") : HostFront.this.order(found),
+                            found == null ? error("no order of that id is known") : HostApiServer.this.order(found),
                             Duration.ZERO);
                 });
             } else {
@@ -318,13 +318,14 @@
 
         private void order(String body) {
             String id;
-            Orders.Verb verb;
+            OrderTracker.OrderVerb verb;
             boolean atOnce;
             List<Integer> instances = new ArrayList<>();
             try {
                 JsonNode node = JSON.readTree(body);
                 id = node.path("id").asText();
-                verb = WireNamed.parse(Orders.Verb.class, node.path("verb").asText());
+                verb = WireNamed.parse(
+                        OrderTracker.OrderVerb.class, node.path("verb").asText());
                 atOnce = node.path("now").asBoolean();
                 if (!id.matches("[0-9a-zA-Z-]{8,64}")) {
                     throw new IllegalArgumentException("an order's id has 8 to 64 letters, digits or -");
@@ -361,12 +362,12 @@
                             say(503, error("too many orders are under way"), Duration.ofSeconds(1));
                             return;
                         }
-                        Orders.Order taken = agent.order(id, verb, atOnce, instances);
+                        OrderTracker.Order taken = agent.order(id, verb, atOnce, instances);
                         say(
                                 taken == null ? 507 : 200,
                                 taken == null
                                         ? error("the agent cannot write its state; the order was not taken")
-                                        : HostFront.this.order(taken),
+                                        : HostApiServer.this.order(taken),
                                 Duration.ZERO);
                     },
                     stayAway -> say(503, error("turned away, nothing was done"), stayAway));
--- a/src/main/java/merlinlever/host/front/Desk.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -4,26 +4,26 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import merlinlever.Ending;
-import merlinlever.Operation;
-import merlinlever.core.Conductor;
-import merlinlever.core.Port;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
+import merlinlever.core.ControllerDriver;
+import merlinlever.core.DecisionHandler;
 
 /**
  * Has the decision module say which messages to the host agent are taken and begun: looks are retriable, orders are
  * fingerprinted by their id. What runs ends within the same batch; that an order is done once is seen to by its id.
  */
-final class Desk implements Port<Desk.Asked> {
+final class OrderAdmission implements DecisionHandler<OrderAdmission.PendingRequest> {
 
     /** One message: how it is answered when it runs, and how when it is turned away. */
-    static final class Asked {
+    static final class PendingRequest {
         private final Runnable run;
         private final Consumer<Duration> pushedBack;
         private final String mark;
-        private Operation handle;
+        private RequestHandle handle;
         private boolean answered;
 
-        private Asked(String mark, Runnable run, Consumer<Duration> pushedBack) {
+        private PendingRequest(String mark, Runnable run, Consumer<Duration> pushedBack) {
             this.mark = mark;
             this.run = run;
             this.pushedBack = pushedBack;
@@ -33,15 +33,15 @@
     private static final int LOOK = 0, ORDER = 1;
     private static final int IN_ONE_GO = 8;
 
-    private final Conductor<Asked> conductor;
-    private final Map<String, Asked> byMark = new HashMap<>();
+    private final ControllerDriver<PendingRequest> conductor;
+    private final Map<String, PendingRequest> byMark = new HashMap<>();
     private final Consumer<Duration> alarm;
     private final Consumer<String> log;
     private Duration now = Duration.ZERO;
     private boolean touched;
     private int inHand;
 
-    Desk(Duration grace, long seed, Consumer<Duration> alarm, Consumer<String> log) {
+    OrderAdmission(Duration grace, long seed, Consumer<Duration> alarm, Consumer<String> log) {
         this.alarm = alarm;
         this.log = log;
         Map<String, String> given = new HashMap<>();
@@ -56,7 +56,7 @@
         given.put("limits.longest-stay-away", "2000");
         tariff(given, LOOK, "retriable", 1, 0);
         tariff(given, ORDER, "fingerprinted", 8, 600_000);
-        conductor = new Conductor<>(given, seed, this);
+        conductor = new ControllerDriver<>(given, seed, this);
     }
 
     private static void tariff(Map<String, String> given, int index, String kind, int value, int windowMs) {
@@ -78,9 +78,9 @@
         now = at;
         touched = true;
         inHand++;
-        Asked asked = new Asked(mark, run, pushedBack);
-        Asked original = mark == null ? null : byMark.putIfAbsent(mark, asked);
-        Operation taken = conductor
+        PendingRequest asked = new PendingRequest(mark, run, pushedBack);
+        PendingRequest original = mark == null ? null : byMark.putIfAbsent(mark, asked);
+        RequestHandle taken = conductor
                 .control()
                 .take(
                         at,
@@ -116,29 +116,29 @@
         }
     }
 
-    private void run(Asked asked) {
+    private void run(PendingRequest asked) {
         touched = true;
         if (!asked.answered) {
             asked.answered = true;
             inHand--;
             asked.run.run();
         }
-        asked.handle.ended(now, Ending.OK);
+        asked.handle.ended(now, Outcome.OK);
     }
 
     @Override
-    public void start(Asked asked) {
+    public void start(PendingRequest asked) {
         run(asked);
     }
 
     @Override
-    public void share(Asked asked) {
+    public void share(PendingRequest asked) {
         // The order is found by its id, and what has become of it is told.
         run(asked);
     }
 
     @Override
-    public void pushBack(Asked asked, boolean nowhereElse, Duration stayAway) {
+    public void pushBack(PendingRequest asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             asked.answered = true;
             inHand--;
@@ -148,39 +148,39 @@
     }
 
     @Override
-    public void breakOff(Asked asked) {
+    public void breakOff(PendingRequest asked) {
         pushBack(asked, false, Duration.ZERO);
     }
 
     @Override
-    public void forget(Asked asked) {
+    public void forget(PendingRequest asked) {
         if (asked.mark != null) {
             byMark.remove(asked.mark, asked);
         }
     }
 
     @Override
-    public void release(Asked asked) {
+    public void release(PendingRequest asked) {
         forget(asked);
     }
 
     @Override
-    public void keep(Asked asked, Duration span) {
+    public void keep(PendingRequest asked, Duration span) {
         // Entered when it came.
     }
 
     @Override
-    public void halt(Asked asked) {
+    public void halt(PendingRequest asked) {
         // Nothing runs longer than a batch.
     }
 
     @Override
-    public void call(Asked asked, Duration giveUpAfter) {
+    public void call(PendingRequest asked, Duration giveUpAfter) {
         // Nothing here calls.
     }
 
     @Override
-    public void omit(Asked asked) {
+    public void omit(PendingRequest asked) {
         // Nothing here calls.
     }
 
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.host.disk.Ledger;
-import merlinlever.host.state.Keeper;
-import merlinlever.host.state.Orders;
-import merlinlever.host.state.Peers;
-import merlinlever.host.state.Told;
-import merlinlever.net.Loop;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.host.state.InstanceStatus;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
+import merlinlever.host.state.OutlierDetector;
+import merlinlever.net.EventLoop;
 
 /** Carries out what the keepers decide about the instances of one machine, and tells them what happens. */
 public final class HostAgent {
 
     /** Something that happened, numbered from 1. */
-    public record Event(long number, Duration at, String instance, String what) {}
+    public record InstanceEvent(long number, Duration at, String instance, String what) {}
 
     private static final Duration LOOK = Duration.ofMillis(100);
     private static final Duration VISIT = Duration.ofMillis(500);
@@ -31,16 +31,16 @@
     /** Not having looked for so long, the agent was stopped; what is read this long after may be from that time. */
     private static final Duration STALL = Duration.ofSeconds(2), STALE = Duration.ofMillis(500);
 
-    private final Loop loop;
-    private final Ledger ledger;
-    private final List<Hosted> hosted;
-    private final List<Keeper> keepers = new ArrayList<>();
-    private final Orders orders;
-    private final Peers peers;
-    private final Processes.Known[] processes;
+    private final EventLoop loop;
+    private final InstanceLedger ledger;
+    private final List<InstanceSpec> hosted;
+    private final List<InstanceSupervisor> keepers = new ArrayList<>();
+    private final OrderTracker orders;
+    private final OutlierDetector peers;
+    private final OsProcesses.ProcessIdentity[] processes;
     private final boolean[] visiting;
-    private final Keeper.State[] last;
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
+    private final InstanceSupervisor.InstanceState[] last;
+    private final ArrayDeque<InstanceEvent> events = new ArrayDeque<>();
     private final SplittableRandom chance;
     private final Duration spread;
     private final Consumer<String> log;
@@ -51,10 +51,10 @@
 
     /** @param spread those that it launches at its start are launched over so long, so that they do not all begin at once */
     public HostAgent(
-            Loop loop,
-            Ledger ledger,
-            List<Hosted> hosted,
-            Keeper.Stated stated,
+            EventLoop loop,
+            InstanceLedger ledger,
+            List<InstanceSpec> hosted,
+            InstanceSupervisor.SupervisorSettings stated,
             Duration spread,
             SplittableRandom chance,
             Consumer<String> log) {
@@ -64,12 +64,12 @@
         this.chance = chance;
         this.log = log;
         this.spread = spread;
-        hosted.forEach(each -> keepers.add(new Keeper(stated, each.manage() != null)));
-        orders = new Orders(keepers);
-        peers = new Peers(hosted.size());
-        processes = new Processes.Known[hosted.size()];
+        hosted.forEach(each -> keepers.add(new InstanceSupervisor(stated, each.manage() != null)));
+        orders = new OrderTracker(keepers);
+        peers = new OutlierDetector(hosted.size());
+        processes = new OsProcesses.ProcessIdentity[hosted.size()];
         visiting = new boolean[hosted.size()];
-        last = new Keeper.State[hosted.size()];
+        last = new InstanceSupervisor.InstanceState[hosted.size()];
         takeOver();
         loop.every(LOOK, this::look);
         loop.every(VISIT, this::visitAll);
@@ -82,11 +82,12 @@
     /** What an agent before this one left: running instances are taken over, none is launched twice. */
     private void takeOver() {
         for (int i = 0; i < hosted.size(); i++) {
-            Ledger.Noted noted = ledger.of(hosted.get(i).name());
-            Processes.Known found = noted.pid() == 0 ? null : new Processes.Known(noted.pid(), noted.startTicks());
-            if (found == null || !Processes.alive(found)) {
+            InstanceLedger.InstanceRecord noted = ledger.of(hosted.get(i).name());
+            OsProcesses.ProcessIdentity found =
+                    noted.pid() == 0 ? null : new OsProcesses.ProcessIdentity(noted.pid(), noted.startTicks());
+            if (found == null || !OsProcesses.alive(found)) {
                 // The last launch may have been made and not been noted any more.
-                found = noted.token().isEmpty() ? null : Processes.byToken(noted.token());
+                found = noted.token().isEmpty() ? null : OsProcesses.byToken(noted.token());
             }
             if (found != null) {
                 processes[i] = found;
@@ -97,14 +98,19 @@
                 } else {
                     keepers.get(i).leave(now());
                 }
-                note(i, new Ledger.Noted(noted.wanted(), noted.token(), found.pid(), found.startTicks()));
-            } else if (noted.equals(Ledger.Noted.NOTHING) ? hosted.get(i).atStart() : noted.wanted()) {
+                note(
+                        i,
+                        new InstanceLedger.InstanceRecord(
+                                noted.wanted(), noted.token(), found.pid(), found.startTicks()));
+            } else if (noted.equals(InstanceLedger.InstanceRecord.NOTHING)
+                    ? hosted.get(i).atStart()
+                    : noted.wanted()) {
                 keepers.get(i).startAfter(now(), Duration.ofNanos(chance.nextLong(spread.toNanos() + 1)));
             }
         }
     }
 
-    private boolean note(int index, Ledger.Noted noted) {
+    private boolean note(int index, InstanceLedger.InstanceRecord noted) {
         try {
             ledger.note(hosted.get(index).name(), noted);
             if (noteFailed) {
@@ -123,7 +129,7 @@
     }
 
     private void event(int index, String what) {
-        events.add(new Event(++numbered, now(), hosted.get(index).name(), what));
+        events.add(new InstanceEvent(++numbered, now(), hosted.get(index).name(), what));
         if (events.size() > EVENTS) {
             events.poll();
         }
@@ -149,8 +155,8 @@
         }
         lastLook = now();
         for (int i = 0; i < hosted.size(); i++) {
-            Keeper keeper = keepers.get(i);
-            if (processes[i] != null && !Processes.alive(processes[i])) {
+            InstanceSupervisor keeper = keepers.get(i);
+            if (processes[i] != null && !OsProcesses.alive(processes[i])) {
                 long pid = processes[i].pid();
                 processes[i] = null;
                 event(i, "ended, pid " + pid);
@@ -160,15 +166,15 @@
                 case LAUNCH -> launch(i);
                 case LEAVE -> {
                     event(i, "told to leave");
-                    Processes.signal(processes[i], false);
+                    OsProcesses.signal(processes[i], false);
                 }
                 case KILL -> {
                     event(i, "killed");
-                    Processes.signal(processes[i], true);
+                    OsProcesses.signal(processes[i], true);
                 }
                 default -> {}
             }
-            Keeper.State state = keeper.state(now());
+            InstanceSupervisor.InstanceState state = keeper.state(now());
             if (state != last[i]) {
                 event(
                         i,
@@ -186,23 +192,23 @@
     }
 
     private void launch(int index) {
-        Hosted one = hosted.get(index);
-        Keeper keeper = keepers.get(index);
+        InstanceSpec one = hosted.get(index);
+        InstanceSupervisor keeper = keepers.get(index);
         String token = String.format("%016x%016x", chance.nextLong(), chance.nextLong());
         // Noted before it is made: an agent that dies in between finds it by its token.
-        if (!note(index, new Ledger.Noted(true, token, 0, 0))) {
+        if (!note(index, new InstanceLedger.InstanceRecord(true, token, 0, 0))) {
             keeper.launchFailed(now(), "the state cannot be written");
             return;
         }
         try {
             Files.createDirectories(one.folder());
-            Processes.Known made =
-                    Processes.launch(one.command(), one.environment(), token, one.folder(), logFile(index));
+            OsProcesses.ProcessIdentity made =
+                    OsProcesses.launch(one.command(), one.environment(), token, one.folder(), logFile(index));
             processes[index] = made;
             keeper.there(now(), now());
             event(index, "launched, pid " + made.pid());
             // If this is not noted, the token still leads to it.
-            note(index, new Ledger.Noted(true, token, made.pid(), made.startTicks()));
+            note(index, new InstanceLedger.InstanceRecord(true, token, made.pid(), made.startTicks()));
         } catch (IOException e) {
             keeper.launchFailed(now(), e.getMessage());
             event(index, "cannot be launched: " + e.getMessage());
@@ -212,17 +218,18 @@
     private void visitAll() {
         double[] capacity = new double[hosted.size()];
         for (int i = 0; i < hosted.size(); i++) {
-            Keeper keeper = keepers.get(i);
-            Told told = keeper.told();
-            boolean counts =
-                    told != null && told.phase().equals("warm") && keeper.state(now()) != Keeper.State.UNREACHED;
+            InstanceSupervisor keeper = keepers.get(i);
+            InstanceStatus told = keeper.told();
+            boolean counts = told != null
+                    && told.phase().equals("warm")
+                    && keeper.state(now()) != InstanceSupervisor.InstanceState.UNREACHED;
             capacity[i] = counts ? told.capacity() : Double.NaN;
             cutLog(i);
             if (processes[i] != null && hosted.get(i).manage() != null && !visiting[i]) {
                 visiting[i] = true;
                 int index = i;
-                Processes.Known asked = processes[i];
-                Visit.instance(loop, hosted.get(i).manage(), answer -> {
+                OsProcesses.ProcessIdentity asked = processes[i];
+                StatusPoll.instance(loop, hosted.get(i).manage(), answer -> {
                     visiting[index] = false;
                     // An answer of one that is gone says nothing of the next.
                     if (answer != null && asked.equals(processes[index])) {
@@ -255,12 +262,15 @@
     // ---- orders and questions
 
     /** Takes an order, or returns null where it cannot be noted. */
-    public Orders.Order order(String id, Orders.Verb verb, boolean atOnce, List<Integer> instances) {
+    public OrderTracker.Order order(String id, OrderTracker.OrderVerb verb, boolean atOnce, List<Integer> instances) {
         if (orders.find(id) == null) {
-            boolean wanted = verb == Orders.Verb.START || verb == Orders.Verb.RESTART;
+            boolean wanted = verb == OrderTracker.OrderVerb.START || verb == OrderTracker.OrderVerb.RESTART;
             for (int index : instances) {
-                Ledger.Noted before = ledger.of(hosted.get(index).name());
-                if (!note(index, new Ledger.Noted(wanted, before.token(), before.pid(), before.startTicks()))) {
+                InstanceLedger.InstanceRecord before =
+                        ledger.of(hosted.get(index).name());
+                if (!note(
+                        index,
+                        new InstanceLedger.InstanceRecord(wanted, before.token(), before.pid(), before.startTicks()))) {
                     return null;
                 }
             }
@@ -269,7 +279,7 @@
         return orders.take(now(), id, verb, atOnce, instances);
     }
 
-    public Orders.Order find(String id) {
+    public OrderTracker.Order find(String id) {
         return orders.find(id);
     }
 
@@ -277,11 +287,11 @@
         return orders.room();
     }
 
-    public List<Hosted> hosted() {
+    public List<InstanceSpec> hosted() {
         return hosted;
     }
 
-    public Keeper keeper(int index) {
+    public InstanceSupervisor keeper(int index) {
         return keepers.get(index);
     }
 
@@ -290,7 +300,7 @@
         return processes[index] == null ? 0 : processes[index].pid();
     }
 
-    public List<Event> events(long after) {
+    public List<InstanceEvent> events(long after) {
         return events.stream().filter(event -> event.number > after).toList();
     }
 
@@ -298,12 +308,12 @@
     public void drainAll() {
         for (int i = 0; i < hosted.size(); i++) {
             keepers.get(i).leave(now());
-            Ledger.Noted before = ledger.of(hosted.get(i).name());
-            note(i, new Ledger.Noted(false, before.token(), before.pid(), before.startTicks()));
+            InstanceLedger.InstanceRecord before = ledger.of(hosted.get(i).name());
+            note(i, new InstanceLedger.InstanceRecord(false, before.token(), before.pid(), before.startTicks()));
         }
     }
 
     public boolean allDown() {
-        return keepers.stream().noneMatch(Keeper::there);
+        return keepers.stream().noneMatch(InstanceSupervisor::there);
     }
 }
--- a/src/main/java/merlinlever/host/run/Hosted.java
+++ b/src/main/java/merlinlever/host/run/InstanceSpec.java
@@ -11,7 +11,7 @@
  * @param manage where it tells of itself, or null
  * @param logBytes of its log before it is cut
  */
-public record Hosted(
+public record InstanceSpec(
         String name,
         String kind,
         Map<String, String> labels,
--- a/src/main/java/merlinlever/host/run/Processes.java
+++ b/src/main/java/merlinlever/host/run/OsProcesses.java
@@ -10,18 +10,19 @@
 import java.util.stream.Stream;
 
 /** Processes by pid and start time, as the kernel tells them under /proc. */
-public final class Processes {
+public final class OsProcesses {
 
     /** The variable by which a process is known as launched here. */
     public static final String TOKEN = "MERLINLEVER_LAUNCH";
 
     /** A process that cannot be taken for a later one with its pid. */
-    public record Known(long pid, long startTicks) {}
+    public record ProcessIdentity(long pid, long startTicks) {}
 
-    private Processes() {}
+    private OsProcesses() {}
 
     /** Starts a command; its output goes to the end of the file. */
-    static Known launch(List<String> command, Map<String, String> environment, String token, Path folder, Path log)
+    static ProcessIdentity launch(
+            List<String> command, Map<String, String> environment, String token, Path folder, Path log)
             throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
@@ -33,7 +34,7 @@
         Process process = builder.start();
         Long ticks = startTicks(process.pid());
         // One that has ended already is known by a time that no process has.
-        return new Known(process.pid(), ticks == null ? -1 : ticks);
+        return new ProcessIdentity(process.pid(), ticks == null ? -1 : ticks);
     }
 
     /** When the process began, or null where there is none of that pid, or it is a dead one that nobody has waited for. */
@@ -48,13 +49,13 @@
         }
     }
 
-    static boolean alive(Known process) {
+    static boolean alive(ProcessIdentity process) {
         Long ticks = startTicks(process.pid);
         return ticks != null && ticks == process.startTicks;
     }
 
     /** The process that carries the token, or null. */
-    static Known byToken(String token) {
+    static ProcessIdentity byToken(String token) {
         String wanted = TOKEN + "=" + token;
         try (Stream<Path> all = Files.list(Path.of("/proc"))) {
             for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
@@ -67,7 +68,7 @@
                             long pid = Long.parseLong(each.getFileName().toString());
                             Long ticks = startTicks(pid);
                             if (ticks != null) {
-                                return new Known(pid, ticks);
+                                return new ProcessIdentity(pid, ticks);
                             }
                         }
                     }
@@ -82,7 +83,7 @@
     }
 
     /** Asks it to leave, or kills it; false where it is not there any more. */
-    static boolean signal(Known process, boolean kill) {
+    static boolean signal(ProcessIdentity process, boolean kill) {
         Optional<ProcessHandle> handle = alive(process) ? ProcessHandle.of(process.pid) : Optional.empty();
         return handle.isPresent()
                 && (kill ? handle.get().destroyForcibly() : handle.get().destroy());
--- a/src/main/java/merlinlever/host/run/Neighbours.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -7,36 +7,36 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.members.Link;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
-import merlinlever.net.Loop;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.MembershipTransport;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.net.EventLoop;
 
 /**
  * What the other agents tell of their instances, asked for when somebody wants to know, and kept with its age for when they
  * do not answer any more.
  */
-public final class Neighbours {
+public final class PeerAgents {
 
     /** What is known of one agent; {@code report} is null before its first answer. */
-    public record Known(Views.Rumour agent, Duration changedAgo, JsonNode report, Duration reportAgo) {}
+    public record PeerAgent(MemberTable.MemberRecord agent, Duration changedAgo, JsonNode report, Duration reportAgo) {}
 
-    private record Report(JsonNode body, Duration at) {}
+    private record CachedReport(JsonNode body, Duration at) {}
 
     /** A report that is younger than this is not asked for again; of two thousand agents so many are asked at once. */
     private static final Duration FRESH = Duration.ofMillis(200);
 
     private static final int AT_ONCE = 64;
 
-    private final Loop loop;
-    private final Members members;
+    private final EventLoop loop;
+    private final SwimProtocol members;
     private final String secret;
-    private final Map<String, Report> reports = new HashMap<>();
+    private final Map<String, CachedReport> reports = new HashMap<>();
     private final List<Runnable> waiting = new ArrayList<>();
-    private final List<Views.Rumour> toAsk = new ArrayList<>();
+    private final List<MemberTable.MemberRecord> toAsk = new ArrayList<>();
     private int open;
 
-    public Neighbours(Loop loop, Members members, String secret) {
+    public PeerAgents(EventLoop loop, SwimProtocol members, String secret) {
         this.loop = loop;
         this.members = members;
         this.secret = secret;
@@ -50,9 +50,10 @@
             return;
         }
         Duration now = loop.clock().now();
-        for (Views.Rumour agent : members.views().all()) {
-            Report report = reports.get(agent.name());
-            boolean gone = agent.status() == Views.Status.DEAD || agent.status() == Views.Status.LEFT;
+        for (MemberTable.MemberRecord agent : members.views().all()) {
+            CachedReport report = reports.get(agent.name());
+            boolean gone =
+                    agent.status() == MemberTable.MemberStatus.DEAD || agent.status() == MemberTable.MemberStatus.LEFT;
             if (!agent.name().equals(members.views().self())
                     && !gone
                     && (report == null || now.minus(report.at).compareTo(FRESH) > 0)) {
@@ -64,16 +65,17 @@
 
     private void next() {
         while (open < AT_ONCE && !toAsk.isEmpty()) {
-            Views.Rumour agent = toAsk.remove(toAsk.size() - 1);
-            InetSocketAddress address = Link.address(agent.api());
+            MemberTable.MemberRecord agent = toAsk.remove(toAsk.size() - 1);
+            InetSocketAddress address = MembershipTransport.address(agent.api());
             if (address == null) {
                 continue;
             }
             open++;
-            Visit.agent(loop, address, secret, body -> {
+            StatusPoll.agent(loop, address, secret, body -> {
                 open--;
                 if (body != null && body.path("host").asText().equals(agent.name())) {
-                    reports.put(agent.name(), new Report(body, loop.clock().now()));
+                    reports.put(
+                            agent.name(), new CachedReport(body, loop.clock().now()));
                 }
                 next();
             });
@@ -86,13 +88,13 @@
     }
 
     /** All other agents, with their last reports. */
-    public List<Known> all() {
+    public List<PeerAgent> all() {
         Duration now = loop.clock().now();
-        List<Known> all = new ArrayList<>();
-        for (Views.Rumour agent : members.views().all()) {
+        List<PeerAgent> all = new ArrayList<>();
+        for (MemberTable.MemberRecord agent : members.views().all()) {
             if (!agent.name().equals(members.views().self())) {
-                Report report = reports.get(agent.name());
-                all.add(new Known(
+                CachedReport report = reports.get(agent.name());
+                all.add(new PeerAgent(
                         agent,
                         members.changedAgo(now, agent.name()),
                         report == null ? null : report.body,
--- a/src/main/java/merlinlever/host/run/Visit.java
+++ b/src/main/java/merlinlever/host/run/StatusPoll.java
@@ -12,13 +12,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import merlinlever.host.state.Told;
+import merlinlever.host.state.InstanceStatus;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 
 /** Asks an instance, or another agent, once for one JSON object; no answer in time is none. */
-final class Visit implements Connection.User {
+final class StatusPoll implements Connection.Handler {
 
     static final Duration PATIENCE = Duration.ofSeconds(1);
     /** Octets of an answer: an instance tells little, an agent of all its instances. */
@@ -30,17 +30,17 @@
     private final Consumer<JsonNode> done;
     private boolean over;
     private Connection connection;
-    private Loop.Timer late;
+    private EventLoop.Timer late;
 
-    private Visit(int most, Consumer<JsonNode> done) {
+    private StatusPoll(int most, Consumer<JsonNode> done) {
         this.most = most;
         this.done = done;
     }
 
     /** {@code done} hears what the instance told, or null. */
-    static void instance(Loop loop, InetSocketAddress address, Consumer<Told> done) {
+    static void instance(EventLoop loop, InetSocketAddress address, Consumer<InstanceStatus> done) {
         pay(loop, address, "/state", "", INSTANCE, body -> {
-            Told told = null;
+            InstanceStatus told = null;
             try {
                 told = body == null ? null : told(body);
             } catch (RuntimeException e) {
@@ -51,13 +51,13 @@
     }
 
     /** {@code done} hears what another agent tells of its instances, or null. */
-    static void agent(Loop loop, InetSocketAddress address, String secret, Consumer<JsonNode> done) {
+    static void agent(EventLoop loop, InetSocketAddress address, String secret, Consumer<JsonNode> done) {
         pay(loop, address, "/instances", "Authorization: Bearer " + secret + "\r\n", AGENT, done);
     }
 
     private static void pay(
-            Loop loop, InetSocketAddress address, String path, String head, int most, Consumer<JsonNode> done) {
-        Visit visit = new Visit(most, done);
+            EventLoop loop, InetSocketAddress address, String path, String head, int most, Consumer<JsonNode> done) {
+        StatusPoll visit = new StatusPoll(most, done);
         visit.late = loop.in(PATIENCE, () -> visit.end(null));
         try {
             visit.connection = Connection.to(loop, address, visit, most, 4096, PATIENCE);
@@ -109,14 +109,14 @@
         }
     }
 
-    private static Told told(JsonNode node) {
+    private static InstanceStatus told(JsonNode node) {
         Map<String, Long> reasons = new TreeMap<>();
         node.path("pushed_back")
                 .properties()
                 .forEach(entry -> reasons.put(entry.getKey(), entry.getValue().asLong()));
-        List<Told.Share> shares = new ArrayList<>();
+        List<InstanceStatus.QuotaShare> shares = new ArrayList<>();
         for (JsonNode each : node.path("recovery").path("budgets")) {
-            shares.add(new Told.Share(
+            shares.add(new InstanceStatus.QuotaShare(
                     each.path("name").asText(),
                     each.path("whole").asLong(),
                     each.path("share").asLong(),
@@ -126,14 +126,14 @@
                     each.path("term").asLong()));
         }
         JsonNode seen = node.path("recovery").path("view");
-        Told.View view = !seen.isObject()
+        InstanceStatus.ViewStatus view = !seen.isObject()
                 ? null
-                : new Told.View(
+                : new InstanceStatus.ViewStatus(
                         seen.path("standing").asText(),
                         seen.path("since_ms").asLong(),
                         seen.path("view").asText(),
                         seen.path("digest").asText());
-        return new Told(
+        return new InstanceStatus(
                 node.required("phase").asText(),
                 node.path("healthy").asBoolean(),
                 node.path("hung").asBoolean(),
--- a/src/main/java/merlinlever/host/state/Told.java
+++ b/src/main/java/merlinlever/host/state/InstanceStatus.java
@@ -14,7 +14,7 @@
  * @param shares of the limits of the whole fleet
  * @param view its standing among the others of its fleet, or null where it has none
  */
-public record Told(
+public record InstanceStatus(
         @JsonProperty("phase") String phase,
         @JsonProperty("healthy") boolean healthy,
         @JsonProperty("hung") boolean hung,
@@ -26,11 +26,11 @@
         @JsonProperty("level") double level,
         @JsonProperty("pushedBack") Map<String, Long> pushedBack,
         @JsonProperty("brokenOff") long brokenOff,
-        @JsonProperty("shares") List<Share> shares,
-        @JsonProperty("view") View view) {
+        @JsonProperty("shares") List<QuotaShare> shares,
+        @JsonProperty("view") ViewStatus view) {
 
     /** Its share of one limit, how long that holds still, and who divides under which term. */
-    public record Share(
+    public record QuotaShare(
             @JsonProperty("name") String name,
             @JsonProperty("whole") long whole,
             @JsonProperty("share") long share,
@@ -40,13 +40,13 @@
             @JsonProperty("term") long term) {}
 
     /** How far its word goes since when, and which view of the fleet it holds. */
-    public record View(
+    public record ViewStatus(
             @JsonProperty("standing") String standing,
             @JsonProperty("sinceMs") long sinceMs,
             @JsonProperty("number") String number,
             @JsonProperty("digest") String digest) {}
 
-    public Told(
+    public InstanceStatus(
             String phase,
             boolean healthy,
             boolean hung,
--- a/src/main/java/merlinlever/host/state/Keeper.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -10,10 +10,10 @@
  * does not say: an instance that does not answer is not reached since then, and neither down nor launched again while its
  * process is there.
  */
-public final class Keeper {
+public final class InstanceSupervisor {
 
     /** What is so of an instance. */
-    public enum State implements WireNamed {
+    public enum InstanceState implements WireNamed {
         /** No process, and none is wanted or its next launch is waited for. */
         DOWN("down"),
         /** A process is there, of a kind that tells nothing of itself: more is not known. */
@@ -36,7 +36,7 @@
 
         private final String wireName;
 
-        State(String wireName) {
+        InstanceState(String wireName) {
             this.wireName = wireName;
         }
 
@@ -47,7 +47,7 @@
     }
 
     /** What is to be done with the process. */
-    public enum Act {
+    public enum SupervisorAction {
         NOTHING,
         LAUNCH,
         LEAVE,
@@ -62,14 +62,14 @@
      * @param budget deaths within the span after which it is given up
      * @param silentAfter without an answer for so long it is not reached
      */
-    public record Stated(
+    public record SupervisorSettings(
             Duration firstPause,
             Duration longestPause,
             Duration steadyAfter,
             int budget,
             Duration budgetSpan,
             Duration silentAfter) {
-        public static final Stated USUAL = new Stated(
+        public static final SupervisorSettings USUAL = new SupervisorSettings(
                 Duration.ofMillis(200),
                 Duration.ofSeconds(30),
                 Duration.ofSeconds(60),
@@ -78,20 +78,20 @@
                 Duration.ofMillis(2500));
     }
 
-    private final Stated stated;
+    private final SupervisorSettings stated;
     private final boolean tells;
     private boolean wanted;
     private boolean there, launching, leaving, killing, left, killed, slow, givenUp;
     private Duration launchAt = Duration.ZERO, launchedAt, toldAt;
     private Duration pause;
     private final ArrayDeque<Duration> deaths = new ArrayDeque<>();
-    private Told told;
+    private InstanceStatus told;
     private boolean again;
     private String lastEnd = "";
     private long launches;
 
     /** @param tells whether instances of its kind tell of themselves */
-    public Keeper(Stated stated, boolean tells) {
+    public InstanceSupervisor(SupervisorSettings stated, boolean tells) {
         this.stated = stated;
         this.tells = tells;
         pause = stated.firstPause;
@@ -201,14 +201,14 @@
         givenUp |= wanted && deaths.size() >= stated.budget;
     }
 
-    public void told(Duration now, Told what) {
+    public void told(Duration now, InstanceStatus what) {
         if (there) {
             told = what;
             toldAt = now;
         }
     }
 
-    /** Whether it is slower than its kind, as {@link Peers} found. */
+    /** Whether it is slower than its kind, as {@link OutlierDetector} found. */
     public void slow(boolean is) {
         slow = is;
     }
@@ -216,52 +216,52 @@
     // ---- what is decided
 
     /** What is to be done now; an act is decided once. */
-    public Act settle(Duration now) {
+    public SupervisorAction settle(Duration now) {
         if (there) {
             if (killing && !killed) {
                 killed = true;
-                return Act.KILL;
+                return SupervisorAction.KILL;
             }
             if (leaving && !left && !killing) {
                 left = true;
-                return Act.LEAVE;
+                return SupervisorAction.LEAVE;
             }
-            return Act.NOTHING;
+            return SupervisorAction.NOTHING;
         }
         if (wanted && !givenUp && !launching && now.compareTo(launchAt) >= 0) {
             launching = true;
-            return Act.LAUNCH;
+            return SupervisorAction.LAUNCH;
         }
-        return Act.NOTHING;
+        return SupervisorAction.NOTHING;
     }
 
-    public State state(Duration now) {
+    public InstanceState state(Duration now) {
         if (!there) {
-            return givenUp ? State.GIVEN_UP : launching ? State.STARTING : State.DOWN;
+            return givenUp ? InstanceState.GIVEN_UP : launching ? InstanceState.STARTING : InstanceState.DOWN;
         }
         if (leaving || killing) {
-            return State.DRAINING;
+            return InstanceState.DRAINING;
         }
         if (!tells) {
-            return State.THERE;
+            return InstanceState.THERE;
         }
         Duration heard = toldAt == null ? launchedAt : toldAt;
         boolean silent =
                 now.minus(heard).compareTo(toldAt == null ? stated.silentAfter.multipliedBy(4) : stated.silentAfter)
                         > 0;
         if (silent) {
-            return State.UNREACHED;
+            return InstanceState.UNREACHED;
         }
         if (told == null) {
-            return State.STARTING;
+            return InstanceState.STARTING;
         }
         return told.hung()
-                ? State.HUNG
+                ? InstanceState.HUNG
                 : switch (told.phase()) {
-                    case "leaving" -> State.DRAINING;
-                    case "starting" -> State.STARTING;
-                    case "cold" -> State.COLD;
-                    default -> slow ? State.SLOW : State.WARM;
+                    case "leaving" -> InstanceState.DRAINING;
+                    case "starting" -> InstanceState.STARTING;
+                    case "cold" -> InstanceState.COLD;
+                    default -> slow ? InstanceState.SLOW : InstanceState.WARM;
                 };
     }
 
@@ -301,7 +301,7 @@
         return there && (leaving || killing);
     }
 
-    public Told told() {
+    public InstanceStatus told() {
         return told;
     }
 
--- a/src/main/java/merlinlever/host/state/Orders.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -11,10 +11,10 @@
  * each is kept for as many as there is room; a later order to the same instance takes the place of an earlier one, which
  * is told so.
  */
-public final class Orders {
+public final class OrderTracker {
 
     /** What operators ask for. */
-    public enum Verb implements WireNamed {
+    public enum OrderVerb implements WireNamed {
         START("start"),
         DRAIN("drain"),
         STOP("stop"),
@@ -22,7 +22,7 @@
 
         private final String wireName;
 
-        Verb(String wireName) {
+        OrderVerb(String wireName) {
             this.wireName = wireName;
         }
 
@@ -33,7 +33,7 @@
     }
 
     /** How far an order is with one instance. */
-    public enum End implements WireNamed {
+    public enum OrderProgress implements WireNamed {
         UNDER_WAY("under way"),
         DONE("done"),
         SUPERSEDED("superseded"),
@@ -41,7 +41,7 @@
 
         private final String wireName;
 
-        End(String wireName) {
+        OrderProgress(String wireName) {
             this.wireName = wireName;
         }
 
@@ -54,19 +54,20 @@
     /** One order. */
     public static final class Order {
         private final String id;
-        private final Verb verb;
+        private final OrderVerb verb;
         private final boolean now;
         private final List<Integer> instances;
-        private final End[] ends;
+        private final OrderProgress[] ends;
         private final long[] launchesBefore;
 
-        private Order(String id, Verb verb, boolean now, List<Integer> instances, List<Keeper> keepers) {
+        private Order(
+                String id, OrderVerb verb, boolean now, List<Integer> instances, List<InstanceSupervisor> keepers) {
             this.id = id;
             this.verb = verb;
             this.now = now;
             this.instances = List.copyOf(instances);
-            ends = new End[instances.size()];
-            java.util.Arrays.fill(ends, End.UNDER_WAY);
+            ends = new OrderProgress[instances.size()];
+            java.util.Arrays.fill(ends, OrderProgress.UNDER_WAY);
             launchesBefore =
                     instances.stream().mapToLong(i -> keepers.get(i).launches()).toArray();
         }
@@ -75,7 +76,7 @@
             return id;
         }
 
-        public Verb verb() {
+        public OrderVerb verb() {
             return verb;
         }
 
@@ -87,13 +88,13 @@
             return instances;
         }
 
-        public End end(int place) {
+        public OrderProgress end(int place) {
             return ends[place];
         }
 
         public boolean over() {
-            for (End end : ends) {
-                if (end == End.UNDER_WAY) {
+            for (OrderProgress end : ends) {
+                if (end == OrderProgress.UNDER_WAY) {
                     return false;
                 }
             }
@@ -103,10 +104,10 @@
 
     private static final int MOST = 1000;
 
-    private final List<Keeper> keepers;
+    private final List<InstanceSupervisor> keepers;
     private final LinkedHashMap<String, Order> byId = new LinkedHashMap<>();
 
-    public Orders(List<Keeper> keepers) {
+    public OrderTracker(List<InstanceSupervisor> keepers) {
         this.keepers = keepers;
     }
 
@@ -121,7 +122,7 @@
     }
 
     /** Takes an order; one whose id is known is not done again, and what has become of it is returned. */
-    public Order take(java.time.Duration at, String id, Verb verb, boolean now, List<Integer> instances) {
+    public Order take(java.time.Duration at, String id, OrderVerb verb, boolean now, List<Integer> instances) {
         Order known = byId.get(id);
         if (known != null) {
             return known;
@@ -131,15 +132,15 @@
         }
         for (Order other : byId.values()) {
             for (int i = 0; i < other.ends.length; i++) {
-                if (other.ends[i] == End.UNDER_WAY && instances.contains(other.instances.get(i))) {
-                    other.ends[i] = End.SUPERSEDED;
+                if (other.ends[i] == OrderProgress.UNDER_WAY && instances.contains(other.instances.get(i))) {
+                    other.ends[i] = OrderProgress.SUPERSEDED;
                 }
             }
         }
         Order order = new Order(id, verb, now, instances, keepers);
         byId.put(id, order);
         for (int index : instances) {
-            Keeper keeper = keepers.get(index);
+            InstanceSupervisor keeper = keepers.get(index);
             switch (verb) {
                 case START -> keeper.start(at);
                 case RESTART -> keeper.restart(at);
@@ -163,7 +164,7 @@
             Order order = entry.getValue();
             boolean before = order.over();
             for (int i = 0; i < order.ends.length; i++) {
-                if (order.ends[i] == End.UNDER_WAY) {
+                if (order.ends[i] == OrderProgress.UNDER_WAY) {
                     order.ends[i] = end(at, order, i);
                 }
             }
@@ -174,19 +175,23 @@
         return ended;
     }
 
-    private End end(java.time.Duration at, Order order, int place) {
-        Keeper keeper = keepers.get(order.instances.get(place));
-        Keeper.State state = keeper.state(at);
-        boolean serving = state == Keeper.State.COLD
-                || state == Keeper.State.WARM
-                || state == Keeper.State.SLOW
-                || state == Keeper.State.THERE;
+    private OrderProgress end(java.time.Duration at, Order order, int place) {
+        InstanceSupervisor keeper = keepers.get(order.instances.get(place));
+        InstanceSupervisor.InstanceState state = keeper.state(at);
+        boolean serving = state == InstanceSupervisor.InstanceState.COLD
+                || state == InstanceSupervisor.InstanceState.WARM
+                || state == InstanceSupervisor.InstanceState.SLOW
+                || state == InstanceSupervisor.InstanceState.THERE;
         return switch (order.verb) {
-            case START -> state == Keeper.State.GIVEN_UP ? End.GIVEN_UP : serving ? End.DONE : End.UNDER_WAY;
-            case RESTART -> state == Keeper.State.GIVEN_UP
-                    ? End.GIVEN_UP
-                    : serving && keeper.launches() > order.launchesBefore[place] ? End.DONE : End.UNDER_WAY;
-            default -> keeper.there() ? End.UNDER_WAY : End.DONE;
+            case START -> state == InstanceSupervisor.InstanceState.GIVEN_UP
+                    ? OrderProgress.GIVEN_UP
+                    : serving ? OrderProgress.DONE : OrderProgress.UNDER_WAY;
+            case RESTART -> state == InstanceSupervisor.InstanceState.GIVEN_UP
+                    ? OrderProgress.GIVEN_UP
+                    : serving && keeper.launches() > order.launchesBefore[place]
+                            ? OrderProgress.DONE
+                            : OrderProgress.UNDER_WAY;
+            default -> keeper.there() ? OrderProgress.UNDER_WAY : OrderProgress.DONE;
         };
     }
 }
--- a/src/main/java/merlinlever/host/state/Peers.java
+++ b/src/main/java/merlinlever/host/state/OutlierDetector.java
@@ -6,7 +6,7 @@
  * Tells slow instances from their peers: against the median of the kind, with hysteresis, and only where there are enough
  * peers for a median to say something.
  */
-public final class Peers {
+public final class OutlierDetector {
 
     private static final int LEAST = 3;
     private static final double SLOW = 0.5, FINE = 0.7;
@@ -16,7 +16,7 @@
     private final int[] against;
     private final boolean[] slow;
 
-    public Peers(int count) {
+    public OutlierDetector(int count) {
         against = new int[count];
         slow = new boolean[count];
     }
--- a/src/main/java/merlinlever/host/state/Roll.java
+++ b/src/main/java/merlinlever/host/state/RollingRestart.java
@@ -14,10 +14,10 @@
  * machine at a time and no more at once than a stated part of the fleet, in which everything counts that is away for
  * whatever reason; on only when the successors are warm by what they tell and callers are not worse off than before.
  */
-public final class Roll {
+public final class RollingRestart {
 
     /** How far it is. */
-    public enum Phase {
+    public enum RolloutPhase {
         WATCHING,
         ROLLING,
         DONE,
@@ -29,9 +29,12 @@
      *
      * @param turnedAway pushbacks and operations broken off since its process began
      */
-    public record Seen(String name, String host, Keeper.State state, long launches, long turnedAway) {
+    public record InstanceObservation(
+            String name, String host, InstanceSupervisor.InstanceState state, long launches, long turnedAway) {
         boolean serves() {
-            return state == Keeper.State.WARM || state == Keeper.State.SLOW || state == Keeper.State.THERE;
+            return state == InstanceSupervisor.InstanceState.WARM
+                    || state == InstanceSupervisor.InstanceState.SLOW
+                    || state == InstanceSupervisor.InstanceState.THERE;
         }
     }
 
@@ -44,29 +47,30 @@
      * @param watch so long callers are watched before the first batch and behind each
      * @param worse the roll is stopped where so many times as many are turned away as before it
      */
-    public record Stated(int batch, double mostAway, Duration warmWithin, Duration watch, double worse) {}
+    public record RollingRestartSettings(
+            int batch, double mostAway, Duration warmWithin, Duration watch, double worse) {}
 
     /** Turned away a second that nobody minds, so that one in a quiet fleet is no reason to stop. */
     private static final double UNMINDED = 1;
 
-    private final Stated stated;
+    private final RollingRestartSettings stated;
     private final Set<String> todo;
     private final Map<String, Long> inHand = new LinkedHashMap<>();
     private final List<String> done = new ArrayList<>();
-    private final Map<String, Seen> last = new LinkedHashMap<>();
-    private Phase phase = Phase.WATCHING;
+    private final Map<String, InstanceObservation> last = new LinkedHashMap<>();
+    private RolloutPhase phase = RolloutPhase.WATCHING;
     private String why = "";
     private Duration since, batchAt;
     private double turnedAway;
     private double usual = -1;
 
     /** @param names in the order in which they are restarted, as far as machines allow */
-    public Roll(Stated stated, List<String> names) {
+    public RollingRestart(RollingRestartSettings stated, List<String> names) {
         this.stated = stated;
         todo = new LinkedHashSet<>(names);
     }
 
-    public Phase phase() {
+    public RolloutPhase phase() {
         return phase;
     }
 
@@ -89,14 +93,14 @@
     }
 
     private List<String> stop(String reason) {
-        phase = Phase.STOPPED;
+        phase = RolloutPhase.STOPPED;
         why = reason;
         return List.of();
     }
 
     /** What is to be restarted now, by what is seen of the whole fleet. */
-    public List<String> settle(Duration now, List<Seen> fleet) {
-        if (phase == Phase.DONE || phase == Phase.STOPPED) {
+    public List<String> settle(Duration now, List<InstanceObservation> fleet) {
+        if (phase == RolloutPhase.DONE || phase == RolloutPhase.STOPPED) {
             return List.of();
         }
         count(fleet);
@@ -104,13 +108,13 @@
             since = now;
             turnedAway = 0;
         }
-        if (phase == Phase.WATCHING) {
+        if (phase == RolloutPhase.WATCHING) {
             if (now.minus(since).compareTo(stated.watch) < 0) {
                 why = "watching callers before the first batch";
                 return List.of();
             }
             usual = rate(now);
-            phase = Phase.ROLLING;
+            phase = RolloutPhase.ROLLING;
         }
         String wrong = look(now);
         if (wrong != null) {
@@ -132,7 +136,7 @@
             }
         }
         if (todo.isEmpty()) {
-            phase = Phase.DONE;
+            phase = RolloutPhase.DONE;
             why = "";
             return List.of();
         }
@@ -140,9 +144,9 @@
     }
 
     /** Adds up what was turned away since the last look, over restarts, which begin to count anew. */
-    private void count(List<Seen> fleet) {
-        for (Seen seen : fleet) {
-            Seen before = last.put(seen.name, seen);
+    private void count(List<InstanceObservation> fleet) {
+        for (InstanceObservation seen : fleet) {
+            InstanceObservation before = last.put(seen.name, seen);
             if (before != null) {
                 turnedAway += seen.launches == before.launches && seen.turnedAway >= before.turnedAway
                         ? seen.turnedAway - before.turnedAway
@@ -158,8 +162,8 @@
     /** Sees which of the batch serve again; returns what went wrong, or null. */
     private String look(Duration now) {
         for (Map.Entry<String, Long> entry : List.copyOf(inHand.entrySet())) {
-            Seen seen = last.get(entry.getKey());
-            if (seen.state == Keeper.State.GIVEN_UP) {
+            InstanceObservation seen = last.get(entry.getKey());
+            if (seen.state == InstanceSupervisor.InstanceState.GIVEN_UP) {
                 return seen.name + " keeps dying since it was restarted";
             }
             if (seen.launches > entry.getValue() + 2) {
@@ -178,10 +182,12 @@
         return null;
     }
 
-    private List<String> next(Duration now, List<Seen> fleet) {
+    private List<String> next(Duration now, List<InstanceObservation> fleet) {
         int allowed = Math.max(1, (int) (stated.mostAway * fleet.size()));
-        List<String> away =
-                fleet.stream().filter(seen -> !seen.serves()).map(Seen::name).toList();
+        List<String> away = fleet.stream()
+                .filter(seen -> !seen.serves())
+                .map(InstanceObservation::name)
+                .toList();
         int room = Math.min(
                 stated.batch,
                 allowed
@@ -192,11 +198,11 @@
         List<String> chosen = new ArrayList<>();
         String host = null;
         for (String name : todo) {
-            Seen seen = last.get(name);
+            InstanceObservation seen = last.get(name);
             if (seen == null) {
                 return stop(name + " is not known any more");
             }
-            if (seen.state == Keeper.State.UNREACHED) {
+            if (seen.state == InstanceSupervisor.InstanceState.UNREACHED) {
                 why = name + " is not reached: waiting for it";
                 return List.of();
             }
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -5,15 +5,15 @@
 import java.time.Duration;
 import java.util.Arrays;
 import merlinlever.core.Backend;
-import merlinlever.core.Caller;
-import merlinlever.core.Work;
+import merlinlever.core.ResponseSink;
+import merlinlever.core.TrackedRequest;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
 
 /** One connection of an edge node: one message at a time, answered before the next is looked at. */
-final class EdgeConnection implements Connection.User, Caller {
+final class EdgeConnection implements Connection.Handler, ResponseSink {
 
-    static final int BUFFER = Head.LONGEST + Head.LONGEST_BODY;
+    static final int BUFFER = RequestHead.LONGEST + RequestHead.LONGEST_BODY;
     static final int MOST_QUEUED = 64 * 1024;
 
     private static final byte[] NOTHING = {};
@@ -29,16 +29,16 @@
         LINGERING
     }
 
-    private final EdgeNodes owner;
-    private final Head head = new Head();
+    private final EdgeServer owner;
+    private final RequestHead head = new RequestHead();
     private Connection connection;
     private State state = State.NEW;
-    private Work work;
+    private TrackedRequest work;
     private int seen;
     private boolean last, asked;
     private CloseReason how = CloseReason.DONE;
 
-    EdgeConnection(EdgeNodes owner) {
+    EdgeConnection(EdgeServer owner) {
         this.owner = owner;
     }
 
@@ -92,13 +92,13 @@
             seen = 0;
         }
         int start = in.position();
-        int end = Head.end(bytes, start, start + seen, in.limit());
+        int end = RequestHead.end(bytes, start, start + seen, in.limit());
         if (in.hasRemaining() && state == State.IDLE) {
             become(State.RECEIVING);
         }
-        if (end < 0 || end - start > Head.LONGEST) {
+        if (end < 0 || end - start > RequestHead.LONGEST) {
             seen = in.remaining();
-            if (end >= 0 || seen >= Head.LONGEST) {
+            if (end >= 0 || seen >= RequestHead.LONGEST) {
                 give(in, 431);
             }
             return;
@@ -123,10 +123,10 @@
         last = head.closes();
         become(State.IN_HAND);
         String path = head.path();
-        if (path.equals(EdgeNodes.HEALTH)) {
+        if (path.equals(EdgeServer.HEALTH)) {
             health();
-        } else if (path.startsWith(EdgeNodes.OPERATIONS)) {
-            operation(path.substring(EdgeNodes.OPERATIONS.length()), Arrays.copyOfRange(bytes, end, end + length));
+        } else if (path.startsWith(EdgeServer.OPERATIONS)) {
+            operation(path.substring(EdgeServer.OPERATIONS.length()), Arrays.copyOfRange(bytes, end, end + length));
         } else {
             answer(404, NOTHING, "");
         }
@@ -171,12 +171,12 @@
             answer(411, NOTHING, "");
             return;
         }
-        Backend.Asked operation = owner.asked(head, tariff, index, body);
+        Backend.RequestMetadata operation = owner.asked(head, tariff, index, body);
         if (operation == null) {
             answer(400, NOTHING, "");
             return;
         }
-        Work taken = owner.backend().arrived(owner.clock().now(), operation, this);
+        TrackedRequest taken = owner.backend().arrived(owner.clock().now(), operation, this);
         work = state == State.IN_HAND ? taken : null;
     }
 
@@ -243,7 +243,7 @@
 
     @Override
     public void ended(CloseReason how) {
-        Work open = work;
+        TrackedRequest open = work;
         work = null;
         owner.gone(this, state);
         if (open != null) {
--- a/src/main/java/merlinlever/http/EdgeNodes.java
+++ b/src/main/java/merlinlever/http/EdgeServer.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.function.Function;
 import merlinlever.core.Backend;
-import merlinlever.core.Stated;
-import merlinlever.net.Clock;
+import merlinlever.core.SettingsTranslator;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Listener;
-import merlinlever.net.Loop;
+import merlinlever.net.ConnectionAcceptor;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
 
 /** The side that edge nodes connect to: the listener and all its connections, by what they are about and how long. */
-public final class EdgeNodes {
+public final class EdgeServer {
 
     static final String OPERATIONS = "/svc/";
     static final String HEALTH = "/status/live";
@@ -48,12 +48,12 @@
     /** Edge nodes close what is idle for the stated time; only what they forget is closed by that alone. */
     private static final int FORGOTTEN = 2;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Backend backend;
-    private final Fields fields;
+    private final RequestMetadataParser fields;
     private final Map<EdgeConnection.State, LinkedHashMap<EdgeConnection, Duration>> since =
             new EnumMap<>(EdgeConnection.State.class);
-    private Listener listener;
+    private ConnectionAcceptor listener;
     private Duration closeIdle;
     private Duration awake = Duration.ZERO;
     private Duration sweptAt;
@@ -62,21 +62,21 @@
     private double said = Double.NaN;
     private String level = "";
 
-    public EdgeNodes(Loop loop, Backend backend, Map<String, String> given) {
+    public EdgeServer(EventLoop loop, Backend backend, Map<String, String> given) {
         this.loop = loop;
         this.backend = backend;
-        fields = new Fields(given);
+        fields = new RequestMetadataParser(given);
         for (EdgeConnection.State state : EdgeConnection.State.values()) {
             since.put(state, new LinkedHashMap<>());
         }
-        closeIdle = Duration.ofMillis(FORGOTTEN * (long) Stated.number(given, "server.idle", 30_000));
+        closeIdle = Duration.ofMillis(FORGOTTEN * (long) SettingsTranslator.number(given, "server.idle", 30_000));
         sweptAt = loop.clock().uptime();
         loop.every(SWEEP, this::sweep);
     }
 
     public void listen(InetSocketAddress address, int mostConnections) throws IOException {
         mostKept = mostConnections - Math.min(Math.max(LEAST_FREE, mostConnections / FREE_PART), mostConnections / 2);
-        listener = new Listener(
+        listener = new ConnectionAcceptor(
                 loop,
                 address,
                 mostConnections,
@@ -87,7 +87,7 @@
     }
 
     /** Takes a connection, which is made round its user. */
-    public void take(Function<Connection.User, Connection> maker) {
+    public void take(Function<Connection.Handler, Connection> maker) {
         EdgeConnection edge = new EdgeConnection(this);
         Connection made = maker.apply(edge);
         edge.on(made);
@@ -103,12 +103,12 @@
         return backend;
     }
 
-    Clock clock() {
+    MonotonicClock clock() {
         return loop.clock();
     }
 
     /** The operation that the message holds, or null. */
-    Backend.Asked asked(Head head, String tariff, int index, byte[] body) {
+    Backend.RequestMetadata asked(RequestHead head, String tariff, int index, byte[] body) {
         return fields.asked(head, tariff, index, body, loop.clock());
     }
 
--- a/src/main/java/merlinlever/http/Head.java
+++ b/src/main/java/merlinlever/http/RequestHead.java
@@ -8,7 +8,7 @@
  * The head of one message from an edge node, read where it lies; the fields are places in the bytes until they are
  * asked for.
  */
-final class Head {
+final class RequestHead {
 
     /** A head may take this much. */
     static final int LONGEST = 4096;
@@ -17,7 +17,7 @@
 
     /** The fields that mean something here; any other is passed over. */
     // Nothing reads OWNER since tenant shares went; known, two that differ are still refused.
-    enum Field {
+    enum HeaderField {
         LENGTH("content-length"),
         ENCODING("transfer-encoding"),
         CONNECTION("connection"),
@@ -36,12 +36,12 @@
 
         private final byte[] name;
 
-        Field(String name) {
+        HeaderField(String name) {
             this.name = name.getBytes(StandardCharsets.US_ASCII);
         }
     }
 
-    private static final Field[] FIELDS = Field.values();
+    private static final HeaderField[] FIELDS = HeaderField.values();
 
     private final int[] from = new int[FIELDS.length];
     private final int[] to = new int[FIELDS.length];
@@ -75,11 +75,11 @@
                 return 400;
             }
         }
-        if (has(Field.ENCODING)) {
-            return has(Field.LENGTH) ? 400 : 501;
+        if (has(HeaderField.ENCODING)) {
+            return has(HeaderField.LENGTH) ? 400 : 501;
         }
-        if (has(Field.LENGTH)) {
-            long stated = digits(Field.LENGTH);
+        if (has(HeaderField.LENGTH)) {
+            long stated = digits(HeaderField.LENGTH);
             if (stated < 0) {
                 return 400;
             }
@@ -154,7 +154,7 @@
                 return false;
             }
         }
-        for (Field field : FIELDS) {
+        for (HeaderField field : FIELDS) {
             if (named(field, start, colon)) {
                 int i = field.ordinal();
                 boolean again = from[i] >= 0;
@@ -167,7 +167,7 @@
         return true;
     }
 
-    private boolean named(Field field, int start, int end) {
+    private boolean named(HeaderField field, int start, int end) {
         if (end - start != field.name.length) {
             return false;
         }
@@ -213,24 +213,24 @@
 
     /** Whether the connection is not to be kept. */
     boolean closes() {
-        String said = has(Field.CONNECTION) ? text(Field.CONNECTION).toLowerCase(Locale.ROOT) : "";
+        String said = has(HeaderField.CONNECTION) ? text(HeaderField.CONNECTION).toLowerCase(Locale.ROOT) : "";
         return said.contains("close") || old && !said.contains("keep-alive");
     }
 
     boolean expectsToBeAsked() {
-        return has(Field.EXPECT);
+        return has(HeaderField.EXPECT);
     }
 
-    boolean has(Field field) {
+    boolean has(HeaderField field) {
         return from[field.ordinal()] >= 0;
     }
 
-    String text(Field field) {
+    String text(HeaderField field) {
         return text(from[field.ordinal()], to[field.ordinal()]);
     }
 
     /** A number of digits only, or -1. */
-    long digits(Field field) {
+    long digits(HeaderField field) {
         int i = field.ordinal();
         if (!has(field) || to[i] == from[i] || to[i] - from[i] > 17) {
             return -1;
@@ -246,7 +246,7 @@
     }
 
     /** A plain decimal number, or NaN. */
-    double number(Field field) {
+    double number(HeaderField field) {
         int i = field.ordinal();
         if (!has(field) || to[i] == from[i] || to[i] - from[i] > 24) {
             return Double.NaN;
@@ -264,7 +264,7 @@
     }
 
     /** Whether the field holds so many hex digits and nothing else. */
-    boolean hex(Field field, int count) {
+    boolean hex(HeaderField field, int count) {
         int i = field.ordinal();
         if (!has(field) || to[i] - from[i] != count) {
             return false;
--- a/src/main/java/merlinlever/http/Fields.java
+++ b/src/main/java/merlinlever/http/RequestMetadataParser.java
@@ -4,11 +4,11 @@
 import java.util.Locale;
 import java.util.Map;
 import merlinlever.core.Backend;
-import merlinlever.http.Head.Field;
-import merlinlever.net.Clock;
+import merlinlever.http.RequestHead.HeaderField;
+import merlinlever.net.MonotonicClock;
 
 /** What an operation needs, out of a head and a body; what is missing, unparsable or out of range makes it null. */
-final class Fields {
+final class RequestMetadataParser {
 
     private static final double LARGEST_KB = 2000;
     private static final long LONGEST_WAIT = 3_600_000;
@@ -19,27 +19,27 @@
 
     private final Map<String, String> given;
 
-    Fields(Map<String, String> given) {
+    RequestMetadataParser(Map<String, String> given) {
         this.given = given;
     }
 
-    Backend.Asked asked(Head head, String tariff, int index, byte[] body, Clock clock) {
-        long time = head.digits(Field.TIME);
-        long wait = head.digits(Field.WAIT);
-        double kb = head.number(Field.KB);
-        double cost = head.has(Field.COST) ? head.number(Field.COST) : 0;
-        double rank = head.has(Field.RANK) ? head.number(Field.RANK) : 0;
+    Backend.RequestMetadata asked(RequestHead head, String tariff, int index, byte[] body, MonotonicClock clock) {
+        long time = head.digits(HeaderField.TIME);
+        long wait = head.digits(HeaderField.WAIT);
+        double kb = head.number(HeaderField.KB);
+        double cost = head.has(HeaderField.COST) ? head.number(HeaderField.COST) : 0;
+        double rank = head.has(HeaderField.RANK) ? head.number(HeaderField.RANK) : 0;
         boolean marked = "fingerprinted".equals(given.get("tariffs." + index + ".kind"));
-        boolean wrong = !head.hex(Field.ID, 16)
+        boolean wrong = !head.hex(HeaderField.ID, 16)
                 || time < 0
                 || time > LATEST
                 || !(kb > 0 && kb < LARGEST_KB)
                 || !(cost >= 0 && cost < LONGEST_WAIT)
                 || !(rank >= 0 && rank < 1)
-                || head.has(Field.WAIT) && (wait < 0 || wait > LONGEST_WAIT)
-                || head.has(Field.FROM) && head.digits(Field.FROM) < 0
-                || (marked || head.has(Field.TOKEN)) && !head.hex(Field.TOKEN, 32)
-                || head.has(Field.KEY) && !head.hex(Field.KEY, 16);
+                || head.has(HeaderField.WAIT) && (wait < 0 || wait > LONGEST_WAIT)
+                || head.has(HeaderField.FROM) && head.digits(HeaderField.FROM) < 0
+                || (marked || head.has(HeaderField.TOKEN)) && !head.hex(HeaderField.TOKEN, 32)
+                || head.has(HeaderField.KEY) && !head.hex(HeaderField.KEY, 16);
         if (wrong) {
             return null;
         }
@@ -47,8 +47,8 @@
         if (arrival.minus(clock.now()).compareTo(AHEAD) > 0) {
             return null;
         }
-        String id = head.text(Field.ID);
-        return new Backend.Asked(
+        String id = head.text(HeaderField.ID);
+        return new Backend.RequestMetadata(
                 Long.parseUnsignedLong(id, 16),
                 id,
                 index,
@@ -57,9 +57,9 @@
                 wait < 0 ? null : arrival.plusMillis(wait),
                 kb,
                 cost > 0 ? Duration.ofNanos((long) (cost * 1e6)) : null,
-                head.has(Field.AGAIN) && head.text(Field.AGAIN).matches("1|true"),
-                marked ? head.text(Field.TOKEN).toLowerCase(Locale.ROOT) : null,
-                head.has(Field.KEY) ? head.text(Field.KEY) : null,
+                head.has(HeaderField.AGAIN) && head.text(HeaderField.AGAIN).matches("1|true"),
+                marked ? head.text(HeaderField.TOKEN).toLowerCase(Locale.ROOT) : null,
+                head.has(HeaderField.KEY) ? head.text(HeaderField.KEY) : null,
                 body);
     }
 }
--- a/src/main/java/merlinlever/json/Json.java
+++ b/src/main/java/merlinlever/json/Json.java
@@ -7,7 +7,7 @@
 
 /**
  * Reads JSON into maps, lists, strings, booleans, longs, doubles and null; depth is bounded, and whatever is no JSON
- * ends in {@link Malformed}.
+ * ends in {@link MalformedJsonException}.
  */
 public final class Json {
 
@@ -23,27 +23,27 @@
     }
 
     /** Text that is no JSON. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedJsonException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public Malformed(String message) {
+        public MalformedJsonException(String message) {
             super(message);
         }
     }
 
-    public static Object parse(String text) throws Malformed {
+    public static Object parse(String text) throws MalformedJsonException {
         return parse(new Json(text, false), text);
     }
 
     /** As {@link #object}, but a name that comes twice in an object is a fault. */
-    public static Map<?, ?> strictObject(String text) throws Malformed {
+    public static Map<?, ?> strictObject(String text) throws MalformedJsonException {
         if (parse(new Json(text, true), text) instanceof Map<?, ?> map) {
             return map;
         }
-        throw new Malformed("not an object");
+        throw new MalformedJsonException("not an object");
     }
 
-    private static Object parse(Json json, String text) throws Malformed {
+    private static Object parse(Json json, String text) throws MalformedJsonException {
         Object value = json.value(0);
         json.space();
         if (json.at < text.length()) {
@@ -53,15 +53,15 @@
     }
 
     /** The object that the text holds. */
-    public static Map<?, ?> object(String text) throws Malformed {
+    public static Map<?, ?> object(String text) throws MalformedJsonException {
         if (parse(text) instanceof Map<?, ?> map) {
             return map;
         }
-        throw new Malformed("not an object");
+        throw new MalformedJsonException("not an object");
     }
 
-    private Malformed fault(String what) {
-        return new Malformed(what + " at " + at);
+    private MalformedJsonException fault(String what) {
+        return new MalformedJsonException(what + " at " + at);
     }
 
     private void space() {
@@ -70,21 +70,21 @@
         }
     }
 
-    private char peek() throws Malformed {
+    private char peek() throws MalformedJsonException {
         if (at >= text.length()) {
             throw fault("the text ends");
         }
         return text.charAt(at);
     }
 
-    private void expect(char c) throws Malformed {
+    private void expect(char c) throws MalformedJsonException {
         if (peek() != c) {
             throw fault("no '" + c + "'");
         }
         at++;
     }
 
-    private Object value(int depth) throws Malformed {
+    private Object value(int depth) throws MalformedJsonException {
         if (depth > DEEPEST) {
             throw fault("too deep");
         }
@@ -101,7 +101,7 @@
         };
     }
 
-    private Object word(String word, Object value) throws Malformed {
+    private Object word(String word, Object value) throws MalformedJsonException {
         if (!text.startsWith(word, at)) {
             throw fault("unknown word");
         }
@@ -109,7 +109,7 @@
         return value;
     }
 
-    private Map<String, Object> map(int depth) throws Malformed {
+    private Map<String, Object> map(int depth) throws MalformedJsonException {
         Map<String, Object> map = new LinkedHashMap<>();
         at++;
         space();
@@ -136,7 +136,7 @@
         }
     }
 
-    private List<Object> list(int depth) throws Malformed {
+    private List<Object> list(int depth) throws MalformedJsonException {
         List<Object> list = new ArrayList<>();
         at++;
         space();
@@ -155,7 +155,7 @@
         }
     }
 
-    private String string() throws Malformed {
+    private String string() throws MalformedJsonException {
         expect('"');
         int start = at;
         StringBuilder built = null;
@@ -177,7 +177,7 @@
         return built == null ? text.substring(start, at - 1) : built.toString();
     }
 
-    private char escape() throws Malformed {
+    private char escape() throws MalformedJsonException {
         char c = peek();
         at++;
         switch (c) {
@@ -209,7 +209,7 @@
         }
     }
 
-    private Object number() throws Malformed {
+    private Object number() throws MalformedJsonException {
         int start = at;
         skip('-');
         int whole = at;
@@ -242,7 +242,7 @@
         return there;
     }
 
-    private void digits() throws Malformed {
+    private void digits() throws MalformedJsonException {
         int start = at;
         while (at < text.length() && text.charAt(at) >= '0' && text.charAt(at) <= '9') {
             at++;
--- a/src/main/java/merlinlever/manage/Manage.java
+++ b/src/main/java/merlinlever/management/ManagementServer.java
@@ -1,4 +1,4 @@
-package merlinlever.manage;
+package merlinlever.management;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,15 +12,15 @@
 import java.util.function.Supplier;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Listener;
-import merlinlever.net.Loop;
+import merlinlever.net.ConnectionAcceptor;
+import merlinlever.net.EventLoop;
 
 /**
  * The management endpoint: {@code GET /state} over HTTP/1.1 gives one JSON object, anything else a short refusal. It tells
  * and decides nothing. Few connections, one message on each, and so many answers a second at the most: whoever asks more
  * is closed unread, so that the operations of the instance do not suffer from it.
  */
-public final class Manage {
+public final class ManagementServer {
 
     private static final int CONNECTIONS = 8;
     private static final int MESSAGE = 1024;
@@ -29,20 +29,20 @@
     /** Answers a second. */
     private static final int MOST = 50;
 
-    private final Loop loop;
-    private final Listener listener;
+    private final EventLoop loop;
+    private final ConnectionAcceptor listener;
     private final Supplier<String> state;
-    private final Set<Visit> open = new LinkedHashSet<>();
+    private final Set<ManagementConnection> open = new LinkedHashSet<>();
     private long second;
     private int answered;
 
     /** @param state what is told, as one JSON object */
-    public Manage(Loop loop, InetSocketAddress address, Supplier<String> state) throws IOException {
+    public ManagementServer(EventLoop loop, InetSocketAddress address, Supplier<String> state) throws IOException {
         this.loop = loop;
         this.state = state;
-        listener = new Listener(loop, address, CONNECTIONS, this::accepted, () -> {});
+        listener = new ConnectionAcceptor(loop, address, CONNECTIONS, this::accepted, () -> {});
         listener.accept();
-        loop.every(LOOK, () -> List.copyOf(open).forEach(Visit::look));
+        loop.every(LOOK, () -> List.copyOf(open).forEach(ManagementConnection::look));
     }
 
     public InetSocketAddress address() throws IOException {
@@ -60,7 +60,7 @@
             second = now;
             answered = 0;
         }
-        Visit visit = new Visit();
+        ManagementConnection visit = new ManagementConnection();
         open.add(visit);
         visit.connection = Connection.accepted(loop, channel, visit, MESSAGE, 64 * 1024);
         if (++answered > MOST) {
@@ -70,7 +70,7 @@
         }
     }
 
-    private final class Visit implements Connection.User {
+    private final class ManagementConnection implements Connection.Handler {
         private final Duration since = loop.clock().uptime();
         private Connection connection;
         private boolean said;
--- a/src/main/java/merlinlever/manage/Telling.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -1,14 +1,14 @@
-package merlinlever.manage;
+package merlinlever.management;
 
-import merlinlever.policy.Control;
+import merlinlever.policy.OverloadController;
 
 /** What an instance tells of itself, as one JSON object. */
-public final class Telling {
+public final class StatusReport {
 
     /** JSON has no figure for what no limit was learned of. */
     private static final double MOST = 1e9;
 
-    private Telling() {}
+    private StatusReport() {}
 
     /**
      * @param inHand operations that are read and not yet answered
@@ -17,7 +17,12 @@
      * @param recovery a JSON object that says how far it has come back, or null where nothing is kept for a return
      */
     public static String of(
-            boolean leaving, boolean healthy, int inHand, long ageMs, Control.Figures figures, String recovery) {
+            boolean leaving,
+            boolean healthy,
+            int inHand,
+            long ageMs,
+            OverloadController.ControllerMetrics figures,
+            String recovery) {
         StringBuilder text = new StringBuilder(512)
                 .append("{\"phase\":\"")
                 .append(leaving ? "leaving" : figures == null ? "starting" : figures.speedShare() < 1 ? "cold" : "warm")
@@ -45,7 +50,7 @@
                     .append(",\"broken_off\":")
                     .append(figures.brokenOff())
                     .append(",\"pushed_back\":{");
-            for (Control.Reason reason : Control.Reason.values()) {
+            for (OverloadController.RejectionReason reason : OverloadController.RejectionReason.values()) {
                 text.append(reason.ordinal() == 0 ? "\"" : ",\"")
                         .append(reason.wireName())
                         .append("\":")
--- a/src/main/java/merlinlever/measure/DnsMeasure.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -22,37 +22,37 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import merlinlever.durable.DiskFolder;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.zone.client.Asker;
-import merlinlever.zone.client.Updates;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.zone.client.DnsClient;
+import merlinlever.zone.client.UpdateMessages;
 import merlinlever.zone.follow.Follower;
-import merlinlever.zone.follow.Seen;
-import merlinlever.zone.front.Counts;
-import merlinlever.zone.front.Desk;
-import merlinlever.zone.front.Front;
-import merlinlever.zone.front.Served;
+import merlinlever.zone.follow.ObservedRecords;
 import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Index;
-import merlinlever.zone.state.Replays;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.server.DnsServer;
+import merlinlever.zone.server.RequestProcessor;
+import merlinlever.zone.server.ServedZone;
+import merlinlever.zone.server.ZoneServerMetrics;
+import merlinlever.zone.state.CopyOnWriteBTree;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.ReplayWindow;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.text.ZoneFile;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 import merlinlever.zone.wire.Tsig;
-import merlinlever.zone.wire.Writer;
 import org.HdrHistogram.Histogram;
 import org.xbill.DNS.Master;
 import org.xbill.DNS.Name;
 
 /** The measurements of docs/measurements/dns. */
-public final class DnsMeasure {
+public final class DnsMeasurement {
 
     private static final byte[] SECRET =
             "0123456789abcdef0123456789abcdef".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
@@ -64,7 +64,7 @@
     private final boolean quick;
     private final StringBuilder page = new StringBuilder();
 
-    public DnsMeasure(Path out, boolean quick) throws IOException {
+    public DnsMeasurement(Path out, boolean quick) throws IOException {
         this.out = out;
         this.quick = quick;
         scratch = Files.createTempDirectory("measure");
@@ -96,8 +96,8 @@
 
     private static byte[] name(String text) {
         try {
-            return Names.absolute(text);
-        } catch (Malformed e) {
+            return DomainNames.absolute(text);
+        } catch (MalformedDnsException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -139,7 +139,7 @@
 
     private void reading() throws Exception {
         System.out.println("reading zone files");
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "reading",
                 "Reading a zone file: ours, with all checks and the index, against the library's reader",
                 "records",
@@ -193,7 +193,7 @@
 
     private void index() throws IOException {
         System.out.println("index against a sorted map");
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "index",
                 "Index against the plain sorted map of octets: microseconds",
                 "names",
@@ -208,7 +208,7 @@
         for (int names : quick ? new int[] {10_000} : new int[] {10_000, 100_000, 1_000_000}) {
             List<byte[]> keys = new ArrayList<>();
             for (int i = 0; i < names; i++) {
-                keys.add(Names.key(name("host" + i * 7919L % names + ".example.org.")));
+                keys.add(DomainNames.key(name("host" + i * 7919L % names + ".example.org.")));
             }
             byte[][] asked = keys.toArray(new byte[0][]);
             keys.sort(Arrays::compareUnsigned);
@@ -216,13 +216,13 @@
             // Several of each, so that what else lies on the heap does not show.
             int copiesOf = Math.max(1, 1_000_000 / names);
             List<Integer> values = java.util.Collections.nCopies(names, value);
-            List<Index<Integer>> indices = new ArrayList<>();
+            List<CopyOnWriteBTree<Integer>> indices = new ArrayList<>();
             long before = used();
             for (int i = 0; i < copiesOf; i++) {
-                indices.add(Index.of(keys, values));
+                indices.add(CopyOnWriteBTree.of(keys, values));
             }
             long oursBytes = (used() - before) / copiesOf;
-            Index<Integer> index = indices.get(0);
+            CopyOnWriteBTree<Integer> index = indices.get(0);
             keep(indices.size());
             indices = null;
             List<TreeMap<byte[], Integer>> maps = new ArrayList<>();
@@ -293,36 +293,38 @@
 
     // ---- a front in this process
 
-    private final class Running implements java.io.Closeable {
-        final Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        final DiskFolder folder;
+    private final class RunningServer implements java.io.Closeable {
+        final EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        final FileStateDirectory folder;
         final ZoneStore store;
-        final Front front;
+        final DnsServer front;
         final ExecutorService disk = Executors.newSingleThreadExecutor();
         final ExecutorService snapshots = Executors.newSingleThreadExecutor();
         final InetSocketAddress address;
         final Thread thread;
 
-        Running(Path file, boolean decided, int mostAWrite) throws Exception {
-            folder = new DiskFolder(Files.createTempDirectory(scratch, "state"));
+        RunningServer(Path file, boolean decided, int mostAWrite) throws Exception {
+            folder = new FileStateDirectory(Files.createTempDirectory(scratch, "state"));
             byte[] origin = name("example.org.");
-            store = new ZoneStore(folder, origin, disk, snapshots, loop, System.err::println, 1_000_000, Desk.REPLAY);
+            store = new ZoneStore(
+                    folder, origin, disk, snapshots, loop, System.err::println, 1_000_000, RequestProcessor.REPLAY);
             store.mostAWrite(mostAWrite);
             store.recover(origin);
             Zone zone = ZoneFile.read(file, origin);
             store.first(zone);
-            Served served = new Served(zone, Set.of("k."), Set.of("k."), store, new Replays(Desk.REPLAY));
-            Tsig.Key key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
-            front = new Front(
+            ServedZone served =
+                    new ServedZone(zone, Set.of("k."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY));
+            Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
+            front = new DnsServer(
                     loop,
                     new InetSocketAddress("127.0.0.1", 0),
                     64,
                     List.of(served),
-                    new Tsig.Keys(List.of(key)),
-                    new Desk.Stated(1024, Duration.ofSeconds(1), decided, 1),
+                    new Tsig.TsigKeyRing(List.of(key)),
+                    new RequestProcessor.ProcessorSettings(1024, Duration.ofSeconds(1), decided, 1),
                     () -> System.currentTimeMillis() / 1000,
                     line -> {},
-                    new Counts(new SimpleMeterRegistry()));
+                    new ZoneServerMetrics(new SimpleMeterRegistry()));
             address = front.address();
             thread = new Thread(loop::run);
             thread.start();
@@ -352,7 +354,7 @@
 
     private void updates() throws Exception {
         System.out.println("updates a second");
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "updates",
                 "Signed updates a second, each on the disk before its answer",
                 "clients",
@@ -374,10 +376,10 @@
 
     private double[] updates(Path file, int clients, int mostAWrite) throws Exception {
         Duration span = Duration.ofSeconds(quick ? 1 : 4);
-        try (Running server = new Running(file, true, mostAWrite)) {
-            Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
-            Asker asker = new Asker(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
-            Tsig.Key key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
+        try (RunningServer server = new RunningServer(file, true, mostAWrite)) {
+            EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+            DnsClient asker = new DnsClient(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
+            Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
             Histogram times = new Histogram(60_000_000L, 3);
             int[] counts = new int[2];
             long begin = System.nanoTime();
@@ -390,12 +392,12 @@
                         return;
                     }
                     byte[] owner = name("u" + number + "-" + turn++ % 50 + ".example.org.");
-                    byte[] message = Updates.message(
+                    byte[] message = UpdateMessages.message(
                             name("example.org."),
                             List.of(),
                             List.of(
-                                    new Entry(owner, Types.A, Types.CLASS_ANY, 0, null),
-                                    new Entry(owner, Types.A, Types.IN, 60, new byte[] {
+                                    new UpdateEntry(owner, RecordTypes.A, RecordTypes.CLASS_ANY, 0, null),
+                                    new UpdateEntry(owner, RecordTypes.A, RecordTypes.IN, 60, new byte[] {
                                         10, (byte) number, (byte) (turn >> 8), (byte) turn
                                     })),
                             key);
@@ -429,7 +431,7 @@
 
     private void queries() throws Exception {
         System.out.println("queries a second");
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "queries",
                 "Queries over UDP, zone of 100,000 records, with and without the decision module",
                 "clients",
@@ -456,7 +458,7 @@
     }
 
     private double[] queries(Path file, int clients, int each, boolean decided) throws Exception {
-        try (Running server = new Running(file, decided, Integer.MAX_VALUE)) {
+        try (RunningServer server = new RunningServer(file, decided, Integer.MAX_VALUE)) {
             List<CompletableFuture<Histogram>> all = new ArrayList<>();
             long end = System.nanoTime() + (quick ? 1_000_000_000L : 3_000_000_000L);
             ExecutorService threads = Executors.newCachedThreadPool();
@@ -487,8 +489,8 @@
                 while (open < inHand) {
                     id = id + 1 & 0xffff;
                     int host = chance.nextInt(2500) * 4;
-                    byte[] question = new Writer(id, Message.DESIRED, 512)
-                            .question(name("host" + host + ".example.org."), Types.A, Types.IN)
+                    byte[] question = new MessageWriter(id, DnsMessage.DESIRED, 512)
+                            .question(name("host" + host + ".example.org."), RecordTypes.A, RecordTypes.IN)
                             .done();
                     sentAt[id] = System.nanoTime();
                     socket.send(new DatagramPacket(question, question.length));
@@ -517,7 +519,7 @@
 
     private void truth() throws IOException {
         System.out.println("time until the name tells the truth (virtual time)");
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "truth",
                 "Simulated seconds until the name tells the truth after instances die at once (lapse 3 s, reports each second)",
                 "instances",
@@ -555,22 +557,22 @@
         SplittableRandom chance = new SplittableRandom(seed);
         byte[] at = name("tickets.example.org.");
         byte[] claim = name("_merlinlever.tickets.example.org.");
-        List<Rec> records = new ArrayList<>();
+        List<ResourceRecord> records = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            records.add(new Rec(at, Types.A, 30, new byte[] {10, 0, (byte) (i >> 8), (byte) i}));
+            records.add(new ResourceRecord(at, RecordTypes.A, 30, new byte[] {10, 0, (byte) (i >> 8), (byte) i}));
         }
         byte[] soa = new byte[22];
         Zone[] zone = {
             Zone.of(
                     name("example.org."),
                     List.of(
-                            new Rec(name("example.org."), Types.SOA, 60, soa),
-                            new Rec(name("example.org."), Types.NS, 60, at)))
+                            new ResourceRecord(name("example.org."), RecordTypes.SOA, 60, soa),
+                            new ResourceRecord(name("example.org."), RecordTypes.NS, 60, at)))
         };
         // With a share that half of the fleet does not go under: what is measured is the time, not the guard.
         Follower follower = new Follower(
                 Duration.ZERO,
-                new Follower.Stated(
+                new Follower.FollowerSettings(
                         at,
                         records,
                         30,
@@ -609,16 +611,20 @@
             }
             Follower.Step step = follower.settle(now);
             long back = ms + 5 + chance.nextInt(10);
-            if (step instanceof Follower.Read read) {
+            if (step instanceof Follower.ReadStep read) {
                 later.computeIfAbsent(back, k -> new ArrayList<>())
                         .add(() -> read.answered(
                                 Duration.ofMillis(back),
-                                new Seen(zone[0].serial(), set(zone[0], claim, Types.TXT), set(zone[0], at, Types.A))));
-            } else if (step instanceof Follower.Write write) {
-                Update.Outcome outcome = Update.judge(zone[0], write.prerequisites(), write.changes());
+                                new ObservedRecords(
+                                        zone[0].serial(),
+                                        set(zone[0], claim, RecordTypes.TXT),
+                                        set(zone[0], at, RecordTypes.A))));
+            } else if (step instanceof Follower.WriteStep write) {
+                DynamicUpdate.UpdateResult outcome =
+                        DynamicUpdate.judge(zone[0], write.prerequisites(), write.changes());
                 if (ms < dies && ms > 30_000 && outcome.difference() != null) {
                     wrong += outcome.difference().removed().stream()
-                            .filter(rec -> rec.type() == Types.A)
+                            .filter(rec -> rec.type() == RecordTypes.A)
                             .count();
                 }
                 zone[0] = outcome.zone();
@@ -626,7 +632,7 @@
                         .add(() -> write.answered(Duration.ofMillis(back), outcome.code()));
             }
             if (ms > dies
-                    && set(zone[0], at, Types.A).stream()
+                    && set(zone[0], at, RecordTypes.A).stream()
                             .noneMatch(rec -> ((rec.data()[2] & 0xff) << 8 | rec.data()[3] & 0xff) < dead)) {
                 return new double[] {(ms - dies) / 1000.0, wrong};
             }
@@ -634,8 +640,8 @@
         return new double[] {60, wrong};
     }
 
-    private static List<Rec> set(Zone zone, byte[] owner, int type) {
-        List<Rec> records = new ArrayList<>();
+    private static List<ResourceRecord> set(Zone zone, byte[] owner, int type) {
+        List<ResourceRecord> records = new ArrayList<>();
         if (zone.set(owner, type) != null) {
             zone.set(owner, type).each(owner, records::add);
         }
