--- a/src/main/java/merlinlever/measure/TrialMeasure.java
+++ b/src/main/java/merlinlever/measure/ExperimentMeasurement.java
@@ -7,19 +7,19 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
-import merlinlever.trials.Rehearsed;
-import merlinlever.trials.Trial;
-import merlinlever.trials.Verdict;
+import merlinlever.experiments.Experiment;
+import merlinlever.experiments.SimulatedExperiments;
+import merlinlever.experiments.StoppingDecision;
 
 /** The measurements of docs/measurements/trials: drawn trials for what the test is worth, and fleets on virtual time for its end. */
-public final class TrialMeasure {
+public final class ExperimentMeasurement {
 
     private static final double LEVEL = 0.05;
 
     private final Path out;
     private final boolean quick;
 
-    public TrialMeasure(Path out, boolean quick) {
+    public ExperimentMeasurement(Path out, boolean quick) {
         this.out = out;
         this.quick = quick;
     }
@@ -38,11 +38,13 @@
         Files.writeString(out.resolve("README.md"), page);
     }
 
-    private static Trial trial(double difference) {
-        return new Trial(
+    private static Experiment trial(double difference) {
+        return new Experiment(
                 "t",
                 1,
-                List.of(new Trial.Arm("safe", 1, null, null, null), new Trial.Arm("new", 1, null, null, null)),
+                List.of(
+                        new Experiment.Arm("safe", 1, null, null, null),
+                        new Experiment.Arm("new", 1, null, null, null)),
                 0,
                 LEVEL,
                 0.1,
@@ -53,22 +55,23 @@
                 3);
     }
 
-    private static List<Rehearsed.Outcome> play(int n, double difference, Rehearsed.Drawn drawn) {
+    private static List<SimulatedExperiments.SimulationResult> play(
+            int n, double difference, SimulatedExperiments.SimulationSettings drawn) {
         return IntStream.range(0, n)
                 .parallel()
-                .mapToObj(i -> Rehearsed.play(trial(difference), drawn, 7919L * i + 1))
+                .mapToObj(i -> SimulatedExperiments.play(trial(difference), drawn, 7919L * i + 1))
                 .toList();
     }
 
-    private static double part(List<Rehearsed.Outcome> all, Verdict.Kind kind) {
+    private static double part(List<SimulatedExperiments.SimulationResult> all, StoppingDecision.Kind kind) {
         return all.stream().filter(each -> each.verdict().kind() == kind).count() / (double) all.size();
     }
 
     /** Wrong winners where there is nothing to win, with a look after every operation. */
-    private Table equal() {
+    private ResultTable equal() {
         int n = quick ? 500 : 20_000;
         int most = quick ? 4000 : 20_000;
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "equal",
                 "Simulated: two equal arms, looked at after each of " + most + " operations",
                 "callers",
@@ -77,21 +80,21 @@
                 "called a winner",
                 "ended for harm",
                 "a fixed test at 0.05 looked at as often");
-        Rehearsed.Drawn[] drawn = {
-            new Rehearsed.Drawn(0.6, 0.6, 0, 0, 0, most),
-            new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, 0, most),
-            new Rehearsed.Drawn(0.5, 0.5, 200, 0.45, 0.5, most)
+        SimulatedExperiments.SimulationSettings[] drawn = {
+            new SimulatedExperiments.SimulationSettings(0.6, 0.6, 0, 0, 0, most),
+            new SimulatedExperiments.SimulationSettings(0.5, 0.5, 200, 0.45, 0, most),
+            new SimulatedExperiments.SimulationSettings(0.5, 0.5, 200, 0.45, 0.5, most)
         };
         String[] names = {"one for each operation", "200 an arm who differ", "the same and one with half the traffic"};
         for (int i = 0; i < drawn.length; i++) {
             for (double difference : new double[] {0, 0.02}) {
-                List<Rehearsed.Outcome> all = play(n, difference, drawn[i]);
+                List<SimulatedExperiments.SimulationResult> all = play(n, difference, drawn[i]);
                 table.row(
                         names[i],
                         difference,
                         n,
-                        part(all, Verdict.Kind.WINNER),
-                        part(all, Verdict.Kind.HARM),
+                        part(all, StoppingDecision.Kind.WINNER),
+                        part(all, StoppingDecision.Kind.HARM),
                         all.stream().filter(each -> each.peeked() > 0).count() / (double) n);
             }
         }
@@ -105,8 +108,8 @@
     }
 
     /** How long it takes to tell arms apart that differ. */
-    private Table needed() {
-        Table table = new Table(
+    private ResultTable needed() {
+        ResultTable table = new ResultTable(
                 "needed",
                 "Simulated: operations until the end, where the arms differ",
                 "difference",
@@ -124,14 +127,14 @@
                 for (double part : new double[] {0, 0.2, 0.5}) {
                     int n = quick ? 20 : difference < 0.02 ? 200 : 1000;
                     double fixed = fixed(0.6, 0.6 + difference);
-                    List<Rehearsed.Outcome> all = play(
+                    List<SimulatedExperiments.SimulationResult> all = play(
                             n,
                             part * difference,
-                            new Rehearsed.Drawn(
+                            new SimulatedExperiments.SimulationSettings(
                                     better ? 0.6 : 0.6 + difference, better ? 0.6 + difference : 0.6, 0, 0, 0, (int)
                                             (fixed * 30)));
                     double[] at = all.stream()
-                            .mapToDouble(Rehearsed.Outcome::at)
+                            .mapToDouble(SimulatedExperiments.SimulationResult::at)
                             .sorted()
                             .toArray();
                     double worse = all.stream()
@@ -141,9 +144,9 @@
                     // For the safe arm there is no need to win: the new one is stopped.
                     long right = all.stream()
                             .filter(each -> better
-                                    ? each.verdict().kind() == Verdict.Kind.WINNER
+                                    ? each.verdict().kind() == StoppingDecision.Kind.WINNER
                                             && each.verdict().arm() == 1
-                                    : each.verdict().kind() != Verdict.Kind.TIME
+                                    : each.verdict().kind() != StoppingDecision.Kind.TIME
                                             && each.verdict().arm() == 0)
                             .count();
                     table.row(
--- a/src/main/java/merlinlever/measure/BudgetMeasure.java
+++ b/src/main/java/merlinlever/measure/QuotaMeasurement.java
@@ -6,33 +6,41 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.budgets.Budget;
 import merlinlever.faults.AgentFleet;
-import merlinlever.faults.BudgetFaults;
-import merlinlever.faults.BudgetModel;
+import merlinlever.faults.QuotaFaults;
+import merlinlever.faults.QuotaModel;
 import merlinlever.faults.ServeFleet;
+import merlinlever.quota.FleetQuota;
 
 /** The measurements of docs/measurements/budgets: on the model's virtual time, and on real processes under faults. */
-public final class BudgetMeasure {
+public final class QuotaMeasurement {
 
     private static final Duration LEASE = Duration.ofSeconds(2);
 
     private final Path out;
     private final boolean quick;
 
-    public BudgetMeasure(Path out, boolean quick) {
+    public QuotaMeasurement(Path out, boolean quick) {
         this.out = out;
         this.quick = quick;
     }
 
-    private static BudgetModel model(int n, long whole) {
-        return new BudgetModel(
+    private static QuotaModel model(int n, long whole) {
+        return new QuotaModel(
                 n,
                 n,
-                new Budget("calls", "calls", whole, Budget.Per.SECOND, LEASE, 0.01, Duration.ofSeconds(1), Map.of()));
+                new FleetQuota(
+                        "calls",
+                        "calls",
+                        whole,
+                        FleetQuota.QuotaKind.SECOND,
+                        LEASE,
+                        0.01,
+                        Duration.ofSeconds(1),
+                        Map.of()));
     }
 
-    private static void run(BudgetModel model, long ms) {
+    private static void run(QuotaModel model, long ms) {
         long until = model.now + ms;
         while (model.now < until) {
             model.step();
@@ -56,8 +64,8 @@
     }
 
     /** How much of the whole is held where so much of it is wanted, and what that costs. */
-    private Table used() {
-        Table table = new Table(
+    private ResultTable used() {
+        ResultTable table = new ResultTable(
                 "used",
                 "Simulated: the whole held against demand and fleet size",
                 "backends",
@@ -68,7 +76,7 @@
         for (int n : quick ? new int[] {3, 10} : new int[] {3, 10, 30, 100, 300, 1000}) {
             for (double demand : new double[] {0.5, 1, 2}) {
                 long whole = 20L * n;
-                BudgetModel model = model(n, whole);
+                QuotaModel model = model(n, whole);
                 SplittableRandom chance = new SplittableRandom(n);
                 for (int i = 0; i < n; i++) {
                     // From none to twice the mean.
@@ -91,8 +99,8 @@
     }
 
     /** Until those that are there hold what they could, after one came, one was killed, and the one that divides was. */
-    private Table again() {
-        Table table = new Table(
+    private ResultTable again() {
+        ResultTable table = new ResultTable(
                 "again",
                 "Simulated: ms until nine tenths of the whole are held again (all want more than there is)",
                 "backends",
@@ -102,7 +110,7 @@
         for (int n : quick ? new int[] {3} : new int[] {3, 10, 30, 100}) {
             long[] took = new long[3];
             for (int what = 0; what < 3; what++) {
-                BudgetModel model = model(n, 20L * n);
+                QuotaModel model = model(n, 20L * n);
                 for (int i = 0; i < n; i++) {
                     model.wanted[i][0] = 40;
                 }
@@ -131,8 +139,8 @@
         return table;
     }
 
-    private Table faults() throws IOException, InterruptedException {
-        Table table = new Table(
+    private ResultTable faults() throws IOException, InterruptedException {
+        ResultTable table = new ResultTable(
                 "faults",
                 "Real processes: the most calls seen by the party, and the time to divide anew after each fault",
                 "fault",
@@ -142,19 +150,19 @@
                 "divided anew after, ms",
                 "breaches");
         for (boolean perSecond : new boolean[] {true, false}) {
-            ServeFleet.Whole whole = perSecond
-                    ? new ServeFleet.Whole(40, true, Duration.ofSeconds(1), Duration.ofMillis(20))
-                    : new ServeFleet.Whole(10, false, Duration.ofSeconds(1), Duration.ofMillis(300));
+            ServeFleet.SharedLimit whole = perSecond
+                    ? new ServeFleet.SharedLimit(40, true, Duration.ofSeconds(1), Duration.ofMillis(20))
+                    : new ServeFleet.SharedLimit(10, false, Duration.ofSeconds(1), Duration.ofMillis(300));
             Path folder = Files.createTempDirectory("merlinlever-measure");
             try (ServeFleet fleet = new ServeFleet(
                     folder,
-                    new ServeFleet.Stated(quick ? 3 : 5, true, 12, Duration.ofMillis(500), whole),
+                    new ServeFleet.ServeFleetSettings(quick ? 3 : 5, true, 12, Duration.ofMillis(500), whole),
                     AgentFleet.sameJava(),
                     27)) {
-                BudgetFaults faults = new BudgetFaults(fleet, Duration.ofSeconds(60), line -> {});
+                QuotaFaults faults = new QuotaFaults(fleet, Duration.ofSeconds(60), line -> {});
                 faults.begin();
-                for (BudgetFaults.Kind kind : BudgetFaults.Kind.values()) {
-                    BudgetFaults.Outcome outcome = faults.play(kind, kind.ordinal());
+                for (QuotaFaults.QuotaFaultKind kind : QuotaFaults.QuotaFaultKind.values()) {
+                    QuotaFaults.QuotaFaultOutcome outcome = faults.play(kind, kind.ordinal());
                     long[] counts = new long[2];
                     fleet.on(none -> System.arraycopy(fleet.shares().counts(), 0, counts, 0, 2));
                     table.row(
@@ -166,7 +174,7 @@
                             outcome.breaches().size());
                 }
             } finally {
-                Scratch.remove(folder);
+                TemporaryDirectories.remove(folder);
             }
         }
         return table;
--- a/src/main/java/merlinlever/measure/RecoveryMeasure.java
+++ b/src/main/java/merlinlever/measure/RecoveryMeasurement.java
@@ -15,20 +15,20 @@
  * The measurements of docs/measurements/recovery: fleets of real processes that lose their power under load and come
  * back, with what the processes keep for their return and without, in turn on the same machine.
  */
-public final class RecoveryMeasure {
+public final class RecoveryMeasurement {
 
     private static final Duration WINDOW = Duration.ofSeconds(4);
 
     private final Path out;
     private final boolean quick;
 
-    public RecoveryMeasure(Path out, boolean quick) {
+    public RecoveryMeasurement(Path out, boolean quick) {
         this.out = out;
         this.quick = quick;
     }
 
     /** What some losses of one fleet came to. */
-    private record Came(
+    private record RecoveryResult(
             double first,
             double full,
             double pushedBack,
@@ -39,7 +39,7 @@
 
     public void run() throws IOException, InterruptedException {
         Files.createDirectories(out);
-        Table times = new Table(
+        ResultTable times = new ResultTable(
                 "return",
                 "After a power loss of all: the whole service back (median of the losses)",
                 "processes",
@@ -48,7 +48,7 @@
                 "kept: all served, ms",
                 "nothing kept: all served, ms",
                 "ratio of all served");
-        Table effects = new Table(
+        ResultTable effects = new ResultTable(
                 "effects",
                 "The same losses: what callers met, and effects twice",
                 "processes",
@@ -62,8 +62,8 @@
         for (int processes : quick ? new int[] {3} : new int[] {5, 20, 50}) {
             int losses = quick ? 2 : processes > 20 ? 3 : 5;
             System.out.println(processes + " processes");
-            Came kept = losses(processes, losses, true);
-            Came bare = losses(processes, losses, false);
+            RecoveryResult kept = losses(processes, losses, true);
+            RecoveryResult bare = losses(processes, losses, false);
             times.row(processes, losses, kept.first, kept.full, bare.full, kept.full / bare.full);
             effects.row(processes, losses, kept.pushedBack, bare.pushedBack, kept.twice, bare.twice);
             thrown.append("| ")
@@ -87,19 +87,22 @@
         Files.writeString(out.resolve("README.md"), page);
     }
 
-    private Came losses(int processes, int losses, boolean kept) throws IOException, InterruptedException {
+    private RecoveryResult losses(int processes, int losses, boolean kept) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("merlinlever-measure");
         List<Double> first = new ArrayList<>();
         List<Double> full = new ArrayList<>();
         try (ServeFleet fleet = new ServeFleet(
-                folder, new ServeFleet.Stated(processes, kept, 12, WINDOW), AgentFleet.sameJava(), 0x26L + processes)) {
+                folder,
+                new ServeFleet.ServeFleetSettings(processes, kept, 12, WINDOW),
+                AgentFleet.sameJava(),
+                0x26L + processes)) {
             PowerLoss power = new PowerLoss(
                     fleet,
                     Duration.ofSeconds(120),
                     line -> System.out.println("  " + line.lines().findFirst().orElse("")));
             power.begin();
             for (int i = 0; i < losses; i++) {
-                PowerLoss.Outcome outcome = power.play(PowerLoss.Kind.ALL, 0x2600L + i);
+                PowerLoss.PowerLossOutcome outcome = power.play(PowerLoss.PowerLossKind.ALL, 0x2600L + i);
                 first.add((double) outcome.firstAfter().toMillis());
                 full.add((double) outcome.fullAfter().toMillis());
             }
@@ -109,7 +112,7 @@
             long twice = breaches.stream()
                     .filter(breach -> breach.startsWith("effect twice"))
                     .count();
-            return new Came(
+            return new RecoveryResult(
                     middle(first),
                     middle(full),
                     counts[1] / tries,
@@ -118,7 +121,7 @@
                     fleet.rules().breached(),
                     thrownAway(fleet));
         } finally {
-            Scratch.remove(folder);
+            TemporaryDirectories.remove(folder);
         }
     }
 
--- a/src/main/java/merlinlever/measure/SharedMeasure.java
+++ b/src/main/java/merlinlever/measure/ReplicationMeasurement.java
@@ -9,11 +9,11 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.faults.SharedModel;
-import merlinlever.shared.Words;
+import merlinlever.faults.ReplicationModel;
+import merlinlever.replication.ReplicatedStore;
 
 /** The measurements of docs/measurements/shared: words on the model's virtual time, against pushing everything each period. */
-public final class SharedMeasure {
+public final class ReplicationMeasurement {
 
     private static final Duration PERIOD = Duration.ofMillis(200);
     private static final int VALUE = 300;
@@ -23,17 +23,17 @@
     private final Path out;
     private final boolean quick;
 
-    public SharedMeasure(Path out, boolean quick) {
+    public ReplicationMeasurement(Path out, boolean quick) {
         this.out = out;
         this.quick = quick;
     }
 
     /** What some new words came to. */
-    private record Came(double middle, double most, double octets) {}
+    private record SpreadResult(double middle, double most, double octets) {}
 
     public void run() throws IOException {
         Files.createDirectories(out);
-        Table spread = new Table(
+        ResultTable spread = new ResultTable(
                 "spread",
                 "Simulated: periods until all have a new word",
                 "backends",
@@ -42,7 +42,7 @@
                 "words: most",
                 "all pushed: median",
                 "all pushed: most");
-        Table octets = new Table(
+        ResultTable octets = new ResultTable(
                 "octets",
                 "Simulated: octets a second told by each backend",
                 "backends",
@@ -52,12 +52,12 @@
                 "ratio");
         for (int n : quick ? new int[] {5, 50} : new int[] {5, 50, 500}) {
             for (double loss : new double[] {0, 0.2, 0.4}) {
-                Came words = words(n, loss, 0, quick ? 3 : n > 100 ? 7 : 21);
-                Came pushed = pushed(n, loss, quick ? 3 : n > 100 ? 7 : 21);
+                SpreadResult words = words(n, loss, 0, quick ? 3 : n > 100 ? 7 : 21);
+                SpreadResult pushed = pushed(n, loss, quick ? 3 : n > 100 ? 7 : 21);
                 spread.row(n, loss, words.middle, words.most, pushed.middle, pushed.most);
             }
             for (double changes : n > 100 ? new double[] {0, 0.02} : new double[] {0, 0.02, 1}) {
-                Came words = words(n, 0, changes, 1);
+                SpreadResult words = words(n, 0, changes, 1);
                 double pushed = 3.0 * n * (VALUE + HEAD) * 1000 / PERIOD.toMillis();
                 octets.row(n, changes, words.octets, pushed, words.octets / pushed);
             }
@@ -77,8 +77,9 @@
         Files.writeString(out.resolve("README.md"), page);
     }
 
-    private Came words(int n, double loss, double changes, int tries) {
-        SharedModel model = new SharedModel(n, n, new Words.Stated(PERIOD, 3, Duration.ofHours(24), 2 << 20, false));
+    private SpreadResult words(int n, double loss, double changes, int tries) {
+        ReplicationModel model = new ReplicationModel(
+                n, n, new ReplicatedStore.ReplicationSettings(PERIOD, 3, Duration.ofHours(24), 2 << 20, false));
         model.late = 0;
         byte[] value = new byte[VALUE];
         for (int i = 0; i < n; i++) {
@@ -97,7 +98,7 @@
                 }
                 model.step();
             }
-            return new Came(0, 0, model.octets * 1000.0 / (model.now - began) / n);
+            return new SpreadResult(0, 0, model.octets * 1000.0 / (model.now - began) / n);
         }
         model.loss = loss;
         List<Double> took = new ArrayList<>();
@@ -111,7 +112,7 @@
             while (!without.isEmpty() && model.now - began < 60_000) {
                 model.step();
                 for (int i = without.nextSetBit(0); i >= 0; i = without.nextSetBit(i + 1)) {
-                    if (model.nodes[i].of(SharedModel.name(who), topic).isPresent()) {
+                    if (model.nodes[i].of(ReplicationModel.name(who), topic).isPresent()) {
                         without.clear(i);
                     }
                 }
@@ -119,11 +120,11 @@
             took.add((model.now - began) / (double) PERIOD.toMillis());
         }
         Collections.sort(took);
-        return new Came(took.get(took.size() / 2), took.get(took.size() - 1), 0);
+        return new SpreadResult(took.get(took.size() / 2), took.get(took.size() - 1), 0);
     }
 
     /** Each that has it tells three drawn others each period; each backend's period begins at a drawn time, and a datagram takes a tenth of one. */
-    private static Came pushed(int n, double loss, int tries) {
+    private static SpreadResult pushed(int n, double loss, int tries) {
         SplittableRandom chance = new SplittableRandom(n);
         List<Double> took = new ArrayList<>();
         for (int k = 0; k < tries; k++) {
@@ -150,6 +151,6 @@
             took.add((tick + 1) / 10.0);
         }
         Collections.sort(took);
-        return new Came(took.get(took.size() / 2), took.get(took.size() - 1), 0);
+        return new SpreadResult(took.get(took.size() / 2), took.get(took.size() - 1), 0);
     }
 }
--- a/src/main/java/merlinlever/measure/Table.java
+++ b/src/main/java/merlinlever/measure/ResultTable.java
@@ -14,14 +14,14 @@
 import org.knowm.xchart.style.Styler;
 
 /** One table of results; written as CSV, as Markdown and as a chart. */
-final class Table {
+final class ResultTable {
 
     private final String name;
     private final String title;
     private final List<String> columns;
     private final List<List<String>> rows = new ArrayList<>();
 
-    Table(String name, String title, String... columns) {
+    ResultTable(String name, String title, String... columns) {
         this.name = name;
         this.title = title;
         this.columns = List.of(columns);
--- a/src/main/java/merlinlever/measure/RoutesMeasure.java
+++ b/src/main/java/merlinlever/measure/RoutesMeasurement.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.TreeSet;
 import merlinlever.faults.RoutesModel;
-import merlinlever.routes.Merge;
 import merlinlever.routes.Relation;
 import merlinlever.routes.Restrictions;
 import merlinlever.routes.Route;
-import merlinlever.routes.Rules;
+import merlinlever.routes.RouteMerger;
+import merlinlever.routes.RoutingPolicy;
 
 /** What routes cost and bring: the merge against a plain rebuild, and in virtual time tightening and the loss of a records service. */
-public final class RoutesMeasure {
+public final class RoutesMeasurement {
 
     private static final Duration LEASE = Duration.ofSeconds(4);
     private static final int PARTNERS = 10;
@@ -25,7 +25,7 @@
     private final Path out;
     private final boolean quick;
 
-    public RoutesMeasure(Path out, boolean quick) {
+    public RoutesMeasurement(Path out, boolean quick) {
         this.out = out;
         this.quick = quick;
     }
@@ -65,8 +65,8 @@
         return all;
     }
 
-    private static merlinlever.routes.Table table(int partner, long sequence, List<Route> all) {
-        return merlinlever.routes.Table.of("p" + partner, 1, sequence, Relation.PEER, LEASE, all);
+    private static merlinlever.routes.RouteTable table(int partner, long sequence, List<Route> all) {
+        return merlinlever.routes.RouteTable.of("p" + partner, 1, sequence, Relation.PEER, LEASE, all);
     }
 
     private static double middle(double[] all) {
@@ -85,8 +85,8 @@
         return middle(took);
     }
 
-    private Table merging() {
-        Table table = new Table(
+    private ResultTable merging() {
+        ResultTable table = new ResultTable(
                 "merge",
                 "Merging, ms (middle of the runs)",
                 "routes in all",
@@ -97,26 +97,26 @@
                 "all routes of one partner withdrawn");
         for (int all : quick ? new int[] {10, 1000} : new int[] {10, 100, 1000, 10_000, 100_000}) {
             int each = all / PARTNERS;
-            List<merlinlever.routes.Table> tables = new ArrayList<>();
+            List<merlinlever.routes.RouteTable> tables = new ArrayList<>();
             for (int partner = 0; partner < PARTNERS; partner++) {
                 tables.add(table(partner, 1, routes(partner, each, 0)));
             }
-            merlinlever.routes.Table one = table(3, 2, routes(3, each, 1)),
+            merlinlever.routes.RouteTable one = table(3, 2, routes(3, each, 1)),
                     other = table(3, 3, routes(3, each, 2)),
                     none = table(3, 4, List.of());
             int runs = all >= 100_000 ? 15 : 51;
-            Merge lived = new Merge(new Rules("me"));
+            RouteMerger lived = new RouteMerger(new RoutingPolicy("me"));
             Runnable rebuild = () -> {
-                Merge fresh = new Merge(new Rules("me"));
-                tables.forEach(its -> fresh.put(its.site(), Relation.PEER, its, Merge.NOBODY));
+                RouteMerger fresh = new RouteMerger(new RoutingPolicy("me"));
+                tables.forEach(its -> fresh.put(its.site(), Relation.PEER, its, RouteMerger.NOBODY));
             };
             timed(runs, rebuild);
             double whole = timed(runs, rebuild);
-            tables.forEach(its -> lived.put(its.site(), Relation.PEER, its, Merge.NOBODY));
+            tables.forEach(its -> lived.put(its.site(), Relation.PEER, its, RouteMerger.NOBODY));
             boolean[] turn = new boolean[1];
             Runnable change = () -> {
                 turn[0] ^= true;
-                lived.put("p3", Relation.PEER, turn[0] ? one : other, Merge.NOBODY);
+                lived.put("p3", Relation.PEER, turn[0] ? one : other, RouteMerger.NOBODY);
             };
             timed(runs, change);
             double changed = timed(runs, change);
@@ -124,8 +124,8 @@
             double rebuilt = timed(runs, rebuild);
             double[] withdrawn = new double[9];
             for (int i = 0; i < withdrawn.length; i++) {
-                lived.put("p3", Relation.PEER, one, Merge.NOBODY);
-                withdrawn[i] = timed(1, () -> lived.put("p3", Relation.PEER, none, Merge.NOBODY));
+                lived.put("p3", Relation.PEER, one, RouteMerger.NOBODY);
+                withdrawn[i] = timed(1, () -> lived.put("p3", Relation.PEER, none, RouteMerger.NOBODY));
             }
             table.row(all, whole, changed, rebuilt, rebuilt / changed, middle(withdrawn));
         }
@@ -142,8 +142,8 @@
                 Map.of("b a", Relation.CUSTOMER, "b c", Relation.CUSTOMER, "b d", Relation.PEER));
     }
 
-    private Table tightening() {
-        Table table = new Table(
+    private ResultTable tightening() {
+        ResultTable table = new ResultTable(
                 "tightening",
                 "Simulated: ms from a withdrawal by a to the last call along its routes, over seeds",
                 "links",
@@ -183,8 +183,8 @@
         return table;
     }
 
-    private Table served() {
-        Table table = new Table(
+    private ResultTable served() {
+        ResultTable table = new ResultTable(
                 "served",
                 "Simulated: 200 calls of one site, its records service lost at a quarter of them",
                 "partners",
--- a/src/main/java/merlinlever/measure/Scratch.java
+++ b/src/main/java/merlinlever/measure/TemporaryDirectories.java
@@ -8,9 +8,9 @@
 import java.util.stream.Stream;
 
 /** Folders that a measurement makes for itself. */
-final class Scratch {
+final class TemporaryDirectories {
 
-    private Scratch() {}
+    private TemporaryDirectories() {}
 
     /** Removes it with all that is in it. */
     static void remove(Path folder) throws IOException {
--- a/src/main/java/merlinlever/measure/ViewMeasure.java
+++ b/src/main/java/merlinlever/measure/ViewMeasurement.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.TreeSet;
 import merlinlever.faults.ViewModel;
-import merlinlever.members.Views;
+import merlinlever.membership.MemberTable;
 
 /** The measurements of docs/measurements/view: the model's virtual time, views beside membership alone in the same run. */
-public final class ViewMeasure {
+public final class ViewMeasurement {
 
     private static final long MOST = 180_000;
 
     private final Path out;
     private final boolean quick;
 
-    public ViewMeasure(Path out, boolean quick) {
+    public ViewMeasurement(Path out, boolean quick) {
         this.out = out;
         this.quick = quick;
     }
@@ -58,10 +58,10 @@
             if (!model.runs(i)) {
                 continue;
             }
-            Views views = model.nodes[i].members.views();
+            MemberTable views = model.nodes[i].members.views();
             for (int k = 0; k < model.n; k++) {
-                Views.Rumour known = views.of(ViewModel.name(k));
-                boolean here = known != null && known.status().compareTo(Views.Status.DEAD) < 0;
+                MemberTable.MemberRecord known = views.of(ViewModel.name(k));
+                boolean here = known != null && known.status().compareTo(MemberTable.MemberStatus.DEAD) < 0;
                 if (here != running.contains(ViewModel.name(k))) {
                     return false;
                 }
@@ -89,8 +89,8 @@
     }
 
     /** Times until all agree, and what it costs while nothing happens. */
-    private Table until() {
-        Table table = new Table(
+    private ResultTable until() {
+        ResultTable table = new ResultTable(
                 "until",
                 "Virtual time: seconds until all that run agree, and octets a second and backend at rest",
                 "backends",
@@ -132,9 +132,9 @@
     }
 
     /** Each fault on 20 backends; one change is the goal, and one more for what comes back. */
-    private Table changes() {
+    private ResultTable changes() {
         int n = quick ? 7 : 20;
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "changes",
                 "Virtual time: changes of the membership for each fault, " + n + " backends, 60 s each",
                 "fault",
@@ -229,10 +229,10 @@
     }
 
     /** All live, under loss and short pauses. */
-    private Table wrong() {
+    private ResultTable wrong() {
         int n = quick ? 5 : 10;
         long span = quick ? 120_000 : 600_000;
-        Table table = new Table(
+        ResultTable table = new ResultTable(
                 "wrong",
                 "Virtual time: live ones held dead, for an hour, " + n + " backends, " + span / 60_000
                         + " minutes each",
@@ -273,8 +273,9 @@
             for (int k = 0; k < model.n; k++) {
                 String name = ViewModel.name(k);
                 if (alone) {
-                    Views.Rumour known = model.nodes[i].members.views().of(name);
-                    if (known != null && known.status() == Views.Status.DEAD) {
+                    MemberTable.MemberRecord known =
+                            model.nodes[i].members.views().of(name);
+                    if (known != null && known.status() == MemberTable.MemberStatus.DEAD) {
                         now.add(name);
                     }
                 } else if (!model.nodes[i].sight.view().members().contains(name)) {
--- a/src/main/java/merlinlever/members/Rumours.java
+++ b/src/main/java/merlinlever/membership/GossipQueue.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /** Which rumours ride along on the next messages: those told least often first, each some log n times (SWIM section 4.1). */
-final class Rumours {
+final class GossipQueue {
 
     /** On one message at the most. */
     private static final int MOST = 12;
 
     private static final int TELL = 3;
 
-    private final Views views;
+    private final MemberTable views;
     private final Map<String, Integer> telling = new LinkedHashMap<>();
     private final Map<String, Duration> changedAt = new HashMap<>();
 
-    Rumours(Views views) {
+    GossipQueue(MemberTable views) {
         this.views = views;
     }
 
@@ -43,10 +43,10 @@
         return Math.max(1, (int) Math.ceil(Math.log(views.size() + 1) / Math.log(2)));
     }
 
-    List<Views.Rumour> next() {
+    List<MemberTable.MemberRecord> next() {
         List<String> names = new ArrayList<>(telling.keySet());
         names.sort((a, b) -> Integer.compare(telling.get(a), telling.get(b)));
-        List<Views.Rumour> rumours = new ArrayList<>();
+        List<MemberTable.MemberRecord> rumours = new ArrayList<>();
         for (String name : names.subList(0, Math.min(MOST, names.size()))) {
             rumours.add(views.of(name));
             if (telling.merge(name, 1, Integer::sum) >= TELL * logarithm()) {
--- a/src/main/java/merlinlever/members/Views.java
+++ b/src/main/java/merlinlever/membership/MemberTable.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,10 +10,10 @@
  * What one agent believes of all. Beliefs only move forward: by incarnation, which only the agent itself raises, and within
  * one by how much is said against it. So it does not matter in which order, how late or how often rumours come.
  */
-public final class Views {
+public final class MemberTable {
 
     /** What is believed of an agent; a later one is more against it. */
-    public enum Status implements WireNamed {
+    public enum MemberStatus implements WireNamed {
         ALIVE("alive"),
         SUSPECT("suspect"),
         DEAD("dead"),
@@ -21,7 +21,7 @@
 
         private final String wireName;
 
-        Status(String wireName) {
+        MemberStatus(String wireName) {
             this.wireName = wireName;
         }
 
@@ -37,19 +37,19 @@
      * @param gossip where it takes these datagrams
      * @param api where it takes commands
      */
-    public record Rumour(String name, String gossip, String api, Status status, long incarnation) {}
+    public record MemberRecord(String name, String gossip, String api, MemberStatus status, long incarnation) {}
 
     private final String self;
-    private final Map<String, Rumour> all = new TreeMap<>();
+    private final Map<String, MemberRecord> all = new TreeMap<>();
     private boolean left;
     private long rivals;
 
-    public Views(String self, String gossip, String api, long incarnation) {
+    public MemberTable(String self, String gossip, String api, long incarnation) {
         this.self = self;
-        all.put(self, new Rumour(self, gossip, api, Status.ALIVE, incarnation));
+        all.put(self, new MemberRecord(self, gossip, api, MemberStatus.ALIVE, incarnation));
     }
 
-    private Views(Views other) {
+    private MemberTable(MemberTable other) {
         self = other.self;
         all.putAll(other.all);
         left = other.left;
@@ -57,20 +57,20 @@
     }
 
     /** The same beliefs, going on for themselves. */
-    Views copy() {
-        return new Views(this);
+    MemberTable copy() {
+        return new MemberTable(this);
     }
 
     public String self() {
         return self;
     }
 
-    public Rumour of(String name) {
+    public MemberRecord of(String name) {
         return all.get(name);
     }
 
     /** In the order of the names. */
-    public List<Rumour> all() {
+    public List<MemberRecord> all() {
         return new ArrayList<>(all.values());
     }
 
@@ -79,18 +79,18 @@
     }
 
     /** Whether the one says more than the other of the same agent. */
-    public static boolean overrides(Rumour made, Rumour known) {
+    public static boolean overrides(MemberRecord made, MemberRecord known) {
         return made.incarnation != known.incarnation
                 ? made.incarnation > known.incarnation
                 : made.status.compareTo(known.status) > 0;
     }
 
     /** Takes a rumour in; returns what is new to be told on, or null where it says nothing new. */
-    public Rumour heard(Rumour rumour) {
+    public MemberRecord heard(MemberRecord rumour) {
         if (rumour.name.equals(self)) {
-            Rumour mine = all.get(self);
+            MemberRecord mine = all.get(self);
             // Two lives that happen to be told under the same incarnation must not pass for one.
-            boolean elsewhere = rumour.status == Status.ALIVE
+            boolean elsewhere = rumour.status == MemberStatus.ALIVE
                     && !rumour.gossip.equals(mine.gossip)
                     && rumour.incarnation >= mine.incarnation;
             if (left || !elsewhere && !overrides(rumour, mine)) {
@@ -98,11 +98,12 @@
             }
             rivals += elsewhere ? 1 : 0;
             // It is said of this one what is not so, or was so of its life before: a higher incarnation says better.
-            Rumour better = new Rumour(self, mine.gossip, mine.api, Status.ALIVE, rumour.incarnation + 1);
+            MemberRecord better =
+                    new MemberRecord(self, mine.gossip, mine.api, MemberStatus.ALIVE, rumour.incarnation + 1);
             all.put(self, better);
             return better;
         }
-        Rumour known = all.get(rumour.name);
+        MemberRecord known = all.get(rumour.name);
         if (known != null && !overrides(rumour, known)) {
             return null;
         }
@@ -119,28 +120,28 @@
     }
 
     /** This one found no life in the other: it is suspected, unless more is known already. */
-    public Rumour suspect(String name) {
-        return against(name, Status.SUSPECT);
+    public MemberRecord suspect(String name) {
+        return against(name, MemberStatus.SUSPECT);
     }
 
     /** The suspicion was not refuted in time. */
-    public Rumour dead(String name) {
-        Rumour known = all.get(name);
-        return known != null && known.status == Status.SUSPECT ? against(name, Status.DEAD) : null;
+    public MemberRecord dead(String name) {
+        MemberRecord known = all.get(name);
+        return known != null && known.status == MemberStatus.SUSPECT ? against(name, MemberStatus.DEAD) : null;
     }
 
-    private Rumour against(String name, Status status) {
-        Rumour known = all.get(name);
+    private MemberRecord against(String name, MemberStatus status) {
+        MemberRecord known = all.get(name);
         return known == null || name.equals(self)
                 ? null
-                : heard(new Rumour(name, known.gossip, known.api, status, known.incarnation));
+                : heard(new MemberRecord(name, known.gossip, known.api, status, known.incarnation));
     }
 
     /** This one goes, in good order. */
-    public Rumour leave() {
+    public MemberRecord leave() {
         left = true;
-        Rumour mine = all.get(self);
-        Rumour gone = new Rumour(self, mine.gossip, mine.api, Status.LEFT, mine.incarnation);
+        MemberRecord mine = all.get(self);
+        MemberRecord gone = new MemberRecord(self, mine.gossip, mine.api, MemberStatus.LEFT, mine.incarnation);
         all.put(self, gone);
         return gone;
     }
--- a/src/main/java/merlinlever/members/Wire.java
+++ b/src/main/java/merlinlever/membership/MembershipCodec.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
  * of HMAC-SHA-256 over all before them. Of another version, forged or malformed, it is nothing; a copy of an old one says
  * only what is known already, as beliefs move forward alone.
  */
-public final class Wire {
+public final class MembershipCodec {
 
     /** Octets at the most. */
     public static final int MOST = 60_000;
@@ -30,7 +30,7 @@
 
     private final SecretKeySpec secret;
 
-    public Wire(byte[] secret) {
+    public MembershipCodec(byte[] secret) {
         this.secret = new SecretKeySpec(secret, "HmacSHA256");
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Rumours that do not fit are left out; others bring them. */
-    public byte[] write(Members.Message message) {
+    public byte[] write(SwimProtocol.MembershipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MOST);
         out.putShort(MARK).put(VERSION).put((byte) message.kind().ordinal());
         put(out, message.from());
@@ -60,7 +60,7 @@
         int countAt = out.position();
         out.putShort((short) 0);
         int count = 0;
-        for (Views.Rumour rumour : message.rumours()) {
+        for (MemberTable.MemberRecord rumour : message.rumours()) {
             if (out.remaining() < 4 * MOST_TEXT + MAC) {
                 break;
             }
@@ -71,7 +71,7 @@
             count++;
         }
         out.putShort(countAt, (short) count);
-        if (message.kind() == Members.Kind.CARRY) {
+        if (message.kind() == SwimProtocol.MessageKind.CARRY) {
             out.putInt(message.body().length).put(message.body());
         }
         byte[] octets = Arrays.copyOf(out.array(), out.position() + MAC);
@@ -95,7 +95,7 @@
     }
 
     /** The message, or null where this is none of ours. */
-    public Members.Message read(byte[] octets) {
+    public SwimProtocol.MembershipMessage read(byte[] octets) {
         int end = octets.length - MAC;
         if (end < 4
                 || octets.length > MOST
@@ -107,20 +107,21 @@
             if (in.getShort() != MARK || in.get() != VERSION) {
                 return null;
             }
-            Members.Kind kind = Members.Kind.values()[in.get()];
+            SwimProtocol.MessageKind kind = SwimProtocol.MessageKind.values()[in.get()];
             String from = text(in);
             long number = in.getLong();
             String about = text(in);
             int count = in.getShort() & 0xffff;
-            List<Views.Rumour> rumours = new ArrayList<>();
+            List<MemberTable.MemberRecord> rumours = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 String name = text(in);
                 String gossip = text(in);
                 String api = text(in);
-                rumours.add(new Views.Rumour(name, gossip, api, Views.Status.values()[in.get()], in.getLong()));
+                rumours.add(new MemberTable.MemberRecord(
+                        name, gossip, api, MemberTable.MemberStatus.values()[in.get()], in.getLong()));
             }
             byte[] body = null;
-            if (kind == Members.Kind.CARRY) {
+            if (kind == SwimProtocol.MessageKind.CARRY) {
                 int length = in.getInt();
                 if (length < 0 || length > in.remaining()) {
                     return null;
@@ -129,7 +130,7 @@
             }
             return in.hasRemaining() || from.isEmpty()
                     ? null
-                    : new Members.Message(kind, from, number, about, rumours, body);
+                    : new SwimProtocol.MembershipMessage(kind, from, number, about, rumours, body);
         } catch (BufferUnderflowException | IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
             return null;
         }
--- a/src/main/java/merlinlever/members/Link.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -6,23 +6,28 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.function.LongPredicate;
-import merlinlever.net.Datagrams;
-import merlinlever.net.Loop;
+import merlinlever.net.DatagramEndpoint;
+import merlinlever.net.EventLoop;
 
 /** The members on datagrams. */
-public final class Link {
+public final class MembershipTransport {
 
     private static final Duration LOOK = Duration.ofMillis(50);
 
-    private final Loop loop;
-    private final Members members;
-    private final Wire wire;
-    private final Datagrams datagrams;
+    private final EventLoop loop;
+    private final SwimProtocol members;
+    private final MembershipCodec wire;
+    private final DatagramEndpoint datagrams;
     private final LongPredicate mayTell;
     private long strange;
 
     /** @param mayTell whether this incarnation of its own may be told to others: not before it is on disk, where one is kept */
-    public Link(Loop loop, Datagrams datagrams, Members members, Wire wire, LongPredicate mayTell) {
+    public MembershipTransport(
+            EventLoop loop,
+            DatagramEndpoint datagrams,
+            SwimProtocol members,
+            MembershipCodec wire,
+            LongPredicate mayTell) {
         this.mayTell = mayTell;
         this.loop = loop;
         this.datagrams = datagrams;
@@ -33,7 +38,7 @@
 
     /** A datagram came. */
     public void came(byte[] octets, InetSocketAddress from) {
-        Members.Message message = wire.read(octets);
+        SwimProtocol.MembershipMessage message = wire.read(octets);
         if (message == null) {
             strange++;
             return;
@@ -50,12 +55,13 @@
 
     /** Sends what is to be sent now. */
     public void settle() {
-        List<Members.Sending> sendings = members.settle(loop.clock().uptime());
+        List<SwimProtocol.OutboundDatagram> sendings =
+                members.settle(loop.clock().uptime());
         if (!mayTell.test(members.views().of(members.views().self()).incarnation())) {
             // Lost, as any datagram may be.
             return;
         }
-        for (Members.Sending sending : sendings) {
+        for (SwimProtocol.OutboundDatagram sending : sendings) {
             InetSocketAddress to = address(sending.to());
             if (to != null) {
                 datagrams.send(wire.write(sending.message()), to);
--- a/src/main/java/merlinlever/members/Beside.java
+++ b/src/main/java/merlinlever/membership/MessageDispatcher.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 
 /** What else rides on membership's datagrams, and who hears it. */
-final class Beside {
+final class MessageDispatcher {
 
-    private final Map<String, Members.Hearer> hearers = new TreeMap<>();
-    private final List<Members.Carried> carriers = new ArrayList<>();
+    private final Map<String, SwimProtocol.TextMessageHandler> hearers = new TreeMap<>();
+    private final List<SwimProtocol.PayloadHandler> carriers = new ArrayList<>();
 
-    void hears(Set<String> words, Members.Hearer who) {
+    void hears(Set<String> words, SwimProtocol.TextMessageHandler who) {
         for (String word : words) {
             if (hearers.put(word, who) != null) {
                 throw new IllegalStateException("two hear " + word);
@@ -20,17 +20,17 @@
         }
     }
 
-    void takes(Members.Carried who) {
+    void takes(SwimProtocol.PayloadHandler who) {
         carriers.add(who);
     }
 
-    void came(Members.Message message) {
-        if (message.kind() == Members.Kind.CARRY) {
+    void came(SwimProtocol.MembershipMessage message) {
+        if (message.kind() == SwimProtocol.MessageKind.CARRY) {
             carriers.forEach(carrier -> carrier.carried(message.from(), message.body()));
             return;
         }
         int end = message.about().indexOf('/');
-        Members.Hearer hearer =
+        SwimProtocol.TextMessageHandler hearer =
                 hearers.get(end < 0 ? message.about() : message.about().substring(0, end));
         if (hearer != null) {
             hearer.said(message.from(), message.number(), message.about());
--- a/src/main/java/merlinlever/members/Suspicions.java
+++ b/src/main/java/merlinlever/membership/SuspicionTimers.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Who is suspected since when and by how many, and when a suspicion that nothing refuted is held to be true (Lifeguard section IV-B). */
-final class Suspicions {
+final class SuspicionTimers {
 
     private static final int SHORTEST = 4;
     private static final int LONGEST = 6;
--- a/src/main/java/merlinlever/members/Members.java
+++ b/src/main/java/merlinlever/membership/SwimProtocol.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -13,10 +13,10 @@
 import merlinlever.WireNamed;
 
 /** Decides whom to ask when, whom to suspect, and which rumours go along. */
-public final class Members {
+public final class SwimProtocol {
 
     /** The kinds of messages; only asking ones are answered. */
-    public enum Kind implements WireNamed {
+    public enum MessageKind implements WireNamed {
         PING("ping"),
         ACK("ack"),
         ASK_FOR("ask_for"),
@@ -30,7 +30,7 @@
 
         private final String wireName;
 
-        Kind(String wireName) {
+        MessageKind(String wireName) {
             this.wireName = wireName;
         }
 
@@ -47,14 +47,21 @@
      * @param about the gossip address that {@code ASK_FOR} is about, what {@code RECALLED} tells or {@code SAY} says, else empty
      * @param body what {@code CARRY} carries, else null
      */
-    public record Message(Kind kind, String from, long number, String about, List<Views.Rumour> rumours, byte[] body) {
-        public Message(Kind kind, String from, long number, String about, List<Views.Rumour> rumours) {
+    public record MembershipMessage(
+            MessageKind kind,
+            String from,
+            long number,
+            String about,
+            List<MemberTable.MemberRecord> rumours,
+            byte[] body) {
+        public MembershipMessage(
+                MessageKind kind, String from, long number, String about, List<MemberTable.MemberRecord> rumours) {
             this(kind, from, number, about, rumours, null);
         }
     }
 
     /** What one that comes back asks the others, and what they tell it beside all that they believe. */
-    public interface Recall {
+    public interface RecoveryExchange {
         /** What this one tells: printable, without spaces, 64 octets at the most. */
         String tells();
 
@@ -63,17 +70,17 @@
     }
 
     /** Hears what others say to this one, beside membership; it takes what it understands. */
-    public interface Hearer {
+    public interface TextMessageHandler {
         void said(String name, long number, String what);
     }
 
     /** Takes what others carry to this one, beside membership. */
-    public interface Carried {
+    public interface PayloadHandler {
         void carried(String name, byte[] body);
     }
 
     /** A message and where it goes. */
-    public record Sending(String to, Message message) {}
+    public record OutboundDatagram(String to, MembershipMessage message) {}
 
     /**
      * What is stated.
@@ -83,9 +90,9 @@
      * @param helpers so many of them
      * @param seeds gossip addresses that are tried until somebody is known
      */
-    public record Stated(Duration period, Duration timeout, int helpers, List<String> seeds) {
-        public static Stated usual(List<String> seeds) {
-            return new Stated(Duration.ofSeconds(1), Duration.ofMillis(300), 3, seeds);
+    public record SwimSettings(Duration period, Duration timeout, int helpers, List<String> seeds) {
+        public static SwimSettings usual(List<String> seeds) {
+            return new SwimSettings(Duration.ofSeconds(1), Duration.ofMillis(300), 3, seeds);
         }
     }
 
@@ -100,13 +107,13 @@
     private static final Duration FORGET = Duration.ofHours(24);
 
     /** A question that waits for its answer. */
-    private static final class Asked {
+    private static final class PendingPing {
         final String name;
         final Duration until;
         Duration helpAt;
         int nacksWanted;
 
-        Asked(String name, Duration helpAt, Duration until) {
+        PendingPing(String name, Duration helpAt, Duration until) {
             this.name = name;
             this.helpAt = helpAt;
             this.until = until;
@@ -114,28 +121,29 @@
     }
 
     /** A question that was put for somebody else. */
-    private record Relayed(String to, long number, Duration nackAt, Duration until) {}
+    private record RelayedPing(String to, long number, Duration nackAt, Duration until) {}
 
-    private final Stated stated;
-    private final Views views;
+    private final SwimSettings stated;
+    private final MemberTable views;
     private final SplittableRandom chance;
     private final Consumer<String> log;
-    private final Rumours rumours;
-    private final Map<Long, Asked> asked = new LinkedHashMap<>();
-    private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
-    private final Suspicions suspicions = new Suspicions();
+    private final GossipQueue rumours;
+    private final Map<Long, PendingPing> asked = new LinkedHashMap<>();
+    private final Map<Long, RelayedPing> relayed = new LinkedHashMap<>();
+    private final SuspicionTimers suspicions = new SuspicionTimers();
     private final ArrayDeque<String> round = new ArrayDeque<>();
-    private List<Sending> out = new ArrayList<>();
+    private List<OutboundDatagram> out = new ArrayList<>();
     private Duration nextPeriod;
-    private Recall recall;
-    private final Beside beside = new Beside();
+    private RecoveryExchange recall;
+    private final MessageDispatcher beside = new MessageDispatcher();
     private long numbers;
     private long periods;
     private int health;
 
-    public Members(Duration now, Views views, Stated stated, SplittableRandom chance, Consumer<String> log) {
+    public SwimProtocol(
+            Duration now, MemberTable views, SwimSettings stated, SplittableRandom chance, Consumer<String> log) {
         this.views = views;
-        rumours = new Rumours(views);
+        rumours = new GossipQueue(views);
         this.stated = stated;
         this.chance = chance;
         this.log = log;
@@ -144,22 +152,22 @@
         tell(now, views.of(views.self()));
     }
 
-    public Views views() {
+    public MemberTable views() {
         return views;
     }
 
     /** From here on questions of those that come back are answered, and answers to this one's own are heard. */
-    public void recall(Recall with) {
+    public void recall(RecoveryExchange with) {
         recall = with;
     }
 
     /** From here on it hears what others say to this one, where that begins with one of these words and a slash. */
-    public void hears(Set<String> words, Hearer who) {
+    public void hears(Set<String> words, TextMessageHandler who) {
         beside.hears(words, who);
     }
 
     /** From here on it takes what others carry to this one; each takes what it understands. */
-    public void takes(Carried who) {
+    public void takes(PayloadHandler who) {
         beside.takes(who);
     }
 
@@ -168,23 +176,24 @@
         if (body.length > MOST_CARRIED) {
             throw new IllegalArgumentException(body.length + " octets to carry");
         }
-        Views.Rumour known = views.of(name);
+        MemberTable.MemberRecord known = views.of(name);
         if (known != null) {
-            out.add(new Sending(known.gossip(), new Message(Kind.CARRY, views.self(), 0, "", List.of(), body)));
+            out.add(new OutboundDatagram(
+                    known.gossip(), new MembershipMessage(MessageKind.CARRY, views.self(), 0, "", List.of(), body)));
         }
     }
 
     /** Says something to another, 120 printable octets without spaces at the most; lost where it is not known. */
     public void say(String name, long number, String what) {
-        Views.Rumour known = views.of(name);
+        MemberTable.MemberRecord known = views.of(name);
         if (known != null) {
-            send(known.gossip(), Kind.SAY, number, what);
+            send(known.gossip(), MessageKind.SAY, number, what);
         }
     }
 
     /** Asks another what it knows. */
     public void ask(String name, long number) {
-        send(views.of(name).gossip(), Kind.RECALL, number, "");
+        send(views.of(name).gossip(), MessageKind.RECALL, number, "");
     }
 
     /** 0 where this one is well; more where its own lateness made it slow to hear (Lifeguard section IV-A). */
@@ -203,12 +212,12 @@
 
     // ---- rumours
 
-    private void tell(Duration now, Views.Rumour rumour) {
+    private void tell(Duration now, MemberTable.MemberRecord rumour) {
         if (rumour == null) {
             return;
         }
         rumours.begin(now, rumour.name());
-        if (rumour.status() == Views.Status.SUSPECT) {
+        if (rumour.status() == MemberTable.MemberStatus.SUSPECT) {
             suspicions.begin(now, rumour.name());
         } else {
             suspicions.end(rumour.name());
@@ -216,15 +225,17 @@
         if (!rumour.name().equals(views.self())) {
             log.accept("agent " + rumour.name() + " is " + rumour.status().wireName() + ", incarnation "
                     + rumour.incarnation());
-        } else if (rumour.status() == Views.Status.ALIVE && rumour.incarnation() > 0) {
+        } else if (rumour.status() == MemberTable.MemberStatus.ALIVE && rumour.incarnation() > 0) {
             worse(1);
         }
     }
 
-    private void send(String to, Kind kind, long number, String about) {
-        List<Views.Rumour> with =
-                kind == Kind.SYNC || kind == Kind.SYNC_BACK || kind == Kind.RECALLED ? views.all() : rumours.next();
-        out.add(new Sending(to, new Message(kind, views.self(), number, about, with)));
+    private void send(String to, MessageKind kind, long number, String about) {
+        List<MemberTable.MemberRecord> with =
+                kind == MessageKind.SYNC || kind == MessageKind.SYNC_BACK || kind == MessageKind.RECALLED
+                        ? views.all()
+                        : rumours.next();
+        out.add(new OutboundDatagram(to, new MembershipMessage(kind, views.self(), number, about, with)));
     }
 
     private void worse(int by) {
@@ -233,49 +244,49 @@
 
     // ---- what happens
 
-    public void heard(Duration now, String fromAddress, Message message) {
-        for (Views.Rumour rumour : message.rumours) {
+    public void heard(Duration now, String fromAddress, MembershipMessage message) {
+        for (MemberTable.MemberRecord rumour : message.rumours) {
             if (views.of(rumour.name()) == null && views.size() >= MOST) {
                 continue;
             }
-            if (rumour.status() == Views.Status.SUSPECT) {
+            if (rumour.status() == MemberTable.MemberStatus.SUSPECT) {
                 suspicions.alsoBy(rumour.name(), message.from);
             }
             tell(now, views.heard(rumour));
         }
         switch (message.kind) {
-            case PING -> send(fromAddress, Kind.ACK, message.number, "");
+            case PING -> send(fromAddress, MessageKind.ACK, message.number, "");
             case ASK_FOR -> {
                 long number = ++numbers;
                 relayed.put(
                         number,
-                        new Relayed(
+                        new RelayedPing(
                                 fromAddress,
                                 message.number,
                                 now.plus(stated.timeout.multipliedBy(4).dividedBy(5)),
                                 now.plus(stated.period)));
-                send(message.about, Kind.PING, number, "");
+                send(message.about, MessageKind.PING, number, "");
             }
             case ACK -> {
-                Asked one = asked.remove(message.number);
+                PendingPing one = asked.remove(message.number);
                 if (one != null) {
                     worse(-1);
                 }
-                Relayed other = relayed.remove(message.number);
+                RelayedPing other = relayed.remove(message.number);
                 if (other != null) {
-                    send(other.to, Kind.ACK, other.number, "");
+                    send(other.to, MessageKind.ACK, other.number, "");
                 }
             }
             case NACK -> {
-                Asked one = asked.get(message.number);
+                PendingPing one = asked.get(message.number);
                 if (one != null && one.nacksWanted > 0) {
                     one.nacksWanted--;
                 }
             }
-            case SYNC -> send(fromAddress, Kind.SYNC_BACK, message.number, "");
+            case SYNC -> send(fromAddress, MessageKind.SYNC_BACK, message.number, "");
             case RECALL -> {
                 if (recall != null) {
-                    send(fromAddress, Kind.RECALLED, message.number, recall.tells());
+                    send(fromAddress, MessageKind.RECALLED, message.number, recall.tells());
                 }
             }
             case RECALLED -> {
@@ -291,17 +302,18 @@
     /** This one leaves in good order; what {@link #settle} then returns is to be sent still. */
     public void leave(Duration now) {
         tell(now, views.leave());
-        List<Views.Rumour> alive = alive();
+        List<MemberTable.MemberRecord> alive = alive();
         for (int i = 0; i < Math.min(stated.helpers + 2, alive.size()); i++) {
-            send(alive.get(i).gossip(), Kind.PING, ++numbers, "");
+            send(alive.get(i).gossip(), MessageKind.PING, ++numbers, "");
         }
     }
 
-    private List<Views.Rumour> alive() {
-        List<Views.Rumour> alive = new ArrayList<>();
-        for (Views.Rumour each : views.all()) {
+    private List<MemberTable.MemberRecord> alive() {
+        List<MemberTable.MemberRecord> alive = new ArrayList<>();
+        for (MemberTable.MemberRecord each : views.all()) {
             if (!each.name().equals(views.self())
-                    && (each.status() == Views.Status.ALIVE || each.status() == Views.Status.SUSPECT)) {
+                    && (each.status() == MemberTable.MemberStatus.ALIVE
+                            || each.status() == MemberTable.MemberStatus.SUSPECT)) {
                 alive.add(each);
             }
         }
@@ -318,14 +330,14 @@
     // ---- what is decided
 
     /** What is to be sent now. */
-    public List<Sending> settle(Duration now) {
+    public List<OutboundDatagram> settle(Duration now) {
         if (now.compareTo(nextPeriod) >= 0) {
             // A period that was slept through is not made up for.
             nextPeriod = now.plus(stated.period.multipliedBy(1 + health));
             period(now);
         }
-        for (Map.Entry<Long, Asked> entry : List.copyOf(asked.entrySet())) {
-            Asked one = entry.getValue();
+        for (Map.Entry<Long, PendingPing> entry : List.copyOf(asked.entrySet())) {
+            PendingPing one = entry.getValue();
             if (one.helpAt != null && now.compareTo(one.helpAt) >= 0) {
                 one.helpAt = null;
                 help(entry.getKey(), one);
@@ -336,11 +348,11 @@
                 suspect(now, one.name);
             }
         }
-        for (Map.Entry<Long, Relayed> entry : List.copyOf(relayed.entrySet())) {
-            Relayed one = entry.getValue();
+        for (Map.Entry<Long, RelayedPing> entry : List.copyOf(relayed.entrySet())) {
+            RelayedPing one = entry.getValue();
             if (one.nackAt != null && now.compareTo(one.nackAt) >= 0) {
-                send(one.to, Kind.NACK, one.number, "");
-                relayed.put(entry.getKey(), new Relayed(one.to, one.number, null, one.until));
+                send(one.to, MessageKind.NACK, one.number, "");
+                relayed.put(entry.getKey(), new RelayedPing(one.to, one.number, null, one.until));
             }
             if (now.compareTo(one.until) >= 0) {
                 relayed.remove(entry.getKey());
@@ -350,23 +362,23 @@
             tell(now, views.dead(name));
             suspicions.end(name);
         }
-        List<Sending> sendings = out;
+        List<OutboundDatagram> sendings = out;
         out = new ArrayList<>();
         return sendings;
     }
 
     private void suspect(Duration now, String name) {
-        Views.Rumour rumour = views.suspect(name);
+        MemberTable.MemberRecord rumour = views.suspect(name);
         tell(now, rumour);
     }
 
-    private void help(long number, Asked one) {
-        Views.Rumour target = views.of(one.name);
+    private void help(long number, PendingPing one) {
+        MemberTable.MemberRecord target = views.of(one.name);
         int helpers = 0;
-        for (Views.Rumour helper : alive()) {
+        for (MemberTable.MemberRecord helper : alive()) {
             if (helpers < stated.helpers && !helper.name().equals(one.name) && target != null) {
                 helpers++;
-                send(helper.gossip(), Kind.ASK_FOR, number, target.gossip());
+                send(helper.gossip(), MessageKind.ASK_FOR, number, target.gossip());
             }
         }
         one.nacksWanted = helpers;
@@ -377,8 +389,9 @@
         if (others() == 0 || periods % SYNC_PERIODS == 0) {
             sync();
         }
-        for (Views.Rumour each : views.all()) {
-            boolean gone = each.status() == Views.Status.DEAD || each.status() == Views.Status.LEFT;
+        for (MemberTable.MemberRecord each : views.all()) {
+            boolean gone =
+                    each.status() == MemberTable.MemberStatus.DEAD || each.status() == MemberTable.MemberStatus.LEFT;
             if (gone
                     && !each.name().equals(views.self())
                     && changedAgo(now, each.name()).compareTo(FORGET) > 0) {
@@ -390,8 +403,9 @@
         if (next != null) {
             long number = ++numbers;
             Duration timeout = stated.timeout.multipliedBy(1 + health);
-            asked.put(number, new Asked(next, now.plus(timeout), now.plus(stated.period.multipliedBy(1 + health))));
-            send(views.of(next).gossip(), Kind.PING, number, "");
+            asked.put(
+                    number, new PendingPing(next, now.plus(timeout), now.plus(stated.period.multipliedBy(1 + health))));
+            send(views.of(next).gossip(), MessageKind.PING, number, "");
         }
     }
 
@@ -400,8 +414,10 @@
         for (int tries = 0; tries < 2; tries++) {
             while (!round.isEmpty()) {
                 String name = round.poll();
-                Views.Rumour known = views.of(name);
-                if (known != null && (known.status() == Views.Status.ALIVE || known.status() == Views.Status.SUSPECT)) {
+                MemberTable.MemberRecord known = views.of(name);
+                if (known != null
+                        && (known.status() == MemberTable.MemberStatus.ALIVE
+                                || known.status() == MemberTable.MemberStatus.SUSPECT)) {
                     return name;
                 }
             }
@@ -412,9 +428,9 @@
 
     private void sync() {
         List<String> to = new ArrayList<>();
-        for (Views.Rumour each : views.all()) {
+        for (MemberTable.MemberRecord each : views.all()) {
             // The dead too: it may be this side that was cut off.
-            if (!each.name().equals(views.self()) && each.status() != Views.Status.LEFT) {
+            if (!each.name().equals(views.self()) && each.status() != MemberTable.MemberStatus.LEFT) {
                 to.add(each.gossip());
             }
         }
@@ -423,10 +439,10 @@
                     .filter(seed -> !seed.equals(views.of(views.self()).gossip()))
                     .forEach(to::add);
             for (String seed : to) {
-                send(seed, Kind.SYNC, ++numbers, "");
+                send(seed, MessageKind.SYNC, ++numbers, "");
             }
             return;
         }
-        send(to.get(chance.nextInt(to.size())), Kind.SYNC, ++numbers, "");
+        send(to.get(chance.nextInt(to.size())), MessageKind.SYNC, ++numbers, "");
     }
 }
--- a/src/main/java/merlinlever/net/CloseReason.java
+++ b/src/main/java/merlinlever/net/CloseReason.java
@@ -1,6 +1,6 @@
 package merlinlever.net;
 
-import merlinlever.Ending;
+import merlinlever.Outcome;
 
 /**
  * Every way in which a connection can end, and in this one place what each means for a call that was in hand on it
@@ -8,34 +8,34 @@
  */
 public enum CloseReason {
     /** The other side closed in good order. */
-    CLOSED_THERE(Ending.CUT_OFF),
+    CLOSED_THERE(Outcome.CUT_OFF),
     /** A reset or any other failure of reading or writing. */
-    BROKEN(Ending.CUT_OFF),
+    BROKEN(Outcome.CUT_OFF),
     /** It was never made. */
-    REFUSED(Ending.UNREACHABLE),
+    REFUSED(Outcome.UNREACHABLE),
     /** It was not made in time. */
-    NOT_MADE(Ending.UNREACHABLE),
+    NOT_MADE(Outcome.UNREACHABLE),
     /** Closed here as nothing was open on it. */
-    IDLE(Ending.CUT_OFF),
+    IDLE(Outcome.CUT_OFF),
     /** Closed here after the last answer on it. */
-    DONE(Ending.CUT_OFF),
+    DONE(Outcome.CUT_OFF),
     /** What was begun did not become whole, or what was written was not taken, in time. */
-    SLOW(Ending.CUT_OFF),
+    SLOW(Outcome.CUT_OFF),
     /** What came was not the protocol's. */
-    MALFORMED(Ending.CUT_OFF),
+    MALFORMED(Outcome.CUT_OFF),
     /** More waited to be written than is allowed. */
-    OVERFULL(Ending.CUT_OFF),
+    OVERFULL(Outcome.CUT_OFF),
     /** What uses it here has failed. */
-    FAILED(Ending.CUT_OFF);
+    FAILED(Outcome.CUT_OFF);
 
-    private final Ending ofCall;
+    private final Outcome ofCall;
 
-    CloseReason(Ending ofCall) {
+    CloseReason(Outcome ofCall) {
         this.ofCall = ofCall;
     }
 
     /** How a call ended that had been handed to the connection. */
-    public Ending ofCall() {
+    public Outcome ofCall() {
         return ofCall;
     }
 }
--- a/src/main/java/merlinlever/net/Connection.java
+++ b/src/main/java/merlinlever/net/Connection.java
@@ -17,7 +17,7 @@
 public final class Connection {
 
     /** Who uses a connection. */
-    public interface User {
+    public interface Handler {
         /** It is made; for one that was accepted this is not called. */
         default void made() {}
 
@@ -32,16 +32,16 @@
     }
 
     /** A party in this process, at the other end of a connection in memory. */
-    public interface Party extends User {
+    public interface InMemoryPeer extends Handler {
         /** Called once, before anything else. */
         void on(Connection mine);
     }
 
     private static final int BUFFERS_A_WRITE = 16;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
-    private final User user;
+    private final Handler user;
     private final ByteBuffer in;
     /** What a pending read brings while something lies in {@link #in}; made where that comes up. */
     private ByteBuffer beside;
@@ -56,7 +56,8 @@
 
     private final ArrayDeque<ByteBuffer> arriving = new ArrayDeque<>(0);
 
-    private Connection(Loop loop, AsynchronousSocketChannel channel, User user, int readBuffer, int mostQueued) {
+    private Connection(
+            EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
         this.loop = loop;
         this.channel = channel;
         this.user = user;
@@ -75,14 +76,14 @@
 
     /** One that was accepted; {@link #start} begins to read. */
     public static Connection accepted(
-            Loop loop, AsynchronousSocketChannel channel, User user, int readBuffer, int mostQueued) {
+            EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
         Connection connection = new Connection(loop, channel, user, readBuffer, mostQueued);
         connection.made = true;
         return connection;
     }
 
     /** One in memory between two users on the loop; returns the end of the first. */
-    public static Connection pair(Loop loop, User user, Party party, int readBuffer, int mostQueued) {
+    public static Connection pair(EventLoop loop, Handler user, InMemoryPeer party, int readBuffer, int mostQueued) {
         Connection here = new Connection(loop, null, user, readBuffer, mostQueued);
         here.other = new Connection(loop, null, party, readBuffer, mostQueued);
         here.other.other = here;
@@ -92,9 +93,9 @@
 
     /** Makes one; what is queued before it is made is written then. Its end comes later even if it fails at once. */
     public static Connection to(
-            Loop loop, SocketAddress address, User user, int readBuffer, int mostQueued, Duration patience)
+            EventLoop loop, SocketAddress address, Handler user, int readBuffer, int mostQueued, Duration patience)
             throws IOException {
-        Party party = loop.party(address);
+        InMemoryPeer party = loop.party(address);
         if (party != null) {
             Connection here = pair(loop, user, party, readBuffer, mostQueued);
             loop.execute(user::made);
@@ -102,12 +103,12 @@
         }
         Connection connection =
                 new Connection(loop, AsynchronousSocketChannel.open(loop.group()), user, readBuffer, mostQueued);
-        Loop.Timer late = loop.in(patience, () -> connection.notMade(CloseReason.NOT_MADE));
+        EventLoop.Timer late = loop.in(patience, () -> connection.notMade(CloseReason.NOT_MADE));
         loop.execute(() -> connection.connect(address, late));
         return connection;
     }
 
-    private void connect(SocketAddress address, Loop.Timer late) {
+    private void connect(SocketAddress address, EventLoop.Timer late) {
         if (ended != null) {
             return;
         }
@@ -141,7 +142,7 @@
         return ended;
     }
 
-    /** Goes on reading if there is room: after {@link User#read} has taken something that it left before. */
+    /** Goes on reading if there is room: after {@link Handler#read} has taken something that it left before. */
     public void readOn() {
         if (reading || taking || ended != null || !made || !in.hasRemaining()) {
             return;
--- a/src/main/java/merlinlever/net/Listener.java
+++ b/src/main/java/merlinlever/net/ConnectionAcceptor.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** Accepts connections as long as there is room; out of room or of descriptors it asks for some and pauses. */
-public final class Listener {
+public final class ConnectionAcceptor {
 
     private static final Duration PAUSE = Duration.ofMillis(50);
     /** Whoever is at the door as it is closed has been let in after so long, or longer where there was no room. */
@@ -18,7 +18,7 @@
 
     private static final Duration LONGEST_CLOSING = Duration.ofSeconds(3);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
     private final Consumer<AsynchronousSocketChannel> taker;
     private final Runnable makeRoom;
@@ -32,8 +32,8 @@
      * @param taker is given each; {@link #gone} is to be called when it is over
      * @param makeRoom closes the idlest connection, if any is idle
      */
-    public Listener(
-            Loop loop,
+    public ConnectionAcceptor(
+            EventLoop loop,
             InetSocketAddress address,
             int most,
             Consumer<AsynchronousSocketChannel> taker,
--- a/src/main/java/merlinlever/net/Datagrams.java
+++ b/src/main/java/merlinlever/net/DatagramEndpoint.java
@@ -15,10 +15,10 @@
  * A socket for datagrams. NIO.2 has no asynchronous channel for them, so one thread waits until some are there and hands
  * over to the loop, which reads and sends; like the thread of a channel group it does nothing else.
  */
-public final class Datagrams {
+public final class DatagramEndpoint {
 
     /** Who hears of each datagram; {@code waited} is how long it may have lain there unread, at the most. */
-    public interface User {
+    public interface Receiver {
         void came(byte[] octets, InetSocketAddress from, Duration waited);
     }
 
@@ -30,17 +30,17 @@
     /** What the system counts for a datagram, at the least. */
     private static final int LEAST = 64;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final DatagramChannel channel;
     private final Selector selector;
-    private final User user;
+    private final Receiver user;
     private final ByteBuffer in;
     private final Semaphore drained = new Semaphore(0);
     private volatile boolean closed;
     private long readyAt;
 
     /** @param largest octets of a datagram that are read; longer ones come cut */
-    public Datagrams(Loop loop, InetSocketAddress address, int largest, User user) throws IOException {
+    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int largest, Receiver user) throws IOException {
         this.loop = loop;
         this.user = user;
         in = ByteBuffer.allocateDirect(largest);
--- a/src/main/java/merlinlever/net/Loop.java
+++ b/src/main/java/merlinlever/net/EventLoop.java
@@ -20,7 +20,7 @@
  * The one thread on which all completion handlers and timers run. What is ready is a batch; after each batch the
  * {@code after} hook runs and then all connections that have something to write are written to, once each.
  */
-public final class Loop extends AbstractExecutorService {
+public final class EventLoop extends AbstractExecutorService {
 
     private static final int LARGEST_BATCH = 256;
 
@@ -41,7 +41,7 @@
         }
     }
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Consumer<Throwable> failures;
     /**
      * Without locks or conditions: wherever a thread that hands something over is held, the loop goes on. A timed wait on
@@ -54,13 +54,13 @@
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.<Timer>comparingLong(t -> t.at).thenComparingLong(t -> t.order));
     private final AsynchronousChannelGroup group;
-    private final Function<SocketAddress, Connection.Party> parties;
+    private final Function<SocketAddress, Connection.InMemoryPeer> parties;
     private List<Connection> unwritten = new ArrayList<>();
     private Runnable after = () -> {};
     private long timersSet;
     private volatile boolean stopping;
 
-    public Loop(Clock clock, Consumer<Throwable> failures) throws IOException {
+    public EventLoop(MonotonicClock clock, Consumer<Throwable> failures) throws IOException {
         this.clock = clock;
         this.failures = failures;
         group = AsynchronousChannelGroup.withThreadPool(this);
@@ -68,7 +68,10 @@
     }
 
     /** Without sockets: whatever is connected to on it is a party in this process. */
-    public Loop(Clock clock, Consumer<Throwable> failures, Function<SocketAddress, Connection.Party> parties) {
+    public EventLoop(
+            MonotonicClock clock,
+            Consumer<Throwable> failures,
+            Function<SocketAddress, Connection.InMemoryPeer> parties) {
         this.clock = clock;
         this.failures = failures;
         this.parties = parties;
@@ -76,7 +79,7 @@
     }
 
     /** Who is at the address, if it is someone in this process. */
-    Connection.Party party(SocketAddress address) {
+    Connection.InMemoryPeer party(SocketAddress address) {
         return parties.apply(address);
     }
 
@@ -84,7 +87,7 @@
         return group;
     }
 
-    public Clock clock() {
+    public MonotonicClock clock() {
         return clock;
     }
 
--- a/src/main/java/merlinlever/net/SignalHandler.java
+++ b/src/main/java/merlinlever/net/HangupSignal.java
@@ -7,9 +7,9 @@
  * SIGHUP, which ends the runtime unless someone handles it. The JDK's one way to it lies in a supported module without
  * a stable name, which the compiler warns of wherever it is written down: so it is looked up by name.
  */
-public final class SignalHandler {
+public final class HangupSignal {
 
-    private SignalHandler() {}
+    private HangupSignal() {}
 
     /** Runs the task at each signal from here on, on a thread of the runtime's. */
     public static void handle(Runnable task) {
@@ -26,8 +26,7 @@
                     .invoke(
                             null,
                             signal.getConstructor(String.class).newInstance("HUP"),
-                            Proxy.newProxyInstance(
-                                    SignalHandler.class.getClassLoader(), new Class<?>[] {handler}, run));
+                            Proxy.newProxyInstance(HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, run));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this runtime knows no SIGHUP", e);
         }
--- a/src/main/java/merlinlever/net/Clock.java
+++ b/src/main/java/merlinlever/net/MonotonicClock.java
@@ -8,7 +8,7 @@
  * Spans since a start that can be set once more, on a clock that never steps. Times of the Unix clock are brought over
  * by how far that one is ahead, which is read again now and then, as the two need not run equally fast.
  */
-public final class Clock {
+public final class MonotonicClock {
 
     /** The process may be held up between two readings of the clocks; the narrowest of so many pairs counts. */
     private static final int READINGS = 5;
@@ -20,7 +20,7 @@
     private long start;
 
     /** On clocks that count nanoseconds, the one since 1970. */
-    public Clock(LongSupplier unix, LongSupplier nanos) {
+    public MonotonicClock(LongSupplier unix, LongSupplier nanos) {
         this.unix = unix;
         this.nanos = nanos;
         madeAt = nanos.getAsLong();
@@ -28,8 +28,8 @@
         compare();
     }
 
-    public static Clock system() {
-        return new Clock(
+    public static MonotonicClock system() {
+        return new MonotonicClock(
                 () -> {
                     Instant now = Instant.now();
                     return now.getEpochSecond() * 1_000_000_000L + now.getNano();
--- a/src/main/java/merlinlever/net/Signals.java
+++ b/src/main/java/merlinlever/net/ProcessSignals.java
@@ -5,22 +5,22 @@
  * What comes before there is a receiver is remembered: a SIGHUP is passed on once there is one, and after a SIGTERM there
  * is none any more, as nothing was begun yet. Called on threads of the runtime's, one for each signal.
  */
-public final class Signals {
+public final class ProcessSignals {
 
     /** Who acts on them; each call only hands over to the receiver's own thread. */
-    public interface Receiver {
+    public interface Subscriber {
         void hangUp();
 
         void terminate();
     }
 
-    private Receiver receiver;
+    private Subscriber receiver;
     private boolean hungUp, terminated, over;
 
     /** Those of this process, from here on. */
-    public static Signals ofProcess() {
-        Signals signals = new Signals();
-        SignalHandler.handle(signals::hangUp);
+    public static ProcessSignals ofProcess() {
+        ProcessSignals signals = new ProcessSignals();
+        HangupSignal.handle(signals::hangUp);
         Runtime.getRuntime().addShutdownHook(new Thread(signals::terminate, "terminate"));
         return signals;
     }
@@ -56,7 +56,7 @@
     }
 
     /** Signals go there from here on; false where the process is ending and nothing is to be begun. */
-    public synchronized boolean receive(Receiver by) {
+    public synchronized boolean receive(Subscriber by) {
         if (terminated) {
             return false;
         }
--- a/src/main/java/merlinlever/policy/Admission.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -1,14 +1,14 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import merlinlever.Given;
-import merlinlever.policy.Control.Reason;
+import merlinlever.Settings;
+import merlinlever.policy.OverloadController.RejectionReason;
 
 /** Which arrivals are held and which pushed back: the design page's class-weighted RED, and exceptions. */
-final class Admission {
+final class AdmissionControl {
     // The four figures of the design page; q is the waiting over the hold's capacity.
     private static final double W_Q = 0.8;
     private static final double MIN_TH = 0.3;
@@ -23,7 +23,7 @@
     // Part of the difference by which the quickest reading seen is forgotten with each arrival.
     private static final double FORGET = 0.002;
 
-    private final Server server;
+    private final ServerState server;
     private final SplittableRandom chance;
     final Duration longestStayAway;
     double avg;
@@ -31,7 +31,7 @@
     private double quickestRead = 1e9;
     private int count;
 
-    Admission(Server server, Given given, long seed) {
+    AdmissionControl(ServerState server, Settings given, long seed) {
         this.server = server;
         chance = new SplittableRandom(seed);
         longestStayAway = given.flag("limits.stay-away") ? given.span("limits.longest-stay-away", 0) : Duration.ZERO;
@@ -39,13 +39,13 @@
                 NIL, server.tariffs.stream().mapToDouble(t -> t.value).min().orElse(1));
         double span =
                 Math.log(server.tariffs.stream().mapToDouble(t -> t.value).max().orElse(1) / least);
-        for (Tariff t : server.tariffs) {
+        for (PriorityClass t : server.tariffs) {
             double rank = span > 0 ? Math.log(Math.max(1, t.value / least)) / span : 0.5;
             t.coefficient = C_LEAST * Math.pow(C_MOST / C_LEAST, rank);
         }
     }
 
-    void arrive(Op op, Duration now) {
+    void arrive(Request op, Duration now) {
         // What waits unread waits too: its time beyond the quickest reading counts as that part of the span.
         double unread = ms(now.minus(op.arrival));
         quickestRead = Math.min(unread, quickestRead + FORGET * (unread - quickestRead));
@@ -61,24 +61,25 @@
         boolean leaving = server.mode.pastGrace(op) || server.mode.stops(ends);
         boolean hung = server.mode.hung;
         if (leaving || hung || !server.repeats.roomFor(op)) {
-            Reason why = leaving ? Reason.LEAVING : hung ? Reason.HUNG : Reason.MEMORY;
+            RejectionReason why =
+                    leaving ? RejectionReason.LEAVING : hung ? RejectionReason.HUNG : RejectionReason.MEMORY;
             server.endings.pushBack(op, now, why, false, leaving || hung ? longestStayAway : Duration.ZERO);
             return;
         }
         if (server.mode.unsettled(op, now)) {
             Duration wait = later(Duration.ZERO, server.mode.keyedFrom.minus(now));
-            server.endings.pushBack(op, now, Reason.UNSETTLED, false, earlier(longestStayAway, wait));
+            server.endings.pushBack(op, now, RejectionReason.UNSETTLED, false, earlier(longestStayAway, wait));
             return;
         }
         // Work that cannot make its soft limit is waste.
         Duration likely = ends.plus(millis(waiting * ms(server.span)));
         if (server.onCores >= server.cores && reached(likely, op.soft)) {
-            server.endings.pushBack(op, now, Reason.HOPELESS, op.again || dear(), longestStayAway);
+            server.endings.pushBack(op, now, RejectionReason.HOPELESS, op.again || dear(), longestStayAway);
         } else if (refuses(op)) {
             // RED refuses only while the hold is long, as it is on its neighbours under the same load: a walk
             // costs each of them a read and, where callers are many, a new connection, and is refused again.
             count = 0;
-            server.endings.pushBack(op, now, Reason.CHANCE, true, stayAway());
+            server.endings.pushBack(op, now, RejectionReason.CHANCE, true, stayAway());
         } else {
             count++;
             server.repeats.keepFor(op, now);
@@ -98,7 +99,7 @@
         return quickestRead > DEAR * server.cores * ms(server.span) / server.capacity.hold();
     }
 
-    private boolean refuses(Op op) {
+    private boolean refuses(Request op) {
         if (avg < MIN_TH) {
             return false;
         }
--- a/src/main/java/merlinlever/policy/Level.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -1,12 +1,12 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
-import merlinlever.Given;
+import merlinlever.Settings;
 
 /** What callers are told unasked: the free value, where there is one, and how long idle connections stay. */
-final class Level {
+final class BackpressureSignals {
     // Above this callers hear too little to go on knowing the level, and come back all at once.
     private static final double MOST_LEVEL = 0.6;
     // Callers a core from which on idle connections are closed early; servers that make a list long.
@@ -14,7 +14,7 @@
     // What the time to close changes by ten times a second, with a core free and with none.
     private static final double SOONER = 0.94, LATER = 1.02;
 
-    private final Server server;
+    private final ServerState server;
     private final String says;
     private final double idleMs, callers;
     private double closeIdleMs, saidIdleMs;
@@ -22,7 +22,7 @@
     private double saidLevel;
     private Duration at = Duration.ZERO;
 
-    Level(Server server, Given given) {
+    BackpressureSignals(ServerState server, Settings given) {
         this.server = server;
         says = given.text("server.say", "none");
         idleMs = given.number("server.idle", 30_000);
@@ -42,7 +42,7 @@
         if (says.equals("none")) {
             return;
         }
-        double excess = Admission.excess(pressure);
+        double excess = AdmissionControl.excess(pressure);
         level += excess > 0 ? 0.04 * Math.min(1, excess) : -0.01;
         level = Math.max(0, Math.min(MOST_LEVEL, level));
         if (Math.abs(level - saidLevel) >= 0.02 || level == 0 && saidLevel > 0) {
--- a/src/main/java/merlinlever/policy/Capacity.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -1,21 +1,21 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.ms;
+import static merlinlever.Durations.ms;
 
-import merlinlever.Given;
+import merlinlever.Settings;
 
 /** What the server can do, as learned from what it did, and what it survives: rule 4, cold or warm. */
-final class Capacity {
+final class CapacityEstimator {
     // Completions that the capacity is learned from, at the most, before their weight is halved.
     private static final double ENOUGH = 32;
     // Part of the survivable crowd and of the memory that is used.
     private static final double CROWD = 0.75, MEMORY = 0.92;
 
-    private final Server server;
+    private final ServerState server;
     private final double coldShare, coldMs, crowdFactor, memoryKb;
     private double done, worked;
 
-    Capacity(Server server, Given given) {
+    CapacityEstimator(ServerState server, Settings given) {
         this.server = server;
         coldShare = given.flag("server.cold") ? given.number("rules.cold-share", 0.2) : 1;
         coldMs = Math.max(1, given.number("rules.cold", 1));
--- a/src/main/java/merlinlever/policy/Endings.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -1,51 +1,51 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
-import merlinlever.Ending;
-import merlinlever.Given;
-import merlinlever.Settled;
-import merlinlever.policy.Control.Reason;
-import merlinlever.policy.Op.Phase;
+import merlinlever.Decisions;
+import merlinlever.Outcome;
+import merlinlever.Settings;
+import merlinlever.policy.OverloadController.RejectionReason;
+import merlinlever.policy.Request.Phase;
 
 /** How an operation ends: its run is over, it is pushed back or broken off, or its time has passed. */
-final class Endings {
-    private final Server server;
+final class Completions {
+    private final ServerState server;
     private final boolean mayHalt;
     private final double servers;
-    final long[] pushbacks = new long[Reason.values().length];
+    final long[] pushbacks = new long[RejectionReason.values().length];
     long brokenOff;
 
-    Endings(Server server, Given given) {
+    Completions(ServerState server, Settings given) {
         this.server = server;
         mayHalt = !given.text("server.halt", "none").equals("none");
         servers = Math.max(1, given.number("servers", 1));
     }
 
     /** Its run, or the sharing of another's outcome, has ended. */
-    void ended(Op op, Duration now, Ending how) {
-        if (op.phase == Phase.OVER || how == Ending.NEVER_BEGUN && op.phase == Phase.HELD) {
+    void ended(Request op, Duration now, Outcome how) {
+        if (op.phase == Phase.OVER || how == Outcome.NEVER_BEGUN && op.phase == Phase.HELD) {
             return;
         }
-        if (how == Ending.STOPPED && !op.answered && op.halting) {
+        if (how == Outcome.STOPPED && !op.answered && op.halting) {
             server.move(op, Phase.HELD);
             op.halting = false;
             return;
         }
         server.mode.progress = now;
         op.end = how;
-        if ((how == Ending.OK || how == Ending.ERROR) && op.phase == Phase.RUNNING) {
+        if ((how == Outcome.OK || how == Outcome.ERROR) && op.phase == Phase.RUNNING) {
             server.capacity.completed();
             op.tariff.times.add(ms(now.minus(op.startedAt)), op.hintMs);
         }
-        if (how == Ending.OK && op.sharable && op.keptUntil != null) {
+        if (how == Outcome.OK && op.sharable && op.keptUntil != null) {
             server.repeats.keepFresh(op, now);
         }
         finish(op, now);
     }
 
-    void callerGone(Op op, Duration now) {
+    void callerGone(Request op, Duration now) {
         op.answered = true;
         if (op.offCores()) {
             finish(op, now);
@@ -54,24 +54,24 @@
         }
     }
 
-    private void finish(Op op, Duration now) {
+    private void finish(Request op, Duration now) {
         if (op.phase != Phase.OVER) {
             server.move(op, Phase.OVER);
             server.repeats.over(op, now);
         }
     }
 
-    void pushBack(Op op, Duration now, Reason why, boolean nowhereElse, Duration stayAway) {
+    void pushBack(Request op, Duration now, RejectionReason why, boolean nowhereElse, Duration stayAway) {
         if (op.answered || op.ran) {
             return;
         }
         pushbacks[why.ordinal()]++;
         op.answered = true;
-        server.next.pushedBack.add(new Settled.Pushback(op, nowhereElse, stayAway));
+        server.next.pushedBack.add(new Decisions.Rejection(op, nowhereElse, stayAway));
         finish(op, now);
     }
 
-    void breakOff(Op op, Duration now) {
+    void breakOff(Request op, Duration now) {
         if (op.answered) {
             return;
         }
@@ -83,7 +83,7 @@
         }
     }
 
-    void halt(Op op) {
+    void halt(Request op) {
         // Those that share its outcome are owed it still.
         if (mayHalt
                 && op.phase == Phase.RUNNING
@@ -95,16 +95,16 @@
     }
 
     /** Whether its time has passed: for any answer, for its start, or for an answer of value. */
-    void sweep(Op op, Duration now) {
+    void sweep(Request op, Duration now) {
         if (!op.inHand() || op.answered) {
             return;
         }
-        boolean last = server.mode.stops(now.plus(Control.LOOK));
+        boolean last = server.mode.stops(now.plus(OverloadController.LOOK));
         boolean waits = op.phase == Phase.HELD || op.phase == Phase.FOLLOWING;
         // Rule 1: the answer comes before the client timeout, and before the stop.
         if (last || reached(now, op.due)) {
             if (waits && !op.ran) {
-                pushBack(op, now, last ? Reason.LEAVING : Reason.LATE, !last, Duration.ZERO);
+                pushBack(op, now, last ? RejectionReason.LEAVING : RejectionReason.LATE, !last, Duration.ZERO);
             } else {
                 breakOff(op, now);
                 halt(op);
@@ -114,12 +114,12 @@
             if (hung || reached(now.plus(op.usualRun()), op.soft)) {
                 // Too late for a slow server is not too late for each, by the hint, but for a long dear walk.
                 boolean late = reached(now.plus(op.hintMs > 0 ? millis(op.hintMs) : op.usualRun()), op.soft)
-                        || servers > Level.MANY && server.admission.dear();
+                        || servers > BackpressureSignals.MANY && server.admission.dear();
                 Duration longest = server.admission.longestStayAway;
                 pushBack(
                         op,
                         now,
-                        hung ? Reason.HUNG : Reason.LATE,
+                        hung ? RejectionReason.HUNG : RejectionReason.LATE,
                         !hung && late,
                         hung
                                 ? longest
--- a/src/main/java/merlinlever/policy/Starts.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -2,17 +2,17 @@
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Given;
-import merlinlever.policy.Op.Phase;
+import merlinlever.Settings;
+import merlinlever.policy.Request.Phase;
 
 /** Which held operations are started, in which order, and how far by the gauge of the run queue. */
-final class Starts {
-    private final Server server;
+final class Dispatcher {
+    private final ServerState server;
     private final int runQueueAt;
     private double runQueue;
     private int changeSince;
 
-    Starts(Server server, Given given) {
+    Dispatcher(ServerState server, Settings given) {
         this.server = server;
         runQueueAt = List.of(given.text("server.gauges", "").split(",")).indexOf("run-queue");
     }
@@ -36,7 +36,7 @@
     /** Oldest first, by the run-queue gauge and what has changed since it, under the ceiling of the crowd. */
     void start(Duration now) {
         double most = server.capacity.survivable();
-        for (Op op : server.hand) {
+        for (Request op : server.hand) {
             if (op.phase != Phase.HELD
                     || op.answered
                     || op.ran && !op.tariff.retriable
@@ -48,7 +48,7 @@
             if (marked || server.running() >= most || !server.capacity.fits(moreKb) || server.mode.hung) {
                 return;
             }
-            Limit runs = server.limits.get(op.tariff.index + 1);
+            QuotaLimiter runs = server.limits.get(op.tariff.index + 1);
             if (op.tariff.calls && server.calls.full() || !runs.allows(now)) {
                 continue;
             }
--- a/src/main/java/merlinlever/policy/Calls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -1,27 +1,27 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import merlinlever.Ending;
-import merlinlever.Given;
-import merlinlever.Settled;
-import merlinlever.policy.Op.Phase;
+import merlinlever.Decisions;
+import merlinlever.Outcome;
+import merlinlever.Settings;
+import merlinlever.policy.Request.Phase;
 
 /** How many calls to what lies below are in hand, and what becomes of an operation whose call ended. */
-final class Calls {
+final class DownstreamCalls {
     // Calls in hand a core.
     private static final double CALLS = 4;
     // What is left of the cap on calls after one that did not work.
     private static final double CALL_CUT = 0.8;
 
-    private final Server server;
+    private final ServerState server;
     private final double most, lingerMs, leastMs, burstMs;
     private double cap, creditMs;
     private Duration cutAt = Duration.ZERO;
 
-    Calls(Server server, Given given, long seed) {
+    DownstreamCalls(ServerState server, Settings given, long seed) {
         this.server = server;
         // Rule 4: of what all share this server's part, and saved up its part of what chance leaves all:
         // 2 x sqrt(N) + 2; where they are not counted, one span's part. All survive one call between them.
@@ -55,22 +55,22 @@
     }
 
     void make(Duration now) {
-        Limit limit = server.limits.get(0);
-        for (Op op : server.hand) {
+        QuotaLimiter limit = server.limits.get(0);
+        for (Request op : server.hand) {
             if (op.phase == Phase.AT_CALL && !op.answered && mayCall() && limit.allows(now)) {
                 server.move(op, Phase.CALLING);
                 limit.begins(now);
                 creditMs -= lingerMs;
                 Duration span = earlier(op.due.minus(now), most < 1 ? millis(creditMs) : op.due);
                 span = limit.longest == null ? span : earlier(limit.longest, span);
-                server.next.called.add(new Settled.Timed(op, later(Duration.ofMillis(1), span)));
+                server.next.called.add(new Decisions.TimedDecision(op, later(Duration.ofMillis(1), span)));
             }
         }
     }
 
-    void ended(Op op, Duration now, Ending how, Duration took) {
-        creditMs += how == Ending.OK || how.provesUnrun() ? lingerMs : 0;
-        if (how == Ending.OK) {
+    void ended(Request op, Duration now, Outcome how, Duration took) {
+        creditMs += how == Outcome.OK || how.provesUnrun() ? lingerMs : 0;
+        if (how == Outcome.OK) {
             cap = Math.min(most, cap + 1 / cap);
             server.move(op, Phase.RUNNING);
             return;
@@ -83,7 +83,7 @@
         // Rule 2: a call that may have had its effect is not made again, but for a retriable operation. Nor
         // is one that was turned away or failed: it has been tried elsewhere, and the tier is crowded.
         server.move(op, Phase.AT_CALL);
-        boolean harmless = how == Ending.UNREACHABLE || how == Ending.CUT_OFF && op.tariff.retriable;
+        boolean harmless = how == Outcome.UNREACHABLE || how == Outcome.CUT_OFF && op.tariff.retriable;
         if (harmless && !op.calledAgain) {
             op.calledAgain = true;
         } else if (op.tariff.withoutCall > 0 && !op.answered) {
--- a/src/main/java/merlinlever/policy/Repeats.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -1,45 +1,45 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.reached;
+import static merlinlever.Durations.reached;
 
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import merlinlever.Ending;
-import merlinlever.Given;
-import merlinlever.Operation;
-import merlinlever.Settled;
-import merlinlever.policy.Control.Reason;
-import merlinlever.policy.Op.Phase;
+import merlinlever.Decisions;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
+import merlinlever.Settings;
+import merlinlever.policy.OverloadController.RejectionReason;
+import merlinlever.policy.Request.Phase;
 
 /** Which operations are kept in the table, for how long, and what becomes of one that repeats another. */
-final class Repeats {
+final class DuplicateRequests {
     // Unless stated, no repeat is read later (ms) than this after it came; until then its original is known.
     private static final double LONGEST_UNREAD = 30_000;
 
     /** That an operation is known until then, in the table unless its entry was renewed or struck since. */
-    private record Entry(Op op, Duration until) {}
+    private record Expiry(Request op, Duration until) {}
 
-    private final Server server;
+    private final ServerState server;
     private final double fingerprintKb;
     private final Duration fresh, longestUnread;
-    private final PriorityQueue<Entry> past = new PriorityQueue<>(Comparator.comparing(Entry::until));
-    private final PriorityQueue<Entry> table = new PriorityQueue<>(Comparator.comparing(Entry::until));
+    private final PriorityQueue<Expiry> past = new PriorityQueue<>(Comparator.comparing(Expiry::until));
+    private final PriorityQueue<Expiry> table = new PriorityQueue<>(Comparator.comparing(Expiry::until));
 
-    Repeats(Server server, Given given) {
+    DuplicateRequests(ServerState server, Settings given) {
         this.server = server;
         fingerprintKb = given.number("server.kb-per-fingerprint", 0);
         fresh = given.span("server.fresh-for", 0);
         longestUnread = given.span("rules.longest-unread", LONGEST_UNREAD);
     }
 
-    boolean sharable(Tariff tariff) {
+    boolean sharable(PriorityClass tariff) {
         return tariff.retriable && !fresh.isZero();
     }
 
     /** Rule 2: a repeat of what may have run shares its outcome or is broken off; it is never run itself. */
-    boolean joins(Op op, Operation repeats, Duration now) {
-        Op original = repeats instanceof Op ? (Op) repeats : null;
+    boolean joins(Request op, RequestHandle repeats, Duration now) {
+        Request original = repeats instanceof Request ? (Request) repeats : null;
         // Who ended unrun in this batch is still named; another may have its place.
         while (original != null
                 && original.original != null
@@ -56,7 +56,8 @@
             // Rule 3: nor may what came after the grace take the place of an original that ends unrun.
             boolean late = server.mode.pastGrace(op);
             if (late || !server.capacity.fits(0)) {
-                server.endings.pushBack(op, now, late ? Reason.LEAVING : Reason.MEMORY, false, Duration.ZERO);
+                server.endings.pushBack(
+                        op, now, late ? RejectionReason.LEAVING : RejectionReason.MEMORY, false, Duration.ZERO);
             } else {
                 op.original = original;
                 original.followers.add(op);
@@ -66,7 +67,7 @@
         }
         boolean usable = original.inHand()
                 ? !original.halting
-                : original.end == Ending.OK || original.end == Ending.ERROR && !op.tariff.retriable;
+                : original.end == Outcome.OK || original.end == Outcome.ERROR && !op.tariff.retriable;
         if (usable && server.capacity.fits(0)) {
             share(op, original);
         } else if (!op.tariff.retriable && original.ran) {
@@ -82,9 +83,9 @@
      * The operation has been started, and those that wait for its outcome share it; or it ended unrun, and
      * the first of them takes its place and its entry in the table.
      */
-    void promote(Op op, Duration now) {
-        Op heir = null;
-        for (Op follower : op.followers) {
+    void promote(Request op, Duration now) {
+        Request heir = null;
+        for (Request follower : op.followers) {
             if (follower.phase != Phase.FOLLOWING) {
                 continue;
             }
@@ -99,7 +100,7 @@
                 if (roomFor(heir)) {
                     keepFor(heir, now);
                 } else {
-                    server.endings.pushBack(heir, now, Reason.MEMORY, false, Duration.ZERO);
+                    server.endings.pushBack(heir, now, RejectionReason.MEMORY, false, Duration.ZERO);
                     heir = null;
                 }
             } else {
@@ -110,32 +111,32 @@
         op.followers.clear();
     }
 
-    private void share(Op op, Op original) {
+    private void share(Request op, Request original) {
         op.original = original;
         server.move(op, Phase.SHARING);
         server.next.shared.add(op);
     }
 
     /** The operation has just ended: what is known of it from here on. */
-    void over(Op op, Duration now) {
+    void over(Request op, Duration now) {
         // Nothing names again what never ran; kept, a flood of pushbacks would fill the process's memory.
         if (op.ran) {
-            past.add(new Entry(op, now.plus(op.tariff.window).plus(longestUnread)));
+            past.add(new Expiry(op, now.plus(op.tariff.window).plus(longestUnread)));
         } else {
             server.next.released.add(op);
         }
         promote(op, now);
-        if ((!op.ran || op.sharable && op.end != Ending.OK) && strike(op)) {
+        if ((!op.ran || op.sharable && op.end != Outcome.OK) && strike(op)) {
             server.next.forgotten.add(op);
         }
     }
 
     /** Rule 4: whether there is memory for the operation and for what has to be remembered of it. */
-    boolean roomFor(Op op) {
+    boolean roomFor(Request op) {
         return server.capacity.fits(op.tariff.fingerprinted || op.sharable ? fingerprintKb : 0);
     }
 
-    void keepFor(Op op, Duration now) {
+    void keepFor(Request op, Duration now) {
         if (op.tariff.fingerprinted) {
             keep(op, now, op.tariff.window);
         } else if (op.sharable) {
@@ -143,20 +144,20 @@
         }
     }
 
-    void keepFresh(Op op, Duration now) {
+    void keepFresh(Request op, Duration now) {
         keep(op, now, fresh);
     }
 
-    private void keep(Op op, Duration now, Duration length) {
+    private void keep(Request op, Duration now, Duration length) {
         if (op.keptUntil == null) {
             server.usedKb += fingerprintKb;
         }
         op.keptUntil = now.plus(length);
-        table.add(new Entry(op, op.keptUntil));
-        server.next.kept.add(new Settled.Timed(op, length));
+        table.add(new Expiry(op, op.keptUntil));
+        server.next.kept.add(new Decisions.TimedDecision(op, length));
     }
 
-    private boolean strike(Op op) {
+    private boolean strike(Request op) {
         boolean kept = op.keptUntil != null;
         server.usedKb -= kept ? fingerprintKb : 0;
         op.keptUntil = null;
@@ -165,7 +166,7 @@
 
     void expire(Duration now) {
         while (!table.isEmpty() && reached(now, table.peek().until)) {
-            Entry entry = table.poll();
+            Expiry entry = table.poll();
             if (entry.until.equals(entry.op.keptUntil)) {
                 strike(entry.op);
             }
--- a/src/main/java/merlinlever/policy/Mode.java
+++ b/src/main/java/merlinlever/policy/OperatingMode.java
@@ -1,18 +1,18 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
 import java.util.Locale;
-import merlinlever.Given;
+import merlinlever.Settings;
 
 /** Whether the work hangs, the server leaves, or it has come back and may not know what it did before. */
-final class Mode {
+final class OperatingMode {
     // No run has got on for so long and for so many usual runs, more where few run: the work hangs.
     private static final Duration HANG = Duration.ofMillis(1000);
     private static final double HANG_RUNS = 2, HANG_RUNS_ALONE = 6;
 
-    private final Server server;
+    private final ServerState server;
     private final Duration grace;
     Duration progress = Duration.ZERO;
     boolean hung;
@@ -21,7 +21,7 @@
     // Work that is not retriable is begun only if it came from the one on, and before the other.
     Duration keyedFrom = Duration.ZERO, keyedTo;
 
-    Mode(Server server, Given given) {
+    OperatingMode(ServerState server, Settings given) {
         this.server = server;
         grace = given.span("rules.drain-grace", 0);
     }
@@ -37,21 +37,21 @@
                 server.running()));
     }
 
-    boolean pastGrace(Op op) {
+    boolean pastGrace(Request op) {
         return leaveAt != null && reached(op.arrival, leaveAt.plus(grace));
     }
 
     /** Whether the stop comes within a look of then. */
     boolean stops(Duration then) {
-        return stopAt != null && reached(then.plus(Control.LOOK), stopAt);
+        return stopAt != null && reached(then.plus(OverloadController.LOOK), stopAt);
     }
 
     /** Rule 2: whether a life before may have begun it, or the next would not know that this one did. */
-    boolean unsettled(Op op, Duration now) {
+    boolean unsettled(Request op, Duration now) {
         return !op.tariff.retriable && (!reached(op.arrival, keyedFrom) || unknownNext(op, now));
     }
 
-    boolean unknownNext(Op op, Duration now) {
+    boolean unknownNext(Request op, Duration now) {
         return keyedTo != null && !op.tariff.retriable && reached(now, keyedTo);
     }
 
--- a/src/main/java/merlinlever/policy/Control.java
+++ b/src/main/java/merlinlever/policy/OverloadController.java
@@ -1,14 +1,14 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import merlinlever.Given;
-import merlinlever.Operation;
-import merlinlever.Settled;
+import merlinlever.Decisions;
+import merlinlever.RequestHandle;
+import merlinlever.Settings;
 import merlinlever.WireNamed;
 
 /**
@@ -18,13 +18,13 @@
  * each batch {@link #settle} returns what was decided and when to look again. Instances share nothing. The
  * decisions themselves are in the other classes of this package; the order in which they fall is here.
  */
-public final class Control {
+public final class OverloadController {
     // While something is in hand the module looks this often.
     static final Duration LOOK = Duration.ofMillis(10);
     private static final Duration IDLE_LOOK = Duration.ofMillis(500);
 
     /** Why an operation was pushed back. */
-    public enum Reason implements WireNamed {
+    public enum RejectionReason implements WireNamed {
         LEAVING("leaving"),
         HUNG("hung"),
         MEMORY("memory"),
@@ -35,7 +35,7 @@
 
         private final String wireName;
 
-        Reason(String wireName) {
+        RejectionReason(String wireName) {
             this.wireName = wireName;
         }
 
@@ -46,7 +46,7 @@
     }
 
     /** What the module sees of its server; pushbacks and breaking off are counted from the start. */
-    public record Figures(
+    public record ControllerMetrics(
             int held,
             int onCores,
             int atCalls,
@@ -59,11 +59,11 @@
             List<Long> pushedBack,
             long brokenOff) {}
 
-    private final Server server;
+    private final ServerState server;
 
     /** A module for one life of a server: what is stated at start, by name, and the seed of its chance. */
-    public Control(Map<String, String> given, long seed) {
-        server = new Server(new Given(given), seed);
+    public OverloadController(Map<String, String> given, long seed) {
+        server = new ServerState(new Settings(given), seed);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @param sharable whether it is a read that names its subject
      * @param repeats the kept operation that it repeats, or null
      */
-    public Operation take(
+    public RequestHandle take(
             Duration now,
             int tariff,
             Duration unread,
@@ -84,12 +84,12 @@
             Duration work,
             boolean again,
             boolean sharable,
-            Operation repeats) {
+            RequestHandle repeats) {
         server.clock(now);
-        Tariff t = server.tariffs.get(tariff);
+        PriorityClass t = server.tariffs.get(tariff);
         Duration arrival = now.minus(unread);
         Duration due = later(now, clientTimeout != null ? clientTimeout : arrival.plus(t.clientTimeout));
-        Op op = new Op(
+        Request op = new Request(
                 server,
                 t,
                 arrival,
@@ -131,19 +131,19 @@
      * in any second or at once. A call is given up after {@code longest}, as others have the share by then.
      */
     public void share(int tariff, long share, boolean perSecond, Duration until, Duration longest) {
-        Limit limit = server.limits.get(tariff + 1);
+        QuotaLimiter limit = server.limits.get(tariff + 1);
         limit.longest = longest;
         limit.share = share;
         limit.perSecond = perSecond;
         limit.until = until;
     }
 
-    /** What is out of such a limit now, and what would be if it were larger; see {@link Limit}. */
+    /** What is out of such a limit now, and what would be if it were larger; see {@link QuotaLimiter}. */
     public long[] demand(Duration now, int tariff) {
         long waits = tariff < 0
                 ? server.atCalls
                 : server.hand.stream()
-                        .filter(op -> op.phase == Op.Phase.HELD && op.tariff.index == tariff)
+                        .filter(op -> op.phase == Request.Phase.HELD && op.tariff.index == tariff)
                         .count();
         return server.limits.get(tariff + 1).demand(now, waits);
     }
@@ -155,8 +155,8 @@
     }
 
     /** For whoever manages the server: a look at the figures, which changes nothing. */
-    public Figures figures() {
-        return new Figures(
+    public ControllerMetrics figures() {
+        return new ControllerMetrics(
                 server.held,
                 server.onCores,
                 server.atCalls + server.calling,
@@ -171,18 +171,18 @@
     }
 
     /** Decides all that is open and returns it with what was decided since the last time. */
-    public Settled settle(Duration now) {
+    public Decisions settle(Duration now) {
         server.clock(now);
         server.mode.watch(now);
         server.hand.forEach(op -> server.endings.sweep(op, now));
         server.hand.removeIf(op -> !op.inHand());
-        server.next.shared.removeIf(op -> ((Op) op).phase != Op.Phase.SHARING);
+        server.next.shared.removeIf(op -> ((Request) op).phase != Request.Phase.SHARING);
         server.repeats.expire(now);
         server.calls.make(now);
         server.starts.start(now);
         server.level.say(now);
-        Settled settled = server.next;
-        server.next = new Settled();
+        Decisions settled = server.next;
+        server.next = new Decisions();
         settled.nextLook = now.plus(server.hand.isEmpty() ? IDLE_LOOK : LOOK);
         Duration stop = server.mode.stopAt;
         if (stop != null && now.compareTo(stop) < 0) {
--- a/src/main/java/merlinlever/policy/Tariff.java
+++ b/src/main/java/merlinlever/policy/PriorityClass.java
@@ -3,20 +3,20 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Given;
+import merlinlever.Settings;
 
 /** A tariff: what is stated of it, and what the module keeps of it. Nothing is decided here. */
-final class Tariff {
+final class PriorityClass {
     final boolean retriable, fingerprinted;
     final int index;
     final Duration softLimit, clientTimeout, window;
     final double stretch, value, lateValue, withoutCall;
     final boolean calls;
-    final RunTimes times = new RunTimes();
+    final RunTimeEstimator times = new RunTimeEstimator();
     /** Its weight in the chance of refusal. */
     double coefficient = 1;
 
-    private Tariff(Given given, int index) {
+    private PriorityClass(Settings given, int index) {
         String at = "tariffs." + index + ".";
         this.index = index;
         softLimit = given.span(at + "soft-limit", 1000);
@@ -33,10 +33,10 @@
     }
 
     /** All that are stated. */
-    static List<Tariff> all(Given given) {
-        List<Tariff> tariffs = new ArrayList<>();
+    static List<PriorityClass> all(Settings given) {
+        List<PriorityClass> tariffs = new ArrayList<>();
         for (int i = 0; given.has("tariffs." + i + ".name"); i++) {
-            tariffs.add(new Tariff(given, i));
+            tariffs.add(new PriorityClass(given, i));
         }
         return tariffs;
     }
--- a/src/main/java/merlinlever/policy/Limit.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -1,12 +1,12 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.reached;
+import static merlinlever.Durations.reached;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
 
 /** This server's share of what the whole fleet may do: nothing beyond it, nothing once its lease is over. */
-final class Limit {
+final class QuotaLimiter {
     // A share of so many a second is kept in any span of this; its way to whom it is for is not quite even.
     private static final Duration SECOND = Duration.ofMillis(1050);
 
--- a/src/main/java/merlinlever/policy/Op.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -1,19 +1,19 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.earlier;
-import static merlinlever.Spans.millis;
+import static merlinlever.Durations.earlier;
+import static merlinlever.Durations.millis;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Ending;
-import merlinlever.Operation;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
 
 /**
  * An operation: what is known of it, how far it has come, and which part hears what happens to it. Nothing is
  * decided here.
  */
-final class Op implements Operation {
+final class Request implements RequestHandle {
     enum Phase {
         HELD,
         FOLLOWING,
@@ -24,21 +24,21 @@
         OVER
     }
 
-    private final Server server;
-    final Tariff tariff;
+    private final ServerState server;
+    final PriorityClass tariff;
     final Duration arrival, due, soft;
     final double kb, hintMs;
     final boolean sharable, again;
     Phase phase = Phase.HELD;
     boolean answered, ran, halting, calledAgain;
-    Ending end;
+    Outcome end;
     Duration startedAt, keptUntil;
-    Op original;
-    final List<Op> followers = new ArrayList<>(0);
+    Request original;
+    final List<Request> followers = new ArrayList<>(0);
 
-    Op(
-            Server server,
-            Tariff tariff,
+    Request(
+            ServerState server,
+            PriorityClass tariff,
             Duration arrival,
             Duration due,
             double kb,
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void ended(Duration now, Ending how) {
+    public void ended(Duration now, Outcome how) {
         server.clock(now);
         server.endings.ended(this, now, how);
     }
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void callEnded(Duration now, Ending how, Duration took) {
+    public void callEnded(Duration now, Outcome how, Duration took) {
         server.clock(now);
         if (phase == Phase.CALLING) {
             server.calls.ended(this, now, how, took);
--- a/src/main/java/merlinlever/policy/RunTimes.java
+++ b/src/main/java/merlinlever/policy/RunTimeEstimator.java
@@ -1,13 +1,13 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.*;
+import static merlinlever.Durations.*;
 
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.stream.IntStream;
 
 /** How long the runs of a tariff have taken, and how long one is likely to take. */
-final class RunTimes {
+final class RunTimeEstimator {
     private final Histogram runs = new Histogram(), perHint = new Histogram();
 
     /** Times in coarse bins, each half as wide again as the last, halved now and then. */
--- a/src/main/java/merlinlever/policy/Server.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -1,59 +1,59 @@
 package merlinlever.policy;
 
-import static merlinlever.Spans.ms;
+import static merlinlever.Durations.ms;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Given;
-import merlinlever.Settled;
-import merlinlever.policy.Op.Phase;
+import merlinlever.Decisions;
+import merlinlever.Settings;
+import merlinlever.policy.Request.Phase;
 
 /**
  * One life of a server, as all parts of the module see it: its clock, what is in hand, in which phase and
  * with how much memory, and the parts, which decide one thing each. Nothing is decided here.
  */
-final class Server {
-    final List<Tariff> tariffs;
+final class ServerState {
+    final List<PriorityClass> tariffs;
     final int cores;
     /** The shortest soft limit. */
     final Duration span;
 
     final double runFactor;
-    final Mode mode;
-    final Capacity capacity;
+    final OperatingMode mode;
+    final CapacityEstimator capacity;
     /** Of calls, then of the runs of each tariff. */
-    final List<Limit> limits = new ArrayList<>();
+    final List<QuotaLimiter> limits = new ArrayList<>();
 
-    final Calls calls;
-    final Admission admission;
-    final Repeats repeats;
-    final Starts starts;
-    final Endings endings;
-    final Level level;
+    final DownstreamCalls calls;
+    final AdmissionControl admission;
+    final DuplicateRequests repeats;
+    final Dispatcher starts;
+    final Completions endings;
+    final BackpressureSignals level;
 
-    final List<Op> hand = new ArrayList<>();
+    final List<Request> hand = new ArrayList<>();
     int held, onCores, atCalls, calling;
     double usedKb;
     Duration clock = Duration.ZERO;
-    Settled next = new Settled();
+    Decisions next = new Decisions();
 
-    Server(Given given, long seed) {
-        tariffs = Tariff.all(given);
+    ServerState(Settings given, long seed) {
+        tariffs = PriorityClass.all(given);
         span = tariffs.stream().map(t -> t.softLimit).min(Duration::compareTo).orElse(Duration.ofSeconds(1));
         cores = (int) Math.max(1, given.number("server.cores", 1));
         runFactor = given.number("server.run-factor", 4);
-        mode = new Mode(this, given);
-        capacity = new Capacity(this, given);
+        mode = new OperatingMode(this, given);
+        capacity = new CapacityEstimator(this, given);
         for (int i = 0; i <= tariffs.size(); i++) {
-            limits.add(new Limit());
+            limits.add(new QuotaLimiter());
         }
-        calls = new Calls(this, given, seed);
-        admission = new Admission(this, given, seed);
-        repeats = new Repeats(this, given);
-        starts = new Starts(this, given);
-        endings = new Endings(this, given);
-        level = new Level(this, given);
+        calls = new DownstreamCalls(this, given, seed);
+        admission = new AdmissionControl(this, given, seed);
+        repeats = new DuplicateRequests(this, given);
+        starts = new Dispatcher(this, given);
+        endings = new Completions(this, given);
+        level = new BackpressureSignals(this, given);
     }
 
     void clock(Duration now) {
@@ -69,14 +69,14 @@
         return onCores + atCalls + calling;
     }
 
-    void move(Op op, Phase to) {
+    void move(Request op, Phase to) {
         tally(op, -1);
         starts.moves(op.phase, to);
         op.phase = to;
         tally(op, 1);
     }
 
-    void tally(Op op, int sign) {
+    void tally(Request op, int sign) {
         usedKb += sign * (op.phase == Phase.OVER ? 0 : op.memory());
         switch (op.phase) {
             case HELD -> held += sign;
--- a/src/main/java/merlinlever/budgets/Budget.java
+++ b/src/main/java/merlinlever/quota/FleetQuota.java
@@ -1,8 +1,8 @@
-package merlinlever.budgets;
+package merlinlever.quota;
 
 import java.time.Duration;
 import java.util.Map;
-import merlinlever.term.Drift;
+import merlinlever.election.ClockDrift;
 
 /**
  * One limit of the whole fleet, as it is stated.
@@ -15,22 +15,22 @@
  * @param longest of one call, for a budget of calls at once: one that outlives its share is given up by then
  * @param weights by the name of a backend; 1 where none is stated
  */
-public record Budget(
+public record FleetQuota(
         String name,
         String of,
         long whole,
-        Per per,
+        QuotaKind per,
         Duration lease,
         double drift,
         Duration longest,
         Map<String, Integer> weights) {
 
-    public enum Per {
+    public enum QuotaKind {
         SECOND,
         AT_ONCE
     }
 
-    public Budget {
+    public FleetQuota {
         weights = Map.copyOf(weights);
     }
 
@@ -40,12 +40,12 @@
 
     /** What was given by a clock that runs fast is out for so long by any other. */
     public static Duration slowest(Duration span, double drift) {
-        return Drift.slowest(span, drift);
+        return ClockDrift.slowest(span, drift);
     }
 
     /** What may be counted on for the span by a clock that runs slow. */
     public static Duration surest(Duration span, double drift) {
-        return Drift.surest(span, drift);
+        return ClockDrift.surest(span, drift);
     }
 
     /**
@@ -53,6 +53,6 @@
      * whoever has it next, or are still at the party.
      */
     public Duration linger() {
-        return slowest(per == Per.SECOND ? Duration.ofSeconds(1) : longest, drift);
+        return slowest(per == QuotaKind.SECOND ? Duration.ofSeconds(1) : longest, drift);
     }
 }
--- a/src/main/java/merlinlever/budgets/Book.java
+++ b/src/main/java/merlinlever/quota/LeaseLedger.java
@@ -1,4 +1,4 @@
-package merlinlever.budgets;
+package merlinlever.quota;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
  * beyond what the asker may hold already comes out of what is certainly free; so whatever messages are lost, late or
  * twice, the sum of all that is held is never over the whole. Times are since the process began.
  */
-public final class Book {
+public final class LeaseLedger {
 
     /**
      * What a backend asks with.
@@ -21,32 +21,32 @@
      * @param held what it holds at this moment, by the grant of that number (0: none in this leadership)
      * @param inUse calls that are out at this moment, for a budget of calls at once
      */
-    public record Request(String holder, long life, long grant, long held, long inUse, long wanted) {}
+    public record LeaseRequest(String holder, long life, long grant, long held, long inUse, long wanted) {}
 
     /** What was granted, under a number that the asker's next request tells it has. */
-    public record Grant(long number, long amount) {}
+    public record LeaseGrant(long number, long amount) {}
 
     /** One amount that may be held until then. */
-    private static final class Out {
+    private static final class IssuedLease {
         final long number;
         final long amount;
         Duration until;
 
-        Out(long number, long amount, Duration until) {
+        IssuedLease(long number, long amount, Duration until) {
             this.number = number;
             this.amount = amount;
             this.until = until;
         }
     }
 
-    private static final class Account {
-        final List<Out> out = new ArrayList<>();
+    private static final class HolderAccount {
+        final List<IssuedLease> out = new ArrayList<>();
         long wanted;
         Duration askedAt;
 
         long most() {
             long most = 0;
-            for (Out each : out) {
+            for (IssuedLease each : out) {
                 most = Math.max(most, each.amount);
             }
             return most;
@@ -56,26 +56,26 @@
     /** Accounts at the most; beyond, nobody new is granted anything. */
     private static final int MOST = 4096;
 
-    private Budget budget;
+    private FleetQuota budget;
     /** When every share that leaders before gave has run out. */
     private final Duration settledAt;
 
-    private final Map<String, Account> accounts = new TreeMap<>();
+    private final Map<String, HolderAccount> accounts = new TreeMap<>();
     private long numbers;
     private int turn;
 
     /** A new leadership knows nothing of what was granted before it. */
-    public Book(Duration now, Budget budget) {
+    public LeaseLedger(Duration now, FleetQuota budget) {
         this.budget = budget;
-        settledAt = now.plus(Budget.slowest(budget.lease(), budget.drift())).plus(budget.linger());
+        settledAt = now.plus(FleetQuota.slowest(budget.lease(), budget.drift())).plus(budget.linger());
     }
 
     /** The whole was changed; what is out over a smaller one comes back as its leases run out. */
-    public void whole(Budget changed) {
+    public void whole(FleetQuota changed) {
         budget = changed;
     }
 
-    private static String key(Request request) {
+    private static String key(LeaseRequest request) {
         return request.holder() + "#" + request.life();
     }
 
@@ -89,52 +89,52 @@
     /** The most that all may hold together now. */
     public long out(Duration now) {
         expire(now);
-        return accounts.values().stream().mapToLong(Account::most).sum();
+        return accounts.values().stream().mapToLong(HolderAccount::most).sum();
     }
 
     /** Answers a request, or null where there is no room for another account. */
-    public Grant grant(Duration now, Request request) {
+    public LeaseGrant grant(Duration now, LeaseRequest request) {
         expire(now);
-        Account account = accounts.get(key(request));
+        HolderAccount account = accounts.get(key(request));
         if (account == null) {
             if (accounts.size() >= MOST) {
                 return null;
             }
-            account = new Account();
+            account = new HolderAccount();
             accounts.put(key(request), account);
         }
         account.askedAt = now;
         account.wanted = Math.max(0, request.wanted());
         Duration until =
-                now.plus(Budget.slowest(budget.lease(), budget.drift())).plus(budget.linger());
+                now.plus(FleetQuota.slowest(budget.lease(), budget.drift())).plus(budget.linger());
         if (request.grant() == 0 && request.held() > 0 && account.out.isEmpty()) {
             // By a leader before: it may hold that until its lease runs out, which no leader can have given later than
             // now.
-            account.out.add(new Out(0, request.held(), until));
+            account.out.add(new IssuedLease(0, request.held(), until));
         }
         // It has a later grant: what it had before counts only as long as its last calls may.
-        for (Out out : account.out) {
+        for (IssuedLease out : account.out) {
             if (out.number < request.grant() && out.until.compareTo(now.plus(budget.linger())) > 0) {
                 out.until = now.plus(budget.linger());
             }
         }
         if (request.inUse() > account.most()) {
-            account.out.add(new Out(0, request.inUse(), now.plus(budget.linger())));
+            account.out.add(new IssuedLease(0, request.inUse(), now.plus(budget.linger())));
         }
         long others = out(now) - account.most();
         long free = Math.max(0, budget.whole() - others);
         // Until all that leaders before gave has run out, nothing is certainly free.
         long most = now.compareTo(settledAt) < 0 ? Math.min(request.held(), account.most()) : free;
         long amount = Math.min(fair(now, key(request)), most);
-        Grant grant = new Grant(++numbers, Math.max(0, amount));
-        account.out.add(new Out(grant.number(), grant.amount(), until));
+        LeaseGrant grant = new LeaseGrant(++numbers, Math.max(0, amount));
+        account.out.add(new IssuedLease(grant.number(), grant.amount(), until));
         return grant;
     }
 
     /** What the asker would get if all that asked lately were to be given their shares now. */
     private long fair(Duration now, String key) {
         List<String> asking = new ArrayList<>();
-        for (Map.Entry<String, Account> entry : accounts.entrySet()) {
+        for (Map.Entry<String, HolderAccount> entry : accounts.entrySet()) {
             if (now.minus(entry.getValue().askedAt).compareTo(budget.lease()) < 0) {
                 asking.add(entry.getKey());
             }
@@ -145,7 +145,7 @@
             wanted[i] = accounts.get(asking.get(i)).wanted;
             weights[i] = budget.weight(asking.get(i).substring(0, asking.get(i).lastIndexOf('#')));
         }
-        return Division.shares(budget.whole(), wanted, weights, turn)[asking.indexOf(key)];
+        return MaxMinFairAllocation.shares(budget.whole(), wanted, weights, turn)[asking.indexOf(key)];
     }
 
     /** What is left over goes to the next ones from here on. */
--- a/src/main/java/merlinlever/budgets/Division.java
+++ b/src/main/java/merlinlever/quota/MaxMinFairAllocation.java
@@ -1,12 +1,12 @@
-package merlinlever.budgets;
+package merlinlever.quota;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
 /** Weighted max-min fair shares: nobody gets more than it wants, and nobody could get more without one that has less by weight losing. */
-public final class Division {
+public final class MaxMinFairAllocation {
 
-    private Division() {}
+    private MaxMinFairAllocation() {}
 
     /**
      * Whole shares that sum to the smaller of the whole and what is wanted.
--- a/src/main/java/merlinlever/budgets/Sharing.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -1,4 +1,4 @@
-package merlinlever.budgets;
+package merlinlever.quota;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,28 +6,28 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.term.Leadership;
-import merlinlever.term.Terms;
-import merlinlever.view.Act;
-import merlinlever.view.Permits;
-import merlinlever.view.Seen;
+import merlinlever.election.LeaderElection;
+import merlinlever.election.Leadership;
+import merlinlever.view.ActionPermissions;
+import merlinlever.view.FleetView;
+import merlinlever.view.GuardedAction;
 
 /**
  * One backend's part in the division of all budgets: divides where it leads, asks whoever leads for its shares, and tells
  * the spender what it may spend until when. What it says to itself does not leave the process. Decisions alone.
  *
  * <p>Words, each with its number: {@code Q/term/budget/life/grant/held/inUse/wanted} asks for a share, {@code
- * G/term/budget/grant/amount} grants it; who leads is told by a word of {@link Terms}.
+ * G/term/budget/grant/amount} grants it; who leads is told by a word of {@link LeaderElection}.
  */
-public final class Sharing {
+public final class QuotaCoordinator {
 
     /** Who spends; times are since the process began. */
-    public interface Spender {
+    public interface QuotaConsumer {
         /** What is in use of the budget now, and what would be used if there were more. */
-        long[] demand(Duration now, Budget budget);
+        long[] demand(Duration now, FleetQuota budget);
 
         /** It may use so much until then. */
-        void share(Budget budget, long share, Duration until);
+        void share(FleetQuota budget, long share, Duration until);
     }
 
     /** Beyond what is used, so much of it is asked for as well, and one: or nobody who has little could show that it wants more. */
@@ -38,34 +38,34 @@
 
     private final String self;
     private final long life;
-    private final List<Budget> budgets;
-    private final List<Holding> holdings = new ArrayList<>();
+    private final List<FleetQuota> budgets;
+    private final List<QuotaLease> holdings = new ArrayList<>();
     private final Duration[] nextAsk;
     private final boolean[] used;
-    private final List<Book> books = new ArrayList<>();
-    private final Terms terms;
+    private final List<LeaseLedger> books = new ArrayList<>();
+    private final LeaderElection terms;
     private final SplittableRandom chance;
-    private final Spender spender;
+    private final QuotaConsumer spender;
     private final Consumer<String> log;
     private long bookTerm = -1;
     /** Null where there is no view of the fleet; then terms alone say who may give. */
-    private Seen seen;
+    private FleetView seen;
 
     private Duration nextTurn = Duration.ZERO;
-    private final List<Terms.Say> out = new ArrayList<>();
+    private final List<LeaderElection.PeerMessage> out = new ArrayList<>();
 
     /**
      * @param life a number that no other life of this backend has
      * @param terms who leads; looked at and told by its owner, before this one is looked at
      */
-    public Sharing(
+    public QuotaCoordinator(
             Duration now,
             String self,
             long life,
-            List<Budget> budgets,
-            Terms terms,
+            List<FleetQuota> budgets,
+            LeaderElection terms,
             SplittableRandom chance,
-            Spender spender,
+            QuotaConsumer spender,
             Consumer<String> log) {
         this.self = self;
         this.life = life;
@@ -77,20 +77,20 @@
         nextAsk = new Duration[budgets.size()];
         used = new boolean[budgets.size()];
         for (int i = 0; i < nextAsk.length; i++) {
-            holdings.add(new Holding(budgets.get(i), life));
+            holdings.add(new QuotaLease(budgets.get(i), life));
             nextAsk[i] = now;
         }
     }
 
     /** From here on it gives shares only while its standing among the others lets it. */
-    public void under(Seen with) {
+    public void under(FleetView with) {
         seen = with;
     }
 
     /** The wholes were changed; a share over a smaller one is given back as the leases run out. */
-    public void wholes(List<Budget> changed) {
+    public void wholes(List<FleetQuota> changed) {
         for (int i = 0; i < budgets.size(); i++) {
-            for (Budget each : changed) {
+            for (FleetQuota each : changed) {
                 if (each.name().equals(budgets.get(i).name())) {
                     budgets.set(i, each);
                     holdings.get(i).whole(each);
@@ -105,11 +105,11 @@
     // ---- a look at all
 
     /** What is to be said now; to be asked for every few ms. */
-    public List<Terms.Say> look(Duration now) {
+    public List<LeaderElection.PeerMessage> look(Duration now) {
         Leadership.Leader leader = terms.leader(now);
         books(now);
         for (int i = 0; i < budgets.size(); i++) {
-            Holding holding = holdings.get(i);
+            QuotaLease holding = holdings.get(i);
             long[] demand = spender.demand(now, budgets.get(i));
             used[i] |= demand[1] > 0;
             // One that is out of share and wants some does not wait for its turn as long.
@@ -130,11 +130,11 @@
     }
 
     private void say(String to, long number, String what) {
-        out.add(new Terms.Say(to, number, what));
+        out.add(new LeaderElection.PeerMessage(to, number, what));
     }
 
-    private List<Terms.Say> said() {
-        List<Terms.Say> all = List.copyOf(out);
+    private List<LeaderElection.PeerMessage> said() {
+        List<LeaderElection.PeerMessage> all = List.copyOf(out);
         out.clear();
         return all;
     }
@@ -153,7 +153,7 @@
             return;
         }
         long wanted = demand[1] == 0 && !used[i] ? 0 : demand[1] + demand[1] / MORE + 1;
-        Holding.Ask ask = holdings.get(i)
+        QuotaLease.RenewalRequest ask = holdings.get(i)
                 .ask(
                         now,
                         leader.term(),
@@ -164,8 +164,10 @@
             return;
         }
         if (leader.name().equals(self)) {
-            Book.Grant grant =
-                    grant(now, i, new Book.Request(self, life, ask.grant(), ask.held(), ask.inUse(), ask.wanted()));
+            LeaseLedger.LeaseGrant grant = grant(
+                    now,
+                    i,
+                    new LeaseLedger.LeaseRequest(self, life, ask.grant(), ask.held(), ask.inUse(), ask.wanted()));
             if (grant != null) {
                 holdings.get(i).granted(now, leader.term(), ask.number(), grant.number(), grant.amount());
             }
@@ -178,8 +180,8 @@
         }
     }
 
-    private Book.Grant grant(Duration now, int budget, Book.Request request) {
-        boolean may = seen == null || seen.may(now, Act.GRANT) == Permits.May.YES;
+    private LeaseLedger.LeaseGrant grant(Duration now, int budget, LeaseLedger.LeaseRequest request) {
+        boolean may = seen == null || seen.may(now, GuardedAction.GRANT) == ActionPermissions.Permission.YES;
         return books.isEmpty() || !may ? null : books.get(budget).grant(now, request);
     }
 
@@ -193,20 +195,20 @@
         if (bookTerm != terms.term()) {
             bookTerm = terms.term();
             books.clear();
-            budgets.forEach(budget -> books.add(new Book(now, budget)));
+            budgets.forEach(budget -> books.add(new LeaseLedger(now, budget)));
             log.accept("budgets: leads, term " + bookTerm);
         }
         if (now.compareTo(nextTurn) >= 0) {
             nextTurn = now.plus(
                     budgets.isEmpty() ? Duration.ofSeconds(1) : budgets.get(0).lease());
-            books.forEach(Book::turn);
+            books.forEach(LeaseLedger::turn);
         }
     }
 
     // ---- what others say
 
     /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<Terms.Say> said(Duration now, String name, long number, String what) {
+    public List<LeaderElection.PeerMessage> said(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
@@ -250,10 +252,10 @@
         if (i < 0) {
             return;
         }
-        Book.Grant grant = grant(
+        LeaseLedger.LeaseGrant grant = grant(
                 now,
                 i,
-                new Book.Request(
+                new LeaseLedger.LeaseRequest(
                         name,
                         Long.parseUnsignedLong(part[3], 16),
                         Long.parseLong(part[4]),
@@ -279,7 +281,7 @@
         StringBuilder text = new StringBuilder("[");
         Leadership.Leader leader = terms.leader(now);
         for (int i = 0; i < budgets.size(); i++) {
-            Holding holding = holdings.get(i);
+            QuotaLease holding = holdings.get(i);
             text.append(i == 0 ? "" : ",")
                     .append("{\"name\":\"")
                     .append(budgets.get(i).name())
--- a/src/main/java/merlinlever/budgets/Holding.java
+++ b/src/main/java/merlinlever/quota/QuotaLease.java
@@ -1,4 +1,4 @@
-package merlinlever.budgets;
+package merlinlever.quota;
 
 import java.time.Duration;
 
@@ -7,30 +7,30 @@
  * may drift apart, and is nothing after that: a backend that loses contact keeps what it holds until then and never more.
  * Times are since the process began.
  */
-public final class Holding {
+public final class QuotaLease {
 
     /** A question for a share, under a number that the answer has to bear. */
-    public record Ask(long number, long grant, long held, long inUse, long wanted) {}
+    public record RenewalRequest(long number, long grant, long held, long inUse, long wanted) {}
 
-    private Budget budget;
+    private FleetQuota budget;
     private long number, answered;
     private Duration askedAt;
     private long term, grant, amount;
     private Duration until = Duration.ZERO;
 
     /** @param first number of its questions, which no other life of this backend comes near: an old answer is none to it */
-    public Holding(Budget budget, long first) {
+    public QuotaLease(FleetQuota budget, long first) {
         this.budget = budget;
         number = first;
         answered = first;
     }
 
-    public Budget budget() {
+    public FleetQuota budget() {
         return budget;
     }
 
     /** The whole was changed. */
-    public void whole(Budget changed) {
+    public void whole(FleetQuota changed) {
         budget = changed;
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** Asks the leader of that term; from here on nothing of an older one is taken. */
-    public Ask ask(Duration now, long ofTerm, long inUse, long wanted) {
+    public RenewalRequest ask(Duration now, long ofTerm, long inUse, long wanted) {
         if (ofTerm < term) {
             return null;
         }
@@ -66,7 +66,7 @@
         }
         number++;
         askedAt = now;
-        return new Ask(number, grant, share(now), inUse, wanted);
+        return new RenewalRequest(number, grant, share(now), inUse, wanted);
     }
 
     /** The answer to the last question; older ones, doubled ones and those of older leaders change nothing. */
@@ -77,7 +77,7 @@
         answered = to;
         grant = itsNumber;
         amount = itsAmount;
-        until = askedAt.plus(Budget.surest(budget.lease(), budget.drift()));
+        until = askedAt.plus(FleetQuota.surest(budget.lease(), budget.drift()));
         return true;
     }
 }
--- a/src/main/java/merlinlever/budgets/net/Budgets.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -1,43 +1,43 @@
-package merlinlever.budgets.net;
+package merlinlever.quota.net;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.budgets.Budget;
-import merlinlever.budgets.Sharing;
-import merlinlever.members.Members;
-import merlinlever.net.Loop;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.term.Terms;
-import merlinlever.term.net.Leading;
-import merlinlever.view.Seen;
+import merlinlever.election.LeaderElection;
+import merlinlever.election.net.ElectionTransport;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.net.EventLoop;
+import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaCoordinator;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.view.FleetView;
 
 /** One backend's part in the division of all budgets, on the loop and membership's datagrams. */
-public final class Budgets implements Members.Hearer {
+public final class QuotaTransport implements SwimProtocol.TextMessageHandler {
 
     private static final Set<String> WORDS = Set.of("Q", "G");
     private static final Duration LOOK = Duration.ofMillis(20);
 
-    private final Loop loop;
-    private final Rejoin rejoin;
-    private final Sharing sharing;
+    private final EventLoop loop;
+    private final RecoveryCoordinator rejoin;
+    private final QuotaCoordinator sharing;
 
     /** @param life a number that no other life of this backend has */
-    public Budgets(
-            Loop loop,
-            Rejoin rejoin,
-            List<Budget> budgets,
-            Leading leading,
-            Seen seen,
+    public QuotaTransport(
+            EventLoop loop,
+            RecoveryCoordinator rejoin,
+            List<FleetQuota> budgets,
+            ElectionTransport leading,
+            FleetView seen,
             long life,
             long seed,
-            Sharing.Spender spender,
+            QuotaCoordinator.QuotaConsumer spender,
             Consumer<String> log) {
         this.loop = loop;
         this.rejoin = rejoin;
-        sharing = new Sharing(
+        sharing = new QuotaCoordinator(
                 loop.clock().uptime(),
                 rejoin.members().views().self(),
                 life,
@@ -51,7 +51,7 @@
         loop.every(LOOK, () -> say(sharing.look(loop.clock().uptime())));
     }
 
-    private void say(List<Terms.Say> all) {
+    private void say(List<LeaderElection.PeerMessage> all) {
         all.forEach(each -> rejoin.members().say(each.to(), each.number(), each.what()));
         if (!all.isEmpty()) {
             rejoin.send();
@@ -63,12 +63,12 @@
         say(sharing.said(loop.clock().uptime(), name, number, what));
     }
 
-    /** See {@link Sharing#wholes}. */
-    public void wholes(List<Budget> changed) {
+    /** See {@link QuotaCoordinator#wholes}. */
+    public void wholes(List<FleetQuota> changed) {
         sharing.wholes(changed);
     }
 
-    /** See {@link Sharing#json}. */
+    /** See {@link QuotaCoordinator#json}. */
     public String json() {
         return sharing.json(loop.clock().uptime());
     }
--- a/src/main/java/merlinlever/budgets/net/package-info.java
+++ b/src/main/java/merlinlever/quota/net/package-info.java
@@ -1,2 +1,2 @@
 /** Budgets among the backends: promises, questions for shares and their answers, over membership's datagrams. */
-package merlinlever.budgets.net;
+package merlinlever.quota.net;
--- a/src/main/java/merlinlever/records/RecordsLink.java
+++ b/src/main/java/merlinlever/records/RecordsClient.java
@@ -11,20 +11,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import merlinlever.Ending;
-import merlinlever.core.Calls;
-import merlinlever.core.Work;
+import merlinlever.Outcome;
+import merlinlever.core.DownstreamService;
+import merlinlever.core.TrackedRequest;
 import merlinlever.log.Log;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 
 /**
  * All calls to the records service. Each has a connection to itself while it is in hand, so that one spoilt reply, one
  * that never comes or one broken connection costs one call; a connection that brought its one whole reply and nothing
  * else is used again, the one used last first.
  */
-public final class RecordsLink implements Calls {
+public final class RecordsClient implements DownstreamService {
 
     private static final int MOST_QUEUED = 64 * 1024;
     private static final Duration CONNECT = Duration.ofSeconds(2);
@@ -36,30 +36,30 @@
     /** A reply may take so much longer than the service was told that we wait. */
     private static final Duration LATE = Duration.ofMillis(20);
 
-    private final Loop loop;
-    private final Maker maker;
+    private final EventLoop loop;
+    private final CompletionListener maker;
     private final Log log;
     private final int most;
     private InetSocketAddress address;
-    private final Map<Long, Call> calls = new LinkedHashMap<>();
+    private final Map<Long, PendingCall> calls = new LinkedHashMap<>();
     /** Calls in hand that have no line yet. */
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
     /** Lines without a call, the one used last first. */
-    private final ArrayDeque<Line> idle = new ArrayDeque<>();
+    private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
 
     private int lines;
     /** While calls get their lines, a line that ends has the next one to do. */
     private boolean dealing;
 
     /** One call, from its asking to its end. */
-    private static final class Call {
-        private final Work work;
+    private static final class PendingCall {
+        private final TrackedRequest work;
         private final byte[] body;
         private final Duration until;
-        private Loop.Timer limit;
-        private Line line;
+        private EventLoop.Timer limit;
+        private PooledConnection line;
 
-        Call(Work work, byte[] body, Duration until) {
+        PendingCall(TrackedRequest work, byte[] body, Duration until) {
             this.work = work;
             this.body = body;
             this.until = until;
@@ -67,10 +67,10 @@
     }
 
     /** One connection. */
-    private final class Line implements Connection.User {
+    private final class PooledConnection implements Connection.Handler {
         private final InetSocketAddress to = address;
         private Connection connection;
-        private Call call;
+        private PendingCall call;
         private long lastId;
         private boolean made, surplus;
         /** Since when it has been idle, or has held a part of a reply. */
@@ -78,7 +78,7 @@
 
         private boolean partly;
 
-        private void carry(Call next) {
+        private void carry(PendingCall next) {
             call = next;
             next.line = this;
             lastId = next.work.id();
@@ -97,7 +97,7 @@
         @Override
         public void read(ByteBuffer in) {
             try {
-                Reply reply = Reply.read(in.array(), in.position(), in.limit());
+                RecordsReply reply = RecordsReply.read(in.array(), in.position(), in.limit());
                 while (reply != null) {
                     in.position(reply.end());
                     if (call != null && reply.id() == lastId) {
@@ -105,9 +105,9 @@
                     } else {
                         surplus = true;
                     }
-                    reply = Reply.read(in.array(), in.position(), in.limit());
+                    reply = RecordsReply.read(in.array(), in.position(), in.limit());
                 }
-            } catch (Reply.Malformed e) {
+            } catch (RecordsReply.MalformedReplyException e) {
                 log.warn("records service: " + e.getMessage());
                 connection.end(CloseReason.MALFORMED);
                 return;
@@ -141,7 +141,7 @@
      * @param address of the service, or null where there is none
      * @param most connections at the same time; calls beyond that wait for one
      */
-    public RecordsLink(Loop loop, InetSocketAddress address, Maker maker, Log log, int most) {
+    public RecordsClient(EventLoop loop, InetSocketAddress address, CompletionListener maker, Log log, int most) {
         this.loop = loop;
         this.address = address;
         this.maker = maker;
@@ -156,12 +156,12 @@
             return;
         }
         address = there;
-        List<Line> unmade = calls.values().stream()
+        List<PooledConnection> unmade = calls.values().stream()
                 .map(call -> call.line)
                 .filter(line -> line != null && !line.made)
                 .toList();
         for (int i = unmade.size(); i-- > 0; ) {
-            Line line = unmade.get(i);
+            PooledConnection line = unmade.get(i);
             waiting.addFirst(line.call);
             line.call.line = null;
             line.call = null;
@@ -191,14 +191,14 @@
     }
 
     @Override
-    public void call(Work work, byte[] body, Duration within) {
+    public void call(TrackedRequest work, byte[] body, Duration within) {
         if (address == null) {
             loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), CloseReason.NOT_MADE.ofCall(), null));
             return;
         }
         // The service takes a second call for an operation as the end of its first.
         giveUp(work);
-        Call call = new Call(work, body, loop.clock().uptime().plus(within));
+        PendingCall call = new PendingCall(work, body, loop.clock().uptime().plus(within));
         calls.put(work.id(), call);
         // What has been read is gone through before: a reply that is among it is in time, and an idle line whose end is
         // among it gets no call.
@@ -207,23 +207,23 @@
         loop.execute(this::nextWaiting);
     }
 
-    private void expired(Call call) {
+    private void expired(PendingCall call) {
         if (calls.get(call.work.id()) == call) {
-            giveUp(call, Ending.GIVEN_UP);
+            giveUp(call, Outcome.GIVEN_UP);
         }
     }
 
     @Override
-    public void giveUp(Work work) {
-        Call call = calls.get(work.id());
+    public void giveUp(TrackedRequest work) {
+        PendingCall call = calls.get(work.id());
         if (call != null) {
             giveUp(call, null);
         }
     }
 
     /** With its connection, on which the reply may still come. */
-    private void giveUp(Call call, Ending how) {
-        Line its = call.line;
+    private void giveUp(PendingCall call, Outcome how) {
+        PooledConnection its = call.line;
         over(call, how, null);
         if (its != null) {
             its.connection.end(CloseReason.SLOW);
@@ -231,7 +231,7 @@
     }
 
     /** The call is in hand no longer; where it matters how it ended, the backend hears of it. */
-    private void over(Call call, Ending how, byte[] reply) {
+    private void over(PendingCall call, Outcome how, byte[] reply) {
         calls.remove(call.work.id());
         waiting.remove(call);
         call.limit.callOff();
@@ -249,7 +249,7 @@
         }
         dealing = true;
         try {
-            Line line = null;
+            PooledConnection line = null;
             while (!waiting.isEmpty() && (line = line(waiting.peek().work.id())) != null) {
                 line.carry(waiting.poll());
             }
@@ -259,9 +259,9 @@
     }
 
     /** One for the operation's call, or null as long as there is none; never the one that its last call was on. */
-    private Line line(long id) {
-        for (Iterator<Line> all = idle.iterator(); all.hasNext(); ) {
-            Line line = all.next();
+    private PooledConnection line(long id) {
+        for (Iterator<PooledConnection> all = idle.iterator(); all.hasNext(); ) {
+            PooledConnection line = all.next();
             if (line.lastId != id) {
                 all.remove();
                 return line;
@@ -274,10 +274,15 @@
         if (lines >= most) {
             return null;
         }
-        Line made = new Line();
+        PooledConnection made = new PooledConnection();
         try {
             made.connection = Connection.to(
-                    loop, address, made, Reply.LONGEST_LINE + Reply.LONGEST_BODY + 4, MOST_QUEUED, CONNECT);
+                    loop,
+                    address,
+                    made,
+                    RecordsReply.LONGEST_LINE + RecordsReply.LONGEST_BODY + 4,
+                    MOST_QUEUED,
+                    CONNECT);
         } catch (IOException e) {
             log.error("no channel to the records service", e);
             return null;
--- a/src/main/java/merlinlever/records/Reply.java
+++ b/src/main/java/merlinlever/records/RecordsReply.java
@@ -2,46 +2,46 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 
 /**
  * One reply of the records service.
  *
  * @param end where it ends in the bytes it was read from
  */
-record Reply(long id, Ending ending, byte[] body, int end) {
+record RecordsReply(long id, Outcome ending, byte[] body, int end) {
 
     static final int LONGEST_LINE = 128;
     static final int LONGEST_BODY = 16 * 1024;
 
     /** Bytes that are no reply. */
-    static final class Malformed extends Exception {
+    static final class MalformedReplyException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Malformed(String message) {
+        MalformedReplyException(String message) {
             super(message);
         }
     }
 
     /** The reply that begins at {@code start}, or null as long as it is not whole. */
-    static Reply read(byte[] bytes, int start, int limit) throws Malformed {
+    static RecordsReply read(byte[] bytes, int start, int limit) throws MalformedReplyException {
         int at = start;
         while (at + 1 < limit && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
             // Noise need not have an end, so it is not waited for.
             if (bytes[at] < ' ' || bytes[at] == 127) {
-                throw new Malformed("no reply: what is not text");
+                throw new MalformedReplyException("no reply: what is not text");
             }
             at++;
         }
         if (at + 1 >= limit) {
             if (limit - start > LONGEST_LINE) {
-                throw new Malformed("a line of over " + LONGEST_LINE + " bytes");
+                throw new MalformedReplyException("a line of over " + LONGEST_LINE + " bytes");
             }
             return null;
         }
         String[] parts = new String(bytes, start, at - start, StandardCharsets.ISO_8859_1).split(" ");
         if (parts.length < 2 || parts.length > 3 || parts[0].length() != 16) {
-            throw new Malformed("no reply: " + String.join(" ", parts));
+            throw new MalformedReplyException("no reply: " + String.join(" ", parts));
         }
         int bodyAt = at + 2;
         int length = 0;
@@ -49,7 +49,7 @@
         if (parts.length == 3) {
             long stated = number(parts[2], 10);
             if (stated < 0 || stated > LONGEST_BODY) {
-                throw new Malformed("no length: " + parts[2]);
+                throw new MalformedReplyException("no length: " + parts[2]);
             }
             length = (int) stated;
             end = bodyAt + length + 2;
@@ -57,32 +57,32 @@
                 return null;
             }
             if (bytes[end - 2] != '\r' || bytes[end - 1] != '\n') {
-                throw new Malformed("a body without its end");
+                throw new MalformedReplyException("a body without its end");
             }
         }
-        Ending ending = ending(parts[1]);
-        if (ending == Ending.OK && parts.length != 3) {
-            throw new Malformed("done, without a length");
+        Outcome ending = ending(parts[1]);
+        if (ending == Outcome.OK && parts.length != 3) {
+            throw new MalformedReplyException("done, without a length");
         }
-        return new Reply(number(parts[0], 16), ending, Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
+        return new RecordsReply(number(parts[0], 16), ending, Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
     }
 
-    private static long number(String digits, int radix) throws Malformed {
+    private static long number(String digits, int radix) throws MalformedReplyException {
         try {
             return Long.parseUnsignedLong(digits, radix);
         } catch (NumberFormatException e) {
-            throw new Malformed("no number: " + digits);
+            throw new MalformedReplyException("no number: " + digits);
         }
     }
 
-    private static Ending ending(String word) throws Malformed {
+    private static Outcome ending(String word) throws MalformedReplyException {
         return switch (word) {
-            case "DONE" -> Ending.OK;
-            case "WAIT" -> Ending.TURNED_AWAY;
-            case "ERROR" -> Ending.ERROR;
-            case "PAST" -> Ending.GIVEN_UP;
-            case "EMPTY" -> Ending.NEVER_BEGUN;
-            default -> throw new Malformed("unknown word " + word);
+            case "DONE" -> Outcome.OK;
+            case "WAIT" -> Outcome.TURNED_AWAY;
+            case "ERROR" -> Outcome.ERROR;
+            case "PAST" -> Outcome.GIVEN_UP;
+            case "EMPTY" -> Outcome.NEVER_BEGUN;
+            default -> throw new MalformedReplyException("unknown word " + word);
         };
     }
 }
--- a/src/main/java/merlinlever/recovery/Memory.java
+++ b/src/main/java/merlinlever/recovery/PersistedState.java
@@ -13,7 +13,7 @@
  * @param capacity operations that the hold could take, learned in service; 0 where nothing was learned
  * @param peers where others were known to listen
  */
-public record Memory(
+public record PersistedState(
         String owner,
         long incarnations,
         long term,
@@ -25,7 +25,7 @@
     /** Of the others so many are remembered; membership brings the rest. */
     public static final int MOST_PEERS = 64;
 
-    public Memory {
+    public PersistedState {
         peers = List.copyOf(peers.subList(0, Math.min(MOST_PEERS, peers.size())));
     }
 }
--- a/src/main/java/merlinlever/recovery/Trust.java
+++ b/src/main/java/merlinlever/recovery/PersistedStateAssessor.java
@@ -10,10 +10,10 @@
  * What a new life believes of what the one before left. Believed is only what was forced to the disk and is this
  * process's own; what might have happened after the last force is taken as having happened.
  */
-public final class Trust {
+public final class PersistedStateAssessor {
 
     /** What became of one piece. */
-    public enum Belief implements WireNamed {
+    public enum Disposition implements WireNamed {
         KEPT("kept"),
         AGED("aged"),
         THROWN_AWAY("thrown away"),
@@ -21,7 +21,7 @@
 
         private final String wireName;
 
-        Belief(String wireName) {
+        Disposition(String wireName) {
             this.wireName = wireName;
         }
 
@@ -32,7 +32,7 @@
     }
 
     /** One piece and why it is believed or not, for people. */
-    public record Finding(String piece, Belief belief, String why) {
+    public record Finding(String piece, Disposition belief, String why) {
         public String told() {
             return piece + ": " + belief.wireName() + ", " + why;
         }
@@ -48,7 +48,7 @@
      * @param capacity a starting guess, 0 for none
      * @param weight of the guess, in completions of operations
      */
-    public record Verdict(
+    public record TrustedState(
             List<Finding> findings,
             long incarnation,
             long term,
@@ -63,7 +63,7 @@
 
     private static final Duration HALF_LIFE = Duration.ofMinutes(5);
 
-    private Trust() {}
+    private PersistedStateAssessor() {}
 
     /**
      * Judges what was found.
@@ -72,10 +72,10 @@
      * @param spoilt why it could not be read, or null
      * @param owner who asks
      */
-    public static Verdict judge(Memory left, String spoilt, String owner, long unixNow) {
+    public static TrustedState judge(PersistedState left, String spoilt, String owner, long unixNow) {
         List<Finding> findings = new ArrayList<>();
         if (left == null) {
-            Belief belief = spoilt == null ? Belief.ABSENT : Belief.THROWN_AWAY;
+            Disposition belief = spoilt == null ? Disposition.ABSENT : Disposition.THROWN_AWAY;
             String why = spoilt == null ? "the folder holds none" : spoilt;
             findings.add(
                     new Finding("incarnation", belief, why + "; starts at 1 and rises above what others have heard"));
@@ -86,28 +86,30 @@
             findings.add(new Finding("keyed work", belief, why + "; may have been begun until this start"));
             findings.add(new Finding("capacity", belief, why + "; learned anew"));
             findings.add(new Finding("peers", belief, why + "; those that the configuration names are asked"));
-            return new Verdict(findings, 1, 0, UNKNOWN, 0, 0, List.of());
+            return new TrustedState(findings, 1, 0, UNKNOWN, 0, 0, List.of());
         }
         long incarnation = left.incarnations() + 1;
         if (!left.owner().equals(owner)) {
             String why = "it is that of " + left.owner() + ", not of " + owner;
             findings.add(new Finding(
                     "incarnation",
-                    Belief.KEPT,
+                    Disposition.KEPT,
                     "above " + left.incarnations() + ", as a higher one does no harm; " + why));
-            findings.add(new Finding("term", Belief.KEPT, "none under " + left.term() + " is promised; " + why));
-            findings.add(
-                    new Finding("keyed work", Belief.THROWN_AWAY, why + "; may have been begun here until this start"));
-            findings.add(new Finding("capacity", Belief.THROWN_AWAY, why));
-            findings.add(new Finding("peers", Belief.THROWN_AWAY, why));
-            return new Verdict(findings, incarnation, left.term(), UNKNOWN, 0, 0, List.of());
+            findings.add(new Finding("term", Disposition.KEPT, "none under " + left.term() + " is promised; " + why));
+            findings.add(new Finding(
+                    "keyed work", Disposition.THROWN_AWAY, why + "; may have been begun here until this start"));
+            findings.add(new Finding("capacity", Disposition.THROWN_AWAY, why));
+            findings.add(new Finding("peers", Disposition.THROWN_AWAY, why));
+            return new TrustedState(findings, incarnation, left.term(), UNKNOWN, 0, 0, List.of());
         }
         findings.add(new Finding(
                 "incarnation",
-                Belief.KEPT,
+                Disposition.KEPT,
                 "up to " + left.incarnations() + " may have been told, goes on at " + incarnation));
         findings.add(new Finding(
-                "term", Belief.KEPT, "none under " + left.term() + " is promised; leases from before are held lost"));
+                "term",
+                Disposition.KEPT,
+                "none under " + left.term() + " is promised; leases from before are held lost"));
         long down = unixNow - left.wroteAt();
         boolean back = down < 0;
         long keyedUntil = back ? UNKNOWN : left.keyedUntil();
@@ -115,23 +117,23 @@
                 back
                         ? new Finding(
                                 "keyed work",
-                                Belief.THROWN_AWAY,
+                                Disposition.THROWN_AWAY,
                                 "the clock went back by " + -down
                                         + " ms across the outage; may have been begun until this start")
                         : new Finding(
                                 "keyed work",
-                                Belief.KEPT,
+                                Disposition.KEPT,
                                 "may have been begun until " + Math.max(0, unixNow - keyedUntil) + " ms ago"));
         double weight = 0;
         if (left.capacity() <= 0) {
-            findings.add(new Finding("capacity", Belief.ABSENT, "none was learned"));
+            findings.add(new Finding("capacity", Disposition.ABSENT, "none was learned"));
         } else if (back) {
-            findings.add(new Finding("capacity", Belief.THROWN_AWAY, "how old it is cannot be told"));
+            findings.add(new Finding("capacity", Disposition.THROWN_AWAY, "how old it is cannot be told"));
         } else {
             weight = WEIGHT * Math.pow(0.5, down / (double) HALF_LIFE.toMillis());
             findings.add(new Finding(
                     "capacity",
-                    Belief.AGED,
+                    Disposition.AGED,
                     String.format(
                             Locale.ROOT,
                             "%.1f operations, %d ms old, counts as %.1f completions",
@@ -141,9 +143,9 @@
         }
         findings.add(new Finding(
                 "peers",
-                left.peers().isEmpty() ? Belief.ABSENT : Belief.KEPT,
+                left.peers().isEmpty() ? Disposition.ABSENT : Disposition.KEPT,
                 left.peers().size() + " addresses to ask, nothing more is believed of them"));
-        return new Verdict(
+        return new TrustedState(
                 findings, incarnation, left.term(), keyedUntil, back ? 0 : left.capacity(), weight, left.peers());
     }
 }
--- a/src/main/java/merlinlever/recovery/Return.java
+++ b/src/main/java/merlinlever/recovery/RecoverySequence.java
@@ -15,10 +15,10 @@
  * process is reconciled and every repeat of what its life before may have begun has run out of its window. Decides whom to
  * ask when; does neither input nor output. Times are since the process began, but where they are called Unix.
  */
-public final class Return {
+public final class RecoverySequence {
 
     /** How far it has come; it never goes back. */
-    public enum Stage implements WireNamed {
+    public enum RecoveryStage implements WireNamed {
         COLD("cold"),
         REJOINED("rejoined"),
         RECONCILED("reconciled"),
@@ -26,7 +26,7 @@
 
         private final String wireName;
 
-        Stage(String wireName) {
+        RecoveryStage(String wireName) {
             this.wireName = wireName;
         }
 
@@ -45,15 +45,15 @@
      * @param window in which a repeat of keyed work may come
      * @param mostAsked others that are asked, at the most
      */
-    public record Stated(
+    public record RecoverySettings(
             Duration patience,
             Duration spread,
             Duration askAgain,
             Duration longestAskAgain,
             Duration window,
             int mostAsked) {
-        public static Stated usual(Duration window) {
-            return new Stated(
+        public static RecoverySettings usual(Duration window) {
+            return new RecoverySettings(
                     Duration.ofSeconds(3),
                     Duration.ofMillis(500),
                     Duration.ofMillis(200),
@@ -69,13 +69,13 @@
      * @param unixMs its clock when it told
      * @param capacity that it has learned, 0 for none
      */
-    public record Told(long unixMs, Stage stage, double capacity) {}
+    public record PeerReport(long unixMs, RecoveryStage stage, double capacity) {}
 
     /** A question to be put now. */
-    public record Ask(String name, long number) {}
+    public record PeerQuery(String name, long number) {}
 
     /** Something that came to pass, for the log. */
-    public record Step(Duration at, Stage stage, String why) {}
+    public record RecoveryEvent(Duration at, RecoveryStage stage, String why) {}
 
     /** A repeat may be read so much later than its own time says, and clocks are read one after the other. */
     private static final Duration SLACK = Duration.ofMillis(100);
@@ -91,20 +91,20 @@
         Duration nextAsk;
         Duration pause;
         boolean alive;
-        Told told;
+        PeerReport told;
         /** What its clock is ahead of this one's at the least and at the most. */
         long aheadLeast, aheadMost;
     }
 
-    private final Stated stated;
-    private final Trust.Verdict verdict;
+    private final RecoverySettings stated;
+    private final PersistedStateAssessor.TrustedState verdict;
     private final Duration began;
     private final long beganUnix;
     private final SplittableRandom chance;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private final List<Step> steps = new ArrayList<>();
+    private final List<RecoveryEvent> steps = new ArrayList<>();
     private long numbers;
-    private Stage stage = Stage.COLD;
+    private RecoveryStage stage = RecoveryStage.COLD;
     private Duration rivalAt;
     private boolean distrusted, alone;
 
@@ -112,11 +112,11 @@
      * @param expected whether there are others to be heard of at all
      * @param unixNow the Unix clock at {@code now}
      */
-    public Return(
+    public RecoverySequence(
             Duration now,
             long unixNow,
-            Trust.Verdict verdict,
-            Stated stated,
+            PersistedStateAssessor.TrustedState verdict,
+            RecoverySettings stated,
             boolean expected,
             SplittableRandom chance) {
         this.stated = stated;
@@ -126,13 +126,13 @@
         beganUnix = unixNow;
         numbers = chance.nextLong() >>> 16;
         if (!expected) {
-            step(now, Stage.RECONCILED, "no others are stated");
+            step(now, RecoveryStage.RECONCILED, "no others are stated");
         }
     }
 
-    private void step(Duration now, Stage to, String why) {
+    private void step(Duration now, RecoveryStage to, String why) {
         stage = to;
-        steps.add(new Step(now, to, why));
+        steps.add(new RecoveryEvent(now, to, why));
     }
 
     // ---- what happens
@@ -153,7 +153,7 @@
     }
 
     /** An answer to the question of that number; an answer to none that is out changes nothing. */
-    public void told(Duration now, long unixNow, String name, long number, Told told) {
+    public void told(Duration now, long unixNow, String name, long number, PeerReport told) {
         Peer peer = peers.get(name);
         Duration asked = peer == null ? null : peer.asked.get(number);
         if (asked == null) {
@@ -170,7 +170,7 @@
     /** Another process tells others that it is this one. */
     public void rival(Duration now) {
         if (rivalAt == null) {
-            steps.add(new Step(
+            steps.add(new RecoveryEvent(
                     now, stage, "another process lives under this one's name; keyed work is held until it is silent"));
         }
         rivalAt = now;
@@ -178,42 +178,42 @@
 
     /** The process says that it is at its full speed. */
     public void fullSpeed(Duration now) {
-        if (stage == Stage.RECONCILED && keyedFrom(now).compareTo(now) <= 0) {
-            step(now, Stage.WARM, "at full speed, keyed work taken");
+        if (stage == RecoveryStage.RECONCILED && keyedFrom(now).compareTo(now) <= 0) {
+            step(now, RecoveryStage.WARM, "at full speed, keyed work taken");
         }
     }
 
     // ---- what is decided
 
     /** The questions to be put now. */
-    public List<Ask> settle(Duration now) {
-        List<Ask> asks = new ArrayList<>();
+    public List<PeerQuery> settle(Duration now) {
+        List<PeerQuery> asks = new ArrayList<>();
         if (rivalAt != null && now.minus(rivalAt).compareTo(RIVAL) >= 0) {
             rivalAt = null;
-            steps.add(new Step(now, stage, "the other process under this one's name is silent"));
+            steps.add(new RecoveryEvent(now, stage, "the other process under this one's name is silent"));
         }
-        if (stage.compareTo(Stage.RECONCILED) >= 0) {
+        if (stage.compareTo(RecoveryStage.RECONCILED) >= 0) {
             return asks;
         }
         long alive = peers.values().stream().filter(peer -> peer.alive).count();
-        if (stage == Stage.COLD && alive > 0) {
-            step(now, Stage.REJOINED, "hears " + alive + " of the others");
+        if (stage == RecoveryStage.COLD && alive > 0) {
+            step(now, RecoveryStage.REJOINED, "hears " + alive + " of the others");
         }
         boolean waited = now.minus(began).compareTo(stated.patience) >= 0;
         if (alive == 0 && waited && !alone) {
             alone = true;
-            steps.add(new Step(
+            steps.add(new RecoveryEvent(
                     now,
                     stage,
                     "no other is reached after " + stated.patience.toMillis()
                             + " ms; retriable work is served, keyed work is turned away until one is"));
         }
         long told = peers.values().stream().filter(peer -> peer.told != null).count();
-        if (stage == Stage.REJOINED && told > 0 && enough(now, told)) {
+        if (stage == RecoveryStage.REJOINED && told > 0 && enough(now, told)) {
             distrusted = clocksDisagree();
             step(
                     now,
-                    Stage.RECONCILED,
+                    RecoveryStage.RECONCILED,
                     told + " of " + peers.size() + " others told what they know"
                             + (distrusted
                                     ? "; most of their clocks differ from this one's, the disk's times are not believed"
@@ -232,7 +232,7 @@
                 peer.pause = peer.pause.multipliedBy(2).compareTo(stated.longestAskAgain) > 0
                         ? stated.longestAskAgain
                         : peer.pause.multipliedBy(2);
-                asks.add(new Ask(entry.getKey(), number));
+                asks.add(new PeerQuery(entry.getKey(), number));
             }
         }
         return asks;
@@ -263,7 +263,7 @@
         return other > same;
     }
 
-    public Stage stage() {
+    public RecoveryStage stage() {
         return stage;
     }
 
@@ -272,12 +272,12 @@
      * reconciled that is a moment that lies ahead still.
      */
     public Duration keyedFrom(Duration now) {
-        if (stage.compareTo(Stage.RECONCILED) < 0 || rivalAt != null) {
+        if (stage.compareTo(RecoveryStage.RECONCILED) < 0 || rivalAt != null) {
             return now.plus(stated.askAgain.multipliedBy(5));
         }
         // The life before ended before this one began, whatever the disk and the clock say.
         Duration until = began;
-        if (!distrusted && verdict.keyedUntil() != Trust.UNKNOWN && verdict.keyedUntil() < beganUnix) {
+        if (!distrusted && verdict.keyedUntil() != PersistedStateAssessor.UNKNOWN && verdict.keyedUntil() < beganUnix) {
             until = began.minusMillis(beganUnix - verdict.keyedUntil());
         }
         return until.plus(stated.window).plus(SLACK);
@@ -306,8 +306,8 @@
     }
 
     /** What came to pass since this was asked last. */
-    public List<Step> steps() {
-        List<Step> since = List.copyOf(steps);
+    public List<RecoveryEvent> steps() {
+        List<RecoveryEvent> since = List.copyOf(steps);
         steps.clear();
         return since;
     }
--- a/src/main/java/merlinlever/recovery/disk/Store.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
@@ -6,43 +6,43 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.zip.CRC32C;
-import merlinlever.durable.Folder;
-import merlinlever.recovery.Memory;
+import merlinlever.recovery.PersistedState;
+import merlinlever.storage.StateDirectory;
 
 /**
- * One file in a state folder, replaced whole ({@link Folder#replace}): the CRC-32C of the rest, then a line for each
+ * One file in a state folder, replaced whole ({@link StateDirectory#replace}): the CRC-32C of the rest, then a line for each
  * piece. What cannot be read is told and thrown away, never a reason not to start: all that it said can be done without.
  */
-public final class Store {
+public final class RecoveryFile {
 
     /** What was found: a memory, or why there is none; both null where the folder holds nothing. */
-    public record Found(Memory memory, String spoilt) {}
+    public record LoadResult(PersistedState memory, String spoilt) {}
 
     public static final String FILE = "recovery";
     private static final String FORM = "merlinlever recovery 1";
     private static final int MOST = 16 * 1024;
 
-    private final Folder folder;
+    private final StateDirectory folder;
 
-    public Store(Folder folder) {
+    public RecoveryFile(StateDirectory folder) {
         this.folder = folder;
     }
 
-    public Found read() {
+    public LoadResult read() {
         try {
-            return folder.has(FILE) ? parsed(folder.read(FILE)) : new Found(null, null);
+            return folder.has(FILE) ? parsed(folder.read(FILE)) : new LoadResult(null, null);
         } catch (IOException e) {
-            return new Found(null, "cannot be read: " + e.getMessage());
+            return new LoadResult(null, "cannot be read: " + e.getMessage());
         }
     }
 
     /** Returns when it is on the disk; after a failure the one before stands. */
-    public void write(Memory memory) throws IOException {
+    public void write(PersistedState memory) throws IOException {
         folder.replace(FILE, text(memory));
     }
 
     /** The octets of the file. */
-    public static byte[] text(Memory memory) {
+    public static byte[] text(PersistedState memory) {
         StringBuilder rest = new StringBuilder(FORM)
                 .append("\nowner ")
                 .append(memory.owner())
@@ -68,27 +68,27 @@
     }
 
     /** Of the octets of a file. */
-    public static Found parsed(byte[] octets) {
+    public static LoadResult parsed(byte[] octets) {
         if (octets.length > MOST) {
-            return new Found(null, "spoilt: over " + MOST + " octets");
+            return new LoadResult(null, "spoilt: over " + MOST + " octets");
         }
         String text = new String(octets, StandardCharsets.US_ASCII);
         int end = text.indexOf('\n');
         String rest = text.substring(end + 1);
         if (end < 0 || !text.substring(0, end).equals(sum(rest))) {
-            return new Found(null, "spoilt: its sum is not that of what it holds");
+            return new LoadResult(null, "spoilt: its sum is not that of what it holds");
         }
         String[] lines = rest.split("\n");
         try {
             if (!lines[0].equals(FORM)) {
-                return new Found(null, "of another form, '" + lines[0] + "'");
+                return new LoadResult(null, "of another form, '" + lines[0] + "'");
             }
             List<String> peers = new ArrayList<>();
             for (int i = 7; i < lines.length; i++) {
                 peers.add(value(lines[i], "peer"));
             }
-            return new Found(
-                    new Memory(
+            return new LoadResult(
+                    new PersistedState(
                             value(lines[1], "owner"),
                             Long.parseLong(value(lines[2], "incarnations")),
                             Long.parseLong(value(lines[3], "term")),
@@ -98,7 +98,7 @@
                             peers),
                     null);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            return new Found(null, "not what this program writes");
+            return new LoadResult(null, "not what this program writes");
         }
     }
 
--- a/src/main/java/merlinlever/recovery/disk/Writer.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFileWriter.java
@@ -5,19 +5,19 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Consumer;
-import merlinlever.recovery.Memory;
+import merlinlever.recovery.PersistedState;
 
 /**
  * Writes on a thread of its own, as a disk may take its time and the loop may not; one at a time. What came of it is told
  * on the loop.
  */
-public final class Writer {
+public final class RecoveryFileWriter {
 
-    private record Job(Memory memory, Consumer<IOException> done) {}
+    private record Job(PersistedState memory, Consumer<IOException> done) {}
 
     private static final Job END = new Job(null, null);
 
-    private final Store store;
+    private final RecoveryFile store;
     private final Executor loop;
     /** One to be written, and the end. */
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>(2);
@@ -25,7 +25,7 @@
     private final Thread thread;
     private boolean busy, closed;
 
-    public Writer(Store store, Executor loop) {
+    public RecoveryFileWriter(RecoveryFile store, Executor loop) {
         this.store = store;
         this.loop = loop;
         thread = new Thread(this::work, "recovery-disk");
@@ -39,7 +39,7 @@
     }
 
     /** Writes it unless one is under way or it was closed; {@code done} hears null when it is on the disk, or what went wrong. */
-    public boolean write(Memory memory, Consumer<IOException> done) {
+    public boolean write(PersistedState memory, Consumer<IOException> done) {
         if (busy || closed) {
             return false;
         }
