--- a/src/main/java/merlinlever/recovery/net/Rejoin.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -13,27 +13,27 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.WireNamed;
-import merlinlever.durable.Folder;
-import merlinlever.members.Link;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
-import merlinlever.members.Wire;
-import merlinlever.net.Datagrams;
-import merlinlever.net.Loop;
-import merlinlever.recovery.Memory;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.Trust;
-import merlinlever.recovery.disk.Store;
-import merlinlever.recovery.disk.Writer;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.MembershipCodec;
+import merlinlever.membership.MembershipTransport;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.net.DatagramEndpoint;
+import merlinlever.net.EventLoop;
+import merlinlever.recovery.PersistedState;
+import merlinlever.recovery.PersistedStateAssessor;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.recovery.disk.RecoveryFileWriter;
+import merlinlever.storage.StateDirectory;
 
 /**
  * One process that comes back: reads what its life before left, joins the others, asks them, and tells the service what
  * it may take. While it runs it notes ahead what it may do, so that the next life knows the most that it can have done.
  */
-public final class Rejoin implements Members.Recall {
+public final class RecoveryCoordinator implements SwimProtocol.RecoveryExchange {
 
     /** What comes back to work; times are since the process began. */
-    public interface Service {
+    public interface RecoveringService {
         /** Keyed work that came before the one moment is not begun, nor any at or after the other. */
         void keyed(Duration from, Duration to);
 
@@ -47,7 +47,7 @@
         boolean fullSpeed();
 
         /** One without operations. */
-        Service NONE = new Service() {
+        RecoveringService NONE = new RecoveringService() {
             @Override
             public void keyed(Duration from, Duration to) {}
 
@@ -73,7 +73,7 @@
      * @param api told to others as where it takes commands
      * @param seeds where some of the others listen
      */
-    public record Place(
+    public record NodeSettings(
             String name, InetSocketAddress listen, String advertise, String api, List<String> seeds, String secret) {}
 
     private static final Duration LOOK = Duration.ofMillis(50);
@@ -84,16 +84,16 @@
     /** The Unix clock may differ from the steady one by so much before it counts as set. */
     private static final long SET_MS = 50;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final LongSupplier unix;
-    private final Service service;
+    private final RecoveringService service;
     private final Consumer<String> log;
     private final Duration mark;
     private final String owner;
-    private final Members members;
-    private final Link[] link = new Link[1];
-    private final Return order;
-    private final Writer writer;
+    private final SwimProtocol members;
+    private final MembershipTransport[] link = new MembershipTransport[1];
+    private final RecoverySequence order;
+    private final RecoveryFileWriter writer;
     private long rivals;
     private long onDisk;
     /** The highest term that may be promised: wanted, and on the disk. */
@@ -109,15 +109,15 @@
      * @param mark between two notes of how far ahead keyed work may be begun; zero where there is none
      * @param unix the Unix clock, in milliseconds
      */
-    public Rejoin(
-            Loop loop,
-            Folder folder,
-            Place place,
-            Return.Stated stated,
+    public RecoveryCoordinator(
+            EventLoop loop,
+            StateDirectory folder,
+            NodeSettings place,
+            RecoverySequence.RecoverySettings stated,
             Duration mark,
             long seed,
             LongSupplier unix,
-            Service service,
+            RecoveringService service,
             Consumer<String> log)
             throws IOException {
         this.loop = loop;
@@ -125,43 +125,48 @@
         this.service = service;
         this.log = log;
         this.mark = mark;
-        Datagrams datagrams =
-                new Datagrams(loop, place.listen(), Wire.MOST, (octets, from, waited) -> link[0].came(octets, from));
-        String told = place.advertise() != null ? place.advertise() : Link.text(datagrams.address());
+        DatagramEndpoint datagrams = new DatagramEndpoint(
+                loop, place.listen(), MembershipCodec.MOST, (octets, from, waited) -> link[0].came(octets, from));
+        String told = place.advertise() != null ? place.advertise() : MembershipTransport.text(datagrams.address());
         // A port that is drawn anew at each start tells nothing of whose the folder is.
         owner = place.name() + "@"
                 + (place.advertise() != null || place.listen().getPort() != 0
                         ? told
                         : place.listen().getAddress().getHostAddress());
-        Store store = new Store(folder);
-        Store.Found found = store.read();
+        RecoveryFile store = new RecoveryFile(folder);
+        RecoveryFile.LoadResult found = store.read();
         long now = unix.getAsLong();
-        Trust.Verdict verdict = Trust.judge(found.memory(), found.spoilt(), owner, now);
+        PersistedStateAssessor.TrustedState verdict =
+                PersistedStateAssessor.judge(found.memory(), found.spoilt(), owner, now);
         verdict.findings().forEach(finding -> log.accept("found " + finding.told()));
         Set<String> ask = new LinkedHashSet<>(place.seeds());
         ask.addAll(verdict.peers());
         ask.remove(told);
         SplittableRandom chance = new SplittableRandom(seed);
-        members = new Members(
+        members = new SwimProtocol(
                 loop.clock().uptime(),
-                new Views(place.name(), told, place.api(), verdict.incarnation()),
-                Members.Stated.usual(List.copyOf(ask)),
+                new MemberTable(place.name(), told, place.api(), verdict.incarnation()),
+                SwimProtocol.SwimSettings.usual(List.copyOf(ask)),
                 chance.split(),
                 log);
         members.recall(this);
         term = verdict.term();
-        order = new Return(loop.clock().uptime(), now, verdict, stated, !ask.isEmpty(), chance.split());
-        link[0] = new Link(
-                loop, datagrams, members, new Wire(place.secret().getBytes(StandardCharsets.UTF_8)), this::mayTell);
-        writer = new Writer(store, loop);
+        order = new RecoverySequence(loop.clock().uptime(), now, verdict, stated, !ask.isEmpty(), chance.split());
+        link[0] = new MembershipTransport(
+                loop,
+                datagrams,
+                members,
+                new MembershipCodec(place.secret().getBytes(StandardCharsets.UTF_8)),
+                this::mayTell);
+        writer = new RecoveryFileWriter(store, loop);
         loop.every(LOOK, this::look);
     }
 
-    public Members members() {
+    public SwimProtocol members() {
         return members;
     }
 
-    public Return order() {
+    public RecoverySequence order() {
         return order;
     }
 
@@ -220,9 +225,9 @@
                     unix.getAsLong(),
                     name,
                     number,
-                    new Return.Told(
+                    new RecoverySequence.PeerReport(
                             Long.parseLong(parts[0]),
-                            WireNamed.parse(Return.Stage.class, parts[1]),
+                            WireNamed.parse(RecoverySequence.RecoveryStage.class, parts[1]),
                             Double.parseDouble(parts[2])));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             log.accept(name + " told what is not understood: " + what);
@@ -236,9 +241,9 @@
             return;
         }
         Duration now = now();
-        for (Views.Rumour each : members.views().all()) {
+        for (MemberTable.MemberRecord each : members.views().all()) {
             if (!each.name().equals(members.views().self())) {
-                order.peer(now, each.name(), each.status() == Views.Status.ALIVE);
+                order.peer(now, each.name(), each.status() == MemberTable.MemberStatus.ALIVE);
             }
         }
         if (members.views().rivals() != rivals) {
@@ -251,7 +256,7 @@
         if (service.fullSpeed()) {
             order.fullSpeed(now);
         }
-        for (Return.Step step : order.steps()) {
+        for (RecoverySequence.RecoveryEvent step : order.steps()) {
             since = step.at();
             log.accept(step.stage().wireName() + ": " + step.why());
         }
@@ -283,13 +288,13 @@
         long lead = wroteAt - now.toMillis();
         long incarnations = Math.max(onDisk, incarnation() + AHEAD);
         List<String> peers = new ArrayList<>();
-        for (Views.Rumour each : members.views().all()) {
-            if (!each.name().equals(members.views().self()) && each.status() != Views.Status.LEFT) {
+        for (MemberTable.MemberRecord each : members.views().all()) {
+            if (!each.name().equals(members.views().self()) && each.status() != MemberTable.MemberStatus.LEFT) {
                 peers.add(each.gossip());
             }
         }
         long terms = term;
-        Memory memory = new Memory(
+        PersistedState memory = new PersistedState(
                 owner, incarnations, terms, wroteAt + to.minus(now).toMillis(), wroteAt, service.capacity(), peers);
         writer.write(memory, failed -> {
             if (failed == null) {
--- a/src/main/java/merlinlever/shared/Lot.java
+++ b/src/main/java/merlinlever/replication/EntryTable.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -13,7 +13,7 @@
  * all that was claimed under it. That is a join of a semilattice (delta-state: Almeida et al. 2018), so order and
  * repetition do not matter, while there is room for all.
  */
-final class Lot {
+final class EntryTable {
 
     /** Words and octets at the most. */
     static final int MOST = 2000;
@@ -22,7 +22,7 @@
     /** Whose sums are compared to find what differs. */
     static final int BUCKETS = 64;
 
-    enum Taken {
+    enum MergeResult {
         NEWER,
         KNOWN,
         OLDER,
@@ -30,38 +30,38 @@
         NO_ROOM
     }
 
-    private static final class Held {
-        final Word word;
+    private static final class Row {
+        final StoredEntry word;
         final long mark;
         /** Too old to be told any more; it still counts here. */
         boolean quiet;
 
-        Held(Word word) {
+        Row(StoredEntry word) {
             this.word = word;
             mark = word.mark();
         }
     }
 
     /** A word's version and mark, for comparing. */
-    record Line(Word.Key key, long incarnation, long sequence, long mark) {}
+    record EntryVersion(StoredEntry.EntryKey key, long incarnation, long sequence, long mark) {}
 
-    private final TreeMap<Word.Key, Held> all = new TreeMap<>();
+    private final TreeMap<StoredEntry.EntryKey, Row> all = new TreeMap<>();
     private final long[] sums = new long[BUCKETS];
     private long octets;
 
-    static int bucket(Word.Key key) {
+    static int bucket(StoredEntry.EntryKey key) {
         // As String states it: the same everywhere.
         int hash = 31 * key.owner().hashCode() + key.topic().hashCode();
         return (hash ^ hash >>> 6 ^ hash >>> 12 ^ hash >>> 18 ^ hash >>> 24) & BUCKETS - 1;
     }
 
-    Word get(Word.Key key) {
-        Held held = all.get(key);
+    StoredEntry get(StoredEntry.EntryKey key) {
+        Row held = all.get(key);
         return held == null ? null : held.word;
     }
 
     /** In the order of owners, then topics. */
-    List<Word> words() {
+    List<StoredEntry> words() {
         return all.values().stream().map(held -> held.word).toList();
     }
 
@@ -73,34 +73,34 @@
         return octets;
     }
 
-    boolean room(Word word) {
-        Held held = all.get(word.key());
+    boolean room(StoredEntry word) {
+        Row held = all.get(word.key());
         return (held != null || all.size() < MOST)
                 && octets + word.octets() - (held == null ? 0 : held.word.octets()) <= MOST_OCTETS;
     }
 
-    Taken merge(Word word) {
-        Word known = get(word.key());
+    MergeResult merge(StoredEntry word) {
+        StoredEntry known = get(word.key());
         if (known != null && known.after(word)) {
-            return Taken.OLDER;
+            return MergeResult.OLDER;
         }
-        Word made = known == null || word.after(known) ? word : known.with(word);
+        StoredEntry made = known == null || word.after(known) ? word : known.with(word);
         boolean same = known != null && made.digests().equals(known.digests()) && !word.after(known);
         if (!same && !room(made)) {
-            return Taken.NO_ROOM;
+            return MergeResult.NO_ROOM;
         }
         if (!same || made.born().compareTo(known.born()) > 0) {
             drop(word.key());
-            Held held = new Held(made);
+            Row held = new Row(made);
             all.put(word.key(), held);
             sums[bucket(word.key())] ^= held.mark;
             octets += made.octets();
         }
-        return same ? Taken.KNOWN : made.clashes() ? Taken.CLASHES : Taken.NEWER;
+        return same ? MergeResult.KNOWN : made.clashes() ? MergeResult.CLASHES : MergeResult.NEWER;
     }
 
-    void drop(Word.Key key) {
-        Held held = all.remove(key);
+    void drop(StoredEntry.EntryKey key) {
+        Row held = all.remove(key);
         if (held != null) {
             octets -= held.word.octets();
             sums[bucket(key)] ^= held.quiet ? 0 : held.mark;
@@ -108,9 +108,9 @@
     }
 
     /** Words that are past their time, dropped; those near it are told no more. */
-    List<Word> expire(Duration now, Ages ages) {
-        List<Word> gone = new ArrayList<>();
-        for (Held held : List.copyOf(all.values())) {
+    List<StoredEntry> expire(Duration now, RetentionPolicy ages) {
+        List<StoredEntry> gone = new ArrayList<>();
+        for (Row held : List.copyOf(all.values())) {
             Duration age = now.minus(held.word.born());
             if (age.compareTo(ages.most(held.word)) >= 0) {
                 drop(held.word.key());
@@ -123,8 +123,8 @@
         return gone;
     }
 
-    boolean told(Word.Key key) {
-        Held held = all.get(key);
+    boolean told(StoredEntry.EntryKey key) {
+        Row held = all.get(key);
         return held != null && !held.quiet;
     }
 
@@ -132,17 +132,17 @@
         return sums.clone();
     }
 
-    Line line(Word.Key key) {
-        Held held = all.get(key);
-        return held == null ? null : new Line(key, held.word.incarnation(), held.word.sequence(), held.mark);
+    EntryVersion line(StoredEntry.EntryKey key) {
+        Row held = all.get(key);
+        return held == null ? null : new EntryVersion(key, held.word.incarnation(), held.word.sequence(), held.mark);
     }
 
     /** Of the buckets of the mask, those that are told. */
-    List<Line> lines(long mask) {
-        List<Line> lines = new ArrayList<>();
+    List<EntryVersion> lines(long mask) {
+        List<EntryVersion> lines = new ArrayList<>();
         all.forEach((key, held) -> {
             if ((mask >>> bucket(key) & 1) == 1 && !held.quiet) {
-                lines.add(new Line(key, held.word.incarnation(), held.word.sequence(), held.mark));
+                lines.add(new EntryVersion(key, held.word.incarnation(), held.word.sequence(), held.mark));
             }
         });
         return lines;
@@ -150,7 +150,7 @@
 
     /** SHA-256 of all: alike where two hold the same. */
     String digest() {
-        MessageDigest sha = Word.sha();
+        MessageDigest sha = StoredEntry.sha();
         all.values()
                 .forEach(held ->
                         sha.update(ByteBuffer.allocate(8).putLong(held.mark).array()));
@@ -162,12 +162,12 @@
      * clocks that run apart and messages that are late do not bring back what others have dropped. What an owner took back
      * is remembered for longer than any copy of the word can live, so it cannot come back.
      */
-    record Ages(Duration words) {
-        Duration most(Word word) {
+    record RetentionPolicy(Duration words) {
+        Duration most(StoredEntry word) {
             return word.takenBack() ? words.plus(words.dividedBy(8)) : words;
         }
 
-        Duration told(Word word) {
+        Duration told(StoredEntry word) {
             Duration most = most(word);
             return most.minus(most.dividedBy(8));
         }
--- a/src/main/java/merlinlever/shared/Gossip.java
+++ b/src/main/java/merlinlever/replication/Gossip.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -27,21 +27,26 @@
     /** Octets kept for the head of a letter. */
     private static final int HEAD = 64;
 
-    private final Lot lot;
-    private final Words.Stated stated;
+    private final EntryTable lot;
+    private final ReplicatedStore.ReplicationSettings stated;
     private final Supplier<List<String>> live;
     private final SplittableRandom chance;
     /** To be told, with how often still. */
-    private final LinkedHashMap<Word.Key, Integer> fresh = new LinkedHashMap<>();
+    private final LinkedHashMap<StoredEntry.EntryKey, Integer> fresh = new LinkedHashMap<>();
     /** What was asked for, and until when the answer is waited for: not from two at once. */
-    private final LinkedHashMap<Word.Key, Duration> wanted = new LinkedHashMap<>();
+    private final LinkedHashMap<StoredEntry.EntryKey, Duration> wanted = new LinkedHashMap<>();
 
     private Duration next;
     private Duration filled;
     private long room;
     long malformed;
 
-    Gossip(Duration now, Lot lot, Words.Stated stated, Supplier<List<String>> live, SplittableRandom chance) {
+    Gossip(
+            Duration now,
+            EntryTable lot,
+            ReplicatedStore.ReplicationSettings stated,
+            Supplier<List<String>> live,
+            SplittableRandom chance) {
         this.lot = lot;
         this.stated = stated;
         this.live = live;
@@ -52,7 +57,7 @@
     }
 
     /** To be told to some others; one for each word held, at the most. */
-    void fresh(Word.Key key) {
+    void fresh(StoredEntry.EntryKey key) {
         wanted.remove(key);
         fresh.put(key, ROUNDS);
     }
@@ -68,11 +73,11 @@
         room = Math.min(stated.octetsASecond(), room + (long) more);
     }
 
-    List<Carry> period(Duration now) {
+    List<OutgoingMessage> period(Duration now) {
         next = now.plus(stated.period());
         fill(now);
         wanted.values().removeIf(until -> now.compareTo(until) >= 0);
-        List<Carry> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         List<String> others = new ArrayList<>(live.get());
         if (others.isEmpty()) {
             return out;
@@ -83,22 +88,24 @@
             others.set(i, one);
         }
         tell(now, others.subList(0, Math.min(stated.fanOut(), others.size())), out);
-        out.add(new Carry(others.get(chance.nextInt(others.size())), Letters.sums(lot.sums())));
+        out.add(new OutgoingMessage(others.get(chance.nextInt(others.size())), GossipCodec.sums(lot.sums())));
         return out;
     }
 
     /** New words, whole or announced, to the same few; what the octets do not allow waits for the next period. */
-    private void tell(Duration now, List<String> few, List<Carry> out) {
-        List<Word> whole = new ArrayList<>();
-        List<Lot.Line> announced = new ArrayList<>();
+    private void tell(Duration now, List<String> few, List<OutgoingMessage> out) {
+        List<StoredEntry> whole = new ArrayList<>();
+        List<EntryTable.EntryVersion> announced = new ArrayList<>();
         long octets = 0;
-        for (Iterator<Map.Entry<Word.Key, Integer>> each = fresh.entrySet().iterator(); each.hasNext(); ) {
-            Map.Entry<Word.Key, Integer> entry = each.next();
-            Word.Key key = entry.getKey();
-            Word word = lot.get(key);
-            boolean small = word != null && Letters.wordOctets(word) <= SMALL;
+        for (Iterator<Map.Entry<StoredEntry.EntryKey, Integer>> each =
+                        fresh.entrySet().iterator();
+                each.hasNext(); ) {
+            Map.Entry<StoredEntry.EntryKey, Integer> entry = each.next();
+            StoredEntry.EntryKey key = entry.getKey();
+            StoredEntry word = lot.get(key);
+            boolean small = word != null && GossipCodec.wordOctets(word) <= SMALL;
             if (word != null && lot.told(key)) {
-                octets += small ? Letters.wordOctets(word) : Letters.lineOctets(lot.line(key));
+                octets += small ? GossipCodec.wordOctets(word) : GossipCodec.lineOctets(lot.line(key));
                 if (octets * few.size() > room) {
                     break;
                 }
@@ -113,59 +120,59 @@
             }
         }
         for (byte[] letter : packed(now, whole, announced)) {
-            few.forEach(one -> out.add(new Carry(one, letter)));
+            few.forEach(one -> out.add(new OutgoingMessage(one, letter)));
             room -= (long) letter.length * few.size();
         }
     }
 
-    private static List<byte[]> packed(Duration now, List<Word> words, List<Lot.Line> lines) {
+    private static List<byte[]> packed(Duration now, List<StoredEntry> words, List<EntryTable.EntryVersion> lines) {
         List<byte[]> letters = new ArrayList<>();
-        List<Word> some = new ArrayList<>();
+        List<StoredEntry> some = new ArrayList<>();
         int octets = HEAD;
-        for (Word word : words) {
-            if (octets + Letters.wordOctets(word) > Letters.MOST) {
-                letters.add(Letters.words(now, some));
+        for (StoredEntry word : words) {
+            if (octets + GossipCodec.wordOctets(word) > GossipCodec.MOST) {
+                letters.add(GossipCodec.words(now, some));
                 some = new ArrayList<>();
                 octets = HEAD;
             }
-            octets += Letters.wordOctets(word);
+            octets += GossipCodec.wordOctets(word);
             some.add(word);
         }
         if (!some.isEmpty()) {
-            letters.add(Letters.words(now, some));
+            letters.add(GossipCodec.words(now, some));
         }
-        List<Lot.Line> few = new ArrayList<>();
+        List<EntryTable.EntryVersion> few = new ArrayList<>();
         octets = HEAD;
-        for (Lot.Line line : lines) {
-            if (octets + Letters.lineOctets(line) > Letters.MOST) {
-                letters.add(Letters.lines(0, few));
+        for (EntryTable.EntryVersion line : lines) {
+            if (octets + GossipCodec.lineOctets(line) > GossipCodec.MOST) {
+                letters.add(GossipCodec.lines(0, few));
                 few = new ArrayList<>();
                 octets = HEAD;
             }
-            octets += Letters.lineOctets(line);
+            octets += GossipCodec.lineOctets(line);
             few.add(line);
         }
         if (!few.isEmpty()) {
-            letters.add(Letters.lines(0, few));
+            letters.add(GossipCodec.lines(0, few));
         }
         return letters;
     }
 
-    List<Carry> answer(Duration now, String from, Object letter) {
+    List<OutgoingMessage> answer(Duration now, String from, Object letter) {
         fill(now);
-        List<Carry> out = new ArrayList<>();
-        if (letter instanceof Letters.Sums sums) {
+        List<OutgoingMessage> out = new ArrayList<>();
+        if (letter instanceof GossipCodec.BucketChecksums sums) {
             compare(from, sums.sums(), out);
-        } else if (letter instanceof Letters.Lines lines) {
+        } else if (letter instanceof GossipCodec.VersionList lines) {
             differences(now, from, lines, out);
-        } else if (letter instanceof Letters.Want want) {
+        } else if (letter instanceof GossipCodec.EntryRequest want) {
             give(now, from, want.keys(), out);
         }
         return out;
     }
 
     /** The versions of the buckets that differ, as many as fit, from a drawn one on so that each has its turn. */
-    private void compare(String from, long[] sums, List<Carry> out) {
+    private void compare(String from, long[] sums, List<OutgoingMessage> out) {
         long[] mine = lot.sums();
         long mask = 0;
         for (int i = 0; i < sums.length; i++) {
@@ -174,12 +181,13 @@
         if (mask == 0) {
             return;
         }
-        List<List<Lot.Line>> byBucket = new ArrayList<>();
+        List<List<EntryTable.EntryVersion>> byBucket = new ArrayList<>();
         for (int i = 0; i < sums.length; i++) {
             byBucket.add(new ArrayList<>());
         }
-        lot.lines(mask).forEach(line -> byBucket.get(Lot.bucket(line.key())).add(line));
-        List<Lot.Line> lines = new ArrayList<>();
+        lot.lines(mask)
+                .forEach(line -> byBucket.get(EntryTable.bucket(line.key())).add(line));
+        List<EntryTable.EntryVersion> lines = new ArrayList<>();
         long whole = 0;
         int octets = HEAD;
         int first = chance.nextInt(sums.length);
@@ -187,9 +195,9 @@
             int bucket = (first + i) % sums.length;
             if ((mask >>> bucket & 1) == 1) {
                 int more = byBucket.get(bucket).stream()
-                        .mapToInt(Letters::lineOctets)
+                        .mapToInt(GossipCodec::lineOctets)
                         .sum();
-                if (octets + more <= Math.min(Letters.MOST, room)) {
+                if (octets + more <= Math.min(GossipCodec.MOST, room)) {
                     octets += more;
                     whole |= 1L << bucket;
                     lines.addAll(byBucket.get(bucket));
@@ -198,19 +206,19 @@
         }
         if (whole != 0) {
             room -= octets;
-            out.add(new Carry(from, Letters.lines(whole, lines)));
+            out.add(new OutgoingMessage(from, GossipCodec.lines(whole, lines)));
         }
     }
 
     /** Asks for what the other has later, and gives what this one has. */
-    private void differences(Duration now, String from, Letters.Lines lines, List<Carry> out) {
-        List<Word.Key> want = new ArrayList<>();
-        List<Word.Key> give = new ArrayList<>();
-        Set<Word.Key> named = new HashSet<>();
+    private void differences(Duration now, String from, GossipCodec.VersionList lines, List<OutgoingMessage> out) {
+        List<StoredEntry.EntryKey> want = new ArrayList<>();
+        List<StoredEntry.EntryKey> give = new ArrayList<>();
+        Set<StoredEntry.EntryKey> named = new HashSet<>();
         int octets = HEAD;
-        for (Lot.Line line : lines.lines()) {
+        for (EntryTable.EntryVersion line : lines.lines()) {
             named.add(line.key());
-            Lot.Line mine = lot.line(line.key());
+            EntryTable.EntryVersion mine = lot.line(line.key());
             int by = mine == null
                     ? 1
                     : line.incarnation() != mine.incarnation()
@@ -219,8 +227,8 @@
             boolean clash = by == 0 && mine.mark() != line.mark();
             int more = line.key().owner().length() + line.key().topic().length() + 2;
             if ((by > 0 || clash)
-                    && octets + more <= Letters.MOST
-                    && wanted.size() < Lot.MOST
+                    && octets + more <= GossipCodec.MOST
+                    && wanted.size() < EntryTable.MOST
                     && !wanted.containsKey(line.key())) {
                 octets += more;
                 want.add(line.key());
@@ -231,29 +239,29 @@
             }
         }
         lot.lines(lines.whole()).stream()
-                .map(Lot.Line::key)
+                .map(EntryTable.EntryVersion::key)
                 .filter(key -> !named.contains(key))
                 .forEach(give::add);
         if (!want.isEmpty() && octets <= room) {
             room -= octets;
-            out.add(new Carry(from, Letters.want(want)));
+            out.add(new OutgoingMessage(from, GossipCodec.want(want)));
         }
         give(now, from, give, out);
     }
 
-    private void give(Duration now, String to, List<Word.Key> keys, List<Carry> out) {
-        List<Word> words = new ArrayList<>();
+    private void give(Duration now, String to, List<StoredEntry.EntryKey> keys, List<OutgoingMessage> out) {
+        List<StoredEntry> words = new ArrayList<>();
         long octets = HEAD;
-        for (Word.Key key : new LinkedHashSet<>(keys)) {
-            Word word = lot.get(key);
-            if (word != null && lot.told(key) && octets + Letters.wordOctets(word) <= room) {
-                octets += Letters.wordOctets(word);
+        for (StoredEntry.EntryKey key : new LinkedHashSet<>(keys)) {
+            StoredEntry word = lot.get(key);
+            if (word != null && lot.told(key) && octets + GossipCodec.wordOctets(word) <= room) {
+                octets += GossipCodec.wordOctets(word);
                 words.add(word);
             }
         }
         for (byte[] letter : packed(now, words, List.of())) {
             room -= letter.length;
-            out.add(new Carry(to, letter));
+            out.add(new OutgoingMessage(to, letter));
         }
     }
 }
--- a/src/main/java/merlinlever/shared/Letters.java
+++ b/src/main/java/merlinlever/replication/GossipCodec.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.nio.BufferOverflowException;
 import java.nio.BufferUnderflowException;
@@ -14,7 +14,7 @@
  * What backends tell each other of words, as octets: version, kind, and what the kind holds. Of another version, too long, not
  * in its one form or with anything left over, it is nothing, and nothing of it is taken.
  */
-final class Letters {
+final class GossipCodec {
 
     /** Octets of one letter at the most. */
     static final int MOST = 32 << 10;
@@ -27,25 +27,25 @@
     private static final int DIGEST = 32;
 
     /** Sums of all buckets: what differs? */
-    record Sums(long[] sums) {}
+    record BucketChecksums(long[] sums) {}
 
     /**
      * Versions held.
      *
      * @param whole the buckets of which these are all; none where it only announces what is new
      */
-    record Lines(long whole, List<Lot.Line> lines) {}
+    record VersionList(long whole, List<EntryTable.EntryVersion> lines) {}
 
     /** The words, with their ages. */
-    record Told(List<Aged> words) {}
+    record EntryBatch(List<AgedEntry> words) {}
 
     /** Born is as long before now as its age says, by the reader's clock. */
-    record Aged(Word word, long ageMs) {}
+    record AgedEntry(StoredEntry word, long ageMs) {}
 
     /** These words are asked for. */
-    record Want(List<Word.Key> keys) {}
+    record EntryRequest(List<StoredEntry.EntryKey> keys) {}
 
-    private Letters() {}
+    private GossipCodec() {}
 
     static boolean printable(String text, int most) {
         return text != null
@@ -68,17 +68,17 @@
         return out.array();
     }
 
-    static int lineOctets(Lot.Line line) {
+    static int lineOctets(EntryTable.EntryVersion line) {
         return line.key().owner().length() + line.key().topic().length() + 2 + 2 * 9 + 8;
     }
 
-    static byte[] lines(long whole, List<Lot.Line> lines) {
+    static byte[] lines(long whole, List<EntryTable.EntryVersion> lines) {
         ByteBuffer out = ByteBuffer.allocate(MOST)
                 .put(VERSION)
                 .put((byte) 1)
                 .putLong(whole)
                 .putShort((short) lines.size());
-        for (Lot.Line line : lines) {
+        for (EntryTable.EntryVersion line : lines) {
             put(out, line.key());
             number(out, line.incarnation());
             number(out, line.sequence());
@@ -87,7 +87,7 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static int wordOctets(Word word) {
+    static int wordOctets(StoredEntry word) {
         return word.key().owner().length()
                 + word.key().topic().length()
                 + 2
@@ -96,9 +96,9 @@
                 + (word.clashes() ? 2 * DIGEST : word.value() == null ? 0 : 2 + word.value().length);
     }
 
-    static byte[] words(Duration now, List<Word> words) {
+    static byte[] words(Duration now, List<StoredEntry> words) {
         ByteBuffer out = ByteBuffer.allocate(MOST).put(VERSION).put((byte) 2).putShort((short) words.size());
-        for (Word word : words) {
+        for (StoredEntry word : words) {
             put(out, word.key());
             number(out, word.incarnation());
             number(out, word.sequence());
@@ -115,13 +115,13 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static byte[] want(List<Word.Key> keys) {
+    static byte[] want(List<StoredEntry.EntryKey> keys) {
         ByteBuffer out = ByteBuffer.allocate(MOST).put(VERSION).put((byte) 3).putShort((short) keys.size());
         keys.forEach(key -> put(out, key));
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static void put(ByteBuffer out, Word.Key key) {
+    private static void put(ByteBuffer out, StoredEntry.EntryKey key) {
         for (String text : new String[] {key.owner(), key.topic()}) {
             byte[] octets = text.getBytes(StandardCharsets.US_ASCII);
             out.put((byte) octets.length).put(octets);
@@ -164,30 +164,30 @@
         }
     }
 
-    private static Sums readSums(ByteBuffer in) {
-        long[] sums = new long[Lot.BUCKETS];
+    private static BucketChecksums readSums(ByteBuffer in) {
+        long[] sums = new long[EntryTable.BUCKETS];
         for (int i = 0; i < sums.length; i++) {
             sums[i] = in.getLong();
         }
-        return new Sums(sums);
+        return new BucketChecksums(sums);
     }
 
-    private static Lines readLines(ByteBuffer in) {
+    private static VersionList readLines(ByteBuffer in) {
         long whole = in.getLong();
         int count = in.getShort() & 0xffff;
-        List<Lot.Line> lines = new ArrayList<>();
+        List<EntryTable.EntryVersion> lines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Word.Key key = key(in);
-            lines.add(new Lot.Line(key, version(in), version(in), in.getLong()));
+            StoredEntry.EntryKey key = key(in);
+            lines.add(new EntryTable.EntryVersion(key, version(in), version(in), in.getLong()));
         }
-        return new Lines(whole, lines);
+        return new VersionList(whole, lines);
     }
 
-    private static Told readWords(ByteBuffer in) {
+    private static EntryBatch readWords(ByteBuffer in) {
         int count = in.getShort() & 0xffff;
-        List<Aged> words = new ArrayList<>();
+        List<AgedEntry> words = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Word.Key key = key(in);
+            StoredEntry.EntryKey key = key(in);
             long incarnation = version(in);
             long sequence = version(in);
             long age = number(in);
@@ -199,13 +199,13 @@
             switch (in.get()) {
                 case 0 -> {
                     value = new byte[in.getShort() & 0xffff];
-                    if (value.length > Snapshot.MOST_OCTETS) {
+                    if (value.length > VersionedEntry.MOST_OCTETS) {
                         throw new IllegalArgumentException("value");
                     }
                     in.get(value);
-                    digests = List.of(Word.digest(value));
+                    digests = List.of(StoredEntry.digest(value));
                 }
-                case 1 -> digests = List.of(Word.digest(null));
+                case 1 -> digests = List.of(StoredEntry.digest(null));
                 case 2 -> {
                     digests = List.of(hex(in), hex(in));
                     if (digests.get(0).compareTo(digests.get(1)) >= 0) {
@@ -214,18 +214,18 @@
                 }
                 default -> throw new IllegalArgumentException("form");
             }
-            words.add(new Aged(new Word(key, incarnation, sequence, value, digests, Duration.ZERO), age));
+            words.add(new AgedEntry(new StoredEntry(key, incarnation, sequence, value, digests, Duration.ZERO), age));
         }
-        return new Told(words);
+        return new EntryBatch(words);
     }
 
-    private static Want readWant(ByteBuffer in) {
+    private static EntryRequest readWant(ByteBuffer in) {
         int count = in.getShort() & 0xffff;
-        List<Word.Key> keys = new ArrayList<>();
+        List<StoredEntry.EntryKey> keys = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             keys.add(key(in));
         }
-        return new Want(keys);
+        return new EntryRequest(keys);
     }
 
     private static String hex(ByteBuffer in) {
@@ -234,8 +234,8 @@
         return HexFormat.of().formatHex(octets);
     }
 
-    private static Word.Key key(ByteBuffer in) {
-        Word.Key key = new Word.Key(text(in), text(in));
+    private static StoredEntry.EntryKey key(ByteBuffer in) {
+        StoredEntry.EntryKey key = new StoredEntry.EntryKey(text(in), text(in));
         if (!fits(key.owner(), key.topic())) {
             throw new IllegalArgumentException("name");
         }
@@ -251,7 +251,7 @@
     /** A version is counted up, by one each time: beyond that it is nobody's. */
     private static long version(ByteBuffer in) {
         long number = number(in);
-        if (number > Words.MOST_VERSION) {
+        if (number > ReplicatedStore.MOST_VERSION) {
             throw new IllegalArgumentException("version");
         }
         return number;
--- a/src/main/java/merlinlever/shared/Decree.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import merlinlever.term.Leadership;
-import merlinlever.view.Act;
-import merlinlever.view.Permits;
-import merlinlever.view.Seen;
+import merlinlever.election.Leadership;
+import merlinlever.view.ActionPermissions;
+import merlinlever.view.FleetView;
+import merlinlever.view.GuardedAction;
 
 /**
  * One backend's part in registers that are written once: voter, leader, and one who is told. A leader asks more than half of the
@@ -23,7 +23,7 @@
  * ({@link #keep}); one that comes without its disk votes again only when it has been told by so many others that none of what it
  * may have promised or accepted is missed.
  */
-public final class Decree implements Registers {
+public final class PaxosNode implements WriteOnceRegisters {
 
     private static final Duration PERIOD = Duration.ofMillis(500);
     /** An unanswered question is put again after so long. */
@@ -36,9 +36,9 @@
     private static final int MOST_WAITING = 1000;
 
     /** What must be on the disk; {@code version} goes back to {@link #kept}. */
-    public record Keep(long version, byte[] octets) {}
+    public record PendingWrite(long version, byte[] octets) {}
 
-    private record Waiting(long version, Carry carry) {}
+    private record DeferredMessage(long version, OutgoingMessage carry) {}
 
     /** A register that this leader writes now. */
     private static final class Proposal {
@@ -47,7 +47,7 @@
         /** Null while voters are asked; then it is never changed within the term. */
         byte[] value;
 
-        final Map<String, Ballots.Entry> told = new TreeMap<>();
+        final Map<String, PaxosAcceptor.RegisterState> told = new TreeMap<>();
         /** Who has, and when that question was put, in ms of this one's clock. */
         final Map<String, Long> promised = new TreeMap<>(), accepted = new TreeMap<>();
 
@@ -60,13 +60,13 @@
 
     private final String self;
     private final Leadership leadership;
-    private final Seen seen;
+    private final FleetView seen;
     private final Supplier<List<String>> live;
     private final SplittableRandom chance;
     private final Consumer<String> log;
-    private final Ballots ballots;
+    private final PaxosAcceptor ballots;
     private final Map<String, Proposal> proposals = new TreeMap<>();
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
+    private final ArrayDeque<DeferredMessage> waiting = new ArrayDeque<>();
     private long version, onDisk, keeping;
     private Duration next;
     private final Duration fence;
@@ -78,12 +78,12 @@
     private long malformed, conflicts;
 
     /** @param found the octets that were kept last, or null where there are none or they are spoilt */
-    public Decree(
+    public PaxosNode(
             Duration now,
             String self,
             byte[] found,
             Leadership leadership,
-            Seen seen,
+            FleetView seen,
             Supplier<List<String>> live,
             SplittableRandom chance,
             Consumer<String> log) {
@@ -93,8 +93,8 @@
         this.live = live;
         this.chance = chance;
         this.log = log;
-        Ballots read = found == null ? null : Ballots.parsed(found);
-        ballots = read == null ? new Ballots() : read;
+        PaxosAcceptor read = found == null ? null : PaxosAcceptor.parsed(found);
+        ballots = read == null ? new PaxosAcceptor() : read;
         votes = read != null || leadership.voters().size() == 1;
         next = now;
         fence = now.plus(FENCE);
@@ -107,42 +107,42 @@
     }
 
     private boolean decides(Duration now) {
-        return leadership.leads(now) && seen.may(now, Act.DECIDE) == Permits.May.YES;
+        return leadership.leads(now) && seen.may(now, GuardedAction.DECIDE) == ActionPermissions.Permission.YES;
     }
 
     @Override
     public void propose(Duration now, String name, byte[] value) {
-        if (!Letters.fits("-", name) || value.length > Ballots.MOST_VALUE) {
+        if (!GossipCodec.fits("-", name) || value.length > PaxosAcceptor.MOST_VALUE) {
             throw new IllegalArgumentException("register " + name + " of " + value.length + " octets");
         }
-        if (decides(now) && written(name).isEmpty() && ballots.room(name) && proposals.size() < Ballots.MOST) {
+        if (decides(now) && written(name).isEmpty() && ballots.room(name) && proposals.size() < PaxosAcceptor.MOST) {
             proposals.computeIfAbsent(name, none -> new Proposal(value.clone()));
         }
     }
 
     @Override
     public Optional<byte[]> written(String name) {
-        Ballots.Entry entry = ballots.get(name);
+        PaxosAcceptor.RegisterState entry = ballots.get(name);
         return entry != null && entry.written() ? Optional.of(entry.value().clone()) : Optional.empty();
     }
 
     // ---- the disk
 
     /** What is to be written now; null where all of it is on the disk, one write is under way, or this voter is not yet told what it lost. */
-    public Keep keep() {
+    public PendingWrite keep() {
         if (version == onDisk
                 || keeping > onDisk
                 || !votes && leadership.voters().contains(self)) {
             return null;
         }
         keeping = version;
-        return new Keep(version, ballots.octets());
+        return new PendingWrite(version, ballots.octets());
     }
 
     /** It is on the disk; what waited for that is sent. */
-    public List<Carry> kept(Duration now, long done) {
+    public List<OutgoingMessage> kept(Duration now, long done) {
         onDisk = Math.max(onDisk, done);
-        List<Carry> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         while (!waiting.isEmpty() && waiting.peek().version <= onDisk) {
             out.add(waiting.poll().carry);
         }
@@ -154,21 +154,21 @@
         keeping = onDisk;
     }
 
-    private void afterDisk(String to, Slip slip) {
+    private void afterDisk(String to, RegisterMessage slip) {
         if (waiting.size() < MOST_WAITING) {
-            waiting.add(new Waiting(version, new Carry(to, slip.octets())));
+            waiting.add(new DeferredMessage(version, new OutgoingMessage(to, slip.octets())));
         }
     }
 
     // ---- what is to be said
 
-    public List<Carry> look(Duration now) {
-        List<Carry> out = new ArrayList<>();
+    public List<OutgoingMessage> look(Duration now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         if (!decides(now)) {
             // One that was deposed writes nothing; who leads then finishes what was begun.
             proposals.clear();
         } else {
-            for (Ballots.Entry entry : ballots.entries()) {
+            for (PaxosAcceptor.RegisterState entry : ballots.entries()) {
                 if (!entry.written()) {
                     proposals.computeIfAbsent(entry.name(), none -> new Proposal(entry.value()));
                 }
@@ -180,18 +180,24 @@
             List<String> others = live.get();
             if (!others.isEmpty()) {
                 out.add(carry(
-                        others.get(chance.nextInt(others.size())), Slip.Kind.KNOWN, 0, ballots.mark(), "", List.of()));
+                        others.get(chance.nextInt(others.size())),
+                        RegisterMessage.Kind.KNOWN,
+                        0,
+                        ballots.mark(),
+                        "",
+                        List.of()));
             }
             if (leadership.voters().contains(self) && !votes && now.compareTo(fence) >= 0) {
                 leadership.voters().stream()
                         .filter(voter -> !voter.equals(self))
-                        .forEach(voter -> out.add(carry(voter, Slip.Kind.ASK, 0, now.toMillis(), "", List.of())));
+                        .forEach(voter ->
+                                out.add(carry(voter, RegisterMessage.Kind.ASK, 0, now.toMillis(), "", List.of())));
             }
         }
         return own(now, out);
     }
 
-    private void lead(Duration now, String name, Proposal proposal, List<Carry> out) {
+    private void lead(Duration now, String name, Proposal proposal, List<OutgoingMessage> out) {
         if (proposal.term != leadership.term()) {
             proposal.term = leadership.term();
             proposal.value = null;
@@ -210,28 +216,40 @@
                         : !proposal.accepted.containsKey(voter)) {
                     out.add(
                             proposal.value == null
-                                    ? carry(voter, Slip.Kind.PREPARE, proposal.term, now.toMillis(), name, List.of())
+                                    ? carry(
+                                            voter,
+                                            RegisterMessage.Kind.PREPARE,
+                                            proposal.term,
+                                            now.toMillis(),
+                                            name,
+                                            List.of())
                                     : carry(
                                             voter,
-                                            Slip.Kind.ACCEPT,
+                                            RegisterMessage.Kind.ACCEPT,
                                             proposal.term,
                                             now.toMillis(),
                                             name,
-                                            List.of(new Ballots.Entry(name, proposal.term, proposal.value, false))));
+                                            List.of(new PaxosAcceptor.RegisterState(
+                                                    name, proposal.term, proposal.value, false))));
                 }
             }
         }
     }
 
-    private static Carry carry(
-            String to, Slip.Kind kind, long term, long number, String name, List<Ballots.Entry> entries) {
-        return new Carry(to, new Slip(kind, term, number, name, entries).octets());
+    private static OutgoingMessage carry(
+            String to,
+            RegisterMessage.Kind kind,
+            long term,
+            long number,
+            String name,
+            List<PaxosAcceptor.RegisterState> entries) {
+        return new OutgoingMessage(to, new RegisterMessage(kind, term, number, name, entries).octets());
     }
 
     /** What goes to this one itself needs no network. */
-    private List<Carry> own(Duration now, List<Carry> all) {
-        List<Carry> out = new ArrayList<>();
-        for (Carry each : all) {
+    private List<OutgoingMessage> own(Duration now, List<OutgoingMessage> all) {
+        List<OutgoingMessage> out = new ArrayList<>();
+        for (OutgoingMessage each : all) {
             if (each.to().equals(self)) {
                 out.addAll(came(now, self, each.body()));
             } else {
@@ -243,18 +261,20 @@
 
     // ---- what is said
 
-    public List<Carry> came(Duration now, String from, byte[] body) {
-        Slip slip = Slip.read(body);
+    public List<OutgoingMessage> came(Duration now, String from, byte[] body) {
+        RegisterMessage slip = RegisterMessage.read(body);
         boolean one = slip != null
                 && slip.entries().size() == 1
                 && slip.entries().get(0).name().equals(slip.name());
         if (slip == null
-                || (slip.kind() == Slip.Kind.ACCEPT || slip.kind() == Slip.Kind.WRITTEN) && !one
-                || slip.kind() == Slip.Kind.PROMISED && !one && !slip.entries().isEmpty()) {
+                || (slip.kind() == RegisterMessage.Kind.ACCEPT || slip.kind() == RegisterMessage.Kind.WRITTEN) && !one
+                || slip.kind() == RegisterMessage.Kind.PROMISED
+                        && !one
+                        && !slip.entries().isEmpty()) {
             malformed++;
             return List.of();
         }
-        List<Carry> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         switch (slip.kind()) {
             case PREPARE, ACCEPT -> asked(from, slip, out);
             case PROMISED -> promised(now, from, slip, out);
@@ -262,19 +282,19 @@
             case WRITTEN -> learn(slip.entries().get(0));
             case KNOWN -> {
                 if (slip.number() != ballots.mark()) {
-                    out.add(carry(from, Slip.Kind.ASK, 0, now.toMillis(), "", List.of()));
+                    out.add(carry(from, RegisterMessage.Kind.ASK, 0, now.toMillis(), "", List.of()));
                 }
             }
             case ASK -> {
                 // Told only once it is on the disk: who asks may take its own vote from it.
-                List<Ballots.Entry> page = ballots.page(slip.name(), Slip.PAGE);
+                List<PaxosAcceptor.RegisterState> page = ballots.page(slip.name(), RegisterMessage.PAGE);
                 boolean last = page.isEmpty()
-                        || ballots.page(page.get(page.size() - 1).name(), Slip.PAGE)
+                        || ballots.page(page.get(page.size() - 1).name(), RegisterMessage.PAGE)
                                 .isEmpty();
                 afterDisk(
                         from,
-                        new Slip(
-                                Slip.Kind.PAGE,
+                        new RegisterMessage(
+                                RegisterMessage.Kind.PAGE,
                                 ballots.promised(),
                                 slip.number() << 2 | (votes ? 1 : 0) | (last ? 2 : 0),
                                 slip.name(),
@@ -289,31 +309,32 @@
         return own(now, out);
     }
 
-    private void asked(String from, Slip slip, List<Carry> out) {
+    private void asked(String from, RegisterMessage slip, List<OutgoingMessage> out) {
         if (!leadership.voters().contains(self) || !votes) {
             return;
         }
-        boolean prepare = slip.kind() == Slip.Kind.PREPARE;
+        boolean prepare = slip.kind() == RegisterMessage.Kind.PREPARE;
         long promisedBefore = ballots.promised();
-        Ballots.Entry before = ballots.get(slip.name());
+        PaxosAcceptor.RegisterState before = ballots.get(slip.name());
         if (!(prepare
                 ? ballots.promise(slip.term())
                 : ballots.accept(slip.term(), slip.name(), slip.entries().get(0).value()))) {
-            out.add(carry(from, Slip.Kind.REFUSED, ballots.promised(), 0, slip.name(), List.of()));
+            out.add(carry(from, RegisterMessage.Kind.REFUSED, ballots.promised(), 0, slip.name(), List.of()));
             return;
         }
-        Ballots.Entry entry = ballots.get(slip.name());
+        PaxosAcceptor.RegisterState entry = ballots.get(slip.name());
         version += promisedBefore == ballots.promised() && before == entry ? 0 : 1;
         afterDisk(
                 from,
                 prepare
-                        ? new Slip(
-                                Slip.Kind.PROMISED,
+                        ? new RegisterMessage(
+                                RegisterMessage.Kind.PROMISED,
                                 slip.term(),
                                 slip.number(),
                                 slip.name(),
                                 entry == null ? List.of() : List.of(entry))
-                        : new Slip(Slip.Kind.ACCEPTED, slip.term(), slip.number(), slip.name(), List.of()));
+                        : new RegisterMessage(
+                                RegisterMessage.Kind.ACCEPTED, slip.term(), slip.number(), slip.name(), List.of()));
         if (version == onDisk) {
             while (!waiting.isEmpty()) {
                 out.add(waiting.poll().carry);
@@ -321,7 +342,7 @@
         }
     }
 
-    private void promised(Duration now, String from, Slip slip, List<Carry> out) {
+    private void promised(Duration now, String from, RegisterMessage slip, List<OutgoingMessage> out) {
         Proposal proposal = proposals.get(slip.name());
         if (proposal == null
                 || slip.term() != proposal.term
@@ -340,13 +361,13 @@
         if (written(slip.name()).isPresent()) {
             proposals.remove(slip.name());
         } else if (most(now, proposal.promised)) {
-            proposal.value = Ballots.safe(proposal.told.values(), proposal.mine);
+            proposal.value = PaxosAcceptor.safe(proposal.told.values(), proposal.mine);
             proposal.next = now;
             lead(now, slip.name(), proposal, out);
         }
     }
 
-    private void accepted(Duration now, String from, Slip slip, List<Carry> out) {
+    private void accepted(Duration now, String from, RegisterMessage slip, List<OutgoingMessage> out) {
         Proposal proposal = proposals.get(slip.name());
         if (proposal == null
                 || slip.term() != proposal.term
@@ -358,15 +379,16 @@
         proposal.accepted.put(from, slip.number());
         if (most(now, proposal.accepted)) {
             proposals.remove(slip.name());
-            Ballots.Entry entry = new Ballots.Entry(slip.name(), slip.term(), proposal.value, true);
+            PaxosAcceptor.RegisterState entry =
+                    new PaxosAcceptor.RegisterState(slip.name(), slip.term(), proposal.value, true);
             learn(entry);
             live.get()
-                    .forEach(other ->
-                            out.add(carry(other, Slip.Kind.WRITTEN, slip.term(), 0, slip.name(), List.of(entry))));
+                    .forEach(other -> out.add(
+                            carry(other, RegisterMessage.Kind.WRITTEN, slip.term(), 0, slip.name(), List.of(entry))));
         }
     }
 
-    private void learn(Ballots.Entry entry) {
+    private void learn(PaxosAcceptor.RegisterState entry) {
         if (written(entry.name())
                 .filter(known -> Arrays.equals(known, entry.value()))
                 .isPresent()) {
@@ -383,16 +405,16 @@
         proposals.remove(entry.name());
     }
 
-    private void page(String from, Slip slip, List<Carry> out) {
+    private void page(String from, RegisterMessage slip, List<OutgoingMessage> out) {
         boolean last = (slip.number() & 2) != 0;
         slip.entries().stream()
-                .filter(Ballots.Entry::written)
+                .filter(PaxosAcceptor.RegisterState::written)
                 .filter(entry -> written(entry.name()).isEmpty())
                 .forEach(this::learn);
         if (!last && !slip.entries().isEmpty()) {
             out.add(carry(
                     from,
-                    Slip.Kind.ASK,
+                    RegisterMessage.Kind.ASK,
                     0,
                     slip.number() >> 2,
                     slip.entries().get(slip.entries().size() - 1).name(),
@@ -422,7 +444,9 @@
 
     /** For operators, as a JSON object. */
     public String json() {
-        long written = ballots.entries().stream().filter(Ballots.Entry::written).count();
+        long written = ballots.entries().stream()
+                .filter(PaxosAcceptor.RegisterState::written)
+                .count();
         return "{\"written\":" + written + ",\"begun\":" + (ballots.entries().size() - written) + ",\"term\":"
                 + ballots.promised() + ",\"votes\":"
                 + (votes && leadership.voters().contains(self)) + ",\"conflicts\":" + conflicts + ",\"malformed\":"
--- a/src/main/java/merlinlever/shared/Slip.java
+++ b/src/main/java/merlinlever/replication/RegisterMessage.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
  * @param number flags of a page, or the mark of what is known
  * @param name of the register, or after which one a page begins; may be empty
  */
-record Slip(Kind kind, long term, long number, String name, List<Ballots.Entry> entries) {
+record RegisterMessage(Kind kind, long term, long number, String name, List<PaxosAcceptor.RegisterState> entries) {
 
     /**
      * A leader asks (PREPARE) and proposes (ACCEPT), a voter answers each or refuses with the term it holds to; WRITTEN is told to
@@ -38,8 +38,9 @@
 
     byte[] octets() {
         byte[] text = name.getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer out = ByteBuffer.allocate(
-                64 + text.length + entries.stream().mapToInt(Ballots::octets).sum());
+        ByteBuffer out = ByteBuffer.allocate(64
+                + text.length
+                + entries.stream().mapToInt(PaxosAcceptor::octets).sum());
         out.put(VERSION)
                 .put((byte) kind.ordinal())
                 .putLong(term)
@@ -47,12 +48,12 @@
                 .put((byte) text.length)
                 .put(text)
                 .putShort((short) entries.size());
-        entries.forEach(entry -> Ballots.put(out, entry));
+        entries.forEach(entry -> PaxosAcceptor.put(out, entry));
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static Slip read(byte[] body) {
-        if (body.length > Letters.MOST) {
+    static RegisterMessage read(byte[] body) {
+        if (body.length > GossipCodec.MOST) {
             return null;
         }
         try {
@@ -64,16 +65,18 @@
             byte[] text = new byte[in.get() & 0xff];
             in.get(text);
             String name = new String(text, StandardCharsets.ISO_8859_1);
-            List<Ballots.Entry> entries = new ArrayList<>();
+            List<PaxosAcceptor.RegisterState> entries = new ArrayList<>();
             for (int left = in.getShort() & 0xffff; left > 0; left--) {
-                entries.add(Ballots.entry(in));
+                entries.add(PaxosAcceptor.entry(in));
             }
             boolean ours = version == VERSION
                     && kind >= 0
                     && kind < Kind.values().length
                     && term >= 0
-                    && (name.isEmpty() || Letters.fits("-", name));
-            return !ours || in.hasRemaining() ? null : new Slip(Kind.values()[kind], term, number, name, entries);
+                    && (name.isEmpty() || GossipCodec.fits("-", name));
+            return !ours || in.hasRemaining()
+                    ? null
+                    : new RegisterMessage(Kind.values()[kind], term, number, name, entries);
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
--- a/src/main/java/merlinlever/shared/Words.java
+++ b/src/main/java/merlinlever/replication/ReplicatedStore.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * ({@link Gossip}). Own words are told only once they are on the disk, where one is kept, so that a later life never says
  * less than others have heard.
  */
-public final class Words implements Common {
+public final class ReplicatedStore implements SharedStore {
 
     /**
      * What is stated.
@@ -27,15 +27,15 @@
      * @param octetsASecond told at the most, beside the sums
      * @param keeps whether own words go to the disk before they are told ({@link #keep})
      */
-    public record Stated(Duration period, int fanOut, Duration age, int octetsASecond, boolean keeps) {
-        public static Stated usual(boolean keeps) {
-            return new Stated(Duration.ofMillis(200), 3, Duration.ofHours(24), 512 << 10, keeps);
+    public record ReplicationSettings(Duration period, int fanOut, Duration age, int octetsASecond, boolean keeps) {
+        public static ReplicationSettings usual(boolean keeps) {
+            return new ReplicationSettings(Duration.ofMillis(200), 3, Duration.ofHours(24), 512 << 10, keeps);
         }
     }
 
     /** What has to outlast this life: its own words, and a version above which the next life begins. */
-    public record Kept(long incarnation, long sequence, List<Snapshot> words) {
-        public static final Kept NOTHING = new Kept(0, 0, List.of());
+    public record PersistedEntries(long incarnation, long sequence, List<VersionedEntry> words) {
+        public static final PersistedEntries NOTHING = new PersistedEntries(0, 0, List.of());
     }
 
     static final long MOST_VERSION = 1L << 48;
@@ -47,16 +47,16 @@
     private static final Duration STILL = Duration.ofSeconds(2);
 
     private final String self;
-    private final Stated stated;
-    private final Lot.Ages ages;
+    private final ReplicationSettings stated;
+    private final EntryTable.RetentionPolicy ages;
     private final Consumer<String> log;
-    private final Lot lot = new Lot();
+    private final EntryTable lot = new EntryTable();
     private final Gossip gossip;
-    private final List<Hearer> hearers = new ArrayList<>();
+    private final List<EntryListener> hearers = new ArrayList<>();
     /** Put or taken back in this life. */
-    private final TreeMap<String, Word> own = new TreeMap<>();
+    private final TreeMap<String, StoredEntry> own = new TreeMap<>();
     /** Of those, what waits for the disk. */
-    private final TreeMap<String, Word> pending = new TreeMap<>();
+    private final TreeMap<String, StoredEntry> pending = new TreeMap<>();
 
     private long incarnation;
     private long sequence;
@@ -69,15 +69,15 @@
 
     /**
      * @param incarnation of membership, as this life begins; words begin above it and above what was kept
-     * @param kept what the life before left, or {@link Kept#NOTHING}
+     * @param kept what the life before left, or {@link PersistedEntries#NOTHING}
      * @param live the others that can be told something, now
      */
-    public Words(
+    public ReplicatedStore(
             Duration now,
             String self,
             long incarnation,
-            Kept kept,
-            Stated stated,
+            PersistedEntries kept,
+            ReplicationSettings stated,
             Supplier<List<String>> live,
             SplittableRandom chance,
             Consumer<String> log) {
@@ -85,10 +85,10 @@
         this.stated = stated;
         this.log = log;
         this.incarnation = Math.max(incarnation, kept.incarnation + 1);
-        ages = new Lot.Ages(stated.age);
+        ages = new EntryTable.RetentionPolicy(stated.age);
         last = now;
         gossip = new Gossip(now, lot, stated, live, chance);
-        kept.words.forEach(word -> lot.merge(Word.of(word, now)));
+        kept.words.forEach(word -> lot.merge(StoredEntry.of(word, now)));
     }
 
     // ---- own words
@@ -96,16 +96,16 @@
     @Override
     public boolean put(Duration now, String topic, byte[] value) {
         alive(now);
-        if (!Letters.fits(self, topic) || value.length > Snapshot.MOST_OCTETS) {
+        if (!GossipCodec.fits(self, topic) || value.length > VersionedEntry.MOST_OCTETS) {
             return false;
         }
         long octets = value.length;
-        for (Map.Entry<String, Word> each : own.entrySet()) {
+        for (Map.Entry<String, StoredEntry> each : own.entrySet()) {
             octets += each.getKey().equals(topic) || each.getValue().value() == null
                     ? 0
                     : each.getValue().value().length;
         }
-        Word word = next(now, topic, value.clone());
+        StoredEntry word = next(now, topic, value.clone());
         if (!own.containsKey(topic) && own.size() >= MOST_OWN || octets > MOST_OWN_OCTETS || !lot.room(word)) {
             return false;
         }
@@ -116,16 +116,16 @@
     @Override
     public void remove(Duration now, String topic) {
         alive(now);
-        if (own.containsKey(topic) || lot.get(new Word.Key(self, topic)) != null) {
+        if (own.containsKey(topic) || lot.get(new StoredEntry.EntryKey(self, topic)) != null) {
             say(next(now, topic, null));
         }
     }
 
-    private Word next(Duration now, String topic, byte[] value) {
-        return Word.of(new Snapshot(self, topic, incarnation, sequence + 1, value), now);
+    private StoredEntry next(Duration now, String topic, byte[] value) {
+        return StoredEntry.of(new VersionedEntry(self, topic, incarnation, sequence + 1, value), now);
     }
 
-    private void say(Word word) {
+    private void say(StoredEntry word) {
         sequence = word.sequence();
         own.put(word.key().topic(), word);
         pending.put(word.key().topic(), word);
@@ -139,72 +139,72 @@
         pending.values().removeIf(word -> {
             boolean on = word.incarnation() < upToIncarnation
                     || word.incarnation() == upToIncarnation && word.sequence() <= upToSequence;
-            Lot.Taken taken = on ? lot.merge(word) : Lot.Taken.NO_ROOM;
-            if (taken == Lot.Taken.NEWER || taken == Lot.Taken.CLASHES) {
+            EntryTable.MergeResult taken = on ? lot.merge(word) : EntryTable.MergeResult.NO_ROOM;
+            if (taken == EntryTable.MergeResult.NEWER || taken == EntryTable.MergeResult.CLASHES) {
                 gossip.fresh(word.key());
             }
-            return taken != Lot.Taken.NO_ROOM;
+            return taken != EntryTable.MergeResult.NO_ROOM;
         });
     }
 
     /** What is to be written before more is told; null where all of it is on the disk. */
-    public Kept keep() {
+    public PersistedEntries keep() {
         if (pending.isEmpty()) {
             return null;
         }
-        TreeMap<String, Word> words = new TreeMap<>();
-        for (Word word : lot.words()) {
+        TreeMap<String, StoredEntry> words = new TreeMap<>();
+        for (StoredEntry word : lot.words()) {
             if (word.key().owner().equals(self) && !word.clashes()) {
                 words.put(word.key().topic(), word);
             }
         }
         words.putAll(own);
-        return new Kept(
+        return new PersistedEntries(
                 incarnation,
                 sequence,
-                words.values().stream().map(Word::snapshot).toList());
+                words.values().stream().map(StoredEntry::snapshot).toList());
     }
 
     /** It is on the disk. */
-    public void kept(Kept done) {
+    public void kept(PersistedEntries done) {
         tell(done.incarnation, done.sequence);
     }
 
     // ---- words of others
 
     @Override
-    public boolean pass(Duration now, Snapshot snapshot) {
+    public boolean pass(Duration now, VersionedEntry snapshot) {
         alive(now);
-        if (!Letters.fits(snapshot.owner(), snapshot.topic())
+        if (!GossipCodec.fits(snapshot.owner(), snapshot.topic())
                 || snapshot.owner().equals(self)
-                || snapshot.value() != null && snapshot.value().length > Snapshot.MOST_OCTETS
+                || snapshot.value() != null && snapshot.value().length > VersionedEntry.MOST_OCTETS
                 || Math.min(snapshot.incarnation(), snapshot.sequence()) < 0
                 || Math.max(snapshot.incarnation(), snapshot.sequence()) > MOST_VERSION) {
             return false;
         }
-        return take(now, Word.of(snapshot, now), false) == Lot.Taken.NEWER;
+        return take(now, StoredEntry.of(snapshot, now), false) == EntryTable.MergeResult.NEWER;
     }
 
     /** @param heard whether it came from another backend, and hearers are told */
-    private Lot.Taken take(Duration now, Word word, boolean heard) {
+    private EntryTable.MergeResult take(Duration now, StoredEntry word, boolean heard) {
         if (now.minus(word.born()).compareTo(ages.told(word)) >= 0) {
-            return Lot.Taken.OLDER;
+            return EntryTable.MergeResult.OLDER;
         }
-        Lot.Taken taken = lot.merge(word);
-        if (taken == Lot.Taken.NO_ROOM && refused++ % 1000 == 0) {
+        EntryTable.MergeResult taken = lot.merge(word);
+        if (taken == EntryTable.MergeResult.NO_ROOM && refused++ % 1000 == 0) {
             log.accept("no room for the word of " + word.key().owner() + " on "
                     + word.key().topic() + ": " + lot.size() + " words, " + lot.octets() + " octets are held");
         }
-        if (taken == Lot.Taken.NEWER) {
+        if (taken == EntryTable.MergeResult.NEWER) {
             gossip.fresh(word.key());
             if (word.key().owner().equals(self)) {
                 overtaken(word);
             } else if (heard) {
                 List.copyOf(hearers).forEach(hearer -> hearer.came(now, word.snapshot()));
             }
-        } else if (taken == Lot.Taken.CLASHES) {
+        } else if (taken == EntryTable.MergeResult.CLASHES) {
             gossip.fresh(word.key());
-            Clash clash = lot.get(word.key()).clash();
+            VersionConflict clash = lot.get(word.key()).clash();
             log.accept("the word of " + clash.owner() + " on " + clash.topic() + " was claimed twice under "
                     + clash.incarnation() + "." + clash.sequence() + ", as " + clash.one() + " and as " + clash.other()
                     + ": neither is taken");
@@ -214,8 +214,8 @@
     }
 
     /** Others hold a word of this one that it does not: of a life before whose disk is lost, or of another under its name. */
-    private void overtaken(Word word) {
-        Word mine = own.get(word.key().topic());
+    private void overtaken(StoredEntry word) {
+        StoredEntry mine = own.get(word.key().topic());
         if (word.incarnation() > incarnation
                 || word.incarnation() == incarnation && word.sequence() > sequence
                 || mine != null && word.after(mine)) {
@@ -224,17 +224,17 @@
     }
 
     @Override
-    public Optional<Snapshot> of(String owner, String topic) {
-        Word word = lot.get(new Word.Key(owner, topic));
-        Word mine = owner.equals(self) ? own.get(topic) : null;
-        Word counts = mine == null || word != null && word.clashes() && !mine.after(word) ? word : mine;
+    public Optional<VersionedEntry> of(String owner, String topic) {
+        StoredEntry word = lot.get(new StoredEntry.EntryKey(owner, topic));
+        StoredEntry mine = owner.equals(self) ? own.get(topic) : null;
+        StoredEntry counts = mine == null || word != null && word.clashes() && !mine.after(word) ? word : mine;
         return counts == null || counts.value() == null ? Optional.empty() : Optional.of(counts.snapshot());
     }
 
     @Override
-    public List<Snapshot> all(String topic) {
-        TreeMap<String, Snapshot> found = new TreeMap<>();
-        for (Word word : lot.words()) {
+    public List<VersionedEntry> all(String topic) {
+        TreeMap<String, VersionedEntry> found = new TreeMap<>();
+        for (StoredEntry word : lot.words()) {
             if (word.key().topic().equals(topic) && word.value() != null) {
                 found.put(word.key().owner(), word.snapshot());
             }
@@ -245,24 +245,27 @@
     }
 
     @Override
-    public List<Clash> clashes() {
-        return lot.words().stream().filter(Word::clashes).map(Word::clash).toList();
+    public List<VersionConflict> clashes() {
+        return lot.words().stream()
+                .filter(StoredEntry::clashes)
+                .map(StoredEntry::clash)
+                .toList();
     }
 
     @Override
-    public void hears(Hearer hearer) {
+    public void hears(EntryListener hearer) {
         hearers.add(hearer);
     }
 
     // ---- time and letters
 
     /** What is to be told now. */
-    public List<Carry> look(Duration now) {
+    public List<OutgoingMessage> look(Duration now) {
         alive(now);
         if (!gossip.due(now)) {
             return List.of();
         }
-        for (Word gone : lot.expire(now, ages)) {
+        for (StoredEntry gone : lot.expire(now, ages)) {
             gone(now, gone);
         }
         own.values()
@@ -274,7 +277,7 @@
                     + incarnation);
             List.copyOf(own.values()).forEach(word -> say(next(now, word.key().topic(), word.value())));
         }
-        for (Word word : List.copyOf(own.values())) {
+        for (StoredEntry word : List.copyOf(own.values())) {
             if (word.value() != null && now.minus(word.born()).compareTo(ages.refresh()) >= 0) {
                 say(next(now, word.key().topic(), word.value()));
             }
@@ -286,17 +289,17 @@
     }
 
     /** A letter came; answers go back. */
-    public List<Carry> came(Duration now, String from, byte[] body) {
+    public List<OutgoingMessage> came(Duration now, String from, byte[] body) {
         alive(now);
-        Object letter = Letters.read(body);
+        Object letter = GossipCodec.read(body);
         if (letter == null) {
             gossip.malformed++;
             return List.of();
         }
-        if (letter instanceof Letters.Told words) {
+        if (letter instanceof GossipCodec.EntryBatch words) {
             // What waited in this one's own buffers while it stood still grew older there.
             Duration waited = now.compareTo(stillUntil) < 0 ? stillness : Duration.ZERO;
-            for (Letters.Aged each : words.words()) {
+            for (GossipCodec.AgedEntry each : words.words()) {
                 take(now, each.word().born(now.minusMillis(each.ageMs()).minus(waited)), true);
             }
             return List.of();
@@ -322,7 +325,7 @@
      */
     public void away(Duration now) {
         log.accept("away for too long: the words of others are dropped, and asked for anew");
-        for (Word word : lot.words()) {
+        for (StoredEntry word : lot.words()) {
             if (!word.key().owner().equals(self)) {
                 lot.drop(word.key());
                 gone(now, word);
@@ -330,7 +333,7 @@
         }
     }
 
-    private void gone(Duration now, Word word) {
+    private void gone(Duration now, StoredEntry word) {
         List.copyOf(hearers)
                 .forEach(hearer ->
                         hearer.gone(now, word.key().owner(), word.key().topic()));
--- a/src/main/java/merlinlever/shared/Word.java
+++ b/src/main/java/merlinlever/replication/StoredEntry.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -16,21 +16,21 @@
  * @param digests SHA-256 in hex of what was claimed under the version: one, or of more than one the two smallest
  * @param born when the owner put it, by this one's steady clock, late at the most by the messages' way
  */
-record Word(Key key, long incarnation, long sequence, byte[] value, List<String> digests, Duration born) {
+record StoredEntry(EntryKey key, long incarnation, long sequence, byte[] value, List<String> digests, Duration born) {
 
     /** Whose word on what. */
-    record Key(String owner, String topic) implements Comparable<Key> {
+    record EntryKey(String owner, String topic) implements Comparable<EntryKey> {
         @Override
-        public int compareTo(Key other) {
+        public int compareTo(EntryKey other) {
             int by = owner.compareTo(other.owner);
             return by != 0 ? by : topic.compareTo(other.topic);
         }
     }
 
-    static Word of(Snapshot snapshot, Duration born) {
+    static StoredEntry of(VersionedEntry snapshot, Duration born) {
         byte[] value = snapshot.value() == null ? null : snapshot.value().clone();
-        return new Word(
-                new Key(snapshot.owner(), snapshot.topic()),
+        return new StoredEntry(
+                new EntryKey(snapshot.owner(), snapshot.topic()),
                 snapshot.incarnation(),
                 snapshot.sequence(),
                 value,
@@ -46,29 +46,30 @@
         return value == null && !clashes();
     }
 
-    boolean after(Word other) {
+    boolean after(StoredEntry other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    Snapshot snapshot() {
-        return new Snapshot(key.owner, key.topic, incarnation, sequence, value == null ? null : value.clone());
+    VersionedEntry snapshot() {
+        return new VersionedEntry(key.owner, key.topic, incarnation, sequence, value == null ? null : value.clone());
     }
 
-    Common.Clash clash() {
-        return new Common.Clash(key.owner, key.topic, incarnation, sequence, digests.get(0), digests.get(1));
+    SharedStore.VersionConflict clash() {
+        return new SharedStore.VersionConflict(
+                key.owner, key.topic, incarnation, sequence, digests.get(0), digests.get(1));
     }
 
-    Word born(Duration other) {
-        return new Word(key, incarnation, sequence, value, digests, other);
+    StoredEntry born(Duration other) {
+        return new StoredEntry(key, incarnation, sequence, value, digests, other);
     }
 
     /** Both of one version: the same word, or one claimed twice. Keeping the two smallest digests is a union that stays small. */
-    Word with(Word other) {
+    StoredEntry with(StoredEntry other) {
         TreeSet<String> all = new TreeSet<>(digests);
         all.addAll(other.digests);
         List<String> two = all.stream().limit(2).toList();
         Duration youngest = born.compareTo(other.born) > 0 ? born : other.born;
-        return new Word(key, incarnation, sequence, two.size() > 1 ? null : value, two, youngest);
+        return new StoredEntry(key, incarnation, sequence, two.size() > 1 ? null : value, two, youngest);
     }
 
     /** Counted against the bound of octets. */
--- a/src/main/java/merlinlever/shared/Registers.java
+++ b/src/main/java/merlinlever/replication/WriteOnceRegisters.java
@@ -1,10 +1,10 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import java.time.Duration;
 import java.util.Optional;
 
 /** Values that are written once for the whole fleet and never change: the end of a trial. */
-public interface Registers {
+public interface WriteOnceRegisters {
 
     /**
      * Proposes a value, as the leader; nothing is done where this one does not lead or may not decide. It is written once more
--- a/src/main/java/merlinlever/shared/disk/WordsFile.java
+++ b/src/main/java/merlinlever/replication/disk/EntryFile.java
@@ -1,4 +1,4 @@
-package merlinlever.shared.disk;
+package merlinlever.replication.disk;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -7,26 +7,26 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import merlinlever.shared.Snapshot;
-import merlinlever.shared.Words;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.VersionedEntry;
 
 /** A backend's own words as octets of a file: the CRC-32C of the rest, versions, whose they are, each word. */
-public final class WordsFile {
+public final class EntryFile {
 
     private static final int FORM = 0x4d4c5731;
 
-    private WordsFile() {}
+    private EntryFile() {}
 
-    public static byte[] octets(String owner, Words.Kept kept) {
+    public static byte[] octets(String owner, ReplicatedStore.PersistedEntries kept) {
         int size = 64 + owner.length();
-        for (Snapshot word : kept.words()) {
+        for (VersionedEntry word : kept.words()) {
             size += 32 + word.topic().length() + (word.value() == null ? 0 : word.value().length);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.putInt(0).putInt(FORM).putLong(kept.incarnation()).putLong(kept.sequence());
         put(out, owner);
         out.putShort((short) kept.words().size());
-        for (Snapshot word : kept.words()) {
+        for (VersionedEntry word : kept.words()) {
             put(out, word.topic());
             out.putLong(word.incarnation())
                     .putLong(word.sequence())
@@ -58,7 +58,7 @@
     }
 
     /** Null where it is spoilt; of another owner's file (a copied folder) the versions alone, to begin above them. */
-    public static Words.Kept parsed(String owner, byte[] octets) {
+    public static ReplicatedStore.PersistedEntries parsed(String owner, byte[] octets) {
         try {
             ByteBuffer in = ByteBuffer.wrap(octets);
             if (in.getInt() != sum(octets) || in.getInt() != FORM) {
@@ -67,22 +67,22 @@
             long incarnation = in.getLong();
             long sequence = in.getLong();
             boolean own = text(in).equals(owner);
-            List<Snapshot> words = new ArrayList<>();
+            List<VersionedEntry> words = new ArrayList<>();
             for (int left = in.getShort(); left > 0; left--) {
                 String topic = text(in);
                 long its = in.getLong();
                 long at = in.getLong();
                 int length = in.getInt();
-                if (length > Snapshot.MOST_OCTETS) {
+                if (length > VersionedEntry.MOST_OCTETS) {
                     return null;
                 }
                 byte[] value = length < 0 ? null : new byte[length];
                 if (value != null) {
                     in.get(value);
                 }
-                words.add(new Snapshot(owner, topic, its, at, value));
+                words.add(new VersionedEntry(owner, topic, its, at, value));
             }
-            return new Words.Kept(incarnation, sequence, own ? words : List.of());
+            return new ReplicatedStore.PersistedEntries(incarnation, sequence, own ? words : List.of());
         } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
             return null;
         }
--- a/src/main/java/merlinlever/shared/disk/Keeper.java
+++ b/src/main/java/merlinlever/replication/disk/StateWriter.java
@@ -1,24 +1,24 @@
-package merlinlever.shared.disk;
+package merlinlever.replication.disk;
 
 import java.io.IOException;
 import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Consumer;
-import merlinlever.durable.Folder;
+import merlinlever.storage.StateDirectory;
 
 /** Replaces files on a thread of its own, one after the other; what came of each is told on the loop. */
-public final class Keeper {
+public final class StateWriter {
 
-    private record Job(String name, byte[] octets, Consumer<IOException> done) {}
+    private record WriteJob(String name, byte[] octets, Consumer<IOException> done) {}
 
     /** Words and registers, each one at a time. */
     private static final int MOST = 2;
 
-    private final Folder folder;
+    private final StateDirectory folder;
     private final Executor loop;
-    private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>(MOST);
+    private final LinkedBlockingQueue<WriteJob> jobs = new LinkedBlockingQueue<>(MOST);
 
-    public Keeper(Folder folder, Executor loop) {
+    public StateWriter(StateDirectory folder, Executor loop) {
         this.folder = folder;
         this.loop = loop;
         Thread thread = new Thread(this::work, "shared-disk");
@@ -33,13 +33,13 @@
 
     /** {@code done} hears null when it is on the disk, or what went wrong; false where others wait already. */
     public boolean write(String name, byte[] octets, Consumer<IOException> done) {
-        return jobs.offer(new Job(name, octets, done));
+        return jobs.offer(new WriteJob(name, octets, done));
     }
 
     private void work() {
         try {
             while (true) {
-                Job job = jobs.take();
+                WriteJob job = jobs.take();
                 IOException failed = null;
                 try {
                     folder.replace(job.name, job.octets);
--- a/src/main/java/merlinlever/shared/disk/package-info.java
+++ b/src/main/java/merlinlever/replication/disk/package-info.java
@@ -1,2 +1,2 @@
 /** What is shared, as far as it has to outlast a process, on disk. */
-package merlinlever.shared.disk;
+package merlinlever.replication.disk;
--- a/src/main/java/merlinlever/shared/net/Spread.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -1,4 +1,4 @@
-package merlinlever.shared.net;
+package merlinlever.replication.net;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -7,25 +7,25 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.durable.Folder;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
-import merlinlever.net.Loop;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.shared.Carry;
-import merlinlever.shared.Decree;
-import merlinlever.shared.Words;
-import merlinlever.shared.disk.Keeper;
-import merlinlever.shared.disk.WordsFile;
-import merlinlever.term.Leadership;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.election.Leadership;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.net.EventLoop;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.replication.OutgoingMessage;
+import merlinlever.replication.PaxosNode;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.disk.EntryFile;
+import merlinlever.replication.disk.StateWriter;
+import merlinlever.storage.StateDirectory;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 
 /**
  * One backend's words and registers on the loop, membership's datagrams and the disk. Each letter begins with an octet that says
  * which of the two it is for. While the disk fails nothing new of its own is told and nothing is voted.
  */
-public final class Spread implements Members.Carried {
+public final class ReplicationTransport implements SwimProtocol.PayloadHandler {
 
     private static final Duration LOOK = Duration.ofMillis(20);
     private static final Duration AGAIN = Duration.ofSeconds(1);
@@ -34,25 +34,25 @@
     /** First octets of letters. */
     private static final byte FOR_WORDS = 'w', FOR_REGISTERS = 'r';
 
-    private final Loop loop;
-    private final Rejoin rejoin;
-    private final Seen seen;
+    private final EventLoop loop;
+    private final RecoveryCoordinator rejoin;
+    private final FleetView seen;
     private final Consumer<String> log;
-    private final Keeper keeper;
-    private final Words words;
-    private final Decree decree;
+    private final StateWriter keeper;
+    private final ReplicatedStore words;
+    private final PaxosNode decree;
     private final String self;
     private Duration writeNext = Duration.ZERO;
     private boolean writing, failed, returning;
 
     /** @param folder for {@code words} and {@code registers}, held by this process */
-    public Spread(
-            Loop loop,
-            Rejoin rejoin,
-            Folder folder,
-            Words.Stated stated,
+    public ReplicationTransport(
+            EventLoop loop,
+            RecoveryCoordinator rejoin,
+            StateDirectory folder,
+            ReplicatedStore.ReplicationSettings stated,
             Leadership leadership,
-            Seen seen,
+            FleetView seen,
             long seed,
             Consumer<String> log)
             throws IOException {
@@ -61,16 +61,17 @@
         this.seen = seen;
         this.log = log;
         self = rejoin.members().views().self();
-        keeper = new Keeper(folder, loop);
+        keeper = new StateWriter(folder, loop);
         SplittableRandom chance = new SplittableRandom(seed);
         Duration now = loop.clock().uptime();
         byte[] found = keeper.read(WORDS);
-        Words.Kept kept = found == null ? Words.Kept.NOTHING : WordsFile.parsed(self, found);
+        ReplicatedStore.PersistedEntries kept =
+                found == null ? ReplicatedStore.PersistedEntries.NOTHING : EntryFile.parsed(self, found);
         if (kept == null) {
             log.accept("found its own words spoilt, thrown away: others tell what they have heard of them");
-            kept = Words.Kept.NOTHING;
+            kept = ReplicatedStore.PersistedEntries.NOTHING;
         }
-        words = new Words(
+        words = new ReplicatedStore(
                 now,
                 self,
                 rejoin.members().views().of(self).incarnation(),
@@ -79,24 +80,25 @@
                 this::live,
                 chance.split(),
                 log);
-        decree = new Decree(now, self, keeper.read(REGISTERS), leadership, seen, this::live, chance.split(), log);
+        decree = new PaxosNode(now, self, keeper.read(REGISTERS), leadership, seen, this::live, chance.split(), log);
         rejoin.members().takes(this);
         loop.every(LOOK, this::look);
     }
 
-    public Words words() {
+    public ReplicatedStore words() {
         return words;
     }
 
-    public Decree decree() {
+    public PaxosNode decree() {
         return decree;
     }
 
     private List<String> live() {
         List<String> live = new ArrayList<>();
-        for (Views.Rumour each : rejoin.members().views().all()) {
+        for (MemberTable.MemberRecord each : rejoin.members().views().all()) {
             if (!each.name().equals(self)
-                    && (each.status() == Views.Status.ALIVE || each.status() == Views.Status.SUSPECT)) {
+                    && (each.status() == MemberTable.MemberStatus.ALIVE
+                            || each.status() == MemberTable.MemberStatus.SUSPECT)) {
                 live.add(each.name());
             }
         }
@@ -106,7 +108,7 @@
     private void look() {
         Duration now = loop.clock().uptime();
         boolean was = returning;
-        returning = seen.standing(now) == Standing.RETURNING;
+        returning = seen.standing(now) == QuorumStatus.RETURNING;
         if (returning && !was) {
             words.away(now);
         }
@@ -118,12 +120,12 @@
     }
 
     private void write(Duration now) {
-        Words.Kept kept = words.keep();
+        ReplicatedStore.PersistedEntries kept = words.keep();
         if (kept != null) {
-            writing = keeper.write(WORDS, WordsFile.octets(self, kept), how -> written(how, () -> words.kept(kept)));
+            writing = keeper.write(WORDS, EntryFile.octets(self, kept), how -> written(how, () -> words.kept(kept)));
             return;
         }
-        Decree.Keep keep = decree.keep();
+        PaxosNode.PendingWrite keep = decree.keep();
         if (keep != null) {
             writing = keeper.write(REGISTERS, keep.octets(), how -> {
                 if (how != null) {
@@ -151,8 +153,8 @@
         }
     }
 
-    private void say(byte who, List<Carry> all) {
-        for (Carry each : all) {
+    private void say(byte who, List<OutgoingMessage> all) {
+        for (OutgoingMessage each : all) {
             byte[] body = new byte[each.body().length + 1];
             body[0] = who;
             System.arraycopy(each.body(), 0, body, 1, each.body().length);
--- a/src/main/java/merlinlever/shared/net/package-info.java
+++ b/src/main/java/merlinlever/replication/net/package-info.java
@@ -1,2 +1,2 @@
 /** What is shared, on the loop and membership's datagrams. */
-package merlinlever.shared.net;
+package merlinlever.replication.net;
--- a/src/main/java/merlinlever/routes/Damping.java
+++ b/src/main/java/merlinlever/routes/FlapDamping.java
@@ -5,16 +5,17 @@
 import java.util.TreeMap;
 
 /** Routes that come and go are left out for a while, by the figures of RFC 2439 and RFC 7196. */
-public final class Damping {
+public final class FlapDamping {
 
     /** @param suppress from which penalty on a route is left out, and reuse below which it is used again */
-    public record Figures(
+    public record FlapDampingSettings(
             double withdrawal, double change, double suppress, double reuse, Duration halfLife, double most) {
         /** The threshold that RFC 7196 recommends at the least; nothing is left out for more than an hour. */
-        public static final Figures PUBLISHED = new Figures(1000, 500, 6000, 750, Duration.ofMinutes(15), 12_000);
+        public static final FlapDampingSettings PUBLISHED =
+                new FlapDampingSettings(1000, 500, 6000, 750, Duration.ofMinutes(15), 12_000);
     }
 
-    private static final class Figure {
+    private static final class RoutePenalty {
         double penalty;
         Duration at;
         boolean left;
@@ -23,14 +24,14 @@
     /** Routes with a penalty at the most; beyond, no other gets one. */
     public static final int MOST = 16_384;
 
-    private final Figures figures;
-    private final Map<String, Figure> all = new TreeMap<>();
+    private final FlapDampingSettings figures;
+    private final Map<String, RoutePenalty> all = new TreeMap<>();
 
-    public Damping(Figures figures) {
+    public FlapDamping(FlapDampingSettings figures) {
         this.figures = figures;
     }
 
-    private double penalty(Duration now, Figure figure) {
+    private double penalty(Duration now, RoutePenalty figure) {
         return figure.penalty
                 * Math.pow(
                         0.5,
@@ -47,7 +48,7 @@
     }
 
     private void add(Duration now, String route, double more) {
-        Figure its = all.get(route);
+        RoutePenalty its = all.get(route);
         if (its == null) {
             if (all.size() >= MOST) {
                 all.values().removeIf(each -> penalty(now, each) < figures.reuse() / 2);
@@ -55,7 +56,7 @@
                     return;
                 }
             }
-            all.put(route, its = new Figure());
+            all.put(route, its = new RoutePenalty());
             its.at = now;
         }
         its.penalty = Math.min(figures.most(), penalty(now, its) + more);
@@ -65,7 +66,7 @@
 
     /** Whether it is left out now. */
     public boolean leftOut(Duration now, String route) {
-        Figure its = all.get(route);
+        RoutePenalty its = all.get(route);
         if (its == null) {
             return false;
         }
--- a/src/main/java/merlinlever/routes/Own.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -1,23 +1,23 @@
 package merlinlever.routes;
 
 import java.time.Duration;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.WireNamed;
 
 /**
  * How this site's own records service does, by how the calls to it end: away when several in a row did not get through, slow when
  * much of what went to it lately took too long or was given up. While it is either, a call now and then tries it.
  */
-public final class Own {
+public final class LocalServiceHealth {
 
-    public enum State implements WireNamed {
+    public enum HealthState implements WireNamed {
         GOOD("good"),
         SLOW("slow"),
         AWAY("away");
 
         private final String wireName;
 
-        State(String wireName) {
+        HealthState(String wireName) {
             this.wireName = wireName;
         }
 
@@ -34,32 +34,33 @@
      * @param tryAgain so often a call tries it
      * @param good tries in a row that make it good again
      */
-    public record Stated(int inARow, Duration slow, int of, Duration tryAgain, int good) {
-        public static final Stated USUAL = new Stated(3, Duration.ofMillis(500), 32, Duration.ofMillis(500), 3);
+    public record HealthSettings(int inARow, Duration slow, int of, Duration tryAgain, int good) {
+        public static final HealthSettings USUAL =
+                new HealthSettings(3, Duration.ofMillis(500), 32, Duration.ofMillis(500), 3);
     }
 
-    private final Stated stated;
+    private final HealthSettings stated;
     private final boolean[] slow;
-    private State state = State.GOOD;
+    private HealthState state = HealthState.GOOD;
     private int next, slows, seen, lost, good;
     private Duration triedAt = Duration.ZERO;
 
-    public Own(Stated stated) {
+    public LocalServiceHealth(HealthSettings stated) {
         this.stated = stated;
         slow = new boolean[stated.of()];
     }
 
-    public State state() {
+    public HealthState state() {
         return state;
     }
 
     /** A call to it ended. */
-    public void ended(Duration now, Ending how, Duration took) {
-        if (how == Ending.NEVER_BEGUN || how == Ending.STOPPED) {
+    public void ended(Duration now, Outcome how, Duration took) {
+        if (how == Outcome.NEVER_BEGUN || how == Outcome.STOPPED) {
             return;
         }
-        boolean gone = how == Ending.UNREACHABLE || how == Ending.CUT_OFF;
-        boolean late = how == Ending.GIVEN_UP || took.compareTo(stated.slow()) > 0;
+        boolean gone = how == Outcome.UNREACHABLE || how == Outcome.CUT_OFF;
+        boolean late = how == Outcome.GIVEN_UP || took.compareTo(stated.slow()) > 0;
         lost = gone ? lost + 1 : 0;
         good = gone || late ? 0 : good + 1;
         slows += (late ? 1 : 0) - (slow[next] ? 1 : 0);
@@ -67,18 +68,18 @@
         next = (next + 1) % slow.length;
         seen = Math.min(slow.length, seen + 1);
         if (lost >= stated.inARow()) {
-            become(State.AWAY, now);
-        } else if (state == State.GOOD && seen >= slow.length && slows * 2 >= slow.length) {
-            become(State.SLOW, now);
-        } else if (state != State.GOOD && good >= stated.good()) {
-            become(State.GOOD, now);
+            become(HealthState.AWAY, now);
+        } else if (state == HealthState.GOOD && seen >= slow.length && slows * 2 >= slow.length) {
+            become(HealthState.SLOW, now);
+        } else if (state != HealthState.GOOD && good >= stated.good()) {
+            become(HealthState.GOOD, now);
             java.util.Arrays.fill(slow, false);
             slows = 0;
             seen = 0;
         }
     }
 
-    private void become(State now, Duration at) {
+    private void become(HealthState now, Duration at) {
         if (state != now) {
             state = now;
             triedAt = at;
@@ -88,7 +89,7 @@
 
     /** Whether this call is to try it although it is not good. */
     public boolean tries(Duration now) {
-        if (state == State.GOOD || now.minus(triedAt).compareTo(stated.tryAgain()) < 0) {
+        if (state == HealthState.GOOD || now.minus(triedAt).compareTo(stated.tryAgain()) < 0) {
             return false;
         }
         triedAt = now;
--- a/src/main/java/merlinlever/routes/Partner.java
+++ b/src/main/java/merlinlever/routes/PartnerTable.java
@@ -9,30 +9,30 @@
  * surely stood by it; so a word that comes late, twice or never widens nothing, and a tightening that does not get here holds
  * when the lease is over. Times are since the process began.
  */
-final class Partner {
+final class PartnerTable {
 
     final String site;
     final Relation relation;
     private final double drift;
     /** The latest it said, and what is in use of it: all of it, or what was in use before as well. */
-    private Table latest, used;
+    private RouteTable latest, used;
 
     private String digest;
     private Duration until = Duration.ZERO;
     /** What was in use before the latest, and until when, for the case that the latest was said in two ways. */
-    private Table before;
+    private RouteTable before;
 
     private Duration beforeUntil = Duration.ZERO;
     private boolean clashing;
 
-    Partner(String site, Relation relation, double drift) {
+    PartnerTable(String site, Relation relation, double drift) {
         this.site = site;
         this.relation = relation;
         this.drift = drift;
     }
 
     /** It is said to have said that; true where what is in use changed. */
-    boolean offer(Duration now, Table table, String itsDigest, boolean mayWiden, Consumer<String> told) {
+    boolean offer(Duration now, RouteTable table, String itsDigest, boolean mayWiden, Consumer<String> told) {
         if (!table.site().equals(site) || table.relation() != relation) {
             told.accept("a table of " + table.site() + " that calls itself "
                     + table.relation().wireName() + " is not that of " + site + ", " + relation.wireName());
@@ -55,8 +55,8 @@
         return true;
     }
 
-    private Table none(Table like) {
-        return new Table(site, like.incarnation(), like.sequence(), relation, like.lease(), new TreeMap<>());
+    private RouteTable none(RouteTable like) {
+        return new RouteTable(site, like.incarnation(), like.sequence(), relation, like.lease(), new TreeMap<>());
     }
 
     /** What ran out is held no longer: to use it again is to take it on anew. */
@@ -66,7 +66,7 @@
         }
     }
 
-    private boolean again(Table table, String itsDigest, Consumer<String> told) {
+    private boolean again(RouteTable table, String itsDigest, Consumer<String> told) {
         if (!table.sameVersion(latest)) {
             told.accept(site + " came with " + version(table) + ", which is older than " + version(latest)
                     + "; it is not taken");
@@ -112,16 +112,16 @@
         return true;
     }
 
-    static String version(Table table) {
+    static String version(RouteTable table) {
         return table.incarnation() + "." + table.sequence();
     }
 
     /** What may be used now, or null. */
-    Table used(Duration now) {
+    RouteTable used(Duration now) {
         return now.compareTo(until) < 0 ? used : null;
     }
 
-    Table latest() {
+    RouteTable latest() {
         return latest;
     }
 
--- a/src/main/java/merlinlever/routes/Room.java
+++ b/src/main/java/merlinlever/routes/RateWindow.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** Calls that may be begun in any stretch of so long: one backend's part of what a partner takes of the whole site. */
-final class Room {
+final class RateWindow {
 
     /** Remembered begins at the most, and so the most calls of one route and backend in a stretch. */
     static final int MOST = 4096;
@@ -15,7 +15,7 @@
     private int next, count;
 
     /** @param calls a second that the site may make, backends that divide them evenly; less than one each is one in some seconds */
-    Room(int calls, int backends) {
+    RateWindow(int calls, int backends) {
         int each = Math.min(MOST, calls / backends);
         begun = new long[Math.max(1, each)];
         stretch = each > 0 ? SECOND : (SECOND * backends + calls - 1) / calls;
--- a/src/main/java/merlinlever/routes/Exports.java
+++ b/src/main/java/merlinlever/routes/RouteExporter.java
@@ -7,20 +7,20 @@
 import java.util.function.Predicate;
 
 /** What one site's table to a partner holds: its own routes and, of each key, the best that may go there (Wang, Schapira and Rexford 2009). */
-final class Exports {
+final class RouteExporter {
 
-    private Exports() {}
+    private RouteExporter() {}
 
     static List<Route> of(
-            Rules rules,
-            Merge merge,
+            RoutingPolicy rules,
+            RouteMerger merge,
             Relation relation,
             String receiver,
             Collection<Route> own,
             String place,
             int calls,
             int cost,
-            Predicate<Merge.Candidate> usable) {
+            Predicate<RouteMerger.Candidate> usable) {
         TreeMap<String, Route> all = new TreeMap<>();
         for (Route each : own) {
             if (rules.refusal(null, each, receiver, relation) == null) {
@@ -31,7 +31,7 @@
             }
         }
         for (String key : merge.keys()) {
-            for (Merge.Candidate each : merge.ways(key)) {
+            for (RouteMerger.Candidate each : merge.ways(key)) {
                 if (usable.test(each) && rules.refusal(each.relation(), each.route(), receiver, relation) == null) {
                     Route passed = rules.passedOn(each.route(), place, calls, cost, relation);
                     all.putIfAbsent(passed.id(), passed);
@@ -40,6 +40,6 @@
             }
         }
         List<Route> most = new ArrayList<>(all.values());
-        return most.size() <= Table.MOST ? most : most.subList(0, Table.MOST);
+        return most.size() <= RouteTable.MOST ? most : most.subList(0, RouteTable.MOST);
     }
 }
--- a/src/main/java/merlinlever/routes/Merge.java
+++ b/src/main/java/merlinlever/routes/RouteMerger.java
@@ -16,7 +16,7 @@
  * What follows from the tables of all partners: for each tariff and group of places the ways that may be used, best first. It
  * hangs on nothing but which tables there are, in whatever order they came, and a change costs what it changes.
  */
-public final class Merge {
+public final class RouteMerger {
 
     /** One usable way, by which partner it came. */
     public record Candidate(String from, Relation relation, Route route) implements Comparable<Candidate> {
@@ -42,7 +42,7 @@
     }
 
     /** Hears what a new table does. */
-    public interface Hearer {
+    public interface RouteListener {
         /** By the rule of that name. */
         void refused(Route route, String rule);
 
@@ -52,7 +52,7 @@
     }
 
     /** Hears nothing. */
-    public static final Hearer NOBODY = new Hearer() {
+    public static final RouteListener NOBODY = new RouteListener() {
         @Override
         public void refused(Route route, String rule) {}
 
@@ -64,25 +64,25 @@
     };
 
     /** Routes at the most of all partners; a table that would go beyond is not taken. */
-    public static final int MOST = 8 * Table.MOST;
+    public static final int MOST = 8 * RouteTable.MOST;
     /** Alternatives of one key that are looked at. */
     public static final int MOST_ALTERNATIVES = 64;
 
     private static final NavigableSet<Candidate> NO_WAYS = Collections.unmodifiableNavigableSet(new TreeSet<>());
 
-    private final Rules rules;
-    private final Map<String, Table> tables = new TreeMap<>();
+    private final RoutingPolicy rules;
+    private final Map<String, RouteTable> tables = new TreeMap<>();
     private final Map<String, Relation> relations = new TreeMap<>();
     private final Map<String, NavigableSet<Candidate>> ways = new TreeMap<>();
     private int routes;
 
-    public Merge(Rules rules) {
+    public RouteMerger(RoutingPolicy rules) {
         this.rules = rules;
     }
 
     /** In place of the partner's last table; null takes it away with all that hung on it. False where there is no room. */
-    public boolean put(String site, Relation relation, Table table, Hearer hearer) {
-        Table before = tables.get(site);
+    public boolean put(String site, Relation relation, RouteTable table, RouteListener hearer) {
+        RouteTable before = tables.get(site);
         int were = before == null ? 0 : before.routes().size();
         if (table != null && routes - were + table.routes().size() > MOST) {
             return false;
@@ -143,11 +143,11 @@
         return all.hasNext() ? all.next() : null;
     }
 
-    private void add(String site, Relation relation, Route route, Hearer hearer) {
-        Rules.Intake why = rules.refusal(site, relation, route);
+    private void add(String site, Relation relation, Route route, RouteListener hearer) {
+        RoutingPolicy.ImportRule why = rules.refusal(site, relation, route);
         if (why == null) {
             ways.computeIfAbsent(route.key(), key -> new TreeSet<>())
-                    .add(new Candidate(site, relation, Rules.marked(site, relation, route)));
+                    .add(new Candidate(site, relation, RoutingPolicy.marked(site, relation, route)));
         } else {
             hearer.refused(route, why.wireName());
         }
@@ -156,14 +156,14 @@
     private void drop(String site, Relation relation, Route route) {
         NavigableSet<Candidate> its = ways.get(route.key());
         if (its != null) {
-            its.remove(new Candidate(site, relation, Rules.marked(site, relation, route)));
+            its.remove(new Candidate(site, relation, RoutingPolicy.marked(site, relation, route)));
             if (its.isEmpty()) {
                 ways.remove(route.key());
             }
         }
     }
 
-    public Table table(String site) {
+    public RouteTable table(String site) {
         return tables.get(site);
     }
 
--- a/src/main/java/merlinlever/routes/Exits.java
+++ b/src/main/java/merlinlever/routes/RouteSelector.java
@@ -14,44 +14,45 @@
  * room, spread over those that are as good by their calls a second and a hash of the caller's key. A change of the set moves the
  * keys of what went and what came alone (rendezvous hashing: Thaler and Ravishankar 1998; weights: Schindelhauer and Schomaker 2005).
  */
-public final class Exits {
+public final class RouteSelector {
 
     /** As the settings have them. */
-    public enum Kind {
+    public enum RetrySafety {
         RETRIABLE,
         FINGERPRINTED,
         BINDING
     }
 
     /** @param leaves whether it may leave the site; for binding work the route has to say so as well */
-    public record Tariff(String name, Kind kind, boolean leaves) {}
+    public record RoutingClass(String name, RetrySafety kind, boolean leaves) {}
 
     /** @param tried places that this operation's calls were sent to already
      *  @param missing whether one of those calls may have had its effect: its answer never came */
-    public record Call(Tariff tariff, String group, String key, Set<String> tried, boolean missing) {}
+    public record RoutedCall(RoutingClass tariff, String group, String key, Set<String> tried, boolean missing) {}
 
     /** Where it goes. */
-    public record Way(String site, String place, String route) {}
+    public record SelectedRoute(String site, String place, String route) {}
 
     /** Routes whose begins are remembered; what is over is used no more than if it were full. */
     private static final int MOST_ROOMS = 4096;
 
-    private final Routes routes;
+    private final RoutingTable routes;
     private final int backends;
-    private final Map<String, Room> rooms = new LinkedHashMap<>();
+    private final Map<String, RateWindow> rooms = new LinkedHashMap<>();
 
     /** @param backends of this site that divide the room of each route: the most that there ever are */
-    public Exits(Routes routes, int backends) {
+    public RouteSelector(RoutingTable routes, int backends) {
         this.routes = routes;
         this.backends = backends;
     }
 
     /** The way of a call and what it takes of its room; empty where it stays, or has nowhere to go. */
-    public Optional<Way> way(Duration now, Call call, Own.State own, boolean overShare) {
-        if (own == Own.State.GOOD && !overShare) {
+    public Optional<SelectedRoute> way(
+            Duration now, RoutedCall call, LocalServiceHealth.HealthState own, boolean overShare) {
+        if (own == LocalServiceHealth.HealthState.GOOD && !overShare) {
             return Optional.empty();
         }
-        for (List<Merge.Candidate> tier : tiers(now, call)) {
+        for (List<RouteMerger.Candidate> tier : tiers(now, call)) {
             double[] score = new double[tier.size()];
             for (int i = 0; i < score.length; i++) {
                 score[i] = score(call.key(), tier.get(i));
@@ -62,12 +63,12 @@
                 for (int i = 1; i < score.length; i++) {
                     least = score[i] < score[least] ? i : least;
                 }
-                Merge.Candidate its = tier.get(least);
-                Room room = room(now, its);
+                RouteMerger.Candidate its = tier.get(least);
+                RateWindow room = room(now, its);
                 if (room != null && room.allows(now)) {
                     room.begin(now);
-                    return Optional.of(
-                            new Way(its.from(), its.route().place(), its.route().id()));
+                    return Optional.of(new SelectedRoute(
+                            its.from(), its.route().place(), its.route().id()));
                 }
                 score[least] = Double.POSITIVE_INFINITY;
             }
@@ -76,13 +77,13 @@
     }
 
     /** What may be used, in parts that are equally good, best first. */
-    private List<List<Merge.Candidate>> tiers(Duration now, Call call) {
-        List<List<Merge.Candidate>> tiers = new ArrayList<>();
-        if (call.missing() && call.tariff().kind() != Kind.RETRIABLE) {
+    private List<List<RouteMerger.Candidate>> tiers(Duration now, RoutedCall call) {
+        List<List<RouteMerger.Candidate>> tiers = new ArrayList<>();
+        if (call.missing() && call.tariff().kind() != RetrySafety.RETRIABLE) {
             return tiers;
         }
-        Merge.Candidate last = null;
-        for (Merge.Candidate each : routes.ways(now, call.tariff().name() + "/" + call.group())) {
+        RouteMerger.Candidate last = null;
+        for (RouteMerger.Candidate each : routes.ways(now, call.tariff().name() + "/" + call.group())) {
             if (mayGo(call.tariff(), each.route())
                     && !call.tried().contains(each.route().place())) {
                 if (last == null
@@ -98,16 +99,17 @@
     }
 
     /** Whether calls of the tariff may go along the route at all. */
-    static boolean mayGo(Tariff tariff, Route route) {
+    static boolean mayGo(RoutingClass tariff, Route route) {
         return tariff.leaves()
-                && (tariff.kind() != Kind.BINDING || route.binding())
-                && (tariff.kind() == Kind.RETRIABLE || !route.restrictions().retriableOnly());
+                && (tariff.kind() != RetrySafety.BINDING || route.binding())
+                && (tariff.kind() == RetrySafety.RETRIABLE
+                        || !route.restrictions().retriableOnly());
     }
 
-    private Room room(Duration now, Merge.Candidate each) {
+    private RateWindow room(Duration now, RouteMerger.Candidate each) {
         String id =
                 each.from() + " " + each.route().calls() + " " + each.route().id();
-        Room its = rooms.get(id);
+        RateWindow its = rooms.get(id);
         if (its == null) {
             if (rooms.size() >= MOST_ROOMS) {
                 rooms.values().removeIf(room -> room.idle(now));
@@ -115,19 +117,19 @@
                     return null;
                 }
             }
-            its = new Room(each.route().calls(), backends);
+            its = new RateWindow(each.route().calls(), backends);
             rooms.put(id, its);
         }
         return its;
     }
 
     /** Calls a second that this backend may send out in all, for the module: of the tariffs that may leave; rounded down. */
-    public long room(Duration now, List<Tariff> tariffs, String group) {
+    public long room(Duration now, List<RoutingClass> tariffs, String group) {
         long thousandths = 0;
-        for (Tariff tariff : tariffs) {
-            for (Merge.Candidate each : routes.ways(now, tariff.name() + "/" + group)) {
+        for (RoutingClass tariff : tariffs) {
+            for (RouteMerger.Candidate each : routes.ways(now, tariff.name() + "/" + group)) {
                 if (mayGo(tariff, each.route())) {
-                    thousandths += Room.perThousandSeconds(each.route().calls(), backends);
+                    thousandths += RateWindow.perThousandSeconds(each.route().calls(), backends);
                 }
             }
         }
@@ -135,7 +137,7 @@
     }
 
     /** The place's bid for the key: the least of them has it, each as often as it has calls of all. */
-    static double score(String key, Merge.Candidate each) {
+    static double score(String key, RouteMerger.Candidate each) {
         long hash = hash(key, each.from() + each.route().place());
         double uniform = ((hash >>> 11) + 0.5) * 0x1.0p-53;
         return -Math.log(uniform) / each.route().calls();
--- a/src/main/java/merlinlever/routes/Table.java
+++ b/src/main/java/merlinlever/routes/RouteTable.java
@@ -13,7 +13,7 @@
  * @param lease so long it may be used from when the publisher was last heard to stand by it
  * @param routes by {@link Route#id}; {@link #MOST} at the most
  */
-public record Table(
+public record RouteTable(
         String site,
         long incarnation,
         long sequence,
@@ -26,22 +26,22 @@
 
     public static final Duration SHORTEST = Duration.ofSeconds(1), LONGEST = Duration.ofHours(1);
 
-    public Table {
+    public RouteTable {
         routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
     }
 
-    public static Table of(
+    public static RouteTable of(
             String site, long incarnation, long sequence, Relation relation, Duration lease, Collection<Route> routes) {
         TreeMap<String, Route> byId = new TreeMap<>();
         routes.forEach(route -> byId.put(route.id(), route));
-        return new Table(site, incarnation, sequence, relation, lease, byId);
+        return new RouteTable(site, incarnation, sequence, relation, lease, byId);
     }
 
-    public boolean after(Table other) {
+    public boolean after(RouteTable other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    public boolean sameVersion(Table other) {
+    public boolean sameVersion(RouteTable other) {
         return incarnation == other.incarnation && sequence == other.sequence;
     }
 
@@ -49,7 +49,7 @@
      * What both this one and the other allow, under the later version of the two; the same in any order but for that. So a
      * tightening or a withdrawal holds at once where a loosening or a new route may not be taken on yet.
      */
-    public Table narrowed(Table other) {
+    public RouteTable narrowed(RouteTable other) {
         TreeMap<String, Route> both = new TreeMap<>();
         routes.forEach((id, route) -> {
             Route its = other.routes.get(id);
@@ -57,8 +57,8 @@
                 both.put(id, route.and(its));
             }
         });
-        Table later = other.after(this) ? other : this;
-        return new Table(
+        RouteTable later = other.after(this) ? other : this;
+        return new RouteTable(
                 site,
                 later.incarnation,
                 later.sequence,
--- a/src/main/java/merlinlever/routes/TableReader.java
+++ b/src/main/java/merlinlever/routes/RouteTableReader.java
@@ -16,19 +16,19 @@
  * Reads a partner's table. What is wrong with its head costs the table, what is wrong with a route that route; whatever of a
  * route is not understood may be a restriction, and so forbids it.
  */
-public final class TableReader {
+public final class RouteTableReader {
 
     /** A table that cannot be used at all. */
-    public static final class Unusable extends Exception {
+    public static final class UnusableTableException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String message) {
+        UnusableTableException(String message) {
             super(message);
         }
     }
 
     /** @param faults one line for each route that is not used as it was said, 50 at the most */
-    public record Read(Table table, List<String> faults) {}
+    public record ParsedTable(RouteTable table, List<String> faults) {}
 
     public static final int MOST_CHARACTERS = 8 << 20;
     public static final int MOST_CALLS = 100_000;
@@ -46,40 +46,40 @@
     private static final Set<String> LIMITS =
             Set.of("only-to", "not-to", "no-further", "most-sites", "retriable-only", "customers-only");
 
-    private TableReader() {}
+    private RouteTableReader() {}
 
-    private static final class Fault extends Exception {
+    private static final class InvalidFieldException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Fault(String message) {
+        InvalidFieldException(String message) {
             super(message);
         }
     }
 
-    public static Read read(String text) throws Unusable {
+    public static ParsedTable read(String text) throws UnusableTableException {
         if (text.length() > MOST_CHARACTERS) {
-            throw new Unusable("the table has over " + MOST_CHARACTERS + " characters");
+            throw new UnusableTableException("the table has over " + MOST_CHARACTERS + " characters");
         }
         try {
             return read(Json.strictObject(text));
-        } catch (Json.Malformed | Fault e) {
-            throw new Unusable("the table: " + e.getMessage());
+        } catch (Json.MalformedJsonException | InvalidFieldException e) {
+            throw new UnusableTableException("the table: " + e.getMessage());
         }
     }
 
-    private static Read read(Map<?, ?> head) throws Fault {
+    private static ParsedTable read(Map<?, ?> head) throws InvalidFieldException {
         known(head, HEAD);
         String site = word(head, "site", SITE);
         long incarnation = number(head, "incarnation", 0, MOST_VERSION),
                 sequence = number(head, "sequence", 0, MOST_VERSION);
         Relation relation = relation(word(head, "relation", WORD));
-        Duration lease =
-                Duration.ofMillis(number(head, "lease-ms", Table.SHORTEST.toMillis(), Table.LONGEST.toMillis()));
+        Duration lease = Duration.ofMillis(
+                number(head, "lease-ms", RouteTable.SHORTEST.toMillis(), RouteTable.LONGEST.toMillis()));
         if (!(head.get("routes") instanceof List<?> list)) {
-            throw new Fault("'routes' is no list");
+            throw new InvalidFieldException("'routes' is no list");
         }
-        if (list.size() > Table.MOST) {
-            throw new Fault("over " + Table.MOST + " routes");
+        if (list.size() > RouteTable.MOST) {
+            throw new InvalidFieldException("over " + RouteTable.MOST + " routes");
         }
         List<String> faults = new ArrayList<>();
         TreeMap<String, Route> routes = new TreeMap<>();
@@ -92,14 +92,14 @@
                 }
                 if (routes.put(route.id(), route) != null) {
                     twice.add(route.id());
-                    throw new Fault("the same route came before; neither is taken");
+                    throw new InvalidFieldException("the same route came before; neither is taken");
                 }
-            } catch (Fault e) {
+            } catch (InvalidFieldException e) {
                 fault(faults, i, e.getMessage());
             }
         }
         twice.forEach(routes::remove);
-        return new Read(new Table(site, incarnation, sequence, relation, lease, routes), faults);
+        return new ParsedTable(new RouteTable(site, incarnation, sequence, relation, lease, routes), faults);
     }
 
     private static void fault(List<String> faults, int i, String what) {
@@ -108,18 +108,18 @@
         }
     }
 
-    private static Route route(Object value) throws Fault {
+    private static Route route(Object value) throws InvalidFieldException {
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Fault("not an object");
+            throw new InvalidFieldException("not an object");
         }
         known(map, ROUTE);
         String place = word(map, "place", PLACE);
         if (!address(place)) {
-            throw new Fault("'place' is no address and port: " + place);
+            throw new InvalidFieldException("'place' is no address and port: " + place);
         }
         List<String> path = new ArrayList<>(sites(map.get("path"), "path", Restrictions.MOST_SITES));
         if (path.isEmpty()) {
-            throw new Fault("'path' is empty");
+            throw new InvalidFieldException("'path' is empty");
         }
         String down = map.get("down-from") == null ? null : word(map, "down-from", SITE);
         return new Route(
@@ -157,7 +157,7 @@
                     flag(map, "retriable-only"),
                     flag(map, "customers-only"),
                     false);
-        } catch (Fault e) {
+        } catch (InvalidFieldException e) {
             return Restrictions.UNREADABLE;
         }
     }
@@ -175,13 +175,13 @@
         return true;
     }
 
-    static Relation relation(String word) throws Fault {
+    static Relation relation(String word) throws InvalidFieldException {
         for (Relation each : Relation.values()) {
             if (each.wireName().equals(word)) {
                 return each;
             }
         }
-        throw new Fault("'relation' is customer, peer or provider");
+        throw new InvalidFieldException("'relation' is customer, peer or provider");
     }
 
     /** Whether it can be a site's name. */
@@ -189,49 +189,49 @@
         return SITE.matcher(text).matches();
     }
 
-    private static void known(Map<?, ?> map, Set<String> names) throws Fault {
+    private static void known(Map<?, ?> map, Set<String> names) throws InvalidFieldException {
         for (Object name : map.keySet()) {
             if (!names.contains(name)) {
                 String shown = String.valueOf(name);
-                throw new Fault(
+                throw new InvalidFieldException(
                         "'" + shown.substring(0, Math.min(40, shown.length())).replaceAll("[^ -~]", "?")
                                 + "' is not known");
             }
         }
     }
 
-    private static String word(Map<?, ?> map, String name, Pattern form) throws Fault {
+    private static String word(Map<?, ?> map, String name, Pattern form) throws InvalidFieldException {
         if (map.get(name) instanceof String text && form.matcher(text).matches()) {
             return text;
         }
-        throw new Fault("'" + name + "' is missing or not of the form " + form.pattern());
+        throw new InvalidFieldException("'" + name + "' is missing or not of the form " + form.pattern());
     }
 
-    private static long number(Map<?, ?> map, String name, long least, long most) throws Fault {
+    private static long number(Map<?, ?> map, String name, long least, long most) throws InvalidFieldException {
         if (map.get(name) instanceof Long number && number >= least && number <= most) {
             return number;
         }
-        throw new Fault("'" + name + "' is no whole number from " + least + " to " + most);
+        throw new InvalidFieldException("'" + name + "' is no whole number from " + least + " to " + most);
     }
 
-    private static boolean flag(Map<?, ?> map, String name) throws Fault {
+    private static boolean flag(Map<?, ?> map, String name) throws InvalidFieldException {
         if (!map.containsKey(name)) {
             return false;
         }
         if (map.get(name) instanceof Boolean flag) {
             return flag;
         }
-        throw new Fault("'" + name + "' is neither true nor false");
+        throw new InvalidFieldException("'" + name + "' is neither true nor false");
     }
 
-    private static List<String> sites(Object value, String name, int most) throws Fault {
+    private static List<String> sites(Object value, String name, int most) throws InvalidFieldException {
         if (!(value instanceof List<?> list) || list.size() > most) {
-            throw new Fault("'" + name + "' is no list of at most " + most + " sites");
+            throw new InvalidFieldException("'" + name + "' is no list of at most " + most + " sites");
         }
         List<String> sites = new ArrayList<>();
         for (Object each : list) {
             if (!(each instanceof String site) || !isSite(site)) {
-                throw new Fault("'" + name + "' names what is no site");
+                throw new InvalidFieldException("'" + name + "' names what is no site");
             }
             sites.add(site);
         }
--- a/src/main/java/merlinlever/routes/TableWriter.java
+++ b/src/main/java/merlinlever/routes/RouteTableWriter.java
@@ -8,12 +8,12 @@
 import java.util.stream.Collectors;
 import merlinlever.json.Json;
 
-/** Writes a table as {@link TableReader} reads it, the same text for the same table. */
-public final class TableWriter {
+/** Writes a table as {@link RouteTableReader} reads it, the same text for the same table. */
+public final class RouteTableWriter {
 
-    private TableWriter() {}
+    private RouteTableWriter() {}
 
-    public static String text(Table table) {
+    public static String text(RouteTable table) {
         StringBuilder text = new StringBuilder("{\"site\":")
                 .append(Json.quoted(table.site()))
                 .append(",\"incarnation\":")
@@ -73,7 +73,7 @@
     }
 
     /** For telling two tables of one version apart. */
-    public static String digest(Table table) {
+    public static String digest(RouteTable table) {
         try {
             byte[] all = MessageDigest.getInstance("SHA-256").digest(text(table).getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(all, 0, 16);
--- a/src/main/java/merlinlever/routes/Rules.java
+++ b/src/main/java/merlinlever/routes/RoutingPolicy.java
@@ -9,10 +9,10 @@
 import merlinlever.WireNamed;
 
 /** What may be taken from a partner, and what may be passed on to another. Each rule can be left out by a test that is to notice. */
-public final class Rules {
+public final class RoutingPolicy {
 
     /** On what is taken. */
-    enum Intake implements WireNamed {
+    enum ImportRule implements WireNamed {
         /** Its restrictions were not understood. */
         UNREADABLE("unreadable"),
         /** It begins at another than the publisher. */
@@ -30,7 +30,7 @@
 
         private final String wireName;
 
-        Intake(String wireName) {
+        ImportRule(String wireName) {
             this.wireName = wireName;
         }
 
@@ -41,7 +41,7 @@
     }
 
     /** On what is passed on. */
-    enum Export {
+    enum ExportRule {
         /** The receiver is on its way. */
         BACK,
         /** The origin does not let the receiver have it. */
@@ -55,19 +55,19 @@
     }
 
     private final String self;
-    private final Set<Intake> intake;
-    private final Set<Export> export;
+    private final Set<ImportRule> intake;
+    private final Set<ExportRule> export;
 
-    public Rules(String self) {
-        this(self, EnumSet.noneOf(Intake.class), EnumSet.noneOf(Export.class));
+    public RoutingPolicy(String self) {
+        this(self, EnumSet.noneOf(ImportRule.class), EnumSet.noneOf(ExportRule.class));
     }
 
     /** For tests: without some of the rules. */
-    Rules(String self, Set<Intake> without, Set<Export> withoutExport) {
+    RoutingPolicy(String self, Set<ImportRule> without, Set<ExportRule> withoutExport) {
         this.self = self;
-        intake = EnumSet.complementOf(without.isEmpty() ? EnumSet.noneOf(Intake.class) : EnumSet.copyOf(without));
+        intake = EnumSet.complementOf(without.isEmpty() ? EnumSet.noneOf(ImportRule.class) : EnumSet.copyOf(without));
         export = EnumSet.complementOf(
-                withoutExport.isEmpty() ? EnumSet.noneOf(Export.class) : EnumSet.copyOf(withoutExport));
+                withoutExport.isEmpty() ? EnumSet.noneOf(ExportRule.class) : EnumSet.copyOf(withoutExport));
     }
 
     public String self() {
@@ -75,8 +75,8 @@
     }
 
     /** Why the route may not be taken, or null. */
-    Intake refusal(String from, Relation relation, Route route) {
-        for (Intake each : intake) {
+    ImportRule refusal(String from, Relation relation, Route route) {
+        for (ImportRule each : intake) {
             if (breaks(each, from, relation, route)) {
                 return each;
             }
@@ -84,7 +84,7 @@
         return null;
     }
 
-    private boolean breaks(Intake rule, String from, Relation relation, Route route) {
+    private boolean breaks(ImportRule rule, String from, Relation relation, Route route) {
         Restrictions its = route.restrictions();
         boolean passedOn = route.path().size() > 1;
         return switch (rule) {
@@ -110,8 +110,8 @@
     }
 
     /** Why what came from a partner of that relation (null for this site's own) may not be passed on to the receiver, or null. */
-    Export refusal(Relation from, Route route, String receiver, Relation its) {
-        for (Export each : export) {
+    ExportRule refusal(Relation from, Route route, String receiver, Relation its) {
+        for (ExportRule each : export) {
             if (breaks(each, from, route, receiver, its)) {
                 return each;
             }
@@ -119,7 +119,7 @@
         return null;
     }
 
-    private boolean breaks(Export rule, Relation from, Route route, String receiver, Relation its) {
+    private boolean breaks(ExportRule rule, Relation from, Route route, String receiver, Relation its) {
         Restrictions said = route.restrictions();
         return switch (rule) {
             case BACK -> route.path().contains(receiver);
@@ -144,7 +144,7 @@
                 route.group(),
                 place,
                 Math.min(calls, route.calls()),
-                Math.min(TableReader.MOST_COST, route.cost() + cost),
+                Math.min(RouteTableReader.MOST_COST, route.cost() + cost),
                 route.binding(),
                 path,
                 route.downFrom() == null && receiver != Relation.PROVIDER ? self : route.downFrom(),
--- a/src/main/java/merlinlever/routes/Routes.java
+++ b/src/main/java/merlinlever/routes/RoutingTable.java
@@ -7,39 +7,44 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import merlinlever.view.Act;
-import merlinlever.view.Permits;
-import merlinlever.view.Seen;
+import merlinlever.view.ActionPermissions;
+import merlinlever.view.FleetView;
+import merlinlever.view.GuardedAction;
 
 /** One backend's knowledge of all partners: their tables, what follows from them and how long it holds, and what may be passed on. */
-public final class Routes {
+public final class RoutingTable {
 
     /** What is stated of one partner. */
-    public record Stated(String site, Relation relation) {}
+    public record PartnerSettings(String site, Relation relation) {}
 
     /** Partners at the most. */
     public static final int MOST_PARTNERS = 64;
 
-    private final Rules rules;
-    private final Merge merge;
-    private final Damping damping;
-    private final Map<String, Partner> partners = new TreeMap<>();
-    private final Seen seen;
+    private final RoutingPolicy rules;
+    private final RouteMerger merge;
+    private final FlapDamping damping;
+    private final Map<String, PartnerTable> partners = new TreeMap<>();
+    private final FleetView seen;
     private final Consumer<String> told;
     /** Changes with whatever {@link #ways} may say, but for the time. */
     private long edition;
 
-    public Routes(
-            Rules rules, List<Stated> stated, double drift, Damping.Figures figures, Seen seen, Consumer<String> told) {
+    public RoutingTable(
+            RoutingPolicy rules,
+            List<PartnerSettings> stated,
+            double drift,
+            FlapDamping.FlapDampingSettings figures,
+            FleetView seen,
+            Consumer<String> told) {
         this.rules = rules;
         this.seen = seen;
         this.told = told;
-        merge = new Merge(rules);
-        damping = new Damping(figures);
+        merge = new RouteMerger(rules);
+        damping = new FlapDamping(figures);
         if (stated.size() > MOST_PARTNERS) {
             throw new IllegalArgumentException("over " + MOST_PARTNERS + " partners");
         }
-        stated.forEach(each -> partners.put(each.site(), new Partner(each.site(), each.relation(), drift)));
+        stated.forEach(each -> partners.put(each.site(), new PartnerTable(each.site(), each.relation(), drift)));
     }
 
     public String self() {
@@ -51,23 +56,27 @@
     }
 
     /** A partner's table came, from it or from another backend; it is used once it is known that the partner stands by it. */
-    public boolean offer(Duration now, Table table) {
-        Partner its = partners.get(table.site());
+    public boolean offer(Duration now, RouteTable table) {
+        PartnerTable its = partners.get(table.site());
         if (its == null) {
             told.accept("a table of " + table.site() + ", which is no partner");
             return false;
         }
-        Table latest = its.latest();
-        boolean changed =
-                its.offer(now, table, TableWriter.digest(table), seen.may(now, Act.ADOPT) == Permits.May.YES, told);
+        RouteTable latest = its.latest();
+        boolean changed = its.offer(
+                now,
+                table,
+                RouteTableWriter.digest(table),
+                seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES,
+                told);
         if (changed) {
             apply(now, its, hearer(now, its.site));
         }
         return changed && its.latest() != latest;
     }
 
-    private Merge.Hearer hearer(Duration now, String site) {
-        return new Merge.Hearer() {
+    private RouteMerger.RouteListener hearer(Duration now, String site) {
+        return new RouteMerger.RouteListener() {
             private int lines;
 
             @Override
@@ -90,13 +99,13 @@
         };
     }
 
-    private void apply(Duration now, Partner its, Merge.Hearer hearer) {
-        Table used = its.used(now);
+    private void apply(Duration now, PartnerTable its, RouteMerger.RouteListener hearer) {
+        RouteTable used = its.used(now);
         if (used != merge.table(its.site)) {
             edition++;
             if (!merge.put(its.site, its.relation, used, hearer)) {
                 told.accept(its.site + ": no room for its routes; nothing of it is used");
-                merge.put(its.site, its.relation, null, Merge.NOBODY);
+                merge.put(its.site, its.relation, null, RouteMerger.NOBODY);
             }
         }
     }
@@ -104,7 +113,7 @@
     /** The partner surely stood by the version at that moment of this process, or later, and it may be used for so long from then. */
     public boolean stoodBy(
             Duration now, String site, long incarnation, long sequence, String digest, Duration from, Duration lasts) {
-        Partner its = partners.get(site);
+        PartnerTable its = partners.get(site);
         if (its == null) {
             return false;
         }
@@ -113,40 +122,40 @@
             return false;
         }
         widen(now, its);
-        apply(now, its, Merge.NOBODY);
+        apply(now, its, RouteMerger.NOBODY);
         return true;
     }
 
     /** To be asked for every few ms: what ran out goes, what was held back is taken on where it may be. */
     public void settle(Duration now) {
-        for (Partner each : partners.values()) {
+        for (PartnerTable each : partners.values()) {
             each.expire(now);
             if (each.used(now) != null) {
                 widen(now, each);
             }
-            apply(now, each, Merge.NOBODY);
+            apply(now, each, RouteMerger.NOBODY);
         }
     }
 
-    private void widen(Duration now, Partner its) {
-        if (seen.may(now, Act.ADOPT) == Permits.May.YES && its.widen()) {
-            told.accept(its.site + ": " + Partner.version(its.latest()) + " is taken on whole");
+    private void widen(Duration now, PartnerTable its) {
+        if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES && its.widen()) {
+            told.accept(its.site + ": " + PartnerTable.version(its.latest()) + " is taken on whole");
         }
     }
 
     /** For the calls of a key, best first, what is stale last; empty where this backend may not serve. */
-    public List<Merge.Candidate> ways(Duration now, String key) {
-        List<Merge.Candidate> fresh = new ArrayList<>(), stale = new ArrayList<>();
-        if (seen.may(now, Act.SERVE) == Permits.May.NO) {
+    public List<RouteMerger.Candidate> ways(Duration now, String key) {
+        List<RouteMerger.Candidate> fresh = new ArrayList<>(), stale = new ArrayList<>();
+        if (seen.may(now, GuardedAction.SERVE) == ActionPermissions.Permission.NO) {
             return fresh;
         }
         int looked = 0;
-        for (Merge.Candidate each : merge.ways(key)) {
-            Partner its = partners.get(each.from());
+        for (RouteMerger.Candidate each : merge.ways(key)) {
+            PartnerTable its = partners.get(each.from());
             if (its.used(now) != null
                     && !damping.leftOut(now, each.from() + " " + each.route().id())) {
                 (its.stale(now) ? stale : fresh).add(each);
-                if (++looked >= Merge.MOST_ALTERNATIVES) {
+                if (++looked >= RouteMerger.MOST_ALTERNATIVES) {
                     break;
                 }
             }
@@ -160,18 +169,19 @@
     }
 
     /** What of it is held here, as word for another backend. */
-    public record Holds(String site, long incarnation, long sequence, String digest, Duration left) {}
+    public record TableLease(String site, long incarnation, long sequence, String digest, Duration left) {}
 
     /** What is held of a partner; null where nothing is. */
-    public Holds holds(Duration now, String site) {
-        Partner its = partners.get(site);
+    public TableLease holds(Duration now, String site) {
+        PartnerTable its = partners.get(site);
         return its == null || its.latest() == null
                 ? null
-                : new Holds(site, its.latest().incarnation(), its.latest().sequence(), its.digest(), its.left(now));
+                : new TableLease(
+                        site, its.latest().incarnation(), its.latest().sequence(), its.digest(), its.left(now));
     }
 
     /** The latest table of a partner, in use or not; null where there is none. */
-    public Table latest(String site) {
+    public RouteTable latest(String site) {
         return partners.get(site).latest();
     }
 
@@ -181,7 +191,7 @@
 
     /** What this site's own table to a partner may hold: its own routes and what may be passed on, the best of each key. */
     public List<Route> export(Duration now, String receiver, Collection<Route> own, String place, int calls, int cost) {
-        return Exports.of(
+        return RouteExporter.of(
                 rules,
                 merge,
                 partners.get(receiver).relation,
--- a/src/main/java/merlinlever/routes/Parts.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -10,26 +10,26 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import merlinlever.shared.Snapshot;
+import merlinlever.replication.VersionedEntry;
 
 /**
  * A table as words that the backends share: deflated and cut where it is longer than a word may be. It is put together again only
  * when all parts of one version are there and make the table that the digest says; half a table is none.
  */
-final class Parts {
+final class TableChunks {
 
     /** Parts of a table at the most. */
     static final int MOST = 256;
 
-    private static final int OCTETS = Snapshot.MOST_OCTETS - 64;
+    private static final int OCTETS = VersionedEntry.MOST_OCTETS - 64;
 
     /** The parts of one version of a partner's, as far as they came. */
-    private static final class Coming {
+    private static final class IncompleteTable {
         final long incarnation, sequence;
         final String head;
         final byte[][] parts;
 
-        Coming(Snapshot first, String head, int count) {
+        IncompleteTable(VersionedEntry first, String head, int count) {
             incarnation = first.incarnation();
             sequence = first.sequence();
             this.head = head;
@@ -38,15 +38,15 @@
     }
 
     /** One for each partner: the latest of which any part came. */
-    private final Map<String, Coming> coming = new TreeMap<>();
+    private final Map<String, IncompleteTable> coming = new TreeMap<>();
 
     static String topic(int part) {
         return "routes." + part;
     }
 
-    static List<Snapshot> cut(Table table) {
+    static List<VersionedEntry> cut(RouteTable table) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        deflater.setInput(TableWriter.text(table).getBytes(StandardCharsets.UTF_8));
+        deflater.setInput(RouteTableWriter.text(table).getBytes(StandardCharsets.UTF_8));
         deflater.finish();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         byte[] some = new byte[8192];
@@ -56,19 +56,19 @@
         deflater.end();
         byte[] octets = all.toByteArray();
         int count = Math.max(1, (octets.length + OCTETS - 1) / OCTETS);
-        List<Snapshot> parts = new ArrayList<>();
-        byte[] head = (count + " " + TableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
+        List<VersionedEntry> parts = new ArrayList<>();
+        byte[] head = (count + " " + RouteTableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < count && count <= MOST; i++) {
             int length = Math.min(OCTETS, octets.length - i * OCTETS);
             byte[] value = Arrays.copyOf(head, head.length + length);
             System.arraycopy(octets, i * OCTETS, value, head.length, length);
-            parts.add(new Snapshot(table.site(), topic(i), table.incarnation(), table.sequence(), value));
+            parts.add(new VersionedEntry(table.site(), topic(i), table.incarnation(), table.sequence(), value));
         }
         return parts;
     }
 
     /** A part came; the table where it was the last that was missing, or null. */
-    Table came(Snapshot part) {
+    RouteTable came(VersionedEntry part) {
         int line = 0;
         while (part.value() != null && line < part.value().length && line < 60 && part.value()[line] != '\n') {
             line++;
@@ -81,10 +81,10 @@
                 which = Integer.parseInt(part.topic().substring(7));
         if (count > MOST
                 || which >= count
-                || !coming.containsKey(part.owner()) && coming.size() >= Routes.MOST_PARTNERS) {
+                || !coming.containsKey(part.owner()) && coming.size() >= RoutingTable.MOST_PARTNERS) {
             return null;
         }
-        Coming its = coming.get(part.owner());
+        IncompleteTable its = coming.get(part.owner());
         if (its != null
                 && !head.equals(its.head)
                 && part.incarnation() == its.incarnation
@@ -95,7 +95,7 @@
         if (its == null
                 || part.incarnation() > its.incarnation
                 || part.incarnation() == its.incarnation && part.sequence() > its.sequence) {
-            coming.put(part.owner(), its = new Coming(part, head, count));
+            coming.put(part.owner(), its = new IncompleteTable(part, head, count));
         } else if (part.incarnation() != its.incarnation || part.sequence() != its.sequence) {
             return null;
         }
@@ -103,7 +103,7 @@
         return Arrays.stream(its.parts).allMatch(each -> each != null) ? whole(part.owner(), its) : null;
     }
 
-    private static Table whole(String site, Coming its) {
+    private static RouteTable whole(String site, IncompleteTable its) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         Arrays.stream(its.parts).forEach(each -> all.write(each, 0, each.length));
         Inflater inflater = new Inflater();
@@ -112,19 +112,19 @@
         byte[] some = new byte[8192];
         try {
             int got = inflater.inflate(some);
-            while (got > 0 && text.size() <= TableReader.MOST_CHARACTERS) {
+            while (got > 0 && text.size() <= RouteTableReader.MOST_CHARACTERS) {
                 text.write(some, 0, got);
                 got = inflater.inflate(some);
             }
-            Table table =
-                    TableReader.read(text.toString(StandardCharsets.UTF_8)).table();
+            RouteTable table =
+                    RouteTableReader.read(text.toString(StandardCharsets.UTF_8)).table();
             return table.site().equals(site)
                             && table.incarnation() == its.incarnation
                             && table.sequence() == its.sequence
-                            && TableWriter.digest(table).equals(its.head.substring(its.head.indexOf(' ') + 1))
+                            && RouteTableWriter.digest(table).equals(its.head.substring(its.head.indexOf(' ') + 1))
                     ? table
                     : null;
-        } catch (DataFormatException | TableReader.Unusable e) {
+        } catch (DataFormatException | RouteTableReader.UnusableTableException e) {
             return null;
         } finally {
             inflater.end();
--- a/src/main/java/merlinlever/routes/net/TableFiles.java
+++ b/src/main/java/merlinlever/routes/net/RouteTableFiles.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import merlinlever.routes.Routes;
-import merlinlever.routes.Table;
-import merlinlever.routes.TableReader;
-import merlinlever.routes.TableWriter;
+import merlinlever.routes.RouteTable;
+import merlinlever.routes.RouteTableReader;
+import merlinlever.routes.RouteTableWriter;
+import merlinlever.routes.RoutingTable;
 
 /**
  * Partners' tables as files that a job of the operator replaces whenever it has asked the partner. A file that was written anew
  * since the last look shows that the partner stood by it at most the stated span before; one that was there at the first look may be
  * of any age, and gives no lease until it is written again. The Unix clock does not count.
  */
-public final class TableFiles {
+public final class RouteTableFiles {
 
-    private static final long MOST_OCTETS = TableReader.MOST_CHARACTERS;
+    private static final long MOST_OCTETS = RouteTableReader.MOST_CHARACTERS;
 
-    private final Routes routes;
+    private final RoutingTable routes;
     private final Map<String, Path> files;
     private final Duration fetching;
     private final Consumer<String> told;
@@ -31,7 +31,7 @@
     private Duration before;
 
     /** @param fetching the job has a table in its file at most so long after it asked the partner, and looks are not counted */
-    public TableFiles(Routes routes, Map<String, Path> files, Duration fetching, Consumer<String> told) {
+    public RouteTableFiles(RoutingTable routes, Map<String, Path> files, Duration fetching, Consumer<String> told) {
         this.routes = routes;
         this.files = new TreeMap<>(files);
         this.fetching = fetching;
@@ -61,9 +61,9 @@
             return;
         }
         try {
-            TableReader.Read read = TableReader.read(Files.readString(file));
+            RouteTableReader.ParsedTable read = RouteTableReader.read(Files.readString(file));
             read.faults().forEach(fault -> told.accept(site + ": " + fault));
-            Table table = read.table();
+            RouteTable table = read.table();
             if (!table.site().equals(site)) {
                 told.accept(site + ": " + file.getFileName() + " has a table of " + table.site());
                 return;
@@ -76,11 +76,11 @@
                         site,
                         table.incarnation(),
                         table.sequence(),
-                        TableWriter.digest(table),
+                        RouteTableWriter.digest(table),
                         before.minus(fetching),
                         table.lease());
             }
-        } catch (TableReader.Unusable e) {
+        } catch (RouteTableReader.UnusableTableException e) {
             told.accept(site + ": " + e.getMessage());
         }
     }
--- a/src/main/java/merlinlever/routes/net/Partners.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -10,22 +10,22 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
-import merlinlever.Ending;
-import merlinlever.core.Calls;
-import merlinlever.core.Work;
+import merlinlever.Outcome;
+import merlinlever.core.DownstreamService;
+import merlinlever.core.TrackedRequest;
 import merlinlever.log.Log;
-import merlinlever.net.Loop;
-import merlinlever.records.RecordsLink;
-import merlinlever.routes.Exits;
-import merlinlever.routes.Own;
-import merlinlever.routes.Routes;
+import merlinlever.net.EventLoop;
+import merlinlever.records.RecordsClient;
+import merlinlever.routes.LocalServiceHealth;
+import merlinlever.routes.RouteSelector;
+import merlinlever.routes.RoutingTable;
 
 /**
  * The calls of one backend, to its own records service and to places of partners, which speak the same protocol: carries out what
- * {@link Exits} decides and tells the module how much room there is while its own service is not good. What surely never ran at
+ * {@link RouteSelector} decides and tells the module how much room there is while its own service is not good. What surely never ran at
  * the own service is sent on within the same call; what may have had its effect never is.
  */
-public final class Partners implements Calls {
+public final class RoutedDownstreamService implements DownstreamService {
 
     /** Places that links are kept for; a further one is not called. */
     private static final int MOST_PLACES = 64;
@@ -33,48 +33,49 @@
     private static final int MOST_TRIES = 8192;
 
     private static final Duration LOOK = Duration.ofMillis(50);
-    private static final Exits.Tariff STAYS = new Exits.Tariff("-", Exits.Kind.BINDING, false);
+    private static final RouteSelector.RoutingClass STAYS =
+            new RouteSelector.RoutingClass("-", RouteSelector.RetrySafety.BINDING, false);
 
     /** What became of the calls of one operation since the last that went well. */
-    private static final class Tries {
+    private static final class CallAttempts {
         final Set<String> places = new HashSet<>();
         boolean missing;
-        Work work;
+        TrackedRequest work;
         byte[] body;
         Duration began, until;
         /** Where its call is in hand; null where none is. */
-        RecordsLink link;
+        RecordsClient link;
     }
 
-    private final Loop loop;
-    private final Maker maker;
+    private final EventLoop loop;
+    private final CompletionListener maker;
     private final Log log;
-    private final RecordsLink own;
-    private final Routes routes;
-    private final Exits exits;
-    private final Own state;
-    private final Map<String, Exits.Tariff> tariffs = new TreeMap<>();
+    private final RecordsClient own;
+    private final RoutingTable routes;
+    private final RouteSelector exits;
+    private final LocalServiceHealth state;
+    private final Map<String, RouteSelector.RoutingClass> tariffs = new TreeMap<>();
     private final String group;
     private final int most;
-    private final Map<String, RecordsLink> links = new TreeMap<>();
-    private final Map<Long, Tries> all = new LinkedHashMap<>();
-    private Own.State told = Own.State.GOOD;
+    private final Map<String, RecordsClient> links = new TreeMap<>();
+    private final Map<Long, CallAttempts> all = new LinkedHashMap<>();
+    private LocalServiceHealth.HealthState told = LocalServiceHealth.HealthState.GOOD;
     private long ways;
 
     /**
      * @param most connections to the own service, and to each place of a partner, at the same time
      * @param room hears how many calls a second there is room for, or -1 while its own service is good; whenever that changes
      */
-    public Partners(
-            Loop loop,
+    public RoutedDownstreamService(
+            EventLoop loop,
             InetSocketAddress ownAt,
-            Maker maker,
+            CompletionListener maker,
             Log log,
             int most,
-            Routes routes,
-            Exits exits,
-            Own state,
-            List<Exits.Tariff> tariffs,
+            RoutingTable routes,
+            RouteSelector exits,
+            LocalServiceHealth state,
+            List<RouteSelector.RoutingClass> tariffs,
             String group,
             LongConsumer room) {
         this.loop = loop;
@@ -86,11 +87,11 @@
         this.group = group;
         this.most = most;
         tariffs.forEach(each -> this.tariffs.put(each.name(), each));
-        own = new RecordsLink(loop, ownAt, (now, id, how, reply) -> ended(now, id, how, reply, null), log, most);
+        own = new RecordsClient(loop, ownAt, (now, id, how, reply) -> ended(now, id, how, reply, null), log, most);
         long[] last = {-1};
         loop.every(LOOK, () -> {
             routes.settle(loop.clock().uptime());
-            long now = state.state() == Own.State.GOOD
+            long now = state.state() == LocalServiceHealth.HealthState.GOOD
                     ? -1
                     : exits.room(loop.clock().uptime(), tariffs, group);
             if (now != last[0]) {
@@ -111,9 +112,9 @@
     }
 
     @Override
-    public void call(Work work, byte[] body, Duration within) {
+    public void call(TrackedRequest work, byte[] body, Duration within) {
         Duration now = loop.clock().uptime();
-        Tries its = all.computeIfAbsent(work.id(), id -> new Tries());
+        CallAttempts its = all.computeIfAbsent(work.id(), id -> new CallAttempts());
         if (all.size() > MOST_TRIES) {
             all.remove(all.keySet().iterator().next());
         }
@@ -121,27 +122,29 @@
         its.body = body;
         its.began = now;
         its.until = now.plus(within);
-        if (its.missing && !its.places.isEmpty() && tariff(work).kind() != Exits.Kind.RETRIABLE) {
+        if (its.missing && !its.places.isEmpty() && tariff(work).kind() != RouteSelector.RetrySafety.RETRIABLE) {
             // It may have had its effect at a partner: there is no second way, not even home.
-            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), Ending.CUT_OFF, null));
-        } else if (state.state() == Own.State.GOOD || state.tries(now) || !elsewhere(now, its, false)) {
+            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), Outcome.CUT_OFF, null));
+        } else if (state.state() == LocalServiceHealth.HealthState.GOOD
+                || state.tries(now)
+                || !elsewhere(now, its, false)) {
             its.link = own;
             own.call(work, body, within);
         }
     }
 
-    private Exits.Tariff tariff(Work work) {
+    private RouteSelector.RoutingClass tariff(TrackedRequest work) {
         return tariffs.getOrDefault(work.tariffName(), STAYS);
     }
 
     /** Sends it along a route; false where there is none. */
-    private boolean elsewhere(Duration now, Tries its, boolean overShare) {
-        Optional<Exits.Way> way = exits.way(
+    private boolean elsewhere(Duration now, CallAttempts its, boolean overShare) {
+        Optional<RouteSelector.SelectedRoute> way = exits.way(
                 now,
-                new Exits.Call(tariff(its.work), group, its.work.key(), its.places, its.missing),
+                new RouteSelector.RoutedCall(tariff(its.work), group, its.work.key(), its.places, its.missing),
                 state.state(),
                 overShare);
-        RecordsLink link = way.isEmpty() ? null : link(way.get().place());
+        RecordsClient link = way.isEmpty() ? null : link(way.get().place());
         if (link == null || its.until.compareTo(now) <= 0) {
             return false;
         }
@@ -153,22 +156,22 @@
         return true;
     }
 
-    private RecordsLink link(String place) {
-        RecordsLink link = links.get(place);
+    private RecordsClient link(String place) {
+        RecordsClient link = links.get(place);
         if (link == null && links.size() < MOST_PLACES) {
             int colon = place.lastIndexOf(':');
             // Numbers alone, by the reader of tables: nothing is looked up.
             InetSocketAddress at =
                     new InetSocketAddress(place.substring(0, colon), Integer.parseInt(place.substring(colon + 1)));
-            link = new RecordsLink(loop, at, (now, id, how, reply) -> ended(now, id, how, reply, place), log, most);
+            link = new RecordsClient(loop, at, (now, id, how, reply) -> ended(now, id, how, reply, place), log, most);
             links.put(place, link);
         }
         return link;
     }
 
-    private void ended(Duration moduleNow, long id, Ending how, byte[] reply, String place) {
+    private void ended(Duration moduleNow, long id, Outcome how, byte[] reply, String place) {
         Duration now = loop.clock().uptime();
-        Tries its = all.get(id);
+        CallAttempts its = all.get(id);
         if (its == null) {
             maker.callEnded(moduleNow, id, how, reply);
             return;
@@ -181,20 +184,20 @@
                 log.info("records service: " + told.wireName());
             }
         }
-        its.missing |= how != Ending.OK && !how.provesUnrun();
-        boolean unrun = how == Ending.UNREACHABLE || how == Ending.TURNED_AWAY;
+        its.missing |= how != Outcome.OK && !how.provesUnrun();
+        boolean unrun = how == Outcome.UNREACHABLE || how == Outcome.TURNED_AWAY;
         if (unrun && elsewhere(now, its, true)) {
             return;
         }
-        if (how == Ending.OK) {
+        if (how == Outcome.OK) {
             all.remove(id);
         }
         maker.callEnded(moduleNow, id, how, reply);
     }
 
     @Override
-    public void giveUp(Work work) {
-        Tries its = all.get(work.id());
+    public void giveUp(TrackedRequest work) {
+        CallAttempts its = all.get(work.id());
         if (its != null && its.link != null) {
             its.link.giveUp(work);
             its.link = null;
--- a/src/main/java/merlinlever/durable/DiskFolder.java
+++ b/src/main/java/merlinlever/storage/FileStateDirectory.java
@@ -1,4 +1,4 @@
-package merlinlever.durable;
+package merlinlever.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 
 /** A folder on disk, held by one process at a time; its files alone, not the folders in it. */
-public final class DiskFolder implements Folder {
+public final class FileStateDirectory implements StateDirectory {
 
     /** Octets of one file that are read at the most. */
     private static final long MOST = Integer.MAX_VALUE - 16;
@@ -21,7 +21,7 @@
     private final Path path;
     private final FileChannel lockFile;
 
-    public DiskFolder(Path path) throws IOException {
+    public FileStateDirectory(Path path) throws IOException {
         this.path = path;
         Files.createDirectories(path);
         lockFile = FileChannel.open(path.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -57,11 +57,11 @@
     }
 
     @Override
-    public Out append(String name) throws IOException {
+    public AppendableFile append(String name) throws IOException {
         FileChannel channel = FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         long end = channel.size();
         channel.position(end);
-        return new Out() {
+        return new AppendableFile() {
             private long length = end;
 
             @Override
--- a/src/main/java/merlinlever/durable/Recorded.java
+++ b/src/main/java/merlinlever/storage/RecordingStateDirectory.java
@@ -1,4 +1,4 @@
-package merlinlever.durable;
+package merlinlever.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -19,20 +19,20 @@
  * <p>Lines: {@code folder PATH FILES} at each start, {@code had NAME BASE64} for each of so many files, {@code open NAME}, {@code write NAME OFFSET BASE64}, {@code force NAME},
  * {@code truncate NAME LENGTH}, {@code rename FROM TO}, {@code delete NAME}, {@code sync}.
  */
-public final class Recorded implements Folder {
+public final class RecordingStateDirectory implements StateDirectory {
 
     /** Where the lines go; a line ends with a newline of its own. */
-    public interface Record extends Closeable {
+    public interface OperationLog extends Closeable {
         void line(String text) throws IOException;
 
         @Override
         void close();
 
         /** Added to a file, never forced: a kill keeps it, and a power loss is what the harness plays itself. */
-        static Record to(Path file) throws IOException {
+        static OperationLog to(Path file) throws IOException {
             FileChannel channel = FileChannel.open(
                     file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
-            return new Record() {
+            return new OperationLog() {
                 @Override
                 public synchronized void line(String text) throws IOException {
                     ByteBuffer octets = ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.US_ASCII));
@@ -55,11 +55,11 @@
 
     private static final Base64.Encoder BASE64 = Base64.getEncoder();
 
-    private final Folder inner;
-    private final Record record;
+    private final StateDirectory inner;
+    private final OperationLog record;
 
     /** @param path of the folder, told at the start of the record; the harness lays its states there */
-    public Recorded(Folder inner, Record record, String path) throws IOException {
+    public RecordingStateDirectory(StateDirectory inner, OperationLog record, String path) throws IOException {
         this.inner = inner;
         this.record = record;
         List<String> there = inner.names();
@@ -80,10 +80,10 @@
     }
 
     @Override
-    public Out append(String name) throws IOException {
+    public AppendableFile append(String name) throws IOException {
         record.line("open " + name);
-        Out out = inner.append(name);
-        return new Out() {
+        AppendableFile out = inner.append(name);
+        return new AppendableFile() {
             @Override
             public long length() {
                 return out.length();
--- a/src/main/java/merlinlever/durable/Folder.java
+++ b/src/main/java/merlinlever/storage/StateDirectory.java
@@ -1,4 +1,4 @@
-package merlinlever.durable;
+package merlinlever.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,10 +9,10 @@
  * The folder that state lies in: the one seam through which the program's lasting writes go. What a power loss may leave
  * of it is what was forced; the fault harness records what passes here and makes those states.
  */
-public interface Folder extends Closeable {
+public interface StateDirectory extends Closeable {
 
     /** A file that is written at its end. */
-    interface Out extends Closeable {
+    interface AppendableFile extends Closeable {
         long length();
 
         /** Adds to the end; after a failure it is not known how much got there. */
@@ -33,7 +33,7 @@
     byte[] read(String name) throws IOException;
 
     /** Opens for adding; makes the file where there is none. */
-    Out append(String name) throws IOException;
+    AppendableFile append(String name) throws IOException;
 
     /** In one step, over a file of that name too, and forced. */
     void rename(String from, String to) throws IOException;
@@ -49,7 +49,7 @@
      */
     default void replace(String name, byte[] octets) throws IOException {
         String aside = name + ".new";
-        try (Out out = append(aside)) {
+        try (AppendableFile out = append(aside)) {
             // What an earlier try left aside is written over; something else in its place stops the note.
             out.truncate(0);
             out.write(ByteBuffer.wrap(octets));
--- a/src/main/java/merlinlever/trials/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * Trials: callers split among arms, counts of what became of what they asked, and a test that may be looked at as often as one
- * likes ({@link merlinlever.trials.Sequential}); ended once, by whoever leads ({@link merlinlever.trials.Part}). Decisions alone.
- */
-package merlinlever.trials;
--- a/src/main/java/merlinlever/view/Cut.java
+++ b/src/main/java/merlinlever/view/CutDetector.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
-import merlinlever.members.Views;
+import merlinlever.membership.MemberTable;
 
 /**
  * Which change of the view is due, as whoever leads counts it from what all tell it (Suresh et al., Rapid, 2018): one is
@@ -18,7 +18,7 @@
  * against one that it does not hear and that somebody holds gone: so half a network goes at once, and one mute observer
  * takes nobody along. Times are since the process began.
  */
-final class Cut {
+final class CutDetector {
 
     /**
      * What a backend told last.
@@ -30,24 +30,25 @@
      * @param hears voters that answer it
      * @param gone subjects that it holds gone
      */
-    record Told(Duration at, long number, Duration since, long view, long floor, int hears, List<String> gone) {}
+    record MemberReport(
+            Duration at, long number, Duration since, long view, long floor, int hears, List<String> gone) {}
 
     /** Taken out, and how long it stays so. */
-    private record Penalty(Duration outAt, Duration span) {}
+    private record RejoinPenalty(Duration outAt, Duration span) {}
 
     /** Backends of which it keeps what they told, at the most. */
-    private static final int MOST = 2 * View.MOST;
+    private static final int MOST = 2 * MembershipView.MOST;
     /** A penalty is forgotten after so many of it. */
     private static final int FORGIVEN = 10;
 
-    private final Stated stated;
-    private final Map<String, Told> told = new TreeMap<>();
-    private final Map<String, Penalty> penalties = new LinkedHashMap<>();
+    private final ViewSettings stated;
+    private final Map<String, MemberReport> told = new TreeMap<>();
+    private final Map<String, RejoinPenalty> penalties = new LinkedHashMap<>();
     private final Map<String, Duration> between = new TreeMap<>();
     private Set<String> candidates = Set.of();
     private Duration firstAt = Duration.ZERO, lastAt = Duration.ZERO;
 
-    Cut(Stated stated) {
+    CutDetector(ViewSettings stated) {
         this.stated = stated;
     }
 
@@ -61,7 +62,7 @@
             int hears,
             List<String> gone,
             Duration within) {
-        Told before = told.get(name);
+        MemberReport before = told.get(name);
         boolean fresh = before != null && now.minus(before.at).compareTo(within) < 0;
         if (fresh && number <= before.number) {
             return;
@@ -72,11 +73,11 @@
                 return;
             }
         }
-        told.put(name, new Told(now, number, fresh ? before.since : now, view, floor, hears, gone));
+        told.put(name, new MemberReport(now, number, fresh ? before.since : now, view, floor, hears, gone));
     }
 
-    private Told heard(Duration now, String name, Duration within) {
-        Told last = told.get(name);
+    private MemberReport heard(Duration now, String name, Duration within) {
+        MemberReport last = told.get(name);
         return last != null && now.minus(last.at).compareTo(within) < 0 ? last : null;
     }
 
@@ -88,9 +89,9 @@
     }
 
     /** Whether a member waits for a view of a later term than this, as it may have held any of this one before it began anew. */
-    boolean waits(Duration now, View view, Duration within) {
+    boolean waits(Duration now, MembershipView view, Duration within) {
         for (String name : view.members()) {
-            Told last = heard(now, name, within);
+            MemberReport last = heard(now, name, within);
             if (last != null && last.view == 0 && last.floor >= view.term()) {
                 return true;
             }
@@ -99,11 +100,12 @@
     }
 
     /** How many observers of it count against it. */
-    private int against(Duration now, String name, View view, Rings rings, int most, Duration within) {
+    private int against(
+            Duration now, String name, MembershipView view, ObserverRings rings, int most, Duration within) {
         int real = 0;
         int mute = 0;
         for (String observer : rings.observers(name)) {
-            Told last = heard(now, observer, within);
+            MemberReport last = heard(now, observer, within);
             if (last == null) {
                 mute++;
             } else if (last.view == view.number() && last.hears >= most && last.gone.contains(name)) {
@@ -122,19 +124,19 @@
     SortedSet<String> due(
             Duration now,
             String self,
-            View view,
-            Rings rings,
+            MembershipView view,
+            ObserverRings rings,
             int most,
-            Function<String, Views.Rumour> members,
+            Function<String, MemberTable.MemberRecord> members,
             Duration within) {
         Set<String> out = new TreeSet<>();
         Set<String> doubtful = new TreeSet<>();
         for (String name : view.members()) {
             int observers = rings.observers(name).size();
             int against = name.equals(self) ? 0 : against(now, name, view, rings, most, within);
-            if (against >= Rings.high(observers) && observers > 0 || left(members.apply(name))) {
+            if (against >= ObserverRings.high(observers) && observers > 0 || left(members.apply(name))) {
                 out.add(name);
-            } else if (against >= Rings.low(observers) && observers > 0) {
+            } else if (against >= ObserverRings.low(observers) && observers > 0) {
                 doubtful.add(name);
             }
         }
@@ -144,7 +146,7 @@
         told.forEach((name, last) -> {
             if (!view.members().contains(name)
                     && mayJoin(now, name, last, most, members.apply(name), within)
-                    && view.members().size() - out.size() + in.size() < View.MOST) {
+                    && view.members().size() - out.size() + in.size() < MembershipView.MOST) {
                 in.add(name);
             }
         });
@@ -172,12 +174,13 @@
         return next;
     }
 
-    private static boolean left(Views.Rumour known) {
-        return known != null && known.status() == Views.Status.LEFT;
+    private static boolean left(MemberTable.MemberRecord known) {
+        return known != null && known.status() == MemberTable.MemberStatus.LEFT;
     }
 
-    private boolean mayJoin(Duration now, String name, Told last, int most, Views.Rumour known, Duration within) {
-        Penalty penalty = penalties.get(name);
+    private boolean mayJoin(
+            Duration now, String name, MemberReport last, int most, MemberTable.MemberRecord known, Duration within) {
+        RejoinPenalty penalty = penalties.get(name);
         return now.minus(last.at).compareTo(within) < 0
                 && now.minus(last.since).compareTo(stated.steady()) >= 0
                 && last.hears >= most
@@ -187,10 +190,11 @@
     }
 
     private void takenOut(Duration now, String name) {
-        Penalty before = penalties.remove(name);
+        RejoinPenalty before = penalties.remove(name);
         boolean again = before != null && now.minus(before.outAt).compareTo(before.span.multipliedBy(FORGIVEN)) < 0;
         Duration span = again ? before.span.multipliedBy(2) : stated.penalty();
-        penalties.put(name, new Penalty(now, span.compareTo(stated.mostPenalty()) > 0 ? stated.mostPenalty() : span));
+        penalties.put(
+                name, new RejoinPenalty(now, span.compareTo(stated.mostPenalty()) > 0 ? stated.mostPenalty() : span));
         if (penalties.size() > MOST) {
             penalties.remove(penalties.keySet().iterator().next());
         }
--- a/src/main/java/merlinlever/view/Differing.java
+++ b/src/main/java/merlinlever/view/DivergenceMonitor.java
@@ -8,24 +8,24 @@
 import java.util.function.Consumer;
 
 /** Which voters hold another view than this one for longer than a view takes to come round, and since when; told once each. */
-final class Differing {
+final class DivergenceMonitor {
 
-    private final Voices voices;
+    private final VoterResponses voices;
     private final Duration patience;
     private final Consumer<String> log;
-    private final Map<String, Voices.Voice> held = new TreeMap<>();
+    private final Map<String, VoterResponses.VoterResponse> held = new TreeMap<>();
 
-    Differing(Voices voices, Duration patience, Consumer<String> log) {
+    DivergenceMonitor(VoterResponses voices, Duration patience, Consumer<String> log) {
         this.voices = voices;
         this.patience = patience;
         this.log = log;
     }
 
-    void settle(Duration now, List<String> heard, View view, Duration viewSince) {
+    void settle(Duration now, List<String> heard, MembershipView view, Duration viewSince) {
         for (String voter : heard) {
-            Voices.Voice voice = voices.of(voter);
+            VoterResponses.VoterResponse voice = voices.of(voter);
             boolean same = voice.number() == view.number() && voice.digest().equals(view.digest());
-            Voices.Voice before = held.get(voter);
+            VoterResponses.VoterResponse before = held.get(voter);
             if (same && before != null) {
                 held.remove(voter);
                 log.accept("view: " + voter + " holds the same view again");
@@ -37,7 +37,7 @@
                             || !before.digest().equals(voice.digest()))) {
                 held.put(voter, voice);
                 log.accept("view: " + voter + " holds another view since "
-                        + now.minus(voice.since()).toMillis() + " ms: " + View.place(voice.number()) + " ("
+                        + now.minus(voice.since()).toMillis() + " ms: " + MembershipView.place(voice.number()) + " ("
                         + voice.digest() + "), here it is " + view.told());
             }
         }
@@ -51,9 +51,10 @@
     /** As the elements of a JSON array. */
     String json(Duration now) {
         List<String> each = new ArrayList<>();
-        held.forEach((name, voice) -> each.add("{\"name\":\"" + name + "\",\"view\":\"" + View.place(voice.number())
-                + "\",\"digest\":\"" + voice.digest() + "\",\"since_ms\":"
-                + now.minus(voice.since()).toMillis() + "}"));
+        held.forEach((name, voice) ->
+                each.add("{\"name\":\"" + name + "\",\"view\":\"" + MembershipView.place(voice.number())
+                        + "\",\"digest\":\"" + voice.digest() + "\",\"since_ms\":"
+                        + now.minus(voice.since()).toMillis() + "}"));
         return String.join(",", each);
     }
 }
--- a/src/main/java/merlinlever/view/Probing.java
+++ b/src/main/java/merlinlever/view/FailureDetector.java
@@ -12,26 +12,26 @@
  * What one observer finds of its subjects: each is asked every so often, and held gone when no answer came for so long. An
  * answer counts once, when it comes, however late: a slow link is no death. Times are since the process began.
  */
-final class Probing {
+final class FailureDetector {
 
     /** A question to be put. */
-    record Ask(String to, long number) {}
+    record Probe(String to, long number) {}
 
-    private record Out(String name, Duration at) {}
+    private record PendingProbe(String name, Duration at) {}
 
-    private final Stated stated;
+    private final ViewSettings stated;
     private final SplittableRandom chance;
     /** When each subject last answered, or began to be asked. */
     private final Map<String, Duration> heardAt = new TreeMap<>();
 
     private final Map<String, Duration> nextAt = new TreeMap<>();
     /** Questions that may be answered still: what is asked of all subjects in twice the silence, at the most. */
-    private final Map<Long, Out> out = new LinkedHashMap<>();
+    private final Map<Long, PendingProbe> out = new LinkedHashMap<>();
 
     private long numbers;
 
     /** @param first number of its questions, which no other life comes near */
-    Probing(Stated stated, long first, SplittableRandom chance) {
+    FailureDetector(ViewSettings stated, long first, SplittableRandom chance) {
         this.stated = stated;
         this.chance = chance;
         numbers = first;
@@ -54,13 +54,13 @@
         heardAt.replaceAll((name, at) -> now);
     }
 
-    List<Ask> settle(Duration now) {
-        List<Ask> asks = new ArrayList<>();
+    List<Probe> settle(Duration now) {
+        List<Probe> asks = new ArrayList<>();
         for (Map.Entry<String, Duration> entry : nextAt.entrySet()) {
             if (now.compareTo(entry.getValue()) >= 0) {
                 entry.setValue(now.plus(stated.probe()));
-                out.put(++numbers, new Out(entry.getKey(), now));
-                asks.add(new Ask(entry.getKey(), numbers));
+                out.put(++numbers, new PendingProbe(entry.getKey(), now));
+                asks.add(new Probe(entry.getKey(), numbers));
             }
         }
         if (!asks.isEmpty()) {
@@ -72,7 +72,7 @@
     }
 
     void answered(Duration now, String name, long number) {
-        Out asked = out.get(number);
+        PendingProbe asked = out.get(number);
         if (asked != null && asked.name.equals(name)) {
             out.remove(number);
             heardAt.computeIfPresent(name, (same, at) -> now);
--- a/src/main/java/merlinlever/view/Act.java
+++ b/src/main/java/merlinlever/view/GuardedAction.java
@@ -1,7 +1,7 @@
 package merlinlever.view;
 
 /** What users of the view ask leave for. */
-public enum Act {
+public enum GuardedAction {
     /** Settle something once for all: write a register, end a trial, number a new view. Besides, only whoever leads may. */
     DECIDE,
     /** Give shares of budgets to others. Besides, only whoever leads may. */
--- a/src/main/java/merlinlever/view/View.java
+++ b/src/main/java/merlinlever/view/MembershipView.java
@@ -15,14 +15,14 @@
  * @param number 0 before the first
  * @param digest of the number and the members, for telling apart
  */
-public record View(long number, String digest, SortedSet<String> members) {
+public record MembershipView(long number, String digest, SortedSet<String> members) {
 
-    public static final View NONE = new View(0, "-", Collections.emptySortedSet());
+    public static final MembershipView NONE = new MembershipView(0, "-", Collections.emptySortedSet());
     private static final int COUNTS = 20;
     /** Members at the most; more names would not fit one body. */
     public static final int MOST = 1000;
 
-    public View {
+    public MembershipView {
         members = Collections.unmodifiableSortedSet(new TreeSet<>(members));
     }
 
@@ -37,11 +37,11 @@
     }
 
     /** Of that number and these members, with their digest. */
-    public static View of(long number, SortedSet<String> members) {
+    public static MembershipView of(long number, SortedSet<String> members) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             sha.update((number + "\n" + String.join("\n", members)).getBytes(StandardCharsets.US_ASCII));
-            return new View(number, HexFormat.of().formatHex(sha.digest(), 0, 6), members);
+            return new MembershipView(number, HexFormat.of().formatHex(sha.digest(), 0, 6), members);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/merlinlever/view/Rings.java
+++ b/src/main/java/merlinlever/view/ObserverRings.java
@@ -14,7 +14,7 @@
  * alone, and each is observed by the one before it in each ring (Suresh et al., Rapid, 2018). All that hold the view agree
  * on it without a word, and few places change from one view to the next.
  */
-final class Rings {
+final class ObserverRings {
 
     /** Rings, and so observers of each, at the most. */
     static final int MOST = 8;
@@ -22,7 +22,7 @@
     private final Map<String, Set<String>> observers = new HashMap<>();
     private final Map<String, List<String>> subjects = new HashMap<>();
 
-    Rings(SortedSet<String> members) {
+    ObserverRings(SortedSet<String> members) {
         int k = Math.min(MOST, members.size() - 1);
         members.forEach(name -> {
             observers.put(name, new LinkedHashSet<>());
--- a/src/main/java/merlinlever/view/Standing.java
+++ b/src/main/java/merlinlever/view/QuorumStatus.java
@@ -3,7 +3,7 @@
 import merlinlever.WireNamed;
 
 /** How much of the fleet a backend speaks with, and so how far its word goes. */
-public enum Standing implements WireNamed {
+public enum QuorumStatus implements WireNamed {
     /** All stated voters are heard, and agree with it on the view. */
     WHOLE("whole"),
     /** More than half of the voters are heard, itself among them where it is one, and agree. */
@@ -19,7 +19,7 @@
 
     private final String wireName;
 
-    Standing(String wireName) {
+    QuorumStatus(String wireName) {
         this.wireName = wireName;
     }
 
--- a/src/main/java/merlinlever/view/Bearing.java
+++ b/src/main/java/merlinlever/view/QuorumStatusHysteresis.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 
 /** The standing that is shown: a worse one at once, a better one once it was found for so long, so that it does not flap. */
-final class Bearing {
+final class QuorumStatusHysteresis {
 
     private final Duration hold;
-    private Standing shown = Standing.RETURNING;
+    private QuorumStatus shown = QuorumStatus.RETURNING;
     private Duration since;
-    private Standing better;
+    private QuorumStatus better;
     private Duration betterSince;
 
-    Bearing(Duration now, Duration hold) {
+    QuorumStatusHysteresis(Duration now, Duration hold) {
         this.hold = hold;
         since = now;
     }
 
     /** Takes what was found now; true where what is shown changes. */
-    boolean found(Duration now, Standing found) {
+    boolean found(Duration now, QuorumStatus found) {
         if (found.compareTo(shown) >= 0) {
             better = null;
             return show(now, found);
@@ -32,12 +32,12 @@
         if (now.minus(betterSince).compareTo(hold) < 0) {
             return false;
         }
-        Standing to = better;
+        QuorumStatus to = better;
         better = null;
         return show(now, to);
     }
 
-    private boolean show(Duration now, Standing to) {
+    private boolean show(Duration now, QuorumStatus to) {
         if (to == shown) {
             return false;
         }
@@ -46,7 +46,7 @@
         return true;
     }
 
-    Standing shown() {
+    QuorumStatus shown() {
         return shown;
     }
 
--- a/src/main/java/merlinlever/view/Bodies.java
+++ b/src/main/java/merlinlever/view/ViewCodec.java
@@ -9,16 +9,16 @@
  * Views as octets: whole, or as the difference from an earlier one that the other holds. Lines: a mark, the number, the
  * digest, the number that it differs from (0: from nothing), then {@code +name} and {@code -name}.
  */
-final class Bodies {
+final class ViewCodec {
 
     private static final String MARK = "view 1";
     /** Earlier views that are kept for differences. */
     private static final int KEPT = 8;
 
-    private final ArrayDeque<View> earlier = new ArrayDeque<>();
+    private final ArrayDeque<MembershipView> earlier = new ArrayDeque<>();
 
     /** The latest; the ones before it are kept for a while. */
-    void latest(View view) {
+    void latest(MembershipView view) {
         earlier.addLast(view);
         if (earlier.size() > KEPT) {
             earlier.removeFirst();
@@ -26,9 +26,9 @@
     }
 
     /** The view for one that holds the view of that number. */
-    byte[] of(View view, long from) {
-        View base = View.NONE;
-        for (View each : earlier) {
+    byte[] of(MembershipView view, long from) {
+        MembershipView base = MembershipView.NONE;
+        for (MembershipView each : earlier) {
             base = each.number() == from ? each : base;
         }
         StringBuilder text = new StringBuilder(MARK)
@@ -54,7 +54,7 @@
     }
 
     /** The view, or null where it is none, does not fit its digest, or differs from one that is not kept here. */
-    View read(byte[] body) {
+    MembershipView read(byte[] body) {
         String[] line = new String(body, StandardCharsets.US_ASCII).split("\n");
         try {
             long number = Long.parseLong(line[1], 36);
@@ -63,7 +63,7 @@
             if (from == 0) {
                 members = new TreeSet<>();
             }
-            for (View each : earlier) {
+            for (MembershipView each : earlier) {
                 members = from != 0 && each.number() == from ? new TreeSet<>(each.members()) : members;
             }
             if (members == null || number <= from) {
@@ -76,7 +76,7 @@
                     members.remove(line[i].substring(1));
                 }
             }
-            View view = members.size() > View.MOST ? null : View.of(number, members);
+            MembershipView view = members.size() > MembershipView.MOST ? null : MembershipView.of(number, members);
             return view != null && view.digest().equals(line[2]) ? view : null;
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             return null;
