--- a/src/main/java/merlinlever/view/Sight.java
+++ b/src/main/java/merlinlever/view/ViewManager.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongPredicate;
-import merlinlever.members.Views;
-import merlinlever.term.Terms;
+import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberTable;
 
 /**
  * One backend's sight of the fleet: asks the voters what they hold and tells them what it finds, observes the few that the
@@ -21,13 +21,13 @@
  * WQ/view/digest/floor/hears/gone} asks a voter and tells it, {@code WA/view/digest/term} answers (its term where it leads);
  * {@code WG/known/wanted} asks for a view, which comes as a body. A question's number is answered once, by the one asked.
  */
-public final class Sight implements Seen {
+public final class ViewManager implements FleetView {
 
     /** First parts of the words that {@link #said} takes. */
     public static final Set<String> WORDS = Set.of("WP", "WO", "WQ", "WA", "WG");
 
     /** A word to be said to another, or a body to be carried to it. */
-    public record Say(String to, long number, String what, byte[] body) {}
+    public record ViewMessage(String to, long number, String what, byte[] body) {}
 
     /** Words and octets of bodies in a second, and views pushed at one look, at the most; what is over is lost and asked for again. */
     private static final int MOST_WORDS = 5000;
@@ -35,26 +35,26 @@
     private static final int MOST_OCTETS = 2 << 20;
     private static final int PUSHED = 64;
 
-    private final Stated stated;
-    private final Views members;
-    private final Terms terms;
+    private final ViewSettings stated;
+    private final MemberTable members;
+    private final LeaderElection terms;
     private final String self;
     private final long floor;
     private final LongPredicate noted;
     private final Consumer<String> log;
-    private final Voices voices;
-    private final Probing probing;
-    private final Cut cut;
-    private final Bearing bearing;
-    private final Bodies bodies = new Bodies();
-    private final List<Say> out = new ArrayList<>();
+    private final VoterResponses voices;
+    private final FailureDetector probing;
+    private final CutDetector cut;
+    private final QuorumStatusHysteresis bearing;
+    private final ViewCodec bodies = new ViewCodec();
+    private final List<ViewMessage> out = new ArrayList<>();
     private final ArrayDeque<String> toTell = new ArrayDeque<>();
-    private final Differing differing;
+    private final DivergenceMonitor differing;
     /** The one adopted, and the latest that it knows of, which may not be adopted yet. */
-    private View view = View.NONE, known = View.NONE;
+    private MembershipView view = MembershipView.NONE, known = MembershipView.NONE;
 
     private List<String> order = List.of();
-    private Rings rings = new Rings(view.members());
+    private ObserverRings rings = new ObserverRings(view.members());
     private Duration viewSince, lastLook, nextAsk, nextFetch, second, returnedAt, rivalUntil = Duration.ZERO;
     private boolean returning = true;
     private long numbers, rivals, vouched, pushFrom, clashes, leadTerm = -1;
@@ -67,11 +67,11 @@
      * @param floor the highest term that is on the disk: views of it may have been held in lives before
      * @param noted asks for a term on the disk; true once it is there
      */
-    public Sight(
+    public ViewManager(
             Duration now,
-            Stated stated,
-            Views members,
-            Terms terms,
+            ViewSettings stated,
+            MemberTable members,
+            LeaderElection terms,
             long life,
             long floor,
             LongPredicate noted,
@@ -84,11 +84,11 @@
         this.noted = noted;
         this.log = log;
         self = members.self();
-        voices = new Voices(terms.voters());
-        differing = new Differing(voices, stated.heard(), log);
-        probing = new Probing(stated, life, chance.split());
-        cut = new Cut(stated);
-        bearing = new Bearing(now, stated.quiet());
+        voices = new VoterResponses(terms.voters());
+        differing = new DivergenceMonitor(voices, stated.heard(), log);
+        probing = new FailureDetector(stated, life, chance.split());
+        cut = new CutDetector(stated);
+        bearing = new QuorumStatusHysteresis(now, stated.quiet());
         numbers = life;
         viewSince = lastLook = nextFetch = second = returnedAt = now;
         nextAsk = now.plusNanos(chance.nextLong(stated.ask().toNanos()));
@@ -98,8 +98,8 @@
     // ---- what depends on others asks
 
     @Override
-    public Standing standing(Duration now) {
-        return now.minus(lastLook).compareTo(stated.jump()) > 0 ? Standing.RETURNING : bearing.shown();
+    public QuorumStatus standing(Duration now) {
+        return now.minus(lastLook).compareTo(stated.jump()) > 0 ? QuorumStatus.RETURNING : bearing.shown();
     }
 
     @Override
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public View view() {
+    public MembershipView view() {
         return view;
     }
 
@@ -127,7 +127,7 @@
     // ---- a look at all
 
     /** What is to be said now; to be asked for every 50 to 100 ms. */
-    public List<Say> look(Duration now) {
+    public List<ViewMessage> look(Duration now) {
         if (now.minus(lastLook).compareTo(stated.jump()) > 0) {
             log.accept("view: stood still for " + now.minus(lastLook).toMillis() + " ms; what was missed is asked for");
             returning = true;
@@ -150,7 +150,7 @@
         }
         lead(now);
         push();
-        Standing before = bearing.shown();
+        QuorumStatus before = bearing.shown();
         if (bearing.found(now, found(now))) {
             log.accept("view: standing is " + bearing.shown().wireName() + ", was " + before.wireName() + "; hears "
                     + hears(now) + " of " + terms.voters().size() + " voters, view " + view.told());
@@ -160,19 +160,19 @@
 
     private void say(String to, long number, String what) {
         if (++words <= MOST_WORDS) {
-            out.add(new Say(to, number, what, null));
+            out.add(new ViewMessage(to, number, what, null));
         }
     }
 
     private void carry(String to, byte[] body) {
         octets += body.length;
         if (octets <= MOST_OCTETS) {
-            out.add(new Say(to, 0, null, body));
+            out.add(new ViewMessage(to, 0, null, body));
         }
     }
 
-    private List<Say> said() {
-        List<Say> all = List.copyOf(out);
+    private List<ViewMessage> said() {
+        List<ViewMessage> all = List.copyOf(out);
         out.clear();
         return all;
     }
@@ -194,8 +194,8 @@
         }
     }
 
-    /** By what is heard; see {@link Standing}. */
-    private Standing found(Duration now) {
+    /** By what is heard; see {@link QuorumStatus}. */
+    private QuorumStatus found(Duration now) {
         if (members.rivals() != rivals) {
             // Once may be its own life before, which others still tell of.
             rivalUntil = members.rivals() > 1 ? now.plus(stated.between()) : rivalUntil;
@@ -212,25 +212,25 @@
         int agreeing = voices.agreeing(now, within(), view, viewSince) + (voter ? 1 : 0);
         differing.settle(now, voices.heard(now, within()), view, viewSince);
         if (now.compareTo(rivalUntil) < 0) {
-            return Standing.DISAGREEING;
+            return QuorumStatus.DISAGREEING;
         } else if (returning && (enough || now.minus(returnedAt).compareTo(stated.heard()) < 0)) {
-            return Standing.RETURNING;
+            return QuorumStatus.RETURNING;
         } else if (heard == (voter ? 1 : 0) && !probing.hears(now) && !enough) {
-            return Standing.ALONE;
+            return QuorumStatus.ALONE;
         } else if (!enough) {
-            return Standing.FEW;
+            return QuorumStatus.FEW;
         } else if (!inside) {
-            return Standing.RETURNING;
+            return QuorumStatus.RETURNING;
         } else if (agreeing < most()) {
-            return Standing.DISAGREEING;
+            return QuorumStatus.DISAGREEING;
         }
-        return heard == terms.voters().size() && agreeing == heard ? Standing.WHOLE : Standing.MOST;
+        return heard == terms.voters().size() && agreeing == heard ? QuorumStatus.WHOLE : QuorumStatus.MOST;
     }
 
     // ---- views
 
     /** Another view is known of; the higher number counts, and of one number there is one. */
-    private void learn(Duration now, View told) {
+    private void learn(Duration now, MembershipView told) {
         if (told.number() == known.number() && !told.digest().equals(known.digest())) {
             clashes++;
             log.accept("view: two memberships under one number, " + known.told() + " and " + told.told()
@@ -257,7 +257,7 @@
         view = known;
         viewSince = now;
         order = List.copyOf(view.members());
-        rings = new Rings(view.members());
+        rings = new ObserverRings(view.members());
         probing.subjects(now, rings.subjects(self));
     }
 
@@ -288,19 +288,21 @@
         boolean anew = known.term() < leadTerm
                 && known.number() > 0
                 && (view.number() < known.number() || cut.waits(now, known, within()));
-        if (!outside && !anew && may(now, Act.DECIDE) != Permits.May.YES) {
+        if (!outside && !anew && may(now, GuardedAction.DECIDE) != ActionPermissions.Permission.YES) {
             return;
         }
         SortedSet<String> next =
                 anew ? known.members() : cut.due(now, self, known, rings, most(), members::of, within());
-        if (next == null || next.stream().filter(terms.voters()::contains).count() < most() || !View.has(count + 1)) {
+        if (next == null
+                || next.stream().filter(terms.voters()::contains).count() < most()
+                || !MembershipView.has(count + 1)) {
             return;
         }
         SortedSet<String> all = new TreeSet<>(known.members());
         all.addAll(next);
         all.remove(self);
         pushFrom = known.number();
-        learn(now, View.of(View.number(leadTerm, ++count), next));
+        learn(now, MembershipView.of(MembershipView.number(leadTerm, ++count), next));
         toTell.clear();
         toTell.addAll(all);
     }
@@ -317,7 +319,7 @@
 
     /** Another carried that here. */
     public void carried(Duration now, String name, byte[] body) {
-        View told = Bodies.ours(body) ? bodies.read(body) : null;
+        MembershipView told = ViewCodec.ours(body) ? bodies.read(body) : null;
         if (told != null) {
             learn(now, told);
         }
@@ -326,7 +328,7 @@
     // ---- what others say
 
     /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<Say> said(Duration now, String name, long number, String what) {
+    public List<ViewMessage> said(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
@@ -373,7 +375,7 @@
         }
         if (leads > 0) {
             terms.heardLeader(now, name, leads);
-            if (View.term(number) == leads) {
+            if (MembershipView.term(number) == leads) {
                 // While it leads nobody can have led under a higher term, and of its own it holds the latest.
                 vouched = Math.max(vouched, number);
             }
--- a/src/main/java/merlinlever/view/Stated.java
+++ b/src/main/java/merlinlever/view/ViewSettings.java
@@ -18,7 +18,7 @@
  * @param penalty one that was taken out is let in again after so long, twice as long each time
  * @param mostPenalty and this at the most
  */
-public record Stated(
+public record ViewSettings(
         Duration probe,
         Duration silence,
         Duration ask,
@@ -32,8 +32,8 @@
         Duration penalty,
         Duration mostPenalty) {
 
-    public static Stated usual() {
-        return new Stated(
+    public static ViewSettings usual() {
+        return new ViewSettings(
                 Duration.ofMillis(500),
                 Duration.ofSeconds(5),
                 Duration.ofMillis(500),
--- a/src/main/java/merlinlever/view/Voices.java
+++ b/src/main/java/merlinlever/view/VoterResponses.java
@@ -11,7 +11,7 @@
  * What the voters answer this one: which of them it hears, and which view each of them holds. An answer counts only to a
  * question that is out, and once; so an old one from a recording says nothing. Times are since the process began.
  */
-final class Voices {
+final class VoterResponses {
 
     /**
      * What one voter answered last.
@@ -19,36 +19,36 @@
      * @param since when it was first heard to hold that view
      * @param agreedAt when it last held the same as this one, or null
      */
-    record Voice(Duration heardAt, long number, String digest, Duration since, Duration agreedAt) {}
+    record VoterResponse(Duration heardAt, long number, String digest, Duration since, Duration agreedAt) {}
 
-    private record Out(String name, Duration at) {}
+    private record PendingPoll(String name, Duration at) {}
 
     private final List<String> voters;
-    private final Map<String, Voice> voices = new TreeMap<>();
-    private final Map<Long, Out> out = new LinkedHashMap<>();
+    private final Map<String, VoterResponse> voices = new TreeMap<>();
+    private final Map<Long, PendingPoll> out = new LinkedHashMap<>();
 
-    Voices(List<String> voters) {
+    VoterResponses(List<String> voters) {
         this.voters = voters;
     }
 
     void asked(Duration now, String voter, long number, Duration keep) {
         out.values().removeIf(each -> now.minus(each.at).compareTo(keep) > 0);
-        out.put(number, new Out(voter, now));
+        out.put(number, new PendingPoll(voter, now));
     }
 
     /** An answer; false where it is none to a question of this one's. */
-    boolean answered(Duration now, String voter, long question, long number, String digest, View mine) {
-        Out asked = out.get(question);
+    boolean answered(Duration now, String voter, long question, long number, String digest, MembershipView mine) {
+        PendingPoll asked = out.get(question);
         if (asked == null || !asked.name.equals(voter)) {
             return false;
         }
         out.remove(question);
-        Voice before = voices.get(voter);
+        VoterResponse before = voices.get(voter);
         boolean same = before != null && before.number == number && before.digest.equals(digest);
         boolean agrees = number == mine.number() && digest.equals(mine.digest());
         voices.put(
                 voter,
-                new Voice(
+                new VoterResponse(
                         now,
                         number,
                         digest,
@@ -85,10 +85,10 @@
     }
 
     /** Those heard that hold the same view; one that was seen to change is waited for as long as one that is silent. */
-    int agreeing(Duration now, Duration within, View mine, Duration mineSince) {
+    int agreeing(Duration now, Duration within, MembershipView mine, Duration mineSince) {
         int agreeing = 0;
         for (String name : heard(now, within)) {
-            Voice voice = voices.get(name);
+            VoterResponse voice = voices.get(name);
             boolean clash = voice.number == mine.number() && !voice.digest.equals(mine.digest());
             boolean lately = now.minus(mineSince).compareTo(within) < 0
                     || voice.agreedAt != null && now.minus(voice.agreedAt).compareTo(within) < 0;
@@ -100,7 +100,7 @@
     /** How many voters have answered since then and hold nothing later than that number. */
     int notBeyond(Duration since, long number) {
         int count = 0;
-        for (Voice voice : voices.values()) {
+        for (VoterResponse voice : voices.values()) {
             count += voice.heardAt.compareTo(since) >= 0 && voice.number <= number ? 1 : 0;
         }
         return count;
@@ -111,7 +111,7 @@
         return heard(now, within).stream().anyMatch(name -> voices.get(name).number > number);
     }
 
-    Voice of(String voter) {
+    VoterResponse of(String voter) {
         return voices.get(voter);
     }
 }
--- a/src/main/java/merlinlever/view/net/Viewing.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -4,33 +4,40 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.members.Members;
-import merlinlever.net.Loop;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.term.Terms;
-import merlinlever.view.Seen;
-import merlinlever.view.Sight;
-import merlinlever.view.Stated;
+import merlinlever.election.LeaderElection;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.net.EventLoop;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.view.FleetView;
+import merlinlever.view.ViewManager;
+import merlinlever.view.ViewSettings;
 
 /** One backend's sight of the fleet, on the loop and membership's datagrams. */
-public final class Viewing implements Members.Hearer, Members.Carried {
+public final class ViewTransport implements SwimProtocol.TextMessageHandler, SwimProtocol.PayloadHandler {
 
     private static final Duration LOOK = Duration.ofMillis(50);
 
-    private final Loop loop;
-    private final Rejoin rejoin;
-    private final Sight sight;
+    private final EventLoop loop;
+    private final RecoveryCoordinator rejoin;
+    private final ViewManager sight;
 
     /**
      * @param terms who leads; the one of this process
      * @param life a number that no other life of this backend comes near, later ones higher
      * @param log one line at each change of the standing or the view, and where voters hold another
      */
-    public Viewing(Loop loop, Rejoin rejoin, Terms terms, Stated stated, long life, long seed, Consumer<String> log) {
+    public ViewTransport(
+            EventLoop loop,
+            RecoveryCoordinator rejoin,
+            LeaderElection terms,
+            ViewSettings stated,
+            long life,
+            long seed,
+            Consumer<String> log) {
         this.loop = loop;
         this.rejoin = rejoin;
         // The term of this moment, before this life votes on any: what its lives before may have held.
-        sight = new Sight(
+        sight = new ViewManager(
                 loop.clock().uptime(),
                 stated,
                 rejoin.members().views(),
@@ -40,18 +47,18 @@
                 rejoin::noted,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().hears(Sight.WORDS, this);
+        rejoin.members().hears(ViewManager.WORDS, this);
         rejoin.members().takes(this);
         loop.every(LOOK, () -> say(sight.look(loop.clock().uptime())));
     }
 
     /** For those who depend on the others. */
-    public Seen seen() {
+    public FleetView seen() {
         return sight;
     }
 
-    private void say(List<Sight.Say> all) {
-        for (Sight.Say each : all) {
+    private void say(List<ViewManager.ViewMessage> all) {
+        for (ViewManager.ViewMessage each : all) {
             if (each.body() != null) {
                 rejoin.members().carry(each.to(), each.body());
             } else {
@@ -73,7 +80,7 @@
         sight.carried(loop.clock().uptime(), name, body);
     }
 
-    /** See {@link Sight#json}. */
+    /** See {@link ViewManager#json}. */
     public String json() {
         return sight.json(loop.clock().uptime());
     }
--- a/src/main/java/merlinlever/wire/Instance.java
+++ b/src/main/java/merlinlever/wire/ControllerInstance.java
@@ -3,35 +3,35 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
-import merlinlever.Ending;
-import merlinlever.Operation;
-import merlinlever.core.Conductor;
-import merlinlever.core.Port;
-import merlinlever.core.Stated;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
+import merlinlever.core.ControllerDriver;
+import merlinlever.core.DecisionHandler;
+import merlinlever.core.SettingsTranslator;
 
 /** One decision module and the ids by which the wire knows what it holds. */
-final class Instance implements Port<Long> {
-
-    private static final Ending[] ENDINGS = {
-        Ending.OK,
-        Ending.ERROR,
-        Ending.TURNED_AWAY,
-        Ending.GIVEN_UP,
-        Ending.UNREACHABLE,
-        Ending.CUT_OFF,
-        Ending.STOPPED,
-        Ending.NEVER_BEGUN
+final class ControllerInstance implements DecisionHandler<Long> {
+
+    private static final Outcome[] ENDINGS = {
+        Outcome.OK,
+        Outcome.ERROR,
+        Outcome.TURNED_AWAY,
+        Outcome.GIVEN_UP,
+        Outcome.UNREACHABLE,
+        Outcome.CUT_OFF,
+        Outcome.STOPPED,
+        Outcome.NEVER_BEGUN
     };
 
     private final String name;
     private final double startedAt;
-    private final Conductor<Long> conductor;
-    private final Map<Long, Operation> byId = new HashMap<>();
+    private final ControllerDriver<Long> conductor;
+    private final Map<Long, RequestHandle> byId = new HashMap<>();
     private long alarms;
     private double now;
     private StringBuilder out;
 
-    Instance(Line line, double now) {
+    ControllerInstance(WireMessage line, double now) {
         name = line.needed("who");
         startedAt = now;
         Map<String, String> stated = new HashMap<>();
@@ -41,7 +41,7 @@
                 stated.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
         }
-        conductor = new Conductor<>(Stated.translate(stated), line.whole("entropy", 0), this);
+        conductor = new ControllerDriver<>(SettingsTranslator.translate(stated), line.whole("entropy", 0), this);
     }
 
     private Duration sinceStart(double now) {
@@ -52,7 +52,7 @@
         return Duration.ofNanos(Math.round(ms * 1e6));
     }
 
-    void tell(Line line, double at) {
+    void tell(WireMessage line, double at) {
         Duration now = sinceStart(at);
         switch (line.word()) {
             case "req" -> take(line, now);
@@ -71,11 +71,11 @@
         }
     }
 
-    private Operation operation(Line line) {
-        return byId.getOrDefault(line.neededWhole("id"), Conductor.UNKNOWN);
+    private RequestHandle operation(WireMessage line) {
+        return byId.getOrDefault(line.neededWhole("id"), ControllerDriver.UNKNOWN);
     }
 
-    private void take(Line line, Duration now) {
+    private void take(WireMessage line, Duration now) {
         Long id = line.neededWhole("id");
         int tariff = conductor.tariff(line.needed("kind"));
         if (tariff < 0) {
@@ -84,7 +84,7 @@
         double leaves = line.number("not-after", 0);
         double work = line.number("work", 0);
         long repeats = line.whole("same-as", 0);
-        Operation taken = conductor
+        RequestHandle taken = conductor
                 .control()
                 .take(
                         now,
@@ -95,7 +95,7 @@
                         work == 0 ? null : span(work),
                         line.flag("resent"),
                         line.text("name-key") != null && !line.flag("write"),
-                        repeats == 0 ? null : byId.getOrDefault(repeats, Conductor.UNKNOWN));
+                        repeats == 0 ? null : byId.getOrDefault(repeats, ControllerDriver.UNKNOWN));
         byId.put(id, conductor.know(taken, id));
     }
 
@@ -200,7 +200,7 @@
         return action(word).append(" id=").append(id.longValue());
     }
 
-    private static Ending ending(Line line) {
+    private static Outcome ending(WireMessage line) {
         long code = line.neededWhole("code");
         if (code < 0 || code >= ENDINGS.length) {
             throw line.fault("unknown ending " + code);
--- a/src/main/java/merlinlever/wire/WireHost.java
+++ b/src/main/java/merlinlever/wire/WireHost.java
@@ -17,7 +17,7 @@
     private final BufferedReader in;
     private final OutputStream out;
     private final PrintStream errors;
-    private final Map<String, Instance> instances = new HashMap<>();
+    private final Map<String, ControllerInstance> instances = new HashMap<>();
     private long lines;
 
     public WireHost(InputStream in, OutputStream out, PrintStream errors) {
@@ -35,12 +35,12 @@
                     continue;
                 }
                 reply.setLength(0);
-                batch(new Line(frame, lines), reply);
+                batch(new WireMessage(frame, lines), reply);
                 out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
                 out.flush();
             }
             return 0;
-        } catch (Line.Malformed e) {
+        } catch (WireMessage.MalformedMessageException e) {
             errors.println("wirehost: " + e.getMessage());
             return 1;
         }
@@ -51,16 +51,16 @@
         return in.readLine();
     }
 
-    private void batch(Line frame, StringBuilder reply) throws IOException {
+    private void batch(WireMessage frame, StringBuilder reply) throws IOException {
         if (!frame.word().equals("frame")) {
             throw frame.fault("a batch begins with 'frame', not with '" + frame.word() + "'");
         }
         double now = frame.neededNumber("now");
         long number = frame.neededWhole("n");
-        Map<String, Instance> told = new LinkedHashMap<>();
+        Map<String, ControllerInstance> told = new LinkedHashMap<>();
         for (String text = next(); ; text = next()) {
             if (text == null) {
-                throw new Line.Malformed("line " + lines + ": the input ends within a batch");
+                throw new WireMessage.MalformedMessageException("line " + lines + ": the input ends within a batch");
             }
             if (text.equals("eof_batch")) {
                 break;
@@ -75,17 +75,17 @@
         reply.append("ready n=").append(number).append('\n');
     }
 
-    private void event(String text, double now, Map<String, Instance> told, StringBuilder reply) {
-        Line line = new Line(text, lines);
+    private void event(String text, double now, Map<String, ControllerInstance> told, StringBuilder reply) {
+        WireMessage line = new WireMessage(text, lines);
         String who = line.needed("who");
         if (line.word().equals("enlist")) {
             guarded(who, reply, () -> {
-                instances.put(who, new Instance(line, now));
+                instances.put(who, new ControllerInstance(line, now));
                 told.put(who, instances.get(who));
             });
             return;
         }
-        Instance instance = instances.get(who);
+        ControllerInstance instance = instances.get(who);
         if (instance == null) {
             throw line.fault("no instance " + who);
         }
@@ -101,7 +101,7 @@
     private static void guarded(String who, StringBuilder reply, Runnable part) {
         try {
             part.run();
-        } catch (Line.Malformed e) {
+        } catch (WireMessage.MalformedMessageException e) {
             throw e;
         } catch (RuntimeException e) {
             String text = e + " at " + e.getStackTrace()[0];
--- a/src/main/java/merlinlever/wire/Line.java
+++ b/src/main/java/merlinlever/wire/WireMessage.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** One line of the wire: a leading word and name=value parts, looked up by name. */
-final class Line {
+final class WireMessage {
 
     private final String text;
     private final long number;
@@ -11,7 +11,7 @@
     private int parts;
     private final String word;
 
-    Line(String text, long number) {
+    WireMessage(String text, long number) {
         this.text = text;
         this.number = number;
         int end = text.indexOf(' ');
@@ -38,8 +38,8 @@
         return word;
     }
 
-    Malformed fault(String what) {
-        return new Malformed("line " + number + ": " + what);
+    MalformedMessageException fault(String what) {
+        return new MalformedMessageException("line " + number + ": " + what);
     }
 
     private int find(String name) {
@@ -137,10 +137,10 @@
     }
 
     /** Input that is not the wire's. */
-    static final class Malformed extends RuntimeException {
+    static final class MalformedMessageException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        Malformed(String message) {
+        MalformedMessageException(String message) {
             super(message);
         }
     }
--- a/src/main/java/merlinlever/zone/client/Asker.java
+++ b/src/main/java/merlinlever/zone/client/DnsClient.java
@@ -12,13 +12,13 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Datagrams;
-import merlinlever.net.Loop;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.wire.Message;
+import merlinlever.net.DatagramEndpoint;
+import merlinlever.net.EventLoop;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.wire.DnsMessage;
 import merlinlever.zone.wire.Tsig;
 
 /**
@@ -26,7 +26,7 @@
  * answer from the address that was asked, with the id and the question that were sent and a signature that holds, counts;
  * anything else is passed over, and the time goes on.
  */
-public final class Asker {
+public final class DnsClient {
 
     /** Octets of a question that goes as a datagram. */
     private static final int DATAGRAM = 1232;
@@ -38,21 +38,26 @@
     private static final int MOST_OPEN = 1000;
 
     /** One question on its way. */
-    private final class Open {
+    private final class PendingExchange {
         final InetSocketAddress server;
         final byte[] octets;
-        final Message sent;
-        final Tsig.Key key;
+        final DnsMessage sent;
+        final Tsig.TsigKey key;
         final byte[] mac;
-        final Consumer<Answered> done;
+        final Consumer<ExchangeResult> done;
         final Duration patience;
-        Loop.Timer end;
-        Loop.Timer again;
+        EventLoop.Timer end;
+        EventLoop.Timer again;
         Connection connection;
         boolean over, reached, keyRefused;
 
-        Open(InetSocketAddress server, byte[] question, Tsig.Key key, Duration patience, Consumer<Answered> done)
-                throws Malformed {
+        PendingExchange(
+                InetSocketAddress server,
+                byte[] question,
+                Tsig.TsigKey key,
+                Duration patience,
+                Consumer<ExchangeResult> done)
+                throws MalformedDnsException {
             this.server = server;
             this.key = key;
             this.patience = patience;
@@ -64,14 +69,14 @@
             byte[] made = question.clone();
             made[0] = (byte) (id >> 8);
             made[1] = (byte) id;
-            Tsig.Signed signed = key == null ? null : Tsig.sign(made, key, unix.getAsLong(), null);
+            Tsig.SignedMessage signed = key == null ? null : Tsig.sign(made, key, unix.getAsLong(), null);
             octets = signed == null ? made : signed.octets();
             mac = signed == null ? null : signed.mac();
-            sent = Message.read(octets);
+            sent = DnsMessage.read(octets);
             open.put(id, this);
         }
 
-        void end(Answered.Way way, Message message) {
+        void end(ExchangeResult.ExchangeStatus way, DnsMessage message) {
             if (over) {
                 return;
             }
@@ -84,17 +89,21 @@
             if (connection != null) {
                 connection.end(CloseReason.DONE);
             }
-            done.accept(new Answered(way, message));
+            done.accept(new ExchangeResult(way, message));
         }
 
         void late() {
-            end(keyRefused ? Answered.Way.KEY_REFUSED : reached ? Answered.Way.LOST : Answered.Way.UNREACHABLE, null);
+            end(
+                    keyRefused
+                            ? ExchangeResult.ExchangeStatus.KEY_REFUSED
+                            : reached ? ExchangeResult.ExchangeStatus.LOST : ExchangeResult.ExchangeStatus.UNREACHABLE,
+                    null);
         }
 
         /** Whether this is its answer. */
-        Message believed(byte[] answer) {
+        DnsMessage believed(byte[] answer) {
             try {
-                Message message = Message.read(answer);
+                DnsMessage message = DnsMessage.read(answer);
                 if (!message.response()
                         || message.id() != sent.id()
                         || message.operation() != sent.operation()
@@ -115,10 +124,11 @@
                     }
                     return null;
                 }
-                Tsig.Verdict verdict = Tsig.verify(message, new Tsig.Keys(List.of(key)), unix.getAsLong(), mac);
+                Tsig.Verification verdict =
+                        Tsig.verify(message, new Tsig.TsigKeyRing(List.of(key)), unix.getAsLong(), mac);
                 boolean badTime = message.signature().error() == Tsig.BADTIME && verdict.error() == Tsig.BADTIME;
                 return verdict.error() == 0 || badTime ? message : null;
-            } catch (Malformed e) {
+            } catch (MalformedDnsException e) {
                 return null;
             }
         }
@@ -133,19 +143,20 @@
                 again.callOff();
             }
             try {
-                connection = Connection.to(loop, server, new Talk(this), 2 + Message.MOST, 4 * Message.MOST, patience);
+                connection = Connection.to(
+                        loop, server, new ExchangeConnection(this), 2 + DnsMessage.MOST, 4 * DnsMessage.MOST, patience);
                 connection.write(framed(octets));
             } catch (IOException e) {
-                end(Answered.Way.UNREACHABLE, null);
+                end(ExchangeResult.ExchangeStatus.UNREACHABLE, null);
             }
         }
     }
 
     /** The connection of one question. */
-    private static final class Talk implements Connection.User {
-        private final Open one;
+    private static final class ExchangeConnection implements Connection.Handler {
+        private final PendingExchange one;
 
-        Talk(Open one) {
+        ExchangeConnection(PendingExchange one) {
             this.one = one;
         }
 
@@ -162,9 +173,9 @@
                 if (octets == null) {
                     return;
                 }
-                Message message = one.believed(octets);
+                DnsMessage message = one.believed(octets);
                 if (message != null) {
-                    one.end(Answered.Way.ANSWERED, message);
+                    one.end(ExchangeResult.ExchangeStatus.ANSWERED, message);
                 }
             }
         }
@@ -173,29 +184,31 @@
         public void ended(CloseReason how) {
             if (!one.over) {
                 one.connection = null;
-                boolean never = how.ofCall() == Ending.UNREACHABLE;
+                boolean never = how.ofCall() == Outcome.UNREACHABLE;
                 one.end(
                         never
-                                ? Answered.Way.UNREACHABLE
-                                : one.keyRefused ? Answered.Way.KEY_REFUSED : Answered.Way.LOST,
+                                ? ExchangeResult.ExchangeStatus.UNREACHABLE
+                                : one.keyRefused
+                                        ? ExchangeResult.ExchangeStatus.KEY_REFUSED
+                                        : ExchangeResult.ExchangeStatus.LOST,
                         null);
             }
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final SplittableRandom chance;
     private final LongSupplier unix;
-    private final Datagrams datagrams;
-    private final Map<Integer, Open> open = new HashMap<>();
+    private final DatagramEndpoint datagrams;
+    private final Map<Integer, PendingExchange> open = new HashMap<>();
 
     /** @param unix seconds of the Unix clock */
-    public Asker(Loop loop, SplittableRandom chance, LongSupplier unix) throws IOException {
+    public DnsClient(EventLoop loop, SplittableRandom chance, LongSupplier unix) throws IOException {
         this.loop = loop;
         this.chance = chance;
         this.unix = unix;
-        datagrams = new Datagrams(
-                loop, new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0), Message.MOST, this::came);
+        datagrams = new DatagramEndpoint(
+                loop, new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0), DnsMessage.MOST, this::came);
     }
 
     static ByteBuffer framed(byte[] octets) {
@@ -227,15 +240,19 @@
      * @param key null for none
      */
     public void ask(
-            InetSocketAddress server, byte[] question, Tsig.Key key, Duration patience, Consumer<Answered> done) {
+            InetSocketAddress server,
+            byte[] question,
+            Tsig.TsigKey key,
+            Duration patience,
+            Consumer<ExchangeResult> done) {
         if (open.size() >= MOST_OPEN) {
-            loop.execute(() -> done.accept(new Answered(Answered.Way.UNREACHABLE, null)));
+            loop.execute(() -> done.accept(new ExchangeResult(ExchangeResult.ExchangeStatus.UNREACHABLE, null)));
             return;
         }
-        Open one;
+        PendingExchange one;
         try {
-            one = new Open(server, question, key, patience, done);
-        } catch (Malformed e) {
+            one = new PendingExchange(server, question, key, patience, done);
+        } catch (MalformedDnsException e) {
             throw new IllegalArgumentException(e.getMessage());
         }
         one.end = loop.in(patience, one::late);
@@ -247,18 +264,18 @@
     }
 
     private void came(byte[] octets, InetSocketAddress from, Duration waited) {
-        Open one = open.get(Message.id(octets));
+        PendingExchange one = open.get(DnsMessage.id(octets));
         if (one == null || one.connection != null || !one.server.equals(from)) {
             return;
         }
-        Message message = one.believed(octets);
+        DnsMessage message = one.believed(octets);
         if (message == null) {
             return;
         }
         if (message.truncated()) {
             one.byConnection();
         } else {
-            one.end(Answered.Way.ANSWERED, message);
+            one.end(ExchangeResult.ExchangeStatus.ANSWERED, message);
         }
     }
 
@@ -266,7 +283,7 @@
         return unix;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
--- a/src/main/java/merlinlever/zone/client/Answered.java
+++ b/src/main/java/merlinlever/zone/client/ExchangeResult.java
@@ -1,16 +1,16 @@
 package merlinlever.zone.client;
 
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
 
 /**
  * How a question or an update ended.
  *
  * @param message the answer where there is one, else null
  */
-public record Answered(Way way, Message message) {
+public record ExchangeResult(ExchangeStatus way, DnsMessage message) {
 
     /** Every way in which one can end, and what each means for an update. */
-    public enum Way {
+    public enum ExchangeStatus {
         /** With an answer whose signature holds: the code says what was done. */
         ANSWERED,
         /** It never got there: nothing was done. */
@@ -22,7 +22,7 @@
     }
 
     public boolean well() {
-        return way == Way.ANSWERED && message.code() == 0;
+        return way == ExchangeStatus.ANSWERED && message.code() == 0;
     }
 
     /** One line for people. */
--- a/src/main/java/merlinlever/zone/client/FollowerLink.java
+++ b/src/main/java/merlinlever/zone/client/FollowerDriver.java
@@ -8,28 +8,28 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 import merlinlever.zone.follow.Follower;
-import merlinlever.zone.follow.Seen;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.follow.ObservedRecords;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 import merlinlever.zone.wire.Tsig;
-import merlinlever.zone.wire.Writer;
 
 /** Carries out what a follower decides, and tells it what was heard. */
-public final class FollowerLink {
+public final class FollowerDriver {
 
     private static final Duration LOOK = Duration.ofMillis(50);
 
-    private final Loop loop;
-    private final Asker asker;
+    private final EventLoop loop;
+    private final DnsClient asker;
     private final Follower follower;
     private final List<InetSocketAddress> servers;
-    private final Tsig.Key key;
+    private final Tsig.TsigKey key;
     private final byte[] zone;
     private final byte[] name;
     private final Duration patience;
@@ -37,12 +37,12 @@
     private long unknown;
 
     /** @param instances names in the order of their indices */
-    public FollowerLink(
-            Loop loop,
-            Asker asker,
+    public FollowerDriver(
+            EventLoop loop,
+            DnsClient asker,
             Follower follower,
             List<InetSocketAddress> servers,
-            Tsig.Key key,
+            Tsig.TsigKey key,
             byte[] zone,
             byte[] name,
             List<String> instances,
@@ -82,17 +82,17 @@
 
     private void settle() {
         Follower.Step step = follower.settle(loop.clock().now());
-        if (step instanceof Follower.Read read) {
-            new Reading(read).next();
-        } else if (step instanceof Follower.Write write) {
+        if (step instanceof Follower.ReadStep read) {
+            new RecordsReading(read).next();
+        } else if (step instanceof Follower.WriteStep write) {
             write(write);
         }
     }
 
-    private void write(Follower.Write write) {
-        byte[] message = Updates.message(zone, write.prerequisites(), write.changes(), key);
+    private void write(Follower.WriteStep write) {
+        byte[] message = UpdateMessages.message(zone, write.prerequisites(), write.changes(), key);
         if (message == null) {
-            write.answered(loop.clock().now(), Update.FORMERR);
+            write.answered(loop.clock().now(), DynamicUpdate.FORMERR);
             return;
         }
         asker.ask(servers.get(write.server()), message, key, patience, answered -> {
@@ -100,58 +100,60 @@
             switch (answered.way()) {
                 case ANSWERED -> write.answered(now, answered.message().code());
                 case UNREACHABLE -> write.unreachable(now);
-                case KEY_REFUSED -> write.answered(now, Update.NOTAUTH);
+                case KEY_REFUSED -> write.answered(now, DynamicUpdate.NOTAUTH);
                 default -> write.lost(now);
             }
         });
     }
 
     /** The questions of one reading, one after the other. What changes between them is found by the update's conditions. */
-    private final class Reading {
-        private final Follower.Read read;
-        private final List<Integer> types = new ArrayList<>(List.of(Types.SOA, Types.TXT));
-        private final List<Rec> claims = new ArrayList<>();
-        private final List<Rec> records = new ArrayList<>();
+    private final class RecordsReading {
+        private final Follower.ReadStep read;
+        private final List<Integer> types = new ArrayList<>(List.of(RecordTypes.SOA, RecordTypes.TXT));
+        private final List<ResourceRecord> claims = new ArrayList<>();
+        private final List<ResourceRecord> records = new ArrayList<>();
         private long serial;
 
-        Reading(Follower.Read read) {
+        RecordsReading(Follower.ReadStep read) {
             this.read = read;
             Arrays.stream(Follower.owned()).forEach(types::add);
         }
 
         void next() {
             if (types.isEmpty()) {
-                read.answered(loop.clock().now(), new Seen(serial, claims, records));
+                read.answered(loop.clock().now(), new ObservedRecords(serial, claims, records));
                 return;
             }
             int type = types.remove(0);
-            byte[] at = type == Types.SOA ? zone : type == Types.TXT ? follower.claimName() : name;
-            Writer out = new Writer(0, 0, Message.PLAIN_DATAGRAM);
-            out.question(at, type, Types.IN);
+            byte[] at = type == RecordTypes.SOA ? zone : type == RecordTypes.TXT ? follower.claimName() : name;
+            MessageWriter out = new MessageWriter(0, 0, DnsMessage.PLAIN_DATAGRAM);
+            out.question(at, type, RecordTypes.IN);
             out.edns(1232, 0, null);
             asker.ask(servers.get(read.server()), out.done(), key, patience, answered -> heard(answered, at, type));
         }
 
-        private void heard(Answered answered, byte[] at, int type) {
+        private void heard(ExchangeResult answered, byte[] at, int type) {
             Duration now = loop.clock().now();
             switch (answered.way()) {
                 case UNREACHABLE -> read.unreachable(now);
                 case LOST -> read.lost(now);
-                case KEY_REFUSED -> read.refused(now, Update.NOTAUTH);
+                case KEY_REFUSED -> read.refused(now, DynamicUpdate.NOTAUTH);
                 default -> {
                     int code = answered.message().code();
-                    if (code != Update.NOERROR && code != Update.NXDOMAIN
-                            || type == Types.SOA && answered.message().answers().isEmpty()) {
-                        read.refused(now, code == Update.NOERROR ? Update.NOTZONE : code);
+                    if (code != DynamicUpdate.NOERROR && code != DynamicUpdate.NXDOMAIN
+                            || type == RecordTypes.SOA
+                                    && answered.message().answers().isEmpty()) {
+                        read.refused(now, code == DynamicUpdate.NOERROR ? DynamicUpdate.NOTZONE : code);
                         return;
                     }
-                    for (Entry entry : answered.message().answers()) {
+                    for (UpdateEntry entry : answered.message().answers()) {
                         if (entry.type() == type && Arrays.equals(entry.owner(), at) && entry.data() != null) {
-                            if (type == Types.SOA) {
+                            if (type == RecordTypes.SOA) {
                                 serial = Zone.serial(entry.data());
                             } else {
-                                (type == Types.TXT ? claims : records)
-                                        .add(new Rec(entry.owner(), entry.type(), entry.ttl(), entry.data()));
+                                (type == RecordTypes.TXT ? claims : records)
+                                        .add(new ResourceRecord(
+                                                entry.owner(), entry.type(), entry.ttl(), entry.data()));
                             }
                         }
                     }
--- /dev/null
+++ b/src/main/java/merlinlever/zone/client/UpdateMessages.java
@@ -0,0 +1,33 @@
+package merlinlever.zone.client;
+
+import java.util.List;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.state.UpdateEntry;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
+import merlinlever.zone.wire.Tsig;
+
+/** Update messages (RFC 2136 section 2). */
+public final class UpdateMessages {
+
+    private UpdateMessages() {}
+
+    /** Without id and signature; null where it does not fit one message with a signature of the key. */
+    public static byte[] message(
+            byte[] zone, List<UpdateEntry> prerequisites, List<UpdateEntry> changes, Tsig.TsigKey key) {
+        MessageWriter out =
+                new MessageWriter(0, DnsMessage.UPDATE << 11, DnsMessage.MOST - (key == null ? 0 : Tsig.room(key)));
+        out.question(zone, RecordTypes.SOA, RecordTypes.IN);
+        for (UpdateEntry entry : prerequisites) {
+            if (!out.record(1, entry.owner(), entry.type(), entry.dclass(), entry.ttl(), entry.data())) {
+                return null;
+            }
+        }
+        for (UpdateEntry entry : changes) {
+            if (!out.record(2, entry.owner(), entry.type(), entry.dclass(), entry.ttl(), entry.data())) {
+                return null;
+            }
+        }
+        return out.done();
+    }
+}
--- a/src/main/java/merlinlever/zone/client/Applier.java
+++ b/src/main/java/merlinlever/zone/client/ZoneApplier.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Plan;
+import merlinlever.zone.state.UpdatePlan;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.wire.Tsig;
 
@@ -13,14 +13,14 @@
  * Brings a live zone to what is wanted: fetches it, plans, sends one update after the other, and fetches it again to see.
  * It stops at the first update that is not done, or whose end is not known, and says how far it came.
  */
-public final class Applier {
+public final class ZoneApplier {
 
     /** Entries of an update: small enough that a server's other work has its turn between two. */
     public static final int MOST = 1000;
 
     /** Who hears how it goes. */
-    public interface Watcher {
-        void planned(Zone live, List<Plan.Batch> batches);
+    public interface ProgressListener {
+        void planned(Zone live, List<UpdatePlan.Batch> batches);
 
         void done(int batch);
 
@@ -28,23 +28,23 @@
         void ended(int done, String why);
     }
 
-    private final Asker asker;
+    private final DnsClient asker;
     private final InetSocketAddress server;
-    private final Tsig.Key key;
+    private final Tsig.TsigKey key;
     private final Duration patience;
     private final Zone wanted;
     private final boolean dryRun;
-    private final Watcher watcher;
-    private List<Plan.Batch> batches;
+    private final ProgressListener watcher;
+    private List<UpdatePlan.Batch> batches;
 
-    private Applier(
-            Asker asker,
+    private ZoneApplier(
+            DnsClient asker,
             InetSocketAddress server,
-            Tsig.Key key,
+            Tsig.TsigKey key,
             Duration patience,
             Zone wanted,
             boolean dryRun,
-            Watcher watcher) {
+            ProgressListener watcher) {
         this.asker = asker;
         this.server = server;
         this.key = key;
@@ -55,19 +55,19 @@
     }
 
     public static void start(
-            Asker asker,
+            DnsClient asker,
             InetSocketAddress server,
-            Tsig.Key key,
+            Tsig.TsigKey key,
             Duration patience,
             Zone wanted,
             boolean dryRun,
-            Watcher watcher) {
-        Applier applier = new Applier(asker, server, key, patience, wanted, dryRun, watcher);
+            ProgressListener watcher) {
+        ZoneApplier applier = new ZoneApplier(asker, server, key, patience, wanted, dryRun, watcher);
         applier.fetch(applier::plan);
     }
 
     private void fetch(Consumer<Zone> then) {
-        Fetch.zone(asker, server, wanted.origin(), key, fetched -> {
+        ZoneFetcher.zone(asker, server, wanted.origin(), key, fetched -> {
             if (fetched.zone() == null) {
                 watcher.ended(batches == null ? 0 : batches.size(), "the zone cannot be fetched: " + fetched.why());
             } else {
@@ -77,7 +77,7 @@
     }
 
     private void plan(Zone live) {
-        batches = Plan.of(live, wanted, MOST);
+        batches = UpdatePlan.of(live, wanted, MOST);
         watcher.planned(live, batches);
         if (dryRun || batches.isEmpty()) {
             watcher.ended(0, null);
@@ -100,8 +100,8 @@
             });
             return;
         }
-        Plan.Batch batch = batches.get(index);
-        byte[] message = Updates.message(wanted.origin(), batch.prerequisites(), batch.changes(), key);
+        UpdatePlan.Batch batch = batches.get(index);
+        byte[] message = UpdateMessages.message(wanted.origin(), batch.prerequisites(), batch.changes(), key);
         if (message == null) {
             watcher.ended(
                     index, "update " + (index + 1) + " does not fit one message: a single name has too many records");
@@ -112,7 +112,7 @@
                 watcher.done(index);
                 send(index + 1);
             } else {
-                boolean changed = answered.way() == Answered.Way.ANSWERED
+                boolean changed = answered.way() == ExchangeResult.ExchangeStatus.ANSWERED
                         && answered.message().code() >= 6
                         && answered.message().code() <= 8;
                 watcher.ended(
--- a/src/main/java/merlinlever/zone/client/Fetch.java
+++ b/src/main/java/merlinlever/zone/client/ZoneFetcher.java
@@ -10,61 +10,62 @@
 import java.util.function.Consumer;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Update;
+import merlinlever.net.EventLoop;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 import merlinlever.zone.wire.Tsig;
-import merlinlever.zone.wire.Writer;
 
 /** Fetches a whole zone (AXFR, RFC 5936). What comes cut, unsigned or otherwise wrong is nothing. */
-public final class Fetch implements Connection.User {
+public final class ZoneFetcher implements Connection.Handler {
 
     /** So long nothing may come. */
     private static final Duration SILENT = Duration.ofSeconds(5);
 
     /** A zone, or why there is none. */
-    public record Fetched(Zone zone, String why) {}
+    public record FetchResult(Zone zone, String why) {}
 
-    private final Loop loop;
-    private final Asker asker;
+    private final EventLoop loop;
+    private final DnsClient asker;
     private final byte[] origin;
-    private final Tsig.Chain chain;
-    private final Consumer<Fetched> done;
+    private final Tsig.SignatureChain chain;
+    private final Consumer<FetchResult> done;
     private final int id;
-    private final List<Rec> records = new ArrayList<>();
-    private Rec soa;
+    private final List<ResourceRecord> records = new ArrayList<>();
+    private ResourceRecord soa;
     private boolean whole, over;
     private Connection connection;
-    private Loop.Timer silent;
+    private EventLoop.Timer silent;
 
-    private Fetch(Asker asker, byte[] origin, Tsig.Key key, byte[] mac, int id, Consumer<Fetched> done) {
+    private ZoneFetcher(
+            DnsClient asker, byte[] origin, Tsig.TsigKey key, byte[] mac, int id, Consumer<FetchResult> done) {
         this.asker = asker;
         this.loop = asker.loop();
         this.origin = origin;
         this.id = id;
         this.done = done;
-        chain = key == null ? null : new Tsig.Chain(key, mac);
+        chain = key == null ? null : new Tsig.SignatureChain(key, mac);
     }
 
     /** @param key null for none */
     public static void zone(
-            Asker asker, InetSocketAddress server, byte[] origin, Tsig.Key key, Consumer<Fetched> done) {
+            DnsClient asker, InetSocketAddress server, byte[] origin, Tsig.TsigKey key, Consumer<FetchResult> done) {
         int id = asker.id();
-        byte[] question = new Writer(id, 0, Message.PLAIN_DATAGRAM)
-                .question(origin, Types.AXFR, Types.IN)
+        byte[] question = new MessageWriter(id, 0, DnsMessage.PLAIN_DATAGRAM)
+                .question(origin, RecordTypes.AXFR, RecordTypes.IN)
                 .done();
-        Tsig.Signed signed =
+        Tsig.SignedMessage signed =
                 key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
-        Fetch fetch = new Fetch(asker, origin, key, signed == null ? null : signed.mac(), id, done);
+        ZoneFetcher fetch = new ZoneFetcher(asker, origin, key, signed == null ? null : signed.mac(), id, done);
         try {
-            fetch.connection = Connection.to(fetch.loop, server, fetch, 2 + Message.MOST, Message.MOST, SILENT);
-            fetch.connection.write(Asker.framed(signed == null ? question : signed.octets()));
+            fetch.connection = Connection.to(fetch.loop, server, fetch, 2 + DnsMessage.MOST, DnsMessage.MOST, SILENT);
+            fetch.connection.write(DnsClient.framed(signed == null ? question : signed.octets()));
             fetch.listen();
         } catch (IOException e) {
             fetch.end(null, "cannot be reached");
@@ -90,61 +91,61 @@
         if (connection != null) {
             connection.end(CloseReason.DONE);
         }
-        done.accept(new Fetched(zone, why));
+        done.accept(new FetchResult(zone, why));
     }
 
     @Override
     public void read(ByteBuffer in) {
         listen();
         try {
-            for (byte[] octets = Asker.message(in); octets != null && !over; octets = Asker.message(in)) {
-                take(Message.read(octets));
+            for (byte[] octets = DnsClient.message(in); octets != null && !over; octets = DnsClient.message(in)) {
+                take(DnsMessage.read(octets));
             }
-        } catch (Malformed e) {
+        } catch (MalformedDnsException e) {
             end(null, "the transfer is malformed: " + e.getMessage());
         }
     }
 
-    private void take(Message message) throws Malformed {
+    private void take(DnsMessage message) throws MalformedDnsException {
         if (!message.response() || message.id() != id) {
-            throw new Malformed("an answer to something else");
+            throw new MalformedDnsException("an answer to something else");
         }
         if (message.code() != 0) {
-            end(null, "answers " + new Answered(Answered.Way.ANSWERED, message).told());
+            end(null, "answers " + new ExchangeResult(ExchangeResult.ExchangeStatus.ANSWERED, message).told());
             return;
         }
         if (chain != null && !chain.holds(message, asker.unix().getAsLong())) {
-            throw new Malformed("its signature does not hold");
+            throw new MalformedDnsException("its signature does not hold");
         }
-        for (Entry entry : message.answers()) {
+        for (UpdateEntry entry : message.answers()) {
             if (whole) {
-                throw new Malformed("records behind its end");
+                throw new MalformedDnsException("records behind its end");
             }
-            Rec rec = new Rec(entry.owner(), entry.type(), entry.ttl(), entry.data());
-            if (entry.dclass() != Types.IN || entry.data() == null || !Names.under(rec.owner(), origin)) {
-                throw new Malformed("a record that is not of the zone");
+            ResourceRecord rec = new ResourceRecord(entry.owner(), entry.type(), entry.ttl(), entry.data());
+            if (entry.dclass() != RecordTypes.IN || entry.data() == null || !DomainNames.under(rec.owner(), origin)) {
+                throw new MalformedDnsException("a record that is not of the zone");
             }
-            if (rec.type() == Types.SOA) {
+            if (rec.type() == RecordTypes.SOA) {
                 if (soa == null && Arrays.equals(rec.owner(), origin)) {
                     soa = rec;
                     records.add(rec);
                 } else if (rec.equals(soa)) {
                     whole = true;
                 } else {
-                    throw new Malformed("it changed its SOA on the way");
+                    throw new MalformedDnsException("it changed its SOA on the way");
                 }
             } else if (soa == null) {
-                throw new Malformed("it does not begin with the SOA");
+                throw new MalformedDnsException("it does not begin with the SOA");
             } else {
                 records.add(rec);
             }
-            if (records.size() > Update.MOST_RECORDS) {
-                throw new Malformed("over " + Update.MOST_RECORDS + " records");
+            if (records.size() > DynamicUpdate.MOST_RECORDS) {
+                throw new MalformedDnsException("over " + DynamicUpdate.MOST_RECORDS + " records");
             }
         }
         if (whole) {
             if (chain != null && !chain.closed()) {
-                throw new Malformed("its last message is not signed");
+                throw new MalformedDnsException("its last message is not signed");
             }
             end(Zone.of(origin, records), null);
         }
--- a/src/main/java/merlinlever/zone/follow/Follower.java
+++ b/src/main/java/merlinlever/zone/follow/Follower.java
@@ -9,12 +9,12 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Serial;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.SerialNumbers;
+import merlinlever.zone.state.UpdateEntry;
 
 /**
  * Decides which records a name has, when they are changed, and when not (docs/dns/design.md). One step is in hand at a
@@ -37,9 +37,9 @@
      * @param beat between two signs of life of the one that writes; others wait three of them
      * @param servers how many there are, in the order in which they are tried
      */
-    public record Stated(
+    public record FollowerSettings(
             byte[] name,
-            List<Rec> instances,
+            List<ResourceRecord> instances,
             long ttl,
             Duration lapse,
             double keepAtLeast,
@@ -88,12 +88,12 @@
     }
 
     /** What the server says of the name is wanted: records of the given types there, and the claim beside it. */
-    public final class Read extends Step {
-        private Read(int server) {
+    public final class ReadStep extends Step {
+        private ReadStep(int server) {
             super(server);
         }
 
-        public void answered(Duration now, Seen seen) {
+        public void answered(Duration now, ObservedRecords seen) {
             if (ends()) {
                 seen(now, seen);
             }
@@ -107,13 +107,18 @@
     }
 
     /** An update is to be sent, all of it in one message. */
-    public final class Write extends Step {
-        private final List<Entry> prerequisites;
-        private final List<Entry> changes;
-        private final Claim claim;
-        private final List<Rec> records;
-
-        private Write(int server, List<Entry> prerequisites, List<Entry> changes, Claim claim, List<Rec> records) {
+    public final class WriteStep extends Step {
+        private final List<UpdateEntry> prerequisites;
+        private final List<UpdateEntry> changes;
+        private final OwnershipClaim claim;
+        private final List<ResourceRecord> records;
+
+        private WriteStep(
+                int server,
+                List<UpdateEntry> prerequisites,
+                List<UpdateEntry> changes,
+                OwnershipClaim claim,
+                List<ResourceRecord> records) {
             super(server);
             this.prerequisites = prerequisites;
             this.changes = changes;
@@ -121,11 +126,11 @@
             this.records = records;
         }
 
-        public List<Entry> prerequisites() {
+        public List<UpdateEntry> prerequisites() {
             return prerequisites;
         }
 
-        public List<Entry> changes() {
+        public List<UpdateEntry> changes() {
             return changes;
         }
 
@@ -142,12 +147,12 @@
     private static final Duration FIRST_PAUSE = Duration.ofMillis(200);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
     private static final int BEATS_TO_WAIT = 3;
-    private static final int[] OWNED = {Types.A, Types.AAAA, Types.SRV};
+    private static final int[] OWNED = {RecordTypes.A, RecordTypes.AAAA, RecordTypes.SRV};
     private static final byte[] LABEL = {'_', 'm', 'e', 'r', 'l', 'i', 'n', 'l', 'e', 'v', 'e', 'r'};
 
-    private final Stated stated;
+    private final FollowerSettings stated;
     private final byte[] claimName;
-    private final Fleet fleet;
+    private final InstanceTracker fleet;
     private final SplittableRandom chance;
     private final Consumer<String> log;
     private Step inHand;
@@ -156,11 +161,11 @@
     private int failures;
     private String lastFailure = "";
     /** The last that is known for certain to stand on the server, or null. */
-    private Seen known;
+    private ObservedRecords known;
 
     private long lastSerial = -1;
     /** Of another holder: its claim as it was last seen, and since when. */
-    private Claim watched;
+    private OwnershipClaim watched;
 
     private Duration watchedSince;
     /** The term that this one holds, or -1. */
@@ -172,15 +177,15 @@
     private Duration tokensAt = Duration.ZERO;
     private String mode = "";
 
-    public Follower(Duration now, Stated stated, SplittableRandom chance, Consumer<String> log) {
+    public Follower(Duration now, FollowerSettings stated, SplittableRandom chance, Consumer<String> log) {
         this.stated = stated;
         this.chance = chance;
         this.log = log;
-        claimName = Names.below(LABEL, stated.name);
+        claimName = DomainNames.below(LABEL, stated.name);
         if (claimName == null) {
             throw new IllegalArgumentException("the name is too long to stand below _merlinlever");
         }
-        fleet = new Fleet(stated.instances.size(), stated.lapse, stated.damp);
+        fleet = new InstanceTracker(stated.instances.size(), stated.lapse, stated.damp);
         // One that starts has heard of nobody yet: until all had the time to report, none is gone.
         nextAt = now.plus(stated.lapse);
         tokens = burst();
@@ -209,7 +214,7 @@
             return null;
         }
         if (known == null || now.compareTo(readAgainAt) >= 0) {
-            inHand = new Read(server);
+            inHand = new ReadStep(server);
         } else {
             inHand = write(now);
         }
@@ -250,9 +255,9 @@
         lastFailure = "";
     }
 
-    private void seen(Duration now, Seen seen) {
+    private void seen(Duration now, ObservedRecords seen) {
         well();
-        if (lastSerial >= 0 && Serial.after(lastSerial, seen.serial())) {
+        if (lastSerial >= 0 && SerialNumbers.after(lastSerial, seen.serial())) {
             log.accept("server " + server + " went back from serial " + lastSerial + " to " + seen.serial()
                     + "; going on from what it says");
         }
@@ -260,20 +265,20 @@
         known = seen;
         // Not all read at the same moment, or they would also write at the same one.
         readAgainAt = now.plusNanos((long) (stated.beat.toNanos() * (0.7 + 0.3 * chance.nextDouble())));
-        Claim claim = claim(seen);
+        OwnershipClaim claim = claim(seen);
         if (claim == null || !claim.equals(watched)) {
             watched = claim;
             watchedSince = now;
         }
     }
 
-    private void written(Duration now, Write write, int code) {
+    private void written(Duration now, WriteStep write, int code) {
         switch (code) {
-            case Update.NOERROR -> {
+            case DynamicUpdate.NOERROR -> {
                 well();
-                known = new Seen(
+                known = new ObservedRecords(
                         lastSerial,
-                        List.of(new Rec(claimName, Types.TXT, stated.ttl, write.claim.data())),
+                        List.of(new ResourceRecord(claimName, RecordTypes.TXT, stated.ttl, write.claim.data())),
                         write.records);
                 myTerm = write.claim.term();
                 watched = write.claim;
@@ -282,11 +287,11 @@
                 differsSince = null;
             }
                 // Somebody else has written since it was read: read again, and not in step with whoever it was.
-            case Update.NXDOMAIN, Update.YXDOMAIN, Update.NXRRSET, Update.YXRRSET -> {
+            case DynamicUpdate.NXDOMAIN, DynamicUpdate.YXDOMAIN, DynamicUpdate.NXRRSET, DynamicUpdate.YXRRSET -> {
                 known = null;
                 nextAt = now.plusNanos((long) (FIRST_PAUSE.toNanos() * chance.nextDouble()));
             }
-            case Update.SERVFAIL -> {
+            case DynamicUpdate.SERVFAIL -> {
                 known = null;
                 failed(now, "answers SERVFAIL", true);
             }
@@ -296,8 +301,10 @@
 
     // ---- whose the name is
 
-    private static Claim claim(Seen seen) {
-        return seen.claims().size() == 1 ? Claim.read(seen.claims().get(0).data()) : null;
+    private static OwnershipClaim claim(ObservedRecords seen) {
+        return seen.claims().size() == 1
+                ? OwnershipClaim.read(seen.claims().get(0).data())
+                : null;
     }
 
     /** One line for each change of mode, with the figures of that moment. */
@@ -309,41 +316,41 @@
     }
 
     /** What is to be written now, or null. */
-    private Write write(Duration now) {
-        Claim claim = claim(known);
-        Claim mine;
+    private WriteStep write(Duration now) {
+        OwnershipClaim claim = claim(known);
+        OwnershipClaim mine;
         if (known.claims().isEmpty()) {
             if (!known.records().isEmpty()) {
                 mode(
                         "foreign",
-                        () -> Names.text(stated.name)
+                        () -> DomainNames.text(stated.name)
                                 + " has records that are not ours: they are left alone; delete them, or choose another name");
                 return null;
             }
-            mine = new Claim(stated.owner, stated.holder, 1, 1);
+            mine = new OwnershipClaim(stated.owner, stated.holder, 1, 1);
         } else if (claim == null || !claim.owner().equals(stated.owner)) {
             mode(
                     "foreign",
-                    () -> Names.text(stated.name) + " belongs to " + (claim == null ? "somebody else" : claim.owner())
-                            + ": it is left alone");
+                    () -> DomainNames.text(stated.name) + " belongs to "
+                            + (claim == null ? "somebody else" : claim.owner()) + ": it is left alone");
             return null;
         } else if (claim.holder().equals(stated.holder) && (myTerm < 0 || claim.term() <= myTerm)) {
             // Ours: from this life, or from the one before, whose name we bear.
             mine = myTerm < 0
-                    ? new Claim(stated.owner, stated.holder, claim.term() + 1, 1)
-                    : new Claim(stated.owner, stated.holder, myTerm, Math.max(claim.beat(), 0) + 1);
+                    ? new OwnershipClaim(stated.owner, stated.holder, claim.term() + 1, 1)
+                    : new OwnershipClaim(stated.owner, stated.holder, myTerm, Math.max(claim.beat(), 0) + 1);
         } else {
             Duration silent = now.minus(watchedSince);
             if (silent.compareTo(stated.beat.multipliedBy(BEATS_TO_WAIT)) < 0) {
                 mode(
                         "by " + claim.holder(),
-                        () -> claim.holder() + " keeps " + Names.text(stated.name) + "; this one stands by");
+                        () -> claim.holder() + " keeps " + DomainNames.text(stated.name) + "; this one stands by");
                 return null;
             }
-            mine = new Claim(stated.owner, stated.holder, Math.max(claim.term(), myTerm) + 1, 1);
+            mine = new OwnershipClaim(stated.owner, stated.holder, Math.max(claim.term(), myTerm) + 1, 1);
         }
         boolean taking = claim == null || myTerm < 0 || mine.term() != myTerm;
-        List<Rec> wanted = wanted(now);
+        List<ResourceRecord> wanted = wanted(now);
         if (wanted == null) {
             if (taking && claim == null) {
                 return null;
@@ -357,20 +364,21 @@
             return null;
         }
         if (taking && claim != null) {
-            log.accept(stated.holder + " keeps " + Names.text(stated.name) + " from here on, term " + mine.term());
+            log.accept(
+                    stated.holder + " keeps " + DomainNames.text(stated.name) + " from here on, term " + mine.term());
         }
-        return new Write(server, prerequisites(claim), changes(mine, wanted), mine, wanted);
+        return new WriteStep(server, prerequisites(claim), changes(mine, wanted), mine, wanted);
     }
 
-    private List<Entry> prerequisites(Claim claim) {
-        List<Entry> prerequisites = new ArrayList<>();
+    private List<UpdateEntry> prerequisites(OwnershipClaim claim) {
+        List<UpdateEntry> prerequisites = new ArrayList<>();
         if (claim != null) {
-            prerequisites.add(new Entry(claimName, Types.TXT, Types.IN, 0, claim.data()));
+            prerequisites.add(new UpdateEntry(claimName, RecordTypes.TXT, RecordTypes.IN, 0, claim.data()));
             return prerequisites;
         }
-        prerequisites.add(new Entry(claimName, Types.ANY, Types.CLASS_NONE, 0, null));
+        prerequisites.add(new UpdateEntry(claimName, RecordTypes.ANY, RecordTypes.CLASS_NONE, 0, null));
         for (int type : OWNED) {
-            prerequisites.add(new Entry(stated.name, type, Types.CLASS_NONE, 0, null));
+            prerequisites.add(new UpdateEntry(stated.name, type, RecordTypes.CLASS_NONE, 0, null));
         }
         return prerequisites;
     }
@@ -380,32 +388,34 @@
      * emptied a name once in 15,000 tries: claim and records are read by two questions, and a server that goes back between
      * them may show a claim that fits again beside other records.
      */
-    private List<Entry> changes(Claim mine, List<Rec> wanted) {
-        List<Entry> changes = new ArrayList<>();
+    private List<UpdateEntry> changes(OwnershipClaim mine, List<ResourceRecord> wanted) {
+        List<UpdateEntry> changes = new ArrayList<>();
         if (!same(wanted, known.records())) {
             for (int type : OWNED) {
-                changes.add(new Entry(stated.name, type, Types.CLASS_ANY, 0, null));
+                changes.add(new UpdateEntry(stated.name, type, RecordTypes.CLASS_ANY, 0, null));
             }
-            for (Rec rec : sorted(wanted)) {
-                changes.add(new Entry(rec.owner(), rec.type(), Types.IN, rec.ttl(), rec.data()));
+            for (ResourceRecord rec : sorted(wanted)) {
+                changes.add(new UpdateEntry(rec.owner(), rec.type(), RecordTypes.IN, rec.ttl(), rec.data()));
             }
         }
-        changes.add(new Entry(claimName, Types.TXT, Types.CLASS_ANY, 0, null));
-        changes.add(new Entry(claimName, Types.TXT, Types.IN, stated.ttl, mine.data()));
+        changes.add(new UpdateEntry(claimName, RecordTypes.TXT, RecordTypes.CLASS_ANY, 0, null));
+        changes.add(new UpdateEntry(claimName, RecordTypes.TXT, RecordTypes.IN, stated.ttl, mine.data()));
         return changes;
     }
 
     /** What the largest update would hold; it has to fit one message. */
-    public List<Entry> largest() {
-        Claim longest = new Claim(stated.owner, stated.holder, 999_999_999_999_999L, 999_999_999_999_999L);
-        List<Entry> all = prerequisites(longest);
-        stated.instances.forEach(rec -> all.add(new Entry(rec.owner(), rec.type(), Types.IN, rec.ttl(), rec.data())));
-        all.add(new Entry(claimName, Types.TXT, Types.IN, stated.ttl, longest.data()));
+    public List<UpdateEntry> largest() {
+        OwnershipClaim longest =
+                new OwnershipClaim(stated.owner, stated.holder, 999_999_999_999_999L, 999_999_999_999_999L);
+        List<UpdateEntry> all = prerequisites(longest);
+        stated.instances.forEach(
+                rec -> all.add(new UpdateEntry(rec.owner(), rec.type(), RecordTypes.IN, rec.ttl(), rec.data())));
+        all.add(new UpdateEntry(claimName, RecordTypes.TXT, RecordTypes.IN, stated.ttl, longest.data()));
         return all;
     }
 
-    private static TreeSet<Rec> sorted(List<Rec> records) {
-        TreeSet<Rec> sorted = new TreeSet<>((a, b) -> {
+    private static TreeSet<ResourceRecord> sorted(List<ResourceRecord> records) {
+        TreeSet<ResourceRecord> sorted = new TreeSet<>((a, b) -> {
             int order = Integer.compare(a.type(), b.type());
             order = order != 0 ? order : Arrays.compareUnsigned(a.data(), b.data());
             return order != 0 ? order : Long.compare(a.ttl(), b.ttl());
@@ -414,7 +424,7 @@
         return sorted;
     }
 
-    private static boolean same(List<Rec> a, List<Rec> b) {
+    private static boolean same(List<ResourceRecord> a, List<ResourceRecord> b) {
         // Mostly it is the very list that was written last.
         return a.equals(b) || sorted(a).equals(sorted(b));
     }
@@ -422,7 +432,7 @@
     // ---- which records
 
     /** The records of the live fleet, or null where the last answer stays. */
-    private List<Rec> wanted(Duration now) {
+    private List<ResourceRecord> wanted(Duration now) {
         List<Integer> all = fleet.alive(true);
         if (all.isEmpty() || all.size() < stated.keepAtLeast * fleet.size()) {
             mode(
--- a/src/main/java/merlinlever/zone/follow/Fleet.java
+++ b/src/main/java/merlinlever/zone/follow/InstanceTracker.java
@@ -8,30 +8,30 @@
  * Which instances count as alive. One is gone when it says closed or has been silent for the lapse; one that comes and
  * goes stays away for longer each time, as a route that flaps does (RFC 2439 section 4.4).
  */
-final class Fleet {
+final class InstanceTracker {
 
     /** A departure counts one; above the first figure an instance stays away until below the second. */
     private static final double SUPPRESS = 2.5;
 
     private static final double REUSE = 1;
 
-    private static final class Instance {
+    private static final class TrackedInstance {
         Duration heard;
         boolean open, was, suppressed;
         double penalty;
         Duration penaltyAt = Duration.ZERO;
     }
 
-    private final List<Instance> instances = new ArrayList<>();
+    private final List<TrackedInstance> instances = new ArrayList<>();
     private final Duration lapse;
     private final Duration damp;
 
     /** @param damp the time in which what is held against an instance halves */
-    Fleet(int count, Duration lapse, Duration damp) {
+    InstanceTracker(int count, Duration lapse, Duration damp) {
         this.lapse = lapse;
         this.damp = damp;
         for (int i = 0; i < count; i++) {
-            instances.add(new Instance());
+            instances.add(new TrackedInstance());
         }
     }
 
@@ -40,20 +40,20 @@
     }
 
     void heard(Duration now, int index, boolean open) {
-        Instance instance = instances.get(index);
+        TrackedInstance instance = instances.get(index);
         look(now, instance);
         instance.heard = now;
         instance.open = open;
         look(now, instance);
     }
 
-    private boolean alive(Duration now, Instance instance) {
+    private boolean alive(Duration now, TrackedInstance instance) {
         return instance.open
                 && instance.heard != null
                 && now.minus(instance.heard).compareTo(lapse) < 0;
     }
 
-    private void look(Duration now, Instance instance) {
+    private void look(Duration now, TrackedInstance instance) {
         boolean alive = alive(now, instance);
         if (instance.penalty > 0) {
             instance.penalty *= Math.pow(0.5, now.minus(instance.penaltyAt).toNanos() / (double) damp.toNanos());
@@ -85,7 +85,7 @@
     /** When the next instance lapses if nothing more is heard, or null. */
     Duration nextLapse() {
         Duration next = null;
-        for (Instance instance : instances) {
+        for (TrackedInstance instance : instances) {
             if (instance.was) {
                 Duration at = instance.heard.plus(lapse);
                 next = next == null || at.compareTo(next) < 0 ? at : next;
--- a/src/main/java/merlinlever/zone/follow/Seen.java
+++ b/src/main/java/merlinlever/zone/follow/ObservedRecords.java
@@ -1,7 +1,7 @@
 package merlinlever.zone.follow;
 
 import java.util.List;
-import merlinlever.zone.record.Rec;
+import merlinlever.zone.record.ResourceRecord;
 
 /**
  * What a server says of the name.
@@ -10,4 +10,4 @@
  * @param claims the TXT records where the claim stands
  * @param records the address and service records at the name
  */
-public record Seen(long serial, List<Rec> claims, List<Rec> records) {}
+public record ObservedRecords(long serial, List<ResourceRecord> claims, List<ResourceRecord> records) {}
--- a/src/main/java/merlinlever/zone/follow/Claim.java
+++ b/src/main/java/merlinlever/zone/follow/OwnershipClaim.java
@@ -13,19 +13,19 @@
  * @param term counts the holders
  * @param beat counts the writes of a term
  */
-record Claim(String owner, String holder, long term, long beat) {
+record OwnershipClaim(String owner, String holder, long term, long beat) {
 
     private static final Pattern FORM = Pattern.compile(
             "merlinlever owner=([a-z0-9-]{1,40}) holder=([a-z0-9-]{1,40}) term=([0-9]{1,15}) beat=([0-9]{1,15})");
 
     /** From the data of a TXT record; null where it is something else. */
-    static Claim read(byte[] data) {
+    static OwnershipClaim read(byte[] data) {
         if (data.length < 2 || (data[0] & 0xff) != data.length - 1) {
             return null;
         }
         Matcher matcher = FORM.matcher(new String(data, 1, data.length - 1, StandardCharsets.ISO_8859_1));
         return matcher.matches()
-                ? new Claim(
+                ? new OwnershipClaim(
                         matcher.group(1),
                         matcher.group(2),
                         Long.parseLong(matcher.group(3)),
@@ -42,7 +42,7 @@
         return data;
     }
 
-    Claim next() {
-        return new Claim(owner, holder, term, beat + 1);
+    OwnershipClaim next() {
+        return new OwnershipClaim(owner, holder, term, beat + 1);
     }
 }
--- a/src/main/java/merlinlever/zone/journal/Form.java
+++ b/src/main/java/merlinlever/zone/journal/JournalFormat.java
@@ -6,15 +6,15 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Difference;
 
 /**
  * The octets of journals and snapshots. A journal is a header and entries; an entry is a mark, its length, the CRC-32C of
  * what follows, and that. A snapshot is one such entry in parts. All numbers are big-endian.
  */
-final class Form {
+final class JournalFormat {
 
     static final int JOURNAL = 0x4d4c4a31, ENTRY = 0x4d4c4531, SNAPSHOT = 0x4d4c5331;
     /** Mark, base sequence number, CRC. */
@@ -32,9 +32,9 @@
      * @param at when it was made, in Unix seconds
      * @param mark of the message that asked for it, for telling a repeat; empty for none
      */
-    record Step(long sequence, long forced, long at, byte[] mark, Difference difference) {}
+    record JournalEntry(long sequence, long forced, long at, byte[] mark, Difference difference) {}
 
-    private Form() {}
+    private JournalFormat() {}
 
     private static int crc(ByteBuffer octets) {
         CRC32C crc = new CRC32C();
@@ -56,15 +56,15 @@
         return in.getInt() == JOURNAL && in.getInt(12) == crc(ByteBuffer.wrap(file, 0, 12)) ? in.getLong(4) : -1;
     }
 
-    private static int size(List<Rec> records) {
+    private static int size(List<ResourceRecord> records) {
         int size = 4;
-        for (Rec rec : records) {
+        for (ResourceRecord rec : records) {
             size = Math.addExact(size, 1 + rec.owner().length + 10 + rec.data().length);
         }
         return size;
     }
 
-    static void put(ByteBuffer out, Rec rec) {
+    static void put(ByteBuffer out, ResourceRecord rec) {
         out.put((byte) rec.owner().length)
                 .put(rec.owner())
                 .putShort((short) rec.type())
@@ -72,16 +72,16 @@
         out.putInt(rec.data().length).put(rec.data());
     }
 
-    static int size(Rec rec) {
+    static int size(ResourceRecord rec) {
         return 1 + rec.owner().length + 10 + rec.data().length;
     }
 
-    private static void put(ByteBuffer out, List<Rec> records) {
+    private static void put(ByteBuffer out, List<ResourceRecord> records) {
         out.putInt(records.size());
         records.forEach(rec -> put(out, rec));
     }
 
-    static ByteBuffer entry(Step step) {
+    static ByteBuffer entry(JournalEntry step) {
         int length = 8 + 8 + 8 + 1 + step.mark.length + size(step.difference.removed()) + size(step.difference.added());
         ByteBuffer out =
                 ByteBuffer.allocate(FRONT + length).putInt(ENTRY).putInt(length).putInt(0);
@@ -97,7 +97,7 @@
     }
 
     /** The entry at the place, or null where none stands there whole. */
-    static Step step(byte[] file, int at) {
+    static JournalEntry step(byte[] file, int at) {
         int length = lengthAt(file, at);
         if (length < 0 || ByteBuffer.wrap(file).getInt(at + 8) != crc(ByteBuffer.wrap(file, at + FRONT, length))) {
             return null;
@@ -109,7 +109,7 @@
             long made = in.getLong();
             byte[] mark = new byte[in.get() & 0xff];
             in.get(mark);
-            return new Step(sequence, forced, made, mark, new Difference(records(in), records(in)));
+            return new JournalEntry(sequence, forced, made, mark, new Difference(records(in), records(in)));
         } catch (BufferUnderflowException | NegativeArraySizeException | IllegalArgumentException e) {
             return null;
         }
@@ -127,13 +127,13 @@
                 : -1;
     }
 
-    static List<Rec> records(ByteBuffer in) {
+    static List<ResourceRecord> records(ByteBuffer in) {
         int count = in.getInt();
         if (count < 0 || count > in.remaining()) {
             throw new IllegalArgumentException("a count beyond the end");
         }
-        List<Rec> records = new ArrayList<>(count);
-        byte[] last = Names.ROOT;
+        List<ResourceRecord> records = new ArrayList<>(count);
+        byte[] last = DomainNames.ROOT;
         for (int i = 0; i < count; i++) {
             byte[] owner = new byte[in.get() & 0xff];
             in.get(owner);
@@ -143,7 +143,7 @@
             long ttl = in.getInt() & 0xffff_ffffL;
             byte[] data = new byte[in.getInt()];
             in.get(data);
-            records.add(new Rec(last, type, ttl, data));
+            records.add(new ResourceRecord(last, type, ttl, data));
         }
         return records;
     }
@@ -151,7 +151,7 @@
     /** The name of a zone's files: what could be anything else but a name in a folder is written as its octets. */
     static String fileName(byte[] origin) {
         StringBuilder name = new StringBuilder();
-        for (char c : Names.text(origin).toCharArray()) {
+        for (char c : DomainNames.text(origin).toCharArray()) {
             if (c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.' && name.length() > 0) {
                 name.append(c);
             } else {
--- a/src/main/java/merlinlever/zone/journal/Recovery.java
+++ b/src/main/java/merlinlever/zone/journal/JournalRecovery.java
@@ -8,41 +8,41 @@
  * process or the machine stopped, so nobody was answered, and it is dropped. What is not whole but was forced, as a later
  * entry says, was spoilt since: it held answered updates, and nothing is served from such a file.
  */
-final class Recovery {
+final class JournalRecovery {
 
     /** The entries of one journal, and how many octets of it are good. */
-    record Read(List<Form.Step> steps, int good) {}
+    record RecoveredEntries(List<JournalFormat.JournalEntry> steps, int good) {}
 
-    private Recovery() {}
+    private JournalRecovery() {}
 
-    /** @throws Spoilt with one line that says where */
-    static Read read(String name, byte[] file) throws Spoilt {
-        List<Form.Step> steps = new ArrayList<>();
-        int at = Form.HEADER;
+    /** @throws CorruptJournalException with one line that says where */
+    static RecoveredEntries read(String name, byte[] file) throws CorruptJournalException {
+        List<JournalFormat.JournalEntry> steps = new ArrayList<>();
+        int at = JournalFormat.HEADER;
         while (at < file.length) {
-            Form.Step step = Form.step(file, at);
+            JournalFormat.JournalEntry step = JournalFormat.step(file, at);
             boolean follows = step != null
                     && (steps.isEmpty()
                             || step.sequence() == steps.get(steps.size() - 1).sequence() + 1);
             if (!follows) {
                 if (forcedBehind(file, at)) {
-                    throw new Spoilt(
+                    throw new CorruptJournalException(
                             name + ": spoilt at octet " + at + ", behind which there are updates that were answered; "
                                     + "bring the file back from a copy, or move the zone's files away to start from the zone file");
                 }
                 break;
             }
             steps.add(step);
-            at += Form.FRONT + Form.lengthAt(file, at);
+            at += JournalFormat.FRONT + JournalFormat.lengthAt(file, at);
         }
-        return new Read(steps, Math.min(at, file.length));
+        return new RecoveredEntries(steps, Math.min(at, file.length));
     }
 
     /** Whether some whole entry further on was written after the octets at the place had been forced. */
     private static boolean forcedBehind(byte[] file, int bad) {
-        for (int at = bad + 1; at + Form.FRONT <= file.length; at++) {
-            if (file[at] == (byte) (Form.ENTRY >> 24) && Form.lengthAt(file, at) >= 0) {
-                Form.Step step = Form.step(file, at);
+        for (int at = bad + 1; at + JournalFormat.FRONT <= file.length; at++) {
+            if (file[at] == (byte) (JournalFormat.ENTRY >> 24) && JournalFormat.lengthAt(file, at) >= 0) {
+                JournalFormat.JournalEntry step = JournalFormat.step(file, at);
                 if (step != null && step.forced() > bad) {
                     return true;
                 }
@@ -52,10 +52,10 @@
     }
 
     /** State that cannot be served from; the message is for the operator. */
-    static final class Spoilt extends Exception {
+    static final class CorruptJournalException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Spoilt(String message) {
+        CorruptJournalException(String message) {
             super(message);
         }
     }
--- a/src/main/java/merlinlever/zone/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/zone/journal/ZoneStore.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
-import merlinlever.durable.Folder;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
+import merlinlever.storage.StateDirectory;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Difference;
 import merlinlever.zone.state.Zone;
 
@@ -21,26 +21,26 @@
 public final class ZoneStore {
 
     /** A message that a repeat is known by, with its time in Unix seconds. */
-    public record Marked(long at, byte[] mark) {}
+    public record TimedReplayKey(long at, byte[] mark) {}
 
     /** What lay on the disk. */
-    public record Recovered(Zone zone, List<Difference> steps, List<Marked> marks, String told) {}
+    public record RecoveredZone(Zone zone, List<Difference> steps, List<TimedReplayKey> marks, String told) {}
 
     /** State that cannot be used; the message is one line for the operator. */
-    public static final class Unusable extends Exception {
+    public static final class UnusableStateException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String message) {
+        UnusableStateException(String message) {
             super(message);
         }
     }
 
     /** An update that waits for the disk. */
-    private record Waiting(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {}
+    private record PendingUpdate(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {}
 
     private static final int CHUNK = 1 << 16;
 
-    private final Folder folder;
+    private final StateDirectory folder;
     private final String name;
     private final Executor disk;
     private final Executor snapshots;
@@ -51,18 +51,18 @@
     private final long marksFor;
 
     // At home.
-    private List<Waiting> waiting = new ArrayList<>();
+    private List<PendingUpdate> waiting = new ArrayList<>();
     private boolean writing, snapshotting;
     private int sinceSnapshot;
     /** Of the last write, those that have not been told yet: no version that the caller has seen holds all of it. */
     private int unheard;
 
-    private final List<Marked> marks = new ArrayList<>();
+    private final List<TimedReplayKey> marks = new ArrayList<>();
     private boolean failed;
     private int mostAWrite = Integer.MAX_VALUE;
 
     // On the disk's thread, one job at a time.
-    private Folder.Out out;
+    private StateDirectory.AppendableFile out;
     private long sequence;
     private long good;
     private boolean torn;
@@ -72,7 +72,7 @@
      * @param trouble hears lines about the disk
      */
     public ZoneStore(
-            Folder folder,
+            StateDirectory folder,
             byte[] origin,
             Executor disk,
             Executor snapshots,
@@ -81,7 +81,7 @@
             int snapshotAfter,
             long marksFor) {
         this.folder = folder;
-        this.name = Form.fileName(origin);
+        this.name = JournalFormat.fileName(origin);
         this.disk = disk;
         this.snapshots = snapshots;
         this.home = home;
@@ -103,7 +103,7 @@
     // ---- at the start
 
     /** Brings back what was answered, or null where there is no state of this zone. Done by the caller before all else. */
-    public Recovered recover(byte[] origin) throws Unusable {
+    public RecoveredZone recover(byte[] origin) throws UnusableStateException {
         try {
             for (String left : folder.names()) {
                 if (left.equals(name + ".snapshot.new")) {
@@ -113,7 +113,7 @@
             List<String> journals = journals();
             if (!folder.names().contains(name + ".snapshot")) {
                 if (!journals.isEmpty()) {
-                    throw new Unusable(name + ".snapshot is missing beside " + journals.get(0)
+                    throw new UnusableStateException(name + ".snapshot is missing beside " + journals.get(0)
                             + "; bring it back from a copy, or move the zone's files away to start from the zone file");
                 }
                 return null;
@@ -125,27 +125,27 @@
             for (int i = 0; i < journals.size(); i++) {
                 boolean last = i == journals.size() - 1;
                 byte[] file = folder.read(journals.get(i));
-                long base = Form.base(file);
-                if (base < 0 && last && file.length <= Form.HEADER) {
+                long base = JournalFormat.base(file);
+                if (base < 0 && last && file.length <= JournalFormat.HEADER) {
                     // Killed between its making and its header.
                     folder.delete(journals.get(i));
                     continue;
                 }
                 if (base < 0 || !journals.get(i).equals(journal(base)) || base > sequence) {
-                    throw new Unusable(journals.get(i)
+                    throw new UnusableStateException(journals.get(i)
                             + (base > sequence
                                     ? ": begins at update " + base + ", but only " + sequence + " are known"
                                     : ": its header is spoilt"));
                 }
-                Recovery.Read read = Recovery.read(journals.get(i), file);
-                for (Form.Step step : read.steps()) {
+                JournalRecovery.RecoveredEntries read = JournalRecovery.read(journals.get(i), file);
+                for (JournalFormat.JournalEntry step : read.steps()) {
                     remember(step.at(), step.mark());
                     if (step.sequence() <= snapshotAt) {
                         continue;
                     }
                     if (step.sequence() != sequence + 1 || step.difference().from() != zone.serial()) {
-                        throw new Unusable(journals.get(i) + ": update " + step.sequence() + " does not follow update "
-                                + sequence);
+                        throw new UnusableStateException(journals.get(i) + ": update " + step.sequence()
+                                + " does not follow update " + sequence);
                     }
                     zone = step.difference().on(zone);
                     steps.add(step.difference());
@@ -167,29 +167,29 @@
                 begin();
             }
             sinceSnapshot = steps.size();
-            return new Recovered(zone, steps, List.copyOf(marks), told);
-        } catch (Recovery.Spoilt e) {
-            throw new Unusable(e.getMessage());
+            return new RecoveredZone(zone, steps, List.copyOf(marks), told);
+        } catch (JournalRecovery.CorruptJournalException e) {
+            throw new UnusableStateException(e.getMessage());
         } catch (IOException e) {
-            throw new Unusable(name + ": the state cannot be read: " + e.getMessage());
+            throw new UnusableStateException(name + ": the state cannot be read: " + e.getMessage());
         }
     }
 
     /** A zone that had no state has one from here on. */
-    public void first(Zone zone) throws Unusable {
+    public void first(Zone zone) throws UnusableStateException {
         try {
             write(zone, 0, List.of());
             begin();
         } catch (IOException e) {
-            throw new Unusable(name + ": no state can be written: " + e.getMessage());
+            throw new UnusableStateException(name + ": no state can be written: " + e.getMessage());
         }
     }
 
     private void begin() throws IOException {
         String file = journal(sequence);
-        Folder.Out begun = folder.append(file);
+        StateDirectory.AppendableFile begun = folder.append(file);
         begun.truncate(0);
-        begun.write(ByteBuffer.wrap(Form.header(sequence)));
+        begun.write(ByteBuffer.wrap(JournalFormat.header(sequence)));
         begun.force();
         folder.force();
         if (out != null) {
@@ -201,7 +201,7 @@
 
     private void remember(long at, byte[] mark) {
         if (mark.length > 0) {
-            marks.add(new Marked(at, mark));
+            marks.add(new TimedReplayKey(at, mark));
         }
     }
 
@@ -212,7 +212,7 @@
      * those that were put behind it before that was heard, which hear the same.
      */
     public void put(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {
-        waiting.add(new Waiting(at, mark, difference, done));
+        waiting.add(new PendingUpdate(at, mark, difference, done));
         flush();
     }
 
@@ -231,7 +231,7 @@
             return;
         }
         writing = true;
-        List<Waiting> batch = waiting;
+        List<PendingUpdate> batch = waiting;
         waiting = new ArrayList<>();
         if (batch.size() > mostAWrite) {
             waiting.addAll(batch.subList(mostAWrite, batch.size()));
@@ -240,22 +240,23 @@
         write(batch);
     }
 
-    private void write(List<Waiting> batch) {
+    private void write(List<PendingUpdate> batch) {
         disk.execute(() -> {
             IOException failure = onDisk(batch);
             home.execute(() -> heard(batch, failure));
         });
     }
 
-    private IOException onDisk(List<Waiting> batch) {
+    private IOException onDisk(List<PendingUpdate> batch) {
         try {
             if (torn) {
                 out.truncate(good);
                 torn = false;
             }
             long next = sequence;
-            for (Waiting each : batch) {
-                out.write(Form.entry(new Form.Step(++next, good, each.at, each.mark, each.difference)));
+            for (PendingUpdate each : batch) {
+                out.write(JournalFormat.entry(
+                        new JournalFormat.JournalEntry(++next, good, each.at, each.mark, each.difference)));
             }
             out.force();
             sequence = next;
@@ -273,7 +274,7 @@
         }
     }
 
-    private void heard(List<Waiting> batch, IOException failure) {
+    private void heard(List<PendingUpdate> batch, IOException failure) {
         writing = false;
         if (failure != null) {
             if (!failed) {
@@ -281,7 +282,7 @@
                         + failure.getMessage());
             }
             failed = true;
-            List<Waiting> behind = waiting;
+            List<PendingUpdate> behind = waiting;
             waiting = new ArrayList<>();
             batch.forEach(each -> each.done.accept(false));
             behind.forEach(each -> each.done.accept(false));
@@ -290,12 +291,12 @@
                 trouble.accept("the journal of " + name + " can be written again");
             }
             failed = false;
-            for (Waiting each : batch) {
+            for (PendingUpdate each : batch) {
                 remember(each.at, each.mark);
                 sinceSnapshot++;
             }
             unheard = batch.size();
-            for (Waiting each : batch) {
+            for (PendingUpdate each : batch) {
                 unheard--;
                 each.done.accept(true);
             }
@@ -315,7 +316,7 @@
         snapshotting = true;
         sinceSnapshot = 0;
         marks.removeIf(mark -> now - mark.at > marksFor);
-        List<Marked> kept = List.copyOf(marks);
+        List<TimedReplayKey> kept = List.copyOf(marks);
         writing = true;
         disk.execute(() -> {
             IOException failure = null;
@@ -342,7 +343,7 @@
         });
     }
 
-    private void behind(Zone zone, long upTo, List<Marked> kept) {
+    private void behind(Zone zone, long upTo, List<TimedReplayKey> kept) {
         try {
             snapshots.execute(() -> {
                 IOException failure = null;
@@ -371,21 +372,21 @@
         }
     }
 
-    private void write(Zone zone, long upTo, List<Marked> kept) throws IOException {
+    private void write(Zone zone, long upTo, List<TimedReplayKey> kept) throws IOException {
         String made = name + ".snapshot.new";
         folder.delete(made);
         CRC32C crc = new CRC32C();
-        Folder.Out file = folder.append(made);
+        StateDirectory.AppendableFile file = folder.append(made);
         try {
             ByteBuffer room = ByteBuffer.allocate(CHUNK + 16);
-            room.putInt(Form.SNAPSHOT).putLong(upTo).putInt(kept.size());
-            for (Marked mark : kept) {
+            room.putInt(JournalFormat.SNAPSHOT).putLong(upTo).putInt(kept.size());
+            for (TimedReplayKey mark : kept) {
                 room = flushed(file, room, crc, 9 + mark.mark.length);
                 room.putLong(mark.at).put((byte) mark.mark.length).put(mark.mark);
             }
             room = flushed(file, room, crc, 4);
             room.putInt(zone.records());
-            List<Rec> chunk = new ArrayList<>();
+            List<ResourceRecord> chunk = new ArrayList<>();
             byte[][] next = {new byte[0]};
             while (next[0] != null) {
                 chunk.clear();
@@ -396,15 +397,15 @@
                         next[0] = key;
                         return false;
                     }
-                    byte[] wire = Names.wire(key);
+                    byte[] wire = DomainNames.wire(key);
                     for (int i = 0; i < owner.sets(); i++) {
                         owner.at(i).each(wire, chunk::add);
                     }
                     return true;
                 });
-                for (Rec rec : chunk) {
-                    room = flushed(file, room, crc, Form.size(rec));
-                    Form.put(room, rec);
+                for (ResourceRecord rec : chunk) {
+                    room = flushed(file, room, crc, JournalFormat.size(rec));
+                    JournalFormat.put(room, rec);
                 }
             }
             room = flushed(file, room, crc, Integer.MAX_VALUE);
@@ -418,7 +419,8 @@
     }
 
     /** Makes room for more octets; asked for too many, it only writes out. */
-    private static ByteBuffer flushed(Folder.Out file, ByteBuffer room, CRC32C crc, int more) throws IOException {
+    private static ByteBuffer flushed(StateDirectory.AppendableFile file, ByteBuffer room, CRC32C crc, int more)
+            throws IOException {
         if (room.remaining() >= more) {
             return room;
         }
@@ -429,12 +431,14 @@
         return more == Integer.MAX_VALUE || more <= room.capacity() ? room : ByteBuffer.allocate(more + CHUNK);
     }
 
-    private Zone snapshot(byte[] file, byte[] origin) throws Unusable {
+    private Zone snapshot(byte[] file, byte[] origin) throws UnusableStateException {
         CRC32C crc = new CRC32C();
         crc.update(file, 0, Math.max(0, file.length - 4));
         ByteBuffer in = ByteBuffer.wrap(file);
-        if (file.length < 24 || in.getInt() != Form.SNAPSHOT || in.getInt(file.length - 4) != (int) crc.getValue()) {
-            throw new Unusable(
+        if (file.length < 24
+                || in.getInt() != JournalFormat.SNAPSHOT
+                || in.getInt(file.length - 4) != (int) crc.getValue()) {
+            throw new UnusableStateException(
                     name + ".snapshot: spoilt; bring it back from a copy, or move the zone's files away to start "
                             + "from the zone file");
         }
@@ -445,9 +449,9 @@
             in.get(mark);
             remember(at, mark);
         }
-        Zone zone = Zone.of(origin, Form.records(in));
-        if (zone.names().size() == 0 || zone.names().get(Names.key(origin)) == null || zone.soa() == null) {
-            throw new Unusable(name + ".snapshot: is of another zone");
+        Zone zone = Zone.of(origin, JournalFormat.records(in));
+        if (zone.names().size() == 0 || zone.names().get(DomainNames.key(origin)) == null || zone.soa() == null) {
+            throw new UnusableStateException(name + ".snapshot: is of another zone");
         }
         return zone;
     }
--- a/src/main/java/merlinlever/zone/record/Names.java
+++ b/src/main/java/merlinlever/zone/record/DomainNames.java
@@ -6,7 +6,7 @@
  * Domain names as octets on the wire (RFC 1035 section 3.1), in lower case (RFC 4343), and as keys whose plain order is
  * the canonical order of RFC 4034 section 6.1. The key of an ancestor begins every key below it.
  */
-public final class Names {
+public final class DomainNames {
 
     /** Octets of a name on the wire at the most, and of a label. */
     public static final int MOST = 255;
@@ -15,13 +15,13 @@
     /** The root. */
     public static final byte[] ROOT = {0};
 
-    private Names() {}
+    private DomainNames() {}
 
     /** A name from its text; a relative one stands below the origin. A null origin allows none. */
-    public static byte[] parse(String text, byte[] origin) throws Malformed {
+    public static byte[] parse(String text, byte[] origin) throws MalformedDnsException {
         if (text.equals("@")) {
             if (origin == null) {
-                throw new Malformed("@ without an origin");
+                throw new MalformedDnsException("@ without an origin");
             }
             return origin;
         }
@@ -36,7 +36,7 @@
             char c = text.charAt(i);
             if (c == '.') {
                 if (at - start == 1) {
-                    throw new Malformed("an empty label in " + shortened(text));
+                    throw new MalformedDnsException("an empty label in " + shortened(text));
                 }
                 out[start] = (byte) (at - start - 1);
                 start = at++;
@@ -47,29 +47,30 @@
                     c = (char) (taken & 0xff);
                     i += taken >> 8;
                 } else if (c < '!' || c > '~') {
-                    throw new Malformed("a name holds only printable ASCII; write \\DDD in " + shortened(text));
+                    throw new MalformedDnsException(
+                            "a name holds only printable ASCII; write \\DDD in " + shortened(text));
                 }
                 if (at - start > MOST_LABEL) {
-                    throw new Malformed("a label over " + MOST_LABEL + " octets in " + shortened(text));
+                    throw new MalformedDnsException("a label over " + MOST_LABEL + " octets in " + shortened(text));
                 }
                 out[at++] = (byte) lower(c);
             }
             if (at > MOST) {
-                throw new Malformed("a name over " + MOST + " octets: " + shortened(text));
+                throw new MalformedDnsException("a name over " + MOST + " octets: " + shortened(text));
             }
         }
         if (text.isEmpty()) {
-            throw new Malformed("an empty name");
+            throw new MalformedDnsException("an empty name");
         }
         if (absolute) {
             return Arrays.copyOf(out, at);
         }
         out[start] = (byte) (at - start - 1);
         if (origin == null) {
-            throw new Malformed("the relative name " + shortened(text) + " without an origin");
+            throw new MalformedDnsException("the relative name " + shortened(text) + " without an origin");
         }
         if (at + origin.length > MOST) {
-            throw new Malformed("a name over " + MOST + " octets: " + shortened(text));
+            throw new MalformedDnsException("a name over " + MOST + " octets: " + shortened(text));
         }
         byte[] whole = Arrays.copyOf(out, at + origin.length);
         System.arraycopy(origin, 0, whole, at, origin.length);
@@ -77,14 +78,14 @@
     }
 
     /** An absolute name, with or without its last dot. */
-    public static byte[] absolute(String text) throws Malformed {
+    public static byte[] absolute(String text) throws MalformedDnsException {
         return parse(text, ROOT);
     }
 
     /** The octet that an escape at the place stands for, and in the bits above it how much longer than one it is. */
-    static int escaped(String text, int at) throws Malformed {
+    static int escaped(String text, int at) throws MalformedDnsException {
         if (at + 1 >= text.length()) {
-            throw new Malformed("a backslash at the end of " + shortened(text));
+            throw new MalformedDnsException("a backslash at the end of " + shortened(text));
         }
         char first = text.charAt(at + 1);
         if (first < '0' || first > '9') {
@@ -94,12 +95,12 @@
         for (int i = 1; i <= 3; i++) {
             char digit = at + i < text.length() ? text.charAt(at + i) : 'x';
             if (digit < '0' || digit > '9') {
-                throw new Malformed("an escape is a backslash and three digits in " + shortened(text));
+                throw new MalformedDnsException("an escape is a backslash and three digits in " + shortened(text));
             }
             value = value * 10 + digit - '0';
         }
         if (value > 255) {
-            throw new Malformed("an escape over 255 in " + shortened(text));
+            throw new MalformedDnsException("an escape over 255 in " + shortened(text));
         }
         return value | 3 << 8;
     }
--- a/src/main/java/merlinlever/zone/record/Malformed.java
+++ b/src/main/java/merlinlever/zone/record/MalformedDnsException.java
@@ -1,10 +1,10 @@
 package merlinlever.zone.record;
 
 /** What came is not what the format allows; its message says why in one line. It carries no trace, as it may come often. */
-public final class Malformed extends Exception {
+public final class MalformedDnsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Malformed(String message) {
+    public MalformedDnsException(String message) {
         super(message, null, false, false);
     }
 }
--- a/src/main/java/merlinlever/zone/record/Rdata.java
+++ b/src/main/java/merlinlever/zone/record/Rdata.java
@@ -21,12 +21,12 @@
     /** Where names lie that may come compressed or in any case: N a name, S a character string, digits octets. */
     private static String layout(int type) {
         return switch (type) {
-            case Types.NS, Types.CNAME, Types.PTR, Types.DNAME, 3, 4, 7, 8, 9 -> "N";
-            case Types.SOA -> "NN#";
-            case Types.MX, 18, 21, 36 -> "2N";
+            case RecordTypes.NS, RecordTypes.CNAME, RecordTypes.PTR, RecordTypes.DNAME, 3, 4, 7, 8, 9 -> "N";
+            case RecordTypes.SOA -> "NN#";
+            case RecordTypes.MX, 18, 21, 36 -> "2N";
             case 14, 17 -> "NN";
             case 26 -> "2NN";
-            case Types.SRV -> "6N";
+            case RecordTypes.SRV -> "6N";
             case 35 -> "4SSSN";
             default -> null;
         };
@@ -38,65 +38,65 @@
      * @param words as they stand in the file: escapes untouched, quoted ones with their quotes
      * @param origin below which relative names stand, or null
      */
-    public static byte[] fromText(int type, List<String> words, byte[] origin) throws Malformed {
+    public static byte[] fromText(int type, List<String> words, byte[] origin) throws MalformedDnsException {
         if (!words.isEmpty() && words.get(0).equals("\\#")) {
             return generic(type, words);
         }
         return switch (type) {
-            case Types.A -> {
+            case RecordTypes.A -> {
                 expect(words, 1, "an address");
                 yield address4(words.get(0));
             }
-            case Types.AAAA -> {
+            case RecordTypes.AAAA -> {
                 expect(words, 1, "an address");
                 yield address6(words.get(0));
             }
-            case Types.NS, Types.CNAME, Types.PTR, Types.DNAME -> {
+            case RecordTypes.NS, RecordTypes.CNAME, RecordTypes.PTR, RecordTypes.DNAME -> {
                 expect(words, 1, "a name");
-                yield Names.parse(words.get(0), origin);
+                yield DomainNames.parse(words.get(0), origin);
             }
-            case Types.MX -> {
+            case RecordTypes.MX -> {
                 expect(words, 2, "a preference and a name");
-                yield joined(number(words.get(0), 2, 0xffff), Names.parse(words.get(1), origin));
+                yield joined(number(words.get(0), 2, 0xffff), DomainNames.parse(words.get(1), origin));
             }
-            case Types.SRV -> {
+            case RecordTypes.SRV -> {
                 expect(words, 4, "priority, weight, port and a name");
                 yield joined(
                         number(words.get(0), 2, 0xffff),
                         number(words.get(1), 2, 0xffff),
                         number(words.get(2), 2, 0xffff),
-                        Names.parse(words.get(3), origin));
+                        DomainNames.parse(words.get(3), origin));
             }
-            case Types.SOA -> {
+            case RecordTypes.SOA -> {
                 expect(words, 7, "two names, serial, refresh, retry, expire and minimum");
                 yield joined(
-                        Names.parse(words.get(0), origin),
-                        Names.parse(words.get(1), origin),
+                        DomainNames.parse(words.get(0), origin),
+                        DomainNames.parse(words.get(1), origin),
                         number(words.get(2), 4, 0xffff_ffffL),
                         span(words.get(3)),
                         span(words.get(4)),
                         span(words.get(5)),
                         span(words.get(6)));
             }
-            case Types.TXT, 99 -> strings(words);
+            case RecordTypes.TXT, 99 -> strings(words);
             default -> byLibrary(type, words, origin);
         };
     }
 
-    private static void expect(List<String> words, int count, String what) throws Malformed {
+    private static void expect(List<String> words, int count, String what) throws MalformedDnsException {
         if (words.size() != count) {
-            throw new Malformed(
+            throw new MalformedDnsException(
                     "expected " + what + ", found " + words.size() + (words.size() == 1 ? " word" : " words"));
         }
     }
 
-    private static byte[] joined(byte[]... parts) throws Malformed {
+    private static byte[] joined(byte[]... parts) throws MalformedDnsException {
         int length = 0;
         for (byte[] part : parts) {
             length += part.length;
         }
         if (length > MOST) {
-            throw new Malformed("data over " + MOST + " octets");
+            throw new MalformedDnsException("data over " + MOST + " octets");
         }
         byte[] whole = new byte[length];
         int at = 0;
@@ -115,10 +115,10 @@
         return octets;
     }
 
-    private static byte[] number(String word, int count, long most) throws Malformed {
+    private static byte[] number(String word, int count, long most) throws MalformedDnsException {
         long value = digits(word, most);
         if (value < 0) {
-            throw new Malformed("expected a number from 0 to " + most + ", found " + shortened(word));
+            throw new MalformedDnsException("expected a number from 0 to " + most + ", found " + shortened(word));
         }
         return octets(value, count);
     }
@@ -139,7 +139,7 @@
 
     /** Seconds from digits, or from parts such as 1w2d3h4m5s; -1 where it is no such thing or over 2^31 - 1. */
     public static long seconds(String word) {
-        long plain = digits(word, Rec.MOST_TTL);
+        long plain = digits(word, ResourceRecord.MOST_TTL);
         if (plain >= 0) {
             return plain;
         }
@@ -148,7 +148,7 @@
         for (int i = 0; i < word.length(); i++) {
             int unit = "smhdw".indexOf(Character.toLowerCase(word.charAt(i)));
             if (unit >= 0) {
-                long part = digits(word.substring(start, i), Rec.MOST_TTL);
+                long part = digits(word.substring(start, i), ResourceRecord.MOST_TTL);
                 if (part < 0) {
                     return -1;
                 }
@@ -156,19 +156,20 @@
                 start = i + 1;
             }
         }
-        return start == word.length() && start > 0 && sum <= Rec.MOST_TTL ? sum : -1;
+        return start == word.length() && start > 0 && sum <= ResourceRecord.MOST_TTL ? sum : -1;
     }
 
-    private static byte[] span(String word) throws Malformed {
+    private static byte[] span(String word) throws MalformedDnsException {
         long seconds = seconds(word);
         if (seconds < 0) {
-            throw new Malformed("expected seconds from 0 to " + Rec.MOST_TTL + ", found " + shortened(word));
+            throw new MalformedDnsException(
+                    "expected seconds from 0 to " + ResourceRecord.MOST_TTL + ", found " + shortened(word));
         }
         return octets(seconds, 4);
     }
 
     /** Strict: four numbers without leading zeros. */
-    public static byte[] address4(String word) throws Malformed {
+    public static byte[] address4(String word) throws MalformedDnsException {
         byte[] address = new byte[4];
         int part = 0;
         int start = 0;
@@ -178,21 +179,21 @@
                         ? -1
                         : digits(word.substring(start, i), 255);
                 if (value < 0 || part == 4) {
-                    throw new Malformed("no IPv4 address: " + shortened(word));
+                    throw new MalformedDnsException("no IPv4 address: " + shortened(word));
                 }
                 address[part++] = (byte) value;
                 start = i + 1;
             }
         }
         if (part != 4) {
-            throw new Malformed("no IPv4 address: " + shortened(word));
+            throw new MalformedDnsException("no IPv4 address: " + shortened(word));
         }
         return address;
     }
 
     /** RFC 4291 section 2.2. */
-    public static byte[] address6(String word) throws Malformed {
-        Malformed fault = new Malformed("no IPv6 address: " + shortened(word));
+    public static byte[] address6(String word) throws MalformedDnsException {
+        MalformedDnsException fault = new MalformedDnsException("no IPv6 address: " + shortened(word));
         byte[] address = new byte[16];
         int at = 0;
         int gap = -1;
@@ -249,15 +250,15 @@
         return address;
     }
 
-    private static byte[] strings(List<String> words) throws Malformed {
+    private static byte[] strings(List<String> words) throws MalformedDnsException {
         if (words.isEmpty()) {
-            throw new Malformed("expected at least one string");
+            throw new MalformedDnsException("expected at least one string");
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (String word : words) {
             byte[] string = unquoted(word);
             if (string.length > 255) {
-                throw new Malformed("a string over 255 octets");
+                throw new MalformedDnsException("a string over 255 octets");
             }
             out.write(string.length);
             out.writeBytes(string);
@@ -265,7 +266,7 @@
         return joined(out.toByteArray());
     }
 
-    private static byte[] unquoted(String word) throws Malformed {
+    private static byte[] unquoted(String word) throws MalformedDnsException {
         int from = 0;
         int to = word.length();
         if (to >= 2 && word.charAt(0) == '"') {
@@ -277,7 +278,7 @@
         for (int i = from; i < to; i++) {
             int c = word.charAt(i);
             if (c == '\\') {
-                int taken = Names.escaped(word, i);
+                int taken = DomainNames.escaped(word, i);
                 c = taken & 0xff;
                 i += taken >> 8;
             }
@@ -287,19 +288,20 @@
     }
 
     /** RFC 3597 section 5. */
-    private static byte[] generic(int type, List<String> words) throws Malformed {
+    private static byte[] generic(int type, List<String> words) throws MalformedDnsException {
         long length = words.size() < 2 ? -1 : digits(words.get(1), MOST);
         StringBuilder hex = new StringBuilder();
         words.stream().skip(2).forEach(hex::append);
         if (length < 0 || hex.length() != 2 * length) {
-            throw new Malformed("\\# wants a length and as many octets in hex, found " + hex.length() + " digits");
+            throw new MalformedDnsException(
+                    "\\# wants a length and as many octets in hex, found " + hex.length() + " digits");
         }
         byte[] data = new byte[(int) length];
         for (int i = 0; i < data.length; i++) {
             int high = digit(hex.charAt(2 * i));
             int low = digit(hex.charAt(2 * i + 1));
             if (high < 0 || low < 0) {
-                throw new Malformed("not hex: " + shortened(hex.toString()));
+                throw new MalformedDnsException("not hex: " + shortened(hex.toString()));
             }
             data[i] = (byte) (high << 4 | low);
         }
@@ -310,9 +312,9 @@
         return c < 128 ? Character.digit(c, 16) : -1;
     }
 
-    private static byte[] byLibrary(int type, List<String> words, byte[] origin) throws Malformed {
+    private static byte[] byLibrary(int type, List<String> words, byte[] origin) throws MalformedDnsException {
         if (words.isEmpty()) {
-            throw new Malformed("no data for " + Types.text(type));
+            throw new MalformedDnsException("no data for " + RecordTypes.text(type));
         }
         StringBuilder line = new StringBuilder();
         for (String word : words) {
@@ -334,42 +336,42 @@
         } catch (java.io.IOException | RuntimeException e) {
             // Unknown types come here too, whose data has the one form above; dnsjava's own words name its parser.
             String said = e.getMessage() == null ? "malformed" : e.getMessage().replaceFirst("^.*?: ", "");
-            throw new Malformed("data of " + Types.text(type) + ": " + said);
+            throw new MalformedDnsException("data of " + RecordTypes.text(type) + ": " + said);
         }
     }
 
     // ---- from a message
 
     /** The data of a record in a message: names whole and in lower case, and the form of its type seen to. */
-    public static byte[] fromWire(int type, byte[] message, int at, int length) throws Malformed {
+    public static byte[] fromWire(int type, byte[] message, int at, int length) throws MalformedDnsException {
         String layout = layout(type);
         int end = at + length;
-        if (type == Types.A || type == Types.AAAA) {
-            if (length != (type == Types.A ? 4 : 16)) {
-                throw new Malformed("an address of " + length + " octets");
+        if (type == RecordTypes.A || type == RecordTypes.AAAA) {
+            if (length != (type == RecordTypes.A ? 4 : 16)) {
+                throw new MalformedDnsException("an address of " + length + " octets");
             }
             return Arrays.copyOfRange(message, at, end);
         }
         if (layout == null) {
             byte[] data = Arrays.copyOfRange(message, at, end);
             try {
-                if (type == Types.TXT && !wholeStrings(data)
+                if (type == RecordTypes.TXT && !wholeStrings(data)
                         || Record.newRecord(Name.root, type, DClass.IN, 0, length, data) == null) {
-                    throw new Malformed("data of " + Types.text(type) + " is malformed");
+                    throw new MalformedDnsException("data of " + RecordTypes.text(type) + " is malformed");
                 }
             } catch (RuntimeException e) {
-                throw new Malformed("data of " + Types.text(type) + " is malformed");
+                throw new MalformedDnsException("data of " + RecordTypes.text(type) + " is malformed");
             }
             return data;
         }
-        byte[] out = new byte[length + 2 * Names.MOST];
+        byte[] out = new byte[length + 2 * DomainNames.MOST];
         int to = 0;
         for (int i = 0; i < layout.length(); i++) {
             char part = layout.charAt(i);
             int taken;
             if (part == 'N') {
-                byte[] name = new byte[Names.MOST];
-                long read = Wire.name(message, at, end, name);
+                byte[] name = new byte[DomainNames.MOST];
+                long read = CompressedNames.name(message, at, end, name);
                 int size = (int) (read >>> 32);
                 System.arraycopy(name, 0, out, to, size);
                 to += size;
@@ -381,14 +383,14 @@
                 taken = part == '#' ? 20 : part - '0';
             }
             if (at + taken > end) {
-                throw new Malformed("data of " + Types.text(type) + " is cut short");
+                throw new MalformedDnsException("data of " + RecordTypes.text(type) + " is cut short");
             }
             System.arraycopy(message, at, out, to, taken);
             to += taken;
             at += taken;
         }
         if (at != end) {
-            throw new Malformed("data of " + Types.text(type) + " goes on behind its end");
+            throw new MalformedDnsException("data of " + RecordTypes.text(type) + " goes on behind its end");
         }
         return Arrays.copyOf(out, to);
     }
--- a/src/main/java/merlinlever/zone/record/Types.java
+++ b/src/main/java/merlinlever/zone/record/RecordTypes.java
@@ -3,7 +3,7 @@
 import org.xbill.DNS.Type;
 
 /** The types that this program treats in a way of their own, and the names of all. */
-public final class Types {
+public final class RecordTypes {
 
     public static final int A = 1,
             NS = 2,
@@ -24,7 +24,7 @@
     /** Classes (RFC 1035 section 3.2.4, RFC 2136 section 2.4). */
     public static final int IN = 1, CLASS_NONE = 254, CLASS_ANY = 255;
 
-    private Types() {}
+    private RecordTypes() {}
 
     /** Types that no zone holds: questions, and what is made for one message. */
     public static boolean meta(int type) {
--- a/src/main/java/merlinlever/zone/record/Rec.java
+++ b/src/main/java/merlinlever/zone/record/ResourceRecord.java
@@ -9,14 +9,14 @@
  * @param ttl seconds, 0 to 2^31 - 1 (RFC 2181 section 8)
  * @param data as on the wire, uncompressed, names in lower case
  */
-public record Rec(byte[] owner, int type, long ttl, byte[] data) {
+public record ResourceRecord(byte[] owner, int type, long ttl, byte[] data) {
 
     /** The longest time to live, in seconds. */
     public static final long MOST_TTL = Integer.MAX_VALUE;
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Rec rec
+        return other instanceof ResourceRecord rec
                 && type == rec.type
                 && ttl == rec.ttl
                 && Arrays.equals(owner, rec.owner)
@@ -31,6 +31,6 @@
     /** As in a zone file. */
     @Override
     public String toString() {
-        return Names.text(owner) + " " + ttl + " IN " + Types.text(type) + " " + Rdata.text(type, data);
+        return DomainNames.text(owner) + " " + ttl + " IN " + RecordTypes.text(type) + " " + Rdata.text(type, data);
     }
 }
--- a/src/main/java/merlinlever/zone/front/Stream.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -8,10 +8,10 @@
 import java.util.function.Consumer;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
 
 /** One TCP connection (RFC 7766): messages with their length before them, answers in the order in which they are ready. */
-final class Stream implements Connection.User {
+final class DnsConnection implements Connection.Handler {
 
     /** A message and its length fit; what waits to be written may be a few answers of the largest kind. */
     static final int READ_BUFFER = 2 + 65_535;
@@ -23,18 +23,18 @@
     private static final Duration WHOLE = Duration.ofSeconds(5);
     private static final Duration IDLE = Duration.ofSeconds(10);
 
-    private final Loop loop;
-    private final Desk desk;
-    private final Consumer<Stream> gone;
+    private final EventLoop loop;
+    private final RequestProcessor desk;
+    private final Consumer<DnsConnection> gone;
     private Connection connection;
-    private final List<Asked> inHand = new ArrayList<>(2);
+    private final List<PendingMessage> inHand = new ArrayList<>(2);
     private Duration idleSince, incompleteSince, unwrittenSince;
-    private Transfer sending;
+    private ZoneTransfer sending;
     private Consumer<Boolean> sent;
     private final ArrayDeque<Runnable> transfersBehind = new ArrayDeque<>(0);
     private boolean last;
 
-    Stream(Loop loop, Desk desk, Consumer<Stream> gone) {
+    DnsConnection(EventLoop loop, RequestProcessor desk, Consumer<DnsConnection> gone) {
         this.loop = loop;
         this.desk = desk;
         this.gone = gone;
@@ -59,8 +59,8 @@
             byte[] octets = new byte[length];
             in.get(octets);
             incompleteSince = in.hasRemaining() ? now : null;
-            One one = new One();
-            Asked asked = desk.came(now, octets, Duration.ZERO, one);
+            ConnectionReply one = new ConnectionReply();
+            PendingMessage asked = desk.came(now, octets, Duration.ZERO, one);
             if (asked != null && !one.answered) {
                 one.asked = asked;
                 inHand.add(asked);
@@ -74,8 +74,8 @@
     }
 
     /** Where the answer to one message goes. */
-    private final class One implements Caller {
-        private Asked asked;
+    private final class ConnectionReply implements ReplyChannel {
+        private PendingMessage asked;
         private boolean answered;
 
         @Override
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void answer(Transfer transfer, Consumer<Boolean> done) {
+        public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
             if (connection.ended() != null) {
                 done.accept(false);
                 return;
@@ -160,7 +160,7 @@
     @Override
     public void ended(CloseReason how) {
         Duration now = loop.clock().now();
-        for (Asked asked : List.copyOf(inHand)) {
+        for (PendingMessage asked : List.copyOf(inHand)) {
             desk.callerGone(now, asked);
         }
         inHand.clear();
--- a/src/main/java/merlinlever/zone/front/Front.java
+++ b/src/main/java/merlinlever/zone/server/DnsServer.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,49 +10,49 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.net.Connection;
-import merlinlever.net.Datagrams;
-import merlinlever.net.Listener;
-import merlinlever.net.Loop;
-import merlinlever.zone.wire.Message;
+import merlinlever.net.ConnectionAcceptor;
+import merlinlever.net.DatagramEndpoint;
+import merlinlever.net.EventLoop;
+import merlinlever.zone.wire.DnsMessage;
 import merlinlever.zone.wire.Tsig;
 
 /** The sockets round the desk: datagrams and connections on one address. */
-public final class Front {
+public final class DnsServer {
 
     private static final Duration LOOK = Duration.ofMillis(250);
     private static final int BINDINGS = 20;
 
-    private final Loop loop;
-    private final Desk desk;
-    private final Datagrams datagrams;
-    private final Listener listener;
-    private final Set<Stream> streams = new LinkedHashSet<>();
-    private final List<Served> zones;
-    private Loop.Timer alarm;
+    private final EventLoop loop;
+    private final RequestProcessor desk;
+    private final DatagramEndpoint datagrams;
+    private final ConnectionAcceptor listener;
+    private final Set<DnsConnection> streams = new LinkedHashSet<>();
+    private final List<ServedZone> zones;
+    private EventLoop.Timer alarm;
 
     /** @param connections open at once at the most */
-    public Front(
-            Loop loop,
+    public DnsServer(
+            EventLoop loop,
             InetSocketAddress address,
             int connections,
-            List<Served> zones,
-            Tsig.Keys keys,
-            Desk.Stated stated,
+            List<ServedZone> zones,
+            Tsig.TsigKeyRing keys,
+            RequestProcessor.ProcessorSettings stated,
             LongSupplier unix,
             Consumer<String> log,
-            Counts counts)
+            ZoneServerMetrics counts)
             throws IOException {
         this.loop = loop;
         this.zones = zones;
-        desk = new Desk(zones, keys, stated, unix, log, this::alarm, counts);
+        desk = new RequestProcessor(zones, keys, stated, unix, log, this::alarm, counts);
         IOException failure = null;
-        Listener listening = null;
-        Datagrams taking = null;
+        ConnectionAcceptor listening = null;
+        DatagramEndpoint taking = null;
         for (int i = 0; i < BINDINGS && taking == null; i++) {
-            listening = new Listener(loop, address, connections, this::accepted, this::makeRoom);
+            listening = new ConnectionAcceptor(loop, address, connections, this::accepted, this::makeRoom);
             try {
                 // A free port is to be free for both.
-                taking = new Datagrams(loop, listening.address(), Message.MOST, this::came);
+                taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MOST, this::came);
             } catch (IOException e) {
                 listening.close();
                 failure = e;
@@ -76,7 +76,7 @@
         return listener.address();
     }
 
-    public Desk desk() {
+    public RequestProcessor desk() {
         return desk;
     }
 
@@ -89,7 +89,7 @@
     }
 
     private void came(byte[] octets, InetSocketAddress from, Duration waited) {
-        desk.came(loop.clock().now(), octets, waited, new Caller() {
+        desk.came(loop.clock().now(), octets, waited, new ReplyChannel() {
             @Override
             public boolean datagram() {
                 return true;
@@ -103,7 +103,7 @@
             }
 
             @Override
-            public void answer(Transfer transfer, Consumer<Boolean> done) {
+            public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
                 // By a datagram only the newest version's SOA is told (RFC 1995 section 2).
                 datagrams.send(transfer.next(), from);
                 done.accept(true);
@@ -112,19 +112,19 @@
     }
 
     private void accepted(AsynchronousSocketChannel channel) {
-        Stream stream = new Stream(loop, desk, this::gone);
+        DnsConnection stream = new DnsConnection(loop, desk, this::gone);
         streams.add(stream);
-        stream.on(Connection.accepted(loop, channel, stream, Stream.READ_BUFFER, Stream.MOST_QUEUED));
+        stream.on(Connection.accepted(loop, channel, stream, DnsConnection.READ_BUFFER, DnsConnection.MOST_QUEUED));
     }
 
-    private void gone(Stream stream) {
+    private void gone(DnsConnection stream) {
         if (streams.remove(stream)) {
             listener.gone();
         }
     }
 
     private void makeRoom() {
-        for (Stream stream : streams) {
+        for (DnsConnection stream : streams) {
             if (stream.makeRoom()) {
                 return;
             }
@@ -139,12 +139,12 @@
     /** From here on nothing more is read; {@link #answered} says when all that was read is answered. */
     public void close() {
         listener.close();
-        List.copyOf(streams).forEach(Stream::leave);
+        List.copyOf(streams).forEach(DnsConnection::leave);
     }
 
     /** Whether all that was read is answered and written, and what was answered is on the disk. */
     public boolean answered() {
-        return desk.inHand() == 0 && streams.isEmpty() && zones.stream().allMatch(Served::idle);
+        return desk.inHand() == 0 && streams.isEmpty() && zones.stream().allMatch(ServedZone::idle);
     }
 
     public void end() {
--- a/src/main/java/merlinlever/zone/front/Notices.java
+++ b/src/main/java/merlinlever/zone/server/NotifySender.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.net.Datagrams;
-import merlinlever.net.Loop;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.wire.Message;
-import merlinlever.zone.wire.Writer;
+import merlinlever.net.DatagramEndpoint;
+import merlinlever.net.EventLoop;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 
 /** Tells other servers of each new version until they say that they heard (RFC 1996 section 3). */
-public final class Notices {
+public final class NotifySender {
 
     private static final Duration FIRST = Duration.ofSeconds(1);
     private static final int TRIES = 6;
@@ -23,27 +23,28 @@
     private static final Duration GATHER = Duration.ofMillis(100);
 
     /** One server that is being told of one zone. */
-    private static final class Telling {
+    private static final class PendingNotify {
         int id;
-        Loop.Timer again;
+        EventLoop.Timer again;
         boolean newer;
     }
 
-    private record Whom(String zone, InetSocketAddress server) {}
+    private record NotifyTarget(String zone, InetSocketAddress server) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final SplittableRandom chance;
-    private final Map<Whom, Telling> telling = new HashMap<>();
-    private Datagrams datagrams;
+    private final Map<NotifyTarget, PendingNotify> telling = new HashMap<>();
+    private DatagramEndpoint datagrams;
 
-    public Notices(Loop loop, long seed) {
+    public NotifySender(EventLoop loop, long seed) {
         this.loop = loop;
         chance = new SplittableRandom(seed);
     }
 
-    public void tell(Served zone, List<InetSocketAddress> servers) {
+    public void tell(ServedZone zone, List<InetSocketAddress> servers) {
         for (InetSocketAddress server : servers) {
-            Telling one = telling.computeIfAbsent(new Whom(zone.name(), server), whom -> new Telling());
+            PendingNotify one =
+                    telling.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
             if (one.again == null) {
                 one.id = chance.nextInt(0x10000);
                 one.again = loop.in(GATHER, () -> send(zone, server, one, 0));
@@ -53,26 +54,27 @@
         }
     }
 
-    private void send(Served zone, InetSocketAddress server, Telling one, int tries) {
+    private void send(ServedZone zone, InetSocketAddress server, PendingNotify one, int tries) {
         try {
             if (datagrams == null) {
-                datagrams = new Datagrams(
+                datagrams = new DatagramEndpoint(
                         loop,
                         new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0),
-                        Message.MOST,
+                        DnsMessage.MOST,
                         this::came);
             }
         } catch (IOException e) {
             // Tried again like one that was lost.
         }
         if (datagrams != null) {
-            Writer out = new Writer(one.id, Message.NOTIFY << 11 | Message.AUTHORITATIVE, Message.PLAIN_DATAGRAM);
-            out.question(zone.origin(), Types.SOA, Types.IN);
+            MessageWriter out = new MessageWriter(
+                    one.id, DnsMessage.NOTIFY << 11 | DnsMessage.AUTHORITATIVE, DnsMessage.PLAIN_DATAGRAM);
+            out.question(zone.origin(), RecordTypes.SOA, RecordTypes.IN);
             out.record(
                     1,
                     zone.origin(),
-                    Types.SOA,
-                    Types.IN,
+                    RecordTypes.SOA,
+                    RecordTypes.IN,
                     zone.zone().soa().ttl(),
                     zone.zone().soa().data(0));
             datagrams.send(out.done(), server);
@@ -86,11 +88,11 @@
     }
 
     private void came(byte[] octets, InetSocketAddress from, Duration waited) {
-        if (Message.id(octets) < 0 || (Message.flags(octets) & Message.RESPONSE) == 0) {
+        if (DnsMessage.id(octets) < 0 || (DnsMessage.flags(octets) & DnsMessage.RESPONSE) == 0) {
             return;
         }
         telling.forEach((whom, one) -> {
-            if (whom.server.equals(from) && one.id == Message.id(octets) && one.again != null && !one.newer) {
+            if (whom.server.equals(from) && one.id == DnsMessage.id(octets) && one.again != null && !one.newer) {
                 one.again.callOff();
                 one.again = null;
             }
--- a/src/main/java/merlinlever/zone/front/Asked.java
+++ b/src/main/java/merlinlever/zone/server/PendingMessage.java
@@ -1,25 +1,25 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Operation;
+import merlinlever.RequestHandle;
 import merlinlever.WireNamed;
-import merlinlever.core.Conductor;
-import merlinlever.zone.wire.Message;
+import merlinlever.core.ControllerDriver;
+import merlinlever.zone.wire.DnsMessage;
 import merlinlever.zone.wire.Tsig;
 
 /** One message that was taken, from its reading until nothing names it any more. */
-final class Asked {
+final class PendingMessage {
 
     /** What it asks for; the order is that of the tariffs. */
-    enum Kind implements WireNamed {
+    enum MessageKind implements WireNamed {
         QUERY("query"),
         UPDATE("update"),
         TRANSFER("transfer");
 
         private final String wireName;
 
-        Kind(String wireName) {
+        MessageKind(String wireName) {
             this.wireName = wireName;
         }
 
@@ -32,24 +32,25 @@
     /** Code of an operation that has none yet. */
     static final int OPEN = -2;
 
-    final Kind kind;
-    final Served zone;
+    final MessageKind kind;
+    final ServedZone zone;
     /** Null once it is answered: what is kept of it then is its code. */
-    Message message;
+    DnsMessage message;
 
-    Tsig.Verdict signed;
-    Caller caller;
-    Operation handle = Conductor.UNKNOWN;
+    Tsig.Verification signed;
+    ReplyChannel caller;
+    RequestHandle handle = ControllerDriver.UNKNOWN;
     /** What a repeat of it is known by, or null; and what it repeats. */
     Object mark;
 
-    Asked repeats;
+    PendingMessage repeats;
     byte[] markOctets = {};
     boolean answered, begun, calling;
     int code = OPEN;
-    List<Asked> sharers = List.of();
+    List<PendingMessage> sharers = List.of();
 
-    Asked(Kind kind, Served zone, Message message, Tsig.Verdict signed, Caller caller) {
+    PendingMessage(
+            MessageKind kind, ServedZone zone, DnsMessage message, Tsig.Verification signed, ReplyChannel caller) {
         this.kind = kind;
         this.zone = zone;
         this.message = message;
@@ -57,7 +58,7 @@
         this.caller = caller;
     }
 
-    void sharedBy(Asked other) {
+    void sharedBy(PendingMessage other) {
         if (sharers.isEmpty()) {
             sharers = new ArrayList<>(2);
         }
--- a/src/main/java/merlinlever/zone/front/Caller.java
+++ b/src/main/java/merlinlever/zone/server/ReplyChannel.java
@@ -1,9 +1,9 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.util.function.Consumer;
 
 /** Where one message came from and its answer goes. */
-public interface Caller {
+public interface ReplyChannel {
 
     /** Whether the answer goes in one datagram. */
     boolean datagram();
@@ -12,5 +12,5 @@
     void answer(byte[] octets);
 
     /** An answer of many messages, of which the next is wanted whenever there is room; tells whether all have left. */
-    void answer(Transfer transfer, Consumer<Boolean> done);
+    void answer(ZoneTransfer transfer, Consumer<Boolean> done);
 }
--- a/src/main/java/merlinlever/zone/front/Desk.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -9,21 +9,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import merlinlever.Ending;
-import merlinlever.Operation;
-import merlinlever.core.Conductor;
-import merlinlever.core.Port;
-import merlinlever.policy.Control;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
+import merlinlever.Outcome;
+import merlinlever.RequestHandle;
+import merlinlever.core.ControllerDriver;
+import merlinlever.core.DecisionHandler;
+import merlinlever.policy.OverloadController;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.record.RecordTypes;
 import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Entry;
+import merlinlever.zone.state.DynamicUpdate;
 import merlinlever.zone.state.Lookup;
-import merlinlever.zone.state.Serial;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.state.SerialNumbers;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
 import merlinlever.zone.wire.Tsig;
 
 /**
@@ -31,10 +31,10 @@
  * says: a query is retriable, an update fingerprinted, a transfer retriable; an update's way to the disk and a transfer's
  * way to its reader are the calls that they make.
  */
-public final class Desk implements Port<Asked> {
+public final class RequestProcessor implements DecisionHandler<PendingMessage> {
 
     /** What is stated to the module of the front. */
-    public record Stated(double memoryMb, Duration grace, boolean queriesDecided, long seed) {}
+    public record ProcessorSettings(double memoryMb, Duration grace, boolean queriesDecided, long seed) {}
 
     /** Begun in one go; the module looks again behind each. Calls in hand are four times as many at the most. */
     private static final int IN_ONE_GO = 16;
@@ -45,26 +45,26 @@
 
     private static final int SERVFAIL_FROM_DISK = -1;
 
-    private final Map<Octets, Served> zones = new HashMap<>();
-    private final Tsig.Keys keys;
+    private final Map<ByteArrayKey, ServedZone> zones = new HashMap<>();
+    private final Tsig.TsigKeyRing keys;
     private final LongSupplier unix;
-    private final Answers answers;
-    private final Conductor<Asked> conductor;
+    private final ResponseBuilder answers;
+    private final ControllerDriver<PendingMessage> conductor;
     private final boolean queriesDecided;
     private final Consumer<String> log;
     private final Consumer<Duration> alarm;
-    private final Counts counts;
-    private final Map<Object, Asked> byMark = new HashMap<>();
+    private final ZoneServerMetrics counts;
+    private final Map<Object, PendingMessage> byMark = new HashMap<>();
     private Duration now = Duration.ZERO;
     private boolean touched;
     private int inHand;
     private int sinceSettled;
 
     /** Octets as a key of a map. */
-    private record Octets(byte[] octets) {
+    private record ByteArrayKey(byte[] octets) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Octets name && Arrays.equals(octets, name.octets);
+            return other instanceof ByteArrayKey name && Arrays.equals(octets, name.octets);
         }
 
         @Override
@@ -77,27 +77,27 @@
      * @param unix seconds of the Unix clock
      * @param alarm is told when {@link #alarmed} is wanted
      */
-    public Desk(
-            List<Served> served,
-            Tsig.Keys keys,
-            Stated stated,
+    public RequestProcessor(
+            List<ServedZone> served,
+            Tsig.TsigKeyRing keys,
+            ProcessorSettings stated,
             LongSupplier unix,
             Consumer<String> log,
             Consumer<Duration> alarm,
-            Counts counts) {
-        served.forEach(zone -> zones.put(new Octets(zone.origin()), zone));
+            ZoneServerMetrics counts) {
+        served.forEach(zone -> zones.put(new ByteArrayKey(zone.origin()), zone));
         this.keys = keys;
         this.unix = unix;
         this.log = log;
         this.alarm = alarm;
         this.counts = counts;
-        answers = new Answers(unix);
+        answers = new ResponseBuilder(unix);
         queriesDecided = stated.queriesDecided;
-        conductor = new Conductor<>(given(stated), stated.seed, this);
+        conductor = new ControllerDriver<>(given(stated), stated.seed, this);
         touched = true;
     }
 
-    private static Map<String, String> given(Stated stated) {
+    private static Map<String, String> given(ProcessorSettings stated) {
         Map<String, String> given = new HashMap<>();
         given.put("server.cores", "" + IN_ONE_GO);
         given.put("server.gauges", "run-queue");
@@ -110,15 +110,15 @@
         given.put("rules.longest-unread", "0");
         given.put("limits.stay-away", "true");
         given.put("limits.longest-stay-away", "2000");
-        tariff(given, Asked.Kind.QUERY, "retriable", 1, 500, 2_000, 0);
-        tariff(given, Asked.Kind.UPDATE, "fingerprinted", 8, 2_000, 5_000, REPLAY * 1000);
-        tariff(given, Asked.Kind.TRANSFER, "retriable", 2, 5_000, 60_000, 0);
+        tariff(given, PendingMessage.MessageKind.QUERY, "retriable", 1, 500, 2_000, 0);
+        tariff(given, PendingMessage.MessageKind.UPDATE, "fingerprinted", 8, 2_000, 5_000, REPLAY * 1000);
+        tariff(given, PendingMessage.MessageKind.TRANSFER, "retriable", 2, 5_000, 60_000, 0);
         return given;
     }
 
     private static void tariff(
             Map<String, String> given,
-            Asked.Kind kind,
+            PendingMessage.MessageKind kind,
             String how,
             int value,
             long softMs,
@@ -140,120 +140,124 @@
     }
 
     /** What the module sees. */
-    public Control.Figures figures() {
+    public OverloadController.ControllerMetrics figures() {
         return conductor.control().figures();
     }
 
     // ---- what happens
 
     /** A message was read. Returns it where it is in hand from now on, null where it was answered on the spot. */
-    Asked came(Duration at, byte[] octets, Duration waited, Caller caller) {
+    PendingMessage came(Duration at, byte[] octets, Duration waited, ReplyChannel caller) {
         now = at;
-        if (Message.id(octets) < 0 || (Message.flags(octets) & Message.RESPONSE) != 0) {
+        if (DnsMessage.id(octets) < 0 || (DnsMessage.flags(octets) & DnsMessage.RESPONSE) != 0) {
             // Nothing to answer to, or an answer: two servers would talk to each other for ever.
             counts.dropped();
             return null;
         }
-        Message message;
-        Tsig.Verdict signed = null;
+        DnsMessage message;
+        Tsig.Verification signed = null;
         try {
-            message = Message.read(octets);
+            message = DnsMessage.read(octets);
             if (message.signature() != null) {
                 signed = Tsig.verify(message, keys, unix.getAsLong(), null);
             }
-        } catch (Malformed e) {
+        } catch (MalformedDnsException e) {
             counts.malformed();
-            caller.answer(Answers.malformed(octets));
+            caller.answer(ResponseBuilder.malformed(octets));
             return null;
         }
         if (signed != null && signed.error() != 0) {
-            return told(caller, message, signed, Update.NOTAUTH);
+            return told(caller, message, signed, DynamicUpdate.NOTAUTH);
         }
         if (message.edns() != null && message.edns().version() > 0) {
             caller.answer(answers.unknownEdns(message, signed));
             return null;
         }
         return switch (message.operation()) {
-            case Message.QUERY -> query(message, signed, waited, caller);
-            case Message.UPDATE -> update(message, signed, waited, caller);
+            case DnsMessage.QUERY -> query(message, signed, waited, caller);
+            case DnsMessage.UPDATE -> update(message, signed, waited, caller);
                 // This front has no primary that could have news for it.
-            case Message.NOTIFY -> told(caller, message, signed, Update.REFUSED);
-            default -> told(caller, message, signed, Update.NOTIMP);
+            case DnsMessage.NOTIFY -> told(caller, message, signed, DynamicUpdate.REFUSED);
+            default -> told(caller, message, signed, DynamicUpdate.NOTIMP);
         };
     }
 
-    private Asked told(Caller caller, Message message, Tsig.Verdict signed, int code) {
+    private PendingMessage told(ReplyChannel caller, DnsMessage message, Tsig.Verification signed, int code) {
         counts.told(code);
         caller.answer(answers.code(message, signed, code));
         return null;
     }
 
-    private Asked query(Message message, Tsig.Verdict signed, Duration waited, Caller caller) {
-        if (!message.asks() || (message.flags() & Message.TRUNCATED) != 0) {
-            return told(caller, message, signed, Update.FORMERR);
+    private PendingMessage query(DnsMessage message, Tsig.Verification signed, Duration waited, ReplyChannel caller) {
+        if (!message.asks() || (message.flags() & DnsMessage.TRUNCATED) != 0) {
+            return told(caller, message, signed, DynamicUpdate.FORMERR);
         }
-        Served zone =
-                message.dclass() == Types.IN || message.dclass() == Types.CLASS_ANY ? closest(message.name()) : null;
-        if (message.type() == Types.AXFR || message.type() == Types.IXFR) {
+        ServedZone zone = message.dclass() == RecordTypes.IN || message.dclass() == RecordTypes.CLASS_ANY
+                ? closest(message.name())
+                : null;
+        if (message.type() == RecordTypes.AXFR || message.type() == RecordTypes.IXFR) {
             if (zone == null || !Arrays.equals(zone.origin(), message.name())) {
-                return told(caller, message, signed, Update.NOTAUTH);
+                return told(caller, message, signed, DynamicUpdate.NOTAUTH);
             }
             if (signed == null || !zone.mayTransfer(signed.key().name())) {
-                return told(caller, message, signed, Update.REFUSED);
+                return told(caller, message, signed, DynamicUpdate.REFUSED);
             }
-            if (message.type() == Types.AXFR && caller.datagram()
-                    || message.type() == Types.IXFR
+            if (message.type() == RecordTypes.AXFR && caller.datagram()
+                    || message.type() == RecordTypes.IXFR
                             && (message.authority().size() != 1
-                                    || message.authority().get(0).type() != Types.SOA)) {
-                return told(caller, message, signed, Update.FORMERR);
+                                    || message.authority().get(0).type() != RecordTypes.SOA)) {
+                return told(caller, message, signed, DynamicUpdate.FORMERR);
             }
-            return take(new Asked(Asked.Kind.TRANSFER, zone, message, signed, caller), waited, null);
+            return take(
+                    new PendingMessage(PendingMessage.MessageKind.TRANSFER, zone, message, signed, caller),
+                    waited,
+                    null);
         }
         if (zone == null) {
-            return told(caller, message, signed, Update.REFUSED);
+            return told(caller, message, signed, DynamicUpdate.REFUSED);
         }
-        if (message.type() != Types.ANY && Types.meta(message.type())) {
-            return told(caller, message, signed, Update.NOTIMP);
+        if (message.type() != RecordTypes.ANY && RecordTypes.meta(message.type())) {
+            return told(caller, message, signed, DynamicUpdate.NOTIMP);
         }
-        Asked asked = new Asked(Asked.Kind.QUERY, zone, message, signed, caller);
+        PendingMessage asked = new PendingMessage(PendingMessage.MessageKind.QUERY, zone, message, signed, caller);
         if (!queriesDecided) {
             caller.answer(answers.found(
                     message, signed, Lookup.find(zone.zone(), message.name(), message.type()), caller.datagram()));
-            counts.satisfied(Asked.Kind.QUERY);
+            counts.satisfied(PendingMessage.MessageKind.QUERY);
             return null;
         }
         return take(asked, waited, null);
     }
 
     /** The zone that the name is in, the deepest of them. */
-    private Served closest(byte[] name) {
-        for (byte[] at = name; ; at = Names.parent(at)) {
-            Served zone = zones.get(new Octets(at));
+    private ServedZone closest(byte[] name) {
+        for (byte[] at = name; ; at = DomainNames.parent(at)) {
+            ServedZone zone = zones.get(new ByteArrayKey(at));
             if (zone != null || at.length == 1) {
                 return zone;
             }
         }
     }
 
-    private Asked update(Message message, Tsig.Verdict signed, Duration waited, Caller caller) {
-        if (!message.asks() || message.type() != Types.SOA) {
-            return told(caller, message, signed, Update.FORMERR);
+    private PendingMessage update(DnsMessage message, Tsig.Verification signed, Duration waited, ReplyChannel caller) {
+        if (!message.asks() || message.type() != RecordTypes.SOA) {
+            return told(caller, message, signed, DynamicUpdate.FORMERR);
         }
-        Served zone = message.dclass() == Types.IN ? zones.get(new Octets(message.name())) : null;
+        ServedZone zone = message.dclass() == RecordTypes.IN ? zones.get(new ByteArrayKey(message.name())) : null;
         if (zone == null) {
-            return told(caller, message, signed, Update.NOTAUTH);
+            return told(caller, message, signed, DynamicUpdate.NOTAUTH);
         }
         if (signed == null || !zone.mayUpdate(signed.key().name())) {
-            return told(caller, message, signed, Update.REFUSED);
+            return told(caller, message, signed, DynamicUpdate.REFUSED);
         }
         byte[] mark = mark(message.octets());
-        Octets key = new Octets(mark);
-        Asked original = byMark.get(key);
+        ByteArrayKey key = new ByteArrayKey(mark);
+        PendingMessage original = byMark.get(key);
         if (original == null && zone.replays().known(mark)) {
             // Done in an earlier life of this server; its answer may have been lost with that.
-            return told(caller, message, signed, Update.NOERROR);
+            return told(caller, message, signed, DynamicUpdate.NOERROR);
         }
-        Asked asked = new Asked(Asked.Kind.UPDATE, zone, message, signed, caller);
+        PendingMessage asked = new PendingMessage(PendingMessage.MessageKind.UPDATE, zone, message, signed, caller);
         asked.mark = key;
         asked.markOctets = mark;
         if (original == null) {
@@ -270,7 +274,7 @@
         }
     }
 
-    private Asked take(Asked asked, Duration waited, Asked original) {
+    private PendingMessage take(PendingMessage asked, Duration waited, PendingMessage original) {
         if (++sinceSettled > IN_ONE_GO) {
             // A burst that came at once is begun as it is read: what waits for the end of the batch is not waiting.
             settle(now);
@@ -279,7 +283,7 @@
         inHand++;
         counts.taken(asked.kind);
         asked.repeats = original;
-        Operation taken = conductor
+        RequestHandle taken = conductor
                 .control()
                 .take(
                         now,
@@ -296,7 +300,7 @@
     }
 
     /** Its connection is over: nobody waits for the answer. */
-    void callerGone(Duration at, Asked asked) {
+    void callerGone(Duration at, PendingMessage asked) {
         if (!asked.answered) {
             now = at;
             touched = true;
@@ -307,11 +311,11 @@
     }
 
     /** It stands before its call, which is not made any more: nothing of it was done. */
-    private void endUncalled(Asked asked) {
-        if (asked.begun && !asked.calling && asked.code == Asked.OPEN) {
-            asked.code = Update.SERVFAIL;
+    private void endUncalled(PendingMessage asked) {
+        if (asked.begun && !asked.calling && asked.code == PendingMessage.OPEN) {
+            asked.code = DynamicUpdate.SERVFAIL;
             touched = true;
-            asked.handle.ended(now, Ending.ERROR);
+            asked.handle.ended(now, Outcome.ERROR);
             asked.sharers.forEach(this::failed);
             asked.sharers = List.of();
         }
@@ -344,24 +348,24 @@
 
     // ---- answers
 
-    private Caller over(Asked asked) {
-        Caller caller = asked.caller;
+    private ReplyChannel over(PendingMessage asked) {
+        ReplyChannel caller = asked.caller;
         asked.answered = true;
         asked.caller = null;
         inHand--;
         return caller;
     }
 
-    private void answer(Asked asked, int code) {
+    private void answer(PendingMessage asked, int code) {
         if (!asked.answered) {
-            Message message = asked.message;
-            Tsig.Verdict signed = asked.signed;
+            DnsMessage message = asked.message;
+            Tsig.Verification signed = asked.signed;
             over(asked).answer(answers.code(message, signed, code));
         }
     }
 
-    private void finish(Asked asked, int code) {
-        if (asked.code != Asked.OPEN) {
+    private void finish(PendingMessage asked, int code) {
+        if (asked.code != PendingMessage.OPEN) {
             return;
         }
         touched = true;
@@ -369,13 +373,13 @@
         counts.satisfied(asked.kind);
         answer(asked, code);
         letGo(asked);
-        asked.handle.ended(now, Ending.OK);
+        asked.handle.ended(now, Outcome.OK);
         asked.sharers.forEach(sharer -> finish(sharer, code));
         asked.sharers = List.of();
     }
 
     /** What the octets of its message were for is over. */
-    private static void letGo(Asked asked) {
+    private static void letGo(PendingMessage asked) {
         asked.message = null;
         asked.signed = null;
     }
@@ -383,87 +387,88 @@
     // ---- what the module decides
 
     @Override
-    public void start(Asked asked) {
+    public void start(PendingMessage asked) {
         asked.begun = true;
         touched = true;
-        if (asked.kind == Asked.Kind.QUERY) {
+        if (asked.kind == PendingMessage.MessageKind.QUERY) {
             if (!asked.answered) {
-                Message message = asked.message;
-                Tsig.Verdict signed = asked.signed;
+                DnsMessage message = asked.message;
+                Tsig.Verification signed = asked.signed;
                 Lookup.Answer found = Lookup.find(asked.zone.zone(), message.name(), message.type());
-                Caller caller = over(asked);
+                ReplyChannel caller = over(asked);
                 caller.answer(answers.found(message, signed, found, caller.datagram()));
                 counts.satisfied(asked.kind);
             }
-            asked.code = Update.NOERROR;
+            asked.code = DynamicUpdate.NOERROR;
             letGo(asked);
-            asked.handle.ended(now, Ending.OK);
+            asked.handle.ended(now, Outcome.OK);
         } else {
             asked.handle.reachedCall(now);
         }
     }
 
     @Override
-    public void call(Asked asked, Duration giveUpAfter) {
+    public void call(PendingMessage asked, Duration giveUpAfter) {
         asked.calling = true;
         Duration calledAt = now;
-        if (asked.kind == Asked.Kind.TRANSFER) {
+        if (asked.kind == PendingMessage.MessageKind.TRANSFER) {
             transfer(asked, calledAt);
             return;
         }
-        List<Entry> prerequisites = asked.message.answers();
-        List<Entry> changes = asked.message.authority();
+        List<UpdateEntry> prerequisites = asked.message.answers();
+        List<UpdateEntry> changes = asked.message.authority();
         asked.zone.update(unix.getAsLong(), asked.markOctets, prerequisites, changes, code -> {
             asked.calling = false;
             touched = true;
             if (code == SERVFAIL_FROM_DISK) {
                 // Taken back from the journal: it has not run, and was not asked to again.
-                asked.code = Update.SERVFAIL;
-                asked.handle.callEnded(now, Ending.TURNED_AWAY, now.minus(calledAt));
-                asked.handle.ended(now, Ending.ERROR);
+                asked.code = DynamicUpdate.SERVFAIL;
+                asked.handle.callEnded(now, Outcome.TURNED_AWAY, now.minus(calledAt));
+                asked.handle.ended(now, Outcome.ERROR);
                 repeatsUnkept(asked);
                 asked.sharers.forEach(sharer -> failed(sharer));
                 asked.sharers = List.of();
             } else {
-                asked.handle.callEnded(now, Ending.OK, now.minus(calledAt));
+                asked.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
                 finish(asked, code);
             }
         });
     }
 
-    private void failed(Asked sharer) {
-        answer(sharer, Update.SERVFAIL);
-        sharer.code = Update.SERVFAIL;
-        sharer.handle.ended(now, Ending.ERROR);
+    private void failed(PendingMessage sharer) {
+        answer(sharer, DynamicUpdate.SERVFAIL);
+        sharer.code = DynamicUpdate.SERVFAIL;
+        sharer.handle.ended(now, Outcome.ERROR);
     }
 
-    private void transfer(Asked asked, Duration calledAt) {
+    private void transfer(PendingMessage asked, Duration calledAt) {
         if (asked.answered) {
             asked.calling = false;
             touched = true;
-            asked.handle.callEnded(now, Ending.OK, Duration.ZERO);
-            asked.handle.ended(now, Ending.OK);
+            asked.handle.callEnded(now, Outcome.OK, Duration.ZERO);
+            asked.handle.ended(now, Outcome.OK);
             return;
         }
-        Message message = asked.message;
+        DnsMessage message = asked.message;
         Zone zone = asked.zone.zone();
-        Transfer transfer;
-        if (message.type() == Types.IXFR) {
+        ZoneTransfer transfer;
+        if (message.type() == RecordTypes.IXFR) {
             long theirs = Zone.serial(message.authority().get(0).data());
-            List<Difference> since =
-                    Serial.after(zone.serial(), theirs) ? asked.zone.history().since(theirs) : List.of();
+            List<Difference> since = SerialNumbers.after(zone.serial(), theirs)
+                    ? asked.zone.history().since(theirs)
+                    : List.of();
             int records = since == null
                     ? Integer.MAX_VALUE
                     : since.stream().mapToInt(Difference::records).sum();
             // A history longer than the zone is no help.
             transfer = records > zone.records() + 2 && !List.of().equals(since)
-                    ? Transfer.whole(message, asked.signed, unix, zone)
-                    : Transfer.since(message, asked.signed, unix, zone, since);
+                    ? ZoneTransfer.whole(message, asked.signed, unix, zone)
+                    : ZoneTransfer.since(message, asked.signed, unix, zone, since);
             if (asked.caller.datagram() && records > 0) {
-                transfer = Transfer.since(message, asked.signed, unix, zone, List.of());
+                transfer = ZoneTransfer.since(message, asked.signed, unix, zone, List.of());
             }
         } else {
-            transfer = Transfer.whole(message, asked.signed, unix, zone);
+            transfer = ZoneTransfer.whole(message, asked.signed, unix, zone);
         }
         asked.caller.answer(transfer, well -> {
             asked.calling = false;
@@ -472,33 +477,33 @@
                 over(asked);
                 counts.satisfied(asked.kind);
             }
-            asked.handle.callEnded(now, Ending.OK, now.minus(calledAt));
-            asked.code = Update.NOERROR;
+            asked.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
+            asked.code = DynamicUpdate.NOERROR;
             letGo(asked);
-            asked.handle.ended(now, Ending.OK);
+            asked.handle.ended(now, Outcome.OK);
         });
     }
 
     @Override
-    public void pushBack(Asked asked, boolean nowhereElse, Duration stayAway) {
+    public void pushBack(PendingMessage asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             counts.pushedBack(asked.kind);
-            Message message = asked.message;
-            Tsig.Verdict signed = asked.signed;
+            DnsMessage message = asked.message;
+            Tsig.Verification signed = asked.signed;
             over(asked).answer(answers.pushedBack(message, signed, stayAway));
         }
         repeatsUnkept(asked);
     }
 
     @Override
-    public void breakOff(Asked asked) {
+    public void breakOff(PendingMessage asked) {
         if (!asked.answered) {
             counts.brokenOff(asked.kind);
-            if (asked.kind == Asked.Kind.TRANSFER && asked.calling) {
+            if (asked.kind == PendingMessage.MessageKind.TRANSFER && asked.calling) {
                 // Part of the answer has left; what shows that no more comes is the end of the connection.
                 over(asked).answer((byte[]) null);
             } else {
-                answer(asked, Update.SERVFAIL);
+                answer(asked, DynamicUpdate.SERVFAIL);
             }
         }
         endUncalled(asked);
@@ -506,7 +511,7 @@
     }
 
     /** What never ran and was never kept is not to be found by a repeat. */
-    private void repeatsUnkept(Asked asked) {
+    private void repeatsUnkept(PendingMessage asked) {
         if (!asked.begun) {
             forget(asked);
             letGo(asked);
@@ -514,8 +519,8 @@
     }
 
     @Override
-    public void share(Asked asked) {
-        Asked original = asked.repeats;
+    public void share(PendingMessage asked) {
+        PendingMessage original = asked.repeats;
         while (original != null && !original.begun && original.repeats != null) {
             original = original.repeats;
         }
@@ -525,7 +530,7 @@
         if (original == null || original == asked) {
             failed(asked);
             touched = true;
-        } else if (original.code == Asked.OPEN) {
+        } else if (original.code == PendingMessage.OPEN) {
             original.sharedBy(asked);
         } else {
             finish(asked, original.code);
@@ -533,30 +538,30 @@
     }
 
     @Override
-    public void forget(Asked asked) {
+    public void forget(PendingMessage asked) {
         if (asked.mark != null) {
             byMark.remove(asked.mark, asked);
         }
     }
 
     @Override
-    public void keep(Asked asked, Duration span) {
+    public void keep(PendingMessage asked, Duration span) {
         // Entered when it came; the module says when it may go.
         byMark.put(asked.mark, asked);
     }
 
     @Override
-    public void release(Asked asked) {
+    public void release(PendingMessage asked) {
         forget(asked);
     }
 
     @Override
-    public void omit(Asked asked) {
+    public void omit(PendingMessage asked) {
         // No tariff here has a value without its call.
     }
 
     @Override
-    public void halt(Asked asked) {
+    public void halt(PendingMessage asked) {
         // Nothing here can be stopped half way.
     }
 
--- a/src/main/java/merlinlever/zone/front/Answers.java
+++ b/src/main/java/merlinlever/zone/server/ResponseBuilder.java
@@ -1,19 +1,19 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import java.util.function.LongSupplier;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.state.DynamicUpdate;
 import merlinlever.zone.state.Lookup;
 import merlinlever.zone.state.RecordSet;
-import merlinlever.zone.state.Update;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 import merlinlever.zone.wire.Tsig;
-import merlinlever.zone.wire.Writer;
 
 /** Makes the answers: sections, EDNS, truncation, signatures. Decides nothing. */
-final class Answers {
+final class ResponseBuilder {
 
     /** Octets of a datagram that pass everywhere unbroken, stated and kept to (RFC 9715 section 3). */
     static final int DATAGRAM = 1232;
@@ -24,23 +24,26 @@
 
     private final LongSupplier unix;
 
-    Answers(LongSupplier unix) {
+    ResponseBuilder(LongSupplier unix) {
         this.unix = unix;
     }
 
     /** Of what could not be read as a message, by its id alone. */
     static byte[] malformed(byte[] octets) {
-        return new Writer(Message.id(octets), Message.RESPONSE | Message.flags(octets) & 0x7900 | Update.FORMERR, 12)
+        return new MessageWriter(
+                        DnsMessage.id(octets),
+                        DnsMessage.RESPONSE | DnsMessage.flags(octets) & 0x7900 | DynamicUpdate.FORMERR,
+                        12)
                 .done();
     }
 
     /** A code without records. */
-    byte[] code(Message asked, Tsig.Verdict signed, int code) {
+    byte[] code(DnsMessage asked, Tsig.Verification signed, int code) {
         return signed(asked, signed, head(asked, code, room(signed), code, null).done());
     }
 
     /** Turned away unseen; the advice to stay away goes along where there is a place for it. */
-    byte[] pushedBack(Message asked, Tsig.Verdict signed, Duration stayAway) {
+    byte[] pushedBack(DnsMessage asked, Tsig.Verification signed, Duration stayAway) {
         byte[] options = null;
         if (!stayAway.isZero()) {
             byte[] text = ("full, come again in " + stayAway.toMillis() + " ms").getBytes(StandardCharsets.US_ASCII);
@@ -54,20 +57,20 @@
         return signed(
                 asked,
                 signed,
-                head(asked, Update.REFUSED, room(signed), Update.REFUSED, options)
+                head(asked, DynamicUpdate.REFUSED, room(signed), DynamicUpdate.REFUSED, options)
                         .done());
     }
 
-    byte[] unknownEdns(Message asked, Tsig.Verdict signed) {
+    byte[] unknownEdns(DnsMessage asked, Tsig.Verification signed) {
         return signed(asked, signed, head(asked, 0, room(signed), BADVERS, null).done());
     }
 
-    private static int room(Tsig.Verdict signed) {
-        return Message.MOST - (signed == null || signed.key() == null ? 0 : Tsig.room(signed.key()));
+    private static int room(Tsig.Verification signed) {
+        return DnsMessage.MOST - (signed == null || signed.key() == null ? 0 : Tsig.room(signed.key()));
     }
 
-    private static Writer head(Message asked, int code, int most, int extended, byte[] options) {
-        Writer out = new Writer(asked.id(), Message.RESPONSE | asked.flags() & 0x7900 | code, most);
+    private static MessageWriter head(DnsMessage asked, int code, int most, int extended, byte[] options) {
+        MessageWriter out = new MessageWriter(asked.id(), DnsMessage.RESPONSE | asked.flags() & 0x7900 | code, most);
         if (asked.asks()) {
             out.question(asked.name(), asked.type(), asked.dclass());
         }
@@ -77,7 +80,7 @@
         return out;
     }
 
-    private byte[] signed(Message asked, Tsig.Verdict signed, byte[] made) {
+    private byte[] signed(DnsMessage asked, Tsig.Verification signed, byte[] made) {
         if (signed == null) {
             return made;
         }
@@ -90,18 +93,19 @@
         };
     }
 
-    byte[] found(Message asked, Tsig.Verdict signed, Lookup.Answer answer, boolean datagram) {
-        int most = Message.MOST;
+    byte[] found(DnsMessage asked, Tsig.Verification signed, Lookup.Answer answer, boolean datagram) {
+        int most = DnsMessage.MOST;
         if (datagram) {
-            int theirs =
-                    asked.edns() == null ? Message.PLAIN_DATAGRAM : asked.edns().payload();
-            most = Math.max(Message.PLAIN_DATAGRAM, Math.min(theirs, DATAGRAM));
+            int theirs = asked.edns() == null
+                    ? DnsMessage.PLAIN_DATAGRAM
+                    : asked.edns().payload();
+            most = Math.max(DnsMessage.PLAIN_DATAGRAM, Math.min(theirs, DATAGRAM));
         }
         most -= signed == null ? 0 : Tsig.room(signed.key());
-        Writer out = new Writer(
+        MessageWriter out = new MessageWriter(
                 asked.id(),
-                Message.RESPONSE
-                        | (answer.authoritative ? Message.AUTHORITATIVE : 0)
+                DnsMessage.RESPONSE
+                        | (answer.authoritative ? DnsMessage.AUTHORITATIVE : 0)
                         | asked.flags() & 0x7900
                         | answer.code,
                 most);
@@ -112,7 +116,7 @@
                 && section(out, 2, answer.authority, most - reserved, asked.id());
         if (!whole) {
             out.cutToQuestion(questionEnd);
-            out.flag(Message.TRUNCATED);
+            out.flag(DnsMessage.TRUNCATED);
         } else {
             // What does not fit here is only a help.
             section(out, 3, answer.additional, most - reserved, asked.id());
@@ -124,14 +128,14 @@
     }
 
     /** Each set from another record on, so that callers who take the first spread (RFC 1794). */
-    private static boolean section(Writer out, int section, List<Lookup.Shown> sets, int most, int turn) {
-        for (Lookup.Shown shown : sets) {
+    private static boolean section(MessageWriter out, int section, List<Lookup.AnswerSet> sets, int most, int turn) {
+        for (Lookup.AnswerSet shown : sets) {
             RecordSet set = shown.set();
             for (int i = 0; i < set.size(); i++) {
                 byte[] data = set.data((i + turn) % set.size());
                 if (out.length() + shown.owner().length + 10 + data.length > most
                                 && out.length() + 12 + data.length > most
-                        || !out.record(section, shown.owner(), set.type(), Types.IN, shown.ttl(), data)) {
+                        || !out.record(section, shown.owner(), set.type(), RecordTypes.IN, shown.ttl(), data)) {
                     return false;
                 }
             }
--- a/src/main/java/merlinlever/zone/front/Served.java
+++ b/src/main/java/merlinlever/zone/server/ServedZone.java
@@ -1,28 +1,28 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.Names;
+import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.History;
-import merlinlever.zone.state.Replays;
-import merlinlever.zone.state.Serial;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.state.DifferenceHistory;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.ReplayWindow;
+import merlinlever.zone.state.SerialNumbers;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
 
 /**
  * One zone in service. Questions see the last version that is on the disk; an update is decided on the last one that is
  * on its way there, and becomes seen, in order, when it has got there.
  */
-public final class Served {
+public final class ServedZone {
 
     /** Who hears that a new version is seen. */
-    public interface Watcher {
-        void seen(Served zone);
+    public interface VersionListener {
+        void seen(ServedZone zone);
     }
 
     private final byte[] origin;
@@ -30,9 +30,9 @@
     private final Set<String> updaters;
     private final Set<String> transferers;
     private final ZoneStore store;
-    private final History history = new History();
-    private final Replays replays;
-    private final List<Watcher> watchers = new ArrayList<>();
+    private final DifferenceHistory history = new DifferenceHistory();
+    private final ReplayWindow replays;
+    private final List<VersionListener> watchers = new ArrayList<>();
     private Zone seen;
     private Zone staged;
     private int onTheWay;
@@ -42,9 +42,9 @@
     private boolean lastWell;
 
     /** @param updaters names of keys as text, as are {@code transferers} */
-    public Served(Zone zone, Set<String> updaters, Set<String> transferers, ZoneStore store, Replays replays) {
+    public ServedZone(Zone zone, Set<String> updaters, Set<String> transferers, ZoneStore store, ReplayWindow replays) {
         this.origin = zone.origin();
-        this.name = Names.text(origin);
+        this.name = DomainNames.text(origin);
         this.updaters = Set.copyOf(updaters);
         this.transferers = Set.copyOf(transferers);
         this.store = store;
@@ -65,33 +65,34 @@
         return seen;
     }
 
-    public History history() {
+    public DifferenceHistory history() {
         return history;
     }
 
-    public Replays replays() {
+    public ReplayWindow replays() {
         return replays;
     }
 
     boolean mayUpdate(byte[] key) {
-        return updaters.contains(Names.text(key));
+        return updaters.contains(DomainNames.text(key));
     }
 
     boolean mayTransfer(byte[] key) {
-        return transferers.contains(Names.text(key));
+        return transferers.contains(DomainNames.text(key));
     }
 
     boolean openToUpdates() {
         return !updaters.isEmpty();
     }
 
-    public void watch(Watcher watcher) {
+    public void watch(VersionListener watcher) {
         watchers.add(watcher);
     }
 
     /** Decides an update; {@code done} hears the code, at once or when the disk has it, or -1 where the disk would not. */
-    void update(long at, byte[] mark, List<Entry> prerequisites, List<Entry> changes, Consumer<Integer> done) {
-        Update.Outcome outcome = Update.judge(staged, prerequisites, changes);
+    void update(
+            long at, byte[] mark, List<UpdateEntry> prerequisites, List<UpdateEntry> changes, Consumer<Integer> done) {
+        DynamicUpdate.UpdateResult outcome = DynamicUpdate.judge(staged, prerequisites, changes);
         if (outcome.difference() == null) {
             if (newest == null) {
                 done.accept(outcome.code());
@@ -101,7 +102,7 @@
             }
             return;
         }
-        put(at, mark, outcome.zone(), outcome.difference(), well -> done.accept(well ? Update.NOERROR : -1));
+        put(at, mark, outcome.zone(), outcome.difference(), well -> done.accept(well ? DynamicUpdate.NOERROR : -1));
     }
 
     private void put(long at, byte[] mark, Zone made, Difference difference, Consumer<Boolean> done) {
@@ -144,7 +145,7 @@
         if (difference.records() == 2 && difference.from() == difference.to()) {
             return name + ": the file says what is served, serial " + difference.to();
         }
-        if (!Serial.after(difference.to(), difference.from())) {
+        if (!SerialNumbers.after(difference.to(), difference.from())) {
             return name + ": the file is not taken over: its serial " + difference.to() + " does not come after "
                     + difference.from() + ", which is served";
         }
--- a/src/main/java/merlinlever/zone/front/Counts.java
+++ b/src/main/java/merlinlever/zone/server/ZoneServerMetrics.java
@@ -1,12 +1,12 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
 
 /** What the front counts: messages by kind and end. */
-public final class Counts {
+public final class ZoneServerMetrics {
 
-    private static final int KINDS = Asked.Kind.values().length;
+    private static final int KINDS = PendingMessage.MessageKind.values().length;
     private static final int CODES = 16;
 
     private final Counter[] taken = new Counter[KINDS];
@@ -18,8 +18,8 @@
     private final Counter dropped;
     private boolean healthy = true;
 
-    public Counts(MeterRegistry registry) {
-        for (Asked.Kind kind : Asked.Kind.values()) {
+    public ZoneServerMetrics(MeterRegistry registry) {
+        for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
             String name = kind.wireName();
             taken[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "taken");
             satisfied[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "satisfied");
@@ -33,19 +33,19 @@
         dropped = registry.counter("zone.dropped");
     }
 
-    void taken(Asked.Kind kind) {
+    void taken(PendingMessage.MessageKind kind) {
         taken[kind.ordinal()].increment();
     }
 
-    void satisfied(Asked.Kind kind) {
+    void satisfied(PendingMessage.MessageKind kind) {
         satisfied[kind.ordinal()].increment();
     }
 
-    void pushedBack(Asked.Kind kind) {
+    void pushedBack(PendingMessage.MessageKind kind) {
         pushedBack[kind.ordinal()].increment();
     }
 
-    void brokenOff(Asked.Kind kind) {
+    void brokenOff(PendingMessage.MessageKind kind) {
         brokenOff[kind.ordinal()].increment();
     }
 
@@ -72,7 +72,7 @@
     /** One line about all of it. */
     public String line() {
         StringBuilder line = new StringBuilder();
-        for (Asked.Kind kind : Asked.Kind.values()) {
+        for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
             int i = kind.ordinal();
             line.append(String.format(
                     java.util.Locale.ROOT,
--- a/src/main/java/merlinlever/zone/front/Transfer.java
+++ b/src/main/java/merlinlever/zone/server/ZoneTransfer.java
@@ -1,56 +1,61 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Difference;
 import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 import merlinlever.zone.wire.Tsig;
-import merlinlever.zone.wire.Writer;
 
 /** A zone, or what has changed in it, as messages that are made as they are wanted (RFC 5936, RFC 1995). */
-public final class Transfer {
+public final class ZoneTransfer {
 
     /** Octets of a message: records share their names' ends, and a reader need not hold much. */
     private static final int MESSAGE = 16_384;
 
     private static final int CHUNK = 500;
 
-    private final Message asked;
-    private final Tsig.Chain chain;
+    private final DnsMessage asked;
+    private final Tsig.SignatureChain chain;
     private final java.util.function.LongSupplier unix;
     private final int signatureRoom;
-    private final Iterator<Rec> records;
-    private Rec next;
+    private final Iterator<ResourceRecord> records;
+    private ResourceRecord next;
     private boolean first = true;
 
-    private Transfer(Message asked, Tsig.Verdict signed, java.util.function.LongSupplier unix, Iterator<Rec> records) {
+    private ZoneTransfer(
+            DnsMessage asked,
+            Tsig.Verification signed,
+            java.util.function.LongSupplier unix,
+            Iterator<ResourceRecord> records) {
         this.asked = asked;
         this.unix = unix;
         this.records = records;
-        chain = signed == null ? null : new Tsig.Chain(signed.key(), signed.mac());
+        chain = signed == null ? null : new Tsig.SignatureChain(signed.key(), signed.mac());
         signatureRoom = signed == null ? 0 : Tsig.room(signed.key());
         next = records.next();
     }
 
     /** All of the zone. */
-    static Transfer whole(Message asked, Tsig.Verdict signed, java.util.function.LongSupplier unix, Zone zone) {
-        return new Transfer(asked, signed, unix, new Walk(zone));
+    static ZoneTransfer whole(
+            DnsMessage asked, Tsig.Verification signed, java.util.function.LongSupplier unix, Zone zone) {
+        return new ZoneTransfer(asked, signed, unix, new ZoneRecordIterator(zone));
     }
 
     /** What has changed; none gives the SOA alone, which says that nothing has. */
-    static Transfer since(
-            Message asked,
-            Tsig.Verdict signed,
+    static ZoneTransfer since(
+            DnsMessage asked,
+            Tsig.Verification signed,
             java.util.function.LongSupplier unix,
             Zone zone,
             List<Difference> differences) {
-        List<Rec> all = new ArrayList<>();
+        List<ResourceRecord> all = new ArrayList<>();
         zone.soa().each(zone.origin(), all::add);
         for (Difference difference : differences) {
             all.addAll(difference.removed());
@@ -59,7 +64,7 @@
         if (!differences.isEmpty()) {
             all.add(all.get(0));
         }
-        return new Transfer(asked, signed, unix, all.iterator());
+        return new ZoneTransfer(asked, signed, unix, all.iterator());
     }
 
     /** The next message, or null behind the last. */
@@ -67,29 +72,29 @@
         if (next == null) {
             return null;
         }
-        Writer out = new Writer(
+        MessageWriter out = new MessageWriter(
                 asked.id(),
-                Message.RESPONSE | Message.AUTHORITATIVE | asked.flags() & Message.DESIRED,
-                Message.MOST - signatureRoom);
+                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | asked.flags() & DnsMessage.DESIRED,
+                DnsMessage.MOST - signatureRoom);
         if (first) {
             out.question(asked.name(), asked.type(), asked.dclass());
         }
         first = false;
         while (next != null
                 && out.length() < MESSAGE
-                && out.record(1, next.owner(), next.type(), Types.IN, next.ttl(), next.data())) {
+                && out.record(1, next.owner(), next.type(), RecordTypes.IN, next.ttl(), next.data())) {
             next = records.hasNext() ? records.next() : null;
         }
         return chain == null ? out.done() : chain.sign(out.done(), unix.getAsLong());
     }
 
     /** The records of one version: the SOA, all others, the SOA again. */
-    private static final class Walk implements Iterator<Rec> {
+    private static final class ZoneRecordIterator implements Iterator<ResourceRecord> {
         private final Zone zone;
-        private final ArrayDeque<Rec> ready = new ArrayDeque<>();
+        private final ArrayDeque<ResourceRecord> ready = new ArrayDeque<>();
         private byte[] from = new byte[0];
 
-        Walk(Zone zone) {
+        ZoneRecordIterator(Zone zone) {
             this.zone = zone;
             zone.soa().each(zone.origin(), ready::add);
         }
@@ -110,9 +115,9 @@
                     from = key;
                     return false;
                 }
-                byte[] name = Names.wire(key);
+                byte[] name = DomainNames.wire(key);
                 for (int i = 0; i < owner.sets(); i++) {
-                    if (owner.at(i).type() != Types.SOA) {
+                    if (owner.at(i).type() != RecordTypes.SOA) {
                         owner.at(i).each(name, ready::add);
                     }
                 }
@@ -124,7 +129,7 @@
         }
 
         @Override
-        public Rec next() {
+        public ResourceRecord next() {
             if (!hasNext()) {
                 throw new java.util.NoSuchElementException();
             }
