--- a/src/main/java/merlinlever/zone/state/Index.java
+++ b/src/main/java/merlinlever/zone/state/CopyOnWriteBTree.java
@@ -7,7 +7,7 @@
  * An immutable sorted map from octets to values: a tree of wide nodes, of which a change copies one path and shares the
  * rest. So each version of a zone costs what changed, and a reader of an old one is never disturbed.
  */
-public final class Index<V> {
+public final class CopyOnWriteBTree<V> {
 
     /** Entries of a node at the most; wider copies more a change, narrower reads more nodes a look. */
     private static final int WIDTH = 48;
@@ -56,17 +56,17 @@
     private final Node root;
     private final int size;
 
-    private Index(Node root, int size) {
+    private CopyOnWriteBTree(Node root, int size) {
         this.root = root;
         this.size = size;
     }
 
-    public static <V> Index<V> empty() {
-        return new Index<>(NOTHING, 0);
+    public static <V> CopyOnWriteBTree<V> empty() {
+        return new CopyOnWriteBTree<>(NOTHING, 0);
     }
 
     /** From entries whose keys rise strictly. */
-    public static <V> Index<V> of(List<byte[]> keys, List<V> values) {
+    public static <V> CopyOnWriteBTree<V> of(List<byte[]> keys, List<V> values) {
         int count = keys.size();
         if (count == 0) {
             return empty();
@@ -91,7 +91,7 @@
             }
             level = above;
         }
-        return new Index<>(level[0], count);
+        return new CopyOnWriteBTree<>(level[0], count);
     }
 
     private static Node over(Node... children) {
@@ -186,7 +186,7 @@
         int at = key == null ? 0 : node.leaf ? node.find(key) : node.child(key);
         for (int i = at >= 0 ? at : -at - 1; i < node.slots.length; i++) {
             boolean on = node.leaf
-                    ? visitor.visit(node.keys[i], Index.<V>value(node.slots[i]))
+                    ? visitor.visit(node.keys[i], CopyOnWriteBTree.<V>value(node.slots[i]))
                     : walk(node.below(i), i == at ? key : null, visitor);
             if (!on) {
                 return false;
@@ -196,11 +196,11 @@
     }
 
     /** The same with the key standing for the value. */
-    public Index<V> with(byte[] key, V value) {
+    public CopyOnWriteBTree<V> with(byte[] key, V value) {
         int before = size;
         int[] grown = {0};
         Node[] made = put(root, key, value, grown);
-        return new Index<>(made.length == 1 ? made[0] : over(made), before + grown[0]);
+        return new CopyOnWriteBTree<>(made.length == 1 ? made[0] : over(made), before + grown[0]);
     }
 
     private static Node[] put(Node node, byte[] key, Object value, int[] grown) {
@@ -251,7 +251,7 @@
     }
 
     /** The same without the key. */
-    public Index<V> without(byte[] key) {
+    public CopyOnWriteBTree<V> without(byte[] key) {
         if (get(key) == null) {
             return this;
         }
@@ -259,7 +259,7 @@
         while (made != null && !made.leaf && made.slots.length == 1) {
             made = made.below(0);
         }
-        return new Index<>(made == null ? NOTHING : made, size - 1);
+        return new CopyOnWriteBTree<>(made == null ? NOTHING : made, size - 1);
     }
 
     private static Node take(Node node, byte[] key) {
--- a/src/main/java/merlinlever/zone/state/Difference.java
+++ b/src/main/java/merlinlever/zone/state/Difference.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 
 /**
  * What leads from one version of a zone to another: records taken out, then records put in. The SOA is among both, first
  * in each, as in RFC 1995 section 4.
  */
-public record Difference(List<Rec> removed, List<Rec> added) {
+public record Difference(List<ResourceRecord> removed, List<ResourceRecord> added) {
 
     public long from() {
         return Zone.serial(removed.get(0).data());
@@ -30,20 +30,20 @@
 
     /** An SOA on both sides even where it is the same, so that either side names its version. */
     public static Difference between(Zone old, Zone made) {
-        List<Rec> removed = new ArrayList<>();
-        List<Rec> added = new ArrayList<>();
+        List<ResourceRecord> removed = new ArrayList<>();
+        List<ResourceRecord> added = new ArrayList<>();
         old.soa().each(old.origin(), removed::add);
         made.soa().each(made.origin(), added::add);
-        Iterator<Index.Entry<Owner>> olds = entries(old).iterator();
-        Iterator<Index.Entry<Owner>> news = entries(made).iterator();
-        Index.Entry<Owner> a = olds.hasNext() ? olds.next() : null;
-        Index.Entry<Owner> b = news.hasNext() ? news.next() : null;
+        Iterator<CopyOnWriteBTree.Entry<OwnerRecords>> olds = entries(old).iterator();
+        Iterator<CopyOnWriteBTree.Entry<OwnerRecords>> news = entries(made).iterator();
+        CopyOnWriteBTree.Entry<OwnerRecords> a = olds.hasNext() ? olds.next() : null;
+        CopyOnWriteBTree.Entry<OwnerRecords> b = news.hasNext() ? news.next() : null;
         while (a != null || b != null) {
             int order = a == null ? 1 : b == null ? -1 : Arrays.compareUnsigned(a.key(), b.key());
-            Owner before = order <= 0 ? a.value() : Owner.NONE;
-            Owner after = order >= 0 ? b.value() : Owner.NONE;
+            OwnerRecords before = order <= 0 ? a.value() : OwnerRecords.NONE;
+            OwnerRecords after = order >= 0 ? b.value() : OwnerRecords.NONE;
             if (before != after) {
-                compare(Names.wire(order <= 0 ? a.key() : b.key()), before, after, removed, added);
+                compare(DomainNames.wire(order <= 0 ? a.key() : b.key()), before, after, removed, added);
             }
             a = order > 0 ? a : olds.hasNext() ? olds.next() : null;
             b = order < 0 ? b : news.hasNext() ? news.next() : null;
@@ -53,30 +53,36 @@
 
     /** The same for the names alone that were touched. */
     static Difference between(Zone old, Zone made, Iterable<byte[]> keys) {
-        List<Rec> removed = new ArrayList<>();
-        List<Rec> added = new ArrayList<>();
+        List<ResourceRecord> removed = new ArrayList<>();
+        List<ResourceRecord> added = new ArrayList<>();
         old.soa().each(old.origin(), removed::add);
         made.soa().each(made.origin(), added::add);
         for (byte[] key : keys) {
-            Owner before = old.names().get(key);
-            Owner after = made.names().get(key);
+            OwnerRecords before = old.names().get(key);
+            OwnerRecords after = made.names().get(key);
             compare(
-                    Names.wire(key),
-                    before == null ? Owner.NONE : before,
-                    after == null ? Owner.NONE : after,
+                    DomainNames.wire(key),
+                    before == null ? OwnerRecords.NONE : before,
+                    after == null ? OwnerRecords.NONE : after,
                     removed,
                     added);
         }
         return new Difference(removed, added);
     }
 
-    private static List<Index.Entry<Owner>> entries(Zone zone) {
-        List<Index.Entry<Owner>> entries = new ArrayList<>(zone.names().size());
-        zone.names().from(new byte[0], (key, owner) -> entries.add(new Index.Entry<>(key, owner)));
+    private static List<CopyOnWriteBTree.Entry<OwnerRecords>> entries(Zone zone) {
+        List<CopyOnWriteBTree.Entry<OwnerRecords>> entries =
+                new ArrayList<>(zone.names().size());
+        zone.names().from(new byte[0], (key, owner) -> entries.add(new CopyOnWriteBTree.Entry<>(key, owner)));
         return entries;
     }
 
-    private static void compare(byte[] name, Owner before, Owner after, List<Rec> removed, List<Rec> added) {
+    private static void compare(
+            byte[] name,
+            OwnerRecords before,
+            OwnerRecords after,
+            List<ResourceRecord> removed,
+            List<ResourceRecord> added) {
         int i = 0;
         int k = 0;
         while (i < before.sets.length || k < after.sets.length) {
@@ -84,7 +90,7 @@
             RecordSet b = k < after.sets.length ? after.sets[k] : null;
             boolean first = b == null || a != null && a.type <= b.type;
             boolean second = a == null || b != null && b.type <= a.type;
-            if ((first ? a : b).type != Types.SOA) {
+            if ((first ? a : b).type != RecordTypes.SOA) {
                 only(name, first ? a : null, second ? b : null, removed);
                 only(name, second ? b : null, first ? a : null, added);
             }
@@ -93,35 +99,35 @@
         }
     }
 
-    private static void only(byte[] name, RecordSet set, RecordSet than, List<Rec> into) {
+    private static void only(byte[] name, RecordSet set, RecordSet than, List<ResourceRecord> into) {
         if (set == null) {
             return;
         }
         for (byte[] one : set.data) {
             if (than == null || than.ttl != set.ttl || !than.holds(one)) {
-                into.add(new Rec(name, set.type, set.ttl, one));
+                into.add(new ResourceRecord(name, set.type, set.ttl, one));
             }
         }
     }
 
     /** The version that the difference makes of its first one. */
     public Zone on(Zone zone) {
-        Map<byte[], Owner> changed = new TreeMap<>(Arrays::compareUnsigned);
-        for (Rec rec : removed) {
+        Map<byte[], OwnerRecords> changed = new TreeMap<>(Arrays::compareUnsigned);
+        for (ResourceRecord rec : removed) {
             change(zone, changed, rec, false);
         }
-        for (Rec rec : added) {
+        for (ResourceRecord rec : added) {
             change(zone, changed, rec, true);
         }
         return zone.with(changed);
     }
 
-    private static void change(Zone zone, Map<byte[], Owner> changed, Rec rec, boolean add) {
-        byte[] key = Names.key(rec.owner());
-        Owner owner = changed.get(key);
+    private static void change(Zone zone, Map<byte[], OwnerRecords> changed, ResourceRecord rec, boolean add) {
+        byte[] key = DomainNames.key(rec.owner());
+        OwnerRecords owner = changed.get(key);
         if (owner == null) {
             owner = zone.names().get(key);
-            owner = owner == null ? Owner.NONE : owner;
+            owner = owner == null ? OwnerRecords.NONE : owner;
         }
         RecordSet set = owner.set(rec.type());
         if (add) {
--- a/src/main/java/merlinlever/zone/state/History.java
+++ b/src/main/java/merlinlever/zone/state/DifferenceHistory.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** The last differences of a zone, for those who ask for what has changed since (RFC 1995). */
-public final class History {
+public final class DifferenceHistory {
 
     /** Records in all differences kept, at the most. */
     private static final int MOST_RECORDS = 200_000;
--- a/src/main/java/merlinlever/zone/state/Update.java
+++ b/src/main/java/merlinlever/zone/state/DynamicUpdate.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
 
 /** Decides a dynamic update: all of it or nothing (RFC 2136 section 3). */
-public final class Update {
+public final class DynamicUpdate {
 
     /** Response codes (RFC 1035 section 4.1.1, RFC 2136 section 2.2). */
     public static final int NOERROR = 0,
@@ -34,16 +34,16 @@
      * @param zone the version after it; the same one where nothing changed
      * @param difference what changed, or null
      */
-    public record Outcome(int code, Zone zone, Difference difference) {}
+    public record UpdateResult(int code, Zone zone, Difference difference) {}
 
     private final Zone zone;
-    private final Map<byte[], Owner> changed = new TreeMap<>(Arrays::compareUnsigned);
+    private final Map<byte[], OwnerRecords> changed = new TreeMap<>(Arrays::compareUnsigned);
 
-    private Update(Zone zone) {
+    private DynamicUpdate(Zone zone) {
         this.zone = zone;
     }
 
-    public static Outcome judge(Zone zone, List<Entry> prerequisites, List<Entry> updates) {
+    public static UpdateResult judge(Zone zone, List<UpdateEntry> prerequisites, List<UpdateEntry> updates) {
         int code = prerequisites(zone, prerequisites);
         if (code == NOERROR) {
             code = scan(zone, updates);
@@ -51,41 +51,42 @@
         if (code == NOERROR && zone.records() + updates.size() > MOST_RECORDS) {
             code = REFUSED;
         }
-        return code == NOERROR ? new Update(zone).carryOut(updates) : new Outcome(code, zone, null);
+        return code == NOERROR ? new DynamicUpdate(zone).carryOut(updates) : new UpdateResult(code, zone, null);
     }
 
     // ---- section 3.2
 
-    private static int prerequisites(Zone zone, List<Entry> entries) {
+    private static int prerequisites(Zone zone, List<UpdateEntry> entries) {
         // By name and type, in the order of the message: sets that must be there exactly.
-        Map<String, List<Entry>> exact = new HashMap<>();
-        for (Entry entry : entries) {
+        Map<String, List<UpdateEntry>> exact = new HashMap<>();
+        for (UpdateEntry entry : entries) {
             if (entry.ttl() != 0) {
                 return FORMERR;
             }
-            if (!Names.under(entry.owner(), zone.origin())) {
+            if (!DomainNames.under(entry.owner(), zone.origin())) {
                 return NOTZONE;
             }
-            Owner owner = zone.names().get(Names.key(entry.owner()));
+            OwnerRecords owner = zone.names().get(DomainNames.key(entry.owner()));
             boolean set = owner != null && owner.set(entry.type()) != null;
             int code =
                     switch (entry.dclass()) {
-                        case Types.CLASS_ANY -> entry.data() != null
+                        case RecordTypes.CLASS_ANY -> entry.data() != null
                                 ? FORMERR
-                                : entry.type() == Types.ANY
+                                : entry.type() == RecordTypes.ANY
                                         ? owner == null ? NXDOMAIN : NOERROR
                                         : set ? NOERROR : NXRRSET;
-                        case Types.CLASS_NONE -> entry.data() != null
+                        case RecordTypes.CLASS_NONE -> entry.data() != null
                                 ? FORMERR
-                                : entry.type() == Types.ANY
+                                : entry.type() == RecordTypes.ANY
                                         ? owner != null ? YXDOMAIN : NOERROR
                                         : set ? YXRRSET : NOERROR;
-                        case Types.IN -> {
-                            if (entry.data() == null || Types.meta(entry.type())) {
+                        case RecordTypes.IN -> {
+                            if (entry.data() == null || RecordTypes.meta(entry.type())) {
                                 yield FORMERR;
                             }
                             exact.computeIfAbsent(
-                                            Names.text(entry.owner()) + " " + entry.type(), k -> new ArrayList<>())
+                                            DomainNames.text(entry.owner()) + " " + entry.type(),
+                                            k -> new ArrayList<>())
                                     .add(entry);
                             yield NOERROR;
                         }
@@ -95,8 +96,8 @@
                 return code;
             }
         }
-        for (List<Entry> wanted : exact.values()) {
-            byte[][] data = wanted.stream().map(Entry::data).toArray(byte[][]::new);
+        for (List<UpdateEntry> wanted : exact.values()) {
+            byte[][] data = wanted.stream().map(UpdateEntry::data).toArray(byte[][]::new);
             int type = wanted.get(0).type();
             if (!RecordSet.of(type, 0, data).sameData(zone.set(wanted.get(0).owner(), type))) {
                 return NXRRSET;
@@ -107,18 +108,20 @@
 
     // ---- section 3.4.1
 
-    private static int scan(Zone zone, List<Entry> entries) {
-        for (Entry entry : entries) {
-            if (!Names.under(entry.owner(), zone.origin())) {
+    private static int scan(Zone zone, List<UpdateEntry> entries) {
+        for (UpdateEntry entry : entries) {
+            if (!DomainNames.under(entry.owner(), zone.origin())) {
                 return NOTZONE;
             }
             boolean wrong =
                     switch (entry.dclass()) {
-                        case Types.IN -> Types.meta(entry.type()) || entry.data() == null;
-                        case Types.CLASS_ANY -> entry.ttl() != 0
+                        case RecordTypes.IN -> RecordTypes.meta(entry.type()) || entry.data() == null;
+                        case RecordTypes.CLASS_ANY -> entry.ttl() != 0
                                 || entry.data() != null
-                                || Types.meta(entry.type()) && entry.type() != Types.ANY;
-                        case Types.CLASS_NONE -> entry.ttl() != 0 || entry.data() == null || Types.meta(entry.type());
+                                || RecordTypes.meta(entry.type()) && entry.type() != RecordTypes.ANY;
+                        case RecordTypes.CLASS_NONE -> entry.ttl() != 0
+                                || entry.data() == null
+                                || RecordTypes.meta(entry.type());
                         default -> true;
                     };
             if (wrong) {
@@ -130,15 +133,15 @@
 
     // ---- section 3.4.2
 
-    private Outcome carryOut(List<Entry> entries) {
-        for (Entry entry : entries) {
-            byte[] key = Names.key(entry.owner());
-            Owner owner = owner(key);
+    private UpdateResult carryOut(List<UpdateEntry> entries) {
+        for (UpdateEntry entry : entries) {
+            byte[] key = DomainNames.key(entry.owner());
+            OwnerRecords owner = owner(key);
             boolean apex = Arrays.equals(key, zone.apex());
-            Owner made =
+            OwnerRecords made =
                     switch (entry.dclass()) {
-                        case Types.IN -> added(owner, entry, apex);
-                        case Types.CLASS_ANY -> entry.type() == Types.ANY
+                        case RecordTypes.IN -> added(owner, entry, apex);
+                        case RecordTypes.CLASS_ANY -> entry.type() == RecordTypes.ANY
                                 ? cleared(owner, apex)
                                 : kept(apex, entry.type()) ? owner : owner.with(entry.type(), null);
                         default -> without(owner, entry, apex);
@@ -152,45 +155,45 @@
         if (difference.records() == 2
                 && difference.from() == difference.to()
                 && zone.soa().same(made.soa())) {
-            return new Outcome(NOERROR, zone, null);
+            return new UpdateResult(NOERROR, zone, null);
         }
         if (difference.from() == difference.to()) {
             // Section 3.6: whoever changes a zone gives it a new serial.
             RecordSet soa = made.soa();
-            RecordSet next =
-                    RecordSet.of(Types.SOA, soa.ttl, Zone.withSerial(soa.data[0], Serial.next(difference.from())));
-            changed.put(zone.apex(), owner(zone.apex()).with(Types.SOA, next));
+            RecordSet next = RecordSet.of(
+                    RecordTypes.SOA, soa.ttl, Zone.withSerial(soa.data[0], SerialNumbers.next(difference.from())));
+            changed.put(zone.apex(), owner(zone.apex()).with(RecordTypes.SOA, next));
             made = zone.with(changed);
             difference = Difference.between(zone, made, changed.keySet());
         }
-        return new Outcome(NOERROR, made, difference);
+        return new UpdateResult(NOERROR, made, difference);
     }
 
-    private Owner owner(byte[] key) {
-        Owner owner = changed.get(key);
+    private OwnerRecords owner(byte[] key) {
+        OwnerRecords owner = changed.get(key);
         if (owner == null) {
             owner = zone.names().get(key);
         }
-        return owner == null ? Owner.NONE : owner;
+        return owner == null ? OwnerRecords.NONE : owner;
     }
 
     private static boolean kept(boolean apex, int type) {
-        return apex && (type == Types.SOA || type == Types.NS);
+        return apex && (type == RecordTypes.SOA || type == RecordTypes.NS);
     }
 
-    private Owner added(Owner owner, Entry entry, boolean apex) {
+    private OwnerRecords added(OwnerRecords owner, UpdateEntry entry, boolean apex) {
         RecordSet set = owner.set(entry.type());
-        if (entry.type() == Types.SOA) {
+        if (entry.type() == RecordTypes.SOA) {
             // One is there and is replaced by a later one; elsewhere than at the apex none may be.
-            return apex && Serial.after(Zone.serial(entry.data()), Zone.serial(set.data[0]))
-                    ? owner.with(Types.SOA, RecordSet.of(Types.SOA, entry.ttl(), entry.data()))
+            return apex && SerialNumbers.after(Zone.serial(entry.data()), Zone.serial(set.data[0]))
+                    ? owner.with(RecordTypes.SOA, RecordSet.of(RecordTypes.SOA, entry.ttl(), entry.data()))
                     : owner;
         }
-        boolean cname = owner.set(Types.CNAME) != null;
-        if (entry.type() == Types.CNAME ? owner.sets.length > (cname ? 1 : 0) : cname) {
+        boolean cname = owner.set(RecordTypes.CNAME) != null;
+        if (entry.type() == RecordTypes.CNAME ? owner.sets.length > (cname ? 1 : 0) : cname) {
             return owner;
         }
-        if (set == null || entry.type() == Types.CNAME || entry.type() == Types.DNAME) {
+        if (set == null || entry.type() == RecordTypes.CNAME || entry.type() == RecordTypes.DNAME) {
             RecordSet made = RecordSet.of(entry.type(), entry.ttl(), entry.data());
             return made.same(set) ? owner : owner.with(entry.type(), made);
         }
@@ -198,17 +201,17 @@
         return more == set ? owner : owner.with(entry.type(), more);
     }
 
-    private static Owner cleared(Owner owner, boolean apex) {
-        Owner left = Owner.NONE;
+    private static OwnerRecords cleared(OwnerRecords owner, boolean apex) {
+        OwnerRecords left = OwnerRecords.NONE;
         for (RecordSet set : owner.sets) {
             left = kept(apex, set.type) ? left.with(set.type, set) : left;
         }
         return left.sets.length == owner.sets.length ? owner : left;
     }
 
-    private static Owner without(Owner owner, Entry entry, boolean apex) {
+    private static OwnerRecords without(OwnerRecords owner, UpdateEntry entry, boolean apex) {
         RecordSet set = owner.set(entry.type());
-        if (set == null || entry.type() == Types.SOA || kept(apex, entry.type()) && set.size() == 1) {
+        if (set == null || entry.type() == RecordTypes.SOA || kept(apex, entry.type()) && set.size() == 1) {
             return owner;
         }
         RecordSet fewer = set.without(entry.data());
--- a/src/main/java/merlinlever/zone/state/Owner.java
+++ b/src/main/java/merlinlever/zone/state/OwnerRecords.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /** The record sets of one name, by type. */
-public final class Owner {
+public final class OwnerRecords {
 
-    static final Owner NONE = new Owner(new RecordSet[0]);
+    static final OwnerRecords NONE = new OwnerRecords(new RecordSet[0]);
 
     final RecordSet[] sets;
 
-    private Owner(RecordSet[] sets) {
+    private OwnerRecords(RecordSet[] sets) {
         this.sets = sets;
     }
 
-    static Owner of(RecordSet... sets) {
+    static OwnerRecords of(RecordSet... sets) {
         Arrays.sort(sets, (a, b) -> Integer.compare(a.type, b.type));
-        return new Owner(sets);
+        return new OwnerRecords(sets);
     }
 
     public RecordSet set(int type) {
@@ -44,7 +44,7 @@
     }
 
     /** With this set in place of the one of its type; null takes that one out. */
-    Owner with(int type, RecordSet set) {
+    OwnerRecords with(int type, RecordSet set) {
         int at = 0;
         while (at < sets.length && sets[at].type < type) {
             at++;
@@ -60,6 +60,6 @@
             made[at] = set;
         }
         System.arraycopy(sets, behind, made, made.length - (sets.length - behind), sets.length - behind);
-        return new Owner(made);
+        return new OwnerRecords(made);
     }
 }
--- a/src/main/java/merlinlever/zone/state/RecordSet.java
+++ b/src/main/java/merlinlever/zone/state/RecordSet.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.function.Consumer;
-import merlinlever.zone.record.Rec;
+import merlinlever.zone.record.ResourceRecord;
 
 /** All records of one type at one name: one time to live (RFC 2181 section 5.2), the data sorted and each once. */
 public final class RecordSet {
@@ -91,9 +91,9 @@
         return this == other || sameData(other) && ttl == other.ttl;
     }
 
-    public void each(byte[] owner, Consumer<Rec> taker) {
+    public void each(byte[] owner, Consumer<ResourceRecord> taker) {
         for (byte[] one : data) {
-            taker.accept(new Rec(owner, type, ttl, one));
+            taker.accept(new ResourceRecord(owner, type, ttl, one));
         }
     }
 }
--- a/src/main/java/merlinlever/zone/state/Replays.java
+++ b/src/main/java/merlinlever/zone/state/ReplayWindow.java
@@ -10,13 +10,13 @@
  * signature holds for {@code span} on either side of its time. As many as were taken in such a time: the decision module
  * bounds that by the memory that each is stated to take.
  */
-public final class Replays {
+public final class ReplayWindow {
 
     /** A mark, by what is in it. */
-    private record Mark(byte[] octets) {
+    private record ReplayKey(byte[] octets) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Mark mark && Arrays.equals(octets, mark.octets);
+            return other instanceof ReplayKey mark && Arrays.equals(octets, mark.octets);
         }
 
         @Override
@@ -25,27 +25,27 @@
         }
     }
 
-    private record Timed(long at, Mark mark) {}
+    private record TimedKey(long at, ReplayKey mark) {}
 
     private final long span;
-    private final Set<Mark> known = new HashSet<>();
-    private final ArrayDeque<Timed> ends = new ArrayDeque<>();
+    private final Set<ReplayKey> known = new HashSet<>();
+    private final ArrayDeque<TimedKey> ends = new ArrayDeque<>();
 
     /** @param span seconds from when a mark was made until the message cannot come again */
-    public Replays(long span) {
+    public ReplayWindow(long span) {
         this.span = span;
     }
 
     public void add(long at, byte[] mark) {
-        Mark made = new Mark(mark);
+        ReplayKey made = new ReplayKey(mark);
         sweep(at);
         if (known.add(made)) {
-            ends.add(new Timed(at, made));
+            ends.add(new TimedKey(at, made));
         }
     }
 
     public boolean known(byte[] mark) {
-        return known.contains(new Mark(mark));
+        return known.contains(new ReplayKey(mark));
     }
 
     /** Lets go of what cannot come again. */
--- a/src/main/java/merlinlever/zone/state/Serial.java
+++ b/src/main/java/merlinlever/zone/state/SerialNumbers.java
@@ -1,9 +1,9 @@
 package merlinlever.zone.state;
 
 /** Serial numbers of 32 bits, which wrap (RFC 1982). */
-public final class Serial {
+public final class SerialNumbers {
 
-    private Serial() {}
+    private SerialNumbers() {}
 
     /** Whether a comes after b; of two that are exactly half of all numbers apart neither does. */
     public static boolean after(long a, long b) {
--- a/src/main/java/merlinlever/zone/state/Entry.java
+++ b/src/main/java/merlinlever/zone/state/UpdateEntry.java
@@ -7,4 +7,4 @@
  * @param dclass the class, which says what is meant
  * @param data null where the message had none
  */
-public record Entry(byte[] owner, int type, int dclass, long ttl, byte[] data) {}
+public record UpdateEntry(byte[] owner, int type, int dclass, long ttl, byte[] data) {}
--- a/src/main/java/merlinlever/zone/state/Plan.java
+++ b/src/main/java/merlinlever/zone/state/UpdatePlan.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 
 /**
  * Decides in which updates a live zone is brought to what a file says. All changes of one name are in one update, on the
  * condition that each set that it touches is as it was when the plan was made: so each name is old or new and never
  * between, and what somebody else changes meanwhile stops the plan there instead of being overwritten.
  */
-public final class Plan {
+public final class UpdatePlan {
 
     /**
      * One update.
@@ -22,15 +22,19 @@
      * @param names that it changes
      */
     public record Batch(
-            List<Entry> prerequisites, List<Entry> changes, int names, List<Rec> removed, List<Rec> added) {}
+            List<UpdateEntry> prerequisites,
+            List<UpdateEntry> changes,
+            int names,
+            List<ResourceRecord> removed,
+            List<ResourceRecord> added) {}
 
-    private Plan() {}
+    private UpdatePlan() {}
 
     /** @param most entries of an update, but for a single name that has more */
     public static List<Batch> of(Zone live, Zone wanted, int most) {
         Difference difference = Difference.between(live, wanted);
-        Map<byte[], List<Rec>> removed = byName(difference.removed());
-        Map<byte[], List<Rec>> added = byName(difference.added());
+        Map<byte[], List<ResourceRecord>> removed = byName(difference.removed());
+        Map<byte[], List<ResourceRecord>> added = byName(difference.added());
         TreeMap<byte[], Boolean> names = new TreeMap<>(Arrays::compareUnsigned);
         removed.keySet().forEach(key -> names.put(key, true));
         added.keySet().forEach(key -> names.put(key, true));
@@ -40,7 +44,7 @@
             Batch one = name(
                     live,
                     wanted,
-                    Names.wire(key),
+                    DomainNames.wire(key),
                     removed.getOrDefault(key, List.of()),
                     added.getOrDefault(key, List.of()));
             if (open.names > 0
@@ -55,11 +59,11 @@
             open.added.addAll(one.added);
             open = new Batch(open.prerequisites, open.changes, open.names + 1, open.removed, open.added);
         }
-        Entry soa = soa(difference, batches.size());
+        UpdateEntry soa = soa(difference, batches.size());
         if (soa != null) {
             open.changes.add(soa);
             open.removed.add(difference.removed().get(0));
-            open.added.add(new Rec(live.origin(), Types.SOA, soa.ttl(), soa.data()));
+            open.added.add(new ResourceRecord(live.origin(), RecordTypes.SOA, soa.ttl(), soa.data()));
         }
         if (!open.changes.isEmpty()) {
             batches.add(open);
@@ -71,9 +75,10 @@
         return new Batch(new ArrayList<>(), new ArrayList<>(), 0, new ArrayList<>(), new ArrayList<>());
     }
 
-    private static Map<byte[], List<Rec>> byName(List<Rec> records) {
-        Map<byte[], List<Rec>> byName = new TreeMap<>(Arrays::compareUnsigned);
-        records.stream().skip(1).forEach(rec -> byName.computeIfAbsent(Names.key(rec.owner()), key -> new ArrayList<>())
+    private static Map<byte[], List<ResourceRecord>> byName(List<ResourceRecord> records) {
+        Map<byte[], List<ResourceRecord>> byName = new TreeMap<>(Arrays::compareUnsigned);
+        records.stream().skip(1).forEach(rec -> byName.computeIfAbsent(
+                        DomainNames.key(rec.owner()), key -> new ArrayList<>())
                 .add(rec));
         return byName;
     }
@@ -82,48 +87,52 @@
      * Where more than the serial differs, or the file's comes later; in the last update, so that a stopped plan shows by it.
      * The updates before it move the live serial on by one each, and a server takes only one that comes after.
      */
-    private static Entry soa(Difference difference, int before) {
-        Rec old = difference.removed().get(0);
-        Rec made = difference.added().get(0);
-        boolean later = Serial.after(difference.to(), difference.from());
+    private static UpdateEntry soa(Difference difference, int before) {
+        ResourceRecord old = difference.removed().get(0);
+        ResourceRecord made = difference.added().get(0);
+        boolean later = SerialNumbers.after(difference.to(), difference.from());
         boolean other =
                 old.ttl() != made.ttl() || !Arrays.equals(Zone.withSerial(old.data(), difference.to()), made.data());
         if (!later && !other) {
             return null;
         }
         long moved = difference.from() + before & 0xffff_ffffL;
-        byte[] data =
-                Serial.after(difference.to(), moved) ? made.data() : Zone.withSerial(made.data(), Serial.next(moved));
-        return new Entry(old.owner(), Types.SOA, Types.IN, made.ttl(), data);
+        byte[] data = SerialNumbers.after(difference.to(), moved)
+                ? made.data()
+                : Zone.withSerial(made.data(), SerialNumbers.next(moved));
+        return new UpdateEntry(old.owner(), RecordTypes.SOA, RecordTypes.IN, made.ttl(), data);
     }
 
-    private static Batch name(Zone live, Zone wanted, byte[] name, List<Rec> removed, List<Rec> added) {
+    private static Batch name(
+            Zone live, Zone wanted, byte[] name, List<ResourceRecord> removed, List<ResourceRecord> added) {
         Batch batch = empty();
         TreeMap<Integer, Boolean> types = new TreeMap<>();
         removed.forEach(rec -> types.put(rec.type(), true));
         added.forEach(rec -> types.put(rec.type(), true));
-        List<Entry> last = new ArrayList<>();
+        List<UpdateEntry> last = new ArrayList<>();
         for (int type : types.keySet()) {
             RecordSet before = live.set(name, type);
             RecordSet after = wanted.set(name, type);
             if (before == null) {
-                batch.prerequisites.add(new Entry(name, type, Types.CLASS_NONE, 0, null));
+                batch.prerequisites.add(new UpdateEntry(name, type, RecordTypes.CLASS_NONE, 0, null));
             } else {
-                before.each(name, rec -> batch.prerequisites.add(new Entry(name, type, Types.IN, 0, rec.data())));
+                before.each(
+                        name,
+                        rec -> batch.prerequisites.add(new UpdateEntry(name, type, RecordTypes.IN, 0, rec.data())));
             }
             if (after == null) {
                 // First, or what takes its place could not stand beside it (a CNAME).
-                batch.changes.add(0, new Entry(name, type, Types.CLASS_ANY, 0, null));
+                batch.changes.add(0, new UpdateEntry(name, type, RecordTypes.CLASS_ANY, 0, null));
             } else {
                 after.each(name, rec -> {
                     if (before == null || before.ttl() != after.ttl() || !before.holds(rec.data())) {
-                        batch.changes.add(new Entry(name, type, Types.IN, rec.ttl(), rec.data()));
+                        batch.changes.add(new UpdateEntry(name, type, RecordTypes.IN, rec.ttl(), rec.data()));
                     }
                 });
                 if (before != null) {
                     before.each(name, rec -> {
                         if (!after.holds(rec.data())) {
-                            last.add(new Entry(name, type, Types.CLASS_NONE, 0, rec.data()));
+                            last.add(new UpdateEntry(name, type, RecordTypes.CLASS_NONE, 0, rec.data()));
                         }
                     });
                 }
--- a/src/main/java/merlinlever/zone/state/Zone.java
+++ b/src/main/java/merlinlever/zone/state/Zone.java
@@ -4,36 +4,36 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 
 /** One version of a zone; it never changes. */
 public final class Zone {
 
     private final byte[] origin;
     private final byte[] apex;
-    private final Index<Owner> names;
+    private final CopyOnWriteBTree<OwnerRecords> names;
     private final int records;
 
-    Zone(byte[] origin, Index<Owner> names, int records) {
+    Zone(byte[] origin, CopyOnWriteBTree<OwnerRecords> names, int records) {
         this.origin = origin;
-        this.apex = Names.key(origin);
+        this.apex = DomainNames.key(origin);
         this.names = names;
         this.records = records;
     }
 
     /** From records of this zone in any order; the caller has seen to it that they make one. */
-    public static Zone of(byte[] origin, List<Rec> records) {
-        record Keyed(byte[] key, Rec rec) {}
+    public static Zone of(byte[] origin, List<ResourceRecord> records) {
+        record Keyed(byte[] key, ResourceRecord rec) {}
 
         List<Keyed> sorted = new ArrayList<>(records.size());
         byte[] lastOwner = null;
         byte[] lastKey = null;
-        for (Rec rec : records) {
+        for (ResourceRecord rec : records) {
             if (rec.owner() != lastOwner) {
                 lastOwner = rec.owner();
-                lastKey = Names.key(lastOwner);
+                lastKey = DomainNames.key(lastOwner);
             }
             sorted.add(new Keyed(lastKey, rec));
         }
@@ -42,7 +42,7 @@
             return order != 0 ? order : Integer.compare(a.rec.type(), b.rec.type());
         });
         List<byte[]> keys = new ArrayList<>();
-        List<Owner> owners = new ArrayList<>();
+        List<OwnerRecords> owners = new ArrayList<>();
         int count = 0;
         for (int i = 0; i < sorted.size(); ) {
             byte[] key = sorted.get(i).key;
@@ -60,11 +60,11 @@
                 sets.add(RecordSet.of(type, sorted.get(from).rec.ttl(), data));
             }
             keys.add(key);
-            Owner owner = Owner.of(sets.toArray(new RecordSet[0]));
+            OwnerRecords owner = OwnerRecords.of(sets.toArray(new RecordSet[0]));
             owners.add(owner);
             count += owner.records();
         }
-        return new Zone(origin, Index.of(keys, owners), count);
+        return new Zone(origin, CopyOnWriteBTree.of(keys, owners), count);
     }
 
     /** On the wire, in lower case. */
@@ -76,7 +76,7 @@
         return apex;
     }
 
-    public Index<Owner> names() {
+    public CopyOnWriteBTree<OwnerRecords> names() {
         return names;
     }
 
@@ -85,12 +85,12 @@
     }
 
     public RecordSet set(byte[] owner, int type) {
-        Owner found = names.get(Names.key(owner));
+        OwnerRecords found = names.get(DomainNames.key(owner));
         return found == null ? null : found.set(type);
     }
 
     public RecordSet soa() {
-        return names.get(apex).set(Types.SOA);
+        return names.get(apex).set(RecordTypes.SOA);
     }
 
     public long serial() {
@@ -124,9 +124,9 @@
     }
 
     /** All records, names in canonical order. */
-    public void each(Consumer<Rec> taker) {
+    public void each(Consumer<ResourceRecord> taker) {
         names.from(new byte[0], (key, owner) -> {
-            byte[] name = Names.wire(key);
+            byte[] name = DomainNames.wire(key);
             for (RecordSet set : owner.sets) {
                 set.each(name, taker);
             }
@@ -135,11 +135,11 @@
     }
 
     /** The changed version; names that the map lacks stay as they are. */
-    Zone with(java.util.Map<byte[], Owner> changed) {
-        Index<Owner> made = names;
+    Zone with(java.util.Map<byte[], OwnerRecords> changed) {
+        CopyOnWriteBTree<OwnerRecords> made = names;
         int count = records;
-        for (java.util.Map.Entry<byte[], Owner> entry : changed.entrySet()) {
-            Owner before = names.get(entry.getKey());
+        for (java.util.Map.Entry<byte[], OwnerRecords> entry : changed.entrySet()) {
+            OwnerRecords before = names.get(entry.getKey());
             count += entry.getValue().records() - (before == null ? 0 : before.records());
             made = entry.getValue().sets.length == 0
                     ? made.without(entry.getKey())
--- a/src/main/java/merlinlever/zone/text/ZoneFile.java
+++ b/src/main/java/merlinlever/zone/text/ZoneFile.java
@@ -17,11 +17,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
 import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Zone;
 
 /**
@@ -37,11 +37,11 @@
     public static final int MOST_FAULTS = 50;
 
     /** Why a file was rejected: lines of {@code FILE:LINE: reason}. */
-    public static final class Rejected extends Exception {
+    public static final class InvalidZoneFileException extends Exception {
         private static final long serialVersionUID = 1;
         private final transient List<String> faults;
 
-        Rejected(List<String> faults) {
+        InvalidZoneFileException(List<String> faults) {
             super(String.join("\n", faults), null, false, false);
             this.faults = faults;
         }
@@ -52,15 +52,15 @@
     }
 
     /** Where a record stood, for the checks that need more than one. */
-    private record Place(Path file, int line) {}
+    private record SourcePosition(Path file, int line) {}
 
     /** What holds for one file from some line on. */
-    private static final class Scope {
+    private static final class FileScope {
         final Path file;
         byte[] origin;
         byte[] owner;
 
-        Scope(Path file, byte[] origin) {
+        FileScope(Path file, byte[] origin) {
             this.file = file;
             this.origin = origin;
         }
@@ -68,14 +68,14 @@
 
     private final Path folder;
     private final List<String> faults = new ArrayList<>();
-    private final List<Rec> records = new ArrayList<>();
+    private final List<ResourceRecord> records = new ArrayList<>();
     /** The line of each record, and from which record on it is which file. */
     private int[] lines = new int[64];
 
     private final List<Integer> fileFrom = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
     private byte[] zone;
-    private Place soa;
+    private SourcePosition soa;
     private long defaultTtl = -1;
     private long lastTtl = -1;
     private long octets;
@@ -90,13 +90,13 @@
     /**
      * @param origin the zone that is expected, on the wire; null takes it from the SOA's owner
      */
-    public static Zone read(Path file, byte[] origin) throws Rejected {
+    public static Zone read(Path file, byte[] origin) throws InvalidZoneFileException {
         Path real = file.toAbsolutePath().normalize();
         ZoneFile reading = new ZoneFile(real.getParent(), origin);
         reading.include(file, origin, 0, null);
         reading.check(file, reading.faults.isEmpty());
         if (!reading.faults.isEmpty()) {
-            throw new Rejected(List.copyOf(reading.faults));
+            throw new InvalidZoneFileException(List.copyOf(reading.faults));
         }
         return Zone.of(reading.zone, reading.records);
     }
@@ -109,25 +109,25 @@
 
     // ---- one file
 
-    private void include(Path file, byte[] origin, int depth, Place from) {
-        Place at = from == null ? new Place(file, 1) : from;
+    private void include(Path file, byte[] origin, int depth, SourcePosition from) {
+        SourcePosition at = from == null ? new SourcePosition(file, 1) : from;
         byte[] text;
         try {
             text = octets(file);
-        } catch (Malformed e) {
+        } catch (MalformedDnsException e) {
             fault(at.file, at.line, from == null ? e.getMessage() : file + ": " + e.getMessage());
             return;
         }
-        Scope scope = new Scope(file, origin);
+        FileScope scope = new FileScope(file, origin);
         enter(file);
-        Lexer lexer = new Lexer(text);
+        ZoneFileLexer lexer = new ZoneFileLexer(text);
         while (faults.size() < MOST_FAULTS) {
             try {
                 if (!lexer.next()) {
                     break;
                 }
                 entry(scope, lexer, depth);
-            } catch (Malformed e) {
+            } catch (MalformedDnsException e) {
                 fault(file, lexer.line(), e.getMessage());
             }
         }
@@ -138,13 +138,13 @@
         files.add(file);
     }
 
-    private byte[] octets(Path file) throws Malformed {
+    private byte[] octets(Path file) throws MalformedDnsException {
         try {
             if (!Files.exists(file)) {
-                throw new Malformed("no such file");
+                throw new MalformedDnsException("no such file");
             }
             if (!Files.isRegularFile(file)) {
-                throw new Malformed("not a plain file");
+                throw new MalformedDnsException("not a plain file");
             }
             byte[] text;
             try (InputStream in = Files.newInputStream(file)) {
@@ -153,7 +153,7 @@
             }
             octets += text.length;
             if (octets > MOST_OCTETS) {
-                throw new Malformed("over " + (MOST_OCTETS >> 20) + " MiB with what it includes");
+                throw new MalformedDnsException("over " + (MOST_OCTETS >> 20) + " MiB with what it includes");
             }
             int wrong = notUtf8(text);
             if (wrong >= 0) {
@@ -161,11 +161,11 @@
                 for (int i = 0; i < wrong; i++) {
                     line += text[i] == '\n' ? 1 : 0;
                 }
-                throw new Malformed("not UTF-8 in line " + line);
+                throw new MalformedDnsException("not UTF-8 in line " + line);
             }
             return text;
         } catch (IOException e) {
-            throw new Malformed("cannot be read: " + e.getClass().getSimpleName());
+            throw new MalformedDnsException("cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
@@ -200,7 +200,7 @@
 
     // ---- one entry
 
-    private void entry(Scope scope, Lexer lexer, int depth) throws Malformed {
+    private void entry(FileScope scope, ZoneFileLexer lexer, int depth) throws MalformedDnsException {
         List<String> words = lexer.words();
         String first = words.get(0);
         if (!lexer.blank() && first.startsWith("$")) {
@@ -214,7 +214,7 @@
             scope.owner = owner(first, scope.origin);
         }
         if (scope.owner == null) {
-            throw new Malformed("no owner: the entry before has none either");
+            throw new MalformedDnsException("no owner: the entry before has none either");
         }
         long ttl = -1;
         boolean classed = false;
@@ -224,66 +224,69 @@
                 classed = true;
             } else if (!classed
                     && (word.equalsIgnoreCase("CH") || word.equalsIgnoreCase("HS") || word.equalsIgnoreCase("CS"))) {
-                throw new Malformed("the class " + word + " is not held here, only IN");
+                throw new MalformedDnsException("the class " + word + " is not held here, only IN");
             } else if (ttl < 0 && word.charAt(0) >= '0' && word.charAt(0) <= '9') {
                 ttl = Rdata.seconds(word);
                 if (ttl < 0) {
-                    throw new Malformed(
-                            "expected a time to live from 0 to " + Rec.MOST_TTL + " seconds, found " + word);
+                    throw new MalformedDnsException(
+                            "expected a time to live from 0 to " + ResourceRecord.MOST_TTL + " seconds, found " + word);
                 }
             } else {
                 break;
             }
         }
         if (next == words.size()) {
-            throw new Malformed("no type");
+            throw new MalformedDnsException("no type");
         }
-        int type = Types.number(words.get(next));
-        if (type < 0 || Types.meta(type)) {
-            throw new Malformed((type < 0 ? "unknown type " : "no zone holds the type ") + shortened(words.get(next)));
+        int type = RecordTypes.number(words.get(next));
+        if (type < 0 || RecordTypes.meta(type)) {
+            throw new MalformedDnsException(
+                    (type < 0 ? "unknown type " : "no zone holds the type ") + shortened(words.get(next)));
         }
         byte[] data = Rdata.fromText(type, words.subList(next + 1, words.size()), scope.origin);
-        if (type == Types.SOA && zone == null) {
+        if (type == RecordTypes.SOA && zone == null) {
             zone = scope.owner;
         }
         if (ttl < 0) {
             ttl = defaultTtl >= 0 ? defaultTtl : lastTtl;
-            if (ttl < 0 && type == Types.SOA) {
+            if (ttl < 0 && type == RecordTypes.SOA) {
                 ttl = (data[data.length - 4] & 0x7fL) << 24
                         | (data[data.length - 3] & 0xffL) << 16
                         | (data[data.length - 2] & 0xffL) << 8
                         | data[data.length - 1] & 0xffL;
             }
             if (ttl < 0) {
-                throw new Malformed("no time to live: none here, no $TTL, none in an entry before");
+                throw new MalformedDnsException("no time to live: none here, no $TTL, none in an entry before");
             }
         }
         lastTtl = ttl;
-        if (type == Types.SOA) {
+        if (type == RecordTypes.SOA) {
             if (soa != null) {
-                throw new Malformed("a second SOA; the first is at " + soa.file + ":" + soa.line);
+                throw new MalformedDnsException("a second SOA; the first is at " + soa.file + ":" + soa.line);
             }
-            soa = new Place(scope.file, lexer.line());
+            soa = new SourcePosition(scope.file, lexer.line());
             if (!Arrays.equals(scope.owner, zone)) {
-                throw new Malformed("the SOA is at " + Names.text(scope.owner) + ", not at " + Names.text(zone));
+                throw new MalformedDnsException(
+                        "the SOA is at " + DomainNames.text(scope.owner) + ", not at " + DomainNames.text(zone));
             }
         }
-        if (zone != null && !Names.under(scope.owner, zone)) {
-            throw new Malformed(Names.text(scope.owner) + " is out of the zone " + Names.text(zone));
+        if (zone != null && !DomainNames.under(scope.owner, zone)) {
+            throw new MalformedDnsException(
+                    DomainNames.text(scope.owner) + " is out of the zone " + DomainNames.text(zone));
         }
         if (records.size() == lines.length) {
             lines = Arrays.copyOf(lines, 2 * lines.length);
         }
         lines[records.size()] = lexer.line();
-        records.add(new Rec(scope.owner, type, ttl, data));
+        records.add(new ResourceRecord(scope.owner, type, ttl, data));
     }
 
     /** The same owner in entry after entry is one array. */
-    private byte[] owner(String text, byte[] origin) throws Malformed {
+    private byte[] owner(String text, byte[] origin) throws MalformedDnsException {
         if (text.equals(lastOwnerText) && lastOwner != null) {
             return lastOwner;
         }
-        byte[] owner = Names.parse(text, origin);
+        byte[] owner = DomainNames.parse(text, origin);
         lastOwnerText = text;
         lastOwner = owner;
         return owner;
@@ -293,48 +296,48 @@
         return word.length() > 40 ? word.substring(0, 40) + "..." : word;
     }
 
-    private void directive(Scope scope, Lexer lexer, int depth) throws Malformed {
+    private void directive(FileScope scope, ZoneFileLexer lexer, int depth) throws MalformedDnsException {
         List<String> words = lexer.words();
         String name = words.get(0).toUpperCase(Locale.ROOT);
         switch (name) {
             case "$ORIGIN" -> {
                 count(words, 2, 2, "$ORIGIN NAME");
-                scope.origin = Names.parse(words.get(1), scope.origin);
+                scope.origin = DomainNames.parse(words.get(1), scope.origin);
                 lastOwnerText = null;
             }
             case "$TTL" -> {
                 count(words, 2, 2, "$TTL SECONDS");
                 defaultTtl = Rdata.seconds(words.get(1));
                 if (defaultTtl < 0) {
-                    throw new Malformed(
-                            "expected a time to live from 0 to " + Rec.MOST_TTL + " seconds, found " + words.get(1));
+                    throw new MalformedDnsException("expected a time to live from 0 to " + ResourceRecord.MOST_TTL
+                            + " seconds, found " + words.get(1));
                 }
             }
             case "$INCLUDE" -> {
                 count(words, 2, 3, "$INCLUDE FILE [ORIGIN]");
-                byte[] origin = words.size() == 3 ? Names.parse(words.get(2), scope.origin) : scope.origin;
+                byte[] origin = words.size() == 3 ? DomainNames.parse(words.get(2), scope.origin) : scope.origin;
                 Path file = confined(scope.file, words.get(1));
                 if (depth >= MOST_DEPTH) {
-                    throw new Malformed("files included over " + MOST_DEPTH + " deep");
+                    throw new MalformedDnsException("files included over " + MOST_DEPTH + " deep");
                 }
                 lastOwnerText = null;
-                include(file, origin, depth + 1, new Place(scope.file, lexer.line()));
+                include(file, origin, depth + 1, new SourcePosition(scope.file, lexer.line()));
                 lastOwnerText = null;
                 enter(scope.file);
             }
-            default -> throw new Malformed(
+            default -> throw new MalformedDnsException(
                     "unknown directive " + shortened(words.get(0)) + "; known are $ORIGIN, $TTL, $INCLUDE");
         }
     }
 
-    private static void count(List<String> words, int least, int most, String form) throws Malformed {
+    private static void count(List<String> words, int least, int most, String form) throws MalformedDnsException {
         if (words.size() < least || words.size() > most) {
-            throw new Malformed("expected " + form);
+            throw new MalformedDnsException("expected " + form);
         }
     }
 
     /** What is included lies in the folder of the file that was asked for, also behind links. */
-    private Path confined(Path from, String word) throws Malformed {
+    private Path confined(Path from, String word) throws MalformedDnsException {
         String name = word.startsWith("\"") ? word.substring(1, word.length() - 1) : word;
         Path shown = from.resolveSibling(name);
         try {
@@ -345,22 +348,22 @@
                     || !real.startsWith(folder)
                     || Files.exists(shown) && !shown.toRealPath().startsWith(folder.toRealPath())
                     || Files.isSymbolicLink(shown) && !Files.exists(shown, LinkOption.NOFOLLOW_LINKS)) {
-                throw new Malformed("$INCLUDE " + shortened(name) + " leaves the folder of the zone file");
+                throw new MalformedDnsException("$INCLUDE " + shortened(name) + " leaves the folder of the zone file");
             }
         } catch (IOException | RuntimeException e) {
-            throw new Malformed("$INCLUDE " + shortened(name) + " cannot be followed");
+            throw new MalformedDnsException("$INCLUDE " + shortened(name) + " cannot be followed");
         }
         return shown;
     }
 
     // ---- the zone as a whole
 
-    private Place place(int record) {
+    private SourcePosition place(int record) {
         int file = 0;
         while (file + 1 < fileFrom.size() && fileFrom.get(file + 1) <= record) {
             file++;
         }
-        return new Place(files.get(file), lines[record]);
+        return new SourcePosition(files.get(file), lines[record]);
     }
 
     /** @param whole whether every entry could be read: only then is what was not found not there */
@@ -390,36 +393,45 @@
         Map<Integer, Integer> firstOfType = null;
         byte[] last = null;
         for (int i = 0; i < records.size() && faults.size() < MOST_FAULTS; i++) {
-            Rec rec = records.get(i);
-            if (!Names.under(rec.owner(), zone)) {
-                fault(place(i).file, lines[i], Names.text(rec.owner()) + " is out of the zone " + Names.text(zone));
+            ResourceRecord rec = records.get(i);
+            if (!DomainNames.under(rec.owner(), zone)) {
+                fault(
+                        place(i).file,
+                        lines[i],
+                        DomainNames.text(rec.owner()) + " is out of the zone " + DomainNames.text(zone));
                 continue;
             }
             if (rec.owner() != last) {
                 last = rec.owner();
                 firstOfType = names.computeIfAbsent(new Key(Arrays.hashCode(last), last), key -> new HashMap<>(4));
             }
-            ns |= rec.type() == Types.NS && Arrays.equals(rec.owner(), zone);
+            ns |= rec.type() == RecordTypes.NS && Arrays.equals(rec.owner(), zone);
             Integer first = firstOfType.putIfAbsent(rec.type(), i);
             if (first != null && records.get(first).ttl() != rec.ttl()) {
                 fault(
                         place(i).file,
                         lines[i],
-                        "times to live differ within " + Names.text(rec.owner()) + " " + Types.text(rec.type()) + ": "
-                                + rec.ttl() + " here, " + records.get(first).ttl() + " in line " + lines[first]);
+                        "times to live differ within " + DomainNames.text(rec.owner()) + " "
+                                + RecordTypes.text(rec.type()) + ": " + rec.ttl() + " here, "
+                                + records.get(first).ttl() + " in line " + lines[first]);
             }
             if (first != null
-                    && (rec.type() == Types.CNAME || rec.type() == Types.DNAME)
+                    && (rec.type() == RecordTypes.CNAME || rec.type() == RecordTypes.DNAME)
                     && !Arrays.equals(records.get(first).data(), rec.data())) {
-                fault(place(i).file, lines[i], "a second " + Types.text(rec.type()) + " at " + Names.text(rec.owner()));
+                fault(
+                        place(i).file,
+                        lines[i],
+                        "a second " + RecordTypes.text(rec.type()) + " at " + DomainNames.text(rec.owner()));
             }
             if (first == null
-                    && (rec.type() == Types.CNAME ? firstOfType.size() > 1 : firstOfType.containsKey(Types.CNAME))) {
-                fault(place(i).file, lines[i], "a CNAME beside other data at " + Names.text(rec.owner()));
+                    && (rec.type() == RecordTypes.CNAME
+                            ? firstOfType.size() > 1
+                            : firstOfType.containsKey(RecordTypes.CNAME))) {
+                fault(place(i).file, lines[i], "a CNAME beside other data at " + DomainNames.text(rec.owner()));
             }
         }
         if (!ns && whole && faults.isEmpty()) {
-            fault(soa.file, soa.line, "no NS at " + Names.text(zone));
+            fault(soa.file, soa.line, "no NS at " + DomainNames.text(zone));
         }
     }
 
@@ -430,7 +442,7 @@
         try {
             zone.soa().each(zone.origin(), rec -> line(out, rec));
             zone.each(rec -> {
-                if (rec.type() != Types.SOA) {
+                if (rec.type() != RecordTypes.SOA) {
                     line(out, rec);
                 }
             });
@@ -439,7 +451,7 @@
         }
     }
 
-    private static void line(Writer out, Rec rec) {
+    private static void line(Writer out, ResourceRecord rec) {
         try {
             out.write(rec.toString());
             out.write('\n');
--- a/src/main/java/merlinlever/zone/text/Lexer.java
+++ b/src/main/java/merlinlever/zone/text/ZoneFileLexer.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.zone.record.Malformed;
+import merlinlever.zone.record.MalformedDnsException;
 
 /** Cuts the octets of a zone file into entries and these into words; knows of parentheses, quotes, escapes, comments. */
-final class Lexer {
+final class ZoneFileLexer {
 
     /** Words of one entry, and octets of one word, at the most. */
     static final int MOST_WORDS = 8_192;
@@ -23,7 +23,7 @@
     private boolean blank;
     private final List<String> words = new ArrayList<>();
 
-    Lexer(byte[] text) {
+    ZoneFileLexer(byte[] text) {
         this.text = text;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** Goes on to the next entry that holds a word; false at the end. After a fault it can be called again. */
-    boolean next() throws Malformed {
+    boolean next() throws MalformedDnsException {
         while (at < text.length) {
             entry();
             if (!words.isEmpty()) {
@@ -51,7 +51,7 @@
         return false;
     }
 
-    private void entry() throws Malformed {
+    private void entry() throws MalformedDnsException {
         words.clear();
         startLine = line;
         blank = text[at] == ' ' || text[at] == '\t';
@@ -93,11 +93,11 @@
         }
         if (open > 0) {
             startLine = openedAt;
-            throw new Malformed("a parenthesis is not closed");
+            throw new MalformedDnsException("a parenthesis is not closed");
         }
     }
 
-    private void word() throws Malformed {
+    private void word() throws MalformedDnsException {
         int from = at;
         boolean quoted = text[at] == '"';
         if (quoted) {
@@ -122,7 +122,7 @@
     }
 
     /** Passes over the rest of the line, so that the entries behind it can be read and told of as well. */
-    private Malformed skip(String reason) {
+    private MalformedDnsException skip(String reason) {
         while (at < text.length && text[at] != '\n') {
             at++;
         }
@@ -130,6 +130,6 @@
             at++;
             line++;
         }
-        return new Malformed(reason);
+        return new MalformedDnsException(reason);
     }
 }
--- a/src/main/java/merlinlever/zone/wire/Message.java
+++ b/src/main/java/merlinlever/zone/wire/DnsMessage.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
+import merlinlever.zone.record.CompressedNames;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
 import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.record.Wire;
-import merlinlever.zone.state.Entry;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.state.UpdateEntry;
 
 /** A DNS message that was read whole (RFC 1035 section 4, EDNS of RFC 6891). */
-public final class Message {
+public final class DnsMessage {
 
     /** Operations (RFC 1035 section 4.1.1, RFC 1996, RFC 2136). */
     public static final int QUERY = 0, NOTIFY = 4, UPDATE = 5;
@@ -36,12 +36,13 @@
     private int type, dclass;
     private int questions;
     /** Answers, authority, additional; in an update, prerequisites, changes, additional. */
-    private final List<List<Entry>> sections = List.of(new ArrayList<>(0), new ArrayList<>(0), new ArrayList<>(0));
+    private final List<List<UpdateEntry>> sections =
+            List.of(new ArrayList<>(0), new ArrayList<>(0), new ArrayList<>(0));
 
     private Edns edns;
     private Signature signature;
 
-    private Message(byte[] octets) {
+    private DnsMessage(byte[] octets) {
         this.octets = octets;
     }
 
@@ -54,8 +55,8 @@
         return (octets[2] & 0xff) << 8 | octets[3] & 0xff;
     }
 
-    public static Message read(byte[] octets) throws Malformed {
-        Message message = new Message(octets);
+    public static DnsMessage read(byte[] octets) throws MalformedDnsException {
+        DnsMessage message = new DnsMessage(octets);
         message.parse();
         return message;
     }
@@ -68,18 +69,18 @@
         return (long) u16(from) << 16 | u16(from + 2);
     }
 
-    private void parse() throws Malformed {
+    private void parse() throws MalformedDnsException {
         if (octets.length < HEADER || octets.length > MOST) {
-            throw new Malformed("a message of " + octets.length + " octets");
+            throw new MalformedDnsException("a message of " + octets.length + " octets");
         }
         id = u16(0);
         flags = u16(2);
         questions = u16(4);
         if (questions > 1) {
-            throw new Malformed(questions + " questions");
+            throw new MalformedDnsException(questions + " questions");
         }
         at = HEADER;
-        byte[] room = new byte[Names.MOST];
+        byte[] room = new byte[DomainNames.MOST];
         if (questions == 1) {
             name = name(room);
             need(4);
@@ -91,29 +92,29 @@
             int count = u16(6 + 2 * section);
             for (int i = 0; i < count; i++) {
                 if (signature != null) {
-                    throw new Malformed("a record behind the signature");
+                    throw new MalformedDnsException("a record behind the signature");
                 }
                 record(section, room, section == 2 && i == count - 1);
             }
         }
         if (at != octets.length) {
-            throw new Malformed("octets behind the message");
+            throw new MalformedDnsException("octets behind the message");
         }
     }
 
-    private void need(int count) throws Malformed {
+    private void need(int count) throws MalformedDnsException {
         if (at + count > octets.length) {
-            throw new Malformed("the message is cut short");
+            throw new MalformedDnsException("the message is cut short");
         }
     }
 
-    private byte[] name(byte[] room) throws Malformed {
-        long read = Wire.name(octets, at, octets.length, room);
+    private byte[] name(byte[] room) throws MalformedDnsException {
+        long read = CompressedNames.name(octets, at, octets.length, room);
         at = (int) read;
         return Arrays.copyOf(room, (int) (read >>> 32));
     }
 
-    private void record(int section, byte[] room, boolean last) throws Malformed {
+    private void record(int section, byte[] room, boolean last) throws MalformedDnsException {
         int begins = at;
         byte[] owner = name(room);
         need(10);
@@ -123,45 +124,46 @@
         int length = u16(at + 8);
         at += 10;
         need(length);
-        if (recordType == Types.OPT && section == 2) {
+        if (recordType == RecordTypes.OPT && section == 2) {
             if (edns != null || owner.length != 1) {
-                throw new Malformed("EDNS twice, or under a name");
+                throw new MalformedDnsException("EDNS twice, or under a name");
             }
             edns = new Edns(recordClass, (int) (ttl >> 16 & 0xff), (ttl & 0x8000) != 0);
-        } else if (recordType == Types.TSIG) {
-            if (!last || recordClass != Types.CLASS_ANY || ttl != 0) {
-                throw new Malformed("a signature that is not the last record");
+        } else if (recordType == RecordTypes.TSIG) {
+            if (!last || recordClass != RecordTypes.CLASS_ANY || ttl != 0) {
+                throw new MalformedDnsException("a signature that is not the last record");
             }
             signature = signature(begins, owner, room, length);
         } else {
-            byte[] data =
-                    length == 0 && recordClass != Types.IN ? null : Rdata.fromWire(recordType, octets, at, length);
+            byte[] data = length == 0 && recordClass != RecordTypes.IN
+                    ? null
+                    : Rdata.fromWire(recordType, octets, at, length);
             // RFC 2181 section 8: with the top bit set it counts as 0.
             sections.get(section)
-                    .add(new Entry(owner, recordType, recordClass, ttl > Integer.MAX_VALUE ? 0 : ttl, data));
+                    .add(new UpdateEntry(owner, recordType, recordClass, ttl > Integer.MAX_VALUE ? 0 : ttl, data));
         }
         at += length;
     }
 
-    private Signature signature(int begins, byte[] key, byte[] room, int length) throws Malformed {
+    private Signature signature(int begins, byte[] key, byte[] room, int length) throws MalformedDnsException {
         int end = at + length;
-        long read = Wire.name(octets, at, end, room);
+        long read = CompressedNames.name(octets, at, end, room);
         byte[] algorithm = Arrays.copyOf(room, (int) (read >>> 32));
         int from = (int) read;
         if (from + 16 > end) {
-            throw new Malformed("a signature is cut short");
+            throw new MalformedDnsException("a signature is cut short");
         }
         long time = (long) u16(from) << 32 | u32(from + 2);
         int fudge = u16(from + 6);
         int size = u16(from + 8);
         if (from + 16 + size > end) {
-            throw new Malformed("a signature is cut short");
+            throw new MalformedDnsException("a signature is cut short");
         }
         byte[] mac = Arrays.copyOfRange(octets, from + 10, from + 10 + size);
         from += 10 + size;
         int others = u16(from + 4);
         if (from + 6 + others != end) {
-            throw new Malformed("a signature of a wrong length");
+            throw new MalformedDnsException("a signature of a wrong length");
         }
         return new Signature(
                 begins,
@@ -223,15 +225,15 @@
         return dclass;
     }
 
-    public List<Entry> answers() {
+    public List<UpdateEntry> answers() {
         return sections.get(0);
     }
 
-    public List<Entry> authority() {
+    public List<UpdateEntry> authority() {
         return sections.get(1);
     }
 
-    public List<Entry> additional() {
+    public List<UpdateEntry> additional() {
         return sections.get(2);
     }
 
--- a/src/main/java/merlinlever/zone/wire/Writer.java
+++ b/src/main/java/merlinlever/zone/wire/MessageWriter.java
@@ -1,11 +1,11 @@
 package merlinlever.zone.wire;
 
 import java.util.Arrays;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
 
 /** Writes one message, owner names compressed against those already in it, up to a size. */
-public final class Writer {
+public final class MessageWriter {
 
     private static final int MOST_KNOWN = 48;
 
@@ -19,7 +19,7 @@
     private final int[] counts = new int[4];
 
     /** @param most octets, 12 to 65,535 */
-    public Writer(int id, int flags, int most) {
+    public MessageWriter(int id, int flags, int most) {
         this.most = most;
         out = new byte[Math.min(most, 512)];
         at = 12;
@@ -47,7 +47,7 @@
     }
 
     /** The question, or an update's zone. */
-    public Writer question(byte[] name, int type, int dclass) {
+    public MessageWriter question(byte[] name, int type, int dclass) {
         room(name.length + 4);
         name(name);
         put16(at, type);
@@ -134,7 +134,12 @@
     /** EDNS: what datagrams are taken, the upper part of the response code, options (RFC 6891 section 6.1). */
     public boolean edns(int payload, int code, byte[] options) {
         return record(
-                3, Names.ROOT, Types.OPT, payload, (long) (code >> 4) << 24, options == null ? new byte[0] : options);
+                3,
+                DomainNames.ROOT,
+                RecordTypes.OPT,
+                payload,
+                (long) (code >> 4) << 24,
+                options == null ? new byte[0] : options);
     }
 
     public int count(int section) {
--- a/src/main/java/merlinlever/zone/wire/Tsig.java
+++ b/src/main/java/merlinlever/zone/wire/Tsig.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.record.RecordTypes;
 
 /**
  * Signatures of messages (RFC 8945), on the octets as they came. Times are Unix seconds and told by the caller, so that a
@@ -35,7 +35,7 @@
             "HmacSHA512");
 
     /** A shared secret under its name. */
-    public static final class Key {
+    public static final class TsigKey {
         private final byte[] name;
         private final byte[] algorithm;
         private final String mac;
@@ -45,17 +45,17 @@
          * @param name on the wire, in lower case
          * @param algorithm such as hmac-sha256
          */
-        public Key(byte[] name, String algorithm, byte[] secret) throws Malformed {
+        public TsigKey(byte[] name, String algorithm, byte[] secret) throws MalformedDnsException {
             if (!ALGORITHMS.containsKey(algorithm)) {
-                throw new Malformed("no algorithm " + algorithm + "; there are "
+                throw new MalformedDnsException("no algorithm " + algorithm + "; there are "
                         + String.join(
                                 ", ", ALGORITHMS.keySet().stream().sorted().toList()));
             }
             if (secret.length < 16) {
-                throw new Malformed("a secret of under 16 octets");
+                throw new MalformedDnsException("a secret of under 16 octets");
             }
             this.name = name;
-            this.algorithm = Names.absolute(algorithm);
+            this.algorithm = DomainNames.absolute(algorithm);
             this.mac = ALGORITHMS.get(algorithm);
             this.secret = new SecretKeySpec(secret, mac);
         }
@@ -76,15 +76,15 @@
     }
 
     /** Several keys at once, so that one can follow another in service. */
-    public static final class Keys {
-        private final Map<String, Key> byName = new LinkedHashMap<>();
+    public static final class TsigKeyRing {
+        private final Map<String, TsigKey> byName = new LinkedHashMap<>();
 
-        public Keys(List<Key> keys) {
-            keys.forEach(key -> byName.put(Names.text(key.name), key));
+        public TsigKeyRing(List<TsigKey> keys) {
+            keys.forEach(key -> byName.put(DomainNames.text(key.name), key));
         }
 
-        public Key find(byte[] name) {
-            return byName.get(Names.text(name));
+        public TsigKey find(byte[] name) {
+            return byName.get(DomainNames.text(name));
         }
     }
 
@@ -94,16 +94,17 @@
      * @param error 0, or one of the errors; {@code key} is null where it is not known
      * @param mac of the message, for what answers it
      */
-    public record Verdict(int error, Key key, byte[] mac, long time) {}
+    public record Verification(int error, TsigKey key, byte[] mac, long time) {}
 
     private Tsig() {}
 
     /** The message's signature against the keys; {@code prior} is the MAC of what it answers, or null. */
-    public static Verdict verify(Message message, Keys keys, long now, byte[] prior) throws Malformed {
-        Message.Signature signature = message.signature();
-        Key key = keys.find(signature.key());
+    public static Verification verify(DnsMessage message, TsigKeyRing keys, long now, byte[] prior)
+            throws MalformedDnsException {
+        DnsMessage.Signature signature = message.signature();
+        TsigKey key = keys.find(signature.key());
         if (key == null || !Arrays.equals(key.algorithm, signature.algorithm())) {
-            return new Verdict(BADKEY, null, signature.mac(), signature.time());
+            return new Verification(BADKEY, null, signature.mac(), signature.time());
         }
         Mac mac = key.start();
         prior(mac, prior);
@@ -112,19 +113,20 @@
         return verdict(mac.doFinal(), key, signature, now);
     }
 
-    private static Verdict verdict(byte[] made, Key key, Message.Signature signature, long now) throws Malformed {
+    private static Verification verdict(byte[] made, TsigKey key, DnsMessage.Signature signature, long now)
+            throws MalformedDnsException {
         byte[] mac = signature.mac();
         // Section 5.2.2.1.
         if (mac.length > made.length || mac.length < Math.max(10, made.length / 2)) {
-            throw new Malformed("a signature of " + mac.length + " octets");
+            throw new MalformedDnsException("a signature of " + mac.length + " octets");
         }
         if (!MessageDigest.isEqual(Arrays.copyOf(made, mac.length), mac)) {
-            return new Verdict(BADSIG, key, mac, signature.time());
+            return new Verification(BADSIG, key, mac, signature.time());
         }
         if (Math.abs(now - signature.time()) > signature.fudge()) {
-            return new Verdict(BADTIME, key, mac, signature.time());
+            return new Verification(BADTIME, key, mac, signature.time());
         }
-        return new Verdict(mac.length < made.length ? BADTRUNC : 0, key, mac, signature.time());
+        return new Verification(mac.length < made.length ? BADTRUNC : 0, key, mac, signature.time());
     }
 
     private static void prior(Mac mac, byte[] prior) {
@@ -135,7 +137,7 @@
     }
 
     /** The message as it was before it was signed: its first id, one additional record less. */
-    private static void unsigned(Mac mac, Message message) {
+    private static void unsigned(Mac mac, DnsMessage message) {
         byte[] octets = Arrays.copyOf(message.octets(), message.signature().at());
         put16(octets, 0, message.signature().id());
         put16(octets, 10, ((octets[10] & 0xff) << 8 | octets[11] & 0xff) - 1);
@@ -156,9 +158,9 @@
         return times;
     }
 
-    private static void variables(Mac mac, Key key, long time, int fudge, int error, byte[] other) {
+    private static void variables(Mac mac, TsigKey key, long time, int fudge, int error, byte[] other) {
         mac.update(key.name);
-        mac.update(new byte[] {0, (byte) Types.CLASS_ANY, 0, 0, 0, 0});
+        mac.update(new byte[] {0, (byte) RecordTypes.CLASS_ANY, 0, 0, 0, 0});
         mac.update(key.algorithm);
         mac.update(times(time, fudge));
         mac.update(new byte[] {(byte) (error >> 8), (byte) error, (byte) (other.length >> 8), (byte) other.length});
@@ -166,28 +168,28 @@
     }
 
     /** A signed message. */
-    public record Signed(byte[] octets, byte[] mac) {}
+    public record SignedMessage(byte[] octets, byte[] mac) {}
 
-    public static Signed sign(byte[] message, Key key, long now, byte[] prior) {
+    public static SignedMessage sign(byte[] message, TsigKey key, long now, byte[] prior) {
         return sign(message, key, now, prior, 0, new byte[0]);
     }
 
     /** Signs an answer that tells of a bad time, with this side's own (section 5.2.3). */
-    public static Signed signBadTime(byte[] message, Key key, long theirs, long now, byte[] prior) {
+    public static SignedMessage signBadTime(byte[] message, TsigKey key, long theirs, long now, byte[] prior) {
         return sign(message, key, theirs, prior, BADTIME, Arrays.copyOf(times(now, 0), 6));
     }
 
-    private static Signed sign(byte[] message, Key key, long time, byte[] prior, int error, byte[] other) {
+    private static SignedMessage sign(byte[] message, TsigKey key, long time, byte[] prior, int error, byte[] other) {
         Mac mac = key.start();
         prior(mac, prior);
         mac.update(message);
         variables(mac, key, time, FUDGE, error, other);
         byte[] made = mac.doFinal();
-        return new Signed(appended(message, key.name, key.algorithm, time, FUDGE, made, error, other), made);
+        return new SignedMessage(appended(message, key.name, key.algorithm, time, FUDGE, made, error, other), made);
     }
 
     /** An answer that tells of a key or a signature that does not hold carries no MAC (section 5.3.2). */
-    public static byte[] unsignedError(byte[] message, Message.Signature theirs, int error) {
+    public static byte[] unsignedError(byte[] message, DnsMessage.Signature theirs, int error) {
         return appended(
                 message,
                 theirs.key(),
@@ -206,8 +208,8 @@
         int at = message.length;
         System.arraycopy(key, 0, out, at, key.length);
         at += key.length;
-        put16(out, at, Types.TSIG);
-        put16(out, at + 2, Types.CLASS_ANY);
+        put16(out, at, RecordTypes.TSIG);
+        put16(out, at + 2, RecordTypes.CLASS_ANY);
         put16(out, at + 8, length);
         at += 10;
         System.arraycopy(algorithm, 0, out, at, algorithm.length);
@@ -227,20 +229,20 @@
     }
 
     /** Octets that a signature of the key adds at the most. */
-    public static int room(Key key) {
+    public static int room(TsigKey key) {
         return key.name.length + 10 + key.algorithm.length + 16 + 64 + 6;
     }
 
     /** The signatures of a stream of messages that answer one (section 5.3.1). */
-    public static final class Chain {
-        private final Key key;
+    public static final class SignatureChain {
+        private final TsigKey key;
         private byte[] prior;
         private boolean first = true;
         private Mac pending;
         private int unsigned;
 
         /** @param asked the MAC of the question */
-        public Chain(Key key, byte[] asked) {
+        public SignatureChain(TsigKey key, byte[] asked) {
             this.key = key;
             prior = asked;
         }
@@ -260,12 +262,12 @@
         }
 
         /** Whether the next message of the stream holds; up to 99 in a row may come unsigned. */
-        public boolean holds(Message message, long now) throws Malformed {
+        public boolean holds(DnsMessage message, long now) throws MalformedDnsException {
             if (pending == null) {
                 pending = key.start();
                 prior(pending, prior);
             }
-            Message.Signature signature = message.signature();
+            DnsMessage.Signature signature = message.signature();
             if (signature == null) {
                 pending.update(message.octets());
                 return !first && ++unsigned <= 99;
--- a/src/test/java/merlinlever/Server.java
+++ b/src/test/java/merlinlever/ControllerFixture.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.policy.Control;
+import merlinlever.policy.OverloadController;
 
 /** A module with what is stated at start, a clock, and short words for what the tests do to it. */
-final class Server {
+final class ControllerFixture {
 
     static final int LOOKUP = 0;
     static final int CHARGE = 1;
@@ -38,11 +38,11 @@
             "1000"));
     long seed = 7;
     Duration now = Duration.ZERO;
-    Settled last = new Settled();
+    Decisions last = new Decisions();
     Duration closeIdle;
-    private Control control;
+    private OverloadController control;
 
-    Server() {
+    ControllerFixture() {
         given.put("limits.stay-away", "true");
         tariff(LOOKUP, "retriable", 1);
         tariff(CHARGE, "fingerprinted", 4);
@@ -67,51 +67,51 @@
                 "10000"));
     }
 
-    Server with(String name, Object value) {
+    ControllerFixture with(String name, Object value) {
         given.put(name, "" + value);
         return this;
     }
 
-    Control control() {
+    OverloadController control() {
         if (control == null) {
-            control = new Control(given, seed);
+            control = new OverloadController(given, seed);
         }
         return control;
     }
 
-    Operation take(int tariff) {
+    RequestHandle take(int tariff) {
         return take(tariff, 0, 10, null);
     }
 
-    Operation take(int tariff, double unreadMs, double kb, Operation repeats) {
+    RequestHandle take(int tariff, double unreadMs, double kb, RequestHandle repeats) {
         return control().take(now, tariff, millis(unreadMs), null, kb, null, repeats != null, true, repeats);
     }
 
     /** A marked further try of which nothing is known here. */
-    Operation again(int tariff) {
+    RequestHandle again(int tariff) {
         return control().take(now, tariff, millis(0), null, 10, null, true, true, null);
     }
 
-    Settled settle() {
+    Decisions settle() {
         last = control().settle(now);
         closeIdle = last.closeIdle == null ? closeIdle : last.closeIdle;
         return last;
     }
 
-    Settled after(double ms) {
+    Decisions after(double ms) {
         now = now.plus(millis(ms));
         return settle();
     }
 
     /** Runs one lookup to its end, over and over, so that the module learns what it can do. */
-    Server warmedUp(int rounds, double runMs) {
+    ControllerFixture warmedUp(int rounds, double runMs) {
         for (int i = 0; i < rounds; i++) {
-            List<Operation> started = new ArrayList<>();
+            List<RequestHandle> started = new ArrayList<>();
             started.add(take(LOOKUP));
             started.add(take(LOOKUP));
             settle();
             now = now.plus(millis(runMs));
-            started.forEach(o -> o.ended(now, Ending.OK));
+            started.forEach(o -> o.ended(now, Outcome.OK));
             control().look(now, new double[] {0, 0});
             settle();
         }
@@ -119,8 +119,8 @@
     }
 
     /** Runs an order on every core. */
-    List<Operation> full() {
-        List<Operation> running = new ArrayList<>();
+    List<RequestHandle> full() {
+        List<RequestHandle> running = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             running.add(take(ORDER));
             settle();
@@ -129,7 +129,7 @@
         return running;
     }
 
-    boolean pushedBack(Operation operation) {
+    boolean pushedBack(RequestHandle operation) {
         return last.pushedBack.stream().anyMatch(p -> p.operation() == operation);
     }
 
--- a/src/test/java/merlinlever/FleetCallsTest.java
+++ b/src/test/java/merlinlever/FleetDownstreamCallsTest.java
@@ -17,7 +17,7 @@
  * calls-over, stay within the sum N of the shares and what is left to chance, 2 x sqrt(N) + 2, however many processes make
  * up the fleet, and also where all start cold at one instant and are sent the same.
  */
-class FleetCallsTest {
+class FleetDownstreamCallsTest {
 
     private static final int STEP = 10;
     private static final int OVER = 5000;
@@ -25,9 +25,9 @@
     private static final int LENGTH = 11_000;
 
     /** One run of a process of the fleet: 10 ms to its call, the call, and 10 ms after it. */
-    private static final class Run {
-        final Process process;
-        final Operation operation;
+    private static final class SimulatedRun {
+        final SimulatedProcess process;
+        final RequestHandle operation;
         /** When it comes to its call or, with the call behind it, ends. */
         int at;
 
@@ -40,21 +40,21 @@
         int lingers;
         boolean out;
 
-        Run(Process process, Operation operation, int at) {
+        SimulatedRun(SimulatedProcess process, RequestHandle operation, int at) {
             this.process = process;
             this.operation = operation;
             this.at = at;
         }
     }
 
-    private static final class Process {
-        Server server;
+    private static final class SimulatedProcess {
+        ControllerFixture server;
         int startsAt;
         SplittableRandom chance;
-        final List<Run> runs = new ArrayList<>();
+        final List<SimulatedRun> runs = new ArrayList<>();
     }
 
-    private final List<Run> inHand = new ArrayList<>();
+    private final List<SimulatedRun> inHand = new ArrayList<>();
     private int served;
 
     /** The highest mean of the fleet's calls in hand over any span, for a fleet that is told that it counts so many. */
@@ -62,10 +62,10 @@
         SplittableRandom chance = new SplittableRandom(36);
         inHand.clear();
         served = 0;
-        List<Process> fleet = new ArrayList<>();
+        List<SimulatedProcess> fleet = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
-            Process process = new Process();
-            process.server = new Server()
+            SimulatedProcess process = new SimulatedProcess();
+            process.server = new ControllerFixture()
                     .with("server.below", "shared")
                     .with("server.share-of-calls", share)
                     .with("server.calls-over", OVER)
@@ -86,7 +86,7 @@
         double highest = 0;
         for (int now = 0; now < LENGTH; now += STEP) {
             below(now, slots);
-            for (Process process : fleet) {
+            for (SimulatedProcess process : fleet) {
                 if (now >= process.startsAt) {
                     step(process, now, callMs);
                 }
@@ -104,16 +104,16 @@
     /** What lies below works on all calls that it holds at once; one that was given up it drops after a while. */
     private void below(int now, double slots) {
         double done = STEP * Math.min(1, slots / Math.max(1, inHand.size()));
-        for (Run run : List.copyOf(inHand)) {
+        for (SimulatedRun run : List.copyOf(inHand)) {
             run.left -= done;
             boolean over = run.left <= 0;
             if (run.out && (over || now >= run.givenUpAt)) {
                 run.out = false;
                 served += over ? 1 : 0;
-                run.process.server.now = Server.millis(now - run.process.startsAt);
+                run.process.server.now = ControllerFixture.millis(now - run.process.startsAt);
                 run.operation.callEnded(
                         run.process.server.now,
-                        over ? Ending.OK : Ending.GIVEN_UP,
+                        over ? Outcome.OK : Outcome.GIVEN_UP,
                         Duration.ofMillis(now - run.madeAt));
                 run.at = over ? now + STEP : Integer.MAX_VALUE;
                 run.lingers = now + LINGER;
@@ -124,14 +124,14 @@
         }
     }
 
-    private void step(Process process, int now, double callMs) {
-        Server server = process.server;
-        server.now = Server.millis(now - process.startsAt);
-        for (Run run : List.copyOf(process.runs)) {
+    private void step(SimulatedProcess process, int now, double callMs) {
+        ControllerFixture server = process.server;
+        server.now = ControllerFixture.millis(now - process.startsAt);
+        for (SimulatedRun run : List.copyOf(process.runs)) {
             if (now >= run.at) {
                 run.at = Integer.MAX_VALUE;
                 if (run.called) {
-                    run.operation.ended(server.now, Ending.OK);
+                    run.operation.ended(server.now, Outcome.OK);
                     process.runs.remove(run);
                 } else {
                     run.called = true;
@@ -140,9 +140,9 @@
             }
         }
         if (process.chance.nextInt(10) == 0) {
-            server.take(Server.CALLING);
+            server.take(ControllerFixture.CALLING);
         }
-        Settled settled = server.settle();
+        Decisions settled = server.settle();
         int running = (int)
                 process.runs.stream().filter(run -> run.at != Integer.MAX_VALUE).count();
         server.control().look(server.now, new double[] {0, running});
@@ -151,8 +151,8 @@
         assertTrue(server.control().figures().onCores() <= 8 * (1 + 3 * speed), "more on cold cores than they survive");
     }
 
-    private void carryOut(Process process, Settled settled, int now, double callMs) {
-        for (Operation answered : settled.brokenOff) {
+    private void carryOut(SimulatedProcess process, Decisions settled, int now, double callMs) {
+        for (RequestHandle answered : settled.brokenOff) {
             process.runs.stream()
                     .filter(run -> run.operation == answered)
                     .findFirst()
@@ -161,26 +161,26 @@
                             // At its call, and over: the run ends, and the call is given up.
                             run.lingers = now + LINGER;
                             run.out = false;
-                            run.operation.ended(process.server.now, Ending.STOPPED);
+                            run.operation.ended(process.server.now, Outcome.STOPPED);
                             process.runs.remove(run);
                         }
                     });
         }
-        for (Operation halted : settled.halted) {
+        for (RequestHandle halted : settled.halted) {
             process.runs.removeIf(run -> run.operation == halted);
-            halted.ended(process.server.now, Ending.STOPPED);
+            halted.ended(process.server.now, Outcome.STOPPED);
         }
-        for (Operation started : settled.started) {
-            process.runs.add(new Run(process, started, now + STEP));
+        for (RequestHandle started : settled.started) {
+            process.runs.add(new SimulatedRun(process, started, now + STEP));
         }
-        for (Settled.Timed call : settled.called) {
-            Run run = process.runs.stream()
+        for (Decisions.TimedDecision call : settled.called) {
+            SimulatedRun run = process.runs.stream()
                     .filter(r -> r.operation == call.operation())
                     .findFirst()
                     .orElseThrow();
             run.left = callMs;
             run.madeAt = now;
-            run.givenUpAt = now + (int) Math.ceil(Server.ms(call.span()));
+            run.givenUpAt = now + (int) Math.ceil(ControllerFixture.ms(call.span()));
             run.out = true;
             inHand.add(run);
         }
--- a/src/test/java/merlinlever/RulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -15,16 +15,16 @@
  * A slow, plain model of the four rules beside the module: it plays a server that starts, ends, stops and calls, with
  * repeats, hang-ups, a drain, cold starts, failed calls and little memory, and checks what the module may do.
  */
-class RulesModelTest {
+class SafetyRulesModelTest {
 
-    private static final Duration SLACK = Server.millis(60);
+    private static final Duration SLACK = ControllerFixture.millis(60);
 
-    private static final class Entry {
+    private static final class ModelRequest {
         int tariff;
         Duration arrival;
         Duration due;
         double kb;
-        Entry same;
+        ModelRequest same;
         boolean running;
         boolean calling;
         boolean out;
@@ -37,10 +37,10 @@
         Duration kept;
     }
 
-    private final Map<Operation, Entry> all = new IdentityHashMap<>();
-    private final List<Operation> order = new ArrayList<>();
+    private final Map<RequestHandle, ModelRequest> all = new IdentityHashMap<>();
+    private final List<RequestHandle> order = new ArrayList<>();
     private SplittableRandom chance;
-    private Server server;
+    private ControllerFixture server;
     private Duration leave;
     private Duration stop;
 
@@ -51,7 +51,7 @@
         order.clear();
         leave = null;
         double memory = chance.nextBoolean() ? 1500 : 20000;
-        server = new Server()
+        server = new ControllerFixture()
                 .with("server.memory-kb", memory)
                 .with("server.cold", chance.nextBoolean())
                 .with("rules.cold-share", 0.25)
@@ -77,30 +77,30 @@
             carryOut(server.settle());
             checkLoad(memory, cold);
         }
-        for (Entry entry : all.values()) {
+        for (ModelRequest entry : all.values()) {
             boolean owed = leave != null && server.now.compareTo(stop) >= 0 || server.now.compareTo(entry.due) > 0;
             assertTrue(!owed || entry.answered || entry.gone, "rule 1 and 3: answered in the end");
         }
     }
 
     private void arrive() {
-        Entry entry = new Entry();
+        ModelRequest entry = new ModelRequest();
         entry.tariff = chance.nextInt(4);
         double unread = chance.nextInt(4) == 0 ? chance.nextDouble(400) : 5;
-        entry.arrival = server.now.minus(Server.millis(unread));
+        entry.arrival = server.now.minus(ControllerFixture.millis(unread));
         entry.due = entry.arrival.plusMillis(3000);
         entry.kb = 5 + chance.nextDouble(30);
-        Operation same = null;
-        if (entry.tariff == Server.CHARGE || entry.tariff == Server.CALLING) {
-            for (Operation earlier : order) {
-                Entry e = all.get(earlier);
+        RequestHandle same = null;
+        if (entry.tariff == ControllerFixture.CHARGE || entry.tariff == ControllerFixture.CALLING) {
+            for (RequestHandle earlier : order) {
+                ModelRequest e = all.get(earlier);
                 boolean live = e.kept != null && e.kept.compareTo(entry.arrival) > 0 && (e.ran || !e.over);
                 if (live && e.tariff == entry.tariff && e.same == null && chance.nextInt(6) == 0) {
                     same = earlier;
                 }
             }
         }
-        Operation taken = server.take(entry.tariff, unread, entry.kb, same);
+        RequestHandle taken = server.take(entry.tariff, unread, entry.kb, same);
         entry.same = same == null ? null : all.get(same);
         all.put(taken, entry);
         order.add(taken);
@@ -109,40 +109,40 @@
     private void advance() {
         order.removeIf(o ->
                 all.get(o).over && (all.get(o).kept == null || all.get(o).kept.compareTo(server.now) < 0));
-        for (Operation operation : new ArrayList<>(order)) {
-            Entry e = all.get(operation);
+        for (RequestHandle operation : new ArrayList<>(order)) {
+            ModelRequest e = all.get(operation);
             if (e.over) {
                 continue;
             }
             if (e.running && !e.calling && chance.nextInt(20) == 0) {
-                if (e.tariff == Server.CALLING && chance.nextBoolean()) {
+                if (e.tariff == ControllerFixture.CALLING && chance.nextBoolean()) {
                     e.calling = true;
                     operation.reachedCall(server.now);
                 } else {
-                    end(operation, e, chance.nextInt(9) == 0 ? Ending.ERROR : Ending.OK);
+                    end(operation, e, chance.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK);
                 }
             } else if (e.out && chance.nextInt(10) == 0) {
-                Ending[] ways = {Ending.OK, Ending.OK, Ending.TURNED_AWAY, Ending.GIVEN_UP, Ending.UNREACHABLE};
-                Ending how = ways[chance.nextInt(ways.length)];
-                e.callMayHaveRun |= how != Ending.OK && !how.provesUnrun();
-                e.calling = how != Ending.OK;
+                Outcome[] ways = {Outcome.OK, Outcome.OK, Outcome.TURNED_AWAY, Outcome.GIVEN_UP, Outcome.UNREACHABLE};
+                Outcome how = ways[chance.nextInt(ways.length)];
+                e.callMayHaveRun |= how != Outcome.OK && !how.provesUnrun();
+                e.calling = how != Outcome.OK;
                 e.out = false;
-                operation.callEnded(server.now, how, Server.millis(50));
+                operation.callEnded(server.now, how, ControllerFixture.millis(50));
             } else if (e.sharing && e.same.over) {
-                end(operation, e, Ending.OK);
+                end(operation, e, Outcome.OK);
             } else if (!e.answered && chance.nextInt(300) == 0) {
                 e.gone = true;
                 operation.callerGone(server.now);
                 if (!e.running) {
                     e.over = true;
                 } else if (e.calling) {
-                    end(operation, e, Ending.STOPPED);
+                    end(operation, e, Outcome.STOPPED);
                 }
             }
         }
     }
 
-    private void end(Operation operation, Entry e, Ending how) {
+    private void end(RequestHandle operation, ModelRequest e, Outcome how) {
         e.over = true;
         e.running = false;
         e.out = false;
@@ -150,9 +150,9 @@
         operation.ended(server.now, how);
     }
 
-    private void carryOut(Settled settled) {
-        for (Settled.Timed kept : settled.kept) {
-            Entry e = all.get(kept.operation());
+    private void carryOut(Decisions settled) {
+        for (Decisions.TimedDecision kept : settled.kept) {
+            ModelRequest e = all.get(kept.operation());
             if (e.same != null) {
                 all.values().stream()
                         .filter(o -> o == e.same || o.same == e.same)
@@ -160,56 +160,56 @@
             }
             e.kept = server.now.plus(kept.span());
         }
-        for (Operation operation : settled.brokenOff) {
+        for (RequestHandle operation : settled.brokenOff) {
             answer(operation);
         }
-        for (Operation operation : settled.halted) {
-            Entry e = all.get(operation);
+        for (RequestHandle operation : settled.halted) {
+            ModelRequest e = all.get(operation);
             if (e.running) {
                 assertTrue(e.answered || e.gone, "nothing unanswered is stopped here");
-                end(operation, e, Ending.STOPPED);
+                end(operation, e, Outcome.STOPPED);
             }
         }
-        for (Settled.Pushback pushback : settled.pushedBack) {
-            Entry e = all.get(pushback.operation());
+        for (Decisions.Rejection pushback : settled.pushedBack) {
+            ModelRequest e = all.get(pushback.operation());
             assertTrue(!e.ran, "rule 2: what ran is not pushed back");
             answer(pushback.operation());
         }
-        for (Operation operation : settled.forgotten) {
+        for (RequestHandle operation : settled.forgotten) {
             all.get(operation).kept = null;
         }
-        for (Operation operation : settled.started) {
-            Entry e = all.get(operation);
+        for (RequestHandle operation : settled.started) {
+            ModelRequest e = all.get(operation);
             assertTrue(!e.answered && !e.gone && !e.running, "only what is held and owed is started");
-            assertTrue(!e.ran || e.tariff == Server.LOOKUP, "rule 2: nothing with an effect runs twice");
-            assertTrue(e.tariff != Server.CHARGE || e.kept != null, "rule 2: remembered before it runs");
+            assertTrue(!e.ran || e.tariff == ControllerFixture.LOOKUP, "rule 2: nothing with an effect runs twice");
+            assertTrue(e.tariff != ControllerFixture.CHARGE || e.kept != null, "rule 2: remembered before it runs");
             assertTrue(e.same == null || !e.same.ran, "rule 2: no repeat of what ran is run");
             assertTrue(leave == null || e.arrival.compareTo(leave.plusMillis(2000)) <= 0, "rule 3: grace");
             e.running = true;
             e.ran = true;
         }
-        for (Operation operation : settled.shared) {
-            Entry e = all.get(operation);
+        for (RequestHandle operation : settled.shared) {
+            ModelRequest e = all.get(operation);
             assertTrue(e.same != null && !e.answered, "only repeats share");
             e.sharing = true;
         }
-        for (Settled.Timed call : settled.called) {
-            Entry e = all.get(call.operation());
+        for (Decisions.TimedDecision call : settled.called) {
+            ModelRequest e = all.get(call.operation());
             assertTrue(e.calling && !e.out && !e.answered, "only what waits for a call makes one");
             assertTrue(!e.callMayHaveRun, "rule 2: no call again that may have run");
             e.out = true;
         }
     }
 
-    private void answer(Operation operation) {
-        Entry e = all.get(operation);
+    private void answer(RequestHandle operation) {
+        ModelRequest e = all.get(operation);
         assertTrue(!e.answered, "rule 1: one answer");
         assertTrue(server.now.compareTo(e.due.plus(SLACK)) <= 0, "rule 1: in time");
         e.answered = true;
         if (!e.running) {
             e.over = true;
         } else if (e.calling) {
-            end(operation, e, Ending.STOPPED);
+            end(operation, e, Outcome.STOPPED);
         }
     }
 
@@ -222,13 +222,13 @@
 
     private void checkLoad(double memory, boolean cold) {
         double used = 0;
-        for (Operation operation : order) {
-            Entry e = all.get(operation);
+        for (RequestHandle operation : order) {
+            ModelRequest e = all.get(operation);
             used += e.over ? 0 : e.running ? e.kb * 4 : e.kb;
             used += e.kept != null && e.kept.compareTo(server.now) > 0 ? 100 : 0;
         }
         assertTrue(used <= memory, "rule 4: memory " + used);
-        double share = cold ? Math.min(1, 0.25 + 0.75 * Server.ms(server.now) / 8000) : 1;
+        double share = cold ? Math.min(1, 0.25 + 0.75 * ControllerFixture.ms(server.now) / 8000) : 1;
         assertTrue(onCores() <= 8 * (1 + 3 * share), "rule 4: crowd " + onCores());
     }
 }
--- a/src/test/java/merlinlever/GuardsTest.java
+++ b/src/test/java/merlinlever/SafetyRulesTest.java
@@ -7,30 +7,30 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.policy.Control;
+import merlinlever.policy.OverloadController;
 import net.jqwik.api.Example;
 
 /** Each guard of the four rules and each failure met on the bench, by itself. */
-class GuardsTest {
+class SafetyRulesTest {
 
-    private Server server = new Server();
+    private ControllerFixture server = new ControllerFixture();
 
     @Example
     void aRunStillGoingIsBrokenOffAtItsClientTimeout() {
-        Operation charge = server.take(Server.CHARGE);
+        RequestHandle charge = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(charge), server.settle().started);
         assertTrue(server.after(2990).brokenOff.isEmpty());
-        Settled due = server.after(10);
+        Decisions due = server.after(10);
         assertEquals(List.of(charge), due.brokenOff);
         assertEquals(List.of(charge), due.halted);
-        charge.ended(server.now, Ending.STOPPED);
+        charge.ended(server.now, Outcome.STOPPED);
         assertTrue(server.after(10).started.isEmpty(), "what ran with an effect is not run again");
     }
 
     @Example
     void whatWaitsTooLongIsPushedBackUnrun() {
         server.full();
-        Operation third = server.take(Server.LOOKUP);
+        RequestHandle third = server.take(ControllerFixture.LOOKUP);
         assertTrue(server.settle().started.isEmpty());
         server.after(900);
         assertFalse(server.pushedBack(third));
@@ -40,41 +40,41 @@
 
     @Example
     void aRepeatOfAFingerprintedRunSharesItsOutcome() {
-        Operation first = server.take(Server.CHARGE);
+        RequestHandle first = server.take(ControllerFixture.CHARGE);
         assertEquals(first, server.settle().kept.get(0).operation());
-        Operation second = server.take(Server.CHARGE, 0, 10, first);
-        Settled settled = server.settle();
+        RequestHandle second = server.take(ControllerFixture.CHARGE, 0, 10, first);
+        Decisions settled = server.settle();
         assertEquals(List.of(second), settled.shared);
         assertTrue(settled.started.isEmpty());
-        first.ended(server.now, Ending.OK);
+        first.ended(server.now, Outcome.OK);
         server.after(5000);
-        Operation third = server.take(Server.CHARGE, 0, 10, first);
+        RequestHandle third = server.take(ControllerFixture.CHARGE, 0, 10, first);
         assertEquals(List.of(third), server.settle().shared);
     }
 
     @Example
     void aRepeatOfAStoppedChargeIsBrokenOff() {
-        Operation first = server.take(Server.CHARGE);
+        RequestHandle first = server.take(ControllerFixture.CHARGE);
         server.settle();
         server.after(3000);
-        first.ended(server.now, Ending.STOPPED);
-        Operation second = server.take(Server.CHARGE, 0, 10, first);
+        first.ended(server.now, Outcome.STOPPED);
+        RequestHandle second = server.take(ControllerFixture.CHARGE, 0, 10, first);
         assertEquals(List.of(second), server.settle().brokenOff);
     }
 
     @Example
     void aRepeatOfAnUnknownChargeIsBrokenOffAndOneOfAnUnknownLookupIsNot() {
-        Operation unknown = new Server().take(Server.CHARGE);
-        Operation charge = server.take(Server.CHARGE, 0, 10, foreign(unknown));
+        RequestHandle unknown = new ControllerFixture().take(ControllerFixture.CHARGE);
+        RequestHandle charge = server.take(ControllerFixture.CHARGE, 0, 10, foreign(unknown));
         assertEquals(List.of(charge), server.settle().brokenOff);
-        Operation lookup = server.take(Server.LOOKUP, 0, 10, foreign(unknown));
+        RequestHandle lookup = server.take(ControllerFixture.LOOKUP, 0, 10, foreign(unknown));
         assertEquals(List.of(lookup), server.settle().started);
     }
 
-    private static Operation foreign(Operation operation) {
-        return new Operation() {
+    private static RequestHandle foreign(RequestHandle operation) {
+        return new RequestHandle() {
             @Override
-            public void ended(java.time.Duration now, Ending how) {
+            public void ended(java.time.Duration now, Outcome how) {
                 operation.ended(now, how);
             }
 
@@ -84,7 +84,7 @@
             }
 
             @Override
-            public void callEnded(java.time.Duration now, Ending how, java.time.Duration took) {
+            public void callEnded(java.time.Duration now, Outcome how, java.time.Duration took) {
                 operation.callEnded(now, how, took);
             }
 
@@ -98,8 +98,8 @@
     @Example
     void aRepeatTakesThePlaceOfAnOriginalWhoseCallerLeft() {
         server.full();
-        Operation first = server.take(Server.CHARGE);
-        Operation second = server.take(Server.CHARGE, 0, 10, first);
+        RequestHandle first = server.take(ControllerFixture.CHARGE);
+        RequestHandle second = server.take(ControllerFixture.CHARGE, 0, 10, first);
         assertTrue(server.settle().shared.isEmpty());
         first.callerGone(server.now);
         assertEquals(second, server.settle().kept.get(0).operation(), "the entry passes on");
@@ -109,69 +109,69 @@
 
     @Example
     void onlyACallThatDidNotGetThroughIsMadeAgainAndOnce() {
-        for (Ending how : new Ending[] {Ending.ERROR, Ending.GIVEN_UP, Ending.CUT_OFF, Ending.TURNED_AWAY}) {
-            Operation charge = called(how);
+        for (Outcome how : new Outcome[] {Outcome.ERROR, Outcome.GIVEN_UP, Outcome.CUT_OFF, Outcome.TURNED_AWAY}) {
+            RequestHandle charge = called(how);
             assertEquals(List.of(charge), server.after(200).brokenOff, how + " is not made again");
-            charge.ended(server.now, Ending.STOPPED);
+            charge.ended(server.now, Outcome.STOPPED);
         }
-        Operation charge = called(Ending.UNREACHABLE);
+        RequestHandle charge = called(Outcome.UNREACHABLE);
         assertEquals(charge, server.after(200).called.get(0).operation(), "it never got through");
-        charge.callEnded(server.now, Ending.UNREACHABLE, Server.millis(0));
+        charge.callEnded(server.now, Outcome.UNREACHABLE, ControllerFixture.millis(0));
         assertEquals(List.of(charge), server.settle().brokenOff, "once again, not for ever");
     }
 
     /** A spoilt reply or a broken connection costs a retriable operation some time, not its outcome. */
     @Example
     void aCallOfARetriableOperationThatIsCutOffIsMadeAgainAndOnce() {
-        Operation lookup = called(Ending.CUT_OFF, Server.LOOKUP);
+        RequestHandle lookup = called(Outcome.CUT_OFF, ControllerFixture.LOOKUP);
         assertEquals(lookup, server.after(200).called.get(0).operation(), "twice harms nothing");
-        lookup.callEnded(server.now, Ending.CUT_OFF, Server.millis(0));
+        lookup.callEnded(server.now, Outcome.CUT_OFF, ControllerFixture.millis(0));
         assertEquals(List.of(lookup), server.settle().brokenOff, "once again, not for ever");
-        lookup.ended(server.now, Ending.STOPPED);
-        for (Ending how : new Ending[] {Ending.ERROR, Ending.GIVEN_UP, Ending.TURNED_AWAY}) {
-            Operation other = called(how, Server.LOOKUP);
+        lookup.ended(server.now, Outcome.STOPPED);
+        for (Outcome how : new Outcome[] {Outcome.ERROR, Outcome.GIVEN_UP, Outcome.TURNED_AWAY}) {
+            RequestHandle other = called(how, ControllerFixture.LOOKUP);
             assertEquals(List.of(other), server.after(200).brokenOff, how + " may come of a crowded tier");
-            other.ended(server.now, Ending.STOPPED);
+            other.ended(server.now, Outcome.STOPPED);
         }
     }
 
-    private Operation called(Ending how) {
-        return called(how, Server.CALLING);
+    private RequestHandle called(Outcome how) {
+        return called(how, ControllerFixture.CALLING);
     }
 
-    private Operation called(Ending how, int tariff) {
-        Operation charge = server.take(tariff);
+    private RequestHandle called(Outcome how, int tariff) {
+        RequestHandle charge = server.take(tariff);
         server.settle();
         charge.reachedCall(server.now);
         assertEquals(charge, server.settle().called.get(0).operation());
-        charge.callEnded(server.now, how, Server.millis(0));
+        charge.callEnded(server.now, how, ControllerFixture.millis(0));
         return charge;
     }
 
     @Example
     void afterTheGraceNothingNewRunsAndAllIsAnsweredBeforeTheStop() {
-        Operation running = server.take(Server.CHARGE);
+        RequestHandle running = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(running), server.settle().started);
-        server.control().leave(server.now, Server.millis(2600));
+        server.control().leave(server.now, ControllerFixture.millis(2600));
         assertEquals(Boolean.FALSE, server.settle().healthy);
-        Operation within = server.take(Server.LOOKUP);
+        RequestHandle within = server.take(ControllerFixture.LOOKUP);
         assertEquals(List.of(within), server.after(0).started);
         server.after(2000);
-        Operation late = server.take(Server.LOOKUP);
+        RequestHandle late = server.take(ControllerFixture.LOOKUP);
         assertTrue(server.settle().started.isEmpty());
         assertTrue(server.pushedBack(late));
-        Settled before = server.after(585);
+        Decisions before = server.after(585);
         assertTrue(before.brokenOff.contains(running));
     }
 
     @Example
     void aRepeatPastTheGraceTakesNoOnesPlace() {
         server.full();
-        Operation first = server.take(Server.CHARGE);
-        server.control().leave(server.now, Server.millis(4000));
+        RequestHandle first = server.take(ControllerFixture.CHARGE);
+        server.control().leave(server.now, ControllerFixture.millis(4000));
         server.settle();
-        server.now = Server.millis(2010);
-        Operation late = server.take(Server.CHARGE, 0, 10, first);
+        server.now = ControllerFixture.millis(2010);
+        RequestHandle late = server.take(ControllerFixture.CHARGE, 0, 10, first);
         first.callerGone(server.now);
         server.control().look(server.now, new double[] {0, 0});
         assertFalse(server.settle().started.contains(late));
@@ -181,9 +181,9 @@
     @Example
     void memoryForTheFingerprintOrNothing() {
         server.with("server.memory-kb", 1000).with("server.kb-per-fingerprint", 500);
-        Operation first = server.take(Server.CHARGE);
+        RequestHandle first = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(first), server.settle().started);
-        Operation second = server.take(Server.CHARGE);
+        RequestHandle second = server.take(ControllerFixture.CHARGE);
         server.settle();
         assertTrue(server.pushedBack(second), "no room to remember a second one");
     }
@@ -191,8 +191,8 @@
     @Example
     void aRunNeedsItsMemoryBeforeItStarts() {
         server.with("server.memory-kb", 1200);
-        Operation first = server.take(Server.ORDER, 0, 200, null);
-        server.take(Server.ORDER, 0, 200, null);
+        RequestHandle first = server.take(ControllerFixture.ORDER, 0, 200, null);
+        server.take(ControllerFixture.ORDER, 0, 200, null);
         assertEquals(List.of(first), server.settle().started);
     }
 
@@ -201,7 +201,7 @@
         server.with("server.cold", true).with("rules.cold-share", 0.2).with("rules.cold", 18000);
         int started = 0;
         for (int i = 0; i < 40; i++) {
-            Operation op = server.take(Server.CALLING);
+            RequestHandle op = server.take(ControllerFixture.CALLING);
             started += server.settle().started.size();
             op.reachedCall(server.now);
             server.settle();
@@ -214,24 +214,24 @@
     void aHangIsToldAndAllThatWaitsIsSentAway() {
         server.full();
         server.after(900);
-        Operation waiting = server.take(Server.CHARGE);
+        RequestHandle waiting = server.take(ControllerFixture.CHARGE);
         assertFalse(server.settle().log.stream().anyMatch(l -> l.startsWith("hangs")));
-        Settled hung = server.after(150);
+        Decisions hung = server.after(150);
         assertTrue(hung.log.stream().anyMatch(l -> l.startsWith("hangs")));
         assertEquals(Boolean.FALSE, hung.healthy);
         assertTrue(server.pushedBack(waiting));
-        assertEquals(Server.millis(1000), hung.pushedBack.get(0).stayAway());
+        assertEquals(ControllerFixture.millis(1000), hung.pushedBack.get(0).stayAway());
     }
 
     @Example
     void readsShareAFreshAnswerAndAStaleOneIsReadAnew() {
         server.with("server.fresh-for", 1000);
-        Operation first = server.take(Server.LOOKUP);
+        RequestHandle first = server.take(ControllerFixture.LOOKUP);
         server.settle();
-        Operation second = server.take(Server.LOOKUP, 0, 10, first);
+        RequestHandle second = server.take(ControllerFixture.LOOKUP, 0, 10, first);
         assertEquals(List.of(second), server.settle().shared);
-        first.ended(server.now, Ending.ERROR);
-        Operation third = server.take(Server.LOOKUP, 0, 10, first);
+        first.ended(server.now, Outcome.ERROR);
+        RequestHandle third = server.take(ControllerFixture.LOOKUP, 0, 10, first);
         server.settle();
         assertTrue(server.last.shared.contains(third) || server.last.started.contains(third));
     }
@@ -240,16 +240,16 @@
     @Example
     void whatIsTooLateForASlowServerMayBeTriedElsewhere() {
         for (int hint : new int[] {0, 100, 900}) {
-            Server server = new Server().warmedUp(10, 800);
+            ControllerFixture server = new ControllerFixture().warmedUp(10, 800);
             server.full();
-            Operation waiting = server.control()
+            RequestHandle waiting = server.control()
                     .take(
                             server.now,
-                            Server.LOOKUP,
+                            ControllerFixture.LOOKUP,
                             Duration.ZERO,
                             null,
                             10,
-                            hint == 0 ? null : Server.millis(hint),
+                            hint == 0 ? null : ControllerFixture.millis(hint),
                             false,
                             true,
                             null);
@@ -258,7 +258,7 @@
             }
             assertEquals(hint != 100, server.last.pushedBack.get(0).nowhereElse(), "hint " + hint);
             // One waits where ten end in a span of a second: so long, and not the longest, its caller stays away.
-            double away = Server.ms(server.last.pushedBack.get(0).stayAway());
+            double away = ControllerFixture.ms(server.last.pushedBack.get(0).stayAway());
             assertTrue(away > 50 && away < 500, "stay away for " + away + " ms");
         }
     }
@@ -267,25 +267,25 @@
     @Example
     void callsThatWereOutTogetherCutTheirCapOnce() {
         for (boolean together : new boolean[] {true, false}) {
-            server = new Server().with("rules.crowd-factor", "20");
+            server = new ControllerFixture().with("rules.crowd-factor", "20");
             server.after(1000);
-            List<Operation> out = out(10);
-            for (Operation operation : out) {
+            List<RequestHandle> out = out(10);
+            for (RequestHandle operation : out) {
                 server.after(together ? 0 : 100);
-                operation.callEnded(server.now, Ending.TURNED_AWAY, Server.millis(together ? 50 : 0));
+                operation.callEnded(server.now, Outcome.TURNED_AWAY, ControllerFixture.millis(together ? 50 : 0));
             }
             server.settle();
-            out.forEach(operation -> operation.ended(server.now, Ending.STOPPED));
+            out.forEach(operation -> operation.ended(server.now, Outcome.STOPPED));
             // 32 at first; four fifths of that, or four fifths ten times over.
             assertEquals(together ? 25 : 3, out(40).size(), together ? "cut once" : "cut each time");
         }
     }
 
     /** So many operations brought to their calls, or as many as may call. */
-    private List<Operation> out(int count) {
-        List<Operation> out = new ArrayList<>();
+    private List<RequestHandle> out(int count) {
+        List<RequestHandle> out = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Operation operation = server.take(Server.CALLING);
+            RequestHandle operation = server.take(ControllerFixture.CALLING);
             if (server.settle().started.contains(operation)) {
                 operation.reachedCall(server.now);
                 server.control().look(server.now, new double[] {0, 0});
@@ -300,34 +300,35 @@
     @Example
     void afterAReturnKeyedWorkIsPushedBackAtOnceUntilItIsSettledAndRetriableWorkIsNot() {
         server.control().keyed(Duration.ofMillis(700), Duration.ofHours(1));
-        Operation charge = server.take(Server.CHARGE);
-        Operation order = server.take(Server.ORDER);
-        Operation lookup = server.take(Server.LOOKUP);
-        Settled settled = server.settle();
+        RequestHandle charge = server.take(ControllerFixture.CHARGE);
+        RequestHandle order = server.take(ControllerFixture.ORDER);
+        RequestHandle lookup = server.take(ControllerFixture.LOOKUP);
+        Decisions settled = server.settle();
         assertTrue(server.pushedBack(charge) && server.pushedBack(order));
         assertEquals(List.of(lookup), settled.started);
         assertEquals(Duration.ofMillis(700), settled.pushedBack.get(0).stayAway(), "and is told when to come back");
-        assertEquals(2, server.control().figures().pushedBack().get(Control.Reason.UNSETTLED.ordinal()));
+        assertEquals(
+                2, server.control().figures().pushedBack().get(OverloadController.RejectionReason.UNSETTLED.ordinal()));
         server.after(700);
         // It came before that moment, though it is read only now: a try of the life before may be as old as it.
-        Operation late = server.take(Server.CHARGE, 50, 10, null);
+        RequestHandle late = server.take(ControllerFixture.CHARGE, 50, 10, null);
         assertFalse(server.settle().started.contains(late));
         assertTrue(server.pushedBack(late));
-        Operation fresh = server.take(Server.CHARGE);
+        RequestHandle fresh = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(fresh), server.settle().started);
     }
 
     @Example
     void keyedWorkIsNotBegunBeyondWhatTheNextLifeWouldKnowOf() {
-        List<Operation> running = server.full();
-        Operation charge = server.take(Server.CHARGE);
+        List<RequestHandle> running = server.full();
+        RequestHandle charge = server.take(ControllerFixture.CHARGE);
         assertTrue(server.settle().started.isEmpty());
         server.control().keyed(Duration.ZERO, server.now.plusMillis(100));
         server.after(100);
-        running.forEach(each -> each.ended(server.now, Ending.OK));
+        running.forEach(each -> each.ended(server.now, Outcome.OK));
         server.control().look(server.now, new double[] {0, 0});
-        Operation lookup = server.take(Server.LOOKUP);
-        Operation next = server.take(Server.CHARGE);
+        RequestHandle lookup = server.take(ControllerFixture.LOOKUP);
+        RequestHandle next = server.take(ControllerFixture.CHARGE);
         assertEquals(
                 List.of(lookup), server.settle().started, "the mark has run out: neither the held one nor a new one");
         assertTrue(server.pushedBack(next));
--- a/src/test/java/merlinlever/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/agent/AgentBytesTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import merlinlever.compatibility.Fixture;
-import merlinlever.core.Works;
-import merlinlever.net.DrivenLoop;
+import merlinlever.core.TestRequests;
+import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 
 /** Commands to the agent, byte for byte; a token's number counts up. */
@@ -19,10 +19,10 @@
     void eachCommand() throws Exception {
         Fixture fixture = new Fixture("agent.txt");
         Map<String, String> lines = new TreeMap<>();
-        try (ServerSocket place = new ServerSocket(0, 5, LinkedBackend.HERE);
-                LinkedBackend backend = new LinkedBackend(new DrivenLoop(), LinkedBackend.at(place));
+        try (ServerSocket place = new ServerSocket(0, 5, AgentLinkFixture.HERE);
+                AgentLinkFixture backend = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.at(place));
                 Socket agent = place.accept()) {
-            agent.setSoTimeout(DrivenLoop.PATIENCE_MS);
+            agent.setSoTimeout(ManualClockLoop.PATIENCE_MS);
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.UTF_8));
             fixture.pins("subscribe", in.readLine());
@@ -37,10 +37,10 @@
             }
             backend.driven.run(() -> {
                 backend.link.exercise();
-                backend.link.launch(Works.of(1));
-                backend.link.freeze(Works.of(2));
-                backend.link.deliver(Works.of(3), new byte[] {1, 2});
-                backend.link.forgo(Works.of(4));
+                backend.link.launch(TestRequests.of(1));
+                backend.link.freeze(TestRequests.of(2));
+                backend.link.deliver(TestRequests.of(3), new byte[] {1, 2});
+                backend.link.forgo(TestRequests.of(4));
             });
             while (!lines.containsKey("forgo")) {
                 add(lines, in);
--- a/src/test/java/merlinlever/agent/NoticeTest.java
+++ b/src/test/java/merlinlever/agent/AgentEventTest.java
@@ -10,26 +10,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.json.Json;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class NoticeTest {
+class AgentEventTest {
 
     @Example
-    void anOutcomeAndTheGaugesAreRead() throws Json.Malformed {
-        Notice outcome = Notice.read("{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"ff1f03aa5c7e2d41\",\"result\":\"OK\","
-                + "\"elapsed_ms\":1.5,\"payload\":\"AP8=\"}");
+    void anOutcomeAndTheGaugesAreRead() throws Json.MalformedJsonException {
+        AgentEvent outcome =
+                AgentEvent.read("{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"ff1f03aa5c7e2d41\",\"result\":\"OK\","
+                        + "\"elapsed_ms\":1.5,\"payload\":\"AP8=\"}");
         assertEquals(7, outcome.offset());
         assertEquals(Long.parseUnsignedLong("ff1f03aa5c7e2d41", 16), outcome.id());
-        assertEquals(Ending.OK, outcome.ending());
+        assertEquals(Outcome.OK, outcome.ending());
         assertArrayEquals(new byte[] {0, -1}, outcome.payload());
         assertArrayEquals(
                 new double[] {0.5, 3},
-                Notice.read("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}")
+                AgentEvent.read("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}")
                         .row());
     }
 
@@ -37,7 +38,7 @@
     void linesAreTheSameWhereverTheBytesAreCut(@ForAll List<@IntRange(min = 1, max = 9) Integer> cuts) {
         byte[] all = "one\n\n{\"two\":\"\u00e9\"}\nthr".getBytes(StandardCharsets.UTF_8);
         ByteBuffer in = ByteBuffer.allocate(64);
-        Lines lines = new Lines(64);
+        LineDecoder lines = new LineDecoder(64);
         List<String> heard = new ArrayList<>();
         int sent = 0;
         for (int i = 0; sent < all.length; i++) {
@@ -54,7 +55,7 @@
 
     @Example
     void aLineWithoutAnEndIsNotWaitedForWithoutBound() {
-        assertFalse(new Lines(16).take(ByteBuffer.wrap(new byte[16]), line -> {}));
+        assertFalse(new LineDecoder(16).take(ByteBuffer.wrap(new byte[16]), line -> {}));
     }
 
     @Example
@@ -70,7 +71,7 @@
             "{\"cmd\":\"a\"",
             "{} {}"
         }) {
-            assertThrows(Json.Malformed.class, () -> Notice.read(bad), bad);
+            assertThrows(Json.MalformedJsonException.class, () -> AgentEvent.read(bad), bad);
         }
     }
 
@@ -80,9 +81,9 @@
                 "{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"9b1f03aa5c7e2d41\",\"result\":\"OK\",\"payload\":\"AP8=\"}";
         int cut = Math.floorMod(at, line.length());
         try {
-            Notice.read(line.substring(0, cut) + noise + line.substring(Math.min(line.length(), cut + 2)));
-        } catch (Json.Malformed e) {
-            assertEquals(Json.Malformed.class, e.getClass());
+            AgentEvent.read(line.substring(0, cut) + noise + line.substring(Math.min(line.length(), cut + 2)));
+        } catch (Json.MalformedJsonException e) {
+            assertEquals(Json.MalformedJsonException.class, e.getClass());
         }
     }
 }
--- a/src/test/java/merlinlever/agent/LinkedBackend.java
+++ b/src/test/java/merlinlever/agent/AgentLinkFixture.java
@@ -19,20 +19,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.core.Backend;
-import merlinlever.core.Caller;
-import merlinlever.core.Calls;
-import merlinlever.core.HeardCaller;
-import merlinlever.core.Outside;
-import merlinlever.core.Work;
+import merlinlever.core.BackendDependencies;
+import merlinlever.core.DownstreamService;
+import merlinlever.core.RecordingResponseSink;
+import merlinlever.core.ResponseSink;
+import merlinlever.core.TrackedRequest;
 import merlinlever.json.Json;
 import merlinlever.log.Log;
-import merlinlever.net.DrivenLoop;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
+import merlinlever.net.ManualClockLoop;
 
 /** A real backend with its real link to an agent that the test plays; what lies below and the callers are lists. */
-final class LinkedBackend implements Outside, Calls, AutoCloseable {
+final class AgentLinkFixture implements BackendDependencies, DownstreamService, AutoCloseable {
 
     static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final Map<String, String> GIVEN = Map.ofEntries(
@@ -43,32 +43,32 @@
             Map.entry("tariffs.0.name", "look"), Map.entry("tariffs.0.kind", "retriable"),
             Map.entry("tariffs.0.soft-limit", "50000"), Map.entry("tariffs.0.client-timeout", "100000"));
 
-    final DrivenLoop driven;
+    final ManualClockLoop driven;
     final Backend backend;
     final AgentLink link;
     /** What it has logged, line by line. */
     final List<String> logged = Collections.synchronizedList(new ArrayList<>());
 
     final Map<String, List<String>> answers = new HashMap<>();
-    final Map<String, Work> taken = new HashMap<>();
+    final Map<String, TrackedRequest> taken = new HashMap<>();
     final List<String> calls = Collections.synchronizedList(new ArrayList<>());
     /** Runs once after a batch, before what was written in it leaves. */
     Runnable afterBatch;
 
     private final List<ServerSocket> places = new ArrayList<>();
-    private Loop.Timer alarm;
+    private EventLoop.Timer alarm;
     private long ids = 0x9b1f03aa5c7e2d41L, seconds;
 
     /** The agent's end of one link. */
-    final class Agent {
+    final class FakeAgent {
         final Socket socket;
         private final BufferedReader in;
         /** What had been read when the link was made. */
         long after;
 
-        private Agent(Socket socket) throws IOException {
+        private FakeAgent(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(DrivenLoop.PATIENCE_MS);
+            socket.setSoTimeout(ManualClockLoop.PATIENCE_MS);
             socket.setTcpNoDelay(true);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         }
@@ -78,7 +78,7 @@
             String line = in.readLine();
             try {
                 return line == null ? null : Json.object(line);
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
                 throw new IOException(e);
             }
         }
@@ -113,11 +113,11 @@
         }
 
         void outcome(long offset, String name, String result, String bytes) throws IOException {
-            tell(LinkedBackend.outcome(offset, name, result, bytes));
+            tell(AgentLinkFixture.outcome(offset, name, result, bytes));
         }
 
         void request(long offset, String name) throws IOException {
-            tell(LinkedBackend.request(offset, name));
+            tell(AgentLinkFixture.request(offset, name));
         }
 
         /** All that was told before has been read. */
@@ -138,7 +138,7 @@
         return "{\"cmd\":\"request\",\"offset\":" + offset + ",\"req\":\"" + name + "\",\"payload\":\"AQI=\"}";
     }
 
-    LinkedBackend(DrivenLoop driven, InetSocketAddress address) {
+    AgentLinkFixture(ManualClockLoop driven, InetSocketAddress address) {
         this.driven = driven;
         OutputStream lines = new OutputStream() {
             private final StringBuilder line = new StringBuilder();
@@ -173,7 +173,7 @@
     /** Where the agent is to be reached. */
     ServerSocket place() throws IOException {
         ServerSocket place = new ServerSocket(0, 50, HERE);
-        place.setSoTimeout(DrivenLoop.PATIENCE_MS);
+        place.setSoTimeout(ManualClockLoop.PATIENCE_MS);
         places.add(place);
         return place;
     }
@@ -187,8 +187,8 @@
     }
 
     /** The next link at the place. */
-    Agent accept(ServerSocket place) throws IOException {
-        Agent agent = new Agent(place.accept());
+    FakeAgent accept(ServerSocket place) throws IOException {
+        FakeAgent agent = new FakeAgent(place.accept());
         Map<?, ?> subscribe = agent.next();
         if (!subscribe.get("cmd").equals("subscribe")) {
             throw new IOException("not a subscription: " + subscribe);
@@ -198,8 +198,8 @@
     }
 
     /** The next link at the place, which says so much has been read. */
-    Agent accept(ServerSocket place, long offset) throws IOException {
-        Agent agent = accept(place);
+    FakeAgent accept(ServerSocket place, long offset) throws IOException {
+        FakeAgent agent = accept(place);
         if (agent.after != offset) {
             throw new IOException("a subscription after " + agent.after + ", not " + offset);
         }
@@ -207,15 +207,15 @@
     }
 
     /** Backend and agent are up. */
-    Agent up(ServerSocket place) throws IOException {
-        Agent agent = accept(place, 0);
+    FakeAgent up(ServerSocket place) throws IOException {
+        FakeAgent agent = accept(place, 0);
         agent.greet();
         driven.until(backend::healthy, "good health");
         return agent;
     }
 
     /** The link breaks, and that has been seen. */
-    void breaks(Agent agent) throws IOException {
+    void breaks(FakeAgent agent) throws IOException {
         long before = driven.on(this::losses);
         agent.socket.close();
         driven.until(() -> losses() > before, "the loss of the link");
@@ -228,7 +228,7 @@
     }
 
     /** The new link takes over, and all notices are read. */
-    void takesOver(Agent agent) throws IOException {
+    void takesOver(FakeAgent agent) throws IOException {
         agent.greet();
         Map<?, ?> question = agent.next();
         while (!question.get("token").toString().startsWith("up")) {
@@ -248,13 +248,13 @@
         String name = String.format("%016x", ++ids);
         List<String> heard = Collections.synchronizedList(new ArrayList<>());
         answers.put(name, heard);
-        Caller caller = new HeardCaller(heard);
+        ResponseSink caller = new RecordingResponseSink(heard);
         Duration now = driven.loop.clock().now();
         taken.put(
                 name,
                 backend.arrived(
                         now,
-                        new Backend.Asked(
+                        new Backend.RequestMetadata(
                                 ids,
                                 name,
                                 0,
@@ -289,7 +289,7 @@
         backend.callEnded(
                 driven.loop.clock().now(),
                 Long.parseUnsignedLong(name, 16),
-                Ending.OK,
+                Outcome.OK,
                 bytes.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -306,22 +306,22 @@
     }
 
     @Override
-    public void launch(Work work) {
+    public void launch(TrackedRequest work) {
         link.launch(work);
     }
 
     @Override
-    public void freeze(Work work) {
+    public void freeze(TrackedRequest work) {
         link.freeze(work);
     }
 
     @Override
-    public void deliver(Work work, byte[] reply) {
+    public void deliver(TrackedRequest work, byte[] reply) {
         link.deliver(work, reply);
     }
 
     @Override
-    public void forgo(Work work) {
+    public void forgo(TrackedRequest work) {
         link.forgo(work);
     }
 
@@ -336,17 +336,17 @@
     }
 
     @Override
-    public Calls calls() {
+    public DownstreamService calls() {
         return this;
     }
 
     @Override
-    public void call(Work operation, byte[] body, Duration within) {
+    public void call(TrackedRequest operation, byte[] body, Duration within) {
         calls.add("call " + operation.name());
     }
 
     @Override
-    public void giveUp(Work operation) {
+    public void giveUp(TrackedRequest operation) {
         calls.add("give up " + operation.name());
     }
 
--- a/src/test/java/merlinlever/agent/LinkOrdersTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -16,26 +16,26 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import merlinlever.agent.LinkedBackend.Agent;
+import merlinlever.agent.AgentLinkFixture.FakeAgent;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.DrivenLoop;
+import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
 /** Two links to the agent and what comes on both, in many orders, and in the one that only one batch can make. */
-class LinkOrdersTest {
+class AgentLinkOrderingTest {
 
     /** What the agent has to tell, by number, and one link that tells it, in pieces and some of it twice. */
     private static final class Teller {
-        private final LinkedBackend around;
+        private final AgentLinkFixture around;
         private final List<String> notices;
-        private final Agent agent;
+        private final FakeAgent agent;
         private String rest = "";
         private int next;
 
-        Teller(LinkedBackend around, List<String> notices, Agent agent) {
+        Teller(AgentLinkFixture around, List<String> notices, FakeAgent agent) {
             this.around = around;
             this.notices = notices;
             this.agent = agent;
@@ -75,10 +75,10 @@
     @Property(tries = 40, seed = "36")
     void noticesOnTwoLinksCountOnceInWhateverOrder(@ForAll long seed) throws IOException {
         Random chance = new Random(seed);
-        try (ServerSocket first = new ServerSocket(0, 50, LinkedBackend.HERE);
-                LinkedBackend around = new LinkedBackend(new DrivenLoop(), LinkedBackend.at(first))) {
-            first.setSoTimeout(DrivenLoop.PATIENCE_MS);
-            Agent agent = around.up(first);
+        try (ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.HERE);
+                AgentLinkFixture around = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.at(first))) {
+            first.setSoTimeout(ManualClockLoop.PATIENCE_MS);
+            FakeAgent agent = around.up(first);
             List<String> names = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 names.add(around.take());
@@ -90,7 +90,7 @@
                 while (chance.nextBoolean()) {
                     notices.add("{\"cmd\":\"aside\",\"offset\":" + (notices.size() + 1) + ",\"result\":\"\"}");
                 }
-                notices.add(LinkedBackend.outcome(notices.size() + 1, name, "OK", "of " + name));
+                notices.add(AgentLinkFixture.outcome(notices.size() + 1, name, "OK", "of " + name));
             }
             Teller old = new Teller(around, notices, agent);
             for (int i = chance.nextInt(notices.size()); i > 0; i--) {
@@ -131,12 +131,12 @@
         }
     }
 
-    private static List<String> driven(LinkedBackend around) {
+    private static List<String> driven(AgentLinkFixture around) {
         return around.driven.on(() -> List.copyOf(around.logged));
     }
 
     /** The agent in memory. */
-    private static final class Party implements Connection.Party {
+    private static final class Party implements Connection.InMemoryPeer {
         private final StringBuilder heard = new StringBuilder();
         private Connection mine;
 
@@ -167,15 +167,15 @@
     @Example
     void aReplyThatIsQueuedAsItsLinkIsReplacedIsSentOnTheNewOne() throws IOException {
         List<Party> parties = new ArrayList<>();
-        DrivenLoop driven = new DrivenLoop(address -> {
+        ManualClockLoop driven = new ManualClockLoop(address -> {
             parties.add(new Party());
             return parties.get(parties.size() - 1);
         });
-        try (LinkedBackend around = new LinkedBackend(driven, new InetSocketAddress(1))) {
+        try (AgentLinkFixture around = new AgentLinkFixture(driven, new InetSocketAddress(1))) {
             driven.run(() -> parties.get(0).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
             driven.until(around.backend::healthy, "good health");
             String name = around.take();
-            driven.run(() -> parties.get(0).say(LinkedBackend.request(1, name)));
+            driven.run(() -> parties.get(0).say(AgentLinkFixture.request(1, name)));
             driven.until(() -> !around.calls.isEmpty(), "the call");
             driven.run(() -> around.link.moveTo(new InetSocketAddress(2)));
             driven.batches(3);
--- a/src/test/java/merlinlever/agent/LinkCrossingsTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
@@ -13,21 +13,21 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
-import merlinlever.agent.LinkedBackend.Agent;
-import merlinlever.net.DrivenLoop;
+import merlinlever.agent.AgentLinkFixture.FakeAgent;
+import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** Events that cross on the links to the agent, on sockets; time stands still but where a test moves it on. */
-class LinkCrossingsTest {
+class AgentLinkRaceTest {
 
-    private final LinkedBackend around;
-    private final DrivenLoop driven = new DrivenLoop();
-    private final ServerSocket first = new ServerSocket(0, 50, LinkedBackend.HERE);
+    private final AgentLinkFixture around;
+    private final ManualClockLoop driven = new ManualClockLoop();
+    private final ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.HERE);
 
-    LinkCrossingsTest() throws IOException {
-        first.setSoTimeout(DrivenLoop.PATIENCE_MS);
-        around = new LinkedBackend(driven, LinkedBackend.at(first));
+    AgentLinkRaceTest() throws IOException {
+        first.setSoTimeout(ManualClockLoop.PATIENCE_MS);
+        around = new AgentLinkFixture(driven, AgentLinkFixture.at(first));
     }
 
     @AfterTry
@@ -42,7 +42,7 @@
      */
     @Example
     void aReplyThatLeftBeforeAStallAndABreakIsSentAgain() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         String name = around.take();
         agent.hear("launch");
         agent.request(1, name);
@@ -53,7 +53,7 @@
         agent.read();
         around.breaks(agent);
         driven.later(20);
-        Agent next = around.accept(first, 1);
+        FakeAgent next = around.accept(first, 1);
         around.takesOver(next);
         assertEquals("Yg==", next.hear("deliver").get("payload"));
     }
@@ -61,7 +61,7 @@
     /** What a question shows to have arrived long before the break is not sent again. */
     @Example
     void whatAnAnsweredQuestionShowsToHaveArrivedIsNotSentAgain() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         String sure = around.take();
         agent.hear("launch");
         driven.later(70);
@@ -72,7 +72,7 @@
         assertEquals(doubtful, agent.hear("launch").get("req"));
         around.breaks(agent);
         driven.later(20);
-        Agent next = around.accept(first, 0);
+        FakeAgent next = around.accept(first, 0);
         around.takesOver(next);
         assertEquals(doubtful, next.hear("launch").get("req"));
         // Commands come in their order: nothing was between.
@@ -87,10 +87,10 @@
      */
     @Example
     void aRetryThatIsUnderWayAsTheLinkIsLostDoesNotOutliveAMove() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         ServerSocket second = around.place();
         around.moveTo(second);
-        Agent coming = around.accept(second, 0);
+        FakeAgent coming = around.accept(second, 0);
         coming.socket.close();
         // The end of the one that was coming has been read once these have.
         agent.read();
@@ -98,7 +98,7 @@
         around.breaks(agent);
         ServerSocket third = around.place();
         around.moveTo(third);
-        Agent waits = around.accept(third, 0);
+        FakeAgent waits = around.accept(third, 0);
         driven.later(100);
         around.takesOver(waits);
         String name = around.take();
@@ -113,7 +113,7 @@
         String name = around.take();
         ServerSocket second = around.place();
         around.moveTo(second);
-        Agent agent = around.accept(second, 0);
+        FakeAgent agent = around.accept(second, 0);
         for (int i = 0; i < 5; i++) {
             driven.later(500);
         }
@@ -126,7 +126,7 @@
         // One that is never greeted is made anew.
         ServerSocket third = around.place();
         around.moveTo(third);
-        Agent silent = around.accept(third, 0);
+        FakeAgent silent = around.accept(third, 0);
         for (int i = 0; i < 6; i++) {
             driven.later(500);
         }
@@ -138,7 +138,7 @@
     /** Gauges that answer no open question, or are out of range, are not taken for the state of the cores. */
     @Example
     void onlyAnAnswerToTheOpenQuestionCountsAsGauges() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         around.take();
         agent.hear("launch");
         driven.later(10);
@@ -162,14 +162,14 @@
     /** A line beyond all bounds is passed over where it stands: on a new link it would come again, and again. */
     @Example
     void aLineThatIsTooLongCostsNeitherTheLinkNorWhatFollows() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         String name = around.take();
         agent.hear("launch");
         agent.write("{\"cmd\":\"aside\",\"result\":\"");
         for (int i = 0; i < 40; i++) {
             agent.write("x".repeat(5000));
         }
-        agent.write("\"}\n" + LinkedBackend.outcome(1, name, "OK", "r") + "\n");
+        agent.write("\"}\n" + AgentLinkFixture.outcome(1, name, "OK", "r") + "\n");
         around.answered(name, "satisfied r");
         String next = around.take();
         assertEquals(next, agent.hear("launch").get("req"));
@@ -178,7 +178,7 @@
     /** A number that is none must not make all later notices old ones. */
     @Example
     void aNoticeWithANumberThatIsNoneIsPassedOver() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         String name = around.take();
         agent.hear("launch");
         for (String number : new String[] {"1e300", "-5", "9999999999999999999999", "1.5", "\"1\""}) {
@@ -200,7 +200,7 @@
     /** The old link delivers until the new one is greeted, half a notice at last: each counts once, none is missed. */
     @Example
     void aNoticeThatIsHalfReadAsItsLinkIsReplacedComesWholeOnTheNewOne() throws IOException {
-        Agent old = around.up(first);
+        FakeAgent old = around.up(first);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             names.add(around.take());
@@ -209,9 +209,9 @@
         around.answered(names.get(0), "satisfied 0");
         ServerSocket second = around.place();
         around.moveTo(second);
-        Agent agent = around.accept(second, 1);
+        FakeAgent agent = around.accept(second, 1);
         old.outcome(2, names.get(1), "OK", "1");
-        String half = LinkedBackend.outcome(3, names.get(2), "OK", "2");
+        String half = AgentLinkFixture.outcome(3, names.get(2), "OK", "2");
         old.write(half.substring(0, 60));
         around.answered(names.get(1), "satisfied 1");
         agent.greet();
@@ -224,7 +224,7 @@
         assertTrue(driven.on(() -> around.logged.stream().noneMatch(line -> line.contains("missed"))));
     }
 
-    private static Map<?, ?> lastOf(Agent agent) throws IOException {
+    private static Map<?, ?> lastOf(FakeAgent agent) throws IOException {
         Map<?, ?> next = agent.next();
         while (next != null) {
             next = agent.next();
@@ -235,21 +235,21 @@
     /** Moved on, moved back and moved to where it is: one link is made to the last place, and the others are closed. */
     @Example
     void oneOfManyMovesCounts() throws IOException {
-        Agent old = around.up(first);
+        FakeAgent old = around.up(first);
         around.moveTo(first);
         ServerSocket second = around.place();
         around.moveTo(second);
-        Agent dropped = around.accept(second, 0);
+        FakeAgent dropped = around.accept(second, 0);
         ServerSocket third = around.place();
         driven.run(() -> {
-            around.link.moveTo(LinkedBackend.at(third));
-            around.link.moveTo(LinkedBackend.at(second));
-            around.link.moveTo(LinkedBackend.at(first));
+            around.link.moveTo(AgentLinkFixture.at(third));
+            around.link.moveTo(AgentLinkFixture.at(second));
+            around.link.moveTo(AgentLinkFixture.at(first));
         });
         assertNull(dropped.next());
         String name = around.take();
         assertEquals(name, old.hear("launch").get("req"));
-        Agent again = around.accept(first, 0);
+        FakeAgent again = around.accept(first, 0);
         again.greet();
         assertNull(lastOf(old));
         around.takesOver(again);
@@ -257,7 +257,7 @@
         // Without any link a move does not wait for the next try.
         around.breaks(again);
         around.moveTo(second);
-        Agent last = around.accept(second, 0);
+        FakeAgent last = around.accept(second, 0);
         around.takesOver(last);
         assertEquals(name, last.hear("launch").get("req"));
     }
@@ -265,14 +265,14 @@
     /** The old link is closed before the new one is greeted: what is begun and replied meanwhile reaches the agent once. */
     @Example
     void whatIsSentBetweenTwoLinksGoesOverTheNewOneOnce() throws IOException {
-        Agent old = around.up(first);
+        FakeAgent old = around.up(first);
         String calling = around.take();
         old.hear("launch");
         old.request(1, calling);
         driven.until(() -> !around.calls.isEmpty(), "the call");
         ServerSocket second = around.place();
         around.moveTo(second);
-        Agent agent = around.accept(second, 1);
+        FakeAgent agent = around.accept(second, 1);
         around.breaks(old);
         String begun = around.take();
         around.reply(calling, "b");
@@ -291,13 +291,13 @@
     /** An exercise crosses the change of links, and its own limit: each answer counts for its own question alone. */
     @Example
     void anExerciseIsAskedAgainOnTheNewLinkAndLateAnswersAreNobodys() throws IOException {
-        Agent old = around.up(first);
+        FakeAgent old = around.up(first);
         List<Boolean> heard = Collections.synchronizedList(new ArrayList<>());
         around.check(heard::add);
         Object token = old.hear("exercise").get("token");
         ServerSocket second = around.place();
         around.moveTo(second);
-        Agent agent = around.accept(second, 0);
+        FakeAgent agent = around.accept(second, 0);
         around.takesOver(agent);
         assertEquals(token, agent.hear("exercise").get("token"));
         agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"OK\"}");
@@ -325,7 +325,7 @@
     /** Notices that are missed for good: the runs of that time are broken off, and what comes after counts. */
     @Example
     void aRealGapBreaksOffTheRunsOfItsTimeOnly() throws IOException {
-        Agent agent = around.up(first);
+        FakeAgent agent = around.up(first);
         String lost = around.take();
         agent.hear("launch");
         agent.tell("{\"cmd\":\"aside\",\"offset\":7,\"result\":\"\"}");
@@ -341,13 +341,13 @@
     /** A place that neither accepts nor refuses: the link in use goes on, the dial ends in its time, a move ends it at once. */
     @Example
     void aDialThatHangsHoldsUpNothing() throws IOException {
-        Agent agent = around.up(first);
-        try (ServerSocket silent = new ServerSocket(0, 1, LinkedBackend.HERE)) {
+        FakeAgent agent = around.up(first);
+        try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.HERE)) {
             List<Socket> queued = new ArrayList<>();
             assertThrows(SocketTimeoutException.class, () -> {
                 while (queued.size() < 20) {
                     queued.add(new Socket());
-                    queued.get(queued.size() - 1).connect(LinkedBackend.at(silent), 200);
+                    queued.get(queued.size() - 1).connect(AgentLinkFixture.at(silent), 200);
                 }
             });
             around.moveTo(silent);
--- a/src/test/java/merlinlever/agent/LinesTest.java
+++ b/src/test/java/merlinlever/agent/LineDecoderTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class LinesTest {
+class LineDecoderTest {
 
     /** A line that is too long crosses the lines round it in any pieces: it alone is passed over, and no buffer is full. */
     @Property(tries = 200, seed = "36")
@@ -19,7 +19,7 @@
         byte[] all = ("one\n" + "x".repeat(40 + chance.nextInt(60)) + "\ntwo\n" + "y".repeat(70) + "\nthree\n")
                 .getBytes(StandardCharsets.UTF_8);
         ByteBuffer in = ByteBuffer.allocate(32);
-        Lines lines = new Lines(32);
+        LineDecoder lines = new LineDecoder(32);
         List<String> heard = new ArrayList<>();
         int sent = 0;
         while (sent < all.length) {
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import merlinlever.faults.TestFolders;
+import merlinlever.faults.TestDirectories;
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
@@ -53,7 +53,7 @@
 
     @AfterTry
     void removeIt() {
-        TestFolders.remove(root);
+        TestDirectories.remove(root);
     }
 
     /** Without a list CI is the README's command and has its status, and nothing is passed over. */
--- a/src/test/java/merlinlever/cli/DescriptorsTest.java
+++ b/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
@@ -17,13 +17,13 @@
 import net.jqwik.api.Example;
 
 /** The whole program under the system's own limit of descriptors, which idle and silent clients fill. */
-class DescriptorsTest extends ServedProcess {
+class FileDescriptorLimitTest extends ServeProcessFixture {
 
     private static final int CLIENTS = 50;
     private final List<Socket> held = new ArrayList<>();
     private int limit = 40;
 
-    DescriptorsTest() throws IOException {}
+    FileDescriptorLimitTest() throws IOException {}
 
     @Override
     Process start(String configuration) throws IOException {
--- a/src/test/java/merlinlever/cli/DrainEndTest.java
+++ b/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
@@ -12,11 +12,11 @@
 import net.jqwik.api.Example;
 
 /** The last moment of a drain, for clients that rest until the backend ends. */
-class DrainEndTest extends ServedProcess {
+class GracefulShutdownEndTest extends ServeProcessFixture {
 
     private static final int STOP_MS = 1000;
 
-    DrainEndTest() throws IOException {}
+    GracefulShutdownEndTest() throws IOException {}
 
     private void signal(String name) throws IOException, InterruptedException {
         assertEquals(
--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -20,23 +20,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import merlinlever.budgets.Budget;
 import merlinlever.cli.faults.FaultsCommands;
 import merlinlever.cli.fleet.FleetCommands;
 import merlinlever.cli.zone.ZoneCommands;
+import merlinlever.config.ConfigFile;
 import merlinlever.core.Backend;
-import merlinlever.durable.Folder;
-import merlinlever.faults.Harness;
-import merlinlever.host.state.Keeper;
-import merlinlever.measure.DnsMeasure;
-import merlinlever.members.Members;
-import merlinlever.recovery.Return;
-import merlinlever.routes.Routes;
-import merlinlever.shared.Words;
-import merlinlever.sheet.Sheet;
-import merlinlever.term.Terms;
-import merlinlever.trials.Trial;
-import merlinlever.view.Sight;
+import merlinlever.election.LeaderElection;
+import merlinlever.experiments.Experiment;
+import merlinlever.faults.FaultHarness;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.measure.DnsMeasurement;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.quota.FleetQuota;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.routes.RoutingTable;
+import merlinlever.storage.StateDirectory;
+import merlinlever.view.ViewManager;
 import merlinlever.zone.state.Zone;
 import net.jqwik.api.Example;
 
@@ -51,26 +51,26 @@
     private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"");
     /** One class of each subsystem that {@code serve} must never load; class literals follow a renamed package. */
     private static final List<Class<?>> FOREIGN_SUBSYSTEMS = List.of(
-            Keeper.class,
-            Members.class,
-            Return.class,
-            Budget.class,
-            Terms.class,
-            Sight.class,
-            Words.class,
-            Routes.class,
-            Trial.class,
+            InstanceSupervisor.class,
+            SwimProtocol.class,
+            RecoverySequence.class,
+            FleetQuota.class,
+            LeaderElection.class,
+            ViewManager.class,
+            ReplicatedStore.class,
+            RoutingTable.class,
+            Experiment.class,
             Zone.class,
-            Sheet.class,
-            DnsMeasure.class,
-            Harness.class,
-            Folder.class,
+            ConfigFile.class,
+            DnsMeasurement.class,
+            FaultHarness.class,
+            StateDirectory.class,
             FaultsCommands.class,
             FleetCommands.class,
             ZoneCommands.class);
 
     /** Classes of this package that {@code serve} must not load where its configuration has no recovery. */
-    private static final List<Class<?>> FOREIGN_CLASSES = List.of(Recovering.class, Together.class);
+    private static final List<Class<?>> FOREIGN_CLASSES = List.of(RecoveryAssembly.class, FleetAssembly.class);
 
     private static final List<String> FOREIGN_LIBRARIES = List.of(
             "picocli.",
@@ -172,8 +172,7 @@
                 }
             }
             assertTrue(
-                    Files.readString(classes).contains(Backend.class.getName()),
-                    "the log of loaded classes is read");
+                    Files.readString(classes).contains(Backend.class.getName()), "the log of loaded classes is read");
             assertEquals(List.of(), loaded, "classes that serve must not load");
         } finally {
             Files.deleteIfExists(file);
--- a/src/test/java/merlinlever/cli/ServeTest.java
+++ b/src/test/java/merlinlever/cli/ServeCommandTest.java
@@ -17,9 +17,9 @@
 import net.jqwik.api.Example;
 
 /** What the whole program does on sockets. */
-class ServeTest extends ServedProcess {
+class ServeCommandTest extends ServeProcessFixture {
 
-    ServeTest() throws IOException {}
+    ServeCommandTest() throws IOException {}
 
     @Example
     void anOperationWithACallIsServedAndItsRepeatGetsTheSameBytes() throws IOException {
@@ -48,10 +48,10 @@
         assertArrayEquals(new byte[] {'\r', '\n'}, Base64.getDecoder().decode((String) deliver.get("payload")));
         outcome(2, launch, "OK", bytes);
         outcome(2, launch, "ERROR", new byte[0]);
-        Answer first = answer(edge);
+        HttpAnswer first = answer(edge);
         assertEquals(200, first.status());
         assertArrayEquals(bytes, first.body());
-        Answer repeat = answer(ask(operation("buy", token, new String(bytes, StandardCharsets.ISO_8859_1))));
+        HttpAnswer repeat = answer(ask(operation("buy", token, new String(bytes, StandardCharsets.ISO_8859_1))));
         assertEquals(200, repeat.status());
         assertArrayEquals(bytes, repeat.body());
         // The connection goes on; the next that reaches the agent is the next operation, not the repeat.
@@ -305,7 +305,7 @@
         // All is answered and the grace is over: what still comes on a connection that stayed open hears that it did
         // not run.
         Thread.sleep(500);
-        Answer late = answer(ask(check, operation("look", "", "")));
+        HttpAnswer late = answer(ask(check, operation("look", "", "")));
         assertEquals(503, late.status());
         assertTrue(late.head().contains("Connection: close"), late.head());
         check.close();
--- a/src/test/java/merlinlever/cli/ConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Example;
 
 /** What a backend can be served with, and what is said where it can't or where something is assumed. */
-class ConfigurationTest {
+class ServeConfigurationTest {
 
     private static final String GOOD =
             "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:2\","
@@ -25,17 +25,17 @@
                     + "\"services\":[{\"name\":\"look\",\"semantics\":\"repeatable\",\"aim\":200.0,\"hard-limit\":400.0,\"gain\":1.0},"
                     + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":200.0,\"hard-limit\":400.0,\"window\":900.0}]}}";
 
-    private static Configuration read(byte[] text) throws IOException, Serve.Unusable {
+    private static ServeConfiguration read(byte[] text) throws IOException, ServeCommand.InvalidConfigurationException {
         Path file = Files.createTempFile("merlinlever", ".json");
         try {
             Files.write(file, text);
-            return Configuration.read(Map.of("GW_CONFIG", file.toString()));
+            return ServeConfiguration.read(Map.of("GW_CONFIG", file.toString()));
         } finally {
             Files.delete(file);
         }
     }
 
-    private static Configuration read(String text) throws IOException, Serve.Unusable {
+    private static ServeConfiguration read(String text) throws IOException, ServeCommand.InvalidConfigurationException {
         return read(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -46,8 +46,8 @@
     }
 
     private static void refused(String text, String... says) {
-        String message =
-                assertThrows(Serve.Unusable.class, () -> read(text), text).getMessage();
+        String message = assertThrows(ServeCommand.InvalidConfigurationException.class, () -> read(text), text)
+                .getMessage();
         for (String each : says) {
             assertTrue(message.contains(each), message + " for " + text);
         }
@@ -55,7 +55,7 @@
 
     @Example
     void whatIsWholeIsTakenWithoutARemark() throws Exception {
-        Configuration good = read(GOOD);
+        ServeConfiguration good = read(GOOD);
         assertEquals(List.of(), good.remarks());
         assertEquals(0x8c1f30d27a5be964L, good.seed());
         assertEquals(3200, good.stopAfter().toMillis());
@@ -107,11 +107,13 @@
     /** Against a failure that is not told in one line: bytes that are no text, a folder in the file's place. */
     @Example
     void whatIsNoTextOrNoFileIsSaid() {
-        assertThrows(Serve.Unusable.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
-        String message = assertThrows(Serve.Unusable.class, () -> Configuration.read(Map.of("GW_CONFIG", "src")))
+        assertThrows(ServeCommand.InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
+        String message = assertThrows(
+                        ServeCommand.InvalidConfigurationException.class,
+                        () -> ServeConfiguration.read(Map.of("GW_CONFIG", "src")))
                 .getMessage();
         assertTrue(message.contains("cannot be read"), message);
-        assertThrows(Serve.Unusable.class, () -> Configuration.read(Map.of()));
+        assertThrows(ServeCommand.InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of()));
     }
 
     /** Against defaults that hide a missing setting: each that matters is named in one line, with what is assumed. */
@@ -132,7 +134,7 @@
         };
         String none = GOOD;
         for (String[] one : each) {
-            Configuration read = read(with(one[0], ""));
+            ServeConfiguration read = read(with(one[0], ""));
             assertEquals(1, read.remarks().size(), one[0]);
             assertTrue(
                     read.remarks().get(0).startsWith("missing, and assumed: ")
--- a/src/test/java/merlinlever/cli/ServedProcess.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -22,7 +22,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** The whole program as a process of its own, with small stand-ins for the parties around it, on loopback. */
-abstract class ServedProcess {
+abstract class ServeProcessFixture {
 
     static final int PATIENCE_MS = 20_000;
     static final InetAddress HERE = InetAddress.getLoopbackAddress();
@@ -37,7 +37,7 @@
     int port;
     long ids = 0x9b1f03aa5c7e2d41L;
 
-    ServedProcess() throws IOException {
+    ServeProcessFixture() throws IOException {
         patience();
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** What an edge node hears. */
-    record Answer(int status, String head, byte[] body) {}
+    record HttpAnswer(int status, String head, byte[] body) {}
 
     Process start(String configuration) throws IOException {
         Files.writeString(file, configuration);
@@ -122,7 +122,7 @@
             Map<?, ?> command;
             try {
                 command = Json.object(fromAgent.readLine());
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
                 throw new IOException(e);
             }
             if (command.get("cmd").equals(word)) {
@@ -162,7 +162,7 @@
         return socket;
     }
 
-    static Answer answer(Socket socket) throws IOException {
+    static HttpAnswer answer(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -173,7 +173,7 @@
         String text = head.toString(StandardCharsets.US_ASCII);
         int at = text.indexOf("Content-Length: ") + 16;
         int length = Integer.parseInt(text.substring(at, text.indexOf('\r', at)));
-        return new Answer(Integer.parseInt(text.substring(9, 12)), text, in.readNBytes(length));
+        return new HttpAnswer(Integer.parseInt(text.substring(9, 12)), text, in.readNBytes(length));
     }
 
     String recordsLine() throws IOException {
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/SignalsTest.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import merlinlever.net.Signals;
+import merlinlever.net.ProcessSignals;
 import net.jqwik.api.Example;
 
 /** Signals that come before, while and after somebody receives them, without a process. */
 class SignalsTest {
 
-    private final Signals signals = new Signals();
+    private final ProcessSignals signals = new ProcessSignals();
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final CountDownLatch told = new CountDownLatch(1);
-    private final Signals.Receiver receiver = new Signals.Receiver() {
+    private final ProcessSignals.Subscriber receiver = new ProcessSignals.Subscriber() {
         @Override
         public void hangUp() {
             heard.add("hang up");
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -31,7 +31,7 @@
  * Signals that cross the start, each other, the greeting, a configuration that is being written, and the stop. Where a
  * reading of the configuration is the barrier, the file is a pipe: it can be opened for writing once it is being read.
  */
-class StartAndStopTest extends ServedProcess {
+class StartAndStopTest extends ServeProcessFixture {
 
     private static final String TOKEN = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
@@ -200,7 +200,7 @@
         assertEquals(503, answer(resting).status());
         signal("TERM");
         Socket asking = ask(operation("look", "", ""));
-        Answer answer = answer(asking);
+        HttpAnswer answer = answer(asking);
         // The grace is over once answers ask for the end of their connection.
         while (!answer.head().contains("Connection: close")) {
             assertEquals(503, answer.status());
--- a/src/test/java/merlinlever/cli/fleet/FleetTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import merlinlever.cli.Commands;
-import merlinlever.faults.proc.Ports;
+import merlinlever.faults.process.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -30,7 +30,7 @@
  * Forty real instances under four real agents, seen through the commands and audited by the process table: what is reported
  * has to be so, or to say that it is old.
  */
-class FleetTest {
+class FleetCommandsTest {
 
     private static final int AGENTS = 4;
     private static final int EACH = Integer.getInteger("fleet.each", 10);
@@ -251,10 +251,10 @@
     @Test
     void whatIsReportedIsSoThroughKillsStopsDrainsAndTheDeathOfAnAgent() throws Exception {
         for (int i = 0; i < AGENTS; i++) {
-            ports[i] = Ports.free();
-            gossip[i] = Ports.free();
+            ports[i] = PortAllocator.free();
+            gossip[i] = PortAllocator.free();
         }
-        int manage = Ports.free(AGENTS * EACH);
+        int manage = PortAllocator.free(AGENTS * EACH);
         for (int i = 0; i < AGENTS; i++) {
             describe(i, manage + i * EACH);
             launch(i);
--- a/src/test/java/merlinlever/cli/fleet/RecoverTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -9,14 +9,14 @@
 import java.nio.file.Path;
 import java.util.List;
 import merlinlever.cli.Commands;
-import merlinlever.durable.DiskFolder;
-import merlinlever.faults.TestFolders;
-import merlinlever.host.disk.Ledger;
-import merlinlever.recovery.Memory;
-import merlinlever.recovery.disk.Store;
+import merlinlever.faults.TestDirectories;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.recovery.PersistedState;
+import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.storage.FileStateDirectory;
 import net.jqwik.api.Example;
 
-class RecoverTest {
+class RecoverCommandTest {
 
     private final StringWriter out = new StringWriter(), err = new StringWriter();
 
@@ -35,9 +35,9 @@
         Path root = Files.createTempDirectory("merlinlever-recover");
         try {
             Path good = root.resolve("good");
-            try (DiskFolder folder = new DiskFolder(good)) {
-                new Store(folder)
-                        .write(new Memory(
+            try (FileStateDirectory folder = new FileStateDirectory(good)) {
+                new RecoveryFile(folder)
+                        .write(new PersistedState(
                                 "b-1@127.0.0.1:1",
                                 64,
                                 3,
@@ -45,8 +45,8 @@
                                 System.currentTimeMillis() - 1000,
                                 12.5,
                                 List.of()));
-                Ledger ledger = new Ledger(folder);
-                ledger.note("i-1", new Ledger.Noted(true, "t", 1, 1));
+                InstanceLedger ledger = new InstanceLedger(folder);
+                ledger.note("i-1", new InstanceLedger.InstanceRecord(true, "t", 1, 1));
             }
             assertEquals(0, recover("--state", good.toString()), err::toString);
             assertTrue(
@@ -62,9 +62,9 @@
                     out.toString());
             Path spoilt = root.resolve("spoilt");
             Files.createDirectories(spoilt);
-            Files.writeString(spoilt.resolve(Store.FILE), "0000");
+            Files.writeString(spoilt.resolve(RecoveryFile.FILE), "0000");
             Path held = root.resolve("held");
-            try (DiskFolder folder = new DiskFolder(held)) {
+            try (FileStateDirectory folder = new FileStateDirectory(held)) {
                 assertEquals(List.of(), folder.names());
                 assertEquals(
                         1,
@@ -83,7 +83,7 @@
             assertEquals(2, recover());
             assertEquals(2, recover("--state", good.toString(), "--owner", "nobody"));
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 }
--- a/src/test/java/merlinlever/cli/zone/KillTest.java
+++ b/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
@@ -15,21 +15,21 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.zone.client.Asker;
-import merlinlever.zone.client.Fetch;
-import merlinlever.zone.client.Updates;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.zone.client.DnsClient;
+import merlinlever.zone.client.UpdateMessages;
+import merlinlever.zone.client.ZoneFetcher;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.wire.Tsig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** The real process, killed under updates again and again; what clients were answered is audited after each start. */
-class KillTest {
+class ZoneServerKillTest {
 
     private static final int KILLS = Integer.getInteger("zone.kills", 6);
     private static final int CLIENTS = 8;
@@ -41,7 +41,7 @@
 
     private static byte[] name(String text) {
         try {
-            return Names.absolute(text);
+            return DomainNames.absolute(text);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -96,9 +96,9 @@
                 zones: [{origin: example.org., file: z, update: [k.], transfer: [k.]}]
                 """);
         SplittableRandom chance = new SplittableRandom(Long.getLong("zone.seed", 8));
-        Tsig.Key key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
-        Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        Asker asker = new Asker(loop, chance.split(), () -> System.currentTimeMillis() / 1000);
+        Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
+        EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        DnsClient asker = new DnsClient(loop, chance.split(), () -> System.currentTimeMillis() / 1000);
         new Thread(loop::run).start();
         int[] sent = new int[CLIENTS];
         int[] answered = new int[CLIENTS];
@@ -110,9 +110,9 @@
                 if (kill > 0) {
                     Zone zone = fetch(loop, asker, key);
                     for (int i = 0; i < CLIENTS; i++) {
-                        int there = zone.set(name("c" + i + ".example.org."), Types.TXT) == null
+                        int there = zone.set(name("c" + i + ".example.org."), RecordTypes.TXT) == null
                                 ? 0
-                                : Integer.parseInt(new String(zone.set(name("c" + i + ".example.org."), Types.TXT)
+                                : Integer.parseInt(new String(zone.set(name("c" + i + ".example.org."), RecordTypes.TXT)
                                                 .data(0))
                                         .substring(1));
                         assertTrue(
@@ -155,20 +155,27 @@
         }
     }
 
-    private static Zone fetch(Loop loop, Asker asker, InetSocketAddress address, Tsig.Key key) throws Exception {
-        CompletableFuture<Fetch.Fetched> ended = new CompletableFuture<>();
-        loop.execute(() -> Fetch.zone(asker, address, ORIGIN, key, ended::complete));
-        Fetch.Fetched fetched = ended.get(9, TimeUnit.SECONDS);
+    private static Zone fetch(EventLoop loop, DnsClient asker, InetSocketAddress address, Tsig.TsigKey key)
+            throws Exception {
+        CompletableFuture<ZoneFetcher.FetchResult> ended = new CompletableFuture<>();
+        loop.execute(() -> ZoneFetcher.zone(asker, address, ORIGIN, key, ended::complete));
+        ZoneFetcher.FetchResult fetched = ended.get(9, TimeUnit.SECONDS);
         assertNotNull(fetched.zone(), fetched.why());
         return fetched.zone();
     }
 
-    private Zone fetch(Loop loop, Asker asker, Tsig.Key key) throws Exception {
+    private Zone fetch(EventLoop loop, DnsClient asker, Tsig.TsigKey key) throws Exception {
         return fetch(loop, asker, address, key);
     }
 
     private static void go(
-            Asker asker, InetSocketAddress to, Tsig.Key key, int client, int[] sent, int[] answered, boolean[] over) {
+            DnsClient asker,
+            InetSocketAddress to,
+            Tsig.TsigKey key,
+            int client,
+            int[] sent,
+            int[] answered,
+            boolean[] over) {
         if (over[0]) {
             return;
         }
@@ -176,12 +183,12 @@
         byte[] owner = name("c" + client + ".example.org.");
         byte[] text = (" " + number).getBytes();
         text[0] = (byte) (text.length - 1);
-        byte[] message = Updates.message(
+        byte[] message = UpdateMessages.message(
                 ORIGIN,
                 List.of(),
                 List.of(
-                        new Entry(owner, Types.TXT, Types.CLASS_ANY, 0, null),
-                        new Entry(owner, Types.TXT, Types.IN, 60, text)),
+                        new UpdateEntry(owner, RecordTypes.TXT, RecordTypes.CLASS_ANY, 0, null),
+                        new UpdateEntry(owner, RecordTypes.TXT, RecordTypes.IN, 60, text)),
                 key);
         asker.ask(to, message, key, Duration.ofSeconds(1), ended -> {
             if (ended.well() && !over[0]) {
@@ -216,9 +223,9 @@
                 keys: [{name: k., secret-file: k}]
                 zones: [{origin: example.org., file: z, update: [k.], transfer: [k.]}]
                 """);
-        Tsig.Key key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
-        Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        Asker asker = new Asker(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
+        Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
+        EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        DnsClient asker = new DnsClient(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
         new Thread(loop::run).start();
         try {
             launch();
@@ -235,7 +242,7 @@
             new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
             awaitLine("/z:6: no IPv4 address: 1.2.3");
             Zone zone = fetch(loop, asker, key);
-            assertNotNull(zone.set(name("old.example.org."), Types.TXT));
+            assertNotNull(zone.set(name("old.example.org."), RecordTypes.TXT));
             assertTrue(zone.serial() < 9_000_000);
             Files.writeString(
                     folder.resolve("z"), good.replace("host 7", "host 9000000").replace("old", "new"));
@@ -246,8 +253,8 @@
                 Thread.sleep(20);
                 zone = fetch(loop, asker, key);
             }
-            assertEquals(null, zone.set(name("old.example.org."), Types.TXT));
-            assertNotNull(zone.set(name("new.example.org."), Types.TXT));
+            assertEquals(null, zone.set(name("old.example.org."), RecordTypes.TXT));
+            assertNotNull(zone.set(name("new.example.org."), RecordTypes.TXT));
             CompletableFuture<Integer> went = new CompletableFuture<>();
             loop.execute(() -> {
                 over[0] = true;
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -11,19 +11,19 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import merlinlever.budgets.Budget;
-import merlinlever.budgets.Sharing;
-import merlinlever.durable.DiskFolder;
-import merlinlever.members.Members;
-import merlinlever.members.Members.Kind;
-import merlinlever.members.Views;
-import merlinlever.members.Wire;
-import merlinlever.net.DrivenLoop;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.term.Terms;
-import merlinlever.view.Sight;
-import merlinlever.view.Stated;
+import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.MembershipCodec;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.SwimProtocol.MessageKind;
+import merlinlever.net.ManualClockLoop;
+import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaCoordinator;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.view.ViewManager;
+import merlinlever.view.ViewSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -39,45 +39,48 @@
 
     @Test
     void eachKindOfMembershipIsWrittenAndReadAsBefore() {
-        Wire wire = new Wire("a-secret-of-16-or-more".getBytes(StandardCharsets.US_ASCII));
-        Map<String, Kind> kinds = Map.of(
+        MembershipCodec wire = new MembershipCodec("a-secret-of-16-or-more".getBytes(StandardCharsets.US_ASCII));
+        Map<String, MessageKind> kinds = Map.of(
                 "ping",
-                Kind.PING,
+                MessageKind.PING,
                 "ack",
-                Kind.ACK,
+                MessageKind.ACK,
                 "ask-for",
-                Kind.ASK_FOR,
+                MessageKind.ASK_FOR,
                 "nack",
-                Kind.NACK,
+                MessageKind.NACK,
                 "sync",
-                Kind.SYNC,
+                MessageKind.SYNC,
                 "sync-back",
-                Kind.SYNC_BACK,
+                MessageKind.SYNC_BACK,
                 "recall",
-                Kind.RECALL,
+                MessageKind.RECALL,
                 "recalled",
-                Kind.RECALLED,
+                MessageKind.RECALLED,
                 "say",
-                Kind.SAY,
+                MessageKind.SAY,
                 "carry",
-                Kind.CARRY);
-        assertEquals(Kind.values().length, kinds.size());
-        List<Views.Status> statuses =
-                List.of(Views.Status.ALIVE, Views.Status.SUSPECT, Views.Status.DEAD, Views.Status.LEFT);
-        List<Views.Rumour> rumours = statuses.stream()
-                .map(status ->
-                        new Views.Rumour("b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
+                MessageKind.CARRY);
+        assertEquals(MessageKind.values().length, kinds.size());
+        List<MemberTable.MemberStatus> statuses = List.of(
+                MemberTable.MemberStatus.ALIVE,
+                MemberTable.MemberStatus.SUSPECT,
+                MemberTable.MemberStatus.DEAD,
+                MemberTable.MemberStatus.LEFT);
+        List<MemberTable.MemberRecord> rumours = statuses.stream()
+                .map(status -> new MemberTable.MemberRecord(
+                        "b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
                 .toList();
         kinds.forEach((name, kind) -> {
-            Members.Message message = new Members.Message(
+            SwimProtocol.MembershipMessage message = new SwimProtocol.MembershipMessage(
                     kind,
                     "b1",
                     7,
-                    kind == Kind.ASK_FOR ? "10.0.0.2:7001" : "",
+                    kind == MessageKind.ASK_FOR ? "10.0.0.2:7001" : "",
                     rumours,
-                    kind == Kind.CARRY ? new byte[] {1, 2, 3} : null);
+                    kind == MessageKind.CARRY ? new byte[] {1, 2, 3} : null);
             fixture.pins("membership." + name, wire.write(message));
-            Members.Message read = wire.read(fixture.bytes("membership." + name));
+            SwimProtocol.MembershipMessage read = wire.read(fixture.bytes("membership." + name));
             assertEquals(
                     List.of(message.kind(), message.from(), message.number(), message.about(), message.rumours()),
                     List.of(read.kind(), read.from(), read.number(), read.about(), read.rumours()));
@@ -85,15 +88,15 @@
         });
     }
 
-    private static String said(List<Terms.Say> all) {
+    private static String said(List<LeaderElection.PeerMessage> all) {
         return all.stream()
                 .map(say -> say.to() + " " + say.number() + " " + say.what())
                 .sorted()
                 .collect(Collectors.joining("\n"));
     }
 
-    private static Terms terms(String... voters) {
-        return new Terms(
+    private static LeaderElection terms(String... voters) {
+        return new LeaderElection(
                 Duration.ZERO,
                 "b1",
                 List.of(voters),
@@ -107,7 +110,7 @@
 
     @Test
     void anElectionIsHeldInTheSameWords() {
-        Terms terms = terms("b1", "b2", "b3");
+        LeaderElection terms = terms("b1", "b2", "b3");
         fixture.pins("election.granted", said(terms.said(LATER, "b2", 9, "V/7")));
         fixture.pins("election.refused", said(terms.said(LATER, "b3", 10, "V/6")));
         terms.said(LATER, "b3", 11, "H/7/b2");
@@ -117,30 +120,38 @@
 
     @Test
     void sharesOfBudgetsAreAskedForAndGrantedInTheSameWords() {
-        Sharing.Spender spender = new Sharing.Spender() {
+        QuotaCoordinator.QuotaConsumer spender = new QuotaCoordinator.QuotaConsumer() {
             @Override
-            public long[] demand(Duration now, Budget budget) {
+            public long[] demand(Duration now, FleetQuota budget) {
                 return new long[] {2, 8};
             }
 
             @Override
-            public void share(Budget budget, long share, Duration until) {}
+            public void share(FleetQuota budget, long share, Duration until) {}
         };
-        Budget budget = new Budget(
-                "calls", "calls", 100, Budget.Per.SECOND, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
-        Terms led = terms("b1", "b2", "b3");
+        FleetQuota budget = new FleetQuota(
+                "calls",
+                "calls",
+                100,
+                FleetQuota.QuotaKind.SECOND,
+                Duration.ofSeconds(2),
+                0.01,
+                Duration.ofSeconds(1),
+                Map.of());
+        LeaderElection led = terms("b1", "b2", "b3");
         led.said(LATER, "b3", 11, "H/7/b2");
         fixture.pins(
                 "budgets.asks",
-                said(new Sharing(LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
+                said(new QuotaCoordinator(
+                                LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
                         .look(LATER)));
-        Terms leads = terms("b1");
+        LeaderElection leads = terms("b1");
         leads.look(LATER);
-        Sharing sharing =
-                new Sharing(LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
+        QuotaCoordinator sharing = new QuotaCoordinator(
+                LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
         sharing.look(LATER);
         leads.look(LATER.plusMillis(1900));
-        List<Terms.Say> all = new ArrayList<>();
+        List<LeaderElection.PeerMessage> all = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
             leads.look(LATER.plusMillis(ms));
             sharing.look(LATER.plusMillis(ms));
@@ -152,10 +163,10 @@
 
     @Test
     void theViewIsAskedForInTheSameWords() {
-        Sight sight = new Sight(
+        ViewManager sight = new ViewManager(
                 Duration.ZERO,
-                Stated.usual(),
-                new Views("b1", "10.0.0.1:7001", "-", 1),
+                ViewSettings.usual(),
+                new MemberTable("b1", "10.0.0.1:7001", "-", 1),
                 terms("b1", "b2", "b3"),
                 7,
                 4,
@@ -163,7 +174,7 @@
                 new SplittableRandom(1),
                 line -> {});
         StringBuilder all = new StringBuilder();
-        List<Sight.Say> says = new ArrayList<>();
+        List<ViewManager.ViewMessage> says = new ArrayList<>();
         for (int ms = 0; ms < 1000; ms += 50) {
             says.addAll(sight.look(Duration.ofMillis(ms)));
         }
@@ -182,25 +193,25 @@
 
     @Test
     void whoComesBackTellsTheSame() throws Exception {
-        try (DrivenLoop on = new DrivenLoop();
-                DiskFolder disk = new DiskFolder(folder)) {
-            Rejoin rejoin = on.on(() -> {
+        try (ManualClockLoop on = new ManualClockLoop();
+                FileStateDirectory disk = new FileStateDirectory(folder)) {
+            RecoveryCoordinator rejoin = on.on(() -> {
                 try {
-                    return new Rejoin(
+                    return new RecoveryCoordinator(
                             on.loop,
                             disk,
-                            new Rejoin.Place(
+                            new RecoveryCoordinator.NodeSettings(
                                     "b1",
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
                                     "127.0.0.1:1",
                                     "-",
                                     List.of(),
                                     "a-secret-of-16-or-more"),
-                            Return.Stated.usual(Duration.ofSeconds(5)),
+                            RecoverySequence.RecoverySettings.usual(Duration.ofSeconds(5)),
                             Duration.ZERO,
                             1,
                             () -> 1_700_000_000_000L,
-                            Rejoin.Service.NONE,
+                            RecoveryCoordinator.RecoveringService.NONE,
                             line -> {});
                 } catch (java.io.IOException e) {
                     throw new java.io.UncheckedIOException(e);
