--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -9,18 +9,18 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.TreeSet;
-import merlinlever.host.disk.Ledger;
-import merlinlever.recovery.Memory;
-import merlinlever.recovery.disk.Store;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.recovery.PersistedState;
+import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.VersionedEntry;
+import merlinlever.replication.disk.EntryFile;
 import merlinlever.routes.Relation;
 import merlinlever.routes.Restrictions;
 import merlinlever.routes.Route;
-import merlinlever.routes.Table;
-import merlinlever.routes.TableReader;
-import merlinlever.routes.TableWriter;
-import merlinlever.shared.Snapshot;
-import merlinlever.shared.Words;
-import merlinlever.shared.disk.WordsFile;
+import merlinlever.routes.RouteTable;
+import merlinlever.routes.RouteTableReader;
+import merlinlever.routes.RouteTableWriter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -34,7 +34,7 @@
 
     @Test
     void theRecoveryFile() {
-        Memory memory = new Memory(
+        PersistedState memory = new PersistedState(
                 "b1@10.0.0.1:7001",
                 65,
                 9,
@@ -42,31 +42,31 @@
                 1_700_000_000_000L,
                 12.5,
                 List.of("10.0.0.2:7001", "10.0.0.3:7001"));
-        fixture.pins("recovery", Store.text(memory));
-        assertEquals(memory, Store.parsed(fixture.bytes("recovery")).memory());
+        fixture.pins("recovery", RecoveryFile.text(memory));
+        assertEquals(memory, RecoveryFile.parsed(fixture.bytes("recovery")).memory());
     }
 
     @Test
     void theFileOfOwnEntries() {
-        Words.Kept kept = new Words.Kept(
+        ReplicatedStore.PersistedEntries kept = new ReplicatedStore.PersistedEntries(
                 3,
                 18,
                 List.of(
-                        new Snapshot("b1", "trial/t", 3, 17, new byte[] {1, 2, 3}),
-                        new Snapshot("b1", "gone", 2, 4, null)));
-        fixture.pins("entries", WordsFile.octets("b1", kept));
-        Words.Kept read = WordsFile.parsed("b1", fixture.bytes("entries"));
-        assertArrayEquals(WordsFile.octets("b1", kept), WordsFile.octets("b1", read));
+                        new VersionedEntry("b1", "trial/t", 3, 17, new byte[] {1, 2, 3}),
+                        new VersionedEntry("b1", "gone", 2, 4, null)));
+        fixture.pins("entries", EntryFile.octets("b1", kept));
+        ReplicatedStore.PersistedEntries read = EntryFile.parsed("b1", fixture.bytes("entries"));
+        assertArrayEquals(EntryFile.octets("b1", kept), EntryFile.octets("b1", read));
         assertEquals(List.of(3L, 18L), List.of(read.incarnation(), read.sequence()));
     }
 
     @Test
     void theLedgerOfTheHost() throws Exception {
         Files.write(folder.resolve("instances"), fixture.text("instances").getBytes(StandardCharsets.UTF_8));
-        Ledger.Noted noted = new Ledger.Noted(true, "tok", 4711, 99);
-        try (Ledger ledger = new Ledger(folder)) {
+        InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(true, "tok", 4711, 99);
+        try (InstanceLedger ledger = new InstanceLedger(folder)) {
             assertEquals(noted, ledger.of("web-1"));
-            ledger.note("web-1", Ledger.Noted.NOTHING);
+            ledger.note("web-1", InstanceLedger.InstanceRecord.NOTHING);
             ledger.note("web-1", noted);
         }
         fixture.pins("instances", Files.readAllBytes(folder.resolve("instances")));
@@ -77,7 +77,7 @@
         Restrictions some = new Restrictions(
                 new TreeSet<>(List.of("s2", "s3")), new TreeSet<>(List.of("s4")), true, 3, true, true, false);
         for (Relation relation : List.of(Relation.CUSTOMER, Relation.PEER, Relation.PROVIDER)) {
-            Table table = Table.of(
+            RouteTable table = RouteTable.of(
                     "s1",
                     4,
                     17,
@@ -107,9 +107,9 @@
                                     null,
                                     Restrictions.UNREADABLE)));
             String name = "table." + List.of("customer", "peer", "provider").get(relation.ordinal());
-            fixture.pins(name, TableWriter.text(table));
-            fixture.pins(name + ".digest", TableWriter.digest(table));
-            assertEquals(table, TableReader.read(fixture.text(name)).table());
+            fixture.pins(name, RouteTableWriter.text(table));
+            fixture.pins(name + ".digest", RouteTableWriter.digest(table));
+            assertEquals(table, RouteTableReader.read(fixture.text(name)).table());
         }
     }
 }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import merlinlever.WireNamed;
-import merlinlever.faults.BudgetFaults;
 import merlinlever.faults.PowerLoss;
+import merlinlever.faults.QuotaFaults;
 import merlinlever.faults.ViewFaults;
-import merlinlever.faults.script.Script;
-import merlinlever.host.state.Keeper;
-import merlinlever.host.state.Orders;
-import merlinlever.host.state.Told;
-import merlinlever.manage.Telling;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
-import merlinlever.policy.Control;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.Trust;
-import merlinlever.routes.Own;
+import merlinlever.faults.script.FaultScript;
+import merlinlever.host.state.InstanceStatus;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
+import merlinlever.management.StatusReport;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.SwimProtocol;
+import merlinlever.policy.OverloadController;
+import merlinlever.recovery.PersistedStateAssessor;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.routes.LocalServiceHealth;
 import merlinlever.routes.Relation;
-import merlinlever.view.Standing;
-import merlinlever.zone.front.Counts;
+import merlinlever.view.QuorumStatus;
+import merlinlever.zone.server.ZoneServerMetrics;
 import org.junit.jupiter.api.Test;
 
 /** Names that leave the program: constants in JSON, on the wire, in files and commands; and the members of JSON objects. */
@@ -47,129 +47,154 @@
         named(
                 "leaving, hung, memory, hopeless, chance, late, unsettled",
                 List.of(
-                        Control.Reason.LEAVING,
-                        Control.Reason.HUNG,
-                        Control.Reason.MEMORY,
-                        Control.Reason.HOPELESS,
-                        Control.Reason.CHANCE,
-                        Control.Reason.LATE,
-                        Control.Reason.UNSETTLED));
+                        OverloadController.RejectionReason.LEAVING,
+                        OverloadController.RejectionReason.HUNG,
+                        OverloadController.RejectionReason.MEMORY,
+                        OverloadController.RejectionReason.HOPELESS,
+                        OverloadController.RejectionReason.CHANCE,
+                        OverloadController.RejectionReason.LATE,
+                        OverloadController.RejectionReason.UNSETTLED));
         named(
                 "alive, suspect, dead, left",
-                List.of(Views.Status.ALIVE, Views.Status.SUSPECT, Views.Status.DEAD, Views.Status.LEFT));
+                List.of(
+                        MemberTable.MemberStatus.ALIVE,
+                        MemberTable.MemberStatus.SUSPECT,
+                        MemberTable.MemberStatus.DEAD,
+                        MemberTable.MemberStatus.LEFT));
         named(
                 "ping, ack, ask_for, nack, sync, sync_back, recall, recalled, say, carry",
                 List.of(
-                        Members.Kind.PING,
-                        Members.Kind.ACK,
-                        Members.Kind.ASK_FOR,
-                        Members.Kind.NACK,
-                        Members.Kind.SYNC,
-                        Members.Kind.SYNC_BACK,
-                        Members.Kind.RECALL,
-                        Members.Kind.RECALLED,
-                        Members.Kind.SAY,
-                        Members.Kind.CARRY));
+                        SwimProtocol.MessageKind.PING,
+                        SwimProtocol.MessageKind.ACK,
+                        SwimProtocol.MessageKind.ASK_FOR,
+                        SwimProtocol.MessageKind.NACK,
+                        SwimProtocol.MessageKind.SYNC,
+                        SwimProtocol.MessageKind.SYNC_BACK,
+                        SwimProtocol.MessageKind.RECALL,
+                        SwimProtocol.MessageKind.RECALLED,
+                        SwimProtocol.MessageKind.SAY,
+                        SwimProtocol.MessageKind.CARRY));
         named(
                 "start, drain, stop, restart",
-                List.of(Orders.Verb.START, Orders.Verb.DRAIN, Orders.Verb.STOP, Orders.Verb.RESTART));
+                List.of(
+                        OrderTracker.OrderVerb.START,
+                        OrderTracker.OrderVerb.DRAIN,
+                        OrderTracker.OrderVerb.STOP,
+                        OrderTracker.OrderVerb.RESTART));
         named(
                 "under way, done, superseded, given up",
-                List.of(Orders.End.UNDER_WAY, Orders.End.DONE, Orders.End.SUPERSEDED, Orders.End.GIVEN_UP));
+                List.of(
+                        OrderTracker.OrderProgress.UNDER_WAY,
+                        OrderTracker.OrderProgress.DONE,
+                        OrderTracker.OrderProgress.SUPERSEDED,
+                        OrderTracker.OrderProgress.GIVEN_UP));
         named(
                 "down, there, starting, cold, warm, slow, hung, draining, unreached, given_up",
                 List.of(
-                        Keeper.State.DOWN,
-                        Keeper.State.THERE,
-                        Keeper.State.STARTING,
-                        Keeper.State.COLD,
-                        Keeper.State.WARM,
-                        Keeper.State.SLOW,
-                        Keeper.State.HUNG,
-                        Keeper.State.DRAINING,
-                        Keeper.State.UNREACHED,
-                        Keeper.State.GIVEN_UP));
+                        InstanceSupervisor.InstanceState.DOWN,
+                        InstanceSupervisor.InstanceState.THERE,
+                        InstanceSupervisor.InstanceState.STARTING,
+                        InstanceSupervisor.InstanceState.COLD,
+                        InstanceSupervisor.InstanceState.WARM,
+                        InstanceSupervisor.InstanceState.SLOW,
+                        InstanceSupervisor.InstanceState.HUNG,
+                        InstanceSupervisor.InstanceState.DRAINING,
+                        InstanceSupervisor.InstanceState.UNREACHED,
+                        InstanceSupervisor.InstanceState.GIVEN_UP));
         named(
                 "whole, most, few, alone, disagreeing, returning",
                 List.of(
-                        Standing.WHOLE,
-                        Standing.MOST,
-                        Standing.FEW,
-                        Standing.ALONE,
-                        Standing.DISAGREEING,
-                        Standing.RETURNING));
+                        QuorumStatus.WHOLE,
+                        QuorumStatus.MOST,
+                        QuorumStatus.FEW,
+                        QuorumStatus.ALONE,
+                        QuorumStatus.DISAGREEING,
+                        QuorumStatus.RETURNING));
         named(
                 "cold, rejoined, reconciled, warm",
-                List.of(Return.Stage.COLD, Return.Stage.REJOINED, Return.Stage.RECONCILED, Return.Stage.WARM));
+                List.of(
+                        RecoverySequence.RecoveryStage.COLD,
+                        RecoverySequence.RecoveryStage.REJOINED,
+                        RecoverySequence.RecoveryStage.RECONCILED,
+                        RecoverySequence.RecoveryStage.WARM));
         named(
                 "kept, aged, thrown away, absent",
-                List.of(Trust.Belief.KEPT, Trust.Belief.AGED, Trust.Belief.THROWN_AWAY, Trust.Belief.ABSENT));
+                List.of(
+                        PersistedStateAssessor.Disposition.KEPT,
+                        PersistedStateAssessor.Disposition.AGED,
+                        PersistedStateAssessor.Disposition.THROWN_AWAY,
+                        PersistedStateAssessor.Disposition.ABSENT));
         named("customer, peer, provider", List.of(Relation.CUSTOMER, Relation.PEER, Relation.PROVIDER));
-        named("good, slow, away", List.of(Own.State.GOOD, Own.State.SLOW, Own.State.AWAY));
+        named(
+                "good, slow, away",
+                List.of(
+                        LocalServiceHealth.HealthState.GOOD,
+                        LocalServiceHealth.HealthState.SLOW,
+                        LocalServiceHealth.HealthState.AWAY));
         named(
                 "kill, term, pause, resume, restart, power, isolate, partition, delay, drop, duplicate, slow, reset, heal",
                 List.of(
-                        Script.Kind.KILL,
-                        Script.Kind.TERM,
-                        Script.Kind.PAUSE,
-                        Script.Kind.RESUME,
-                        Script.Kind.RESTART,
-                        Script.Kind.POWER,
-                        Script.Kind.ISOLATE,
-                        Script.Kind.PARTITION,
-                        Script.Kind.DELAY,
-                        Script.Kind.DROP,
-                        Script.Kind.DUPLICATE,
-                        Script.Kind.SLOW,
-                        Script.Kind.RESET,
-                        Script.Kind.HEAL));
+                        FaultScript.FaultKind.KILL,
+                        FaultScript.FaultKind.TERM,
+                        FaultScript.FaultKind.PAUSE,
+                        FaultScript.FaultKind.RESUME,
+                        FaultScript.FaultKind.RESTART,
+                        FaultScript.FaultKind.POWER,
+                        FaultScript.FaultKind.ISOLATE,
+                        FaultScript.FaultKind.PARTITION,
+                        FaultScript.FaultKind.DELAY,
+                        FaultScript.FaultKind.DROP,
+                        FaultScript.FaultKind.DUPLICATE,
+                        FaultScript.FaultKind.SLOW,
+                        FaultScript.FaultKind.RESET,
+                        FaultScript.FaultKind.HEAL));
         named(
                 "all, last-first, half, torn, emptied, copied, clock-back, twice, partition, slow-link",
                 List.of(
-                        PowerLoss.Kind.ALL,
-                        PowerLoss.Kind.LAST_FIRST,
-                        PowerLoss.Kind.HALF,
-                        PowerLoss.Kind.TORN,
-                        PowerLoss.Kind.EMPTIED,
-                        PowerLoss.Kind.COPIED,
-                        PowerLoss.Kind.CLOCK_BACK,
-                        PowerLoss.Kind.TWICE,
-                        PowerLoss.Kind.PARTITION,
-                        PowerLoss.Kind.SLOW_LINK));
+                        PowerLoss.PowerLossKind.ALL,
+                        PowerLoss.PowerLossKind.LAST_FIRST,
+                        PowerLoss.PowerLossKind.HALF,
+                        PowerLoss.PowerLossKind.TORN,
+                        PowerLoss.PowerLossKind.EMPTIED,
+                        PowerLoss.PowerLossKind.COPIED,
+                        PowerLoss.PowerLossKind.CLOCK_BACK,
+                        PowerLoss.PowerLossKind.TWICE,
+                        PowerLoss.PowerLossKind.PARTITION,
+                        PowerLoss.PowerLossKind.SLOW_LINK));
         named(
                 "parted, one-cut-off, one-way, pause, kill, flap, slow",
                 List.of(
-                        ViewFaults.Kind.PARTED,
-                        ViewFaults.Kind.ONE_CUT_OFF,
-                        ViewFaults.Kind.ONE_WAY,
-                        ViewFaults.Kind.PAUSE,
-                        ViewFaults.Kind.KILL,
-                        ViewFaults.Kind.FLAP,
-                        ViewFaults.Kind.SLOW));
+                        ViewFaults.ViewFaultKind.PARTED,
+                        ViewFaults.ViewFaultKind.ONE_CUT_OFF,
+                        ViewFaults.ViewFaultKind.ONE_WAY,
+                        ViewFaults.ViewFaultKind.PAUSE,
+                        ViewFaults.ViewFaultKind.KILL,
+                        ViewFaults.ViewFaultKind.FLAP,
+                        ViewFaults.ViewFaultKind.SLOW));
         named(
                 "kill, kill-leader, pause, pause-leader, partition, three-sides, slow-leader, lossy, power, whole",
                 List.of(
-                        BudgetFaults.Kind.KILL,
-                        BudgetFaults.Kind.KILL_LEADER,
-                        BudgetFaults.Kind.PAUSE,
-                        BudgetFaults.Kind.PAUSE_LEADER,
-                        BudgetFaults.Kind.PARTITION,
-                        BudgetFaults.Kind.THREE_SIDES,
-                        BudgetFaults.Kind.SLOW_LEADER,
-                        BudgetFaults.Kind.LOSSY,
-                        BudgetFaults.Kind.POWER,
-                        BudgetFaults.Kind.WHOLE));
-        assertEquals(Orders.Verb.START, WireNamed.parse(Orders.Verb.class, "Start"));
-        assertThrows(IllegalArgumentException.class, () -> WireNamed.parse(Orders.Verb.class, ""));
+                        QuotaFaults.QuotaFaultKind.KILL,
+                        QuotaFaults.QuotaFaultKind.KILL_LEADER,
+                        QuotaFaults.QuotaFaultKind.PAUSE,
+                        QuotaFaults.QuotaFaultKind.PAUSE_LEADER,
+                        QuotaFaults.QuotaFaultKind.PARTITION,
+                        QuotaFaults.QuotaFaultKind.THREE_SIDES,
+                        QuotaFaults.QuotaFaultKind.SLOW_LEADER,
+                        QuotaFaults.QuotaFaultKind.LOSSY,
+                        QuotaFaults.QuotaFaultKind.POWER,
+                        QuotaFaults.QuotaFaultKind.WHOLE));
+        assertEquals(OrderTracker.OrderVerb.START, WireNamed.parse(OrderTracker.OrderVerb.class, "Start"));
+        assertThrows(IllegalArgumentException.class, () -> WireNamed.parse(OrderTracker.OrderVerb.class, ""));
     }
 
     @Test
     void theStateOfAnInstance() throws Exception {
-        Control.Figures figures =
-                new Control.Figures(1, 2, 3, 4.5, 0.25, 0.125, false, false, 1, List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L), 8);
-        fixture.pins("state.warm", Telling.of(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
-        fixture.pins("state.starting", Telling.of(false, false, 0, 10, null, null));
-        Told told = new Told(
+        OverloadController.ControllerMetrics figures = new OverloadController.ControllerMetrics(
+                1, 2, 3, 4.5, 0.25, 0.125, false, false, 1, List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L), 8);
+        fixture.pins("state.warm", StatusReport.of(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
+        fixture.pins("state.starting", StatusReport.of(false, false, 0, 10, null, null));
+        InstanceStatus told = new InstanceStatus(
                 "warm",
                 true,
                 false,
@@ -181,9 +206,9 @@
                 0.125,
                 Map.of("chance", 2L),
                 8,
-                List.of(new Told.Share("calls", 100, 11, 1760, 2, "b1", 5)),
-                new Told.View("whole", 1000, "3.1", "801ad0959cc1"));
+                List.of(new InstanceStatus.QuotaShare("calls", 100, 11, 1760, 2, "b1", 5)),
+                new InstanceStatus.ViewStatus("whole", 1000, "3.1", "801ad0959cc1"));
         fixture.pins("told", new ObjectMapper().writeValueAsString(told));
-        fixture.pins("dns.counts", new Counts(new SimpleMeterRegistry()).line());
+        fixture.pins("dns.counts", new ZoneServerMetrics(new SimpleMeterRegistry()).line());
     }
 }
--- a/src/test/java/merlinlever/sheet/SheetTest.java
+++ b/src/test/java/merlinlever/config/ConfigFileTest.java
@@ -1,4 +1,4 @@
-package merlinlever.sheet;
+package merlinlever.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SheetTest {
+class ConfigFileTest {
 
     @TempDir
     Path folder;
@@ -21,7 +21,7 @@
 
     @Test
     void aGoodFileIsReadWithItsTypes() throws Exception {
-        Sheet sheet = Sheet.read(
+        ConfigFile sheet = ConfigFile.read(
                 file(
                         """
                 listen: 127.0.0.1:0
@@ -40,7 +40,8 @@
     @Test
     void everyFaultIsOneLineWithItsPlace() throws Exception {
         Path file = file("listen: 127.0.0.1:0\nstate: 3\nkys: 4\nzones:\n  - {origin: a.}\nstop: 3 seconds\n");
-        String[] said = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "zone-serve"))
+        String[] said = assertThrows(
+                        ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(file, "zone-serve"))
                 .getMessage()
                 .split("\n");
         assertEquals(4, said.length);
@@ -58,16 +59,17 @@
     void whatIsNoYamlIsOneLine() throws Exception {
         for (String bad : new String[] {"listen: [", "", "a: 1\na: 2\n", "\t- x", "{{a: b}: c}"}) {
             Path file = file(bad);
-            String said = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "zone-serve"))
+            String said = assertThrows(
+                            ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(file, "zone-serve"))
                     .getMessage();
             assertEquals(1, said.lines().count(), said);
             assertTrue(said.matches(java.util.regex.Pattern.quote(file.toString()) + ":[0-9]+: .*"), said);
         }
-        assertThrows(Sheet.Unusable.class, () -> Sheet.read(folder, "zone-serve"));
+        assertThrows(ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(folder, "zone-serve"));
     }
 
     @Test
     void everySchemaIsThere() {
-        Sheet.SCHEMAS.forEach(name -> assertTrue(Sheet.schema(name).contains("\"title\"")));
+        ConfigFile.SCHEMAS.forEach(name -> assertTrue(ConfigFile.schema(name).contains("\"title\"")));
     }
 }
--- a/src/test/java/merlinlever/core/Around.java
+++ b/src/test/java/merlinlever/core/BackendFixture.java
@@ -9,10 +9,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 
 /** All parties round a backend: what was asked of them, as words, and what the callers were answered. */
-final class Around implements Outside, Calls {
+final class BackendFixture implements BackendDependencies, DownstreamService {
 
     static final Map<String, String> GIVEN = Map.ofEntries(
             Map.entry("server.cores", "4"),
@@ -35,15 +35,15 @@
 
     final List<String> asked = new ArrayList<>();
     final Map<String, List<String>> answers = new HashMap<>();
-    final Map<String, Work> taken = new HashMap<>();
+    final Map<String, TrackedRequest> taken = new HashMap<>();
     final Backend backend;
     Duration now = Duration.ofMillis(1000);
     Duration alarm;
     long ids;
     /** Where calls go; to be set by who plays what lies below. */
-    Calls below = this;
+    DownstreamService below = this;
 
-    Around(Map<String, String> more) {
+    BackendFixture(Map<String, String> more) {
         Map<String, String> given = new HashMap<>(GIVEN);
         given.putAll(more);
         backend = new Backend(given, 5, this);
@@ -51,7 +51,7 @@
         settle();
     }
 
-    Around() {
+    BackendFixture() {
         this(Map.of());
     }
 
@@ -59,12 +59,12 @@
         String name = String.format("%016x", ++ids);
         List<String> heard = new ArrayList<>();
         answers.put(name, heard);
-        Caller caller = new HeardCaller(heard);
+        ResponseSink caller = new RecordingResponseSink(heard);
         taken.put(
                 name,
                 backend.arrived(
                         now,
-                        new Backend.Asked(
+                        new Backend.RequestMetadata(
                                 ids,
                                 name,
                                 backend.tariff(tariff),
@@ -99,7 +99,7 @@
         settle();
     }
 
-    void ends(String name, Ending how, String result) {
+    void ends(String name, Outcome how, String result) {
         backend.ended(now, Long.parseLong(name, 16), how, result.getBytes(StandardCharsets.UTF_8));
         settle();
     }
@@ -109,7 +109,7 @@
         settle();
     }
 
-    void replied(String name, Ending how) {
+    void replied(String name, Outcome how) {
         backend.callEnded(now, Long.parseLong(name, 16), how, new byte[] {2});
         settle();
     }
@@ -124,23 +124,23 @@
     }
 
     @Override
-    public void launch(Work work) {
+    public void launch(TrackedRequest work) {
         asked.add("launch " + work.name());
     }
 
     @Override
-    public void freeze(Work work) {
+    public void freeze(TrackedRequest work) {
         asked.add("freeze " + work.name());
     }
 
     @Override
-    public void deliver(Work work, byte[] reply) {
+    public void deliver(TrackedRequest work, byte[] reply) {
         assertArrayEquals(new byte[] {2}, reply);
         asked.add("deliver " + work.name());
     }
 
     @Override
-    public void forgo(Work work) {
+    public void forgo(TrackedRequest work) {
         asked.add("forgo " + work.name());
     }
 
@@ -155,18 +155,18 @@
     }
 
     @Override
-    public Calls calls() {
+    public DownstreamService calls() {
         return below;
     }
 
     @Override
-    public void call(Work work, byte[] body, Duration within) {
+    public void call(TrackedRequest work, byte[] body, Duration within) {
         assertArrayEquals(new byte[] {1}, body);
         asked.add("call " + work.name());
     }
 
     @Override
-    public void giveUp(Work work) {
+    public void giveUp(TrackedRequest work) {
         asked.add("give up " + work.name());
     }
 
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/core/BackendTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -23,12 +23,12 @@
 
     @Example
     void aRunWithACallIsAnsweredOnceWithItsResult() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String a = around.take("look", null, "a");
         around.calls(a);
-        around.replied(a, Ending.OK);
-        around.ends(a, Ending.OK, "result");
-        around.ends(a, Ending.OK, "again");
+        around.replied(a, Outcome.OK);
+        around.ends(a, Outcome.OK, "result");
+        around.ends(a, Outcome.OK, "again");
         assertEquals("satisfied result", around.answer(a));
         assertEquals(List.of("launch " + a, "call " + a, "deliver " + a), around.asked);
     }
@@ -36,10 +36,10 @@
     /** Rule 2: whoever repeats a fingerprinted operation within its window gets the outcome of the one run. */
     @Example
     void repeatsShareTheOneRunWhileItLastsAndAfterIt() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String first = around.take("buy", "t", "a");
         String during = around.take("buy", "t", "a");
-        around.ends(first, Ending.OK, "done");
+        around.ends(first, Outcome.OK, "done");
         String after = around.take("buy", "t", "a");
         around.after(4900);
         String late = around.take("buy", "t", "a");
@@ -55,21 +55,21 @@
     /** The caller of the first went away; its run goes on for the one that asks again. */
     @Example
     void aRepeatGetsTheOutcomeOfARunWhoseCallerHasGone() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String first = around.take("buy", "t", "a");
         around.backend.callerGone(around.now, around.taken.get(first));
         around.settle();
         String again = around.take("buy", "t", "a");
-        around.ends(first, Ending.OK, "done");
+        around.ends(first, Outcome.OK, "done");
         assertEquals("satisfied done", around.answer(again));
         assertTrue(around.answers.get(first).isEmpty());
     }
 
     @Example
     void aRepeatOfWhatFailedIsBrokenOffAndNotRun() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String first = around.take("buy", "t", "a");
-        around.ends(first, Ending.ERROR, "");
+        around.ends(first, Outcome.ERROR, "");
         String again = around.take("buy", "t", "a");
         assertEquals("broken off", around.answer(again));
         assertEquals(1, around.asked.size());
@@ -78,11 +78,11 @@
     /** A mark that comes with another body, or for another tariff, stands for no operation that could be shared. */
     @Example
     void aMarkWithAnotherBodyIsBrokenOffAndLeavesTheFirstAlone() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String first = around.take("buy", "t", "a");
         String other = around.take("buy", "t", "b");
         assertEquals("broken off", around.answer(other));
-        around.ends(first, Ending.OK, "done");
+        around.ends(first, Outcome.OK, "done");
         assertEquals("satisfied done", around.answer(first));
         assertEquals("satisfied done", around.answer(around.take("buy", "t", "a")));
     }
@@ -90,11 +90,11 @@
     /** The process's own limit: with more marks than are planned for, new ones are pushed back, none is dropped. */
     @Example
     void marksBeyondTheLimitOfTheProcessArePushedBackAndNoneIsForgotten() {
-        Around around = new Around(Map.of("server.kb-per-fingerprint", "0"));
+        BackendFixture around = new BackendFixture(Map.of("server.kb-per-fingerprint", "0"));
         int satisfied = 0;
         String name = around.take("buy", "t0", "a");
         for (int i = 0; around.times("launch " + name) == 1 && i < 4200; i++) {
-            around.ends(name, Ending.OK, "r" + i);
+            around.ends(name, Outcome.OK, "r" + i);
             satisfied++;
             name = around.take("buy", "t" + satisfied, "a");
         }
@@ -107,7 +107,7 @@
     /** In a flood of pushbacks what was pushed back is let go of; only a run is remembered. */
     @Example
     void whatWasPushedBackIsNotHeldOnTo() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         around.take("look", null, "a");
         around.backend.leave(around.now, around.now.plusMillis(10));
         for (int i = 0; i < 1000; i++) {
@@ -118,14 +118,14 @@
 
     @Example
     void readsOfASubjectShareAFreshAnswerWhereThatIsAllowed() {
-        Around around = new Around(Map.of("server.fresh-for", "1000"));
+        BackendFixture around = new BackendFixture(Map.of("server.fresh-for", "1000"));
         for (int round = 0; round < 2; round++) {
-            Work[] works = new Work[3];
+            TrackedRequest[] works = new TrackedRequest[3];
             List<String> heard = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 works[i] = around.backend.arrived(
                         around.now,
-                        new Backend.Asked(
+                        new Backend.RequestMetadata(
                                 ++around.ids,
                                 "w",
                                 0,
@@ -138,7 +138,7 @@
                                 null,
                                 "s",
                                 new byte[0]),
-                        new Caller() {
+                        new ResponseSink() {
                             @Override
                             public void satisfied(byte[] result) {
                                 heard.add(new String(result, StandardCharsets.UTF_8));
@@ -152,7 +152,7 @@
                         });
                 around.settle();
                 if (i == 1) {
-                    around.ends(Long.toHexString(works[0].id), Ending.OK, "fresh");
+                    around.ends(Long.toHexString(works[0].id), Outcome.OK, "fresh");
                 }
             }
             assertEquals(List.of("fresh", "fresh", "fresh"), heard);
@@ -164,7 +164,7 @@
     /** The gauge is a round trip old: it does not know what was sent onto the cores after it was asked for. */
     @Example
     void runsThatLeftAfterTheGaugeWasAskedForAreAddedToIt() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         around.take("look", null, "a");
         around.backend.alarmed(around.now);
         around.take("look", null, "b");
@@ -178,7 +178,7 @@
 
     @Example
     void aCallIsGivenUpWhenItsCallerGoesOrItsTimeIsOver() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String gone = around.take("look", null, "a");
         String late = around.take("look", null, "b");
         around.calls(gone);
@@ -188,34 +188,34 @@
         assertEquals(1, around.times("give up " + gone));
         assertEquals(1, around.times("give up " + late));
         assertEquals("broken off", around.answer(late));
-        around.replied(late, Ending.OK);
+        around.replied(late, Outcome.OK);
         assertEquals(0, around.times("deliver " + late));
     }
 
     /** The seam to what lies below: an answer may come within the asking, and is all that the core hears of a service that is away. */
     @Example
     void aCallMayBeAnsweredWhileItIsMade() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         List<String> made = new ArrayList<>();
-        for (Ending how : List.of(Ending.OK, Ending.UNREACHABLE, Ending.TURNED_AWAY)) {
-            around.below = new Calls() {
+        for (Outcome how : List.of(Outcome.OK, Outcome.UNREACHABLE, Outcome.TURNED_AWAY)) {
+            around.below = new DownstreamService() {
                 @Override
-                public void call(Work operation, byte[] body, Duration within) {
+                public void call(TrackedRequest operation, byte[] body, Duration within) {
                     assertTrue(body.length == 1 && within.toMillis() == 1000, "the body and the time that is left");
                     made.add(how + " " + operation.name());
                     around.backend.callEnded(around.now, operation.id(), how, new byte[] {2});
                 }
 
                 @Override
-                public void giveUp(Work operation) {
+                public void giveUp(TrackedRequest operation) {
                     made.add("given up " + operation.name());
                 }
             };
             String name = around.take("look", null, "a");
             around.calls(name);
-            assertEquals(how == Ending.OK ? 1 : 0, around.times("deliver " + name), how + ": " + around.asked);
-            assertEquals(how == Ending.UNREACHABLE ? 2 : 1, made.size(), "made again only where none got through");
-            if (how != Ending.OK) {
+            assertEquals(how == Outcome.OK ? 1 : 0, around.times("deliver " + name), how + ": " + around.asked);
+            assertEquals(how == Outcome.UNREACHABLE ? 2 : 1, made.size(), "made again only where none got through");
+            if (how != Outcome.OK) {
                 assertEquals("broken off", around.answer(name));
             }
             made.clear();
@@ -225,10 +225,10 @@
     /** What was sent on a link that broke is sent again, and only that; a reply that was taken is not sent twice. */
     @Example
     void afterALostLinkOnlyWhatIsInDoubtIsSentAgain() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String old = around.take("look", null, "a");
         around.calls(old);
-        around.replied(old, Ending.OK);
+        around.replied(old, Outcome.OK);
         around.after(100);
         Duration lastHeard = around.now;
         String ended = around.take("look", null, "b");
@@ -237,13 +237,13 @@
         String calling = around.take("look", null, "d");
         around.calls(calling);
         around.backend.linkLost(lastHeard);
-        around.replied(doubtful, Ending.OK);
+        around.replied(doubtful, Outcome.OK);
         String without = around.take("buy", "t", "e");
         around.after(50);
         around.backend.linkBack(around.now);
-        around.ends(ended, Ending.OK, "done");
+        around.ends(ended, Outcome.OK, "done");
         around.asked.clear();
-        around.replied(calling, Ending.OK);
+        around.replied(calling, Outcome.OK);
         around.backend.caughtUp(around.now);
         assertEquals(List.of("deliver " + calling, "deliver " + doubtful, "launch " + without), around.asked);
         around.asked.clear();
@@ -254,10 +254,10 @@
     /** What left up to 50 ms before the break may be lost with the link, even where the link was heard of until then. */
     @Example
     void aReplyThatLeftShortlyBeforeTheBreakIsSentAgain() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String a = around.take("look", null, "a");
         around.calls(a);
-        around.replied(a, Ending.OK);
+        around.replied(a, Outcome.OK);
         around.after(45);
         around.backend.linkLost(around.now);
         around.backend.linkBack(around.now.plusMillis(1));
@@ -268,7 +268,7 @@
     /** An outcome that can no longer be learned: answered, and a mark of it is never run again. */
     @Example
     void runsWhoseNoticesWereMissedAreBrokenOffAndNotBegunAgain() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String a = around.take("buy", "t", "a");
         around.backend.noticesMissed(around.now);
         around.settle();
@@ -279,7 +279,7 @@
 
     @Example
     void allIsAnsweredBeforeTheStopAndNothingPastTheGraceIsRun() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String running = around.take("buy", "t", "a");
         around.backend.leave(around.now, around.now.plusMillis(900));
         around.settle();
@@ -294,7 +294,7 @@
 
     @Example
     void deepChecksShareOneExerciseWhichALostLinkDoesNotSpoil() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         List<Boolean> heard = new ArrayList<>();
         around.backend.checkDeeply(heard::add);
         around.backend.checkDeeply(heard::add);
@@ -312,12 +312,12 @@
 
     @Example
     void beforeTheAgentIsUpAllIsPushedBackAndHealthIsBad() {
-        Around around = new Around();
-        Backend early = new Backend(Around.GIVEN, 5, around);
+        BackendFixture around = new BackendFixture();
+        Backend early = new Backend(BackendFixture.GIVEN, 5, around);
         List<Boolean> checked = new ArrayList<>();
         early.checkDeeply(checked::add);
         assertFalse(early.healthy() || checked.get(0));
-        assertEquals(null, early.arrived(Duration.ZERO, null, new Caller() {
+        assertEquals(null, early.arrived(Duration.ZERO, null, new ResponseSink() {
             @Override
             public void satisfied(byte[] result) {}
 
@@ -335,7 +335,7 @@
     /** Whatever happens in whatever order: one answer in time, no mark run twice, no result that no run made. */
     @Property(tries = 60, seed = "41")
     void theRulesHoldOnRandomDays(@ForAll long seed) {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         SplittableRandom chance = new SplittableRandom(seed);
         Map<String, String> tokens = new HashMap<>();
         Map<String, Duration> due = new HashMap<>();
@@ -359,10 +359,10 @@
             } else if (what == 3 && some != null) {
                 around.calls(some);
             } else if (what == 4 && some != null) {
-                around.replied(some, Ending.values()[chance.nextInt(6)]);
+                around.replied(some, Outcome.values()[chance.nextInt(6)]);
             } else if (what < 7 && some != null && linked) {
                 over.add(some);
-                around.ends(some, chance.nextInt(4) == 0 ? Ending.ERROR : Ending.OK, tokens.get(some));
+                around.ends(some, chance.nextInt(4) == 0 ? Outcome.ERROR : Outcome.OK, tokens.get(some));
             } else if (what == 7 && some != null && chance.nextBoolean()) {
                 if (around.answers.get(some).isEmpty()) {
                     gone.add(some);
--- a/src/test/java/merlinlever/core/Batches.java
+++ b/src/test/java/merlinlever/core/BatchedBackendFixture.java
@@ -8,24 +8,24 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 
 /** A backend whose batches the test puts together itself: nothing is settled, and no time passes, but by its word. */
-final class Batches {
+final class BatchedBackendFixture {
 
     static final List<String> DONE = List.of("satisfied done");
 
-    final Around around;
+    final BackendFixture around;
     final Backend backend;
     /** How long callers wait from the arrival on. */
     Duration wait = Duration.ofMillis(1000);
 
-    Batches(Map<String, String> more) {
-        around = new Around(more);
+    BatchedBackendFixture(Map<String, String> more) {
+        around = new BackendFixture(more);
         backend = around.backend;
     }
 
-    Batches() {
+    BatchedBackendFixture() {
         this(Map.of());
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** Fills the cores, so that what is read next is held. */
-    Batches busy() {
+    BatchedBackendFixture busy() {
         for (int i = 0; i < 4; i++) {
             around.take("look", null, "busy" + i);
         }
@@ -73,13 +73,14 @@
         return name;
     }
 
-    Work readAs(long id, String name, String tariff, String token, String subject, String body, Duration arrival) {
+    TrackedRequest readAs(
+            long id, String name, String tariff, String token, String subject, String body, Duration arrival) {
         List<String> heard = new ArrayList<>();
         around.answers.put(name, heard);
-        Caller caller = new HeardCaller(heard);
-        Work work = backend.arrived(
+        ResponseSink caller = new RecordingResponseSink(heard);
+        TrackedRequest work = backend.arrived(
                 now(),
-                new Backend.Asked(
+                new Backend.RequestMetadata(
                         id,
                         name,
                         backend.tariff(tariff),
@@ -97,7 +98,7 @@
         return work;
     }
 
-    Work work(String name) {
+    TrackedRequest work(String name) {
         return around.taken.get(name);
     }
 
@@ -105,7 +106,7 @@
         backend.callerGone(now(), work(name));
     }
 
-    void ended(String name, Ending how, String result) {
+    void ended(String name, Outcome how, String result) {
         backend.ended(now(), Long.parseLong(name, 16), how, result.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -113,7 +114,7 @@
         backend.needsCall(now(), Long.parseLong(name, 16), new byte[] {1});
     }
 
-    void replied(String name, Ending how) {
+    void replied(String name, Outcome how) {
         backend.callEnded(now(), Long.parseLong(name, 16), how, new byte[] {2});
     }
 
@@ -148,7 +149,7 @@
     String ran() {
         String first = read("buy", "t", "a");
         settle();
-        ended(first, Ending.OK, "done");
+        ended(first, Outcome.OK, "done");
         settle();
         assertEquals(DONE, heard(first));
         return first;
--- a/src/test/java/merlinlever/core/EndingCrossingsTest.java
+++ b/src/test/java/merlinlever/core/CompletionRaceTest.java
@@ -4,11 +4,11 @@
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
 /** Where the end of a run crosses its deadline, its caller, its call, and its sharers. */
-class EndingCrossingsTest {
+class CompletionRaceTest {
 
     private static final List<String> DONE = List.of("satisfied done");
     private static final List<String> BROKEN_OFF = List.of("broken off");
@@ -18,13 +18,13 @@
     void anOutcomeAndACallerThatGoesInOneBatch() {
         for (String tariff : new String[] {"look", "buy"}) {
             for (boolean goneFirst : new boolean[] {false, true}) {
-                Batches batches = new Batches();
+                BatchedBackendFixture batches = new BatchedBackendFixture();
                 String name = batches.read(tariff, tariff.equals("buy") ? "t" : null, "a");
                 batches.settle();
                 if (goneFirst) {
                     batches.gone(name);
                 }
-                batches.ended(name, Ending.OK, "done");
+                batches.ended(name, Outcome.OK, "done");
                 if (!goneFirst) {
                     batches.gone(name);
                 }
@@ -40,7 +40,7 @@
     @Example
     void anOutcomeInTheBatchOfTheDeadline() {
         for (boolean after : new boolean[] {false, true}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             String name = batches.read("buy", "t", "a");
             batches.settle();
             batches.pass(990);
@@ -50,7 +50,7 @@
                 batches.backend.alarmed(batches.now());
                 batches.settle();
             }
-            batches.ended(name, Ending.OK, "done");
+            batches.ended(name, Outcome.OK, "done");
             batches.settle();
             batches.pass(50);
             assertEquals(after ? BROKEN_OFF : DONE, batches.heard(name));
@@ -63,7 +63,7 @@
     @Example
     void anOutcomeInTheLastMomentBeforeTheStop() {
         for (boolean after : new boolean[] {false, true}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             String name = batches.read("buy", "t", "a");
             batches.settle();
             batches.backend.leave(batches.now(), batches.now().plusMillis(600));
@@ -75,7 +75,7 @@
                 batches.backend.alarmed(batches.now());
                 batches.settle();
             }
-            batches.ended(name, Ending.OK, "done");
+            batches.ended(name, Outcome.OK, "done");
             batches.settle();
             assertEquals(after ? BROKEN_OFF : DONE, batches.heard(name));
             assertEquals(0, batches.backend.inHand());
@@ -86,7 +86,7 @@
     @Example
     void aReplyInTheBatchOfTheDeadline() {
         for (boolean after : new boolean[] {false, true}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             String name = batches.read("buy", "t", "a");
             batches.settle();
             batches.needsCall(name);
@@ -94,19 +94,19 @@
             batches.pass(990);
             batches.around.now = batches.now().plusMillis(10);
             if (!after) {
-                batches.replied(name, Ending.OK);
+                batches.replied(name, Outcome.OK);
             }
             batches.backend.alarmed(batches.now());
             batches.settle();
             if (after) {
-                batches.replied(name, Ending.OK);
+                batches.replied(name, Outcome.OK);
                 batches.settle();
             }
             assertEquals(BROKEN_OFF, batches.heard(name));
             assertEquals(
                     after ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
                     batches.asked(name));
-            batches.ended(name, Ending.STOPPED, "");
+            batches.ended(name, Outcome.STOPPED, "");
             batches.settle();
             assertEquals(0, batches.backend.inHand());
         }
@@ -116,7 +116,7 @@
     @Example
     void aReplyInTheBatchInWhichItsCallerGoes() {
         for (boolean goneFirst : new boolean[] {false, true}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             String name = batches.read("look", null, "a");
             batches.settle();
             batches.needsCall(name);
@@ -124,7 +124,7 @@
             if (goneFirst) {
                 batches.gone(name);
             }
-            batches.replied(name, Ending.OK);
+            batches.replied(name, Outcome.OK);
             if (!goneFirst) {
                 batches.gone(name);
             }
@@ -138,7 +138,7 @@
     /** A run that reaches its call as it is stopped, or after it was answered, makes none. */
     @Example
     void aRunThatReachesItsCallAsItIsStoppedMakesNone() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("look", null, "a");
         batches.settle();
         batches.gone(name);
@@ -147,7 +147,7 @@
         batches.settle();
         batches.pass(30);
         assertEquals(List.of("launch", "freeze"), batches.asked(name));
-        batches.ended(name, Ending.STOPPED, "");
+        batches.ended(name, Outcome.STOPPED, "");
         batches.settle();
         assertEquals(List.of(), batches.heard(name));
         batches.pass(42_000);
@@ -157,15 +157,15 @@
     /** A launch that was sent twice: the agent's word that nothing was begun, after the outcome, changes nothing. */
     @Example
     void wordThatNothingWasBegunAfterTheOutcomeOfALaunchSentTwice() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("buy", "t", "a");
         batches.settle();
         batches.backend.linkLost(batches.now());
         batches.backend.linkBack(batches.now());
         batches.backend.caughtUp(batches.now());
         assertEquals(List.of("launch", "launch"), batches.asked(name));
-        batches.ended(name, Ending.OK, "done");
-        batches.ended(name, Ending.NEVER_BEGUN, "");
+        batches.ended(name, Outcome.OK, "done");
+        batches.ended(name, Outcome.NEVER_BEGUN, "");
         batches.settle();
         assertEquals(DONE, batches.heard(name));
         String again = batches.read("buy", "t", "a");
@@ -176,12 +176,12 @@
     /** Word that nothing was begun, of one whose caller is there: broken off, not pushed back, and no try of it runs. */
     @Example
     void wordThatNothingWasBegunOfOneThatIsOwedAnAnswer() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("buy", "t", "a");
         batches.settle();
         String sharer = batches.read("buy", "t", "a");
         batches.settle();
-        batches.ended(name, Ending.NEVER_BEGUN, "");
+        batches.ended(name, Outcome.NEVER_BEGUN, "");
         batches.settle();
         String again = batches.read("buy", "t", "a");
         batches.settle();
@@ -195,7 +195,7 @@
     @Example
     void aSharerWhoseDeadlineIsReachedAsTheRunEnds() {
         for (boolean after : new boolean[] {false, true}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             String first = batches.read("buy", "t", "a");
             batches.settle();
             batches.pass(100);
@@ -208,7 +208,7 @@
                 batches.backend.alarmed(batches.now());
                 batches.settle();
             }
-            batches.ended(first, Ending.OK, "done");
+            batches.ended(first, Outcome.OK, "done");
             batches.settle();
             assertEquals(DONE, batches.heard(first));
             assertEquals(after ? BROKEN_OFF : DONE, batches.heard(sharer));
@@ -219,7 +219,7 @@
     /** Guards the request: a later try shares the run, so the run is not stopped as the deadline of the first is reached. */
     @Example
     void aRunThatALaterTrySharesIsNotStoppedAtTheDeadlineOfTheFirst() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.read("buy", "t", "a");
         batches.settle();
         batches.pass(700);
@@ -228,7 +228,7 @@
         batches.pass(400);
         assertEquals(BROKEN_OFF, batches.heard(first));
         assertEquals(List.of("launch"), batches.asked(first));
-        batches.ended(first, Ending.OK, "done");
+        batches.ended(first, Outcome.OK, "done");
         batches.settle();
         assertEquals(DONE, batches.heard(later));
     }
@@ -236,7 +236,8 @@
     /** The same for a read that others share, whose own caller goes; with the last of them gone it is stopped as before. */
     @Example
     void aReadThatOthersShareRunsOnWithoutItsCaller() {
-        Batches batches = new Batches(Batches.with("server.fresh-for", "1000"));
+        BatchedBackendFixture batches =
+                new BatchedBackendFixture(BatchedBackendFixture.with("server.fresh-for", "1000"));
         String first = batches.read("look", null, "s", "", batches.now());
         batches.settle();
         String other = batches.read("look", null, "s", "", batches.now());
@@ -244,7 +245,7 @@
         batches.gone(first);
         batches.settle();
         assertEquals(List.of("launch"), batches.asked(first));
-        batches.ended(first, Ending.OK, "done");
+        batches.ended(first, Outcome.OK, "done");
         batches.settle();
         assertEquals(DONE, batches.heard(other));
         String alone = batches.read("look", null, "u", "", batches.now());
@@ -257,14 +258,14 @@
     /** Shares a run that is stopped for good: broken off with it, and a try that comes then is not run either. */
     @Example
     void whoSharesARunThatWasStoppedIsBrokenOff() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.read("buy", "t", "a");
         batches.settle();
         batches.pass(1000);
         assertEquals(List.of("launch", "freeze"), batches.asked(first));
         String late = batches.read("buy", "t", "a");
         batches.settle();
-        batches.ended(first, Ending.STOPPED, "");
+        batches.ended(first, Outcome.STOPPED, "");
         String later = batches.read("buy", "t", "a");
         batches.settle();
         assertEquals(BROKEN_OFF, batches.heard(late));
@@ -275,7 +276,7 @@
     /** A clock that was read earlier than the one before: nothing is answered twice, or late, by it. */
     @Example
     void aClockThatStandsBackForABatchChangesNoAnswer() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("buy", "t", "a");
         batches.settle();
         batches.pass(500);
@@ -286,7 +287,7 @@
         batches.around.now = was;
         batches.pass(500);
         assertEquals(BROKEN_OFF, batches.heard(name));
-        batches.ended(back, Ending.OK, "done");
+        batches.ended(back, Outcome.OK, "done");
         batches.settle();
         assertEquals(1, batches.heard(back).size());
     }
--- a/src/test/java/merlinlever/core/ShapeTest.java
+++ b/src/test/java/merlinlever/core/DeploymentProfileTest.java
@@ -6,28 +6,29 @@
 
 import java.util.List;
 import java.util.Map;
-import merlinlever.Settled;
+import merlinlever.Decisions;
 import net.jqwik.api.Example;
 
 /** The settings of a deployment's shape: checked, and watched without changing a decision. */
-class ShapeTest {
+class DeploymentProfileTest {
 
     @Example
     void aShapeSettingOutsideWhatItAllowsIsOneClearLine() {
-        List<String> problems = Shape.problems(Map.of("server.halt", "pasue", "server.say", "weight"));
+        List<String> problems = DeploymentProfile.problems(Map.of("server.halt", "pasue", "server.say", "weight"));
         assertEquals(List.of("settings: server.halt is \"pasue\"; allowed: drop, none, pause"), problems);
-        assertEquals(1, Shape.problems(Map.of("watch.readiness", "yes")).size());
-        assertTrue(Shape.problems(Map.of()).isEmpty(), "absent settings keep the present behaviour");
+        assertEquals(
+                1, DeploymentProfile.problems(Map.of("watch.readiness", "yes")).size());
+        assertTrue(DeploymentProfile.problems(Map.of()).isEmpty(), "absent settings keep the present behaviour");
     }
 
     @Example
     void withoutWatchSettingsNothingIsWatched() {
-        assertNull(Shape.watching(Map.of("server.halt", "drop")));
+        assertNull(DeploymentProfile.watching(Map.of("server.halt", "drop")));
     }
 
     @Example
     void haltsAndLevelsAreCountedWhereTheWatchedSettingsDiffer() {
-        Shape shape = Shape.watching(Map.of(
+        DeploymentProfile shape = DeploymentProfile.watching(Map.of(
                 "server.halt",
                 "drop",
                 "watch.halt",
@@ -38,13 +39,13 @@
                 "level",
                 "watch.readiness",
                 "true"));
-        Settled settled = new Settled();
-        settled.halted.add(Conductor.UNKNOWN);
-        settled.halted.add(Conductor.UNKNOWN);
+        Decisions settled = new Decisions();
+        settled.halted.add(ControllerDriver.UNKNOWN);
+        settled.halted.add(ControllerDriver.UNKNOWN);
         settled.level = 0.3;
         settled.healthy = false;
         shape.seen(settled);
-        shape.seen(new Settled());
+        shape.seen(new Decisions());
         assertEquals(Map.of("halt", 2L, "readiness", 1L), shape.otherwise(), "say is the same in both");
     }
 }
--- a/src/test/java/merlinlever/core/PartnersTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -12,48 +12,52 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.Ending;
-import merlinlever.faults.Stands;
-import merlinlever.faults.audit.Shares;
-import merlinlever.faults.party.SharedParty;
+import merlinlever.Outcome;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.faults.audit.QuotaAudit;
+import merlinlever.faults.standins.SimulatedRecordsService;
 import merlinlever.log.Log;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.routes.Damping;
-import merlinlever.routes.Exits;
-import merlinlever.routes.Own;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.routes.FlapDamping;
+import merlinlever.routes.LocalServiceHealth;
 import merlinlever.routes.Relation;
 import merlinlever.routes.Restrictions;
 import merlinlever.routes.Route;
-import merlinlever.routes.Routes;
-import merlinlever.routes.Rules;
-import merlinlever.routes.Table;
-import merlinlever.routes.TableWriter;
-import merlinlever.routes.net.Partners;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.routes.RouteSelector;
+import merlinlever.routes.RouteTable;
+import merlinlever.routes.RouteTableWriter;
+import merlinlever.routes.RoutingPolicy;
+import merlinlever.routes.RoutingTable;
+import merlinlever.routes.net.RoutedDownstreamService;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 import net.jqwik.api.Example;
 
 /** Calls over real sockets of one process: the own service is lost in the middle of 200 of them. */
-class PartnersTest {
+class DownstreamFailoverTest {
 
-    private static final Seen WHOLE = new Stands(now -> Standing.WHOLE);
+    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.WHOLE);
 
     /** How each call ended, by the place in their order; and what each party saw. */
-    private static Map<Long, Ending> play(String kind, long[] seen, List<Long> rooms) throws Exception {
-        Clock clock = Clock.system();
-        Loop loop = new Loop(clock, failure -> {});
+    private static Map<Long, Outcome> play(String kind, long[] seen, List<Long> rooms) throws Exception {
+        MonotonicClock clock = MonotonicClock.system();
+        EventLoop loop = new EventLoop(clock, failure -> {});
         Log log = new Log(System.out, Instant::now);
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        Shares own = new Shares(100_000, true), east = new Shares(100_000, true), west = new Shares(100_000, true);
-        SharedParty ownParty = new SharedParty(loop, any, Duration.ofMillis(20), own);
-        SharedParty eastParty = new SharedParty(loop, any, Duration.ofMillis(20), east),
-                westParty = new SharedParty(loop, any, Duration.ofMillis(20), west);
-        Routes routes = new Routes(
-                new Rules("me"),
-                List.of(new Routes.Stated("east", Relation.PEER), new Routes.Stated("west", Relation.PEER)),
+        QuotaAudit own = new QuotaAudit(100_000, true),
+                east = new QuotaAudit(100_000, true),
+                west = new QuotaAudit(100_000, true);
+        SimulatedRecordsService ownParty = new SimulatedRecordsService(loop, any, Duration.ofMillis(20), own);
+        SimulatedRecordsService eastParty = new SimulatedRecordsService(loop, any, Duration.ofMillis(20), east),
+                westParty = new SimulatedRecordsService(loop, any, Duration.ofMillis(20), west);
+        RoutingTable routes = new RoutingTable(
+                new RoutingPolicy("me"),
+                List.of(
+                        new RoutingTable.PartnerSettings("east", Relation.PEER),
+                        new RoutingTable.PartnerSettings("west", Relation.PEER)),
                 0.01,
-                Damping.Figures.PUBLISHED,
+                FlapDamping.FlapDampingSettings.PUBLISHED,
                 WHOLE,
                 line -> {});
         for (String site : List.of("east", "west")) {
@@ -70,13 +74,14 @@
                     List.of(site),
                     null,
                     Restrictions.NONE);
-            Table table = Table.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
+            RouteTable table = RouteTable.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
             routes.offer(clock.uptime(), table);
-            routes.stoodBy(clock.uptime(), site, 1, 1, TableWriter.digest(table), clock.uptime(), table.lease());
+            routes.stoodBy(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
         }
-        List<Exits.Tariff> tariffs = List.of(new Exits.Tariff("t", Exits.Kind.valueOf(kind), true));
-        Map<Long, Ending> ends = new TreeMap<>();
-        Partners partners = new Partners(
+        List<RouteSelector.RoutingClass> tariffs =
+                List.of(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.valueOf(kind), true));
+        Map<Long, Outcome> ends = new TreeMap<>();
+        RoutedDownstreamService partners = new RoutedDownstreamService(
                 loop,
                 ownParty.address(),
                 (now, id, how, reply) -> {
@@ -88,8 +93,9 @@
                 log,
                 100,
                 routes,
-                new Exits(routes, 1),
-                new Own(new Own.Stated(3, Duration.ofMillis(500), 32, Duration.ofMillis(100), 3)),
+                new RouteSelector(routes, 1),
+                new LocalServiceHealth(new LocalServiceHealth.HealthSettings(
+                        3, Duration.ofMillis(500), 32, Duration.ofMillis(100), 3)),
                 tariffs,
                 "records",
                 rooms::add);
@@ -98,7 +104,8 @@
             loop.in(
                     Duration.ofMillis(5 * i),
                     () -> partners.call(
-                            new Work(id, String.format("%016x", id), 0, "t", Duration.ZERO, null, new byte[0], null),
+                            new TrackedRequest(
+                                    id, String.format("%016x", id), 0, "t", Duration.ZERO, null, new byte[0], null),
                             "body".getBytes(StandardCharsets.US_ASCII),
                             Duration.ofSeconds(5)));
         }
@@ -116,10 +123,10 @@
     void theOwnServiceIsLostInTheMiddle() throws Exception {
         long[] seen = new long[3];
         List<Long> rooms = new ArrayList<>();
-        Map<Long, Ending> ends = play("RETRIABLE", seen, rooms);
+        Map<Long, Outcome> ends = play("RETRIABLE", seen, rooms);
         assertEquals(200, ends.size());
-        long good = ends.values().stream().filter(Ending.OK::equals).count(),
-                cut = ends.values().stream().filter(Ending.CUT_OFF::equals).count();
+        long good = ends.values().stream().filter(Outcome.OK::equals).count(),
+                cut = ends.values().stream().filter(Outcome.CUT_OFF::equals).count();
         assertTrue(good >= 170 && good + cut == 200, "went well: " + good + ", cut off: " + cut);
         assertTrue(seen[1] > 20 && seen[2] > 20, "east " + seen[1] + ", west " + seen[2]);
         // What was cut off at its own place was not sent on here: that is for the module to decide.
@@ -130,8 +137,8 @@
     @Example
     void bindingWorkStays() throws Exception {
         long[] seen = new long[3];
-        Map<Long, Ending> ends = play("BINDING", seen, new ArrayList<>());
+        Map<Long, Outcome> ends = play("BINDING", seen, new ArrayList<>());
         assertEquals(0, seen[1] + seen[2]);
-        assertTrue(ends.values().stream().filter(Ending.UNREACHABLE::equals).count() > 20);
+        assertTrue(ends.values().stream().filter(Outcome.UNREACHABLE::equals).count() > 20);
     }
 }
--- a/src/test/java/merlinlever/core/LeaveCrossingsTest.java
+++ b/src/test/java/merlinlever/core/DrainRaceTest.java
@@ -8,18 +8,18 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
 /** Where the notice to leave crosses what is read, held, repeated and timed. */
-class LeaveCrossingsTest {
+class DrainRaceTest {
 
     private static final List<String> DONE = List.of("satisfied done");
 
     /** Two notices to leave: the grace counts from the first, and what comes after it is not run. */
     @Example
     void aSecondNoticeToLeaveDoesNotLengthenTheGrace() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         Duration stop = batches.now().plusMillis(3000);
         batches.backend.leave(batches.now(), stop);
         batches.settle();
@@ -36,7 +36,7 @@
     /** Came before the end of the grace and is started after it: it runs. Came at its end: refused, also as a try that waits. */
     @Example
     void theGraceCountsFromTheArrivalAndNotFromTheStart() {
-        Batches batches = new Batches().busy();
+        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
         batches.wait = Duration.ofMillis(2000);
         batches.backend.leave(batches.now(), batches.now().plusMillis(3000));
         batches.settle();
@@ -59,19 +59,19 @@
     /** A try that comes after the grace of one that ran shares its result, and one of a run in hand its outcome: nothing is run. */
     @Example
     void aTryAfterTheGraceSharesWhatRan() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         batches.wait = Duration.ofMillis(2000);
         String ran = batches.read("buy", "t", "a");
         String runs = batches.read("buy", "u", "a");
         batches.settle();
-        batches.ended(ran, Ending.OK, "done");
+        batches.ended(ran, Outcome.OK, "done");
         batches.backend.leave(batches.now(), batches.now().plusMillis(3000));
         batches.settle();
         batches.pass(600);
         String after = batches.read("buy", "t", "a");
         String during = batches.read("buy", "u", "a");
         batches.settle();
-        batches.ended(runs, Ending.OK, "done");
+        batches.ended(runs, Outcome.OK, "done");
         batches.settle();
         assertEquals(DONE, batches.heard(after));
         assertEquals(DONE, batches.heard(during));
@@ -81,15 +81,15 @@
     /** The notice to leave before the agent is up, and its greeting after: nothing is begun, all is turned away, nothing is owed. */
     @Example
     void theAgentThatComesUpAfterTheNoticeToLeaveBeginsNothing() {
-        Around around = new Around();
-        Backend early = new Backend(Around.GIVEN, 5, around);
+        BackendFixture around = new BackendFixture();
+        Backend early = new Backend(BackendFixture.GIVEN, 5, around);
         early.leave(Duration.ZERO, Duration.ofSeconds(3));
         early.settle(Duration.ZERO);
         early.started(Duration.ofMillis(5), true);
         early.settle(Duration.ofMillis(5));
         assertFalse(early.started() || early.healthy());
         List<String> heard = new ArrayList<>();
-        assertNull(early.arrived(Duration.ofMillis(6), null, new Caller() {
+        assertNull(early.arrived(Duration.ofMillis(6), null, new ResponseSink() {
             @Override
             public void satisfied(byte[] result) {
                 heard.add("satisfied");
@@ -112,7 +112,7 @@
     /** An alarm after the notice to leave goes on being set and answered until the stop, and one after it harms nothing. */
     @Example
     void alarmsGoOnAfterTheNoticeToLeaveAndAfterTheStop() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("buy", "t", "a");
         batches.settle();
         batches.backend.leave(batches.now(), batches.now().plusMillis(200));
@@ -120,7 +120,7 @@
         assertTrue(batches.around.alarm != null);
         batches.pass(300);
         assertEquals(List.of("broken off"), batches.heard(name));
-        batches.ended(name, Ending.STOPPED, "");
+        batches.ended(name, Outcome.STOPPED, "");
         batches.settle();
         assertEquals(0, batches.backend.inHand());
     }
--- a/src/test/java/merlinlever/core/RepeatInterleavingsTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -16,9 +16,9 @@
  * Many orders of what can cross within one batch, from fixed seeds: tries that are read late, out of order or dated ahead,
  * callers that go, outcomes, calls, replies and the notice to leave, with windows shorter and longer than a run.
  */
-class RepeatInterleavingsTest {
+class DuplicateRequestInterleavingTest {
 
-    private static final class Try {
+    private static final class Attempt {
         String name;
         String token;
         Duration arrival;
@@ -28,8 +28,8 @@
         boolean gone;
     }
 
-    private final List<Try> tries = new ArrayList<>();
-    private Batches batches;
+    private final List<Attempt> tries = new ArrayList<>();
+    private BatchedBackendFixture batches;
     private SplittableRandom chance;
     private Duration graceEnds;
 
@@ -38,7 +38,7 @@
     void noOrderRunsARequestTwiceInItsWindow(@ForAll long seed) {
         chance = new SplittableRandom(seed);
         int window = new int[] {0, 40, 400, 5000}[chance.nextInt(4)];
-        batches = new Batches(Batches.with("tariffs.1.window", "" + window));
+        batches = new BatchedBackendFixture(BatchedBackendFixture.with("tariffs.1.window", "" + window));
         tries.clear();
         graceEnds = null;
         for (int step = 0; step < 300; step++) {
@@ -59,20 +59,20 @@
     }
 
     private void event(int step) {
-        Try some = tries.isEmpty() ? null : tries.get(Math.max(0, tries.size() - 1 - chance.nextInt(12)));
+        Attempt some = tries.isEmpty() ? null : tries.get(Math.max(0, tries.size() - 1 - chance.nextInt(12)));
         int what = chance.nextInt(11);
         if (what < 5 || some == null) {
             read();
         } else if (what < 7 && some.launched && !some.over) {
             some.over = true;
-            batches.ended(some.name, chance.nextInt(5) == 0 ? Ending.ERROR : Ending.OK, some.token);
+            batches.ended(some.name, chance.nextInt(5) == 0 ? Outcome.ERROR : Outcome.OK, some.token);
         } else if (what == 7 && batches.heard(some.name).isEmpty() && !some.gone) {
             some.gone = true;
             batches.gone(some.name);
         } else if (what == 8 && some.launched && !some.over) {
             batches.needsCall(some.name);
         } else if (what == 9 && some.launched && !some.over) {
-            batches.replied(some.name, Ending.values()[chance.nextInt(6)]);
+            batches.replied(some.name, Outcome.values()[chance.nextInt(6)]);
         } else if (what == 10 && step > 150 && chance.nextInt(80) == 0) {
             batches.backend.leave(batches.now(), batches.now().plusMillis(4000));
             graceEnds = graceEnds == null ? batches.now().plusMillis(500) : graceEnds;
@@ -80,7 +80,7 @@
     }
 
     private void read() {
-        Try read = new Try();
+        Attempt read = new Attempt();
         read.token = "t" + chance.nextInt(6);
         long late = chance.nextInt(4) == 0 ? chance.nextInt(600) : 0;
         boolean ahead = chance.nextInt(12) == 0;
@@ -94,7 +94,7 @@
     }
 
     private void launched() {
-        for (Try each : tries) {
+        for (Attempt each : tries) {
             long times = each.launched ? 0 : batches.around.times("launch " + each.name);
             assertTrue(times <= 1, "launched more than once");
             assertTrue(
@@ -105,7 +105,7 @@
     }
 
     private void check() {
-        for (Try each : tries) {
+        for (Attempt each : tries) {
             List<String> heard = batches.heard(each.name);
             assertTrue(heard.size() <= (each.gone ? 0 : 1), each.name + " " + heard);
             assertTrue(
@@ -123,13 +123,13 @@
 
     /** No try that came from the arrival of one that ran to the end of its window ran as well. */
     private void windows(int window) {
-        Map<String, List<Try>> ran = new HashMap<>();
+        Map<String, List<Attempt>> ran = new HashMap<>();
         tries.stream().filter(each -> each.launched).forEach(each -> ran.computeIfAbsent(
                         each.token, token -> new ArrayList<>())
                 .add(each));
         ran.forEach((token, runs) -> {
-            for (Try one : runs) {
-                for (Try other : runs) {
+            for (Attempt one : runs) {
+                for (Attempt other : runs) {
                     long after = other.arrival.minus(one.arrival).toMillis();
                     assertTrue(
                             one == other || after < 0 || after > window,
--- a/src/test/java/merlinlever/core/RepeatCrossingsTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
@@ -5,36 +5,36 @@
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
 /** Where the tries of one request cross with each other, with the end of their window and with what is let go of. */
-class RepeatCrossingsTest {
+class DuplicateRequestRaceTest {
 
     /** Guards the edge of the window: it counts from one arrival to the other, and its last moment belongs to it. */
     @Example
     void aTryAtTheLastMomentOfTheWindowSharesAndOneAfterItRuns() {
         for (int ms : new int[] {4999, 5000, 5001}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             batches.ran();
             batches.pass(ms);
             String again = batches.read("buy", "t", "a");
             batches.settle();
             assertEquals(ms <= 5000 ? List.of() : List.of(again), batches.launched(again), ms + " ms");
-            assertEquals(ms <= 5000 ? Batches.DONE : List.of(), batches.heard(again), ms + " ms");
+            assertEquals(ms <= 5000 ? BatchedBackendFixture.DONE : List.of(), batches.heard(again), ms + " ms");
         }
     }
 
     /** Guards that the window is judged by when a try came and not by when it was read. */
     @Example
     void aTryOfTheWindowThatIsReadAfterItShares() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         batches.ran();
         batches.pass(5090);
         String again = batches.read("buy", "t", null, "a", batches.now().minusMillis(91));
         String later = batches.read("buy", "t", null, "a", batches.now().minusMillis(89));
         batches.settle();
-        assertEquals(Batches.DONE, batches.heard(again));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
         assertEquals(List.of(later), batches.launched(again, later));
     }
 
@@ -45,7 +45,7 @@
     @Example
     void aTryOfTheWindowIsNotRunAfterALaterTryEndedUnrun() {
         for (boolean pushedBack : new boolean[] {false, true}) {
-            Batches batches = new Batches().busy();
+            BatchedBackendFixture batches = new BatchedBackendFixture().busy();
             batches.free();
             String first = batches.ran();
             batches.pass(5001);
@@ -64,14 +64,14 @@
             batches.settle();
             batches.free();
             assertEquals(List.of(first), batches.launched(first, later, again));
-            assertEquals(Batches.DONE, batches.heard(again));
+            assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
         }
     }
 
     /** The same where the later try is still held: whoever came in the window is not its heir. */
     @Example
     void aTryOfTheWindowDoesNotWaitBehindALaterOneWhosePlaceItCouldTake() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.ran();
         batches.pass(5001);
         batches.busy();
@@ -82,25 +82,25 @@
         batches.settle();
         batches.free();
         assertEquals(List.of(first), batches.launched(first, later, again));
-        assertEquals(Batches.DONE, batches.heard(again));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
     }
 
     /** Guards against a second run: a time ahead of ours is no way out of the window. */
     @Example
     void aTryThatIsDatedAheadIsReadNow() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         batches.ran();
         batches.pass(3000);
         String again = batches.read("buy", "t", null, "a", batches.now().plusMillis(4500));
         batches.settle();
         assertEquals(List.of(), batches.launched(again));
-        assertEquals(Batches.DONE, batches.heard(again));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
     }
 
     /** Guards the others: a date of years ago is no news of how long requests wait unread, and turns nobody away. */
     @Example
     void aTimeLongPastTurnsNobodyElseAway() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String old = batches.read("look", null, null, "x", Duration.ofDays(-18_000));
         batches.settle();
         assertEquals(List.of("broken off"), batches.heard(old));
@@ -108,7 +108,7 @@
             String name = batches.read("look", null, "a" + i);
             batches.settle();
             assertEquals(List.of(name), batches.launched(name), "number " + i);
-            batches.ended(name, Ending.OK, "done");
+            batches.ended(name, Outcome.OK, "done");
         }
     }
 
@@ -118,7 +118,7 @@
      */
     @Example
     void ofThreeTriesInOneBatchOneRuns() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         // Next to one that was read at once, one that is read so late is turned away as it is read.
         batches.read("look", null, "x");
         batches.settle();
@@ -128,23 +128,23 @@
         batches.settle();
         assertEquals(List.of("pushed back"), batches.heard(first));
         assertEquals(List.of(second), batches.launched(first, second, third));
-        batches.ended(second, Ending.OK, "done");
+        batches.ended(second, Outcome.OK, "done");
         batches.settle();
-        assertEquals(Batches.DONE, batches.heard(second));
-        assertEquals(Batches.DONE, batches.heard(third));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(second));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(third));
     }
 
     /** Two tries in one batch: the second waits for the first. */
     @Example
     void ofTwoTriesInOneBatchOneRuns() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.read("buy", "t", "a");
         String second = batches.read("buy", "t", "a");
         batches.settle();
         assertEquals(List.of(first), batches.launched(first, second));
-        batches.ended(first, Ending.OK, "done");
+        batches.ended(first, Outcome.OK, "done");
         batches.settle();
-        assertEquals(Batches.DONE, batches.heard(second));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(second));
     }
 
     /**
@@ -153,7 +153,7 @@
      */
     @Example
     void anHeirAndATryOfTheSameBatchDoNotBothRun() {
-        Batches batches = new Batches().busy();
+        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
         String first = batches.read("buy", "t", "a");
         String heir = batches.read("buy", "t", "a");
         batches.settle();
@@ -162,17 +162,17 @@
         batches.settle();
         batches.free();
         assertEquals(List.of(heir), batches.launched(first, heir, next));
-        batches.ended(heir, Ending.OK, "done");
+        batches.ended(heir, Outcome.OK, "done");
         batches.settle();
         assertEquals(List.of(), batches.heard(first));
-        assertEquals(Batches.DONE, batches.heard(heir));
-        assertEquals(Batches.DONE, batches.heard(next));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(heir));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(next));
     }
 
     /** The first is pushed back, its heir's caller goes in the same batch; the next in line runs, and no trace is left. */
     @Example
     void anHeirWhoseCallerGoesInTheSameBatchPassesItsPlaceOn() {
-        Batches batches = new Batches().busy();
+        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
         String first = batches.read("buy", "t", "a");
         String heir = batches.read("buy", "t", "a");
         String next = batches.read("buy", "t", "a");
@@ -191,19 +191,20 @@
     @Example
     void aTryAfterAWindowThatIsShorterThanTheRunShares() {
         for (String window : new String[] {"50", "0"}) {
-            Batches batches = new Batches(Batches.with("tariffs.1.window", window));
+            BatchedBackendFixture batches =
+                    new BatchedBackendFixture(BatchedBackendFixture.with("tariffs.1.window", window));
             String first = batches.read("buy", "t", "a");
             batches.settle();
             batches.pass(300);
             String during = batches.read("buy", "t", "a");
             batches.settle();
-            batches.ended(first, Ending.OK, "done");
+            batches.ended(first, Outcome.OK, "done");
             batches.settle();
             batches.pass(20);
             String unread = batches.read("buy", "t", null, "a", batches.now().minusMillis(25));
             batches.settle();
-            assertEquals(Batches.DONE, batches.heard(during));
-            assertEquals(Batches.DONE, batches.heard(unread));
+            assertEquals(BatchedBackendFixture.DONE, batches.heard(during));
+            assertEquals(BatchedBackendFixture.DONE, batches.heard(unread));
             String after = batches.read("buy", "t", "a");
             batches.settle();
             assertEquals(List.of(first, after), batches.launched(first, during, unread, after));
@@ -213,22 +214,22 @@
     /** The same id on two connections: the second is answered at once, the first goes on and is answered by its run. */
     @Example
     void theSameIdOnTwoConnectionsLeavesTheFirstAlone() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.read("buy", "t", "a");
         batches.settle();
         assertNull(batches.readAs(Long.parseLong(first, 16), "second", "buy", "t", null, "a", batches.now()));
         assertEquals(List.of("broken off"), batches.heard("second"));
         assertEquals(1, batches.backend.inHand());
-        batches.ended(first, Ending.OK, "done");
+        batches.ended(first, Outcome.OK, "done");
         batches.settle();
-        assertEquals(Batches.DONE, batches.heard(first));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(first));
         assertEquals(List.of("launch"), batches.asked(first));
     }
 
     /** The caller goes, and its id comes on a new connection: failed in the same batch, as ids are new with every try; then read. */
     @Example
     void anIdThatComesAgainAsItsCallerGoesIsAnsweredOnceEach() {
-        Batches batches = new Batches().busy();
+        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
         String first = batches.read("look", null, "a");
         batches.settle();
         batches.gone(first);
@@ -245,16 +246,16 @@
     /** The id of one that was let go of, used again while the agent knows it still: the agent's word is taken for it. */
     @Example
     void anIdThatIsUsedAgainIsAnsweredByWhatTheAgentSaysOfIt() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.ran();
         batches.pass(36_000);
         assertEquals(0, batches.backend.known());
         batches.readAs(Long.parseLong(first, 16), first, "look", null, null, "b", batches.now());
         batches.settle();
-        batches.ended(first, Ending.NEVER_BEGUN, "");
+        batches.ended(first, Outcome.NEVER_BEGUN, "");
         batches.settle();
         assertEquals(List.of("broken off"), batches.heard(first));
-        batches.ended(first, Ending.OK, "late");
+        batches.ended(first, Outcome.OK, "late");
         batches.settle();
         assertEquals(0, batches.backend.inHand());
     }
@@ -262,13 +263,14 @@
     /** A subject that comes with a write stands for nothing that could be shared: each is run and answered by itself. */
     @Example
     void writesWithOneSubjectAreNotServedWithEachOthersResult() {
-        Batches batches = new Batches(Batches.with("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
+        BatchedBackendFixture batches = new BatchedBackendFixture(
+                BatchedBackendFixture.with("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
         String one = batches.read("buy", null, "s", "a", batches.now());
         String two = batches.read("buy", null, "s", "b", batches.now());
         batches.settle();
         assertEquals(List.of(one, two), batches.launched(one, two));
-        batches.ended(one, Ending.OK, "of a");
-        batches.ended(two, Ending.OK, "of b");
+        batches.ended(one, Outcome.OK, "of a");
+        batches.ended(two, Outcome.OK, "of b");
         batches.settle();
         assertEquals(List.of("satisfied of a"), batches.heard(one));
         assertEquals(List.of("satisfied of b"), batches.heard(two));
@@ -277,13 +279,14 @@
     /** A class whose effect is not the usual one: without tokens each try is one of its own, also where a call may be made. */
     @Example
     void triesOfAClassWithNoTokensAreRunEachOnceAndTheirCallsMadeOnce() {
-        Batches batches = new Batches(Batches.with("tariffs.1.kind", "binding"));
+        BatchedBackendFixture batches =
+                new BatchedBackendFixture(BatchedBackendFixture.with("tariffs.1.kind", "binding"));
         String one = batches.read("buy", null, "a");
         String two = batches.read("buy", null, "a");
         batches.settle();
         batches.needsCall(one);
         batches.settle();
-        batches.replied(one, Ending.CUT_OFF);
+        batches.replied(one, Outcome.CUT_OFF);
         batches.settle();
         assertEquals(
                 List.of("launch", "call"), batches.asked(one), "a call that may have had its effect is not made again");
--- a/src/test/java/merlinlever/core/RepeatMemoryTest.java
+++ b/src/test/java/merlinlever/core/IdempotencyCacheMemoryTest.java
@@ -6,20 +6,21 @@
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
 /** Where what is kept of a run, its result first of all, is let go of as tries of it come, go or are read late. */
-class RepeatMemoryTest {
+class IdempotencyCacheMemoryTest {
 
     /** Guards the memory: no result stays longer than it can be asked for, however long its run took. */
     @Example
     void theResultOfARunThatOutlastedItsWindowIsLetGo() {
-        Batches batches = new Batches(Batches.with("tariffs.1.window", "50", "tariffs.1.client-timeout", "9000"));
+        BatchedBackendFixture batches = new BatchedBackendFixture(
+                BatchedBackendFixture.with("tariffs.1.window", "50", "tariffs.1.client-timeout", "9000"));
         String first = batches.read("buy", "t", "a");
         batches.settle();
         batches.pass(3000);
-        batches.ended(first, Ending.OK, "done");
+        batches.ended(first, Outcome.OK, "done");
         batches.settle();
         batches.pass(1900);
         assertTrue(batches.work(first).result != null);
@@ -31,7 +32,7 @@
     /** Guards the memory: the result is let go of too where another run has taken its place by then. */
     @Example
     void theResultOfARunThatWasFollowedByAnotherIsLetGo() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.ran();
         batches.pass(5001);
         batches.ran();
@@ -43,7 +44,7 @@
     /** Guards the memory in a flood of callers that go at once: the body goes with the one that never ran. */
     @Example
     void theBodyOfWhatNeverRanIsLetGoWithItsCaller() {
-        Batches batches = new Batches().busy();
+        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
         String held = batches.read("buy", "t", "a");
         batches.settle();
         batches.gone(held);
@@ -55,7 +56,7 @@
     /** Guards the memory: of those who ask again and again while it runs and go, the run keeps no list. */
     @Example
     void theTriesOfARunThatAreGoneAreNotKept() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.read("buy", "t", "a");
         batches.settle();
         for (int i = 0; i < 50; i++) {
@@ -77,21 +78,24 @@
     @Example
     void aTryThatIsReadAfterItsResultWasLetGoIsBrokenOffAndNotRun() {
         for (int late : new int[] {1990, 2010, 20_000}) {
-            Batches batches = new Batches();
+            BatchedBackendFixture batches = new BatchedBackendFixture();
             batches.wait = Duration.ofSeconds(25);
             batches.ran();
             batches.pass(5000 + late);
             String again = batches.read("buy", "t", null, "a", batches.now().minusMillis(late + 1));
             batches.settle();
             assertEquals(List.of(), batches.launched(again));
-            assertEquals(late < 2000 ? Batches.DONE : List.of("broken off"), batches.heard(again), late + " ms late");
+            assertEquals(
+                    late < 2000 ? BatchedBackendFixture.DONE : List.of("broken off"),
+                    batches.heard(again),
+                    late + " ms late");
         }
     }
 
     /** The result goes in the very batch in which a try of its window is read: before the sweep it shares, after it not. */
     @Example
     void aTryReadInTheBatchThatLetsTheResultGoHasOneAnswerAndNoRun() {
-        Batches batches = new Batches();
+        BatchedBackendFixture batches = new BatchedBackendFixture();
         batches.wait = Duration.ofSeconds(25);
         batches.ran();
         batches.pass(7000);
@@ -100,7 +104,7 @@
         batches.settle();
         String after = batches.read("buy", "t", null, "a", batches.now().minusMillis(2100));
         batches.settle();
-        assertEquals(Batches.DONE, batches.heard(before));
+        assertEquals(BatchedBackendFixture.DONE, batches.heard(before));
         assertEquals(List.of("broken off"), batches.heard(after));
         assertEquals(List.of(), batches.launched(before, after));
     }
@@ -108,12 +112,13 @@
     /** Guards the memory: what a class with a long window leaves behind does not keep what another has left. */
     @Example
     void whatHasAShortWindowIsNotKeptBehindWhatHasALongOne() {
-        Batches batches = new Batches(Batches.with("tariffs.0.window", "1000", "tariffs.1.window", "600000"));
+        BatchedBackendFixture batches = new BatchedBackendFixture(
+                BatchedBackendFixture.with("tariffs.0.window", "1000", "tariffs.1.window", "600000"));
         batches.ran();
         for (int i = 0; i < 100; i++) {
             String read = batches.read("look", null, "a");
             batches.settle();
-            batches.ended(read, Ending.OK, "done");
+            batches.ended(read, Outcome.OK, "done");
         }
         batches.pass(31_100);
         assertEquals(1, batches.backend.known(), "the one with the long window");
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/core/InDoubtCommandsTest.java
@@ -4,36 +4,36 @@
 
 import java.util.List;
 import java.util.Map;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
 /** Commands that cross the break of a link to the agent. */
 class InDoubtCommandsTest {
 
-    private static void lost(Around around) {
+    private static void lost(BackendFixture around) {
         around.backend.linkLost(around.now);
     }
 
-    private static void back(Around around) {
+    private static void back(BackendFixture around) {
         around.backend.linkBack(around.now);
     }
 
-    private static void caughtUp(Around around) {
+    private static void caughtUp(BackendFixture around) {
         around.backend.caughtUp(around.now);
         around.settle();
     }
 
-    private static String withReply(Around around) {
+    private static String withReply(BackendFixture around) {
         String name = around.take("look", null, "a");
         around.calls(name);
-        around.replied(name, Ending.OK);
+        around.replied(name, Outcome.OK);
         return name;
     }
 
     /** Sent again and lost again: a second break must not take the reply for one of long ago, or its run waits for ever. */
     @Example
     void whatIsSentAgainIsInDoubtAgainWithTheNextLink() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String replied = withReply(around);
         String launched = around.take("look", null, "b");
         lost(around);
@@ -61,7 +61,7 @@
     /** A launch that arrived long ago is not sent again: its outcome may be under way, and it would be run twice. */
     @Example
     void aLaunchThatIsSureToHaveArrivedIsNotSentAgain() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String sure = around.take("buy", "t", "a");
         around.after(60);
         String doubtful = around.take("buy", "u", "b");
@@ -83,15 +83,15 @@
     /** The clock need not move between two events of one batch: which came first counts, and not what it shows. */
     @Example
     void atOneInstantTheOrderOfReplyAndLinkCounts() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String before = around.take("look", null, "a");
         String after = around.take("look", null, "b");
         around.calls(before);
         around.calls(after);
         lost(around);
-        around.replied(before, Ending.OK);
+        around.replied(before, Outcome.OK);
         back(around);
-        around.replied(after, Ending.OK);
+        around.replied(after, Outcome.OK);
         caughtUp(around);
         assertEquals(2, around.times("deliver " + before));
         assertEquals(1, around.times("deliver " + after));
@@ -100,7 +100,7 @@
     /** A link that is lost before all is read leaves in doubt what the first one left, and what was sent since. */
     @Example
     void aBreakBeforeAllIsReadAddsToTheDoubt() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String first = withReply(around);
         lost(around);
         around.after(200);
@@ -118,7 +118,7 @@
     /** A run that went on while the link was away shows that its reply arrived; at its next call it is not sent again. */
     @Example
     void aReplyThatWasTakenIsNotSentToTheNextCall() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String name = withReply(around);
         lost(around);
         back(around);
@@ -129,7 +129,7 @@
         lost(around);
         back(around);
         around.calls(name);
-        around.replied(name, Ending.OK);
+        around.replied(name, Outcome.OK);
         caughtUp(around);
         assertEquals(2, around.times("deliver " + name));
     }
@@ -137,14 +137,14 @@
     /** The outcome crosses the order to stop: whichever it is, the run is over and its operation is let go. */
     @Example
     void whateverOutcomeCrossesAFreezeEndsTheOperation() {
-        for (Ending how : List.of(Ending.OK, Ending.ERROR, Ending.STOPPED, Ending.NEVER_BEGUN)) {
-            Around around = new Around(Map.of("tariffs.0.window", "0"));
+        for (Outcome how : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NEVER_BEGUN)) {
+            BackendFixture around = new BackendFixture(Map.of("tariffs.0.window", "0"));
             String name = around.take("look", null, "a");
             around.backend.callerGone(around.now, around.taken.get(name));
             around.settle();
             assertEquals(1, around.times("freeze " + name));
             around.ends(name, how, "late");
-            around.ends(name, Ending.STOPPED, "");
+            around.ends(name, Outcome.STOPPED, "");
             assertEquals(List.of(), around.answers.get(name));
             assertEquals(0, around.backend.figures().onCores(), "" + how);
             assertEquals(List.of("launch " + name, "freeze " + name), around.asked);
@@ -157,7 +157,7 @@
     /** A freeze whose link broke is sent again; an outcome that was read meanwhile leaves nothing to stop. */
     @Example
     void aFreezeIsSentAgainAndNotForWhatHasEnded() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String runs = around.take("look", null, "a");
         String ended = around.take("look", null, "b");
         for (String name : List.of(runs, ended)) {
@@ -166,7 +166,7 @@
         around.settle();
         lost(around);
         back(around);
-        around.ends(ended, Ending.STOPPED, "");
+        around.ends(ended, Outcome.STOPPED, "");
         caughtUp(around);
         assertEquals(2, around.times("freeze " + runs));
         assertEquals(1, around.times("freeze " + ended));
@@ -175,12 +175,12 @@
     /** The same wish for a call under a new number: one call is in hand, and one reply goes to the run. */
     @Example
     void aWishForACallThatComesTwiceIsOneCall() {
-        Around around = new Around();
+        BackendFixture around = new BackendFixture();
         String name = around.take("look", null, "a");
         around.calls(name);
         around.calls(name);
-        around.replied(name, Ending.OK);
-        around.replied(name, Ending.OK);
+        around.replied(name, Outcome.OK);
+        around.replied(name, Outcome.OK);
         assertEquals(List.of("launch " + name, "call " + name, "deliver " + name), around.asked);
     }
 }
--- a/src/test/java/merlinlever/core/HeardCaller.java
+++ b/src/test/java/merlinlever/core/RecordingResponseSink.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** A caller that writes down, as words, what it is answered. */
-public record HeardCaller(List<String> heard) implements Caller {
+public record RecordingResponseSink(List<String> heard) implements ResponseSink {
 
     @Override
     public void satisfied(byte[] result) {
--- a/src/test/java/merlinlever/core/StatedTest.java
+++ b/src/test/java/merlinlever/core/SettingsTranslatorTest.java
@@ -9,10 +9,10 @@
 import net.jqwik.api.Example;
 
 /** The two forms in which the same is stated at start. */
-class StatedTest {
+class SettingsTranslatorTest {
 
     @Example
-    void aConfigurationAndASetupLineSayTheSame() throws Json.Malformed {
+    void aConfigurationAndASetupLineSayTheSame() throws Json.MalformedJsonException {
         String json = "{\"family-info\":{\"n-cores\":12,\"memory-kb\":11040.0,\"blowup\":4.0,\"kb-per-key\":18.85,"
                 + "\"gauges\":[\"cpu_busy\",\"runnable\",\"mem_used\",\"sockets\"],\"calls-by-class\":[true,false],"
                 + "\"say\":\"level\",\"below\":\"silent\",\"cold\":false},\"bounds\":{\"retry-after\":true},"
@@ -28,17 +28,18 @@
         for (String pair : setup.split(" ")) {
             line.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
-        Map<String, String> ours = Stated.translate(Json.flat(Json.object(json)));
-        assertEquals(Stated.translate(line), ours);
+        Map<String, String> ours = SettingsTranslator.translate(Json.flat(Json.object(json)));
+        assertEquals(SettingsTranslator.translate(line), ours);
         assertEquals("fingerprinted", ours.get("tariffs.0.kind"));
         assertEquals("busy,run-queue,memory,connections", ours.get("server.gauges"));
-        assertEquals(List.of(), Stated.unknown(line));
+        assertEquals(List.of(), SettingsTranslator.unknown(line));
     }
 
     /** A name that changed would fall back to a default in silence. */
     @Example
     void aNameThatIsNotKnownIsFound() {
         assertEquals(
-                List.of("family-info.cpus"), Stated.unknown(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
+                List.of("family-info.cpus"),
+                SettingsTranslator.unknown(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
     }
 }
--- a/src/test/java/merlinlever/directory/HeartbeatsTest.java
+++ b/src/test/java/merlinlever/directory/HeartbeatSenderTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 
 /** Heartbeats against the lapse of an entry, and to a directory that is not there. */
-class HeartbeatsTest {
+class HeartbeatSenderTest {
 
     private static final long LAPSE_MS = 3000;
 
@@ -35,7 +35,7 @@
     void aQuarterOfTheReportsLostTakesHardlyABackendOffTheList() {
         int lapses = 0, before = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            lapses += lapses(Heartbeats.PERIOD.toMillis(), 1000, seed);
+            lapses += lapses(HeartbeatSender.PERIOD.toMillis(), 1000, seed);
             before += lapses(1000, 1000, seed);
         }
         assertTrue(lapses < 20 * 4, lapses + " in 20,000 s");
@@ -49,7 +49,7 @@
         DatagramSocket gone = new DatagramSocket(0, here);
         int port = gone.getLocalPort();
         gone.close();
-        Heartbeats heartbeats = new Heartbeats(new InetSocketAddress(here, port), "n3");
+        HeartbeatSender heartbeats = new HeartbeatSender(new InetSocketAddress(here, port), "n3");
         try (DatagramSocket directory = new DatagramSocket(0, here)) {
             directory.setSoTimeout(20_000);
             for (int i = 0; i < 3; i++) {
--- a/src/test/java/merlinlever/term/TermsTest.java
+++ b/src/test/java/merlinlever/election/LeaderElectionTest.java
@@ -1,4 +1,4 @@
-package merlinlever.term;
+package merlinlever.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,15 +11,15 @@
 import java.util.TreeSet;
 import net.jqwik.api.Example;
 
-class TermsTest {
+class LeaderElectionTest {
 
     private static final List<String> VOTERS = List.of("b0", "b1", "b2");
 
-    private record Sent(int from, int to, Terms.Say say) {}
+    private record Delivery(int from, int to, LeaderElection.PeerMessage say) {}
 
-    private final List<Terms> nodes = new ArrayList<>();
+    private final List<LeaderElection> nodes = new ArrayList<>();
     private final Set<String> asked = new TreeSet<>();
-    private List<Sent> net = new ArrayList<>();
+    private List<Delivery> net = new ArrayList<>();
     private long ms;
     /** Whom nothing reaches and who reaches nobody; -1 for none. */
     private int cut = -1;
@@ -28,21 +28,21 @@
         return Duration.ofMillis(ms);
     }
 
-    private void send(int from, List<Terms.Say> all) {
-        for (Terms.Say say : all) {
+    private void send(int from, List<LeaderElection.PeerMessage> all) {
+        for (LeaderElection.PeerMessage say : all) {
             int to = VOTERS.indexOf(say.to());
             if (say.what().startsWith("V")) {
                 asked.add(VOTERS.get(from) + " " + say.what());
             }
             if (from != cut && to != cut) {
-                net.add(new Sent(from, to, say));
+                net.add(new Delivery(from, to, say));
             }
         }
     }
 
     private void run(long span) {
         for (long end = ms + span; ms < end; ms += 20) {
-            List<Sent> due = net;
+            List<Delivery> due = net;
             net = new ArrayList<>();
             due.forEach(sent -> send(
                     sent.to,
@@ -68,7 +68,7 @@
             ms = 0;
             cut = -1;
             SplittableRandom chance = new SplittableRandom(seed);
-            VOTERS.forEach(name -> nodes.add(new Terms(
+            VOTERS.forEach(name -> nodes.add(new LeaderElection(
                     now(), name, VOTERS, Duration.ofSeconds(2), 0.01, 0, term -> true, chance.split(), line -> {})));
             run(6000);
             cut = chance.nextInt(3);
--- a/src/test/java/merlinlever/trials/StatingTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentConfigReaderTest.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -11,7 +11,7 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-class StatingTest {
+class ExperimentConfigReaderTest {
 
     private static Map<String, String> good() {
         return new HashMap<>(Map.ofEntries(
@@ -27,20 +27,21 @@
                 Map.entry("trials.0.arms.0.route", "near")));
     }
 
-    private static List<Trial> read(Map<String, String> rest) throws Stating.Fault {
-        return Stating.read(rest, "near"::equals);
+    private static List<Experiment> read(Map<String, String> rest)
+            throws ExperimentConfigReader.InvalidExperimentException {
+        return ExperimentConfigReader.read(rest, "near"::equals);
     }
 
     @Example
-    void whatIsStatedIsReadAndOnlyMakesAdviceShorter() throws Stating.Fault {
-        Trial trial = read(good()).get(0);
+    void whatIsStatedIsReadAndOnlyMakesAdviceShorter() throws ExperimentConfigReader.InvalidExperimentException {
+        Experiment trial = read(good()).get(0);
         assertEquals(
                 List.of("now", "short"),
-                trial.arms().stream().map(Trial.Arm::name).toList());
+                trial.arms().stream().map(Experiment.Arm::name).toList());
         assertEquals(0, trial.safe());
         assertEquals(Duration.ofSeconds(5), trial.lease());
         assertEquals("near", trial.arms().get(0).route());
-        Trial.Arm shortened = trial.arms().get(1);
+        Experiment.Arm shortened = trial.arms().get(1);
         assertEquals(Duration.ofMillis(300), shortened.advice(Duration.ofSeconds(2)));
         assertEquals(
                 Duration.ofMillis(100), shortened.advice(Duration.ofMillis(100)), "never longer than the module says");
@@ -73,15 +74,16 @@
         for (String[] fault : faults) {
             Map<String, String> rest = good();
             rest.put(fault[0], fault[1]);
-            String said = assertThrows(Stating.Fault.class, () -> read(rest), fault[0])
+            String said = assertThrows(
+                            ExperimentConfigReader.InvalidExperimentException.class, () -> read(rest), fault[0])
                     .getMessage();
             assertTrue(said.contains(fault[2]) && !said.contains("\n"), fault[0] + ": " + said);
         }
     }
 
     @Example
-    void oneThatIsChangedUnderTheSameNameIsAnotherTrial() throws Stating.Fault {
-        Trial before = read(good()).get(0);
+    void oneThatIsChangedUnderTheSameNameIsAnotherTrial() throws ExperimentConfigReader.InvalidExperimentException {
+        Experiment before = read(good()).get(0);
         assertEquals(before.key(), read(good()).get(0).key());
         for (String[] change : new String[][] {
             {"trials.0.version", "2"},
--- a/src/test/java/merlinlever/trials/PartTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentNodeTest.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,16 +7,16 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.faults.TrialModel;
+import merlinlever.faults.ExperimentModel;
 import net.jqwik.api.Example;
 
-class PartTest {
+class ExperimentNodeTest {
 
-    private static Trial trial(int version, int deaths, Duration longest) {
-        return new Trial(
+    private static Experiment trial(int version, int deaths, Duration longest) {
+        return new Experiment(
                 "t",
                 version,
-                List.of(new Trial.Arm("a", 1, null, null, null), new Trial.Arm("b", 1, null, null, null)),
+                List.of(new Experiment.Arm("a", 1, null, null, null), new Experiment.Arm("b", 1, null, null, null)),
                 0,
                 0.05,
                 0.1,
@@ -27,11 +27,11 @@
                 deaths);
     }
 
-    private static TrialModel fleet(long seed, int deaths) {
-        return new TrialModel(seed, 5, trial(1, deaths, Duration.ofHours(1)));
+    private static ExperimentModel fleet(long seed, int deaths) {
+        return new ExperimentModel(seed, 5, trial(1, deaths, Duration.ofHours(1)));
     }
 
-    private static void until(TrialModel fleet, long ms, java.util.function.BooleanSupplier what) {
+    private static void until(ExperimentModel fleet, long ms, java.util.function.BooleanSupplier what) {
         for (long end = fleet.now + ms; fleet.now < end && !what.getAsBoolean(); ) {
             fleet.step();
         }
@@ -40,7 +40,7 @@
 
     @Example
     void theLeaderDiesBetweenCrossingAndTellingAndTheEndStands() {
-        TrialModel fleet = fleet(1, 1000);
+        ExperimentModel fleet = fleet(1, 1000);
         fleet.good = new double[] {0.5, 0.7};
         fleet.killAtCrossing = true;
         until(fleet, 120_000, () -> fleet.crossedAt >= 0);
@@ -53,7 +53,7 @@
 
     @Example
     void aHalfThatSeesAnotherWinnerEndsNothingAndRunsTheSafeArmAfterItsLease() {
-        TrialModel fleet = fleet(2, 1000);
+        ExperimentModel fleet = fleet(2, 1000);
         fleet.traffic = 2;
         fleet.run(10_000);
         for (int i = 3; i < 5; i++) {
@@ -80,24 +80,24 @@
 
     @Example
     void anArmThatKillsItsBackendsEndsWithTheSafeArm() {
-        TrialModel fleet = fleet(3, 3);
+        ExperimentModel fleet = fleet(3, 3);
         fleet.deadly = 1;
         until(fleet, 180_000, fleet::allEnded);
-        End end = fleet.ended().iterator().next();
+        ExperimentResult end = fleet.ended().iterator().next();
         assertEquals(1, fleet.ended().size());
-        assertEquals(Verdict.Kind.HARM, end.kind());
+        assertEquals(StoppingDecision.Kind.HARM, end.kind());
         assertEquals(0, end.arm());
         assertTrue(end.why().contains("died"), end.why());
     }
 
     @Example
     void oneThatIsChangedUnderTheSameNameBeginsWithNothing() {
-        TrialModel fleet = fleet(4, 1000);
+        ExperimentModel fleet = fleet(4, 1000);
         fleet.traffic = 2;
         fleet.run(30_000);
         long before = fleet.parts[0].all().counts(0).asked();
         assertTrue(before > 500, "" + before);
-        Trial next = trial(2, 1000, Duration.ofHours(1));
+        Experiment next = trial(2, 1000, Duration.ofHours(1));
         fleet.traffic = 0;
         for (int i = 0; i < 5; i++) {
             fleet.restate(i, next);
@@ -108,7 +108,7 @@
 
     @Example
     void aRestartLosesAtMostTheLastSnapshotAndCountsNothingTwice() {
-        TrialModel fleet = fleet(5, 1000);
+        ExperimentModel fleet = fleet(5, 1000);
         fleet.traffic = 4;
         fleet.run(40_000);
         fleet.traffic = 0;
@@ -134,7 +134,7 @@
 
     @Example
     void noDifferenceEndsAtTheLongestTimeThatClocksCannotJumpOver() {
-        TrialModel fleet = new TrialModel(6, 5, trial(1, 1000, Duration.ofSeconds(60)));
+        ExperimentModel fleet = new ExperimentModel(6, 5, trial(1, 1000, Duration.ofSeconds(60)));
         fleet.traffic = 2;
         fleet.run(20_000);
         for (int i = 0; i < 5; i++) {
@@ -143,7 +143,7 @@
         fleet.run(20_000);
         assertTrue(fleet.ended().isEmpty(), "an hour that never was");
         until(fleet, 120_000, fleet::allEnded);
-        assertEquals(Verdict.Kind.TIME, fleet.ended().iterator().next().kind());
+        assertEquals(StoppingDecision.Kind.TIME, fleet.ended().iterator().next().kind());
         assertEquals(0, fleet.ended().iterator().next().arm());
     }
 
@@ -151,7 +151,7 @@
     void underAnyTroubleThereIsOneEndAndAllComeToIt() {
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 4); seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
-            TrialModel fleet = fleet(100 + seed, 10_000);
+            ExperimentModel fleet = fleet(100 + seed, 10_000);
             fleet.good = chance.nextBoolean() ? new double[] {0.5, 0.65} : new double[] {0.65, 0.5};
             for (int step = 0; step < 2500; step++) {
                 if (chance.nextInt(80) == 0) {
--- a/src/test/java/merlinlever/trials/TrialBytesTest.java
+++ b/src/test/java/merlinlever/experiments/TrialBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.trials;
+package merlinlever.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,21 +8,21 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import merlinlever.compatibility.Fixture;
-import merlinlever.shared.Words;
-import merlinlever.term.Leadership;
-import merlinlever.trials.Verdict.Kind;
+import merlinlever.election.Leadership;
+import merlinlever.experiments.StoppingDecision.Kind;
+import merlinlever.replication.ReplicatedStore;
 import net.jqwik.api.Example;
 
 /** A trial's identity, its counts, its end and its lease, as the backends share them. */
 class TrialBytesTest {
 
     private final Fixture fixture = new Fixture("trials.txt");
-    private final Trial trial = new Trial(
+    private final Experiment trial = new Experiment(
             "t",
             2,
             List.of(
-                    new Trial.Arm("a", 1, null, null, null),
-                    new Trial.Arm("b", 3, Duration.ofMillis(250), Duration.ofSeconds(2), "east")),
+                    new Experiment.Arm("a", 1, null, null, null),
+                    new Experiment.Arm("b", 3, Duration.ofMillis(250), Duration.ofSeconds(2), "east")),
             0,
             0.05,
             0.1,
@@ -35,14 +35,17 @@
     @Example
     void theIdentityAndTheCounts() {
         fixture.pins("key", trial.key());
-        Tally tally = new Tally(trial);
-        List<Tally.Became> became =
-                List.of(Tally.Became.SATISFIED, Tally.Became.LATE, Tally.Became.PUSHED_BACK, Tally.Became.OTHER);
+        ExperimentCounts tally = new ExperimentCounts(trial);
+        List<ExperimentCounts.RequestResult> became = List.of(
+                ExperimentCounts.RequestResult.SATISFIED,
+                ExperimentCounts.RequestResult.LATE,
+                ExperimentCounts.RequestResult.PUSHED_BACK,
+                ExperimentCounts.RequestResult.OTHER);
         for (int i = 0; i < 12; i++) {
             tally.became(tally.asked("caller-" + i, "op" + i, false), became.get(i % 4), 1.5);
         }
         fixture.pins("tally", tally.write());
-        Tally read = Tally.read(trial, fixture.bytes("tally"));
+        ExperimentCounts read = ExperimentCounts.read(trial, fixture.bytes("tally"));
         assertEquals(tally.counts(0), read.counts(0));
         assertEquals(tally.counts(1), read.counts(1));
         assertArrayEquals(fixture.bytes("tally"), read.write());
@@ -65,25 +68,25 @@
                 Kind.VOID);
         assertEquals(Kind.values().length, kinds.size());
         kinds.forEach((name, kind) -> {
-            End end = new End(kind, 1, "b is better");
+            ExperimentResult end = new ExperimentResult(kind, 1, "b is better");
             fixture.pins("end." + name, end.write());
-            assertEquals(end, End.read(trial, fixture.bytes("end." + name)));
+            assertEquals(end, ExperimentResult.read(trial, fixture.bytes("end." + name)));
         });
     }
 
     @Example
     void theLeaseIsAskedForAndGranted() {
-        Words words = new Words(
+        ReplicatedStore words = new ReplicatedStore(
                 Duration.ZERO,
                 "b1",
                 5,
-                Words.Kept.NOTHING,
-                Words.Stated.usual(false),
+                ReplicatedStore.PersistedEntries.NOTHING,
+                ReplicatedStore.ReplicationSettings.usual(false),
                 List::of,
                 new SplittableRandom(1),
                 line -> {});
         Duration now = Duration.ofSeconds(1);
-        Lease lease = new Lease(words, "b1", trial);
+        SplitLease lease = new SplitLease(words, "b1", trial);
         lease.ask(now);
         lease.answer(now, 9);
         for (String topic : List.of("trial-q/t", "trial-go/t")) {
--- a/src/test/java/merlinlever/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/faults/AgentFaultsTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import merlinlever.faults.script.Script;
+import merlinlever.faults.script.FaultScript;
 import net.jqwik.api.Example;
 
 /**
@@ -22,13 +22,14 @@
     private static final Duration START = Duration.ofSeconds(40);
     private static final Duration SETTLE = Duration.ofSeconds(30);
 
-    private static Script.Step step(long ms, Script.Kind kind, List<Integer> who, List<List<Integer>> sides) {
-        return new Script.Step(
+    private static FaultScript.FaultStep step(
+            long ms, FaultScript.FaultKind kind, List<Integer> who, List<List<Integer>> sides) {
+        return new FaultScript.FaultStep(
                 Duration.ofMillis(ms), kind, who, List.of(), false, sides, Duration.ZERO, Duration.ZERO, 0, 0);
     }
 
     /** Until the audit is clean or the time is out; the last breaches, none where they agreed. */
-    private static List<String> agreed(Harness harness, Duration within) throws InterruptedException {
+    private static List<String> agreed(FaultHarness harness, Duration within) throws InterruptedException {
         long until = System.nanoTime() + within.toNanos();
         List<String> breaches;
         do {
@@ -43,7 +44,7 @@
         Path root = Files.createTempDirectory("merlinlever-faults");
         List<String> log = new ArrayList<>();
         try (AgentFleet fleet = new AgentFleet(root, 3, AgentFleet.sameJava(), 0x24L)) {
-            Harness harness = new Harness(fleet, 0x24L, log::add);
+            FaultHarness harness = new FaultHarness(fleet, 0x24L, log::add);
             harness.startAll(START);
             assertEquals(List.of(), agreed(harness, SETTLE), "they know each other after the start");
             // The switch carries everything: with a-2 cut off, the two others come to hold it down although it runs.
@@ -56,10 +57,11 @@
                 during = harness.audit();
             }
             assertTrue(during.stream().anyMatch(breach -> breach.startsWith("a-0 holds a-2")), "" + during);
-            Harness.Verdict after = harness.play(new Script.Plan(3, 0x24L, Duration.ZERO, SETTLE, List.of()));
+            FaultHarness.HarnessResult after =
+                    harness.play(new FaultScript.FaultPlan(3, 0x24L, Duration.ZERO, SETTLE, List.of()));
             assertTrue(after.passed(), after.told());
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 
@@ -68,20 +70,20 @@
         Path root = Files.createTempDirectory("merlinlever-faults");
         List<String> log = new ArrayList<>();
         try (AgentFleet fleet = new AgentFleet(root, 3, AgentFleet.sameJava(), 0x26L)) {
-            Harness harness = new Harness(fleet, 0x26L, log::add);
+            FaultHarness harness = new FaultHarness(fleet, 0x26L, log::add);
             harness.startAll(START);
             assertEquals(List.of(), agreed(harness, SETTLE));
             fleet.processes().kill("a-1");
             assertEquals(List.of(), agreed(harness, SETTLE), "the two others come to hold a-1 dead");
             assertEquals(Map.of("a-0", true, "a-1", false, "a-2", true), fleet.running());
-            Harness.Verdict verdict = harness.play(new Script.Plan(
+            FaultHarness.HarnessResult verdict = harness.play(new FaultScript.FaultPlan(
                     3,
                     0x26L,
                     Duration.ofMillis(1500),
                     SETTLE,
                     List.of(
-                            step(0, Script.Kind.RESTART, List.of(1), List.of()),
-                            step(1000, Script.Kind.POWER, List.of(), List.of()))));
+                            step(0, FaultScript.FaultKind.RESTART, List.of(1), List.of()),
+                            step(1000, FaultScript.FaultKind.POWER, List.of(), List.of()))));
             assertTrue(verdict.passed(), verdict.told() + "\n" + String.join("\n", log));
             assertTrue(
                     log.stream().anyMatch(line -> line.startsWith("laid ") && line.contains("as after a power loss")),
@@ -93,39 +95,40 @@
                         "a-" + i + " trusted its ledger");
             }
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 
     @Example
     void drawnFaultsFromOneSeedPlayTheSameStepsAndEndInAgreement() throws Exception {
-        Map<Script.Kind, Integer> kinds = Map.of(
-                Script.Kind.PAUSE,
+        Map<FaultScript.FaultKind, Integer> kinds = Map.of(
+                FaultScript.FaultKind.PAUSE,
                 2,
-                Script.Kind.PARTITION,
+                FaultScript.FaultKind.PARTITION,
                 1,
-                Script.Kind.DROP,
+                FaultScript.FaultKind.DROP,
                 1,
-                Script.Kind.DELAY,
+                FaultScript.FaultKind.DELAY,
                 1,
-                Script.Kind.KILL,
+                FaultScript.FaultKind.KILL,
                 1);
-        List<Script.Step> drawn = Script.draw(
+        List<FaultScript.FaultStep> drawn = FaultScript.draw(
                 3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds));
         assertEquals(
                 drawn,
-                Script.draw(
+                FaultScript.draw(
                         3, 0x2026L, 4, Duration.ofSeconds(6), Duration.ofSeconds(2), new java.util.TreeMap<>(kinds)));
         Path root = Files.createTempDirectory("merlinlever-faults");
         try (AgentFleet fleet = new AgentFleet(root, 3, AgentFleet.sameJava(), 0x2026L)) {
-            Harness harness = new Harness(fleet, 0x2026L, line -> {});
+            FaultHarness harness = new FaultHarness(fleet, 0x2026L, line -> {});
             harness.startAll(START);
             assertEquals(List.of(), agreed(harness, SETTLE));
-            Harness.Verdict verdict = harness.play(new Script.Plan(3, 0x2026L, Duration.ofSeconds(6), SETTLE, drawn));
+            FaultHarness.HarnessResult verdict =
+                    harness.play(new FaultScript.FaultPlan(3, 0x2026L, Duration.ofSeconds(6), SETTLE, drawn));
             assertTrue(verdict.passed(), verdict.told());
-            assertEquals(drawn.stream().map(Script.Step::told).toList(), verdict.played());
+            assertEquals(drawn.stream().map(FaultScript.FaultStep::told).toList(), verdict.played());
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 }
--- a/src/test/java/merlinlever/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/faults/PowerLossTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import merlinlever.faults.audit.Rules;
+import merlinlever.faults.audit.RequestAudit;
 import net.jqwik.api.Example;
 
 /**
@@ -23,7 +23,8 @@
 class PowerLossTest {
 
     private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final ServeFleet.Stated FIVE = new ServeFleet.Stated(5, true, 12, Duration.ofSeconds(4));
+    private static final ServeFleet.ServeFleetSettings FIVE =
+            new ServeFleet.ServeFleetSettings(5, true, 12, Duration.ofSeconds(4));
 
     private static List<String> losses(int first, int last) throws Exception {
         Path root = Files.createTempDirectory("merlinlever-power");
@@ -32,9 +33,9 @@
         try (ServeFleet fleet = new ServeFleet(root, FIVE, AgentFleet.sameJava(), 0x2600L + first)) {
             PowerLoss power = new PowerLoss(fleet, PATIENCE, log::add);
             power.begin();
-            PowerLoss.Kind[] kinds = PowerLoss.Kind.values();
+            PowerLoss.PowerLossKind[] kinds = PowerLoss.PowerLossKind.values();
             for (int seed = first; seed <= last; seed++) {
-                PowerLoss.Outcome outcome = power.play(kinds[seed % kinds.length], seed);
+                PowerLoss.PowerLossOutcome outcome = power.play(kinds[seed % kinds.length], seed);
                 if (!outcome.breaches().isEmpty()) {
                     failed.add(outcome.told());
                 }
@@ -49,7 +50,7 @@
                     (last - first + 1),
                     log.stream().filter(line -> line.contains(", seed ")).count());
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
         return failed;
     }
@@ -80,24 +81,27 @@
     void withoutWhatIsKeptTheSameLossesHaveEffectsTwice() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-power");
         try (ServeFleet fleet = new ServeFleet(
-                root, new ServeFleet.Stated(3, false, 25, Duration.ofSeconds(8)), AgentFleet.sameJava(), 0x77L)) {
+                root,
+                new ServeFleet.ServeFleetSettings(3, false, 25, Duration.ofSeconds(8)),
+                AgentFleet.sameJava(),
+                0x77L)) {
             PowerLoss power = new PowerLoss(fleet, PATIENCE, line -> {});
             power.begin();
             List<String> found = new ArrayList<>();
             for (int i = 0;
                     i < 8 && found.stream().noneMatch(breach -> breach.startsWith("effect twice: operation "));
                     i++) {
-                found.addAll(power.play(PowerLoss.Kind.ALL, i).breaches());
+                found.addAll(power.play(PowerLoss.PowerLossKind.ALL, i).breaches());
             }
             assertTrue(found.stream().anyMatch(breach -> breach.startsWith("effect twice: operation ")), "" + found);
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 
     @Example
     void theAuditNamesEachBreach() {
-        Rules rules = new Rules();
+        RequestAudit rules = new RequestAudit();
         rules.launched("t1");
         rules.effect("op", "t1", "b-0");
         rules.made("op", "done");
--- a/src/test/java/merlinlever/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/faults/RoutesModelTest.java
@@ -232,7 +232,7 @@
             model.run(6000, 1);
             for (int step = 0; step < 30; step++) {
                 RoutesModel.Site site = model.sites.get(chance.nextInt(4));
-                RoutesModel.Node node = site.nodes.get(chance.nextInt(5));
+                RoutesModel.SiteBackend node = site.nodes.get(chance.nextInt(5));
                 switch (chance.nextInt(10)) {
                     case 0 -> site.restrict(
                             chance.nextInt(4) == 0
@@ -247,7 +247,7 @@
                                             false));
                     case 1 -> site.restrict(Restrictions.NONE);
                     case 2 -> node.up = false;
-                    case 3 -> site.nodes.stream().filter(each -> !each.up).forEach(RoutesModel.Node::begin);
+                    case 3 -> site.nodes.stream().filter(each -> !each.up).forEach(RoutesModel.SiteBackend::begin);
                     case 4 -> site.nodes.forEach(each -> each.side = chance.nextInt(2));
                     case 5 -> site.nodes.forEach(each -> each.side = 0);
                     case 6 -> model.cut(site.name, model.sites.get(chance.nextInt(4)).name);
--- a/src/test/java/merlinlever/faults/TestFolders.java
+++ b/src/test/java/merlinlever/faults/TestDirectories.java
@@ -6,12 +6,12 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import merlinlever.durable.Recorded;
+import merlinlever.storage.RecordingStateDirectory;
 
 /** Folders of tests, and a record kept in memory. */
-public final class TestFolders {
+public final class TestDirectories {
 
-    private TestFolders() {}
+    private TestDirectories() {}
 
     /** Removes it with all that is in it. */
     public static void remove(Path folder) {
@@ -24,8 +24,8 @@
         }
     }
 
-    public static Recorded.Record into(List<String> lines) {
-        return new Recorded.Record() {
+    public static RecordingStateDirectory.OperationLog into(List<String> lines) {
+        return new RecordingStateDirectory.OperationLog() {
             @Override
             public void line(String text) {
                 lines.add(text);
--- a/src/test/java/merlinlever/faults/ViewFaultsTest.java
+++ b/src/test/java/merlinlever/faults/ViewFaultsTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import merlinlever.faults.audit.OneView;
+import merlinlever.faults.audit.ViewConsistencyAudit;
 import net.jqwik.api.Example;
 
 /** Fleets of five real backends under faults between them, 10 seeds: who is there is one thing for all of them, always. */
@@ -26,21 +26,21 @@
         List<String> failed = new ArrayList<>();
         try (ServeFleet fleet = new ServeFleet(
                 root,
-                new ServeFleet.Stated(5, true, 1, Duration.ofSeconds(4), null, true),
+                new ServeFleet.ServeFleetSettings(5, true, 1, Duration.ofSeconds(4), null, true),
                 AgentFleet.sameJava(),
                 0x2800L + part)) {
             ViewFaults faults = new ViewFaults(fleet, PATIENCE);
             faults.begin();
-            ViewFaults.Kind[] kinds = ViewFaults.Kind.values();
+            ViewFaults.ViewFaultKind[] kinds = ViewFaults.ViewFaultKind.values();
             for (int seed = part; seed < SEEDS; seed += parts) {
-                ViewFaults.Outcome outcome = faults.play(kinds[seed % kinds.length], seed);
+                ViewFaults.ViewFaultOutcome outcome = faults.play(kinds[seed % kinds.length], seed);
                 System.out.println(outcome.told().lines().findFirst().orElseThrow());
                 if (!outcome.breaches().isEmpty()) {
                     failed.add(outcome.told());
                 }
             }
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
         return failed;
     }
@@ -67,13 +67,13 @@
 
     @Example
     void theAuditNamesEachBreach() {
-        OneView audit = new OneView();
-        audit.told(new OneView.Told("b-0", 1, "whole", 5, "d", 2));
-        audit.told(new OneView.Told("b-1", 1, "whole", 5, "d", 2));
-        audit.told(new OneView.Told("b-0", 2, "returning", 0, "-", 0));
+        ViewConsistencyAudit audit = new ViewConsistencyAudit();
+        audit.told(new ViewConsistencyAudit.ReportedView("b-0", 1, "whole", 5, "d", 2));
+        audit.told(new ViewConsistencyAudit.ReportedView("b-1", 1, "whole", 5, "d", 2));
+        audit.told(new ViewConsistencyAudit.ReportedView("b-0", 2, "returning", 0, "-", 0));
         assertEquals(List.of(), audit.breaches());
-        audit.told(new OneView.Told("b-1", 1, "most", 4, "e", 1));
-        audit.told(new OneView.Told("b-0", 2, "most", 5, "f", 1));
+        audit.told(new ViewConsistencyAudit.ReportedView("b-1", 1, "most", 4, "e", 1));
+        audit.told(new ViewConsistencyAudit.ReportedView("b-0", 2, "most", 5, "f", 1));
         assertEquals(List.of("b-1 went back from view 5 to 4", "view 5 is d at b-0 and f at b-0"), audit.breaches());
     }
 }
--- a/src/test/java/merlinlever/faults/audit/IncarnationsTest.java
+++ b/src/test/java/merlinlever/faults/audit/IncarnationAuditTest.java
@@ -4,21 +4,22 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import merlinlever.members.Members;
-import merlinlever.members.Views;
+import merlinlever.membership.MemberTable;
+import merlinlever.membership.SwimProtocol;
 import net.jqwik.api.Example;
 
-class IncarnationsTest {
+class IncarnationAuditTest {
 
-    private final Incarnations audit = new Incarnations();
+    private final IncarnationAudit audit = new IncarnationAudit();
 
-    private static Members.Message telling(String from, String of, long incarnation) {
-        return new Members.Message(
-                Members.Kind.PING,
+    private static SwimProtocol.MembershipMessage telling(String from, String of, long incarnation) {
+        return new SwimProtocol.MembershipMessage(
+                SwimProtocol.MessageKind.PING,
                 from,
                 1,
                 "",
-                List.of(new Views.Rumour(of, "127.0.0.1:1", "-", Views.Status.ALIVE, incarnation)));
+                List.of(new MemberTable.MemberRecord(
+                        of, "127.0.0.1:1", "-", MemberTable.MemberStatus.ALIVE, incarnation)));
     }
 
     private void tells(String to, long incarnation) {
--- a/src/test/java/merlinlever/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/faults/disk/CrashStatesTest.java
@@ -15,10 +15,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import merlinlever.durable.DiskFolder;
-import merlinlever.durable.Recorded;
-import merlinlever.faults.TestFolders;
-import merlinlever.host.disk.Ledger;
+import merlinlever.faults.TestDirectories;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.storage.RecordingStateDirectory;
 import net.jqwik.api.Example;
 
 class CrashStatesTest {
@@ -27,13 +27,13 @@
         return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static List<CrashStates.State> all(String record) throws CrashStates.Malformed {
-        List<CrashStates.State> states = new ArrayList<>();
+    private static List<CrashStates.CrashState> all(String record) throws CrashStates.MalformedRecordingException {
+        List<CrashStates.CrashState> states = new ArrayList<>();
         CrashStates.of(record).each(states::add);
         return states;
     }
 
-    private static boolean holds(List<CrashStates.State> states, int cut, Map<String, String> files) {
+    private static boolean holds(List<CrashStates.CrashState> states, int cut, Map<String, String> files) {
         return states.stream()
                 .anyMatch(state -> state.cut() == cut
                         && state.files().size() == files.size()
@@ -44,10 +44,10 @@
     }
 
     @Example
-    void whatWasNotForcedMayBeLostTornOrReordered() throws CrashStates.Malformed {
+    void whatWasNotForcedMayBeLostTornOrReordered() throws CrashStates.MalformedRecordingException {
         String record = "had a " + b64("old") + "\nopen b\nwrite b 0 " + b64("one") + "\nwrite b 3 " + b64("two")
                 + "\nforce b\nwrite b 6 " + b64("three") + "\nwrite b 11 " + b64("four") + "\n";
-        List<CrashStates.State> states = CrashStates.of(record).last();
+        List<CrashStates.CrashState> states = CrashStates.of(record).last();
         // A kill keeps all; a power loss before the folder was forced may not even keep the name b.
         assertTrue(holds(states, 7, Map.of("a", "old", "b", "onetwothreefour")));
         assertTrue(holds(states, 7, Map.of("a", "old")));
@@ -74,12 +74,12 @@
     }
 
     @Example
-    void aRenameReturnsForcedAndADeleteNeedsTheFolderForced() throws CrashStates.Malformed {
+    void aRenameReturnsForcedAndADeleteNeedsTheFolderForced() throws CrashStates.MalformedRecordingException {
         String record = "had x " + b64("1") + "\nopen x.new\nwrite x.new 0 " + b64("2")
                 + "\nforce x.new\nrename x.new x\n" + "delete x\n";
-        List<CrashStates.State> states = all(record);
+        List<CrashStates.CrashState> states = all(record);
         assertTrue(holds(states, 5, Map.of("x", "2")));
-        List<CrashStates.State> last = CrashStates.of(record).last();
+        List<CrashStates.CrashState> last = CrashStates.of(record).last();
         assertTrue(
                 states.stream()
                         .filter(state -> state.cut() == 5)
@@ -93,9 +93,11 @@
     void aLineThatIsNotTheSeamsIsToldWithItsNumber() {
         assertEquals(
                 "line 2: 'scribble' is none of folder, had, open, write, force, truncate, rename, delete, sync",
-                assertThrows(CrashStates.Malformed.class, () -> CrashStates.of("open a\nscribble a\n"))
+                assertThrows(
+                                CrashStates.MalformedRecordingException.class,
+                                () -> CrashStates.of("open a\nscribble a\n"))
                         .getMessage());
-        assertThrows(CrashStates.Malformed.class, () -> CrashStates.of("write a 0 " + b64("x") + "\n")
+        assertThrows(CrashStates.MalformedRecordingException.class, () -> CrashStates.of("write a 0 " + b64("x") + "\n")
                 .each(state -> {}));
     }
 
@@ -109,14 +111,15 @@
         try {
             List<String> lines = new ArrayList<>();
             SplittableRandom chance = new SplittableRandom(0x5eed_2026L);
-            List<Map<String, Ledger.Noted>> after = new ArrayList<>();
+            List<Map<String, InstanceLedger.InstanceRecord>> after = new ArrayList<>();
             List<Integer> returnedAt = new ArrayList<>();
-            Map<String, Ledger.Noted> now = new java.util.TreeMap<>();
-            try (Ledger ledger =
-                    new Ledger(new Recorded(new DiskFolder(root.resolve("day")), TestFolders.into(lines), "day"))) {
+            Map<String, InstanceLedger.InstanceRecord> now = new java.util.TreeMap<>();
+            try (InstanceLedger ledger = new InstanceLedger(new RecordingStateDirectory(
+                    new FileStateDirectory(root.resolve("day")), TestDirectories.into(lines), "day"))) {
                 for (int i = 0; i < 24; i++) {
                     String instance = "i-" + chance.nextInt(4);
-                    Ledger.Noted noted = new Ledger.Noted(chance.nextBoolean(), "t" + i, chance.nextInt(1, 99_999), i);
+                    InstanceLedger.InstanceRecord noted = new InstanceLedger.InstanceRecord(
+                            chance.nextBoolean(), "t" + i, chance.nextInt(1, 99_999), i);
                     ledger.note(instance, noted);
                     now.put(instance, noted);
                     after.add(new java.util.TreeMap<>(now));
@@ -132,30 +135,30 @@
                 }
                 Path folder = root.resolve("state-" + checked[0]++);
                 try {
-                    Lay.into(folder, state);
-                    try (Ledger opened = new Ledger(folder)) {
+                    StateRestorer.into(folder, state);
+                    try (InstanceLedger opened = new InstanceLedger(folder)) {
                         boolean asBefore = agrees(opened, done == 0 ? Map.of() : after.get(done - 1));
                         boolean asNext = done < after.size() && agrees(opened, after.get(done));
                         assertTrue(
                                 asBefore || asNext,
                                 "cut " + state.cut() + " (" + state.how() + ") after " + done + " notes returned");
                     }
-                } catch (IOException | Ledger.Spoilt e) {
+                } catch (IOException | InstanceLedger.CorruptLedgerException e) {
                     throw new AssertionError("cut " + state.cut() + " (" + state.how() + "): " + e.getMessage(), e);
                 } finally {
-                    TestFolders.remove(folder);
+                    TestDirectories.remove(folder);
                 }
             });
             assertEquals(told, checked[0]);
             assertTrue(told > 50, "states laid: " + told);
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 
-    private static boolean agrees(Ledger ledger, Map<String, Ledger.Noted> noted) {
+    private static boolean agrees(InstanceLedger ledger, Map<String, InstanceLedger.InstanceRecord> noted) {
         for (int i = 0; i < 4; i++) {
-            if (!ledger.of("i-" + i).equals(noted.getOrDefault("i-" + i, Ledger.Noted.NOTHING))) {
+            if (!ledger.of("i-" + i).equals(noted.getOrDefault("i-" + i, InstanceLedger.InstanceRecord.NOTHING))) {
                 return false;
             }
         }
@@ -167,13 +170,13 @@
         Path folder = Files.createTempDirectory("merlinlever-lay");
         try {
             Files.writeString(folder.resolve("stale"), "gone");
-            CrashStates.State state =
+            CrashStates.CrashState state =
                     CrashStates.of("had k " + b64("v") + "\n").last().get(0);
-            Lay.into(folder, state);
+            StateRestorer.into(folder, state);
             assertArrayEquals("v".getBytes(StandardCharsets.US_ASCII), Files.readAllBytes(folder.resolve("k")));
             assertTrue(Files.notExists(folder.resolve("stale")));
         } finally {
-            TestFolders.remove(folder);
+            TestDirectories.remove(folder);
         }
     }
 
@@ -182,7 +185,7 @@
     void aStartThatWasCutOffWhileItToldWhatWasThereEmptiesNothing() throws Exception {
         String before = "folder f 0\nopen a\nwrite a 0 eA==\nforce a\nsync\n";
         for (String cutOff : List.of("folder f 2\n", "folder f 2\nhad a eA==\n", "folder f 2\nhad a eA==\nhad b e")) {
-            for (CrashStates.State state : CrashStates.of(before + cutOff).last()) {
+            for (CrashStates.CrashState state : CrashStates.of(before + cutOff).last()) {
                 assertEquals(Set.of("a"), state.files().keySet(), cutOff + state.how());
             }
         }
--- a/src/test/java/merlinlever/faults/link/LinksTest.java
+++ b/src/test/java/merlinlever/faults/link/LinkFaultsTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class LinksTest {
+class LinkFaultsTest {
 
     /** A stream keeps its order and its pace whatever the jitter; a datagram is never earlier than its delay. */
     @Property(tries = 200, seed = "24")
@@ -23,8 +23,11 @@
             @ForAll @IntRange(min = 0, max = 200) int jitterMs,
             @ForAll @IntRange(min = 1_000, max = 1_000_000) int bytes) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Links links = new Links(2);
-        links.set(0, 1, new Links.Fault(0, 0, Duration.ofMillis(delayMs), Duration.ofMillis(jitterMs), bytes, false));
+        LinkFaults links = new LinkFaults(2);
+        links.set(
+                0,
+                1,
+                new LinkFaults.LinkFault(0, 0, Duration.ofMillis(delayMs), Duration.ofMillis(jitterMs), bytes, false));
         Duration last = Duration.ZERO;
         long carried = 0;
         for (int i = 0; i < 50; i++) {
@@ -47,7 +50,7 @@
     @Example
     void aPartitionCutsBetweenSidesAloneAndHealingUndoesIt() {
         SplittableRandom chance = new SplittableRandom(1);
-        Links links = new Links(4);
+        LinkFaults links = new LinkFaults(4);
         links.partition(List.of(Set.of(0, 1), Set.of(2, 3)));
         assertEquals(List.of(), links.datagram(Duration.ZERO, 0, 2, 10, chance));
         assertEquals(List.of(), links.datagram(Duration.ZERO, 3, 1, 10, chance));
@@ -66,8 +69,8 @@
     @Example
     void lossAndCopiesComeAtTheirShare() {
         SplittableRandom chance = new SplittableRandom(7);
-        Links links = new Links(2);
-        links.both(0, 1, new Links.Fault(0.3, 0.2, Duration.ZERO, Duration.ZERO, 0, false));
+        LinkFaults links = new LinkFaults(2);
+        links.both(0, 1, new LinkFaults.LinkFault(0.3, 0.2, Duration.ZERO, Duration.ZERO, 0, false));
         int arrived = 0;
         for (int i = 0; i < 10_000; i++) {
             arrived += links.datagram(Duration.ZERO, 0, 1, 10, chance).size();
--- a/src/test/java/merlinlever/faults/proc/PortsTest.java
+++ b/src/test/java/merlinlever/faults/process/PortAllocatorTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.proc;
+package merlinlever.faults.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,17 +13,17 @@
 import net.jqwik.api.Example;
 
 /** Two processes that ask at once, from the same place on, as two forks of the tests may. */
-class PortsTest {
+class PortAllocatorTest {
 
     /** Starts where it is told, takes so many, and holds them until its input ends. */
-    public static final class Taker {
-        private Taker() {}
+    public static final class PortTaker {
+        private PortTaker() {}
 
         public static void main(String[] args) throws Exception {
-            Ports.from(Integer.parseInt(args[0]));
+            PortAllocator.from(Integer.parseInt(args[0]));
             StringBuilder taken = new StringBuilder();
             for (int i = 0; i < Integer.parseInt(args[1]); i++) {
-                taken.append(Ports.free()).append(' ');
+                taken.append(PortAllocator.free()).append(' ');
             }
             System.out.println(taken);
             while (System.in.read() >= 0) {
@@ -45,7 +45,7 @@
                                 "-Xmx32m",
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                Taker.class.getName(),
+                                PortTaker.class.getName(),
                                 "4321",
                                 "" + each)
                         .redirectErrorStream(true)
@@ -59,7 +59,7 @@
                 all.addAll(List.of(line.strip().split(" ")));
             }
             assertEquals(2 * each, all.size(), "each its own: " + all);
-            int run = Ports.free(30);
+            int run = PortAllocator.free(30);
             for (int port = run; port < run + 30; port++) {
                 assertTrue(all.add("" + port), port + " was given out before");
             }
--- a/src/test/java/merlinlever/faults/script/ScriptTest.java
+++ b/src/test/java/merlinlever/faults/script/FaultScriptTest.java
@@ -10,32 +10,32 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.sheet.Sheet;
+import merlinlever.config.ConfigFile;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class ScriptTest {
+class FaultScriptTest {
 
-    private static final Map<Script.Kind, Integer> ALL = new EnumMap<>(Map.of(
-            Script.Kind.KILL,
+    private static final Map<FaultScript.FaultKind, Integer> ALL = new EnumMap<>(Map.of(
+            FaultScript.FaultKind.KILL,
             2,
-            Script.Kind.PAUSE,
+            FaultScript.FaultKind.PAUSE,
             2,
-            Script.Kind.POWER,
+            FaultScript.FaultKind.POWER,
             1,
-            Script.Kind.ISOLATE,
+            FaultScript.FaultKind.ISOLATE,
             1,
-            Script.Kind.PARTITION,
+            FaultScript.FaultKind.PARTITION,
             1,
-            Script.Kind.DELAY,
+            FaultScript.FaultKind.DELAY,
             1,
-            Script.Kind.DROP,
+            FaultScript.FaultKind.DROP,
             1,
-            Script.Kind.SLOW,
+            FaultScript.FaultKind.SLOW,
             1,
-            Script.Kind.TERM,
+            FaultScript.FaultKind.TERM,
             1));
 
     /** Drawn steps lie within the length, in order, and each fault is undone by a later step of its kind. */
@@ -45,25 +45,27 @@
             @ForAll @IntRange(min = 1, max = 9) int processes,
             @ForAll @IntRange(min = 1, max = 40) int count) {
         Duration length = Duration.ofSeconds(20);
-        List<Script.Step> steps = Script.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL);
+        List<FaultScript.FaultStep> steps =
+                FaultScript.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL);
         assertEquals(
                 steps,
-                Script.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL),
+                FaultScript.draw(processes, seed, count, length, Duration.ofSeconds(3), ALL),
                 "the same seed, the same steps");
         assertEquals(2 * count, steps.size());
         for (int i = 0; i < steps.size(); i++) {
-            Script.Step step = steps.get(i);
+            FaultScript.FaultStep step = steps.get(i);
             assertTrue(!step.at().isNegative() && step.at().compareTo(length) <= 0, step.told());
             assertTrue(i == 0 || steps.get(i - 1).at().compareTo(step.at()) <= 0, "in order");
             step.who().forEach(member -> assertTrue(member >= 0 && member < processes, step.told()));
-            if (step.kind() == Script.Kind.PARTITION) {
+            if (step.kind() == FaultScript.FaultKind.PARTITION) {
                 assertEquals(
                         processes, step.sides().stream().mapToInt(List::size).sum(), step.told());
                 assertTrue(step.sides().stream().noneMatch(List::isEmpty) || processes == 1, step.told());
             }
         }
         long undoing = steps.stream()
-                .filter(step -> List.of(Script.Kind.RESTART, Script.Kind.RESUME, Script.Kind.HEAL)
+                .filter(step -> List.of(
+                                FaultScript.FaultKind.RESTART, FaultScript.FaultKind.RESUME, FaultScript.FaultKind.HEAL)
                         .contains(step.kind()))
                 .count();
         assertEquals(count, undoing, "each drawn fault is undone");
@@ -77,25 +79,30 @@
                     file,
                     "processes: 3\nseed: \"24\"\nlength: 5s\nsteps:\n  - {at: 1s, do: isolate, who: [2]}\n"
                             + "  - {at: 2s, do: heal}\ndraw:\n  count: 2\n  kinds: {kill: 1}\n");
-            Script.Plan plan = Script.read(Sheet.read(file, "faults"));
+            FaultScript.FaultPlan plan = FaultScript.read(ConfigFile.read(file, "faults"));
             assertEquals(6, plan.steps().size());
             assertEquals(
-                    Script.Kind.ISOLATE,
+                    FaultScript.FaultKind.ISOLATE,
                     plan.steps().stream()
                             .filter(step -> step.at().equals(Duration.ofSeconds(1)))
                             .findFirst()
                             .orElseThrow()
                             .kind());
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: explode}\n");
-            String told = assertThrows(Sheet.Unusable.class, () -> Sheet.read(file, "faults"))
+            String told = assertThrows(
+                            ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(file, "faults"))
                     .getMessage();
             assertTrue(told.startsWith(file + ":4: steps.0.do: "), told);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: kill, who: [3]}\n");
-            told = assertThrows(Sheet.Unusable.class, () -> Script.read(Sheet.read(file, "faults")))
+            told = assertThrows(
+                            ConfigFile.InvalidConfigFileException.class,
+                            () -> FaultScript.read(ConfigFile.read(file, "faults")))
                     .getMessage();
             assertTrue(told.contains("process 3 of 3 (they are numbered from 0)"), told);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 9s, do: heal}\n");
-            told = assertThrows(Sheet.Unusable.class, () -> Script.read(Sheet.read(file, "faults")))
+            told = assertThrows(
+                            ConfigFile.InvalidConfigFileException.class,
+                            () -> FaultScript.read(ConfigFile.read(file, "faults")))
                     .getMessage();
             assertTrue(told.contains("after the length"), told);
         } finally {
--- a/src/test/java/merlinlever/faults/timeline/LogsTest.java
+++ b/src/test/java/merlinlever/faults/timeline/LogTimelineTest.java
@@ -8,10 +8,10 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
-import merlinlever.faults.TestFolders;
+import merlinlever.faults.TestDirectories;
 import net.jqwik.api.Example;
 
-class LogsTest {
+class LogTimelineTest {
 
     @Example
     void whatTheHarnessDidAndWhatTheProcessesLoggedAreOneTimeline() throws Exception {
@@ -27,15 +27,15 @@
                     soon WARN recovery: of no time
                     2026-12-02T01:00:02.000Z WARN recovery: terms: nobody is known to lead
                     """);
-            Logs logs = new Logs(Instant.parse("2026-12-02T01:00:00Z"), List.of("b-0", "b-1"));
-            logs.note(Instant.parse("2026-12-02T01:00:01.500Z"), "b-1", Event.KILLED);
+            LogTimeline logs = new LogTimeline(Instant.parse("2026-12-02T01:00:00Z"), List.of("b-0", "b-1"));
+            logs.note(Instant.parse("2026-12-02T01:00:01.500Z"), "b-1", TimelineEvent.KILLED);
             Timeline timeline = logs.timeline("", Map.of("b-0", one, "b-1", root.resolve("none")), "recovery: ");
             assertEquals(3, timeline.events().size(), "" + timeline.events());
             assertNull(timeline.missing("b-0 led by b-1", "b-1 killed", "b-0 nobody is known"));
             assertEquals("b-0 led by b-1", timeline.missing("b-1 killed", "b-0 led by b-1"));
             assertEquals(250, timeline.events().get(0).at().toMillis());
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 }
--- a/src/test/java/merlinlever/faults/timeline/PlaysTest.java
+++ b/src/test/java/merlinlever/faults/timeline/ScenariosTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Example;
 
 /** Every play is drawn as it was when somebody looked at it; {@code -Dmerlinlever.renew=true} writes what is drawn now. */
-class PlaysTest {
+class ScenariosTest {
 
     private static final Path GOLDEN = Path.of("src", "test", "resources", "timelines");
     private static final boolean RENEW = Boolean.getBoolean("merlinlever.renew");
@@ -36,10 +36,10 @@
     @Example
     void everyPlayIsDrawnAsItWas() throws IOException {
         List<String> different = new ArrayList<>();
-        for (var each : Plays.all().entrySet()) {
+        for (var each : Scenarios.all().entrySet()) {
             Path file = GOLDEN.resolve(each.getKey() + ".txt");
-            String drawn = Writer.draw(each.getValue().get());
-            if (drawn.contains(Play.BROKEN)) {
+            String drawn = TimelineRenderer.draw(each.getValue().get());
+            if (drawn.contains(Scenario.BROKEN)) {
                 // Whatever its file says.
                 different.add(each.getKey() + ": something is so that must never be:\n" + drawn);
             } else if (RENEW) {
@@ -67,7 +67,7 @@
         }
         try (Stream<Path> files = Files.list(GOLDEN)) {
             assertEquals(
-                    new TreeSet<>(Plays.all().keySet()),
+                    new TreeSet<>(Scenarios.all().keySet()),
                     files.map(file -> file.getFileName().toString().replace(".txt", ""))
                             .collect(java.util.stream.Collectors.toCollection(TreeSet::new)));
         }
--- a/src/test/java/merlinlever/faults/timeline/WriterTest.java
+++ b/src/test/java/merlinlever/faults/timeline/TimelineRendererTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-class WriterTest {
+class TimelineRendererTest {
 
     private static Duration ms(long ms) {
         return Duration.ofMillis(ms);
@@ -16,7 +16,7 @@
 
     /** The drawn rows without title, head and legend. */
     private static List<String> rows(Timeline timeline) {
-        List<String> lines = Writer.draw(timeline).lines().toList();
+        List<String> lines = TimelineRenderer.draw(timeline).lines().toList();
         return lines.subList(4, lines.size() - 3);
     }
 
@@ -51,7 +51,7 @@
                 > to: says   x to: says, and it is lost   < from: hears   * believes or decides   ! is done to it
                 | runs   : stands still   (no line) is down   == for all   (x3 to 900) three times, last at 900
                 """,
-                Writer.draw(timeline));
+                TimelineRenderer.draw(timeline));
     }
 
     @Example
@@ -87,7 +87,7 @@
             }
             timeline.add(ms(9), "", "word ".repeat(60));
             for (String row : rows(timeline)) {
-                assertTrue(row.length() <= Math.max(Writer.WIDTH, 7 + 17 * nodes), row);
+                assertTrue(row.length() <= Math.max(TimelineRenderer.WIDTH, 7 + 17 * nodes), row);
             }
             String together = String.join("", rows(timeline)).replaceAll("[ |]", "");
             assertTrue(together.contains("word"), together);
@@ -113,6 +113,6 @@
         }
         assertEquals(Timeline.MOST, timeline.events().size());
         assertEquals(2, timeline.left());
-        assertTrue(Writer.draw(timeline).contains("... and 2 more"));
+        assertTrue(TimelineRenderer.draw(timeline).contains("... and 2 more"));
     }
 }
--- a/src/test/java/merlinlever/host/run/FakeInstance.java
+++ b/src/test/java/merlinlever/host/run/FakeInstance.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import merlinlever.manage.Manage;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.management.ManagementServer;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
 
 /**
  * An instance that does nothing but tell of itself: arguments are its port, and a file whose first word says what it does at
@@ -21,12 +21,12 @@
         if (mode.equals("crash")) {
             System.exit(3);
         }
-        Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
+        EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
         boolean[] leaving = {false};
-        Manage[] manage = new Manage[1];
+        ManagementServer[] manage = new ManagementServer[1];
         loop.execute(() -> {
             try {
-                manage[0] = new Manage(
+                manage[0] = new ManagementServer(
                         loop,
                         new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0])),
                         () -> "{\"phase\":\""
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import merlinlever.faults.proc.Ports;
-import merlinlever.host.disk.Ledger;
-import merlinlever.host.front.HostFront;
-import merlinlever.host.state.Keeper;
-import merlinlever.host.state.Orders;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.faults.process.PortAllocator;
+import merlinlever.host.disk.InstanceLedger;
+import merlinlever.host.front.HostApiServer;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,20 +37,20 @@
     @TempDir
     Path folder;
 
-    private Loop loop;
-    private Ledger ledger;
+    private EventLoop loop;
+    private InstanceLedger ledger;
     private HostAgent agent;
-    private HostFront front;
-    private List<Hosted> hosted;
+    private HostApiServer front;
+    private List<InstanceSpec> hosted;
     private final List<String> log = new ArrayList<>();
 
     @BeforeEach
     void describe() throws Exception {
         hosted = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            int port = Ports.free();
+            int port = PortAllocator.free();
             Path mode = Files.writeString(folder.resolve("mode" + i), "0");
-            hosted.add(new Hosted(
+            hosted.add(new InstanceSpec(
                     "t-" + i,
                     "t",
                     Map.of("zone", i == 0 ? "west" : "east"),
@@ -75,14 +75,14 @@
     }
 
     private void begin(long seed) throws Exception {
-        loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        ledger = new Ledger(folder.resolve("state"));
-        Keeper.Stated usual = Keeper.Stated.USUAL;
+        loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        ledger = new InstanceLedger(folder.resolve("state"));
+        InstanceSupervisor.SupervisorSettings usual = InstanceSupervisor.SupervisorSettings.USUAL;
         agent = new HostAgent(
                 loop,
                 ledger,
                 hosted,
-                new Keeper.Stated(
+                new InstanceSupervisor.SupervisorSettings(
                         usual.firstPause(),
                         usual.longestPause(),
                         usual.steadyAfter(),
@@ -92,7 +92,7 @@
                 Duration.ZERO,
                 new SplittableRandom(seed),
                 log::add);
-        front = new HostFront(
+        front = new HostApiServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
                 "m1",
@@ -158,11 +158,11 @@
         return got.get(5, TimeUnit.SECONDS);
     }
 
-    private Keeper.State state(int index) throws Exception {
+    private InstanceSupervisor.InstanceState state(int index) throws Exception {
         return on(() -> agent.keeper(index).state(loop.clock().now()));
     }
 
-    private void await(int index, Keeper.State wanted, long ms) throws Exception {
+    private void await(int index, InstanceSupervisor.InstanceState wanted, long ms) throws Exception {
         long end = System.nanoTime() + ms * 1_000_000;
         while (state(index) != wanted && System.nanoTime() < end) {
             Thread.sleep(20);
@@ -181,7 +181,7 @@
     @Test
     void instancesAreLaunchedRelaunchedAndTakenOverAndNeverTwice() throws Exception {
         for (int i = 0; i < 3; i++) {
-            await(i, Keeper.State.WARM, 15_000);
+            await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         assertEquals(3, table().size());
         // One dies: launched again.
@@ -191,11 +191,11 @@
             Thread.sleep(50);
         }
         assertNotEquals(first, pid(0));
-        await(0, Keeper.State.WARM, 10_000);
+        await(0, InstanceSupervisor.InstanceState.WARM, 10_000);
         // One is stopped: not reached, and not launched beside itself.
         long stopped = pid(1);
         signal("STOP", stopped);
-        await(1, Keeper.State.UNREACHED, 5_000);
+        await(1, InstanceSupervisor.InstanceState.UNREACHED, 5_000);
         Thread.sleep(1500);
         assertEquals(3, table().size());
         // The agent dies; one instance dies meanwhile; the next agent finds the others by pid and start.
@@ -207,12 +207,12 @@
         assertTrue(table().containsKey(stopped));
         signal("CONT", stopped);
         for (int i = 0; i < 3; i++) {
-            await(i, Keeper.State.WARM, 15_000);
+            await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         assertEquals(3, table().size());
     }
 
-    private long pid(int index, List<Hosted> of) throws Exception {
+    private long pid(int index, List<InstanceSpec> of) throws Exception {
         for (Map.Entry<Long, String> entry : table().entrySet()) {
             if (entry.getValue().equals("mode" + index)) {
                 return entry.getKey();
@@ -224,17 +224,19 @@
     @Test
     void aLaunchThatWasNotNotedAnyMoreIsFoundByItsToken() throws Exception {
         for (int i = 0; i < 3; i++) {
-            await(i, Keeper.State.WARM, 15_000);
+            await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         long was = pid(0);
         killAgent();
         // As after a kill between the fork and the note of it: the token alone is known.
-        try (Ledger edited = new Ledger(folder.resolve("state"))) {
-            edited.note("t-0", new Ledger.Noted(true, edited.of("t-0").token(), 0, 0));
+        try (InstanceLedger edited = new InstanceLedger(folder.resolve("state"))) {
+            edited.note(
+                    "t-0",
+                    new InstanceLedger.InstanceRecord(true, edited.of("t-0").token(), 0, 0));
             // And a pid that now belongs to somebody else.
             edited.note(
                     "t-1",
-                    new Ledger.Noted(
+                    new InstanceLedger.InstanceRecord(
                             true,
                             edited.of("t-1").token(),
                             ProcessHandle.current().pid(),
@@ -244,7 +246,7 @@
         Thread.sleep(300);
         assertEquals(was, pid(0));
         assertNotEquals(ProcessHandle.current().pid(), pid(1));
-        await(1, Keeper.State.WARM, 5_000);
+        await(1, InstanceSupervisor.InstanceState.WARM, 5_000);
         assertEquals(3, table().size());
     }
 
@@ -252,73 +254,75 @@
     void stopWaitsForWhatWasReadAndNowDoesNot() throws Exception {
         for (int i = 0; i < 3; i++) {
             Files.writeString(folder.resolve("mode" + i), "1500");
-            await(i, Keeper.State.WARM, 15_000);
+            await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         for (int i = 0; i < 3; i++) {
             // The mode is read at the start.
             int index = i;
-            on(() -> agent.order("restart-number-" + index, Orders.Verb.RESTART, false, List.of(index)));
+            on(() -> agent.order("restart-number-" + index, OrderTracker.OrderVerb.RESTART, false, List.of(index)));
         }
         Thread.sleep(500);
         for (int i = 0; i < 3; i++) {
-            await(i, Keeper.State.WARM, 15_000);
+            await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         long began = System.nanoTime();
-        Orders.Order stop = on(() -> agent.order("stop-number-one", Orders.Verb.STOP, false, List.of(0)));
-        await(0, Keeper.State.DRAINING, 2_000);
+        OrderTracker.Order stop =
+                on(() -> agent.order("stop-number-one", OrderTracker.OrderVerb.STOP, false, List.of(0)));
+        await(0, InstanceSupervisor.InstanceState.DRAINING, 2_000);
         assertFalse(on(stop::over));
-        await(0, Keeper.State.DOWN, 6_000);
+        await(0, InstanceSupervisor.InstanceState.DOWN, 6_000);
         assertTrue(System.nanoTime() - began > 1_400_000_000L);
         Thread.sleep(150);
         assertTrue(on(stop::over));
         began = System.nanoTime();
-        on(() -> agent.order("stop-number-two", Orders.Verb.STOP, true, List.of(1)));
-        await(1, Keeper.State.DOWN, 2_000);
+        on(() -> agent.order("stop-number-two", OrderTracker.OrderVerb.STOP, true, List.of(1)));
+        await(1, InstanceSupervisor.InstanceState.DOWN, 2_000);
         assertTrue(System.nanoTime() - began < 1_200_000_000L);
         // What is not wanted stays down for the next agent too.
         killAgent();
         begin(4);
         Thread.sleep(500);
-        assertEquals(Keeper.State.DOWN, state(0));
+        assertEquals(InstanceSupervisor.InstanceState.DOWN, state(0));
         assertEquals(1, table().size());
     }
 
     @Test
     void oneThatKeepsDyingIsLeftDownAndTold() throws Exception {
-        await(0, Keeper.State.WARM, 15_000);
+        await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
         Files.writeString(folder.resolve("mode0"), "crash");
         signal("KILL", pid(0));
-        await(0, Keeper.State.GIVEN_UP, 20_000);
+        await(0, InstanceSupervisor.InstanceState.GIVEN_UP, 20_000);
         int launches = (int) (long) on(() -> agent.keeper(0).launches());
         Thread.sleep(1000);
         assertEquals(launches, (int) (long) on(() -> agent.keeper(0).launches()));
         assertTrue(on(() -> agent.keeper(0).why(loop.clock().now())).contains("start it by hand"));
         Files.writeString(folder.resolve("mode0"), "0");
-        on(() -> agent.order("start-by-hand-1", Orders.Verb.START, false, List.of(0)));
-        await(0, Keeper.State.WARM, 15_000);
+        on(() -> agent.order("start-by-hand-1", OrderTracker.OrderVerb.START, false, List.of(0)));
+        await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
     }
 
     @Test
     void aLedgerThatIsSpoiltIsRefusedAndOneThatCannotBeWrittenTakesNoOrder() throws Exception {
         for (int i = 0; i < 3; i++) {
-            await(i, Keeper.State.WARM, 15_000);
+            await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         // A folder in place of the file that is written first: no note gets to the disk.
         Files.createDirectory(folder.resolve("state/instances.new"));
-        assertNull(on(() -> agent.order("refused-order", Orders.Verb.STOP, false, List.of(0))));
+        assertNull(on(() -> agent.order("refused-order", OrderTracker.OrderVerb.STOP, false, List.of(0))));
         Thread.sleep(300);
-        assertEquals(Keeper.State.WARM, state(0));
+        assertEquals(InstanceSupervisor.InstanceState.WARM, state(0));
         signal("KILL", pid(0));
         Thread.sleep(2500);
         assertEquals(2, table().size(), "launched without a note");
         Files.delete(folder.resolve("state/instances.new"));
-        on(() -> agent.order("start-order-1", Orders.Verb.START, false, List.of(0)));
-        await(0, Keeper.State.WARM, 15_000);
+        on(() -> agent.order("start-order-1", OrderTracker.OrderVerb.START, false, List.of(0)));
+        await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
         killAgent();
         byte[] good = Files.readAllBytes(folder.resolve("state/instances"));
         for (int length : new int[] {0, 5, 9, good.length - 1}) {
             Files.write(folder.resolve("state/instances"), java.util.Arrays.copyOf(good, length));
-            assertThrows(Ledger.Spoilt.class, () -> new Ledger(folder.resolve("state")).close());
+            assertThrows(InstanceLedger.CorruptLedgerException.class, () -> new InstanceLedger(folder.resolve("state"))
+                    .close());
         }
         Files.write(folder.resolve("state/instances"), good);
         begin(5);
--- a/src/test/java/merlinlever/host/state/KeeperTest.java
+++ b/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
@@ -11,16 +11,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class KeeperTest {
+class InstanceSupervisorTest {
 
-    private final Keeper keeper = new Keeper(Keeper.Stated.USUAL, true);
+    private final InstanceSupervisor keeper = new InstanceSupervisor(InstanceSupervisor.SupervisorSettings.USUAL, true);
 
     private static Duration ms(long ms) {
         return Duration.ofMillis(ms);
     }
 
-    private static Told told(String phase, int inHand) {
-        return new Told(phase, true, false, 0, 0, inHand, 10, 0, 0, Map.of(), 0);
+    private static InstanceStatus told(String phase, int inHand) {
+        return new InstanceStatus(phase, true, false, 0, 0, inHand, 10, 0, 0, Map.of(), 0);
     }
 
     @Test
@@ -30,7 +30,7 @@
         long[] pauses = new long[8];
         int deaths = 0;
         while (deaths < 8 && at < 60_000) {
-            if (keeper.settle(ms(at)) == Keeper.Act.LAUNCH) {
+            if (keeper.settle(ms(at)) == InstanceSupervisor.SupervisorAction.LAUNCH) {
                 keeper.there(ms(at), ms(at));
                 keeper.ended(ms(at), "status 1");
                 pauses[deaths++] = at;
@@ -41,29 +41,29 @@
         assertEquals(
                 List.of(0L, 200L, 600L, 1400L, 3000L),
                 java.util.Arrays.stream(pauses).limit(5).boxed().toList());
-        assertEquals(Keeper.State.GIVEN_UP, keeper.state(ms(at)));
+        assertEquals(InstanceSupervisor.InstanceState.GIVEN_UP, keeper.state(ms(at)));
         keeper.start(ms(at));
-        assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(at)));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(at)));
     }
 
     @Test
     void silenceIsNotDeathAndNothingIsLaunchedBeside() {
         keeper.start(ms(0));
-        assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(0)));
-        assertEquals(Keeper.Act.NOTHING, keeper.settle(ms(1)));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(0)));
+        assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(1)));
         keeper.there(ms(5), ms(5));
-        assertEquals(Keeper.State.STARTING, keeper.state(ms(100)));
+        assertEquals(InstanceSupervisor.InstanceState.STARTING, keeper.state(ms(100)));
         keeper.told(ms(200), told("cold", 0));
-        assertEquals(Keeper.State.COLD, keeper.state(ms(300)));
+        assertEquals(InstanceSupervisor.InstanceState.COLD, keeper.state(ms(300)));
         keeper.told(ms(400), told("warm", 0));
-        assertEquals(Keeper.State.WARM, keeper.state(ms(2900)));
-        assertEquals(Keeper.State.UNREACHED, keeper.state(ms(2901)));
+        assertEquals(InstanceSupervisor.InstanceState.WARM, keeper.state(ms(2900)));
+        assertEquals(InstanceSupervisor.InstanceState.UNREACHED, keeper.state(ms(2901)));
         assertTrue(keeper.why(ms(4400)).startsWith("not reached for 4000 ms"));
         for (long at = 3000; at < 600_000; at += 100) {
-            assertEquals(Keeper.Act.NOTHING, keeper.settle(ms(at)));
+            assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(at)));
         }
         keeper.told(ms(600_000), told("warm", 0));
-        assertEquals(Keeper.State.WARM, keeper.state(ms(600_001)));
+        assertEquals(InstanceSupervisor.InstanceState.WARM, keeper.state(ms(600_001)));
     }
 
     @Test
@@ -73,14 +73,14 @@
         keeper.there(ms(0), ms(0));
         keeper.told(ms(10), told("warm", 7));
         keeper.leave(ms(20));
-        assertEquals(Keeper.Act.LEAVE, keeper.settle(ms(20)));
+        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(20)));
         for (long at = 30; at < 60_000; at += 10) {
-            assertEquals(Keeper.Act.NOTHING, keeper.settle(ms(at)));
-            assertEquals(Keeper.State.DRAINING, keeper.state(ms(at)));
+            assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(at)));
+            assertEquals(InstanceSupervisor.InstanceState.DRAINING, keeper.state(ms(at)));
         }
         keeper.ended(ms(60_000), "status 143");
-        assertEquals(Keeper.Act.NOTHING, keeper.settle(ms(99_000)));
-        assertEquals(Keeper.State.DOWN, keeper.state(ms(99_000)));
+        assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(99_000)));
+        assertEquals(InstanceSupervisor.InstanceState.DOWN, keeper.state(ms(99_000)));
     }
 
     @Test
@@ -89,49 +89,50 @@
         keeper.settle(ms(0));
         keeper.there(ms(0), ms(0));
         keeper.leave(ms(20));
-        assertEquals(Keeper.Act.LEAVE, keeper.settle(ms(20)));
+        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(20)));
         keeper.start(ms(30));
-        assertEquals(Keeper.Act.NOTHING, keeper.settle(ms(40)));
+        assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(40)));
         keeper.ended(ms(50), "status 143");
-        assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(50)));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(50)));
     }
 
     @Test
     void anOrderIsDoneOnceAndALaterOneTakesItsPlace() {
-        Orders orders = new Orders(List.of(keeper));
-        Orders.Order start = orders.take(ms(0), "order-one", Orders.Verb.START, false, List.of(0));
+        OrderTracker orders = new OrderTracker(List.of(keeper));
+        OrderTracker.Order start = orders.take(ms(0), "order-one", OrderTracker.OrderVerb.START, false, List.of(0));
         keeper.settle(ms(0));
         keeper.there(ms(0), ms(0));
-        Orders.Order stop = orders.take(ms(10), "order-two", Orders.Verb.STOP, false, List.of(0));
-        assertEquals(Orders.End.SUPERSEDED, start.end(0));
-        assertEquals(Keeper.Act.LEAVE, keeper.settle(ms(10)));
-        assertSame(start, orders.take(ms(20), "order-one", Orders.Verb.START, false, List.of(0)));
+        OrderTracker.Order stop = orders.take(ms(10), "order-two", OrderTracker.OrderVerb.STOP, false, List.of(0));
+        assertEquals(OrderTracker.OrderProgress.SUPERSEDED, start.end(0));
+        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(10)));
+        assertSame(start, orders.take(ms(20), "order-one", OrderTracker.OrderVerb.START, false, List.of(0)));
         assertFalse(keeper.wanted());
-        assertEquals(Orders.End.UNDER_WAY, stop.end(0));
+        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, stop.end(0));
         keeper.ended(ms(30), "status 143");
         assertEquals(List.of(stop), orders.look(ms(30)));
-        assertEquals(Orders.End.DONE, stop.end(0));
+        assertEquals(OrderTracker.OrderProgress.DONE, stop.end(0));
     }
 
     @Test
     void aRestartIsDoneWhenItsSuccessorServes() {
-        Orders orders = new Orders(List.of(keeper));
+        OrderTracker orders = new OrderTracker(List.of(keeper));
         keeper.start(ms(0));
         keeper.settle(ms(0));
         keeper.there(ms(0), ms(0));
         keeper.told(ms(5), told("warm", 0));
-        Orders.Order restart = orders.take(ms(10), "order-three", Orders.Verb.RESTART, false, List.of(0));
+        OrderTracker.Order restart =
+                orders.take(ms(10), "order-three", OrderTracker.OrderVerb.RESTART, false, List.of(0));
         orders.look(ms(10));
-        assertEquals(Orders.End.UNDER_WAY, restart.end(0));
-        assertEquals(Keeper.Act.LEAVE, keeper.settle(ms(10)));
+        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, restart.end(0));
+        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(10)));
         keeper.ended(ms(20), "status 143");
-        assertEquals(Keeper.Act.LAUNCH, keeper.settle(ms(20)));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(20)));
         keeper.there(ms(20), ms(20));
         orders.look(ms(30));
-        assertEquals(Orders.End.UNDER_WAY, restart.end(0));
+        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, restart.end(0));
         keeper.told(ms(40), told("cold", 0));
         orders.look(ms(40));
-        assertEquals(Orders.End.DONE, restart.end(0));
+        assertEquals(OrderTracker.OrderProgress.DONE, restart.end(0));
     }
 
     /** Any orders, deaths and answers: never two processes, a LEAVE at most once a process, none launched that is not wanted. */
@@ -139,7 +140,7 @@
     void anyOrderOfEventsKeepsOneProcessAtTheMost() {
         for (long seed = 0; seed < 3000; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
-            Keeper one = new Keeper(Keeper.Stated.USUAL, true);
+            InstanceSupervisor one = new InstanceSupervisor(InstanceSupervisor.SupervisorSettings.USUAL, true);
             boolean running = false;
             boolean wanted = false;
             int leaves = 0;
@@ -172,8 +173,8 @@
                     case 5 -> one.told(ms(at), told("warm", 1));
                     default -> {}
                 }
-                Keeper.Act act = one.settle(ms(at));
-                if (act == Keeper.Act.LAUNCH) {
+                InstanceSupervisor.SupervisorAction act = one.settle(ms(at));
+                if (act == InstanceSupervisor.SupervisorAction.LAUNCH) {
                     assertTrue(!running && wanted, "seed " + seed);
                     if (chance.nextInt(5) == 0) {
                         one.launchFailed(ms(at), "no");
@@ -182,24 +183,24 @@
                         running = true;
                         leaves = 0;
                     }
-                } else if (act != Keeper.Act.NOTHING) {
+                } else if (act != InstanceSupervisor.SupervisorAction.NOTHING) {
                     assertTrue(running, "seed " + seed);
-                    leaves += act == Keeper.Act.LEAVE ? 1 : 0;
+                    leaves += act == InstanceSupervisor.SupervisorAction.LEAVE ? 1 : 0;
                     assertTrue(leaves <= 1, "seed " + seed);
                 }
                 assertEquals(running, one.there(), "seed " + seed);
-                Keeper.State state = one.state(ms(at));
+                InstanceSupervisor.InstanceState state = one.state(ms(at));
                 assertTrue(running
-                        || state == Keeper.State.DOWN
-                        || state == Keeper.State.GIVEN_UP
-                        || state == Keeper.State.STARTING);
+                        || state == InstanceSupervisor.InstanceState.DOWN
+                        || state == InstanceSupervisor.InstanceState.GIVEN_UP
+                        || state == InstanceSupervisor.InstanceState.STARTING);
             }
         }
     }
 
     @Test
     void slowIsToldAgainstPeersAndNotAtOnce() {
-        Peers peers = new Peers(4);
+        OutlierDetector peers = new OutlierDetector(4);
         double[] fine = {100, 98, 103, 101};
         double[] one = {100, 98, 40, 101};
         peers.look(one);
--- a/src/test/java/merlinlever/host/state/RollTest.java
+++ b/src/test/java/merlinlever/host/state/RollingRestartTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class RollTest {
+class RollingRestartTest {
 
     /** A fleet in virtual time: restarted ones are down for a while, then cold, then warm. */
     private static final class Fleet {
@@ -29,19 +29,21 @@
             turned = new long[count];
         }
 
-        List<Roll.Seen> seen() {
-            List<Roll.Seen> seen = new ArrayList<>();
+        List<RollingRestart.InstanceObservation> seen() {
+            List<RollingRestart.InstanceObservation> seen = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 long since = ms - restartedAt[i];
                 boolean made = restartedAt[i] >= 0;
-                Keeper.State state = deadHost[i / 4]
-                        ? Keeper.State.UNREACHED
+                InstanceSupervisor.InstanceState state = deadHost[i / 4]
+                        ? InstanceSupervisor.InstanceState.UNREACHED
                         : since < 500
-                                ? Keeper.State.DRAINING
+                                ? InstanceSupervisor.InstanceState.DRAINING
                                 : made && crashes
-                                        ? Keeper.State.GIVEN_UP
-                                        : since < 2000 || made && never ? Keeper.State.COLD : Keeper.State.WARM;
-                seen.add(new Roll.Seen(
+                                        ? InstanceSupervisor.InstanceState.GIVEN_UP
+                                        : since < 2000 || made && never
+                                                ? InstanceSupervisor.InstanceState.COLD
+                                                : InstanceSupervisor.InstanceState.WARM;
+                seen.add(new RollingRestart.InstanceObservation(
                         "t" + i,
                         "m" + i / 4,
                         state,
@@ -63,18 +65,23 @@
         }
     }
 
-    private static Roll roll(int count, double mostAway) {
+    private static RollingRestart roll(int count, double mostAway) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             names.add("t" + i);
         }
-        return new Roll(new Roll.Stated(2, mostAway, Duration.ofSeconds(10), Duration.ofSeconds(2), 2), names);
+        return new RollingRestart(
+                new RollingRestart.RollingRestartSettings(
+                        2, mostAway, Duration.ofSeconds(10), Duration.ofSeconds(2), 2),
+                names);
     }
 
     private static int most;
 
-    private static void run(Roll roll, Fleet fleet, long until) {
-        while (fleet.ms < until && roll.phase() != Roll.Phase.DONE && roll.phase() != Roll.Phase.STOPPED) {
+    private static void run(RollingRestart roll, Fleet fleet, long until) {
+        while (fleet.ms < until
+                && roll.phase() != RollingRestart.RolloutPhase.DONE
+                && roll.phase() != RollingRestart.RolloutPhase.STOPPED) {
             fleet.tick();
             List<String> chosen = roll.settle(Duration.ofMillis(fleet.ms), fleet.seen());
             long hosts = chosen.stream()
@@ -98,10 +105,10 @@
             int count = 1 + chance.nextInt(40);
             double part = chance.nextInt(50) / 100.0;
             Fleet fleet = new Fleet(count);
-            Roll roll = roll(count, part);
+            RollingRestart roll = roll(count, part);
             most = 0;
             run(roll, fleet, 900_000);
-            assertEquals(Roll.Phase.DONE, roll.phase(), roll.why());
+            assertEquals(RollingRestart.RolloutPhase.DONE, roll.phase(), roll.why());
             assertEquals(count, roll.done().size());
             assertTrue(most <= Math.max(1, (int) (part * count)), most + " of " + count + " away at " + part);
         }
@@ -114,9 +121,9 @@
             fleet.crashes = bad == 0;
             fleet.never = bad == 1;
             fleet.pushes = bad == 2;
-            Roll roll = roll(12, 0.25);
+            RollingRestart roll = roll(12, 0.25);
             run(roll, fleet, 100_000);
-            assertEquals(Roll.Phase.STOPPED, roll.phase());
+            assertEquals(RollingRestart.RolloutPhase.STOPPED, roll.phase());
             assertTrue(roll.done().size() + roll.inHand().size() <= 2, "stopped at " + roll.done());
             String expected =
                     new String[] {"keeps dying", "is not warm 10 s", "operations a second are turned away"}[bad];
@@ -128,18 +135,18 @@
     @Test
     void aMachineThatIsLostMeanwhileCountsAndItWaits() {
         Fleet fleet = new Fleet(16);
-        Roll roll = roll(16, 0.25);
+        RollingRestart roll = roll(16, 0.25);
         run(roll, fleet, 12_000);
         int done = roll.done().size();
         assertTrue(done > 0 && done < 8);
         fleet.deadHost[3] = true;
         run(roll, fleet, 60_000);
-        assertEquals(Roll.Phase.ROLLING, roll.phase());
+        assertEquals(RollingRestart.RolloutPhase.ROLLING, roll.phase());
         assertTrue(roll.why().contains("waiting"), roll.why());
         int stood = roll.done().size();
         fleet.deadHost[3] = false;
         run(roll, fleet, 300_000);
-        assertEquals(Roll.Phase.DONE, roll.phase(), roll.why());
+        assertEquals(RollingRestart.RolloutPhase.DONE, roll.phase(), roll.why());
         assertTrue(stood <= done + 2);
     }
 }
--- a/src/test/java/merlinlever/http/EdgeBytesTest.java
+++ b/src/test/java/merlinlever/http/EdgeBytesTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Example;
 
 /** What an edge node reads, byte for byte. */
-class EdgeBytesTest extends EdgeFixture {
+class EdgeBytesTest extends EdgeServerFixture {
 
     private final Fixture fixture = new Fixture("edge.txt");
 
--- a/src/test/java/merlinlever/http/EdgeRoomTest.java
+++ b/src/test/java/merlinlever/http/EdgeCapacityTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.Example;
 
 /** A table full of connections of each kind: whoever comes next is let in within a short time, and nobody is reset. */
-class EdgeRoomTest extends EdgeFixture {
+class EdgeCapacityTest extends EdgeServerFixture {
 
     private static final int MOST = 8;
     private final List<Socket> full = new ArrayList<>();
 
-    EdgeRoomTest() throws IOException {}
+    EdgeCapacityTest() throws IOException {}
 
     /** A health check on a new connection has its answer after so much time, and no sooner than it takes to make room. */
     private void checkIsAnsweredWithin(long ms) throws Exception {
--- a/src/test/java/merlinlever/http/EdgeClosingTest.java
+++ b/src/test/java/merlinlever/http/EdgeCloseRaceTest.java
@@ -15,9 +15,9 @@
 import net.jqwik.api.Example;
 
 /** Bytes of an edge node that cross the close of its connection: idle, never used, half read, out of room, leaving. */
-class EdgeClosingTest extends EdgeFixture {
+class EdgeCloseRaceTest extends EdgeServerFixture {
 
-    EdgeClosingTest() throws IOException {}
+    EdgeCloseRaceTest() throws IOException {}
 
     /**
      * What crosses the close of a resting connection: the edge node sees a good end and may write more than once without a
@@ -84,7 +84,7 @@
         on(() -> edge.take(user -> Connection.pair(
                 loop,
                 user,
-                new Connection.Party() {
+                new Connection.InMemoryPeer() {
                     @Override
                     public void on(Connection connection) {
                         mine[0] = connection;
--- a/src/test/java/merlinlever/http/EdgeStatesTest.java
+++ b/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
@@ -11,9 +11,9 @@
 import net.jqwik.api.Example;
 
 /** Resets, late verdicts and floods that meet a connection in each of its states. */
-class EdgeStatesTest extends EdgeFixture {
+class EdgeConnectionStateTest extends EdgeServerFixture {
 
-    EdgeStatesTest() throws IOException {}
+    EdgeConnectionStateTest() throws IOException {}
 
     private static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
--- a/src/test/java/merlinlever/http/EdgeFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -19,20 +19,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import merlinlever.core.Backend;
-import merlinlever.core.Calls;
-import merlinlever.core.Outside;
-import merlinlever.core.Work;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.core.BackendDependencies;
+import merlinlever.core.DownstreamService;
+import merlinlever.core.TrackedRequest;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
 import net.jqwik.api.lifecycle.AfterTry;
 
 /**
  * The side of the edge nodes on loopback sockets, with a backend whose other parties are played here. The loop runs on a
  * thread of its own; its clock stands still but where a test moves it, and it can be held while peers write.
  */
-abstract class EdgeFixture implements Outside, Calls {
+abstract class EdgeServerFixture implements BackendDependencies, DownstreamService {
 
     static final int PATIENCE_MS = 20_000;
     static final InetAddress HERE = InetAddress.getLoopbackAddress();
@@ -43,7 +43,8 @@
     final List<String> asked = new CopyOnWriteArrayList<>();
 
     private final List<Socket> sockets = new ArrayList<>();
-    final Loop loop = new Loop(new Clock(() -> nanos.get() + 1_700_000_000_000_000_000L, nanos::get), failures::add);
+    final EventLoop loop = new EventLoop(
+            new MonotonicClock(() -> nanos.get() + 1_700_000_000_000_000_000L, nanos::get), failures::add);
     final Backend backend = new Backend(
             Map.ofEntries(
                     Map.entry("server.cores", "16"),
@@ -58,12 +59,12 @@
                     Map.entry("tariffs.0.client-timeout", "40000")),
             5,
             this);
-    final EdgeNodes edge = new EdgeNodes(loop, backend, Map.of("server.idle", "4000"));
+    final EdgeServer edge = new EdgeServer(loop, backend, Map.of("server.idle", "4000"));
     private final Thread thread = new Thread(loop::run, "loop");
     private volatile long batches;
     private long ids = 0x9b1f03aa5c7e2d41L;
 
-    EdgeFixture() throws IOException {
+    EdgeServerFixture() throws IOException {
         loop.after(() -> {
             backend.settle(loop.clock().now());
             batches++;
@@ -200,27 +201,28 @@
 
     /** The operation that was sent on as the given one ends with the result. */
     void ends(String launch, byte[] result) throws Exception {
-        on(() -> backend.ended(loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Ending.OK, result));
+        on(() ->
+                backend.ended(loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
         settle();
     }
 
     @Override
-    public void launch(Work work) {
+    public void launch(TrackedRequest work) {
         asked.add("launch " + work.name());
     }
 
     @Override
-    public void freeze(Work work) {
+    public void freeze(TrackedRequest work) {
         asked.add("freeze " + work.name());
     }
 
     @Override
-    public void deliver(Work work, byte[] reply) {
+    public void deliver(TrackedRequest work, byte[] reply) {
         asked.add("deliver " + work.name());
     }
 
     @Override
-    public void forgo(Work work) {
+    public void forgo(TrackedRequest work) {
         asked.add("forgo " + work.name());
     }
 
@@ -235,22 +237,22 @@
     }
 
     @Override
-    public Calls calls() {
+    public DownstreamService calls() {
         return this;
     }
 
     @Override
-    public void call(Work work, byte[] body, Duration within) {
+    public void call(TrackedRequest work, byte[] body, Duration within) {
         asked.add("call " + work.name());
     }
 
     @Override
-    public void giveUp(Work work) {}
+    public void giveUp(TrackedRequest work) {}
 
     @Override
     public void closeIdle(Duration after) {}
 
-    private Loop.Timer alarm;
+    private EventLoop.Timer alarm;
 
     @Override
     public void alarm(Duration at) {
