--- a/src/test/java/merlinlever/http/HeadTest.java
+++ b/src/test/java/merlinlever/http/RequestHeadTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import merlinlever.http.Head.Field;
+import merlinlever.http.RequestHead.HeaderField;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
 /** Heads as they come and as they should not. */
-class HeadTest {
+class RequestHeadTest {
 
     private static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -18,22 +18,22 @@
 
     private static int read(String text) {
         byte[] bytes = ascii(text);
-        return new Head().read(bytes, 0, bytes.length);
+        return new RequestHead().read(bytes, 0, bytes.length);
     }
 
     @Example
     void theFieldsOfAnOperationAreFound() {
         byte[] bytes = ascii("xxPOST /svc/buy?real=1&b=2 HTTP/1.1\r\nHost: a\r\nreq-ID: 9b1f03aa5c7e2d41\r\n"
                 + "Req-Kb:  24.5 \r\nReq-Time: 1764576000123\r\nContent-Length: 12\r\nConnection: Close\r\n\r\nbody");
-        Head head = new Head();
-        assertEquals(0, head.read(bytes, 2, Head.end(bytes, 2, 2, bytes.length)));
+        RequestHead head = new RequestHead();
+        assertEquals(0, head.read(bytes, 2, RequestHead.end(bytes, 2, 2, bytes.length)));
         assertEquals("POST", head.method());
         assertEquals("/svc/buy", head.path());
         assertTrue(head.asks("real=1") && head.asks("b=2") && !head.asks("real=2"));
-        assertTrue(head.hex(Field.ID, 16) && !head.hex(Field.ID, 32) && !head.hex(Field.TOKEN, 32));
-        assertEquals(24.5, head.number(Field.KB));
-        assertEquals(1764576000123L, head.digits(Field.TIME));
-        assertEquals(-1, head.digits(Field.KB));
+        assertTrue(head.hex(HeaderField.ID, 16) && !head.hex(HeaderField.ID, 32) && !head.hex(HeaderField.TOKEN, 32));
+        assertEquals(24.5, head.number(HeaderField.KB));
+        assertEquals(1764576000123L, head.digits(HeaderField.TIME));
+        assertEquals(-1, head.digits(HeaderField.KB));
         assertEquals(12, head.length());
         assertTrue(head.closes());
     }
@@ -74,8 +74,8 @@
         byte[] all = java.util.Arrays.copyOf(head, head.length + noise.length);
         System.arraycopy(noise, 0, all, head.length, noise.length);
         int first = Math.floorMod(cut, all.length + 1);
-        int found = Head.end(all, 0, 0, first);
-        assertEquals(head.length, found >= 0 ? found : Head.end(all, 0, first, all.length));
+        int found = RequestHead.end(all, 0, 0, first);
+        assertEquals(head.length, found >= 0 ? found : RequestHead.end(all, 0, first, all.length));
     }
 
     @Property(tries = 2000, seed = "43")
@@ -85,16 +85,17 @@
         for (int i = 0; i < noise.length && i < 6; i++) {
             bytes[Math.floorMod(at + i * 7, bytes.length)] = noise[i];
         }
-        int end = Head.end(bytes, 0, 0, bytes.length);
+        int end = RequestHead.end(bytes, 0, 0, bytes.length);
         if (end > 0) {
-            Head head = new Head();
+            RequestHead head = new RequestHead();
             int status = head.read(bytes, 0, end);
             assertTrue(status == 0 || status == 400 || status == 413 || status == 501, "" + status);
             if (status == 0) {
-                head.number(Field.KB);
-                head.digits(Field.TIME);
+                head.number(HeaderField.KB);
+                head.digits(HeaderField.TIME);
                 head.closes();
-                assertTrue(head.length() <= Head.LONGEST_BODY && head.path().startsWith("/"));
+                assertTrue(
+                        head.length() <= RequestHead.LONGEST_BODY && head.path().startsWith("/"));
             }
         }
     }
--- a/src/test/java/merlinlever/json/JsonTest.java
+++ b/src/test/java/merlinlever/json/JsonTest.java
@@ -13,7 +13,7 @@
 class JsonTest {
 
     @Example
-    void valuesAreRead() throws Json.Malformed {
+    void valuesAreRead() throws Json.MalformedJsonException {
         assertEquals(
                 Map.of("a", Arrays.asList(1L, -2.5, 1e3, true, false, null), "b", Map.of("c", "x\n\u00e9\"")),
                 Json.parse(" {\"a\":[1,-2.5,1e3,true,false,null],\"b\":{\"c\":\"x\\n\\u00e9\\\"\"}} "));
@@ -45,12 +45,12 @@
             "+1",
             "NaN"
         }) {
-            assertThrows(Json.Malformed.class, () -> Json.parse(bad), bad);
+            assertThrows(Json.MalformedJsonException.class, () -> Json.parse(bad), bad);
         }
     }
 
     @Property(tries = 500, seed = "45")
-    void whatIsQuotedIsReadBack(@ForAll String text) throws Json.Malformed {
+    void whatIsQuotedIsReadBack(@ForAll String text) throws Json.MalformedJsonException {
         assertEquals(text, Json.parse(Json.quoted(text)));
     }
 }
--- a/src/test/java/merlinlever/manage/ManageTest.java
+++ b/src/test/java/merlinlever/management/ManagementServerTest.java
@@ -1,4 +1,4 @@
-package merlinlever.manage;
+package merlinlever.management;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,11 +6,11 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-class ManageTest {
+class ManagementServerTest {
 
     private static String ask(InetSocketAddress address, String line) throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
@@ -24,9 +24,9 @@
 
     @Test
     void itTellsItsStateAndNothingElseAndAFloodIsClosedUnread() throws Exception {
-        Loop loop = new Loop(Clock.system(), Throwable::printStackTrace);
+        EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
         AtomicInteger told = new AtomicInteger();
-        Manage manage = new Manage(loop, new InetSocketAddress("127.0.0.1", 0), () -> {
+        ManagementServer manage = new ManagementServer(loop, new InetSocketAddress("127.0.0.1", 0), () -> {
             told.incrementAndGet();
             return "{\"phase\":\"warm\"}";
         });
--- a/src/test/java/merlinlever/members/ViewsCheckTest.java
+++ b/src/test/java/merlinlever/membership/MemberTableModelTest.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,21 +15,21 @@
  * Walks every state that three agents can come to: any suspicion of anyone at any time, right or wrong, one restart without
  * memory, one leaving, and any rumour that was ever told coming to anyone at any later time, any number of times or never.
  */
-class ViewsCheckTest {
+class MemberTableModelTest {
 
     private static final String[] NAMES = {"a", "b", "c"};
     /** Suspicions are raised up to this incarnation; that each raises it by one bounds the walk. */
     private static final int MOST_INCARNATION = 1;
 
-    private static final class State {
-        final Views[] views = new Views[3];
+    private static final class FleetState {
+        final MemberTable[] views = new MemberTable[3];
         /** Which of all rumours that there can be were told. */
         long told;
 
         boolean restarted, cLeft;
 
-        State copy() {
-            State copy = new State();
+        FleetState copy() {
+            FleetState copy = new FleetState();
             for (int i = 0; i < 3; i++) {
                 copy.views[i] = views[i].copy();
             }
@@ -41,7 +41,7 @@
 
         void tell() {
             for (int i = 0; i < 3; i++) {
-                for (Views.Rumour rumour : views[i].all()) {
+                for (MemberTable.MemberRecord rumour : views[i].all()) {
                     told |= 1L << place(rumour);
                 }
             }
@@ -50,9 +50,9 @@
         /** All of it in a few characters. */
         String key() {
             StringBuilder key = new StringBuilder(12);
-            for (Views each : views) {
+            for (MemberTable each : views) {
                 for (String name : NAMES) {
-                    Views.Rumour rumour = each.of(name);
+                    MemberTable.MemberRecord rumour = each.of(name);
                     key.append((char) (rumour == null ? 0 : 1 + rumour.status().ordinal() + 4 * rumour.incarnation()));
                 }
             }
@@ -70,81 +70,82 @@
     /** Of 20 each: four standings at five incarnations. */
     private static final int EACH = 20;
 
-    private static int place(Views.Rumour rumour) {
+    private static int place(MemberTable.MemberRecord rumour) {
         assertTrue(rumour.incarnation() < EACH / 4, "no room for incarnation " + rumour.incarnation());
         return (rumour.name().charAt(0) - 'a') * EACH + rumour.status().ordinal() + 4 * (int) rumour.incarnation();
     }
 
-    private static final Views.Rumour[] RUMOURS = new Views.Rumour[3 * EACH];
+    private static final MemberTable.MemberRecord[] RUMOURS = new MemberTable.MemberRecord[3 * EACH];
 
     static {
         for (int place = 0; place < RUMOURS.length; place++) {
             int who = place / EACH;
-            RUMOURS[place] = new Views.Rumour(
-                    NAMES[who], "g" + who, "p" + who, Views.Status.values()[place % 4], place % EACH / 4);
+            RUMOURS[place] = new MemberTable.MemberRecord(
+                    NAMES[who], "g" + who, "p" + who, MemberTable.MemberStatus.values()[place % 4], place % EACH / 4);
         }
     }
 
-    private static Views fresh(int i) {
-        return new Views(NAMES[i], "g" + i, "p" + i, 0);
+    private static MemberTable fresh(int i) {
+        return new MemberTable(NAMES[i], "g" + i, "p" + i, 0);
     }
 
-    private static List<State> next(State state) {
-        List<State> next = new ArrayList<>();
+    private static List<FleetState> next(FleetState state) {
+        List<FleetState> next = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             if (!state.live(i)) {
                 continue;
             }
             for (int k = 0; k < 3; k++) {
-                Views.Rumour known = state.views[i].of(NAMES[k]);
+                MemberTable.MemberRecord known = state.views[i].of(NAMES[k]);
                 if (k == i || known == null) {
                     continue;
                 }
-                if (known.status() == Views.Status.ALIVE && known.incarnation() < MOST_INCARNATION) {
-                    State made = state.copy();
+                if (known.status() == MemberTable.MemberStatus.ALIVE && known.incarnation() < MOST_INCARNATION) {
+                    FleetState made = state.copy();
                     made.views[i].suspect(NAMES[k]);
                     next.add(made);
                 }
-                if (known.status() == Views.Status.SUSPECT) {
-                    State made = state.copy();
+                if (known.status() == MemberTable.MemberStatus.SUSPECT) {
+                    FleetState made = state.copy();
                     made.views[i].dead(NAMES[k]);
                     next.add(made);
                 }
             }
             for (long left = state.told; left != 0; left &= left - 1) {
-                Views.Rumour rumour = RUMOURS[Long.numberOfTrailingZeros(left)];
-                Views.Rumour known = state.views[i].of(rumour.name());
-                if (known != null && !Views.overrides(rumour, known)) {
+                MemberTable.MemberRecord rumour = RUMOURS[Long.numberOfTrailingZeros(left)];
+                MemberTable.MemberRecord known = state.views[i].of(rumour.name());
+                if (known != null && !MemberTable.overrides(rumour, known)) {
                     // It says nothing new here: the same state.
                     continue;
                 }
-                State made = state.copy();
-                Views.Rumour before = made.views[i].of(rumour.name());
+                FleetState made = state.copy();
+                MemberTable.MemberRecord before = made.views[i].of(rumour.name());
                 made.views[i].heard(rumour);
-                Views.Rumour after = made.views[i].of(rumour.name());
+                MemberTable.MemberRecord after = made.views[i].of(rumour.name());
                 assertTrue(
-                        before == null || after.equals(before) || Views.overrides(after, before), "a belief went back");
+                        before == null || after.equals(before) || MemberTable.overrides(after, before),
+                        "a belief went back");
                 next.add(made);
             }
         }
         if (!state.restarted) {
-            State made = state.copy();
+            FleetState made = state.copy();
             made.views[1] = fresh(1);
             made.restarted = true;
             next.add(made);
         }
         if (!state.cLeft) {
-            State made = state.copy();
+            FleetState made = state.copy();
             made.views[2].leave();
             made.cLeft = true;
             next.add(made);
         }
-        next.forEach(State::tell);
+        next.forEach(FleetState::tell);
         return next;
     }
 
     /** All that live tell each other all that they believe, until nothing is new. */
-    private static void settle(State state) {
+    private static void settle(FleetState state) {
         boolean changed = true;
         for (int rounds = 0; changed; rounds++) {
             assertTrue(rounds < 20, "never quiet");
@@ -152,7 +153,7 @@
             for (int i = 0; i < 3; i++) {
                 for (int k = 0; k < 3; k++) {
                     if (i != k && state.live(i) && state.live(k)) {
-                        for (Views.Rumour rumour : state.views[i].all()) {
+                        for (MemberTable.MemberRecord rumour : state.views[i].all()) {
                             changed |= state.views[k].heard(rumour) != null;
                         }
                     }
@@ -164,42 +165,45 @@
     @Test
     void noLiveOneStaysDeadALeftOneStaysAwayAndViewsAgree() {
         assertTrue(MOST_INCARNATION <= 1, "the key has room for incarnations up to 4");
-        State first = new State();
+        FleetState first = new FleetState();
         for (int i = 0; i < 3; i++) {
             first.views[i] = fresh(i);
         }
         for (int i = 0; i < 3; i++) {
             for (int k = 0; k < 3; k++) {
-                first.views[i].heard(new Views.Rumour(NAMES[k], "g" + k, "p" + k, Views.Status.ALIVE, 0));
+                first.views[i].heard(
+                        new MemberTable.MemberRecord(NAMES[k], "g" + k, "p" + k, MemberTable.MemberStatus.ALIVE, 0));
             }
         }
         first.tell();
         Set<String> seen = new HashSet<>();
-        ArrayDeque<State> open = new ArrayDeque<>(List.of(first));
+        ArrayDeque<FleetState> open = new ArrayDeque<>(List.of(first));
         seen.add(first.key());
         while (!open.isEmpty()) {
-            State state = open.poll();
-            State calm = state.copy();
+            FleetState state = open.poll();
+            FleetState calm = state.copy();
             List<Boolean> knewLeft = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                Views.Rumour c = calm.views[i].of("c");
-                knewLeft.add(c != null && c.status() == Views.Status.LEFT);
+                MemberTable.MemberRecord c = calm.views[i].of("c");
+                knewLeft.add(c != null && c.status() == MemberTable.MemberStatus.LEFT);
             }
             settle(calm);
             for (int i = 0; i < 3; i++) {
                 for (int k = 0; k < 3; k++) {
                     if (calm.live(i) && calm.live(k)) {
                         assertEquals(
-                                Views.Status.ALIVE, calm.views[i].of(NAMES[k]).status(), state::key);
+                                MemberTable.MemberStatus.ALIVE,
+                                calm.views[i].of(NAMES[k]).status(),
+                                state::key);
                         assertEquals(calm.views[k].of(NAMES[k]), calm.views[i].of(NAMES[k]), state::key);
                     }
                 }
             }
             assertEquals(calm.views[0].of("c"), calm.views[1].of("c"));
             assertFalse(
-                    knewLeft.get(0) && calm.cLeft && calm.views[0].of("c").status() != Views.Status.LEFT,
+                    knewLeft.get(0) && calm.cLeft && calm.views[0].of("c").status() != MemberTable.MemberStatus.LEFT,
                     "one that left came back");
-            for (State each : next(state)) {
+            for (FleetState each : next(state)) {
                 if (seen.add(each.key())) {
                     open.add(each);
                 }
--- a/src/test/java/merlinlever/members/MembersTest.java
+++ b/src/test/java/merlinlever/membership/SwimProtocolTest.java
@@ -1,4 +1,4 @@
-package merlinlever.members;
+package merlinlever.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Agents on a virtual clock, before a network that loses, delays, doubles and cuts. */
-class MembersTest {
+class SwimProtocolTest {
 
     private static final int SEEDS = Integer.getInteger("members.seeds", 1000);
 
-    private static final class Net {
+    private static final class VirtualNetwork {
         final SplittableRandom chance;
-        final Members[] agents;
+        final SwimProtocol[] agents;
         final boolean[] up;
         final boolean[] paused;
         final TreeMap<Long, List<Runnable>> later = new TreeMap<>();
@@ -29,9 +29,9 @@
         /** Which side of a cut each is on. */
         final int[] side;
 
-        Net(long seed, int count) {
+        VirtualNetwork(long seed, int count) {
             chance = new SplittableRandom(seed);
-            agents = new Members[count];
+            agents = new SwimProtocol[count];
             up = new boolean[count];
             paused = new boolean[count];
             side = new int[count];
@@ -41,10 +41,10 @@
         }
 
         void start(int i) {
-            agents[i] = new Members(
+            agents[i] = new SwimProtocol(
                     Duration.ofMillis(ms),
-                    new Views("n" + i, "g" + i, "p" + i, 0),
-                    Members.Stated.usual(List.of("g0", "g1")),
+                    new MemberTable("n" + i, "g" + i, "p" + i, 0),
+                    SwimProtocol.SwimSettings.usual(List.of("g0", "g1")),
                     chance.split(),
                     line -> {});
             up[i] = true;
@@ -64,8 +64,8 @@
             }
         }
 
-        void post(int from, List<Members.Sending> sendings) {
-            for (Members.Sending sending : sendings) {
+        void post(int from, List<SwimProtocol.OutboundDatagram> sendings) {
+            for (SwimProtocol.OutboundDatagram sending : sendings) {
                 int to = Integer.parseInt(sending.to().substring(1));
                 for (int copies = chance.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
                     if (side[from] == side[to] && chance.nextInt(100) >= loss) {
@@ -77,7 +77,7 @@
             }
         }
 
-        void arrive(int from, int to, Members.Message message) {
+        void arrive(int from, int to, SwimProtocol.MembershipMessage message) {
             if (!up[to] || side[from] != side[to]) {
                 return;
             }
@@ -89,12 +89,12 @@
             post(to, agents[to].settle(Duration.ofMillis(ms)));
         }
 
-        Views.Status status(int by, int of) {
-            Views.Rumour rumour = agents[by].views().of("n" + of);
+        MemberTable.MemberStatus status(int by, int of) {
+            MemberTable.MemberRecord rumour = agents[by].views().of("n" + of);
             return rumour == null ? null : rumour.status();
         }
 
-        void all(Views.Status wanted, int of, String what) {
+        void all(MemberTable.MemberStatus wanted, int of, String what) {
             for (int i = 0; i < agents.length; i++) {
                 if (i != of && up[i] && !paused[i]) {
                     assertEquals(wanted, status(i, of), what + ": n" + i + " of n" + of);
@@ -116,7 +116,7 @@
 
     private static void play(long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Net net = new Net(seed, 3 + chance.nextInt(5));
+        VirtualNetwork net = new VirtualNetwork(seed, 3 + chance.nextInt(5));
         int count = net.agents.length;
         net.loss = chance.nextInt(3) * 10;
         net.run(20_000);
@@ -128,7 +128,7 @@
                 int dies = 1 + chance.nextInt(count - 1);
                 net.up[dies] = false;
                 net.run(60_000);
-                net.all(Views.Status.DEAD, dies, "died");
+                net.all(MemberTable.MemberStatus.DEAD, dies, "died");
                 net.start(dies);
             }
             case 1 -> {
@@ -154,8 +154,10 @@
                 net.run(40_000);
                 for (int i = 0; i < count; i++) {
                     if (i != leaves) {
-                        Views.Status status = net.status(i, leaves);
-                        assertTrue(status == Views.Status.LEFT || status == Views.Status.DEAD, "left: " + status);
+                        MemberTable.MemberStatus status = net.status(i, leaves);
+                        assertTrue(
+                                status == MemberTable.MemberStatus.LEFT || status == MemberTable.MemberStatus.DEAD,
+                                "left: " + status);
                     }
                 }
                 net.start(leaves);
@@ -164,21 +166,23 @@
         net.loss = 0;
         net.run(90_000);
         for (int i = 0; i < count; i++) {
-            net.all(Views.Status.ALIVE, i, "in the end");
+            net.all(MemberTable.MemberStatus.ALIVE, i, "in the end");
         }
     }
 
     @Test
     void messagesThatAreNotOursAreNothing() {
-        Wire wire = new Wire("0123456789abcdef".getBytes());
-        List<Views.Rumour> rumours = new ArrayList<>();
+        MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes());
+        List<MemberTable.MemberRecord> rumours = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            rumours.add(new Views.Rumour("n" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, Views.Status.values()[i % 4], i));
+            rumours.add(new MemberTable.MemberRecord(
+                    "n" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, MemberTable.MemberStatus.values()[i % 4], i));
         }
-        Members.Message message = new Members.Message(Members.Kind.SYNC, "n1", 7, "", rumours);
+        SwimProtocol.MembershipMessage message =
+                new SwimProtocol.MembershipMessage(SwimProtocol.MessageKind.SYNC, "n1", 7, "", rumours);
         byte[] good = wire.write(message);
         assertEquals(message, wire.read(good));
-        assertNull(new Wire("0123456789abcdeg".getBytes()).read(good));
+        assertNull(new MembershipCodec("0123456789abcdeg".getBytes()).read(good));
         for (int at = 0; at < good.length; at += 7) {
             byte[] bad = good.clone();
             bad[at] ^= 1;
@@ -197,22 +201,31 @@
         }
         rumours.clear();
         for (int i = 0; i < 2000; i++) {
-            rumours.add(new Views.Rumour(
-                    "name-of-a-machine-" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, Views.Status.ALIVE, i));
+            rumours.add(new MemberTable.MemberRecord(
+                    "name-of-a-machine-" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, MemberTable.MemberStatus.ALIVE, i));
         }
-        byte[] large = wire.write(new Members.Message(Members.Kind.SYNC, "n1", 7, "", rumours));
-        assertTrue(large.length <= Wire.MOST);
+        byte[] large =
+                wire.write(new SwimProtocol.MembershipMessage(SwimProtocol.MessageKind.SYNC, "n1", 7, "", rumours));
+        assertTrue(large.length <= MembershipCodec.MOST);
         assertNotNull(wire.read(large));
     }
 
     @Test
     void whatIsCarriedAndSaidReachesThoseThatHearItAndNobodyElse() {
-        Wire wire = new Wire("0123456789abcdef".getBytes());
-        Members.Stated stated = Members.Stated.usual(List.of("127.0.0.1:2"));
-        Members one = new Members(
-                Duration.ZERO, new Views("n1", "127.0.0.1:1", "-", 1), stated, new SplittableRandom(1), line -> {});
-        Members two = new Members(
-                Duration.ZERO, new Views("n2", "127.0.0.1:2", "-", 1), stated, new SplittableRandom(2), line -> {});
+        MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes());
+        SwimProtocol.SwimSettings stated = SwimProtocol.SwimSettings.usual(List.of("127.0.0.1:2"));
+        SwimProtocol one = new SwimProtocol(
+                Duration.ZERO,
+                new MemberTable("n1", "127.0.0.1:1", "-", 1),
+                stated,
+                new SplittableRandom(1),
+                line -> {});
+        SwimProtocol two = new SwimProtocol(
+                Duration.ZERO,
+                new MemberTable("n2", "127.0.0.1:2", "-", 1),
+                stated,
+                new SplittableRandom(2),
+                line -> {});
         List<String> heard = new ArrayList<>();
         two.hears(java.util.Set.of("A"), (name, number, what) -> heard.add(name + " " + number + " " + what));
         two.hears(java.util.Set.of("B"), (name, number, what) -> heard.add("B " + what));
@@ -220,20 +233,25 @@
         one.heard(
                 Duration.ZERO,
                 "127.0.0.1:2",
-                new Members.Message(
-                        Members.Kind.SYNC_BACK, "n2", 0, "", two.views().all()));
-        byte[] body = new byte[Members.MOST_CARRIED];
+                new SwimProtocol.MembershipMessage(
+                        SwimProtocol.MessageKind.SYNC_BACK,
+                        "n2",
+                        0,
+                        "",
+                        two.views().all()));
+        byte[] body = new byte[SwimProtocol.MOST_CARRIED];
         body[body.length - 1] = 7;
         one.carry("n2", body);
         one.carry("nobody", body);
         one.say("n2", 5, "A/x");
         one.say("n2", 6, "B");
         one.say("n2", 7, "C/nobody-hears-this");
-        for (Members.Sending sending : one.settle(Duration.ofMillis(1))) {
+        for (SwimProtocol.OutboundDatagram sending : one.settle(Duration.ofMillis(1))) {
             two.heard(Duration.ofMillis(2), "127.0.0.1:1", wire.read(wire.write(sending.message())));
         }
         assertEquals(List.of("n1 carries " + body.length + " 7", "n1 5 A/x", "B B"), heard);
-        byte[] cut = wire.write(new Members.Message(Members.Kind.CARRY, "n1", 0, "", List.of(), new byte[100]));
+        byte[] cut = wire.write(new SwimProtocol.MembershipMessage(
+                SwimProtocol.MessageKind.CARRY, "n1", 0, "", List.of(), new byte[100]));
         byte[] inner = Arrays.copyOf(cut, cut.length - 16 - 40);
         assertNull(wire.read(signed(inner)), "carried in part");
     }
--- a/src/test/java/merlinlever/net/CrossingTest.java
+++ b/src/test/java/merlinlever/net/ConnectionRaceTest.java
@@ -23,13 +23,13 @@
 import net.jqwik.api.Example;
 
 /** Ends, failures and writes of connections that cross each other. */
-class CrossingTest {
+class ConnectionRaceTest {
 
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private final List<Throwable> failures = new ArrayList<>();
 
-    private Loop loop() throws IOException {
-        Loop loop = new Loop(Clock.system(), failures::add);
+    private EventLoop loop() throws IOException {
+        EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add);
         // Whatever goes wrong, no test waits for ever.
         loop.in(Duration.ofSeconds(20), () -> {
             failures.add(new IllegalStateException("it took too long"));
@@ -39,11 +39,11 @@
     }
 
     /** Hears the end, which stops the loop; what else it does is up to each test. */
-    private static class Ends implements Connection.User {
+    private static class LoopStoppingHandler implements Connection.Handler {
         final List<CloseReason> heard = new ArrayList<>();
-        final Loop loop;
+        final EventLoop loop;
 
-        Ends(Loop loop) {
+        LoopStoppingHandler(EventLoop loop) {
             this.loop = loop;
         }
 
@@ -68,15 +68,16 @@
     /** The system holds nothing back on any stream: small writes would wait there, and a reset throw them away. */
     @Example
     void nothingIsHeldBackOnAcceptedAndOnDialledStreams() throws Exception {
-        Loop loop = loop();
+        EventLoop loop = loop();
         List<Boolean> accepted = new ArrayList<>();
-        Listener listener = new Listener(
+        ConnectionAcceptor listener = new ConnectionAcceptor(
                 loop,
                 new InetSocketAddress(HERE, 0),
                 4,
                 channel -> {
                     try {
-                        accepted.add(noDelay(Connection.accepted(loop, channel, new Ends(loop), 64, 64)));
+                        accepted.add(
+                                noDelay(Connection.accepted(loop, channel, new LoopStoppingHandler(loop), 64, 64)));
                     } catch (ReflectiveOperationException | IOException e) {
                         failures.add(e);
                     }
@@ -84,7 +85,8 @@
                 },
                 () -> {});
         listener.accept();
-        Connection dialled = Connection.to(loop, listener.address(), new Ends(loop), 64, 64, Duration.ofSeconds(5));
+        Connection dialled =
+                Connection.to(loop, listener.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
         loop.run();
         assertEquals(List.of(true), accepted);
         assertTrue(noDelay(dialled));
@@ -98,8 +100,8 @@
         for (boolean asMade : new boolean[] {true, false}) {
             failures.clear();
             try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
-                Loop loop = loop();
-                Ends ends = new Ends(loop) {
+                EventLoop loop = loop();
+                LoopStoppingHandler ends = new LoopStoppingHandler(loop) {
                     @Override
                     public void made() {
                         if (asMade) {
@@ -130,8 +132,8 @@
     @Example
     void whatComesWhileTheRestIsOfferedAgainLeavesThatAlone() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
-            Loop loop = loop();
-            Field ready = Loop.class.getDeclaredField("ready");
+            EventLoop loop = loop();
+            Field ready = EventLoop.class.getDeclaredField("ready");
             ready.setAccessible(true);
             Socket[] peer = new Socket[1];
             Connection[] made = new Connection[1];
@@ -139,7 +141,7 @@
             made[0] = Connection.to(
                     loop,
                     server.getLocalSocketAddress(),
-                    new Connection.User() {
+                    new Connection.Handler() {
                         private int offers;
 
                         @Override
@@ -195,9 +197,9 @@
     @Example
     void whatTakesManyWritesArrivesWholeAndInOrder() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
-            Loop loop = loop();
+            EventLoop loop = loop();
             int[] written = new int[1];
-            Ends ends = new Ends(loop) {
+            LoopStoppingHandler ends = new LoopStoppingHandler(loop) {
                 @Override
                 public void written() {
                     written[0]++;
@@ -237,13 +239,13 @@
     @Example
     void whatCompletesAfterTheEndChangesNothing() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
-            Loop loop = loop();
+            EventLoop loop = loop();
             List<CloseReason> heard = new ArrayList<>();
             Connection[] made = new Connection[1];
             made[0] = Connection.to(
                     loop,
                     server.getLocalSocketAddress(),
-                    new Connection.User() {
+                    new Connection.Handler() {
                         @Override
                         public void made() {
                             made[0].write(ByteBuffer.allocate(8 << 20));
@@ -284,12 +286,12 @@
     /** An error that is no handler's own ends the loop, and whoever runs it hears it: it never goes on half done. */
     @Example
     void anErrorThatIsNoHandlersOwnIsThrownOutOfTheLoop() throws Exception {
-        Loop loop = loop();
+        EventLoop loop = loop();
         loop.execute(() -> {
             throw new NoClassDefFoundError("on purpose");
         });
         assertThrows(NoClassDefFoundError.class, loop::run);
-        Loop deep = loop();
+        EventLoop deep = loop();
         deep.execute(() -> descend(deep));
         deep.execute(deep::stop);
         deep.run();
@@ -297,7 +299,7 @@
         assertTrue(failures.get(0) instanceof StackOverflowError);
     }
 
-    private static int descend(Loop loop) {
+    private static int descend(EventLoop loop) {
         return descend(loop) + 1;
     }
 
@@ -305,11 +307,12 @@
     @Example
     void aListenerThatCannotAcceptPauses() throws Exception {
         // The clock stands still, so the pause does not end.
-        Loop loop = new Loop(new Clock(() -> 0, () -> 0), failures::add);
+        EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, () -> 0), failures::add);
         int[] asked = new int[1];
-        Listener listener = new Listener(loop, new InetSocketAddress(HERE, 0), 4, channel -> {}, () -> asked[0]++);
+        ConnectionAcceptor listener =
+                new ConnectionAcceptor(loop, new InetSocketAddress(HERE, 0), 4, channel -> {}, () -> asked[0]++);
         // A closed channel fails each accept, as a full table of descriptors does.
-        Field field = Listener.class.getDeclaredField("channel");
+        Field field = ConnectionAcceptor.class.getDeclaredField("channel");
         field.setAccessible(true);
         ((AsynchronousServerSocketChannel) field.get(listener)).close();
         int[] left = {2000};
--- a/src/test/java/merlinlever/net/NetTest.java
+++ b/src/test/java/merlinlever/net/ConnectionTest.java
@@ -13,21 +13,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
-import merlinlever.Ending;
-import merlinlever.faults.proc.Ports;
+import merlinlever.Outcome;
+import merlinlever.faults.process.PortAllocator;
 import net.jqwik.api.Example;
 
-class NetTest {
+class ConnectionTest {
 
     private final List<Throwable> failures = new ArrayList<>();
 
     /** Records the end of a connection and stops the loop with it. */
-    private final class Ends implements Connection.User {
+    private final class CloseRecorder implements Connection.Handler {
         final List<CloseReason> heard = new ArrayList<>();
-        private final Loop loop;
+        private final EventLoop loop;
         private final boolean fails;
 
-        Ends(Loop loop, boolean fails) {
+        CloseRecorder(EventLoop loop, boolean fails) {
             this.loop = loop;
             this.fails = fails;
         }
@@ -47,8 +47,8 @@
         }
     }
 
-    private Loop loop() throws IOException {
-        return new Loop(Clock.system(), failures::add);
+    private EventLoop loop() throws IOException {
+        return new EventLoop(MonotonicClock.system(), failures::add);
     }
 
     @Example
@@ -57,7 +57,7 @@
         AtomicLong unix = new AtomicLong(10_000_000_000L);
         // Held up by 400 ms between its first two readings of the clocks, and by nothing between later ones.
         AtomicLong readings = new AtomicLong();
-        Clock clock = new Clock(
+        MonotonicClock clock = new MonotonicClock(
                 () -> {
                     long then = unix.get();
                     if (readings.incrementAndGet() == 1) {
@@ -83,11 +83,11 @@
     @Example
     void afterAStallTimersRunInOrderAndRepeatingOnesOnce() throws IOException {
         AtomicLong nanos = new AtomicLong();
-        Loop loop = new Loop(new Clock(() -> 0, nanos::get), failures::add);
+        EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, nanos::get), failures::add);
         List<String> ran = new ArrayList<>();
         loop.in(Duration.ofMillis(30), () -> ran.add("b"));
         loop.in(Duration.ofMillis(20), () -> ran.add("a"));
-        Loop.Timer off = loop.in(Duration.ofMillis(25), () -> ran.add("off"));
+        EventLoop.Timer off = loop.in(Duration.ofMillis(25), () -> ran.add("off"));
         loop.every(Duration.ofMillis(10), () -> ran.add("tick"));
         off.callOff();
         loop.execute(() -> {
@@ -104,8 +104,8 @@
         assertEquals(1, failures.size());
     }
 
-    private Ends connectTo(int port, Loop loop, boolean fails) throws IOException {
-        Ends ends = new Ends(loop, fails);
+    private CloseRecorder connectTo(int port, EventLoop loop, boolean fails) throws IOException {
+        CloseRecorder ends = new CloseRecorder(loop, fails);
         Connection.to(loop, new InetSocketAddress("127.0.0.1", port), ends, 64, 1024, Duration.ofSeconds(5));
         loop.run();
         return ends;
@@ -114,12 +114,12 @@
     @Example
     void aConnectionEndsOnceAndInItsOwnWay() throws IOException {
         // One that no other process of these tests listens at meanwhile either.
-        int closed = Ports.free();
-        Ends refused = connectTo(closed, loop(), false);
+        int closed = PortAllocator.free();
+        CloseRecorder refused = connectTo(closed, loop(), false);
         assertEquals(List.of(CloseReason.REFUSED), refused.heard);
         assertTrue(CloseReason.REFUSED.ofCall().provesUnrun()
                 && !CloseReason.BROKEN.ofCall().provesUnrun()
-                && CloseReason.CLOSED_THERE.ofCall() == Ending.CUT_OFF);
+                && CloseReason.CLOSED_THERE.ofCall() == Outcome.CUT_OFF);
         for (boolean fails : new boolean[] {false, true}) {
             try (ServerSocket server = new ServerSocket(0)) {
                 Thread other = new Thread(() -> {
@@ -130,7 +130,7 @@
                     }
                 });
                 other.start();
-                Ends ends = connectTo(server.getLocalPort(), loop(), fails);
+                CloseRecorder ends = connectTo(server.getLocalPort(), loop(), fails);
                 assertEquals(List.of(fails ? CloseReason.FAILED : CloseReason.CLOSED_THERE), ends.heard);
                 assertEquals(fails ? 1 : 0, failures.size());
             }
@@ -142,7 +142,7 @@
     void aConnectionInMemoryIsOneLikeAnyOther() {
         StringBuilder there = new StringBuilder();
         List<CloseReason> ends = new ArrayList<>();
-        Connection.Party party = new Connection.Party() {
+        Connection.InMemoryPeer party = new Connection.InMemoryPeer() {
             private Connection mine;
 
             @Override
@@ -165,11 +165,11 @@
                 ends.add(how);
             }
         };
-        Loop loop = new Loop(Clock.system(), failures::add, address -> party);
+        EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add, address -> party);
         ByteBuffer heard = ByteBuffer.allocate(3);
         Connection here = Connection.pair(
                 loop,
-                new Connection.User() {
+                new Connection.Handler() {
                     @Override
                     public void read(ByteBuffer in) {
                         heard.put(in);
@@ -201,8 +201,8 @@
     @Example
     void tooMuchThatWaitsEndsTheConnection() throws IOException {
         try (ServerSocket server = new ServerSocket(0)) {
-            Loop loop = loop();
-            Ends ends = new Ends(loop, false);
+            EventLoop loop = loop();
+            CloseRecorder ends = new CloseRecorder(loop, false);
             Connection connection =
                     Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 1024, Duration.ofSeconds(5));
             loop.execute(() -> connection.write(ByteBuffer.allocate(1000), ByteBuffer.allocate(30)));
--- a/src/test/java/merlinlever/net/DrivenLoop.java
+++ b/src/test/java/merlinlever/net/ManualClockLoop.java
@@ -17,7 +17,7 @@
 import java.util.function.Supplier;
 
 /** A real loop on a thread of its own, whose time stands still but where the test moves it on. */
-public final class DrivenLoop implements AutoCloseable {
+public final class ManualClockLoop implements AutoCloseable {
 
     /** Of real time, for what never comes; it decides no verdict. */
     public static final int PATIENCE_MS = 10_000;
@@ -25,17 +25,17 @@
     private final AtomicLong nanos = new AtomicLong(1_000_000_000_000L);
     private final List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
     private final Thread thread;
-    public final Loop loop;
+    public final EventLoop loop;
 
     /** On sockets. */
-    public DrivenLoop() throws IOException {
-        loop = new Loop(new Clock(nanos::get, nanos::get), failures::add);
+    public ManualClockLoop() throws IOException {
+        loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add);
         thread = begin();
     }
 
     /** In memory: what is connected to is a party of the test's. */
-    public DrivenLoop(Function<SocketAddress, Connection.Party> parties) {
-        loop = new Loop(new Clock(nanos::get, nanos::get), failures::add, parties);
+    public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> parties) {
+        loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, parties);
         thread = begin();
     }
 
--- a/src/test/java/merlinlever/net/HandOver.java
+++ b/src/test/java/merlinlever/net/TaskHandOffProgram.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** What {@link HandOverTest} looks into: a loop with a timer that never rests, and a thread that hands it tasks. */
-final class HandOver {
+/** What {@link TaskHandOffTest} looks into: a loop with a timer that never rests, and a thread that hands it tasks. */
+final class TaskHandOffProgram {
 
     static volatile int ticks;
     private static volatile int taken;
 
-    private HandOver() {}
+    private TaskHandOffProgram() {}
 
     public static void main(String[] none) throws Exception {
-        Loop loop = new Loop(Clock.system(), failure -> {});
+        EventLoop loop = new EventLoop(MonotonicClock.system(), failure -> {});
         loop.every(Duration.ofMillis(1), () -> ticks++);
         Thread thread = new Thread(loop::run, "loop");
         thread.setDaemon(true);
@@ -22,7 +22,7 @@
         }
     }
 
-    private static void handOver(Loop loop) {
+    private static void handOver(EventLoop loop) {
         loop.execute(() -> taken++);
     }
 }
--- a/src/test/java/merlinlever/net/HandOverTest.java
+++ b/src/test/java/merlinlever/net/TaskHandOffTest.java
@@ -29,7 +29,7 @@
  * the runtime stops it. The loop must neither wait for it nor turn round and round until it goes on. Here a second
  * process is looked into: the one thread is held at each line that it passes, and the loop's timers have to go on.
  */
-class HandOverTest {
+class TaskHandOffTest {
 
     private static final int HAND_OVERS = 8;
     private static final long LONGEST = 3_000_000_000L;
@@ -39,7 +39,7 @@
         VirtualMachine machine = launch();
         try {
             ClassPrepareRequest prepared = machine.eventRequestManager().createClassPrepareRequest();
-            prepared.addClassFilter(HandOver.class.getName());
+            prepared.addClassFilter(TaskHandOffProgram.class.getName());
             prepared.setSuspendPolicy(EventRequest.SUSPEND_ALL);
             prepared.enable();
             machine.resume();
@@ -102,7 +102,7 @@
     private static VirtualMachine launch() throws Exception {
         LaunchingConnector connector = Bootstrap.virtualMachineManager().defaultConnector();
         Map<String, Connector.Argument> given = connector.defaultArguments();
-        given.get("main").setValue(HandOver.class.getName());
+        given.get("main").setValue(TaskHandOffProgram.class.getName());
         given.get("options").setValue("-cp " + String.join(":", List.of("target/classes", "target/test-classes")));
         assertTrue(Files.isDirectory(Path.of("target/test-classes")));
         return connector.launch(given);
--- a/src/test/java/merlinlever/budgets/SharingTest.java
+++ b/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
@@ -1,4 +1,4 @@
-package merlinlever.budgets;
+package merlinlever.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,20 +13,21 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.faults.BudgetModel;
-import merlinlever.faults.Stands;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.faults.QuotaModel;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-class SharingTest {
+class QuotaCoordinatorTest {
 
-    private static Budget budget(long whole, Budget.Per per) {
-        return new Budget("calls", "calls", whole, per, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
+    private static FleetQuota budget(long whole, FleetQuota.QuotaKind per) {
+        return new FleetQuota(
+                "calls", "calls", whole, per, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
     }
 
     private static Duration ms(long ms) {
@@ -41,7 +42,7 @@
         SplittableRandom chance = new SplittableRandom(seed);
         long[] wanted = chance.longs(n, 0, 40).toArray();
         int[] weights = chance.ints(n, 1, 5).toArray();
-        long[] shares = Division.shares(whole, wanted, weights, chance.nextInt(n));
+        long[] shares = MaxMinFairAllocation.shares(whole, wanted, weights, chance.nextInt(n));
         assertEquals(
                 Math.min(whole, Arrays.stream(wanted).sum()),
                 Arrays.stream(shares).sum(),
@@ -63,14 +64,21 @@
 
     private static final class State {
         Duration now = Duration.ZERO;
-        Book[] books = {new Book(ms(-3000), SMALL), null};
-        Holding[] holders = {new Holding(SMALL, 0), new Holding(SMALL, 0)};
+        LeaseLedger[] books = {new LeaseLedger(ms(-3000), SMALL), null};
+        QuotaLease[] holders = {new QuotaLease(SMALL, 0), new QuotaLease(SMALL, 0)};
         final TreeSet<String> net = new TreeSet<>();
         int leaderships = 1;
     }
 
-    private static final Budget SMALL = new Budget(
-            "calls", "calls", 2, Budget.Per.SECOND, Duration.ofSeconds(2), 0, Duration.ofSeconds(1), Map.of());
+    private static final FleetQuota SMALL = new FleetQuota(
+            "calls",
+            "calls",
+            2,
+            FleetQuota.QuotaKind.SECOND,
+            Duration.ofSeconds(2),
+            0,
+            Duration.ofSeconds(1),
+            Map.of());
 
     /** Plays a path of actions from the start; null where one of them cannot be. Each is checked after it. */
     private static State play(List<String> path) {
@@ -85,11 +93,11 @@
                     if (state.leaderships == 2) {
                         return null;
                     }
-                    state.books[state.leaderships++] = new Book(state.now, SMALL);
+                    state.books[state.leaderships++] = new LeaseLedger(state.now, SMALL);
                 }
                 case "ask" -> {
                     int who = Integer.parseInt(word[1]);
-                    Holding.Ask ask = state.holders[who].ask(state.now, state.leaderships, 0, 1 + who);
+                    QuotaLease.RenewalRequest ask = state.holders[who].ask(state.now, state.leaderships, 0, 1 + who);
                     state.net.add("Q/" + who + "/" + state.leaderships + "/" + ask.number() + "/" + ask.grant() + "/"
                             + ask.held());
                 }
@@ -99,9 +107,9 @@
                     if (term != state.leaderships) {
                         return null;
                     }
-                    Book.Grant grant = state.books[term - 1].grant(
+                    LeaseLedger.LeaseGrant grant = state.books[term - 1].grant(
                             state.now,
-                            new Book.Request(
+                            new LeaseLedger.LeaseRequest(
                                     "b" + word[1],
                                     1,
                                     Long.parseLong(word[4]),
@@ -185,7 +193,7 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             int n = 2 + chance.nextInt(7);
-            BudgetModel fleet = new BudgetModel(seed, n, budget(1 + chance.nextInt(60), Budget.Per.SECOND));
+            QuotaModel fleet = new QuotaModel(seed, n, budget(1 + chance.nextInt(60), FleetQuota.QuotaKind.SECOND));
             for (int step = 0; step < 3000; step++) {
                 if (chance.nextInt(60) == 0) {
                     fleet.trouble();
@@ -203,7 +211,7 @@
 
     @Example
     void theWholeIsUsedWhereMoreIsWantedAndDividedAnewWithinSomeLeases() {
-        BudgetModel fleet = new BudgetModel(5, 6, budget(50, Budget.Per.SECOND));
+        QuotaModel fleet = new QuotaModel(5, 6, budget(50, FleetQuota.QuotaKind.SECOND));
         Arrays.stream(fleet.wanted).forEach(each -> each[0] = 30);
         for (int step = 0; step < 600; step++) {
             fleet.step();
@@ -228,11 +236,18 @@
     /** A leader whose standing does not let it gives nothing, not even to itself, and gives again when it does. */
     @Example
     void sharesAreGivenOnlyWhereTheStandingAmongTheOthersLetsThem() {
-        Budget budget = new Budget(
-                "calls", "calls", 100, Budget.Per.SECOND, Duration.ofSeconds(2), 0.01, Duration.ofSeconds(1), Map.of());
-        BudgetModel model = new BudgetModel(5, 3, budget);
-        Standing[] standing = {Standing.FEW};
-        Seen seen = new Stands(now -> standing[0]);
+        FleetQuota budget = new FleetQuota(
+                "calls",
+                "calls",
+                100,
+                FleetQuota.QuotaKind.SECOND,
+                Duration.ofSeconds(2),
+                0.01,
+                Duration.ofSeconds(1),
+                Map.of());
+        QuotaModel model = new QuotaModel(5, 3, budget);
+        QuorumStatus[] standing = {QuorumStatus.FEW};
+        FleetView seen = new FixedFleetView(now -> standing[0]);
         for (int i = 0; i < 3; i++) {
             model.nodes[i].under(seen);
             model.wanted[i][0] = 50;
@@ -244,7 +259,7 @@
             assertEquals(0, model.share(0) + model.share(1) + model.share(2));
         }
         assertTrue(led, "somebody led all the while");
-        standing[0] = Standing.MOST;
+        standing[0] = QuorumStatus.MOST;
         for (int i = 0; i < 500; i++) {
             model.step();
         }
--- a/src/test/java/merlinlever/records/PlayedRecords.java
+++ b/src/test/java/merlinlever/records/RecordsClientFixture.java
@@ -15,14 +15,14 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.core.Works;
+import merlinlever.core.TestRequests;
 import merlinlever.log.Log;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
-import merlinlever.net.DrivenLoop;
+import merlinlever.net.ManualClockLoop;
 
 /** The link to a records service that the test plays; time stands still but where the test moves it on. */
-abstract class PlayedRecords {
+abstract class RecordsClientFixture {
 
     static final InetAddress HERE = InetAddress.getLoopbackAddress();
     static final Duration LIMIT = Duration.ofMillis(300);
@@ -30,13 +30,13 @@
     /** How each call ended, in order, as "id ending reply". */
     final List<String> ended = new ArrayList<>();
 
-    DrivenLoop driven;
-    RecordsLink link;
+    ManualClockLoop driven;
+    RecordsClient link;
 
-    RecordsLink link(DrivenLoop on, InetSocketAddress address, int most) {
+    RecordsClient link(ManualClockLoop on, InetSocketAddress address, int most) {
         driven = on;
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
-        return driven.on(() -> new RecordsLink(
+        return driven.on(() -> new RecordsClient(
                 driven.loop,
                 address,
                 (now, id, how, reply) -> ended.add(
@@ -46,7 +46,7 @@
     }
 
     void call(long id) {
-        driven.run(() -> link.call(Works.of(id), new byte[] {'b'}, LIMIT));
+        driven.run(() -> link.call(TestRequests.of(id), new byte[] {'b'}, LIMIT));
     }
 
     /** So many calls have ended, and these were they. */
@@ -61,14 +61,14 @@
 
     static ServerSocket place() throws IOException {
         ServerSocket place = new ServerSocket(0, 50, HERE);
-        place.setSoTimeout(DrivenLoop.PATIENCE_MS);
+        place.setSoTimeout(ManualClockLoop.PATIENCE_MS);
         return place;
     }
 
     /** The next connection, on which the operation's call has come. */
     static Socket accept(ServerSocket place, long id) throws IOException {
         Socket socket = place.accept();
-        socket.setSoTimeout(DrivenLoop.PATIENCE_MS);
+        socket.setSoTimeout(ManualClockLoop.PATIENCE_MS);
         socket.setTcpNoDelay(true);
         return hear(socket, id);
     }
@@ -95,7 +95,7 @@
     }
 
     /** The service in memory: every connection takes all and says what the test says. */
-    static final class Party implements Connection.Party {
+    static final class InMemoryRecordsService implements Connection.InMemoryPeer {
         Connection mine;
         final StringBuilder heard = new StringBuilder();
 
--- a/src/test/java/merlinlever/records/RecordsCrossingsTest.java
+++ b/src/test/java/merlinlever/records/RecordsClientRaceTest.java
@@ -10,21 +10,21 @@
 import java.net.SocketTimeoutException;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.core.Works;
-import merlinlever.faults.proc.Ports;
+import merlinlever.core.TestRequests;
+import merlinlever.faults.process.PortAllocator;
 import merlinlever.net.CloseReason;
-import merlinlever.net.DrivenLoop;
+import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 
 /** Events that cross on the connections to the records service. */
-class RecordsCrossingsTest extends PlayedRecords {
+class RecordsClientRaceTest extends RecordsClientFixture {
 
     /** The close of an idle connection has been read, but not gone through, as a call is made: it gets another one. */
     @Example
     void aCallDoesNotGoOnAConnectionWhoseCloseWasRead() {
-        List<Party> parties = new ArrayList<>();
-        DrivenLoop on = new DrivenLoop(address -> {
-            parties.add(new Party());
+        List<InMemoryRecordsService> parties = new ArrayList<>();
+        ManualClockLoop on = new ManualClockLoop(address -> {
+            parties.add(new InMemoryRecordsService());
             return parties.get(parties.size() - 1);
         });
         try (on) {
@@ -35,7 +35,7 @@
             on.batches(3);
             on.run(() -> {
                 parties.get(0).mine.end(CloseReason.IDLE);
-                link.call(Works.of(2), new byte[] {'b'}, LIMIT);
+                link.call(TestRequests.of(2), new byte[] {'b'}, LIMIT);
             });
             on.batches(3);
             assertEquals(2, parties.size());
@@ -48,10 +48,10 @@
     @Example
     void aCallThatFoundNoDescriptorIsMadeOnceThereIsOne() {
         boolean[] full = {true};
-        Party party = new Party();
-        DrivenLoop on = new DrivenLoop(address -> {
+        InMemoryRecordsService party = new InMemoryRecordsService();
+        ManualClockLoop on = new ManualClockLoop(address -> {
             if (full[0]) {
-                RecordsCrossingsTest.<RuntimeException>fail(new IOException("Too many open files"));
+                RecordsClientRaceTest.<RuntimeException>fail(new IOException("Too many open files"));
             }
             return party;
         });
@@ -92,7 +92,7 @@
     void aDialThatHangsEndsWithItsCallOrMovesWithTheService() throws IOException {
         try (ServerSocket silent = new ServerSocket(0, 1, HERE);
                 ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             List<Socket> queued = fill(silent);
             link = link(on, at(silent), 2);
             call(1);
@@ -122,7 +122,7 @@
     void aCallThatHasLeftEndsWhereItIsWhenTheServiceMoves() throws IOException {
         try (ServerSocket old = place();
                 ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(old), 1);
             call(1);
             Socket line = accept(old, 1);
@@ -144,7 +144,7 @@
     @Example
     void anOperationWhoseOwnConnectionsAreAllThatIsIdleGetsANewOne() throws IOException {
         try (ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(place), 1);
             call(1);
             Socket line = accept(place, 1);
@@ -161,7 +161,7 @@
     @Example
     void aSecondCallForAnOperationGivesUpItsFirst() throws IOException {
         try (ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(place), 4);
             call(1);
             Socket line = accept(place, 1);
@@ -179,11 +179,11 @@
     /** Calls that wait for a connection while each dial is refused: each is told that it never ran, however many there are. */
     @Example
     void manyWaitingCallsAndRefusedDialsEndOneByOne() throws IOException {
-        try (DrivenLoop on = new DrivenLoop()) {
-            link = link(on, new InetSocketAddress(HERE, Ports.free()), 4);
+        try (ManualClockLoop on = new ManualClockLoop()) {
+            link = link(on, new InetSocketAddress(HERE, PortAllocator.free()), 4);
             on.run(() -> {
                 for (int i = 1; i <= 3000; i++) {
-                    link.call(Works.of(i), new byte[] {'b'}, LIMIT);
+                    link.call(TestRequests.of(i), new byte[] {'b'}, LIMIT);
                 }
             });
             on.until(() -> ended.size() == 3000, "all endings");
--- a/src/test/java/merlinlever/records/RepliesCrossingsTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyRaceTest.java
@@ -8,18 +8,18 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.core.Works;
-import merlinlever.net.DrivenLoop;
+import merlinlever.core.TestRequests;
+import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 
 /** Replies of the records service that cross other events, or come with what does not belong to them. */
-class RepliesCrossingsTest extends PlayedRecords {
+class RecordsReplyRaceTest extends RecordsClientFixture {
 
     /** A whole reply with a close right behind it is a reply; a close without one proves nothing. */
     @Example
     void aReplyThatCrossesTheEndOfItsConnectionCounts() throws IOException {
         try (ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(place), 4);
             call(1);
             Socket line = accept(place, 1);
@@ -37,8 +37,8 @@
     /** Read before the limit is gone through, and found behind other work: such a reply is in time. */
     @Example
     void aReplyThatWasReadBeforeTheLimitIsInTime() {
-        Party party = new Party();
-        DrivenLoop on = new DrivenLoop(address -> party);
+        InMemoryRecordsService party = new InMemoryRecordsService();
+        ManualClockLoop on = new ManualClockLoop(address -> party);
         try (on) {
             link = link(on, new InetSocketAddress(1), 4);
             call(1);
@@ -62,7 +62,7 @@
     @Example
     void aCallThatIsGivenUpTakesItsConnectionAndItsReplyAlong() throws IOException {
         try (ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(place), 4);
             call(1);
             Socket line = accept(place, 1);
@@ -72,13 +72,13 @@
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
-                link.giveUp(Works.of(1));
+                link.giveUp(TestRequests.of(1));
             });
             call(2);
             Socket next = accept(place, 2);
             say(next, done(2, "r"));
             hasEnded("2 OK r");
-            on.run(() -> link.giveUp(Works.of(2)));
+            on.run(() -> link.giveUp(TestRequests.of(2)));
             call(3);
             say(hear(next, 3), done(3, "s"));
             hasEnded("2 OK r", "3 OK s");
@@ -89,7 +89,7 @@
     @Example
     void whatComesBesideAReplyIsNobodys() throws IOException {
         try (ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(place), 4);
             String[] beside = {
                 done(99, "ahead") + done(1, "r"),
@@ -129,7 +129,7 @@
     @Example
     void aSpoiltReplyEndsItsCallAtOnceOrInItsBound() throws IOException {
         try (ServerSocket place = place();
-                DrivenLoop on = new DrivenLoop()) {
+                ManualClockLoop on = new ManualClockLoop()) {
             link = link(on, at(place), 4);
             String[] spoilt = {
                 "0000000000000001 DONE 3221225472\r\nabc",
--- a/src/test/java/merlinlever/records/ReplyTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyTest.java
@@ -6,24 +6,24 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
-import merlinlever.Ending;
+import merlinlever.Outcome;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class ReplyTest {
+class RecordsReplyTest {
 
     private static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
     @Example
-    void eachWordHasItsEndingAndOnlySomeProveThatNothingRan() throws Reply.Malformed {
+    void eachWordHasItsEndingAndOnlySomeProveThatNothingRan() throws RecordsReply.MalformedReplyException {
         String[] words = {"DONE 0\r\n", "WAIT", "ERROR", "PAST", "EMPTY"};
-        Ending[] endings = {Ending.OK, Ending.TURNED_AWAY, Ending.ERROR, Ending.GIVEN_UP, Ending.NEVER_BEGUN};
+        Outcome[] endings = {Outcome.OK, Outcome.TURNED_AWAY, Outcome.ERROR, Outcome.GIVEN_UP, Outcome.NEVER_BEGUN};
         for (int i = 0; i < words.length; i++) {
             byte[] bytes = ascii("9b1f03aa5c7e2d41 " + words[i] + "\r\n");
-            Reply reply = Reply.read(bytes, 0, bytes.length);
+            RecordsReply reply = RecordsReply.read(bytes, 0, bytes.length);
             assertEquals(endings[i], reply.ending());
             assertEquals(bytes.length, reply.end());
             assertEquals(
@@ -33,7 +33,7 @@
     }
 
     @Property(tries = 200, seed = "46")
-    void aReplyIsReadOnceItIsWhole(@ForAll byte[] body) throws Reply.Malformed {
+    void aReplyIsReadOnceItIsWhole(@ForAll byte[] body) throws RecordsReply.MalformedReplyException {
         byte[] head = ascii("9b1f03aa5c7e2d41 DONE " + body.length + "\r\n");
         byte[] all = new byte[head.length + body.length + 5];
         System.arraycopy(head, 0, all, 0, head.length);
@@ -41,7 +41,7 @@
         System.arraycopy(ascii("\r\nabc"), 0, all, head.length + body.length, 5);
         int whole = all.length - 3;
         for (int limit = 0; limit <= all.length; limit++) {
-            Reply reply = Reply.read(all, 0, limit);
+            RecordsReply reply = RecordsReply.read(all, 0, limit);
             if (limit < whole) {
                 assertNull(reply);
             } else {
@@ -65,12 +65,13 @@
             "a".repeat(200)
         }) {
             byte[] bytes = ascii(bad + "\r\n");
-            assertThrows(Reply.Malformed.class, () -> Reply.read(bytes, 0, bytes.length), bad);
+            assertThrows(
+                    RecordsReply.MalformedReplyException.class, () -> RecordsReply.read(bytes, 0, bytes.length), bad);
         }
         // What cannot become a reply is not waited for, whether its line ends or not.
         for (String endless : new String[] {"a".repeat(200), "9b1f\u0003x", "\u00e9t\u00e9"}) {
             byte[] bytes = ascii(endless);
-            assertThrows(Reply.Malformed.class, () -> Reply.read(bytes, 0, bytes.length));
+            assertThrows(RecordsReply.MalformedReplyException.class, () -> RecordsReply.read(bytes, 0, bytes.length));
         }
     }
 }
--- a/src/test/java/merlinlever/recovery/ReturnTest.java
+++ b/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
@@ -10,19 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.durable.DiskFolder;
-import merlinlever.durable.Recorded;
-import merlinlever.faults.TestFolders;
+import merlinlever.faults.TestDirectories;
 import merlinlever.faults.disk.CrashStates;
-import merlinlever.faults.disk.Lay;
-import merlinlever.recovery.disk.Store;
+import merlinlever.faults.disk.StateRestorer;
+import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.storage.RecordingStateDirectory;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-class ReturnTest {
+class RecoverySequenceTest {
 
     private static final Duration WINDOW = Duration.ofMillis(4000);
     private static final long NOON = 1_800_000_000_000L;
@@ -31,23 +31,29 @@
         return Duration.ofMillis(ms);
     }
 
-    private static Memory left(long wroteAt) {
-        return new Memory("b-1@127.0.0.1:1", 64, 3, wroteAt + 3000, wroteAt, 12.5, List.of("127.0.0.1:2"));
+    private static PersistedState left(long wroteAt) {
+        return new PersistedState("b-1@127.0.0.1:1", 64, 3, wroteAt + 3000, wroteAt, 12.5, List.of("127.0.0.1:2"));
     }
 
-    private static Return begin(Memory left, long unixNow, String owner) {
-        return new Return(
+    private static RecoverySequence begin(PersistedState left, long unixNow, String owner) {
+        return new RecoverySequence(
                 Duration.ZERO,
                 unixNow,
-                Trust.judge(left, null, owner, unixNow),
-                Return.Stated.usual(WINDOW),
+                PersistedStateAssessor.judge(left, null, owner, unixNow),
+                RecoverySequence.RecoverySettings.usual(WINDOW),
                 true,
                 new SplittableRandom(5));
     }
 
     /** All that is alive answers what it is asked, its clock ahead by so much, after so long; until that moment. */
     private static void answers(
-            Return order, long fromMs, long untilMs, long unixAtZero, long aheadMs, long tookMs, String... names) {
+            RecoverySequence order,
+            long fromMs,
+            long untilMs,
+            long unixAtZero,
+            long aheadMs,
+            long tookMs,
+            String... names) {
         List<long[]> coming = new ArrayList<>();
         List<String> who = new ArrayList<>();
         for (long now = fromMs; now <= untilMs; now += 50) {
@@ -61,10 +67,11 @@
                             unixAtZero + now,
                             who.get(i),
                             coming.get(i)[1],
-                            new Return.Told(unixAtZero + now - tookMs / 2 + aheadMs, Return.Stage.WARM, 30));
+                            new RecoverySequence.PeerReport(
+                                    unixAtZero + now - tookMs / 2 + aheadMs, RecoverySequence.RecoveryStage.WARM, 30));
                 }
             }
-            for (Return.Ask ask : order.settle(ms(now))) {
+            for (RecoverySequence.PeerQuery ask : order.settle(ms(now))) {
                 if (List.of(names).contains(ask.name())) {
                     coming.add(new long[] {now + tookMs, ask.number()});
                     who.add(ask.name());
@@ -87,16 +94,21 @@
         // The life before wrote its last mark at NOON and began keyed work until so long after; it died no earlier.
         long died = NOON + lastBegunAfterMark;
         long began = died + down;
-        Memory memory = disk == 0 ? null : left(NOON);
-        Trust.Verdict verdict = Trust.judge(
+        PersistedState memory = disk == 0 ? null : left(NOON);
+        PersistedStateAssessor.TrustedState verdict = PersistedStateAssessor.judge(
                 disk == 1 ? null : memory,
                 disk == 1 ? "spoilt" : null,
                 disk == 2 ? "b-2@127.0.0.1:2" : "b-1@127.0.0.1:1",
                 began + set);
-        Return order = new Return(
-                Duration.ZERO, began + set, verdict, Return.Stated.usual(WINDOW), true, new SplittableRandom(down));
+        RecoverySequence order = new RecoverySequence(
+                Duration.ZERO,
+                began + set,
+                verdict,
+                RecoverySequence.RecoverySettings.usual(WINDOW),
+                true,
+                new SplittableRandom(down));
         answers(order, 0, 1500, began + set, -set, 100, "b-3", "b-4", "b-5");
-        assertEquals(Return.Stage.RECONCILED, order.stage());
+        assertEquals(RecoverySequence.RecoveryStage.RECONCILED, order.stage());
         long realFrom = began + order.keyedFrom(ms(1500)).toMillis();
         // A clock that is off by under a second is not told apart from the time a message takes.
         long unseen = Math.abs(set) <= 1200 ? Math.max(0, set) : 0;
@@ -111,66 +123,67 @@
 
     @Example
     void aLongOutageHasTheWindowBehindItAndAShortOneWaitsForTheRest() {
-        Return longOne = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
+        RecoverySequence longOne = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         answers(longOne, 0, 1500, NOON + 60_000, 0, 100, "b-3");
         assertTrue(longOne.keyedFrom(ms(1500)).isNegative(), "keyed work is taken at once");
         longOne.fullSpeed(ms(1500));
-        assertEquals(Return.Stage.WARM, longOne.stage());
-        Return shortOne = begin(left(NOON), NOON + 4000, "b-1@127.0.0.1:1");
+        assertEquals(RecoverySequence.RecoveryStage.WARM, longOne.stage());
+        RecoverySequence shortOne = begin(left(NOON), NOON + 4000, "b-1@127.0.0.1:1");
         answers(shortOne, 0, 1500, NOON + 4000, 0, 100, "b-3");
         assertEquals(
                 ms(3000 + 4000 - 4000 + 100),
                 shortOne.keyedFrom(ms(1500)),
                 "a mark that reached 3 s ahead, and the window");
         shortOne.fullSpeed(ms(1500));
-        assertEquals(Return.Stage.RECONCILED, shortOne.stage(), "not warm while keyed work waits");
+        assertEquals(RecoverySequence.RecoveryStage.RECONCILED, shortOne.stage(), "not warm while keyed work waits");
     }
 
     @Example
     void aloneItServesWhatItSafelyCanAndSaysSo() {
-        Return order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
+        RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         for (long now = 0; now <= 20_000; now += 50) {
             assertTrue(order.settle(ms(now)).isEmpty(), "nobody is there to be asked");
             assertTrue(order.keyedFrom(ms(now)).compareTo(ms(now)) > 0, "keyed work waits");
         }
-        assertEquals(Return.Stage.COLD, order.stage());
-        List<Return.Step> steps = order.steps();
+        assertEquals(RecoverySequence.RecoveryStage.COLD, order.stage());
+        List<RecoverySequence.RecoveryEvent> steps = order.steps();
         assertEquals(1, steps.size());
         assertTrue(
                 steps.get(0).why().startsWith("no other is reached after 3000 ms"),
                 steps.get(0).why());
         answers(order, 20_000, 21_500, NOON + 60_000, 0, 100, "b-3");
-        assertEquals(Return.Stage.RECONCILED, order.stage(), "the partition is over");
+        assertEquals(RecoverySequence.RecoveryStage.RECONCILED, order.stage(), "the partition is over");
         assertTrue(order.keyedFrom(ms(21_500)).isNegative());
     }
 
     @Example
     void aSlowLinkToTheOnlyOtherIsWaitedForAndAskedLessAndLess() {
-        Return order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
+        RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         int asked = 0;
         for (long now = 0; now < 9000; now += 50) {
             order.peer(ms(now), "b-3", true);
             asked += order.settle(ms(now)).size();
-            assertTrue(order.stage() == Return.Stage.COLD || order.stage() == Return.Stage.REJOINED);
+            assertTrue(order.stage() == RecoverySequence.RecoveryStage.COLD
+                    || order.stage() == RecoverySequence.RecoveryStage.REJOINED);
         }
         assertTrue(asked >= 4 && asked <= 10, "asked " + asked + " times in 9 s");
         answers(order, 9000, 15_000, NOON + 60_000, 0, 2500, "b-3");
-        assertEquals(Return.Stage.RECONCILED, order.stage(), "an answer that took 2.5 s counts");
+        assertEquals(RecoverySequence.RecoveryStage.RECONCILED, order.stage(), "an answer that took 2.5 s counts");
     }
 
     @Example
     void oneThatDiedIsNotWaitedForLongerThanThePatienceWhereMostHaveTold() {
-        Return order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
+        RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         order.peer(ms(0), "b-9", true);
         answers(order, 0, 2900, NOON + 60_000, 0, 100, "b-3", "b-4");
-        assertEquals(Return.Stage.REJOINED, order.stage());
+        assertEquals(RecoverySequence.RecoveryStage.REJOINED, order.stage());
         answers(order, 2950, 3100, NOON + 60_000, 0, 100, "b-3", "b-4");
-        assertEquals(Return.Stage.RECONCILED, order.stage());
+        assertEquals(RecoverySequence.RecoveryStage.RECONCILED, order.stage());
     }
 
     @Example
     void anotherUnderItsNameHoldsKeyedWorkUntilItIsSilent() {
-        Return order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
+        RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         answers(order, 0, 1500, NOON + 60_000, 0, 100, "b-3");
         order.rival(ms(2000));
         assertTrue(order.keyedFrom(ms(2000)).compareTo(ms(2000)) > 0);
@@ -182,19 +195,25 @@
 
     @Example
     void anAnswerToNoQuestionChangesNothingAndAGuessOfOthersCountsLeast() {
-        Return order = begin(null, NOON, "b-1@127.0.0.1:1");
+        RecoverySequence order = begin(null, NOON, "b-1@127.0.0.1:1");
         order.peer(ms(0), "b-3", true);
-        order.told(ms(0), NOON, "b-3", 77, new Return.Told(NOON, Return.Stage.WARM, 30));
-        order.told(ms(0), NOON, "b-8", 77, new Return.Told(NOON, Return.Stage.WARM, 30));
+        order.told(
+                ms(0), NOON, "b-3", 77, new RecoverySequence.PeerReport(NOON, RecoverySequence.RecoveryStage.WARM, 30));
+        order.told(
+                ms(0), NOON, "b-8", 77, new RecoverySequence.PeerReport(NOON, RecoverySequence.RecoveryStage.WARM, 30));
         assertEquals(0, order.counts()[1]);
         answers(order, 0, 1500, NOON, 0, 100, "b-3");
         assertEquals(30, order.capacity());
         assertEquals(2, order.weight());
-        Trust.Verdict aged = Trust.judge(left(NOON), null, "b-1@127.0.0.1:1", NOON + 600_000);
+        PersistedStateAssessor.TrustedState aged =
+                PersistedStateAssessor.judge(left(NOON), null, "b-1@127.0.0.1:1", NOON + 600_000);
         assertEquals(2.0, aged.weight(), 1e-9, "two half-lives after its last note");
         assertEquals(65, aged.incarnation());
         assertEquals(
-                65, Trust.judge(left(NOON), null, "other@127.0.0.1:1", NOON).incarnation(), "a floor may be another's");
+                65,
+                PersistedStateAssessor.judge(left(NOON), null, "other@127.0.0.1:1", NOON)
+                        .incarnation(),
+                "a floor may be another's");
     }
 
     /** Every state that a power loss may leave of a day of notes: the last that was forced, or the one under way; never spoilt. */
@@ -203,12 +222,13 @@
         Path root = Files.createTempDirectory("merlinlever-recovery");
         try {
             List<String> lines = new ArrayList<>();
-            List<Memory> written = new ArrayList<>();
+            List<PersistedState> written = new ArrayList<>();
             List<Integer> returnedAt = new ArrayList<>();
-            try (Recorded folder = new Recorded(new DiskFolder(root.resolve("day")), TestFolders.into(lines), "day")) {
-                Store store = new Store(folder);
+            try (RecordingStateDirectory folder = new RecordingStateDirectory(
+                    new FileStateDirectory(root.resolve("day")), TestDirectories.into(lines), "day")) {
+                RecoveryFile store = new RecoveryFile(folder);
                 for (int i = 0; i < 200; i++) {
-                    Memory memory = new Memory(
+                    PersistedState memory = new PersistedState(
                             "b-1@127.0.0.1:1",
                             64 + i / 10,
                             i / 20,
@@ -229,13 +249,13 @@
                 }
                 Path at = root.resolve("state");
                 try {
-                    Lay.into(at, state);
-                    Store.Found found;
-                    try (DiskFolder folder = new DiskFolder(at)) {
-                        found = new Store(folder).read();
+                    StateRestorer.into(at, state);
+                    RecoveryFile.LoadResult found;
+                    try (FileStateDirectory folder = new FileStateDirectory(at)) {
+                        found = new RecoveryFile(folder).read();
                     }
-                    Memory last = done == 0 ? null : written.get(done - 1);
-                    Memory next = done < written.size() ? written.get(done) : last;
+                    PersistedState last = done == 0 ? null : written.get(done - 1);
+                    PersistedState next = done < written.size() ? written.get(done) : last;
                     assertEquals(null, found.spoilt(), "cut " + state.cut() + ", " + state.how());
                     assertTrue(
                             found.memory() == null
@@ -251,24 +271,26 @@
             assertEquals(told, n[0]);
             assertTrue(told >= 600, "states: " + told);
         } finally {
-            TestFolders.remove(root);
+            TestDirectories.remove(root);
         }
     }
 
     @Property(tries = 500, seed = "27")
     void aFlippedBitOrATornFileIsToldAndThrownAway(
             @ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll boolean tear) {
-        byte[] octets = Store.text(left(NOON));
+        byte[] octets = RecoveryFile.text(left(NOON));
         if (tear) {
             octets = java.util.Arrays.copyOf(octets, at % octets.length);
         } else {
             octets[at % octets.length] ^= (byte) (1 << at % 7);
         }
-        Store.Found found = Store.parsed(octets);
+        RecoveryFile.LoadResult found = RecoveryFile.parsed(octets);
         assertEquals(null, found.memory());
         assertTrue(found.spoilt() != null);
-        Trust.Verdict verdict = Trust.judge(null, found.spoilt(), "b-1@127.0.0.1:1", NOON);
-        assertEquals(Trust.UNKNOWN, verdict.keyedUntil());
-        assertTrue(verdict.findings().stream().allMatch(finding -> finding.belief() == Trust.Belief.THROWN_AWAY));
+        PersistedStateAssessor.TrustedState verdict =
+                PersistedStateAssessor.judge(null, found.spoilt(), "b-1@127.0.0.1:1", NOON);
+        assertEquals(PersistedStateAssessor.UNKNOWN, verdict.keyedUntil());
+        assertTrue(verdict.findings().stream()
+                .allMatch(finding -> finding.belief() == PersistedStateAssessor.Disposition.THROWN_AWAY));
     }
 }
--- a/src/test/java/merlinlever/recovery/net/ForwardingFolder.java
+++ b/src/test/java/merlinlever/recovery/net/ForwardingStateDirectory.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 import java.util.List;
-import merlinlever.durable.Folder;
+import merlinlever.storage.StateDirectory;
 
 /** Another folder; what a test wants otherwise it overrides. */
-class ForwardingFolder implements Folder {
+class ForwardingStateDirectory implements StateDirectory {
 
-    private final Folder inner;
+    private final StateDirectory inner;
 
-    ForwardingFolder(Folder inner) {
+    ForwardingStateDirectory(StateDirectory inner) {
         this.inner = inner;
     }
 
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public Out append(String name) throws IOException {
+    public AppendableFile append(String name) throws IOException {
         return inner.append(name);
     }
 
--- a/src/test/java/merlinlever/recovery/net/RejoinTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -21,44 +21,44 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import merlinlever.durable.DiskFolder;
-import merlinlever.durable.Folder;
-import merlinlever.faults.TestFolders;
-import merlinlever.faults.audit.Incarnations;
-import merlinlever.faults.link.Links;
+import merlinlever.faults.TestDirectories;
+import merlinlever.faults.audit.IncarnationAudit;
+import merlinlever.faults.link.LinkFaults;
 import merlinlever.faults.link.UdpSwitch;
-import merlinlever.faults.proc.Ports;
-import merlinlever.members.Link;
-import merlinlever.members.Wire;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.recovery.Memory;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.disk.Store;
+import merlinlever.faults.process.PortAllocator;
+import merlinlever.membership.MembershipCodec;
+import merlinlever.membership.MembershipTransport;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.recovery.PersistedState;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.storage.StateDirectory;
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /** Two that come back, on real datagrams and a real disk in one process; the disk of one may be held or fail. */
-class RejoinTest {
+class RecoveryCoordinatorTest {
 
     private static final String SECRET = "a-secret-of-16-or-more";
 
     private Path root;
-    private Loop loop;
+    private EventLoop loop;
     private Thread thread;
-    private final List<Rejoin> lives = new ArrayList<>();
-    private final List<Held> disks = new ArrayList<>();
+    private final List<RecoveryCoordinator> lives = new ArrayList<>();
+    private final List<BlockingStateDirectory> disks = new ArrayList<>();
     private final AtomicLong set = new AtomicLong();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
     private volatile Duration keyedFrom, keyedTo;
 
     /** A folder whose writes wait for a permit each, and fail where they are told to. */
-    private static final class Held extends ForwardingFolder {
+    private static final class BlockingStateDirectory extends ForwardingStateDirectory {
         final Semaphore permits = new Semaphore(0);
         volatile boolean fails;
 
-        Held(Folder inner) {
+        BlockingStateDirectory(StateDirectory inner) {
             super(inner);
         }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    private final Rejoin.Service service = new Rejoin.Service() {
+    private final RecoveryCoordinator.RecoveringService service = new RecoveryCoordinator.RecoveringService() {
         @Override
         public void keyed(Duration from, Duration to) {
             keyedFrom = from;
@@ -96,7 +96,7 @@
     @BeforeTry
     void begin() throws IOException {
         root = Files.createTempDirectory("merlinlever-rejoin");
-        loop = new Loop(Clock.system(), failure -> log.add("failed: " + failure));
+        loop = new EventLoop(MonotonicClock.system(), failure -> log.add("failed: " + failure));
         thread = new Thread(loop::run, "rejoin-test");
         thread.setDaemon(true);
         thread.start();
@@ -106,12 +106,12 @@
     @AfterTry
     void end() throws Exception {
         disks.forEach(held -> held.permits.release(1_000_000));
-        for (Rejoin each : List.copyOf(lives)) {
+        for (RecoveryCoordinator each : List.copyOf(lives)) {
             end(each);
         }
         loop.stop();
         thread.join(10_000);
-        TestFolders.remove(root);
+        TestDirectories.remove(root);
     }
 
     private void on(Callable<?> what) throws Exception {
@@ -130,15 +130,15 @@
         }
     }
 
-    private void end(Rejoin life) throws Exception {
+    private void end(RecoveryCoordinator life) throws Exception {
         CompletableFuture<Boolean> ended = new CompletableFuture<>();
         loop.execute(() -> ended.complete(life.close(Duration.ofSeconds(10))));
         assertTrue(ended.get(15, TimeUnit.SECONDS), "its last write has ended");
         lives.remove(life);
     }
 
-    private Held held(String folder) throws IOException {
-        Held held = new Held(new DiskFolder(root.resolve(folder)));
+    private BlockingStateDirectory held(String folder) throws IOException {
+        BlockingStateDirectory held = new BlockingStateDirectory(new FileStateDirectory(root.resolve(folder)));
         disks.add(held);
         return held;
     }
@@ -147,20 +147,24 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private Rejoin make(String name, Folder folder, List<String> seeds, Rejoin.Service its) throws Exception {
-        return make(new Rejoin.Place(name, here(0), null, "-", seeds, SECRET), folder, its);
+    private RecoveryCoordinator make(
+            String name, StateDirectory folder, List<String> seeds, RecoveryCoordinator.RecoveringService its)
+            throws Exception {
+        return make(new RecoveryCoordinator.NodeSettings(name, here(0), null, "-", seeds, SECRET), folder, its);
     }
 
-    private Rejoin make(Rejoin.Place place, Folder folder, Rejoin.Service its) throws Exception {
+    private RecoveryCoordinator make(
+            RecoveryCoordinator.NodeSettings place, StateDirectory folder, RecoveryCoordinator.RecoveringService its)
+            throws Exception {
         CountDownLatch done = new CountDownLatch(1);
-        Rejoin[] made = new Rejoin[1];
+        RecoveryCoordinator[] made = new RecoveryCoordinator[1];
         loop.execute(() -> {
             try {
-                made[0] = new Rejoin(
+                made[0] = new RecoveryCoordinator(
                         loop,
                         folder,
                         place,
-                        new Return.Stated(
+                        new RecoverySequence.RecoverySettings(
                                 Duration.ofMillis(800),
                                 Duration.ofMillis(100),
                                 Duration.ofMillis(100),
@@ -190,9 +194,9 @@
         }
     }
 
-    private Memory left(String folder) {
+    private PersistedState left(String folder) {
         try {
-            return Store.parsed(Files.readAllBytes(root.resolve(folder).resolve(Store.FILE)))
+            return RecoveryFile.parsed(Files.readAllBytes(root.resolve(folder).resolve(RecoveryFile.FILE)))
                     .memory();
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -203,21 +207,22 @@
         return List.copyOf(log).stream().anyMatch(line -> line.contains(part));
     }
 
-    private String address(Rejoin one) {
+    private String address(RecoveryCoordinator one) {
         return one.members().views().of(one.members().views().self()).gossip();
     }
 
     @Example
     void nothingIsToldBeforeTheIncarnationIsOnTheDisk() throws Exception {
-        Rejoin first = make("a", new DiskFolder(root.resolve("a")), List.of(), Rejoin.Service.NONE);
-        Held held = held("b");
-        Rejoin second = make("b", held, List.of(address(first)), service);
+        RecoveryCoordinator first = make(
+                "a", new FileStateDirectory(root.resolve("a")), List.of(), RecoveryCoordinator.RecoveringService.NONE);
+        BlockingStateDirectory held = held("b");
+        RecoveryCoordinator second = make("b", held, List.of(address(first)), service);
         Thread.sleep(600);
         assertEquals(1, first.members().views().size(), "a has heard of nobody while b's disk is held");
         assertEquals(Duration.ZERO, keyedTo, "and b begins no keyed work");
         held.permits.release(1_000_000);
         until("a hears b", () -> first.members().views().of("b") != null);
-        until("b is warm", () -> second.order().stage() == Return.Stage.WARM);
+        until("b is warm", () -> second.order().stage() == RecoverySequence.RecoveryStage.WARM);
         // Noted with the next mark, and read while marks are made.
         until("whom to ask is noted", () -> left("b").peers().equals(List.of(address(first))));
         assertTrue(left("b").incarnations() >= first.members().views().of("b").incarnation());
@@ -225,7 +230,7 @@
 
     @Example
     void aDiskThatFailsEndsKeyedWorkAndOneThatWorksAgainBeginsIt() throws Exception {
-        Held held = held("b");
+        BlockingStateDirectory held = held("b");
         held.permits.release(1_000_000);
         make("b", held, List.of(), service);
         until(
@@ -243,7 +248,7 @@
 
     @Example
     void aClockThatIsSetEndsTheMarkAtOnce() throws Exception {
-        Held held = held("b");
+        BlockingStateDirectory held = held("b");
         held.permits.release(1_000_000);
         make("b", held, List.of(), service);
         until(
@@ -259,27 +264,33 @@
 
     @Example
     void anotherUnderTheSameNameIsFoundOut() throws Exception {
-        Rejoin first = make("a", new DiskFolder(root.resolve("a")), List.of(), Rejoin.Service.NONE);
-        Rejoin one = make("b", new DiskFolder(root.resolve("b1")), List.of(address(first)), Rejoin.Service.NONE);
-        until("b is there", () -> one.order().stage() == Return.Stage.WARM);
-        Rejoin two = make("b", new DiskFolder(root.resolve("b2")), List.of(address(first)), service);
+        RecoveryCoordinator first = make(
+                "a", new FileStateDirectory(root.resolve("a")), List.of(), RecoveryCoordinator.RecoveringService.NONE);
+        RecoveryCoordinator one = make(
+                "b",
+                new FileStateDirectory(root.resolve("b1")),
+                List.of(address(first)),
+                RecoveryCoordinator.RecoveringService.NONE);
+        until("b is there", () -> one.order().stage() == RecoverySequence.RecoveryStage.WARM);
+        RecoveryCoordinator two =
+                make("b", new FileStateDirectory(root.resolve("b2")), List.of(address(first)), service);
         until("one of them says so", () -> logged("another process lives under this one's name"));
         assertTrue(one.members().views().rivals() > 1 || two.members().views().rivals() > 1);
     }
 
     @Example
     void afterItsEndALifeWritesNothingAndADiskThatHangsHoldsTheEndNoLongerThanStated() throws Exception {
-        Held held = held("b");
-        Rejoin life = make("b", held, List.of(), service);
+        BlockingStateDirectory held = held("b");
+        RecoveryCoordinator life = make("b", held, List.of(), service);
         until("a write is under way", held.permits::hasQueuedThreads);
         CompletableFuture<Boolean> ended = new CompletableFuture<>();
         loop.execute(() -> ended.complete(life.close(Duration.ofMillis(200))));
         assertEquals(false, ended.get(5, TimeUnit.SECONDS), "the disk hangs");
         held.permits.release(1_000_000);
         end(life);
-        byte[] left = Files.readAllBytes(root.resolve("b").resolve(Store.FILE));
+        byte[] left = Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE));
         Thread.sleep(400);
-        assertArrayEquals(left, Files.readAllBytes(root.resolve("b").resolve(Store.FILE)), "four marks later");
+        assertArrayEquals(left, Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE)), "four marks later");
         assertEquals(999_999, held.permits.availablePermits());
     }
 
@@ -289,17 +300,20 @@
      */
     @Example
     void aLifeThatEndsBeforeItsForceIsRepeatedByTheNextAndHasToldNobody() throws Exception {
-        List<InetSocketAddress> real = List.of(here(Ports.free()), here(Ports.free()));
-        Incarnations audit = new Incarnations();
-        Wire wire = new Wire(SECRET.getBytes(StandardCharsets.UTF_8));
-        try (UdpSwitch hub = new UdpSwitch(loop, new Links(2), real, List.of(here(0), here(0)), 7)) {
+        List<InetSocketAddress> real = List.of(here(PortAllocator.free()), here(PortAllocator.free()));
+        IncarnationAudit audit = new IncarnationAudit();
+        MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
+        try (UdpSwitch hub = new UdpSwitch(loop, new LinkFaults(2), real, List.of(here(0), here(0)), 7)) {
             hub.tap((from, to, octets) -> audit.sent(from == 0 ? "a" : "b", to == 0 ? "a" : "b", wire.read(octets)));
-            List<String> fronts = List.of(Link.text(hub.front(0)), Link.text(hub.front(1)));
-            Rejoin.Place place = new Rejoin.Place("b", real.get(1), fronts.get(1), "-", List.of(fronts.get(0)), SECRET);
-            Rejoin first = make(
-                    new Rejoin.Place("a", real.get(0), fronts.get(0), "-", List.of(fronts.get(1)), SECRET),
-                    new DiskFolder(root.resolve("a")),
-                    Rejoin.Service.NONE);
+            List<String> fronts =
+                    List.of(MembershipTransport.text(hub.front(0)), MembershipTransport.text(hub.front(1)));
+            RecoveryCoordinator.NodeSettings place = new RecoveryCoordinator.NodeSettings(
+                    "b", real.get(1), fronts.get(1), "-", List.of(fronts.get(0)), SECRET);
+            RecoveryCoordinator first = make(
+                    new RecoveryCoordinator.NodeSettings(
+                            "a", real.get(0), fronts.get(0), "-", List.of(fronts.get(1)), SECRET),
+                    new FileStateDirectory(root.resolve("a")),
+                    RecoveryCoordinator.RecoveringService.NONE);
             long[] heard = new long[1];
             for (int life = 0; life < 3; life++) {
                 on(() -> {
@@ -307,9 +321,9 @@
                     audit.began("b");
                     return null;
                 });
-                Held held = held("b");
+                BlockingStateDirectory held = held("b");
                 held.permits.release(life == 1 ? 0 : 1_000_000);
-                Rejoin its = make(place, held, service);
+                RecoveryCoordinator its = make(place, held, service);
                 if (life == 1) {
                     until("its write is under way", held.permits::hasQueuedThreads);
                     // It is pinged meanwhile, and would answer.
--- a/src/test/java/merlinlever/shared/LettersTest.java
+++ b/src/test/java/merlinlever/replication/GossipCodecTest.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -11,23 +11,24 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class LettersTest {
+class GossipCodecTest {
 
     @Property(tries = 20_000, seed = "33")
     void aReaderTakesNothingOfWhatIsNoLetterAndWritesBackWhatIsOne(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Lot lot = new Lot();
+        EntryTable lot = new EntryTable();
         for (int i = chance.nextInt(8); i >= 0; i--) {
-            lot.merge(WordsTest.drawn(chance));
+            lot.merge(ReplicatedStoreTest.drawn(chance));
         }
         byte[] letter =
                 switch (chance.nextInt(4)) {
-                    case 0 -> Letters.sums(lot.sums());
-                    case 1 -> Letters.lines(chance.nextLong(), lot.lines(-1));
-                    case 2 -> Letters.words(Duration.ofSeconds(9), lot.words());
-                    default -> Letters.want(lot.words().stream().map(Word::key).toList());
+                    case 0 -> GossipCodec.sums(lot.sums());
+                    case 1 -> GossipCodec.lines(chance.nextLong(), lot.lines(-1));
+                    case 2 -> GossipCodec.words(Duration.ofSeconds(9), lot.words());
+                    default -> GossipCodec.want(
+                            lot.words().stream().map(StoredEntry::key).toList());
                 };
-        assertArrayEquals(letter, again(Letters.read(letter)), "a letter reads as what was written");
+        assertArrayEquals(letter, again(GossipCodec.read(letter)), "a letter reads as what was written");
         byte[] spoilt = letter.clone();
         switch (chance.nextInt(3)) {
             case 0 -> spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
@@ -38,9 +39,9 @@
                 }
             }
         }
-        Words words = WordsTest.alone("b0", "b1");
+        ReplicatedStore words = ReplicatedStoreTest.alone("b0", "b1");
         String before = words.digest();
-        Object read = Letters.read(spoilt);
+        Object read = GossipCodec.read(spoilt);
         words.came(Duration.ofMillis(20), "b1", spoilt);
         if (read == null) {
             assertEquals(before, words.digest(), "nothing is taken of what cannot be read whole");
@@ -53,16 +54,16 @@
 
     private static byte[] again(Object letter) {
         assertNotEquals(null, letter);
-        if (letter instanceof Letters.Sums sums) {
-            return Letters.sums(sums.sums());
-        } else if (letter instanceof Letters.Lines lines) {
-            return Letters.lines(lines.whole(), lines.lines());
-        } else if (letter instanceof Letters.Want want) {
-            return Letters.want(want.keys());
+        if (letter instanceof GossipCodec.BucketChecksums sums) {
+            return GossipCodec.sums(sums.sums());
+        } else if (letter instanceof GossipCodec.VersionList lines) {
+            return GossipCodec.lines(lines.whole(), lines.lines());
+        } else if (letter instanceof GossipCodec.EntryRequest want) {
+            return GossipCodec.want(want.keys());
         }
-        List<Letters.Aged> words = ((Letters.Told) letter).words();
+        List<GossipCodec.AgedEntry> words = ((GossipCodec.EntryBatch) letter).words();
         Duration now = Duration.ofDays(2000);
-        return Letters.words(
+        return GossipCodec.words(
                 now,
                 words.stream()
                         .map(each -> each.word().born(now.minusMillis(each.ageMs())))
--- a/src/test/java/merlinlever/shared/DecreeWalkTest.java
+++ b/src/test/java/merlinlever/replication/PaxosModelCheckTest.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
 import net.jqwik.api.Example;
 
 /** Walks every state of three voters and two leaders that want two values. */
-class DecreeWalkTest {
+class PaxosModelCheckTest {
 
     private enum Fault {
         NONE,
@@ -71,11 +71,11 @@
         }
     }
 
-    private static Ballots ballots(String text) {
-        return Ballots.parsed(DecreeTest.octets(text));
+    private static PaxosAcceptor ballots(String text) {
+        return PaxosAcceptor.parsed(PaxosNodeTest.octets(text));
     }
 
-    private static String text(Ballots ballots) {
+    private static String text(PaxosAcceptor ballots) {
         return new String(ballots.octets(), StandardCharsets.ISO_8859_1);
     }
 
@@ -83,11 +83,11 @@
     private static String[] answered(
             Map<String, String[]> known, Fault fault, String memory, String ask, String value) {
         return known.computeIfAbsent(memory + ask + value, none -> {
-            Ballots voter = ballots(memory);
+            PaxosAcceptor voter = ballots(memory);
             int term = ask.charAt(1) - '0';
             if (ask.charAt(0) == 'P') {
                 boolean promises = voter.promise(term);
-                Ballots.Entry entry = voter.get("end");
+                PaxosAcceptor.RegisterState entry = voter.get("end");
                 return new String[] {
                     text(voter),
                     promises
@@ -99,12 +99,12 @@
                 };
             }
             if (fault == Fault.ACCEPT_OLDER && term < voter.promised()) {
-                Ballots careless = new Ballots();
+                PaxosAcceptor careless = new PaxosAcceptor();
                 careless.recovered(0, voter.entries());
                 voter = careless;
             }
             return new String[] {
-                voter.accept(term, "end", DecreeTest.octets(value)) ? text(voter) : memory,
+                voter.accept(term, "end", PaxosNodeTest.octets(value)) ? text(voter) : memory,
                 text(voter).equals(memory) && voter.promised() > term ? "" : "A" + term
             };
         });
@@ -119,7 +119,7 @@
 
     /** Walks them all; says how many there are and in how many a value was written, and throws where two are. */
     private static int[] walk(Fault fault) {
-        List<String> memories = new ArrayList<>(List.of(text(new Ballots())));
+        List<String> memories = new ArrayList<>(List.of(text(new PaxosAcceptor())));
         List<String> answers = new ArrayList<>();
         List<String> values = List.of("", "x", "y");
         Map<String, String[]> known = new HashMap<>();
@@ -171,8 +171,8 @@
                 for (String one : told.get(t)) {
                     for (String other : told.get(t)) {
                         if (value[t] == 0 && one.charAt(4) < other.charAt(4)) {
-                            byte[] safe = Ballots.safe(
-                                    List.of(entry(one), entry(other)), DecreeTest.octets(values.get(t + 1)));
+                            byte[] safe = PaxosAcceptor.safe(
+                                    List.of(entry(one), entry(other)), PaxosNodeTest.octets(values.get(t + 1)));
                             then.add(state.proposed(t, values.indexOf(new String(safe, StandardCharsets.US_ASCII))));
                         }
                     }
@@ -184,11 +184,11 @@
         return new int[] {seen.size(), written};
     }
 
-    private static Ballots.Entry entry(String told) {
-        return new Ballots.Entry(
+    private static PaxosAcceptor.RegisterState entry(String told) {
+        return new PaxosAcceptor.RegisterState(
                 "end",
                 told.charAt(2) - '0',
-                told.charAt(3) == '-' ? null : DecreeTest.octets(told.substring(3, 4)),
+                told.charAt(3) == '-' ? null : PaxosNodeTest.octets(told.substring(3, 4)),
                 false);
     }
 
--- a/src/test/java/merlinlever/shared/DecreeTest.java
+++ b/src/test/java/merlinlever/replication/PaxosNodeTest.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,15 +16,15 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import merlinlever.faults.Stands;
-import merlinlever.term.Leadership;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.election.Leadership;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class DecreeTest {
+class PaxosNodeTest {
 
     static byte[] octets(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -36,9 +36,9 @@
         final SplittableRandom chance;
         final int n;
         final List<String> voters = new ArrayList<>();
-        final Decree[] nodes;
+        final PaxosNode[] nodes;
         final byte[][] disk;
-        final Decree.Keep[] forcing;
+        final PaxosNode.PendingWrite[] forcing;
         final long[] forcedAt, began, leadsUntil, term;
         final int[] side;
         final List<Object[]> net = new ArrayList<>();
@@ -51,9 +51,9 @@
         Fleet(long seed, int voting, int n) {
             chance = new SplittableRandom(seed);
             this.n = n;
-            nodes = new Decree[n];
+            nodes = new PaxosNode[n];
             disk = new byte[n][];
-            forcing = new Decree.Keep[n];
+            forcing = new PaxosNode.PendingWrite[n];
             forcedAt = new long[n];
             began = new long[n];
             leadsUntil = new long[n];
@@ -96,8 +96,8 @@
                     return voters;
                 }
             };
-            Seen seen = new Stands(at -> may ? Standing.MOST : Standing.FEW);
-            nodes[i] = new Decree(
+            FleetView seen = new FixedFleetView(at -> may ? QuorumStatus.MOST : QuorumStatus.FEW);
+            nodes[i] = new PaxosNode(
                     clock(i), "b" + i, disk[i], leadership, seen, () -> others(i), chance.split(), line -> {});
         }
 
@@ -117,10 +117,10 @@
             leadsUntil[i] = now + ms;
         }
 
-        void send(int from, List<Carry> all) {
-            for (Carry each : all) {
+        void send(int from, List<OutgoingMessage> all) {
+            for (OutgoingMessage each : all) {
                 int to = Integer.parseInt(each.to().substring(1));
-                assertTrue(to != from && each.body().length <= Letters.MOST);
+                assertTrue(to != from && each.body().length <= GossipCodec.MOST);
                 if (side[from] == side[to] && chance.nextDouble() >= loss) {
                     for (int copies = chance.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
                         net.add(new Object[] {
@@ -148,7 +148,7 @@
                     forcing[i] = null;
                     send(i, nodes[i].kept(clock(i), version));
                 }
-                Decree.Keep keep = forcing[i] == null ? nodes[i].keep() : null;
+                PaxosNode.PendingWrite keep = forcing[i] == null ? nodes[i].keep() : null;
                 if (keep != null) {
                     forcing[i] = keep;
                     forcedAt[i] = now + chance.nextInt(200);
@@ -205,7 +205,7 @@
             }
             fleet.run(8000);
             check(fleet, ever, seed);
-            for (Decree node : fleet.nodes) {
+            for (PaxosNode node : fleet.nodes) {
                 for (int r = 0; r < 3; r++) {
                     assertTrue(
                             node.written("r" + r).isPresent(),
@@ -218,7 +218,7 @@
     }
 
     private static void check(Fleet fleet, Map<String, Set<String>> ever, int seed) {
-        for (Decree node : fleet.nodes) {
+        for (PaxosNode node : fleet.nodes) {
             for (int r = 0; r < 3; r++) {
                 String name = "r" + r;
                 node.written(name).ifPresent(value -> ever.computeIfAbsent(name, none -> new HashSet<>())
@@ -249,7 +249,7 @@
         fleet.lead(1, 100_000);
         fleet.nodes[1].propose(fleet.clock(1), "end", octets("b"));
         fleet.run(3000);
-        for (Decree node : fleet.nodes) {
+        for (PaxosNode node : fleet.nodes) {
             assertArrayEquals(octets("b"), node.written("end").orElseThrow());
         }
     }
@@ -311,7 +311,7 @@
     @Property(tries = 5000, seed = "34")
     void whatIsSpoiltIsNeitherReadFromTheDiskNorFromTheNetwork(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Ballots ballots = new Ballots();
+        PaxosAcceptor ballots = new PaxosAcceptor();
         for (int i = chance.nextInt(5); i >= 0; i--) {
             ballots.accept(chance.nextInt(4), "r" + i, octets("v".repeat(chance.nextInt(20))));
             if (chance.nextBoolean()) {
@@ -319,40 +319,44 @@
             }
         }
         byte[] disk = ballots.octets();
-        assertArrayEquals(disk, Ballots.parsed(disk).octets());
+        assertArrayEquals(disk, PaxosAcceptor.parsed(disk).octets());
         byte[] spoilt = disk.clone();
         spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
-        assertNull(Ballots.parsed(spoilt));
-        assertNull(Ballots.parsed(Arrays.copyOf(disk, chance.nextInt(disk.length))));
-        byte[] slip = new Slip(
-                        Slip.Kind.values()[chance.nextInt(9)],
+        assertNull(PaxosAcceptor.parsed(spoilt));
+        assertNull(PaxosAcceptor.parsed(Arrays.copyOf(disk, chance.nextInt(disk.length))));
+        byte[] slip = new RegisterMessage(
+                        RegisterMessage.Kind.values()[chance.nextInt(9)],
                         chance.nextInt(9),
                         chance.nextLong(),
                         "r1",
                         List.copyOf(ballots.entries()))
                 .octets();
-        assertArrayEquals(slip, Slip.read(slip).octets());
-        assertNull(Slip.read(Arrays.copyOf(slip, chance.nextInt(slip.length))));
+        assertArrayEquals(slip, RegisterMessage.read(slip).octets());
+        assertNull(RegisterMessage.read(Arrays.copyOf(slip, chance.nextInt(slip.length))));
         for (int k = chance.nextInt(4); k >= 0; k--) {
             slip[chance.nextInt(slip.length)] = (byte) chance.nextInt(256);
         }
-        Slip read = Slip.read(slip);
+        RegisterMessage read = RegisterMessage.read(slip);
         assertTrue(read == null || Arrays.equals(slip, read.octets()), "one way to write what was read");
         new Fleet(3, 3, 3).nodes[0].came(Duration.ofSeconds(1), "b1", slip);
     }
 
     @Example
     void registersAreBoundedAndNeverDropped() {
-        Ballots ballots = new Ballots();
-        for (int i = 0; i < Ballots.MOST; i++) {
-            assertTrue(ballots.accept(1, "r" + i, new byte[Ballots.MOST_VALUE]));
+        PaxosAcceptor ballots = new PaxosAcceptor();
+        for (int i = 0; i < PaxosAcceptor.MOST; i++) {
+            assertTrue(ballots.accept(1, "r" + i, new byte[PaxosAcceptor.MOST_VALUE]));
         }
         assertFalse(ballots.accept(1, "more", octets("x")));
-        assertTrue(ballots.written("r0", new byte[Ballots.MOST_VALUE]));
+        assertTrue(ballots.written("r0", new byte[PaxosAcceptor.MOST_VALUE]));
         assertFalse(ballots.written("r0", octets("other")));
         assertFalse(ballots.accept(9, "r0", octets("other")));
         assertArrayEquals(
-                new byte[Ballots.MOST_VALUE], ballots.get("r0").value(), "what is written stays, whatever is proposed");
-        assertEquals(Ballots.MOST, Ballots.parsed(ballots.octets()).entries().size());
+                new byte[PaxosAcceptor.MOST_VALUE],
+                ballots.get("r0").value(),
+                "what is written stays, whatever is proposed");
+        assertEquals(
+                PaxosAcceptor.MOST,
+                PaxosAcceptor.parsed(ballots.octets()).entries().size());
     }
 }
--- a/src/test/java/merlinlever/shared/WordsTest.java
+++ b/src/test/java/merlinlever/replication/ReplicatedStoreTest.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,31 +13,31 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import merlinlever.faults.SharedModel;
+import merlinlever.faults.ReplicationModel;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class WordsTest {
+class ReplicatedStoreTest {
 
-    private static final Words.Stated SHORT =
-            new Words.Stated(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 512 << 10, true);
+    private static final ReplicatedStore.ReplicationSettings SHORT =
+            new ReplicatedStore.ReplicationSettings(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 512 << 10, true);
 
     private static byte[] octets(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static Words.Stated keepless() {
-        return new Words.Stated(SHORT.period(), 3, SHORT.age(), 512 << 10, false);
+    private static ReplicatedStore.ReplicationSettings keepless() {
+        return new ReplicatedStore.ReplicationSettings(SHORT.period(), 3, SHORT.age(), 512 << 10, false);
     }
 
-    static Words alone(String name, String... live) {
-        return new Words(
+    static ReplicatedStore alone(String name, String... live) {
+        return new ReplicatedStore(
                 Duration.ZERO,
                 name,
                 1,
-                Words.Kept.NOTHING,
+                ReplicatedStore.PersistedEntries.NOTHING,
                 keepless(),
                 () -> List.of(live),
                 new SplittableRandom(7),
@@ -45,26 +45,26 @@
     }
 
     /** Few owners, topics, versions and values, so that much meets. */
-    static Word drawn(SplittableRandom chance) {
+    static StoredEntry drawn(SplittableRandom chance) {
         byte[] value = chance.nextInt(4) == 0 ? null : octets("v" + chance.nextInt(3));
-        return Word.of(
-                new Snapshot(
+        return StoredEntry.of(
+                new VersionedEntry(
                         "o" + chance.nextInt(3), "t" + chance.nextInt(2), chance.nextInt(3), chance.nextInt(3), value),
                 Duration.ofMillis(chance.nextInt(5)));
     }
 
-    private static Lot lot(List<Word> words) {
-        Lot lot = new Lot();
+    private static EntryTable lot(List<StoredEntry> words) {
+        EntryTable lot = new EntryTable();
         words.forEach(lot::merge);
         return lot;
     }
 
-    private static void same(Lot one, Lot other) {
+    private static void same(EntryTable one, EntryTable other) {
         assertEquals(one.digest(), other.digest());
         assertArrayEquals(one.sums(), other.sums());
         assertEquals(one.octets(), other.octets());
-        for (Word word : one.words()) {
-            Word its = other.get(word.key());
+        for (StoredEntry word : one.words()) {
+            StoredEntry its = other.get(word.key());
             assertEquals(word.digests(), its.digests());
             assertArrayEquals(word.value(), its.value());
             assertEquals(word.clashes(), word.digests().size() == 2);
@@ -75,26 +75,26 @@
     void lotsMergeAlikeInAnyOrderAnyNumberOfTimesAndInAnyGroups(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int n) {
         SplittableRandom chance = new SplittableRandom(seed);
-        List<Word> words = new ArrayList<>();
+        List<StoredEntry> words = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             words.add(drawn(chance));
         }
-        Lot all = lot(words);
-        List<Word> more = new ArrayList<>(words);
+        EntryTable all = lot(words);
+        List<StoredEntry> more = new ArrayList<>(words);
         more.addAll(words.subList(0, chance.nextInt(n + 1)));
         Collections.shuffle(more, new Random(seed));
         same(all, lot(more));
         // Two parts, each merged on its own, then the one into the other.
         int cut = chance.nextInt(n + 1);
-        Lot left = lot(words.subList(0, cut));
+        EntryTable left = lot(words.subList(0, cut));
         lot(words.subList(cut, n)).words().forEach(left::merge);
         same(all, left);
         all.words().forEach(left::merge);
         same(all, left);
         // What is held of a key is the highest version of it that was said, and a clash just where it was said in two
         // ways.
-        for (Word held : all.words()) {
-            List<Word> top = words.stream()
+        for (StoredEntry held : all.words()) {
+            List<StoredEntry> top = words.stream()
                     .filter(word -> word.key().equals(held.key()) && !held.after(word))
                     .toList();
             assertTrue(top.stream().noneMatch(word -> word.after(held)));
@@ -110,7 +110,7 @@
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 25); seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             int n = 2 + chance.nextInt(7);
-            SharedModel fleet = new SharedModel(seed, n, SHORT);
+            ReplicationModel fleet = new ReplicationModel(seed, n, SHORT);
             List<TreeMap<String, String>> last = new ArrayList<>();
             for (int i = 0; i < n; i++) {
                 last.add(new TreeMap<>());
@@ -164,7 +164,7 @@
     @Example
     void aRestartNeverTellsLessThanWasHeardOfTheLifeBefore() {
         for (int seed = 0; seed < 20; seed++) {
-            SharedModel fleet = new SharedModel(seed, 4, SHORT);
+            ReplicationModel fleet = new ReplicationModel(seed, 4, SHORT);
             SplittableRandom chance = new SplittableRandom(seed);
             long told = 0;
             long count = 0;
@@ -198,7 +198,7 @@
     @Example
     void whatWasTakenBackDoesNotComeBackFromOneThatSleptOrWasCutOff() {
         for (int seed = 0; seed < 12; seed++) {
-            SharedModel fleet = new SharedModel(seed, 5, SHORT);
+            ReplicationModel fleet = new ReplicationModel(seed, 5, SHORT);
             for (int i = 0; i < 5; i++) {
                 fleet.nodes[i].put(fleet.clock(i), "keep", octets("k"));
             }
@@ -236,10 +236,10 @@
 
     @Example
     void oneThatStoodStillDropsTheWordsOfOthersAndDoesNotTakeWhatWaitedInItsBuffers() {
-        Words words = alone("b0", "b1");
+        ReplicatedStore words = alone("b0", "b1");
         words.put(Duration.ZERO, "mine", octets("m"));
-        Word other = Word.of(new Snapshot("b1", "theirs", 1, 1, octets("t")), Duration.ZERO);
-        byte[] letter = Letters.words(Duration.ZERO, List.of(other));
+        StoredEntry other = StoredEntry.of(new VersionedEntry("b1", "theirs", 1, 1, octets("t")), Duration.ZERO);
+        byte[] letter = GossipCodec.words(Duration.ZERO, List.of(other));
         words.came(Duration.ZERO, "b1", letter);
         assertTrue(words.of("b1", "theirs").isPresent());
         // Half of the age, by its own clock; or less by it, as it stopped too, and the others say so.
@@ -250,7 +250,7 @@
         words.look(Duration.ofSeconds(32));
         words.away(Duration.ofSeconds(33));
         assertTrue(words.of("b1", "theirs").isEmpty() && words.of("b0", "mine").isPresent());
-        Words longer = alone("b2", "b1");
+        ReplicatedStore longer = alone("b2", "b1");
         longer.look(Duration.ofSeconds(55));
         longer.came(Duration.ofMillis(55_100), "b1", letter);
         assertTrue(longer.of("b1", "theirs").isEmpty(), "it may have waited for 55 s in a life of 60");
@@ -261,11 +261,11 @@
 
     @Example
     void wordsOfOneThatDiedAgeOutEverywhereAndThoseOfTheLivingDoNot() {
-        SharedModel fleet = new SharedModel(5, 4, SHORT);
+        ReplicationModel fleet = new ReplicationModel(5, 4, SHORT);
         List<String> gone = new ArrayList<>();
-        fleet.nodes[1].hears(new Common.Hearer() {
+        fleet.nodes[1].hears(new SharedStore.EntryListener() {
             @Override
-            public void came(Duration now, Snapshot snapshot) {}
+            public void came(Duration now, VersionedEntry snapshot) {}
 
             @Override
             public void gone(Duration now, String owner, String topic) {
@@ -283,48 +283,51 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(
                     List.of("b0", "b1", "b2"),
-                    fleet.nodes[i].all("count").stream().map(Snapshot::owner).toList());
+                    fleet.nodes[i].all("count").stream()
+                            .map(VersionedEntry::owner)
+                            .toList());
         }
         assertEquals(List.of("b3 count"), gone);
     }
 
     @Example
     void oneVersionClaimedTwiceIsSetAsideAndToldOnBothSidesUntilALaterWord() {
-        SharedModel fleet = new SharedModel(6, 4, SHORT);
-        List<Common.Clash> heard = new ArrayList<>();
-        fleet.nodes[3].hears(new Common.Hearer() {
+        ReplicationModel fleet = new ReplicationModel(6, 4, SHORT);
+        List<SharedStore.VersionConflict> heard = new ArrayList<>();
+        fleet.nodes[3].hears(new SharedStore.EntryListener() {
             @Override
-            public void came(Duration now, Snapshot snapshot) {}
+            public void came(Duration now, VersionedEntry snapshot) {}
 
             @Override
-            public void clashed(Duration now, Common.Clash clash) {
+            public void clashed(Duration now, SharedStore.VersionConflict clash) {
                 heard.add(clash);
             }
         });
         fleet.side[2] = fleet.side[3] = 1;
-        assertTrue(fleet.nodes[0].pass(fleet.clock(0), new Snapshot("site", "table", 4, 7, octets("one"))));
-        assertTrue(fleet.nodes[2].pass(fleet.clock(2), new Snapshot("site", "table", 4, 7, octets("two"))));
-        assertFalse(fleet.nodes[2].pass(fleet.clock(2), new Snapshot("site", "table", 4, 6, octets("older"))));
+        assertTrue(fleet.nodes[0].pass(fleet.clock(0), new VersionedEntry("site", "table", 4, 7, octets("one"))));
+        assertTrue(fleet.nodes[2].pass(fleet.clock(2), new VersionedEntry("site", "table", 4, 7, octets("two"))));
+        assertFalse(fleet.nodes[2].pass(fleet.clock(2), new VersionedEntry("site", "table", 4, 6, octets("older"))));
         fleet.run(2000);
         assertTrue(fleet.nodes[1].of("site", "table").isPresent()
                 && fleet.nodes[3].of("site", "table").isPresent());
         fleet.heal();
         fleet.run(4000);
-        List<String> digests = List.of(Word.digest(octets("one")), Word.digest(octets("two"))).stream()
+        List<String> digests = List.of(StoredEntry.digest(octets("one")), StoredEntry.digest(octets("two"))).stream()
                 .sorted()
                 .toList();
-        Common.Clash clash = new Common.Clash("site", "table", 4, 7, digests.get(0), digests.get(1));
+        SharedStore.VersionConflict clash =
+                new SharedStore.VersionConflict("site", "table", 4, 7, digests.get(0), digests.get(1));
         for (int i = 0; i < 4; i++) {
             assertEquals(List.of(clash), fleet.nodes[i].clashes(), "at b" + i);
             assertTrue(fleet.nodes[i].of("site", "table").isEmpty()
                     && fleet.nodes[i].all("table").isEmpty());
             assertFalse(
-                    fleet.nodes[i].pass(fleet.clock(i), new Snapshot("site", "table", 4, 7, octets("one"))),
+                    fleet.nodes[i].pass(fleet.clock(i), new VersionedEntry("site", "table", 4, 7, octets("one"))),
                     "neither is taken any more");
         }
         assertEquals(List.of(clash), heard);
         assertTrue(fleet.equal());
-        assertTrue(fleet.nodes[1].pass(fleet.clock(1), new Snapshot("site", "table", 4, 8, octets("three"))));
+        assertTrue(fleet.nodes[1].pass(fleet.clock(1), new VersionedEntry("site", "table", 4, 8, octets("three"))));
         fleet.run(4000);
         for (int i = 0; i < 4; i++) {
             assertEquals(List.of(), fleet.nodes[i].clashes());
@@ -336,7 +339,7 @@
 
     @Example
     void oneWhoseDiskIsLostSaysItsWordsAboveThoseOfItsFormerLife() {
-        SharedModel fleet = new SharedModel(8, 3, SHORT);
+        ReplicationModel fleet = new ReplicationModel(8, 3, SHORT);
         for (int k = 0; k < 9; k++) {
             fleet.nodes[0].put(fleet.clock(0), "count", octets("former" + k));
             fleet.run(300);
@@ -356,34 +359,36 @@
 
     @Example
     void wordsTopicsAndOctetsAreBounded() {
-        Words words = alone("b0");
-        assertFalse(words.put(Duration.ZERO, "t", new byte[Snapshot.MOST_OCTETS + 1]));
+        ReplicatedStore words = alone("b0");
+        assertFalse(words.put(Duration.ZERO, "t", new byte[VersionedEntry.MOST_OCTETS + 1]));
         assertFalse(words.put(Duration.ZERO, "with space", octets("x")));
         int own = 0;
         while (own < 100 && words.put(Duration.ZERO, "t" + own, new byte[3000])) {
             own++;
         }
-        assertEquals(Words.MOST_OWN, own);
-        assertFalse(words.put(Duration.ZERO, "t0", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t1", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t2", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t3", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t4", new byte[Snapshot.MOST_OCTETS])
-                && words.put(Duration.ZERO, "t5", new byte[Snapshot.MOST_OCTETS]));
-        Words full = alone("b1");
+        assertEquals(ReplicatedStore.MOST_OWN, own);
+        assertFalse(words.put(Duration.ZERO, "t0", new byte[VersionedEntry.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t1", new byte[VersionedEntry.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t2", new byte[VersionedEntry.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t3", new byte[VersionedEntry.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t4", new byte[VersionedEntry.MOST_OCTETS])
+                && words.put(Duration.ZERO, "t5", new byte[VersionedEntry.MOST_OCTETS]));
+        ReplicatedStore full = alone("b1");
         int passed = 0;
-        while (passed < 3000 && full.pass(Duration.ZERO, new Snapshot("s" + passed, "table", 1, 1, octets("x")))) {
+        while (passed < 3000
+                && full.pass(Duration.ZERO, new VersionedEntry("s" + passed, "table", 1, 1, octets("x")))) {
             passed++;
         }
-        assertEquals(Lot.MOST, passed);
+        assertEquals(EntryTable.MOST, passed);
         assertTrue(
-                full.pass(Duration.ZERO, new Snapshot("s0", "table", 1, 2, octets("newer"))),
+                full.pass(Duration.ZERO, new VersionedEntry("s0", "table", 1, 2, octets("newer"))),
                 "what is held goes forward all the same");
-        Words wide = alone("b2");
+        ReplicatedStore wide = alone("b2");
         passed = 0;
         while (passed < 3000
                 && wide.pass(
-                        Duration.ZERO, new Snapshot("s" + passed, "table", 1, 1, new byte[Snapshot.MOST_OCTETS]))) {
+                        Duration.ZERO,
+                        new VersionedEntry("s" + passed, "table", 1, 1, new byte[VersionedEntry.MOST_OCTETS]))) {
             passed++;
         }
         assertTrue(passed >= 500 && passed <= 512, "8 MiB: " + passed);
@@ -391,39 +396,40 @@
 
     @Example
     void noLetterAndNoSecondIsOverItsOctets() {
-        Words.Stated small = new Words.Stated(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 100 << 10, false);
-        Words words = new Words(
+        ReplicatedStore.ReplicationSettings small = new ReplicatedStore.ReplicationSettings(
+                Duration.ofMillis(200), 3, Duration.ofSeconds(60), 100 << 10, false);
+        ReplicatedStore words = new ReplicatedStore(
                 Duration.ZERO,
                 "b0",
                 1,
-                Words.Kept.NOTHING,
+                ReplicatedStore.PersistedEntries.NOTHING,
                 small,
                 () -> List.of("b1", "b2", "b3"),
                 new SplittableRandom(7),
                 line -> {});
         for (int i = 0; i < 400; i++) {
-            words.pass(Duration.ZERO, new Snapshot("s" + i, "table", 1, 1, new byte[i % 2 == 0 ? 800 : 15_000]));
+            words.pass(Duration.ZERO, new VersionedEntry("s" + i, "table", 1, 1, new byte[i % 2 == 0 ? 800 : 15_000]));
         }
-        byte[] nothing = Letters.sums(new long[Lot.BUCKETS]);
+        byte[] nothing = GossipCodec.sums(new long[EntryTable.BUCKETS]);
         for (int second = 0; second < 20; second++) {
             long octets = 0;
             for (int k = 0; k < 50; k++) {
                 Duration now = Duration.ofMillis(second * 1000L + k * 20);
-                List<Carry> out = new ArrayList<>(words.look(now));
+                List<OutgoingMessage> out = new ArrayList<>(words.look(now));
                 // One that holds nothing asks and asks.
-                for (Carry lines : words.came(now, "b9", nothing)) {
+                for (OutgoingMessage lines : words.came(now, "b9", nothing)) {
                     out.add(lines);
-                    Letters.Lines read = (Letters.Lines) Letters.read(lines.body());
+                    GossipCodec.VersionList read = (GossipCodec.VersionList) GossipCodec.read(lines.body());
                     out.addAll(words.came(
                             now,
                             "b9",
-                            Letters.want(read.lines().stream()
-                                    .map(Lot.Line::key)
+                            GossipCodec.want(read.lines().stream()
+                                    .map(EntryTable.EntryVersion::key)
                                     .limit(50)
                                     .toList())));
                 }
-                for (Carry each : out) {
-                    assertTrue(each.body().length <= Letters.MOST);
+                for (OutgoingMessage each : out) {
+                    assertTrue(each.body().length <= GossipCodec.MOST);
                     octets += each.body().length;
                 }
             }
--- a/src/test/java/merlinlever/shared/SharedBytesTest.java
+++ b/src/test/java/merlinlever/replication/SharedBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.shared;
+package merlinlever.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -8,43 +8,44 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.compatibility.Fixture;
-import merlinlever.shared.Slip.Kind;
+import merlinlever.replication.RegisterMessage.Kind;
 import net.jqwik.api.Example;
 
 /** What backends send each other of what they share, and the file of a voter. */
 class SharedBytesTest {
 
-    private static final Word.Key KEY = new Word.Key("b1", "trial/t");
+    private static final StoredEntry.EntryKey KEY = new StoredEntry.EntryKey("b1", "trial/t");
 
     private final Fixture fixture = new Fixture("shared.txt");
 
     @Example
     void eachKindOfLetter() {
         Duration now = Duration.ofSeconds(10);
-        Word word = Word.of(new Snapshot("b1", "trial/t", 3, 300, new byte[] {1, 2}), Duration.ofSeconds(4));
-        Word gone = Word.of(new Snapshot("b1", "x", 3, 301, null), Duration.ofSeconds(4));
-        Word clash =
-                word.with(Word.of(new Snapshot("b1", "trial/t", 3, 300, new byte[] {1, 3}), Duration.ofSeconds(4)));
-        long[] sums = new long[Lot.BUCKETS];
+        StoredEntry word =
+                StoredEntry.of(new VersionedEntry("b1", "trial/t", 3, 300, new byte[] {1, 2}), Duration.ofSeconds(4));
+        StoredEntry gone = StoredEntry.of(new VersionedEntry("b1", "x", 3, 301, null), Duration.ofSeconds(4));
+        StoredEntry clash = word.with(
+                StoredEntry.of(new VersionedEntry("b1", "trial/t", 3, 300, new byte[] {1, 3}), Duration.ofSeconds(4)));
+        long[] sums = new long[EntryTable.BUCKETS];
         sums[5] = word.mark();
         Map<String, byte[]> letters = Map.of(
                 "sums",
-                Letters.sums(sums),
+                GossipCodec.sums(sums),
                 "lines",
-                Letters.lines(1L << 5, List.of(new Lot.Line(KEY, 3, 300, word.mark()))),
+                GossipCodec.lines(1L << 5, List.of(new EntryTable.EntryVersion(KEY, 3, 300, word.mark()))),
                 "words",
-                Letters.words(now, List.of(word, gone, clash)),
+                GossipCodec.words(now, List.of(word, gone, clash)),
                 "want",
-                Letters.want(List.of(KEY)));
+                GossipCodec.want(List.of(KEY)));
         letters.forEach((name, bytes) -> {
             fixture.pins("letter." + name, bytes);
             fixture.pins(
                     "letter." + name + ".read",
-                    Spoken.of(fixture.bytes("letter." + name)).what());
+                    MessageFormatter.of(fixture.bytes("letter." + name)).what());
         });
         assertEquals(
                 6000,
-                ((Letters.Told) Letters.read(fixture.bytes("letter.words")))
+                ((GossipCodec.EntryBatch) GossipCodec.read(fixture.bytes("letter.words")))
                         .words()
                         .get(0)
                         .ageMs());
@@ -72,19 +73,20 @@
                 "page",
                 Kind.PAGE);
         assertEquals(Kind.values().length, kinds.size());
-        Ballots.Entry entry = new Ballots.Entry("trial/t@1", 6, "end".getBytes(StandardCharsets.US_ASCII), true);
+        PaxosAcceptor.RegisterState entry =
+                new PaxosAcceptor.RegisterState("trial/t@1", 6, "end".getBytes(StandardCharsets.US_ASCII), true);
         kinds.forEach((name, kind) -> {
-            fixture.pins("register." + name, new Slip(kind, 6, 9, "trial/t@1", List.of(entry)).octets());
-            Slip read = Slip.read(fixture.bytes("register." + name));
+            fixture.pins("register." + name, new RegisterMessage(kind, 6, 9, "trial/t@1", List.of(entry)).octets());
+            RegisterMessage read = RegisterMessage.read(fixture.bytes("register." + name));
             assertEquals(
                     List.of(kind, 6L, 9L, "trial/t@1"), List.of(read.kind(), read.term(), read.number(), read.name()));
             assertEquals("end", new String(read.entries().get(0).value(), StandardCharsets.US_ASCII));
         });
-        Ballots ballots = new Ballots();
+        PaxosAcceptor ballots = new PaxosAcceptor();
         ballots.accept(7, "a", new byte[] {1});
         ballots.written("trial/t@1", entry.value());
         fixture.pins("registers.file", ballots.octets());
-        Ballots read = Ballots.parsed(fixture.bytes("registers.file"));
+        PaxosAcceptor read = PaxosAcceptor.parsed(fixture.bytes("registers.file"));
         assertNotNull(read);
         fixture.pins("registers.file", read.octets());
     }
--- a/src/test/java/merlinlever/shared/net/SpreadTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -1,4 +1,4 @@
-package merlinlever.shared.net;
+package merlinlever.replication.net;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -17,36 +17,36 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
-import merlinlever.durable.DiskFolder;
-import merlinlever.faults.Stands;
-import merlinlever.faults.TestFolders;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.recovery.Return;
-import merlinlever.recovery.net.Rejoin;
-import merlinlever.shared.Snapshot;
-import merlinlever.shared.Words;
-import merlinlever.shared.disk.WordsFile;
-import merlinlever.term.net.Leading;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.election.net.ElectionTransport;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.faults.TestDirectories;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.VersionedEntry;
+import merlinlever.replication.disk.EntryFile;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /** Three that share, on real datagrams and real disks in one process. */
-class SpreadTest {
+class ReplicationTransportTest {
 
-    private static final Seen WHOLE = new Stands(now -> Standing.WHOLE);
+    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.WHOLE);
 
     private Path root;
-    private Loop loop;
+    private EventLoop loop;
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
 
     @BeforeTry
     void begin() throws IOException {
         root = Files.createTempDirectory("merlinlever-spread");
-        loop = new Loop(Clock.system(), failure -> log.add("failed: " + failure));
+        loop = new EventLoop(MonotonicClock.system(), failure -> log.add("failed: " + failure));
         Thread thread = new Thread(loop::run, "spread-test");
         thread.setDaemon(true);
         thread.start();
@@ -57,7 +57,7 @@
         loop.stop();
         // What is written now is written to its end; nothing new begins.
         Thread.sleep(500);
-        TestFolders.remove(root);
+        TestDirectories.remove(root);
     }
 
     private static byte[] octets(String text) {
@@ -87,32 +87,32 @@
         }
     }
 
-    private record One(Rejoin rejoin, Spread spread, Leading leading) {
+    private record Replica(RecoveryCoordinator rejoin, ReplicationTransport spread, ElectionTransport leading) {
         String address() {
             return rejoin.members().views().of(rejoin.members().views().self()).gossip();
         }
     }
 
-    private One make(String name, List<String> seeds) throws Exception {
+    private Replica make(String name, List<String> seeds) throws Exception {
         return on(() -> {
             try {
-                Rejoin rejoin = new Rejoin(
+                RecoveryCoordinator rejoin = new RecoveryCoordinator(
                         loop,
-                        new DiskFolder(root.resolve(name)),
-                        new Rejoin.Place(
+                        new FileStateDirectory(root.resolve(name)),
+                        new RecoveryCoordinator.NodeSettings(
                                 name,
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 null,
                                 "-",
                                 seeds,
                                 "a-secret-of-16-or-more"),
-                        Return.Stated.usual(Duration.ofSeconds(1)),
+                        RecoverySequence.RecoverySettings.usual(Duration.ofSeconds(1)),
                         Duration.ofMillis(100),
                         3,
                         System::currentTimeMillis,
-                        Rejoin.Service.NONE,
+                        RecoveryCoordinator.RecoveringService.NONE,
                         line -> log.add(name + " " + line));
-                Leading leading = new Leading(
+                ElectionTransport leading = new ElectionTransport(
                         loop,
                         rejoin,
                         List.of("a", "b", "c"),
@@ -120,13 +120,13 @@
                         0.01,
                         name.hashCode(),
                         line -> log.add(name + " " + line));
-                return new One(
+                return new Replica(
                         rejoin,
-                        new Spread(
+                        new ReplicationTransport(
                                 loop,
                                 rejoin,
-                                new DiskFolder(root.resolve(name + "-shared")),
-                                Words.Stated.usual(true),
+                                new FileStateDirectory(root.resolve(name + "-shared")),
+                                ReplicatedStore.ReplicationSettings.usual(true),
                                 leading.terms(),
                                 WHOLE,
                                 name.hashCode(),
@@ -140,19 +140,20 @@
 
     @Example
     void wordsReachTheOthersOnceOnTheDiskAndARegisterIsWrittenByWhoLeads() throws Exception {
-        One a = make("a", List.of());
-        One b = make("b", List.of(on(a::address)));
-        One c = make("c", List.of(on(a::address)));
+        Replica a = make("a", List.of());
+        Replica b = make("b", List.of(on(a::address)));
+        Replica c = make("c", List.of(on(a::address)));
         assertTrue(on(() -> a.spread.words().put(loop.clock().uptime(), "counts", octets("7"))));
-        assertTrue(on(() -> b.spread.words().put(loop.clock().uptime(), "large", new byte[Snapshot.MOST_OCTETS])));
+        assertTrue(
+                on(() -> b.spread.words().put(loop.clock().uptime(), "large", new byte[VersionedEntry.MOST_OCTETS])));
         until("all hold both", () -> List.of(a, b, c).stream()
                 .allMatch(each -> each.spread.words().of("a", "counts").isPresent()
                         && each.spread.words().of("b", "large").isPresent()));
-        Words.Kept kept = WordsFile.parsed(
+        ReplicatedStore.PersistedEntries kept = EntryFile.parsed(
                 "a", Files.readAllBytes(root.resolve("a-shared").resolve("words")));
         assertArrayEquals(octets("7"), kept.words().get(0).value());
         until("the end is written everywhere", () -> {
-            for (One each : List.of(a, b, c)) {
+            for (Replica each : List.of(a, b, c)) {
                 each.spread
                         .decree()
                         .propose(
@@ -175,19 +176,21 @@
 
     @Example
     void aSpoiltOrCopiedFileOfWordsIsNotTakenForItsOwn() {
-        Words.Kept kept = new Words.Kept(
-                4, 9, List.of(new Snapshot("a", "t", 4, 8, octets("x")), new Snapshot("a", "gone", 4, 9, null)));
-        byte[] file = WordsFile.octets("a", kept);
-        Words.Kept again = WordsFile.parsed("a", file);
-        assertArrayEquals(file, WordsFile.octets("a", again));
-        Words.Kept copied = WordsFile.parsed("b", file);
+        ReplicatedStore.PersistedEntries kept = new ReplicatedStore.PersistedEntries(
+                4,
+                9,
+                List.of(new VersionedEntry("a", "t", 4, 8, octets("x")), new VersionedEntry("a", "gone", 4, 9, null)));
+        byte[] file = EntryFile.octets("a", kept);
+        ReplicatedStore.PersistedEntries again = EntryFile.parsed("a", file);
+        assertArrayEquals(file, EntryFile.octets("a", again));
+        ReplicatedStore.PersistedEntries copied = EntryFile.parsed("b", file);
         assertEquals(List.of(), copied.words());
         assertEquals(4, copied.incarnation(), "it serves as a floor");
         for (int i = 0; i < file.length; i++) {
             byte[] spoilt = file.clone();
             spoilt[i] ^= 4;
-            assertNull(WordsFile.parsed("a", spoilt));
-            assertNull(WordsFile.parsed("a", java.util.Arrays.copyOf(file, i)));
+            assertNull(EntryFile.parsed("a", spoilt));
+            assertNull(EntryFile.parsed("a", java.util.Arrays.copyOf(file, i)));
         }
     }
 }
--- a/src/test/java/merlinlever/routes/PartsBytesTest.java
+++ b/src/test/java/merlinlever/routes/PartsBytesTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import merlinlever.compatibility.Fixture;
-import merlinlever.shared.Snapshot;
+import merlinlever.replication.VersionedEntry;
 import net.jqwik.api.Example;
 
 /** A partner's table as the backends share it: deflated, so it is read, and its head alone is compared. */
@@ -13,7 +13,7 @@
 
     @Example
     void aTableIsReadFromItsPart() {
-        Table table = Table.of(
+        RouteTable table = RouteTable.of(
                 "s1",
                 4,
                 17,
@@ -22,11 +22,12 @@
                 List.of(new Route(
                         "reads", "records", "10.1.0.1:7100", 50, 3, false, List.of("s1"), null, Restrictions.NONE)));
         Fixture fixture = new Fixture("routes.txt");
-        Snapshot part = Parts.cut(table).get(0);
+        VersionedEntry part = TableChunks.cut(table).get(0);
         fixture.pins("routes.0.head", new String(part.value(), 0, 35, java.nio.charset.StandardCharsets.US_ASCII));
         assertEquals(
                 List.of("s1", "routes.0", 4L, 17L),
                 List.of(part.owner(), part.topic(), part.incarnation(), part.sequence()));
-        assertEquals(table, new Parts().came(new Snapshot("s1", "routes.0", 4, 17, fixture.bytes("routes.0"))));
+        assertEquals(
+                table, new TableChunks().came(new VersionedEntry("s1", "routes.0", 4, 17, fixture.bytes("routes.0"))));
     }
 }
--- a/src/test/java/merlinlever/routes/FellowsTest.java
+++ b/src/test/java/merlinlever/routes/PeerTableSyncTest.java
@@ -7,41 +7,41 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
 
-class FellowsTest {
+class PeerTableSyncTest {
 
     private static Duration s(double seconds) {
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private static Routes routes() {
-        return new Routes(
-                new Rules("me"),
-                List.of(new Routes.Stated("east", Relation.PEER)),
+    private static RoutingTable routes() {
+        return new RoutingTable(
+                new RoutingPolicy("me"),
+                List.of(new RoutingTable.PartnerSettings("east", Relation.PEER)),
                 0,
-                Damping.Figures.PUBLISHED,
-                ExitsTest.whole(),
+                FlapDamping.FlapDampingSettings.PUBLISHED,
+                RouteSelectorTest.whole(),
                 line -> {});
     }
 
     /** Whatever the answer takes, twice or late: the lease counts from the question, and an answer to an earlier one is none. */
     @Example
     void aLeaseCountsFromTheQuestion() {
-        Routes heard = routes(), told = routes();
-        Table table = MergeTest.table("east", 1, Relation.PEER, MergeTest.route("t", 1, "east"));
+        RoutingTable heard = routes(), told = routes();
+        RouteTable table = RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east"));
         heard.offer(s(0), table);
-        heard.stoodBy(s(0), "east", 1, 1, TableWriter.digest(table), s(0), s(10));
+        heard.stoodBy(s(0), "east", 1, 1, RouteTableWriter.digest(table), s(0), s(10));
         told.offer(s(0), table);
-        Fellows one = new Fellows(heard, 1000, new SplittableRandom(1)),
-                other = new Fellows(told, 5000, new SplittableRandom(2));
-        Fellows.Say question = other.look(s(2), List.of("one")).get(0);
-        Fellows.Say answer =
+        PeerTableSync one = new PeerTableSync(heard, 1000, new SplittableRandom(1)),
+                other = new PeerTableSync(told, 5000, new SplittableRandom(2));
+        PeerTableSync.TableMessage question = other.look(s(2), List.of("one")).get(0);
+        PeerTableSync.TableMessage answer =
                 one.said(s(3), "other", question.number(), question.what()).get(0);
-        assertEquals("L/east/1/1/" + TableWriter.digest(table) + "/7000", answer.what());
+        assertEquals("L/east/1/1/" + RouteTableWriter.digest(table) + "/7000", answer.what());
         other.said(s(6), "one", answer.number(), answer.what());
         other.said(s(8), "one", answer.number(), answer.what());
         assertEquals(1, told.ways(s(8.9), "t/records").size());
         assertEquals(0, told.ways(s(9), "t/records").size());
-        Fellows.Say next = other.look(s(20), List.of("one")).get(0);
+        PeerTableSync.TableMessage next = other.look(s(20), List.of("one")).get(0);
         other.said(s(20), "one", question.number(), answer.what());
         assertEquals(0, told.ways(s(20), "t/records").size());
         // Who has no lease left says nothing; and what is no word is passed over.
--- a/src/test/java/merlinlever/routes/MergeTest.java
+++ b/src/test/java/merlinlever/routes/RouteMergerTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class MergeTest {
+class RouteMergerTest {
 
     static Route route(String tariff, int cost, String... path) {
         return new Route(
@@ -30,8 +30,8 @@
                 Restrictions.NONE);
     }
 
-    static Table table(String site, long sequence, Relation relation, Route... routes) {
-        return Table.of(site, 1, sequence, relation, Duration.ofSeconds(10), List.of(routes));
+    static RouteTable table(String site, long sequence, Relation relation, Route... routes) {
+        return RouteTable.of(site, 1, sequence, relation, Duration.ofSeconds(10), List.of(routes));
     }
 
     private static Route drawn(SplittableRandom chance, String site) {
@@ -65,8 +65,8 @@
     @Property(tries = 300, seed = "41")
     void theSameWhateverTheOrder(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Merge lived = new Merge(new Rules("me"));
-        TreeMap<String, Table> last = new TreeMap<>();
+        RouteMerger lived = new RouteMerger(new RoutingPolicy("me"));
+        TreeMap<String, RouteTable> last = new TreeMap<>();
         for (int step = 0; step < 30; step++) {
             String site = "s" + chance.nextInt(6);
             List<Route> routes = new ArrayList<>();
@@ -74,23 +74,25 @@
                 routes.add(drawn(chance, site));
             }
             Relation relation = Relation.values()[site.charAt(1) % 3];
-            Table table =
-                    chance.nextInt(5) == 0 ? null : Table.of(site, 1, step, relation, Duration.ofSeconds(1), routes);
-            assertTrue(lived.put(site, relation, table, Merge.NOBODY));
+            RouteTable table = chance.nextInt(5) == 0
+                    ? null
+                    : RouteTable.of(site, 1, step, relation, Duration.ofSeconds(1), routes);
+            assertTrue(lived.put(site, relation, table, RouteMerger.NOBODY));
             if (table == null) {
                 last.remove(site);
             } else {
                 last.put(site, table);
             }
         }
-        Merge fresh = new Merge(new Rules("me"));
+        RouteMerger fresh = new RouteMerger(new RoutingPolicy("me"));
         last.descendingMap()
-                .forEach((site, table) -> fresh.put(site, Relation.values()[site.charAt(1) % 3], table, Merge.NOBODY));
+                .forEach((site, table) ->
+                        fresh.put(site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NOBODY));
         assertEquals(fresh.told(), lived.told());
         assertEquals(
                 last.values().stream().mapToInt(each -> each.routes().size()).sum(), lived.routes());
         for (String key : lived.keys()) {
-            for (Merge.Candidate each : lived.ways(key)) {
+            for (RouteMerger.Candidate each : lived.ways(key)) {
                 assertFalse(each.route().path().contains("me"));
                 assertTrue(each.route().restrictions().allows("me"));
             }
@@ -99,14 +101,15 @@
 
     @Example
     void customersBeforePeersBeforeProvidersThenShortThenCheap() {
-        Merge merge = new Merge(new Rules("me"));
-        merge.put("pro", Relation.PROVIDER, table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")), Merge.NOBODY);
-        merge.put("peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), Merge.NOBODY);
+        RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
+        merge.put(
+                "pro", Relation.PROVIDER, table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")), RouteMerger.NOBODY);
+        merge.put("peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), RouteMerger.NOBODY);
         merge.put(
                 "cus",
                 Relation.CUSTOMER,
                 table("cus", 1, Relation.CUSTOMER, route("t", 5, "cus", "x"), route("t", 7, "cus")),
-                Merge.NOBODY);
+                RouteMerger.NOBODY);
         assertEquals(
                 List.of(7, 5, 9, 0),
                 merge.ways("t/records").stream()
@@ -121,16 +124,16 @@
             many.add(route("t" + i, 1, "east"));
         }
         int[] withdrawn = new int[1];
-        Merge merge = new Merge(new Rules("me"));
-        merge.put("west", Relation.PEER, table("west", 1, Relation.PEER, route("t7", 3, "west")), Merge.NOBODY);
+        RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
+        merge.put("west", Relation.PEER, table("west", 1, Relation.PEER, route("t7", 3, "west")), RouteMerger.NOBODY);
         String before = merge.told();
         merge.put(
                 "east",
                 Relation.PEER,
-                Table.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
-                Merge.NOBODY);
+                RouteTable.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
+                RouteMerger.NOBODY);
         assertEquals(10_000, merge.keys().size());
-        merge.put("east", Relation.PEER, table("east", 2, Relation.PEER), new Merge.Hearer() {
+        merge.put("east", Relation.PEER, table("east", 2, Relation.PEER), new RouteMerger.RouteListener() {
             @Override
             public void refused(Route route, String rule) {}
 
@@ -148,20 +151,20 @@
 
     @Example
     void aTableBeyondTheRoomIsNotTaken() {
-        Merge merge = new Merge(new Rules("me"));
+        RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
         List<Route> many = new ArrayList<>();
-        for (int i = 0; i < Table.MOST; i++) {
+        for (int i = 0; i < RouteTable.MOST; i++) {
             many.add(route("t" + i, 1, "x"));
         }
         for (int i = 0; i < 8; i++) {
             assertTrue(merge.put(
                     "p" + i,
                     Relation.PEER,
-                    Table.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
-                    Merge.NOBODY));
+                    RouteTable.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
+                    RouteMerger.NOBODY));
         }
-        assertFalse(
-                merge.put("late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), Merge.NOBODY));
-        assertEquals(Merge.MOST, merge.routes());
+        assertFalse(merge.put(
+                "late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), RouteMerger.NOBODY));
+        assertEquals(RouteMerger.MOST, merge.routes());
     }
 }
--- a/src/test/java/merlinlever/routes/ExitsTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -12,32 +12,34 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import merlinlever.Ending;
-import merlinlever.faults.Stands;
-import merlinlever.view.Seen;
-import merlinlever.view.Standing;
+import merlinlever.Outcome;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
 import net.jqwik.api.Example;
 
-class ExitsTest {
+class RouteSelectorTest {
 
-    private static final Exits.Tariff READS = new Exits.Tariff("t", Exits.Kind.RETRIABLE, true);
-    private static final Exits.Tariff BINDING = new Exits.Tariff("t", Exits.Kind.BINDING, true);
+    private static final RouteSelector.RoutingClass READS =
+            new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.RETRIABLE, true);
+    private static final RouteSelector.RoutingClass BINDING =
+            new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.BINDING, true);
     private static final Duration NOW = Duration.ofSeconds(1);
 
-    private final Routes routes = new Routes(
-            new Rules("me"),
+    private final RoutingTable routes = new RoutingTable(
+            new RoutingPolicy("me"),
             List.of(
-                    new Routes.Stated("east", Relation.PEER),
-                    new Routes.Stated("west", Relation.PEER),
-                    new Routes.Stated("far", Relation.PROVIDER)),
+                    new RoutingTable.PartnerSettings("east", Relation.PEER),
+                    new RoutingTable.PartnerSettings("west", Relation.PEER),
+                    new RoutingTable.PartnerSettings("far", Relation.PROVIDER)),
             0,
-            Damping.Figures.PUBLISHED,
+            FlapDamping.FlapDampingSettings.PUBLISHED,
             whole(),
             line -> {});
-    private final Exits exits = new Exits(routes, 1);
+    private final RouteSelector exits = new RouteSelector(routes, 1);
 
-    static Seen whole() {
-        return new Stands(now -> Standing.WHOLE);
+    static FleetView whole() {
+        return new FixedFleetView(now -> QuorumStatus.WHOLE);
     }
 
     private static Route at(String site, int place, int calls, boolean binding, boolean retriableOnly) {
@@ -56,25 +58,27 @@
     private long version;
 
     private void says(Relation relation, String site, Route... all) {
-        Table table = Table.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(all));
+        RouteTable table = RouteTable.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(all));
         routes.offer(NOW, table);
-        routes.stoodBy(NOW, site, 1, table.sequence(), TableWriter.digest(table), NOW, table.lease());
+        routes.stoodBy(NOW, site, 1, table.sequence(), RouteTableWriter.digest(table), NOW, table.lease());
     }
 
-    private static Exits.Call call(Exits.Tariff tariff, String key) {
-        return new Exits.Call(tariff, "records", key, Set.of(), false);
+    private static RouteSelector.RoutedCall call(RouteSelector.RoutingClass tariff, String key) {
+        return new RouteSelector.RoutedCall(tariff, "records", key, Set.of(), false);
     }
 
-    private Optional<String> place(Exits.Call call) {
-        return exits.way(NOW, call, Own.State.AWAY, false).map(Exits.Way::place);
+    private Optional<String> place(RouteSelector.RoutedCall call) {
+        return exits.way(NOW, call, LocalServiceHealth.HealthState.AWAY, false).map(RouteSelector.SelectedRoute::place);
     }
 
     @Example
     void staysWhileItsOwnIsGood() {
         says(Relation.PEER, "east", at("east", 1, 10, false, false));
-        assertEquals(Optional.empty(), exits.way(NOW, call(READS, "k"), Own.State.GOOD, false));
-        assertTrue(exits.way(NOW, call(READS, "k"), Own.State.GOOD, true).isPresent());
-        assertTrue(exits.way(NOW, call(READS, "k"), Own.State.SLOW, false).isPresent());
+        assertEquals(Optional.empty(), exits.way(NOW, call(READS, "k"), LocalServiceHealth.HealthState.GOOD, false));
+        assertTrue(exits.way(NOW, call(READS, "k"), LocalServiceHealth.HealthState.GOOD, true)
+                .isPresent());
+        assertTrue(exits.way(NOW, call(READS, "k"), LocalServiceHealth.HealthState.SLOW, false)
+                .isPresent());
     }
 
     @Example
@@ -83,32 +87,40 @@
         assertEquals(Optional.empty(), place(call(BINDING, "k")));
         says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, true));
         assertEquals(Optional.of("10.0.0.1:1"), place(call(BINDING, "k")));
-        assertEquals(Optional.empty(), place(call(new Exits.Tariff("t", Exits.Kind.BINDING, false), "k")));
-        assertEquals(Optional.empty(), place(call(new Exits.Tariff("t", Exits.Kind.RETRIABLE, false), "k")));
+        assertEquals(
+                Optional.empty(),
+                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.BINDING, false), "k")));
+        assertEquals(
+                Optional.empty(),
+                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.RETRIABLE, false), "k")));
     }
 
     @Example
     void whatMayHaveHadItsEffectGoesNoSecondWay() {
         says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, false));
-        Exits.Tariff fingerprinted = new Exits.Tariff("t", Exits.Kind.FINGERPRINTED, true);
-        for (Exits.Tariff each : List.of(BINDING, fingerprinted)) {
-            assertEquals(Optional.empty(), place(new Exits.Call(each, "records", "k", Set.of("10.0.0.1:1"), true)));
+        RouteSelector.RoutingClass fingerprinted =
+                new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.FINGERPRINTED, true);
+        for (RouteSelector.RoutingClass each : List.of(BINDING, fingerprinted)) {
+            assertEquals(
+                    Optional.empty(),
+                    place(new RouteSelector.RoutedCall(each, "records", "k", Set.of("10.0.0.1:1"), true)));
             // What surely never ran may.
             assertEquals(
                     Optional.of("10.0.0.2:1"),
-                    place(new Exits.Call(each, "records", "k", Set.of("10.0.0.1:1"), false)));
+                    place(new RouteSelector.RoutedCall(each, "records", "k", Set.of("10.0.0.1:1"), false)));
         }
         assertEquals(
-                Optional.of("10.0.0.2:1"), place(new Exits.Call(READS, "records", "k", Set.of("10.0.0.1:1"), true)));
+                Optional.of("10.0.0.2:1"),
+                place(new RouteSelector.RoutedCall(READS, "records", "k", Set.of("10.0.0.1:1"), true)));
     }
 
     private Map<String, String> all(int keys) {
         Map<String, String> places = new HashMap<>();
-        Exits fresh = new Exits(routes, 1);
+        RouteSelector fresh = new RouteSelector(routes, 1);
         for (int i = 0; i < keys; i++) {
             places.put(
                     "key" + i,
-                    fresh.way(NOW.plusSeconds(i), call(READS, "key" + i), Own.State.AWAY, false)
+                    fresh.way(NOW.plusSeconds(i), call(READS, "key" + i), LocalServiceHealth.HealthState.AWAY, false)
                             .orElseThrow()
                             .place());
         }
@@ -149,10 +161,10 @@
         assertEquals(7, went.stream().filter(Optional::isEmpty).count());
         assertEquals(13, exits.room(NOW, List.of(READS), "records"));
         // Of eight backends each has an eighth of ten, and less than one of three: one in three seconds.
-        Exits eighth = new Exits(routes, 8);
+        RouteSelector eighth = new RouteSelector(routes, 8);
         Map<String, Integer> counts = new HashMap<>();
         for (int ms = 0; ms < 8000; ms += 10) {
-            eighth.way(NOW.plusMillis(ms), call(READS, "k"), Own.State.AWAY, false)
+            eighth.way(NOW.plusMillis(ms), call(READS, "k"), LocalServiceHealth.HealthState.AWAY, false)
                     .ifPresent(way -> counts.merge(way.site(), 1, Integer::sum));
         }
         assertEquals(Map.of("east", 8, "far", 3), counts);
@@ -161,28 +173,28 @@
 
     @Example
     void itsOwnIsAwaySlowAndGoodAgain() {
-        Own own = new Own(Own.Stated.USUAL);
+        LocalServiceHealth own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.USUAL);
         Duration quick = Duration.ofMillis(5);
-        own.ended(NOW, Ending.UNREACHABLE, quick);
-        own.ended(NOW, Ending.CUT_OFF, quick);
-        own.ended(NOW, Ending.OK, quick);
-        own.ended(NOW, Ending.UNREACHABLE, quick);
-        own.ended(NOW, Ending.UNREACHABLE, quick);
-        assertEquals(Own.State.GOOD, own.state());
-        own.ended(NOW, Ending.UNREACHABLE, quick);
-        assertEquals(Own.State.AWAY, own.state());
+        own.ended(NOW, Outcome.UNREACHABLE, quick);
+        own.ended(NOW, Outcome.CUT_OFF, quick);
+        own.ended(NOW, Outcome.OK, quick);
+        own.ended(NOW, Outcome.UNREACHABLE, quick);
+        own.ended(NOW, Outcome.UNREACHABLE, quick);
+        assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
+        own.ended(NOW, Outcome.UNREACHABLE, quick);
+        assertEquals(LocalServiceHealth.HealthState.AWAY, own.state());
         assertFalse(own.tries(NOW.plusMillis(400)));
         assertTrue(own.tries(NOW.plusMillis(500)));
         assertFalse(own.tries(NOW.plusMillis(600)));
-        own.ended(NOW, Ending.OK, quick);
-        own.ended(NOW, Ending.OK, quick);
-        assertEquals(Own.State.AWAY, own.state());
-        own.ended(NOW, Ending.TURNED_AWAY, quick);
-        assertEquals(Own.State.GOOD, own.state());
+        own.ended(NOW, Outcome.OK, quick);
+        own.ended(NOW, Outcome.OK, quick);
+        assertEquals(LocalServiceHealth.HealthState.AWAY, own.state());
+        own.ended(NOW, Outcome.TURNED_AWAY, quick);
+        assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
         for (int i = 0; i < 32; i++) {
-            assertEquals(Own.State.GOOD, own.state());
-            own.ended(NOW, i % 2 == 0 ? Ending.OK : Ending.GIVEN_UP, quick);
+            assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
+            own.ended(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
         }
-        assertEquals(Own.State.SLOW, own.state());
+        assertEquals(LocalServiceHealth.HealthState.SLOW, own.state());
     }
 }
--- a/src/test/java/merlinlever/routes/TableFilesTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableFilesTest.java
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import merlinlever.routes.net.TableFiles;
+import merlinlever.routes.net.RouteTableFiles;
 import net.jqwik.api.Example;
 
-class TableFilesTest {
+class RouteTableFilesTest {
 
     private static Duration s(double seconds) {
         return Duration.ofMillis((long) (seconds * 1000));
@@ -31,15 +31,16 @@
         Path file = Files.createTempFile("merlinlever-routes", ".json");
         try {
             List<String> told = new ArrayList<>();
-            Routes routes = new Routes(
-                    new Rules("me"),
-                    List.of(new Routes.Stated("east", Relation.PEER)),
+            RoutingTable routes = new RoutingTable(
+                    new RoutingPolicy("me"),
+                    List.of(new RoutingTable.PartnerSettings("east", Relation.PEER)),
                     0,
-                    Damping.Figures.PUBLISHED,
-                    ExitsTest.whole(),
+                    FlapDamping.FlapDampingSettings.PUBLISHED,
+                    RouteSelectorTest.whole(),
                     told::add);
-            TableFiles files = new TableFiles(routes, Map.of("east", file), s(2), told::add);
-            String text = TableWriter.text(MergeTest.table("east", 1, Relation.PEER, MergeTest.route("t", 1, "east")));
+            RouteTableFiles files = new RouteTableFiles(routes, Map.of("east", file), s(2), told::add);
+            String text = RouteTableWriter.text(
+                    RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east")));
             write(file, text);
             files.look(s(100));
             assertEquals(0, routes.ways(s(100), "t/records").size(), "it may be of any age");
--- a/src/test/java/merlinlever/routes/TableReaderTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableReaderTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class TableReaderTest {
+class RouteTableReaderTest {
 
     private static final String ROUTE =
             "{\"tariff\":\"t\",\"place\":\"10.0.0.1:7\",\"calls\":5,\"cost\":1,\"path\":[\"east\"]";
@@ -25,10 +25,10 @@
                 + String.join(",", routes) + "]}";
     }
 
-    private static Table full() {
+    private static RouteTable full() {
         Restrictions its = new Restrictions(
                 new TreeSet<>(Set.of("me", "west")), new TreeSet<>(Set.of("north")), true, 3, true, true, false);
-        return Table.of(
+        return RouteTable.of(
                 "east",
                 3,
                 9,
@@ -51,15 +51,15 @@
     }
 
     @Example
-    void readsWhatIsWritten() throws TableReader.Unusable {
-        TableReader.Read read = TableReader.read(TableWriter.text(full()));
+    void readsWhatIsWritten() throws RouteTableReader.UnusableTableException {
+        RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.text(full()));
         assertEquals(full(), read.table());
         assertEquals(1, read.faults().size(), () -> read.faults().toString());
     }
 
     /** Whatever is said of restrictions and not understood forbids; so does a route with what is not known. */
     @Example
-    void whatIsNotUnderstoodForbids() throws TableReader.Unusable {
+    void whatIsNotUnderstoodForbids() throws RouteTableReader.UnusableTableException {
         for (String bad : List.of(
                 "null",
                 "[]",
@@ -74,7 +74,7 @@
                 "{\"most-sites\":1.5}",
                 "{\"retriable-only\":\"yes\"}",
                 "{\"customers-only\":true,\"not-to\":[{}]}")) {
-            TableReader.Read read = TableReader.read(table(ROUTE + ",\"restrictions\":" + bad + "}"));
+            RouteTableReader.ParsedTable read = RouteTableReader.read(table(ROUTE + ",\"restrictions\":" + bad + "}"));
             assertTrue(
                     read.table().routes().values().stream()
                             .allMatch(each -> each.restrictions().unreadable()
@@ -82,22 +82,23 @@
                     bad);
             assertEquals(1, read.faults().size(), bad);
         }
-        TableReader.Read newer =
-                TableReader.read(table(ROUTE + ",\"only-on-mondays\":true}", ROUTE + ",\"group\":\"other\"}"));
+        RouteTableReader.ParsedTable newer =
+                RouteTableReader.read(table(ROUTE + ",\"only-on-mondays\":true}", ROUTE + ",\"group\":\"other\"}"));
         assertEquals(
                 List.of("t/other/10.0.0.1:7/east"),
                 List.copyOf(newer.table().routes().keySet()));
         assertEquals(List.of("routes[0]: 'only-on-mondays' is not known"), newer.faults());
         // A name that comes twice could hide the first.
         assertThrows(
-                TableReader.Unusable.class,
-                () -> TableReader.read(table(ROUTE + ",\"restrictions\":{\"no-further\":true},\"restrictions\":{}}")));
+                RouteTableReader.UnusableTableException.class,
+                () -> RouteTableReader.read(
+                        table(ROUTE + ",\"restrictions\":{\"no-further\":true},\"restrictions\":{}}")));
         assertThrows(
-                TableReader.Unusable.class,
-                () -> TableReader.read(table().replace("\"routes\"", "\"all-forbidden\":true,\"routes\"")));
+                RouteTableReader.UnusableTableException.class,
+                () -> RouteTableReader.read(table().replace("\"routes\"", "\"all-forbidden\":true,\"routes\"")));
         assertEquals(
                 0,
-                TableReader.read(table(ROUTE + "}", ROUTE + ",\"restrictions\":{\"no-further\":true}}"))
+                RouteTableReader.read(table(ROUTE + "}", ROUTE + ",\"restrictions\":{\"no-further\":true}}"))
                         .table()
                         .routes()
                         .size());
@@ -115,21 +116,25 @@
                 table().replace("peer", "friend"),
                 table().replace("\"sequence\":2", "\"sequence\":-1"),
                 table().replace("[]", "{}"))) {
-            assertThrows(TableReader.Unusable.class, () -> TableReader.read(bad), bad);
+            assertThrows(RouteTableReader.UnusableTableException.class, () -> RouteTableReader.read(bad), bad);
         }
         List<String> many = new ArrayList<>();
-        for (int i = 0; i <= Table.MOST; i++) {
+        for (int i = 0; i <= RouteTable.MOST; i++) {
             many.add(ROUTE.replace("\"t\"", "\"t" + i + "\"") + "}");
         }
-        assertThrows(TableReader.Unusable.class, () -> TableReader.read(table(many.toArray(String[]::new))));
-        assertThrows(TableReader.Unusable.class, () -> TableReader.read(" ".repeat(TableReader.MOST_CHARACTERS + 1)));
+        assertThrows(
+                RouteTableReader.UnusableTableException.class,
+                () -> RouteTableReader.read(table(many.toArray(String[]::new))));
+        assertThrows(
+                RouteTableReader.UnusableTableException.class,
+                () -> RouteTableReader.read(" ".repeat(RouteTableReader.MOST_CHARACTERS + 1)));
     }
 
     /** A table with anything changed, cut or put in ends in a table within the bounds or in the one fault; and never allows more than it said. */
     @Property(tries = 4000, seed = "42")
     void spoiltTextsAreReadOrRefused(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
         SplittableRandom chance = new SplittableRandom(seed);
-        StringBuilder text = new StringBuilder(TableWriter.text(full()));
+        StringBuilder text = new StringBuilder(RouteTableWriter.text(full()));
         String[] words = {
             "\"",
             "{",
@@ -158,21 +163,21 @@
             }
         }
         try {
-            TableReader.Read read = TableReader.read(text.toString());
-            assertTrue(read.table().routes().size() <= Table.MOST);
+            RouteTableReader.ParsedTable read = RouteTableReader.read(text.toString());
+            assertTrue(read.table().routes().size() <= RouteTable.MOST);
             for (Route each : read.table().routes().values()) {
                 assertTrue(each.calls() >= 1
-                        && each.calls() <= TableReader.MOST_CALLS
+                        && each.calls() <= RouteTableReader.MOST_CALLS
                         && each.cost() >= 0
                         && !each.path().isEmpty()
                         && each.path().size() <= Restrictions.MOST_SITES
-                        && each.path().stream().allMatch(TableReader::isSite));
+                        && each.path().stream().allMatch(RouteTableReader::isSite));
             }
             // What is read is written and read as the same.
             assertEquals(
                     read.table(),
-                    TableReader.read(TableWriter.text(read.table())).table());
-        } catch (TableReader.Unusable e) {
+                    RouteTableReader.read(RouteTableWriter.text(read.table())).table());
+        } catch (RouteTableReader.UnusableTableException e) {
             assertTrue(
                     e.getMessage().startsWith("the table")
                             && e.getMessage().lines().count() == 1,
--- a/src/test/java/merlinlever/routes/Search.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -18,7 +18,7 @@
  * each partner at any time, each published table arrives, is overtaken or is lost, and any table held may run out. Looks at every
  * table sent and every route taken with rules of its own, and brings each state to rest, to see that all orders end alike.
  */
-final class Search {
+final class RoutingModelCheck {
 
     static final String[] SITES = {"a", "b", "c", "d"};
     private static final int N = 4, NOTHING = 0;
@@ -27,7 +27,7 @@
     final Relation[][] relations = new Relation[N][N];
 
     private final List<Restrictions> variants;
-    private final Rules[] rules = new Rules[N];
+    private final RoutingPolicy[] rules = new RoutingPolicy[N];
     /** Passes on all that it has; or even as if it were the other's own table. */
     int leaker = -1;
 
@@ -41,28 +41,34 @@
     private final Map<String, String> merges = new HashMap<>();
 
     /** @param variants of the first site's route, null for withdrawn */
-    Search(List<Restrictions> variants, Set<Rules.Intake> without, Set<Rules.Export> withoutExport) {
+    RoutingModelCheck(
+            List<Restrictions> variants,
+            Set<RoutingPolicy.ImportRule> without,
+            Set<RoutingPolicy.ExportRule> withoutExport) {
         this.variants = variants;
         for (int i = 0; i < N; i++) {
-            rules[i] = new Rules(SITES[i], without, withoutExport);
+            rules[i] = new RoutingPolicy(SITES[i], without, withoutExport);
         }
     }
 
-    static Search of(List<Restrictions> variants) {
-        return new Search(variants, EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class));
+    static RoutingModelCheck of(List<Restrictions> variants) {
+        return new RoutingModelCheck(
+                variants,
+                EnumSet.noneOf(RoutingPolicy.ImportRule.class),
+                EnumSet.noneOf(RoutingPolicy.ExportRule.class));
     }
 
     /** The second is to the first what is stated. */
-    Search link(int one, int other, Relation relation) {
+    RoutingModelCheck link(int one, int other, Relation relation) {
         relations[one][other] = relation;
         relations[other][one] = relation.seenFromThere();
         return this;
     }
 
     /** held[y][x]: what y has of x; way[x][y]: what is on its way from x to y, -1 for none; said: variants announced. */
-    private record State(int said, int[][] held, int[][] way) {
-        State copy(int nowSaid) {
-            return new State(
+    private record NetworkState(int said, int[][] held, int[][] way) {
+        NetworkState copy(int nowSaid) {
+            return new NetworkState(
                     nowSaid,
                     Arrays.stream(held).map(int[]::clone).toArray(int[][]::new),
                     Arrays.stream(way).map(int[]::clone).toArray(int[][]::new));
@@ -79,32 +85,32 @@
         return its == null ? null : new Route("t", "g", "10.0.0.1:1", 10 + said, 0, false, List.of("a"), null, its);
     }
 
-    private Merge merge(int site, int[] held) {
-        Merge merge = new Merge(rules[site]);
+    private RouteMerger merge(int site, int[] held) {
+        RouteMerger merge = new RouteMerger(rules[site]);
         for (int from = 0; from < N; from++) {
             if (relations[site][from] != null && held[from] != NOTHING) {
                 merge.put(
                         SITES[from],
                         relations[site][from],
-                        Table.of(
+                        RouteTable.of(
                                 SITES[from],
                                 1,
                                 1,
                                 relations[site][from],
                                 Duration.ofSeconds(1),
                                 contents.get(held[from])),
-                        Merge.NOBODY);
+                        RouteMerger.NOBODY);
             }
         }
         return merge;
     }
 
     /** What the site would publish to the other, as a number. */
-    private int export(State state, int site, int to) {
+    private int export(NetworkState state, int site, int to) {
         return exports.computeIfAbsent(
                 site + ">" + to + (site == 0 ? "/" + state.said : "") + Arrays.toString(state.held[site]), key -> {
                     Route own = site == 0 ? own(state.said) : null;
-                    Merge merge = merge(site, state.held[site]);
+                    RouteMerger merge = merge(site, state.held[site]);
                     List<Route> all = new ArrayList<>();
                     if (site == leaker) {
                         all.addAll(own == null ? List.of() : List.of(own));
@@ -118,7 +124,7 @@
                             }
                         }
                     } else {
-                        all = Exports.of(
+                        all = RouteExporter.of(
                                 rules[site],
                                 merge,
                                 relations[site][to],
@@ -189,15 +195,15 @@
     }
 
     void run(int most) {
-        State begin = new State(0, new int[N][N], new int[N][N]);
+        NetworkState begin = new NetworkState(0, new int[N][N], new int[N][N]);
         Arrays.stream(begin.way).forEach(each -> Arrays.fill(each, -1));
         Set<String> known = new HashSet<>(Set.of(begin.key()));
-        ArrayDeque<State> open = new ArrayDeque<>(List.of(begin));
+        ArrayDeque<NetworkState> open = new ArrayDeque<>(List.of(begin));
         while (!open.isEmpty()) {
-            State state = open.poll();
+            NetworkState state = open.poll();
             states++;
             rest(state);
-            for (State next : steps(state)) {
+            for (NetworkState next : steps(state)) {
                 if (known.size() < most && known.add(next.key())) {
                     open.add(next);
                 }
@@ -205,8 +211,8 @@
         }
     }
 
-    private List<State> steps(State state) {
-        List<State> next = new ArrayList<>();
+    private List<NetworkState> steps(NetworkState state) {
+        List<NetworkState> next = new ArrayList<>();
         if (state.said + 1 < variants.size()) {
             next.add(state.copy(state.said + 1));
         }
@@ -218,21 +224,21 @@
                 int would = export(state, x, y);
                 if (would != (state.way[x][y] >= 0 ? state.way[x][y] : state.held[y][x])) {
                     // What was on its way is overtaken: it is older when it comes.
-                    State published = state.copy(state.said);
+                    NetworkState published = state.copy(state.said);
                     published.way[x][y] = would;
                     next.add(published);
                 }
                 if (state.way[x][y] >= 0) {
-                    State arrived = state.copy(state.said);
+                    NetworkState arrived = state.copy(state.said);
                     arrived.held[y][x] = state.way[x][y];
                     arrived.way[x][y] = -1;
                     next.add(arrived);
-                    State lost = state.copy(state.said);
+                    NetworkState lost = state.copy(state.said);
                     lost.way[x][y] = -1;
                     next.add(lost);
                 }
                 if (state.held[y][x] != NOTHING) {
-                    State out = state.copy(state.said);
+                    NetworkState out = state.copy(state.said);
                     out.held[y][x] = NOTHING;
                     next.add(out);
                 }
@@ -242,8 +248,8 @@
     }
 
     /** Nothing is said any more and nothing lost: what all come to hangs on the last word alone. */
-    private void rest(State from) {
-        State state = from.copy(from.said);
+    private void rest(NetworkState from) {
+        NetworkState state = from.copy(from.said);
         boolean moved = true;
         for (int round = 0; moved && round < 40; round++) {
             moved = false;
--- a/src/test/java/merlinlever/routes/SearchTest.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import net.jqwik.api.Example;
 
-class SearchTest {
+class RoutingModelCheckTest {
 
     private static final Restrictions OPEN = Restrictions.NONE;
     private static final Restrictions ONLY =
@@ -30,7 +30,7 @@
     private static final int MOST = Integer.getInteger("merlinlever.states", 10_000);
 
     /** A circle: the first pays the second and fourth, which both pay the third. */
-    private static Search circle(Search search) {
+    private static RoutingModelCheck circle(RoutingModelCheck search) {
         return search.link(0, 1, Relation.PROVIDER)
                 .link(0, 3, Relation.PROVIDER)
                 .link(1, 2, Relation.PROVIDER)
@@ -38,7 +38,7 @@
     }
 
     /** A circle with peers in it: the first is the second's customer, which is a peer of the third; the fourth is the third's customer and the first's peer. */
-    private static Search peers(Search search) {
+    private static RoutingModelCheck peers(RoutingModelCheck search) {
         return search.link(0, 1, Relation.PROVIDER)
                 .link(1, 2, Relation.PEER)
                 .link(2, 3, Relation.CUSTOMER)
@@ -46,26 +46,28 @@
     }
 
     /** The first is the provider of the second and fourth, and these of the third: all goes down. */
-    private static Search down(Search search) {
+    private static RoutingModelCheck down(RoutingModelCheck search) {
         return search.link(0, 1, Relation.CUSTOMER)
                 .link(0, 3, Relation.CUSTOMER)
                 .link(1, 2, Relation.CUSTOMER)
                 .link(3, 2, Relation.CUSTOMER);
     }
 
-    private static List<Search> shapes(
-            List<Restrictions> variants, Set<Rules.Intake> without, Set<Rules.Export> withoutExport) {
+    private static List<RoutingModelCheck> shapes(
+            List<Restrictions> variants,
+            Set<RoutingPolicy.ImportRule> without,
+            Set<RoutingPolicy.ExportRule> withoutExport) {
         return List.of(
-                circle(new Search(variants, without, withoutExport)),
-                peers(new Search(variants, without, withoutExport)),
-                down(new Search(variants, without, withoutExport)));
+                circle(new RoutingModelCheck(variants, without, withoutExport)),
+                peers(new RoutingModelCheck(variants, without, withoutExport)),
+                down(new RoutingModelCheck(variants, without, withoutExport)));
     }
 
     @Example
     void everyOrderEndsAlikeAndNothingForbiddenIsSent() {
         int states = 0, whole = 0, walks = 0;
         for (Restrictions tight : EACH) {
-            for (Search each : shapes(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
+            for (RoutingModelCheck each : shapes(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
                 each.run(MOST);
                 assertEquals(Set.of(), each.breaches);
                 each.results.forEach((said, results) -> assertEquals(1, results.size(), () -> said + ": " + results));
@@ -83,35 +85,43 @@
 
     @Example
     void eachExportRuleThatIsLeftOutIsFound() {
-        for (Rules.Export rule : Rules.Export.values()) {
-            assertTrue(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.of(rule), -1, "sent"), "not found: " + rule);
+        for (RoutingPolicy.ExportRule rule : RoutingPolicy.ExportRule.values()) {
+            assertTrue(
+                    found(EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.of(rule), -1, "sent"),
+                    "not found: " + rule);
         }
     }
 
     @Example
     void nothingThatALeakingSitePassesOnIsTaken() {
-        assertFalse(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class), 0, ""));
-        assertFalse(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class), 1, ""));
-        assertFalse(found(EnumSet.noneOf(Rules.Intake.class), EnumSet.noneOf(Rules.Export.class), 3, ""));
+        assertFalse(found(
+                EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, ""));
+        assertFalse(found(
+                EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 1, ""));
+        assertFalse(found(
+                EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 3, ""));
     }
 
     @Example
     void eachIntakeRuleThatIsLeftOutIsFound() {
-        for (Rules.Intake rule : Rules.Intake.values()) {
+        for (RoutingPolicy.ImportRule rule : RoutingPolicy.ImportRule.values()) {
             assertTrue(
-                    found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 0, "taken")
-                            || found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 1, "taken")
-                            || found(EnumSet.of(rule), EnumSet.noneOf(Rules.Export.class), 3, "taken"),
+                    found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, "taken")
+                            || found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 1, "taken")
+                            || found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 3, "taken"),
                     "not found: " + rule);
         }
     }
 
     private static boolean found(
-            EnumSet<Rules.Intake> without, EnumSet<Rules.Export> withoutExport, int leaker, String what) {
+            EnumSet<RoutingPolicy.ImportRule> without,
+            EnumSet<RoutingPolicy.ExportRule> withoutExport,
+            int leaker,
+            String what) {
         boolean found = false;
         for (Restrictions tight : EACH) {
             for (boolean strips : leaker < 0 ? new boolean[] {false} : new boolean[] {false, true}) {
-                for (Search each : shapes(Arrays.asList(OPEN, tight), without, withoutExport)) {
+                for (RoutingModelCheck each : shapes(Arrays.asList(OPEN, tight), without, withoutExport)) {
                     each.leaker = leaker;
                     each.strips = strips;
                     each.run(400);
