--- a/src/test/java/merlinlever/routes/PartnerTest.java
+++ b/src/test/java/merlinlever/routes/RoutingTableTest.java
@@ -1,7 +1,7 @@
 package merlinlever.routes;
 
-import static merlinlever.routes.MergeTest.route;
-import static merlinlever.routes.MergeTest.table;
+import static merlinlever.routes.RouteMergerTest.route;
+import static merlinlever.routes.RouteMergerTest.table;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,26 +11,28 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.faults.Stands;
-import merlinlever.view.Standing;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.view.QuorumStatus;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
 /** What holds of a partner's word, and for how long. */
-class PartnerTest {
+class RoutingTableTest {
 
     private final List<String> told = new ArrayList<>();
-    private Standing standing = Standing.WHOLE;
-    private final Routes routes = fresh();
-
-    private Routes fresh() {
-        return new Routes(
-                new Rules("me"),
-                List.of(new Routes.Stated("east", Relation.PEER), new Routes.Stated("west", Relation.PEER)),
+    private QuorumStatus standing = QuorumStatus.WHOLE;
+    private final RoutingTable routes = fresh();
+
+    private RoutingTable fresh() {
+        return new RoutingTable(
+                new RoutingPolicy("me"),
+                List.of(
+                        new RoutingTable.PartnerSettings("east", Relation.PEER),
+                        new RoutingTable.PartnerSettings("west", Relation.PEER)),
                 0.01,
-                Damping.Figures.PUBLISHED,
-                new Stands(now -> standing),
+                FlapDamping.FlapDampingSettings.PUBLISHED,
+                new FixedFleetView(now -> standing),
                 told::add);
     }
 
@@ -38,10 +40,16 @@
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private void says(double at, Table table) {
+    private void says(double at, RouteTable table) {
         routes.offer(s(at), table);
         routes.stoodBy(
-                s(at), "east", table.incarnation(), table.sequence(), TableWriter.digest(table), s(at), table.lease());
+                s(at),
+                "east",
+                table.incarnation(),
+                table.sequence(),
+                RouteTableWriter.digest(table),
+                s(at),
+                table.lease());
     }
 
     private List<Integer> costs(double at) {
@@ -51,7 +59,7 @@
                 .toList();
     }
 
-    private static Table of(long sequence, Route... all) {
+    private static RouteTable of(long sequence, Route... all) {
         return table("east", sequence, Relation.PEER, all);
     }
 
@@ -83,9 +91,9 @@
     @Example
     void whatIsSilentIsUsedLast() {
         says(0, of(1, route("t", 1, "east")));
-        Table west = table("west", 1, Relation.PEER, route("t", 9, "west"));
+        RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(s(4), west);
-        routes.stoodBy(s(4), "west", 1, 1, TableWriter.digest(west), s(4), west.lease());
+        routes.stoodBy(s(4), "west", 1, 1, RouteTableWriter.digest(west), s(4), west.lease());
         assertEquals(List.of(1, 9), costs(4));
         assertEquals(List.of(9, 1), costs(6));
         assertEquals(List.of(9), costs(11));
@@ -93,7 +101,7 @@
 
     @Example
     void whatComesLateTwiceOrOldWidensNothing() {
-        Table first = of(1, route("t", 1, "east")), second = of(2, tight(route("t", 1, "east")));
+        RouteTable first = of(1, route("t", 1, "east")), second = of(2, tight(route("t", 1, "east")));
         says(0, first);
         says(1, second);
         assertEquals(List.of(), costs(1));
@@ -101,25 +109,25 @@
         assertEquals(List.of(), costs(2));
         assertEquals(1, told.stream().filter(line -> line.contains("older")).count());
         // Nor does its lease go on where the word is of another version.
-        assertFalse(routes.stoodBy(s(3), "east", 1, 1, TableWriter.digest(first), s(3), s(10)));
-        assertFalse(routes.stoodBy(s(3), "east", 1, 2, TableWriter.digest(first), s(3), s(10)));
+        assertFalse(routes.stoodBy(s(3), "east", 1, 1, RouteTableWriter.digest(first), s(3), s(10)));
+        assertFalse(routes.stoodBy(s(3), "east", 1, 2, RouteTableWriter.digest(first), s(3), s(10)));
     }
 
     /** Of one version there are two: the one before runs out, in no order is either taken, and it is told. */
     @Example
     void twoTablesUnderOneVersion() {
-        Table one = of(2, route("t", 1, "east"), route("t", 2, "east", "x")),
+        RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x")),
                 other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
-        for (List<Table> order : List.of(List.of(one, other), List.of(other, one))) {
-            Routes each = fresh();
-            Table before = of(1, route("t", 1, "east"));
+        for (List<RouteTable> order : List.of(List.of(one, other), List.of(other, one))) {
+            RoutingTable each = fresh();
+            RouteTable before = of(1, route("t", 1, "east"));
             each.offer(s(0), before);
-            each.stoodBy(s(0), "east", 1, 1, TableWriter.digest(before), s(0), s(10));
+            each.stoodBy(s(0), "east", 1, 1, RouteTableWriter.digest(before), s(0), s(10));
             order.forEach(table -> {
                 each.offer(s(1), table);
-                each.stoodBy(s(4), "east", 1, 2, TableWriter.digest(table), s(4), s(10));
+                each.stoodBy(s(4), "east", 1, 2, RouteTableWriter.digest(table), s(4), s(10));
             });
-            order.forEach(table -> each.stoodBy(s(5), "east", 1, 2, TableWriter.digest(table), s(5), s(10)));
+            order.forEach(table -> each.stoodBy(s(5), "east", 1, 2, RouteTableWriter.digest(table), s(5), s(10)));
             each.settle(s(9));
             assertEquals(
                     List.of(1),
@@ -140,7 +148,7 @@
     void cutOffItOnlyNarrows() {
         says(0, of(1, route("t", 1, "east"), tight(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
-        standing = Standing.FEW;
+        standing = QuorumStatus.FEW;
         says(
                 1,
                 of(
@@ -152,9 +160,9 @@
         assertEquals(List.of(3), costs(1));
         says(2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(), costs(2));
-        standing = Standing.MOST;
+        standing = QuorumStatus.MOST;
         assertEquals(List.of(1, 2, 4), costs(3));
-        standing = Standing.RETURNING;
+        standing = QuorumStatus.RETURNING;
         assertEquals(List.of(), costs(3));
     }
 
@@ -162,8 +170,8 @@
     @Property(tries = 300, seed = "43")
     void neverMoreThanWasSaidWithinALease(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Routes routes = fresh();
-        List<Table> said = new ArrayList<>();
+        RoutingTable routes = fresh();
+        List<RouteTable> said = new ArrayList<>();
         List<Double> at = new ArrayList<>();
         for (int step = 0; step < 60; step++) {
             double now = step * 0.7;
@@ -175,16 +183,16 @@
                                 : of(said.size() + 1, chance.nextBoolean() ? its : tight(its)));
                 at.add(now);
             }
-            standing = Standing.values()[chance.nextInt(5)];
+            standing = QuorumStatus.values()[chance.nextInt(5)];
             int which = chance.nextInt(said.size());
             routes.offer(s(now), said.get(which));
             if (chance.nextInt(3) == 0) {
                 // It stands by the last alone; who hears of it counts from when it asked.
-                Table last = said.get(said.size() - 1);
-                routes.stoodBy(s(now), "east", 1, last.sequence(), TableWriter.digest(last), s(now), last.lease());
+                RouteTable last = said.get(said.size() - 1);
+                routes.stoodBy(s(now), "east", 1, last.sequence(), RouteTableWriter.digest(last), s(now), last.lease());
             }
             routes.settle(s(now));
-            for (Merge.Candidate each : routes.ways(s(now), "t/records")) {
+            for (RouteMerger.Candidate each : routes.ways(s(now), "t/records")) {
                 int cost = each.route().cost();
                 // The latest version that it may come from was the last one at some moment of the lease before.
                 double until = cost + 1 < at.size() ? at.get(cost + 1) : now;
@@ -202,7 +210,7 @@
 
     @Example
     void whatComesAndGoesIsLeftOutByThePublishedFigures() {
-        Damping damping = new Damping(Damping.Figures.PUBLISHED);
+        FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.PUBLISHED);
         for (int i = 0; i < 5; i++) {
             damping.withdrawn(s(i), "r");
         }
@@ -217,10 +225,10 @@
             damping.withdrawn(s(10_000), "r");
         }
         assertFalse(damping.leftOut(s(10_000 + 3601), "r"), "never for more than an hour");
-        for (int i = 0; i < Damping.MOST + 100; i++) {
+        for (int i = 0; i < FlapDamping.MOST + 100; i++) {
             damping.changed(s(20_000), "r" + i);
         }
-        assertEquals(Damping.MOST, damping.size());
+        assertEquals(FlapDamping.MOST, damping.size());
     }
 
     @Example
--- a/src/test/java/merlinlever/routes/PartsTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Random;
 import java.util.SplittableRandom;
-import merlinlever.shared.Snapshot;
+import merlinlever.replication.VersionedEntry;
 import net.jqwik.api.Example;
 
-class PartsTest {
+class TableChunksTest {
 
-    private static Table large(long sequence, int from) {
+    private static RouteTable large(long sequence, int from) {
         List<Route> many = new ArrayList<>();
         SplittableRandom chance = new SplittableRandom(sequence);
         for (int i = from; i < from + 10_000; i++) {
@@ -30,28 +30,28 @@
                     null,
                     Restrictions.NONE));
         }
-        return Table.of("east", 1, sequence, Relation.PEER, Duration.ofSeconds(5), many);
+        return RouteTable.of("east", 1, sequence, Relation.PEER, Duration.ofSeconds(5), many);
     }
 
     @Example
     void inAnyOrderOnceAllIsThereAndNeverInHalves() {
-        Table first = large(1, 0), second = large(2, 50);
-        List<Snapshot> parts = new ArrayList<>(Parts.cut(first));
+        RouteTable first = large(1, 0), second = large(2, 50);
+        List<VersionedEntry> parts = new ArrayList<>(TableChunks.cut(first));
         assertTrue(parts.size() > 3
-                && parts.size() < Parts.MOST
-                && parts.stream().allMatch(each -> each.value().length <= Snapshot.MOST_OCTETS));
+                && parts.size() < TableChunks.MOST
+                && parts.stream().allMatch(each -> each.value().length <= VersionedEntry.MOST_OCTETS));
         Collections.shuffle(parts, new Random(5));
-        Parts gather = new Parts();
-        for (Snapshot each : parts.subList(1, parts.size())) {
+        TableChunks gather = new TableChunks();
+        for (VersionedEntry each : parts.subList(1, parts.size())) {
             assertNull(gather.came(each));
             assertNull(gather.came(each));
         }
         // Half of a later one leaves no way back to the older, and is no table either.
-        List<Snapshot> later = Parts.cut(second);
+        List<VersionedEntry> later = TableChunks.cut(second);
         assertNull(gather.came(later.get(0)));
         assertNull(gather.came(parts.get(0)));
-        Table whole = null;
-        for (Snapshot each : later) {
+        RouteTable whole = null;
+        for (VersionedEntry each : later) {
             whole = gather.came(each);
         }
         assertEquals(second, whole);
@@ -59,34 +59,34 @@
 
     @Example
     void spoiltOrMixedPartsAreNoTable() {
-        List<Snapshot> one = Parts.cut(large(1, 0)), other = Parts.cut(large(2, 50));
+        List<VersionedEntry> one = TableChunks.cut(large(1, 0)), other = TableChunks.cut(large(2, 50));
         for (int spoilt = 0; spoilt < 200; spoilt++) {
             SplittableRandom chance = new SplittableRandom(spoilt);
-            Parts gather = new Parts();
-            for (Snapshot each : one) {
+            TableChunks gather = new TableChunks();
+            for (VersionedEntry each : one) {
                 byte[] value = each.value().clone();
                 if (each == one.get(1)) {
                     value[chance.nextInt(value.length)] ^= (byte) (1 << chance.nextInt(8));
                 }
-                assertNull(gather.came(new Snapshot("east", each.topic(), 1, 1, value)));
+                assertNull(gather.came(new VersionedEntry("east", each.topic(), 1, 1, value)));
             }
         }
-        Parts gather = new Parts();
+        TableChunks gather = new TableChunks();
         for (int i = 0; i < one.size(); i++) {
             // Parts of two tables under one version.
-            Snapshot each = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
-            assertNull(gather.came(new Snapshot("east", each.topic(), 1, 1, each.value())));
+            VersionedEntry each = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
+            assertNull(gather.came(new VersionedEntry("east", each.topic(), 1, 1, each.value())));
         }
-        for (Snapshot odd : List.of(
-                new Snapshot("east", "routes.0", 9, 9, null),
-                new Snapshot("east", "routes.0", 9, 9, new byte[0]),
-                new Snapshot(
+        for (VersionedEntry odd : List.of(
+                new VersionedEntry("east", "routes.0", 9, 9, null),
+                new VersionedEntry("east", "routes.0", 9, 9, new byte[0]),
+                new VersionedEntry(
                         "east",
                         "routes.7",
                         9,
                         9,
                         "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
-                new Snapshot(
+                new VersionedEntry(
                         "east",
                         "routes.x",
                         9,
--- a/src/test/java/merlinlever/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/view/ViewBytesTest.java
@@ -13,12 +13,13 @@
     @Example
     void aViewAndADifference() {
         Fixture fixture = new Fixture("view.txt");
-        View first = View.of(View.number(3, 1), new TreeSet<>(List.of("b0", "b1", "b2")));
-        View second = View.of(View.number(3, 2), new TreeSet<>(List.of("b0", "b2", "b3")));
-        Bodies here = new Bodies();
+        MembershipView first = MembershipView.of(MembershipView.number(3, 1), new TreeSet<>(List.of("b0", "b1", "b2")));
+        MembershipView second =
+                MembershipView.of(MembershipView.number(3, 2), new TreeSet<>(List.of("b0", "b2", "b3")));
+        ViewCodec here = new ViewCodec();
         here.latest(first);
         here.latest(second);
-        Bodies there = new Bodies();
+        ViewCodec there = new ViewCodec();
         fixture.pins("whole", here.of(first, 0));
         assertEquals(first, there.read(fixture.bytes("whole")));
         there.latest(first);
--- a/src/test/java/merlinlever/view/ViewTest.java
+++ b/src/test/java/merlinlever/view/ViewTest.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.members.Views;
-import merlinlever.term.Terms;
+import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberTable;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -22,7 +22,7 @@
 
 class ViewTest {
 
-    private static final Stated STATED = Stated.usual();
+    private static final ViewSettings STATED = ViewSettings.usual();
 
     private static Duration ms(long ms) {
         return Duration.ofMillis(ms);
@@ -39,38 +39,38 @@
     @Property(tries = 60, seed = "29")
     void eachIsObservedByDistinctOthersAndFewPlacesChange(@ForAll @IntRange(min = 1, max = 120) int n) {
         TreeSet<String> names = names(n);
-        Rings rings = new Rings(names);
+        ObserverRings rings = new ObserverRings(names);
         int observed = 0;
         for (String name : names) {
             Set<String> observers = rings.observers(name);
-            assertEquals(Math.min(Rings.MOST, n - 1), observers.size());
+            assertEquals(Math.min(ObserverRings.MOST, n - 1), observers.size());
             assertFalse(observers.contains(name));
             observers.forEach(observer -> assertTrue(rings.subjects(observer).contains(name)));
             observed += rings.subjects(name).size();
         }
-        assertEquals(n * Math.min(Rings.MOST, n - 1), observed);
+        assertEquals(n * Math.min(ObserverRings.MOST, n - 1), observed);
         if (n > 40) {
             TreeSet<String> fewer = new TreeSet<>(names);
             fewer.remove("b7");
-            Rings after = new Rings(fewer);
+            ObserverRings after = new ObserverRings(fewer);
             int changed = 0;
             for (String name : fewer) {
                 Set<String> gone = new HashSet<>(rings.observers(name));
                 gone.removeAll(after.observers(name));
                 changed += gone.size();
             }
-            assertTrue(changed <= 4 * Rings.MOST, changed + " places changed with one member of " + n);
+            assertTrue(changed <= 4 * ObserverRings.MOST, changed + " places changed with one member of " + n);
         }
     }
 
     @Example
     void aViewComesWholeOrAsADifferenceAndNothingElsePassesForOne() {
-        Bodies here = new Bodies();
-        Bodies there = new Bodies();
-        View first = View.of(View.number(3, 1), names(5));
+        ViewCodec here = new ViewCodec();
+        ViewCodec there = new ViewCodec();
+        MembershipView first = MembershipView.of(MembershipView.number(3, 1), names(5));
         TreeSet<String> changed = names(6);
         changed.remove("b2");
-        View second = View.of(View.number(3, 2), changed);
+        MembershipView second = MembershipView.of(MembershipView.number(3, 2), changed);
         here.latest(first);
         here.latest(second);
         assertEquals(first, there.read(here.of(first, 0)));
@@ -83,40 +83,42 @@
         for (int i = 0; i < 2000; i++) {
             byte[] spoilt = difference.clone();
             spoilt[chance.nextInt(spoilt.length)] ^= 1 << chance.nextInt(7);
-            View read = Bodies.ours(spoilt) ? there.read(spoilt) : null;
+            MembershipView read = ViewCodec.ours(spoilt) ? there.read(spoilt) : null;
             assertTrue(
                     read == null || read.equals(second),
                     () -> "passed for a view: " + new String(spoilt, java.nio.charset.StandardCharsets.US_ASCII));
         }
-        assertNotEquals(View.of(1, names(3)).digest(), View.of(2, names(3)).digest());
+        assertNotEquals(
+                MembershipView.of(1, names(3)).digest(),
+                MembershipView.of(2, names(3)).digest());
     }
 
     @Example
     void aWorseStandingIsShownAtOnceAndABetterOneWhenItLasts() {
-        Bearing bearing = new Bearing(ms(0), ms(1000));
+        QuorumStatusHysteresis bearing = new QuorumStatusHysteresis(ms(0), ms(1000));
         int changes = 0;
         for (int at = 0; at < 20_000; at += 50) {
-            changes += bearing.found(ms(at), at / 500 % 2 == 0 ? Standing.MOST : Standing.FEW) ? 1 : 0;
+            changes += bearing.found(ms(at), at / 500 % 2 == 0 ? QuorumStatus.MOST : QuorumStatus.FEW) ? 1 : 0;
         }
         assertEquals(1, changes, "it follows neither up and down");
-        assertEquals(Standing.FEW, bearing.shown());
-        assertFalse(bearing.found(ms(20_000), Standing.WHOLE));
-        assertTrue(bearing.found(ms(21_050), Standing.MOST));
-        assertTrue(bearing.found(ms(21_100), Standing.ALONE));
+        assertEquals(QuorumStatus.FEW, bearing.shown());
+        assertFalse(bearing.found(ms(20_000), QuorumStatus.WHOLE));
+        assertTrue(bearing.found(ms(21_050), QuorumStatus.MOST));
+        assertTrue(bearing.found(ms(21_100), QuorumStatus.ALONE));
     }
 
     // ---- the cut
 
-    private static final class Counted {
-        final Cut cut = new Cut(STATED);
-        final View view;
-        final Rings rings;
+    private static final class CutScenario {
+        final CutDetector cut = new CutDetector(STATED);
+        final MembershipView view;
+        final ObserverRings rings;
         final int most;
         int number;
 
-        Counted(int n, int voters) {
-            view = View.of(View.number(1, 1), names(n));
-            rings = new Rings(view.members());
+        CutScenario(int n, int voters) {
+            view = MembershipView.of(MembershipView.number(1, 1), names(n));
+            rings = new ObserverRings(view.members());
             most = voters / 2 + 1;
         }
 
@@ -140,7 +142,7 @@
                         view,
                         rings,
                         most,
-                        name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0),
+                        name -> new MemberTable.MemberRecord(name, "g", "-", MemberTable.MemberStatus.ALIVE, 0),
                         ms(4000));
                 if (next != null) {
                     return new TreeSet<>(next);
@@ -153,8 +155,8 @@
     @Example
     void oneObserverOrTwoTakeNobodyOutAndMostDo() {
         for (int n : new int[] {5, 9, 40}) {
-            Counted few = new Counted(n, 5);
-            int low = Rings.low(few.rings.observers("b3").size());
+            CutScenario few = new CutScenario(n, 5);
+            int low = ObserverRings.low(few.rings.observers("b3").size());
             List<String> observers = new ArrayList<>(few.rings.observers("b3"));
             assertNull(few.play(
                     0,
@@ -163,13 +165,14 @@
                     (who, whom) -> whom.equals("b3") && observers.indexOf(who) >= 0 && observers.indexOf(who) < low));
             TreeSet<String> without = names(n);
             without.remove("b3");
-            assertEquals(without, new Counted(n, 5).play(0, 30_000, Set.of("b3"), (who, whom) -> whom.equals("b3")));
+            assertEquals(
+                    without, new CutScenario(n, 5).play(0, 30_000, Set.of("b3"), (who, whom) -> whom.equals("b3")));
         }
     }
 
     @Example
     void whatFallsTogetherIsOneChangeThoughItIsSeenInPieces() {
-        Counted some = new Counted(40, 5);
+        CutScenario some = new CutScenario(40, 5);
         Set<String> dead = Set.of("b10", "b20", "b30");
         // One is seen in full at once; the others are between the marks for two seconds more.
         long[] at = {0};
@@ -191,7 +194,7 @@
 
     @Example
     void oneThatIsDeafAccusesAllAndTakesNobodyOut() {
-        Counted all = new Counted(3, 3);
+        CutScenario all = new CutScenario(3, 3);
         // b2 holds the two others gone, but hears too few voters to be counted; the others hold each other well.
         for (long at = 0; at < 30_000; at += 100) {
             all.number++;
@@ -204,14 +207,14 @@
                     all.view,
                     all.rings,
                     2,
-                    name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0),
+                    name -> new MemberTable.MemberRecord(name, "g", "-", MemberTable.MemberStatus.ALIVE, 0),
                     ms(4000)));
         }
     }
 
     @Example
     void thoseThatHearTooFewThemselvesAreNotCounted() {
-        Counted all = new Counted(5, 5);
+        CutScenario all = new CutScenario(5, 5);
         for (long at = 0; at < 30_000; at += 100) {
             all.number++;
             for (String name : all.view.members()) {
@@ -231,7 +234,7 @@
                     all.view,
                     all.rings,
                     3,
-                    name -> new Views.Rumour(name, "g", "-", Views.Status.ALIVE, 0),
+                    name -> new MemberTable.MemberRecord(name, "g", "-", MemberTable.MemberStatus.ALIVE, 0),
                     ms(4000)));
         }
     }
@@ -241,14 +244,15 @@
     @Example
     void wordsAndBodiesThatAreNoneOrOldChangeNothing() {
         SplittableRandom chance = new SplittableRandom(7);
-        Views members = new Views("b0", "g0", "-", 1);
-        members.heard(new Views.Rumour("b1", "g1", "-", Views.Status.ALIVE, 1));
+        MemberTable members = new MemberTable("b0", "g0", "-", 1);
+        members.heard(new MemberTable.MemberRecord("b1", "g1", "-", MemberTable.MemberStatus.ALIVE, 1));
         List<String> log = new ArrayList<>();
-        Terms terms = new Terms(
+        LeaderElection terms = new LeaderElection(
                 ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 0, term -> true, chance.split(), log::add);
-        Sight sight = new Sight(ms(0), STATED, members, terms, 1 << 20, 0, term -> true, chance.split(), log::add);
-        View view = View.of(View.number(2, 1), names(3));
-        Bodies bodies = new Bodies();
+        ViewManager sight =
+                new ViewManager(ms(0), STATED, members, terms, 1 << 20, 0, term -> true, chance.split(), log::add);
+        MembershipView view = MembershipView.of(MembershipView.number(2, 1), names(3));
+        ViewCodec bodies = new ViewCodec();
         sight.carried(ms(50), "b1", bodies.of(view, 0));
         assertEquals(view, sight.view());
         String[] words = {
@@ -283,8 +287,8 @@
         }
         assertTrue(sight.json(ms(100)).contains("\"hears\":[]"), sight.json(ms(100)));
         // An older view, and another under the same number.
-        sight.carried(ms(200), "b1", bodies.of(View.of(View.number(1, 9), names(2)), 0));
-        sight.carried(ms(200), "b2", bodies.of(View.of(view.number(), names(2)), 0));
+        sight.carried(ms(200), "b1", bodies.of(MembershipView.of(MembershipView.number(1, 9), names(2)), 0));
+        sight.carried(ms(200), "b2", bodies.of(MembershipView.of(view.number(), names(2)), 0));
         assertEquals(view, sight.view());
         assertTrue(sight.json(ms(200)).contains("\"clashes\":1"), sight.json(ms(200)));
     }
@@ -293,43 +297,45 @@
     void aNewStartTakesNothingThatALifeBeforeMayHaveBeenBeyond() {
         SplittableRandom chance = new SplittableRandom(8);
         long[] disk = {4};
-        Terms terms = new Terms(
+        LeaderElection terms = new LeaderElection(
                 ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 4, term -> true, chance.split(), line -> {});
-        Sight sight = new Sight(
+        ViewManager sight = new ViewManager(
                 ms(0),
                 STATED,
-                new Views("b0", "g0", "-", 1),
+                new MemberTable("b0", "g0", "-", 1),
                 terms,
                 1,
                 4,
                 term -> term <= disk[0],
                 chance.split(),
                 line -> {});
-        Bodies bodies = new Bodies();
-        sight.carried(ms(50), "b1", bodies.of(View.of(View.number(4, 2), names(3)), 0));
+        ViewCodec bodies = new ViewCodec();
+        sight.carried(ms(50), "b1", bodies.of(MembershipView.of(MembershipView.number(4, 2), names(3)), 0));
         sight.look(ms(100));
-        assertEquals(View.NONE, sight.view(), "of the term on the disk, told by one that does not lead it");
-        sight.carried(ms(150), "b1", bodies.of(View.of(View.number(5, 1), names(3)), 0));
+        assertEquals(MembershipView.NONE, sight.view(), "of the term on the disk, told by one that does not lead it");
+        sight.carried(ms(150), "b1", bodies.of(MembershipView.of(MembershipView.number(5, 1), names(3)), 0));
         sight.look(ms(200));
-        assertEquals(View.NONE, sight.view(), "its term is not on the disk yet");
+        assertEquals(MembershipView.NONE, sight.view(), "its term is not on the disk yet");
         disk[0] = 5;
         sight.look(ms(250));
-        assertEquals(View.number(5, 1), sight.view().number());
+        assertEquals(MembershipView.number(5, 1), sight.view().number());
     }
 
     @Example
     void theTableLetsNobodyDecideWhoMayNotAndEachActHasALine() {
-        for (Act act : Act.values()) {
-            for (Standing standing : Standing.values()) {
-                assertTrue(Permits.may(act, standing) != null);
+        for (GuardedAction act : GuardedAction.values()) {
+            for (QuorumStatus standing : QuorumStatus.values()) {
+                assertTrue(ActionPermissions.may(act, standing) != null);
             }
         }
-        for (Standing standing :
-                new Standing[] {Standing.FEW, Standing.ALONE, Standing.DISAGREEING, Standing.RETURNING}) {
-            assertEquals(Permits.May.NO, Permits.may(Act.DECIDE, standing));
-            assertEquals(Permits.May.NO, Permits.may(Act.GRANT, standing));
-            assertEquals(Permits.May.YES, Permits.may(Act.TIGHTEN, standing));
+        for (QuorumStatus standing : new QuorumStatus[] {
+            QuorumStatus.FEW, QuorumStatus.ALONE, QuorumStatus.DISAGREEING, QuorumStatus.RETURNING
+        }) {
+            assertEquals(ActionPermissions.Permission.NO, ActionPermissions.may(GuardedAction.DECIDE, standing));
+            assertEquals(ActionPermissions.Permission.NO, ActionPermissions.may(GuardedAction.GRANT, standing));
+            assertEquals(ActionPermissions.Permission.YES, ActionPermissions.may(GuardedAction.TIGHTEN, standing));
         }
-        assertEquals(Permits.May.NO, Permits.may(Act.SERVE, Standing.RETURNING));
+        assertEquals(
+                ActionPermissions.Permission.NO, ActionPermissions.may(GuardedAction.SERVE, QuorumStatus.RETURNING));
     }
 }
--- a/src/test/java/merlinlever/zone/client/ClientTest.java
+++ b/src/test/java/merlinlever/zone/client/DnsClientTest.java
@@ -20,28 +20,28 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import merlinlever.faults.proc.Ports;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.wire.Message;
+import merlinlever.faults.process.PortAllocator;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.state.UpdateEntry;
+import merlinlever.zone.wire.DnsMessage;
+import merlinlever.zone.wire.MessageWriter;
 import merlinlever.zone.wire.Tsig;
-import merlinlever.zone.wire.Writer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** The client before a stand-in that answers wrongly in each way that the protocol allows to be wrong. */
-class ClientTest {
+class DnsClientTest {
 
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
     private static final Duration PATIENCE = Duration.ofMillis(900);
 
-    private Loop loop;
-    private Asker asker;
-    private Tsig.Key key;
+    private EventLoop loop;
+    private DnsClient asker;
+    private Tsig.TsigKey key;
     private DatagramSocket udp;
     private ServerSocket tcp;
     private final AtomicInteger came = new AtomicInteger();
@@ -53,11 +53,11 @@
 
     @BeforeEach
     void start() throws Exception {
-        loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        asker = new Asker(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
-        key = new Tsig.Key(Names.absolute("k."), "hmac-sha256", SECRET);
+        loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        asker = new DnsClient(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
+        key = new Tsig.TsigKey(DomainNames.absolute("k."), "hmac-sha256", SECRET);
         new Thread(loop::run).start();
-        udp = new DatagramSocket(Ports.free(), InetAddress.getLoopbackAddress());
+        udp = new DatagramSocket(PortAllocator.free(), InetAddress.getLoopbackAddress());
         tcp = new ServerSocket(udp.getLocalPort(), 5, InetAddress.getLoopbackAddress());
     }
 
@@ -114,8 +114,8 @@
     }
 
     private static byte[] answer(byte[] asked, int id, int code, int flags) throws Exception {
-        Message message = Message.read(asked);
-        return new Writer(id, Message.RESPONSE | flags | message.operation() << 11 | code, Message.MOST)
+        DnsMessage message = DnsMessage.read(asked);
+        return new MessageWriter(id, DnsMessage.RESPONSE | flags | message.operation() << 11 | code, DnsMessage.MOST)
                 .question(message.name(), message.type(), message.dclass())
                 .done();
     }
@@ -125,20 +125,21 @@
                         answer,
                         key,
                         System.currentTimeMillis() / 1000,
-                        Message.read(asked).signature().mac())
+                        DnsMessage.read(asked).signature().mac())
                 .octets();
     }
 
     private static byte[] update() throws Exception {
-        return Updates.message(
-                Names.absolute("example.org."),
+        return UpdateMessages.message(
+                DomainNames.absolute("example.org."),
                 List.of(),
-                List.of(new Entry(Names.absolute("a.example.org."), Types.A, Types.IN, 1, new byte[4])),
+                List.of(new UpdateEntry(
+                        DomainNames.absolute("a.example.org."), RecordTypes.A, RecordTypes.IN, 1, new byte[4])),
                 null);
     }
 
-    private Answered ask(Tsig.Key with) throws Exception {
-        CompletableFuture<Answered> ended = new CompletableFuture<>();
+    private ExchangeResult ask(Tsig.TsigKey with) throws Exception {
+        CompletableFuture<ExchangeResult> ended = new CompletableFuture<>();
         byte[] update = update();
         InetSocketAddress to = (InetSocketAddress) udp.getLocalSocketAddress();
         loop.execute(() -> asker.ask(to, update, with, PATIENCE, ended::complete));
@@ -148,7 +149,7 @@
     @Test
     void onlyTheAnswerToTheQuestionFromTheServerWithItsSignatureCounts() throws Exception {
         datagrams((asked, from) -> {
-            int id = Message.id(asked);
+            int id = DnsMessage.id(asked);
             // A wrong id, another address, no signature, one of another question, one cut, then the right one.
             send(signed(asked, answer(asked, id ^ 1, 5, 0)), from);
             try (DatagramSocket other = new DatagramSocket()) {
@@ -175,7 +176,7 @@
             first[0] = first[0] == null ? asked : first[0];
             assertTrue(Arrays.equals(first[0], asked));
         });
-        assertEquals(Answered.Way.LOST, ask(key).way());
+        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(key).way());
         assertTrue(came.get() >= 2 && came.get() <= 5, "" + came.get());
     }
 
@@ -183,34 +184,34 @@
     void aKeyThatIsNotTakenIsToldApartFromSilence() throws Exception {
         datagrams((asked, from) -> send(
                 Tsig.unsignedError(
-                        answer(asked, Message.id(asked), 9, 0),
-                        Message.read(asked).signature(),
+                        answer(asked, DnsMessage.id(asked), 9, 0),
+                        DnsMessage.read(asked).signature(),
                         Tsig.BADKEY),
                 from));
-        assertEquals(Answered.Way.KEY_REFUSED, ask(key).way());
+        assertEquals(ExchangeResult.ExchangeStatus.KEY_REFUSED, ask(key).way());
     }
 
     @Test
     void aTruncatedAnswerIsFetchedOverAConnection() throws Exception {
-        datagrams((asked, from) -> send(answer(asked, Message.id(asked), 0, Message.TRUNCATED), from));
+        datagrams((asked, from) -> send(answer(asked, DnsMessage.id(asked), 0, DnsMessage.TRUNCATED), from));
         connections((asked, out, socket) -> {
-            byte[] answer = answer(asked, Message.id(asked), 3, 0);
+            byte[] answer = answer(asked, DnsMessage.id(asked), 3, 0);
             out.writeShort(answer.length);
             for (byte octet : answer) {
                 out.write(octet);
                 out.flush();
             }
         });
-        Answered answered = ask(null);
-        assertEquals(Answered.Way.ANSWERED, answered.way());
+        ExchangeResult answered = ask(null);
+        assertEquals(ExchangeResult.ExchangeStatus.ANSWERED, answered.way());
         assertEquals(3, answered.message().code());
     }
 
     @Test
     void halfAnAnswerOrOneThatTakesForEverIsLost() throws Exception {
-        datagrams((asked, from) -> send(answer(asked, Message.id(asked), 0, Message.TRUNCATED), from));
+        datagrams((asked, from) -> send(answer(asked, DnsMessage.id(asked), 0, DnsMessage.TRUNCATED), from));
         connections((asked, out, socket) -> {
-            byte[] answer = answer(asked, Message.id(asked), 0, 0);
+            byte[] answer = answer(asked, DnsMessage.id(asked), 0, 0);
             out.writeShort(answer.length);
             out.write(answer, 0, 10);
             out.flush();
@@ -219,50 +220,52 @@
             }
         });
         long began = System.nanoTime();
-        assertEquals(Answered.Way.LOST, ask(null).way());
+        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(null).way());
         assertTrue(System.nanoTime() - began >= 700_000_000L);
-        assertEquals(Answered.Way.LOST, ask(null).way());
+        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(null).way());
     }
 
     @Test
     void nobodyThereIsUnreachable() throws Exception {
         tcp.close();
-        datagrams((asked, from) -> send(answer(asked, Message.id(asked), 0, Message.TRUNCATED), from));
-        assertEquals(Answered.Way.UNREACHABLE, ask(null).way());
+        datagrams((asked, from) -> send(answer(asked, DnsMessage.id(asked), 0, DnsMessage.TRUNCATED), from));
+        assertEquals(ExchangeResult.ExchangeStatus.UNREACHABLE, ask(null).way());
     }
 
-    private Fetch.Fetched fetch(Talk talk) throws Exception {
+    private ZoneFetcher.FetchResult fetch(Talk talk) throws Exception {
         connections(talk);
-        CompletableFuture<Fetch.Fetched> ended = new CompletableFuture<>();
-        byte[] origin = Names.absolute("example.org.");
+        CompletableFuture<ZoneFetcher.FetchResult> ended = new CompletableFuture<>();
+        byte[] origin = DomainNames.absolute("example.org.");
         InetSocketAddress to = (InetSocketAddress) udp.getLocalSocketAddress();
-        loop.execute(() -> Fetch.zone(asker, to, origin, key, ended::complete));
+        loop.execute(() -> ZoneFetcher.zone(asker, to, origin, key, ended::complete));
         return ended.get(9, TimeUnit.SECONDS);
     }
 
     private static byte[] part(byte[] asked, boolean first, boolean last, int records) throws Exception {
-        Message message = Message.read(asked);
+        DnsMessage message = DnsMessage.read(asked);
         byte[] soa = new byte[22];
-        Writer out = new Writer(message.id(), Message.RESPONSE, Message.MOST);
+        MessageWriter out = new MessageWriter(message.id(), DnsMessage.RESPONSE, DnsMessage.MOST);
         out.question(message.name(), message.type(), message.dclass());
         if (first) {
-            out.record(1, message.name(), Types.SOA, Types.IN, 1, soa);
+            out.record(1, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
         }
         for (int i = 0; i < records; i++) {
             out.record(
-                    1, Names.absolute("n" + i + ".example.org."), Types.A, Types.IN, 1, new byte[] {1, 2, 3, (byte) i});
+                    1, DomainNames.absolute("n" + i + ".example.org."), RecordTypes.A, RecordTypes.IN, 1, new byte[] {
+                        1, 2, 3, (byte) i
+                    });
         }
         if (last) {
-            out.record(1, message.name(), Types.SOA, Types.IN, 1, soa);
+            out.record(1, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
         }
         return out.done();
     }
 
     @Test
     void aTransferIsWholeOrNothing() throws Exception {
-        Fetch.Fetched whole = fetch((asked, out, socket) -> {
-            Tsig.Chain chain =
-                    new Tsig.Chain(key, Message.read(asked).signature().mac());
+        ZoneFetcher.FetchResult whole = fetch((asked, out, socket) -> {
+            Tsig.SignatureChain chain = new Tsig.SignatureChain(
+                    key, DnsMessage.read(asked).signature().mac());
             for (int i = 0; i < 3; i++) {
                 byte[] message = chain.sign(part(asked, i == 0, i == 2, 50), System.currentTimeMillis() / 1000);
                 out.writeShort(message.length);
@@ -278,8 +281,8 @@
     void aTransferThatIsCutOrNotSignedToItsEndIsNothing() throws Exception {
         int[] round = {0};
         Talk talk = (asked, out, socket) -> {
-            Tsig.Chain chain =
-                    new Tsig.Chain(key, Message.read(asked).signature().mac());
+            Tsig.SignatureChain chain = new Tsig.SignatureChain(
+                    key, DnsMessage.read(asked).signature().mac());
             byte[] first = chain.sign(part(asked, true, false, 50), System.currentTimeMillis() / 1000);
             out.writeShort(first.length);
             out.write(first);
@@ -307,7 +310,7 @@
             out.flush();
         };
         for (int i = 0; i < 4; i++) {
-            Fetch.Fetched cut = fetch(talk);
+            ZoneFetcher.FetchResult cut = fetch(talk);
             assertNull(cut.zone());
             assertTrue(cut.why().startsWith("the transfer"), cut.why());
         }
--- a/src/test/java/merlinlever/zone/client/LiveTest.java
+++ b/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
@@ -20,26 +20,26 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import merlinlever.durable.DiskFolder;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.storage.FileStateDirectory;
 import merlinlever.zone.follow.Follower;
-import merlinlever.zone.front.Counts;
-import merlinlever.zone.front.Desk;
-import merlinlever.zone.front.Front;
-import merlinlever.zone.front.Notices;
-import merlinlever.zone.front.Served;
 import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Plan;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.server.DnsServer;
+import merlinlever.zone.server.NotifySender;
+import merlinlever.zone.server.RequestProcessor;
+import merlinlever.zone.server.ServedZone;
+import merlinlever.zone.server.ZoneServerMetrics;
 import merlinlever.zone.state.RecordSet;
-import merlinlever.zone.state.Replays;
+import merlinlever.zone.state.ReplayWindow;
+import merlinlever.zone.state.UpdateEntry;
+import merlinlever.zone.state.UpdatePlan;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.text.ZoneFile;
-import merlinlever.zone.wire.Message;
+import merlinlever.zone.wire.DnsMessage;
 import merlinlever.zone.wire.Tsig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -47,7 +47,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Follower and apply before our own front on loopback sockets. */
-class LiveTest {
+class FollowerAndApplyTest {
 
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
     private static final String HEAD = "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n";
@@ -55,39 +55,40 @@
     @TempDir
     Path folder;
 
-    private Loop loop;
-    private Front front;
-    private Served served;
-    private Asker asker;
-    private Tsig.Key key;
-    private Tsig.Key next;
+    private EventLoop loop;
+    private DnsServer front;
+    private ServedZone served;
+    private DnsClient asker;
+    private Tsig.TsigKey key;
+    private Tsig.TsigKey next;
     private ZoneStore store;
-    private DiskFolder state;
+    private FileStateDirectory state;
     private final ExecutorService disk = Executors.newSingleThreadExecutor();
 
     @BeforeEach
     void start() throws Exception {
-        loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        key = new Tsig.Key(name("k."), "hmac-sha256", SECRET);
-        next = new Tsig.Key(name("n."), "hmac-sha384", SECRET);
+        loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
+        next = new Tsig.TsigKey(name("n."), "hmac-sha384", SECRET);
         byte[] origin = name("example.org.");
-        state = new DiskFolder(folder.resolve("state"));
-        store = new ZoneStore(state, origin, disk, disk, loop, line -> {}, 1000, Desk.REPLAY);
+        state = new FileStateDirectory(folder.resolve("state"));
+        store = new ZoneStore(state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY);
         store.recover(origin);
         Zone zone = read(HEAD + "a A 1.1.1.1\nb A 1.1.1.2\nc TXT c\n");
         store.first(zone);
-        served = new Served(zone, Set.of("k.", "n."), Set.of("k."), store, new Replays(Desk.REPLAY));
-        front = new Front(
+        served = new ServedZone(
+                zone, Set.of("k.", "n."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY));
+        front = new DnsServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
                 64,
                 List.of(served),
-                new Tsig.Keys(List.of(key, next)),
-                new Desk.Stated(64, Duration.ofSeconds(1), true, 1),
+                new Tsig.TsigKeyRing(List.of(key, next)),
+                new RequestProcessor.ProcessorSettings(64, Duration.ofSeconds(1), true, 1),
                 () -> System.currentTimeMillis() / 1000,
                 line -> {},
-                new Counts(new SimpleMeterRegistry()));
-        asker = new Asker(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
+                new ZoneServerMetrics(new SimpleMeterRegistry()));
+        asker = new DnsClient(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
         new Thread(loop::run).start();
     }
 
@@ -107,7 +108,7 @@
 
     private static byte[] name(String text) {
         try {
-            return Names.absolute(text);
+            return DomainNames.absolute(text);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -128,36 +129,37 @@
     private String apply(Zone wanted, boolean dryRun, Runnable afterPlan, Runnable afterFirst) throws Exception {
         CompletableFuture<String> ended = new CompletableFuture<>();
         InetSocketAddress to = front.address();
-        loop.execute(() -> Applier.start(asker, to, key, Duration.ofSeconds(3), wanted, dryRun, new Applier.Watcher() {
-            @Override
-            public void planned(Zone live, List<Plan.Batch> batches) {
-                told.add("planned " + batches.size());
-                afterPlan.run();
-            }
+        loop.execute(() -> ZoneApplier.start(
+                asker, to, key, Duration.ofSeconds(3), wanted, dryRun, new ZoneApplier.ProgressListener() {
+                    @Override
+                    public void planned(Zone live, List<UpdatePlan.Batch> batches) {
+                        told.add("planned " + batches.size());
+                        afterPlan.run();
+                    }
 
-            @Override
-            public void done(int batch) {
-                told.add("done " + batch);
-                if (batch == 0) {
-                    afterFirst.run();
-                }
-            }
+                    @Override
+                    public void done(int batch) {
+                        told.add("done " + batch);
+                        if (batch == 0) {
+                            afterFirst.run();
+                        }
+                    }
 
-            @Override
-            public void ended(int done, String why) {
-                ended.complete(done + " " + why);
-            }
-        }));
+                    @Override
+                    public void ended(int done, String why) {
+                        ended.complete(done + " " + why);
+                    }
+                }));
         return ended.get(20, TimeUnit.SECONDS);
     }
 
     private void change(String owner, byte[] data) {
-        byte[] message = Updates.message(
+        byte[] message = UpdateMessages.message(
                 name("example.org."),
                 List.of(),
                 List.of(
-                        new Entry(name(owner), Types.A, Types.CLASS_ANY, 0, null),
-                        new Entry(name(owner), Types.A, Types.IN, 60, data)),
+                        new UpdateEntry(name(owner), RecordTypes.A, RecordTypes.CLASS_ANY, 0, null),
+                        new UpdateEntry(name(owner), RecordTypes.A, RecordTypes.IN, 60, data)),
                 next);
         try {
             // On the loop already: what was put first leaves first.
@@ -205,7 +207,8 @@
         int done = Integer.parseInt(said.substring(0, 1));
         Zone half = on(() -> served.zone());
         assertTrue(done < 5 && half.records() > done * 400, half.records() + " " + said);
-        assertEquals(6, half.set(name("n02400.example.org."), Types.A).data(0)[0], "what somebody else wrote stays");
+        assertEquals(
+                6, half.set(name("n02400.example.org."), RecordTypes.A).data(0)[0], "what somebody else wrote stays");
         assertTrue(apply(wanted, false, () -> {}, () -> {}).endsWith(" null"));
         assertEquals(2502, on(() -> served.zone()).records());
     }
@@ -217,11 +220,12 @@
         int[] counts = new int[2];
         loop.execute(() -> {
             for (int i = 0; i < 80; i++) {
-                Tsig.Key with = i < 40 ? key : next;
-                byte[] message = Updates.message(
+                Tsig.TsigKey with = i < 40 ? key : next;
+                byte[] message = UpdateMessages.message(
                         name("example.org."),
                         List.of(),
-                        List.of(new Entry(name("k" + i + ".example.org."), Types.A, Types.IN, 60, new byte[4])),
+                        List.of(new UpdateEntry(
+                                name("k" + i + ".example.org."), RecordTypes.A, RecordTypes.IN, 60, new byte[4])),
                         with);
                 asker.ask(to, message, with, Duration.ofSeconds(5), answered -> {
                     counts[answered.well() ? 0 : 1]++;
@@ -236,7 +240,7 @@
     }
 
     private TreeSet<Integer> tickets() throws Exception {
-        RecordSet set = on(() -> served.zone().set(name("tickets.example.org."), Types.A));
+        RecordSet set = on(() -> served.zone().set(name("tickets.example.org."), RecordTypes.A));
         TreeSet<Integer> live = new TreeSet<>();
         for (int i = 0; set != null && i < set.size(); i++) {
             live.add((int) set.data(i)[3]);
@@ -254,10 +258,11 @@
 
     @Test
     void aNameFollowsReportsAndStaysWhenNearlyAllAreSilent() throws Exception {
-        List<Rec> records = new ArrayList<>();
+        List<ResourceRecord> records = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            records.add(new Rec(name("tickets.example.org."), Types.A, 30, new byte[] {127, 0, 1, (byte) i}));
+            records.add(new ResourceRecord(
+                    name("tickets.example.org."), RecordTypes.A, 30, new byte[] {127, 0, 1, (byte) i}));
             names.add("n" + i);
         }
         List<InetSocketAddress> servers = new ArrayList<>();
@@ -265,13 +270,13 @@
             // The first of the list takes datagrams and says nothing.
             servers.add((InetSocketAddress) silent.getLocalSocketAddress());
             servers.add(front.address());
-            FollowerLink[] link = new FollowerLink[1];
-            loop.execute(() -> link[0] = new FollowerLink(
+            FollowerDriver[] link = new FollowerDriver[1];
+            loop.execute(() -> link[0] = new FollowerDriver(
                     loop,
                     asker,
                     new Follower(
                             loop.clock().now(),
-                            new Follower.Stated(
+                            new Follower.FollowerSettings(
                                     name("tickets.example.org."),
                                     records,
                                     30,
@@ -321,7 +326,7 @@
         try (DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             other.setSoTimeout(3000);
             InetSocketAddress to = (InetSocketAddress) other.getLocalSocketAddress();
-            Notices notices = new Notices(loop, 4);
+            NotifySender notices = new NotifySender(loop, 4);
             loop.execute(() -> {
                 served.watch(zone -> notices.tell(zone, List.of(to)));
                 change("a.example.org.", new byte[] {5, 5, 5, 5});
@@ -329,8 +334,8 @@
             for (int i = 0; i < 2; i++) {
                 DatagramPacket got = new DatagramPacket(new byte[1500], 1500);
                 other.receive(got);
-                Message notice = Message.read(java.util.Arrays.copyOf(got.getData(), got.getLength()));
-                assertEquals(Message.NOTIFY, notice.operation());
+                DnsMessage notice = DnsMessage.read(java.util.Arrays.copyOf(got.getData(), got.getLength()));
+                assertEquals(DnsMessage.NOTIFY, notice.operation());
                 assertEquals(8, Zone.serial(notice.answers().get(0).data()));
                 if (i == 1) {
                     got.getData()[2] |= (byte) 0x80;
--- a/src/test/java/merlinlever/zone/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/zone/follow/FollowerTest.java
@@ -11,11 +11,11 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.state.DynamicUpdate;
 import merlinlever.zone.state.RecordSet;
-import merlinlever.zone.state.Update;
 import merlinlever.zone.state.Zone;
 import org.junit.jupiter.api.Test;
 
@@ -27,7 +27,7 @@
 
     private static byte[] name(String text) {
         try {
-            return Names.absolute(text);
+            return DomainNames.absolute(text);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -36,14 +36,14 @@
     private static final byte[] ORIGIN = name("example.org.");
     private static final byte[] NAME = name("tickets.example.org.");
 
-    private static Zone start(Rec... more) {
+    private static Zone start(ResourceRecord... more) {
         byte[] soa = new byte[22];
         soa[5] = 1;
-        List<Rec> all = new ArrayList<>(List.of(more));
-        all.add(new Rec(ORIGIN, Types.SOA, 60, soa));
-        all.add(new Rec(ORIGIN, Types.NS, 60, name("ns.example.org.")));
-        all.add(new Rec(NAME, Types.TXT, 60, new byte[] {1, 'x'}));
-        all.add(new Rec(name("other.example.org."), Types.A, 60, new byte[] {9, 9, 9, 9}));
+        List<ResourceRecord> all = new ArrayList<>(List.of(more));
+        all.add(new ResourceRecord(ORIGIN, RecordTypes.SOA, 60, soa));
+        all.add(new ResourceRecord(ORIGIN, RecordTypes.NS, 60, name("ns.example.org.")));
+        all.add(new ResourceRecord(NAME, RecordTypes.TXT, 60, new byte[] {1, 'x'}));
+        all.add(new ResourceRecord(name("other.example.org."), RecordTypes.A, 60, new byte[] {9, 9, 9, 9}));
         return Zone.of(ORIGIN, all);
     }
 
@@ -88,13 +88,13 @@
         }
 
         Follower make(String holder) {
-            List<Rec> records = new ArrayList<>();
+            List<ResourceRecord> records = new ArrayList<>();
             for (int i = 0; i < instances; i++) {
-                records.add(new Rec(NAME, Types.A, 30, new byte[] {127, 0, 1, (byte) i}));
+                records.add(new ResourceRecord(NAME, RecordTypes.A, 30, new byte[] {127, 0, 1, (byte) i}));
             }
             return new Follower(
                     now(),
-                    new Follower.Stated(
+                    new Follower.FollowerSettings(
                             NAME,
                             records,
                             30,
@@ -163,25 +163,29 @@
                 in(there, () -> step.unreachable(now()));
             } else if (fault(12)) {
                 in(2000, () -> step.lost(now()));
-            } else if (step instanceof Follower.Read read) {
+            } else if (step instanceof Follower.ReadStep read) {
                 if (fault(12) || step.server() == 1 && fault(2)) {
-                    in(there, () -> read.refused(now(), Update.REFUSED));
+                    in(there, () -> read.refused(now(), DynamicUpdate.REFUSED));
                 } else {
                     // The claim and the records are two questions: what lies between them may change.
                     in(there, () -> {
-                        List<Rec> claims = records(Names.below("_merlinlever".getBytes(), NAME), Types.TXT);
+                        List<ResourceRecord> claims =
+                                records(DomainNames.below("_merlinlever".getBytes(), NAME), RecordTypes.TXT);
                         in(
                                 1 + chance.nextInt(faults ? 300 : 2),
-                                () -> read.answered(now(), new Seen(zone.serial(), claims, records(NAME, Types.A))));
+                                () -> read.answered(
+                                        now(),
+                                        new ObservedRecords(zone.serial(), claims, records(NAME, RecordTypes.A))));
                     });
                 }
-            } else if (step instanceof Follower.Write write) {
+            } else if (step instanceof Follower.WriteStep write) {
                 boolean answerLost = fault(8);
                 if (fault(10)) {
                     in(
                             there,
                             () -> write.answered(
-                                    now(), faults && chance.nextBoolean() ? Update.SERVFAIL : Update.REFUSED));
+                                    now(),
+                                    faults && chance.nextBoolean() ? DynamicUpdate.SERVFAIL : DynamicUpdate.REFUSED));
                 } else if (answerLost) {
                     in(there, () -> apply(write));
                     in(2000, () -> write.lost(now()));
@@ -198,8 +202,8 @@
             }
         }
 
-        List<Rec> records(byte[] owner, int type) {
-            List<Rec> records = new ArrayList<>();
+        List<ResourceRecord> records(byte[] owner, int type) {
+            List<ResourceRecord> records = new ArrayList<>();
             RecordSet set = zone.set(owner, type);
             if (set != null) {
                 set.each(owner, records::add);
@@ -207,8 +211,8 @@
             return records;
         }
 
-        int apply(Follower.Write write) {
-            Update.Outcome outcome = Update.judge(zone, write.prerequisites(), write.changes());
+        int apply(Follower.WriteStep write) {
+            DynamicUpdate.UpdateResult outcome = DynamicUpdate.judge(zone, write.prerequisites(), write.changes());
             if (outcome.difference() != null) {
                 TreeSet<Integer> before = set();
                 zone = outcome.zone();
@@ -222,7 +226,7 @@
 
         TreeSet<Integer> set() {
             TreeSet<Integer> set = new TreeSet<>();
-            records(NAME, Types.A).forEach(rec -> set.add((int) rec.data()[3]));
+            records(NAME, RecordTypes.A).forEach(rec -> set.add((int) rec.data()[3]));
             return set;
         }
 
@@ -230,9 +234,9 @@
             if (set().isEmpty() && !before.isEmpty()) {
                 fail("the name was emptied");
             }
-            records(NAME, Types.A).forEach(rec -> assertTrue(rec.data()[0] == 127 && rec.data()[3] < instances));
-            RecordSet txt = zone.set(NAME, Types.TXT);
-            RecordSet other = zone.set(name("other.example.org."), Types.A);
+            records(NAME, RecordTypes.A).forEach(rec -> assertTrue(rec.data()[0] == 127 && rec.data()[3] < instances));
+            RecordSet txt = zone.set(NAME, RecordTypes.TXT);
+            RecordSet other = zone.set(name("other.example.org."), RecordTypes.A);
             assertTrue(
                     txt != null && txt.size() == 1 && txt.data(0)[1] == 'x', "records that are not owned were touched");
             assertTrue(
@@ -297,13 +301,13 @@
     }
 
     private static Follower alone(SplittableRandom chance, List<String> log, double keep) {
-        List<Rec> records = new ArrayList<>();
+        List<ResourceRecord> records = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            records.add(new Rec(NAME, Types.A, 30, new byte[] {127, 0, 1, (byte) i}));
+            records.add(new ResourceRecord(NAME, RecordTypes.A, 30, new byte[] {127, 0, 1, (byte) i}));
         }
         return new Follower(
                 Duration.ZERO,
-                new Follower.Stated(
+                new Follower.FollowerSettings(
                         NAME,
                         records,
                         30,
@@ -321,10 +325,15 @@
 
     @Test
     void recordsOfSomebodyElseAreLeftAloneAndSaidSo() {
-        for (Rec foreign : new Rec[] {
-            new Rec(NAME, Types.A, 30, new byte[] {1, 2, 3, 4}),
-            new Rec(Names.below("_merlinlever".getBytes(), NAME), Types.TXT, 30, new byte[] {1, 'q'}),
-            new Rec(Names.below("_merlinlever".getBytes(), NAME), Types.TXT, 30, new Claim("other", "b", 1, 1).data())
+        for (ResourceRecord foreign : new ResourceRecord[] {
+            new ResourceRecord(NAME, RecordTypes.A, 30, new byte[] {1, 2, 3, 4}),
+            new ResourceRecord(
+                    DomainNames.below("_merlinlever".getBytes(), NAME), RecordTypes.TXT, 30, new byte[] {1, 'q'}),
+            new ResourceRecord(
+                    DomainNames.below("_merlinlever".getBytes(), NAME),
+                    RecordTypes.TXT,
+                    30,
+                    new OwnershipClaim("other", "b", 1, 1).data())
         }) {
             List<String> log = new ArrayList<>();
             Follower follower = alone(new SplittableRandom(1), log, 0);
@@ -335,13 +344,13 @@
                     follower.heard(now, i, true);
                 }
                 Follower.Step step = follower.settle(now);
-                if (step instanceof Follower.Read read) {
+                if (step instanceof Follower.ReadStep read) {
                     read.answered(
                             now,
-                            new Seen(
+                            new ObservedRecords(
                                     zone.serial(),
-                                    foreign.type() == Types.TXT ? List.of(foreign) : List.of(),
-                                    foreign.type() == Types.A ? List.of(foreign) : List.of()));
+                                    foreign.type() == RecordTypes.TXT ? List.of(foreign) : List.of(),
+                                    foreign.type() == RecordTypes.A ? List.of(foreign) : List.of()));
                 } else {
                     assertTrue(step == null, "wrote");
                 }
@@ -352,7 +361,7 @@
 
     @Test
     void oneThatComesAndGoesIsKeptAwayAndTheOthersAreNotChanged() {
-        Fleet fleet = new Fleet(2, Duration.ofSeconds(3), Duration.ofSeconds(60));
+        InstanceTracker fleet = new InstanceTracker(2, Duration.ofSeconds(3), Duration.ofSeconds(60));
         int shown = 0;
         boolean was = false;
         for (int s = 0; s < 600; s++) {
--- a/src/test/java/merlinlever/zone/journal/MemoryFolder.java
+++ b/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
@@ -7,10 +7,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.durable.Folder;
+import merlinlever.storage.StateDirectory;
 
 /** A folder in memory that remembers what was forced, and loses of the rest what a kill loses. */
-final class MemoryFolder implements Folder {
+final class InMemoryStateDirectory implements StateDirectory {
 
     private static final class Content {
         byte[] octets = {};
@@ -22,8 +22,8 @@
     long room = Long.MAX_VALUE;
 
     /** What is left after the machine went down: of each file what was forced, and so much more of it as is said. */
-    MemoryFolder after(int unforcedKept) {
-        MemoryFolder left = new MemoryFolder();
+    InMemoryStateDirectory after(int unforcedKept) {
+        InMemoryStateDirectory left = new InMemoryStateDirectory();
         files.forEach((name, content) -> {
             Content kept = new Content();
             kept.octets = Arrays.copyOf(content.octets, Math.min(content.octets.length, content.forced + unforcedKept));
@@ -61,9 +61,9 @@
     }
 
     @Override
-    public Out append(String name) {
+    public AppendableFile append(String name) {
         Content content = files.computeIfAbsent(name, n -> new Content());
-        return new Out() {
+        return new AppendableFile() {
             @Override
             public long length() {
                 return content.octets.length;
--- a/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
@@ -6,12 +6,12 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import merlinlever.compatibility.Fixture;
-import merlinlever.zone.record.Names;
+import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
 import org.junit.jupiter.api.Test;
 
@@ -21,7 +21,7 @@
     private final ArrayDeque<Runnable> work = new ArrayDeque<>();
     private final Fixture fixture = new Fixture("zone.txt");
 
-    private ZoneStore store(MemoryFolder folder, byte[] origin) {
+    private ZoneStore store(InMemoryStateDirectory folder, byte[] origin) {
         return new ZoneStore(folder, origin, work::add, work::add, Runnable::run, line -> {}, 2, 600);
     }
 
@@ -33,27 +33,31 @@
 
     @Test
     void theSnapshotAndTheJournal() throws Exception {
-        byte[] origin = Names.absolute("example.org.");
+        byte[] origin = DomainNames.absolute("example.org.");
         Zone zone = Zone.of(
                 origin,
                 List.of(
-                        new Rec(
+                        new ResourceRecord(
                                 origin,
-                                Types.SOA,
+                                RecordTypes.SOA,
                                 60,
-                                Rdata.fromText(Types.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
-                        new Rec(origin, Types.NS, 60, Names.absolute("ns.example.org."))));
-        MemoryFolder folder = new MemoryFolder();
+                                Rdata.fromText(
+                                        RecordTypes.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
+                        new ResourceRecord(origin, RecordTypes.NS, 60, DomainNames.absolute("ns.example.org."))));
+        InMemoryStateDirectory folder = new InMemoryStateDirectory();
         ZoneStore store = store(folder, origin);
         assertNull(store.recover(origin));
         store.first(zone);
         for (int i = 1; i <= 3; i++) {
-            Update.Outcome outcome = Update.judge(
+            DynamicUpdate.UpdateResult outcome = DynamicUpdate.judge(
                     zone,
                     List.of(),
-                    List.of(new Entry(Names.absolute("n" + i + ".example.org."), Types.A, Types.IN, 60, new byte[] {
-                        10, 0, 0, (byte) i
-                    })));
+                    List.of(new UpdateEntry(
+                            DomainNames.absolute("n" + i + ".example.org."),
+                            RecordTypes.A,
+                            RecordTypes.IN,
+                            60,
+                            new byte[] {10, 0, 0, (byte) i})));
             zone = outcome.zone();
             store.put(1_700_000_000L + i, new byte[] {(byte) i, 7}, outcome.difference(), well -> {});
             work();
@@ -63,12 +67,12 @@
             }
         }
         assertEquals(List.of("example.org..journal.0000000000000002", "example.org..snapshot"), folder.names());
-        MemoryFolder before = new MemoryFolder();
+        InMemoryStateDirectory before = new InMemoryStateDirectory();
         for (String name : folder.names()) {
             fixture.pins(name, folder.read(name));
             before.put(name, fixture.bytes(name));
         }
-        ZoneStore.Recovered recovered = store(before, origin).recover(origin);
+        ZoneStore.RecoveredZone recovered = store(before, origin).recover(origin);
         assertEquals(zone.serial(), recovered.zone().serial());
         assertEquals(zone.records(), recovered.zone().records());
         assertEquals(3, recovered.marks().size());
--- a/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
@@ -11,14 +11,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.durable.Folder;
-import merlinlever.zone.record.Names;
+import merlinlever.storage.StateDirectory;
+import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Entry;
-import merlinlever.zone.state.Update;
+import merlinlever.zone.state.DynamicUpdate;
+import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
 import org.junit.jupiter.api.Test;
 
@@ -32,7 +32,7 @@
 
     private static byte[] name(String text) {
         try {
-            return Names.absolute(text);
+            return DomainNames.absolute(text);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -42,15 +42,16 @@
         return Zone.of(
                 origin,
                 List.of(
-                        new Rec(
+                        new ResourceRecord(
                                 origin,
-                                Types.SOA,
+                                RecordTypes.SOA,
                                 60,
-                                Rdata.fromText(Types.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
-                        new Rec(origin, Types.NS, 60, name("ns.example.org."))));
+                                Rdata.fromText(
+                                        RecordTypes.SOA, List.of("ns", "host", "1", "1", "1", "1", "1"), origin)),
+                        new ResourceRecord(origin, RecordTypes.NS, 60, name("ns.example.org."))));
     }
 
-    private ZoneStore store(Folder folder, int snapshotAfter) {
+    private ZoneStore store(StateDirectory folder, int snapshotAfter) {
         return new ZoneStore(
                 folder, origin, disk::add, snapshots::add, Runnable::run, trouble::add, snapshotAfter, 600);
     }
@@ -61,9 +62,11 @@
         }
     }
 
-    private static Update.Outcome changed(Zone zone, int i) {
-        return Update.judge(
-                zone, List.of(), List.of(new Entry(name("n" + i + ".example.org."), Types.A, Types.IN, 60, new byte[] {
+    private static DynamicUpdate.UpdateResult changed(Zone zone, int i) {
+        return DynamicUpdate.judge(
+                zone,
+                List.of(),
+                List.of(new UpdateEntry(name("n" + i + ".example.org."), RecordTypes.A, RecordTypes.IN, 60, new byte[] {
                     10, 0, 0, (byte) i
                 })));
     }
@@ -74,14 +77,14 @@
 
     @Test
     void afterAKillAtAnyOctetExactlyTheAnsweredUpdatesAreThere() throws Exception {
-        MemoryFolder folder = new MemoryFolder();
+        InMemoryStateDirectory folder = new InMemoryStateDirectory();
         ZoneStore store = store(folder, 1000);
         assertNull(store.recover(origin));
         Zone zone = zone();
         store.first(zone);
         List<Zone> answered = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            Update.Outcome outcome = changed(zone, i);
+            DynamicUpdate.UpdateResult outcome = changed(zone, i);
             zone = outcome.zone();
             Zone made = zone;
             store.put(0, new byte[] {(byte) i}, outcome.difference(), well -> answered.add(made));
@@ -96,16 +99,17 @@
         disk.poll().run();
         byte[] journal = folder.read("example.org..journal.0000000000000000");
         int forced = 0;
-        List<Form.Step> steps = Recovery.read("j", journal).steps();
-        for (int i = 0, at = Form.HEADER; i < 6; i++) {
+        List<JournalFormat.JournalEntry> steps =
+                JournalRecovery.read("j", journal).steps();
+        for (int i = 0, at = JournalFormat.HEADER; i < 6; i++) {
             forced = i == 4 ? at : forced;
-            at += Form.FRONT + Form.lengthAt(journal, at);
+            at += JournalFormat.FRONT + JournalFormat.lengthAt(journal, at);
         }
         assertEquals(6, steps.size());
         for (int length = forced; length <= journal.length; length++) {
-            MemoryFolder left = folder.after(0);
+            InMemoryStateDirectory left = folder.after(0);
             left.put("example.org..journal.0000000000000000", java.util.Arrays.copyOf(journal, length));
-            ZoneStore.Recovered recovered = store(left, 1000).recover(origin);
+            ZoneStore.RecoveredZone recovered = store(left, 1000).recover(origin);
             assertTrue(recovered.steps().size() >= 4 && recovered.steps().size() <= 6, "at " + length);
             assertTrue(recovered.steps().size() > 4 || same(last, recovered.zone()));
             assertEquals(recovered.steps().size(), recovered.marks().size());
@@ -114,7 +118,7 @@
         for (int at = forced; at < journal.length; at++) {
             byte[] torn = journal.clone();
             torn[at] ^= 0x40;
-            MemoryFolder left = folder.after(0);
+            InMemoryStateDirectory left = folder.after(0);
             left.put("example.org..journal.0000000000000000", torn);
             assertTrue(store(left, 1000).recover(origin).steps().size() >= 4, "at " + at);
         }
@@ -122,30 +126,32 @@
 
     @Test
     void whatWasForcedAndIsSpoiltIsRefusedWithItsPlace() throws Exception {
-        MemoryFolder folder = new MemoryFolder();
+        InMemoryStateDirectory folder = new InMemoryStateDirectory();
         ZoneStore store = store(folder, 1000);
         store.recover(origin);
         Zone zone = zone();
         store.first(zone);
         for (int i = 0; i < 4; i++) {
-            Update.Outcome outcome = changed(zone, i);
+            DynamicUpdate.UpdateResult outcome = changed(zone, i);
             zone = outcome.zone();
             store.put(0, new byte[0], outcome.difference(), well -> {});
             work();
         }
         String name = "example.org..journal.0000000000000000";
         byte[] journal = folder.read(name);
-        int lastEntry = Form.HEADER;
+        int lastEntry = JournalFormat.HEADER;
         for (int i = 0; i < 3; i++) {
-            lastEntry += Form.FRONT + Form.lengthAt(journal, lastEntry);
+            lastEntry += JournalFormat.FRONT + JournalFormat.lengthAt(journal, lastEntry);
         }
         for (int at = 0; at < lastEntry; at++) {
             byte[] bad = journal.clone();
             bad[at] ^= 1;
-            MemoryFolder left = folder.after(0);
+            InMemoryStateDirectory left = folder.after(0);
             left.put(name, bad);
             String said = assertThrows(
-                            ZoneStore.Unusable.class, () -> store(left, 1000).recover(origin), "at " + at)
+                            ZoneStore.UnusableStateException.class,
+                            () -> store(left, 1000).recover(origin),
+                            "at " + at)
                     .getMessage();
             assertTrue(said.contains("spoilt"), said);
         }
@@ -153,18 +159,20 @@
         for (int at = 0; at < snapshot.length; at++) {
             byte[] bad = snapshot.clone();
             bad[at] ^= 1;
-            MemoryFolder left = folder.after(0);
+            InMemoryStateDirectory left = folder.after(0);
             left.put("example.org..snapshot", bad);
-            assertThrows(ZoneStore.Unusable.class, () -> store(left, 1000).recover(origin));
+            assertThrows(ZoneStore.UnusableStateException.class, () -> store(left, 1000)
+                    .recover(origin));
         }
-        MemoryFolder left = folder.after(0);
+        InMemoryStateDirectory left = folder.after(0);
         left.delete("example.org..snapshot");
-        assertThrows(ZoneStore.Unusable.class, () -> store(left, 1000).recover(origin));
+        assertThrows(
+                ZoneStore.UnusableStateException.class, () -> store(left, 1000).recover(origin));
     }
 
     @Test
     void aFullDiskTurnsAwayAllThatStoodOnItAndWorksAgainLater() throws Exception {
-        MemoryFolder folder = new MemoryFolder();
+        InMemoryStateDirectory folder = new InMemoryStateDirectory();
         ZoneStore store = store(folder, 1000);
         store.recover(origin);
         Zone zone = zone();
@@ -173,7 +181,7 @@
         List<Boolean> heard = new ArrayList<>();
         Zone staged = zone;
         for (int i = 0; i < 3; i++) {
-            Update.Outcome outcome = changed(staged, i);
+            DynamicUpdate.UpdateResult outcome = changed(staged, i);
             staged = outcome.zone();
             store.put(0, new byte[0], outcome.difference(), heard::add);
         }
@@ -194,7 +202,7 @@
     void snapshotsBoundTheJournalAndAKillBetweenAnyTwoStepsLosesNothing() throws Exception {
         SplittableRandom chance = new SplittableRandom(3);
         for (int round = 0; round < 300; round++) {
-            MemoryFolder folder = new MemoryFolder();
+            InMemoryStateDirectory folder = new InMemoryStateDirectory();
             disk.clear();
             snapshots.clear();
             ZoneStore store = store(folder, 3);
@@ -206,7 +214,7 @@
             for (int i = 0; i < steps; i++) {
                 int what = chance.nextInt(3);
                 if (what == 0) {
-                    Update.Outcome outcome = changed(staged, i);
+                    DynamicUpdate.UpdateResult outcome = changed(staged, i);
                     staged = outcome.zone();
                     Zone made = staged;
                     store.put(0, new byte[0], outcome.difference(), well -> {
@@ -219,8 +227,8 @@
                     (what == 1 ? disk : snapshots).poll().run();
                 }
             }
-            MemoryFolder left = folder.after(0);
-            ZoneStore.Recovered recovered = store(left, 3).recover(origin);
+            InMemoryStateDirectory left = folder.after(0);
+            ZoneStore.RecoveredZone recovered = store(left, 3).recover(origin);
             assertNotNull(recovered);
             assertTrue(same(answered[0], recovered.zone()), "round " + round);
             work();
--- a/src/test/java/merlinlever/zone/front/ServedFront.java
+++ b/src/test/java/merlinlever/zone/server/DnsServerFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.net.InetSocketAddress;
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import merlinlever.durable.DiskFolder;
-import merlinlever.net.Clock;
-import merlinlever.net.Loop;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.storage.FileStateDirectory;
 import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.state.Replays;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.state.ReplayWindow;
 import merlinlever.zone.text.ZoneFile;
 import merlinlever.zone.wire.Tsig;
 import org.junit.jupiter.api.AfterEach;
@@ -28,7 +28,7 @@
 import org.xbill.DNS.TSIG;
 
 /** The whole front on loopback sockets; the other side is the library, which knows nothing of our own reading and signing. */
-abstract class ServedFront {
+abstract class DnsServerFixture {
 
     static final String ZONE =
             """
@@ -50,10 +50,10 @@
     @TempDir
     Path folder;
 
-    Loop loop;
-    Front front;
-    Served zone;
-    DiskFolder state;
+    EventLoop loop;
+    DnsServer front;
+    ServedZone zone;
+    FileStateDirectory state;
     ZoneStore store;
     final ExecutorService threads = Executors.newCachedThreadPool();
     InetSocketAddress address;
@@ -62,38 +62,45 @@
     @BeforeEach
     void start() throws Exception {
         Path file = Files.writeString(folder.resolve("z"), ZONE);
-        loop = new Loop(Clock.system(), Throwable::printStackTrace);
-        byte[] origin = Names.absolute("example.org.");
-        state = new DiskFolder(folder.resolve("state"));
+        loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
+        byte[] origin = DomainNames.absolute("example.org.");
+        state = new FileStateDirectory(folder.resolve("state"));
         store = new ZoneStore(
-                state, origin, Executors.newSingleThreadExecutor(), threads, loop, line -> {}, 50, Desk.REPLAY);
-        ZoneStore.Recovered recovered = store.recover(origin);
-        Replays replays = new Replays(Desk.REPLAY);
+                state,
+                origin,
+                Executors.newSingleThreadExecutor(),
+                threads,
+                loop,
+                line -> {},
+                50,
+                RequestProcessor.REPLAY);
+        ZoneStore.RecoveredZone recovered = store.recover(origin);
+        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY);
         if (recovered == null) {
             store.first(ZoneFile.read(file, origin));
         } else {
             recovered.marks().forEach(mark -> replays.add(mark.at(), mark.mark()));
         }
-        zone = new Served(
+        zone = new ServedZone(
                 recovered == null ? ZoneFile.read(file, origin) : recovered.zone(),
                 Set.of("updater.", "next."),
                 Set.of("updater."),
                 store,
                 replays);
-        List<Tsig.Key> keys = List.of(
-                new Tsig.Key(Names.absolute("updater."), "hmac-sha256", SECRET),
-                new Tsig.Key(Names.absolute("next."), "hmac-sha512", new byte[48]),
-                new Tsig.Key(Names.absolute("reader."), "hmac-sha256", new byte[48]));
-        front = new Front(
+        List<Tsig.TsigKey> keys = List.of(
+                new Tsig.TsigKey(DomainNames.absolute("updater."), "hmac-sha256", SECRET),
+                new Tsig.TsigKey(DomainNames.absolute("next."), "hmac-sha512", new byte[48]),
+                new Tsig.TsigKey(DomainNames.absolute("reader."), "hmac-sha256", new byte[48]));
+        front = new DnsServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
                 8,
                 List.of(zone),
-                new Tsig.Keys(keys),
-                new Desk.Stated(64, Duration.ofMillis(200), true, 1),
+                new Tsig.TsigKeyRing(keys),
+                new RequestProcessor.ProcessorSettings(64, Duration.ofMillis(200), true, 1),
                 () -> System.currentTimeMillis() / 1000 + unixAhead,
                 line -> {},
-                new Counts(new SimpleMeterRegistry()));
+                new ZoneServerMetrics(new SimpleMeterRegistry()));
         address = front.address();
         threads.execute(loop::run);
     }
--- a/src/test/java/merlinlever/zone/front/FrontTest.java
+++ b/src/test/java/merlinlever/zone/server/DnsServerTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.front;
+package merlinlever.zone.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -17,7 +17,7 @@
 import java.util.Arrays;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinlever.zone.record.Names;
+import merlinlever.zone.record.DomainNames;
 import org.junit.jupiter.api.Test;
 import org.xbill.DNS.ARecord;
 import org.xbill.DNS.Flags;
@@ -32,7 +32,7 @@
 import org.xbill.DNS.ZoneTransferIn;
 
 /** What the whole front does on loopback sockets. */
-class FrontTest extends ServedFront {
+class DnsServerTest extends DnsServerFixture {
 
     private static Update update() throws Exception {
         return new Update(new Name("example.org."));
@@ -310,7 +310,7 @@
             CompletableFuture<Boolean> answered = new CompletableFuture<>();
             loop.execute(() -> answered.complete(front.answered()));
             assertTrue(answered.get(1, TimeUnit.SECONDS));
-            assertNull(zone.zone().set(Names.absolute("late.example.org."), Type.A));
+            assertNull(zone.zone().set(DomainNames.absolute("late.example.org."), Type.A));
         }
     }
 
--- a/src/test/java/merlinlever/zone/state/IndexTest.java
+++ b/src/test/java/merlinlever/zone/state/CopyOnWriteBTreeTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class IndexTest {
+class CopyOnWriteBTreeTest {
 
     private static byte[] key(SplittableRandom chance, int spread) {
         byte[] key = new byte[chance.nextInt(4)];
@@ -25,7 +25,7 @@
     }
 
     private static void same(
-            TreeMap<byte[], Integer> model, Index<Integer> index, SplittableRandom chance, int spread) {
+            TreeMap<byte[], Integer> model, CopyOnWriteBTree<Integer> index, SplittableRandom chance, int spread) {
         assertEquals(model.size(), index.size());
         List<Map.Entry<byte[], Integer>> all = new ArrayList<>(model.entrySet());
         int[] at = {0};
@@ -49,7 +49,7 @@
         }
     }
 
-    private static void same(Map.Entry<byte[], Integer> wanted, Index.Entry<Integer> found) {
+    private static void same(Map.Entry<byte[], Integer> wanted, CopyOnWriteBTree.Entry<Integer> found) {
         if (wanted == null) {
             assertNull(found);
         } else {
@@ -63,9 +63,9 @@
     void isASortedMapWhoseVersionsStay(@ForAll long seed, @ForAll @IntRange(min = 2, max = 200) int spread) {
         SplittableRandom chance = new SplittableRandom(seed);
         TreeMap<byte[], Integer> model = new TreeMap<>(Arrays::compareUnsigned);
-        Index<Integer> index = Index.empty();
+        CopyOnWriteBTree<Integer> index = CopyOnWriteBTree.empty();
         TreeMap<byte[], Integer> oldModel = null;
-        Index<Integer> old = null;
+        CopyOnWriteBTree<Integer> old = null;
         for (int phase = 0; phase < 4; phase++) {
             int adds = phase % 2 == 0 ? 8 : 2;
             for (int i = 0; i < 600; i++) {
@@ -89,6 +89,10 @@
             oldModel = new TreeMap<>(model);
             old = index;
         }
-        same(model, Index.of(new ArrayList<>(model.keySet()), new ArrayList<>(model.values())), chance, spread);
+        same(
+                model,
+                CopyOnWriteBTree.of(new ArrayList<>(model.keySet()), new ArrayList<>(model.values())),
+                chance,
+                spread);
     }
 }
--- a/src/test/java/merlinlever/zone/state/LookupTest.java
+++ b/src/test/java/merlinlever/zone/state/LookupTest.java
@@ -8,29 +8,29 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 import org.junit.jupiter.api.Test;
 
 class LookupTest {
 
     private static byte[] name(String text) {
         try {
-            return Names.absolute(text);
+            return DomainNames.absolute(text);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Zone zone(List<Rec> more) throws Exception {
+    private static Zone zone(List<ResourceRecord> more) throws Exception {
         byte[] origin = name("z.");
-        List<Rec> all = new ArrayList<>(more);
+        List<ResourceRecord> all = new ArrayList<>(more);
         byte[] soa = new byte[24];
         soa[1] = 0;
         soa[5] = 1;
-        all.add(new Rec(origin, Types.SOA, 60, soa));
-        all.add(new Rec(origin, Types.NS, 60, name("ns.z.")));
+        all.add(new ResourceRecord(origin, RecordTypes.SOA, 60, soa));
+        all.add(new ResourceRecord(origin, RecordTypes.NS, 60, name("ns.z.")));
         return Zone.of(origin, all);
     }
 
@@ -67,19 +67,19 @@
         SplittableRandom chance = new SplittableRandom(5);
         for (int round = 0; round < 400; round++) {
             TreeSet<String> names = new TreeSet<>(List.of("z."));
-            List<Rec> records = new ArrayList<>();
+            List<ResourceRecord> records = new ArrayList<>();
             for (int i = chance.nextInt(8); i >= 0; i--) {
                 String name = random(chance);
                 if (names.add(name)) {
-                    records.add(new Rec(name(name), Types.TXT, 60, (" " + name).getBytes()));
+                    records.add(new ResourceRecord(name(name), RecordTypes.TXT, 60, (" " + name).getBytes()));
                 }
             }
             Zone zone = zone(records);
             for (int i = 0; i < 60; i++) {
                 String asked = random(chance);
                 String wanted = slowly(names, asked);
-                Lookup.Answer answer = Lookup.find(zone, name(asked), Types.TXT);
-                String found = answer.code == Update.NXDOMAIN
+                Lookup.Answer answer = Lookup.find(zone, name(asked), RecordTypes.TXT);
+                String found = answer.code == DynamicUpdate.NXDOMAIN
                         ? "none"
                         : answer.answer.isEmpty()
                                 ? "empty"
@@ -92,32 +92,32 @@
     @Test
     void renamedTreesAndCutsDecideBeforeWhatIsBelowThem() throws Exception {
         Zone zone = zone(List.of(
-                new Rec(name("old.z."), Types.DNAME, 60, name("new.z.")),
-                new Rec(name("x.new.z."), Types.A, 60, new byte[4]),
-                new Rec(name("cut.z."), Types.NS, 60, name("ns.cut.z.")),
-                new Rec(name("ns.cut.z."), Types.A, 60, new byte[4]),
-                new Rec(name("cut.z."), Types.DS, 60, new byte[8]),
-                new Rec(name("loop.z."), Types.CNAME, 60, name("loop.z."))));
-        Lookup.Answer renamed = Lookup.find(zone, name("x.old.z."), Types.A);
+                new ResourceRecord(name("old.z."), RecordTypes.DNAME, 60, name("new.z.")),
+                new ResourceRecord(name("x.new.z."), RecordTypes.A, 60, new byte[4]),
+                new ResourceRecord(name("cut.z."), RecordTypes.NS, 60, name("ns.cut.z.")),
+                new ResourceRecord(name("ns.cut.z."), RecordTypes.A, 60, new byte[4]),
+                new ResourceRecord(name("cut.z."), RecordTypes.DS, 60, new byte[8]),
+                new ResourceRecord(name("loop.z."), RecordTypes.CNAME, 60, name("loop.z."))));
+        Lookup.Answer renamed = Lookup.find(zone, name("x.old.z."), RecordTypes.A);
         assertEquals(
-                List.of(Types.DNAME, Types.CNAME, Types.A),
+                List.of(RecordTypes.DNAME, RecordTypes.CNAME, RecordTypes.A),
                 renamed.answer.stream().map(shown -> shown.set().type()).toList());
-        Lookup.Answer cut = Lookup.find(zone, name("a.b.cut.z."), Types.A);
+        Lookup.Answer cut = Lookup.find(zone, name("a.b.cut.z."), RecordTypes.A);
         assertFalse(cut.authoritative);
-        assertEquals(Types.NS, cut.authority.get(0).set().type());
+        assertEquals(RecordTypes.NS, cut.authority.get(0).set().type());
         assertEquals(1, cut.additional.size());
-        assertTrue(Lookup.find(zone, name("cut.z."), Types.DS).authoritative);
-        assertEquals(8, Lookup.find(zone, name("loop.z."), Types.A).answer.size());
+        assertTrue(Lookup.find(zone, name("cut.z."), RecordTypes.DS).authoritative);
+        assertEquals(8, Lookup.find(zone, name("loop.z."), RecordTypes.A).answer.size());
     }
 
     @Test
     void serialsWrap() {
-        assertTrue(Serial.after(1, 0xffff_ffffL));
-        assertFalse(Serial.after(0xffff_ffffL, 1));
-        assertFalse(Serial.after(0x8000_0000L, 0));
-        assertFalse(Serial.after(0, 0x8000_0000L));
-        assertFalse(Serial.after(5, 5));
-        assertEquals(1, Serial.next(0xffff_ffffL));
+        assertTrue(SerialNumbers.after(1, 0xffff_ffffL));
+        assertFalse(SerialNumbers.after(0xffff_ffffL, 1));
+        assertFalse(SerialNumbers.after(0x8000_0000L, 0));
+        assertFalse(SerialNumbers.after(0, 0x8000_0000L));
+        assertFalse(SerialNumbers.after(5, 5));
+        assertEquals(1, SerialNumbers.next(0xffff_ffffL));
     }
 
     /** Any two versions: what lies between them leads from one to the other, and back. */
@@ -127,9 +127,9 @@
         for (int round = 0; round < 300; round++) {
             Zone[] zones = new Zone[2];
             for (int side = 0; side < 2; side++) {
-                List<Rec> records = new ArrayList<>();
+                List<ResourceRecord> records = new ArrayList<>();
                 for (int i = chance.nextInt(20); i >= 0; i--) {
-                    records.add(new Rec(
+                    records.add(new ResourceRecord(
                             name(random(chance)), 16 + chance.nextInt(2), 60, new byte[] {1, (byte) chance.nextInt(3)
                             }));
                 }
--- a/src/test/java/merlinlever/zone/text/ZoneFileTest.java
+++ b/src/test/java/merlinlever/zone/text/ZoneFileTest.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Rec;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.record.ResourceRecord;
 import merlinlever.zone.state.Difference;
 import merlinlever.zone.state.Zone;
 import org.junit.jupiter.api.Test;
@@ -38,7 +38,8 @@
 
     private List<String> faults(String text) throws Exception {
         Path file = Files.writeString(folder.resolve("z"), text, StandardCharsets.ISO_8859_1);
-        List<String> faults = assertThrows(ZoneFile.Rejected.class, () -> ZoneFile.read(file, null), text)
+        List<String> faults = assertThrows(
+                        ZoneFile.InvalidZoneFileException.class, () -> ZoneFile.read(file, null), text)
                 .faults();
         return faults.stream()
                 .map(fault -> fault.substring(folder.toString().length() + 1))
@@ -95,14 +96,15 @@
 
     @Test
     void whatIsNoPlainFileOrTooLargeIsRejectedAtOnce() throws Exception {
-        assertThrows(ZoneFile.Rejected.class, () -> ZoneFile.read(folder, null));
-        assertThrows(ZoneFile.Rejected.class, () -> ZoneFile.read(Path.of("/dev/zero"), null));
-        assertThrows(ZoneFile.Rejected.class, () -> ZoneFile.read(folder.resolve("none"), null));
+        assertThrows(ZoneFile.InvalidZoneFileException.class, () -> ZoneFile.read(folder, null));
+        assertThrows(ZoneFile.InvalidZoneFileException.class, () -> ZoneFile.read(Path.of("/dev/zero"), null));
+        assertThrows(ZoneFile.InvalidZoneFileException.class, () -> ZoneFile.read(folder.resolve("none"), null));
         try (RandomAccessFile large =
                 new RandomAccessFile(folder.resolve("large").toFile(), "rw")) {
             large.setLength(200L << 20);
         }
-        String said = assertThrows(ZoneFile.Rejected.class, () -> ZoneFile.read(folder.resolve("large"), null))
+        String said = assertThrows(
+                        ZoneFile.InvalidZoneFileException.class, () -> ZoneFile.read(folder.resolve("large"), null))
                 .getMessage();
         assertTrue(said.endsWith("over 160 MiB with what it includes"), said);
     }
@@ -114,8 +116,8 @@
         Files.writeString(folder.resolve("sub/more2"), "b A 1.1.1.2\n");
         Zone zone = read(HEAD + "$INCLUDE sub/more deep\nc A 1.1.1.3\n");
         assertEquals(5, zone.records());
-        assertTrue(zone.set(Names.absolute("b.deep.example.org"), Types.A) != null);
-        assertTrue(zone.set(Names.absolute("c.example.org"), Types.A) != null);
+        assertTrue(zone.set(DomainNames.absolute("b.deep.example.org"), RecordTypes.A) != null);
+        assertTrue(zone.set(DomainNames.absolute("c.example.org"), RecordTypes.A) != null);
         Files.writeString(folder.resolve("sub/more2"), "b A x\n");
         assertEquals(List.of("sub/more2:1: no IPv4 address: x"), faults(HEAD + "$INCLUDE sub/more deep\n"));
         Files.writeString(folder.resolve("sub/loop"), "$INCLUDE loop\n");
@@ -160,8 +162,8 @@
             Master master = new Master(
                     new ByteArrayInputStream(text.toString().getBytes(StandardCharsets.US_ASCII)), Name.root);
             for (Record record = master.nextRecord(); record != null; record = master.nextRecord()) {
-                theirs.add(new Rec(
-                                Names.lower(record.getName().toWire()),
+                theirs.add(new ResourceRecord(
+                                DomainNames.lower(record.getName().toWire()),
                                 record.getType(),
                                 record.getTTL(),
                                 record.rdataToWireCanonical())
@@ -197,7 +199,7 @@
             try {
                 ZoneFile.read(file, null);
                 outcomes.add(0);
-            } catch (ZoneFile.Rejected e) {
+            } catch (ZoneFile.InvalidZoneFileException e) {
                 outcomes.add(e.faults().size());
                 e.faults()
                         .forEach(fault -> assertTrue(
--- a/src/test/java/merlinlever/zone/wire/WireTest.java
+++ b/src/test/java/merlinlever/zone/wire/WireTest.java
@@ -7,9 +7,9 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.zone.record.Malformed;
-import merlinlever.zone.record.Names;
-import merlinlever.zone.record.Types;
+import merlinlever.zone.record.DomainNames;
+import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.zone.record.RecordTypes;
 import net.jqwik.api.EdgeCasesMode;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -24,28 +24,33 @@
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
 
     private static byte[] message(int records) throws Exception {
-        Writer out = new Writer(7, Message.UPDATE << 11, Message.MOST);
-        out.question(Names.absolute("example.org."), Types.SOA, Types.IN);
+        MessageWriter out = new MessageWriter(7, DnsMessage.UPDATE << 11, DnsMessage.MOST);
+        out.question(DomainNames.absolute("example.org."), RecordTypes.SOA, RecordTypes.IN);
         for (int i = 0; i < records; i++) {
-            out.record(2, Names.absolute("n" + i + ".deep.example.org."), Types.MX, Types.IN, 60, new byte[] {
-                0, 1, 1, 'x', 0
-            });
+            out.record(
+                    2,
+                    DomainNames.absolute("n" + i + ".deep.example.org."),
+                    RecordTypes.MX,
+                    RecordTypes.IN,
+                    60,
+                    new byte[] {0, 1, 1, 'x', 0});
         }
         out.edns(1232, 0, null);
         return out.done();
     }
 
-    private static Tsig.Key key() throws Exception {
-        return new Tsig.Key(Names.absolute("k."), "hmac-sha256", SECRET);
+    private static Tsig.TsigKey key() throws Exception {
+        return new Tsig.TsigKey(DomainNames.absolute("k."), "hmac-sha256", SECRET);
     }
 
     @Test
     void whatIsWrittenIsReadAndTheLibraryReadsTheSame() throws Exception {
         byte[] octets = message(200);
-        Message read = Message.read(octets);
+        DnsMessage read = DnsMessage.read(octets);
         assertEquals(200, read.authority().size());
         assertEquals(
-                "n199.deep.example.org.", Names.text(read.authority().get(199).owner()));
+                "n199.deep.example.org.",
+                DomainNames.text(read.authority().get(199).owner()));
         org.xbill.DNS.Message theirs = new org.xbill.DNS.Message(octets);
         assertEquals(200, theirs.getSection(2).size());
         assertEquals(
@@ -70,12 +75,12 @@
         }
         bad = chance.nextInt(4) == 0 ? java.util.Arrays.copyOf(bad, chance.nextInt(bad.length)) : bad;
         try {
-            Message message = Message.read(bad);
+            DnsMessage message = DnsMessage.read(bad);
             read++;
             if (message.signature() != null) {
-                Tsig.verify(message, new Tsig.Keys(List.of(key())), 1000, null);
+                Tsig.verify(message, new Tsig.TsigKeyRing(List.of(key())), 1000, null);
             }
-        } catch (Malformed e) {
+        } catch (MalformedDnsException e) {
             malformed++;
             assertFalse(e.getMessage().isEmpty());
         }
@@ -100,24 +105,24 @@
 
     @Test
     void everyOctetOfASignedMessageCounts() throws Exception {
-        Tsig.Keys keys = new Tsig.Keys(List.of(key()));
+        Tsig.TsigKeyRing keys = new Tsig.TsigKeyRing(List.of(key()));
         byte[] signed = Tsig.sign(message(2), key(), 1000, null).octets();
-        assertEquals(0, Tsig.verify(Message.read(signed), keys, 1200, null).error());
+        assertEquals(0, Tsig.verify(DnsMessage.read(signed), keys, 1200, null).error());
         assertEquals(
                 Tsig.BADTIME,
-                Tsig.verify(Message.read(signed), keys, 1301, null).error());
+                Tsig.verify(DnsMessage.read(signed), keys, 1301, null).error());
         for (int at = 0; at < signed.length; at++) {
             byte[] bad = signed.clone();
             bad[at] ^= 0x04;
             try {
-                Message message = Message.read(bad);
+                DnsMessage message = DnsMessage.read(bad);
                 // The id that the message travels under is not signed, the one in the signature is.
                 assertTrue(
                         at < 2
                                 || message.signature() == null
                                 || Tsig.verify(message, keys, 1000, null).error() != 0,
                         "octet " + at);
-            } catch (Malformed e) {
+            } catch (MalformedDnsException e) {
                 continue;
             }
         }
@@ -135,42 +140,43 @@
         byte[] octets = made.toWire(65_535);
         assertEquals(
                 0,
-                Tsig.verify(Message.read(octets), new Tsig.Keys(List.of(key())), now, null)
+                Tsig.verify(DnsMessage.read(octets), new Tsig.TsigKeyRing(List.of(key())), now, null)
                         .error());
     }
 
     @Test
     void aStreamHoldsOnlyWholeAndInOrder() throws Exception {
         byte[] mac = {1, 2, 3};
-        Tsig.Chain server = new Tsig.Chain(key(), mac);
+        Tsig.SignatureChain server = new Tsig.SignatureChain(key(), mac);
         byte[][] messages = new byte[5][];
         for (int i = 0; i < 5; i++) {
             messages[i] = server.sign(message(i), 1000);
         }
-        Tsig.Chain client = new Tsig.Chain(key(), mac);
+        Tsig.SignatureChain client = new Tsig.SignatureChain(key(), mac);
         for (byte[] each : messages) {
-            assertTrue(client.holds(Message.read(each), 1000));
+            assertTrue(client.holds(DnsMessage.read(each), 1000));
         }
         assertTrue(client.closed());
-        Tsig.Chain skipping = new Tsig.Chain(key(), mac);
-        assertTrue(skipping.holds(Message.read(messages[0]), 1000));
-        assertFalse(skipping.holds(Message.read(messages[2]), 1000));
-        Tsig.Chain unsigned = new Tsig.Chain(key(), mac);
-        assertFalse(unsigned.holds(Message.read(message(1)), 1000));
+        Tsig.SignatureChain skipping = new Tsig.SignatureChain(key(), mac);
+        assertTrue(skipping.holds(DnsMessage.read(messages[0]), 1000));
+        assertFalse(skipping.holds(DnsMessage.read(messages[2]), 1000));
+        Tsig.SignatureChain unsigned = new Tsig.SignatureChain(key(), mac);
+        assertFalse(unsigned.holds(DnsMessage.read(message(1)), 1000));
     }
 
     @Test
     void writingStopsWhereThereIsNoRoom() throws Exception {
-        Writer out = new Writer(1, 0, 100);
-        out.question(Names.absolute("example.org."), Types.A, Types.IN);
+        MessageWriter out = new MessageWriter(1, 0, 100);
+        out.question(DomainNames.absolute("example.org."), RecordTypes.A, RecordTypes.IN);
         int written = 0;
-        while (out.record(
-                1, Names.absolute("example.org."), Types.A, Types.IN, 1, new byte[] {1, 2, 3, (byte) written})) {
+        while (out.record(1, DomainNames.absolute("example.org."), RecordTypes.A, RecordTypes.IN, 1, new byte[] {
+            1, 2, 3, (byte) written
+        })) {
             written++;
         }
         byte[] octets = out.done();
         assertTrue(octets.length <= 100 && octets.length > 84);
-        assertEquals(written, Message.read(octets).answers().size());
-        assertNull(Message.read(octets).edns());
+        assertEquals(written, DnsMessage.read(octets).answers().size());
+        assertNull(DnsMessage.read(octets).edns());
     }
 }
