--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/agent/AgentLink.java
@@ -89,7 +89,7 @@
             if (this == link) {
                 log.warn("link to the agent lost: " + how + ", last notice " + lastRead);
                 link = null;
-                backend.linkLost(stood);
+                backend.agentLinkLost(stood);
             } else if (this == coming) {
                 coming = null;
             } else {
@@ -135,7 +135,7 @@
     /** A link on which questions stay unanswered for so many checks is made anew; a stall of ours is one check. */
     private void checkThatItAnswers() {
         // Before it is up the agent may take as long for its greeting as it likes.
-        boolean waits = coming != null ? backend.started() : link != null && gauges != null;
+        boolean waits = coming != null ? backend.agentStarted() : link != null && gauges != null;
         unanswered = waits ? unanswered + 1 : 0;
         if (unanswered >= CHECKS) {
             unanswered = 0;
@@ -186,7 +186,7 @@
             }
             if (notice.offset() > lastRead + 1) {
                 log.warn("notices " + (lastRead + 1) + " to " + (notice.offset() - 1) + " were missed");
-                backend.noticesMissed(loop.clock().now());
+                backend.agentEventsLost(loop.clock().now());
             }
             lastRead = notice.offset();
         }
@@ -197,18 +197,18 @@
                 }
             }
             case "outcome" -> outcome(notice);
-            case "request" -> backend.needsCall(loop.clock().now(), notice.id(), notice.payload());
+            case "request" -> backend.callNeeded(loop.clock().now(), notice.id(), notice.payload());
             case "sampled" -> sampled(notice);
             case "exercised" -> {
                 if (notice.token() != null && notice.token().equals(exercise)) {
                     exerciseOver();
-                    backend.exercised(notice.ending() == Outcome.OK);
+                    backend.deepCheckCompleted(notice.ending() == Outcome.OK);
                 }
             }
             case "refusal" -> {
                 log.warn("the agent would not " + notice.text() + " " + Long.toHexString(notice.id()));
                 if ("launch".equals(notice.text())) {
-                    backend.ended(loop.clock().now(), notice.id(), Outcome.NEVER_BEGUN, null);
+                    backend.runEnded(loop.clock().now(), notice.id(), Outcome.NEVER_BEGUN, null);
                 }
             }
             case "aside" -> {}
@@ -225,19 +225,19 @@
         pause = FIRST_PAUSE;
         if (before != null) {
             // It was replaced at some time after the new one had been made.
-            backend.linkLost(stood.compareTo(link.madeAt) < 0 ? stood : link.madeAt);
+            backend.agentLinkLost(stood.compareTo(link.madeAt) < 0 ? stood : link.madeAt);
             before.connection.end(CloseReason.DONE);
         }
         stood = link.madeAt;
-        if (!backend.started()) {
+        if (!backend.agentStarted()) {
             loop.clock().startWas(Duration.ofNanos((long) (notice.elapsedMs() * 1e6)));
             stood = loop.clock().now();
             log.info("the agent is up: " + notice.text() + ", started " + notice.elapsedMs() + " ms ago");
-            backend.started(loop.clock().now(), "COLD".equals(notice.text()));
+            backend.agentStarted(loop.clock().now(), "COLD".equals(notice.text()));
             return;
         }
         log.info("link to the agent is back");
-        backend.linkBack(loop.clock().now());
+        backend.agentLinkRestored(loop.clock().now());
         caughtUp = ask("up");
         if (exercise != null) {
             askToExercise();
@@ -254,20 +254,20 @@
             log.warn("a result of " + notice.payload().length + " bytes is not passed on");
             how = Outcome.ERROR;
         }
-        backend.ended(loop.clock().now(), notice.id(), how, notice.payload());
+        backend.runEnded(loop.clock().now(), notice.id(), how, notice.payload());
     }
 
     private void sampled(AgentEvent notice) {
         if (caughtUp != null && caughtUp.answeredBy(notice)) {
             stood = caughtUp.at;
             caughtUp = null;
-            backend.caughtUp(loop.clock().now());
+            backend.agentEventsCaughtUp(loop.clock().now());
         } else if (gauges != null && gauges.answeredBy(notice)) {
             stood = gauges.at;
             gauges = null;
             unanswered = 0;
             if (Arrays.stream(notice.row()).allMatch(gauge -> gauge >= 0 && gauge <= Double.MAX_VALUE)) {
-                backend.gauges(loop.clock().now(), notice.row());
+                backend.metricsReceived(loop.clock().now(), notice.row());
             } else {
                 log.warn("passed over gauges that are out of range");
             }
@@ -294,7 +294,7 @@
 
     private void command(String word, TrackedRequest work, String rest) {
         if (link != null) {
-            link.send("{\"cmd\":\"" + word + "\",\"req\":\"" + work.name() + "\"" + rest + "}\n");
+            link.send("{\"cmd\":\"" + word + "\",\"req\":\"" + work.idText() + "\"" + rest + "}\n");
         }
     }
 
@@ -303,7 +303,7 @@
     }
 
     public void launch(TrackedRequest work) {
-        command("launch", work, ",\"method\":" + Json.quoted(work.tariffName()) + payload(work.body()));
+        command("launch", work, ",\"method\":" + Json.quoted(work.priorityClassName()) + payload(work.body()));
     }
 
     public void freeze(TrackedRequest work) {
@@ -332,7 +332,7 @@
         exercise = "x" + tokens++;
         exerciseLimit = loop.in(EXERCISE, () -> {
             exerciseOver();
-            backend.exercised(false);
+            backend.deepCheckCompleted(false);
         });
         if (link != null) {
             askToExercise();
--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -38,7 +38,7 @@
         agent = new AgentLink(loop, agentAt, backend, log);
         records = new RecordsClient(loop, recordsAt, backend, log, mostCalls);
         edge = new EdgeServer(loop, backend, given);
-        loop.after(() -> backend.settle(loop.clock().now()));
+        loop.after(() -> backend.decide(loop.clock().now()));
         agent.start();
     }
 
@@ -48,47 +48,47 @@
     }
 
     @Override
-    public void freeze(TrackedRequest work) {
+    public void stop(TrackedRequest work) {
         agent.freeze(work);
     }
 
     @Override
-    public void deliver(TrackedRequest work, byte[] reply) {
+    public void deliverReply(TrackedRequest work, byte[] reply) {
         agent.deliver(work, reply);
     }
 
     @Override
-    public void forgo(TrackedRequest work) {
+    public void continueWithoutCall(TrackedRequest work) {
         agent.forgo(work);
     }
 
     @Override
-    public boolean sample() {
+    public boolean pollMetrics() {
         return agent.sample();
     }
 
     @Override
-    public void exercise() {
+    public void startDeepCheck() {
         agent.exercise();
     }
 
     @Override
-    public DownstreamService calls() {
+    public DownstreamService downstream() {
         return records;
     }
 
     @Override
-    public void closeIdle(Duration after) {
+    public void closeIdleConnections(Duration after) {
         edge.closeIdle(after);
     }
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
         alarm = loop.in(
-                at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
+                at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 
     @Override
--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -108,7 +108,7 @@
             } else if (!(drift >= 0 && drift <= 0.2)) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + at + "drift is to be from 0 to 0.2");
-            } else if (!of.equals("calls") && backend.tariff(of) < 0) {
+            } else if (!of.equals("calls") && backend.priorityClassIndex(of) < 0) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + at + "of is calls or a tariff, not " + of);
             }
@@ -155,13 +155,13 @@
 
     @Override
     public long[] demand(Duration now, FleetQuota budget) {
-        return backend.demand(ofModule(now), backend.tariff(budget.of()));
+        return backend.quotaDemand(ofModule(now), backend.priorityClassIndex(budget.of()));
     }
 
     @Override
     public void share(FleetQuota budget, long share, Duration until) {
         backend.share(
-                backend.tariff(budget.of()),
+                backend.priorityClassIndex(budget.of()),
                 share,
                 budget.per() == FleetQuota.QuotaKind.SECOND,
                 ofModule(until),
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -148,23 +148,23 @@
     @Override
     public void keyed(Duration from, Duration to) {
         boolean may = together == null || together.mayKeyed();
-        backend.keyed(ofModule(loop, from), ofModule(loop, may ? to : Duration.ZERO));
+        backend.permitNonIdempotentStarts(ofModule(loop, from), ofModule(loop, may ? to : Duration.ZERO));
     }
 
     @Override
     public void guess(double capacity, double completions) {
-        backend.guess(capacity, completions);
+        backend.setWarmStartEstimate(capacity, completions);
     }
 
     @Override
     public double capacity() {
-        OverloadController.ControllerMetrics figures = backend.figures();
+        OverloadController.ControllerMetrics figures = backend.metrics();
         return figures == null || !Double.isFinite(figures.capacity()) ? 0 : figures.capacity();
     }
 
     @Override
     public boolean fullSpeed() {
-        OverloadController.ControllerMetrics figures = backend.figures();
+        OverloadController.ControllerMetrics figures = backend.metrics();
         return figures != null && figures.speedShare() >= 1;
     }
 
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -100,11 +100,11 @@
                             loop,
                             address(rest, "manage"),
                             () -> StatusReport.of(
-                                    backend.leaving(),
-                                    backend.healthy(),
-                                    backend.inHand(),
+                                    backend.isDraining(),
+                                    backend.isHealthy(),
+                                    backend.unansweredRequests(),
                                     clock.uptime().toMillis(),
-                                    backend.figures(),
+                                    backend.metrics(),
                                     recovering == null ? null : recovering.json()))
                     : null;
         } catch (IOException e) {
@@ -132,8 +132,8 @@
     }
 
     private void beat() {
-        if (!backend.leaving() || listFollows) {
-            heartbeats.beat(!backend.leaving() && (!backend.started() || backend.healthy()));
+        if (!backend.isDraining() || listFollows) {
+            heartbeats.beat(!backend.isDraining() && (!backend.agentStarted() || backend.isHealthy()));
         }
     }
 
@@ -247,7 +247,7 @@
         if (recovering != null) {
             recovering.leave();
         }
-        backend.leave(clock.now().minus(SIGNAL), clock.now().plus(stop));
+        backend.startDrain(clock.now().minus(SIGNAL), clock.now().plus(stop));
         // Within the grace work goes on; after it nothing new is begun, so nothing new need come.
         loop.in(grace.compareTo(stop) < 0 ? grace : stop, () -> {
             edge.close();
@@ -259,7 +259,7 @@
 
     /** Not before the last moment while a connection is open: what is written to it as it ends here would be lost. */
     private void endWhenAnswered(Duration last) {
-        if (backend.inHand() > 0 || !edge.allWritten()) {
+        if (backend.unansweredRequests() > 0 || !edge.allWritten()) {
             return;
         }
         if (edge.none()) {
@@ -278,7 +278,7 @@
             return;
         }
         ended = true;
-        Map<String, Long> watched = backend.watched();
+        Map<String, Long> watched = backend.shadowDifferences();
         if (!watched.isEmpty()) {
             log.info("watch: the watched settings would have decided otherwise " + watched);
         }
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -90,7 +90,7 @@
         double stopMs = ranged(rest, "stop_ms", USUAL_STOP_MS, 0, LONGEST_STOP_MS);
         int sockets = (int) ranged(rest, "limits.sockets", USUAL_SOCKETS, LEAST_SOCKETS, 1e9);
         String name = rest.getOrDefault("name", environment.getOrDefault("GW_NAME", ""));
-        List<String> missing = new ArrayList<>(check.missing());
+        List<String> missing = new ArrayList<>(check.assumedDefaults());
         String seed = rest.get("seed");
         boolean hex = seed != null && seed.matches("[0-9a-fA-F]{1,16}");
         assumed(missing, rest.containsKey("stop_ms"), "stop_ms (" + (long) USUAL_STOP_MS + ")");
@@ -98,7 +98,7 @@
         assumed(missing, hex, "a seed of 1 to 16 hex digits (one made of the name)");
         assumed(missing, !name.isEmpty(), "name (reports name nobody)");
         List<String> remarks = new ArrayList<>();
-        List<String> unknown = SettingsTranslator.unknown(stated);
+        List<String> unknown = SettingsTranslator.unknownNames(stated);
         if (!unknown.isEmpty()) {
             remarks.add("settings that are not known: " + String.join(" ", unknown));
         }
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -62,8 +62,8 @@
         this.given = new HashMap<>(given);
         this.seed = seed;
         this.outside = outside;
-        calling = new DownstreamCallTracker(outside::calls);
-        checks = new HealthChecks(outside::exercise);
+        calling = new DownstreamCallTracker(outside::downstream);
+        checks = new HealthChecks(outside::startDeepCheck);
         inDoubt = new InDoubtCommands(outside);
         tariffs = ControllerDriver.indices(given, "tariffs");
         runQueueAt = List.of(given.getOrDefault("server.gauges", "").split(",")).indexOf("run-queue");
@@ -86,7 +86,7 @@
     // ---- what others ask
 
     /** The index of the tariff, or -1. */
-    public int tariff(String name) {
+    public int priorityClassIndex(String name) {
         return tariffs.getOrDefault(name, -1);
     }
 
@@ -95,56 +95,56 @@
         return level;
     }
 
-    public boolean leaving() {
+    public boolean isDraining() {
         return leaving;
     }
 
     /** Operations that are read and not yet answered. */
-    public int inHand() {
+    public int unansweredRequests() {
         return endings.owed();
     }
 
     /** Operations that something may still name. */
-    int known() {
+    int trackedRequests() {
         return byId.size();
     }
 
     /** What the module sees of this server, or null before the agent is up. */
-    public OverloadController.ControllerMetrics figures() {
-        return conductor == null ? null : conductor.control().figures();
+    public OverloadController.ControllerMetrics metrics() {
+        return conductor == null ? null : conductor.controller().figures();
     }
 
     /** In the watch mode, by kind, how often the watched settings would have decided otherwise. */
-    public Map<String, Long> watched() {
-        return conductor == null ? Map.of() : conductor.watched();
+    public Map<String, Long> shadowDifferences() {
+        return conductor == null ? Map.of() : conductor.shadowDifferences();
     }
 
     /** Whether the agent is up and the module calls this server healthy. */
-    public boolean healthy() {
+    public boolean isHealthy() {
         return checks.healthy();
     }
 
     /** Hears whether work gets done: one exercise at a time serves all that ask meanwhile. */
-    public void checkDeeply(Consumer<Boolean> asker) {
+    public void runDeepCheck(Consumer<Boolean> asker) {
         checks.checkDeeply(asker);
     }
 
     // ---- what happens
 
     /** The agent is up; times count from its start. */
-    public void started(Duration now, boolean cold) {
+    public void agentStarted(Duration now, boolean cold) {
         if (leaving) {
             return;
         }
         this.now = now;
         given.put("server.cold", "" + cold);
         conductor = new ControllerDriver<>(given, seed, this);
-        fleetwide.begin(conductor.control(), now);
+        fleetwide.begin(conductor.controller(), now);
         touched = true;
     }
 
     /** See {@link OverloadController#keyed}; told again whenever it changes. */
-    public void keyed(Duration from, Duration to) {
+    public void permitNonIdempotentStarts(Duration from, Duration to) {
         fleetwide.keyed(from, to);
     }
 
@@ -154,30 +154,30 @@
     }
 
     /** See {@link OverloadController#demand}. */
-    public long[] demand(Duration now, int tariff) {
+    public long[] quotaDemand(Duration now, int tariff) {
         return fleetwide.demand(now, tariff);
     }
 
     /** See {@link OverloadController#guess}. */
-    public void guess(double capacity, double of) {
+    public void setWarmStartEstimate(double capacity, double of) {
         fleetwide.guess(capacity, of);
     }
 
-    public boolean started() {
+    public boolean agentStarted() {
         return conductor != null;
     }
 
     /** An operation has been read. Returns null where it was answered on the spot. */
-    public TrackedRequest arrived(Duration now, RequestMetadata asked, ResponseSink caller) {
+    public TrackedRequest receive(Duration now, RequestMetadata asked, ResponseSink caller) {
         if (conductor == null) {
-            caller.pushedBack(false, Duration.ZERO);
+            caller.reject(false, Duration.ZERO);
             return null;
         }
         // Nothing came later than it was read: a time ahead of ours takes no repeat out of its window.
         Duration arrival = Durations.earlier(asked.arrival(), now);
         // Nor does a time long past tell the module how long others wait unread.
         if (byId.containsKey(asked.id()) || now.minus(arrival).compareTo(longestUnread) > 0) {
-            caller.brokenOff();
+            caller.fail();
             return null;
         }
         touch(now);
@@ -189,9 +189,9 @@
         byId.put(work.id, work);
         endings.owes();
         RequestHandle original = repeats.enter(work, asked.token() != null);
-        work.handle = conductor.know(
+        work.handle = conductor.register(
                 conductor
-                        .control()
+                        .controller()
                         .take(
                                 now,
                                 asked.tariff(),
@@ -211,7 +211,7 @@
         return subjects && "retriable".equals(given.get("tariffs." + tariff + ".kind"));
     }
 
-    public void callerGone(Duration now, TrackedRequest work) {
+    public void callerDisconnected(Duration now, TrackedRequest work) {
         if (work.answered) {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     /** A run has ended, with a result if it was satisfied. */
-    public void ended(Duration now, long id, Outcome how, byte[] result) {
+    public void runEnded(Duration now, long id, Outcome how, byte[] result) {
         TrackedRequest work = byId.get(id);
         if (work == null || !work.launched || work.end != null) {
             return;
@@ -242,7 +242,7 @@
     }
 
     /** A run waits for a call. */
-    public void needsCall(Duration now, long id, byte[] body) {
+    public void callNeeded(Duration now, long id, byte[] body) {
         TrackedRequest work = byId.get(id);
         if (work != null && work.launched && work.end == null) {
             touch(now);
@@ -266,7 +266,7 @@
         work.handle.callEnded(now, how, took);
     }
 
-    public void gauges(Duration now, double[] gauges) {
+    public void metricsReceived(Duration now, double[] gauges) {
         if (conductor == null) {
             return;
         }
@@ -275,23 +275,23 @@
         if (runQueueAt >= 0 && runQueueAt < gauges.length) {
             gauges[runQueueAt] += ontoCores;
         }
-        conductor.control().look(now, gauges);
+        conductor.controller().look(now, gauges);
     }
 
-    public void exercised(boolean good) {
+    public void deepCheckCompleted(boolean good) {
         checks.exercised(good);
     }
 
-    public void alarmed(Duration now) {
+    public void wakeUp(Duration now) {
         touch(now);
-        conductor.alarmed();
-        if (outside.sample()) {
+        conductor.wakeUpFired();
+        if (outside.pollMetrics()) {
             ontoCores = 0;
         }
     }
 
     /** The notice to leave. */
-    public void leave(Duration now, Duration stop) {
+    public void startDrain(Duration now, Duration stop) {
         if (leaving) {
             // The grace counts from the first notice.
             return;
@@ -299,42 +299,42 @@
         leaving = true;
         if (conductor != null) {
             touch(now);
-            conductor.control().leave(now, stop);
+            conductor.controller().leave(now, stop);
         }
     }
 
     /** The link to the agent is lost, which stood at that time still: runs go on, what was sent since may not have got there. */
-    public void linkLost(Duration stood) {
+    public void agentLinkLost(Duration stood) {
         inDoubt.lost(stood);
     }
 
     /** The link is made again: what is sent from here on gets there. */
-    public void linkBack(Duration now) {
+    public void agentLinkRestored(Duration now) {
         touch(now);
         inDoubt.back(byId.values());
     }
 
     /** All notices of the time without a link have been read: what may not have got there is sent again. */
-    public void caughtUp(Duration now) {
+    public void agentEventsCaughtUp(Duration now) {
         touch(now);
         inDoubt.settle(byId.values(), now);
     }
 
     /** Notices were missed for good: how the runs of that time ended is not known, and they are not begun again. */
-    public void noticesMissed(Duration now) {
+    public void agentEventsLost(Duration now) {
         for (TrackedRequest work : List.copyOf(byId.values())) {
             if (work.launched && work.end == null) {
-                ended(now, work.id, Outcome.ERROR, null);
+                runEnded(now, work.id, Outcome.ERROR, null);
             }
         }
     }
 
     /** After each batch: settles as often as something has happened since. */
-    public void settle(Duration now) {
+    public void decide(Duration now) {
         while (touched && conductor != null) {
             touched = false;
             this.now = now;
-            conductor.settle(now);
+            conductor.decide(now);
             repeats.sweep(now);
         }
     }
@@ -347,48 +347,48 @@
     // ---- what the module decides
 
     @Override
-    public void level(double value) {
+    public void updateBackpressureLevel(double value) {
         level = value;
     }
 
     @Override
-    public void health(boolean good) {
+    public void updateHealth(boolean good) {
         checks.health(good);
     }
 
     @Override
-    public void closeIdle(Duration after) {
-        outside.closeIdle(after);
+    public void closeIdleConnections(Duration after) {
+        outside.closeIdleConnections(after);
     }
 
     @Override
-    public void keep(TrackedRequest work, Duration span) {
+    public void retain(TrackedRequest work, Duration span) {
         repeats.keep(work, now.plus(span));
     }
 
     @Override
-    public void breakOff(TrackedRequest work) {
+    public void fail(TrackedRequest work) {
         endings.answer(work, Outcome.ERROR, null);
         calling.giveUp(work);
         repeats.unkept(work);
     }
 
     @Override
-    public void halt(TrackedRequest work) {
+    public void stop(TrackedRequest work) {
         if (work.launched && work.end == null) {
             work.halted = true;
-            outside.freeze(work);
+            outside.stop(work);
         }
     }
 
     @Override
-    public void pushBack(TrackedRequest work, boolean nowhereElse, Duration stayAway) {
+    public void reject(TrackedRequest work, boolean nowhereElse, Duration stayAway) {
         endings.pushBack(work, nowhereElse, stayAway);
         repeats.unkept(work);
     }
 
     @Override
-    public void forget(TrackedRequest work) {
+    public void evict(TrackedRequest work) {
         repeats.forget(work);
     }
 
@@ -400,7 +400,7 @@
     }
 
     @Override
-    public void share(TrackedRequest work) {
+    public void shareOutcome(TrackedRequest work) {
         TrackedRequest original = repeats.original(work);
         if (original != null && original.launched && original.end == null) {
             original.sharedBy(work);
@@ -410,14 +410,14 @@
     }
 
     @Override
-    public void call(TrackedRequest work, Duration giveUpAfter) {
+    public void callDownstream(TrackedRequest work, Duration giveUpAfter) {
         calling.make(work, now, giveUpAfter);
     }
 
     @Override
-    public void omit(TrackedRequest work) {
+    public void skipCall(TrackedRequest work) {
         work.callBody = null;
-        outside.forgo(work);
+        outside.continueWithoutCall(work);
     }
 
     @Override
@@ -426,8 +426,8 @@
     }
 
     @Override
-    public void alarm(Duration at) {
-        outside.alarm(at);
+    public void scheduleWakeUp(Duration at) {
+        outside.scheduleWakeUp(at);
     }
 
     @Override
--- a/src/main/java/merlinlever/core/BackendDependencies.java
+++ b/src/main/java/merlinlever/core/BackendDependencies.java
@@ -9,27 +9,27 @@
     void launch(TrackedRequest work);
 
     /** Stop its run. */
-    void freeze(TrackedRequest work);
+    void stop(TrackedRequest work);
 
     /** The reply to the call that its run waits for. */
-    void deliver(TrackedRequest work, byte[] reply);
+    void deliverReply(TrackedRequest work, byte[] reply);
 
     /** Its run goes on without the call. */
-    void forgo(TrackedRequest work);
+    void continueWithoutCall(TrackedRequest work);
 
-    /** Ask for the gauges, if no such question is open; {@link Backend#gauges} brings them. Says whether it did. */
-    boolean sample();
+    /** Ask for the gauges, if no such question is open; {@link Backend#metricsReceived} brings them. Says whether it did. */
+    boolean pollMetrics();
 
-    /** Do the work of a deep health check; {@link Backend#exercised} says how that went. */
-    void exercise();
+    /** Do the work of a deep health check; {@link Backend#deepCheckCompleted} says how that went. */
+    void startDeepCheck();
 
     /** What lies below, which ends calls with {@link Backend#callEnded}. */
-    DownstreamService calls();
+    DownstreamService downstream();
 
-    void closeIdle(Duration after);
+    void closeIdleConnections(Duration after);
 
-    /** Call {@link Backend#alarmed} then. */
-    void alarm(Duration at);
+    /** Call {@link Backend#wakeUp} then. */
+    void scheduleWakeUp(Duration at);
 
     void log(String line);
 }
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -14,7 +14,7 @@
 public final class ControllerDriver<T> {
 
     /** Stands for an operation of which nothing is known any more; what happens to it has no effect. */
-    public static final RequestHandle UNKNOWN = new RequestHandle() {
+    public static final RequestHandle UNKNOWN_REQUEST = new RequestHandle() {
         @Override
         public void ended(Duration now, Outcome how) {}
 
@@ -43,7 +43,7 @@
     }
 
     /** In the watch mode, how often by kind the watched settings would have decided otherwise; else empty. */
-    public Map<String, Long> watched() {
+    public Map<String, Long> shadowDifferences() {
         return watch == null ? Map.of() : watch.otherwise();
     }
 
@@ -55,53 +55,53 @@
         return indices;
     }
 
-    public OverloadController control() {
+    public OverloadController controller() {
         return control;
     }
 
     /** The index of the tariff, or -1. */
-    public int tariff(String name) {
+    public int priorityClassIndex(String name) {
         return tariffs.getOrDefault(name, -1);
     }
 
     /** From here on the port hears of the operation by this name. */
-    public RequestHandle know(RequestHandle taken, T as) {
+    public RequestHandle register(RequestHandle taken, T as) {
         known.put(taken, as);
         return taken;
     }
 
     /** The last alarm that was set has gone off. */
-    public void alarmed() {
+    public void wakeUpFired() {
         alarm = null;
     }
 
-    public void settle(Duration now) {
+    public void decide(Duration now) {
         Decisions settled = control.settle(now);
         if (watch != null) {
             watch.seen(settled);
         }
         if (!Double.isNaN(settled.level)) {
-            port.level(settled.level);
+            port.updateBackpressureLevel(settled.level);
         }
         if (settled.healthy != null) {
-            port.health(settled.healthy);
+            port.updateHealth(settled.healthy);
         }
         if (settled.closeIdle != null) {
-            port.closeIdle(settled.closeIdle);
+            port.closeIdleConnections(settled.closeIdle);
         }
-        settled.kept.forEach(kept -> port.keep(known.get(kept.operation()), kept.span()));
-        each(settled.brokenOff, port::breakOff);
-        each(settled.halted, port::halt);
-        settled.pushedBack.forEach(p -> port.pushBack(known.get(p.operation()), p.nowhereElse(), p.stayAway()));
-        each(settled.forgotten, port::forget);
+        settled.kept.forEach(kept -> port.retain(known.get(kept.operation()), kept.span()));
+        each(settled.brokenOff, port::fail);
+        each(settled.halted, port::stop);
+        settled.pushedBack.forEach(p -> port.reject(known.get(p.operation()), p.nowhereElse(), p.stayAway()));
+        each(settled.forgotten, port::evict);
         each(settled.started, port::start);
-        each(settled.shared, port::share);
-        settled.called.forEach(call -> port.call(known.get(call.operation()), call.span()));
-        each(settled.omitted, port::omit);
+        each(settled.shared, port::shareOutcome);
+        settled.called.forEach(call -> port.callDownstream(known.get(call.operation()), call.span()));
+        each(settled.omitted, port::skipCall);
         settled.log.forEach(port::log);
         if (settled.nextLook != null && (alarm == null || settled.nextLook.compareTo(alarm) < 0)) {
             alarm = settled.nextLook;
-            port.alarm(alarm);
+            port.scheduleWakeUp(alarm);
         }
         settled.released.forEach(operation -> port.release(known.remove(operation)));
     }
--- a/src/main/java/merlinlever/core/DecisionHandler.java
+++ b/src/main/java/merlinlever/core/DecisionHandler.java
@@ -10,34 +10,34 @@
  */
 public interface DecisionHandler<T> {
 
-    void level(double level);
+    void updateBackpressureLevel(double level);
 
-    void health(boolean good);
+    void updateHealth(boolean good);
 
-    void closeIdle(Duration after);
+    void closeIdleConnections(Duration after);
 
-    void keep(T operation, Duration span);
+    void retain(T operation, Duration span);
 
-    void breakOff(T operation);
+    void fail(T operation);
 
-    void halt(T operation);
+    void stop(T operation);
 
-    void pushBack(T operation, boolean nowhereElse, Duration stayAway);
+    void reject(T operation, boolean nowhereElse, Duration stayAway);
 
-    void forget(T operation);
+    void evict(T operation);
 
     void start(T operation);
 
-    void share(T operation);
+    void shareOutcome(T operation);
 
-    void call(T operation, Duration giveUpAfter);
+    void callDownstream(T operation, Duration giveUpAfter);
 
-    void omit(T operation);
+    void skipCall(T operation);
 
     void log(String line);
 
     /** Earlier than any alarm that is still to come. */
-    void alarm(Duration at);
+    void scheduleWakeUp(Duration at);
 
     /** Nothing will name the operation again. */
     void release(T operation);
--- a/src/main/java/merlinlever/core/DownstreamCallTracker.java
+++ b/src/main/java/merlinlever/core/DownstreamCallTracker.java
@@ -40,7 +40,7 @@
     void giveUp(TrackedRequest work) {
         if (work.calling) {
             work.calling = false;
-            below.get().giveUp(work);
+            below.get().cancel(work);
         }
     }
 
--- a/src/main/java/merlinlever/core/DownstreamService.java
+++ b/src/main/java/merlinlever/core/DownstreamService.java
@@ -19,5 +19,5 @@
     void call(TrackedRequest operation, byte[] body, Duration within);
 
     /** Nobody waits for the call any longer. */
-    void giveUp(TrackedRequest operation);
+    void cancel(TrackedRequest operation);
 }
--- a/src/main/java/merlinlever/core/IdempotencyCache.java
+++ b/src/main/java/merlinlever/core/IdempotencyCache.java
@@ -59,7 +59,7 @@
         work.repeats = work.mark == null ? null : findOrEnter(work, token);
         return work.repeats == null
                 ? null
-                : !token || work.repeats.sameAs(work) ? work.repeats.handle : ControllerDriver.UNKNOWN;
+                : !token || work.repeats.sameAs(work) ? work.repeats.handle : ControllerDriver.UNKNOWN_REQUEST;
     }
 
     /** The one whose outcome this is to share, or null. */
--- a/src/main/java/merlinlever/core/InDoubtCommands.java
+++ b/src/main/java/merlinlever/core/InDoubtCommands.java
@@ -30,7 +30,7 @@
     void deliver(TrackedRequest work, Duration now) {
         work.repliedAt = now;
         work.replyInDoubt = false;
-        outside.deliver(work, work.reply);
+        outside.deliverReply(work, work.reply);
     }
 
     /** A link is lost that stood at that time still. */
@@ -64,7 +64,7 @@
                 deliver(work, now);
             }
             if (work.halted) {
-                outside.freeze(work);
+                outside.stop(work);
             }
         }
     }
--- a/src/main/java/merlinlever/core/ResponseSink.java
+++ b/src/main/java/merlinlever/core/ResponseSink.java
@@ -6,10 +6,10 @@
 public interface ResponseSink {
 
     /** The result that a run of the operation, or of one that it repeats, has made. */
-    void satisfied(byte[] result);
+    void succeed(byte[] result);
 
     /** It never ran; where the span is zero nothing is said about staying away. */
-    void pushedBack(boolean nowhereElse, Duration stayAway);
+    void reject(boolean nowhereElse, Duration stayAway);
 
-    void brokenOff();
+    void fail();
 }
--- a/src/main/java/merlinlever/core/ResponseTracker.java
+++ b/src/main/java/merlinlever/core/ResponseTracker.java
@@ -33,15 +33,15 @@
         }
         ResponseSink caller = over(work);
         if (how == Outcome.OK) {
-            caller.satisfied(result);
+            caller.succeed(result);
         } else {
-            caller.brokenOff();
+            caller.fail();
         }
     }
 
     void pushBack(TrackedRequest work, boolean nowhereElse, Duration stayAway) {
         if (!work.answered) {
-            over(work).pushedBack(nowhereElse, stayAway);
+            over(work).reject(nowhereElse, stayAway);
         }
     }
 
@@ -49,10 +49,10 @@
     void ended(TrackedRequest work, Duration now, Outcome how, byte[] result) {
         answer(work, how, result);
         work.handle.ended(now, how);
-        for (TrackedRequest sharer : work.sharers) {
+        for (TrackedRequest sharer : work.coalesced) {
             endAs(sharer, now, work);
         }
-        work.sharers = List.of();
+        work.coalesced = List.of();
     }
 
     /** It ends as the one whose outcome it shares; where there is none, it is broken off. Says whether that changed anything. */
--- a/src/main/java/merlinlever/core/SettingsTranslator.java
+++ b/src/main/java/merlinlever/core/SettingsTranslator.java
@@ -91,7 +91,7 @@
     }
 
     /** The paths with a part that is in no table here. */
-    public static List<String> unknown(Map<String, String> theirs) {
+    public static List<String> unknownNames(Map<String, String> theirs) {
         List<String> unknown = new ArrayList<>();
         for (String path : theirs.keySet()) {
             for (String part : path.split("\\.")) {
--- a/src/main/java/merlinlever/core/SettingsValidator.java
+++ b/src/main/java/merlinlever/core/SettingsValidator.java
@@ -123,7 +123,7 @@
     }
 
     /** What is not stated and matters, each with what is assumed in its place. */
-    public List<String> missing() {
+    public List<String> assumedDefaults() {
         return List.copyOf(missing);
     }
 
--- a/src/main/java/merlinlever/core/TrackedRequest.java
+++ b/src/main/java/merlinlever/core/TrackedRequest.java
@@ -18,7 +18,7 @@
     /** What a repeat of it is known by, or null. */
     final String mark;
 
-    RequestHandle handle = ControllerDriver.UNKNOWN;
+    RequestHandle handle = ControllerDriver.UNKNOWN_REQUEST;
     ResponseSink caller;
     /** What it repeats, as it was known at its arrival. */
     TrackedRequest repeats;
@@ -27,7 +27,7 @@
     boolean answered, launched, halted, calling, launchInDoubt, replyInDoubt, released;
     Outcome end;
     Duration launchedAt = Duration.ZERO, calledAt = Duration.ZERO, repliedAt = Duration.ZERO;
-    List<TrackedRequest> sharers = List.of();
+    List<TrackedRequest> coalesced = List.of();
 
     TrackedRequest(
             long id,
@@ -49,7 +49,7 @@
     }
 
     /** Its id as it came. */
-    public String name() {
+    public String idText() {
         return name;
     }
 
@@ -58,11 +58,11 @@
     }
 
     /** What a repeat of it has in common with it; its id where nothing is. */
-    public String key() {
+    public String routingKey() {
         return mark != null ? mark : name;
     }
 
-    public String tariffName() {
+    public String priorityClassName() {
         return tariffName;
     }
 
@@ -75,11 +75,11 @@
     }
 
     void sharedBy(TrackedRequest other) {
-        if (sharers.isEmpty()) {
-            sharers = new ArrayList<>(2);
+        if (coalesced.isEmpty()) {
+            coalesced = new ArrayList<>(2);
         }
         // Whoever asks again and again while it runs leaves no more than one behind.
-        sharers.removeIf(sharer -> sharer.answered);
-        sharers.add(other);
+        coalesced.removeIf(sharer -> sharer.answered);
+        coalesced.add(other);
     }
 }
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -81,7 +81,7 @@
         PendingRequest asked = new PendingRequest(mark, run, pushedBack);
         PendingRequest original = mark == null ? null : byMark.putIfAbsent(mark, asked);
         RequestHandle taken = conductor
-                .control()
+                .controller()
                 .take(
                         at,
                         mark == null ? LOOK : ORDER,
@@ -92,27 +92,27 @@
                         false,
                         false,
                         original == null ? null : original.handle);
-        asked.handle = conductor.know(taken, asked);
+        asked.handle = conductor.register(taken, asked);
     }
 
     void alarmed(Duration at) {
         now = at;
         touched = true;
-        conductor.alarmed();
-        conductor.control().look(at, new double[] {0});
+        conductor.wakeUpFired();
+        conductor.controller().look(at, new double[] {0});
     }
 
     void leave(Duration at, Duration stop) {
         now = at;
         touched = true;
-        conductor.control().leave(at, stop);
+        conductor.controller().leave(at, stop);
     }
 
     void settle(Duration at) {
         while (touched) {
             touched = false;
             now = at;
-            conductor.settle(at);
+            conductor.decide(at);
         }
     }
 
@@ -132,28 +132,28 @@
     }
 
     @Override
-    public void share(PendingRequest asked) {
+    public void shareOutcome(PendingRequest asked) {
         // The order is found by its id, and what has become of it is told.
         run(asked);
     }
 
     @Override
-    public void pushBack(PendingRequest asked, boolean nowhereElse, Duration stayAway) {
+    public void reject(PendingRequest asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             asked.answered = true;
             inHand--;
             asked.pushedBack.accept(stayAway);
         }
-        forget(asked);
+        evict(asked);
     }
 
     @Override
-    public void breakOff(PendingRequest asked) {
-        pushBack(asked, false, Duration.ZERO);
+    public void fail(PendingRequest asked) {
+        reject(asked, false, Duration.ZERO);
     }
 
     @Override
-    public void forget(PendingRequest asked) {
+    public void evict(PendingRequest asked) {
         if (asked.mark != null) {
             byMark.remove(asked.mark, asked);
         }
@@ -161,41 +161,41 @@
 
     @Override
     public void release(PendingRequest asked) {
-        forget(asked);
+        evict(asked);
     }
 
     @Override
-    public void keep(PendingRequest asked, Duration span) {
+    public void retain(PendingRequest asked, Duration span) {
         // Entered when it came.
     }
 
     @Override
-    public void halt(PendingRequest asked) {
+    public void stop(PendingRequest asked) {
         // Nothing runs longer than a batch.
     }
 
     @Override
-    public void call(PendingRequest asked, Duration giveUpAfter) {
+    public void callDownstream(PendingRequest asked, Duration giveUpAfter) {
         // Nothing here calls.
     }
 
     @Override
-    public void omit(PendingRequest asked) {
+    public void skipCall(PendingRequest asked) {
         // Nothing here calls.
     }
 
     @Override
-    public void level(double level) {
+    public void updateBackpressureLevel(double level) {
         // Told nowhere.
     }
 
     @Override
-    public void health(boolean good) {
+    public void updateHealth(boolean good) {
         // Told nowhere.
     }
 
     @Override
-    public void closeIdle(Duration after) {
+    public void closeIdleConnections(Duration after) {
         // Each connection carries one message.
     }
 
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         alarm.accept(at);
     }
 }
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -144,9 +144,9 @@
         if (!head.method().equals("GET")) {
             answer(405, NOTHING, "Allow: GET\r\n");
         } else if (head.asks("real=1")) {
-            owner.backend().checkDeeply(this::checked);
+            owner.backend().runDeepCheck(this::checked);
         } else {
-            checked(owner.backend().healthy());
+            checked(owner.backend().isHealthy());
         }
     }
 
@@ -157,7 +157,7 @@
     }
 
     private void operation(String tariff, byte[] body) {
-        int index = owner.backend().tariff(tariff);
+        int index = owner.backend().priorityClassIndex(tariff);
         if (index < 0) {
             answer(404, NOTHING, "");
             return;
@@ -176,23 +176,23 @@
             answer(400, NOTHING, "");
             return;
         }
-        TrackedRequest taken = owner.backend().arrived(owner.clock().now(), operation, this);
+        TrackedRequest taken = owner.backend().receive(owner.clock().now(), operation, this);
         work = state == State.IN_HAND ? taken : null;
     }
 
     @Override
-    public void satisfied(byte[] result) {
+    public void succeed(byte[] result) {
         answer(200, result, "");
     }
 
     @Override
-    public void pushedBack(boolean nowhereElse, Duration stayAway) {
+    public void reject(boolean nowhereElse, Duration stayAway) {
         String fields = stayAway.isZero() ? "" : "Srv-Wait-Ms: " + Math.max(1, stayAway.toMillis()) + "\r\n";
         answer(503, NOTHING, nowhereElse ? fields + "Srv-Last: 1\r\n" : fields);
     }
 
     @Override
-    public void brokenOff() {
+    public void fail() {
         answer(500, NOTHING, "");
     }
 
@@ -247,7 +247,7 @@
         work = null;
         owner.gone(this, state);
         if (open != null) {
-            owner.backend().callerGone(owner.clock().now(), open);
+            owner.backend().callerDisconnected(owner.clock().now(), open);
         }
     }
 }
--- a/src/main/java/merlinlever/records/RecordsClient.java
+++ b/src/main/java/merlinlever/records/RecordsClient.java
@@ -84,7 +84,7 @@
             lastId = next.work.id();
             long wait = Math.max(1, next.until.minus(loop.clock().uptime()).toMillis());
             connection.write(
-                    ascii("OP " + next.work.name() + " " + wait + " " + next.body.length + "\r\n"),
+                    ascii("OP " + next.work.idText() + " " + wait + " " + next.body.length + "\r\n"),
                     ByteBuffer.wrap(next.body),
                     ascii("\r\n"));
         }
@@ -197,7 +197,7 @@
             return;
         }
         // The service takes a second call for an operation as the end of its first.
-        giveUp(work);
+        cancel(work);
         PendingCall call = new PendingCall(work, body, loop.clock().uptime().plus(within));
         calls.put(work.id(), call);
         // What has been read is gone through before: a reply that is among it is in time, and an idle line whose end is
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void giveUp(TrackedRequest work) {
+    public void cancel(TrackedRequest work) {
         PendingCall call = calls.get(work.id());
         if (call != null) {
             giveUp(call, null);
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -134,14 +134,14 @@
     }
 
     private RouteSelector.RoutingClass tariff(TrackedRequest work) {
-        return tariffs.getOrDefault(work.tariffName(), STAYS);
+        return tariffs.getOrDefault(work.priorityClassName(), STAYS);
     }
 
     /** Sends it along a route; false where there is none. */
     private boolean elsewhere(Duration now, CallAttempts its, boolean overShare) {
         Optional<RouteSelector.SelectedRoute> way = exits.way(
                 now,
-                new RouteSelector.RoutedCall(tariff(its.work), group, its.work.key(), its.places, its.missing),
+                new RouteSelector.RoutedCall(tariff(its.work), group, its.work.routingKey(), its.places, its.missing),
                 state.state(),
                 overShare);
         RecordsClient link = way.isEmpty() ? null : link(way.get().place());
@@ -196,10 +196,10 @@
     }
 
     @Override
-    public void giveUp(TrackedRequest work) {
+    public void cancel(TrackedRequest work) {
         CallAttempts its = all.get(work.id());
         if (its != null && its.link != null) {
-            its.link.giveUp(work);
+            its.link.cancel(work);
             its.link = null;
             its.missing = true;
         }
--- a/src/main/java/merlinlever/wire/ControllerInstance.java
+++ b/src/main/java/merlinlever/wire/ControllerInstance.java
@@ -60,24 +60,24 @@
             case "at_call" -> operation(line).reachedCall(now);
             case "downstream" -> operation(line).callEnded(now, ending(line), span(line.number("cost-time", 0)));
             case "withdrawn" -> operation(line).callerGone(now);
-            case "drain" -> conductor.control().leave(now, sinceStart(line.neededNumber("not-after")));
+            case "drain" -> conductor.controller().leave(now, sinceStart(line.neededNumber("not-after")));
             case "timeout_fired" -> {
                 if (line.needed("handle").equals("look" + alarms)) {
-                    conductor.alarmed();
+                    conductor.wakeUpFired();
                 }
-                conductor.control().look(now, line.row("report"));
+                conductor.controller().look(now, line.row("report"));
             }
             default -> throw line.fault("unknown event " + line.word());
         }
     }
 
     private RequestHandle operation(WireMessage line) {
-        return byId.getOrDefault(line.neededWhole("id"), ControllerDriver.UNKNOWN);
+        return byId.getOrDefault(line.neededWhole("id"), ControllerDriver.UNKNOWN_REQUEST);
     }
 
     private void take(WireMessage line, Duration now) {
         Long id = line.neededWhole("id");
-        int tariff = conductor.tariff(line.needed("kind"));
+        int tariff = conductor.priorityClassIndex(line.needed("kind"));
         if (tariff < 0) {
             throw line.fault("unknown kind " + line.text("kind"));
         }
@@ -85,7 +85,7 @@
         double work = line.number("work", 0);
         long repeats = line.whole("same-as", 0);
         RequestHandle taken = conductor
-                .control()
+                .controller()
                 .take(
                         now,
                         tariff,
@@ -95,49 +95,49 @@
                         work == 0 ? null : span(work),
                         line.flag("resent"),
                         line.text("name-key") != null && !line.flag("write"),
-                        repeats == 0 ? null : byId.getOrDefault(repeats, ControllerDriver.UNKNOWN));
-        byId.put(id, conductor.know(taken, id));
+                        repeats == 0 ? null : byId.getOrDefault(repeats, ControllerDriver.UNKNOWN_REQUEST));
+        byId.put(id, conductor.register(taken, id));
     }
 
     /** Appends what the module decides. */
     void settle(double now, StringBuilder out) {
         this.now = now;
         this.out = out;
-        conductor.settle(sinceStart(now));
+        conductor.decide(sinceStart(now));
     }
 
     @Override
-    public void level(double level) {
+    public void updateBackpressureLevel(double level) {
         action("announce").append(" amount=").append(level).append('\n');
     }
 
     @Override
-    public void health(boolean good) {
+    public void updateHealth(boolean good) {
         action("report_health").append(good ? " on=1" : " on=0").append(" from-state=1\n");
     }
 
     @Override
-    public void closeIdle(Duration after) {
+    public void closeIdleConnections(Duration after) {
         ms(action("reap_after").append(" for-time="), after).append('\n');
     }
 
     @Override
-    public void keep(Long id, Duration span) {
+    public void retain(Long id, Duration span) {
         ms(about("pin", id).append(" for-time="), span).append('\n');
     }
 
     @Override
-    public void breakOff(Long id) {
+    public void fail(Long id) {
         about("report_failure", id).append('\n');
     }
 
     @Override
-    public void halt(Long id) {
+    public void stop(Long id) {
         about("stop", id).append('\n');
     }
 
     @Override
-    public void pushBack(Long id, boolean nowhereElse, Duration stayAway) {
+    public void reject(Long id, boolean nowhereElse, Duration stayAway) {
         about("deny", id);
         if (nowhereElse) {
             out.append(" final=1");
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public void forget(Long id) {
+    public void evict(Long id) {
         about("unpin", id).append('\n');
     }
 
@@ -159,17 +159,17 @@
     }
 
     @Override
-    public void share(Long id) {
+    public void shareOutcome(Long id) {
         about("echo", id).append('\n');
     }
 
     @Override
-    public void call(Long id, Duration giveUpAfter) {
+    public void callDownstream(Long id, Duration giveUpAfter) {
         ms(about("call", id).append(" give-up-after="), giveUpAfter).append('\n');
     }
 
     @Override
-    public void omit(Long id) {
+    public void skipCall(Long id) {
         about("omit", id).append('\n');
     }
 
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         alarms++;
         ms(action("set_alarm").append(" offset="), span(Math.max(startedAt + at.toNanos() / 1e6 - now, 0.001)))
                 .append(" handle=look")
--- a/src/main/java/merlinlever/zone/server/PendingMessage.java
+++ b/src/main/java/merlinlever/zone/server/PendingMessage.java
@@ -39,7 +39,7 @@
 
     Tsig.Verification signed;
     ReplyChannel caller;
-    RequestHandle handle = ControllerDriver.UNKNOWN;
+    RequestHandle handle = ControllerDriver.UNKNOWN_REQUEST;
     /** What a repeat of it is known by, or null; and what it repeats. */
     Object mark;
 
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -141,7 +141,7 @@
 
     /** What the module sees. */
     public OverloadController.ControllerMetrics figures() {
-        return conductor.control().figures();
+        return conductor.controller().figures();
     }
 
     // ---- what happens
@@ -284,7 +284,7 @@
         counts.taken(asked.kind);
         asked.repeats = original;
         RequestHandle taken = conductor
-                .control()
+                .controller()
                 .take(
                         now,
                         asked.kind.ordinal(),
@@ -295,7 +295,7 @@
                         false,
                         false,
                         original == null ? null : original.handle);
-        asked.handle = conductor.know(taken, asked);
+        asked.handle = conductor.register(taken, asked);
         return asked;
     }
 
@@ -324,16 +324,16 @@
     public void alarmed(Duration at) {
         now = at;
         touched = true;
-        conductor.alarmed();
+        conductor.wakeUpFired();
         // All that runs, runs to its end or to its call within a batch: nothing waits for a core between them.
-        conductor.control().look(at, new double[] {0});
+        conductor.controller().look(at, new double[] {0});
     }
 
     /** The notice to leave. */
     public void leave(Duration at, Duration stop) {
         now = at;
         touched = true;
-        conductor.control().leave(at, stop);
+        conductor.controller().leave(at, stop);
     }
 
     /** After each batch: settles as often as something has happened since. */
@@ -342,7 +342,7 @@
         while (touched) {
             touched = false;
             now = at;
-            conductor.settle(at);
+            conductor.decide(at);
         }
     }
 
@@ -408,7 +408,7 @@
     }
 
     @Override
-    public void call(PendingMessage asked, Duration giveUpAfter) {
+    public void callDownstream(PendingMessage asked, Duration giveUpAfter) {
         asked.calling = true;
         Duration calledAt = now;
         if (asked.kind == PendingMessage.MessageKind.TRANSFER) {
@@ -485,7 +485,7 @@
     }
 
     @Override
-    public void pushBack(PendingMessage asked, boolean nowhereElse, Duration stayAway) {
+    public void reject(PendingMessage asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             counts.pushedBack(asked.kind);
             DnsMessage message = asked.message;
@@ -496,7 +496,7 @@
     }
 
     @Override
-    public void breakOff(PendingMessage asked) {
+    public void fail(PendingMessage asked) {
         if (!asked.answered) {
             counts.brokenOff(asked.kind);
             if (asked.kind == PendingMessage.MessageKind.TRANSFER && asked.calling) {
@@ -513,13 +513,13 @@
     /** What never ran and was never kept is not to be found by a repeat. */
     private void repeatsUnkept(PendingMessage asked) {
         if (!asked.begun) {
-            forget(asked);
+            evict(asked);
             letGo(asked);
         }
     }
 
     @Override
-    public void share(PendingMessage asked) {
+    public void shareOutcome(PendingMessage asked) {
         PendingMessage original = asked.repeats;
         while (original != null && !original.begun && original.repeats != null) {
             original = original.repeats;
@@ -538,45 +538,45 @@
     }
 
     @Override
-    public void forget(PendingMessage asked) {
+    public void evict(PendingMessage asked) {
         if (asked.mark != null) {
             byMark.remove(asked.mark, asked);
         }
     }
 
     @Override
-    public void keep(PendingMessage asked, Duration span) {
+    public void retain(PendingMessage asked, Duration span) {
         // Entered when it came; the module says when it may go.
         byMark.put(asked.mark, asked);
     }
 
     @Override
     public void release(PendingMessage asked) {
-        forget(asked);
+        evict(asked);
     }
 
     @Override
-    public void omit(PendingMessage asked) {
+    public void skipCall(PendingMessage asked) {
         // No tariff here has a value without its call.
     }
 
     @Override
-    public void halt(PendingMessage asked) {
+    public void stop(PendingMessage asked) {
         // Nothing here can be stopped half way.
     }
 
     @Override
-    public void level(double level) {
+    public void updateBackpressureLevel(double level) {
         // The protocol has no place for it.
     }
 
     @Override
-    public void health(boolean good) {
+    public void updateHealth(boolean good) {
         counts.healthy(good);
     }
 
     @Override
-    public void closeIdle(Duration after) {
+    public void closeIdleConnections(Duration after) {
         // Connections are few and closed by their own time.
     }
 
@@ -586,7 +586,7 @@
     }
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         alarm.accept(at);
     }
 }
--- a/src/test/java/merlinlever/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/agent/AgentLinkFixture.java
@@ -159,7 +159,7 @@
         link = new AgentLink(driven.loop, address, backend, log);
         driven.run(() -> {
             driven.loop.after(() -> {
-                backend.settle(driven.loop.clock().now());
+                backend.decide(driven.loop.clock().now());
                 Runnable once = afterBatch;
                 afterBatch = null;
                 if (once != null) {
@@ -210,7 +210,7 @@
     FakeAgent up(ServerSocket place) throws IOException {
         FakeAgent agent = accept(place, 0);
         agent.greet();
-        driven.until(backend::healthy, "good health");
+        driven.until(backend::isHealthy, "good health");
         return agent;
     }
 
@@ -252,7 +252,7 @@
         Duration now = driven.loop.clock().now();
         taken.put(
                 name,
-                backend.arrived(
+                backend.receive(
                         now,
                         new Backend.RequestMetadata(
                                 ids,
@@ -272,7 +272,7 @@
     }
 
     void gone(String name) {
-        driven.run(() -> backend.callerGone(driven.loop.clock().now(), taken.get(name)));
+        driven.run(() -> backend.callerDisconnected(driven.loop.clock().now(), taken.get(name)));
     }
 
     /** Has been answered, once, with that. */
@@ -294,7 +294,7 @@
     }
 
     void check(Consumer<Boolean> asker) {
-        driven.run(() -> backend.checkDeeply(asker));
+        driven.run(() -> backend.runDeepCheck(asker));
     }
 
     @Override
@@ -311,56 +311,56 @@
     }
 
     @Override
-    public void freeze(TrackedRequest work) {
+    public void stop(TrackedRequest work) {
         link.freeze(work);
     }
 
     @Override
-    public void deliver(TrackedRequest work, byte[] reply) {
+    public void deliverReply(TrackedRequest work, byte[] reply) {
         link.deliver(work, reply);
     }
 
     @Override
-    public void forgo(TrackedRequest work) {
+    public void continueWithoutCall(TrackedRequest work) {
         link.forgo(work);
     }
 
     @Override
-    public boolean sample() {
+    public boolean pollMetrics() {
         return link.sample();
     }
 
     @Override
-    public void exercise() {
+    public void startDeepCheck() {
         link.exercise();
     }
 
     @Override
-    public DownstreamService calls() {
+    public DownstreamService downstream() {
         return this;
     }
 
     @Override
     public void call(TrackedRequest operation, byte[] body, Duration within) {
-        calls.add("call " + operation.name());
+        calls.add("call " + operation.idText());
     }
 
     @Override
-    public void giveUp(TrackedRequest operation) {
-        calls.add("give up " + operation.name());
+    public void cancel(TrackedRequest operation) {
+        calls.add("give up " + operation.idText());
     }
 
     @Override
-    public void closeIdle(Duration after) {}
+    public void closeIdleConnections(Duration after) {}
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
         alarm = driven.loop.in(
                 at.minus(driven.loop.clock().now()),
-                () -> backend.alarmed(driven.loop.clock().now()));
+                () -> backend.wakeUp(driven.loop.clock().now()));
     }
 
     @Override
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -173,7 +173,7 @@
         });
         try (AgentLinkFixture around = new AgentLinkFixture(driven, new InetSocketAddress(1))) {
             driven.run(() -> parties.get(0).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
-            driven.until(around.backend::healthy, "good health");
+            driven.until(around.backend::isHealthy, "good health");
             String name = around.take();
             driven.run(() -> parties.get(0).say(AgentLinkFixture.request(1, name)));
             driven.until(() -> !around.calls.isEmpty(), "the call");
--- a/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
@@ -314,9 +314,9 @@
         agent.read();
         assertEquals(List.of(true, false), heard);
         // Health that goes bad in between counts more than an exercise that went well.
-        driven.run(() -> around.backend.leave(
+        driven.run(() -> around.backend.startDrain(
                 driven.loop.clock().now(), driven.loop.clock().now().plusSeconds(3)));
-        driven.until(() -> !around.backend.healthy(), "bad health");
+        driven.until(() -> !around.backend.isHealthy(), "bad health");
         agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
         agent.read();
         assertEquals(List.of(true, false, false), heard);
--- a/src/test/java/merlinlever/core/BackendFixture.java
+++ b/src/test/java/merlinlever/core/BackendFixture.java
@@ -47,7 +47,7 @@
         Map<String, String> given = new HashMap<>(GIVEN);
         given.putAll(more);
         backend = new Backend(given, 5, this);
-        backend.started(now, false);
+        backend.agentStarted(now, false);
         settle();
     }
 
@@ -62,12 +62,12 @@
         ResponseSink caller = new RecordingResponseSink(heard);
         taken.put(
                 name,
-                backend.arrived(
+                backend.receive(
                         now,
                         new Backend.RequestMetadata(
                                 ids,
                                 name,
-                                backend.tariff(tariff),
+                                backend.priorityClassIndex(tariff),
                                 tariff,
                                 now,
                                 now.plusMillis(1000),
@@ -83,7 +83,7 @@
     }
 
     void settle() {
-        backend.settle(now);
+        backend.decide(now);
     }
 
     void after(long ms) {
@@ -91,8 +91,8 @@
         while (alarm != null && alarm.compareTo(until) <= 0) {
             now = alarm.compareTo(now) > 0 ? alarm : now;
             alarm = null;
-            backend.alarmed(now);
-            backend.gauges(now, new double[] {0, 0});
+            backend.wakeUp(now);
+            backend.metricsReceived(now, new double[] {0, 0});
             settle();
         }
         now = until;
@@ -100,12 +100,12 @@
     }
 
     void ends(String name, Outcome how, String result) {
-        backend.ended(now, Long.parseLong(name, 16), how, result.getBytes(StandardCharsets.UTF_8));
+        backend.runEnded(now, Long.parseLong(name, 16), how, result.getBytes(StandardCharsets.UTF_8));
         settle();
     }
 
     void calls(String name) {
-        backend.needsCall(now, Long.parseLong(name, 16), new byte[] {1});
+        backend.callNeeded(now, Long.parseLong(name, 16), new byte[] {1});
         settle();
     }
 
@@ -125,56 +125,56 @@
 
     @Override
     public void launch(TrackedRequest work) {
-        asked.add("launch " + work.name());
+        asked.add("launch " + work.idText());
     }
 
     @Override
-    public void freeze(TrackedRequest work) {
-        asked.add("freeze " + work.name());
+    public void stop(TrackedRequest work) {
+        asked.add("freeze " + work.idText());
     }
 
     @Override
-    public void deliver(TrackedRequest work, byte[] reply) {
+    public void deliverReply(TrackedRequest work, byte[] reply) {
         assertArrayEquals(new byte[] {2}, reply);
-        asked.add("deliver " + work.name());
+        asked.add("deliver " + work.idText());
     }
 
     @Override
-    public void forgo(TrackedRequest work) {
-        asked.add("forgo " + work.name());
+    public void continueWithoutCall(TrackedRequest work) {
+        asked.add("forgo " + work.idText());
     }
 
     @Override
-    public boolean sample() {
+    public boolean pollMetrics() {
         return true;
     }
 
     @Override
-    public void exercise() {
+    public void startDeepCheck() {
         asked.add("exercise");
     }
 
     @Override
-    public DownstreamService calls() {
+    public DownstreamService downstream() {
         return below;
     }
 
     @Override
     public void call(TrackedRequest work, byte[] body, Duration within) {
         assertArrayEquals(new byte[] {1}, body);
-        asked.add("call " + work.name());
+        asked.add("call " + work.idText());
     }
 
     @Override
-    public void giveUp(TrackedRequest work) {
-        asked.add("give up " + work.name());
+    public void cancel(TrackedRequest work) {
+        asked.add("give up " + work.idText());
     }
 
     @Override
-    public void closeIdle(Duration after) {}
+    public void closeIdleConnections(Duration after) {}
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         alarm = at;
     }
 
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/core/BackendTest.java
@@ -57,7 +57,7 @@
     void aRepeatGetsTheOutcomeOfARunWhoseCallerHasGone() {
         BackendFixture around = new BackendFixture();
         String first = around.take("buy", "t", "a");
-        around.backend.callerGone(around.now, around.taken.get(first));
+        around.backend.callerDisconnected(around.now, around.taken.get(first));
         around.settle();
         String again = around.take("buy", "t", "a");
         around.ends(first, Outcome.OK, "done");
@@ -109,11 +109,11 @@
     void whatWasPushedBackIsNotHeldOnTo() {
         BackendFixture around = new BackendFixture();
         around.take("look", null, "a");
-        around.backend.leave(around.now, around.now.plusMillis(10));
+        around.backend.startDrain(around.now, around.now.plusMillis(10));
         for (int i = 0; i < 1000; i++) {
             around.take("buy", "t" + i, "a");
         }
-        assertEquals(1, around.backend.known());
+        assertEquals(1, around.backend.trackedRequests());
     }
 
     @Example
@@ -123,7 +123,7 @@
             TrackedRequest[] works = new TrackedRequest[3];
             List<String> heard = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                works[i] = around.backend.arrived(
+                works[i] = around.backend.receive(
                         around.now,
                         new Backend.RequestMetadata(
                                 ++around.ids,
@@ -140,15 +140,15 @@
                                 new byte[0]),
                         new ResponseSink() {
                             @Override
-                            public void satisfied(byte[] result) {
+                            public void succeed(byte[] result) {
                                 heard.add(new String(result, StandardCharsets.UTF_8));
                             }
 
                             @Override
-                            public void pushedBack(boolean nowhereElse, Duration stayAway) {}
+                            public void reject(boolean nowhereElse, Duration stayAway) {}
 
                             @Override
-                            public void brokenOff() {}
+                            public void fail() {}
                         });
                 around.settle();
                 if (i == 1) {
@@ -166,11 +166,11 @@
     void runsThatLeftAfterTheGaugeWasAskedForAreAddedToIt() {
         BackendFixture around = new BackendFixture();
         around.take("look", null, "a");
-        around.backend.alarmed(around.now);
+        around.backend.wakeUp(around.now);
         around.take("look", null, "b");
         around.take("look", null, "c");
         // Asked for with one on the cores; with the two that followed and one more the four cores are full.
-        around.backend.gauges(around.now, new double[] {0, 1});
+        around.backend.metricsReceived(around.now, new double[] {0, 1});
         around.take("look", null, "d");
         around.take("look", null, "e");
         assertEquals(4, around.asked.size());
@@ -183,7 +183,7 @@
         String late = around.take("look", null, "b");
         around.calls(gone);
         around.calls(late);
-        around.backend.callerGone(around.now, around.taken.get(gone));
+        around.backend.callerDisconnected(around.now, around.taken.get(gone));
         around.after(1100);
         assertEquals(1, around.times("give up " + gone));
         assertEquals(1, around.times("give up " + late));
@@ -202,13 +202,13 @@
                 @Override
                 public void call(TrackedRequest operation, byte[] body, Duration within) {
                     assertTrue(body.length == 1 && within.toMillis() == 1000, "the body and the time that is left");
-                    made.add(how + " " + operation.name());
+                    made.add(how + " " + operation.idText());
                     around.backend.callEnded(around.now, operation.id(), how, new byte[] {2});
                 }
 
                 @Override
-                public void giveUp(TrackedRequest operation) {
-                    made.add("given up " + operation.name());
+                public void cancel(TrackedRequest operation) {
+                    made.add("given up " + operation.idText());
                 }
             };
             String name = around.take("look", null, "a");
@@ -236,18 +236,18 @@
         around.calls(doubtful);
         String calling = around.take("look", null, "d");
         around.calls(calling);
-        around.backend.linkLost(lastHeard);
+        around.backend.agentLinkLost(lastHeard);
         around.replied(doubtful, Outcome.OK);
         String without = around.take("buy", "t", "e");
         around.after(50);
-        around.backend.linkBack(around.now);
+        around.backend.agentLinkRestored(around.now);
         around.ends(ended, Outcome.OK, "done");
         around.asked.clear();
         around.replied(calling, Outcome.OK);
-        around.backend.caughtUp(around.now);
+        around.backend.agentEventsCaughtUp(around.now);
         assertEquals(List.of("deliver " + calling, "deliver " + doubtful, "launch " + without), around.asked);
         around.asked.clear();
-        around.backend.caughtUp(around.now);
+        around.backend.agentEventsCaughtUp(around.now);
         assertEquals(List.of(), around.asked);
     }
 
@@ -259,9 +259,9 @@
         around.calls(a);
         around.replied(a, Outcome.OK);
         around.after(45);
-        around.backend.linkLost(around.now);
-        around.backend.linkBack(around.now.plusMillis(1));
-        around.backend.caughtUp(around.now);
+        around.backend.agentLinkLost(around.now);
+        around.backend.agentLinkRestored(around.now.plusMillis(1));
+        around.backend.agentEventsCaughtUp(around.now);
         assertEquals(2, around.times("deliver " + a));
     }
 
@@ -270,7 +270,7 @@
     void runsWhoseNoticesWereMissedAreBrokenOffAndNotBegunAgain() {
         BackendFixture around = new BackendFixture();
         String a = around.take("buy", "t", "a");
-        around.backend.noticesMissed(around.now);
+        around.backend.agentEventsLost(around.now);
         around.settle();
         assertEquals("broken off", around.answer(a));
         assertEquals("broken off", around.answer(around.take("buy", "t", "a")));
@@ -281,14 +281,14 @@
     void allIsAnsweredBeforeTheStopAndNothingPastTheGraceIsRun() {
         BackendFixture around = new BackendFixture();
         String running = around.take("buy", "t", "a");
-        around.backend.leave(around.now, around.now.plusMillis(900));
+        around.backend.startDrain(around.now, around.now.plusMillis(900));
         around.settle();
         around.after(600);
         String late = around.take("look", null, "b");
         assertEquals("pushed back", around.answer(late));
         around.after(290);
         assertEquals("broken off", around.answer(running));
-        assertEquals(0, around.backend.inHand());
+        assertEquals(0, around.backend.unansweredRequests());
         assertEquals(List.of("launch " + running, "freeze " + running), around.asked);
     }
 
@@ -296,17 +296,17 @@
     void deepChecksShareOneExerciseWhichALostLinkDoesNotSpoil() {
         BackendFixture around = new BackendFixture();
         List<Boolean> heard = new ArrayList<>();
-        around.backend.checkDeeply(heard::add);
-        around.backend.checkDeeply(heard::add);
+        around.backend.runDeepCheck(heard::add);
+        around.backend.runDeepCheck(heard::add);
         assertEquals(1, around.times("exercise"));
-        around.backend.exercised(true);
+        around.backend.deepCheckCompleted(true);
         assertEquals(List.of(true, true), heard);
-        around.backend.checkDeeply(heard::add);
-        around.backend.linkLost(around.now);
-        around.backend.linkBack(around.now);
-        around.backend.caughtUp(around.now);
+        around.backend.runDeepCheck(heard::add);
+        around.backend.agentLinkLost(around.now);
+        around.backend.agentLinkRestored(around.now);
+        around.backend.agentEventsCaughtUp(around.now);
         assertEquals(List.of(true, true), heard);
-        around.backend.exercised(false);
+        around.backend.deepCheckCompleted(false);
         assertEquals(List.of(true, true, false), heard);
     }
 
@@ -315,19 +315,19 @@
         BackendFixture around = new BackendFixture();
         Backend early = new Backend(BackendFixture.GIVEN, 5, around);
         List<Boolean> checked = new ArrayList<>();
-        early.checkDeeply(checked::add);
-        assertFalse(early.healthy() || checked.get(0));
-        assertEquals(null, early.arrived(Duration.ZERO, null, new ResponseSink() {
+        early.runDeepCheck(checked::add);
+        assertFalse(early.isHealthy() || checked.get(0));
+        assertEquals(null, early.receive(Duration.ZERO, null, new ResponseSink() {
             @Override
-            public void satisfied(byte[] result) {}
+            public void succeed(byte[] result) {}
 
             @Override
-            public void pushedBack(boolean nowhereElse, Duration stayAway) {
+            public void reject(boolean nowhereElse, Duration stayAway) {
                 checked.add(true);
             }
 
             @Override
-            public void brokenOff() {}
+            public void fail() {}
         }));
         assertEquals(2, checked.size());
     }
@@ -367,13 +367,13 @@
                 if (around.answers.get(some).isEmpty()) {
                     gone.add(some);
                 }
-                around.backend.callerGone(around.now, around.taken.get(some));
+                around.backend.callerDisconnected(around.now, around.taken.get(some));
             } else if (what == 8 && chance.nextInt(4) == 0) {
                 if (linked) {
-                    around.backend.linkLost(around.now);
+                    around.backend.agentLinkLost(around.now);
                 } else {
-                    around.backend.linkBack(around.now);
-                    around.backend.caughtUp(around.now);
+                    around.backend.agentLinkRestored(around.now);
+                    around.backend.agentEventsCaughtUp(around.now);
                 }
                 linked = !linked;
             } else {
--- a/src/test/java/merlinlever/core/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/core/BatchedBackendFixture.java
@@ -43,8 +43,8 @@
 
     /** The cores have room again, and what is held is started as far as that goes. */
     void free() {
-        backend.alarmed(now());
-        backend.gauges(now(), new double[] {0, 0});
+        backend.wakeUp(now());
+        backend.metricsReceived(now(), new double[] {0, 0});
         settle();
     }
 
@@ -56,7 +56,7 @@
     void pass(long ms) {
         for (long left = ms; left > 0; left -= 10) {
             around.now = around.now.plusMillis(Math.min(10, left));
-            backend.alarmed(now());
+            backend.wakeUp(now());
             settle();
         }
     }
@@ -78,12 +78,12 @@
         List<String> heard = new ArrayList<>();
         around.answers.put(name, heard);
         ResponseSink caller = new RecordingResponseSink(heard);
-        TrackedRequest work = backend.arrived(
+        TrackedRequest work = backend.receive(
                 now(),
                 new Backend.RequestMetadata(
                         id,
                         name,
-                        backend.tariff(tariff),
+                        backend.priorityClassIndex(tariff),
                         tariff,
                         arrival,
                         arrival.plus(wait),
@@ -103,15 +103,15 @@
     }
 
     void gone(String name) {
-        backend.callerGone(now(), work(name));
+        backend.callerDisconnected(now(), work(name));
     }
 
     void ended(String name, Outcome how, String result) {
-        backend.ended(now(), Long.parseLong(name, 16), how, result.getBytes(StandardCharsets.UTF_8));
+        backend.runEnded(now(), Long.parseLong(name, 16), how, result.getBytes(StandardCharsets.UTF_8));
     }
 
     void needsCall(String name) {
-        backend.needsCall(now(), Long.parseLong(name, 16), new byte[] {1});
+        backend.callNeeded(now(), Long.parseLong(name, 16), new byte[] {1});
     }
 
     void replied(String name, Outcome how) {
--- a/src/test/java/merlinlever/core/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/core/CompletionRaceTest.java
@@ -31,7 +31,7 @@
                 batches.settle();
                 assertEquals(goneFirst ? List.of() : DONE, batches.heard(name));
                 assertEquals(List.of("launch"), batches.asked(name));
-                assertEquals(0, batches.backend.inHand());
+                assertEquals(0, batches.backend.unansweredRequests());
             }
         }
     }
@@ -47,7 +47,7 @@
             batches.around.now = batches.now().plusMillis(10);
             if (after) {
                 batches.settle();
-                batches.backend.alarmed(batches.now());
+                batches.backend.wakeUp(batches.now());
                 batches.settle();
             }
             batches.ended(name, Outcome.OK, "done");
@@ -55,7 +55,7 @@
             batches.pass(50);
             assertEquals(after ? BROKEN_OFF : DONE, batches.heard(name));
             assertEquals(after ? List.of("launch", "freeze") : List.of("launch"), batches.asked(name));
-            assertEquals(0, batches.backend.inHand());
+            assertEquals(0, batches.backend.unansweredRequests());
         }
     }
 
@@ -66,19 +66,19 @@
             BatchedBackendFixture batches = new BatchedBackendFixture();
             String name = batches.read("buy", "t", "a");
             batches.settle();
-            batches.backend.leave(batches.now(), batches.now().plusMillis(600));
+            batches.backend.startDrain(batches.now(), batches.now().plusMillis(600));
             batches.settle();
             batches.pass(570);
             assertEquals(List.of(), batches.heard(name));
             batches.around.now = batches.now().plusMillis(15);
             if (after) {
-                batches.backend.alarmed(batches.now());
+                batches.backend.wakeUp(batches.now());
                 batches.settle();
             }
             batches.ended(name, Outcome.OK, "done");
             batches.settle();
             assertEquals(after ? BROKEN_OFF : DONE, batches.heard(name));
-            assertEquals(0, batches.backend.inHand());
+            assertEquals(0, batches.backend.unansweredRequests());
         }
     }
 
@@ -96,7 +96,7 @@
             if (!after) {
                 batches.replied(name, Outcome.OK);
             }
-            batches.backend.alarmed(batches.now());
+            batches.backend.wakeUp(batches.now());
             batches.settle();
             if (after) {
                 batches.replied(name, Outcome.OK);
@@ -108,7 +108,7 @@
                     batches.asked(name));
             batches.ended(name, Outcome.STOPPED, "");
             batches.settle();
-            assertEquals(0, batches.backend.inHand());
+            assertEquals(0, batches.backend.unansweredRequests());
         }
     }
 
@@ -151,7 +151,7 @@
         batches.settle();
         assertEquals(List.of(), batches.heard(name));
         batches.pass(42_000);
-        assertEquals(0, batches.backend.known());
+        assertEquals(0, batches.backend.trackedRequests());
     }
 
     /** A launch that was sent twice: the agent's word that nothing was begun, after the outcome, changes nothing. */
@@ -160,9 +160,9 @@
         BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("buy", "t", "a");
         batches.settle();
-        batches.backend.linkLost(batches.now());
-        batches.backend.linkBack(batches.now());
-        batches.backend.caughtUp(batches.now());
+        batches.backend.agentLinkLost(batches.now());
+        batches.backend.agentLinkRestored(batches.now());
+        batches.backend.agentEventsCaughtUp(batches.now());
         assertEquals(List.of("launch", "launch"), batches.asked(name));
         batches.ended(name, Outcome.OK, "done");
         batches.ended(name, Outcome.NEVER_BEGUN, "");
@@ -205,14 +205,14 @@
             batches.pass(290);
             batches.around.now = batches.now().plusMillis(10);
             if (after) {
-                batches.backend.alarmed(batches.now());
+                batches.backend.wakeUp(batches.now());
                 batches.settle();
             }
             batches.ended(first, Outcome.OK, "done");
             batches.settle();
             assertEquals(DONE, batches.heard(first));
             assertEquals(after ? BROKEN_OFF : DONE, batches.heard(sharer));
-            assertEquals(0, batches.backend.inHand());
+            assertEquals(0, batches.backend.unansweredRequests());
         }
     }
 
--- a/src/test/java/merlinlever/core/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/core/DeploymentProfileTest.java
@@ -40,8 +40,8 @@
                 "watch.readiness",
                 "true"));
         Decisions settled = new Decisions();
-        settled.halted.add(ControllerDriver.UNKNOWN);
-        settled.halted.add(ControllerDriver.UNKNOWN);
+        settled.halted.add(ControllerDriver.UNKNOWN_REQUEST);
+        settled.halted.add(ControllerDriver.UNKNOWN_REQUEST);
         settled.level = 0.3;
         settled.healthy = false;
         shape.seen(settled);
--- a/src/test/java/merlinlever/core/DrainRaceTest.java
+++ b/src/test/java/merlinlever/core/DrainRaceTest.java
@@ -21,10 +21,10 @@
     void aSecondNoticeToLeaveDoesNotLengthenTheGrace() {
         BatchedBackendFixture batches = new BatchedBackendFixture();
         Duration stop = batches.now().plusMillis(3000);
-        batches.backend.leave(batches.now(), stop);
+        batches.backend.startDrain(batches.now(), stop);
         batches.settle();
         batches.pass(400);
-        batches.backend.leave(batches.now(), stop.plusMillis(400));
+        batches.backend.startDrain(batches.now(), stop.plusMillis(400));
         batches.settle();
         batches.pass(101);
         String late = batches.read("look", null, "a");
@@ -38,7 +38,7 @@
     void theGraceCountsFromTheArrivalAndNotFromTheStart() {
         BatchedBackendFixture batches = new BatchedBackendFixture().busy();
         batches.wait = Duration.ofMillis(2000);
-        batches.backend.leave(batches.now(), batches.now().plusMillis(3000));
+        batches.backend.startDrain(batches.now(), batches.now().plusMillis(3000));
         batches.settle();
         batches.pass(490);
         String before = batches.read("buy", "t", "a");
@@ -65,7 +65,7 @@
         String runs = batches.read("buy", "u", "a");
         batches.settle();
         batches.ended(ran, Outcome.OK, "done");
-        batches.backend.leave(batches.now(), batches.now().plusMillis(3000));
+        batches.backend.startDrain(batches.now(), batches.now().plusMillis(3000));
         batches.settle();
         batches.pass(600);
         String after = batches.read("buy", "t", "a");
@@ -83,30 +83,30 @@
     void theAgentThatComesUpAfterTheNoticeToLeaveBeginsNothing() {
         BackendFixture around = new BackendFixture();
         Backend early = new Backend(BackendFixture.GIVEN, 5, around);
-        early.leave(Duration.ZERO, Duration.ofSeconds(3));
-        early.settle(Duration.ZERO);
-        early.started(Duration.ofMillis(5), true);
-        early.settle(Duration.ofMillis(5));
-        assertFalse(early.started() || early.healthy());
+        early.startDrain(Duration.ZERO, Duration.ofSeconds(3));
+        early.decide(Duration.ZERO);
+        early.agentStarted(Duration.ofMillis(5), true);
+        early.decide(Duration.ofMillis(5));
+        assertFalse(early.agentStarted() || early.isHealthy());
         List<String> heard = new ArrayList<>();
-        assertNull(early.arrived(Duration.ofMillis(6), null, new ResponseSink() {
+        assertNull(early.receive(Duration.ofMillis(6), null, new ResponseSink() {
             @Override
-            public void satisfied(byte[] result) {
+            public void succeed(byte[] result) {
                 heard.add("satisfied");
             }
 
             @Override
-            public void pushedBack(boolean nowhereElse, Duration stayAway) {
+            public void reject(boolean nowhereElse, Duration stayAway) {
                 heard.add("pushed back");
             }
 
             @Override
-            public void brokenOff() {
+            public void fail() {
                 heard.add("broken off");
             }
         }));
         assertEquals(List.of("pushed back"), heard);
-        assertEquals(0, early.inHand());
+        assertEquals(0, early.unansweredRequests());
     }
 
     /** An alarm after the notice to leave goes on being set and answered until the stop, and one after it harms nothing. */
@@ -115,13 +115,13 @@
         BatchedBackendFixture batches = new BatchedBackendFixture();
         String name = batches.read("buy", "t", "a");
         batches.settle();
-        batches.backend.leave(batches.now(), batches.now().plusMillis(200));
+        batches.backend.startDrain(batches.now(), batches.now().plusMillis(200));
         batches.settle();
         assertTrue(batches.around.alarm != null);
         batches.pass(300);
         assertEquals(List.of("broken off"), batches.heard(name));
         batches.ended(name, Outcome.STOPPED, "");
         batches.settle();
-        assertEquals(0, batches.backend.inHand());
+        assertEquals(0, batches.backend.unansweredRequests());
     }
 }
--- a/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
@@ -48,9 +48,9 @@
             batches.settle();
             launched();
             batches.around.now = batches.now().plusMillis(1 + chance.nextInt(25));
-            batches.backend.alarmed(batches.now());
+            batches.backend.wakeUp(batches.now());
             // Sometimes the cores are full, so that what is read is held.
-            batches.backend.gauges(batches.now(), new double[] {0, chance.nextInt(3) == 0 ? 0 : 8});
+            batches.backend.metricsReceived(batches.now(), new double[] {0, chance.nextInt(3) == 0 ? 0 : 8});
             batches.settle();
             launched();
             check();
@@ -74,7 +74,7 @@
         } else if (what == 9 && some.launched && !some.over) {
             batches.replied(some.name, Outcome.values()[chance.nextInt(6)]);
         } else if (what == 10 && step > 150 && chance.nextInt(80) == 0) {
-            batches.backend.leave(batches.now(), batches.now().plusMillis(4000));
+            batches.backend.startDrain(batches.now(), batches.now().plusMillis(4000));
             graceEnds = graceEnds == null ? batches.now().plusMillis(500) : graceEnds;
         }
     }
--- a/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
@@ -183,7 +183,7 @@
         batches.free();
         assertEquals(List.of(next), batches.launched(first, heir, next));
         batches.gone(next);
-        assertEquals(5, batches.backend.known(), "four that run and the one that ran on");
+        assertEquals(5, batches.backend.trackedRequests(), "four that run and the one that ran on");
         assertNull(batches.work(heir).body);
     }
 
@@ -219,7 +219,7 @@
         batches.settle();
         assertNull(batches.readAs(Long.parseLong(first, 16), "second", "buy", "t", null, "a", batches.now()));
         assertEquals(List.of("broken off"), batches.heard("second"));
-        assertEquals(1, batches.backend.inHand());
+        assertEquals(1, batches.backend.unansweredRequests());
         batches.ended(first, Outcome.OK, "done");
         batches.settle();
         assertEquals(BatchedBackendFixture.DONE, batches.heard(first));
@@ -249,7 +249,7 @@
         BatchedBackendFixture batches = new BatchedBackendFixture();
         String first = batches.ran();
         batches.pass(36_000);
-        assertEquals(0, batches.backend.known());
+        assertEquals(0, batches.backend.trackedRequests());
         batches.readAs(Long.parseLong(first, 16), first, "look", null, null, "b", batches.now());
         batches.settle();
         batches.ended(first, Outcome.NEVER_BEGUN, "");
@@ -257,7 +257,7 @@
         assertEquals(List.of("broken off"), batches.heard(first));
         batches.ended(first, Outcome.OK, "late");
         batches.settle();
-        assertEquals(0, batches.backend.inHand());
+        assertEquals(0, batches.backend.unansweredRequests());
     }
 
     /** A subject that comes with a write stands for nothing that could be shared: each is run and answered by itself. */
--- a/src/test/java/merlinlever/core/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/core/IdempotencyCacheMemoryTest.java
@@ -50,7 +50,7 @@
         batches.gone(held);
         batches.settle();
         assertNull(batches.work(held).body);
-        assertEquals(4, batches.backend.known());
+        assertEquals(4, batches.backend.trackedRequests());
     }
 
     /** Guards the memory: of those who ask again and again while it runs and go, the run keeps no list. */
@@ -66,9 +66,9 @@
             batches.settle();
         }
         assertTrue(
-                batches.work(first).sharers.size() <= 1,
-                batches.work(first).sharers.size() + " kept");
-        assertEquals(1, batches.backend.known());
+                batches.work(first).coalesced.size() <= 1,
+                batches.work(first).coalesced.size() + " kept");
+        assertEquals(1, batches.backend.trackedRequests());
     }
 
     /**
@@ -121,6 +121,6 @@
             batches.ended(read, Outcome.OK, "done");
         }
         batches.pass(31_100);
-        assertEquals(1, batches.backend.known(), "the one with the long window");
+        assertEquals(1, batches.backend.trackedRequests(), "the one with the long window");
     }
 }
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/core/InDoubtCommandsTest.java
@@ -11,15 +11,15 @@
 class InDoubtCommandsTest {
 
     private static void lost(BackendFixture around) {
-        around.backend.linkLost(around.now);
+        around.backend.agentLinkLost(around.now);
     }
 
     private static void back(BackendFixture around) {
-        around.backend.linkBack(around.now);
+        around.backend.agentLinkRestored(around.now);
     }
 
     private static void caughtUp(BackendFixture around) {
-        around.backend.caughtUp(around.now);
+        around.backend.agentEventsCaughtUp(around.now);
         around.settle();
     }
 
@@ -140,17 +140,17 @@
         for (Outcome how : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NEVER_BEGUN)) {
             BackendFixture around = new BackendFixture(Map.of("tariffs.0.window", "0"));
             String name = around.take("look", null, "a");
-            around.backend.callerGone(around.now, around.taken.get(name));
+            around.backend.callerDisconnected(around.now, around.taken.get(name));
             around.settle();
             assertEquals(1, around.times("freeze " + name));
             around.ends(name, how, "late");
             around.ends(name, Outcome.STOPPED, "");
             assertEquals(List.of(), around.answers.get(name));
-            assertEquals(0, around.backend.figures().onCores(), "" + how);
+            assertEquals(0, around.backend.metrics().onCores(), "" + how);
             assertEquals(List.of("launch " + name, "freeze " + name), around.asked);
             // Its id is known for as long as a repeat may still be read.
             around.after(31_000);
-            assertEquals(0, around.backend.known(), "" + how);
+            assertEquals(0, around.backend.trackedRequests(), "" + how);
         }
     }
 
@@ -161,7 +161,7 @@
         String runs = around.take("look", null, "a");
         String ended = around.take("look", null, "b");
         for (String name : List.of(runs, ended)) {
-            around.backend.callerGone(around.now, around.taken.get(name));
+            around.backend.callerDisconnected(around.now, around.taken.get(name));
         }
         around.settle();
         lost(around);
--- a/src/test/java/merlinlever/core/RecordingResponseSink.java
+++ b/src/test/java/merlinlever/core/RecordingResponseSink.java
@@ -8,17 +8,17 @@
 public record RecordingResponseSink(List<String> heard) implements ResponseSink {
 
     @Override
-    public void satisfied(byte[] result) {
+    public void succeed(byte[] result) {
         heard.add("satisfied " + new String(result, StandardCharsets.UTF_8));
     }
 
     @Override
-    public void pushedBack(boolean nowhereElse, Duration stayAway) {
+    public void reject(boolean nowhereElse, Duration stayAway) {
         heard.add("pushed back");
     }
 
     @Override
-    public void brokenOff() {
+    public void fail() {
         heard.add("broken off");
     }
 }
--- a/src/test/java/merlinlever/core/SettingsTranslatorTest.java
+++ b/src/test/java/merlinlever/core/SettingsTranslatorTest.java
@@ -32,7 +32,7 @@
         assertEquals(SettingsTranslator.translate(line), ours);
         assertEquals("fingerprinted", ours.get("tariffs.0.kind"));
         assertEquals("busy,run-queue,memory,connections", ours.get("server.gauges"));
-        assertEquals(List.of(), SettingsTranslator.unknown(line));
+        assertEquals(List.of(), SettingsTranslator.unknownNames(line));
     }
 
     /** A name that changed would fall back to a default in silence. */
@@ -40,6 +40,6 @@
     void aNameThatIsNotKnownIsFound() {
         assertEquals(
                 List.of("family-info.cpus"),
-                SettingsTranslator.unknown(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
+                SettingsTranslator.unknownNames(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
     }
 }
--- a/src/test/java/merlinlever/http/EdgeCloseRaceTest.java
+++ b/src/test/java/merlinlever/http/EdgeCloseRaceTest.java
@@ -185,7 +185,7 @@
         await(State.NEW, 1);
         on(edge::close);
         pass(100);
-        on(() -> backend.leave(
+        on(() -> backend.startDrain(
                 loop.clock().now().minusMillis(200), loop.clock().now().plusSeconds(2)));
         write(half, operation.substring(operation.length() - 3));
         String answer = answer(half);
--- a/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
@@ -75,10 +75,10 @@
         Socket other = ask("GET /status/live?real=1 HTTP/1.1\r\n\r\n" + operation("", "body"));
         await(State.IN_HAND, 1);
         // The verdict answers the check; the operation behind it is read then, and a second verdict does not touch it.
-        on(() -> backend.exercised(true));
+        on(() -> backend.deepCheckCompleted(true));
         assertStatus(200, other);
         awaitAsked(2);
-        on(() -> backend.exercised(false));
+        on(() -> backend.deepCheckCompleted(false));
         ends(asked.get(1), new byte[] {'7'});
         String answer = answer(other);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n7"), answer);
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -66,7 +66,7 @@
 
     EdgeServerFixture() throws IOException {
         loop.after(() -> {
-            backend.settle(loop.clock().now());
+            backend.decide(loop.clock().now());
             batches++;
         });
     }
@@ -74,10 +74,10 @@
     /** Begins to listen, with room for so many, and with the agent up. */
     void listen(int most) throws Exception {
         edge.listen(new InetSocketAddress(HERE, 0), most);
-        backend.started(loop.clock().now(), false);
+        backend.agentStarted(loop.clock().now(), false);
         thread.setDaemon(true);
         thread.start();
-        await(backend::healthy, "the backend is not healthy");
+        await(backend::isHealthy, "the backend is not healthy");
     }
 
     @AfterTry
@@ -202,65 +202,65 @@
     /** The operation that was sent on as the given one ends with the result. */
     void ends(String launch, byte[] result) throws Exception {
         on(() ->
-                backend.ended(loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
+                backend.runEnded(loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
         settle();
     }
 
     @Override
     public void launch(TrackedRequest work) {
-        asked.add("launch " + work.name());
+        asked.add("launch " + work.idText());
     }
 
     @Override
-    public void freeze(TrackedRequest work) {
-        asked.add("freeze " + work.name());
+    public void stop(TrackedRequest work) {
+        asked.add("freeze " + work.idText());
     }
 
     @Override
-    public void deliver(TrackedRequest work, byte[] reply) {
-        asked.add("deliver " + work.name());
+    public void deliverReply(TrackedRequest work, byte[] reply) {
+        asked.add("deliver " + work.idText());
     }
 
     @Override
-    public void forgo(TrackedRequest work) {
-        asked.add("forgo " + work.name());
+    public void continueWithoutCall(TrackedRequest work) {
+        asked.add("forgo " + work.idText());
     }
 
     @Override
-    public boolean sample() {
+    public boolean pollMetrics() {
         return true;
     }
 
     @Override
-    public void exercise() {
+    public void startDeepCheck() {
         asked.add("exercise");
     }
 
     @Override
-    public DownstreamService calls() {
+    public DownstreamService downstream() {
         return this;
     }
 
     @Override
     public void call(TrackedRequest work, byte[] body, Duration within) {
-        asked.add("call " + work.name());
+        asked.add("call " + work.idText());
     }
 
     @Override
-    public void giveUp(TrackedRequest work) {}
+    public void cancel(TrackedRequest work) {}
 
     @Override
-    public void closeIdle(Duration after) {}
+    public void closeIdleConnections(Duration after) {}
 
     private EventLoop.Timer alarm;
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
         alarm = loop.in(
-                at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
+                at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 
     @Override
