--- a/src/test/java/merlinlever/core/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/core/CompletionRaceTest.java
@@ -1,5 +1,8 @@
 package merlinlever.core;
 
+import static merlinlever.core.BatchedBackendFixture.FAILED;
+import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
+import static merlinlever.core.BatchedBackendFixture.UNANSWERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
@@ -7,288 +10,303 @@
 import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
-/** Where the end of a run crosses its deadline, its caller, its call, and its sharers. */
+/**
+ * The end of a run together with its deadline, the disconnect of its caller, its downstream call and its duplicates.
+ */
 class CompletionRaceTest {
 
-    private static final List<String> DONE = List.of("satisfied done");
-    private static final List<String> BROKEN_OFF = List.of("broken off");
 
-    /** The outcome and the caller that goes, in one batch and either order: one answer at the most, and no run is stopped that is over. */
+    /**
+     * The outcome and the disconnect, in one batch and in either order: at most one response, and no stop for a run
+     * that has ended.
+     */
     @Example
-    void anOutcomeAndACallerThatGoesInOneBatch() {
-        for (String tariff : new String[] {"look", "buy"}) {
-            for (boolean goneFirst : new boolean[] {false, true}) {
-                BatchedBackendFixture batches = new BatchedBackendFixture();
-                String name = batches.read(tariff, tariff.equals("buy") ? "t" : null, "a");
-                batches.settle();
-                if (goneFirst) {
-                    batches.gone(name);
+    void outcomeAndDisconnectInOneBatchGiveAtMostOneResponse() {
+        for (String priorityClass : new String[] {"look", "buy"}) {
+            for (boolean disconnectFirst : new boolean[] {false, true}) {
+                BatchedBackendFixture fixture = new BatchedBackendFixture();
+                String id = fixture.receive(priorityClass, priorityClass.equals("buy") ? "t" : null, "a");
+                fixture.decide();
+                if (disconnectFirst) {
+                    fixture.disconnectCaller(id);
                 }
-                batches.ended(name, Outcome.OK, "done");
-                if (!goneFirst) {
-                    batches.gone(name);
+                fixture.endRun(id, Outcome.OK, "done");
+                if (!disconnectFirst) {
+                    fixture.disconnectCaller(id);
                 }
-                batches.settle();
-                assertEquals(goneFirst ? List.of() : DONE, batches.heard(name));
-                assertEquals(List.of("launch"), batches.asked(name));
-                assertEquals(0, batches.backend.unansweredRequests());
+                fixture.decide();
+                assertEquals(disconnectFirst ? List.of() : SUCCEEDED, fixture.responses(id));
+                assertEquals(List.of("launch"), fixture.commands(id));
+                assertEquals(0, fixture.backend.unansweredRequests());
             }
         }
     }
 
-    /** The outcome that is read in the batch of the deadline is the answer; one that is read after it is none. */
+    /** An outcome that is read in the batch of the deadline is the response; one that is read after it is not. */
     @Example
-    void anOutcomeInTheBatchOfTheDeadline() {
+    void outcomeCountsIfReadInTheBatchOfTheDeadline() {
         for (boolean after : new boolean[] {false, true}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            String name = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.pass(990);
-            batches.around.now = batches.now().plusMillis(10);
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            String id = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.advance(990);
+            fixture.moveClock(10);
             if (after) {
-                batches.settle();
-                batches.backend.wakeUp(batches.now());
-                batches.settle();
+                fixture.decide();
+                fixture.backend.wakeUp(fixture.now());
+                fixture.decide();
             }
-            batches.ended(name, Outcome.OK, "done");
-            batches.settle();
-            batches.pass(50);
-            assertEquals(after ? BROKEN_OFF : DONE, batches.heard(name));
-            assertEquals(after ? List.of("launch", "freeze") : List.of("launch"), batches.asked(name));
-            assertEquals(0, batches.backend.unansweredRequests());
+            fixture.endRun(id, Outcome.OK, "done");
+            fixture.decide();
+            fixture.advance(50);
+            assertEquals(after ? FAILED : SUCCEEDED, fixture.responses(id));
+            assertEquals(after ? List.of("launch", "stop") : List.of("launch"), fixture.commands(id));
+            assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /** The outcome in the last moment before the stop: it is the answer, or the breaking off is, and never both. */
+    /**
+     * An outcome in the last moment before the process stops: the response is either that outcome or a failure, never
+     * both.
+     */
     @Example
-    void anOutcomeInTheLastMomentBeforeTheStop() {
+    void outcomeShortlyBeforeTheStopGivesOneResponse() {
         for (boolean after : new boolean[] {false, true}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            String name = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.backend.startDrain(batches.now(), batches.now().plusMillis(600));
-            batches.settle();
-            batches.pass(570);
-            assertEquals(List.of(), batches.heard(name));
-            batches.around.now = batches.now().plusMillis(15);
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            String id = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(600));
+            fixture.decide();
+            fixture.advance(570);
+            assertEquals(UNANSWERED, fixture.responses(id));
+            fixture.moveClock(15);
             if (after) {
-                batches.backend.wakeUp(batches.now());
-                batches.settle();
+                fixture.backend.wakeUp(fixture.now());
+                fixture.decide();
             }
-            batches.ended(name, Outcome.OK, "done");
-            batches.settle();
-            assertEquals(after ? BROKEN_OFF : DONE, batches.heard(name));
-            assertEquals(0, batches.backend.unansweredRequests());
+            fixture.endRun(id, Outcome.OK, "done");
+            fixture.decide();
+            assertEquals(after ? FAILED : SUCCEEDED, fixture.responses(id));
+            assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /** A reply in the batch of the deadline goes to the run before it is stopped; after the deadline it goes nowhere. */
+    /**
+     * A reply in the batch of the deadline goes to the run before that is stopped; after the deadline it goes nowhere.
+     */
     @Example
-    void aReplyInTheBatchOfTheDeadline() {
+    void replyInTheBatchOfTheDeadlineIsDeliveredBeforeTheStop() {
         for (boolean after : new boolean[] {false, true}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            String name = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.needsCall(name);
-            batches.settle();
-            batches.pass(990);
-            batches.around.now = batches.now().plusMillis(10);
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            String id = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.requestCall(id);
+            fixture.decide();
+            fixture.advance(990);
+            fixture.moveClock(10);
             if (!after) {
-                batches.replied(name, Outcome.OK);
+                fixture.endCall(id, Outcome.OK);
             }
-            batches.backend.wakeUp(batches.now());
-            batches.settle();
+            fixture.backend.wakeUp(fixture.now());
+            fixture.decide();
             if (after) {
-                batches.replied(name, Outcome.OK);
-                batches.settle();
+                fixture.endCall(id, Outcome.OK);
+                fixture.decide();
             }
-            assertEquals(BROKEN_OFF, batches.heard(name));
+            assertEquals(FAILED, fixture.responses(id));
             assertEquals(
-                    after ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
-                    batches.asked(name));
-            batches.ended(name, Outcome.STOPPED, "");
-            batches.settle();
-            assertEquals(0, batches.backend.unansweredRequests());
+                    after ? List.of("launch", "call", "cancel") : List.of("launch", "call", "deliver", "stop"),
+                    fixture.commands(id));
+            fixture.endRun(id, Outcome.STOPPED, "");
+            fixture.decide();
+            assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /** A reply in the batch in which the caller goes: delivered or given up, by which was first, and the run is told once. */
+    /**
+     * A reply in the batch in which the caller disconnects: whichever comes first, the reply is delivered or the call
+     * cancelled, once.
+     */
     @Example
-    void aReplyInTheBatchInWhichItsCallerGoes() {
-        for (boolean goneFirst : new boolean[] {false, true}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            String name = batches.read("look", null, "a");
-            batches.settle();
-            batches.needsCall(name);
-            batches.settle();
-            if (goneFirst) {
-                batches.gone(name);
+    void replyAndDisconnectInOneBatchDeliverOrCancel() {
+        for (boolean disconnectFirst : new boolean[] {false, true}) {
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            String id = fixture.receive("look", null, "a");
+            fixture.decide();
+            fixture.requestCall(id);
+            fixture.decide();
+            if (disconnectFirst) {
+                fixture.disconnectCaller(id);
             }
-            batches.replied(name, Outcome.OK);
-            if (!goneFirst) {
-                batches.gone(name);
+            fixture.endCall(id, Outcome.OK);
+            if (!disconnectFirst) {
+                fixture.disconnectCaller(id);
             }
-            batches.settle();
+            fixture.decide();
             assertEquals(
-                    goneFirst ? List.of("launch", "call", "give up") : List.of("launch", "call", "deliver", "freeze"),
-                    batches.asked(name));
+                    disconnectFirst ? List.of("launch", "call", "cancel") : List.of("launch", "call", "deliver", "stop"),
+                    fixture.commands(id));
         }
     }
 
-    /** A run that reaches its call as it is stopped, or after it was answered, makes none. */
+    /** A run that reaches its call as it is stopped, or after its request was answered, makes no call. */
     @Example
-    void aRunThatReachesItsCallAsItIsStoppedMakesNone() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String name = batches.read("look", null, "a");
-        batches.settle();
-        batches.gone(name);
-        batches.settle();
-        batches.needsCall(name);
-        batches.settle();
-        batches.pass(30);
-        assertEquals(List.of("launch", "freeze"), batches.asked(name));
-        batches.ended(name, Outcome.STOPPED, "");
-        batches.settle();
-        assertEquals(List.of(), batches.heard(name));
-        batches.pass(42_000);
-        assertEquals(0, batches.backend.trackedRequests());
+    void noCallIsMadeForAStoppedRun() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String id = fixture.receive("look", null, "a");
+        fixture.decide();
+        fixture.disconnectCaller(id);
+        fixture.decide();
+        fixture.requestCall(id);
+        fixture.decide();
+        fixture.advance(30);
+        assertEquals(List.of("launch", "stop"), fixture.commands(id));
+        fixture.endRun(id, Outcome.STOPPED, "");
+        fixture.decide();
+        assertEquals(UNANSWERED, fixture.responses(id));
+        fixture.advance(42_000);
+        assertEquals(0, fixture.backend.trackedRequests());
     }
 
-    /** A launch that was sent twice: the agent's word that nothing was begun, after the outcome, changes nothing. */
+    /** A launch was sent twice: the agent's report that the second never began, after the outcome, changes nothing. */
     @Example
-    void wordThatNothingWasBegunAfterTheOutcomeOfALaunchSentTwice() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String name = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.backend.agentLinkLost(batches.now());
-        batches.backend.agentLinkRestored(batches.now());
-        batches.backend.agentEventsCaughtUp(batches.now());
-        assertEquals(List.of("launch", "launch"), batches.asked(name));
-        batches.ended(name, Outcome.OK, "done");
-        batches.ended(name, Outcome.NEVER_BEGUN, "");
-        batches.settle();
-        assertEquals(DONE, batches.heard(name));
-        String again = batches.read("buy", "t", "a");
-        batches.settle();
-        assertEquals(DONE, batches.heard(again));
+    void neverBegunAfterTheOutcomeIsIgnored() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String id = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.backend.agentLinkLost(fixture.now());
+        fixture.backend.agentLinkRestored(fixture.now());
+        fixture.backend.agentEventsCaughtUp(fixture.now());
+        assertEquals(List.of("launch", "launch"), fixture.commands(id));
+        fixture.endRun(id, Outcome.OK, "done");
+        fixture.endRun(id, Outcome.NEVER_BEGUN, "");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(id));
+        String retry = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(retry));
     }
 
-    /** Word that nothing was begun, of one whose caller is there: broken off, not pushed back, and no try of it runs. */
+    /**
+     * The agent reports that a run whose caller waits never began: the request fails, is not rejected, and no duplicate
+     * of it runs.
+     */
     @Example
-    void wordThatNothingWasBegunOfOneThatIsOwedAnAnswer() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String name = batches.read("buy", "t", "a");
-        batches.settle();
-        String sharer = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.ended(name, Outcome.NEVER_BEGUN, "");
-        batches.settle();
-        String again = batches.read("buy", "t", "a");
-        batches.settle();
-        for (String each : List.of(name, sharer, again)) {
-            assertEquals(BROKEN_OFF, batches.heard(each));
+    void neverBegunFailsTheRequestAndItsDuplicates() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String id = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        String duplicate = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.endRun(id, Outcome.NEVER_BEGUN, "");
+        fixture.decide();
+        String retry = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        for (String each : List.of(id, duplicate, retry)) {
+            assertEquals(FAILED, fixture.responses(each));
         }
-        assertEquals(List.of(name), batches.launched(name, sharer, again));
+        assertEquals(List.of(id), fixture.launched(id, duplicate, retry));
     }
 
-    /** A follower whose deadline is reached in the batch in which its original ends: the outcome is read first and counts. */
+    /**
+     * A duplicate whose deadline falls in the batch in which its original ends: the outcome is read first and counts.
+     */
     @Example
-    void aSharerWhoseDeadlineIsReachedAsTheRunEnds() {
+    void duplicateAtItsDeadlineGetsAnOutcomeOfTheSameBatch() {
         for (boolean after : new boolean[] {false, true}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            String first = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.pass(100);
-            batches.wait = Duration.ofMillis(300);
-            String sharer = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.pass(290);
-            batches.around.now = batches.now().plusMillis(10);
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            String first = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.advance(100);
+            fixture.callerTimeout = Duration.ofMillis(300);
+            String duplicate = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.advance(290);
+            fixture.moveClock(10);
             if (after) {
-                batches.backend.wakeUp(batches.now());
-                batches.settle();
+                fixture.backend.wakeUp(fixture.now());
+                fixture.decide();
             }
-            batches.ended(first, Outcome.OK, "done");
-            batches.settle();
-            assertEquals(DONE, batches.heard(first));
-            assertEquals(after ? BROKEN_OFF : DONE, batches.heard(sharer));
-            assertEquals(0, batches.backend.unansweredRequests());
+            fixture.endRun(first, Outcome.OK, "done");
+            fixture.decide();
+            assertEquals(SUCCEEDED, fixture.responses(first));
+            assertEquals(after ? FAILED : SUCCEEDED, fixture.responses(duplicate));
+            assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /** Guards the request: a later try shares the run, so the run is not stopped as the deadline of the first is reached. */
+    /** A run is not stopped at the deadline of its own request while a later duplicate waits for its outcome. */
     @Example
-    void aRunThatALaterTrySharesIsNotStoppedAtTheDeadlineOfTheFirst() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.pass(700);
-        String later = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.pass(400);
-        assertEquals(BROKEN_OFF, batches.heard(first));
-        assertEquals(List.of("launch"), batches.asked(first));
-        batches.ended(first, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(DONE, batches.heard(later));
+    void runWithALaterDuplicateOutlivesTheFirstDeadline() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.advance(700);
+        String later = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.advance(400);
+        assertEquals(FAILED, fixture.responses(first));
+        assertEquals(List.of("launch"), fixture.commands(first));
+        fixture.endRun(first, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(later));
     }
 
-    /** The same for a read that others share, whose own caller goes; with the last of them gone it is stopped as before. */
+    /** A read that others share continues when its own caller disconnects; without others it is stopped. */
     @Example
-    void aReadThatOthersShareRunsOnWithoutItsCaller() {
-        BatchedBackendFixture batches =
-                new BatchedBackendFixture(BatchedBackendFixture.with("server.fresh-for", "1000"));
-        String first = batches.read("look", null, "s", "", batches.now());
-        batches.settle();
-        String other = batches.read("look", null, "s", "", batches.now());
-        batches.settle();
-        batches.gone(first);
-        batches.settle();
-        assertEquals(List.of("launch"), batches.asked(first));
-        batches.ended(first, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(DONE, batches.heard(other));
-        String alone = batches.read("look", null, "u", "", batches.now());
-        batches.settle();
-        batches.gone(alone);
-        batches.settle();
-        assertEquals(List.of("launch", "freeze"), batches.asked(alone));
+    void sharedReadContinuesWithoutItsCaller() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("server.fresh-for", "1000"));
+        String first = fixture.receive("look", null, "s", "", fixture.now());
+        fixture.decide();
+        String other = fixture.receive("look", null, "s", "", fixture.now());
+        fixture.decide();
+        fixture.disconnectCaller(first);
+        fixture.decide();
+        assertEquals(List.of("launch"), fixture.commands(first));
+        fixture.endRun(first, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(other));
+        String alone = fixture.receive("look", null, "u", "", fixture.now());
+        fixture.decide();
+        fixture.disconnectCaller(alone);
+        fixture.decide();
+        assertEquals(List.of("launch", "stop"), fixture.commands(alone));
     }
 
-    /** Shares a run that is stopped for good: broken off with it, and a try that comes then is not run either. */
+    /** Duplicates of a run that is stopped for good fail with it, and those that come later are not run either. */
     @Example
-    void whoSharesARunThatWasStoppedIsBrokenOff() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.pass(1000);
-        assertEquals(List.of("launch", "freeze"), batches.asked(first));
-        String late = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.ended(first, Outcome.STOPPED, "");
-        String later = batches.read("buy", "t", "a");
-        batches.settle();
-        assertEquals(BROKEN_OFF, batches.heard(late));
-        assertEquals(BROKEN_OFF, batches.heard(later));
-        assertEquals(List.of(first), batches.launched(first, late, later));
+    void duplicatesOfAStoppedRunFail() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.advance(1000);
+        assertEquals(List.of("launch", "stop"), fixture.commands(first));
+        String late = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.endRun(first, Outcome.STOPPED, "");
+        String later = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        assertEquals(FAILED, fixture.responses(late));
+        assertEquals(FAILED, fixture.responses(later));
+        assertEquals(List.of(first), fixture.launched(first, late, later));
     }
 
-    /** A clock that was read earlier than the one before: nothing is answered twice, or late, by it. */
+    /** A clock reading earlier than the one before: no request is answered twice or late because of it. */
     @Example
-    void aClockThatStandsBackForABatchChangesNoAnswer() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String name = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.pass(500);
-        Duration was = batches.now();
-        batches.around.now = was.minusMillis(300);
-        String back = batches.read("look", null, "b");
-        batches.settle();
-        batches.around.now = was;
-        batches.pass(500);
-        assertEquals(BROKEN_OFF, batches.heard(name));
-        batches.ended(back, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(1, batches.heard(back).size());
+    void clockThatGoesBackForABatchChangesNoResponse() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String id = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.advance(500);
+        Duration was = fixture.now();
+        fixture.fixture.now = was.minusMillis(300);
+        String back = fixture.receive("look", null, "b");
+        fixture.decide();
+        fixture.fixture.now = was;
+        fixture.advance(500);
+        assertEquals(FAILED, fixture.responses(id));
+        fixture.endRun(back, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(1, fixture.responses(back).size());
     }
 }
--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -104,8 +104,7 @@
             loop.in(
                     Duration.ofMillis(5 * i),
                     () -> partners.call(
-                            new TrackedRequest(
-                                    id, String.format("%016x", id), 0, "t", Duration.ZERO, null, new byte[0], null),
+                            TestRequests.tracked(id, "t"),
                             "body".getBytes(StandardCharsets.US_ASCII),
                             Duration.ofSeconds(5)));
         }
--- a/src/test/java/merlinlever/core/DrainRaceTest.java
+++ b/src/test/java/merlinlever/core/DrainRaceTest.java
@@ -1,127 +1,124 @@
 package merlinlever.core;
 
+import static merlinlever.core.BatchedBackendFixture.FAILED;
+import static merlinlever.core.BatchedBackendFixture.REJECTED;
+import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
-/** Where the notice to leave crosses what is read, held, repeated and timed. */
+/** The drain notice together with requests that are being read, queued, duplicated and timed. */
 class DrainRaceTest {
 
-    private static final List<String> DONE = List.of("satisfied done");
 
-    /** Two notices to leave: the grace counts from the first, and what comes after it is not run. */
+    /** Of two drain notices the grace period counts from the first; a request after it does not run. */
     @Example
-    void aSecondNoticeToLeaveDoesNotLengthenTheGrace() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        Duration stop = batches.now().plusMillis(3000);
-        batches.backend.startDrain(batches.now(), stop);
-        batches.settle();
-        batches.pass(400);
-        batches.backend.startDrain(batches.now(), stop.plusMillis(400));
-        batches.settle();
-        batches.pass(101);
-        String late = batches.read("look", null, "a");
-        batches.settle();
-        assertEquals(List.of(), batches.launched(late));
-        assertEquals(List.of("pushed back"), batches.heard(late));
+    void secondDrainNoticeDoesNotExtendTheGracePeriod() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        Duration stopAt = fixture.now().plusMillis(3000);
+        fixture.backend.startDrain(fixture.now(), stopAt);
+        fixture.decide();
+        fixture.advance(400);
+        fixture.backend.startDrain(fixture.now(), stopAt.plusMillis(400));
+        fixture.decide();
+        fixture.advance(101);
+        String late = fixture.receive("look", null, "a");
+        fixture.decide();
+        assertEquals(List.of(), fixture.launched(late));
+        assertEquals(REJECTED, fixture.responses(late));
     }
 
-    /** Came before the end of the grace and is started after it: it runs. Came at its end: refused, also as a try that waits. */
+    /**
+     * A request that arrived in the grace period runs even if it starts later; one that arrived at its end is rejected,
+     * also as a duplicate.
+     */
     @Example
-    void theGraceCountsFromTheArrivalAndNotFromTheStart() {
-        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-        batches.wait = Duration.ofMillis(2000);
-        batches.backend.startDrain(batches.now(), batches.now().plusMillis(3000));
-        batches.settle();
-        batches.pass(490);
-        String before = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.around.now = batches.now().plusMillis(9);
-        String unread = batches.read("look", null, "b");
-        batches.around.now = batches.now().plusMillis(1);
-        String after = batches.read("buy", "u", "a");
-        String repeat = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.pass(50);
-        batches.free();
-        assertEquals(List.of(before, unread), batches.launched(before, unread, after, repeat));
-        assertEquals(List.of("pushed back"), batches.heard(after));
-        assertEquals(List.of("pushed back"), batches.heard(repeat));
+    void gracePeriodCountsFromArrivalNotFromStart() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
+        fixture.callerTimeout = Duration.ofMillis(2000);
+        fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(3000));
+        fixture.decide();
+        fixture.advance(490);
+        String before = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.moveClock(9);
+        String unread = fixture.receive("look", null, "b");
+        fixture.moveClock(1);
+        String after = fixture.receive("buy", "u", "a");
+        String duplicate = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.advance(50);
+        fixture.freeCores();
+        assertEquals(List.of(before, unread), fixture.launched(before, unread, after, duplicate));
+        assertEquals(REJECTED, fixture.responses(after));
+        assertEquals(REJECTED, fixture.responses(duplicate));
     }
 
-    /** A try that comes after the grace of one that ran shares its result, and one of a run in hand its outcome: nothing is run. */
+    /**
+     * A retry after the grace period shares the result of a run that has ended and the outcome of one in flight, and
+     * does not run.
+     */
     @Example
-    void aTryAfterTheGraceSharesWhatRan() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        batches.wait = Duration.ofMillis(2000);
-        String ran = batches.read("buy", "t", "a");
-        String runs = batches.read("buy", "u", "a");
-        batches.settle();
-        batches.ended(ran, Outcome.OK, "done");
-        batches.backend.startDrain(batches.now(), batches.now().plusMillis(3000));
-        batches.settle();
-        batches.pass(600);
-        String after = batches.read("buy", "t", "a");
-        String during = batches.read("buy", "u", "a");
-        batches.settle();
-        batches.ended(runs, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(DONE, batches.heard(after));
-        assertEquals(DONE, batches.heard(during));
-        assertEquals(List.of(ran, runs), batches.launched(ran, runs, after, during));
+    void retryAfterTheGracePeriodSharesTheRun() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        fixture.callerTimeout = Duration.ofMillis(2000);
+        String ran = fixture.receive("buy", "t", "a");
+        String running = fixture.receive("buy", "u", "a");
+        fixture.decide();
+        fixture.endRun(ran, Outcome.OK, "done");
+        fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(3000));
+        fixture.decide();
+        fixture.advance(600);
+        String after = fixture.receive("buy", "t", "a");
+        String during = fixture.receive("buy", "u", "a");
+        fixture.decide();
+        fixture.endRun(running, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(after));
+        assertEquals(SUCCEEDED, fixture.responses(during));
+        assertEquals(List.of(ran, running), fixture.launched(ran, running, after, during));
     }
 
-    /** The notice to leave before the agent is up, and its greeting after: nothing is begun, all is turned away, nothing is owed. */
+    /**
+     * A drain notice before the agent is up, and its greeting after: no request is started, all are rejected, none is
+     * left unanswered.
+     */
     @Example
-    void theAgentThatComesUpAfterTheNoticeToLeaveBeginsNothing() {
-        BackendFixture around = new BackendFixture();
-        Backend early = new Backend(BackendFixture.GIVEN, 5, around);
-        early.startDrain(Duration.ZERO, Duration.ofSeconds(3));
-        early.decide(Duration.ZERO);
-        early.agentStarted(Duration.ofMillis(5), true);
-        early.decide(Duration.ofMillis(5));
-        assertFalse(early.agentStarted() || early.isHealthy());
-        List<String> heard = new ArrayList<>();
-        assertNull(early.receive(Duration.ofMillis(6), null, new ResponseSink() {
-            @Override
-            public void succeed(byte[] result) {
-                heard.add("satisfied");
-            }
-
-            @Override
-            public void reject(boolean nowhereElse, Duration stayAway) {
-                heard.add("pushed back");
-            }
-
-            @Override
-            public void fail() {
-                heard.add("broken off");
-            }
-        }));
-        assertEquals(List.of("pushed back"), heard);
-        assertEquals(0, early.unansweredRequests());
+    void agentThatComesUpWhileDrainingStartsNothing() {
+        Backend backend = new BackendFixture().backendBeforeAgent();
+        backend.startDrain(Duration.ZERO, Duration.ofSeconds(3));
+        backend.decide(Duration.ZERO);
+        backend.agentStarted(Duration.ofMillis(5), true);
+        backend.decide(Duration.ofMillis(5));
+        assertFalse(backend.isStarted() || backend.isHealthy());
+        List<String> responses = new ArrayList<>();
+        assertEquals(
+                Optional.empty(),
+                backend.receive(Duration.ofMillis(6), null, null, new RecordingResponseSink(responses)));
+        assertEquals(REJECTED, responses);
+        assertEquals(0, backend.unansweredRequests());
     }
 
-    /** An alarm after the notice to leave goes on being set and answered until the stop, and one after it harms nothing. */
+    /** Wake-ups are scheduled and handled while draining, up to the stop, and one after it does no harm. */
     @Example
-    void alarmsGoOnAfterTheNoticeToLeaveAndAfterTheStop() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String name = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.backend.startDrain(batches.now(), batches.now().plusMillis(200));
-        batches.settle();
-        assertTrue(batches.around.alarm != null);
-        batches.pass(300);
-        assertEquals(List.of("broken off"), batches.heard(name));
-        batches.ended(name, Outcome.STOPPED, "");
-        batches.settle();
-        assertEquals(0, batches.backend.unansweredRequests());
+    void wakeUpsContinueWhileDrainingAndAfterTheStop() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String id = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(200));
+        fixture.decide();
+        assertTrue(fixture.isWakeUpScheduled());
+        fixture.advance(300);
+        assertEquals(FAILED, fixture.responses(id));
+        fixture.endRun(id, Outcome.STOPPED, "");
+        fixture.decide();
+        assertEquals(0, fixture.backend.unansweredRequests());
     }
 }
--- /dev/null
+++ b/src/test/java/merlinlever/core/DuplicateKeyTest.java
@@ -0,0 +1,16 @@
+package merlinlever.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import net.jqwik.api.Example;
+
+/** The form of the keys, by whose hash routes are selected. */
+class DuplicateKeyTest {
+
+    @Example
+    void textsAreThoseOfEarlierVersions() {
+        assertEquals("token 5f2e", DuplicateKey.ofIdempotencyKey("5f2e").text());
+        assertEquals("3 a1", DuplicateKey.ofSharedRead(3, "a1").text());
+        assertEquals("0000000000000007", TestRequests.tracked(7).routingKey(), "the id where there is no key");
+    }
+}
--- a/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
@@ -13,127 +13,136 @@
 import net.jqwik.api.Property;
 
 /**
- * Many orders of what can cross within one batch, from fixed seeds: tries that are read late, out of order or dated ahead,
- * callers that go, outcomes, calls, replies and the notice to leave, with windows shorter and longer than a run.
+ * Many orders of what can happen in one batch, from fixed seeds: duplicates that are read late, out of order or with an
+ * arrival in the future, disconnects, outcomes, calls, replies and the drain notice, with windows shorter and longer
+ * than a run.
  */
 class DuplicateRequestInterleavingTest {
 
     private static final class Attempt {
-        String name;
-        String token;
-        Duration arrival;
-        Duration due;
+        String id;
+        String idempotencyKey;
+        Duration arrivedAt;
+        Duration deadline;
         boolean launched;
-        boolean over;
-        boolean gone;
+        boolean ended;
+        boolean disconnected;
     }
 
-    private final List<Attempt> tries = new ArrayList<>();
-    private BatchedBackendFixture batches;
-    private SplittableRandom chance;
-    private Duration graceEnds;
+    private final List<Attempt> attempts = new ArrayList<>();
+    private BatchedBackendFixture fixture;
+    private SplittableRandom random;
+    private Duration gracePeriodEnd;
 
-    /** Guards rule 2 and 1: no try of a window runs beside the one that ran, and each has one answer, of a run of its token. */
+    /**
+     * No duplicate of a window runs beside the one that ran, and each request has one response, from a run with its
+     * idempotency key.
+     */
     @Property(tries = 150, seed = "36")
-    void noOrderRunsARequestTwiceInItsWindow(@ForAll long seed) {
-        chance = new SplittableRandom(seed);
-        int window = new int[] {0, 40, 400, 5000}[chance.nextInt(4)];
-        batches = new BatchedBackendFixture(BatchedBackendFixture.with("tariffs.1.window", "" + window));
-        tries.clear();
-        graceEnds = null;
+    void noOrderOfEventsRunsARequestTwiceInItsWindow(@ForAll long seed) {
+        random = new SplittableRandom(seed);
+        int windowMs = new int[] {0, 40, 400, 5000}[random.nextInt(4)];
+        fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", "" + windowMs));
+        attempts.clear();
+        gracePeriodEnd = null;
         for (int step = 0; step < 300; step++) {
-            for (int events = chance.nextInt(5); events > 0; events--) {
-                event(step);
+            for (int events = random.nextInt(5); events > 0; events--) {
+                playEvent(step);
             }
-            batches.settle();
-            launched();
-            batches.around.now = batches.now().plusMillis(1 + chance.nextInt(25));
-            batches.backend.wakeUp(batches.now());
-            // Sometimes the cores are full, so that what is read is held.
-            batches.backend.metricsReceived(batches.now(), new double[] {0, chance.nextInt(3) == 0 ? 0 : 8});
-            batches.settle();
-            launched();
-            check();
+            fixture.decide();
+            recordLaunches();
+            fixture.moveClock(1 + random.nextInt(25));
+            fixture.backend.wakeUp(fixture.now());
+            // Sometimes the cores are full, so that requests are queued.
+            fixture.backend.metricsReceived(fixture.now(), new double[] {0, random.nextInt(3) == 0 ? 0 : 8});
+            fixture.decide();
+            recordLaunches();
+            checkResponses();
         }
-        windows(window);
+        checkWindows(windowMs);
     }
 
-    private void event(int step) {
-        Attempt some = tries.isEmpty() ? null : tries.get(Math.max(0, tries.size() - 1 - chance.nextInt(12)));
-        int what = chance.nextInt(11);
-        if (what < 5 || some == null) {
-            read();
-        } else if (what < 7 && some.launched && !some.over) {
-            some.over = true;
-            batches.ended(some.name, chance.nextInt(5) == 0 ? Outcome.ERROR : Outcome.OK, some.token);
-        } else if (what == 7 && batches.heard(some.name).isEmpty() && !some.gone) {
-            some.gone = true;
-            batches.gone(some.name);
-        } else if (what == 8 && some.launched && !some.over) {
-            batches.needsCall(some.name);
-        } else if (what == 9 && some.launched && !some.over) {
-            batches.replied(some.name, Outcome.values()[chance.nextInt(6)]);
-        } else if (what == 10 && step > 150 && chance.nextInt(80) == 0) {
-            batches.backend.startDrain(batches.now(), batches.now().plusMillis(4000));
-            graceEnds = graceEnds == null ? batches.now().plusMillis(500) : graceEnds;
+    private void playEvent(int step) {
+        Attempt attempt =
+                attempts.isEmpty() ? null : attempts.get(Math.max(0, attempts.size() - 1 - random.nextInt(12)));
+        int event = random.nextInt(11);
+        if (event < 5 || attempt == null) {
+            receiveAttempt();
+        } else if (event < 7 && attempt.launched && !attempt.ended) {
+            attempt.ended = true;
+            Outcome outcome = random.nextInt(5) == 0 ? Outcome.ERROR : Outcome.OK;
+            fixture.endRun(attempt.id, outcome, attempt.idempotencyKey);
+        } else if (event == 7 && fixture.responses(attempt.id).isEmpty() && !attempt.disconnected) {
+            attempt.disconnected = true;
+            fixture.disconnectCaller(attempt.id);
+        } else if (event == 8 && attempt.launched && !attempt.ended) {
+            fixture.requestCall(attempt.id);
+        } else if (event == 9 && attempt.launched && !attempt.ended) {
+            fixture.endCall(attempt.id, Outcome.values()[random.nextInt(6)]);
+        } else if (event == 10 && step > 150 && random.nextInt(80) == 0) {
+            fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(4000));
+            gracePeriodEnd = gracePeriodEnd == null ? fixture.now().plusMillis(500) : gracePeriodEnd;
         }
     }
 
-    private void read() {
-        Attempt read = new Attempt();
-        read.token = "t" + chance.nextInt(6);
-        long late = chance.nextInt(4) == 0 ? chance.nextInt(600) : 0;
-        boolean ahead = chance.nextInt(12) == 0;
-        Duration dated = ahead
-                ? batches.now().plusMillis(chance.nextInt(4000))
-                : batches.now().minusMillis(late);
-        read.arrival = ahead ? batches.now() : dated;
-        read.due = dated.plusMillis(1000);
-        read.name = batches.read("buy", read.token, null, "body of " + read.token, dated);
-        tries.add(read);
+    private void receiveAttempt() {
+        Attempt attempt = new Attempt();
+        attempt.idempotencyKey = "t" + random.nextInt(6);
+        long unreadMs = random.nextInt(4) == 0 ? random.nextInt(600) : 0;
+        boolean inFuture = random.nextInt(12) == 0;
+        Duration claimedArrival = inFuture
+                ? fixture.now().plusMillis(random.nextInt(4000))
+                : fixture.now().minusMillis(unreadMs);
+        attempt.arrivedAt = inFuture ? fixture.now() : claimedArrival;
+        attempt.deadline = claimedArrival.plusMillis(1000);
+        attempt.id = fixture.receive(
+                "buy", attempt.idempotencyKey, null, "body of " + attempt.idempotencyKey, claimedArrival);
+        attempts.add(attempt);
     }
 
-    private void launched() {
-        for (Attempt each : tries) {
-            long times = each.launched ? 0 : batches.around.times("launch " + each.name);
-            assertTrue(times <= 1, "launched more than once");
+    private void recordLaunches() {
+        for (Attempt attempt : attempts) {
+            long launches = attempt.launched ? 0 : fixture.count("launch " + attempt.id);
+            assertTrue(launches <= 1, "launched more than once");
             assertTrue(
-                    times == 0 || graceEnds == null || each.arrival.compareTo(graceEnds) < 0,
-                    "rule 3: came after the grace");
-            each.launched |= times == 1;
+                    launches == 0 || gracePeriodEnd == null || attempt.arrivedAt.compareTo(gracePeriodEnd) < 0,
+                    "rule 3: arrived after the grace period");
+            attempt.launched |= launches == 1;
         }
     }
 
-    private void check() {
-        for (Attempt each : tries) {
-            List<String> heard = batches.heard(each.name);
-            assertTrue(heard.size() <= (each.gone ? 0 : 1), each.name + " " + heard);
-            assertTrue(
-                    heard.size() == 1 || each.gone || batches.now().compareTo(each.due.plusMillis(60)) <= 0,
-                    "rule 1: in time");
-            if (!heard.isEmpty()) {
+    private void checkResponses() {
+        for (Attempt attempt : attempts) {
+            List<String> responses = fixture.responses(attempt.id);
+            assertTrue(responses.size() <= (attempt.disconnected ? 0 : 1), attempt.id + " " + responses);
+            boolean isInTime = fixture.now().compareTo(attempt.deadline.plusMillis(60)) <= 0;
+            assertTrue(responses.size() == 1 || attempt.disconnected || isInTime, "rule 1: answered in time");
+            if (!responses.isEmpty()) {
+                String response = responses.get(0);
                 assertTrue(
-                        !heard.get(0).startsWith("satisfied") || heard.get(0).equals("satisfied " + each.token),
-                        each.name);
+                        !response.startsWith("succeeded") || response.equals("succeeded " + attempt.idempotencyKey),
+                        attempt.id);
                 assertTrue(
-                        !heard.get(0).equals("pushed back") || !each.launched, "rule 2: what ran is not called unrun");
+                        !response.equals("rejected") || !attempt.launched, "rule 2: no request that ran is rejected");
             }
         }
     }
 
-    /** No try that came from the arrival of one that ran to the end of its window ran as well. */
-    private void windows(int window) {
-        Map<String, List<Attempt>> ran = new HashMap<>();
-        tries.stream().filter(each -> each.launched).forEach(each -> ran.computeIfAbsent(
-                        each.token, token -> new ArrayList<>())
-                .add(each));
-        ran.forEach((token, runs) -> {
-            for (Attempt one : runs) {
+    /** No request that arrived between the arrival of one that ran and the end of its window ran as well. */
+    private void checkWindows(int windowMs) {
+        Map<String, List<Attempt>> runsByKey = new HashMap<>();
+        attempts.stream()
+                .filter(attempt -> attempt.launched)
+                .forEach(attempt -> runsByKey
+                        .computeIfAbsent(attempt.idempotencyKey, key -> new ArrayList<>())
+                        .add(attempt));
+        runsByKey.forEach((key, runs) -> {
+            for (Attempt run : runs) {
                 for (Attempt other : runs) {
-                    long after = other.arrival.minus(one.arrival).toMillis();
+                    long laterMs = other.arrivedAt.minus(run.arrivedAt).toMillis();
                     assertTrue(
-                            one == other || after < 0 || after > window,
-                            token + ": " + after + " ms after one that ran");
+                            run == other || laterMs < 0 || laterMs > windowMs,
+                            key + ": " + laterMs + " ms after one that ran");
                 }
             }
         });
--- a/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
@@ -1,296 +1,310 @@
 package merlinlever.core;
 
+import static merlinlever.core.BatchedBackendFixture.FAILED;
+import static merlinlever.core.BatchedBackendFixture.REJECTED;
+import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
+import static merlinlever.core.BatchedBackendFixture.UNANSWERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import merlinlever.Outcome;
+import merlinlever.core.RequestMetadata.RequestId;
 import net.jqwik.api.Example;
 
-/** Where the tries of one request cross with each other, with the end of their window and with what is let go of. */
+/**
+ * Duplicates of one request together with each other, with the end of their window and with the release of its result.
+ */
 class DuplicateRequestRaceTest {
 
-    /** Guards the edge of the window: it counts from one arrival to the other, and its last moment belongs to it. */
+    /** The window counts from arrival to arrival, and its last moment belongs to it. */
     @Example
-    void aTryAtTheLastMomentOfTheWindowSharesAndOneAfterItRuns() {
+    void duplicateAtTheEndOfTheWindowSharesAndOneAfterItRuns() {
         for (int ms : new int[] {4999, 5000, 5001}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            batches.ran();
-            batches.pass(ms);
-            String again = batches.read("buy", "t", "a");
-            batches.settle();
-            assertEquals(ms <= 5000 ? List.of() : List.of(again), batches.launched(again), ms + " ms");
-            assertEquals(ms <= 5000 ? BatchedBackendFixture.DONE : List.of(), batches.heard(again), ms + " ms");
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            fixture.receiveAndComplete();
+            fixture.advance(ms);
+            String retry = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            assertEquals(ms <= 5000 ? List.of() : List.of(retry), fixture.launched(retry), ms + " ms");
+            assertEquals(ms <= 5000 ? SUCCEEDED : List.of(), fixture.responses(retry), ms + " ms");
         }
     }
 
-    /** Guards that the window is judged by when a try came and not by when it was read. */
+    /** Whether a duplicate belongs to the window is judged by its arrival and not by when it was read. */
     @Example
-    void aTryOfTheWindowThatIsReadAfterItShares() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        batches.ran();
-        batches.pass(5090);
-        String again = batches.read("buy", "t", null, "a", batches.now().minusMillis(91));
-        String later = batches.read("buy", "t", null, "a", batches.now().minusMillis(89));
-        batches.settle();
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
-        assertEquals(List.of(later), batches.launched(again, later));
+    void duplicateOfTheWindowThatIsReadAfterItShares() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        fixture.receiveAndComplete();
+        fixture.advance(5090);
+        String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(91));
+        String later = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(89));
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(retry));
+        assertEquals(List.of(later), fixture.launched(retry, later));
     }
 
     /**
-     * Guards against a second run: a try that came after the window and ended unrun must not take the one that ran with
-     * it, as another try of that one's window may still be unread.
+     * A request after the window that ended without running does not evict the run before it, as a duplicate of that
+     * one's window may still be unread.
      */
     @Example
-    void aTryOfTheWindowIsNotRunAfterALaterTryEndedUnrun() {
-        for (boolean pushedBack : new boolean[] {false, true}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-            batches.free();
-            String first = batches.ran();
-            batches.pass(5001);
-            batches.busy();
-            String later = batches.read("buy", "t", "a");
-            batches.settle();
-            assertEquals(List.of(), batches.launched(later));
-            if (pushedBack) {
-                batches.pass(510);
-                assertEquals(List.of("pushed back"), batches.heard(later));
+    void duplicateOfTheWindowDoesNotRunAfterALaterOneEndedUnrun() {
+        for (boolean rejected : new boolean[] {false, true}) {
+            BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
+            fixture.freeCores();
+            String first = fixture.receiveAndComplete();
+            fixture.advance(5001);
+            fixture.fillCores();
+            String later = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            assertEquals(List.of(), fixture.launched(later));
+            if (rejected) {
+                fixture.advance(510);
+                assertEquals(REJECTED, fixture.responses(later));
             } else {
-                batches.gone(later);
-                batches.settle();
+                fixture.disconnectCaller(later);
+                fixture.decide();
             }
-            String again = batches.read("buy", "t", null, "a", batches.now().minusMillis(pushedBack ? 512 : 2));
-            batches.settle();
-            batches.free();
-            assertEquals(List.of(first), batches.launched(first, later, again));
-            assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
+            String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(rejected ? 512 : 2));
+            fixture.decide();
+            fixture.freeCores();
+            assertEquals(List.of(first), fixture.launched(first, later, retry));
+            assertEquals(SUCCEEDED, fixture.responses(retry));
         }
     }
 
-    /** The same where the later try is still held: whoever came in the window is not its heir. */
+    /** The same where the later request is still queued: a duplicate of the first window does not succeed it. */
     @Example
-    void aTryOfTheWindowDoesNotWaitBehindALaterOneWhosePlaceItCouldTake() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.ran();
-        batches.pass(5001);
-        batches.busy();
-        String later = batches.read("buy", "t", "a");
-        batches.settle();
-        String again = batches.read("buy", "t", null, "a", batches.now().minusMillis(2));
-        batches.gone(later);
-        batches.settle();
-        batches.free();
-        assertEquals(List.of(first), batches.launched(first, later, again));
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
+    void duplicateOfTheWindowDoesNotReplaceALaterQueuedOne() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receiveAndComplete();
+        fixture.advance(5001);
+        fixture.fillCores();
+        String later = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2));
+        fixture.disconnectCaller(later);
+        fixture.decide();
+        fixture.freeCores();
+        assertEquals(List.of(first), fixture.launched(first, later, retry));
+        assertEquals(SUCCEEDED, fixture.responses(retry));
     }
 
-    /** Guards against a second run: a time ahead of ours is no way out of the window. */
+    /** An arrival time in the future takes no duplicate out of its window. */
     @Example
-    void aTryThatIsDatedAheadIsReadNow() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        batches.ran();
-        batches.pass(3000);
-        String again = batches.read("buy", "t", null, "a", batches.now().plusMillis(4500));
-        batches.settle();
-        assertEquals(List.of(), batches.launched(again));
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(again));
+    void arrivalInTheFutureCountsAsNow() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        fixture.receiveAndComplete();
+        fixture.advance(3000);
+        String retry = fixture.receive("buy", "t", null, "a", fixture.now().plusMillis(4500));
+        fixture.decide();
+        assertEquals(List.of(), fixture.launched(retry));
+        assertEquals(SUCCEEDED, fixture.responses(retry));
     }
 
-    /** Guards the others: a date of years ago is no news of how long requests wait unread, and turns nobody away. */
+    /** An arrival time years ago does not count as time that requests wait to be read, and rejects nobody else. */
     @Example
-    void aTimeLongPastTurnsNobodyElseAway() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String old = batches.read("look", null, null, "x", Duration.ofDays(-18_000));
-        batches.settle();
-        assertEquals(List.of("broken off"), batches.heard(old));
+    void arrivalLongAgoRejectsNobodyElse() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String old = fixture.receive("look", null, null, "x", Duration.ofDays(-18_000));
+        fixture.decide();
+        assertEquals(FAILED, fixture.responses(old));
         for (int i = 0; i < 12; i++) {
-            String name = batches.read("look", null, "a" + i);
-            batches.settle();
-            assertEquals(List.of(name), batches.launched(name), "number " + i);
-            batches.ended(name, Outcome.OK, "done");
+            String id = fixture.receive("look", null, "a" + i);
+            fixture.decide();
+            assertEquals(List.of(id), fixture.launched(id), "number " + i);
+            fixture.endRun(id, Outcome.OK, "done");
         }
     }
 
     /**
-     * Guards against two runs of three tries that were read in one batch: the first is turned away at once, the second
-     * takes its place, and the third names the first still.
+     * Of three duplicates in one batch the first is rejected at once, the second takes its place, and the third, which
+     * still names the first, shares.
      */
     @Example
-    void ofThreeTriesInOneBatchOneRuns() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
+    void oneOfThreeDuplicatesInOneBatchRuns() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
         // Next to one that was read at once, one that is read so late is turned away as it is read.
-        batches.read("look", null, "x");
-        batches.settle();
-        String first = batches.read("buy", "t", null, "a", batches.now().minusMillis(600));
-        String second = batches.read("buy", "t", "a");
-        String third = batches.read("buy", "t", "a");
-        batches.settle();
-        assertEquals(List.of("pushed back"), batches.heard(first));
-        assertEquals(List.of(second), batches.launched(first, second, third));
-        batches.ended(second, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(second));
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(third));
+        fixture.receive("look", null, "x");
+        fixture.decide();
+        String first = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(600));
+        String second = fixture.receive("buy", "t", "a");
+        String third = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        assertEquals(REJECTED, fixture.responses(first));
+        assertEquals(List.of(second), fixture.launched(first, second, third));
+        fixture.endRun(second, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(second));
+        assertEquals(SUCCEEDED, fixture.responses(third));
     }
 
-    /** Two tries in one batch: the second waits for the first. */
+    /** Of two duplicates in one batch the second waits for the first. */
     @Example
-    void ofTwoTriesInOneBatchOneRuns() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.read("buy", "t", "a");
-        String second = batches.read("buy", "t", "a");
-        batches.settle();
-        assertEquals(List.of(first), batches.launched(first, second));
-        batches.ended(first, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(second));
+    void oneOfTwoDuplicatesInOneBatchRuns() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receive("buy", "t", "a");
+        String second = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        assertEquals(List.of(first), fixture.launched(first, second));
+        fixture.endRun(first, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(second));
     }
 
     /**
-     * Guards against two runs: the caller of the first goes, a try that waited for it takes its place, and the next try
-     * is read in the same batch and names the first still.
+     * The caller of the first disconnects, a waiting duplicate takes its place, and another one of the same batch still
+     * names the first: one runs.
      */
     @Example
-    void anHeirAndATryOfTheSameBatchDoNotBothRun() {
-        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-        String first = batches.read("buy", "t", "a");
-        String heir = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.gone(first);
-        String next = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.free();
-        assertEquals(List.of(heir), batches.launched(first, heir, next));
-        batches.ended(heir, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(List.of(), batches.heard(first));
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(heir));
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(next));
+    void successorAndDuplicateOfTheSameBatchDoNotBothRun() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
+        String first = fixture.receive("buy", "t", "a");
+        String successor = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.disconnectCaller(first);
+        String next = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.freeCores();
+        assertEquals(List.of(successor), fixture.launched(first, successor, next));
+        fixture.endRun(successor, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(UNANSWERED, fixture.responses(first));
+        assertEquals(SUCCEEDED, fixture.responses(successor));
+        assertEquals(SUCCEEDED, fixture.responses(next));
     }
 
-    /** The first is pushed back, its heir's caller goes in the same batch; the next in line runs, and no trace is left. */
+    /**
+     * The callers of the first and of its successor disconnect in one batch: the next in line runs, and nothing of the
+     * others is retained.
+     */
     @Example
-    void anHeirWhoseCallerGoesInTheSameBatchPassesItsPlaceOn() {
-        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-        String first = batches.read("buy", "t", "a");
-        String heir = batches.read("buy", "t", "a");
-        String next = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.gone(first);
-        batches.gone(heir);
-        batches.settle();
-        batches.free();
-        assertEquals(List.of(next), batches.launched(first, heir, next));
-        batches.gone(next);
-        assertEquals(5, batches.backend.trackedRequests(), "four that run and the one that ran on");
-        assertNull(batches.work(heir).body);
+    void successorWhoseCallerDisconnectsPassesItsPlaceOn() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
+        String first = fixture.receive("buy", "t", "a");
+        String successor = fixture.receive("buy", "t", "a");
+        String next = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.disconnectCaller(first);
+        fixture.disconnectCaller(successor);
+        fixture.decide();
+        fixture.freeCores();
+        assertEquals(List.of(next), fixture.launched(first, successor, next));
+        fixture.disconnectCaller(next);
+        assertEquals(5, fixture.backend.trackedRequests(), "four that run and the one that ran on");
+        assertNull(fixture.request(successor).body);
     }
 
-    /** Guards against two runs at once: a window that is over before the run leaves the run known until it has ended. */
+    /** A window that is over before the run ends: the run is found until it has ended. */
     @Example
-    void aTryAfterAWindowThatIsShorterThanTheRunShares() {
+    void duplicateAfterAWindowShorterThanTheRunShares() {
         for (String window : new String[] {"50", "0"}) {
-            BatchedBackendFixture batches =
-                    new BatchedBackendFixture(BatchedBackendFixture.with("tariffs.1.window", window));
-            String first = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.pass(300);
-            String during = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.ended(first, Outcome.OK, "done");
-            batches.settle();
-            batches.pass(20);
-            String unread = batches.read("buy", "t", null, "a", batches.now().minusMillis(25));
-            batches.settle();
-            assertEquals(BatchedBackendFixture.DONE, batches.heard(during));
-            assertEquals(BatchedBackendFixture.DONE, batches.heard(unread));
-            String after = batches.read("buy", "t", "a");
-            batches.settle();
-            assertEquals(List.of(first, after), batches.launched(first, during, unread, after));
+            BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", window));
+            String first = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.advance(300);
+            String during = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.endRun(first, Outcome.OK, "done");
+            fixture.decide();
+            fixture.advance(20);
+            String unread = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(25));
+            fixture.decide();
+            assertEquals(SUCCEEDED, fixture.responses(during));
+            assertEquals(SUCCEEDED, fixture.responses(unread));
+            String after = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            assertEquals(List.of(first, after), fixture.launched(first, during, unread, after));
         }
     }
 
-    /** The same id on two connections: the second is answered at once, the first goes on and is answered by its run. */
+    /** The same id on two connections: the second request fails at once, the first is answered by its run. */
     @Example
-    void theSameIdOnTwoConnectionsLeavesTheFirstAlone() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.read("buy", "t", "a");
-        batches.settle();
-        assertNull(batches.readAs(Long.parseLong(first, 16), "second", "buy", "t", null, "a", batches.now()));
-        assertEquals(List.of("broken off"), batches.heard("second"));
-        assertEquals(1, batches.backend.unansweredRequests());
-        batches.ended(first, Outcome.OK, "done");
-        batches.settle();
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(first));
-        assertEquals(List.of("launch"), batches.asked(first));
+    void secondRequestWithAnIdInUseFails() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        assertEquals(Optional.empty(), fixture.receiveAs(new RequestId(Long.parseLong(first, 16), "second"), "buy", "t", null, "a", fixture.now()));
+        assertEquals(FAILED, fixture.responses("second"));
+        assertEquals(1, fixture.backend.unansweredRequests());
+        fixture.endRun(first, Outcome.OK, "done");
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(first));
+        assertEquals(List.of("launch"), fixture.commands(first));
     }
 
-    /** The caller goes, and its id comes on a new connection: failed in the same batch, as ids are new with every try; then read. */
+    /**
+     * The id of a request whose caller disconnects, on a new connection: it fails in the same batch, as ids are new
+     * with every attempt, and is accepted later.
+     */
     @Example
-    void anIdThatComesAgainAsItsCallerGoesIsAnsweredOnceEach() {
-        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-        String first = batches.read("look", null, "a");
-        batches.settle();
-        batches.gone(first);
-        assertNull(batches.readAs(Long.parseLong(first, 16), "same batch", "look", null, null, "a", batches.now()));
-        batches.settle();
-        assertEquals(List.of("broken off"), batches.heard("same batch"));
-        batches.readAs(Long.parseLong(first, 16), "next batch", "look", null, null, "a", batches.now());
-        batches.settle();
-        batches.free();
-        assertEquals(List.of("next batch"), batches.launched(first, "same batch", "next batch"));
-        assertEquals(List.of(), batches.heard(first));
+    void idReusedAsItsCallerDisconnectsIsAnsweredOnceEach() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
+        String first = fixture.receive("look", null, "a");
+        fixture.decide();
+        fixture.disconnectCaller(first);
+        assertEquals(Optional.empty(), fixture.receiveAs(new RequestId(Long.parseLong(first, 16), "same batch"), "look", null, null, "a", fixture.now()));
+        fixture.decide();
+        assertEquals(FAILED, fixture.responses("same batch"));
+        fixture.receiveAs(new RequestId(Long.parseLong(first, 16), "next batch"), "look", null, null, "a", fixture.now());
+        fixture.decide();
+        fixture.freeCores();
+        assertEquals(List.of("next batch"), fixture.launched(first, "same batch", "next batch"));
+        assertEquals(UNANSWERED, fixture.responses(first));
     }
 
-    /** The id of one that was let go of, used again while the agent knows it still: the agent's word is taken for it. */
+    /** The id of a released request, which the agent still knows: what the agent reports of it counts. */
     @Example
-    void anIdThatIsUsedAgainIsAnsweredByWhatTheAgentSaysOfIt() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.ran();
-        batches.pass(36_000);
-        assertEquals(0, batches.backend.trackedRequests());
-        batches.readAs(Long.parseLong(first, 16), first, "look", null, null, "b", batches.now());
-        batches.settle();
-        batches.ended(first, Outcome.NEVER_BEGUN, "");
-        batches.settle();
-        assertEquals(List.of("broken off"), batches.heard(first));
-        batches.ended(first, Outcome.OK, "late");
-        batches.settle();
-        assertEquals(0, batches.backend.unansweredRequests());
+    void idReusedAfterItsReleaseIsAnsweredAsTheAgentReports() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receiveAndComplete();
+        fixture.advance(36_000);
+        assertEquals(0, fixture.backend.trackedRequests());
+        fixture.receiveAs(new RequestId(Long.parseLong(first, 16), first), "look", null, null, "b", fixture.now());
+        fixture.decide();
+        fixture.endRun(first, Outcome.NEVER_BEGUN, "");
+        fixture.decide();
+        assertEquals(FAILED, fixture.responses(first));
+        fixture.endRun(first, Outcome.OK, "late");
+        fixture.decide();
+        assertEquals(0, fixture.backend.unansweredRequests());
     }
 
-    /** A subject that comes with a write stands for nothing that could be shared: each is run and answered by itself. */
+    /** A subject that comes with a write stands for no result to share: each request is run and answered by itself. */
     @Example
-    void writesWithOneSubjectAreNotServedWithEachOthersResult() {
-        BatchedBackendFixture batches = new BatchedBackendFixture(
-                BatchedBackendFixture.with("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
-        String one = batches.read("buy", null, "s", "a", batches.now());
-        String two = batches.read("buy", null, "s", "b", batches.now());
-        batches.settle();
-        assertEquals(List.of(one, two), batches.launched(one, two));
-        batches.ended(one, Outcome.OK, "of a");
-        batches.ended(two, Outcome.OK, "of b");
-        batches.settle();
-        assertEquals(List.of("satisfied of a"), batches.heard(one));
-        assertEquals(List.of("satisfied of b"), batches.heard(two));
+    void writesOfOneSubjectDoNotShareResults() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
+        String one = fixture.receive("buy", null, "s", "a", fixture.now());
+        String two = fixture.receive("buy", null, "s", "b", fixture.now());
+        fixture.decide();
+        assertEquals(List.of(one, two), fixture.launched(one, two));
+        fixture.endRun(one, Outcome.OK, "of a");
+        fixture.endRun(two, Outcome.OK, "of b");
+        fixture.decide();
+        assertEquals(List.of("succeeded of a"), fixture.responses(one));
+        assertEquals(List.of("succeeded of b"), fixture.responses(two));
     }
 
-    /** A class whose effect is not the usual one: without tokens each try is one of its own, also where a call may be made. */
+    /**
+     * In a class without idempotency keys no two requests are duplicates, and a call that may have had its effect is
+     * not made again.
+     */
     @Example
-    void triesOfAClassWithNoTokensAreRunEachOnceAndTheirCallsMadeOnce() {
-        BatchedBackendFixture batches =
-                new BatchedBackendFixture(BatchedBackendFixture.with("tariffs.1.kind", "binding"));
-        String one = batches.read("buy", null, "a");
-        String two = batches.read("buy", null, "a");
-        batches.settle();
-        batches.needsCall(one);
-        batches.settle();
-        batches.replied(one, Outcome.CUT_OFF);
-        batches.settle();
+    void requestsWithoutIdempotencyKeyRunAndCallOnceEach() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.kind", "binding"));
+        String one = fixture.receive("buy", null, "a");
+        String two = fixture.receive("buy", null, "a");
+        fixture.decide();
+        fixture.requestCall(one);
+        fixture.decide();
+        fixture.endCall(one, Outcome.CUT_OFF);
+        fixture.decide();
         assertEquals(
-                List.of("launch", "call"), batches.asked(one), "a call that may have had its effect is not made again");
-        assertEquals(List.of("broken off"), batches.heard(one));
-        assertEquals(List.of("launch"), batches.asked(two));
+                List.of("launch", "call"), fixture.commands(one), "a call that may have had its effect is not made retry");
+        assertEquals(FAILED, fixture.responses(one));
+        assertEquals(List.of("launch"), fixture.commands(two));
     }
 }
--- a/src/test/java/merlinlever/core/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/core/IdempotencyCacheMemoryTest.java
@@ -1,5 +1,7 @@
 package merlinlever.core;
 
+import static merlinlever.core.BatchedBackendFixture.FAILED;
+import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,118 +11,113 @@
 import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
-/** Where what is kept of a run, its result first of all, is let go of as tries of it come, go or are read late. */
+/** The release of what is retained of a run, while duplicates of it arrive, disconnect or are read late. */
 class IdempotencyCacheMemoryTest {
 
-    /** Guards the memory: no result stays longer than it can be asked for, however long its run took. */
+    /** No result is retained longer than it can be asked for, however long its run took. */
     @Example
-    void theResultOfARunThatOutlastedItsWindowIsLetGo() {
-        BatchedBackendFixture batches = new BatchedBackendFixture(
-                BatchedBackendFixture.with("tariffs.1.window", "50", "tariffs.1.client-timeout", "9000"));
-        String first = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.pass(3000);
-        batches.ended(first, Outcome.OK, "done");
-        batches.settle();
-        batches.pass(1900);
-        assertTrue(batches.work(first).result != null);
-        batches.pass(200);
-        assertNull(batches.work(first).result);
-        assertNull(batches.work(first).body);
+    void resultOfARunLongerThanItsWindowIsReleased() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", "50", "tariffs.1.client-timeout", "9000"));
+        String first = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.advance(3000);
+        fixture.endRun(first, Outcome.OK, "done");
+        fixture.decide();
+        fixture.advance(1900);
+        assertTrue(fixture.request(first).result != null);
+        fixture.advance(200);
+        assertNull(fixture.request(first).result);
+        assertNull(fixture.request(first).body);
     }
 
-    /** Guards the memory: the result is let go of too where another run has taken its place by then. */
+    /** A result is released also if another run has taken its place under the key. */
     @Example
-    void theResultOfARunThatWasFollowedByAnotherIsLetGo() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.ran();
-        batches.pass(5001);
-        batches.ran();
-        batches.pass(2100);
-        assertNull(batches.work(first).result);
-        assertNull(batches.work(first).body);
+    void resultOfARunThatWasReplacedIsReleased() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receiveAndComplete();
+        fixture.advance(5001);
+        fixture.receiveAndComplete();
+        fixture.advance(2100);
+        assertNull(fixture.request(first).result);
+        assertNull(fixture.request(first).body);
     }
 
-    /** Guards the memory in a flood of callers that go at once: the body goes with the one that never ran. */
+    /** In a flood of callers that disconnect at once, the body is released with the request that never ran. */
     @Example
-    void theBodyOfWhatNeverRanIsLetGoWithItsCaller() {
-        BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-        String held = batches.read("buy", "t", "a");
-        batches.settle();
-        batches.gone(held);
-        batches.settle();
-        assertNull(batches.work(held).body);
-        assertEquals(4, batches.backend.trackedRequests());
+    void bodyOfARequestThatNeverRanIsReleasedWithItsCaller() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
+        String queued = fixture.receive("buy", "t", "a");
+        fixture.decide();
+        fixture.disconnectCaller(queued);
+        fixture.decide();
+        assertNull(fixture.request(queued).body);
+        assertEquals(4, fixture.backend.trackedRequests());
     }
 
-    /** Guards the memory: of those who ask again and again while it runs and go, the run keeps no list. */
+    /** A caller that retries and disconnects many times during one run leaves no list behind. */
     @Example
-    void theTriesOfARunThatAreGoneAreNotKept() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        String first = batches.read("buy", "t", "a");
-        batches.settle();
+    void disconnectedDuplicatesOfARunAreNotRetained() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        String first = fixture.receive("buy", "t", "a");
+        fixture.decide();
         for (int i = 0; i < 50; i++) {
-            String again = batches.read("buy", "t", "a");
-            batches.settle();
-            batches.gone(again);
-            batches.settle();
+            String retry = fixture.receive("buy", "t", "a");
+            fixture.decide();
+            fixture.disconnectCaller(retry);
+            fixture.decide();
         }
         assertTrue(
-                batches.work(first).coalesced.size() <= 1,
-                batches.work(first).coalesced.size() + " kept");
-        assertEquals(1, batches.backend.trackedRequests());
+                fixture.request(first).coalesced.size() <= 1,
+                fixture.request(first).coalesced.size() + " retained");
+        assertEquals(1, fixture.backend.trackedRequests());
     }
 
-    /**
-     * A result that is let go as its last tries come in: one that came in the window but is read more than 2 s after its
-     * end is broken off, never run.
-     */
+    /** A duplicate that arrived in the window but is read more than 2 s after its end fails, and does not run. */
     @Example
-    void aTryThatIsReadAfterItsResultWasLetGoIsBrokenOffAndNotRun() {
-        for (int late : new int[] {1990, 2010, 20_000}) {
-            BatchedBackendFixture batches = new BatchedBackendFixture();
-            batches.wait = Duration.ofSeconds(25);
-            batches.ran();
-            batches.pass(5000 + late);
-            String again = batches.read("buy", "t", null, "a", batches.now().minusMillis(late + 1));
-            batches.settle();
-            assertEquals(List.of(), batches.launched(again));
-            assertEquals(
-                    late < 2000 ? BatchedBackendFixture.DONE : List.of("broken off"),
-                    batches.heard(again),
-                    late + " ms late");
+    void duplicateReadAfterTheResultWasReleasedFails() {
+        for (int lateMs : new int[] {1990, 2010, 20_000}) {
+            BatchedBackendFixture fixture = new BatchedBackendFixture();
+            fixture.callerTimeout = Duration.ofSeconds(25);
+            fixture.receiveAndComplete();
+            fixture.advance(5000 + lateMs);
+            String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(lateMs + 1));
+            fixture.decide();
+            assertEquals(List.of(), fixture.launched(retry));
+            assertEquals(lateMs < 2000 ? SUCCEEDED : FAILED, fixture.responses(retry), lateMs + " ms late");
         }
     }
 
-    /** The result goes in the very batch in which a try of its window is read: before the sweep it shares, after it not. */
+    /**
+     * The result is released in the batch in which a duplicate is read: before the release it shares, after it it
+     * fails.
+     */
     @Example
-    void aTryReadInTheBatchThatLetsTheResultGoHasOneAnswerAndNoRun() {
-        BatchedBackendFixture batches = new BatchedBackendFixture();
-        batches.wait = Duration.ofSeconds(25);
-        batches.ran();
-        batches.pass(7000);
-        batches.around.now = batches.now().plusMillis(2);
-        String before = batches.read("buy", "t", null, "a", batches.now().minusMillis(2100));
-        batches.settle();
-        String after = batches.read("buy", "t", null, "a", batches.now().minusMillis(2100));
-        batches.settle();
-        assertEquals(BatchedBackendFixture.DONE, batches.heard(before));
-        assertEquals(List.of("broken off"), batches.heard(after));
-        assertEquals(List.of(), batches.launched(before, after));
+    void duplicateReadInTheBatchOfTheReleaseHasOneResponse() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture();
+        fixture.callerTimeout = Duration.ofSeconds(25);
+        fixture.receiveAndComplete();
+        fixture.advance(7000);
+        fixture.moveClock(2);
+        String before = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2100));
+        fixture.decide();
+        String after = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2100));
+        fixture.decide();
+        assertEquals(SUCCEEDED, fixture.responses(before));
+        assertEquals(FAILED, fixture.responses(after));
+        assertEquals(List.of(), fixture.launched(before, after));
     }
 
-    /** Guards the memory: what a class with a long window leaves behind does not keep what another has left. */
+    /** What a class with a long window leaves behind does not retain what a class with a short one has left. */
     @Example
-    void whatHasAShortWindowIsNotKeptBehindWhatHasALongOne() {
-        BatchedBackendFixture batches = new BatchedBackendFixture(
-                BatchedBackendFixture.with("tariffs.0.window", "1000", "tariffs.1.window", "600000"));
-        batches.ran();
+    void shortWindowIsNotRetainedBehindALongOne() {
+        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.0.window", "1000", "tariffs.1.window", "600000"));
+        fixture.receiveAndComplete();
         for (int i = 0; i < 100; i++) {
-            String read = batches.read("look", null, "a");
-            batches.settle();
-            batches.ended(read, Outcome.OK, "done");
+            String lookup = fixture.receive("look", null, "a");
+            fixture.decide();
+            fixture.endRun(lookup, Outcome.OK, "done");
         }
-        batches.pass(31_100);
-        assertEquals(1, batches.backend.trackedRequests(), "the one with the long window");
+        fixture.advance(31_100);
+        assertEquals(1, fixture.backend.trackedRequests(), "the one with the long window");
     }
 }
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/core/InDoubtCommandsTest.java
@@ -1,186 +1,247 @@
 package merlinlever.core;
 
+import static merlinlever.core.BatchedBackendFixture.UNANSWERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.time.Duration;
 import java.util.List;
 import java.util.Map;
 import merlinlever.Outcome;
 import net.jqwik.api.Example;
 
-/** Commands that cross the break of a link to the agent. */
+/** Commands to the agent together with the loss of the link to it. */
 class InDoubtCommandsTest {
 
-    private static void lost(BackendFixture around) {
-        around.backend.agentLinkLost(around.now);
+    private static void loseLink(BackendFixture fixture) {
+        fixture.backend.agentLinkLost(fixture.now);
     }
 
-    private static void back(BackendFixture around) {
-        around.backend.agentLinkRestored(around.now);
+    private static void restoreLink(BackendFixture fixture) {
+        fixture.backend.agentLinkRestored(fixture.now);
     }
 
-    private static void caughtUp(BackendFixture around) {
-        around.backend.agentEventsCaughtUp(around.now);
-        around.settle();
+    private static void catchUp(BackendFixture fixture) {
+        fixture.backend.agentEventsCaughtUp(fixture.now);
+        fixture.decide();
     }
 
-    private static String withReply(BackendFixture around) {
-        String name = around.take("look", null, "a");
-        around.calls(name);
-        around.replied(name, Outcome.OK);
-        return name;
+    private static String receiveAndReply(BackendFixture fixture) {
+        String id = fixture.receive("look", null, "a");
+        fixture.requestCall(id);
+        fixture.endCall(id, Outcome.OK);
+        return id;
     }
 
-    /** Sent again and lost again: a second break must not take the reply for one of long ago, or its run waits for ever. */
+    /** Commands that were sent again and lost again: the second loss counts from their second sending. */
     @Example
-    void whatIsSentAgainIsInDoubtAgainWithTheNextLink() {
-        BackendFixture around = new BackendFixture();
-        String replied = withReply(around);
-        String launched = around.take("look", null, "b");
-        lost(around);
-        around.after(100);
-        back(around);
-        around.after(100);
-        caughtUp(around);
-        assertEquals(2, around.times("deliver " + replied));
-        assertEquals(2, around.times("launch " + launched));
-        around.after(40);
-        lost(around);
-        back(around);
-        caughtUp(around);
-        assertEquals(3, around.times("deliver " + replied));
-        assertEquals(3, around.times("launch " + launched));
-        // By now it is sure that they arrived.
-        around.after(60);
-        lost(around);
-        back(around);
-        caughtUp(around);
-        assertEquals(3, around.times("deliver " + replied));
-        assertEquals(3, around.times("launch " + launched));
+    void resentCommandsAreInDoubtAgainWithTheNextLink() {
+        BackendFixture fixture = new BackendFixture();
+        String replied = receiveAndReply(fixture);
+        String launched = fixture.receive("look", null, "b");
+        loseLink(fixture);
+        fixture.advance(100);
+        restoreLink(fixture);
+        fixture.advance(100);
+        catchUp(fixture);
+        assertEquals(2, fixture.count("deliver " + replied));
+        assertEquals(2, fixture.count("launch " + launched));
+        fixture.advance(40);
+        loseLink(fixture);
+        restoreLink(fixture);
+        catchUp(fixture);
+        assertEquals(3, fixture.count("deliver " + replied));
+        assertEquals(3, fixture.count("launch " + launched));
+        // By now they have surely arrived.
+        fixture.advance(60);
+        loseLink(fixture);
+        restoreLink(fixture);
+        catchUp(fixture);
+        assertEquals(3, fixture.count("deliver " + replied));
+        assertEquals(3, fixture.count("launch " + launched));
     }
 
-    /** A launch that arrived long ago is not sent again: its outcome may be under way, and it would be run twice. */
+    /** A launch that arrived long ago is not sent again: its outcome may be under way, and it would run twice. */
     @Example
-    void aLaunchThatIsSureToHaveArrivedIsNotSentAgain() {
-        BackendFixture around = new BackendFixture();
-        String sure = around.take("buy", "t", "a");
-        around.after(60);
-        String doubtful = around.take("buy", "u", "b");
-        around.after(50);
-        lost(around);
-        String without = around.take("buy", "v", "c");
-        back(around);
-        String on = around.take("buy", "w", "d");
-        caughtUp(around);
+    void launchThatSurelyArrivedIsNotResent() {
+        BackendFixture fixture = new BackendFixture();
+        String arrived = fixture.receive("buy", "t", "a");
+        fixture.advance(60);
+        String inDoubt = fixture.receive("buy", "u", "b");
+        fixture.advance(50);
+        loseLink(fixture);
+        String withoutLink = fixture.receive("buy", "v", "c");
+        restoreLink(fixture);
+        String onNewLink = fixture.receive("buy", "w", "d");
+        catchUp(fixture);
         assertEquals(
                 List.of(1L, 2L, 2L, 1L),
                 List.of(
-                        around.times("launch " + sure),
-                        around.times("launch " + doubtful),
-                        around.times("launch " + without),
-                        around.times("launch " + on)));
+                        fixture.count("launch " + arrived),
+                        fixture.count("launch " + inDoubt),
+                        fixture.count("launch " + withoutLink),
+                        fixture.count("launch " + onNewLink)));
     }
 
-    /** The clock need not move between two events of one batch: which came first counts, and not what it shows. */
+    /** The clock need not move between two events of one batch: their order counts, not the time. */
     @Example
-    void atOneInstantTheOrderOfReplyAndLinkCounts() {
-        BackendFixture around = new BackendFixture();
-        String before = around.take("look", null, "a");
-        String after = around.take("look", null, "b");
-        around.calls(before);
-        around.calls(after);
-        lost(around);
-        around.replied(before, Outcome.OK);
-        back(around);
-        around.replied(after, Outcome.OK);
-        caughtUp(around);
-        assertEquals(2, around.times("deliver " + before));
-        assertEquals(1, around.times("deliver " + after));
+    void orderOfReplyAndLinkCountsAtOneInstant() {
+        BackendFixture fixture = new BackendFixture();
+        String before = fixture.receive("look", null, "a");
+        String after = fixture.receive("look", null, "b");
+        fixture.requestCall(before);
+        fixture.requestCall(after);
+        loseLink(fixture);
+        fixture.endCall(before, Outcome.OK);
+        restoreLink(fixture);
+        fixture.endCall(after, Outcome.OK);
+        catchUp(fixture);
+        assertEquals(2, fixture.count("deliver " + before));
+        assertEquals(1, fixture.count("deliver " + after));
     }
 
-    /** A link that is lost before all is read leaves in doubt what the first one left, and what was sent since. */
+    /**
+     * A link that is lost before all events are read leaves in doubt what the first one left, and what was sent since.
+     */
     @Example
-    void aBreakBeforeAllIsReadAddsToTheDoubt() {
-        BackendFixture around = new BackendFixture();
-        String first = withReply(around);
-        lost(around);
-        around.after(200);
-        back(around);
-        String second = withReply(around);
-        around.after(10);
-        lost(around);
-        around.after(200);
-        back(around);
-        caughtUp(around);
-        assertEquals(2, around.times("deliver " + first));
-        assertEquals(2, around.times("deliver " + second));
+    void secondBreakBeforeCatchingUpAddsToTheDoubt() {
+        BackendFixture fixture = new BackendFixture();
+        String first = receiveAndReply(fixture);
+        loseLink(fixture);
+        fixture.advance(200);
+        restoreLink(fixture);
+        String second = receiveAndReply(fixture);
+        fixture.advance(10);
+        loseLink(fixture);
+        fixture.advance(200);
+        restoreLink(fixture);
+        catchUp(fixture);
+        assertEquals(2, fixture.count("deliver " + first));
+        assertEquals(2, fixture.count("deliver " + second));
     }
 
-    /** A run that went on while the link was away shows that its reply arrived; at its next call it is not sent again. */
+    /** A run that continued while the link was away has its reply; at its next call that reply is not sent again. */
     @Example
-    void aReplyThatWasTakenIsNotSentToTheNextCall() {
-        BackendFixture around = new BackendFixture();
-        String name = withReply(around);
-        lost(around);
-        back(around);
-        around.calls(name);
-        caughtUp(around);
-        assertEquals(1, around.times("deliver " + name));
-        assertEquals(1, around.times("launch " + name));
-        lost(around);
-        back(around);
-        around.calls(name);
-        around.replied(name, Outcome.OK);
-        caughtUp(around);
-        assertEquals(2, around.times("deliver " + name));
+    void consumedReplyIsNotSentToTheNextCall() {
+        BackendFixture fixture = new BackendFixture();
+        String id = receiveAndReply(fixture);
+        loseLink(fixture);
+        restoreLink(fixture);
+        fixture.requestCall(id);
+        catchUp(fixture);
+        assertEquals(1, fixture.count("deliver " + id));
+        assertEquals(1, fixture.count("launch " + id));
+        loseLink(fixture);
+        restoreLink(fixture);
+        fixture.requestCall(id);
+        fixture.endCall(id, Outcome.OK);
+        catchUp(fixture);
+        assertEquals(2, fixture.count("deliver " + id));
     }
 
-    /** The outcome crosses the order to stop: whichever it is, the run is over and its operation is let go. */
+    /** An outcome that crosses the command to stop: whichever it is, the run is over and the request is released. */
     @Example
-    void whateverOutcomeCrossesAFreezeEndsTheOperation() {
-        for (Outcome how : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NEVER_BEGUN)) {
-            BackendFixture around = new BackendFixture(Map.of("tariffs.0.window", "0"));
-            String name = around.take("look", null, "a");
-            around.backend.callerDisconnected(around.now, around.taken.get(name));
-            around.settle();
-            assertEquals(1, around.times("freeze " + name));
-            around.ends(name, how, "late");
-            around.ends(name, Outcome.STOPPED, "");
-            assertEquals(List.of(), around.answers.get(name));
-            assertEquals(0, around.backend.metrics().onCores(), "" + how);
-            assertEquals(List.of("launch " + name, "freeze " + name), around.asked);
-            // Its id is known for as long as a repeat may still be read.
-            around.after(31_000);
-            assertEquals(0, around.backend.trackedRequests(), "" + how);
+    void anyOutcomeThatCrossesAStopEndsTheRequest() {
+        for (Outcome outcome : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NEVER_BEGUN)) {
+            BackendFixture fixture = new BackendFixture(Map.of("tariffs.0.window", "0"));
+            String id = fixture.receive("look", null, "a");
+            fixture.disconnectCaller(id);
+            fixture.decide();
+            assertEquals(1, fixture.count("stop " + id));
+            fixture.endRun(id, outcome, "late");
+            fixture.endRun(id, Outcome.STOPPED, "");
+            assertEquals(UNANSWERED, fixture.responsesById.get(id));
+            assertEquals(0, fixture.backend.metrics().orElseThrow().onCores(), "" + outcome);
+            assertEquals(List.of("launch " + id, "stop " + id), fixture.commands);
+            // Its id is tracked for as long as a duplicate may still be read.
+            fixture.advance(31_000);
+            assertEquals(0, fixture.backend.trackedRequests(), "" + outcome);
         }
     }
 
-    /** A freeze whose link broke is sent again; an outcome that was read meanwhile leaves nothing to stop. */
+    /** A stop that was lost with the link is sent again, unless the outcome has been read meanwhile. */
     @Example
-    void aFreezeIsSentAgainAndNotForWhatHasEnded() {
-        BackendFixture around = new BackendFixture();
-        String runs = around.take("look", null, "a");
-        String ended = around.take("look", null, "b");
-        for (String name : List.of(runs, ended)) {
-            around.backend.callerDisconnected(around.now, around.taken.get(name));
+    void stopIsResentUnlessTheRunHasEnded() {
+        BackendFixture fixture = new BackendFixture();
+        String running = fixture.receive("look", null, "a");
+        String ended = fixture.receive("look", null, "b");
+        for (String id : List.of(running, ended)) {
+            fixture.disconnectCaller(id);
         }
-        around.settle();
-        lost(around);
-        back(around);
-        around.ends(ended, Outcome.STOPPED, "");
-        caughtUp(around);
-        assertEquals(2, around.times("freeze " + runs));
-        assertEquals(1, around.times("freeze " + ended));
+        fixture.decide();
+        loseLink(fixture);
+        restoreLink(fixture);
+        fixture.endRun(ended, Outcome.STOPPED, "");
+        catchUp(fixture);
+        assertEquals(2, fixture.count("stop " + running));
+        assertEquals(1, fixture.count("stop " + ended));
     }
 
-    /** The same wish for a call under a new number: one call is in hand, and one reply goes to the run. */
+    /** The same request for a call in two events: one call is made, and one reply goes to the run. */
     @Example
-    void aWishForACallThatComesTwiceIsOneCall() {
-        BackendFixture around = new BackendFixture();
-        String name = around.take("look", null, "a");
-        around.calls(name);
-        around.calls(name);
-        around.replied(name, Outcome.OK);
-        around.replied(name, Outcome.OK);
-        assertEquals(List.of("launch " + name, "call " + name, "deliver " + name), around.asked);
+    void repeatedCallRequestMakesOneCall() {
+        BackendFixture fixture = new BackendFixture();
+        String id = fixture.receive("look", null, "a");
+        fixture.requestCall(id);
+        fixture.requestCall(id);
+        fixture.endCall(id, Outcome.OK);
+        fixture.endCall(id, Outcome.OK);
+        assertEquals(List.of("launch " + id, "call " + id, "deliver " + id), fixture.commands);
+    }
+
+    /**
+     * Commands that were sent on a link that broke are sent again, and only those; a consumed reply is not sent twice.
+     */
+    @Example
+    void onlyCommandsInDoubtAreResentAfterALostLink() {
+        BackendFixture fixture = new BackendFixture();
+        String old = fixture.receive("look", null, "a");
+        fixture.requestCall(old);
+        fixture.endCall(old, Outcome.OK);
+        fixture.advance(100);
+        Duration lastConfirmed = fixture.now;
+        String ended = fixture.receive("look", null, "b");
+        String inDoubt = fixture.receive("look", null, "c");
+        fixture.requestCall(inDoubt);
+        String calling = fixture.receive("look", null, "d");
+        fixture.requestCall(calling);
+        fixture.backend.agentLinkLost(lastConfirmed);
+        fixture.endCall(inDoubt, Outcome.OK);
+        String withoutLink = fixture.receive("buy", "t", "e");
+        fixture.advance(50);
+        fixture.backend.agentLinkRestored(fixture.now);
+        fixture.endRun(ended, Outcome.OK, "done");
+        fixture.commands.clear();
+        fixture.endCall(calling, Outcome.OK);
+        fixture.backend.agentEventsCaughtUp(fixture.now);
+        assertEquals(List.of("deliver " + calling, "deliver " + inDoubt, "launch " + withoutLink), fixture.commands);
+        fixture.commands.clear();
+        fixture.backend.agentEventsCaughtUp(fixture.now);
+        assertEquals(List.of(), fixture.commands);
+    }
+
+    /** A command that left up to 50 ms before the break may be lost, even if the link was known to work until then. */
+    @Example
+    void replySentShortlyBeforeTheBreakIsResent() {
+        BackendFixture fixture = new BackendFixture();
+        String id = fixture.receive("look", null, "a");
+        fixture.requestCall(id);
+        fixture.endCall(id, Outcome.OK);
+        fixture.advance(45);
+        fixture.backend.agentLinkLost(fixture.now);
+        fixture.backend.agentLinkRestored(fixture.now.plusMillis(1));
+        fixture.backend.agentEventsCaughtUp(fixture.now);
+        assertEquals(2, fixture.count("deliver " + id));
+    }
+
+    /** The outcome can no longer be known: the request fails, and its idempotency key does not run again. */
+    @Example
+    void runsWhoseEventsWereLostFailAndAreNotRestarted() {
+        BackendFixture fixture = new BackendFixture();
+        String id = fixture.receive("buy", "t", "a");
+        fixture.backend.agentEventsLost(fixture.now);
+        fixture.decide();
+        assertEquals("failed", fixture.response(id));
+        assertEquals("failed", fixture.response(fixture.receive("buy", "t", "a")));
+        assertEquals(1, fixture.commands.size());
     }
 }
--- a/src/test/java/merlinlever/core/RecordingResponseSink.java
+++ b/src/test/java/merlinlever/core/RecordingResponseSink.java
@@ -4,21 +4,21 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A caller that writes down, as words, what it is answered. */
-public record RecordingResponseSink(List<String> heard) implements ResponseSink {
+/** A sink that records, as words, the responses that it receives. */
+public record RecordingResponseSink(List<String> responses) implements ResponseSink {
 
     @Override
     public void succeed(byte[] result) {
-        heard.add("satisfied " + new String(result, StandardCharsets.UTF_8));
+        responses.add("succeeded " + new String(result, StandardCharsets.UTF_8));
     }
 
     @Override
-    public void reject(boolean nowhereElse, Duration stayAway) {
-        heard.add("pushed back");
+    public void reject(boolean finalRejection, Duration retryAfter) {
+        responses.add("rejected");
     }
 
     @Override
     public void fail() {
-        heard.add("broken off");
+        responses.add("failed");
     }
 }
--- a/src/test/java/merlinlever/core/SettingsTranslatorTest.java
+++ b/src/test/java/merlinlever/core/SettingsTranslatorTest.java
@@ -8,36 +8,41 @@
 import merlinlever.json.Json;
 import net.jqwik.api.Example;
 
-/** The two forms in which the same is stated at start. */
+/** The translation of settings from the two forms in which they are given at start. */
 class SettingsTranslatorTest {
 
+    private static final String CONFIGURATION_FILE =
+            "{\"family-info\":{\"n-cores\":12,\"memory-kb\":11040.0,\"blowup\":4.0,\"kb-per-key\":18.85,"
+                    + "\"gauges\":[\"cpu_busy\",\"runnable\",\"mem_used\",\"sockets\"],\"calls-by-class\":[true,false],"
+                    + "\"say\":\"level\",\"below\":\"silent\",\"cold\":false},\"bounds\":{\"retry-after\":true},"
+                    + "\"invariants\":{\"drain-grace\":2000.0,\"overload-factor\":8.0},\"tenants\":[],\"services\":["
+                    + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":350.0,\"hard-limit\":1140.0,\"gain\":4.0}]}";
+
+    private static final String ENLISTMENT =
+            "family-info.n-cores=12 family-info.memory-kb=11040.0 family-info.blowup=4.0"
+                    + " family-info.kb-per-key=18.85 family-info.gauges=cpu_busy,runnable,mem_used,sockets"
+                    + " family-info.calls-by-class=true,false family-info.say=level family-info.below=silent"
+                    + " family-info.cold=false bounds.retry-after=true invariants.drain-grace=2000.0"
+                    + " invariants.overload-factor=8.0 tenants= services.0.name=buy services.0.semantics=by_key"
+                    + " services.0.aim=350.0 services.0.hard-limit=1140.0 services.0.gain=4.0";
+
     @Example
-    void aConfigurationAndASetupLineSayTheSame() throws Json.MalformedJsonException {
-        String json = "{\"family-info\":{\"n-cores\":12,\"memory-kb\":11040.0,\"blowup\":4.0,\"kb-per-key\":18.85,"
-                + "\"gauges\":[\"cpu_busy\",\"runnable\",\"mem_used\",\"sockets\"],\"calls-by-class\":[true,false],"
-                + "\"say\":\"level\",\"below\":\"silent\",\"cold\":false},\"bounds\":{\"retry-after\":true},"
-                + "\"invariants\":{\"drain-grace\":2000.0,\"overload-factor\":8.0},\"tenants\":[],\"services\":["
-                + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":350.0,\"hard-limit\":1140.0,\"gain\":4.0}]}";
-        String setup = "family-info.n-cores=12 family-info.memory-kb=11040.0 family-info.blowup=4.0"
-                + " family-info.kb-per-key=18.85 family-info.gauges=cpu_busy,runnable,mem_used,sockets"
-                + " family-info.calls-by-class=true,false family-info.say=level family-info.below=silent"
-                + " family-info.cold=false bounds.retry-after=true invariants.drain-grace=2000.0"
-                + " invariants.overload-factor=8.0 tenants= services.0.name=buy services.0.semantics=by_key"
-                + " services.0.aim=350.0 services.0.hard-limit=1140.0 services.0.gain=4.0";
-        Map<String, String> line = new HashMap<>();
-        for (String pair : setup.split(" ")) {
-            line.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
+    void configurationFileAndEnlistmentTranslateAlike() throws Json.MalformedJsonException {
+        Map<String, String> enlisted = new HashMap<>();
+        for (String field : ENLISTMENT.split(" ")) {
+            int equals = field.indexOf('=');
+            enlisted.put(field.substring(0, equals), field.substring(equals + 1));
         }
-        Map<String, String> ours = SettingsTranslator.translate(Json.flat(Json.object(json)));
-        assertEquals(SettingsTranslator.translate(line), ours);
-        assertEquals("fingerprinted", ours.get("tariffs.0.kind"));
-        assertEquals("busy,run-queue,memory,connections", ours.get("server.gauges"));
-        assertEquals(List.of(), SettingsTranslator.unknownNames(line));
+        Map<String, String> settings = SettingsTranslator.translate(Json.flat(Json.object(CONFIGURATION_FILE)));
+        assertEquals(SettingsTranslator.translate(enlisted), settings);
+        assertEquals("fingerprinted", settings.get("tariffs.0.kind"));
+        assertEquals("busy,run-queue,memory,connections", settings.get("server.gauges"));
+        assertEquals(List.of(), SettingsTranslator.unknownNames(enlisted));
     }
 
-    /** A name that changed would fall back to a default in silence. */
+    /** A setting whose name is not known would fall back to its default without notice. */
     @Example
-    void aNameThatIsNotKnownIsFound() {
+    void unknownNamesAreFound() {
         assertEquals(
                 List.of("family-info.cpus"),
                 SettingsTranslator.unknownNames(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
--- a/src/test/java/merlinlever/json/JsonTest.java
+++ b/src/test/java/merlinlever/json/JsonTest.java
@@ -10,10 +10,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** The reader of JSON, and the writer of its strings. */
 class JsonTest {
 
     @Example
-    void valuesAreRead() throws Json.MalformedJsonException {
+    void valuesAreParsed() throws Json.MalformedJsonException {
         assertEquals(
                 Map.of("a", Arrays.asList(1L, -2.5, 1e3, true, false, null), "b", Map.of("c", "x\n\u00e9\"")),
                 Json.parse(" {\"a\":[1,-2.5,1e3,true,false,null],\"b\":{\"c\":\"x\\n\\u00e9\\\"\"}} "));
@@ -25,8 +26,8 @@
     }
 
     @Example
-    void whatIsNoJsonIsMalformed() {
-        for (String bad : new String[] {
+    void malformedTextIsRejected() {
+        for (String malformed : new String[] {
             "",
             "{",
             "[1,]",
@@ -45,12 +46,12 @@
             "+1",
             "NaN"
         }) {
-            assertThrows(Json.MalformedJsonException.class, () -> Json.parse(bad), bad);
+            assertThrows(Json.MalformedJsonException.class, () -> Json.parse(malformed), malformed);
         }
     }
 
     @Property(tries = 500, seed = "45")
-    void whatIsQuotedIsReadBack(@ForAll String text) throws Json.MalformedJsonException {
+    void quotedTextIsParsedBack(@ForAll String text) throws Json.MalformedJsonException {
         assertEquals(text, Json.parse(Json.quoted(text)));
     }
 }
--- a/src/test/java/merlinlever/log/LogTest.java
+++ b/src/test/java/merlinlever/log/LogTest.java
@@ -9,10 +9,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import net.jqwik.api.Example;
 
+/** The form and the volume of the log. */
 class LogTest {
 
     @Example
-    void aFloodIsCutAndCounted() {
+    void linesBeyondTheLimitAreDroppedAndCounted() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         AtomicReference<Instant> time = new AtomicReference<>(Instant.ofEpochSecond(1_000_000));
         Log log = new Log(new PrintStream(out, true, StandardCharsets.UTF_8), time::get);
@@ -24,7 +25,19 @@
         String[] lines = out.toString(StandardCharsets.UTF_8).split(System.lineSeparator());
         assertEquals(22, lines.length);
         assertEquals("1970-01-12T13:46:40Z INFO line 0", lines[0]);
-        assertEquals("1970-01-12T13:46:41Z WARN 30 lines left out", lines[20]);
+        assertEquals("1970-01-12T13:46:41Z WARN log-lines-dropped count=30", lines[20]);
         assertEquals("1970-01-12T13:46:41Z WARN next", lines[21]);
     }
+
+    @Example
+    void errorNamesTheExceptionAndItsPlace() {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        Log log = new Log(new PrintStream(out, true, StandardCharsets.UTF_8), () -> Instant.ofEpochSecond(1_000_000));
+        IllegalStateException cause = new IllegalStateException("closed");
+        log.error("handler-failed", cause);
+        assertEquals(
+                "1970-01-12T13:46:40Z ERROR handler-failed error=\"java.lang.IllegalStateException: closed\" at="
+                        + cause.getStackTrace()[0],
+                out.toString(StandardCharsets.UTF_8).trim());
+    }
 }
--- a/src/test/java/merlinlever/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/records/RecordsClientFixture.java
@@ -46,7 +46,7 @@
     }
 
     void call(long id) {
-        driven.run(() -> link.call(TestRequests.of(id), new byte[] {'b'}, LIMIT));
+        driven.run(() -> link.call(TestRequests.tracked(id), new byte[] {'b'}, LIMIT));
     }
 
     /** So many calls have ended, and these were they. */
--- a/src/test/java/merlinlever/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/records/RecordsClientRaceTest.java
@@ -35,7 +35,7 @@
             on.batches(3);
             on.run(() -> {
                 parties.get(0).mine.end(CloseReason.IDLE);
-                link.call(TestRequests.of(2), new byte[] {'b'}, LIMIT);
+                link.call(TestRequests.tracked(2), new byte[] {'b'}, LIMIT);
             });
             on.batches(3);
             assertEquals(2, parties.size());
@@ -183,7 +183,7 @@
             link = link(on, new InetSocketAddress(HERE, PortAllocator.free()), 4);
             on.run(() -> {
                 for (int i = 1; i <= 3000; i++) {
-                    link.call(TestRequests.of(i), new byte[] {'b'}, LIMIT);
+                    link.call(TestRequests.tracked(i), new byte[] {'b'}, LIMIT);
                 }
             });
             on.until(() -> ended.size() == 3000, "all endings");
--- a/src/test/java/merlinlever/records/RecordsReplyRaceTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyRaceTest.java
@@ -72,13 +72,13 @@
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
-                link.cancel(TestRequests.of(1));
+                link.cancel(TestRequests.tracked(1));
             });
             call(2);
             Socket next = accept(place, 2);
             say(next, done(2, "r"));
             hasEnded("2 OK r");
-            on.run(() -> link.cancel(TestRequests.of(2)));
+            on.run(() -> link.cancel(TestRequests.tracked(2)));
             call(3);
             say(hear(next, 3), done(3, "s"));
             hasEnded("2 OK r", "3 OK s");
--- a/src/test/java/merlinlever/wire/WireHostTest.java
+++ b/src/test/java/merlinlever/wire/WireHostTest.java
@@ -29,19 +29,19 @@
                 .serve();
     }
 
-    private void rejects(String input, String line) throws IOException {
+    private void assertMalformed(String input, String line) throws IOException {
         assertEquals(1, serve(input));
         assertEquals(line, errors.toString(StandardCharsets.UTF_8).trim());
     }
 
     @Example
-    void anEmptyBatchIsAnsweredAndTheEndOfInputEndsTheHost() throws IOException {
+    void emptyBatchIsAnsweredAndEndOfInputEndsTheHost() throws IOException {
         assertEquals(0, serve("frame now=1.5 n=1\neof_batch\n"));
         assertEquals("ready n=1\n", out.toString(StandardCharsets.UTF_8));
     }
 
     @Example
-    void anOperationIsRememberedBeforeItRuns() throws IOException {
+    void requestIsRetainedBeforeItRuns() throws IOException {
         assertEquals(
                 0,
                 serve(
@@ -54,7 +54,7 @@
     }
 
     @Example
-    void anInstanceThatDiesAndComesBackInABatchKnowsNothing() throws IOException {
+    void restartedInstanceKnowsNothingOfItsPredecessor() throws IOException {
         assertEquals(
                 0,
                 serve("frame now=100.0 n=1\n" + ENLIST
@@ -65,31 +65,31 @@
     }
 
     @Example
-    void malformedInputEndsWithOnePlainLine() throws IOException {
-        rejects("frame now=1.x n=1\neof_batch\n", "wirehost: line 1: not a number: now=1.x");
+    void malformedInputEndsTheHostWithOneLine() throws IOException {
+        assertMalformed("frame now=1.x n=1\neof_batch\n", "wirehost: line 1: not a number: now=1.x");
     }
 
     @Example
-    void anEventForNoInstanceIsMalformed() throws IOException {
-        rejects(
+    void eventForAnUnknownInstanceIsMalformed() throws IOException {
+        assertMalformed(
                 "frame now=1 n=1\ndrain who=backend-9 not-after=5\neof_batch\n",
                 "wirehost: line 2: no instance backend-9");
     }
 
     @Example
-    void anUnknownEventIsMalformed() throws IOException {
-        rejects(
+    void unknownEventIsMalformed() throws IOException {
+        assertMalformed(
                 "frame now=1 n=1\n" + ENLIST + "dance who=backend-1\neof_batch\n",
                 "wirehost: line 3: unknown event dance");
     }
 
     @Example
-    void aBatchCutOffIsMalformed() throws IOException {
-        rejects("frame now=1 n=1\n" + ENLIST, "wirehost: line 3: the input ends within a batch");
+    void truncatedBatchIsMalformed() throws IOException {
+        assertMalformed("frame now=1 n=1\n" + ENLIST, "wirehost: line 3: the input ends within a batch");
     }
 
     @Example
-    void aFailureInsideTheDecisionsIsSaidOnTheWire() throws IOException {
+    void controllerFailureIsReportedOnTheWire() throws IOException {
         assertEquals(0, serve("frame now=1 n=1\n" + ENLIST.trim() + " family-info.class-skip-worth=x\neof_batch\n"));
         assertTrue(out.toString(StandardCharsets.UTF_8).startsWith("die who=backend-1 line="));
     }
