--- a/src/test/java/merlinlever/compatibility/BenchBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/BenchBytesTest.java
@@ -6,7 +6,6 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import merlinlever.wire.WireHost;
 import org.junit.jupiter.api.Test;
@@ -25,10 +24,11 @@
     void theSameEventsAreAnsweredWithTheSameBytes() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (InputStream events = BenchBytesTest.class.getResourceAsStream("/compatibility/bench-events.txt");
-                InputStream decisions = BenchBytesTest.class.getResourceAsStream("/compatibility/bench-decisions.txt")) {
+                InputStream decisions =
+                        BenchBytesTest.class.getResourceAsStream("/compatibility/bench-decisions.txt")) {
             assertEquals(0, new WireHost(events, out, System.err).serve());
-            assertArrayEquals(lines(decisions), out.toString(StandardCharsets.UTF_8).split("\n"));
+            assertArrayEquals(
+                    lines(decisions), out.toString(StandardCharsets.UTF_8).split("\n"));
         }
     }
-
 }
