--- a/src/main/java/merlinlever/faults/QuotaFaults.java
+++ b/src/main/java/merlinlever/faults/QuotaFaults.java
@@ -174,7 +174,7 @@
             }
             case LOSSY -> {
                 fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream()
-                        .filter(k -> k != i)
+                        .filter(k -> !k.equals(i))
                         .forEach(k -> links.set(
                                 i,
                                 k,
--- a/src/main/java/merlinlever/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/faults/ViewFaults.java
@@ -251,7 +251,7 @@
             default -> {
                 all("every link takes 150 to 250 ms");
                 fleet.on(links -> fleet.all().forEach(i -> fleet.all().stream()
-                        .filter(k -> k != i)
+                        .filter(k -> !k.equals(i))
                         .forEach(k -> links.set(
                                 i, k, LinkFaults.LinkFault.delayed(Duration.ofMillis(150), Duration.ofMillis(100))))));
                 watch(4000);
