--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -117,7 +117,7 @@
 
     private static Duration span(Map<String, String> rest, String name, Duration usual)
             throws ServeCommand.InvalidConfigurationException {
-        double ms = ServeCommand.number(rest, "recovery." + name, usual.toMillis());
+        double ms = ServeCommand.number(rest, "recovery." + name, (double) usual.toMillis());
         if (!(ms >= 10 && ms <= 600_000)) {
             throw new ServeCommand.InvalidConfigurationException(
                     "the configuration's recovery." + name + " is to be from 10 to 600000");
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -231,7 +231,7 @@
             // One line, however often it is read, and one more where it is whole at last and can't be used for another
             // cause.
             boolean last = readings <= 1;
-            if (said == null || last && !said.equals(e.getMessage())) {
+            if (said == null || (last && !said.equals(e.getMessage()))) {
                 log.warn("configuration not taken over, the one before stays: " + inFile(environment) + e.getMessage());
             }
             if (!last) {
--- a/src/main/java/merlinlever/cli/fleet/OrderCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/OrderCommand.java
@@ -142,7 +142,7 @@
                 for (JsonNode order : orders.values()) {
                     for (JsonNode instance : order.path("instances")) {
                         done &= instance.path("end").asText().equals("done")
-                                || !wait && instance.path("end").asText().equals("under way");
+                                || (!wait && instance.path("end").asText().equals("under way"));
                     }
                 }
                 return done;
--- a/src/main/java/merlinlever/core/IdempotencyCache.java
+++ b/src/main/java/merlinlever/core/IdempotencyCache.java
@@ -44,7 +44,7 @@
         }
         // With an effect at stake, one that is not over stands for all that comes: its window may be shorter than its
         // run.
-        if (kept != null && (kept.covers(work) || token && kept.work.end == null)) {
+        if (kept != null && (kept.covers(work) || (token && kept.work.end == null))) {
             return kept.work;
         }
         byMark.put(work.mark, new Entry(work, null, ran == null ? null : ran.alone()));
--- a/src/main/java/merlinlever/election/ElectionState.java
+++ b/src/main/java/merlinlever/election/ElectionState.java
@@ -81,7 +81,7 @@
             return false;
         }
         // The same one may have its promise renewed, or made for its next attempt.
-        return asker.equals(promisedTo) || asked > promised && now.compareTo(promisedUntil) >= 0;
+        return asker.equals(promisedTo) || (asked > promised && now.compareTo(promisedUntil) >= 0);
     }
 
     /** The promise is made, from now on. */
--- a/src/main/java/merlinlever/experiments/BucketAssignment.java
+++ b/src/main/java/merlinlever/experiments/BucketAssignment.java
@@ -56,7 +56,7 @@
     static long hash(long salt, byte[] octets) {
         long hash = mix(salt ^ 0xcbf29ce484222325L);
         for (byte octet : octets) {
-            hash = (hash ^ octet & 0xff) * 0x100000001b3L;
+            hash = (hash ^ (octet & 0xff)) * 0x100000001b3L;
         }
         return mix(mix(hash) + salt);
     }
--- a/src/main/java/merlinlever/experiments/DistinctSample.java
+++ b/src/main/java/merlinlever/experiments/DistinctSample.java
@@ -20,7 +20,7 @@
     }
 
     private void add(long caller) {
-        if (caller >>> 8 < 1L << 32 - level && callers.add(caller)) {
+        if (caller >>> 8 < 1L << (32 - level) && callers.add(caller)) {
             while (callers.size() > MOST) {
                 raise(level + 1);
             }
@@ -29,7 +29,7 @@
 
     private void raise(int to) {
         level = to;
-        callers.tailSet(1L << 40 - level).clear();
+        callers.tailSet(1L << (40 - level)).clear();
     }
 
     void add(DistinctSample other) {
@@ -67,7 +67,7 @@
         long caller = 0;
         for (long i = 0; i < n; i++) {
             caller += in.number(1L << 40);
-            if (caller >>> 8 >= 1L << 32 - sample.level || (caller & 0xff) >= arms) {
+            if (caller >>> 8 >= 1L << (32 - sample.level) || (caller & 0xff) >= arms) {
                 throw new IllegalArgumentException("a caller that is not of the sample");
             }
             sample.callers.add(caller);
--- a/src/main/java/merlinlever/experiments/ExperimentConfigReader.java
+++ b/src/main/java/merlinlever/experiments/ExperimentConfigReader.java
@@ -190,7 +190,7 @@
     }
 
     private long whole(String path, long absent, long least, long most) throws InvalidExperimentException {
-        double number = number(path, absent, least, most);
+        double number = number(path, (double) absent, (double) least, (double) most);
         if (number != Math.rint(number)) {
             throw new InvalidExperimentException(
                     "the configuration's " + path + " is to be a whole number from " + least + " to " + most);
--- a/src/main/java/merlinlever/experiments/ExperimentCounts.java
+++ b/src/main/java/merlinlever/experiments/ExperimentCounts.java
@@ -213,8 +213,8 @@
                         0,
                         0,
                         0,
-                        asked[bucket],
-                        Math.min(satisfied[bucket], asked[bucket]),
+                        (double) asked[bucket],
+                        (double) Math.min(satisfied[bucket], asked[bucket]),
                         Math.min(value[bucket], PARTS * asked[bucket]) / (double) PARTS);
             }
         }
--- a/src/main/java/merlinlever/experiments/VarInts.java
+++ b/src/main/java/merlinlever/experiments/VarInts.java
@@ -22,7 +22,7 @@
     void put(long number) {
         long left = number;
         while (left >>> 7 != 0) {
-            out.write((int) (left & 0x7f | 0x80));
+            out.write((int) ((left & 0x7f) | 0x80));
             left >>>= 7;
         }
         out.write((int) left);
--- a/src/main/java/merlinlever/faults/ReplicationModel.java
+++ b/src/main/java/merlinlever/faults/ReplicationModel.java
@@ -178,7 +178,7 @@
     public boolean equal() {
         String first = null;
         for (ReplicatedStore node : nodes) {
-            if (node == null || first != null && !first.equals(node.digest())) {
+            if (node == null || (first != null && !first.equals(node.digest()))) {
                 return false;
             }
             first = node.digest();
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -294,7 +294,7 @@
                 boolean lostThen = !site.serviceUp;
                 later(lostThen ? 1 : 5 + chance.nextInt(20), () -> {
                     Outcome how = lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CUT_OFF;
-                    if (how == Outcome.OK && effect || how == Outcome.CUT_OFF && effect && chance.nextBoolean()) {
+                    if ((how == Outcome.OK && effect) || (how == Outcome.CUT_OFF && effect && chance.nextBoolean())) {
                         audit.effect(now, id, site.name);
                     }
                     own.ended(clock(), how, Duration.ofMillis(now - began));
--- a/src/main/java/merlinlever/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/faults/ServeFleet.java
@@ -349,7 +349,7 @@
     /** What the backend tells of itself, or null where it does not answer. */
     public JsonNode told(int i) {
         try {
-            return AgentFleet.get(manages.get(i), "/state", "", Duration.ofMillis(1000));
+            return AgentFleet.get(manages.get(i), "/state", "", Duration.ofSeconds(1));
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/merlinlever/faults/ViewModel.java
+++ b/src/main/java/merlinlever/faults/ViewModel.java
@@ -390,7 +390,7 @@
         for (int i = 0; i < n; i++) {
             if (runs(i)) {
                 MembershipView its = nodes[i].sight.view();
-                if (!its.members().equals(members) || view != null && view.number() != its.number()) {
+                if (!its.members().equals(members) || (view != null && view.number() != its.number())) {
                     return false;
                 }
                 view = its;
--- a/src/main/java/merlinlever/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/faults/audit/RouteExportAudit.java
@@ -102,11 +102,11 @@
         for (int i = path.size() - 1; i >= 0; i--) {
             String next = i == 0 ? to : path.get(i - 1);
             Relation step = relations.apply(path.get(i), next);
-            boolean only = down || its.customersOnly() && i < path.size() - 1;
+            boolean only = down || (its.customersOnly() && i < path.size() - 1);
             if (step == null
-                    || only && step != Relation.CUSTOMER
+                    || (only && step != Relation.CUSTOMER)
                     || its.notTo().contains(next)
-                    || its.onlyTo() != null && !its.onlyTo().contains(next)) {
+                    || (its.onlyTo() != null && !its.onlyTo().contains(next))) {
                 return false;
             }
             down |= step != Relation.PROVIDER;
--- a/src/main/java/merlinlever/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/faults/standins/LoadGenerator.java
@@ -85,7 +85,7 @@
     public boolean servedSince(Duration moment, boolean keyedToo) {
         return satisfiedAt[0] != null
                 && satisfiedAt[0].compareTo(moment) > 0
-                && (!keyedToo || satisfiedAt[1] != null && satisfiedAt[1].compareTo(moment) > 0);
+                && (!keyedToo || (satisfiedAt[1] != null && satisfiedAt[1].compareTo(moment) > 0));
     }
 
     /** Of each try that ended: when (ms since the start), whether keyed, the status or 0. */
--- a/src/main/java/merlinlever/faults/timeline/Scenario.java
+++ b/src/main/java/merlinlever/faults/timeline/Scenario.java
@@ -370,7 +370,7 @@
                     (lost || gone ? "x " : "> ") + out.to + ": " + words.of(out.message),
                     show == MessageVisibility.ALWAYS
                             || show == MessageVisibility.SAID
-                            || lost && show == MessageVisibility.EFFECT_OR_LOST);
+                            || (lost && show == MessageVisibility.EFFECT_OR_LOST));
             drafts.add(draft);
             times.forEach(at -> net.add(
                     new SentMessage<>(Math.max(now + 1, at.toMillis()), orders++, from, to, out.message, draft)));
--- a/src/main/java/merlinlever/http/RequestHead.java
+++ b/src/main/java/merlinlever/http/RequestHead.java
@@ -118,7 +118,7 @@
         }
         queryEnd = at;
         pathEnd = queryAt < 0 ? at : queryAt - 1;
-        if (end - at != 9 || !matches(at, " HTTP/1.") || bytes[end - 1] != '0' && bytes[end - 1] != '1') {
+        if (end - at != 9 || !matches(at, " HTTP/1.") || (bytes[end - 1] != '0' && bytes[end - 1] != '1')) {
             return false;
         }
         old = bytes[end - 1] == '0';
@@ -127,9 +127,9 @@
 
     private int token(int at, int end) {
         while (at < end
-                && (bytes[at] >= 'a' && bytes[at] <= 'z'
-                        || bytes[at] >= 'A' && bytes[at] <= 'Z'
-                        || bytes[at] >= '0' && bytes[at] <= '9'
+                && ((bytes[at] >= 'a' && bytes[at] <= 'z')
+                        || (bytes[at] >= 'A' && bytes[at] <= 'Z')
+                        || (bytes[at] >= '0' && bytes[at] <= '9')
                         || "!#$%&'*+-.^_`|~".indexOf(bytes[at]) >= 0)) {
             at++;
         }
@@ -150,7 +150,7 @@
             stop--;
         }
         for (int i = at; i < stop; i++) {
-            if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 127) {
+            if ((bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t') || bytes[i] == 127) {
                 return false;
             }
         }
@@ -214,7 +214,7 @@
     /** Whether the connection is not to be kept. */
     boolean closes() {
         String said = has(HeaderField.CONNECTION) ? text(HeaderField.CONNECTION).toLowerCase(Locale.ROOT) : "";
-        return said.contains("close") || old && !said.contains("keep-alive");
+        return said.contains("close") || (old && !said.contains("keep-alive"));
     }
 
     boolean expectsToBeAsked() {
--- a/src/main/java/merlinlever/http/RequestMetadataParser.java
+++ b/src/main/java/merlinlever/http/RequestMetadataParser.java
@@ -36,10 +36,10 @@
                 || !(kb > 0 && kb < LARGEST_KB)
                 || !(cost >= 0 && cost < LONGEST_WAIT)
                 || !(rank >= 0 && rank < 1)
-                || head.has(HeaderField.WAIT) && (wait < 0 || wait > LONGEST_WAIT)
-                || head.has(HeaderField.FROM) && head.digits(HeaderField.FROM) < 0
-                || (marked || head.has(HeaderField.TOKEN)) && !head.hex(HeaderField.TOKEN, 32)
-                || head.has(HeaderField.KEY) && !head.hex(HeaderField.KEY, 16);
+                || (head.has(HeaderField.WAIT) && (wait < 0 || wait > LONGEST_WAIT))
+                || (head.has(HeaderField.FROM) && head.digits(HeaderField.FROM) < 0)
+                || ((marked || head.has(HeaderField.TOKEN)) && !head.hex(HeaderField.TOKEN, 32))
+                || (head.has(HeaderField.KEY) && !head.hex(HeaderField.KEY, 16));
         if (wrong) {
             return null;
         }
--- a/src/main/java/merlinlever/json/Json.java
+++ b/src/main/java/merlinlever/json/Json.java
@@ -181,19 +181,25 @@
         char c = peek();
         at++;
         switch (c) {
-            case '"', '\\', '/':
+            case '"', '\\', '/' -> {
                 return c;
-            case 'b':
+            }
+            case 'b' -> {
                 return '\b';
-            case 'f':
+            }
+            case 'f' -> {
                 return '\f';
-            case 'n':
+            }
+            case 'n' -> {
                 return '\n';
-            case 'r':
+            }
+            case 'r' -> {
                 return '\r';
-            case 't':
+            }
+            case 't' -> {
                 return '\t';
-            case 'u':
+            }
+            case 'u' -> {
                 int code = 0;
                 for (int i = 0; i < 4; i++) {
                     int digit = Character.digit(peek(), 16);
@@ -204,8 +210,8 @@
                     at++;
                 }
                 return (char) code;
-            default:
-                throw fault("unknown escape");
+            }
+            default -> throw fault("unknown escape");
         }
     }
 
--- a/src/main/java/merlinlever/measure/DnsMeasurement.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -500,7 +500,7 @@
                     got.setLength(2048);
                     socket.receive(got);
                     byte[] data = got.getData();
-                    int answered = (data[0] & 0xff) << 8 | data[1] & 0xff;
+                    int answered = (data[0] & 0xff) << 8 | (data[1] & 0xff);
                     if ((data[3] & 15) == 0) {
                         times.recordValue(Math.min(60_000_000L, (System.nanoTime() - sentAt[answered]) / 1000));
                     }
@@ -633,7 +633,7 @@
             }
             if (ms > dies
                     && set(zone[0], at, RecordTypes.A).stream()
-                            .noneMatch(rec -> ((rec.data()[2] & 0xff) << 8 | rec.data()[3] & 0xff) < dead)) {
+                            .noneMatch(rec -> ((rec.data()[2] & 0xff) << 8 | (rec.data()[3] & 0xff)) < dead)) {
                 return new double[] {(ms - dies) / 1000.0, wrong};
             }
         }
--- a/src/main/java/merlinlever/measure/RecoveryMeasurement.java
+++ b/src/main/java/merlinlever/measure/RecoveryMeasurement.java
@@ -98,7 +98,7 @@
                 0x26L + processes)) {
             PowerLoss power = new PowerLoss(
                     fleet,
-                    Duration.ofSeconds(120),
+                    Duration.ofMinutes(2),
                     line -> System.out.println("  " + line.lines().findFirst().orElse("")));
             power.begin();
             for (int i = 0; i < losses; i++) {
--- a/src/main/java/merlinlever/membership/MemberTable.java
+++ b/src/main/java/merlinlever/membership/MemberTable.java
@@ -93,7 +93,7 @@
             boolean elsewhere = rumour.status == MemberStatus.ALIVE
                     && !rumour.gossip.equals(mine.gossip)
                     && rumour.incarnation >= mine.incarnation;
-            if (left || !elsewhere && !overrides(rumour, mine)) {
+            if (left || (!elsewhere && !overrides(rumour, mine))) {
                 return null;
             }
             rivals += elsewhere ? 1 : 0;
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -45,7 +45,7 @@
         double excess = AdmissionControl.excess(pressure);
         level += excess > 0 ? 0.04 * Math.min(1, excess) : -0.01;
         level = Math.max(0, Math.min(MOST_LEVEL, level));
-        if (Math.abs(level - saidLevel) >= 0.02 || level == 0 && saidLevel > 0) {
+        if (Math.abs(level - saidLevel) >= 0.02 || (level == 0 && saidLevel > 0)) {
             saidLevel = level;
             server.next.level = switch (says) {
                 case "level" -> level;
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -25,7 +25,7 @@
 
     /** Its run, or the sharing of another's outcome, has ended. */
     void ended(Request op, Duration now, Outcome how) {
-        if (op.phase == Phase.OVER || how == Outcome.NEVER_BEGUN && op.phase == Phase.HELD) {
+        if (op.phase == Phase.OVER || (how == Outcome.NEVER_BEGUN && op.phase == Phase.HELD)) {
             return;
         }
         if (how == Outcome.STOPPED && !op.answered && op.halting) {
@@ -114,7 +114,7 @@
             if (hung || reached(now.plus(op.usualRun()), op.soft)) {
                 // Too late for a slow server is not too late for each, by the hint, but for a long dear walk.
                 boolean late = reached(now.plus(op.hintMs > 0 ? millis(op.hintMs) : op.usualRun()), op.soft)
-                        || servers > BackpressureSignals.MANY && server.admission.dear();
+                        || (servers > BackpressureSignals.MANY && server.admission.dear());
                 Duration longest = server.admission.longestStayAway;
                 pushBack(
                         op,
--- a/src/main/java/merlinlever/policy/Dispatcher.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -39,7 +39,7 @@
         for (Request op : server.hand) {
             if (op.phase != Phase.HELD
                     || op.answered
-                    || op.ran && !op.tariff.retriable
+                    || (op.ran && !op.tariff.retriable)
                     || server.mode.unknownNext(op, now)) {
                 continue;
             }
@@ -49,7 +49,7 @@
                 return;
             }
             QuotaLimiter runs = server.limits.get(op.tariff.index + 1);
-            if (op.tariff.calls && server.calls.full() || !runs.allows(now)) {
+            if ((op.tariff.calls && server.calls.full()) || !runs.allows(now)) {
                 continue;
             }
             runs.begins(now);
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -43,7 +43,7 @@
 
     /** Whether a run that makes calls would wait for one. */
     boolean full() {
-        return server.atCalls + server.calling >= cap || most < 1 && !mayCall();
+        return server.atCalls + server.calling >= cap || (most < 1 && !mayCall());
     }
 
     // Where it is less than one at once, a call has to fit into what is saved up, and with it its lingering.
@@ -83,7 +83,7 @@
         // Rule 2: a call that may have had its effect is not made again, but for a retriable operation. Nor
         // is one that was turned away or failed: it has been tried elsewhere, and the tier is crowded.
         server.move(op, Phase.AT_CALL);
-        boolean harmless = how == Outcome.UNREACHABLE || how == Outcome.CUT_OFF && op.tariff.retriable;
+        boolean harmless = how == Outcome.UNREACHABLE || (how == Outcome.CUT_OFF && op.tariff.retriable);
         if (harmless && !op.calledAgain) {
             op.calledAgain = true;
         } else if (op.tariff.withoutCall > 0 && !op.answered) {
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -39,11 +39,11 @@
 
     /** Rule 2: a repeat of what may have run shares its outcome or is broken off; it is never run itself. */
     boolean joins(Request op, RequestHandle repeats, Duration now) {
-        Request original = repeats instanceof Request ? (Request) repeats : null;
+        Request original = repeats instanceof Request request ? request : null;
         // Who ended unrun in this batch is still named; another may have its place.
         while (original != null
                 && original.original != null
-                && (original.phase == Phase.FOLLOWING || original.phase == Phase.OVER && !original.ran)) {
+                && (original.phase == Phase.FOLLOWING || (original.phase == Phase.OVER && !original.ran))) {
             original = original.original;
         }
         if (original == null) {
@@ -67,7 +67,7 @@
         }
         boolean usable = original.inHand()
                 ? !original.halting
-                : original.end == Outcome.OK || original.end == Outcome.ERROR && !op.tariff.retriable;
+                : original.end == Outcome.OK || (original.end == Outcome.ERROR && !op.tariff.retriable);
         if (usable && server.capacity.fits(0)) {
             share(op, original);
         } else if (!op.tariff.retriable && original.ran) {
@@ -126,7 +126,7 @@
             server.next.released.add(op);
         }
         promote(op, now);
-        if ((!op.ran || op.sharable && op.end != Outcome.OK) && strike(op)) {
+        if ((!op.ran || (op.sharable && op.end != Outcome.OK)) && strike(op)) {
             server.next.forgotten.add(op);
         }
     }
--- a/src/main/java/merlinlever/policy/OperatingMode.java
+++ b/src/main/java/merlinlever/policy/OperatingMode.java
@@ -9,7 +9,7 @@
 /** Whether the work hangs, the server leaves, or it has come back and may not know what it did before. */
 final class OperatingMode {
     // No run has got on for so long and for so many usual runs, more where few run: the work hangs.
-    private static final Duration HANG = Duration.ofMillis(1000);
+    private static final Duration HANG = Duration.ofSeconds(1);
     private static final double HANG_RUNS = 2, HANG_RUNS_ALONE = 6;
 
     private final ServerState server;
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -20,7 +20,7 @@
         while (!begun.isEmpty() && reached(now, begun.peek().plus(SECOND))) {
             begun.poll();
         }
-        return until == null || !reached(now, until) && (perSecond ? begun.size() : inUse) < share;
+        return until == null || (!reached(now, until) && (perSecond ? begun.size() : inUse) < share);
     }
 
     void begins(Duration now) {
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -115,10 +115,10 @@
             // One that is out of share and wants some does not wait for its turn as long.
             boolean wants = demand[1] > holding.share(now);
             if (now.compareTo(nextAsk[i]) >= 0
-                    || wants
+                    || (wants
                             && now.compareTo(nextAsk[i].minus(
                                             pause(i).multipliedBy(3).dividedBy(4)))
-                                    >= 0) {
+                                    >= 0)) {
                 nextAsk[i] = now.plus(pause(i))
                         .plus(Duration.ofNanos(
                                 chance.nextLong(pause(i).dividedBy(4).toNanos() + 1)));
--- a/src/main/java/merlinlever/recovery/RecoverySequence.java
+++ b/src/main/java/merlinlever/recovery/RecoverySequence.java
@@ -245,8 +245,8 @@
     private boolean enough(Duration now, long told) {
         Duration waited = now.minus(began);
         boolean all = peers.values().stream().allMatch(peer -> peer.told != null || !peer.alive);
-        return all && waited.compareTo(stated.spread.multipliedBy(2)) >= 0
-                || told * 2 > peers.size() && waited.compareTo(stated.patience) >= 0;
+        return (all && waited.compareTo(stated.spread.multipliedBy(2)) >= 0)
+                || (told * 2 > peers.size() && waited.compareTo(stated.patience) >= 0);
     }
 
     /** Whether more of those that told have another time than the same; with one against one neither is believed. */
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -271,7 +271,7 @@
         }
         service.keyed(order.keyedFrom(now), keyedTo);
         if (!writer.busy()
-                && (incarnation() > onDisk || term > termOnDisk || !mark.isZero() && now.compareTo(nextMark) >= 0)) {
+                && (incarnation() > onDisk || term > termOnDisk || (!mark.isZero() && now.compareTo(nextMark) >= 0))) {
             write(now);
         }
     }
--- a/src/main/java/merlinlever/replication/GossipCodec.java
+++ b/src/main/java/merlinlever/replication/GossipCodec.java
@@ -132,7 +132,7 @@
     static void number(ByteBuffer out, long number) {
         long rest = number;
         while (rest > 0x7f) {
-            out.put((byte) (rest & 0x7f | 0x80));
+            out.put((byte) ((rest & 0x7f) | 0x80));
             rest >>>= 7;
         }
         out.put((byte) rest);
--- a/src/main/java/merlinlever/replication/PaxosAcceptor.java
+++ b/src/main/java/merlinlever/replication/PaxosAcceptor.java
@@ -64,11 +64,11 @@
         RegisterState known = all.get(name);
         if (term < promised
                 || !room(name)
-                || known != null && (known.written || known.term == term) && !Arrays.equals(known.value, value)) {
+                || (known != null && (known.written || known.term == term) && !Arrays.equals(known.value, value))) {
             return false;
         }
         promised = term;
-        if (known == null || !known.written && known.term != term) {
+        if (known == null || (!known.written && known.term != term)) {
             all.put(name, new RegisterState(name, term, value, false));
         }
         return true;
@@ -93,7 +93,7 @@
             RegisterState known = all.get(each.name);
             if (each.written) {
                 written(each.name, each.value);
-            } else if (room(each.name) && (known == null || !known.written && each.term > known.term)) {
+            } else if (room(each.name) && (known == null || (!known.written && each.term > known.term))) {
                 all.put(each.name, each);
             }
         }
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -132,7 +132,7 @@
     public PendingWrite keep() {
         if (version == onDisk
                 || keeping > onDisk
-                || !votes && leadership.voters().contains(self)) {
+                || (!votes && leadership.voters().contains(self))) {
             return null;
         }
         keeping = version;
@@ -267,10 +267,10 @@
                 && slip.entries().size() == 1
                 && slip.entries().get(0).name().equals(slip.name());
         if (slip == null
-                || (slip.kind() == RegisterMessage.Kind.ACCEPT || slip.kind() == RegisterMessage.Kind.WRITTEN) && !one
-                || slip.kind() == RegisterMessage.Kind.PROMISED
+                || ((slip.kind() == RegisterMessage.Kind.ACCEPT || slip.kind() == RegisterMessage.Kind.WRITTEN) && !one)
+                || (slip.kind() == RegisterMessage.Kind.PROMISED
                         && !one
-                        && !slip.entries().isEmpty()) {
+                        && !slip.entries().isEmpty())) {
             malformed++;
             return List.of();
         }
--- a/src/main/java/merlinlever/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/replication/ReplicatedStore.java
@@ -106,7 +106,7 @@
                     : each.getValue().value().length;
         }
         StoredEntry word = next(now, topic, value.clone());
-        if (!own.containsKey(topic) && own.size() >= MOST_OWN || octets > MOST_OWN_OCTETS || !lot.room(word)) {
+        if ((!own.containsKey(topic) && own.size() >= MOST_OWN) || octets > MOST_OWN_OCTETS || !lot.room(word)) {
             return false;
         }
         say(word);
@@ -138,7 +138,7 @@
     private void tell(long upToIncarnation, long upToSequence) {
         pending.values().removeIf(word -> {
             boolean on = word.incarnation() < upToIncarnation
-                    || word.incarnation() == upToIncarnation && word.sequence() <= upToSequence;
+                    || (word.incarnation() == upToIncarnation && word.sequence() <= upToSequence);
             EntryTable.MergeResult taken = on ? lot.merge(word) : EntryTable.MergeResult.NO_ROOM;
             if (taken == EntryTable.MergeResult.NEWER || taken == EntryTable.MergeResult.CLASHES) {
                 gossip.fresh(word.key());
@@ -177,7 +177,7 @@
         alive(now);
         if (!GossipCodec.fits(snapshot.owner(), snapshot.topic())
                 || snapshot.owner().equals(self)
-                || snapshot.value() != null && snapshot.value().length > VersionedEntry.MOST_OCTETS
+                || (snapshot.value() != null && snapshot.value().length > VersionedEntry.MOST_OCTETS)
                 || Math.min(snapshot.incarnation(), snapshot.sequence()) < 0
                 || Math.max(snapshot.incarnation(), snapshot.sequence()) > MOST_VERSION) {
             return false;
@@ -217,8 +217,8 @@
     private void overtaken(StoredEntry word) {
         StoredEntry mine = own.get(word.key().topic());
         if (word.incarnation() > incarnation
-                || word.incarnation() == incarnation && word.sequence() > sequence
-                || mine != null && word.after(mine)) {
+                || (word.incarnation() == incarnation && word.sequence() > sequence)
+                || (mine != null && word.after(mine))) {
             overtakenBy = Math.max(overtakenBy, word.incarnation());
         }
     }
@@ -227,7 +227,7 @@
     public Optional<VersionedEntry> of(String owner, String topic) {
         StoredEntry word = lot.get(new StoredEntry.EntryKey(owner, topic));
         StoredEntry mine = owner.equals(self) ? own.get(topic) : null;
-        StoredEntry counts = mine == null || word != null && word.clashes() && !mine.after(word) ? word : mine;
+        StoredEntry counts = mine == null || (word != null && word.clashes() && !mine.after(word)) ? word : mine;
         return counts == null || counts.value() == null ? Optional.empty() : Optional.of(counts.snapshot());
     }
 
--- a/src/main/java/merlinlever/routes/Route.java
+++ b/src/main/java/merlinlever/routes/Route.java
@@ -46,7 +46,7 @@
         if (equals(other)) {
             return this;
         }
-        String down = downFrom == null || other.downFrom != null && other.downFrom.compareTo(downFrom) < 0
+        String down = downFrom == null || (other.downFrom != null && other.downFrom.compareTo(downFrom) < 0)
                 ? other.downFrom
                 : downFrom;
         return new Route(
--- a/src/main/java/merlinlever/routes/RoutingPolicy.java
+++ b/src/main/java/merlinlever/routes/RoutingPolicy.java
@@ -92,15 +92,15 @@
             case FIRST -> !route.path().get(0).equals(from);
             case LOOP -> route.path().contains(self)
                     || new HashSet<>(route.path()).size() < route.path().size();
-            case NOT_HERE -> its.onlyTo() != null && !its.onlyTo().contains(self)
+            case NOT_HERE -> (its.onlyTo() != null && !its.onlyTo().contains(self))
                     || its.notTo().contains(self);
             case NO_FURTHER -> its.noFurther() && passedOn;
             case TOO_LONG -> route.path().size() > Math.min(its.mostSites(), Restrictions.MOST_SITES);
-            case LEAK -> relation == Relation.CUSTOMER && route.downFrom() != null
-                    || relation == Relation.PEER
+            case LEAK -> (relation == Relation.CUSTOMER && route.downFrom() != null)
+                    || (relation == Relation.PEER
                             && route.downFrom() != null
-                            && !route.downFrom().equals(from)
-                    || relation != Relation.PROVIDER && its.customersOnly() && passedOn;
+                            && !route.downFrom().equals(from))
+                    || (relation != Relation.PROVIDER && its.customersOnly() && passedOn);
         };
     }
 
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -81,7 +81,7 @@
                 which = Integer.parseInt(part.topic().substring(7));
         if (count > MOST
                 || which >= count
-                || !coming.containsKey(part.owner()) && coming.size() >= RoutingTable.MOST_PARTNERS) {
+                || (!coming.containsKey(part.owner()) && coming.size() >= RoutingTable.MOST_PARTNERS)) {
             return null;
         }
         IncompleteTable its = coming.get(part.owner());
@@ -94,7 +94,7 @@
         }
         if (its == null
                 || part.incarnation() > its.incarnation
-                || part.incarnation() == its.incarnation && part.sequence() > its.sequence) {
+                || (part.incarnation() == its.incarnation && part.sequence() > its.sequence)) {
             coming.put(part.owner(), its = new IncompleteTable(part, head, count));
         } else if (part.incarnation() != its.incarnation || part.sequence() != its.sequence) {
             return null;
--- a/src/main/java/merlinlever/view/CutDetector.java
+++ b/src/main/java/merlinlever/view/CutDetector.java
@@ -134,7 +134,7 @@
         for (String name : view.members()) {
             int observers = rings.observers(name).size();
             int against = name.equals(self) ? 0 : against(now, name, view, rings, most, within);
-            if (against >= ObserverRings.high(observers) && observers > 0 || left(members.apply(name))) {
+            if ((against >= ObserverRings.high(observers) && observers > 0) || left(members.apply(name))) {
                 out.add(name);
             } else if (against >= ObserverRings.low(observers) && observers > 0) {
                 doubtful.add(name);
@@ -163,7 +163,7 @@
                 between.values().stream().anyMatch(since -> now.minus(since).compareTo(stated.between()) < 0);
         boolean quiet = now.minus(lastAt).compareTo(stated.quiet()) >= 0
                 || now.minus(firstAt).compareTo(stated.longest()) >= 0;
-        if (waits && !out.isEmpty() || !quiet) {
+        if ((waits && !out.isEmpty()) || !quiet) {
             return null;
         }
         candidates = Set.of();
--- a/src/main/java/merlinlever/view/ViewManager.java
+++ b/src/main/java/merlinlever/view/ViewManager.java
@@ -244,7 +244,7 @@
 
     /** A later view is taken on once its term is on the disk; after a new start, only one that no life before can have been beyond. */
     private void adopt(Duration now) {
-        boolean beyond = view.number() > 0 || known.term() > floor || vouched > 0 && known.number() >= vouched;
+        boolean beyond = view.number() > 0 || known.term() > floor || (vouched > 0 && known.number() >= vouched);
         if (known.number() <= view.number() || !beyond || !noted.test(known.term())) {
             return;
         }
--- a/src/main/java/merlinlever/view/VoterResponses.java
+++ b/src/main/java/merlinlever/view/VoterResponses.java
@@ -91,7 +91,7 @@
             VoterResponse voice = voices.get(name);
             boolean clash = voice.number == mine.number() && !voice.digest.equals(mine.digest());
             boolean lately = now.minus(mineSince).compareTo(within) < 0
-                    || voice.agreedAt != null && now.minus(voice.agreedAt).compareTo(within) < 0;
+                    || (voice.agreedAt != null && now.minus(voice.agreedAt).compareTo(within) < 0);
             agreeing += !clash && lately ? 1 : 0;
         }
         return agreeing;
--- a/src/main/java/merlinlever/zone/client/DnsClient.java
+++ b/src/main/java/merlinlever/zone/client/DnsClient.java
@@ -107,8 +107,8 @@
                 if (!message.response()
                         || message.id() != sent.id()
                         || message.operation() != sent.operation()
-                        || message.asks()
-                                && !(Arrays.equals(message.name(), sent.name()) && message.type() == sent.type())) {
+                        || (message.asks()
+                                && !(Arrays.equals(message.name(), sent.name()) && message.type() == sent.type()))) {
                     return null;
                 }
                 if (key == null) {
@@ -223,7 +223,7 @@
         if (in.remaining() < 2) {
             return null;
         }
-        int length = (in.get(in.position()) & 0xff) << 8 | in.get(in.position() + 1) & 0xff;
+        int length = (in.get(in.position()) & 0xff) << 8 | (in.get(in.position() + 1) & 0xff);
         if (in.remaining() < 2 + length) {
             return null;
         }
--- a/src/main/java/merlinlever/zone/client/FollowerDriver.java
+++ b/src/main/java/merlinlever/zone/client/FollowerDriver.java
@@ -140,9 +140,9 @@
                 case KEY_REFUSED -> read.refused(now, DynamicUpdate.NOTAUTH);
                 default -> {
                     int code = answered.message().code();
-                    if (code != DynamicUpdate.NOERROR && code != DynamicUpdate.NXDOMAIN
-                            || type == RecordTypes.SOA
-                                    && answered.message().answers().isEmpty()) {
+                    if ((code != DynamicUpdate.NOERROR && code != DynamicUpdate.NXDOMAIN)
+                            || (type == RecordTypes.SOA
+                                    && answered.message().answers().isEmpty())) {
                         read.refused(now, code == DynamicUpdate.NOERROR ? DynamicUpdate.NOTZONE : code);
                         return;
                     }
--- a/src/main/java/merlinlever/zone/follow/Follower.java
+++ b/src/main/java/merlinlever/zone/follow/Follower.java
@@ -243,7 +243,8 @@
         }
         // All servers are tried once before a pause grows.
         int round = failures++ / stated.servers;
-        double pause = Math.min(LONGEST_PAUSE.toNanos(), FIRST_PAUSE.toNanos() * Math.pow(2, Math.min(round, 20)));
+        double pause =
+                Math.min((double) LONGEST_PAUSE.toNanos(), FIRST_PAUSE.toNanos() * Math.pow(2, Math.min(round, 20)));
         nextAt = now.plusNanos((long) (pause * (0.5 + chance.nextDouble() / 2)));
     }
 
@@ -360,7 +361,7 @@
         boolean differs = !same(wanted, known.records());
         differsSince = !differs ? null : differsSince == null ? now : differsSince;
         boolean gathered = differs && now.minus(differsSince).compareTo(GATHER) >= 0;
-        if (!gathered && !taking && now.compareTo(beatAt) < 0 || !token(now)) {
+        if ((!gathered && !taking && now.compareTo(beatAt) < 0) || !token(now)) {
             return null;
         }
         if (taking && claim != null) {
--- a/src/main/java/merlinlever/zone/journal/JournalFormat.java
+++ b/src/main/java/merlinlever/zone/journal/JournalFormat.java
@@ -152,7 +152,11 @@
     static String fileName(byte[] origin) {
         StringBuilder name = new StringBuilder();
         for (char c : DomainNames.text(origin).toCharArray()) {
-            if (c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.' && name.length() > 0) {
+            if ((c >= 'a' && c <= 'z')
+                    || (c >= '0' && c <= '9')
+                    || c == '-'
+                    || c == '_'
+                    || (c == '.' && name.length() > 0)) {
                 name.append(c);
             } else {
                 name.append(String.format("%%%02x", (int) c));
--- a/src/main/java/merlinlever/zone/record/CompressedNames.java
+++ b/src/main/java/merlinlever/zone/record/CompressedNames.java
@@ -25,7 +25,7 @@
                 if (at + 1 >= limit) {
                     throw new MalformedDnsException("a name is cut short");
                 }
-                int to = (label & 0x3f) << 8 | message[at + 1] & 0xff;
+                int to = (label & 0x3f) << 8 | (message[at + 1] & 0xff);
                 if (to >= before) {
                     throw new MalformedDnsException("a name's pointer does not lead back");
                 }
--- a/src/main/java/merlinlever/zone/record/DomainNames.java
+++ b/src/main/java/merlinlever/zone/record/DomainNames.java
@@ -89,7 +89,7 @@
         }
         char first = text.charAt(at + 1);
         if (first < '0' || first > '9') {
-            return first & 0xff | 1 << 8;
+            return (first & 0xff) | 1 << 8;
         }
         int value = 0;
         for (int i = 1; i <= 3; i++) {
--- a/src/main/java/merlinlever/zone/record/Rdata.java
+++ b/src/main/java/merlinlever/zone/record/Rdata.java
@@ -175,7 +175,7 @@
         int start = 0;
         for (int i = 0; i <= word.length(); i++) {
             if (i == word.length() || word.charAt(i) == '.') {
-                long value = i - start > 3 || i - start > 1 && word.charAt(start) == '0'
+                long value = i - start > 3 || (i - start > 1 && word.charAt(start) == '0')
                         ? -1
                         : digits(word.substring(start, i), 255);
                 if (value < 0 || part == 4) {
@@ -355,7 +355,7 @@
         if (layout == null) {
             byte[] data = Arrays.copyOfRange(message, at, end);
             try {
-                if (type == RecordTypes.TXT && !wholeStrings(data)
+                if ((type == RecordTypes.TXT && !wholeStrings(data))
                         || Record.newRecord(Name.root, type, DClass.IN, 0, length, data) == null) {
                     throw new MalformedDnsException("data of " + RecordTypes.text(type) + " is malformed");
                 }
--- a/src/main/java/merlinlever/zone/record/RecordTypes.java
+++ b/src/main/java/merlinlever/zone/record/RecordTypes.java
@@ -28,7 +28,7 @@
 
     /** Types that no zone holds: questions, and what is made for one message. */
     public static boolean meta(int type) {
-        return type == 0 || type == OPT || type >= 128 && type <= 255;
+        return type == 0 || type == OPT || (type >= 128 && type <= 255);
     }
 
     public static String text(int type) {
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -51,7 +51,7 @@
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
         while (in.remaining() >= 2 && inHand.size() < MOST_IN_HAND) {
-            int length = (in.get(in.position()) & 0xff) << 8 | in.get(in.position() + 1) & 0xff;
+            int length = (in.get(in.position()) & 0xff) << 8 | (in.get(in.position() + 1) & 0xff);
             if (in.remaining() < 2 + length) {
                 break;
             }
@@ -175,8 +175,8 @@
 
     /** Ends it where it was silent, or slow, for too long. */
     void look(Duration now) {
-        if (incompleteSince != null && inHand.size() < MOST_IN_HAND && passed(incompleteSince, now, WHOLE)
-                || unwrittenSince != null && passed(unwrittenSince, now, WHOLE)) {
+        if ((incompleteSince != null && inHand.size() < MOST_IN_HAND && passed(incompleteSince, now, WHOLE))
+                || (unwrittenSince != null && passed(unwrittenSince, now, WHOLE))) {
             connection.end(CloseReason.SLOW);
         } else if (inHand.isEmpty() && unwrittenSince == null && passed(idleSince, now, IDLE)) {
             connection.end(CloseReason.IDLE);
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -202,10 +202,10 @@
             if (signed == null || !zone.mayTransfer(signed.key().name())) {
                 return told(caller, message, signed, DynamicUpdate.REFUSED);
             }
-            if (message.type() == RecordTypes.AXFR && caller.datagram()
-                    || message.type() == RecordTypes.IXFR
+            if ((message.type() == RecordTypes.AXFR && caller.datagram())
+                    || (message.type() == RecordTypes.IXFR
                             && (message.authority().size() != 1
-                                    || message.authority().get(0).type() != RecordTypes.SOA)) {
+                                    || message.authority().get(0).type() != RecordTypes.SOA))) {
                 return told(caller, message, signed, DynamicUpdate.FORMERR);
             }
             return take(
--- a/src/main/java/merlinlever/zone/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/zone/server/ResponseBuilder.java
@@ -32,7 +32,7 @@
     static byte[] malformed(byte[] octets) {
         return new MessageWriter(
                         DnsMessage.id(octets),
-                        DnsMessage.RESPONSE | DnsMessage.flags(octets) & 0x7900 | DynamicUpdate.FORMERR,
+                        DnsMessage.RESPONSE | (DnsMessage.flags(octets) & 0x7900) | DynamicUpdate.FORMERR,
                         12)
                 .done();
     }
@@ -49,7 +49,7 @@
             byte[] text = ("full, come again in " + stayAway.toMillis() + " ms").getBytes(StandardCharsets.US_ASCII);
             options = new byte[6 + text.length];
             options[1] = EXTENDED_ERROR;
-            options[2] = (byte) (text.length + 2 >> 8);
+            options[2] = (byte) ((text.length + 2) >> 8);
             options[3] = (byte) (text.length + 2);
             options[5] = NOT_READY;
             System.arraycopy(text, 0, options, 6, text.length);
@@ -70,7 +70,7 @@
     }
 
     private static MessageWriter head(DnsMessage asked, int code, int most, int extended, byte[] options) {
-        MessageWriter out = new MessageWriter(asked.id(), DnsMessage.RESPONSE | asked.flags() & 0x7900 | code, most);
+        MessageWriter out = new MessageWriter(asked.id(), DnsMessage.RESPONSE | (asked.flags() & 0x7900) | code, most);
         if (asked.asks()) {
             out.question(asked.name(), asked.type(), asked.dclass());
         }
@@ -106,7 +106,7 @@
                 asked.id(),
                 DnsMessage.RESPONSE
                         | (answer.authoritative ? DnsMessage.AUTHORITATIVE : 0)
-                        | asked.flags() & 0x7900
+                        | (asked.flags() & 0x7900)
                         | answer.code,
                 most);
         out.question(asked.name(), asked.type(), asked.dclass());
@@ -133,8 +133,8 @@
             RecordSet set = shown.set();
             for (int i = 0; i < set.size(); i++) {
                 byte[] data = set.data((i + turn) % set.size());
-                if (out.length() + shown.owner().length + 10 + data.length > most
-                                && out.length() + 12 + data.length > most
+                if ((out.length() + shown.owner().length + 10 + data.length > most
+                                && out.length() + 12 + data.length > most)
                         || !out.record(section, shown.owner(), set.type(), RecordTypes.IN, shown.ttl(), data)) {
                     return false;
                 }
--- a/src/main/java/merlinlever/zone/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/zone/server/ZoneTransfer.java
@@ -74,7 +74,7 @@
         }
         MessageWriter out = new MessageWriter(
                 asked.id(),
-                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | asked.flags() & DnsMessage.DESIRED,
+                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | (asked.flags() & DnsMessage.DESIRED),
                 DnsMessage.MOST - signatureRoom);
         if (first) {
             out.question(asked.name(), asked.type(), asked.dclass());
--- a/src/main/java/merlinlever/zone/state/CopyOnWriteBTree.java
+++ b/src/main/java/merlinlever/zone/state/CopyOnWriteBTree.java
@@ -18,7 +18,7 @@
             int low = 0;
             int high = keys.length - 1;
             while (low <= high) {
-                int middle = low + high >>> 1;
+                int middle = (low + high) >>> 1;
                 int order = Arrays.compareUnsigned(keys[middle], key);
                 if (order == 0) {
                     return middle;
--- a/src/main/java/merlinlever/zone/state/Difference.java
+++ b/src/main/java/merlinlever/zone/state/Difference.java
@@ -88,8 +88,8 @@
         while (i < before.sets.length || k < after.sets.length) {
             RecordSet a = i < before.sets.length ? before.sets[i] : null;
             RecordSet b = k < after.sets.length ? after.sets[k] : null;
-            boolean first = b == null || a != null && a.type <= b.type;
-            boolean second = a == null || b != null && b.type <= a.type;
+            boolean first = b == null || (a != null && a.type <= b.type);
+            boolean second = a == null || (b != null && b.type <= a.type);
             if ((first ? a : b).type != RecordTypes.SOA) {
                 only(name, first ? a : null, second ? b : null, removed);
                 only(name, second ? b : null, first ? a : null, added);
--- a/src/main/java/merlinlever/zone/state/DynamicUpdate.java
+++ b/src/main/java/merlinlever/zone/state/DynamicUpdate.java
@@ -118,7 +118,7 @@
                         case RecordTypes.IN -> RecordTypes.meta(entry.type()) || entry.data() == null;
                         case RecordTypes.CLASS_ANY -> entry.ttl() != 0
                                 || entry.data() != null
-                                || RecordTypes.meta(entry.type()) && entry.type() != RecordTypes.ANY;
+                                || (RecordTypes.meta(entry.type()) && entry.type() != RecordTypes.ANY);
                         case RecordTypes.CLASS_NONE -> entry.ttl() != 0
                                 || entry.data() == null
                                 || RecordTypes.meta(entry.type());
@@ -211,7 +211,7 @@
 
     private static OwnerRecords without(OwnerRecords owner, UpdateEntry entry, boolean apex) {
         RecordSet set = owner.set(entry.type());
-        if (set == null || entry.type() == RecordTypes.SOA || kept(apex, entry.type()) && set.size() == 1) {
+        if (set == null || entry.type() == RecordTypes.SOA || (kept(apex, entry.type()) && set.size() == 1)) {
             return owner;
         }
         RecordSet fewer = set.without(entry.data());
--- a/src/main/java/merlinlever/zone/state/Lookup.java
+++ b/src/main/java/merlinlever/zone/state/Lookup.java
@@ -54,7 +54,7 @@
         byte[] key = DomainNames.key(name);
         // From the top down: what is cut off or renamed above the name decides first.
         for (int end = zone.apex().length; end <= key.length; end++) {
-            if (end > 0 && key[end - 1] != 0 || end == key.length && type == RecordTypes.DS) {
+            if ((end > 0 && key[end - 1] != 0) || (end == key.length && type == RecordTypes.DS)) {
                 continue;
             }
             boolean apex = end == zone.apex().length;
--- a/src/main/java/merlinlever/zone/state/RecordSet.java
+++ b/src/main/java/merlinlever/zone/state/RecordSet.java
@@ -88,7 +88,7 @@
     }
 
     boolean same(RecordSet other) {
-        return this == other || sameData(other) && ttl == other.ttl;
+        return this == other || (sameData(other) && ttl == other.ttl);
     }
 
     public void each(byte[] owner, Consumer<ResourceRecord> taker) {
--- a/src/main/java/merlinlever/zone/state/Zone.java
+++ b/src/main/java/merlinlever/zone/state/Zone.java
@@ -106,7 +106,7 @@
     static byte[] withSerial(byte[] soa, long serial) {
         byte[] made = soa.clone();
         for (int i = 0; i < 4; i++) {
-            made[made.length - 20 + i] = (byte) (serial >>> 24 - 8 * i);
+            made[made.length - 20 + i] = (byte) (serial >>> (24 - 8 * i));
         }
         return made;
     }
@@ -120,7 +120,7 @@
         return (data[at] & 0xffL) << 24
                 | (data[at + 1] & 0xffL) << 16
                 | (data[at + 2] & 0xffL) << 8
-                | data[at + 3] & 0xffL;
+                | (data[at + 3] & 0xffL);
     }
 
     /** All records, names in canonical order. */
--- a/src/main/java/merlinlever/zone/text/ZoneFile.java
+++ b/src/main/java/merlinlever/zone/text/ZoneFile.java
@@ -253,7 +253,7 @@
                 ttl = (data[data.length - 4] & 0x7fL) << 24
                         | (data[data.length - 3] & 0xffL) << 16
                         | (data[data.length - 2] & 0xffL) << 8
-                        | data[data.length - 1] & 0xffL;
+                        | (data[data.length - 1] & 0xffL);
             }
             if (ttl < 0) {
                 throw new MalformedDnsException("no time to live: none here, no $TTL, none in an entry before");
@@ -346,8 +346,8 @@
             if (Path.of(name).isAbsolute()
                     || !shown.toAbsolutePath().normalize().startsWith(folder)
                     || !real.startsWith(folder)
-                    || Files.exists(shown) && !shown.toRealPath().startsWith(folder.toRealPath())
-                    || Files.isSymbolicLink(shown) && !Files.exists(shown, LinkOption.NOFOLLOW_LINKS)) {
+                    || (Files.exists(shown) && !shown.toRealPath().startsWith(folder.toRealPath()))
+                    || (Files.isSymbolicLink(shown) && !Files.exists(shown, LinkOption.NOFOLLOW_LINKS))) {
                 throw new MalformedDnsException("$INCLUDE " + shortened(name) + " leaves the folder of the zone file");
             }
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/merlinlever/zone/wire/DnsMessage.java
+++ b/src/main/java/merlinlever/zone/wire/DnsMessage.java
@@ -48,11 +48,11 @@
 
     /** The id alone, of what may be no message otherwise; -1 where there is not even that. */
     public static int id(byte[] octets) {
-        return octets.length < HEADER ? -1 : (octets[0] & 0xff) << 8 | octets[1] & 0xff;
+        return octets.length < HEADER ? -1 : (octets[0] & 0xff) << 8 | (octets[1] & 0xff);
     }
 
     public static int flags(byte[] octets) {
-        return (octets[2] & 0xff) << 8 | octets[3] & 0xff;
+        return (octets[2] & 0xff) << 8 | (octets[3] & 0xff);
     }
 
     public static DnsMessage read(byte[] octets) throws MalformedDnsException {
@@ -62,7 +62,7 @@
     }
 
     private int u16(int from) {
-        return (octets[from] & 0xff) << 8 | octets[from + 1] & 0xff;
+        return (octets[from] & 0xff) << 8 | (octets[from + 1] & 0xff);
     }
 
     private long u32(int from) {
--- a/src/main/java/merlinlever/zone/wire/MessageWriter.java
+++ b/src/main/java/merlinlever/zone/wire/MessageWriter.java
@@ -80,7 +80,7 @@
         while (true) {
             int label = out[place] & 0xff;
             if (label >= 0xc0) {
-                place = (label & 0x3f) << 8 | out[place + 1] & 0xff;
+                place = (label & 0x3f) << 8 | (out[place + 1] & 0xff);
                 continue;
             }
             if (label != name[from] || !Arrays.equals(out, place, place + label + 1, name, from, from + label + 1)) {
@@ -156,7 +156,7 @@
     }
 
     public void flag(int flag) {
-        put16(2, (out[2] & 0xff) << 8 | out[3] & 0xff | flag);
+        put16(2, (out[2] & 0xff) << 8 | (out[3] & 0xff) | flag);
     }
 
     public byte[] done() {
--- a/src/main/java/merlinlever/zone/wire/Tsig.java
+++ b/src/main/java/merlinlever/zone/wire/Tsig.java
@@ -140,7 +140,7 @@
     private static void unsigned(Mac mac, DnsMessage message) {
         byte[] octets = Arrays.copyOf(message.octets(), message.signature().at());
         put16(octets, 0, message.signature().id());
-        put16(octets, 10, ((octets[10] & 0xff) << 8 | octets[11] & 0xff) - 1);
+        put16(octets, 10, ((octets[10] & 0xff) << 8 | (octets[11] & 0xff)) - 1);
         mac.update(octets);
     }
 
@@ -224,7 +224,7 @@
         put16(out, at + 2, error);
         put16(out, at + 4, other.length);
         System.arraycopy(other, 0, out, at + 6, other.length);
-        put16(out, 10, ((message[10] & 0xff) << 8 | message[11] & 0xff) + 1);
+        put16(out, 10, ((message[10] & 0xff) << 8 | (message[11] & 0xff)) + 1);
         return out;
     }
 
--- a/src/test/java/merlinlever/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/FleetDownstreamCallsTest.java
@@ -118,7 +118,7 @@
                 run.at = over ? now + STEP : Integer.MAX_VALUE;
                 run.lingers = now + LINGER;
             }
-            if (over || !run.out && now >= run.lingers) {
+            if (over || (!run.out && now >= run.lingers)) {
                 inHand.remove(run);
             }
         }
--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -78,7 +78,7 @@
             checkLoad(memory, cold);
         }
         for (ModelRequest entry : all.values()) {
-            boolean owed = leave != null && server.now.compareTo(stop) >= 0 || server.now.compareTo(entry.due) > 0;
+            boolean owed = (leave != null && server.now.compareTo(stop) >= 0) || server.now.compareTo(entry.due) > 0;
             assertTrue(!owed || entry.answered || entry.gone, "rule 1 and 3: answered in the end");
         }
     }
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -62,7 +62,7 @@
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + program.pid() + "/task"))) {
             for (Path thread : threads) {
                 String status = Files.readString(thread.resolve("status"));
-                if (status.startsWith("Name:\tSIG") || waits != null && status.startsWith("Name:\tSignal")) {
+                if (status.startsWith("Name:\tSIG") || (waits != null && status.startsWith("Name:\tSignal"))) {
                     return null;
                 }
                 if (status.startsWith("Name:\tSignal")) {
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -15,7 +15,7 @@
     void itGivesWayWhereTheStartWasSlow() {
         Duration whole = WarmUp.longest(Duration.ofMillis(100));
         assertEquals(Duration.ofMillis(2500), whole, "on a whole core it is bounded by itself");
-        Duration twentieth = WarmUp.longest(Duration.ofMillis(100 * 20));
+        Duration twentieth = WarmUp.longest(Duration.ofSeconds(2));
         assertTrue(twentieth.compareTo(whole.dividedBy(2)) < 0 && !twentieth.isZero(), "" + twentieth);
         // Runtime, program and rehearsal are over in half of the ten seconds, wherever it rehearses at all.
         for (int ms = 0; ms < 2500; ms += 10) {
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -200,8 +200,8 @@
             boolean gone = !before.containsKey(name) && !after.containsKey(name);
             if (there && !state.equals("unreached")) {
                 assertTrue(
-                        !state.equals("down") && !state.equals("given_up")
-                                || each.path("age_ms").isNull() && wasYoung(before.get(name)),
+                        (!state.equals("down") && !state.equals("given_up"))
+                                || (each.path("age_ms").isNull() && wasYoung(before.get(name))),
                         name + " is said to be " + state + " and its process " + before.get(name) + " is there");
             }
             if (gone) {
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -179,7 +179,7 @@
             says.addAll(sight.look(Duration.ofMillis(ms)));
         }
         for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
-            says.addAll(sight.said(Duration.ofMillis(1000), "b2", 5, what));
+            says.addAll(sight.said(Duration.ofSeconds(1), "b2", 5, what));
         }
         says.forEach(say -> all.append(say.to())
                 .append(' ')
@@ -188,7 +188,7 @@
                 .append(say.what())
                 .append('\n'));
         fixture.pins("view.words", all.toString());
-        fixture.pins("view.state", sight.json(Duration.ofMillis(1000)));
+        fixture.pins("view.state", sight.json(Duration.ofSeconds(1)));
     }
 
     @Test
--- a/src/test/java/merlinlever/core/BackendFixture.java
+++ b/src/test/java/merlinlever/core/BackendFixture.java
@@ -37,7 +37,7 @@
     final Map<String, List<String>> answers = new HashMap<>();
     final Map<String, TrackedRequest> taken = new HashMap<>();
     final Backend backend;
-    Duration now = Duration.ofMillis(1000);
+    Duration now = Duration.ofSeconds(1);
     Duration alarm;
     long ids;
     /** Where calls go; to be set by who plays what lies below. */
--- a/src/test/java/merlinlever/core/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/core/BatchedBackendFixture.java
@@ -18,7 +18,7 @@
     final BackendFixture around;
     final Backend backend;
     /** How long callers wait from the arrival on. */
-    Duration wait = Duration.ofMillis(1000);
+    Duration wait = Duration.ofSeconds(1);
 
     BatchedBackendFixture(Map<String, String> more) {
         around = new BackendFixture(more);
--- a/src/test/java/merlinlever/core/DrainRaceTest.java
+++ b/src/test/java/merlinlever/core/DrainRaceTest.java
@@ -37,7 +37,7 @@
     @Example
     void theGraceCountsFromTheArrivalAndNotFromTheStart() {
         BatchedBackendFixture batches = new BatchedBackendFixture().busy();
-        batches.wait = Duration.ofMillis(2000);
+        batches.wait = Duration.ofSeconds(2);
         batches.backend.leave(batches.now(), batches.now().plusMillis(3000));
         batches.settle();
         batches.pass(490);
@@ -60,7 +60,7 @@
     @Example
     void aTryAfterTheGraceSharesWhatRan() {
         BatchedBackendFixture batches = new BatchedBackendFixture();
-        batches.wait = Duration.ofMillis(2000);
+        batches.wait = Duration.ofSeconds(2);
         String ran = batches.read("buy", "t", "a");
         String runs = batches.read("buy", "u", "a");
         batches.settle();
--- a/src/test/java/merlinlever/host/state/RollingRestartTest.java
+++ b/src/test/java/merlinlever/host/state/RollingRestartTest.java
@@ -40,7 +40,7 @@
                                 ? InstanceSupervisor.InstanceState.DRAINING
                                 : made && crashes
                                         ? InstanceSupervisor.InstanceState.GIVEN_UP
-                                        : since < 2000 || made && never
+                                        : since < 2000 || (made && never)
                                                 ? InstanceSupervisor.InstanceState.COLD
                                                 : InstanceSupervisor.InstanceState.WARM;
                 seen.add(new RollingRestart.InstanceObservation(
--- a/src/test/java/merlinlever/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/membership/MemberTableModelTest.java
@@ -57,7 +57,7 @@
                 }
             }
             for (int i = 0; i < 4; i++) {
-                key.append((char) (told >>> 16 * i));
+                key.append((char) (told >>> (16 * i)));
             }
             return key.append((char) ((restarted ? 1 : 0) + (cLeft ? 2 : 0))).toString();
         }
--- a/src/test/java/merlinlever/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -185,7 +185,7 @@
         for (int i = path.size() - 2; i >= -1; i--) {
             int next = i < 0 ? to : Arrays.asList(SITES).indexOf(path.get(i));
             Relation step = relations[at][next];
-            if (step == null || down && step != Relation.CUSTOMER) {
+            if (step == null || (down && step != Relation.CUSTOMER)) {
                 return true;
             }
             down |= step != Relation.PROVIDER;
--- a/src/test/java/merlinlever/zone/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/zone/follow/FollowerTest.java
@@ -159,12 +159,12 @@
 
         void carryOut(Follower.Step step) {
             long there = 1 + chance.nextInt(faults ? 400 : 20);
-            if (fault(12) || step.server() == 1 && fault(3)) {
+            if (fault(12) || (step.server() == 1 && fault(3))) {
                 in(there, () -> step.unreachable(now()));
             } else if (fault(12)) {
                 in(2000, () -> step.lost(now()));
             } else if (step instanceof Follower.ReadStep read) {
-                if (fault(12) || step.server() == 1 && fault(2)) {
+                if (fault(12) || (step.server() == 1 && fault(2))) {
                     in(there, () -> read.refused(now(), DynamicUpdate.REFUSED));
                 } else {
                     // The claim and the records are two questions: what lies between them may change.
@@ -378,7 +378,7 @@
         for (int s = 600; s < 900; s++) {
             fleet.heard(Duration.ofSeconds(s), 1, true);
         }
-        fleet.look(Duration.ofSeconds(900));
+        fleet.look(Duration.ofMinutes(15));
         assertTrue(fleet.alive(false).contains(1));
     }
 }
