--- a/src/main/java/merlinlever/core/IdempotencyCache.java
+++ b/src/main/java/merlinlever/core/IdempotencyCache.java
@@ -64,7 +64,7 @@
         }
         // The retention can be shorter than the run: with an effect at stake, the run counts until it ends.
         boolean runsOnce = key.kind() == DuplicateKey.Kind.IDEMPOTENCY_KEY;
-        if (entry != null && (entry.covers(request) || runsOnce && !entry.request.hasEnded())) {
+        if (entry != null && (entry.covers(request) || (runsOnce && !entry.request.hasEnded()))) {
             return entry.request;
         }
         entriesByKey.put(key.text(), new Entry(request, null, lastRun == null ? null : lastRun.withoutPrevious()));
--- a/src/test/java/merlinlever/core/BackendFixture.java
+++ b/src/test/java/merlinlever/core/BackendFixture.java
@@ -45,7 +45,7 @@
     static final byte[] REPLY = {2};
 
     private static final long SEED = 5;
-    private static final Duration CALLER_TIMEOUT = Duration.ofMillis(1000);
+    private static final Duration CALLER_TIMEOUT = Duration.ofSeconds(1);
 
     /** The responses to each request, by its id. */
     final Map<String, List<String>> responsesById = new HashMap<>();
@@ -53,7 +53,7 @@
     final Map<String, TrackedRequest> requestsById = new HashMap<>();
 
     final Backend backend;
-    Duration now = Duration.ofMillis(1000);
+    Duration now = Duration.ofSeconds(1);
     /** Null while no wake-up is scheduled. */
     Duration nextWakeUp;
 
--- a/src/test/java/merlinlever/core/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/core/BatchedBackendFixture.java
@@ -25,7 +25,7 @@
     final BackendFixture fixture;
     final Backend backend;
     /** How long callers wait, from the arrival of their request on. */
-    Duration callerTimeout = Duration.ofMillis(1000);
+    Duration callerTimeout = Duration.ofSeconds(1);
 
     BatchedBackendFixture(Map<String, String> changedSettings) {
         fixture = new BackendFixture(changedSettings);
--- a/src/test/java/merlinlever/core/DrainRaceTest.java
+++ b/src/test/java/merlinlever/core/DrainRaceTest.java
@@ -42,7 +42,7 @@
     @Example
     void gracePeriodCountsFromArrivalNotFromStart() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
-        fixture.callerTimeout = Duration.ofMillis(2000);
+        fixture.callerTimeout = Duration.ofSeconds(2);
         fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(3000));
         fixture.decide();
         fixture.advance(490);
@@ -68,7 +68,7 @@
     @Example
     void retryAfterTheGracePeriodSharesTheRun() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
-        fixture.callerTimeout = Duration.ofMillis(2000);
+        fixture.callerTimeout = Duration.ofSeconds(2);
         String ran = fixture.receive("buy", "t", "a");
         String running = fixture.receive("buy", "u", "a");
         fixture.decide();
