--- a/src/main/java/merlinlever/core/BackendSettings.java
+++ b/src/main/java/merlinlever/core/BackendSettings.java
@@ -75,7 +75,6 @@
     boolean sharesReads(int priorityClass) {
         // Only what is idempotent is a read; a subject that comes with anything else stands for no result to share.
         return freshReadsShared
-                && SettingNames.IDEMPOTENT.equals(
-                        settings.get(SettingNames.ofPriorityClass(priorityClass, "kind")));
+                && SettingNames.IDEMPOTENT.equals(settings.get(SettingNames.ofPriorityClass(priorityClass, "kind")));
     }
 }
--- a/src/main/java/merlinlever/core/SettingsValidator.java
+++ b/src/main/java/merlinlever/core/SettingsValidator.java
@@ -166,8 +166,7 @@
         if (name.isEmpty() || !namesSoFar.add(name)) {
             addProblem(nameSetting, "a name that no other class has");
         }
-        NUMBERS_BY_CLASS.forEach(
-                (setting, range) -> checkNumber(SettingNames.ofPriorityClass(index, setting), range));
+        NUMBERS_BY_CLASS.forEach((setting, range) -> checkNumber(SettingNames.ofPriorityClass(index, setting), range));
         // Only classes with idempotency keys use the window; others may set it to zero.
         checkNumber(
                 SettingNames.ofPriorityClass(index, "window"),
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -176,7 +176,9 @@
             answer(400, NOTHING, "");
             return;
         }
-        TrackedRequest taken = owner.backend().receive(owner.clock().now(), operation, body, this).orElse(null);
+        TrackedRequest taken = owner.backend()
+                .receive(owner.clock().now(), operation, body, this)
+                .orElse(null);
         work = state == State.IN_HAND ? taken : null;
     }
 
--- a/src/main/java/merlinlever/json/Json.java
+++ b/src/main/java/merlinlever/json/Json.java
@@ -90,7 +90,8 @@
                 flatten(prefix + i, list.get(i), valuesByPath);
             }
         } else if (value instanceof List<?> list) {
-            valuesByPath.put(path, String.join(",", list.stream().map(String::valueOf).toList()));
+            valuesByPath.put(
+                    path, String.join(",", list.stream().map(String::valueOf).toList()));
         } else if (value != null) {
             valuesByPath.put(path, value.toString());
         }
--- a/src/main/java/merlinlever/log/Log.java
+++ b/src/main/java/merlinlever/log/Log.java
@@ -65,7 +65,10 @@
 
     private void print(Instant now, String level, String event) {
         StringBuilder line = new StringBuilder(event.length() + PREFIX_CHARS);
-        line.append(now.truncatedTo(ChronoUnit.MILLIS)).append(' ').append(level).append(' ');
+        line.append(now.truncatedTo(ChronoUnit.MILLIS))
+                .append(' ')
+                .append(level)
+                .append(' ');
         for (int i = 0; i < event.length() && i < MAX_EVENT_CHARS; i++) {
             line.append(event.charAt(i) < ' ' ? ' ' : event.charAt(i));
         }
--- a/src/test/java/merlinlever/core/BackendFixture.java
+++ b/src/test/java/merlinlever/core/BackendFixture.java
@@ -89,8 +89,7 @@
     }
 
     /** Metadata of a request of the named class, with an idempotency key and a subject or null. */
-    RequestMetadata metadata(
-            RequestId id, String priorityClass, Timing timing, String idempotencyKey, String subject) {
+    RequestMetadata metadata(RequestId id, String priorityClass, Timing timing, String idempotencyKey, String subject) {
         return TestRequests.metadata(
                 id, backend.priorityClassIndex(priorityClass), priorityClass, timing, idempotencyKey, subject);
     }
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/core/BackendTest.java
@@ -81,7 +81,8 @@
             };
             String id = fixture.receive("look", null, "a");
             fixture.requestCall(id);
-            assertEquals(outcome == Outcome.OK ? 1 : 0, fixture.count("deliver " + id), outcome + ": " + fixture.commands);
+            assertEquals(
+                    outcome == Outcome.OK ? 1 : 0, fixture.count("deliver " + id), outcome + ": " + fixture.commands);
             assertEquals(outcome == Outcome.UNREACHABLE ? 2 : 1, calls.size(), "retried only if it never got through");
             if (outcome != Outcome.OK) {
                 assertEquals("failed", fixture.response(id));
@@ -132,8 +133,7 @@
         assertEquals(1, checked.size());
         List<String> responses = new ArrayList<>();
         assertEquals(
-                Optional.empty(),
-                backend.receive(Duration.ZERO, null, null, new RecordingResponseSink(responses)));
+                Optional.empty(), backend.receive(Duration.ZERO, null, null, new RecordingResponseSink(responses)));
         assertEquals(REJECTED, responses);
     }
 }
--- a/src/test/java/merlinlever/core/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/core/BatchedBackendFixture.java
@@ -83,8 +83,7 @@
     }
 
     /** Receives a request that arrived at that time, from which on its caller waits; its id is returned. */
-    String receive(
-            String priorityClass, String idempotencyKey, String subject, String body, Duration arrivedAt) {
+    String receive(String priorityClass, String idempotencyKey, String subject, String body, Duration arrivedAt) {
         RequestId id = TestRequests.idOf(++fixture.lastId);
         receiveAs(id, priorityClass, idempotencyKey, subject, body, arrivedAt);
         return id.text();
--- a/src/test/java/merlinlever/core/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/core/CompletionRaceTest.java
@@ -15,7 +15,6 @@
  */
 class CompletionRaceTest {
 
-
     /**
      * The outcome and the disconnect, in one batch and in either order: at most one response, and no stop for a run
      * that has ended.
@@ -144,7 +143,9 @@
             }
             fixture.decide();
             assertEquals(
-                    disconnectFirst ? List.of("launch", "call", "cancel") : List.of("launch", "call", "deliver", "stop"),
+                    disconnectFirst
+                            ? List.of("launch", "call", "cancel")
+                            : List.of("launch", "call", "deliver", "stop"),
                     fixture.commands(id));
         }
     }
@@ -255,7 +256,8 @@
     /** A read that others share continues when its own caller disconnects; without others it is stopped. */
     @Example
     void sharedReadContinuesWithoutItsCaller() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("server.fresh-for", "1000"));
+        BatchedBackendFixture fixture =
+                new BatchedBackendFixture(BatchedBackendFixture.settings("server.fresh-for", "1000"));
         String first = fixture.receive("look", null, "s", "", fixture.now());
         fixture.decide();
         String other = fixture.receive("look", null, "s", "", fixture.now());
--- a/src/test/java/merlinlever/core/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/core/DeploymentProfileTest.java
@@ -14,7 +14,8 @@
     void valueThatIsNotAllowedIsReported() {
         List<String> problems = DeploymentProfile.problems(Map.of("server.halt", "pasue", "server.say", "weight"));
         assertEquals(List.of("settings: server.halt is \"pasue\"; allowed: drop, none, pause"), problems);
-        assertEquals(1, DeploymentProfile.problems(Map.of("watch.readiness", "yes")).size());
+        assertEquals(
+                1, DeploymentProfile.problems(Map.of("watch.readiness", "yes")).size());
         assertTrue(DeploymentProfile.problems(Map.of()).isEmpty(), "missing settings have defaults");
     }
 }
--- a/src/test/java/merlinlever/core/DrainRaceTest.java
+++ b/src/test/java/merlinlever/core/DrainRaceTest.java
@@ -17,7 +17,6 @@
 /** The drain notice together with requests that are being read, queued, duplicated and timed. */
 class DrainRaceTest {
 
-
     /** Of two drain notices the grace period counts from the first; a request after it does not run. */
     @Example
     void secondDrainNoticeDoesNotExtendTheGracePeriod() {
--- a/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
@@ -131,11 +131,9 @@
     /** No request that arrived between the arrival of one that ran and the end of its window ran as well. */
     private void checkWindows(int windowMs) {
         Map<String, List<Attempt>> runsByKey = new HashMap<>();
-        attempts.stream()
-                .filter(attempt -> attempt.launched)
-                .forEach(attempt -> runsByKey
-                        .computeIfAbsent(attempt.idempotencyKey, key -> new ArrayList<>())
-                        .add(attempt));
+        attempts.stream().filter(attempt -> attempt.launched).forEach(attempt -> runsByKey
+                .computeIfAbsent(attempt.idempotencyKey, key -> new ArrayList<>())
+                .add(attempt));
         runsByKey.forEach((key, runs) -> {
             for (Attempt run : runs) {
                 for (Attempt other : runs) {
--- a/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
@@ -202,7 +202,8 @@
     @Example
     void duplicateAfterAWindowShorterThanTheRunShares() {
         for (String window : new String[] {"50", "0"}) {
-            BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", window));
+            BatchedBackendFixture fixture =
+                    new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", window));
             String first = fixture.receive("buy", "t", "a");
             fixture.decide();
             fixture.advance(300);
@@ -227,7 +228,10 @@
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
         fixture.decide();
-        assertEquals(Optional.empty(), fixture.receiveAs(new RequestId(Long.parseLong(first, 16), "second"), "buy", "t", null, "a", fixture.now()));
+        assertEquals(
+                Optional.empty(),
+                fixture.receiveAs(
+                        new RequestId(Long.parseLong(first, 16), "second"), "buy", "t", null, "a", fixture.now()));
         assertEquals(FAILED, fixture.responses("second"));
         assertEquals(1, fixture.backend.unansweredRequests());
         fixture.endRun(first, Outcome.OK, "done");
@@ -246,10 +250,19 @@
         String first = fixture.receive("look", null, "a");
         fixture.decide();
         fixture.disconnectCaller(first);
-        assertEquals(Optional.empty(), fixture.receiveAs(new RequestId(Long.parseLong(first, 16), "same batch"), "look", null, null, "a", fixture.now()));
+        assertEquals(
+                Optional.empty(),
+                fixture.receiveAs(
+                        new RequestId(Long.parseLong(first, 16), "same batch"),
+                        "look",
+                        null,
+                        null,
+                        "a",
+                        fixture.now()));
         fixture.decide();
         assertEquals(FAILED, fixture.responses("same batch"));
-        fixture.receiveAs(new RequestId(Long.parseLong(first, 16), "next batch"), "look", null, null, "a", fixture.now());
+        fixture.receiveAs(
+                new RequestId(Long.parseLong(first, 16), "next batch"), "look", null, null, "a", fixture.now());
         fixture.decide();
         fixture.freeCores();
         assertEquals(List.of("next batch"), fixture.launched(first, "same batch", "next batch"));
@@ -276,7 +289,8 @@
     /** A subject that comes with a write stands for no result to share: each request is run and answered by itself. */
     @Example
     void writesOfOneSubjectDoNotShareResults() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
+        BatchedBackendFixture fixture = new BatchedBackendFixture(
+                BatchedBackendFixture.settings("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
         String one = fixture.receive("buy", null, "s", "a", fixture.now());
         String two = fixture.receive("buy", null, "s", "b", fixture.now());
         fixture.decide();
@@ -294,7 +308,8 @@
      */
     @Example
     void requestsWithoutIdempotencyKeyRunAndCallOnceEach() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.kind", "binding"));
+        BatchedBackendFixture fixture =
+                new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.kind", "binding"));
         String one = fixture.receive("buy", null, "a");
         String two = fixture.receive("buy", null, "a");
         fixture.decide();
@@ -303,7 +318,9 @@
         fixture.endCall(one, Outcome.CUT_OFF);
         fixture.decide();
         assertEquals(
-                List.of("launch", "call"), fixture.commands(one), "a call that may have had its effect is not made retry");
+                List.of("launch", "call"),
+                fixture.commands(one),
+                "a call that may have had its effect is not made retry");
         assertEquals(FAILED, fixture.responses(one));
         assertEquals(List.of("launch"), fixture.commands(two));
     }
--- a/src/test/java/merlinlever/core/SafetyRulesPropertyTest.java
+++ b/src/test/java/merlinlever/core/SafetyRulesPropertyTest.java
@@ -48,7 +48,8 @@
     }
 
     private void playEvent() {
-        List<String> running = launched().distinct().filter(id -> !ended.contains(id)).toList();
+        List<String> running =
+                launched().distinct().filter(id -> !ended.contains(id)).toList();
         String run = running.isEmpty() ? null : running.get(random.nextInt(running.size()));
         int event = random.nextInt(10);
         if (event < 3) {
@@ -104,11 +105,9 @@
 
     private void checkThatWindowsDoNotOverlap() {
         Map<String, Set<String>> runsByKey = new HashMap<>();
-        launched()
-                .filter(id -> !idempotencyKeys.get(id).equals("null"))
-                .forEach(id -> runsByKey
-                        .computeIfAbsent(idempotencyKeys.get(id), key -> new HashSet<>())
-                        .add(id));
+        launched().filter(id -> !idempotencyKeys.get(id).equals("null")).forEach(id -> runsByKey
+                .computeIfAbsent(idempotencyKeys.get(id), key -> new HashSet<>())
+                .add(id));
         runsByKey.values().forEach(ids -> {
             List<Duration> arrivals = ids.stream()
                     .map(id -> deadlines.get(id).minusMillis(1000))
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -201,8 +201,8 @@
 
     /** The operation that was sent on as the given one ends with the result. */
     void ends(String launch, byte[] result) throws Exception {
-        on(() ->
-                backend.runEnded(loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
+        on(() -> backend.runEnded(
+                loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
         settle();
     }
 
