--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -12,6 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import merlinlever.election.LeaderElection;
+import merlinlever.election.Leadership;
 import merlinlever.experiments.Experiment;
 import merlinlever.experiments.ExperimentCounts;
 import merlinlever.experiments.ExperimentNode;
@@ -280,7 +281,7 @@
             Duration at = clock(i);
             force(i);
             List<LeaderElection.PeerMessage> says = terms[i].look(at);
-            LeaderElection.Leader leader = terms[i].leader(at);
+            Leadership.Leader leader = terms[i].leader(at);
             if (leader != null && leader.name().equals("b" + i) && now % 500 == 0) {
                 for (int k = 0; k < n; k++) {
                     send(i, k, null, 0, terms[i].toldWho(at));
--- a/src/main/java/merlinlever/faults/QuotaFaults.java
+++ b/src/main/java/merlinlever/faults/QuotaFaults.java
@@ -169,7 +169,7 @@
                                 i,
                                 LinkFaults.LinkFault.delayed(
                                         Duration.ofMillis(lease / 4), Duration.ofMillis(lease / 2)))));
-                Thread.sleep(3 * lease);
+                Thread.sleep(3L * lease);
                 fleet.on(LinkFaults::heal);
             }
             case LOSSY -> {
@@ -180,7 +180,7 @@
                                 k,
                                 new LinkFaults.LinkFault(
                                         0.33, 0.33, Duration.ofMillis(5), Duration.ofMillis(100), 0, false)))));
-                Thread.sleep(3 * lease);
+                Thread.sleep(3L * lease);
                 fleet.on(LinkFaults::heal);
             }
             case POWER -> {
--- a/src/main/java/merlinlever/measure/RoutesMeasurement.java
+++ b/src/main/java/merlinlever/measure/RoutesMeasurement.java
@@ -209,7 +209,7 @@
                     for (int i = 0; i < 200; i++) {
                         int at = i;
                         model.later(
-                                i * 5, () -> model.site("b").nodes.get(at % 5).operation());
+                                i * 5L, () -> model.site("b").nodes.get(at % 5).operation());
                     }
                     model.later(250, () -> model.site("b").serviceUp = false);
                     model.run(8000, 0);
--- a/src/test/java/merlinlever/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/SafetyRulesTest.java
@@ -153,7 +153,7 @@
         RequestHandle running = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(running), server.settle().started);
         server.control().leave(server.now, ControllerFixture.millis(2600));
-        assertEquals(Boolean.FALSE, server.settle().healthy);
+        assertEquals(false, server.settle().healthy);
         RequestHandle within = server.take(ControllerFixture.LOOKUP);
         assertEquals(List.of(within), server.after(0).started);
         server.after(2000);
@@ -218,7 +218,7 @@
         assertFalse(server.settle().log.stream().anyMatch(l -> l.startsWith("hangs")));
         Decisions hung = server.after(150);
         assertTrue(hung.log.stream().anyMatch(l -> l.startsWith("hangs")));
-        assertEquals(Boolean.FALSE, hung.healthy);
+        assertEquals(false, hung.healthy);
         assertTrue(server.pushedBack(waiting));
         assertEquals(ControllerFixture.millis(1000), hung.pushedBack.get(0).stayAway());
     }
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -34,19 +34,55 @@
         }
         write(
                 "src/test/java/some/place/FirstTest.java",
-                "class FirstTest {\n    @Example\n    void red() {\n    }\n\n"
-                        + "    @Property(tries = 3)\n    void redder(@ForAll int one,\n            @ForAll int two) {\n    }\n\n"
-                        + "    @Test void fourth() { }\n\n    @Test void onOneLine() throws Exception { }\n    void helper() {\n    }\n\n"
-                        + "    @Example\n    void twice() {\n    }\n\n    @Example\n    void twice(int n) {\n    }\n\n"
-                        + "    @Group\n    class Inner {\n        @Example\n        void red() {\n        }\n\n"
-                        + "        @Example\n        void within() {\n        }\n    }\n}\n");
+                """
+                class FirstTest {
+                    @Example
+                    void red() {
+                    }
+
+                    @Property(tries = 3)
+                    void redder(@ForAll int one,
+                            @ForAll int two) {
+                    }
+
+                    @Test void fourth() { }
+
+                    @Test void onOneLine() throws Exception { }
+                    void helper() {
+                    }
+
+                    @Example
+                    void twice() {
+                    }
+
+                    @Example
+                    void twice(int n) {
+                    }
+
+                    @Group
+                    class Inner {
+                        @Example
+                        void red() {
+                        }
+
+                        @Example
+                        void within() {
+                        }
+                    }
+                }
+                """);
         write("src/test/java/some/place/Helper.java", "class Helper {\n    @Example\n    void red() {\n    }\n}\n");
         write("src/main/java/some/place/MainTest.java", "class MainTest {\n    @Example\n    void red() {\n    }\n}\n");
         write(
                 "bin/mvn",
-                "#!/bin/sh\necho \"$@\" >> calls\n[ ! -d target ] || cp target/known-red/excludes . 2>/dev/null\n"
-                        + "case \"$*\" in *verify*) echo 'Tests run: 9'; exit $(cat verdict);;\n"
-                        + "*'#red '*) cp reports/* target/surefire-reports;; esac\nexit 1\n");
+                """
+                #!/bin/sh
+                echo "$@" >> calls
+                [ ! -d target ] || cp target/known-red/excludes . 2>/dev/null
+                case "$*" in *verify*) echo 'Tests run: 9'; exit $(cat verdict);;
+                *'#red '*) cp reports/* target/surefire-reports;; esac
+                exit 1
+                """);
         write("verdict", "0");
         Files.createDirectory(root.resolve("reports"));
     }
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -19,7 +19,7 @@
         assertTrue(twentieth.compareTo(whole.dividedBy(2)) < 0 && !twentieth.isZero(), "" + twentieth);
         // Runtime, program and rehearsal are over in half of the ten seconds, wherever it rehearses at all.
         for (int ms = 0; ms < 2500; ms += 10) {
-            assertTrue(2 * ms + WarmUp.longest(Duration.ofMillis(ms)).toMillis() <= 5000);
+            assertTrue(2L * ms + WarmUp.longest(Duration.ofMillis(ms)).toMillis() <= 5000);
         }
         assertEquals(Duration.ZERO, WarmUp.longest(Duration.ofMillis(2500)));
         assertEquals(Duration.ZERO, WarmUp.longest(Duration.ofSeconds(60)));
--- a/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
@@ -1,5 +1,6 @@
 package merlinlever.cli.zone;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -33,7 +34,7 @@
 
     private static final int KILLS = Integer.getInteger("zone.kills", 6);
     private static final int CLIENTS = 8;
-    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
+    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
     private static final byte[] ORIGIN = name("example.org.");
 
     @TempDir
@@ -66,7 +67,7 @@
                         folder.resolve("c.yaml").toString())
                 .redirectErrorStream(true)
                 .start();
-        log = new BufferedReader(new InputStreamReader(process.getInputStream()));
+        log = new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8));
         StringBuilder said = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             said.append(line).append('\n');
@@ -112,8 +113,10 @@
                     for (int i = 0; i < CLIENTS; i++) {
                         int there = zone.set(name("c" + i + ".example.org."), RecordTypes.TXT) == null
                                 ? 0
-                                : Integer.parseInt(new String(zone.set(name("c" + i + ".example.org."), RecordTypes.TXT)
-                                                .data(0))
+                                : Integer.parseInt(new String(
+                                                zone.set(name("c" + i + ".example.org."), RecordTypes.TXT)
+                                                        .data(0),
+                                                UTF_8)
                                         .substring(1));
                         assertTrue(
                                 there >= answered[i] && there <= sent[i],
@@ -181,7 +184,7 @@
         }
         int number = ++sent[client];
         byte[] owner = name("c" + client + ".example.org.");
-        byte[] text = (" " + number).getBytes();
+        byte[] text = (" " + number).getBytes(UTF_8);
         text[0] = (byte) (text.length - 1);
         byte[] message = UpdateMessages.message(
                 ORIGIN,
--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -102,7 +102,7 @@
         for (int i = 0; i < 200; i++) {
             long id = i;
             loop.in(
-                    Duration.ofMillis(5 * i),
+                    Duration.ofMillis(5L * i),
                     () -> partners.call(
                             new TrackedRequest(
                                     id, String.format("%016x", id), 0, "t", Duration.ZERO, null, new byte[0], null),
--- a/src/test/java/merlinlever/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/faults/RoutesModelTest.java
@@ -177,7 +177,7 @@
             model.without = without;
             for (int i = 0; i < 200; i++) {
                 int at = i;
-                model.later(i * 5, () -> model.site("b").nodes.get(at % 5).operation());
+                model.later(i * 5L, () -> model.site("b").nodes.get(at % 5).operation());
             }
             model.later(500, () -> model.site("b").serviceUp = false);
             passed(model);
--- a/src/test/java/merlinlever/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/faults/script/FaultScriptTest.java
@@ -77,8 +77,17 @@
         try {
             Files.writeString(
                     file,
-                    "processes: 3\nseed: \"24\"\nlength: 5s\nsteps:\n  - {at: 1s, do: isolate, who: [2]}\n"
-                            + "  - {at: 2s, do: heal}\ndraw:\n  count: 2\n  kinds: {kill: 1}\n");
+                    """
+                    processes: 3
+                    seed: "24"
+                    length: 5s
+                    steps:
+                      - {at: 1s, do: isolate, who: [2]}
+                      - {at: 2s, do: heal}
+                    draw:
+                      count: 2
+                      kinds: {kill: 1}
+                    """);
             FaultScript.FaultPlan plan = FaultScript.read(ConfigFile.read(file, "faults"));
             assertEquals(6, plan.steps().size());
             assertEquals(
--- a/src/test/java/merlinlever/faults/timeline/TimelineRendererTest.java
+++ b/src/test/java/merlinlever/faults/timeline/TimelineRendererTest.java
@@ -58,7 +58,7 @@
     void repeatsAreFoldedUntilSomethingTurnsInTheirColumn() {
         Timeline timeline = new Timeline("", List.of("b1", "b2"));
         for (int i = 0; i < 4; i++) {
-            timeline.add(ms(i * 100), "b1", "> b2: ask");
+            timeline.add(ms(i * 100L), "b1", "> b2: ask");
             // The other's are no reason to count anew.
             timeline.add(ms(i * 100 + 50), "b2", "* heard " + i);
         }
--- a/src/test/java/merlinlever/management/ManagementServerTest.java
+++ b/src/test/java/merlinlever/management/ManagementServerTest.java
@@ -1,5 +1,6 @@
 package merlinlever.management;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,8 +16,8 @@
     private static String ask(InetSocketAddress address, String line) throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(4000);
-            socket.getOutputStream().write(line.getBytes());
-            return new String(socket.getInputStream().readAllBytes());
+            socket.getOutputStream().write(line.getBytes(UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), UTF_8);
         } catch (java.net.SocketException e) {
             return "";
         }
--- a/src/test/java/merlinlever/membership/SwimProtocolTest.java
+++ b/src/test/java/merlinlever/membership/SwimProtocolTest.java
@@ -1,5 +1,6 @@
 package merlinlever.membership;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -172,7 +173,7 @@
 
     @Test
     void messagesThatAreNotOursAreNothing() {
-        MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes());
+        MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes(UTF_8));
         List<MemberTable.MemberRecord> rumours = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             rumours.add(new MemberTable.MemberRecord(
@@ -182,7 +183,7 @@
                 new SwimProtocol.MembershipMessage(SwimProtocol.MessageKind.SYNC, "n1", 7, "", rumours);
         byte[] good = wire.write(message);
         assertEquals(message, wire.read(good));
-        assertNull(new MembershipCodec("0123456789abcdeg".getBytes()).read(good));
+        assertNull(new MembershipCodec("0123456789abcdeg".getBytes(UTF_8)).read(good));
         for (int at = 0; at < good.length; at += 7) {
             byte[] bad = good.clone();
             bad[at] ^= 1;
@@ -212,7 +213,7 @@
 
     @Test
     void whatIsCarriedAndSaidReachesThoseThatHearItAndNobodyElse() {
-        MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes());
+        MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes(UTF_8));
         SwimProtocol.SwimSettings stated = SwimProtocol.SwimSettings.usual(List.of("127.0.0.1:2"));
         SwimProtocol one = new SwimProtocol(
                 Duration.ZERO,
@@ -259,7 +260,7 @@
     private static byte[] signed(byte[] inner) {
         try {
             javax.crypto.Mac mac = javax.crypto.Mac.getInstance("HmacSHA256");
-            mac.init(new javax.crypto.spec.SecretKeySpec("0123456789abcdef".getBytes(), "HmacSHA256"));
+            mac.init(new javax.crypto.spec.SecretKeySpec("0123456789abcdef".getBytes(UTF_8), "HmacSHA256"));
             byte[] made = Arrays.copyOf(inner, inner.length + 16);
             System.arraycopy(mac.doFinal(inner), 0, made, inner.length, 16);
             return made;
--- a/src/test/java/merlinlever/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/net/ConnectionTest.java
@@ -22,7 +22,7 @@
     private final List<Throwable> failures = new ArrayList<>();
 
     /** Records the end of a connection and stops the loop with it. */
-    private final class CloseRecorder implements Connection.Handler {
+    private static final class CloseRecorder implements Connection.Handler {
         final List<CloseReason> heard = new ArrayList<>();
         private final EventLoop loop;
         private final boolean fails;
--- a/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
+++ b/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
@@ -232,8 +232,8 @@
                             "b-1@127.0.0.1:1",
                             64 + i / 10,
                             i / 20,
-                            NOON + i * 1000 + 3000,
-                            NOON + i * 1000,
+                            NOON + i * 1000L + 3000,
+                            NOON + i * 1000L,
                             i / 2.0,
                             List.of("127.0.0.1:" + (i + 1)));
                     store.write(memory);
--- a/src/test/java/merlinlever/replication/ReplicatedStoreTest.java
+++ b/src/test/java/merlinlever/replication/ReplicatedStoreTest.java
@@ -414,7 +414,7 @@
         for (int second = 0; second < 20; second++) {
             long octets = 0;
             for (int k = 0; k < 50; k++) {
-                Duration now = Duration.ofMillis(second * 1000L + k * 20);
+                Duration now = Duration.ofMillis(second * 1000L + k * 20L);
                 List<OutgoingMessage> out = new ArrayList<>(words.look(now));
                 // One that holds nothing asks and asks.
                 for (OutgoingMessage lines : words.came(now, "b9", nothing)) {
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -135,7 +135,7 @@
         for (int place = 1; place <= 3; place++) {
             String its = "10.0.0." + place + ":1";
             long count = before.values().stream().filter(its::equals).count();
-            assertTrue(Math.abs(count - 500 * place) < 90, its + " has " + count);
+            assertTrue(Math.abs(count - 500L * place) < 90, its + " has " + count);
         }
         says(Relation.PEER, "west", at("west", 3, 30, false, false), at("west", 4, 20, false, false));
         Map<String, String> after = all(3000);
--- a/src/test/java/merlinlever/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableFilesTest.java
@@ -23,7 +23,7 @@
 
     private static void write(Path file, String text) throws IOException {
         Files.writeString(file, text);
-        Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000 * times++));
+        Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000L * times++));
     }
 
     @Example
--- a/src/test/java/merlinlever/view/ViewTest.java
+++ b/src/test/java/merlinlever/view/ViewTest.java
@@ -82,7 +82,8 @@
         SplittableRandom chance = new SplittableRandom(1);
         for (int i = 0; i < 2000; i++) {
             byte[] spoilt = difference.clone();
-            spoilt[chance.nextInt(spoilt.length)] ^= 1 << chance.nextInt(7);
+            spoilt[chance.nextInt(spoilt.length)] =
+                    (byte) (spoilt[chance.nextInt(spoilt.length)] ^ 1 << chance.nextInt(7));
             MembershipView read = ViewCodec.ours(spoilt) ? there.read(spoilt) : null;
             assertTrue(
                     read == null || read.equals(second),
--- a/src/test/java/merlinlever/zone/client/DnsClientTest.java
+++ b/src/test/java/merlinlever/zone/client/DnsClientTest.java
@@ -1,5 +1,6 @@
 package merlinlever.zone.client;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -36,7 +37,7 @@
 /** The client before a stand-in that answers wrongly in each way that the protocol allows to be wrong. */
 class DnsClientTest {
 
-    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
+    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
     private static final Duration PATIENCE = Duration.ofMillis(900);
 
     private EventLoop loop;
--- a/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
@@ -1,5 +1,6 @@
 package merlinlever.zone.client;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -49,7 +50,7 @@
 /** Follower and apply before our own front on loopback sockets. */
 class FollowerAndApplyTest {
 
-    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
+    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
     private static final String HEAD = "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n";
 
     @TempDir
@@ -300,16 +301,16 @@
             loop.execute(() -> loop.every(Duration.ofMillis(100), () -> {
                 for (int i = 0; i < 4; i++) {
                     if (alive[i]) {
-                        link[0].came(("PULSE n" + i + " open").getBytes());
+                        link[0].came(("PULSE n" + i + " open").getBytes(UTF_8));
                     }
                 }
-                link[0].came("PULSE stranger open".getBytes());
+                link[0].came("PULSE stranger open".getBytes(UTF_8));
                 link[0].came(new byte[600]);
             }));
             await(new TreeSet<>(List.of(0, 1, 2, 3)), 4000);
             loop.execute(() -> alive[2] = false);
             await(new TreeSet<>(List.of(0, 1, 3)), 3000);
-            loop.execute(() -> link[0].came("PULSE n3 closed".getBytes()));
+            loop.execute(() -> link[0].came("PULSE n3 closed".getBytes(UTF_8)));
             loop.execute(() -> alive[3] = false);
             await(new TreeSet<>(List.of(0, 1)), 3000);
             loop.execute(() -> alive[0] = false);
--- a/src/test/java/merlinlever/zone/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/zone/follow/FollowerTest.java
@@ -1,5 +1,6 @@
 package merlinlever.zone.follow;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
@@ -158,7 +159,7 @@
         }
 
         void carryOut(Follower.Step step) {
-            long there = 1 + chance.nextInt(faults ? 400 : 20);
+            long there = 1L + chance.nextInt(faults ? 400 : 20);
             if (fault(12) || (step.server() == 1 && fault(3))) {
                 in(there, () -> step.unreachable(now()));
             } else if (fault(12)) {
@@ -170,7 +171,7 @@
                     // The claim and the records are two questions: what lies between them may change.
                     in(there, () -> {
                         List<ResourceRecord> claims =
-                                records(DomainNames.below("_merlinlever".getBytes(), NAME), RecordTypes.TXT);
+                                records(DomainNames.below("_merlinlever".getBytes(UTF_8), NAME), RecordTypes.TXT);
                         in(
                                 1 + chance.nextInt(faults ? 300 : 2),
                                 () -> read.answered(
@@ -328,9 +329,9 @@
         for (ResourceRecord foreign : new ResourceRecord[] {
             new ResourceRecord(NAME, RecordTypes.A, 30, new byte[] {1, 2, 3, 4}),
             new ResourceRecord(
-                    DomainNames.below("_merlinlever".getBytes(), NAME), RecordTypes.TXT, 30, new byte[] {1, 'q'}),
+                    DomainNames.below("_merlinlever".getBytes(UTF_8), NAME), RecordTypes.TXT, 30, new byte[] {1, 'q'}),
             new ResourceRecord(
-                    DomainNames.below("_merlinlever".getBytes(), NAME),
+                    DomainNames.below("_merlinlever".getBytes(UTF_8), NAME),
                     RecordTypes.TXT,
                     30,
                     new OwnershipClaim("other", "b", 1, 1).data())
--- a/src/test/java/merlinlever/zone/server/DnsServerFixture.java
+++ b/src/test/java/merlinlever/zone/server/DnsServerFixture.java
@@ -1,5 +1,7 @@
 package merlinlever.zone.server;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -45,7 +47,7 @@
             ns.sub A 127.0.0.9
             alias CNAME tickets
             """;
-    static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
+    static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
 
     @TempDir
     Path folder;
--- a/src/test/java/merlinlever/zone/state/LookupTest.java
+++ b/src/test/java/merlinlever/zone/state/LookupTest.java
@@ -1,5 +1,6 @@
 package merlinlever.zone.state;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -71,7 +72,7 @@
             for (int i = chance.nextInt(8); i >= 0; i--) {
                 String name = random(chance);
                 if (names.add(name)) {
-                    records.add(new ResourceRecord(name(name), RecordTypes.TXT, 60, (" " + name).getBytes()));
+                    records.add(new ResourceRecord(name(name), RecordTypes.TXT, 60, (" " + name).getBytes(UTF_8)));
                 }
             }
             Zone zone = zone(records);
@@ -83,7 +84,7 @@
                         ? "none"
                         : answer.answer.isEmpty()
                                 ? "empty"
-                                : new String(answer.answer.get(0).set().data(0)).substring(1);
+                                : new String(answer.answer.get(0).set().data(0), UTF_8).substring(1);
                 assertEquals(wanted, found, asked + " in " + names);
             }
         }
--- a/src/test/java/merlinlever/zone/wire/WireTest.java
+++ b/src/test/java/merlinlever/zone/wire/WireTest.java
@@ -1,5 +1,6 @@
 package merlinlever.zone.wire;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -21,7 +22,7 @@
 
 class WireTest {
 
-    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes();
+    private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
 
     private static byte[] message(int records) throws Exception {
         MessageWriter out = new MessageWriter(7, DnsMessage.UPDATE << 11, DnsMessage.MOST);
@@ -123,7 +124,7 @@
                                 || Tsig.verify(message, keys, 1000, null).error() != 0,
                         "octet " + at);
             } catch (MalformedDnsException e) {
-                continue;
+
             }
         }
     }
