--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -102,7 +102,7 @@
         for (int i = 0; i < 200; i++) {
             long id = i;
             loop.in(
-                    Duration.ofMillis(5 * i),
+                    Duration.ofMillis(5L * i),
                     () -> partners.call(
                             TestRequests.tracked(id, "t"),
                             "body".getBytes(StandardCharsets.US_ASCII),
