--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -60,6 +60,7 @@
     private final EdgeServer edge;
     private final HeartbeatSender heartbeats;
     /** Null where nobody manages it, as on the platform. */
+    @SuppressWarnings("UnusedVariable") // it serves for as long as this stands
     private final ManagementServer manage;
     /** Null where it keeps nothing for a return, as on the platform; its class is not loaded then. */
     private final RecoveryAssembly recovering;
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -37,7 +37,7 @@
     private final OverloadController controller;
     private final DecisionHandler<T> handler;
     private final Map<String, Integer> priorityClassIndexes;
-    private final Map<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
+    private final IdentityHashMap<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
     private final Optional<ShadowModeCounter> shadowMode;
     /** Null while no wake-up is scheduled. */
     private Duration nextWakeUp;
--- a/src/main/java/merlinlever/experiments/Experiment.java
+++ b/src/main/java/merlinlever/experiments/Experiment.java
@@ -35,6 +35,8 @@
     public static final int MOST_ARMS = 8;
 
     /**
+     * One arm: its share of the callers and the settings under which it is tried.
+     *
      * @param weight its part of the callers, by all weights
      * @param stayAway the longest advice, or null
      * @param callLongest the longest wait for a call, or null
--- a/src/main/java/merlinlever/faults/QuotaFaults.java
+++ b/src/main/java/merlinlever/faults/QuotaFaults.java
@@ -52,7 +52,11 @@
         }
     }
 
-    /** @param dividedAfter from the end of the fault until every running backend has a share again */
+    /**
+     * What one play of a fault showed.
+     *
+     * @param dividedAfter from the end of the fault until every running backend has a share again
+     */
     public record QuotaFaultOutcome(QuotaFaultKind kind, long seed, Duration dividedAfter, List<String> breaches) {
         public String told() {
             StringBuilder text = new StringBuilder(kind.wireName() + ", seed " + Long.toHexString(seed) + ": "
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -424,7 +424,11 @@
         cut.add(other + " " + one);
     }
 
-    /** @param perStep operations that begin in each step of 20 ms, at drawn backends */
+    /**
+     * Runs the model on for a span of virtual time.
+     *
+     * @param perStep operations that begin in each step of 20 ms, at drawn backends
+     */
     public void run(long ms, int perStep) {
         long end = now + ms;
         while (now < end) {
--- a/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
@@ -28,14 +28,9 @@
     private static final int LINE = 64 * 1024;
 
     private static final class RunningRequest {
-        final String id;
         EventLoop.Timer effect, end;
         /** What goes on once its call is answered. */
         Runnable then;
-
-        RunningRequest(String id) {
-            this.id = id;
-        }
     }
 
     private final EventLoop loop;
@@ -188,7 +183,7 @@
         }
         String operation = new String(Base64.getDecoder().decode(payload), StandardCharsets.US_ASCII);
         rules.launched(id);
-        RunningRequest run = new RunningRequest(id);
+        RunningRequest run = new RunningRequest();
         runs.put(id, run);
         run.effect = loop.in(work.multipliedBy(2).dividedBy(5), () -> {
             if (keyed) {
--- a/src/main/java/merlinlever/faults/timeline/LogTimeline.java
+++ b/src/main/java/merlinlever/faults/timeline/LogTimeline.java
@@ -39,6 +39,8 @@
     }
 
     /**
+     * Draws the logs of several nodes as one timeline.
+     *
      * @param logs of each node, its log; one that is not there has said nothing
      * @param from what is drawn of a log begins so after its level, for instance {@code recovery: }, and that is left out
      */
--- a/src/main/java/merlinlever/faults/timeline/QuotaScenarios.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaScenarios.java
@@ -76,7 +76,10 @@
     static Timeline paused() {
         Scenario<QuotaMessage> play = play(1).until(9000).begin();
         String[] who = new String[1];
-        play.at(9200, p -> p.pause(who[0] = leader(p)))
+        play.at(9200, p -> {
+                    who[0] = leader(p);
+                    p.pause(who[0]);
+                })
                 .at(17_000, p -> p.resume(who[0]))
                 .until(20_000);
         return play.timeline(
--- a/src/main/java/merlinlever/host/state/OutlierDetector.java
+++ b/src/main/java/merlinlever/host/state/OutlierDetector.java
@@ -21,7 +21,11 @@
         slow = new boolean[count];
     }
 
-    /** @param capacity of each, NaN where it is cold or not known */
+    /**
+     * Takes one sample of the capacities of all instances.
+     *
+     * @param capacity of each, NaN where it is warming up or not known
+     */
     public void look(double[] capacity) {
         double[] known =
                 Arrays.stream(capacity).filter(c -> !Double.isNaN(c)).sorted().toArray();
--- a/src/main/java/merlinlever/http/RequestHead.java
+++ b/src/main/java/merlinlever/http/RequestHead.java
@@ -34,6 +34,7 @@
         OWNER("req-owner"),
         AGAIN("req-retry");
 
+        @SuppressWarnings("ImmutableEnumChecker") // compared with the bytes as they come, never written
         private final byte[] name;
 
         HeaderField(String name) {
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -11,6 +11,8 @@
     private StatusReport() {}
 
     /**
+     * The report as JSON.
+     *
      * @param inHand operations that are read and not yet answered
      * @param ageMs since its start
      * @param figures null where the module is not there yet
--- a/src/main/java/merlinlever/measure/DnsMeasurement.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -183,10 +183,12 @@
         page.append(table.write(out, "seconds", List.of(0), List.of(1, 2), true));
     }
 
+    /** Written only, so that the measured calls are not optimised away. */
+    @SuppressWarnings("UnusedVariable")
     private static volatile long kept;
 
     private static void keep(long value) {
-        kept += value;
+        kept = value;
     }
 
     // ---- index
--- a/src/main/java/merlinlever/membership/MembershipCodec.java
+++ b/src/main/java/merlinlever/membership/MembershipCodec.java
@@ -126,7 +126,8 @@
                 if (length < 0 || length > in.remaining()) {
                     return null;
                 }
-                in.get(body = new byte[length]);
+                body = new byte[length];
+                in.get(body);
             }
             return in.hasRemaining() || from.isEmpty()
                     ? null
--- a/src/main/java/merlinlever/net/Connection.java
+++ b/src/main/java/merlinlever/net/Connection.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** One that was accepted; {@link #start} begins to read. */
+    /** One that was accepted; reading begins once its user asks for it. */
     public static Connection accepted(
             EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
         Connection connection = new Connection(loop, channel, user, readBuffer, mostQueued);
--- a/src/main/java/merlinlever/recovery/disk/RecoveryFileWriter.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFileWriter.java
@@ -66,6 +66,7 @@
         return !thread.isAlive();
     }
 
+    @SuppressWarnings("ReferenceEquality") // END is told apart from jobs by its identity
     private void work() {
         try {
             for (Job next = jobs.take(); next != END; next = jobs.take()) {
--- a/src/main/java/merlinlever/replication/MessageFormatter.java
+++ b/src/main/java/merlinlever/replication/MessageFormatter.java
@@ -16,7 +16,11 @@
         NOTHING
     }
 
-    /** @param what in a few words; values as text, of a few letters at the most */
+    /**
+     * A message as a timeline shows it.
+     *
+     * @param what a few words; values as short text
+     */
     public record FormattedMessage(MessageKind kind, String what) {}
 
     private static final int MOST = 20;
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -309,6 +309,8 @@
         return own(now, out);
     }
 
+    @SuppressWarnings(
+            "ReferenceEquality") // the acceptor replaces a register's state by a new object whenever it changes
     private void asked(String from, RegisterMessage slip, List<OutgoingMessage> out) {
         if (!leadership.voters().contains(self) || !votes) {
             return;
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -115,11 +115,11 @@
         say(FOR_WORDS, words.look(now));
         say(FOR_REGISTERS, decree.look(now));
         if (!writing && now.compareTo(writeNext) >= 0) {
-            write(now);
+            write();
         }
     }
 
-    private void write(Duration now) {
+    private void write() {
         ReplicatedStore.PersistedEntries kept = words.keep();
         if (kept != null) {
             writing = keeper.write(WORDS, EntryFile.octets(self, kept), how -> written(how, () -> words.kept(kept)));
--- a/src/main/java/merlinlever/routes/FlapDamping.java
+++ b/src/main/java/merlinlever/routes/FlapDamping.java
@@ -7,7 +7,11 @@
 /** Routes that come and go are left out for a while, by the figures of RFC 2439 and RFC 7196. */
 public final class FlapDamping {
 
-    /** @param suppress from which penalty on a route is left out, and reuse below which it is used again */
+    /**
+     * The figures of route flap damping (RFC 2439).
+     *
+     * @param suppress from which penalty on a route is left out, and reuse below which it is used again
+     */
     public record FlapDampingSettings(
             double withdrawal, double change, double suppress, double reuse, Duration halfLife, double most) {
         /** The threshold that RFC 7196 recommends at the least; nothing is left out for more than an hour. */
@@ -56,7 +60,8 @@
                     return;
                 }
             }
-            all.put(route, its = new RoutePenalty());
+            its = new RoutePenalty();
+            all.put(route, its);
             its.at = now;
         }
         its.penalty = Math.min(figures.most(), penalty(now, its) + more);
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -28,6 +28,8 @@
     }
 
     /**
+     * When the local service counts as slow or away.
+     *
      * @param inARow ends that did not get through, one after the other, that make it away
      * @param slow a call that takes longer counts as slow
      * @param of the last so many calls are looked at, and half of them slow make it slow
--- a/src/main/java/merlinlever/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/routes/PartnerTable.java
@@ -104,6 +104,8 @@
     }
 
     /** What was only narrowed so far may be widened now; true where that changed what is in use. */
+    // The same table object means that the latest is in use already.
+    @SuppressWarnings("ReferenceEquality")
     boolean widen() {
         if (latest == null || clashing || used == latest) {
             return false;
--- a/src/main/java/merlinlever/routes/RouteSelector.java
+++ b/src/main/java/merlinlever/routes/RouteSelector.java
@@ -23,11 +23,19 @@
         BINDING
     }
 
-    /** @param leaves whether it may leave the site; for binding work the route has to say so as well */
+    /**
+     * How requests of one class may be routed.
+     *
+     * @param leaves whether it may leave the site; for non-idempotent requests the route has to allow it as well
+     */
     public record RoutingClass(String name, RetrySafety kind, boolean leaves) {}
 
-    /** @param tried places that this operation's calls were sent to already
-     *  @param missing whether one of those calls may have had its effect: its answer never came */
+    /**
+     * One call that needs a route.
+     *
+     * @param tried places that this request's calls were sent to already
+     * @param missing whether one of those calls may have had its effect: its answer never came
+     */
     public record RoutedCall(RoutingClass tariff, String group, String key, Set<String> tried, boolean missing) {}
 
     /** Where it goes. */
--- a/src/main/java/merlinlever/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/routes/RouteTableReader.java
@@ -27,7 +27,11 @@
         }
     }
 
-    /** @param faults one line for each route that is not used as it was said, 50 at the most */
+    /**
+     * A table as it was read.
+     *
+     * @param faults one line for each route that is not used as it stands in the file, 50 at most
+     */
     public record ParsedTable(RouteTable table, List<String> faults) {}
 
     public static final int MOST_CHARACTERS = 8 << 20;
--- a/src/main/java/merlinlever/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/routes/RoutingTable.java
@@ -56,6 +56,7 @@
     }
 
     /** A partner's table came, from it or from another backend; it is used once it is known that the partner stands by it. */
+    @SuppressWarnings("ReferenceEquality") // the same table object means that the offer brought nothing newer
     public boolean offer(Duration now, RouteTable table) {
         PartnerTable its = partners.get(table.site());
         if (its == null) {
@@ -99,6 +100,8 @@
         };
     }
 
+    // The same table object means that nothing changed since the last merge.
+    @SuppressWarnings("ReferenceEquality")
     private void apply(Duration now, PartnerTable its, RouteMerger.RouteListener hearer) {
         RouteTable used = its.used(now);
         if (used != merge.table(its.site)) {
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -95,7 +95,8 @@
         if (its == null
                 || part.incarnation() > its.incarnation
                 || (part.incarnation() == its.incarnation && part.sequence() > its.sequence)) {
-            coming.put(part.owner(), its = new IncompleteTable(part, head, count));
+            its = new IncompleteTable(part, head, count);
+            coming.put(part.owner(), its);
         } else if (part.incarnation() != its.incarnation || part.sequence() != its.sequence) {
             return null;
         }
--- a/src/main/java/merlinlever/zone/client/ZoneFetcher.java
+++ b/src/main/java/merlinlever/zone/client/ZoneFetcher.java
@@ -53,7 +53,11 @@
         chain = key == null ? null : new Tsig.SignatureChain(key, mac);
     }
 
-    /** @param key null for none */
+    /**
+     * Transfers a whole zone from a server.
+     *
+     * @param key null for none
+     */
     public static void zone(
             DnsClient asker, InetSocketAddress server, byte[] origin, Tsig.TsigKey key, Consumer<FetchResult> done) {
         int id = asker.id();
--- a/src/main/java/merlinlever/zone/follow/Follower.java
+++ b/src/main/java/merlinlever/zone/follow/Follower.java
@@ -351,7 +351,7 @@
             mine = new OwnershipClaim(stated.owner, stated.holder, Math.max(claim.term(), myTerm) + 1, 1);
         }
         boolean taking = claim == null || myTerm < 0 || mine.term() != myTerm;
-        List<ResourceRecord> wanted = wanted(now);
+        List<ResourceRecord> wanted = wanted();
         if (wanted == null) {
             if (taking && claim == null) {
                 return null;
@@ -433,7 +433,7 @@
     // ---- which records
 
     /** The records of the live fleet, or null where the last answer stays. */
-    private List<ResourceRecord> wanted(Duration now) {
+    private List<ResourceRecord> wanted() {
         List<Integer> all = fleet.alive(true);
         if (all.isEmpty() || all.size() < stated.keepAtLeast * fleet.size()) {
             mode(
--- a/src/main/java/merlinlever/zone/record/DomainNames.java
+++ b/src/main/java/merlinlever/zone/record/DomainNames.java
@@ -13,6 +13,7 @@
 
     public static final int MOST_LABEL = 63;
     /** The root. */
+    @SuppressWarnings("MutablePublicArray") // names on the wire are byte arrays throughout; nobody writes into one
     public static final byte[] ROOT = {0};
 
     private DomainNames() {}
--- a/src/main/java/merlinlever/zone/record/Rdata.java
+++ b/src/main/java/merlinlever/zone/record/Rdata.java
@@ -35,6 +35,8 @@
     // ---- from text
 
     /**
+     * The wire form of record data that stands as text in a zone file.
+     *
      * @param words as they stand in the file: escapes untouched, quoted ones with their quotes
      * @param origin below which relative names stand, or null
      */
--- a/src/main/java/merlinlever/zone/state/CopyOnWriteBTree.java
+++ b/src/main/java/merlinlever/zone/state/CopyOnWriteBTree.java
@@ -106,7 +106,8 @@
         return size;
     }
 
-    @SuppressWarnings("unchecked")
+    // A node keeps values and children in one array of objects; the caller knows the type of the slot.
+    @SuppressWarnings({"unchecked", "TypeParameterUnusedInFormals"})
     private static <V> V value(Object slot) {
         return (V) slot;
     }
--- a/src/main/java/merlinlever/zone/state/UpdatePlan.java
+++ b/src/main/java/merlinlever/zone/state/UpdatePlan.java
@@ -30,7 +30,11 @@
 
     private UpdatePlan() {}
 
-    /** @param most entries of an update, but for a single name that has more */
+    /**
+     * The updates that bring a live zone to what is wanted.
+     *
+     * @param most entries of an update, but for a single name that has more
+     */
     public static List<Batch> of(Zone live, Zone wanted, int most) {
         Difference difference = Difference.between(live, wanted);
         Map<byte[], List<ResourceRecord>> removed = byName(difference.removed());
--- a/src/main/java/merlinlever/zone/text/ZoneFile.java
+++ b/src/main/java/merlinlever/zone/text/ZoneFile.java
@@ -88,6 +88,8 @@
     }
 
     /**
+     * Reads a zone file with what it includes.
+     *
      * @param origin the zone that is expected, on the wire; null takes it from the SOA's owner
      */
     public static Zone read(Path file, byte[] origin) throws InvalidZoneFileException {
--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -37,7 +36,7 @@
         Duration kept;
     }
 
-    private final Map<RequestHandle, ModelRequest> all = new IdentityHashMap<>();
+    private final IdentityHashMap<RequestHandle, ModelRequest> all = new IdentityHashMap<>();
     private final List<RequestHandle> order = new ArrayList<>();
     private SplittableRandom chance;
     private ControllerFixture server;
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -29,14 +29,12 @@
 
     /** What the agent has to tell, by number, and one link that tells it, in pieces and some of it twice. */
     private static final class Teller {
-        private final AgentLinkFixture around;
         private final List<String> notices;
         private final FakeAgent agent;
         private String rest = "";
         private int next;
 
-        Teller(AgentLinkFixture around, List<String> notices, FakeAgent agent) {
-            this.around = around;
+        Teller(List<String> notices, FakeAgent agent) {
             this.notices = notices;
             this.agent = agent;
             next = (int) agent.after;
@@ -92,14 +90,14 @@
                 }
                 notices.add(AgentLinkFixture.outcome(notices.size() + 1, name, "OK", "of " + name));
             }
-            Teller old = new Teller(around, notices, agent);
+            Teller old = new Teller(notices, agent);
             for (int i = chance.nextInt(notices.size()); i > 0; i--) {
                 old.tell(chance);
                 old.read();
             }
             ServerSocket second = around.place();
             around.moveTo(second);
-            Teller teller = new Teller(around, notices, around.accept(second));
+            Teller teller = new Teller(notices, around.accept(second));
             boolean broken = chance.nextInt(3) == 0;
             for (int i = chance.nextInt(12); i > 0; i--) {
                 Teller either = chance.nextBoolean() ? old : teller;
--- a/src/test/java/merlinlever/cli/ServeCommandTest.java
+++ b/src/test/java/merlinlever/cli/ServeCommandTest.java
@@ -170,7 +170,8 @@
         Map<?, ?> first = hear("launch");
         reachesCall(1, first);
         Socket its = callOf(first);
-        Socket edge = ask(operation("look", "", ""));
+        // Held open until the end of the test.
+        Socket unusedEdge = ask(operation("look", "", ""));
         Map<?, ?> second = hear("launch");
         String id = "" + second.get("req");
         reachesCall(2, second);
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -181,13 +181,13 @@
             }
             Thread.sleep(200);
             list = list();
-            audit(list);
+            audit();
         }
         return list;
     }
 
     /** No state says what the process table says is not so. A moment of looking on either side is allowed for. */
-    private void audit(Map<String, JsonNode> list) throws Exception {
+    private void audit() throws Exception {
         Set<String> stoppedBefore = new HashSet<>();
         Map<String, Long> before = table(stoppedBefore);
         Map<String, JsonNode> now = list();
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -61,13 +61,13 @@
             this);
     final EdgeServer edge = new EdgeServer(loop, backend, Map.of("server.idle", "4000"));
     private final Thread thread = new Thread(loop::run, "loop");
-    private volatile long batches;
+    private final AtomicLong batches = new AtomicLong();
     private long ids = 0x9b1f03aa5c7e2d41L;
 
     EdgeServerFixture() throws IOException {
         loop.after(() -> {
             backend.decide(loop.clock().now());
-            batches++;
+            batches.incrementAndGet();
         });
     }
 
@@ -102,10 +102,10 @@
     void settle() throws Exception {
         // Tasks that come while a batch runs may join it; the timers and writes of each come behind its tasks.
         for (int i = 0; i < 4; i++) {
-            long before = batches;
+            long before = batches.get();
             on(() -> {});
             long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-            while (batches == before) {
+            while (batches.get() == before) {
                 assertTrue(System.nanoTime() < until, "the loop stands still");
                 Thread.onSpinWait();
             }
--- a/src/test/java/merlinlever/net/TaskHandOffProgram.java
+++ b/src/test/java/merlinlever/net/TaskHandOffProgram.java
@@ -10,6 +10,8 @@
 
     private TaskHandOffProgram() {}
 
+    // The loop alone counts; the test reads the fields as plain numbers through the debugger.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     public static void main(String[] none) throws Exception {
         EventLoop loop = new EventLoop(MonotonicClock.system(), failure -> {});
         loop.every(Duration.ofMillis(1), () -> ticks++);
@@ -22,6 +24,8 @@
         }
     }
 
+    // As above: the loop alone counts.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     private static void handOver(EventLoop loop) {
         loop.execute(() -> taken++);
     }
--- a/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -51,7 +51,11 @@
     private final List<BlockingStateDirectory> disks = new ArrayList<>();
     private final AtomicLong set = new AtomicLong();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private volatile Duration keyedFrom, keyedTo;
+
+    @SuppressWarnings("UnusedVariable") // what the service under test was last given
+    private volatile Duration keyedFrom;
+
+    private volatile Duration keyedTo;
 
     /** A folder whose writes wait for a permit each, and fail where they are told to. */
     private static final class BlockingStateDirectory extends ForwardingStateDirectory {
--- a/src/test/java/merlinlever/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -142,7 +142,8 @@
                     List<Route> content = List.copyOf(all);
                     Integer number = numbers.get(content);
                     if (number == null) {
-                        numbers.put(content, number = contents.size());
+                        number = contents.size();
+                        numbers.put(content, number);
                         contents.add(content);
                     }
                     return number;
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -57,6 +57,8 @@
         assertEquals(second, whole);
     }
 
+    // One part of the list is picked out by its identity.
+    @SuppressWarnings("ReferenceEquality")
     @Example
     void spoiltOrMixedPartsAreNoTable() {
         List<VersionedEntry> one = TableChunks.cut(large(1, 0)), other = TableChunks.cut(large(2, 50));
--- a/src/test/java/merlinlever/zone/wire/WireTest.java
+++ b/src/test/java/merlinlever/zone/wire/WireTest.java
@@ -123,8 +123,8 @@
                                 || message.signature() == null
                                 || Tsig.verify(message, keys, 1000, null).error() != 0,
                         "octet " + at);
-            } catch (MalformedDnsException e) {
-
+            } catch (MalformedDnsException expected) {
+                // Refused before its signature was looked at.
             }
         }
     }
