--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -13,53 +13,79 @@
 import merlinlever.net.EventLoop;
 import merlinlever.records.RecordsClient;
 
-/** The core with its parties round it on one loop. */
+/**
+ * One backend with its links to the render farm agent, the records service and the edge nodes, all on one event loop and its
+ * thread. Passes what the backend decides on to the link that carries it out.
+ */
 final class BackendAssembly implements BackendDependencies {
 
-    final Backend backend;
-    final AgentLink agent;
-    final RecordsClient records;
-    final EdgeServer edge;
+    private final Backend backend;
+    private final AgentLink agent;
+    private final RecordsClient records;
+    private final EdgeServer edge;
     private final EventLoop loop;
     private final Log log;
     private EventLoop.Timer alarm;
 
+    /**
+     * Connects to the agent at once; the edge server does not listen yet.
+     *
+     * @param settings of the decision module
+     * @param recordsAddress null where there is no records service
+     * @param maxCalls calls to the records service in flight at once
+     */
     BackendAssembly(
             EventLoop loop,
-            Map<String, String> given,
+            Map<String, String> settings,
             long seed,
-            InetSocketAddress agentAt,
-            InetSocketAddress recordsAt,
-            int mostCalls,
+            InetSocketAddress agentAddress,
+            InetSocketAddress recordsAddress,
+            int maxCalls,
             Log log) {
         this.loop = loop;
         this.log = log;
-        backend = new Backend(given, seed, this);
-        agent = new AgentLink(loop, agentAt, backend, log);
-        records = new RecordsClient(loop, recordsAt, backend, log, mostCalls);
-        edge = new EdgeServer(loop, backend, given);
+        backend = new Backend(settings, seed, this);
+        agent = new AgentLink(loop, agentAddress, backend, log);
+        records = new RecordsClient(loop, recordsAddress, backend, log, maxCalls);
+        edge = new EdgeServer(loop, backend, settings);
         loop.after(() -> backend.settle(loop.clock().now()));
         agent.start();
     }
 
+    Backend backend() {
+        return backend;
+    }
+
+    AgentLink agent() {
+        return agent;
+    }
+
+    RecordsClient records() {
+        return records;
+    }
+
+    EdgeServer edge() {
+        return edge;
+    }
+
     @Override
-    public void launch(TrackedRequest work) {
-        agent.launch(work);
+    public void launch(TrackedRequest request) {
+        agent.launch(request);
     }
 
     @Override
-    public void freeze(TrackedRequest work) {
-        agent.freeze(work);
+    public void freeze(TrackedRequest request) {
+        agent.freeze(request);
     }
 
     @Override
-    public void deliver(TrackedRequest work, byte[] reply) {
-        agent.deliver(work, reply);
+    public void deliver(TrackedRequest request, byte[] reply) {
+        agent.deliver(request, reply);
     }
 
     @Override
-    public void forgo(TrackedRequest work) {
-        agent.forgo(work);
+    public void forgo(TrackedRequest request) {
+        agent.forgo(request);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/merlinlever/cli/ConfigCommands.java
@@ -0,0 +1,75 @@
+package merlinlever.cli;
+
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.util.Optional;
+import merlinlever.config.ConfigFile;
+import merlinlever.config.ConfigSchema;
+import merlinlever.config.InvalidConfigFileException;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
+/** The group of commands about configuration files: their schemas, and their validation without starting anything. */
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        description = "The forms of configuration files.",
+        synopsisSubcommandLabel = "COMMAND")
+final class ConfigCommands implements Runnable {
+
+    private static final String SCHEMA_NAMES = "zone-serve, zone-follow, host-run or faults";
+
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public void run() {
+        throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
+    }
+
+    @Command(
+            name = "schema",
+            mixinStandardHelpOptions = true,
+            description = "Print the JSON Schema that a configuration is checked against: " + SCHEMA_NAMES + ".")
+    int schema(@Parameters(paramLabel = "NAME", description = SCHEMA_NAMES) String name) {
+        Optional<ConfigSchema> schema = ConfigSchema.named(name);
+        if (schema.isEmpty()) {
+            return reportUnknown(name);
+        }
+        PrintWriter out = spec.commandLine().getOut();
+        out.print(schema.get().text());
+        out.flush();
+        return 0;
+    }
+
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Check a configuration file against its schema; one line for each fault.")
+    int check(
+            @Parameters(paramLabel = "NAME", description = SCHEMA_NAMES) String name,
+            @Parameters(paramLabel = "FILE", description = "the file") Path file) {
+        Optional<ConfigSchema> schema = ConfigSchema.named(name);
+        if (schema.isEmpty()) {
+            return reportUnknown(name);
+        }
+        try {
+            ConfigFile.read(file, schema.get());
+            spec.commandLine().getOut().println(file + ": good");
+            return 0;
+        } catch (InvalidConfigFileException e) {
+            spec.commandLine().getErr().println(e.getMessage());
+            return 1;
+        }
+    }
+
+    private int reportUnknown(String name) {
+        spec.commandLine()
+                .getErr()
+                .println("merlinlever: no schema " + name + "; there are " + ConfigSchema.allNames());
+        return 2;
+    }
+}
--- a/src/main/java/merlinlever/cli/LibraryLauncher.java
+++ b/src/main/java/merlinlever/cli/LibraryLauncher.java
@@ -12,44 +12,55 @@
 import java.util.stream.Stream;
 
 /**
- * Starts the commands that need libraries with those in the folder {@code lib} beside the program's jar. Named in the
- * manifest instead, each of them would be opened for {@code serve} as well and take a descriptor of its limit.
+ * Runs the commands that need libraries in a class loader that has the libraries of the folder {@code lib} beside the program's jar.
+ * Were they named in the manifest instead, each would be opened for {@code serve} as well and take one of its few file descriptors.
  */
 final class LibraryLauncher {
 
+    private static final String COMMANDS_CLASS = "merlinlever.cli.Commands";
+
     private LibraryLauncher() {}
 
-    static int run(String... args) throws IOException {
-        Path self = Path.of(new File(LibraryLauncher.class
-                        .getProtectionDomain()
-                        .getCodeSource()
-                        .getLocation()
-                        .getPath())
-                .getPath());
-        Path beside = self.resolveSibling("lib");
-        if (!Files.isRegularFile(self) || !Files.isDirectory(beside)) {
-            // Not started from the jar: they are on the class path.
-            return Commands.start(args);
-        }
-        List<URL> jars = new ArrayList<>();
-        jars.add(self.toUri().toURL());
-        try (Stream<Path> found = Files.list(beside)) {
-            for (Path jar : found.filter(path -> path.toString().endsWith(".jar"))
-                    .sorted()
-                    .toList()) {
-                jars.add(jar.toUri().toURL());
-            }
+    /** Runs what the arguments name and returns the exit status. */
+    static int run(String... arguments) throws IOException {
+        Path program = programPath();
+        Path libraries = program.resolveSibling("lib");
+        if (!Files.isRegularFile(program) || !Files.isDirectory(libraries)) {
+            // Not started from the jar: the libraries are on the class path.
+            return Commands.start(arguments);
         }
         ClassLoader loader =
-                new URLClassLoader("merlinlever", jars.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
+                new URLClassLoader("merlinlever", classPath(program, libraries), ClassLoader.getPlatformClassLoader());
         Thread.currentThread().setContextClassLoader(loader);
         try {
-            Class<?> commands = Class.forName("merlinlever.cli.Commands", true, loader);
-            return (int) commands.getDeclaredMethod("start", String[].class).invoke(null, (Object) args);
+            Class<?> commands = Class.forName(COMMANDS_CLASS, true, loader);
+            return (int) commands.getDeclaredMethod("start", String[].class).invoke(null, (Object) arguments);
         } catch (InvocationTargetException e) {
             throw new IllegalStateException(e.getCause());
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
     }
+
+    private static Path programPath() {
+        String path = LibraryLauncher.class
+                .getProtectionDomain()
+                .getCodeSource()
+                .getLocation()
+                .getPath();
+        return Path.of(new File(path).getPath());
+    }
+
+    private static URL[] classPath(Path program, Path libraries) throws IOException {
+        List<URL> urls = new ArrayList<>();
+        urls.add(program.toUri().toURL());
+        try (Stream<Path> files = Files.list(libraries)) {
+            for (Path jar : files.filter(path -> path.toString().endsWith(".jar"))
+                    .sorted()
+                    .toList()) {
+                urls.add(jar.toUri().toURL());
+            }
+        }
+        return urls.toArray(new URL[0]);
+    }
 }
--- a/src/main/java/merlinlever/cli/LoggingSetup.java
+++ b/src/main/java/merlinlever/cli/LoggingSetup.java
@@ -10,34 +10,24 @@
 import ch.qos.logback.core.encoder.Encoder;
 import org.slf4j.LoggerFactory;
 
-/** Sets up the log of the commands that stay: standard output, as text or as one JSON object a line. */
+/** Sets up the log of the long-running commands other than {@code serve}: on standard output, as text or as one JSON object a line. */
 public final class LoggingSetup {
 
-    /** The two forms of a log. */
+    /** The two forms of a log. The constants are the values of the option {@code --log}. */
     public enum LogFormat {
+        /** Time, level and message on a line. */
         text,
+        /** One JSON object on a line. */
         json
     }
 
     private LoggingSetup() {}
 
-    public static void start(LogFormat form) {
+    /** Replaces the logging configuration of the whole process. */
+    public static void start(LogFormat format) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        Encoder<ILoggingEvent> encoder;
-        if (form == LogFormat.json) {
-            JsonEncoder json = new JsonEncoder();
-            json.setWithContext(false);
-            json.setWithSequenceNumber(false);
-            json.setWithThreadName(false);
-            json.setWithNanoseconds(false);
-            json.setWithFormattedMessage(true);
-            encoder = json;
-        } else {
-            PatternLayoutEncoder text = new PatternLayoutEncoder();
-            text.setPattern("%d{yyyy-MM-dd'T'HH:mm:ss.SSS'Z',UTC} %level %msg%replace( %kvp){'^ $',''}%n");
-            encoder = text;
-        }
+        Encoder<ILoggingEvent> encoder = format == LogFormat.json ? jsonEncoder() : textEncoder();
         encoder.setContext(context);
         encoder.start();
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
@@ -48,4 +38,20 @@
         root.setLevel(Level.INFO);
         root.addAppender(console);
     }
+
+    private static JsonEncoder jsonEncoder() {
+        JsonEncoder encoder = new JsonEncoder();
+        encoder.setWithContext(false);
+        encoder.setWithSequenceNumber(false);
+        encoder.setWithThreadName(false);
+        encoder.setWithNanoseconds(false);
+        encoder.setWithFormattedMessage(true);
+        return encoder;
+    }
+
+    private static PatternLayoutEncoder textEncoder() {
+        PatternLayoutEncoder encoder = new PatternLayoutEncoder();
+        encoder.setPattern("%d{yyyy-MM-dd'T'HH:mm:ss.SSS'Z',UTC} %level %msg%replace( %kvp){'^ $',''}%n");
+        return encoder;
+    }
 }
--- a/src/main/java/merlinlever/cli/Main.java
+++ b/src/main/java/merlinlever/cli/Main.java
@@ -3,17 +3,18 @@
 import java.io.IOException;
 import merlinlever.wire.WireHost;
 
-/** Entry point of the program. The two commands that the platform starts often never load what they do not use. */
+/** Entry point of the program. The two commands that the platform starts often, {@code serve} and {@code wirehost}, load no library. */
 public final class Main {
 
     private Main() {}
 
-    public static void main(String[] args) throws IOException {
+    /** Runs the command that the arguments name and ends the process with its exit status. */
+    public static void main(String[] arguments) throws IOException {
         System.exit(
-                switch (args.length == 1 ? args[0] : "") {
+                switch (arguments.length == 1 ? arguments[0] : "") {
                     case "wirehost" -> new WireHost(System.in, System.out, System.err).serve();
                     case "serve" -> ServeCommand.main(System.getenv());
-                    default -> LibraryLauncher.run(args);
+                    default -> LibraryLauncher.run(arguments);
                 });
     }
 }
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import merlinlever.core.Backend;
 import merlinlever.core.SettingsTranslator;
@@ -19,12 +20,14 @@
 import merlinlever.storage.StateDirectories;
 
 /**
- * The return of one backend, where its configuration has {@code recovery}: state on disk, membership with the others.
- * The platform has neither, and there this class is never loaded.
+ * The recovery of one backend after a restart: persisted state on disk and membership with the other backends, and where it is
+ * configured the rest of the fleet ({@link FleetAssembly}). Loaded only where the configuration has {@code recovery}; the users'
+ * platform has neither. Runs on the event loop.
  */
-final class RecoveryAssembly implements RecoveryCoordinator.RecoveringService {
+final class RecoveryAssembly implements RecoveryCoordinator.RecoveringService, RecoveryParticipation {
 
-    private static final List<String> NAMES = List.of(
+    private static final String PREFIX = "recovery.";
+    private static final List<String> KNOWN_NAMES = List.of(
             "state",
             "listen",
             "advertise",
@@ -35,120 +38,149 @@
             "spread-ms",
             "voters",
             "lease");
+    private static final int MIN_SECRET_CHARACTERS = 16;
+    private static final double MIN_PERIOD_MS = 10;
+    private static final double MAX_PERIOD_MS = 600_000;
+    private static final Duration DEFAULT_PERSIST_PERIOD = Duration.ofSeconds(1);
+    private static final double DEFAULT_WINDOW_MS = 10_000;
 
     private final EventLoop loop;
     private final Backend backend;
-    private final RecoveryCoordinator rejoin;
-    /** Null where nothing is decided or shared with the others. */
-    private final FleetAssembly together;
+    private final RecoveryCoordinator coordinator;
+    private final Optional<FleetAssembly> fleet;
 
-    RecoveryAssembly(
-            Map<String, String> rest, EventLoop loop, Backend backend, Map<String, String> given, long seed, Log log)
-            throws ServeCommand.InvalidConfigurationException, IOException {
+    RecoveryAssembly(ServeConfiguration configuration, EventLoop loop, Backend backend, Log log)
+            throws InvalidConfigurationException, IOException {
         this.loop = loop;
         this.backend = backend;
-        for (String name : rest.keySet()) {
-            if (name.startsWith("recovery.") && !NAMES.contains(name.substring(9))) {
-                throw new ServeCommand.InvalidConfigurationException(
-                        "the configuration's " + name + " is not known; recovery has " + String.join(", ", NAMES));
-            }
-        }
-        List<String> seeds = new ArrayList<>();
-        for (String seedAt : rest.getOrDefault("recovery.seeds", "").split(",")) {
-            if (!seedAt.isEmpty() && MembershipTransport.address(seedAt) == null) {
-                throw new ServeCommand.InvalidConfigurationException(
-                        "the configuration's recovery.seeds has '" + seedAt + "', which is no ADDRESS:PORT");
-            } else if (!seedAt.isEmpty()) {
-                seeds.add(seedAt);
-            }
-        }
-        String advertise = rest.get("recovery.advertise");
-        if (advertise != null && MembershipTransport.address(advertise) == null) {
-            throw new ServeCommand.InvalidConfigurationException(
-                    "the configuration's recovery.advertise is no ADDRESS:PORT: " + advertise);
-        }
-        String name = rest.getOrDefault("name", "");
+        ConfigurationValues values = configuration.values();
+        checkNames(values);
+        List<String> seeds = seeds(values);
+        String advertisedAddress = advertisedAddress(values);
+        String name = values.text("name", "");
         if (!name.matches("[!-~]{1,40}")) {
-            throw new ServeCommand.InvalidConfigurationException(
+            throw new InvalidConfigurationException(
                     "with recovery the configuration's name has 1 to 40 printable characters");
         }
-        RecoverySequence.RecoverySettings usual = RecoverySequence.RecoverySettings.usual(window(given));
-        RecoverySequence.RecoverySettings stated = new RecoverySequence.RecoverySettings(
-                span(rest, "patience-ms", usual.patience()),
-                span(rest, "spread-ms", usual.spread()),
-                usual.askAgain(),
-                usual.longestAskAgain(),
-                usual.window(),
-                usual.mostAsked());
-        Duration mark = span(rest, "mark-ms", Duration.ofSeconds(1));
-        Consumer<String> told = line -> log.info("recovery: " + line);
-        rejoin = new RecoveryCoordinator(
+        RecoverySequence.RecoverySettings settings = settings(values, configuration.settings());
+        Duration persistPeriod = period(values, "mark-ms", DEFAULT_PERSIST_PERIOD);
+        Consumer<String> recoveryLog = line -> log.info("recovery: " + line);
+        coordinator = new RecoveryCoordinator(
                 loop,
-                StateDirectories.open(Path.of(rest.get("recovery.state")), System.getenv()),
+                StateDirectories.open(Path.of(values.text(PREFIX + "state", "")), System.getenv()),
                 new RecoveryCoordinator.NodeSettings(
                         name,
-                        ServeCommand.address(rest, "recovery.listen"),
-                        advertise,
-                        rest.getOrDefault("listen", "-"),
+                        values.address(PREFIX + "listen"),
+                        advertisedAddress,
+                        values.text("listen", "-"),
                         seeds,
-                        secret(rest)),
-                stated,
-                mark,
-                seed,
+                        secret(values)),
+                settings,
+                persistPeriod,
+                configuration.seed(),
                 System::currentTimeMillis,
                 this,
-                told);
-        together = rest.keySet().stream().anyMatch(each -> each.startsWith("recovery.voters"))
-                        || rest.containsKey("budgets.0.name")
-                ? new FleetAssembly(rest, loop, rejoin, backend, seed, told)
-                : null;
-    }
-
-    /** In which a repeat of keyed work may come, the longest of all tariffs. */
-    private static Duration window(Map<String, String> given) {
-        double longest = 0;
-        for (int i = 0; given.containsKey("tariffs." + i + ".name"); i++) {
-            if (!"retriable".equals(given.get("tariffs." + i + ".kind"))) {
-                longest = Math.max(longest, SettingsTranslator.number(given, "tariffs." + i + ".window", 10_000));
+                recoveryLog);
+        boolean hasFleet = values.paths().stream().anyMatch(path -> path.startsWith(PREFIX + "voters"))
+                || values.has("budgets.0.name");
+        fleet = hasFleet
+                ? Optional.of(new FleetAssembly(values, loop, coordinator, backend, configuration.seed(), recoveryLog))
+                : Optional.empty();
+    }
+
+    private static void checkNames(ConfigurationValues values) throws InvalidConfigurationException {
+        for (String path : values.paths()) {
+            if (path.startsWith(PREFIX) && !KNOWN_NAMES.contains(path.substring(PREFIX.length()))) {
+                throw new InvalidConfigurationException("the configuration's " + path + " is not known; recovery has "
+                        + String.join(", ", KNOWN_NAMES));
+            }
+        }
+    }
+
+    private static List<String> seeds(ConfigurationValues values) throws InvalidConfigurationException {
+        List<String> seeds = new ArrayList<>();
+        for (String seed : values.text(PREFIX + "seeds", "").split(",")) {
+            if (seed.isEmpty()) {
+                continue;
             }
+            if (MembershipTransport.address(seed) == null) {
+                throw new InvalidConfigurationException(
+                        "the configuration's recovery.seeds has '" + seed + "', which is no ADDRESS:PORT");
+            }
+            seeds.add(seed);
+        }
+        return seeds;
+    }
+
+    private static String advertisedAddress(ConfigurationValues values) throws InvalidConfigurationException {
+        String text = values.text(PREFIX + "advertise", null);
+        if (text != null && MembershipTransport.address(text) == null) {
+            throw new InvalidConfigurationException(
+                    "the configuration's recovery.advertise is no ADDRESS:PORT: " + text);
         }
-        return Duration.ofNanos((long) (longest * 1e6));
+        return text;
     }
 
-    private static Duration span(Map<String, String> rest, String name, Duration usual)
-            throws ServeCommand.InvalidConfigurationException {
-        double ms = ServeCommand.number(rest, "recovery." + name, usual.toMillis());
-        if (!(ms >= 10 && ms <= 600_000)) {
-            throw new ServeCommand.InvalidConfigurationException(
+    private static RecoverySequence.RecoverySettings settings(
+            ConfigurationValues values, Map<String, String> moduleSettings) throws InvalidConfigurationException {
+        RecoverySequence.RecoverySettings defaults =
+                RecoverySequence.RecoverySettings.usual(idempotencyWindow(moduleSettings));
+        return new RecoverySequence.RecoverySettings(
+                period(values, "patience-ms", defaults.patience()),
+                period(values, "spread-ms", defaults.spread()),
+                defaults.askAgain(),
+                defaults.longestAskAgain(),
+                defaults.window(),
+                defaults.mostAsked());
+    }
+
+    /** The time in which a duplicate of a request with an idempotency key may come, the longest of all priority classes. */
+    private static Duration idempotencyWindow(Map<String, String> moduleSettings) {
+        double longestMs = 0;
+        for (int i = 0; moduleSettings.containsKey("tariffs." + i + ".name"); i++) {
+            if (!"retriable".equals(moduleSettings.get("tariffs." + i + ".kind"))) {
+                double windowMs =
+                        SettingsTranslator.number(moduleSettings, "tariffs." + i + ".window", DEFAULT_WINDOW_MS);
+                longestMs = Math.max(longestMs, windowMs);
+            }
+        }
+        return Duration.ofNanos((long) (longestMs * 1e6));
+    }
+
+    private static Duration period(ConfigurationValues values, String name, Duration defaultValue)
+            throws InvalidConfigurationException {
+        double ms = values.number(PREFIX + name, defaultValue.toMillis());
+        if (!(ms >= MIN_PERIOD_MS && ms <= MAX_PERIOD_MS)) {
+            throw new InvalidConfigurationException(
                     "the configuration's recovery." + name + " is to be from 10 to 600000");
         }
         return Duration.ofMillis((long) ms);
     }
 
-    private static String secret(Map<String, String> rest) throws ServeCommand.InvalidConfigurationException {
-        String file = rest.get("recovery.secret-file");
+    private static String secret(ConfigurationValues values) throws InvalidConfigurationException {
+        String file = values.text(PREFIX + "secret-file", null);
         try {
             String secret = file == null ? "" : Files.readString(Path.of(file)).strip();
-            if (secret.length() < 16) {
-                throw new ServeCommand.InvalidConfigurationException(
+            if (secret.length() < MIN_SECRET_CHARACTERS) {
+                throw new InvalidConfigurationException(
                         "the configuration's recovery.secret-file names no file with 16 characters or more");
             }
             return secret;
         } catch (IOException e) {
-            throw new ServeCommand.InvalidConfigurationException(
-                    "the configuration's recovery.secret-file cannot be read: " + file);
+            throw new InvalidConfigurationException(
+                    "the configuration's recovery.secret-file cannot be read: " + file, e);
         }
     }
 
-    /** A time since the process began, by the clock that the module's times count on. */
-    static Duration ofModule(EventLoop loop, Duration sinceBegin) {
-        return loop.clock().now().plus(sinceBegin.minus(loop.clock().uptime()));
+    /** A time since the process started, on the clock from whose start the decision module counts. */
+    static Duration sinceModuleStart(EventLoop loop, Duration sinceProcessStart) {
+        return loop.clock().now().plus(sinceProcessStart.minus(loop.clock().uptime()));
     }
 
     @Override
     public void keyed(Duration from, Duration to) {
-        boolean may = together == null || together.mayKeyed();
-        backend.keyed(ofModule(loop, from), ofModule(loop, may ? to : Duration.ZERO));
+        boolean permitted = fleet.map(FleetAssembly::mayStartKeyedRequests).orElse(true);
+        backend.keyed(sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
     }
 
     @Override
@@ -158,29 +190,33 @@
 
     @Override
     public double capacity() {
-        OverloadController.ControllerMetrics figures = backend.figures();
-        return figures == null || !Double.isFinite(figures.capacity()) ? 0 : figures.capacity();
+        OverloadController.ControllerMetrics metrics = backend.figures();
+        return metrics == null || !Double.isFinite(metrics.capacity()) ? 0 : metrics.capacity();
     }
 
     @Override
     public boolean fullSpeed() {
-        OverloadController.ControllerMetrics figures = backend.figures();
-        return figures != null && figures.speedShare() >= 1;
+        OverloadController.ControllerMetrics metrics = backend.figures();
+        return metrics != null && metrics.speedShare() >= 1;
     }
 
-    /** The configuration was read again: what the others share is taken from it, all else stays as it was at the start. */
-    void reread(Map<String, String> rest) throws ServeCommand.InvalidConfigurationException {
-        if (together != null) {
-            together.reread(rest);
+    @Override
+    public void reload(ConfigurationValues values) throws InvalidConfigurationException {
+        if (fleet.isPresent()) {
+            fleet.get().reload(values);
         }
     }
 
-    String json() {
-        String json = rejoin.json();
-        return together == null ? json : json.substring(0, json.length() - 1) + together.json() + "}";
+    @Override
+    public Optional<String> statusJson() {
+        String json = coordinator.json();
+        return Optional.of(
+                fleet.map(assembly -> json.substring(0, json.length() - 1) + assembly.statusJsonMembers() + "}")
+                        .orElse(json));
     }
 
-    void leave() {
-        rejoin.leave();
+    @Override
+    public void startShutdown() {
+        coordinator.leave();
     }
 }
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -15,133 +15,132 @@
 import merlinlever.core.SettingsTranslator;
 import merlinlever.core.SettingsValidator;
 import merlinlever.json.Json;
+import merlinlever.json.Json.MalformedJsonException;
 
 /**
- * One reading of the file that a backend is told by, checked as a whole: at the start and at each SIGHUP it is either of
- * use in all its parts or of none.
+ * The configuration of one backend as it was read once, at the start or on SIGHUP, and found valid as a whole.
  *
- * @param rest all of it, by path
- * @param given the settings, by our names
- * @param records null where there is none
- * @param stopAfter the notice to leave
- * @param remarks what is not known, or missing and assumed, one line each
+ * @param values everything in the file, by path
+ * @param settings the settings of the decision module, under the names of this project
+ * @param agentAddress of the render farm agent
+ * @param recordsAddress of the records service; null where the backend has none
+ * @param directoryAddress of the service directory, which receives the heartbeats
+ * @param stopAfter from SIGTERM to the end of the process
+ * @param maxDescriptors file descriptors that the process may hold
+ * @param seed of all random numbers
+ * @param name of the backend, empty where none is given
+ * @param warnings about unknown values and missing ones with their defaults, one log line each
  */
 record ServeConfiguration(
-        Map<String, String> rest,
-        Map<String, String> given,
-        InetSocketAddress agent,
-        InetSocketAddress records,
-        InetSocketAddress lookup,
+        ConfigurationValues values,
+        Map<String, String> settings,
+        InetSocketAddress agentAddress,
+        InetSocketAddress recordsAddress,
+        InetSocketAddress directoryAddress,
         Duration stopAfter,
-        int sockets,
+        int maxDescriptors,
         long seed,
         String name,
-        List<String> remarks) {
+        List<String> warnings) {
 
-    /** Longer is no configuration: it is read by the one thread that serves. */
-    private static final int LONGEST = 1 << 20;
+    /** A longer file is rejected, as the one thread that serves requests reads it. */
+    private static final int MAX_FILE_BYTES = 1 << 20;
 
-    private static final double USUAL_STOP_MS = 3000;
-    private static final double LONGEST_STOP_MS = 86_400_000;
-    private static final int USUAL_SOCKETS = 1024;
-    /** Under it there is no room for the links, a few calls and a few edge nodes, beside the runtime's own files. */
-    static final int LEAST_SOCKETS = 32;
+    private static final double DEFAULT_STOP_MS = 3000;
+    private static final double MAX_STOP_MS = 86_400_000;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final double MAX_DESCRIPTORS = 1e9;
+    /** Fewer leave no room for the links, a few calls and a few edge connections beside the runtime's own files. */
+    static final int MIN_DESCRIPTORS = 32;
 
-    /** Reads the file that the environment names. */
-    static ServeConfiguration read(Map<String, String> environment) throws ServeCommand.InvalidConfigurationException {
+    /**
+     * Reads the file that the environment variable {@code GW_CONFIG} names.
+     *
+     * @throws InvalidConfigurationException if the file cannot be read or any value in it is unusable
+     */
+    static ServeConfiguration read(Map<String, String> environment) throws InvalidConfigurationException {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
-            throw new ServeCommand.InvalidConfigurationException("GW_CONFIG names no configuration");
+            throw new InvalidConfigurationException("GW_CONFIG names no configuration");
         }
         try (InputStream in = Files.newInputStream(Path.of(file))) {
-            byte[] bytes = in.readNBytes(LONGEST + 1);
-            if (bytes.length > LONGEST) {
-                throw new ServeCommand.InvalidConfigurationException("is longer than " + LONGEST + " bytes");
+            byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
+            if (bytes.length > MAX_FILE_BYTES) {
+                throw new InvalidConfigurationException("is longer than " + MAX_FILE_BYTES + " bytes");
             }
-            return of(
-                    Json.object(StandardCharsets.UTF_8
-                            .newDecoder()
-                            .decode(ByteBuffer.wrap(bytes))
-                            .toString()),
-                    environment);
+            String text = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(bytes))
+                    .toString();
+            return of(Json.object(text), environment);
         } catch (CharacterCodingException e) {
-            throw new ServeCommand.InvalidConfigurationException("is not UTF-8");
+            throw new InvalidConfigurationException("is not UTF-8", e);
         } catch (IOException e) {
-            throw new ServeCommand.InvalidConfigurationException(
-                    "cannot be read: " + e.getClass().getSimpleName());
-        } catch (Json.MalformedJsonException e) {
-            throw new ServeCommand.InvalidConfigurationException("is no JSON object: " + e.getMessage());
+            throw new InvalidConfigurationException(
+                    "cannot be read: " + e.getClass().getSimpleName(), e);
+        } catch (MalformedJsonException e) {
+            throw new InvalidConfigurationException("is no JSON object: " + e.getMessage(), e);
         }
     }
 
-    private static ServeConfiguration of(Map<?, ?> configuration, Map<String, String> environment)
-            throws ServeCommand.InvalidConfigurationException {
-        Map<String, String> rest = Json.flat(configuration);
-        Map<String, String> stated = configuration.get("settings") instanceof Map<?, ?> map ? Json.flat(map) : Map.of();
-        ServeCommand.address(rest, "listen");
-        SettingsValidator check = new SettingsValidator(stated);
-        InetSocketAddress records = rest.containsKey("records") ? party(rest, "records") : null;
-        InetSocketAddress agent = party(rest, "agent");
-        InetSocketAddress lookup = party(rest, "lookup");
-        if (!check.problems().isEmpty()) {
-            throw new ServeCommand.InvalidConfigurationException(
-                    check.problems().get(0));
-        }
-        double stopMs = ranged(rest, "stop_ms", USUAL_STOP_MS, 0, LONGEST_STOP_MS);
-        int sockets = (int) ranged(rest, "limits.sockets", USUAL_SOCKETS, LEAST_SOCKETS, 1e9);
-        String name = rest.getOrDefault("name", environment.getOrDefault("GW_NAME", ""));
-        List<String> missing = new ArrayList<>(check.missing());
-        String seed = rest.get("seed");
-        boolean hex = seed != null && seed.matches("[0-9a-fA-F]{1,16}");
-        assumed(missing, rest.containsKey("stop_ms"), "stop_ms (" + (long) USUAL_STOP_MS + ")");
-        assumed(missing, rest.containsKey("limits.sockets"), "limits.sockets (" + USUAL_SOCKETS + ")");
-        assumed(missing, hex, "a seed of 1 to 16 hex digits (one made of the name)");
-        assumed(missing, !name.isEmpty(), "name (reports name nobody)");
-        List<String> remarks = new ArrayList<>();
-        List<String> unknown = SettingsTranslator.unknown(stated);
-        if (!unknown.isEmpty()) {
-            remarks.add("settings that are not known: " + String.join(" ", unknown));
-        }
-        if (!missing.isEmpty()) {
-            remarks.add("missing, and assumed: " + String.join(", ", missing));
+    private static ServeConfiguration of(Map<?, ?> json, Map<String, String> environment)
+            throws InvalidConfigurationException {
+        ConfigurationValues values = new ConfigurationValues(Json.flat(json));
+        Map<String, String> givenSettings = json.get("settings") instanceof Map<?, ?> map ? Json.flat(map) : Map.of();
+        values.address("listen");
+        InetSocketAddress recordsAddress = values.has("records") ? values.peerAddress("records") : null;
+        InetSocketAddress agentAddress = values.peerAddress("agent");
+        InetSocketAddress directoryAddress = values.peerAddress("lookup");
+        SettingsValidator validator = new SettingsValidator(givenSettings);
+        if (!validator.problems().isEmpty()) {
+            throw new InvalidConfigurationException(validator.problems().get(0));
         }
+        double stopMs = values.numberBetween("stop_ms", DEFAULT_STOP_MS, 0, MAX_STOP_MS);
+        double descriptors =
+                values.numberBetween("limits.sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS, MAX_DESCRIPTORS);
+        String name = values.text("name", environment.getOrDefault("GW_NAME", ""));
+        String seed = values.text("seed", "");
+        boolean hasSeed = seed.matches("[0-9a-fA-F]{1,16}");
         return new ServeConfiguration(
-                rest,
-                SettingsTranslator.translate(stated),
-                agent,
-                records,
-                lookup,
+                values,
+                SettingsTranslator.translate(givenSettings),
+                agentAddress,
+                recordsAddress,
+                directoryAddress,
                 Duration.ofMillis((long) stopMs),
-                sockets,
-                hex ? Long.parseUnsignedLong(seed, 16) : name.hashCode(),
+                (int) descriptors,
+                hasSeed ? Long.parseUnsignedLong(seed, 16) : name.hashCode(),
                 name,
-                remarks);
+                warnings(values, givenSettings, validator.missing(), hasSeed, name));
     }
 
-    private static void assumed(List<String> missing, boolean there, String what) {
-        if (!there) {
-            missing.add(what);
+    private static List<String> warnings(
+            ConfigurationValues values,
+            Map<String, String> givenSettings,
+            List<String> missingSettings,
+            boolean hasSeed,
+            String name) {
+        List<String> defaulted = new ArrayList<>(missingSettings);
+        if (!values.has("stop_ms")) {
+            defaulted.add("stop_ms (" + (long) DEFAULT_STOP_MS + ")");
         }
-    }
-
-    /** The address of a party, which is one that can be connected to. */
-    private static InetSocketAddress party(Map<String, String> rest, String name)
-            throws ServeCommand.InvalidConfigurationException {
-        InetSocketAddress address = ServeCommand.address(rest, name);
-        if (address.getPort() == 0) {
-            throw new ServeCommand.InvalidConfigurationException(
-                    "the configuration's " + name + " has port 0; allowed: 1 to 65535");
+        if (!values.has("limits.sockets")) {
+            defaulted.add("limits.sockets (" + DEFAULT_DESCRIPTORS + ")");
         }
-        return address;
-    }
-
-    private static double ranged(Map<String, String> rest, String name, double absent, double least, double most)
-            throws ServeCommand.InvalidConfigurationException {
-        double number = ServeCommand.number(rest, name, absent);
-        if (!(number >= least && number <= most)) {
-            throw new ServeCommand.InvalidConfigurationException("the configuration's " + name + " is " + rest.get(name)
-                    + "; allowed: a number from " + (long) least + " to " + (long) most);
+        if (!hasSeed) {
+            defaulted.add("a seed of 1 to 16 hex digits (one made of the name)");
+        }
+        if (name.isEmpty()) {
+            defaulted.add("name (reports name nobody)");
+        }
+        List<String> warnings = new ArrayList<>();
+        List<String> unknown = SettingsTranslator.unknown(givenSettings);
+        if (!unknown.isEmpty()) {
+            warnings.add("unknown-settings-ignored settings=" + String.join(" ", unknown));
+        }
+        if (!defaulted.isEmpty()) {
+            warnings.add("missing-settings-defaulted settings=" + String.join(", ", defaulted));
         }
-        return number;
+        return warnings;
     }
 }
--- /dev/null
+++ b/src/main/java/merlinlever/cli/ServiceCommand.java
@@ -0,0 +1,49 @@
+package merlinlever.cli;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import merlinlever.config.ConfigFile;
+import merlinlever.config.ConfigSchema;
+import merlinlever.config.InvalidConfigFileException;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
+
+/** A command that reads a configuration file and runs until SIGTERM. Its exit status is 1 where it cannot start. */
+public abstract class ServiceCommand implements Callable<Integer> {
+
+    @Spec
+    private CommandSpec spec;
+
+    @Option(
+            names = "--config",
+            required = true,
+            paramLabel = "FILE",
+            description = "YAML; 'config schema ${PARENT-COMMAND-NAME}-${COMMAND-NAME}' prints its form")
+    private Path file;
+
+    @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
+    private LoggingSetup.LogFormat logFormat = LoggingSetup.LogFormat.text;
+
+    /** What the configuration file is validated against. */
+    protected abstract ConfigSchema schema();
+
+    /**
+     * Runs the service until it is told to stop.
+     *
+     * @throws InvalidConfigFileException if it cannot start with the configuration
+     */
+    protected abstract void run(ConfigFile config) throws InvalidConfigFileException;
+
+    @Override
+    public final Integer call() {
+        LoggingSetup.start(logFormat);
+        try {
+            run(ConfigFile.read(file, schema()));
+            return 0;
+        } catch (InvalidConfigFileException e) {
+            spec.commandLine().getErr().println(e.getMessage());
+            return 1;
+        }
+    }
+}
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import merlinlever.agent.LineDecoder;
 import merlinlever.json.Json;
+import merlinlever.json.Json.MalformedJsonException;
 import merlinlever.log.Log;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
@@ -17,53 +18,55 @@
 import merlinlever.net.MonotonicClock;
 
 /**
- * Takes the program's own code through some operations before the first real one, on connections in memory and with
- * everything of its own, so that the runtime has read and compiled it: on part of a core the first seconds of cold code
- * cost a good part of the operations that came in them.
+ * Serves synthetic requests before the first real one, with a backend, an event loop and stub peers of its own and connections in
+ * memory, so that the runtime has loaded and compiled the code that serves: on part of a core the first seconds of cold code would
+ * fail many of the requests that arrive in them. The backend that is served later shares no state with it.
  */
 final class WarmUp {
 
-    private static final Duration LONGEST = Duration.ofMillis(2500);
-    /** From the beginning of the program; with what the first answers take it is to be ready in twice that. */
-    private static final Duration THROUGH = Duration.ofSeconds(5);
-    /** What the runtime takes before the program begins, in parts of what the program takes up to here: a little under one. */
-    private static final int RUNTIME = 1;
-
-    private static final int OPERATIONS = 1500;
-    private static final int CALLERS = 6;
+    private static final Duration MAX_TIME = Duration.ofMillis(2500);
+    /** From the start of the runtime; with what the first responses take the program is ready in twice that. */
+    private static final Duration READY_AFTER = Duration.ofSeconds(5);
+    /** How much longer than the program up to here its runtime took before it, at the most: a little under once. */
+    private static final int RUNTIME_TO_PROGRAM_RATIO = 1;
+
+    private static final int MAX_REQUESTS = 1500;
+    private static final int CLIENTS = 6;
+    private static final int MAX_CALLS = 64;
+    private static final Duration FIRST_REQUEST_DELAY = Duration.ofMillis(5);
+    private static final int BUFFER_BYTES = 8 * 1024;
     private static final InetSocketAddress AGENT = new InetSocketAddress(1);
     private static final InetSocketAddress RECORDS = new InetSocketAddress(2);
-    private static final int BUFFER = 8 * 1024;
 
-    private final Map<String, String> given;
+    private final Map<String, String> settings;
     private final EventLoop loop;
-    private int asked;
+    private int requests;
 
-    /** What all stand-ins are: they say things on their connection, and what happens to it does not matter to them. */
+    /** The other end of a connection in memory, which does not mind how the connection ends. */
     private abstract static class StubPeer implements Connection.InMemoryPeer {
         private Connection connection;
 
         @Override
-        public void on(Connection mine) {
-            connection = mine;
+        public void on(Connection connected) {
+            connection = connected;
         }
 
-        void say(String text) {
+        void send(String text) {
             connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
         }
 
         @Override
-        public void ended(CloseReason how) {}
+        public void ended(CloseReason reason) {}
     }
 
-    /** Runs each operation at once, with a call in it where there is someone to call. */
+    /** Runs each request at once, with one downstream call where there is a records service. */
     private static final class StubAgent extends StubPeer {
-        private final LineDecoder lines = new LineDecoder(BUFFER * 8);
-        private final boolean calls;
+        private final LineDecoder lines = new LineDecoder(BUFFER_BYTES * 8);
+        private final boolean makesCalls;
         private int offset;
 
-        StubAgent(boolean calls) {
-            this.calls = calls;
+        StubAgent(boolean makesCalls) {
+            this.makesCalls = makesCalls;
         }
 
         @Override
@@ -72,30 +75,31 @@
         }
 
         private void command(String line) {
+            Map<?, ?> command;
             try {
-                Map<?, ?> command = Json.object(line);
-                String request = "\",\"offset\":" + (offset + 1) + ",\"req\":\"" + command.get("req")
-                        + "\",\"payload\":\"AQID\"";
-                switch (String.valueOf(command.get("cmd"))) {
-                    case "subscribe" -> say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":1.5}\n");
-                    case "sample" -> say("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token")
-                            + "\",\"load\":[0.1,0,0.1,9]}\n");
-                    case "launch" -> numbered(calls ? "{\"cmd\":\"request" + request : done(request));
-                    case "deliver" -> numbered(done(request));
-                    default -> {}
-                }
-            } catch (Json.MalformedJsonException e) {
-                throw new IllegalStateException(e);
+                command = Json.object(line);
+            } catch (MalformedJsonException e) {
+                throw new IllegalStateException("the backend sent a malformed command", e);
+            }
+            String request =
+                    "\",\"offset\":" + (offset + 1) + ",\"req\":\"" + command.get("req") + "\",\"payload\":\"AQID\"";
+            switch (String.valueOf(command.get("cmd"))) {
+                case "subscribe" -> send("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":1.5}\n");
+                case "sample" -> send(
+                        "{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":[0.1,0,0.1,9]}\n");
+                case "launch" -> sendEvent(makesCalls ? "{\"cmd\":\"request" + request : outcome(request));
+                case "deliver" -> sendEvent(outcome(request));
+                default -> {}
             }
         }
 
-        private static String done(String request) {
+        private static String outcome(String request) {
             return "{\"cmd\":\"outcome" + request + ",\"result\":\"OK\",\"elapsed_ms\":1.25";
         }
 
-        private void numbered(String notice) {
+        private void sendEvent(String event) {
             offset++;
-            say(notice + "}\n");
+            send(event + "}\n");
         }
     }
 
@@ -104,79 +108,87 @@
         @Override
         public void read(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
-            int end = text.indexOf("\r\n");
-            int length = end < 0 ? 0 : Integer.parseInt(text.substring(text.lastIndexOf(' ', end) + 1, end));
-            if (end >= 0 && text.length() >= end + 4 + length) {
+            int headEnd = text.indexOf("\r\n");
+            if (headEnd < 0) {
+                return;
+            }
+            int bodyLength = Integer.parseInt(text.substring(text.lastIndexOf(' ', headEnd) + 1, headEnd));
+            if (text.length() >= headEnd + 4 + bodyLength) {
                 in.position(in.limit());
-                say(text.substring(3, 19) + " DONE 3\r\nabc\r\n");
+                String requestId = text.substring(3, 19);
+                send(requestId + " DONE 3\r\nabc\r\n");
             }
         }
     }
 
-    /** Asks for one operation after the other. */
+    /** Sends one request after the other, through the priority classes in turn. */
     private final class StubEdgeClient extends StubPeer {
         @Override
         public void read(ByteBuffer in) {
-            // Answers come whole; the next message may follow each.
+            // Responses arrive whole, and a client has one request in flight.
             in.position(in.limit());
-            ask();
+            sendRequest();
         }
 
-        void ask() {
-            if (asked++ >= OPERATIONS) {
+        void sendRequest() {
+            if (requests++ >= MAX_REQUESTS) {
                 loop.stop();
                 return;
             }
-            int tariffs = 0;
-            while (given.containsKey("tariffs." + tariffs + ".name")) {
-                tariffs++;
+            int classes = 0;
+            while (settings.containsKey("tariffs." + classes + ".name")) {
+                classes++;
             }
-            String at = "tariffs." + asked % tariffs + ".";
-            String token = given.getOrDefault(at + "kind", "").equals("fingerprinted")
-                    ? "Req-Token: " + String.format("%032x", asked) + "\r\n"
-                    : "";
-            say("POST /svc/" + given.get(at + "name") + " HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
-                    + String.format("%016x", asked) + "\r\nReq-Time: " + System.currentTimeMillis()
+            String prefix = "tariffs." + requests % classes + ".";
+            boolean isKeyed = settings.getOrDefault(prefix + "kind", "").equals("fingerprinted");
+            String idempotencyKey = isKeyed ? "Req-Token: " + String.format("%032x", requests) + "\r\n" : "";
+            send("POST /svc/" + settings.get(prefix + "name") + " HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
+                    + String.format("%016x", requests) + "\r\nReq-Time: " + System.currentTimeMillis()
                     + "\r\nReq-From: 1\r\nReq-Wait-Ms: 5000\r\nReq-Cost: 1.25\r\nReq-Kb: 1.5\r\nReq-Rank: 0.5000\r\n"
-                    + token
+                    + idempotencyKey
                     + "Content-Length: 3\r\n\r\nabc");
         }
     }
 
-    private WarmUp(Map<String, String> given, boolean calls) {
-        this.given = given;
+    private WarmUp(Map<String, String> settings, boolean hasRecordsService) {
+        this.settings = settings;
         loop = new EventLoop(
                 MonotonicClock.system(),
                 failure -> {},
-                address -> address.equals(AGENT) ? new StubAgent(calls) : new StubRecordsService());
-        Log unheard = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
-        BackendAssembly assembly = new BackendAssembly(loop, given, 1, AGENT, RECORDS, 64, unheard);
-        for (int i = 0; i < CALLERS; i++) {
-            StubEdgeClient caller = new StubEdgeClient();
-            assembly.edge.take(user -> Connection.pair(loop, user, caller, BUFFER, 8 * BUFFER));
-            loop.in(Duration.ofMillis(5), caller::ask);
+                address -> address.equals(AGENT) ? new StubAgent(hasRecordsService) : new StubRecordsService());
+        Log discarded = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
+        BackendAssembly assembly = new BackendAssembly(loop, settings, 1, AGENT, RECORDS, MAX_CALLS, discarded);
+        for (int i = 0; i < CLIENTS; i++) {
+            StubEdgeClient client = new StubEdgeClient();
+            assembly.edge().take(server -> Connection.pair(loop, server, client, BUFFER_BYTES, 8 * BUFFER_BYTES));
+            loop.in(FIRST_REQUEST_DELAY, client::sendRequest);
         }
     }
 
     /**
-     * For how long it may rehearse, given what the program took up to here: that is so much work on any machine, and where
-     * processor is short it took long. The rehearsal gives way then, and the program is ready in time.
+     * How long the warm-up may take. What the program did up to here is the same work on any machine, so where it took long the
+     * processor is slow, and the warm-up is shortened or left out for the program to be ready in time.
+     *
+     * @param timeSoFar since the program started
      */
-    static Duration longest(Duration took) {
-        Duration left = THROUGH.minus(took.multipliedBy(1 + RUNTIME));
-        return left.isNegative() ? Duration.ZERO : left.compareTo(LONGEST) < 0 ? left : LONGEST;
+    static Duration timeLimit(Duration timeSoFar) {
+        Duration left = READY_AFTER.minus(timeSoFar.multipliedBy(1 + RUNTIME_TO_PROGRAM_RATIO));
+        if (left.isNegative()) {
+            return Duration.ZERO;
+        }
+        return left.compareTo(MAX_TIME) < 0 ? left : MAX_TIME;
     }
 
-    /** Returns how many operations it came to. */
-    static int run(Map<String, String> given, boolean calls, Duration longest) {
-        if (longest.isZero()) {
+    /** Serves synthetic requests until the limit of time or of their number, and returns how many were sent. */
+    static int run(Map<String, String> settings, boolean hasRecordsService, Duration timeLimit) {
+        if (timeLimit.isZero()) {
             return 0;
         }
-        long began = System.nanoTime();
-        WarmUp rehearsal = new WarmUp(given, calls);
-        // Putting it together loads most of the classes: where processor is short that alone takes a second or more.
-        rehearsal.loop.in(longest.minusNanos(System.nanoTime() - began), rehearsal.loop::stop);
-        rehearsal.loop.run();
-        return Math.min(rehearsal.asked, OPERATIONS);
+        long startNanos = System.nanoTime();
+        WarmUp warmUp = new WarmUp(settings, hasRecordsService);
+        // The construction loads most of the classes: on a slow processor that alone takes a second or more.
+        warmUp.loop.in(timeLimit.minusNanos(System.nanoTime() - startNanos), warmUp.loop::stop);
+        warmUp.loop.run();
+        return Math.min(warmUp.requests, MAX_REQUESTS);
     }
 }
--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -2,11 +2,17 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
+import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.ConfigSchema;
+import merlinlever.config.InvalidConfigFileException;
 import merlinlever.faults.AgentFleet;
 import merlinlever.faults.FaultHarness;
 import merlinlever.faults.PowerLoss;
@@ -21,7 +27,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The fault harness on the command line: for tests and trials on one machine, never part of a deployment. */
+/** The group of commands of the fault harness: for tests and trials on one machine, never part of a deployment. */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
@@ -30,6 +36,15 @@
                 "Play faults on real processes of this program on loopback and audit them from outside; make the states of a power loss.")
 public final class FaultsCommands implements Runnable {
 
+    private static final String SEED = "[0-9a-fA-F]{1,16}";
+    private static final int HEX = 16;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+    private static final int MIN_PROCESSES = 2;
+    private static final int MAX_PROCESSES = 60;
+    private static final int MAX_LOSSES = 100_000;
+    private static final int POWER_REQUESTS_PER_SECOND = 12;
+    private static final Duration POWER_WINDOW = Duration.ofSeconds(4);
+
     @Spec
     private CommandSpec spec;
 
@@ -38,6 +53,22 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
+    private PrintWriter out() {
+        return spec.commandLine().getOut();
+    }
+
+    private PrintWriter err() {
+        return spec.commandLine().getErr();
+    }
+
+    private Consumer<String> progress() {
+        PrintWriter out = out();
+        return line -> {
+            out.println(line);
+            out.flush();
+        };
+    }
+
     @Command(
             name = "play",
             mixinStandardHelpOptions = true,
@@ -55,40 +86,39 @@
                     Path folder,
             @Option(names = "--seed", paramLabel = "HEX", description = "in place of the script's") String seed)
             throws IOException, InterruptedException {
-        PrintWriter out = spec.commandLine().getOut();
-        PrintWriter err = spec.commandLine().getErr();
         FaultScript.FaultPlan plan;
         try {
-            plan = FaultScript.read(ConfigFile.read(script, "faults"));
-        } catch (ConfigFile.InvalidConfigFileException e) {
-            err.println(e.getMessage());
+            plan = FaultScript.read(ConfigFile.read(script, ConfigSchema.FAULTS));
+        } catch (InvalidConfigFileException e) {
+            err().println(e.getMessage());
             return 2;
         }
-        if (seed != null) {
-            if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-                err.println("merlinlever: --seed takes 1 to 16 hex digits, not " + seed);
-                return 2;
-            }
-            plan = new FaultScript.FaultPlan(
-                    plan.processes(), Long.parseUnsignedLong(seed, 16), plan.length(), plan.settle(), plan.steps());
+        if (seed != null && !seed.matches(SEED)) {
+            err().println("merlinlever: --seed takes 1 to 16 hex digits, not " + seed);
+            return 2;
         }
         if (Files.exists(folder) && !Files.isDirectory(folder)) {
-            err.println("merlinlever: --folder " + folder + " is not a folder");
+            err().println("merlinlever: --folder " + folder + " is not a folder");
             return 2;
         }
+        return play(seed == null ? plan : withSeed(plan, Long.parseUnsignedLong(seed, HEX)), folder);
+    }
+
+    private static FaultScript.FaultPlan withSeed(FaultScript.FaultPlan plan, long seed) {
+        return new FaultScript.FaultPlan(plan.processes(), seed, plan.length(), plan.settle(), plan.steps());
+    }
+
+    private int play(FaultScript.FaultPlan plan, Path folder) throws IOException, InterruptedException {
+        Consumer<String> progress = progress();
         try (AgentFleet fleet =
                 new AgentFleet(folder.toAbsolutePath(), plan.processes(), AgentFleet.sameJava(), plan.seed())) {
-            FaultHarness harness = new FaultHarness(fleet, plan.seed(), line -> {
-                out.println(line);
-                out.flush();
-            });
-            harness.startAll(Duration.ofSeconds(60));
-            out.println(plan.processes() + " agents answer; playing "
+            FaultHarness harness = new FaultHarness(fleet, plan.seed(), progress);
+            harness.startAll(START_TIMEOUT);
+            progress.accept(plan.processes() + " agents answer; playing "
                     + plan.steps().size() + " steps over " + plan.length().toMillis() + " ms");
-            out.flush();
-            FaultHarness.HarnessResult verdict = harness.play(plan);
-            out.println(verdict.told());
-            return verdict.passed() ? 0 : 1;
+            FaultHarness.HarnessResult result = harness.play(plan);
+            out().println(result.told());
+            return result.passed() ? 0 : 1;
         }
     }
 
@@ -124,46 +154,50 @@
                             defaultValue = "1")
                     String seed,
             @Option(names = "--without", description = "the backends keep nothing for their return, as a comparison")
-                    boolean without)
+                    boolean withoutRecovery)
             throws IOException, InterruptedException {
-        PrintWriter out = spec.commandLine().getOut();
-        PrintWriter err = spec.commandLine().getErr();
-        if (processes < 2 || processes > 60 || losses < 1 || losses > 100_000 || !seed.matches("[0-9a-fA-F]{1,16}")) {
-            err.println(
-                    "merlinlever: --processes is from 2 to 60, --losses from 1 to 100000, --seed 1 to 16 hex digits");
+        if (processes < MIN_PROCESSES
+                || processes > MAX_PROCESSES
+                || losses < 1
+                || losses > MAX_LOSSES
+                || !seed.matches(SEED)) {
+            err().println(
+                            "merlinlever: --processes is from 2 to 60, --losses from 1 to 100000, --seed 1 to 16 hex digits");
             return 2;
         }
-        long first = Long.parseUnsignedLong(seed, 16);
-        int failed = 0;
+        long firstSeed = Long.parseUnsignedLong(seed, HEX);
         try (ServeFleet fleet = new ServeFleet(
                 folder.toAbsolutePath(),
-                new ServeFleet.ServeFleetSettings(processes, !without, 12, Duration.ofSeconds(4)),
+                new ServeFleet.ServeFleetSettings(processes, !withoutRecovery, POWER_REQUESTS_PER_SECOND, POWER_WINDOW),
                 AgentFleet.sameJava(),
-                first)) {
-            PowerLoss power = new PowerLoss(fleet, Duration.ofSeconds(60), line -> {
-                out.println(line);
-                out.flush();
-            });
-            power.begin();
+                firstSeed)) {
+            PowerLoss powerLoss = new PowerLoss(fleet, START_TIMEOUT, progress());
+            powerLoss.begin();
+            int failedLosses = 0;
             PowerLoss.PowerLossKind[] kinds = PowerLoss.PowerLossKind.values();
             for (int i = 0; i < losses; i++) {
-                PowerLoss.PowerLossOutcome outcome =
-                        power.play(kinds[(int) Long.remainderUnsigned(first + i, kinds.length)], first + i);
-                failed += outcome.breaches().isEmpty() ? 0 : 1;
+                long lossSeed = firstSeed + i;
+                int kind = (int) Long.remainderUnsigned(lossSeed, kinds.length);
+                PowerLoss.PowerLossOutcome outcome = powerLoss.play(kinds[kind], lossSeed);
+                failedLosses += outcome.breaches().isEmpty() ? 0 : 1;
             }
-            java.util.List<String> breaches = new java.util.ArrayList<>(power.end());
-            breaches.addAll(power.incarnations());
-            breaches.forEach(breach -> out.println("breach: " + breach));
-            long[] counts = fleet.rules().counts();
-            out.println((failed == 0 && breaches.isEmpty() ? "passed" : "FAILED") + ": " + losses + " losses, " + failed
-                    + " failed; tries "
-                    + counts[0] + " satisfied, " + counts[1] + " pushed back, " + counts[2] + " failed, " + counts[3]
-                    + " without an answer; "
-                    + counts[4] + " operations with an effect, " + fleet.rules().breached() + " breaches");
-            return failed == 0 && breaches.isEmpty() ? 0 : 1;
+            List<String> breaches = new ArrayList<>(powerLoss.end());
+            breaches.addAll(powerLoss.incarnations());
+            breaches.forEach(breach -> out().println("breach: " + breach));
+            boolean isPassed = failedLosses == 0 && breaches.isEmpty();
+            out().println(powerSummary(isPassed, losses, failedLosses, fleet));
+            return isPassed ? 0 : 1;
         }
     }
 
+    private static String powerSummary(boolean isPassed, int losses, int failedLosses, ServeFleet fleet) {
+        long[] counts = fleet.rules().counts();
+        return (isPassed ? "passed" : "FAILED") + ": " + losses + " losses, " + failedLosses + " failed; tries "
+                + counts[0] + " satisfied, " + counts[1] + " pushed back, " + counts[2] + " failed, " + counts[3]
+                + " without an answer; " + counts[4] + " operations with an effect, "
+                + fleet.rules().breached() + " breaches";
+    }
+
     @Command(
             name = "states",
             mixinStandardHelpOptions = true,
@@ -171,43 +205,53 @@
                     "Tell the states that a power loss may leave of a folder, from the record of its seam (MERLINLEVER_DISK_RECORD); "
                             + "with --out, lay each in a folder of its own.")
     int states(
-            @Parameters(paramLabel = "RECORD", description = "a .ops file") Path record,
+            @Parameters(paramLabel = "RECORD", description = "a .ops file") Path recording,
             @Option(
                             names = "--out",
                             paramLabel = "FOLDER",
                             description = "where each state is laid, as 00000, 00001, ...")
-                    Path into)
+                    Path restoreInto)
             throws IOException {
-        PrintWriter out = spec.commandLine().getOut();
-        CrashStates states;
+        if (!Files.isRegularFile(recording)) {
+            err().println(recording + ": no such file");
+            return 2;
+        }
         try {
-            if (!Files.isRegularFile(record)) {
-                spec.commandLine().getErr().println(record + ": no such file");
-                return 2;
-            }
-            states = CrashStates.of(Files.readString(record, StandardCharsets.US_ASCII));
-            int[] n = {0};
-            IOException[] failed = {null};
-            int told = states.each(state -> {
-                out.println(String.format("%05d", n[0]) + " after " + state.cut() + " of " + states.operations() + ": "
-                        + state.how() + ", " + state.files().size() + " files");
-                if (into != null && failed[0] == null) {
-                    try {
-                        StateRestorer.into(into.resolve(String.format("%05d", n[0])), state);
-                    } catch (IOException e) {
-                        failed[0] = e;
-                    }
-                }
-                n[0]++;
-            });
-            if (failed[0] != null) {
-                throw failed[0];
-            }
-            out.println(told + " states of " + states.operations() + " operations");
+            CrashStates states = CrashStates.of(Files.readString(recording, StandardCharsets.US_ASCII));
+            CrashStatePrinter printer = new CrashStatePrinter(states.operations(), restoreInto);
+            int count = states.each(printer::print);
+            out().println(count + " states of " + states.operations() + " operations");
             return 0;
+        } catch (UncheckedIOException e) {
+            throw e.getCause();
         } catch (CrashStates.MalformedRecordingException e) {
-            spec.commandLine().getErr().println(record + ": " + e.getMessage());
+            err().println(recording + ": " + e.getMessage());
             return 2;
         }
     }
+
+    /** Prints a line for each state and restores it into a folder of its own where there is one for them. */
+    private final class CrashStatePrinter {
+        private final int operations;
+        private final Path restoreInto;
+        private int number;
+
+        CrashStatePrinter(int operations, Path restoreInto) {
+            this.operations = operations;
+            this.restoreInto = restoreInto;
+        }
+
+        void print(CrashStates.CrashState state) {
+            String name = String.format("%05d", number++);
+            out().println(name + " after " + state.cut() + " of " + operations + ": " + state.how() + ", "
+                    + state.files().size() + " files");
+            if (restoreInto != null) {
+                try {
+                    StateRestorer.into(restoreInto.resolve(name), state);
+                } catch (IOException e) {
+                    throw new UncheckedIOException(e);
+                }
+            }
+        }
+    }
 }
--- a/src/main/java/merlinlever/cli/faults/package-info.java
+++ b/src/main/java/merlinlever/cli/faults/package-info.java
@@ -1,2 +1,2 @@
-/** The fault harness on the command line. */
+/** The command {@code faults ...}: the fault harness, for tests and trials on one machine. */
 package merlinlever.cli.faults;
--- a/src/main/java/merlinlever/cli/fleet/AgentClient.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentClient.java
@@ -2,27 +2,45 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.MissingNode;
 import java.io.IOException;
+import java.net.ConnectException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Talks to one agent. */
+/** Client of the HTTP API of one host agent. Blocks the caller; a request without an answer fails after five seconds. */
 final class AgentClient {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
-    private static final int TRIES = 3;
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
+    private static final int MAX_ORDER_ATTEMPTS = 3;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What an agent answered; status 0 where it did not, and then why. */
-    record AgentResponse(int status, JsonNode body, String why) {}
+    /**
+     * How an agent answered.
+     *
+     * @param status of HTTP, {@link #NO_ANSWER} where there was no answer
+     * @param body missing where there was no answer
+     * @param failure for people; of use where the status is not 200
+     */
+    record AgentResponse(int status, JsonNode body, String failure) {
+        static final int NO_ANSWER = 0;
+
+        private static AgentResponse noAnswer(String failure) {
+            return new AgentResponse(NO_ANSWER, MissingNode.getInstance(), failure);
+        }
+
+        boolean isAnswered() {
+            return status != NO_ANSWER;
+        }
+    }
 
     private final String address;
     private final String secret;
-    private final HttpClient client = HttpClient.newBuilder()
-            .connectTimeout(PATIENCE)
+    private final HttpClient http = HttpClient.newBuilder()
+            .connectTimeout(TIMEOUT)
             .version(HttpClient.Version.HTTP_1_1)
             .build();
 
@@ -31,9 +49,9 @@
         this.secret = secret;
     }
 
-    /** The same for another agent. */
-    AgentClient at(String other) {
-        return other.equals(address) ? this : new AgentClient(other, secret);
+    /** A client of another agent with the same secret. */
+    AgentClient forAgent(String otherAddress) {
+        return otherAddress.equals(address) ? this : new AgentClient(otherAddress, secret);
     }
 
     String address() {
@@ -44,14 +62,14 @@
         return send(HttpRequest.newBuilder(uri(path)).GET());
     }
 
-    /** Sent again where no answer came: an order is done once for its id. */
+    /** Sends an order, again where no answer came: the agent carries an order out once for its id. */
     AgentResponse order(JsonNode order) {
-        AgentResponse answer = null;
-        for (int i = 0; i < TRIES && (answer == null || answer.status == 0); i++) {
-            answer = send(
+        AgentResponse response = AgentResponse.noAnswer("");
+        for (int attempt = 0; attempt < MAX_ORDER_ATTEMPTS && !response.isAnswered(); attempt++) {
+            response = send(
                     HttpRequest.newBuilder(uri("/orders")).POST(HttpRequest.BodyPublishers.ofString(order.toString())));
         }
-        return answer;
+        return response;
     }
 
     private URI uri(String path) {
@@ -60,20 +78,21 @@
 
     private AgentResponse send(HttpRequest.Builder request) {
         try {
-            HttpResponse<String> response = client.send(
-                    request.timeout(PATIENCE)
+            HttpResponse<String> response = http.send(
+                    request.timeout(TIMEOUT)
                             .header("Authorization", "Bearer " + secret)
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
             JsonNode body = JSON.readTree(response.body());
-            return new AgentResponse(
-                    response.statusCode(), body, body.path("error").asText("answers " + response.statusCode()));
+            String failure = body.path("error").asText("answers " + response.statusCode());
+            return new AgentResponse(response.statusCode(), body, failure);
+        } catch (ConnectException e) {
+            return AgentResponse.noAnswer("cannot be reached");
         } catch (IOException e) {
-            return new AgentResponse(
-                    0, null, e instanceof java.net.ConnectException ? "cannot be reached" : "gives no answer");
+            return AgentResponse.noAnswer("gives no answer");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new AgentResponse(0, null, "interrupted");
+            return AgentResponse.noAnswer("interrupted");
         }
     }
 }
--- /dev/null
+++ b/src/main/java/merlinlever/cli/fleet/EventsCommand.java
@@ -0,0 +1,49 @@
+package merlinlever.cli.fleet;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import picocli.CommandLine.Command;
+
+/** {@code fleet events}: what has happened to the instances, as the agents remember it. */
+@Command(name = "events", mixinStandardHelpOptions = true, description = "Show what has happened, oldest first.")
+final class EventsCommand extends FleetSubcommand {
+
+    private final TextTable table = new TextTable("AGO", "HOST", "INSTANCE", "WHAT");
+    private final ArrayNode events = JSON.createArrayNode();
+    private final List<String> problems = new ArrayList<>();
+
+    @Override
+    public Integer call() {
+        clients().forEach(this::addEvents);
+        if (printsJson()) {
+            out().println(events.toPrettyString());
+        } else {
+            table.print(out());
+        }
+        return report(problems);
+    }
+
+    private void addEvents(AgentClient client) {
+        AgentClient.AgentResponse response = client.get("/events");
+        if (response.status() != 200) {
+            problems.add("agent " + client.address() + ": " + response.failure());
+            return;
+        }
+        JsonNode body = response.body();
+        String host = body.path("host").asText();
+        for (JsonNode event : body.path("events")) {
+            double secondsAgo =
+                    (body.path("now_ms").asLong() - event.path("at_ms").asLong()) / 1000.0;
+            table.addRow(
+                    String.format(Locale.ROOT, "%.1fs", secondsAgo),
+                    host,
+                    event.path("instance").asText(),
+                    event.path("what").asText());
+            events.add(((ObjectNode) event).put("host", host));
+        }
+    }
+}
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -1,16 +1,16 @@
 package merlinlever.cli.fleet;
 
-import java.nio.file.Path;
-import java.util.concurrent.Callable;
-import merlinlever.cli.LoggingSetup;
+import merlinlever.cli.ServiceCommand;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.ConfigSchema;
+import merlinlever.config.InvalidConfigFileException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The agent of one machine. */
+/** The group of commands about the agent of one machine. */
 @Command(
         name = "host",
         mixinStandardHelpOptions = true,
@@ -27,7 +27,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
-    /** Runs until it is told to leave; the instances stay. */
+    /** {@code host run}: the agent, which ends without its instances unless it is to drain them. */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
@@ -35,33 +35,19 @@
                     "Keep the instances that a file describes. SIGTERM ends the agent and leaves them running; the next agent takes them over.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
-    static final class HostRunCommand implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-
-        @Option(
-                names = "--config",
-                required = true,
-                paramLabel = "FILE",
-                description = "YAML; 'config schema host-run' prints its form")
-        private Path file;
+    static final class HostRunCommand extends ServiceCommand {
 
         @Option(names = "--drain", description = "at SIGTERM tell all instances to leave, and end when all are down")
         private boolean drain;
 
-        @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
-        private LoggingSetup.LogFormat form = LoggingSetup.LogFormat.text;
+        @Override
+        protected ConfigSchema schema() {
+            return ConfigSchema.HOST_RUN;
+        }
 
         @Override
-        public Integer call() {
-            LoggingSetup.start(form);
-            try {
-                new HostAgentProcess(ConfigFile.read(file, "host-run"), drain).run();
-                return 0;
-            } catch (ConfigFile.InvalidConfigFileException e) {
-                spec.commandLine().getErr().println(e.getMessage());
-                return 1;
-            }
+        protected void run(ConfigFile config) throws InvalidConfigFileException {
+            new HostAgentProcess(config, drain).run();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
@@ -0,0 +1,168 @@
+package merlinlever.cli.fleet;
+
+import java.io.File;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import merlinlever.config.ConfigFile;
+import merlinlever.config.InvalidConfigFileException;
+import merlinlever.host.run.InstanceSpec;
+
+/**
+ * Reads the instances of one machine from the list {@code kinds} of its agent's configuration. Each kind stands for a number of
+ * instances, in whose commands, environments and files placeholders such as {@code {n}} and {@code {folder}} are filled in; the
+ * files are written here.
+ */
+final class InstanceSpecParser {
+
+    private static final int MAX_PORT = 0xffff;
+    private static final long DEFAULT_LOG_MB = 10;
+    private static final int MB_SHIFT = 20;
+
+    private final ConfigFile config;
+    private final Path stateFolder;
+    private final List<InstanceSpec> instances = new ArrayList<>();
+    private final Set<String> names = new HashSet<>();
+    private final Set<InetSocketAddress> managementAddresses = new HashSet<>();
+
+    private InstanceSpecParser(ConfigFile config, Path stateFolder) {
+        this.config = config;
+        this.stateFolder = stateFolder;
+    }
+
+    /** All instances in the order of the file, with their folders below that of the agent. */
+    static List<InstanceSpec> parse(ConfigFile config, Path stateFolder) throws InvalidConfigFileException {
+        InstanceSpecParser parser = new InstanceSpecParser(config, stateFolder);
+        for (int kind = 0; kind < config.size("kinds"); kind++) {
+            parser.addKind("kinds." + kind);
+        }
+        return parser.instances;
+    }
+
+    private void addKind(String path) throws InvalidConfigFileException {
+        long count = config.number(path + ".count", 1);
+        for (int number = 1; number <= count; number++) {
+            InstanceSpec instance = instance(path, number);
+            if (!names.add(instance.name())) {
+                throw config.invalidValue(path + ".name", "an instance " + instance.name() + " is there already");
+            }
+            if (instance.manage() != null && !managementAddresses.add(instance.manage())) {
+                throw config.invalidValue(
+                        path + ".manage",
+                        "another instance tells of itself at "
+                                + instance.manage().getPort());
+            }
+            instances.add(instance);
+        }
+    }
+
+    private InstanceSpec instance(String path, int number) throws InvalidConfigFileException {
+        String kind = config.text(path + ".name", "");
+        String name = kind + "-" + number;
+        Path folder = stateFolder.resolve(name);
+        InetSocketAddress managementAddress = managementAddress(path, number);
+        Map<String, String> placeholders = placeholders(path, number, name, folder, managementAddress);
+        writeFiles(path, folder, placeholders);
+        return new InstanceSpec(
+                name,
+                kind,
+                config.textMap(path + ".labels"),
+                command(path, placeholders),
+                environment(path, placeholders),
+                folder,
+                managementAddress,
+                !config.text(path + ".start", "true").equals("false"),
+                config.number(path + ".log-mb", DEFAULT_LOG_MB) << MB_SHIFT);
+    }
+
+    /** Each further instance of a kind takes the next port; null where none is configured. */
+    private InetSocketAddress managementAddress(String path, int number) throws InvalidConfigFileException {
+        if (!config.has(path + ".manage")) {
+            return null;
+        }
+        String text = config.text(path + ".manage", "");
+        int colon = text.lastIndexOf(':');
+        int port = Integer.parseInt(text.substring(colon + 1)) + number - 1;
+        if (port > MAX_PORT) {
+            throw config.invalidValue(path + ".manage", "the ports of " + number + " instances go beyond " + MAX_PORT);
+        }
+        return new InetSocketAddress(text.substring(0, colon), port);
+    }
+
+    private Map<String, String> placeholders(
+            String path, int number, String name, Path folder, InetSocketAddress managementAddress) {
+        Map<String, String> placeholders = new LinkedHashMap<>();
+        placeholders.put("{n}", Integer.toString(number));
+        placeholders.put("{name}", name);
+        placeholders.put("{folder}", folder.toString());
+        placeholders.put("{budgets}", config.json("budgets"));
+        placeholders.put("{program}", programPath());
+        if (managementAddress != null) {
+            placeholders.put("{manage}", managementAddress.getHostString() + ":" + managementAddress.getPort());
+        }
+        for (String port : config.textMap(path + ".ports").keySet()) {
+            long value = config.number(path + ".ports." + port, 0) + number - 1;
+            placeholders.put("{" + port + "}", Long.toString(value));
+        }
+        return placeholders;
+    }
+
+    private static String programPath() {
+        String path = InstanceSpecParser.class
+                .getProtectionDomain()
+                .getCodeSource()
+                .getLocation()
+                .getPath();
+        return new File(path).getPath();
+    }
+
+    private List<String> command(String path, Map<String, String> placeholders) {
+        List<String> command = new ArrayList<>();
+        if (config.has(path + ".limits.sockets")) {
+            long maxDescriptors = config.number(path + ".limits.sockets", 0);
+            command.addAll(List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + " && exec \"$@\"", "sh"));
+        }
+        config.textList(path + ".command").forEach(word -> command.add(filledIn(word, placeholders)));
+        return command;
+    }
+
+    private Map<String, String> environment(String path, Map<String, String> placeholders) {
+        Map<String, String> environment = new LinkedHashMap<>();
+        config.textMap(path + ".environment")
+                .forEach((key, value) -> environment.put(key, filledIn(value, placeholders)));
+        return environment;
+    }
+
+    private void writeFiles(String path, Path folder, Map<String, String> placeholders)
+            throws InvalidConfigFileException {
+        try {
+            Files.createDirectories(folder);
+            for (Map.Entry<String, String> file :
+                    config.textMap(path + ".files").entrySet()) {
+                Path target = folder.resolve(file.getKey()).normalize();
+                if (!target.startsWith(folder)) {
+                    throw config.invalidValue(path + ".files", file.getKey() + " leaves the instance's folder");
+                }
+                Files.writeString(target, filledIn(file.getValue(), placeholders));
+            }
+        } catch (IOException e) {
+            throw new InvalidConfigFileException(
+                    config.file() + ": state: " + folder + " cannot be written: " + e.getMessage(), e);
+        }
+    }
+
+    private static String filledIn(String text, Map<String, String> placeholders) {
+        String result = text;
+        for (Map.Entry<String, String> placeholder : placeholders.entrySet()) {
+            result = result.replace(placeholder.getKey(), placeholder.getValue());
+        }
+        return result;
+    }
+}
--- /dev/null
+++ b/src/main/java/merlinlever/cli/fleet/ListCommand.java
@@ -0,0 +1,24 @@
+package merlinlever.cli.fleet;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+
+/** {@code fleet list}: all selected instances, a line each. */
+@Command(
+        name = "list",
+        mixinStandardHelpOptions = true,
+        description = "List instances with their states, and how long ago each was heard.",
+        exitCodeListHeading = "%nExit status:%n",
+        exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
+final class ListCommand extends FleetSubcommand {
+
+    @Mixin
+    private InstanceFilter filter;
+
+    @Override
+    public Integer call() {
+        FleetSnapshot fleet = FleetSnapshot.read(clients());
+        print(fleet.matching(filter));
+        return report(fleet.problems());
+    }
+}
--- a/src/main/java/merlinlever/cli/fleet/OrderCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/OrderCommand.java
@@ -1,7 +1,6 @@
 package merlinlever.cli.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
@@ -16,146 +15,176 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** What the orders share. */
+/** A command that sends one order for the selected instances to their agents, and follows it to its end where it is to wait. */
 abstract class OrderCommand extends FleetSubcommand {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final Duration POLL_PERIOD = Duration.ofMillis(200);
+    private static final String IN_PROGRESS = "under way";
+    private static final String DONE = "done";
 
     @Mixin
-    InstanceFilter which;
+    private InstanceFilter filter;
 
     @Option(names = "--wait", description = "until it has happened, or cannot")
-    boolean wait;
+    private boolean wait;
 
     @Option(names = "--timeout", paramLabel = "SECONDS", description = "for --wait (default: 120)")
-    int timeout = 120;
+    private int timeoutSeconds = 120;
 
     @Option(names = "--dry-run", description = "show which instances it would be and order nothing")
-    boolean dryRun;
+    private boolean dryRun;
 
     @Option(
             names = "--id",
             paramLabel = "ID",
             description = "of the order; sent again under the same id it is not done again")
-    String id;
+    private String givenId;
 
+    /** Orders as the agents last reported them, by the agent that has them. */
+    private final Map<AgentClient, JsonNode> orders = new LinkedHashMap<>();
+
+    private final Map<String, String> printedProgress = new LinkedHashMap<>();
+
+    /** The verb of the agents' API. */
     abstract String verb();
 
-    boolean now() {
+    /** Whether the instances are ended without a drain. */
+    boolean isImmediate() {
         return false;
     }
 
-    /** Whether the person agrees; asked before anything is ordered. */
-    boolean agreed(List<JsonNode> chosen) {
+    /** Whether the operator confirms; asked before anything is ordered. */
+    boolean confirmed(List<ReportedInstance> selected) {
         return true;
     }
 
     @Override
-    public Integer call() throws InterruptedException {
-        if (!which.any()) {
+    public final Integer call() throws InterruptedException {
+        if (!filter.isGiven()) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
-        }
-        List<AgentClient> clients = where.clients(spec);
-        List<String> silent = new ArrayList<>();
-        List<JsonNode> chosen =
-                instances(clients, silent).stream().filter(which::takes).toList();
-        for (String name : which.names) {
-            if (chosen.stream()
-                    .noneMatch(instance -> instance.path("name").asText().equals(name))) {
-                silent.add(
-                        "no instance " + name + " is known" + (silent.isEmpty() ? "" : " to the agents that answered"));
-            }
+                    spec().commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
         }
-        if (!silent.isEmpty()) {
-            // Part of what was asked for cannot be seen to: nothing of it is begun.
-            told(silent);
+        List<AgentClient> clients = clients();
+        FleetSnapshot fleet = FleetSnapshot.read(clients);
+        List<ReportedInstance> selected = fleet.matching(filter);
+        List<String> problems = new ArrayList<>(fleet.problems());
+        addUnknownNames(selected, problems);
+        if (!problems.isEmpty()) {
+            // Part of what was asked for cannot be carried out, so nothing of it is begun.
+            report(problems);
             err().println("nothing was ordered");
             return 1;
         }
-        if (chosen.isEmpty()) {
+        if (selected.isEmpty()) {
             err().println("no instance fits; nothing was ordered");
             return 1;
         }
         if (dryRun) {
-            chosen.forEach(instance -> out().println(
-                            "would " + verb() + " " + instance.path("name").asText() + " ("
-                                    + instance.path("state").asText() + ")"));
+            selected.forEach(instance ->
+                    out().println("would " + verb() + " " + instance.name() + " (" + instance.state() + ")"));
             out().flush();
             return 0;
         }
-        if (!agreed(chosen)) {
+        if (!confirmed(selected)) {
             err().println("nothing was ordered");
             return 1;
         }
-        String base = id == null ? UUID.randomUUID().toString() : id;
-        Map<String, List<JsonNode>> byAgent = chosen.stream()
-                .collect(Collectors.groupingBy(i -> i.path("agent").asText(), LinkedHashMap::new, Collectors.toList()));
-        Map<AgentClient, JsonNode> orders = new LinkedHashMap<>();
-        boolean well = true;
-        for (String address : byAgent.keySet()) {
-            AgentClient client = clients.get(0).at(address);
-            ObjectNode order =
-                    JSON.createObjectNode().put("id", base).put("verb", verb()).put("now", now());
-            ArrayNode names = order.putArray("names");
-            byAgent.get(client.address())
-                    .forEach(instance -> names.add(instance.path("name").asText()));
-            AgentClient.AgentResponse answer = client.order(order);
-            if (answer.status() == 200) {
-                orders.put(client, answer.body());
-            } else {
-                well = false;
-                err().println("agent " + client.address() + ": " + answer.why()
-                        + (answer.status() == 0
-                                ? "; whether it took the order is not known, send it again with --id " + base
-                                : ""));
+        String id = givenId == null ? UUID.randomUUID().toString() : givenId;
+        boolean isAccepted = sendToAgents(clients.get(0), selected, id);
+        return follow(id) && isAccepted ? 0 : 1;
+    }
+
+    private void addUnknownNames(List<ReportedInstance> selected, List<String> problems) {
+        for (String name : filter.names()) {
+            if (selected.stream().noneMatch(instance -> instance.name().equals(name))) {
+                String hint = problems.isEmpty() ? "" : " to the agents that answered";
+                problems.add("no instance " + name + " is known" + hint);
             }
         }
-        return follow(orders, base) && well ? 0 : 1;
     }
 
-    private boolean follow(Map<AgentClient, JsonNode> orders, String base) throws InterruptedException {
-        long end = System.nanoTime() + Duration.ofSeconds(timeout).toNanos();
-        Map<String, String> shown = new LinkedHashMap<>();
-        while (true) {
-            boolean over = true;
-            for (Map.Entry<AgentClient, JsonNode> entry : orders.entrySet()) {
-                for (JsonNode instance : entry.getValue().path("instances")) {
-                    String line = instance.path("end").asText().equals("under way")
-                            ? "under way, " + instance.path("state").asText()
-                                    + (instance.path("state").asText().equals("draining")
-                                            ? " (" + instance.path("why").asText() + ")"
-                                            : "")
-                            : instance.path("end").asText();
-                    if (!line.equals(shown.put(instance.path("name").asText(), line))) {
-                        out().println(instance.path("name").asText() + ": " + verb() + " " + line);
-                    }
-                }
-                over &= entry.getValue().path("over").asBoolean();
+    /** Returns whether all agents accepted the order. */
+    private boolean sendToAgents(AgentClient anyClient, List<ReportedInstance> selected, String id) {
+        Map<String, List<ReportedInstance>> instancesByAgent = selected.stream()
+                .collect(Collectors.groupingBy(ReportedInstance::agent, LinkedHashMap::new, Collectors.toList()));
+        boolean isAccepted = true;
+        for (Map.Entry<String, List<ReportedInstance>> entry : instancesByAgent.entrySet()) {
+            AgentClient client = anyClient.forAgent(entry.getKey());
+            AgentClient.AgentResponse response = client.order(order(id, entry.getValue()));
+            if (response.status() == 200) {
+                orders.put(client, response.body());
+                continue;
             }
+            isAccepted = false;
+            String hint = response.isAnswered()
+                    ? ""
+                    : "; whether it took the order is not known, send it again with --id " + id;
+            err().println("agent " + client.address() + ": " + response.failure() + hint);
+        }
+        return isAccepted;
+    }
+
+    private ObjectNode order(String id, List<ReportedInstance> instances) {
+        ObjectNode order =
+                JSON.createObjectNode().put("id", id).put("verb", verb()).put("now", isImmediate());
+        ArrayNode names = order.putArray("names");
+        instances.forEach(instance -> names.add(instance.name()));
+        return order;
+    }
+
+    /** Prints the progress until the order is over or the time is; returns whether all of it was done, as far as it waited. */
+    private boolean follow(String id) throws InterruptedException {
+        long deadline = System.nanoTime() + Duration.ofSeconds(timeoutSeconds).toNanos();
+        while (true) {
+            boolean isOver = orders.values().stream()
+                    .allMatch(order -> order.path("over").asBoolean());
+            orders.values().forEach(this::printProgress);
             out().flush();
-            if (over || !wait || System.nanoTime() > end) {
-                if (wait && !over) {
-                    err().println("not over after " + timeout + " s; it goes on. Look again with --id " + base);
-                }
-                boolean done = true;
-                for (JsonNode order : orders.values()) {
-                    for (JsonNode instance : order.path("instances")) {
-                        done &= instance.path("end").asText().equals("done")
-                                || !wait && instance.path("end").asText().equals("under way");
-                    }
+            if (isOver || !wait || System.nanoTime() > deadline) {
+                if (wait && !isOver) {
+                    err().println("not over after " + timeoutSeconds + " s; it goes on. Look again with --id " + id);
                 }
-                return done;
+                return orders.values().stream().allMatch(this::isDone);
             }
-            Thread.sleep(200);
+            Thread.sleep(POLL_PERIOD.toMillis());
             orders.replaceAll((client, order) -> {
-                AgentClient.AgentResponse answer = client.get("/orders/" + base);
-                return answer.status() == 200 ? answer.body() : order;
+                AgentClient.AgentResponse response = client.get("/orders/" + id);
+                return response.status() == 200 ? response.body() : order;
             });
         }
     }
 
-    /** Wanted. */
+    private void printProgress(JsonNode order) {
+        for (JsonNode instance : order.path("instances")) {
+            String name = instance.path("name").asText();
+            String progress = progress(instance);
+            if (!progress.equals(printedProgress.put(name, progress))) {
+                out().println(name + ": " + verb() + " " + progress);
+            }
+        }
+    }
+
+    private static String progress(JsonNode instance) {
+        String end = instance.path("end").asText();
+        if (!end.equals(IN_PROGRESS)) {
+            return end;
+        }
+        String state = instance.path("state").asText();
+        String reason = state.equals("draining") ? " (" + instance.path("why").asText() + ")" : "";
+        return IN_PROGRESS + ", " + state + reason;
+    }
+
+    private boolean isDone(JsonNode order) {
+        for (JsonNode instance : order.path("instances")) {
+            String end = instance.path("end").asText();
+            if (!end.equals(DONE) && (wait || !end.equals(IN_PROGRESS))) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** {@code fleet start}. */
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
@@ -167,7 +196,7 @@
         }
     }
 
-    /** Not wanted any more, in good order. */
+    /** {@code fleet drain}. */
     @Command(
             name = "drain",
             mixinStandardHelpOptions = true,
@@ -179,55 +208,7 @@
         }
     }
 
-    /** Not wanted any more. */
-    @Command(
-            name = "stop",
-            mixinStandardHelpOptions = true,
-            description = "Stop instances. One that still answers what it has read is waited for, but with --now.")
-    static final class StopCommand extends OrderCommand {
-        @Option(names = "--now", description = "end them at once; says how many operations are lost by it and asks")
-        private boolean now;
-
-        @Option(names = "--yes", description = "with --now: do not ask")
-        private boolean yes;
-
-        @Override
-        String verb() {
-            return "stop";
-        }
-
-        @Override
-        boolean now() {
-            return now;
-        }
-
-        @Override
-        boolean agreed(List<JsonNode> chosen) {
-            if (!now) {
-                return true;
-            }
-            int lost = chosen.stream()
-                    .mapToInt(instance -> instance.path("told").path("inHand").asInt())
-                    .sum();
-            long unknown = chosen.stream()
-                    .filter(instance -> instance.path("told").isNull()
-                            && instance.path("pid").asLong() != 0)
-                    .count();
-            out().println(lost + " operations are in hand and would be lost"
-                    + (unknown == 0 ? "" : "; of " + unknown + " instances it is not known"));
-            out().flush();
-            if (yes) {
-                return true;
-            }
-            if (System.console() == null) {
-                err().println("nobody can be asked here; say --yes");
-                return false;
-            }
-            return "yes".equals(System.console().readLine("Stop them at once? Type yes: "));
-        }
-    }
-
-    /** Out and in again. */
+    /** {@code fleet restart}. */
     @Command(
             name = "restart",
             mixinStandardHelpOptions = true,
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What the next life of each process would believe of its state folder; changes nothing in it. */
+/** {@code fleet recover}: what a restarted process would trust of the state in its folder. Changes nothing in it. */
 @Command(
         name = "recover",
         mixinStandardHelpOptions = true,
@@ -31,6 +31,9 @@
         })
 final class RecoverCommand implements Callable<Integer> {
 
+    private static final String LEDGER_FILE = "instances";
+    private static final String LOCK_FILE = "lock";
+
     @Spec
     private CommandSpec spec;
 
@@ -46,62 +49,82 @@
             names = "--owner",
             paramLabel = "NAME@ADDRESS:PORT",
             description = "whose they have to be; without it each is taken for that of its own owner")
-    private String owner;
+    private String expectedOwner;
 
     @Override
     public Integer call() {
-        PrintWriter out = spec.commandLine().getOut();
-        PrintWriter err = spec.commandLine().getErr();
-        if (owner != null && !owner.matches("[!-~]+@[!-~]+")) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--owner is NAME@ADDRESS:PORT, not " + owner);
+        if (expectedOwner != null && !expectedOwner.matches("[!-~]+@[!-~]+")) {
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "--owner is NAME@ADDRESS:PORT, not " + expectedOwner);
         }
-        boolean whole = true;
-        for (Path path : folders) {
-            if (!Files.isDirectory(path)) {
-                err.println(path + ": no such folder");
-                whole = false;
-                continue;
-            }
-            try (StateDirectory folder = new FileStateDirectory(path)) {
-                out.println(path);
-                whole &= look(folder, out);
-            } catch (IOException e) {
-                err.println(path + ": " + e.getMessage()
-                        + (Files.exists(path.resolve("lock"))
-                                ? "; a running process told at its start what it found"
-                                : ""));
-                whole = false;
-            }
+        boolean allTrusted = true;
+        for (Path folder : folders) {
+            allTrusted &= assess(folder);
         }
-        out.flush();
-        err.flush();
-        return whole ? 0 : 1;
+        out().flush();
+        err().flush();
+        return allTrusted ? 0 : 1;
+    }
+
+    private PrintWriter out() {
+        return spec.commandLine().getOut();
     }
 
-    private boolean look(StateDirectory folder, PrintWriter out) throws IOException {
-        RecoveryFile.LoadResult found = new RecoveryFile(folder).read();
-        String whose =
-                owner != null || found.memory() == null ? owner : found.memory().owner();
-        PersistedStateAssessor.TrustedState verdict =
-                PersistedStateAssessor.judge(found.memory(), found.spoilt(), whose, System.currentTimeMillis());
-        boolean whole = true;
-        if (found.memory() != null) {
-            out.println("  owner: " + found.memory().owner());
+    private PrintWriter err() {
+        return spec.commandLine().getErr();
+    }
+
+    /** Prints what is found, and returns whether all of it is trusted. */
+    private boolean assess(Path folder) {
+        if (!Files.isDirectory(folder)) {
+            err().println(folder + ": no such folder");
+            return false;
+        }
+        try (StateDirectory directory = new FileStateDirectory(folder)) {
+            out().println(folder);
+            boolean isStateTrusted = assessState(directory);
+            return assessLedger(directory) && isStateTrusted;
+        } catch (IOException e) {
+            String hint = Files.exists(folder.resolve(LOCK_FILE))
+                    ? "; a running process told at its start what it found"
+                    : "";
+            err().println(folder + ": " + e.getMessage() + hint);
+            return false;
         }
-        for (PersistedStateAssessor.Finding finding : verdict.findings()) {
-            out.println("  " + finding.told());
-            whole &= finding.belief() != PersistedStateAssessor.Disposition.THROWN_AWAY;
+    }
+
+    private boolean assessState(StateDirectory directory) throws IOException {
+        RecoveryFile.LoadResult loaded = new RecoveryFile(directory).read();
+        String owner = expectedOwner;
+        if (owner == null && loaded.memory() != null) {
+            owner = loaded.memory().owner();
+        }
+        PersistedStateAssessor.TrustedState assessment =
+                PersistedStateAssessor.judge(loaded.memory(), loaded.spoilt(), owner, System.currentTimeMillis());
+        if (loaded.memory() != null) {
+            out().println("  owner: " + loaded.memory().owner());
+        }
+        boolean isTrusted = true;
+        for (PersistedStateAssessor.Finding finding : assessment.findings()) {
+            out().println("  " + finding.told());
+            isTrusted &= finding.belief() != PersistedStateAssessor.Disposition.THROWN_AWAY;
+        }
+        return isTrusted;
+    }
+
+    /** The ledger of an agent's instances; a backend has none. */
+    private boolean assessLedger(StateDirectory directory) throws IOException {
+        if (!directory.has(LEDGER_FILE)) {
+            return true;
         }
-        if (folder.has("instances")) {
-            try {
-                out.println("  instances: kept, "
-                        + new InstanceLedger(folder).names().size()
-                        + " noted; a process that still runs is taken over, others that are wanted are launched");
-            } catch (InstanceLedger.CorruptLedgerException e) {
-                out.println("  instances: " + e.getMessage());
-                whole = false;
-            }
+        try {
+            int instances = new InstanceLedger(directory).names().size();
+            out().println("  instances: kept, " + instances
+                    + " noted; a process that still runs is taken over, others that are wanted are launched");
+            return true;
+        } catch (InstanceLedger.CorruptLedgerException e) {
+            out().println("  instances: " + e.getMessage());
+            return false;
         }
-        return whole;
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -1,10 +1,10 @@
 package merlinlever.cli.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.UUID;
 import merlinlever.WireNamed;
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Restarts in batches, for as long as all goes well. */
+/** {@code fleet roll}: a rolling restart, which goes on only while successors warm up and callers are not worse off. */
 @Command(
         name = "roll",
         mixinStandardHelpOptions = true,
@@ -26,153 +26,171 @@
         exitCodeList = {"0:all were restarted and serve", "1:it was stopped; the reason is told", "2:wrong usage"})
 final class RollCommand extends FleetSubcommand {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final Duration POLL_PERIOD = Duration.ofMillis(300);
 
     @Mixin
-    private InstanceFilter which;
+    private InstanceFilter filter;
 
     @Option(names = "--batch", paramLabel = "N", description = "restarted at once at the most (default: 1)")
-    private int batch = 1;
+    private int batchSize = 1;
 
     @Option(
             names = "--most-away",
             paramLabel = "PERCENT",
             description = "of the instances seen that may be away at once, for whatever reason (default: 20)")
-    private int mostAway = 20;
+    private int maxAwayPercent = 20;
 
     @Option(
             names = "--warm-within",
             paramLabel = "SECONDS",
             description = "after its restart an instance has to be warm (default: 120)")
-    private int warmWithin = 120;
+    private int warmWithinSeconds = 120;
 
     @Option(
             names = "--watch",
             paramLabel = "SECONDS",
             description = "callers are watched so long before the first batch and behind each (default: 5)")
-    private int watch = 5;
+    private int watchSeconds = 5;
 
     @Option(
             names = "--worse",
             paramLabel = "TIMES",
             description = "stop where so many times as many are turned away as before (default: 2)")
-    private double worse = 2;
+    private double maxRejectionRatio = 2;
 
     @Option(names = "--dry-run", description = "show which instances it would be, in their order, and restart nothing")
     private boolean dryRun;
 
-    private volatile RollingRestart roll;
-
-    private static RollingRestart.InstanceObservation seen(JsonNode instance) {
-        JsonNode told = instance.path("told");
-        long turnedAway = told.path("brokenOff").asLong();
-        for (JsonNode count : told.path("pushedBack")) {
-            turnedAway += count.asLong();
-        }
-        return new RollingRestart.InstanceObservation(
-                instance.path("name").asText(),
-                instance.path("host").asText(),
-                WireNamed.parse(
-                        InstanceSupervisor.InstanceState.class,
-                        instance.path("state").asText()),
-                instance.path("launches").asLong(),
-                turnedAway);
-    }
-
-    private void tellDone() {
-        out().println(roll.done().size() + " done, " + roll.inHand().size() + " restarted and not serving yet"
-                + (roll.inHand().isEmpty() ? "" : " (" + String.join(", ", roll.inHand()) + ")") + ", "
-                + roll.todo().size() + " not begun");
-        out().flush();
-    }
+    /** Read by the shutdown hook as well. */
+    private volatile RollingRestart rollingRestart;
 
     @Override
     public Integer call() throws InterruptedException {
-        if (!which.any() || batch < 1 || mostAway < 0 || mostAway > 100 || warmWithin < 1 || watch < 0 || worse < 1) {
-            throw new CommandLine.ParameterException(
-                    spec.commandLine(),
-                    !which.any()
-                            ? "Which instances? Give names, --host, --label, --state or --all."
-                            : "--batch and --warm-within are 1 or more, --most-away 0 to 100, --watch 0 or more, --worse 1 or more");
-        }
-        List<AgentClient> clients = where.clients(spec);
-        List<String> silent = new ArrayList<>();
-        List<JsonNode> chosen = new ArrayList<>(
-                instances(clients, silent).stream().filter(which::takes).toList());
-        chosen.sort((a, b) -> (a.path("host").asText() + " " + a.path("name").asText())
-                .compareTo(b.path("host").asText() + " " + b.path("name").asText()));
-        if (!silent.isEmpty() || chosen.isEmpty()) {
-            told(silent);
-            err().println(chosen.isEmpty() ? "no instance fits; nothing was begun" : "nothing was begun");
+        checkOptions();
+        List<AgentClient> clients = clients();
+        FleetSnapshot fleet = FleetSnapshot.read(clients);
+        List<ReportedInstance> selected = new ArrayList<>(fleet.matching(filter));
+        selected.sort(Comparator.comparing(instance -> instance.host() + " " + instance.name()));
+        if (!fleet.problems().isEmpty() || selected.isEmpty()) {
+            report(fleet.problems());
+            err().println(selected.isEmpty() ? "no instance fits; nothing was begun" : "nothing was begun");
             return 1;
         }
         if (dryRun) {
-            chosen.forEach(instance -> out().println(
-                            "would restart " + instance.path("name").asText() + " on "
-                                    + instance.path("host").asText() + " ("
-                                    + instance.path("state").asText() + ")"));
+            selected.forEach(instance -> out().println("would restart " + instance.name() + " on " + instance.host()
+                    + " (" + instance.state() + ")"));
             out().flush();
             return 0;
         }
-        roll = new RollingRestart(
+        rollingRestart = new RollingRestart(
                 new RollingRestart.RollingRestartSettings(
-                        batch, mostAway / 100.0, Duration.ofSeconds(warmWithin), Duration.ofSeconds(watch), worse),
-                chosen.stream().map(instance -> instance.path("name").asText()).toList());
-        Thread interrupted = new Thread(this::tellDone);
-        Runtime.getRuntime().addShutdownHook(interrupted);
-        long began = System.nanoTime();
-        String shown = "";
-        while (roll.phase() != RollingRestart.RolloutPhase.DONE
-                && roll.phase() != RollingRestart.RolloutPhase.STOPPED) {
-            List<JsonNode> fleet = instances(clients, new ArrayList<>());
-            List<String> next = fleet.isEmpty()
+                        batchSize,
+                        maxAwayPercent / 100.0,
+                        Duration.ofSeconds(warmWithinSeconds),
+                        Duration.ofSeconds(watchSeconds),
+                        maxRejectionRatio),
+                selected.stream().map(ReportedInstance::name).toList());
+        Thread summaryAtInterrupt = new Thread(this::printSummary);
+        Runtime.getRuntime().addShutdownHook(summaryAtInterrupt);
+        boolean isOrdered = restartAll(clients, selected.size());
+        Runtime.getRuntime().removeShutdownHook(summaryAtInterrupt);
+        if (rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED) {
+            err().println("stopped: " + rollingRestart.why());
+            err().flush();
+        }
+        printSummary();
+        return isOrdered && rollingRestart.phase() == RollingRestart.RolloutPhase.DONE ? 0 : 1;
+    }
+
+    private void checkOptions() {
+        if (!filter.isGiven()) {
+            throw new CommandLine.ParameterException(
+                    spec().commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
+        }
+        if (batchSize < 1
+                || maxAwayPercent < 0
+                || maxAwayPercent > 100
+                || warmWithinSeconds < 1
+                || watchSeconds < 0
+                || maxRejectionRatio < 1) {
+            throw new CommandLine.ParameterException(
+                    spec().commandLine(),
+                    "--batch and --warm-within are 1 or more, --most-away 0 to 100, --watch 0 or more, --worse 1 or more");
+        }
+    }
+
+    /** Restarts batch after batch; false where an agent did not take an order, and nothing more is begun then. */
+    private boolean restartAll(List<AgentClient> clients, int total) throws InterruptedException {
+        long startNanos = System.nanoTime();
+        String printedReason = "";
+        while (!isOver()) {
+            List<ReportedInstance> instances = FleetSnapshot.read(clients).instances();
+            List<String> nextBatch = instances.isEmpty()
                     ? List.of()
-                    : roll.settle(
-                            Duration.ofNanos(System.nanoTime() - began),
-                            fleet.stream().map(RollCommand::seen).toList());
-            if (!next.isEmpty()) {
-                out().println("restarting " + String.join(", ", next) + "; "
-                        + roll.done().size() + " of " + chosen.size() + " done");
+                    : rollingRestart.settle(
+                            Duration.ofNanos(System.nanoTime() - startNanos),
+                            instances.stream().map(RollCommand::observation).toList());
+            String doneSoFar = rollingRestart.done().size() + " of " + total + " done";
+            if (!nextBatch.isEmpty()) {
+                out().println("restarting " + String.join(", ", nextBatch) + "; " + doneSoFar);
                 out().flush();
-                if (!order(clients.get(0), fleet, next)) {
-                    tellDone();
-                    Runtime.getRuntime().removeShutdownHook(interrupted);
-                    return 1;
+                if (!orderRestart(clients.get(0), instances, nextBatch)) {
+                    return false;
                 }
-            } else if (!roll.why().equals(shown)) {
-                shown = roll.why();
-                out().println(shown.isEmpty() ? roll.done().size() + " of " + chosen.size() + " done" : shown);
+            } else if (!rollingRestart.why().equals(printedReason)) {
+                printedReason = rollingRestart.why();
+                out().println(printedReason.isEmpty() ? doneSoFar : printedReason);
                 out().flush();
             }
-            Thread.sleep(300);
+            Thread.sleep(POLL_PERIOD.toMillis());
         }
-        Runtime.getRuntime().removeShutdownHook(interrupted);
-        if (roll.phase() == RollingRestart.RolloutPhase.STOPPED) {
-            err().println("stopped: " + roll.why());
-            err().flush();
+        return true;
+    }
+
+    private boolean isOver() {
+        return rollingRestart.phase() == RollingRestart.RolloutPhase.DONE
+                || rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED;
+    }
+
+    private static RollingRestart.InstanceObservation observation(ReportedInstance instance) {
+        long rejections = instance.status().path("brokenOff").asLong();
+        for (JsonNode count : instance.status().path("pushedBack")) {
+            rejections += count.asLong();
         }
-        tellDone();
-        return roll.phase() == RollingRestart.RolloutPhase.DONE ? 0 : 1;
+        return new RollingRestart.InstanceObservation(
+                instance.name(),
+                instance.host(),
+                WireNamed.parse(InstanceSupervisor.InstanceState.class, instance.state()),
+                instance.launches(),
+                rejections);
     }
 
-    private boolean order(AgentClient any, List<JsonNode> fleet, List<String> names) {
-        // All of a batch are of one machine, and so of one agent.
-        String agent = fleet.stream()
-                .filter(each -> each.path("name").asText().equals(names.get(0)))
+    private boolean orderRestart(AgentClient anyClient, List<ReportedInstance> instances, List<String> batch) {
+        // All of a batch are on one machine, and so with one agent.
+        String agent = instances.stream()
+                .filter(instance -> instance.name().equals(batch.get(0)))
                 .findFirst()
                 .orElseThrow()
-                .path("agent")
-                .asText();
+                .agent();
         ObjectNode order = JSON.createObjectNode()
                 .put("id", UUID.randomUUID().toString())
                 .put("verb", "restart")
                 .put("now", false);
-        names.forEach(order.putArray("names")::add);
-        AgentClient.AgentResponse answer = any.at(agent).order(order);
-        if (answer.status() != 200) {
-            err().println("agent " + agent + ": " + answer.why() + "; stopped");
+        batch.forEach(order.putArray("names")::add);
+        AgentClient.AgentResponse response = anyClient.forAgent(agent).order(order);
+        if (response.status() != 200) {
+            err().println("agent " + agent + ": " + response.failure() + "; stopped");
             err().flush();
         }
-        return answer.status() == 200;
+        return response.status() == 200;
+    }
+
+    private void printSummary() {
+        List<String> restarting = rollingRestart.inHand();
+        String names = restarting.isEmpty() ? "" : " (" + String.join(", ", restarting) + ")";
+        out().println(rollingRestart.done().size() + " done, " + restarting.size()
+                + " restarted and not serving yet" + names + ", "
+                + rollingRestart.todo().size() + " not begun");
+        out().flush();
     }
 }
--- /dev/null
+++ b/src/main/java/merlinlever/cli/fleet/StopCommand.java
@@ -0,0 +1,55 @@
+package merlinlever.cli.fleet;
+
+import java.io.Console;
+import java.util.List;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** {@code fleet stop}: with a drain, or at once after the operator has confirmed what is lost by it. */
+@Command(
+        name = "stop",
+        mixinStandardHelpOptions = true,
+        description = "Stop instances. One that still answers what it has read is waited for, but with --now.")
+final class StopCommand extends OrderCommand {
+
+    @Option(names = "--now", description = "end them at once; says how many operations are lost by it and asks")
+    private boolean now;
+
+    @Option(names = "--yes", description = "with --now: do not ask")
+    private boolean yes;
+
+    @Override
+    String verb() {
+        return "stop";
+    }
+
+    @Override
+    boolean isImmediate() {
+        return now;
+    }
+
+    @Override
+    boolean confirmed(List<ReportedInstance> selected) {
+        if (!now) {
+            return true;
+        }
+        int lostRequests = selected.stream()
+                .mapToInt(instance -> instance.status().path("inHand").asInt())
+                .sum();
+        long silentInstances = selected.stream()
+                .filter(instance -> instance.status().isNull() && instance.processId() != 0)
+                .count();
+        String unknown = silentInstances == 0 ? "" : "; of " + silentInstances + " instances it is not known";
+        out().println(lostRequests + " operations are in hand and would be lost" + unknown);
+        out().flush();
+        if (yes) {
+            return true;
+        }
+        Console console = System.console();
+        if (console == null) {
+            err().println("nobody can be asked here; say --yes");
+            return false;
+        }
+        return "yes".equals(console.readLine("Stop them at once? Type yes: "));
+    }
+}
--- a/src/main/java/merlinlever/cli/zone/ZoneApplyRunner.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneApplyRunner.java
@@ -6,6 +6,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
@@ -16,105 +17,106 @@
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.wire.Tsig;
 
-/** Carries out {@code zone apply} and tells the person who asked how it goes. */
+/** Carries out {@code zone apply} on an event loop of its own and prints the progress. */
 final class ZoneApplyRunner implements ZoneApplier.ProgressListener {
 
+    /**
+     * The server of the live zone.
+     *
+     * @param key that signs the updates, if any
+     * @param timeout of each answer
+     */
+    record Target(InetSocketAddress address, Optional<Tsig.TsigKey> key, Duration timeout) {}
+
     private final Zone wanted;
     private final Path file;
-    private final InetSocketAddress server;
-    private final Tsig.TsigKey key;
-    private final Duration patience;
+    private final Target target;
     private final boolean dryRun;
     private final PrintWriter out;
     private final PrintWriter err;
     private EventLoop loop;
-    private volatile int planned = -1;
-    private volatile int done;
-    private volatile boolean over;
     private List<UpdatePlan.Batch> batches = List.of();
-    private int status;
+    private int exitStatus;
+    // Read by the shutdown hook as well.
+    private volatile boolean planned;
+    private volatile int plannedUpdates;
+    private volatile int doneUpdates;
+    private volatile boolean over;
 
-    ZoneApplyRunner(
-            Zone wanted,
-            Path file,
-            InetSocketAddress server,
-            Tsig.TsigKey key,
-            Duration patience,
-            boolean dryRun,
-            PrintWriter out,
-            PrintWriter err) {
+    ZoneApplyRunner(Zone wanted, Path file, Target target, boolean dryRun, PrintWriter out, PrintWriter err) {
         this.wanted = wanted;
         this.file = file;
-        this.server = server;
-        this.key = key;
-        this.patience = patience;
+        this.target = target;
         this.dryRun = dryRun;
         this.out = out;
         this.err = err;
     }
 
+    /** Blocks until the live zone is as wanted or cannot be brought to it, and returns the exit status. */
     int run() {
-        Thread stopped = new Thread(() -> {
-            if (!over && planned >= 0) {
-                err.println("stopped: " + done + " of " + planned + " updates were done"
-                        + (dryRun ? "" : ", the next may have been; run it again"));
-                err.flush();
-            }
-        });
-        Runtime.getRuntime().addShutdownHook(stopped);
-        DnsClient asker;
+        Runtime.getRuntime().addShutdownHook(new Thread(this::reportInterruption));
+        DnsClient client;
         try {
-            loop = new EventLoop(MonotonicClock.system(), failure -> ended(done, "failed: " + failure));
-            asker = new DnsClient(
+            loop = new EventLoop(MonotonicClock.system(), failure -> ended(doneUpdates, "failed: " + failure));
+            client = new DnsClient(
                     loop, new SplittableRandom(System.nanoTime()), () -> System.currentTimeMillis() / 1000);
         } catch (IOException e) {
             err.println("no socket: " + e.getMessage());
             return 1;
         }
-        loop.execute(() -> ZoneApplier.start(asker, server, key, patience, wanted, dryRun, this));
+        loop.execute(() -> ZoneApplier.start(
+                client, target.address(), target.key().orElse(null), target.timeout(), wanted, dryRun, this));
         loop.run();
-        asker.close();
+        client.close();
         out.flush();
         err.flush();
-        return status;
+        return exitStatus;
+    }
+
+    private void reportInterruption() {
+        if (!over && planned) {
+            String hint = dryRun ? "" : ", the next may have been; run it again";
+            err.println("stopped: " + doneUpdates + " of " + plannedUpdates + " updates were done" + hint);
+            err.flush();
+        }
     }
 
     @Override
-    public void planned(Zone live, List<UpdatePlan.Batch> made) {
-        batches = made;
-        planned = made.size();
-        out.println(DomainNames.text(live.origin()) + ": serial " + live.serial() + " live, " + made.size()
-                + " updates, "
-                + made.stream().mapToInt(batch -> batch.removed().size()).sum() + " records out, "
-                + made.stream().mapToInt(batch -> batch.added().size()).sum() + " in");
-        for (UpdatePlan.Batch batch : made) {
-            batch.removed().forEach(rec -> out.println("- " + rec));
-            batch.added().forEach(rec -> out.println("+ " + rec));
+    public void planned(Zone live, List<UpdatePlan.Batch> plan) {
+        batches = plan;
+        plannedUpdates = plan.size();
+        planned = true;
+        int removed = plan.stream().mapToInt(batch -> batch.removed().size()).sum();
+        int added = plan.stream().mapToInt(batch -> batch.added().size()).sum();
+        out.println(DomainNames.text(live.origin()) + ": serial " + live.serial() + " live, " + plan.size()
+                + " updates, " + removed + " records out, " + added + " in");
+        for (UpdatePlan.Batch batch : plan) {
+            batch.removed().forEach(dnsRecord -> out.println("- " + dnsRecord));
+            batch.added().forEach(dnsRecord -> out.println("+ " + dnsRecord));
         }
         out.flush();
     }
 
     @Override
-    public void done(int batch) {
-        done = batch + 1;
-        out.println("update " + done + " of " + planned + " done: "
-                + batches.get(batch).names() + " names");
+    public void done(int index) {
+        doneUpdates = index + 1;
+        out.println("update " + doneUpdates + " of " + plannedUpdates + " done: "
+                + batches.get(index).names() + " names");
         out.flush();
     }
 
     @Override
-    public void ended(int count, String why) {
+    public void ended(int count, String failure) {
         over = true;
-        if (why != null) {
-            err.println("not done: " + why + "; " + count + " of " + Math.max(0, planned) + " updates were done");
-            status = 1;
+        if (failure != null) {
+            err.println("not done: " + failure + "; " + count + " of " + plannedUpdates + " updates were done");
+            exitStatus = 1;
+        } else if (dryRun) {
+            out.println("nothing was changed");
+        } else if (plannedUpdates == 0) {
+            out.println("the live zone says what " + file + " says already");
         } else {
-            out.println(
-                    dryRun
-                            ? "nothing was changed"
-                            : planned == 0
-                                    ? "the live zone says what " + file + " says already"
-                                    : "done: the live zone says what " + file + " says");
+            out.println("done: the live zone says what " + file + " says");
         }
         loop.stop();
     }
--- a/src/main/java/merlinlever/cli/zone/ZoneCommands.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneCommands.java
@@ -5,9 +5,12 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Callable;
-import merlinlever.cli.LoggingSetup;
+import merlinlever.cli.ServiceCommand;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.ConfigSchema;
+import merlinlever.config.InvalidConfigFileException;
 import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.record.MalformedDnsException;
 import merlinlever.zone.record.ResourceRecord;
@@ -22,7 +25,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What the program does with DNS zones. */
+/** The group of commands about DNS zones. */
 @Command(
         name = "zone",
         mixinStandardHelpOptions = true,
@@ -45,30 +48,34 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "Which command?");
     }
 
-    /** What several commands share. */
+    /** What the commands that read zone files and then end have in common. */
     abstract static class ZoneSubcommand implements Callable<Integer> {
         @Spec
-        CommandSpec spec;
+        private CommandSpec spec;
 
-        PrintWriter out() {
+        final PrintWriter out() {
             return spec.commandLine().getOut();
         }
 
-        PrintWriter err() {
+        final PrintWriter err() {
             return spec.commandLine().getErr();
         }
 
-        /** The origin as it was given, or null; a bad one is bad usage. */
-        byte[] origin(String text) {
+        final CommandLine.ParameterException wrongUsage(String reason) {
+            return new CommandLine.ParameterException(spec.commandLine(), reason);
+        }
+
+        /** The option's value as a domain name; null where it is not given, for the file to say it. */
+        final byte[] origin(String option) {
             try {
-                return text == null ? null : DomainNames.absolute(text);
+                return option == null ? null : DomainNames.absolute(option);
             } catch (MalformedDnsException e) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--origin: " + e.getMessage());
+                throw wrongUsage("--origin: " + e.getMessage());
             }
         }
     }
 
-    /** Reads zone files and tells their faults. */
+    /** {@code zone check}: reads zone files and reports their faults. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
@@ -103,12 +110,13 @@
         }
     }
 
+    /** One line about a zone for people. */
     static String summary(Zone zone) {
         return DomainNames.text(zone.origin()) + ": serial " + zone.serial() + ", " + zone.records() + " records, "
                 + zone.names().size() + " names";
     }
 
-    /** Compares two zone files by what they say. */
+    /** {@code zone diff}: compares two zone files by their records. */
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
@@ -116,11 +124,14 @@
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"0:they say the same", "1:they differ", "2:one cannot be read"})
     static final class ZoneDiffCommand extends ZoneSubcommand {
+        /** The SOA records of both sides are in every difference. */
+        private static final int MIN_RECORDS = 2;
+
         @Parameters(index = "0", paramLabel = "OLD")
-        private Path old;
+        private Path oldFile;
 
         @Parameters(index = "1", paramLabel = "NEW")
-        private Path made;
+        private Path newFile;
 
         @Option(names = "--origin", paramLabel = "NAME", description = "the zone, where the files do not say it")
         private String origin;
@@ -130,26 +141,27 @@
             Zone before;
             Zone after;
             try {
-                before = ZoneFile.read(old, origin(origin));
-                after = ZoneFile.read(made, origin == null ? before.origin() : origin(origin));
+                before = ZoneFile.read(oldFile, origin(origin));
+                after = ZoneFile.read(newFile, origin == null ? before.origin() : origin(origin));
             } catch (ZoneFile.InvalidZoneFileException e) {
                 e.faults().forEach(err()::println);
                 return 2;
             }
             Difference difference = Difference.between(before, after);
-            boolean soa = !difference.removed().get(0).equals(difference.added().get(0));
-            print("- ", difference.removed(), soa);
-            print("+ ", difference.added(), soa);
+            boolean soaDiffers =
+                    !difference.removed().get(0).equals(difference.added().get(0));
+            print("- ", difference.removed(), soaDiffers);
+            print("+ ", difference.added(), soaDiffers);
             out().flush();
-            return soa || difference.records() > 2 ? 1 : 0;
+            return soaDiffers || difference.records() > MIN_RECORDS ? 1 : 0;
         }
 
-        private void print(String sign, List<ResourceRecord> records, boolean soa) {
-            records.stream().skip(soa ? 0 : 1).forEach(rec -> out().println(sign + rec));
+        private void print(String sign, List<ResourceRecord> records, boolean withSoa) {
+            records.stream().skip(withSoa ? 0 : 1).forEach(dnsRecord -> out().println(sign + dnsRecord));
         }
     }
 
-    /** Serves zones until it is told to leave. */
+    /** {@code zone serve}: serves zones until SIGTERM. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -161,31 +173,19 @@
                 "2:wrong usage",
                 "143:told to leave, all was answered"
             })
-    static final class ZoneServeCommand extends ZoneSubcommand {
-        @Option(
-                names = "--config",
-                required = true,
-                paramLabel = "FILE",
-                description = "YAML; 'config schema zone-serve' prints its form")
-        private Path file;
-
-        @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
-        private LoggingSetup.LogFormat form = LoggingSetup.LogFormat.text;
+    static final class ZoneServeCommand extends ServiceCommand {
+        @Override
+        protected ConfigSchema schema() {
+            return ConfigSchema.ZONE_SERVE;
+        }
 
         @Override
-        public Integer call() {
-            LoggingSetup.start(form);
-            try {
-                new ZoneServerProcess(ConfigFile.read(file, "zone-serve")).run();
-                return 0;
-            } catch (ConfigFile.InvalidConfigFileException e) {
-                err().println(e.getMessage());
-                return 1;
-            }
+        protected void run(ConfigFile config) throws InvalidConfigFileException {
+            new ZoneServerProcess(config).run();
         }
     }
 
-    /** Brings a live zone to what a file says. */
+    /** {@code zone apply}: brings a live zone to the content of a file. */
     @Command(
             name = "apply",
             mixinStandardHelpOptions = true,
@@ -198,6 +198,8 @@
                 "2:wrong usage"
             })
     static final class ZoneApplyCommand extends ZoneSubcommand {
+        private static final int MAX_TIMEOUT_SECONDS = 300;
+
         @Parameters(paramLabel = "FILE", description = "zone file")
         private Path file;
 
@@ -223,26 +225,20 @@
         private boolean dryRun;
 
         @Option(names = "--timeout", paramLabel = "SECONDS", description = "for each answer, 1 to 300 (default: 10)")
-        private int timeout = 10;
+        private int timeoutSeconds = 10;
 
         @Override
         public Integer call() {
-            InetSocketAddress at;
-            Tsig.TsigKey with;
+            ZoneApplyRunner.Target target;
             try {
-                at = ZoneConfigParser.address(server);
-                int colon = key == null ? -1 : key.indexOf(':');
-                if (key != null && colon < 1) {
-                    throw new MalformedDnsException("--key: expected NAME:FILE, found " + key);
-                }
-                if (timeout < 1 || timeout > 300) {
-                    throw new MalformedDnsException("--timeout: expected 1 to 300, found " + timeout);
+                InetSocketAddress address = ZoneConfigParser.address(server);
+                Optional<Tsig.TsigKey> tsigKey = tsigKey();
+                if (timeoutSeconds < 1 || timeoutSeconds > MAX_TIMEOUT_SECONDS) {
+                    throw wrongUsage("--timeout: expected 1 to 300, found " + timeoutSeconds);
                 }
-                with = key == null
-                        ? null
-                        : ZoneConfigParser.key(key.substring(0, colon), algorithm, Path.of(key.substring(colon + 1)));
+                target = new ZoneApplyRunner.Target(address, tsigKey, Duration.ofSeconds(timeoutSeconds));
             } catch (MalformedDnsException e) {
-                throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
+                throw wrongUsage(e.getMessage());
             }
             Zone wanted;
             try {
@@ -251,11 +247,23 @@
                 e.faults().forEach(err()::println);
                 return 1;
             }
-            return new ZoneApplyRunner(wanted, file, at, with, Duration.ofSeconds(timeout), dryRun, out(), err()).run();
+            return new ZoneApplyRunner(wanted, file, target, dryRun, out(), err()).run();
+        }
+
+        private Optional<Tsig.TsigKey> tsigKey() throws MalformedDnsException {
+            if (key == null) {
+                return Optional.empty();
+            }
+            int colon = key.indexOf(':');
+            if (colon < 1) {
+                throw new MalformedDnsException("--key: expected NAME:FILE, found " + key);
+            }
+            return Optional.of(
+                    ZoneConfigParser.key(key.substring(0, colon), algorithm, Path.of(key.substring(colon + 1))));
         }
     }
 
-    /** Keeps a name on the live instances. */
+    /** {@code zone follow}: keeps a domain name on the live instances until SIGTERM. */
     @Command(
             name = "follow",
             mixinStandardHelpOptions = true,
@@ -263,27 +271,15 @@
                     "Keep a name in a zone on the instances that report to be alive. Ends with 143 after SIGTERM.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
-    static final class ZoneFollowCommand extends ZoneSubcommand {
-        @Option(
-                names = "--config",
-                required = true,
-                paramLabel = "FILE",
-                description = "YAML; 'config schema zone-follow' prints its form")
-        private Path file;
-
-        @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
-        private LoggingSetup.LogFormat form = LoggingSetup.LogFormat.text;
+    static final class ZoneFollowCommand extends ServiceCommand {
+        @Override
+        protected ConfigSchema schema() {
+            return ConfigSchema.ZONE_FOLLOW;
+        }
 
         @Override
-        public Integer call() {
-            LoggingSetup.start(form);
-            try {
-                new ZoneFollowerProcess(ConfigFile.read(file, "zone-follow")).run();
-                return 0;
-            } catch (ConfigFile.InvalidConfigFileException e) {
-                err().println(e.getMessage());
-                return 1;
-            }
+        protected void run(ConfigFile config) throws InvalidConfigFileException {
+            new ZoneFollowerProcess(config).run();
         }
     }
 }
--- a/src/main/java/merlinlever/cli/zone/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneFollowerProcess.java
@@ -7,11 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.concurrent.CountDownLatch;
+import merlinlever.cli.ServiceRunner;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.InvalidConfigFileException;
 import merlinlever.net.DatagramEndpoint;
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
+import merlinlever.net.SocketAddresses;
 import merlinlever.zone.client.DnsClient;
 import merlinlever.zone.client.FollowerDriver;
 import merlinlever.zone.client.UpdateMessages;
@@ -25,147 +27,155 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps a name on the live instances until it is told to leave. */
+/** The process of {@code zone follow}: assembles the follower that keeps a domain name on the live instances, and runs it. */
 final class ZoneFollowerProcess {
 
     private static final Logger LOG = LoggerFactory.getLogger("follow");
-    private static final Duration COMPARE = Duration.ofSeconds(1);
+    private static final Duration CLOCK_COMPARISON_PERIOD = Duration.ofSeconds(1);
+    private static final Duration EXCHANGE_TIMEOUT = Duration.ofSeconds(2);
+    private static final int MAX_PULSE_BYTES = 1024;
+    private static final long DEFAULT_MAX_UPDATES = 60;
 
     private final MonotonicClock clock = MonotonicClock.system();
     private final EventLoop loop;
-    private final DatagramEndpoint pulses;
-    private final DnsClient asker;
-    private final FollowerDriver link;
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final DnsClient client;
+    private final FollowerDriver driver;
+    /** Where the instances report to be alive, for the log; "none" where they are not asked to. */
+    private final String pulseAddress;
 
-    ZoneFollowerProcess(ConfigFile sheet) throws ConfigFile.InvalidConfigFileException {
-        byte[] zone = ZoneConfigParser.name(sheet, "zone");
-        byte[] name = name(sheet, zone);
-        boolean srv = sheet.text("type", "address").equals("SRV");
-        if (srv && !sheet.has("port")) {
-            throw sheet.fault("type", "SRV wants a port");
+    /** @throws InvalidConfigFileException if the follower cannot start with the configuration */
+    ZoneFollowerProcess(ConfigFile config) throws InvalidConfigFileException {
+        byte[] zone = ZoneConfigParser.domainName(config, "zone");
+        byte[] name = nameInZone(config, zone);
+        boolean isSrv = config.text("type", "address").equals("SRV");
+        if (isSrv && !config.has("port")) {
+            throw config.invalidValue("type", "SRV wants a port");
         }
-        long ttl = ttl(sheet);
-        List<String> names = new ArrayList<>();
+        long ttl = ttlSeconds(config);
+        List<String> instanceNames = new ArrayList<>();
         List<ResourceRecord> records = new ArrayList<>();
-        for (Map.Entry<String, String> instance : sheet.pairs("instances").entrySet()) {
-            names.add(instance.getKey());
-            ResourceRecord record = record(sheet, name, zone, srv, ttl, instance);
-            if (records.contains(record)) {
-                throw sheet.fault("instances." + instance.getKey(), "another instance has this address");
+        for (Map.Entry<String, String> instance : config.textMap("instances").entrySet()) {
+            ResourceRecord dnsRecord = isSrv
+                    ? serviceRecord(config, name, zone, ttl, instance)
+                    : addressRecord(config, name, ttl, instance);
+            if (records.contains(dnsRecord)) {
+                throw config.invalidValue("instances." + instance.getKey(), "another instance has this address");
             }
-            records.add(record);
+            instanceNames.add(instance.getKey());
+            records.add(dnsRecord);
         }
-        Tsig.TsigKey key = sheet.has("key") ? ZoneConfigParser.key(sheet, "key") : null;
+        Tsig.TsigKey key = config.has("key") ? ZoneConfigParser.key(config, "key") : null;
         List<InetSocketAddress> servers = new ArrayList<>();
-        for (int i = 0; i < sheet.size("servers"); i++) {
-            servers.add(ZoneConfigParser.address(sheet, "servers." + i));
+        for (int i = 0; i < config.size("servers"); i++) {
+            servers.add(ZoneConfigParser.address(config, "servers." + i));
         }
-        SplittableRandom chance = new SplittableRandom(ZoneConfigParser.seed(sheet));
-        String holder = sheet.text("holder", "f" + Long.toHexString(chance.nextLong()));
-        Follower.FollowerSettings stated = new Follower.FollowerSettings(
-                name,
-                records,
-                ttl,
-                sheet.span("lapse", Duration.ofSeconds(3)),
-                sheet.share("keep-at-least", 0.5),
-                sheet.text("owner", "fleet"),
-                holder,
-                (int) sheet.number("most-updates", 60),
-                sheet.span("damp", Duration.ofSeconds(60)),
-                sheet.span("beat", Duration.ofSeconds(20)),
-                servers.size());
+        SplittableRandom random = new SplittableRandom(ZoneConfigParser.seed(config));
+        Follower.FollowerSettings settings = settings(config, name, records, ttl, servers.size(), random);
         try {
-            loop = new EventLoop(clock, failure -> LOG.error("failed", failure));
-            asker = new DnsClient(loop, chance.split(), () -> System.currentTimeMillis() / 1000);
-            Follower follower = new Follower(clock.now(), stated, chance.split(), LOG::info);
+            loop = new EventLoop(clock, failure -> LOG.error("event-loop-task-failed", failure));
+            client = new DnsClient(loop, random.split(), () -> System.currentTimeMillis() / 1000);
+            Follower follower = new Follower(clock.now(), settings, random.split(), LOG::info);
             if (UpdateMessages.message(zone, List.of(), follower.largest(), key) == null) {
-                throw sheet.fault("instances", records.size() + " records do not fit one update of 65,535 octets");
+                throw config.invalidValue(
+                        "instances", records.size() + " records do not fit one update of 65,535 octets");
             }
-            link = new FollowerDriver(loop, asker, follower, servers, key, zone, name, names, Duration.ofSeconds(2));
-            pulses = sheet.has("pulse")
-                    ? new DatagramEndpoint(
-                            loop,
-                            ZoneConfigParser.address(sheet, "pulse"),
-                            1024,
-                            (octets, from, waited) -> link.came(octets))
-                    : null;
+            driver = new FollowerDriver(
+                    loop, client, follower, servers, key, zone, name, instanceNames, EXCHANGE_TIMEOUT);
+            pulseAddress = config.has("pulse") ? listenForPulses(config) : "none";
         } catch (IllegalArgumentException e) {
-            throw sheet.fault("name", e.getMessage());
+            throw config.invalidValue("name", e.getMessage(), e);
         } catch (IOException e) {
-            throw new ConfigFile.InvalidConfigFileException(
-                    "cannot listen on " + sheet.text("pulse", "") + ": " + e.getMessage());
+            throw new InvalidConfigFileException(
+                    "cannot listen on " + config.text("pulse", "") + ": " + e.getMessage(), e);
         }
-        loop.every(COMPARE, clock::compare);
+        loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
+    }
+
+    private String listenForPulses(ConfigFile config) throws IOException, InvalidConfigFileException {
+        DatagramEndpoint pulses = new DatagramEndpoint(
+                loop,
+                ZoneConfigParser.address(config, "pulse"),
+                MAX_PULSE_BYTES,
+                (bytes, from, waited) -> driver.came(bytes));
+        return SocketAddresses.format(pulses.address());
+    }
+
+    /** Draws the holder's name first where none is configured: later random numbers depend on it. */
+    private static Follower.FollowerSettings settings(
+            ConfigFile config,
+            byte[] name,
+            List<ResourceRecord> records,
+            long ttl,
+            int servers,
+            SplittableRandom random) {
+        String drawnHolder = "f" + Long.toHexString(random.nextLong());
+        return new Follower.FollowerSettings(
+                name,
+                records,
+                ttl,
+                config.duration("lapse", Duration.ofSeconds(3)),
+                config.fraction("keep-at-least", 0.5),
+                config.text("owner", "fleet"),
+                config.text("holder", drawnHolder),
+                (int) config.number("most-updates", DEFAULT_MAX_UPDATES),
+                config.duration("damp", Duration.ofSeconds(60)),
+                config.duration("beat", Duration.ofSeconds(20)),
+                servers);
     }
 
-    private static byte[] name(ConfigFile sheet, byte[] zone) throws ConfigFile.InvalidConfigFileException {
+    private static byte[] nameInZone(ConfigFile config, byte[] zone) throws InvalidConfigFileException {
         try {
-            byte[] name = DomainNames.parse(sheet.text("name", ""), zone);
+            byte[] name = DomainNames.parse(config.text("name", ""), zone);
             if (DomainNames.under(name, zone)) {
                 return name;
             }
         } catch (MalformedDnsException e) {
-            throw sheet.fault("name", e.getMessage());
+            throw config.invalidValue("name", e.getMessage(), e);
         }
-        throw sheet.fault("name", "it is not in the zone " + DomainNames.text(zone));
+        throw config.invalidValue("name", "it is not in the zone " + DomainNames.text(zone));
     }
 
-    private static long ttl(ConfigFile sheet) throws ConfigFile.InvalidConfigFileException {
-        long ttl = Rdata.seconds(sheet.text("ttl", "30"));
+    private static long ttlSeconds(ConfigFile config) throws InvalidConfigFileException {
+        long ttl = Rdata.seconds(config.text("ttl", "30"));
         if (ttl < 0) {
-            throw sheet.fault("ttl", "expected seconds, or a span such as 30s or 5m");
+            throw config.invalidValue("ttl", "expected seconds, or a span such as 30s or 5m");
         }
         return ttl;
     }
 
-    private static ResourceRecord record(
-            ConfigFile sheet, byte[] name, byte[] zone, boolean srv, long ttl, Map.Entry<String, String> instance)
-            throws ConfigFile.InvalidConfigFileException {
-        String value = instance.getValue();
+    private static ResourceRecord serviceRecord(
+            ConfigFile config, byte[] name, byte[] zone, long ttl, Map.Entry<String, String> instance)
+            throws InvalidConfigFileException {
+        List<String> priorityWeightPortTarget = List.of("0", "1", config.text("port", ""), instance.getValue());
         try {
-            if (srv) {
-                return new ResourceRecord(
-                        name,
-                        RecordTypes.SRV,
-                        ttl,
-                        Rdata.fromText(RecordTypes.SRV, List.of("0", "1", sheet.text("port", ""), value), zone));
-            }
-            boolean six = value.indexOf(':') >= 0;
             return new ResourceRecord(
-                    name,
-                    six ? RecordTypes.AAAA : RecordTypes.A,
-                    ttl,
-                    six ? Rdata.address6(value) : Rdata.address4(value));
+                    name, RecordTypes.SRV, ttl, Rdata.fromText(RecordTypes.SRV, priorityWeightPortTarget, zone));
         } catch (MalformedDnsException e) {
-            throw sheet.fault("instances." + instance.getKey(), e.getMessage());
+            throw config.invalidValue("instances." + instance.getKey(), e.getMessage(), e);
         }
     }
 
-    void run() {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            // What is on its way may be done or not: the next follower finds it by reading.
-            loop.execute(loop::stop);
-            try {
-                over.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }));
+    private static ResourceRecord addressRecord(
+            ConfigFile config, byte[] name, long ttl, Map.Entry<String, String> instance)
+            throws InvalidConfigFileException {
+        String address = instance.getValue();
         try {
-            LOG.info(
-                    "following{}",
-                    pulses == null
-                            ? ""
-                            : " on " + pulses.address().getAddress().getHostAddress() + ":"
-                                    + pulses.address().getPort());
-            loop.run();
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
-        } finally {
-            LOG.info("ended; {} datagrams were no report of a known instance", link.unknown());
-            asker.close();
-            over.countDown();
+            return address.indexOf(':') >= 0
+                    ? new ResourceRecord(name, RecordTypes.AAAA, ttl, Rdata.address6(address))
+                    : new ResourceRecord(name, RecordTypes.A, ttl, Rdata.address4(address));
+        } catch (MalformedDnsException e) {
+            throw config.invalidValue("instances." + instance.getKey(), e.getMessage(), e);
         }
     }
+
+    /** Runs the follower until SIGTERM. */
+    void run() {
+        // An update in flight may be done or not: the next follower finds out by reading.
+        ServiceRunner runner = ServiceRunner.handlingTermination(loop, loop::stop);
+        LOG.info("following pulse_address={}", pulseAddress);
+        runner.run(() -> {
+            LOG.info("follower-stopped unknown_pulses={}", driver.unknown());
+            client.close();
+        });
+    }
 }
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -11,15 +11,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import merlinlever.cli.ServiceRunner;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.InvalidConfigFileException;
 import merlinlever.management.ManagementServer;
 import merlinlever.management.StatusReport;
 import merlinlever.net.EventLoop;
 import merlinlever.net.HangupSignal;
 import merlinlever.net.MonotonicClock;
+import merlinlever.net.SocketAddresses;
 import merlinlever.storage.StateDirectories;
 import merlinlever.storage.StateDirectory;
 import merlinlever.zone.journal.ZoneStore;
@@ -36,100 +38,79 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts the front for zones together with its state and runs it. */
+/**
+ * The process of {@code zone serve}: assembles the DNS server with its zones and their state on disk, runs it, reloads the zone
+ * files on SIGHUP and shuts it down on SIGTERM. Requests are answered on the event loop; journals and snapshots have a thread each.
+ */
 final class ZoneServerProcess {
 
     private static final Logger LOG = LoggerFactory.getLogger("zone");
-    private static final Duration COMPARE = Duration.ofSeconds(1);
-    private static final Duration ANSWERED = Duration.ofMillis(10);
-    /** Of the time between the notice and the stop, this part is grace. */
-    private static final int GRACE_PART = 5;
+    private static final Duration CLOCK_COMPARISON_PERIOD = Duration.ofSeconds(1);
+    private static final Duration SHUTDOWN_POLL_PERIOD = Duration.ofMillis(10);
+    private static final Duration DEFAULT_STOP = Duration.ofSeconds(5);
+    /** One part in so many of the time to the stop is the grace, in which new requests are accepted still. */
+    private static final int GRACE_DIVISOR = 5;
+
+    private static final long DEFAULT_SNAPSHOT_AFTER = 10_000;
+    private static final long DEFAULT_CONNECTIONS = 256;
+    private static final long DEFAULT_MEMORY_MB = 256;
 
     private final MonotonicClock clock = MonotonicClock.system();
     private final EventLoop loop;
-    private final ExecutorService disk = thread("zone-disk");
-    private final ExecutorService snapshots = thread("zone-snapshots");
-    private final StateDirectory folder;
+    private final ExecutorService journalThread = daemonThread("zone-disk");
+    private final ExecutorService snapshotThread = daemonThread("zone-snapshots");
+    private final StateDirectory state;
     /** Each zone with the operator's file. */
-    private final Map<ServedZone, Path> zones = new LinkedHashMap<>();
+    private final Map<ServedZone, Path> fileByZone = new LinkedHashMap<>();
 
     private final List<ZoneStore> stores = new ArrayList<>();
-    private final DnsServer front;
-    private final NotifySender notices;
-    private final ZoneServerMetrics counts = new ZoneServerMetrics(new SimpleMeterRegistry());
+    private final DnsServer server;
+    private final InetSocketAddress serverAddress;
+    private final NotifySender notifySender;
+    private final ZoneServerMetrics metrics = new ZoneServerMetrics(new SimpleMeterRegistry());
     private final Duration stopAfter;
-    private final CountDownLatch over = new CountDownLatch(1);
 
-    ZoneServerProcess(ConfigFile sheet) throws ConfigFile.InvalidConfigFileException {
+    /** @throws InvalidConfigFileException if the server cannot start with the configuration or the state on disk */
+    ZoneServerProcess(ConfigFile config) throws InvalidConfigFileException {
         try {
-            loop = new EventLoop(clock, failure -> LOG.error("failed", failure));
-            folder = StateDirectories.open(sheet.path("state", "state"), System.getenv());
+            loop = new EventLoop(clock, failure -> LOG.error("event-loop-task-failed", failure));
+            state = StateDirectories.open(config.path("state", "state"), System.getenv());
         } catch (IOException e) {
-            throw new ConfigFile.InvalidConfigFileException(sheet.file() + ": state: " + e.getMessage());
-        }
-        List<Tsig.TsigKey> keys = new ArrayList<>();
-        Set<String> names = new TreeSet<>();
-        for (int i = 0; i < sheet.size("keys"); i++) {
-            keys.add(ZoneConfigParser.key(sheet, "keys." + i));
-            if (!names.add(DomainNames.text(keys.get(i).name()))) {
-                throw sheet.fault("keys." + i + ".name", "a key of this name is there already");
-            }
-        }
-        stopAfter = sheet.span("stop", Duration.ofSeconds(5));
-        Map<ServedZone, List<InetSocketAddress>> notified = new LinkedHashMap<>();
-        for (int i = 0; i < sheet.size("zones"); i++) {
-            String at = "zones." + i;
-            ServedZone zone = zone(sheet, at, names);
-            for (ServedZone other : zones.keySet()) {
-                if (other.name().equals(zone.name())) {
-                    throw sheet.fault(at + ".origin", "this zone is there already");
-                }
-            }
-            zones.put(zone, sheet.path(at + ".file", ""));
-            List<InetSocketAddress> told = new ArrayList<>();
-            for (int k = 0; k < sheet.size(at + ".notify"); k++) {
-                told.add(ZoneConfigParser.address(sheet, at + ".notify." + k));
-            }
-            notified.put(zone, told);
+            throw new InvalidConfigFileException(config.file() + ": state: " + e.getMessage(), e);
         }
-        InetSocketAddress listen = ZoneConfigParser.address(sheet, "listen");
+        List<Tsig.TsigKey> keys = keys(config);
+        stopAfter = config.duration("stop", DEFAULT_STOP);
+        Map<ServedZone, List<InetSocketAddress>> secondaries = addZones(config, keys);
+        InetSocketAddress listenAddress = ZoneConfigParser.address(config, "listen");
         try {
-            front = new DnsServer(
+            server = new DnsServer(
                     loop,
-                    listen,
-                    (int) sheet.number("connections", 256),
-                    List.copyOf(zones.keySet()),
+                    listenAddress,
+                    (int) config.number("connections", DEFAULT_CONNECTIONS),
+                    List.copyOf(fileByZone.keySet()),
                     new Tsig.TsigKeyRing(keys),
                     new RequestProcessor.ProcessorSettings(
-                            sheet.number("memory-mb", 256),
-                            stopAfter.dividedBy(GRACE_PART),
-                            !sheet.text("queries-decided", "true").equals("false"),
-                            ZoneConfigParser.seed(sheet)),
-                    ZoneServerProcess::unix,
+                            config.number("memory-mb", DEFAULT_MEMORY_MB),
+                            grace(),
+                            !config.text("queries-decided", "true").equals("false"),
+                            ZoneConfigParser.seed(config)),
+                    ZoneServerProcess::unixSeconds,
                     LOG::info,
-                    counts);
-            notices = new NotifySender(loop, ZoneConfigParser.seed(sheet));
-            if (sheet.has("manage")) {
-                new ManagementServer(
-                        loop,
-                        ZoneConfigParser.address(sheet, "manage"),
-                        () -> StatusReport.of(
-                                front.desk().figures().leaving(),
-                                true,
-                                front.desk().inHand(),
-                                clock.uptime().toMillis(),
-                                front.desk().figures(),
-                                null));
+                    metrics);
+            serverAddress = server.address();
+            notifySender = new NotifySender(loop, ZoneConfigParser.seed(config));
+            if (config.has("manage")) {
+                new ManagementServer(loop, ZoneConfigParser.address(config, "manage"), this::statusReport);
             }
         } catch (IOException e) {
-            throw new ConfigFile.InvalidConfigFileException(
-                    "cannot listen on " + sheet.text("listen", "") + ": " + e.getMessage());
+            throw new InvalidConfigFileException(
+                    "cannot listen on " + config.text("listen", "") + ": " + e.getMessage(), e);
         }
-        notified.forEach((zone, servers) -> zone.watch(seen -> notices.tell(seen, servers)));
-        loop.every(COMPARE, clock::compare);
+        secondaries.forEach((zone, addresses) -> zone.watch(changed -> notifySender.tell(changed, addresses)));
+        loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
     }
 
-    private static ExecutorService thread(String name) {
+    private static ExecutorService daemonThread(String name) {
         return Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -137,24 +118,78 @@
         });
     }
 
-    private static long unix() {
+    private static long unixSeconds() {
         return System.currentTimeMillis() / 1000;
     }
 
-    private ServedZone zone(ConfigFile sheet, String at, Set<String> keys)
-            throws ConfigFile.InvalidConfigFileException {
-        byte[] origin = ZoneConfigParser.name(sheet, at + ".origin");
-        Path file = sheet.path(at + ".file", "");
-        Set<String> updaters = allowed(sheet, at + ".update", keys);
-        Set<String> transferers = allowed(sheet, at + ".transfer", keys);
+    private Duration grace() {
+        return stopAfter.dividedBy(GRACE_DIVISOR);
+    }
+
+    private String statusReport() {
+        return StatusReport.of(
+                server.desk().figures().leaving(),
+                true,
+                server.desk().inHand(),
+                clock.uptime().toMillis(),
+                server.desk().figures(),
+                null);
+    }
+
+    private static List<Tsig.TsigKey> keys(ConfigFile config) throws InvalidConfigFileException {
+        List<Tsig.TsigKey> keys = new ArrayList<>();
+        Set<String> names = new TreeSet<>();
+        for (int i = 0; i < config.size("keys"); i++) {
+            Tsig.TsigKey key = ZoneConfigParser.key(config, "keys." + i);
+            if (!names.add(DomainNames.text(key.name()))) {
+                throw config.invalidValue("keys." + i + ".name", "a key of this name is there already");
+            }
+            keys.add(key);
+        }
+        return keys;
+    }
+
+    /** Returns the servers that are notified of each new version of each zone. */
+    private Map<ServedZone, List<InetSocketAddress>> addZones(ConfigFile config, List<Tsig.TsigKey> keys)
+            throws InvalidConfigFileException {
+        Set<String> keyNames = new TreeSet<>();
+        keys.forEach(key -> keyNames.add(DomainNames.text(key.name())));
+        Map<ServedZone, List<InetSocketAddress>> secondaries = new LinkedHashMap<>();
+        for (int i = 0; i < config.size("zones"); i++) {
+            String path = "zones." + i;
+            ServedZone zone = zone(config, path, keyNames);
+            for (ServedZone other : fileByZone.keySet()) {
+                if (other.name().equals(zone.name())) {
+                    throw config.invalidValue(path + ".origin", "this zone is there already");
+                }
+            }
+            fileByZone.put(zone, config.path(path + ".file", ""));
+            secondaries.put(zone, addresses(config, path + ".notify"));
+        }
+        return secondaries;
+    }
+
+    private static List<InetSocketAddress> addresses(ConfigFile config, String path) throws InvalidConfigFileException {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (int i = 0; i < config.size(path); i++) {
+            addresses.add(ZoneConfigParser.address(config, path + "." + i));
+        }
+        return addresses;
+    }
+
+    private ServedZone zone(ConfigFile config, String path, Set<String> keyNames) throws InvalidConfigFileException {
+        byte[] origin = ZoneConfigParser.domainName(config, path + ".origin");
+        Path file = config.path(path + ".file", "");
+        Set<String> updaters = permittedKeys(config, path + ".update", keyNames);
+        Set<String> transferers = permittedKeys(config, path + ".transfer", keyNames);
         ZoneStore store = new ZoneStore(
-                folder,
+                state,
                 origin,
-                disk,
-                snapshots,
+                journalThread,
+                snapshotThread,
                 loop,
                 LOG::warn,
-                (int) sheet.number("snapshot-after", 10_000),
+                (int) config.number("snapshot-after", DEFAULT_SNAPSHOT_AFTER),
                 RequestProcessor.REPLAY);
         stores.add(store);
         ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY);
@@ -163,109 +198,89 @@
             if (recovered == null) {
                 Zone zone = ZoneFile.read(file, origin);
                 store.first(zone);
-                LOG.info("{}, from {}", ZoneCommands.summary(zone), file);
+                LOG.info("zone-loaded source={} zone={}", file, ZoneCommands.summary(zone));
                 return new ServedZone(zone, updaters, transferers, store, replays);
             }
-            recovered.marks().forEach(mark -> replays.add(mark.at(), mark.mark()));
+            recovered.marks().forEach(key -> replays.add(key.at(), key.mark()));
             if (!recovered.told().isEmpty()) {
-                LOG.warn("{}", recovered.told());
+                LOG.warn("zone-recovered-in-part reason={}", recovered.told());
             }
-            ServedZone served = new ServedZone(recovered.zone(), updaters, transferers, store, replays);
-            recovered.steps().forEach(served.history()::add);
+            ServedZone zone = new ServedZone(recovered.zone(), updaters, transferers, store, replays);
+            recovered.steps().forEach(zone.history()::add);
             LOG.info(
-                    "{}, from the state, {} updates since the snapshot",
-                    ZoneCommands.summary(recovered.zone()),
-                    recovered.steps().size());
-            reload(served, file, origin);
-            return served;
+                    "zone-loaded source=state updates_since_snapshot={} zone={}",
+                    recovered.steps().size(),
+                    ZoneCommands.summary(recovered.zone()));
+            reloadNow(zone, file, origin);
+            return zone;
         } catch (ZoneFile.InvalidZoneFileException | ZoneStore.UnusableStateException e) {
-            throw new ConfigFile.InvalidConfigFileException(e.getMessage());
+            throw new InvalidConfigFileException(e.getMessage(), e);
         }
     }
 
-    private static Set<String> allowed(ConfigFile sheet, String path, Set<String> keys)
-            throws ConfigFile.InvalidConfigFileException {
-        Set<String> allowed = new TreeSet<>();
-        for (int i = 0; i < sheet.size(path); i++) {
-            String name = DomainNames.text(ZoneConfigParser.name(sheet, path + "." + i));
-            if (!keys.contains(name)) {
-                throw sheet.fault(path + "." + i, "no key of this name is given");
+    private static Set<String> permittedKeys(ConfigFile config, String path, Set<String> keyNames)
+            throws InvalidConfigFileException {
+        Set<String> permitted = new TreeSet<>();
+        for (int i = 0; i < config.size(path); i++) {
+            String name = DomainNames.text(ZoneConfigParser.domainName(config, path + "." + i));
+            if (!keyNames.contains(name)) {
+                throw config.invalidValue(path + "." + i, "no key of this name is given");
             }
-            allowed.add(name);
+            permitted.add(name);
         }
-        return allowed;
+        return permitted;
     }
 
-    /** Reads the operator's file again. A bad one is told, and what is served stays. */
-    private void reload(ServedZone served, Path file, byte[] origin) {
+    /** Takes the operator's file over where it is newer. An invalid one is reported, and the zone served stays. */
+    private static void reloadNow(ServedZone zone, Path file, byte[] origin) {
         try {
-            LOG.info(served.reload(ZoneFile.read(file, origin), unix()));
+            LOG.info(zone.reload(ZoneFile.read(file, origin), unixSeconds()));
         } catch (ZoneFile.InvalidZoneFileException e) {
-            rejected(served, e);
+            reportRejected(zone, e);
         }
     }
 
-    private static void rejected(ServedZone served, ZoneFile.InvalidZoneFileException why) {
-        LOG.warn("{}: the file is rejected, what was served before stays", served.name());
-        why.faults().forEach(LOG::warn);
+    private static void reportRejected(ServedZone zone, ZoneFile.InvalidZoneFileException rejection) {
+        LOG.warn("zone-file-rejected zone={} current=kept", zone.name());
+        rejection.faults().forEach(LOG::warn);
     }
 
-    /** The files are read beside the loop, which goes on answering. */
+    /** Reads the files off the event loop, which goes on answering. */
     private void reloadAll() {
-        zones.forEach((served, file) -> snapshots.execute(() -> {
+        fileByZone.forEach((zone, file) -> snapshotThread.execute(() -> {
             try {
-                Zone read = ZoneFile.read(file, served.origin());
-                loop.execute(() -> LOG.info(served.reload(read, unix())));
+                Zone content = ZoneFile.read(file, zone.origin());
+                loop.execute(() -> LOG.info(zone.reload(content, unixSeconds())));
             } catch (ZoneFile.InvalidZoneFileException e) {
-                rejected(served, e);
+                reportRejected(zone, e);
             }
         }));
     }
 
+    /** Runs the server until SIGTERM. */
     void run() {
         HangupSignal.handle(() -> loop.execute(this::reloadAll));
-        Thread hook = new Thread(this::leaveAndWait);
-        Runtime.getRuntime().addShutdownHook(hook);
-        try {
-            LOG.info("listening on {}", text(front.address()));
-            loop.run();
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
-        } finally {
-            over.countDown();
-        }
-    }
-
-    private static String text(InetSocketAddress address) {
-        String host = address.getAddress().getHostAddress();
-        return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
-    }
-
-    private void leaveAndWait() {
-        loop.execute(this::leave);
-        try {
-            over.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+        ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
+        LOG.info("listening address={}", SocketAddresses.format(serverAddress));
+        runner.run(() -> {});
     }
 
-    private void leave() {
-        front.leave(stopAfter);
-        loop.in(stopAfter.dividedBy(GRACE_PART), () -> {
-            front.close();
-            loop.every(ANSWERED, () -> {
-                if (front.answered()) {
-                    end("all is answered");
+    private void startShutdown() {
+        server.leave(stopAfter);
+        loop.in(grace(), () -> {
+            server.close();
+            loop.every(SHUTDOWN_POLL_PERIOD, () -> {
+                if (server.answered()) {
+                    stop("all-answered");
                 }
             });
         });
-        loop.in(stopAfter, () -> end("the stop has come"));
+        loop.in(stopAfter, () -> stop("stop-time-reached"));
     }
 
-    private void end(String why) {
-        LOG.info("{}: {}", why, counts.line());
-        front.end();
+    private void stop(String reason) {
+        LOG.info("shutdown-finished reason={} counts={}", reason, metrics.line());
+        server.end();
         loop.stop();
         stores.forEach(ZoneStore::close);
     }
--- a/src/main/java/merlinlever/cli/zone/package-info.java
+++ b/src/main/java/merlinlever/cli/zone/package-info.java
@@ -1,2 +1,2 @@
-/** The commands about zones. */
+/** The commands {@code zone ...}: DNS zones read, compared, served, updated and followed. */
 package merlinlever.cli.zone;
--- a/src/main/java/merlinlever/config/package-info.java
+++ b/src/main/java/merlinlever/config/package-info.java
@@ -1,2 +1,6 @@
-/** Configuration files of everything but {@code serve}: YAML, checked against a JSON Schema before anything starts. */
+/**
+ * Configuration files of every command but {@code serve}: YAML, validated against a JSON Schema before anything starts. The entry
+ * point is {@link merlinlever.config.ConfigFile}. {@code serve} reads JSON without a schema library and loads nothing of this
+ * package.
+ */
 package merlinlever.config;
--- a/src/main/java/merlinlever/faults/script/FaultScript.java
+++ b/src/main/java/merlinlever/faults/script/FaultScript.java
@@ -10,6 +10,7 @@
 import java.util.stream.IntStream;
 import merlinlever.WireNamed;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.InvalidConfigFileException;
 
 /**
  * Faults in the order they are played: written in a YAML file (schema {@code faults}), drawn from a seed, or both. Decisions
@@ -112,69 +113,70 @@
 
     private FaultScript() {}
 
-    public static FaultPlan read(ConfigFile sheet) throws ConfigFile.InvalidConfigFileException {
-        int processes = (int) sheet.number("processes", 1);
-        long seed = Long.parseUnsignedLong(sheet.text("seed", "0"), 16);
-        Duration length = sheet.span("length", Duration.ZERO);
+    public static FaultPlan read(ConfigFile config) throws InvalidConfigFileException {
+        int processes = (int) config.number("processes", 1);
+        long seed = Long.parseUnsignedLong(config.text("seed", "0"), 16);
+        Duration length = config.duration("length", Duration.ZERO);
         List<FaultStep> steps = new ArrayList<>();
-        for (int i = 0; i < sheet.size("steps"); i++) {
+        for (int i = 0; i < config.size("steps"); i++) {
             String at = "steps." + i;
             FaultStep step = new FaultStep(
-                    sheet.span(at + ".at", Duration.ZERO),
-                    WireNamed.parse(FaultKind.class, sheet.text(at + ".do", "")),
-                    members(sheet, at + ".who", processes),
-                    members(sheet, at + ".to", processes),
-                    sheet.text(at + ".one-way", "false").equals("true"),
-                    sides(sheet, at + ".sides", processes),
-                    sheet.span(at + ".delay", Duration.ZERO),
-                    sheet.span(at + ".jitter", Duration.ZERO),
-                    sheet.share(at + ".share", 0),
-                    sheet.number(at + ".bytes", 0));
+                    config.duration(at + ".at", Duration.ZERO),
+                    WireNamed.parse(FaultKind.class, config.text(at + ".do", "")),
+                    members(config, at + ".who", processes),
+                    members(config, at + ".to", processes),
+                    config.text(at + ".one-way", "false").equals("true"),
+                    sides(config, at + ".sides", processes),
+                    config.duration(at + ".delay", Duration.ZERO),
+                    config.duration(at + ".jitter", Duration.ZERO),
+                    config.fraction(at + ".share", 0),
+                    config.number(at + ".bytes", 0));
             if (step.kind() == FaultKind.PARTITION && step.sides().isEmpty()) {
-                throw sheet.fault(at, "a partition needs its sides");
+                throw config.invalidValue(at, "a partition needs its sides");
             }
             if (step.at().compareTo(length) > 0) {
-                throw sheet.fault(at + ".at", "after the length of " + length.toMillis() + " ms");
+                throw config.invalidValue(at + ".at", "after the length of " + length.toMillis() + " ms");
             }
             steps.add(step);
         }
-        if (sheet.has("draw")) {
+        if (config.has("draw")) {
             Map<FaultKind, Integer> weights = new EnumMap<>(FaultKind.class);
-            sheet.pairs("draw.kinds")
+            config.textMap("draw.kinds")
                     .forEach((kind, weight) ->
                             weights.put(WireNamed.parse(FaultKind.class, kind), Integer.parseInt(weight)));
             if (weights.values().stream().allMatch(weight -> weight == 0)) {
-                throw sheet.fault("draw.kinds", "every weight is 0, so nothing can be drawn");
+                throw config.invalidValue("draw.kinds", "every weight is 0, so nothing can be drawn");
             }
             steps.addAll(draw(
                     processes,
                     seed,
-                    (int) sheet.number("draw.count", 1),
+                    (int) config.number("draw.count", 1),
                     length,
-                    sheet.span("draw.longest", LONGEST),
+                    config.duration("draw.longest", LONGEST),
                     weights));
         }
-        return new FaultPlan(processes, seed, length, sheet.span("settle", SETTLE), ordered(steps));
+        return new FaultPlan(processes, seed, length, config.duration("settle", SETTLE), ordered(steps));
     }
 
-    private static List<Integer> members(ConfigFile sheet, String path, int processes)
-            throws ConfigFile.InvalidConfigFileException {
+    private static List<Integer> members(ConfigFile config, String path, int processes)
+            throws InvalidConfigFileException {
         List<Integer> members = new ArrayList<>();
-        for (String text : sheet.texts(path)) {
+        for (String text : config.textList(path)) {
             int member = Integer.parseInt(text);
             if (member >= processes) {
-                throw sheet.fault(path, "process " + member + " of " + processes + " (they are numbered from 0)");
+                throw config.invalidValue(
+                        path, "process " + member + " of " + processes + " (they are numbered from 0)");
             }
             members.add(member);
         }
         return List.copyOf(members);
     }
 
-    private static List<List<Integer>> sides(ConfigFile sheet, String path, int processes)
-            throws ConfigFile.InvalidConfigFileException {
+    private static List<List<Integer>> sides(ConfigFile config, String path, int processes)
+            throws InvalidConfigFileException {
         List<List<Integer>> sides = new ArrayList<>();
-        for (int i = 0; i < sheet.size(path); i++) {
-            sides.add(members(sheet, path + "." + i, processes));
+        for (int i = 0; i < config.size(path); i++) {
+            sides.add(members(config, path + "." + i, processes));
         }
         return List.copyOf(sides);
     }
