--- a/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
@@ -70,7 +70,7 @@
         StringBuilder said = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             said.append(line).append('\n');
-            int at = line.indexOf("listening on ");
+            int at = line.indexOf("listening address=");
             if (at >= 0) {
                 address =
                         new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
--- a/src/test/java/merlinlever/config/ConfigFileTest.java
+++ b/src/test/java/merlinlever/config/ConfigFileTest.java
@@ -7,6 +7,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.util.List;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -15,61 +17,63 @@
     @TempDir
     Path folder;
 
-    private Path file(String text) throws Exception {
+    private Path write(String text) throws Exception {
         return Files.writeString(folder.resolve("c.yaml"), text);
     }
 
+    private static String faultsOf(Path file) {
+        return assertThrows(InvalidConfigFileException.class, () -> ConfigFile.read(file, ConfigSchema.ZONE_SERVE))
+                .getMessage();
+    }
+
     @Test
-    void aGoodFileIsReadWithItsTypes() throws Exception {
-        ConfigFile sheet = ConfigFile.read(
-                file(
-                        """
+    void validFileIsReadWithTheTypesOfItsValues() throws Exception {
+        Path file = write(
+                """
                 listen: 127.0.0.1:0
                 state: state
                 stop: 250ms
                 zones:
                   - {origin: example.org., file: z, update: [a., b.]}
-                """),
-                "zone-serve");
-        assertEquals(Duration.ofMillis(250), sheet.span("stop", null));
-        assertEquals(folder.resolve("state"), sheet.path("state", ""));
-        assertEquals(java.util.List.of("a.", "b."), sheet.texts("zones.0.update"));
-        assertEquals(1, sheet.size("zones"));
+                """);
+        ConfigFile config = ConfigFile.read(file, ConfigSchema.ZONE_SERVE);
+        assertEquals(Duration.ofMillis(250), config.duration("stop", null));
+        assertEquals(folder.resolve("state"), config.path("state", ""));
+        assertEquals(List.of("a.", "b."), config.textList("zones.0.update"));
+        assertEquals(1, config.size("zones"));
     }
 
     @Test
     void everyFaultIsOneLineWithItsPlace() throws Exception {
-        Path file = file("listen: 127.0.0.1:0\nstate: 3\nkys: 4\nzones:\n  - {origin: a.}\nstop: 3 seconds\n");
-        String[] said = assertThrows(
-                        ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(file, "zone-serve"))
-                .getMessage()
-                .split("\n");
-        assertEquals(4, said.length);
-        assertTrue(said[0].startsWith(file + ":2: state: "), said[0]);
+        Path file = write("listen: 127.0.0.1:0\nstate: 3\nkys: 4\nzones:\n  - {origin: a.}\nstop: 3 seconds\n");
+        String[] faults = faultsOf(file).split("\n");
+        assertEquals(4, faults.length);
+        assertTrue(faults[0].startsWith(file + ":2: state: "), faults[0]);
         assertTrue(
-                said[1].startsWith(file + ":3: no key 'kys' is known here; allowed are listen, state, keys, "),
-                said[1]);
-        assertEquals(file + ":5: zones.0: the key 'file' is missing", said[2]);
+                faults[1].startsWith(file + ":3: no key 'kys' is known here; allowed are listen, state, keys, "),
+                faults[1]);
+        assertEquals(file + ":5: zones.0: the key 'file' is missing", faults[2]);
         assertEquals(
                 file + ":6: stop: not of the form ^[0-9]{1,9}(ms|s|m)$ (from SIGTERM to the end at the latest)",
-                said[3]);
+                faults[3]);
     }
 
     @Test
-    void whatIsNoYamlIsOneLine() throws Exception {
-        for (String bad : new String[] {"listen: [", "", "a: 1\na: 2\n", "\t- x", "{{a: b}: c}"}) {
-            Path file = file(bad);
-            String said = assertThrows(
-                            ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(file, "zone-serve"))
-                    .getMessage();
-            assertEquals(1, said.lines().count(), said);
-            assertTrue(said.matches(java.util.regex.Pattern.quote(file.toString()) + ":[0-9]+: .*"), said);
+    void fileThatIsNoYamlHasOneFault() throws Exception {
+        for (String text : new String[] {"listen: [", "", "a: 1\na: 2\n", "\t- x", "{{a: b}: c}"}) {
+            Path file = write(text);
+            String fault = faultsOf(file);
+            assertEquals(1, fault.lines().count(), fault);
+            assertTrue(fault.matches(Pattern.quote(file.toString()) + ":[0-9]+: .*"), fault);
         }
-        assertThrows(ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(folder, "zone-serve"));
+        assertThrows(InvalidConfigFileException.class, () -> ConfigFile.read(folder, ConfigSchema.ZONE_SERVE));
     }
 
     @Test
-    void everySchemaIsThere() {
-        ConfigFile.SCHEMAS.forEach(name -> assertTrue(ConfigFile.schema(name).contains("\"title\"")));
+    void everySchemaHasItsText() {
+        assertEquals("zone-serve, zone-follow, host-run, faults", ConfigSchema.allNames());
+        for (ConfigSchema schema : ConfigSchema.values()) {
+            assertTrue(schema.text().contains("\"title\""), schema.wireName());
+        }
     }
 }
--- a/src/test/java/merlinlever/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/faults/script/FaultScriptTest.java
@@ -11,6 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.config.ConfigFile;
+import merlinlever.config.ConfigSchema;
+import merlinlever.config.InvalidConfigFileException;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -79,7 +81,7 @@
                     file,
                     "processes: 3\nseed: \"24\"\nlength: 5s\nsteps:\n  - {at: 1s, do: isolate, who: [2]}\n"
                             + "  - {at: 2s, do: heal}\ndraw:\n  count: 2\n  kinds: {kill: 1}\n");
-            FaultScript.FaultPlan plan = FaultScript.read(ConfigFile.read(file, "faults"));
+            FaultScript.FaultPlan plan = FaultScript.read(ConfigFile.read(file, ConfigSchema.FAULTS));
             assertEquals(6, plan.steps().size());
             assertEquals(
                     FaultScript.FaultKind.ISOLATE,
@@ -90,19 +92,19 @@
                             .kind());
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: explode}\n");
             String told = assertThrows(
-                            ConfigFile.InvalidConfigFileException.class, () -> ConfigFile.read(file, "faults"))
+                            InvalidConfigFileException.class, () -> ConfigFile.read(file, ConfigSchema.FAULTS))
                     .getMessage();
             assertTrue(told.startsWith(file + ":4: steps.0.do: "), told);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 1s, do: kill, who: [3]}\n");
             told = assertThrows(
-                            ConfigFile.InvalidConfigFileException.class,
-                            () -> FaultScript.read(ConfigFile.read(file, "faults")))
+                            InvalidConfigFileException.class,
+                            () -> FaultScript.read(ConfigFile.read(file, ConfigSchema.FAULTS)))
                     .getMessage();
             assertTrue(told.contains("process 3 of 3 (they are numbered from 0)"), told);
             Files.writeString(file, "processes: 3\nlength: 5s\nsteps:\n  - {at: 9s, do: heal}\n");
             told = assertThrows(
-                            ConfigFile.InvalidConfigFileException.class,
-                            () -> FaultScript.read(ConfigFile.read(file, "faults")))
+                            InvalidConfigFileException.class,
+                            () -> FaultScript.read(ConfigFile.read(file, ConfigSchema.FAULTS)))
                     .getMessage();
             assertTrue(told.contains("after the length"), told);
         } finally {
