--- a/src/test/java/merlinlever/cli/CommandsTest.java
+++ b/src/test/java/merlinlever/cli/CommandsTest.java
@@ -7,7 +7,7 @@
 class CommandsTest {
 
     @Test
-    void wrongUseIsStatusTwo() {
+    void wrongUsageHasStatusTwo() {
         assertEquals(2, Commands.start());
         assertEquals(2, Commands.start("nothing-of-the-kind"));
         assertEquals(2, Commands.start("zone"));
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void helpIsThereOnEveryLevel() {
+    void helpExistsOnEveryLevel() {
         for (String[] at :
                 new String[][] {{"--help"}, {"zone", "--help"}, {"config", "schema", "--help"}, {"serve", "--help"}}) {
             assertEquals(0, Commands.start(at));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aBadFileIsStatusOne() {
+    void invalidFileHasStatusOne() {
         assertEquals(1, Commands.start("config", "check", "zone-serve", "/nonexistent/file.yaml"));
     }
 }
--- a/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
+++ b/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
@@ -27,7 +27,7 @@
 
     @Override
     Process start(String configuration) throws IOException {
-        Files.writeString(file, configuration);
+        Files.writeString(configFile, configuration);
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
@@ -38,7 +38,7 @@
                 "target/classes",
                 "merlinlever.cli.Main",
                 "serve");
-        builder.environment().put("GW_CONFIG", file.toString());
+        builder.environment().put("GW_CONFIG", configFile.toString());
         program = builder.start();
         return program;
     }
@@ -48,47 +48,47 @@
      * and the next operation are answered, the agent's link comes back, calls and reports leave, and nobody is reset.
      */
     @Example
-    void fullOfClientsItStillReachesEveryParty() throws IOException {
-        startUp();
-        greet();
+    void allLinksWorkWhileClientsFillTheDescriptors() throws IOException {
+        startAndLinkAgent();
+        sendGreeting();
         for (int i = 0; i < CLIENTS; i++) {
             switch (i % 4) {
                 case 0 -> {
-                    held.add(ask("GET /status/live HTTP/1.1\r\n\r\n"));
-                    assertEquals(200, answer(held.get(i)).status());
+                    held.add(send("GET /status/live HTTP/1.1\r\n\r\n"));
+                    assertEquals(200, readAnswer(held.get(i)).status());
                 }
-                case 1 -> held.add(ask(""));
-                case 2 -> held.add(ask("POST "));
+                case 1 -> held.add(send(""));
+                case 2 -> held.add(send("POST "));
                 default -> {
-                    held.add(ask("nonsense\r\n\r\n"));
-                    assertEquals(400, answer(held.get(i)).status());
+                    held.add(send("nonsense\r\n\r\n"));
+                    assertEquals(400, readAnswer(held.get(i)).status());
                 }
             }
         }
         long from = System.nanoTime();
-        assertEquals(200, answer(ask("GET /status/live HTTP/1.1\r\n\r\n")).status());
+        assertEquals(200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
         long took = (System.nanoTime() - from) / 1_000_000;
         assertTrue(took < 3000, took + " ms");
         // The link to the agent is made anew, a call leaves, and a report too.
-        agent.close();
-        link(0);
-        tell("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
+        agentLink.close();
+        acceptAgentLink(0);
+        sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
         // Caught up, so that no launch is in doubt and sent twice.
         Map<?, ?> sample;
         do {
-            sample = hear("sample");
-            tell("{\"cmd\":\"sampled\",\"token\":\"" + sample.get("token") + "\",\"load\":[0]}");
+            sample = awaitCommand("sample");
+            sendToBackend("{\"cmd\":\"sampled\",\"token\":\"" + sample.get("token") + "\",\"load\":[0]}");
         } while (!("" + sample.get("token")).startsWith("up"));
-        Socket edge = ask(operation("look", "", "body"));
-        Map<?, ?> launch = hear("launch");
-        tell("{\"cmd\":\"request\",\"offset\":1,\"req\":\"" + launch.get("req") + "\",\"payload\":\"AQI=\"}");
-        record = records.accept();
-        assertTrue(recordsLine().startsWith("OP " + launch.get("req")));
-        record.getOutputStream().write((launch.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
-        assertEquals("YQ==", hear("deliver").get("payload"));
-        outcome(2, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, answer(edge).body());
-        directory.receive(new DatagramPacket(new byte[100], 100));
+        Socket edge = send(httpRequest("look", "", "body"));
+        Map<?, ?> launch = awaitCommand("launch");
+        sendToBackend("{\"cmd\":\"request\",\"offset\":1,\"req\":\"" + launch.get("req") + "\",\"payload\":\"AQI=\"}");
+        recordsConnection = recordsListener.accept();
+        assertTrue(readRecordsLine().startsWith("OP " + launch.get("req")));
+        recordsConnection.getOutputStream().write((launch.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
+        assertEquals("YQ==", awaitCommand("deliver").get("payload"));
+        sendOutcome(2, launch, "OK", new byte[] {7});
+        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
+        directorySocket.receive(new DatagramPacket(new byte[100], 100));
         try (var open = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
             long count = open.count();
             assertTrue(count <= 40, count + " descriptors");
@@ -106,13 +106,13 @@
 
     /** Accepting fails before the table is full, as the system gives out fewer: those that rest make room, none is reset. */
     @Example
-    void acceptingThatFailsMakesRoom() throws IOException {
+    void failedAcceptClosesIdleConnections() throws IOException {
         limit = 22;
-        startUp();
-        greet();
+        startAndLinkAgent();
+        sendGreeting();
         for (int i = 0; i < CLIENTS; i++) {
-            held.add(ask("GET /status/live HTTP/1.1\r\n\r\n"));
-            assertEquals(200, answer(held.get(i)).status());
+            held.add(send("GET /status/live HTTP/1.1\r\n\r\n"));
+            assertEquals(200, readAnswer(held.get(i)).status());
         }
         try (var open = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
             long count = open.count();
--- a/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
+++ b/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
@@ -31,17 +31,17 @@
      * when it goes on, the bytes and its end. It must not end over what is unread, as that resets the connection.
      */
     @Example
-    void aRequestThatIsUnreadAtTheLastMomentMeetsAnAnswerOrAGoodEndAndNoReset()
+    void requestUnreadAtTheLastMomentGetsAnAnswerOrOrderlyCloseAndNoReset()
             throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":" + STOP_MS));
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-        link(0);
-        greet();
+        acceptAgentLink(0);
+        sendGreeting();
         Socket[] resting = new Socket[6];
         for (int i = 0; i < resting.length; i++) {
-            resting[i] = ask("GET /status/live HTTP/1.1\r\n\r\n");
-            assertEquals(200, answer(resting[i]).status());
+            resting[i] = send("GET /status/live HTTP/1.1\r\n\r\n");
+            assertEquals(200, readAnswer(resting[i]).status());
         }
         signal("TERM");
         long notice = System.nanoTime();
@@ -49,13 +49,13 @@
         int status = 200;
         while (status != 503) {
             status =
-                    answer(ask(resting[0], "GET /status/live HTTP/1.1\r\n\r\n")).status();
+                    readAnswer(send(resting[0], "GET /status/live HTTP/1.1\r\n\r\n")).status();
         }
         signal("STOP");
         Socket silent = resting[resting.length - 1];
         for (Socket each : resting) {
             if (each != silent) {
-                ask(each, operation("look", "", ""));
+                send(each, httpRequest("look", "", ""));
             }
         }
         // Over its last moment, wherever in its time it was held.
--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -47,7 +47,7 @@
  */
 class RunLineTest {
 
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"");
     /** One class of each subsystem that {@code serve} must never load; class literals follow a renamed package. */
     private static final List<Class<?>> FOREIGN_SUBSYSTEMS = List.of(
@@ -107,7 +107,7 @@
     }
 
     @Example
-    void theRunLineEndsInOneJavaProcessThatServes() throws IOException {
+    void runLineIsOneJavaProcessThatServes() throws IOException {
         List<String> words = Arrays.asList(runLine().trim().split("\\s+"));
         assertEquals("exec", words.get(0), "the shell is replaced, not kept as a parent");
         assertEquals("java", words.get(1));
@@ -127,8 +127,8 @@
         // The jar is made after the tests; its manifest names no class path, so the classes folder loads the same.
         command.addAll(List.of(
                 "-Xlog:class+load=info:file=" + classes, "-cp", "target/classes", "merlinlever.cli.Main", "serve"));
-        try (ServerSocket agents = new ServerSocket(0, 50, HERE);
-                DatagramSocket directory = new DatagramSocket(0, HERE)) {
+        try (ServerSocket agents = new ServerSocket(0, 50, LOOPBACK);
+                DatagramSocket directory = new DatagramSocket(0, LOOPBACK)) {
             agents.setSoTimeout(20_000);
             Files.writeString(
                     file,
@@ -149,7 +149,7 @@
                         listening != null && listening.matches(".*:[0-9]+$"), "it says where it listens: " + listening);
                 int port = Integer.parseInt(listening.substring(listening.lastIndexOf(':') + 1));
                 try (Socket agent = agents.accept();
-                        Socket edge = new Socket(HERE, port)) {
+                        Socket edge = new Socket(LOOPBACK, port)) {
                     edge.getOutputStream()
                             .write("GET /health HTTP/1.1\r\nHost: api\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     edge.setSoTimeout(20_000);
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -45,7 +45,7 @@
         return GOOD.replace(part, other);
     }
 
-    private static void refused(String text, String... says) {
+    private static void assertRejected(String text, String... says) {
         String message = assertThrows(InvalidConfigurationException.class, () -> read(text), text)
                 .getMessage();
         for (String each : says) {
@@ -54,7 +54,7 @@
     }
 
     @Example
-    void whatIsWholeIsTakenWithoutARemark() throws Exception {
+    void validConfigurationHasNoWarnings() throws Exception {
         ServeConfiguration good = read(GOOD);
         assertEquals(List.of(), good.warnings());
         assertEquals(0x8c1f30d27a5be964L, good.seed());
@@ -67,46 +67,46 @@
      * name was left out, and of two classes with one name the first was served by the terms of the second.
      */
     @Example
-    void whatCannotBeServedIsRefusedByNameWithWhatIsAllowed() {
-        refused(with("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
-        refused(with("2000.0", "-1"), "invariants.drain-grace");
-        refused(with("2000.0", "1e300"), "invariants.drain-grace");
+    void invalidValueIsRejectedWithItsNameAndWhatIsAllowed() {
+        assertRejected(with("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
+        assertRejected(with("2000.0", "-1"), "invariants.drain-grace");
+        assertRejected(with("2000.0", "1e300"), "invariants.drain-grace");
         for (String bad : new String[] {"0", "-4", "\"NaN\"", "\"Infinity\"", "\"many\""}) {
-            refused(with("\"n-cores\":4", "\"n-cores\":" + bad), "family-info.n-cores", "above 0");
-            refused(with("\"memory-kb\":90000", "\"memory-kb\":" + bad), "family-info.memory-kb", "above 0");
-            refused(with("\"window\":900.0", "\"window\":" + bad), "services.1.window", "above 0");
-            refused(with("\"aim\":200.0", "\"aim\":" + bad), "services.0.aim", "above 0");
+            assertRejected(with("\"n-cores\":4", "\"n-cores\":" + bad), "family-info.n-cores", "above 0");
+            assertRejected(with("\"memory-kb\":90000", "\"memory-kb\":" + bad), "family-info.memory-kb", "above 0");
+            assertRejected(with("\"window\":900.0", "\"window\":" + bad), "services.1.window", "above 0");
+            assertRejected(with("\"aim\":200.0", "\"aim\":" + bad), "services.0.aim", "above 0");
         }
-        refused(with("8.0", "0"), "invariants.overload-factor");
-        refused(with("\"gain\":1.0", "\"gain\":-1"), "services.0.gain");
-        refused(with("by_key", "by_kee"), "services.1.semantics is \"by_kee\"", "by_key, once, repeatable");
-        refused(with("\"drop\"", "\"dorp\""), "family-info.halt", "drop");
-        refused(with("[true,false]", "[true,\"no\"]"), "family-info.calls-by-class", "true, false");
-        refused(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
-        refused(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
-        refused(with("\"name\":\"look\",", ""), "services");
-        refused(with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
-        refused(
+        assertRejected(with("8.0", "0"), "invariants.overload-factor");
+        assertRejected(with("\"gain\":1.0", "\"gain\":-1"), "services.0.gain");
+        assertRejected(with("by_key", "by_kee"), "services.1.semantics is \"by_kee\"", "by_key, once, repeatable");
+        assertRejected(with("\"drop\"", "\"dorp\""), "family-info.halt", "drop");
+        assertRejected(with("[true,false]", "[true,\"no\"]"), "family-info.calls-by-class", "true, false");
+        assertRejected(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
+        assertRejected(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
+        assertRejected(with("\"name\":\"look\",", ""), "services");
+        assertRejected(with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
+        assertRejected(
                 GOOD.substring(0, GOOD.indexOf("\"services\"")) + "\"services\":[]}}",
                 "services is missing",
                 "one class or more");
-        refused(with("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
+        assertRejected(with("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
         for (String bad : new String[] {"-1", "1e12", "\"NaN\"", "\"soon\"", "true"}) {
-            refused(with("3200", bad), "stop_ms is", "allowed: a number");
+            assertRejected(with("3200", bad), "stop_ms is", "allowed: a number");
         }
         for (String bad : new String[] {"-1", "0", "31", "1e300", "\"NaN\""}) {
-            refused(with("384", bad), "limits.sockets is", "allowed: a number");
+            assertRejected(with("384", bad), "limits.sockets is", "allowed: a number");
         }
-        refused(with("\"agent\":\"127.0.0.1:1\"", "\"agent\":\"127.0.0.1:0\""), "agent has port 0");
-        refused(with("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
-        refused(with("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
-        refused("{\"a\":\"" + "x".repeat(1 << 20) + "\"}", "longer than");
-        refused(GOOD.substring(0, 300), "no JSON object");
+        assertRejected(with("\"agent\":\"127.0.0.1:1\"", "\"agent\":\"127.0.0.1:0\""), "agent has port 0");
+        assertRejected(with("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
+        assertRejected(with("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
+        assertRejected("{\"a\":\"" + "x".repeat(1 << 20) + "\"}", "longer than");
+        assertRejected(GOOD.substring(0, 300), "no JSON object");
     }
 
     /** Against a failure that is not told in one line: bytes that are no text, a folder in the file's place. */
     @Example
-    void whatIsNoTextOrNoFileIsSaid() {
+    void fileThatIsNoTextOrNoFileIsRejected() {
         assertThrows(InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
         String message = assertThrows(
                         InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of("GW_CONFIG", "src")))
@@ -117,7 +117,7 @@
 
     /** Against defaults that hide a missing setting: each that matters is named in one line, with what is assumed. */
     @Example
-    void whatIsMissingAndMattersIsSaidInOneLine() throws Exception {
+    void missingSettingsThatMatterAreWarnedOfInOneLine() throws Exception {
         String[][] each = {
             {"\"n-cores\":4,", "family-info.n-cores (1)"},
             {"\"memory-kb\":90000,", "family-info.memory-kb (no limit)"},
@@ -154,7 +154,7 @@
 
     /** A window that is stated as none, and a class of no value, do no harm. */
     @Example
-    void aClassThatIsNotKeyedMayHaveNoWindowAndAnyMayHaveNoValue() throws Exception {
+    void unkeyedClassMayHaveNoWindowAndAnyClassNoWeight() throws Exception {
         assertEquals(
                 List.of(),
                 read(with("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).warnings());
@@ -162,7 +162,7 @@
 
     /** The fleet's chances fall apart also where no seed is told. */
     @Example
-    void withoutASeedTwoNamesHaveTwo() throws Exception {
+    void seedIsMadeOfTheNameWhereNoneIsGiven() throws Exception {
         String without = with("\"seed\":\"8c1f30d27a5be964\",", "");
         assertFalse(read(without).seed()
                 == read(without.replace("\"n3\"", "\"n4\"")).seed());
@@ -170,7 +170,7 @@
 
     /** A class may have any name, also one that is a word of the settings; it was looked for under another then. */
     @Example
-    void aClassNamedAsAWordOfTheSettingsKeepsItsName() throws Exception {
+    void classNamedLikeASettingsKeywordKeepsItsName() throws Exception {
         for (String name : new String[] {"sockets", "once", "silent", "repeatable"}) {
             assertEquals(
                     name, read(with("\"look\"", "\"" + name + "\"")).settings().get("tariffs.0.name"));
@@ -179,7 +179,7 @@
 
     /** New keys are skipped and named, as before. */
     @Example
-    void aKeyThatIsNotKnownIsNoFault() throws Exception {
+    void unknownKeyIsIgnoredWithAWarning() throws Exception {
         assertEquals(
                 List.of("unknown-settings-ignored settings=family-info.cpus"),
                 read(with("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).warnings());
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -24,39 +24,39 @@
 /** The whole program as a process of its own, with small stand-ins for the parties around it, on loopback. */
 abstract class ServeProcessFixture {
 
-    static final int PATIENCE_MS = 20_000;
-    static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    static final int TIMEOUT_MS = 20_000;
+    static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    ServerSocket agents = new ServerSocket(0, 50, HERE);
-    ServerSocket records = new ServerSocket(0, 50, HERE);
-    DatagramSocket directory = new DatagramSocket(0, HERE);
-    final Path file = Files.createTempFile("merlinlever", ".json");
+    ServerSocket agentListener = new ServerSocket(0, 50, LOOPBACK);
+    ServerSocket recordsListener = new ServerSocket(0, 50, LOOPBACK);
+    DatagramSocket directorySocket = new DatagramSocket(0, LOOPBACK);
+    final Path configFile = Files.createTempFile("merlinlever", ".json");
     Process program;
-    Socket agent, record;
-    BufferedReader fromAgent;
+    Socket agentLink, recordsConnection;
+    BufferedReader commandReader;
     int port;
-    long ids = 0x9b1f03aa5c7e2d41L;
+    long nextRequestId = 0x9b1f03aa5c7e2d41L;
 
     ServeProcessFixture() throws IOException {
-        patience();
+        setTimeouts();
     }
 
-    void patience() throws IOException {
-        agents.setSoTimeout(PATIENCE_MS);
-        records.setSoTimeout(PATIENCE_MS);
-        directory.setSoTimeout(PATIENCE_MS);
+    void setTimeouts() throws IOException {
+        agentListener.setSoTimeout(TIMEOUT_MS);
+        recordsListener.setSoTimeout(TIMEOUT_MS);
+        directorySocket.setSoTimeout(TIMEOUT_MS);
     }
 
     /** What an edge node hears. */
     record HttpAnswer(int status, String head, byte[] body) {}
 
     Process start(String configuration) throws IOException {
-        Files.writeString(file, configuration);
-        return startAgain();
+        Files.writeString(configFile, configuration);
+        return startWithFileAsItIs();
     }
 
     /** With the file as it is. */
-    Process startAgain() throws IOException {
+    Process startWithFileAsItIs() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -64,7 +64,7 @@
                 "target/classes",
                 "merlinlever.cli.Main",
                 "serve");
-        builder.environment().put("GW_CONFIG", file.toString());
+        builder.environment().put("GW_CONFIG", configFile.toString());
         Process started = builder.start();
         // Whoever reads what it says reads to its end: a test that fails is over, too.
         CompletableFuture.delayedExecutor(60, TimeUnit.SECONDS).execute(started::destroyForcibly);
@@ -73,9 +73,9 @@
     }
 
     String configuration() {
-        return "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:" + agents.getLocalPort()
-                + "\",\"lookup\":\"127.0.0.1:" + directory.getLocalPort() + "\",\"records\":\"127.0.0.1:"
-                + records.getLocalPort()
+        return "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"agent\":\"127.0.0.1:" + agentListener.getLocalPort()
+                + "\",\"lookup\":\"127.0.0.1:" + directorySocket.getLocalPort() + "\",\"records\":\"127.0.0.1:"
+                + recordsListener.getLocalPort()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":8000,\"limits\":{\"sockets\":40},"
                 + "\"settings\":{\"family-info\":{\"n-cores\":4,\"memory-kb\":90000,\"gauges\":[\"runnable\"],"
                 + "\"halt\":\"drop\",\"calls-by-class\":[true,true],\"kb-per-key\":10},\"invariants\":{"
@@ -84,45 +84,45 @@
                 + "\"hard-limit\":40000,\"window\":60000}]}}";
     }
 
-    void startUp() throws IOException {
+    void startAndLinkAgent() throws IOException {
         start(configuration());
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
         // Its own code has been gone through before the first operation, and nobody heard of it.
         assertTrue(
                 program.inputReader().readLine().matches(".*warm-up-finished requests=[1-9][0-9]* duration_ms=[0-9]+"));
-        link(0);
+        acceptAgentLink(0);
     }
 
-    void greet() throws IOException {
-        tell("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
+    void sendGreeting() throws IOException {
+        sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
         // The gauges that it asks for once it has started.
-        Map<?, ?> sample = hear("sample");
-        tell("{\"cmd\":\"sampled\",\"token\":\"" + sample.get("token") + "\",\"load\":[0]}");
+        Map<?, ?> sample = awaitCommand("sample");
+        sendToBackend("{\"cmd\":\"sampled\",\"token\":\"" + sample.get("token") + "\",\"load\":[0]}");
     }
 
-    void link(long offset) throws IOException {
-        agent = agents.accept();
-        agent.setSoTimeout(PATIENCE_MS);
-        fromAgent = new BufferedReader(new java.io.InputStreamReader(agent.getInputStream(), StandardCharsets.UTF_8));
-        assertEquals(offset, hear("subscribe").get("offset"));
+    void acceptAgentLink(long offset) throws IOException {
+        agentLink = agentListener.accept();
+        agentLink.setSoTimeout(TIMEOUT_MS);
+        commandReader = new BufferedReader(new java.io.InputStreamReader(agentLink.getInputStream(), StandardCharsets.UTF_8));
+        assertEquals(offset, awaitCommand("subscribe").get("offset"));
     }
 
     @AfterTry
-    void end() throws IOException, InterruptedException {
+    void endProgram() throws IOException, InterruptedException {
         program.destroyForcibly().waitFor();
-        agents.close();
-        records.close();
-        directory.close();
-        Files.delete(file);
+        agentListener.close();
+        recordsListener.close();
+        directorySocket.close();
+        Files.delete(configFile);
     }
 
     /** The next command of that word; samples between are answered, or its gauge would be out of date. */
-    Map<?, ?> hear(String word) throws IOException {
+    Map<?, ?> awaitCommand(String word) throws IOException {
         while (true) {
             Map<?, ?> command;
             try {
-                command = Json.object(fromAgent.readLine());
+                command = Json.object(commandReader.readLine());
             } catch (Json.MalformedJsonException e) {
                 throw new IOException(e);
             }
@@ -130,40 +130,40 @@
                 return command;
             }
             assertEquals("sample", command.get("cmd"), "" + command);
-            tell("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":[0]}");
+            sendToBackend("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":[0]}");
         }
     }
 
-    void tell(String line) throws IOException {
-        agent.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+    void sendToBackend(String line) throws IOException {
+        agentLink.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    void outcome(long offset, Map<?, ?> launch, String result, byte[] payload) throws IOException {
-        tell("{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"result\":\""
+    void sendOutcome(long offset, Map<?, ?> launch, String result, byte[] payload) throws IOException {
+        sendToBackend("{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"result\":\""
                 + result + "\",\"elapsed_ms\":3.5,\"payload\":\""
                 + Base64.getEncoder().encodeToString(payload) + "\"}");
     }
 
-    String operation(String tariff, String more, String body) {
-        return "POST /svc/" + tariff + " HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", ids++)
+    String httpRequest(String tariff, String more, String body) {
+        return "POST /svc/" + tariff + " HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", nextRequestId++)
                 + "\r\nReq-Time: " + System.currentTimeMillis()
                 + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
                 + "Req-Rank: 0.6250\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    Socket ask(String message) throws IOException {
-        Socket socket = new Socket(HERE, port);
-        socket.setSoTimeout(PATIENCE_MS);
+    Socket send(String message) throws IOException {
+        Socket socket = new Socket(LOOPBACK, port);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        return ask(socket, message);
+        return send(socket, message);
     }
 
-    static Socket ask(Socket socket, String message) throws IOException {
+    static Socket send(Socket socket, String message) throws IOException {
         socket.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
         return socket;
     }
 
-    static HttpAnswer answer(Socket socket) throws IOException {
+    static HttpAnswer readAnswer(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -177,10 +177,10 @@
         return new HttpAnswer(Integer.parseInt(text.substring(9, 12)), text, in.readNBytes(length));
     }
 
-    String recordsLine() throws IOException {
+    String readRecordsLine() throws IOException {
         StringBuilder line = new StringBuilder();
         while (line.indexOf("\r\n") < 0) {
-            line.append((char) record.getInputStream().read());
+            line.append((char) recordsConnection.getInputStream().read());
         }
         return line.substring(0, line.length() - 2);
     }
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/SignalsTest.java
@@ -15,79 +15,79 @@
 class SignalsTest {
 
     private final ProcessSignals signals = new ProcessSignals();
-    private final List<String> heard = new CopyOnWriteArrayList<>();
-    private final CountDownLatch told = new CountDownLatch(1);
-    private final ProcessSignals.Subscriber receiver = new ProcessSignals.Subscriber() {
+    private final List<String> received = new CopyOnWriteArrayList<>();
+    private final CountDownLatch terminateReceived = new CountDownLatch(1);
+    private final ProcessSignals.Subscriber subscriber = new ProcessSignals.Subscriber() {
         @Override
         public void hangUp() {
-            heard.add("hang up");
+            received.add("hang up");
         }
 
         @Override
         public void terminate() {
-            heard.add("terminate");
-            told.countDown();
+            received.add("terminate");
+            terminateReceived.countDown();
         }
     };
 
-    private static final long PATIENCE_MS = 10_000;
+    private static final long TIMEOUT_MS = 10_000;
 
-    private static Thread begun(Runnable task) {
+    private static Thread startThread(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    private static void over(Thread thread) throws InterruptedException {
-        thread.join(PATIENCE_MS);
+    private static void assertEnds(Thread thread) throws InterruptedException {
+        thread.join(TIMEOUT_MS);
         assertFalse(thread.isAlive(), "it waits for nobody");
     }
 
     /** Against a SIGHUP that is lost where it comes while the start still reads and rehearses; twice is as good as once. */
     @Example
-    void aHangUpBeforeThereIsAReceiverIsPassedOnOnce() {
+    void hangUpBeforeThereIsASubscriberIsPassedOnOnce() {
         signals.hangUp();
         signals.hangUp();
-        assertTrue(signals.receive(receiver));
-        assertEquals(List.of("hang up"), heard);
+        assertTrue(signals.receive(subscriber));
+        assertEquals(List.of("hang up"), received);
         signals.hangUp();
         signals.hangUp();
-        assertEquals(List.of("hang up", "hang up", "hang up"), heard);
+        assertEquals(List.of("hang up", "hang up", "hang up"), received);
     }
 
     /** Against a shutdown hook that waits for a loop that never runs, and against listening after it. */
     @Example
-    void aTerminationBeforeThereIsAReceiverWaitsForNobodyAndNothingIsBegun() throws InterruptedException {
+    void terminationBeforeThereIsASubscriberWaitsForNobody() throws InterruptedException {
         signals.hangUp();
-        over(begun(signals::terminate));
-        assertFalse(signals.receive(receiver));
-        assertEquals(List.of(), heard);
+        assertEnds(startThread(signals::terminate));
+        assertFalse(signals.receive(subscriber));
+        assertEquals(List.of(), received);
     }
 
     /** Against a hook that waits where the start has failed by itself: the exit with status 1 runs it too. */
     @Example
-    void aTerminationAfterTheEndWaitsForNobody() throws InterruptedException {
-        assertTrue(signals.receive(receiver));
+    void terminationAfterTheEndWaitsForNobody() throws InterruptedException {
+        assertTrue(signals.receive(subscriber));
         signals.over();
-        over(begun(signals::terminate));
-        assertEquals(List.of(), heard, "nobody is there to be told");
+        assertEnds(startThread(signals::terminate));
+        assertEquals(List.of(), received, "nobody is there to be told");
     }
 
     /** Against an end before all is answered, and against a SIGHUP that is held up by the wait of the termination. */
     @Example
-    void aTerminationWaitsUntilTheReceiverIsDoneAndHoldsUpNoHangUp() throws InterruptedException {
-        assertTrue(signals.receive(receiver));
-        Thread first = begun(signals::terminate);
-        assertTrue(told.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
-        Thread second = begun(signals::terminate);
+    void terminationWaitsForTheSubscriberAndDelaysNoHangUp() throws InterruptedException {
+        assertTrue(signals.receive(subscriber));
+        Thread first = startThread(signals::terminate);
+        assertTrue(terminateReceived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        Thread second = startThread(signals::terminate);
         // It gets in between only while the termination waits: so nobody has returned yet.
-        over(begun(signals::hangUp));
+        assertEnds(startThread(signals::hangUp));
         assertTrue(first.isAlive());
-        assertTrue(heard.contains("hang up"));
+        assertTrue(received.contains("hang up"));
         signals.over();
-        over(first);
-        over(second);
-        assertEquals("terminate", heard.get(0));
+        assertEnds(first);
+        assertEnds(second);
+        assertEquals("terminate", received.get(0));
     }
 }
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -46,18 +46,18 @@
     }
 
     /** Sends it, and returns once the runtime has run its handler: its dispatcher waits again, and the handler's thread is over. */
-    private void handled(String name) throws IOException, InterruptedException {
-        String before = dispatcher();
+    private void signalAndAwaitHandler(String name) throws IOException, InterruptedException {
+        String before = signalDispatcherWaits();
         signal(name);
-        String now = dispatcher();
+        String now = signalDispatcherWaits();
         while (now == null || now.equals(before)) {
             assertTrue(program.isAlive());
-            now = dispatcher();
+            now = signalDispatcherWaits();
         }
     }
 
     /** How often the runtime's dispatcher of signals has waited, or null while a handler runs. */
-    private String dispatcher() throws IOException {
+    private String signalDispatcherWaits() throws IOException {
         String waits = null;
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + program.pid() + "/task"))) {
             for (Path thread : threads) {
@@ -77,15 +77,15 @@
     }
 
     /** A new pipe in the file's place; who reads the one before goes on reading that. */
-    private void pipe() throws IOException, InterruptedException {
-        Path made = Path.of(file + ".pipe");
+    private void replaceFileByPipe() throws IOException, InterruptedException {
+        Path made = Path.of(configFile + ".pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", made.toString()).start().waitFor());
-        Files.move(made, file, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(made, configFile, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** The writing side of the pipe, once the program reads it; it fails where the program doesn't come. */
-    private OutputStream opened() throws IOException, InterruptedException {
-        Path here = file;
+    private OutputStream openPipe() throws IOException, InterruptedException {
+        Path here = configFile;
         try {
             return CompletableFuture.supplyAsync(() -> {
                         try {
@@ -101,14 +101,14 @@
     }
 
     /** Lets the program read this once, and meets its next reading at a new pipe. */
-    private void reads(String text) throws IOException, InterruptedException {
-        try (OutputStream out = opened()) {
-            pipe();
+    private void serveFileOnce(String text) throws IOException, InterruptedException {
+        try (OutputStream out = openPipe()) {
+            replaceFileByPipe();
             out.write(text.getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    private String said(String part) throws IOException {
+    private String awaitLogLine(String part) throws IOException {
         String line = program.inputReader().readLine();
         while (line != null && !line.contains(part)) {
             line = program.inputReader().readLine();
@@ -117,66 +117,66 @@
         return line;
     }
 
-    private void ends(int status) throws InterruptedException {
+    private void assertExit(int status) throws InterruptedException {
         assertTrue(program.waitFor(10, TimeUnit.SECONDS), "it does not end");
         assertEquals(status, program.exitValue());
     }
 
     /** The notice to leave has been heard: health is bad from it on. */
-    private Socket untilLeaving() throws IOException {
-        Socket check = ask("GET /status/live HTTP/1.1\r\n\r\n");
-        while (answer(check).status() != 503) {
-            ask(check, "GET /status/live HTTP/1.1\r\n\r\n");
+    private Socket awaitDraining() throws IOException {
+        Socket check = send("GET /status/live HTTP/1.1\r\n\r\n");
+        while (readAnswer(check).status() != 503) {
+            send(check, "GET /status/live HTTP/1.1\r\n\r\n");
         }
         return check;
     }
 
-    private void movedAgent() throws IOException {
-        agents.close();
-        agents = new ServerSocket(0, 50, HERE);
-        patience();
+    private void moveAgent() throws IOException {
+        agentListener.close();
+        agentListener = new ServerSocket(0, 50, LOOPBACK);
+        setTimeouts();
     }
 
     /** Against a SIGHUP that ends the start, or is lost in it: what is read before it may be out of date. */
     @Example
-    void aHangUpWhileTheStartReadsIsCarriedOutAfterIt() throws IOException, InterruptedException {
+    void sighupDuringStartIsCarriedOutAfterIt() throws IOException, InterruptedException {
         String old = configuration();
-        pipe();
-        startAgain();
-        try (OutputStream out = opened()) {
+        replaceFileByPipe();
+        startWithFileAsItIs();
+        try (OutputStream out = openPipe()) {
             signal("HUP");
             signal("HUP");
-            pipe();
+            replaceFileByPipe();
             out.write(old.getBytes(StandardCharsets.UTF_8));
         }
-        movedAgent();
-        reads(configuration());
-        said("configuration-reloaded");
-        link(0);
-        greet();
+        moveAgent();
+        serveFileOnce(configuration());
+        awaitLogLine("configuration-reloaded");
+        acceptAgentLink(0);
+        sendGreeting();
         assertTrue(program.isAlive());
     }
 
     /** Against a shutdown hook that waits for a loop that does not run yet. */
     @Example
-    void aTerminationWhileTheStartReadsEndsItAtOnce() throws IOException, InterruptedException {
-        pipe();
-        startAgain();
-        OutputStream out = opened();
+    void sigtermDuringStartEndsItAtOnce() throws IOException, InterruptedException {
+        replaceFileByPipe();
+        startWithFileAsItIs();
+        OutputStream out = openPipe();
         signal("TERM");
-        ends(143);
+        assertExit(143);
         out.close();
     }
 
     /** A start that fails by itself runs the shutdown hook too, which must not wait: nothing here ever ran. */
     @Example
-    void whatCannotStartEndsWithOneLineThatNamesTheFile() throws IOException, InterruptedException {
+    void failedStartEndsWithOneLineThatNamesTheFile() throws IOException, InterruptedException {
         String good = configuration();
         String[][] bad = {
             {good.replace("\"stop_ms\":8000", "\"stop_ms\":-1"), "stop_ms is -1; allowed: a number from 0"},
             {
-                good.replace("127.0.0.1:0", "127.0.0.1:" + agents.getLocalPort()),
-                "cannot listen on 127.0.0.1:" + agents.getLocalPort()
+                good.replace("127.0.0.1:0", "127.0.0.1:" + agentListener.getLocalPort()),
+                "cannot listen on 127.0.0.1:" + agentListener.getLocalPort()
             },
             {
                 good.replace("\"drain-grace\":100", "\"drain-grace\":\"s\\noon\""),
@@ -185,76 +185,76 @@
         };
         for (String[] each : bad) {
             start(each[0]);
-            ends(1);
+            assertExit(1);
             String told = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(told.startsWith("merlinlever: " + file + ": ") && told.contains(each[1]), told);
+            assertTrue(told.startsWith("merlinlever: " + configFile + ": ") && told.contains(each[1]), told);
             assertEquals(told.length() - 1, told.indexOf('\n'), told);
         }
     }
 
     /** Against a request that is read and not answered, run, or waited for, where the agent has not even greeted yet. */
     @Example
-    void aTerminationBeforeTheGreetingAnswersAllAsNeverRunAndEnds() throws IOException, InterruptedException {
-        startUp();
-        Socket resting = ask("GET /status/live HTTP/1.1\r\n\r\n");
-        assertEquals(503, answer(resting).status());
+    void sigtermBeforeGreetingRejectsAllRequestsAndEnds() throws IOException, InterruptedException {
+        startAndLinkAgent();
+        Socket resting = send("GET /status/live HTTP/1.1\r\n\r\n");
+        assertEquals(503, readAnswer(resting).status());
         signal("TERM");
-        Socket asking = ask(operation("look", "", ""));
-        HttpAnswer answer = answer(asking);
+        Socket asking = send(httpRequest("look", "", ""));
+        HttpAnswer answer = readAnswer(asking);
         // The grace is over once answers ask for the end of their connection.
         while (!answer.head().contains("Connection: close")) {
             assertEquals(503, answer.status());
-            answer = answer(ask(asking, operation("look", "", "")));
+            answer = readAnswer(send(asking, httpRequest("look", "", "")));
         }
         assertEquals(503, answer.status());
         asking.close();
-        tell("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
-        assertEquals(503, answer(ask(resting, operation("buy", TOKEN, "a"))).status());
+        sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
+        assertEquals(503, readAnswer(send(resting, httpRequest("buy", TOKEN, "a"))).status());
         resting.close();
         // Nothing was sent to the agent, not even a question.
-        assertEquals(null, fromAgent.readLine());
-        ends(143);
+        assertEquals(null, commandReader.readLine());
+        assertExit(143);
     }
 
     /** Against a drain that begins anew, and against a SIGHUP that is left aside while there is work on the old link. */
     @Example
-    void aSecondTerminationChangesNothingAndAHangUpAfterItMovesTheLink() throws IOException, InterruptedException {
-        startUp();
-        greet();
-        Socket edge = ask(operation("buy", TOKEN, "a"));
-        Map<?, ?> launch = hear("launch");
+    void secondSigtermChangesNothingAndSighupAfterItMovesTheLink() throws IOException, InterruptedException {
+        startAndLinkAgent();
+        sendGreeting();
+        Socket edge = send(httpRequest("buy", TOKEN, "a"));
+        Map<?, ?> launch = awaitCommand("launch");
         signal("TERM");
-        Socket check = untilLeaving();
+        Socket check = awaitDraining();
         signal("TERM");
-        movedAgent();
-        Files.writeString(file, configuration());
+        moveAgent();
+        Files.writeString(configFile, configuration());
         signal("HUP");
-        Socket before = agent;
-        link(0);
-        tell("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
-        outcome(1, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, answer(edge).body());
+        Socket before = agentLink;
+        acceptAgentLink(0);
+        sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
+        sendOutcome(1, launch, "OK", new byte[] {7});
+        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
         before.close();
         edge.close();
         check.close();
-        ends(143);
+        assertExit(143);
     }
 
     /** Against five lines for one bad file, and against a reading too many that is still to come when the next signal has come. */
     @Example
-    void aFileThatStaysBadIsSaidOnceAndTheOldOneStays() throws IOException, InterruptedException {
-        startUp();
-        greet();
-        pipe();
+    void invalidFileIsLoggedOnceAndTheConfigurationStays() throws IOException, InterruptedException {
+        startAndLinkAgent();
+        sendGreeting();
+        replaceFileByPipe();
         signal("HUP");
         String bad = configuration().replace("\"n-cores\":4", "\"n-cores\":0");
         for (int i = 0; i < 5; i++) {
-            reads(bad);
+            serveFileOnce(bad);
         }
         // The readings of one signal are over; this one is not usable at first, and is read again.
         signal("HUP");
-        reads("{");
-        reads(configuration());
+        serveFileOnce("{");
+        serveFileOnce(configuration());
         List<String> lines = new ArrayList<>();
         String line = program.inputReader().readLine();
         while (!line.contains("configuration-reloaded")) {
@@ -264,90 +264,90 @@
         lines.removeIf(each -> !each.contains("configuration-reload-rejected"));
         assertEquals(2, lines.size(), "" + lines);
         assertTrue(
-                lines.get(0).contains(file + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
+                lines.get(0).contains(configFile + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
                 lines.get(0));
         assertTrue(lines.get(1).contains("no JSON object"), lines.get(1));
         // The old one stayed: the link is the one that it named.
-        Socket edge = ask(operation("look", "", ""));
-        outcome(1, hear("launch"), "OK", new byte[] {7});
-        assertEquals(200, answer(edge).status());
+        Socket edge = send(httpRequest("look", "", ""));
+        sendOutcome(1, awaitCommand("launch"), "OK", new byte[] {7});
+        assertEquals(200, readAnswer(edge).status());
     }
 
     /** Against two rows of readings side by side: the later signal's takes the place of what was to come of the earlier. */
     @Example
-    void aSecondHangUpTakesThePlaceOfReadingsToCome() throws IOException, InterruptedException {
-        startUp();
-        greet();
-        pipe();
+    void secondSighupReplacesPendingRetries() throws IOException, InterruptedException {
+        startAndLinkAgent();
+        sendGreeting();
+        replaceFileByPipe();
         signal("HUP");
         // While this is being read the second signal comes, so its reading is the next.
-        try (OutputStream out = opened()) {
-            handled("HUP");
-            pipe();
+        try (OutputStream out = openPipe()) {
+            signalAndAwaitHandler("HUP");
+            replaceFileByPipe();
             out.write('{');
         }
-        reads(configuration());
-        said("configuration-reloaded");
+        serveFileOnce(configuration());
+        awaitLogLine("configuration-reloaded");
         // A reading more would hold the program at the pipe: it answers this after the second that a check may take.
-        Socket check = ask("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
-        hear("exercise");
-        assertEquals(503, answer(check).status());
+        Socket check = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
+        awaitCommand("exercise");
+        assertEquals(503, readAnswer(check).status());
     }
 
     /** Against a notice to leave that waits for a file, and against a reading that outlives the drain. */
     @Example
-    void aTerminationWhileAConfigurationIsHalfWrittenDrainsAsEver() throws IOException, InterruptedException {
-        startUp();
-        greet();
-        Socket edge = ask(operation("buy", TOKEN, "a"));
-        Map<?, ?> launch = hear("launch");
-        Files.writeString(file, configuration().substring(0, 100));
+    void sigtermDuringHalfWrittenConfigurationDrainsAsUsual() throws IOException, InterruptedException {
+        startAndLinkAgent();
+        sendGreeting();
+        Socket edge = send(httpRequest("buy", TOKEN, "a"));
+        Map<?, ?> launch = awaitCommand("launch");
+        Files.writeString(configFile, configuration().substring(0, 100));
         signal("HUP");
-        said("configuration-reload-rejected");
+        awaitLogLine("configuration-reload-rejected");
         signal("TERM");
-        untilLeaving().close();
-        outcome(1, launch, "OK", new byte[] {7});
-        assertArrayEquals(new byte[] {7}, answer(edge).body());
+        awaitDraining().close();
+        sendOutcome(1, launch, "OK", new byte[] {7});
+        assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
         edge.close();
-        ends(143);
+        assertExit(143);
     }
 
     /** Against a stop before the grace is over, or so soon that no time is left for last writes: all is answered still. */
     @Example
-    void aStopShorterThanTheGraceAnswersAllAndEnds() throws IOException, InterruptedException {
+    void stopShorterThanGraceAnswersAllAndEnds() throws IOException, InterruptedException {
         start(configuration()
                 .replace("\"stop_ms\":8000", "\"stop_ms\":100")
                 .replace("\"drain-grace\":100", "\"drain-grace\":60000"));
-        String line = said("listening address=");
+        String line = awaitLogLine("listening address=");
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-        link(0);
-        greet();
-        Socket edge = ask(operation("buy", TOKEN, "a"));
-        hear("launch");
+        acceptAgentLink(0);
+        sendGreeting();
+        Socket edge = send(httpRequest("buy", TOKEN, "a"));
+        awaitCommand("launch");
         signal("TERM");
-        assertEquals(500, answer(edge).status());
-        ends(143);
+        assertEquals(500, readAnswer(edge).status());
+        assertExit(143);
     }
 
     /** A client that rests until the backend ends hears its end, and no reset; nobody is let in after the grace. */
     @Example
-    void whoRestsUntilTheEndHearsItWithinTheStop() throws IOException, InterruptedException {
+    void idleConnectionSeesOrderlyCloseWithinTheStop() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":1200"));
-        String line = said("listening address=");
+        String line = awaitLogLine("listening address=");
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-        link(0);
-        greet();
-        Socket resting = ask("GET /status/live HTTP/1.1\r\n\r\n");
-        assertEquals(200, answer(resting).status());
+        acceptAgentLink(0);
+        sendGreeting();
+        Socket resting = send("GET /status/live HTTP/1.1\r\n\r\n");
+        assertEquals(200, readAnswer(resting).status());
         signal("TERM");
         assertEquals(-1, resting.getInputStream().read());
-        ends(143);
-        assertFalse(connects());
+        assertExit(143);
+        assertFalse(canConnect());
     }
 
-    private boolean connects() throws IOException {
+    private boolean canConnect() throws IOException {
         try {
-            new Socket(HERE, port).close();
+            new Socket(LOOPBACK, port).close();
             return true;
         } catch (ConnectException e) {
             return false;
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -12,7 +12,7 @@
 
     /** Against a rehearsal that takes a start on little processor beyond its time: what came before it tells how slow it is. */
     @Example
-    void itGivesWayWhereTheStartWasSlow() {
+    void isShortenedWhereTheStartWasSlow() {
         Duration whole = WarmUp.timeLimit(Duration.ofMillis(100));
         assertEquals(Duration.ofMillis(2500), whole, "on a whole core it is bounded by itself");
         Duration twentieth = WarmUp.timeLimit(Duration.ofMillis(100 * 20));
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -33,17 +33,17 @@
 class FleetCommandsTest {
 
     private static final int AGENTS = 4;
-    private static final int EACH = Integer.getInteger("fleet.each", 10);
+    private static final int INSTANCES_PER_AGENT = Integer.getInteger("fleet.each", 10);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @TempDir
     Path folder;
 
     private final Process[] agents = new Process[AGENTS];
-    private final int[] ports = new int[AGENTS];
-    private final int[] gossip = new int[AGENTS];
+    private final int[] apiPorts = new int[AGENTS];
+    private final int[] membershipPorts = new int[AGENTS];
 
-    private void describe(int agent, int manage) throws IOException {
+    private void writeConfiguration(int agent, int manage) throws IOException {
         Files.writeString(folder.resolve("secret"), "a-secret-of-16-or-more");
         Files.writeString(folder.resolve("mode"), "0");
         Files.writeString(
@@ -65,13 +65,13 @@
                 """
                         .formatted(
                                 agent,
-                                ports[agent],
+                                apiPorts[agent],
                                 agent,
-                                gossip[agent],
-                                gossip[0],
-                                gossip[1],
+                                membershipPorts[agent],
+                                membershipPorts[0],
+                                membershipPorts[1],
                                 agent,
-                                EACH,
+                                INSTANCES_PER_AGENT,
                                 manage,
                                 agent < 2 ? "west" : "east",
                                 Path.of(System.getProperty("java.home"), "bin", "java"),
@@ -80,7 +80,7 @@
                                 manage));
     }
 
-    private void launch(int agent) throws IOException {
+    private void launchAgent(int agent) throws IOException {
         agents[agent] = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:TieredStopAtLevel=1",
@@ -100,7 +100,7 @@
     }
 
     /** The auditor's view: pid and name of each instance's process that is not stopped, and of those that are. */
-    private Map<String, Long> table(Set<String> stopped) throws IOException {
+    private Map<String, Long> processTable(Set<String> stopped) throws IOException {
         Map<String, Long> table = new TreeMap<>();
         try (var all = Files.list(Path.of("/proc"))) {
             for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
@@ -135,39 +135,39 @@
         return table;
     }
 
-    private String said;
+    private String output;
 
-    private int fleet(String... words) {
+    private int runFleetCommand(String... words) {
         List<String> args = new ArrayList<>(List.of(
                 "fleet",
                 words[0],
                 "--agent",
-                "127.0.0.1:" + ports[asked],
+                "127.0.0.1:" + apiPorts[askedAgent],
                 "--secret-file",
                 folder.resolve("secret").toString()));
         args.addAll(Arrays.asList(words).subList(1, words.length));
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         int status = Commands.start(new PrintWriter(out), new PrintWriter(err), args.toArray(new String[0]));
-        said = out + "\n" + err;
-        listed = out.toString();
+        output = out + "\n" + err;
+        standardOutput = out.toString();
         return status;
     }
 
-    private String listed;
-    private int asked;
+    private String standardOutput;
+    private int askedAgent;
 
-    private Map<String, JsonNode> list() throws IOException {
-        fleet("list", "--output", "json");
+    private Map<String, JsonNode> listInstances() throws IOException {
+        runFleetCommand("list", "--output", "json");
         Map<String, JsonNode> list = new TreeMap<>();
-        JSON.readTree(listed).forEach(each -> list.put(each.path("name").asText(), each));
+        JSON.readTree(standardOutput).forEach(each -> list.put(each.path("name").asText(), each));
         return list;
     }
 
-    private Map<String, JsonNode> await(String what, long seconds, Predicate<Map<String, JsonNode>> holds)
+    private Map<String, JsonNode> awaitInstances(String what, long seconds, Predicate<Map<String, JsonNode>> holds)
             throws Exception {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
-        Map<String, JsonNode> list = list();
+        Map<String, JsonNode> list = listInstances();
         while (!holds.test(list)) {
             if (System.nanoTime() > end) {
                 StringBuilder lines = new StringBuilder();
@@ -177,10 +177,10 @@
                         .append(' ')
                         .append(each.path("why").asText())
                         .append('\n'));
-                throw new AssertionError("not after " + seconds + " s: " + what + "\n" + lines + said);
+                throw new AssertionError("not after " + seconds + " s: " + what + "\n" + lines + output);
             }
             Thread.sleep(200);
-            list = list();
+            list = listInstances();
             audit(list);
         }
         return list;
@@ -189,10 +189,10 @@
     /** No state says what the process table says is not so. A moment of looking on either side is allowed for. */
     private void audit(Map<String, JsonNode> list) throws Exception {
         Set<String> stoppedBefore = new HashSet<>();
-        Map<String, Long> before = table(stoppedBefore);
-        Map<String, JsonNode> now = list();
+        Map<String, Long> before = processTable(stoppedBefore);
+        Map<String, JsonNode> now = listInstances();
         Set<String> stoppedAfter = new HashSet<>();
-        Map<String, Long> after = table(stoppedAfter);
+        Map<String, Long> after = processTable(stoppedAfter);
         for (JsonNode each : now.values()) {
             String name = each.path("name").asText();
             String state = each.path("state").asText();
@@ -201,7 +201,7 @@
             if (there && !state.equals("unreached")) {
                 assertTrue(
                         !state.equals("down") && !state.equals("given_up")
-                                || each.path("age_ms").isNull() && wasYoung(before.get(name)),
+                                || each.path("age_ms").isNull() && isYoung(before.get(name)),
                         name + " is said to be " + state + " and its process " + before.get(name) + " is there");
             }
             if (gone) {
@@ -215,7 +215,7 @@
 
     private final Set<String> justEnded = new HashSet<>();
 
-    private static boolean wasYoung(long pid) {
+    private static boolean isYoung(long pid) {
         return ProcessHandle.of(pid)
                 .flatMap(handle -> handle.info().startInstant())
                 .map(at -> at.isAfter(java.time.Instant.now().minusSeconds(3)))
@@ -226,8 +226,8 @@
         new ProcessBuilder("kill", "-" + name, "" + pid).start().waitFor();
     }
 
-    private static boolean all(Map<String, JsonNode> list, String state) {
-        return list.size() == AGENTS * EACH
+    private static boolean allHaveState(Map<String, JsonNode> list, String state) {
+        return list.size() == AGENTS * INSTANCES_PER_AGENT
                 && list.values().stream()
                         .allMatch(each -> each.path("state").asText().equals(state));
     }
@@ -237,100 +237,100 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void endProcesses() throws Exception {
         for (Process agent : agents) {
             if (agent != null) {
                 agent.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
             }
         }
-        for (long pid : table(new HashSet<>()).values()) {
+        for (long pid : processTable(new HashSet<>()).values()) {
             ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly);
         }
     }
 
     @Test
-    void whatIsReportedIsSoThroughKillsStopsDrainsAndTheDeathOfAnAgent() throws Exception {
+    void reportedStatesAreTrueThroughKillsStopsDrainsAndTheLossOfAnAgent() throws Exception {
         for (int i = 0; i < AGENTS; i++) {
-            ports[i] = PortAllocator.free();
-            gossip[i] = PortAllocator.free();
+            apiPorts[i] = PortAllocator.free();
+            membershipPorts[i] = PortAllocator.free();
         }
-        int manage = PortAllocator.free(AGENTS * EACH);
+        int manage = PortAllocator.free(AGENTS * INSTANCES_PER_AGENT);
         for (int i = 0; i < AGENTS; i++) {
-            describe(i, manage + i * EACH);
-            launch(i);
+            writeConfiguration(i, manage + i * INSTANCES_PER_AGENT);
+            launchAgent(i);
         }
         long end = System.nanoTime() + 20_000_000_000L;
-        while (fleet("list") != 0 && System.nanoTime() < end) {
+        while (runFleetCommand("list") != 0 && System.nanoTime() < end) {
             Thread.sleep(200);
         }
         // Any agent answers for all machines.
-        for (asked = AGENTS - 1; asked >= 0; asked--) {
-            await("all warm, asked agent " + asked, 40, list -> all(list, "warm"));
+        for (askedAgent = AGENTS - 1; askedAgent >= 0; askedAgent--) {
+            awaitInstances("all warm, asked agent " + askedAgent, 40, list -> allHaveState(list, "warm"));
         }
-        asked = 0;
-        assertEquals(AGENTS * EACH, table(new HashSet<>()).size());
+        askedAgent = 0;
+        assertEquals(AGENTS * INSTANCES_PER_AGENT, processTable(new HashSet<>()).size());
         // One dies, one is stopped.
-        Map<String, Long> before = table(new HashSet<>());
+        Map<String, Long> before = processTable(new HashSet<>());
         justEnded.add("t1-1");
         signal("KILL", before.get("t1-1"));
         signal("STOP", before.get("t2-2"));
-        await("t2-2 not reached", 10, list -> state(list, "t2-2").equals("unreached"));
-        await(
+        awaitInstances("t2-2 not reached", 10, list -> state(list, "t2-2").equals("unreached"));
+        awaitInstances(
                 "t1-1 warm again",
                 15,
                 list -> state(list, "t1-1").equals("warm")
                         && list.get("t1-1").path("launches").asInt() == 2);
         justEnded.clear();
         signal("CONT", before.get("t2-2"));
-        await("all warm", 10, list -> all(list, "warm"));
+        awaitInstances("all warm", 10, list -> allHaveState(list, "warm"));
         // A drain of a zone, by the agent that is asked, at two others.
-        assertEquals(0, fleet("drain", "--label", "zone=east", "--wait"), said);
-        Map<String, JsonNode> drained = list();
+        assertEquals(0, runFleetCommand("drain", "--label", "zone=east", "--wait"), output);
+        Map<String, JsonNode> drained = listInstances();
         drained.values()
                 .forEach(each -> assertEquals(
                         each.path("labels").path("zone").asText().equals("east") ? "down" : "warm",
                         each.path("state").asText()));
-        assertEquals(2 * EACH, table(new HashSet<>()).size());
-        assertEquals(0, fleet("start", "--state", "down", "--wait"), said);
-        await("all warm", 20, list -> all(list, "warm"));
+        assertEquals(2 * INSTANCES_PER_AGENT, processTable(new HashSet<>()).size());
+        assertEquals(0, runFleetCommand("start", "--state", "down", "--wait"), output);
+        awaitInstances("all warm", 20, list -> allHaveState(list, "warm"));
         // A stopped agent and a dead one: their instances are not reached since then, and run on.
-        Map<String, Long> running = table(new HashSet<>());
+        Map<String, Long> running = processTable(new HashSet<>());
         signal("STOP", agents[3].pid());
         agents[2].destroyForcibly().waitFor();
-        await(
+        awaitInstances(
                 "two agents not reached",
                 20,
-                list -> list.size() == AGENTS * EACH
+                list -> list.size() == AGENTS * INSTANCES_PER_AGENT
                         && list.values().stream().allMatch(each -> each.path("state")
                                 .asText()
                                 .equals(each.path("host").asText().compareTo("m2") < 0 ? "warm" : "unreached")));
-        assertEquals(1, fleet("drain", "t3-1"), "an order to an agent that cannot be reached is not taken for done");
+        assertEquals(1, runFleetCommand("drain", "t3-1"), "an order to an agent that cannot be reached is not taken for done");
         signal("CONT", agents[3].pid());
-        launch(2);
-        await("all warm", 30, list -> all(list, "warm"));
-        assertEquals(running, table(new HashSet<>()), "none was launched beside itself, none was lost");
+        launchAgent(2);
+        awaitInstances("all warm", 30, list -> allHaveState(list, "warm"));
+        assertEquals(running, processTable(new HashSet<>()), "none was launched beside itself, none was lost");
         // A restart of one machine, in one command.
-        assertEquals(0, fleet("restart", "--host", "m1", "--wait"), said);
-        Map<String, Long> restarted = table(new HashSet<>());
+        assertEquals(0, runFleetCommand("restart", "--host", "m1", "--wait"), output);
+        Map<String, Long> restarted = processTable(new HashSet<>());
         running.forEach((name, pid) -> assertEquals(!name.startsWith("t1-"), pid.equals(restarted.get(name)), name));
         // A roll of two more, batch by batch; then one of a version that crashes, which stops behind its first batch.
-        assertEquals(0, fleet("roll", "t0-1", "t0-2", "t3-1", "--watch", "1"), said);
-        Map<String, Long> rolled = table(new HashSet<>());
+        assertEquals(0, runFleetCommand("roll", "t0-1", "t0-2", "t3-1", "--watch", "1"), output);
+        Map<String, Long> rolled = processTable(new HashSet<>());
         restarted.forEach((name, pid) ->
                 assertEquals(!List.of("t0-1", "t0-2", "t3-1").contains(name), pid.equals(rolled.get(name)), name));
         Files.writeString(folder.resolve("mode"), "crash");
-        assertEquals(1, fleet("roll", "--host", "m0", "--watch", "1", "--warm-within", "30"), said);
+        assertEquals(1, runFleetCommand("roll", "--host", "m0", "--watch", "1", "--warm-within", "30"), output);
         assertTrue(
-                said.contains("stopped: t0-1 ")
-                        && said.contains(
-                                "0 done, 1 restarted and not serving yet (t0-1), " + (EACH - 1) + " not begun"),
-                said);
+                output.contains("stopped: t0-1 ")
+                        && output.contains(
+                                "0 done, 1 restarted and not serving yet (t0-1), " + (INSTANCES_PER_AGENT - 1) + " not begun"),
+                output);
         Files.writeString(folder.resolve("mode"), "0");
-        assertEquals(0, fleet("start", "t0-1", "--wait"), said);
-        assertEquals(1, fleet("stop", "no-such-instance"));
-        assertEquals(2, fleet("stop"));
-        assertEquals(0, fleet("stop", "--all", "--now", "--yes", "--wait"), said);
-        assertTrue(said.contains(AGENTS * EACH * 5 + " operations are in hand"), said);
-        assertEquals(0, table(new HashSet<>()).size());
+        assertEquals(0, runFleetCommand("start", "t0-1", "--wait"), output);
+        assertEquals(1, runFleetCommand("stop", "no-such-instance"));
+        assertEquals(2, runFleetCommand("stop"));
+        assertEquals(0, runFleetCommand("stop", "--all", "--now", "--yes", "--wait"), output);
+        assertTrue(output.contains(AGENTS * INSTANCES_PER_AGENT * 5 + " operations are in hand"), output);
+        assertEquals(0, processTable(new HashSet<>()).size());
     }
 }
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -31,7 +31,7 @@
     }
 
     @Example
-    void eachFolderIsToldWithWhatIsThrownAwayAndWhy() throws Exception {
+    void everyFolderIsPrintedWithWhatIsDiscardedAndWhy() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-recover");
         try {
             Path good = root.resolve("good");
--- a/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
@@ -51,7 +51,7 @@
     private InetSocketAddress address;
     private BufferedReader log;
 
-    private void launch() throws Exception {
+    private void launchServer() throws Exception {
         process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:TieredStopAtLevel=1",
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatWasAnsweredIsThereAfterEveryKill() throws Exception {
+    void answeredUpdatesSurviveEveryKill() throws Exception {
         Files.writeString(folder.resolve("k"), Base64.getEncoder().encodeToString(SECRET));
         Files.writeString(
                 folder.resolve("z"), "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n");
@@ -106,7 +106,7 @@
         int all = 0;
         try {
             for (int kill = 0; kill <= KILLS; kill++) {
-                launch();
+                launchServer();
                 if (kill > 0) {
                     Zone zone = fetch(loop, asker, key);
                     for (int i = 0; i < CLIENTS; i++) {
@@ -132,7 +132,7 @@
                 boolean[] over = {false};
                 loop.execute(() -> {
                     for (int i = 0; i < CLIENTS; i++) {
-                        go(asker, to, key, i, sent, answered, over);
+                        sendUpdates(asker, to, key, i, sent, answered, over);
                     }
                 });
                 Thread.sleep(20 + chance.nextInt(400));
@@ -168,7 +168,7 @@
         return fetch(loop, asker, address, key);
     }
 
-    private static void go(
+    private static void sendUpdates(
             DnsClient asker,
             InetSocketAddress to,
             Tsig.TsigKey key,
@@ -193,7 +193,7 @@
         asker.ask(to, message, key, Duration.ofSeconds(1), ended -> {
             if (ended.well() && !over[0]) {
                 answered[client] = number;
-                go(asker, to, key, client, sent, answered, over);
+                sendUpdates(asker, to, key, client, sent, answered, over);
             }
         });
     }
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void aBadFileUnderLoadChangesNothingAndAGoodOneIsTakenWhole() throws Exception {
+    void invalidFileUnderLoadChangesNothingAndAValidOneIsTakenWhole() throws Exception {
         String good = "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\nold TXT a\n";
         Files.writeString(folder.resolve("k"), Base64.getEncoder().encodeToString(SECRET));
         Files.writeString(folder.resolve("z"), good);
@@ -228,14 +228,14 @@
         DnsClient asker = new DnsClient(loop, new SplittableRandom(1), () -> System.currentTimeMillis() / 1000);
         new Thread(loop::run).start();
         try {
-            launch();
+            launchServer();
             int[] sent = new int[CLIENTS];
             int[] answered = new int[CLIENTS];
             boolean[] over = {false};
             InetSocketAddress to = address;
             loop.execute(() -> {
                 for (int i = 0; i < CLIENTS; i++) {
-                    go(asker, to, key, i, sent, answered, over);
+                    sendUpdates(asker, to, key, i, sent, answered, over);
                 }
             });
             Files.writeString(folder.resolve("z"), good.replace("host 7", "host 9000000") + "bad A 1.2.3\n");
