--- a/src/main/java/merlinlever/cli/ConfigurationReloader.java
+++ b/src/main/java/merlinlever/cli/ConfigurationReloader.java
@@ -57,7 +57,7 @@
             // complete then.
             String reason = e.getMessage();
             boolean isLast = attemptsLeft <= 1;
-            if (loggedReason.isEmpty() || isLast && !loggedReason.equals(reason)) {
+            if (loggedReason.isEmpty() || (isLast && !loggedReason.equals(reason))) {
                 log.warn("configuration-reload-rejected reason=" + filePrefix(environment) + reason);
             }
             if (!isLast) {
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -149,7 +149,7 @@
 
     private static Duration period(ConfigurationValues values, String name, Duration defaultValue)
             throws InvalidConfigurationException {
-        double ms = values.number(PREFIX + name, defaultValue.toMillis());
+        double ms = values.number(PREFIX + name, (double) defaultValue.toMillis());
         if (!(ms >= MIN_PERIOD_MS && ms <= MAX_PERIOD_MS)) {
             throw new InvalidConfigurationException(
                     "the configuration's recovery." + name + " is to be from 10 to 600000");
