--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -48,7 +48,7 @@
         agent = new AgentLink(loop, agentAddress, backend, log);
         records = new RecordsClient(loop, recordsAddress, backend, log, maxCalls);
         edge = new EdgeServer(loop, backend, settings);
-        loop.after(() -> backend.settle(loop.clock().now()));
+        loop.after(() -> backend.decide(loop.clock().now()));
         agent.start();
     }
 
@@ -74,47 +74,47 @@
     }
 
     @Override
-    public void freeze(TrackedRequest request) {
+    public void stop(TrackedRequest request) {
         agent.freeze(request);
     }
 
     @Override
-    public void deliver(TrackedRequest request, byte[] reply) {
+    public void deliverReply(TrackedRequest request, byte[] reply) {
         agent.deliver(request, reply);
     }
 
     @Override
-    public void forgo(TrackedRequest request) {
+    public void continueWithoutCall(TrackedRequest request) {
         agent.forgo(request);
     }
 
     @Override
-    public boolean sample() {
+    public boolean pollMetrics() {
         return agent.sample();
     }
 
     @Override
-    public void exercise() {
+    public void startDeepCheck() {
         agent.exercise();
     }
 
     @Override
-    public DownstreamService calls() {
+    public DownstreamService downstream() {
         return records;
     }
 
     @Override
-    public void closeIdle(Duration after) {
+    public void closeIdleConnections(Duration after) {
         edge.closeIdle(after);
     }
 
     @Override
-    public void alarm(Duration at) {
+    public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
             alarm.callOff();
         }
         alarm = loop.in(
-                at.minus(loop.clock().now()), () -> backend.alarmed(loop.clock().now()));
+                at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 
     @Override
--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -80,7 +80,7 @@
     }
 
     private List<FleetQuota> quotas(ConfigurationValues values) throws InvalidConfigurationException {
-        return FleetQuotaParser.parse(values, name -> backend.tariff(name) >= 0);
+        return FleetQuotaParser.parse(values, name -> backend.priorityClassIndex(name) >= 0);
     }
 
     /** Whether the view permits that requests with an idempotency key, and those that are not idempotent, are started. */
@@ -97,14 +97,14 @@
 
     @Override
     public long[] demand(Duration now, FleetQuota quota) {
-        return backend.demand(sinceModuleStart(now), backend.tariff(quota.of()));
+        return backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.of()));
     }
 
     @Override
     public void share(FleetQuota quota, long share, Duration until) {
         boolean limitsCallsInFlight = quota.of().equals("calls") && quota.per() == FleetQuota.QuotaKind.AT_ONCE;
-        backend.share(
-                backend.tariff(quota.of()),
+        backend.setQuota(
+                backend.priorityClassIndex(quota.of()),
                 share,
                 quota.per() == FleetQuota.QuotaKind.SECOND,
                 sinceModuleStart(until),
--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -49,7 +49,7 @@
     /** Begins the drain. */
     void start() {
         Duration now = loop.clock().now();
-        backend.leave(now.minus(SIGNAL_DELAY), now.plus(timeToStop));
+        backend.startDrain(now.minus(SIGNAL_DELAY), now.plus(timeToStop));
         // Within the grace requests are started still; after it none is, so none need come.
         Duration openFor = drainGrace.compareTo(timeToStop) < 0 ? drainGrace : timeToStop;
         loop.in(openFor, () -> {
@@ -62,7 +62,7 @@
 
     /** Not before the last moment while a connection is open: what its client writes as the process ends would be lost. */
     private void finishWhenAnswered(Duration lastMoment) {
-        if (backend.inHand() > 0 || !edge.allWritten()) {
+        if (backend.unansweredRequests() > 0 || !edge.allWritten()) {
             return;
         }
         if (edge.none()) {
@@ -81,7 +81,7 @@
             return;
         }
         finished = true;
-        Map<String, Long> differences = backend.watched();
+        Map<String, Long> differences = backend.shadowDifferences();
         if (!differences.isEmpty()) {
             log.info("watched-settings-differences "
                     + differences.entrySet().stream()
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -180,24 +180,25 @@
     @Override
     public void keyed(Duration from, Duration to) {
         boolean permitted = fleet.map(FleetAssembly::mayStartKeyedRequests).orElse(true);
-        backend.keyed(sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
+        backend.permitNonIdempotentStarts(sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
     }
 
     @Override
     public void guess(double capacity, double completions) {
-        backend.guess(capacity, completions);
+        backend.setWarmStartEstimate(capacity, completions);
     }
 
     @Override
     public double capacity() {
-        OverloadController.ControllerMetrics metrics = backend.figures();
-        return metrics == null || !Double.isFinite(metrics.capacity()) ? 0 : metrics.capacity();
+        return backend.metrics()
+                .map(OverloadController.ControllerMetrics::capacity)
+                .filter(Double::isFinite)
+                .orElse(0.0);
     }
 
     @Override
     public boolean fullSpeed() {
-        OverloadController.ControllerMetrics metrics = backend.figures();
-        return metrics != null && metrics.speedShare() >= 1;
+        return backend.metrics().filter(metrics -> metrics.speedShare() >= 1).isPresent();
     }
 
     @Override
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -97,11 +97,11 @@
 
     private String statusReport() {
         return StatusReport.of(
-                backend.leaving(),
-                backend.healthy(),
-                backend.inHand(),
+                backend.isDraining(),
+                backend.isHealthy(),
+                backend.unansweredRequests(),
                 loop.clock().uptime().toMillis(),
-                backend.figures(),
+                backend.metrics().orElse(null),
                 recovery.statusJson().orElse(null));
     }
 
@@ -122,9 +122,9 @@
     }
 
     private void sendHeartbeat() {
-        boolean draining = backend.leaving();
+        boolean draining = backend.isDraining();
         if (!draining || directoryFollowsReports) {
-            heartbeats.beat(!draining && (!backend.started() || backend.healthy()));
+            heartbeats.beat(!draining && (!backend.isStarted() || backend.isHealthy()));
         }
     }
 
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -111,7 +111,7 @@
                 (int) descriptors,
                 hasSeed ? Long.parseUnsignedLong(seed, 16) : name.hashCode(),
                 name,
-                warnings(values, givenSettings, validator.missing(), hasSeed, name));
+                warnings(values, givenSettings, validator.assumedDefaults(), hasSeed, name));
     }
 
     private static List<String> warnings(
@@ -134,7 +134,7 @@
             defaulted.add("name (reports name nobody)");
         }
         List<String> warnings = new ArrayList<>();
-        List<String> unknown = SettingsTranslator.unknown(givenSettings);
+        List<String> unknown = SettingsTranslator.unknownNames(givenSettings);
         if (!unknown.isEmpty()) {
             warnings.add("unknown-settings-ignored settings=" + String.join(" ", unknown));
         }
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -117,7 +117,7 @@
                 // All is told, in pieces that the loop may find in whatever portions.
             }
             for (String name : names) {
-                around.answered(name, "satisfied of " + name);
+                around.answered(name, "succeeded of " + name);
             }
             assertTrue(
                     driven(around).stream().noneMatch(line -> line.contains("missed") || line.contains("passed over")));
@@ -173,7 +173,7 @@
         });
         try (AgentLinkFixture around = new AgentLinkFixture(driven, new InetSocketAddress(1))) {
             driven.run(() -> parties.get(0).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
-            driven.until(around.backend::healthy, "good health");
+            driven.until(around.backend::isHealthy, "good health");
             String name = around.take();
             driven.run(() -> parties.get(0).say(AgentLinkFixture.request(1, name)));
             driven.until(() -> !around.calls.isEmpty(), "the call");
