--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -65,7 +65,7 @@
                 loop,
                 rejoin,
                 StateDirectories.open(Path.of(rest.get("recovery.state"), "shared"), System.getenv()),
-                ReplicatedStore.ReplicationSettings.usual(true),
+                ReplicatedStore.ReplicationSettings.defaults(true),
                 leading.terms(),
                 viewing.seen(),
                 seed,
@@ -174,7 +174,7 @@
 
     /** Further members of the JSON object that tells how far this one has come. */
     String json() {
-        return ",\"view\":" + viewing.json() + ",\"shared\":" + spread.json()
+        return ",\"view\":" + viewing.json() + ",\"shared\":" + spread.statusJson()
                 + (budgets == null ? "" : ",\"budgets\":" + budgets.json());
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -92,7 +92,7 @@
             out.println("  " + finding.told());
             whole &= finding.belief() != PersistedStateAssessor.Disposition.THROWN_AWAY;
         }
-        if (folder.has("instances")) {
+        if (folder.exists("instances")) {
             try {
                 out.println("  instances: kept, "
                         + new InstanceLedger(folder).names().size()
--- a/src/main/java/merlinlever/experiments/ExperimentCounts.java
+++ b/src/main/java/merlinlever/experiments/ExperimentCounts.java
@@ -24,9 +24,9 @@
 
     /** What became of one try. */
     public enum RequestResult {
-        SATISFIED,
+        SERVED,
         LATE,
-        PUSHED_BACK,
+        REJECTED,
         OTHER
     }
 
@@ -101,7 +101,7 @@
      * @param operation what a further try of it has as well, or null
      * @param again whether it is marked as a further try
      */
-    public CountedRequest asked(String caller, String operation, boolean again) {
+    public CountedRequest requestArrived(String caller, String operation, boolean again) {
         long hash = split.hash(caller);
         int bucket = BucketAssignment.bucket(hash);
         int arm = split.arm(bucket);
@@ -127,29 +127,29 @@
     }
 
     /** A try of it ended so, with that value. */
-    public void became(CountedRequest op, RequestResult how, double worth) {
+    public void attemptEnded(CountedRequest op, RequestResult how, double worth) {
         long[] mine = raw[op.arm];
         if (op.good) {
             return;
         }
-        if (op.pushedBack && how != RequestResult.PUSHED_BACK) {
+        if (op.pushedBack && how != RequestResult.REJECTED) {
             mine[PUSHED]--;
             op.pushedBack = false;
         }
-        if (how == RequestResult.PUSHED_BACK && !op.pushedBack) {
+        if (how == RequestResult.REJECTED && !op.pushedBack) {
             mine[PUSHED]++;
             op.pushedBack = true;
         }
-        if (how != RequestResult.SATISFIED && how != RequestResult.LATE) {
+        if (how != RequestResult.SERVED && how != RequestResult.LATE) {
             return;
         }
         op.good = true;
         long parts = Math.round(PARTS * Math.max(0, Math.min(1, worth / trial.valueMost())));
-        mine[how == RequestResult.SATISFIED ? SATISFIED : LATE]++;
+        mine[how == RequestResult.SERVED ? SATISFIED : LATE]++;
         mine[VALUE] += parts;
         mine[SQUARED] += parts * parts;
         if (op.counts) {
-            satisfied[op.bucket] += how == RequestResult.SATISFIED ? 1 : 0;
+            satisfied[op.bucket] += how == RequestResult.SERVED ? 1 : 0;
             value[op.bucket] += parts;
         }
     }
@@ -198,7 +198,7 @@
         return Duration.ofMillis(ranMs);
     }
 
-    public ArmTotals counts(int arm) {
+    public ArmTotals totals(int arm) {
         long[] mine = raw[arm];
         return new ArmTotals(mine[ASKED], mine[SATISFIED], mine[LATE], mine[PUSHED], mine[VALUE], mine[SQUARED]);
     }
@@ -218,7 +218,7 @@
                         Math.min(value[bucket], PARTS * asked[bucket]) / (double) PARTS);
             }
         }
-        ArmTotals all = counts(arm);
+        ArmTotals all = totals(arm);
         moments.square = all.asked() == 0 ? 0 : Math.min(1, all.squared() / (double) PARTS / PARTS / all.asked());
         return moments;
     }
@@ -226,7 +226,7 @@
     // ---- as a snapshot
 
     /** All of it, in one piece. */
-    public byte[] write() {
+    public byte[] encode() {
         VarInts out = new VarInts();
         out.put(FORM);
         out.put(trial.digest() >>> 1);
@@ -251,7 +251,7 @@
     }
 
     /** What was written, or null where it is of another trial or form, or spoilt: then nothing of it counts. */
-    public static ExperimentCounts read(Experiment trial, byte[] octets) {
+    public static ExperimentCounts decode(Experiment trial, byte[] octets) {
         ExperimentCounts tally = new ExperimentCounts(trial);
         VarInts in = new VarInts(octets);
         try {
@@ -277,7 +277,7 @@
             }
             tally.sample.add(DistinctSample.read(in, trial.arms().size()));
             // In one way only: what is written otherwise was not written here.
-            return in.over() && Arrays.equals(octets, tally.write()) ? tally : null;
+            return in.over() && Arrays.equals(octets, tally.encode()) ? tally : null;
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -76,9 +76,9 @@
         if (seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO) {
             carry();
             if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES) {
-                lease.ask(now);
+                lease.request(now);
             }
-            lease.hear(leadership.leader(now));
+            lease.readGrants(leadership.leader(now));
             if (now.compareTo(nextTold) >= 0) {
                 tell(now, splits);
             }
@@ -89,12 +89,12 @@
 
     private void adopt(Duration now) {
         Optional<ExperimentResult> written =
-                end != null ? Optional.empty() : ExperimentResult.of(trial, registers.written(trial.key()));
+                end != null ? Optional.empty() : ExperimentResult.of(trial, registers.chosen(trial.key()));
         if (written.isPresent()) {
             end = written.get();
             splits = false;
             log.accept("trial " + trial.name() + " is over, " + end.kind() + ": all go by "
-                    + trial.arms().get(end.arm()).name() + "; " + end.why());
+                    + trial.arms().get(end.arm()).name() + "; " + end.reason());
             if (carried) {
                 tell(now, false);
             }
@@ -105,8 +105,8 @@
     private void carry() {
         if (!carried) {
             carried = true;
-            common.of(self, trial.topic())
-                    .map(word -> ExperimentCounts.read(trial, word.value()))
+            common.get(self, trial.topic())
+                    .map(word -> ExperimentCounts.decode(trial, word.value()))
                     .ifPresent(before -> {
                         ExperimentCounts former = before.former();
                         mine.add(former);
@@ -118,7 +118,7 @@
     private void tell(Duration now, boolean open) {
         nextTold = now.plus(trial.lease().dividedBy(4));
         mine.open(open);
-        common.put(now, trial.topic(), mine.write());
+        common.put(now, trial.topic(), mine.encode());
     }
 
     /** Before it ends in good order. */
@@ -139,22 +139,22 @@
         }
         if (proposed == null) {
             StoppingDecision verdict = sequential.look(all(), ran());
-            if (verdict.ends()) {
-                proposed = new ExperimentResult(verdict.kind(), verdict.arm(), verdict.why());
+            if (verdict.isFinal()) {
+                proposed = new ExperimentResult(verdict.kind(), verdict.arm(), verdict.reason());
             } else {
-                lease.answer(now, leadership.term());
+                lease.grant(now, leadership.term());
             }
         }
         if (proposed != null) {
-            registers.propose(now, trial.key(), proposed.write());
+            registers.propose(now, trial.key(), proposed.encode());
         }
     }
 
     /** All that is known of this very trial; what is of another, or spoilt, counts for nothing. */
     ExperimentCounts all() {
         ExperimentCounts all = new ExperimentCounts(trial);
-        for (VersionedEntry word : common.all(trial.topic())) {
-            ExperimentCounts one = word.owner().equals(self) ? mine : ExperimentCounts.read(trial, word.value());
+        for (VersionedEntry word : common.entries(trial.topic())) {
+            ExperimentCounts one = word.owner().equals(self) ? mine : ExperimentCounts.decode(trial, word.value());
             if (one != null) {
                 all.add(one);
             }
@@ -164,8 +164,8 @@
 
     private Duration ran() {
         Duration longest = mine.ran();
-        for (VersionedEntry word : common.all(trial.topic())) {
-            ExperimentCounts one = ExperimentCounts.read(trial, word.value());
+        for (VersionedEntry word : common.entries(trial.topic())) {
+            ExperimentCounts one = ExperimentCounts.decode(trial, word.value());
             longest = one != null && one.ran().compareTo(longest) > 0 ? one.ran() : longest;
         }
         return longest;
@@ -194,13 +194,13 @@
     /** An operation was asked; null where nothing is split, and it does not count. See {@link ExperimentCounts#asked}. */
     public ExperimentCounts.CountedRequest asked(Duration now, String caller, String operation, boolean again) {
         arm(now, caller);
-        return splits ? mine.asked(caller, operation, again) : null;
+        return splits ? mine.requestArrived(caller, operation, again) : null;
     }
 
-    /** See {@link ExperimentCounts#became}. */
+    /** See {@link ExperimentCounts#attemptEnded}. */
     public void became(ExperimentCounts.CountedRequest op, ExperimentCounts.RequestResult how, double worth) {
         if (op != null && end == null) {
-            mine.became(op, how, worth);
+            mine.attemptEnded(op, how, worth);
         }
     }
 
--- a/src/main/java/merlinlever/experiments/ExperimentResult.java
+++ b/src/main/java/merlinlever/experiments/ExperimentResult.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /** The end of a trial as it stands in its register: written once for the whole fleet, and never changed. */
-public record ExperimentResult(StoppingDecision.Kind kind, int arm, String why) {
+public record ExperimentResult(StoppingDecision.Kind kind, int arm, String reason) {
 
     private static final int FORM = 1;
     private static final int MOST_WHY = 200;
 
-    byte[] write() {
+    byte[] encode() {
         VarInts out = new VarInts();
         out.put(FORM);
         out.put(kind.ordinal());
         out.put(arm);
-        byte[] text = why.substring(0, Math.min(MOST_WHY, why.length())).getBytes(StandardCharsets.US_ASCII);
+        byte[] text = reason.substring(0, Math.min(MOST_WHY, reason.length())).getBytes(StandardCharsets.US_ASCII);
         for (byte octet : text) {
             out.put(octet);
         }
@@ -22,7 +22,7 @@
     }
 
     /** Whatever stands there is the end; what is not understood (of a later program) runs the safe arm. */
-    static ExperimentResult read(Experiment trial, byte[] octets) {
+    static ExperimentResult decode(Experiment trial, byte[] octets) {
         VarInts in = new VarInts(octets);
         try {
             if (in.number(FORM) == FORM) {
@@ -39,10 +39,10 @@
             // Said below.
         }
         return new ExperimentResult(
-                StoppingDecision.Kind.VOID, trial.safe(), "the register holds what is not understood");
+                StoppingDecision.Kind.INVALID, trial.safe(), "the register holds what is not understood");
     }
 
     static Optional<ExperimentResult> of(Experiment trial, Optional<byte[]> written) {
-        return written.map(octets -> read(trial, octets));
+        return written.map(octets -> decode(trial, octets));
     }
 }
--- a/src/main/java/merlinlever/experiments/SequentialAnalysis.java
+++ b/src/main/java/merlinlever/experiments/SequentialAnalysis.java
@@ -67,7 +67,7 @@
                         .append(trial.arms().get(arm).name());
             }
             return new StoppingDecision(
-                    StoppingDecision.Kind.VOID,
+                    StoppingDecision.Kind.INVALID,
                     trial.safe(),
                     "the split is not the stated one: of the sampled callers " + seen);
         }
@@ -80,10 +80,10 @@
             arms[arm] = all.moments(arm);
         }
         StoppingDecision verdict = test(arms);
-        return verdict.ends() || ran.compareTo(trial.longest()) < 0
+        return verdict.isFinal() || ran.compareTo(trial.longest()) < 0
                 ? verdict
                 : new StoppingDecision(
-                        StoppingDecision.Kind.TIME, trial.safe(), "no difference was shown in the longest time");
+                        StoppingDecision.Kind.TIME_LIMIT, trial.safe(), "no difference was shown in the longest time");
     }
 
     /** How far one arm is seen to be over another, and how surely. */
@@ -93,7 +93,7 @@
     StoppingDecision test(RunningMoments... arms) {
         for (RunningMoments arm : arms) {
             if (arm.asked < LEAST_ASKED || arm.buckets < LEAST_BUCKETS) {
-                return new StoppingDecision(StoppingDecision.Kind.GOES_ON, trial.safe(), "too few are counted");
+                return new StoppingDecision(StoppingDecision.Kind.CONTINUE, trial.safe(), "too few are counted");
             }
         }
         int n = arms.length;
@@ -152,7 +152,7 @@
                         StoppingDecision.Kind.FUTILE,
                         trial.safe(),
                         "none is better than another by the smallest difference")
-                : new StoppingDecision(StoppingDecision.Kind.GOES_ON, trial.safe(), "nothing is shown yet");
+                : new StoppingDecision(StoppingDecision.Kind.CONTINUE, trial.safe(), "nothing is shown yet");
     }
 
     /** Whether no bounds of these levels can be clear of nothing or within the smallest difference; most looks end here. */
--- a/src/main/java/merlinlever/experiments/SimulatedExperiments.java
+++ b/src/main/java/merlinlever/experiments/SimulatedExperiments.java
@@ -12,24 +12,24 @@
      * What is drawn.
      *
      * @param callers of each arm; 0: each operation has a caller of its own
-     * @param apart how far the callers of an arm lie apart in the share that is satisfied
-     * @param heavy the part of the traffic that one caller has
-     * @param most operations, in both arms together
+     * @param spread how far the callers of an arm lie apart in the share that is satisfied
+     * @param heavyCallerShare the part of the traffic that one caller has
+     * @param maxRequests operations, in both arms together
      */
-    public record SimulationSettings(double first, double second, int callers, double apart, double heavy, int most) {}
+    public record SimulationSettings(double firstShare, double secondShare, int callers, double spread, double heavyCallerShare, int maxRequests) {}
 
     /**
      * How one went.
      *
-     * @param at operations until it ended, both arms together
-     * @param peeked where a fixed test at 0.05, looked at after each operation, first called a winner; 0: never
-     * @param toSecond operations that the second arm was given until it ended
+     * @param requests operations until it ended, both arms together
+     * @param fixedTestWinnerAt where a fixed test at 0.05, looked at after each operation, first called a winner; 0: never
+     * @param requestsOfSecondArm operations that the second arm was given until it ended
      */
-    public record SimulationResult(StoppingDecision verdict, int at, int peeked, int toSecond) {}
+    public record SimulationResult(StoppingDecision decision, int requests, int fixedTestWinnerAt, int requestsOfSecondArm) {}
 
     private SimulatedExperiments() {}
 
-    public static SimulationResult play(Experiment trial, SimulationSettings drawn, long seed) {
+    public static SimulationResult run(Experiment trial, SimulationSettings drawn, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         SequentialAnalysis test = new SequentialAnalysis(trial);
         int half = BucketAssignment.BUCKETS / 2;
@@ -42,7 +42,7 @@
         int[][] bucket = new int[2][Math.max(1, drawn.callers())];
         for (int arm = 0; arm < 2; arm++) {
             for (int i = 0; i < drawn.callers(); i++) {
-                share[arm][i] = drawn.apart() * (2 * chance.nextDouble() - 1);
+                share[arm][i] = drawn.spread() * (2 * chance.nextDouble() - 1);
                 bucket[arm][i] = chance.nextInt(half);
             }
         }
@@ -51,12 +51,12 @@
         StoppingDecision verdict = null;
         int at = 0;
         int toSecond = 0;
-        for (int n = 1; n <= drawn.most() && (verdict == null || peeked == 0); n++) {
-            boolean heavy = drawn.heavy() > 0 && chance.nextDouble() < drawn.heavy();
+        for (int n = 1; n <= drawn.maxRequests() && (verdict == null || peeked == 0); n++) {
+            boolean heavy = drawn.heavyCallerShare() > 0 && chance.nextDouble() < drawn.heavyCallerShare();
             int arm = heavy ? heavyArm : chance.nextInt(2);
             int caller = heavy || drawn.callers() == 0 ? 0 : chance.nextInt(drawn.callers());
             int b = drawn.callers() == 0 ? chance.nextInt(half) : bucket[arm][caller];
-            double p = (arm == 0 ? drawn.first() : drawn.second()) + (drawn.callers() == 0 ? 0 : share[arm][caller]);
+            double p = (arm == 0 ? drawn.firstShare() : drawn.secondShare()) + (drawn.callers() == 0 ? 0 : share[arm][caller]);
             boolean good = chance.nextDouble() < p;
             raw[arm]++;
             rawSatisfied[arm] += good ? 1 : 0;
@@ -75,7 +75,7 @@
                     arms[arm].square = arms[arm].satisfied / arms[arm].asked;
                 }
                 StoppingDecision now = test.test(arms);
-                if (now.ends()) {
+                if (now.isFinal()) {
                     verdict = now;
                     at = n;
                 }
@@ -85,8 +85,8 @@
             }
         }
         return new SimulationResult(
-                verdict == null ? new StoppingDecision(StoppingDecision.Kind.TIME, trial.safe(), "") : verdict,
-                verdict == null ? drawn.most() : at,
+                verdict == null ? new StoppingDecision(StoppingDecision.Kind.TIME_LIMIT, trial.safe(), "") : verdict,
+                verdict == null ? drawn.maxRequests() : at,
                 peeked,
                 toSecond);
     }
--- a/src/main/java/merlinlever/experiments/SplitLease.java
+++ b/src/main/java/merlinlever/experiments/SplitLease.java
@@ -56,17 +56,17 @@
         return now.compareTo(until) < 0;
     }
 
-    Duration until() {
+    Duration expiry() {
         return until;
     }
 
-    void ask(Duration now) {
+    void request(Duration now) {
         if (now.compareTo(nextAsk) < 0) {
             return;
         }
         nextAsk = now.plus(pause());
         if (common.put(now, questions(), trial.key().getBytes(StandardCharsets.US_ASCII))) {
-            common.of(self, questions())
+            common.get(self, questions())
                     .ifPresent(word -> asked.add(new PendingLeaseRequest(word.incarnation(), word.sequence(), now)));
         }
         while (asked.size() > MOST) {
@@ -75,14 +75,14 @@
     }
 
     /** As the leader: whose questions are heard, of this very trial. */
-    void answer(Duration now, long ofTerm) {
+    void grant(Duration now, long ofTerm) {
         if (now.compareTo(nextAnswer) < 0) {
             return;
         }
         nextAnswer = now.plus(pause());
         StringBuilder text = new StringBuilder(trial.key()).append(' ').append(ofTerm);
         int n = 0;
-        for (VersionedEntry word : common.all(questions())) {
+        for (VersionedEntry word : common.entries(questions())) {
             if (n++ < MOST_ANSWERED && new String(word.value(), StandardCharsets.US_ASCII).equals(trial.key())) {
                 text.append(' ')
                         .append(word.owner())
@@ -96,8 +96,8 @@
     }
 
     /** Takes what whoever leads has answered. */
-    void hear(Leadership.Leader leader) {
-        Optional<VersionedEntry> word = leader == null ? Optional.empty() : common.of(leader.name(), answers());
+    void readGrants(Leadership.Leader leader) {
+        Optional<VersionedEntry> word = leader == null ? Optional.empty() : common.get(leader.name(), answers());
         if (word.isEmpty()) {
             return;
         }
--- a/src/main/java/merlinlever/experiments/StoppingDecision.java
+++ b/src/main/java/merlinlever/experiments/StoppingDecision.java
@@ -4,21 +4,21 @@
  * What a look at the counts says.
  *
  * @param arm what runs from then on
- * @param why for people, in one line
+ * @param reason for people, in one line
  */
-public record StoppingDecision(Kind kind, int arm, String why) {
+public record StoppingDecision(Kind kind, int arm, String reason) {
 
     /** Whether it goes on, and why it does not: one is better, one does harm, none is better by what matters, time, a wrong split. */
     public enum Kind {
-        GOES_ON,
+        CONTINUE,
         WINNER,
         HARM,
         FUTILE,
-        TIME,
-        VOID
+        TIME_LIMIT,
+        INVALID
     }
 
-    public boolean ends() {
-        return kind != Kind.GOES_ON;
+    public boolean isFinal() {
+        return kind != Kind.CONTINUE;
     }
 }
--- a/src/main/java/merlinlever/faults/AgentFleet.java
+++ b/src/main/java/merlinlever/faults/AgentFleet.java
@@ -93,7 +93,7 @@
                     "a-" + i,
                     command,
                     Map.of(
-                            StateDirectories.RECORD,
+                            StateDirectories.RECORDING_DIRECTORY_VARIABLE,
                             root.resolve("records").resolve("a-" + i).toString()),
                     folder));
         }
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -80,7 +80,7 @@
         bornAt = new long[n];
         side = new int[n];
         Arrays.fill(trials, trial);
-        Arrays.fill(disk, ReplicatedStore.PersistedEntries.NOTHING);
+        Arrays.fill(disk, ReplicatedStore.PersistedEntries.NONE);
         for (int i = 0; i < n; i++) {
             registers.add(new TreeMap<>());
             if (i < 5) {
@@ -124,10 +124,10 @@
     }
 
     private void force(int i) {
-        ReplicatedStore.PersistedEntries keep = words[i].keep();
+        ReplicatedStore.PersistedEntries keep = words[i].pendingWrite();
         if (keep != null) {
             disk[i] = keep;
-            words[i].kept(keep);
+            words[i].writeCompleted(keep);
         }
     }
 
@@ -140,7 +140,7 @@
                 "b" + i,
                 1,
                 disk[i],
-                ReplicatedStore.ReplicationSettings.usual(true),
+                ReplicatedStore.ReplicationSettings.defaults(true),
                 () -> others(i),
                 chance.split(),
                 line -> {});
@@ -231,8 +231,8 @@
         }
 
         @Override
-        public Optional<byte[]> written(String name) {
-            return words[i].all(topic(name)).stream().findFirst().map(word -> word.value());
+        public Optional<byte[]> chosen(String name) {
+            return words[i].entries(topic(name)).stream().findFirst().map(word -> word.value());
         }
 
         private String topic(String name) {
@@ -251,7 +251,7 @@
 
     private void sendAll(int from, List<LeaderElection.PeerMessage> says, List<OutgoingMessage> carries) {
         says.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), null, each.number(), each.what()));
-        carries.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), each.body(), 0, null));
+        carries.forEach(each -> send(from, Integer.parseInt(each.receiver().substring(1)), each.body(), 0, null));
     }
 
     public void step() {
@@ -270,7 +270,7 @@
             if (one.what != null) {
                 sendAll(one.to, terms[one.to].said(at, "b" + one.from, one.number, one.what), List.of());
             } else {
-                sendAll(one.to, List.of(), words[one.to].came(at, "b" + one.from, one.body));
+                sendAll(one.to, List.of(), words[one.to].receive(at, "b" + one.from, one.body));
             }
         }
         for (int i = 0; i < n; i++) {
@@ -294,7 +294,7 @@
                 parts[i] = null;
                 continue;
             }
-            sendAll(i, says, words[i].look(at));
+            sendAll(i, says, words[i].tick(at));
         }
         for (int k = 0; k < traffic; k++) {
             operation();
@@ -316,7 +316,7 @@
         parts[i].became(
                 op,
                 chance.nextDouble() < good[arm]
-                        ? ExperimentCounts.RequestResult.SATISFIED
+                        ? ExperimentCounts.RequestResult.SERVED
                         : ExperimentCounts.RequestResult.OTHER,
                 1);
     }
--- a/src/main/java/merlinlever/faults/ReplicationModel.java
+++ b/src/main/java/merlinlever/faults/ReplicationModel.java
@@ -16,41 +16,41 @@
 public final class ReplicationModel {
 
     /** A datagram under way; of two due together the one sent first. */
-    private record Datagram(long at, long order, int from, int to, byte[] body) {}
-
-    private static final int STEP = 20;
-
-    private final SplittableRandom chance;
-    private final ReplicatedStore.ReplicationSettings stated;
-    public final ReplicatedStore[] nodes;
-    private final double[] rate;
-    private final long[] offset, pausedUntil, downUntil, forcedAt;
-    private final ReplicatedStore.PersistedEntries[] disk, forcing;
-    public final int[] side;
-    private final PriorityQueue<Datagram> net =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    public long now, octets, letters;
-    private long orders;
-    public double loss;
+    private record Datagram(long dueAtMs, long order, int sender, int receiver, byte[] body) {}
+
+    private static final int STEP_MS = 20;
+
+    private final SplittableRandom random;
+    private final ReplicatedStore.ReplicationSettings settings;
+    public final ReplicatedStore[] replicas;
+    private final double[] clockRate;
+    private final long[] clockOffsetMs, pausedUntilMs, downUntilMs, writeDoneAtMs;
+    private final ReplicatedStore.PersistedEntries[] onDisk, writing;
+    public final int[] partition;
+    private final PriorityQueue<Datagram> network =
+            new PriorityQueue<>((a, b) -> a.dueAtMs != b.dueAtMs ? Long.compare(a.dueAtMs, b.dueAtMs) : Long.compare(a.order, b.order));
+    public long nowMs, sentBytes, sentMessages;
+    private long sendOrder;
+    public double lossRate;
     /** Of 10,000 datagrams so many come up to five seconds late. */
-    public int late = 200;
-
-    public ReplicationModel(long seed, int n, ReplicatedStore.ReplicationSettings stated) {
-        chance = new SplittableRandom(seed);
-        this.stated = stated;
-        nodes = new ReplicatedStore[n];
-        rate = new double[n];
-        offset = new long[n];
-        pausedUntil = new long[n];
-        downUntil = new long[n];
-        forcedAt = new long[n];
-        disk = new ReplicatedStore.PersistedEntries[n];
-        forcing = new ReplicatedStore.PersistedEntries[n];
-        side = new int[n];
-        Arrays.fill(disk, ReplicatedStore.PersistedEntries.NOTHING);
+    public int latePerTenThousand = 200;
+
+    public ReplicationModel(long seed, int n, ReplicatedStore.ReplicationSettings settings) {
+        random = new SplittableRandom(seed);
+        this.settings = settings;
+        replicas = new ReplicatedStore[n];
+        clockRate = new double[n];
+        clockOffsetMs = new long[n];
+        pausedUntilMs = new long[n];
+        downUntilMs = new long[n];
+        writeDoneAtMs = new long[n];
+        onDisk = new ReplicatedStore.PersistedEntries[n];
+        writing = new ReplicatedStore.PersistedEntries[n];
+        partition = new int[n];
+        Arrays.fill(onDisk, ReplicatedStore.PersistedEntries.NONE);
         for (int i = 0; i < n; i++) {
-            rate[i] = 1 + (chance.nextDouble() - 0.5) * 0.01;
-            begin(i);
+            clockRate[i] = 1 + (random.nextDouble() - 0.5) * 0.01;
+            start(i);
         }
     }
 
@@ -59,25 +59,25 @@
     }
 
     public Duration clock(int i) {
-        return Duration.ofNanos((long) ((now - offset[i]) * rate[i] * 1e6));
+        return Duration.ofNanos((long) ((nowMs - clockOffsetMs[i]) * clockRate[i] * 1e6));
     }
 
-    public boolean up(int i) {
-        return nodes[i] != null && now >= pausedUntil[i];
+    public boolean isUp(int i) {
+        return replicas[i] != null && nowMs >= pausedUntilMs[i];
     }
 
-    private void begin(int i) {
-        offset[i] = now - chance.nextInt(100_000);
-        forcing[i] = null;
-        nodes[i] =
-                new ReplicatedStore(clock(i), name(i), 1, disk[i], stated, () -> others(i), chance.split(), line -> {});
+    private void start(int i) {
+        clockOffsetMs[i] = nowMs - random.nextInt(100_000);
+        writing[i] = null;
+        replicas[i] =
+                new ReplicatedStore(clock(i), name(i), 1, onDisk[i], settings, () -> peersOf(i), random.split(), line -> {});
     }
 
     /** Whom membership would hold alive; one that is down is noticed at once, one cut off not. */
-    private List<String> others(int i) {
+    private List<String> peersOf(int i) {
         List<String> others = new ArrayList<>();
-        for (int k = 0; k < nodes.length; k++) {
-            if (k != i && nodes[k] != null) {
+        for (int k = 0; k < replicas.length; k++) {
+            if (k != i && replicas[k] != null) {
                 others.add(name(k));
             }
         }
@@ -86,98 +86,98 @@
 
     /** It is down for so long, and comes back with what was forced, or with nothing. */
     public void kill(int i, long ms, boolean diskLost) {
-        nodes[i] = null;
-        downUntil[i] = now + ms;
-        disk[i] = diskLost ? ReplicatedStore.PersistedEntries.NOTHING : disk[i];
+        replicas[i] = null;
+        downUntilMs[i] = nowMs + ms;
+        onDisk[i] = diskLost ? ReplicatedStore.PersistedEntries.NONE : onDisk[i];
     }
 
     public void pause(int i, long ms) {
-        pausedUntil[i] = now + ms;
+        pausedUntilMs[i] = nowMs + ms;
     }
 
     private void send(int from, List<OutgoingMessage> all) {
         for (OutgoingMessage each : all) {
-            int to = Integer.parseInt(each.to().substring(1));
-            octets += each.body().length;
-            letters++;
-            if (side[from] == side[to] && chance.nextDouble() >= loss) {
-                for (int copies = chance.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-                    long at = now + 1 + (chance.nextInt(10_000) < late ? chance.nextInt(5000) : chance.nextInt(40));
-                    net.add(new Datagram(at, orders++, from, to, each.body()));
+            int to = Integer.parseInt(each.receiver().substring(1));
+            sentBytes += each.body().length;
+            sentMessages++;
+            if (partition[from] == partition[to] && random.nextDouble() >= lossRate) {
+                for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
+                    long at = nowMs + 1 + (random.nextInt(10_000) < latePerTenThousand ? random.nextInt(5000) : random.nextInt(40));
+                    network.add(new Datagram(at, sendOrder++, from, to, each.body()));
                 }
             }
         }
     }
 
     public void step() {
-        now += STEP;
-        for (int i = 0; i < nodes.length; i++) {
-            if (nodes[i] == null && now >= downUntil[i]) {
-                begin(i);
+        nowMs += STEP_MS;
+        for (int i = 0; i < replicas.length; i++) {
+            if (replicas[i] == null && nowMs >= downUntilMs[i]) {
+                start(i);
             }
         }
         List<Datagram> wait = new ArrayList<>();
-        while (!net.isEmpty() && net.peek().at <= now) {
-            Datagram one = net.poll();
-            if (up(one.to)) {
-                send(one.to, nodes[one.to].came(clock(one.to), name(one.from), one.body));
-            } else if (nodes[one.to] != null) {
+        while (!network.isEmpty() && network.peek().dueAtMs <= nowMs) {
+            Datagram one = network.poll();
+            if (isUp(one.receiver)) {
+                send(one.receiver, replicas[one.receiver].receive(clock(one.receiver), name(one.sender), one.body));
+            } else if (replicas[one.receiver] != null) {
                 // A paused one reads what came once it goes on.
                 wait.add(one);
             }
         }
-        net.addAll(wait);
-        for (int i = 0; i < nodes.length; i++) {
-            if (up(i)) {
-                if (forcing[i] != null && now >= forcedAt[i]) {
-                    disk[i] = forcing[i];
-                    forcing[i] = null;
-                    nodes[i].kept(disk[i]);
+        network.addAll(wait);
+        for (int i = 0; i < replicas.length; i++) {
+            if (isUp(i)) {
+                if (writing[i] != null && nowMs >= writeDoneAtMs[i]) {
+                    onDisk[i] = writing[i];
+                    writing[i] = null;
+                    replicas[i].writeCompleted(onDisk[i]);
                 }
-                ReplicatedStore.PersistedEntries keep = forcing[i] == null ? nodes[i].keep() : null;
+                ReplicatedStore.PersistedEntries keep = writing[i] == null ? replicas[i].pendingWrite() : null;
                 if (keep != null) {
-                    forcing[i] = keep;
-                    forcedAt[i] = now + chance.nextInt(100);
+                    writing[i] = keep;
+                    writeDoneAtMs[i] = nowMs + random.nextInt(100);
                 }
-                send(i, nodes[i].look(clock(i)));
+                send(i, replicas[i].tick(clock(i)));
             }
         }
     }
 
     public void run(long ms) {
-        for (long until = now + ms; now < until; ) {
+        for (long until = nowMs + ms; nowMs < until; ) {
             step();
         }
     }
 
     /** Something breaks, or is whole again. */
-    public void trouble() {
-        int i = chance.nextInt(nodes.length);
-        switch (chance.nextInt(8)) {
-            case 0 -> kill(i, chance.nextInt(6000), false);
-            case 1 -> kill(i, chance.nextInt(6000), true);
-            case 2 -> pause(i, chance.nextInt(8000));
+    public void injectRandomFault() {
+        int i = random.nextInt(replicas.length);
+        switch (random.nextInt(8)) {
+            case 0 -> kill(i, random.nextInt(6000), false);
+            case 1 -> kill(i, random.nextInt(6000), true);
+            case 2 -> pause(i, random.nextInt(8000));
             case 3 -> {
-                for (int k = 0; k < nodes.length; k++) {
-                    side[k] = chance.nextInt(2);
+                for (int k = 0; k < replicas.length; k++) {
+                    partition[k] = random.nextInt(2);
                 }
             }
-            case 4, 5 -> Arrays.fill(side, 0);
-            case 6 -> loss = chance.nextDouble() * 0.4;
-            default -> loss = 0;
+            case 4, 5 -> Arrays.fill(partition, 0);
+            case 6 -> lossRate = random.nextDouble() * 0.4;
+            default -> lossRate = 0;
         }
     }
 
     public void heal() {
-        loss = 0;
-        Arrays.fill(side, 0);
-        Arrays.fill(pausedUntil, 0);
+        lossRate = 0;
+        Arrays.fill(partition, 0);
+        Arrays.fill(pausedUntilMs, 0);
     }
 
     /** Whether all hold the same. */
-    public boolean equal() {
+    public boolean areEqual() {
         String first = null;
-        for (ReplicatedStore node : nodes) {
+        for (ReplicatedStore node : replicas) {
             if (node == null || first != null && !first.equals(node.digest())) {
                 return false;
             }
--- a/src/main/java/merlinlever/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/faults/ServeFleet.java
@@ -157,7 +157,7 @@
                     Map.of(
                             "GW_CONFIG",
                             file.toString(),
-                            StateDirectories.RECORD,
+                            StateDirectories.RECORDING_DIRECTORY_VARIABLE,
                             records(i).toString()),
                     folder));
         }
--- a/src/main/java/merlinlever/faults/timeline/ReplicationNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ReplicationNode.java
@@ -22,14 +22,14 @@
     static final Scenario.MessageDescriber<byte[]> WORDS = new Scenario.MessageDescriber<>() {
         @Override
         public String of(byte[] body) {
-            return MessageFormatter.of(body).what();
+            return MessageFormatter.format(body).text();
         }
 
         @Override
         public Scenario.MessageVisibility show(byte[] body) {
-            return switch (MessageFormatter.of(body).kind()) {
-                case SUMS -> Scenario.MessageVisibility.NEVER;
-                case VERSIONS, WANT -> Scenario.MessageVisibility.SAID;
+            return switch (MessageFormatter.format(body).kind()) {
+                case CHECKSUMS -> Scenario.MessageVisibility.NEVER;
+                case VERSIONS, REQUEST -> Scenario.MessageVisibility.SAID;
                 default -> Scenario.MessageVisibility.EFFECT_OR_LOST;
             };
         }
@@ -52,7 +52,7 @@
                 born.now(),
                 name,
                 0,
-                disk.getOrDefault(born.node(), ReplicatedStore.PersistedEntries.NOTHING),
+                disk.getOrDefault(born.node(), ReplicatedStore.PersistedEntries.NONE),
                 stated,
                 () -> others,
                 born.chance(),
@@ -74,35 +74,35 @@
 
     private static List<Scenario.AddressedMessage<byte[]>> out(List<OutgoingMessage> all) {
         return all.stream()
-                .map(carry -> new Scenario.AddressedMessage<>(carry.to(), carry.body()))
+                .map(carry -> new Scenario.AddressedMessage<>(carry.receiver(), carry.body()))
                 .toList();
     }
 
     @Override
     public List<Scenario.AddressedMessage<byte[]>> look(Duration now) {
-        return out(words.look(now));
+        return out(words.tick(now));
     }
 
     @Override
     public List<Scenario.AddressedMessage<byte[]>> heard(Duration now, String from, byte[] body) {
-        return out(words.came(now, from, body));
+        return out(words.receive(now, from, body));
     }
 
     @Override
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
         Map<String, SharedStore.VersionConflict> clashes = new TreeMap<>();
-        words.clashes().forEach(clash -> clashes.put(clash.owner(), clash));
+        words.conflicts().forEach(clash -> clashes.put(clash.owner(), clash));
         for (String owner : owners) {
             all.put(
                     owner,
                     clashes.containsKey(owner)
                             ? owner + " claims two things"
-                            : words.of(owner, TOPIC)
+                            : words.get(owner, TOPIC)
                                     .map(its -> owner + " says " + new String(its.value(), StandardCharsets.UTF_8)
                                             + " (" + its.incarnation() + "." + its.sequence() + ")")
                                     .orElse(spoke.contains(owner) ? owner + " says nothing" : ""));
-            if (words.of(owner, TOPIC).isPresent()) {
+            if (words.get(owner, TOPIC).isPresent()) {
                 spoke.add(owner);
             }
         }
--- a/src/main/java/merlinlever/host/disk/InstanceLedger.java
+++ b/src/main/java/merlinlever/host/disk/InstanceLedger.java
@@ -61,7 +61,7 @@
     public InstanceLedger(StateDirectory folder) throws IOException, CorruptLedgerException {
         this.folder = folder;
         try {
-            if (folder.has(FILE)) {
+            if (folder.exists(FILE)) {
                 read(folder.read(FILE));
             }
         } catch (IOException | CorruptLedgerException e) {
--- a/src/main/java/merlinlever/measure/ExperimentMeasurement.java
+++ b/src/main/java/merlinlever/measure/ExperimentMeasurement.java
@@ -59,12 +59,12 @@
             int n, double difference, SimulatedExperiments.SimulationSettings drawn) {
         return IntStream.range(0, n)
                 .parallel()
-                .mapToObj(i -> SimulatedExperiments.play(trial(difference), drawn, 7919L * i + 1))
+                .mapToObj(i -> SimulatedExperiments.run(trial(difference), drawn, 7919L * i + 1))
                 .toList();
     }
 
     private static double part(List<SimulatedExperiments.SimulationResult> all, StoppingDecision.Kind kind) {
-        return all.stream().filter(each -> each.verdict().kind() == kind).count() / (double) all.size();
+        return all.stream().filter(each -> each.decision().kind() == kind).count() / (double) all.size();
     }
 
     /** Wrong winners where there is nothing to win, with a look after every operation. */
@@ -95,7 +95,7 @@
                         n,
                         part(all, StoppingDecision.Kind.WINNER),
                         part(all, StoppingDecision.Kind.HARM),
-                        all.stream().filter(each -> each.peeked() > 0).count() / (double) n);
+                        all.stream().filter(each -> each.fixedTestWinnerAt() > 0).count() / (double) n);
             }
         }
         return table;
@@ -134,20 +134,20 @@
                                     better ? 0.6 : 0.6 + difference, better ? 0.6 + difference : 0.6, 0, 0, 0, (int)
                                             (fixed * 30)));
                     double[] at = all.stream()
-                            .mapToDouble(SimulatedExperiments.SimulationResult::at)
+                            .mapToDouble(SimulatedExperiments.SimulationResult::requests)
                             .sorted()
                             .toArray();
                     double worse = all.stream()
-                            .mapToDouble(each -> better ? each.at() - each.toSecond() : each.toSecond())
+                            .mapToDouble(each -> better ? each.requests() - each.requestsOfSecondArm() : each.requestsOfSecondArm())
                             .average()
                             .orElse(0);
                     // For the safe arm there is no need to win: the new one is stopped.
                     long right = all.stream()
                             .filter(each -> better
-                                    ? each.verdict().kind() == StoppingDecision.Kind.WINNER
-                                            && each.verdict().arm() == 1
-                                    : each.verdict().kind() != StoppingDecision.Kind.TIME
-                                            && each.verdict().arm() == 0)
+                                    ? each.decision().kind() == StoppingDecision.Kind.WINNER
+                                            && each.decision().arm() == 1
+                                    : each.decision().kind() != StoppingDecision.Kind.TIME_LIMIT
+                                            && each.decision().arm() == 0)
                             .count();
                     table.row(
                             difference,
--- a/src/main/java/merlinlever/measure/ReplicationMeasurement.java
+++ b/src/main/java/merlinlever/measure/ReplicationMeasurement.java
@@ -80,44 +80,44 @@
     private SpreadResult words(int n, double loss, double changes, int tries) {
         ReplicationModel model = new ReplicationModel(
                 n, n, new ReplicatedStore.ReplicationSettings(PERIOD, 3, Duration.ofHours(24), 2 << 20, false));
-        model.late = 0;
+        model.latePerTenThousand = 0;
         byte[] value = new byte[VALUE];
         for (int i = 0; i < n; i++) {
-            model.nodes[i].put(model.clock(i), "count", value);
+            model.replicas[i].put(model.clock(i), "count", value);
         }
         model.run(quick || n > 100 ? 4000 : 8000);
         SplittableRandom chance = new SplittableRandom(n);
         if (changes > 0 || tries == 1) {
-            model.octets = 0;
-            long began = model.now;
-            while (model.now - began < (n > 100 ? 5000 : 20_000)) {
+            model.sentBytes = 0;
+            long began = model.nowMs;
+            while (model.nowMs - began < (n > 100 ? 5000 : 20_000)) {
                 for (int i = 0; i < n; i++) {
                     if (chance.nextDouble() < changes * 0.02) {
-                        model.nodes[i].put(model.clock(i), "count", value);
+                        model.replicas[i].put(model.clock(i), "count", value);
                     }
                 }
                 model.step();
             }
-            return new SpreadResult(0, 0, model.octets * 1000.0 / (model.now - began) / n);
+            return new SpreadResult(0, 0, model.sentBytes * 1000.0 / (model.nowMs - began) / n);
         }
-        model.loss = loss;
+        model.lossRate = loss;
         List<Double> took = new ArrayList<>();
         for (int k = 0; k < tries; k++) {
             String topic = "new" + k;
             int who = chance.nextInt(n);
-            model.nodes[who].put(model.clock(who), topic, value);
-            long began = model.now;
+            model.replicas[who].put(model.clock(who), topic, value);
+            long began = model.nowMs;
             BitSet without = new BitSet();
             without.set(0, n);
-            while (!without.isEmpty() && model.now - began < 60_000) {
+            while (!without.isEmpty() && model.nowMs - began < 60_000) {
                 model.step();
                 for (int i = without.nextSetBit(0); i >= 0; i = without.nextSetBit(i + 1)) {
-                    if (model.nodes[i].of(ReplicationModel.name(who), topic).isPresent()) {
+                    if (model.replicas[i].get(ReplicationModel.name(who), topic).isPresent()) {
                         without.clear(i);
                     }
                 }
             }
-            took.add((model.now - began) / (double) PERIOD.toMillis());
+            took.add((model.nowMs - began) / (double) PERIOD.toMillis());
         }
         Collections.sort(took);
         return new SpreadResult(took.get(took.size() / 2), took.get(took.size() - 1), 0);
--- a/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
@@ -30,7 +30,7 @@
 
     public LoadResult read() {
         try {
-            return folder.has(FILE) ? parsed(folder.read(FILE)) : new LoadResult(null, null);
+            return folder.exists(FILE) ? parsed(folder.read(FILE)) : new LoadResult(null, null);
         } catch (IOException e) {
             return new LoadResult(null, "cannot be read: " + e.getMessage());
         }
--- a/src/main/java/merlinlever/replication/EntryTable.java
+++ b/src/main/java/merlinlever/replication/EntryTable.java
@@ -16,17 +16,17 @@
 final class EntryTable {
 
     /** Words and octets at the most. */
-    static final int MOST = 2000;
+    static final int MAX_ENTRIES = 2000;
 
-    static final long MOST_OCTETS = 8L << 20;
+    static final long MAX_BYTES = 8L << 20;
     /** Whose sums are compared to find what differs. */
-    static final int BUCKETS = 64;
+    static final int BUCKET_COUNT = 64;
 
     enum MergeResult {
         NEWER,
-        KNOWN,
+        UNCHANGED,
         OLDER,
-        CLASHES,
+        CONFLICT,
         NO_ROOM
     }
 
@@ -38,21 +38,21 @@
 
         Row(StoredEntry word) {
             this.word = word;
-            mark = word.mark();
+            mark = word.fingerprint();
         }
     }
 
     /** A word's version and mark, for comparing. */
-    record EntryVersion(StoredEntry.EntryKey key, long incarnation, long sequence, long mark) {}
+    record EntryVersion(StoredEntry.EntryKey key, long incarnation, long sequence, long fingerprint) {}
 
     private final TreeMap<StoredEntry.EntryKey, Row> all = new TreeMap<>();
-    private final long[] sums = new long[BUCKETS];
+    private final long[] sums = new long[BUCKET_COUNT];
     private long octets;
 
     static int bucket(StoredEntry.EntryKey key) {
         // As String states it: the same everywhere.
         int hash = 31 * key.owner().hashCode() + key.topic().hashCode();
-        return (hash ^ hash >>> 6 ^ hash >>> 12 ^ hash >>> 18 ^ hash >>> 24) & BUCKETS - 1;
+        return (hash ^ hash >>> 6 ^ hash >>> 12 ^ hash >>> 18 ^ hash >>> 24) & BUCKET_COUNT - 1;
     }
 
     StoredEntry get(StoredEntry.EntryKey key) {
@@ -61,7 +61,7 @@
     }
 
     /** In the order of owners, then topics. */
-    List<StoredEntry> words() {
+    List<StoredEntry> entries() {
         return all.values().stream().map(held -> held.word).toList();
     }
 
@@ -69,40 +69,40 @@
         return all.size();
     }
 
-    long octets() {
+    long sizeBytes() {
         return octets;
     }
 
-    boolean room(StoredEntry word) {
+    boolean hasRoomFor(StoredEntry word) {
         Row held = all.get(word.key());
-        return (held != null || all.size() < MOST)
-                && octets + word.octets() - (held == null ? 0 : held.word.octets()) <= MOST_OCTETS;
+        return (held != null || all.size() < MAX_ENTRIES)
+                && octets + word.sizeBytes() - (held == null ? 0 : held.word.sizeBytes()) <= MAX_BYTES;
     }
 
     MergeResult merge(StoredEntry word) {
         StoredEntry known = get(word.key());
-        if (known != null && known.after(word)) {
+        if (known != null && known.isNewerThan(word)) {
             return MergeResult.OLDER;
         }
-        StoredEntry made = known == null || word.after(known) ? word : known.with(word);
-        boolean same = known != null && made.digests().equals(known.digests()) && !word.after(known);
-        if (!same && !room(made)) {
+        StoredEntry made = known == null || word.isNewerThan(known) ? word : known.mergedWith(word);
+        boolean same = known != null && made.digests().equals(known.digests()) && !word.isNewerThan(known);
+        if (!same && !hasRoomFor(made)) {
             return MergeResult.NO_ROOM;
         }
-        if (!same || made.born().compareTo(known.born()) > 0) {
-            drop(word.key());
+        if (!same || made.publishedAt().compareTo(known.publishedAt()) > 0) {
+            remove(word.key());
             Row held = new Row(made);
             all.put(word.key(), held);
             sums[bucket(word.key())] ^= held.mark;
-            octets += made.octets();
+            octets += made.sizeBytes();
         }
-        return same ? MergeResult.KNOWN : made.clashes() ? MergeResult.CLASHES : MergeResult.NEWER;
+        return same ? MergeResult.UNCHANGED : made.isConflicted() ? MergeResult.CONFLICT : MergeResult.NEWER;
     }
 
-    void drop(StoredEntry.EntryKey key) {
+    void remove(StoredEntry.EntryKey key) {
         Row held = all.remove(key);
         if (held != null) {
-            octets -= held.word.octets();
+            octets -= held.word.sizeBytes();
             sums[bucket(key)] ^= held.quiet ? 0 : held.mark;
         }
     }
@@ -111,11 +111,11 @@
     List<StoredEntry> expire(Duration now, RetentionPolicy ages) {
         List<StoredEntry> gone = new ArrayList<>();
         for (Row held : List.copyOf(all.values())) {
-            Duration age = now.minus(held.word.born());
-            if (age.compareTo(ages.most(held.word)) >= 0) {
-                drop(held.word.key());
+            Duration age = now.minus(held.word.publishedAt());
+            if (age.compareTo(ages.lifetime(held.word)) >= 0) {
+                remove(held.word.key());
                 gone.add(held.word);
-            } else if (!held.quiet && age.compareTo(ages.told(held.word)) >= 0) {
+            } else if (!held.quiet && age.compareTo(ages.shareableFor(held.word)) >= 0) {
                 held.quiet = true;
                 sums[bucket(held.word.key())] ^= held.mark;
             }
@@ -123,22 +123,22 @@
         return gone;
     }
 
-    boolean told(StoredEntry.EntryKey key) {
+    boolean isShareable(StoredEntry.EntryKey key) {
         Row held = all.get(key);
         return held != null && !held.quiet;
     }
 
-    long[] sums() {
+    long[] bucketChecksums() {
         return sums.clone();
     }
 
-    EntryVersion line(StoredEntry.EntryKey key) {
+    EntryVersion version(StoredEntry.EntryKey key) {
         Row held = all.get(key);
         return held == null ? null : new EntryVersion(key, held.word.incarnation(), held.word.sequence(), held.mark);
     }
 
     /** Of the buckets of the mask, those that are told. */
-    List<EntryVersion> lines(long mask) {
+    List<EntryVersion> versions(long mask) {
         List<EntryVersion> lines = new ArrayList<>();
         all.forEach((key, held) -> {
             if ((mask >>> bucket(key) & 1) == 1 && !held.quiet) {
@@ -150,7 +150,7 @@
 
     /** SHA-256 of all: alike where two hold the same. */
     String digest() {
-        MessageDigest sha = StoredEntry.sha();
+        MessageDigest sha = StoredEntry.sha256();
         all.values()
                 .forEach(held ->
                         sha.update(ByteBuffer.allocate(8).putLong(held.mark).array()));
@@ -162,24 +162,24 @@
      * clocks that run apart and messages that are late do not bring back what others have dropped. What an owner took back
      * is remembered for longer than any copy of the word can live, so it cannot come back.
      */
-    record RetentionPolicy(Duration words) {
-        Duration most(StoredEntry word) {
-            return word.takenBack() ? words.plus(words.dividedBy(8)) : words;
+    record RetentionPolicy(Duration retention) {
+        Duration lifetime(StoredEntry word) {
+            return word.isTombstone() ? retention.plus(retention.dividedBy(8)) : retention;
         }
 
-        Duration told(StoredEntry word) {
-            Duration most = most(word);
+        Duration shareableFor(StoredEntry word) {
+            Duration most = lifetime(word);
             return most.minus(most.dividedBy(8));
         }
 
         /** Owners say their words again so often, under a new version. */
-        Duration refresh() {
-            return words.dividedBy(4);
+        Duration refreshInterval() {
+            return retention.dividedBy(4);
         }
 
         /** Who stood still for so long drops the words of others. */
-        Duration away() {
-            return words.dividedBy(2);
+        Duration maxPause() {
+            return retention.dividedBy(2);
         }
     }
 }
--- a/src/main/java/merlinlever/replication/Gossip.java
+++ b/src/main/java/merlinlever/replication/Gossip.java
@@ -51,9 +51,9 @@
         this.stated = stated;
         this.live = live;
         this.chance = chance;
-        next = now.plusNanos(chance.nextLong(stated.period().toNanos()));
+        next = now.plusNanos(chance.nextLong(stated.gossipInterval().toNanos()));
         filled = now;
-        room = stated.octetsASecond();
+        room = stated.bytesPerSecond();
     }
 
     /** To be told to some others; one for each word held, at the most. */
@@ -69,12 +69,12 @@
     private void fill(Duration now) {
         Duration since = now.minus(filled);
         filled = now;
-        double more = Math.min(1, since.toNanos() / 1e9) * stated.octetsASecond();
-        room = Math.min(stated.octetsASecond(), room + (long) more);
+        double more = Math.min(1, since.toNanos() / 1e9) * stated.bytesPerSecond();
+        room = Math.min(stated.bytesPerSecond(), room + (long) more);
     }
 
     List<OutgoingMessage> period(Duration now) {
-        next = now.plus(stated.period());
+        next = now.plus(stated.gossipInterval());
         fill(now);
         wanted.values().removeIf(until -> now.compareTo(until) >= 0);
         List<OutgoingMessage> out = new ArrayList<>();
@@ -88,7 +88,7 @@
             others.set(i, one);
         }
         tell(now, others.subList(0, Math.min(stated.fanOut(), others.size())), out);
-        out.add(new OutgoingMessage(others.get(chance.nextInt(others.size())), GossipCodec.sums(lot.sums())));
+        out.add(new OutgoingMessage(others.get(chance.nextInt(others.size())), GossipCodec.encodeChecksums(lot.bucketChecksums())));
         return out;
     }
 
@@ -103,16 +103,16 @@
             Map.Entry<StoredEntry.EntryKey, Integer> entry = each.next();
             StoredEntry.EntryKey key = entry.getKey();
             StoredEntry word = lot.get(key);
-            boolean small = word != null && GossipCodec.wordOctets(word) <= SMALL;
-            if (word != null && lot.told(key)) {
-                octets += small ? GossipCodec.wordOctets(word) : GossipCodec.lineOctets(lot.line(key));
+            boolean small = word != null && GossipCodec.entryBytes(word) <= SMALL;
+            if (word != null && lot.isShareable(key)) {
+                octets += small ? GossipCodec.entryBytes(word) : GossipCodec.versionBytes(lot.version(key));
                 if (octets * few.size() > room) {
                     break;
                 }
                 if (small) {
                     whole.add(word);
                 } else {
-                    announced.add(lot.line(key));
+                    announced.add(lot.version(key));
                 }
             }
             if (entry.setValue(entry.getValue() - 1) <= 1 || word == null) {
@@ -130,30 +130,30 @@
         List<StoredEntry> some = new ArrayList<>();
         int octets = HEAD;
         for (StoredEntry word : words) {
-            if (octets + GossipCodec.wordOctets(word) > GossipCodec.MOST) {
-                letters.add(GossipCodec.words(now, some));
+            if (octets + GossipCodec.entryBytes(word) > GossipCodec.MAX_MESSAGE_BYTES) {
+                letters.add(GossipCodec.encodeEntries(now, some));
                 some = new ArrayList<>();
                 octets = HEAD;
             }
-            octets += GossipCodec.wordOctets(word);
+            octets += GossipCodec.entryBytes(word);
             some.add(word);
         }
         if (!some.isEmpty()) {
-            letters.add(GossipCodec.words(now, some));
+            letters.add(GossipCodec.encodeEntries(now, some));
         }
         List<EntryTable.EntryVersion> few = new ArrayList<>();
         octets = HEAD;
         for (EntryTable.EntryVersion line : lines) {
-            if (octets + GossipCodec.lineOctets(line) > GossipCodec.MOST) {
-                letters.add(GossipCodec.lines(0, few));
+            if (octets + GossipCodec.versionBytes(line) > GossipCodec.MAX_MESSAGE_BYTES) {
+                letters.add(GossipCodec.encodeVersions(0, few));
                 few = new ArrayList<>();
                 octets = HEAD;
             }
-            octets += GossipCodec.lineOctets(line);
+            octets += GossipCodec.versionBytes(line);
             few.add(line);
         }
         if (!few.isEmpty()) {
-            letters.add(GossipCodec.lines(0, few));
+            letters.add(GossipCodec.encodeVersions(0, few));
         }
         return letters;
     }
@@ -162,7 +162,7 @@
         fill(now);
         List<OutgoingMessage> out = new ArrayList<>();
         if (letter instanceof GossipCodec.BucketChecksums sums) {
-            compare(from, sums.sums(), out);
+            compare(from, sums.checksums(), out);
         } else if (letter instanceof GossipCodec.VersionList lines) {
             differences(now, from, lines, out);
         } else if (letter instanceof GossipCodec.EntryRequest want) {
@@ -173,7 +173,7 @@
 
     /** The versions of the buckets that differ, as many as fit, from a drawn one on so that each has its turn. */
     private void compare(String from, long[] sums, List<OutgoingMessage> out) {
-        long[] mine = lot.sums();
+        long[] mine = lot.bucketChecksums();
         long mask = 0;
         for (int i = 0; i < sums.length; i++) {
             mask |= sums[i] != mine[i] ? 1L << i : 0;
@@ -185,7 +185,7 @@
         for (int i = 0; i < sums.length; i++) {
             byBucket.add(new ArrayList<>());
         }
-        lot.lines(mask)
+        lot.versions(mask)
                 .forEach(line -> byBucket.get(EntryTable.bucket(line.key())).add(line));
         List<EntryTable.EntryVersion> lines = new ArrayList<>();
         long whole = 0;
@@ -195,9 +195,9 @@
             int bucket = (first + i) % sums.length;
             if ((mask >>> bucket & 1) == 1) {
                 int more = byBucket.get(bucket).stream()
-                        .mapToInt(GossipCodec::lineOctets)
+                        .mapToInt(GossipCodec::versionBytes)
                         .sum();
-                if (octets + more <= Math.min(GossipCodec.MOST, room)) {
+                if (octets + more <= Math.min(GossipCodec.MAX_MESSAGE_BYTES, room)) {
                     octets += more;
                     whole |= 1L << bucket;
                     lines.addAll(byBucket.get(bucket));
@@ -206,7 +206,7 @@
         }
         if (whole != 0) {
             room -= octets;
-            out.add(new OutgoingMessage(from, GossipCodec.lines(whole, lines)));
+            out.add(new OutgoingMessage(from, GossipCodec.encodeVersions(whole, lines)));
         }
     }
 
@@ -216,35 +216,35 @@
         List<StoredEntry.EntryKey> give = new ArrayList<>();
         Set<StoredEntry.EntryKey> named = new HashSet<>();
         int octets = HEAD;
-        for (EntryTable.EntryVersion line : lines.lines()) {
+        for (EntryTable.EntryVersion line : lines.versions()) {
             named.add(line.key());
-            EntryTable.EntryVersion mine = lot.line(line.key());
+            EntryTable.EntryVersion mine = lot.version(line.key());
             int by = mine == null
                     ? 1
                     : line.incarnation() != mine.incarnation()
                             ? Long.compare(line.incarnation(), mine.incarnation())
                             : Long.compare(line.sequence(), mine.sequence());
-            boolean clash = by == 0 && mine.mark() != line.mark();
+            boolean clash = by == 0 && mine.fingerprint() != line.fingerprint();
             int more = line.key().owner().length() + line.key().topic().length() + 2;
             if ((by > 0 || clash)
-                    && octets + more <= GossipCodec.MOST
-                    && wanted.size() < EntryTable.MOST
+                    && octets + more <= GossipCodec.MAX_MESSAGE_BYTES
+                    && wanted.size() < EntryTable.MAX_ENTRIES
                     && !wanted.containsKey(line.key())) {
                 octets += more;
                 want.add(line.key());
-                wanted.put(line.key(), now.plus(stated.period()));
+                wanted.put(line.key(), now.plus(stated.gossipInterval()));
             }
             if (by < 0 || clash) {
                 give.add(line.key());
             }
         }
-        lot.lines(lines.whole()).stream()
+        lot.versions(lines.completeBuckets()).stream()
                 .map(EntryTable.EntryVersion::key)
                 .filter(key -> !named.contains(key))
                 .forEach(give::add);
         if (!want.isEmpty() && octets <= room) {
             room -= octets;
-            out.add(new OutgoingMessage(from, GossipCodec.want(want)));
+            out.add(new OutgoingMessage(from, GossipCodec.encodeRequest(want)));
         }
         give(now, from, give, out);
     }
@@ -254,8 +254,8 @@
         long octets = HEAD;
         for (StoredEntry.EntryKey key : new LinkedHashSet<>(keys)) {
             StoredEntry word = lot.get(key);
-            if (word != null && lot.told(key) && octets + GossipCodec.wordOctets(word) <= room) {
-                octets += GossipCodec.wordOctets(word);
+            if (word != null && lot.isShareable(key) && octets + GossipCodec.entryBytes(word) <= room) {
+                octets += GossipCodec.entryBytes(word);
                 words.add(word);
             }
         }
--- a/src/main/java/merlinlever/replication/GossipCodec.java
+++ b/src/main/java/merlinlever/replication/GossipCodec.java
@@ -17,7 +17,7 @@
 final class GossipCodec {
 
     /** Octets of one letter at the most. */
-    static final int MOST = 32 << 10;
+    static final int MAX_MESSAGE_BYTES = 32 << 10;
     /** Ages beyond that are not told. */
     private static final long MOST_AGE = Duration.ofDays(1000).toMillis();
 
@@ -27,40 +27,40 @@
     private static final int DIGEST = 32;
 
     /** Sums of all buckets: what differs? */
-    record BucketChecksums(long[] sums) {}
+    record BucketChecksums(long[] checksums) {}
 
     /**
      * Versions held.
      *
-     * @param whole the buckets of which these are all; none where it only announces what is new
+     * @param completeBuckets the buckets of which these are all; none where it only announces what is new
      */
-    record VersionList(long whole, List<EntryTable.EntryVersion> lines) {}
+    record VersionList(long completeBuckets, List<EntryTable.EntryVersion> versions) {}
 
     /** The words, with their ages. */
-    record EntryBatch(List<AgedEntry> words) {}
+    record EntryBatch(List<AgedEntry> entries) {}
 
     /** Born is as long before now as its age says, by the reader's clock. */
-    record AgedEntry(StoredEntry word, long ageMs) {}
+    record AgedEntry(StoredEntry entry, long ageMs) {}
 
     /** These words are asked for. */
     record EntryRequest(List<StoredEntry.EntryKey> keys) {}
 
     private GossipCodec() {}
 
-    static boolean printable(String text, int most) {
+    static boolean isPrintable(String text, int most) {
         return text != null
                 && !text.isEmpty()
                 && text.length() <= most
                 && text.chars().allMatch(c -> c > ' ' && c <= '~');
     }
 
-    static boolean fits(String owner, String topic) {
-        return printable(owner, MOST_OWNER) && printable(topic, MOST_TOPIC);
+    static boolean isValidKey(String owner, String topic) {
+        return isPrintable(owner, MOST_OWNER) && isPrintable(topic, MOST_TOPIC);
     }
 
     // ---- writing
 
-    static byte[] sums(long[] sums) {
+    static byte[] encodeChecksums(long[] sums) {
         ByteBuffer out = ByteBuffer.allocate(2 + 8 * sums.length).put(VERSION).put((byte) 0);
         for (long sum : sums) {
             out.putLong(sum);
@@ -68,12 +68,12 @@
         return out.array();
     }
 
-    static int lineOctets(EntryTable.EntryVersion line) {
+    static int versionBytes(EntryTable.EntryVersion line) {
         return line.key().owner().length() + line.key().topic().length() + 2 + 2 * 9 + 8;
     }
 
-    static byte[] lines(long whole, List<EntryTable.EntryVersion> lines) {
-        ByteBuffer out = ByteBuffer.allocate(MOST)
+    static byte[] encodeVersions(long whole, List<EntryTable.EntryVersion> lines) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES)
                 .put(VERSION)
                 .put((byte) 1)
                 .putLong(whole)
@@ -82,28 +82,28 @@
             put(out, line.key());
             number(out, line.incarnation());
             number(out, line.sequence());
-            out.putLong(line.mark());
+            out.putLong(line.fingerprint());
         }
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static int wordOctets(StoredEntry word) {
+    static int entryBytes(StoredEntry word) {
         return word.key().owner().length()
                 + word.key().topic().length()
                 + 2
                 + 3 * 9
                 + 1
-                + (word.clashes() ? 2 * DIGEST : word.value() == null ? 0 : 2 + word.value().length);
+                + (word.isConflicted() ? 2 * DIGEST : word.value() == null ? 0 : 2 + word.value().length);
     }
 
-    static byte[] words(Duration now, List<StoredEntry> words) {
-        ByteBuffer out = ByteBuffer.allocate(MOST).put(VERSION).put((byte) 2).putShort((short) words.size());
+    static byte[] encodeEntries(Duration now, List<StoredEntry> words) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(VERSION).put((byte) 2).putShort((short) words.size());
         for (StoredEntry word : words) {
             put(out, word.key());
             number(out, word.incarnation());
             number(out, word.sequence());
-            number(out, Math.max(0, Math.min(MOST_AGE, now.minus(word.born()).toMillis())));
-            if (word.clashes()) {
+            number(out, Math.max(0, Math.min(MOST_AGE, now.minus(word.publishedAt()).toMillis())));
+            if (word.isConflicted()) {
                 out.put((byte) 2);
                 word.digests().forEach(digest -> out.put(HexFormat.of().parseHex(digest)));
             } else if (word.value() == null) {
@@ -115,8 +115,8 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static byte[] want(List<StoredEntry.EntryKey> keys) {
-        ByteBuffer out = ByteBuffer.allocate(MOST).put(VERSION).put((byte) 3).putShort((short) keys.size());
+    static byte[] encodeRequest(List<StoredEntry.EntryKey> keys) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(VERSION).put((byte) 3).putShort((short) keys.size());
         keys.forEach(key -> put(out, key));
         return Arrays.copyOf(out.array(), out.position());
     }
@@ -141,8 +141,8 @@
     // ---- reading
 
     /** One of the records above, or null. */
-    static Object read(byte[] body) {
-        if (body.length > MOST) {
+    static Object decode(byte[] body) {
+        if (body.length > MAX_MESSAGE_BYTES) {
             return null;
         }
         try {
@@ -165,7 +165,7 @@
     }
 
     private static BucketChecksums readSums(ByteBuffer in) {
-        long[] sums = new long[EntryTable.BUCKETS];
+        long[] sums = new long[EntryTable.BUCKET_COUNT];
         for (int i = 0; i < sums.length; i++) {
             sums[i] = in.getLong();
         }
@@ -199,7 +199,7 @@
             switch (in.get()) {
                 case 0 -> {
                     value = new byte[in.getShort() & 0xffff];
-                    if (value.length > VersionedEntry.MOST_OCTETS) {
+                    if (value.length > VersionedEntry.MAX_VALUE_BYTES) {
                         throw new IllegalArgumentException("value");
                     }
                     in.get(value);
@@ -236,7 +236,7 @@
 
     private static StoredEntry.EntryKey key(ByteBuffer in) {
         StoredEntry.EntryKey key = new StoredEntry.EntryKey(text(in), text(in));
-        if (!fits(key.owner(), key.topic())) {
+        if (!isValidKey(key.owner(), key.topic())) {
             throw new IllegalArgumentException("name");
         }
         return key;
@@ -251,7 +251,7 @@
     /** A version is counted up, by one each time: beyond that it is nobody's. */
     private static long version(ByteBuffer in) {
         long number = number(in);
-        if (number > ReplicatedStore.MOST_VERSION) {
+        if (number > ReplicatedStore.MAX_VERSION) {
             throw new IllegalArgumentException("version");
         }
         return number;
--- a/src/main/java/merlinlever/replication/OutgoingMessage.java
+++ b/src/main/java/merlinlever/replication/OutgoingMessage.java
@@ -1,4 +1,4 @@
 package merlinlever.replication;
 
 /** A letter to another, by its name; it may be lost, late, doubled or out of order. */
-public record OutgoingMessage(String to, byte[] body) {}
+public record OutgoingMessage(String receiver, byte[] body) {}
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -20,7 +20,7 @@
  * One backend's part in registers that are written once: voter, leader, and one who is told. A leader asks more than half of the
  * voters under its term what they have accepted, proposes the value of the highest term it is told or its own, and the value is
  * written once more than half have accepted it. A voter answers only when what it promises or accepts is on its disk
- * ({@link #keep}); one that comes without its disk votes again only when it has been told by so many others that none of what it
+ * ({@link #pendingWrite}); one that comes without its disk votes again only when it has been told by so many others that none of what it
  * may have promised or accepted is missed.
  */
 public final class PaxosNode implements WriteOnceRegisters {
@@ -35,8 +35,8 @@
     /** Answers that wait for the disk, at the most; those over it are lost, as any may be. */
     private static final int MOST_WAITING = 1000;
 
-    /** What must be on the disk; {@code version} goes back to {@link #kept}. */
-    public record PendingWrite(long version, byte[] octets) {}
+    /** What must be on the disk; {@code version} goes back to {@link #writeCompleted}. */
+    public record PendingWrite(long version, byte[] bytes) {}
 
     private record DeferredMessage(long version, OutgoingMessage carry) {}
 
@@ -93,7 +93,7 @@
         this.live = live;
         this.chance = chance;
         this.log = log;
-        PaxosAcceptor read = found == null ? null : PaxosAcceptor.parsed(found);
+        PaxosAcceptor read = found == null ? null : PaxosAcceptor.decode(found);
         ballots = read == null ? new PaxosAcceptor() : read;
         votes = read != null || leadership.voters().size() == 1;
         next = now;
@@ -112,35 +112,35 @@
 
     @Override
     public void propose(Duration now, String name, byte[] value) {
-        if (!GossipCodec.fits("-", name) || value.length > PaxosAcceptor.MOST_VALUE) {
+        if (!GossipCodec.isValidKey("-", name) || value.length > PaxosAcceptor.MAX_VALUE_BYTES) {
             throw new IllegalArgumentException("register " + name + " of " + value.length + " octets");
         }
-        if (decides(now) && written(name).isEmpty() && ballots.room(name) && proposals.size() < PaxosAcceptor.MOST) {
+        if (decides(now) && chosen(name).isEmpty() && ballots.hasRoomFor(name) && proposals.size() < PaxosAcceptor.MAX_REGISTERS) {
             proposals.computeIfAbsent(name, none -> new Proposal(value.clone()));
         }
     }
 
     @Override
-    public Optional<byte[]> written(String name) {
+    public Optional<byte[]> chosen(String name) {
         PaxosAcceptor.RegisterState entry = ballots.get(name);
-        return entry != null && entry.written() ? Optional.of(entry.value().clone()) : Optional.empty();
+        return entry != null && entry.chosen() ? Optional.of(entry.value().clone()) : Optional.empty();
     }
 
     // ---- the disk
 
     /** What is to be written now; null where all of it is on the disk, one write is under way, or this voter is not yet told what it lost. */
-    public PendingWrite keep() {
+    public PendingWrite pendingWrite() {
         if (version == onDisk
                 || keeping > onDisk
                 || !votes && leadership.voters().contains(self)) {
             return null;
         }
         keeping = version;
-        return new PendingWrite(version, ballots.octets());
+        return new PendingWrite(version, ballots.encode());
     }
 
     /** It is on the disk; what waited for that is sent. */
-    public List<OutgoingMessage> kept(Duration now, long done) {
+    public List<OutgoingMessage> writeCompleted(Duration now, long done) {
         onDisk = Math.max(onDisk, done);
         List<OutgoingMessage> out = new ArrayList<>();
         while (!waiting.isEmpty() && waiting.peek().version <= onDisk) {
@@ -150,26 +150,26 @@
     }
 
     /** The write went wrong; it is tried again. */
-    public void notKept() {
+    public void writeFailed() {
         keeping = onDisk;
     }
 
     private void afterDisk(String to, RegisterMessage slip) {
         if (waiting.size() < MOST_WAITING) {
-            waiting.add(new DeferredMessage(version, new OutgoingMessage(to, slip.octets())));
+            waiting.add(new DeferredMessage(version, new OutgoingMessage(to, slip.encode())));
         }
     }
 
     // ---- what is to be said
 
-    public List<OutgoingMessage> look(Duration now) {
+    public List<OutgoingMessage> tick(Duration now) {
         List<OutgoingMessage> out = new ArrayList<>();
         if (!decides(now)) {
             // One that was deposed writes nothing; who leads then finishes what was begun.
             proposals.clear();
         } else {
-            for (PaxosAcceptor.RegisterState entry : ballots.entries()) {
-                if (!entry.written()) {
+            for (PaxosAcceptor.RegisterState entry : ballots.registers()) {
+                if (!entry.chosen()) {
                     proposals.computeIfAbsent(entry.name(), none -> new Proposal(entry.value()));
                 }
             }
@@ -181,9 +181,9 @@
             if (!others.isEmpty()) {
                 out.add(carry(
                         others.get(chance.nextInt(others.size())),
-                        RegisterMessage.Kind.KNOWN,
+                        RegisterMessage.Kind.FINGERPRINT,
                         0,
-                        ballots.mark(),
+                        ballots.chosenFingerprint(),
                         "",
                         List.of()));
             }
@@ -191,7 +191,7 @@
                 leadership.voters().stream()
                         .filter(voter -> !voter.equals(self))
                         .forEach(voter ->
-                                out.add(carry(voter, RegisterMessage.Kind.ASK, 0, now.toMillis(), "", List.of())));
+                                out.add(carry(voter, RegisterMessage.Kind.PAGE_REQUEST, 0, now.toMillis(), "", List.of())));
             }
         }
         return own(now, out);
@@ -243,15 +243,15 @@
             long number,
             String name,
             List<PaxosAcceptor.RegisterState> entries) {
-        return new OutgoingMessage(to, new RegisterMessage(kind, term, number, name, entries).octets());
+        return new OutgoingMessage(to, new RegisterMessage(kind, term, number, name, entries).encode());
     }
 
     /** What goes to this one itself needs no network. */
     private List<OutgoingMessage> own(Duration now, List<OutgoingMessage> all) {
         List<OutgoingMessage> out = new ArrayList<>();
         for (OutgoingMessage each : all) {
-            if (each.to().equals(self)) {
-                out.addAll(came(now, self, each.body()));
+            if (each.receiver().equals(self)) {
+                out.addAll(receive(now, self, each.body()));
             } else {
                 out.add(each);
             }
@@ -261,46 +261,46 @@
 
     // ---- what is said
 
-    public List<OutgoingMessage> came(Duration now, String from, byte[] body) {
-        RegisterMessage slip = RegisterMessage.read(body);
+    public List<OutgoingMessage> receive(Duration now, String from, byte[] body) {
+        RegisterMessage slip = RegisterMessage.decode(body);
         boolean one = slip != null
-                && slip.entries().size() == 1
-                && slip.entries().get(0).name().equals(slip.name());
+                && slip.registers().size() == 1
+                && slip.registers().get(0).name().equals(slip.register());
         if (slip == null
-                || (slip.kind() == RegisterMessage.Kind.ACCEPT || slip.kind() == RegisterMessage.Kind.WRITTEN) && !one
-                || slip.kind() == RegisterMessage.Kind.PROMISED
+                || (slip.kind() == RegisterMessage.Kind.ACCEPT || slip.kind() == RegisterMessage.Kind.CHOSEN) && !one
+                || slip.kind() == RegisterMessage.Kind.PROMISE
                         && !one
-                        && !slip.entries().isEmpty()) {
+                        && !slip.registers().isEmpty()) {
             malformed++;
             return List.of();
         }
         List<OutgoingMessage> out = new ArrayList<>();
         switch (slip.kind()) {
             case PREPARE, ACCEPT -> asked(from, slip, out);
-            case PROMISED -> promised(now, from, slip, out);
+            case PROMISE -> promised(now, from, slip, out);
             case ACCEPTED -> accepted(now, from, slip, out);
-            case WRITTEN -> learn(slip.entries().get(0));
-            case KNOWN -> {
-                if (slip.number() != ballots.mark()) {
-                    out.add(carry(from, RegisterMessage.Kind.ASK, 0, now.toMillis(), "", List.of()));
+            case CHOSEN -> learn(slip.registers().get(0));
+            case FINGERPRINT -> {
+                if (slip.number() != ballots.chosenFingerprint()) {
+                    out.add(carry(from, RegisterMessage.Kind.PAGE_REQUEST, 0, now.toMillis(), "", List.of()));
                 }
             }
-            case ASK -> {
+            case PAGE_REQUEST -> {
                 // Told only once it is on the disk: who asks may take its own vote from it.
-                List<PaxosAcceptor.RegisterState> page = ballots.page(slip.name(), RegisterMessage.PAGE);
+                List<PaxosAcceptor.RegisterState> page = ballots.page(slip.register(), RegisterMessage.MAX_PAGE_BYTES);
                 boolean last = page.isEmpty()
-                        || ballots.page(page.get(page.size() - 1).name(), RegisterMessage.PAGE)
+                        || ballots.page(page.get(page.size() - 1).name(), RegisterMessage.MAX_PAGE_BYTES)
                                 .isEmpty();
                 afterDisk(
                         from,
                         new RegisterMessage(
                                 RegisterMessage.Kind.PAGE,
-                                ballots.promised(),
+                                ballots.promisedTerm(),
                                 slip.number() << 2 | (votes ? 1 : 0) | (last ? 2 : 0),
-                                slip.name(),
+                                slip.register(),
                                 page));
                 if (version == onDisk) {
-                    out.addAll(kept(now, onDisk));
+                    out.addAll(writeCompleted(now, onDisk));
                 }
             }
             case PAGE -> page(from, slip, out);
@@ -314,27 +314,27 @@
             return;
         }
         boolean prepare = slip.kind() == RegisterMessage.Kind.PREPARE;
-        long promisedBefore = ballots.promised();
-        PaxosAcceptor.RegisterState before = ballots.get(slip.name());
+        long promisedBefore = ballots.promisedTerm();
+        PaxosAcceptor.RegisterState before = ballots.get(slip.register());
         if (!(prepare
                 ? ballots.promise(slip.term())
-                : ballots.accept(slip.term(), slip.name(), slip.entries().get(0).value()))) {
-            out.add(carry(from, RegisterMessage.Kind.REFUSED, ballots.promised(), 0, slip.name(), List.of()));
+                : ballots.accept(slip.term(), slip.register(), slip.registers().get(0).value()))) {
+            out.add(carry(from, RegisterMessage.Kind.REJECTED, ballots.promisedTerm(), 0, slip.register(), List.of()));
             return;
         }
-        PaxosAcceptor.RegisterState entry = ballots.get(slip.name());
-        version += promisedBefore == ballots.promised() && before == entry ? 0 : 1;
+        PaxosAcceptor.RegisterState entry = ballots.get(slip.register());
+        version += promisedBefore == ballots.promisedTerm() && before == entry ? 0 : 1;
         afterDisk(
                 from,
                 prepare
                         ? new RegisterMessage(
-                                RegisterMessage.Kind.PROMISED,
+                                RegisterMessage.Kind.PROMISE,
                                 slip.term(),
                                 slip.number(),
-                                slip.name(),
+                                slip.register(),
                                 entry == null ? List.of() : List.of(entry))
                         : new RegisterMessage(
-                                RegisterMessage.Kind.ACCEPTED, slip.term(), slip.number(), slip.name(), List.of()));
+                                RegisterMessage.Kind.ACCEPTED, slip.term(), slip.number(), slip.register(), List.of()));
         if (version == onDisk) {
             while (!waiting.isEmpty()) {
                 out.add(waiting.poll().carry);
@@ -343,7 +343,7 @@
     }
 
     private void promised(Duration now, String from, RegisterMessage slip, List<OutgoingMessage> out) {
-        Proposal proposal = proposals.get(slip.name());
+        Proposal proposal = proposals.get(slip.register());
         if (proposal == null
                 || slip.term() != proposal.term
                 || proposal.value != null
@@ -352,23 +352,23 @@
             return;
         }
         proposal.promised.put(from, slip.number());
-        slip.entries().forEach(entry -> {
+        slip.registers().forEach(entry -> {
             proposal.told.put(from, entry);
-            if (entry.written()) {
+            if (entry.chosen()) {
                 learn(entry);
             }
         });
-        if (written(slip.name()).isPresent()) {
-            proposals.remove(slip.name());
+        if (chosen(slip.register()).isPresent()) {
+            proposals.remove(slip.register());
         } else if (most(now, proposal.promised)) {
-            proposal.value = PaxosAcceptor.safe(proposal.told.values(), proposal.mine);
+            proposal.value = PaxosAcceptor.safeValue(proposal.told.values(), proposal.mine);
             proposal.next = now;
-            lead(now, slip.name(), proposal, out);
+            lead(now, slip.register(), proposal, out);
         }
     }
 
     private void accepted(Duration now, String from, RegisterMessage slip, List<OutgoingMessage> out) {
-        Proposal proposal = proposals.get(slip.name());
+        Proposal proposal = proposals.get(slip.register());
         if (proposal == null
                 || slip.term() != proposal.term
                 || proposal.value == null
@@ -378,23 +378,23 @@
         }
         proposal.accepted.put(from, slip.number());
         if (most(now, proposal.accepted)) {
-            proposals.remove(slip.name());
+            proposals.remove(slip.register());
             PaxosAcceptor.RegisterState entry =
-                    new PaxosAcceptor.RegisterState(slip.name(), slip.term(), proposal.value, true);
+                    new PaxosAcceptor.RegisterState(slip.register(), slip.term(), proposal.value, true);
             learn(entry);
             live.get()
                     .forEach(other -> out.add(
-                            carry(other, RegisterMessage.Kind.WRITTEN, slip.term(), 0, slip.name(), List.of(entry))));
+                            carry(other, RegisterMessage.Kind.CHOSEN, slip.term(), 0, slip.register(), List.of(entry))));
         }
     }
 
     private void learn(PaxosAcceptor.RegisterState entry) {
-        if (written(entry.name())
+        if (chosen(entry.name())
                 .filter(known -> Arrays.equals(known, entry.value()))
                 .isPresent()) {
             return;
         }
-        if (!ballots.written(entry.name(), entry.value())) {
+        if (!ballots.markChosen(entry.name(), entry.value())) {
             if (conflicts++ == 0) {
                 log.accept("register " + entry.name()
                         + " is told with another value than the one that was written; it is not taken");
@@ -407,17 +407,17 @@
 
     private void page(String from, RegisterMessage slip, List<OutgoingMessage> out) {
         boolean last = (slip.number() & 2) != 0;
-        slip.entries().stream()
-                .filter(PaxosAcceptor.RegisterState::written)
-                .filter(entry -> written(entry.name()).isEmpty())
+        slip.registers().stream()
+                .filter(PaxosAcceptor.RegisterState::chosen)
+                .filter(entry -> chosen(entry.name()).isEmpty())
                 .forEach(this::learn);
-        if (!last && !slip.entries().isEmpty()) {
+        if (!last && !slip.registers().isEmpty()) {
             out.add(carry(
                     from,
-                    RegisterMessage.Kind.ASK,
+                    RegisterMessage.Kind.PAGE_REQUEST,
                     0,
                     slip.number() >> 2,
-                    slip.entries().get(slip.entries().size() - 1).name(),
+                    slip.registers().get(slip.registers().size() - 1).name(),
                     List.of()));
         }
         if (votes
@@ -426,7 +426,7 @@
                 || slip.number() >> 2 < fence.toMillis()) {
             return;
         }
-        ballots.recovered(slip.term(), slip.entries());
+        ballots.mergePeerState(slip.term(), slip.registers());
         version++;
         if (last) {
             toldAll.put(from, (slip.number() & 1) != 0);
@@ -443,12 +443,12 @@
     }
 
     /** For operators, as a JSON object. */
-    public String json() {
-        long written = ballots.entries().stream()
-                .filter(PaxosAcceptor.RegisterState::written)
+    public String statusJson() {
+        long written = ballots.registers().stream()
+                .filter(PaxosAcceptor.RegisterState::chosen)
                 .count();
-        return "{\"written\":" + written + ",\"begun\":" + (ballots.entries().size() - written) + ",\"term\":"
-                + ballots.promised() + ",\"votes\":"
+        return "{\"written\":" + written + ",\"begun\":" + (ballots.registers().size() - written) + ",\"term\":"
+                + ballots.promisedTerm() + ",\"votes\":"
                 + (votes && leadership.voters().contains(self)) + ",\"conflicts\":" + conflicts + ",\"malformed\":"
                 + malformed + "}";
     }
--- a/src/main/java/merlinlever/replication/RegisterMessage.java
+++ b/src/main/java/merlinlever/replication/RegisterMessage.java
@@ -12,9 +12,9 @@
  * else is nothing.
  *
  * @param number flags of a page, or the mark of what is known
- * @param name of the register, or after which one a page begins; may be empty
+ * @param register of the register, or after which one a page begins; may be empty
  */
-record RegisterMessage(Kind kind, long term, long number, String name, List<PaxosAcceptor.RegisterState> entries) {
+record RegisterMessage(Kind kind, long term, long number, String register, List<PaxosAcceptor.RegisterState> registers) {
 
     /**
      * A leader asks (PREPARE) and proposes (ACCEPT), a voter answers each or refuses with the term it holds to; WRITTEN is told to
@@ -22,38 +22,38 @@
      */
     enum Kind {
         PREPARE,
-        PROMISED,
+        PROMISE,
         ACCEPT,
         ACCEPTED,
-        REFUSED,
-        WRITTEN,
-        KNOWN,
-        ASK,
+        REJECTED,
+        CHOSEN,
+        FINGERPRINT,
+        PAGE_REQUEST,
         PAGE
     }
 
     private static final byte VERSION = 1;
     /** Octets of registers on one page. */
-    static final int PAGE = 30 << 10;
+    static final int MAX_PAGE_BYTES = 30 << 10;
 
-    byte[] octets() {
-        byte[] text = name.getBytes(StandardCharsets.US_ASCII);
+    byte[] encode() {
+        byte[] text = register.getBytes(StandardCharsets.US_ASCII);
         ByteBuffer out = ByteBuffer.allocate(64
                 + text.length
-                + entries.stream().mapToInt(PaxosAcceptor::octets).sum());
+                + registers.stream().mapToInt(PaxosAcceptor::encode).sum());
         out.put(VERSION)
                 .put((byte) kind.ordinal())
                 .putLong(term)
                 .putLong(number)
                 .put((byte) text.length)
                 .put(text)
-                .putShort((short) entries.size());
-        entries.forEach(entry -> PaxosAcceptor.put(out, entry));
+                .putShort((short) registers.size());
+        registers.forEach(entry -> PaxosAcceptor.encodeRegister(out, entry));
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static RegisterMessage read(byte[] body) {
-        if (body.length > GossipCodec.MOST) {
+    static RegisterMessage decode(byte[] body) {
+        if (body.length > GossipCodec.MAX_MESSAGE_BYTES) {
             return null;
         }
         try {
@@ -67,13 +67,13 @@
             String name = new String(text, StandardCharsets.ISO_8859_1);
             List<PaxosAcceptor.RegisterState> entries = new ArrayList<>();
             for (int left = in.getShort() & 0xffff; left > 0; left--) {
-                entries.add(PaxosAcceptor.entry(in));
+                entries.add(PaxosAcceptor.decodeRegister(in));
             }
             boolean ours = version == VERSION
                     && kind >= 0
                     && kind < Kind.values().length
                     && term >= 0
-                    && (name.isEmpty() || GossipCodec.fits("-", name));
+                    && (name.isEmpty() || GossipCodec.isValidKey("-", name));
             return !ours || in.hasRemaining()
                     ? null
                     : new RegisterMessage(Kind.values()[kind], term, number, name, entries);
--- a/src/main/java/merlinlever/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/replication/ReplicatedStore.java
@@ -21,28 +21,28 @@
     /**
      * What is stated.
      *
-     * @param period in which new words are told and one other is compared with
+     * @param gossipInterval in which new words are told and one other is compared with
      * @param fanOut others that are told a new word at once
-     * @param age words of an owner that is not heard of for so long are dropped
-     * @param octetsASecond told at the most, beside the sums
-     * @param keeps whether own words go to the disk before they are told ({@link #keep})
+     * @param retention words of an owner that is not heard of for so long are dropped
+     * @param bytesPerSecond told at the most, beside the sums
+     * @param persistent whether own words go to the disk before they are told ({@link #pendingWrite})
      */
-    public record ReplicationSettings(Duration period, int fanOut, Duration age, int octetsASecond, boolean keeps) {
-        public static ReplicationSettings usual(boolean keeps) {
-            return new ReplicationSettings(Duration.ofMillis(200), 3, Duration.ofHours(24), 512 << 10, keeps);
+    public record ReplicationSettings(Duration gossipInterval, int fanOut, Duration retention, int bytesPerSecond, boolean persistent) {
+        public static ReplicationSettings defaults(boolean persistent) {
+            return new ReplicationSettings(Duration.ofMillis(200), 3, Duration.ofHours(24), 512 << 10, persistent);
         }
     }
 
     /** What has to outlast this life: its own words, and a version above which the next life begins. */
-    public record PersistedEntries(long incarnation, long sequence, List<VersionedEntry> words) {
-        public static final PersistedEntries NOTHING = new PersistedEntries(0, 0, List.of());
+    public record PersistedEntries(long incarnation, long sequence, List<VersionedEntry> entries) {
+        public static final PersistedEntries NONE = new PersistedEntries(0, 0, List.of());
     }
 
-    static final long MOST_VERSION = 1L << 48;
+    static final long MAX_VERSION = 1L << 48;
     /** Own topics and the octets of all of them, at the most; they are written to the disk together. */
-    public static final int MOST_OWN = 64;
+    public static final int MAX_OWN_ENTRIES = 64;
 
-    public static final int MOST_OWN_OCTETS = 256 << 10;
+    public static final int MAX_OWN_BYTES = 256 << 10;
     /** A stillness that is longer than a message's way: what comes right after may have waited as long. */
     private static final Duration STILL = Duration.ofSeconds(2);
 
@@ -69,7 +69,7 @@
 
     /**
      * @param incarnation of membership, as this life begins; words begin above it and above what was kept
-     * @param kept what the life before left, or {@link PersistedEntries#NOTHING}
+     * @param kept what the life before left, or {@link PersistedEntries#NONE}
      * @param live the others that can be told something, now
      */
     public ReplicatedStore(
@@ -85,10 +85,10 @@
         this.stated = stated;
         this.log = log;
         this.incarnation = Math.max(incarnation, kept.incarnation + 1);
-        ages = new EntryTable.RetentionPolicy(stated.age);
+        ages = new EntryTable.RetentionPolicy(stated.retention);
         last = now;
         gossip = new Gossip(now, lot, stated, live, chance);
-        kept.words.forEach(word -> lot.merge(StoredEntry.of(word, now)));
+        kept.entries.forEach(word -> lot.merge(StoredEntry.of(word, now)));
     }
 
     // ---- own words
@@ -96,7 +96,7 @@
     @Override
     public boolean put(Duration now, String topic, byte[] value) {
         alive(now);
-        if (!GossipCodec.fits(self, topic) || value.length > VersionedEntry.MOST_OCTETS) {
+        if (!GossipCodec.isValidKey(self, topic) || value.length > VersionedEntry.MAX_VALUE_BYTES) {
             return false;
         }
         long octets = value.length;
@@ -106,7 +106,7 @@
                     : each.getValue().value().length;
         }
         StoredEntry word = next(now, topic, value.clone());
-        if (!own.containsKey(topic) && own.size() >= MOST_OWN || octets > MOST_OWN_OCTETS || !lot.room(word)) {
+        if (!own.containsKey(topic) && own.size() >= MAX_OWN_ENTRIES || octets > MAX_OWN_BYTES || !lot.hasRoomFor(word)) {
             return false;
         }
         say(word);
@@ -129,7 +129,7 @@
         sequence = word.sequence();
         own.put(word.key().topic(), word);
         pending.put(word.key().topic(), word);
-        if (!stated.keeps) {
+        if (!stated.persistent) {
             tell(Long.MAX_VALUE, Long.MAX_VALUE);
         }
     }
@@ -140,7 +140,7 @@
             boolean on = word.incarnation() < upToIncarnation
                     || word.incarnation() == upToIncarnation && word.sequence() <= upToSequence;
             EntryTable.MergeResult taken = on ? lot.merge(word) : EntryTable.MergeResult.NO_ROOM;
-            if (taken == EntryTable.MergeResult.NEWER || taken == EntryTable.MergeResult.CLASHES) {
+            if (taken == EntryTable.MergeResult.NEWER || taken == EntryTable.MergeResult.CONFLICT) {
                 gossip.fresh(word.key());
             }
             return taken != EntryTable.MergeResult.NO_ROOM;
@@ -148,13 +148,13 @@
     }
 
     /** What is to be written before more is told; null where all of it is on the disk. */
-    public PersistedEntries keep() {
+    public PersistedEntries pendingWrite() {
         if (pending.isEmpty()) {
             return null;
         }
         TreeMap<String, StoredEntry> words = new TreeMap<>();
-        for (StoredEntry word : lot.words()) {
-            if (word.key().owner().equals(self) && !word.clashes()) {
+        for (StoredEntry word : lot.entries()) {
+            if (word.key().owner().equals(self) && !word.isConflicted()) {
                 words.put(word.key().topic(), word);
             }
         }
@@ -162,24 +162,24 @@
         return new PersistedEntries(
                 incarnation,
                 sequence,
-                words.values().stream().map(StoredEntry::snapshot).toList());
+                words.values().stream().map(StoredEntry::toVersionedEntry).toList());
     }
 
     /** It is on the disk. */
-    public void kept(PersistedEntries done) {
+    public void writeCompleted(PersistedEntries done) {
         tell(done.incarnation, done.sequence);
     }
 
     // ---- words of others
 
     @Override
-    public boolean pass(Duration now, VersionedEntry snapshot) {
+    public boolean relay(Duration now, VersionedEntry snapshot) {
         alive(now);
-        if (!GossipCodec.fits(snapshot.owner(), snapshot.topic())
+        if (!GossipCodec.isValidKey(snapshot.owner(), snapshot.topic())
                 || snapshot.owner().equals(self)
-                || snapshot.value() != null && snapshot.value().length > VersionedEntry.MOST_OCTETS
+                || snapshot.value() != null && snapshot.value().length > VersionedEntry.MAX_VALUE_BYTES
                 || Math.min(snapshot.incarnation(), snapshot.sequence()) < 0
-                || Math.max(snapshot.incarnation(), snapshot.sequence()) > MOST_VERSION) {
+                || Math.max(snapshot.incarnation(), snapshot.sequence()) > MAX_VERSION) {
             return false;
         }
         return take(now, StoredEntry.of(snapshot, now), false) == EntryTable.MergeResult.NEWER;
@@ -187,28 +187,28 @@
 
     /** @param heard whether it came from another backend, and hearers are told */
     private EntryTable.MergeResult take(Duration now, StoredEntry word, boolean heard) {
-        if (now.minus(word.born()).compareTo(ages.told(word)) >= 0) {
+        if (now.minus(word.publishedAt()).compareTo(ages.shareableFor(word)) >= 0) {
             return EntryTable.MergeResult.OLDER;
         }
         EntryTable.MergeResult taken = lot.merge(word);
         if (taken == EntryTable.MergeResult.NO_ROOM && refused++ % 1000 == 0) {
             log.accept("no room for the word of " + word.key().owner() + " on "
-                    + word.key().topic() + ": " + lot.size() + " words, " + lot.octets() + " octets are held");
+                    + word.key().topic() + ": " + lot.size() + " words, " + lot.sizeBytes() + " octets are held");
         }
         if (taken == EntryTable.MergeResult.NEWER) {
             gossip.fresh(word.key());
             if (word.key().owner().equals(self)) {
                 overtaken(word);
             } else if (heard) {
-                List.copyOf(hearers).forEach(hearer -> hearer.came(now, word.snapshot()));
+                List.copyOf(hearers).forEach(hearer -> hearer.entryReceived(now, word.toVersionedEntry()));
             }
-        } else if (taken == EntryTable.MergeResult.CLASHES) {
+        } else if (taken == EntryTable.MergeResult.CONFLICT) {
             gossip.fresh(word.key());
-            VersionConflict clash = lot.get(word.key()).clash();
+            VersionConflict clash = lot.get(word.key()).toConflict();
             log.accept("the word of " + clash.owner() + " on " + clash.topic() + " was claimed twice under "
-                    + clash.incarnation() + "." + clash.sequence() + ", as " + clash.one() + " and as " + clash.other()
+                    + clash.incarnation() + "." + clash.sequence() + ", as " + clash.lowerDigest() + " and as " + clash.higherDigest()
                     + ": neither is taken");
-            List.copyOf(hearers).forEach(hearer -> hearer.clashed(now, clash));
+            List.copyOf(hearers).forEach(hearer -> hearer.conflictDetected(now, clash));
         }
         return taken;
     }
@@ -218,49 +218,49 @@
         StoredEntry mine = own.get(word.key().topic());
         if (word.incarnation() > incarnation
                 || word.incarnation() == incarnation && word.sequence() > sequence
-                || mine != null && word.after(mine)) {
+                || mine != null && word.isNewerThan(mine)) {
             overtakenBy = Math.max(overtakenBy, word.incarnation());
         }
     }
 
     @Override
-    public Optional<VersionedEntry> of(String owner, String topic) {
+    public Optional<VersionedEntry> get(String owner, String topic) {
         StoredEntry word = lot.get(new StoredEntry.EntryKey(owner, topic));
         StoredEntry mine = owner.equals(self) ? own.get(topic) : null;
-        StoredEntry counts = mine == null || word != null && word.clashes() && !mine.after(word) ? word : mine;
-        return counts == null || counts.value() == null ? Optional.empty() : Optional.of(counts.snapshot());
+        StoredEntry counts = mine == null || word != null && word.isConflicted() && !mine.isNewerThan(word) ? word : mine;
+        return counts == null || counts.value() == null ? Optional.empty() : Optional.of(counts.toVersionedEntry());
     }
 
     @Override
-    public List<VersionedEntry> all(String topic) {
+    public List<VersionedEntry> entries(String topic) {
         TreeMap<String, VersionedEntry> found = new TreeMap<>();
-        for (StoredEntry word : lot.words()) {
+        for (StoredEntry word : lot.entries()) {
             if (word.key().topic().equals(topic) && word.value() != null) {
-                found.put(word.key().owner(), word.snapshot());
+                found.put(word.key().owner(), word.toVersionedEntry());
             }
         }
         found.remove(self);
-        of(self, topic).ifPresent(mine -> found.put(self, mine));
+        get(self, topic).ifPresent(mine -> found.put(self, mine));
         return List.copyOf(found.values());
     }
 
     @Override
-    public List<VersionConflict> clashes() {
-        return lot.words().stream()
-                .filter(StoredEntry::clashes)
-                .map(StoredEntry::clash)
+    public List<VersionConflict> conflicts() {
+        return lot.entries().stream()
+                .filter(StoredEntry::isConflicted)
+                .map(StoredEntry::toConflict)
                 .toList();
     }
 
     @Override
-    public void hears(EntryListener hearer) {
+    public void addListener(EntryListener hearer) {
         hearers.add(hearer);
     }
 
     // ---- time and letters
 
     /** What is to be told now. */
-    public List<OutgoingMessage> look(Duration now) {
+    public List<OutgoingMessage> tick(Duration now) {
         alive(now);
         if (!gossip.due(now)) {
             return List.of();
@@ -269,7 +269,7 @@
             gone(now, gone);
         }
         own.values()
-                .removeIf(word -> word.value() == null && now.minus(word.born()).compareTo(ages.most(word)) >= 0);
+                .removeIf(word -> word.value() == null && now.minus(word.publishedAt()).compareTo(ages.lifetime(word)) >= 0);
         if (overtakenBy >= 0) {
             incarnation = Math.max(incarnation, overtakenBy) + 1;
             overtakenBy = -1;
@@ -278,20 +278,20 @@
             List.copyOf(own.values()).forEach(word -> say(next(now, word.key().topic(), word.value())));
         }
         for (StoredEntry word : List.copyOf(own.values())) {
-            if (word.value() != null && now.minus(word.born()).compareTo(ages.refresh()) >= 0) {
+            if (word.value() != null && now.minus(word.publishedAt()).compareTo(ages.refreshInterval()) >= 0) {
                 say(next(now, word.key().topic(), word.value()));
             }
         }
-        if (!stated.keeps) {
+        if (!stated.persistent) {
             tell(Long.MAX_VALUE, Long.MAX_VALUE);
         }
         return gossip.period(now);
     }
 
     /** A letter came; answers go back. */
-    public List<OutgoingMessage> came(Duration now, String from, byte[] body) {
+    public List<OutgoingMessage> receive(Duration now, String from, byte[] body) {
         alive(now);
-        Object letter = GossipCodec.read(body);
+        Object letter = GossipCodec.decode(body);
         if (letter == null) {
             gossip.malformed++;
             return List.of();
@@ -299,8 +299,8 @@
         if (letter instanceof GossipCodec.EntryBatch words) {
             // What waited in this one's own buffers while it stood still grew older there.
             Duration waited = now.compareTo(stillUntil) < 0 ? stillness : Duration.ZERO;
-            for (GossipCodec.AgedEntry each : words.words()) {
-                take(now, each.word().born(now.minusMillis(each.ageMs()).minus(waited)), true);
+            for (GossipCodec.AgedEntry each : words.entries()) {
+                take(now, each.entry().born(now.minusMillis(each.ageMs()).minus(waited)), true);
             }
             return List.of();
         }
@@ -313,8 +313,8 @@
         if (gap.compareTo(STILL) > 0) {
             stillness = now.compareTo(stillUntil) < 0 ? stillness.plus(gap) : gap;
             stillUntil = now.plusSeconds(1);
-            if (gap.compareTo(ages.away()) >= 0) {
-                away(now);
+            if (gap.compareTo(ages.maxPause()) >= 0) {
+                discardForeignEntries(now);
             }
         }
     }
@@ -323,11 +323,11 @@
      * This one was away, by its own clock or by what the others tell it, and may hold what they have dropped: the words of
      * others go, and come anew from them.
      */
-    public void away(Duration now) {
+    public void discardForeignEntries(Duration now) {
         log.accept("away for too long: the words of others are dropped, and asked for anew");
-        for (StoredEntry word : lot.words()) {
+        for (StoredEntry word : lot.entries()) {
             if (!word.key().owner().equals(self)) {
-                lot.drop(word.key());
+                lot.remove(word.key());
                 gone(now, word);
             }
         }
@@ -336,7 +336,7 @@
     private void gone(Duration now, StoredEntry word) {
         List.copyOf(hearers)
                 .forEach(hearer ->
-                        hearer.gone(now, word.key().owner(), word.key().topic()));
+                        hearer.entryExpired(now, word.key().owner(), word.key().topic()));
     }
 
     /** Alike where two hold the same. */
@@ -345,9 +345,9 @@
     }
 
     /** For operators, as a JSON object. */
-    public String json() {
-        return "{\"words\":" + lot.size() + ",\"octets\":" + lot.octets() + ",\"clashes\":"
-                + clashes().size() + ",\"refused\":" + refused + ",\"malformed\":" + gossip.malformed
+    public String statusJson() {
+        return "{\"words\":" + lot.size() + ",\"octets\":" + lot.sizeBytes() + ",\"clashes\":"
+                + conflicts().size() + ",\"refused\":" + refused + ",\"malformed\":" + gossip.malformed
                 + ",\"waiting_for_disk\":" + pending.size() + ",\"digest\":\"" + digest().substring(0, 16) + "\"}";
     }
 }
--- a/src/main/java/merlinlever/replication/StoredEntry.java
+++ b/src/main/java/merlinlever/replication/StoredEntry.java
@@ -14,9 +14,9 @@
  *
  * @param value null where it was taken back, or where it was claimed twice
  * @param digests SHA-256 in hex of what was claimed under the version: one, or of more than one the two smallest
- * @param born when the owner put it, by this one's steady clock, late at the most by the messages' way
+ * @param publishedAt when the owner put it, by this one's steady clock, late at the most by the messages' way
  */
-record StoredEntry(EntryKey key, long incarnation, long sequence, byte[] value, List<String> digests, Duration born) {
+record StoredEntry(EntryKey key, long incarnation, long sequence, byte[] value, List<String> digests, Duration publishedAt) {
 
     /** Whose word on what. */
     record EntryKey(String owner, String topic) implements Comparable<EntryKey> {
@@ -38,23 +38,23 @@
                 born);
     }
 
-    boolean clashes() {
+    boolean isConflicted() {
         return digests.size() > 1;
     }
 
-    boolean takenBack() {
-        return value == null && !clashes();
+    boolean isTombstone() {
+        return value == null && !isConflicted();
     }
 
-    boolean after(StoredEntry other) {
+    boolean isNewerThan(StoredEntry other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    VersionedEntry snapshot() {
+    VersionedEntry toVersionedEntry() {
         return new VersionedEntry(key.owner, key.topic, incarnation, sequence, value == null ? null : value.clone());
     }
 
-    SharedStore.VersionConflict clash() {
+    SharedStore.VersionConflict toConflict() {
         return new SharedStore.VersionConflict(
                 key.owner, key.topic, incarnation, sequence, digests.get(0), digests.get(1));
     }
@@ -64,22 +64,22 @@
     }
 
     /** Both of one version: the same word, or one claimed twice. Keeping the two smallest digests is a union that stays small. */
-    StoredEntry with(StoredEntry other) {
+    StoredEntry mergedWith(StoredEntry other) {
         TreeSet<String> all = new TreeSet<>(digests);
         all.addAll(other.digests);
         List<String> two = all.stream().limit(2).toList();
-        Duration youngest = born.compareTo(other.born) > 0 ? born : other.born;
+        Duration youngest = publishedAt.compareTo(other.publishedAt) > 0 ? publishedAt : other.publishedAt;
         return new StoredEntry(key, incarnation, sequence, two.size() > 1 ? null : value, two, youngest);
     }
 
     /** Counted against the bound of octets. */
-    int octets() {
+    int sizeBytes() {
         return 100 + key.owner.length() + key.topic.length() + (value == null ? 0 : value.length);
     }
 
     /** Of key, version and digests: alike where the words are. */
-    long mark() {
-        MessageDigest sha = sha();
+    long fingerprint() {
+        MessageDigest sha = sha256();
         sha.update((key.owner + " " + key.topic + " " + incarnation + " " + sequence + " " + digests)
                 .getBytes(StandardCharsets.US_ASCII));
         return ByteBuffer.wrap(sha.digest()).getLong();
@@ -87,12 +87,12 @@
 
     /** Of a value, or of none. */
     static String digest(byte[] value) {
-        MessageDigest sha = sha();
+        MessageDigest sha = sha256();
         sha.update((byte) (value == null ? 0 : 1));
         return HexFormat.of().formatHex(value == null ? sha.digest() : sha.digest(value));
     }
 
-    static MessageDigest sha() {
+    static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/merlinlever/replication/VersionedEntry.java
+++ b/src/main/java/merlinlever/replication/VersionedEntry.java
@@ -10,10 +10,10 @@
  */
 public record VersionedEntry(String owner, String topic, long incarnation, long sequence, byte[] value) {
 
-    public static final int MOST_OCTETS = 16 << 10;
+    public static final int MAX_VALUE_BYTES = 16 << 10;
 
     /** Whether it comes after the other of the same owner and topic. */
-    public boolean after(VersionedEntry other) {
+    public boolean isNewerThan(VersionedEntry other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 }
--- a/src/main/java/merlinlever/replication/WriteOnceRegisters.java
+++ b/src/main/java/merlinlever/replication/WriteOnceRegisters.java
@@ -8,10 +8,10 @@
 
     /**
      * Proposes a value, as the leader; nothing is done where this one does not lead or may not decide. It is written once more
-     * than half of the voters have it on their disks, and then it may be another leader's value: ask {@link #written}.
+     * than half of the voters have it on their disks, and then it may be another leader's value: ask {@link #chosen}.
      */
     void propose(Duration now, String name, byte[] value);
 
     /** The value, once it is known here to be written. */
-    Optional<byte[]> written(String name);
+    Optional<byte[]> chosen(String name);
 }
--- a/src/main/java/merlinlever/replication/disk/EntryFile.java
+++ b/src/main/java/merlinlever/replication/disk/EntryFile.java
@@ -17,16 +17,16 @@
 
     private EntryFile() {}
 
-    public static byte[] octets(String owner, ReplicatedStore.PersistedEntries kept) {
+    public static byte[] encode(String owner, ReplicatedStore.PersistedEntries kept) {
         int size = 64 + owner.length();
-        for (VersionedEntry word : kept.words()) {
+        for (VersionedEntry word : kept.entries()) {
             size += 32 + word.topic().length() + (word.value() == null ? 0 : word.value().length);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.putInt(0).putInt(FORM).putLong(kept.incarnation()).putLong(kept.sequence());
         put(out, owner);
-        out.putShort((short) kept.words().size());
-        for (VersionedEntry word : kept.words()) {
+        out.putShort((short) kept.entries().size());
+        for (VersionedEntry word : kept.entries()) {
             put(out, word.topic());
             out.putLong(word.incarnation())
                     .putLong(word.sequence())
@@ -58,7 +58,7 @@
     }
 
     /** Null where it is spoilt; of another owner's file (a copied folder) the versions alone, to begin above them. */
-    public static ReplicatedStore.PersistedEntries parsed(String owner, byte[] octets) {
+    public static ReplicatedStore.PersistedEntries decode(String owner, byte[] octets) {
         try {
             ByteBuffer in = ByteBuffer.wrap(octets);
             if (in.getInt() != sum(octets) || in.getInt() != FORM) {
@@ -73,7 +73,7 @@
                 long its = in.getLong();
                 long at = in.getLong();
                 int length = in.getInt();
-                if (length > VersionedEntry.MOST_OCTETS) {
+                if (length > VersionedEntry.MAX_VALUE_BYTES) {
                     return null;
                 }
                 byte[] value = length < 0 ? null : new byte[length];
--- a/src/main/java/merlinlever/replication/disk/StateWriter.java
+++ b/src/main/java/merlinlever/replication/disk/StateWriter.java
@@ -28,7 +28,7 @@
 
     /** What is there now, or null; at the start alone, before anything is written. */
     public byte[] read(String name) throws IOException {
-        return folder.has(name) ? folder.read(name) : null;
+        return folder.exists(name) ? folder.read(name) : null;
     }
 
     /** {@code done} hears null when it is on the disk, or what went wrong; false where others wait already. */
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -66,10 +66,10 @@
         Duration now = loop.clock().uptime();
         byte[] found = keeper.read(WORDS);
         ReplicatedStore.PersistedEntries kept =
-                found == null ? ReplicatedStore.PersistedEntries.NOTHING : EntryFile.parsed(self, found);
+                found == null ? ReplicatedStore.PersistedEntries.NONE : EntryFile.decode(self, found);
         if (kept == null) {
             log.accept("found its own words spoilt, thrown away: others tell what they have heard of them");
-            kept = ReplicatedStore.PersistedEntries.NOTHING;
+            kept = ReplicatedStore.PersistedEntries.NONE;
         }
         words = new ReplicatedStore(
                 now,
@@ -85,11 +85,11 @@
         loop.every(LOOK, this::look);
     }
 
-    public ReplicatedStore words() {
+    public ReplicatedStore store() {
         return words;
     }
 
-    public PaxosNode decree() {
+    public PaxosNode registers() {
         return decree;
     }
 
@@ -110,28 +110,28 @@
         boolean was = returning;
         returning = seen.standing(now) == QuorumStatus.RETURNING;
         if (returning && !was) {
-            words.away(now);
+            words.discardForeignEntries(now);
         }
-        say(FOR_WORDS, words.look(now));
-        say(FOR_REGISTERS, decree.look(now));
+        say(FOR_WORDS, words.tick(now));
+        say(FOR_REGISTERS, decree.tick(now));
         if (!writing && now.compareTo(writeNext) >= 0) {
             write(now);
         }
     }
 
     private void write(Duration now) {
-        ReplicatedStore.PersistedEntries kept = words.keep();
+        ReplicatedStore.PersistedEntries kept = words.pendingWrite();
         if (kept != null) {
-            writing = keeper.write(WORDS, EntryFile.octets(self, kept), how -> written(how, () -> words.kept(kept)));
+            writing = keeper.write(WORDS, EntryFile.encode(self, kept), how -> written(how, () -> words.writeCompleted(kept)));
             return;
         }
-        PaxosNode.PendingWrite keep = decree.keep();
+        PaxosNode.PendingWrite keep = decree.pendingWrite();
         if (keep != null) {
-            writing = keeper.write(REGISTERS, keep.octets(), how -> {
+            writing = keeper.write(REGISTERS, keep.bytes(), how -> {
                 if (how != null) {
-                    decree.notKept();
+                    decree.writeFailed();
                 }
-                written(how, () -> say(FOR_REGISTERS, decree.kept(loop.clock().uptime(), keep.version())));
+                written(how, () -> say(FOR_REGISTERS, decree.writeCompleted(loop.clock().uptime(), keep.version())));
             });
         }
     }
@@ -158,7 +158,7 @@
             byte[] body = new byte[each.body().length + 1];
             body[0] = who;
             System.arraycopy(each.body(), 0, body, 1, each.body().length);
-            rejoin.members().carry(each.to(), body);
+            rejoin.members().carry(each.receiver(), body);
         }
         if (!all.isEmpty()) {
             rejoin.send();
@@ -173,14 +173,14 @@
         Duration now = loop.clock().uptime();
         byte[] rest = Arrays.copyOfRange(body, 1, body.length);
         if (body[0] == FOR_WORDS) {
-            say(FOR_WORDS, words.came(now, name, rest));
+            say(FOR_WORDS, words.receive(now, name, rest));
         } else if (body[0] == FOR_REGISTERS) {
-            say(FOR_REGISTERS, decree.came(now, name, rest));
+            say(FOR_REGISTERS, decree.receive(now, name, rest));
         }
     }
 
     /** For operators, as a JSON object. */
-    public String json() {
-        return "{\"disk\":" + !failed + ",\"words\":" + words.json() + ",\"registers\":" + decree.json() + "}";
+    public String statusJson() {
+        return "{\"disk\":" + !failed + ",\"words\":" + words.statusJson() + ",\"registers\":" + decree.statusJson() + "}";
     }
 }
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -21,7 +21,7 @@
     /** Parts of a table at the most. */
     static final int MOST = 256;
 
-    private static final int OCTETS = VersionedEntry.MOST_OCTETS - 64;
+    private static final int OCTETS = VersionedEntry.MAX_VALUE_BYTES - 64;
 
     /** The parts of one version of a partner's, as far as they came. */
     private static final class IncompleteTable {
--- a/src/main/java/merlinlever/storage/FileStateDirectory.java
+++ b/src/main/java/merlinlever/storage/FileStateDirectory.java
@@ -16,15 +16,15 @@
 public final class FileStateDirectory implements StateDirectory {
 
     /** Octets of one file that are read at the most. */
-    private static final long MOST = Integer.MAX_VALUE - 16;
+    private static final long MAX_FILE_BYTES = Integer.MAX_VALUE - 16;
 
-    private final Path path;
+    private final Path directory;
     private final FileChannel lockFile;
 
-    public FileStateDirectory(Path path) throws IOException {
-        this.path = path;
-        Files.createDirectories(path);
-        lockFile = FileChannel.open(path.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    public FileStateDirectory(Path directory) throws IOException {
+        this.directory = directory;
+        Files.createDirectories(directory);
+        lockFile = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
             lock = lockFile.tryLock();
@@ -33,13 +33,13 @@
         }
         if (lock == null) {
             lockFile.close();
-            throw new IOException("the state folder " + path + " is in use by another process");
+            throw new IOException("the state folder " + directory + " is in use by another process");
         }
     }
 
     @Override
-    public List<String> names() throws IOException {
-        try (Stream<Path> files = Files.list(path)) {
+    public List<String> fileNames() throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.filter(Files::isRegularFile)
                     .map(file -> file.getFileName().toString())
                     .filter(name -> !name.equals("lock"))
@@ -50,19 +50,19 @@
 
     @Override
     public byte[] read(String name) throws IOException {
-        if (Files.size(path.resolve(name)) > MOST) {
+        if (Files.size(directory.resolve(name)) > MAX_FILE_BYTES) {
             throw new IOException(name + " is over 2 GiB");
         }
-        return Files.readAllBytes(path.resolve(name));
+        return Files.readAllBytes(directory.resolve(name));
     }
 
     @Override
-    public AppendableFile append(String name) throws IOException {
-        FileChannel channel = FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        long end = channel.size();
-        channel.position(end);
+    public AppendableFile openForAppend(String name) throws IOException {
+        FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        long initialLength = channel.size();
+        channel.position(initialLength);
         return new AppendableFile() {
-            private long length = end;
+            private long length = initialLength;
 
             @Override
             public long length() {
@@ -70,23 +70,23 @@
             }
 
             @Override
-            public void write(ByteBuffer octets) throws IOException {
-                while (octets.hasRemaining()) {
-                    length += channel.write(octets);
+            public void write(ByteBuffer bytes) throws IOException {
+                while (bytes.hasRemaining()) {
+                    length += channel.write(bytes);
                 }
             }
 
             @Override
-            public void force() throws IOException {
+            public void sync() throws IOException {
                 channel.force(false);
             }
 
             @Override
-            public void truncate(long to) throws IOException {
-                channel.truncate(to);
-                channel.position(to);
+            public void truncate(long newLength) throws IOException {
+                channel.truncate(newLength);
+                channel.position(newLength);
                 channel.force(true);
-                length = to;
+                length = newLength;
             }
 
             @Override
@@ -101,24 +101,24 @@
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
+    public void rename(String from, String newLength) throws IOException {
         Files.move(
-                path.resolve(from),
-                path.resolve(to),
+                directory.resolve(from),
+                directory.resolve(newLength),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
-        force();
+        sync();
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(path.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
-    public void force() throws IOException {
-        try (FileChannel folder = FileChannel.open(path, StandardOpenOption.READ)) {
-            folder.force(true);
+    public void sync() throws IOException {
+        try (FileChannel handle = FileChannel.open(directory, StandardOpenOption.READ)) {
+            handle.force(true);
         }
     }
 
--- a/src/main/java/merlinlever/storage/RecordingStateDirectory.java
+++ b/src/main/java/merlinlever/storage/RecordingStateDirectory.java
@@ -23,18 +23,18 @@
 
     /** Where the lines go; a line ends with a newline of its own. */
     public interface OperationLog extends Closeable {
-        void line(String text) throws IOException;
+        void append(String text) throws IOException;
 
         @Override
         void close();
 
         /** Added to a file, never forced: a kill keeps it, and a power loss is what the harness plays itself. */
-        static OperationLog to(Path file) throws IOException {
+        static OperationLog appendingTo(Path file) throws IOException {
             FileChannel channel = FileChannel.open(
                     file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
             return new OperationLog() {
                 @Override
-                public synchronized void line(String text) throws IOException {
+                public synchronized void append(String text) throws IOException {
                     ByteBuffer octets = ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.US_ASCII));
                     while (octets.hasRemaining()) {
                         channel.write(octets);
@@ -55,34 +55,34 @@
 
     private static final Base64.Encoder BASE64 = Base64.getEncoder();
 
-    private final StateDirectory inner;
-    private final OperationLog record;
+    private final StateDirectory delegate;
+    private final OperationLog operations;
 
     /** @param path of the folder, told at the start of the record; the harness lays its states there */
-    public RecordingStateDirectory(StateDirectory inner, OperationLog record, String path) throws IOException {
-        this.inner = inner;
-        this.record = record;
-        List<String> there = inner.names();
-        record.line("folder " + path.replace(' ', '_') + " " + there.size());
-        for (String name : there) {
-            record.line("had " + name + " " + BASE64.encodeToString(inner.read(name)));
+    public RecordingStateDirectory(StateDirectory delegate, OperationLog operations, String path) throws IOException {
+        this.delegate = delegate;
+        this.operations = operations;
+        List<String> existing = delegate.fileNames();
+        operations.append("folder " + path.replace(' ', '_') + " " + existing.size());
+        for (String name : existing) {
+            operations.append("had " + name + " " + BASE64.encodeToString(delegate.read(name)));
         }
     }
 
     @Override
-    public List<String> names() throws IOException {
-        return inner.names();
+    public List<String> fileNames() throws IOException {
+        return delegate.fileNames();
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return inner.read(name);
+        return delegate.read(name);
     }
 
     @Override
-    public AppendableFile append(String name) throws IOException {
-        record.line("open " + name);
-        AppendableFile out = inner.append(name);
+    public AppendableFile openForAppend(String name) throws IOException {
+        operations.append("open " + name);
+        AppendableFile out = delegate.openForAppend(name);
         return new AppendableFile() {
             @Override
             public long length() {
@@ -94,20 +94,20 @@
                 ByteBuffer copy = octets.duplicate();
                 byte[] bytes = new byte[copy.remaining()];
                 copy.get(bytes);
-                record.line("write " + name + " " + out.length() + " " + BASE64.encodeToString(bytes));
+                operations.append("write " + name + " " + out.length() + " " + BASE64.encodeToString(bytes));
                 out.write(octets);
             }
 
             @Override
-            public void force() throws IOException {
-                out.force();
-                record.line("force " + name);
+            public void sync() throws IOException {
+                out.sync();
+                operations.append("force " + name);
             }
 
             @Override
             public void truncate(long length) throws IOException {
                 out.truncate(length);
-                record.line("truncate " + name + " " + length);
+                operations.append("truncate " + name + " " + length);
             }
 
             @Override
@@ -119,25 +119,25 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        inner.rename(from, to);
-        record.line("rename " + from + " " + to);
+        delegate.rename(from, to);
+        operations.append("rename " + from + " " + to);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        record.line("delete " + name);
-        inner.delete(name);
+        operations.append("delete " + name);
+        delegate.delete(name);
     }
 
     @Override
-    public void force() throws IOException {
-        inner.force();
-        record.line("sync");
+    public void sync() throws IOException {
+        delegate.sync();
+        operations.append("sync");
     }
 
     @Override
     public void close() throws IOException {
-        record.close();
-        inner.close();
+        operations.close();
+        delegate.close();
     }
 }
--- a/src/main/java/merlinlever/storage/StateDirectories.java
+++ b/src/main/java/merlinlever/storage/StateDirectories.java
@@ -9,26 +9,26 @@
 public final class StateDirectories {
 
     /** Names a folder; each state folder of the process then adds what passes through it to a file there. */
-    public static final String RECORD = "MERLINLEVER_DISK_RECORD";
+    public static final String RECORDING_DIRECTORY_VARIABLE = "MERLINLEVER_DISK_RECORD";
 
     private StateDirectories() {}
 
     /** Held by this process alone until it is closed. */
     public static StateDirectory open(Path path, Map<String, String> environment) throws IOException {
-        FileStateDirectory folder = new FileStateDirectory(path);
-        String into = environment.get(RECORD);
-        if (into == null || into.isEmpty()) {
-            return folder;
+        FileStateDirectory directory = new FileStateDirectory(path);
+        String recordingDirectory = environment.get(RECORDING_DIRECTORY_VARIABLE);
+        if (recordingDirectory == null || recordingDirectory.isEmpty()) {
+            return directory;
         }
         try {
-            Path records = Path.of(into);
-            Files.createDirectories(records);
-            String absolute = path.toAbsolutePath().normalize().toString();
-            String name = absolute.replaceAll("[^A-Za-z0-9.-]", "_") + ".ops";
+            Path recordings = Path.of(recordingDirectory);
+            Files.createDirectories(recordings);
+            String absolutePath = path.toAbsolutePath().normalize().toString();
+            String name = absolutePath.replaceAll("[^A-Za-z0-9.-]", "_") + ".ops";
             return new RecordingStateDirectory(
-                    folder, RecordingStateDirectory.OperationLog.to(records.resolve(name)), absolute);
+                    directory, RecordingStateDirectory.OperationLog.appendingTo(recordings.resolve(name)), absolutePath);
         } catch (IOException e) {
-            folder.close();
+            directory.close();
             throw e;
         }
     }
--- a/src/main/java/merlinlever/storage/StateDirectory.java
+++ b/src/main/java/merlinlever/storage/StateDirectory.java
@@ -19,7 +19,7 @@
         void write(ByteBuffer octets) throws IOException;
 
         /** Returns when what was written is on the disk. */
-        void force() throws IOException;
+        void sync() throws IOException;
 
         void truncate(long length) throws IOException;
 
@@ -28,12 +28,12 @@
     }
 
     /** In the order of their names. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     byte[] read(String name) throws IOException;
 
     /** Opens for adding; makes the file where there is none. */
-    AppendableFile append(String name) throws IOException;
+    AppendableFile openForAppend(String name) throws IOException;
 
     /** In one step, over a file of that name too, and forced. */
     void rename(String from, String to) throws IOException;
@@ -41,21 +41,21 @@
     void delete(String name) throws IOException;
 
     /** Which files there are is on the disk. */
-    void force() throws IOException;
+    void sync() throws IOException;
 
     /**
      * Replaces the file whole: the new octets are written aside and forced, then renamed over it, so that after a power
      * loss there is the one or the other, never a part. After a failure the old file stands.
      */
-    default void replace(String name, byte[] octets) throws IOException {
-        String aside = name + ".new";
-        try (AppendableFile out = append(aside)) {
+    default void replace(String name, byte[] bytes) throws IOException {
+        String temporary = name + ".new";
+        try (AppendableFile out = openForAppend(temporary)) {
             // What an earlier try left aside is written over; something else in its place stops the note.
             out.truncate(0);
-            out.write(ByteBuffer.wrap(octets));
-            out.force();
+            out.write(ByteBuffer.wrap(bytes));
+            out.sync();
         }
-        rename(aside, name);
+        rename(temporary, name);
     }
 
     /** Lets the folder go; one on disk is then free for another process. */
@@ -63,7 +63,7 @@
     default void close() throws IOException {}
 
     /** Whether there is a file of that name. */
-    default boolean has(String name) throws IOException {
-        return names().contains(name);
+    default boolean exists(String name) throws IOException {
+        return fileNames().contains(name);
     }
 }
--- a/src/main/java/merlinlever/zone/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/zone/journal/ZoneStore.java
@@ -95,7 +95,7 @@
     }
 
     private List<String> journals() throws IOException {
-        return folder.names().stream()
+        return folder.fileNames().stream()
                 .filter(file -> file.matches(java.util.regex.Pattern.quote(name) + "\\.journal\\.[0-9a-f]{16}"))
                 .toList();
     }
@@ -105,13 +105,13 @@
     /** Brings back what was answered, or null where there is no state of this zone. Done by the caller before all else. */
     public RecoveredZone recover(byte[] origin) throws UnusableStateException {
         try {
-            for (String left : folder.names()) {
+            for (String left : folder.fileNames()) {
                 if (left.equals(name + ".snapshot.new")) {
                     folder.delete(left);
                 }
             }
             List<String> journals = journals();
-            if (!folder.names().contains(name + ".snapshot")) {
+            if (!folder.fileNames().contains(name + ".snapshot")) {
                 if (!journals.isEmpty()) {
                     throw new UnusableStateException(name + ".snapshot is missing beside " + journals.get(0)
                             + "; bring it back from a copy, or move the zone's files away to start from the zone file");
@@ -156,7 +156,7 @@
                             + " octets were not whole and are dropped, nobody was answered for them; ";
                 }
                 if (last) {
-                    out = folder.append(journals.get(i));
+                    out = folder.openForAppend(journals.get(i));
                     good = read.good();
                     if (good < file.length) {
                         out.truncate(good);
@@ -187,11 +187,11 @@
 
     private void begin() throws IOException {
         String file = journal(sequence);
-        StateDirectory.AppendableFile begun = folder.append(file);
+        StateDirectory.AppendableFile begun = folder.openForAppend(file);
         begun.truncate(0);
         begun.write(ByteBuffer.wrap(JournalFormat.header(sequence)));
-        begun.force();
-        folder.force();
+        begun.sync();
+        folder.sync();
         if (out != null) {
             out.close();
         }
@@ -258,7 +258,7 @@
                 out.write(JournalFormat.entry(
                         new JournalFormat.JournalEntry(++next, good, each.at, each.mark, each.difference)));
             }
-            out.force();
+            out.sync();
             sequence = next;
             good = out.length();
             return null;
@@ -376,7 +376,7 @@
         String made = name + ".snapshot.new";
         folder.delete(made);
         CRC32C crc = new CRC32C();
-        StateDirectory.AppendableFile file = folder.append(made);
+        StateDirectory.AppendableFile file = folder.openForAppend(made);
         try {
             ByteBuffer room = ByteBuffer.allocate(CHUNK + 16);
             room.putInt(JournalFormat.SNAPSHOT).putLong(upTo).putInt(kept.size());
@@ -411,7 +411,7 @@
             room = flushed(file, room, crc, Integer.MAX_VALUE);
             room.putInt((int) crc.getValue()).flip();
             file.write(room);
-            file.force();
+            file.sync();
         } finally {
             file.close();
         }
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -65,7 +65,7 @@
             Files.writeString(spoilt.resolve(RecoveryFile.FILE), "0000");
             Path held = root.resolve("held");
             try (FileStateDirectory folder = new FileStateDirectory(held)) {
-                assertEquals(List.of(), folder.names());
+                assertEquals(List.of(), folder.fileNames());
                 assertEquals(
                         1,
                         recover(
--- a/src/test/java/merlinlever/experiments/TrialBytesTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Example;
 
 /** A trial's identity, its counts, its end and its lease, as the backends share them. */
-class TrialBytesTest {
+class ExperimentBytesTest {
 
     private final Fixture fixture = new Fixture("trials.txt");
     private final Experiment trial = new Experiment(
@@ -37,25 +37,25 @@
         fixture.pins("key", trial.key());
         ExperimentCounts tally = new ExperimentCounts(trial);
         List<ExperimentCounts.RequestResult> became = List.of(
-                ExperimentCounts.RequestResult.SATISFIED,
+                ExperimentCounts.RequestResult.SERVED,
                 ExperimentCounts.RequestResult.LATE,
-                ExperimentCounts.RequestResult.PUSHED_BACK,
+                ExperimentCounts.RequestResult.REJECTED,
                 ExperimentCounts.RequestResult.OTHER);
         for (int i = 0; i < 12; i++) {
-            tally.became(tally.asked("caller-" + i, "op" + i, false), became.get(i % 4), 1.5);
+            tally.attemptEnded(tally.requestArrived("caller-" + i, "op" + i, false), became.get(i % 4), 1.5);
         }
-        fixture.pins("tally", tally.write());
-        ExperimentCounts read = ExperimentCounts.read(trial, fixture.bytes("tally"));
-        assertEquals(tally.counts(0), read.counts(0));
-        assertEquals(tally.counts(1), read.counts(1));
-        assertArrayEquals(fixture.bytes("tally"), read.write());
+        fixture.pins("tally", tally.encode());
+        ExperimentCounts read = ExperimentCounts.decode(trial, fixture.bytes("tally"));
+        assertEquals(tally.totals(0), read.totals(0));
+        assertEquals(tally.totals(1), read.totals(1));
+        assertArrayEquals(fixture.bytes("tally"), read.encode());
     }
 
     @Example
     void eachKindOfEnd() {
         Map<String, Kind> kinds = Map.of(
                 "goes-on",
-                Kind.GOES_ON,
+                Kind.CONTINUE,
                 "winner",
                 Kind.WINNER,
                 "harm",
@@ -63,14 +63,14 @@
                 "futile",
                 Kind.FUTILE,
                 "time",
-                Kind.TIME,
+                Kind.TIME_LIMIT,
                 "void",
-                Kind.VOID);
+                Kind.INVALID);
         assertEquals(Kind.values().length, kinds.size());
         kinds.forEach((name, kind) -> {
             ExperimentResult end = new ExperimentResult(kind, 1, "b is better");
-            fixture.pins("end." + name, end.write());
-            assertEquals(end, ExperimentResult.read(trial, fixture.bytes("end." + name)));
+            fixture.pins("end." + name, end.encode());
+            assertEquals(end, ExperimentResult.decode(trial, fixture.bytes("end." + name)));
         });
     }
 
@@ -80,20 +80,20 @@
                 Duration.ZERO,
                 "b1",
                 5,
-                ReplicatedStore.PersistedEntries.NOTHING,
-                ReplicatedStore.ReplicationSettings.usual(false),
+                ReplicatedStore.PersistedEntries.NONE,
+                ReplicatedStore.ReplicationSettings.defaults(false),
                 List::of,
                 new SplittableRandom(1),
                 line -> {});
         Duration now = Duration.ofSeconds(1);
         SplitLease lease = new SplitLease(words, "b1", trial);
-        lease.ask(now);
-        lease.answer(now, 9);
+        lease.request(now);
+        lease.grant(now, 9);
         for (String topic : List.of("trial-q/t", "trial-go/t")) {
-            fixture.pins(topic, words.of("b1", topic).orElseThrow().value());
+            fixture.pins(topic, words.get("b1", topic).orElseThrow().value());
         }
-        lease.hear(new Leadership.Leader("b1", 9));
-        assertEquals(now.plus(trial.lease()), lease.until());
+        lease.readGrants(new Leadership.Leader("b1", 9));
+        assertEquals(now.plus(trial.lease()), lease.expiry());
         assertEquals("trial/t", trial.topic());
     }
 }
--- a/src/test/java/merlinlever/experiments/ExperimentCountsTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentCountsTest.java
@@ -55,28 +55,28 @@
     void furtherTriesAreTheirFirst() {
         Experiment trial = trial(1, 1, 1);
         ExperimentCounts tally = new ExperimentCounts(trial);
-        ExperimentCounts.CountedRequest op = tally.asked("c", "op1", false);
-        tally.became(op, ExperimentCounts.RequestResult.PUSHED_BACK, 0);
-        assertEquals(new ExperimentCounts.ArmTotals(1, 0, 0, 1, 0, 0), tally.counts(op.arm()));
-        ExperimentCounts.CountedRequest further = tally.asked("c", "op1", true);
-        tally.became(further, ExperimentCounts.RequestResult.PUSHED_BACK, 0);
-        tally.became(tally.asked("c", "op1", true), ExperimentCounts.RequestResult.SATISFIED, 1);
-        tally.became(tally.asked("c", "op1", true), ExperimentCounts.RequestResult.SATISFIED, 1);
+        ExperimentCounts.CountedRequest op = tally.requestArrived("c", "op1", false);
+        tally.attemptEnded(op, ExperimentCounts.RequestResult.REJECTED, 0);
+        assertEquals(new ExperimentCounts.ArmTotals(1, 0, 0, 1, 0, 0), tally.totals(op.arm()));
+        ExperimentCounts.CountedRequest further = tally.requestArrived("c", "op1", true);
+        tally.attemptEnded(further, ExperimentCounts.RequestResult.REJECTED, 0);
+        tally.attemptEnded(tally.requestArrived("c", "op1", true), ExperimentCounts.RequestResult.SERVED, 1);
+        tally.attemptEnded(tally.requestArrived("c", "op1", true), ExperimentCounts.RequestResult.SERVED, 1);
         assertEquals(
                 new ExperimentCounts.ArmTotals(1, 1, 0, 0, 500, 250_000),
-                tally.counts(op.arm()),
+                tally.totals(op.arm()),
                 "asked once, satisfied once, pushed back no more");
         // Tried first at another backend: asked there, satisfied here.
         ExperimentCounts there = new ExperimentCounts(trial);
-        there.became(there.asked("c", "op2", true), ExperimentCounts.RequestResult.LATE, 5);
+        there.attemptEnded(there.requestArrived("c", "op2", true), ExperimentCounts.RequestResult.LATE, 5);
         assertEquals(
                 new ExperimentCounts.ArmTotals(0, 0, 1, 0, 1000, 1_000_000),
-                there.counts(op.arm()),
+                there.totals(op.arm()),
                 "never more than the highest value");
-        tally.became(tally.asked("c", "op2", false), ExperimentCounts.RequestResult.PUSHED_BACK, 0);
+        tally.attemptEnded(tally.requestArrived("c", "op2", false), ExperimentCounts.RequestResult.REJECTED, 0);
         tally.add(there);
-        assertEquals(2, tally.counts(op.arm()).asked());
-        assertEquals(1, tally.counts(op.arm()).late());
+        assertEquals(2, tally.totals(op.arm()).asked());
+        assertEquals(1, tally.totals(op.arm()).late());
     }
 
     @Example
@@ -85,20 +85,20 @@
         SplittableRandom chance = new SplittableRandom(1);
         int n = 40_000;
         for (int i = 0; i < n; i++) {
-            tally.asked(chance.nextBoolean() ? "heavy" : "c" + chance.nextInt(3000), null, false);
+            tally.requestArrived(chance.nextBoolean() ? "heavy" : "c" + chance.nextInt(3000), null, false);
         }
         long most = Arrays.stream(tally.asked).max().getAsLong();
         long all = Arrays.stream(tally.asked).sum();
         assertTrue(most <= all * 5 / BucketAssignment.BUCKETS + 20, most + " of " + all);
-        assertEquals(n, tally.counts(0).asked() + tally.counts(1).asked(), "all are told");
+        assertEquals(n, tally.totals(0).asked() + tally.totals(1).asked(), "all are told");
     }
 
     private static ExperimentCounts drawn(Experiment trial, long seed, int n) {
         ExperimentCounts tally = new ExperimentCounts(trial);
         SplittableRandom chance = new SplittableRandom(seed);
         for (int i = 0; i < n; i++) {
-            tally.became(
-                    tally.asked("c" + chance.nextInt(5000), "o" + i, chance.nextInt(10) == 0),
+            tally.attemptEnded(
+                    tally.requestArrived("c" + chance.nextInt(5000), "o" + i, chance.nextInt(10) == 0),
                     ExperimentCounts.RequestResult.values()[chance.nextInt(4)],
                     2 * chance.nextDouble());
         }
@@ -109,19 +109,19 @@
     @Property(tries = 20, seed = "6")
     void whatIsWrittenIsReadWholeOrNotAtAll(@ForAll long seed) {
         Experiment trial = trial(1, 1, 1, 2);
-        byte[] written = drawn(trial, Math.abs(seed % 1000), 3000).write();
-        ExperimentCounts read = ExperimentCounts.read(trial, written);
-        assertArrayEquals(written, read.write());
-        assertNull(ExperimentCounts.read(trial(2, 1, 1, 2), written), "of the same name, changed");
+        byte[] written = drawn(trial, Math.abs(seed % 1000), 3000).encode();
+        ExperimentCounts read = ExperimentCounts.decode(trial, written);
+        assertArrayEquals(written, read.encode());
+        assertNull(ExperimentCounts.decode(trial(2, 1, 1, 2), written), "of the same name, changed");
         for (int cut = 0; cut < written.length; cut += 7) {
-            assertNull(ExperimentCounts.read(trial, Arrays.copyOf(written, cut)), "cut off at " + cut);
+            assertNull(ExperimentCounts.decode(trial, Arrays.copyOf(written, cut)), "cut off at " + cut);
         }
         SplittableRandom chance = new SplittableRandom(seed);
         for (int i = 0; i < 50; i++) {
             byte[] spoilt = written.clone();
             spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
-            ExperimentCounts other = ExperimentCounts.read(trial, spoilt);
-            assertTrue(other == null || Arrays.equals(spoilt, other.write()), "never half");
+            ExperimentCounts other = ExperimentCounts.decode(trial, spoilt);
+            assertTrue(other == null || Arrays.equals(spoilt, other.encode()), "never half");
         }
     }
 
@@ -134,9 +134,9 @@
             tally.satisfied[i] = 1L << 38;
             tally.value[i] = 1000L << 38;
         }
-        byte[] written = tally.write();
-        assertTrue(written.length <= VersionedEntry.MOST_OCTETS, written.length + " octets");
-        assertNotNull(ExperimentCounts.read(trial, written));
+        byte[] written = tally.encode();
+        assertTrue(written.length <= VersionedEntry.MAX_VALUE_BYTES, written.length + " octets");
+        assertNotNull(ExperimentCounts.decode(trial, written));
     }
 
     @Example
--- a/src/test/java/merlinlever/experiments/ExperimentNodeTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentNodeTest.java
@@ -87,7 +87,7 @@
         assertEquals(1, fleet.ended().size());
         assertEquals(StoppingDecision.Kind.HARM, end.kind());
         assertEquals(0, end.arm());
-        assertTrue(end.why().contains("died"), end.why());
+        assertTrue(end.reason().contains("died"), end.reason());
     }
 
     @Example
@@ -95,7 +95,7 @@
         ExperimentModel fleet = fleet(4, 1000);
         fleet.traffic = 2;
         fleet.run(30_000);
-        long before = fleet.parts[0].all().counts(0).asked();
+        long before = fleet.parts[0].all().totals(0).asked();
         assertTrue(before > 500, "" + before);
         Experiment next = trial(2, 1000, Duration.ofHours(1));
         fleet.traffic = 0;
@@ -103,7 +103,7 @@
             fleet.restate(i, next);
         }
         fleet.run(10_000);
-        assertEquals(0, fleet.parts[0].all().counts(0).asked(), "no count of the former");
+        assertEquals(0, fleet.parts[0].all().totals(0).asked(), "no count of the former");
     }
 
     @Example
@@ -113,8 +113,8 @@
         fleet.run(40_000);
         fleet.traffic = 0;
         fleet.run(5000);
-        long asked = fleet.parts[0].all().counts(0).asked()
-                + fleet.parts[0].all().counts(1).asked();
+        long asked = fleet.parts[0].all().totals(0).asked()
+                + fleet.parts[0].all().totals(1).asked();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 5; i++) {
                 fleet.kill(i, 500);
@@ -125,8 +125,8 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     asked,
-                    fleet.parts[i].all().counts(0).asked()
-                            + fleet.parts[i].all().counts(1).asked(),
+                    fleet.parts[i].all().totals(0).asked()
+                            + fleet.parts[i].all().totals(1).asked(),
                     "at " + i);
         }
         assertEquals(15, fleet.parts[0].all().deaths());
@@ -143,7 +143,7 @@
         fleet.run(20_000);
         assertTrue(fleet.ended().isEmpty(), "an hour that never was");
         until(fleet, 120_000, fleet::allEnded);
-        assertEquals(StoppingDecision.Kind.TIME, fleet.ended().iterator().next().kind());
+        assertEquals(StoppingDecision.Kind.TIME_LIMIT, fleet.ended().iterator().next().kind());
         assertEquals(0, fleet.ended().iterator().next().arm());
     }
 
--- a/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
+++ b/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
@@ -33,12 +33,12 @@
             int n, Experiment trial, SimulatedExperiments.SimulationSettings drawn) {
         return IntStream.range(0, n)
                 .parallel()
-                .mapToObj(i -> SimulatedExperiments.play(trial, drawn, 31L * i + 7))
+                .mapToObj(i -> SimulatedExperiments.run(trial, drawn, 31L * i + 7))
                 .toList();
     }
 
     private static long count(List<SimulatedExperiments.SimulationResult> all, StoppingDecision.Kind kind) {
-        return all.stream().filter(each -> each.verdict().kind() == kind).count();
+        return all.stream().filter(each -> each.decision().kind() == kind).count();
     }
 
     /** What so many trials of that chance reach with a chance of less than one in ten thousand. */
@@ -55,7 +55,7 @@
                 count(all, StoppingDecision.Kind.WINNER) <= most(n, ALPHA),
                 "" + count(all, StoppingDecision.Kind.WINNER));
         assertTrue(count(all, StoppingDecision.Kind.HARM) <= most(n, 0.1), "" + count(all, StoppingDecision.Kind.HARM));
-        long peeked = all.stream().filter(each -> each.peeked() > 0).count();
+        long peeked = all.stream().filter(each -> each.fixedTestWinnerAt() > 0).count();
         assertTrue(
                 peeked > 5 * ALPHA * n, "a fixed test that is looked at as often is wrong far more often: " + peeked);
     }
@@ -80,19 +80,19 @@
         List<SimulatedExperiments.SimulationResult> better =
                 play(60, trial(0.02), new SimulatedExperiments.SimulationSettings(0.5, 0.6, 0, 0, 0, 40_000));
         assertTrue(better.stream()
-                .allMatch(each -> each.verdict().kind() == StoppingDecision.Kind.WINNER
-                        && each.verdict().arm() == 1));
+                .allMatch(each -> each.decision().kind() == StoppingDecision.Kind.WINNER
+                        && each.decision().arm() == 1));
         List<SimulatedExperiments.SimulationResult> worse =
                 play(60, trial(0.02), new SimulatedExperiments.SimulationSettings(0.6, 0.5, 0, 0, 0, 40_000));
         assertTrue(worse.stream()
-                .allMatch(each -> each.verdict().ends() && each.verdict().arm() == 0));
+                .allMatch(each -> each.decision().isFinal() && each.decision().arm() == 0));
         assertTrue(
                 worse.stream()
-                                .mapToInt(SimulatedExperiments.SimulationResult::at)
+                                .mapToInt(SimulatedExperiments.SimulationResult::requests)
                                 .average()
                                 .getAsDouble()
                         < better.stream()
-                                .mapToInt(SimulatedExperiments.SimulationResult::at)
+                                .mapToInt(SimulatedExperiments.SimulationResult::requests)
                                 .average()
                                 .getAsDouble(),
                 "the looser level is sooner");
@@ -121,11 +121,11 @@
             if (arm == 1 && chance.nextDouble() >= come) {
                 continue;
             }
-            ExperimentCounts.CountedRequest op = tally.asked(caller, null, false);
-            tally.became(
+            ExperimentCounts.CountedRequest op = tally.requestArrived(caller, null, false);
+            tally.attemptEnded(
                     op,
                     chance.nextDouble() < good[arm]
-                            ? ExperimentCounts.RequestResult.SATISFIED
+                            ? ExperimentCounts.RequestResult.SERVED
                             : ExperimentCounts.RequestResult.OTHER,
                     worth[arm]);
         }
@@ -137,13 +137,13 @@
         Experiment trial = trial(0.02);
         SequentialAnalysis test = new SequentialAnalysis(trial);
         ExperimentCounts lost = tally(trial, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 0.5);
-        assertEquals(StoppingDecision.Kind.VOID, test.look(lost, Duration.ZERO).kind());
+        assertEquals(StoppingDecision.Kind.INVALID, test.look(lost, Duration.ZERO).kind());
         ExperimentCounts whole = tally(trial, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 1);
         assertEquals(
                 new StoppingDecision(
                         StoppingDecision.Kind.WINNER,
                         1,
-                        test.look(whole, Duration.ZERO).why()),
+                        test.look(whole, Duration.ZERO).reason()),
                 test.look(whole, Duration.ZERO));
     }
 
@@ -185,12 +185,12 @@
         Experiment trial = trial(0.02);
         ExperimentCounts equal = tally(trial, 4, 2000, new double[] {0.7, 0.7}, new double[] {1, 1}, 1);
         assertEquals(
-                StoppingDecision.Kind.GOES_ON,
+                StoppingDecision.Kind.CONTINUE,
                 new SequentialAnalysis(trial)
                         .look(equal, trial.longest().minusMillis(1))
                         .kind());
         assertEquals(
-                StoppingDecision.Kind.TIME,
+                StoppingDecision.Kind.TIME_LIMIT,
                 new SequentialAnalysis(trial).look(equal, trial.longest()).kind());
     }
 }
--- a/src/test/java/merlinlever/faults/TestDirectories.java
+++ b/src/test/java/merlinlever/faults/TestDirectories.java
@@ -27,7 +27,7 @@
     public static RecordingStateDirectory.OperationLog into(List<String> lines) {
         return new RecordingStateDirectory.OperationLog() {
             @Override
-            public void line(String text) {
+            public void append(String text) {
                 lines.add(text);
             }
 
--- a/src/test/java/merlinlever/recovery/net/ForwardingStateDirectory.java
+++ b/src/test/java/merlinlever/recovery/net/ForwardingStateDirectory.java
@@ -14,8 +14,8 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
-        return inner.names();
+    public List<String> fileNames() throws IOException {
+        return inner.fileNames();
     }
 
     @Override
@@ -24,8 +24,8 @@
     }
 
     @Override
-    public AppendableFile append(String name) throws IOException {
-        return inner.append(name);
+    public AppendableFile openForAppend(String name) throws IOException {
+        return inner.openForAppend(name);
     }
 
     @Override
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public void force() throws IOException {
-        inner.force();
+    public void sync() throws IOException {
+        inner.sync();
     }
 
     @Override
--- a/src/test/java/merlinlever/replication/GossipCodecTest.java
+++ b/src/test/java/merlinlever/replication/GossipCodecTest.java
@@ -22,13 +22,13 @@
         }
         byte[] letter =
                 switch (chance.nextInt(4)) {
-                    case 0 -> GossipCodec.sums(lot.sums());
-                    case 1 -> GossipCodec.lines(chance.nextLong(), lot.lines(-1));
-                    case 2 -> GossipCodec.words(Duration.ofSeconds(9), lot.words());
-                    default -> GossipCodec.want(
-                            lot.words().stream().map(StoredEntry::key).toList());
+                    case 0 -> GossipCodec.encodeChecksums(lot.bucketChecksums());
+                    case 1 -> GossipCodec.encodeVersions(chance.nextLong(), lot.versions(-1));
+                    case 2 -> GossipCodec.encodeEntries(Duration.ofSeconds(9), lot.entries());
+                    default -> GossipCodec.encodeRequest(
+                            lot.entries().stream().map(StoredEntry::key).toList());
                 };
-        assertArrayEquals(letter, again(GossipCodec.read(letter)), "a letter reads as what was written");
+        assertArrayEquals(letter, again(GossipCodec.decode(letter)), "a letter reads as what was written");
         byte[] spoilt = letter.clone();
         switch (chance.nextInt(3)) {
             case 0 -> spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
@@ -41,11 +41,11 @@
         }
         ReplicatedStore words = ReplicatedStoreTest.alone("b0", "b1");
         String before = words.digest();
-        Object read = GossipCodec.read(spoilt);
-        words.came(Duration.ofMillis(20), "b1", spoilt);
+        Object read = GossipCodec.decode(spoilt);
+        words.receive(Duration.ofMillis(20), "b1", spoilt);
         if (read == null) {
             assertEquals(before, words.digest(), "nothing is taken of what cannot be read whole");
-            assertTrue(words.json().contains("\"malformed\":1"));
+            assertTrue(words.statusJson().contains("\"malformed\":1"));
         } else {
             // There is one way to write what was read, so nothing was passed over in silence.
             assertArrayEquals(spoilt, again(read));
@@ -55,18 +55,18 @@
     private static byte[] again(Object letter) {
         assertNotEquals(null, letter);
         if (letter instanceof GossipCodec.BucketChecksums sums) {
-            return GossipCodec.sums(sums.sums());
+            return GossipCodec.encodeChecksums(sums.checksums());
         } else if (letter instanceof GossipCodec.VersionList lines) {
-            return GossipCodec.lines(lines.whole(), lines.lines());
+            return GossipCodec.encodeVersions(lines.completeBuckets(), lines.versions());
         } else if (letter instanceof GossipCodec.EntryRequest want) {
-            return GossipCodec.want(want.keys());
+            return GossipCodec.encodeRequest(want.keys());
         }
-        List<GossipCodec.AgedEntry> words = ((GossipCodec.EntryBatch) letter).words();
+        List<GossipCodec.AgedEntry> words = ((GossipCodec.EntryBatch) letter).entries();
         Duration now = Duration.ofDays(2000);
-        return GossipCodec.words(
+        return GossipCodec.encodeEntries(
                 now,
                 words.stream()
-                        .map(each -> each.word().born(now.minusMillis(each.ageMs())))
+                        .map(each -> each.entry().born(now.minusMillis(each.ageMs())))
                         .toList());
     }
 }
--- a/src/test/java/merlinlever/replication/PaxosModelCheckTest.java
+++ b/src/test/java/merlinlever/replication/PaxosModelCheckTest.java
@@ -72,11 +72,11 @@
     }
 
     private static PaxosAcceptor ballots(String text) {
-        return PaxosAcceptor.parsed(PaxosNodeTest.octets(text));
+        return PaxosAcceptor.decode(PaxosNodeTest.octets(text));
     }
 
     private static String text(PaxosAcceptor ballots) {
-        return new String(ballots.octets(), StandardCharsets.ISO_8859_1);
+        return new String(ballots.encode(), StandardCharsets.ISO_8859_1);
     }
 
     /** What a voter does when it is asked (its memory after it, and the answer or an empty one); worked out once for each. */
@@ -94,18 +94,18 @@
                             ? "R" + term
                                     + (entry == null
                                             ? "0-"
-                                            : entry.term() + new String(entry.value(), StandardCharsets.US_ASCII))
+                                            : entry.acceptedTerm() + new String(entry.value(), StandardCharsets.US_ASCII))
                             : ""
                 };
             }
-            if (fault == Fault.ACCEPT_OLDER && term < voter.promised()) {
+            if (fault == Fault.ACCEPT_OLDER && term < voter.promisedTerm()) {
                 PaxosAcceptor careless = new PaxosAcceptor();
-                careless.recovered(0, voter.entries());
+                careless.mergePeerState(0, voter.registers());
                 voter = careless;
             }
             return new String[] {
                 voter.accept(term, "end", PaxosNodeTest.octets(value)) ? text(voter) : memory,
-                text(voter).equals(memory) && voter.promised() > term ? "" : "A" + term
+                text(voter).equals(memory) && voter.promisedTerm() > term ? "" : "A" + term
             };
         });
     }
@@ -171,7 +171,7 @@
                 for (String one : told.get(t)) {
                     for (String other : told.get(t)) {
                         if (value[t] == 0 && one.charAt(4) < other.charAt(4)) {
-                            byte[] safe = PaxosAcceptor.safe(
+                            byte[] safe = PaxosAcceptor.safeValue(
                                     List.of(entry(one), entry(other)), PaxosNodeTest.octets(values.get(t + 1)));
                             then.add(state.proposed(t, values.indexOf(new String(safe, StandardCharsets.US_ASCII))));
                         }
--- a/src/test/java/merlinlever/replication/PaxosNodeTest.java
+++ b/src/test/java/merlinlever/replication/PaxosNodeTest.java
@@ -119,8 +119,8 @@
 
         void send(int from, List<OutgoingMessage> all) {
             for (OutgoingMessage each : all) {
-                int to = Integer.parseInt(each.to().substring(1));
-                assertTrue(to != from && each.body().length <= GossipCodec.MOST);
+                int to = Integer.parseInt(each.receiver().substring(1));
+                assertTrue(to != from && each.body().length <= GossipCodec.MAX_MESSAGE_BYTES);
                 if (side[from] == side[to] && chance.nextDouble() >= loss) {
                     for (int copies = chance.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
                         net.add(new Object[] {
@@ -139,16 +139,16 @@
             List<Object[]> due = new ArrayList<>();
             net.removeIf(each -> (long) each[0] <= now && due.add(each));
             due.forEach(each -> send(
-                    (int) each[2], nodes[(int) each[2]].came(clock((int) each[2]), "b" + each[1], (byte[]) each[3])));
+                    (int) each[2], nodes[(int) each[2]].receive(clock((int) each[2]), "b" + each[1], (byte[]) each[3])));
             for (int i = 0; i < n; i++) {
-                send(i, nodes[i].look(clock(i)));
+                send(i, nodes[i].tick(clock(i)));
                 if (forcing[i] != null && now >= forcedAt[i] && !held) {
-                    disk[i] = forcing[i].octets();
+                    disk[i] = forcing[i].bytes();
                     long version = forcing[i].version();
                     forcing[i] = null;
-                    send(i, nodes[i].kept(clock(i), version));
+                    send(i, nodes[i].writeCompleted(clock(i), version));
                 }
-                PaxosNode.PendingWrite keep = forcing[i] == null ? nodes[i].keep() : null;
+                PaxosNode.PendingWrite keep = forcing[i] == null ? nodes[i].pendingWrite() : null;
                 if (keep != null) {
                     forcing[i] = keep;
                     forcedAt[i] = now + chance.nextInt(200);
@@ -208,10 +208,10 @@
             for (PaxosNode node : fleet.nodes) {
                 for (int r = 0; r < 3; r++) {
                     assertTrue(
-                            node.written("r" + r).isPresent(),
-                            "seed " + seed + ": not all know r" + r + " " + node.json());
+                            node.chosen("r" + r).isPresent(),
+                            "seed " + seed + ": not all know r" + r + " " + node.statusJson());
                 }
-                assertTrue(node.json().contains("\"conflicts\":0"));
+                assertTrue(node.statusJson().contains("\"conflicts\":0"));
             }
         }
         assertTrue(begun > 40, "registers written under trouble: " + begun);
@@ -221,7 +221,7 @@
         for (PaxosNode node : fleet.nodes) {
             for (int r = 0; r < 3; r++) {
                 String name = "r" + r;
-                node.written(name).ifPresent(value -> ever.computeIfAbsent(name, none -> new HashSet<>())
+                node.chosen(name).ifPresent(value -> ever.computeIfAbsent(name, none -> new HashSet<>())
                         .add(new String(value, StandardCharsets.US_ASCII)));
             }
         }
@@ -234,23 +234,23 @@
         fleet.run(13_000);
         fleet.nodes[0].propose(fleet.clock(0), "end", octets("a"));
         fleet.run(2000);
-        assertTrue(fleet.nodes[0].written("end").isEmpty(), "it does not lead");
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "it does not lead");
         fleet.lead(0, 100_000);
         fleet.may = false;
         fleet.nodes[0].propose(fleet.clock(0), "end", octets("a"));
         fleet.run(2000);
-        assertTrue(fleet.nodes[0].written("end").isEmpty(), "it leads in few");
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "it leads in few");
         fleet.may = true;
         fleet.nodes[0].propose(fleet.clock(0), "end", octets("a"));
         fleet.step();
         fleet.leadsUntil[0] = 0;
         fleet.run(2000);
-        assertTrue(fleet.nodes[0].written("end").isEmpty(), "it was deposed after it began");
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "it was deposed after it began");
         fleet.lead(1, 100_000);
         fleet.nodes[1].propose(fleet.clock(1), "end", octets("b"));
         fleet.run(3000);
         for (PaxosNode node : fleet.nodes) {
-            assertArrayEquals(octets("b"), node.written("end").orElseThrow());
+            assertArrayEquals(octets("b"), node.chosen("end").orElseThrow());
         }
     }
 
@@ -263,16 +263,16 @@
         fleet.lead(0, 1_000_000);
         fleet.nodes[0].propose(fleet.clock(0), "end", octets("a"));
         fleet.run(4000);
-        assertTrue(fleet.nodes[0].written("end").isEmpty());
-        assertTrue(fleet.nodes[1].json().contains("\"begun\":0"), "nobody has promised, so nothing is proposed");
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty());
+        assertTrue(fleet.nodes[1].statusJson().contains("\"begun\":0"), "nobody has promised, so nothing is proposed");
         fleet.held = false;
-        while (!fleet.nodes[1].json().contains("\"begun\":1")) {
+        while (!fleet.nodes[1].statusJson().contains("\"begun\":1")) {
             fleet.step();
         }
         // Accepted by b1 and forced there, and its answer is lost: b0 does not know that it is written.
         fleet.side[0] = 2;
         fleet.run(300);
-        assertTrue(fleet.nodes[0].written("end").isEmpty());
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty());
         fleet.net.clear();
         fleet.leadsUntil[0] = 0;
         fleet.side[2] = 0;
@@ -280,7 +280,7 @@
         fleet.lead(2, 1_000_000);
         fleet.nodes[2].propose(fleet.clock(2), "end", octets("c"));
         fleet.run(3000);
-        assertArrayEquals(octets("a"), fleet.nodes[2].written("end").orElseThrow());
+        assertArrayEquals(octets("a"), fleet.nodes[2].chosen("end").orElseThrow());
     }
 
     @Example
@@ -292,7 +292,7 @@
         fleet.side[2] = 1;
         fleet.nodes[0].propose(fleet.clock(0), "end", octets("a"));
         fleet.run(1000);
-        assertTrue(fleet.nodes[0].written("end").isPresent());
+        assertTrue(fleet.nodes[0].chosen("end").isPresent());
         fleet.disk[1] = null;
         fleet.begin(1);
         Arrays.fill(fleet.side, 0);
@@ -301,11 +301,11 @@
         fleet.nodes[2].propose(fleet.clock(2), "end", octets("c"));
         fleet.run(30_000);
         assertTrue(
-                fleet.nodes[2].written("end").isEmpty() && fleet.nodes[1].json().contains("\"votes\":false"));
+                fleet.nodes[2].chosen("end").isEmpty() && fleet.nodes[1].statusJson().contains("\"votes\":false"));
         fleet.side[0] = 0;
         fleet.run(5000);
-        assertArrayEquals(octets("a"), fleet.nodes[2].written("end").orElseThrow());
-        assertTrue(fleet.nodes[1].json().contains("\"votes\":true"));
+        assertArrayEquals(octets("a"), fleet.nodes[2].chosen("end").orElseThrow());
+        assertTrue(fleet.nodes[1].statusJson().contains("\"votes\":true"));
     }
 
     @Property(tries = 5000, seed = "34")
@@ -315,48 +315,48 @@
         for (int i = chance.nextInt(5); i >= 0; i--) {
             ballots.accept(chance.nextInt(4), "r" + i, octets("v".repeat(chance.nextInt(20))));
             if (chance.nextBoolean()) {
-                ballots.written("w" + i, octets("w"));
+                ballots.markChosen("w" + i, octets("w"));
             }
         }
-        byte[] disk = ballots.octets();
-        assertArrayEquals(disk, PaxosAcceptor.parsed(disk).octets());
+        byte[] disk = ballots.encode();
+        assertArrayEquals(disk, PaxosAcceptor.decode(disk).encode());
         byte[] spoilt = disk.clone();
         spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
-        assertNull(PaxosAcceptor.parsed(spoilt));
-        assertNull(PaxosAcceptor.parsed(Arrays.copyOf(disk, chance.nextInt(disk.length))));
+        assertNull(PaxosAcceptor.decode(spoilt));
+        assertNull(PaxosAcceptor.decode(Arrays.copyOf(disk, chance.nextInt(disk.length))));
         byte[] slip = new RegisterMessage(
                         RegisterMessage.Kind.values()[chance.nextInt(9)],
                         chance.nextInt(9),
                         chance.nextLong(),
                         "r1",
-                        List.copyOf(ballots.entries()))
-                .octets();
-        assertArrayEquals(slip, RegisterMessage.read(slip).octets());
-        assertNull(RegisterMessage.read(Arrays.copyOf(slip, chance.nextInt(slip.length))));
+                        List.copyOf(ballots.registers()))
+                .encode();
+        assertArrayEquals(slip, RegisterMessage.decode(slip).encode());
+        assertNull(RegisterMessage.decode(Arrays.copyOf(slip, chance.nextInt(slip.length))));
         for (int k = chance.nextInt(4); k >= 0; k--) {
             slip[chance.nextInt(slip.length)] = (byte) chance.nextInt(256);
         }
-        RegisterMessage read = RegisterMessage.read(slip);
-        assertTrue(read == null || Arrays.equals(slip, read.octets()), "one way to write what was read");
-        new Fleet(3, 3, 3).nodes[0].came(Duration.ofSeconds(1), "b1", slip);
+        RegisterMessage read = RegisterMessage.decode(slip);
+        assertTrue(read == null || Arrays.equals(slip, read.encode()), "one way to write what was read");
+        new Fleet(3, 3, 3).nodes[0].receive(Duration.ofSeconds(1), "b1", slip);
     }
 
     @Example
     void registersAreBoundedAndNeverDropped() {
         PaxosAcceptor ballots = new PaxosAcceptor();
-        for (int i = 0; i < PaxosAcceptor.MOST; i++) {
-            assertTrue(ballots.accept(1, "r" + i, new byte[PaxosAcceptor.MOST_VALUE]));
+        for (int i = 0; i < PaxosAcceptor.MAX_REGISTERS; i++) {
+            assertTrue(ballots.accept(1, "r" + i, new byte[PaxosAcceptor.MAX_VALUE_BYTES]));
         }
         assertFalse(ballots.accept(1, "more", octets("x")));
-        assertTrue(ballots.written("r0", new byte[PaxosAcceptor.MOST_VALUE]));
-        assertFalse(ballots.written("r0", octets("other")));
+        assertTrue(ballots.markChosen("r0", new byte[PaxosAcceptor.MAX_VALUE_BYTES]));
+        assertFalse(ballots.markChosen("r0", octets("other")));
         assertFalse(ballots.accept(9, "r0", octets("other")));
         assertArrayEquals(
-                new byte[PaxosAcceptor.MOST_VALUE],
+                new byte[PaxosAcceptor.MAX_VALUE_BYTES],
                 ballots.get("r0").value(),
                 "what is written stays, whatever is proposed");
         assertEquals(
-                PaxosAcceptor.MOST,
-                PaxosAcceptor.parsed(ballots.octets()).entries().size());
+                PaxosAcceptor.MAX_REGISTERS,
+                PaxosAcceptor.decode(ballots.encode()).registers().size());
     }
 }
--- a/src/test/java/merlinlever/replication/SharedBytesTest.java
+++ b/src/test/java/merlinlever/replication/ReplicationBytesTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 
 /** What backends send each other of what they share, and the file of a voter. */
-class SharedBytesTest {
+class ReplicationBytesTest {
 
     private static final StoredEntry.EntryKey KEY = new StoredEntry.EntryKey("b1", "trial/t");
 
@@ -24,29 +24,29 @@
         StoredEntry word =
                 StoredEntry.of(new VersionedEntry("b1", "trial/t", 3, 300, new byte[] {1, 2}), Duration.ofSeconds(4));
         StoredEntry gone = StoredEntry.of(new VersionedEntry("b1", "x", 3, 301, null), Duration.ofSeconds(4));
-        StoredEntry clash = word.with(
+        StoredEntry clash = word.mergedWith(
                 StoredEntry.of(new VersionedEntry("b1", "trial/t", 3, 300, new byte[] {1, 3}), Duration.ofSeconds(4)));
-        long[] sums = new long[EntryTable.BUCKETS];
-        sums[5] = word.mark();
+        long[] sums = new long[EntryTable.BUCKET_COUNT];
+        sums[5] = word.fingerprint();
         Map<String, byte[]> letters = Map.of(
                 "sums",
-                GossipCodec.sums(sums),
+                GossipCodec.encodeChecksums(sums),
                 "lines",
-                GossipCodec.lines(1L << 5, List.of(new EntryTable.EntryVersion(KEY, 3, 300, word.mark()))),
+                GossipCodec.encodeVersions(1L << 5, List.of(new EntryTable.EntryVersion(KEY, 3, 300, word.fingerprint()))),
                 "words",
-                GossipCodec.words(now, List.of(word, gone, clash)),
+                GossipCodec.encodeEntries(now, List.of(word, gone, clash)),
                 "want",
-                GossipCodec.want(List.of(KEY)));
+                GossipCodec.encodeRequest(List.of(KEY)));
         letters.forEach((name, bytes) -> {
             fixture.pins("letter." + name, bytes);
             fixture.pins(
                     "letter." + name + ".read",
-                    MessageFormatter.of(fixture.bytes("letter." + name)).what());
+                    MessageFormatter.format(fixture.bytes("letter." + name)).text());
         });
         assertEquals(
                 6000,
-                ((GossipCodec.EntryBatch) GossipCodec.read(fixture.bytes("letter.words")))
-                        .words()
+                ((GossipCodec.EntryBatch) GossipCodec.decode(fixture.bytes("letter.words")))
+                        .entries()
                         .get(0)
                         .ageMs());
     }
@@ -57,37 +57,37 @@
                 "prepare",
                 Kind.PREPARE,
                 "promised",
-                Kind.PROMISED,
+                Kind.PROMISE,
                 "accept",
                 Kind.ACCEPT,
                 "accepted",
                 Kind.ACCEPTED,
                 "refused",
-                Kind.REFUSED,
+                Kind.REJECTED,
                 "written",
-                Kind.WRITTEN,
+                Kind.CHOSEN,
                 "known",
-                Kind.KNOWN,
+                Kind.FINGERPRINT,
                 "ask",
-                Kind.ASK,
+                Kind.PAGE_REQUEST,
                 "page",
                 Kind.PAGE);
         assertEquals(Kind.values().length, kinds.size());
         PaxosAcceptor.RegisterState entry =
                 new PaxosAcceptor.RegisterState("trial/t@1", 6, "end".getBytes(StandardCharsets.US_ASCII), true);
         kinds.forEach((name, kind) -> {
-            fixture.pins("register." + name, new RegisterMessage(kind, 6, 9, "trial/t@1", List.of(entry)).octets());
-            RegisterMessage read = RegisterMessage.read(fixture.bytes("register." + name));
+            fixture.pins("register." + name, new RegisterMessage(kind, 6, 9, "trial/t@1", List.of(entry)).encode());
+            RegisterMessage read = RegisterMessage.decode(fixture.bytes("register." + name));
             assertEquals(
-                    List.of(kind, 6L, 9L, "trial/t@1"), List.of(read.kind(), read.term(), read.number(), read.name()));
-            assertEquals("end", new String(read.entries().get(0).value(), StandardCharsets.US_ASCII));
+                    List.of(kind, 6L, 9L, "trial/t@1"), List.of(read.kind(), read.term(), read.number(), read.register()));
+            assertEquals("end", new String(read.registers().get(0).value(), StandardCharsets.US_ASCII));
         });
         PaxosAcceptor ballots = new PaxosAcceptor();
         ballots.accept(7, "a", new byte[] {1});
-        ballots.written("trial/t@1", entry.value());
-        fixture.pins("registers.file", ballots.octets());
-        PaxosAcceptor read = PaxosAcceptor.parsed(fixture.bytes("registers.file"));
+        ballots.markChosen("trial/t@1", entry.value());
+        fixture.pins("registers.file", ballots.encode());
+        PaxosAcceptor read = PaxosAcceptor.decode(fixture.bytes("registers.file"));
         assertNotNull(read);
-        fixture.pins("registers.file", read.octets());
+        fixture.pins("registers.file", read.encode());
     }
 }
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -126,7 +126,7 @@
                                 loop,
                                 rejoin,
                                 new FileStateDirectory(root.resolve(name + "-shared")),
-                                ReplicatedStore.ReplicationSettings.usual(true),
+                                ReplicatedStore.ReplicationSettings.defaults(true),
                                 leading.terms(),
                                 WHOLE,
                                 name.hashCode(),
@@ -143,35 +143,35 @@
         Replica a = make("a", List.of());
         Replica b = make("b", List.of(on(a::address)));
         Replica c = make("c", List.of(on(a::address)));
-        assertTrue(on(() -> a.spread.words().put(loop.clock().uptime(), "counts", octets("7"))));
+        assertTrue(on(() -> a.spread.store().put(loop.clock().uptime(), "counts", octets("7"))));
         assertTrue(
-                on(() -> b.spread.words().put(loop.clock().uptime(), "large", new byte[VersionedEntry.MOST_OCTETS])));
+                on(() -> b.spread.store().put(loop.clock().uptime(), "large", new byte[VersionedEntry.MAX_VALUE_BYTES])));
         until("all hold both", () -> List.of(a, b, c).stream()
-                .allMatch(each -> each.spread.words().of("a", "counts").isPresent()
-                        && each.spread.words().of("b", "large").isPresent()));
-        ReplicatedStore.PersistedEntries kept = EntryFile.parsed(
+                .allMatch(each -> each.spread.store().get("a", "counts").isPresent()
+                        && each.spread.store().get("b", "large").isPresent()));
+        ReplicatedStore.PersistedEntries kept = EntryFile.decode(
                 "a", Files.readAllBytes(root.resolve("a-shared").resolve("words")));
-        assertArrayEquals(octets("7"), kept.words().get(0).value());
+        assertArrayEquals(octets("7"), kept.entries().get(0).value());
         until("the end is written everywhere", () -> {
             for (Replica each : List.of(a, b, c)) {
                 each.spread
-                        .decree()
+                        .registers()
                         .propose(
                                 loop.clock().uptime(),
                                 "end",
                                 octets("won by " + each.rejoin.members().views().self()));
             }
             return List.of(a, b, c).stream()
-                    .allMatch(each -> each.spread.decree().written("end").isPresent());
+                    .allMatch(each -> each.spread.registers().chosen("end").isPresent());
         });
         assertEquals(
                 1,
                 List.of(a, b, c).stream()
                         .map(each -> new String(
-                                each.spread.decree().written("end").orElseThrow(), StandardCharsets.US_ASCII))
+                                each.spread.registers().chosen("end").orElseThrow(), StandardCharsets.US_ASCII))
                         .distinct()
                         .count());
-        assertTrue(on(() -> a.spread.json()).startsWith("{\"disk\":true,\"words\":{\"words\":2"), a.spread.json());
+        assertTrue(on(() -> a.spread.statusJson()).startsWith("{\"disk\":true,\"words\":{\"words\":2"), a.spread.statusJson());
     }
 
     @Example
@@ -180,17 +180,17 @@
                 4,
                 9,
                 List.of(new VersionedEntry("a", "t", 4, 8, octets("x")), new VersionedEntry("a", "gone", 4, 9, null)));
-        byte[] file = EntryFile.octets("a", kept);
-        ReplicatedStore.PersistedEntries again = EntryFile.parsed("a", file);
-        assertArrayEquals(file, EntryFile.octets("a", again));
-        ReplicatedStore.PersistedEntries copied = EntryFile.parsed("b", file);
-        assertEquals(List.of(), copied.words());
+        byte[] file = EntryFile.encode("a", kept);
+        ReplicatedStore.PersistedEntries again = EntryFile.decode("a", file);
+        assertArrayEquals(file, EntryFile.encode("a", again));
+        ReplicatedStore.PersistedEntries copied = EntryFile.decode("b", file);
+        assertEquals(List.of(), copied.entries());
         assertEquals(4, copied.incarnation(), "it serves as a floor");
         for (int i = 0; i < file.length; i++) {
             byte[] spoilt = file.clone();
             spoilt[i] ^= 4;
-            assertNull(EntryFile.parsed("a", spoilt));
-            assertNull(EntryFile.parsed("a", java.util.Arrays.copyOf(file, i)));
+            assertNull(EntryFile.decode("a", spoilt));
+            assertNull(EntryFile.decode("a", java.util.Arrays.copyOf(file, i)));
         }
     }
 }
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -39,7 +39,7 @@
         List<VersionedEntry> parts = new ArrayList<>(TableChunks.cut(first));
         assertTrue(parts.size() > 3
                 && parts.size() < TableChunks.MOST
-                && parts.stream().allMatch(each -> each.value().length <= VersionedEntry.MOST_OCTETS));
+                && parts.stream().allMatch(each -> each.value().length <= VersionedEntry.MAX_VALUE_BYTES));
         Collections.shuffle(parts, new Random(5));
         TableChunks gather = new TableChunks();
         for (VersionedEntry each : parts.subList(1, parts.size())) {
--- a/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
+++ b/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return new ArrayList<>(files.keySet());
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public AppendableFile append(String name) {
+    public AppendableFile openForAppend(String name) {
         Content content = files.computeIfAbsent(name, n -> new Content());
         return new AppendableFile() {
             @Override
@@ -83,7 +83,7 @@
             }
 
             @Override
-            public void force() {
+            public void sync() {
                 content.forced = content.octets.length;
             }
 
@@ -110,5 +110,5 @@
     }
 
     @Override
-    public void force() {}
+    public void sync() {}
 }
--- a/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
@@ -66,9 +66,9 @@
                 work();
             }
         }
-        assertEquals(List.of("example.org..journal.0000000000000002", "example.org..snapshot"), folder.names());
+        assertEquals(List.of("example.org..journal.0000000000000002", "example.org..snapshot"), folder.fileNames());
         InMemoryStateDirectory before = new InMemoryStateDirectory();
-        for (String name : folder.names()) {
+        for (String name : folder.fileNames()) {
             fixture.pins(name, folder.read(name));
             before.put(name, fixture.bytes(name));
         }
--- a/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
@@ -233,8 +233,8 @@
             assertTrue(same(answered[0], recovered.zone()), "round " + round);
             work();
             assertTrue(
-                    folder.names().size() <= 3 || !store.idle(), folder.names().toString());
-            assertFalse(folder.names().contains("example.org..snapshot.new"));
+                    folder.fileNames().size() <= 3 || !store.idle(), folder.fileNames().toString());
+            assertFalse(folder.fileNames().contains("example.org..snapshot.new"));
         }
     }
 }
