--- a/src/main/java/merlinlever/storage/FileStateDirectory.java
+++ b/src/main/java/merlinlever/storage/FileStateDirectory.java
@@ -12,28 +12,50 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder on disk, held by one process at a time; its files alone, not the folders in it. */
+/**
+ * A state directory of the file system. A lock file in it keeps other processes out until it is closed. Subdirectories are
+ * ignored.
+ */
 public final class FileStateDirectory implements StateDirectory {
 
-    /** Octets of one file that are read at the most. */
+    /** The directory is locked by another process, or by another instance in this one. */
+    public static final class DirectoryInUseException extends IOException {
+        private static final long serialVersionUID = 1;
+
+        DirectoryInUseException(Path directory) {
+            super("the state folder " + directory + " is in use by another process");
+        }
+    }
+
+    private static final String LOCK_FILE = "lock";
+    /** The largest file that fits into an array. */
     private static final long MAX_FILE_BYTES = Integer.MAX_VALUE - 16;
 
     private final Path directory;
     private final FileChannel lockFile;
 
+    /**
+     * Creates the directory if it is missing, and locks it.
+     *
+     * @throws DirectoryInUseException if it is locked already
+     */
     public FileStateDirectory(Path directory) throws IOException {
         this.directory = directory;
         Files.createDirectories(directory);
-        lockFile = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock lock;
+        lockFile = FileChannel.open(directory.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        if (!tryLock(lockFile)) {
+            lockFile.close();
+            throw new DirectoryInUseException(directory);
+        }
+    }
+
+    private static boolean tryLock(FileChannel channel) throws IOException {
         try {
-            lock = lockFile.tryLock();
+            FileLock lock = channel.tryLock();
+            return lock != null;
         } catch (OverlappingFileLockException e) {
-            lock = null;
-        }
-        if (lock == null) {
-            lockFile.close();
-            throw new IOException("the state folder " + directory + " is in use by another process");
+            // Locked by this very process.
+            return false;
         }
     }
 
@@ -42,7 +64,7 @@
         try (Stream<Path> files = Files.list(directory)) {
             return files.filter(Files::isRegularFile)
                     .map(file -> file.getFileName().toString())
-                    .filter(name -> !name.equals("lock"))
+                    .filter(name -> !name.equals(LOCK_FILE))
                     .sorted()
                     .toList();
         }
@@ -50,61 +72,27 @@
 
     @Override
     public byte[] read(String name) throws IOException {
-        if (Files.size(directory.resolve(name)) > MAX_FILE_BYTES) {
+        Path file = directory.resolve(name);
+        if (Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException(name + " is over 2 GiB");
         }
-        return Files.readAllBytes(directory.resolve(name));
+        return Files.readAllBytes(file);
     }
 
     @Override
     public AppendableFile openForAppend(String name) throws IOException {
-        FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         long initialLength = channel.size();
         channel.position(initialLength);
-        return new AppendableFile() {
-            private long length = initialLength;
-
-            @Override
-            public long length() {
-                return length;
-            }
-
-            @Override
-            public void write(ByteBuffer bytes) throws IOException {
-                while (bytes.hasRemaining()) {
-                    length += channel.write(bytes);
-                }
-            }
-
-            @Override
-            public void sync() throws IOException {
-                channel.force(false);
-            }
-
-            @Override
-            public void truncate(long newLength) throws IOException {
-                channel.truncate(newLength);
-                channel.position(newLength);
-                channel.force(true);
-                length = newLength;
-            }
-
-            @Override
-            public void close() {
-                try {
-                    channel.close();
-                } catch (IOException e) {
-                    // What counted was forced before.
-                }
-            }
-        };
+        return new ChannelFile(channel, initialLength);
     }
 
     @Override
-    public void rename(String from, String newLength) throws IOException {
+    public void rename(String from, String to) throws IOException {
         Files.move(
                 directory.resolve(from),
-                directory.resolve(newLength),
+                directory.resolve(to),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         sync();
@@ -126,4 +114,48 @@
     public void close() throws IOException {
         lockFile.close();
     }
+
+    private static final class ChannelFile implements AppendableFile {
+        private final FileChannel channel;
+        private long length;
+
+        ChannelFile(FileChannel channel, long length) {
+            this.channel = channel;
+            this.length = length;
+        }
+
+        @Override
+        public long length() {
+            return length;
+        }
+
+        @Override
+        public void write(ByteBuffer bytes) throws IOException {
+            while (bytes.hasRemaining()) {
+                length += channel.write(bytes);
+            }
+        }
+
+        @Override
+        public void sync() throws IOException {
+            channel.force(false);
+        }
+
+        @Override
+        public void truncate(long newLength) throws IOException {
+            channel.truncate(newLength);
+            channel.position(newLength);
+            channel.force(true);
+            length = newLength;
+        }
+
+        @Override
+        public void close() {
+            try {
+                channel.close();
+            } catch (IOException e) {
+                // Whatever has to last was synced before; a failure to close takes none of it away.
+            }
+        }
+    }
 }
--- a/src/main/java/merlinlever/storage/RecordingStateDirectory.java
+++ b/src/main/java/merlinlever/storage/RecordingStateDirectory.java
@@ -11,45 +11,55 @@
 import java.util.List;
 
 /**
- * A folder that tells what passes through it, one line an operation, for the fault harness to make the states that a
- * power loss may leave. A write is told before it is made, so that all that may be on the disk is in the record; a force,
- * a truncation and a rename after they returned, so that only what was proved is held forced. The files that were there
- * at the start are told whole, as forced.
+ * Records every operation on a state directory, one line each, so that the fault harness can reconstruct the states that a power loss
+ * may leave. An operation that may reach the disk without a sync (open, write, delete) is recorded before it is made; one that gives
+ * a guarantee (sync, truncation, rename) is recorded after it returned. Files that exist at the start are recorded whole and count
+ * as synced.
  *
- * <p>Lines: {@code folder PATH FILES} at each start, {@code had NAME BASE64} for each of so many files, {@code open NAME}, {@code write NAME OFFSET BASE64}, {@code force NAME},
- * {@code truncate NAME LENGTH}, {@code rename FROM TO}, {@code delete NAME}, {@code sync}.
+ * <p>Lines: {@code folder PATH FILES} at each start, then {@code had NAME BASE64} for each of so many files; {@code open NAME},
+ * {@code write NAME OFFSET BASE64}, {@code force NAME}, {@code truncate NAME LENGTH}, {@code rename FROM TO}, {@code delete NAME},
+ * {@code sync} (of the directory).
  */
 public final class RecordingStateDirectory implements StateDirectory {
 
-    /** Where the lines go; a line ends with a newline of its own. */
+    /** Receives the recorded lines. */
     public interface OperationLog extends Closeable {
-        void append(String text) throws IOException;
+
+        /** Adds a line; the terminating newline is not part of {@code line}. */
+        void append(String line) throws IOException;
 
         @Override
         void close();
 
-        /** Added to a file, never forced: a kill keeps it, and a power loss is what the harness plays itself. */
+        /** A log that is appended to a file but never synced: it survives the process, and power losses are only simulated. */
         static OperationLog appendingTo(Path file) throws IOException {
-            FileChannel channel = FileChannel.open(
+            return new FileOperationLog(file);
+        }
+    }
+
+    private static final class FileOperationLog implements OperationLog {
+        private final FileChannel channel;
+
+        FileOperationLog(Path file) throws IOException {
+            channel = FileChannel.open(
                     file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
-            return new OperationLog() {
-                @Override
-                public synchronized void append(String text) throws IOException {
-                    ByteBuffer octets = ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.US_ASCII));
-                    while (octets.hasRemaining()) {
-                        channel.write(octets);
-                    }
-                }
-
-                @Override
-                public void close() {
-                    try {
-                        channel.close();
-                    } catch (IOException e) {
-                        // Nothing is owed to a record once its folder is closed.
-                    }
-                }
-            };
+        }
+
+        @Override
+        public synchronized void append(String line) throws IOException {
+            ByteBuffer bytes = ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            while (bytes.hasRemaining()) {
+                channel.write(bytes);
+            }
+        }
+
+        @Override
+        public void close() {
+            try {
+                channel.close();
+            } catch (IOException e) {
+                // All lines were written; nothing depends on the handle any more.
+            }
         }
     }
 
@@ -58,7 +68,7 @@
     private final StateDirectory delegate;
     private final OperationLog operations;
 
-    /** @param path of the folder, told at the start of the record; the harness lays its states there */
+    /** @param path of the directory, as the recording names it; spaces become underscores */
     public RecordingStateDirectory(StateDirectory delegate, OperationLog operations, String path) throws IOException {
         this.delegate = delegate;
         this.operations = operations;
@@ -82,39 +92,7 @@
     @Override
     public AppendableFile openForAppend(String name) throws IOException {
         operations.append("open " + name);
-        AppendableFile out = delegate.openForAppend(name);
-        return new AppendableFile() {
-            @Override
-            public long length() {
-                return out.length();
-            }
-
-            @Override
-            public void write(ByteBuffer octets) throws IOException {
-                ByteBuffer copy = octets.duplicate();
-                byte[] bytes = new byte[copy.remaining()];
-                copy.get(bytes);
-                operations.append("write " + name + " " + out.length() + " " + BASE64.encodeToString(bytes));
-                out.write(octets);
-            }
-
-            @Override
-            public void sync() throws IOException {
-                out.sync();
-                operations.append("force " + name);
-            }
-
-            @Override
-            public void truncate(long length) throws IOException {
-                out.truncate(length);
-                operations.append("truncate " + name + " " + length);
-            }
-
-            @Override
-            public void close() {
-                out.close();
-            }
-        };
+        return new RecordingFile(name, delegate.openForAppend(name));
     }
 
     @Override
@@ -140,4 +118,44 @@
         operations.close();
         delegate.close();
     }
+
+    private final class RecordingFile implements AppendableFile {
+        private final String name;
+        private final AppendableFile file;
+
+        RecordingFile(String name, AppendableFile file) {
+            this.name = name;
+            this.file = file;
+        }
+
+        @Override
+        public long length() {
+            return file.length();
+        }
+
+        @Override
+        public void write(ByteBuffer bytes) throws IOException {
+            byte[] copy = new byte[bytes.remaining()];
+            bytes.duplicate().get(copy);
+            operations.append("write " + name + " " + file.length() + " " + BASE64.encodeToString(copy));
+            file.write(bytes);
+        }
+
+        @Override
+        public void sync() throws IOException {
+            file.sync();
+            operations.append("force " + name);
+        }
+
+        @Override
+        public void truncate(long length) throws IOException {
+            file.truncate(length);
+            operations.append("truncate " + name + " " + length);
+        }
+
+        @Override
+        public void close() {
+            file.close();
+        }
+    }
 }
--- a/src/main/java/merlinlever/storage/StateDirectories.java
+++ b/src/main/java/merlinlever/storage/StateDirectories.java
@@ -5,15 +5,18 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Opens a state folder on disk, told where the environment asks it to be (by the fault harness alone). */
+/** Opens state directories on disk, recorded if the environment asks for it (as the fault harness does). */
 public final class StateDirectories {
 
-    /** Names a folder; each state folder of the process then adds what passes through it to a file there. */
+    /**
+     * The environment variable that names a directory for recordings. Each state directory of the process then appends its operations
+     * to a file there, named after its own path.
+     */
     public static final String RECORDING_DIRECTORY_VARIABLE = "MERLINLEVER_DISK_RECORD";
 
     private StateDirectories() {}
 
-    /** Held by this process alone until it is closed. */
+    /** Opens and locks the directory; the caller closes it. */
     public static StateDirectory open(Path path, Map<String, String> environment) throws IOException {
         FileStateDirectory directory = new FileStateDirectory(path);
         String recordingDirectory = environment.get(RECORDING_DIRECTORY_VARIABLE);
@@ -21,15 +24,20 @@
             return directory;
         }
         try {
-            Path recordings = Path.of(recordingDirectory);
-            Files.createDirectories(recordings);
-            String absolutePath = path.toAbsolutePath().normalize().toString();
-            String name = absolutePath.replaceAll("[^A-Za-z0-9.-]", "_") + ".ops";
-            return new RecordingStateDirectory(
-                    directory, RecordingStateDirectory.OperationLog.appendingTo(recordings.resolve(name)), absolutePath);
+            return recorded(directory, path, Path.of(recordingDirectory));
         } catch (IOException e) {
             directory.close();
             throw e;
         }
     }
+
+    private static StateDirectory recorded(StateDirectory directory, Path path, Path recordings) throws IOException {
+        Files.createDirectories(recordings);
+        String absolutePath = path.toAbsolutePath().normalize().toString();
+        String fileName = absolutePath.replaceAll("[^A-Za-z0-9.-]", "_") + ".ops";
+        return new RecordingStateDirectory(
+                directory,
+                RecordingStateDirectory.OperationLog.appendingTo(recordings.resolve(fileName)),
+                absolutePath);
+    }
 }
--- a/src/main/java/merlinlever/storage/StateDirectory.java
+++ b/src/main/java/merlinlever/storage/StateDirectory.java
@@ -6,59 +6,65 @@
 import java.util.List;
 
 /**
- * The folder that state lies in: the one seam through which the program's lasting writes go. What a power loss may leave
- * of it is what was forced; the fault harness records what passes here and makes those states.
+ * A flat directory of state files. After a power loss only what was synced is certain to be there; the fault harness records the
+ * operations on this interface and reconstructs every state that a power loss may leave. Not thread-safe: one thread at a time.
  */
 public interface StateDirectory extends Closeable {
 
-    /** A file that is written at its end. */
+    /** A file that is written at its end only. */
     interface AppendableFile extends Closeable {
+
+        /** Bytes of the file, those that are not synced yet included. */
         long length();
 
-        /** Adds to the end; after a failure it is not known how much got there. */
-        void write(ByteBuffer octets) throws IOException;
+        /** Appends all remaining bytes; after an exception it is unknown how many of them were written. */
+        void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns when what was written is on the disk. */
+        /** Returns once everything written so far is on the disk. */
         void sync() throws IOException;
 
+        /** Cuts the file down to that many bytes and syncs it; further writes go to the new end. */
         void truncate(long length) throws IOException;
 
+        /** Never fails: what matters was synced before. */
         @Override
         void close();
     }
 
-    /** In the order of their names. */
+    /** The names of all files, sorted. */
     List<String> fileNames() throws IOException;
 
+    /** The whole content of a file. */
     byte[] read(String name) throws IOException;
 
-    /** Opens for adding; makes the file where there is none. */
+    /** Opens a file for appending and creates it if there is none. */
     AppendableFile openForAppend(String name) throws IOException;
 
-    /** In one step, over a file of that name too, and forced. */
+    /** Renames atomically, replacing a file of the new name, and syncs the directory. */
     void rename(String from, String to) throws IOException;
 
+    /** Removes a file; does nothing if there is none. The removal is durable after {@link #sync}. */
     void delete(String name) throws IOException;
 
-    /** Which files there are is on the disk. */
+    /** Returns once the list of files (not their content) is on the disk. */
     void sync() throws IOException;
 
     /**
-     * Replaces the file whole: the new octets are written aside and forced, then renamed over it, so that after a power
-     * loss there is the one or the other, never a part. After a failure the old file stands.
+     * Replaces a whole file: the new content is written to a temporary file, synced and renamed over the old one, so that after a power
+     * loss there is either the old or the new content, never a mixture. After an exception the old file is still there.
      */
     default void replace(String name, byte[] bytes) throws IOException {
         String temporary = name + ".new";
-        try (AppendableFile out = openForAppend(temporary)) {
-            // What an earlier try left aside is written over; something else in its place stops the note.
-            out.truncate(0);
-            out.write(ByteBuffer.wrap(bytes));
-            out.sync();
+        try (AppendableFile file = openForAppend(temporary)) {
+            // An earlier attempt that failed may have left its bytes here.
+            file.truncate(0);
+            file.write(ByteBuffer.wrap(bytes));
+            file.sync();
         }
         rename(temporary, name);
     }
 
-    /** Lets the folder go; one on disk is then free for another process. */
+    /** Releases the directory; one on disk can then be opened by another process. */
     @Override
     default void close() throws IOException {}
 
