--- a/src/main/java/merlinlever/experiments/ArmSelector.java
+++ b/src/main/java/merlinlever/experiments/ArmSelector.java
@@ -1,8 +1,8 @@
 package merlinlever.experiments;
 
-/** What an adapter needs of a trial: which arm an operation of this caller goes by, now. */
+/** What an adapter needs to know of an experiment. */
 public interface ArmSelector {
 
-    /** An index into {@link Experiment#arms}; the safe arm's where nothing is split. */
+    /** The arm that a request of this caller belongs to now, as an index into {@link Experiment#arms}. */
     int arm(String caller);
 }
--- a/src/main/java/merlinlever/experiments/ArmSetting.java
+++ b/src/main/java/merlinlever/experiments/ArmSetting.java
@@ -1,23 +1,24 @@
 package merlinlever.experiments;
 
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What an arm may state, the whole list. Each takes effect on one operation, after the module has decided about it, and only
- * within what the module decided: advice gets shorter, a call is waited for less long, the next hop is another of the equal ones.
- * So no arm changes what is taken, what runs first, what is repeated or what is turned away: the four rules, the figures of
- * docs/design.md and the order by worth are the same in all arms.
+ * Everything that an arm may change. Each setting takes effect on a single request after the controller has decided about it, and only
+ * within that decision: a Retry-After gets shorter, a downstream call times out earlier, another of several equal routes is tried first. So
+ * no arm changes what is admitted, what runs first, what is retried or what is rejected.
  */
 public enum ArmSetting {
-    /** The longest stretch that a pushed back caller is told to stay away; the module's own where that is shorter. */
-    STAY_AWAY("stay-away-longest", Duration.ZERO, Duration.ofMinutes(1)),
-    /** The longest that a call is waited for before it is given up; the module's own where that is shorter. */
-    CALL("call-longest", Duration.ofMillis(10), Duration.ofMinutes(1)),
-    /** Which of the stated routes is asked first, where several may serve. */
-    ROUTE("route", null, null);
+    /** Upper bound of the Retry-After that rejected callers get. */
+    MAX_RETRY_AFTER("stay-away-longest", Duration.ZERO, Duration.ofMinutes(1)),
+    /** Upper bound of the time that a downstream call is waited for. */
+    MAX_CALL_DURATION("call-longest", Duration.ofMillis(10), Duration.ofMinutes(1)),
+    /** The configured route that is tried first where several are usable. */
+    PREFERRED_ROUTE("route", null, null);
 
-    private static final List<String> RULED = List.of(
+    private static final List<String> INVARIANT_SETTINGS = List.of(
             "invariants",
             "rules",
             "drain-grace",
@@ -30,7 +31,7 @@
             "cores",
             "allowance-per-s",
             "crowd-factor");
-    private static final List<String> WORTH = List.of(
+    private static final List<String> PRIORITY_SETTINGS = List.of(
             "value",
             "gain",
             "late-value",
@@ -44,38 +45,48 @@
             "client-timeout",
             "hard-limit",
             "value-without-call");
-    private static final List<String> FIGURES = List.of("w-q", "min-th", "max-th", "max-p", "coefficient");
+    private static final List<String> DESIGN_PARAMETERS = List.of("w-q", "min-th", "max-th", "max-p", "coefficient");
 
-    final String word;
-    final Duration least;
-    final Duration most;
+    private final String key;
+    private final Duration min;
+    private final Duration max;
 
-    ArmSetting(String word, Duration least, Duration most) {
-        this.word = word;
-        this.least = least;
-        this.most = most;
+    ArmSetting(String key, Duration min, Duration max) {
+        this.key = key;
+        this.min = min;
+        this.max = max;
     }
 
-    /** By the word of the configuration, or null. */
-    static ArmSetting of(String word) {
-        for (ArmSetting each : values()) {
-            if (each.word.equals(word)) {
-                return each;
-            }
-        }
-        return null;
+    /** The lowest duration that may be configured; null for a setting that is no duration. */
+    Duration min() {
+        return min;
+    }
+
+    /** The highest duration that may be configured; null for a setting that is no duration. */
+    Duration max() {
+        return max;
     }
 
-    /** Why a word that is none of these cannot be tried. */
-    static String refusal(String word) {
-        String first = word.contains(".") ? word.substring(0, word.indexOf('.')) : word;
-        String why = RULED.contains(word) || RULED.contains(first)
-                ? "it belongs to the four rules, which are the same in all arms"
-                : WORTH.contains(word) || WORTH.contains(first)
-                        ? "it belongs to the order by worth, which is the same in all arms"
-                        : FIGURES.contains(word)
-                                ? "the figures of the design are the same in all arms"
-                                : "it is not known";
-        return why + "; an arm may set stay-away-longest, call-longest or route";
+    /** The setting of that key of the configuration. */
+    static Optional<ArmSetting> ofKey(String key) {
+        return Arrays.stream(values())
+                .filter(setting -> setting.key.equals(key))
+                .findFirst();
+    }
+
+    /** Why a key that is none of these cannot be changed by an arm; for people. */
+    static String rejectionReason(String key) {
+        String section = key.contains(".") ? key.substring(0, key.indexOf('.')) : key;
+        String reason;
+        if (INVARIANT_SETTINGS.contains(key) || INVARIANT_SETTINGS.contains(section)) {
+            reason = "it belongs to the four rules, which are the same in all arms";
+        } else if (PRIORITY_SETTINGS.contains(key) || PRIORITY_SETTINGS.contains(section)) {
+            reason = "it belongs to the order by worth, which is the same in all arms";
+        } else if (DESIGN_PARAMETERS.contains(key)) {
+            reason = "the figures of the design are the same in all arms";
+        } else {
+            reason = "it is not known";
+        }
+        return reason + "; an arm may set stay-away-longest, call-longest or route";
     }
 }
--- a/src/main/java/merlinlever/experiments/DistinctSample.java
+++ b/src/main/java/merlinlever/experiments/DistinctSample.java
@@ -3,40 +3,50 @@
 import java.util.TreeSet;
 
 /**
- * Some of the callers, each once, with the arm that it was seen in: all whose second hash is under a threshold that is halved
- * whenever more than {@value #MOST} are under it (P. Gibbons, Distinct Sampling, 2001). Which are kept hangs on the callers
- * alone, so samples merge alike in any order and any number of times, and a caller that asks a thousand times is one.
+ * A sample of distinct callers with the arms that they were seen in: all callers whose second hash is under a threshold, which is halved
+ * whenever more than {@value #MAX_CALLERS} are under it (P. Gibbons, Distinct Sampling, 2001). The sample depends only on the set of
+ * callers, so samples can be merged in any order and any number of times, and a caller of a thousand requests counts once.
  */
 final class DistinctSample {
 
-    static final int MOST = 1024;
+    static final int MAX_CALLERS = 1024;
+
+    private static final long SECOND_HASH_SALT = 0x5851f42d4c957f2dL;
+    private static final int ARM_BITS = 8;
+    private static final int ARM_MASK = 0xff;
+    private static final int HASH_BITS = 32;
 
     private int level;
-    /** The hash in the upper bits, the arm in the lowest eight: one that was seen in two arms is in it twice. */
+    /** The second hash in the upper bits, the arm in the lowest eight: a caller that was seen in two arms is in it twice. */
     private final TreeSet<Long> callers = new TreeSet<>();
 
-    void seen(long hash, int arm) {
-        add((BucketAssignment.mix(hash ^ 0x5851f42d4c957f2dL) >>> 32) << 8 | arm);
+    /** @param hash of the caller ({@link BucketAssignment#hash(String)}) */
+    void add(long hash, int arm) {
+        addCaller((BucketAssignment.mix(hash ^ SECOND_HASH_SALT) >>> HASH_BITS) << ARM_BITS | arm);
     }
 
-    private void add(long caller) {
-        if (caller >>> 8 < 1L << 32 - level && callers.add(caller)) {
-            while (callers.size() > MOST) {
-                raise(level + 1);
+    private void addCaller(long caller) {
+        if (isUnderThreshold(caller) && callers.add(caller)) {
+            while (callers.size() > MAX_CALLERS) {
+                raiseLevel(level + 1);
             }
         }
     }
 
-    private void raise(int to) {
-        level = to;
-        callers.tailSet(1L << 40 - level).clear();
+    private boolean isUnderThreshold(long caller) {
+        return caller >>> ARM_BITS < 1L << (HASH_BITS - level);
+    }
+
+    private void raiseLevel(int newLevel) {
+        level = newLevel;
+        callers.tailSet(1L << (HASH_BITS + ARM_BITS - level)).clear();
     }
 
-    void add(DistinctSample other) {
+    void merge(DistinctSample other) {
         if (other.level > level) {
-            raise(other.level);
+            raiseLevel(other.level);
         }
-        other.callers.forEach(this::add);
+        other.callers.forEach(this::addCaller);
     }
 
     /** How often the threshold was halved. */
@@ -44,31 +54,33 @@
         return level;
     }
 
-    long[] counts(int arms) {
-        long[] counts = new long[arms];
-        callers.forEach(caller -> counts[(int) (caller & 0xff)]++);
+    /** Of each arm the callers in the sample. */
+    long[] callersByArm(int armCount) {
+        long[] counts = new long[armCount];
+        callers.forEach(caller -> counts[(int) (caller & ARM_MASK)]++);
         return counts;
     }
 
-    void write(VarInts out) {
+    void encodeTo(VarInts out) {
         out.put(level);
         out.put(callers.size());
-        long last = 0;
+        long previous = 0;
         for (long caller : callers) {
-            out.put(caller - last);
-            last = caller;
+            out.put(caller - previous);
+            previous = caller;
         }
     }
 
-    static DistinctSample read(VarInts in, int arms) {
+    /** @throws IllegalArgumentException if this is not what {@link #encodeTo} writes */
+    static DistinctSample decode(VarInts in, int armCount) {
         DistinctSample sample = new DistinctSample();
-        sample.level = (int) in.number(32);
-        long n = in.number(MOST);
+        sample.level = (int) in.next(HASH_BITS);
+        long count = in.next(MAX_CALLERS);
         long caller = 0;
-        for (long i = 0; i < n; i++) {
-            caller += in.number(1L << 40);
-            if (caller >>> 8 >= 1L << 32 - sample.level || (caller & 0xff) >= arms) {
-                throw new IllegalArgumentException("a caller that is not of the sample");
+        for (long i = 0; i < count; i++) {
+            caller += in.next(1L << (HASH_BITS + ARM_BITS));
+            if (!sample.isUnderThreshold(caller) || (caller & ARM_MASK) >= armCount) {
+                throw new IllegalArgumentException("a caller that is not in the sample");
             }
             sample.callers.add(caller);
         }
--- a/src/main/java/merlinlever/experiments/Experiment.java
+++ b/src/main/java/merlinlever/experiments/Experiment.java
@@ -3,21 +3,22 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.StringJoiner;
 
 /**
- * A trial as it is stated, alike at every backend. What is stated is its identity: {@link #key} holds a digest of all of it, so
- * that one changed under the same name is another trial, with counts and an end of its own.
+ * The configuration of an experiment, the same at all backends. It is the experiment's identity: {@link #key} contains a digest of all of
+ * it, so that one that is changed under the same name is another experiment, with counts and a result of its own.
  *
- * @param arms 2 to {@value #MOST_ARMS}
- * @param safe index of the arm that runs where nothing is split
- * @param alpha chance of a wrong winner, at the most, over the whole trial and all looks at it
- * @param harm the same for calling an arm harmful; looser
- * @param difference the winner is better by more than this part: of the operations asked, and of their highest value
- * @param longest of splitting; then it ends without a winner
- * @param lease a backend goes on with its split for so long after whoever leads said that the trial goes on
- * @param valueMost an operation's value counts as this at the most
- * @param deaths so many backends that die while they split end it, with the safe arm
+ * @param arms 2 to {@value #MAX_ARMS}
+ * @param safe index of the arm that runs wherever callers are not split
+ * @param alpha probability of a wrong winner at most, over the whole experiment and all evaluations
+ * @param harm probability of wrongly calling an arm harmful at most; not lower than {@code alpha}
+ * @param difference a winner is better by more than this, as a share of the requests or of their highest value
+ * @param longest the experiment ends without a winner after callers were split for so long
+ * @param lease for so long a backend goes on splitting after the leader confirmed that the experiment goes on
+ * @param valueMost higher values of a request count as this one
+ * @param deaths the experiment ends with the safe arm when so many backends have died while splitting
  */
 public record Experiment(
         String name,
@@ -32,54 +33,79 @@
         double valueMost,
         int deaths) {
 
-    public static final int MOST_ARMS = 8;
+    /** The largest number of arms. */
+    public static final int MAX_ARMS = 8;
+
+    private static final long DIGEST_SALT = 0x7472_6961_6cL;
 
     /**
-     * @param weight its part of the callers, by all weights
-     * @param stayAway the longest advice, or null
-     * @param callLongest the longest wait for a call, or null
-     * @param route the preferred one, or null
+     * What one group of callers gets.
+     *
+     * @param weight its share of the callers, relative to the sum of all weights
+     * @param maxRetryAfter upper bound for the Retry-After that rejected callers get, if this arm changes it
+     * @param maxCallDuration upper bound for the time that a downstream call is waited for, if this arm changes it
+     * @param preferredRoute which of several usable routes is tried first, if this arm changes it
      */
-    public record Arm(String name, int weight, Duration stayAway, Duration callLongest, String route) {
+    public record Arm(
+            String name,
+            int weight,
+            Optional<Duration> maxRetryAfter,
+            Optional<Duration> maxCallDuration,
+            Optional<String> preferredRoute) {
+
+        /** An arm that changes nothing. */
+        public static Arm unchanged(String name, int weight) {
+            return new Arm(name, weight, Optional.empty(), Optional.empty(), Optional.empty());
+        }
 
-        /** The advice of the module, as this arm has it said. */
-        public Duration advice(Duration ofModule) {
-            return stayAway != null && stayAway.compareTo(ofModule) < 0 ? stayAway : ofModule;
+        /** The Retry-After that this arm's callers get in place of the controller's. */
+        public Duration retryAfter(Duration ofController) {
+            return shorter(maxRetryAfter, ofController);
         }
 
-        /** The time for a call that the module gives, as this arm has it. */
-        public Duration call(Duration ofModule) {
-            return callLongest != null && callLongest.compareTo(ofModule) < 0 ? callLongest : ofModule;
+        /** The time limit of this arm's downstream calls in place of the controller's. */
+        public Duration callDuration(Duration ofController) {
+            return shorter(maxCallDuration, ofController);
+        }
+
+        private static Duration shorter(Optional<Duration> bound, Duration duration) {
+            return bound.filter(max -> max.compareTo(duration) < 0).orElse(duration);
         }
     }
 
+    /** Copies the list of arms. */
     public Experiment {
         arms = List.copyOf(arms);
     }
 
-    /** Of all that is stated; never the same for two that differ (by 64 bits of hash). */
+    /** A 64-bit hash of the whole configuration. */
     public long digest() {
-        return BucketAssignment.hash(0x7472_6961_6cL, canonical().getBytes(StandardCharsets.UTF_8));
+        return BucketAssignment.hash(DIGEST_SALT, canonicalText().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What the digest is of; backends of all versions agree on it, so it names things as the first of them did. */
-    private String canonical() {
-        StringJoiner all = new StringJoiner(", ", "[", "]");
+    /**
+     * The text that the digest is computed of. Backends of all versions of the program agree on it, so it keeps the names that things had in
+     * the first one.
+     */
+    private String canonicalText() {
+        StringJoiner armTexts = new StringJoiner(", ", "[", "]");
         for (Arm arm : arms) {
-            all.add("Arm[name=" + arm.name + ", weight=" + arm.weight + ", stayAway=" + arm.stayAway + ", callLongest="
-                    + arm.callLongest + ", route=" + arm.route + "]");
+            armTexts.add("Arm[name=" + arm.name + ", weight=" + arm.weight + ", stayAway="
+                    + arm.maxRetryAfter.map(Duration::toString).orElse("null") + ", callLongest="
+                    + arm.maxCallDuration.map(Duration::toString).orElse("null") + ", route="
+                    + arm.preferredRoute.orElse("null") + "]");
         }
-        return "Trial[name=" + name + ", version=" + version + ", arms=" + all + ", safe=" + safe + ", alpha=" + alpha
-                + ", harm=" + harm + ", difference=" + difference + ", longest=" + longest + ", lease=" + lease
+        return "Trial[name=" + name + ", version=" + version + ", arms=" + armTexts + ", safe=" + safe + ", alpha="
+                + alpha + ", harm=" + harm + ", difference=" + difference + ", longest=" + longest + ", lease=" + lease
                 + ", valueMost=" + valueMost + ", deaths=" + deaths + "]";
     }
 
-    /** Its name everywhere: of its register, its counts and its salt. */
+    /** Identifies the experiment in its register, its counts and its assignment of callers. */
     public String key() {
         return name + "@" + version + "-" + String.format("%016x", digest());
     }
 
-    /** What its counts go under in what the backends share. */
+    /** The topic of its counts in the replicated store. */
     public String topic() {
         return "trial/" + name;
     }
--- a/src/main/java/merlinlever/experiments/ExperimentConfigReader.java
+++ b/src/main/java/merlinlever/experiments/ExperimentConfigReader.java
@@ -6,14 +6,18 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Reads the trials of a flattened configuration ({@code trials.0.name}, {@code trials.0.arms.1.weight} and so on). */
+/**
+ * Reads the experiments of a flattened configuration ({@code trials.0.name}, {@code trials.0.arms.1.weight} and so on) and validates
+ * them.
+ */
 public final class ExperimentConfigReader {
 
-    /** What is wrong, in one line for the person at the console. */
+    /** The configuration of an experiment is not valid; the message is one line for the operator. */
     public static final class InvalidExperimentException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -22,10 +26,14 @@
         }
     }
 
-    /** At a time, all of them. */
-    public static final int MOST = 4;
+    /** The largest number of experiments at a time. */
+    public static final int MAX_EXPERIMENTS = 4;
 
-    private static final Set<String> NAMES = Set.of(
+    /** An arm has at least one in so many parts of all weights; with fewer callers nothing can be told. */
+    private static final int MAX_WEIGHT_RATIO = 16;
+
+    private static final String PREFIX = "trials.";
+    private static final Set<String> KEYS = Set.of(
             "name",
             "version",
             "arms",
@@ -37,207 +45,242 @@
             "lease",
             "value-most",
             "deaths");
-    private static final String NAME = "[a-z0-9-]{1,20}";
+    private static final String NAME_PATTERN = "[a-z0-9-]{1,20}";
+    private static final String DURATION_PATTERN = "[0-9]{1,7}(ms|s|h|d)";
 
-    private final Map<String, String> rest;
-    private final Predicate<String> route;
+    private final Map<String, String> configuration;
+    private final Predicate<String> isRoute;
 
-    private ExperimentConfigReader(Map<String, String> rest, Predicate<String> route) {
-        this.rest = rest;
-        this.route = route;
+    private ExperimentConfigReader(Map<String, String> configuration, Predicate<String> isRoute) {
+        this.configuration = configuration;
+        this.isRoute = isRoute;
     }
 
     /**
-     * All trials, in their order.
+     * Reads all experiments, in their order.
      *
-     * @param route whether a route of that name is stated
+     * @param isRoute whether a route of that name is configured
      */
-    public static List<Experiment> read(Map<String, String> rest, Predicate<String> route)
+    public static List<Experiment> read(Map<String, String> configuration, Predicate<String> isRoute)
             throws InvalidExperimentException {
-        return new ExperimentConfigReader(rest, route).all();
+        return new ExperimentConfigReader(configuration, isRoute).readAll();
     }
 
-    private List<Experiment> all() throws InvalidExperimentException {
-        int n = 0;
-        for (String path : new TreeSet<>(rest.keySet())) {
-            if (path.startsWith("trials.")) {
-                String[] part = path.split("\\.");
-                if (!part[1].matches("[0-9]{1,2}") || part.length < 3 || !NAMES.contains(part[2])) {
-                    throw new InvalidExperimentException("the configuration's " + path + " is not known; a trial has "
-                            + String.join(", ", new TreeSet<>(NAMES)));
-                }
-                n = Math.max(n, Integer.parseInt(part[1]) + 1);
-            }
-        }
-        if (n > MOST) {
-            throw new InvalidExperimentException("the configuration has " + n + " trials; " + MOST + " at the most");
+    private static InvalidExperimentException invalid(String path, String problem) {
+        return new InvalidExperimentException("the configuration's " + path + problem);
+    }
+
+    private List<Experiment> readAll() throws InvalidExperimentException {
+        int count = count();
+        if (count > MAX_EXPERIMENTS) {
+            throw new InvalidExperimentException(
+                    "the configuration has " + count + " trials; " + MAX_EXPERIMENTS + " at the most");
         }
-        List<Experiment> trials = new ArrayList<>();
+        List<Experiment> experiments = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < n; i++) {
-            Experiment trial = trial("trials." + i + ".");
-            if (!names.add(trial.name())) {
-                throw new InvalidExperimentException(
-                        "the configuration's trials." + i + ".name is that of another trial: " + trial.name());
+        for (int i = 0; i < count; i++) {
+            Experiment experiment = readExperiment(PREFIX + i + ".");
+            if (!names.add(experiment.name())) {
+                throw invalid(PREFIX + i + ".name", " is that of another trial: " + experiment.name());
             }
-            trials.add(trial);
+            experiments.add(experiment);
         }
-        return trials;
+        return experiments;
     }
 
-    private Experiment trial(String at) throws InvalidExperimentException {
-        String name = name(at + "name");
-        List<Experiment.Arm> arms = new ArrayList<>();
-        Set<String> names = new HashSet<>();
-        int weights = 0;
+    private int count() throws InvalidExperimentException {
         int count = 0;
-        for (String path : rest.keySet()) {
-            if (path.startsWith(at + "arms.")) {
-                String[] part = path.substring(at.length() + 5).split("\\.", 2);
-                if (!part[0].matches("[0-9]")) {
-                    throw new InvalidExperimentException(
-                            "the configuration's " + at + "arms is a list of 2 to " + Experiment.MOST_ARMS + " arms");
+        for (String path : new TreeSet<>(configuration.keySet())) {
+            if (path.startsWith(PREFIX)) {
+                String[] parts = path.split("\\.");
+                if (!parts[1].matches("[0-9]{1,2}") || parts.length < 3 || !KEYS.contains(parts[2])) {
+                    throw invalid(path, " is not known; a trial has " + String.join(", ", new TreeSet<>(KEYS)));
                 }
-                count = Math.max(count, Integer.parseInt(part[0]) + 1);
-            }
-        }
-        if (count < 2 || count > Experiment.MOST_ARMS) {
-            throw new InvalidExperimentException("the configuration's " + at + "arms has " + count + "; 2 to "
-                    + Experiment.MOST_ARMS + " are needed");
-        }
-        for (int i = 0; i < count; i++) {
-            Experiment.Arm arm = arm(at + "arms." + i + ".");
-            if (!names.add(arm.name())) {
-                throw new InvalidExperimentException(
-                        "the configuration's " + at + "arms." + i + ".name is that of another arm: " + arm.name());
-            }
-            arms.add(arm);
-            weights += arm.weight();
-        }
-        for (int i = 0; i < count; i++) {
-            if (arms.get(i).weight() * 16 < weights) {
-                throw new InvalidExperimentException("the configuration's " + at + "arms." + i
-                        + ".weight is under a sixteenth of all weights, too little to tell anything by");
+                count = Math.max(count, Integer.parseInt(parts[1]) + 1);
             }
         }
-        int safe = -1;
-        for (int i = 0; i < count; i++) {
-            safe = arms.get(i).name().equals(rest.get(at + "safe")) ? i : safe;
-        }
-        if (safe < 0) {
-            throw new InvalidExperimentException(
-                    "the configuration's " + at + "safe names the arm that runs where nothing is split; '"
-                            + rest.getOrDefault(at + "safe", "") + "' is none");
-        }
-        double alpha = number(at + "alpha", 0.05, 1e-6, 0.2);
-        double harm = number(at + "harm", Math.max(0.1, alpha), 1e-6, 0.5);
+        return count;
+    }
+
+    private Experiment readExperiment(String prefix) throws InvalidExperimentException {
+        String name = name(prefix + "name");
+        List<Experiment.Arm> arms = readArms(prefix);
+        int safe = safeArm(prefix, arms);
+        double alpha = number(prefix + "alpha", 0.05, 1e-6, 0.2);
+        double harm = number(prefix + "harm", Math.max(0.1, alpha), 1e-6, 0.5);
         if (harm < alpha) {
-            throw new InvalidExperimentException(
-                    "the configuration's " + at + "harm is to be looser than alpha, so " + alpha + " or more");
+            throw invalid(prefix + "harm", " is to be looser than alpha, so " + alpha + " or more");
         }
-        Duration longest = span(at + "longest", "7d", Duration.ofMinutes(1), Duration.ofDays(90));
-        Duration lease = span(at + "lease", "10s", Duration.ofSeconds(1), Duration.ofMinutes(10));
+        Duration longest = duration(prefix + "longest", "7d", Duration.ofMinutes(1), Duration.ofDays(90));
+        Duration lease = duration(prefix + "lease", "10s", Duration.ofSeconds(1), Duration.ofMinutes(10));
         return new Experiment(
                 name,
-                (int) whole(at + "version", 1, 1, 1_000_000),
+                (int) wholeNumber(prefix + "version", 1, 1, 1_000_000),
                 arms,
                 safe,
                 alpha,
                 harm,
-                number(at + "difference", 0.01, 0, 0.5),
+                number(prefix + "difference", 0.01, 0, 0.5),
                 longest,
                 lease,
-                number(at + "value-most", 1, 1e-6, 1e9),
-                (int) whole(at + "deaths", 3, 1, 10_000));
+                number(prefix + "value-most", 1, 1e-6, 1e9),
+                (int) wholeNumber(prefix + "deaths", 3, 1, 10_000));
     }
 
-    private Experiment.Arm arm(String at) throws InvalidExperimentException {
-        String name = name(at + "name");
-        Duration stayAway = null;
-        Duration call = null;
-        String preferred = null;
-        for (String path : new TreeSet<>(rest.keySet())) {
-            if (!path.startsWith(at) || path.equals(at + "name") || path.equals(at + "weight")) {
-                continue;
+    private List<Experiment.Arm> readArms(String prefix) throws InvalidExperimentException {
+        int count = armCount(prefix);
+        if (count < 2 || count > Experiment.MAX_ARMS) {
+            throw invalid(prefix + "arms", " has " + count + "; 2 to " + Experiment.MAX_ARMS + " are needed");
+        }
+        List<Experiment.Arm> arms = new ArrayList<>();
+        Set<String> names = new HashSet<>();
+        int totalWeight = 0;
+        for (int i = 0; i < count; i++) {
+            Experiment.Arm arm = readArm(prefix + "arms." + i + ".");
+            if (!names.add(arm.name())) {
+                throw invalid(prefix + "arms." + i + ".name", " is that of another arm: " + arm.name());
             }
-            ArmSetting allowed = ArmSetting.of(path.substring(at.length()));
-            if (allowed == null) {
-                throw new InvalidExperimentException("the configuration's " + path + " cannot be tried: "
-                        + ArmSetting.refusal(path.substring(at.length())));
+            arms.add(arm);
+            totalWeight += arm.weight();
+        }
+        for (int i = 0; i < count; i++) {
+            if (arms.get(i).weight() * MAX_WEIGHT_RATIO < totalWeight) {
+                throw invalid(
+                        prefix + "arms." + i + ".weight",
+                        " is under a sixteenth of all weights, too little to tell anything by");
             }
-            switch (allowed) {
-                case STAY_AWAY -> stayAway = span(path, "", allowed.least, allowed.most);
-                case CALL -> call = span(path, "", allowed.least, allowed.most);
-                default -> {
-                    preferred = rest.get(path);
-                    if (!route.test(preferred)) {
-                        throw new InvalidExperimentException(
-                                "the configuration's " + path + " is no stated route: " + preferred);
-                    }
+        }
+        return arms;
+    }
+
+    private int armCount(String prefix) throws InvalidExperimentException {
+        int count = 0;
+        String armsPrefix = prefix + "arms.";
+        for (String path : configuration.keySet()) {
+            if (path.startsWith(armsPrefix)) {
+                String index = path.substring(armsPrefix.length()).split("\\.", 2)[0];
+                if (!index.matches("[0-9]")) {
+                    throw invalid(prefix + "arms", " is a list of 2 to " + Experiment.MAX_ARMS + " arms");
                 }
+                count = Math.max(count, Integer.parseInt(index) + 1);
+            }
+        }
+        return count;
+    }
+
+    private int safeArm(String prefix, List<Experiment.Arm> arms) throws InvalidExperimentException {
+        String name = configuration.getOrDefault(prefix + "safe", "");
+        for (int i = 0; i < arms.size(); i++) {
+            if (arms.get(i).name().equals(name)) {
+                return i;
             }
         }
-        return new Experiment.Arm(name, (int) whole(at + "weight", 1, 1, 1000), stayAway, call, preferred);
+        throw invalid(prefix + "safe", " names the arm that runs where nothing is split; '" + name + "' is none");
+    }
+
+    private Experiment.Arm readArm(String prefix) throws InvalidExperimentException {
+        String name = name(prefix + "name");
+        Optional<Duration> maxRetryAfter = Optional.empty();
+        Optional<Duration> maxCallDuration = Optional.empty();
+        Optional<String> preferredRoute = Optional.empty();
+        for (String path : new TreeSet<>(configuration.keySet())) {
+            if (!path.startsWith(prefix) || path.equals(prefix + "name") || path.equals(prefix + "weight")) {
+                continue;
+            }
+            ArmSetting setting = armSetting(path, path.substring(prefix.length()));
+            switch (setting) {
+                case MAX_RETRY_AFTER -> maxRetryAfter = Optional.of(duration(path, "", setting.min(), setting.max()));
+                case MAX_CALL_DURATION -> maxCallDuration =
+                        Optional.of(duration(path, "", setting.min(), setting.max()));
+                case PREFERRED_ROUTE -> preferredRoute = Optional.of(route(path));
+            }
+        }
+        int weight = (int) wholeNumber(prefix + "weight", 1, 1, 1000);
+        return new Experiment.Arm(name, weight, maxRetryAfter, maxCallDuration, preferredRoute);
+    }
+
+    private static ArmSetting armSetting(String path, String key) throws InvalidExperimentException {
+        Optional<ArmSetting> setting = ArmSetting.ofKey(key);
+        if (setting.isEmpty()) {
+            throw invalid(path, " cannot be tried: " + ArmSetting.rejectionReason(key));
+        }
+        return setting.get();
+    }
+
+    private String route(String path) throws InvalidExperimentException {
+        String route = configuration.get(path);
+        if (!isRoute.test(route)) {
+            throw invalid(path, " is no stated route: " + route);
+        }
+        return route;
     }
 
     private String name(String path) throws InvalidExperimentException {
-        String name = rest.getOrDefault(path, "");
-        if (!name.matches(NAME)) {
-            throw new InvalidExperimentException(
-                    "the configuration's " + path + " has 1 to 20 of a-z, 0-9 and -, not '" + name + "'");
+        String name = configuration.getOrDefault(path, "");
+        if (!name.matches(NAME_PATTERN)) {
+            throw invalid(path, " has 1 to 20 of a-z, 0-9 and -, not '" + name + "'");
         }
         return name;
     }
 
-    private long whole(String path, long absent, long least, long most) throws InvalidExperimentException {
-        double number = number(path, absent, least, most);
+    private long wholeNumber(String path, long defaultValue, long min, long max) throws InvalidExperimentException {
+        double number = number(path, defaultValue, min, max);
         if (number != Math.rint(number)) {
-            throw new InvalidExperimentException(
-                    "the configuration's " + path + " is to be a whole number from " + least + " to " + most);
+            throw invalid(path, " is to be a whole number from " + min + " to " + max);
         }
         return (long) number;
     }
 
-    private double number(String path, double absent, double least, double most) throws InvalidExperimentException {
-        String text = rest.get(path);
+    private double number(String path, double defaultValue, double min, double max) throws InvalidExperimentException {
+        String text = configuration.get(path);
+        double number = text == null ? defaultValue : parsed(text);
+        if (number >= min && number <= max) {
+            return number;
+        }
+        throw invalid(path, " is to be from " + plain(min) + " to " + plain(max) + ", not '" + text + "'");
+    }
+
+    /** Not a number, which is in no range, if the text is none. */
+    private static double parsed(String text) {
         try {
-            double number = text == null ? absent : Double.parseDouble(text);
-            if (number >= least && number <= most) {
-                return number;
-            }
+            return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            // Said below.
+            return Double.NaN;
         }
-        throw new InvalidExperimentException("the configuration's " + path + " is to be from " + plain(least) + " to "
-                + plain(most) + ", not '" + text + "'");
     }
 
     private static String plain(double number) {
         return new BigDecimal("" + number).stripTrailingZeros().toPlainString();
     }
 
-    private Duration span(String path, String absent, Duration least, Duration most) throws InvalidExperimentException {
-        String text = rest.getOrDefault(path, absent);
-        if (!text.matches("[0-9]{1,7}(ms|s|h|d)")) {
-            throw new InvalidExperimentException(
-                    "the configuration's " + path + " is a span such as 500ms, 10s, 12h or 7d, not '" + text + "'");
-        }
-        long number = Long.parseLong(text.replaceAll("[a-z]", ""));
-        Duration span = text.endsWith("ms")
-                ? Duration.ofMillis(number)
-                : text.endsWith("s")
-                        ? Duration.ofSeconds(number)
-                        : text.endsWith("h") ? Duration.ofHours(number) : Duration.ofDays(number);
-        if (span.compareTo(least) < 0 || span.compareTo(most) > 0) {
-            throw new InvalidExperimentException(
-                    "the configuration's " + path + " is to be from " + told(least) + " to " + told(most));
+    private Duration duration(String path, String defaultValue, Duration min, Duration max)
+            throws InvalidExperimentException {
+        String text = configuration.getOrDefault(path, defaultValue);
+        if (!text.matches(DURATION_PATTERN)) {
+            throw invalid(path, " is a span such as 500ms, 10s, 12h or 7d, not '" + text + "'");
         }
-        return span;
+        Duration duration = parsedDuration(text);
+        if (duration.compareTo(min) < 0 || duration.compareTo(max) > 0) {
+            throw invalid(path, " is to be from " + plain(min) + " to " + plain(max));
+        }
+        return duration;
+    }
+
+    private static Duration parsedDuration(String text) {
+        String unit = text.replaceAll("[0-9]", "");
+        long number = Long.parseLong(text.substring(0, text.length() - unit.length()));
+        return switch (unit) {
+            case "ms" -> Duration.ofMillis(number);
+            case "s" -> Duration.ofSeconds(number);
+            case "h" -> Duration.ofHours(number);
+            default -> Duration.ofDays(number);
+        };
     }
 
-    private static String told(Duration span) {
-        return span.toMillis() < 1000
-                ? span.toMillis() + "ms"
-                : span.toDays() > 0 ? span.toDays() + "d" : span.toSeconds() + "s";
+    private static String plain(Duration duration) {
+        if (duration.toMillis() < 1000) {
+            return duration.toMillis() + "ms";
+        }
+        return duration.toDays() > 0 ? duration.toDays() + "d" : duration.toSeconds() + "s";
     }
 }
--- a/src/main/java/merlinlever/experiments/ExperimentCounts.java
+++ b/src/main/java/merlinlever/experiments/ExperimentCounts.java
@@ -5,24 +5,27 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
+import merlinlever.experiments.RunningMoments.BucketSums;
 
 /**
- * What became of what callers asked in one trial, by arm and by bucket of callers ({@link BucketAssignment}). Tallies add up: over the lives
- * of a backend and over backends. It is of one trial as it is stated; the counts of another, though of the same name, are refused.
+ * The results of requests in one experiment, by arm and by bucket of callers ({@link BucketAssignment}). Counts of several processes and
+ * backends can be added up; those of another experiment, also of the same name, are rejected.
  *
- * <p>A further try of an operation is the operation: it is not asked again, and what becomes of it takes the place of what became of
- * the try before. Here that is known by the operation's own mark; one that was tried before at another backend is known by being
- * marked as a further try, and its good end counts here while it was asked there.
+ * <p>A retry belongs to its request: it is not counted as a new one, and its result replaces that of the attempt before. Here that is known
+ * by the request's key; a retry of a request that was first sent to another backend is known by being marked as one, and its success
+ * counts here while the request counts there.
  *
- * <p>For the test a bucket counts no more than {@value #OVER_MEAN} times the mean of all buckets (and {@value #FIRST}), so a caller with
- * half of the traffic weighs little; which operations count is settled when they are asked, so no outcome has a part in it.
+ * <p>For the test a bucket counts no more than {@value #MAX_OVER_MEAN} times the mean of all buckets (and {@value #MIN_BUCKET_REQUESTS}), so
+ * a caller with half of the traffic has little weight; which requests count is decided when they arrive, so no result has an influence on
+ * it.
  *
- * <p>Bounded: {@value BucketAssignment#BUCKETS} buckets, {@link DistinctSample#MOST} sampled callers, {@value #KNOWN} operations known for their further
- * tries; written it is under 14 KiB.
+ * <p>Bounded: {@value BucketAssignment#BUCKET_COUNT} buckets, {@link DistinctSample#MAX_CALLERS} sampled callers,
+ * {@value #MAX_KNOWN_REQUESTS} requests that are remembered for their retries; encoded it is under 14 KiB. Event loop only.
  */
 public final class ExperimentCounts {
 
-    /** What became of one try. */
+    /** The result of one attempt. On the wire nowhere. */
     public enum RequestResult {
         SERVED,
         LATE,
@@ -30,256 +33,318 @@
         OTHER
     }
 
-    /** All operations of one arm; values in thousandths of the highest, squares in millionths. */
-    public record ArmTotals(long asked, long satisfied, long late, long pushedBack, long value, long squared) {}
+    /** All requests of one arm; values in thousandths of the highest, squares of these in millionths. */
+    public record ArmTotals(long requests, long served, long late, long rejected, long value, long squaredValue) {}
 
-    /** One operation, over all its tries here. */
+    private static final class MutableArmTotals {
+        private long requests;
+        private long served;
+        private long late;
+        private long rejected;
+        private long value;
+        private long squaredValue;
+
+        ArmTotals snapshot() {
+            return new ArmTotals(requests, served, late, rejected, value, squaredValue);
+        }
+
+        void add(MutableArmTotals other) {
+            requests += other.requests;
+            served += other.served;
+            late += other.late;
+            rejected += other.rejected;
+            value += other.value;
+            squaredValue += other.squaredValue;
+        }
+
+        void encodeTo(VarInts out) {
+            out.put(requests);
+            out.put(served);
+            out.put(late);
+            out.put(rejected);
+            out.put(value);
+            out.put(squaredValue);
+        }
+
+        void decode(VarInts in) {
+            // The bounds are as wide for all but the squares.
+            requests = in.next(MAX_COUNT * VALUE_SCALE);
+            served = in.next(MAX_COUNT * VALUE_SCALE);
+            late = in.next(MAX_COUNT * VALUE_SCALE);
+            rejected = in.next(MAX_COUNT * VALUE_SCALE);
+            value = in.next(MAX_COUNT * VALUE_SCALE);
+            squaredValue = in.next(MAX_COUNT * VALUE_SCALE * VALUE_SCALE);
+        }
+    }
+
+    /** One request, over all its attempts here. */
     public static final class CountedRequest {
-        final int bucket;
-        final int arm;
-        final boolean counts;
-        private boolean good;
-        private boolean pushedBack;
+        private final int bucket;
+        private final int arm;
+        /** Whether it counts for the test. */
+        private final boolean tested;
 
-        private CountedRequest(int bucket, int arm, boolean counts) {
+        private boolean succeeded;
+        private boolean rejected;
+
+        private CountedRequest(int bucket, int arm, boolean tested) {
             this.bucket = bucket;
             this.arm = arm;
-            this.counts = counts;
+            this.tested = tested;
         }
 
+        /** The arm that the request belongs to. */
         public int arm() {
             return arm;
         }
     }
 
-    static final int FORM = 1;
-    static final int OVER_MEAN = 4;
-    static final int FIRST = 16;
-    static final int KNOWN = 4096;
-    static final int PARTS = 1000;
-    private static final long MOST = 1L << 40;
-    private static final int ASKED = 0;
-    private static final int SATISFIED = 1;
-    private static final int LATE = 2;
-    private static final int PUSHED = 3;
-    private static final int VALUE = 4;
-    private static final int SQUARED = 5;
-
-    private final Experiment trial;
-    private final BucketAssignment split;
-    private final long[][] raw;
-    final long[] asked = new long[BucketAssignment.BUCKETS];
-    final long[] satisfied = new long[BucketAssignment.BUCKETS];
-    final long[] value = new long[BucketAssignment.BUCKETS];
-    private long counted;
+    static final int FORMAT = 1;
+    static final int MAX_OVER_MEAN = 4;
+    static final int MIN_BUCKET_REQUESTS = 16;
+    static final int MAX_KNOWN_REQUESTS = 4096;
+    /** Values are counted in so many parts of the highest one. */
+    static final int VALUE_SCALE = 1000;
+
+    private static final long MAX_COUNT = 1L << 40;
+    private static final long MAX_DEATHS = 1_000_000;
+
+    private final Experiment experiment;
+    private final BucketAssignment assignment;
+    private final MutableArmTotals[] totals;
+    /** What counts for the test, by bucket. */
+    final long[] requests = new long[BucketAssignment.BUCKET_COUNT];
+
+    final long[] served = new long[BucketAssignment.BUCKET_COUNT];
+    final long[] value = new long[BucketAssignment.BUCKET_COUNT];
+    private long testedRequests;
     final DistinctSample sample = new DistinctSample();
-    /** Lives that ended without leaving while they split. */
+    /** Processes that ended without a shutdown while they were splitting. */
     private long deaths;
 
-    private long ranMs;
-    private boolean open = true;
-    private final Map<Long, CountedRequest> known = new LinkedHashMap<>(16, 0.75f, true) {
+    private long splitMs;
+    /** Whether this process is splitting, so that its end would be a death. */
+    private boolean splitting = true;
+
+    private final Map<Long, CountedRequest> knownRequests = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, CountedRequest> eldest) {
-            return size() > KNOWN;
+            return size() > MAX_KNOWN_REQUESTS;
         }
     };
 
-    public ExperimentCounts(Experiment trial) {
-        this.trial = trial;
-        split = new BucketAssignment(trial);
-        raw = new long[trial.arms().size()][6];
+    /** Creates empty counts. */
+    public ExperimentCounts(Experiment experiment) {
+        this.experiment = experiment;
+        assignment = new BucketAssignment(experiment);
+        totals = new MutableArmTotals[experiment.arms().size()];
+        Arrays.setAll(totals, arm -> new MutableArmTotals());
     }
 
     // ---- counting
 
     /**
-     * An operation was asked, and goes by the arm of its caller.
+     * Counts an arriving request for the arm of its caller.
      *
-     * @param operation what a further try of it has as well, or null
-     * @param again whether it is marked as a further try
+     * @param requestKey which retries of the request have as well, if there is one
+     * @param retry whether the request is marked as a retry
      */
-    public CountedRequest requestArrived(String caller, String operation, boolean again) {
-        long hash = split.hash(caller);
-        int bucket = BucketAssignment.bucket(hash);
-        int arm = split.arm(bucket);
-        Long mark = operation == null ? null : BucketAssignment.hash(hash, operation.getBytes(StandardCharsets.UTF_8));
-        CountedRequest before = mark == null ? null : known.get(mark);
-        if (before != null) {
-            return before;
+    public CountedRequest requestArrived(String caller, Optional<String> requestKey, boolean retry) {
+        long callerHash = assignment.hash(caller);
+        Optional<Long> requestHash =
+                requestKey.map(key -> BucketAssignment.hash(callerHash, key.getBytes(StandardCharsets.UTF_8)));
+        Optional<CountedRequest> known = requestHash.map(knownRequests::get);
+        if (known.isPresent()) {
+            return known.get();
         }
-        sample.seen(hash, arm);
-        boolean counts = asked[bucket] < FIRST + OVER_MEAN * (counted / BucketAssignment.BUCKETS);
-        if (!again) {
-            raw[arm][ASKED]++;
-            if (counts) {
-                asked[bucket]++;
-                counted++;
+        int bucket = BucketAssignment.bucket(callerHash);
+        int arm = assignment.armOfBucket(bucket);
+        sample.add(callerHash, arm);
+        boolean tested = requests[bucket] < maxBucketRequests();
+        if (!retry) {
+            totals[arm].requests++;
+            if (tested) {
+                requests[bucket]++;
+                testedRequests++;
             }
         }
-        CountedRequest op = new CountedRequest(bucket, arm, counts);
-        if (mark != null) {
-            known.put(mark, op);
-        }
-        return op;
+        CountedRequest request = new CountedRequest(bucket, arm, tested);
+        requestHash.ifPresent(hash -> knownRequests.put(hash, request));
+        return request;
     }
 
-    /** A try of it ended so, with that value. */
-    public void attemptEnded(CountedRequest op, RequestResult how, double worth) {
-        long[] mine = raw[op.arm];
-        if (op.good) {
+    /** So many requests of one bucket count for the test at present. */
+    private long maxBucketRequests() {
+        return MIN_BUCKET_REQUESTS + MAX_OVER_MEAN * (testedRequests / BucketAssignment.BUCKET_COUNT);
+    }
+
+    /** Counts the result of an attempt, unless an earlier one of the request succeeded. */
+    public void attemptEnded(CountedRequest request, RequestResult result, double requestValue) {
+        if (request.succeeded) {
             return;
         }
-        if (op.pushedBack && how != RequestResult.REJECTED) {
-            mine[PUSHED]--;
-            op.pushedBack = false;
+        MutableArmTotals arm = totals[request.arm];
+        boolean rejected = result == RequestResult.REJECTED;
+        if (rejected != request.rejected) {
+            arm.rejected += rejected ? 1 : -1;
+            request.rejected = rejected;
         }
-        if (how == RequestResult.REJECTED && !op.pushedBack) {
-            mine[PUSHED]++;
-            op.pushedBack = true;
+        if (result == RequestResult.SERVED || result == RequestResult.LATE) {
+            request.succeeded = true;
+            countSuccess(request, result == RequestResult.SERVED, scaledValue(requestValue));
         }
-        if (how != RequestResult.SERVED && how != RequestResult.LATE) {
-            return;
+    }
+
+    private void countSuccess(CountedRequest request, boolean inTime, long scaledValue) {
+        MutableArmTotals arm = totals[request.arm];
+        if (inTime) {
+            arm.served++;
+        } else {
+            arm.late++;
         }
-        op.good = true;
-        long parts = Math.round(PARTS * Math.max(0, Math.min(1, worth / trial.valueMost())));
-        mine[how == RequestResult.SERVED ? SATISFIED : LATE]++;
-        mine[VALUE] += parts;
-        mine[SQUARED] += parts * parts;
-        if (op.counts) {
-            satisfied[op.bucket] += how == RequestResult.SERVED ? 1 : 0;
-            value[op.bucket] += parts;
+        arm.value += scaledValue;
+        arm.squaredValue += scaledValue * scaledValue;
+        if (request.tested) {
+            served[request.bucket] += inTime ? 1 : 0;
+            value[request.bucket] += scaledValue;
         }
     }
 
-    /** It has split for so much longer. */
-    public void ran(Duration span) {
-        ranMs += span.toMillis();
+    private long scaledValue(double requestValue) {
+        return Math.round(VALUE_SCALE * Math.max(0, Math.min(1, requestValue / experiment.valueMost())));
+    }
+
+    /** This process has split callers for so much longer. */
+    public void addSplitTime(Duration duration) {
+        splitMs += duration.toMillis();
     }
 
-    /** It leaves in good order, or goes on. */
-    public void open(boolean goesOn) {
-        open = goesOn;
+    /** Whether this process is splitting callers: if it ends meanwhile without a shutdown, that counts as a death. */
+    public void setSplitting(boolean splitting) {
+        this.splitting = splitting;
     }
 
     // ---- adding up
 
+    /** Adds the counts of another process of the same experiment. */
     public void add(ExperimentCounts other) {
-        for (int arm = 0; arm < raw.length; arm++) {
-            for (int i = 0; i < raw[arm].length; i++) {
-                raw[arm][i] += other.raw[arm][i];
-            }
+        for (int arm = 0; arm < totals.length; arm++) {
+            totals[arm].add(other.totals[arm]);
         }
-        for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
-            asked[bucket] += other.asked[bucket];
-            satisfied[bucket] += other.satisfied[bucket];
+        for (int bucket = 0; bucket < BucketAssignment.BUCKET_COUNT; bucket++) {
+            requests[bucket] += other.requests[bucket];
+            served[bucket] += other.served[bucket];
             value[bucket] += other.value[bucket];
         }
-        counted += other.counted;
-        sample.add(other.sample);
+        testedRequests += other.testedRequests;
+        sample.merge(other.sample);
         deaths += other.deaths;
     }
 
-    /** As what is left behind by a life of this backend: one that was not ended in good order died. */
-    ExperimentCounts former() {
-        deaths += open ? 1 : 0;
-        open = false;
+    /** These are the counts of an earlier process of this backend: it has died if it was still splitting. */
+    ExperimentCounts ofEndedProcess() {
+        deaths += splitting ? 1 : 0;
+        splitting = false;
         return this;
     }
 
+    /** Processes that died while they were splitting. */
     public long deaths() {
         return deaths;
     }
 
-    /** How long it has split. */
-    public Duration ran() {
-        return Duration.ofMillis(ranMs);
+    /** How long callers were split by the process, and those before it. */
+    public Duration splitTime() {
+        return Duration.ofMillis(splitMs);
     }
 
+    /** All requests of an arm. */
     public ArmTotals totals(int arm) {
-        long[] mine = raw[arm];
-        return new ArmTotals(mine[ASKED], mine[SATISFIED], mine[LATE], mine[PUSHED], mine[VALUE], mine[SQUARED]);
+        return totals[arm].snapshot();
     }
 
     /** What the test needs of an arm. */
     RunningMoments moments(int arm) {
         RunningMoments moments = new RunningMoments();
-        for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
-            if (split.arm(bucket) == arm && asked[bucket] > 0) {
-                // A further try that was asked for elsewhere, where that count is lost, is not more than one operation.
-                moments.change(
-                        0,
-                        0,
-                        0,
-                        asked[bucket],
-                        Math.min(satisfied[bucket], asked[bucket]),
-                        Math.min(value[bucket], PARTS * asked[bucket]) / (double) PARTS);
+        for (int bucket = 0; bucket < BucketAssignment.BUCKET_COUNT; bucket++) {
+            if (assignment.armOfBucket(bucket) == arm && requests[bucket] > 0) {
+                // A success whose request was counted at a backend with lost counts must not make a share over 1.
+                moments.update(
+                        BucketSums.EMPTY,
+                        new BucketSums(
+                                requests[bucket],
+                                Math.min(served[bucket], requests[bucket]),
+                                Math.min(value[bucket], VALUE_SCALE * requests[bucket]) / (double) VALUE_SCALE));
             }
         }
         ArmTotals all = totals(arm);
-        moments.square = all.asked() == 0 ? 0 : Math.min(1, all.squared() / (double) PARTS / PARTS / all.asked());
+        moments.setMeanSquareValue(
+                all.requests() == 0
+                        ? 0
+                        : Math.min(1, all.squaredValue() / (double) VALUE_SCALE / VALUE_SCALE / all.requests()));
         return moments;
     }
 
-    // ---- as a snapshot
+    // ---- bytes
 
-    /** All of it, in one piece. */
+    /** The counts as an entry of the replicated store. */
     public byte[] encode() {
         VarInts out = new VarInts();
-        out.put(FORM);
-        out.put(trial.digest() >>> 1);
-        out.put(open ? 1 : 0);
+        out.put(FORMAT);
+        out.put(experiment.digest() >>> 1);
+        out.put(splitting ? 1 : 0);
         out.put(deaths);
-        out.put(ranMs);
-        for (long[] mine : raw) {
-            for (long count : mine) {
-                out.put(count);
-            }
+        out.put(splitMs);
+        for (MutableArmTotals arm : totals) {
+            arm.encodeTo(out);
         }
-        for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
-            boolean none = asked[bucket] == 0 && satisfied[bucket] == 0 && value[bucket] == 0;
-            out.put(none ? 0 : asked[bucket] + 1);
-            if (!none) {
-                out.put(satisfied[bucket]);
+        for (int bucket = 0; bucket < BucketAssignment.BUCKET_COUNT; bucket++) {
+            if (requests[bucket] == 0 && served[bucket] == 0 && value[bucket] == 0) {
+                out.put(0);
+            } else {
+                out.put(requests[bucket] + 1);
+                out.put(served[bucket]);
                 out.put(value[bucket]);
             }
         }
-        sample.write(out);
-        return out.written();
+        sample.encodeTo(out);
+        return out.toByteArray();
     }
 
-    /** What was written, or null where it is of another trial or form, or spoilt: then nothing of it counts. */
-    public static ExperimentCounts decode(Experiment trial, byte[] octets) {
-        ExperimentCounts tally = new ExperimentCounts(trial);
-        VarInts in = new VarInts(octets);
+    /** The counts in an entry; nothing if they are of another experiment or format, or corrupt. */
+    public static Optional<ExperimentCounts> decode(Experiment experiment, byte[] bytes) {
+        ExperimentCounts counts = new ExperimentCounts(experiment);
+        VarInts in = new VarInts(bytes);
         try {
-            if (in.number(FORM) != FORM || in.number(Long.MAX_VALUE) != trial.digest() >>> 1) {
-                return null;
-            }
-            tally.open = in.number(1) == 1;
-            tally.deaths = in.number(1_000_000);
-            tally.ranMs = in.number(MOST);
-            for (long[] mine : tally.raw) {
-                for (int i = 0; i < mine.length; i++) {
-                    mine[i] = in.number(MOST * PARTS * (i == SQUARED ? PARTS : 1));
-                }
+            if (in.next(FORMAT) != FORMAT || in.next(Long.MAX_VALUE) != experiment.digest() >>> 1) {
+                return Optional.empty();
             }
-            for (int bucket = 0; bucket < BucketAssignment.BUCKETS; bucket++) {
-                long asked = in.number(MOST);
-                if (asked > 0) {
-                    tally.asked[bucket] = asked - 1;
-                    tally.satisfied[bucket] = in.number(MOST);
-                    tally.value[bucket] = in.number(MOST * PARTS);
-                    tally.counted += asked - 1;
-                }
-            }
-            tally.sample.add(DistinctSample.read(in, trial.arms().size()));
-            // In one way only: what is written otherwise was not written here.
-            return in.over() && Arrays.equals(octets, tally.encode()) ? tally : null;
+            counts.decodeContent(in);
         } catch (IllegalArgumentException e) {
-            return null;
+            return Optional.empty();
+        }
+        // Anything but the one encoding of these counts was not written by this class.
+        return in.isAtEnd() && Arrays.equals(bytes, counts.encode()) ? Optional.of(counts) : Optional.empty();
+    }
+
+    private void decodeContent(VarInts in) {
+        splitting = in.next(1) == 1;
+        deaths = in.next(MAX_DEATHS);
+        splitMs = in.next(MAX_COUNT);
+        for (MutableArmTotals arm : totals) {
+            arm.decode(in);
+        }
+        for (int bucket = 0; bucket < BucketAssignment.BUCKET_COUNT; bucket++) {
+            long requestsPlusOne = in.next(MAX_COUNT);
+            if (requestsPlusOne > 0) {
+                requests[bucket] = requestsPlusOne - 1;
+                served[bucket] = in.next(MAX_COUNT);
+                value[bucket] = in.next(MAX_COUNT * VALUE_SCALE);
+                testedRequests += requests[bucket];
+            }
         }
+        sample.merge(DistinctSample.decode(in, experiment.arms().size()));
     }
 }
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -12,212 +12,239 @@
 import merlinlever.view.GuardedAction;
 
 /**
- * One backend's part in one trial: splits callers while it holds a lease ({@link SplitLease}), counts, says its counts, and ends the trial
- * where it leads and may decide. The end is what its register holds, once it is written there; before, nobody runs by it, and
- * after, nobody splits who knows it.
+ * One backend's part in one experiment: splits callers while it holds a lease ({@link SplitLease}), counts, publishes its counts, and, where
+ * it leads and is permitted to decide, ends the experiment. The result is what the experiment's register holds once it is written: before
+ * that nobody acts on it, and after that nobody who knows it splits callers. Event loop only.
  */
 public final class ExperimentNode implements ArmSelector {
 
-    /** By a look that comes later than this the trial has not run for longer: the process stood still, or its clock was moved. */
-    private static final Duration MOST_RUN = Duration.ofSeconds(1);
+    /**
+     * A tick that comes later than this counts no longer: the process was paused, or its clock was moved, and callers were not split for so
+     * long.
+     */
+    private static final Duration MAX_TICK_GAP = Duration.ofSeconds(1);
+
+    private static final int PUBLICATIONS_PER_LEASE = 4;
 
     private final String self;
-    private final Experiment trial;
-    private final BucketAssignment split;
-    private final SequentialAnalysis sequential;
-    private final FleetView seen;
+    private final Experiment experiment;
+    private final BucketAssignment assignment;
+    private final SequentialAnalysis analysis;
+    private final FleetView view;
     private final Leadership leadership;
     private final WriteOnceRegisters registers;
-    private final SharedStore common;
+    private final SharedStore store;
     private final Consumer<String> log;
     private final SplitLease lease;
-    private final ExperimentCounts mine;
-    private boolean carried;
-    private boolean splits;
-    private Duration last;
-    private Duration nextTold = Duration.ZERO;
-    private ExperimentResult end;
-    private ExperimentResult proposed;
-
+    private final ExperimentCounts ownCounts;
+    /** Whether the counts of this backend's earlier processes are part of its own. */
+    private boolean restored;
+
+    private boolean splitting;
+    private Duration lastTick;
+    private Duration nextPublication = Duration.ZERO;
+    private Optional<ExperimentResult> result = Optional.empty();
+    /** What this leader proposes. */
+    private Optional<ExperimentResult> proposed = Optional.empty();
+
+    /** @param log receives a line for each event that an operator may need */
     public ExperimentNode(
             Duration now,
             String self,
-            Experiment trial,
-            FleetView seen,
+            Experiment experiment,
+            FleetView view,
             Leadership leadership,
             WriteOnceRegisters registers,
-            SharedStore common,
+            SharedStore store,
             Consumer<String> log) {
         this.self = self;
-        this.trial = trial;
-        this.seen = seen;
+        this.experiment = experiment;
+        this.view = view;
         this.leadership = leadership;
         this.registers = registers;
-        this.common = common;
+        this.store = store;
         this.log = log;
-        split = new BucketAssignment(trial);
-        sequential = new SequentialAnalysis(trial);
-        lease = new SplitLease(common, self, trial);
-        mine = new ExperimentCounts(trial);
-        last = now;
+        assignment = new BucketAssignment(experiment);
+        analysis = new SequentialAnalysis(experiment);
+        lease = new SplitLease(store, self, experiment);
+        ownCounts = new ExperimentCounts(experiment);
+        lastTick = now;
     }
 
-    /** To be called every some hundred ms. */
-    public void look(Duration now) {
-        adopt(now);
-        if (end != null) {
+    /** Is called every few hundred milliseconds. */
+    public void tick(Duration now) {
+        adoptResult(now);
+        if (result.isPresent()) {
             return;
         }
-        if (splits && now.compareTo(last) > 0) {
-            Duration since = now.minus(last);
-            mine.ran(since.compareTo(MOST_RUN) > 0 ? MOST_RUN : since);
+        if (splitting && now.compareTo(lastTick) > 0) {
+            Duration gap = now.minus(lastTick);
+            ownCounts.addSplitTime(gap.compareTo(MAX_TICK_GAP) > 0 ? MAX_TICK_GAP : gap);
         }
-        last = now;
-        if (seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO) {
-            carry();
-            if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES) {
+        lastTick = now;
+        if (mayServe(now)) {
+            restoreCounts();
+            if (isPermitted(now, GuardedAction.ADOPT)) {
                 lease.request(now);
             }
-            lease.readGrants(leadership.leader(now));
-            if (now.compareTo(nextTold) >= 0) {
-                tell(now, splits);
+            readGrants(now);
+            if (now.compareTo(nextPublication) >= 0) {
+                publishCounts(now, splitting);
             }
         }
         decide(now);
-        splits = splits(now);
-    }
-
-    private void adopt(Duration now) {
-        Optional<ExperimentResult> written =
-                end != null ? Optional.empty() : ExperimentResult.of(trial, registers.chosen(trial.key()));
-        if (written.isPresent()) {
-            end = written.get();
-            splits = false;
-            log.accept("trial " + trial.name() + " is over, " + end.kind() + ": all go by "
-                    + trial.arms().get(end.arm()).name() + "; " + end.reason());
-            if (carried) {
-                tell(now, false);
-            }
-        }
+        splitting = maySplit(now);
     }
 
-    /** What a life before had said is the beginning of what this one says: once it has been told what it missed, and before it says anything. */
-    private void carry() {
-        if (!carried) {
-            carried = true;
-            common.get(self, trial.topic())
-                    .map(word -> ExperimentCounts.decode(trial, word.value()))
-                    .ifPresent(before -> {
-                        ExperimentCounts former = before.former();
-                        mine.add(former);
-                        mine.ran(former.ran());
-                    });
+    private boolean isPermitted(Duration now, GuardedAction action) {
+        return view.may(now, action) == ActionPermissions.Permission.YES;
+    }
+
+    private boolean mayServe(Duration now) {
+        return view.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO;
+    }
+
+    private void readGrants(Duration now) {
+        Leadership.Leader leader = leadership.leader(now);
+        if (leader != null) {
+            lease.readGrants(leader);
         }
     }
 
-    private void tell(Duration now, boolean open) {
-        nextTold = now.plus(trial.lease().dividedBy(4));
-        mine.open(open);
-        common.put(now, trial.topic(), mine.encode());
+    private void adoptResult(Duration now) {
+        if (result.isPresent()) {
+            return;
+        }
+        result = ExperimentResult.decode(experiment, registers.chosen(experiment.key()));
+        result.ifPresent(adopted -> {
+            splitting = false;
+            log.accept("experiment-ended experiment=" + experiment.name() + " kind=" + adopted.kind() + " arm="
+                    + experiment.arms().get(adopted.arm()).name() + " reason=\"" + adopted.reason() + "\"");
+            if (restored) {
+                publishCounts(now, false);
+            }
+        });
     }
 
-    /** Before it ends in good order. */
-    public void leave(Duration now) {
-        splits = false;
-        if (carried) {
-            tell(now, false);
+    /** Starts with what earlier processes of this backend published; once this one knows that, and before it publishes itself. */
+    private void restoreCounts() {
+        if (restored) {
+            return;
+        }
+        restored = true;
+        store.get(self, experiment.topic())
+                .flatMap(entry -> ExperimentCounts.decode(experiment, entry.value()))
+                .map(ExperimentCounts::ofEndedProcess)
+                .ifPresent(earlier -> {
+                    ownCounts.add(earlier);
+                    ownCounts.addSplitTime(earlier.splitTime());
+                });
+    }
+
+    private void publishCounts(Duration now, boolean stillSplitting) {
+        nextPublication = now.plus(experiment.lease().dividedBy(PUBLICATIONS_PER_LEASE));
+        ownCounts.setSplitting(stillSplitting);
+        store.put(now, experiment.topic(), ownCounts.encode());
+    }
+
+    /** Is called at a shutdown, which is no death then. */
+    public void shutDown(Duration now) {
+        splitting = false;
+        if (restored) {
+            publishCounts(now, false);
         }
     }
 
-    // ---- the end
+    // ---- the result
 
     private void decide(Duration now) {
-        if (!leadership.leads(now) || seen.may(now, GuardedAction.DECIDE) != ActionPermissions.Permission.YES) {
-            // A leader after it decides by what it knows then.
-            proposed = null;
+        if (!leadership.leads(now) || !isPermitted(now, GuardedAction.DECIDE)) {
+            // The next leader decides by what it knows then.
+            proposed = Optional.empty();
             return;
         }
-        if (proposed == null) {
-            StoppingDecision verdict = sequential.look(all(), ran());
-            if (verdict.isFinal()) {
-                proposed = new ExperimentResult(verdict.kind(), verdict.arm(), verdict.reason());
+        if (proposed.isEmpty()) {
+            StoppingDecision decision = analysis.evaluate(fleetCounts(), longestSplitTime());
+            if (decision.isFinal()) {
+                proposed = Optional.of(new ExperimentResult(decision.kind(), decision.arm(), decision.reason()));
             } else {
                 lease.grant(now, leadership.term());
             }
         }
-        if (proposed != null) {
-            registers.propose(now, trial.key(), proposed.encode());
-        }
+        proposed.ifPresent(toPropose -> registers.propose(now, experiment.key(), toPropose.encode()));
     }
 
-    /** All that is known of this very trial; what is of another, or spoilt, counts for nothing. */
-    ExperimentCounts all() {
-        ExperimentCounts all = new ExperimentCounts(trial);
-        for (VersionedEntry word : common.entries(trial.topic())) {
-            ExperimentCounts one = word.owner().equals(self) ? mine : ExperimentCounts.decode(trial, word.value());
-            if (one != null) {
-                all.add(one);
+    /** The sum of all known counts of this very experiment. */
+    ExperimentCounts fleetCounts() {
+        ExperimentCounts sum = new ExperimentCounts(experiment);
+        for (VersionedEntry entry : store.entries(experiment.topic())) {
+            if (entry.owner().equals(self)) {
+                sum.add(ownCounts);
+            } else {
+                ExperimentCounts.decode(experiment, entry.value()).ifPresent(sum::add);
             }
         }
-        return all;
+        return sum;
     }
 
-    private Duration ran() {
-        Duration longest = mine.ran();
-        for (VersionedEntry word : common.entries(trial.topic())) {
-            ExperimentCounts one = ExperimentCounts.decode(trial, word.value());
-            longest = one != null && one.ran().compareTo(longest) > 0 ? one.ran() : longest;
+    private Duration longestSplitTime() {
+        Duration longest = ownCounts.splitTime();
+        for (VersionedEntry entry : store.entries(experiment.topic())) {
+            Duration splitTime = ExperimentCounts.decode(experiment, entry.value())
+                    .map(ExperimentCounts::splitTime)
+                    .orElse(Duration.ZERO);
+            longest = splitTime.compareTo(longest) > 0 ? splitTime : longest;
         }
         return longest;
     }
 
-    // ---- the split
+    // ---- requests
 
-    private boolean splits(Duration now) {
-        return end == null
-                && carried
-                && lease.holds(now)
-                && seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO;
+    private boolean maySplit(Duration now) {
+        return result.isEmpty() && restored && lease.isHeld(now) && mayServe(now);
     }
 
-    /** By which arm the caller's operation goes. */
+    /** The arm that a request of the caller belongs to now. */
     public int arm(Duration now, String caller) {
-        splits = splits && splits(now);
-        return end != null ? end.arm() : splits ? split.arm(caller) : trial.safe();
+        splitting = splitting && maySplit(now);
+        if (result.isPresent()) {
+            return result.get().arm();
+        }
+        return splitting ? assignment.arm(caller) : experiment.safe();
     }
 
     @Override
     public int arm(String caller) {
-        return arm(last, caller);
+        return arm(lastTick, caller);
     }
 
-    /** An operation was asked; null where nothing is split, and it does not count. See {@link ExperimentCounts#asked}. */
-    public ExperimentCounts.CountedRequest asked(Duration now, String caller, String operation, boolean again) {
-        arm(now, caller);
-        return splits ? mine.requestArrived(caller, operation, again) : null;
+    /** Counts an arriving request, if callers are split; see {@link ExperimentCounts#requestArrived}. */
+    public Optional<ExperimentCounts.CountedRequest> requestArrived(
+            Duration now, String caller, Optional<String> requestKey, boolean retry) {
+        splitting = splitting && maySplit(now);
+        return splitting ? Optional.of(ownCounts.requestArrived(caller, requestKey, retry)) : Optional.empty();
     }
 
-    /** See {@link ExperimentCounts#attemptEnded}. */
-    public void became(ExperimentCounts.CountedRequest op, ExperimentCounts.RequestResult how, double worth) {
-        if (op != null && end == null) {
-            mine.attemptEnded(op, how, worth);
+    /** Counts the result of an attempt; see {@link ExperimentCounts#attemptEnded}. */
+    public void attemptEnded(
+            ExperimentCounts.CountedRequest request, ExperimentCounts.RequestResult requestResult, double value) {
+        if (result.isEmpty()) {
+            ownCounts.attemptEnded(request, requestResult, value);
         }
     }
 
-    /** The end, once it is known here to be written. */
-    public Optional<ExperimentResult> end() {
-        return Optional.ofNullable(end);
-    }
-
-    public boolean splitting() {
-        return splits;
+    /** The result, once this backend knows that it is written. */
+    public Optional<ExperimentResult> result() {
+        return result;
     }
 
-    public Experiment trial() {
-        return trial;
+    /** Whether this backend is splitting callers. */
+    public boolean isSplitting() {
+        return splitting;
     }
 
-    ExperimentCounts counts() {
-        return mine;
+    /** The experiment that this is a part of. */
+    public Experiment experiment() {
+        return experiment;
     }
 }
--- a/src/main/java/merlinlever/experiments/ExperimentResult.java
+++ b/src/main/java/merlinlever/experiments/ExperimentResult.java
@@ -3,46 +3,57 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** The end of a trial as it stands in its register: written once for the whole fleet, and never changed. */
+/**
+ * How an experiment ended, as its write-once register holds it for the whole fleet.
+ *
+ * @param arm that all callers get from then on
+ * @param reason for people, in one line
+ */
 public record ExperimentResult(StoppingDecision.Kind kind, int arm, String reason) {
 
-    private static final int FORM = 1;
-    private static final int MOST_WHY = 200;
+    private static final StoppingDecision.Kind[] KINDS = StoppingDecision.Kind.values();
+    private static final int FORMAT = 1;
+    private static final int MAX_REASON_LENGTH = 200;
 
     byte[] encode() {
         VarInts out = new VarInts();
-        out.put(FORM);
+        out.put(FORMAT);
         out.put(kind.ordinal());
         out.put(arm);
-        byte[] text = reason.substring(0, Math.min(MOST_WHY, reason.length())).getBytes(StandardCharsets.US_ASCII);
-        for (byte octet : text) {
-            out.put(octet);
+        String text = reason.substring(0, Math.min(MAX_REASON_LENGTH, reason.length()));
+        for (byte character : text.getBytes(StandardCharsets.US_ASCII)) {
+            out.put(character);
         }
-        return out.written();
+        return out.toByteArray();
     }
 
-    /** Whatever stands there is the end; what is not understood (of a later program) runs the safe arm. */
-    static ExperimentResult decode(Experiment trial, byte[] octets) {
-        VarInts in = new VarInts(octets);
+    /**
+     * The result in a register. Whatever the register holds ends the experiment: what a later version of the program wrote in another format
+     * runs the safe arm.
+     */
+    static ExperimentResult decode(Experiment experiment, byte[] bytes) {
         try {
-            if (in.number(FORM) == FORM) {
-                StoppingDecision.Kind kind =
-                        StoppingDecision.Kind.values()[(int) in.number(StoppingDecision.Kind.values().length - 1)];
-                int arm = (int) in.number(trial.arms().size() - 1);
-                StringBuilder why = new StringBuilder();
-                while (!in.over()) {
-                    why.append((char) in.number(127));
-                }
-                return new ExperimentResult(kind, arm, why.toString());
-            }
+            return decodeKnownFormat(experiment, new VarInts(bytes));
         } catch (IllegalArgumentException e) {
-            // Said below.
+            return new ExperimentResult(
+                    StoppingDecision.Kind.INVALID, experiment.safe(), "the register holds what is not understood");
         }
-        return new ExperimentResult(
-                StoppingDecision.Kind.INVALID, trial.safe(), "the register holds what is not understood");
     }
 
-    static Optional<ExperimentResult> of(Experiment trial, Optional<byte[]> written) {
-        return written.map(octets -> decode(trial, octets));
+    private static ExperimentResult decodeKnownFormat(Experiment experiment, VarInts in) {
+        if (in.next(FORMAT) != FORMAT) {
+            throw new IllegalArgumentException("format");
+        }
+        StoppingDecision.Kind kind = KINDS[(int) in.next(KINDS.length - 1)];
+        int arm = (int) in.next(experiment.arms().size() - 1);
+        StringBuilder reason = new StringBuilder();
+        while (!in.isAtEnd()) {
+            reason.append((char) in.next(127));
+        }
+        return new ExperimentResult(kind, arm, reason.toString());
+    }
+
+    static Optional<ExperimentResult> decode(Experiment experiment, Optional<byte[]> register) {
+        return register.map(bytes -> decode(experiment, bytes));
     }
 }
--- a/src/main/java/merlinlever/experiments/SampleRatioCheck.java
+++ b/src/main/java/merlinlever/experiments/SampleRatioCheck.java
@@ -1,32 +1,38 @@
 package merlinlever.experiments;
 
 /**
- * Whether callers came to the arms as the split is stated: the ratio of a mixture of splits to the stated one, which may be looked
- * at after each caller (M. Lindon, A. Malek, Anytime-Valid Inference for Multinomial Count Data, 2022). It is over a bound with a
- * chance of one over the bound at the most, however long one looks (J. Ville, 1939).
+ * Detects that callers were not assigned to the arms as configured (sample ratio mismatch): the likelihood ratio of a mixture of assignments
+ * to the configured one, which may be evaluated after each caller (M. Lindon, A. Malek, Anytime-Valid Inference for Multinomial Count
+ * Data, 2022). With a correct assignment it ever exceeds a bound with a probability of one over the bound at most (J. Ville, 1939).
  */
 final class SampleRatioCheck {
 
-    /** Chance that a good split is called wrong; each halving of the sample begins anew, with half of what is left of it. */
-    static final double LEVEL = 0.001;
-    /** How near the stated split the mixture lies. */
-    private static final double NEAR = 20;
+    /** Probability of a false alarm, shared out over the halvings of the sample. */
+    static final double FALSE_ALARM_PROBABILITY = 0.001;
+    /** How much of the mixture lies near the configured shares. */
+    private static final double CONCENTRATION = 20;
 
     private SampleRatioCheck() {}
 
-    /** The logarithm of the ratio. */
-    static double log(long[] counts, double[] parts) {
-        double log = 0;
-        long all = 0;
-        for (int arm = 0; arm < parts.length; arm++) {
-            for (long i = 0; i < counts[arm]; i++) {
-                log += Math.log((NEAR * parts[arm] + i) / (NEAR + all++) / parts[arm]);
+    /** The logarithm of the likelihood ratio. */
+    static double logRatio(long[] callersByArm, double[] shares) {
+        double logRatio = 0;
+        long total = 0;
+        for (int arm = 0; arm < shares.length; arm++) {
+            for (long i = 0; i < callersByArm[arm]; i++) {
+                logRatio += Math.log((CONCENTRATION * shares[arm] + i) / (CONCENTRATION + total) / shares[arm]);
+                total++;
             }
         }
-        return log;
+        return logRatio;
     }
 
-    static boolean wrong(long[] counts, double[] parts, int level) {
-        return log(counts, parts) >= Math.log(1 / LEVEL) + (level + 1) * Math.log(2);
+    /**
+     * Whether the callers are not distributed as the shares say.
+     *
+     * @param level halvings of the sample; each starts the check anew with half of the probability that was left
+     */
+    static boolean isMismatch(long[] callersByArm, double[] shares, int level) {
+        return logRatio(callersByArm, shares) >= Math.log(1 / FALSE_ALARM_PROBABILITY) + (level + 1) * Math.log(2);
     }
 }
--- a/src/main/java/merlinlever/experiments/SequentialAnalysis.java
+++ b/src/main/java/merlinlever/experiments/SequentialAnalysis.java
@@ -1,209 +1,271 @@
 package merlinlever.experiments;
 
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.Locale;
+import java.util.Optional;
+import merlinlever.experiments.RunningMoments.Measure;
 
 /**
- * When a trial is over, by a test that may be looked at after every operation: bounds for the difference of two arms that hold at
- * all times at once, from a normal mixture of the likelihood ratio (A. Wald, 1945; H. Robbins, 1970; R. Johari et al., Always Valid
- * Inference, 2017; S. Howard et al., Time-Uniform Confidence Sequences, 2021), with a variance that is estimated from the buckets of
- * callers (I. Waudby-Smith et al., Time-Uniform Central Limit Theory, 2021).
+ * Decides when an experiment is over, by a test that may be evaluated after every request: confidence sequences for the differences between
+ * arms, which hold at all times at once, from a normal mixture of the likelihood ratio (A. Wald, 1945; H. Robbins, 1970; R. Johari et al.,
+ * Always Valid Inference, 2017; S. Howard et al., Time-Uniform Confidence Sequences, 2021), with a variance that is estimated from the
+ * buckets of callers (I. Waudby-Smith et al., Time-Uniform Central Limit Theory, 2021).
  *
- * <p>Three things make the bounds wider where few are counted: the variance is never under that of as many single operations of
- * the pooled mean; Student's distribution stands for the normal one, by the number of buckets; and a term for bounded summands, as in
- * Bernstein's inequality. The level is divided among the pairs of arms and the two measures.
+ * <p>Three things widen the intervals while few requests are counted: the variance is never under that of as many independent requests with
+ * the pooled mean; Student's distribution replaces the normal one, by the number of buckets; and there is a term for bounded summands, as
+ * in Bernstein's inequality. The level is divided among the pairs of arms and the two measures.
  */
 public final class SequentialAnalysis {
 
-    /** Nothing is said of an arm with fewer operations, or fewer buckets that hold any. */
-    static final int LEAST_ASKED = 200;
+    /** Nothing is concluded about an arm with fewer requests. */
+    static final int MIN_REQUESTS = 200;
+    /** Nothing is concluded about an arm with fewer buckets that hold requests. */
+    static final int MIN_BUCKETS = 8;
+    /** The smallest difference that the intervals are tuned for. */
+    private static final double MIN_TUNED_DIFFERENCE = 0.005;
+    /** Each mixture is tuned for a difference so many times that of the one before. */
+    private static final double MIXTURE_RATIO = 4;
 
-    static final int LEAST_BUCKETS = 8;
-    /** A difference under this is not what the bounds are made for. */
-    private static final double FINEST = 0.005;
+    private static final int MIXTURES = 3;
+    /** Keeps exp from overflowing; the interval is useless at this width anyway. */
+    private static final double MAX_EXPONENT = 50;
 
-    private static final double COARSER = 4;
+    private static final Measure[] MEASURES = Measure.values();
 
-    /** How much better the one arm is than the other, between these at all times. */
+    /** How much better one arm is than another, at all times with the probability of the level. */
     public record ConfidenceInterval(double low, double high) {}
 
-    private final Experiment trial;
-    private final double[] parts;
-    private final double[] nearness = new double[3];
-    private final double level;
-    private final double harm;
-
-    public SequentialAnalysis(Experiment trial) {
-        this.trial = trial;
-        BucketAssignment split = new BucketAssignment(trial);
-        int arms = trial.arms().size();
-        parts = new double[arms];
-        for (int arm = 0; arm < arms; arm++) {
-            parts[arm] = split.part(arm);
-        }
-        // Each mixture is tightest where a difference of its own size is about to be seen: twice the smallest one, and
-        // coarser ones.
-        for (int i = 0; i < nearness.length; i++) {
-            double size = 2 * Math.max(FINEST, trial.difference()) * Math.pow(COARSER, i);
-            nearness[i] = 1.5 / (size * size);
-        }
-        level = trial.alpha() / (arms * (arms - 1));
-        harm = 2 * trial.harm() / (2 * (arms - 1));
+    /** How much better one arm was than another, and what the width of its interval depends on. */
+    private record EstimatedDifference(double difference, double variance, double degreesOfFreedom, double requests) {}
+
+    /** Of one arm and measure: how far it is ahead of all others at least, and at most of the one it is least ahead of. */
+    private static final class ArmBounds {
+        private double low = 1;
+        private double high = 1;
+
+        void include(double newLow, double newHigh) {
+            low = Math.min(low, newLow);
+            high = Math.min(high, newHigh);
+        }
+
+        void includeNothingKnown() {
+            low = -1;
+        }
+    }
+
+    private final Experiment experiment;
+    private final double[] shares;
+    private final double[] mixtureInformation = new double[MIXTURES];
+    private final double winnerLevel;
+    private final double harmLevel;
+
+    /** Prepares the test for an experiment. */
+    public SequentialAnalysis(Experiment experiment) {
+        this.experiment = experiment;
+        BucketAssignment assignment = new BucketAssignment(experiment);
+        int arms = experiment.arms().size();
+        shares = new double[arms];
+        Arrays.setAll(shares, assignment::share);
+        // Each mixture is tightest where a difference of its own size is about to be detected: twice the smallest one
+        // that
+        // matters, and coarser ones.
+        for (int i = 0; i < MIXTURES; i++) {
+            double size = 2 * Math.max(MIN_TUNED_DIFFERENCE, experiment.difference()) * Math.pow(MIXTURE_RATIO, i);
+            mixtureInformation[i] = 1.5 / (size * size);
+        }
+        winnerLevel = experiment.alpha() / (arms * (arms - 1));
+        harmLevel = 2 * experiment.harm() / (2 * (arms - 1));
     }
 
     /**
-     * A look.
+     * Evaluates the experiment.
      *
-     * @param ran how long the trial has split
+     * @param splitTime how long callers have been split
      */
-    public StoppingDecision look(ExperimentCounts all, Duration ran) {
-        long[] callers = all.sample.counts(parts.length);
-        if (SampleRatioCheck.wrong(callers, parts, all.sample.level())) {
-            StringBuilder seen = new StringBuilder();
-            for (int arm = 0; arm < callers.length; arm++) {
-                seen.append(arm == 0 ? "" : ", ")
-                        .append(callers[arm])
-                        .append(" of ")
-                        .append(trial.arms().get(arm).name());
-            }
-            return new StoppingDecision(
-                    StoppingDecision.Kind.INVALID,
-                    trial.safe(),
-                    "the split is not the stated one: of the sampled callers " + seen);
-        }
-        if (all.deaths() >= trial.deaths()) {
-            return new StoppingDecision(
-                    StoppingDecision.Kind.HARM, trial.safe(), all.deaths() + " backends died while they split");
-        }
-        RunningMoments[] arms = new RunningMoments[parts.length];
-        for (int arm = 0; arm < arms.length; arm++) {
-            arms[arm] = all.moments(arm);
-        }
-        StoppingDecision verdict = test(arms);
-        return verdict.isFinal() || ran.compareTo(trial.longest()) < 0
-                ? verdict
-                : new StoppingDecision(
-                        StoppingDecision.Kind.TIME_LIMIT, trial.safe(), "no difference was shown in the longest time");
+    public StoppingDecision evaluate(ExperimentCounts counts, Duration splitTime) {
+        long[] callers = counts.sample.callersByArm(shares.length);
+        if (SampleRatioCheck.isMismatch(callers, shares, counts.sample.level())) {
+            return safeArm(StoppingDecision.Kind.INVALID, describeMismatch(callers));
+        }
+        if (counts.deaths() >= experiment.deaths()) {
+            return safeArm(StoppingDecision.Kind.HARM, counts.deaths() + " backends died while they split");
+        }
+        RunningMoments[] arms = new RunningMoments[shares.length];
+        Arrays.setAll(arms, counts::moments);
+        StoppingDecision decision = test(arms);
+        return decision.isFinal() || splitTime.compareTo(experiment.longest()) < 0
+                ? decision
+                : safeArm(StoppingDecision.Kind.TIME_LIMIT, "no difference was shown in the longest time");
     }
 
-    /** How far one arm is seen to be over another, and how surely. */
-    private record EstimatedDifference(double difference, double variance, double freedom, double asked) {}
+    private StoppingDecision safeArm(StoppingDecision.Kind kind, String reason) {
+        return new StoppingDecision(kind, experiment.safe(), reason);
+    }
+
+    private String describeMismatch(long[] callers) {
+        StringBuilder reason = new StringBuilder("the split is not the stated one: of the sampled callers ");
+        for (int arm = 0; arm < callers.length; arm++) {
+            reason.append(arm == 0 ? "" : ", ")
+                    .append(callers[arm])
+                    .append(" of ")
+                    .append(experiment.arms().get(arm).name());
+        }
+        return reason.toString();
+    }
+
+    /** The most certain harm of any arm compared with the safe one. */
+    private static final class WorstHarm {
+        private double lead;
+        private Optional<Integer> arm = Optional.empty();
+
+        void include(double safeArmLead, int otherArm) {
+            if (safeArmLead > lead) {
+                lead = safeArmLead;
+                arm = Optional.of(otherArm);
+            }
+        }
+    }
 
     /** What the counts alone say. */
     StoppingDecision test(RunningMoments... arms) {
         for (RunningMoments arm : arms) {
-            if (arm.asked < LEAST_ASKED || arm.buckets < LEAST_BUCKETS) {
-                return new StoppingDecision(StoppingDecision.Kind.CONTINUE, trial.safe(), "too few are counted");
+            if (arm.requests() < MIN_REQUESTS || arm.buckets() < MIN_BUCKETS) {
+                return safeArm(StoppingDecision.Kind.CONTINUE, "too few are counted");
             }
         }
-        int n = arms.length;
-        // Of each arm, by each measure: its surest lead over any other, and its surest lag behind any.
-        double[][] low = new double[n][2];
-        double[][] high = new double[n][2];
-        double harmed = 0;
-        int harms = -1;
-        for (int i = 0; i < n; i++) {
-            low[i] = new double[] {1, 1};
-            high[i] = new double[] {1, 1};
-        }
-        for (int i = 0; i < n; i++) {
-            for (int k = i + 1; k < n; k++) {
-                for (int m = 0; m < 2; m++) {
-                    EstimatedDifference lead = lead(arms[i], arms[k], m == 1);
-                    if (saysNothing(lead)) {
-                        low[i][m] = low[k][m] = -1;
-                        continue;
-                    }
-                    double radius = radius(lead, level);
-                    low[i][m] = Math.min(low[i][m], lead.difference() - radius);
-                    high[i][m] = Math.min(high[i][m], lead.difference() + radius);
-                    low[k][m] = Math.min(low[k][m], -lead.difference() - radius);
-                    high[k][m] = Math.min(high[k][m], -lead.difference() + radius);
-                    if (i == trial.safe() || k == trial.safe()) {
-                        double over = (i == trial.safe() ? lead.difference() : -lead.difference()) - radius(lead, harm);
-                        harms = over > harmed ? i == trial.safe() ? k : i : harms;
-                        harmed = Math.max(harmed, over);
-                    }
-                }
+        ArmBounds[][] bounds = new ArmBounds[arms.length][MEASURES.length];
+        for (ArmBounds[] ofArm : bounds) {
+            Arrays.setAll(ofArm, measure -> new ArmBounds());
+        }
+        WorstHarm worstHarm = new WorstHarm();
+        for (int i = 0; i < arms.length; i++) {
+            for (int k = i + 1; k < arms.length; k++) {
+                compare(arms, i, k, bounds, worstHarm);
             }
         }
-        boolean futile = true;
-        for (int i = 0; i < n; i++) {
-            for (int m = 0; m < 2; m++) {
-                // It lags behind none by the other measure for certain.
-                if (low[i][m] > trial.difference() && high[i][1 - m] >= 0) {
-                    return new StoppingDecision(
-                            StoppingDecision.Kind.WINNER,
-                            i,
-                            trial.arms().get(i).name() + " is better by more than " + told(low[i][m], m));
+        Optional<StoppingDecision> winner = winner(bounds);
+        if (winner.isPresent()) {
+            return winner.get();
+        }
+        if (worstHarm.arm.isPresent()) {
+            return safeArm(
+                    StoppingDecision.Kind.HARM,
+                    experiment.arms().get(worstHarm.arm.get()).name() + " is worse than the safe arm by more than "
+                            + format(worstHarm.lead));
+        }
+        return isFutile(bounds)
+                ? safeArm(StoppingDecision.Kind.FUTILE, "none is better than another by the smallest difference")
+                : safeArm(StoppingDecision.Kind.CONTINUE, "nothing is shown yet");
+    }
+
+    /** Includes the difference of a pair of arms in the bounds of both. */
+    private void compare(RunningMoments[] arms, int i, int k, ArmBounds[][] bounds, WorstHarm worstHarm) {
+        for (Measure measure : MEASURES) {
+            ArmBounds boundsOfFirst = bounds[i][measure.ordinal()];
+            ArmBounds boundsOfSecond = bounds[k][measure.ordinal()];
+            EstimatedDifference estimate = estimate(arms[i], arms[k], measure);
+            if (isInconclusive(estimate)) {
+                boundsOfFirst.includeNothingKnown();
+                boundsOfSecond.includeNothingKnown();
+                continue;
+            }
+            double difference = estimate.difference;
+            double radius = radius(estimate, winnerLevel);
+            boundsOfFirst.include(difference - radius, difference + radius);
+            boundsOfSecond.include(-difference - radius, -difference + radius);
+            if (i == experiment.safe()) {
+                worstHarm.include(difference - radius(estimate, harmLevel), k);
+            } else if (k == experiment.safe()) {
+                worstHarm.include(-difference - radius(estimate, harmLevel), i);
+            }
+        }
+    }
+
+    /** The arm that is certainly better than all others by one measure, and by the other not certainly worse than any. */
+    private Optional<StoppingDecision> winner(ArmBounds[][] bounds) {
+        for (int arm = 0; arm < bounds.length; arm++) {
+            for (Measure measure : MEASURES) {
+                double low = bounds[arm][measure.ordinal()].low;
+                double highOfOther = bounds[arm][1 - measure.ordinal()].high;
+                if (low > experiment.difference() && highOfOther >= 0) {
+                    String reason = experiment.arms().get(arm).name() + " is better by more than " + format(low)
+                            + (measure == Measure.SERVED_SHARE ? " of the operations asked" : " of the highest value");
+                    return Optional.of(new StoppingDecision(StoppingDecision.Kind.WINNER, arm, reason));
                 }
-                futile &= high[i][m] < trial.difference();
             }
         }
-        if (harms >= 0) {
-            return new StoppingDecision(
-                    StoppingDecision.Kind.HARM,
-                    trial.safe(),
-                    trial.arms().get(harms).name() + " is worse than the safe arm by more than "
-                            + String.format(Locale.ROOT, "%.4f", harmed));
-        }
-        return futile
-                ? new StoppingDecision(
-                        StoppingDecision.Kind.FUTILE,
-                        trial.safe(),
-                        "none is better than another by the smallest difference")
-                : new StoppingDecision(StoppingDecision.Kind.CONTINUE, trial.safe(), "nothing is shown yet");
+        return Optional.empty();
     }
 
-    /** Whether no bounds of these levels can be clear of nothing or within the smallest difference; most looks end here. */
-    private boolean saysNothing(EstimatedDifference lead) {
-        double least = lead.variance() * 2 * Math.log(1 / Math.max(level, harm));
-        return lead.difference() * lead.difference() < least && least > trial.difference() * trial.difference();
+    /** Whether no arm can be better than all others by a difference that matters. */
+    private boolean isFutile(ArmBounds[][] bounds) {
+        return Arrays.stream(bounds).flatMap(Arrays::stream).allMatch(bound -> bound.high < experiment.difference());
     }
 
-    private static String told(double part, int measure) {
-        return String.format(Locale.ROOT, "%.4f", part)
-                + (measure == 0 ? " of the operations asked" : " of the highest value");
+    /** Whether the interval, at either level, contains both zero and the smallest difference for certain; most evaluations end here. */
+    private boolean isInconclusive(EstimatedDifference estimate) {
+        double minSquare = estimate.variance * 2 * Math.log(1 / Math.max(winnerLevel, harmLevel));
+        return estimate.difference * estimate.difference < minSquare
+                && minSquare > experiment.difference() * experiment.difference();
+    }
+
+    private static String format(double difference) {
+        return String.format(Locale.ROOT, "%.4f", difference);
     }
 
     /**
-     * How much better i is than k, at all times with that chance of being outside. Divided between the two by their standard errors, these
-     * are bounds for each arm of which i's lower one is over k's upper one just where the lower one here is over nothing (H. Goldstein,
-     * M. Healy, 1995).
+     * How much better the first arm is than the second, at all times with the given probability of being outside. Divided between the two by
+     * their standard errors, these are intervals for each arm of which the first one's lower end is over the second one's upper end just
+     * where the lower end here is over zero (H. Goldstein, M. Healy, 1995).
      */
-    ConfidenceInterval bounds(RunningMoments i, RunningMoments k, boolean ofValue, double chance) {
-        EstimatedDifference lead = lead(i, k, ofValue);
-        double radius = radius(lead, chance);
-        return new ConfidenceInterval(lead.difference() - radius, lead.difference() + radius);
+    ConfidenceInterval interval(RunningMoments first, RunningMoments second, Measure measure, double level) {
+        EstimatedDifference estimate = estimate(first, second, measure);
+        double radius = radius(estimate, level);
+        return new ConfidenceInterval(estimate.difference - radius, estimate.difference + radius);
     }
 
-    private static EstimatedDifference lead(RunningMoments i, RunningMoments k, boolean ofValue) {
-        double pooled = ((ofValue ? i.value + k.value : i.satisfied + k.satisfied) + 1) / (i.asked + k.asked + 2);
-        double single = ofValue
-                ? Math.max(0, (i.square * i.asked + k.square * k.asked + 1) / (i.asked + k.asked + 2) - pooled * pooled)
-                : pooled * (1 - pooled);
-        double ofI = Math.max(i.variance(ofValue), single / i.asked);
-        double ofK = Math.max(k.variance(ofValue), single / k.asked);
-        double variance = ofI + ofK;
-        double freedom = variance * variance / (ofI * ofI / (i.buckets - 1) + ofK * ofK / (k.buckets - 1));
+    private static EstimatedDifference estimate(RunningMoments first, RunningMoments second, Measure measure) {
+        double requests = first.requests() + second.requests() + 2;
+        double pooledMean = (first.total(measure) + second.total(measure) + 1) / requests;
+        double requestVariance;
+        if (measure == Measure.MEAN_VALUE) {
+            double pooledSquare =
+                    (first.meanSquareValue() * first.requests() + second.meanSquareValue() * second.requests() + 1)
+                            / requests;
+            requestVariance = Math.max(0, pooledSquare - pooledMean * pooledMean);
+        } else {
+            requestVariance = pooledMean * (1 - pooledMean);
+        }
+        double varianceOfFirst = Math.max(first.variance(measure), requestVariance / first.requests());
+        double varianceOfSecond = Math.max(second.variance(measure), requestVariance / second.requests());
+        double variance = varianceOfFirst + varianceOfSecond;
+        // B. Welch's approximation (1947).
+        double degreesOfFreedom = variance
+                * variance
+                / (varianceOfFirst * varianceOfFirst / (first.buckets() - 1)
+                        + varianceOfSecond * varianceOfSecond / (second.buckets() - 1));
         return new EstimatedDifference(
-                i.mean(ofValue) - k.mean(ofValue), variance, freedom, Math.min(i.asked, k.asked));
+                first.mean(measure) - second.mean(measure),
+                variance,
+                degreesOfFreedom,
+                Math.min(first.requests(), second.requests()));
     }
 
     /**
-     * Of the normal mixtures at the information 1/variance, the narrowest, each with its part of the chance; Student's distribution by
-     * D. Wallace's approximation (1959).
+     * Half the width of the interval: of the normal mixtures at the information 1/variance the narrowest, each with its part of the level;
+     * Student's distribution by D. Wallace's approximation (1959).
      */
-    private double radius(EstimatedDifference lead, double chance) {
-        double information = 1 / lead.variance();
-        double least = Double.MAX_VALUE;
-        for (double near : nearness) {
-            least = Math.min(
-                    least,
-                    (1 + near / information)
-                            * (Math.log(1 + information / near) + 2 * Math.log(nearness.length / chance)));
-        }
-        return Math.sqrt(lead.variance() * lead.freedom() * (Math.exp(Math.min(50, least / lead.freedom())) - 1))
-                + Math.log(2 / chance) / 3 / lead.asked();
+    private double radius(EstimatedDifference estimate, double level) {
+        double information = 1 / estimate.variance;
+        double narrowest = Double.MAX_VALUE;
+        for (double mixture : mixtureInformation) {
+            double width = (1 + mixture / information)
+                    * (Math.log(1 + information / mixture) + 2 * Math.log(MIXTURES / level));
+            narrowest = Math.min(narrowest, width);
+        }
+        double exponent = Math.min(MAX_EXPONENT, narrowest / estimate.degreesOfFreedom);
+        return Math.sqrt(estimate.variance * estimate.degreesOfFreedom * (Math.exp(exponent) - 1))
+                + Math.log(2 / level) / 3 / estimate.requests;
     }
 }
--- a/src/main/java/merlinlever/experiments/SplitLease.java
+++ b/src/main/java/merlinlever/experiments/SplitLease.java
@@ -9,125 +9,127 @@
 import merlinlever.replication.VersionedEntry;
 
 /**
- * For how long a backend may split. It asks by a word of its own; whoever leads and has not ended the trial answers with the versions
- * of the questions that it has heard, and an answer is good for one lease from its question, on the asker's own steady clock (C. Gray,
- * D. Cheriton, Leases, 1989). A leader that has an end to write answers no more; so one that was away, and asks anew, splits again only
- * by an answer that was given before anybody had ended the trial, or not at all.
+ * For how long a backend may split callers. It requests a lease by an entry of its own in the replicated store; a leader that has not ended
+ * the experiment answers with the versions of the requests it has received, and a lease runs from its request, by the requester's
+ * steady clock (C. Gray, D. Cheriton, Leases, 1989). A leader that has a result to write grants no more. So a backend that was cut off
+ * splits again only by a grant that was given before anybody had ended the experiment, or not at all.
  */
 final class SplitLease {
 
-    /** Questions that may still be answered, and backends that are answered, at the most. */
-    private static final int MOST = 64;
+    /** Requests that may still be granted. */
+    private static final int MAX_PENDING = 64;
+    /** Requests that are granted at a time. */
+    private static final int MAX_GRANTED = 250;
 
-    private static final int MOST_ANSWERED = 250;
-    private static final String NONE = "";
+    private static final int RENEWALS_PER_LEASE = 8;
 
     private record PendingLeaseRequest(long incarnation, long sequence, Duration at) {}
 
-    private final SharedStore common;
+    private final SharedStore store;
     private final String self;
-    private final Experiment trial;
-    private final ArrayDeque<PendingLeaseRequest> asked = new ArrayDeque<>();
-    private Duration until = Duration.ZERO;
-    private Duration nextAsk = Duration.ZERO;
-    private Duration nextAnswer = Duration.ZERO;
-    private long term;
-    private String answered = NONE;
-
-    SplitLease(SharedStore common, String self, Experiment trial) {
-        this.common = common;
+    private final Experiment experiment;
+    private final ArrayDeque<PendingLeaseRequest> pending = new ArrayDeque<>();
+    private Duration expiry = Duration.ZERO;
+    private Duration nextRequest = Duration.ZERO;
+    private Duration nextGrant = Duration.ZERO;
+    private long highestTerm;
+    private String lastGrants = "";
+
+    SplitLease(SharedStore store, String self, Experiment experiment) {
+        this.store = store;
         this.self = self;
-        this.trial = trial;
+        this.experiment = experiment;
     }
 
-    private String questions() {
-        return "trial-q/" + trial.name();
+    private String requestTopic() {
+        return "trial-q/" + experiment.name();
     }
 
-    private String answers() {
-        return "trial-go/" + trial.name();
+    private String grantTopic() {
+        return "trial-go/" + experiment.name();
     }
 
-    private Duration pause() {
-        return trial.lease().dividedBy(8);
+    private Duration renewalInterval() {
+        return experiment.lease().dividedBy(RENEWALS_PER_LEASE);
     }
 
-    boolean holds(Duration now) {
-        return now.compareTo(until) < 0;
+    boolean isHeld(Duration now) {
+        return now.compareTo(expiry) < 0;
     }
 
     Duration expiry() {
-        return until;
+        return expiry;
     }
 
+    /** Requests a lease if the next request is due. */
     void request(Duration now) {
-        if (now.compareTo(nextAsk) < 0) {
+        if (now.compareTo(nextRequest) < 0) {
             return;
         }
-        nextAsk = now.plus(pause());
-        if (common.put(now, questions(), trial.key().getBytes(StandardCharsets.US_ASCII))) {
-            common.get(self, questions())
-                    .ifPresent(word -> asked.add(new PendingLeaseRequest(word.incarnation(), word.sequence(), now)));
+        nextRequest = now.plus(renewalInterval());
+        if (store.put(now, requestTopic(), experiment.key().getBytes(StandardCharsets.US_ASCII))) {
+            store.get(self, requestTopic())
+                    .ifPresent(
+                            entry -> pending.add(new PendingLeaseRequest(entry.incarnation(), entry.sequence(), now)));
         }
-        while (asked.size() > MOST) {
-            asked.poll();
+        while (pending.size() > MAX_PENDING) {
+            pending.poll();
         }
     }
 
-    /** As the leader: whose questions are heard, of this very trial. */
-    void grant(Duration now, long ofTerm) {
-        if (now.compareTo(nextAnswer) < 0) {
+    /** As the leader of a term, grants all requests for this very experiment if the next grant is due. */
+    void grant(Duration now, long term) {
+        if (now.compareTo(nextGrant) < 0) {
             return;
         }
-        nextAnswer = now.plus(pause());
-        StringBuilder text = new StringBuilder(trial.key()).append(' ').append(ofTerm);
-        int n = 0;
-        for (VersionedEntry word : common.entries(questions())) {
-            if (n++ < MOST_ANSWERED && new String(word.value(), StandardCharsets.US_ASCII).equals(trial.key())) {
-                text.append(' ')
-                        .append(word.owner())
+        nextGrant = now.plus(renewalInterval());
+        StringBuilder grants = new StringBuilder(experiment.key()).append(' ').append(term);
+        store.entries(requestTopic()).stream()
+                .limit(MAX_GRANTED)
+                .filter(request -> text(request).equals(experiment.key()))
+                .forEach(request -> grants.append(' ')
+                        .append(request.owner())
                         .append(' ')
-                        .append(word.incarnation())
+                        .append(request.incarnation())
                         .append(' ')
-                        .append(word.sequence());
-            }
-        }
-        common.put(now, answers(), text.toString().getBytes(StandardCharsets.US_ASCII));
+                        .append(request.sequence()));
+        store.put(now, grantTopic(), grants.toString().getBytes(StandardCharsets.US_ASCII));
+    }
+
+    private static String text(VersionedEntry entry) {
+        return new String(entry.value(), StandardCharsets.US_ASCII);
     }
 
-    /** Takes what whoever leads has answered. */
+    /** Takes over what the leader has granted. */
     void readGrants(Leadership.Leader leader) {
-        Optional<VersionedEntry> word = leader == null ? Optional.empty() : common.get(leader.name(), answers());
-        if (word.isEmpty()) {
-            return;
-        }
-        String text = new String(word.get().value(), StandardCharsets.US_ASCII);
-        if (text.equals(answered)) {
+        Optional<String> grants = store.get(leader.name(), grantTopic()).map(SplitLease::text);
+        if (grants.isEmpty() || grants.get().equals(lastGrants)) {
             return;
         }
-        answered = text;
-        String[] part = text.split(" ");
+        lastGrants = grants.get();
+        String[] parts = lastGrants.split(" ");
         try {
-            if (!part[0].equals(trial.key()) || Long.parseLong(part[1]) < Math.max(term, leader.term())) {
+            if (!parts[0].equals(experiment.key()) || Long.parseLong(parts[1]) < Math.max(highestTerm, leader.term())) {
                 return;
             }
-            term = Long.parseLong(part[1]);
-            for (int i = 2; i + 2 < part.length; i += 3) {
-                if (part[i].equals(self)) {
-                    heard(Long.parseLong(part[i + 1]), Long.parseLong(part[i + 2]));
+            highestTerm = Long.parseLong(parts[1]);
+            for (int i = 2; i + 2 < parts.length; i += 3) {
+                if (parts[i].equals(self)) {
+                    granted(Long.parseLong(parts[i + 1]), Long.parseLong(parts[i + 2]));
                 }
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            // Not an answer.
+            // Not what a leader writes: no grant.
         }
     }
 
-    private void heard(long incarnation, long sequence) {
-        for (PendingLeaseRequest question : asked) {
-            if (question.incarnation == incarnation
-                    && question.sequence == sequence
-                    && question.at.plus(trial.lease()).compareTo(until) > 0) {
-                until = question.at.plus(trial.lease());
+    private void granted(long incarnation, long sequence) {
+        for (PendingLeaseRequest request : pending) {
+            Duration requestExpiry = request.at.plus(experiment.lease());
+            if (request.incarnation == incarnation
+                    && request.sequence == sequence
+                    && requestExpiry.compareTo(expiry) > 0) {
+                expiry = requestExpiry;
             }
         }
     }
--- a/src/main/java/merlinlever/experiments/VarInts.java
+++ b/src/main/java/merlinlever/experiments/VarInts.java
@@ -2,44 +2,49 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** Whole numbers of seven bits an octet, the lowest first, written and read; a reader refuses what is over its bound or cut off. */
+/** Writes or reads non-negative integers of variable length: seven bits a byte, the lowest first. */
 final class VarInts {
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final byte[] in;
-    private int at;
+    private int position;
 
-    /** To write. */
+    /** Creates an empty writer. */
     VarInts() {
         in = new byte[0];
     }
 
-    /** To read. */
+    /** Creates a reader. */
     VarInts(byte[] in) {
         this.in = in;
     }
 
     void put(long number) {
-        long left = number;
-        while (left >>> 7 != 0) {
-            out.write((int) (left & 0x7f | 0x80));
-            left >>>= 7;
+        long rest = number;
+        while (rest >>> 7 != 0) {
+            out.write((int) ((rest & 0x7f) | 0x80));
+            rest >>>= 7;
         }
-        out.write((int) left);
+        out.write((int) rest);
     }
 
-    /** The next one, from 0 to the most. */
-    long number(long most) {
+    /**
+     * Reads the next number.
+     *
+     * @throws IllegalArgumentException if it is higher than the maximum, or the bytes end
+     */
+    long next(long max) {
         long number = 0;
         for (int shift = 0; shift < 63; shift += 7) {
-            if (at >= in.length) {
-                throw new IllegalArgumentException("cut off");
+            if (position >= in.length) {
+                throw new IllegalArgumentException("bytes are missing");
             }
-            byte octet = in[at++];
-            number |= (long) (octet & 0x7f) << shift;
-            if (octet >= 0) {
-                if (number < 0 || number > most) {
-                    throw new IllegalArgumentException("over its bound: " + number);
+            byte next = in[position];
+            position++;
+            number |= (long) (next & 0x7f) << shift;
+            if (next >= 0) {
+                if (number < 0 || number > max) {
+                    throw new IllegalArgumentException("over its maximum: " + number);
                 }
                 return number;
             }
@@ -47,11 +52,13 @@
         throw new IllegalArgumentException("too long");
     }
 
-    boolean over() {
-        return at == in.length;
+    /** Whether all bytes are read. */
+    boolean isAtEnd() {
+        return position == in.length;
     }
 
-    byte[] written() {
+    /** All that was written. */
+    byte[] toByteArray() {
         return out.toByteArray();
     }
 }
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -12,227 +13,272 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import merlinlever.election.LeaderElection;
+import merlinlever.election.Leadership;
 import merlinlever.experiments.Experiment;
 import merlinlever.experiments.ExperimentCounts;
+import merlinlever.experiments.ExperimentCounts.RequestResult;
 import merlinlever.experiments.ExperimentNode;
 import merlinlever.experiments.ExperimentResult;
 import merlinlever.replication.OutgoingMessage;
 import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.replication.ReplicatedStore.ReplicationSettings;
+import merlinlever.replication.VersionedEntry;
 import merlinlever.replication.WriteOnceRegisters;
 import merlinlever.view.FleetView;
 import merlinlever.view.QuorumStatus;
 
 /**
- * Backends with one trial, on a network and clocks of the model's own: steps of 20 ms. Words and terms are the program's; standing is
- * what the partitions leave, and a register is a value on the disks of voters, written by a leader that reaches more than half of
- * them (it takes over the value of the highest term that it finds there) and told by a word. All from a seed.
+ * A fleet of backends with one experiment, on simulated network and clocks, in steps of 20 ms. Replication and leader election are the
+ * program's; the quorum status is what the partitions leave, and a register is a value on the disks of the voters, written by a leader that
+ * reaches a majority of them (it keeps the value of the highest term that it finds there) and announced by an entry. The same seed gives
+ * the same run.
  */
 public final class ExperimentModel {
 
-    private record Datagram(long at, long order, int from, int to, byte[] body, long number, String what) {}
+    /** What a datagram carries: an election message or a replication message. */
+    private sealed interface Payload {}
+
+    private record ElectionPayload(long number, String text) implements Payload {}
+
+    private record ReplicationPayload(byte[] body) implements Payload {}
+
+    /** A datagram under way; of two that are due at a time the one that was sent first arrives first. */
+    private record Datagram(long dueAtMs, long sendOrder, int sender, int receiver, Payload payload) {}
 
     private record RegisterValue(long term, byte[] value) {}
 
-    private static final int STEP = 20;
+    private static final int STEP_MS = 20;
+    private static final int NODE_TICK_MS = 200;
+    private static final int ANNOUNCEMENT_MS = 500;
+    private static final int MAX_VOTERS = 5;
+    /** A backend that has just started recovers for so long. */
+    private static final int RECOVERY_MS = 1500;
 
-    private final SplittableRandom chance;
-    private final int n;
-    private final List<String> voters = new ArrayList<>();
-    public final Experiment[] trials;
-    public final ExperimentNode[] parts;
-    private final ReplicatedStore[] words;
-    private final LeaderElection[] terms;
-    private final ReplicatedStore.PersistedEntries[] disk;
-    private final long[] offset, noted, downUntil, bornAt;
-    private final List<Map<String, RegisterValue>> registers = new ArrayList<>();
-    public final int[] side;
-    private final PriorityQueue<Datagram> net =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private long orders, operations;
-    public long now;
-    public double loss;
-    /** Operations that come in a step, from how many callers; what part of each arm's is satisfied. */
-    public int traffic = 20, callers = 20_000;
-
-    public double[] good = {0.6, 0.6};
-    /** The arm of which an operation in so many kills its backend; -1: none. */
-    public int deadly = -1;
+    private static final int RESTART_AFTER_RESULT_MS = 8000;
 
+    private final SplittableRandom random;
+    private final int size;
+    private final List<String> voters = new ArrayList<>();
+    private final Experiment[] experiments;
+    /** The experiment's nodes; null while a backend is down. */
+    public final ExperimentNode[] nodes;
+
+    private final ReplicatedStore[] stores;
+    private final LeaderElection[] elections;
+    private final PersistedEntries[] disks;
+    private final long[] clockOffsetMs;
+    private final long[] termsOnDisk;
+    private final long[] downUntilMs;
+    private final long[] startedAtMs;
+    private final List<Map<String, RegisterValue>> registersOnDisk = new ArrayList<>();
+    /** Backends of different partitions don't reach each other. */
+    public final int[] partition;
+
+    private final PriorityQueue<Datagram> network =
+            new PriorityQueue<>(Comparator.comparingLong(Datagram::dueAtMs).thenComparingLong(Datagram::sendOrder));
+    private long sentDatagrams;
+    private long sentRequests;
+    /** Simulated time. */
+    public long nowMs;
+    /** The share of datagrams, and of writes to voters, that are lost. */
+    public double lossRate;
+    /** Requests that arrive in a step. */
+    public int requestsPerStep = 20;
+    /** Callers of these requests. */
+    public int callers = 20_000;
+    /** Of each arm the share of requests that are served. */
+    public double[] servedShare = {0.6, 0.6};
+    /** The arm of which one request in {@link #deadlyOneIn} kills its backend; -1 for none. */
+    public int deadlyArm = -1;
+    /** See {@link #deadlyArm}. */
     public int deadlyOneIn = 1000;
-    /** A leader dies as soon as an end is on the disks, before it is told. */
-    public boolean killAtCrossing;
-
-    public long crossedAt = -1;
-    /** All ends that anybody ever knew, by the trial's key. */
-    public final Map<String, Set<ExperimentResult>> ends = new TreeMap<>();
-
-    public ExperimentModel(long seed, int n, Experiment trial) {
-        chance = new SplittableRandom(seed);
-        this.n = n;
-        trials = new Experiment[n];
-        parts = new ExperimentNode[n];
-        words = new ReplicatedStore[n];
-        terms = new LeaderElection[n];
-        disk = new ReplicatedStore.PersistedEntries[n];
-        offset = new long[n];
-        noted = new long[n];
-        downUntil = new long[n];
-        bornAt = new long[n];
-        side = new int[n];
-        Arrays.fill(trials, trial);
-        Arrays.fill(disk, ReplicatedStore.PersistedEntries.NONE);
-        for (int i = 0; i < n; i++) {
-            registers.add(new TreeMap<>());
-            if (i < 5) {
+    /** Whether a leader dies as soon as a result is on the disks, before it announces it. */
+    public boolean killLeaderAtResult;
+    /** When the first result was on the disks, or -1. */
+    public long resultWrittenAtMs = -1;
+    /** All results that any backend ever adopted, by the experiment's key. */
+    private final Map<String, Set<ExperimentResult>> results = new TreeMap<>();
+
+    /** Creates a fleet and starts all backends. */
+    public ExperimentModel(long seed, int size, Experiment experiment) {
+        random = new SplittableRandom(seed);
+        this.size = size;
+        experiments = new Experiment[size];
+        nodes = new ExperimentNode[size];
+        stores = new ReplicatedStore[size];
+        elections = new LeaderElection[size];
+        disks = new PersistedEntries[size];
+        clockOffsetMs = new long[size];
+        termsOnDisk = new long[size];
+        downUntilMs = new long[size];
+        startedAtMs = new long[size];
+        partition = new int[size];
+        Arrays.fill(experiments, experiment);
+        Arrays.fill(disks, PersistedEntries.NONE);
+        for (int i = 0; i < size; i++) {
+            registersOnDisk.add(new TreeMap<>());
+            if (i < MAX_VOTERS) {
                 voters.add("b" + i);
             }
         }
-        for (int i = 0; i < n; i++) {
-            begin(i);
+        for (int i = 0; i < size; i++) {
+            start(i);
         }
     }
 
+    /** The steady clock of a backend. */
     public Duration clock(int i) {
-        return Duration.ofMillis(now - offset[i]);
+        return Duration.ofMillis(nowMs - clockOffsetMs[i]);
     }
 
-    /** Its steady clock is ahead by so much from now on. */
-    public void jump(int i, long ms) {
-        offset[i] -= ms;
+    /** Moves the steady clock of a backend forward, as a virtual machine's clock may jump. */
+    public void jumpClock(int i, long forwardMs) {
+        clockOffsetMs[i] -= forwardMs;
     }
 
-    public void kill(int i, long ms) {
-        parts[i] = null;
-        downUntil[i] = now + ms;
+    /** Stops a backend; it restarts after that time. */
+    public void kill(int i, long durationMs) {
+        nodes[i] = null;
+        downUntilMs[i] = nowMs + durationMs;
     }
 
-    public int leader() {
-        for (int i = 0; i < n; i++) {
-            if (parts[i] != null && terms[i].leads(clock(i))) {
+    /** The backend that leads, or -1. */
+    private int leader() {
+        for (int i = 0; i < size; i++) {
+            if (nodes[i] != null && elections[i].leads(clock(i))) {
                 return i;
             }
         }
         return -1;
     }
 
-    /** All go by what the configuration says of it now; a backend that is up is started anew. */
-    public void restate(int i, Experiment trial) {
-        trials[i] = trial;
-        parts[i].leave(clock(i));
-        force(i);
-        begin(i);
+    /** Restarts a backend that is up with another configuration of the experiment. */
+    public void reconfigure(int i, Experiment experiment) {
+        experiments[i] = experiment;
+        nodes[i].shutDown(clock(i));
+        write(i);
+        start(i);
     }
 
-    private void force(int i) {
-        ReplicatedStore.PersistedEntries keep = words[i].pendingWrite();
-        if (keep != null) {
-            disk[i] = keep;
-            words[i].writeCompleted(keep);
-        }
+    private void write(int i) {
+        stores[i].pendingWrite().ifPresent(pending -> {
+            disks[i] = pending;
+            stores[i].writeCompleted(pending);
+        });
     }
 
-    private void begin(int i) {
-        offset[i] = now - chance.nextInt(100_000);
-        bornAt[i] = now;
-        Duration at = clock(i);
-        words[i] = new ReplicatedStore(
-                at,
+    private void start(int i) {
+        clockOffsetMs[i] = nowMs - random.nextInt(100_000);
+        startedAtMs[i] = nowMs;
+        Duration now = clock(i);
+        stores[i] = new ReplicatedStore(
+                now,
                 "b" + i,
                 1,
-                disk[i],
-                ReplicatedStore.ReplicationSettings.defaults(true),
-                () -> others(i),
-                chance.split(),
+                disks[i],
+                ReplicationSettings.defaults(true),
+                () -> peersOf(i),
+                random.split(),
                 line -> {});
-        terms[i] = new LeaderElection(
-                at,
+        elections[i] = new LeaderElection(
+                now,
                 "b" + i,
                 voters,
                 Duration.ofSeconds(2),
                 0.01,
-                noted[i],
+                termsOnDisk[i],
                 term -> {
-                    noted[i] = Math.max(noted[i], term);
+                    termsOnDisk[i] = Math.max(termsOnDisk[i], term);
                     return true;
                 },
-                chance.split(),
+                random.split(),
                 line -> {});
-        FleetView seen = new FixedFleetView(when -> ExperimentModel.this.standing(i));
-        parts[i] = new ExperimentNode(
-                at, "b" + i, trials[i], seen, terms[i], new SimulatedRegister(i), words[i], line -> {});
+        FleetView view = new FixedFleetView(at -> quorumStatus(i));
+        nodes[i] = new ExperimentNode(
+                now, "b" + i, experiments[i], view, elections[i], new SimulatedRegister(i), stores[i], line -> {});
     }
 
-    private List<String> others(int i) {
-        List<String> others = new ArrayList<>();
-        for (int k = 0; k < n; k++) {
-            if (k != i && parts[k] != null) {
-                others.add("b" + k);
+    private List<String> peersOf(int i) {
+        List<String> peers = new ArrayList<>();
+        for (int k = 0; k < size; k++) {
+            if (k != i && nodes[k] != null) {
+                peers.add("b" + k);
             }
         }
-        return others;
+        return peers;
     }
 
-    /** By what the partition leaves of the voters; one that has just begun is told what it missed first. */
-    private QuorumStatus standing(int i) {
-        long heard = reached(i).size();
-        return now - bornAt[i] < 1500
-                ? QuorumStatus.RETURNING
-                : heard == voters.size()
-                        ? QuorumStatus.WHOLE
-                        : heard * 2 > voters.size() ? QuorumStatus.MOST : QuorumStatus.FEW;
+    private QuorumStatus quorumStatus(int i) {
+        int reachable = reachableVoters(i).size();
+        if (nowMs - startedAtMs[i] < RECOVERY_MS) {
+            return QuorumStatus.RETURNING;
+        }
+        if (reachable == voters.size()) {
+            return QuorumStatus.WHOLE;
+        }
+        return isMajority(reachable) ? QuorumStatus.MOST : QuorumStatus.FEW;
     }
 
-    private List<Integer> reached(int i) {
-        List<Integer> reached = new ArrayList<>();
+    private boolean isMajority(int count) {
+        return count * 2 > voters.size();
+    }
+
+    private List<Integer> reachableVoters(int i) {
+        List<Integer> reachable = new ArrayList<>();
         for (int k = 0; k < voters.size(); k++) {
-            if (parts[k] != null && side[k] == side[i]) {
-                reached.add(k);
+            if (nodes[k] != null && partition[k] == partition[i]) {
+                reachable.add(k);
             }
         }
-        return reached;
+        return reachable;
     }
 
     private final class SimulatedRegister implements WriteOnceRegisters {
-        private final int i;
+        private final int backend;
 
-        SimulatedRegister(int i) {
-            this.i = i;
+        SimulatedRegister(int backend) {
+            this.backend = backend;
         }
 
         @Override
-        public void propose(Duration at, String name, byte[] value) {
-            List<Integer> reached = reached(i);
-            if (!terms[i].leads(at) || reached.size() * 2 <= voters.size()) {
+        public void propose(Duration now, String name, byte[] value) {
+            List<Integer> reachable = reachableVoters(backend);
+            if (!elections[backend].leads(now) || !isMajority(reachable.size())) {
                 return;
             }
-            RegisterValue highest = null;
-            for (int voter : reached) {
-                RegisterValue found = registers.get(voter).get(name);
-                highest = found != null && (highest == null || found.term > highest.term) ? found : highest;
-            }
-            byte[] taken = highest == null ? value : highest.value;
-            int on = 0;
-            for (int voter : reached) {
-                if (chance.nextDouble() >= loss) {
-                    registers.get(voter).put(name, new RegisterValue(terms[i].term(), taken));
-                    on++;
+            byte[] safeValue = reachable.stream()
+                    .map(voter -> registersOnDisk.get(voter).get(name))
+                    .filter(found -> found != null)
+                    .reduce((highest, found) -> found.term > highest.term ? found : highest)
+                    .map(RegisterValue::value)
+                    .orElse(value);
+            int written = 0;
+            for (int voter : reachable) {
+                if (random.nextDouble() >= lossRate) {
+                    registersOnDisk.get(voter).put(name, new RegisterValue(elections[backend].term(), safeValue));
+                    written++;
                 }
             }
-            if (on * 2 > voters.size()) {
-                if (crossedAt < 0) {
-                    crossedAt = now;
-                    if (killAtCrossing) {
-                        downUntil[i] = now + 8000;
-                        return;
-                    }
+            if (isMajority(written)) {
+                announce(now, name, safeValue);
+            }
+        }
+
+        private void announce(Duration now, String name, byte[] value) {
+            if (resultWrittenAtMs < 0) {
+                resultWrittenAtMs = nowMs;
+                if (killLeaderAtResult) {
+                    downUntilMs[backend] = nowMs + RESTART_AFTER_RESULT_MS;
+                    return;
                 }
-                words[i].put(at, topic(name), taken);
             }
+            stores[backend].put(now, topic(name), value);
         }
 
         @Override
         public Optional<byte[]> chosen(String name) {
-            return words[i].entries(topic(name)).stream().findFirst().map(word -> word.value());
+            return stores[backend].entries(topic(name)).stream().findFirst().map(VersionedEntry::value);
         }
 
         private String topic(String name) {
@@ -240,125 +286,146 @@
         }
     }
 
-    private void send(int from, int to, byte[] body, long number, String what) {
-        if (side[from] == side[to] && chance.nextDouble() >= loss) {
-            for (int copies = chance.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-                long at = now + 1 + (chance.nextInt(50) == 0 ? chance.nextInt(3000) : chance.nextInt(40));
-                net.add(new Datagram(at, orders++, from, to, body, number, what));
+    private void send(int sender, int receiver, Payload payload) {
+        if (partition[sender] == partition[receiver] && random.nextDouble() >= lossRate) {
+            for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
+                long delayMs = 1 + (random.nextInt(50) == 0 ? random.nextInt(3000) : random.nextInt(40));
+                network.add(new Datagram(nowMs + delayMs, sentDatagrams, sender, receiver, payload));
+                sentDatagrams++;
             }
         }
     }
 
-    private void sendAll(int from, List<LeaderElection.PeerMessage> says, List<OutgoingMessage> carries) {
-        says.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), null, each.number(), each.what()));
-        carries.forEach(each -> send(from, Integer.parseInt(each.receiver().substring(1)), each.body(), 0, null));
+    private static int index(String name) {
+        return Integer.parseInt(name.substring(1));
+    }
+
+    private void sendElection(int sender, List<LeaderElection.PeerMessage> messages) {
+        messages.forEach(
+                message -> send(sender, index(message.to()), new ElectionPayload(message.number(), message.what())));
     }
 
+    private void sendReplication(int sender, List<OutgoingMessage> messages) {
+        messages.forEach(message -> send(sender, index(message.receiver()), new ReplicationPayload(message.body())));
+    }
+
+    /** Simulates 20 ms. */
     public void step() {
-        now += STEP;
-        for (int i = 0; i < n; i++) {
-            if (parts[i] == null && now >= downUntil[i]) {
-                begin(i);
+        nowMs += STEP_MS;
+        for (int i = 0; i < size; i++) {
+            if (nodes[i] == null && nowMs >= downUntilMs[i]) {
+                start(i);
             }
         }
-        while (!net.isEmpty() && net.peek().at <= now) {
-            Datagram one = net.poll();
-            if (parts[one.to] == null) {
-                continue;
-            }
-            Duration at = clock(one.to);
-            if (one.what != null) {
-                sendAll(one.to, terms[one.to].said(at, "b" + one.from, one.number, one.what), List.of());
-            } else {
-                sendAll(one.to, List.of(), words[one.to].receive(at, "b" + one.from, one.body));
+        deliver();
+        for (int i = 0; i < size; i++) {
+            if (nodes[i] != null) {
+                tick(i);
             }
         }
-        for (int i = 0; i < n; i++) {
-            if (parts[i] == null) {
+        for (int k = 0; k < requestsPerStep; k++) {
+            simulateRequest();
+        }
+    }
+
+    private void deliver() {
+        while (!network.isEmpty() && network.peek().dueAtMs <= nowMs) {
+            Datagram datagram = network.poll();
+            int receiver = datagram.receiver;
+            if (nodes[receiver] == null) {
                 continue;
             }
-            Duration at = clock(i);
-            force(i);
-            List<LeaderElection.PeerMessage> says = terms[i].look(at);
-            LeaderElection.Leader leader = terms[i].leader(at);
-            if (leader != null && leader.name().equals("b" + i) && now % 500 == 0) {
-                for (int k = 0; k < n; k++) {
-                    send(i, k, null, 0, terms[i].toldWho(at));
-                }
-            }
-            if (now % 200 == 0) {
-                parts[i].look(at);
-                parts[i].end().ifPresent(ends.computeIfAbsent(trials[i].key(), key -> new HashSet<>())::add);
+            Duration now = clock(receiver);
+            String sender = "b" + datagram.sender;
+            if (datagram.payload instanceof ElectionPayload election) {
+                sendElection(receiver, elections[receiver].said(now, sender, election.number, election.text));
+            } else if (datagram.payload instanceof ReplicationPayload replication) {
+                sendReplication(receiver, stores[receiver].receive(now, sender, replication.body));
             }
-            if (downUntil[i] > now) {
-                parts[i] = null;
-                continue;
+        }
+    }
+
+    private void tick(int i) {
+        Duration now = clock(i);
+        write(i);
+        List<LeaderElection.PeerMessage> electionMessages = elections[i].look(now);
+        Leadership.Leader leader = elections[i].leader(now);
+        if (leader != null && leader.name().equals("b" + i) && nowMs % ANNOUNCEMENT_MS == 0) {
+            for (int k = 0; k < size; k++) {
+                send(i, k, new ElectionPayload(0, elections[i].toldWho(now)));
             }
-            sendAll(i, says, words[i].tick(at));
         }
-        for (int k = 0; k < traffic; k++) {
-            operation();
+        if (nowMs % NODE_TICK_MS == 0) {
+            nodes[i].tick(now);
+            nodes[i].result().ifPresent(results.computeIfAbsent(experiments[i].key(), key -> new HashSet<>())::add);
         }
+        if (downUntilMs[i] > nowMs) {
+            // Killed as a result was written.
+            nodes[i] = null;
+            return;
+        }
+        sendElection(i, electionMessages);
+        sendReplication(i, stores[i].tick(now));
     }
 
-    private void operation() {
-        int i = chance.nextInt(n);
-        String caller = "c" + chance.nextInt(callers);
-        if (parts[i] == null) {
+    private void simulateRequest() {
+        int i = random.nextInt(size);
+        String caller = "c" + random.nextInt(callers);
+        if (nodes[i] == null) {
             return;
         }
-        ExperimentCounts.CountedRequest op = parts[i].asked(clock(i), caller, "o" + operations++, false);
-        int arm = parts[i].arm(clock(i), caller);
-        if (arm == deadly && chance.nextInt(deadlyOneIn) == 0) {
+        String requestKey = "o" + sentRequests;
+        sentRequests++;
+        Optional<ExperimentCounts.CountedRequest> request =
+                nodes[i].requestArrived(clock(i), caller, Optional.of(requestKey), false);
+        int arm = nodes[i].arm(clock(i), caller);
+        if (arm == deadlyArm && random.nextInt(deadlyOneIn) == 0) {
             kill(i, 2000);
             return;
         }
-        parts[i].became(
-                op,
-                chance.nextDouble() < good[arm]
-                        ? ExperimentCounts.RequestResult.SERVED
-                        : ExperimentCounts.RequestResult.OTHER,
-                1);
+        RequestResult result = random.nextDouble() < servedShare[arm] ? RequestResult.SERVED : RequestResult.OTHER;
+        request.ifPresent(counted -> nodes[i].attemptEnded(counted, result, 1));
     }
 
-    public void run(long ms) {
-        for (long until = now + ms; now < until; ) {
+    /** Simulates that much time. */
+    public void run(long durationMs) {
+        long until = nowMs + durationMs;
+        while (nowMs < until) {
             step();
         }
     }
 
-    /** Whether all that are up know the end. */
-    public boolean allEnded() {
-        return Arrays.stream(parts).allMatch(part -> part != null && part.end().isPresent());
+    /** Whether all backends are up and know the result. */
+    public boolean allKnowResult() {
+        return Arrays.stream(nodes)
+                .allMatch(node -> node != null && node.result().isPresent());
     }
 
-    /** The one end of the trial, or an empty one; more than one is what must never be. */
-    public Set<ExperimentResult> ended() {
-        return ends.getOrDefault(trials[0].key(), Set.of());
+    /** All results that any backend adopted for the first backend's experiment: there must never be more than one. */
+    public Set<ExperimentResult> results() {
+        return results.getOrDefault(experiments[0].key(), Set.of());
     }
 
-    public void trouble() {
-        int i = chance.nextInt(n);
-        switch (chance.nextInt(6)) {
-            case 0 -> kill(i, 500 + chance.nextInt(4000));
-            case 1 -> jump(i, chance.nextInt(30_000));
-            case 2 -> {
-                for (int k = 0; k < n; k++) {
-                    side[k] = chance.nextInt(2);
-                }
-            }
-            case 3 -> Arrays.fill(side, 0);
-            case 4 -> loss = chance.nextDouble() * 0.4;
+    /** Injects a random fault, or mends one. */
+    public void injectRandomFault() {
+        int i = random.nextInt(size);
+        switch (random.nextInt(6)) {
+            case 0 -> kill(i, 500 + random.nextInt(4000));
+            case 1 -> jumpClock(i, random.nextInt(30_000));
+            case 2 -> Arrays.setAll(partition, k -> random.nextInt(2));
+            case 3 -> Arrays.fill(partition, 0);
+            case 4 -> lossRate = random.nextDouble() * 0.4;
             default -> {
                 if (leader() >= 0) {
-                    kill(leader(), 500 + chance.nextInt(4000));
+                    kill(leader(), 500 + random.nextInt(4000));
                 }
             }
         }
     }
 
+    /** Mends all faults but backends that are down. */
     public void heal() {
-        loss = 0;
-        Arrays.fill(side, 0);
+        lossRate = 0;
+        Arrays.fill(partition, 0);
     }
 }
--- a/src/main/java/merlinlever/faults/ReplicationModel.java
+++ b/src/main/java/merlinlever/faults/ReplicationModel.java
@@ -3,112 +3,140 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import merlinlever.replication.OutgoingMessage;
 import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.replication.ReplicatedStore.ReplicationSettings;
 
 /**
- * Backends that share words, on a network, clocks and disks of the model's own: steps of 20 ms, datagrams late, lost, doubled
- * and out of order, partitions, pauses, deaths and restarts with what was forced, all from a seed.
+ * A fleet of replicated stores on simulated network, clocks and disks, in steps of 20 ms: datagrams are delayed, lost, duplicated and
+ * reordered; there are partitions, pauses, and restarts with what was on the disk. The same seed gives the same run.
  */
 public final class ReplicationModel {
 
-    /** A datagram under way; of two due together the one sent first. */
-    private record Datagram(long dueAtMs, long order, int sender, int receiver, byte[] body) {}
+    /** A datagram under way; of two that are due at a time the one that was sent first arrives first. */
+    private record Datagram(long dueAtMs, long sendOrder, int sender, int receiver, byte[] body) {}
 
     private static final int STEP_MS = 20;
+    private static final int MAX_WRITE_MS = 100;
+    private static final int MAX_DELAY_MS = 40;
+    private static final int MAX_LATE_DELAY_MS = 5000;
+    /** Clocks differ in their rates by this share at most. */
+    private static final double CLOCK_RATE_SPREAD = 0.01;
 
     private final SplittableRandom random;
-    private final ReplicatedStore.ReplicationSettings settings;
+    private final ReplicationSettings settings;
+    /** The replicas; null while one is down. */
     public final ReplicatedStore[] replicas;
+
     private final double[] clockRate;
-    private final long[] clockOffsetMs, pausedUntilMs, downUntilMs, writeDoneAtMs;
-    private final ReplicatedStore.PersistedEntries[] onDisk, writing;
+    private final long[] clockOffsetMs;
+    private final long[] pausedUntilMs;
+    private final long[] downUntilMs;
+    private final long[] writeDoneAtMs;
+    private final PersistedEntries[] disks;
+    private final List<Optional<PersistedEntries>> writing = new ArrayList<>();
+    /** Replicas of different partitions don't reach each other. */
     public final int[] partition;
+
     private final PriorityQueue<Datagram> network =
-            new PriorityQueue<>((a, b) -> a.dueAtMs != b.dueAtMs ? Long.compare(a.dueAtMs, b.dueAtMs) : Long.compare(a.order, b.order));
-    public long nowMs, sentBytes, sentMessages;
-    private long sendOrder;
+            new PriorityQueue<>(Comparator.comparingLong(Datagram::dueAtMs).thenComparingLong(Datagram::sendOrder));
+    private long sentDatagrams;
+    /** Simulated time. */
+    public long nowMs;
+    /** Sent by all replicas so far. */
+    public long sentBytes;
+    /** The share of datagrams that are lost. */
     public double lossRate;
-    /** Of 10,000 datagrams so many come up to five seconds late. */
+    /** Of 10,000 datagrams so many are delayed by up to five seconds. */
     public int latePerTenThousand = 200;
 
-    public ReplicationModel(long seed, int n, ReplicatedStore.ReplicationSettings settings) {
+    /** Creates a fleet and starts all replicas. */
+    public ReplicationModel(long seed, int size, ReplicationSettings settings) {
         random = new SplittableRandom(seed);
         this.settings = settings;
-        replicas = new ReplicatedStore[n];
-        clockRate = new double[n];
-        clockOffsetMs = new long[n];
-        pausedUntilMs = new long[n];
-        downUntilMs = new long[n];
-        writeDoneAtMs = new long[n];
-        onDisk = new ReplicatedStore.PersistedEntries[n];
-        writing = new ReplicatedStore.PersistedEntries[n];
-        partition = new int[n];
-        Arrays.fill(onDisk, ReplicatedStore.PersistedEntries.NONE);
-        for (int i = 0; i < n; i++) {
-            clockRate[i] = 1 + (random.nextDouble() - 0.5) * 0.01;
+        replicas = new ReplicatedStore[size];
+        clockRate = new double[size];
+        clockOffsetMs = new long[size];
+        pausedUntilMs = new long[size];
+        downUntilMs = new long[size];
+        writeDoneAtMs = new long[size];
+        disks = new PersistedEntries[size];
+        partition = new int[size];
+        Arrays.fill(disks, PersistedEntries.NONE);
+        for (int i = 0; i < size; i++) {
+            writing.add(Optional.empty());
+            clockRate[i] = 1 + (random.nextDouble() - 0.5) * CLOCK_RATE_SPREAD;
             start(i);
         }
     }
 
+    /** The name of a replica. */
     public static String name(int i) {
         return "b" + i;
     }
 
+    /** The steady clock of a replica. */
     public Duration clock(int i) {
         return Duration.ofNanos((long) ((nowMs - clockOffsetMs[i]) * clockRate[i] * 1e6));
     }
 
+    /** Whether a replica is neither down nor paused. */
     public boolean isUp(int i) {
         return replicas[i] != null && nowMs >= pausedUntilMs[i];
     }
 
     private void start(int i) {
         clockOffsetMs[i] = nowMs - random.nextInt(100_000);
-        writing[i] = null;
-        replicas[i] =
-                new ReplicatedStore(clock(i), name(i), 1, onDisk[i], settings, () -> peersOf(i), random.split(), line -> {});
+        writing.set(i, Optional.empty());
+        replicas[i] = new ReplicatedStore(
+                clock(i), name(i), 1, disks[i], settings, () -> peersOf(i), random.split(), line -> {});
     }
 
-    /** Whom membership would hold alive; one that is down is noticed at once, one cut off not. */
+    /** Whom membership would hold alive: one that is down is noticed at once, one that is cut off is not. */
     private List<String> peersOf(int i) {
-        List<String> others = new ArrayList<>();
+        List<String> peers = new ArrayList<>();
         for (int k = 0; k < replicas.length; k++) {
             if (k != i && replicas[k] != null) {
-                others.add(name(k));
+                peers.add(name(k));
             }
         }
-        return others;
+        return peers;
     }
 
-    /** It is down for so long, and comes back with what was forced, or with nothing. */
-    public void kill(int i, long ms, boolean diskLost) {
+    /** Stops a replica; after that time it restarts with what is on its disk, or with nothing. */
+    public void kill(int i, long durationMs, boolean diskLost) {
         replicas[i] = null;
-        downUntilMs[i] = nowMs + ms;
-        onDisk[i] = diskLost ? ReplicatedStore.PersistedEntries.NONE : onDisk[i];
+        downUntilMs[i] = nowMs + durationMs;
+        disks[i] = diskLost ? PersistedEntries.NONE : disks[i];
     }
 
-    public void pause(int i, long ms) {
-        pausedUntilMs[i] = nowMs + ms;
+    /** Pauses the process of a replica; what arrives meanwhile is read afterwards. */
+    public void pause(int i, long durationMs) {
+        pausedUntilMs[i] = nowMs + durationMs;
     }
 
-    private void send(int from, List<OutgoingMessage> all) {
-        for (OutgoingMessage each : all) {
-            int to = Integer.parseInt(each.receiver().substring(1));
-            sentBytes += each.body().length;
-            sentMessages++;
-            if (partition[from] == partition[to] && random.nextDouble() >= lossRate) {
+    private void send(int sender, List<OutgoingMessage> messages) {
+        for (OutgoingMessage message : messages) {
+            int receiver = Integer.parseInt(message.receiver().substring(1));
+            sentBytes += message.body().length;
+            if (partition[sender] == partition[receiver] && random.nextDouble() >= lossRate) {
                 for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-                    long at = nowMs + 1 + (random.nextInt(10_000) < latePerTenThousand ? random.nextInt(5000) : random.nextInt(40));
-                    network.add(new Datagram(at, sendOrder++, from, to, each.body()));
+                    boolean late = random.nextInt(10_000) < latePerTenThousand;
+                    long dueAtMs = nowMs + 1 + random.nextInt(late ? MAX_LATE_DELAY_MS : MAX_DELAY_MS);
+                    network.add(new Datagram(dueAtMs, sentDatagrams, sender, receiver, message.body()));
+                    sentDatagrams++;
                 }
             }
         }
     }
 
+    /** Simulates 20 ms. */
     public void step() {
         nowMs += STEP_MS;
         for (int i = 0; i < replicas.length; i++) {
@@ -116,73 +144,79 @@
                 start(i);
             }
         }
-        List<Datagram> wait = new ArrayList<>();
-        while (!network.isEmpty() && network.peek().dueAtMs <= nowMs) {
-            Datagram one = network.poll();
-            if (isUp(one.receiver)) {
-                send(one.receiver, replicas[one.receiver].receive(clock(one.receiver), name(one.sender), one.body));
-            } else if (replicas[one.receiver] != null) {
-                // A paused one reads what came once it goes on.
-                wait.add(one);
-            }
-        }
-        network.addAll(wait);
+        deliver();
         for (int i = 0; i < replicas.length; i++) {
             if (isUp(i)) {
-                if (writing[i] != null && nowMs >= writeDoneAtMs[i]) {
-                    onDisk[i] = writing[i];
-                    writing[i] = null;
-                    replicas[i].writeCompleted(onDisk[i]);
-                }
-                ReplicatedStore.PersistedEntries keep = writing[i] == null ? replicas[i].pendingWrite() : null;
-                if (keep != null) {
-                    writing[i] = keep;
-                    writeDoneAtMs[i] = nowMs + random.nextInt(100);
-                }
+                write(i);
                 send(i, replicas[i].tick(clock(i)));
             }
         }
     }
 
-    public void run(long ms) {
-        for (long until = nowMs + ms; nowMs < until; ) {
+    private void deliver() {
+        List<Datagram> unread = new ArrayList<>();
+        while (!network.isEmpty() && network.peek().dueAtMs <= nowMs) {
+            Datagram datagram = network.poll();
+            int receiver = datagram.receiver;
+            if (isUp(receiver)) {
+                send(receiver, replicas[receiver].receive(clock(receiver), name(datagram.sender), datagram.body));
+            } else if (replicas[receiver] != null) {
+                unread.add(datagram);
+            }
+        }
+        network.addAll(unread);
+    }
+
+    private void write(int i) {
+        if (writing.get(i).isPresent() && nowMs >= writeDoneAtMs[i]) {
+            disks[i] = writing.get(i).get();
+            writing.set(i, Optional.empty());
+            replicas[i].writeCompleted(disks[i]);
+        }
+        if (writing.get(i).isEmpty()) {
+            writing.set(i, replicas[i].pendingWrite());
+            if (writing.get(i).isPresent()) {
+                writeDoneAtMs[i] = nowMs + random.nextInt(MAX_WRITE_MS);
+            }
+        }
+    }
+
+    /** Simulates that much time. */
+    public void run(long durationMs) {
+        long until = nowMs + durationMs;
+        while (nowMs < until) {
             step();
         }
     }
 
-    /** Something breaks, or is whole again. */
+    /** Injects a random fault, or mends one. */
     public void injectRandomFault() {
         int i = random.nextInt(replicas.length);
         switch (random.nextInt(8)) {
             case 0 -> kill(i, random.nextInt(6000), false);
             case 1 -> kill(i, random.nextInt(6000), true);
             case 2 -> pause(i, random.nextInt(8000));
-            case 3 -> {
-                for (int k = 0; k < replicas.length; k++) {
-                    partition[k] = random.nextInt(2);
-                }
-            }
+            case 3 -> Arrays.setAll(partition, k -> random.nextInt(2));
             case 4, 5 -> Arrays.fill(partition, 0);
             case 6 -> lossRate = random.nextDouble() * 0.4;
             default -> lossRate = 0;
         }
     }
 
+    /** Mends all faults but replicas that are down. */
     public void heal() {
         lossRate = 0;
         Arrays.fill(partition, 0);
         Arrays.fill(pausedUntilMs, 0);
     }
 
-    /** Whether all hold the same. */
+    /** Whether all replicas are up and hold the same entries. */
     public boolean areEqual() {
-        String first = null;
-        for (ReplicatedStore node : replicas) {
-            if (node == null || first != null && !first.equals(node.digest())) {
-                return false;
-            }
-            first = node.digest();
-        }
-        return true;
+        return Arrays.stream(replicas).noneMatch(replica -> replica == null)
+                && Arrays.stream(replicas)
+                                .map(ReplicatedStore::digest)
+                                .distinct()
+                                .count()
+                        == 1;
     }
 }
--- a/src/main/java/merlinlever/faults/timeline/ReplicationNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ReplicationNode.java
@@ -57,8 +57,8 @@
                 () -> others,
                 born.chance(),
                 line -> {
-                    // That a word was claimed twice is drawn as what is believed.
-                    if (!line.contains("claimed twice")) {
+                    // A conflict is drawn as what is believed.
+                    if (!line.startsWith("replication-version-conflict ")) {
                         born.notes().accept(line);
                     }
                 });
--- a/src/main/java/merlinlever/measure/ExperimentMeasurement.java
+++ b/src/main/java/merlinlever/measure/ExperimentMeasurement.java
@@ -42,9 +42,7 @@
         return new Experiment(
                 "t",
                 1,
-                List.of(
-                        new Experiment.Arm("safe", 1, null, null, null),
-                        new Experiment.Arm("new", 1, null, null, null)),
+                List.of(Experiment.Arm.unchanged("safe", 1), Experiment.Arm.unchanged("new", 1)),
                 0,
                 LEVEL,
                 0.1,
@@ -95,7 +93,10 @@
                         n,
                         part(all, StoppingDecision.Kind.WINNER),
                         part(all, StoppingDecision.Kind.HARM),
-                        all.stream().filter(each -> each.fixedTestWinnerAt() > 0).count() / (double) n);
+                        all.stream()
+                                        .filter(each -> each.fixedTestWinnerAt() > 0)
+                                        .count()
+                                / (double) n);
             }
         }
         return table;
@@ -138,7 +139,8 @@
                             .sorted()
                             .toArray();
                     double worse = all.stream()
-                            .mapToDouble(each -> better ? each.requests() - each.requestsOfSecondArm() : each.requestsOfSecondArm())
+                            .mapToDouble(each ->
+                                    better ? each.requests() - each.requestsOfSecondArm() : each.requestsOfSecondArm())
                             .average()
                             .orElse(0);
                     // For the safe arm there is no need to win: the new one is stopped.
--- a/src/main/java/merlinlever/replication/EntryTable.java
+++ b/src/main/java/merlinlever/replication/EntryTable.java
@@ -7,179 +7,185 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.TreeMap;
+import merlinlever.replication.StoredEntry.EntryKey;
 
 /**
- * All words that one holds, and how two lots become one: of each owner and topic the later version counts, and of one version
- * all that was claimed under it. That is a join of a semilattice (delta-state: Almeida et al. 2018), so order and
- * repetition do not matter, while there is room for all.
+ * All entries of one replica, and how two tables become one: of each key the higher version wins, and of one version all values that were
+ * published under it are joined. That is a join of a semilattice (delta-state CRDT: Almeida et al. 2018), so neither order nor
+ * repetition of merges matters as long as there is room.
  */
 final class EntryTable {
 
-    /** Words and octets at the most. */
+    /** Limits of the whole table. */
     static final int MAX_ENTRIES = 2000;
 
     static final long MAX_BYTES = 8L << 20;
-    /** Whose sums are compared to find what differs. */
+    /** Keys are hashed to so many buckets, whose checksums are compared to find differences. */
     static final int BUCKET_COUNT = 64;
 
+    /** What a merge did to the table. */
     enum MergeResult {
+        /** The entry was new, or of a higher version. */
         NEWER,
+        /** The table had this very entry. */
         UNCHANGED,
+        /** The table has a higher version. */
         OLDER,
+        /** The table had, or now has, another value under the same version. */
         CONFLICT,
+        /** The entry was rejected, as the table is full. */
         NO_ROOM
     }
 
     private static final class Row {
-        final StoredEntry word;
-        final long mark;
-        /** Too old to be told any more; it still counts here. */
-        boolean quiet;
-
-        Row(StoredEntry word) {
-            this.word = word;
-            mark = word.fingerprint();
+        final StoredEntry entry;
+        final long fingerprint;
+        /** Near the end of its lifetime: still served here, but no longer sent. */
+        boolean unshared;
+
+        Row(StoredEntry entry) {
+            this.entry = entry;
+            fingerprint = entry.fingerprint();
         }
     }
 
-    /** A word's version and mark, for comparing. */
-    record EntryVersion(StoredEntry.EntryKey key, long incarnation, long sequence, long fingerprint) {}
+    /** The version of an entry without its value, for comparisons. */
+    record EntryVersion(EntryKey key, long incarnation, long sequence, long fingerprint) {
 
-    private final TreeMap<StoredEntry.EntryKey, Row> all = new TreeMap<>();
-    private final long[] sums = new long[BUCKET_COUNT];
-    private long octets;
+        /** Negative, zero or positive as this version is lower, the same or higher. */
+        int compareVersion(EntryVersion other) {
+            return incarnation != other.incarnation
+                    ? Long.compare(incarnation, other.incarnation)
+                    : Long.compare(sequence, other.sequence);
+        }
+    }
 
-    static int bucket(StoredEntry.EntryKey key) {
-        // As String states it: the same everywhere.
+    private final TreeMap<EntryKey, Row> rows = new TreeMap<>();
+    private final long[] bucketChecksums = new long[BUCKET_COUNT];
+    private long sizeBytes;
+
+    /** The bucket of a key: the same at every replica, as the Java specification defines String's hash code. */
+    static int bucket(EntryKey key) {
         int hash = 31 * key.owner().hashCode() + key.topic().hashCode();
         return (hash ^ hash >>> 6 ^ hash >>> 12 ^ hash >>> 18 ^ hash >>> 24) & BUCKET_COUNT - 1;
     }
 
-    StoredEntry get(StoredEntry.EntryKey key) {
-        Row held = all.get(key);
-        return held == null ? null : held.word;
+    /** The entry, or null if there is none. */
+    StoredEntry get(EntryKey key) {
+        Row row = rows.get(key);
+        return row == null ? null : row.entry;
     }
 
-    /** In the order of owners, then topics. */
+    /** All entries, sorted by owner, then topic. */
     List<StoredEntry> entries() {
-        return all.values().stream().map(held -> held.word).toList();
+        return rows.values().stream().map(row -> row.entry).toList();
     }
 
     int size() {
-        return all.size();
+        return rows.size();
     }
 
     long sizeBytes() {
-        return octets;
+        return sizeBytes;
     }
 
-    boolean hasRoomFor(StoredEntry word) {
-        Row held = all.get(word.key());
-        return (held != null || all.size() < MAX_ENTRIES)
-                && octets + word.sizeBytes() - (held == null ? 0 : held.word.sizeBytes()) <= MAX_BYTES;
+    /** Whether the entry fits, in place of its earlier version if there is one. */
+    boolean hasRoomFor(StoredEntry entry) {
+        Row row = rows.get(entry.key());
+        return (row != null || rows.size() < MAX_ENTRIES)
+                && sizeBytes + entry.sizeBytes() - (row == null ? 0 : row.entry.sizeBytes()) <= MAX_BYTES;
     }
 
-    MergeResult merge(StoredEntry word) {
-        StoredEntry known = get(word.key());
-        if (known != null && known.isNewerThan(word)) {
+    MergeResult merge(StoredEntry entry) {
+        StoredEntry known = get(entry.key());
+        if (known != null && known.isNewerThan(entry)) {
             return MergeResult.OLDER;
         }
-        StoredEntry made = known == null || word.isNewerThan(known) ? word : known.mergedWith(word);
-        boolean same = known != null && made.digests().equals(known.digests()) && !word.isNewerThan(known);
-        if (!same && !hasRoomFor(made)) {
+        boolean newer = known == null || entry.isNewerThan(known);
+        StoredEntry merged = newer ? entry : known.mergedWith(entry);
+        boolean unchanged = !newer && merged.digests().equals(known.digests());
+        if (!unchanged && !hasRoomFor(merged)) {
             return MergeResult.NO_ROOM;
         }
-        if (!same || made.publishedAt().compareTo(known.publishedAt()) > 0) {
-            remove(word.key());
-            Row held = new Row(made);
-            all.put(word.key(), held);
-            sums[bucket(word.key())] ^= held.mark;
-            octets += made.sizeBytes();
+        if (!unchanged || merged.publishedAt().compareTo(known.publishedAt()) > 0) {
+            store(merged);
+        }
+        if (unchanged) {
+            return MergeResult.UNCHANGED;
         }
-        return same ? MergeResult.UNCHANGED : made.isConflicted() ? MergeResult.CONFLICT : MergeResult.NEWER;
+        return merged.isConflicted() ? MergeResult.CONFLICT : MergeResult.NEWER;
     }
 
-    void remove(StoredEntry.EntryKey key) {
-        Row held = all.remove(key);
-        if (held != null) {
-            octets -= held.word.sizeBytes();
-            sums[bucket(key)] ^= held.quiet ? 0 : held.mark;
+    private void store(StoredEntry entry) {
+        remove(entry.key());
+        Row row = new Row(entry);
+        rows.put(entry.key(), row);
+        bucketChecksums[bucket(entry.key())] ^= row.fingerprint;
+        sizeBytes += entry.sizeBytes();
+    }
+
+    void remove(EntryKey key) {
+        Row row = rows.remove(key);
+        if (row != null) {
+            sizeBytes -= row.entry.sizeBytes();
+            bucketChecksums[bucket(key)] ^= row.unshared ? 0 : row.fingerprint;
         }
     }
 
-    /** Words that are past their time, dropped; those near it are told no more. */
-    List<StoredEntry> expire(Duration now, RetentionPolicy ages) {
-        List<StoredEntry> gone = new ArrayList<>();
-        for (Row held : List.copyOf(all.values())) {
-            Duration age = now.minus(held.word.publishedAt());
-            if (age.compareTo(ages.lifetime(held.word)) >= 0) {
-                remove(held.word.key());
-                gone.add(held.word);
-            } else if (!held.quiet && age.compareTo(ages.shareableFor(held.word)) >= 0) {
-                held.quiet = true;
-                sums[bucket(held.word.key())] ^= held.mark;
+    /** Drops entries past their lifetime, which are returned, and stops sharing those near it. */
+    List<StoredEntry> expire(Duration now, RetentionPolicy policy) {
+        List<StoredEntry> expired = new ArrayList<>();
+        for (Row row : List.copyOf(rows.values())) {
+            Duration age = row.entry.age(now);
+            if (age.compareTo(policy.lifetime(row.entry)) >= 0) {
+                remove(row.entry.key());
+                expired.add(row.entry);
+            } else if (!row.unshared && age.compareTo(policy.shareableFor(row.entry)) >= 0) {
+                row.unshared = true;
+                bucketChecksums[bucket(row.entry.key())] ^= row.fingerprint;
             }
         }
-        return gone;
+        return expired;
     }
 
-    boolean isShareable(StoredEntry.EntryKey key) {
-        Row held = all.get(key);
-        return held != null && !held.quiet;
+    /** Whether there is an entry of that key that is young enough to be sent. */
+    boolean isShareable(EntryKey key) {
+        Row row = rows.get(key);
+        return row != null && !row.unshared;
     }
 
+    /** Of each bucket the exclusive-or of the fingerprints of its shareable entries. */
     long[] bucketChecksums() {
-        return sums.clone();
+        return bucketChecksums.clone();
+    }
+
+    /** The version held of that key, or null if there is none. */
+    EntryVersion version(EntryKey key) {
+        Row row = rows.get(key);
+        return row == null ? null : version(key, row);
     }
 
-    EntryVersion version(StoredEntry.EntryKey key) {
-        Row held = all.get(key);
-        return held == null ? null : new EntryVersion(key, held.word.incarnation(), held.word.sequence(), held.mark);
+    private static EntryVersion version(EntryKey key, Row row) {
+        return new EntryVersion(key, row.entry.incarnation(), row.entry.sequence(), row.fingerprint);
     }
 
-    /** Of the buckets of the mask, those that are told. */
-    List<EntryVersion> versions(long mask) {
-        List<EntryVersion> lines = new ArrayList<>();
-        all.forEach((key, held) -> {
-            if ((mask >>> bucket(key) & 1) == 1 && !held.quiet) {
-                lines.add(new EntryVersion(key, held.word.incarnation(), held.word.sequence(), held.mark));
+    /** The versions of all shareable entries in some buckets, given as a bit mask. */
+    List<EntryVersion> versions(long bucketMask) {
+        List<EntryVersion> versions = new ArrayList<>();
+        rows.forEach((key, row) -> {
+            if ((bucketMask >>> bucket(key) & 1) == 1 && !row.unshared) {
+                versions.add(version(key, row));
             }
         });
-        return lines;
+        return versions;
     }
 
-    /** SHA-256 of all: alike where two hold the same. */
+    /** SHA-256 over all entries in hexadecimal: equal where two tables are. */
     String digest() {
-        MessageDigest sha = StoredEntry.sha256();
-        all.values()
-                .forEach(held ->
-                        sha.update(ByteBuffer.allocate(8).putLong(held.mark).array()));
-        return HexFormat.of().formatHex(sha.digest());
-    }
-
-    /**
-     * How long words live after their owner's last refresh. A word is told and taken for seven eighths of its life only, so that
-     * clocks that run apart and messages that are late do not bring back what others have dropped. What an owner took back
-     * is remembered for longer than any copy of the word can live, so it cannot come back.
-     */
-    record RetentionPolicy(Duration retention) {
-        Duration lifetime(StoredEntry word) {
-            return word.isTombstone() ? retention.plus(retention.dividedBy(8)) : retention;
-        }
-
-        Duration shareableFor(StoredEntry word) {
-            Duration most = lifetime(word);
-            return most.minus(most.dividedBy(8));
-        }
-
-        /** Owners say their words again so often, under a new version. */
-        Duration refreshInterval() {
-            return retention.dividedBy(4);
-        }
-
-        /** Who stood still for so long drops the words of others. */
-        Duration maxPause() {
-            return retention.dividedBy(2);
-        }
+        MessageDigest sha256 = StoredEntry.sha256();
+        rows.values()
+                .forEach(row -> sha256.update(
+                        ByteBuffer.allocate(Long.BYTES).putLong(row.fingerprint).array()));
+        return HexFormat.of().formatHex(sha256.digest());
     }
 }
--- a/src/main/java/merlinlever/replication/Gossip.java
+++ b/src/main/java/merlinlever/replication/Gossip.java
@@ -10,258 +10,274 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.function.Function;
 import java.util.function.Supplier;
+import java.util.function.ToIntFunction;
+import merlinlever.replication.EntryTable.EntryVersion;
+import merlinlever.replication.StoredEntry.EntryKey;
 
 /**
- * Decides what is told to whom. What is new goes to some others in two periods, whole where it is small and by its version where not, and
- * whoever takes it as new does the same (rumours that end by themselves: Demers et al. 1987). What that misses is made good by
- * comparing with one other each period: sums of all buckets, then versions of those that differ, then the words (as
- * Scuttlebutt: van Renesse et al. 2008; by buckets instead of one number an owner, as words come out of order here).
+ * Decides which messages go to whom. A new entry goes to some random replicas in two rounds, whole if it is small and as its version if
+ * not, and each replica that takes it as new does the same (rumour mongering that ends by itself: Demers et al. 1987). What that misses is
+ * repaired by comparing with one other replica each round (anti-entropy): first checksums of all buckets, then the versions in buckets
+ * that differ, then whole entries (as Scuttlebutt: van Renesse et al. 2008; by buckets instead of one number per owner, as entries
+ * arrive out of order here).
  */
 final class Gossip {
 
-    /** A word up to that size is told whole at first, a larger one is announced and asked for. */
-    private static final int SMALL = 1 << 10;
-    /** In so many periods a new word is told to some others; the second makes good most of what is lost of the first. */
-    private static final int ROUNDS = 2;
-    /** Octets kept for the head of a letter. */
-    private static final int HEAD = 64;
+    /** An entry up to that size is pushed whole, a larger one is announced and has to be requested. */
+    private static final int MAX_PUSHED_ENTRY_BYTES = 1 << 10;
+    /** Rounds in which a new entry is pushed; the second makes up for most losses of the first. */
+    private static final int PUSH_ROUNDS = 2;
+    /** Reserved for the header of a message. */
+    private static final int HEADER_BYTES = 64;
 
-    private final EntryTable lot;
-    private final ReplicatedStore.ReplicationSettings stated;
-    private final Supplier<List<String>> live;
-    private final SplittableRandom chance;
-    /** To be told, with how often still. */
-    private final LinkedHashMap<StoredEntry.EntryKey, Integer> fresh = new LinkedHashMap<>();
-    /** What was asked for, and until when the answer is waited for: not from two at once. */
-    private final LinkedHashMap<StoredEntry.EntryKey, Duration> wanted = new LinkedHashMap<>();
+    private final EntryTable table;
+    private final ReplicatedStore.ReplicationSettings settings;
+    private final Supplier<List<String>> peers;
+    private final SplittableRandom random;
+    /** Entries to be pushed, with the rounds that are left. */
+    private final LinkedHashMap<EntryKey, Integer> pushRoundsLeft = new LinkedHashMap<>();
+    /** Until when an answer is waited for, so that nothing is requested from two replicas at once. */
+    private final LinkedHashMap<EntryKey, Duration> requestedUntil = new LinkedHashMap<>();
 
-    private Duration next;
-    private Duration filled;
-    private long room;
-    long malformed;
+    private Duration nextRound;
+    private Duration budgetFilledAt;
+    /** Bytes that may be sent now (a token bucket that holds one second's worth). */
+    private long budgetBytes;
 
+    /** @param peers the other replicas that are reachable now */
     Gossip(
             Duration now,
-            EntryTable lot,
-            ReplicatedStore.ReplicationSettings stated,
-            Supplier<List<String>> live,
-            SplittableRandom chance) {
-        this.lot = lot;
-        this.stated = stated;
-        this.live = live;
-        this.chance = chance;
-        next = now.plusNanos(chance.nextLong(stated.gossipInterval().toNanos()));
-        filled = now;
-        room = stated.bytesPerSecond();
+            EntryTable table,
+            ReplicatedStore.ReplicationSettings settings,
+            Supplier<List<String>> peers,
+            SplittableRandom random) {
+        this.table = table;
+        this.settings = settings;
+        this.peers = peers;
+        this.random = random;
+        nextRound = now.plusNanos(random.nextLong(settings.gossipInterval().toNanos()));
+        budgetFilledAt = now;
+        budgetBytes = settings.bytesPerSecond();
     }
 
-    /** To be told to some others; one for each word held, at the most. */
-    void fresh(StoredEntry.EntryKey key) {
-        wanted.remove(key);
-        fresh.put(key, ROUNDS);
+    /** Has an entry that is new here pushed in the next rounds. */
+    void push(EntryKey key) {
+        requestedUntil.remove(key);
+        pushRoundsLeft.put(key, PUSH_ROUNDS);
     }
 
-    boolean due(Duration now) {
-        return now.compareTo(next) >= 0;
+    boolean isRoundDue(Duration now) {
+        return now.compareTo(nextRound) >= 0;
     }
 
-    private void fill(Duration now) {
-        Duration since = now.minus(filled);
-        filled = now;
-        double more = Math.min(1, since.toNanos() / 1e9) * stated.bytesPerSecond();
-        room = Math.min(stated.bytesPerSecond(), room + (long) more);
+    private void fillBudget(Duration now) {
+        Duration elapsed = now.minus(budgetFilledAt);
+        budgetFilledAt = now;
+        double added = Math.min(1, elapsed.toNanos() / 1e9) * settings.bytesPerSecond();
+        budgetBytes = Math.min(settings.bytesPerSecond(), budgetBytes + (long) added);
     }
 
-    List<OutgoingMessage> period(Duration now) {
-        next = now.plus(stated.gossipInterval());
-        fill(now);
-        wanted.values().removeIf(until -> now.compareTo(until) >= 0);
-        List<OutgoingMessage> out = new ArrayList<>();
-        List<String> others = new ArrayList<>(live.get());
-        if (others.isEmpty()) {
-            return out;
+    /** The messages of a round: new entries to some replicas, and checksums to one. */
+    List<OutgoingMessage> startRound(Duration now) {
+        nextRound = now.plus(settings.gossipInterval());
+        fillBudget(now);
+        requestedUntil.values().removeIf(until -> now.compareTo(until) >= 0);
+        List<OutgoingMessage> messages = new ArrayList<>();
+        List<String> receivers = new ArrayList<>(peers.get());
+        if (receivers.isEmpty()) {
+            return messages;
         }
-        for (int i = 0; i < Math.min(stated.fanOut(), others.size()); i++) {
-            int drawn = i + chance.nextInt(others.size() - i);
-            String one = others.set(drawn, others.get(i));
-            others.set(i, one);
+        int fanOut = Math.min(settings.fanOut(), receivers.size());
+        shufflePrefix(receivers, fanOut);
+        pushNewEntries(now, receivers.subList(0, fanOut), messages);
+        messages.add(new OutgoingMessage(
+                receivers.get(random.nextInt(receivers.size())), GossipCodec.encodeChecksums(table.bucketChecksums())));
+        return messages;
+    }
+
+    /** Puts a random selection at the beginning of the list (the first steps of a Fisher-Yates shuffle). */
+    private void shufflePrefix(List<String> names, int length) {
+        for (int i = 0; i < length; i++) {
+            int chosen = i + random.nextInt(names.size() - i);
+            String name = names.set(chosen, names.get(i));
+            names.set(i, name);
         }
-        tell(now, others.subList(0, Math.min(stated.fanOut(), others.size())), out);
-        out.add(new OutgoingMessage(others.get(chance.nextInt(others.size())), GossipCodec.encodeChecksums(lot.bucketChecksums())));
-        return out;
     }
 
-    /** New words, whole or announced, to the same few; what the octets do not allow waits for the next period. */
-    private void tell(Duration now, List<String> few, List<OutgoingMessage> out) {
-        List<StoredEntry> whole = new ArrayList<>();
-        List<EntryTable.EntryVersion> announced = new ArrayList<>();
-        long octets = 0;
-        for (Iterator<Map.Entry<StoredEntry.EntryKey, Integer>> each =
-                        fresh.entrySet().iterator();
-                each.hasNext(); ) {
-            Map.Entry<StoredEntry.EntryKey, Integer> entry = each.next();
-            StoredEntry.EntryKey key = entry.getKey();
-            StoredEntry word = lot.get(key);
-            boolean small = word != null && GossipCodec.entryBytes(word) <= SMALL;
-            if (word != null && lot.isShareable(key)) {
-                octets += small ? GossipCodec.entryBytes(word) : GossipCodec.versionBytes(lot.version(key));
-                if (octets * few.size() > room) {
+    /** Pushes or announces new entries, all to the same receivers; what exceeds the budget waits for the next round. */
+    private void pushNewEntries(Duration now, List<String> receivers, List<OutgoingMessage> messages) {
+        List<StoredEntry> pushed = new ArrayList<>();
+        List<EntryVersion> announced = new ArrayList<>();
+        long bytes = 0;
+        Iterator<Map.Entry<EntryKey, Integer>> candidates =
+                pushRoundsLeft.entrySet().iterator();
+        while (candidates.hasNext()) {
+            Map.Entry<EntryKey, Integer> candidate = candidates.next();
+            EntryKey key = candidate.getKey();
+            StoredEntry entry = table.get(key);
+            if (entry != null && table.isShareable(key)) {
+                boolean small = GossipCodec.entryBytes(entry) <= MAX_PUSHED_ENTRY_BYTES;
+                bytes += small ? GossipCodec.entryBytes(entry) : GossipCodec.versionBytes(table.version(key));
+                if (bytes * receivers.size() > budgetBytes) {
                     break;
                 }
                 if (small) {
-                    whole.add(word);
+                    pushed.add(entry);
                 } else {
-                    announced.add(lot.version(key));
+                    announced.add(table.version(key));
                 }
             }
-            if (entry.setValue(entry.getValue() - 1) <= 1 || word == null) {
-                each.remove();
+            int roundsLeft = candidate.getValue() - 1;
+            candidate.setValue(roundsLeft);
+            if (roundsLeft <= 0 || entry == null) {
+                candidates.remove();
             }
         }
-        for (byte[] letter : packed(now, whole, announced)) {
-            few.forEach(one -> out.add(new OutgoingMessage(one, letter)));
-            room -= (long) letter.length * few.size();
+        List<byte[]> bodies = new ArrayList<>(packEntries(now, pushed));
+        bodies.addAll(packAnnouncements(announced));
+        for (byte[] body : bodies) {
+            receivers.forEach(receiver -> messages.add(new OutgoingMessage(receiver, body)));
+            budgetBytes -= (long) body.length * receivers.size();
         }
     }
 
-    private static List<byte[]> packed(Duration now, List<StoredEntry> words, List<EntryTable.EntryVersion> lines) {
-        List<byte[]> letters = new ArrayList<>();
-        List<StoredEntry> some = new ArrayList<>();
-        int octets = HEAD;
-        for (StoredEntry word : words) {
-            if (octets + GossipCodec.entryBytes(word) > GossipCodec.MAX_MESSAGE_BYTES) {
-                letters.add(GossipCodec.encodeEntries(now, some));
-                some = new ArrayList<>();
-                octets = HEAD;
-            }
-            octets += GossipCodec.entryBytes(word);
-            some.add(word);
-        }
-        if (!some.isEmpty()) {
-            letters.add(GossipCodec.encodeEntries(now, some));
-        }
-        List<EntryTable.EntryVersion> few = new ArrayList<>();
-        octets = HEAD;
-        for (EntryTable.EntryVersion line : lines) {
-            if (octets + GossipCodec.versionBytes(line) > GossipCodec.MAX_MESSAGE_BYTES) {
-                letters.add(GossipCodec.encodeVersions(0, few));
-                few = new ArrayList<>();
-                octets = HEAD;
+    private static List<byte[]> packEntries(Duration now, List<StoredEntry> entries) {
+        return pack(entries, GossipCodec::entryBytes, batch -> GossipCodec.encodeEntries(now, batch));
+    }
+
+    private static List<byte[]> packAnnouncements(List<EntryVersion> versions) {
+        return pack(versions, GossipCodec::versionBytes, batch -> GossipCodec.encodeVersions(0, batch));
+    }
+
+    /** Encodes the items in as few messages as the limit of their size allows, in order. */
+    private static <T> List<byte[]> pack(List<T> items, ToIntFunction<T> itemBytes, Function<List<T>, byte[]> encoder) {
+        List<byte[]> bodies = new ArrayList<>();
+        List<T> batch = new ArrayList<>();
+        int batchBytes = HEADER_BYTES;
+        for (T item : items) {
+            if (batchBytes + itemBytes.applyAsInt(item) > GossipCodec.MAX_MESSAGE_BYTES) {
+                bodies.add(encoder.apply(batch));
+                batch = new ArrayList<>();
+                batchBytes = HEADER_BYTES;
             }
-            octets += GossipCodec.versionBytes(line);
-            few.add(line);
+            batchBytes += itemBytes.applyAsInt(item);
+            batch.add(item);
         }
-        if (!few.isEmpty()) {
-            letters.add(GossipCodec.encodeVersions(0, few));
+        if (!batch.isEmpty()) {
+            bodies.add(encoder.apply(batch));
         }
-        return letters;
+        return bodies;
     }
 
-    List<OutgoingMessage> answer(Duration now, String from, Object letter) {
-        fill(now);
-        List<OutgoingMessage> out = new ArrayList<>();
-        if (letter instanceof GossipCodec.BucketChecksums sums) {
-            compare(from, sums.checksums(), out);
-        } else if (letter instanceof GossipCodec.VersionList lines) {
-            differences(now, from, lines, out);
-        } else if (letter instanceof GossipCodec.EntryRequest want) {
-            give(now, from, want.keys(), out);
+    /** The answers to a message other than a batch of entries. */
+    List<OutgoingMessage> answer(Duration now, String sender, GossipMessage message) {
+        fillBudget(now);
+        List<OutgoingMessage> answers = new ArrayList<>();
+        if (message instanceof GossipMessage.BucketChecksums received) {
+            answerChecksums(sender, received.checksums(), answers);
+        } else if (message instanceof GossipMessage.VersionList list) {
+            reconcile(now, sender, list, answers);
+        } else if (message instanceof GossipMessage.EntryRequest request) {
+            sendEntries(now, sender, request.keys(), answers);
         }
-        return out;
+        return answers;
     }
 
-    /** The versions of the buckets that differ, as many as fit, from a drawn one on so that each has its turn. */
-    private void compare(String from, long[] sums, List<OutgoingMessage> out) {
-        long[] mine = lot.bucketChecksums();
-        long mask = 0;
-        for (int i = 0; i < sums.length; i++) {
-            mask |= sums[i] != mine[i] ? 1L << i : 0;
+    /** Sends the versions in the buckets that differ, as many as fit, from a random bucket on so that each gets its turn. */
+    private void answerChecksums(String sender, long[] received, List<OutgoingMessage> answers) {
+        long differing = 0;
+        long[] own = table.bucketChecksums();
+        for (int bucket = 0; bucket < received.length; bucket++) {
+            differing |= received[bucket] != own[bucket] ? 1L << bucket : 0;
         }
-        if (mask == 0) {
+        if (differing == 0) {
             return;
         }
-        List<List<EntryTable.EntryVersion>> byBucket = new ArrayList<>();
-        for (int i = 0; i < sums.length; i++) {
-            byBucket.add(new ArrayList<>());
-        }
-        lot.versions(mask)
-                .forEach(line -> byBucket.get(EntryTable.bucket(line.key())).add(line));
-        List<EntryTable.EntryVersion> lines = new ArrayList<>();
-        long whole = 0;
-        int octets = HEAD;
-        int first = chance.nextInt(sums.length);
-        for (int i = 0; i < sums.length; i++) {
-            int bucket = (first + i) % sums.length;
-            if ((mask >>> bucket & 1) == 1) {
-                int more = byBucket.get(bucket).stream()
-                        .mapToInt(GossipCodec::versionBytes)
-                        .sum();
-                if (octets + more <= Math.min(GossipCodec.MAX_MESSAGE_BYTES, room)) {
-                    octets += more;
-                    whole |= 1L << bucket;
-                    lines.addAll(byBucket.get(bucket));
-                }
+        List<List<EntryVersion>> versionsByBucket = versionsByBucket(differing);
+        List<EntryVersion> versions = new ArrayList<>();
+        long completeBuckets = 0;
+        int bytes = HEADER_BYTES;
+        int first = random.nextInt(received.length);
+        for (int i = 0; i < received.length; i++) {
+            int bucket = (first + i) % received.length;
+            if ((differing >>> bucket & 1) == 0) {
+                continue;
+            }
+            List<EntryVersion> candidates = versionsByBucket.get(bucket);
+            int added = candidates.stream().mapToInt(GossipCodec::versionBytes).sum();
+            if (bytes + added <= Math.min(GossipCodec.MAX_MESSAGE_BYTES, budgetBytes)) {
+                bytes += added;
+                completeBuckets |= 1L << bucket;
+                versions.addAll(candidates);
             }
         }
-        if (whole != 0) {
-            room -= octets;
-            out.add(new OutgoingMessage(from, GossipCodec.encodeVersions(whole, lines)));
+        if (completeBuckets != 0) {
+            budgetBytes -= bytes;
+            answers.add(new OutgoingMessage(sender, GossipCodec.encodeVersions(completeBuckets, versions)));
+        }
+    }
+
+    private List<List<EntryVersion>> versionsByBucket(long bucketMask) {
+        List<List<EntryVersion>> byBucket = new ArrayList<>();
+        for (int bucket = 0; bucket < EntryTable.BUCKET_COUNT; bucket++) {
+            byBucket.add(new ArrayList<>());
         }
+        table.versions(bucketMask).forEach(version -> byBucket.get(EntryTable.bucket(version.key()))
+                .add(version));
+        return byBucket;
     }
 
-    /** Asks for what the other has later, and gives what this one has. */
-    private void differences(Duration now, String from, GossipCodec.VersionList lines, List<OutgoingMessage> out) {
-        List<StoredEntry.EntryKey> want = new ArrayList<>();
-        List<StoredEntry.EntryKey> give = new ArrayList<>();
-        Set<StoredEntry.EntryKey> named = new HashSet<>();
-        int octets = HEAD;
-        for (EntryTable.EntryVersion line : lines.versions()) {
-            named.add(line.key());
-            EntryTable.EntryVersion mine = lot.version(line.key());
-            int by = mine == null
-                    ? 1
-                    : line.incarnation() != mine.incarnation()
-                            ? Long.compare(line.incarnation(), mine.incarnation())
-                            : Long.compare(line.sequence(), mine.sequence());
-            boolean clash = by == 0 && mine.fingerprint() != line.fingerprint();
-            int more = line.key().owner().length() + line.key().topic().length() + 2;
-            if ((by > 0 || clash)
-                    && octets + more <= GossipCodec.MAX_MESSAGE_BYTES
-                    && wanted.size() < EntryTable.MAX_ENTRIES
-                    && !wanted.containsKey(line.key())) {
-                octets += more;
-                want.add(line.key());
-                wanted.put(line.key(), now.plus(stated.gossipInterval()));
+    /** Requests what is newer at the sender, and sends what is newer here; in a conflict both. */
+    private void reconcile(Duration now, String sender, GossipMessage.VersionList list, List<OutgoingMessage> answers) {
+        List<EntryKey> requested = new ArrayList<>();
+        List<EntryKey> sent = new ArrayList<>();
+        Set<EntryKey> listed = new HashSet<>();
+        int bytes = HEADER_BYTES;
+        for (EntryVersion theirs : list.versions()) {
+            EntryKey key = theirs.key();
+            listed.add(key);
+            EntryVersion own = table.version(key);
+            int comparison = own == null ? 1 : theirs.compareVersion(own);
+            boolean conflict = comparison == 0 && own.fingerprint() != theirs.fingerprint();
+            int keyBytes = GossipCodec.keyBytes(key);
+            if ((comparison > 0 || conflict)
+                    && bytes + keyBytes <= GossipCodec.MAX_MESSAGE_BYTES
+                    && requestedUntil.size() < EntryTable.MAX_ENTRIES
+                    && !requestedUntil.containsKey(key)) {
+                bytes += keyBytes;
+                requested.add(key);
+                requestedUntil.put(key, now.plus(settings.gossipInterval()));
             }
-            if (by < 0 || clash) {
-                give.add(line.key());
+            if (comparison < 0 || conflict) {
+                sent.add(key);
             }
         }
-        lot.versions(lines.completeBuckets()).stream()
-                .map(EntryTable.EntryVersion::key)
-                .filter(key -> !named.contains(key))
-                .forEach(give::add);
-        if (!want.isEmpty() && octets <= room) {
-            room -= octets;
-            out.add(new OutgoingMessage(from, GossipCodec.encodeRequest(want)));
+        table.versions(list.completeBuckets()).stream()
+                .map(EntryVersion::key)
+                .filter(key -> !listed.contains(key))
+                .forEach(sent::add);
+        if (!requested.isEmpty() && bytes <= budgetBytes) {
+            budgetBytes -= bytes;
+            answers.add(new OutgoingMessage(sender, GossipCodec.encodeRequest(requested)));
         }
-        give(now, from, give, out);
+        sendEntries(now, sender, sent, answers);
     }
 
-    private void give(Duration now, String to, List<StoredEntry.EntryKey> keys, List<OutgoingMessage> out) {
-        List<StoredEntry> words = new ArrayList<>();
-        long octets = HEAD;
-        for (StoredEntry.EntryKey key : new LinkedHashSet<>(keys)) {
-            StoredEntry word = lot.get(key);
-            if (word != null && lot.isShareable(key) && octets + GossipCodec.entryBytes(word) <= room) {
-                octets += GossipCodec.entryBytes(word);
-                words.add(word);
+    private void sendEntries(Duration now, String receiver, List<EntryKey> keys, List<OutgoingMessage> messages) {
+        List<StoredEntry> entries = new ArrayList<>();
+        long bytes = HEADER_BYTES;
+        for (EntryKey key : new LinkedHashSet<>(keys)) {
+            StoredEntry entry = table.get(key);
+            if (entry != null && table.isShareable(key) && bytes + GossipCodec.entryBytes(entry) <= budgetBytes) {
+                bytes += GossipCodec.entryBytes(entry);
+                entries.add(entry);
             }
         }
-        for (byte[] letter : packed(now, words, List.of())) {
-            room -= letter.length;
-            out.add(new OutgoingMessage(to, letter));
+        for (byte[] body : packEntries(now, entries)) {
+            budgetBytes -= body.length;
+            messages.add(new OutgoingMessage(receiver, body));
         }
     }
 }
