--- a/src/main/java/merlinlever/replication/GossipCodec.java
+++ b/src/main/java/merlinlever/replication/GossipCodec.java
@@ -9,261 +9,286 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Optional;
+import merlinlever.replication.EntryTable.EntryVersion;
+import merlinlever.replication.GossipMessage.AgedEntry;
+import merlinlever.replication.GossipMessage.BucketChecksums;
+import merlinlever.replication.GossipMessage.EntryBatch;
+import merlinlever.replication.GossipMessage.EntryRequest;
+import merlinlever.replication.GossipMessage.VersionList;
+import merlinlever.replication.StoredEntry.EntryKey;
 
 /**
- * What backends tell each other of words, as octets: version, kind, and what the kind holds. Of another version, too long, not
- * in its one form or with anything left over, it is nothing, and nothing of it is taken.
+ * The bytes of {@link GossipMessage}s: protocol version, kind, content. There is one encoding of each message; anything else is rejected
+ * as a whole (another version, too long, out of bounds, trailing bytes).
  */
 final class GossipCodec {
 
-    /** Octets of one letter at the most. */
     static final int MAX_MESSAGE_BYTES = 32 << 10;
-    /** Ages beyond that are not told. */
-    private static final long MOST_AGE = Duration.ofDays(1000).toMillis();
+    /** Higher ages are encoded as this one. */
+    private static final long MAX_AGE_MS = Duration.ofDays(1000).toMillis();
 
-    private static final byte VERSION = 1;
-    private static final int MOST_OWNER = 120;
-    private static final int MOST_TOPIC = 40;
-    private static final int DIGEST = 32;
+    private static final byte PROTOCOL_VERSION = 1;
+    private static final int MAX_OWNER_LENGTH = 120;
+    private static final int MAX_TOPIC_LENGTH = 40;
+    private static final int DIGEST_BYTES = 32;
+    private static final int MAX_VARINT_BYTES = 9;
 
-    /** Sums of all buckets: what differs? */
-    record BucketChecksums(long[] checksums) {}
+    private static final byte CHECKSUMS = 0;
+    private static final byte VERSIONS = 1;
+    private static final byte ENTRIES = 2;
+    private static final byte REQUEST = 3;
 
-    /**
-     * Versions held.
-     *
-     * @param completeBuckets the buckets of which these are all; none where it only announces what is new
-     */
-    record VersionList(long completeBuckets, List<EntryTable.EntryVersion> versions) {}
-
-    /** The words, with their ages. */
-    record EntryBatch(List<AgedEntry> entries) {}
-
-    /** Born is as long before now as its age says, by the reader's clock. */
-    record AgedEntry(StoredEntry entry, long ageMs) {}
-
-    /** These words are asked for. */
-    record EntryRequest(List<StoredEntry.EntryKey> keys) {}
+    private static final byte VALUE = 0;
+    private static final byte TOMBSTONE = 1;
+    private static final byte CONFLICT = 2;
 
     private GossipCodec() {}
 
-    static boolean isPrintable(String text, int most) {
+    private static boolean isPrintable(String text, int maxLength) {
         return text != null
                 && !text.isEmpty()
-                && text.length() <= most
-                && text.chars().allMatch(c -> c > ' ' && c <= '~');
+                && text.length() <= maxLength
+                && text.chars().allMatch(character -> character > ' ' && character <= '~');
     }
 
+    /** Whether owner and topic are of valid length and characters. */
     static boolean isValidKey(String owner, String topic) {
-        return isPrintable(owner, MOST_OWNER) && isPrintable(topic, MOST_TOPIC);
+        return isPrintable(owner, MAX_OWNER_LENGTH) && isPrintable(topic, MAX_TOPIC_LENGTH);
     }
 
-    // ---- writing
+    // ---- encoding
 
-    static byte[] encodeChecksums(long[] sums) {
-        ByteBuffer out = ByteBuffer.allocate(2 + 8 * sums.length).put(VERSION).put((byte) 0);
-        for (long sum : sums) {
-            out.putLong(sum);
+    private static ByteBuffer header(int capacity, byte kind) {
+        return ByteBuffer.allocate(capacity).put(PROTOCOL_VERSION).put(kind);
+    }
+
+    private static byte[] written(ByteBuffer out) {
+        return Arrays.copyOf(out.array(), out.position());
+    }
+
+    static byte[] encodeChecksums(long[] checksums) {
+        ByteBuffer out = header(2 + Long.BYTES * checksums.length, CHECKSUMS);
+        for (long checksum : checksums) {
+            out.putLong(checksum);
         }
         return out.array();
     }
 
-    static int versionBytes(EntryTable.EntryVersion line) {
-        return line.key().owner().length() + line.key().topic().length() + 2 + 2 * 9 + 8;
+    /** An upper bound of the bytes of a version within a message. */
+    static int versionBytes(EntryVersion version) {
+        return keyBytes(version.key()) + 2 * MAX_VARINT_BYTES + Long.BYTES;
     }
 
-    static byte[] encodeVersions(long whole, List<EntryTable.EntryVersion> lines) {
-        ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES)
-                .put(VERSION)
-                .put((byte) 1)
-                .putLong(whole)
-                .putShort((short) lines.size());
-        for (EntryTable.EntryVersion line : lines) {
-            put(out, line.key());
-            number(out, line.incarnation());
-            number(out, line.sequence());
-            out.putLong(line.fingerprint());
+    static byte[] encodeVersions(long completeBuckets, List<EntryVersion> versions) {
+        ByteBuffer out =
+                header(MAX_MESSAGE_BYTES, VERSIONS).putLong(completeBuckets).putShort((short) versions.size());
+        for (EntryVersion version : versions) {
+            putKey(out, version.key());
+            putVarint(out, version.incarnation());
+            putVarint(out, version.sequence());
+            out.putLong(version.fingerprint());
         }
-        return Arrays.copyOf(out.array(), out.position());
+        return written(out);
+    }
+
+    /** The bytes of a key within a message. */
+    static int keyBytes(EntryKey key) {
+        return key.owner().length() + key.topic().length() + 2;
     }
 
-    static int entryBytes(StoredEntry word) {
-        return word.key().owner().length()
-                + word.key().topic().length()
-                + 2
-                + 3 * 9
-                + 1
-                + (word.isConflicted() ? 2 * DIGEST : word.value() == null ? 0 : 2 + word.value().length);
+    /** An upper bound of the bytes of an entry within a message. */
+    static int entryBytes(StoredEntry entry) {
+        int contentBytes = 0;
+        if (entry.isConflicted()) {
+            contentBytes = 2 * DIGEST_BYTES;
+        } else if (entry.value() != null) {
+            contentBytes = Short.BYTES + entry.value().length;
+        }
+        return keyBytes(entry.key()) + 3 * MAX_VARINT_BYTES + 1 + contentBytes;
     }
 
-    static byte[] encodeEntries(Duration now, List<StoredEntry> words) {
-        ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(VERSION).put((byte) 2).putShort((short) words.size());
-        for (StoredEntry word : words) {
-            put(out, word.key());
-            number(out, word.incarnation());
-            number(out, word.sequence());
-            number(out, Math.max(0, Math.min(MOST_AGE, now.minus(word.publishedAt()).toMillis())));
-            if (word.isConflicted()) {
-                out.put((byte) 2);
-                word.digests().forEach(digest -> out.put(HexFormat.of().parseHex(digest)));
-            } else if (word.value() == null) {
-                out.put((byte) 1);
+    static byte[] encodeEntries(Duration now, List<StoredEntry> entries) {
+        ByteBuffer out = header(MAX_MESSAGE_BYTES, ENTRIES).putShort((short) entries.size());
+        for (StoredEntry entry : entries) {
+            putKey(out, entry.key());
+            putVarint(out, entry.incarnation());
+            putVarint(out, entry.sequence());
+            putVarint(out, Math.max(0, Math.min(MAX_AGE_MS, entry.age(now).toMillis())));
+            if (entry.isConflicted()) {
+                out.put(CONFLICT);
+                entry.digests().forEach(digest -> out.put(HexFormat.of().parseHex(digest)));
+            } else if (entry.value() == null) {
+                out.put(TOMBSTONE);
             } else {
-                out.put((byte) 0).putShort((short) word.value().length).put(word.value());
+                out.put(VALUE).putShort((short) entry.value().length).put(entry.value());
             }
         }
-        return Arrays.copyOf(out.array(), out.position());
+        return written(out);
     }
 
-    static byte[] encodeRequest(List<StoredEntry.EntryKey> keys) {
-        ByteBuffer out = ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(VERSION).put((byte) 3).putShort((short) keys.size());
-        keys.forEach(key -> put(out, key));
-        return Arrays.copyOf(out.array(), out.position());
+    static byte[] encodeRequest(List<EntryKey> keys) {
+        ByteBuffer out = header(MAX_MESSAGE_BYTES, REQUEST).putShort((short) keys.size());
+        keys.forEach(key -> putKey(out, key));
+        return written(out);
     }
 
-    private static void put(ByteBuffer out, StoredEntry.EntryKey key) {
-        for (String text : new String[] {key.owner(), key.topic()}) {
-            byte[] octets = text.getBytes(StandardCharsets.US_ASCII);
-            out.put((byte) octets.length).put(octets);
-        }
+    private static void putKey(ByteBuffer out, EntryKey key) {
+        putText(out, key.owner());
+        putText(out, key.topic());
+    }
+
+    private static void putText(ByteBuffer out, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
+        out.put((byte) bytes.length).put(bytes);
     }
 
-    /** Seven bits an octet, lowest first. */
-    static void number(ByteBuffer out, long number) {
+    /** Seven bits a byte, the lowest first; the highest bit says that more follow. */
+    private static void putVarint(ByteBuffer out, long number) {
         long rest = number;
         while (rest > 0x7f) {
-            out.put((byte) (rest & 0x7f | 0x80));
+            out.put((byte) ((rest & 0x7f) | 0x80));
             rest >>>= 7;
         }
         out.put((byte) rest);
     }
 
-    // ---- reading
+    // ---- decoding
 
-    /** One of the records above, or null. */
-    static Object decode(byte[] body) {
+    /** The message, or nothing if the bytes are not exactly what this class encodes. */
+    static Optional<GossipMessage> decode(byte[] body) {
         if (body.length > MAX_MESSAGE_BYTES) {
-            return null;
+            return Optional.empty();
         }
         try {
             ByteBuffer in = ByteBuffer.wrap(body);
-            if (in.get() != VERSION) {
-                return null;
+            if (in.get() != PROTOCOL_VERSION) {
+                return Optional.empty();
             }
-            Object letter =
+            GossipMessage message =
                     switch (in.get()) {
-                        case 0 -> readSums(in);
-                        case 1 -> readLines(in);
-                        case 2 -> readWords(in);
-                        case 3 -> readWant(in);
-                        default -> null;
+                        case CHECKSUMS -> decodeChecksums(in);
+                        case VERSIONS -> decodeVersions(in);
+                        case ENTRIES -> decodeEntries(in);
+                        case REQUEST -> decodeRequest(in);
+                        default -> throw new IllegalArgumentException("kind");
                     };
-            return in.hasRemaining() ? null : letter;
+            return in.hasRemaining() ? Optional.empty() : Optional.of(message);
         } catch (BufferUnderflowException | BufferOverflowException | IllegalArgumentException e) {
-            return null;
+            return Optional.empty();
         }
     }
 
-    private static BucketChecksums readSums(ByteBuffer in) {
-        long[] sums = new long[EntryTable.BUCKET_COUNT];
-        for (int i = 0; i < sums.length; i++) {
-            sums[i] = in.getLong();
+    private static BucketChecksums decodeChecksums(ByteBuffer in) {
+        long[] checksums = new long[EntryTable.BUCKET_COUNT];
+        for (int i = 0; i < checksums.length; i++) {
+            checksums[i] = in.getLong();
         }
-        return new BucketChecksums(sums);
+        return new BucketChecksums(checksums);
     }
 
-    private static VersionList readLines(ByteBuffer in) {
-        long whole = in.getLong();
+    private static VersionList decodeVersions(ByteBuffer in) {
+        long completeBuckets = in.getLong();
         int count = in.getShort() & 0xffff;
-        List<EntryTable.EntryVersion> lines = new ArrayList<>();
+        List<EntryVersion> versions = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            StoredEntry.EntryKey key = key(in);
-            lines.add(new EntryTable.EntryVersion(key, version(in), version(in), in.getLong()));
+            EntryKey key = getKey(in);
+            versions.add(new EntryVersion(key, getVersionNumber(in), getVersionNumber(in), in.getLong()));
         }
-        return new VersionList(whole, lines);
+        return new VersionList(completeBuckets, versions);
     }
 
-    private static EntryBatch readWords(ByteBuffer in) {
+    private static EntryBatch decodeEntries(ByteBuffer in) {
         int count = in.getShort() & 0xffff;
-        List<AgedEntry> words = new ArrayList<>();
+        List<AgedEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            StoredEntry.EntryKey key = key(in);
-            long incarnation = version(in);
-            long sequence = version(in);
-            long age = number(in);
-            if (age > MOST_AGE) {
-                throw new IllegalArgumentException("age");
+            entries.add(decodeEntry(in));
+        }
+        return new EntryBatch(entries);
+    }
+
+    private static AgedEntry decodeEntry(ByteBuffer in) {
+        EntryKey key = getKey(in);
+        long incarnation = getVersionNumber(in);
+        long sequence = getVersionNumber(in);
+        long ageMs = getVarint(in);
+        if (ageMs > MAX_AGE_MS) {
+            throw new IllegalArgumentException("age");
+        }
+        byte[] value = null;
+        List<String> digests;
+        switch (in.get()) {
+            case VALUE -> {
+                value = getValue(in);
+                digests = List.of(StoredEntry.digest(value));
             }
-            byte[] value = null;
-            List<String> digests;
-            switch (in.get()) {
-                case 0 -> {
-                    value = new byte[in.getShort() & 0xffff];
-                    if (value.length > VersionedEntry.MAX_VALUE_BYTES) {
-                        throw new IllegalArgumentException("value");
-                    }
-                    in.get(value);
-                    digests = List.of(StoredEntry.digest(value));
-                }
-                case 1 -> digests = List.of(StoredEntry.digest(null));
-                case 2 -> {
-                    digests = List.of(hex(in), hex(in));
-                    if (digests.get(0).compareTo(digests.get(1)) >= 0) {
-                        throw new IllegalArgumentException("digests");
-                    }
+            case TOMBSTONE -> digests = List.of(StoredEntry.digest(null));
+            case CONFLICT -> {
+                digests = List.of(getDigest(in), getDigest(in));
+                if (digests.get(0).compareTo(digests.get(1)) >= 0) {
+                    throw new IllegalArgumentException("order of digests");
                 }
-                default -> throw new IllegalArgumentException("form");
             }
-            words.add(new AgedEntry(new StoredEntry(key, incarnation, sequence, value, digests, Duration.ZERO), age));
+            default -> throw new IllegalArgumentException("form of entry");
         }
-        return new EntryBatch(words);
+        return new AgedEntry(new StoredEntry(key, incarnation, sequence, value, digests, Duration.ZERO), ageMs);
     }
 
-    private static EntryRequest readWant(ByteBuffer in) {
+    private static EntryRequest decodeRequest(ByteBuffer in) {
         int count = in.getShort() & 0xffff;
-        List<StoredEntry.EntryKey> keys = new ArrayList<>();
+        List<EntryKey> keys = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            keys.add(key(in));
+            keys.add(getKey(in));
         }
         return new EntryRequest(keys);
     }
 
-    private static String hex(ByteBuffer in) {
-        byte[] octets = new byte[DIGEST];
-        in.get(octets);
-        return HexFormat.of().formatHex(octets);
+    private static byte[] getValue(ByteBuffer in) {
+        byte[] value = new byte[in.getShort() & 0xffff];
+        if (value.length > VersionedEntry.MAX_VALUE_BYTES) {
+            throw new IllegalArgumentException("length of value");
+        }
+        in.get(value);
+        return value;
+    }
+
+    private static String getDigest(ByteBuffer in) {
+        byte[] bytes = new byte[DIGEST_BYTES];
+        in.get(bytes);
+        return HexFormat.of().formatHex(bytes);
     }
 
-    private static StoredEntry.EntryKey key(ByteBuffer in) {
-        StoredEntry.EntryKey key = new StoredEntry.EntryKey(text(in), text(in));
+    private static EntryKey getKey(ByteBuffer in) {
+        EntryKey key = new EntryKey(getText(in), getText(in));
         if (!isValidKey(key.owner(), key.topic())) {
-            throw new IllegalArgumentException("name");
+            throw new IllegalArgumentException("key");
         }
         return key;
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] octets = new byte[in.get() & 0xff];
-        in.get(octets);
-        return new String(octets, StandardCharsets.ISO_8859_1);
+    private static String getText(ByteBuffer in) {
+        byte[] bytes = new byte[in.get() & 0xff];
+        in.get(bytes);
+        return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** A version is counted up, by one each time: beyond that it is nobody's. */
-    private static long version(ByteBuffer in) {
-        long number = number(in);
+    /** Versions count up by one at a time, so nobody can have reached a number over the bound. */
+    private static long getVersionNumber(ByteBuffer in) {
+        long number = getVarint(in);
         if (number > ReplicatedStore.MAX_VERSION) {
             throw new IllegalArgumentException("version");
         }
         return number;
     }
 
-    private static long number(ByteBuffer in) {
+    private static long getVarint(ByteBuffer in) {
         long number = 0;
         for (int shift = 0; shift < 63; shift += 7) {
-            byte octet = in.get();
-            number |= (octet & 0x7fL) << shift;
-            if (octet >= 0) {
-                if (octet == 0 && shift > 0) {
+            byte next = in.get();
+            number |= (next & 0x7fL) << shift;
+            if (next >= 0) {
+                if (next == 0 && shift > 0) {
+                    // Not the shortest form.
                     break;
                 }
                 return number;
--- a/src/main/java/merlinlever/replication/MessageFormatter.java
+++ b/src/main/java/merlinlever/replication/MessageFormatter.java
@@ -1,13 +1,14 @@
 package merlinlever.replication;
 
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
+import java.util.stream.Collectors;
+import merlinlever.replication.StoredEntry.EntryKey;
 
-/** What a letter says, in words: for logs and drawings. */
+/** Describes gossip messages for logs and timelines. */
 public final class MessageFormatter {
 
-    /** Kinds of letters. */
+    /** The kinds of gossip messages. */
     public enum MessageKind {
         CHECKSUMS,
         VERSIONS,
@@ -16,42 +17,59 @@
         MALFORMED
     }
 
-    /** @param text in a few words; values as text, of a few letters at the most */
+    /** @param text a short description; values are shown as text and cut off */
     public record FormattedMessage(MessageKind kind, String text) {}
 
-    private static final int MOST = 20;
+    private static final int MAX_VALUE_LENGTH = 20;
 
     private MessageFormatter() {}
 
+    /** Describes the message that the bytes encode. */
     public static FormattedMessage format(byte[] body) {
-        Object letter = GossipCodec.decode(body);
-        List<String> parts = new ArrayList<>();
-        if (letter instanceof GossipCodec.BucketChecksums) {
-            return new FormattedMessage(MessageKind.CHECKSUMS, "sums of all I hold");
-        } else if (letter instanceof GossipCodec.VersionList lines) {
-            lines.versions()
-                    .forEach(line -> parts.add(key(line.key()) + " " + line.incarnation() + "." + line.sequence()));
-            return new FormattedMessage(
-                    MessageKind.VERSIONS, parts.isEmpty() ? "I hold none there" : "I hold " + String.join(", ", parts));
-        } else if (letter instanceof GossipCodec.EntryRequest want) {
-            want.keys().forEach(key -> parts.add(key(key)));
-            return new FormattedMessage(MessageKind.REQUEST, "give me " + String.join(", ", parts));
-        } else if (letter instanceof GossipCodec.EntryBatch told) {
-            told.entries().forEach(each -> parts.add(format(each.entry())));
-            return new FormattedMessage(MessageKind.ENTRIES, String.join(", ", parts));
+        Optional<GossipMessage> decoded = GossipCodec.decode(body);
+        if (decoded.isEmpty()) {
+            return new FormattedMessage(MessageKind.MALFORMED, "not understood");
         }
-        return new FormattedMessage(MessageKind.MALFORMED, "not understood");
+        GossipMessage message = decoded.get();
+        if (message instanceof GossipMessage.VersionList list) {
+            return format(list);
+        }
+        if (message instanceof GossipMessage.EntryRequest request) {
+            String keys = request.keys().stream().map(MessageFormatter::format).collect(Collectors.joining(", "));
+            return new FormattedMessage(MessageKind.REQUEST, "give me " + keys);
+        }
+        if (message instanceof GossipMessage.EntryBatch batch) {
+            String entries =
+                    batch.entries().stream().map(aged -> format(aged.entry())).collect(Collectors.joining(", "));
+            return new FormattedMessage(MessageKind.ENTRIES, entries);
+        }
+        return new FormattedMessage(MessageKind.CHECKSUMS, "sums of all I hold");
+    }
+
+    private static FormattedMessage format(GossipMessage.VersionList list) {
+        String versions = list.versions().stream()
+                .map(version -> format(version.key()) + " " + version.incarnation() + "." + version.sequence())
+                .collect(Collectors.joining(", "));
+        return new FormattedMessage(
+                MessageKind.VERSIONS, versions.isEmpty() ? "I hold none there" : "I hold " + versions);
     }
 
-    private static String key(StoredEntry.EntryKey key) {
+    private static String format(EntryKey key) {
         return key.owner() + "'s " + key.topic();
     }
 
-    private static String format(StoredEntry word) {
-        String value = word.isConflicted()
-                ? "claimed twice"
-                : word.isTombstone() ? "taken back" : new String(word.value(), StandardCharsets.UTF_8);
-        return key(word.key()) + " " + word.incarnation() + "." + word.sequence() + ": "
-                + (value.length() > MOST ? value.substring(0, MOST) + "..." : value);
+    private static String format(StoredEntry entry) {
+        return format(entry.key()) + " " + entry.incarnation() + "." + entry.sequence() + ": " + formatValue(entry);
+    }
+
+    private static String formatValue(StoredEntry entry) {
+        if (entry.isConflicted()) {
+            return "claimed twice";
+        }
+        if (entry.isTombstone()) {
+            return "taken back";
+        }
+        String value = new String(entry.value(), StandardCharsets.UTF_8);
+        return value.length() > MAX_VALUE_LENGTH ? value.substring(0, MAX_VALUE_LENGTH) + "..." : value;
     }
 }
--- a/src/main/java/merlinlever/replication/OutgoingMessage.java
+++ b/src/main/java/merlinlever/replication/OutgoingMessage.java
@@ -1,4 +1,4 @@
 package merlinlever.replication;
 
-/** A letter to another, by its name; it may be lost, late, doubled or out of order. */
+/** A message to another backend, by its name. It may be lost, delayed, duplicated or reordered. */
 public record OutgoingMessage(String receiver, byte[] body) {}
--- a/src/main/java/merlinlever/replication/PaxosAcceptor.java
+++ b/src/main/java/merlinlever/replication/PaxosAcceptor.java
@@ -7,201 +7,177 @@
 import java.util.Arrays;
 import java.util.Collection;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
 
 /**
- * What one voter has promised and accepted, and what it knows to be written: the acceptor of single-decree Paxos (Lamport 1998,
- * 2001), one decree for each register, one promise for all. Whoever answers from it first forces {@link #encode} to the disk.
+ * What a voter has promised and accepted, and which registers it knows to be written: the acceptor of single-decree Paxos (Lamport 1998,
+ * 2001), one decree for each register and one promise for all of them. An answer based on this state may leave only once
+ * {@link #encode} is on the disk.
  */
-class PaxosAcceptor {
+final class PaxosAcceptor {
 
-    /** Registers at the most; they are never dropped, so that none can be written a second time. */
+    /** Registers are never dropped, as a forgotten one could be written a second time. */
     static final int MAX_REGISTERS = 256;
 
     static final int MAX_VALUE_BYTES = 1 << 10;
-    private static final int FORM = 0x4d4c4431;
 
-    /**
-     * One register.
-     *
-     * @param acceptedTerm under which the value was accepted last; means nothing once it is written
-     * @param chosen more than half of the voters have accepted it under one term
-     */
-    record RegisterState(String name, long acceptedTerm, byte[] value, boolean chosen) {}
+    /** "MLD1": the first bytes of the file after its checksum. */
+    private static final int FILE_FORMAT = 0x4d4c4431;
 
-    private long promised;
-    private final TreeMap<String, RegisterState> all = new TreeMap<>();
+    private static final int HEADER_BYTES = 24;
+
+    private long promisedTerm;
+    private final TreeMap<String, RegisterState> registers = new TreeMap<>();
 
     long promisedTerm() {
-        return promised;
+        return promisedTerm;
     }
 
-    RegisterState get(String name) {
-        return all.get(name);
+    /** The register's state, if anything was accepted for it. */
+    Optional<RegisterState> get(String name) {
+        return Optional.ofNullable(registers.get(name));
     }
 
+    /** All registers, sorted by name. */
     Collection<RegisterState> registers() {
-        return all.values();
+        return registers.values();
     }
 
     boolean hasRoomFor(String name) {
-        return all.containsKey(name) || all.size() < MAX_REGISTERS;
+        return registers.containsKey(name) || registers.size() < MAX_REGISTERS;
     }
 
-    /** A leader of the term asks what was accepted; false where a later one was promised. */
+    /** Promises to accept nothing of lower terms; false if a higher term was promised. */
     boolean promise(long term) {
-        if (term < promised) {
+        if (term < promisedTerm) {
             return false;
         }
-        promised = term;
+        promisedTerm = term;
         return true;
     }
 
-    /** A leader of the term proposes the value; false where a later one was promised, there is no room, or it proposed another. */
+    /** Accepts a value; false if a higher term was promised, the table is full, or the register is bound to another value. */
     boolean accept(long term, String name, byte[] value) {
-        RegisterState known = all.get(name);
-        if (term < promised
-                || !hasRoomFor(name)
-                || known != null && (known.chosen || known.acceptedTerm == term) && !Arrays.equals(known.value, value)) {
+        RegisterState known = registers.get(name);
+        boolean bound = known != null && (known.chosen() || known.acceptedTerm() == term);
+        if (term < promisedTerm || !hasRoomFor(name) || (bound && !Arrays.equals(known.value(), value))) {
             return false;
         }
-        promised = term;
-        if (known == null || !known.chosen && known.acceptedTerm != term) {
-            all.put(name, new RegisterState(name, term, value, false));
+        promisedTerm = term;
+        if (!bound) {
+            registers.put(name, new RegisterState(name, term, value, false));
         }
         return true;
     }
 
-    /** It is written: false where another value is known to be, which is told and never taken. */
+    /** Records the value of a written register; false if another one is known to be written, which stays. */
     boolean markChosen(String name, byte[] value) {
-        RegisterState known = all.get(name);
-        if (known != null && known.chosen) {
-            return Arrays.equals(known.value, value);
+        RegisterState known = registers.get(name);
+        if (known != null && known.chosen()) {
+            return Arrays.equals(known.value(), value);
         }
         if (hasRoomFor(name)) {
-            all.put(name, new RegisterState(name, known == null ? 0 : known.acceptedTerm, value, true));
+            registers.put(name, new RegisterState(name, known == null ? 0 : known.acceptedTerm(), value, true));
         }
         return true;
     }
 
-    /** What another voter holds, for one that has lost its own: the latest of each, and no promise is undercut. */
-    void mergePeerState(long itsPromise, Collection<RegisterState> its) {
-        promised = Math.max(promised, itsPromise);
-        for (RegisterState each : its) {
-            RegisterState known = all.get(each.name);
-            if (each.chosen) {
-                markChosen(each.name, each.value);
-            } else if (hasRoomFor(each.name) && (known == null || !known.chosen && each.acceptedTerm > known.acceptedTerm)) {
-                all.put(each.name, each);
+    /** Takes over what another voter holds, after the own state was lost: the latest of each, and the highest promise. */
+    void mergePeerState(long peerPromisedTerm, Collection<RegisterState> peerRegisters) {
+        promisedTerm = Math.max(promisedTerm, peerPromisedTerm);
+        for (RegisterState state : peerRegisters) {
+            RegisterState known = registers.get(state.name());
+            if (state.chosen()) {
+                markChosen(state.name(), state.value());
+            } else if (hasRoomFor(state.name())
+                    && (known == null || (!known.chosen() && state.acceptedTerm() > known.acceptedTerm()))) {
+                registers.put(state.name(), state);
             }
         }
     }
 
-    /** What may be proposed without undoing what may have been written: the value of the highest term that was told, or one's own. */
-    static byte[] safeValue(Collection<RegisterState> told, byte[] mine) {
+    /** The value that a leader may propose: of those that voters reported the one of the highest term, or else its own. */
+    static byte[] safeValue(Collection<RegisterState> reported, byte[] ownValue) {
         RegisterState highest = null;
-        for (RegisterState each : told) {
-            highest = each != null && each.value != null && (highest == null || each.acceptedTerm > highest.acceptedTerm)
-                    ? each
-                    : highest;
+        for (RegisterState state : reported) {
+            if (highest == null || state.acceptedTerm() > highest.acceptedTerm()) {
+                highest = state;
+            }
         }
-        return highest == null ? mine : highest.value;
+        return highest == null ? ownValue : highest.value();
     }
 
-    // ---- as octets
-
-    static int encode(RegisterState entry) {
-        return 1 + entry.name.length() + 8 + 1 + 2 + entry.value.length;
-    }
-
-    static void encodeRegister(ByteBuffer out, RegisterState entry) {
-        byte[] name = entry.name.getBytes(StandardCharsets.US_ASCII);
-        out.put((byte) name.length)
-                .put(name)
-                .putLong(entry.acceptedTerm)
-                .put((byte) (entry.chosen ? 1 : 0))
-                .putShort((short) entry.value.length)
-                .put(entry.value);
+    /** A hash over all written registers: equal where two voters know the same of them. */
+    long chosenFingerprint() {
+        long fingerprint = 0;
+        for (RegisterState state : registers.values()) {
+            if (state.chosen()) {
+                byte[] text =
+                        (state.name() + " " + StoredEntry.digest(state.value())).getBytes(StandardCharsets.US_ASCII);
+                fingerprint ^=
+                        ByteBuffer.wrap(StoredEntry.sha256().digest(text)).getLong();
+            }
+        }
+        return fingerprint;
     }
 
-    /** Throws what a buffer or an argument does where this is none. */
-    static RegisterState decodeRegister(ByteBuffer in) {
-        byte[] name = new byte[in.get() & 0xff];
-        in.get(name);
-        long term = in.getLong();
-        byte written = in.get();
-        int length = in.getShort() & 0xffff;
-        String text = new String(name, StandardCharsets.ISO_8859_1);
-        if (!GossipCodec.isValidKey("-", text) || term < 0 || written < 0 || written > 1 || length > MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("register");
+    /** The registers whose names follow {@code after}, as many as fit into so many bytes. */
+    List<RegisterState> page(String after, int maxBytes) {
+        List<RegisterState> page = new ArrayList<>();
+        int bytes = 0;
+        for (RegisterState state : registers.tailMap(after, false).values()) {
+            bytes += state.encodedBytes();
+            if (bytes > maxBytes) {
+                break;
+            }
+            page.add(state);
         }
-        byte[] value = new byte[length];
-        in.get(value);
-        return new RegisterState(text, term, value, written == 1);
+        return page;
     }
 
-    byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(
-                24 + all.values().stream().mapToInt(PaxosAcceptor::encode).sum());
-        out.putInt(0).putInt(FORM).putLong(promised).putShort((short) all.size());
-        all.values().forEach(entry -> encodeRegister(out, entry));
-        byte[] octets = Arrays.copyOf(out.array(), out.position());
-        ByteBuffer.wrap(octets).putInt(sum(octets));
-        return octets;
-    }
+    // ---- the file
 
-    private static int sum(byte[] octets) {
+    /** The content of the state file: CRC-32C of the rest, format, promise, registers. */
+    byte[] encode() {
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES
+                + registers.values().stream()
+                        .mapToInt(RegisterState::encodedBytes)
+                        .sum());
+        out.putInt(0).putInt(FILE_FORMAT).putLong(promisedTerm).putShort((short) registers.size());
+        registers.values().forEach(state -> state.encodeTo(out));
+        byte[] bytes = Arrays.copyOf(out.array(), out.position());
+        ByteBuffer.wrap(bytes).putInt(checksum(bytes));
+        return bytes;
+    }
+
+    private static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(octets, 4, octets.length - 4);
+        crc.update(bytes, Integer.BYTES, bytes.length - Integer.BYTES);
         return (int) crc.getValue();
     }
 
-    /** Null where this is not what {@link #encode} writes. */
-    static PaxosAcceptor decode(byte[] octets) {
+    /** The state in a file, or nothing if it is corrupt. */
+    static Optional<PaxosAcceptor> decode(byte[] bytes) {
+        if (bytes.length < Integer.BYTES) {
+            return Optional.empty();
+        }
         try {
-            ByteBuffer in = ByteBuffer.wrap(octets);
-            if (in.getInt() != sum(octets) || in.getInt() != FORM) {
-                return null;
+            ByteBuffer in = ByteBuffer.wrap(bytes);
+            if (in.getInt() != checksum(bytes) || in.getInt() != FILE_FORMAT) {
+                return Optional.empty();
             }
-            PaxosAcceptor made = new PaxosAcceptor();
-            made.promised = in.getLong();
-            for (int left = in.getShort(); left > 0; left--) {
-                RegisterState entry = decodeRegister(in);
-                made.all.put(entry.name, entry);
+            PaxosAcceptor acceptor = new PaxosAcceptor();
+            acceptor.promisedTerm = in.getLong();
+            int count = in.getShort();
+            for (int i = 0; i < count; i++) {
+                RegisterState state = RegisterState.decode(in);
+                acceptor.registers.put(state.name(), state);
             }
-            return in.hasRemaining() ? null : made;
-        } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
-            return null;
+            return in.hasRemaining() ? Optional.empty() : Optional.of(acceptor);
+        } catch (BufferUnderflowException | IllegalArgumentException e) {
+            return Optional.empty();
         }
     }
-
-    /** Of what is written: alike where two know the same. */
-    long chosenFingerprint() {
-        long mark = 0;
-        for (RegisterState entry : all.values()) {
-            mark ^= entry.chosen
-                    ? ByteBuffer.wrap(StoredEntry.sha256()
-                                    .digest((entry.name + " " + StoredEntry.digest(entry.value))
-                                            .getBytes(StandardCharsets.US_ASCII)))
-                            .getLong()
-                    : 0;
-        }
-        return mark;
-    }
-
-    /** From that name on, as many as fit. */
-    List<RegisterState> page(String after, int octets) {
-        List<RegisterState> page = new ArrayList<>();
-        int size = 0;
-        for (Map.Entry<String, RegisterState> each : all.tailMap(after, false).entrySet()) {
-            size += encode(each.getValue());
-            if (size > octets) {
-                break;
-            }
-            page.add(each.getValue());
-        }
-        return page;
-    }
 }
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -1,7 +1,6 @@
 package merlinlever.replication;
 
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -17,439 +16,340 @@
 import merlinlever.view.GuardedAction;
 
 /**
- * One backend's part in registers that are written once: voter, leader, and one who is told. A leader asks more than half of the
- * voters under its term what they have accepted, proposes the value of the highest term it is told or its own, and the value is
- * written once more than half have accepted it. A voter answers only when what it promises or accepts is on its disk
- * ({@link #pendingWrite}); one that comes without its disk votes again only when it has been told by so many others that none of what it
- * may have promised or accepted is missed.
+ * One backend's part in the {@link WriteOnceRegisters}: voter, leader and learner of single-decree Paxos, with the leader's term as the
+ * ballot. The leader asks a majority of the voters what they have accepted, and proposes the value of the highest term reported, or its
+ * own; the register is written once a majority has accepted that under one term. A voter answers only when what it promised or accepted is
+ * on its disk ({@link #pendingWrite}). Whatever is written is announced to all, and compared in the background. Event loop only.
  */
 public final class PaxosNode implements WriteOnceRegisters {
 
-    private static final Duration PERIOD = Duration.ofMillis(500);
-    /** An unanswered question is put again after so long. */
-    private static final Duration AGAIN = Duration.ofMillis(300);
-    /** An answer counts for so long after its question, by the leader's clock. */
-    private static final Duration COUNTS = Duration.ofSeconds(5);
-    /** A voter without its disk asks the others only then: nobody counts an answer of its former life any more, by any clock. */
-    private static final Duration FENCE = Duration.ofSeconds(10);
-    /** Answers that wait for the disk, at the most; those over it are lost, as any may be. */
-    private static final int MOST_WAITING = 1000;
-
-    /** What must be on the disk; {@code version} goes back to {@link #writeCompleted}. */
-    public record PendingWrite(long version, byte[] bytes) {}
-
-    private record DeferredMessage(long version, OutgoingMessage carry) {}
-
-    /** A register that this leader writes now. */
-    private static final class Proposal {
-        final byte[] mine;
-        long term = -1;
-        /** Null while voters are asked; then it is never changed within the term. */
-        byte[] value;
-
-        final Map<String, PaxosAcceptor.RegisterState> told = new TreeMap<>();
-        /** Who has, and when that question was put, in ms of this one's clock. */
-        final Map<String, Long> promised = new TreeMap<>(), accepted = new TreeMap<>();
+    /** How often one other backend is compared with. */
+    private static final Duration COMPARISON_INTERVAL = Duration.ofMillis(500);
 
-        Duration next;
-
-        Proposal(byte[] mine) {
-            this.mine = mine;
-        }
-    }
+    /** State to be written to the disk; {@code version} is for {@link #writeCompleted}. */
+    public record PendingWrite(long version, byte[] bytes) {}
 
     private final String self;
     private final Leadership leadership;
-    private final FleetView seen;
-    private final Supplier<List<String>> live;
-    private final SplittableRandom chance;
+    private final FleetView view;
+    private final Supplier<List<String>> peers;
+    private final SplittableRandom random;
     private final Consumer<String> log;
-    private final PaxosAcceptor ballots;
+    private final PaxosAcceptor acceptor;
+    private final VoterRecovery recovery;
+    private final DurabilityGate gate = new DurabilityGate();
+    /** By the names of their registers. */
     private final Map<String, Proposal> proposals = new TreeMap<>();
-    private final ArrayDeque<DeferredMessage> waiting = new ArrayDeque<>();
-    private long version, onDisk, keeping;
-    private Duration next;
-    private final Duration fence;
-    /** Whether its disk was found, or others have told what it may have held. */
-    private boolean votes;
-    /** While it does not: of other voters that told all, whether they vote. */
-    private final Map<String, Boolean> toldAll = new TreeMap<>();
-
-    private long malformed, conflicts;
-
-    /** @param found the octets that were kept last, or null where there are none or they are spoilt */
+
+    private Duration nextComparison;
+    private long malformedMessages;
+    private long conflicts;
+
+    /**
+     * Creates a node.
+     *
+     * @param state the bytes that were written last, if there are any; corrupt ones count as lost
+     * @param peers the other backends that are reachable now
+     * @param log receives a line for each event that an operator may need
+     */
     public PaxosNode(
             Duration now,
             String self,
-            byte[] found,
+            Optional<byte[]> state,
             Leadership leadership,
-            FleetView seen,
-            Supplier<List<String>> live,
-            SplittableRandom chance,
+            FleetView view,
+            Supplier<List<String>> peers,
+            SplittableRandom random,
             Consumer<String> log) {
         this.self = self;
         this.leadership = leadership;
-        this.seen = seen;
-        this.live = live;
-        this.chance = chance;
+        this.view = view;
+        this.peers = peers;
+        this.random = random;
         this.log = log;
-        PaxosAcceptor read = found == null ? null : PaxosAcceptor.decode(found);
-        ballots = read == null ? new PaxosAcceptor() : read;
-        votes = read != null || leadership.voters().size() == 1;
-        next = now;
-        fence = now.plus(FENCE);
+        Optional<PaxosAcceptor> restored = state.flatMap(PaxosAcceptor::decode);
+        acceptor = restored.orElseGet(PaxosAcceptor::new);
+        recovery = new VoterRecovery(
+                now, restored.isPresent() || leadership.voters().size() == 1);
+        nextComparison = now;
+    }
+
+    private boolean isVoter(String name) {
+        return leadership.voters().contains(name);
     }
 
-    /** More than half have answered what was asked lately. */
-    private boolean most(Duration now, Map<String, Long> answered) {
-        answered.values().removeIf(asked -> now.toMillis() - asked > COUNTS.toMillis());
-        return answered.size() > leadership.voters().size() / 2;
+    private int voterCount() {
+        return leadership.voters().size();
     }
 
-    private boolean decides(Duration now) {
-        return leadership.leads(now) && seen.may(now, GuardedAction.DECIDE) == ActionPermissions.Permission.YES;
+    private boolean mayDecide(Duration now) {
+        return leadership.leads(now) && view.may(now, GuardedAction.DECIDE) == ActionPermissions.Permission.YES;
     }
 
     @Override
     public void propose(Duration now, String name, byte[] value) {
-        if (!GossipCodec.isValidKey("-", name) || value.length > PaxosAcceptor.MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("register " + name + " of " + value.length + " octets");
+        if (!RegisterState.isValidName(name) || value.length > PaxosAcceptor.MAX_VALUE_BYTES) {
+            throw new IllegalArgumentException("register " + name + " of " + value.length + " bytes");
         }
-        if (decides(now) && chosen(name).isEmpty() && ballots.hasRoomFor(name) && proposals.size() < PaxosAcceptor.MAX_REGISTERS) {
-            proposals.computeIfAbsent(name, none -> new Proposal(value.clone()));
+        if (mayDecide(now)
+                && chosen(name).isEmpty()
+                && acceptor.hasRoomFor(name)
+                && proposals.size() < PaxosAcceptor.MAX_REGISTERS) {
+            proposals.computeIfAbsent(name, missing -> new Proposal(name, value.clone()));
         }
     }
 
     @Override
     public Optional<byte[]> chosen(String name) {
-        PaxosAcceptor.RegisterState entry = ballots.get(name);
-        return entry != null && entry.chosen() ? Optional.of(entry.value().clone()) : Optional.empty();
+        return acceptor.get(name).filter(RegisterState::chosen).map(state -> state.value()
+                .clone());
     }
 
     // ---- the disk
 
-    /** What is to be written now; null where all of it is on the disk, one write is under way, or this voter is not yet told what it lost. */
-    public PendingWrite pendingWrite() {
-        if (version == onDisk
-                || keeping > onDisk
-                || !votes && leadership.voters().contains(self)) {
-            return null;
+    /**
+     * What has to be written now. Nothing if all of it is on the disk, a write is in progress, or this voter has lost its state and not yet
+     * been told by the others.
+     */
+    public Optional<PendingWrite> pendingWrite() {
+        if (isVoter(self) && !recovery.isVoting()) {
+            return Optional.empty();
         }
-        keeping = version;
-        return new PendingWrite(version, ballots.encode());
+        return gate.beginWrite().stream()
+                .mapToObj(version -> new PendingWrite(version, acceptor.encode()))
+                .findFirst();
     }
 
-    /** It is on the disk; what waited for that is sent. */
-    public List<OutgoingMessage> writeCompleted(Duration now, long done) {
-        onDisk = Math.max(onDisk, done);
-        List<OutgoingMessage> out = new ArrayList<>();
-        while (!waiting.isEmpty() && waiting.peek().version <= onDisk) {
-            out.add(waiting.poll().carry);
-        }
-        return own(now, out);
+    /** That version is on the disk; returns the messages that waited for it. */
+    public List<OutgoingMessage> writeCompleted(Duration now, long version) {
+        gate.writeCompleted(version);
+        return deliverOwn(now, gate.release());
     }
 
-    /** The write went wrong; it is tried again. */
+    /** The write failed; {@link #pendingWrite} returns it again. */
     public void writeFailed() {
-        keeping = onDisk;
+        gate.writeFailed();
     }
 
-    private void afterDisk(String to, RegisterMessage slip) {
-        if (waiting.size() < MOST_WAITING) {
-            waiting.add(new DeferredMessage(version, new OutgoingMessage(to, slip.encode())));
-        }
-    }
-
-    // ---- what is to be said
+    // ---- time
 
+    /** Is called every few ten milliseconds; returns the messages that are due. */
     public List<OutgoingMessage> tick(Duration now) {
-        List<OutgoingMessage> out = new ArrayList<>();
-        if (!decides(now)) {
-            // One that was deposed writes nothing; who leads then finishes what was begun.
-            proposals.clear();
+        List<OutgoingMessage> messages = new ArrayList<>();
+        if (mayDecide(now)) {
+            finishAcceptedRegisters();
+            proposals.values().forEach(proposal -> messages.addAll(tickProposal(now, proposal)));
         } else {
-            for (PaxosAcceptor.RegisterState entry : ballots.registers()) {
-                if (!entry.chosen()) {
-                    proposals.computeIfAbsent(entry.name(), none -> new Proposal(entry.value()));
-                }
-            }
-            proposals.forEach((name, proposal) -> lead(now, name, proposal, out));
+            // The next leader finishes what was begun.
+            proposals.clear();
         }
-        if (now.compareTo(next) >= 0) {
-            next = now.plus(PERIOD);
-            List<String> others = live.get();
-            if (!others.isEmpty()) {
-                out.add(carry(
-                        others.get(chance.nextInt(others.size())),
-                        RegisterMessage.Kind.FINGERPRINT,
-                        0,
-                        ballots.chosenFingerprint(),
-                        "",
-                        List.of()));
-            }
-            if (leadership.voters().contains(self) && !votes && now.compareTo(fence) >= 0) {
-                leadership.voters().stream()
-                        .filter(voter -> !voter.equals(self))
-                        .forEach(voter ->
-                                out.add(carry(voter, RegisterMessage.Kind.PAGE_REQUEST, 0, now.toMillis(), "", List.of())));
+        if (now.compareTo(nextComparison) >= 0) {
+            nextComparison = now.plus(COMPARISON_INTERVAL);
+            compare(now, messages);
+        }
+        return deliverOwn(now, messages);
+    }
+
+    private void finishAcceptedRegisters() {
+        for (RegisterState state : acceptor.registers()) {
+            if (!state.chosen()) {
+                proposals.computeIfAbsent(state.name(), name -> new Proposal(name, state.value()));
             }
         }
-        return own(now, out);
     }
 
-    private void lead(Duration now, String name, Proposal proposal, List<OutgoingMessage> out) {
-        if (proposal.term != leadership.term()) {
-            proposal.term = leadership.term();
-            proposal.value = null;
-            proposal.told.clear();
-            proposal.promised.clear();
-            proposal.accepted.clear();
-            proposal.next = now;
+    private List<OutgoingMessage> tickProposal(Duration now, Proposal proposal) {
+        return proposal.tick(now, leadership.term(), leadership.voters());
+    }
+
+    private void compare(Duration now, List<OutgoingMessage> messages) {
+        List<String> receivers = peers.get();
+        if (!receivers.isEmpty()) {
+            String receiver = receivers.get(random.nextInt(receivers.size()));
+            messages.add(outgoing(receiver, RegisterMessage.fingerprint(acceptor.chosenFingerprint())));
         }
-        if (now.compareTo(proposal.next) >= 0) {
-            proposal.next = now.plus(AGAIN);
-            most(now, proposal.promised);
-            most(now, proposal.accepted);
-            for (String voter : leadership.voters()) {
-                if (proposal.value == null
-                        ? !proposal.promised.containsKey(voter)
-                        : !proposal.accepted.containsKey(voter)) {
-                    out.add(
-                            proposal.value == null
-                                    ? carry(
-                                            voter,
-                                            RegisterMessage.Kind.PREPARE,
-                                            proposal.term,
-                                            now.toMillis(),
-                                            name,
-                                            List.of())
-                                    : carry(
-                                            voter,
-                                            RegisterMessage.Kind.ACCEPT,
-                                            proposal.term,
-                                            now.toMillis(),
-                                            name,
-                                            List.of(new PaxosAcceptor.RegisterState(
-                                                    name, proposal.term, proposal.value, false))));
-                }
-            }
+        if (isVoter(self) && recovery.isQueryDue(now)) {
+            leadership.voters().stream()
+                    .filter(voter -> !voter.equals(self))
+                    .forEach(voter -> messages.add(outgoing(voter, RegisterMessage.pageRequest(now.toMillis(), ""))));
         }
     }
 
-    private static OutgoingMessage carry(
-            String to,
-            RegisterMessage.Kind kind,
-            long term,
-            long number,
-            String name,
-            List<PaxosAcceptor.RegisterState> entries) {
-        return new OutgoingMessage(to, new RegisterMessage(kind, term, number, name, entries).encode());
+    private static OutgoingMessage outgoing(String receiver, RegisterMessage message) {
+        return new OutgoingMessage(receiver, message.encode());
     }
 
-    /** What goes to this one itself needs no network. */
-    private List<OutgoingMessage> own(Duration now, List<OutgoingMessage> all) {
-        List<OutgoingMessage> out = new ArrayList<>();
-        for (OutgoingMessage each : all) {
-            if (each.receiver().equals(self)) {
-                out.addAll(receive(now, self, each.body()));
+    /** Handles messages to this backend itself at once; returns the others. */
+    private List<OutgoingMessage> deliverOwn(Duration now, List<OutgoingMessage> messages) {
+        List<OutgoingMessage> remaining = new ArrayList<>();
+        for (OutgoingMessage message : messages) {
+            if (message.receiver().equals(self)) {
+                remaining.addAll(receive(now, self, message.body()));
             } else {
-                out.add(each);
+                remaining.add(message);
             }
         }
-        return out;
+        return remaining;
     }
 
-    // ---- what is said
-
-    public List<OutgoingMessage> receive(Duration now, String from, byte[] body) {
-        RegisterMessage slip = RegisterMessage.decode(body);
-        boolean one = slip != null
-                && slip.registers().size() == 1
-                && slip.registers().get(0).name().equals(slip.register());
-        if (slip == null
-                || (slip.kind() == RegisterMessage.Kind.ACCEPT || slip.kind() == RegisterMessage.Kind.CHOSEN) && !one
-                || slip.kind() == RegisterMessage.Kind.PROMISE
-                        && !one
-                        && !slip.registers().isEmpty()) {
-            malformed++;
+    // ---- messages
+
+    /** Handles a message from another backend; returns the answers that may leave now. */
+    public List<OutgoingMessage> receive(Duration now, String sender, byte[] body) {
+        Optional<RegisterMessage> decoded = RegisterMessage.decode(body).filter(RegisterMessage::isComplete);
+        if (decoded.isEmpty()) {
+            malformedMessages++;
             return List.of();
         }
-        List<OutgoingMessage> out = new ArrayList<>();
-        switch (slip.kind()) {
-            case PREPARE, ACCEPT -> asked(from, slip, out);
-            case PROMISE -> promised(now, from, slip, out);
-            case ACCEPTED -> accepted(now, from, slip, out);
-            case CHOSEN -> learn(slip.registers().get(0));
-            case FINGERPRINT -> {
-                if (slip.number() != ballots.chosenFingerprint()) {
-                    out.add(carry(from, RegisterMessage.Kind.PAGE_REQUEST, 0, now.toMillis(), "", List.of()));
-                }
-            }
-            case PAGE_REQUEST -> {
-                // Told only once it is on the disk: who asks may take its own vote from it.
-                List<PaxosAcceptor.RegisterState> page = ballots.page(slip.register(), RegisterMessage.MAX_PAGE_BYTES);
-                boolean last = page.isEmpty()
-                        || ballots.page(page.get(page.size() - 1).name(), RegisterMessage.MAX_PAGE_BYTES)
-                                .isEmpty();
-                afterDisk(
-                        from,
-                        new RegisterMessage(
-                                RegisterMessage.Kind.PAGE,
-                                ballots.promisedTerm(),
-                                slip.number() << 2 | (votes ? 1 : 0) | (last ? 2 : 0),
-                                slip.register(),
-                                page));
-                if (version == onDisk) {
-                    out.addAll(writeCompleted(now, onDisk));
-                }
-            }
-            case PAGE -> page(from, slip, out);
-            default -> {}
-        }
-        return own(now, out);
+        RegisterMessage message = decoded.get();
+        List<OutgoingMessage> answers =
+                switch (message.kind()) {
+                    case PREPARE -> answerPrepare(sender, message);
+                    case ACCEPT -> answerAccept(sender, message);
+                    case PROMISE -> handlePromise(now, sender, message);
+                    case ACCEPTED -> handleAccepted(now, sender, message);
+                    case CHOSEN -> {
+                        learn(message.registers().get(0));
+                        yield List.of();
+                    }
+                    case FINGERPRINT -> message.number() == acceptor.chosenFingerprint()
+                            ? List.of()
+                            : List.of(outgoing(sender, RegisterMessage.pageRequest(now.toMillis(), "")));
+                    case PAGE_REQUEST -> answerPageRequest(sender, message);
+                    case PAGE -> handlePage(sender, message);
+                        // The leader sees in the election that it was deposed.
+                    case REJECTED -> List.of();
+                };
+        return deliverOwn(now, answers);
     }
 
-    private void asked(String from, RegisterMessage slip, List<OutgoingMessage> out) {
-        if (!leadership.voters().contains(self) || !votes) {
-            return;
+    private List<OutgoingMessage> answerPrepare(String sender, RegisterMessage question) {
+        if (!isVoter(self) || !recovery.isVoting()) {
+            return List.of();
         }
-        boolean prepare = slip.kind() == RegisterMessage.Kind.PREPARE;
-        long promisedBefore = ballots.promisedTerm();
-        PaxosAcceptor.RegisterState before = ballots.get(slip.register());
-        if (!(prepare
-                ? ballots.promise(slip.term())
-                : ballots.accept(slip.term(), slip.register(), slip.registers().get(0).value()))) {
-            out.add(carry(from, RegisterMessage.Kind.REJECTED, ballots.promisedTerm(), 0, slip.register(), List.of()));
-            return;
+        long promisedBefore = acceptor.promisedTerm();
+        if (!acceptor.promise(question.term())) {
+            return List.of(outgoing(sender, RegisterMessage.rejected(promisedBefore, question.register())));
         }
-        PaxosAcceptor.RegisterState entry = ballots.get(slip.register());
-        version += promisedBefore == ballots.promisedTerm() && before == entry ? 0 : 1;
-        afterDisk(
-                from,
-                prepare
-                        ? new RegisterMessage(
-                                RegisterMessage.Kind.PROMISE,
-                                slip.term(),
-                                slip.number(),
-                                slip.register(),
-                                entry == null ? List.of() : List.of(entry))
-                        : new RegisterMessage(
-                                RegisterMessage.Kind.ACCEPTED, slip.term(), slip.number(), slip.register(), List.of()));
-        if (version == onDisk) {
-            while (!waiting.isEmpty()) {
-                out.add(waiting.poll().carry);
-            }
+        if (acceptor.promisedTerm() != promisedBefore) {
+            gate.stateChanged();
         }
+        gate.defer(sender, RegisterMessage.promise(question, acceptor.get(question.register())));
+        return gate.release();
     }
 
-    private void promised(Duration now, String from, RegisterMessage slip, List<OutgoingMessage> out) {
-        Proposal proposal = proposals.get(slip.register());
-        if (proposal == null
-                || slip.term() != proposal.term
-                || proposal.value != null
-                || !leadership.voters().contains(from)
-                || !decides(now)) {
-            return;
+    private List<OutgoingMessage> answerAccept(String sender, RegisterMessage question) {
+        if (!isVoter(self) || !recovery.isVoting()) {
+            return List.of();
         }
-        proposal.promised.put(from, slip.number());
-        slip.registers().forEach(entry -> {
-            proposal.told.put(from, entry);
-            if (entry.chosen()) {
-                learn(entry);
-            }
-        });
-        if (chosen(slip.register()).isPresent()) {
-            proposals.remove(slip.register());
-        } else if (most(now, proposal.promised)) {
-            proposal.value = PaxosAcceptor.safeValue(proposal.told.values(), proposal.mine);
-            proposal.next = now;
-            lead(now, slip.register(), proposal, out);
+        String register = question.register();
+        long promisedBefore = acceptor.promisedTerm();
+        Optional<RegisterState> stateBefore = acceptor.get(register);
+        if (!acceptor.accept(
+                question.term(), register, question.registers().get(0).value())) {
+            return List.of(outgoing(sender, RegisterMessage.rejected(promisedBefore, register)));
+        }
+        if (acceptor.promisedTerm() != promisedBefore || !acceptor.get(register).equals(stateBefore)) {
+            gate.stateChanged();
         }
+        gate.defer(sender, RegisterMessage.accepted(question));
+        return gate.release();
     }
 
-    private void accepted(Duration now, String from, RegisterMessage slip, List<OutgoingMessage> out) {
-        Proposal proposal = proposals.get(slip.register());
-        if (proposal == null
-                || slip.term() != proposal.term
-                || proposal.value == null
-                || !leadership.voters().contains(from)
-                || !decides(now)) {
-            return;
+    private List<OutgoingMessage> answerPageRequest(String sender, RegisterMessage question) {
+        List<RegisterState> page = acceptor.page(question.register(), RegisterMessage.MAX_PAGE_BYTES);
+        boolean last = page.isEmpty()
+                || acceptor.page(page.get(page.size() - 1).name(), RegisterMessage.MAX_PAGE_BYTES)
+                        .isEmpty();
+        // Only what is on the disk: the asker may base its own votes on it.
+        gate.defer(sender, RegisterMessage.page(question, acceptor.promisedTerm(), recovery.isVoting(), last, page));
+        return gate.release();
+    }
+
+    /** The proposal that an answer belongs to, unless it is over or this backend no longer leads under that term. */
+    private Optional<Proposal> proposalFor(Duration now, String sender, RegisterMessage answer) {
+        return Optional.ofNullable(proposals.get(answer.register()))
+                .filter(proposal -> answer.term() == proposal.term() && isVoter(sender) && mayDecide(now));
+    }
+
+    private List<OutgoingMessage> handlePromise(Duration now, String sender, RegisterMessage answer) {
+        Optional<Proposal> preparing = proposalFor(now, sender, answer).filter(Proposal::isPreparing);
+        if (preparing.isEmpty()) {
+            return List.of();
         }
-        proposal.accepted.put(from, slip.number());
-        if (most(now, proposal.accepted)) {
-            proposals.remove(slip.register());
-            PaxosAcceptor.RegisterState entry =
-                    new PaxosAcceptor.RegisterState(slip.register(), slip.term(), proposal.value, true);
-            learn(entry);
-            live.get()
-                    .forEach(other -> out.add(
-                            carry(other, RegisterMessage.Kind.CHOSEN, slip.term(), 0, slip.register(), List.of(entry))));
+        Proposal proposal = preparing.get();
+        proposal.addPromise(sender, answer.askedAtMs(), answer.registers());
+        answer.registers().stream().filter(RegisterState::chosen).forEach(this::learn);
+        if (chosen(answer.register()).isPresent()) {
+            proposals.remove(answer.register());
+            return List.of();
         }
+        return proposal.chooseValueIfPromised(now, voterCount()) ? tickProposal(now, proposal) : List.of();
     }
 
-    private void learn(PaxosAcceptor.RegisterState entry) {
-        if (chosen(entry.name())
-                .filter(known -> Arrays.equals(known, entry.value()))
-                .isPresent()) {
+    private List<OutgoingMessage> handleAccepted(Duration now, String sender, RegisterMessage answer) {
+        Optional<Proposal> proposed = proposalFor(now, sender, answer).filter(proposal -> !proposal.isPreparing());
+        if (proposed.isEmpty() || !proposed.get().addAcceptance(now, sender, answer.askedAtMs(), voterCount())) {
+            return List.of();
+        }
+        proposals.remove(answer.register());
+        RegisterState state = new RegisterState(
+                answer.register(), answer.term(), proposed.get().value(), true);
+        learn(state);
+        return peers.get().stream()
+                .map(peer -> outgoing(peer, RegisterMessage.chosen(answer.term(), state)))
+                .toList();
+    }
+
+    /** Records that a register is written. */
+    private void learn(RegisterState state) {
+        Optional<byte[]> known = chosen(state.name());
+        if (known.isPresent() && Arrays.equals(known.get(), state.value())) {
             return;
         }
-        if (!ballots.markChosen(entry.name(), entry.value())) {
-            if (conflicts++ == 0) {
-                log.accept("register " + entry.name()
-                        + " is told with another value than the one that was written; it is not taken");
+        if (!acceptor.markChosen(state.name(), state.value())) {
+            if (conflicts == 0) {
+                log.accept("register-conflict register=" + state.name() + " action=kept-first-value");
             }
+            conflicts++;
             return;
         }
-        version++;
-        proposals.remove(entry.name());
+        gate.stateChanged();
+        proposals.remove(state.name());
     }
 
-    private void page(String from, RegisterMessage slip, List<OutgoingMessage> out) {
-        boolean last = (slip.number() & 2) != 0;
-        slip.registers().stream()
-                .filter(PaxosAcceptor.RegisterState::chosen)
-                .filter(entry -> chosen(entry.name()).isEmpty())
+    private List<OutgoingMessage> handlePage(String sender, RegisterMessage page) {
+        List<RegisterState> registers = page.registers();
+        registers.stream()
+                .filter(RegisterState::chosen)
+                .filter(state -> chosen(state.name()).isEmpty())
                 .forEach(this::learn);
-        if (!last && !slip.registers().isEmpty()) {
-            out.add(carry(
-                    from,
-                    RegisterMessage.Kind.PAGE_REQUEST,
-                    0,
-                    slip.number() >> 2,
-                    slip.registers().get(slip.registers().size() - 1).name(),
-                    List.of()));
-        }
-        if (votes
-                || !leadership.voters().contains(self)
-                || !leadership.voters().contains(from)
-                || slip.number() >> 2 < fence.toMillis()) {
-            return;
+        if (isVoter(self) && isVoter(sender) && recovery.isWaitingFor(page.askedAtMs())) {
+            recover(sender, page);
         }
-        ballots.mergePeerState(slip.term(), slip.registers());
-        version++;
-        if (last) {
-            toldAll.put(from, (slip.number() & 1) != 0);
+        if (page.isLastPage() || registers.isEmpty()) {
+            return List.of();
         }
-        int voters = leadership.voters().size();
-        long voting = toldAll.values().stream().filter(its -> its).count();
-        // So many others that one of them is in every majority that this one was in; or all others, as at the first
-        // start of a fleet.
-        if (voting > voters - (voters / 2 + 1) || toldAll.size() == voters - 1) {
-            votes = true;
-            log.accept("has been told by " + toldAll.size() + " of " + (voters - 1) + " other voters, " + voting
-                    + " of which vote; votes on registers");
+        String lastName = registers.get(registers.size() - 1).name();
+        return List.of(outgoing(sender, RegisterMessage.pageRequest(page.askedAtMs(), lastName)));
+    }
+
+    private void recover(String sender, RegisterMessage page) {
+        acceptor.mergePeerState(page.term(), page.registers());
+        gate.stateChanged();
+        if (recovery.pageReceived(sender, page, voterCount())) {
+            log.accept("register-voting-resumed answers=" + recovery.answers() + " voting=" + recovery.votingAnswers()
+                    + " other_voters=" + (voterCount() - 1));
         }
     }
 
-    /** For operators, as a JSON object. */
+    /** The state for operators, as a JSON object. */
     public String statusJson() {
-        long written = ballots.registers().stream()
-                .filter(PaxosAcceptor.RegisterState::chosen)
-                .count();
-        return "{\"written\":" + written + ",\"begun\":" + (ballots.registers().size() - written) + ",\"term\":"
-                + ballots.promisedTerm() + ",\"votes\":"
-                + (votes && leadership.voters().contains(self)) + ",\"conflicts\":" + conflicts + ",\"malformed\":"
-                + malformed + "}";
+        long written =
+                acceptor.registers().stream().filter(RegisterState::chosen).count();
+        boolean votes = recovery.isVoting() && isVoter(self);
+        return "{\"written\":" + written + ",\"begun\":" + (acceptor.registers().size() - written) + ",\"term\":"
+                + acceptor.promisedTerm() + ",\"votes\":" + votes + ",\"conflicts\":" + conflicts + ",\"malformed\":"
+                + malformedMessages + "}";
     }
 }
--- a/src/main/java/merlinlever/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/replication/ReplicatedStore.java
@@ -3,351 +3,354 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import merlinlever.replication.EntryTable.MergeResult;
+import merlinlever.replication.StoredEntry.EntryKey;
 
 /**
- * One backend's part in what all know in common: its own words, those of the others, and what it tells whom. New words go to
- * a few others at once, who tell them on; each period one other is told sums of all that is held, and what differs is made good
- * ({@link Gossip}). Own words are told only once they are on the disk, where one is kept, so that a later life never says
- * less than others have heard.
+ * One replica of the {@link SharedStore}. New entries are pushed to some replicas at once, and each round one other replica is compared
+ * with, which repairs whatever was missed ({@link Gossip}). If the store is persistent, own entries are published only once they are on
+ * the disk, so that a restarted process never publishes less than others have received. Event loop only.
  */
 public final class ReplicatedStore implements SharedStore {
 
     /**
-     * What is stated.
+     * Settings of a replica.
      *
-     * @param gossipInterval in which new words are told and one other is compared with
-     * @param fanOut others that are told a new word at once
-     * @param retention words of an owner that is not heard of for so long are dropped
-     * @param bytesPerSecond told at the most, beside the sums
-     * @param persistent whether own words go to the disk before they are told ({@link #pendingWrite})
+     * @param gossipInterval between rounds
+     * @param fanOut replicas that a new entry is pushed to in each round
+     * @param retention entries that their owner doesn't refresh are dropped after this time
+     * @param bytesPerSecond limit for sent messages, checksums excepted
+     * @param persistent whether own entries are written to the disk before they are published ({@link #pendingWrite})
      */
-    public record ReplicationSettings(Duration gossipInterval, int fanOut, Duration retention, int bytesPerSecond, boolean persistent) {
+    public record ReplicationSettings(
+            Duration gossipInterval, int fanOut, Duration retention, int bytesPerSecond, boolean persistent) {
+
+        private static final Duration DEFAULT_GOSSIP_INTERVAL = Duration.ofMillis(200);
+        private static final int DEFAULT_FAN_OUT = 3;
+        private static final Duration DEFAULT_RETENTION = Duration.ofHours(24);
+        private static final int DEFAULT_BYTES_PER_SECOND = 512 << 10;
+
+        /** The settings of production. */
         public static ReplicationSettings defaults(boolean persistent) {
-            return new ReplicationSettings(Duration.ofMillis(200), 3, Duration.ofHours(24), 512 << 10, persistent);
+            return new ReplicationSettings(
+                    DEFAULT_GOSSIP_INTERVAL, DEFAULT_FAN_OUT, DEFAULT_RETENTION, DEFAULT_BYTES_PER_SECOND, persistent);
         }
     }
 
-    /** What has to outlast this life: its own words, and a version above which the next life begins. */
+    /**
+     * What has to survive this process: its own entries, and the last version it used, above which the next process starts.
+     *
+     * @param incarnation of the last version used
+     * @param sequence of the last version used
+     */
     public record PersistedEntries(long incarnation, long sequence, List<VersionedEntry> entries) {
+        /** Nothing was persisted before. */
         public static final PersistedEntries NONE = new PersistedEntries(0, 0, List.of());
     }
 
+    /** No valid incarnation or sequence is higher. */
     static final long MAX_VERSION = 1L << 48;
-    /** Own topics and the octets of all of them, at the most; they are written to the disk together. */
-    public static final int MAX_OWN_ENTRIES = 64;
 
-    public static final int MAX_OWN_BYTES = 256 << 10;
-    /** A stillness that is longer than a message's way: what comes right after may have waited as long. */
-    private static final Duration STILL = Duration.ofSeconds(2);
+    /** Only each so many rejections for want of room are logged. */
+    private static final int REJECTIONS_PER_LOG_LINE = 1000;
 
     private final String self;
-    private final ReplicationSettings stated;
-    private final EntryTable.RetentionPolicy ages;
+    private final ReplicationSettings settings;
+    private final RetentionPolicy retention;
     private final Consumer<String> log;
-    private final EntryTable lot = new EntryTable();
+    private final EntryTable table = new EntryTable();
+    private final OwnEntries own;
     private final Gossip gossip;
-    private final List<EntryListener> hearers = new ArrayList<>();
-    /** Put or taken back in this life. */
-    private final TreeMap<String, StoredEntry> own = new TreeMap<>();
-    /** Of those, what waits for the disk. */
-    private final TreeMap<String, StoredEntry> pending = new TreeMap<>();
-
-    private long incarnation;
-    private long sequence;
-    /** The highest incarnation under which others have words of this one that it did not say in this life. */
-    private long overtakenBy = -1;
+    private final PauseDetector pauses;
+    private final List<EntryListener> listeners = new ArrayList<>();
 
-    private Duration last;
-    private Duration stillness = Duration.ZERO, stillUntil = Duration.ZERO;
-    private long refused;
+    private long rejectedEntries;
+    private long malformedMessages;
 
     /**
-     * @param incarnation of membership, as this life begins; words begin above it and above what was kept
-     * @param kept what the life before left, or {@link PersistedEntries#NONE}
-     * @param live the others that can be told something, now
+     * Creates a replica.
+     *
+     * @param incarnation of this process in the membership; versions start above it and above what was persisted
+     * @param persisted what the process before wrote to the disk, or {@link PersistedEntries#NONE}
+     * @param peers the other replicas that are reachable now
+     * @param log receives a line for each event that an operator may need
      */
     public ReplicatedStore(
             Duration now,
             String self,
             long incarnation,
-            PersistedEntries kept,
-            ReplicationSettings stated,
-            Supplier<List<String>> live,
-            SplittableRandom chance,
+            PersistedEntries persisted,
+            ReplicationSettings settings,
+            Supplier<List<String>> peers,
+            SplittableRandom random,
             Consumer<String> log) {
         this.self = self;
-        this.stated = stated;
+        this.settings = settings;
         this.log = log;
-        this.incarnation = Math.max(incarnation, kept.incarnation + 1);
-        ages = new EntryTable.RetentionPolicy(stated.retention);
-        last = now;
-        gossip = new Gossip(now, lot, stated, live, chance);
-        kept.entries.forEach(word -> lot.merge(StoredEntry.of(word, now)));
+        own = new OwnEntries(self, Math.max(incarnation, persisted.incarnation + 1));
+        retention = new RetentionPolicy(settings.retention);
+        pauses = new PauseDetector(now);
+        gossip = new Gossip(now, table, settings, peers, random);
+        persisted.entries.forEach(entry -> table.merge(StoredEntry.of(entry, now)));
     }
 
-    // ---- own words
+    // ---- own entries
 
     @Override
     public boolean put(Duration now, String topic, byte[] value) {
-        alive(now);
-        if (!GossipCodec.isValidKey(self, topic) || value.length > VersionedEntry.MAX_VALUE_BYTES) {
+        noteActivity(now);
+        if (!GossipCodec.isValidKey(self, topic)
+                || value.length > VersionedEntry.MAX_VALUE_BYTES
+                || !own.hasRoomFor(topic, value)) {
             return false;
         }
-        long octets = value.length;
-        for (Map.Entry<String, StoredEntry> each : own.entrySet()) {
-            octets += each.getKey().equals(topic) || each.getValue().value() == null
-                    ? 0
-                    : each.getValue().value().length;
-        }
-        StoredEntry word = next(now, topic, value.clone());
-        if (!own.containsKey(topic) && own.size() >= MAX_OWN_ENTRIES || octets > MAX_OWN_BYTES || !lot.hasRoomFor(word)) {
+        StoredEntry entry = own.nextVersion(now, topic, value.clone());
+        if (!table.hasRoomFor(entry)) {
             return false;
         }
-        say(word);
+        addOwn(entry);
         return true;
     }
 
     @Override
     public void remove(Duration now, String topic) {
-        alive(now);
-        if (own.containsKey(topic) || lot.get(new StoredEntry.EntryKey(self, topic)) != null) {
-            say(next(now, topic, null));
+        noteActivity(now);
+        if (own.contains(topic) || table.get(new EntryKey(self, topic)) != null) {
+            addOwn(own.nextVersion(now, topic, null));
         }
     }
 
-    private StoredEntry next(Duration now, String topic, byte[] value) {
-        return StoredEntry.of(new VersionedEntry(self, topic, incarnation, sequence + 1, value), now);
+    private void addOwn(StoredEntry entry) {
+        own.add(entry);
+        if (!settings.persistent) {
+            publishAll();
+        }
     }
 
-    private void say(StoredEntry word) {
-        sequence = word.sequence();
-        own.put(word.key().topic(), word);
-        pending.put(word.key().topic(), word);
-        if (!stated.persistent) {
-            tell(Long.MAX_VALUE, Long.MAX_VALUE);
-        }
+    private void publishAll() {
+        publishUpTo(Long.MAX_VALUE, Long.MAX_VALUE);
     }
 
-    /** What waits for the disk goes out, up to that version. */
-    private void tell(long upToIncarnation, long upToSequence) {
-        pending.values().removeIf(word -> {
-            boolean on = word.incarnation() < upToIncarnation
-                    || word.incarnation() == upToIncarnation && word.sequence() <= upToSequence;
-            EntryTable.MergeResult taken = on ? lot.merge(word) : EntryTable.MergeResult.NO_ROOM;
-            if (taken == EntryTable.MergeResult.NEWER || taken == EntryTable.MergeResult.CONFLICT) {
-                gossip.fresh(word.key());
-            }
-            return taken != EntryTable.MergeResult.NO_ROOM;
+    /** Publishes own entries up to that version; what the table has no room for is tried again. */
+    private void publishUpTo(long incarnation, long sequence) {
+        own.unpublished().removeIf(entry -> {
+            boolean included = entry.incarnation() < incarnation
+                    || (entry.incarnation() == incarnation && entry.sequence() <= sequence);
+            return included && publish(entry);
         });
     }
 
-    /** What is to be written before more is told; null where all of it is on the disk. */
-    public PersistedEntries pendingWrite() {
-        if (pending.isEmpty()) {
-            return null;
+    private boolean publish(StoredEntry entry) {
+        MergeResult result = table.merge(entry);
+        if (result == MergeResult.NEWER || result == MergeResult.CONFLICT) {
+            gossip.push(entry.key());
         }
-        TreeMap<String, StoredEntry> words = new TreeMap<>();
-        for (StoredEntry word : lot.entries()) {
-            if (word.key().owner().equals(self) && !word.isConflicted()) {
-                words.put(word.key().topic(), word);
+        return result != MergeResult.NO_ROOM;
+    }
+
+    /** What has to be written before more is published; nothing if all of it is on the disk. */
+    public Optional<PersistedEntries> pendingWrite() {
+        if (own.unpublished().isEmpty()) {
+            return Optional.empty();
+        }
+        TreeMap<String, VersionedEntry> byTopic = new TreeMap<>();
+        for (StoredEntry entry : table.entries()) {
+            if (entry.key().owner().equals(self) && !entry.isConflicted()) {
+                byTopic.put(entry.key().topic(), entry.toVersionedEntry());
             }
         }
-        words.putAll(own);
-        return new PersistedEntries(
-                incarnation,
-                sequence,
-                words.values().stream().map(StoredEntry::toVersionedEntry).toList());
+        own.all().forEach(entry -> byTopic.put(entry.key().topic(), entry.toVersionedEntry()));
+        return Optional.of(new PersistedEntries(own.incarnation(), own.sequence(), List.copyOf(byTopic.values())));
     }
 
-    /** It is on the disk. */
-    public void writeCompleted(PersistedEntries done) {
-        tell(done.incarnation, done.sequence);
+    /** What {@link #pendingWrite} returned is on the disk, and is published now. */
+    public void writeCompleted(PersistedEntries written) {
+        publishUpTo(written.incarnation, written.sequence);
     }
 
-    // ---- words of others
+    // ---- entries of others
 
     @Override
-    public boolean relay(Duration now, VersionedEntry snapshot) {
-        alive(now);
-        if (!GossipCodec.isValidKey(snapshot.owner(), snapshot.topic())
-                || snapshot.owner().equals(self)
-                || snapshot.value() != null && snapshot.value().length > VersionedEntry.MAX_VALUE_BYTES
-                || Math.min(snapshot.incarnation(), snapshot.sequence()) < 0
-                || Math.max(snapshot.incarnation(), snapshot.sequence()) > MAX_VERSION) {
-            return false;
-        }
-        return take(now, StoredEntry.of(snapshot, now), false) == EntryTable.MergeResult.NEWER;
+    public boolean relay(Duration now, VersionedEntry entry) {
+        noteActivity(now);
+        return isValidForeignEntry(entry) && accept(now, StoredEntry.of(entry, now), false) == MergeResult.NEWER;
     }
 
-    /** @param heard whether it came from another backend, and hearers are told */
-    private EntryTable.MergeResult take(Duration now, StoredEntry word, boolean heard) {
-        if (now.minus(word.publishedAt()).compareTo(ages.shareableFor(word)) >= 0) {
-            return EntryTable.MergeResult.OLDER;
-        }
-        EntryTable.MergeResult taken = lot.merge(word);
-        if (taken == EntryTable.MergeResult.NO_ROOM && refused++ % 1000 == 0) {
-            log.accept("no room for the word of " + word.key().owner() + " on "
-                    + word.key().topic() + ": " + lot.size() + " words, " + lot.sizeBytes() + " octets are held");
+    private boolean isValidForeignEntry(VersionedEntry entry) {
+        return GossipCodec.isValidKey(entry.owner(), entry.topic())
+                && !entry.owner().equals(self)
+                && (entry.value() == null || entry.value().length <= VersionedEntry.MAX_VALUE_BYTES)
+                && Math.min(entry.incarnation(), entry.sequence()) >= 0
+                && Math.max(entry.incarnation(), entry.sequence()) <= MAX_VERSION;
+    }
+
+    /** @param received whether it came from another backend, so that listeners are notified */
+    private MergeResult accept(Duration now, StoredEntry entry, boolean received) {
+        if (entry.age(now).compareTo(retention.shareableFor(entry)) >= 0) {
+            return MergeResult.OLDER;
         }
-        if (taken == EntryTable.MergeResult.NEWER) {
-            gossip.fresh(word.key());
-            if (word.key().owner().equals(self)) {
-                overtaken(word);
-            } else if (heard) {
-                List.copyOf(hearers).forEach(hearer -> hearer.entryReceived(now, word.toVersionedEntry()));
+        MergeResult result = table.merge(entry);
+        switch (result) {
+            case NEWER -> {
+                gossip.push(entry.key());
+                if (entry.key().owner().equals(self)) {
+                    own.observeForeign(entry);
+                } else if (received) {
+                    VersionedEntry newer = entry.toVersionedEntry();
+                    List.copyOf(listeners).forEach(listener -> listener.entryReceived(now, newer));
+                }
             }
-        } else if (taken == EntryTable.MergeResult.CONFLICT) {
-            gossip.fresh(word.key());
-            VersionConflict clash = lot.get(word.key()).toConflict();
-            log.accept("the word of " + clash.owner() + " on " + clash.topic() + " was claimed twice under "
-                    + clash.incarnation() + "." + clash.sequence() + ", as " + clash.lowerDigest() + " and as " + clash.higherDigest()
-                    + ": neither is taken");
-            List.copyOf(hearers).forEach(hearer -> hearer.conflictDetected(now, clash));
+            case CONFLICT -> {
+                gossip.push(entry.key());
+                reportConflict(now, table.get(entry.key()).toConflict());
+            }
+            case NO_ROOM -> reportRejection(entry);
+            case UNCHANGED, OLDER -> {}
         }
-        return taken;
+        return result;
+    }
+
+    private void reportConflict(Duration now, VersionConflict conflict) {
+        log.accept("replication-version-conflict owner=" + conflict.owner() + " topic=" + conflict.topic() + " version="
+                + conflict.incarnation() + "." + conflict.sequence() + " digests=" + conflict.lowerDigest() + ","
+                + conflict.higherDigest());
+        List.copyOf(listeners).forEach(listener -> listener.conflictDetected(now, conflict));
     }
 
-    /** Others hold a word of this one that it does not: of a life before whose disk is lost, or of another under its name. */
-    private void overtaken(StoredEntry word) {
-        StoredEntry mine = own.get(word.key().topic());
-        if (word.incarnation() > incarnation
-                || word.incarnation() == incarnation && word.sequence() > sequence
-                || mine != null && word.isNewerThan(mine)) {
-            overtakenBy = Math.max(overtakenBy, word.incarnation());
+    private void reportRejection(StoredEntry entry) {
+        if (rejectedEntries % REJECTIONS_PER_LOG_LINE == 0) {
+            log.accept("replication-table-full owner=" + entry.key().owner() + " topic="
+                    + entry.key().topic() + " entries=" + table.size() + " bytes=" + table.sizeBytes());
         }
+        rejectedEntries++;
     }
 
+    // ---- reading
+
     @Override
     public Optional<VersionedEntry> get(String owner, String topic) {
-        StoredEntry word = lot.get(new StoredEntry.EntryKey(owner, topic));
-        StoredEntry mine = owner.equals(self) ? own.get(topic) : null;
-        StoredEntry counts = mine == null || word != null && word.isConflicted() && !mine.isNewerThan(word) ? word : mine;
-        return counts == null || counts.value() == null ? Optional.empty() : Optional.of(counts.toVersionedEntry());
+        StoredEntry stored = table.get(new EntryKey(owner, topic));
+        Optional<StoredEntry> unpublishedOrOwn = owner.equals(self) ? own.get(topic) : Optional.empty();
+        // An own entry counts before it is published, but not over a conflict that it is part of.
+        return unpublishedOrOwn
+                .filter(entry -> stored == null || !stored.isConflicted() || entry.isNewerThan(stored))
+                .or(() -> Optional.ofNullable(stored))
+                .filter(entry -> entry.value() != null)
+                .map(StoredEntry::toVersionedEntry);
     }
 
     @Override
     public List<VersionedEntry> entries(String topic) {
-        TreeMap<String, VersionedEntry> found = new TreeMap<>();
-        for (StoredEntry word : lot.entries()) {
-            if (word.key().topic().equals(topic) && word.value() != null) {
-                found.put(word.key().owner(), word.toVersionedEntry());
+        TreeMap<String, VersionedEntry> byOwner = new TreeMap<>();
+        for (StoredEntry entry : table.entries()) {
+            if (entry.key().topic().equals(topic) && entry.value() != null) {
+                byOwner.put(entry.key().owner(), entry.toVersionedEntry());
             }
         }
-        found.remove(self);
-        get(self, topic).ifPresent(mine -> found.put(self, mine));
-        return List.copyOf(found.values());
+        byOwner.remove(self);
+        get(self, topic).ifPresent(entry -> byOwner.put(self, entry));
+        return List.copyOf(byOwner.values());
     }
 
     @Override
     public List<VersionConflict> conflicts() {
-        return lot.entries().stream()
+        return table.entries().stream()
                 .filter(StoredEntry::isConflicted)
                 .map(StoredEntry::toConflict)
                 .toList();
     }
 
     @Override
-    public void addListener(EntryListener hearer) {
-        hearers.add(hearer);
+    public void addListener(EntryListener listener) {
+        listeners.add(listener);
     }
 
-    // ---- time and letters
+    // ---- time and messages
 
-    /** What is to be told now. */
+    /** Is called every few ten milliseconds; returns the messages that are due. */
     public List<OutgoingMessage> tick(Duration now) {
-        alive(now);
-        if (!gossip.due(now)) {
+        noteActivity(now);
+        if (!gossip.isRoundDue(now)) {
             return List.of();
         }
-        for (StoredEntry gone : lot.expire(now, ages)) {
-            gone(now, gone);
-        }
-        own.values()
-                .removeIf(word -> word.value() == null && now.minus(word.publishedAt()).compareTo(ages.lifetime(word)) >= 0);
-        if (overtakenBy >= 0) {
-            incarnation = Math.max(incarnation, overtakenBy) + 1;
-            overtakenBy = -1;
-            log.accept("others hold words of this one that it did not say; it says its own again, under incarnation "
-                    + incarnation);
-            List.copyOf(own.values()).forEach(word -> say(next(now, word.key().topic(), word.value())));
-        }
-        for (StoredEntry word : List.copyOf(own.values())) {
-            if (word.value() != null && now.minus(word.publishedAt()).compareTo(ages.refreshInterval()) >= 0) {
-                say(next(now, word.key().topic(), word.value()));
-            }
+        table.expire(now, retention).forEach(entry -> notifyExpired(now, entry));
+        own.removeExpiredTombstones(now, retention);
+        if (own.raiseIncarnationIfOvertaken()) {
+            log.accept("replication-incarnation-raised incarnation=" + own.incarnation());
+            own.all().forEach(entry -> republish(now, entry));
         }
-        if (!stated.persistent) {
-            tell(Long.MAX_VALUE, Long.MAX_VALUE);
+        own.all().stream()
+                .filter(entry -> entry.value() != null && entry.age(now).compareTo(retention.refreshInterval()) >= 0)
+                .forEach(entry -> republish(now, entry));
+        if (!settings.persistent) {
+            publishAll();
         }
-        return gossip.period(now);
+        return gossip.startRound(now);
     }
 
-    /** A letter came; answers go back. */
-    public List<OutgoingMessage> receive(Duration now, String from, byte[] body) {
-        alive(now);
-        Object letter = GossipCodec.decode(body);
-        if (letter == null) {
-            gossip.malformed++;
+    private void republish(Duration now, StoredEntry entry) {
+        addOwn(own.nextVersion(now, entry.key().topic(), entry.value()));
+    }
+
+    /** Handles a message from another replica; returns the answers. */
+    public List<OutgoingMessage> receive(Duration now, String sender, byte[] body) {
+        noteActivity(now);
+        Optional<GossipMessage> message = GossipCodec.decode(body);
+        if (message.isEmpty()) {
+            malformedMessages++;
             return List.of();
         }
-        if (letter instanceof GossipCodec.EntryBatch words) {
-            // What waited in this one's own buffers while it stood still grew older there.
-            Duration waited = now.compareTo(stillUntil) < 0 ? stillness : Duration.ZERO;
-            for (GossipCodec.AgedEntry each : words.entries()) {
-                take(now, each.entry().born(now.minusMillis(each.ageMs()).minus(waited)), true);
+        if (message.get() instanceof GossipMessage.EntryBatch batch) {
+            Duration bufferingDelay = pauses.possibleBufferingDelay(now);
+            for (GossipMessage.AgedEntry aged : batch.entries()) {
+                Duration publishedAt = now.minusMillis(aged.ageMs()).minus(bufferingDelay);
+                accept(now, aged.entry().withPublishedAt(publishedAt), true);
             }
             return List.of();
         }
-        return gossip.answer(now, from, letter);
+        return gossip.answer(now, sender, message.get());
     }
 
-    private void alive(Duration now) {
-        Duration gap = now.minus(last);
-        last = now;
-        if (gap.compareTo(STILL) > 0) {
-            stillness = now.compareTo(stillUntil) < 0 ? stillness.plus(gap) : gap;
-            stillUntil = now.plusSeconds(1);
-            if (gap.compareTo(ages.maxPause()) >= 0) {
-                discardForeignEntries(now);
-            }
+    private void noteActivity(Duration now) {
+        if (pauses.activity(now).compareTo(retention.maxPause()) >= 0) {
+            discardForeignEntries(now);
         }
     }
 
     /**
-     * This one was away, by its own clock or by what the others tell it, and may hold what they have dropped: the words of
-     * others go, and come anew from them.
+     * Drops the entries of all other owners, to be fetched anew from other replicas. For a replica that was paused or cut off for so long, by
+     * its own clock or as others report, that it may hold what they have dropped.
      */
     public void discardForeignEntries(Duration now) {
-        log.accept("away for too long: the words of others are dropped, and asked for anew");
-        for (StoredEntry word : lot.entries()) {
-            if (!word.key().owner().equals(self)) {
-                lot.remove(word.key());
-                gone(now, word);
+        log.accept("replication-foreign-entries-discarded entries=" + table.size());
+        for (StoredEntry entry : table.entries()) {
+            if (!entry.key().owner().equals(self)) {
+                table.remove(entry.key());
+                notifyExpired(now, entry);
             }
         }
     }
 
-    private void gone(Duration now, StoredEntry word) {
-        List.copyOf(hearers)
-                .forEach(hearer ->
-                        hearer.entryExpired(now, word.key().owner(), word.key().topic()));
+    private void notifyExpired(Duration now, StoredEntry entry) {
+        EntryKey key = entry.key();
+        List.copyOf(listeners).forEach(listener -> listener.entryExpired(now, key.owner(), key.topic()));
     }
 
-    /** Alike where two hold the same. */
+    /** SHA-256 over all entries in hexadecimal: equal where two replicas are. */
     public String digest() {
-        return lot.digest();
+        return table.digest();
     }
 
-    /** For operators, as a JSON object. */
+    /** The state for operators, as a JSON object. */
     public String statusJson() {
-        return "{\"words\":" + lot.size() + ",\"octets\":" + lot.sizeBytes() + ",\"clashes\":"
-                + conflicts().size() + ",\"refused\":" + refused + ",\"malformed\":" + gossip.malformed
-                + ",\"waiting_for_disk\":" + pending.size() + ",\"digest\":\"" + digest().substring(0, 16) + "\"}";
+        return "{\"words\":" + table.size() + ",\"octets\":" + table.sizeBytes() + ",\"clashes\":"
+                + conflicts().size() + ",\"refused\":" + rejectedEntries + ",\"malformed\":" + malformedMessages
+                + ",\"waiting_for_disk\":" + own.unpublished().size() + ",\"digest\":\"" + digest().substring(0, 16)
+                + "\"}";
     }
 }
--- a/src/main/java/merlinlever/replication/SharedStore.java
+++ b/src/main/java/merlinlever/replication/SharedStore.java
@@ -4,40 +4,61 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the backends of a fleet know in common, as one of them holds it now; what is put here reaches the others in time. */
+/**
+ * The entries that all backends of a fleet share, as this backend holds them now. Each backend writes its own entries; what it writes
+ * reaches the others within some gossip rounds. All times are of the steady clock of this process. Event loop only.
+ */
 public interface SharedStore {
 
-    /** One value under two digests of the same owner, topic, incarnation and sequence: neither is taken, both owners are told. */
-    record VersionConflict(String owner, String topic, long incarnation, long sequence, String lowerDigest, String higherDigest) {}
+    /**
+     * Two different values were published under one version, which only a duplicated or faulty owner does. Neither value is served until
+     * the owner publishes a higher version.
+     *
+     * @param lowerDigest SHA-256 of one value, in hexadecimal; the lower of the two
+     * @param higherDigest of the other value
+     */
+    record VersionConflict(
+            String owner, String topic, long incarnation, long sequence, String lowerDigest, String higherDigest) {}
 
-    /** Hears of what came anew from other backends; what this one puts or passes itself it knows. */
+    /** Is notified of changes that come from other backends, but not of this backend's own writes. */
     interface EntryListener {
-        /** A newer word; without a value where its owner took it back. */
-        void entryReceived(Duration now, VersionedEntry snapshot);
 
-        /** The word counts no longer: it grew too old without its owner's refresh, or this one was away for too long. */
+        /** A newer version was received; its value is null if the owner removed the entry. */
+        void entryReceived(Duration now, VersionedEntry entry);
+
+        /** The entry was dropped because its owner no longer refreshes it, or because this backend was paused for too long. */
         default void entryExpired(Duration now, String owner, String topic) {}
 
-        /** The word was claimed twice and is set aside; what was adopted of an earlier version is the hearer's to keep or end. */
-        default void conflictDetected(Duration now, VersionConflict clash) {}
+        /** The entry is no longer served; whether to keep using an earlier version is up to the listener. */
+        default void conflictDetected(Duration now, VersionConflict conflict) {}
     }
 
-    /** This backend's own word on the topic, in place of its last; false where there is no room for it. */
+    /**
+     * Writes this backend's own entry on the topic.
+     *
+     * @return false if the topic or value is invalid, or there is no room for it
+     */
     boolean put(Duration now, String topic, byte[] value);
 
-    /** Takes this backend's word back. */
+    /** Removes this backend's own entry on the topic everywhere. */
     void remove(Duration now, String topic);
 
-    /** Passes on what another owner said outside (a partner site), under the owner's own version; false where it is not newer or clashes. */
-    boolean relay(Duration now, VersionedEntry snapshot);
+    /**
+     * Distributes an entry of an owner outside the fleet (a partner site) under the owner's own version.
+     *
+     * @return whether it is valid and newer than what was known
+     */
+    boolean relay(Duration now, VersionedEntry entry);
 
+    /** The present value of an owner on a topic, unless it was removed or is in conflict. */
     Optional<VersionedEntry> get(String owner, String topic);
 
-    /** Of all owners, in the order of their names; what was taken back is not among it. */
+    /** The present values of all owners on a topic, sorted by owner. */
     List<VersionedEntry> entries(String topic);
 
-    /** Those that stand now: a later word of the owner ends one. */
+    /** All conflicts that no higher version has resolved yet. */
     List<VersionConflict> conflicts();
 
-    void addListener(EntryListener hearer);
+    /** Adds a listener for good. */
+    void addListener(EntryListener listener);
 }
--- a/src/main/java/merlinlever/replication/disk/EntryFile.java
+++ b/src/main/java/merlinlever/replication/disk/EntryFile.java
@@ -6,85 +6,108 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.zip.CRC32C;
-import merlinlever.replication.ReplicatedStore;
+import merlinlever.replication.ReplicatedStore.PersistedEntries;
 import merlinlever.replication.VersionedEntry;
 
-/** A backend's own words as octets of a file: the CRC-32C of the rest, versions, whose they are, each word. */
+/** The file of a backend's own entries: CRC-32C of the rest, format, last version, owner, entries. */
 public final class EntryFile {
 
-    private static final int FORM = 0x4d4c5731;
+    /** "MLW1": the first bytes after the checksum. */
+    private static final int FORMAT = 0x4d4c5731;
+
+    private static final int HEADER_BYTES = 64;
+    private static final int ENTRY_HEADER_BYTES = 32;
+    private static final int REMOVED = -1;
 
     private EntryFile() {}
 
-    public static byte[] encode(String owner, ReplicatedStore.PersistedEntries kept) {
-        int size = 64 + owner.length();
-        for (VersionedEntry word : kept.entries()) {
-            size += 32 + word.topic().length() + (word.value() == null ? 0 : word.value().length);
-        }
-        ByteBuffer out = ByteBuffer.allocate(size);
-        out.putInt(0).putInt(FORM).putLong(kept.incarnation()).putLong(kept.sequence());
-        put(out, owner);
-        out.putShort((short) kept.entries().size());
-        for (VersionedEntry word : kept.entries()) {
-            put(out, word.topic());
-            out.putLong(word.incarnation())
-                    .putLong(word.sequence())
-                    .putInt(word.value() == null ? -1 : word.value().length);
-            if (word.value() != null) {
-                out.put(word.value());
+    /** The content of the file. */
+    public static byte[] encode(String owner, PersistedEntries persisted) {
+        ByteBuffer out = ByteBuffer.allocate(maxBytes(owner, persisted));
+        out.putInt(0).putInt(FORMAT).putLong(persisted.incarnation()).putLong(persisted.sequence());
+        putText(out, owner);
+        out.putShort((short) persisted.entries().size());
+        for (VersionedEntry entry : persisted.entries()) {
+            putText(out, entry.topic());
+            out.putLong(entry.incarnation()).putLong(entry.sequence());
+            if (entry.value() == null) {
+                out.putInt(REMOVED);
+            } else {
+                out.putInt(entry.value().length).put(entry.value());
             }
         }
-        byte[] octets = Arrays.copyOf(out.array(), out.position());
-        ByteBuffer.wrap(octets).putInt(sum(octets));
-        return octets;
+        byte[] bytes = Arrays.copyOf(out.array(), out.position());
+        ByteBuffer.wrap(bytes).putInt(checksum(bytes));
+        return bytes;
+    }
+
+    private static int maxBytes(String owner, PersistedEntries persisted) {
+        int bytes = HEADER_BYTES + owner.length();
+        for (VersionedEntry entry : persisted.entries()) {
+            bytes += ENTRY_HEADER_BYTES + entry.topic().length() + (entry.value() == null ? 0 : entry.value().length);
+        }
+        return bytes;
     }
 
-    private static void put(ByteBuffer out, String text) {
-        byte[] octets = text.getBytes(StandardCharsets.US_ASCII);
-        out.put((byte) octets.length).put(octets);
+    private static void putText(ByteBuffer out, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
+        out.put((byte) bytes.length).put(bytes);
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] octets = new byte[in.get() & 0xff];
-        in.get(octets);
-        return new String(octets, StandardCharsets.US_ASCII);
+    private static String getText(ByteBuffer in) {
+        byte[] bytes = new byte[in.get() & 0xff];
+        in.get(bytes);
+        return new String(bytes, StandardCharsets.US_ASCII);
     }
 
-    private static int sum(byte[] octets) {
+    private static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(octets, 4, octets.length - 4);
+        crc.update(bytes, Integer.BYTES, bytes.length - Integer.BYTES);
         return (int) crc.getValue();
     }
 
-    /** Null where it is spoilt; of another owner's file (a copied folder) the versions alone, to begin above them. */
-    public static ReplicatedStore.PersistedEntries decode(String owner, byte[] octets) {
+    /**
+     * What a file holds, or nothing if it is corrupt. From the file of another owner (a copied directory) only the last version is taken, so
+     * that versions start above it.
+     */
+    public static Optional<PersistedEntries> decode(String owner, byte[] bytes) {
+        if (bytes.length < Integer.BYTES) {
+            return Optional.empty();
+        }
         try {
-            ByteBuffer in = ByteBuffer.wrap(octets);
-            if (in.getInt() != sum(octets) || in.getInt() != FORM) {
-                return null;
+            ByteBuffer in = ByteBuffer.wrap(bytes);
+            if (in.getInt() != checksum(bytes) || in.getInt() != FORMAT) {
+                return Optional.empty();
             }
             long incarnation = in.getLong();
             long sequence = in.getLong();
-            boolean own = text(in).equals(owner);
-            List<VersionedEntry> words = new ArrayList<>();
-            for (int left = in.getShort(); left > 0; left--) {
-                String topic = text(in);
-                long its = in.getLong();
-                long at = in.getLong();
-                int length = in.getInt();
-                if (length > VersionedEntry.MAX_VALUE_BYTES) {
-                    return null;
-                }
-                byte[] value = length < 0 ? null : new byte[length];
-                if (value != null) {
-                    in.get(value);
-                }
-                words.add(new VersionedEntry(owner, topic, its, at, value));
+            boolean own = getText(in).equals(owner);
+            int count = in.getShort();
+            List<VersionedEntry> entries = new ArrayList<>();
+            for (int i = 0; i < count; i++) {
+                entries.add(decodeEntry(owner, in));
             }
-            return new ReplicatedStore.PersistedEntries(incarnation, sequence, own ? words : List.of());
-        } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
-            return null;
+            return Optional.of(new PersistedEntries(incarnation, sequence, own ? entries : List.of()));
+        } catch (BufferUnderflowException | IllegalArgumentException e) {
+            return Optional.empty();
+        }
+    }
+
+    private static VersionedEntry decodeEntry(String owner, ByteBuffer in) {
+        String topic = getText(in);
+        long incarnation = in.getLong();
+        long sequence = in.getLong();
+        int length = in.getInt();
+        if (length > VersionedEntry.MAX_VALUE_BYTES) {
+            throw new IllegalArgumentException("length of value");
+        }
+        byte[] value = null;
+        if (length >= 0) {
+            value = new byte[length];
+            in.get(value);
         }
+        return new VersionedEntry(owner, topic, incarnation, sequence, value);
     }
 }
--- a/src/main/java/merlinlever/replication/disk/package-info.java
+++ b/src/main/java/merlinlever/replication/disk/package-info.java
@@ -1,2 +1,2 @@
-/** What is shared, as far as it has to outlast a process, on disk. */
+/** The files of what is replicated. */
 package merlinlever.replication.disk;
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.election.Leadership;
@@ -16,171 +17,199 @@
 import merlinlever.replication.PaxosNode;
 import merlinlever.replication.ReplicatedStore;
 import merlinlever.replication.disk.EntryFile;
-import merlinlever.replication.disk.StateWriter;
+import merlinlever.storage.BackgroundWriter;
 import merlinlever.storage.StateDirectory;
 import merlinlever.view.FleetView;
 import merlinlever.view.QuorumStatus;
 
 /**
- * One backend's words and registers on the loop, membership's datagrams and the disk. Each letter begins with an octet that says
- * which of the two it is for. While the disk fails nothing new of its own is told and nothing is voted.
+ * Runs one backend's replicated store and write-once registers on the event loop, over the membership protocol's datagrams, and persists
+ * both. The first byte of each payload says which of the two it is for. While the disk fails, nothing new of this backend is published
+ * and it doesn't vote; writes are retried.
  */
 public final class ReplicationTransport implements SwimProtocol.PayloadHandler {
 
-    private static final Duration LOOK = Duration.ofMillis(20);
-    private static final Duration AGAIN = Duration.ofSeconds(1);
-    private static final String WORDS = "words";
-    private static final String REGISTERS = "registers";
-    /** First octets of letters. */
-    private static final byte FOR_WORDS = 'w', FOR_REGISTERS = 'r';
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration WRITE_RETRY_DELAY = Duration.ofSeconds(1);
+    private static final String ENTRY_FILE = "words";
+    private static final String REGISTER_FILE = "registers";
+
+    /** First byte of a payload. */
+    private static final byte TO_STORE = 'w';
+
+    private static final byte TO_REGISTERS = 'r';
 
     private final EventLoop loop;
-    private final RecoveryCoordinator rejoin;
-    private final FleetView seen;
+    private final RecoveryCoordinator recovery;
+    private final FleetView view;
     private final Consumer<String> log;
-    private final StateWriter keeper;
-    private final ReplicatedStore words;
-    private final PaxosNode decree;
+    private final BackgroundWriter writer;
+    private final ReplicatedStore store;
+    private final PaxosNode registers;
     private final String self;
-    private Duration writeNext = Duration.ZERO;
-    private boolean writing, failed, returning;
+    private Duration nextWrite = Duration.ZERO;
+    private boolean diskFailing;
+    private boolean recovering;
 
-    /** @param folder for {@code words} and {@code registers}, held by this process */
+    /**
+     * Reads the state files and starts ticking.
+     *
+     * @param directory of the state files, open and used by nothing else
+     * @param log receives a line for each event that an operator may need
+     * @throws IOException if a state file cannot be read; a corrupt one is discarded and logged
+     */
     public ReplicationTransport(
             EventLoop loop,
-            RecoveryCoordinator rejoin,
-            StateDirectory folder,
-            ReplicatedStore.ReplicationSettings stated,
+            RecoveryCoordinator recovery,
+            StateDirectory directory,
+            ReplicatedStore.ReplicationSettings settings,
             Leadership leadership,
-            FleetView seen,
+            FleetView view,
             long seed,
             Consumer<String> log)
             throws IOException {
         this.loop = loop;
-        this.rejoin = rejoin;
-        this.seen = seen;
+        this.recovery = recovery;
+        this.view = view;
         this.log = log;
-        self = rejoin.members().views().self();
-        keeper = new StateWriter(folder, loop);
-        SplittableRandom chance = new SplittableRandom(seed);
+        self = recovery.members().views().self();
+        writer = new BackgroundWriter(directory, loop, "replication-writer");
+        SplittableRandom random = new SplittableRandom(seed);
         Duration now = loop.clock().uptime();
-        byte[] found = keeper.read(WORDS);
-        ReplicatedStore.PersistedEntries kept =
-                found == null ? ReplicatedStore.PersistedEntries.NONE : EntryFile.decode(self, found);
-        if (kept == null) {
-            log.accept("found its own words spoilt, thrown away: others tell what they have heard of them");
-            kept = ReplicatedStore.PersistedEntries.NONE;
-        }
-        words = new ReplicatedStore(
+        store = new ReplicatedStore(
                 now,
                 self,
-                rejoin.members().views().of(self).incarnation(),
-                kept,
-                stated,
-                this::live,
-                chance.split(),
+                recovery.members().views().of(self).incarnation(),
+                readEntries(directory),
+                settings,
+                this::livePeers,
+                random.split(),
                 log);
-        decree = new PaxosNode(now, self, keeper.read(REGISTERS), leadership, seen, this::live, chance.split(), log);
-        rejoin.members().takes(this);
-        loop.every(LOOK, this::look);
+        registers = new PaxosNode(
+                now, self, readFile(directory, REGISTER_FILE), leadership, view, this::livePeers, random.split(), log);
+        recovery.members().takes(this);
+        loop.every(TICK_INTERVAL, this::tick);
+    }
+
+    private static Optional<byte[]> readFile(StateDirectory directory, String name) throws IOException {
+        return directory.exists(name) ? Optional.of(directory.read(name)) : Optional.empty();
     }
 
+    private ReplicatedStore.PersistedEntries readEntries(StateDirectory directory) throws IOException {
+        Optional<byte[]> file = readFile(directory, ENTRY_FILE);
+        if (file.isEmpty()) {
+            return ReplicatedStore.PersistedEntries.NONE;
+        }
+        Optional<ReplicatedStore.PersistedEntries> entries = EntryFile.decode(self, file.get());
+        if (entries.isEmpty()) {
+            log.accept("replication-file-corrupt file=" + ENTRY_FILE + " action=discarded");
+        }
+        return entries.orElse(ReplicatedStore.PersistedEntries.NONE);
+    }
+
+    /** The store of this backend. */
     public ReplicatedStore store() {
-        return words;
+        return store;
     }
 
+    /** The registers as this backend knows them. */
     public PaxosNode registers() {
-        return decree;
+        return registers;
     }
 
-    private List<String> live() {
-        List<String> live = new ArrayList<>();
-        for (MemberTable.MemberRecord each : rejoin.members().views().all()) {
-            if (!each.name().equals(self)
-                    && (each.status() == MemberTable.MemberStatus.ALIVE
-                            || each.status() == MemberTable.MemberStatus.SUSPECT)) {
-                live.add(each.name());
+    private List<String> livePeers() {
+        List<String> peers = new ArrayList<>();
+        for (MemberTable.MemberRecord member : recovery.members().views().all()) {
+            boolean live = member.status() == MemberTable.MemberStatus.ALIVE
+                    || member.status() == MemberTable.MemberStatus.SUSPECT;
+            if (live && !member.name().equals(self)) {
+                peers.add(member.name());
             }
         }
-        return live;
+        return peers;
     }
 
-    private void look() {
+    private void tick() {
         Duration now = loop.clock().uptime();
-        boolean was = returning;
-        returning = seen.standing(now) == QuorumStatus.RETURNING;
-        if (returning && !was) {
-            words.discardForeignEntries(now);
+        boolean wasRecovering = recovering;
+        recovering = view.standing(now) == QuorumStatus.RETURNING;
+        if (recovering && !wasRecovering) {
+            store.discardForeignEntries(now);
         }
-        say(FOR_WORDS, words.tick(now));
-        say(FOR_REGISTERS, decree.tick(now));
-        if (!writing && now.compareTo(writeNext) >= 0) {
-            write(now);
+        send(TO_STORE, store.tick(now));
+        send(TO_REGISTERS, registers.tick(now));
+        if (!writer.isBusy() && now.compareTo(nextWrite) >= 0) {
+            write();
         }
     }
 
-    private void write(Duration now) {
-        ReplicatedStore.PersistedEntries kept = words.pendingWrite();
-        if (kept != null) {
-            writing = keeper.write(WORDS, EntryFile.encode(self, kept), how -> written(how, () -> words.writeCompleted(kept)));
-            return;
-        }
-        PaxosNode.PendingWrite keep = decree.pendingWrite();
-        if (keep != null) {
-            writing = keeper.write(REGISTERS, keep.bytes(), how -> {
-                if (how != null) {
-                    decree.writeFailed();
-                }
-                written(how, () -> say(FOR_REGISTERS, decree.writeCompleted(loop.clock().uptime(), keep.version())));
-            });
+    private void write() {
+        Optional<ReplicatedStore.PersistedEntries> entries = store.pendingWrite();
+        if (entries.isPresent()) {
+            writeEntries(entries.get());
+        } else {
+            registers.pendingWrite().ifPresent(this::writeRegisters);
         }
     }
 
-    private void written(IOException how, Runnable done) {
-        writing = false;
-        if (how == null) {
-            done.run();
-        } else {
-            writeNext = loop.clock().uptime().plus(AGAIN);
-        }
-        if (how != null != failed) {
-            failed = how != null;
-            log.accept(
-                    failed
-                            ? "what is shared cannot be written: " + how.getMessage()
-                                    + "; nothing new of its own is told until it can"
-                            : "what is shared can be written again");
+    private void writeEntries(ReplicatedStore.PersistedEntries entries) {
+        writer.replace(ENTRY_FILE, EntryFile.encode(self, entries), failure -> {
+            if (failure.isEmpty()) {
+                store.writeCompleted(entries);
+            }
+            noteWriteResult(failure);
+        });
+    }
+
+    private void writeRegisters(PaxosNode.PendingWrite write) {
+        writer.replace(REGISTER_FILE, write.bytes(), failure -> {
+            if (failure.isEmpty()) {
+                send(TO_REGISTERS, registers.writeCompleted(loop.clock().uptime(), write.version()));
+            } else {
+                registers.writeFailed();
+            }
+            noteWriteResult(failure);
+        });
+    }
+
+    private void noteWriteResult(Optional<IOException> failure) {
+        failure.ifPresent(cause -> nextWrite = loop.clock().uptime().plus(WRITE_RETRY_DELAY));
+        if (failure.isPresent() != diskFailing) {
+            diskFailing = failure.isPresent();
+            log.accept(failure.map(cause -> "replication-write-failed error=\"" + cause.getMessage() + "\"")
+                    .orElse("replication-write-recovered"));
         }
     }
 
-    private void say(byte who, List<OutgoingMessage> all) {
-        for (OutgoingMessage each : all) {
-            byte[] body = new byte[each.body().length + 1];
-            body[0] = who;
-            System.arraycopy(each.body(), 0, body, 1, each.body().length);
-            rejoin.members().carry(each.receiver(), body);
+    private void send(byte address, List<OutgoingMessage> messages) {
+        for (OutgoingMessage message : messages) {
+            byte[] payload = new byte[message.body().length + 1];
+            payload[0] = address;
+            System.arraycopy(message.body(), 0, payload, 1, message.body().length);
+            recovery.members().carry(message.receiver(), payload);
         }
-        if (!all.isEmpty()) {
-            rejoin.send();
+        if (!messages.isEmpty()) {
+            recovery.send();
         }
     }
 
     @Override
-    public void carried(String name, byte[] body) {
-        if (body.length == 0) {
+    public void carried(String sender, byte[] payload) {
+        if (payload.length == 0) {
             return;
         }
         Duration now = loop.clock().uptime();
-        byte[] rest = Arrays.copyOfRange(body, 1, body.length);
-        if (body[0] == FOR_WORDS) {
-            say(FOR_WORDS, words.receive(now, name, rest));
-        } else if (body[0] == FOR_REGISTERS) {
-            say(FOR_REGISTERS, decree.receive(now, name, rest));
+        byte[] body = Arrays.copyOfRange(payload, 1, payload.length);
+        if (payload[0] == TO_STORE) {
+            send(TO_STORE, store.receive(now, sender, body));
+        } else if (payload[0] == TO_REGISTERS) {
+            send(TO_REGISTERS, registers.receive(now, sender, body));
         }
     }
 
-    /** For operators, as a JSON object. */
+    /** The state for operators, as a JSON object. */
     public String statusJson() {
-        return "{\"disk\":" + !failed + ",\"words\":" + words.statusJson() + ",\"registers\":" + decree.statusJson() + "}";
+        return "{\"disk\":" + !diskFailing + ",\"words\":" + store.statusJson() + ",\"registers\":"
+                + registers.statusJson() + "}";
     }
 }
--- a/src/main/java/merlinlever/replication/net/package-info.java
+++ b/src/main/java/merlinlever/replication/net/package-info.java
@@ -1,2 +1,2 @@
-/** What is shared, on the loop and membership's datagrams. */
+/** Replication on the event loop, over the membership protocol's datagrams. */
 package merlinlever.replication.net;
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -55,7 +55,8 @@
                         new VersionedEntry("b1", "trial/t", 3, 17, new byte[] {1, 2, 3}),
                         new VersionedEntry("b1", "gone", 2, 4, null)));
         fixture.pins("entries", EntryFile.encode("b1", kept));
-        ReplicatedStore.PersistedEntries read = EntryFile.decode("b1", fixture.bytes("entries"));
+        ReplicatedStore.PersistedEntries read =
+                EntryFile.decode("b1", fixture.bytes("entries")).orElseThrow();
         assertArrayEquals(EntryFile.encode("b1", kept), EntryFile.encode("b1", read));
         assertEquals(List.of(3L, 18L), List.of(read.incarnation(), read.sequence()));
     }
--- a/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.compatibility.Fixture;
 import merlinlever.election.Leadership;
@@ -13,16 +14,21 @@
 import merlinlever.replication.ReplicatedStore;
 import net.jqwik.api.Example;
 
-/** A trial's identity, its counts, its end and its lease, as the backends share them. */
+/** The bytes of an experiment's identity, counts, result and lease are those of the versions before. */
 class ExperimentBytesTest {
 
     private final Fixture fixture = new Fixture("trials.txt");
-    private final Experiment trial = new Experiment(
+    private final Experiment experiment = new Experiment(
             "t",
             2,
             List.of(
-                    new Experiment.Arm("a", 1, null, null, null),
-                    new Experiment.Arm("b", 3, Duration.ofMillis(250), Duration.ofSeconds(2), "east")),
+                    Experiment.Arm.unchanged("a", 1),
+                    new Experiment.Arm(
+                            "b",
+                            3,
+                            Optional.of(Duration.ofMillis(250)),
+                            Optional.of(Duration.ofSeconds(2)),
+                            Optional.of("east"))),
             0,
             0.05,
             0.1,
@@ -33,26 +39,28 @@
             3);
 
     @Example
-    void theIdentityAndTheCounts() {
-        fixture.pins("key", trial.key());
-        ExperimentCounts tally = new ExperimentCounts(trial);
-        List<ExperimentCounts.RequestResult> became = List.of(
+    void identityAndCounts() {
+        fixture.pins("key", experiment.key());
+        ExperimentCounts counts = new ExperimentCounts(experiment);
+        List<ExperimentCounts.RequestResult> results = List.of(
                 ExperimentCounts.RequestResult.SERVED,
                 ExperimentCounts.RequestResult.LATE,
                 ExperimentCounts.RequestResult.REJECTED,
                 ExperimentCounts.RequestResult.OTHER);
         for (int i = 0; i < 12; i++) {
-            tally.attemptEnded(tally.requestArrived("caller-" + i, "op" + i, false), became.get(i % 4), 1.5);
+            counts.attemptEnded(
+                    counts.requestArrived("caller-" + i, Optional.of("op" + i), false), results.get(i % 4), 1.5);
         }
-        fixture.pins("tally", tally.encode());
-        ExperimentCounts read = ExperimentCounts.decode(trial, fixture.bytes("tally"));
-        assertEquals(tally.totals(0), read.totals(0));
-        assertEquals(tally.totals(1), read.totals(1));
-        assertArrayEquals(fixture.bytes("tally"), read.encode());
+        fixture.pins("tally", counts.encode());
+        ExperimentCounts decoded =
+                ExperimentCounts.decode(experiment, fixture.bytes("tally")).orElseThrow();
+        assertEquals(counts.totals(0), decoded.totals(0));
+        assertEquals(counts.totals(1), decoded.totals(1));
+        assertArrayEquals(fixture.bytes("tally"), decoded.encode());
     }
 
     @Example
-    void eachKindOfEnd() {
+    void results() {
         Map<String, Kind> kinds = Map.of(
                 "goes-on",
                 Kind.CONTINUE,
@@ -68,15 +76,15 @@
                 Kind.INVALID);
         assertEquals(Kind.values().length, kinds.size());
         kinds.forEach((name, kind) -> {
-            ExperimentResult end = new ExperimentResult(kind, 1, "b is better");
-            fixture.pins("end." + name, end.encode());
-            assertEquals(end, ExperimentResult.decode(trial, fixture.bytes("end." + name)));
+            ExperimentResult result = new ExperimentResult(kind, 1, "b is better");
+            fixture.pins("end." + name, result.encode());
+            assertEquals(result, ExperimentResult.decode(experiment, fixture.bytes("end." + name)));
         });
     }
 
     @Example
-    void theLeaseIsAskedForAndGranted() {
-        ReplicatedStore words = new ReplicatedStore(
+    void leaseRequestsAndGrants() {
+        ReplicatedStore store = new ReplicatedStore(
                 Duration.ZERO,
                 "b1",
                 5,
@@ -86,14 +94,14 @@
                 new SplittableRandom(1),
                 line -> {});
         Duration now = Duration.ofSeconds(1);
-        SplitLease lease = new SplitLease(words, "b1", trial);
+        SplitLease lease = new SplitLease(store, "b1", experiment);
         lease.request(now);
         lease.grant(now, 9);
         for (String topic : List.of("trial-q/t", "trial-go/t")) {
-            fixture.pins(topic, words.get("b1", topic).orElseThrow().value());
+            fixture.pins(topic, store.get("b1", topic).orElseThrow().value());
         }
         lease.readGrants(new Leadership.Leader("b1", 9));
-        assertEquals(now.plus(trial.lease()), lease.expiry());
-        assertEquals("trial/t", trial.topic());
+        assertEquals(now.plus(experiment.lease()), lease.expiry());
+        assertEquals("trial/t", experiment.topic());
     }
 }
--- a/src/test/java/merlinlever/experiments/ExperimentConfigReaderTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentConfigReaderTest.java
@@ -9,11 +9,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import merlinlever.experiments.ExperimentConfigReader.InvalidExperimentException;
 import net.jqwik.api.Example;
 
 class ExperimentConfigReaderTest {
 
-    private static Map<String, String> good() {
+    private static Map<String, String> validConfiguration() {
         return new HashMap<>(Map.ofEntries(
                 Map.entry("name", "n1"),
                 Map.entry("trials.0.name", "advice"),
@@ -27,31 +29,32 @@
                 Map.entry("trials.0.arms.0.route", "near")));
     }
 
-    private static List<Experiment> read(Map<String, String> rest)
-            throws ExperimentConfigReader.InvalidExperimentException {
-        return ExperimentConfigReader.read(rest, "near"::equals);
+    private static List<Experiment> read(Map<String, String> configuration) throws InvalidExperimentException {
+        return ExperimentConfigReader.read(configuration, "near"::equals);
     }
 
     @Example
-    void whatIsStatedIsReadAndOnlyMakesAdviceShorter() throws ExperimentConfigReader.InvalidExperimentException {
-        Experiment trial = read(good()).get(0);
+    void validConfigurationIsReadAndOnlyShortensRetryAfter() throws InvalidExperimentException {
+        Experiment experiment = read(validConfiguration()).get(0);
         assertEquals(
                 List.of("now", "short"),
-                trial.arms().stream().map(Experiment.Arm::name).toList());
-        assertEquals(0, trial.safe());
-        assertEquals(Duration.ofSeconds(5), trial.lease());
-        assertEquals("near", trial.arms().get(0).route());
-        Experiment.Arm shortened = trial.arms().get(1);
-        assertEquals(Duration.ofMillis(300), shortened.advice(Duration.ofSeconds(2)));
+                experiment.arms().stream().map(Experiment.Arm::name).toList());
+        assertEquals(0, experiment.safe());
+        assertEquals(Duration.ofSeconds(5), experiment.lease());
+        assertEquals(Optional.of("near"), experiment.arms().get(0).preferredRoute());
+        Experiment.Arm shortened = experiment.arms().get(1);
+        assertEquals(Duration.ofMillis(300), shortened.retryAfter(Duration.ofSeconds(2)));
         assertEquals(
-                Duration.ofMillis(100), shortened.advice(Duration.ofMillis(100)), "never longer than the module says");
-        assertEquals(Duration.ofSeconds(2), shortened.call(Duration.ofSeconds(2)));
+                Duration.ofMillis(100),
+                shortened.retryAfter(Duration.ofMillis(100)),
+                "never longer than the controller says");
+        assertEquals(Duration.ofSeconds(2), shortened.callDuration(Duration.ofSeconds(2)));
         assertEquals(List.of(), read(Map.of("name", "n1")));
     }
 
     @Example
-    void eachFaultIsOneLineThatNamesTheSetting() {
-        String[][] faults = {
+    void eachInvalidSettingIsNamedInOneLine() {
+        String[][] invalid = {
             {"trials.0.arms.1.value", "3", "order by worth"},
             {"trials.0.arms.1.rules.drain-grace", "1", "four rules"},
             {"trials.0.arms.1.max-p", "0.2", "design"},
@@ -71,20 +74,19 @@
             {"trials.0.arms.1.stay-away-longest", "2h", "from 0ms to 60s"},
             {"trials.0.deaths", "0", "from 1"}
         };
-        for (String[] fault : faults) {
-            Map<String, String> rest = good();
-            rest.put(fault[0], fault[1]);
-            String said = assertThrows(
-                            ExperimentConfigReader.InvalidExperimentException.class, () -> read(rest), fault[0])
+        for (String[] setting : invalid) {
+            Map<String, String> configuration = validConfiguration();
+            configuration.put(setting[0], setting[1]);
+            String message = assertThrows(InvalidExperimentException.class, () -> read(configuration), setting[0])
                     .getMessage();
-            assertTrue(said.contains(fault[2]) && !said.contains("\n"), fault[0] + ": " + said);
+            assertTrue(message.contains(setting[2]) && !message.contains("\n"), setting[0] + ": " + message);
         }
     }
 
     @Example
-    void oneThatIsChangedUnderTheSameNameIsAnotherTrial() throws ExperimentConfigReader.InvalidExperimentException {
-        Experiment before = read(good()).get(0);
-        assertEquals(before.key(), read(good()).get(0).key());
+    void anyChangeMakesAnotherExperiment() throws InvalidExperimentException {
+        Experiment before = read(validConfiguration()).get(0);
+        assertEquals(before.key(), read(validConfiguration()).get(0).key());
         for (String[] change : new String[][] {
             {"trials.0.version", "2"},
             {"trials.0.difference", "0.03"},
@@ -92,9 +94,9 @@
             {"trials.0.safe", "short"},
             {"trials.0.arms.0.weight", "2"}
         }) {
-            Map<String, String> rest = good();
-            rest.put(change[0], change[1]);
-            assertNotEquals(before.key(), read(rest).get(0).key(), change[0]);
+            Map<String, String> configuration = validConfiguration();
+            configuration.put(change[0], change[1]);
+            assertNotEquals(before.key(), read(configuration).get(0).key(), change[0]);
         }
     }
 }
--- a/src/test/java/merlinlever/experiments/ExperimentCountsTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentCountsTest.java
@@ -2,14 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import merlinlever.experiments.ExperimentCounts.ArmTotals;
+import merlinlever.experiments.ExperimentCounts.CountedRequest;
+import merlinlever.experiments.ExperimentCounts.RequestResult;
 import merlinlever.replication.VersionedEntry;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -18,146 +21,155 @@
 
 class ExperimentCountsTest {
 
-    static Experiment trial(int version, int... weights) {
-        List<Experiment.Arm> arms = java.util.stream.IntStream.range(0, weights.length)
-                .mapToObj(i -> new Experiment.Arm("a" + i, weights[i], null, null, null))
+    static Experiment experiment(int version, int... weights) {
+        List<Experiment.Arm> arms = IntStream.range(0, weights.length)
+                .mapToObj(i -> Experiment.Arm.unchanged("a" + i, weights[i]))
                 .toList();
         return new Experiment("t", version, arms, 0, 0.05, 0.1, 0.02, Duration.ofDays(1), Duration.ofSeconds(10), 2, 3);
     }
 
     @Property(tries = 30, seed = "5")
-    void callersFallToTheArmsByTheirWeightsAndStay(
+    void callersAreAssignedByWeightTheSameEverywhere(
             @ForAll @IntRange(min = 1, max = 1000) int version, @ForAll @IntRange(min = 1, max = 5) int weight) {
-        Experiment trial = trial(version, weight, 3, 4);
-        BucketAssignment here = new BucketAssignment(trial);
-        BucketAssignment there = new BucketAssignment(trial(version, weight, 3, 4));
-        BucketAssignment next = new BucketAssignment(trial(version + 1, weight, 3, 4));
+        Experiment experiment = experiment(version, weight, 3, 4);
+        BucketAssignment assignment = new BucketAssignment(experiment);
+        BucketAssignment elsewhere = new BucketAssignment(experiment(version, weight, 3, 4));
+        BucketAssignment next = new BucketAssignment(experiment(version + 1, weight, 3, 4));
         int[] count = new int[3];
         int moved = 0;
-        int n = 9000;
-        for (int i = 0; i < n; i++) {
-            int arm = here.arm("caller-" + i);
-            assertEquals(arm, there.arm("caller-" + i));
+        int callers = 9000;
+        for (int i = 0; i < callers; i++) {
+            int arm = assignment.arm("caller-" + i);
+            assertEquals(arm, elsewhere.arm("caller-" + i));
             moved += next.arm("caller-" + i) != arm ? 1 : 0;
             count[arm]++;
         }
-        double same = 0;
+        double unchanged = 0;
         for (int arm = 0; arm < 3; arm++) {
-            double part = here.part(arm);
-            assertEquals(trial.arms().get(arm).weight() / (weight + 7.0), part, 1.0 / BucketAssignment.BUCKETS);
-            assertEquals(part, count[arm] / (double) n, 5 * Math.sqrt(part * (1 - part) / n));
-            same += part * part;
+            double share = assignment.share(arm);
+            assertEquals(
+                    experiment.arms().get(arm).weight() / (weight + 7.0), share, 1.0 / BucketAssignment.BUCKET_COUNT);
+            assertEquals(share, count[arm] / (double) callers, 5 * Math.sqrt(share * (1 - share) / callers));
+            unchanged += share * share;
         }
-        assertEquals(1 - same, moved / (double) n, 0.03, "the next trial scatters them anew");
+        assertEquals(1 - unchanged, moved / (double) callers, 0.03, "the next experiment assigns them anew");
     }
 
     @Example
-    void furtherTriesAreTheirFirst() {
-        Experiment trial = trial(1, 1, 1);
-        ExperimentCounts tally = new ExperimentCounts(trial);
-        ExperimentCounts.CountedRequest op = tally.requestArrived("c", "op1", false);
-        tally.attemptEnded(op, ExperimentCounts.RequestResult.REJECTED, 0);
-        assertEquals(new ExperimentCounts.ArmTotals(1, 0, 0, 1, 0, 0), tally.totals(op.arm()));
-        ExperimentCounts.CountedRequest further = tally.requestArrived("c", "op1", true);
-        tally.attemptEnded(further, ExperimentCounts.RequestResult.REJECTED, 0);
-        tally.attemptEnded(tally.requestArrived("c", "op1", true), ExperimentCounts.RequestResult.SERVED, 1);
-        tally.attemptEnded(tally.requestArrived("c", "op1", true), ExperimentCounts.RequestResult.SERVED, 1);
+    void retriesCountAsTheirRequest() {
+        Experiment experiment = experiment(1, 1, 1);
+        ExperimentCounts counts = new ExperimentCounts(experiment);
+        CountedRequest request = counts.requestArrived("c", Optional.of("op1"), false);
+        counts.attemptEnded(request, RequestResult.REJECTED, 0);
+        assertEquals(new ArmTotals(1, 0, 0, 1, 0, 0), counts.totals(request.arm()));
+        CountedRequest retry = counts.requestArrived("c", Optional.of("op1"), true);
+        counts.attemptEnded(retry, RequestResult.REJECTED, 0);
+        counts.attemptEnded(counts.requestArrived("c", Optional.of("op1"), true), RequestResult.SERVED, 1);
+        counts.attemptEnded(counts.requestArrived("c", Optional.of("op1"), true), RequestResult.SERVED, 1);
         assertEquals(
-                new ExperimentCounts.ArmTotals(1, 1, 0, 0, 500, 250_000),
-                tally.totals(op.arm()),
-                "asked once, satisfied once, pushed back no more");
-        // Tried first at another backend: asked there, satisfied here.
-        ExperimentCounts there = new ExperimentCounts(trial);
-        there.attemptEnded(there.requestArrived("c", "op2", true), ExperimentCounts.RequestResult.LATE, 5);
+                new ArmTotals(1, 1, 0, 0, 500, 250_000),
+                counts.totals(request.arm()),
+                "one request, served once, no longer rejected");
+        // First sent to another backend: it counts as a request there, and as served here.
+        ExperimentCounts elsewhere = new ExperimentCounts(experiment);
+        elsewhere.attemptEnded(elsewhere.requestArrived("c", Optional.of("op2"), true), RequestResult.LATE, 5);
         assertEquals(
-                new ExperimentCounts.ArmTotals(0, 0, 1, 0, 1000, 1_000_000),
-                there.totals(op.arm()),
+                new ArmTotals(0, 0, 1, 0, 1000, 1_000_000),
+                elsewhere.totals(request.arm()),
                 "never more than the highest value");
-        tally.attemptEnded(tally.requestArrived("c", "op2", false), ExperimentCounts.RequestResult.REJECTED, 0);
-        tally.add(there);
-        assertEquals(2, tally.totals(op.arm()).asked());
-        assertEquals(1, tally.totals(op.arm()).late());
+        counts.attemptEnded(counts.requestArrived("c", Optional.of("op2"), false), RequestResult.REJECTED, 0);
+        counts.add(elsewhere);
+        assertEquals(2, counts.totals(request.arm()).requests());
+        assertEquals(1, counts.totals(request.arm()).late());
     }
 
     @Example
-    void aCallerWithHalfTheTrafficWeighsLittle() {
-        ExperimentCounts tally = new ExperimentCounts(trial(1, 1, 1));
-        SplittableRandom chance = new SplittableRandom(1);
-        int n = 40_000;
-        for (int i = 0; i < n; i++) {
-            tally.requestArrived(chance.nextBoolean() ? "heavy" : "c" + chance.nextInt(3000), null, false);
+    void callerWithHalfOfTheTrafficHasLittleWeight() {
+        ExperimentCounts counts = new ExperimentCounts(experiment(1, 1, 1));
+        SplittableRandom random = new SplittableRandom(1);
+        int requests = 40_000;
+        for (int i = 0; i < requests; i++) {
+            counts.requestArrived(random.nextBoolean() ? "heavy" : "c" + random.nextInt(3000), Optional.empty(), false);
         }
-        long most = Arrays.stream(tally.asked).max().getAsLong();
-        long all = Arrays.stream(tally.asked).sum();
-        assertTrue(most <= all * 5 / BucketAssignment.BUCKETS + 20, most + " of " + all);
-        assertEquals(n, tally.totals(0).asked() + tally.totals(1).asked(), "all are told");
+        long max = Arrays.stream(counts.requests).max().getAsLong();
+        long total = Arrays.stream(counts.requests).sum();
+        assertTrue(max <= total * 5 / BucketAssignment.BUCKET_COUNT + 20, max + " of " + total);
+        assertEquals(requests, counts.totals(0).requests() + counts.totals(1).requests(), "all count in the totals");
     }
 
-    private static ExperimentCounts drawn(Experiment trial, long seed, int n) {
-        ExperimentCounts tally = new ExperimentCounts(trial);
-        SplittableRandom chance = new SplittableRandom(seed);
-        for (int i = 0; i < n; i++) {
-            tally.attemptEnded(
-                    tally.requestArrived("c" + chance.nextInt(5000), "o" + i, chance.nextInt(10) == 0),
-                    ExperimentCounts.RequestResult.values()[chance.nextInt(4)],
-                    2 * chance.nextDouble());
+    private static ExperimentCounts randomCounts(Experiment experiment, long seed, int requests) {
+        ExperimentCounts counts = new ExperimentCounts(experiment);
+        SplittableRandom random = new SplittableRandom(seed);
+        for (int i = 0; i < requests; i++) {
+            counts.attemptEnded(
+                    counts.requestArrived("c" + random.nextInt(5000), Optional.of("o" + i), random.nextInt(10) == 0),
+                    RequestResult.values()[random.nextInt(4)],
+                    2 * random.nextDouble());
         }
-        tally.ran(Duration.ofSeconds(seed));
-        return tally;
+        counts.addSplitTime(Duration.ofSeconds(seed));
+        return counts;
     }
 
     @Property(tries = 20, seed = "6")
-    void whatIsWrittenIsReadWholeOrNotAtAll(@ForAll long seed) {
-        Experiment trial = trial(1, 1, 1, 2);
-        byte[] written = drawn(trial, Math.abs(seed % 1000), 3000).encode();
-        ExperimentCounts read = ExperimentCounts.decode(trial, written);
-        assertArrayEquals(written, read.encode());
-        assertNull(ExperimentCounts.decode(trial(2, 1, 1, 2), written), "of the same name, changed");
-        for (int cut = 0; cut < written.length; cut += 7) {
-            assertNull(ExperimentCounts.decode(trial, Arrays.copyOf(written, cut)), "cut off at " + cut);
+    void countsAreDecodedWholeOrNotAtAll(@ForAll long seed) {
+        Experiment experiment = experiment(1, 1, 1, 2);
+        byte[] encoded = randomCounts(experiment, Math.abs(seed % 1000), 3000).encode();
+        assertArrayEquals(
+                encoded,
+                ExperimentCounts.decode(experiment, encoded).orElseThrow().encode());
+        assertTrue(ExperimentCounts.decode(experiment(2, 1, 1, 2), encoded).isEmpty(), "of the same name, changed");
+        for (int cut = 0; cut < encoded.length; cut += 7) {
+            assertTrue(
+                    ExperimentCounts.decode(experiment, Arrays.copyOf(encoded, cut))
+                            .isEmpty(),
+                    "cut off at " + cut);
         }
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < 50; i++) {
-            byte[] spoilt = written.clone();
-            spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
-            ExperimentCounts other = ExperimentCounts.decode(trial, spoilt);
-            assertTrue(other == null || Arrays.equals(spoilt, other.encode()), "never half");
+            byte[] corrupted = encoded.clone();
+            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
+            Optional<ExperimentCounts> decoded = ExperimentCounts.decode(experiment, corrupted);
+            assertTrue(
+                    decoded.isEmpty() || Arrays.equals(corrupted, decoded.get().encode()), "never half");
         }
     }
 
     @Example
-    void theLargestStillFitsASnapshot() {
-        Experiment trial = trial(1, 1, 1, 1, 1, 1, 1, 1, 1);
-        ExperimentCounts tally = drawn(trial, 1, 60_000);
-        for (int i = 0; i < BucketAssignment.BUCKETS; i++) {
-            tally.asked[i] = 1L << 38;
-            tally.satisfied[i] = 1L << 38;
-            tally.value[i] = 1000L << 38;
+    void largestCountsFitIntoAnEntry() {
+        Experiment experiment = experiment(1, 1, 1, 1, 1, 1, 1, 1, 1);
+        ExperimentCounts counts = randomCounts(experiment, 1, 60_000);
+        for (int i = 0; i < BucketAssignment.BUCKET_COUNT; i++) {
+            counts.requests[i] = 1L << 38;
+            counts.served[i] = 1L << 38;
+            counts.value[i] = 1000L << 38;
         }
-        byte[] written = tally.encode();
-        assertTrue(written.length <= VersionedEntry.MAX_VALUE_BYTES, written.length + " octets");
-        assertNotNull(ExperimentCounts.decode(trial, written));
+        byte[] encoded = counts.encode();
+        assertTrue(encoded.length <= VersionedEntry.MAX_VALUE_BYTES, encoded.length + " bytes");
+        assertTrue(ExperimentCounts.decode(experiment, encoded).isPresent());
     }
 
     @Example
-    void samplesOfCallersMergeInAnyOrderAndAnyNumberOfTimes() {
-        Experiment trial = trial(1, 1, 1);
-        ExperimentCounts all = drawn(trial, 1, 9000);
-        ExperimentCounts a = drawn(trial, 2, 9000);
+    void samplesMergeInAnyOrderAndAnyNumberOfTimes() {
+        Experiment experiment = experiment(1, 1, 1);
+        ExperimentCounts first = randomCounts(experiment, 1, 9000);
+        ExperimentCounts second = randomCounts(experiment, 2, 9000);
         DistinctSample one = new DistinctSample();
-        one.add(all.sample);
-        one.add(a.sample);
-        one.add(all.sample);
+        one.merge(first.sample);
+        one.merge(second.sample);
+        one.merge(first.sample);
         DistinctSample other = new DistinctSample();
-        other.add(a.sample);
-        other.add(all.sample);
-        VarInts first = new VarInts();
-        VarInts second = new VarInts();
-        one.write(first);
-        other.write(second);
-        assertArrayEquals(first.written(), second.written());
-        long kept = Arrays.stream(one.counts(2)).sum();
-        assertTrue(kept <= DistinctSample.MOST && kept > DistinctSample.MOST / 4, "kept " + kept);
-        assertEquals(0.5, one.counts(2)[0] / (double) kept, 4 * Math.sqrt(0.25 / kept));
+        other.merge(second.sample);
+        other.merge(first.sample);
+        assertArrayEquals(encoded(one), encoded(other));
+        long[] callers = one.callersByArm(2);
+        long kept = callers[0] + callers[1];
+        assertTrue(kept <= DistinctSample.MAX_CALLERS && kept > DistinctSample.MAX_CALLERS / 4, "kept " + kept);
+        assertEquals(0.5, callers[0] / (double) kept, 4 * Math.sqrt(0.25 / kept));
+    }
+
+    private static byte[] encoded(DistinctSample sample) {
+        VarInts out = new VarInts();
+        sample.encodeTo(out);
+        return out.toByteArray();
     }
 }
--- a/src/test/java/merlinlever/experiments/ExperimentNodeTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentNodeTest.java
@@ -5,18 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 import merlinlever.faults.ExperimentModel;
 import net.jqwik.api.Example;
 
 class ExperimentNodeTest {
 
-    private static Experiment trial(int version, int deaths, Duration longest) {
+    private static Experiment experiment(int version, int deaths, Duration longest) {
         return new Experiment(
                 "t",
                 version,
-                List.of(new Experiment.Arm("a", 1, null, null, null), new Experiment.Arm("b", 1, null, null, null)),
+                List.of(Experiment.Arm.unchanged("a", 1), Experiment.Arm.unchanged("b", 1)),
                 0,
                 0.05,
                 0.1,
@@ -28,93 +30,95 @@
     }
 
     private static ExperimentModel fleet(long seed, int deaths) {
-        return new ExperimentModel(seed, 5, trial(1, deaths, Duration.ofHours(1)));
+        return new ExperimentModel(seed, 5, experiment(1, deaths, Duration.ofHours(1)));
     }
 
-    private static void until(ExperimentModel fleet, long ms, java.util.function.BooleanSupplier what) {
-        for (long end = fleet.now + ms; fleet.now < end && !what.getAsBoolean(); ) {
+    private static void runUntil(ExperimentModel fleet, long maxMs, BooleanSupplier condition) {
+        long end = fleet.nowMs + maxMs;
+        while (fleet.nowMs < end && !condition.getAsBoolean()) {
             fleet.step();
         }
-        assertTrue(what.getAsBoolean(), "not within " + ms + " ms");
+        assertTrue(condition.getAsBoolean(), "not within " + maxMs + " ms");
     }
 
     @Example
-    void theLeaderDiesBetweenCrossingAndTellingAndTheEndStands() {
+    void resultStandsWhenTheLeaderDiesBeforeItAnnouncesIt() {
         ExperimentModel fleet = fleet(1, 1000);
-        fleet.good = new double[] {0.5, 0.7};
-        fleet.killAtCrossing = true;
-        until(fleet, 120_000, () -> fleet.crossedAt >= 0);
-        // From here on the counts would say another thing.
-        fleet.good = new double[] {0.9, 0.2};
-        until(fleet, 120_000, fleet::allEnded);
-        assertEquals(1, fleet.ended().size());
-        assertEquals(1, fleet.ended().iterator().next().arm(), "what the one that died had written");
+        fleet.servedShare = new double[] {0.5, 0.7};
+        fleet.killLeaderAtResult = true;
+        runUntil(fleet, 120_000, () -> fleet.resultWrittenAtMs >= 0);
+        // From here on the counts would give another winner.
+        fleet.servedShare = new double[] {0.9, 0.2};
+        runUntil(fleet, 120_000, fleet::allKnowResult);
+        assertEquals(1, fleet.results().size());
+        assertEquals(1, fleet.results().iterator().next().arm(), "the result that the dead leader had written");
     }
 
     @Example
-    void aHalfThatSeesAnotherWinnerEndsNothingAndRunsTheSafeArmAfterItsLease() {
+    void minorityEndsNothingAndRunsTheSafeArmAfterItsLease() {
         ExperimentModel fleet = fleet(2, 1000);
-        fleet.traffic = 2;
+        fleet.requestsPerStep = 2;
         fleet.run(10_000);
         for (int i = 3; i < 5; i++) {
-            fleet.side[i] = 1;
+            fleet.partition[i] = 1;
         }
         fleet.run(1000);
-        assertTrue(fleet.parts[3].splitting() && fleet.parts[4].splitting(), "in few it goes on for the lease");
-        fleet.good = new double[] {0.9, 0.2};
-        fleet.traffic = 40;
+        assertTrue(
+                fleet.nodes[3].isSplitting() && fleet.nodes[4].isSplitting(), "in a minority it goes on for the lease");
+        fleet.servedShare = new double[] {0.9, 0.2};
+        fleet.requestsPerStep = 40;
         fleet.run(9000);
-        assertFalse(fleet.parts[3].splitting() || fleet.parts[4].splitting());
+        assertFalse(fleet.nodes[3].isSplitting() || fleet.nodes[4].isSplitting());
         for (int i = 0; i < 50; i++) {
-            assertEquals(0, fleet.parts[3].arm(fleet.clock(3), "c" + i), "the safe arm");
+            assertEquals(0, fleet.nodes[3].arm(fleet.clock(3), "c" + i), "the safe arm");
         }
-        until(fleet, 120_000, () -> fleet.parts[0].end().isPresent());
-        assertTrue(fleet.parts[3].end().isEmpty());
-        java.util.Arrays.fill(fleet.side, 0);
-        until(fleet, 30_000, () -> {
-            assertFalse(fleet.parts[3].splitting(), "it adopts the end before it splits again");
-            return fleet.allEnded();
+        runUntil(fleet, 120_000, () -> fleet.nodes[0].result().isPresent());
+        assertTrue(fleet.nodes[3].result().isEmpty());
+        Arrays.fill(fleet.partition, 0);
+        runUntil(fleet, 30_000, () -> {
+            assertFalse(fleet.nodes[3].isSplitting(), "it adopts the result before it splits again");
+            return fleet.allKnowResult();
         });
-        assertEquals(1, fleet.ended().size());
+        assertEquals(1, fleet.results().size());
     }
 
     @Example
-    void anArmThatKillsItsBackendsEndsWithTheSafeArm() {
+    void deadlyArmEndsTheExperimentWithTheSafeArm() {
         ExperimentModel fleet = fleet(3, 3);
-        fleet.deadly = 1;
-        until(fleet, 180_000, fleet::allEnded);
-        ExperimentResult end = fleet.ended().iterator().next();
-        assertEquals(1, fleet.ended().size());
-        assertEquals(StoppingDecision.Kind.HARM, end.kind());
-        assertEquals(0, end.arm());
-        assertTrue(end.reason().contains("died"), end.reason());
+        fleet.deadlyArm = 1;
+        runUntil(fleet, 180_000, fleet::allKnowResult);
+        ExperimentResult result = fleet.results().iterator().next();
+        assertEquals(1, fleet.results().size());
+        assertEquals(StoppingDecision.Kind.HARM, result.kind());
+        assertEquals(0, result.arm());
+        assertTrue(result.reason().contains("died"), result.reason());
     }
 
     @Example
-    void oneThatIsChangedUnderTheSameNameBeginsWithNothing() {
+    void experimentChangedUnderTheSameNameStartsWithoutCounts() {
         ExperimentModel fleet = fleet(4, 1000);
-        fleet.traffic = 2;
+        fleet.requestsPerStep = 2;
         fleet.run(30_000);
-        long before = fleet.parts[0].all().totals(0).asked();
+        long before = fleet.nodes[0].fleetCounts().totals(0).requests();
         assertTrue(before > 500, "" + before);
-        Experiment next = trial(2, 1000, Duration.ofHours(1));
-        fleet.traffic = 0;
+        Experiment next = experiment(2, 1000, Duration.ofHours(1));
+        fleet.requestsPerStep = 0;
         for (int i = 0; i < 5; i++) {
-            fleet.restate(i, next);
+            fleet.reconfigure(i, next);
         }
         fleet.run(10_000);
-        assertEquals(0, fleet.parts[0].all().totals(0).asked(), "no count of the former");
+        assertEquals(0, fleet.nodes[0].fleetCounts().totals(0).requests(), "no count of the earlier one");
     }
 
     @Example
-    void aRestartLosesAtMostTheLastSnapshotAndCountsNothingTwice() {
+    void restartLosesAtMostTheLastPublicationAndCountsNothingTwice() {
         ExperimentModel fleet = fleet(5, 1000);
-        fleet.traffic = 4;
+        fleet.requestsPerStep = 4;
         fleet.run(40_000);
-        fleet.traffic = 0;
+        fleet.requestsPerStep = 0;
         fleet.run(5000);
-        long asked = fleet.parts[0].all().totals(0).asked()
-                + fleet.parts[0].all().totals(1).asked();
+        long requests = fleet.nodes[0].fleetCounts().totals(0).requests()
+                + fleet.nodes[0].fleetCounts().totals(1).requests();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 5; i++) {
                 fleet.kill(i, 500);
@@ -124,45 +128,47 @@
         fleet.run(10_000);
         for (int i = 0; i < 5; i++) {
             assertEquals(
-                    asked,
-                    fleet.parts[i].all().totals(0).asked()
-                            + fleet.parts[i].all().totals(1).asked(),
+                    requests,
+                    fleet.nodes[i].fleetCounts().totals(0).requests()
+                            + fleet.nodes[i].fleetCounts().totals(1).requests(),
                     "at " + i);
         }
-        assertEquals(15, fleet.parts[0].all().deaths());
+        assertEquals(15, fleet.nodes[0].fleetCounts().deaths());
     }
 
     @Example
-    void noDifferenceEndsAtTheLongestTimeThatClocksCannotJumpOver() {
-        ExperimentModel fleet = new ExperimentModel(6, 5, trial(1, 1000, Duration.ofSeconds(60)));
-        fleet.traffic = 2;
+    void equalArmsEndAtTheTimeLimitWhichClockJumpsDoNotShorten() {
+        ExperimentModel fleet = new ExperimentModel(6, 5, experiment(1, 1000, Duration.ofSeconds(60)));
+        fleet.requestsPerStep = 2;
         fleet.run(20_000);
         for (int i = 0; i < 5; i++) {
-            fleet.jump(i, 3_600_000);
+            fleet.jumpClock(i, 3_600_000);
         }
         fleet.run(20_000);
-        assertTrue(fleet.ended().isEmpty(), "an hour that never was");
-        until(fleet, 120_000, fleet::allEnded);
-        assertEquals(StoppingDecision.Kind.TIME_LIMIT, fleet.ended().iterator().next().kind());
-        assertEquals(0, fleet.ended().iterator().next().arm());
+        assertTrue(fleet.results().isEmpty(), "the hour of the jump does not count");
+        runUntil(fleet, 120_000, fleet::allKnowResult);
+        assertEquals(
+                StoppingDecision.Kind.TIME_LIMIT,
+                fleet.results().iterator().next().kind());
+        assertEquals(0, fleet.results().iterator().next().arm());
     }
 
     @Example
-    void underAnyTroubleThereIsOneEndAndAllComeToIt() {
+    void allBackendsAdoptOneResultUnderAnyFaults() {
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 4); seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
+            SplittableRandom random = new SplittableRandom(seed);
             ExperimentModel fleet = fleet(100 + seed, 10_000);
-            fleet.good = chance.nextBoolean() ? new double[] {0.5, 0.65} : new double[] {0.65, 0.5};
+            fleet.servedShare = random.nextBoolean() ? new double[] {0.5, 0.65} : new double[] {0.65, 0.5};
             for (int step = 0; step < 2500; step++) {
-                if (chance.nextInt(80) == 0) {
-                    fleet.trouble();
+                if (random.nextInt(80) == 0) {
+                    fleet.injectRandomFault();
                 }
                 fleet.step();
-                assertTrue(fleet.ended().size() <= 1, "seed " + seed + ": " + fleet.ended());
+                assertTrue(fleet.results().size() <= 1, "seed " + seed + ": " + fleet.results());
             }
             fleet.heal();
-            until(fleet, 240_000, fleet::allEnded);
-            assertEquals(1, fleet.ended().size(), "seed " + seed);
+            runUntil(fleet, 240_000, fleet::allKnowResult);
+            assertEquals(1, fleet.results().size(), "seed " + seed);
         }
     }
 }
--- a/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
+++ b/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
@@ -5,20 +5,23 @@
 
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
+import merlinlever.experiments.ExperimentCounts.RequestResult;
+import merlinlever.experiments.SimulatedExperiments.SimulationResult;
+import merlinlever.experiments.SimulatedExperiments.SimulationSettings;
 import net.jqwik.api.Example;
 
 class SequentialAnalysisTest {
 
     private static final double ALPHA = 0.05;
 
-    private static Experiment trial(double difference) {
-        Experiment.Arm a = new Experiment.Arm("a", 1, null, null, null);
+    private static Experiment experiment(double difference) {
         return new Experiment(
                 "t",
                 1,
-                List.of(a, new Experiment.Arm("b", 1, null, null, null)),
+                List.of(Experiment.Arm.unchanged("a", 1), Experiment.Arm.unchanged("b", 1)),
                 0,
                 ALPHA,
                 0.1,
@@ -29,168 +32,179 @@
                 3);
     }
 
-    private static List<SimulatedExperiments.SimulationResult> play(
-            int n, Experiment trial, SimulatedExperiments.SimulationSettings drawn) {
-        return IntStream.range(0, n)
+    private static List<SimulationResult> simulate(int runs, Experiment experiment, SimulationSettings settings) {
+        return IntStream.range(0, runs)
                 .parallel()
-                .mapToObj(i -> SimulatedExperiments.run(trial, drawn, 31L * i + 7))
+                .mapToObj(i -> SimulatedExperiments.run(experiment, settings, 31L * i + 7))
                 .toList();
     }
 
-    private static long count(List<SimulatedExperiments.SimulationResult> all, StoppingDecision.Kind kind) {
-        return all.stream().filter(each -> each.decision().kind() == kind).count();
+    private static long count(List<SimulationResult> results, StoppingDecision.Kind kind) {
+        return results.stream()
+                .filter(result -> result.decision().kind() == kind)
+                .count();
     }
 
-    /** What so many trials of that chance reach with a chance of less than one in ten thousand. */
-    private static double most(int n, double p) {
-        return n * p + 4 * Math.sqrt(n * p * (1 - p));
+    /** A count that so many runs, each of that probability, exceed with a probability of less than one in ten thousand. */
+    private static double maxCount(int runs, double probability) {
+        return runs * probability + 4 * Math.sqrt(runs * probability * (1 - probability));
     }
 
     @Example
-    void ofEqualArmsFewAreCalledWinnersHoweverOftenOneLooks() {
-        int n = 2000;
-        List<SimulatedExperiments.SimulationResult> all =
-                play(n, trial(0), new SimulatedExperiments.SimulationSettings(0.6, 0.6, 0, 0, 0, 3000));
+    void equalArmsRarelyHaveAWinnerHoweverOftenTheTestIsEvaluated() {
+        int runs = 2000;
+        List<SimulationResult> results = simulate(runs, experiment(0), new SimulationSettings(0.6, 0.6, 0, 0, 0, 3000));
         assertTrue(
-                count(all, StoppingDecision.Kind.WINNER) <= most(n, ALPHA),
-                "" + count(all, StoppingDecision.Kind.WINNER));
-        assertTrue(count(all, StoppingDecision.Kind.HARM) <= most(n, 0.1), "" + count(all, StoppingDecision.Kind.HARM));
-        long peeked = all.stream().filter(each -> each.fixedTestWinnerAt() > 0).count();
+                count(results, StoppingDecision.Kind.WINNER) <= maxCount(runs, ALPHA),
+                "" + count(results, StoppingDecision.Kind.WINNER));
         assertTrue(
-                peeked > 5 * ALPHA * n, "a fixed test that is looked at as often is wrong far more often: " + peeked);
+                count(results, StoppingDecision.Kind.HARM) <= maxCount(runs, 0.1),
+                "" + count(results, StoppingDecision.Kind.HARM));
+        long fixedTestWinners = results.stream()
+                .filter(result -> result.fixedTestWinnerAt() > 0)
+                .count();
+        assertTrue(
+                fixedTestWinners > 5 * ALPHA * runs,
+                "a fixed test that is evaluated as often is wrong far more often: " + fixedTestWinners);
     }
 
     @Example
-    void callersWhoDifferAndOneWithHalfTheTrafficFakeNoWinner() {
-        int n = 200;
-        for (double heavy : new double[] {0, 0.5}) {
-            List<SimulatedExperiments.SimulationResult> all =
-                    play(n, trial(0), new SimulatedExperiments.SimulationSettings(0.5, 0.5, 200, 0.45, heavy, 10_000));
+    void differentCallersAndOneWithHalfOfTheTrafficMakeNoFalseWinner() {
+        int runs = 200;
+        for (double heavyShare : new double[] {0, 0.5}) {
+            List<SimulationResult> results =
+                    simulate(runs, experiment(0), new SimulationSettings(0.5, 0.5, 200, 0.45, heavyShare, 10_000));
             assertTrue(
-                    count(all, StoppingDecision.Kind.WINNER) <= most(n, ALPHA),
-                    heavy + ": " + count(all, StoppingDecision.Kind.WINNER));
+                    count(results, StoppingDecision.Kind.WINNER) <= maxCount(runs, ALPHA),
+                    heavyShare + ": " + count(results, StoppingDecision.Kind.WINNER));
             assertTrue(
-                    count(all, StoppingDecision.Kind.HARM) <= most(n, 0.1),
-                    heavy + ": " + count(all, StoppingDecision.Kind.HARM));
+                    count(results, StoppingDecision.Kind.HARM) <= maxCount(runs, 0.1),
+                    heavyShare + ": " + count(results, StoppingDecision.Kind.HARM));
         }
     }
 
     @Example
-    void aBetterArmWinsAndAWorseOneIsStoppedForHarm() {
-        List<SimulatedExperiments.SimulationResult> better =
-                play(60, trial(0.02), new SimulatedExperiments.SimulationSettings(0.5, 0.6, 0, 0, 0, 40_000));
+    void betterArmWinsAndWorseArmIsStoppedEarlier() {
+        List<SimulationResult> better =
+                simulate(60, experiment(0.02), new SimulationSettings(0.5, 0.6, 0, 0, 0, 40_000));
         assertTrue(better.stream()
-                .allMatch(each -> each.decision().kind() == StoppingDecision.Kind.WINNER
-                        && each.decision().arm() == 1));
-        List<SimulatedExperiments.SimulationResult> worse =
-                play(60, trial(0.02), new SimulatedExperiments.SimulationSettings(0.6, 0.5, 0, 0, 0, 40_000));
+                .allMatch(result -> result.decision().kind() == StoppingDecision.Kind.WINNER
+                        && result.decision().arm() == 1));
+        List<SimulationResult> worse =
+                simulate(60, experiment(0.02), new SimulationSettings(0.6, 0.5, 0, 0, 0, 40_000));
         assertTrue(worse.stream()
-                .allMatch(each -> each.decision().isFinal() && each.decision().arm() == 0));
+                .allMatch(result ->
+                        result.decision().isFinal() && result.decision().arm() == 0));
         assertTrue(
-                worse.stream()
-                                .mapToInt(SimulatedExperiments.SimulationResult::requests)
-                                .average()
-                                .getAsDouble()
+                worse.stream().mapToInt(SimulationResult::requests).average().getAsDouble()
                         < better.stream()
-                                .mapToInt(SimulatedExperiments.SimulationResult::requests)
+                                .mapToInt(SimulationResult::requests)
                                 .average()
                                 .getAsDouble(),
                 "the looser level is sooner");
     }
 
     @Example
-    void aDifferenceUnderTheSmallestIsNoWinnerAndEqualArmsEndAsFutile() {
-        List<SimulatedExperiments.SimulationResult> small =
-                play(100, trial(0.05), new SimulatedExperiments.SimulationSettings(0.5, 0.52, 0, 0, 0, 40_000));
+    void irrelevantDifferenceIsNoWinnerAndEqualArmsAreFutile() {
+        List<SimulationResult> small =
+                simulate(100, experiment(0.05), new SimulationSettings(0.5, 0.52, 0, 0, 0, 40_000));
         assertTrue(
-                count(small, StoppingDecision.Kind.WINNER) <= most(100, ALPHA),
+                count(small, StoppingDecision.Kind.WINNER) <= maxCount(100, ALPHA),
                 "" + count(small, StoppingDecision.Kind.WINNER));
-        List<SimulatedExperiments.SimulationResult> equal =
-                play(100, trial(0.05), new SimulatedExperiments.SimulationSettings(0.5, 0.5, 0, 0, 0, 40_000));
+        List<SimulationResult> equal =
+                simulate(100, experiment(0.05), new SimulationSettings(0.5, 0.5, 0, 0, 0, 40_000));
         assertTrue(count(equal, StoppingDecision.Kind.FUTILE) > 80, "" + count(equal, StoppingDecision.Kind.FUTILE));
     }
 
-    private static ExperimentCounts tally(
-            Experiment trial, long seed, int n, double[] good, double[] worth, double come) {
-        ExperimentCounts tally = new ExperimentCounts(trial);
-        SplittableRandom chance = new SplittableRandom(seed);
-        for (int i = 0; i < n; i++) {
-            BucketAssignment split = new BucketAssignment(trial);
+    private static ExperimentCounts counts(
+            Experiment experiment,
+            long seed,
+            int requests,
+            double[] servedShare,
+            double[] value,
+            double secondArmArrivals) {
+        ExperimentCounts counts = new ExperimentCounts(experiment);
+        SplittableRandom random = new SplittableRandom(seed);
+        for (int i = 0; i < requests; i++) {
+            BucketAssignment assignment = new BucketAssignment(experiment);
             String caller = "c" + seed + "-" + i;
-            int arm = split.arm(caller);
-            if (arm == 1 && chance.nextDouble() >= come) {
+            int arm = assignment.arm(caller);
+            if (arm == 1 && random.nextDouble() >= secondArmArrivals) {
                 continue;
             }
-            ExperimentCounts.CountedRequest op = tally.requestArrived(caller, null, false);
-            tally.attemptEnded(
-                    op,
-                    chance.nextDouble() < good[arm]
-                            ? ExperimentCounts.RequestResult.SERVED
-                            : ExperimentCounts.RequestResult.OTHER,
-                    worth[arm]);
+            ExperimentCounts.CountedRequest request = counts.requestArrived(caller, Optional.empty(), false);
+            boolean served = random.nextDouble() < servedShare[arm];
+            counts.attemptEnded(request, served ? RequestResult.SERVED : RequestResult.OTHER, value[arm]);
         }
-        return tally;
+        return counts;
     }
 
     @Example
-    void aSplitThatIsNotTheStatedOneVoidsTheTrialInPlaceOfCrowningAnyone() {
-        Experiment trial = trial(0.02);
-        SequentialAnalysis test = new SequentialAnalysis(trial);
-        ExperimentCounts lost = tally(trial, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 0.5);
-        assertEquals(StoppingDecision.Kind.INVALID, test.look(lost, Duration.ZERO).kind());
-        ExperimentCounts whole = tally(trial, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 1);
+    void sampleRatioMismatchInvalidatesTheExperimentInsteadOfAWinner() {
+        Experiment experiment = experiment(0.02);
+        SequentialAnalysis test = new SequentialAnalysis(experiment);
+        ExperimentCounts incomplete = counts(experiment, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 0.5);
+        assertEquals(
+                StoppingDecision.Kind.INVALID,
+                test.evaluate(incomplete, Duration.ZERO).kind());
+        ExperimentCounts complete = counts(experiment, 1, 4000, new double[] {0.4, 0.8}, new double[] {1, 1}, 1);
         assertEquals(
                 new StoppingDecision(
                         StoppingDecision.Kind.WINNER,
                         1,
-                        test.look(whole, Duration.ZERO).reason()),
-                test.look(whole, Duration.ZERO));
+                        test.evaluate(complete, Duration.ZERO).reason()),
+                test.evaluate(complete, Duration.ZERO));
     }
 
     @Example
-    void aGoodSplitIsSeldomCalledWrongHoweverOftenOneLooks() {
-        int wrong = 0;
-        int n = 2000;
-        for (int seed = 0; seed < n; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
+    void correctAssignmentIsRarelyCalledAMismatchHoweverOftenItIsChecked() {
+        int mismatches = 0;
+        int runs = 2000;
+        for (int seed = 0; seed < runs; seed++) {
+            SplittableRandom random = new SplittableRandom(seed);
             long[] counts = new long[2];
-            boolean once = false;
+            boolean found = false;
             for (int i = 0; i < 400; i++) {
-                counts[chance.nextInt(4) == 0 ? 0 : 1]++;
-                once |= i % 10 == 9 && SampleRatioCheck.wrong(counts, new double[] {0.25, 0.75}, 0);
+                counts[random.nextInt(4) == 0 ? 0 : 1]++;
+                found |= i % 10 == 9 && SampleRatioCheck.isMismatch(counts, new double[] {0.25, 0.75}, 0);
             }
-            wrong += once ? 1 : 0;
+            mismatches += found ? 1 : 0;
         }
-        assertTrue(wrong <= most(n, SampleRatioCheck.LEVEL / 2), wrong + " of " + n);
-        assertTrue(SampleRatioCheck.wrong(new long[] {200, 200}, new double[] {0.25, 0.75}, 0));
+        assertTrue(
+                mismatches <= maxCount(runs, SampleRatioCheck.FALSE_ALARM_PROBABILITY / 2), mismatches + " of " + runs);
+        assertTrue(SampleRatioCheck.isMismatch(new long[] {200, 200}, new double[] {0.25, 0.75}, 0));
     }
 
     @Example
-    void valueDecidesWhereTheSharesAreEqualAndNotAgainstThem() {
-        Experiment trial = trial(0.02);
-        SequentialAnalysis test = new SequentialAnalysis(trial);
-        ExperimentCounts worth = tally(trial, 2, 6000, new double[] {0.7, 0.7}, new double[] {0.5, 0.8}, 1);
+    void valueDecidesWhereServedSharesAreEqualAndNotAgainstThem() {
+        Experiment experiment = experiment(0.02);
+        SequentialAnalysis test = new SequentialAnalysis(experiment);
+        ExperimentCounts moreValue = counts(experiment, 2, 6000, new double[] {0.7, 0.7}, new double[] {0.5, 0.8}, 1);
+        assertEquals(
+                StoppingDecision.Kind.WINNER,
+                test.evaluate(moreValue, Duration.ZERO).kind());
+        assertEquals(1, test.evaluate(moreValue, Duration.ZERO).arm());
+        // More are served, with less value: neither wins, and an arm that is worse than the safe one by one measure
+        // does harm.
+        ExperimentCounts mixed = counts(experiment, 3, 6000, new double[] {0.6, 0.8}, new double[] {0.9, 0.3}, 1);
         assertEquals(
-                StoppingDecision.Kind.WINNER, test.look(worth, Duration.ZERO).kind());
-        assertEquals(1, test.look(worth, Duration.ZERO).arm());
-        // More are satisfied, with less: neither wins, and an arm that is worse by one measure than the safe one does
-        // harm.
-        ExperimentCounts mixed = tally(trial, 3, 6000, new double[] {0.6, 0.8}, new double[] {0.9, 0.3}, 1);
-        assertEquals(StoppingDecision.Kind.HARM, test.look(mixed, Duration.ZERO).kind());
-        assertEquals(0, test.look(mixed, Duration.ZERO).arm());
+                StoppingDecision.Kind.HARM, test.evaluate(mixed, Duration.ZERO).kind());
+        assertEquals(0, test.evaluate(mixed, Duration.ZERO).arm());
     }
 
     @Example
-    void noDifferenceEndsAtTheLongestTimeAndNoSooner() {
-        Experiment trial = trial(0.02);
-        ExperimentCounts equal = tally(trial, 4, 2000, new double[] {0.7, 0.7}, new double[] {1, 1}, 1);
+    void equalArmsEndAtTheTimeLimitAndNoSooner() {
+        Experiment experiment = experiment(0.02);
+        ExperimentCounts equal = counts(experiment, 4, 2000, new double[] {0.7, 0.7}, new double[] {1, 1}, 1);
         assertEquals(
                 StoppingDecision.Kind.CONTINUE,
-                new SequentialAnalysis(trial)
-                        .look(equal, trial.longest().minusMillis(1))
+                new SequentialAnalysis(experiment)
+                        .evaluate(equal, experiment.longest().minusMillis(1))
                         .kind());
         assertEquals(
                 StoppingDecision.Kind.TIME_LIMIT,
-                new SequentialAnalysis(trial).look(equal, trial.longest()).kind());
+                new SequentialAnalysis(experiment)
+                        .evaluate(equal, experiment.longest())
+                        .kind());
     }
 }
--- a/src/test/java/merlinlever/replication/GossipCodecTest.java
+++ b/src/test/java/merlinlever/replication/GossipCodecTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
-import java.util.List;
+import java.util.Arrays;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -14,59 +14,67 @@
 class GossipCodecTest {
 
     @Property(tries = 20_000, seed = "33")
-    void aReaderTakesNothingOfWhatIsNoLetterAndWritesBackWhatIsOne(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        EntryTable lot = new EntryTable();
-        for (int i = chance.nextInt(8); i >= 0; i--) {
-            lot.merge(ReplicatedStoreTest.drawn(chance));
+    void decodingIsTheExactInverseOfEncodingAndRejectsEverythingElse(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        byte[] message = randomMessage(random);
+        assertArrayEquals(
+                message, encode(GossipCodec.decode(message).orElseThrow()), "a message decodes to what was encoded");
+        byte[] corrupted = corrupted(random, message);
+        ReplicatedStore store = ReplicationFixture.singleReplica("b0", "b1");
+        String before = store.digest();
+        Optional<GossipMessage> decoded = GossipCodec.decode(corrupted);
+        store.receive(Duration.ofMillis(20), "b1", corrupted);
+        if (decoded.isEmpty()) {
+            assertEquals(before, store.digest(), "nothing is taken of what cannot be decoded whole");
+            assertTrue(store.statusJson().contains("\"malformed\":1"));
+        } else {
+            // There is one encoding of what was decoded, so nothing was skipped.
+            assertArrayEquals(corrupted, encode(decoded.get()));
+        }
+    }
+
+    private static byte[] randomMessage(SplittableRandom random) {
+        EntryTable table = new EntryTable();
+        for (int i = random.nextInt(8); i >= 0; i--) {
+            table.merge(ReplicationFixture.randomEntry(random));
         }
-        byte[] letter =
-                switch (chance.nextInt(4)) {
-                    case 0 -> GossipCodec.encodeChecksums(lot.bucketChecksums());
-                    case 1 -> GossipCodec.encodeVersions(chance.nextLong(), lot.versions(-1));
-                    case 2 -> GossipCodec.encodeEntries(Duration.ofSeconds(9), lot.entries());
-                    default -> GossipCodec.encodeRequest(
-                            lot.entries().stream().map(StoredEntry::key).toList());
-                };
-        assertArrayEquals(letter, again(GossipCodec.decode(letter)), "a letter reads as what was written");
-        byte[] spoilt = letter.clone();
-        switch (chance.nextInt(3)) {
-            case 0 -> spoilt[chance.nextInt(spoilt.length)] ^= (byte) (1 << chance.nextInt(8));
-            case 1 -> spoilt = java.util.Arrays.copyOf(spoilt, chance.nextInt(spoilt.length + 9));
+        return switch (random.nextInt(4)) {
+            case 0 -> GossipCodec.encodeChecksums(table.bucketChecksums());
+            case 1 -> GossipCodec.encodeVersions(random.nextLong(), table.versions(-1));
+            case 2 -> GossipCodec.encodeEntries(Duration.ofSeconds(9), table.entries());
+            default -> GossipCodec.encodeRequest(
+                    table.entries().stream().map(StoredEntry::key).toList());
+        };
+    }
+
+    private static byte[] corrupted(SplittableRandom random, byte[] message) {
+        byte[] corrupted = message.clone();
+        switch (random.nextInt(3)) {
+            case 0 -> corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
+            case 1 -> corrupted = Arrays.copyOf(corrupted, random.nextInt(corrupted.length + 9));
             default -> {
-                for (int k = chance.nextInt(6); k >= 0; k--) {
-                    spoilt[chance.nextInt(spoilt.length)] = (byte) chance.nextInt(256);
+                for (int i = random.nextInt(6); i >= 0; i--) {
+                    corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
                 }
             }
         }
-        ReplicatedStore words = ReplicatedStoreTest.alone("b0", "b1");
-        String before = words.digest();
-        Object read = GossipCodec.decode(spoilt);
-        words.receive(Duration.ofMillis(20), "b1", spoilt);
-        if (read == null) {
-            assertEquals(before, words.digest(), "nothing is taken of what cannot be read whole");
-            assertTrue(words.statusJson().contains("\"malformed\":1"));
-        } else {
-            // There is one way to write what was read, so nothing was passed over in silence.
-            assertArrayEquals(spoilt, again(read));
-        }
+        return corrupted;
     }
 
-    private static byte[] again(Object letter) {
-        assertNotEquals(null, letter);
-        if (letter instanceof GossipCodec.BucketChecksums sums) {
-            return GossipCodec.encodeChecksums(sums.checksums());
-        } else if (letter instanceof GossipCodec.VersionList lines) {
-            return GossipCodec.encodeVersions(lines.completeBuckets(), lines.versions());
-        } else if (letter instanceof GossipCodec.EntryRequest want) {
-            return GossipCodec.encodeRequest(want.keys());
+    private static byte[] encode(GossipMessage message) {
+        if (message instanceof GossipMessage.BucketChecksums checksums) {
+            return GossipCodec.encodeChecksums(checksums.checksums());
+        } else if (message instanceof GossipMessage.VersionList list) {
+            return GossipCodec.encodeVersions(list.completeBuckets(), list.versions());
+        } else if (message instanceof GossipMessage.EntryRequest request) {
+            return GossipCodec.encodeRequest(request.keys());
         }
-        List<GossipCodec.AgedEntry> words = ((GossipCodec.EntryBatch) letter).entries();
         Duration now = Duration.ofDays(2000);
         return GossipCodec.encodeEntries(
                 now,
-                words.stream()
-                        .map(each -> each.entry().born(now.minusMillis(each.ageMs())))
-                        .toList());
+                ((GossipMessage.EntryBatch) message)
+                        .entries().stream()
+                                .map(aged -> aged.entry().withPublishedAt(now.minusMillis(aged.ageMs())))
+                                .toList());
     }
 }
--- /dev/null
+++ b/src/test/java/merlinlever/replication/PaxosFleet.java
@@ -0,0 +1,181 @@
+package merlinlever.replication;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import merlinlever.election.Leadership;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
+
+/** Paxos nodes on a simulated network with simulated disks, in steps of 20 ms; the test says who leads. */
+final class PaxosFleet {
+
+    private static final int STEP_MS = 20;
+
+    private record Datagram(long dueAtMs, int sender, int receiver, byte[] body) {}
+
+    final PaxosNode[] nodes;
+    /** What is on each disk, or null. */
+    final byte[][] disks;
+    /** Nodes of different partitions don't reach each other. */
+    final int[] partition;
+
+    final long[] leadsUntilMs;
+    long nowMs;
+    double lossRate;
+    boolean mayDecide = true;
+    /** While it is set, no write completes. */
+    boolean disksBlocked;
+
+    private final SplittableRandom random;
+    private final List<String> voters = new ArrayList<>();
+    private final List<Optional<PaxosNode.PendingWrite>> writing = new ArrayList<>();
+    private final long[] writeDoneAtMs;
+    private final long[] startedAtMs;
+    private final long[] terms;
+    private final List<Datagram> network = new ArrayList<>();
+    private long highestTerm;
+
+    PaxosFleet(long seed, int voterCount, int size) {
+        random = new SplittableRandom(seed);
+        nodes = new PaxosNode[size];
+        disks = new byte[size][];
+        writeDoneAtMs = new long[size];
+        startedAtMs = new long[size];
+        leadsUntilMs = new long[size];
+        terms = new long[size];
+        partition = new int[size];
+        for (int i = 0; i < voterCount; i++) {
+            voters.add("b" + i);
+        }
+        for (int i = 0; i < size; i++) {
+            writing.add(Optional.empty());
+            start(i);
+        }
+    }
+
+    Duration clock(int i) {
+        return Duration.ofMillis(nowMs - startedAtMs[i]);
+    }
+
+    /** Starts the node anew with what is on its disk. */
+    void start(int i) {
+        startedAtMs[i] = nowMs;
+        writing.set(i, Optional.empty());
+        leadsUntilMs[i] = 0;
+        FleetView view = new FixedFleetView(at -> mayDecide ? QuorumStatus.MOST : QuorumStatus.FEW);
+        nodes[i] = new PaxosNode(
+                clock(i),
+                "b" + i,
+                Optional.ofNullable(disks[i]),
+                new TestLeadership(i),
+                view,
+                () -> peersOf(i),
+                random.split(),
+                line -> {});
+    }
+
+    private List<String> peersOf(int i) {
+        List<String> peers = new ArrayList<>();
+        for (int k = 0; k < nodes.length; k++) {
+            if (k != i) {
+                peers.add("b" + k);
+            }
+        }
+        return peers;
+    }
+
+    /** Makes the node leader of a new term; an earlier leader may believe to lead for a while longer. */
+    void lead(int i, long durationMs) {
+        highestTerm++;
+        terms[i] = highestTerm;
+        leadsUntilMs[i] = nowMs + durationMs;
+    }
+
+    /** Drops all datagrams that are under way. */
+    void dropDatagrams() {
+        network.clear();
+    }
+
+    private void send(int sender, List<OutgoingMessage> messages) {
+        for (OutgoingMessage message : messages) {
+            int receiver = Integer.parseInt(message.receiver().substring(1));
+            assertTrue(receiver != sender && message.body().length <= GossipCodec.MAX_MESSAGE_BYTES);
+            if (partition[sender] == partition[receiver] && random.nextDouble() >= lossRate) {
+                for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
+                    long delayMs = 1 + (random.nextInt(20) == 0 ? random.nextInt(4000) : random.nextInt(60));
+                    network.add(new Datagram(nowMs + delayMs, sender, receiver, message.body()));
+                }
+            }
+        }
+    }
+
+    void step() {
+        nowMs += STEP_MS;
+        List<Datagram> due = new ArrayList<>();
+        network.removeIf(datagram -> datagram.dueAtMs <= nowMs && due.add(datagram));
+        for (Datagram datagram : due) {
+            int receiver = datagram.receiver;
+            send(receiver, nodes[receiver].receive(clock(receiver), "b" + datagram.sender, datagram.body));
+        }
+        for (int i = 0; i < nodes.length; i++) {
+            send(i, nodes[i].tick(clock(i)));
+            write(i);
+        }
+    }
+
+    private void write(int i) {
+        if (writing.get(i).isPresent() && nowMs >= writeDoneAtMs[i] && !disksBlocked) {
+            PaxosNode.PendingWrite done = writing.get(i).get();
+            disks[i] = done.bytes();
+            writing.set(i, Optional.empty());
+            send(i, nodes[i].writeCompleted(clock(i), done.version()));
+        }
+        if (writing.get(i).isEmpty()) {
+            writing.set(i, nodes[i].pendingWrite());
+            if (writing.get(i).isPresent()) {
+                writeDoneAtMs[i] = nowMs + random.nextInt(200);
+            }
+        }
+    }
+
+    void run(long durationMs) {
+        long until = nowMs + durationMs;
+        while (nowMs < until) {
+            step();
+        }
+    }
+
+    private final class TestLeadership implements Leadership {
+        private final int node;
+
+        TestLeadership(int node) {
+            this.node = node;
+        }
+
+        @Override
+        public boolean leads(Duration at) {
+            return nowMs < leadsUntilMs[node];
+        }
+
+        @Override
+        public long term() {
+            return terms[node];
+        }
+
+        @Override
+        public Leader leader(Duration at) {
+            return null;
+        }
+
+        @Override
+        public List<String> voters() {
+            return voters;
+        }
+    }
+}
