--- a/src/main/java/merlinlever/experiments/DistinctSample.java
+++ b/src/main/java/merlinlever/experiments/DistinctSample.java
@@ -22,7 +22,8 @@
 
     /** @param hash of the caller ({@link BucketAssignment#hash(String)}) */
     void add(long hash, int arm) {
-        addCaller((BucketAssignment.mix(hash ^ SECOND_HASH_SALT) >>> HASH_BITS) << ARM_BITS | arm);
+        long secondHash = BucketAssignment.mix(hash ^ SECOND_HASH_SALT) >>> HASH_BITS;
+        addCaller((secondHash << ARM_BITS) | arm);
     }
 
     private void addCaller(long caller) {
--- a/src/main/java/merlinlever/replication/EntryTable.java
+++ b/src/main/java/merlinlever/replication/EntryTable.java
@@ -67,7 +67,7 @@
     /** The bucket of a key: the same at every replica, as the Java specification defines String's hash code. */
     static int bucket(EntryKey key) {
         int hash = 31 * key.owner().hashCode() + key.topic().hashCode();
-        return (hash ^ hash >>> 6 ^ hash >>> 12 ^ hash >>> 18 ^ hash >>> 24) & BUCKET_COUNT - 1;
+        return (hash ^ (hash >>> 6) ^ (hash >>> 12) ^ (hash >>> 18) ^ (hash >>> 24)) & (BUCKET_COUNT - 1);
     }
 
     /** The entry, or null if there is none. */
@@ -173,7 +173,7 @@
     List<EntryVersion> versions(long bucketMask) {
         List<EntryVersion> versions = new ArrayList<>();
         rows.forEach((key, row) -> {
-            if ((bucketMask >>> bucket(key) & 1) == 1 && !row.unshared) {
+            if (((bucketMask >>> bucket(key)) & 1) == 1 && !row.unshared) {
                 versions.add(version(key, row));
             }
         });
--- a/src/main/java/merlinlever/replication/Gossip.java
+++ b/src/main/java/merlinlever/replication/Gossip.java
@@ -202,7 +202,7 @@
         int first = random.nextInt(received.length);
         for (int i = 0; i < received.length; i++) {
             int bucket = (first + i) % received.length;
-            if ((differing >>> bucket & 1) == 0) {
+            if (((differing >>> bucket) & 1) == 0) {
                 continue;
             }
             List<EntryVersion> candidates = versionsByBucket.get(bucket);
--- a/src/main/java/merlinlever/replication/RegisterMessage.java
+++ b/src/main/java/merlinlever/replication/RegisterMessage.java
@@ -100,7 +100,7 @@
      */
     static RegisterMessage page(
             RegisterMessage question, long promisedTerm, boolean voting, boolean last, List<RegisterState> registers) {
-        long number = question.number << FLAG_BITS | (voting ? VOTING_FLAG : 0) | (last ? LAST_PAGE_FLAG : 0);
+        long number = (question.number << FLAG_BITS) | (voting ? VOTING_FLAG : 0) | (last ? LAST_PAGE_FLAG : 0);
         return new RegisterMessage(Kind.PAGE, promisedTerm, number, question.register, registers);
     }
 
--- a/src/test/java/merlinlever/replication/PaxosModelCheckTest.java
+++ b/src/test/java/merlinlever/replication/PaxosModelCheckTest.java
@@ -188,7 +188,7 @@
             List<Answer> sent = new ArrayList<>();
             for (int i = 0; i < answers.size(); i++) {
                 Answer answer = answers.get(i);
-                if ((state.sent >>> i & 1) == 1 && answer.term == leader + 1 && answer.promise == promise) {
+                if (((state.sent >>> i) & 1) == 1 && answer.term == leader + 1 && answer.promise == promise) {
                     sent.add(answer);
                 }
             }
