--- a/src/main/java/merlinlever/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/replication/ReplicatedStore.java
@@ -281,7 +281,7 @@
         table.expire(now, retention).forEach(entry -> notifyExpired(now, entry));
         own.removeExpiredTombstones(now, retention);
         if (own.raiseIncarnationIfOvertaken()) {
-            log.accept("replication-incarnation-raised incarnation=" + own.incarnation());
+            log.accept("entry-incarnation-raised incarnation=" + own.incarnation());
             own.all().forEach(entry -> republish(now, entry));
         }
         own.all().stream()
