--- a/src/test/java/merlinlever/replication/GossipBudgetTest.java
+++ b/src/test/java/merlinlever/replication/GossipBudgetTest.java
@@ -23,7 +23,7 @@
         for (int second = 0; second < 20; second++) {
             long bytes = 0;
             for (int tick = 0; tick < TICKS_PER_SECOND; tick++) {
-                Duration now = Duration.ofMillis(second * 1000L + tick * 20);
+                Duration now = Duration.ofMillis(second * 1000L + tick * 20L);
                 for (OutgoingMessage message : messagesWithGreedyPeer(store, now)) {
                     assertTrue(message.body().length <= GossipCodec.MAX_MESSAGE_BYTES);
                     bytes += message.body().length;
