--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -68,7 +68,7 @@
                 loop,
                 recovery,
                 StateDirectories.open(Path.of(values.text("recovery.state", ""), "shared"), System.getenv()),
-                ReplicatedStore.ReplicationSettings.usual(true),
+                ReplicatedStore.ReplicationSettings.defaults(true),
                 election.terms(),
                 view.seen(),
                 seed,
@@ -117,7 +117,7 @@
 
     /** Further members of the JSON object of the status page, each after a comma. */
     String statusJsonMembers() {
-        return ",\"view\":" + view.json() + ",\"shared\":" + replication.json()
+        return ",\"view\":" + view.json() + ",\"shared\":" + replication.statusJson()
                 + quotas.map(transport -> ",\"budgets\":" + transport.json()).orElse("");
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -114,7 +114,7 @@
 
     /** The ledger of an agent's instances; a backend has none. */
     private boolean assessLedger(StateDirectory directory) throws IOException {
-        if (!directory.has(LEDGER_FILE)) {
+        if (!directory.exists(LEDGER_FILE)) {
             return true;
         }
         try {
