--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -180,7 +180,8 @@
     @Override
     public void keyed(Duration from, Duration to) {
         boolean permitted = fleet.map(FleetAssembly::mayStartKeyedRequests).orElse(true);
-        backend.permitNonIdempotentStarts(sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
+        backend.permitNonIdempotentStarts(
+                sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
     }
 
     @Override
--- a/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
+++ b/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
@@ -84,7 +84,9 @@
         sendToBackend("{\"cmd\":\"request\",\"offset\":1,\"req\":\"" + launch.get("req") + "\",\"payload\":\"AQI=\"}");
         recordsConnection = recordsListener.accept();
         assertTrue(readRecordsLine().startsWith("OP " + launch.get("req")));
-        recordsConnection.getOutputStream().write((launch.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
+        recordsConnection
+                .getOutputStream()
+                .write((launch.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
         assertEquals("YQ==", awaitCommand("deliver").get("payload"));
         sendOutcome(2, launch, "OK", new byte[] {7});
         assertArrayEquals(new byte[] {7}, readAnswer(edge).body());
--- a/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
+++ b/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
@@ -31,8 +31,7 @@
      * when it goes on, the bytes and its end. It must not end over what is unread, as that resets the connection.
      */
     @Example
-    void requestUnreadAtTheLastMomentGetsAnAnswerOrOrderlyCloseAndNoReset()
-            throws IOException, InterruptedException {
+    void requestUnreadAtTheLastMomentGetsAnAnswerOrOrderlyCloseAndNoReset() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":" + STOP_MS));
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
@@ -48,8 +47,8 @@
         // Bad from the notice on: it has been heard.
         int status = 200;
         while (status != 503) {
-            status =
-                    readAnswer(send(resting[0], "GET /status/live HTTP/1.1\r\n\r\n")).status();
+            status = readAnswer(send(resting[0], "GET /status/live HTTP/1.1\r\n\r\n"))
+                    .status();
         }
         signal("STOP");
         Socket silent = resting[resting.length - 1];
--- a/src/test/java/merlinlever/cli/ServeCommandTest.java
+++ b/src/test/java/merlinlever/cli/ServeCommandTest.java
@@ -42,8 +42,12 @@
         sendToBackend("{\"cmd\":\"request\",\"offset\":1,\"req\":\"" + launch.get("req") + "\",\"payload\":\"AQI=\"}");
         recordsConnection = recordsListener.accept();
         assertTrue(readRecordsLine().matches("OP " + launch.get("req") + " [0-9]+ 2"));
-        assertArrayEquals(new byte[] {1, 2, '\r', '\n'}, recordsConnection.getInputStream().readNBytes(4));
-        recordsConnection.getOutputStream().write((launch.get("req") + " DONE 2\r\n\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        assertArrayEquals(
+                new byte[] {1, 2, '\r', '\n'},
+                recordsConnection.getInputStream().readNBytes(4));
+        recordsConnection
+                .getOutputStream()
+                .write((launch.get("req") + " DONE 2\r\n\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         Map<?, ?> deliver = awaitCommand("deliver");
         assertArrayEquals(new byte[] {'\r', '\n'}, Base64.getDecoder().decode((String) deliver.get("payload")));
         sendOutcome(2, launch, "OK", bytes);
@@ -74,8 +78,8 @@
         assertEquals(200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
         for (String how : new String[] {"OK", "ERROR"}) {
             Socket check = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
-            sendToBackend("{\"cmd\":\"exercised\",\"token\":\"" + awaitCommand("exercise").get("token") + "\",\"result\":\"" + how
-                    + "\"}");
+            sendToBackend("{\"cmd\":\"exercised\",\"token\":\""
+                    + awaitCommand("exercise").get("token") + "\",\"result\":\"" + how + "\"}");
             assertEquals(how.equals("OK") ? 200 : 503, readAnswer(check).status());
         }
     }
@@ -119,7 +123,8 @@
         Socket busy = send(httpRequest("look", "", ""));
         Map<?, ?> launch = awaitCommand("launch");
         for (int i = 0; i < 60; i++) {
-            assertEquals(200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
+            assertEquals(
+                    200, readAnswer(send("GET /status/live HTTP/1.1\r\n\r\n")).status());
         }
         sendOutcome(1, launch, "OK", new byte[] {7});
         assertEquals(200, readAnswer(busy).status());
@@ -234,12 +239,16 @@
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":70000}");
         sendOutcome(2, second, "ERROR", new byte[0]);
         // The call in hand ends where it is; the next one goes to the new place.
-        recordsConnection.getOutputStream().write((first.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
+        recordsConnection
+                .getOutputStream()
+                .write((first.get("req") + " DONE 1\r\na\r\n").getBytes(StandardCharsets.US_ASCII));
         assertEquals("YQ==", awaitCommand("deliver").get("payload"));
         sendToBackend("{\"cmd\":\"request\",\"offset\":3,\"req\":\"" + first.get("req") + "\",\"payload\":\"AQI=\"}");
         recordsConnection = recordsListener.accept();
         assertTrue(readRecordsLine().startsWith("OP " + first.get("req")));
-        recordsConnection.getOutputStream().write((first.get("req") + " DONE 1\r\nb\r\n").getBytes(StandardCharsets.US_ASCII));
+        recordsConnection
+                .getOutputStream()
+                .write((first.get("req") + " DONE 1\r\nb\r\n").getBytes(StandardCharsets.US_ASCII));
         assertEquals("Yg==", awaitCommand("deliver").get("payload"));
         sendOutcome(4, first, "OK", new byte[] {8});
         assertArrayEquals(new byte[] {8}, readAnswer(calling).body());
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -85,7 +85,8 @@
         assertRejected(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
         assertRejected(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
         assertRejected(with("\"name\":\"look\",", ""), "services");
-        assertRejected(with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
+        assertRejected(
+                with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
         assertRejected(
                 GOOD.substring(0, GOOD.indexOf("\"services\"")) + "\"services\":[]}}",
                 "services is missing",
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -104,7 +104,8 @@
     void acceptAgentLink(long offset) throws IOException {
         agentLink = agentListener.accept();
         agentLink.setSoTimeout(TIMEOUT_MS);
-        commandReader = new BufferedReader(new java.io.InputStreamReader(agentLink.getInputStream(), StandardCharsets.UTF_8));
+        commandReader =
+                new BufferedReader(new java.io.InputStreamReader(agentLink.getInputStream(), StandardCharsets.UTF_8));
         assertEquals(offset, awaitCommand("subscribe").get("offset"));
     }
 
@@ -139,9 +140,10 @@
     }
 
     void sendOutcome(long offset, Map<?, ?> launch, String result, byte[] payload) throws IOException {
-        sendToBackend("{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"result\":\""
-                + result + "\",\"elapsed_ms\":3.5,\"payload\":\""
-                + Base64.getEncoder().encodeToString(payload) + "\"}");
+        sendToBackend(
+                "{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + launch.get("req") + "\",\"result\":\""
+                        + result + "\",\"elapsed_ms\":3.5,\"payload\":\""
+                        + Base64.getEncoder().encodeToString(payload) + "\"}");
     }
 
     String httpRequest(String tariff, String more, String body) {
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -209,7 +209,8 @@
         assertEquals(503, answer.status());
         asking.close();
         sendToBackend("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000.5}");
-        assertEquals(503, readAnswer(send(resting, httpRequest("buy", TOKEN, "a"))).status());
+        assertEquals(
+                503, readAnswer(send(resting, httpRequest("buy", TOKEN, "a"))).status());
         resting.close();
         // Nothing was sent to the agent, not even a question.
         assertEquals(null, commandReader.readLine());
@@ -264,7 +265,8 @@
         lines.removeIf(each -> !each.contains("configuration-reload-rejected"));
         assertEquals(2, lines.size(), "" + lines);
         assertTrue(
-                lines.get(0).contains(configFile + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
+                lines.get(0)
+                        .contains(configFile + ": settings: family-info.n-cores is \"0\"; allowed: a number above 0"),
                 lines.get(0));
         assertTrue(lines.get(1).contains("no JSON object"), lines.get(1));
         // The old one stayed: the link is the one that it named.
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -304,7 +304,10 @@
                         && list.values().stream().allMatch(each -> each.path("state")
                                 .asText()
                                 .equals(each.path("host").asText().compareTo("m2") < 0 ? "warm" : "unreached")));
-        assertEquals(1, runFleetCommand("drain", "t3-1"), "an order to an agent that cannot be reached is not taken for done");
+        assertEquals(
+                1,
+                runFleetCommand("drain", "t3-1"),
+                "an order to an agent that cannot be reached is not taken for done");
         signal("CONT", agents[3].pid());
         launchAgent(2);
         awaitInstances("all warm", 30, list -> allHaveState(list, "warm"));
@@ -322,8 +325,8 @@
         assertEquals(1, runFleetCommand("roll", "--host", "m0", "--watch", "1", "--warm-within", "30"), output);
         assertTrue(
                 output.contains("stopped: t0-1 ")
-                        && output.contains(
-                                "0 done, 1 restarted and not serving yet (t0-1), " + (INSTANCES_PER_AGENT - 1) + " not begun"),
+                        && output.contains("0 done, 1 restarted and not serving yet (t0-1), "
+                                + (INSTANCES_PER_AGENT - 1) + " not begun"),
                 output);
         Files.writeString(folder.resolve("mode"), "0");
         assertEquals(0, runFleetCommand("start", "t0-1", "--wait"), output);
