--- a/src/main/java/merlinlever/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/replication/ReplicatedStore.java
@@ -327,7 +327,7 @@
      * its own clock or as others report, that it may hold what they have dropped.
      */
     public void discardForeignEntries(Duration now) {
-        log.accept("replication-foreign-entries-discarded entries=" + table.size());
+        log.accept("replication-foreign-entries-discarded held=" + table.size());
         for (StoredEntry entry : table.entries()) {
             if (!entry.key().owner().equals(self)) {
                 table.remove(entry.key());
