--- a/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
+++ b/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
@@ -31,31 +31,30 @@
      * when it goes on, the bytes and its end. It must not end over what is unread, as that resets the connection.
      */
     @Example
-    void aRequestThatIsUnreadAtTheLastMomentMeetsAnAnswerOrAGoodEndAndNoReset()
-            throws IOException, InterruptedException {
+    void requestUnreadAtTheLastMomentGetsAnAnswerOrOrderlyCloseAndNoReset() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":" + STOP_MS));
         String line = program.inputReader().readLine();
         port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-        link(0);
-        greet();
+        acceptAgentLink(0);
+        sendGreeting();
         Socket[] resting = new Socket[6];
         for (int i = 0; i < resting.length; i++) {
-            resting[i] = ask("GET /status/live HTTP/1.1\r\n\r\n");
-            assertEquals(200, answer(resting[i]).status());
+            resting[i] = send("GET /status/live HTTP/1.1\r\n\r\n");
+            assertEquals(200, readAnswer(resting[i]).status());
         }
         signal("TERM");
         long notice = System.nanoTime();
         // Bad from the notice on: it has been heard.
         int status = 200;
         while (status != 503) {
-            status =
-                    answer(ask(resting[0], "GET /status/live HTTP/1.1\r\n\r\n")).status();
+            status = readAnswer(send(resting[0], "GET /status/live HTTP/1.1\r\n\r\n"))
+                    .status();
         }
         signal("STOP");
         Socket silent = resting[resting.length - 1];
         for (Socket each : resting) {
             if (each != silent) {
-                ask(each, operation("look", "", ""));
+                send(each, httpRequest("look", "", ""));
             }
         }
         // Over its last moment, wherever in its time it was held.
@@ -79,7 +78,7 @@
                 .map(each -> each.replaceFirst(".* INFO ", ""))
                 .toList();
         assertEquals(
-                List.of("the stop is near: resting connections are half-closed and read on", "all is answered"),
+                List.of("idle-connections-half-closed read_on_ms=60", "shutdown-finished"),
                 log.subList(log.size() - 2, log.size()));
     }
 }
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -25,7 +25,7 @@
                     + "\"services\":[{\"name\":\"look\",\"semantics\":\"repeatable\",\"aim\":200.0,\"hard-limit\":400.0,\"gain\":1.0},"
                     + "{\"name\":\"buy\",\"semantics\":\"by_key\",\"aim\":200.0,\"hard-limit\":400.0,\"window\":900.0}]}}";
 
-    private static ServeConfiguration read(byte[] text) throws IOException, ServeCommand.InvalidConfigurationException {
+    private static ServeConfiguration read(byte[] text) throws IOException, InvalidConfigurationException {
         Path file = Files.createTempFile("merlinlever", ".json");
         try {
             Files.write(file, text);
@@ -35,7 +35,7 @@
         }
     }
 
-    private static ServeConfiguration read(String text) throws IOException, ServeCommand.InvalidConfigurationException {
+    private static ServeConfiguration read(String text) throws IOException, InvalidConfigurationException {
         return read(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -45,8 +45,8 @@
         return GOOD.replace(part, other);
     }
 
-    private static void refused(String text, String... says) {
-        String message = assertThrows(ServeCommand.InvalidConfigurationException.class, () -> read(text), text)
+    private static void assertRejected(String text, String... says) {
+        String message = assertThrows(InvalidConfigurationException.class, () -> read(text), text)
                 .getMessage();
         for (String each : says) {
             assertTrue(message.contains(each), message + " for " + text);
@@ -54,9 +54,9 @@
     }
 
     @Example
-    void whatIsWholeIsTakenWithoutARemark() throws Exception {
+    void validConfigurationHasNoWarnings() throws Exception {
         ServeConfiguration good = read(GOOD);
-        assertEquals(List.of(), good.remarks());
+        assertEquals(List.of(), good.warnings());
         assertEquals(0x8c1f30d27a5be964L, good.seed());
         assertEquals(3200, good.stopAfter().toMillis());
     }
@@ -67,58 +67,58 @@
      * name was left out, and of two classes with one name the first was served by the terms of the second.
      */
     @Example
-    void whatCannotBeServedIsRefusedByNameWithWhatIsAllowed() {
-        refused(with("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
-        refused(with("2000.0", "-1"), "invariants.drain-grace");
-        refused(with("2000.0", "1e300"), "invariants.drain-grace");
+    void invalidValueIsRejectedWithItsNameAndWhatIsAllowed() {
+        assertRejected(with("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
+        assertRejected(with("2000.0", "-1"), "invariants.drain-grace");
+        assertRejected(with("2000.0", "1e300"), "invariants.drain-grace");
         for (String bad : new String[] {"0", "-4", "\"NaN\"", "\"Infinity\"", "\"many\""}) {
-            refused(with("\"n-cores\":4", "\"n-cores\":" + bad), "family-info.n-cores", "above 0");
-            refused(with("\"memory-kb\":90000", "\"memory-kb\":" + bad), "family-info.memory-kb", "above 0");
-            refused(with("\"window\":900.0", "\"window\":" + bad), "services.1.window", "above 0");
-            refused(with("\"aim\":200.0", "\"aim\":" + bad), "services.0.aim", "above 0");
+            assertRejected(with("\"n-cores\":4", "\"n-cores\":" + bad), "family-info.n-cores", "above 0");
+            assertRejected(with("\"memory-kb\":90000", "\"memory-kb\":" + bad), "family-info.memory-kb", "above 0");
+            assertRejected(with("\"window\":900.0", "\"window\":" + bad), "services.1.window", "above 0");
+            assertRejected(with("\"aim\":200.0", "\"aim\":" + bad), "services.0.aim", "above 0");
         }
-        refused(with("8.0", "0"), "invariants.overload-factor");
-        refused(with("\"gain\":1.0", "\"gain\":-1"), "services.0.gain");
-        refused(with("by_key", "by_kee"), "services.1.semantics is \"by_kee\"", "by_key, once, repeatable");
-        refused(with("\"drop\"", "\"dorp\""), "family-info.halt", "drop");
-        refused(with("[true,false]", "[true,\"no\"]"), "family-info.calls-by-class", "true, false");
-        refused(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
-        refused(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
-        refused(with("\"name\":\"look\",", ""), "services");
-        refused(with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
-        refused(
+        assertRejected(with("8.0", "0"), "invariants.overload-factor");
+        assertRejected(with("\"gain\":1.0", "\"gain\":-1"), "services.0.gain");
+        assertRejected(with("by_key", "by_kee"), "services.1.semantics is \"by_kee\"", "by_key, once, repeatable");
+        assertRejected(with("\"drop\"", "\"dorp\""), "family-info.halt", "drop");
+        assertRejected(with("[true,false]", "[true,\"no\"]"), "family-info.calls-by-class", "true, false");
+        assertRejected(with("[0.0,0.0]", "[0.0,\"x\"]"), "family-info.class-skip-worth");
+        assertRejected(with("\"buy\"", "\"look\""), "services.1.name is \"look\"", "no other class");
+        assertRejected(with("\"name\":\"look\",", ""), "services");
+        assertRejected(
+                with("\"name\":\"buy\",", "").replace("}]}}", "},{\"name\":\"pay\"}]}}"), "services.1.name is missing");
+        assertRejected(
                 GOOD.substring(0, GOOD.indexOf("\"services\"")) + "\"services\":[]}}",
                 "services is missing",
                 "one class or more");
-        refused(with("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
+        assertRejected(with("\"settings\":{", "\"settings\":[],\"other\":{"), "services is missing");
         for (String bad : new String[] {"-1", "1e12", "\"NaN\"", "\"soon\"", "true"}) {
-            refused(with("3200", bad), "stop_ms is", "allowed: a number");
+            assertRejected(with("3200", bad), "stop_ms is", "allowed: a number");
         }
         for (String bad : new String[] {"-1", "0", "31", "1e300", "\"NaN\""}) {
-            refused(with("384", bad), "limits.sockets is", "allowed: a number");
+            assertRejected(with("384", bad), "limits.sockets is", "allowed: a number");
         }
-        refused(with("\"agent\":\"127.0.0.1:1\"", "\"agent\":\"127.0.0.1:0\""), "agent has port 0");
-        refused(with("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
-        refused(with("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
-        refused("{\"a\":\"" + "x".repeat(1 << 20) + "\"}", "longer than");
-        refused(GOOD.substring(0, 300), "no JSON object");
+        assertRejected(with("\"agent\":\"127.0.0.1:1\"", "\"agent\":\"127.0.0.1:0\""), "agent has port 0");
+        assertRejected(with("127.0.0.1:2", "127.0.0.1:70000"), "lookup is 127.0.0.1:70000", "ADDRESS:PORT");
+        assertRejected(with("\"listen\":\"127.0.0.1:0\",", ""), "listen is missing");
+        assertRejected("{\"a\":\"" + "x".repeat(1 << 20) + "\"}", "longer than");
+        assertRejected(GOOD.substring(0, 300), "no JSON object");
     }
 
     /** Against a failure that is not told in one line: bytes that are no text, a folder in the file's place. */
     @Example
-    void whatIsNoTextOrNoFileIsSaid() {
-        assertThrows(ServeCommand.InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
+    void fileThatIsNoTextOrNoFileIsRejected() {
+        assertThrows(InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
         String message = assertThrows(
-                        ServeCommand.InvalidConfigurationException.class,
-                        () -> ServeConfiguration.read(Map.of("GW_CONFIG", "src")))
+                        InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of("GW_CONFIG", "src")))
                 .getMessage();
         assertTrue(message.contains("cannot be read"), message);
-        assertThrows(ServeCommand.InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of()));
+        assertThrows(InvalidConfigurationException.class, () -> ServeConfiguration.read(Map.of()));
     }
 
     /** Against defaults that hide a missing setting: each that matters is named in one line, with what is assumed. */
     @Example
-    void whatIsMissingAndMattersIsSaidInOneLine() throws Exception {
+    void missingSettingsThatMatterAreWarnedOfInOneLine() throws Exception {
         String[][] each = {
             {"\"n-cores\":4,", "family-info.n-cores (1)"},
             {"\"memory-kb\":90000,", "family-info.memory-kb (no limit)"},
@@ -135,35 +135,35 @@
         String none = GOOD;
         for (String[] one : each) {
             ServeConfiguration read = read(with(one[0], ""));
-            assertEquals(1, read.remarks().size(), one[0]);
+            assertEquals(1, read.warnings().size(), one[0]);
             assertTrue(
-                    read.remarks().get(0).startsWith("missing, and assumed: ")
-                            && read.remarks().get(0).contains(one[1]),
-                    read.remarks().get(0));
+                    read.warnings().get(0).startsWith("missing-settings-defaulted settings=")
+                            && read.warnings().get(0).contains(one[1]),
+                    read.warnings().get(0));
             none = none.replace(one[0], "");
         }
-        assertEquals(1, read(none).remarks().size());
+        assertEquals(1, read(none).warnings().size());
         assertTrue(read(with("[true,false]", "[true]"))
-                .remarks()
+                .warnings()
                 .get(0)
                 .contains("family-info.calls-by-class has 1 of 2"));
         assertTrue(read(with("8c1f30d27a5be964", "8c1f30d27a5be96x"))
-                .remarks()
+                .warnings()
                 .get(0)
                 .contains("16 hex digits"));
     }
 
     /** A window that is stated as none, and a class of no value, do no harm. */
     @Example
-    void aClassThatIsNotKeyedMayHaveNoWindowAndAnyMayHaveNoValue() throws Exception {
+    void unkeyedClassMayHaveNoWindowAndAnyClassNoWeight() throws Exception {
         assertEquals(
                 List.of(),
-                read(with("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).remarks());
+                read(with("\"gain\":1.0", "\"gain\":0,\"window\":0.0")).warnings());
     }
 
     /** The fleet's chances fall apart also where no seed is told. */
     @Example
-    void withoutASeedTwoNamesHaveTwo() throws Exception {
+    void seedIsMadeOfTheNameWhereNoneIsGiven() throws Exception {
         String without = with("\"seed\":\"8c1f30d27a5be964\",", "");
         assertFalse(read(without).seed()
                 == read(without.replace("\"n3\"", "\"n4\"")).seed());
@@ -171,18 +171,18 @@
 
     /** A class may have any name, also one that is a word of the settings; it was looked for under another then. */
     @Example
-    void aClassNamedAsAWordOfTheSettingsKeepsItsName() throws Exception {
+    void classNamedLikeASettingsKeywordKeepsItsName() throws Exception {
         for (String name : new String[] {"sockets", "once", "silent", "repeatable"}) {
             assertEquals(
-                    name, read(with("\"look\"", "\"" + name + "\"")).given().get("tariffs.0.name"));
+                    name, read(with("\"look\"", "\"" + name + "\"")).settings().get("tariffs.0.name"));
         }
     }
 
     /** New keys are skipped and named, as before. */
     @Example
-    void aKeyThatIsNotKnownIsNoFault() throws Exception {
+    void unknownKeyIsIgnoredWithAWarning() throws Exception {
         assertEquals(
-                List.of("settings that are not known: family-info.cpus"),
-                read(with("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).remarks());
+                List.of("unknown-settings-ignored settings=family-info.cpus"),
+                read(with("\"n-cores\":4", "\"n-cores\":4,\"cpus\":\"x\"")).warnings());
     }
 }
