--- a/src/main/java/merlinlever/Decisions.java
+++ b/src/main/java/merlinlever/Decisions.java
@@ -5,45 +5,45 @@
 import java.util.List;
 
 /**
- * What one {@link merlinlever.policy.OverloadController#settle} decided. The lists are to be carried out in the order in which
+ * What one {@link merlinlever.policy.OverloadController#decide} decided. The lists are to be carried out in the order in which
  * they stand here and each from its first entry on; every operation stands in the order that keeps the rules.
  */
 public final class Decisions {
 
     /** An operation with the span that goes with the decision. */
-    public record TimedDecision(RequestHandle operation, Duration span) {}
+    public record TimedDecision(RequestHandle request, Duration duration) {}
 
     /** A refusal: whether to ask the caller to try nowhere else, and for how long to stay away (zero: not said). */
-    public record Rejection(RequestHandle operation, boolean nowhereElse, Duration stayAway) {}
+    public record Rejection(RequestHandle request, boolean finalRejection, Duration retryAfter) {}
 
     /** The value to send back with every answer from here on, or NaN: as before. */
-    public double level = Double.NaN;
+    public double backpressureLevel = Double.NaN;
     /** The health to report from here on, or null: as before. */
     public Boolean healthy;
     /** Connections without traffic for this long are to be closed from here on, or null: as before. */
-    public Duration closeIdle;
+    public Duration idleConnectionTimeout;
     /** Enter these in the table of fingerprints (and of shared reads) for the span. */
-    public final List<TimedDecision> kept = new ArrayList<>();
+    public final List<TimedDecision> retained = new ArrayList<>();
     /** Final answer: an error. */
-    public final List<RequestHandle> brokenOff = new ArrayList<>();
+    public final List<RequestHandle> failed = new ArrayList<>();
     /** Stop the work on these. */
-    public final List<RequestHandle> halted = new ArrayList<>();
+    public final List<RequestHandle> stopped = new ArrayList<>();
     /** Final answer: turned away, never run. */
-    public final List<Rejection> pushedBack = new ArrayList<>();
+    public final List<Rejection> rejected = new ArrayList<>();
     /** Take these out of the table. */
-    public final List<RequestHandle> forgotten = new ArrayList<>();
+    public final List<RequestHandle> evicted = new ArrayList<>();
     /** Start these. */
     public final List<RequestHandle> started = new ArrayList<>();
     /** Answer these with the outcome of the operation that they repeat. */
-    public final List<RequestHandle> shared = new ArrayList<>();
+    public final List<RequestHandle> coalesced = new ArrayList<>();
     /** Make the call that these wait for, and give it up after the span. */
-    public final List<TimedDecision> called = new ArrayList<>();
+    public final List<TimedDecision> downstreamCalls = new ArrayList<>();
     /** Let these go on without the call. */
-    public final List<RequestHandle> omitted = new ArrayList<>();
+    public final List<RequestHandle> skippedCalls = new ArrayList<>();
     /** Lines for the log. */
-    public final List<String> log = new ArrayList<>();
+    public final List<String> logLines = new ArrayList<>();
     /** Nothing will name these handles again. */
     public final List<RequestHandle> released = new ArrayList<>();
     /** When a look and a settling are wanted next, or null: not before something happens. */
-    public Duration nextLook;
+    public Duration nextDecisionAt;
 }
--- a/src/main/java/merlinlever/Durations.java
+++ b/src/main/java/merlinlever/Durations.java
@@ -7,23 +7,23 @@
 
     private Durations() {}
 
-    public static Duration millis(double ms) {
+    public static Duration ofMillis(double ms) {
         return Duration.ofNanos((long) (ms * 1e6));
     }
 
-    public static double ms(Duration span) {
-        return span.toNanos() / 1e6;
+    public static double toMillis(Duration duration) {
+        return duration.toNanos() / 1e6;
     }
 
-    public static Duration earlier(Duration a, Duration b) {
-        return a.compareTo(b) < 0 ? a : b;
+    public static Duration earlier(Duration first, Duration second) {
+        return first.compareTo(second) < 0 ? first : second;
     }
 
-    public static Duration later(Duration a, Duration b) {
-        return a.compareTo(b) > 0 ? a : b;
+    public static Duration later(Duration first, Duration second) {
+        return first.compareTo(second) > 0 ? first : second;
     }
 
-    public static boolean reached(Duration now, Duration point) {
-        return now.compareTo(point) >= 0;
+    public static boolean isReached(Duration now, Duration time) {
+        return now.compareTo(time) >= 0;
     }
 }
--- a/src/main/java/merlinlever/Outcome.java
+++ b/src/main/java/merlinlever/Outcome.java
@@ -7,26 +7,26 @@
     /** It was carried out and did not work; it may have had its effect. */
     ERROR(false),
     /** The call was turned away unseen. */
-    TURNED_AWAY(true),
+    REJECTED(true),
     /** The call was given up; it may have had its effect. */
-    GIVEN_UP(false),
+    TIMED_OUT(false),
     /** The call did not get through. */
     UNREACHABLE(true),
     /** The call was cut off; it may have had its effect. */
-    CUT_OFF(false),
+    CONNECTION_LOST(false),
     /** The run was stopped. */
     STOPPED(false),
     /** Nothing was begun, the operation was over already. */
-    NEVER_BEGUN(true);
+    NOT_STARTED(true);
 
-    private final boolean provesUnrun;
+    private final boolean provesNoEffect;
 
-    Outcome(boolean provesUnrun) {
-        this.provesUnrun = provesUnrun;
+    Outcome(boolean provesNoEffect) {
+        this.provesNoEffect = provesNoEffect;
     }
 
     /** Whether this ending proves that nothing has taken effect. */
-    public boolean provesUnrun() {
-        return provesUnrun;
+    public boolean provesNoEffect() {
+        return provesNoEffect;
     }
 }
--- a/src/main/java/merlinlever/Settings.java
+++ b/src/main/java/merlinlever/Settings.java
@@ -10,8 +10,8 @@
         return values.containsKey(name);
     }
 
-    public String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    public String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     public boolean flag(String name) {
@@ -19,21 +19,21 @@
     }
 
     /** A number; {@code absent} also stands for what is no number. */
-    public double number(String name, double absent) {
+    public double number(String name, double defaultValue) {
         try {
-            return Double.parseDouble(text(name, "" + absent));
+            return Double.parseDouble(text(name, "" + defaultValue));
         } catch (NumberFormatException e) {
-            return absent;
+            return defaultValue;
         }
     }
 
-    public Duration span(String name, double absentMs) {
-        return Durations.millis(number(name, absentMs));
+    public Duration duration(String name, double defaultMs) {
+        return Durations.ofMillis(number(name, defaultMs));
     }
 
     /** One place of a row of values; {@code absent} also stands for an empty one. */
-    public String nth(String name, int index, String absent) {
-        String[] row = text(name, "").split(",");
-        return index < row.length && !row[index].isEmpty() ? row[index] : absent;
+    public String listElement(String name, int index, String defaultValue) {
+        String[] elements = text(name, "").split(",");
+        return index < elements.length && !elements[index].isEmpty() ? elements[index] : defaultValue;
     }
 }
--- a/src/main/java/merlinlever/agent/AgentEvent.java
+++ b/src/main/java/merlinlever/agent/AgentEvent.java
@@ -92,7 +92,7 @@
                 : switch (text) {
                     case "OK" -> Outcome.OK;
                     case "STOPPED" -> Outcome.STOPPED;
-                    case "MOOT" -> Outcome.NEVER_BEGUN;
+                    case "MOOT" -> Outcome.NOT_STARTED;
                     default -> Outcome.ERROR;
                 };
     }
--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/agent/AgentLink.java
@@ -208,7 +208,7 @@
             case "refusal" -> {
                 log.warn("the agent would not " + notice.text() + " " + Long.toHexString(notice.id()));
                 if ("launch".equals(notice.text())) {
-                    backend.ended(loop.clock().now(), notice.id(), Outcome.NEVER_BEGUN, null);
+                    backend.ended(loop.clock().now(), notice.id(), Outcome.NOT_STARTED, null);
                 }
             }
             case "aside" -> {}
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -114,7 +114,7 @@
                         loop,
                         ZoneConfigParser.address(sheet, "manage"),
                         () -> StatusReport.of(
-                                front.desk().figures().leaving(),
+                                front.desk().figures().draining(),
                                 true,
                                 front.desk().inHand(),
                                 clock.uptime().toMillis(),
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -70,7 +70,7 @@
         Duration longest = LONGEST_UNREAD;
         for (int i = 0; i < tariffs.size(); i++) {
             longest = Durations.later(
-                    longest, Durations.millis(SettingsTranslator.number(given, "tariffs." + i + ".client-timeout", 0)));
+                    longest, Durations.ofMillis(SettingsTranslator.number(given, "tariffs." + i + ".client-timeout", 0)));
         }
         longestUnread = longest;
         subjects = SettingsTranslator.number(given, "server.fresh-for", 0) > 0;
@@ -111,7 +111,7 @@
 
     /** What the module sees of this server, or null before the agent is up. */
     public OverloadController.ControllerMetrics figures() {
-        return conductor == null ? null : conductor.control().figures();
+        return conductor == null ? null : conductor.control().metrics();
     }
 
     /** In the watch mode, by kind, how often the watched settings would have decided otherwise. */
@@ -143,22 +143,22 @@
         touched = true;
     }
 
-    /** See {@link OverloadController#keyed}; told again whenever it changes. */
+    /** See {@link OverloadController#permitNonIdempotentStarts}; told again whenever it changes. */
     public void keyed(Duration from, Duration to) {
         fleetwide.keyed(from, to);
     }
 
-    /** See {@link OverloadController#share}. */
+    /** See {@link OverloadController#setQuota}. */
     public void share(int tariff, long share, boolean perSecond, Duration until, Duration longest) {
         fleetwide.share(tariff, share, perSecond, until, longest);
     }
 
-    /** See {@link OverloadController#demand}. */
+    /** See {@link OverloadController#quotaDemand}. */
     public long[] demand(Duration now, int tariff) {
         return fleetwide.demand(now, tariff);
     }
 
-    /** See {@link OverloadController#guess}. */
+    /** See {@link OverloadController#setWarmStartEstimate}. */
     public void guess(double capacity, double of) {
         fleetwide.guess(capacity, of);
     }
@@ -192,7 +192,7 @@
         work.handle = conductor.know(
                 conductor
                         .control()
-                        .take(
+                        .submit(
                                 now,
                                 asked.tariff(),
                                 now.minus(arrival),
@@ -231,7 +231,7 @@
         if (how == Outcome.STOPPED && work.halted && !work.answered) {
             work.launched = false;
             work.halted = false;
-            work.handle.ended(now, how);
+            work.handle.runEnded(now, how);
             return;
         }
         work.end = how;
@@ -247,7 +247,7 @@
         if (work != null && work.launched && work.end == null) {
             touch(now);
             calling.reached(work, body);
-            work.handle.reachedCall(now);
+            work.handle.callNeeded(now);
         }
     }
 
@@ -275,7 +275,7 @@
         if (runQueueAt >= 0 && runQueueAt < gauges.length) {
             gauges[runQueueAt] += ontoCores;
         }
-        conductor.control().look(now, gauges);
+        conductor.control().updateGauges(now, gauges);
     }
 
     public void exercised(boolean good) {
@@ -299,7 +299,7 @@
         leaving = true;
         if (conductor != null) {
             touch(now);
-            conductor.control().leave(now, stop);
+            conductor.control().startDrain(now, stop);
         }
     }
 
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -16,10 +16,10 @@
     /** Stands for an operation of which nothing is known any more; what happens to it has no effect. */
     public static final RequestHandle UNKNOWN = new RequestHandle() {
         @Override
-        public void ended(Duration now, Outcome how) {}
+        public void runEnded(Duration now, Outcome how) {}
 
         @Override
-        public void reachedCall(Duration now) {}
+        public void callNeeded(Duration now) {}
 
         @Override
         public void callEnded(Duration now, Outcome how, Duration took) {}
@@ -76,31 +76,31 @@
     }
 
     public void settle(Duration now) {
-        Decisions settled = control.settle(now);
+        Decisions settled = control.decide(now);
         if (watch != null) {
             watch.seen(settled);
         }
-        if (!Double.isNaN(settled.level)) {
-            port.level(settled.level);
+        if (!Double.isNaN(settled.backpressureLevel)) {
+            port.level(settled.backpressureLevel);
         }
         if (settled.healthy != null) {
             port.health(settled.healthy);
         }
-        if (settled.closeIdle != null) {
-            port.closeIdle(settled.closeIdle);
+        if (settled.idleConnectionTimeout != null) {
+            port.closeIdle(settled.idleConnectionTimeout);
         }
-        settled.kept.forEach(kept -> port.keep(known.get(kept.operation()), kept.span()));
-        each(settled.brokenOff, port::breakOff);
-        each(settled.halted, port::halt);
-        settled.pushedBack.forEach(p -> port.pushBack(known.get(p.operation()), p.nowhereElse(), p.stayAway()));
-        each(settled.forgotten, port::forget);
+        settled.retained.forEach(kept -> port.keep(known.get(kept.request()), kept.duration()));
+        each(settled.failed, port::breakOff);
+        each(settled.stopped, port::halt);
+        settled.rejected.forEach(p -> port.pushBack(known.get(p.request()), p.finalRejection(), p.retryAfter()));
+        each(settled.evicted, port::forget);
         each(settled.started, port::start);
-        each(settled.shared, port::share);
-        settled.called.forEach(call -> port.call(known.get(call.operation()), call.span()));
-        each(settled.omitted, port::omit);
-        settled.log.forEach(port::log);
-        if (settled.nextLook != null && (alarm == null || settled.nextLook.compareTo(alarm) < 0)) {
-            alarm = settled.nextLook;
+        each(settled.coalesced, port::share);
+        settled.downstreamCalls.forEach(call -> port.call(known.get(call.request()), call.duration()));
+        each(settled.skippedCalls, port::omit);
+        settled.logLines.forEach(port::log);
+        if (settled.nextDecisionAt != null && (alarm == null || settled.nextDecisionAt.compareTo(alarm) < 0)) {
+            alarm = settled.nextDecisionAt;
             port.alarm(alarm);
         }
         settled.released.forEach(operation -> port.release(known.remove(operation)));
--- a/src/main/java/merlinlever/core/DeploymentProfile.java
+++ b/src/main/java/merlinlever/core/DeploymentProfile.java
@@ -73,11 +73,11 @@
     /** Counts what the watched settings would have decided otherwise in one batch of decisions. */
     public void seen(Decisions settled) {
         // Dropped work is lost and its call abandoned; paused work keeps its progress and memory.
-        count("halt", settled.halted.size());
-        count("say", Double.isNaN(settled.level) ? 0 : 1);
+        count("halt", settled.stopped.size());
+        count("say", Double.isNaN(settled.backpressureLevel) ? 0 : 1);
         // Where the list follows health, every caller's list drops or takes back this server.
         count("readiness", settled.healthy == null ? 0 : 1);
-        count("below", settled.called.size());
+        count("below", settled.downstreamCalls.size());
     }
 
     /** How often, by kind, the watched settings would have decided otherwise; in the order of the kinds. */
--- a/src/main/java/merlinlever/core/DownstreamService.java
+++ b/src/main/java/merlinlever/core/DownstreamService.java
@@ -15,7 +15,7 @@
         void callEnded(Duration now, long id, Outcome how, byte[] reply);
     }
 
-    /** Makes the call that the operation's run waits for, with this body; {@link Outcome#GIVEN_UP} after the span. */
+    /** Makes the call that the operation's run waits for, with this body; {@link Outcome#TIMED_OUT} after the span. */
     void call(TrackedRequest operation, byte[] body, Duration within);
 
     /** Nobody waits for the call any longer. */
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -19,11 +19,11 @@
     /** The module is there; told what came before it. */
     void begin(OverloadController module, Duration now) {
         control = module;
-        control.guess(guessed, completions);
+        control.setWarmStartEstimate(guessed, completions);
         // Nothing of what is shared with others before it is told its share.
-        limited.forEach((tariff, perSecond) -> control.share(tariff, 0, perSecond, now, null));
+        limited.forEach((tariff, perSecond) -> control.setQuota(tariff, 0, perSecond, now, null));
         if (keyedFrom != null) {
-            control.keyed(keyedFrom, keyedTo);
+            control.permitNonIdempotentStarts(keyedFrom, keyedTo);
         }
     }
 
@@ -31,26 +31,26 @@
         keyedFrom = from;
         keyedTo = to;
         if (control != null) {
-            control.keyed(from, to);
+            control.permitNonIdempotentStarts(from, to);
         }
     }
 
     void share(int tariff, long share, boolean perSecond, Duration until, Duration longest) {
         limited.put(tariff, perSecond);
         if (control != null) {
-            control.share(tariff, share, perSecond, until, longest);
+            control.setQuota(tariff, share, perSecond, until, longest);
         }
     }
 
     long[] demand(Duration now, int tariff) {
-        return control == null ? new long[2] : control.demand(now, tariff);
+        return control == null ? new long[2] : control.quotaDemand(now, tariff);
     }
 
     void guess(double capacity, double of) {
         guessed = capacity;
         completions = of;
         if (control != null) {
-            control.guess(capacity, of);
+            control.setWarmStartEstimate(capacity, of);
         }
     }
 }
--- a/src/main/java/merlinlever/core/ResponseTracker.java
+++ b/src/main/java/merlinlever/core/ResponseTracker.java
@@ -48,7 +48,7 @@
     /** Its run has ended, and it with it; then all that share its outcome. */
     void ended(TrackedRequest work, Duration now, Outcome how, byte[] result) {
         answer(work, how, result);
-        work.handle.ended(now, how);
+        work.handle.runEnded(now, how);
         for (TrackedRequest sharer : work.sharers) {
             endAs(sharer, now, work);
         }
@@ -64,7 +64,7 @@
         sharer.end = result != null ? Outcome.OK : Outcome.ERROR;
         sharer.body = null;
         answer(sharer, sharer.end, result);
-        sharer.handle.ended(now, sharer.end);
+        sharer.handle.runEnded(now, sharer.end);
         return true;
     }
 }
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -293,8 +293,8 @@
                 long began = now;
                 boolean lostThen = !site.serviceUp;
                 later(lostThen ? 1 : 5 + chance.nextInt(20), () -> {
-                    Outcome how = lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CUT_OFF;
-                    if (how == Outcome.OK && effect || how == Outcome.CUT_OFF && effect && chance.nextBoolean()) {
+                    Outcome how = lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CONNECTION_LOST;
+                    if (how == Outcome.OK && effect || how == Outcome.CONNECTION_LOST && effect && chance.nextBoolean()) {
                         audit.effect(now, id, site.name);
                     }
                     own.ended(clock(), how, Duration.ofMillis(now - began));
@@ -317,7 +317,7 @@
             later(600, () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    ended(id, tariff, key, tried, missing, times, Outcome.CUT_OFF);
+                    ended(id, tariff, key, tried, missing, times, Outcome.CONNECTION_LOST);
                 }
             });
             boolean[] came = new boolean[1];
@@ -335,7 +335,7 @@
                 toSite(first.nodes.get(0), site, () -> {
                     if (!over[0]) {
                         over[0] = true;
-                        ended(id, tariff, key, tried, missing, times, ran ? Outcome.OK : Outcome.TURNED_AWAY);
+                        ended(id, tariff, key, tried, missing, times, ran ? Outcome.OK : Outcome.REJECTED);
                     }
                 });
             });
@@ -351,9 +351,9 @@
                 Outcome how) {
             boolean again = how != Outcome.OK
                     && times < 3
-                    && (how.provesUnrun() || tariff.kind() == RouteSelector.RetrySafety.RETRIABLE || secondWay);
+                    && (how.provesNoEffect() || tariff.kind() == RouteSelector.RetrySafety.RETRIABLE || secondWay);
             if (again) {
-                attempt(id, tariff, key, tried, missing || !how.provesUnrun(), times + 1);
+                attempt(id, tariff, key, tried, missing || !how.provesNoEffect(), times + 1);
                 return;
             }
             audit.ended(now, id);
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -82,7 +82,7 @@
         PendingRequest original = mark == null ? null : byMark.putIfAbsent(mark, asked);
         RequestHandle taken = conductor
                 .control()
-                .take(
+                .submit(
                         at,
                         mark == null ? LOOK : ORDER,
                         Duration.ZERO,
@@ -99,13 +99,13 @@
         now = at;
         touched = true;
         conductor.alarmed();
-        conductor.control().look(at, new double[] {0});
+        conductor.control().updateGauges(at, new double[] {0});
     }
 
     void leave(Duration at, Duration stop) {
         now = at;
         touched = true;
-        conductor.control().leave(at, stop);
+        conductor.control().startDrain(at, stop);
     }
 
     void settle(Duration at) {
@@ -123,7 +123,7 @@
             inHand--;
             asked.run.run();
         }
-        asked.handle.ended(now, Outcome.OK);
+        asked.handle.runEnded(now, Outcome.OK);
     }
 
     @Override
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -25,7 +25,7 @@
             String recovery) {
         StringBuilder text = new StringBuilder(512)
                 .append("{\"phase\":\"")
-                .append(leaving ? "leaving" : figures == null ? "starting" : figures.speedShare() < 1 ? "cold" : "warm")
+                .append(leaving ? "leaving" : figures == null ? "starting" : figures.speedFraction() < 1 ? "cold" : "warm")
                 .append("\",\"healthy\":")
                 .append(healthy)
                 .append(",\"in_hand\":")
@@ -34,27 +34,27 @@
                 .append(ageMs);
         if (figures != null) {
             text.append(",\"hung\":")
-                    .append(figures.hung())
+                    .append(figures.stalled())
                     .append(",\"held\":")
-                    .append(figures.held())
+                    .append(figures.queued())
                     .append(",\"running\":")
                     .append(figures.onCores())
                     .append(",\"calls\":")
-                    .append(figures.atCalls())
+                    .append(figures.inCalls())
                     .append(",\"capacity\":")
-                    .append(Math.min(MOST, figures.capacity()))
+                    .append(Math.min(MOST, figures.queueCapacity()))
                     .append(",\"avg\":")
-                    .append(figures.avg())
+                    .append(figures.averageOccupancy())
                     .append(",\"level\":")
-                    .append(figures.level())
+                    .append(figures.backpressureLevel())
                     .append(",\"broken_off\":")
-                    .append(figures.brokenOff())
+                    .append(figures.failed())
                     .append(",\"pushed_back\":{");
             for (OverloadController.RejectionReason reason : OverloadController.RejectionReason.values()) {
                 text.append(reason.ordinal() == 0 ? "\"" : ",\"")
                         .append(reason.wireName())
                         .append("\":")
-                        .append(figures.pushedBack().get(reason.ordinal()));
+                        .append(figures.rejected().get(reason.ordinal()));
             }
             text.append('}');
         }
--- a/src/main/java/merlinlever/net/CloseReason.java
+++ b/src/main/java/merlinlever/net/CloseReason.java
@@ -8,25 +8,25 @@
  */
 public enum CloseReason {
     /** The other side closed in good order. */
-    CLOSED_THERE(Outcome.CUT_OFF),
+    CLOSED_THERE(Outcome.CONNECTION_LOST),
     /** A reset or any other failure of reading or writing. */
-    BROKEN(Outcome.CUT_OFF),
+    BROKEN(Outcome.CONNECTION_LOST),
     /** It was never made. */
     REFUSED(Outcome.UNREACHABLE),
     /** It was not made in time. */
     NOT_MADE(Outcome.UNREACHABLE),
     /** Closed here as nothing was open on it. */
-    IDLE(Outcome.CUT_OFF),
+    IDLE(Outcome.CONNECTION_LOST),
     /** Closed here after the last answer on it. */
-    DONE(Outcome.CUT_OFF),
+    DONE(Outcome.CONNECTION_LOST),
     /** What was begun did not become whole, or what was written was not taken, in time. */
-    SLOW(Outcome.CUT_OFF),
+    SLOW(Outcome.CONNECTION_LOST),
     /** What came was not the protocol's. */
-    MALFORMED(Outcome.CUT_OFF),
+    MALFORMED(Outcome.CONNECTION_LOST),
     /** More waited to be written than is allowed. */
-    OVERFULL(Outcome.CUT_OFF),
+    OVERFULL(Outcome.CONNECTION_LOST),
     /** What uses it here has failed. */
-    FAILED(Outcome.CUT_OFF);
+    FAILED(Outcome.CONNECTION_LOST);
 
     private final Outcome ofCall;
 
--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -34,7 +34,7 @@
     AdmissionControl(ServerState server, Settings given, long seed) {
         this.server = server;
         chance = new SplittableRandom(seed);
-        longestStayAway = given.flag("limits.stay-away") ? given.span("limits.longest-stay-away", 0) : Duration.ZERO;
+        longestStayAway = given.flag("limits.stay-away") ? given.duration("limits.longest-stay-away", 0) : Duration.ZERO;
         double least = Math.max(
                 NIL, server.tariffs.stream().mapToDouble(t -> t.value).min().orElse(1));
         double span =
@@ -47,13 +47,13 @@
 
     void arrive(Request op, Duration now) {
         // What waits unread waits too: its time beyond the quickest reading counts as that part of the span.
-        double unread = ms(now.minus(op.arrival));
+        double unread = toMillis(now.minus(op.arrival));
         quickestRead = Math.min(unread, quickestRead + FORGET * (unread - quickestRead));
         // Neither the arrival itself nor what free cores take at once is waiting: on two cores either alone
         // was over min_th, and an idle server refused its next arrival.
         double waiting =
                 Math.max(0, server.held - 1 - Math.max(0, server.cores - server.onCores)) / server.capacity.hold();
-        double q = waiting + (unread - quickestRead) / ms(server.span);
+        double q = waiting + (unread - quickestRead) / toMillis(server.span);
         avgAt = now;
         avg = (1 - W_Q) * avg + W_Q * q;
         // Rule 3: what came after the grace is not run; near the stop nothing more is begun.
@@ -72,8 +72,8 @@
             return;
         }
         // Work that cannot make its soft limit is waste.
-        Duration likely = ends.plus(millis(waiting * ms(server.span)));
-        if (server.onCores >= server.cores && reached(likely, op.soft)) {
+        Duration likely = ends.plus(ofMillis(waiting * toMillis(server.span)));
+        if (server.onCores >= server.cores && isReached(likely, op.soft)) {
             server.endings.pushBack(op, now, RejectionReason.HOPELESS, op.again || dear(), longestStayAway);
         } else if (refuses(op)) {
             // RED refuses only while the hold is long, as it is on its neighbours under the same load: a walk
@@ -96,7 +96,7 @@
     }
 
     boolean dear() {
-        return quickestRead > DEAR * server.cores * ms(server.span) / server.capacity.hold();
+        return quickestRead > DEAR * server.cores * toMillis(server.span) / server.capacity.hold();
     }
 
     private boolean refuses(Request op) {
@@ -112,6 +112,6 @@
     // How long a caller refused by chance should stay away: longer the fuller the hold. The longest advice on
     // each refusal shut callers out of nearly every server at once while the servers had room.
     private Duration stayAway() {
-        return millis(ms(longestStayAway) * Math.min(1, excess(avg)));
+        return ofMillis(toMillis(longestStayAway) * Math.min(1, excess(avg)));
     }
 }
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -31,12 +31,12 @@
     }
 
     void say(Duration now) {
-        if (!reached(now, at)) {
+        if (!isReached(now, at)) {
             return;
         }
         at = now.plusMillis(100);
         double avg = server.admission.avg;
-        boolean old = reached(now, server.admission.avgAt.plusMillis(300));
+        boolean old = isReached(now, server.admission.avgAt.plusMillis(300));
         double pressure = old ? server.held / server.capacity.hold() : avg;
         closeIdle();
         if (says.equals("none")) {
@@ -47,7 +47,7 @@
         level = Math.max(0, Math.min(MOST_LEVEL, level));
         if (Math.abs(level - saidLevel) >= 0.02 || level == 0 && saidLevel > 0) {
             saidLevel = level;
-            server.next.level = switch (says) {
+            server.next.backpressureLevel = switch (says) {
                 case "level" -> level;
                 case "weight" -> 1 - level;
                 case "credit" -> 2 * (1 - level) * (server.cores + server.capacity.hold()) / callers;
@@ -65,7 +65,7 @@
             closeIdleMs = Math.max(idleMs / 30, Math.min(idleMs, wanted));
             if (Math.abs(closeIdleMs / saidIdleMs - 1) > 0.1) {
                 saidIdleMs = closeIdleMs;
-                server.next.closeIdle = millis(closeIdleMs);
+                server.next.idleConnectionTimeout = ofMillis(closeIdleMs);
             }
         }
     }
--- a/src/main/java/merlinlever/policy/CapacityEstimator.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.ms;
+import static merlinlever.Durations.toMillis;
 
 import merlinlever.Settings;
 
@@ -38,7 +38,7 @@
     void guess(double capacity, double completions) {
         if (done < 1 && capacity > 0) {
             done = completions;
-            worked = completions * server.cores * ms(server.span) / capacity;
+            worked = completions * server.cores * toMillis(server.span) / capacity;
         }
     }
 
@@ -48,12 +48,12 @@
      * count. They reach further back than a span where fewer than half of ENOUGH end in one, as on two cores.
      */
     double hold() {
-        return Math.max(server.cores, done < 1 ? 0 : done * server.cores * ms(server.span) / worked);
+        return Math.max(server.cores, done < 1 ? 0 : done * server.cores * toMillis(server.span) / worked);
     }
 
     /** The part of its full speed that the server has at the least. */
     double speedShare() {
-        return Math.min(1, coldShare + (1 - coldShare) * ms(server.clock) / coldMs);
+        return Math.min(1, coldShare + (1 - coldShare) * toMillis(server.clock) / coldMs);
     }
 
     double survivable() {
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -25,7 +25,7 @@
 
     /** Its run, or the sharing of another's outcome, has ended. */
     void ended(Request op, Duration now, Outcome how) {
-        if (op.phase == Phase.OVER || how == Outcome.NEVER_BEGUN && op.phase == Phase.HELD) {
+        if (op.phase == Phase.OVER || how == Outcome.NOT_STARTED && op.phase == Phase.HELD) {
             return;
         }
         if (how == Outcome.STOPPED && !op.answered && op.halting) {
@@ -37,7 +37,7 @@
         op.end = how;
         if ((how == Outcome.OK || how == Outcome.ERROR) && op.phase == Phase.RUNNING) {
             server.capacity.completed();
-            op.tariff.times.add(ms(now.minus(op.startedAt)), op.hintMs);
+            op.tariff.times.add(toMillis(now.minus(op.startedAt)), op.hintMs);
         }
         if (how == Outcome.OK && op.sharable && op.keptUntil != null) {
             server.repeats.keepFresh(op, now);
@@ -67,7 +67,7 @@
         }
         pushbacks[why.ordinal()]++;
         op.answered = true;
-        server.next.pushedBack.add(new Decisions.Rejection(op, nowhereElse, stayAway));
+        server.next.rejected.add(new Decisions.Rejection(op, nowhereElse, stayAway));
         finish(op, now);
     }
 
@@ -77,7 +77,7 @@
         }
         op.answered = true;
         brokenOff++;
-        server.next.brokenOff.add(op);
+        server.next.failed.add(op);
         if (op.offCores()) {
             finish(op, now);
         }
@@ -90,7 +90,7 @@
                 && !op.halting
                 && server.hand.stream().noneMatch(other -> other.phase == Phase.SHARING && other.original == op)) {
             op.halting = true;
-            server.next.halted.add(op);
+            server.next.stopped.add(op);
         }
     }
 
@@ -99,10 +99,10 @@
         if (!op.inHand() || op.answered) {
             return;
         }
-        boolean last = server.mode.stops(now.plus(OverloadController.LOOK));
+        boolean last = server.mode.stops(now.plus(OverloadController.DECISION_INTERVAL));
         boolean waits = op.phase == Phase.HELD || op.phase == Phase.FOLLOWING;
         // Rule 1: the answer comes before the client timeout, and before the stop.
-        if (last || reached(now, op.due)) {
+        if (last || isReached(now, op.due)) {
             if (waits && !op.ran) {
                 pushBack(op, now, last ? RejectionReason.LEAVING : RejectionReason.LATE, !last, Duration.ZERO);
             } else {
@@ -111,9 +111,9 @@
             }
         } else if (waits && !op.ran) {
             boolean hung = server.mode.hung;
-            if (hung || reached(now.plus(op.usualRun()), op.soft)) {
+            if (hung || isReached(now.plus(op.usualRun()), op.soft)) {
                 // Too late for a slow server is not too late for each, by the hint, but for a long dear walk.
-                boolean late = reached(now.plus(op.hintMs > 0 ? millis(op.hintMs) : op.usualRun()), op.soft)
+                boolean late = isReached(now.plus(op.hintMs > 0 ? ofMillis(op.hintMs) : op.usualRun()), op.soft)
                         || servers > BackpressureSignals.MANY && server.admission.dear();
                 Duration longest = server.admission.longestStayAway;
                 pushBack(
@@ -123,12 +123,12 @@
                         !hung && late,
                         hung
                                 ? longest
-                                : earlier(longest, millis(server.held * ms(server.span) / server.capacity.hold())));
+                                : earlier(longest, ofMillis(server.held * toMillis(server.span) / server.capacity.hold())));
             }
         } else if (mayHalt
                 && server.held > 0
                 && op.phase != Phase.SHARING
-                && reached(now, op.soft)
+                && isReached(now, op.soft)
                 && op.tariff.lateValue == 0) {
             breakOff(op, now);
             halt(op);
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -61,21 +61,21 @@
                 server.move(op, Phase.CALLING);
                 limit.begins(now);
                 creditMs -= lingerMs;
-                Duration span = earlier(op.due.minus(now), most < 1 ? millis(creditMs) : op.due);
+                Duration span = earlier(op.due.minus(now), most < 1 ? ofMillis(creditMs) : op.due);
                 span = limit.longest == null ? span : earlier(limit.longest, span);
-                server.next.called.add(new Decisions.TimedDecision(op, later(Duration.ofMillis(1), span)));
+                server.next.downstreamCalls.add(new Decisions.TimedDecision(op, later(Duration.ofMillis(1), span)));
             }
         }
     }
 
     void ended(Request op, Duration now, Outcome how, Duration took) {
-        creditMs += how == Outcome.OK || how.provesUnrun() ? lingerMs : 0;
+        creditMs += how == Outcome.OK || how.provesNoEffect() ? lingerMs : 0;
         if (how == Outcome.OK) {
             cap = Math.min(most, cap + 1 / cap);
             server.move(op, Phase.RUNNING);
             return;
         }
-        if (reached(now.minus(took), cutAt)) {
+        if (isReached(now.minus(took), cutAt)) {
             // Calls that were out together and fail together say one thing, once.
             cap = Math.max(Math.min(1, most), cap * CALL_CUT);
             cutAt = now;
@@ -83,12 +83,12 @@
         // Rule 2: a call that may have had its effect is not made again, but for a retriable operation. Nor
         // is one that was turned away or failed: it has been tried elsewhere, and the tier is crowded.
         server.move(op, Phase.AT_CALL);
-        boolean harmless = how == Outcome.UNREACHABLE || how == Outcome.CUT_OFF && op.tariff.retriable;
+        boolean harmless = how == Outcome.UNREACHABLE || how == Outcome.CONNECTION_LOST && op.tariff.retriable;
         if (harmless && !op.calledAgain) {
             op.calledAgain = true;
         } else if (op.tariff.withoutCall > 0 && !op.answered) {
             server.move(op, Phase.RUNNING);
-            server.next.omitted.add(op);
+            server.next.skippedCalls.add(op);
         } else {
             server.endings.breakOff(op, now);
         }
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.reached;
+import static merlinlever.Durations.isReached;
 
 import java.time.Duration;
 import java.util.Comparator;
@@ -29,8 +29,8 @@
     DuplicateRequests(ServerState server, Settings given) {
         this.server = server;
         fingerprintKb = given.number("server.kb-per-fingerprint", 0);
-        fresh = given.span("server.fresh-for", 0);
-        longestUnread = given.span("rules.longest-unread", LONGEST_UNREAD);
+        fresh = given.duration("server.fresh-for", 0);
+        longestUnread = given.duration("rules.longest-unread", LONGEST_UNREAD);
     }
 
     boolean sharable(PriorityClass tariff) {
@@ -114,7 +114,7 @@
     private void share(Request op, Request original) {
         op.original = original;
         server.move(op, Phase.SHARING);
-        server.next.shared.add(op);
+        server.next.coalesced.add(op);
     }
 
     /** The operation has just ended: what is known of it from here on. */
@@ -127,7 +127,7 @@
         }
         promote(op, now);
         if ((!op.ran || op.sharable && op.end != Outcome.OK) && strike(op)) {
-            server.next.forgotten.add(op);
+            server.next.evicted.add(op);
         }
     }
 
@@ -154,7 +154,7 @@
         }
         op.keptUntil = now.plus(length);
         table.add(new Expiry(op, op.keptUntil));
-        server.next.kept.add(new Decisions.TimedDecision(op, length));
+        server.next.retained.add(new Decisions.TimedDecision(op, length));
     }
 
     private boolean strike(Request op) {
@@ -165,13 +165,13 @@
     }
 
     void expire(Duration now) {
-        while (!table.isEmpty() && reached(now, table.peek().until)) {
+        while (!table.isEmpty() && isReached(now, table.peek().until)) {
             Expiry entry = table.poll();
             if (entry.until.equals(entry.op.keptUntil)) {
                 strike(entry.op);
             }
         }
-        while (!past.isEmpty() && reached(now, past.peek().until)) {
+        while (!past.isEmpty() && isReached(now, past.peek().until)) {
             server.next.released.add(past.poll().op);
         }
     }
--- a/src/main/java/merlinlever/policy/OperatingMode.java
+++ b/src/main/java/merlinlever/policy/OperatingMode.java
@@ -23,36 +23,36 @@
 
     OperatingMode(ServerState server, Settings given) {
         this.server = server;
-        grace = given.span("rules.drain-grace", 0);
+        grace = given.duration("rules.drain-grace", 0);
     }
 
     void leave(Duration now, Duration stop) {
         leaveAt = now;
         stopAt = stop;
-        server.next.log.add(String.format(
+        server.next.logLines.add(String.format(
                 Locale.ROOT,
                 "leaving: stop in %.0f ms, held=%d run=%d",
-                ms(stop.minus(now)),
+                toMillis(stop.minus(now)),
                 server.held,
                 server.running()));
     }
 
     boolean pastGrace(Request op) {
-        return leaveAt != null && reached(op.arrival, leaveAt.plus(grace));
+        return leaveAt != null && isReached(op.arrival, leaveAt.plus(grace));
     }
 
     /** Whether the stop comes within a look of then. */
     boolean stops(Duration then) {
-        return stopAt != null && reached(then.plus(OverloadController.LOOK), stopAt);
+        return stopAt != null && isReached(then.plus(OverloadController.DECISION_INTERVAL), stopAt);
     }
 
     /** Rule 2: whether a life before may have begun it, or the next would not know that this one did. */
     boolean unsettled(Request op, Duration now) {
-        return !op.tariff.retriable && (!reached(op.arrival, keyedFrom) || unknownNext(op, now));
+        return !op.tariff.retriable && (!isReached(op.arrival, keyedFrom) || unknownNext(op, now));
     }
 
     boolean unknownNext(Request op, Duration now) {
-        return keyedTo != null && !op.tariff.retriable && reached(now, keyedTo);
+        return keyedTo != null && !op.tariff.retriable && isReached(now, keyedTo);
     }
 
     void watch(Duration now) {
@@ -60,17 +60,17 @@
         double usual =
                 server.tariffs.stream().mapToDouble(t -> t.times.meanMs()).max().orElse(0)
                         * (HANG_RUNS + HANG_RUNS_ALONE / Math.max(1, server.onCores));
-        Duration patience = later(millis(ms(HANG) / server.capacity.speedShare()), millis(usual));
-        boolean stuck = server.onCores > 0 && reached(now, progress.plus(patience));
+        Duration patience = later(ofMillis(toMillis(HANG) / server.capacity.speedShare()), ofMillis(usual));
+        boolean stuck = server.onCores > 0 && isReached(now, progress.plus(patience));
         if (stuck != hung) {
             hung = stuck;
-            server.next.log.add(String.format(
+            server.next.logLines.add(String.format(
                     Locale.ROOT,
                     "%s: run=%d held=%d silent=%.0f ms",
                     hung ? "hangs" : "works again",
                     server.onCores,
                     server.held,
-                    ms(now.minus(progress))));
+                    toMillis(now.minus(progress))));
         }
         boolean healthy = !hung && leaveAt == null;
         if (saidHealthy == null || healthy != saidHealthy) {
--- a/src/main/java/merlinlever/policy/PriorityClass.java
+++ b/src/main/java/merlinlever/policy/PriorityClass.java
@@ -19,14 +19,14 @@
     private PriorityClass(Settings given, int index) {
         String at = "tariffs." + index + ".";
         this.index = index;
-        softLimit = given.span(at + "soft-limit", 1000);
-        clientTimeout = given.span(at + "client-timeout", 2000);
-        window = given.span(at + "window", 10000);
+        softLimit = given.duration(at + "soft-limit", 1000);
+        clientTimeout = given.duration(at + "client-timeout", 2000);
+        window = given.duration(at + "window", 10000);
         stretch = given.number(at + "soft-limit-stretch", 0);
         value = given.number(at + "value", 1);
         lateValue = given.number(at + "late-value", 0);
-        withoutCall = Double.parseDouble(given.nth("server.value-without-call", index, "0"));
-        calls = Boolean.parseBoolean(given.nth("server.calls-by-tariff", index, "true"));
+        withoutCall = Double.parseDouble(given.listElement("server.value-without-call", index, "0"));
+        calls = Boolean.parseBoolean(given.listElement("server.calls-by-tariff", index, "true"));
         String kind = given.text(at + "kind", "binding");
         retriable = kind.equals("retriable");
         fingerprinted = kind.equals("fingerprinted");
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.reached;
+import static merlinlever.Durations.isReached;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -17,10 +17,10 @@
     private final ArrayDeque<Duration> begun = new ArrayDeque<>();
 
     boolean allows(Duration now) {
-        while (!begun.isEmpty() && reached(now, begun.peek().plus(SECOND))) {
+        while (!begun.isEmpty() && isReached(now, begun.peek().plus(SECOND))) {
             begun.poll();
         }
-        return until == null || !reached(now, until) && (perSecond ? begun.size() : inUse) < share;
+        return until == null || !isReached(now, until) && (perSecond ? begun.size() : inUse) < share;
     }
 
     void begins(Duration now) {
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -1,7 +1,7 @@
 package merlinlever.policy;
 
 import static merlinlever.Durations.earlier;
-import static merlinlever.Durations.millis;
+import static merlinlever.Durations.ofMillis;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -53,7 +53,7 @@
         this.hintMs = hintMs;
         this.sharable = sharable;
         this.again = again;
-        soft = earlier(arrival.plus(tariff.softLimit).plus(millis(tariff.stretch * hintMs)), due);
+        soft = earlier(arrival.plus(tariff.softLimit).plus(ofMillis(tariff.stretch * hintMs)), due);
     }
 
     Duration usualRun() {
@@ -74,13 +74,13 @@
     }
 
     @Override
-    public void ended(Duration now, Outcome how) {
+    public void runEnded(Duration now, Outcome how) {
         server.clock(now);
         server.endings.ended(this, now, how);
     }
 
     @Override
-    public void reachedCall(Duration now) {
+    public void callNeeded(Duration now) {
         server.clock(now);
         server.mode.progress = now;
         if (phase == Phase.RUNNING) {
--- a/src/main/java/merlinlever/policy/RunTimeEstimator.java
+++ b/src/main/java/merlinlever/policy/RunTimeEstimator.java
@@ -45,7 +45,7 @@
      */
     Duration usual(double hintMs, boolean pressed, Duration softLimit) {
         return hintMs > 0 && perHint.total > 5 && pressed
-                ? millis(hintMs * perHint.mean / 100)
-                : earlier(millis(runs.mean), softLimit.dividedBy(2));
+                ? ofMillis(hintMs * perHint.mean / 100)
+                : earlier(ofMillis(runs.mean), softLimit.dividedBy(2));
     }
 }
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.ms;
+import static merlinlever.Durations.toMillis;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -57,7 +57,7 @@
     }
 
     void clock(Duration now) {
-        double passed = ms(now.minus(clock));
+        double passed = toMillis(now.minus(clock));
         if (passed > 0) {
             capacity.passes(passed);
             calls.passes(passed);
--- a/src/main/java/merlinlever/records/RecordsClient.java
+++ b/src/main/java/merlinlever/records/RecordsClient.java
@@ -209,7 +209,7 @@
 
     private void expired(PendingCall call) {
         if (calls.get(call.work.id()) == call) {
-            giveUp(call, Outcome.GIVEN_UP);
+            giveUp(call, Outcome.TIMED_OUT);
         }
     }
 
--- a/src/main/java/merlinlever/records/RecordsReply.java
+++ b/src/main/java/merlinlever/records/RecordsReply.java
@@ -78,10 +78,10 @@
     private static Outcome ending(String word) throws MalformedReplyException {
         return switch (word) {
             case "DONE" -> Outcome.OK;
-            case "WAIT" -> Outcome.TURNED_AWAY;
+            case "WAIT" -> Outcome.REJECTED;
             case "ERROR" -> Outcome.ERROR;
-            case "PAST" -> Outcome.GIVEN_UP;
-            case "EMPTY" -> Outcome.NEVER_BEGUN;
+            case "PAST" -> Outcome.TIMED_OUT;
+            case "EMPTY" -> Outcome.NOT_STARTED;
             default -> throw new MalformedReplyException("unknown word " + word);
         };
     }
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -56,11 +56,11 @@
 
     /** A call to it ended. */
     public void ended(Duration now, Outcome how, Duration took) {
-        if (how == Outcome.NEVER_BEGUN || how == Outcome.STOPPED) {
+        if (how == Outcome.NOT_STARTED || how == Outcome.STOPPED) {
             return;
         }
-        boolean gone = how == Outcome.UNREACHABLE || how == Outcome.CUT_OFF;
-        boolean late = how == Outcome.GIVEN_UP || took.compareTo(stated.slow()) > 0;
+        boolean gone = how == Outcome.UNREACHABLE || how == Outcome.CONNECTION_LOST;
+        boolean late = how == Outcome.TIMED_OUT || took.compareTo(stated.slow()) > 0;
         lost = gone ? lost + 1 : 0;
         good = gone || late ? 0 : good + 1;
         slows += (late ? 1 : 0) - (slow[next] ? 1 : 0);
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -124,7 +124,7 @@
         its.until = now.plus(within);
         if (its.missing && !its.places.isEmpty() && tariff(work).kind() != RouteSelector.RetrySafety.RETRIABLE) {
             // It may have had its effect at a partner: there is no second way, not even home.
-            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), Outcome.CUT_OFF, null));
+            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), Outcome.CONNECTION_LOST, null));
         } else if (state.state() == LocalServiceHealth.HealthState.GOOD
                 || state.tries(now)
                 || !elsewhere(now, its, false)) {
@@ -184,8 +184,8 @@
                 log.info("records service: " + told.wireName());
             }
         }
-        its.missing |= how != Outcome.OK && !how.provesUnrun();
-        boolean unrun = how == Outcome.UNREACHABLE || how == Outcome.TURNED_AWAY;
+        its.missing |= how != Outcome.OK && !how.provesNoEffect();
+        boolean unrun = how == Outcome.UNREACHABLE || how == Outcome.REJECTED;
         if (unrun && elsewhere(now, its, true)) {
             return;
         }
--- a/src/main/java/merlinlever/wire/ControllerInstance.java
+++ b/src/main/java/merlinlever/wire/ControllerInstance.java
@@ -15,12 +15,12 @@
     private static final Outcome[] ENDINGS = {
         Outcome.OK,
         Outcome.ERROR,
-        Outcome.TURNED_AWAY,
-        Outcome.GIVEN_UP,
+        Outcome.REJECTED,
+        Outcome.TIMED_OUT,
         Outcome.UNREACHABLE,
-        Outcome.CUT_OFF,
+        Outcome.CONNECTION_LOST,
         Outcome.STOPPED,
-        Outcome.NEVER_BEGUN
+        Outcome.NOT_STARTED
     };
 
     private final String name;
@@ -56,16 +56,16 @@
         Duration now = sinceStart(at);
         switch (line.word()) {
             case "req" -> take(line, now);
-            case "completed" -> operation(line).ended(now, ending(line));
-            case "at_call" -> operation(line).reachedCall(now);
+            case "completed" -> operation(line).runEnded(now, ending(line));
+            case "at_call" -> operation(line).callNeeded(now);
             case "downstream" -> operation(line).callEnded(now, ending(line), span(line.number("cost-time", 0)));
             case "withdrawn" -> operation(line).callerGone(now);
-            case "drain" -> conductor.control().leave(now, sinceStart(line.neededNumber("not-after")));
+            case "drain" -> conductor.control().startDrain(now, sinceStart(line.neededNumber("not-after")));
             case "timeout_fired" -> {
                 if (line.needed("handle").equals("look" + alarms)) {
                     conductor.alarmed();
                 }
-                conductor.control().look(now, line.row("report"));
+                conductor.control().updateGauges(now, line.row("report"));
             }
             default -> throw line.fault("unknown event " + line.word());
         }
@@ -86,7 +86,7 @@
         long repeats = line.whole("same-as", 0);
         RequestHandle taken = conductor
                 .control()
-                .take(
+                .submit(
                         now,
                         tariff,
                         span(line.number("unread-for", 0)),
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -141,7 +141,7 @@
 
     /** What the module sees. */
     public OverloadController.ControllerMetrics figures() {
-        return conductor.control().figures();
+        return conductor.control().metrics();
     }
 
     // ---- what happens
@@ -285,7 +285,7 @@
         asked.repeats = original;
         RequestHandle taken = conductor
                 .control()
-                .take(
+                .submit(
                         now,
                         asked.kind.ordinal(),
                         waited,
@@ -315,7 +315,7 @@
         if (asked.begun && !asked.calling && asked.code == PendingMessage.OPEN) {
             asked.code = DynamicUpdate.SERVFAIL;
             touched = true;
-            asked.handle.ended(now, Outcome.ERROR);
+            asked.handle.runEnded(now, Outcome.ERROR);
             asked.sharers.forEach(this::failed);
             asked.sharers = List.of();
         }
@@ -326,14 +326,14 @@
         touched = true;
         conductor.alarmed();
         // All that runs, runs to its end or to its call within a batch: nothing waits for a core between them.
-        conductor.control().look(at, new double[] {0});
+        conductor.control().updateGauges(at, new double[] {0});
     }
 
     /** The notice to leave. */
     public void leave(Duration at, Duration stop) {
         now = at;
         touched = true;
-        conductor.control().leave(at, stop);
+        conductor.control().startDrain(at, stop);
     }
 
     /** After each batch: settles as often as something has happened since. */
@@ -373,7 +373,7 @@
         counts.satisfied(asked.kind);
         answer(asked, code);
         letGo(asked);
-        asked.handle.ended(now, Outcome.OK);
+        asked.handle.runEnded(now, Outcome.OK);
         asked.sharers.forEach(sharer -> finish(sharer, code));
         asked.sharers = List.of();
     }
@@ -401,9 +401,9 @@
             }
             asked.code = DynamicUpdate.NOERROR;
             letGo(asked);
-            asked.handle.ended(now, Outcome.OK);
+            asked.handle.runEnded(now, Outcome.OK);
         } else {
-            asked.handle.reachedCall(now);
+            asked.handle.callNeeded(now);
         }
     }
 
@@ -423,8 +423,8 @@
             if (code == SERVFAIL_FROM_DISK) {
                 // Taken back from the journal: it has not run, and was not asked to again.
                 asked.code = DynamicUpdate.SERVFAIL;
-                asked.handle.callEnded(now, Outcome.TURNED_AWAY, now.minus(calledAt));
-                asked.handle.ended(now, Outcome.ERROR);
+                asked.handle.callEnded(now, Outcome.REJECTED, now.minus(calledAt));
+                asked.handle.runEnded(now, Outcome.ERROR);
                 repeatsUnkept(asked);
                 asked.sharers.forEach(sharer -> failed(sharer));
                 asked.sharers = List.of();
@@ -438,7 +438,7 @@
     private void failed(PendingMessage sharer) {
         answer(sharer, DynamicUpdate.SERVFAIL);
         sharer.code = DynamicUpdate.SERVFAIL;
-        sharer.handle.ended(now, Outcome.ERROR);
+        sharer.handle.runEnded(now, Outcome.ERROR);
     }
 
     private void transfer(PendingMessage asked, Duration calledAt) {
@@ -446,7 +446,7 @@
             asked.calling = false;
             touched = true;
             asked.handle.callEnded(now, Outcome.OK, Duration.ZERO);
-            asked.handle.ended(now, Outcome.OK);
+            asked.handle.runEnded(now, Outcome.OK);
             return;
         }
         DnsMessage message = asked.message;
@@ -480,7 +480,7 @@
             asked.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
             asked.code = DynamicUpdate.NOERROR;
             letGo(asked);
-            asked.handle.ended(now, Outcome.OK);
+            asked.handle.runEnded(now, Outcome.OK);
         });
     }
 
--- a/src/test/java/merlinlever/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/AdmissionMechanismTest.java
@@ -28,10 +28,10 @@
             }
             RequestHandle arrival = again ? one.again(tariff) : one.take(tariff);
             one.settle();
-            for (Decisions.Rejection pushback : one.last.pushedBack) {
-                if (pushback.operation() == arrival) {
+            for (Decisions.Rejection pushback : one.last.rejected) {
+                if (pushback.request() == arrival) {
                     count++;
-                    assertTrue(pushback.nowhereElse(), "a refusal by chance is final");
+                    assertTrue(pushback.finalRejection(), "a refusal by chance is final");
                 }
             }
         }
@@ -74,7 +74,7 @@
         for (int i = 0; i < 100; i++) {
             RequestHandle lookup = server.take(ControllerFixture.LOOKUP);
             assertEquals(List.of(lookup), server.settle().started, "two cores, one at a time: nothing waits");
-            lookup.ended(server.now, Outcome.OK);
+            lookup.runEnded(server.now, Outcome.OK);
         }
     }
 
@@ -84,12 +84,12 @@
         RequestHandle first = server.take(ControllerFixture.LOOKUP);
         RequestHandle second = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(), server.settle().started, "the gauge reads 8, the mark is 8 cores");
-        running.get(0).ended(server.now, Outcome.OK);
+        running.get(0).runEnded(server.now, Outcome.OK);
         assertEquals(List.of(first), server.settle().started, "one has ended since");
-        server.control().look(server.now, new double[] {1, 9});
-        running.get(1).ended(server.now, Outcome.OK);
+        server.control().updateGauges(server.now, new double[] {1, 9});
+        running.get(1).runEnded(server.now, Outcome.OK);
         assertEquals(List.of(), server.settle().started, "9 less the one that ended is not below the mark");
-        server.control().look(server.now, new double[] {1, 7});
+        server.control().updateGauges(server.now, new double[] {1, 7});
         assertEquals(List.of(second), server.settle().started);
     }
 
@@ -99,7 +99,7 @@
         int refused = 0;
         for (int i = 0; i < 30; i++) {
             server.take(ControllerFixture.LOOKUP, 850, 10, null);
-            refused += server.settle().pushedBack.size();
+            refused += server.settle().rejected.size();
         }
         assertEquals(30, refused, "850 ms of a span of 1000 ms is over max_th");
     }
@@ -112,7 +112,7 @@
             one.settle();
             one.take(ControllerFixture.LOOKUP, reading + 900, 10, null);
             one.settle();
-            assertTrue(one.last.pushedBack.get(0).nowhereElse(), "reading " + reading + " ms of a 1000 ms span");
+            assertTrue(one.last.rejected.get(0).finalRejection(), "reading " + reading + " ms of a 1000 ms span");
         }
     }
 
@@ -123,12 +123,12 @@
         for (int i = 0; i < 30; i++) {
             server.take(ControllerFixture.LOOKUP, 850, 10, null);
             server.after(100);
-            high = Double.isNaN(server.last.level) ? high : server.last.level;
+            high = Double.isNaN(server.last.backpressureLevel) ? high : server.last.backpressureLevel;
         }
         assertTrue(high >= 0.5, "level " + high);
         for (int i = 0; i < 200; i++) {
             server.after(100);
-            high = Double.isNaN(server.last.level) ? high : server.last.level;
+            high = Double.isNaN(server.last.backpressureLevel) ? high : server.last.backpressureLevel;
         }
         assertEquals(0, high);
     }
@@ -142,7 +142,7 @@
         assertTrue(
                 server.closeIdle.compareTo(ControllerFixture.millis(1200)) < 0,
                 "idle cores: a thirtieth, " + server.closeIdle);
-        server.control().look(server.now, new double[] {1, 8});
+        server.control().updateGauges(server.now, new double[] {1, 8});
         for (int i = 0; i < 250; i++) {
             server.after(100);
         }
@@ -166,7 +166,7 @@
         server.take(ControllerFixture.LOOKUP);
         server.settle();
         assertTrue(server.last.started.isEmpty());
-        assertTrue(server.last.pushedBack.isEmpty(), "capacity 20, one waits: q under 0.3 after a span without an end");
+        assertTrue(server.last.rejected.isEmpty(), "capacity 20, one waits: q under 0.3 after a span without an end");
     }
 
     @Example
@@ -180,7 +180,7 @@
             }
             each.settle();
         }
-        assertEquals(one.last.pushedBack.size(), two.last.pushedBack.size());
-        assertTrue(one.last.pushedBack.size() > 0);
+        assertEquals(one.last.rejected.size(), two.last.rejected.size());
+        assertTrue(one.last.rejected.size() > 0);
     }
 }
--- a/src/test/java/merlinlever/ControllerFixture.java
+++ b/src/test/java/merlinlever/ControllerFixture.java
@@ -84,17 +84,17 @@
     }
 
     RequestHandle take(int tariff, double unreadMs, double kb, RequestHandle repeats) {
-        return control().take(now, tariff, millis(unreadMs), null, kb, null, repeats != null, true, repeats);
+        return control().submit(now, tariff, millis(unreadMs), null, kb, null, repeats != null, true, repeats);
     }
 
     /** A marked further try of which nothing is known here. */
     RequestHandle again(int tariff) {
-        return control().take(now, tariff, millis(0), null, 10, null, true, true, null);
+        return control().submit(now, tariff, millis(0), null, 10, null, true, true, null);
     }
 
     Decisions settle() {
-        last = control().settle(now);
-        closeIdle = last.closeIdle == null ? closeIdle : last.closeIdle;
+        last = control().decide(now);
+        closeIdle = last.idleConnectionTimeout == null ? closeIdle : last.idleConnectionTimeout;
         return last;
     }
 
@@ -111,8 +111,8 @@
             started.add(take(LOOKUP));
             settle();
             now = now.plus(millis(runMs));
-            started.forEach(o -> o.ended(now, Outcome.OK));
-            control().look(now, new double[] {0, 0});
+            started.forEach(o -> o.runEnded(now, Outcome.OK));
+            control().updateGauges(now, new double[] {0, 0});
             settle();
         }
         return this;
@@ -125,12 +125,12 @@
             running.add(take(ORDER));
             settle();
         }
-        control().look(now, new double[] {1, 8});
+        control().updateGauges(now, new double[] {1, 8});
         return running;
     }
 
     boolean pushedBack(RequestHandle operation) {
-        return last.pushedBack.stream().anyMatch(p -> p.operation() == operation);
+        return last.rejected.stream().anyMatch(p -> p.request() == operation);
     }
 
     static double ms(Duration span) {
--- a/src/test/java/merlinlever/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/FleetDownstreamCallsTest.java
@@ -113,7 +113,7 @@
                 run.process.server.now = ControllerFixture.millis(now - run.process.startsAt);
                 run.operation.callEnded(
                         run.process.server.now,
-                        over ? Outcome.OK : Outcome.GIVEN_UP,
+                        over ? Outcome.OK : Outcome.TIMED_OUT,
                         Duration.ofMillis(now - run.madeAt));
                 run.at = over ? now + STEP : Integer.MAX_VALUE;
                 run.lingers = now + LINGER;
@@ -131,11 +131,11 @@
             if (now >= run.at) {
                 run.at = Integer.MAX_VALUE;
                 if (run.called) {
-                    run.operation.ended(server.now, Outcome.OK);
+                    run.operation.runEnded(server.now, Outcome.OK);
                     process.runs.remove(run);
                 } else {
                     run.called = true;
-                    run.operation.reachedCall(server.now);
+                    run.operation.callNeeded(server.now);
                 }
             }
         }
@@ -145,14 +145,14 @@
         Decisions settled = server.settle();
         int running = (int)
                 process.runs.stream().filter(run -> run.at != Integer.MAX_VALUE).count();
-        server.control().look(server.now, new double[] {0, running});
+        server.control().updateGauges(server.now, new double[] {0, running});
         carryOut(process, settled, now, callMs);
         double speed = Math.min(1, 0.25 + 0.75 * (now - process.startsAt) / 10_000);
-        assertTrue(server.control().figures().onCores() <= 8 * (1 + 3 * speed), "more on cold cores than they survive");
+        assertTrue(server.control().metrics().onCores() <= 8 * (1 + 3 * speed), "more on cold cores than they survive");
     }
 
     private void carryOut(SimulatedProcess process, Decisions settled, int now, double callMs) {
-        for (RequestHandle answered : settled.brokenOff) {
+        for (RequestHandle answered : settled.failed) {
             process.runs.stream()
                     .filter(run -> run.operation == answered)
                     .findFirst()
@@ -161,26 +161,26 @@
                             // At its call, and over: the run ends, and the call is given up.
                             run.lingers = now + LINGER;
                             run.out = false;
-                            run.operation.ended(process.server.now, Outcome.STOPPED);
+                            run.operation.runEnded(process.server.now, Outcome.STOPPED);
                             process.runs.remove(run);
                         }
                     });
         }
-        for (RequestHandle halted : settled.halted) {
+        for (RequestHandle halted : settled.stopped) {
             process.runs.removeIf(run -> run.operation == halted);
-            halted.ended(process.server.now, Outcome.STOPPED);
+            halted.runEnded(process.server.now, Outcome.STOPPED);
         }
         for (RequestHandle started : settled.started) {
             process.runs.add(new SimulatedRun(process, started, now + STEP));
         }
-        for (Decisions.TimedDecision call : settled.called) {
+        for (Decisions.TimedDecision call : settled.downstreamCalls) {
             SimulatedRun run = process.runs.stream()
-                    .filter(r -> r.operation == call.operation())
+                    .filter(r -> r.operation == call.request())
                     .findFirst()
                     .orElseThrow();
             run.left = callMs;
             run.madeAt = now;
-            run.givenUpAt = now + (int) Math.ceil(ControllerFixture.ms(call.span()));
+            run.givenUpAt = now + (int) Math.ceil(ControllerFixture.ms(call.duration()));
             run.out = true;
             inHand.add(run);
         }
--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -64,7 +64,7 @@
             if (leave == null && step > 300 && chance.nextInt(200) == 0) {
                 leave = server.now;
                 stop = leave.plusMillis(3500);
-                server.control().leave(server.now, stop);
+                server.control().startDrain(server.now, stop);
             }
             int arrivals = chance.nextInt(10) == 0 ? chance.nextInt(12) : chance.nextInt(2);
             for (int i = 0; i < arrivals; i++) {
@@ -73,7 +73,7 @@
             if (!(hangs && step > 200 && step < 500)) {
                 advance();
             }
-            server.control().look(server.now, new double[] {1, onCores()});
+            server.control().updateGauges(server.now, new double[] {1, onCores()});
             carryOut(server.settle());
             checkLoad(memory, cold);
         }
@@ -117,14 +117,14 @@
             if (e.running && !e.calling && chance.nextInt(20) == 0) {
                 if (e.tariff == ControllerFixture.CALLING && chance.nextBoolean()) {
                     e.calling = true;
-                    operation.reachedCall(server.now);
+                    operation.callNeeded(server.now);
                 } else {
                     end(operation, e, chance.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK);
                 }
             } else if (e.out && chance.nextInt(10) == 0) {
-                Outcome[] ways = {Outcome.OK, Outcome.OK, Outcome.TURNED_AWAY, Outcome.GIVEN_UP, Outcome.UNREACHABLE};
+                Outcome[] ways = {Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.UNREACHABLE};
                 Outcome how = ways[chance.nextInt(ways.length)];
-                e.callMayHaveRun |= how != Outcome.OK && !how.provesUnrun();
+                e.callMayHaveRun |= how != Outcome.OK && !how.provesNoEffect();
                 e.calling = how != Outcome.OK;
                 e.out = false;
                 operation.callEnded(server.now, how, ControllerFixture.millis(50));
@@ -147,35 +147,35 @@
         e.running = false;
         e.out = false;
         e.answered = true;
-        operation.ended(server.now, how);
+        operation.runEnded(server.now, how);
     }
 
     private void carryOut(Decisions settled) {
-        for (Decisions.TimedDecision kept : settled.kept) {
-            ModelRequest e = all.get(kept.operation());
+        for (Decisions.TimedDecision kept : settled.retained) {
+            ModelRequest e = all.get(kept.request());
             if (e.same != null) {
                 all.values().stream()
                         .filter(o -> o == e.same || o.same == e.same)
                         .forEach(o -> o.kept = null);
             }
-            e.kept = server.now.plus(kept.span());
+            e.kept = server.now.plus(kept.duration());
         }
-        for (RequestHandle operation : settled.brokenOff) {
+        for (RequestHandle operation : settled.failed) {
             answer(operation);
         }
-        for (RequestHandle operation : settled.halted) {
+        for (RequestHandle operation : settled.stopped) {
             ModelRequest e = all.get(operation);
             if (e.running) {
                 assertTrue(e.answered || e.gone, "nothing unanswered is stopped here");
                 end(operation, e, Outcome.STOPPED);
             }
         }
-        for (Decisions.Rejection pushback : settled.pushedBack) {
-            ModelRequest e = all.get(pushback.operation());
+        for (Decisions.Rejection pushback : settled.rejected) {
+            ModelRequest e = all.get(pushback.request());
             assertTrue(!e.ran, "rule 2: what ran is not pushed back");
-            answer(pushback.operation());
+            answer(pushback.request());
         }
-        for (RequestHandle operation : settled.forgotten) {
+        for (RequestHandle operation : settled.evicted) {
             all.get(operation).kept = null;
         }
         for (RequestHandle operation : settled.started) {
@@ -188,13 +188,13 @@
             e.running = true;
             e.ran = true;
         }
-        for (RequestHandle operation : settled.shared) {
+        for (RequestHandle operation : settled.coalesced) {
             ModelRequest e = all.get(operation);
             assertTrue(e.same != null && !e.answered, "only repeats share");
             e.sharing = true;
         }
-        for (Decisions.TimedDecision call : settled.called) {
-            ModelRequest e = all.get(call.operation());
+        for (Decisions.TimedDecision call : settled.downstreamCalls) {
+            ModelRequest e = all.get(call.request());
             assertTrue(e.calling && !e.out && !e.answered, "only what waits for a call makes one");
             assertTrue(!e.callMayHaveRun, "rule 2: no call again that may have run");
             e.out = true;
--- a/src/test/java/merlinlever/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/SafetyRulesTest.java
@@ -19,11 +19,11 @@
     void aRunStillGoingIsBrokenOffAtItsClientTimeout() {
         RequestHandle charge = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(charge), server.settle().started);
-        assertTrue(server.after(2990).brokenOff.isEmpty());
+        assertTrue(server.after(2990).failed.isEmpty());
         Decisions due = server.after(10);
-        assertEquals(List.of(charge), due.brokenOff);
-        assertEquals(List.of(charge), due.halted);
-        charge.ended(server.now, Outcome.STOPPED);
+        assertEquals(List.of(charge), due.failed);
+        assertEquals(List.of(charge), due.stopped);
+        charge.runEnded(server.now, Outcome.STOPPED);
         assertTrue(server.after(10).started.isEmpty(), "what ran with an effect is not run again");
     }
 
@@ -41,15 +41,15 @@
     @Example
     void aRepeatOfAFingerprintedRunSharesItsOutcome() {
         RequestHandle first = server.take(ControllerFixture.CHARGE);
-        assertEquals(first, server.settle().kept.get(0).operation());
+        assertEquals(first, server.settle().retained.get(0).request());
         RequestHandle second = server.take(ControllerFixture.CHARGE, 0, 10, first);
         Decisions settled = server.settle();
-        assertEquals(List.of(second), settled.shared);
+        assertEquals(List.of(second), settled.coalesced);
         assertTrue(settled.started.isEmpty());
-        first.ended(server.now, Outcome.OK);
+        first.runEnded(server.now, Outcome.OK);
         server.after(5000);
         RequestHandle third = server.take(ControllerFixture.CHARGE, 0, 10, first);
-        assertEquals(List.of(third), server.settle().shared);
+        assertEquals(List.of(third), server.settle().coalesced);
     }
 
     @Example
@@ -57,16 +57,16 @@
         RequestHandle first = server.take(ControllerFixture.CHARGE);
         server.settle();
         server.after(3000);
-        first.ended(server.now, Outcome.STOPPED);
+        first.runEnded(server.now, Outcome.STOPPED);
         RequestHandle second = server.take(ControllerFixture.CHARGE, 0, 10, first);
-        assertEquals(List.of(second), server.settle().brokenOff);
+        assertEquals(List.of(second), server.settle().failed);
     }
 
     @Example
     void aRepeatOfAnUnknownChargeIsBrokenOffAndOneOfAnUnknownLookupIsNot() {
         RequestHandle unknown = new ControllerFixture().take(ControllerFixture.CHARGE);
         RequestHandle charge = server.take(ControllerFixture.CHARGE, 0, 10, foreign(unknown));
-        assertEquals(List.of(charge), server.settle().brokenOff);
+        assertEquals(List.of(charge), server.settle().failed);
         RequestHandle lookup = server.take(ControllerFixture.LOOKUP, 0, 10, foreign(unknown));
         assertEquals(List.of(lookup), server.settle().started);
     }
@@ -74,13 +74,13 @@
     private static RequestHandle foreign(RequestHandle operation) {
         return new RequestHandle() {
             @Override
-            public void ended(java.time.Duration now, Outcome how) {
-                operation.ended(now, how);
+            public void runEnded(java.time.Duration now, Outcome how) {
+                operation.runEnded(now, how);
             }
 
             @Override
-            public void reachedCall(java.time.Duration now) {
-                operation.reachedCall(now);
+            public void callNeeded(java.time.Duration now) {
+                operation.callNeeded(now);
             }
 
             @Override
@@ -100,38 +100,38 @@
         server.full();
         RequestHandle first = server.take(ControllerFixture.CHARGE);
         RequestHandle second = server.take(ControllerFixture.CHARGE, 0, 10, first);
-        assertTrue(server.settle().shared.isEmpty());
+        assertTrue(server.settle().coalesced.isEmpty());
         first.callerGone(server.now);
-        assertEquals(second, server.settle().kept.get(0).operation(), "the entry passes on");
-        server.control().look(server.now, new double[] {0, 0});
+        assertEquals(second, server.settle().retained.get(0).request(), "the entry passes on");
+        server.control().updateGauges(server.now, new double[] {0, 0});
         assertEquals(List.of(second), server.settle().started);
     }
 
     @Example
     void onlyACallThatDidNotGetThroughIsMadeAgainAndOnce() {
-        for (Outcome how : new Outcome[] {Outcome.ERROR, Outcome.GIVEN_UP, Outcome.CUT_OFF, Outcome.TURNED_AWAY}) {
+        for (Outcome how : new Outcome[] {Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.REJECTED}) {
             RequestHandle charge = called(how);
-            assertEquals(List.of(charge), server.after(200).brokenOff, how + " is not made again");
-            charge.ended(server.now, Outcome.STOPPED);
+            assertEquals(List.of(charge), server.after(200).failed, how + " is not made again");
+            charge.runEnded(server.now, Outcome.STOPPED);
         }
         RequestHandle charge = called(Outcome.UNREACHABLE);
-        assertEquals(charge, server.after(200).called.get(0).operation(), "it never got through");
+        assertEquals(charge, server.after(200).downstreamCalls.get(0).request(), "it never got through");
         charge.callEnded(server.now, Outcome.UNREACHABLE, ControllerFixture.millis(0));
-        assertEquals(List.of(charge), server.settle().brokenOff, "once again, not for ever");
+        assertEquals(List.of(charge), server.settle().failed, "once again, not for ever");
     }
 
     /** A spoilt reply or a broken connection costs a retriable operation some time, not its outcome. */
     @Example
     void aCallOfARetriableOperationThatIsCutOffIsMadeAgainAndOnce() {
-        RequestHandle lookup = called(Outcome.CUT_OFF, ControllerFixture.LOOKUP);
-        assertEquals(lookup, server.after(200).called.get(0).operation(), "twice harms nothing");
-        lookup.callEnded(server.now, Outcome.CUT_OFF, ControllerFixture.millis(0));
-        assertEquals(List.of(lookup), server.settle().brokenOff, "once again, not for ever");
-        lookup.ended(server.now, Outcome.STOPPED);
-        for (Outcome how : new Outcome[] {Outcome.ERROR, Outcome.GIVEN_UP, Outcome.TURNED_AWAY}) {
+        RequestHandle lookup = called(Outcome.CONNECTION_LOST, ControllerFixture.LOOKUP);
+        assertEquals(lookup, server.after(200).downstreamCalls.get(0).request(), "twice harms nothing");
+        lookup.callEnded(server.now, Outcome.CONNECTION_LOST, ControllerFixture.millis(0));
+        assertEquals(List.of(lookup), server.settle().failed, "once again, not for ever");
+        lookup.runEnded(server.now, Outcome.STOPPED);
+        for (Outcome how : new Outcome[] {Outcome.ERROR, Outcome.TIMED_OUT, Outcome.REJECTED}) {
             RequestHandle other = called(how, ControllerFixture.LOOKUP);
-            assertEquals(List.of(other), server.after(200).brokenOff, how + " may come of a crowded tier");
-            other.ended(server.now, Outcome.STOPPED);
+            assertEquals(List.of(other), server.after(200).failed, how + " may come of a crowded tier");
+            other.runEnded(server.now, Outcome.STOPPED);
         }
     }
 
@@ -142,8 +142,8 @@
     private RequestHandle called(Outcome how, int tariff) {
         RequestHandle charge = server.take(tariff);
         server.settle();
-        charge.reachedCall(server.now);
-        assertEquals(charge, server.settle().called.get(0).operation());
+        charge.callNeeded(server.now);
+        assertEquals(charge, server.settle().downstreamCalls.get(0).request());
         charge.callEnded(server.now, how, ControllerFixture.millis(0));
         return charge;
     }
@@ -152,7 +152,7 @@
     void afterTheGraceNothingNewRunsAndAllIsAnsweredBeforeTheStop() {
         RequestHandle running = server.take(ControllerFixture.CHARGE);
         assertEquals(List.of(running), server.settle().started);
-        server.control().leave(server.now, ControllerFixture.millis(2600));
+        server.control().startDrain(server.now, ControllerFixture.millis(2600));
         assertEquals(Boolean.FALSE, server.settle().healthy);
         RequestHandle within = server.take(ControllerFixture.LOOKUP);
         assertEquals(List.of(within), server.after(0).started);
@@ -161,19 +161,19 @@
         assertTrue(server.settle().started.isEmpty());
         assertTrue(server.pushedBack(late));
         Decisions before = server.after(585);
-        assertTrue(before.brokenOff.contains(running));
+        assertTrue(before.failed.contains(running));
     }
 
     @Example
     void aRepeatPastTheGraceTakesNoOnesPlace() {
         server.full();
         RequestHandle first = server.take(ControllerFixture.CHARGE);
-        server.control().leave(server.now, ControllerFixture.millis(4000));
+        server.control().startDrain(server.now, ControllerFixture.millis(4000));
         server.settle();
         server.now = ControllerFixture.millis(2010);
         RequestHandle late = server.take(ControllerFixture.CHARGE, 0, 10, first);
         first.callerGone(server.now);
-        server.control().look(server.now, new double[] {0, 0});
+        server.control().updateGauges(server.now, new double[] {0, 0});
         assertFalse(server.settle().started.contains(late));
         assertTrue(server.pushedBack(late));
     }
@@ -203,9 +203,9 @@
         for (int i = 0; i < 40; i++) {
             RequestHandle op = server.take(ControllerFixture.CALLING);
             started += server.settle().started.size();
-            op.reachedCall(server.now);
+            op.callNeeded(server.now);
             server.settle();
-            server.control().look(server.now, new double[] {0, 0});
+            server.control().updateGauges(server.now, new double[] {0, 0});
         }
         assertEquals(10, started, "8 cores x (1 + 3 x 0.2) x 0.75, rounded up: cold");
     }
@@ -215,12 +215,12 @@
         server.full();
         server.after(900);
         RequestHandle waiting = server.take(ControllerFixture.CHARGE);
-        assertFalse(server.settle().log.stream().anyMatch(l -> l.startsWith("hangs")));
+        assertFalse(server.settle().logLines.stream().anyMatch(l -> l.startsWith("hangs")));
         Decisions hung = server.after(150);
-        assertTrue(hung.log.stream().anyMatch(l -> l.startsWith("hangs")));
+        assertTrue(hung.logLines.stream().anyMatch(l -> l.startsWith("hangs")));
         assertEquals(Boolean.FALSE, hung.healthy);
         assertTrue(server.pushedBack(waiting));
-        assertEquals(ControllerFixture.millis(1000), hung.pushedBack.get(0).stayAway());
+        assertEquals(ControllerFixture.millis(1000), hung.rejected.get(0).retryAfter());
     }
 
     @Example
@@ -229,11 +229,11 @@
         RequestHandle first = server.take(ControllerFixture.LOOKUP);
         server.settle();
         RequestHandle second = server.take(ControllerFixture.LOOKUP, 0, 10, first);
-        assertEquals(List.of(second), server.settle().shared);
-        first.ended(server.now, Outcome.ERROR);
+        assertEquals(List.of(second), server.settle().coalesced);
+        first.runEnded(server.now, Outcome.ERROR);
         RequestHandle third = server.take(ControllerFixture.LOOKUP, 0, 10, first);
         server.settle();
-        assertTrue(server.last.shared.contains(third) || server.last.started.contains(third));
+        assertTrue(server.last.coalesced.contains(third) || server.last.started.contains(third));
     }
 
     /** On slow cores waiting work is given up early; on others it may still be done, as long as its hint leaves time. */
@@ -243,7 +243,7 @@
             ControllerFixture server = new ControllerFixture().warmedUp(10, 800);
             server.full();
             RequestHandle waiting = server.control()
-                    .take(
+                    .submit(
                             server.now,
                             ControllerFixture.LOOKUP,
                             Duration.ZERO,
@@ -256,9 +256,9 @@
             for (int i = 0; i < 60 && !server.pushedBack(waiting); i++) {
                 server.after(10);
             }
-            assertEquals(hint != 100, server.last.pushedBack.get(0).nowhereElse(), "hint " + hint);
+            assertEquals(hint != 100, server.last.rejected.get(0).finalRejection(), "hint " + hint);
             // One waits where ten end in a span of a second: so long, and not the longest, its caller stays away.
-            double away = ControllerFixture.ms(server.last.pushedBack.get(0).stayAway());
+            double away = ControllerFixture.ms(server.last.rejected.get(0).retryAfter());
             assertTrue(away > 50 && away < 500, "stay away for " + away + " ms");
         }
     }
@@ -272,10 +272,10 @@
             List<RequestHandle> out = out(10);
             for (RequestHandle operation : out) {
                 server.after(together ? 0 : 100);
-                operation.callEnded(server.now, Outcome.TURNED_AWAY, ControllerFixture.millis(together ? 50 : 0));
+                operation.callEnded(server.now, Outcome.REJECTED, ControllerFixture.millis(together ? 50 : 0));
             }
             server.settle();
-            out.forEach(operation -> operation.ended(server.now, Outcome.STOPPED));
+            out.forEach(operation -> operation.runEnded(server.now, Outcome.STOPPED));
             // 32 at first; four fifths of that, or four fifths ten times over.
             assertEquals(together ? 25 : 3, out(40).size(), together ? "cut once" : "cut each time");
         }
@@ -287,9 +287,9 @@
         for (int i = 0; i < count; i++) {
             RequestHandle operation = server.take(ControllerFixture.CALLING);
             if (server.settle().started.contains(operation)) {
-                operation.reachedCall(server.now);
-                server.control().look(server.now, new double[] {0, 0});
-                if (!server.settle().called.isEmpty()) {
+                operation.callNeeded(server.now);
+                server.control().updateGauges(server.now, new double[] {0, 0});
+                if (!server.settle().downstreamCalls.isEmpty()) {
                     out.add(operation);
                 }
             }
@@ -299,16 +299,16 @@
 
     @Example
     void afterAReturnKeyedWorkIsPushedBackAtOnceUntilItIsSettledAndRetriableWorkIsNot() {
-        server.control().keyed(Duration.ofMillis(700), Duration.ofHours(1));
+        server.control().permitNonIdempotentStarts(Duration.ofMillis(700), Duration.ofHours(1));
         RequestHandle charge = server.take(ControllerFixture.CHARGE);
         RequestHandle order = server.take(ControllerFixture.ORDER);
         RequestHandle lookup = server.take(ControllerFixture.LOOKUP);
         Decisions settled = server.settle();
         assertTrue(server.pushedBack(charge) && server.pushedBack(order));
         assertEquals(List.of(lookup), settled.started);
-        assertEquals(Duration.ofMillis(700), settled.pushedBack.get(0).stayAway(), "and is told when to come back");
+        assertEquals(Duration.ofMillis(700), settled.rejected.get(0).retryAfter(), "and is told when to come back");
         assertEquals(
-                2, server.control().figures().pushedBack().get(OverloadController.RejectionReason.UNSETTLED.ordinal()));
+                2, server.control().metrics().rejected().get(OverloadController.RejectionReason.UNSETTLED.ordinal()));
         server.after(700);
         // It came before that moment, though it is read only now: a try of the life before may be as old as it.
         RequestHandle late = server.take(ControllerFixture.CHARGE, 50, 10, null);
@@ -323,27 +323,27 @@
         List<RequestHandle> running = server.full();
         RequestHandle charge = server.take(ControllerFixture.CHARGE);
         assertTrue(server.settle().started.isEmpty());
-        server.control().keyed(Duration.ZERO, server.now.plusMillis(100));
+        server.control().permitNonIdempotentStarts(Duration.ZERO, server.now.plusMillis(100));
         server.after(100);
-        running.forEach(each -> each.ended(server.now, Outcome.OK));
-        server.control().look(server.now, new double[] {0, 0});
+        running.forEach(each -> each.runEnded(server.now, Outcome.OK));
+        server.control().updateGauges(server.now, new double[] {0, 0});
         RequestHandle lookup = server.take(ControllerFixture.LOOKUP);
         RequestHandle next = server.take(ControllerFixture.CHARGE);
         assertEquals(
                 List.of(lookup), server.settle().started, "the mark has run out: neither the held one nor a new one");
         assertTrue(server.pushedBack(next));
-        server.control().keyed(Duration.ZERO, server.now.plusMillis(500));
+        server.control().permitNonIdempotentStarts(Duration.ZERO, server.now.plusMillis(500));
         assertEquals(List.of(charge), server.after(10).started, "the next mark is on the disk");
     }
 
     @Example
     void aGuessOfTheCapacityIsWhereItBeginsAndIsOutweighedByWhatItLearns() {
-        server.control().guess(40, 8);
-        assertEquals(40, server.control().figures().capacity(), 1e-9);
+        server.control().setWarmStartEstimate(40, 8);
+        assertEquals(40, server.control().metrics().queueCapacity(), 1e-9);
         server.warmedUp(40, 100);
-        double learned = server.control().figures().capacity();
+        double learned = server.control().metrics().queueCapacity();
         assertTrue(learned > 60, "8 cores at 100 ms for a span of 1 s: " + learned);
-        server.control().guess(5, 8);
-        assertEquals(learned, server.control().figures().capacity(), 1e-9, "what is learned is not guessed over");
+        server.control().setWarmStartEstimate(5, 8);
+        assertEquals(learned, server.control().metrics().queueCapacity(), 1e-9, "what is learned is not guessed over");
     }
 }
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/core/BackendTest.java
@@ -197,7 +197,7 @@
     void aCallMayBeAnsweredWhileItIsMade() {
         BackendFixture around = new BackendFixture();
         List<String> made = new ArrayList<>();
-        for (Outcome how : List.of(Outcome.OK, Outcome.UNREACHABLE, Outcome.TURNED_AWAY)) {
+        for (Outcome how : List.of(Outcome.OK, Outcome.UNREACHABLE, Outcome.REJECTED)) {
             around.below = new DownstreamService() {
                 @Override
                 public void call(TrackedRequest operation, byte[] body, Duration within) {
--- a/src/test/java/merlinlever/core/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/core/CompletionRaceTest.java
@@ -165,7 +165,7 @@
         batches.backend.caughtUp(batches.now());
         assertEquals(List.of("launch", "launch"), batches.asked(name));
         batches.ended(name, Outcome.OK, "done");
-        batches.ended(name, Outcome.NEVER_BEGUN, "");
+        batches.ended(name, Outcome.NOT_STARTED, "");
         batches.settle();
         assertEquals(DONE, batches.heard(name));
         String again = batches.read("buy", "t", "a");
@@ -181,7 +181,7 @@
         batches.settle();
         String sharer = batches.read("buy", "t", "a");
         batches.settle();
-        batches.ended(name, Outcome.NEVER_BEGUN, "");
+        batches.ended(name, Outcome.NOT_STARTED, "");
         batches.settle();
         String again = batches.read("buy", "t", "a");
         batches.settle();
--- a/src/test/java/merlinlever/core/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/core/DeploymentProfileTest.java
@@ -40,9 +40,9 @@
                 "watch.readiness",
                 "true"));
         Decisions settled = new Decisions();
-        settled.halted.add(ControllerDriver.UNKNOWN);
-        settled.halted.add(ControllerDriver.UNKNOWN);
-        settled.level = 0.3;
+        settled.stopped.add(ControllerDriver.UNKNOWN);
+        settled.stopped.add(ControllerDriver.UNKNOWN);
+        settled.backpressureLevel = 0.3;
         settled.healthy = false;
         shape.seen(settled);
         shape.seen(new Decisions());
--- a/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
@@ -252,7 +252,7 @@
         assertEquals(0, batches.backend.known());
         batches.readAs(Long.parseLong(first, 16), first, "look", null, null, "b", batches.now());
         batches.settle();
-        batches.ended(first, Outcome.NEVER_BEGUN, "");
+        batches.ended(first, Outcome.NOT_STARTED, "");
         batches.settle();
         assertEquals(List.of("broken off"), batches.heard(first));
         batches.ended(first, Outcome.OK, "late");
@@ -286,7 +286,7 @@
         batches.settle();
         batches.needsCall(one);
         batches.settle();
-        batches.replied(one, Outcome.CUT_OFF);
+        batches.replied(one, Outcome.CONNECTION_LOST);
         batches.settle();
         assertEquals(
                 List.of("launch", "call"), batches.asked(one), "a call that may have had its effect is not made again");
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/core/InDoubtCommandsTest.java
@@ -137,7 +137,7 @@
     /** The outcome crosses the order to stop: whichever it is, the run is over and its operation is let go. */
     @Example
     void whateverOutcomeCrossesAFreezeEndsTheOperation() {
-        for (Outcome how : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NEVER_BEGUN)) {
+        for (Outcome how : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NOT_STARTED)) {
             BackendFixture around = new BackendFixture(Map.of("tariffs.0.window", "0"));
             String name = around.take("look", null, "a");
             around.backend.callerGone(around.now, around.taken.get(name));
--- a/src/test/java/merlinlever/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/net/ConnectionTest.java
@@ -117,9 +117,9 @@
         int closed = PortAllocator.free();
         CloseRecorder refused = connectTo(closed, loop(), false);
         assertEquals(List.of(CloseReason.REFUSED), refused.heard);
-        assertTrue(CloseReason.REFUSED.ofCall().provesUnrun()
-                && !CloseReason.BROKEN.ofCall().provesUnrun()
-                && CloseReason.CLOSED_THERE.ofCall() == Outcome.CUT_OFF);
+        assertTrue(CloseReason.REFUSED.ofCall().provesNoEffect()
+                && !CloseReason.BROKEN.ofCall().provesNoEffect()
+                && CloseReason.CLOSED_THERE.ofCall() == Outcome.CONNECTION_LOST);
         for (boolean fails : new boolean[] {false, true}) {
             try (ServerSocket server = new ServerSocket(0)) {
                 Thread other = new Thread(() -> {
--- a/src/test/java/merlinlever/records/RecordsReplyTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyTest.java
@@ -20,7 +20,7 @@
     @Example
     void eachWordHasItsEndingAndOnlySomeProveThatNothingRan() throws RecordsReply.MalformedReplyException {
         String[] words = {"DONE 0\r\n", "WAIT", "ERROR", "PAST", "EMPTY"};
-        Outcome[] endings = {Outcome.OK, Outcome.TURNED_AWAY, Outcome.ERROR, Outcome.GIVEN_UP, Outcome.NEVER_BEGUN};
+        Outcome[] endings = {Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.NOT_STARTED};
         for (int i = 0; i < words.length; i++) {
             byte[] bytes = ascii("9b1f03aa5c7e2d41 " + words[i] + "\r\n");
             RecordsReply reply = RecordsReply.read(bytes, 0, bytes.length);
@@ -28,7 +28,7 @@
             assertEquals(bytes.length, reply.end());
             assertEquals(
                     words[i].equals("WAIT") || words[i].equals("EMPTY"),
-                    reply.ending().provesUnrun());
+                    reply.ending().provesNoEffect());
         }
     }
 
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -176,7 +176,7 @@
         LocalServiceHealth own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.USUAL);
         Duration quick = Duration.ofMillis(5);
         own.ended(NOW, Outcome.UNREACHABLE, quick);
-        own.ended(NOW, Outcome.CUT_OFF, quick);
+        own.ended(NOW, Outcome.CONNECTION_LOST, quick);
         own.ended(NOW, Outcome.OK, quick);
         own.ended(NOW, Outcome.UNREACHABLE, quick);
         own.ended(NOW, Outcome.UNREACHABLE, quick);
@@ -189,11 +189,11 @@
         own.ended(NOW, Outcome.OK, quick);
         own.ended(NOW, Outcome.OK, quick);
         assertEquals(LocalServiceHealth.HealthState.AWAY, own.state());
-        own.ended(NOW, Outcome.TURNED_AWAY, quick);
+        own.ended(NOW, Outcome.REJECTED, quick);
         assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
         for (int i = 0; i < 32; i++) {
             assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
-            own.ended(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
+            own.ended(NOW, i % 2 == 0 ? Outcome.OK : Outcome.TIMED_OUT, quick);
         }
         assertEquals(LocalServiceHealth.HealthState.SLOW, own.state());
     }
