--- a/src/main/java/merlinlever/Outcome.java
+++ b/src/main/java/merlinlever/Outcome.java
@@ -1,22 +1,22 @@
 package merlinlever;
 
-/** How a run or a call ended. */
+/** How a run or a downstream call ended. */
 public enum Outcome {
-    /** It worked. */
+    /** It succeeded. */
     OK(false),
-    /** It was carried out and did not work; it may have had its effect. */
+    /** It was carried out and failed; it may have had its effect. */
     ERROR(false),
-    /** The call was turned away unseen. */
+    /** The call was rejected without being carried out. */
     REJECTED(true),
-    /** The call was given up; it may have had its effect. */
+    /** The call was given up after its timeout; it may have had its effect. */
     TIMED_OUT(false),
-    /** The call did not get through. */
+    /** The call never reached the service. */
     UNREACHABLE(true),
-    /** The call was cut off; it may have had its effect. */
+    /** The connection was lost during the call; it may have had its effect. */
     CONNECTION_LOST(false),
     /** The run was stopped. */
     STOPPED(false),
-    /** Nothing was begun, the operation was over already. */
+    /** The run was never started, as the request had ended already. */
     NOT_STARTED(true);
 
     private final boolean provesNoEffect;
@@ -25,7 +25,7 @@
         this.provesNoEffect = provesNoEffect;
     }
 
-    /** Whether this ending proves that nothing has taken effect. */
+    /** Whether this outcome proves that the run or call has had no effect. */
     public boolean provesNoEffect() {
         return provesNoEffect;
     }
--- a/src/main/java/merlinlever/RequestHandle.java
+++ b/src/main/java/merlinlever/RequestHandle.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * The handle of an operation that {@link merlinlever.policy.OverloadController#submit} has taken. All that happens to it later
- * is told here; what is decided about it comes out of the next {@link merlinlever.policy.OverloadController#decide}, which names
- * the handle.
+ * The handle of a request that was submitted to an {@link merlinlever.policy.OverloadController}. All later events
+ * of the request are reported to it; what is decided about the request comes out of the next
+ * {@link merlinlever.policy.OverloadController#decide}, which names the handle. Times count from the start of the
+ * server.
  */
 public interface RequestHandle {
 
-    /** Its run, or the sharing of another's outcome, has ended. */
+    /** The run of the request, or the sharing of another's outcome, has ended. */
     void runEnded(Duration now, Outcome outcome);
 
-    /** Its run cannot go on without a call to what lies below. */
+    /** The run cannot continue without a downstream call. */
     void callNeeded(Duration now);
 
-    /** The call made for it has ended; after anything but {@link Outcome#OK} it waits for a decision again. */
+    /** The call that was made for the request has ended; after a failure the run waits for a decision again. */
     void callEnded(Duration now, Outcome outcome, Duration elapsed);
 
-    /** Nobody waits for its answer any longer. */
+    /** The caller does not wait for an answer any more. */
     void callerGone(Duration now);
 }
--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import merlinlever.QuotaDemand;
 import merlinlever.core.Backend;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
@@ -155,7 +156,8 @@
 
     @Override
     public long[] demand(Duration now, FleetQuota budget) {
-        return backend.demand(ofModule(now), backend.tariff(budget.of()));
+        QuotaDemand demand = backend.demand(ofModule(now), backend.tariff(budget.of()));
+        return new long[] {demand.inUse(), demand.wanted()};
     }
 
     @Override
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -13,7 +13,7 @@
 import merlinlever.log.Log;
 import merlinlever.membership.MembershipTransport;
 import merlinlever.net.EventLoop;
-import merlinlever.policy.OverloadController;
+import merlinlever.policy.ControllerMetrics;
 import merlinlever.recovery.RecoverySequence;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.StateDirectories;
@@ -158,13 +158,13 @@
 
     @Override
     public double capacity() {
-        OverloadController.ControllerMetrics figures = backend.figures();
+        ControllerMetrics figures = backend.figures();
         return figures == null || !Double.isFinite(figures.queueCapacity()) ? 0 : figures.queueCapacity();
     }
 
     @Override
     public boolean fullSpeed() {
-        OverloadController.ControllerMetrics figures = backend.figures();
+        ControllerMetrics figures = backend.figures();
         return figures != null && figures.speedFraction() >= 1;
     }
 
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -5,10 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import merlinlever.Durations;
 import merlinlever.Outcome;
+import merlinlever.QuotaDemand;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
+import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.OverloadController;
 
 /**
@@ -70,7 +74,8 @@
         Duration longest = LONGEST_UNREAD;
         for (int i = 0; i < tariffs.size(); i++) {
             longest = Durations.later(
-                    longest, Durations.ofMillis(SettingsTranslator.number(given, "tariffs." + i + ".client-timeout", 0)));
+                    longest,
+                    Durations.ofMillis(SettingsTranslator.number(given, "tariffs." + i + ".client-timeout", 0)));
         }
         longestUnread = longest;
         subjects = SettingsTranslator.number(given, "server.fresh-for", 0) > 0;
@@ -110,7 +115,7 @@
     }
 
     /** What the module sees of this server, or null before the agent is up. */
-    public OverloadController.ControllerMetrics figures() {
+    public ControllerMetrics figures() {
         return conductor == null ? null : conductor.control().metrics();
     }
 
@@ -154,7 +159,7 @@
     }
 
     /** See {@link OverloadController#quotaDemand}. */
-    public long[] demand(Duration now, int tariff) {
+    public QuotaDemand demand(Duration now, int tariff) {
         return fleetwide.demand(now, tariff);
     }
 
@@ -194,14 +199,15 @@
                         .control()
                         .submit(
                                 now,
-                                asked.tariff(),
-                                now.minus(arrival),
-                                asked.clientTimeout(),
-                                asked.kb(),
-                                asked.work(),
-                                asked.again(),
-                                asked.subject() != null,
-                                original),
+                                RequestAttributes.ofClass(asked.tariff())
+                                        .readDelay(now.minus(arrival))
+                                        .deadline(Optional.ofNullable(asked.clientTimeout()))
+                                        .memoryKb(asked.kb())
+                                        .costHint(Optional.ofNullable(asked.work()))
+                                        .retry(asked.again())
+                                        .shareable(asked.subject() != null)
+                                        .original(Optional.ofNullable(original))
+                                        .build()),
                 work);
         return work;
     }
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -4,7 +4,8 @@
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
-import java.util.function.Consumer;
+import merlinlever.ControllerEvent;
+import merlinlever.Decision;
 import merlinlever.Decisions;
 import merlinlever.Outcome;
 import merlinlever.RequestHandle;
@@ -32,6 +33,7 @@
     private final DecisionHandler<T> port;
     private final Map<String, Integer> tariffs;
     private final Map<RequestHandle, T> known = new IdentityHashMap<>();
+    private final Decision.Visitor visitor = new PortVisitor();
     private Duration alarm;
     private final DeploymentProfile watch;
 
@@ -80,35 +82,84 @@
         if (watch != null) {
             watch.seen(settled);
         }
-        if (!Double.isNaN(settled.backpressureLevel)) {
-            port.level(settled.backpressureLevel);
-        }
-        if (settled.healthy != null) {
-            port.health(settled.healthy);
-        }
-        if (settled.idleConnectionTimeout != null) {
-            port.closeIdle(settled.idleConnectionTimeout);
-        }
-        settled.retained.forEach(kept -> port.keep(known.get(kept.request()), kept.duration()));
-        each(settled.failed, port::breakOff);
-        each(settled.stopped, port::halt);
-        settled.rejected.forEach(p -> port.pushBack(known.get(p.request()), p.finalRejection(), p.retryAfter()));
-        each(settled.evicted, port::forget);
-        each(settled.started, port::start);
-        each(settled.coalesced, port::share);
-        settled.downstreamCalls.forEach(call -> port.call(known.get(call.request()), call.duration()));
-        each(settled.skippedCalls, port::omit);
-        settled.logLines.forEach(port::log);
-        if (settled.nextDecisionAt != null && (alarm == null || settled.nextDecisionAt.compareTo(alarm) < 0)) {
-            alarm = settled.nextDecisionAt;
+        settled.inOrder().forEach(decision -> decision.accept(visitor));
+        if (alarm == null || settled.nextDecisionAt().compareTo(alarm) < 0) {
+            alarm = settled.nextDecisionAt();
             port.alarm(alarm);
         }
-        settled.released.forEach(operation -> port.release(known.remove(operation)));
     }
 
-    private void each(Iterable<RequestHandle> operations, Consumer<T> part) {
-        for (RequestHandle operation : operations) {
-            part.accept(known.get(operation));
+    /** Passes each decision on to the port, which knows the requests by its own names. */
+    private final class PortVisitor implements Decision.Visitor {
+
+        @Override
+        public void sendBackpressure(double value) {
+            port.level(value);
+        }
+
+        @Override
+        public void reportHealth(boolean healthy) {
+            port.health(healthy);
+        }
+
+        @Override
+        public void closeIdleConnections(Duration idleTimeout) {
+            port.closeIdle(idleTimeout);
+        }
+
+        @Override
+        public void retain(RequestHandle request, Duration retention) {
+            port.keep(known.get(request), retention);
+        }
+
+        @Override
+        public void fail(RequestHandle request) {
+            port.breakOff(known.get(request));
+        }
+
+        @Override
+        public void stop(RequestHandle request) {
+            port.halt(known.get(request));
+        }
+
+        @Override
+        public void reject(RequestHandle request, boolean isFinal, Duration retryAfter) {
+            port.pushBack(known.get(request), isFinal, retryAfter);
+        }
+
+        @Override
+        public void evict(RequestHandle request) {
+            port.forget(known.get(request));
+        }
+
+        @Override
+        public void start(RequestHandle request) {
+            port.start(known.get(request));
+        }
+
+        @Override
+        public void shareOutcome(RequestHandle request) {
+            port.share(known.get(request));
+        }
+
+        @Override
+        public void callDownstream(RequestHandle request, Duration timeout) {
+            port.call(known.get(request), timeout);
+        }
+
+        @Override
+        public void skipCall(RequestHandle request) {
+            port.omit(known.get(request));
+        }
+
+        @Override
+        public void log(ControllerEvent event) {
+            port.log(event.logLine());
+        }
+
+        @Override
+        public void release(RequestHandle request) {
+            port.release(known.remove(request));
         }
     }
 }
--- a/src/main/java/merlinlever/core/DeploymentProfile.java
+++ b/src/main/java/merlinlever/core/DeploymentProfile.java
@@ -6,6 +6,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import merlinlever.Decision;
 import merlinlever.Decisions;
 
 /**
@@ -73,11 +74,11 @@
     /** Counts what the watched settings would have decided otherwise in one batch of decisions. */
     public void seen(Decisions settled) {
         // Dropped work is lost and its call abandoned; paused work keeps its progress and memory.
-        count("halt", settled.stopped.size());
-        count("say", Double.isNaN(settled.backpressureLevel) ? 0 : 1);
+        count("halt", settled.of(Decision.Stop.class).size());
+        count("say", settled.of(Decision.SendBackpressure.class).size());
         // Where the list follows health, every caller's list drops or takes back this server.
-        count("readiness", settled.healthy == null ? 0 : 1);
-        count("below", settled.downstreamCalls.size());
+        count("readiness", settled.of(Decision.ReportHealth.class).size());
+        count("below", settled.of(Decision.CallDownstream.class).size());
     }
 
     /** How often, by kind, the watched settings would have decided otherwise; in the order of the kinds. */
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
+import merlinlever.QuotaDemand;
+import merlinlever.QuotaGrant;
 import merlinlever.policy.OverloadController;
 
 /** What this backend is told of its return and of its part in the fleet, kept for a module that is not there yet. */
@@ -21,7 +24,8 @@
         control = module;
         control.setWarmStartEstimate(guessed, completions);
         // Nothing of what is shared with others before it is told its share.
-        limited.forEach((tariff, perSecond) -> control.setQuota(tariff, 0, perSecond, now, null));
+        limited.forEach(
+                (tariff, perSecond) -> control.setQuota(tariff, new QuotaGrant(0, perSecond, now, Optional.empty())));
         if (keyedFrom != null) {
             control.permitNonIdempotentStarts(keyedFrom, keyedTo);
         }
@@ -38,12 +42,12 @@
     void share(int tariff, long share, boolean perSecond, Duration until, Duration longest) {
         limited.put(tariff, perSecond);
         if (control != null) {
-            control.setQuota(tariff, share, perSecond, until, longest);
+            control.setQuota(tariff, new QuotaGrant(share, perSecond, until, Optional.ofNullable(longest)));
         }
     }
 
-    long[] demand(Duration now, int tariff) {
-        return control == null ? new long[2] : control.quotaDemand(now, tariff);
+    QuotaDemand demand(Duration now, int tariff) {
+        return control == null ? QuotaDemand.NONE : control.quotaDemand(now, tariff);
     }
 
     void guess(double capacity, double of) {
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -3,8 +3,10 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 import merlinlever.core.ControllerDriver;
 import merlinlever.core.DecisionHandler;
@@ -84,14 +86,10 @@
                 .control()
                 .submit(
                         at,
-                        mark == null ? LOOK : ORDER,
-                        Duration.ZERO,
-                        null,
-                        4,
-                        null,
-                        false,
-                        false,
-                        original == null ? null : original.handle);
+                        RequestAttributes.ofClass(mark == null ? LOOK : ORDER)
+                                .memoryKb(4)
+                                .original(Optional.ofNullable(original).map(earlier -> earlier.handle))
+                                .build());
         asked.handle = conductor.know(taken, asked);
     }
 
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -1,6 +1,7 @@
 package merlinlever.management;
 
-import merlinlever.policy.OverloadController;
+import merlinlever.policy.ControllerMetrics;
+import merlinlever.policy.RejectionReason;
 
 /** What an instance tells of itself, as one JSON object. */
 public final class StatusReport {
@@ -17,15 +18,13 @@
      * @param recovery a JSON object that says how far it has come back, or null where nothing is kept for a return
      */
     public static String of(
-            boolean leaving,
-            boolean healthy,
-            int inHand,
-            long ageMs,
-            OverloadController.ControllerMetrics figures,
-            String recovery) {
+            boolean leaving, boolean healthy, int inHand, long ageMs, ControllerMetrics figures, String recovery) {
         StringBuilder text = new StringBuilder(512)
                 .append("{\"phase\":\"")
-                .append(leaving ? "leaving" : figures == null ? "starting" : figures.speedFraction() < 1 ? "cold" : "warm")
+                .append(
+                        leaving
+                                ? "leaving"
+                                : figures == null ? "starting" : figures.speedFraction() < 1 ? "cold" : "warm")
                 .append("\",\"healthy\":")
                 .append(healthy)
                 .append(",\"in_hand\":")
@@ -36,11 +35,11 @@
             text.append(",\"hung\":")
                     .append(figures.stalled())
                     .append(",\"held\":")
-                    .append(figures.queued())
+                    .append(figures.requests().queued())
                     .append(",\"running\":")
-                    .append(figures.onCores())
+                    .append(figures.requests().onCores())
                     .append(",\"calls\":")
-                    .append(figures.inCalls())
+                    .append(figures.requests().inCalls())
                     .append(",\"capacity\":")
                     .append(Math.min(MOST, figures.queueCapacity()))
                     .append(",\"avg\":")
@@ -48,13 +47,13 @@
                     .append(",\"level\":")
                     .append(figures.backpressureLevel())
                     .append(",\"broken_off\":")
-                    .append(figures.failed())
+                    .append(figures.requests().failed())
                     .append(",\"pushed_back\":{");
-            for (OverloadController.RejectionReason reason : OverloadController.RejectionReason.values()) {
+            for (RejectionReason reason : RejectionReason.values()) {
                 text.append(reason.ordinal() == 0 ? "\"" : ",\"")
                         .append(reason.wireName())
                         .append("\":")
-                        .append(figures.rejected().get(reason.ordinal()));
+                        .append(figures.requests().rejected().get(reason));
             }
             text.append('}');
         }
--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -1,117 +1,133 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.*;
-
 import java.time.Duration;
 import java.util.SplittableRandom;
+import merlinlever.Durations;
 import merlinlever.Settings;
-import merlinlever.policy.OverloadController.RejectionReason;
 
-/** Which arrivals are held and which pushed back: the design page's class-weighted RED, and exceptions. */
+/**
+ * Decides which arrivals are queued and which rejected: by the safety rules, by whether the objective can be
+ * met, then by random early detection (Floyd and Jacobson 1993) weighted by priority class (docs/design.md).
+ */
 final class AdmissionControl {
-    // The four figures of the design page; q is the waiting over the hold's capacity.
-    private static final double W_Q = 0.8;
-    private static final double MIN_TH = 0.3;
-    private static final double MAX_TH = 0.8;
-    private static final double MAX_P = 0.4;
-    // Coefficients of the least and the most valued tariff; what is worth nothing counts as of this value.
-    private static final double C_LEAST = 5.0, C_MOST = 0.1, NIL = 0.001;
-    // A marked further try has less of its soft limit left than it says, and others were full as well.
-    private static final double AGAIN = 4;
-    // Reading takes more than this part of an operation's work: each further try costs the others that.
-    private static final double DEAR = 0.1;
-    // Part of the difference by which the quickest reading seen is forgotten with each arrival.
-    private static final double FORGET = 0.002;
+    // Random early detection: weight of the latest occupancy in the average, thresholds of the average above
+    // which some and all are rejected, and the base probability at the upper one.
+    private static final double QUEUE_WEIGHT = 0.8;
+    private static final double MIN_THRESHOLD = 0.3;
+    private static final double MAX_THRESHOLD = 0.8;
+    private static final double MAX_PROBABILITY = 0.4;
+    // Coefficients of the classes of least and most weight; a class without weight has MIN_WEIGHT.
+    private static final double LEAST_COEFFICIENT = 5.0;
+    private static final double MOST_COEFFICIENT = 0.1;
+    private static final double MIN_WEIGHT = 0.001;
+    // A marked retry has less of its objective left than it says, and other servers were full as well.
+    private static final double RETRY_FACTOR = 4;
+    // Reading takes more than this fraction of a request's work: each retry costs the others that.
+    private static final double EXPENSIVE_READ = 0.1;
+    // Fraction of the difference by which the quickest read is forgotten with each arrival.
+    private static final double READ_DECAY = 0.002;
 
     private final ServerState server;
-    private final SplittableRandom chance;
-    final Duration longestStayAway;
-    double avg;
-    Duration avgAt = Duration.ZERO;
-    private double quickestRead = 1e9;
-    private int count;
+    private final SplittableRandom random;
+    /** The longest time that a caller may be asked to stay away; zero where it cannot be asked. */
+    final Duration maxRetryAfter;
+    /** Written here alone, like the time of the arrival that was averaged last. */
+    double averageOccupancy;
+
+    Duration averagedAt = Duration.ZERO;
+    private double quickestReadMs = 1e9;
+    private int queuedSinceRejection;
 
-    AdmissionControl(ServerState server, Settings given, long seed) {
+    AdmissionControl(ServerState server, Settings settings, long seed) {
         this.server = server;
-        chance = new SplittableRandom(seed);
-        longestStayAway = given.flag("limits.stay-away") ? given.duration("limits.longest-stay-away", 0) : Duration.ZERO;
-        double least = Math.max(
-                NIL, server.tariffs.stream().mapToDouble(t -> t.value).min().orElse(1));
-        double span =
-                Math.log(server.tariffs.stream().mapToDouble(t -> t.value).max().orElse(1) / least);
-        for (PriorityClass t : server.tariffs) {
-            double rank = span > 0 ? Math.log(Math.max(1, t.value / least)) / span : 0.5;
-            t.coefficient = C_LEAST * Math.pow(C_MOST / C_LEAST, rank);
+        random = new SplittableRandom(seed);
+        boolean canAsk = settings.flag("limits.stay-away");
+        maxRetryAfter = canAsk ? settings.duration("limits.longest-stay-away", 0) : Duration.ZERO;
+        double least = Math.max(MIN_WEIGHT, server.weights().min().orElse(1));
+        double range = Math.log(server.weights().max().orElse(1) / least);
+        for (PriorityClass priorityClass : server.priorityClasses) {
+            double rank = range > 0 ? Math.log(Math.max(1, priorityClass.weight / least)) / range : 0.5;
+            double ratio = MOST_COEFFICIENT / LEAST_COEFFICIENT;
+            priorityClass.rejectionCoefficient = LEAST_COEFFICIENT * Math.pow(ratio, rank);
         }
     }
 
-    void arrive(Request op, Duration now) {
-        // What waits unread waits too: its time beyond the quickest reading counts as that part of the span.
-        double unread = toMillis(now.minus(op.arrival));
-        quickestRead = Math.min(unread, quickestRead + FORGET * (unread - quickestRead));
-        // Neither the arrival itself nor what free cores take at once is waiting: on two cores either alone
-        // was over min_th, and an idle server refused its next arrival.
-        double waiting =
-                Math.max(0, server.held - 1 - Math.max(0, server.cores - server.onCores)) / server.capacity.hold();
-        double q = waiting + (unread - quickestRead) / toMillis(server.span);
-        avgAt = now;
-        avg = (1 - W_Q) * avg + W_Q * q;
-        // Rule 3: what came after the grace is not run; near the stop nothing more is begun.
-        Duration ends = now.plus(op.usualRun());
-        boolean leaving = server.mode.pastGrace(op) || server.mode.stops(ends);
-        boolean hung = server.mode.hung;
-        if (leaving || hung || !server.repeats.roomFor(op)) {
-            RejectionReason why =
-                    leaving ? RejectionReason.LEAVING : hung ? RejectionReason.HUNG : RejectionReason.MEMORY;
-            server.endings.pushBack(op, now, why, false, leaving || hung ? longestStayAway : Duration.ZERO);
-            return;
-        }
-        if (server.mode.unsettled(op, now)) {
-            Duration wait = later(Duration.ZERO, server.mode.keyedFrom.minus(now));
-            server.endings.pushBack(op, now, RejectionReason.UNSETTLED, false, earlier(longestStayAway, wait));
-            return;
-        }
-        // Work that cannot make its soft limit is waste.
-        Duration likely = ends.plus(ofMillis(waiting * toMillis(server.span)));
-        if (server.onCores >= server.cores && isReached(likely, op.soft)) {
-            server.endings.pushBack(op, now, RejectionReason.HOPELESS, op.again || dear(), longestStayAway);
-        } else if (refuses(op)) {
-            // RED refuses only while the hold is long, as it is on its neighbours under the same load: a walk
-            // costs each of them a read and, where callers are many, a new connection, and is refused again.
-            count = 0;
-            server.endings.pushBack(op, now, RejectionReason.CHANCE, true, stayAway());
+    void decideOnArrival(Request request, Duration now) {
+        double waiting = updateAverage(request, now);
+        // Rule 3: what arrived after the grace is not run; near the stop nothing more is started.
+        Duration expectedEnd = now.plus(request.expectedRunTime());
+        Duration expectedAnswer = expectedEnd.plus(Durations.ofMillis(waiting * server.objectiveMs));
+        boolean missesObjective = Durations.isReached(expectedAnswer, request.objectiveAt);
+        Completions completions = server.completions;
+        if (server.drain.isPastGrace(request) || server.drain.stopsBy(expectedEnd)) {
+            completions.reject(request, now, RejectionReason.DRAINING, false, maxRetryAfter);
+        } else if (server.stallDetector.stalled) {
+            completions.reject(request, now, RejectionReason.STALLED, false, maxRetryAfter);
+        } else if (!server.duplicates.hasMemoryFor(request)) {
+            completions.reject(request, now, RejectionReason.MEMORY, false, Duration.ZERO);
+        } else if (server.idempotencyWindow.forbidsAdmission(request, now)) {
+            Duration wait = Durations.later(Duration.ZERO, server.idempotencyWindow.arrivedFrom.minus(now));
+            Duration retryAfter = Durations.earlier(maxRetryAfter, wait);
+            completions.reject(request, now, RejectionReason.IDEMPOTENCY_UNKNOWN, false, retryAfter);
+        } else if (server.onCoreCount() >= server.cores && missesObjective) {
+            // Work that cannot meet its objective is waste.
+            boolean isFinal = request.retry || isReadingExpensive();
+            completions.reject(request, now, RejectionReason.OBJECTIVE_UNREACHABLE, isFinal, maxRetryAfter);
+        } else if (isRejectedAtRandom(request)) {
+            // Random rejections happen only while the queue is long, as it is then on the other servers: a
+            // walk through them costs each a read, with many callers a new connection, and is rejected again.
+            queuedSinceRejection = 0;
+            completions.reject(request, now, RejectionReason.RANDOM, true, randomRetryAfter());
         } else {
-            count++;
-            server.repeats.keepFor(op, now);
+            queuedSinceRejection++;
+            server.duplicates.retainFromAdmission(request, now);
         }
     }
 
-    /** How far an occupancy is from min_th (0) to max_th (1). */
-    static double excess(double occupancy) {
-        return (occupancy - MIN_TH) / (MAX_TH - MIN_TH);
+    /** Updates the average occupancy; returns the occupancy by the queue alone. */
+    private double updateAverage(Request request, Duration now) {
+        // Time unread counts as waiting too: what exceeds the quickest read, as part of the objective.
+        double readDelayMs = Durations.toMillis(now.minus(request.arrivedAt));
+        quickestReadMs = Math.min(readDelayMs, quickestReadMs + READ_DECAY * (readDelayMs - quickestReadMs));
+        // Neither the arrival nor what idle cores start at once is waiting: on two cores either was over the
+        // lower threshold, and an idle server rejected its next arrival.
+        int idleCores = Math.max(0, server.cores - server.onCoreCount());
+        double waiting = Math.max(0, server.queuedCount() - 1 - idleCores) / server.capacity.queueCapacity();
+        double unread = (readDelayMs - quickestReadMs) / server.objectiveMs;
+        averagedAt = now;
+        averageOccupancy = (1 - QUEUE_WEIGHT) * averageOccupancy + QUEUE_WEIGHT * (waiting + unread);
+        return waiting;
+    }
+
+    /** How far an occupancy is from the lower threshold (0) to the upper one (1). */
+    static double thresholdExcess(double occupancy) {
+        return (occupancy - MIN_THRESHOLD) / (MAX_THRESHOLD - MIN_THRESHOLD);
     }
 
-    boolean presses() {
-        return avg >= MIN_TH;
+    boolean isUnderPressure() {
+        return averageOccupancy >= MIN_THRESHOLD;
     }
 
-    boolean dear() {
-        return quickestRead > DEAR * server.cores * toMillis(server.span) / server.capacity.hold();
+    boolean isReadingExpensive() {
+        double capacity = server.capacity.queueCapacity();
+        return quickestReadMs > EXPENSIVE_READ * server.cores * server.objectiveMs / capacity;
     }
 
-    private boolean refuses(Request op) {
-        if (avg < MIN_TH) {
+    private boolean isRejectedAtRandom(Request request) {
+        if (averageOccupancy < MIN_THRESHOLD) {
             return false;
         }
-        double pb = excess(avg) * MAX_P;
-        double coefficient = op.tariff.coefficient * (op.again ? AGAIN : 1);
-        double pa = avg > MAX_TH || count * pb >= 1 ? 1 : coefficient * pb / (1 - count * pb);
-        return chance.nextDouble() < pa;
+        double base = thresholdExcess(averageOccupancy) * MAX_PROBABILITY;
+        double coefficient = request.priorityClass.rejectionCoefficient * (request.retry ? RETRY_FACTOR : 1);
+        boolean certain = averageOccupancy > MAX_THRESHOLD || queuedSinceRejection * base >= 1;
+        double probability = certain ? 1 : coefficient * base / (1 - queuedSinceRejection * base);
+        return random.nextDouble() < probability;
     }
 
-    // How long a caller refused by chance should stay away: longer the fuller the hold. The longest advice on
-    // each refusal shut callers out of nearly every server at once while the servers had room.
-    private Duration stayAway() {
-        return ofMillis(toMillis(longestStayAway) * Math.min(1, excess(avg)));
+    // Longer the fuller the queue. The longest time on each rejection shut callers out of nearly every server
+    // at once while the servers had room.
+    private Duration randomRetryAfter() {
+        double fraction = Math.min(1, thresholdExcess(averageOccupancy));
+        return Durations.ofMillis(Durations.toMillis(maxRetryAfter) * fraction);
     }
 }
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -1,71 +1,91 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.*;
-
 import java.time.Duration;
+import java.util.OptionalDouble;
+import merlinlever.Decision;
+import merlinlever.Durations;
 import merlinlever.Settings;
 
-/** What callers are told unasked: the free value, where there is one, and how long idle connections stay. */
+/** Decides what callers are sent unasked: a signal to hold back, and when idle connections are closed. */
 final class BackpressureSignals {
-    // Above this callers hear too little to go on knowing the level, and come back all at once.
-    private static final double MOST_LEVEL = 0.6;
-    // Callers a core from which on idle connections are closed early; servers that make a list long.
+    // Above this level callers are heard too little to go on learning it, and come back all at once.
+    private static final double MAX_LEVEL = 0.6;
+    private static final double LEVEL_RISE = 0.04;
+    private static final double LEVEL_FALL = 0.01;
+    private static final double LEVEL_STEP = 0.02;
+    // Callers a core from which on idle connections are closed early; servers that make a fleet large.
     static final double MANY = 16;
-    // What the time to close changes by ten times a second, with a core free and with none.
-    private static final double SOONER = 0.94, LATER = 1.02;
+    // Factors of the idle timeout at each update, with a core free and with none.
+    private static final double TIMEOUT_DECREASE = 0.94;
+    private static final double TIMEOUT_INCREASE = 1.02;
 
     private final ServerState server;
-    private final String says;
-    private final double idleMs, callers;
-    private double closeIdleMs, saidIdleMs;
+    private final String signal;
+    private final double maxIdleMs;
+    private final double callers;
+    private double idleTimeoutMs;
+    private double announcedIdleMs;
+    /** What callers are asked to hold back; written here alone. */
     double level;
-    private double saidLevel;
-    private Duration at = Duration.ZERO;
 
-    BackpressureSignals(ServerState server, Settings given) {
+    private double announcedLevel;
+    private Duration nextUpdateAt = Duration.ZERO;
+
+    BackpressureSignals(ServerState server, Settings settings) {
         this.server = server;
-        says = given.text("server.say", "none");
-        idleMs = given.number("server.idle", 30_000);
-        closeIdleMs = idleMs / 10;
-        callers = given.number("server.callers", 1);
+        signal = settings.text("server.say", "none");
+        maxIdleMs = settings.number("server.idle", 30_000);
+        idleTimeoutMs = maxIdleMs / 10;
+        callers = settings.number("server.callers", 1);
     }
 
-    void say(Duration now) {
-        if (!isReached(now, at)) {
+    void update(Duration now) {
+        if (!Durations.isReached(now, nextUpdateAt)) {
             return;
         }
-        at = now.plusMillis(100);
-        double avg = server.admission.avg;
-        boolean old = isReached(now, server.admission.avgAt.plusMillis(300));
-        double pressure = old ? server.held / server.capacity.hold() : avg;
-        closeIdle();
-        if (says.equals("none")) {
-            return;
+        nextUpdateAt = now.plusMillis(100);
+        updateIdleTimeout();
+        if (!signal.equals("none")) {
+            updateLevel(now);
         }
-        double excess = AdmissionControl.excess(pressure);
-        level += excess > 0 ? 0.04 * Math.min(1, excess) : -0.01;
-        level = Math.max(0, Math.min(MOST_LEVEL, level));
-        if (Math.abs(level - saidLevel) >= 0.02 || level == 0 && saidLevel > 0) {
-            saidLevel = level;
-            server.next.backpressureLevel = switch (says) {
-                case "level" -> level;
-                case "weight" -> 1 - level;
-                case "credit" -> 2 * (1 - level) * (server.cores + server.capacity.hold()) / callers;
-                default -> Double.NaN;
-            };
+    }
+
+    private void updateLevel(Duration now) {
+        // The average changes with arrivals only: without any for a while, the queue itself counts.
+        boolean outdated = Durations.isReached(now, server.admissionControl.averagedAt.plusMillis(300));
+        double occupancy = outdated
+                ? server.queuedCount() / server.capacity.queueCapacity()
+                : server.admissionControl.averageOccupancy;
+        double excess = AdmissionControl.thresholdExcess(occupancy);
+        level += excess > 0 ? LEVEL_RISE * Math.min(1, excess) : -LEVEL_FALL;
+        level = Math.max(0, Math.min(MAX_LEVEL, level));
+        if (Math.abs(level - announcedLevel) >= LEVEL_STEP || level == 0 && announcedLevel > 0) {
+            announcedLevel = level;
+            signalValue().ifPresent(value -> server.decided(new Decision.SendBackpressure(value)));
         }
     }
 
-    // Where callers are many, idle connections fill the table, take capacity and leave no room for the next
-    // caller; each new one costs work, and a full table turns callers away at no cost. So they are closed the
-    // sooner the more often a core is free, and kept while the cores are full.
-    private void closeIdle() {
+    private OptionalDouble signalValue() {
+        double concurrency = server.cores + server.capacity.queueCapacity();
+        return switch (signal) {
+            case "level" -> OptionalDouble.of(level);
+            case "weight" -> OptionalDouble.of(1 - level);
+            case "credit" -> OptionalDouble.of(2 * (1 - level) * concurrency / callers);
+            default -> OptionalDouble.empty();
+        };
+    }
+
+    // With many callers, idle connections fill the table, take capacity and leave no room for the next; each
+    // new one costs work, and a full table rejects callers at no cost. So they are closed the sooner the more
+    // often a core is free, and kept while the cores are full.
+    private void updateIdleTimeout() {
         if (callers > MANY * server.cores) {
-            double wanted = closeIdleMs * (server.starts.coreFree() ? SOONER : LATER);
-            closeIdleMs = Math.max(idleMs / 30, Math.min(idleMs, wanted));
-            if (Math.abs(closeIdleMs / saidIdleMs - 1) > 0.1) {
-                saidIdleMs = closeIdleMs;
-                server.next.idleConnectionTimeout = ofMillis(closeIdleMs);
+            boolean freeCore = server.runQueue.lastSample() < server.cores;
+            double wantedMs = idleTimeoutMs * (freeCore ? TIMEOUT_DECREASE : TIMEOUT_INCREASE);
+            idleTimeoutMs = Math.max(maxIdleMs / 30, Math.min(maxIdleMs, wantedMs));
+            if (Math.abs(idleTimeoutMs / announcedIdleMs - 1) > 0.1) {
+                announcedIdleMs = idleTimeoutMs;
+                server.decided(new Decision.CloseIdleConnections(Durations.ofMillis(idleTimeoutMs)));
             }
         }
     }
--- a/src/main/java/merlinlever/policy/CapacityEstimator.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -4,63 +4,70 @@
 
 import merlinlever.Settings;
 
-/** What the server can do, as learned from what it did, and what it survives: rule 4, cold or warm. */
+/** Estimates what the server can do from what it did, and limits it to what it survives: rule 4. */
 final class CapacityEstimator {
-    // Completions that the capacity is learned from, at the most, before their weight is halved.
-    private static final double ENOUGH = 32;
-    // Part of the survivable crowd and of the memory that is used.
-    private static final double CROWD = 0.75, MEMORY = 0.92;
+    // Completions that the estimate rests on at most, before their weight is halved.
+    private static final double MAX_COMPLETIONS = 32;
+    // Fractions of the concurrency and of the memory that the server survives which are used.
+    private static final double CONCURRENCY_USED = 0.75;
+    private static final double MEMORY_USED = 0.92;
 
     private final ServerState server;
-    private final double coldShare, coldMs, crowdFactor, memoryKb;
-    private double done, worked;
+    private final double coldSpeed;
+    private final double warmUpMs;
+    private final double overloadFactor;
+    private final double memoryKb;
+    private double completions;
+    private double busyMs;
 
-    CapacityEstimator(ServerState server, Settings given) {
+    CapacityEstimator(ServerState server, Settings settings) {
         this.server = server;
-        coldShare = given.flag("server.cold") ? given.number("rules.cold-share", 0.2) : 1;
-        coldMs = Math.max(1, given.number("rules.cold", 1));
-        crowdFactor = given.number("rules.crowd-factor", 2);
-        memoryKb = given.number("server.memory-kb", 1e9);
+        coldSpeed = settings.flag("server.cold") ? settings.number("rules.cold-share", 0.2) : 1;
+        warmUpMs = Math.max(1, settings.number("rules.cold", 1));
+        overloadFactor = settings.number("rules.crowd-factor", 2);
+        memoryKb = settings.number("server.memory-kb", 1e9);
     }
 
-    void passes(double ms) {
-        worked += ms * Math.min(server.onCores, server.cores);
+    void accrueBusyTime(double elapsedMs) {
+        busyMs += elapsedMs * Math.min(server.onCoreCount(), server.cores);
     }
 
-    void completed() {
-        if (++done > ENOUGH) {
-            done /= 2;
-            worked /= 2;
+    void recordCompletion() {
+        if (++completions > MAX_COMPLETIONS) {
+            completions /= 2;
+            busyMs /= 2;
         }
     }
 
-    /** What is learned elsewhere, to begin with. */
-    void guess(double capacity, double completions) {
-        if (done < 1 && capacity > 0) {
-            done = completions;
-            worked = completions * server.cores * toMillis(server.span) / capacity;
+    /** Begins with an estimate from elsewhere, unless something was learned here. */
+    void setWarmStartEstimate(double capacity, double estimateCompletions) {
+        if (completions < 1 && capacity > 0) {
+            completions = estimateCompletions;
+            busyMs = estimateCompletions * server.cores * server.objectiveMs / capacity;
         }
     }
 
     /**
-     * The hold's capacity: the last completions over the busy time that they took, for one soft-limit span of
-     * all cores, or a quiet server would take its few arrivals for all that it can do; never under the core
-     * count. They reach further back than a span where fewer than half of ENOUGH end in one, as on two cores.
+     * How many requests all cores complete in the shortest objective, at least one each; by busy time, or a
+     * quiet server would take its few arrivals for all that it can do.
      */
-    double hold() {
-        return Math.max(server.cores, done < 1 ? 0 : done * server.cores * toMillis(server.span) / worked);
+    double queueCapacity() {
+        double perBusyTime = completions * server.cores * server.objectiveMs / busyMs;
+        return Math.max(server.cores, completions < 1 ? 0 : perBusyTime);
     }
 
-    /** The part of its full speed that the server has at the least. */
-    double speedShare() {
-        return Math.min(1, coldShare + (1 - coldShare) * toMillis(server.clock) / coldMs);
+    /** The fraction of its full speed that the server has at least. */
+    double speedFraction() {
+        return Math.min(1, coldSpeed + (1 - coldSpeed) * toMillis(server.now()) / warmUpMs);
     }
 
-    double survivable() {
-        return Math.max(server.cores, CROWD * server.cores * (1 + (crowdFactor - 1) * speedShare()));
+    /** How many started requests the server survives, with a margin. */
+    double safeConcurrency() {
+        double perCore = 1 + (overloadFactor - 1) * speedFraction();
+        return Math.max(server.cores, CONCURRENCY_USED * server.cores * perCore);
     }
 
-    boolean fits(double moreKb) {
-        return server.usedKb + moreKb <= MEMORY * memoryKb;
+    boolean hasMemoryFor(double additionalKb) {
+        return server.usedMemoryKb() + additionalKb <= MEMORY_USED * memoryKb;
     }
 }
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -1,137 +1,137 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.*;
-
 import java.time.Duration;
-import merlinlever.Decisions;
+import merlinlever.Decision;
+import merlinlever.Durations;
 import merlinlever.Outcome;
 import merlinlever.Settings;
-import merlinlever.policy.OverloadController.RejectionReason;
 import merlinlever.policy.Request.Phase;
 
-/** How an operation ends: its run is over, it is pushed back or broken off, or its time has passed. */
+/** Decides how a request ends: its run is over, it is rejected or failed, or its time has passed. */
 final class Completions {
     private final ServerState server;
-    private final boolean mayHalt;
-    private final double servers;
-    final long[] pushbacks = new long[RejectionReason.values().length];
-    long brokenOff;
+    private final boolean canStopRuns;
+    private final double fleetSize;
 
-    Completions(ServerState server, Settings given) {
+    Completions(ServerState server, Settings settings) {
         this.server = server;
-        mayHalt = !given.text("server.halt", "none").equals("none");
-        servers = Math.max(1, given.number("servers", 1));
+        canStopRuns = !settings.text("server.halt", "none").equals("none");
+        fleetSize = Math.max(1, settings.number("servers", 1));
     }
 
-    /** Its run, or the sharing of another's outcome, has ended. */
-    void ended(Request op, Duration now, Outcome how) {
-        if (op.phase == Phase.OVER || how == Outcome.NOT_STARTED && op.phase == Phase.HELD) {
+    /** The run of the request, or the sharing of another's outcome, has ended. */
+    void runEnded(Request request, Duration now, Outcome outcome) {
+        boolean isQueued = request.phase == Phase.QUEUED;
+        if (!request.isInFlight() || outcome == Outcome.NOT_STARTED && isQueued) {
             return;
         }
-        if (how == Outcome.STOPPED && !op.answered && op.halting) {
-            server.move(op, Phase.HELD);
-            op.halting = false;
+        if (outcome == Outcome.STOPPED && !request.answered && request.stopping) {
+            server.moveTo(request, Phase.QUEUED);
+            request.stopping = false;
             return;
         }
-        server.mode.progress = now;
-        op.end = how;
-        if ((how == Outcome.OK || how == Outcome.ERROR) && op.phase == Phase.RUNNING) {
-            server.capacity.completed();
-            op.tariff.times.add(toMillis(now.minus(op.startedAt)), op.hintMs);
+        server.stallDetector.recordProgress(now);
+        request.outcome = outcome;
+        if ((outcome == Outcome.OK || outcome == Outcome.ERROR) && request.phase == Phase.RUNNING) {
+            server.capacity.recordCompletion();
+            double runMs = Durations.toMillis(now.minus(request.startedAt));
+            request.priorityClass.runTimes.record(runMs, request.costHintMs);
         }
-        if (how == Outcome.OK && op.sharable && op.keptUntil != null) {
-            server.repeats.keepFresh(op, now);
+        if (outcome == Outcome.OK && request.shareable && request.retainedUntil != null) {
+            server.duplicates.retainWhileFresh(request, now);
         }
-        finish(op, now);
+        finish(request, now);
     }
 
-    void callerGone(Request op, Duration now) {
-        op.answered = true;
-        if (op.offCores()) {
-            finish(op, now);
-        } else if (op.tariff.retriable) {
-            halt(op);
+    void callerGone(Request request, Duration now) {
+        request.answered = true;
+        if (request.isWaiting()) {
+            finish(request, now);
+        } else if (request.priorityClass.idempotent) {
+            stop(request);
         }
     }
 
-    private void finish(Request op, Duration now) {
-        if (op.phase != Phase.OVER) {
-            server.move(op, Phase.OVER);
-            server.repeats.over(op, now);
+    private void finish(Request request, Duration now) {
+        if (request.phase != Phase.FINISHED) {
+            server.moveTo(request, Phase.FINISHED);
+            server.duplicates.requestFinished(request, now);
         }
     }
 
-    void pushBack(Request op, Duration now, RejectionReason why, boolean nowhereElse, Duration stayAway) {
-        if (op.answered || op.ran) {
+    void reject(Request request, Duration now, RejectionReason reason, boolean isFinal, Duration retryAfter) {
+        if (request.answered || request.started) {
             return;
         }
-        pushbacks[why.ordinal()]++;
-        op.answered = true;
-        server.next.rejected.add(new Decisions.Rejection(op, nowhereElse, stayAway));
-        finish(op, now);
+        request.answered = true;
+        server.countRejection(reason);
+        server.decided(new Decision.Reject(request, isFinal, retryAfter));
+        finish(request, now);
     }
 
-    void breakOff(Request op, Duration now) {
-        if (op.answered) {
+    void fail(Request request, Duration now) {
+        if (request.answered) {
             return;
         }
-        op.answered = true;
-        brokenOff++;
-        server.next.failed.add(op);
-        if (op.offCores()) {
-            finish(op, now);
+        request.answered = true;
+        server.countFailure();
+        server.decided(new Decision.Fail(request));
+        if (request.isWaiting()) {
+            finish(request, now);
         }
     }
 
-    void halt(Request op) {
-        // Those that share its outcome are owed it still.
-        if (mayHalt
-                && op.phase == Phase.RUNNING
-                && !op.halting
-                && server.hand.stream().noneMatch(other -> other.phase == Phase.SHARING && other.original == op)) {
-            op.halting = true;
-            server.next.stopped.add(op);
+    private void stop(Request request) {
+        // Requests that share its outcome are still owed it.
+        boolean canStop = canStopRuns && request.phase == Phase.RUNNING && !request.stopping;
+        if (canStop && server.inFlight.stream().noneMatch(other -> other.sharesOutcomeOf(request))) {
+            request.stopping = true;
+            server.decided(new Decision.Stop(request));
         }
     }
 
-    /** Whether its time has passed: for any answer, for its start, or for an answer of value. */
-    void sweep(Request op, Duration now) {
-        if (!op.inHand() || op.answered) {
+    /** Ends the request if its time has passed: for any answer, for its start, or for an answer of use. */
+    void enforceDeadlines(Request request, Duration now) {
+        if (!request.isInFlight() || request.answered) {
             return;
         }
-        boolean last = server.mode.stops(now.plus(OverloadController.DECISION_INTERVAL));
-        boolean waits = op.phase == Phase.HELD || op.phase == Phase.FOLLOWING;
-        // Rule 1: the answer comes before the client timeout, and before the stop.
-        if (last || isReached(now, op.due)) {
-            if (waits && !op.ran) {
-                pushBack(op, now, last ? RejectionReason.LEAVING : RejectionReason.LATE, !last, Duration.ZERO);
+        boolean stopping = server.drain.stopsBy(now.plus(DecisionCycle.INTERVAL));
+        boolean waiting = request.isWaitingUnstarted();
+        // Rule 1: the answer comes before the deadline, and before the stop.
+        if (stopping || Durations.isReached(now, request.deadline)) {
+            if (waiting) {
+                RejectionReason reason = stopping ? RejectionReason.DRAINING : RejectionReason.EXPIRED;
+                reject(request, now, reason, !stopping, Duration.ZERO);
             } else {
-                breakOff(op, now);
-                halt(op);
-            }
-        } else if (waits && !op.ran) {
-            boolean hung = server.mode.hung;
-            if (hung || isReached(now.plus(op.usualRun()), op.soft)) {
-                // Too late for a slow server is not too late for each, by the hint, but for a long dear walk.
-                boolean late = isReached(now.plus(op.hintMs > 0 ? ofMillis(op.hintMs) : op.usualRun()), op.soft)
-                        || servers > BackpressureSignals.MANY && server.admission.dear();
-                Duration longest = server.admission.longestStayAway;
-                pushBack(
-                        op,
-                        now,
-                        hung ? RejectionReason.HUNG : RejectionReason.LATE,
-                        !hung && late,
-                        hung
-                                ? longest
-                                : earlier(longest, ofMillis(server.held * toMillis(server.span) / server.capacity.hold())));
+                fail(request, now);
+                stop(request);
             }
-        } else if (mayHalt
-                && server.held > 0
-                && op.phase != Phase.SHARING
-                && isReached(now, op.soft)
-                && op.tariff.lateValue == 0) {
-            breakOff(op, now);
-            halt(op);
+        } else if (waiting) {
+            rejectIfLate(request, now);
+        } else if (canStopRuns
+                && server.queuedCount() > 0
+                && request.phase != Phase.SHARING_OUTCOME
+                && Durations.isReached(now, request.objectiveAt)
+                && request.priorityClass.lateWeight == 0) {
+            fail(request, now);
+            stop(request);
+        }
+    }
+
+    /** Rejects a waiting request if a start now would miss its objective, or if no run makes progress. */
+    private void rejectIfLate(Request request, Duration now) {
+        Duration maxRetryAfter = server.admissionControl.maxRetryAfter;
+        if (server.stallDetector.stalled) {
+            reject(request, now, RejectionReason.STALLED, false, maxRetryAfter);
+        } else if (Durations.isReached(now.plus(request.expectedRunTime()), request.objectiveAt)) {
+            // Too late on a slow server is not too late on each, by the hint, but for a long expensive walk.
+            double hintMs = request.costHintMs;
+            Duration runTime = hintMs > 0 ? Durations.ofMillis(hintMs) : request.expectedRunTime();
+            boolean lateElsewhere = Durations.isReached(now.plus(runTime), request.objectiveAt)
+                    || fleetSize > BackpressureSignals.MANY && server.admissionControl.isReadingExpensive();
+            double queueMs = server.queuedCount() * server.objectiveMs / server.capacity.queueCapacity();
+            Duration retryAfter = Durations.earlier(maxRetryAfter, Durations.ofMillis(queueMs));
+            reject(request, now, RejectionReason.EXPIRED, lateElsewhere, retryAfter);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/merlinlever/policy/DecayingHistogram.java
@@ -0,0 +1,41 @@
+package merlinlever.policy;
+
+import java.util.Arrays;
+import java.util.stream.IntStream;
+
+/** Counts of values from 1 in bins that grow by a ratio; all counts are halved when they exceed a total. */
+final class DecayingHistogram {
+    private final double[] counts;
+    private final double binRatio;
+    private final double maxTotal;
+    private double total;
+    private double mean;
+
+    DecayingHistogram(int bins, double binRatio, double maxTotal) {
+        counts = new double[bins];
+        this.binRatio = binRatio;
+        this.maxTotal = maxTotal;
+    }
+
+    void add(double value) {
+        counts[(int) Math.min(counts.length - 1, Math.log(Math.max(value, 1)) / Math.log(binRatio))]++;
+        if (++total > maxTotal) {
+            total /= 2;
+            Arrays.setAll(counts, bin -> counts[bin] / 2);
+        }
+        double sum = IntStream.range(0, counts.length)
+                .mapToDouble(bin -> counts[bin] * Math.pow(binRatio, bin + 0.5))
+                .sum();
+        mean = sum / total;
+    }
+
+    /** How many values are counted, the halved ones as halves. */
+    double total() {
+        return total;
+    }
+
+    /** The mean of the counted values by the middles of their bins; 0 without values. */
+    double mean() {
+        return mean;
+    }
+}
--- /dev/null
+++ b/src/main/java/merlinlever/policy/DecisionCycle.java
@@ -0,0 +1,43 @@
+package merlinlever.policy;
+
+import java.time.Duration;
+import java.util.Optional;
+import merlinlever.Decisions;
+import merlinlever.RequestHandle;
+
+/** Decides in which order the other parts decide on all that is open, and how often. */
+final class DecisionCycle {
+    /** How often decisions are made while requests are in flight. */
+    static final Duration INTERVAL = Duration.ofMillis(10);
+
+    private static final Duration IDLE_INTERVAL = Duration.ofMillis(500);
+
+    private final ServerState server;
+
+    DecisionCycle(ServerState server) {
+        this.server = server;
+    }
+
+    void arrive(Request request, Optional<RequestHandle> original, Duration now) {
+        if (server.inFlight.isEmpty()) {
+            server.stallDetector.recordProgress(now);
+        }
+        server.add(request);
+        if (original.isEmpty() || !server.duplicates.coalesce(request, original.get(), now)) {
+            server.admissionControl.decideOnArrival(request, now);
+        }
+    }
+
+    Decisions decide(Duration now) {
+        server.stallDetector.check(now);
+        server.inFlight.forEach(request -> server.completions.enforceDeadlines(request, now));
+        server.inFlight.removeIf(request -> !request.isInFlight());
+        server.withdrawOutdatedShares();
+        server.retained.expire(now);
+        server.downstreamCalls.startCalls(now);
+        server.dispatcher.startQueued(now);
+        server.backpressure.update(now);
+        Duration interval = server.inFlight.isEmpty() ? IDLE_INTERVAL : INTERVAL;
+        return server.takeDecisions(server.drain.nextDecisionAt(now, now.plus(interval)));
+    }
+}
--- a/src/main/java/merlinlever/policy/Dispatcher.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -1,66 +1,54 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import java.util.List;
-import merlinlever.Settings;
+import merlinlever.Decision;
 import merlinlever.policy.Request.Phase;
 
-/** Which held operations are started, in which order, and how far by the gauge of the run queue. */
+/** Decides which queued requests are started: oldest first, as far as the gauge of the run queue permits. */
 final class Dispatcher {
     private final ServerState server;
-    private final int runQueueAt;
-    private double runQueue;
-    private int changeSince;
 
-    Dispatcher(ServerState server, Settings given) {
+    Dispatcher(ServerState server) {
         this.server = server;
-        runQueueAt = List.of(given.text("server.gauges", "").split(",")).indexOf("run-queue");
     }
 
-    void look(double[] gauges) {
-        if (runQueueAt >= 0 && runQueueAt < gauges.length) {
-            runQueue = gauges[runQueueAt];
-            changeSince = 0;
-        }
-    }
-
-    // The gauge counts what has left the cores since it was read, and not what has come back from a call.
-    void moves(Phase from, Phase to) {
-        changeSince += (to == Phase.RUNNING ? 1 : 0) - (from == Phase.RUNNING ? 1 : 0);
-    }
-
-    boolean coreFree() {
-        return runQueue < server.cores;
-    }
-
-    /** Oldest first, by the run-queue gauge and what has changed since it, under the ceiling of the crowd. */
-    void start(Duration now) {
-        double most = server.capacity.survivable();
-        for (Request op : server.hand) {
-            if (op.phase != Phase.HELD
-                    || op.answered
-                    || op.ran && !op.tariff.retriable
-                    || server.mode.unknownNext(op, now)) {
+    void startQueued(Duration now) {
+        double maxStarted = server.capacity.safeConcurrency();
+        for (Request request : server.inFlight) {
+            if (!isStartable(request, now)) {
                 continue;
             }
-            boolean marked = server.onCores >= 1 && runQueue + changeSince >= server.cores;
-            double moreKb = op.kb * (server.runFactor - 1);
-            if (marked || server.running() >= most || !server.capacity.fits(moreKb) || server.mode.hung) {
+            double additionalKb = request.memoryKb * (server.runMemoryFactor - 1);
+            if (server.onCoreCount() >= 1 && server.runQueue.estimate() >= server.cores
+                    || server.startedCount() >= maxStarted
+                    || !server.capacity.hasMemoryFor(additionalKb)
+                    || server.stallDetector.stalled) {
                 return;
             }
-            QuotaLimiter runs = server.limits.get(op.tariff.index + 1);
-            if (op.tariff.calls && server.calls.full() || !runs.allows(now)) {
-                continue;
-            }
-            runs.begins(now);
-            if (server.onCores == 0) {
-                server.mode.progress = now;
+            QuotaLimiter quota = server.runQuota(request.priorityClass);
+            boolean callsBlocked = request.priorityClass.makesCalls && server.downstreamCalls.isSaturated();
+            if (!callsBlocked && quota.permits(now)) {
+                quota.recordStart(now);
+                start(request, now);
             }
-            op.ran = true;
-            op.startedAt = now;
-            server.move(op, Phase.RUNNING);
-            server.next.started.add(op);
-            server.repeats.promote(op, now);
         }
     }
+
+    private boolean isStartable(Request request, Duration now) {
+        return request.phase == Phase.QUEUED
+                && !request.answered
+                && (!request.started || request.priorityClass.idempotent)
+                && !server.idempotencyWindow.forbidsStart(request, now);
+    }
+
+    private void start(Request request, Duration now) {
+        if (server.onCoreCount() == 0) {
+            server.stallDetector.recordProgress(now);
+        }
+        request.started = true;
+        request.startedAt = now;
+        server.moveTo(request, Phase.RUNNING);
+        server.decided(new Decision.Start(request));
+        server.duplicates.resolveWaiting(request, now);
+    }
 }
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -1,96 +1,113 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.*;
-
 import java.time.Duration;
 import java.util.SplittableRandom;
-import merlinlever.Decisions;
+import merlinlever.Decision;
+import merlinlever.Durations;
 import merlinlever.Outcome;
 import merlinlever.Settings;
 import merlinlever.policy.Request.Phase;
 
-/** How many calls to what lies below are in hand, and what becomes of an operation whose call ended. */
+/**
+ * Decides when downstream calls are made, by a concurrency limit that falls with failures and, where the
+ * service is shared, by a credit of call time; and what becomes of a run whose call ended.
+ */
 final class DownstreamCalls {
-    // Calls in hand a core.
-    private static final double CALLS = 4;
-    // What is left of the cap on calls after one that did not work.
-    private static final double CALL_CUT = 0.8;
+    private static final double CALLS_PER_CORE = 4;
+    // Factor of the concurrency limit after a failed call.
+    private static final double DECREASE = 0.8;
+    private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
 
     private final ServerState server;
-    private final double most, lingerMs, leastMs, burstMs;
-    private double cap, creditMs;
-    private Duration cutAt = Duration.ZERO;
+    private final double maxConcurrent;
+    // How long a call that was given up still loads the service.
+    private final double lingerMs;
+    private final double minCreditMs;
+    private final double maxCreditMs;
+    private double concurrencyLimit;
+    private double creditMs;
+    private Duration decreasedAt = Duration.ZERO;
 
-    DownstreamCalls(ServerState server, Settings given, long seed) {
+    DownstreamCalls(ServerState server, Settings settings, long seed) {
         this.server = server;
-        // Rule 4: of what all share this server's part, and saved up its part of what chance leaves all:
-        // 2 x sqrt(N) + 2; where they are not counted, one span's part. All survive one call between them.
-        boolean shared = given.text("server.below", "none").equals("shared");
-        most = Math.min(CALLS * server.cores, shared ? given.number("server.share-of-calls", 1) : 1e9);
-        double part = Math.max(most, 0.001), all = given.number("servers", 0), sum = Math.max(part * all, 1);
-        lingerMs = shared ? given.number("server.linger", 0) : 0;
-        leastMs = Math.max(1, given.number("server.calls-over", 5000)) * part;
-        double chance = 2 * (Math.sqrt(sum) + 1) / sum;
-        burstMs = Math.max(2 * lingerMs, all < 1 ? lingerMs + leastMs : chance * leastMs);
-        // Those that start together and are sent the same do not call together.
-        creditMs = burstMs * new SplittableRandom(~seed).nextDouble();
-        cap = most;
+        // Rule 4: this server's share of the shared limit, and as saved credit its share of the random excess
+        // that the fleet is allowed, 2 x sqrt(N) + 2; with a fleet of unknown size, the share of one period.
+        // All survive one call between them.
+        boolean shared = settings.text("server.below", "none").equals("shared");
+        double configuredShare = shared ? settings.number("server.share-of-calls", 1) : 1e9;
+        maxConcurrent = Math.min(CALLS_PER_CORE * server.cores, configuredShare);
+        double share = Math.max(maxConcurrent, 0.001);
+        double fleetSize = settings.number("servers", 0);
+        double fleetLimit = Math.max(share * fleetSize, 1);
+        lingerMs = shared ? settings.number("server.linger", 0) : 0;
+        minCreditMs = Math.max(1, settings.number("server.calls-over", 5000)) * share;
+        double randomExcess = 2 * (Math.sqrt(fleetLimit) + 1) / fleetLimit;
+        double savedMs = fleetSize < 1 ? lingerMs + minCreditMs : randomExcess * minCreditMs;
+        maxCreditMs = Math.max(2 * lingerMs, savedMs);
+        // Servers that start together and receive the same requests do not call together.
+        creditMs = maxCreditMs * new SplittableRandom(~seed).nextDouble();
+        concurrencyLimit = maxConcurrent;
     }
 
-    void passes(double ms) {
-        creditMs = Math.min(burstMs, creditMs + ms * (most - server.calling));
+    void accrueCredit(double elapsedMs) {
+        creditMs = Math.min(maxCreditMs, creditMs + elapsedMs * (maxConcurrent - server.inCallCount()));
     }
 
-    /** Whether a run that makes calls would wait for one. */
-    boolean full() {
-        return server.atCalls + server.calling >= cap || most < 1 && !mayCall();
+    /** Whether a run that makes calls would have to wait for one. */
+    boolean isSaturated() {
+        int calls = server.awaitingCallCount() + server.inCallCount();
+        return calls >= concurrencyLimit || maxConcurrent < 1 && !canCall();
     }
 
-    // Where it is less than one at once, a call has to fit into what is saved up, and with it its lingering.
-    private boolean mayCall() {
-        double left = creditMs - lingerMs;
-        return server.calling + 1 <= cap
-                ? left >= 0
-                : server.calling == 0 && most < 1 && left >= Math.min(leastMs, burstMs - lingerMs);
+    // Below a limit of one call at a time, a call has to fit into the saved credit, with its lingering.
+    private boolean canCall() {
+        double remainingMs = creditMs - lingerMs;
+        if (server.inCallCount() + 1 <= concurrencyLimit) {
+            return remainingMs >= 0;
+        }
+        double neededMs = Math.min(minCreditMs, maxCreditMs - lingerMs);
+        return server.inCallCount() == 0 && maxConcurrent < 1 && remainingMs >= neededMs;
     }
 
-    void make(Duration now) {
-        QuotaLimiter limit = server.limits.get(0);
-        for (Request op : server.hand) {
-            if (op.phase == Phase.AT_CALL && !op.answered && mayCall() && limit.allows(now)) {
-                server.move(op, Phase.CALLING);
-                limit.begins(now);
+    void startCalls(Duration now) {
+        QuotaLimiter quota = server.callQuota();
+        for (Request request : server.inFlight) {
+            boolean waits = request.phase == Phase.AWAITING_CALL && !request.answered;
+            if (waits && canCall() && quota.permits(now)) {
+                server.moveTo(request, Phase.IN_CALL);
+                quota.recordStart(now);
                 creditMs -= lingerMs;
-                Duration span = earlier(op.due.minus(now), most < 1 ? ofMillis(creditMs) : op.due);
-                span = limit.longest == null ? span : earlier(limit.longest, span);
-                server.next.downstreamCalls.add(new Decisions.TimedDecision(op, later(Duration.ofMillis(1), span)));
+                Duration affordable = maxConcurrent < 1 ? Durations.ofMillis(creditMs) : request.deadline;
+                Duration limit = Durations.earlier(request.deadline.minus(now), affordable);
+                Duration timeout = Durations.later(MIN_TIMEOUT, quota.limitDuration(limit));
+                server.decided(new Decision.CallDownstream(request, timeout));
             }
         }
     }
 
-    void ended(Request op, Duration now, Outcome how, Duration took) {
-        creditMs += how == Outcome.OK || how.provesNoEffect() ? lingerMs : 0;
-        if (how == Outcome.OK) {
-            cap = Math.min(most, cap + 1 / cap);
-            server.move(op, Phase.RUNNING);
+    void callEnded(Request request, Duration now, Outcome outcome, Duration elapsed) {
+        creditMs += outcome == Outcome.OK || outcome.provesNoEffect() ? lingerMs : 0;
+        if (outcome == Outcome.OK) {
+            concurrencyLimit = Math.min(maxConcurrent, concurrencyLimit + 1 / concurrencyLimit);
+            server.moveTo(request, Phase.RUNNING);
             return;
         }
-        if (isReached(now.minus(took), cutAt)) {
-            // Calls that were out together and fail together say one thing, once.
-            cap = Math.max(Math.min(1, most), cap * CALL_CUT);
-            cutAt = now;
+        if (Durations.isReached(now.minus(elapsed), decreasedAt)) {
+            // Calls that were in progress together and fail together are one sign, not one each.
+            concurrencyLimit = Math.max(Math.min(1, maxConcurrent), concurrencyLimit * DECREASE);
+            decreasedAt = now;
         }
-        // Rule 2: a call that may have had its effect is not made again, but for a retriable operation. Nor
-        // is one that was turned away or failed: it has been tried elsewhere, and the tier is crowded.
-        server.move(op, Phase.AT_CALL);
-        boolean harmless = how == Outcome.UNREACHABLE || how == Outcome.CONNECTION_LOST && op.tariff.retriable;
-        if (harmless && !op.calledAgain) {
-            op.calledAgain = true;
-        } else if (op.tariff.withoutCall > 0 && !op.answered) {
-            server.move(op, Phase.RUNNING);
-            server.next.skippedCalls.add(op);
+        server.moveTo(request, Phase.AWAITING_CALL);
+        // Rule 2: a call that may have had its effect is only repeated for an idempotent request. Nor is one
+        // that was rejected or failed: it has been tried elsewhere, and the service is overloaded.
+        boolean lost = outcome == Outcome.CONNECTION_LOST && request.priorityClass.idempotent;
+        if ((lost || outcome == Outcome.UNREACHABLE) && !request.callRetried) {
+            request.callRetried = true;
+        } else if (request.priorityClass.weightWithoutCall > 0 && !request.answered) {
+            server.moveTo(request, Phase.RUNNING);
+            server.decided(new Decision.SkipCall(request));
         } else {
-            server.endings.breakOff(op, now);
+            server.completions.fail(request, now);
         }
     }
 }
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -1,178 +1,148 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.isReached;
-
 import java.time.Duration;
-import java.util.Comparator;
-import java.util.PriorityQueue;
-import merlinlever.Decisions;
+import merlinlever.Decision;
 import merlinlever.Outcome;
 import merlinlever.RequestHandle;
 import merlinlever.Settings;
-import merlinlever.policy.OverloadController.RejectionReason;
 import merlinlever.policy.Request.Phase;
 
-/** Which operations are kept in the table, for how long, and what becomes of one that repeats another. */
+/** Decides which requests are retained for duplicates, for how long, and what becomes of a duplicate. */
 final class DuplicateRequests {
-    // Unless stated, no repeat is read later (ms) than this after it came; until then its original is known.
-    private static final double LONGEST_UNREAD = 30_000;
-
-    /** That an operation is known until then, in the table unless its entry was renewed or struck since. */
-    private record Expiry(Request op, Duration until) {}
+    // Unless configured, no duplicate is read later after its arrival; so long its original is known.
+    private static final double MAX_READ_DELAY_MS = 30_000;
 
     private final ServerState server;
-    private final double fingerprintKb;
-    private final Duration fresh, longestUnread;
-    private final PriorityQueue<Expiry> past = new PriorityQueue<>(Comparator.comparing(Expiry::until));
-    private final PriorityQueue<Expiry> table = new PriorityQueue<>(Comparator.comparing(Expiry::until));
+    private final Duration freshFor;
+    private final Duration maxReadDelay;
 
-    DuplicateRequests(ServerState server, Settings given) {
+    DuplicateRequests(ServerState server, Settings settings) {
         this.server = server;
-        fingerprintKb = given.number("server.kb-per-fingerprint", 0);
-        fresh = given.duration("server.fresh-for", 0);
-        longestUnread = given.duration("rules.longest-unread", LONGEST_UNREAD);
+        freshFor = settings.duration("server.fresh-for", 0);
+        maxReadDelay = settings.duration("rules.longest-unread", MAX_READ_DELAY_MS);
     }
 
-    boolean sharable(PriorityClass tariff) {
-        return tariff.retriable && !fresh.isZero();
+    /** Whether a read of this class may be answered with the outcome of another. */
+    boolean canShare(PriorityClass priorityClass) {
+        return priorityClass.idempotent && !freshFor.isZero();
     }
 
-    /** Rule 2: a repeat of what may have run shares its outcome or is broken off; it is never run itself. */
-    boolean joins(Request op, RequestHandle repeats, Duration now) {
-        Request original = repeats instanceof Request ? (Request) repeats : null;
-        // Who ended unrun in this batch is still named; another may have its place.
-        while (original != null
-                && original.original != null
-                && (original.phase == Phase.FOLLOWING || original.phase == Phase.OVER && !original.ran)) {
-            original = original.original;
-        }
+    /**
+     * Rule 2: a duplicate of a request that may have run shares its outcome or fails, it is never run itself.
+     * Returns whether that settles it; else it is decided on like any other arrival.
+     */
+    boolean coalesce(Request request, RequestHandle originalHandle, Duration now) {
+        Request original = originalHandle instanceof Request ? ((Request) originalHandle).successor() : null;
         if (original == null) {
-            if (!op.tariff.retriable) {
-                server.endings.breakOff(op, now);
+            if (!request.priorityClass.idempotent) {
+                server.completions.fail(request, now);
             }
-            return op.answered;
+            return request.answered;
         }
-        if (original.phase == Phase.HELD && !original.ran) {
-            // Rule 3: nor may what came after the grace take the place of an original that ends unrun.
-            boolean late = server.mode.pastGrace(op);
-            if (late || !server.capacity.fits(0)) {
-                server.endings.pushBack(
-                        op, now, late ? RejectionReason.LEAVING : RejectionReason.MEMORY, false, Duration.ZERO);
-            } else {
-                op.original = original;
-                original.followers.add(op);
-                server.move(op, Phase.FOLLOWING);
-            }
+        if (original.phase == Phase.QUEUED && !original.started) {
+            awaitOriginal(request, original, now);
             return true;
         }
-        boolean usable = original.inHand()
-                ? !original.halting
-                : original.end == Outcome.OK || original.end == Outcome.ERROR && !op.tariff.retriable;
-        if (usable && server.capacity.fits(0)) {
-            share(op, original);
-        } else if (!op.tariff.retriable && original.ran) {
-            server.endings.breakOff(op, now);
+        boolean lastingError = original.outcome == Outcome.ERROR && !request.priorityClass.idempotent;
+        boolean hasOutcome =
+                original.isInFlight() ? !original.stopping : original.outcome == Outcome.OK || lastingError;
+        if (hasOutcome && server.capacity.hasMemoryFor(0)) {
+            shareOutcome(request, original);
+        } else if (!request.priorityClass.idempotent && original.started) {
+            server.completions.fail(request, now);
         } else {
-            original.original = op;
+            original.original = request;
             return false;
         }
         return true;
     }
 
+    private void awaitOriginal(Request request, Request original, Duration now) {
+        // Rule 3: what arrived after the grace may not take the place of an original either.
+        boolean pastGrace = server.drain.isPastGrace(request);
+        if (pastGrace || !server.capacity.hasMemoryFor(0)) {
+            RejectionReason reason = pastGrace ? RejectionReason.DRAINING : RejectionReason.MEMORY;
+            server.completions.reject(request, now, reason, false, Duration.ZERO);
+        } else {
+            request.original = original;
+            original.waitingDuplicates.add(request);
+            server.moveTo(request, Phase.AWAITING_ORIGINAL);
+        }
+    }
+
     /**
-     * The operation has been started, and those that wait for its outcome share it; or it ended unrun, and
-     * the first of them takes its place and its entry in the table.
+     * Resolves what waits for a request: it was started, and its duplicates share its outcome; or it ended
+     * unstarted, and the first of them takes its place and is retained in its stead.
      */
-    void promote(Request op, Duration now) {
-        Request heir = null;
-        for (Request follower : op.followers) {
-            if (follower.phase != Phase.FOLLOWING) {
+    void resolveWaiting(Request request, Duration now) {
+        Request successor = null;
+        for (Request duplicate : request.waitingDuplicates) {
+            if (duplicate.phase != Phase.AWAITING_ORIGINAL) {
                 continue;
             }
-            if (op.ran) {
-                share(follower, op);
-            } else if (heir == null) {
-                heir = follower;
-                heir.original = null;
-                op.original = heir;
-                server.move(heir, Phase.HELD);
-                strike(op);
-                if (roomFor(heir)) {
-                    keepFor(heir, now);
-                } else {
-                    server.endings.pushBack(heir, now, RejectionReason.MEMORY, false, Duration.ZERO);
-                    heir = null;
-                }
+            if (request.started) {
+                shareOutcome(duplicate, request);
+            } else if (successor == null) {
+                successor = takePlace(duplicate, request, now) ? duplicate : null;
             } else {
-                follower.original = heir;
-                heir.followers.add(follower);
+                duplicate.original = successor;
+                successor.waitingDuplicates.add(duplicate);
             }
         }
-        op.followers.clear();
+        request.waitingDuplicates.clear();
     }
 
-    private void share(Request op, Request original) {
-        op.original = original;
-        server.move(op, Phase.SHARING);
-        server.next.coalesced.add(op);
-    }
-
-    /** The operation has just ended: what is known of it from here on. */
-    void over(Request op, Duration now) {
-        // Nothing names again what never ran; kept, a flood of pushbacks would fill the process's memory.
-        if (op.ran) {
-            past.add(new Expiry(op, now.plus(op.tariff.window).plus(longestUnread)));
+    private boolean takePlace(Request successor, Request request, Duration now) {
+        successor.original = null;
+        request.original = successor;
+        server.moveTo(successor, Phase.QUEUED);
+        server.retained.remove(request);
+        boolean hasMemory = hasMemoryFor(successor);
+        if (hasMemory) {
+            retainFromAdmission(successor, now);
         } else {
-            server.next.released.add(op);
-        }
-        promote(op, now);
-        if ((!op.ran || op.sharable && op.end != Outcome.OK) && strike(op)) {
-            server.next.evicted.add(op);
+            server.completions.reject(successor, now, RejectionReason.MEMORY, false, Duration.ZERO);
         }
+        return hasMemory;
     }
 
-    /** Rule 4: whether there is memory for the operation and for what has to be remembered of it. */
-    boolean roomFor(Request op) {
-        return server.capacity.fits(op.tariff.fingerprinted || op.sharable ? fingerprintKb : 0);
+    private void shareOutcome(Request request, Request original) {
+        request.original = original;
+        server.moveTo(request, Phase.SHARING_OUTCOME);
+        server.decided(new Decision.ShareOutcome(request));
     }
 
-    void keepFor(Request op, Duration now) {
-        if (op.tariff.fingerprinted) {
-            keep(op, now, op.tariff.window);
-        } else if (op.sharable) {
-            keep(op, now, op.due.minus(now).plus(fresh));
+    /** Called when a request has just ended: decides how long it is known from now on. */
+    void requestFinished(Request request, Duration now) {
+        // Nothing names again what never ran; kept, a flood of rejections would fill the memory.
+        if (request.started) {
+            Duration knownFor = request.priorityClass.idempotencyWindow.plus(maxReadDelay);
+            server.retained.releaseAt(request, now.plus(knownFor));
+        } else {
+            server.decided(new Decision.Release(request));
+        }
+        resolveWaiting(request, now);
+        boolean useless = !request.started || request.shareable && request.outcome != Outcome.OK;
+        if (useless && server.retained.remove(request)) {
+            server.decided(new Decision.Evict(request));
         }
     }
 
-    void keepFresh(Request op, Duration now) {
-        keep(op, now, fresh);
+    /** Rule 4: whether there is memory for what has to be retained of the request. */
+    boolean hasMemoryFor(Request request) {
+        boolean isRetained = request.priorityClass.idempotentByKey || request.shareable;
+        return server.capacity.hasMemoryFor(isRetained ? server.retained.entryKb : 0);
     }
 
-    private void keep(Request op, Duration now, Duration length) {
-        if (op.keptUntil == null) {
-            server.usedKb += fingerprintKb;
+    void retainFromAdmission(Request request, Duration now) {
+        if (request.priorityClass.idempotentByKey) {
+            server.retained.retain(request, now, request.priorityClass.idempotencyWindow);
+        } else if (request.shareable) {
+            server.retained.retain(request, now, request.deadline.minus(now).plus(freshFor));
         }
-        op.keptUntil = now.plus(length);
-        table.add(new Expiry(op, op.keptUntil));
-        server.next.retained.add(new Decisions.TimedDecision(op, length));
     }
 
-    private boolean strike(Request op) {
-        boolean kept = op.keptUntil != null;
-        server.usedKb -= kept ? fingerprintKb : 0;
-        op.keptUntil = null;
-        return kept;
-    }
-
-    void expire(Duration now) {
-        while (!table.isEmpty() && isReached(now, table.peek().until)) {
-            Expiry entry = table.poll();
-            if (entry.until.equals(entry.op.keptUntil)) {
-                strike(entry.op);
-            }
-        }
-        while (!past.isEmpty() && isReached(now, past.peek().until)) {
-            server.next.released.add(past.poll().op);
-        }
+    void retainWhileFresh(Request request, Duration now) {
+        server.retained.retain(request, now, freshFor);
     }
 }
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -4,34 +4,51 @@
 
 import java.time.Duration;
 import java.util.ArrayDeque;
+import merlinlever.QuotaDemand;
+import merlinlever.QuotaGrant;
 
-/** This server's share of what the whole fleet may do: nothing beyond it, nothing once its lease is over. */
+/**
+ * Limits what this server starts to its quota of a limit of the whole fleet: nothing beyond it, and nothing
+ * once its lease has expired. Without a lease nothing is limited.
+ */
 final class QuotaLimiter {
-    // A share of so many a second is kept in any span of this; its way to whom it is for is not quite even.
-    private static final Duration SECOND = Duration.ofMillis(1050);
+    // A quota per second is kept in any span of this; the way from here to the limited service is not even.
+    private static final Duration RATE_WINDOW = Duration.ofMillis(1050);
 
-    long share;
-    Duration until, longest;
-    boolean perSecond;
+    /** Null: not limited. Written by {@link OverloadController#setQuota}. */
+    QuotaGrant grant;
+    /** How many are in progress. Written by {@link ServerState}. */
     int inUse;
-    private final ArrayDeque<Duration> begun = new ArrayDeque<>();
 
-    boolean allows(Duration now) {
-        while (!begun.isEmpty() && isReached(now, begun.peek().plus(SECOND))) {
-            begun.poll();
+    private final ArrayDeque<Duration> recentStarts = new ArrayDeque<>();
+
+    boolean permits(Duration now) {
+        while (!recentStarts.isEmpty() && isReached(now, recentStarts.peek().plus(RATE_WINDOW))) {
+            recentStarts.poll();
         }
-        return until == null || !isReached(now, until) && (perSecond ? begun.size() : inUse) < share;
+        return grant == null || !isReached(now, grant.leaseUntil()) && used() < grant.quota();
     }
 
-    void begins(Duration now) {
-        if (until != null && perSecond) {
-            begun.add(now);
+    void recordStart(Duration now) {
+        if (isPerSecond()) {
+            recentStarts.add(now);
         }
     }
 
-    /** What is out of it now, and what would be if it were larger: begun of late or now, and waiting. */
-    long[] demand(Duration now, long waits) {
-        allows(now);
-        return new long[] {inUse, (perSecond ? begun.size() : inUse) + waits};
+    Duration limitDuration(Duration callDuration) {
+        return grant == null ? callDuration : grant.limitDuration(callDuration);
+    }
+
+    QuotaDemand demand(Duration now, long waiting) {
+        permits(now);
+        return new QuotaDemand(inUse, used() + waiting);
+    }
+
+    private int used() {
+        return isPerSecond() ? recentStarts.size() : inUse;
+    }
+
+    private boolean isPerSecond() {
+        return grant != null && grant.perSecond();
     }
 }
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -1,104 +1,159 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.earlier;
-import static merlinlever.Durations.ofMillis;
-
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import merlinlever.Durations;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 
 /**
- * An operation: what is known of it, how far it has come, and which part hears what happens to it. Nothing is
- * decided here.
+ * A request from its submission to its end: what is known of it, its phase, and which part handles its
+ * events. It decides nothing. Times count from the start of the server.
  */
 final class Request implements RequestHandle {
+    /** How far a request has come. */
     enum Phase {
-        HELD,
-        FOLLOWING,
+        /** In the admission queue, for its start. */
+        QUEUED,
+        /** A duplicate of a request that is still queued. */
+        AWAITING_ORIGINAL,
+        /** Its run is on the cores. */
         RUNNING,
-        AT_CALL,
-        CALLING,
-        SHARING,
-        OVER
+        /** Its run waits for a downstream call that is not made yet. */
+        AWAITING_CALL,
+        /** Its run waits for the downstream call that was made. */
+        IN_CALL,
+        /** A duplicate that is answered with the outcome of its started original. */
+        SHARING_OUTCOME,
+        FINISHED
     }
 
     private final ServerState server;
-    final PriorityClass tariff;
-    final Duration arrival, due, soft;
-    final double kb, hintMs;
-    final boolean sharable, again;
-    Phase phase = Phase.HELD;
-    boolean answered, ran, halting, calledAgain;
-    Outcome end;
-    Duration startedAt, keptUntil;
+    final PriorityClass priorityClass;
+    final Duration arrivedAt;
+    /** When its caller gives up. */
+    final Duration deadline;
+    /** When its latency objective is missed; at most the deadline. */
+    final Duration objectiveAt;
+
+    final double memoryKb;
+    /** The caller's estimate of its run time, or 0. */
+    final double costHintMs;
+    /** Whether other requests may be answered with its outcome, a read of the same subject. */
+    final boolean shareable;
+    /** Whether its caller marked it as a retry. */
+    final boolean retry;
+
+    /** Written by {@link ServerState#moveTo}. */
+    Phase phase = Phase.QUEUED;
+    /** Answered, or owed no answer any more. Written by {@link Completions}. */
+    boolean answered;
+    /** A run was asked to stop. Written by {@link Completions}. */
+    boolean stopping;
+    /** How its run ended, or null. Written by {@link Completions}. */
+    Outcome outcome;
+    /** Whether it was ever started. Written by {@link Dispatcher}. */
+    boolean started;
+    /** Written by {@link Dispatcher}. */
+    Duration startedAt;
+    /** Whether its call was made a second time. Written by {@link DownstreamCalls}. */
+    boolean callRetried;
+    /** Until when duplicates find it, or null. Written by {@link DuplicateRequests}. */
+    Duration retainedUntil;
+    /** What it duplicates, or what took its place, or null. Written by {@link DuplicateRequests}. */
     Request original;
-    final List<Request> followers = new ArrayList<>(0);
-
-    Request(
-            ServerState server,
-            PriorityClass tariff,
-            Duration arrival,
-            Duration due,
-            double kb,
-            double hintMs,
-            boolean sharable,
-            boolean again) {
+    /** Duplicates in phase {@link Phase#AWAITING_ORIGINAL}. Written by {@link DuplicateRequests}. */
+    final List<Request> waitingDuplicates = new ArrayList<>(0);
+
+    Request(ServerState server, Duration now, RequestAttributes attributes) {
         this.server = server;
-        this.tariff = tariff;
-        this.arrival = arrival;
-        this.due = due;
-        this.kb = kb;
-        this.hintMs = hintMs;
-        this.sharable = sharable;
-        this.again = again;
-        soft = earlier(arrival.plus(tariff.softLimit).plus(ofMillis(tariff.stretch * hintMs)), due);
+        priorityClass = server.priorityClasses.get(attributes.priorityClass());
+        arrivedAt = now.minus(attributes.readDelay());
+        Duration defaultDeadline = arrivedAt.plus(priorityClass.clientTimeout);
+        deadline = Durations.later(now, attributes.deadline().orElse(defaultDeadline));
+        memoryKb = attributes.memoryKb();
+        costHintMs = Durations.toMillis(attributes.costHint().orElse(Duration.ZERO));
+        shareable = attributes.shareable() && server.duplicates.canShare(priorityClass);
+        retry = attributes.retry();
+        Duration stretch = Durations.ofMillis(priorityClass.objectiveStretch * costHintMs);
+        Duration objective = priorityClass.latencyObjective.plus(stretch);
+        objectiveAt = Durations.earlier(arrivedAt.plus(objective), deadline);
+    }
+
+    Duration expectedRunTime() {
+        boolean underPressure = server.admissionControl.isUnderPressure();
+        return priorityClass.runTimes.expected(costHintMs, underPressure, priorityClass.latencyObjective);
+    }
+
+    /** Whether it waits for its start or for the outcome of another, and uses no core. */
+    boolean isWaiting() {
+        return phase == Phase.QUEUED || phase == Phase.AWAITING_ORIGINAL || phase == Phase.SHARING_OUTCOME;
     }
 
-    Duration usualRun() {
-        return tariff.times.usual(hintMs, server.admission.presses(), tariff.softLimit);
+    /** Whether it waits for its start, or for that of its original, and was never started before. */
+    boolean isWaitingUnstarted() {
+        return (phase == Phase.QUEUED || phase == Phase.AWAITING_ORIGINAL) && !started;
     }
 
-    /** Whether it waits in the hold, for its start or for another's outcome. */
-    boolean offCores() {
-        return phase == Phase.HELD || phase == Phase.FOLLOWING || phase == Phase.SHARING;
+    /** Whether its run is on the cores, waits for a call or is in one. */
+    boolean isStarted() {
+        return phase == Phase.RUNNING || phase == Phase.AWAITING_CALL || phase == Phase.IN_CALL;
     }
 
-    boolean inHand() {
-        return phase != Phase.OVER;
+    boolean sharesOutcomeOf(Request other) {
+        return phase == Phase.SHARING_OUTCOME && original == other;
+    }
+
+    boolean isInFlight() {
+        return phase != Phase.FINISHED;
+    }
+
+    double usedMemoryKb() {
+        boolean holdsRun = started && phase != Phase.QUEUED && phase != Phase.SHARING_OUTCOME;
+        return holdsRun ? memoryKb * server.runMemoryFactor : memoryKb;
+    }
+
+    /** Itself, or what took its place: a request that ended unstarted in this batch may still be named. */
+    Request successor() {
+        Request current = this;
+        while (current.original != null && current.isReplaced()) {
+            current = current.original;
+        }
+        return current;
     }
 
-    double memory() {
-        return ran && phase != Phase.HELD && phase != Phase.SHARING ? kb * server.runFactor : kb;
+    private boolean isReplaced() {
+        return phase == Phase.AWAITING_ORIGINAL || phase == Phase.FINISHED && !started;
     }
 
     @Override
-    public void runEnded(Duration now, Outcome how) {
-        server.clock(now);
-        server.endings.ended(this, now, how);
+    public void runEnded(Duration now, Outcome runOutcome) {
+        server.advanceClock(now);
+        server.completions.runEnded(this, now, runOutcome);
     }
 
     @Override
     public void callNeeded(Duration now) {
-        server.clock(now);
-        server.mode.progress = now;
+        server.advanceClock(now);
+        server.stallDetector.recordProgress(now);
         if (phase == Phase.RUNNING) {
-            server.move(this, Phase.AT_CALL);
+            server.moveTo(this, Phase.AWAITING_CALL);
         }
     }
 
     @Override
-    public void callEnded(Duration now, Outcome how, Duration took) {
-        server.clock(now);
-        if (phase == Phase.CALLING) {
-            server.calls.ended(this, now, how, took);
+    public void callEnded(Duration now, Outcome callOutcome, Duration elapsed) {
+        server.advanceClock(now);
+        if (phase == Phase.IN_CALL) {
+            server.downstreamCalls.callEnded(this, now, callOutcome, elapsed);
         }
     }
 
     @Override
     public void callerGone(Duration now) {
-        server.clock(now);
-        server.endings.callerGone(this, now);
+        server.advanceClock(now);
+        server.completions.callerGone(this, now);
     }
 }
--- a/src/main/java/merlinlever/policy/RunTimeEstimator.java
+++ b/src/main/java/merlinlever/policy/RunTimeEstimator.java
@@ -1,51 +1,40 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.*;
-
 import java.time.Duration;
-import java.util.Arrays;
-import java.util.stream.IntStream;
+import merlinlever.Durations;
 
-/** How long the runs of a tariff have taken, and how long one is likely to take. */
+/** Estimates from earlier runs of a priority class how long one is likely to take. */
 final class RunTimeEstimator {
-    private final Histogram runs = new Histogram(), perHint = new Histogram();
+    // Runs with a cost hint, above which the hint is used.
+    private static final double MIN_HINTED_RUNS = 5;
 
-    /** Times in coarse bins, each half as wide again as the last, halved now and then. */
-    private static final class Histogram {
-        private final double[] bins = new double[32];
-        private double total, mean;
+    // Coarse bins, and how many values are counted before they are halved.
+    private static final int BINS = 32;
+    private static final double BIN_RATIO = 1.5;
+    private static final double MAX_VALUES = 60;
 
-        void add(double ms) {
-            bins[(int) Math.min(bins.length - 1, Math.log(Math.max(ms, 1)) / Math.log(1.5))]++;
-            if (++total > 60) {
-                total /= 2;
-                Arrays.setAll(bins, i -> bins[i] / 2);
-            }
-            mean = IntStream.range(0, 32)
-                            .mapToDouble(i -> bins[i] * Math.pow(1.5, i + 0.5))
-                            .sum()
-                    / total;
-        }
-    }
+    private final DecayingHistogram runTimesMs = new DecayingHistogram(BINS, BIN_RATIO, MAX_VALUES);
+    private final DecayingHistogram percentOfHint = new DecayingHistogram(BINS, BIN_RATIO, MAX_VALUES);
 
-    void add(double ms, double hintMs) {
-        runs.add(ms);
-        if (hintMs > 0) {
-            perHint.add(100 * ms / hintMs);
+    void record(double runMs, double costHintMs) {
+        runTimesMs.add(runMs);
+        if (costHintMs > 0) {
+            percentOfHint.add(100 * runMs / costHintMs);
         }
     }
 
     double meanMs() {
-        return runs.mean;
+        return runTimesMs.mean();
     }
 
     /**
-     * The likely run time: by the hint under pressure only, or large ones were refused where is room; else at
-     * most half the soft limit, or a machine that was slow would never learn better.
+     * By the cost hint only under pressure, or large requests were rejected where there is room; else at most
+     * half the objective, or a machine that was slow would never learn better.
      */
-    Duration usual(double hintMs, boolean pressed, Duration softLimit) {
-        return hintMs > 0 && perHint.total > 5 && pressed
-                ? ofMillis(hintMs * perHint.mean / 100)
-                : earlier(ofMillis(runs.mean), softLimit.dividedBy(2));
+    Duration expected(double costHintMs, boolean underPressure, Duration latencyObjective) {
+        boolean usesHint = costHintMs > 0 && percentOfHint.total() > MIN_HINTED_RUNS && underPressure;
+        return usesHint
+                ? Durations.ofMillis(costHintMs * percentOfHint.mean() / 100)
+                : Durations.earlier(Durations.ofMillis(runTimesMs.mean()), latencyObjective.dividedBy(2));
     }
 }
--- a/src/main/java/merlinlever/wire/ControllerInstance.java
+++ b/src/main/java/merlinlever/wire/ControllerInstance.java
@@ -3,7 +3,9 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 import merlinlever.core.ControllerDriver;
 import merlinlever.core.DecisionHandler;
@@ -88,17 +90,22 @@
                 .control()
                 .submit(
                         now,
-                        tariff,
-                        span(line.number("unread-for", 0)),
-                        leaves == 0 ? null : sinceStart(leaves),
-                        line.number("size-kb", 0),
-                        work == 0 ? null : span(work),
-                        line.flag("resent"),
-                        line.text("name-key") != null && !line.flag("write"),
-                        repeats == 0 ? null : byId.getOrDefault(repeats, ControllerDriver.UNKNOWN));
+                        RequestAttributes.ofClass(tariff)
+                                .readDelay(span(line.number("unread-for", 0)))
+                                .deadline(leaves == 0 ? Optional.empty() : Optional.of(sinceStart(leaves)))
+                                .memoryKb(line.number("size-kb", 0))
+                                .costHint(work == 0 ? Optional.empty() : Optional.of(span(work)))
+                                .retry(line.flag("resent"))
+                                .shareable(line.text("name-key") != null && !line.flag("write"))
+                                .original(original(repeats))
+                                .build());
         byId.put(id, conductor.know(taken, id));
     }
 
+    private Optional<RequestHandle> original(long id) {
+        return id == 0 ? Optional.empty() : Optional.of(byId.getOrDefault(id, ControllerDriver.UNKNOWN));
+    }
+
     /** Appends what the module decides. */
     void settle(double now, StringBuilder out) {
         this.now = now;
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -7,13 +7,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 import merlinlever.core.ControllerDriver;
 import merlinlever.core.DecisionHandler;
-import merlinlever.policy.OverloadController;
+import merlinlever.policy.ControllerMetrics;
 import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.record.MalformedDnsException;
 import merlinlever.zone.record.RecordTypes;
@@ -140,7 +142,7 @@
     }
 
     /** What the module sees. */
-    public OverloadController.ControllerMetrics figures() {
+    public ControllerMetrics figures() {
         return conductor.control().metrics();
     }
 
@@ -287,14 +289,11 @@
                 .control()
                 .submit(
                         now,
-                        asked.kind.ordinal(),
-                        waited,
-                        null,
-                        1 + asked.message.octets().length / 1024.0,
-                        null,
-                        false,
-                        false,
-                        original == null ? null : original.handle);
+                        RequestAttributes.ofClass(asked.kind.ordinal())
+                                .readDelay(waited)
+                                .memoryKb(1 + asked.message.octets().length / 1024.0)
+                                .original(Optional.ofNullable(original).map(earlier -> earlier.handle))
+                                .build());
         asked.handle = conductor.know(taken, asked);
         return asked;
     }
--- a/src/test/java/merlinlever/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/AdmissionMechanismTest.java
@@ -1,37 +1,39 @@
 package merlinlever;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
 import net.jqwik.api.Example;
 
-/** The mechanism of the design page, with figures worked by hand. */
+/** Random early detection, dispatching and backpressure as docs/design.md has them, with figures worked by hand. */
 class AdmissionMechanismTest {
 
-    private final ControllerFixture server = new ControllerFixture();
+    private final ControllerFixture fixture = new ControllerFixture();
 
-    /** Fills the hold behind full cores and returns how many of the arrivals of a tariff were refused. */
-    private double refused(int tariff, boolean again, int waiting, int arrivals) {
-        return refused(tariff, again, waiting, arrivals, ControllerFixture::new);
+    /** Queues requests behind busy cores; returns the fraction of the arrivals of a class that were rejected. */
+    private double rejectedFraction(int priorityClass, boolean retry, int queued, int arrivals) {
+        return rejectedFraction(priorityClass, retry, queued, arrivals, ControllerFixture::new);
     }
 
-    private double refused(int tariff, boolean again, int waiting, int arrivals, Supplier<ControllerFixture> made) {
+    private double rejectedFraction(
+            int priorityClass, boolean retry, int queued, int arrivals, Supplier<ControllerFixture> fixtures) {
         int count = 0;
         for (int i = 0; i < arrivals; i++) {
-            ControllerFixture one = made.get();
-            one.seed = i;
-            one.warmedUp(10, 200).full();
-            for (int held = 0; held < waiting; held++) {
-                one.take(ControllerFixture.ORDER);
+            ControllerFixture server = fixtures.get();
+            server.seed = i;
+            server.warmUp(10, 200).occupyAllCores();
+            for (int j = 0; j < queued; j++) {
+                server.submit(ControllerFixture.ORDER);
             }
-            RequestHandle arrival = again ? one.again(tariff) : one.take(tariff);
-            one.settle();
-            for (Decisions.Rejection pushback : one.last.rejected) {
-                if (pushback.request() == arrival) {
+            RequestHandle arrival = retry ? server.submitRetry(priorityClass) : server.submit(priorityClass);
+            for (Decision.Reject rejection : server.decide().rejected()) {
+                if (rejection.request() == arrival) {
                     count++;
-                    assertTrue(pushback.finalRejection(), "a refusal by chance is final");
+                    assertTrue(rejection.isFinal(), "a random rejection is final");
                 }
             }
         }
@@ -39,148 +41,148 @@
     }
 
     @Example
-    void belowTheLowerThresholdNothingIsRefused() {
-        assertEquals(0, refused(ControllerFixture.LOOKUP, false, 10, 200));
+    void rejectsNothingBelowTheLowerThreshold() {
+        assertEquals(0, rejectedFraction(ControllerFixture.LOOKUP, false, 10, 200));
     }
 
     @Example
-    void theLeastValuedIsRefusedFirst() {
-        // Capacity 40 (8 cores, 200 ms a run, 1 s): 20 waiting give q = 0.5, avg 0.48, p_b = 0.14 and a count over 7.
-        double lookups = refused(ControllerFixture.LOOKUP, false, 20, 400);
-        double charges = refused(ControllerFixture.CHARGE, false, 20, 400);
+    void rejectsTheClassOfLeastWeightFirst() {
+        // Capacity 40 (8 cores, 200 ms a run, 1 s): 20 queued give occupancy 0.5, average 0.48, base
+        // probability 0.14 and over 7 queued since the last rejection.
+        double lookups = rejectedFraction(ControllerFixture.LOOKUP, false, 20, 400);
+        double charges = rejectedFraction(ControllerFixture.CHARGE, false, 20, 400);
         assertTrue(lookups > 0.2, "coefficient 5: " + lookups);
         assertTrue(charges < 0.1, "coefficient 0.1: " + charges);
-        double chargesAgain = refused(ControllerFixture.CHARGE, true, 20, 400);
-        assertTrue(chargesAgain > 1.5 * charges, "four times as often as a further try: " + chargesAgain);
+        double retries = rejectedFraction(ControllerFixture.CHARGE, true, 20, 400);
+        assertTrue(retries > 1.5 * charges, "four times as often as a retry: " + retries);
     }
 
-    /** A class that is worth nothing must not switch the refusals of all classes off. */
+    /** A class without weight must not switch off the rejections of all classes. */
     @Example
-    void aTariffWithoutValueIsRefusedFirstAndTheOthersByTheirValue() {
-        Supplier<ControllerFixture> made = () -> {
-            ControllerFixture one = new ControllerFixture();
-            one.with("tariffs." + ControllerFixture.LOOKUP + ".value", 0);
-            return one;
-        };
-        double lookups = refused(ControllerFixture.LOOKUP, false, 20, 400, made);
-        double charges = refused(ControllerFixture.CHARGE, false, 20, 400, made);
+    void rejectsAClassWithoutWeightFirstAndTheOthersByTheirWeight() {
+        Supplier<ControllerFixture> fixtures =
+                () -> new ControllerFixture().with("tariffs." + ControllerFixture.LOOKUP + ".value", 0);
+        double lookups = rejectedFraction(ControllerFixture.LOOKUP, false, 20, 400, fixtures);
+        double charges = rejectedFraction(ControllerFixture.CHARGE, false, 20, 400, fixtures);
         assertTrue(lookups > 0.2, "coefficient 5: " + lookups);
         assertTrue(charges > 0 && charges < 0.1, "coefficient 0.1: " + charges);
     }
 
     @Example
-    void whatFreeCoresTakeAtOnceDoesNotCountAsWaiting() {
-        server.with("server.cores", 2);
+    void whatIdleCoresStartAtOnceDoesNotCountAsQueued() {
+        fixture.with("server.cores", 2);
         for (int i = 0; i < 100; i++) {
-            RequestHandle lookup = server.take(ControllerFixture.LOOKUP);
-            assertEquals(List.of(lookup), server.settle().started, "two cores, one at a time: nothing waits");
-            lookup.runEnded(server.now, Outcome.OK);
+            RequestHandle lookup = fixture.submit(ControllerFixture.LOOKUP);
+            assertEquals(List.of(lookup), fixture.decide().started(), "two cores, one at a time: nothing is queued");
+            lookup.runEnded(fixture.now, Outcome.OK);
         }
     }
 
     @Example
-    void startsGoOldestFirstBelowTheMark() {
-        List<RequestHandle> running = server.full();
-        RequestHandle first = server.take(ControllerFixture.LOOKUP);
-        RequestHandle second = server.take(ControllerFixture.CHARGE);
-        assertEquals(List.of(), server.settle().started, "the gauge reads 8, the mark is 8 cores");
-        running.get(0).runEnded(server.now, Outcome.OK);
-        assertEquals(List.of(first), server.settle().started, "one has ended since");
-        server.control().updateGauges(server.now, new double[] {1, 9});
-        running.get(1).runEnded(server.now, Outcome.OK);
-        assertEquals(List.of(), server.settle().started, "9 less the one that ended is not below the mark");
-        server.control().updateGauges(server.now, new double[] {1, 7});
-        assertEquals(List.of(second), server.settle().started);
+    void startsTheOldestFirstWhileTheRunQueueIsShorterThanTheCores() {
+        List<RequestHandle> running = fixture.occupyAllCores();
+        RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
+        RequestHandle second = fixture.submit(ControllerFixture.CHARGE);
+        assertEquals(List.of(), fixture.decide().started(), "the gauge reads 8, and there are 8 cores");
+        running.get(0).runEnded(fixture.now, Outcome.OK);
+        assertEquals(List.of(first), fixture.decide().started(), "one has ended since");
+        fixture.updateGauges(1, 9);
+        running.get(1).runEnded(fixture.now, Outcome.OK);
+        assertEquals(List.of(), fixture.decide().started(), "9 less the one that ended is not below 8");
+        fixture.updateGauges(1, 7);
+        assertEquals(List.of(second), fixture.decide().started());
     }
 
     @Example
-    void aBacklogBeforeTheDoorCountsAsHeld() {
-        server.warmedUp(10, 200);
-        int refused = 0;
+    void readDelayCountsAsQueueing() {
+        fixture.warmUp(10, 200);
+        int rejected = 0;
         for (int i = 0; i < 30; i++) {
-            server.take(ControllerFixture.LOOKUP, 850, 10, null);
-            refused += server.settle().rejected.size();
+            fixture.submit(ControllerFixture.LOOKUP, 850, 10, null);
+            rejected += fixture.decide().rejected().size();
         }
-        assertEquals(30, refused, "850 ms of a span of 1000 ms is over max_th");
+        assertEquals(30, rejected, "850 ms of an objective of 1000 ms is over the upper threshold");
     }
 
     @Example
-    void aRefusalByChanceAsksCallersToTryNowhereElseWhateverReadingCosts() {
-        for (int reading : new int[] {50, 150}) {
-            ControllerFixture one = new ControllerFixture();
-            one.take(ControllerFixture.LOOKUP, reading, 10, null);
-            one.settle();
-            one.take(ControllerFixture.LOOKUP, reading + 900, 10, null);
-            one.settle();
-            assertTrue(one.last.rejected.get(0).finalRejection(), "reading " + reading + " ms of a 1000 ms span");
+    void randomRejectionIsFinalWhateverReadingCosts() {
+        for (int readMs : new int[] {50, 150}) {
+            ControllerFixture server = new ControllerFixture();
+            server.submit(ControllerFixture.LOOKUP, readMs, 10, null);
+            server.decide();
+            server.submit(ControllerFixture.LOOKUP, readMs + 900, 10, null);
+            assertTrue(server.decide().rejected().get(0).isFinal(), "read in " + readMs + " ms of 1000 ms");
         }
     }
 
     @Example
-    void theLevelRisesWithPressureAndFallsAfterIt() {
-        server.with("server.say", "level").warmedUp(10, 200);
-        double high = 0;
+    void backpressureRisesWithTheOccupancyAndFallsAfterIt() {
+        fixture.with("server.say", "level").warmUp(10, 200);
+        double level = 0;
         for (int i = 0; i < 30; i++) {
-            server.take(ControllerFixture.LOOKUP, 850, 10, null);
-            server.after(100);
-            high = Double.isNaN(server.last.backpressureLevel) ? high : server.last.backpressureLevel;
+            fixture.submit(ControllerFixture.LOOKUP, 850, 10, null);
+            fixture.decideAfter(100);
+            level = fixture.lastBatch.backpressure().orElse(level);
         }
-        assertTrue(high >= 0.5, "level " + high);
+        assertTrue(level >= 0.5, "level " + level);
         for (int i = 0; i < 200; i++) {
-            server.after(100);
-            high = Double.isNaN(server.last.backpressureLevel) ? high : server.last.backpressureLevel;
+            fixture.decideAfter(100);
+            level = fixture.lastBatch.backpressure().orElse(level);
         }
-        assertEquals(0, high);
+        assertEquals(0, level);
     }
 
     @Example
-    void idleConnectionsOfManyCallersAreClosedSoonerTheMoreACoreIsFree() {
-        server.with("server.idle", 30000).with("server.callers", 200);
+    void closesIdleConnectionsOfManyCallersSoonerTheMoreOftenACoreIsFree() {
+        fixture.with("server.idle", 30000).with("server.callers", 200);
         for (int i = 0; i < 50; i++) {
-            server.after(100);
+            fixture.decideAfter(100);
         }
         assertTrue(
-                server.closeIdle.compareTo(ControllerFixture.millis(1200)) < 0,
-                "idle cores: a thirtieth, " + server.closeIdle);
-        server.control().updateGauges(server.now, new double[] {1, 8});
+                fixture.idleConnectionTimeout.compareTo(Duration.ofMillis(1200)) < 0,
+                "idle cores: a thirtieth, " + fixture.idleConnectionTimeout);
+        fixture.updateGauges(1, 8);
         for (int i = 0; i < 250; i++) {
-            server.after(100);
+            fixture.decideAfter(100);
         }
         assertTrue(
-                server.closeIdle.compareTo(ControllerFixture.millis(25000)) > 0,
-                "full cores: all of it, " + server.closeIdle);
-        ControllerFixture few =
+                fixture.idleConnectionTimeout.compareTo(Duration.ofMillis(25000)) > 0,
+                "busy cores: all of it, " + fixture.idleConnectionTimeout);
+        ControllerFixture fewCallers =
                 new ControllerFixture().with("server.idle", 30000).with("server.callers", 100);
-        few.after(100);
-        few.after(5000);
-        assertEquals(null, few.closeIdle, "few callers cannot fill the table");
+        fewCallers.decideAfter(100);
+        fewCallers.decideAfter(5000);
+        assertNull(fewCallers.idleConnectionTimeout, "few callers cannot fill the table");
     }
 
     @Example
-    void oneLongRunDoesNotUndoWhatTwoCoresHaveLearned() {
-        server.with("server.cores", 2).warmedUp(20, 100);
-        server.take(ControllerFixture.ORDER);
-        server.take(ControllerFixture.ORDER);
-        server.after(900);
-        server.take(ControllerFixture.LOOKUP);
-        server.take(ControllerFixture.LOOKUP);
-        server.settle();
-        assertTrue(server.last.started.isEmpty());
-        assertTrue(server.last.rejected.isEmpty(), "capacity 20, one waits: q under 0.3 after a span without an end");
+    void oneLongRunDoesNotUndoTheCapacityThatWasLearned() {
+        fixture.with("server.cores", 2).warmUp(20, 100);
+        fixture.submit(ControllerFixture.ORDER);
+        fixture.submit(ControllerFixture.ORDER);
+        fixture.decideAfter(900);
+        fixture.submit(ControllerFixture.LOOKUP);
+        fixture.submit(ControllerFixture.LOOKUP);
+        fixture.decide();
+        assertTrue(fixture.lastBatch.started().isEmpty());
+        assertTrue(
+                fixture.lastBatch.rejected().isEmpty(),
+                "capacity 20, one queued: occupancy under 0.3 though nothing completed lately");
     }
 
     @Example
-    void sameSeedSameDecisions() {
-        ControllerFixture one = new ControllerFixture();
-        ControllerFixture two = new ControllerFixture();
-        for (ControllerFixture each : List.of(one, two)) {
-            each.warmedUp(5, 200);
+    void sameSeedMakesTheSameDecisions() {
+        ControllerFixture first = new ControllerFixture();
+        ControllerFixture second = new ControllerFixture();
+        for (ControllerFixture server : List.of(first, second)) {
+            server.warmUp(5, 200);
             for (int i = 0; i < 60; i++) {
-                each.take(i % 4);
+                server.submit(i % 4);
             }
-            each.settle();
+            server.decide();
         }
-        assertEquals(one.last.rejected.size(), two.last.rejected.size());
-        assertTrue(one.last.rejected.size() > 0);
+        assertEquals(
+                first.lastBatch.rejected().size(), second.lastBatch.rejected().size());
+        assertTrue(first.lastBatch.rejected().size() > 0);
     }
 }
--- a/src/test/java/merlinlever/ControllerFixture.java
+++ b/src/test/java/merlinlever/ControllerFixture.java
@@ -5,139 +5,140 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import merlinlever.policy.OverloadController;
 
-/** A module with what is stated at start, a clock, and short words for what the tests do to it. */
+/** A controller with its settings and a clock, and short ways to drive it. */
 final class ControllerFixture {
 
+    /** Idempotent, of little weight. */
     static final int LOOKUP = 0;
+    /** Idempotent by key. */
     static final int CHARGE = 1;
+    /** Not idempotent. */
     static final int ORDER = 2;
+    /** Idempotent by key, and the only class that makes downstream calls. */
     static final int CALLING = 3;
 
-    final Map<String, String> given = new HashMap<>(Map.of(
-            "server.cores",
-            "8",
-            "server.memory-kb",
-            "100000",
-            "server.run-factor",
-            "4",
-            "server.halt",
-            "drop",
-            "server.gauges",
-            "busy,run-queue",
-            "server.calls-by-tariff",
-            "false,false,false,true",
-            "rules.crowd-factor",
-            "4",
-            "rules.drain-grace",
-            "2000",
-            "server.kb-per-fingerprint",
-            "100",
-            "limits.longest-stay-away",
-            "1000"));
+    private static final int CORES = 8;
+
+    final Map<String, String> settings = new HashMap<>();
     long seed = 7;
     Duration now = Duration.ZERO;
-    Decisions last = new Decisions();
-    Duration closeIdle;
-    private OverloadController control;
+    DecidedBatch lastBatch;
+    /** As decided last, or null. */
+    Duration idleConnectionTimeout;
+
+    private OverloadController controller;
 
     ControllerFixture() {
-        given.put("limits.stay-away", "true");
-        tariff(LOOKUP, "retriable", 1);
-        tariff(CHARGE, "fingerprinted", 4);
-        tariff(ORDER, "binding", 4);
-        tariff(CALLING, "fingerprinted", 4);
+        with("server.cores", CORES);
+        with("server.memory-kb", 100_000);
+        with("server.run-factor", 4);
+        with("server.halt", "drop");
+        with("server.gauges", "busy,run-queue");
+        with("server.calls-by-tariff", "false,false,false,true");
+        with("server.kb-per-fingerprint", 100);
+        with("rules.crowd-factor", 4);
+        with("rules.drain-grace", 2000);
+        with("limits.stay-away", true);
+        with("limits.longest-stay-away", 1000);
+        priorityClass(LOOKUP, "retriable", 1);
+        priorityClass(CHARGE, "fingerprinted", 4);
+        priorityClass(ORDER, "binding", 4);
+        priorityClass(CALLING, "fingerprinted", 4);
     }
 
-    private void tariff(int index, String kind, double value) {
-        String at = "tariffs." + index + ".";
-        given.putAll(Map.of(
-                at + "name",
-                "t" + index,
-                at + "kind",
-                kind,
-                at + "value",
-                "" + value,
-                at + "soft-limit",
-                "1000",
-                at + "client-timeout",
-                "3000",
-                at + "window",
-                "10000"));
+    private void priorityClass(int index, String kind, double weight) {
+        String prefix = "tariffs." + index + ".";
+        with(prefix + "name", "t" + index);
+        with(prefix + "kind", kind);
+        with(prefix + "value", weight);
+        with(prefix + "soft-limit", 1000);
+        with(prefix + "client-timeout", 3000);
+        with(prefix + "window", 10_000);
     }
 
+    /** Sets a setting; only before the controller is first used. */
     ControllerFixture with(String name, Object value) {
-        given.put(name, "" + value);
+        settings.put(name, String.valueOf(value));
         return this;
     }
 
-    OverloadController control() {
-        if (control == null) {
-            control = new OverloadController(given, seed);
+    OverloadController controller() {
+        if (controller == null) {
+            controller = new OverloadController(settings, seed);
         }
-        return control;
+        return controller;
+    }
+
+    RequestHandle submit(int priorityClass) {
+        return submit(priorityClass, 0, 10, null);
+    }
+
+    /** A duplicate of the original, marked as a retry, unless that is null. */
+    RequestHandle submit(int priorityClass, double readDelayMs, double memoryKb, RequestHandle original) {
+        return submit(RequestAttributes.ofClass(priorityClass)
+                .readDelay(Durations.ofMillis(readDelayMs))
+                .memoryKb(memoryKb)
+                .retry(original != null)
+                .shareable(true)
+                .original(Optional.ofNullable(original)));
     }
 
-    RequestHandle take(int tariff) {
-        return take(tariff, 0, 10, null);
+    /** A request that is marked as a retry, of an original that is not known. */
+    RequestHandle submitRetry(int priorityClass) {
+        return submit(RequestAttributes.ofClass(priorityClass)
+                .memoryKb(10)
+                .retry(true)
+                .shareable(true));
     }
 
-    RequestHandle take(int tariff, double unreadMs, double kb, RequestHandle repeats) {
-        return control().submit(now, tariff, millis(unreadMs), null, kb, null, repeats != null, true, repeats);
+    RequestHandle submit(RequestAttributes.Builder attributes) {
+        return controller().submit(now, attributes.build());
     }
 
-    /** A marked further try of which nothing is known here. */
-    RequestHandle again(int tariff) {
-        return control().submit(now, tariff, millis(0), null, 10, null, true, true, null);
+    DecidedBatch decide() {
+        lastBatch = new DecidedBatch(controller().decide(now));
+        lastBatch.idleConnectionTimeout().ifPresent(timeout -> idleConnectionTimeout = timeout);
+        return lastBatch;
     }
 
-    Decisions settle() {
-        last = control().decide(now);
-        closeIdle = last.idleConnectionTimeout == null ? closeIdle : last.idleConnectionTimeout;
-        return last;
+    DecidedBatch decideAfter(double ms) {
+        now = now.plus(Durations.ofMillis(ms));
+        return decide();
     }
 
-    Decisions after(double ms) {
-        now = now.plus(millis(ms));
-        return settle();
+    void updateGauges(double busy, double runQueue) {
+        controller().updateGauges(now, new double[] {busy, runQueue});
     }
 
-    /** Runs one lookup to its end, over and over, so that the module learns what it can do. */
-    ControllerFixture warmedUp(int rounds, double runMs) {
+    /** Runs two lookups to their end, over and over, so that the controller learns what the server can do. */
+    ControllerFixture warmUp(int rounds, double runMs) {
         for (int i = 0; i < rounds; i++) {
-            List<RequestHandle> started = new ArrayList<>();
-            started.add(take(LOOKUP));
-            started.add(take(LOOKUP));
-            settle();
-            now = now.plus(millis(runMs));
-            started.forEach(o -> o.runEnded(now, Outcome.OK));
-            control().updateGauges(now, new double[] {0, 0});
-            settle();
+            List<RequestHandle> started = List.of(submit(LOOKUP), submit(LOOKUP));
+            decide();
+            now = now.plus(Durations.ofMillis(runMs));
+            started.forEach(handle -> handle.runEnded(now, Outcome.OK));
+            updateGauges(0, 0);
+            decide();
         }
         return this;
     }
 
-    /** Runs an order on every core. */
-    List<RequestHandle> full() {
+    /** Runs an order on every core; returns their handles. */
+    List<RequestHandle> occupyAllCores() {
         List<RequestHandle> running = new ArrayList<>();
-        for (int i = 0; i < 8; i++) {
-            running.add(take(ORDER));
-            settle();
+        for (int i = 0; i < CORES; i++) {
+            running.add(submit(ORDER));
+            decide();
         }
-        control().updateGauges(now, new double[] {1, 8});
+        updateGauges(1, CORES);
         return running;
     }
 
-    boolean pushedBack(RequestHandle operation) {
-        return last.rejected.stream().anyMatch(p -> p.request() == operation);
-    }
-
-    static double ms(Duration span) {
-        return span.toNanos() / 1e6;
-    }
-
-    static Duration millis(double ms) {
-        return Duration.ofNanos((long) (ms * 1e6));
+    /** Whether the last batch rejected the request. */
+    boolean wasRejected(RequestHandle handle) {
+        return lastBatch.rejected().stream().anyMatch(rejection -> rejection.request() == handle);
     }
 }
--- a/src/test/java/merlinlever/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/FleetDownstreamCallsTest.java
@@ -8,232 +8,244 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
 
 /**
- * A model of a whole fleet of modules round one dependency that they share, whose calls take longer the more of them it
- * holds, and which holds a call for a while that was given up. The fleet's calls in hand, averaged over any span of
- * calls-over, stay within the sum N of the shares and what is left to chance, 2 x sqrt(N) + 2, however many processes make
- * up the fleet, and also where all start cold at one instant and are sent the same.
+ * A model of a whole fleet of controllers round one downstream service that they share, whose calls take longer the
+ * more of them it holds, and which holds a call for a while that was given up. The fleet's calls in progress, averaged
+ * over any period of {@code calls-over}, stay within the sum N of the shares and the random excess 2 x sqrt(N) + 2,
+ * however many processes make up the fleet, and also where all start cold at one instant and receive the same.
  */
 class FleetDownstreamCallsTest {
 
-    private static final int STEP = 10;
-    private static final int OVER = 5000;
-    private static final int LINGER = 200;
-    private static final int LENGTH = 11_000;
+    private static final int STEP_MS = 10;
+    private static final int PERIOD_MS = 5000;
+    private static final int LINGER_MS = 200;
+    private static final int LENGTH_MS = 11_000;
+    /** Of a run that waits for its call. */
+    private static final int NEVER = Integer.MAX_VALUE;
 
     /** One run of a process of the fleet: 10 ms to its call, the call, and 10 ms after it. */
     private static final class SimulatedRun {
         final SimulatedProcess process;
-        final RequestHandle operation;
+        final RequestHandle handle;
         /** When it comes to its call or, with the call behind it, ends. */
-        int at;
+        int nextEventMs;
 
         boolean called;
-        /** Of its call: what is left of it, until when it is waited for, and how long it stays after that. */
-        double left;
+        /** What is left of the work of its call. */
+        double callWorkMs;
 
-        int madeAt;
-        int givenUpAt;
-        int lingers;
-        boolean out;
+        int calledAtMs;
+        int timesOutAtMs;
+        /** Until when its call stays after it was given up. */
+        int lingersUntilMs;
 
-        SimulatedRun(SimulatedProcess process, RequestHandle operation, int at) {
+        boolean inCall;
+
+        SimulatedRun(SimulatedProcess process, RequestHandle handle, int nextEventMs) {
             this.process = process;
-            this.operation = operation;
-            this.at = at;
+            this.handle = handle;
+            this.nextEventMs = nextEventMs;
         }
     }
 
     private static final class SimulatedProcess {
         ControllerFixture server;
-        int startsAt;
-        SplittableRandom chance;
+        int startsAtMs;
+        SplittableRandom random;
         final List<SimulatedRun> runs = new ArrayList<>();
+
+        Optional<SimulatedRun> runOf(RequestHandle handle) {
+            return runs.stream().filter(run -> run.handle == handle).findFirst();
+        }
     }
 
-    private final List<SimulatedRun> inHand = new ArrayList<>();
-    private int served;
+    /**
+     * One fleet.
+     *
+     * @param announced the size of the fleet that its processes are told, or 0 for none
+     * @param aligned whether all start at once and receive the same
+     */
+    private record Fleet(int processes, int announced, double totalShare, double callMs, boolean aligned) {}
+
+    private final List<SimulatedRun> callsHeld = new ArrayList<>();
+    private int succeeded;
+
+    /** The highest mean of the fleet's calls in progress over any period. */
+    private double highestMean(Fleet fleet) {
+        callsHeld.clear();
+        succeeded = 0;
+        List<SimulatedProcess> processes = start(fleet);
+        double slots = Math.max(1, fleet.totalShare / 5);
+        Deque<Integer> period = new ArrayDeque<>();
+        double sum = 0;
+        double highest = 0;
+        for (int nowMs = 0; nowMs < LENGTH_MS; nowMs += STEP_MS) {
+            advanceService(nowMs, slots);
+            for (SimulatedProcess process : processes) {
+                if (nowMs >= process.startsAtMs) {
+                    advance(process, nowMs, fleet.callMs);
+                }
+            }
+            period.add(callsHeld.size());
+            sum += callsHeld.size();
+            if (period.size() > PERIOD_MS / STEP_MS) {
+                sum -= period.poll();
+            }
+            highest = Math.max(highest, sum / (PERIOD_MS / STEP_MS));
+        }
+        return highest;
+    }
 
-    /** The highest mean of the fleet's calls in hand over any span, for a fleet that is told that it counts so many. */
-    private double highest(int processes, int told, double share, double callMs, double slots, boolean aligned) {
-        SplittableRandom chance = new SplittableRandom(36);
-        inHand.clear();
-        served = 0;
-        List<SimulatedProcess> fleet = new ArrayList<>();
-        for (int i = 0; i < processes; i++) {
+    private static List<SimulatedProcess> start(Fleet fleet) {
+        SplittableRandom random = new SplittableRandom(36);
+        List<SimulatedProcess> processes = new ArrayList<>();
+        for (int i = 0; i < fleet.processes; i++) {
             SimulatedProcess process = new SimulatedProcess();
             process.server = new ControllerFixture()
                     .with("server.below", "shared")
-                    .with("server.share-of-calls", share)
-                    .with("server.calls-over", OVER)
-                    .with("server.linger", LINGER)
+                    .with("server.share-of-calls", fleet.totalShare / fleet.processes)
+                    .with("server.calls-over", PERIOD_MS)
+                    .with("server.linger", LINGER_MS)
                     .with("server.cold", true)
                     .with("rules.cold-share", 0.25)
                     .with("rules.cold", 10_000);
-            if (told > 0) {
-                process.server.with("servers", told);
+            if (fleet.announced > 0) {
+                process.server.with("servers", fleet.announced);
             }
-            process.server.seed = chance.nextLong();
-            process.startsAt = aligned ? 0 : chance.nextInt(OVER / STEP) * STEP;
-            process.chance = new SplittableRandom(aligned ? 7 : chance.nextLong());
-            fleet.add(process);
+            process.server.seed = random.nextLong();
+            process.startsAtMs = fleet.aligned ? 0 : random.nextInt(PERIOD_MS / STEP_MS) * STEP_MS;
+            process.random = new SplittableRandom(fleet.aligned ? 7 : random.nextLong());
+            processes.add(process);
         }
-        Deque<Integer> span = new ArrayDeque<>();
-        double sum = 0;
-        double highest = 0;
-        for (int now = 0; now < LENGTH; now += STEP) {
-            below(now, slots);
-            for (SimulatedProcess process : fleet) {
-                if (now >= process.startsAt) {
-                    step(process, now, callMs);
-                }
-            }
-            span.add(inHand.size());
-            sum += inHand.size();
-            if (span.size() > OVER / STEP) {
-                sum -= span.poll();
-            }
-            highest = Math.max(highest, sum / (OVER / STEP));
-        }
-        return highest;
+        return processes;
     }
 
-    /** What lies below works on all calls that it holds at once; one that was given up it drops after a while. */
-    private void below(int now, double slots) {
-        double done = STEP * Math.min(1, slots / Math.max(1, inHand.size()));
-        for (SimulatedRun run : List.copyOf(inHand)) {
-            run.left -= done;
-            boolean over = run.left <= 0;
-            if (run.out && (over || now >= run.givenUpAt)) {
-                run.out = false;
-                served += over ? 1 : 0;
-                run.process.server.now = ControllerFixture.millis(now - run.process.startsAt);
-                run.operation.callEnded(
+    /** The service works on all calls that it holds at once; one that was given up it drops after a while. */
+    private void advanceService(int nowMs, double slots) {
+        double workedMs = STEP_MS * Math.min(1, slots / Math.max(1, callsHeld.size()));
+        for (SimulatedRun run : List.copyOf(callsHeld)) {
+            run.callWorkMs -= workedMs;
+            boolean done = run.callWorkMs <= 0;
+            if (run.inCall && (done || nowMs >= run.timesOutAtMs)) {
+                run.inCall = false;
+                succeeded += done ? 1 : 0;
+                run.process.server.now = Duration.ofMillis(nowMs - run.process.startsAtMs);
+                run.handle.callEnded(
                         run.process.server.now,
-                        over ? Outcome.OK : Outcome.TIMED_OUT,
-                        Duration.ofMillis(now - run.madeAt));
-                run.at = over ? now + STEP : Integer.MAX_VALUE;
-                run.lingers = now + LINGER;
+                        done ? Outcome.OK : Outcome.TIMED_OUT,
+                        Duration.ofMillis(nowMs - run.calledAtMs));
+                run.nextEventMs = done ? nowMs + STEP_MS : NEVER;
+                run.lingersUntilMs = nowMs + LINGER_MS;
             }
-            if (over || !run.out && now >= run.lingers) {
-                inHand.remove(run);
+            if (done || !run.inCall && nowMs >= run.lingersUntilMs) {
+                callsHeld.remove(run);
             }
         }
     }
 
-    private void step(SimulatedProcess process, int now, double callMs) {
+    private void advance(SimulatedProcess process, int nowMs, double callMs) {
         ControllerFixture server = process.server;
-        server.now = ControllerFixture.millis(now - process.startsAt);
+        server.now = Duration.ofMillis(nowMs - process.startsAtMs);
         for (SimulatedRun run : List.copyOf(process.runs)) {
-            if (now >= run.at) {
-                run.at = Integer.MAX_VALUE;
+            if (nowMs >= run.nextEventMs) {
+                run.nextEventMs = NEVER;
                 if (run.called) {
-                    run.operation.runEnded(server.now, Outcome.OK);
+                    run.handle.runEnded(server.now, Outcome.OK);
                     process.runs.remove(run);
                 } else {
                     run.called = true;
-                    run.operation.callNeeded(server.now);
+                    run.handle.callNeeded(server.now);
                 }
             }
         }
-        if (process.chance.nextInt(10) == 0) {
-            server.take(ControllerFixture.CALLING);
+        if (process.random.nextInt(10) == 0) {
+            server.submit(ControllerFixture.CALLING);
         }
-        Decisions settled = server.settle();
-        int running = (int)
-                process.runs.stream().filter(run -> run.at != Integer.MAX_VALUE).count();
-        server.control().updateGauges(server.now, new double[] {0, running});
-        carryOut(process, settled, now, callMs);
-        double speed = Math.min(1, 0.25 + 0.75 * (now - process.startsAt) / 10_000);
-        assertTrue(server.control().metrics().onCores() <= 8 * (1 + 3 * speed), "more on cold cores than they survive");
+        DecidedBatch batch = server.decide();
+        long onCores =
+                process.runs.stream().filter(run -> run.nextEventMs != NEVER).count();
+        server.updateGauges(0, onCores);
+        carryOut(process, batch, nowMs, callMs);
+        double speed = Math.min(1, 0.25 + 0.75 * (nowMs - process.startsAtMs) / 10_000);
+        int running = server.controller().metrics().requests().onCores();
+        assertTrue(running <= 8 * (1 + 3 * speed), "more on cold cores than they survive");
     }
 
-    private void carryOut(SimulatedProcess process, Decisions settled, int now, double callMs) {
-        for (RequestHandle answered : settled.failed) {
-            process.runs.stream()
-                    .filter(run -> run.operation == answered)
-                    .findFirst()
-                    .ifPresent(run -> {
-                        if (run.at == Integer.MAX_VALUE) {
-                            // At its call, and over: the run ends, and the call is given up.
-                            run.lingers = now + LINGER;
-                            run.out = false;
-                            run.operation.runEnded(process.server.now, Outcome.STOPPED);
-                            process.runs.remove(run);
-                        }
-                    });
+    private void carryOut(SimulatedProcess process, DecidedBatch batch, int nowMs, double callMs) {
+        for (RequestHandle failed : batch.failed()) {
+            process.runOf(failed).filter(run -> run.nextEventMs == NEVER).ifPresent(run -> {
+                // It waits for its call, and has ended: the call is given up.
+                run.lingersUntilMs = nowMs + LINGER_MS;
+                run.inCall = false;
+                run.handle.runEnded(process.server.now, Outcome.STOPPED);
+                process.runs.remove(run);
+            });
         }
-        for (RequestHandle halted : settled.stopped) {
-            process.runs.removeIf(run -> run.operation == halted);
-            halted.runEnded(process.server.now, Outcome.STOPPED);
+        for (RequestHandle stopped : batch.stopped()) {
+            process.runs.removeIf(run -> run.handle == stopped);
+            stopped.runEnded(process.server.now, Outcome.STOPPED);
         }
-        for (RequestHandle started : settled.started) {
-            process.runs.add(new SimulatedRun(process, started, now + STEP));
+        for (RequestHandle started : batch.started()) {
+            process.runs.add(new SimulatedRun(process, started, nowMs + STEP_MS));
         }
-        for (Decisions.TimedDecision call : settled.downstreamCalls) {
-            SimulatedRun run = process.runs.stream()
-                    .filter(r -> r.operation == call.request())
-                    .findFirst()
-                    .orElseThrow();
-            run.left = callMs;
-            run.madeAt = now;
-            run.givenUpAt = now + (int) Math.ceil(ControllerFixture.ms(call.duration()));
-            run.out = true;
-            inHand.add(run);
+        for (Decision.CallDownstream call : batch.calls()) {
+            SimulatedRun run = process.runOf(call.request()).orElseThrow();
+            run.callWorkMs = callMs;
+            run.calledAtMs = nowMs;
+            run.timesOutAtMs = nowMs + (int) Math.ceil(Durations.toMillis(call.timeout()));
+            run.inCall = true;
+            callsHeld.add(run);
         }
     }
 
-    private void staysWithin(int processes, int told, double total, double callMs, boolean aligned, List<String> over) {
-        double share = total / processes;
-        double highest = highest(processes, told, share, callMs, Math.max(1, total / 5), aligned);
-        double most = total + 2 * Math.sqrt(total) + 2;
-        String what = String.format(
-                Locale.ROOT,
-                "%d processes (told %d), %s, N %.1f, calls of %.0f ms: %.2f of %.2f, %d went well",
-                processes,
-                told,
-                aligned ? "aligned" : "random",
-                total,
-                callMs,
-                highest,
-                most,
-                served);
-        if (highest > most) {
-            over.add(what);
+    /** The fleets of this list that exceed what they may, with their figures. */
+    private List<String> exceeding(List<Fleet> fleets) {
+        List<String> exceeding = new ArrayList<>();
+        for (Fleet fleet : fleets) {
+            double highest = highestMean(fleet);
+            double permitted = fleet.totalShare + 2 * Math.sqrt(fleet.totalShare) + 2;
+            if (highest > permitted) {
+                exceeding.add(String.format(
+                        Locale.ROOT, "%s: %.2f of %.2f, %d succeeded", fleet, highest, permitted, succeeded));
+            }
         }
+        return exceeding;
     }
 
     @Example
-    void theFleetsCallsStayWithinItsSumAndWhatIsLeftToChance() {
-        List<String> over = new ArrayList<>();
+    void fleetStaysWithinItsSharesAndTheRandomExcess() {
+        List<Fleet> fleets = new ArrayList<>();
         for (int processes : new int[] {1, 2, 20, 30}) {
-            for (double total : new double[] {0.06 * processes, 6, 24}) {
+            for (double totalShare : new double[] {0.06 * processes, 6, 24}) {
                 for (double callMs : new double[] {20, 3000}) {
                     for (boolean aligned : new boolean[] {true, false}) {
-                        staysWithin(processes, processes, total, callMs, aligned, over);
+                        fleets.add(new Fleet(processes, processes, totalShare, callMs, aligned));
                     }
                 }
             }
         }
-        assertTrue(over.isEmpty(), String.join("\n", over));
+        List<String> exceeding = exceeding(fleets);
+        assertTrue(exceeding.isEmpty(), String.join("\n", exceeding));
     }
 
     /** Where the fleet is not counted, or fewer are listed at a start than there are in the end. */
     @Example
-    void aFleetWhoseNumberIsNotKnownStaysWithinItsSumToo() {
-        List<String> over = new ArrayList<>();
-        for (int told : new int[] {0, 1}) {
+    void fleetOfUnknownSizeStaysWithinThemToo() {
+        List<Fleet> fleets = new ArrayList<>();
+        for (int announced : new int[] {0, 1}) {
             for (int processes : new int[] {20, 30}) {
                 for (double callMs : new double[] {20, 3000}) {
                     for (boolean aligned : new boolean[] {true, false}) {
-                        staysWithin(processes, told, 0.06 * processes, callMs, aligned, over);
+                        fleets.add(new Fleet(processes, announced, 0.06 * processes, callMs, aligned));
                     }
                 }
             }
         }
-        assertTrue(over.isEmpty(), String.join("\n", over));
+        List<String> exceeding = exceeding(fleets);
+        assertTrue(exceeding.isEmpty(), String.join("\n", exceeding));
     }
 }
--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -12,223 +12,253 @@
 import net.jqwik.api.Property;
 
 /**
- * A slow, plain model of the four rules beside the module: it plays a server that starts, ends, stops and calls, with
- * repeats, hang-ups, a drain, cold starts, failed calls and little memory, and checks what the module may do.
+ * A slow, plain model of the four safety rules beside the controller: it plays a server that starts, ends, stops and
+ * calls, with duplicates, callers that go, a drain, cold starts, failed calls and little memory, and checks what the
+ * controller may do.
  */
 class SafetyRulesModelTest {
 
-    private static final Duration SLACK = ControllerFixture.millis(60);
+    private static final Duration SLACK = Duration.ofMillis(60);
 
+    /** What the model knows of one request. */
     private static final class ModelRequest {
-        int tariff;
-        Duration arrival;
-        Duration due;
-        double kb;
-        ModelRequest same;
+        int priorityClass;
+        Duration arrivedAt;
+        Duration deadline;
+        double memoryKb;
+        ModelRequest original;
         boolean running;
-        boolean calling;
-        boolean out;
-        boolean sharing;
-        boolean ran;
+        boolean awaitingCall;
+        boolean inCall;
+        boolean sharingOutcome;
+        boolean everStarted;
         boolean answered;
-        boolean gone;
+        boolean callerGone;
         boolean callMayHaveRun;
         boolean over;
-        Duration kept;
+        /** Null: not retained. */
+        Duration retainedUntil;
     }
 
-    private final Map<RequestHandle, ModelRequest> all = new IdentityHashMap<>();
-    private final List<RequestHandle> order = new ArrayList<>();
-    private SplittableRandom chance;
+    private final Map<RequestHandle, ModelRequest> requests = new IdentityHashMap<>();
+    private final List<RequestHandle> inOrder = new ArrayList<>();
+    private SplittableRandom random;
     private ControllerFixture server;
-    private Duration leave;
-    private Duration stop;
+    /** Null before the drain. */
+    private Duration drainStartedAt;
+
+    private Duration stopAt;
 
     @Property(tries = 60, seed = "20261201")
-    void theModuleKeepsTheRules(@ForAll long seed) {
-        chance = new SplittableRandom(seed);
-        all.clear();
-        order.clear();
-        leave = null;
-        double memory = chance.nextBoolean() ? 1500 : 20000;
+    void theControllerKeepsTheSafetyRules(@ForAll long seed) {
+        random = new SplittableRandom(seed);
+        requests.clear();
+        inOrder.clear();
+        drainStartedAt = null;
+        double memoryKb = random.nextBoolean() ? 1500 : 20000;
+        boolean cold = random.nextBoolean();
         server = new ControllerFixture()
-                .with("server.memory-kb", memory)
-                .with("server.cold", chance.nextBoolean())
+                .with("server.memory-kb", memoryKb)
+                .with("server.cold", cold)
                 .with("rules.cold-share", 0.25)
                 .with("rules.cold", 8000)
-                .with("server.halt", chance.nextBoolean() ? "drop" : "none");
-        boolean cold = server.given.get("server.cold").equals("true");
-        boolean hangs = chance.nextInt(4) == 0;
-        for (int step = 0; step < 900 && (leave == null || server.now.compareTo(stop) < 0); step++) {
+                .with("server.halt", random.nextBoolean() ? "drop" : "none");
+        boolean stalls = random.nextInt(4) == 0;
+        for (int step = 0; step < 900 && !isStopped(); step++) {
             server.now = server.now.plusMillis(10);
-            if (leave == null && step > 300 && chance.nextInt(200) == 0) {
-                leave = server.now;
-                stop = leave.plusMillis(3500);
-                server.control().startDrain(server.now, stop);
+            if (drainStartedAt == null && step > 300 && random.nextInt(200) == 0) {
+                drainStartedAt = server.now;
+                stopAt = drainStartedAt.plusMillis(3500);
+                server.controller().startDrain(server.now, stopAt);
             }
-            int arrivals = chance.nextInt(10) == 0 ? chance.nextInt(12) : chance.nextInt(2);
+            int arrivals = random.nextInt(10) == 0 ? random.nextInt(12) : random.nextInt(2);
             for (int i = 0; i < arrivals; i++) {
                 arrive();
             }
-            if (!(hangs && step > 200 && step < 500)) {
+            if (!(stalls && step > 200 && step < 500)) {
                 advance();
             }
-            server.control().updateGauges(server.now, new double[] {1, onCores()});
-            carryOut(server.settle());
-            checkLoad(memory, cold);
+            server.updateGauges(1, onCores());
+            carryOut(server.decide());
+            checkLoad(memoryKb, cold);
         }
-        for (ModelRequest entry : all.values()) {
-            boolean owed = leave != null && server.now.compareTo(stop) >= 0 || server.now.compareTo(entry.due) > 0;
-            assertTrue(!owed || entry.answered || entry.gone, "rule 1 and 3: answered in the end");
+        for (ModelRequest request : requests.values()) {
+            boolean owed = isStopped() || server.now.compareTo(request.deadline) > 0;
+            assertTrue(!owed || request.answered || request.callerGone, "rules 1 and 3: answered in the end");
         }
     }
 
+    private boolean isStopped() {
+        return drainStartedAt != null && server.now.compareTo(stopAt) >= 0;
+    }
+
     private void arrive() {
-        ModelRequest entry = new ModelRequest();
-        entry.tariff = chance.nextInt(4);
-        double unread = chance.nextInt(4) == 0 ? chance.nextDouble(400) : 5;
-        entry.arrival = server.now.minus(ControllerFixture.millis(unread));
-        entry.due = entry.arrival.plusMillis(3000);
-        entry.kb = 5 + chance.nextDouble(30);
-        RequestHandle same = null;
-        if (entry.tariff == ControllerFixture.CHARGE || entry.tariff == ControllerFixture.CALLING) {
-            for (RequestHandle earlier : order) {
-                ModelRequest e = all.get(earlier);
-                boolean live = e.kept != null && e.kept.compareTo(entry.arrival) > 0 && (e.ran || !e.over);
-                if (live && e.tariff == entry.tariff && e.same == null && chance.nextInt(6) == 0) {
-                    same = earlier;
+        ModelRequest request = new ModelRequest();
+        request.priorityClass = random.nextInt(4);
+        double readDelayMs = random.nextInt(4) == 0 ? random.nextDouble(400) : 5;
+        request.arrivedAt = server.now.minus(Durations.ofMillis(readDelayMs));
+        request.deadline = request.arrivedAt.plusMillis(3000);
+        request.memoryKb = 5 + random.nextDouble(30);
+        RequestHandle original = null;
+        if (request.priorityClass == ControllerFixture.CHARGE || request.priorityClass == ControllerFixture.CALLING) {
+            for (RequestHandle handle : inOrder) {
+                ModelRequest earlier = requests.get(handle);
+                boolean found = earlier.retainedUntil != null
+                        && earlier.retainedUntil.compareTo(request.arrivedAt) > 0
+                        && (earlier.everStarted || !earlier.over);
+                boolean candidate = found && earlier.priorityClass == request.priorityClass && earlier.original == null;
+                if (candidate && random.nextInt(6) == 0) {
+                    original = handle;
                 }
             }
         }
-        RequestHandle taken = server.take(entry.tariff, unread, entry.kb, same);
-        entry.same = same == null ? null : all.get(same);
-        all.put(taken, entry);
-        order.add(taken);
+        RequestHandle submitted = server.submit(request.priorityClass, readDelayMs, request.memoryKb, original);
+        request.original = original == null ? null : requests.get(original);
+        requests.put(submitted, request);
+        inOrder.add(submitted);
     }
 
     private void advance() {
-        order.removeIf(o ->
-                all.get(o).over && (all.get(o).kept == null || all.get(o).kept.compareTo(server.now) < 0));
-        for (RequestHandle operation : new ArrayList<>(order)) {
-            ModelRequest e = all.get(operation);
-            if (e.over) {
+        inOrder.removeIf(handle -> isForgotten(requests.get(handle)));
+        for (RequestHandle handle : new ArrayList<>(inOrder)) {
+            ModelRequest request = requests.get(handle);
+            if (request.over) {
                 continue;
             }
-            if (e.running && !e.calling && chance.nextInt(20) == 0) {
-                if (e.tariff == ControllerFixture.CALLING && chance.nextBoolean()) {
-                    e.calling = true;
-                    operation.callNeeded(server.now);
+            if (request.running && !request.awaitingCall && random.nextInt(20) == 0) {
+                if (request.priorityClass == ControllerFixture.CALLING && random.nextBoolean()) {
+                    request.awaitingCall = true;
+                    handle.callNeeded(server.now);
                 } else {
-                    end(operation, e, chance.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK);
-                }
-            } else if (e.out && chance.nextInt(10) == 0) {
-                Outcome[] ways = {Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.UNREACHABLE};
-                Outcome how = ways[chance.nextInt(ways.length)];
-                e.callMayHaveRun |= how != Outcome.OK && !how.provesNoEffect();
-                e.calling = how != Outcome.OK;
-                e.out = false;
-                operation.callEnded(server.now, how, ControllerFixture.millis(50));
-            } else if (e.sharing && e.same.over) {
-                end(operation, e, Outcome.OK);
-            } else if (!e.answered && chance.nextInt(300) == 0) {
-                e.gone = true;
-                operation.callerGone(server.now);
-                if (!e.running) {
-                    e.over = true;
-                } else if (e.calling) {
-                    end(operation, e, Outcome.STOPPED);
+                    end(handle, request, random.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK);
                 }
+            } else if (request.inCall && random.nextInt(10) == 0) {
+                endCall(handle, request);
+            } else if (request.sharingOutcome && request.original.over) {
+                end(handle, request, Outcome.OK);
+            } else if (!request.answered && random.nextInt(300) == 0) {
+                callerGoes(handle, request);
             }
         }
     }
 
-    private void end(RequestHandle operation, ModelRequest e, Outcome how) {
-        e.over = true;
-        e.running = false;
-        e.out = false;
-        e.answered = true;
-        operation.runEnded(server.now, how);
+    private boolean isForgotten(ModelRequest request) {
+        return request.over && (request.retainedUntil == null || request.retainedUntil.compareTo(server.now) < 0);
     }
 
-    private void carryOut(Decisions settled) {
-        for (Decisions.TimedDecision kept : settled.retained) {
-            ModelRequest e = all.get(kept.request());
-            if (e.same != null) {
-                all.values().stream()
-                        .filter(o -> o == e.same || o.same == e.same)
-                        .forEach(o -> o.kept = null);
-            }
-            e.kept = server.now.plus(kept.duration());
-        }
-        for (RequestHandle operation : settled.failed) {
-            answer(operation);
-        }
-        for (RequestHandle operation : settled.stopped) {
-            ModelRequest e = all.get(operation);
-            if (e.running) {
-                assertTrue(e.answered || e.gone, "nothing unanswered is stopped here");
-                end(operation, e, Outcome.STOPPED);
-            }
+    private void endCall(RequestHandle handle, ModelRequest request) {
+        Outcome[] outcomes = {Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.UNREACHABLE};
+        Outcome outcome = outcomes[random.nextInt(outcomes.length)];
+        request.callMayHaveRun |= outcome != Outcome.OK && !outcome.provesNoEffect();
+        request.awaitingCall = outcome != Outcome.OK;
+        request.inCall = false;
+        handle.callEnded(server.now, outcome, Duration.ofMillis(50));
+    }
+
+    private void callerGoes(RequestHandle handle, ModelRequest request) {
+        request.callerGone = true;
+        handle.callerGone(server.now);
+        if (!request.running) {
+            request.over = true;
+        } else if (request.awaitingCall) {
+            end(handle, request, Outcome.STOPPED);
         }
-        for (Decisions.Rejection pushback : settled.rejected) {
-            ModelRequest e = all.get(pushback.request());
-            assertTrue(!e.ran, "rule 2: what ran is not pushed back");
-            answer(pushback.request());
+    }
+
+    private void end(RequestHandle handle, ModelRequest request, Outcome outcome) {
+        request.over = true;
+        request.running = false;
+        request.inCall = false;
+        request.answered = true;
+        handle.runEnded(server.now, outcome);
+    }
+
+    private void carryOut(DecidedBatch batch) {
+        batch.retained().forEach(this::retain);
+        batch.failed().forEach(this::answer);
+        batch.stopped().forEach(this::stop);
+        for (Decision.Reject rejection : batch.rejected()) {
+            assertTrue(!requests.get(rejection.request()).everStarted, "rule 2: what ran is not rejected");
+            answer(rejection.request());
         }
-        for (RequestHandle operation : settled.evicted) {
-            all.get(operation).kept = null;
+        batch.evicted().forEach(handle -> requests.get(handle).retainedUntil = null);
+        batch.started().forEach(this::start);
+        for (RequestHandle handle : batch.sharingOutcome()) {
+            ModelRequest request = requests.get(handle);
+            assertTrue(request.original != null && !request.answered, "only duplicates share an outcome");
+            request.sharingOutcome = true;
         }
-        for (RequestHandle operation : settled.started) {
-            ModelRequest e = all.get(operation);
-            assertTrue(!e.answered && !e.gone && !e.running, "only what is held and owed is started");
-            assertTrue(!e.ran || e.tariff == ControllerFixture.LOOKUP, "rule 2: nothing with an effect runs twice");
-            assertTrue(e.tariff != ControllerFixture.CHARGE || e.kept != null, "rule 2: remembered before it runs");
-            assertTrue(e.same == null || !e.same.ran, "rule 2: no repeat of what ran is run");
-            assertTrue(leave == null || e.arrival.compareTo(leave.plusMillis(2000)) <= 0, "rule 3: grace");
-            e.running = true;
-            e.ran = true;
+        for (Decision.CallDownstream call : batch.calls()) {
+            ModelRequest request = requests.get(call.request());
+            boolean waits = request.awaitingCall && !request.inCall && !request.answered;
+            assertTrue(waits, "only what waits for a call makes one");
+            assertTrue(!request.callMayHaveRun, "rule 2: no retry of a call that may have run");
+            request.inCall = true;
         }
-        for (RequestHandle operation : settled.coalesced) {
-            ModelRequest e = all.get(operation);
-            assertTrue(e.same != null && !e.answered, "only repeats share");
-            e.sharing = true;
+    }
+
+    private void retain(Decision.Retain decision) {
+        ModelRequest request = requests.get(decision.request());
+        if (request.original != null) {
+            requests.values().stream()
+                    .filter(other -> other == request.original || other.original == request.original)
+                    .forEach(other -> other.retainedUntil = null);
         }
-        for (Decisions.TimedDecision call : settled.downstreamCalls) {
-            ModelRequest e = all.get(call.request());
-            assertTrue(e.calling && !e.out && !e.answered, "only what waits for a call makes one");
-            assertTrue(!e.callMayHaveRun, "rule 2: no call again that may have run");
-            e.out = true;
+        request.retainedUntil = server.now.plus(decision.retention());
+    }
+
+    private void stop(RequestHandle handle) {
+        ModelRequest request = requests.get(handle);
+        if (request.running) {
+            assertTrue(request.answered || request.callerGone, "nothing unanswered is stopped here");
+            end(handle, request, Outcome.STOPPED);
         }
     }
 
-    private void answer(RequestHandle operation) {
-        ModelRequest e = all.get(operation);
-        assertTrue(!e.answered, "rule 1: one answer");
-        assertTrue(server.now.compareTo(e.due.plus(SLACK)) <= 0, "rule 1: in time");
-        e.answered = true;
-        if (!e.running) {
-            e.over = true;
-        } else if (e.calling) {
-            end(operation, e, Outcome.STOPPED);
+    private void start(RequestHandle handle) {
+        ModelRequest request = requests.get(handle);
+        boolean waits = !request.answered && !request.callerGone && !request.running;
+        boolean idempotent = request.priorityClass == ControllerFixture.LOOKUP;
+        boolean retained = request.retainedUntil != null;
+        boolean inGrace = drainStartedAt == null || request.arrivedAt.compareTo(drainStartedAt.plusMillis(2000)) <= 0;
+        assertTrue(waits, "only what is queued and owed is started");
+        assertTrue(!request.everStarted || idempotent, "rule 2: nothing with an effect runs twice");
+        assertTrue(request.priorityClass != ControllerFixture.CHARGE || retained, "rule 2: retained before it runs");
+        assertTrue(request.original == null || !request.original.everStarted, "rule 2: no duplicate of what ran runs");
+        assertTrue(inGrace, "rule 3: grace");
+        request.running = true;
+        request.everStarted = true;
+    }
+
+    private void answer(RequestHandle handle) {
+        ModelRequest request = requests.get(handle);
+        assertTrue(!request.answered, "rule 1: one answer");
+        assertTrue(server.now.compareTo(request.deadline.plus(SLACK)) <= 0, "rule 1: in time");
+        request.answered = true;
+        if (!request.running) {
+            request.over = true;
+        } else if (request.awaitingCall) {
+            end(handle, request, Outcome.STOPPED);
         }
     }
 
     private int onCores() {
-        return (int) order.stream()
-                .map(all::get)
-                .filter(e -> e.running && !e.calling)
+        return (int) inOrder.stream()
+                .map(requests::get)
+                .filter(request -> request.running && !request.awaitingCall)
                 .count();
     }
 
-    private void checkLoad(double memory, boolean cold) {
-        double used = 0;
-        for (RequestHandle operation : order) {
-            ModelRequest e = all.get(operation);
-            used += e.over ? 0 : e.running ? e.kb * 4 : e.kb;
-            used += e.kept != null && e.kept.compareTo(server.now) > 0 ? 100 : 0;
+    private void checkLoad(double memoryKb, boolean cold) {
+        double usedKb = 0;
+        for (RequestHandle handle : inOrder) {
+            ModelRequest request = requests.get(handle);
+            usedKb += request.over ? 0 : request.running ? request.memoryKb * 4 : request.memoryKb;
+            boolean retained = request.retainedUntil != null && request.retainedUntil.compareTo(server.now) > 0;
+            usedKb += retained ? 100 : 0;
         }
-        assertTrue(used <= memory, "rule 4: memory " + used);
-        double share = cold ? Math.min(1, 0.25 + 0.75 * ControllerFixture.ms(server.now) / 8000) : 1;
-        assertTrue(onCores() <= 8 * (1 + 3 * share), "rule 4: crowd " + onCores());
+        assertTrue(usedKb <= memoryKb, "rule 4: memory " + usedKb);
+        double speed = cold ? Math.min(1, 0.25 + 0.75 * Durations.toMillis(server.now) / 8000) : 1;
+        assertTrue(onCores() <= 8 * (1 + 3 * speed), "rule 4: on the cores " + onCores());
     }
 }
