--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.ControllerEvent;
 import merlinlever.Durations;
 import merlinlever.Outcome;
 import merlinlever.QuotaDemand;
@@ -427,8 +428,8 @@
     }
 
     @Override
-    public void log(String line) {
-        outside.log(line);
+    public void log(ControllerEvent event) {
+        outside.log(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -154,7 +154,7 @@
 
         @Override
         public void log(ControllerEvent event) {
-            port.log(event.logLine());
+            port.log(event);
         }
 
         @Override
--- a/src/main/java/merlinlever/core/DecisionHandler.java
+++ b/src/main/java/merlinlever/core/DecisionHandler.java
@@ -1,6 +1,7 @@
 package merlinlever.core;
 
 import java.time.Duration;
+import merlinlever.ControllerEvent;
 
 /**
  * What an adapter carries out after a settling. The calls come in the one order that the rules allow, which is the
@@ -34,7 +35,7 @@
 
     void omit(T operation);
 
-    void log(String line);
+    void log(ControllerEvent event);
 
     /** Earlier than any alarm that is still to come. */
     void alarm(Duration at);
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
 import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
@@ -198,8 +199,8 @@
     }
 
     @Override
-    public void log(String line) {
-        log.accept(line);
+    public void log(ControllerEvent event) {
+        log.accept(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -59,7 +59,7 @@
         double excess = AdmissionControl.thresholdExcess(occupancy);
         level += excess > 0 ? LEVEL_RISE * Math.min(1, excess) : -LEVEL_FALL;
         level = Math.max(0, Math.min(MAX_LEVEL, level));
-        if (Math.abs(level - announcedLevel) >= LEVEL_STEP || level == 0 && announcedLevel > 0) {
+        if (Math.abs(level - announcedLevel) >= LEVEL_STEP || (level == 0 && announcedLevel > 0)) {
             announcedLevel = level;
             signalValue().ifPresent(value -> server.decided(new Decision.SendBackpressure(value)));
         }
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -22,7 +22,7 @@
     /** The run of the request, or the sharing of another's outcome, has ended. */
     void runEnded(Request request, Duration now, Outcome outcome) {
         boolean isQueued = request.phase == Phase.QUEUED;
-        if (!request.isInFlight() || outcome == Outcome.NOT_STARTED && isQueued) {
+        if (!request.isInFlight() || (outcome == Outcome.NOT_STARTED && isQueued)) {
             return;
         }
         if (outcome == Outcome.STOPPED && !request.answered && request.stopping) {
@@ -127,8 +127,9 @@
             // Too late on a slow server is not too late on each, by the hint, but for a long expensive walk.
             double hintMs = request.costHintMs;
             Duration runTime = hintMs > 0 ? Durations.ofMillis(hintMs) : request.expectedRunTime();
-            boolean lateElsewhere = Durations.isReached(now.plus(runTime), request.objectiveAt)
-                    || fleetSize > BackpressureSignals.MANY && server.admissionControl.isReadingExpensive();
+            boolean largeFleet = fleetSize > BackpressureSignals.MANY;
+            boolean lateElsewhere = (largeFleet && server.admissionControl.isReadingExpensive())
+                    || Durations.isReached(now.plus(runTime), request.objectiveAt);
             double queueMs = server.queuedCount() * server.objectiveMs / server.capacity.queueCapacity();
             Duration retryAfter = Durations.earlier(maxRetryAfter, Durations.ofMillis(queueMs));
             reject(request, now, RejectionReason.EXPIRED, lateElsewhere, retryAfter);
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -56,7 +56,7 @@
     /** Whether a run that makes calls would have to wait for one. */
     boolean isSaturated() {
         int calls = server.awaitingCallCount() + server.inCallCount();
-        return calls >= concurrencyLimit || maxConcurrent < 1 && !canCall();
+        return calls >= concurrencyLimit || (maxConcurrent < 1 && !canCall());
     }
 
     // Below a limit of one call at a time, a call has to fit into the saved credit, with its lingering.
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -122,7 +122,7 @@
             server.decided(new Decision.Release(request));
         }
         resolveWaiting(request, now);
-        boolean useless = !request.started || request.shareable && request.outcome != Outcome.OK;
+        boolean useless = !request.started || (request.shareable && request.outcome != Outcome.OK);
         if (useless && server.retained.remove(request)) {
             server.decided(new Decision.Evict(request));
         }
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -26,7 +26,7 @@
         while (!recentStarts.isEmpty() && isReached(now, recentStarts.peek().plus(RATE_WINDOW))) {
             recentStarts.poll();
         }
-        return grant == null || !isReached(now, grant.leaseUntil()) && used() < grant.quota();
+        return grant == null || (!isReached(now, grant.leaseUntil()) && used() < grant.quota());
     }
 
     void recordStart(Duration now) {
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -125,7 +125,7 @@
     }
 
     private boolean isReplaced() {
-        return phase == Phase.AWAITING_ORIGINAL || phase == Phase.FINISHED && !started;
+        return phase == Phase.AWAITING_ORIGINAL || (phase == Phase.FINISHED && !started);
     }
 
     @Override
--- a/src/main/java/merlinlever/wire/ControllerInstance.java
+++ b/src/main/java/merlinlever/wire/ControllerInstance.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
 import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
@@ -181,8 +182,8 @@
     }
 
     @Override
-    public void log(String line) {
-        action("log").append(" line=").append(line).append('\n');
+    public void log(ControllerEvent event) {
+        action("log").append(" line=").append(WireEventText.of(event)).append('\n');
     }
 
     @Override
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
 import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
@@ -204,10 +205,10 @@
             if (signed == null || !zone.mayTransfer(signed.key().name())) {
                 return told(caller, message, signed, DynamicUpdate.REFUSED);
             }
-            if (message.type() == RecordTypes.AXFR && caller.datagram()
-                    || message.type() == RecordTypes.IXFR
+            if ((message.type() == RecordTypes.AXFR && caller.datagram())
+                    || (message.type() == RecordTypes.IXFR
                             && (message.authority().size() != 1
-                                    || message.authority().get(0).type() != RecordTypes.SOA)) {
+                                    || message.authority().get(0).type() != RecordTypes.SOA))) {
                 return told(caller, message, signed, DynamicUpdate.FORMERR);
             }
             return take(
@@ -580,8 +581,8 @@
     }
 
     @Override
-    public void log(String line) {
-        log.accept(line);
+    public void log(ControllerEvent event) {
+        log.accept(event.logLine());
     }
 
     @Override
--- a/src/test/java/merlinlever/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/FleetDownstreamCallsTest.java
@@ -141,7 +141,7 @@
                 run.nextEventMs = done ? nowMs + STEP_MS : NEVER;
                 run.lingersUntilMs = nowMs + LINGER_MS;
             }
-            if (done || !run.inCall && nowMs >= run.lingersUntilMs) {
+            if (done || (!run.inCall && nowMs >= run.lingersUntilMs)) {
                 callsHeld.remove(run);
             }
         }
