--- a/src/test/java/merlinlever/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/records/RecordsClientRaceTest.java
@@ -102,15 +102,15 @@
             call(4);
             on.later(120);
             on.batches(1);
-            hasEnded("1 GIVEN_UP", "2 GIVEN_UP", "3 GIVEN_UP");
+            hasEnded("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT");
             call(5);
             on.run(() -> link.moveTo(at(place)));
             Socket one = accept(place, 4);
             Socket other = accept(place, 5);
             say(other, done(5, "s"));
-            hasEnded("1 GIVEN_UP", "2 GIVEN_UP", "3 GIVEN_UP", "5 OK s");
+            hasEnded("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT", "5 OK s");
             say(one, done(4, "r"));
-            hasEnded("1 GIVEN_UP", "2 GIVEN_UP", "3 GIVEN_UP", "5 OK s", "4 OK r");
+            hasEnded("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT", "5 OK s", "4 OK r");
             for (Socket socket : queued) {
                 socket.close();
             }
--- a/src/test/java/merlinlever/records/RecordsReplyRaceTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyRaceTest.java
@@ -30,7 +30,7 @@
             Socket cut = accept(place, 2);
             say(cut, done(2, "r").substring(0, 22));
             cut.close();
-            hasEnded("1 OK r", "2 CUT_OFF");
+            hasEnded("1 OK r", "2 CONNECTION_LOST");
         }
     }
 
@@ -145,7 +145,7 @@
                 call(1);
                 held.add(accept(place, 1));
                 say(held.get(held.size() - 1), each);
-                all.add("1 CUT_OFF");
+                all.add("1 CONNECTION_LOST");
                 hasEnded(all.toArray(String[]::new));
             }
             call(1);
@@ -160,11 +160,11 @@
             hasEnded(all.toArray(String[]::new));
             on.later(200);
             on.later(100);
-            all.add("1 CUT_OFF");
+            all.add("1 CONNECTION_LOST");
             hasEnded(all.toArray(String[]::new));
             on.later(20);
             on.batches(1);
-            all.add("2 GIVEN_UP");
+            all.add("2 TIMED_OUT");
             hasEnded(all.toArray(String[]::new));
             assertEquals(-1, silent.getInputStream().read());
         }
