--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -109,7 +109,7 @@
             } else if (!(drift >= 0 && drift <= 0.2)) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + at + "drift is to be from 0 to 0.2");
-            } else if (!of.equals("calls") && backend.tariff(of) < 0) {
+            } else if (!of.equals("calls") && backend.priorityClassIndex(of) < 0) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + at + "of is calls or a tariff, not " + of);
             }
@@ -156,14 +156,14 @@
 
     @Override
     public long[] demand(Duration now, FleetQuota budget) {
-        QuotaDemand demand = backend.demand(ofModule(now), backend.tariff(budget.of()));
+        QuotaDemand demand = backend.quotaDemand(ofModule(now), backend.priorityClassIndex(budget.of()));
         return new long[] {demand.inUse(), demand.wanted()};
     }
 
     @Override
     public void share(FleetQuota budget, long share, Duration until) {
-        backend.share(
-                backend.tariff(budget.of()),
+        backend.setQuota(
+                backend.priorityClassIndex(budget.of()),
                 share,
                 budget.per() == FleetQuota.QuotaKind.SECOND,
                 ofModule(until),
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -148,24 +148,24 @@
     @Override
     public void keyed(Duration from, Duration to) {
         boolean may = together == null || together.mayKeyed();
-        backend.keyed(ofModule(loop, from), ofModule(loop, may ? to : Duration.ZERO));
+        backend.permitNonIdempotentStarts(ofModule(loop, from), ofModule(loop, may ? to : Duration.ZERO));
     }
 
     @Override
     public void guess(double capacity, double completions) {
-        backend.guess(capacity, completions);
+        backend.setWarmStartEstimate(capacity, completions);
     }
 
     @Override
     public double capacity() {
-        ControllerMetrics figures = backend.figures();
-        return figures == null || !Double.isFinite(figures.queueCapacity()) ? 0 : figures.queueCapacity();
+        ControllerMetrics figures = backend.metrics().orElse(null);
+        return figures == null || !Double.isFinite(figures.capacity()) ? 0 : figures.capacity();
     }
 
     @Override
     public boolean fullSpeed() {
-        ControllerMetrics figures = backend.figures();
-        return figures != null && figures.speedFraction() >= 1;
+        ControllerMetrics figures = backend.metrics().orElse(null);
+        return figures != null && figures.speedShare() >= 1;
     }
 
     /** The configuration was read again: what the others share is taken from it, all else stays as it was at the start. */
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
+import java.util.Optional;
 import merlinlever.ControllerEvent;
 import merlinlever.Decision;
 import merlinlever.Decisions;
@@ -11,155 +12,167 @@
 import merlinlever.RequestHandle;
 import merlinlever.policy.OverloadController;
 
-/** Drives one decision module: knows its handles, sets its alarm and carries out what it settles. */
+/**
+ * Drives one {@link OverloadController}: maps its handles to the requests of the handler, keeps its next wake-up and
+ * passes on what it decides. Not thread-safe.
+ *
+ * @param <T> how the handler names a request
+ */
 public final class ControllerDriver<T> {
 
-    /** Stands for an operation of which nothing is known any more; what happens to it has no effect. */
-    public static final RequestHandle UNKNOWN = new RequestHandle() {
+    /** The handle of a request of which nothing is known any more; events for it have no effect. */
+    public static final RequestHandle UNKNOWN_REQUEST = new RequestHandle() {
         @Override
-        public void runEnded(Duration now, Outcome how) {}
+        public void runEnded(Duration now, Outcome outcome) {}
 
         @Override
         public void callNeeded(Duration now) {}
 
         @Override
-        public void callEnded(Duration now, Outcome how, Duration took) {}
+        public void callEnded(Duration now, Outcome outcome, Duration elapsed) {}
 
         @Override
         public void callerGone(Duration now) {}
     };
 
-    private final OverloadController control;
-    private final DecisionHandler<T> port;
-    private final Map<String, Integer> tariffs;
-    private final Map<RequestHandle, T> known = new IdentityHashMap<>();
-    private final Decision.Visitor visitor = new PortVisitor();
-    private Duration alarm;
-    private final DeploymentProfile watch;
-
-    public ControllerDriver(Map<String, String> given, long seed, DecisionHandler<T> port) {
-        this.port = port;
-        tariffs = indices(given, "tariffs");
-        control = new OverloadController(given, seed);
-        watch = DeploymentProfile.watching(given);
+    private final OverloadController controller;
+    private final DecisionHandler<T> handler;
+    private final Map<String, Integer> priorityClassIndexes;
+    private final Map<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
+    private final Optional<ShadowModeCounter> shadowMode;
+    private final Decision.Visitor executor = new Executor();
+    /** Null while no wake-up is scheduled. */
+    private Duration nextWakeUp;
+
+    /**
+     * Creates the controller.
+     *
+     * @param settings the settings by their internal names, see {@link SettingsTranslator}
+     * @param seed the seed of the controller's random draws
+     */
+    public ControllerDriver(Map<String, String> settings, long seed, DecisionHandler<T> handler) {
+        this.handler = handler;
+        priorityClassIndexes = priorityClassIndexes(settings);
+        controller = new OverloadController(settings, seed);
+        shadowMode = ShadowModeCounter.of(settings);
     }
 
-    /** In the watch mode, how often by kind the watched settings would have decided otherwise; else empty. */
-    public Map<String, Long> watched() {
-        return watch == null ? Map.of() : watch.otherwise();
+    /** In shadow mode, how often by kind the shadowed settings would have decided otherwise; else empty. */
+    public Map<String, Long> shadowDifferences() {
+        return shadowMode.map(ShadowModeCounter::differences).orElse(Map.of());
     }
 
-    static Map<String, Integer> indices(Map<String, String> given, String list) {
-        Map<String, Integer> indices = new HashMap<>();
-        for (int i = 0; given.containsKey(list + "." + i + ".name"); i++) {
-            indices.put(given.get(list + "." + i + ".name"), i);
+    static Map<String, Integer> priorityClassIndexes(Map<String, String> settings) {
+        Map<String, Integer> indexes = new HashMap<>();
+        for (int i = 0; settings.containsKey(SettingNames.ofPriorityClass(i, "name")); i++) {
+            indexes.put(settings.get(SettingNames.ofPriorityClass(i, "name")), i);
         }
-        return indices;
+        return indexes;
     }
 
-    public OverloadController control() {
-        return control;
+    public OverloadController controller() {
+        return controller;
     }
 
-    /** The index of the tariff, or -1. */
-    public int tariff(String name) {
-        return tariffs.getOrDefault(name, -1);
+    /** The index of the priority class of that name, or -1. */
+    public int priorityClassIndex(String name) {
+        return priorityClassIndexes.getOrDefault(name, -1);
     }
 
-    /** From here on the port hears of the operation by this name. */
-    public RequestHandle know(RequestHandle taken, T as) {
-        known.put(taken, as);
-        return taken;
+    /** From now on the handler is given decisions about the handle under this name. */
+    public RequestHandle register(RequestHandle handle, T request) {
+        requestsByHandle.put(handle, request);
+        return handle;
     }
 
-    /** The last alarm that was set has gone off. */
-    public void alarmed() {
-        alarm = null;
+    /** The wake-up that was scheduled last has fired. */
+    public void wakeUpFired() {
+        nextWakeUp = null;
     }
 
-    public void settle(Duration now) {
-        Decisions settled = control.decide(now);
-        if (watch != null) {
-            watch.seen(settled);
-        }
-        settled.inOrder().forEach(decision -> decision.accept(visitor));
-        if (alarm == null || settled.nextDecisionAt().compareTo(alarm) < 0) {
-            alarm = settled.nextDecisionAt();
-            port.alarm(alarm);
+    /** Lets the controller decide on all events so far and hands its decisions to the handler. */
+    public void decide(Duration now) {
+        Decisions decisions = controller.decide(now);
+        shadowMode.ifPresent(counter -> counter.count(decisions));
+        decisions.inOrder().forEach(decision -> decision.accept(executor));
+        Duration nextDecisionAt = decisions.nextDecisionAt();
+        if (nextWakeUp == null || nextDecisionAt.compareTo(nextWakeUp) < 0) {
+            nextWakeUp = nextDecisionAt;
+            handler.scheduleWakeUp(nextWakeUp);
         }
     }
 
-    /** Passes each decision on to the port, which knows the requests by its own names. */
-    private final class PortVisitor implements Decision.Visitor {
+    /** Passes each decision on to the handler, with the handler's request in place of the handle. */
+    private final class Executor implements Decision.Visitor {
 
         @Override
         public void sendBackpressure(double value) {
-            port.level(value);
+            handler.updateBackpressureLevel(value);
         }
 
         @Override
         public void reportHealth(boolean healthy) {
-            port.health(healthy);
+            handler.updateHealth(healthy);
         }
 
         @Override
         public void closeIdleConnections(Duration idleTimeout) {
-            port.closeIdle(idleTimeout);
+            handler.closeIdleConnections(idleTimeout);
         }
 
         @Override
         public void retain(RequestHandle request, Duration retention) {
-            port.keep(known.get(request), retention);
+            handler.retain(requestsByHandle.get(request), retention);
         }
 
         @Override
         public void fail(RequestHandle request) {
-            port.breakOff(known.get(request));
+            handler.fail(requestsByHandle.get(request));
         }
 
         @Override
         public void stop(RequestHandle request) {
-            port.halt(known.get(request));
+            handler.stop(requestsByHandle.get(request));
         }
 
         @Override
         public void reject(RequestHandle request, boolean isFinal, Duration retryAfter) {
-            port.pushBack(known.get(request), isFinal, retryAfter);
+            handler.reject(requestsByHandle.get(request), isFinal, retryAfter);
         }
 
         @Override
         public void evict(RequestHandle request) {
-            port.forget(known.get(request));
+            handler.evict(requestsByHandle.get(request));
         }
 
         @Override
         public void start(RequestHandle request) {
-            port.start(known.get(request));
+            handler.start(requestsByHandle.get(request));
         }
 
         @Override
         public void shareOutcome(RequestHandle request) {
-            port.share(known.get(request));
+            handler.shareOutcome(requestsByHandle.get(request));
         }
 
         @Override
         public void callDownstream(RequestHandle request, Duration timeout) {
-            port.call(known.get(request), timeout);
+            handler.callDownstream(requestsByHandle.get(request), timeout);
         }
 
         @Override
         public void skipCall(RequestHandle request) {
-            port.omit(known.get(request));
+            handler.skipCall(requestsByHandle.get(request));
         }
 
         @Override
         public void log(ControllerEvent event) {
-            port.log(event);
+            handler.log(event);
         }
 
         @Override
         public void release(RequestHandle request) {
-            port.release(known.remove(request));
+            handler.release(requestsByHandle.remove(request));
         }
     }
 }
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -8,53 +8,64 @@
 import merlinlever.QuotaGrant;
 import merlinlever.policy.OverloadController;
 
-/** What this backend is told of its return and of its part in the fleet, kept for a module that is not there yet. */
+/**
+ * What recovery and the quota protocol set on the controller. It can be set before the controller exists: it is held
+ * until then, but for quotas, which begin at zero.
+ */
 final class PendingFleetState {
 
-    private OverloadController control;
-    /** Null as long as nothing is told of a return. */
-    private Duration keyedFrom, keyedTo;
-
-    private double guessed, completions;
-    /** The limits of the whole fleet that it has a share of, by tariff, -1 for calls; whether they are a second's. */
-    private final Map<Integer, Boolean> limited = new TreeMap<>();
-
-    /** The module is there; told what came before it. */
-    void begin(OverloadController module, Duration now) {
-        control = module;
-        control.setWarmStartEstimate(guessed, completions);
-        // Nothing of what is shared with others before it is told its share.
-        limited.forEach(
-                (tariff, perSecond) -> control.setQuota(tariff, new QuotaGrant(0, perSecond, now, Optional.empty())));
-        if (keyedFrom != null) {
-            control.permitNonIdempotentStarts(keyedFrom, keyedTo);
+    private OverloadController controller;
+    /** Null unless the backend has recovered from a crash or moved. */
+    private Duration nonIdempotentFrom;
+
+    private Duration nonIdempotentUntil;
+    private double estimatedCapacity;
+    private double estimateCompletions;
+    /** By priority class, -1 for downstream calls, whether the limit of the fleet is one per second. */
+    private final Map<Integer, Boolean> perSecondByLimit = new TreeMap<>();
+
+    /** The controller exists: sets on it what was held. */
+    void attach(OverloadController newController, Duration now) {
+        controller = newController;
+        controller.setWarmStartEstimate(estimatedCapacity, estimateCompletions);
+        // Until its quota arrives, this backend uses nothing of what it shares with others.
+        perSecondByLimit.forEach(
+                (priorityClass, perSecond) -> controller.setQuota(
+                        priorityClass, new QuotaGrant(0, perSecond, now, Optional.empty())));
+        if (nonIdempotentFrom != null) {
+            controller.permitNonIdempotentStarts(nonIdempotentFrom, nonIdempotentUntil);
         }
     }
 
-    void keyed(Duration from, Duration to) {
-        keyedFrom = from;
-        keyedTo = to;
-        if (control != null) {
-            control.permitNonIdempotentStarts(from, to);
+    /** See {@link OverloadController#permitNonIdempotentStarts}. */
+    void permitNonIdempotentStarts(Duration from, Duration until) {
+        nonIdempotentFrom = from;
+        nonIdempotentUntil = until;
+        if (controller != null) {
+            controller.permitNonIdempotentStarts(from, until);
         }
     }
 
-    void share(int tariff, long share, boolean perSecond, Duration until, Duration longest) {
-        limited.put(tariff, perSecond);
-        if (control != null) {
-            control.setQuota(tariff, new QuotaGrant(share, perSecond, until, Optional.ofNullable(longest)));
+    /** See {@link OverloadController#setQuota}. */
+    void setQuota(int priorityClass, long quota, boolean perSecond, Duration leaseEnd, Duration maxCallDuration) {
+        perSecondByLimit.put(priorityClass, perSecond);
+        if (controller != null) {
+            QuotaGrant grant = new QuotaGrant(quota, perSecond, leaseEnd, Optional.ofNullable(maxCallDuration));
+            controller.setQuota(priorityClass, grant);
         }
     }
 
-    QuotaDemand demand(Duration now, int tariff) {
-        return control == null ? QuotaDemand.NONE : control.quotaDemand(now, tariff);
+    /** See {@link OverloadController#quotaDemand}; nothing before the controller exists. */
+    QuotaDemand quotaDemand(Duration now, int priorityClass) {
+        return controller == null ? QuotaDemand.NONE : controller.quotaDemand(now, priorityClass);
     }
 
-    void guess(double capacity, double of) {
-        guessed = capacity;
-        completions = of;
-        if (control != null) {
-            control.setWarmStartEstimate(capacity, of);
+    /** See {@link OverloadController#setWarmStartEstimate}. */
+    void setWarmStartEstimate(double capacity, double completions) {
+        estimatedCapacity = capacity;
+        estimateCompletions = completions;
+        if (controller != null) {
+            controller.setWarmStartEstimate(capacity, completions);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/merlinlever/core/ShadowModeCounterTest.java
@@ -0,0 +1,38 @@
+package merlinlever.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Duration;
+import java.util.Map;
+import java.util.Optional;
+import merlinlever.Decision;
+import merlinlever.Decisions;
+import net.jqwik.api.Example;
+
+/** Shadow mode: settings that are compared with those in force without changing a decision. */
+class ShadowModeCounterTest {
+
+    @Example
+    void withoutShadowSettingsNothingIsCounted() {
+        assertEquals(Optional.empty(), ShadowModeCounter.of(Map.of("server.halt", "drop")));
+    }
+
+    @Example
+    void decisionsAreCountedWhereShadowSettingsDiffer() {
+        ShadowModeCounter counter = ShadowModeCounter.of(Map.of(
+                        "server.halt", "drop",
+                        "watch.halt", "pause",
+                        "server.say", "level",
+                        "watch.say", "level",
+                        "watch.readiness", "true"))
+                .orElseThrow();
+        Decisions.Builder decisions = new Decisions.Builder();
+        decisions.add(new Decision.Stop(ControllerDriver.UNKNOWN_REQUEST));
+        decisions.add(new Decision.Stop(ControllerDriver.UNKNOWN_REQUEST));
+        decisions.add(new Decision.SendBackpressure(0.3));
+        decisions.add(new Decision.ReportHealth(false));
+        counter.count(decisions.build(Duration.ZERO));
+        counter.count(new Decisions.Builder().build(Duration.ZERO));
+        assertEquals(Map.of("halt", 2L, "readiness", 1L), counter.differences(), "say is the same in both");
+    }
+}
