--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -159,13 +159,13 @@
     @Override
     public double capacity() {
         ControllerMetrics figures = backend.metrics().orElse(null);
-        return figures == null || !Double.isFinite(figures.capacity()) ? 0 : figures.capacity();
+        return figures == null || !Double.isFinite(figures.queueCapacity()) ? 0 : figures.queueCapacity();
     }
 
     @Override
     public boolean fullSpeed() {
         ControllerMetrics figures = backend.metrics().orElse(null);
-        return figures != null && figures.speedShare() >= 1;
+        return figures != null && figures.speedFraction() >= 1;
     }
 
     /** The configuration was read again: what the others share is taken from it, all else stays as it was at the start. */
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -29,9 +29,8 @@
         controller = newController;
         controller.setWarmStartEstimate(estimatedCapacity, estimateCompletions);
         // Until its quota arrives, this backend uses nothing of what it shares with others.
-        perSecondByLimit.forEach(
-                (priorityClass, perSecond) -> controller.setQuota(
-                        priorityClass, new QuotaGrant(0, perSecond, now, Optional.empty())));
+        perSecondByLimit.forEach((priorityClass, perSecond) ->
+                controller.setQuota(priorityClass, new QuotaGrant(0, perSecond, now, Optional.empty())));
         if (nonIdempotentFrom != null) {
             controller.permitNonIdempotentStarts(nonIdempotentFrom, nonIdempotentUntil);
         }
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -293,8 +293,10 @@
                 long began = now;
                 boolean lostThen = !site.serviceUp;
                 later(lostThen ? 1 : 5 + chance.nextInt(20), () -> {
-                    Outcome how = lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CONNECTION_LOST;
-                    if ((how == Outcome.OK && effect) || (how == Outcome.CONNECTION_LOST && effect && chance.nextBoolean())) {
+                    Outcome how =
+                            lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CONNECTION_LOST;
+                    if ((how == Outcome.OK && effect)
+                            || (how == Outcome.CONNECTION_LOST && effect && chance.nextBoolean())) {
                         audit.effect(now, id, site.name);
                     }
                     own.ended(clock(), how, Duration.ofMillis(now - began));
