--- /dev/null
+++ b/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
@@ -0,0 +1,107 @@
+package merlinlever.experiments;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import merlinlever.compatibility.Fixture;
+import merlinlever.election.Leadership;
+import merlinlever.experiments.StoppingDecision.Kind;
+import merlinlever.replication.ReplicatedStore;
+import net.jqwik.api.Example;
+
+/** The bytes of an experiment's identity, counts, result and lease are those of the versions before. */
+class ExperimentBytesTest {
+
+    private final Fixture fixture = new Fixture("trials.txt");
+    private final Experiment experiment = new Experiment(
+            "t",
+            2,
+            List.of(
+                    Experiment.Arm.unchanged("a", 1),
+                    new Experiment.Arm(
+                            "b",
+                            3,
+                            Optional.of(Duration.ofMillis(250)),
+                            Optional.of(Duration.ofSeconds(2)),
+                            Optional.of("east"))),
+            0,
+            0.05,
+            0.1,
+            0.02,
+            Duration.ofDays(7),
+            Duration.ofSeconds(10),
+            2,
+            3);
+
+    @Example
+    void identityAndCounts() {
+        fixture.pins("key", experiment.key());
+        ExperimentCounts counts = new ExperimentCounts(experiment);
+        List<ExperimentCounts.RequestResult> results = List.of(
+                ExperimentCounts.RequestResult.SERVED,
+                ExperimentCounts.RequestResult.LATE,
+                ExperimentCounts.RequestResult.REJECTED,
+                ExperimentCounts.RequestResult.OTHER);
+        for (int i = 0; i < 12; i++) {
+            counts.attemptEnded(
+                    counts.requestArrived("caller-" + i, Optional.of("op" + i), false), results.get(i % 4), 1.5);
+        }
+        fixture.pins("tally", counts.encode());
+        ExperimentCounts decoded =
+                ExperimentCounts.decode(experiment, fixture.bytes("tally")).orElseThrow();
+        assertEquals(counts.totals(0), decoded.totals(0));
+        assertEquals(counts.totals(1), decoded.totals(1));
+        assertArrayEquals(fixture.bytes("tally"), decoded.encode());
+    }
+
+    @Example
+    void results() {
+        Map<String, Kind> kinds = Map.of(
+                "goes-on",
+                Kind.CONTINUE,
+                "winner",
+                Kind.WINNER,
+                "harm",
+                Kind.HARM,
+                "futile",
+                Kind.FUTILE,
+                "time",
+                Kind.TIME_LIMIT,
+                "void",
+                Kind.INVALID);
+        assertEquals(Kind.values().length, kinds.size());
+        kinds.forEach((name, kind) -> {
+            ExperimentResult result = new ExperimentResult(kind, 1, "b is better");
+            fixture.pins("end." + name, result.encode());
+            assertEquals(result, ExperimentResult.decode(experiment, fixture.bytes("end." + name)));
+        });
+    }
+
+    @Example
+    void leaseRequestsAndGrants() {
+        ReplicatedStore store = new ReplicatedStore(
+                Duration.ZERO,
+                "b1",
+                5,
+                ReplicatedStore.PersistedEntries.NONE,
+                ReplicatedStore.ReplicationSettings.defaults(false),
+                List::of,
+                new SplittableRandom(1),
+                line -> {});
+        Duration now = Duration.ofSeconds(1);
+        SplitLease lease = new SplitLease(store, "b1", experiment);
+        lease.request(now);
+        lease.grant(now, 9);
+        for (String topic : List.of("trial-q/t", "trial-go/t")) {
+            fixture.pins(topic, store.get("b1", topic).orElseThrow().value());
+        }
+        lease.readGrants(new Leadership.Leader("b1", 9));
+        assertEquals(now.plus(experiment.lease()), lease.expiry());
+        assertEquals("trial/t", experiment.topic());
+    }
+}
