--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -14,7 +14,7 @@
 import merlinlever.log.Log;
 import merlinlever.membership.MembershipTransport;
 import merlinlever.net.EventLoop;
-import merlinlever.policy.OverloadController;
+import merlinlever.policy.ControllerMetrics;
 import merlinlever.recovery.RecoverySequence;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.StateDirectories;
@@ -192,14 +192,14 @@
     @Override
     public double capacity() {
         return backend.metrics()
-                .map(OverloadController.ControllerMetrics::capacity)
+                .map(ControllerMetrics::queueCapacity)
                 .filter(Double::isFinite)
                 .orElse(0.0);
     }
 
     @Override
     public boolean fullSpeed() {
-        return backend.metrics().filter(metrics -> metrics.speedShare() >= 1).isPresent();
+        return backend.metrics().filter(metrics -> metrics.speedFraction() >= 1).isPresent();
     }
 
     @Override
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -1,6 +1,7 @@
 package merlinlever.management;
 
-import merlinlever.policy.OverloadController;
+import merlinlever.policy.ControllerMetrics;
+import merlinlever.policy.RejectionReason;
 
 /** What an instance tells of itself, as one JSON object. */
 public final class StatusReport {
@@ -17,15 +18,13 @@
      * @param recovery a JSON object that says how far it has come back, or null where nothing is kept for a return
      */
     public static String of(
-            boolean leaving,
-            boolean healthy,
-            int inHand,
-            long ageMs,
-            OverloadController.ControllerMetrics figures,
-            String recovery) {
+            boolean leaving, boolean healthy, int inHand, long ageMs, ControllerMetrics figures, String recovery) {
         StringBuilder text = new StringBuilder(512)
                 .append("{\"phase\":\"")
-                .append(leaving ? "leaving" : figures == null ? "starting" : figures.speedShare() < 1 ? "cold" : "warm")
+                .append(
+                        leaving
+                                ? "leaving"
+                                : figures == null ? "starting" : figures.speedFraction() < 1 ? "cold" : "warm")
                 .append("\",\"healthy\":")
                 .append(healthy)
                 .append(",\"in_hand\":")
@@ -34,27 +33,27 @@
                 .append(ageMs);
         if (figures != null) {
             text.append(",\"hung\":")
-                    .append(figures.hung())
+                    .append(figures.stalled())
                     .append(",\"held\":")
-                    .append(figures.held())
+                    .append(figures.requests().queued())
                     .append(",\"running\":")
-                    .append(figures.onCores())
+                    .append(figures.requests().onCores())
                     .append(",\"calls\":")
-                    .append(figures.atCalls())
+                    .append(figures.requests().inCalls())
                     .append(",\"capacity\":")
-                    .append(Math.min(MOST, figures.capacity()))
+                    .append(Math.min(MOST, figures.queueCapacity()))
                     .append(",\"avg\":")
-                    .append(figures.avg())
+                    .append(figures.averageOccupancy())
                     .append(",\"level\":")
-                    .append(figures.level())
+                    .append(figures.backpressureLevel())
                     .append(",\"broken_off\":")
-                    .append(figures.brokenOff())
+                    .append(figures.requests().failed())
                     .append(",\"pushed_back\":{");
-            for (OverloadController.RejectionReason reason : OverloadController.RejectionReason.values()) {
+            for (RejectionReason reason : RejectionReason.values()) {
                 text.append(reason.ordinal() == 0 ? "\"" : ",\"")
                         .append(reason.wireName())
                         .append("\":")
-                        .append(figures.pushedBack().get(reason.ordinal()));
+                        .append(figures.requests().rejected().get(reason));
             }
             text.append('}');
         }
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/core/InDoubtCommandsTest.java
@@ -141,7 +141,7 @@
     /** An outcome that crosses the command to stop: whichever it is, the run is over and the request is released. */
     @Example
     void anyOutcomeThatCrossesAStopEndsTheRequest() {
-        for (Outcome outcome : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NEVER_BEGUN)) {
+        for (Outcome outcome : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NOT_STARTED)) {
             BackendFixture fixture = new BackendFixture(Map.of("tariffs.0.window", "0"));
             String id = fixture.receive("look", null, "a");
             fixture.disconnectCaller(id);
@@ -150,7 +150,7 @@
             fixture.endRun(id, outcome, "late");
             fixture.endRun(id, Outcome.STOPPED, "");
             assertEquals(UNANSWERED, fixture.responsesById.get(id));
-            assertEquals(0, fixture.backend.metrics().orElseThrow().onCores(), "" + outcome);
+            assertEquals(0, fixture.backend.metrics().orElseThrow().requests().onCores(), "" + outcome);
             assertEquals(List.of("launch " + id, "stop " + id), fixture.commands);
             // Its id is tracked for as long as a duplicate may still be read.
             fixture.advance(31_000);
