--- a/src/main/java/merlinlever/Durations.java
+++ b/src/main/java/merlinlever/Durations.java
@@ -2,28 +2,35 @@
 
 import java.time.Duration;
 
-/** Short words for the arithmetic of times. */
+/** Arithmetic of durations, and of points in time that are durations since the start of a server. */
 public final class Durations {
 
+    private static final double NANOS_PER_MILLI = 1e6;
+
     private Durations() {}
 
-    public static Duration millis(double ms) {
-        return Duration.ofNanos((long) (ms * 1e6));
+    /** The duration of so many milliseconds, cut to whole nanoseconds. */
+    public static Duration ofMillis(double millis) {
+        return Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
     }
 
-    public static double ms(Duration span) {
-        return span.toNanos() / 1e6;
+    /** The duration in milliseconds, with its fraction. */
+    public static double toMillis(Duration duration) {
+        return duration.toNanos() / NANOS_PER_MILLI;
     }
 
-    public static Duration earlier(Duration a, Duration b) {
-        return a.compareTo(b) < 0 ? a : b;
+    /** The earlier of two points in time, or the shorter of two durations. */
+    public static Duration earlier(Duration first, Duration second) {
+        return first.compareTo(second) < 0 ? first : second;
     }
 
-    public static Duration later(Duration a, Duration b) {
-        return a.compareTo(b) > 0 ? a : b;
+    /** The later of two points in time, or the longer of two durations. */
+    public static Duration later(Duration first, Duration second) {
+        return first.compareTo(second) > 0 ? first : second;
     }
 
-    public static boolean reached(Duration now, Duration point) {
-        return now.compareTo(point) >= 0;
+    /** Whether it is that time or later. */
+    public static boolean isReached(Duration now, Duration time) {
+        return now.compareTo(time) >= 0;
     }
 }
--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.QuotaDemand;
 import merlinlever.core.Backend;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
@@ -97,7 +98,8 @@
 
     @Override
     public long[] demand(Duration now, FleetQuota quota) {
-        return backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.of()));
+        QuotaDemand demand = backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.of()));
+        return new long[] {demand.inUse(), demand.wanted()};
     }
 
     @Override
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -128,7 +128,7 @@
 
     private String statusReport() {
         return StatusReport.of(
-                server.desk().figures().leaving(),
+                server.desk().figures().draining(),
                 true,
                 server.desk().inHand(),
                 clock.uptime().toMillis(),
--- a/src/main/java/merlinlever/core/BackendSettings.java
+++ b/src/main/java/merlinlever/core/BackendSettings.java
@@ -35,7 +35,7 @@
         Duration longest = MIN_PLAUSIBLE_READ_DELAY;
         for (int i = 0; i < priorityClassIndexes.size(); i++) {
             double clientTimeoutMs = number(SettingNames.ofPriorityClass(i, "client-timeout"), 0);
-            longest = Durations.later(longest, Durations.millis(clientTimeoutMs));
+            longest = Durations.later(longest, Durations.ofMillis(clientTimeoutMs));
         }
         return longest;
     }
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -5,7 +5,8 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.Optional;
-import java.util.function.Consumer;
+import merlinlever.ControllerEvent;
+import merlinlever.Decision;
 import merlinlever.Decisions;
 import merlinlever.Outcome;
 import merlinlever.RequestHandle;
@@ -22,10 +23,10 @@
     /** The handle of a request of which nothing is known any more; events for it have no effect. */
     public static final RequestHandle UNKNOWN_REQUEST = new RequestHandle() {
         @Override
-        public void ended(Duration now, Outcome outcome) {}
+        public void runEnded(Duration now, Outcome outcome) {}
 
         @Override
-        public void reachedCall(Duration now) {}
+        public void callNeeded(Duration now) {}
 
         @Override
         public void callEnded(Duration now, Outcome outcome, Duration elapsed) {}
@@ -39,6 +40,7 @@
     private final Map<String, Integer> priorityClassIndexes;
     private final IdentityHashMap<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
     private final Optional<ShadowModeCounter> shadowMode;
+    private final Decision.Visitor executor = new Executor();
     /** Null while no wake-up is scheduled. */
     private Duration nextWakeUp;
 
@@ -90,38 +92,87 @@
 
     /** Lets the controller decide on all events so far and hands its decisions to the handler. */
     public void decide(Duration now) {
-        Decisions decisions = controller.settle(now);
+        Decisions decisions = controller.decide(now);
         shadowMode.ifPresent(counter -> counter.count(decisions));
-        if (!Double.isNaN(decisions.level)) {
-            handler.updateBackpressureLevel(decisions.level);
-        }
-        if (decisions.healthy != null) {
-            handler.updateHealth(decisions.healthy);
-        }
-        if (decisions.closeIdle != null) {
-            handler.closeIdleConnections(decisions.closeIdle);
-        }
-        decisions.kept.forEach(kept -> handler.retain(requestsByHandle.get(kept.operation()), kept.span()));
-        forEachRequest(decisions.brokenOff, handler::fail);
-        forEachRequest(decisions.halted, handler::stop);
-        decisions.pushedBack.forEach(rejection -> handler.reject(
-                requestsByHandle.get(rejection.operation()), rejection.nowhereElse(), rejection.stayAway()));
-        forEachRequest(decisions.forgotten, handler::evict);
-        forEachRequest(decisions.started, handler::start);
-        forEachRequest(decisions.shared, handler::shareOutcome);
-        decisions.called.forEach(call -> handler.callDownstream(requestsByHandle.get(call.operation()), call.span()));
-        forEachRequest(decisions.omitted, handler::skipCall);
-        decisions.log.forEach(handler::log);
-        if (decisions.nextLook != null && (nextWakeUp == null || decisions.nextLook.compareTo(nextWakeUp) < 0)) {
-            nextWakeUp = decisions.nextLook;
+        decisions.inOrder().forEach(decision -> decision.accept(executor));
+        Duration nextDecisionAt = decisions.nextDecisionAt();
+        if (nextWakeUp == null || nextDecisionAt.compareTo(nextWakeUp) < 0) {
+            nextWakeUp = nextDecisionAt;
             handler.scheduleWakeUp(nextWakeUp);
         }
-        decisions.released.forEach(handle -> handler.release(requestsByHandle.remove(handle)));
     }
 
-    private void forEachRequest(Iterable<RequestHandle> handles, Consumer<T> action) {
-        for (RequestHandle handle : handles) {
-            action.accept(requestsByHandle.get(handle));
+    /** Passes each decision on to the handler, with the handler's request in place of the handle. */
+    private final class Executor implements Decision.Visitor {
+
+        @Override
+        public void sendBackpressure(double value) {
+            handler.updateBackpressureLevel(value);
+        }
+
+        @Override
+        public void reportHealth(boolean healthy) {
+            handler.updateHealth(healthy);
+        }
+
+        @Override
+        public void closeIdleConnections(Duration idleTimeout) {
+            handler.closeIdleConnections(idleTimeout);
+        }
+
+        @Override
+        public void retain(RequestHandle request, Duration retention) {
+            handler.retain(requestsByHandle.get(request), retention);
+        }
+
+        @Override
+        public void fail(RequestHandle request) {
+            handler.fail(requestsByHandle.get(request));
+        }
+
+        @Override
+        public void stop(RequestHandle request) {
+            handler.stop(requestsByHandle.get(request));
+        }
+
+        @Override
+        public void reject(RequestHandle request, boolean isFinal, Duration retryAfter) {
+            handler.reject(requestsByHandle.get(request), isFinal, retryAfter);
+        }
+
+        @Override
+        public void evict(RequestHandle request) {
+            handler.evict(requestsByHandle.get(request));
+        }
+
+        @Override
+        public void start(RequestHandle request) {
+            handler.start(requestsByHandle.get(request));
+        }
+
+        @Override
+        public void shareOutcome(RequestHandle request) {
+            handler.shareOutcome(requestsByHandle.get(request));
+        }
+
+        @Override
+        public void callDownstream(RequestHandle request, Duration timeout) {
+            handler.callDownstream(requestsByHandle.get(request), timeout);
+        }
+
+        @Override
+        public void skipCall(RequestHandle request) {
+            handler.skipCall(requestsByHandle.get(request));
+        }
+
+        @Override
+        public void log(ControllerEvent event) {
+            handler.log(event);
+        }
+
+        @Override
+        public void release(RequestHandle request) {
+            handler.release(requestsByHandle.remove(request));
         }
     }
 }
--- a/src/main/java/merlinlever/core/DecisionHandler.java
+++ b/src/main/java/merlinlever/core/DecisionHandler.java
@@ -1,6 +1,7 @@
 package merlinlever.core;
 
 import java.time.Duration;
+import merlinlever.ControllerEvent;
 
 /**
  * Carries out the decisions of one batch. The methods are called in the order in which they are declared here; that
@@ -51,8 +52,8 @@
     /** Let the run continue without the downstream call that it waits for. */
     void skipCall(T request);
 
-    /** Write a line to the log. */
-    void log(String line);
+    /** Write the event to the log. */
+    void log(ControllerEvent event);
 
     /**
      * Call {@link ControllerDriver#wakeUpFired} and decide again then; always earlier than any wake-up that is still to
--- a/src/main/java/merlinlever/core/ResponseTracker.java
+++ b/src/main/java/merlinlever/core/ResponseTracker.java
@@ -50,7 +50,7 @@
     /** The run of the request has ended, and with it the request and all that share its outcome. */
     void runEnded(TrackedRequest request, Duration now, Outcome outcome, byte[] result) {
         respond(request, outcome, result);
-        request.handle.ended(now, outcome);
+        request.handle.runEnded(now, outcome);
         for (TrackedRequest duplicate : request.coalesced) {
             endWithOutcomeOf(request, duplicate, now);
         }
@@ -71,7 +71,7 @@
         duplicate.outcome = result != null ? Outcome.OK : Outcome.ERROR;
         duplicate.body = null;
         respond(duplicate, duplicate.outcome, result);
-        duplicate.handle.ended(now, duplicate.outcome);
+        duplicate.handle.runEnded(now, duplicate.outcome);
         return true;
     }
 }
--- a/src/main/java/merlinlever/core/ShadowModeCounter.java
+++ b/src/main/java/merlinlever/core/ShadowModeCounter.java
@@ -6,6 +6,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import merlinlever.Decision;
 import merlinlever.Decisions;
 
 /**
@@ -31,11 +32,11 @@
     /** Counts what the shadowed settings would have decided otherwise in one batch of decisions. */
     void count(Decisions decisions) {
         // Dropped work is lost and its call cancelled; paused work keeps its progress and memory.
-        add("halt", decisions.halted.size());
-        add("say", Double.isNaN(decisions.level) ? 0 : 1);
+        add("halt", decisions.of(Decision.Stop.class).size());
+        add("say", decisions.of(Decision.SendBackpressure.class).size());
         // Where the endpoint list follows health, every caller's list drops or takes back this server.
-        add("readiness", decisions.healthy == null ? 0 : 1);
-        add("below", decisions.called.size());
+        add("readiness", decisions.of(Decision.ReportHealth.class).size());
+        add("below", decisions.of(Decision.CallDownstream.class).size());
     }
 
     private void add(String setting, long times) {
--- /dev/null
+++ b/src/main/java/merlinlever/wire/WireEventText.java
@@ -0,0 +1,32 @@
+package merlinlever.wire;
+
+import java.util.Locale;
+import merlinlever.ControllerEvent;
+import merlinlever.Durations;
+
+/** The texts of the controller's events on the wire, which stay as they were in version 0.2. */
+final class WireEventText {
+
+    private WireEventText() {}
+
+    static String of(ControllerEvent event) {
+        if (event instanceof ControllerEvent.DrainStarted drain) {
+            return String.format(
+                    Locale.ROOT,
+                    "leaving: stop in %.0f ms, held=%d run=%d",
+                    Durations.toMillis(drain.untilStop()),
+                    drain.queued(),
+                    drain.started());
+        }
+        if (event instanceof ControllerEvent.StallChanged stall) {
+            return String.format(
+                    Locale.ROOT,
+                    "%s: run=%d held=%d silent=%.0f ms",
+                    stall.stalled() ? "hangs" : "works again",
+                    stall.onCores(),
+                    stall.queued(),
+                    Durations.toMillis(stall.silence()));
+        }
+        throw new IllegalArgumentException("an event without a text: " + event);
+    }
+}
--- a/src/test/java/merlinlever/core/ShadowModeCounterTest.java
+++ b/src/test/java/merlinlever/core/ShadowModeCounterTest.java
@@ -2,8 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.time.Duration;
 import java.util.Map;
 import java.util.Optional;
+import merlinlever.Decision;
 import merlinlever.Decisions;
 import net.jqwik.api.Example;
 
@@ -24,13 +26,13 @@
                         "watch.say", "level",
                         "watch.readiness", "true"))
                 .orElseThrow();
-        Decisions decisions = new Decisions();
-        decisions.halted.add(ControllerDriver.UNKNOWN_REQUEST);
-        decisions.halted.add(ControllerDriver.UNKNOWN_REQUEST);
-        decisions.level = 0.3;
-        decisions.healthy = false;
-        counter.count(decisions);
-        counter.count(new Decisions());
+        Decisions.Builder decisions = new Decisions.Builder();
+        decisions.add(new Decision.Stop(ControllerDriver.UNKNOWN_REQUEST));
+        decisions.add(new Decision.Stop(ControllerDriver.UNKNOWN_REQUEST));
+        decisions.add(new Decision.SendBackpressure(0.3));
+        decisions.add(new Decision.ReportHealth(false));
+        counter.count(decisions.build(Duration.ZERO));
+        counter.count(new Decisions.Builder().build(Duration.ZERO));
         assertEquals(Map.of("halt", 2L, "readiness", 1L), counter.differences(), "say is the same in both");
     }
 }
