--- a/src/main/java/merlinlever/cli/zone/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneFollowerProcess.java
@@ -96,7 +96,7 @@
                 loop,
                 ZoneConfigParser.address(config, "pulse"),
                 MAX_PULSE_BYTES,
-                (bytes, from, waited) -> driver.came(bytes));
+                (bytes, from, waited) -> driver.receive(bytes));
         return SocketAddresses.format(pulses.address());
     }
 
@@ -126,7 +126,7 @@
     private static byte[] nameInZone(ConfigFile config, byte[] zone) throws InvalidConfigFileException {
         try {
             byte[] name = DomainNames.parse(config.text("name", ""), zone);
-            if (DomainNames.under(name, zone)) {
+            if (DomainNames.isUnder(name, zone)) {
                 return name;
             }
         } catch (MalformedDnsException e) {
@@ -174,7 +174,7 @@
         ServiceRunner runner = ServiceRunner.handlingTermination(loop, loop::stop);
         LOG.info("following pulse_address={}", pulseAddress);
         runner.run(() -> {
-            LOG.info("follower-stopped unknown_pulses={}", driver.unknown());
+            LOG.info("follower-stopped unknown_pulses={}", driver.unknownPulses());
             client.close();
         });
     }
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -106,7 +106,7 @@
             throw new InvalidConfigFileException(
                     "cannot listen on " + config.text("listen", "") + ": " + e.getMessage(), e);
         }
-        secondaries.forEach((zone, addresses) -> zone.watch(changed -> notifySender.tell(changed, addresses)));
+        secondaries.forEach((zone, addresses) -> zone.addListener(changed -> notifySender.notifyOfChange(changed, addresses)));
         loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
     }
 
@@ -128,11 +128,11 @@
 
     private String statusReport() {
         return StatusReport.of(
-                server.desk().figures().leaving(),
+                server.processor().controllerMetrics().leaving(),
                 true,
-                server.desk().inHand(),
+                server.processor().inFlight(),
                 clock.uptime().toMillis(),
-                server.desk().figures(),
+                server.processor().controllerMetrics(),
                 null);
     }
 
@@ -190,26 +190,26 @@
                 loop,
                 LOG::warn,
                 (int) config.number("snapshot-after", DEFAULT_SNAPSHOT_AFTER),
-                RequestProcessor.REPLAY);
+                RequestProcessor.REPLAY_WINDOW_SECONDS);
         stores.add(store);
-        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY);
+        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS);
         try {
             ZoneStore.RecoveredZone recovered = store.recover(origin);
             if (recovered == null) {
                 Zone zone = ZoneFile.read(file, origin);
-                store.first(zone);
+                store.initialize(zone);
                 LOG.info("zone-loaded source={} zone={}", file, ZoneCommands.summary(zone));
                 return new ServedZone(zone, updaters, transferers, store, replays);
             }
-            recovered.marks().forEach(key -> replays.add(key.at(), key.mark()));
-            if (!recovered.told().isEmpty()) {
-                LOG.warn("zone-recovered-in-part reason={}", recovered.told());
+            recovered.replayKeys().forEach(key -> replays.add(key.unixSeconds(), key.key()));
+            if (!recovered.warnings().isEmpty()) {
+                LOG.warn("zone-recovered-in-part reason={}", recovered.warnings());
             }
             ServedZone zone = new ServedZone(recovered.zone(), updaters, transferers, store, replays);
-            recovered.steps().forEach(zone.history()::add);
+            recovered.differences().forEach(zone.history()::add);
             LOG.info(
                     "zone-loaded source=state updates_since_snapshot={} zone={}",
-                    recovered.steps().size(),
+                    recovered.differences().size(),
                     ZoneCommands.summary(recovered.zone()));
             reloadNow(zone, file, origin);
             return zone;
@@ -266,11 +266,11 @@
     }
 
     private void startShutdown() {
-        server.leave(stopAfter);
+        server.startDrain(stopAfter);
         loop.in(grace(), () -> {
             server.close();
             loop.every(SHUTDOWN_POLL_PERIOD, () -> {
-                if (server.answered()) {
+                if (server.isDrained()) {
                     stop("all-answered");
                 }
             });
@@ -279,8 +279,8 @@
     }
 
     private void stop(String reason) {
-        LOG.info("shutdown-finished reason={} counts={}", reason, metrics.line());
-        server.end();
+        LOG.info("shutdown-finished reason={} counts={}", reason, metrics.summary());
+        server.closeSockets();
         loop.stop();
         stores.forEach(ZoneStore::close);
     }
--- a/src/main/java/merlinlever/measure/DnsMeasurement.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -307,13 +307,13 @@
             folder = new FileStateDirectory(Files.createTempDirectory(scratch, "state"));
             byte[] origin = name("example.org.");
             store = new ZoneStore(
-                    folder, origin, disk, snapshots, loop, System.err::println, 1_000_000, RequestProcessor.REPLAY);
-            store.mostAWrite(mostAWrite);
+                    folder, origin, disk, snapshots, loop, System.err::println, 1_000_000, RequestProcessor.REPLAY_WINDOW_SECONDS);
+            store.limitUpdatesPerWrite(mostAWrite);
             store.recover(origin);
             Zone zone = ZoneFile.read(file, origin);
-            store.first(zone);
+            store.initialize(zone);
             ServedZone served =
-                    new ServedZone(zone, Set.of("k."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY));
+                    new ServedZone(zone, Set.of("k."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
             Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
             front = new DnsServer(
                     loop,
@@ -334,7 +334,7 @@
         public void close() throws IOException {
             loop.execute(() -> {
                 front.close();
-                front.end();
+                front.closeSockets();
                 loop.stop();
             });
             try {
@@ -402,8 +402,8 @@
                                     })),
                             key);
                     long asked = System.nanoTime();
-                    asker.ask(server.address, message, key, Duration.ofSeconds(5), answered -> {
-                        if (answered.well()) {
+                    asker.exchange(server.address, message, key, Duration.ofSeconds(5), answered -> {
+                        if (answered.isSuccessful()) {
                             counts[0]++;
                             times.recordValue(Math.min(60_000_000L, (System.nanoTime() - asked) / 1000));
                         } else {
@@ -491,7 +491,7 @@
                     int host = chance.nextInt(2500) * 4;
                     byte[] question = new MessageWriter(id, DnsMessage.DESIRED, 512)
                             .question(name("host" + host + ".example.org."), RecordTypes.A, RecordTypes.IN)
-                            .done();
+                            .toBytes();
                     sentAt[id] = System.nanoTime();
                     socket.send(new DatagramPacket(question, question.length));
                     open++;
@@ -621,7 +621,7 @@
                                         set(zone[0], at, RecordTypes.A))));
             } else if (step instanceof Follower.WriteStep write) {
                 DynamicUpdate.UpdateResult outcome =
-                        DynamicUpdate.judge(zone[0], write.prerequisites(), write.changes());
+                        DynamicUpdate.apply(zone[0], write.prerequisites(), write.changes());
                 if (ms < dies && ms > 30_000 && outcome.difference() != null) {
                     wrong += outcome.difference().removed().stream()
                             .filter(rec -> rec.type() == RecordTypes.A)
@@ -643,7 +643,7 @@
     private static List<ResourceRecord> set(Zone zone, byte[] owner, int type) {
         List<ResourceRecord> records = new ArrayList<>();
         if (zone.set(owner, type) != null) {
-            zone.set(owner, type).each(owner, records::add);
+            zone.set(owner, type).forEachRecord(owner, records::add);
         }
         return records;
     }
--- a/src/main/java/merlinlever/zone/client/DnsClient.java
+++ b/src/main/java/merlinlever/zone/client/DnsClient.java
@@ -107,7 +107,7 @@
                 if (!message.response()
                         || message.id() != sent.id()
                         || message.operation() != sent.operation()
-                        || (message.asks()
+                        || (message.hasQuestion()
                                 && !(Arrays.equals(message.name(), sent.name()) && message.type() == sent.type()))) {
                     return null;
                 }
@@ -239,7 +239,7 @@
      * @param question without id and signature, which are put in here
      * @param key null for none
      */
-    public void ask(
+    public void exchange(
             InetSocketAddress server,
             byte[] question,
             Tsig.TsigKey key,
--- a/src/main/java/merlinlever/zone/client/ExchangeResult.java
+++ b/src/main/java/merlinlever/zone/client/ExchangeResult.java
@@ -7,7 +7,7 @@
  *
  * @param message the answer where there is one, else null
  */
-public record ExchangeResult(ExchangeStatus way, DnsMessage message) {
+public record ExchangeResult(ExchangeStatus status, DnsMessage message) {
 
     /** Every way in which one can end, and what each means for an update. */
     public enum ExchangeStatus {
@@ -21,13 +21,13 @@
         KEY_REFUSED
     }
 
-    public boolean well() {
-        return way == ExchangeStatus.ANSWERED && message.code() == 0;
+    public boolean isSuccessful() {
+        return status == ExchangeStatus.ANSWERED && message.code() == 0;
     }
 
     /** One line for people. */
-    public String told() {
-        return switch (way) {
+    public String describe() {
+        return switch (status) {
             case ANSWERED -> org.xbill.DNS.Rcode.string(message.code())
                     + (message.signature() != null && message.signature().error() != 0
                             ? " ("
--- a/src/main/java/merlinlever/zone/client/FollowerDriver.java
+++ b/src/main/java/merlinlever/zone/client/FollowerDriver.java
@@ -60,7 +60,7 @@
     }
 
     /** A datagram such as {@code PULSE n3 open}; says whether it was one of a known instance. */
-    public boolean came(byte[] octets) {
+    public boolean receive(byte[] octets) {
         String[] words = octets.length > 512
                 ? new String[0]
                 : new String(octets, StandardCharsets.UTF_8).strip().split(" ");
@@ -76,7 +76,7 @@
     }
 
     /** Datagrams that were no report of a known instance. */
-    public long unknown() {
+    public long unknownPulses() {
         return unknown;
     }
 
@@ -95,9 +95,9 @@
             write.answered(loop.clock().now(), DynamicUpdate.FORMERR);
             return;
         }
-        asker.ask(servers.get(write.server()), message, key, patience, answered -> {
+        asker.exchange(servers.get(write.server()), message, key, patience, answered -> {
             Duration now = loop.clock().now();
-            switch (answered.way()) {
+            switch (answered.status()) {
                 case ANSWERED -> write.answered(now, answered.message().code());
                 case UNREACHABLE -> write.unreachable(now);
                 case KEY_REFUSED -> write.answered(now, DynamicUpdate.NOTAUTH);
@@ -129,12 +129,12 @@
             MessageWriter out = new MessageWriter(0, 0, DnsMessage.PLAIN_DATAGRAM);
             out.question(at, type, RecordTypes.IN);
             out.edns(1232, 0, null);
-            asker.ask(servers.get(read.server()), out.done(), key, patience, answered -> heard(answered, at, type));
+            asker.exchange(servers.get(read.server()), out.toBytes(), key, patience, answered -> heard(answered, at, type));
         }
 
         private void heard(ExchangeResult answered, byte[] at, int type) {
             Duration now = loop.clock().now();
-            switch (answered.way()) {
+            switch (answered.status()) {
                 case UNREACHABLE -> read.unreachable(now);
                 case LOST -> read.lost(now);
                 case KEY_REFUSED -> read.refused(now, DynamicUpdate.NOTAUTH);
--- a/src/main/java/merlinlever/zone/client/UpdateMessages.java
+++ b/src/main/java/merlinlever/zone/client/UpdateMessages.java
@@ -28,6 +28,6 @@
                 return null;
             }
         }
-        return out.done();
+        return out.toBytes();
     }
 }
--- a/src/main/java/merlinlever/zone/client/ZoneApplier.java
+++ b/src/main/java/merlinlever/zone/client/ZoneApplier.java
@@ -69,7 +69,7 @@
     private void fetch(Consumer<Zone> then) {
         ZoneFetcher.zone(asker, server, wanted.origin(), key, fetched -> {
             if (fetched.zone() == null) {
-                watcher.ended(batches == null ? 0 : batches.size(), "the zone cannot be fetched: " + fetched.why());
+                watcher.ended(batches == null ? 0 : batches.size(), "the zone cannot be fetched: " + fetched.failure());
             } else {
                 then.accept(fetched.zone());
             }
@@ -107,17 +107,17 @@
                     index, "update " + (index + 1) + " does not fit one message: a single name has too many records");
             return;
         }
-        asker.ask(server, message, key, patience, answered -> {
-            if (answered.well()) {
+        asker.exchange(server, message, key, patience, answered -> {
+            if (answered.isSuccessful()) {
                 watcher.done(index);
                 send(index + 1);
             } else {
-                boolean changed = answered.way() == ExchangeResult.ExchangeStatus.ANSWERED
+                boolean changed = answered.status() == ExchangeResult.ExchangeStatus.ANSWERED
                         && answered.message().code() >= 6
                         && answered.message().code() <= 8;
                 watcher.ended(
                         index,
-                        "update " + (index + 1) + ": " + answered.told()
+                        "update " + (index + 1) + ": " + answered.describe()
                                 + (changed ? ": what it touches was changed by somebody else since the plan" : ""));
             }
         });
--- a/src/main/java/merlinlever/zone/client/ZoneFetcher.java
+++ b/src/main/java/merlinlever/zone/client/ZoneFetcher.java
@@ -29,7 +29,7 @@
     private static final Duration SILENT = Duration.ofSeconds(5);
 
     /** A zone, or why there is none. */
-    public record FetchResult(Zone zone, String why) {}
+    public record FetchResult(Zone zone, String failure) {}
 
     private final EventLoop loop;
     private final DnsClient asker;
@@ -59,7 +59,7 @@
         int id = asker.id();
         byte[] question = new MessageWriter(id, 0, DnsMessage.PLAIN_DATAGRAM)
                 .question(origin, RecordTypes.AXFR, RecordTypes.IN)
-                .done();
+                .toBytes();
         Tsig.SignedMessage signed =
                 key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
         ZoneFetcher fetch = new ZoneFetcher(asker, origin, key, signed == null ? null : signed.mac(), id, done);
@@ -111,10 +111,10 @@
             throw new MalformedDnsException("an answer to something else");
         }
         if (message.code() != 0) {
-            end(null, "answers " + new ExchangeResult(ExchangeResult.ExchangeStatus.ANSWERED, message).told());
+            end(null, "answers " + new ExchangeResult(ExchangeResult.ExchangeStatus.ANSWERED, message).describe());
             return;
         }
-        if (chain != null && !chain.holds(message, asker.unix().getAsLong())) {
+        if (chain != null && !chain.verifyNext(message, asker.unix().getAsLong())) {
             throw new MalformedDnsException("its signature does not hold");
         }
         for (UpdateEntry entry : message.answers()) {
@@ -122,7 +122,7 @@
                 throw new MalformedDnsException("records behind its end");
             }
             ResourceRecord rec = new ResourceRecord(entry.owner(), entry.type(), entry.ttl(), entry.data());
-            if (entry.dclass() != RecordTypes.IN || entry.data() == null || !DomainNames.under(rec.owner(), origin)) {
+            if (entry.dclass() != RecordTypes.IN || entry.data() == null || !DomainNames.isUnder(rec.owner(), origin)) {
                 throw new MalformedDnsException("a record that is not of the zone");
             }
             if (rec.type() == RecordTypes.SOA) {
@@ -144,7 +144,7 @@
             }
         }
         if (whole) {
-            if (chain != null && !chain.closed()) {
+            if (chain != null && !chain.isComplete()) {
                 throw new MalformedDnsException("its last message is not signed");
             }
             end(Zone.of(origin, records), null);
--- a/src/main/java/merlinlever/zone/follow/Follower.java
+++ b/src/main/java/merlinlever/zone/follow/Follower.java
@@ -204,12 +204,12 @@
 
     /** An instance reported. */
     public void heard(Duration now, int instance, boolean open) {
-        fleet.heard(now, instance, open);
+        fleet.reported(now, instance, open);
     }
 
     /** The next step, or null for none now. */
     public Step settle(Duration now) {
-        fleet.look(now);
+        fleet.update(now);
         if (inHand != null || now.compareTo(nextAt) < 0) {
             return null;
         }
--- a/src/main/java/merlinlever/zone/follow/InstanceTracker.java
+++ b/src/main/java/merlinlever/zone/follow/InstanceTracker.java
@@ -16,8 +16,8 @@
     private static final double REUSE = 1;
 
     private static final class TrackedInstance {
-        Duration heard;
-        boolean open, was, suppressed;
+        Duration lastReport;
+        boolean isOpen, wasAlive, isSuppressed;
         double penalty;
         Duration penaltyAt = Duration.ZERO;
     }
@@ -39,43 +39,43 @@
         return instances.size();
     }
 
-    void heard(Duration now, int index, boolean open) {
+    void reported(Duration now, int index, boolean open) {
         TrackedInstance instance = instances.get(index);
-        look(now, instance);
-        instance.heard = now;
-        instance.open = open;
-        look(now, instance);
+        update(now, instance);
+        instance.lastReport = now;
+        instance.isOpen = open;
+        update(now, instance);
     }
 
     private boolean alive(Duration now, TrackedInstance instance) {
-        return instance.open
-                && instance.heard != null
-                && now.minus(instance.heard).compareTo(lapse) < 0;
+        return instance.isOpen
+                && instance.lastReport != null
+                && now.minus(instance.lastReport).compareTo(lapse) < 0;
     }
 
-    private void look(Duration now, TrackedInstance instance) {
+    private void update(Duration now, TrackedInstance instance) {
         boolean alive = alive(now, instance);
         if (instance.penalty > 0) {
             instance.penalty *= Math.pow(0.5, now.minus(instance.penaltyAt).toNanos() / (double) damp.toNanos());
         }
         instance.penaltyAt = now;
-        if (instance.was && !alive) {
+        if (instance.wasAlive && !alive) {
             instance.penalty += 1;
         }
-        instance.was = alive;
-        instance.suppressed = instance.suppressed ? instance.penalty > REUSE : instance.penalty >= SUPPRESS;
+        instance.wasAlive = alive;
+        instance.isSuppressed = instance.isSuppressed ? instance.penalty > REUSE : instance.penalty >= SUPPRESS;
     }
 
     /** Brings all up to now; call before asking. */
-    void look(Duration now) {
-        instances.forEach(instance -> look(now, instance));
+    void update(Duration now) {
+        instances.forEach(instance -> update(now, instance));
     }
 
     /** As of the last look: alive, and not kept away for its flapping unless that is asked for. */
     List<Integer> alive(boolean suppressedToo) {
         List<Integer> alive = new ArrayList<>();
         for (int i = 0; i < instances.size(); i++) {
-            if (instances.get(i).was && (suppressedToo || !instances.get(i).suppressed)) {
+            if (instances.get(i).wasAlive && (suppressedToo || !instances.get(i).isSuppressed)) {
                 alive.add(i);
             }
         }
@@ -86,8 +86,8 @@
     Duration nextLapse() {
         Duration next = null;
         for (TrackedInstance instance : instances) {
-            if (instance.was) {
-                Duration at = instance.heard.plus(lapse);
+            if (instance.wasAlive) {
+                Duration at = instance.lastReport.plus(lapse);
                 next = next == null || at.compareTo(next) < 0 ? at : next;
             }
         }
--- a/src/main/java/merlinlever/zone/journal/JournalFormat.java
+++ b/src/main/java/merlinlever/zone/journal/JournalFormat.java
@@ -28,11 +28,11 @@
      * One update as it lies in the journal.
      *
      * @param sequence counts the updates of a zone from 1
-     * @param forced how much of the file was surely on disk when this was written
-     * @param at when it was made, in Unix seconds
-     * @param mark of the message that asked for it, for telling a repeat; empty for none
+     * @param durableLength how much of the file was surely on disk when this was written
+     * @param unixSeconds when it was made, in Unix seconds
+     * @param replayKey of the message that asked for it, for telling a repeat; empty for none
      */
-    record JournalEntry(long sequence, long forced, long at, byte[] mark, Difference difference) {}
+    record JournalEntry(long sequence, long durableLength, long unixSeconds, byte[] replayKey, Difference difference) {}
 
     private JournalFormat() {}
 
@@ -82,14 +82,14 @@
     }
 
     static ByteBuffer entry(JournalEntry step) {
-        int length = 8 + 8 + 8 + 1 + step.mark.length + size(step.difference.removed()) + size(step.difference.added());
+        int length = 8 + 8 + 8 + 1 + step.replayKey.length + size(step.difference.removed()) + size(step.difference.added());
         ByteBuffer out =
                 ByteBuffer.allocate(FRONT + length).putInt(ENTRY).putInt(length).putInt(0);
         out.putLong(step.sequence)
-                .putLong(step.forced)
-                .putLong(step.at)
-                .put((byte) step.mark.length)
-                .put(step.mark);
+                .putLong(step.durableLength)
+                .putLong(step.unixSeconds)
+                .put((byte) step.replayKey.length)
+                .put(step.replayKey);
         put(out, step.difference.removed());
         put(out, step.difference.added());
         out.flip();
--- a/src/main/java/merlinlever/zone/journal/JournalRecovery.java
+++ b/src/main/java/merlinlever/zone/journal/JournalRecovery.java
@@ -11,7 +11,7 @@
 final class JournalRecovery {
 
     /** The entries of one journal, and how many octets of it are good. */
-    record RecoveredEntries(List<JournalFormat.JournalEntry> steps, int good) {}
+    record RecoveredEntries(List<JournalFormat.JournalEntry> entries, int durableLength) {}
 
     private JournalRecovery() {}
 
@@ -43,7 +43,7 @@
         for (int at = bad + 1; at + JournalFormat.FRONT <= file.length; at++) {
             if (file[at] == (byte) (JournalFormat.ENTRY >> 24) && JournalFormat.lengthAt(file, at) >= 0) {
                 JournalFormat.JournalEntry step = JournalFormat.step(file, at);
-                if (step != null && step.forced() > bad) {
+                if (step != null && step.durableLength() > bad) {
                     return true;
                 }
             }
--- a/src/main/java/merlinlever/zone/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/zone/journal/ZoneStore.java
@@ -21,10 +21,10 @@
 public final class ZoneStore {
 
     /** A message that a repeat is known by, with its time in Unix seconds. */
-    public record TimedReplayKey(long at, byte[] mark) {}
+    public record TimedReplayKey(long unixSeconds, byte[] key) {}
 
     /** What lay on the disk. */
-    public record RecoveredZone(Zone zone, List<Difference> steps, List<TimedReplayKey> marks, String told) {}
+    public record RecoveredZone(Zone zone, List<Difference> differences, List<TimedReplayKey> replayKeys, String warnings) {}
 
     /** State that cannot be used; the message is one line for the operator. */
     public static final class UnusableStateException extends Exception {
@@ -44,50 +44,50 @@
     private final String name;
     private final Executor disk;
     private final Executor snapshots;
-    private final Executor home;
-    private final Consumer<String> trouble;
+    private final Executor callerThread;
+    private final Consumer<String> faultLog;
     private final int snapshotAfter;
     /** How long marks are wanted, in seconds. */
-    private final long marksFor;
+    private final long replayWindowSeconds;
 
     // At home.
-    private List<PendingUpdate> waiting = new ArrayList<>();
+    private List<PendingUpdate> pendingUpdates = new ArrayList<>();
     private boolean writing, snapshotting;
-    private int sinceSnapshot;
+    private int updatesSinceSnapshot;
     /** Of the last write, those that have not been told yet: no version that the caller has seen holds all of it. */
     private int unheard;
 
-    private final List<TimedReplayKey> marks = new ArrayList<>();
+    private final List<TimedReplayKey> replayKeys = new ArrayList<>();
     private boolean failed;
-    private int mostAWrite = Integer.MAX_VALUE;
+    private int maxUpdatesPerWrite = Integer.MAX_VALUE;
 
     // On the disk's thread, one job at a time.
-    private StateDirectory.AppendableFile out;
+    private StateDirectory.AppendableFile journalFile;
     private long sequence;
-    private long good;
-    private boolean torn;
+    private long durableLength;
+    private boolean hasTornTail;
 
     /**
-     * @param home runs things on the caller's thread
-     * @param trouble hears lines about the disk
+     * @param callerThread runs things on the caller's thread
+     * @param faultLog hears lines about the disk
      */
     public ZoneStore(
             StateDirectory folder,
             byte[] origin,
             Executor disk,
             Executor snapshots,
-            Executor home,
-            Consumer<String> trouble,
+            Executor callerThread,
+            Consumer<String> faultLog,
             int snapshotAfter,
-            long marksFor) {
+            long replayWindowSeconds) {
         this.folder = folder;
         this.name = JournalFormat.fileName(origin);
         this.disk = disk;
         this.snapshots = snapshots;
-        this.home = home;
-        this.trouble = trouble;
+        this.callerThread = callerThread;
+        this.faultLog = faultLog;
         this.snapshotAfter = snapshotAfter;
-        this.marksFor = marksFor;
+        this.replayWindowSeconds = replayWindowSeconds;
     }
 
     private String journal(long base) {
@@ -138,8 +138,8 @@
                                     : ": its header is spoilt"));
                 }
                 JournalRecovery.RecoveredEntries read = JournalRecovery.read(journals.get(i), file);
-                for (JournalFormat.JournalEntry step : read.steps()) {
-                    remember(step.at(), step.mark());
+                for (JournalFormat.JournalEntry step : read.entries()) {
+                    remember(step.unixSeconds(), step.replayKey());
                     if (step.sequence() <= snapshotAt) {
                         continue;
                     }
@@ -147,27 +147,27 @@
                         throw new UnusableStateException(journals.get(i) + ": update " + step.sequence()
                                 + " does not follow update " + sequence);
                     }
-                    zone = step.difference().on(zone);
+                    zone = step.difference().applyTo(zone);
                     steps.add(step.difference());
                     sequence = step.sequence();
                 }
-                if (read.good() < file.length) {
-                    told += journals.get(i) + ": the last " + (file.length - read.good())
+                if (read.durableLength() < file.length) {
+                    told += journals.get(i) + ": the last " + (file.length - read.durableLength())
                             + " octets were not whole and are dropped, nobody was answered for them; ";
                 }
                 if (last) {
-                    out = folder.openForAppend(journals.get(i));
-                    good = read.good();
-                    if (good < file.length) {
-                        out.truncate(good);
+                    journalFile = folder.openForAppend(journals.get(i));
+                    durableLength = read.durableLength();
+                    if (durableLength < file.length) {
+                        journalFile.truncate(durableLength);
                     }
                 }
             }
-            if (out == null) {
-                begin();
+            if (journalFile == null) {
+                startJournal();
             }
-            sinceSnapshot = steps.size();
-            return new RecoveredZone(zone, steps, List.copyOf(marks), told);
+            updatesSinceSnapshot = steps.size();
+            return new RecoveredZone(zone, steps, List.copyOf(replayKeys), told);
         } catch (JournalRecovery.CorruptJournalException e) {
             throw new UnusableStateException(e.getMessage());
         } catch (IOException e) {
@@ -176,32 +176,32 @@
     }
 
     /** A zone that had no state has one from here on. */
-    public void first(Zone zone) throws UnusableStateException {
+    public void initialize(Zone zone) throws UnusableStateException {
         try {
             write(zone, 0, List.of());
-            begin();
+            startJournal();
         } catch (IOException e) {
             throw new UnusableStateException(name + ": no state can be written: " + e.getMessage());
         }
     }
 
-    private void begin() throws IOException {
+    private void startJournal() throws IOException {
         String file = journal(sequence);
         StateDirectory.AppendableFile begun = folder.openForAppend(file);
         begun.truncate(0);
         begun.write(ByteBuffer.wrap(JournalFormat.header(sequence)));
         begun.sync();
         folder.sync();
-        if (out != null) {
-            out.close();
+        if (journalFile != null) {
+            journalFile.close();
         }
-        out = begun;
-        good = begun.length();
+        journalFile = begun;
+        durableLength = begun.length();
     }
 
     private void remember(long at, byte[] mark) {
         if (mark.length > 0) {
-            marks.add(new TimedReplayKey(at, mark));
+            replayKeys.add(new TimedReplayKey(at, mark));
         }
     }
 
@@ -211,62 +211,62 @@
      * Puts an update into the journal. {@code done} hears, later, whether it is on the disk; where it is not, neither are
      * those that were put behind it before that was heard, which hear the same.
      */
-    public void put(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {
-        waiting.add(new PendingUpdate(at, mark, difference, done));
+    public void append(long at, byte[] mark, Difference difference, Consumer<Boolean> done) {
+        pendingUpdates.add(new PendingUpdate(at, mark, difference, done));
         flush();
     }
 
     /** Whether all that was put has been heard of. */
-    public boolean idle() {
-        return !writing && waiting.isEmpty() && !snapshotting;
+    public boolean isIdle() {
+        return !writing && pendingUpdates.isEmpty() && !snapshotting;
     }
 
     /** For measuring what many updates a force are worth. */
-    public void mostAWrite(int most) {
-        mostAWrite = most;
+    public void limitUpdatesPerWrite(int most) {
+        maxUpdatesPerWrite = most;
     }
 
     private void flush() {
-        if (writing || waiting.isEmpty()) {
+        if (writing || pendingUpdates.isEmpty()) {
             return;
         }
         writing = true;
-        List<PendingUpdate> batch = waiting;
-        waiting = new ArrayList<>();
-        if (batch.size() > mostAWrite) {
-            waiting.addAll(batch.subList(mostAWrite, batch.size()));
-            batch = batch.subList(0, mostAWrite);
+        List<PendingUpdate> batch = pendingUpdates;
+        pendingUpdates = new ArrayList<>();
+        if (batch.size() > maxUpdatesPerWrite) {
+            pendingUpdates.addAll(batch.subList(maxUpdatesPerWrite, batch.size()));
+            batch = batch.subList(0, maxUpdatesPerWrite);
         }
         write(batch);
     }
 
     private void write(List<PendingUpdate> batch) {
         disk.execute(() -> {
-            IOException failure = onDisk(batch);
-            home.execute(() -> heard(batch, failure));
+            IOException failure = writeBatch(batch);
+            callerThread.execute(() -> batchWritten(batch, failure));
         });
     }
 
-    private IOException onDisk(List<PendingUpdate> batch) {
+    private IOException writeBatch(List<PendingUpdate> batch) {
         try {
-            if (torn) {
-                out.truncate(good);
-                torn = false;
+            if (hasTornTail) {
+                journalFile.truncate(durableLength);
+                hasTornTail = false;
             }
             long next = sequence;
             for (PendingUpdate each : batch) {
-                out.write(JournalFormat.entry(
-                        new JournalFormat.JournalEntry(++next, good, each.at, each.mark, each.difference)));
+                journalFile.write(JournalFormat.entry(
+                        new JournalFormat.JournalEntry(++next, durableLength, each.at, each.mark, each.difference)));
             }
-            out.sync();
+            journalFile.sync();
             sequence = next;
-            good = out.length();
+            durableLength = journalFile.length();
             return null;
         } catch (IOException e) {
-            torn = true;
+            hasTornTail = true;
             try {
-                out.truncate(good);
-                torn = false;
+                journalFile.truncate(durableLength);
+                hasTornTail = false;
             } catch (IOException again) {
                 // Tried again before the next write: until then nothing is added behind what may not be whole.
             }
@@ -274,26 +274,26 @@
         }
     }
 
-    private void heard(List<PendingUpdate> batch, IOException failure) {
+    private void batchWritten(List<PendingUpdate> batch, IOException failure) {
         writing = false;
         if (failure != null) {
             if (!failed) {
-                trouble.accept("updates of " + name + " are turned away: the journal cannot be written: "
+                faultLog.accept("updates of " + name + " are turned away: the journal cannot be written: "
                         + failure.getMessage());
             }
             failed = true;
-            List<PendingUpdate> behind = waiting;
-            waiting = new ArrayList<>();
+            List<PendingUpdate> behind = pendingUpdates;
+            pendingUpdates = new ArrayList<>();
             batch.forEach(each -> each.done.accept(false));
             behind.forEach(each -> each.done.accept(false));
         } else {
             if (failed) {
-                trouble.accept("the journal of " + name + " can be written again");
+                faultLog.accept("the journal of " + name + " can be written again");
             }
             failed = false;
             for (PendingUpdate each : batch) {
                 remember(each.at, each.mark);
-                sinceSnapshot++;
+                updatesSinceSnapshot++;
             }
             unheard = batch.size();
             for (PendingUpdate each : batch) {
@@ -307,43 +307,43 @@
     // ---- snapshots
 
     /** Whether so many updates have come since the last snapshot that the next one is due. */
-    public boolean snapshotDue() {
-        return sinceSnapshot >= snapshotAfter && unheard == 0 && !snapshotting && !writing && waiting.isEmpty();
+    public boolean isSnapshotDue() {
+        return updatesSinceSnapshot >= snapshotAfter && unheard == 0 && !snapshotting && !writing && pendingUpdates.isEmpty();
     }
 
     /** Writes the zone as all that was heard of made it; the journal goes on in a new file meanwhile. Call when due. */
     public void snapshot(Zone zone, long now) {
         snapshotting = true;
-        sinceSnapshot = 0;
-        marks.removeIf(mark -> now - mark.at > marksFor);
-        List<TimedReplayKey> kept = List.copyOf(marks);
+        updatesSinceSnapshot = 0;
+        replayKeys.removeIf(mark -> now - mark.unixSeconds > replayWindowSeconds);
+        List<TimedReplayKey> kept = List.copyOf(replayKeys);
         writing = true;
         disk.execute(() -> {
             IOException failure = null;
             long upTo = sequence;
             try {
-                if (torn) {
-                    out.truncate(good);
-                    torn = false;
+                if (hasTornTail) {
+                    journalFile.truncate(durableLength);
+                    hasTornTail = false;
                 }
-                begin();
+                startJournal();
             } catch (IOException e) {
                 failure = e;
             }
             IOException begun = failure;
-            home.execute(() -> {
+            callerThread.execute(() -> {
                 writing = false;
                 if (begun != null) {
-                    told(begun);
+                    snapshotFinished(begun);
                 } else {
-                    behind(zone, upTo, kept);
+                    writeSnapshot(zone, upTo, kept);
                 }
                 flush();
             });
         });
     }
 
-    private void behind(Zone zone, long upTo, List<TimedReplayKey> kept) {
+    private void writeSnapshot(Zone zone, long upTo, List<TimedReplayKey> kept) {
         try {
             snapshots.execute(() -> {
                 IOException failure = null;
@@ -358,17 +358,17 @@
                     failure = e;
                 }
                 IOException ended = failure;
-                home.execute(() -> told(ended));
+                callerThread.execute(() -> snapshotFinished(ended));
             });
         } catch (RejectedExecutionException e) {
-            told(null);
+            snapshotFinished(null);
         }
     }
 
-    private void told(IOException failure) {
+    private void snapshotFinished(IOException failure) {
         snapshotting = false;
         if (failure != null) {
-            trouble.accept("no snapshot of " + name + ": " + failure.getMessage() + "; its journals are kept");
+            faultLog.accept("no snapshot of " + name + ": " + failure.getMessage() + "; its journals are kept");
         }
     }
 
@@ -381,8 +381,8 @@
             ByteBuffer room = ByteBuffer.allocate(CHUNK + 16);
             room.putInt(JournalFormat.SNAPSHOT).putLong(upTo).putInt(kept.size());
             for (TimedReplayKey mark : kept) {
-                room = flushed(file, room, crc, 9 + mark.mark.length);
-                room.putLong(mark.at).put((byte) mark.mark.length).put(mark.mark);
+                room = flushed(file, room, crc, 9 + mark.key.length);
+                room.putLong(mark.unixSeconds).put((byte) mark.key.length).put(mark.key);
             }
             room = flushed(file, room, crc, 4);
             room.putInt(zone.records());
@@ -399,7 +399,7 @@
                     }
                     byte[] wire = DomainNames.wire(key);
                     for (int i = 0; i < owner.sets(); i++) {
-                        owner.at(i).each(wire, chunk::add);
+                        owner.at(i).forEachRecord(wire, chunk::add);
                     }
                     return true;
                 });
@@ -458,8 +458,8 @@
 
     /** Lets go of the file; what was not forced was never answered. */
     public void close() {
-        if (out != null) {
-            out.close();
+        if (journalFile != null) {
+            journalFile.close();
         }
     }
 }
--- a/src/main/java/merlinlever/zone/record/DomainNames.java
+++ b/src/main/java/merlinlever/zone/record/DomainNames.java
@@ -148,7 +148,7 @@
     }
 
     /** Whether the name is the ancestor or below it; both in lower case. */
-    public static boolean under(byte[] name, byte[] ancestor) {
+    public static boolean isUnder(byte[] name, byte[] ancestor) {
         int at = 0;
         while (name.length - at > ancestor.length) {
             at += name[at] + 1;
@@ -232,7 +232,7 @@
         return end;
     }
 
-    public static boolean begins(byte[] prefix, byte[] key) {
+    public static boolean isPrefix(byte[] prefix, byte[] key) {
         return key.length >= prefix.length && Arrays.equals(prefix, 0, prefix.length, key, 0, prefix.length);
     }
 }
--- a/src/main/java/merlinlever/zone/record/RecordTypes.java
+++ b/src/main/java/merlinlever/zone/record/RecordTypes.java
@@ -27,7 +27,7 @@
     private RecordTypes() {}
 
     /** Types that no zone holds: questions, and what is made for one message. */
-    public static boolean meta(int type) {
+    public static boolean isMeta(int type) {
         return type == 0 || type == OPT || (type >= 128 && type <= 255);
     }
 
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -16,32 +16,32 @@
     /** A message and its length fit; what waits to be written may be a few answers of the largest kind. */
     static final int READ_BUFFER = 2 + 65_535;
 
-    static final int MOST_QUEUED = 8 * 65_537;
+    static final int MAX_QUEUED_BYTES = 8 * 65_537;
     /** Messages of one connection in hand; what comes beyond is read when one is answered. */
-    private static final int MOST_IN_HAND = 64;
+    private static final int MAX_IN_FLIGHT = 64;
 
-    private static final Duration WHOLE = Duration.ofSeconds(5);
-    private static final Duration IDLE = Duration.ofSeconds(10);
+    private static final Duration MESSAGE_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(10);
 
     private final EventLoop loop;
     private final RequestProcessor desk;
-    private final Consumer<DnsConnection> gone;
+    private final Consumer<DnsConnection> onClosed;
     private Connection connection;
-    private final List<PendingMessage> inHand = new ArrayList<>(2);
+    private final List<PendingMessage> inFlight = new ArrayList<>(2);
     private Duration idleSince, incompleteSince, unwrittenSince;
     private ZoneTransfer sending;
-    private Consumer<Boolean> sent;
-    private final ArrayDeque<Runnable> transfersBehind = new ArrayDeque<>(0);
-    private boolean last;
+    private Consumer<Boolean> transferDone;
+    private final ArrayDeque<Runnable> queuedTransfers = new ArrayDeque<>(0);
+    private boolean isClosing;
 
-    DnsConnection(EventLoop loop, RequestProcessor desk, Consumer<DnsConnection> gone) {
+    DnsConnection(EventLoop loop, RequestProcessor desk, Consumer<DnsConnection> onClosed) {
         this.loop = loop;
         this.desk = desk;
-        this.gone = gone;
+        this.onClosed = onClosed;
         idleSince = loop.clock().now();
     }
 
-    void on(Connection mine) {
+    void attach(Connection mine) {
         connection = mine;
         connection.readOn();
     }
@@ -50,7 +50,7 @@
     public void read(ByteBuffer in) {
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
-        while (in.remaining() >= 2 && inHand.size() < MOST_IN_HAND) {
+        while (in.remaining() >= 2 && inFlight.size() < MAX_IN_FLIGHT) {
             int length = (in.get(in.position()) & 0xff) << 8 | (in.get(in.position() + 1) & 0xff);
             if (in.remaining() < 2 + length) {
                 break;
@@ -60,10 +60,10 @@
             in.get(octets);
             incompleteSince = in.hasRemaining() ? now : null;
             ConnectionReply one = new ConnectionReply();
-            PendingMessage asked = desk.came(now, octets, Duration.ZERO, one);
+            PendingMessage asked = desk.receive(now, octets, Duration.ZERO, one);
             if (asked != null && !one.answered) {
                 one.asked = asked;
-                inHand.add(asked);
+                inFlight.add(asked);
             } else if (!one.answered) {
                 // Not a question: nothing that such a peer says next is worth reading.
                 connection.end(CloseReason.MALFORMED);
@@ -79,13 +79,13 @@
         private boolean answered;
 
         @Override
-        public boolean datagram() {
+        public boolean isDatagram() {
             return false;
         }
 
         private void over() {
             answered = true;
-            inHand.remove(asked);
+            inFlight.remove(asked);
             idleSince = loop.clock().now();
             // Behind this batch: what waits in the buffer is read now that there is room.
             loop.execute(connection::readAgain);
@@ -109,16 +109,16 @@
             }
             Runnable begin = () -> {
                 sending = transfer;
-                sent = well -> {
+                transferDone = well -> {
                     over();
                     done.accept(well);
                 };
-                more();
+                sendNextMessage();
             };
             if (sending == null) {
                 begin.run();
             } else {
-                transfersBehind.add(begin);
+                queuedTransfers.add(begin);
             }
         }
     }
@@ -131,18 +131,18 @@
         connection.write(out.flip());
     }
 
-    private void more() {
+    private void sendNextMessage() {
         byte[] octets = sending.next();
         if (octets != null) {
             write(octets);
             return;
         }
-        Consumer<Boolean> done = sent;
+        Consumer<Boolean> done = transferDone;
         sending = null;
-        sent = null;
+        transferDone = null;
         done.accept(true);
-        if (!transfersBehind.isEmpty()) {
-            transfersBehind.poll().run();
+        if (!queuedTransfers.isEmpty()) {
+            queuedTransfers.poll().run();
         }
     }
 
@@ -151,8 +151,8 @@
         unwrittenSince = null;
         idleSince = loop.clock().now();
         if (sending != null) {
-            more();
-        } else if (last && inHand.isEmpty()) {
+            sendNextMessage();
+        } else if (isClosing && inFlight.isEmpty()) {
             connection.end(CloseReason.DONE);
         }
     }
@@ -160,44 +160,44 @@
     @Override
     public void ended(CloseReason how) {
         Duration now = loop.clock().now();
-        for (PendingMessage asked : List.copyOf(inHand)) {
-            desk.callerGone(now, asked);
+        for (PendingMessage asked : List.copyOf(inFlight)) {
+            desk.clientDisconnected(now, asked);
         }
-        inHand.clear();
+        inFlight.clear();
         if (sending != null) {
-            Consumer<Boolean> done = sent;
+            Consumer<Boolean> done = transferDone;
             sending = null;
-            sent = null;
+            transferDone = null;
             done.accept(false);
         }
-        gone.accept(this);
+        onClosed.accept(this);
     }
 
     /** Ends it where it was silent, or slow, for too long. */
-    void look(Duration now) {
-        if ((incompleteSince != null && inHand.size() < MOST_IN_HAND && passed(incompleteSince, now, WHOLE))
-                || (unwrittenSince != null && passed(unwrittenSince, now, WHOLE))) {
+    void closeIfTimedOut(Duration now) {
+        if ((incompleteSince != null && inFlight.size() < MAX_IN_FLIGHT && hasElapsed(incompleteSince, now, MESSAGE_TIMEOUT))
+                || (unwrittenSince != null && hasElapsed(unwrittenSince, now, MESSAGE_TIMEOUT))) {
             connection.end(CloseReason.SLOW);
-        } else if (inHand.isEmpty() && unwrittenSince == null && passed(idleSince, now, IDLE)) {
+        } else if (inFlight.isEmpty() && unwrittenSince == null && hasElapsed(idleSince, now, IDLE_TIMEOUT)) {
             connection.end(CloseReason.IDLE);
         }
     }
 
-    private static boolean passed(Duration since, Duration now, Duration span) {
+    private static boolean hasElapsed(Duration since, Duration now, Duration span) {
         return now.minus(since).compareTo(span) >= 0;
     }
 
     /** Takes no more messages, and ends with the last answer. */
-    void leave() {
-        last = true;
-        if (inHand.isEmpty() && unwrittenSince == null) {
+    void closeWhenAnswered() {
+        isClosing = true;
+        if (inFlight.isEmpty() && unwrittenSince == null) {
             connection.end(CloseReason.DONE);
         }
     }
 
     /** Ends it if nothing is open on it; says whether it did. */
-    boolean makeRoom() {
-        if (inHand.isEmpty() && unwrittenSince == null) {
+    boolean closeIfIdle() {
+        if (inFlight.isEmpty() && unwrittenSince == null) {
             connection.end(CloseReason.IDLE);
             return true;
         }
--- a/src/main/java/merlinlever/zone/server/DnsServer.java
+++ b/src/main/java/merlinlever/zone/server/DnsServer.java
@@ -19,11 +19,11 @@
 /** The sockets round the desk: datagrams and connections on one address. */
 public final class DnsServer {
 
-    private static final Duration LOOK = Duration.ofMillis(250);
-    private static final int BINDINGS = 20;
+    private static final Duration TIMEOUT_CHECK_PERIOD = Duration.ofMillis(250);
+    private static final int MAX_BIND_ATTEMPTS = 20;
 
     private final EventLoop loop;
-    private final RequestProcessor desk;
+    private final RequestProcessor processor;
     private final DatagramEndpoint datagrams;
     private final ConnectionAcceptor listener;
     private final Set<DnsConnection> streams = new LinkedHashSet<>();
@@ -44,15 +44,15 @@
             throws IOException {
         this.loop = loop;
         this.zones = zones;
-        desk = new RequestProcessor(zones, keys, stated, unix, log, this::alarm, counts);
+        processor = new RequestProcessor(zones, keys, stated, unix, log, this::alarm, counts);
         IOException failure = null;
         ConnectionAcceptor listening = null;
         DatagramEndpoint taking = null;
-        for (int i = 0; i < BINDINGS && taking == null; i++) {
-            listening = new ConnectionAcceptor(loop, address, connections, this::accepted, this::makeRoom);
+        for (int i = 0; i < MAX_BIND_ATTEMPTS && taking == null; i++) {
+            listening = new ConnectionAcceptor(loop, address, connections, this::accepted, this::closeIdleConnection);
             try {
                 // A free port is to be free for both.
-                taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MOST, this::came);
+                taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MOST, this::receive);
             } catch (IOException e) {
                 listening.close();
                 failure = e;
@@ -67,17 +67,17 @@
         listener = listening;
         datagrams = taking;
         listener.accept();
-        loop.after(() -> desk.settle(loop.clock().now()));
-        loop.every(LOOK, () -> List.copyOf(streams)
-                .forEach(stream -> stream.look(loop.clock().now())));
+        loop.after(() -> processor.decide(loop.clock().now()));
+        loop.every(TIMEOUT_CHECK_PERIOD, () -> List.copyOf(streams)
+                .forEach(stream -> stream.closeIfTimedOut(loop.clock().now())));
     }
 
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
-    public RequestProcessor desk() {
-        return desk;
+    public RequestProcessor processor() {
+        return processor;
     }
 
     private void alarm(Duration at) {
@@ -85,13 +85,13 @@
             alarm.callOff();
         }
         alarm = loop.in(
-                at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
+                at.minus(loop.clock().now()), () -> processor.wakeUp(loop.clock().now()));
     }
 
-    private void came(byte[] octets, InetSocketAddress from, Duration waited) {
-        desk.came(loop.clock().now(), octets, waited, new ReplyChannel() {
+    private void receive(byte[] octets, InetSocketAddress from, Duration waited) {
+        processor.receive(loop.clock().now(), octets, waited, new ReplyChannel() {
             @Override
-            public boolean datagram() {
+            public boolean isDatagram() {
                 return true;
             }
 
@@ -112,42 +112,42 @@
     }
 
     private void accepted(AsynchronousSocketChannel channel) {
-        DnsConnection stream = new DnsConnection(loop, desk, this::gone);
+        DnsConnection stream = new DnsConnection(loop, processor, this::connectionClosed);
         streams.add(stream);
-        stream.on(Connection.accepted(loop, channel, stream, DnsConnection.READ_BUFFER, DnsConnection.MOST_QUEUED));
+        stream.attach(Connection.accepted(loop, channel, stream, DnsConnection.READ_BUFFER, DnsConnection.MAX_QUEUED_BYTES));
     }
 
-    private void gone(DnsConnection stream) {
+    private void connectionClosed(DnsConnection stream) {
         if (streams.remove(stream)) {
             listener.gone();
         }
     }
 
-    private void makeRoom() {
+    private void closeIdleConnection() {
         for (DnsConnection stream : streams) {
-            if (stream.makeRoom()) {
+            if (stream.closeIfIdle()) {
                 return;
             }
         }
     }
 
     /** The notice to leave: the module is told; what comes within the grace is still read. */
-    public void leave(Duration stop) {
-        desk.leave(loop.clock().now(), loop.clock().now().plus(stop));
+    public void startDrain(Duration stop) {
+        processor.startDrain(loop.clock().now(), loop.clock().now().plus(stop));
     }
 
-    /** From here on nothing more is read; {@link #answered} says when all that was read is answered. */
+    /** From here on nothing more is read; {@link #isDrained} says when all that was read is answered. */
     public void close() {
         listener.close();
-        List.copyOf(streams).forEach(DnsConnection::leave);
+        List.copyOf(streams).forEach(DnsConnection::closeWhenAnswered);
     }
 
     /** Whether all that was read is answered and written, and what was answered is on the disk. */
-    public boolean answered() {
-        return desk.inHand() == 0 && streams.isEmpty() && zones.stream().allMatch(ServedZone::idle);
+    public boolean isDrained() {
+        return processor.inFlight() == 0 && streams.isEmpty() && zones.stream().allMatch(ServedZone::isIdle);
     }
 
-    public void end() {
+    public void closeSockets() {
         datagrams.close();
     }
 }
--- a/src/main/java/merlinlever/zone/server/NotifySender.java
+++ b/src/main/java/merlinlever/zone/server/NotifySender.java
@@ -17,39 +17,39 @@
 /** Tells other servers of each new version until they say that they heard (RFC 1996 section 3). */
 public final class NotifySender {
 
-    private static final Duration FIRST = Duration.ofSeconds(1);
-    private static final int TRIES = 6;
+    private static final Duration FIRST_RETRY_DELAY = Duration.ofSeconds(1);
+    private static final int MAX_ATTEMPTS = 6;
     /** Versions that come within this are told as one. */
-    private static final Duration GATHER = Duration.ofMillis(100);
+    private static final Duration COALESCE_DELAY = Duration.ofMillis(100);
 
     /** One server that is being told of one zone. */
     private static final class PendingNotify {
         int id;
-        EventLoop.Timer again;
-        boolean newer;
+        EventLoop.Timer retry;
+        boolean hasNewerVersion;
     }
 
     private record NotifyTarget(String zone, InetSocketAddress server) {}
 
     private final EventLoop loop;
-    private final SplittableRandom chance;
-    private final Map<NotifyTarget, PendingNotify> telling = new HashMap<>();
+    private final SplittableRandom random;
+    private final Map<NotifyTarget, PendingNotify> pending = new HashMap<>();
     private DatagramEndpoint datagrams;
 
     public NotifySender(EventLoop loop, long seed) {
         this.loop = loop;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
-    public void tell(ServedZone zone, List<InetSocketAddress> servers) {
+    public void notifyOfChange(ServedZone zone, List<InetSocketAddress> servers) {
         for (InetSocketAddress server : servers) {
             PendingNotify one =
-                    telling.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
-            if (one.again == null) {
-                one.id = chance.nextInt(0x10000);
-                one.again = loop.in(GATHER, () -> send(zone, server, one, 0));
+                    pending.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
+            if (one.retry == null) {
+                one.id = random.nextInt(0x10000);
+                one.retry = loop.in(COALESCE_DELAY, () -> send(zone, server, one, 0));
             } else {
-                one.newer = true;
+                one.hasNewerVersion = true;
             }
         }
     }
@@ -61,7 +61,7 @@
                         loop,
                         new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0),
                         DnsMessage.MOST,
-                        this::came);
+                        this::receive);
             }
         } catch (IOException e) {
             // Tried again like one that was lost.
@@ -77,24 +77,24 @@
                     RecordTypes.IN,
                     zone.zone().soa().ttl(),
                     zone.zone().soa().data(0));
-            datagrams.send(out.done(), server);
+            datagrams.send(out.toBytes(), server);
         }
-        one.newer = false;
-        if (tries + 1 < TRIES) {
-            one.again = loop.in(FIRST.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
+        one.hasNewerVersion = false;
+        if (tries + 1 < MAX_ATTEMPTS) {
+            one.retry = loop.in(FIRST_RETRY_DELAY.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
         } else {
-            one.again = null;
+            one.retry = null;
         }
     }
 
-    private void came(byte[] octets, InetSocketAddress from, Duration waited) {
+    private void receive(byte[] octets, InetSocketAddress from, Duration waited) {
         if (DnsMessage.id(octets) < 0 || (DnsMessage.flags(octets) & DnsMessage.RESPONSE) == 0) {
             return;
         }
-        telling.forEach((whom, one) -> {
-            if (whom.server.equals(from) && one.id == DnsMessage.id(octets) && one.again != null && !one.newer) {
-                one.again.callOff();
-                one.again = null;
+        pending.forEach((whom, one) -> {
+            if (whom.server.equals(from) && one.id == DnsMessage.id(octets) && one.retry != null && !one.hasNewerVersion) {
+                one.retry.callOff();
+                one.retry = null;
             }
         });
     }
--- a/src/main/java/merlinlever/zone/server/PendingMessage.java
+++ b/src/main/java/merlinlever/zone/server/PendingMessage.java
@@ -30,38 +30,38 @@
     }
 
     /** Code of an operation that has none yet. */
-    static final int OPEN = -2;
+    static final int NO_CODE = -2;
 
     final MessageKind kind;
     final ServedZone zone;
     /** Null once it is answered: what is kept of it then is its code. */
     DnsMessage message;
 
-    Tsig.Verification signed;
-    ReplyChannel caller;
+    Tsig.Verification verification;
+    ReplyChannel replyChannel;
     RequestHandle handle = ControllerDriver.UNKNOWN_REQUEST;
     /** What a repeat of it is known by, or null; and what it repeats. */
-    Object mark;
+    Object replayKey;
 
-    PendingMessage repeats;
-    byte[] markOctets = {};
-    boolean answered, begun, calling;
-    int code = OPEN;
-    List<PendingMessage> sharers = List.of();
+    PendingMessage original;
+    byte[] replayKeyBytes = {};
+    boolean isAnswered, isStarted, isCalling;
+    int code = NO_CODE;
+    List<PendingMessage> duplicates = List.of();
 
     PendingMessage(
-            MessageKind kind, ServedZone zone, DnsMessage message, Tsig.Verification signed, ReplyChannel caller) {
+            MessageKind kind, ServedZone zone, DnsMessage message, Tsig.Verification verification, ReplyChannel replyChannel) {
         this.kind = kind;
         this.zone = zone;
         this.message = message;
-        this.signed = signed;
-        this.caller = caller;
+        this.verification = verification;
+        this.replyChannel = replyChannel;
     }
 
-    void sharedBy(PendingMessage other) {
-        if (sharers.isEmpty()) {
-            sharers = new ArrayList<>(2);
+    void addDuplicate(PendingMessage other) {
+        if (duplicates.isEmpty()) {
+            duplicates = new ArrayList<>(2);
         }
-        sharers.add(other);
+        duplicates.add(other);
     }
 }
--- a/src/main/java/merlinlever/zone/server/ReplyChannel.java
+++ b/src/main/java/merlinlever/zone/server/ReplyChannel.java
@@ -6,7 +6,7 @@
 public interface ReplyChannel {
 
     /** Whether the answer goes in one datagram. */
-    boolean datagram();
+    boolean isDatagram();
 
     /** The one answer. */
     void answer(byte[] octets);
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -37,9 +37,9 @@
     public record ProcessorSettings(double memoryMb, Duration grace, boolean queriesDecided, long seed) {}
 
     /** Begun in one go; the module looks again behind each. Calls in hand are four times as many at the most. */
-    private static final int IN_ONE_GO = 16;
+    private static final int MAX_STARTS_PER_TURN = 16;
     /** Seconds on either side of its time in which a signed message can come again. */
-    public static final long REPLAY = 2L * Tsig.FUDGE;
+    public static final long REPLAY_WINDOW_SECONDS = 2L * Tsig.FUDGE;
     /** What remembering one update takes here, with its repeats. */
     private static final double KB_PER_UPDATE = 0.5;
 
@@ -48,17 +48,17 @@
     private final Map<ByteArrayKey, ServedZone> zones = new HashMap<>();
     private final Tsig.TsigKeyRing keys;
     private final LongSupplier unix;
-    private final ResponseBuilder answers;
+    private final ResponseBuilder responses;
     private final ControllerDriver<PendingMessage> conductor;
     private final boolean queriesDecided;
     private final Consumer<String> log;
     private final Consumer<Duration> alarm;
-    private final ZoneServerMetrics counts;
-    private final Map<Object, PendingMessage> byMark = new HashMap<>();
+    private final ZoneServerMetrics metrics;
+    private final Map<Object, PendingMessage> pendingByReplayKey = new HashMap<>();
     private Duration now = Duration.ZERO;
-    private boolean touched;
-    private int inHand;
-    private int sinceSettled;
+    private boolean isDirty;
+    private int inFlight;
+    private int requestsSinceDecision;
 
     /** Octets as a key of a map. */
     private record ByteArrayKey(byte[] octets) {
@@ -75,7 +75,7 @@
 
     /**
      * @param unix seconds of the Unix clock
-     * @param alarm is told when {@link #alarmed} is wanted
+     * @param alarm is told when {@link #wakeUp} is wanted
      */
     public RequestProcessor(
             List<ServedZone> served,
@@ -84,22 +84,22 @@
             LongSupplier unix,
             Consumer<String> log,
             Consumer<Duration> alarm,
-            ZoneServerMetrics counts) {
+            ZoneServerMetrics metrics) {
         served.forEach(zone -> zones.put(new ByteArrayKey(zone.origin()), zone));
         this.keys = keys;
         this.unix = unix;
         this.log = log;
         this.alarm = alarm;
-        this.counts = counts;
-        answers = new ResponseBuilder(unix);
+        this.metrics = metrics;
+        responses = new ResponseBuilder(unix);
         queriesDecided = stated.queriesDecided;
-        conductor = new ControllerDriver<>(given(stated), stated.seed, this);
-        touched = true;
+        conductor = new ControllerDriver<>(moduleSettings(stated), stated.seed, this);
+        isDirty = true;
     }
 
-    private static Map<String, String> given(ProcessorSettings stated) {
+    private static Map<String, String> moduleSettings(ProcessorSettings stated) {
         Map<String, String> given = new HashMap<>();
-        given.put("server.cores", "" + IN_ONE_GO);
+        given.put("server.cores", "" + MAX_STARTS_PER_TURN);
         given.put("server.gauges", "run-queue");
         given.put("server.memory-kb", "" + stated.memoryMb * 1024);
         given.put("server.run-factor", "1");
@@ -110,13 +110,13 @@
         given.put("rules.longest-unread", "0");
         given.put("limits.stay-away", "true");
         given.put("limits.longest-stay-away", "2000");
-        tariff(given, PendingMessage.MessageKind.QUERY, "retriable", 1, 500, 2_000, 0);
-        tariff(given, PendingMessage.MessageKind.UPDATE, "fingerprinted", 8, 2_000, 5_000, REPLAY * 1000);
-        tariff(given, PendingMessage.MessageKind.TRANSFER, "retriable", 2, 5_000, 60_000, 0);
+        addPriorityClass(given, PendingMessage.MessageKind.QUERY, "retriable", 1, 500, 2_000, 0);
+        addPriorityClass(given, PendingMessage.MessageKind.UPDATE, "fingerprinted", 8, 2_000, 5_000, REPLAY_WINDOW_SECONDS * 1000);
+        addPriorityClass(given, PendingMessage.MessageKind.TRANSFER, "retriable", 2, 5_000, 60_000, 0);
         return given;
     }
 
-    private static void tariff(
+    private static void addPriorityClass(
             Map<String, String> given,
             PendingMessage.MessageKind kind,
             String how,
@@ -135,102 +135,102 @@
     }
 
     /** Messages that are read and not yet answered. */
-    public int inHand() {
-        return inHand;
+    public int inFlight() {
+        return inFlight;
     }
 
     /** What the module sees. */
-    public OverloadController.ControllerMetrics figures() {
+    public OverloadController.ControllerMetrics controllerMetrics() {
         return conductor.controller().figures();
     }
 
     // ---- what happens
 
     /** A message was read. Returns it where it is in hand from now on, null where it was answered on the spot. */
-    PendingMessage came(Duration at, byte[] octets, Duration waited, ReplyChannel caller) {
+    PendingMessage receive(Duration at, byte[] octets, Duration waited, ReplyChannel replyChannel) {
         now = at;
         if (DnsMessage.id(octets) < 0 || (DnsMessage.flags(octets) & DnsMessage.RESPONSE) != 0) {
             // Nothing to answer to, or an answer: two servers would talk to each other for ever.
-            counts.dropped();
+            metrics.dropped();
             return null;
         }
         DnsMessage message;
-        Tsig.Verification signed = null;
+        Tsig.Verification verification = null;
         try {
             message = DnsMessage.read(octets);
             if (message.signature() != null) {
-                signed = Tsig.verify(message, keys, unix.getAsLong(), null);
+                verification = Tsig.verify(message, keys, unix.getAsLong(), null);
             }
         } catch (MalformedDnsException e) {
-            counts.malformed();
-            caller.answer(ResponseBuilder.malformed(octets));
+            metrics.malformed();
+            replyChannel.answer(ResponseBuilder.malformed(octets));
             return null;
         }
-        if (signed != null && signed.error() != 0) {
-            return told(caller, message, signed, DynamicUpdate.NOTAUTH);
+        if (verification != null && verification.error() != 0) {
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTAUTH);
         }
         if (message.edns() != null && message.edns().version() > 0) {
-            caller.answer(answers.unknownEdns(message, signed));
+            replyChannel.answer(responses.unknownEdns(message, verification));
             return null;
         }
         return switch (message.operation()) {
-            case DnsMessage.QUERY -> query(message, signed, waited, caller);
-            case DnsMessage.UPDATE -> update(message, signed, waited, caller);
+            case DnsMessage.QUERY -> query(message, verification, waited, replyChannel);
+            case DnsMessage.UPDATE -> update(message, verification, waited, replyChannel);
                 // This front has no primary that could have news for it.
-            case DnsMessage.NOTIFY -> told(caller, message, signed, DynamicUpdate.REFUSED);
-            default -> told(caller, message, signed, DynamicUpdate.NOTIMP);
+            case DnsMessage.NOTIFY -> answerWithCode(replyChannel, message, verification, DynamicUpdate.REFUSED);
+            default -> answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTIMP);
         };
     }
 
-    private PendingMessage told(ReplyChannel caller, DnsMessage message, Tsig.Verification signed, int code) {
-        counts.told(code);
-        caller.answer(answers.code(message, signed, code));
+    private PendingMessage answerWithCode(ReplyChannel replyChannel, DnsMessage message, Tsig.Verification verification, int code) {
+        metrics.answeredWithCode(code);
+        replyChannel.answer(responses.withCode(message, verification, code));
         return null;
     }
 
-    private PendingMessage query(DnsMessage message, Tsig.Verification signed, Duration waited, ReplyChannel caller) {
-        if (!message.asks() || (message.flags() & DnsMessage.TRUNCATED) != 0) {
-            return told(caller, message, signed, DynamicUpdate.FORMERR);
+    private PendingMessage query(DnsMessage message, Tsig.Verification verification, Duration waited, ReplyChannel replyChannel) {
+        if (!message.hasQuestion() || (message.flags() & DnsMessage.TRUNCATED) != 0) {
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.FORMERR);
         }
         ServedZone zone = message.dclass() == RecordTypes.IN || message.dclass() == RecordTypes.CLASS_ANY
-                ? closest(message.name())
+                ? closestZone(message.name())
                 : null;
         if (message.type() == RecordTypes.AXFR || message.type() == RecordTypes.IXFR) {
             if (zone == null || !Arrays.equals(zone.origin(), message.name())) {
-                return told(caller, message, signed, DynamicUpdate.NOTAUTH);
+                return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTAUTH);
             }
-            if (signed == null || !zone.mayTransfer(signed.key().name())) {
-                return told(caller, message, signed, DynamicUpdate.REFUSED);
+            if (verification == null || !zone.mayTransfer(verification.key().name())) {
+                return answerWithCode(replyChannel, message, verification, DynamicUpdate.REFUSED);
             }
-            if ((message.type() == RecordTypes.AXFR && caller.datagram())
+            if ((message.type() == RecordTypes.AXFR && replyChannel.isDatagram())
                     || (message.type() == RecordTypes.IXFR
                             && (message.authority().size() != 1
                                     || message.authority().get(0).type() != RecordTypes.SOA))) {
-                return told(caller, message, signed, DynamicUpdate.FORMERR);
+                return answerWithCode(replyChannel, message, verification, DynamicUpdate.FORMERR);
             }
-            return take(
-                    new PendingMessage(PendingMessage.MessageKind.TRANSFER, zone, message, signed, caller),
+            return admit(
+                    new PendingMessage(PendingMessage.MessageKind.TRANSFER, zone, message, verification, replyChannel),
                     waited,
                     null);
         }
         if (zone == null) {
-            return told(caller, message, signed, DynamicUpdate.REFUSED);
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.REFUSED);
         }
-        if (message.type() != RecordTypes.ANY && RecordTypes.meta(message.type())) {
-            return told(caller, message, signed, DynamicUpdate.NOTIMP);
+        if (message.type() != RecordTypes.ANY && RecordTypes.isMeta(message.type())) {
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTIMP);
         }
-        PendingMessage asked = new PendingMessage(PendingMessage.MessageKind.QUERY, zone, message, signed, caller);
+        PendingMessage pending = new PendingMessage(PendingMessage.MessageKind.QUERY, zone, message, verification, replyChannel);
         if (!queriesDecided) {
-            caller.answer(answers.found(
-                    message, signed, Lookup.find(zone.zone(), message.name(), message.type()), caller.datagram()));
-            counts.satisfied(PendingMessage.MessageKind.QUERY);
+            replyChannel.answer(responses.answer(
+                    message, verification, Lookup.find(zone.zone(), message.name(), message.type()), replyChannel.isDatagram()));
+            metrics.served(PendingMessage.MessageKind.QUERY);
             return null;
         }
-        return take(asked, waited, null);
+        return admit(pending, waited, null);
     }
 
     /** The zone that the name is in, the deepest of them. */
-    private ServedZone closest(byte[] name) {
+    private ServedZone closestZone(byte[] name) {
         for (byte[] at = name; ; at = DomainNames.parent(at)) {
             ServedZone zone = zones.get(new ByteArrayKey(at));
             if (zone != null || at.length == 1) {
@@ -239,34 +239,34 @@
         }
     }
 
-    private PendingMessage update(DnsMessage message, Tsig.Verification signed, Duration waited, ReplyChannel caller) {
-        if (!message.asks() || message.type() != RecordTypes.SOA) {
-            return told(caller, message, signed, DynamicUpdate.FORMERR);
+    private PendingMessage update(DnsMessage message, Tsig.Verification verification, Duration waited, ReplyChannel replyChannel) {
+        if (!message.hasQuestion() || message.type() != RecordTypes.SOA) {
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.FORMERR);
         }
         ServedZone zone = message.dclass() == RecordTypes.IN ? zones.get(new ByteArrayKey(message.name())) : null;
         if (zone == null) {
-            return told(caller, message, signed, DynamicUpdate.NOTAUTH);
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTAUTH);
         }
-        if (signed == null || !zone.mayUpdate(signed.key().name())) {
-            return told(caller, message, signed, DynamicUpdate.REFUSED);
+        if (verification == null || !zone.mayUpdate(verification.key().name())) {
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.REFUSED);
         }
-        byte[] mark = mark(message.octets());
+        byte[] mark = replayKey(message.octets());
         ByteArrayKey key = new ByteArrayKey(mark);
-        PendingMessage original = byMark.get(key);
-        if (original == null && zone.replays().known(mark)) {
+        PendingMessage original = pendingByReplayKey.get(key);
+        if (original == null && zone.replays().contains(mark)) {
             // Done in an earlier life of this server; its answer may have been lost with that.
-            return told(caller, message, signed, DynamicUpdate.NOERROR);
+            return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOERROR);
         }
-        PendingMessage asked = new PendingMessage(PendingMessage.MessageKind.UPDATE, zone, message, signed, caller);
-        asked.mark = key;
-        asked.markOctets = mark;
+        PendingMessage pending = new PendingMessage(PendingMessage.MessageKind.UPDATE, zone, message, verification, replyChannel);
+        pending.replayKey = key;
+        pending.replayKeyBytes = mark;
         if (original == null) {
-            byMark.put(key, asked);
+            pendingByReplayKey.put(key, pending);
         }
-        return take(asked, waited, original);
+        return admit(pending, waited, original);
     }
 
-    private static byte[] mark(byte[] octets) {
+    private static byte[] replayKey(byte[] octets) {
         try {
             return Arrays.copyOf(MessageDigest.getInstance("SHA-256").digest(octets), 16);
         } catch (NoSuchAlgorithmException e) {
@@ -274,73 +274,73 @@
         }
     }
 
-    private PendingMessage take(PendingMessage asked, Duration waited, PendingMessage original) {
-        if (++sinceSettled > IN_ONE_GO) {
+    private PendingMessage admit(PendingMessage pending, Duration waited, PendingMessage original) {
+        if (++requestsSinceDecision > MAX_STARTS_PER_TURN) {
             // A burst that came at once is begun as it is read: what waits for the end of the batch is not waiting.
-            settle(now);
+            decide(now);
         }
-        touched = true;
-        inHand++;
-        counts.taken(asked.kind);
-        asked.repeats = original;
+        isDirty = true;
+        inFlight++;
+        metrics.accepted(pending.kind);
+        pending.original = original;
         RequestHandle taken = conductor
                 .controller()
                 .take(
                         now,
-                        asked.kind.ordinal(),
+                        pending.kind.ordinal(),
                         waited,
                         null,
-                        1 + asked.message.octets().length / 1024.0,
+                        1 + pending.message.octets().length / 1024.0,
                         null,
                         false,
                         false,
                         original == null ? null : original.handle);
-        asked.handle = conductor.register(taken, asked);
-        return asked;
+        pending.handle = conductor.register(taken, pending);
+        return pending;
     }
 
     /** Its connection is over: nobody waits for the answer. */
-    void callerGone(Duration at, PendingMessage asked) {
-        if (!asked.answered) {
+    void clientDisconnected(Duration at, PendingMessage pending) {
+        if (!pending.isAnswered) {
             now = at;
-            touched = true;
-            over(asked);
-            asked.handle.callerGone(at);
-            endUncalled(asked);
+            isDirty = true;
+            markAnswered(pending);
+            pending.handle.callerGone(at);
+            abortUncalled(pending);
         }
     }
 
     /** It stands before its call, which is not made any more: nothing of it was done. */
-    private void endUncalled(PendingMessage asked) {
-        if (asked.begun && !asked.calling && asked.code == PendingMessage.OPEN) {
-            asked.code = DynamicUpdate.SERVFAIL;
-            touched = true;
-            asked.handle.ended(now, Outcome.ERROR);
-            asked.sharers.forEach(this::failed);
-            asked.sharers = List.of();
+    private void abortUncalled(PendingMessage pending) {
+        if (pending.isStarted && !pending.isCalling && pending.code == PendingMessage.NO_CODE) {
+            pending.code = DynamicUpdate.SERVFAIL;
+            isDirty = true;
+            pending.handle.ended(now, Outcome.ERROR);
+            pending.duplicates.forEach(this::failDuplicate);
+            pending.duplicates = List.of();
         }
     }
 
-    public void alarmed(Duration at) {
+    public void wakeUp(Duration at) {
         now = at;
-        touched = true;
+        isDirty = true;
         conductor.wakeUpFired();
         // All that runs, runs to its end or to its call within a batch: nothing waits for a core between them.
         conductor.controller().look(at, new double[] {0});
     }
 
     /** The notice to leave. */
-    public void leave(Duration at, Duration stop) {
+    public void startDrain(Duration at, Duration stop) {
         now = at;
-        touched = true;
+        isDirty = true;
         conductor.controller().leave(at, stop);
     }
 
     /** After each batch: settles as often as something has happened since. */
-    public void settle(Duration at) {
-        sinceSettled = 0;
-        while (touched) {
-            touched = false;
+    public void decide(Duration at) {
+        requestsSinceDecision = 0;
+        while (isDirty) {
+            isDirty = false;
             now = at;
             conductor.decide(at);
         }
@@ -348,220 +348,220 @@
 
     // ---- answers
 
-    private ReplyChannel over(PendingMessage asked) {
-        ReplyChannel caller = asked.caller;
-        asked.answered = true;
-        asked.caller = null;
-        inHand--;
-        return caller;
+    private ReplyChannel markAnswered(PendingMessage pending) {
+        ReplyChannel replyChannel = pending.replyChannel;
+        pending.isAnswered = true;
+        pending.replyChannel = null;
+        inFlight--;
+        return replyChannel;
     }
 
-    private void answer(PendingMessage asked, int code) {
-        if (!asked.answered) {
-            DnsMessage message = asked.message;
-            Tsig.Verification signed = asked.signed;
-            over(asked).answer(answers.code(message, signed, code));
+    private void answer(PendingMessage pending, int code) {
+        if (!pending.isAnswered) {
+            DnsMessage message = pending.message;
+            Tsig.Verification verification = pending.verification;
+            markAnswered(pending).answer(responses.withCode(message, verification, code));
         }
     }
 
-    private void finish(PendingMessage asked, int code) {
-        if (asked.code != PendingMessage.OPEN) {
+    private void complete(PendingMessage pending, int code) {
+        if (pending.code != PendingMessage.NO_CODE) {
             return;
         }
-        touched = true;
-        asked.code = code;
-        counts.satisfied(asked.kind);
-        answer(asked, code);
-        letGo(asked);
-        asked.handle.ended(now, Outcome.OK);
-        asked.sharers.forEach(sharer -> finish(sharer, code));
-        asked.sharers = List.of();
+        isDirty = true;
+        pending.code = code;
+        metrics.served(pending.kind);
+        answer(pending, code);
+        releaseMessage(pending);
+        pending.handle.ended(now, Outcome.OK);
+        pending.duplicates.forEach(sharer -> complete(sharer, code));
+        pending.duplicates = List.of();
     }
 
     /** What the octets of its message were for is over. */
-    private static void letGo(PendingMessage asked) {
-        asked.message = null;
-        asked.signed = null;
+    private static void releaseMessage(PendingMessage pending) {
+        pending.message = null;
+        pending.verification = null;
     }
 
     // ---- what the module decides
 
     @Override
-    public void start(PendingMessage asked) {
-        asked.begun = true;
-        touched = true;
-        if (asked.kind == PendingMessage.MessageKind.QUERY) {
-            if (!asked.answered) {
-                DnsMessage message = asked.message;
-                Tsig.Verification signed = asked.signed;
-                Lookup.Answer found = Lookup.find(asked.zone.zone(), message.name(), message.type());
-                ReplyChannel caller = over(asked);
-                caller.answer(answers.found(message, signed, found, caller.datagram()));
-                counts.satisfied(asked.kind);
+    public void start(PendingMessage pending) {
+        pending.isStarted = true;
+        isDirty = true;
+        if (pending.kind == PendingMessage.MessageKind.QUERY) {
+            if (!pending.isAnswered) {
+                DnsMessage message = pending.message;
+                Tsig.Verification verification = pending.verification;
+                Lookup.Answer found = Lookup.find(pending.zone.zone(), message.name(), message.type());
+                ReplyChannel replyChannel = markAnswered(pending);
+                replyChannel.answer(responses.answer(message, verification, found, replyChannel.isDatagram()));
+                metrics.served(pending.kind);
             }
-            asked.code = DynamicUpdate.NOERROR;
-            letGo(asked);
-            asked.handle.ended(now, Outcome.OK);
+            pending.code = DynamicUpdate.NOERROR;
+            releaseMessage(pending);
+            pending.handle.ended(now, Outcome.OK);
         } else {
-            asked.handle.reachedCall(now);
+            pending.handle.reachedCall(now);
         }
     }
 
     @Override
-    public void callDownstream(PendingMessage asked, Duration giveUpAfter) {
-        asked.calling = true;
+    public void callDownstream(PendingMessage pending, Duration giveUpAfter) {
+        pending.isCalling = true;
         Duration calledAt = now;
-        if (asked.kind == PendingMessage.MessageKind.TRANSFER) {
-            transfer(asked, calledAt);
+        if (pending.kind == PendingMessage.MessageKind.TRANSFER) {
+            transfer(pending, calledAt);
             return;
         }
-        List<UpdateEntry> prerequisites = asked.message.answers();
-        List<UpdateEntry> changes = asked.message.authority();
-        asked.zone.update(unix.getAsLong(), asked.markOctets, prerequisites, changes, code -> {
-            asked.calling = false;
-            touched = true;
+        List<UpdateEntry> prerequisites = pending.message.answers();
+        List<UpdateEntry> changes = pending.message.authority();
+        pending.zone.update(unix.getAsLong(), pending.replayKeyBytes, prerequisites, changes, code -> {
+            pending.isCalling = false;
+            isDirty = true;
             if (code == SERVFAIL_FROM_DISK) {
                 // Taken back from the journal: it has not run, and was not asked to again.
-                asked.code = DynamicUpdate.SERVFAIL;
-                asked.handle.callEnded(now, Outcome.TURNED_AWAY, now.minus(calledAt));
-                asked.handle.ended(now, Outcome.ERROR);
-                repeatsUnkept(asked);
-                asked.sharers.forEach(sharer -> failed(sharer));
-                asked.sharers = List.of();
+                pending.code = DynamicUpdate.SERVFAIL;
+                pending.handle.callEnded(now, Outcome.TURNED_AWAY, now.minus(calledAt));
+                pending.handle.ended(now, Outcome.ERROR);
+                forgetIfNotStarted(pending);
+                pending.duplicates.forEach(sharer -> failDuplicate(sharer));
+                pending.duplicates = List.of();
             } else {
-                asked.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
-                finish(asked, code);
+                pending.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
+                complete(pending, code);
             }
         });
     }
 
-    private void failed(PendingMessage sharer) {
+    private void failDuplicate(PendingMessage sharer) {
         answer(sharer, DynamicUpdate.SERVFAIL);
         sharer.code = DynamicUpdate.SERVFAIL;
         sharer.handle.ended(now, Outcome.ERROR);
     }
 
-    private void transfer(PendingMessage asked, Duration calledAt) {
-        if (asked.answered) {
-            asked.calling = false;
-            touched = true;
-            asked.handle.callEnded(now, Outcome.OK, Duration.ZERO);
-            asked.handle.ended(now, Outcome.OK);
+    private void transfer(PendingMessage pending, Duration calledAt) {
+        if (pending.isAnswered) {
+            pending.isCalling = false;
+            isDirty = true;
+            pending.handle.callEnded(now, Outcome.OK, Duration.ZERO);
+            pending.handle.ended(now, Outcome.OK);
             return;
         }
-        DnsMessage message = asked.message;
-        Zone zone = asked.zone.zone();
+        DnsMessage message = pending.message;
+        Zone zone = pending.zone.zone();
         ZoneTransfer transfer;
         if (message.type() == RecordTypes.IXFR) {
             long theirs = Zone.serial(message.authority().get(0).data());
             List<Difference> since = SerialNumbers.after(zone.serial(), theirs)
-                    ? asked.zone.history().since(theirs)
+                    ? pending.zone.history().since(theirs)
                     : List.of();
             int records = since == null
                     ? Integer.MAX_VALUE
                     : since.stream().mapToInt(Difference::records).sum();
             // A history longer than the zone is no help.
             transfer = records > zone.records() + 2 && !List.of().equals(since)
-                    ? ZoneTransfer.whole(message, asked.signed, unix, zone)
-                    : ZoneTransfer.since(message, asked.signed, unix, zone, since);
-            if (asked.caller.datagram() && records > 0) {
-                transfer = ZoneTransfer.since(message, asked.signed, unix, zone, List.of());
+                    ? ZoneTransfer.full(message, pending.verification, unix, zone)
+                    : ZoneTransfer.incremental(message, pending.verification, unix, zone, since);
+            if (pending.replyChannel.isDatagram() && records > 0) {
+                transfer = ZoneTransfer.incremental(message, pending.verification, unix, zone, List.of());
             }
         } else {
-            transfer = ZoneTransfer.whole(message, asked.signed, unix, zone);
-        }
-        asked.caller.answer(transfer, well -> {
-            asked.calling = false;
-            touched = true;
-            if (!asked.answered) {
-                over(asked);
-                counts.satisfied(asked.kind);
+            transfer = ZoneTransfer.full(message, pending.verification, unix, zone);
+        }
+        pending.replyChannel.answer(transfer, well -> {
+            pending.isCalling = false;
+            isDirty = true;
+            if (!pending.isAnswered) {
+                markAnswered(pending);
+                metrics.served(pending.kind);
             }
-            asked.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
-            asked.code = DynamicUpdate.NOERROR;
-            letGo(asked);
-            asked.handle.ended(now, Outcome.OK);
+            pending.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
+            pending.code = DynamicUpdate.NOERROR;
+            releaseMessage(pending);
+            pending.handle.ended(now, Outcome.OK);
         });
     }
 
     @Override
-    public void reject(PendingMessage asked, boolean nowhereElse, Duration stayAway) {
-        if (!asked.answered) {
-            counts.pushedBack(asked.kind);
-            DnsMessage message = asked.message;
-            Tsig.Verification signed = asked.signed;
-            over(asked).answer(answers.pushedBack(message, signed, stayAway));
+    public void reject(PendingMessage pending, boolean nowhereElse, Duration stayAway) {
+        if (!pending.isAnswered) {
+            metrics.rejected(pending.kind);
+            DnsMessage message = pending.message;
+            Tsig.Verification verification = pending.verification;
+            markAnswered(pending).answer(responses.rejection(message, verification, stayAway));
         }
-        repeatsUnkept(asked);
+        forgetIfNotStarted(pending);
     }
 
     @Override
-    public void fail(PendingMessage asked) {
-        if (!asked.answered) {
-            counts.brokenOff(asked.kind);
-            if (asked.kind == PendingMessage.MessageKind.TRANSFER && asked.calling) {
+    public void fail(PendingMessage pending) {
+        if (!pending.isAnswered) {
+            metrics.failed(pending.kind);
+            if (pending.kind == PendingMessage.MessageKind.TRANSFER && pending.isCalling) {
                 // Part of the answer has left; what shows that no more comes is the end of the connection.
-                over(asked).answer((byte[]) null);
+                markAnswered(pending).answer((byte[]) null);
             } else {
-                answer(asked, DynamicUpdate.SERVFAIL);
+                answer(pending, DynamicUpdate.SERVFAIL);
             }
         }
-        endUncalled(asked);
-        repeatsUnkept(asked);
+        abortUncalled(pending);
+        forgetIfNotStarted(pending);
     }
 
     /** What never ran and was never kept is not to be found by a repeat. */
-    private void repeatsUnkept(PendingMessage asked) {
-        if (!asked.begun) {
-            evict(asked);
-            letGo(asked);
+    private void forgetIfNotStarted(PendingMessage pending) {
+        if (!pending.isStarted) {
+            evict(pending);
+            releaseMessage(pending);
         }
     }
 
     @Override
-    public void shareOutcome(PendingMessage asked) {
-        PendingMessage original = asked.repeats;
-        while (original != null && !original.begun && original.repeats != null) {
-            original = original.repeats;
-        }
-        if (original == null || !original.begun) {
-            original = byMark.get(asked.mark);
-        }
-        if (original == null || original == asked) {
-            failed(asked);
-            touched = true;
-        } else if (original.code == PendingMessage.OPEN) {
-            original.sharedBy(asked);
+    public void shareOutcome(PendingMessage pending) {
+        PendingMessage original = pending.original;
+        while (original != null && !original.isStarted && original.original != null) {
+            original = original.original;
+        }
+        if (original == null || !original.isStarted) {
+            original = pendingByReplayKey.get(pending.replayKey);
+        }
+        if (original == null || original == pending) {
+            failDuplicate(pending);
+            isDirty = true;
+        } else if (original.code == PendingMessage.NO_CODE) {
+            original.addDuplicate(pending);
         } else {
-            finish(asked, original.code);
+            complete(pending, original.code);
         }
     }
 
     @Override
-    public void evict(PendingMessage asked) {
-        if (asked.mark != null) {
-            byMark.remove(asked.mark, asked);
+    public void evict(PendingMessage pending) {
+        if (pending.replayKey != null) {
+            pendingByReplayKey.remove(pending.replayKey, pending);
         }
     }
 
     @Override
-    public void retain(PendingMessage asked, Duration span) {
+    public void retain(PendingMessage pending, Duration span) {
         // Entered when it came; the module says when it may go.
-        byMark.put(asked.mark, asked);
+        pendingByReplayKey.put(pending.replayKey, pending);
     }
 
     @Override
-    public void release(PendingMessage asked) {
-        evict(asked);
+    public void release(PendingMessage pending) {
+        evict(pending);
     }
 
     @Override
-    public void skipCall(PendingMessage asked) {
+    public void skipCall(PendingMessage pending) {
         // No tariff here has a value without its call.
     }
 
     @Override
-    public void stop(PendingMessage asked) {
+    public void stop(PendingMessage pending) {
         // Nothing here can be stopped half way.
     }
 
@@ -572,7 +572,7 @@
 
     @Override
     public void updateHealth(boolean good) {
-        counts.healthy(good);
+        metrics.healthy(good);
     }
 
     @Override
--- a/src/main/java/merlinlever/zone/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/zone/server/ResponseBuilder.java
@@ -16,7 +16,7 @@
 final class ResponseBuilder {
 
     /** Octets of a datagram that pass everywhere unbroken, stated and kept to (RFC 9715 section 3). */
-    static final int DATAGRAM = 1232;
+    static final int MAX_DATAGRAM_BYTES = 1232;
 
     private static final int BADVERS = 16;
     /** An extended error (RFC 8914): its option, and the code for what cannot be answered now. */
@@ -34,16 +34,16 @@
                         DnsMessage.id(octets),
                         DnsMessage.RESPONSE | (DnsMessage.flags(octets) & 0x7900) | DynamicUpdate.FORMERR,
                         12)
-                .done();
+                .toBytes();
     }
 
     /** A code without records. */
-    byte[] code(DnsMessage asked, Tsig.Verification signed, int code) {
-        return signed(asked, signed, head(asked, code, room(signed), code, null).done());
+    byte[] withCode(DnsMessage request, Tsig.Verification verification, int code) {
+        return signed(request, verification, head(request, code, maxLength(verification), code, null).toBytes());
     }
 
     /** Turned away unseen; the advice to stay away goes along where there is a place for it. */
-    byte[] pushedBack(DnsMessage asked, Tsig.Verification signed, Duration stayAway) {
+    byte[] rejection(DnsMessage request, Tsig.Verification verification, Duration stayAway) {
         byte[] options = null;
         if (!stayAway.isZero()) {
             byte[] text = ("full, come again in " + stayAway.toMillis() + " ms").getBytes(StandardCharsets.US_ASCII);
@@ -55,76 +55,76 @@
             System.arraycopy(text, 0, options, 6, text.length);
         }
         return signed(
-                asked,
-                signed,
-                head(asked, DynamicUpdate.REFUSED, room(signed), DynamicUpdate.REFUSED, options)
-                        .done());
+                request,
+                verification,
+                head(request, DynamicUpdate.REFUSED, maxLength(verification), DynamicUpdate.REFUSED, options)
+                        .toBytes());
     }
 
-    byte[] unknownEdns(DnsMessage asked, Tsig.Verification signed) {
-        return signed(asked, signed, head(asked, 0, room(signed), BADVERS, null).done());
+    byte[] unknownEdns(DnsMessage request, Tsig.Verification verification) {
+        return signed(request, verification, head(request, 0, maxLength(verification), BADVERS, null).toBytes());
     }
 
-    private static int room(Tsig.Verification signed) {
-        return DnsMessage.MOST - (signed == null || signed.key() == null ? 0 : Tsig.room(signed.key()));
+    private static int maxLength(Tsig.Verification verification) {
+        return DnsMessage.MOST - (verification == null || verification.key() == null ? 0 : Tsig.room(verification.key()));
     }
 
-    private static MessageWriter head(DnsMessage asked, int code, int most, int extended, byte[] options) {
-        MessageWriter out = new MessageWriter(asked.id(), DnsMessage.RESPONSE | (asked.flags() & 0x7900) | code, most);
-        if (asked.asks()) {
-            out.question(asked.name(), asked.type(), asked.dclass());
+    private static MessageWriter head(DnsMessage request, int code, int most, int extended, byte[] options) {
+        MessageWriter out = new MessageWriter(request.id(), DnsMessage.RESPONSE | (request.flags() & 0x7900) | code, most);
+        if (request.hasQuestion()) {
+            out.question(request.name(), request.type(), request.dclass());
         }
-        if (asked.edns() != null) {
-            out.edns(DATAGRAM, extended, options);
+        if (request.edns() != null) {
+            out.edns(MAX_DATAGRAM_BYTES, extended, options);
         }
         return out;
     }
 
-    private byte[] signed(DnsMessage asked, Tsig.Verification signed, byte[] made) {
-        if (signed == null) {
+    private byte[] signed(DnsMessage request, Tsig.Verification verification, byte[] made) {
+        if (verification == null) {
             return made;
         }
-        return switch (signed.error()) {
-            case 0 -> Tsig.sign(made, signed.key(), unix.getAsLong(), signed.mac())
+        return switch (verification.error()) {
+            case 0 -> Tsig.sign(made, verification.key(), unix.getAsLong(), verification.mac())
                     .octets();
-            case Tsig.BADTIME -> Tsig.signBadTime(made, signed.key(), signed.time(), unix.getAsLong(), signed.mac())
+            case Tsig.BADTIME -> Tsig.signBadTime(made, verification.key(), verification.time(), unix.getAsLong(), verification.mac())
                     .octets();
-            default -> Tsig.unsignedError(made, asked.signature(), signed.error());
+            default -> Tsig.unsignedError(made, request.signature(), verification.error());
         };
     }
 
-    byte[] found(DnsMessage asked, Tsig.Verification signed, Lookup.Answer answer, boolean datagram) {
+    byte[] answer(DnsMessage request, Tsig.Verification verification, Lookup.Answer answer, boolean datagram) {
         int most = DnsMessage.MOST;
         if (datagram) {
-            int theirs = asked.edns() == null
+            int theirs = request.edns() == null
                     ? DnsMessage.PLAIN_DATAGRAM
-                    : asked.edns().payload();
-            most = Math.max(DnsMessage.PLAIN_DATAGRAM, Math.min(theirs, DATAGRAM));
+                    : request.edns().payload();
+            most = Math.max(DnsMessage.PLAIN_DATAGRAM, Math.min(theirs, MAX_DATAGRAM_BYTES));
         }
-        most -= signed == null ? 0 : Tsig.room(signed.key());
+        most -= verification == null ? 0 : Tsig.room(verification.key());
         MessageWriter out = new MessageWriter(
-                asked.id(),
+                request.id(),
                 DnsMessage.RESPONSE
                         | (answer.authoritative ? DnsMessage.AUTHORITATIVE : 0)
-                        | (asked.flags() & 0x7900)
+                        | (request.flags() & 0x7900)
                         | answer.code,
                 most);
-        out.question(asked.name(), asked.type(), asked.dclass());
+        out.question(request.name(), request.type(), request.dclass());
         int questionEnd = out.length();
-        int reserved = asked.edns() == null ? 0 : 11;
-        boolean whole = section(out, 1, answer.answer, most - reserved, asked.id())
-                && section(out, 2, answer.authority, most - reserved, asked.id());
+        int reserved = request.edns() == null ? 0 : 11;
+        boolean whole = section(out, 1, answer.answer, most - reserved, request.id())
+                && section(out, 2, answer.authority, most - reserved, request.id());
         if (!whole) {
-            out.cutToQuestion(questionEnd);
+            out.truncateToQuestion(questionEnd);
             out.flag(DnsMessage.TRUNCATED);
         } else {
             // What does not fit here is only a help.
-            section(out, 3, answer.additional, most - reserved, asked.id());
+            section(out, 3, answer.additional, most - reserved, request.id());
         }
-        if (asked.edns() != null) {
-            out.edns(DATAGRAM, 0, null);
+        if (request.edns() != null) {
+            out.edns(MAX_DATAGRAM_BYTES, 0, null);
         }
-        return signed(asked, signed, out.done());
+        return signed(request, verification, out.toBytes());
     }
 
     /** Each set from another record on, so that callers who take the first spread (RFC 1794). */
--- a/src/main/java/merlinlever/zone/server/ServedZone.java
+++ b/src/main/java/merlinlever/zone/server/ServedZone.java
@@ -22,7 +22,7 @@
 
     /** Who hears that a new version is seen. */
     public interface VersionListener {
-        void seen(ServedZone zone);
+        void versionPublished(ServedZone zone);
     }
 
     private final byte[] origin;
@@ -32,14 +32,14 @@
     private final ZoneStore store;
     private final DifferenceHistory history = new DifferenceHistory();
     private final ReplayWindow replays;
-    private final List<VersionListener> watchers = new ArrayList<>();
-    private Zone seen;
+    private final List<VersionListener> listeners = new ArrayList<>();
+    private Zone published;
     private Zone staged;
-    private int onTheWay;
+    private int writesInFlight;
     /** What waits for the newest step that is on its way, and whether the last step got there. */
-    private List<Runnable> newest;
+    private List<Runnable> waitingForNewestWrite;
 
-    private boolean lastWell;
+    private boolean lastWriteSucceeded;
 
     /** @param updaters names of keys as text, as are {@code transferers} */
     public ServedZone(Zone zone, Set<String> updaters, Set<String> transferers, ZoneStore store, ReplayWindow replays) {
@@ -49,7 +49,7 @@
         this.transferers = Set.copyOf(transferers);
         this.store = store;
         this.replays = replays;
-        seen = zone;
+        published = zone;
         staged = zone;
     }
 
@@ -62,7 +62,7 @@
     }
 
     public Zone zone() {
-        return seen;
+        return published;
     }
 
     public DifferenceHistory history() {
@@ -81,56 +81,56 @@
         return transferers.contains(DomainNames.text(key));
     }
 
-    boolean openToUpdates() {
+    boolean acceptsUpdates() {
         return !updaters.isEmpty();
     }
 
-    public void watch(VersionListener watcher) {
-        watchers.add(watcher);
+    public void addListener(VersionListener watcher) {
+        listeners.add(watcher);
     }
 
     /** Decides an update; {@code done} hears the code, at once or when the disk has it, or -1 where the disk would not. */
     void update(
             long at, byte[] mark, List<UpdateEntry> prerequisites, List<UpdateEntry> changes, Consumer<Integer> done) {
-        DynamicUpdate.UpdateResult outcome = DynamicUpdate.judge(staged, prerequisites, changes);
+        DynamicUpdate.UpdateResult outcome = DynamicUpdate.apply(staged, prerequisites, changes);
         if (outcome.difference() == null) {
-            if (newest == null) {
+            if (waitingForNewestWrite == null) {
                 done.accept(outcome.code());
             } else {
                 // It was decided on what is not on the disk yet, and stands or falls with it.
-                newest.add(() -> done.accept(lastWell ? outcome.code() : -1));
+                waitingForNewestWrite.add(() -> done.accept(lastWriteSucceeded ? outcome.code() : -1));
             }
             return;
         }
-        put(at, mark, outcome.zone(), outcome.difference(), well -> done.accept(well ? DynamicUpdate.NOERROR : -1));
+        write(at, mark, outcome.zone(), outcome.difference(), well -> done.accept(well ? DynamicUpdate.NOERROR : -1));
     }
 
-    private void put(long at, byte[] mark, Zone made, Difference difference, Consumer<Boolean> done) {
+    private void write(long at, byte[] mark, Zone made, Difference difference, Consumer<Boolean> done) {
         staged = made;
-        onTheWay++;
+        writesInFlight++;
         List<Runnable> behind = new ArrayList<>(0);
-        newest = behind;
-        store.put(at, mark, difference, well -> {
-            onTheWay--;
-            lastWell = well;
+        waitingForNewestWrite = behind;
+        store.append(at, mark, difference, well -> {
+            writesInFlight--;
+            lastWriteSucceeded = well;
             if (well) {
-                seen = made;
+                published = made;
                 history.add(difference);
                 if (mark.length > 0) {
                     replays.add(at, mark);
                 }
-            } else if (onTheWay == 0) {
-                staged = seen;
+            } else if (writesInFlight == 0) {
+                staged = published;
             }
-            if (newest == behind) {
-                newest = null;
+            if (waitingForNewestWrite == behind) {
+                waitingForNewestWrite = null;
             }
             done.accept(well);
             behind.forEach(Runnable::run);
             if (well) {
-                watchers.forEach(watcher -> watcher.seen(this));
-                if (store.snapshotDue()) {
-                    store.snapshot(seen, at);
+                listeners.forEach(watcher -> watcher.versionPublished(this));
+                if (store.isSnapshotDue()) {
+                    store.snapshot(published, at);
                 }
             }
         });
@@ -149,14 +149,14 @@
             return name + ": the file is not taken over: its serial " + difference.to() + " does not come after "
                     + difference.from() + ", which is served";
         }
-        put(at, new byte[0], file, difference, well -> {});
+        write(at, new byte[0], file, difference, well -> {});
         return name + ": taken from the file: serial " + difference.to() + ", "
                 + (difference.removed().size() - 1) + " records out, "
                 + (difference.added().size() - 1) + " in";
     }
 
     /** Whether all updates have been heard of from the disk. */
-    boolean idle() {
-        return onTheWay == 0 && store.idle();
+    boolean isIdle() {
+        return writesInFlight == 0 && store.isIdle();
     }
 }
--- a/src/main/java/merlinlever/zone/server/ZoneServerMetrics.java
+++ b/src/main/java/merlinlever/zone/server/ZoneServerMetrics.java
@@ -9,11 +9,11 @@
     private static final int KINDS = PendingMessage.MessageKind.values().length;
     private static final int CODES = 16;
 
-    private final Counter[] taken = new Counter[KINDS];
-    private final Counter[] satisfied = new Counter[KINDS];
-    private final Counter[] pushedBack = new Counter[KINDS];
-    private final Counter[] brokenOff = new Counter[KINDS];
-    private final Counter[] told = new Counter[CODES];
+    private final Counter[] accepted = new Counter[KINDS];
+    private final Counter[] served = new Counter[KINDS];
+    private final Counter[] rejected = new Counter[KINDS];
+    private final Counter[] failed = new Counter[KINDS];
+    private final Counter[] answeredByCode = new Counter[CODES];
     private final Counter malformed;
     private final Counter dropped;
     private boolean healthy = true;
@@ -21,36 +21,36 @@
     public ZoneServerMetrics(MeterRegistry registry) {
         for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
             String name = kind.wireName();
-            taken[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "taken");
-            satisfied[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "satisfied");
-            pushedBack[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "pushed-back");
-            brokenOff[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "broken-off");
+            accepted[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "taken");
+            served[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "satisfied");
+            rejected[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "pushed-back");
+            failed[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "broken-off");
         }
         for (int code = 0; code < CODES; code++) {
-            told[code] = registry.counter("zone.answered.at.the.door", "code", org.xbill.DNS.Rcode.string(code));
+            answeredByCode[code] = registry.counter("zone.answered.at.the.door", "code", org.xbill.DNS.Rcode.string(code));
         }
         malformed = registry.counter("zone.malformed");
         dropped = registry.counter("zone.dropped");
     }
 
-    void taken(PendingMessage.MessageKind kind) {
-        taken[kind.ordinal()].increment();
+    void accepted(PendingMessage.MessageKind kind) {
+        accepted[kind.ordinal()].increment();
     }
 
-    void satisfied(PendingMessage.MessageKind kind) {
-        satisfied[kind.ordinal()].increment();
+    void served(PendingMessage.MessageKind kind) {
+        served[kind.ordinal()].increment();
     }
 
-    void pushedBack(PendingMessage.MessageKind kind) {
-        pushedBack[kind.ordinal()].increment();
+    void rejected(PendingMessage.MessageKind kind) {
+        rejected[kind.ordinal()].increment();
     }
 
-    void brokenOff(PendingMessage.MessageKind kind) {
-        brokenOff[kind.ordinal()].increment();
+    void failed(PendingMessage.MessageKind kind) {
+        failed[kind.ordinal()].increment();
     }
 
-    void told(int code) {
-        told[code & CODES - 1].increment();
+    void answeredWithCode(int code) {
+        answeredByCode[code & CODES - 1].increment();
     }
 
     void malformed() {
@@ -70,7 +70,7 @@
     }
 
     /** One line about all of it. */
-    public String line() {
+    public String summary() {
         StringBuilder line = new StringBuilder();
         for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
             int i = kind.ordinal();
@@ -78,10 +78,10 @@
                     java.util.Locale.ROOT,
                     "%s %.0f (satisfied %.0f, pushed back %.0f, broken off %.0f), ",
                     kind.wireName(),
-                    taken[i].count(),
-                    satisfied[i].count(),
-                    pushedBack[i].count(),
-                    brokenOff[i].count()));
+                    accepted[i].count(),
+                    served[i].count(),
+                    rejected[i].count(),
+                    failed[i].count()));
         }
         return line.append(String.format(
                         java.util.Locale.ROOT, "malformed %.0f, dropped %.0f", malformed.count(), dropped.count()))
--- a/src/main/java/merlinlever/zone/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/zone/server/ZoneTransfer.java
@@ -17,11 +17,11 @@
 public final class ZoneTransfer {
 
     /** Octets of a message: records share their names' ends, and a reader need not hold much. */
-    private static final int MESSAGE = 16_384;
+    private static final int MAX_MESSAGE_BYTES = 16_384;
 
     private static final int CHUNK = 500;
 
-    private final DnsMessage asked;
+    private final DnsMessage request;
     private final Tsig.SignatureChain chain;
     private final java.util.function.LongSupplier unix;
     private final int signatureRoom;
@@ -30,33 +30,33 @@
     private boolean first = true;
 
     private ZoneTransfer(
-            DnsMessage asked,
-            Tsig.Verification signed,
+            DnsMessage request,
+            Tsig.Verification verification,
             java.util.function.LongSupplier unix,
             Iterator<ResourceRecord> records) {
-        this.asked = asked;
+        this.request = request;
         this.unix = unix;
         this.records = records;
-        chain = signed == null ? null : new Tsig.SignatureChain(signed.key(), signed.mac());
-        signatureRoom = signed == null ? 0 : Tsig.room(signed.key());
+        chain = verification == null ? null : new Tsig.SignatureChain(verification.key(), verification.mac());
+        signatureRoom = verification == null ? 0 : Tsig.room(verification.key());
         next = records.next();
     }
 
     /** All of the zone. */
-    static ZoneTransfer whole(
-            DnsMessage asked, Tsig.Verification signed, java.util.function.LongSupplier unix, Zone zone) {
-        return new ZoneTransfer(asked, signed, unix, new ZoneRecordIterator(zone));
+    static ZoneTransfer full(
+            DnsMessage request, Tsig.Verification verification, java.util.function.LongSupplier unix, Zone zone) {
+        return new ZoneTransfer(request, verification, unix, new ZoneRecordIterator(zone));
     }
 
     /** What has changed; none gives the SOA alone, which says that nothing has. */
-    static ZoneTransfer since(
-            DnsMessage asked,
-            Tsig.Verification signed,
+    static ZoneTransfer incremental(
+            DnsMessage request,
+            Tsig.Verification verification,
             java.util.function.LongSupplier unix,
             Zone zone,
             List<Difference> differences) {
         List<ResourceRecord> all = new ArrayList<>();
-        zone.soa().each(zone.origin(), all::add);
+        zone.soa().forEachRecord(zone.origin(), all::add);
         for (Difference difference : differences) {
             all.addAll(difference.removed());
             all.addAll(difference.added());
@@ -64,7 +64,7 @@
         if (!differences.isEmpty()) {
             all.add(all.get(0));
         }
-        return new ZoneTransfer(asked, signed, unix, all.iterator());
+        return new ZoneTransfer(request, verification, unix, all.iterator());
     }
 
     /** The next message, or null behind the last. */
@@ -73,19 +73,19 @@
             return null;
         }
         MessageWriter out = new MessageWriter(
-                asked.id(),
-                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | (asked.flags() & DnsMessage.DESIRED),
+                request.id(),
+                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | (request.flags() & DnsMessage.DESIRED),
                 DnsMessage.MOST - signatureRoom);
         if (first) {
-            out.question(asked.name(), asked.type(), asked.dclass());
+            out.question(request.name(), request.type(), request.dclass());
         }
         first = false;
         while (next != null
-                && out.length() < MESSAGE
+                && out.length() < MAX_MESSAGE_BYTES
                 && out.record(1, next.owner(), next.type(), RecordTypes.IN, next.ttl(), next.data())) {
             next = records.hasNext() ? records.next() : null;
         }
-        return chain == null ? out.done() : chain.sign(out.done(), unix.getAsLong());
+        return chain == null ? out.toBytes() : chain.sign(out.toBytes(), unix.getAsLong());
     }
 
     /** The records of one version: the SOA, all others, the SOA again. */
@@ -96,7 +96,7 @@
 
         ZoneRecordIterator(Zone zone) {
             this.zone = zone;
-            zone.soa().each(zone.origin(), ready::add);
+            zone.soa().forEachRecord(zone.origin(), ready::add);
         }
 
         @Override
@@ -118,13 +118,13 @@
                 byte[] name = DomainNames.wire(key);
                 for (int i = 0; i < owner.sets(); i++) {
                     if (owner.at(i).type() != RecordTypes.SOA) {
-                        owner.at(i).each(name, ready::add);
+                        owner.at(i).forEachRecord(name, ready::add);
                     }
                 }
                 return true;
             });
             if (from == null) {
-                zone.soa().each(zone.origin(), ready::add);
+                zone.soa().forEachRecord(zone.origin(), ready::add);
             }
         }
 
--- a/src/main/java/merlinlever/zone/state/Difference.java
+++ b/src/main/java/merlinlever/zone/state/Difference.java
@@ -32,8 +32,8 @@
     public static Difference between(Zone old, Zone made) {
         List<ResourceRecord> removed = new ArrayList<>();
         List<ResourceRecord> added = new ArrayList<>();
-        old.soa().each(old.origin(), removed::add);
-        made.soa().each(made.origin(), added::add);
+        old.soa().forEachRecord(old.origin(), removed::add);
+        made.soa().forEachRecord(made.origin(), added::add);
         Iterator<CopyOnWriteBTree.Entry<OwnerRecords>> olds = entries(old).iterator();
         Iterator<CopyOnWriteBTree.Entry<OwnerRecords>> news = entries(made).iterator();
         CopyOnWriteBTree.Entry<OwnerRecords> a = olds.hasNext() ? olds.next() : null;
@@ -55,8 +55,8 @@
     static Difference between(Zone old, Zone made, Iterable<byte[]> keys) {
         List<ResourceRecord> removed = new ArrayList<>();
         List<ResourceRecord> added = new ArrayList<>();
-        old.soa().each(old.origin(), removed::add);
-        made.soa().each(made.origin(), added::add);
+        old.soa().forEachRecord(old.origin(), removed::add);
+        made.soa().forEachRecord(made.origin(), added::add);
         for (byte[] key : keys) {
             OwnerRecords before = old.names().get(key);
             OwnerRecords after = made.names().get(key);
@@ -104,14 +104,14 @@
             return;
         }
         for (byte[] one : set.data) {
-            if (than == null || than.ttl != set.ttl || !than.holds(one)) {
+            if (than == null || than.ttl != set.ttl || !than.contains(one)) {
                 into.add(new ResourceRecord(name, set.type, set.ttl, one));
             }
         }
     }
 
     /** The version that the difference makes of its first one. */
-    public Zone on(Zone zone) {
+    public Zone applyTo(Zone zone) {
         Map<byte[], OwnerRecords> changed = new TreeMap<>(Arrays::compareUnsigned);
         for (ResourceRecord rec : removed) {
             change(zone, changed, rec, false);
--- a/src/main/java/merlinlever/zone/state/DynamicUpdate.java
+++ b/src/main/java/merlinlever/zone/state/DynamicUpdate.java
@@ -43,7 +43,7 @@
         this.zone = zone;
     }
 
-    public static UpdateResult judge(Zone zone, List<UpdateEntry> prerequisites, List<UpdateEntry> updates) {
+    public static UpdateResult apply(Zone zone, List<UpdateEntry> prerequisites, List<UpdateEntry> updates) {
         int code = prerequisites(zone, prerequisites);
         if (code == NOERROR) {
             code = scan(zone, updates);
@@ -63,7 +63,7 @@
             if (entry.ttl() != 0) {
                 return FORMERR;
             }
-            if (!DomainNames.under(entry.owner(), zone.origin())) {
+            if (!DomainNames.isUnder(entry.owner(), zone.origin())) {
                 return NOTZONE;
             }
             OwnerRecords owner = zone.names().get(DomainNames.key(entry.owner()));
@@ -81,7 +81,7 @@
                                         ? owner != null ? YXDOMAIN : NOERROR
                                         : set ? YXRRSET : NOERROR;
                         case RecordTypes.IN -> {
-                            if (entry.data() == null || RecordTypes.meta(entry.type())) {
+                            if (entry.data() == null || RecordTypes.isMeta(entry.type())) {
                                 yield FORMERR;
                             }
                             exact.computeIfAbsent(
@@ -110,18 +110,18 @@
 
     private static int scan(Zone zone, List<UpdateEntry> entries) {
         for (UpdateEntry entry : entries) {
-            if (!DomainNames.under(entry.owner(), zone.origin())) {
+            if (!DomainNames.isUnder(entry.owner(), zone.origin())) {
                 return NOTZONE;
             }
             boolean wrong =
                     switch (entry.dclass()) {
-                        case RecordTypes.IN -> RecordTypes.meta(entry.type()) || entry.data() == null;
+                        case RecordTypes.IN -> RecordTypes.isMeta(entry.type()) || entry.data() == null;
                         case RecordTypes.CLASS_ANY -> entry.ttl() != 0
                                 || entry.data() != null
-                                || (RecordTypes.meta(entry.type()) && entry.type() != RecordTypes.ANY);
+                                || (RecordTypes.isMeta(entry.type()) && entry.type() != RecordTypes.ANY);
                         case RecordTypes.CLASS_NONE -> entry.ttl() != 0
                                 || entry.data() == null
-                                || RecordTypes.meta(entry.type());
+                                || RecordTypes.isMeta(entry.type());
                         default -> true;
                     };
             if (wrong) {
--- a/src/main/java/merlinlever/zone/state/Lookup.java
+++ b/src/main/java/merlinlever/zone/state/Lookup.java
@@ -43,7 +43,7 @@
         Lookup lookup = new Lookup(zone, type);
         byte[] next = name;
         for (int steps = 0; next != null && steps < MOST_STEPS; steps++) {
-            next = DomainNames.under(next, zone.origin()) ? lookup.step(next) : null;
+            next = DomainNames.isUnder(next, zone.origin()) ? lookup.step(next) : null;
         }
         lookup.glue();
         return lookup.answer;
@@ -82,7 +82,7 @@
             return from(owner, name);
         }
         CopyOnWriteBTree.Entry<OwnerRecords> after = zone.names().ceiling(key);
-        if (after != null && DomainNames.begins(key, after.key())) {
+        if (after != null && DomainNames.isPrefix(key, after.key())) {
             // Nothing here, but something below: the name exists.
             nothing(DynamicUpdate.NOERROR);
             return null;
@@ -153,7 +153,7 @@
                 for (int i = 0; skipped >= 0 && i < shown.set.data.length && i < 16; i++) {
                     byte[] data = shown.set.data[i];
                     byte[] target = skipped == 0 ? data : Arrays.copyOfRange(data, skipped, data.length);
-                    OwnerRecords owner = DomainNames.under(target, zone.origin())
+                    OwnerRecords owner = DomainNames.isUnder(target, zone.origin())
                             ? zone.names().get(DomainNames.key(target))
                             : null;
                     for (int address : owner == null ? new int[0] : new int[] {RecordTypes.A, RecordTypes.AAAA}) {
--- a/src/main/java/merlinlever/zone/state/RecordSet.java
+++ b/src/main/java/merlinlever/zone/state/RecordSet.java
@@ -53,7 +53,7 @@
         return Arrays.binarySearch(data, one, Arrays::compareUnsigned);
     }
 
-    public boolean holds(byte[] one) {
+    public boolean contains(byte[] one) {
         return find(one) >= 0;
     }
 
@@ -91,7 +91,7 @@
         return this == other || (sameData(other) && ttl == other.ttl);
     }
 
-    public void each(byte[] owner, Consumer<ResourceRecord> taker) {
+    public void forEachRecord(byte[] owner, Consumer<ResourceRecord> taker) {
         for (byte[] one : data) {
             taker.accept(new ResourceRecord(owner, type, ttl, one));
         }
--- a/src/main/java/merlinlever/zone/state/ReplayWindow.java
+++ b/src/main/java/merlinlever/zone/state/ReplayWindow.java
@@ -38,18 +38,18 @@
 
     public void add(long at, byte[] mark) {
         ReplayKey made = new ReplayKey(mark);
-        sweep(at);
+        expire(at);
         if (known.add(made)) {
             ends.add(new TimedKey(at, made));
         }
     }
 
-    public boolean known(byte[] mark) {
+    public boolean contains(byte[] mark) {
         return known.contains(new ReplayKey(mark));
     }
 
     /** Lets go of what cannot come again. */
-    public void sweep(long now) {
+    public void expire(long now) {
         while (!ends.isEmpty() && now - ends.peek().at > span) {
             known.remove(ends.poll().mark);
         }
--- a/src/main/java/merlinlever/zone/state/UpdatePlan.java
+++ b/src/main/java/merlinlever/zone/state/UpdatePlan.java
@@ -116,7 +116,7 @@
             if (before == null) {
                 batch.prerequisites.add(new UpdateEntry(name, type, RecordTypes.CLASS_NONE, 0, null));
             } else {
-                before.each(
+                before.forEachRecord(
                         name,
                         rec -> batch.prerequisites.add(new UpdateEntry(name, type, RecordTypes.IN, 0, rec.data())));
             }
@@ -124,14 +124,14 @@
                 // First, or what takes its place could not stand beside it (a CNAME).
                 batch.changes.add(0, new UpdateEntry(name, type, RecordTypes.CLASS_ANY, 0, null));
             } else {
-                after.each(name, rec -> {
-                    if (before == null || before.ttl() != after.ttl() || !before.holds(rec.data())) {
+                after.forEachRecord(name, rec -> {
+                    if (before == null || before.ttl() != after.ttl() || !before.contains(rec.data())) {
                         batch.changes.add(new UpdateEntry(name, type, RecordTypes.IN, rec.ttl(), rec.data()));
                     }
                 });
                 if (before != null) {
-                    before.each(name, rec -> {
-                        if (!after.holds(rec.data())) {
+                    before.forEachRecord(name, rec -> {
+                        if (!after.contains(rec.data())) {
                             last.add(new UpdateEntry(name, type, RecordTypes.CLASS_NONE, 0, rec.data()));
                         }
                     });
--- a/src/main/java/merlinlever/zone/state/Zone.java
+++ b/src/main/java/merlinlever/zone/state/Zone.java
@@ -128,7 +128,7 @@
         names.from(new byte[0], (key, owner) -> {
             byte[] name = DomainNames.wire(key);
             for (RecordSet set : owner.sets) {
-                set.each(name, taker);
+                set.forEachRecord(name, taker);
             }
             return true;
         });
--- a/src/main/java/merlinlever/zone/text/ZoneFile.java
+++ b/src/main/java/merlinlever/zone/text/ZoneFile.java
@@ -239,7 +239,7 @@
             throw new MalformedDnsException("no type");
         }
         int type = RecordTypes.number(words.get(next));
-        if (type < 0 || RecordTypes.meta(type)) {
+        if (type < 0 || RecordTypes.isMeta(type)) {
             throw new MalformedDnsException(
                     (type < 0 ? "unknown type " : "no zone holds the type ") + shortened(words.get(next)));
         }
@@ -270,7 +270,7 @@
                         "the SOA is at " + DomainNames.text(scope.owner) + ", not at " + DomainNames.text(zone));
             }
         }
-        if (zone != null && !DomainNames.under(scope.owner, zone)) {
+        if (zone != null && !DomainNames.isUnder(scope.owner, zone)) {
             throw new MalformedDnsException(
                     DomainNames.text(scope.owner) + " is out of the zone " + DomainNames.text(zone));
         }
@@ -394,7 +394,7 @@
         byte[] last = null;
         for (int i = 0; i < records.size() && faults.size() < MOST_FAULTS; i++) {
             ResourceRecord rec = records.get(i);
-            if (!DomainNames.under(rec.owner(), zone)) {
+            if (!DomainNames.isUnder(rec.owner(), zone)) {
                 fault(
                         place(i).file,
                         lines[i],
@@ -440,7 +440,7 @@
     /** Writes a zone in the form that {@link #read} takes: the SOA first, each record whole on its line. */
     public static void write(Zone zone, Writer out) throws IOException {
         try {
-            zone.soa().each(zone.origin(), rec -> line(out, rec));
+            zone.soa().forEachRecord(zone.origin(), rec -> line(out, rec));
             zone.each(rec -> {
                 if (rec.type() != RecordTypes.SOA) {
                     line(out, rec);
--- a/src/main/java/merlinlever/zone/wire/DnsMessage.java
+++ b/src/main/java/merlinlever/zone/wire/DnsMessage.java
@@ -208,7 +208,7 @@
         return flags & 15;
     }
 
-    public boolean asks() {
+    public boolean hasQuestion() {
         return questions == 1;
     }
 
--- a/src/main/java/merlinlever/zone/wire/MessageWriter.java
+++ b/src/main/java/merlinlever/zone/wire/MessageWriter.java
@@ -147,7 +147,7 @@
     }
 
     /** Back to the question alone. */
-    public void cutToQuestion(int questionEnd) {
+    public void truncateToQuestion(int questionEnd) {
         at = questionEnd;
         Arrays.fill(counts, 1, 4, 0);
         while (knownCount > 0 && known[knownCount - 1] >= at) {
@@ -159,7 +159,7 @@
         put16(2, (out[2] & 0xff) << 8 | (out[3] & 0xff) | flag);
     }
 
-    public byte[] done() {
+    public byte[] toBytes() {
         for (int i = 0; i < 4; i++) {
             put16(4 + 2 * i, counts[i]);
         }
--- a/src/main/java/merlinlever/zone/wire/Tsig.java
+++ b/src/main/java/merlinlever/zone/wire/Tsig.java
@@ -262,7 +262,7 @@
         }
 
         /** Whether the next message of the stream holds; up to 99 in a row may come unsigned. */
-        public boolean holds(DnsMessage message, long now) throws MalformedDnsException {
+        public boolean verifyNext(DnsMessage message, long now) throws MalformedDnsException {
             if (pending == null) {
                 pending = key.start();
                 prior(pending, prior);
@@ -291,7 +291,7 @@
         }
 
         /** Whether the last message was signed, as the last of a stream has to be. */
-        public boolean closed() {
+        public boolean isComplete() {
             return !first && unsigned == 0;
         }
     }
--- a/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
@@ -163,7 +163,7 @@
         CompletableFuture<ZoneFetcher.FetchResult> ended = new CompletableFuture<>();
         loop.execute(() -> ZoneFetcher.zone(asker, address, ORIGIN, key, ended::complete));
         ZoneFetcher.FetchResult fetched = ended.get(9, TimeUnit.SECONDS);
-        assertNotNull(fetched.zone(), fetched.why());
+        assertNotNull(fetched.zone(), fetched.failure());
         return fetched.zone();
     }
 
@@ -193,8 +193,8 @@
                         new UpdateEntry(owner, RecordTypes.TXT, RecordTypes.CLASS_ANY, 0, null),
                         new UpdateEntry(owner, RecordTypes.TXT, RecordTypes.IN, 60, text)),
                 key);
-        asker.ask(to, message, key, Duration.ofSeconds(1), ended -> {
-            if (ended.well() && !over[0]) {
+        asker.exchange(to, message, key, Duration.ofSeconds(1), ended -> {
+            if (ended.isSuccessful() && !over[0]) {
                 answered[client] = number;
                 sendUpdates(asker, to, key, client, sent, answered, over);
             }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -209,6 +209,6 @@
                 List.of(new InstanceStatus.QuotaShare("calls", 100, 11, 1760, 2, "b1", 5)),
                 new InstanceStatus.ViewStatus("whole", 1000, "3.1", "801ad0959cc1"));
         fixture.pins("told", new ObjectMapper().writeValueAsString(told));
-        fixture.pins("dns.counts", new ZoneServerMetrics(new SimpleMeterRegistry()).line());
+        fixture.pins("dns.counts", new ZoneServerMetrics(new SimpleMeterRegistry()).summary());
     }
 }
--- a/src/test/java/merlinlever/zone/client/DnsClientTest.java
+++ b/src/test/java/merlinlever/zone/client/DnsClientTest.java
@@ -118,7 +118,7 @@
         DnsMessage message = DnsMessage.read(asked);
         return new MessageWriter(id, DnsMessage.RESPONSE | flags | message.operation() << 11 | code, DnsMessage.MOST)
                 .question(message.name(), message.type(), message.dclass())
-                .done();
+                .toBytes();
     }
 
     private byte[] signed(byte[] asked, byte[] answer) throws Exception {
@@ -143,7 +143,7 @@
         CompletableFuture<ExchangeResult> ended = new CompletableFuture<>();
         byte[] update = update();
         InetSocketAddress to = (InetSocketAddress) udp.getLocalSocketAddress();
-        loop.execute(() -> asker.ask(to, update, with, PATIENCE, ended::complete));
+        loop.execute(() -> asker.exchange(to, update, with, PATIENCE, ended::complete));
         return ended.get(5, TimeUnit.SECONDS);
     }
 
@@ -167,7 +167,7 @@
             Thread.sleep(30);
             send(signed(asked, answer(asked, id, 0, 0)), from);
         });
-        assertTrue(ask(key).well());
+        assertTrue(ask(key).isSuccessful());
     }
 
     @Test
@@ -177,7 +177,7 @@
             first[0] = first[0] == null ? asked : first[0];
             assertTrue(Arrays.equals(first[0], asked));
         });
-        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(key).way());
+        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(key).status());
         assertTrue(came.get() >= 2 && came.get() <= 5, "" + came.get());
     }
 
@@ -189,7 +189,7 @@
                         DnsMessage.read(asked).signature(),
                         Tsig.BADKEY),
                 from));
-        assertEquals(ExchangeResult.ExchangeStatus.KEY_REFUSED, ask(key).way());
+        assertEquals(ExchangeResult.ExchangeStatus.KEY_REFUSED, ask(key).status());
     }
 
     @Test
@@ -204,7 +204,7 @@
             }
         });
         ExchangeResult answered = ask(null);
-        assertEquals(ExchangeResult.ExchangeStatus.ANSWERED, answered.way());
+        assertEquals(ExchangeResult.ExchangeStatus.ANSWERED, answered.status());
         assertEquals(3, answered.message().code());
     }
 
@@ -221,16 +221,16 @@
             }
         });
         long began = System.nanoTime();
-        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(null).way());
+        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(null).status());
         assertTrue(System.nanoTime() - began >= 700_000_000L);
-        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(null).way());
+        assertEquals(ExchangeResult.ExchangeStatus.LOST, ask(null).status());
     }
 
     @Test
     void nobodyThereIsUnreachable() throws Exception {
         tcp.close();
         datagrams((asked, from) -> send(answer(asked, DnsMessage.id(asked), 0, DnsMessage.TRUNCATED), from));
-        assertEquals(ExchangeResult.ExchangeStatus.UNREACHABLE, ask(null).way());
+        assertEquals(ExchangeResult.ExchangeStatus.UNREACHABLE, ask(null).status());
     }
 
     private ZoneFetcher.FetchResult fetch(Talk talk) throws Exception {
@@ -259,7 +259,7 @@
         if (last) {
             out.record(1, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
         }
-        return out.done();
+        return out.toBytes();
     }
 
     @Test
@@ -274,7 +274,7 @@
             }
             out.flush();
         });
-        assertNotNull(whole.zone(), whole.why());
+        assertNotNull(whole.zone(), whole.failure());
         assertEquals(51, whole.zone().records());
     }
 
@@ -313,7 +313,7 @@
         for (int i = 0; i < 4; i++) {
             ZoneFetcher.FetchResult cut = fetch(talk);
             assertNull(cut.zone());
-            assertTrue(cut.why().startsWith("the transfer"), cut.why());
+            assertTrue(cut.failure().startsWith("the transfer"), cut.failure());
         }
     }
 }
--- a/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
@@ -73,12 +73,12 @@
         next = new Tsig.TsigKey(name("n."), "hmac-sha384", SECRET);
         byte[] origin = name("example.org.");
         state = new FileStateDirectory(folder.resolve("state"));
-        store = new ZoneStore(state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY);
+        store = new ZoneStore(state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY_WINDOW_SECONDS);
         store.recover(origin);
         Zone zone = read(HEAD + "a A 1.1.1.1\nb A 1.1.1.2\nc TXT c\n");
-        store.first(zone);
+        store.initialize(zone);
         served = new ServedZone(
-                zone, Set.of("k.", "n."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY));
+                zone, Set.of("k.", "n."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
         front = new DnsServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
@@ -97,7 +97,7 @@
     void stop() throws Exception {
         loop.execute(() -> {
             front.close();
-            front.end();
+            front.closeSockets();
             loop.stop();
         });
         disk.shutdown();
@@ -164,12 +164,12 @@
                 next);
         try {
             // On the loop already: what was put first leaves first.
-            asker.ask(
+            asker.exchange(
                     front.address(),
                     message,
                     next,
                     Duration.ofSeconds(3),
-                    answered -> told.add("other " + answered.told()));
+                    answered -> told.add("other " + answered.describe()));
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
         }
@@ -228,8 +228,8 @@
                         List.of(new UpdateEntry(
                                 name("k" + i + ".example.org."), RecordTypes.A, RecordTypes.IN, 60, new byte[4])),
                         with);
-                asker.ask(to, message, with, Duration.ofSeconds(5), answered -> {
-                    counts[answered.well() ? 0 : 1]++;
+                asker.exchange(to, message, with, Duration.ofSeconds(5), answered -> {
+                    counts[answered.isSuccessful() ? 0 : 1]++;
                     if (counts[0] + counts[1] == 80) {
                         ended.complete(counts);
                     }
@@ -301,16 +301,16 @@
             loop.execute(() -> loop.every(Duration.ofMillis(100), () -> {
                 for (int i = 0; i < 4; i++) {
                     if (alive[i]) {
-                        link[0].came(("PULSE n" + i + " open").getBytes(UTF_8));
+                        link[0].receive(("PULSE n" + i + " open").getBytes(UTF_8));
                     }
                 }
-                link[0].came("PULSE stranger open".getBytes(UTF_8));
-                link[0].came(new byte[600]);
+                link[0].receive("PULSE stranger open".getBytes(UTF_8));
+                link[0].receive(new byte[600]);
             }));
             await(new TreeSet<>(List.of(0, 1, 2, 3)), 4000);
             loop.execute(() -> alive[2] = false);
             await(new TreeSet<>(List.of(0, 1, 3)), 3000);
-            loop.execute(() -> link[0].came("PULSE n3 closed".getBytes(UTF_8)));
+            loop.execute(() -> link[0].receive("PULSE n3 closed".getBytes(UTF_8)));
             loop.execute(() -> alive[3] = false);
             await(new TreeSet<>(List.of(0, 1)), 3000);
             loop.execute(() -> alive[0] = false);
@@ -318,7 +318,7 @@
             assertEquals(new TreeSet<>(List.of(0, 1)), tickets());
             loop.execute(() -> alive[0] = alive[2] = alive[3] = true);
             await(new TreeSet<>(List.of(0, 1, 2, 3)), 4000);
-            assertTrue(on(() -> link[0].unknown()) > 10);
+            assertTrue(on(() -> link[0].unknownPulses()) > 10);
         }
     }
 
@@ -329,7 +329,7 @@
             InetSocketAddress to = (InetSocketAddress) other.getLocalSocketAddress();
             NotifySender notices = new NotifySender(loop, 4);
             loop.execute(() -> {
-                served.watch(zone -> notices.tell(zone, List.of(to)));
+                served.addListener(zone -> notices.notifyOfChange(zone, List.of(to)));
                 change("a.example.org.", new byte[] {5, 5, 5, 5});
             });
             for (int i = 0; i < 2; i++) {
--- a/src/test/java/merlinlever/zone/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/zone/follow/FollowerTest.java
@@ -207,13 +207,13 @@
             List<ResourceRecord> records = new ArrayList<>();
             RecordSet set = zone.set(owner, type);
             if (set != null) {
-                set.each(owner, records::add);
+                set.forEachRecord(owner, records::add);
             }
             return records;
         }
 
         int apply(Follower.WriteStep write) {
-            DynamicUpdate.UpdateResult outcome = DynamicUpdate.judge(zone, write.prerequisites(), write.changes());
+            DynamicUpdate.UpdateResult outcome = DynamicUpdate.apply(zone, write.prerequisites(), write.changes());
             if (outcome.difference() != null) {
                 TreeSet<Integer> before = set();
                 zone = outcome.zone();
@@ -367,9 +367,9 @@
         boolean was = false;
         for (int s = 0; s < 600; s++) {
             Duration now = Duration.ofSeconds(s);
-            fleet.heard(now, 0, true);
-            fleet.heard(now, 1, s / 5 % 2 == 0);
-            fleet.look(now);
+            fleet.reported(now, 0, true);
+            fleet.reported(now, 1, s / 5 % 2 == 0);
+            fleet.update(now);
             boolean is = fleet.alive(false).contains(1);
             shown += is && !was ? 1 : 0;
             was = is;
@@ -377,9 +377,9 @@
         }
         assertTrue(shown <= 4, "shown " + shown + " times of 60");
         for (int s = 600; s < 900; s++) {
-            fleet.heard(Duration.ofSeconds(s), 1, true);
+            fleet.reported(Duration.ofSeconds(s), 1, true);
         }
-        fleet.look(Duration.ofMinutes(15));
+        fleet.update(Duration.ofMinutes(15));
         assertTrue(fleet.alive(false).contains(1));
     }
 }
--- a/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
@@ -47,9 +47,9 @@
         InMemoryStateDirectory folder = new InMemoryStateDirectory();
         ZoneStore store = store(folder, origin);
         assertNull(store.recover(origin));
-        store.first(zone);
+        store.initialize(zone);
         for (int i = 1; i <= 3; i++) {
-            DynamicUpdate.UpdateResult outcome = DynamicUpdate.judge(
+            DynamicUpdate.UpdateResult outcome = DynamicUpdate.apply(
                     zone,
                     List.of(),
                     List.of(new UpdateEntry(
@@ -59,9 +59,9 @@
                             60,
                             new byte[] {10, 0, 0, (byte) i})));
             zone = outcome.zone();
-            store.put(1_700_000_000L + i, new byte[] {(byte) i, 7}, outcome.difference(), well -> {});
+            store.append(1_700_000_000L + i, new byte[] {(byte) i, 7}, outcome.difference(), well -> {});
             work();
-            if (store.snapshotDue()) {
+            if (store.isSnapshotDue()) {
                 store.snapshot(zone, 1_700_000_010L);
                 work();
             }
@@ -75,6 +75,6 @@
         ZoneStore.RecoveredZone recovered = store(before, origin).recover(origin);
         assertEquals(zone.serial(), recovered.zone().serial());
         assertEquals(zone.records(), recovered.zone().records());
-        assertEquals(3, recovered.marks().size());
+        assertEquals(3, recovered.replayKeys().size());
     }
 }
--- a/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
@@ -63,7 +63,7 @@
     }
 
     private static DynamicUpdate.UpdateResult changed(Zone zone, int i) {
-        return DynamicUpdate.judge(
+        return DynamicUpdate.apply(
                 zone,
                 List.of(),
                 List.of(new UpdateEntry(name("n" + i + ".example.org."), RecordTypes.A, RecordTypes.IN, 60, new byte[] {
@@ -81,13 +81,13 @@
         ZoneStore store = store(folder, 1000);
         assertNull(store.recover(origin));
         Zone zone = zone();
-        store.first(zone);
+        store.initialize(zone);
         List<Zone> answered = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             DynamicUpdate.UpdateResult outcome = changed(zone, i);
             zone = outcome.zone();
             Zone made = zone;
-            store.put(0, new byte[] {(byte) i}, outcome.difference(), well -> answered.add(made));
+            store.append(0, new byte[] {(byte) i}, outcome.difference(), well -> answered.add(made));
             if (i == 2) {
                 work();
             }
@@ -100,7 +100,7 @@
         byte[] journal = folder.read("example.org..journal.0000000000000000");
         int forced = 0;
         List<JournalFormat.JournalEntry> steps =
-                JournalRecovery.read("j", journal).steps();
+                JournalRecovery.read("j", journal).entries();
         for (int i = 0, at = JournalFormat.HEADER; i < 6; i++) {
             forced = i == 4 ? at : forced;
             at += JournalFormat.FRONT + JournalFormat.lengthAt(journal, at);
@@ -110,9 +110,9 @@
             InMemoryStateDirectory left = folder.after(0);
             left.put("example.org..journal.0000000000000000", java.util.Arrays.copyOf(journal, length));
             ZoneStore.RecoveredZone recovered = store(left, 1000).recover(origin);
-            assertTrue(recovered.steps().size() >= 4 && recovered.steps().size() <= 6, "at " + length);
-            assertTrue(recovered.steps().size() > 4 || same(last, recovered.zone()));
-            assertEquals(recovered.steps().size(), recovered.marks().size());
+            assertTrue(recovered.differences().size() >= 4 && recovered.differences().size() <= 6, "at " + length);
+            assertTrue(recovered.differences().size() > 4 || same(last, recovered.zone()));
+            assertEquals(recovered.differences().size(), recovered.replayKeys().size());
         }
         // Of one write any page may have got there without those before it: still no spoilt middle.
         for (int at = forced; at < journal.length; at++) {
@@ -120,7 +120,7 @@
             torn[at] ^= 0x40;
             InMemoryStateDirectory left = folder.after(0);
             left.put("example.org..journal.0000000000000000", torn);
-            assertTrue(store(left, 1000).recover(origin).steps().size() >= 4, "at " + at);
+            assertTrue(store(left, 1000).recover(origin).differences().size() >= 4, "at " + at);
         }
     }
 
@@ -130,11 +130,11 @@
         ZoneStore store = store(folder, 1000);
         store.recover(origin);
         Zone zone = zone();
-        store.first(zone);
+        store.initialize(zone);
         for (int i = 0; i < 4; i++) {
             DynamicUpdate.UpdateResult outcome = changed(zone, i);
             zone = outcome.zone();
-            store.put(0, new byte[0], outcome.difference(), well -> {});
+            store.append(0, new byte[0], outcome.difference(), well -> {});
             work();
         }
         String name = "example.org..journal.0000000000000000";
@@ -176,21 +176,21 @@
         ZoneStore store = store(folder, 1000);
         store.recover(origin);
         Zone zone = zone();
-        store.first(zone);
+        store.initialize(zone);
         folder.room = 100;
         List<Boolean> heard = new ArrayList<>();
         Zone staged = zone;
         for (int i = 0; i < 3; i++) {
             DynamicUpdate.UpdateResult outcome = changed(staged, i);
             staged = outcome.zone();
-            store.put(0, new byte[0], outcome.difference(), heard::add);
+            store.append(0, new byte[0], outcome.difference(), heard::add);
         }
         work();
         assertEquals(List.of(false, false, false), heard);
         assertEquals(1, trouble.size());
         assertTrue(same(zone, store(folder.after(1000), 1000).recover(origin).zone()));
         folder.room = Long.MAX_VALUE;
-        store.put(0, new byte[0], changed(zone, 9).difference(), heard::add);
+        store.append(0, new byte[0], changed(zone, 9).difference(), heard::add);
         work();
         assertTrue(heard.get(3));
         assertTrue(same(
@@ -209,7 +209,7 @@
             store.recover(origin);
             Zone[] answered = {zone()};
             Zone staged = answered[0];
-            store.first(staged);
+            store.initialize(staged);
             int steps = chance.nextInt(60);
             for (int i = 0; i < steps; i++) {
                 int what = chance.nextInt(3);
@@ -217,9 +217,9 @@
                     DynamicUpdate.UpdateResult outcome = changed(staged, i);
                     staged = outcome.zone();
                     Zone made = staged;
-                    store.put(0, new byte[0], outcome.difference(), well -> {
+                    store.append(0, new byte[0], outcome.difference(), well -> {
                         answered[0] = made;
-                        if (store.snapshotDue()) {
+                        if (store.isSnapshotDue()) {
                             store.snapshot(answered[0], 0);
                         }
                     });
@@ -233,7 +233,7 @@
             assertTrue(same(answered[0], recovered.zone()), "round " + round);
             work();
             assertTrue(
-                    folder.fileNames().size() <= 3 || !store.idle(),
+                    folder.fileNames().size() <= 3 || !store.isIdle(),
                     folder.fileNames().toString());
             assertFalse(folder.fileNames().contains("example.org..snapshot.new"));
         }
--- a/src/test/java/merlinlever/zone/server/DnsServerFixture.java
+++ b/src/test/java/merlinlever/zone/server/DnsServerFixture.java
@@ -75,13 +75,13 @@
                 loop,
                 line -> {},
                 50,
-                RequestProcessor.REPLAY);
+                RequestProcessor.REPLAY_WINDOW_SECONDS);
         ZoneStore.RecoveredZone recovered = store.recover(origin);
-        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY);
+        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS);
         if (recovered == null) {
-            store.first(ZoneFile.read(file, origin));
+            store.initialize(ZoneFile.read(file, origin));
         } else {
-            recovered.marks().forEach(mark -> replays.add(mark.at(), mark.mark()));
+            recovered.replayKeys().forEach(mark -> replays.add(mark.unixSeconds(), mark.key()));
         }
         zone = new ServedZone(
                 recovered == null ? ZoneFile.read(file, origin) : recovered.zone(),
@@ -111,7 +111,7 @@
     void stop() throws Exception {
         loop.execute(() -> {
             front.close();
-            front.end();
+            front.closeSockets();
             loop.stop();
         });
         Thread.sleep(50);
--- a/src/test/java/merlinlever/zone/server/DnsServerTest.java
+++ b/src/test/java/merlinlever/zone/server/DnsServerTest.java
@@ -295,7 +295,7 @@
             byte[] framed = new byte[good.length + 2];
             framed[1] = (byte) good.length;
             System.arraycopy(good, 0, framed, 2, good.length);
-            loop.execute(() -> front.leave(Duration.ofSeconds(2)));
+            loop.execute(() -> front.startDrain(Duration.ofSeconds(2)));
             Thread.sleep(20);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             // Within the grace it is answered, past it turned away; an answer comes either way.
@@ -308,7 +308,7 @@
             loop.execute(front::close);
             assertEquals(-1, in.read());
             CompletableFuture<Boolean> answered = new CompletableFuture<>();
-            loop.execute(() -> answered.complete(front.answered()));
+            loop.execute(() -> answered.complete(front.isDrained()));
             assertTrue(answered.get(1, TimeUnit.SECONDS));
             assertNull(zone.zone().set(DomainNames.absolute("late.example.org."), Type.A));
         }
--- a/src/test/java/merlinlever/zone/state/LookupTest.java
+++ b/src/test/java/merlinlever/zone/state/LookupTest.java
@@ -136,7 +136,7 @@
                 }
                 zones[side] = zone(records);
             }
-            Zone made = Difference.between(zones[0], zones[1]).on(zones[0]);
+            Zone made = Difference.between(zones[0], zones[1]).applyTo(zones[0]);
             assertEquals(2, Difference.between(made, zones[1]).records());
             assertEquals(zones[1].records(), made.records());
             assertEquals(zones[1].names().size(), made.names().size());
--- a/src/test/java/merlinlever/zone/wire/WireTest.java
+++ b/src/test/java/merlinlever/zone/wire/WireTest.java
@@ -37,7 +37,7 @@
                     new byte[] {0, 1, 1, 'x', 0});
         }
         out.edns(1232, 0, null);
-        return out.done();
+        return out.toBytes();
     }
 
     private static Tsig.TsigKey key() throws Exception {
@@ -155,14 +155,14 @@
         }
         Tsig.SignatureChain client = new Tsig.SignatureChain(key(), mac);
         for (byte[] each : messages) {
-            assertTrue(client.holds(DnsMessage.read(each), 1000));
+            assertTrue(client.verifyNext(DnsMessage.read(each), 1000));
         }
-        assertTrue(client.closed());
+        assertTrue(client.isComplete());
         Tsig.SignatureChain skipping = new Tsig.SignatureChain(key(), mac);
-        assertTrue(skipping.holds(DnsMessage.read(messages[0]), 1000));
-        assertFalse(skipping.holds(DnsMessage.read(messages[2]), 1000));
+        assertTrue(skipping.verifyNext(DnsMessage.read(messages[0]), 1000));
+        assertFalse(skipping.verifyNext(DnsMessage.read(messages[2]), 1000));
         Tsig.SignatureChain unsigned = new Tsig.SignatureChain(key(), mac);
-        assertFalse(unsigned.holds(DnsMessage.read(message(1)), 1000));
+        assertFalse(unsigned.verifyNext(DnsMessage.read(message(1)), 1000));
     }
 
     @Test
@@ -175,7 +175,7 @@
         })) {
             written++;
         }
-        byte[] octets = out.done();
+        byte[] octets = out.toBytes();
         assertTrue(octets.length <= 100 && octets.length > 84);
         assertEquals(written, DnsMessage.read(octets).answers().size());
         assertNull(DnsMessage.read(octets).edns());
