--- a/src/main/java/merlinlever/Outcome.java
+++ b/src/main/java/merlinlever/Outcome.java
@@ -1,32 +1,32 @@
 package merlinlever;
 
-/** How a run or a call ended. */
+/** How a run or a downstream call ended. */
 public enum Outcome {
-    /** It worked. */
+    /** It succeeded. */
     OK(false),
-    /** It was carried out and did not work; it may have had its effect. */
+    /** It was carried out and failed; it may have had its effect. */
     ERROR(false),
-    /** The call was turned away unseen. */
-    TURNED_AWAY(true),
-    /** The call was given up; it may have had its effect. */
-    GIVEN_UP(false),
-    /** The call did not get through. */
+    /** The call was rejected without being carried out. */
+    REJECTED(true),
+    /** The call was given up after its timeout; it may have had its effect. */
+    TIMED_OUT(false),
+    /** The call never reached the service. */
     UNREACHABLE(true),
-    /** The call was cut off; it may have had its effect. */
-    CUT_OFF(false),
+    /** The connection was lost during the call; it may have had its effect. */
+    CONNECTION_LOST(false),
     /** The run was stopped. */
     STOPPED(false),
-    /** Nothing was begun, the operation was over already. */
-    NEVER_BEGUN(true);
+    /** The run was never started, as the request had ended already. */
+    NOT_STARTED(true);
 
-    private final boolean provesUnrun;
+    private final boolean provesNoEffect;
 
-    Outcome(boolean provesUnrun) {
-        this.provesUnrun = provesUnrun;
+    Outcome(boolean provesNoEffect) {
+        this.provesNoEffect = provesNoEffect;
     }
 
-    /** Whether this ending proves that nothing has taken effect. */
-    public boolean provesUnrun() {
-        return provesUnrun;
+    /** Whether this outcome proves that the run or call has had no effect. */
+    public boolean provesNoEffect() {
+        return provesNoEffect;
     }
 }
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -128,7 +128,7 @@
 
     private String statusReport() {
         return StatusReport.of(
-                server.processor().controllerMetrics().leaving(),
+                server.processor().controllerMetrics().draining(),
                 true,
                 server.processor().inFlight(),
                 clock.uptime().toMillis(),
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -5,8 +5,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import merlinlever.Outcome;
+import merlinlever.QuotaDemand;
+import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.OverloadController;
-import merlinlever.policy.OverloadController.ControllerMetrics;
 
 /**
  * A backend without its sockets: follows each request from its receipt to its one response, through the agent that runs
@@ -89,7 +90,7 @@
     public Optional<ControllerMetrics> metrics() {
         return driver == null
                 ? Optional.empty()
-                : Optional.of(driver.controller().figures());
+                : Optional.of(driver.controller().metrics());
     }
 
     /** In shadow mode, how often by kind the shadowed settings would have decided otherwise; else empty. */
@@ -127,23 +128,23 @@
         batch.eventAt(now);
     }
 
-    /** See {@link OverloadController#keyed}; set again whenever it changes. */
+    /** See {@link OverloadController#permitNonIdempotentStarts}; set again whenever it changes. */
     public void permitNonIdempotentStarts(Duration from, Duration until) {
         fleetState.permitNonIdempotentStarts(from, until);
     }
 
-    /** See {@link OverloadController#share}. */
+    /** See {@link OverloadController#setQuota}. */
     public void setQuota(
             int priorityClass, long quota, boolean perSecond, Duration leaseEnd, Duration maxCallDuration) {
         fleetState.setQuota(priorityClass, quota, perSecond, leaseEnd, maxCallDuration);
     }
 
-    /** See {@link OverloadController#demand}. */
-    public long[] quotaDemand(Duration now, int priorityClass) {
+    /** See {@link OverloadController#quotaDemand}. */
+    public QuotaDemand quotaDemand(Duration now, int priorityClass) {
         return fleetState.quotaDemand(now, priorityClass);
     }
 
-    /** See {@link OverloadController#guess}. */
+    /** See {@link OverloadController#setWarmStartEstimate}. */
     public void setWarmStartEstimate(double capacity, double completions) {
         fleetState.setWarmStartEstimate(capacity, completions);
     }
@@ -199,7 +200,7 @@
         }
         batch.eventAt(now);
         components.runQueue().apply(metrics);
-        driver.controller().look(now, metrics);
+        driver.controller().updateGauges(now, metrics);
     }
 
     /** The deep check in flight has ended. */
@@ -215,7 +216,7 @@
         draining = true;
         if (driver != null) {
             batch.eventAt(now);
-            driver.controller().leave(now, stopAt);
+            driver.controller().startDrain(now, stopAt);
         }
     }
 
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -7,13 +7,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 import merlinlever.core.ControllerDriver;
 import merlinlever.core.DecisionHandler;
-import merlinlever.policy.OverloadController;
+import merlinlever.policy.ControllerMetrics;
 import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.record.MalformedDnsException;
 import merlinlever.zone.record.RecordTypes;
@@ -140,8 +143,8 @@
     }
 
     /** What the module sees. */
-    public OverloadController.ControllerMetrics controllerMetrics() {
-        return conductor.controller().figures();
+    public ControllerMetrics controllerMetrics() {
+        return conductor.controller().metrics();
     }
 
     // ---- what happens
@@ -285,16 +288,13 @@
         pending.original = original;
         RequestHandle taken = conductor
                 .controller()
-                .take(
+                .submit(
                         now,
-                        pending.kind.ordinal(),
-                        waited,
-                        null,
-                        1 + pending.message.octets().length / 1024.0,
-                        null,
-                        false,
-                        false,
-                        original == null ? null : original.handle);
+                        RequestAttributes.ofClass(pending.kind.ordinal())
+                                .readDelay(waited)
+                                .memoryKb(1 + pending.message.octets().length / 1024.0)
+                                .original(Optional.ofNullable(original).map(earlier -> earlier.handle))
+                                .build());
         pending.handle = conductor.register(taken, pending);
         return pending;
     }
@@ -315,7 +315,7 @@
         if (pending.isStarted && !pending.isCalling && pending.code == PendingMessage.NO_CODE) {
             pending.code = DynamicUpdate.SERVFAIL;
             isDirty = true;
-            pending.handle.ended(now, Outcome.ERROR);
+            pending.handle.runEnded(now, Outcome.ERROR);
             pending.duplicates.forEach(this::failDuplicate);
             pending.duplicates = List.of();
         }
@@ -326,14 +326,14 @@
         isDirty = true;
         conductor.wakeUpFired();
         // All that runs, runs to its end or to its call within a batch: nothing waits for a core between them.
-        conductor.controller().look(at, new double[] {0});
+        conductor.controller().updateGauges(at, new double[] {0});
     }
 
     /** The notice to leave. */
     public void startDrain(Duration at, Duration stop) {
         now = at;
         isDirty = true;
-        conductor.controller().leave(at, stop);
+        conductor.controller().startDrain(at, stop);
     }
 
     /** After each batch: settles as often as something has happened since. */
@@ -373,7 +373,7 @@
         metrics.served(pending.kind);
         answer(pending, code);
         releaseMessage(pending);
-        pending.handle.ended(now, Outcome.OK);
+        pending.handle.runEnded(now, Outcome.OK);
         pending.duplicates.forEach(sharer -> complete(sharer, code));
         pending.duplicates = List.of();
     }
@@ -401,9 +401,9 @@
             }
             pending.code = DynamicUpdate.NOERROR;
             releaseMessage(pending);
-            pending.handle.ended(now, Outcome.OK);
+            pending.handle.runEnded(now, Outcome.OK);
         } else {
-            pending.handle.reachedCall(now);
+            pending.handle.callNeeded(now);
         }
     }
 
@@ -423,8 +423,8 @@
             if (code == SERVFAIL_FROM_DISK) {
                 // Taken back from the journal: it has not run, and was not asked to again.
                 pending.code = DynamicUpdate.SERVFAIL;
-                pending.handle.callEnded(now, Outcome.TURNED_AWAY, now.minus(calledAt));
-                pending.handle.ended(now, Outcome.ERROR);
+                pending.handle.callEnded(now, Outcome.REJECTED, now.minus(calledAt));
+                pending.handle.runEnded(now, Outcome.ERROR);
                 forgetIfNotStarted(pending);
                 pending.duplicates.forEach(sharer -> failDuplicate(sharer));
                 pending.duplicates = List.of();
@@ -438,7 +438,7 @@
     private void failDuplicate(PendingMessage sharer) {
         answer(sharer, DynamicUpdate.SERVFAIL);
         sharer.code = DynamicUpdate.SERVFAIL;
-        sharer.handle.ended(now, Outcome.ERROR);
+        sharer.handle.runEnded(now, Outcome.ERROR);
     }
 
     private void transfer(PendingMessage pending, Duration calledAt) {
@@ -446,7 +446,7 @@
             pending.isCalling = false;
             isDirty = true;
             pending.handle.callEnded(now, Outcome.OK, Duration.ZERO);
-            pending.handle.ended(now, Outcome.OK);
+            pending.handle.runEnded(now, Outcome.OK);
             return;
         }
         DnsMessage message = pending.message;
@@ -480,7 +480,7 @@
             pending.handle.callEnded(now, Outcome.OK, now.minus(calledAt));
             pending.code = DynamicUpdate.NOERROR;
             releaseMessage(pending);
-            pending.handle.ended(now, Outcome.OK);
+            pending.handle.runEnded(now, Outcome.OK);
         });
     }
 
@@ -581,8 +581,8 @@
     }
 
     @Override
-    public void log(String line) {
-        log.accept(line);
+    public void log(ControllerEvent event) {
+        log.accept(event.logLine());
     }
 
     @Override
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/core/BackendTest.java
@@ -65,7 +65,7 @@
     void callMayEndWhileItIsMade() {
         BackendFixture fixture = new BackendFixture();
         List<String> calls = new ArrayList<>();
-        for (Outcome outcome : List.of(Outcome.OK, Outcome.UNREACHABLE, Outcome.TURNED_AWAY)) {
+        for (Outcome outcome : List.of(Outcome.OK, Outcome.UNREACHABLE, Outcome.REJECTED)) {
             fixture.downstream = new DownstreamService() {
                 @Override
                 public void call(TrackedRequest request, byte[] body, Duration timeout) {
--- a/src/test/java/merlinlever/core/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/core/CompletionRaceTest.java
@@ -180,7 +180,7 @@
         fixture.backend.agentEventsCaughtUp(fixture.now());
         assertEquals(List.of("launch", "launch"), fixture.commands(id));
         fixture.endRun(id, Outcome.OK, "done");
-        fixture.endRun(id, Outcome.NEVER_BEGUN, "");
+        fixture.endRun(id, Outcome.NOT_STARTED, "");
         fixture.decide();
         assertEquals(SUCCEEDED, fixture.responses(id));
         String retry = fixture.receive("buy", "t", "a");
@@ -199,7 +199,7 @@
         fixture.decide();
         String duplicate = fixture.receive("buy", "t", "a");
         fixture.decide();
-        fixture.endRun(id, Outcome.NEVER_BEGUN, "");
+        fixture.endRun(id, Outcome.NOT_STARTED, "");
         fixture.decide();
         String retry = fixture.receive("buy", "t", "a");
         fixture.decide();
--- a/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
@@ -278,7 +278,7 @@
         assertEquals(0, fixture.backend.trackedRequests());
         fixture.receiveAs(new RequestId(Long.parseLong(first, 16), first), "look", null, null, "b", fixture.now());
         fixture.decide();
-        fixture.endRun(first, Outcome.NEVER_BEGUN, "");
+        fixture.endRun(first, Outcome.NOT_STARTED, "");
         fixture.decide();
         assertEquals(FAILED, fixture.responses(first));
         fixture.endRun(first, Outcome.OK, "late");
@@ -315,7 +315,7 @@
         fixture.decide();
         fixture.requestCall(one);
         fixture.decide();
-        fixture.endCall(one, Outcome.CUT_OFF);
+        fixture.endCall(one, Outcome.CONNECTION_LOST);
         fixture.decide();
         assertEquals(
                 List.of("launch", "call"),
