--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -106,7 +106,8 @@
             throw new InvalidConfigFileException(
                     "cannot listen on " + config.text("listen", "") + ": " + e.getMessage(), e);
         }
-        secondaries.forEach((zone, addresses) -> zone.addListener(changed -> notifySender.notifyOfChange(changed, addresses)));
+        secondaries.forEach(
+                (zone, addresses) -> zone.addListener(changed -> notifySender.notifyOfChange(changed, addresses)));
         loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
     }
 
--- a/src/main/java/merlinlever/measure/DnsMeasurement.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -307,13 +307,20 @@
             folder = new FileStateDirectory(Files.createTempDirectory(scratch, "state"));
             byte[] origin = name("example.org.");
             store = new ZoneStore(
-                    folder, origin, disk, snapshots, loop, System.err::println, 1_000_000, RequestProcessor.REPLAY_WINDOW_SECONDS);
+                    folder,
+                    origin,
+                    disk,
+                    snapshots,
+                    loop,
+                    System.err::println,
+                    1_000_000,
+                    RequestProcessor.REPLAY_WINDOW_SECONDS);
             store.limitUpdatesPerWrite(mostAWrite);
             store.recover(origin);
             Zone zone = ZoneFile.read(file, origin);
             store.initialize(zone);
-            ServedZone served =
-                    new ServedZone(zone, Set.of("k."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
+            ServedZone served = new ServedZone(
+                    zone, Set.of("k."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
             Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
             front = new DnsServer(
                     loop,
--- a/src/main/java/merlinlever/zone/client/FollowerDriver.java
+++ b/src/main/java/merlinlever/zone/client/FollowerDriver.java
@@ -129,7 +129,8 @@
             MessageWriter out = new MessageWriter(0, 0, DnsMessage.PLAIN_DATAGRAM);
             out.question(at, type, RecordTypes.IN);
             out.edns(1232, 0, null);
-            asker.exchange(servers.get(read.server()), out.toBytes(), key, patience, answered -> heard(answered, at, type));
+            asker.exchange(
+                    servers.get(read.server()), out.toBytes(), key, patience, answered -> heard(answered, at, type));
         }
 
         private void heard(ExchangeResult answered, byte[] at, int type) {
--- a/src/main/java/merlinlever/zone/journal/JournalFormat.java
+++ b/src/main/java/merlinlever/zone/journal/JournalFormat.java
@@ -82,7 +82,8 @@
     }
 
     static ByteBuffer entry(JournalEntry step) {
-        int length = 8 + 8 + 8 + 1 + step.replayKey.length + size(step.difference.removed()) + size(step.difference.added());
+        int length =
+                8 + 8 + 8 + 1 + step.replayKey.length + size(step.difference.removed()) + size(step.difference.added());
         ByteBuffer out =
                 ByteBuffer.allocate(FRONT + length).putInt(ENTRY).putInt(length).putInt(0);
         out.putLong(step.sequence)
--- a/src/main/java/merlinlever/zone/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/zone/journal/ZoneStore.java
@@ -24,7 +24,8 @@
     public record TimedReplayKey(long unixSeconds, byte[] key) {}
 
     /** What lay on the disk. */
-    public record RecoveredZone(Zone zone, List<Difference> differences, List<TimedReplayKey> replayKeys, String warnings) {}
+    public record RecoveredZone(
+            Zone zone, List<Difference> differences, List<TimedReplayKey> replayKeys, String warnings) {}
 
     /** State that cannot be used; the message is one line for the operator. */
     public static final class UnusableStateException extends Exception {
@@ -308,7 +309,11 @@
 
     /** Whether so many updates have come since the last snapshot that the next one is due. */
     public boolean isSnapshotDue() {
-        return updatesSinceSnapshot >= snapshotAfter && unheard == 0 && !snapshotting && !writing && pendingUpdates.isEmpty();
+        return updatesSinceSnapshot >= snapshotAfter
+                && unheard == 0
+                && !snapshotting
+                && !writing
+                && pendingUpdates.isEmpty();
     }
 
     /** Writes the zone as all that was heard of made it; the journal goes on in a new file meanwhile. Call when due. */
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -175,7 +175,9 @@
 
     /** Ends it where it was silent, or slow, for too long. */
     void closeIfTimedOut(Duration now) {
-        if ((incompleteSince != null && inFlight.size() < MAX_IN_FLIGHT && hasElapsed(incompleteSince, now, MESSAGE_TIMEOUT))
+        if ((incompleteSince != null
+                        && inFlight.size() < MAX_IN_FLIGHT
+                        && hasElapsed(incompleteSince, now, MESSAGE_TIMEOUT))
                 || (unwrittenSince != null && hasElapsed(unwrittenSince, now, MESSAGE_TIMEOUT))) {
             connection.end(CloseReason.SLOW);
         } else if (inFlight.isEmpty() && unwrittenSince == null && hasElapsed(idleSince, now, IDLE_TIMEOUT)) {
--- a/src/main/java/merlinlever/zone/server/DnsServer.java
+++ b/src/main/java/merlinlever/zone/server/DnsServer.java
@@ -85,7 +85,8 @@
             alarm.callOff();
         }
         alarm = loop.in(
-                at.minus(loop.clock().now()), () -> processor.wakeUp(loop.clock().now()));
+                at.minus(loop.clock().now()),
+                () -> processor.wakeUp(loop.clock().now()));
     }
 
     private void receive(byte[] octets, InetSocketAddress from, Duration waited) {
@@ -114,7 +115,8 @@
     private void accepted(AsynchronousSocketChannel channel) {
         DnsConnection stream = new DnsConnection(loop, processor, this::connectionClosed);
         streams.add(stream);
-        stream.attach(Connection.accepted(loop, channel, stream, DnsConnection.READ_BUFFER, DnsConnection.MAX_QUEUED_BYTES));
+        stream.attach(
+                Connection.accepted(loop, channel, stream, DnsConnection.READ_BUFFER, DnsConnection.MAX_QUEUED_BYTES));
     }
 
     private void connectionClosed(DnsConnection stream) {
--- a/src/main/java/merlinlever/zone/server/NotifySender.java
+++ b/src/main/java/merlinlever/zone/server/NotifySender.java
@@ -92,7 +92,10 @@
             return;
         }
         pending.forEach((whom, one) -> {
-            if (whom.server.equals(from) && one.id == DnsMessage.id(octets) && one.retry != null && !one.hasNewerVersion) {
+            if (whom.server.equals(from)
+                    && one.id == DnsMessage.id(octets)
+                    && one.retry != null
+                    && !one.hasNewerVersion) {
                 one.retry.callOff();
                 one.retry = null;
             }
--- a/src/main/java/merlinlever/zone/server/PendingMessage.java
+++ b/src/main/java/merlinlever/zone/server/PendingMessage.java
@@ -50,7 +50,11 @@
     List<PendingMessage> duplicates = List.of();
 
     PendingMessage(
-            MessageKind kind, ServedZone zone, DnsMessage message, Tsig.Verification verification, ReplyChannel replyChannel) {
+            MessageKind kind,
+            ServedZone zone,
+            DnsMessage message,
+            Tsig.Verification verification,
+            ReplyChannel replyChannel) {
         this.kind = kind;
         this.zone = zone;
         this.message = message;
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/zone/server/RequestProcessor.java
@@ -114,7 +114,14 @@
         given.put("limits.stay-away", "true");
         given.put("limits.longest-stay-away", "2000");
         addPriorityClass(given, PendingMessage.MessageKind.QUERY, "retriable", 1, 500, 2_000, 0);
-        addPriorityClass(given, PendingMessage.MessageKind.UPDATE, "fingerprinted", 8, 2_000, 5_000, REPLAY_WINDOW_SECONDS * 1000);
+        addPriorityClass(
+                given,
+                PendingMessage.MessageKind.UPDATE,
+                "fingerprinted",
+                8,
+                2_000,
+                5_000,
+                REPLAY_WINDOW_SECONDS * 1000);
         addPriorityClass(given, PendingMessage.MessageKind.TRANSFER, "retriable", 2, 5_000, 60_000, 0);
         return given;
     }
@@ -185,13 +192,15 @@
         };
     }
 
-    private PendingMessage answerWithCode(ReplyChannel replyChannel, DnsMessage message, Tsig.Verification verification, int code) {
+    private PendingMessage answerWithCode(
+            ReplyChannel replyChannel, DnsMessage message, Tsig.Verification verification, int code) {
         metrics.answeredWithCode(code);
         replyChannel.answer(responses.withCode(message, verification, code));
         return null;
     }
 
-    private PendingMessage query(DnsMessage message, Tsig.Verification verification, Duration waited, ReplyChannel replyChannel) {
+    private PendingMessage query(
+            DnsMessage message, Tsig.Verification verification, Duration waited, ReplyChannel replyChannel) {
         if (!message.hasQuestion() || (message.flags() & DnsMessage.TRUNCATED) != 0) {
             return answerWithCode(replyChannel, message, verification, DynamicUpdate.FORMERR);
         }
@@ -222,10 +231,14 @@
         if (message.type() != RecordTypes.ANY && RecordTypes.isMeta(message.type())) {
             return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTIMP);
         }
-        PendingMessage pending = new PendingMessage(PendingMessage.MessageKind.QUERY, zone, message, verification, replyChannel);
+        PendingMessage pending =
+                new PendingMessage(PendingMessage.MessageKind.QUERY, zone, message, verification, replyChannel);
         if (!queriesDecided) {
             replyChannel.answer(responses.answer(
-                    message, verification, Lookup.find(zone.zone(), message.name(), message.type()), replyChannel.isDatagram()));
+                    message,
+                    verification,
+                    Lookup.find(zone.zone(), message.name(), message.type()),
+                    replyChannel.isDatagram()));
             metrics.served(PendingMessage.MessageKind.QUERY);
             return null;
         }
@@ -242,7 +255,8 @@
         }
     }
 
-    private PendingMessage update(DnsMessage message, Tsig.Verification verification, Duration waited, ReplyChannel replyChannel) {
+    private PendingMessage update(
+            DnsMessage message, Tsig.Verification verification, Duration waited, ReplyChannel replyChannel) {
         if (!message.hasQuestion() || message.type() != RecordTypes.SOA) {
             return answerWithCode(replyChannel, message, verification, DynamicUpdate.FORMERR);
         }
@@ -260,7 +274,8 @@
             // Done in an earlier life of this server; its answer may have been lost with that.
             return answerWithCode(replyChannel, message, verification, DynamicUpdate.NOERROR);
         }
-        PendingMessage pending = new PendingMessage(PendingMessage.MessageKind.UPDATE, zone, message, verification, replyChannel);
+        PendingMessage pending =
+                new PendingMessage(PendingMessage.MessageKind.UPDATE, zone, message, verification, replyChannel);
         pending.replayKey = key;
         pending.replayKeyBytes = mark;
         if (original == null) {
--- a/src/main/java/merlinlever/zone/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/zone/server/ResponseBuilder.java
@@ -39,7 +39,10 @@
 
     /** A code without records. */
     byte[] withCode(DnsMessage request, Tsig.Verification verification, int code) {
-        return signed(request, verification, head(request, code, maxLength(verification), code, null).toBytes());
+        return signed(
+                request,
+                verification,
+                head(request, code, maxLength(verification), code, null).toBytes());
     }
 
     /** Turned away unseen; the advice to stay away goes along where there is a place for it. */
@@ -62,15 +65,20 @@
     }
 
     byte[] unknownEdns(DnsMessage request, Tsig.Verification verification) {
-        return signed(request, verification, head(request, 0, maxLength(verification), BADVERS, null).toBytes());
+        return signed(
+                request,
+                verification,
+                head(request, 0, maxLength(verification), BADVERS, null).toBytes());
     }
 
     private static int maxLength(Tsig.Verification verification) {
-        return DnsMessage.MOST - (verification == null || verification.key() == null ? 0 : Tsig.room(verification.key()));
+        return DnsMessage.MOST
+                - (verification == null || verification.key() == null ? 0 : Tsig.room(verification.key()));
     }
 
     private static MessageWriter head(DnsMessage request, int code, int most, int extended, byte[] options) {
-        MessageWriter out = new MessageWriter(request.id(), DnsMessage.RESPONSE | (request.flags() & 0x7900) | code, most);
+        MessageWriter out =
+                new MessageWriter(request.id(), DnsMessage.RESPONSE | (request.flags() & 0x7900) | code, most);
         if (request.hasQuestion()) {
             out.question(request.name(), request.type(), request.dclass());
         }
@@ -87,7 +95,8 @@
         return switch (verification.error()) {
             case 0 -> Tsig.sign(made, verification.key(), unix.getAsLong(), verification.mac())
                     .octets();
-            case Tsig.BADTIME -> Tsig.signBadTime(made, verification.key(), verification.time(), unix.getAsLong(), verification.mac())
+            case Tsig.BADTIME -> Tsig.signBadTime(
+                            made, verification.key(), verification.time(), unix.getAsLong(), verification.mac())
                     .octets();
             default -> Tsig.unsignedError(made, request.signature(), verification.error());
         };
--- a/src/main/java/merlinlever/zone/server/ZoneServerMetrics.java
+++ b/src/main/java/merlinlever/zone/server/ZoneServerMetrics.java
@@ -27,7 +27,8 @@
             failed[kind.ordinal()] = registry.counter("zone.operations", "kind", name, "end", "broken-off");
         }
         for (int code = 0; code < CODES; code++) {
-            answeredByCode[code] = registry.counter("zone.answered.at.the.door", "code", org.xbill.DNS.Rcode.string(code));
+            answeredByCode[code] =
+                    registry.counter("zone.answered.at.the.door", "code", org.xbill.DNS.Rcode.string(code));
         }
         malformed = registry.counter("zone.malformed");
         dropped = registry.counter("zone.dropped");
--- a/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
@@ -73,12 +73,17 @@
         next = new Tsig.TsigKey(name("n."), "hmac-sha384", SECRET);
         byte[] origin = name("example.org.");
         state = new FileStateDirectory(folder.resolve("state"));
-        store = new ZoneStore(state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY_WINDOW_SECONDS);
+        store = new ZoneStore(
+                state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY_WINDOW_SECONDS);
         store.recover(origin);
         Zone zone = read(HEAD + "a A 1.1.1.1\nb A 1.1.1.2\nc TXT c\n");
         store.initialize(zone);
         served = new ServedZone(
-                zone, Set.of("k.", "n."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
+                zone,
+                Set.of("k.", "n."),
+                Set.of("k."),
+                store,
+                new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
         front = new DnsServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
--- a/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
@@ -110,7 +110,10 @@
             InMemoryStateDirectory left = folder.after(0);
             left.put("example.org..journal.0000000000000000", java.util.Arrays.copyOf(journal, length));
             ZoneStore.RecoveredZone recovered = store(left, 1000).recover(origin);
-            assertTrue(recovered.differences().size() >= 4 && recovered.differences().size() <= 6, "at " + length);
+            assertTrue(
+                    recovered.differences().size() >= 4
+                            && recovered.differences().size() <= 6,
+                    "at " + length);
             assertTrue(recovered.differences().size() > 4 || same(last, recovered.zone()));
             assertEquals(recovered.differences().size(), recovered.replayKeys().size());
         }
