--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
