--- a/src/test/java/merlinlever/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/AdmissionMechanismTest.java
@@ -146,7 +146,7 @@
             fixture.decideAfter(100);
         }
         assertTrue(
-                fixture.idleConnectionTimeout.compareTo(Duration.ofMillis(25000)) > 0,
+                fixture.idleConnectionTimeout.compareTo(Duration.ofSeconds(25)) > 0,
                 "busy cores: all of it, " + fixture.idleConnectionTimeout);
         ControllerFixture fewCallers =
                 new ControllerFixture().with("server.idle", 30000).with("server.callers", 100);
--- a/src/test/java/merlinlever/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/SafetyRulesTest.java
@@ -224,7 +224,7 @@
                 stalled.events().get(0).logLine());
         assertEquals(Optional.of(false), stalled.health());
         assertTrue(fixture.wasRejected(waiting));
-        assertEquals(Duration.ofMillis(1000), stalled.rejected().get(0).retryAfter());
+        assertEquals(Duration.ofSeconds(1), stalled.rejected().get(0).retryAfter());
     }
 
     @Example
