--- a/src/main/java/merlinlever/RequestAttributes.java
+++ b/src/main/java/merlinlever/RequestAttributes.java
@@ -87,6 +87,7 @@
             return this;
         }
 
+        /** The attributes as set. */
         public RequestAttributes build() {
             return new RequestAttributes(
                     priorityClass, readDelay, deadline, memoryKb, costHint, retry, shareable, original);
--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -7,11 +7,11 @@
 
 /**
  * Decides which arrivals are queued and which rejected: by the safety rules, by whether the objective can be
- * met, then by random early detection (Floyd and Jacobson 1993) weighted by priority class (docs/design.md).
+ * met, then by random early detection weighted by priority class, after Nozoe et al. (docs/design.md).
  */
 final class AdmissionControl {
-    // Random early detection: weight of the latest occupancy in the average, thresholds of the average above
-    // which some and all are rejected, and the base probability at the upper one.
+    // The paper's w_q, min_th, max_th and max_p: weight of the latest occupancy in the average, thresholds of
+    // the average above which some and all are rejected, and the base probability at the upper one.
     private static final double QUEUE_WEIGHT = 0.8;
     private static final double MIN_THRESHOLD = 0.3;
     private static final double MAX_THRESHOLD = 0.8;
--- a/src/main/java/merlinlever/policy/ControllerMetrics.java
+++ b/src/main/java/merlinlever/policy/ControllerMetrics.java
@@ -23,6 +23,8 @@
         double speedFraction) {
 
     /**
+     * How many requests there are in some phases, and how many ended without an answer of use.
+     *
      * @param queued in the admission queue now
      * @param onCores running now
      * @param inCalls waiting for a downstream call now, made or not
