--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -68,6 +68,7 @@
         return indexes;
     }
 
+    /** The controller, for events that need no handle. */
     public OverloadController controller() {
         return controller;
     }
--- a/src/main/java/merlinlever/core/TrackedRequest.java
+++ b/src/main/java/merlinlever/core/TrackedRequest.java
@@ -84,6 +84,7 @@
         this.responseSink = responseSink;
     }
 
+    /** The id as a number. */
     public long id() {
         return id;
     }
@@ -98,6 +99,7 @@
         return duplicateKey != null ? duplicateKey.text() : idText;
     }
 
+    /** The name of the priority class, as the agent knows it. */
     public String priorityClassName() {
         return priorityClassName;
     }
--- a/src/main/java/merlinlever/json/Json.java
+++ b/src/main/java/merlinlever/json/Json.java
@@ -16,6 +16,7 @@
     public static final class MalformedJsonException extends Exception {
         private static final long serialVersionUID = 1;
 
+        /** With what is wrong and where. */
         public MalformedJsonException(String message) {
             super(message);
         }
--- a/src/main/java/merlinlever/log/Log.java
+++ b/src/main/java/merlinlever/log/Log.java
@@ -23,6 +23,7 @@
     private int writtenThisSecond;
     private int dropped;
 
+    /** Writes to the stream, which is flushed after each line, with the given time. */
     public Log(PrintStream out, Supplier<Instant> time) {
         this.out = out;
         this.time = time;
--- a/src/main/java/merlinlever/wire/WireHost.java
+++ b/src/main/java/merlinlever/wire/WireHost.java
@@ -22,6 +22,7 @@
     private final Map<String, ControllerInstance> instancesByName = new HashMap<>();
     private long linesRead;
 
+    /** Reads batches from the input, answers them on the output and reports why it ends on the errors. */
     public WireHost(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), INPUT_BUFFER_CHARS);
         this.out = out;
--- a/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
@@ -57,7 +57,7 @@
         await(() -> edge.count() == 0, "some are left");
         awaitAsked(2);
         assertEquals(
-                List.of("launch", "freeze"),
+                List.of("launch", "stop"),
                 asked.stream().map(word -> word.split(" ")[0]).toList());
         // The run ends after its caller has gone: nobody is answered.
         ends(asked.get(0), new byte[] {'7'});
@@ -82,7 +82,7 @@
         ends(asked.get(1), new byte[] {'7'});
         String answer = answer(other);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n7"), answer);
-        assertEquals(List.of("exercise"), asked.subList(0, 1));
+        assertEquals(List.of("deep-check"), asked.subList(0, 1));
     }
 
     /** Thousands of requests at once on a connection: each has its answer, in order, and another client is not held up. */
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -21,9 +21,7 @@
 import java.util.function.BooleanSupplier;
 import merlinlever.Outcome;
 import merlinlever.core.Backend;
-import merlinlever.core.BackendDependencies;
-import merlinlever.core.DownstreamService;
-import merlinlever.core.TrackedRequest;
+import merlinlever.core.RecordingDependencies;
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
 import net.jqwik.api.lifecycle.AfterTry;
@@ -32,7 +30,7 @@
  * The side of the edge nodes on loopback sockets, with a backend whose other parties are played here. The loop runs on a
  * thread of its own; its clock stands still but where a test moves it, and it can be held while peers write.
  */
-abstract class EdgeServerFixture implements BackendDependencies, DownstreamService {
+abstract class EdgeServerFixture extends RecordingDependencies {
 
     static final int PATIENCE_MS = 20_000;
     static final InetAddress HERE = InetAddress.getLoopbackAddress();
@@ -40,7 +38,7 @@
     final AtomicLong nanos = new AtomicLong(1_000_000_000L);
     final List<Throwable> failures = new CopyOnWriteArrayList<>();
     /** What the agent was asked, as words. */
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    final List<String> asked = commands;
 
     private final List<Socket> sockets = new ArrayList<>();
     final EventLoop loop = new EventLoop(
@@ -65,6 +63,7 @@
     private long ids = 0x9b1f03aa5c7e2d41L;
 
     EdgeServerFixture() throws IOException {
+        super(new CopyOnWriteArrayList<>());
         loop.after(() -> {
             backend.decide(loop.clock().now());
             batches++;
@@ -206,52 +205,6 @@
         settle();
     }
 
-    @Override
-    public void launch(TrackedRequest work) {
-        asked.add("launch " + work.idText());
-    }
-
-    @Override
-    public void stop(TrackedRequest work) {
-        asked.add("freeze " + work.idText());
-    }
-
-    @Override
-    public void deliverReply(TrackedRequest work, byte[] reply) {
-        asked.add("deliver " + work.idText());
-    }
-
-    @Override
-    public void continueWithoutCall(TrackedRequest work) {
-        asked.add("forgo " + work.idText());
-    }
-
-    @Override
-    public boolean pollMetrics() {
-        return true;
-    }
-
-    @Override
-    public void startDeepCheck() {
-        asked.add("exercise");
-    }
-
-    @Override
-    public DownstreamService downstream() {
-        return this;
-    }
-
-    @Override
-    public void call(TrackedRequest work, byte[] body, Duration within) {
-        asked.add("call " + work.idText());
-    }
-
-    @Override
-    public void cancel(TrackedRequest work) {}
-
-    @Override
-    public void closeIdleConnections(Duration after) {}
-
     private EventLoop.Timer alarm;
 
     @Override
@@ -262,7 +215,4 @@
         alarm = loop.in(
                 at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
-
-    @Override
-    public void log(String line) {}
 }
--- /dev/null
+++ b/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
@@ -0,0 +1,166 @@
+package merlinlever.routes.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import merlinlever.Outcome;
+import merlinlever.core.TestRequests;
+import merlinlever.faults.FixedFleetView;
+import merlinlever.faults.audit.QuotaAudit;
+import merlinlever.faults.standins.SimulatedRecordsService;
+import merlinlever.log.Log;
+import merlinlever.net.EventLoop;
+import merlinlever.net.MonotonicClock;
+import merlinlever.routes.FlapDamping;
+import merlinlever.routes.LocalServiceHealth;
+import merlinlever.routes.Relation;
+import merlinlever.routes.Restrictions;
+import merlinlever.routes.Route;
+import merlinlever.routes.RouteSelector;
+import merlinlever.routes.RouteTable;
+import merlinlever.routes.RouteTableWriter;
+import merlinlever.routes.RoutingPolicy;
+import merlinlever.routes.RoutingTable;
+import merlinlever.view.FleetView;
+import merlinlever.view.QuorumStatus;
+import net.jqwik.api.Example;
+
+/** Calls of one backend over real sockets of one process, while its local service is lost in the middle of them. */
+class DownstreamFailoverTest {
+
+    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final String SERVICE = "records";
+    private static final String PRIORITY_CLASS = "t";
+    private static final int CALLS = 200;
+    private static final Duration CALL_INTERVAL = Duration.ofMillis(5);
+    private static final Duration LOSS_OF_LOCAL_SERVICE = Duration.ofMillis(500);
+    private static final Duration TEST_TIMEOUT = Duration.ofSeconds(20);
+    private static final long PARTNER_CAPACITY = 1000;
+
+    private final MonotonicClock clock = MonotonicClock.system();
+    private final EventLoop loop = new EventLoop(clock, failure -> {});
+    private final Map<Long, Outcome> outcomesById = new TreeMap<>();
+    private final List<Long> partnerCapacities = new ArrayList<>();
+    private final QuotaAudit localAudit = new QuotaAudit(100_000, true);
+    private final QuotaAudit eastAudit = new QuotaAudit(100_000, true);
+    private final QuotaAudit westAudit = new QuotaAudit(100_000, true);
+
+    /** The calls that a service received. */
+    private static long received(QuotaAudit audit) {
+        return audit.counts()[1];
+    }
+
+    private SimulatedRecordsService startService(QuotaAudit audit) throws Exception {
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        return new SimulatedRecordsService(loop, anyPort, Duration.ofMillis(20), audit);
+    }
+
+    private RoutingTable routes(Map<String, SimulatedRecordsService> partners) {
+        RoutingTable routes = new RoutingTable(
+                new RoutingPolicy("me"),
+                partners.keySet().stream()
+                        .map(site -> new RoutingTable.PartnerSettings(site, Relation.PEER))
+                        .toList(),
+                0.01,
+                FlapDamping.FlapDampingSettings.PUBLISHED,
+                FULL_QUORUM,
+                line -> {});
+        partners.forEach((site, service) -> {
+            Route route = new Route(
+                    PRIORITY_CLASS,
+                    SERVICE,
+                    "127.0.0.1:" + service.address().getPort(),
+                    PARTNER_CAPACITY,
+                    1,
+                    false,
+                    List.of(site),
+                    null,
+                    Restrictions.NONE);
+            RouteTable table = RouteTable.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
+            routes.offer(clock.uptime(), table);
+            routes.stoodBy(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
+        });
+        return routes;
+    }
+
+    private RoutedDownstreamService downstream(
+            RouteSelector.RetrySafety retrySafety, SimulatedRecordsService local, RoutingTable routes)
+            throws Exception {
+        return new RoutedDownstreamService(
+                loop,
+                local.address(),
+                (now, id, outcome, reply) -> {
+                    assertTrue(outcomesById.put(id, outcome) == null, "ended twice: " + id);
+                    if (outcomesById.size() == CALLS) {
+                        loop.stop();
+                    }
+                },
+                new Log(System.out, Instant::now),
+                100,
+                routes,
+                new RouteSelector(routes, 1),
+                new LocalServiceHealth(new LocalServiceHealth.HealthSettings(
+                        3, Duration.ofMillis(500), 32, Duration.ofMillis(100), 3)),
+                List.of(new RouteSelector.RoutingClass(PRIORITY_CLASS, retrySafety, true)),
+                SERVICE,
+                partnerCapacities::add);
+    }
+
+    private void makeCalls(RouteSelector.RetrySafety retrySafety) throws Exception {
+        SimulatedRecordsService local = startService(localAudit);
+        Map<String, SimulatedRecordsService> partners = new LinkedHashMap<>();
+        partners.put("east", startService(eastAudit));
+        partners.put("west", startService(westAudit));
+        RoutedDownstreamService downstream = downstream(retrySafety, local, routes(partners));
+        byte[] body = "body".getBytes(StandardCharsets.US_ASCII);
+        for (long i = 0; i < CALLS; i++) {
+            long id = i;
+            loop.in(
+                    CALL_INTERVAL.multipliedBy(i),
+                    () -> downstream.call(TestRequests.tracked(id, PRIORITY_CLASS), body, Duration.ofSeconds(5)));
+        }
+        loop.in(LOSS_OF_LOCAL_SERVICE, local::lose);
+        loop.in(TEST_TIMEOUT, loop::stop);
+        loop.run();
+        assertEquals(downstream.ways(), received(eastAudit) + received(westAudit));
+    }
+
+    private long count(Outcome outcome) {
+        return outcomesById.values().stream().filter(outcome::equals).count();
+    }
+
+    @Example
+    void idempotentCallsAreForwardedToPartnersWhenTheLocalServiceIsLost() throws Exception {
+        makeCalls(RouteSelector.RetrySafety.RETRIABLE);
+        assertEquals(CALLS, outcomesById.size());
+        long succeeded = count(Outcome.OK);
+        long connectionLost = count(Outcome.CUT_OFF);
+        assertTrue(
+                succeeded >= 170 && succeeded + connectionLost == CALLS,
+                "succeeded: " + succeeded + ", connection lost: " + connectionLost);
+        long east = received(eastAudit);
+        long west = received(westAudit);
+        assertTrue(east > 20 && west > 20, "east " + east + ", west " + west);
+        // A call that the local service may have seen is not forwarded here: that is for the controller to decide.
+        long local = received(localAudit);
+        assertTrue(local + east + west <= CALLS && local > 50, "local " + local);
+        assertEquals(List.of(2 * PARTNER_CAPACITY), partnerCapacities);
+    }
+
+    @Example
+    void nonIdempotentCallsAreNotForwarded() throws Exception {
+        makeCalls(RouteSelector.RetrySafety.BINDING);
+        assertEquals(0, received(eastAudit) + received(westAudit));
+        assertTrue(count(Outcome.UNREACHABLE) > 20);
+    }
+}
