--- a/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
@@ -45,7 +45,7 @@
     private static final Duration CALL_INTERVAL = Duration.ofMillis(5);
     private static final Duration LOSS_OF_LOCAL_SERVICE = Duration.ofMillis(500);
     private static final Duration TEST_TIMEOUT = Duration.ofSeconds(20);
-    private static final long PARTNER_CAPACITY = 1000;
+    private static final int PARTNER_CAPACITY = 1000;
 
     private final MonotonicClock clock = MonotonicClock.system();
     private final EventLoop loop = new EventLoop(clock, failure -> {});
@@ -154,7 +154,7 @@
         // A call that the local service may have seen is not forwarded here: that is for the controller to decide.
         long local = received(localAudit);
         assertTrue(local + east + west <= CALLS && local > 50, "local " + local);
-        assertEquals(List.of(2 * PARTNER_CAPACITY), partnerCapacities);
+        assertEquals(List.of(2L * PARTNER_CAPACITY), partnerCapacities);
     }
 
     @Example
