--- a/src/main/java/merlinlever/core/RequestLifecycle.java
+++ b/src/main/java/merlinlever/core/RequestLifecycle.java
@@ -8,6 +8,7 @@
 import java.util.Optional;
 import merlinlever.Durations;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 
 /**
@@ -63,17 +64,16 @@
     }
 
     private RequestHandle admit(Duration now, RequestMetadata metadata, Duration arrivedAt, RequestHandle original) {
-        return driver.controller()
-                .take(
-                        now,
-                        metadata.priorityClass(),
-                        now.minus(arrivedAt),
-                        metadata.timing().deadline().orElse(null),
-                        metadata.cost().memoryKb(),
-                        metadata.cost().runTimeHint().orElse(null),
-                        metadata.retry(),
-                        metadata.subject().isPresent(),
-                        original);
+        RequestAttributes attributes = RequestAttributes.ofClass(metadata.priorityClass())
+                .readDelay(now.minus(arrivedAt))
+                .deadline(metadata.timing().deadline())
+                .memoryKb(metadata.cost().memoryKb())
+                .costHint(metadata.cost().runTimeHint())
+                .retry(metadata.retry())
+                .shareable(metadata.subject().isPresent())
+                .original(Optional.ofNullable(original))
+                .build();
+        return driver.controller().submit(now, attributes);
     }
 
     private DuplicateKey duplicateKey(RequestMetadata metadata) {
@@ -109,7 +109,7 @@
             // It still waits for its response, and may be started again.
             request.launched = false;
             request.stopRequested = false;
-            request.handle.ended(now, outcome);
+            request.handle.runEnded(now, outcome);
             return;
         }
         request.outcome = outcome;
@@ -125,7 +125,7 @@
         if (request != null && request.isRunning()) {
             batch.eventAt(now);
             components.downstreamCalls().callNeeded(request, body);
-            request.handle.reachedCall(now);
+            request.handle.callNeeded(now);
         }
     }
 
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -3,8 +3,11 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 import merlinlever.core.ControllerDriver;
 import merlinlever.core.DecisionHandler;
@@ -82,16 +85,12 @@
         PendingRequest original = mark == null ? null : byMark.putIfAbsent(mark, asked);
         RequestHandle taken = conductor
                 .controller()
-                .take(
+                .submit(
                         at,
-                        mark == null ? LOOK : ORDER,
-                        Duration.ZERO,
-                        null,
-                        4,
-                        null,
-                        false,
-                        false,
-                        original == null ? null : original.handle);
+                        RequestAttributes.ofClass(mark == null ? LOOK : ORDER)
+                                .memoryKb(4)
+                                .original(Optional.ofNullable(original).map(earlier -> earlier.handle))
+                                .build());
         asked.handle = conductor.register(taken, asked);
     }
 
@@ -99,13 +98,13 @@
         now = at;
         touched = true;
         conductor.wakeUpFired();
-        conductor.controller().look(at, new double[] {0});
+        conductor.controller().updateGauges(at, new double[] {0});
     }
 
     void leave(Duration at, Duration stop) {
         now = at;
         touched = true;
-        conductor.controller().leave(at, stop);
+        conductor.controller().startDrain(at, stop);
     }
 
     void settle(Duration at) {
@@ -123,7 +122,7 @@
             inHand--;
             asked.run.run();
         }
-        asked.handle.ended(now, Outcome.OK);
+        asked.handle.runEnded(now, Outcome.OK);
     }
 
     @Override
@@ -200,8 +199,8 @@
     }
 
     @Override
-    public void log(String line) {
-        log.accept(line);
+    public void log(ControllerEvent event) {
+        log.accept(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/wire/ControllerInstance.java
+++ b/src/main/java/merlinlever/wire/ControllerInstance.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
+import merlinlever.RequestAttributes;
 import merlinlever.RequestHandle;
 import merlinlever.core.ControllerDriver;
 import merlinlever.core.DecisionHandler;
@@ -19,12 +22,12 @@
     private static final Outcome[] OUTCOMES_BY_CODE = {
         Outcome.OK,
         Outcome.ERROR,
-        Outcome.TURNED_AWAY,
-        Outcome.GIVEN_UP,
+        Outcome.REJECTED,
+        Outcome.TIMED_OUT,
         Outcome.UNREACHABLE,
-        Outcome.CUT_OFF,
+        Outcome.CONNECTION_LOST,
         Outcome.STOPPED,
-        Outcome.NEVER_BEGUN
+        Outcome.NOT_STARTED
     };
 
     private final String name;
@@ -73,23 +76,27 @@
         Duration now = sinceStart(eventMs);
         switch (event.verb()) {
             case "req" -> admit(event, now);
-            case "completed" -> handle(event).ended(now, outcome(event));
-            case "at_call" -> handle(event).reachedCall(now);
+            case "completed" -> handle(event).runEnded(now, outcome(event));
+            case "at_call" -> handle(event).callNeeded(now);
             case "downstream" -> handle(event).callEnded(now, outcome(event), duration(event.number("cost-time", 0)));
             case "withdrawn" -> handle(event).callerGone(now);
-            case "drain" -> driver.controller().leave(now, sinceStart(event.requiredNumber("not-after")));
+            case "drain" -> driver.controller().startDrain(now, sinceStart(event.requiredNumber("not-after")));
             case "timeout_fired" -> {
                 if (event.requiredText("handle").equals("look" + wakeUps)) {
                     driver.wakeUpFired();
                 }
-                driver.controller().look(now, event.numbers("report"));
+                driver.controller().updateGauges(now, event.numbers("report"));
             }
             default -> throw event.malformed("unknown event " + event.verb());
         }
     }
 
     private RequestHandle handle(WireMessage event) {
-        return handlesById.getOrDefault(event.requiredWholeNumber("id"), ControllerDriver.UNKNOWN_REQUEST);
+        return handleOf(event.requiredWholeNumber("id"));
+    }
+
+    private RequestHandle handleOf(long id) {
+        return handlesById.getOrDefault(id, ControllerDriver.UNKNOWN_REQUEST);
     }
 
     private void admit(WireMessage event, Duration now) {
@@ -101,19 +108,16 @@
         double deadlineMs = event.number("not-after", 0);
         double runTimeHintMs = event.number("work", 0);
         long originalId = event.wholeNumber("same-as", 0);
-        RequestHandle handle = driver.controller()
-                .take(
-                        now,
-                        priorityClass,
-                        duration(event.number("unread-for", 0)),
-                        deadlineMs == 0 ? null : sinceStart(deadlineMs),
-                        event.number("size-kb", 0),
-                        runTimeHintMs == 0 ? null : duration(runTimeHintMs),
-                        event.flag("resent"),
-                        event.text("name-key") != null && !event.flag("write"),
-                        originalId == 0
-                                ? null
-                                : handlesById.getOrDefault(originalId, ControllerDriver.UNKNOWN_REQUEST));
+        RequestAttributes attributes = RequestAttributes.ofClass(priorityClass)
+                .readDelay(duration(event.number("unread-for", 0)))
+                .deadline(deadlineMs == 0 ? Optional.empty() : Optional.of(sinceStart(deadlineMs)))
+                .memoryKb(event.number("size-kb", 0))
+                .costHint(runTimeHintMs == 0 ? Optional.empty() : Optional.of(duration(runTimeHintMs)))
+                .retry(event.flag("resent"))
+                .shareable(event.text("name-key") != null && !event.flag("write"))
+                .original(originalId == 0 ? Optional.empty() : Optional.of(handleOf(originalId)))
+                .build();
+        RequestHandle handle = driver.controller().submit(now, attributes);
         handlesById.put(id, driver.register(handle, id));
     }
 
@@ -192,8 +196,8 @@
     }
 
     @Override
-    public void log(String line) {
-        begin("log").append(" line=").append(line).append('\n');
+    public void log(ControllerEvent event) {
+        begin("log").append(" line=").append(WireEventText.of(event)).append('\n');
     }
 
     @Override
--- a/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
@@ -144,7 +144,7 @@
         makeCalls(RouteSelector.RetrySafety.RETRIABLE);
         assertEquals(CALLS, outcomesById.size());
         long succeeded = count(Outcome.OK);
-        long connectionLost = count(Outcome.CUT_OFF);
+        long connectionLost = count(Outcome.CONNECTION_LOST);
         assertTrue(
                 succeeded >= 170 && succeeded + connectionLost == CALLS,
                 "succeeded: " + succeeded + ", connection lost: " + connectionLost);
