--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.QuotaGrant;
 import merlinlever.QuotaDemand;
 import merlinlever.core.Backend;
 import merlinlever.election.net.ElectionTransport;
@@ -105,12 +106,12 @@
     @Override
     public void share(FleetQuota quota, long share, Duration until) {
         boolean limitsCallsInFlight = quota.of().equals("calls") && quota.per() == FleetQuota.QuotaKind.AT_ONCE;
-        backend.setQuota(
-                backend.priorityClassIndex(quota.of()),
+        QuotaGrant grant = new QuotaGrant(
                 share,
                 quota.per() == FleetQuota.QuotaKind.SECOND,
                 sinceModuleStart(until),
-                limitsCallsInFlight ? quota.longest() : null);
+                limitsCallsInFlight ? Optional.ofNullable(quota.longest()) : Optional.empty());
+        backend.setQuota(backend.priorityClassIndex(quota.of()), grant);
     }
 
     private Duration sinceModuleStart(Duration sinceProcessStart) {
--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/core/Backend.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import merlinlever.Outcome;
 import merlinlever.QuotaDemand;
+import merlinlever.QuotaGrant;
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.OverloadController;
 
@@ -134,9 +135,8 @@
     }
 
     /** See {@link OverloadController#setQuota}. */
-    public void setQuota(
-            int priorityClass, long quota, boolean perSecond, Duration leaseEnd, Duration maxCallDuration) {
-        fleetState.setQuota(priorityClass, quota, perSecond, leaseEnd, maxCallDuration);
+    public void setQuota(int priorityClass, QuotaGrant grant) {
+        fleetState.setQuota(priorityClass, grant);
     }
 
     /** See {@link OverloadController#quotaDemand}. */
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -46,10 +46,9 @@
     }
 
     /** See {@link OverloadController#setQuota}. */
-    void setQuota(int priorityClass, long quota, boolean perSecond, Duration leaseEnd, Duration maxCallDuration) {
-        perSecondByLimit.put(priorityClass, perSecond);
+    void setQuota(int priorityClass, QuotaGrant grant) {
+        perSecondByLimit.put(priorityClass, grant.perSecond());
         if (controller != null) {
-            QuotaGrant grant = new QuotaGrant(quota, perSecond, leaseEnd, Optional.ofNullable(maxCallDuration));
             controller.setQuota(priorityClass, grant);
         }
     }
--- a/src/main/java/merlinlever/core/RequestLifecycle.java
+++ b/src/main/java/merlinlever/core/RequestLifecycle.java
@@ -59,11 +59,11 @@
         requestsById.put(request.id, request);
         components.responses().requestReceived();
         RequestHandle original = components.idempotencyCache().register(request);
-        request.handle = driver.register(admit(now, metadata, arrivedAt, original), request);
+        request.handle = driver.register(submit(now, metadata, arrivedAt, original), request);
         return Optional.of(request);
     }
 
-    private RequestHandle admit(Duration now, RequestMetadata metadata, Duration arrivedAt, RequestHandle original) {
+    private RequestHandle submit(Duration now, RequestMetadata metadata, Duration arrivedAt, RequestHandle original) {
         RequestAttributes attributes = RequestAttributes.ofClass(metadata.priorityClass())
                 .readDelay(now.minus(arrivedAt))
                 .deadline(metadata.timing().deadline())
--- a/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -48,13 +49,17 @@
     private static final int PARTNER_CAPACITY = 1000;
 
     private final MonotonicClock clock = MonotonicClock.system();
-    private final EventLoop loop = new EventLoop(clock, failure -> {});
+    private final EventLoop loop;
     private final Map<Long, Outcome> outcomesById = new TreeMap<>();
     private final List<Long> partnerCapacities = new ArrayList<>();
     private final QuotaAudit localAudit = new QuotaAudit(100_000, true);
     private final QuotaAudit eastAudit = new QuotaAudit(100_000, true);
     private final QuotaAudit westAudit = new QuotaAudit(100_000, true);
 
+    DownstreamFailoverTest() throws IOException {
+        loop = new EventLoop(clock, failure -> {});
+    }
+
     /** The calls that a service received. */
     private static long received(QuotaAudit audit) {
         return audit.counts()[1];
