--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -60,19 +60,19 @@
                 : shared.get(0).lease();
         double drift = shared.isEmpty() ? 0.01 : shared.get(0).drift();
         ElectionTransport leading = new ElectionTransport(loop, rejoin, voters, lease, drift, seed, told);
-        viewing = new ViewTransport(loop, rejoin, leading.terms(), ViewSettings.usual(), life, seed, told);
+        viewing = new ViewTransport(loop, rejoin, leading.election(), ViewSettings.defaults(), life, seed, told);
         spread = new ReplicationTransport(
                 loop,
                 rejoin,
                 StateDirectories.open(Path.of(rest.get("recovery.state"), "shared"), System.getenv()),
                 ReplicatedStore.ReplicationSettings.usual(true),
-                leading.terms(),
-                viewing.seen(),
+                leading.election(),
+                viewing.fleetView(),
                 seed,
                 told);
         budgets = shared.isEmpty()
                 ? null
-                : new QuotaTransport(loop, rejoin, shared, leading, viewing.seen(), life, seed, this, told);
+                : new QuotaTransport(loop, rejoin, shared, leading, viewing.fleetView(), life, seed, this, told);
     }
 
     /** The limits of the whole fleet, as the configuration has them; checked here, as serve loads no schema. */
@@ -144,7 +144,7 @@
 
     /** Whether binding and fingerprinted work may be begun, as far as the others are concerned. */
     boolean mayKeyed() {
-        return viewing.seen().may(loop.clock().uptime(), GuardedAction.KEYED) == ActionPermissions.Permission.YES;
+        return viewing.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST) == ActionPermissions.Permission.ALLOWED;
     }
 
     void reread(Map<String, String> rest) throws ServeCommand.InvalidConfigurationException {
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -55,7 +55,7 @@
         }
         List<String> seeds = new ArrayList<>();
         for (String seedAt : rest.getOrDefault("recovery.seeds", "").split(",")) {
-            if (!seedAt.isEmpty() && MembershipTransport.address(seedAt) == null) {
+            if (!seedAt.isEmpty() && MembershipTransport.parseAddress(seedAt) == null) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's recovery.seeds has '" + seedAt + "', which is no ADDRESS:PORT");
             } else if (!seedAt.isEmpty()) {
@@ -63,7 +63,7 @@
             }
         }
         String advertise = rest.get("recovery.advertise");
-        if (advertise != null && MembershipTransport.address(advertise) == null) {
+        if (advertise != null && MembershipTransport.parseAddress(advertise) == null) {
             throw new ServeCommand.InvalidConfigurationException(
                     "the configuration's recovery.advertise is no ADDRESS:PORT: " + advertise);
         }
--- a/src/main/java/merlinlever/election/ElectionState.java
+++ b/src/main/java/merlinlever/election/ElectionState.java
@@ -17,35 +17,35 @@
 public final class ElectionState {
 
     /** A question for a promise, or for its renewal; {@code number} comes back with the answer. */
-    public record PromiseRequest(String to, long term, long number) {}
+    public record PromiseRequest(String voter, long term, long correlationId) {}
 
     private final String self;
     private final List<String> voters;
     private final Duration lease;
     private final double drift;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
 
     /** As a voter: the highest term that was promised, and to whom until when. */
-    private long promised;
+    private long promisedTerm;
 
-    private String promisedTo;
+    private String promisedCandidate;
     private Duration promisedUntil;
 
     /** As a candidate or leader: its term, its questions that are out, and when the promises that it has were asked for. */
-    private long term;
+    private long ownTerm;
 
-    private boolean leads;
-    private long numbers;
-    private final Map<Long, Duration> out = new HashMap<>();
-    private final Map<String, Duration> promisedSince = new HashMap<>();
-    private Duration nextAsk;
-    private long heardTerm, heardLeaderTerm;
-    private String heardLeader;
-    private Duration heardAt;
+    private boolean leading;
+    private long lastCorrelationId;
+    private final Map<Long, Duration> pendingRequests = new HashMap<>();
+    private final Map<String, Duration> promiseRequestedAt = new HashMap<>();
+    private Duration nextRequestAt;
+    private long highestTermHeard, lastLeaderTerm;
+    private String lastLeader;
+    private Duration lastLeaderHeardAt;
 
     /**
      * @param voters the same everywhere; only they lead
-     * @param term the highest that is on the disk
+     * @param ownTerm the highest that is on the disk
      */
     public ElectionState(
             Duration now,
@@ -53,21 +53,21 @@
             List<String> voters,
             Duration lease,
             double drift,
-            long term,
-            SplittableRandom chance) {
+            long ownTerm,
+            SplittableRandom random) {
         this.self = self;
         this.voters = List.copyOf(voters);
         this.lease = lease;
         this.drift = drift;
-        this.chance = chance;
-        promised = term;
-        heardTerm = term;
-        promisedUntil = now.plus(ClockDrift.slowest(lease, drift));
-        nextAsk = promisedUntil.plus(drawn());
+        this.random = random;
+        promisedTerm = ownTerm;
+        highestTermHeard = ownTerm;
+        promisedUntil = now.plus(ClockDrift.upperBound(lease, drift));
+        nextRequestAt = promisedUntil.plus(randomDelay());
     }
 
-    private Duration drawn() {
-        return Duration.ofNanos(chance.nextLong(lease.dividedBy(2).toNanos() + 1));
+    private Duration randomDelay() {
+        return Duration.ofNanos(random.nextLong(lease.dividedBy(2).toNanos() + 1));
     }
 
     // ---- as a voter
@@ -76,133 +76,133 @@
      * Whether it may promise the asker this term now; if so the term has to be on the disk before the answer is given
      * ({@link #promise}).
      */
-    public boolean mayPromise(Duration now, String asker, long asked) {
-        if (!voters.contains(asker) || !voters.contains(self) || asked < promised) {
+    public boolean canPromise(Duration now, String asker, long asked) {
+        if (!voters.contains(asker) || !voters.contains(self) || asked < promisedTerm) {
             return false;
         }
         // The same one may have its promise renewed, or made for its next attempt.
-        return asker.equals(promisedTo) || asked > promised && now.compareTo(promisedUntil) >= 0;
+        return asker.equals(promisedCandidate) || asked > promisedTerm && now.compareTo(promisedUntil) >= 0;
     }
 
     /** The promise is made, from now on. */
     public void promise(Duration now, String to, long asked) {
-        promised = asked;
-        promisedTo = to;
+        promisedTerm = asked;
+        promisedCandidate = to;
         promisedUntil = now.plus(lease);
-        heardTerm = Math.max(heardTerm, asked);
+        highestTermHeard = Math.max(highestTermHeard, asked);
         if (!to.equals(self)) {
-            nextAsk = promisedUntil.plus(drawn());
+            nextRequestAt = promisedUntil.plus(randomDelay());
         }
     }
 
     /** The highest term that was promised here. */
-    public long promised() {
-        return promised;
+    public long promisedTerm() {
+        return promisedTerm;
     }
 
     // ---- as a candidate or leader
 
     /** The questions to be put now: for a new term where nobody leads, or for the renewal of its own. */
-    public List<PromiseRequest> settle(Duration now) {
+    public List<PromiseRequest> dueRequests(Duration now) {
         List<PromiseRequest> asks = new ArrayList<>();
-        if (leads && now.compareTo(leadsUntil()) >= 0) {
-            leads = false;
-            nextAsk = now.plus(drawn());
-            promisedSince.clear();
-            out.clear();
+        if (leading && now.compareTo(leadershipExpiry()) >= 0) {
+            leading = false;
+            nextRequestAt = now.plus(randomDelay());
+            promiseRequestedAt.clear();
+            pendingRequests.clear();
         }
-        if (!voters.contains(self) || now.compareTo(nextAsk) < 0) {
+        if (!voters.contains(self) || now.compareTo(nextRequestAt) < 0) {
             return asks;
         }
-        if (!leads) {
-            if (now.compareTo(promisedUntil) < 0 && !self.equals(promisedTo)) {
-                nextAsk = promisedUntil.plus(drawn());
+        if (!leading) {
+            if (now.compareTo(promisedUntil) < 0 && !self.equals(promisedCandidate)) {
+                nextRequestAt = promisedUntil.plus(randomDelay());
                 return asks;
             }
             // A new attempt is a new term: answers to the one before say nothing of it.
-            term = Math.max(Math.max(term, promised), heardTerm) + 1;
-            promisedSince.clear();
-            out.clear();
+            ownTerm = Math.max(Math.max(ownTerm, promisedTerm), highestTermHeard) + 1;
+            promiseRequestedAt.clear();
+            pendingRequests.clear();
         }
-        nextAsk = now.plus(leads ? lease.dividedBy(4) : lease.dividedBy(2).plus(drawn()));
+        nextRequestAt = now.plus(leading ? lease.dividedBy(4) : lease.dividedBy(2).plus(randomDelay()));
         for (String voter : voters) {
-            long number = ++numbers;
-            out.put(number, now);
-            asks.add(new PromiseRequest(voter, term, number));
+            long number = ++lastCorrelationId;
+            pendingRequests.put(number, now);
+            asks.add(new PromiseRequest(voter, ownTerm, number));
         }
-        out.values().removeIf(at -> now.minus(at).compareTo(lease) >= 0);
+        pendingRequests.values().removeIf(at -> now.minus(at).compareTo(lease) >= 0);
         return asks;
     }
 
     /** The voter has promised; counts from when it was asked, which was before it promised. */
-    public void promisedBy(Duration now, String voter, long asked, long number) {
-        Duration at = out.get(number);
-        if (asked != term || at == null || !voters.contains(voter)) {
+    public void receivePromise(Duration now, String voter, long asked, long number) {
+        Duration at = pendingRequests.get(number);
+        if (asked != ownTerm || at == null || !voters.contains(voter)) {
             return;
         }
-        promisedSince.merge(voter, at, (a, b) -> a.compareTo(b) > 0 ? a : b);
-        if (!leads && leadsUntil() != null && now.compareTo(leadsUntil()) < 0) {
-            leads = true;
-            nextAsk = now;
+        promiseRequestedAt.merge(voter, at, (a, b) -> a.compareTo(b) > 0 ? a : b);
+        if (!leading && leadershipExpiry() != null && now.compareTo(leadershipExpiry()) < 0) {
+            leading = true;
+            nextRequestAt = now;
         }
     }
 
     /** Whether it leads, or the promises that hold at the least want but one more. */
-    boolean oneShort(Duration now) {
-        long hold = promisedSince.values().stream()
-                .filter(since -> now.compareTo(since.plus(ClockDrift.surest(lease, drift))) < 0)
+    boolean isWithinOnePromiseOfMajority(Duration now) {
+        long hold = promiseRequestedAt.values().stream()
+                .filter(since -> now.compareTo(since.plus(ClockDrift.lowerBound(lease, drift))) < 0)
                 .count();
-        return leads || hold >= voters.size() / 2;
+        return leading || hold >= voters.size() / 2;
     }
 
     /** The voter has promised a higher term to another, or knows of one. */
-    public void refused(Duration now, long higher) {
-        heardTerm = Math.max(heardTerm, higher);
+    public void receiveRejection(Duration now, long higher) {
+        highestTermHeard = Math.max(highestTermHeard, higher);
     }
 
     /** Until when more than half of the promises hold at the least, by any clock; null without them. */
-    private Duration leadsUntil() {
+    private Duration leadershipExpiry() {
         // Its own promise is needed: so the term is on its own disk, and no later life of it comes to the same term
         // again.
-        if (promisedSince.size() <= voters.size() / 2 || !promisedSince.containsKey(self)) {
+        if (promiseRequestedAt.size() <= voters.size() / 2 || !promiseRequestedAt.containsKey(self)) {
             return null;
         }
-        Duration[] since = promisedSince.values().toArray(new Duration[0]);
+        Duration[] since = promiseRequestedAt.values().toArray(new Duration[0]);
         Arrays.sort(since);
         // The oldest of the youngest majority.
         Duration oldest = since[since.length - voters.size() / 2 - 1];
-        return oldest.plus(ClockDrift.surest(lease, drift));
+        return oldest.plus(ClockDrift.lowerBound(lease, drift));
     }
 
-    public boolean leads(Duration now) {
-        return leads && now.compareTo(leadsUntil()) < 0;
+    public boolean isLeader(Duration now) {
+        return leading && now.compareTo(leadershipExpiry()) < 0;
     }
 
     /** Of its own leadership. */
-    public long term() {
-        return term;
+    public long ownTerm() {
+        return ownTerm;
     }
 
     /** A leader was heard; the highest term counts, and an older one is not listened to. */
-    public void heardLeader(Duration now, String leader, long itsTerm) {
-        if (itsTerm >= heardLeaderTerm) {
-            heardTerm = Math.max(heardTerm, itsTerm);
-            heardLeaderTerm = itsTerm;
-            heardLeader = leader;
-            heardAt = now;
+    public void observeLeader(Duration now, String leader, long itsTerm) {
+        if (itsTerm >= lastLeaderTerm) {
+            highestTermHeard = Math.max(highestTermHeard, itsTerm);
+            lastLeaderTerm = itsTerm;
+            lastLeader = leader;
+            lastLeaderHeardAt = now;
         }
     }
 
     /** Who leads as far as this one knows, or null. */
     public Leadership.Leader leader(Duration now) {
-        if (leads(now)) {
-            return new Leadership.Leader(self, term);
+        if (isLeader(now)) {
+            return new Leadership.Leader(self, ownTerm);
         }
-        boolean holds = promisedTo != null && !promisedTo.equals(self) && now.compareTo(promisedUntil) < 0;
-        if (heardLeader != null && now.minus(heardAt).compareTo(lease) < 0 && (!holds || heardLeaderTerm >= promised)) {
-            return new Leadership.Leader(heardLeader, heardLeaderTerm);
+        boolean holds = promisedCandidate != null && !promisedCandidate.equals(self) && now.compareTo(promisedUntil) < 0;
+        if (lastLeader != null && now.minus(lastLeaderHeardAt).compareTo(lease) < 0 && (!holds || lastLeaderTerm >= promisedTerm)) {
+            return new Leadership.Leader(lastLeader, lastLeaderTerm);
         }
-        return holds ? new Leadership.Leader(promisedTo, promised) : null;
+        return holds ? new Leadership.Leader(promisedCandidate, promisedTerm) : null;
     }
 
     public List<String> voters() {
--- a/src/main/java/merlinlever/election/LeaderElection.java
+++ b/src/main/java/merlinlever/election/LeaderElection.java
@@ -17,29 +17,29 @@
  */
 public final class LeaderElection implements Leadership {
 
-    /** First parts of the words that {@link #said} takes. */
-    public static final Set<String> WORDS = Set.of("V", "P", "N", "H");
+    /** First parts of the words that {@link #receive} takes. */
+    public static final Set<String> MESSAGE_TYPES = Set.of("V", "P", "N", "H");
 
     /** Something to be said to another. */
-    public record PeerMessage(String to, long number, String what) {}
+    public record PeerMessage(String recipient, long correlationId, String text) {}
 
-    private record PendingVote(String asker, long term, long number) {}
+    private record PendingVote(String candidate, long term, long correlationId) {}
 
     private final String self;
     private final ElectionState election;
-    private final LongPredicate noted;
+    private final LongPredicate persistTerm;
     private final Consumer<String> log;
-    private final List<PeerMessage> out = new ArrayList<>();
-    private PendingVote pending;
-    private ElectionState.PromiseRequest own;
-    private String lastLeader = "";
+    private final List<PeerMessage> outbox = new ArrayList<>();
+    private PendingVote pendingVote;
+    private ElectionState.PromiseRequest ownRequest;
+    private String lastLoggedLeader = "";
 
     /**
      * @param voters who may lead; the same everywhere
      * @param lease of a promise
      * @param drift clocks of two machines run apart by this part at the most
      * @param term the highest that is on the disk
-     * @param noted asks for a term on the disk; true once it is there
+     * @param persistTerm asks for a term on the disk; true once it is there
      */
     public LeaderElection(
             Duration now,
@@ -48,42 +48,42 @@
             Duration lease,
             double drift,
             long term,
-            LongPredicate noted,
+            LongPredicate persistTerm,
             SplittableRandom chance,
             Consumer<String> log) {
         this.self = self;
-        this.noted = noted;
+        this.persistTerm = persistTerm;
         this.log = log;
         election = new ElectionState(now, self, voters, lease, drift, term, chance);
     }
 
     /** What is to be said now; to be asked for every few ms. */
-    public List<PeerMessage> look(Duration now) {
-        if (pending != null && noted.test(pending.term)) {
-            PendingVote is = pending;
-            pending = null;
-            vote(now, is.asker, is.term, is.number);
+    public List<PeerMessage> tick(Duration now) {
+        if (pendingVote != null && persistTerm.test(pendingVote.term)) {
+            PendingVote is = pendingVote;
+            pendingVote = null;
+            handleVoteRequest(now, is.candidate, is.term, is.correlationId);
         }
-        for (ElectionState.PromiseRequest ask : election.settle(now)) {
-            if (ask.to().equals(self)) {
-                own = ask;
+        for (ElectionState.PromiseRequest ask : election.dueRequests(now)) {
+            if (ask.voter().equals(self)) {
+                ownRequest = ask;
             } else {
-                out.add(new PeerMessage(ask.to(), ask.number(), "V/" + ask.term()));
+                outbox.add(new PeerMessage(ask.voter(), ask.correlationId(), "V/" + ask.term()));
             }
         }
-        own(now);
+        castOwnVote(now);
         Leader leader = election.leader(now);
         String told = leader == null ? "" : leader.name() + ", term " + leader.term();
-        if (!told.equals(lastLeader)) {
-            lastLeader = told;
+        if (!told.equals(lastLoggedLeader)) {
+            lastLoggedLeader = told;
             log.accept(told.isEmpty() ? "terms: nobody is known to lead" : "terms: led by " + told);
         }
-        return said();
+        return receive();
     }
 
-    private List<PeerMessage> said() {
-        List<PeerMessage> all = List.copyOf(out);
-        out.clear();
+    private List<PeerMessage> receive() {
+        List<PeerMessage> all = List.copyOf(outbox);
+        outbox.clear();
         return all;
     }
 
@@ -91,49 +91,49 @@
      * It promises itself last, when its promise makes more than half. A candidate that nobody hears would else go on to terms of
      * its own, and could promise nothing to whoever leads when it is heard again (what Raft's pre-vote is for, Ongaro 2014).
      */
-    private void own(Duration now) {
-        if (own != null && own.term() == election.term() && election.oneShort(now)) {
-            ElectionState.PromiseRequest is = own;
-            own = null;
-            vote(now, self, is.term(), is.number());
+    private void castOwnVote(Duration now) {
+        if (ownRequest != null && ownRequest.term() == election.ownTerm() && election.isWithinOnePromiseOfMajority(now)) {
+            ElectionState.PromiseRequest is = ownRequest;
+            ownRequest = null;
+            handleVoteRequest(now, self, is.term(), is.correlationId());
         }
     }
 
-    private void vote(Duration now, String asker, long term, long number) {
-        if (!election.mayPromise(now, asker, term)) {
+    private void handleVoteRequest(Duration now, String asker, long term, long number) {
+        if (!election.canPromise(now, asker, term)) {
             if (!asker.equals(self)) {
-                out.add(new PeerMessage(asker, number, "N/" + election.promised()));
+                outbox.add(new PeerMessage(asker, number, "N/" + election.promisedTerm()));
             }
             return;
         }
-        if (!noted.test(term)) {
+        if (!persistTerm.test(term)) {
             // One at a time; whoever is not answered asks again.
-            pending = new PendingVote(asker, term, number);
+            pendingVote = new PendingVote(asker, term, number);
             return;
         }
         election.promise(now, asker, term);
         if (asker.equals(self)) {
-            election.promisedBy(now, self, term, number);
+            election.receivePromise(now, self, term, number);
         } else {
-            out.add(new PeerMessage(asker, number, "P/" + term));
+            outbox.add(new PeerMessage(asker, number, "P/" + term));
         }
     }
 
-    /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<PeerMessage> said(Duration now, String name, long number, String what) {
+    /** Another said that, one of {@link #MESSAGE_TYPES}; returns what is said to it. */
+    public List<PeerMessage> receive(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
-                case "V" -> vote(now, name, Long.parseLong(part[1]), number);
+                case "V" -> handleVoteRequest(now, name, Long.parseLong(part[1]), number);
                 case "P" -> {
-                    election.promisedBy(now, name, Long.parseLong(part[1]), number);
-                    own(now);
+                    election.receivePromise(now, name, Long.parseLong(part[1]), number);
+                    castOwnVote(now);
                 }
-                case "N" -> election.refused(now, Long.parseLong(part[1]));
+                case "N" -> election.receiveRejection(now, Long.parseLong(part[1]));
                 case "H" -> {
                     // Of itself it knows better.
                     if (election.voters().contains(part[2]) && !part[2].equals(self)) {
-                        election.heardLeader(now, part[2], Long.parseLong(part[1]));
+                        election.observeLeader(now, part[2], Long.parseLong(part[1]));
                     }
                 }
                 default -> log.accept("terms: " + name + " said what is not understood: " + what);
@@ -141,28 +141,28 @@
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             log.accept("terms: " + name + " said what is not understood: " + what);
         }
-        return said();
+        return receive();
     }
 
     /** The word that says who leads to one that asked the wrong one, or null where that is not known. */
-    public String toldWho(Duration now) {
+    public String leaderAnnouncement(Duration now) {
         Leader leader = election.leader(now);
         return leader == null ? null : "H/" + leader.term() + "/" + leader.name();
     }
 
     /** That one spoke as the leader of the term. */
-    public void heardLeader(Duration now, String name, long term) {
-        election.heardLeader(now, name, term);
+    public void observeLeader(Duration now, String name, long term) {
+        election.observeLeader(now, name, term);
     }
 
     @Override
-    public boolean leads(Duration now) {
-        return election.leads(now);
+    public boolean isLeader(Duration now) {
+        return election.isLeader(now);
     }
 
     @Override
     public long term() {
-        return election.term();
+        return election.ownTerm();
     }
 
     @Override
--- a/src/main/java/merlinlever/election/Leadership.java
+++ b/src/main/java/merlinlever/election/Leadership.java
@@ -14,7 +14,7 @@
     record Leader(String name, long term) {}
 
     /** Whether this one leads for certain, by its own steady clock. */
-    boolean leads(Duration now);
+    boolean isLeader(Duration now);
 
     /** Of its own leadership; means something while it leads. */
     long term();
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -12,11 +12,11 @@
 /** One backend's part in who leads, on the loop and membership's datagrams; one for all that ask for a leader. */
 public final class ElectionTransport implements SwimProtocol.TextMessageHandler {
 
-    private static final Duration LOOK = Duration.ofMillis(20);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final RecoveryCoordinator rejoin;
-    private final LeaderElection terms;
+    private final LeaderElection election;
 
     /** @param voters who may lead; the same everywhere */
     public ElectionTransport(
@@ -29,9 +29,9 @@
             Consumer<String> log) {
         this.loop = loop;
         this.rejoin = rejoin;
-        terms = new LeaderElection(
+        election = new LeaderElection(
                 loop.clock().uptime(),
-                rejoin.members().views().self(),
+                rejoin.members().memberTable().self(),
                 voters,
                 lease,
                 drift,
@@ -39,23 +39,23 @@
                 rejoin::noted,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().hears(LeaderElection.WORDS, this);
-        loop.every(LOOK, () -> say(terms.look(loop.clock().uptime())));
+        rejoin.members().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
+        loop.every(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
     }
 
-    public LeaderElection terms() {
-        return terms;
+    public LeaderElection election() {
+        return election;
     }
 
-    private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.members().say(each.to(), each.number(), each.what()));
+    private void send(List<LeaderElection.PeerMessage> all) {
+        all.forEach(each -> rejoin.members().sendText(each.recipient(), each.correlationId(), each.text()));
         if (!all.isEmpty()) {
             rejoin.send();
         }
     }
 
     @Override
-    public void said(String name, long number, String what) {
-        say(terms.said(loop.clock().uptime(), name, number, what));
+    public void onText(String name, long number, String what) {
+        send(election.receive(loop.clock().uptime(), name, number, what));
     }
 }
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -73,9 +73,9 @@
             mine.ran(since.compareTo(MOST_RUN) > 0 ? MOST_RUN : since);
         }
         last = now;
-        if (seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO) {
+        if (seen.permission(now, GuardedAction.USE_ADOPTED) != ActionPermissions.Permission.DENIED) {
             carry();
-            if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES) {
+            if (seen.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED) {
                 lease.ask(now);
             }
             lease.hear(leadership.leader(now));
@@ -132,7 +132,7 @@
     // ---- the end
 
     private void decide(Duration now) {
-        if (!leadership.leads(now) || seen.may(now, GuardedAction.DECIDE) != ActionPermissions.Permission.YES) {
+        if (!leadership.isLeader(now) || seen.permission(now, GuardedAction.DECIDE) != ActionPermissions.Permission.ALLOWED) {
             // A leader after it decides by what it knows then.
             proposed = null;
             return;
@@ -177,7 +177,7 @@
         return end == null
                 && carried
                 && lease.holds(now)
-                && seen.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO;
+                && seen.permission(now, GuardedAction.USE_ADOPTED) != ActionPermissions.Permission.DENIED;
     }
 
     /** By which arm the caller's operation goes. */
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -108,7 +108,7 @@
 
     public int leader() {
         for (int i = 0; i < n; i++) {
-            if (parts[i] != null && terms[i].leads(clock(i))) {
+            if (parts[i] != null && terms[i].isLeader(clock(i))) {
                 return i;
             }
         }
@@ -176,10 +176,10 @@
     private QuorumStatus standing(int i) {
         long heard = reached(i).size();
         return now - bornAt[i] < 1500
-                ? QuorumStatus.RETURNING
+                ? QuorumStatus.RECOVERING
                 : heard == voters.size()
-                        ? QuorumStatus.WHOLE
-                        : heard * 2 > voters.size() ? QuorumStatus.MOST : QuorumStatus.FEW;
+                        ? QuorumStatus.FULL
+                        : heard * 2 > voters.size() ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY;
     }
 
     private List<Integer> reached(int i) {
@@ -202,7 +202,7 @@
         @Override
         public void propose(Duration at, String name, byte[] value) {
             List<Integer> reached = reached(i);
-            if (!terms[i].leads(at) || reached.size() * 2 <= voters.size()) {
+            if (!terms[i].isLeader(at) || reached.size() * 2 <= voters.size()) {
                 return;
             }
             RegisterValue highest = null;
@@ -250,7 +250,7 @@
     }
 
     private void sendAll(int from, List<LeaderElection.PeerMessage> says, List<OutgoingMessage> carries) {
-        says.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), null, each.number(), each.what()));
+        says.forEach(each -> send(from, Integer.parseInt(each.recipient().substring(1)), null, each.correlationId(), each.text()));
         carries.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), each.body(), 0, null));
     }
 
@@ -268,7 +268,7 @@
             }
             Duration at = clock(one.to);
             if (one.what != null) {
-                sendAll(one.to, terms[one.to].said(at, "b" + one.from, one.number, one.what), List.of());
+                sendAll(one.to, terms[one.to].receive(at, "b" + one.from, one.number, one.what), List.of());
             } else {
                 sendAll(one.to, List.of(), words[one.to].came(at, "b" + one.from, one.body));
             }
@@ -279,11 +279,11 @@
             }
             Duration at = clock(i);
             force(i);
-            List<LeaderElection.PeerMessage> says = terms[i].look(at);
+            List<LeaderElection.PeerMessage> says = terms[i].tick(at);
             LeaderElection.Leader leader = terms[i].leader(at);
             if (leader != null && leader.name().equals("b" + i) && now % 500 == 0) {
                 for (int k = 0; k < n; k++) {
-                    send(i, k, null, 0, terms[i].toldWho(at));
+                    send(i, k, null, 0, terms[i].leaderAnnouncement(at));
                 }
             }
             if (now % 200 == 0) {
--- a/src/main/java/merlinlever/faults/FixedFleetView.java
+++ b/src/main/java/merlinlever/faults/FixedFleetView.java
@@ -10,12 +10,12 @@
 public record FixedFleetView(Function<Duration, QuorumStatus> by) implements FleetView {
 
     @Override
-    public QuorumStatus standing(Duration now) {
+    public QuorumStatus status(Duration now) {
         return by.apply(now);
     }
 
     @Override
-    public Duration since() {
+    public Duration statusSince() {
         return Duration.ZERO;
     }
 
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -124,9 +124,9 @@
 
     void send(int from, List<LeaderElection.PeerMessage> all) {
         for (LeaderElection.PeerMessage each : all) {
-            int to = Integer.parseInt(each.to().substring(1));
+            int to = Integer.parseInt(each.recipient().substring(1));
             // With the head, the sender, the number and the seal of membership's datagrams, without rumours.
-            octets += 40 + each.what().length();
+            octets += 40 + each.text().length();
             if (side[from] != side[to] || chance.nextDouble() < loss) {
                 continue;
             }
@@ -134,7 +134,7 @@
             for (int c = 0; c < copies; c++) {
                 // Some come very late.
                 long at = now + 1 + (chance.nextInt(50) == 0 ? chance.nextInt(5000) : chance.nextInt(40));
-                net.add(new Object[] {at, from, to, each.number(), each.what()});
+                net.add(new Object[] {at, from, to, each.correlationId(), each.text()});
             }
         }
     }
@@ -161,14 +161,14 @@
             String what = (String) message[4];
             send(
                     to,
-                    LeaderElection.WORDS.contains(what.split("/")[0])
-                            ? terms[to].said(clock(to), "b" + message[1], (long) message[3], what)
+                    LeaderElection.MESSAGE_TYPES.contains(what.split("/")[0])
+                            ? terms[to].receive(clock(to), "b" + message[1], (long) message[3], what)
                             : nodes[to].said(clock(to), "b" + message[1], (long) message[3], what));
         }
         long all = 0;
         for (int i = 0; i < n; i++) {
             if (up(i) && now >= pausedUntil[i]) {
-                send(i, terms[i].look(clock(i)));
+                send(i, terms[i].tick(clock(i)));
                 send(i, nodes[i].look(clock(i)));
             }
             if (up(i)) {
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -34,8 +34,8 @@
 
     private static final double DRIFT = 0.01;
     private static final RouteSelector.RoutingClass[] TARIFFS = {
-        new RouteSelector.RoutingClass("reads", RouteSelector.RetrySafety.RETRIABLE, true),
-        new RouteSelector.RoutingClass("orders", RouteSelector.RetrySafety.FINGERPRINTED, true)
+        new RouteSelector.RoutingClass("reads", RouteSelector.RetrySafety.IDEMPOTENT, true),
+        new RouteSelector.RoutingClass("orders", RouteSelector.RetrySafety.IDEMPOTENT_BY_KEY, true)
     };
     private static final int STEP = 20;
 
@@ -93,7 +93,7 @@
             List<Route> all =
                     leaks ? new ArrayList<>(own) : first.routes.export(first.clock(), to, own, place(), calls, 1);
             if (leaks) {
-                for (String from : first.routes.sites()) {
+                for (String from : first.routes.partners()) {
                     RouteTable its = first.routes.latest(from);
                     if (its != null) {
                         its.routes().values().stream()
@@ -103,14 +103,14 @@
                                     List<String> path = new ArrayList<>(List.of(name));
                                     path.addAll(each.path());
                                     all.add(new Route(
-                                            each.tariff(),
+                                            each.priorityClass(),
                                             each.group(),
                                             place(),
-                                            each.calls(),
+                                            each.callsPerSecond(),
                                             0,
                                             false,
                                             path,
-                                            each.downFrom(),
+                                            each.onlyToCustomerSite(),
                                             each.restrictions()));
                                 });
                     }
@@ -163,7 +163,7 @@
                     new RoutingPolicy(site.name),
                     stated,
                     DRIFT,
-                    FlapDamping.FlapDampingSettings.PUBLISHED,
+                    FlapDamping.FlapDampingSettings.RECOMMENDED,
                     this,
                     line -> {
                         if (told.size() < 200) {
@@ -172,7 +172,7 @@
                     });
             fellows = new PeerTableSync(routes, chance.nextLong(1L << 40), chance.split());
             exits = new RouteSelector(routes, site.nodes.size() == 0 ? 1 : perSite);
-            own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.USUAL);
+            own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
             words.clear();
             asked.clear();
             up = true;
@@ -183,15 +183,15 @@
         }
 
         @Override
-        public QuorumStatus standing(Duration at) {
+        public QuorumStatus status(Duration at) {
             long heard = site.nodes.stream().filter(this::hears).count();
             return heard == perSite
-                    ? QuorumStatus.WHOLE
-                    : 2 * heard > perSite ? QuorumStatus.MOST : heard > 1 ? QuorumStatus.FEW : QuorumStatus.ALONE;
+                    ? QuorumStatus.FULL
+                    : 2 * heard > perSite ? QuorumStatus.MAJORITY : heard > 1 ? QuorumStatus.MINORITY : QuorumStatus.ISOLATED;
         }
 
         @Override
-        public Duration since() {
+        public Duration statusSince() {
             return Duration.ZERO;
         }
 
@@ -201,12 +201,12 @@
         }
 
         private void look() {
-            routes.settle(clock());
-            for (PeerTableSync.TableMessage each : fellows.look(clock(), others())) {
+            routes.tick(clock());
+            for (PeerTableSync.TableMessage each : fellows.dueQueries(clock(), others())) {
                 say(each);
             }
             if (index < 2) {
-                for (String partner : routes.sites()) {
+                for (String partner : routes.partners()) {
                     long[] last = asked.computeIfAbsent(partner, p -> new long[] {0, -1_000_000, 0});
                     if (now - last[1] >= lease.toMillis() / 5) {
                         last[0]++;
@@ -230,9 +230,9 @@
         }
 
         private void say(PeerTableSync.TableMessage each) {
-            SiteBackend to = site.nodes.get(Integer.parseInt(each.to()));
+            SiteBackend to = site.nodes.get(Integer.parseInt(each.recipient()));
             toFellow(this, to, () -> to.fellows
-                    .said(to.clock(), "" + index, each.number(), each.what())
+                    .receive(to.clock(), "" + index, each.correlationId(), each.text())
                     .forEach(to::say));
         }
 
@@ -255,11 +255,11 @@
 
         private void read(RouteTable table, Duration from) {
             if (routes.offer(clock(), table)) {
-                words.put(table.site(), PeerTableSync.words(table));
+                words.put(table.site(), PeerTableSync.toEntries(table));
             }
-            RoutingTable.TableLease holds = routes.holds(clock(), table.site());
+            RoutingTable.TableLease holds = routes.lease(clock(), table.site());
             if (holds != null && table.equals(routes.latest(table.site()))) {
-                routes.stoodBy(
+                routes.renew(
                         clock(),
                         table.site(),
                         table.incarnation(),
@@ -271,8 +271,8 @@
         }
 
         private void came(VersionedEntry word) {
-            if (fellows.came(clock(), word)) {
-                words.put(word.owner(), PeerTableSync.words(routes.latest(word.owner())));
+            if (fellows.receiveEntry(clock(), word)) {
+                words.put(word.owner(), PeerTableSync.toEntries(routes.latest(word.owner())));
             }
         }
 
@@ -288,8 +288,8 @@
 
         private void attempt(
                 long id, RouteSelector.RoutingClass tariff, String key, Set<String> tried, boolean missing, int times) {
-            boolean effect = tariff.kind() != RouteSelector.RetrySafety.RETRIABLE;
-            if (own.state() == LocalServiceHealth.HealthState.GOOD || own.tries(clock()) || without) {
+            boolean effect = tariff.retrySafety() != RouteSelector.RetrySafety.IDEMPOTENT;
+            if (own.state() == LocalServiceHealth.HealthState.HEALTHY || own.shouldProbe(clock()) || without) {
                 long began = now;
                 boolean lostThen = !site.serviceUp;
                 later(lostThen ? 1 : 5 + chance.nextInt(20), () -> {
@@ -297,21 +297,21 @@
                     if (how == Outcome.OK && effect || how == Outcome.CUT_OFF && effect && chance.nextBoolean()) {
                         audit.effect(now, id, site.name);
                     }
-                    own.ended(clock(), how, Duration.ofMillis(now - began));
+                    own.recordOutcome(clock(), how, Duration.ofMillis(now - began));
                     ended(id, tariff, key, tried, missing, times, how);
                 });
                 return;
             }
-            Optional<RouteSelector.SelectedRoute> way = exits.way(
+            Optional<RouteSelector.SelectedRoute> way = exits.selectRoute(
                     clock(), new RouteSelector.RoutedCall(tariff, "records", key, tried, missing), own.state(), false);
             if (way.isEmpty()) {
                 ended(id, tariff, key, tried, missing, 9, Outcome.UNREACHABLE);
                 return;
             }
-            String route = way.get().route();
+            String route = way.get().routeId();
             List<String> path =
                     List.of(route.substring(route.lastIndexOf('/') + 1).split(">"));
-            tried.add(way.get().place());
+            tried.add(way.get().address());
             Site first = site(path.get(0)), last = site(path.get(path.size() - 1));
             boolean[] over = new boolean[1];
             later(600, () -> {
@@ -351,7 +351,7 @@
                 Outcome how) {
             boolean again = how != Outcome.OK
                     && times < 3
-                    && (how.provesUnrun() || tariff.kind() == RouteSelector.RetrySafety.RETRIABLE || secondWay);
+                    && (how.provesUnrun() || tariff.retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT || secondWay);
             if (again) {
                 attempt(id, tariff, key, tried, missing || !how.provesUnrun(), times + 1);
                 return;
@@ -384,7 +384,7 @@
             this.relations.put(pair, its);
             this.relations.put(
                     pair.substring(pair.indexOf(' ') + 1) + " " + pair.substring(0, pair.indexOf(' ')),
-                    its.seenFromThere());
+                    its.inverse());
         });
         audit = new RouteExportAudit((one, other) -> this.relations.get(one + " " + other), lease.toMillis());
         names.forEach(name -> sites.add(new Site(sites.size(), name)));
@@ -441,11 +441,11 @@
 
     /** Whether a backend has a way for reads. */
     public boolean hasWay(SiteBackend node) {
-        return !node.routes.ways(node.clock(), "reads/records").isEmpty();
+        return !node.routes.candidates(node.clock(), "reads/records").isEmpty();
     }
 
     /** What a backend would decide with, as text. */
     public String merged(SiteBackend node) {
-        return node.routes.merged();
+        return node.routes.describe();
     }
 }
--- a/src/main/java/merlinlever/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/faults/ServeFleet.java
@@ -103,7 +103,7 @@
         }
         hub = new UdpSwitch(loop, links, real, fronts, seed);
         MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
-        on(none -> hub.tap((from, to, octets) -> incarnations.sent(name(from), name(to), wire.read(octets))));
+        on(none -> hub.tap((from, to, octets) -> incarnations.sent(name(from), name(to), wire.decode(octets))));
         Files.createDirectories(root);
         Path secret = root.resolve("secret");
         Files.writeString(secret, SECRET);
--- a/src/main/java/merlinlever/faults/ViewInvariants.java
+++ b/src/main/java/merlinlever/faults/ViewInvariants.java
@@ -19,13 +19,13 @@
     void holds(long now, String name, int place, long before, MembershipView view) {
         MembershipView same = numbered.putIfAbsent(view.number(), view);
         if (same != null && !same.members().equals(view.members())) {
-            breach(now, name + " holds another membership under " + view.told());
+            breach(now, name + " holds another membership under " + view.describe());
         }
         if (view.number() != before) {
             String whose = place + name;
             // A life that holds nothing yet has gone nowhere.
             if (view.number() < highest.getOrDefault(whose, 0L)) {
-                breach(now, name + " went back to " + view.told());
+                breach(now, name + " went back to " + view.describe());
             }
             highest.merge(whose, view.number(), Math::max);
         }
--- a/src/main/java/merlinlever/faults/ViewModel.java
+++ b/src/main/java/merlinlever/faults/ViewModel.java
@@ -61,7 +61,7 @@
             members = new SwimProtocol(
                     at,
                     new MemberTable(name, "g" + place, "-", incarnation),
-                    SwimProtocol.SwimSettings.usual(seeds),
+                    SwimProtocol.SwimSettings.defaults(seeds),
                     chance.split(),
                     line -> {});
             long floor = onDisk[place];
@@ -71,18 +71,18 @@
                     ? null
                     : new ViewManager(
                             at,
-                            ViewSettings.usual(),
-                            members.views(),
+                            ViewSettings.defaults(),
+                            members.memberTable(),
                             terms,
                             ++lives << 30,
                             floor,
                             term -> noted(place, term),
                             chance.split(),
                             line -> log.add(now + " " + name + " " + line));
-            members.hears(LeaderElection.WORDS, (who, number, what) -> say(terms.said(clock(), who, number, what)));
+            members.addTextHandler(LeaderElection.MESSAGE_TYPES, (who, number, what) -> say(terms.receive(clock(), who, number, what)));
             if (sight != null) {
-                members.hears(ViewManager.WORDS, (who, number, what) -> tell(sight.said(clock(), who, number, what)));
-                members.takes((who, body) -> sight.carried(clock(), who, body));
+                members.addTextHandler(ViewManager.MESSAGE_TYPES, (who, number, what) -> tell(sight.receive(clock(), who, number, what)));
+                members.addPayloadHandler((who, body) -> sight.receivePayload(clock(), who, body));
             }
         }
 
@@ -91,33 +91,33 @@
         }
 
         private void say(List<LeaderElection.PeerMessage> all) {
-            all.forEach(each -> members.say(each.to(), each.number(), each.what()));
+            all.forEach(each -> members.sendText(each.recipient(), each.correlationId(), each.text()));
         }
 
         private void tell(List<ViewManager.ViewMessage> all) {
             for (ViewManager.ViewMessage each : all) {
-                if (each.body() != null) {
-                    members.carry(each.to(), each.body());
+                if (each.payload() != null) {
+                    members.sendPayload(each.recipient(), each.payload());
                 } else {
-                    members.say(each.to(), each.number(), each.what());
+                    members.sendText(each.recipient(), each.correlationId(), each.text());
                 }
             }
         }
 
         void look() {
-            say(terms.look(clock()));
+            say(terms.tick(clock()));
             if (sight != null) {
-                tell(sight.look(clock()));
+                tell(sight.tick(clock()));
             }
-            members.settle(clock()).forEach(each -> send(place, each));
+            members.tick(clock()).forEach(each -> send(place, each));
         }
 
         public QuorumStatus standing() {
-            return sight.standing(clock());
+            return sight.status(clock());
         }
 
         public boolean may(GuardedAction act) {
-            return sight.may(clock(), act) == ActionPermissions.Permission.YES;
+            return sight.permission(clock(), act) == ActionPermissions.Permission.ALLOWED;
         }
     }
 
@@ -247,22 +247,22 @@
     // ---- the network
 
     private void send(int from, SwimProtocol.OutboundDatagram sending) {
-        int to = Integer.parseInt(sending.to().substring(1));
+        int to = Integer.parseInt(sending.address().substring(1));
         SwimProtocol.MembershipMessage message = sending.message();
         // As the wire has it; the heads of UDP and IP come on top.
         int size = 32
-                + message.from().length()
-                + message.about().length()
-                + (message.body() == null ? 0 : message.body().length + 4);
-        for (MemberTable.MemberRecord rumour : message.rumours()) {
+                + message.sender().length()
+                + message.text().length()
+                + (message.payload() == null ? 0 : message.payload().length + 4);
+        for (MemberTable.MemberRecord rumour : message.records()) {
             size += 12
                     + rumour.name().length()
-                    + rumour.gossip().length()
-                    + rumour.api().length();
+                    + rumour.gossipAddress().length()
+                    + rumour.apiAddress().length();
         }
         octets += size;
         datagrams++;
-        octetsOfMembers += message.kind().compareTo(SwimProtocol.MessageKind.SAY) < 0 ? size : 0;
+        octetsOfMembers += message.kind().compareTo(SwimProtocol.MessageKind.TEXT) < 0 ? size : 0;
         Datagram datagram = new Datagram(from, to, message);
         if (replays > 0) {
             if (old.size() < 2000) {
@@ -291,7 +291,7 @@
             }
             return;
         }
-        nodes[datagram.to].members.heard(nodes[datagram.to].clock(), "g" + datagram.from, datagram.message);
+        nodes[datagram.to].members.receive(nodes[datagram.to].clock(), "g" + datagram.from, datagram.message);
     }
 
     public void run(long ms) {
@@ -348,7 +348,7 @@
             MembershipView view = node.sight.view();
             audit.holds(now, node.name, node.place, node.number, view);
             node.number = view.number();
-            if (node.terms.leads(node.clock()) && !excused(node.place)) {
+            if (node.terms.isLeader(node.clock()) && !excused(node.place)) {
                 if (leader != null) {
                     audit.breach(now, leader + " and " + node.name + " lead");
                 }
@@ -368,7 +368,7 @@
     /** Who leads, or -1. */
     public int leader() {
         for (int i = 0; i < n; i++) {
-            if (nodes[i] != null && nodes[i].terms.leads(nodes[i].clock())) {
+            if (nodes[i] != null && nodes[i].terms.isLeader(nodes[i].clock())) {
                 return i;
             }
         }
--- a/src/main/java/merlinlever/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/faults/audit/IncarnationAudit.java
@@ -64,10 +64,10 @@
             unread++;
             return;
         }
-        if (!message.from().equals(name)) {
-            breach(name + " sent under the name of " + message.from());
+        if (!message.sender().equals(name)) {
+            breach(name + " sent under the name of " + message.sender());
         }
-        for (MemberTable.MemberRecord rumour : message.rumours()) {
+        for (MemberTable.MemberRecord rumour : message.records()) {
             if (rumour.name().equals(name)) {
                 told(name, to, rumour.incarnation());
             }
--- a/src/main/java/merlinlever/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/faults/audit/RouteExportAudit.java
@@ -112,9 +112,9 @@
             down |= step != Relation.PROVIDER;
         }
         return !its.unreadable()
-                && path.size() <= its.mostSites()
-                && !(its.noFurther() && path.size() > 1)
-                && !(its.retriableOnly() && effect);
+                && path.size() <= its.maxSites()
+                && !(its.noExport() && path.size() > 1)
+                && !(its.idempotentOnly() && effect);
     }
 
     /** An operation has come and is owed an end until then. */
--- a/src/main/java/merlinlever/faults/timeline/MembershipNode.java
+++ b/src/main/java/merlinlever/faults/timeline/MembershipNode.java
@@ -17,9 +17,9 @@
             @Override
             public String of(SwimProtocol.MembershipMessage message) {
                 return switch (message.kind()) {
-                    case ASK_FOR -> "ping " + message.about() + " for me";
+                    case PING_REQUEST -> "ping " + message.text() + " for me";
                     case SYNC -> "all I know";
-                    case SYNC_BACK -> "and all I know";
+                    case SYNC_REPLY -> "and all I know";
                     case NACK -> "no ack";
                     default -> message.kind().wireName();
                 };
@@ -29,7 +29,7 @@
             public Scenario.MessageVisibility show(SwimProtocol.MembershipMessage message) {
                 return List.of(always).contains(message.kind())
                         ? Scenario.MessageVisibility.ALWAYS
-                        : message.kind() == SwimProtocol.MessageKind.ASK_FOR
+                        : message.kind() == SwimProtocol.MessageKind.PING_REQUEST
                                 ? Scenario.MessageVisibility.SAID
                                 : message.kind() == SwimProtocol.MessageKind.PING
                                         ? Scenario.MessageVisibility.EFFECT_OR_LOST
@@ -39,7 +39,7 @@
             @Override
             public String news(SwimProtocol.MembershipMessage message, Map<String, String> believed) {
                 List<String> news = new ArrayList<>();
-                for (MemberTable.MemberRecord rumour : message.rumours()) {
+                for (MemberTable.MemberRecord rumour : message.records()) {
                     // Of the hearer itself, what is not so; of others, what it did not know.
                     if (believed.containsKey(rumour.name())
                             ? !told(rumour).equals(believed.get(rumour.name())) && !mine(rumour, believed)
@@ -64,7 +64,7 @@
         members = new SwimProtocol(
                 born.now(),
                 new MemberTable(name, born.node(), "api-" + born.node(), 0),
-                SwimProtocol.SwimSettings.usual(seeds),
+                SwimProtocol.SwimSettings.defaults(seeds),
                 born.chance(),
                 line -> {});
     }
@@ -77,21 +77,21 @@
     static String told(MemberTable.MemberRecord rumour) {
         return rumour.name() + " " + rumour.status().wireName()
                 + (rumour.incarnation() == 0 ? "" : "/" + rumour.incarnation())
-                + (rumour.gossip().equals(rumour.name()) ? "" : " at " + rumour.gossip());
+                + (rumour.gossipAddress().equals(rumour.name()) ? "" : " at " + rumour.gossipAddress());
     }
 
     @Override
     public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> look(Duration now) {
         List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> out = new ArrayList<>();
-        members.settle(now)
-                .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.to(), sending.message())));
+        members.tick(now)
+                .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.address(), sending.message())));
         return out;
     }
 
     @Override
     public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> heard(
             Duration now, String from, SwimProtocol.MembershipMessage message) {
-        members.heard(now, from, message);
+        members.receive(now, from, message);
         // What it answers it says when it is looked at, in the same moment; what its own time brings is not the other's
         // doing.
         return List.of();
@@ -100,8 +100,8 @@
     @Override
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
-        for (MemberTable.MemberRecord rumour : members.views().all()) {
-            if (!rumour.name().equals(members.views().self())) {
+        for (MemberTable.MemberRecord rumour : members.memberTable().all()) {
+            if (!rumour.name().equals(members.memberTable().self())) {
                 all.put(rumour.name(), told(rumour));
             } else if (rumour.incarnation() > 0) {
                 all.put(rumour.name(), "I am alive/" + rumour.incarnation());
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -93,7 +93,7 @@
     }
 
     boolean leads(Duration now) {
-        return terms.leads(now);
+        return terms.isLeader(now);
     }
 
     long share(Duration now) {
@@ -102,13 +102,13 @@
 
     private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<LeaderElection.PeerMessage> said) {
         return said.stream()
-                .map(say -> new Scenario.AddressedMessage<>(say.to(), new QuotaMessage(say.number(), say.what())))
+                .map(say -> new Scenario.AddressedMessage<>(say.recipient(), new QuotaMessage(say.correlationId(), say.text())))
                 .toList();
     }
 
     @Override
     public List<Scenario.AddressedMessage<QuotaMessage>> look(Duration now) {
-        List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.look(now)));
+        List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.tick(now)));
         out.addAll(out(sharing.look(now)));
         return out;
     }
@@ -116,8 +116,8 @@
     @Override
     public List<Scenario.AddressedMessage<QuotaMessage>> heard(Duration now, String from, QuotaMessage word) {
         return out(
-                LeaderElection.WORDS.contains(word.what.split("/")[0])
-                        ? terms.said(now, from, word.number, word.what)
+                LeaderElection.MESSAGE_TYPES.contains(word.what.split("/")[0])
+                        ? terms.receive(now, from, word.number, word.what)
                         : sharing.said(now, from, word.number, word.what));
     }
 
@@ -129,7 +129,7 @@
                 "leader",
                 leader == null
                         ? "nobody leads"
-                        : terms.leads(now)
+                        : terms.isLeader(now)
                                 ? "I lead, term " + leader.term()
                                 : leader.name() + " leads, term " + leader.term());
         Matcher out = OUT.matcher(sharing.json(now));
--- a/src/main/java/merlinlever/faults/timeline/RoutesNode.java
+++ b/src/main/java/merlinlever/faults/timeline/RoutesNode.java
@@ -71,8 +71,8 @@
                 new RoutingPolicy(self),
                 stated,
                 0.01,
-                FlapDamping.FlapDampingSettings.PUBLISHED,
-                new FixedFleetView(now -> QuorumStatus.WHOLE),
+                FlapDamping.FlapDampingSettings.RECOMMENDED,
+                new FixedFleetView(now -> QuorumStatus.FULL),
                 born.notes());
     }
 
@@ -82,7 +82,7 @@
 
     @Override
     public List<Scenario.AddressedMessage<RouteMessage>> look(Duration now) {
-        routes.settle(now);
+        routes.tick(now);
         List<Scenario.AddressedMessage<RouteMessage>> out = new ArrayList<>();
         if (now.compareTo(next) >= 0) {
             next = now.plusSeconds(1);
@@ -103,7 +103,7 @@
         }
         if (asked.get(from) != null && asked.get(from).number == word.number) {
             routes.offer(now, word.table);
-            routes.stoodBy(
+            routes.renew(
                     now,
                     from,
                     word.table.incarnation(),
@@ -118,8 +118,8 @@
     private RouteTable table(Duration now, String to) {
         List<Route> all = new ArrayList<>(routes.export(now, to, own, self + ":1", 10, 1));
         if (careless) {
-            routes.ways(now, RoutesScenarios.KEY).stream()
-                    .filter(way -> !way.from().equals(to))
+            routes.candidates(now, RoutesScenarios.KEY).stream()
+                    .filter(way -> !way.partner().equals(to))
                     .forEach(way -> all.add(passed(way.route())));
         }
         RouteTable before = said.get(to);
@@ -127,7 +127,7 @@
                 self,
                 1,
                 before == null ? 1 : before.sequence() + 1,
-                partners.get(to).seenFromThere(),
+                partners.get(to).inverse(),
                 LEASE,
                 all);
         if (before == null || !before.routes().equals(present.routes())) {
@@ -140,14 +140,14 @@
         List<String> path = new ArrayList<>(List.of(self));
         path.addAll(route.path());
         return new Route(
-                route.tariff(),
+                route.priorityClass(),
                 route.group(),
                 self + ":1",
-                route.calls(),
+                route.callsPerSecond(),
                 route.cost() + 1,
-                route.binding(),
+                route.allowsNonIdempotent(),
                 path,
-                route.downFrom(),
+                route.onlyToCustomerSite(),
                 route.restrictions());
     }
 
@@ -155,10 +155,10 @@
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
         List<String> ways = new ArrayList<>();
-        for (RouteMerger.Candidate way : routes.ways(now, RoutesScenarios.KEY)) {
+        for (RouteMerger.Candidate way : routes.candidates(now, RoutesScenarios.KEY)) {
             ways.add(String.join(" ", way.route().path())
-                    + (way.route().restrictions().noFurther() ? ", not to be passed on" : "")
-                    + (routes.stale(now, way.from()) ? ", used last" : ""));
+                    + (way.route().restrictions().noExport() ? ", not to be passed on" : "")
+                    + (routes.isStale(now, way.partner()) ? ", used last" : ""));
         }
         all.put("ways", ways.isEmpty() ? "no way" : "by " + String.join("; by ", ways));
         return all;
--- a/src/main/java/merlinlever/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewNode.java
@@ -29,21 +29,21 @@
     static final Scenario.MessageDescriber<SwimProtocol.MembershipMessage> WORDS = new Scenario.MessageDescriber<>() {
         @Override
         public String of(SwimProtocol.MembershipMessage message) {
-            if (message.kind() == SwimProtocol.MessageKind.CARRY) {
-                return body(new String(message.body(), StandardCharsets.US_ASCII).split("\n"));
+            if (message.kind() == SwimProtocol.MessageKind.PAYLOAD) {
+                return body(new String(message.payload(), StandardCharsets.US_ASCII).split("\n"));
             }
-            return message.kind() == SwimProtocol.MessageKind.SAY
-                            && LeaderElection.WORDS.contains(message.about().split("/")[0])
-                    ? QuotaNode.WORDS.of(new QuotaNode.QuotaMessage(message.number(), message.about()))
-                    : message.about();
+            return message.kind() == SwimProtocol.MessageKind.TEXT
+                            && LeaderElection.MESSAGE_TYPES.contains(message.text().split("/")[0])
+                    ? QuotaNode.WORDS.of(new QuotaNode.QuotaMessage(message.correlationId(), message.text()))
+                    : message.text();
         }
 
         @Override
         public Scenario.MessageVisibility show(SwimProtocol.MembershipMessage message) {
-            return message.kind() == SwimProtocol.MessageKind.CARRY
+            return message.kind() == SwimProtocol.MessageKind.PAYLOAD
                     ? Scenario.MessageVisibility.EFFECT_OR_LOST
-                    : message.kind() == SwimProtocol.MessageKind.SAY
-                                    && message.about().matches("[VP]/.*")
+                    : message.kind() == SwimProtocol.MessageKind.TEXT
+                                    && message.text().matches("[VP]/.*")
                             ? Scenario.MessageVisibility.EFFECT
                             : Scenario.MessageVisibility.NEVER;
         }
@@ -61,7 +61,7 @@
         members = new SwimProtocol(
                 now,
                 new MemberTable(name, born.node(), "-", born.life() - 1),
-                SwimProtocol.SwimSettings.usual(voters),
+                SwimProtocol.SwimSettings.defaults(voters),
                 born.chance().split(),
                 line -> {});
         terms = new LeaderElection(
@@ -76,17 +76,17 @@
                 line -> {});
         sight = new ViewManager(
                 now,
-                ViewSettings.usual(),
-                members.views(),
+                ViewSettings.defaults(),
+                members.memberTable(),
                 terms,
                 (long) born.life() << 30,
                 floor,
                 term -> noted(disk, born.node(), term),
                 born.chance().split(),
                 line -> {});
-        members.hears(LeaderElection.WORDS, (who, number, what) -> say(terms.said(now, who, number, what)));
-        members.hears(ViewManager.WORDS, (who, number, what) -> tell(sight.said(now, who, number, what)));
-        members.takes((who, body) -> sight.carried(now, who, body));
+        members.addTextHandler(LeaderElection.MESSAGE_TYPES, (who, number, what) -> say(terms.receive(now, who, number, what)));
+        members.addTextHandler(ViewManager.MESSAGE_TYPES, (who, number, what) -> tell(sight.receive(now, who, number, what)));
+        members.addPayloadHandler((who, body) -> sight.receivePayload(now, who, body));
     }
 
     private static boolean noted(SimulatedDisk disk, String node, long term) {
@@ -110,15 +110,15 @@
     }
 
     private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> members.say(each.to(), each.number(), each.what()));
+        all.forEach(each -> members.sendText(each.recipient(), each.correlationId(), each.text()));
     }
 
     private void tell(List<ViewManager.ViewMessage> all) {
         for (ViewManager.ViewMessage each : all) {
-            if (each.body() != null) {
-                members.carry(each.to(), each.body());
+            if (each.payload() != null) {
+                members.sendPayload(each.recipient(), each.payload());
             } else {
-                members.say(each.to(), each.number(), each.what());
+                members.sendText(each.recipient(), each.correlationId(), each.text());
             }
         }
     }
@@ -128,11 +128,11 @@
     }
 
     boolean may(Duration at, GuardedAction act) {
-        return sight.may(at, act) == ActionPermissions.Permission.YES;
+        return sight.permission(at, act) == ActionPermissions.Permission.ALLOWED;
     }
 
     boolean leads(Duration at) {
-        return terms.leads(at);
+        return terms.isLeader(at);
     }
 
     @Override
@@ -141,11 +141,11 @@
         List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> out = new ArrayList<>();
         // As often as in a process, but at its own steps.
         if (at.toMillis() % 50 == 0) {
-            say(terms.look(now));
-            tell(sight.look(now));
+            say(terms.tick(now));
+            tell(sight.tick(now));
         }
-        members.settle(now)
-                .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.to(), sending.message())));
+        members.tick(now)
+                .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.address(), sending.message())));
         return out;
     }
 
@@ -153,7 +153,7 @@
     public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> heard(
             Duration at, String from, SwimProtocol.MembershipMessage message) {
         now = at;
-        members.heard(now, from, message);
+        members.receive(now, from, message);
         return List.of();
     }
 
@@ -161,14 +161,14 @@
     public Map<String, String> believes(Duration at) {
         Map<String, String> all = new LinkedHashMap<>();
         Leadership.Leader leader = terms.leader(at);
-        all.put("standing", sight.standing(at).wireName().toUpperCase(java.util.Locale.ROOT));
+        all.put("standing", sight.status(at).wireName().toUpperCase(java.util.Locale.ROOT));
         all.put(
                 "view",
                 sight.view().number() == 0
                         ? "no view"
                         : "view " + place(sight.view().number()) + ": "
                                 + String.join(" ", sight.view().members()));
-        all.put("leader", terms.leads(at) ? "I lead, term " + leader.term() : "");
+        all.put("leader", terms.isLeader(at) ? "I lead, term " + leader.term() : "");
         return all;
     }
 }
--- a/src/main/java/merlinlever/host/front/HostApiServer.java
+++ b/src/main/java/merlinlever/host/front/HostApiServer.java
@@ -166,7 +166,7 @@
         for (PeerAgents.PeerAgent known : neighbours == null ? List.<PeerAgents.PeerAgent>of() : neighbours.all()) {
             ObjectNode one = agents.addObject()
                     .put("host", known.agent().name())
-                    .put("api", known.agent().api())
+                    .put("api", known.agent().apiAddress())
                     .put("status", known.agent().status().wireName())
                     .put("status_ms", known.changedAgo().toMillis());
             if (known.report() != null) {
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -50,11 +50,11 @@
             return;
         }
         Duration now = loop.clock().now();
-        for (MemberTable.MemberRecord agent : members.views().all()) {
+        for (MemberTable.MemberRecord agent : members.memberTable().all()) {
             CachedReport report = reports.get(agent.name());
             boolean gone =
                     agent.status() == MemberTable.MemberStatus.DEAD || agent.status() == MemberTable.MemberStatus.LEFT;
-            if (!agent.name().equals(members.views().self())
+            if (!agent.name().equals(members.memberTable().self())
                     && !gone
                     && (report == null || now.minus(report.at).compareTo(FRESH) > 0)) {
                 toAsk.add(agent);
@@ -66,7 +66,7 @@
     private void next() {
         while (open < AT_ONCE && !toAsk.isEmpty()) {
             MemberTable.MemberRecord agent = toAsk.remove(toAsk.size() - 1);
-            InetSocketAddress address = MembershipTransport.address(agent.api());
+            InetSocketAddress address = MembershipTransport.parseAddress(agent.apiAddress());
             if (address == null) {
                 continue;
             }
@@ -91,12 +91,12 @@
     public List<PeerAgent> all() {
         Duration now = loop.clock().now();
         List<PeerAgent> all = new ArrayList<>();
-        for (MemberTable.MemberRecord agent : members.views().all()) {
-            if (!agent.name().equals(members.views().self())) {
+        for (MemberTable.MemberRecord agent : members.memberTable().all()) {
+            if (!agent.name().equals(members.memberTable().self())) {
                 CachedReport report = reports.get(agent.name());
                 all.add(new PeerAgent(
                         agent,
-                        members.changedAgo(now, agent.name()),
+                        members.timeSinceChange(now, agent.name()),
                         report == null ? null : report.body,
                         report == null ? null : now.minus(report.at)));
             }
--- a/src/main/java/merlinlever/measure/RoutesMeasurement.java
+++ b/src/main/java/merlinlever/measure/RoutesMeasurement.java
@@ -108,15 +108,15 @@
             RouteMerger lived = new RouteMerger(new RoutingPolicy("me"));
             Runnable rebuild = () -> {
                 RouteMerger fresh = new RouteMerger(new RoutingPolicy("me"));
-                tables.forEach(its -> fresh.put(its.site(), Relation.PEER, its, RouteMerger.NOBODY));
+                tables.forEach(its -> fresh.replaceTable(its.site(), Relation.PEER, its, RouteMerger.NO_LISTENER));
             };
             timed(runs, rebuild);
             double whole = timed(runs, rebuild);
-            tables.forEach(its -> lived.put(its.site(), Relation.PEER, its, RouteMerger.NOBODY));
+            tables.forEach(its -> lived.replaceTable(its.site(), Relation.PEER, its, RouteMerger.NO_LISTENER));
             boolean[] turn = new boolean[1];
             Runnable change = () -> {
                 turn[0] ^= true;
-                lived.put("p3", Relation.PEER, turn[0] ? one : other, RouteMerger.NOBODY);
+                lived.replaceTable("p3", Relation.PEER, turn[0] ? one : other, RouteMerger.NO_LISTENER);
             };
             timed(runs, change);
             double changed = timed(runs, change);
@@ -124,8 +124,8 @@
             double rebuilt = timed(runs, rebuild);
             double[] withdrawn = new double[9];
             for (int i = 0; i < withdrawn.length; i++) {
-                lived.put("p3", Relation.PEER, one, RouteMerger.NOBODY);
-                withdrawn[i] = timed(1, () -> lived.put("p3", Relation.PEER, none, RouteMerger.NOBODY));
+                lived.replaceTable("p3", Relation.PEER, one, RouteMerger.NO_LISTENER);
+                withdrawn[i] = timed(1, () -> lived.replaceTable("p3", Relation.PEER, none, RouteMerger.NO_LISTENER));
             }
             table.row(all, whole, changed, rebuilt, rebuilt / changed, middle(withdrawn));
         }
--- a/src/main/java/merlinlever/measure/ViewMeasurement.java
+++ b/src/main/java/merlinlever/measure/ViewMeasurement.java
@@ -58,9 +58,9 @@
             if (!model.runs(i)) {
                 continue;
             }
-            MemberTable views = model.nodes[i].members.views();
+            MemberTable views = model.nodes[i].members.memberTable();
             for (int k = 0; k < model.n; k++) {
-                MemberTable.MemberRecord known = views.of(ViewModel.name(k));
+                MemberTable.MemberRecord known = views.find(ViewModel.name(k));
                 boolean here = known != null && known.status().compareTo(MemberTable.MemberStatus.DEAD) < 0;
                 if (here != running.contains(ViewModel.name(k))) {
                     return false;
@@ -274,7 +274,7 @@
                 String name = ViewModel.name(k);
                 if (alone) {
                     MemberTable.MemberRecord known =
-                            model.nodes[i].members.views().of(name);
+                            model.nodes[i].members.memberTable().find(name);
                     if (known != null && known.status() == MemberTable.MemberStatus.DEAD) {
                         now.add(name);
                     }
--- a/src/main/java/merlinlever/membership/GossipQueue.java
+++ b/src/main/java/merlinlever/membership/GossipQueue.java
@@ -11,48 +11,48 @@
 final class GossipQueue {
 
     /** On one message at the most. */
-    private static final int MOST = 12;
+    private static final int MAX_RECORDS_PER_MESSAGE = 12;
 
-    private static final int TELL = 3;
+    private static final int RETRANSMIT_MULTIPLIER = 3;
 
-    private final MemberTable views;
-    private final Map<String, Integer> telling = new LinkedHashMap<>();
+    private final MemberTable memberTable;
+    private final Map<String, Integer> transmissions = new LinkedHashMap<>();
     private final Map<String, Duration> changedAt = new HashMap<>();
 
-    GossipQueue(MemberTable views) {
-        this.views = views;
+    GossipQueue(MemberTable memberTable) {
+        this.memberTable = memberTable;
     }
 
-    void begin(Duration now, String name) {
-        telling.remove(name);
-        telling.put(name, 0);
+    void enqueue(Duration now, String name) {
+        transmissions.remove(name);
+        transmissions.put(name, 0);
         changedAt.put(name, now);
     }
 
-    void forget(String name) {
-        telling.remove(name);
+    void remove(String name) {
+        transmissions.remove(name);
         changedAt.remove(name);
     }
 
-    Duration changedAgo(Duration now, String name) {
+    Duration timeSinceChange(Duration now, String name) {
         Duration at = changedAt.get(name);
         return at == null ? Duration.ZERO : now.minus(at);
     }
 
-    private int logarithm() {
-        return Math.max(1, (int) Math.ceil(Math.log(views.size() + 1) / Math.log(2)));
+    private int logOfMembers() {
+        return Math.max(1, (int) Math.ceil(Math.log(memberTable.size() + 1) / Math.log(2)));
     }
 
-    List<MemberTable.MemberRecord> next() {
-        List<String> names = new ArrayList<>(telling.keySet());
-        names.sort((a, b) -> Integer.compare(telling.get(a), telling.get(b)));
-        List<MemberTable.MemberRecord> rumours = new ArrayList<>();
-        for (String name : names.subList(0, Math.min(MOST, names.size()))) {
-            rumours.add(views.of(name));
-            if (telling.merge(name, 1, Integer::sum) >= TELL * logarithm()) {
-                telling.remove(name);
+    List<MemberTable.MemberRecord> nextBatch() {
+        List<String> names = new ArrayList<>(transmissions.keySet());
+        names.sort((a, b) -> Integer.compare(transmissions.get(a), transmissions.get(b)));
+        List<MemberTable.MemberRecord> batch = new ArrayList<>();
+        for (String name : names.subList(0, Math.min(MAX_RECORDS_PER_MESSAGE, names.size()))) {
+            batch.add(memberTable.find(name));
+            if (transmissions.merge(name, 1, Integer::sum) >= RETRANSMIT_MULTIPLIER * logOfMembers()) {
+                transmissions.remove(name);
             }
         }
-        return rumours;
+        return batch;
     }
 }
--- a/src/main/java/merlinlever/membership/MemberTable.java
+++ b/src/main/java/merlinlever/membership/MemberTable.java
@@ -34,26 +34,26 @@
     /**
      * What is told of an agent.
      *
-     * @param gossip where it takes these datagrams
-     * @param api where it takes commands
+     * @param gossipAddress where it takes these datagrams
+     * @param apiAddress where it takes commands
      */
-    public record MemberRecord(String name, String gossip, String api, MemberStatus status, long incarnation) {}
+    public record MemberRecord(String name, String gossipAddress, String apiAddress, MemberStatus status, long incarnation) {}
 
     private final String self;
-    private final Map<String, MemberRecord> all = new TreeMap<>();
-    private boolean left;
-    private long rivals;
+    private final Map<String, MemberRecord> records = new TreeMap<>();
+    private boolean hasLeft;
+    private long addressConflicts;
 
     public MemberTable(String self, String gossip, String api, long incarnation) {
         this.self = self;
-        all.put(self, new MemberRecord(self, gossip, api, MemberStatus.ALIVE, incarnation));
+        records.put(self, new MemberRecord(self, gossip, api, MemberStatus.ALIVE, incarnation));
     }
 
     private MemberTable(MemberTable other) {
         self = other.self;
-        all.putAll(other.all);
-        left = other.left;
-        rivals = other.rivals;
+        records.putAll(other.records);
+        hasLeft = other.hasLeft;
+        addressConflicts = other.addressConflicts;
     }
 
     /** The same beliefs, going on for themselves. */
@@ -65,89 +65,89 @@
         return self;
     }
 
-    public MemberRecord of(String name) {
-        return all.get(name);
+    public MemberRecord find(String name) {
+        return records.get(name);
     }
 
     /** In the order of the names. */
     public List<MemberRecord> all() {
-        return new ArrayList<>(all.values());
+        return new ArrayList<>(records.values());
     }
 
     public int size() {
-        return all.size();
+        return records.size();
     }
 
     /** Whether the one says more than the other of the same agent. */
-    public static boolean overrides(MemberRecord made, MemberRecord known) {
-        return made.incarnation != known.incarnation
-                ? made.incarnation > known.incarnation
-                : made.status.compareTo(known.status) > 0;
+    public static boolean supersedes(MemberRecord update, MemberRecord current) {
+        return update.incarnation != current.incarnation
+                ? update.incarnation > current.incarnation
+                : update.status.compareTo(current.status) > 0;
     }
 
     /** Takes a rumour in; returns what is new to be told on, or null where it says nothing new. */
-    public MemberRecord heard(MemberRecord rumour) {
-        if (rumour.name.equals(self)) {
-            MemberRecord mine = all.get(self);
+    public MemberRecord merge(MemberRecord update) {
+        if (update.name.equals(self)) {
+            MemberRecord own = records.get(self);
             // Two lives that happen to be told under the same incarnation must not pass for one.
-            boolean elsewhere = rumour.status == MemberStatus.ALIVE
-                    && !rumour.gossip.equals(mine.gossip)
-                    && rumour.incarnation >= mine.incarnation;
-            if (left || !elsewhere && !overrides(rumour, mine)) {
+            boolean elsewhere = update.status == MemberStatus.ALIVE
+                    && !update.gossipAddress.equals(own.gossipAddress)
+                    && update.incarnation >= own.incarnation;
+            if (hasLeft || !elsewhere && !supersedes(update, own)) {
                 return null;
             }
-            rivals += elsewhere ? 1 : 0;
+            addressConflicts += elsewhere ? 1 : 0;
             // It is said of this one what is not so, or was so of its life before: a higher incarnation says better.
-            MemberRecord better =
-                    new MemberRecord(self, mine.gossip, mine.api, MemberStatus.ALIVE, rumour.incarnation + 1);
-            all.put(self, better);
-            return better;
+            MemberRecord refutation =
+                    new MemberRecord(self, own.gossipAddress, own.apiAddress, MemberStatus.ALIVE, update.incarnation + 1);
+            records.put(self, refutation);
+            return refutation;
         }
-        MemberRecord known = all.get(rumour.name);
-        if (known != null && !overrides(rumour, known)) {
+        MemberRecord current = records.get(update.name);
+        if (current != null && !supersedes(update, current)) {
             return null;
         }
-        all.put(rumour.name, rumour);
-        return rumour;
+        records.put(update.name, update);
+        return update;
     }
 
     /**
      * How often it was heard that this one lives elsewhere, as far on or further. Once may be its life before; more
      * often there is another that answers what this one says.
      */
-    public long rivals() {
-        return rivals;
+    public long addressConflicts() {
+        return addressConflicts;
     }
 
     /** This one found no life in the other: it is suspected, unless more is known already. */
-    public MemberRecord suspect(String name) {
-        return against(name, MemberStatus.SUSPECT);
+    public MemberRecord markSuspect(String name) {
+        return downgrade(name, MemberStatus.SUSPECT);
     }
 
     /** The suspicion was not refuted in time. */
-    public MemberRecord dead(String name) {
-        MemberRecord known = all.get(name);
-        return known != null && known.status == MemberStatus.SUSPECT ? against(name, MemberStatus.DEAD) : null;
+    public MemberRecord markDead(String name) {
+        MemberRecord current = records.get(name);
+        return current != null && current.status == MemberStatus.SUSPECT ? downgrade(name, MemberStatus.DEAD) : null;
     }
 
-    private MemberRecord against(String name, MemberStatus status) {
-        MemberRecord known = all.get(name);
-        return known == null || name.equals(self)
+    private MemberRecord downgrade(String name, MemberStatus status) {
+        MemberRecord current = records.get(name);
+        return current == null || name.equals(self)
                 ? null
-                : heard(new MemberRecord(name, known.gossip, known.api, status, known.incarnation));
+                : merge(new MemberRecord(name, current.gossipAddress, current.apiAddress, status, current.incarnation));
     }
 
     /** This one goes, in good order. */
-    public MemberRecord leave() {
-        left = true;
-        MemberRecord mine = all.get(self);
-        MemberRecord gone = new MemberRecord(self, mine.gossip, mine.api, MemberStatus.LEFT, mine.incarnation);
-        all.put(self, gone);
-        return gone;
+    public MemberRecord markSelfLeft() {
+        hasLeft = true;
+        MemberRecord own = records.get(self);
+        MemberRecord departed = new MemberRecord(self, own.gossipAddress, own.apiAddress, MemberStatus.LEFT, own.incarnation);
+        records.put(self, departed);
+        return departed;
     }
 
     /** Lets go of one that is gone for good, as far as its user is concerned. */
-    void forget(String name) {
-        all.remove(name);
+    void remove(String name) {
+        records.remove(name);
     }
 }
--- a/src/main/java/merlinlever/membership/MembershipCodec.java
+++ b/src/main/java/merlinlever/membership/MembershipCodec.java
@@ -21,12 +21,12 @@
 public final class MembershipCodec {
 
     /** Octets at the most. */
-    public static final int MOST = 60_000;
+    public static final int MAX_DATAGRAM_BYTES = 60_000;
 
-    private static final short MARK = 0x4d4c;
+    private static final short MAGIC = 0x4d4c;
     private static final byte VERSION = 1;
-    private static final int MAC = 16;
-    private static final int MOST_TEXT = 120;
+    private static final int MAC_BYTES = 16;
+    private static final int MAX_TEXT_BYTES = 120;
 
     private final SecretKeySpec secret;
 
@@ -34,94 +34,94 @@
         this.secret = new SecretKeySpec(secret, "HmacSHA256");
     }
 
-    private byte[] mac(byte[] octets, int length) {
+    private byte[] mac(byte[] bytes, int length) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(secret);
-            mac.update(octets, 0, length);
-            return Arrays.copyOf(mac.doFinal(), MAC);
+            mac.update(bytes, 0, length);
+            return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void put(ByteBuffer out, String text) {
-        byte[] octets = text.getBytes(StandardCharsets.US_ASCII);
-        out.put((byte) octets.length).put(octets);
+    private static void putText(ByteBuffer out, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
+        out.put((byte) bytes.length).put(bytes);
     }
 
     /** Rumours that do not fit are left out; others bring them. */
-    public byte[] write(SwimProtocol.MembershipMessage message) {
-        ByteBuffer out = ByteBuffer.allocate(MOST);
-        out.putShort(MARK).put(VERSION).put((byte) message.kind().ordinal());
-        put(out, message.from());
-        out.putLong(message.number());
-        put(out, message.about());
+    public byte[] encode(SwimProtocol.MembershipMessage message) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+        out.putShort(MAGIC).put(VERSION).put((byte) message.kind().ordinal());
+        putText(out, message.sender());
+        out.putLong(message.correlationId());
+        putText(out, message.text());
         int countAt = out.position();
         out.putShort((short) 0);
         int count = 0;
-        for (MemberTable.MemberRecord rumour : message.rumours()) {
-            if (out.remaining() < 4 * MOST_TEXT + MAC) {
+        for (MemberTable.MemberRecord rumour : message.records()) {
+            if (out.remaining() < 4 * MAX_TEXT_BYTES + MAC_BYTES) {
                 break;
             }
-            put(out, rumour.name());
-            put(out, rumour.gossip());
-            put(out, rumour.api());
+            putText(out, rumour.name());
+            putText(out, rumour.gossipAddress());
+            putText(out, rumour.apiAddress());
             out.put((byte) rumour.status().ordinal()).putLong(rumour.incarnation());
             count++;
         }
         out.putShort(countAt, (short) count);
-        if (message.kind() == SwimProtocol.MessageKind.CARRY) {
-            out.putInt(message.body().length).put(message.body());
+        if (message.kind() == SwimProtocol.MessageKind.PAYLOAD) {
+            out.putInt(message.payload().length).put(message.payload());
         }
-        byte[] octets = Arrays.copyOf(out.array(), out.position() + MAC);
-        System.arraycopy(mac(octets, out.position()), 0, octets, out.position(), MAC);
-        return octets;
+        byte[] bytes = Arrays.copyOf(out.array(), out.position() + MAC_BYTES);
+        System.arraycopy(mac(bytes, out.position()), 0, bytes, out.position(), MAC_BYTES);
+        return bytes;
     }
 
-    private static String text(ByteBuffer in) {
+    private static String getText(ByteBuffer in) {
         int length = in.get();
-        if (length < 0 || length > MOST_TEXT) {
+        if (length < 0 || length > MAX_TEXT_BYTES) {
             throw new IllegalArgumentException("a text of " + length + " octets");
         }
-        byte[] octets = new byte[length];
-        in.get(octets);
-        for (byte octet : octets) {
-            if (octet <= ' ' || octet > '~') {
+        byte[] bytes = new byte[length];
+        in.get(bytes);
+        for (byte character : bytes) {
+            if (character <= ' ' || character > '~') {
                 throw new IllegalArgumentException("not printable");
             }
         }
-        return new String(octets, StandardCharsets.US_ASCII);
+        return new String(bytes, StandardCharsets.US_ASCII);
     }
 
     /** The message, or null where this is none of ours. */
-    public SwimProtocol.MembershipMessage read(byte[] octets) {
-        int end = octets.length - MAC;
+    public SwimProtocol.MembershipMessage decode(byte[] bytes) {
+        int end = bytes.length - MAC_BYTES;
         if (end < 4
-                || octets.length > MOST
-                || !MessageDigest.isEqual(mac(octets, end), Arrays.copyOfRange(octets, end, octets.length))) {
+                || bytes.length > MAX_DATAGRAM_BYTES
+                || !MessageDigest.isEqual(mac(bytes, end), Arrays.copyOfRange(bytes, end, bytes.length))) {
             return null;
         }
         try {
-            ByteBuffer in = ByteBuffer.wrap(octets, 0, end);
-            if (in.getShort() != MARK || in.get() != VERSION) {
+            ByteBuffer in = ByteBuffer.wrap(bytes, 0, end);
+            if (in.getShort() != MAGIC || in.get() != VERSION) {
                 return null;
             }
             SwimProtocol.MessageKind kind = SwimProtocol.MessageKind.values()[in.get()];
-            String from = text(in);
+            String from = getText(in);
             long number = in.getLong();
-            String about = text(in);
+            String about = getText(in);
             int count = in.getShort() & 0xffff;
             List<MemberTable.MemberRecord> rumours = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                String name = text(in);
-                String gossip = text(in);
-                String api = text(in);
+                String name = getText(in);
+                String gossip = getText(in);
+                String api = getText(in);
                 rumours.add(new MemberTable.MemberRecord(
                         name, gossip, api, MemberTable.MemberStatus.values()[in.get()], in.getLong()));
             }
             byte[] body = null;
-            if (kind == SwimProtocol.MessageKind.CARRY) {
+            if (kind == SwimProtocol.MessageKind.PAYLOAD) {
                 int length = in.getInt();
                 if (length < 0 || length > in.remaining()) {
                     return null;
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -12,74 +12,74 @@
 /** The members on datagrams. */
 public final class MembershipTransport {
 
-    private static final Duration LOOK = Duration.ofMillis(50);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
     private final EventLoop loop;
-    private final SwimProtocol members;
-    private final MembershipCodec wire;
+    private final SwimProtocol protocol;
+    private final MembershipCodec codec;
     private final DatagramEndpoint datagrams;
-    private final LongPredicate mayTell;
-    private long strange;
+    private final LongPredicate mayAnnounce;
+    private long rejectedDatagrams;
 
-    /** @param mayTell whether this incarnation of its own may be told to others: not before it is on disk, where one is kept */
+    /** @param mayAnnounce whether this incarnation of its own may be told to others: not before it is on disk, where one is kept */
     public MembershipTransport(
             EventLoop loop,
             DatagramEndpoint datagrams,
-            SwimProtocol members,
-            MembershipCodec wire,
-            LongPredicate mayTell) {
-        this.mayTell = mayTell;
+            SwimProtocol protocol,
+            MembershipCodec codec,
+            LongPredicate mayAnnounce) {
+        this.mayAnnounce = mayAnnounce;
         this.loop = loop;
         this.datagrams = datagrams;
-        this.members = members;
-        this.wire = wire;
-        loop.every(LOOK, this::settle);
+        this.protocol = protocol;
+        this.codec = codec;
+        loop.every(TICK_INTERVAL, this::flush);
     }
 
     /** A datagram came. */
-    public void came(byte[] octets, InetSocketAddress from) {
-        SwimProtocol.MembershipMessage message = wire.read(octets);
+    public void receive(byte[] bytes, InetSocketAddress from) {
+        SwimProtocol.MembershipMessage message = codec.decode(bytes);
         if (message == null) {
-            strange++;
+            rejectedDatagrams++;
             return;
         }
         // Since the process began: the other time may be set once more.
-        members.heard(loop.clock().uptime(), text(from), message);
-        settle();
+        protocol.receive(loop.clock().uptime(), formatAddress(from), message);
+        flush();
     }
 
     /** Datagrams that were not ours. */
-    public long strange() {
-        return strange;
+    public long rejectedDatagrams() {
+        return rejectedDatagrams;
     }
 
     /** Sends what is to be sent now. */
-    public void settle() {
+    public void flush() {
         List<SwimProtocol.OutboundDatagram> sendings =
-                members.settle(loop.clock().uptime());
-        if (!mayTell.test(members.views().of(members.views().self()).incarnation())) {
+                protocol.tick(loop.clock().uptime());
+        if (!mayAnnounce.test(protocol.memberTable().find(protocol.memberTable().self()).incarnation())) {
             // Lost, as any datagram may be.
             return;
         }
         for (SwimProtocol.OutboundDatagram sending : sendings) {
-            InetSocketAddress to = address(sending.to());
+            InetSocketAddress to = parseAddress(sending.address());
             if (to != null) {
-                datagrams.send(wire.write(sending.message()), to);
+                datagrams.send(codec.encode(sending.message()), to);
             }
         }
     }
 
     public void leave() {
-        members.leave(loop.clock().uptime());
-        settle();
+        protocol.leave(loop.clock().uptime());
+        flush();
     }
 
-    public static String text(InetSocketAddress address) {
+    public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Of ADDRESS:PORT; null where it is none. Names are not looked up. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         try {
             int colon = text.lastIndexOf(':');
             String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/merlinlever/membership/MessageDispatcher.java
+++ b/src/main/java/merlinlever/membership/MessageDispatcher.java
@@ -9,31 +9,31 @@
 /** What else rides on membership's datagrams, and who hears it. */
 final class MessageDispatcher {
 
-    private final Map<String, SwimProtocol.TextMessageHandler> hearers = new TreeMap<>();
-    private final List<SwimProtocol.PayloadHandler> carriers = new ArrayList<>();
+    private final Map<String, SwimProtocol.TextMessageHandler> textHandlers = new TreeMap<>();
+    private final List<SwimProtocol.PayloadHandler> payloadHandlers = new ArrayList<>();
 
-    void hears(Set<String> words, SwimProtocol.TextMessageHandler who) {
+    void addTextHandler(Set<String> words, SwimProtocol.TextMessageHandler who) {
         for (String word : words) {
-            if (hearers.put(word, who) != null) {
+            if (textHandlers.put(word, who) != null) {
                 throw new IllegalStateException("two hear " + word);
             }
         }
     }
 
-    void takes(SwimProtocol.PayloadHandler who) {
-        carriers.add(who);
+    void addPayloadHandler(SwimProtocol.PayloadHandler who) {
+        payloadHandlers.add(who);
     }
 
-    void came(SwimProtocol.MembershipMessage message) {
-        if (message.kind() == SwimProtocol.MessageKind.CARRY) {
-            carriers.forEach(carrier -> carrier.carried(message.from(), message.body()));
+    void dispatch(SwimProtocol.MembershipMessage message) {
+        if (message.kind() == SwimProtocol.MessageKind.PAYLOAD) {
+            payloadHandlers.forEach(carrier -> carrier.onPayload(message.sender(), message.payload()));
             return;
         }
-        int end = message.about().indexOf('/');
+        int end = message.text().indexOf('/');
         SwimProtocol.TextMessageHandler hearer =
-                hearers.get(end < 0 ? message.about() : message.about().substring(0, end));
+                textHandlers.get(end < 0 ? message.text() : message.text().substring(0, end));
         if (hearer != null) {
-            hearer.said(message.from(), message.number(), message.about());
+            hearer.onText(message.sender(), message.correlationId(), message.text());
         }
     }
 }
--- a/src/main/java/merlinlever/membership/SuspicionTimers.java
+++ b/src/main/java/merlinlever/membership/SuspicionTimers.java
@@ -11,53 +11,53 @@
 /** Who is suspected since when and by how many, and when a suspicion that nothing refuted is held to be true (Lifeguard section IV-B). */
 final class SuspicionTimers {
 
-    private static final int SHORTEST = 4;
-    private static final int LONGEST = 6;
+    private static final int MIN_TIMEOUT_PERIODS = 4;
+    private static final int MAX_TIMEOUT_MULTIPLIER = 6;
 
     private static final class Suspicion {
-        final Duration since;
-        final Set<String> by = new HashSet<>();
+        final Duration startedAt;
+        final Set<String> accusers = new HashSet<>();
 
-        Suspicion(Duration since) {
-            this.since = since;
+        Suspicion(Duration startedAt) {
+            this.startedAt = startedAt;
         }
     }
 
-    private final Map<String, Suspicion> all = new LinkedHashMap<>();
+    private final Map<String, Suspicion> suspicions = new LinkedHashMap<>();
 
-    void begin(Duration now, String name) {
-        all.computeIfAbsent(name, none -> new Suspicion(now));
+    void start(Duration now, String name) {
+        suspicions.computeIfAbsent(name, none -> new Suspicion(now));
     }
 
-    void end(String name) {
-        all.remove(name);
+    void cancel(String name) {
+        suspicions.remove(name);
     }
 
     /** Independent word of the same makes it surer. */
-    void alsoBy(String name, String from) {
-        Suspicion suspicion = all.get(name);
+    void confirm(String name, String accuser) {
+        Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
-            suspicion.by.add(from);
+            suspicion.accusers.add(accuser);
         }
     }
 
     /** Those whose time to refute it is over. */
-    List<String> over(Duration now, int others, Duration period) {
-        List<String> over = new ArrayList<>();
-        all.forEach((name, suspicion) -> {
-            if (now.minus(suspicion.since).compareTo(patience(suspicion, others, period)) >= 0) {
-                over.add(name);
+    List<String> expired(Duration now, int peerCount, Duration period) {
+        List<String> expired = new ArrayList<>();
+        suspicions.forEach((name, suspicion) -> {
+            if (now.minus(suspicion.startedAt).compareTo(timeout(suspicion, peerCount, period)) >= 0) {
+                expired.add(name);
             }
         });
-        return over;
+        return expired;
     }
 
     /** From the longest towards the shortest as others say the same. */
-    private static Duration patience(Suspicion suspicion, int others, Duration period) {
-        double shortest = SHORTEST * Math.max(1, Math.log10(Math.max(1, others))) * period.toNanos();
-        double longest = LONGEST * shortest;
-        int wanted = Math.max(1, Math.min(3, others - 2));
-        double share = Math.log(suspicion.by.size() + 1) / Math.log(wanted + 1);
-        return Duration.ofNanos((long) Math.max(shortest, longest - (longest - shortest) * Math.min(1, share)));
+    private static Duration timeout(Suspicion suspicion, int peerCount, Duration period) {
+        double minimumNanos = MIN_TIMEOUT_PERIODS * Math.max(1, Math.log10(Math.max(1, peerCount))) * period.toNanos();
+        double maximumNanos = MAX_TIMEOUT_MULTIPLIER * minimumNanos;
+        int expectedAccusers = Math.max(1, Math.min(3, peerCount - 2));
+        double confirmation = Math.log(suspicion.accusers.size() + 1) / Math.log(expectedAccusers + 1);
+        return Duration.ofNanos((long) Math.max(minimumNanos, maximumNanos - (maximumNanos - minimumNanos) * Math.min(1, confirmation)));
     }
 }
--- a/src/main/java/merlinlever/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/quota/FleetQuota.java
@@ -40,12 +40,12 @@
 
     /** What was given by a clock that runs fast is out for so long by any other. */
     public static Duration slowest(Duration span, double drift) {
-        return ClockDrift.slowest(span, drift);
+        return ClockDrift.upperBound(span, drift);
     }
 
     /** What may be counted on for the span by a clock that runs slow. */
     public static Duration surest(Duration span, double drift) {
-        return ClockDrift.surest(span, drift);
+        return ClockDrift.lowerBound(span, drift);
     }
 
     /**
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -181,13 +181,13 @@
     }
 
     private LeaseLedger.LeaseGrant grant(Duration now, int budget, LeaseLedger.LeaseRequest request) {
-        boolean may = seen == null || seen.may(now, GuardedAction.GRANT) == ActionPermissions.Permission.YES;
+        boolean may = seen == null || seen.permission(now, GuardedAction.GRANT_QUOTA) == ActionPermissions.Permission.ALLOWED;
         return books.isEmpty() || !may ? null : books.get(budget).grant(now, request);
     }
 
     /** A leadership begins with books that know nothing of the one before. */
     private void books(Duration now) {
-        if (!terms.leads(now)) {
+        if (!terms.isLeader(now)) {
             books.clear();
             bookTerm = -1;
             return;
@@ -219,7 +219,7 @@
                     if (i >= 0
                             && holdings.get(i)
                                     .granted(now, term, number, Long.parseLong(part[3]), Long.parseLong(part[4]))) {
-                        terms.heardLeader(now, name, term);
+                        terms.observeLeader(now, name, term);
                     }
                 }
                 default -> log.accept("budgets: " + name + " said what is not understood: " + what);
@@ -244,7 +244,7 @@
         books(now);
         if (leader == null || books.isEmpty() || Long.parseLong(part[1]) != bookTerm) {
             if (leader != null) {
-                say(name, 0, terms.toldWho(now));
+                say(name, 0, terms.leaderAnnouncement(now));
             }
             return;
         }
@@ -273,7 +273,7 @@
     }
 
     public boolean leads(Duration now) {
-        return terms.leads(now);
+        return terms.isLeader(now);
     }
 
     /** Each budget with its share, as a JSON array. */
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -39,27 +39,27 @@
         this.rejoin = rejoin;
         sharing = new QuotaCoordinator(
                 loop.clock().uptime(),
-                rejoin.members().views().self(),
+                rejoin.members().memberTable().self(),
                 life,
                 budgets,
-                leading.terms(),
+                leading.election(),
                 new SplittableRandom(seed),
                 spender,
                 log);
         sharing.under(seen);
-        rejoin.members().hears(WORDS, this);
+        rejoin.members().addTextHandler(WORDS, this);
         loop.every(LOOK, () -> say(sharing.look(loop.clock().uptime())));
     }
 
     private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.members().say(each.to(), each.number(), each.what()));
+        all.forEach(each -> rejoin.members().sendText(each.recipient(), each.correlationId(), each.text()));
         if (!all.isEmpty()) {
             rejoin.send();
         }
     }
 
     @Override
-    public void said(String name, long number, String what) {
+    public void onText(String name, long number, String what) {
         say(sharing.said(loop.clock().uptime(), name, number, what));
     }
 
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -126,8 +126,8 @@
         this.log = log;
         this.mark = mark;
         DatagramEndpoint datagrams = new DatagramEndpoint(
-                loop, place.listen(), MembershipCodec.MOST, (octets, from, waited) -> link[0].came(octets, from));
-        String told = place.advertise() != null ? place.advertise() : MembershipTransport.text(datagrams.address());
+                loop, place.listen(), MembershipCodec.MAX_DATAGRAM_BYTES, (octets, from, waited) -> link[0].receive(octets, from));
+        String told = place.advertise() != null ? place.advertise() : MembershipTransport.formatAddress(datagrams.address());
         // A port that is drawn anew at each start tells nothing of whose the folder is.
         owner = place.name() + "@"
                 + (place.advertise() != null || place.listen().getPort() != 0
@@ -146,10 +146,10 @@
         members = new SwimProtocol(
                 loop.clock().uptime(),
                 new MemberTable(place.name(), told, place.api(), verdict.incarnation()),
-                SwimProtocol.SwimSettings.usual(List.copyOf(ask)),
+                SwimProtocol.SwimSettings.defaults(List.copyOf(ask)),
                 chance.split(),
                 log);
-        members.recall(this);
+        members.setRecoveryExchange(this);
         term = verdict.term();
         order = new RecoverySequence(loop.clock().uptime(), now, verdict, stated, !ask.isEmpty(), chance.split());
         link[0] = new MembershipTransport(
@@ -172,7 +172,7 @@
 
     /** What is to be said to others is said now, and not at the next look. */
     public void send() {
-        link[0].settle();
+        link[0].flush();
     }
 
     /** This one goes in good order; the others are told. */
@@ -197,7 +197,7 @@
     }
 
     private long incarnation() {
-        return members.views().of(members.views().self()).incarnation();
+        return members.memberTable().find(members.memberTable().self()).incarnation();
     }
 
     private boolean mayTell(long incarnation) {
@@ -207,7 +207,7 @@
     // ---- what others ask and tell
 
     @Override
-    public String tells() {
+    public String recoveryReport() {
         return String.format(
                 Locale.ROOT,
                 "%d/%s/%.2f",
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void told(String name, long number, String what) {
+    public void onRecoveryReply(String name, long number, String what) {
         String[] parts = what.split("/");
         try {
             order.told(
@@ -241,18 +241,18 @@
             return;
         }
         Duration now = now();
-        for (MemberTable.MemberRecord each : members.views().all()) {
-            if (!each.name().equals(members.views().self())) {
+        for (MemberTable.MemberRecord each : members.memberTable().all()) {
+            if (!each.name().equals(members.memberTable().self())) {
                 order.peer(now, each.name(), each.status() == MemberTable.MemberStatus.ALIVE);
             }
         }
-        if (members.views().rivals() != rivals) {
-            rivals = members.views().rivals();
+        if (members.memberTable().addressConflicts() != rivals) {
+            rivals = members.memberTable().addressConflicts();
             if (rivals > 1) {
                 order.rival(now);
             }
         }
-        order.settle(now).forEach(ask -> members.ask(ask.name(), ask.number()));
+        order.settle(now).forEach(ask -> members.sendRecoveryQuery(ask.name(), ask.number()));
         if (service.fullSpeed()) {
             order.fullSpeed(now);
         }
@@ -288,9 +288,9 @@
         long lead = wroteAt - now.toMillis();
         long incarnations = Math.max(onDisk, incarnation() + AHEAD);
         List<String> peers = new ArrayList<>();
-        for (MemberTable.MemberRecord each : members.views().all()) {
-            if (!each.name().equals(members.views().self()) && each.status() != MemberTable.MemberStatus.LEFT) {
-                peers.add(each.gossip());
+        for (MemberTable.MemberRecord each : members.memberTable().all()) {
+            if (!each.name().equals(members.memberTable().self()) && each.status() != MemberTable.MemberStatus.LEFT) {
+                peers.add(each.gossipAddress());
             }
         }
         long terms = term;
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -107,7 +107,7 @@
     }
 
     private boolean decides(Duration now) {
-        return leadership.leads(now) && seen.may(now, GuardedAction.DECIDE) == ActionPermissions.Permission.YES;
+        return leadership.isLeader(now) && seen.permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
     }
 
     @Override
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -60,7 +60,7 @@
         this.rejoin = rejoin;
         this.seen = seen;
         this.log = log;
-        self = rejoin.members().views().self();
+        self = rejoin.members().memberTable().self();
         keeper = new StateWriter(folder, loop);
         SplittableRandom chance = new SplittableRandom(seed);
         Duration now = loop.clock().uptime();
@@ -74,14 +74,14 @@
         words = new ReplicatedStore(
                 now,
                 self,
-                rejoin.members().views().of(self).incarnation(),
+                rejoin.members().memberTable().find(self).incarnation(),
                 kept,
                 stated,
                 this::live,
                 chance.split(),
                 log);
         decree = new PaxosNode(now, self, keeper.read(REGISTERS), leadership, seen, this::live, chance.split(), log);
-        rejoin.members().takes(this);
+        rejoin.members().addPayloadHandler(this);
         loop.every(LOOK, this::look);
     }
 
@@ -95,7 +95,7 @@
 
     private List<String> live() {
         List<String> live = new ArrayList<>();
-        for (MemberTable.MemberRecord each : rejoin.members().views().all()) {
+        for (MemberTable.MemberRecord each : rejoin.members().memberTable().all()) {
             if (!each.name().equals(self)
                     && (each.status() == MemberTable.MemberStatus.ALIVE
                             || each.status() == MemberTable.MemberStatus.SUSPECT)) {
@@ -108,7 +108,7 @@
     private void look() {
         Duration now = loop.clock().uptime();
         boolean was = returning;
-        returning = seen.standing(now) == QuorumStatus.RETURNING;
+        returning = seen.status(now) == QuorumStatus.RECOVERING;
         if (returning && !was) {
             words.away(now);
         }
@@ -158,7 +158,7 @@
             byte[] body = new byte[each.body().length + 1];
             body[0] = who;
             System.arraycopy(each.body(), 0, body, 1, each.body().length);
-            rejoin.members().carry(each.to(), body);
+            rejoin.members().sendPayload(each.to(), body);
         }
         if (!all.isEmpty()) {
             rejoin.send();
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void carried(String name, byte[] body) {
+    public void onPayload(String name, byte[] body) {
         if (body.length == 0) {
             return;
         }
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -11,9 +11,9 @@
 public final class LocalServiceHealth {
 
     public enum HealthState implements WireNamed {
-        GOOD("good"),
+        HEALTHY("good"),
         SLOW("slow"),
-        AWAY("away");
+        UNREACHABLE("away");
 
         private final String wireName;
 
@@ -28,26 +28,26 @@
     }
 
     /**
-     * @param inARow ends that did not get through, one after the other, that make it away
-     * @param slow a call that takes longer counts as slow
-     * @param of the last so many calls are looked at, and half of them slow make it slow
-     * @param tryAgain so often a call tries it
-     * @param good tries in a row that make it good again
+     * @param failuresUntilUnreachable ends that did not get through, one after the other, that make it away
+     * @param slowCall a call that takes longer counts as slow
+     * @param slownessWindow the last so many calls are looked at, and half of them slow make it slow
+     * @param probeInterval so often a call tries it
+     * @param successesUntilHealthy tries in a row that make it good again
      */
-    public record HealthSettings(int inARow, Duration slow, int of, Duration tryAgain, int good) {
-        public static final HealthSettings USUAL =
+    public record HealthSettings(int failuresUntilUnreachable, Duration slowCall, int slownessWindow, Duration probeInterval, int successesUntilHealthy) {
+        public static final HealthSettings DEFAULTS =
                 new HealthSettings(3, Duration.ofMillis(500), 32, Duration.ofMillis(500), 3);
     }
 
-    private final HealthSettings stated;
-    private final boolean[] slow;
-    private HealthState state = HealthState.GOOD;
-    private int next, slows, seen, lost, good;
-    private Duration triedAt = Duration.ZERO;
+    private final HealthSettings settings;
+    private final boolean[] slowCalls;
+    private HealthState state = HealthState.HEALTHY;
+    private int nextSlot, slowCount, sampleCount, failuresInARow, successesInARow;
+    private Duration lastProbeAt = Duration.ZERO;
 
-    public LocalServiceHealth(HealthSettings stated) {
-        this.stated = stated;
-        slow = new boolean[stated.of()];
+    public LocalServiceHealth(HealthSettings settings) {
+        this.settings = settings;
+        slowCalls = new boolean[settings.slownessWindow()];
     }
 
     public HealthState state() {
@@ -55,44 +55,44 @@
     }
 
     /** A call to it ended. */
-    public void ended(Duration now, Outcome how, Duration took) {
-        if (how == Outcome.NEVER_BEGUN || how == Outcome.STOPPED) {
+    public void recordOutcome(Duration now, Outcome outcome, Duration duration) {
+        if (outcome == Outcome.NEVER_BEGUN || outcome == Outcome.STOPPED) {
             return;
         }
-        boolean gone = how == Outcome.UNREACHABLE || how == Outcome.CUT_OFF;
-        boolean late = how == Outcome.GIVEN_UP || took.compareTo(stated.slow()) > 0;
-        lost = gone ? lost + 1 : 0;
-        good = gone || late ? 0 : good + 1;
-        slows += (late ? 1 : 0) - (slow[next] ? 1 : 0);
-        slow[next] = late;
-        next = (next + 1) % slow.length;
-        seen = Math.min(slow.length, seen + 1);
-        if (lost >= stated.inARow()) {
-            become(HealthState.AWAY, now);
-        } else if (state == HealthState.GOOD && seen >= slow.length && slows * 2 >= slow.length) {
-            become(HealthState.SLOW, now);
-        } else if (state != HealthState.GOOD && good >= stated.good()) {
-            become(HealthState.GOOD, now);
-            java.util.Arrays.fill(slow, false);
-            slows = 0;
-            seen = 0;
+        boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.CUT_OFF;
+        boolean wasSlow = outcome == Outcome.GIVEN_UP || duration.compareTo(settings.slowCall()) > 0;
+        failuresInARow = failed ? failuresInARow + 1 : 0;
+        successesInARow = failed || wasSlow ? 0 : successesInARow + 1;
+        slowCount += (wasSlow ? 1 : 0) - (slowCalls[nextSlot] ? 1 : 0);
+        slowCalls[nextSlot] = wasSlow;
+        nextSlot = (nextSlot + 1) % slowCalls.length;
+        sampleCount = Math.min(slowCalls.length, sampleCount + 1);
+        if (failuresInARow >= settings.failuresUntilUnreachable()) {
+            changeState(HealthState.UNREACHABLE, now);
+        } else if (state == HealthState.HEALTHY && sampleCount >= slowCalls.length && slowCount * 2 >= slowCalls.length) {
+            changeState(HealthState.SLOW, now);
+        } else if (state != HealthState.HEALTHY && successesInARow >= settings.successesUntilHealthy()) {
+            changeState(HealthState.HEALTHY, now);
+            java.util.Arrays.fill(slowCalls, false);
+            slowCount = 0;
+            sampleCount = 0;
         }
     }
 
-    private void become(HealthState now, Duration at) {
+    private void changeState(HealthState now, Duration at) {
         if (state != now) {
             state = now;
-            triedAt = at;
-            good = 0;
+            lastProbeAt = at;
+            successesInARow = 0;
         }
     }
 
     /** Whether this call is to try it although it is not good. */
-    public boolean tries(Duration now) {
-        if (state == HealthState.GOOD || now.minus(triedAt).compareTo(stated.tryAgain()) < 0) {
+    public boolean shouldProbe(Duration now) {
+        if (state == HealthState.HEALTHY || now.minus(lastProbeAt).compareTo(settings.probeInterval()) < 0) {
             return false;
         }
-        triedAt = now;
+        lastProbeAt = now;
         return true;
     }
 }
--- a/src/main/java/merlinlever/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/routes/PartnerTable.java
@@ -15,15 +15,15 @@
     final Relation relation;
     private final double drift;
     /** The latest it said, and what is in use of it: all of it, or what was in use before as well. */
-    private RouteTable latest, used;
+    private RouteTable latest, active;
 
     private String digest;
-    private Duration until = Duration.ZERO;
+    private Duration validUntil = Duration.ZERO;
     /** What was in use before the latest, and until when, for the case that the latest was said in two ways. */
-    private RouteTable before;
+    private RouteTable previous;
 
-    private Duration beforeUntil = Duration.ZERO;
-    private boolean clashing;
+    private Duration previousValidUntil = Duration.ZERO;
+    private boolean conflicting;
 
     PartnerTable(String site, Relation relation, double drift) {
         this.site = site;
@@ -32,93 +32,93 @@
     }
 
     /** It is said to have said that; true where what is in use changed. */
-    boolean offer(Duration now, RouteTable table, String itsDigest, boolean mayWiden, Consumer<String> told) {
+    boolean offer(Duration now, RouteTable table, String tableDigest, boolean mayWiden, Consumer<String> log) {
         if (!table.site().equals(site) || table.relation() != relation) {
-            told.accept("a table of " + table.site() + " that calls itself "
+            log.accept("a table of " + table.site() + " that calls itself "
                     + table.relation().wireName() + " is not that of " + site + ", " + relation.wireName());
             return false;
         }
-        if (latest != null && !table.after(latest)) {
-            return again(table, itsDigest, told);
+        if (latest != null && !table.isLaterThan(latest)) {
+            return offerSameVersion(table, tableDigest, log);
         }
         expire(now);
-        boolean holds = now.compareTo(until) < 0;
-        before = holds ? used : null;
-        beforeUntil = holds ? until : Duration.ZERO;
-        clashing = false;
+        boolean isValid = now.compareTo(validUntil) < 0;
+        previous = isValid ? active : null;
+        previousValidUntil = isValid ? validUntil : Duration.ZERO;
+        conflicting = false;
         latest = table;
-        digest = itsDigest;
+        digest = tableDigest;
         // Where it said less before, that lease ends as the new one would.
-        Duration longest = now.plus(table.lease());
-        until = until.compareTo(longest) > 0 ? longest : until;
-        used = mayWiden ? table : used == null ? none(table) : used.narrowed(table);
+        Duration latestExpiry = now.plus(table.lease());
+        validUntil = validUntil.compareTo(latestExpiry) > 0 ? latestExpiry : validUntil;
+        active = mayWiden ? table : active == null ? emptyTable(table) : active.intersect(table);
         return true;
     }
 
-    private RouteTable none(RouteTable like) {
-        return new RouteTable(site, like.incarnation(), like.sequence(), relation, like.lease(), new TreeMap<>());
+    private RouteTable emptyTable(RouteTable version) {
+        return new RouteTable(site, version.incarnation(), version.sequence(), relation, version.lease(), new TreeMap<>());
     }
 
     /** What ran out is held no longer: to use it again is to take it on anew. */
     void expire(Duration now) {
-        if (used != null && now.compareTo(until) >= 0 && !used.routes().isEmpty()) {
-            used = none(latest);
+        if (active != null && now.compareTo(validUntil) >= 0 && !active.routes().isEmpty()) {
+            active = emptyTable(latest);
         }
     }
 
-    private boolean again(RouteTable table, String itsDigest, Consumer<String> told) {
-        if (!table.sameVersion(latest)) {
-            told.accept(site + " came with " + version(table) + ", which is older than " + version(latest)
+    private boolean offerSameVersion(RouteTable table, String tableDigest, Consumer<String> log) {
+        if (!table.isSameVersion(latest)) {
+            log.accept(site + " came with " + formatVersion(table) + ", which is older than " + formatVersion(latest)
                     + "; it is not taken");
             return false;
         }
-        if (itsDigest.equals(digest)) {
+        if (tableDigest.equals(digest)) {
             return false;
         }
-        told.accept(site + " has two tables under " + version(table) + ", " + digest + " and " + itsDigest
+        log.accept(site + " has two tables under " + formatVersion(table) + ", " + digest + " and " + tableDigest
                 + "; neither is taken");
-        if (!clashing) {
-            clashing = true;
-            used = before == null ? none(table) : before.narrowed(latest);
-            until = beforeUntil;
+        if (!conflicting) {
+            conflicting = true;
+            active = previous == null ? emptyTable(table) : previous.intersect(latest);
+            validUntil = previousValidUntil;
         }
-        used = used.narrowed(table);
+        active = active.intersect(table);
         return true;
     }
 
     /** It surely stood by that version at a moment, or later, and so it may be used for so long from then. */
-    boolean stoodBy(long incarnation, long sequence, String itsDigest, Duration from, Duration lasts) {
+    boolean renew(long incarnation, long sequence, String tableDigest, Duration confirmedAt, Duration duration) {
         if (latest == null
-                || clashing
+                || conflicting
                 || latest.incarnation() != incarnation
                 || latest.sequence() != sequence
-                || !itsDigest.equals(digest)) {
+                || !tableDigest.equals(digest)) {
             return false;
         }
-        Duration most = lasts.compareTo(latest.lease()) < 0 ? lasts : latest.lease();
-        Duration end = from.plus(Duration.ofNanos((long) (most.toNanos() / (1 + drift))));
-        if (end.compareTo(until) > 0) {
-            until = end;
+        Duration longest = duration.compareTo(latest.lease()) < 0 ? duration : latest.lease();
+        Duration expiry = confirmedAt.plus(Duration.ofNanos((long) (longest.toNanos() / (1 + drift))));
+        if (expiry.compareTo(validUntil) > 0) {
+            validUntil = expiry;
         }
         return true;
     }
 
     /** What was only narrowed so far may be widened now; true where that changed what is in use. */
-    boolean widen() {
-        if (latest == null || clashing || used == latest) {
+    boolean adoptWidening() {
+        if (latest == null || conflicting || active == latest) {
             return false;
         }
-        used = latest;
+        active = latest;
         return true;
     }
 
-    static String version(RouteTable table) {
+    static String formatVersion(RouteTable table) {
         return table.incarnation() + "." + table.sequence();
     }
 
     /** What may be used now, or null. */
-    RouteTable used(Duration now) {
-        return now.compareTo(until) < 0 ? used : null;
+    RouteTable active(Duration now) {
+        return now.compareTo(validUntil) < 0 ? active : null;
     }
 
     RouteTable latest() {
@@ -129,21 +129,21 @@
         return digest;
     }
 
-    boolean clashing() {
-        return clashing;
+    boolean isConflicting() {
+        return conflicting;
     }
 
-    Duration until() {
-        return until;
+    Duration validUntil() {
+        return validUntil;
     }
 
     /** How long it may still be used, for telling others. */
-    Duration left(Duration now) {
-        return clashing || now.compareTo(until) >= 0 ? Duration.ZERO : until.minus(now);
+    Duration remaining(Duration now) {
+        return conflicting || now.compareTo(validUntil) >= 0 ? Duration.ZERO : validUntil.minus(now);
     }
 
     /** It fell silent: more than half of its lease is over, and what it said is used last (RFC 4724). */
-    boolean stale(Duration now) {
-        return latest == null || left(now).compareTo(latest.lease().dividedBy(2)) < 0;
+    boolean isStale(Duration now) {
+        return latest == null || remaining(now).compareTo(latest.lease().dividedBy(2)) < 0;
     }
 }
--- a/src/main/java/merlinlever/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/routes/PeerTableSync.java
@@ -17,107 +17,107 @@
 public final class PeerTableSync {
 
     /** Something to be said to another. */
-    public record TableMessage(String to, long number, String what) {}
+    public record TableMessage(String recipient, long correlationId, String text) {}
 
     /** The last question about a partner, and who has had the longest lease of it. */
     private static final class LeaseQuery {
-        long number;
-        Duration at;
-        String best;
-        long bestLeft;
+        long correlationId;
+        Duration sentAt;
+        String bestPeer;
+        long bestRemainingMs;
         boolean bestAnswered;
     }
 
-    private static final Duration SHORTEST = Duration.ofMillis(100);
+    private static final Duration MIN_QUERY_INTERVAL = Duration.ofMillis(100);
 
     private final RoutingTable routes;
-    private final SplittableRandom chance;
-    private final TableChunks parts = new TableChunks();
-    private final Map<String, LeaseQuery> asked = new TreeMap<>();
-    private long number;
+    private final SplittableRandom random;
+    private final TableChunks chunks = new TableChunks();
+    private final Map<String, LeaseQuery> queries = new TreeMap<>();
+    private long lastCorrelationId;
 
     /** @param first number of its questions, which no other life of this backend comes near */
-    public PeerTableSync(RoutingTable routes, long first, SplittableRandom chance) {
+    public PeerTableSync(RoutingTable routes, long first, SplittableRandom random) {
         this.routes = routes;
-        this.chance = chance;
-        number = first;
+        this.random = random;
+        lastCorrelationId = first;
     }
 
     /** What is to be passed on of a table that was read here. */
-    public static List<VersionedEntry> words(RouteTable table) {
-        return TableChunks.cut(table);
+    public static List<VersionedEntry> toEntries(RouteTable table) {
+        return TableChunks.split(table);
     }
 
     /** A shared word came; true where it completed a table that is newer. */
-    public boolean came(Duration now, VersionedEntry word) {
-        RouteTable table = parts.came(word);
+    public boolean receiveEntry(Duration now, VersionedEntry snapshot) {
+        RouteTable table = chunks.receive(snapshot);
         return table != null && routes.offer(now, table);
     }
 
     /** Whether the word is part of a table. */
-    public static boolean isPart(VersionedEntry word) {
-        return word.topic().startsWith("routes.");
+    public static boolean isChunk(VersionedEntry snapshot) {
+        return snapshot.topic().startsWith("routes.");
     }
 
     /** What is to be asked now: of each partner whose lease is a quarter over, each eighth of it whoever had the most of it and another one. */
-    public List<TableMessage> look(Duration now, List<String> others) {
-        List<TableMessage> all = new ArrayList<>();
-        for (String site : routes.sites()) {
-            RoutingTable.TableLease holds = routes.holds(now, site);
-            Duration lease = holds == null
-                    ? RouteTable.SHORTEST.multipliedBy(4)
+    public List<TableMessage> dueQueries(Duration now, List<String> peers) {
+        List<TableMessage> messages = new ArrayList<>();
+        for (String site : routes.partners()) {
+            RoutingTable.TableLease held = routes.lease(now, site);
+            Duration lease = held == null
+                    ? RouteTable.MIN_LEASE.multipliedBy(4)
                     : routes.latest(site).lease();
-            Duration pause = lease.dividedBy(8).compareTo(SHORTEST) < 0 ? SHORTEST : lease.dividedBy(8);
-            LeaseQuery last = asked.computeIfAbsent(site, each -> new LeaseQuery());
-            if (!others.isEmpty()
-                    && (holds == null
-                            || holds.left().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0)
-                    && (last.at == null || now.minus(last.at).compareTo(pause) >= 0)) {
-                last.number = ++number;
-                last.at = now;
-                last.bestLeft = last.bestAnswered ? last.bestLeft : 0;
-                last.bestAnswered = false;
-                String other = others.get(chance.nextInt(others.size()));
-                all.add(new TableMessage(other, number, "K/" + site));
-                if (last.best != null && !last.best.equals(other) && others.contains(last.best)) {
-                    all.add(new TableMessage(last.best, number, "K/" + site));
+            Duration interval = lease.dividedBy(8).compareTo(MIN_QUERY_INTERVAL) < 0 ? MIN_QUERY_INTERVAL : lease.dividedBy(8);
+            LeaseQuery query = queries.computeIfAbsent(site, each -> new LeaseQuery());
+            if (!peers.isEmpty()
+                    && (held == null
+                            || held.remaining().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0)
+                    && (query.sentAt == null || now.minus(query.sentAt).compareTo(interval) >= 0)) {
+                query.correlationId = ++lastCorrelationId;
+                query.sentAt = now;
+                query.bestRemainingMs = query.bestAnswered ? query.bestRemainingMs : 0;
+                query.bestAnswered = false;
+                String peer = peers.get(random.nextInt(peers.size()));
+                messages.add(new TableMessage(peer, lastCorrelationId, "K/" + site));
+                if (query.bestPeer != null && !query.bestPeer.equals(peer) && peers.contains(query.bestPeer)) {
+                    messages.add(new TableMessage(query.bestPeer, lastCorrelationId, "K/" + site));
                 }
             }
         }
-        return all;
+        return messages;
     }
 
     /** Another said that; returns what is said to it. */
-    public List<TableMessage> said(Duration now, String name, long itsNumber, String what) {
-        String[] part = what.split("/", -1);
-        if (part[0].equals("K") && part.length == 2) {
-            RoutingTable.TableLease holds = routes.holds(now, part[1]);
-            return holds == null || holds.left().isZero()
+    public List<TableMessage> receive(Duration now, String sender, long correlationId, String text) {
+        String[] parts = text.split("/", -1);
+        if (parts[0].equals("K") && parts.length == 2) {
+            RoutingTable.TableLease held = routes.lease(now, parts[1]);
+            return held == null || held.remaining().isZero()
                     ? List.of()
                     : List.of(new TableMessage(
-                            name,
-                            itsNumber,
-                            "L/" + part[1] + "/" + holds.incarnation() + "/" + holds.sequence() + "/" + holds.digest()
-                                    + "/" + holds.left().toMillis()));
+                            sender,
+                            correlationId,
+                            "L/" + parts[1] + "/" + held.incarnation() + "/" + held.sequence() + "/" + held.digest()
+                                    + "/" + held.remaining().toMillis()));
         }
-        LeaseQuery last = part.length == 6 ? asked.get(part[1]) : null;
-        if (part[0].equals("L") && last != null && last.number == itsNumber) {
+        LeaseQuery query = parts.length == 6 ? queries.get(parts[1]) : null;
+        if (parts[0].equals("L") && query != null && query.correlationId == correlationId) {
             try {
-                long left = Long.parseLong(part[5]);
-                if (left >= 0 && left <= RouteTable.LONGEST.toMillis()) {
-                    if (name.equals(last.best) || left > last.bestLeft) {
-                        last.best = name;
-                        last.bestLeft = left;
-                        last.bestAnswered = true;
+                long remainingMs = Long.parseLong(parts[5]);
+                if (remainingMs >= 0 && remainingMs <= RouteTable.MAX_LEASE.toMillis()) {
+                    if (sender.equals(query.bestPeer) || remainingMs > query.bestRemainingMs) {
+                        query.bestPeer = sender;
+                        query.bestRemainingMs = remainingMs;
+                        query.bestAnswered = true;
                     }
-                    routes.stoodBy(
+                    routes.renew(
                             now,
-                            part[1],
-                            Long.parseLong(part[2]),
-                            Long.parseLong(part[3]),
-                            part[4],
-                            last.at,
-                            Duration.ofMillis(left));
+                            parts[1],
+                            Long.parseLong(parts[2]),
+                            Long.parseLong(parts[3]),
+                            parts[4],
+                            query.sentAt,
+                            Duration.ofMillis(remainingMs));
                 }
             } catch (NumberFormatException e) {
                 return List.of();
--- a/src/main/java/merlinlever/routes/RateWindow.java
+++ b/src/main/java/merlinlever/routes/RateWindow.java
@@ -6,38 +6,38 @@
 final class RateWindow {
 
     /** Remembered begins at the most, and so the most calls of one route and backend in a stretch. */
-    static final int MOST = 4096;
+    static final int MAX_CALLS = 4096;
 
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
-    private final long[] begun;
-    private final long stretch;
+    private final long[] startNanos;
+    private final long windowNanos;
     private int next, count;
 
-    /** @param calls a second that the site may make, backends that divide them evenly; less than one each is one in some seconds */
-    RateWindow(int calls, int backends) {
-        int each = Math.min(MOST, calls / backends);
-        begun = new long[Math.max(1, each)];
-        stretch = each > 0 ? SECOND : (SECOND * backends + calls - 1) / calls;
+    /** @param callsPerSecond a second that the site may make, backends that divide them evenly; less than one each is one in some seconds */
+    RateWindow(int callsPerSecond, int backends) {
+        int callsOfEach = Math.min(MAX_CALLS, callsPerSecond / backends);
+        startNanos = new long[Math.max(1, callsOfEach)];
+        windowNanos = callsOfEach > 0 ? SECOND_NANOS : (SECOND_NANOS * backends + callsPerSecond - 1) / callsPerSecond;
     }
 
-    boolean allows(Duration now) {
-        return count < begun.length || now.toNanos() - begun[next] >= stretch;
+    boolean hasCapacity(Duration now) {
+        return count < startNanos.length || now.toNanos() - startNanos[next] >= windowNanos;
     }
 
-    void begin(Duration now) {
-        begun[next] = now.toNanos();
-        next = (next + 1) % begun.length;
-        count = Math.min(begun.length, count + 1);
+    void recordStart(Duration now) {
+        startNanos[next] = now.toNanos();
+        next = (next + 1) % startNanos.length;
+        count = Math.min(startNanos.length, count + 1);
     }
 
     /** Whether all that it remembers is past. */
-    boolean idle(Duration now) {
-        return count == 0 || now.toNanos() - begun[(next + begun.length - 1) % begun.length] >= stretch;
+    boolean isIdle(Duration now) {
+        return count == 0 || now.toNanos() - startNanos[(next + startNanos.length - 1) % startNanos.length] >= windowNanos;
     }
 
     /** Calls a second at the most of one of so many backends, in thousandths. */
-    static long perThousandSeconds(int calls, int backends) {
-        return calls / backends > 0 ? 1000L * Math.min(MOST, calls / backends) : 1000L * calls / backends;
+    static long callsPerThousandSeconds(int callsPerSecond, int backends) {
+        return callsPerSecond / backends > 0 ? 1000L * Math.min(MAX_CALLS, callsPerSecond / backends) : 1000L * callsPerSecond / backends;
     }
 }
--- a/src/main/java/merlinlever/routes/Relation.java
+++ b/src/main/java/merlinlever/routes/Relation.java
@@ -23,7 +23,7 @@
     }
 
     /** What the one that says so is to the partner. */
-    public Relation seenFromThere() {
+    public Relation inverse() {
         return this == PEER ? PEER : this == CUSTOMER ? PROVIDER : CUSTOMER;
     }
 }
--- a/src/main/java/merlinlever/routes/Restrictions.java
+++ b/src/main/java/merlinlever/routes/Restrictions.java
@@ -9,26 +9,26 @@
  *
  * @param onlyTo the only sites that may have it; null for all
  * @param notTo sites that may not have it
- * @param noFurther whoever has it from its origin passes it on to nobody (as NO_EXPORT in RFC 1997)
- * @param mostSites at most so many sites on the way, the origin among them
- * @param retriableOnly only retriable calls may go along it
+ * @param noExport whoever has it from its origin passes it on to nobody (as NO_EXPORT in RFC 1997)
+ * @param maxSites at most so many sites on the way, the origin among them
+ * @param idempotentOnly only retriable calls may go along it
  * @param customersOnly passed on only to customers
  * @param unreadable it says something that is not understood, and so forbids all
  */
 public record Restrictions(
         SortedSet<String> onlyTo,
         SortedSet<String> notTo,
-        boolean noFurther,
-        int mostSites,
-        boolean retriableOnly,
+        boolean noExport,
+        int maxSites,
+        boolean idempotentOnly,
         boolean customersOnly,
         boolean unreadable) {
 
     /** Sites on the way at the most, whatever is said. */
-    public static final int MOST_SITES = 16;
+    public static final int MAX_SITES = 16;
 
     public static final Restrictions NONE =
-            new Restrictions(null, new TreeSet<>(), false, MOST_SITES, false, false, false);
+            new Restrictions(null, new TreeSet<>(), false, MAX_SITES, false, false, false);
     public static final Restrictions UNREADABLE =
             new Restrictions(new TreeSet<>(), new TreeSet<>(), true, 1, true, true, true);
 
@@ -43,7 +43,7 @@
     }
 
     /** All that either of the two forbids is forbidden; the same in any order. */
-    public Restrictions and(Restrictions other) {
+    public Restrictions intersect(Restrictions other) {
         SortedSet<String> only = onlyTo == null ? other.onlyTo : new TreeSet<>(onlyTo);
         if (onlyTo != null && other.onlyTo != null) {
             only.retainAll(other.onlyTo);
@@ -53,9 +53,9 @@
         return new Restrictions(
                 only,
                 not,
-                noFurther || other.noFurther,
-                Math.min(mostSites, other.mostSites),
-                retriableOnly || other.retriableOnly,
+                noExport || other.noExport,
+                Math.min(maxSites, other.maxSites),
+                idempotentOnly || other.idempotentOnly,
                 customersOnly || other.customersOnly,
                 unreadable || other.unreadable);
     }
--- a/src/main/java/merlinlever/routes/Route.java
+++ b/src/main/java/merlinlever/routes/Route.java
@@ -6,21 +6,21 @@
  * One way on which a partner site takes calls of a tariff.
  *
  * @param group what the calls are for: places of one group stand in for each other
- * @param place ADDRESS:PORT of the publisher that takes the calls
- * @param calls a second, of the whole site that it is published to
- * @param binding whether binding work may go along it
+ * @param address ADDRESS:PORT of the publisher that takes the calls
+ * @param callsPerSecond a second, of the whole site that it is published to
+ * @param allowsNonIdempotent whether binding work may go along it
  * @param path the sites that a call passes, the publisher first, the origin last
- * @param downFrom the site from which on it goes only to customers (OTC in RFC 9234); null while it only went up
+ * @param onlyToCustomerSite the site from which on it goes only to customers (OTC in RFC 9234); null while it only went up
  */
 public record Route(
-        String tariff,
+        String priorityClass,
         String group,
-        String place,
-        int calls,
+        String address,
+        int callsPerSecond,
         int cost,
-        boolean binding,
+        boolean allowsNonIdempotent,
         List<String> path,
-        String downFrom,
+        String onlyToCustomerSite,
         Restrictions restrictions) {
 
     public Route {
@@ -29,12 +29,12 @@
 
     /** What is chosen among alternatives for: calls of a tariff to a group of places. */
     public String key() {
-        return tariff + "/" + group;
+        return priorityClass + "/" + group;
     }
 
     /** Which it is among those of one table. */
     public String id() {
-        return tariff + "/" + group + "/" + place + "/" + String.join(">", path);
+        return priorityClass + "/" + group + "/" + address + "/" + String.join(">", path);
     }
 
     public String origin() {
@@ -42,26 +42,26 @@
     }
 
     /** What both of two versions of it allow; the same in any order. */
-    Route and(Route other) {
+    Route intersect(Route other) {
         if (equals(other)) {
             return this;
         }
-        String down = downFrom == null || other.downFrom != null && other.downFrom.compareTo(downFrom) < 0
-                ? other.downFrom
-                : downFrom;
+        String down = onlyToCustomerSite == null || other.onlyToCustomerSite != null && other.onlyToCustomerSite.compareTo(onlyToCustomerSite) < 0
+                ? other.onlyToCustomerSite
+                : onlyToCustomerSite;
         return new Route(
-                tariff,
+                priorityClass,
                 group,
-                place,
-                Math.min(calls, other.calls),
+                address,
+                Math.min(callsPerSecond, other.callsPerSecond),
                 Math.max(cost, other.cost),
-                binding && other.binding,
+                allowsNonIdempotent && other.allowsNonIdempotent,
                 path,
                 down,
-                restrictions.and(other.restrictions));
+                restrictions.intersect(other.restrictions));
     }
 
-    Route with(String mark) {
-        return new Route(tariff, group, place, calls, cost, binding, path, mark, restrictions);
+    Route withOnlyToCustomerSite(String mark) {
+        return new Route(priorityClass, group, address, callsPerSecond, cost, allowsNonIdempotent, path, mark, restrictions);
     }
 }
--- a/src/main/java/merlinlever/routes/RouteExporter.java
+++ b/src/main/java/merlinlever/routes/RouteExporter.java
@@ -12,34 +12,34 @@
     private RouteExporter() {}
 
     static List<Route> of(
-            RoutingPolicy rules,
-            RouteMerger merge,
+            RoutingPolicy policy,
+            RouteMerger merger,
             Relation relation,
             String receiver,
-            Collection<Route> own,
-            String place,
-            int calls,
+            Collection<Route> ownRoutes,
+            String address,
+            int callsPerSecond,
             int cost,
             Predicate<RouteMerger.Candidate> usable) {
-        TreeMap<String, Route> all = new TreeMap<>();
-        for (Route each : own) {
-            if (rules.refusal(null, each, receiver, relation) == null) {
+        TreeMap<String, Route> exported = new TreeMap<>();
+        for (Route each : ownRoutes) {
+            if (policy.findViolation(null, each, receiver, relation) == null) {
                 // Its own mark on what goes down or across comes with the first that has it.
-                all.put(
+                exported.put(
                         each.id(),
-                        relation == Relation.PROVIDER || each.downFrom() != null ? each : each.with(rules.self()));
+                        relation == Relation.PROVIDER || each.onlyToCustomerSite() != null ? each : each.withOnlyToCustomerSite(policy.self()));
             }
         }
-        for (String key : merge.keys()) {
-            for (RouteMerger.Candidate each : merge.ways(key)) {
-                if (usable.test(each) && rules.refusal(each.relation(), each.route(), receiver, relation) == null) {
-                    Route passed = rules.passedOn(each.route(), place, calls, cost, relation);
-                    all.putIfAbsent(passed.id(), passed);
+        for (String key : merger.keys()) {
+            for (RouteMerger.Candidate each : merger.candidates(key)) {
+                if (usable.test(each) && policy.findViolation(each.relation(), each.route(), receiver, relation) == null) {
+                    Route route = policy.toExported(each.route(), address, callsPerSecond, cost, relation);
+                    exported.putIfAbsent(route.id(), route);
                     break;
                 }
             }
         }
-        List<Route> most = new ArrayList<>(all.values());
-        return most.size() <= RouteTable.MOST ? most : most.subList(0, RouteTable.MOST);
+        List<Route> list = new ArrayList<>(exported.values());
+        return list.size() <= RouteTable.MAX_ROUTES ? list : list.subList(0, RouteTable.MAX_ROUTES);
     }
 }
--- a/src/main/java/merlinlever/routes/RouteMerger.java
+++ b/src/main/java/merlinlever/routes/RouteMerger.java
@@ -19,22 +19,22 @@
 public final class RouteMerger {
 
     /** One usable way, by which partner it came. */
-    public record Candidate(String from, Relation relation, Route route) implements Comparable<Candidate> {
+    public record Candidate(String partner, Relation relation, Route route) implements Comparable<Candidate> {
 
-        private static final Comparator<Candidate> ORDER = Comparator.comparing(Candidate::relation)
+        private static final Comparator<Candidate> PREFERENCE = Comparator.comparing(Candidate::relation)
                 .thenComparing(each -> each.route.path().size())
                 .thenComparing(each -> each.route.cost())
-                .thenComparing(Candidate::from)
-                .thenComparing(each -> each.route.place())
+                .thenComparing(Candidate::partner)
+                .thenComparing(each -> each.route.address())
                 .thenComparing(each -> String.join(">", each.route.path()));
 
         @Override
         public int compareTo(Candidate other) {
-            return ORDER.compare(this, other);
+            return PREFERENCE.compare(this, other);
         }
 
         /** Whether neither is better but for names: calls are spread over such. */
-        public boolean asGoodAs(Candidate other) {
+        public boolean isEquallyGood(Candidate other) {
             return relation == other.relation
                     && route.path().size() == other.route.path().size()
                     && route.cost() == other.route.cost();
@@ -44,51 +44,51 @@
     /** Hears what a new table does. */
     public interface RouteListener {
         /** By the rule of that name. */
-        void refused(Route route, String rule);
+        void onRejected(Route route, String rule);
 
-        void withdrawn(Route route);
+        void onWithdrawn(Route route);
 
-        void changed(Route route);
+        void onChanged(Route route);
     }
 
     /** Hears nothing. */
-    public static final RouteListener NOBODY = new RouteListener() {
+    public static final RouteListener NO_LISTENER = new RouteListener() {
         @Override
-        public void refused(Route route, String rule) {}
+        public void onRejected(Route route, String rule) {}
 
         @Override
-        public void withdrawn(Route route) {}
+        public void onWithdrawn(Route route) {}
 
         @Override
-        public void changed(Route route) {}
+        public void onChanged(Route route) {}
     };
 
     /** Routes at the most of all partners; a table that would go beyond is not taken. */
-    public static final int MOST = 8 * RouteTable.MOST;
+    public static final int MAX_ROUTES = 8 * RouteTable.MAX_ROUTES;
     /** Alternatives of one key that are looked at. */
-    public static final int MOST_ALTERNATIVES = 64;
+    public static final int MAX_ALTERNATIVES = 64;
 
-    private static final NavigableSet<Candidate> NO_WAYS = Collections.unmodifiableNavigableSet(new TreeSet<>());
+    private static final NavigableSet<Candidate> NO_CANDIDATES = Collections.unmodifiableNavigableSet(new TreeSet<>());
 
-    private final RoutingPolicy rules;
+    private final RoutingPolicy policy;
     private final Map<String, RouteTable> tables = new TreeMap<>();
     private final Map<String, Relation> relations = new TreeMap<>();
-    private final Map<String, NavigableSet<Candidate>> ways = new TreeMap<>();
-    private int routes;
+    private final Map<String, NavigableSet<Candidate>> candidates = new TreeMap<>();
+    private int routeCount;
 
-    public RouteMerger(RoutingPolicy rules) {
-        this.rules = rules;
+    public RouteMerger(RoutingPolicy policy) {
+        this.policy = policy;
     }
 
     /** In place of the partner's last table; null takes it away with all that hung on it. False where there is no room. */
-    public boolean put(String site, Relation relation, RouteTable table, RouteListener hearer) {
-        RouteTable before = tables.get(site);
-        int were = before == null ? 0 : before.routes().size();
-        if (table != null && routes - were + table.routes().size() > MOST) {
+    public boolean replaceTable(String site, Relation relation, RouteTable table, RouteListener listener) {
+        RouteTable previous = tables.get(site);
+        int previousCount = previous == null ? 0 : previous.routes().size();
+        if (table != null && routeCount - previousCount + table.routes().size() > MAX_ROUTES) {
             return false;
         }
-        Relation itWas = relations.get(site);
-        routes += (table == null ? 0 : table.routes().size()) - were;
+        Relation previousRelation = relations.get(site);
+        routeCount += (table == null ? 0 : table.routes().size()) - previousCount;
         if (table == null) {
             tables.remove(site);
             relations.remove(site);
@@ -96,69 +96,69 @@
             tables.put(site, table);
             relations.put(site, relation);
         }
-        differ(
-                before == null ? new TreeMap<>() : before.routes(),
+        forEachDifference(
+                previous == null ? new TreeMap<>() : previous.routes(),
                 table == null ? new TreeMap<>() : table.routes(),
-                itWas != relation,
-                (old, now) -> {
+                previousRelation != relation,
+                (old, current) -> {
                     if (old != null) {
-                        drop(site, itWas, old);
+                        remove(site, previousRelation, old);
                     }
-                    if (old != null && now == null) {
-                        hearer.withdrawn(old);
-                    } else if (old != null && !old.equals(now)) {
-                        hearer.changed(now);
+                    if (old != null && current == null) {
+                        listener.onWithdrawn(old);
+                    } else if (old != null && !old.equals(current)) {
+                        listener.onChanged(current);
                     }
-                    if (now != null) {
-                        add(site, relation, now, hearer);
+                    if (current != null) {
+                        add(site, relation, current, listener);
                     }
                 });
         return true;
     }
 
     /** Goes along both at once and names what differs; both are in the same order. */
-    private static void differ(
+    private static void forEachDifference(
             SortedMap<String, Route> before,
             SortedMap<String, Route> after,
-            boolean all,
-            BiConsumer<Route, Route> each) {
+            boolean isAllChanged,
+            BiConsumer<Route, Route> action) {
         Iterator<Map.Entry<String, Route>> olds = before.entrySet().iterator(),
                 news = after.entrySet().iterator();
-        Map.Entry<String, Route> old = next(olds), now = next(news);
-        while (old != null || now != null) {
-            int order = old == null ? 1 : now == null ? -1 : old.getKey().compareTo(now.getKey());
+        Map.Entry<String, Route> old = nextOrNull(olds), current = nextOrNull(news);
+        while (old != null || current != null) {
+            int order = old == null ? 1 : current == null ? -1 : old.getKey().compareTo(current.getKey());
             if (order < 0) {
-                each.accept(old.getValue(), null);
+                action.accept(old.getValue(), null);
             } else if (order > 0) {
-                each.accept(null, now.getValue());
-            } else if (all || !old.getValue().equals(now.getValue())) {
-                each.accept(old.getValue(), now.getValue());
+                action.accept(null, current.getValue());
+            } else if (isAllChanged || !old.getValue().equals(current.getValue())) {
+                action.accept(old.getValue(), current.getValue());
             }
-            old = order <= 0 ? next(olds) : old;
-            now = order >= 0 ? next(news) : now;
+            old = order <= 0 ? nextOrNull(olds) : old;
+            current = order >= 0 ? nextOrNull(news) : current;
         }
     }
 
-    private static Map.Entry<String, Route> next(Iterator<Map.Entry<String, Route>> all) {
+    private static Map.Entry<String, Route> nextOrNull(Iterator<Map.Entry<String, Route>> all) {
         return all.hasNext() ? all.next() : null;
     }
 
-    private void add(String site, Relation relation, Route route, RouteListener hearer) {
-        RoutingPolicy.ImportRule why = rules.refusal(site, relation, route);
-        if (why == null) {
-            ways.computeIfAbsent(route.key(), key -> new TreeSet<>())
-                    .add(new Candidate(site, relation, RoutingPolicy.marked(site, relation, route)));
+    private void add(String site, Relation relation, Route route, RouteListener listener) {
+        RoutingPolicy.ImportRule violation = policy.findViolation(site, relation, route);
+        if (violation == null) {
+            candidates.computeIfAbsent(route.key(), key -> new TreeSet<>())
+                    .add(new Candidate(site, relation, RoutingPolicy.markOnImport(site, relation, route)));
         } else {
-            hearer.refused(route, why.wireName());
+            listener.onRejected(route, violation.wireName());
         }
     }
 
-    private void drop(String site, Relation relation, Route route) {
-        NavigableSet<Candidate> its = ways.get(route.key());
-        if (its != null) {
-            its.remove(new Candidate(site, relation, RoutingPolicy.marked(site, relation, route)));
-            if (its.isEmpty()) {
-                ways.remove(route.key());
+    private void remove(String site, Relation relation, Route route) {
+        NavigableSet<Candidate> ofKey = candidates.get(route.key());
+        if (ofKey != null) {
+            ofKey.remove(new Candidate(site, relation, RoutingPolicy.markOnImport(site, relation, route)));
+            if (ofKey.isEmpty()) {
+                candidates.remove(route.key());
             }
         }
     }
@@ -167,29 +167,29 @@
         return tables.get(site);
     }
 
-    public int routes() {
-        return routes;
+    public int routeCount() {
+        return routeCount;
     }
 
     /** Best first. */
-    public NavigableSet<Candidate> ways(String key) {
-        return Collections.unmodifiableNavigableSet(ways.getOrDefault(key, NO_WAYS));
+    public NavigableSet<Candidate> candidates(String key) {
+        return Collections.unmodifiableNavigableSet(candidates.getOrDefault(key, NO_CANDIDATES));
     }
 
     public List<String> keys() {
-        return new ArrayList<>(ways.keySet());
+        return new ArrayList<>(candidates.keySet());
     }
 
     /** All of it as text: two with the same text decide the same. */
-    public String told() {
+    public String describe() {
         StringBuilder text = new StringBuilder();
-        ways.forEach((key, all) -> all.forEach(each -> text.append(key)
+        candidates.forEach((key, ofKey) -> ofKey.forEach(candidate -> text.append(key)
                 .append(' ')
-                .append(each.relation().wireName())
+                .append(candidate.relation().wireName())
                 .append(' ')
-                .append(each.from())
+                .append(candidate.partner())
                 .append(' ')
-                .append(each.route())
+                .append(candidate.route())
                 .append('\n')));
         return text.toString();
     }
--- a/src/main/java/merlinlever/routes/RouteSelector.java
+++ b/src/main/java/merlinlever/routes/RouteSelector.java
@@ -18,27 +18,27 @@
 
     /** As the settings have them. */
     public enum RetrySafety {
-        RETRIABLE,
-        FINGERPRINTED,
-        BINDING
+        IDEMPOTENT,
+        IDEMPOTENT_BY_KEY,
+        NON_IDEMPOTENT
     }
 
-    /** @param leaves whether it may leave the site; for binding work the route has to say so as well */
-    public record RoutingClass(String name, RetrySafety kind, boolean leaves) {}
+    /** @param mayLeaveSite whether it may leave the site; for binding work the route has to say so as well */
+    public record RoutingClass(String name, RetrySafety retrySafety, boolean mayLeaveSite) {}
 
-    /** @param tried places that this operation's calls were sent to already
-     *  @param missing whether one of those calls may have had its effect: its answer never came */
-    public record RoutedCall(RoutingClass tariff, String group, String key, Set<String> tried, boolean missing) {}
+    /** @param attemptedAddresses places that this operation's calls were sent to already
+     *  @param mayHaveTakenEffect whether one of those calls may have had its effect: its answer never came */
+    public record RoutedCall(RoutingClass routingClass, String group, String key, Set<String> attemptedAddresses, boolean mayHaveTakenEffect) {}
 
     /** Where it goes. */
-    public record SelectedRoute(String site, String place, String route) {}
+    public record SelectedRoute(String site, String address, String routeId) {}
 
     /** Routes whose begins are remembered; what is over is used no more than if it were full. */
-    private static final int MOST_ROOMS = 4096;
+    private static final int MAX_RATE_WINDOWS = 4096;
 
     private final RoutingTable routes;
     private final int backends;
-    private final Map<String, RateWindow> rooms = new LinkedHashMap<>();
+    private final Map<String, RateWindow> rateWindows = new LinkedHashMap<>();
 
     /** @param backends of this site that divide the room of each route: the most that there ever are */
     public RouteSelector(RoutingTable routes, int backends) {
@@ -47,89 +47,89 @@
     }
 
     /** The way of a call and what it takes of its room; empty where it stays, or has nowhere to go. */
-    public Optional<SelectedRoute> way(
-            Duration now, RoutedCall call, LocalServiceHealth.HealthState own, boolean overShare) {
-        if (own == LocalServiceHealth.HealthState.GOOD && !overShare) {
+    public Optional<SelectedRoute> selectRoute(
+            Duration now, RoutedCall call, LocalServiceHealth.HealthState localHealth, boolean isOverQuota) {
+        if (localHealth == LocalServiceHealth.HealthState.HEALTHY && !isOverQuota) {
             return Optional.empty();
         }
-        for (List<RouteMerger.Candidate> tier : tiers(now, call)) {
-            double[] score = new double[tier.size()];
-            for (int i = 0; i < score.length; i++) {
-                score[i] = score(call.key(), tier.get(i));
+        for (List<RouteMerger.Candidate> candidates : preferenceTiers(now, call)) {
+            double[] scores = new double[candidates.size()];
+            for (int i = 0; i < scores.length; i++) {
+                scores[i] = score(call.key(), candidates.get(i));
             }
             // The least first; what is full leaves its keys to the next of each.
-            for (int tries = 0; tries < score.length; tries++) {
-                int least = 0;
-                for (int i = 1; i < score.length; i++) {
-                    least = score[i] < score[least] ? i : least;
+            for (int tries = 0; tries < scores.length; tries++) {
+                int best = 0;
+                for (int i = 1; i < scores.length; i++) {
+                    best = scores[i] < scores[best] ? i : best;
                 }
-                RouteMerger.Candidate its = tier.get(least);
-                RateWindow room = room(now, its);
-                if (room != null && room.allows(now)) {
-                    room.begin(now);
+                RouteMerger.Candidate candidate = candidates.get(best);
+                RateWindow window = room(now, candidate);
+                if (window != null && window.hasCapacity(now)) {
+                    window.recordStart(now);
                     return Optional.of(new SelectedRoute(
-                            its.from(), its.route().place(), its.route().id()));
+                            candidate.partner(), candidate.route().address(), candidate.route().id()));
                 }
-                score[least] = Double.POSITIVE_INFINITY;
+                scores[best] = Double.POSITIVE_INFINITY;
             }
         }
         return Optional.empty();
     }
 
     /** What may be used, in parts that are equally good, best first. */
-    private List<List<RouteMerger.Candidate>> tiers(Duration now, RoutedCall call) {
+    private List<List<RouteMerger.Candidate>> preferenceTiers(Duration now, RoutedCall call) {
         List<List<RouteMerger.Candidate>> tiers = new ArrayList<>();
-        if (call.missing() && call.tariff().kind() != RetrySafety.RETRIABLE) {
+        if (call.mayHaveTakenEffect() && call.routingClass().retrySafety() != RetrySafety.IDEMPOTENT) {
             return tiers;
         }
-        RouteMerger.Candidate last = null;
-        for (RouteMerger.Candidate each : routes.ways(now, call.tariff().name() + "/" + call.group())) {
-            if (mayGo(call.tariff(), each.route())
-                    && !call.tried().contains(each.route().place())) {
-                if (last == null
-                        || !each.asGoodAs(last)
-                        || routes.stale(now, each.from()) != routes.stale(now, last.from())) {
+        RouteMerger.Candidate previous = null;
+        for (RouteMerger.Candidate candidate : routes.candidates(now, call.routingClass().name() + "/" + call.group())) {
+            if (isPermitted(call.routingClass(), candidate.route())
+                    && !call.attemptedAddresses().contains(candidate.route().address())) {
+                if (previous == null
+                        || !candidate.isEquallyGood(previous)
+                        || routes.isStale(now, candidate.partner()) != routes.isStale(now, previous.partner())) {
                     tiers.add(new ArrayList<>());
                 }
-                tiers.get(tiers.size() - 1).add(each);
-                last = each;
+                tiers.get(tiers.size() - 1).add(candidate);
+                previous = candidate;
             }
         }
         return tiers;
     }
 
     /** Whether calls of the tariff may go along the route at all. */
-    static boolean mayGo(RoutingClass tariff, Route route) {
-        return tariff.leaves()
-                && (tariff.kind() != RetrySafety.BINDING || route.binding())
-                && (tariff.kind() == RetrySafety.RETRIABLE
-                        || !route.restrictions().retriableOnly());
+    static boolean isPermitted(RoutingClass routingClass, Route route) {
+        return routingClass.mayLeaveSite()
+                && (routingClass.retrySafety() != RetrySafety.NON_IDEMPOTENT || route.allowsNonIdempotent())
+                && (routingClass.retrySafety() == RetrySafety.IDEMPOTENT
+                        || !route.restrictions().idempotentOnly());
     }
 
-    private RateWindow room(Duration now, RouteMerger.Candidate each) {
+    private RateWindow room(Duration now, RouteMerger.Candidate candidate) {
         String id =
-                each.from() + " " + each.route().calls() + " " + each.route().id();
-        RateWindow its = rooms.get(id);
-        if (its == null) {
-            if (rooms.size() >= MOST_ROOMS) {
-                rooms.values().removeIf(room -> room.idle(now));
-                if (rooms.size() >= MOST_ROOMS) {
+                candidate.partner() + " " + candidate.route().callsPerSecond() + " " + candidate.route().id();
+        RateWindow window = rateWindows.get(id);
+        if (window == null) {
+            if (rateWindows.size() >= MAX_RATE_WINDOWS) {
+                rateWindows.values().removeIf(room -> room.isIdle(now));
+                if (rateWindows.size() >= MAX_RATE_WINDOWS) {
                     return null;
                 }
             }
-            its = new RateWindow(each.route().calls(), backends);
-            rooms.put(id, its);
+            window = new RateWindow(candidate.route().callsPerSecond(), backends);
+            rateWindows.put(id, window);
         }
-        return its;
+        return window;
     }
 
     /** Calls a second that this backend may send out in all, for the module: of the tariffs that may leave; rounded down. */
-    public long room(Duration now, List<RoutingClass> tariffs, String group) {
+    public long room(Duration now, List<RoutingClass> routingClasses, String group) {
         long thousandths = 0;
-        for (RoutingClass tariff : tariffs) {
-            for (RouteMerger.Candidate each : routes.ways(now, tariff.name() + "/" + group)) {
-                if (mayGo(tariff, each.route())) {
-                    thousandths += RateWindow.perThousandSeconds(each.route().calls(), backends);
+        for (RoutingClass routingClass : routingClasses) {
+            for (RouteMerger.Candidate candidate : routes.candidates(now, routingClass.name() + "/" + group)) {
+                if (isPermitted(routingClass, candidate.route())) {
+                    thousandths += RateWindow.callsPerThousandSeconds(candidate.route().callsPerSecond(), backends);
                 }
             }
         }
@@ -137,16 +137,16 @@
     }
 
     /** The place's bid for the key: the least of them has it, each as often as it has calls of all. */
-    static double score(String key, RouteMerger.Candidate each) {
-        long hash = hash(key, each.from() + each.route().place());
+    static double score(String key, RouteMerger.Candidate candidate) {
+        long hash = hash(key, candidate.partner() + candidate.route().address());
         double uniform = ((hash >>> 11) + 0.5) * 0x1.0p-53;
-        return -Math.log(uniform) / each.route().calls();
+        return -Math.log(uniform) / candidate.route().callsPerSecond();
     }
 
     /** 64 bits of both: FNV-1a and then the finisher of SplittableRandom (Stafford's 13th), as serve has no library of hashes. */
-    private static long hash(String key, String place) {
+    private static long hash(String key, String address) {
         long h = 0xcbf29ce484222325L;
-        for (byte b : (key + '\n' + place).getBytes(StandardCharsets.UTF_8)) {
+        for (byte b : (key + '\n' + address).getBytes(StandardCharsets.UTF_8)) {
             h = (h ^ b) * 0x100000001b3L;
         }
         h = (h ^ h >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/merlinlever/routes/RouteTable.java
+++ b/src/main/java/merlinlever/routes/RouteTable.java
@@ -11,7 +11,7 @@
  *
  * @param relation what the publisher is to the receiver, as the publisher sees it
  * @param lease so long it may be used from when the publisher was last heard to stand by it
- * @param routes by {@link Route#id}; {@link #MOST} at the most
+ * @param routes by {@link Route#id}; {@link #MAX_ROUTES} at the most
  */
 public record RouteTable(
         String site,
@@ -22,9 +22,9 @@
         SortedMap<String, Route> routes) {
 
     /** Routes of one table at the most. */
-    public static final int MOST = 16_384;
+    public static final int MAX_ROUTES = 16_384;
 
-    public static final Duration SHORTEST = Duration.ofSeconds(1), LONGEST = Duration.ofHours(1);
+    public static final Duration MIN_LEASE = Duration.ofSeconds(1), MAX_LEASE = Duration.ofHours(1);
 
     public RouteTable {
         routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
@@ -37,11 +37,11 @@
         return new RouteTable(site, incarnation, sequence, relation, lease, byId);
     }
 
-    public boolean after(RouteTable other) {
+    public boolean isLaterThan(RouteTable other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
-    public boolean sameVersion(RouteTable other) {
+    public boolean isSameVersion(RouteTable other) {
         return incarnation == other.incarnation && sequence == other.sequence;
     }
 
@@ -49,15 +49,15 @@
      * What both this one and the other allow, under the later version of the two; the same in any order but for that. So a
      * tightening or a withdrawal holds at once where a loosening or a new route may not be taken on yet.
      */
-    public RouteTable narrowed(RouteTable other) {
+    public RouteTable intersect(RouteTable other) {
         TreeMap<String, Route> both = new TreeMap<>();
         routes.forEach((id, route) -> {
-            Route its = other.routes.get(id);
-            if (its != null) {
-                both.put(id, route.and(its));
+            Route counterpart = other.routes.get(id);
+            if (counterpart != null) {
+                both.put(id, route.intersect(counterpart));
             }
         });
-        RouteTable later = other.after(this) ? other : this;
+        RouteTable later = other.isLaterThan(this) ? other : this;
         return new RouteTable(
                 site,
                 later.incarnation,
--- a/src/main/java/merlinlever/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/routes/RouteTableReader.java
@@ -30,12 +30,12 @@
     /** @param faults one line for each route that is not used as it was said, 50 at the most */
     public record ParsedTable(RouteTable table, List<String> faults) {}
 
-    public static final int MOST_CHARACTERS = 8 << 20;
-    public static final int MOST_CALLS = 100_000;
-    static final int MOST_COST = 1_000_000;
-    private static final int MOST_SITES_NAMED = 64;
-    private static final int MOST_FAULTS = 50;
-    private static final long MOST_VERSION = 1L << 52;
+    public static final int MAX_CHARACTERS = 8 << 20;
+    public static final int MAX_CALLS_PER_SECOND = 100_000;
+    static final int MAX_COST = 1_000_000;
+    private static final int MAX_NAMED_SITES = 64;
+    private static final int MAX_FAULTS = 50;
+    private static final long MAX_VERSION = 1L << 52;
     private static final Pattern SITE = Pattern.compile("[a-z0-9-]{1,20}");
     private static final Pattern WORD = Pattern.compile("[!-.0-~]{1,40}");
     private static final Pattern PLACE =
@@ -57,8 +57,8 @@
     }
 
     public static ParsedTable read(String text) throws UnusableTableException {
-        if (text.length() > MOST_CHARACTERS) {
-            throw new UnusableTableException("the table has over " + MOST_CHARACTERS + " characters");
+        if (text.length() > MAX_CHARACTERS) {
+            throw new UnusableTableException("the table has over " + MAX_CHARACTERS + " characters");
         }
         try {
             return read(Json.strictObject(text));
@@ -68,18 +68,18 @@
     }
 
     private static ParsedTable read(Map<?, ?> head) throws InvalidFieldException {
-        known(head, HEAD);
+        requireKnownNames(head, HEAD);
         String site = word(head, "site", SITE);
-        long incarnation = number(head, "incarnation", 0, MOST_VERSION),
-                sequence = number(head, "sequence", 0, MOST_VERSION);
+        long incarnation = number(head, "incarnation", 0, MAX_VERSION),
+                sequence = number(head, "sequence", 0, MAX_VERSION);
         Relation relation = relation(word(head, "relation", WORD));
         Duration lease = Duration.ofMillis(
-                number(head, "lease-ms", RouteTable.SHORTEST.toMillis(), RouteTable.LONGEST.toMillis()));
+                number(head, "lease-ms", RouteTable.MIN_LEASE.toMillis(), RouteTable.MAX_LEASE.toMillis()));
         if (!(head.get("routes") instanceof List<?> list)) {
             throw new InvalidFieldException("'routes' is no list");
         }
-        if (list.size() > RouteTable.MOST) {
-            throw new InvalidFieldException("over " + RouteTable.MOST + " routes");
+        if (list.size() > RouteTable.MAX_ROUTES) {
+            throw new InvalidFieldException("over " + RouteTable.MAX_ROUTES + " routes");
         }
         List<String> faults = new ArrayList<>();
         TreeMap<String, Route> routes = new TreeMap<>();
@@ -88,22 +88,22 @@
             try {
                 Route route = route(list.get(i));
                 if (route.restrictions().unreadable()) {
-                    fault(faults, i, "its restrictions are not understood, so it is forbidden");
+                    addFault(faults, i, "its restrictions are not understood, so it is forbidden");
                 }
                 if (routes.put(route.id(), route) != null) {
                     twice.add(route.id());
                     throw new InvalidFieldException("the same route came before; neither is taken");
                 }
             } catch (InvalidFieldException e) {
-                fault(faults, i, e.getMessage());
+                addFault(faults, i, e.getMessage());
             }
         }
         twice.forEach(routes::remove);
         return new ParsedTable(new RouteTable(site, incarnation, sequence, relation, lease, routes), faults);
     }
 
-    private static void fault(List<String> faults, int i, String what) {
-        if (faults.size() < MOST_FAULTS) {
+    private static void addFault(List<String> faults, int i, String what) {
+        if (faults.size() < MAX_FAULTS) {
             faults.add("routes[" + i + "]: " + what);
         }
     }
@@ -112,12 +112,12 @@
         if (!(value instanceof Map<?, ?> map)) {
             throw new InvalidFieldException("not an object");
         }
-        known(map, ROUTE);
+        requireKnownNames(map, ROUTE);
         String place = word(map, "place", PLACE);
-        if (!address(place)) {
+        if (!isAddress(place)) {
             throw new InvalidFieldException("'place' is no address and port: " + place);
         }
-        List<String> path = new ArrayList<>(sites(map.get("path"), "path", Restrictions.MOST_SITES));
+        List<String> path = new ArrayList<>(sites(map.get("path"), "path", Restrictions.MAX_SITES));
         if (path.isEmpty()) {
             throw new InvalidFieldException("'path' is empty");
         }
@@ -126,8 +126,8 @@
                 word(map, "tariff", WORD),
                 map.containsKey("group") ? word(map, "group", WORD) : "records",
                 place,
-                (int) number(map, "calls", 1, MOST_CALLS),
-                (int) number(map, "cost", 0, MOST_COST),
+                (int) number(map, "calls", 1, MAX_CALLS_PER_SECOND),
+                (int) number(map, "cost", 0, MAX_COST),
                 flag(map, "binding"),
                 path,
                 down,
@@ -140,20 +140,20 @@
             if (!(value instanceof Map<?, ?> map)) {
                 return Restrictions.UNREADABLE;
             }
-            known(map, LIMITS);
+            requireKnownNames(map, LIMITS);
             SortedSet<String> only = map.containsKey("only-to")
-                    ? new TreeSet<>(sites(map.get("only-to"), "only-to", MOST_SITES_NAMED))
+                    ? new TreeSet<>(sites(map.get("only-to"), "only-to", MAX_NAMED_SITES))
                     : null;
             SortedSet<String> not = map.containsKey("not-to")
-                    ? new TreeSet<>(sites(map.get("not-to"), "not-to", MOST_SITES_NAMED))
+                    ? new TreeSet<>(sites(map.get("not-to"), "not-to", MAX_NAMED_SITES))
                     : new TreeSet<>();
             return new Restrictions(
                     only,
                     not,
                     flag(map, "no-further"),
                     map.containsKey("most-sites")
-                            ? (int) number(map, "most-sites", 1, Restrictions.MOST_SITES)
-                            : Restrictions.MOST_SITES,
+                            ? (int) number(map, "most-sites", 1, Restrictions.MAX_SITES)
+                            : Restrictions.MAX_SITES,
                     flag(map, "retriable-only"),
                     flag(map, "customers-only"),
                     false);
@@ -162,7 +162,7 @@
         }
     }
 
-    private static boolean address(String place) {
+    private static boolean isAddress(String place) {
         var parts = PLACE.matcher(place);
         if (!parts.matches() || Integer.parseInt(parts.group(5)) > 65535 || Integer.parseInt(parts.group(5)) == 0) {
             return false;
@@ -189,7 +189,7 @@
         return SITE.matcher(text).matches();
     }
 
-    private static void known(Map<?, ?> map, Set<String> names) throws InvalidFieldException {
+    private static void requireKnownNames(Map<?, ?> map, Set<String> names) throws InvalidFieldException {
         for (Object name : map.keySet()) {
             if (!names.contains(name)) {
                 String shown = String.valueOf(name);
--- a/src/main/java/merlinlever/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/routes/RouteTableWriter.java
@@ -13,7 +13,7 @@
 
     private RouteTableWriter() {}
 
-    public static String text(RouteTable table) {
+    public static String write(RouteTable table) {
         StringBuilder text = new StringBuilder("{\"site\":")
                 .append(Json.quoted(table.site()))
                 .append(",\"incarnation\":")
@@ -28,55 +28,55 @@
         String between = "\n";
         for (Route route : table.routes().values()) {
             text.append(between);
-            route(text, route);
+            writeRoute(text, route);
             between = ",\n";
         }
         return text.append("]}\n").toString();
     }
 
-    private static void route(StringBuilder text, Route route) {
+    private static void writeRoute(StringBuilder text, Route route) {
         text.append("{\"tariff\":")
-                .append(Json.quoted(route.tariff()))
+                .append(Json.quoted(route.priorityClass()))
                 .append(",\"group\":")
                 .append(Json.quoted(route.group()))
                 .append(",\"place\":\"")
-                .append(route.place())
+                .append(route.address())
                 .append("\",\"calls\":")
-                .append(route.calls())
+                .append(route.callsPerSecond())
                 .append(",\"cost\":")
                 .append(route.cost())
-                .append(route.binding() ? ",\"binding\":true" : "")
+                .append(route.allowsNonIdempotent() ? ",\"binding\":true" : "")
                 .append(",\"path\":")
-                .append(list(route.path()));
-        if (route.downFrom() != null) {
-            text.append(",\"down-from\":").append(Json.quoted(route.downFrom()));
+                .append(jsonArray(route.path()));
+        if (route.onlyToCustomerSite() != null) {
+            text.append(",\"down-from\":").append(Json.quoted(route.onlyToCustomerSite()));
         }
-        Restrictions its = route.restrictions();
-        if (its.unreadable()) {
+        Restrictions restrictions = route.restrictions();
+        if (restrictions.unreadable()) {
             text.append(",\"restrictions\":null");
-        } else if (!its.equals(Restrictions.NONE)) {
+        } else if (!restrictions.equals(Restrictions.NONE)) {
             text.append(",\"restrictions\":{\"no-further\":")
-                    .append(its.noFurther())
-                    .append(its.onlyTo() == null ? "" : ",\"only-to\":" + list(its.onlyTo()))
-                    .append(its.notTo().isEmpty() ? "" : ",\"not-to\":" + list(its.notTo()))
+                    .append(restrictions.noExport())
+                    .append(restrictions.onlyTo() == null ? "" : ",\"only-to\":" + jsonArray(restrictions.onlyTo()))
+                    .append(restrictions.notTo().isEmpty() ? "" : ",\"not-to\":" + jsonArray(restrictions.notTo()))
                     .append(",\"most-sites\":")
-                    .append(its.mostSites())
-                    .append(its.retriableOnly() ? ",\"retriable-only\":true" : "")
-                    .append(its.customersOnly() ? ",\"customers-only\":true" : "")
+                    .append(restrictions.maxSites())
+                    .append(restrictions.idempotentOnly() ? ",\"retriable-only\":true" : "")
+                    .append(restrictions.customersOnly() ? ",\"customers-only\":true" : "")
                     .append('}');
         }
         text.append('}');
     }
 
-    private static String list(Collection<String> sites) {
+    private static String jsonArray(Collection<String> sites) {
         return sites.stream().map(Json::quoted).collect(Collectors.joining(",", "[", "]"));
     }
 
     /** For telling two tables of one version apart. */
     public static String digest(RouteTable table) {
         try {
-            byte[] all = MessageDigest.getInstance("SHA-256").digest(text(table).getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(all, 0, 16);
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest(write(table).getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(hash, 0, 16);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/merlinlever/routes/RoutingPolicy.java
+++ b/src/main/java/merlinlever/routes/RoutingPolicy.java
@@ -55,8 +55,8 @@
     }
 
     private final String self;
-    private final Set<ImportRule> intake;
-    private final Set<ExportRule> export;
+    private final Set<ImportRule> importRules;
+    private final Set<ExportRule> exportRules;
 
     public RoutingPolicy(String self) {
         this(self, EnumSet.noneOf(ImportRule.class), EnumSet.noneOf(ExportRule.class));
@@ -65,8 +65,8 @@
     /** For tests: without some of the rules. */
     RoutingPolicy(String self, Set<ImportRule> without, Set<ExportRule> withoutExport) {
         this.self = self;
-        intake = EnumSet.complementOf(without.isEmpty() ? EnumSet.noneOf(ImportRule.class) : EnumSet.copyOf(without));
-        export = EnumSet.complementOf(
+        importRules = EnumSet.complementOf(without.isEmpty() ? EnumSet.noneOf(ImportRule.class) : EnumSet.copyOf(without));
+        exportRules = EnumSet.complementOf(
                 withoutExport.isEmpty() ? EnumSet.noneOf(ExportRule.class) : EnumSet.copyOf(withoutExport));
     }
 
@@ -75,16 +75,16 @@
     }
 
     /** Why the route may not be taken, or null. */
-    ImportRule refusal(String from, Relation relation, Route route) {
-        for (ImportRule each : intake) {
-            if (breaks(each, from, relation, route)) {
+    ImportRule findViolation(String from, Relation relation, Route route) {
+        for (ImportRule each : importRules) {
+            if (violates(each, from, relation, route)) {
                 return each;
             }
         }
         return null;
     }
 
-    private boolean breaks(ImportRule rule, String from, Relation relation, Route route) {
+    private boolean violates(ImportRule rule, String from, Relation relation, Route route) {
         Restrictions its = route.restrictions();
         boolean passedOn = route.path().size() > 1;
         return switch (rule) {
@@ -94,60 +94,60 @@
                     || new HashSet<>(route.path()).size() < route.path().size();
             case NOT_HERE -> its.onlyTo() != null && !its.onlyTo().contains(self)
                     || its.notTo().contains(self);
-            case NO_FURTHER -> its.noFurther() && passedOn;
-            case TOO_LONG -> route.path().size() > Math.min(its.mostSites(), Restrictions.MOST_SITES);
-            case LEAK -> relation == Relation.CUSTOMER && route.downFrom() != null
+            case NO_FURTHER -> its.noExport() && passedOn;
+            case TOO_LONG -> route.path().size() > Math.min(its.maxSites(), Restrictions.MAX_SITES);
+            case LEAK -> relation == Relation.CUSTOMER && route.onlyToCustomerSite() != null
                     || relation == Relation.PEER
-                            && route.downFrom() != null
-                            && !route.downFrom().equals(from)
+                            && route.onlyToCustomerSite() != null
+                            && !route.onlyToCustomerSite().equals(from)
                     || relation != Relation.PROVIDER && its.customersOnly() && passedOn;
         };
     }
 
     /** As it is kept: what came from a provider or peer without a mark gets one (RFC 9234, 5). */
-    static Route marked(String from, Relation relation, Route route) {
-        return relation == Relation.CUSTOMER || route.downFrom() != null ? route : route.with(from);
+    static Route markOnImport(String from, Relation relation, Route route) {
+        return relation == Relation.CUSTOMER || route.onlyToCustomerSite() != null ? route : route.withOnlyToCustomerSite(from);
     }
 
     /** Why what came from a partner of that relation (null for this site's own) may not be passed on to the receiver, or null. */
-    ExportRule refusal(Relation from, Route route, String receiver, Relation its) {
-        for (ExportRule each : export) {
-            if (breaks(each, from, route, receiver, its)) {
+    ExportRule findViolation(Relation from, Route route, String receiver, Relation its) {
+        for (ExportRule each : exportRules) {
+            if (violates(each, from, route, receiver, its)) {
                 return each;
             }
         }
         return null;
     }
 
-    private boolean breaks(ExportRule rule, Relation from, Route route, String receiver, Relation its) {
+    private boolean violates(ExportRule rule, Relation from, Route route, String receiver, Relation its) {
         Restrictions said = route.restrictions();
         return switch (rule) {
             case BACK -> route.path().contains(receiver);
             case NOT_THERE -> !said.allows(receiver);
-            case NO_FURTHER -> from != null && said.noFurther();
+            case NO_FURTHER -> from != null && said.noExport();
                 // The path of this site's own begins with it already.
             case TOO_LONG -> route.path().size() + (from == null ? 0 : 1)
-                    > Math.min(said.mostSites(), Restrictions.MOST_SITES);
+                    > Math.min(said.maxSites(), Restrictions.MAX_SITES);
             case CUSTOMERS_ONLY -> from != null && said.customersOnly() && its != Relation.CUSTOMER;
             case VALLEY -> its != Relation.CUSTOMER
                     && from != null
-                    && (from != Relation.CUSTOMER || route.downFrom() != null);
+                    && (from != Relation.CUSTOMER || route.onlyToCustomerSite() != null);
         };
     }
 
     /** As it is passed on: this site first on its way, taken at its own place, marked where it goes down or across (RFC 9234, 5). */
-    Route passedOn(Route route, String place, int calls, int cost, Relation receiver) {
+    Route toExported(Route route, String address, int calls, int cost, Relation receiver) {
         List<String> path = new ArrayList<>(Collections.singleton(self));
         path.addAll(route.path());
         return new Route(
-                route.tariff(),
+                route.priorityClass(),
                 route.group(),
-                place,
-                Math.min(calls, route.calls()),
-                Math.min(RouteTableReader.MOST_COST, route.cost() + cost),
-                route.binding(),
+                address,
+                Math.min(calls, route.callsPerSecond()),
+                Math.min(RouteTableReader.MAX_COST, route.cost() + cost),
+                route.allowsNonIdempotent(),
                 path,
-                route.downFrom() == null && receiver != Relation.PROVIDER ? self : route.downFrom(),
+                route.onlyToCustomerSite() == null && receiver != Relation.PROVIDER ? self : route.onlyToCustomerSite(),
                 route.restrictions());
     }
 }
