--- a/src/main/java/merlinlever/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/routes/RoutingTable.java
@@ -18,144 +18,144 @@
     public record PartnerSettings(String site, Relation relation) {}
 
     /** Partners at the most. */
-    public static final int MOST_PARTNERS = 64;
+    public static final int MAX_PARTNERS = 64;
 
-    private final RoutingPolicy rules;
-    private final RouteMerger merge;
+    private final RoutingPolicy policy;
+    private final RouteMerger merger;
     private final FlapDamping damping;
     private final Map<String, PartnerTable> partners = new TreeMap<>();
-    private final FleetView seen;
-    private final Consumer<String> told;
-    /** Changes with whatever {@link #ways} may say, but for the time. */
+    private final FleetView fleetView;
+    private final Consumer<String> log;
+    /** Changes with whatever {@link #candidates} may say, but for the time. */
     private long edition;
 
     public RoutingTable(
-            RoutingPolicy rules,
+            RoutingPolicy policy,
             List<PartnerSettings> stated,
             double drift,
             FlapDamping.FlapDampingSettings figures,
-            FleetView seen,
-            Consumer<String> told) {
-        this.rules = rules;
-        this.seen = seen;
-        this.told = told;
-        merge = new RouteMerger(rules);
+            FleetView fleetView,
+            Consumer<String> log) {
+        this.policy = policy;
+        this.fleetView = fleetView;
+        this.log = log;
+        merger = new RouteMerger(policy);
         damping = new FlapDamping(figures);
-        if (stated.size() > MOST_PARTNERS) {
-            throw new IllegalArgumentException("over " + MOST_PARTNERS + " partners");
+        if (stated.size() > MAX_PARTNERS) {
+            throw new IllegalArgumentException("over " + MAX_PARTNERS + " partners");
         }
         stated.forEach(each -> partners.put(each.site(), new PartnerTable(each.site(), each.relation(), drift)));
     }
 
     public String self() {
-        return rules.self();
+        return policy.self();
     }
 
-    public Collection<String> sites() {
+    public Collection<String> partners() {
         return partners.keySet();
     }
 
     /** A partner's table came, from it or from another backend; it is used once it is known that the partner stands by it. */
     public boolean offer(Duration now, RouteTable table) {
-        PartnerTable its = partners.get(table.site());
-        if (its == null) {
-            told.accept("a table of " + table.site() + ", which is no partner");
+        PartnerTable partner = partners.get(table.site());
+        if (partner == null) {
+            log.accept("a table of " + table.site() + ", which is no partner");
             return false;
         }
-        RouteTable latest = its.latest();
-        boolean changed = its.offer(
+        RouteTable latest = partner.latest();
+        boolean changed = partner.offer(
                 now,
                 table,
                 RouteTableWriter.digest(table),
-                seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES,
-                told);
+                fleetView.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED,
+                log);
         if (changed) {
-            apply(now, its, hearer(now, its.site));
+            apply(now, partner, loggingListener(now, partner.site));
         }
-        return changed && its.latest() != latest;
+        return changed && partner.latest() != latest;
     }
 
-    private RouteMerger.RouteListener hearer(Duration now, String site) {
+    private RouteMerger.RouteListener loggingListener(Duration now, String site) {
         return new RouteMerger.RouteListener() {
             private int lines;
 
             @Override
-            public void refused(Route route, String rule) {
+            public void onRejected(Route route, String rule) {
                 if (lines++ < 20) {
-                    told.accept(site + ": " + route.key() + " by " + String.join(" ", route.path()) + " is refused: "
+                    log.accept(site + ": " + route.key() + " by " + String.join(" ", route.path()) + " is refused: "
                             + rule);
                 }
             }
 
             @Override
-            public void withdrawn(Route route) {
-                damping.withdrawn(now, site + " " + route.id());
+            public void onWithdrawn(Route route) {
+                damping.recordWithdrawal(now, site + " " + route.id());
             }
 
             @Override
-            public void changed(Route route) {
-                damping.changed(now, site + " " + route.id());
+            public void onChanged(Route route) {
+                damping.recordChange(now, site + " " + route.id());
             }
         };
     }
 
-    private void apply(Duration now, PartnerTable its, RouteMerger.RouteListener hearer) {
-        RouteTable used = its.used(now);
-        if (used != merge.table(its.site)) {
+    private void apply(Duration now, PartnerTable partner, RouteMerger.RouteListener listener) {
+        RouteTable active = partner.active(now);
+        if (active != merger.table(partner.site)) {
             edition++;
-            if (!merge.put(its.site, its.relation, used, hearer)) {
-                told.accept(its.site + ": no room for its routes; nothing of it is used");
-                merge.put(its.site, its.relation, null, RouteMerger.NOBODY);
+            if (!merger.replaceTable(partner.site, partner.relation, active, listener)) {
+                log.accept(partner.site + ": no room for its routes; nothing of it is used");
+                merger.replaceTable(partner.site, partner.relation, null, RouteMerger.NO_LISTENER);
             }
         }
     }
 
     /** The partner surely stood by the version at that moment of this process, or later, and it may be used for so long from then. */
-    public boolean stoodBy(
-            Duration now, String site, long incarnation, long sequence, String digest, Duration from, Duration lasts) {
-        PartnerTable its = partners.get(site);
-        if (its == null) {
+    public boolean renew(
+            Duration now, String site, long incarnation, long sequence, String digest, Duration confirmedAt, Duration duration) {
+        PartnerTable partner = partners.get(site);
+        if (partner == null) {
             return false;
         }
-        its.expire(now);
-        if (!its.stoodBy(incarnation, sequence, digest, from, lasts)) {
+        partner.expire(now);
+        if (!partner.renew(incarnation, sequence, digest, confirmedAt, duration)) {
             return false;
         }
-        widen(now, its);
-        apply(now, its, RouteMerger.NOBODY);
+        adoptWidening(now, partner);
+        apply(now, partner, RouteMerger.NO_LISTENER);
         return true;
     }
 
     /** To be asked for every few ms: what ran out goes, what was held back is taken on where it may be. */
-    public void settle(Duration now) {
-        for (PartnerTable each : partners.values()) {
-            each.expire(now);
-            if (each.used(now) != null) {
-                widen(now, each);
+    public void tick(Duration now) {
+        for (PartnerTable partner : partners.values()) {
+            partner.expire(now);
+            if (partner.active(now) != null) {
+                adoptWidening(now, partner);
             }
-            apply(now, each, RouteMerger.NOBODY);
+            apply(now, partner, RouteMerger.NO_LISTENER);
         }
     }
 
-    private void widen(Duration now, PartnerTable its) {
-        if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES && its.widen()) {
-            told.accept(its.site + ": " + PartnerTable.version(its.latest()) + " is taken on whole");
+    private void adoptWidening(Duration now, PartnerTable partner) {
+        if (fleetView.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED && partner.adoptWidening()) {
+            log.accept(partner.site + ": " + PartnerTable.formatVersion(partner.latest()) + " is taken on whole");
         }
     }
 
     /** For the calls of a key, best first, what is stale last; empty where this backend may not serve. */
-    public List<RouteMerger.Candidate> ways(Duration now, String key) {
+    public List<RouteMerger.Candidate> candidates(Duration now, String key) {
         List<RouteMerger.Candidate> fresh = new ArrayList<>(), stale = new ArrayList<>();
-        if (seen.may(now, GuardedAction.SERVE) == ActionPermissions.Permission.NO) {
+        if (fleetView.permission(now, GuardedAction.USE_ADOPTED) == ActionPermissions.Permission.DENIED) {
             return fresh;
         }
-        int looked = 0;
-        for (RouteMerger.Candidate each : merge.ways(key)) {
-            PartnerTable its = partners.get(each.from());
-            if (its.used(now) != null
-                    && !damping.leftOut(now, each.from() + " " + each.route().id())) {
-                (its.stale(now) ? stale : fresh).add(each);
-                if (++looked >= RouteMerger.MOST_ALTERNATIVES) {
+        int considered = 0;
+        for (RouteMerger.Candidate candidate : merger.candidates(key)) {
+            PartnerTable partner = partners.get(candidate.partner());
+            if (partner.active(now) != null
+                    && !damping.isSuppressed(now, candidate.partner() + " " + candidate.route().id())) {
+                (partner.isStale(now) ? stale : fresh).add(candidate);
+                if (++considered >= RouteMerger.MAX_ALTERNATIVES) {
                     break;
                 }
             }
@@ -164,20 +164,20 @@
         return fresh;
     }
 
-    public boolean stale(Duration now, String site) {
-        return partners.get(site).stale(now);
+    public boolean isStale(Duration now, String site) {
+        return partners.get(site).isStale(now);
     }
 
     /** What of it is held here, as word for another backend. */
-    public record TableLease(String site, long incarnation, long sequence, String digest, Duration left) {}
+    public record TableLease(String site, long incarnation, long sequence, String digest, Duration remaining) {}
 
     /** What is held of a partner; null where nothing is. */
-    public TableLease holds(Duration now, String site) {
-        PartnerTable its = partners.get(site);
-        return its == null || its.latest() == null
+    public TableLease lease(Duration now, String site) {
+        PartnerTable partner = partners.get(site);
+        return partner == null || partner.latest() == null
                 ? null
                 : new TableLease(
-                        site, its.latest().incarnation(), its.latest().sequence(), its.digest(), its.left(now));
+                        site, partner.latest().incarnation(), partner.latest().sequence(), partner.digest(), partner.remaining(now));
     }
 
     /** The latest table of a partner, in use or not; null where there is none. */
@@ -185,33 +185,33 @@
         return partners.get(site).latest();
     }
 
-    public boolean clashing(String site) {
-        return partners.get(site).clashing();
+    public boolean isConflicting(String site) {
+        return partners.get(site).isConflicting();
     }
 
     /** What this site's own table to a partner may hold: its own routes and what may be passed on, the best of each key. */
-    public List<Route> export(Duration now, String receiver, Collection<Route> own, String place, int calls, int cost) {
+    public List<Route> export(Duration now, String receiver, Collection<Route> ownRoutes, String address, int callsPerSecond, int cost) {
         return RouteExporter.of(
-                rules,
-                merge,
+                policy,
+                merger,
                 partners.get(receiver).relation,
                 receiver,
-                own,
-                place,
-                calls,
+                ownRoutes,
+                address,
+                callsPerSecond,
                 cost,
-                each -> partners.get(each.from()).used(now) != null
-                        && !damping.leftOut(
-                                now, each.from() + " " + each.route().id()));
+                candidate -> partners.get(candidate.partner()).active(now) != null
+                        && !damping.isSuppressed(
+                                now, candidate.partner() + " " + candidate.route().id()));
     }
 
     /** Of all tables in use, as text: two backends with the same text decide the same. */
-    public String merged() {
-        return merge.told();
+    public String describe() {
+        return merger.describe();
     }
 
-    public int routes() {
-        return merge.routes();
+    public int routeCount() {
+        return merger.routeCount();
     }
 
     public long edition() {
@@ -219,6 +219,6 @@
     }
 
     List<String> keys() {
-        return merge.keys();
+        return merger.keys();
     }
 }
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -19,109 +19,109 @@
 final class TableChunks {
 
     /** Parts of a table at the most. */
-    static final int MOST = 256;
+    static final int MAX_CHUNKS = 256;
 
-    private static final int OCTETS = VersionedEntry.MOST_OCTETS - 64;
+    private static final int CHUNK_BYTES = VersionedEntry.MOST_OCTETS - 64;
 
     /** The parts of one version of a partner's, as far as they came. */
     private static final class IncompleteTable {
         final long incarnation, sequence;
-        final String head;
-        final byte[][] parts;
+        final String header;
+        final byte[][] chunks;
 
-        IncompleteTable(VersionedEntry first, String head, int count) {
+        IncompleteTable(VersionedEntry first, String header, int count) {
             incarnation = first.incarnation();
             sequence = first.sequence();
-            this.head = head;
-            parts = new byte[count][];
+            this.header = header;
+            chunks = new byte[count][];
         }
     }
 
     /** One for each partner: the latest of which any part came. */
-    private final Map<String, IncompleteTable> coming = new TreeMap<>();
+    private final Map<String, IncompleteTable> incomplete = new TreeMap<>();
 
     static String topic(int part) {
         return "routes." + part;
     }
 
-    static List<VersionedEntry> cut(RouteTable table) {
+    static List<VersionedEntry> split(RouteTable table) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        deflater.setInput(RouteTableWriter.text(table).getBytes(StandardCharsets.UTF_8));
+        deflater.setInput(RouteTableWriter.write(table).getBytes(StandardCharsets.UTF_8));
         deflater.finish();
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        byte[] some = new byte[8192];
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        byte[] buffer = new byte[8192];
         while (!deflater.finished()) {
-            all.write(some, 0, deflater.deflate(some));
+            compressed.write(buffer, 0, deflater.deflate(buffer));
         }
         deflater.end();
-        byte[] octets = all.toByteArray();
-        int count = Math.max(1, (octets.length + OCTETS - 1) / OCTETS);
-        List<VersionedEntry> parts = new ArrayList<>();
-        byte[] head = (count + " " + RouteTableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
-        for (int i = 0; i < count && count <= MOST; i++) {
-            int length = Math.min(OCTETS, octets.length - i * OCTETS);
-            byte[] value = Arrays.copyOf(head, head.length + length);
-            System.arraycopy(octets, i * OCTETS, value, head.length, length);
-            parts.add(new VersionedEntry(table.site(), topic(i), table.incarnation(), table.sequence(), value));
+        byte[] bytes = compressed.toByteArray();
+        int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
+        List<VersionedEntry> chunks = new ArrayList<>();
+        byte[] header = (count + " " + RouteTableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
+        for (int i = 0; i < count && count <= MAX_CHUNKS; i++) {
+            int length = Math.min(CHUNK_BYTES, bytes.length - i * CHUNK_BYTES);
+            byte[] value = Arrays.copyOf(header, header.length + length);
+            System.arraycopy(bytes, i * CHUNK_BYTES, value, header.length, length);
+            chunks.add(new VersionedEntry(table.site(), topic(i), table.incarnation(), table.sequence(), value));
         }
-        return parts;
+        return chunks;
     }
 
     /** A part came; the table where it was the last that was missing, or null. */
-    RouteTable came(VersionedEntry part) {
-        int line = 0;
-        while (part.value() != null && line < part.value().length && line < 60 && part.value()[line] != '\n') {
-            line++;
+    RouteTable receive(VersionedEntry chunk) {
+        int headerLength = 0;
+        while (chunk.value() != null && headerLength < chunk.value().length && headerLength < 60 && chunk.value()[headerLength] != '\n') {
+            headerLength++;
         }
-        String head = part.value() == null ? "" : new String(part.value(), 0, line, StandardCharsets.US_ASCII);
-        if (!head.matches("[1-9][0-9]{0,2} [0-9a-f]{32}") || !part.topic().matches("routes\\.[0-9]{1,3}")) {
+        String header = chunk.value() == null ? "" : new String(chunk.value(), 0, headerLength, StandardCharsets.US_ASCII);
+        if (!header.matches("[1-9][0-9]{0,2} [0-9a-f]{32}") || !chunk.topic().matches("routes\\.[0-9]{1,3}")) {
             return null;
         }
-        int count = Integer.parseInt(head.substring(0, head.indexOf(' '))),
-                which = Integer.parseInt(part.topic().substring(7));
-        if (count > MOST
-                || which >= count
-                || !coming.containsKey(part.owner()) && coming.size() >= RoutingTable.MOST_PARTNERS) {
+        int count = Integer.parseInt(header.substring(0, header.indexOf(' '))),
+                index = Integer.parseInt(chunk.topic().substring(7));
+        if (count > MAX_CHUNKS
+                || index >= count
+                || !incomplete.containsKey(chunk.owner()) && incomplete.size() >= RoutingTable.MAX_PARTNERS) {
             return null;
         }
-        IncompleteTable its = coming.get(part.owner());
-        if (its != null
-                && !head.equals(its.head)
-                && part.incarnation() == its.incarnation
-                && part.sequence() == its.sequence) {
+        IncompleteTable table = incomplete.get(chunk.owner());
+        if (table != null
+                && !header.equals(table.header)
+                && chunk.incarnation() == table.incarnation
+                && chunk.sequence() == table.sequence) {
             // Two under one version; it begins anew with this one, and the other was taken or will come again.
-            its = null;
+            table = null;
         }
-        if (its == null
-                || part.incarnation() > its.incarnation
-                || part.incarnation() == its.incarnation && part.sequence() > its.sequence) {
-            coming.put(part.owner(), its = new IncompleteTable(part, head, count));
-        } else if (part.incarnation() != its.incarnation || part.sequence() != its.sequence) {
+        if (table == null
+                || chunk.incarnation() > table.incarnation
+                || chunk.incarnation() == table.incarnation && chunk.sequence() > table.sequence) {
+            incomplete.put(chunk.owner(), table = new IncompleteTable(chunk, header, count));
+        } else if (chunk.incarnation() != table.incarnation || chunk.sequence() != table.sequence) {
             return null;
         }
-        its.parts[which] = Arrays.copyOfRange(part.value(), line + 1, part.value().length);
-        return Arrays.stream(its.parts).allMatch(each -> each != null) ? whole(part.owner(), its) : null;
+        table.chunks[index] = Arrays.copyOfRange(chunk.value(), headerLength + 1, chunk.value().length);
+        return Arrays.stream(table.chunks).allMatch(each -> each != null) ? assemble(chunk.owner(), table) : null;
     }
 
-    private static RouteTable whole(String site, IncompleteTable its) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        Arrays.stream(its.parts).forEach(each -> all.write(each, 0, each.length));
+    private static RouteTable assemble(String site, IncompleteTable incompleteTable) {
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        Arrays.stream(incompleteTable.chunks).forEach(each -> compressed.write(each, 0, each.length));
         Inflater inflater = new Inflater();
-        inflater.setInput(all.toByteArray());
+        inflater.setInput(compressed.toByteArray());
         ByteArrayOutputStream text = new ByteArrayOutputStream();
-        byte[] some = new byte[8192];
+        byte[] buffer = new byte[8192];
         try {
-            int got = inflater.inflate(some);
-            while (got > 0 && text.size() <= RouteTableReader.MOST_CHARACTERS) {
-                text.write(some, 0, got);
-                got = inflater.inflate(some);
+            int length = inflater.inflate(buffer);
+            while (length > 0 && text.size() <= RouteTableReader.MAX_CHARACTERS) {
+                text.write(buffer, 0, length);
+                length = inflater.inflate(buffer);
             }
             RouteTable table =
                     RouteTableReader.read(text.toString(StandardCharsets.UTF_8)).table();
             return table.site().equals(site)
-                            && table.incarnation() == its.incarnation
-                            && table.sequence() == its.sequence
-                            && RouteTableWriter.digest(table).equals(its.head.substring(its.head.indexOf(' ') + 1))
+                            && table.incarnation() == incompleteTable.incarnation
+                            && table.sequence() == incompleteTable.sequence
+                            && RouteTableWriter.digest(table).equals(incompleteTable.header.substring(incompleteTable.header.indexOf(' ') + 1))
                     ? table
                     : null;
         } catch (DataFormatException | RouteTableReader.UnusableTableException e) {
--- a/src/main/java/merlinlever/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/routes/net/RouteTableFiles.java
@@ -19,69 +19,69 @@
  */
 public final class RouteTableFiles {
 
-    private static final long MOST_OCTETS = RouteTableReader.MOST_CHARACTERS;
+    private static final long MAX_BYTES = RouteTableReader.MAX_CHARACTERS;
 
     private final RoutingTable routes;
     private final Map<String, Path> files;
-    private final Duration fetching;
-    private final Consumer<String> told;
+    private final Duration maxFetchTime;
+    private final Consumer<String> log;
     /** When each was written, as the file system says; for telling writes apart alone. */
-    private final Map<String, String> written = new TreeMap<>();
+    private final Map<String, String> lastModified = new TreeMap<>();
 
-    private Duration before;
+    private Duration lastPollAt;
 
-    /** @param fetching the job has a table in its file at most so long after it asked the partner, and looks are not counted */
-    public RouteTableFiles(RoutingTable routes, Map<String, Path> files, Duration fetching, Consumer<String> told) {
+    /** @param maxFetchTime the job has a table in its file at most so long after it asked the partner, and looks are not counted */
+    public RouteTableFiles(RoutingTable routes, Map<String, Path> files, Duration maxFetchTime, Consumer<String> log) {
         this.routes = routes;
         this.files = new TreeMap<>(files);
-        this.fetching = fetching;
-        this.told = told;
+        this.maxFetchTime = maxFetchTime;
+        this.log = log;
     }
 
     /** Reads what was written since the last look. */
-    public void look(Duration now) {
+    public void poll(Duration now) {
         files.forEach((site, file) -> {
             try {
-                String is = Files.exists(file) ? Files.getLastModifiedTime(file) + " " + Files.size(file) : "none";
-                String was = written.put(site, is);
-                if (!is.equals(was) && !is.equals("none")) {
-                    read(now, site, file, was != null);
+                String state = Files.exists(file) ? Files.getLastModifiedTime(file) + " " + Files.size(file) : "none";
+                String previous = lastModified.put(site, state);
+                if (!state.equals(previous) && !state.equals("none")) {
+                    read(now, site, file, previous != null);
                 }
             } catch (IOException e) {
-                told.accept(site + ": " + file.getFileName() + " cannot be read: "
+                log.accept(site + ": " + file.getFileName() + " cannot be read: "
                         + e.getClass().getSimpleName());
             }
         });
-        before = now;
+        lastPollAt = now;
     }
 
-    private void read(Duration now, String site, Path file, boolean anew) throws IOException {
-        if (Files.size(file) > MOST_OCTETS) {
-            told.accept(site + ": " + file.getFileName() + " has over " + MOST_OCTETS + " octets");
+    private void read(Duration now, String site, Path file, boolean isRewritten) throws IOException {
+        if (Files.size(file) > MAX_BYTES) {
+            log.accept(site + ": " + file.getFileName() + " has over " + MAX_BYTES + " octets");
             return;
         }
         try {
             RouteTableReader.ParsedTable read = RouteTableReader.read(Files.readString(file));
-            read.faults().forEach(fault -> told.accept(site + ": " + fault));
+            read.faults().forEach(fault -> log.accept(site + ": " + fault));
             RouteTable table = read.table();
             if (!table.site().equals(site)) {
-                told.accept(site + ": " + file.getFileName() + " has a table of " + table.site());
+                log.accept(site + ": " + file.getFileName() + " has a table of " + table.site());
                 return;
             }
             routes.offer(now, table);
-            if (anew) {
+            if (isRewritten) {
                 // Written after the last look, and asked for at most so long before it was written.
-                routes.stoodBy(
+                routes.renew(
                         now,
                         site,
                         table.incarnation(),
                         table.sequence(),
                         RouteTableWriter.digest(table),
-                        before.minus(fetching),
+                        lastPollAt.minus(maxFetchTime),
                         table.lease());
             }
         } catch (RouteTableReader.UnusableTableException e) {
-            told.accept(site + ": " + e.getMessage());
+            log.accept(site + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -28,13 +28,13 @@
 public final class RoutedDownstreamService implements DownstreamService {
 
     /** Places that links are kept for; a further one is not called. */
-    private static final int MOST_PLACES = 64;
+    private static final int MAX_PARTNER_ADDRESSES = 64;
     /** Operations whose tries are remembered, the oldest forgotten first: as many as the core keeps marks for. */
-    private static final int MOST_TRIES = 8192;
+    private static final int MAX_TRACKED_REQUESTS = 8192;
 
-    private static final Duration LOOK = Duration.ofMillis(50);
-    private static final RouteSelector.RoutingClass STAYS =
-            new RouteSelector.RoutingClass("-", RouteSelector.RetrySafety.BINDING, false);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final RouteSelector.RoutingClass LOCAL_ONLY =
+            new RouteSelector.RoutingClass("-", RouteSelector.RetrySafety.NON_IDEMPOTENT, false);
 
     /** What became of the calls of one operation since the last that went well. */
     private static final class CallAttempts {
@@ -59,7 +59,7 @@
     private final int most;
     private final Map<String, RecordsClient> links = new TreeMap<>();
     private final Map<Long, CallAttempts> all = new LinkedHashMap<>();
-    private LocalServiceHealth.HealthState told = LocalServiceHealth.HealthState.GOOD;
+    private LocalServiceHealth.HealthState told = LocalServiceHealth.HealthState.HEALTHY;
     private long ways;
 
     /**
@@ -89,9 +89,9 @@
         tariffs.forEach(each -> this.tariffs.put(each.name(), each));
         own = new RecordsClient(loop, ownAt, (now, id, how, reply) -> ended(now, id, how, reply, null), log, most);
         long[] last = {-1};
-        loop.every(LOOK, () -> {
-            routes.settle(loop.clock().uptime());
-            long now = state.state() == LocalServiceHealth.HealthState.GOOD
+        loop.every(TICK_INTERVAL, () -> {
+            routes.tick(loop.clock().uptime());
+            long now = state.state() == LocalServiceHealth.HealthState.HEALTHY
                     ? -1
                     : exits.room(loop.clock().uptime(), tariffs, group);
             if (now != last[0]) {
@@ -115,18 +115,18 @@
     public void call(TrackedRequest work, byte[] body, Duration within) {
         Duration now = loop.clock().uptime();
         CallAttempts its = all.computeIfAbsent(work.id(), id -> new CallAttempts());
-        if (all.size() > MOST_TRIES) {
+        if (all.size() > MAX_TRACKED_REQUESTS) {
             all.remove(all.keySet().iterator().next());
         }
         its.work = work;
         its.body = body;
         its.began = now;
         its.until = now.plus(within);
-        if (its.missing && !its.places.isEmpty() && tariff(work).kind() != RouteSelector.RetrySafety.RETRIABLE) {
+        if (its.missing && !its.places.isEmpty() && tariff(work).retrySafety() != RouteSelector.RetrySafety.IDEMPOTENT) {
             // It may have had its effect at a partner: there is no second way, not even home.
             loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), Outcome.CUT_OFF, null));
-        } else if (state.state() == LocalServiceHealth.HealthState.GOOD
-                || state.tries(now)
+        } else if (state.state() == LocalServiceHealth.HealthState.HEALTHY
+                || state.shouldProbe(now)
                 || !elsewhere(now, its, false)) {
             its.link = own;
             own.call(work, body, within);
@@ -134,22 +134,22 @@
     }
 
     private RouteSelector.RoutingClass tariff(TrackedRequest work) {
-        return tariffs.getOrDefault(work.tariffName(), STAYS);
+        return tariffs.getOrDefault(work.tariffName(), LOCAL_ONLY);
     }
 
     /** Sends it along a route; false where there is none. */
     private boolean elsewhere(Duration now, CallAttempts its, boolean overShare) {
-        Optional<RouteSelector.SelectedRoute> way = exits.way(
+        Optional<RouteSelector.SelectedRoute> way = exits.selectRoute(
                 now,
                 new RouteSelector.RoutedCall(tariff(its.work), group, its.work.key(), its.places, its.missing),
                 state.state(),
                 overShare);
-        RecordsClient link = way.isEmpty() ? null : link(way.get().place());
+        RecordsClient link = way.isEmpty() ? null : link(way.get().address());
         if (link == null || its.until.compareTo(now) <= 0) {
             return false;
         }
         ways++;
-        its.places.add(way.get().place());
+        its.places.add(way.get().address());
         its.began = now;
         its.link = link;
         link.call(its.work, its.body, its.until.minus(now));
@@ -158,7 +158,7 @@
 
     private RecordsClient link(String place) {
         RecordsClient link = links.get(place);
-        if (link == null && links.size() < MOST_PLACES) {
+        if (link == null && links.size() < MAX_PARTNER_ADDRESSES) {
             int colon = place.lastIndexOf(':');
             // Numbers alone, by the reader of tables: nothing is looked up.
             InetSocketAddress at =
@@ -178,7 +178,7 @@
         }
         its.link = null;
         if (place == null) {
-            state.ended(now, how, now.minus(its.began));
+            state.recordOutcome(now, how, now.minus(its.began));
             if (state.state() != told) {
                 told = state.state();
                 log.info("records service: " + told.wireName());
@@ -207,7 +207,7 @@
 
     /** What it knows, as members of a JSON object. */
     public String json() {
-        return "\"routes\":{\"own\":\"" + state.state().wireName() + "\",\"known\":" + routes.routes() + ",\"sent\":"
+        return "\"routes\":{\"own\":\"" + state.state().wireName() + "\",\"known\":" + routes.routeCount() + ",\"sent\":"
                 + ways + "}";
     }
 }
--- a/src/main/java/merlinlever/view/ActionPermissions.java
+++ b/src/main/java/merlinlever/view/ActionPermissions.java
@@ -1,8 +1,8 @@
 package merlinlever.view;
 
-import static merlinlever.view.ActionPermissions.Permission.LEASED;
-import static merlinlever.view.ActionPermissions.Permission.NO;
-import static merlinlever.view.ActionPermissions.Permission.YES;
+import static merlinlever.view.ActionPermissions.Permission.ALLOWED_WHILE_LEASED;
+import static merlinlever.view.ActionPermissions.Permission.DENIED;
+import static merlinlever.view.ActionPermissions.Permission.ALLOWED;
 
 import java.util.Map;
 
@@ -11,24 +11,24 @@
 
     /** The answer: always, only while what was adopted holds its lease (then what is safe alone), or not at all. */
     public enum Permission {
-        YES,
-        LEASED,
-        NO
+        ALLOWED,
+        ALLOWED_WHILE_LEASED,
+        DENIED
     }
 
     /** In the order of {@link QuorumStatus}: whole, most, few, alone, disagreeing, returning. */
     private static final Map<GuardedAction, Permission[]> TABLE = Map.of(
-            GuardedAction.DECIDE, new Permission[] {YES, YES, NO, NO, NO, NO},
-            GuardedAction.GRANT, new Permission[] {YES, YES, NO, NO, NO, NO},
-            GuardedAction.ADOPT, new Permission[] {YES, YES, NO, NO, NO, NO},
-            GuardedAction.TIGHTEN, new Permission[] {YES, YES, YES, YES, YES, YES},
-            GuardedAction.SERVE, new Permission[] {YES, YES, LEASED, LEASED, LEASED, NO},
+            GuardedAction.DECIDE, new Permission[] {ALLOWED, ALLOWED, DENIED, DENIED, DENIED, DENIED},
+            GuardedAction.GRANT_QUOTA, new Permission[] {ALLOWED, ALLOWED, DENIED, DENIED, DENIED, DENIED},
+            GuardedAction.ADOPT_WIDENING, new Permission[] {ALLOWED, ALLOWED, DENIED, DENIED, DENIED, DENIED},
+            GuardedAction.ADOPT_RESTRICTION, new Permission[] {ALLOWED, ALLOWED, ALLOWED, ALLOWED, ALLOWED, ALLOWED},
+            GuardedAction.USE_ADOPTED, new Permission[] {ALLOWED, ALLOWED, ALLOWED_WHILE_LEASED, ALLOWED_WHILE_LEASED, ALLOWED_WHILE_LEASED, DENIED},
             // Its own marks on the disk hold it; the others know nothing of what it ran (docs/fleet/recovery.md).
-            GuardedAction.KEYED, new Permission[] {YES, YES, YES, YES, NO, NO});
+            GuardedAction.START_KEYED_REQUEST, new Permission[] {ALLOWED, ALLOWED, ALLOWED, ALLOWED, DENIED, DENIED});
 
     private ActionPermissions() {}
 
-    public static Permission may(GuardedAction act, QuorumStatus standing) {
+    public static Permission permission(GuardedAction act, QuorumStatus standing) {
         return TABLE.get(act)[standing.ordinal()];
     }
 }
--- a/src/main/java/merlinlever/view/CutDetector.java
+++ b/src/main/java/merlinlever/view/CutDetector.java
@@ -23,37 +23,37 @@
     /**
      * What a backend told last.
      *
-     * @param number of the question that it came with
-     * @param since it was heard without a gap from then on
-     * @param view the number of the one that it holds
-     * @param floor where it holds none: it takes none of that term or before
-     * @param hears voters that answer it
-     * @param gone subjects that it holds gone
+     * @param correlationId of the question that it came with
+     * @param heardSince it was heard without a gap from then on
+     * @param viewNumber the number of the one that it holds
+     * @param termFloor where it holds none: it takes none of that term or before
+     * @param heardVoters voters that answer it
+     * @param unreachable subjects that it holds gone
      */
     record MemberReport(
-            Duration at, long number, Duration since, long view, long floor, int hears, List<String> gone) {}
+            Duration receivedAt, long correlationId, Duration heardSince, long viewNumber, long termFloor, int heardVoters, List<String> unreachable) {}
 
     /** Taken out, and how long it stays so. */
-    private record RejoinPenalty(Duration outAt, Duration span) {}
+    private record RejoinPenalty(Duration removedAt, Duration duration) {}
 
     /** Backends of which it keeps what they told, at the most. */
-    private static final int MOST = 2 * MembershipView.MOST;
+    private static final int MAX_REPORTS = 2 * MembershipView.MAX_MEMBERS;
     /** A penalty is forgotten after so many of it. */
-    private static final int FORGIVEN = 10;
+    private static final int FORGIVENESS_FACTOR = 10;
 
-    private final ViewSettings stated;
-    private final Map<String, MemberReport> told = new TreeMap<>();
+    private final ViewSettings settings;
+    private final Map<String, MemberReport> reports = new TreeMap<>();
     private final Map<String, RejoinPenalty> penalties = new LinkedHashMap<>();
-    private final Map<String, Duration> between = new TreeMap<>();
-    private Set<String> candidates = Set.of();
-    private Duration firstAt = Duration.ZERO, lastAt = Duration.ZERO;
+    private final Map<String, Duration> doubtfulSince = new TreeMap<>();
+    private Set<String> pendingChange = Set.of();
+    private Duration changeStartedAt = Duration.ZERO, changeGrewAt = Duration.ZERO;
 
-    CutDetector(ViewSettings stated) {
-        this.stated = stated;
+    CutDetector(ViewSettings settings) {
+        this.settings = settings;
     }
 
     /** One told; an older question than its last is a late or a replayed one, unless it was silent since. */
-    void told(
+    void recordReport(
             Duration now,
             String name,
             long number,
@@ -62,37 +62,37 @@
             int hears,
             List<String> gone,
             Duration within) {
-        MemberReport before = told.get(name);
-        boolean fresh = before != null && now.minus(before.at).compareTo(within) < 0;
-        if (fresh && number <= before.number) {
+        MemberReport before = reports.get(name);
+        boolean fresh = before != null && now.minus(before.receivedAt).compareTo(within) < 0;
+        if (fresh && number <= before.correlationId) {
             return;
         }
-        if (before == null && told.size() >= MOST) {
-            told.values().removeIf(each -> now.minus(each.at).compareTo(within) >= 0);
-            if (told.size() >= MOST) {
+        if (before == null && reports.size() >= MAX_REPORTS) {
+            reports.values().removeIf(each -> now.minus(each.receivedAt).compareTo(within) >= 0);
+            if (reports.size() >= MAX_REPORTS) {
                 return;
             }
         }
-        told.put(name, new MemberReport(now, number, fresh ? before.since : now, view, floor, hears, gone));
+        reports.put(name, new MemberReport(now, number, fresh ? before.heardSince : now, view, floor, hears, gone));
     }
 
-    private MemberReport heard(Duration now, String name, Duration within) {
-        MemberReport last = told.get(name);
-        return last != null && now.minus(last.at).compareTo(within) < 0 ? last : null;
+    private MemberReport recentReport(Duration now, String name, Duration within) {
+        MemberReport last = reports.get(name);
+        return last != null && now.minus(last.receivedAt).compareTo(within) < 0 ? last : null;
     }
 
     /** This one stood still. */
-    void stoodStill() {
-        told.clear();
-        between.clear();
-        candidates = Set.of();
+    void clear() {
+        reports.clear();
+        doubtfulSince.clear();
+        pendingChange = Set.of();
     }
 
     /** Whether a member waits for a view of a later term than this, as it may have held any of this one before it began anew. */
-    boolean waits(Duration now, MembershipView view, Duration within) {
+    boolean isMemberWaitingForLaterTerm(Duration now, MembershipView view, Duration within) {
         for (String name : view.members()) {
-            MemberReport last = heard(now, name, within);
-            if (last != null && last.view == 0 && last.floor >= view.term()) {
+            MemberReport last = recentReport(now, name, within);
+            if (last != null && last.viewNumber == 0 && last.termFloor >= view.term()) {
                 return true;
             }
         }
@@ -100,20 +100,20 @@
     }
 
     /** How many observers of it count against it. */
-    private int against(
+    private int countAccusations(
             Duration now, String name, MembershipView view, ObserverRings rings, int most, Duration within) {
         int real = 0;
         int mute = 0;
         for (String observer : rings.observers(name)) {
-            MemberReport last = heard(now, observer, within);
+            MemberReport last = recentReport(now, observer, within);
             if (last == null) {
                 mute++;
-            } else if (last.view == view.number() && last.hears >= most && last.gone.contains(name)) {
+            } else if (last.viewNumber == view.number() && last.heardVoters >= most && last.unreachable.contains(name)) {
                 // Only of one that hears enough itself: it may be the deaf one.
                 real++;
             }
         }
-        return real > 0 && heard(now, name, within) == null ? real + mute : real;
+        return real > 0 && recentReport(now, name, within) == null ? real + mute : real;
     }
 
     /**
@@ -121,7 +121,7 @@
      *
      * @param most more than half of the voters
      */
-    SortedSet<String> due(
+    SortedSet<String> dueMembers(
             Duration now,
             String self,
             MembershipView view,
@@ -133,69 +133,69 @@
         Set<String> doubtful = new TreeSet<>();
         for (String name : view.members()) {
             int observers = rings.observers(name).size();
-            int against = name.equals(self) ? 0 : against(now, name, view, rings, most, within);
-            if (against >= ObserverRings.high(observers) && observers > 0 || left(members.apply(name))) {
+            int against = name.equals(self) ? 0 : countAccusations(now, name, view, rings, most, within);
+            if (against >= ObserverRings.removalThreshold(observers) && observers > 0 || hasLeft(members.apply(name))) {
                 out.add(name);
-            } else if (against >= ObserverRings.low(observers) && observers > 0) {
+            } else if (against >= ObserverRings.doubtThreshold(observers) && observers > 0) {
                 doubtful.add(name);
             }
         }
-        between.keySet().retainAll(doubtful);
-        doubtful.forEach(name -> between.putIfAbsent(name, now));
+        doubtfulSince.keySet().retainAll(doubtful);
+        doubtful.forEach(name -> doubtfulSince.putIfAbsent(name, now));
         Set<String> in = new TreeSet<>();
-        told.forEach((name, last) -> {
+        reports.forEach((name, last) -> {
             if (!view.members().contains(name)
-                    && mayJoin(now, name, last, most, members.apply(name), within)
-                    && view.members().size() - out.size() + in.size() < MembershipView.MOST) {
+                    && canJoin(now, name, last, most, members.apply(name), within)
+                    && view.members().size() - out.size() + in.size() < MembershipView.MAX_MEMBERS) {
                 in.add(name);
             }
         });
         Set<String> all = new TreeSet<>(out);
         all.addAll(in);
         if (all.isEmpty()) {
-            candidates = Set.of();
+            pendingChange = Set.of();
             return null;
         }
-        firstAt = candidates.isEmpty() ? now : firstAt;
-        lastAt = candidates.containsAll(all) ? lastAt : now;
-        candidates = all;
+        changeStartedAt = pendingChange.isEmpty() ? now : changeStartedAt;
+        changeGrewAt = pendingChange.containsAll(all) ? changeGrewAt : now;
+        pendingChange = all;
         boolean waits =
-                between.values().stream().anyMatch(since -> now.minus(since).compareTo(stated.between()) < 0);
-        boolean quiet = now.minus(lastAt).compareTo(stated.quiet()) >= 0
-                || now.minus(firstAt).compareTo(stated.longest()) >= 0;
+                doubtfulSince.values().stream().anyMatch(since -> now.minus(since).compareTo(settings.maxDoubtDelay()) < 0);
+        boolean quiet = now.minus(changeGrewAt).compareTo(settings.quietPeriod()) >= 0
+                || now.minus(changeStartedAt).compareTo(settings.maxBatchingDelay()) >= 0;
         if (waits && !out.isEmpty() || !quiet) {
             return null;
         }
-        candidates = Set.of();
-        out.forEach(name -> takenOut(now, name));
+        pendingChange = Set.of();
+        out.forEach(name -> penalize(now, name));
         SortedSet<String> next = new TreeSet<>(view.members());
         next.removeAll(out);
         next.addAll(in);
         return next;
     }
 
-    private static boolean left(MemberTable.MemberRecord known) {
+    private static boolean hasLeft(MemberTable.MemberRecord known) {
         return known != null && known.status() == MemberTable.MemberStatus.LEFT;
     }
 
-    private boolean mayJoin(
+    private boolean canJoin(
             Duration now, String name, MemberReport last, int most, MemberTable.MemberRecord known, Duration within) {
         RejoinPenalty penalty = penalties.get(name);
-        return now.minus(last.at).compareTo(within) < 0
-                && now.minus(last.since).compareTo(stated.steady()) >= 0
-                && last.hears >= most
+        return now.minus(last.receivedAt).compareTo(within) < 0
+                && now.minus(last.heardSince).compareTo(settings.joinStabilityPeriod()) >= 0
+                && last.heardVoters >= most
                 && known != null
-                && !left(known)
-                && (penalty == null || now.minus(penalty.outAt).compareTo(penalty.span) >= 0);
+                && !hasLeft(known)
+                && (penalty == null || now.minus(penalty.removedAt).compareTo(penalty.duration) >= 0);
     }
 
-    private void takenOut(Duration now, String name) {
+    private void penalize(Duration now, String name) {
         RejoinPenalty before = penalties.remove(name);
-        boolean again = before != null && now.minus(before.outAt).compareTo(before.span.multipliedBy(FORGIVEN)) < 0;
-        Duration span = again ? before.span.multipliedBy(2) : stated.penalty();
+        boolean again = before != null && now.minus(before.removedAt).compareTo(before.duration.multipliedBy(FORGIVENESS_FACTOR)) < 0;
+        Duration span = again ? before.duration.multipliedBy(2) : settings.initialRejoinPenalty();
         penalties.put(
-                name, new RejoinPenalty(now, span.compareTo(stated.mostPenalty()) > 0 ? stated.mostPenalty() : span));
-        if (penalties.size() > MOST) {
+                name, new RejoinPenalty(now, span.compareTo(settings.maxRejoinPenalty()) > 0 ? settings.maxRejoinPenalty() : span));
+        if (penalties.size() > MAX_REPORTS) {
             penalties.remove(penalties.keySet().iterator().next());
         }
     }
--- a/src/main/java/merlinlever/view/DivergenceMonitor.java
+++ b/src/main/java/merlinlever/view/DivergenceMonitor.java
@@ -10,40 +10,40 @@
 /** Which voters hold another view than this one for longer than a view takes to come round, and since when; told once each. */
 final class DivergenceMonitor {
 
-    private final VoterResponses voices;
+    private final VoterResponses responses;
     private final Duration patience;
     private final Consumer<String> log;
-    private final Map<String, VoterResponses.VoterResponse> held = new TreeMap<>();
+    private final Map<String, VoterResponses.VoterResponse> diverging = new TreeMap<>();
 
-    DivergenceMonitor(VoterResponses voices, Duration patience, Consumer<String> log) {
-        this.voices = voices;
+    DivergenceMonitor(VoterResponses responses, Duration patience, Consumer<String> log) {
+        this.responses = responses;
         this.patience = patience;
         this.log = log;
     }
 
-    void settle(Duration now, List<String> heard, MembershipView view, Duration viewSince) {
+    void update(Duration now, List<String> heard, MembershipView view, Duration viewSince) {
         for (String voter : heard) {
-            VoterResponses.VoterResponse voice = voices.of(voter);
-            boolean same = voice.number() == view.number() && voice.digest().equals(view.digest());
-            VoterResponses.VoterResponse before = held.get(voter);
+            VoterResponses.VoterResponse voice = responses.find(voter);
+            boolean same = voice.viewNumber() == view.number() && voice.digest().equals(view.digest());
+            VoterResponses.VoterResponse before = diverging.get(voter);
             if (same && before != null) {
-                held.remove(voter);
+                diverging.remove(voter);
                 log.accept("view: " + voter + " holds the same view again");
             } else if (!same
-                    && now.minus(voice.since()).compareTo(patience) >= 0
+                    && now.minus(voice.viewSince()).compareTo(patience) >= 0
                     && now.minus(viewSince).compareTo(patience) >= 0
                     && (before == null
-                            || before.number() != voice.number()
+                            || before.viewNumber() != voice.viewNumber()
                             || !before.digest().equals(voice.digest()))) {
-                held.put(voter, voice);
+                diverging.put(voter, voice);
                 log.accept("view: " + voter + " holds another view since "
-                        + now.minus(voice.since()).toMillis() + " ms: " + MembershipView.place(voice.number()) + " ("
-                        + voice.digest() + "), here it is " + view.told());
+                        + now.minus(voice.viewSince()).toMillis() + " ms: " + MembershipView.displayNumber(voice.viewNumber()) + " ("
+                        + voice.digest() + "), here it is " + view.describe());
             }
         }
-        for (String voter : new ArrayList<>(held.keySet())) {
+        for (String voter : new ArrayList<>(diverging.keySet())) {
             if (!heard.contains(voter)) {
-                held.remove(voter);
+                diverging.remove(voter);
             }
         }
     }
@@ -51,10 +51,10 @@
     /** As the elements of a JSON array. */
     String json(Duration now) {
         List<String> each = new ArrayList<>();
-        held.forEach((name, voice) ->
-                each.add("{\"name\":\"" + name + "\",\"view\":\"" + MembershipView.place(voice.number())
+        diverging.forEach((name, voice) ->
+                each.add("{\"name\":\"" + name + "\",\"view\":\"" + MembershipView.displayNumber(voice.viewNumber())
                         + "\",\"digest\":\"" + voice.digest() + "\",\"since_ms\":"
-                        + now.minus(voice.since()).toMillis() + "}"));
+                        + now.minus(voice.viewSince()).toMillis() + "}"));
         return String.join(",", each);
     }
 }
--- a/src/main/java/merlinlever/view/FailureDetector.java
+++ b/src/main/java/merlinlever/view/FailureDetector.java
@@ -15,75 +15,75 @@
 final class FailureDetector {
 
     /** A question to be put. */
-    record Probe(String to, long number) {}
+    record Probe(String subject, long correlationId) {}
 
-    private record PendingProbe(String name, Duration at) {}
+    private record PendingProbe(String subject, Duration sentAt) {}
 
-    private final ViewSettings stated;
-    private final SplittableRandom chance;
+    private final ViewSettings settings;
+    private final SplittableRandom random;
     /** When each subject last answered, or began to be asked. */
-    private final Map<String, Duration> heardAt = new TreeMap<>();
+    private final Map<String, Duration> lastHeardAt = new TreeMap<>();
 
-    private final Map<String, Duration> nextAt = new TreeMap<>();
+    private final Map<String, Duration> nextProbeAt = new TreeMap<>();
     /** Questions that may be answered still: what is asked of all subjects in twice the silence, at the most. */
-    private final Map<Long, PendingProbe> out = new LinkedHashMap<>();
+    private final Map<Long, PendingProbe> pendingProbes = new LinkedHashMap<>();
 
-    private long numbers;
+    private long lastCorrelationId;
 
     /** @param first number of its questions, which no other life comes near */
-    FailureDetector(ViewSettings stated, long first, SplittableRandom chance) {
-        this.stated = stated;
-        this.chance = chance;
-        numbers = first;
+    FailureDetector(ViewSettings settings, long first, SplittableRandom random) {
+        this.settings = settings;
+        this.random = random;
+        lastCorrelationId = first;
     }
 
     /** From here on these are observed; what is known of those that stay is kept. */
-    void subjects(Duration now, List<String> names) {
-        heardAt.keySet().retainAll(names);
-        nextAt.keySet().retainAll(names);
+    void setSubjects(Duration now, List<String> names) {
+        lastHeardAt.keySet().retainAll(names);
+        nextProbeAt.keySet().retainAll(names);
         for (String name : names) {
-            heardAt.putIfAbsent(name, now);
-            nextAt.putIfAbsent(
-                    name, now.plusNanos(chance.nextLong(stated.probe().toNanos())));
+            lastHeardAt.putIfAbsent(name, now);
+            nextProbeAt.putIfAbsent(
+                    name, now.plusNanos(random.nextLong(settings.probeInterval().toNanos())));
         }
     }
 
     /** This one stood still: it knows nothing of how long the others were silent. */
-    void stoodStill(Duration now) {
-        out.clear();
-        heardAt.replaceAll((name, at) -> now);
+    void restartObservation(Duration now) {
+        pendingProbes.clear();
+        lastHeardAt.replaceAll((name, at) -> now);
     }
 
-    List<Probe> settle(Duration now) {
+    List<Probe> dueProbes(Duration now) {
         List<Probe> asks = new ArrayList<>();
-        for (Map.Entry<String, Duration> entry : nextAt.entrySet()) {
+        for (Map.Entry<String, Duration> entry : nextProbeAt.entrySet()) {
             if (now.compareTo(entry.getValue()) >= 0) {
-                entry.setValue(now.plus(stated.probe()));
-                out.put(++numbers, new PendingProbe(entry.getKey(), now));
-                asks.add(new Probe(entry.getKey(), numbers));
+                entry.setValue(now.plus(settings.probeInterval()));
+                pendingProbes.put(++lastCorrelationId, new PendingProbe(entry.getKey(), now));
+                asks.add(new Probe(entry.getKey(), lastCorrelationId));
             }
         }
         if (!asks.isEmpty()) {
-            out.values()
+            pendingProbes.values()
                     .removeIf(each ->
-                            now.minus(each.at).compareTo(stated.silence().multipliedBy(2)) > 0);
+                            now.minus(each.sentAt).compareTo(settings.unreachableAfter().multipliedBy(2)) > 0);
         }
         return asks;
     }
 
-    void answered(Duration now, String name, long number) {
-        PendingProbe asked = out.get(number);
-        if (asked != null && asked.name.equals(name)) {
-            out.remove(number);
-            heardAt.computeIfPresent(name, (same, at) -> now);
+    void recordAnswer(Duration now, String name, long number) {
+        PendingProbe asked = pendingProbes.get(number);
+        if (asked != null && asked.subject.equals(name)) {
+            pendingProbes.remove(number);
+            lastHeardAt.computeIfPresent(name, (same, at) -> now);
         }
     }
 
     /** Those that it holds gone. */
-    List<String> gone(Duration now) {
+    List<String> unreachable(Duration now) {
         List<String> gone = new ArrayList<>();
-        heardAt.forEach((name, at) -> {
-            if (now.minus(at).compareTo(stated.silence()) >= 0) {
+        lastHeardAt.forEach((name, at) -> {
+            if (now.minus(at).compareTo(settings.unreachableAfter()) >= 0) {
                 gone.add(name);
             }
         });
@@ -91,7 +91,7 @@
     }
 
     /** Whether anybody is heard. */
-    boolean hears(Duration now) {
-        return heardAt.size() > gone(now).size();
+    boolean isAnyReachable(Duration now) {
+        return lastHeardAt.size() > unreachable(now).size();
     }
 }
--- a/src/main/java/merlinlever/view/GuardedAction.java
+++ b/src/main/java/merlinlever/view/GuardedAction.java
@@ -5,13 +5,13 @@
     /** Settle something once for all: write a register, end a trial, number a new view. Besides, only whoever leads may. */
     DECIDE,
     /** Give shares of budgets to others. Besides, only whoever leads may. */
-    GRANT,
+    GRANT_QUOTA,
     /** Take on what widens what may be done: a new route, a looser restriction, a new trial. */
-    ADOPT,
+    ADOPT_WIDENING,
     /** Take on what narrows it: a withdrawal, a tighter restriction, the end of a trial. */
-    TIGHTEN,
+    ADOPT_RESTRICTION,
     /** Go on with what was adopted: send a call along a route, split a trial. */
-    SERVE,
+    USE_ADOPTED,
     /** Begin binding and fingerprinted work. */
-    KEYED
+    START_KEYED_REQUEST
 }
--- a/src/main/java/merlinlever/view/MembershipView.java
+++ b/src/main/java/merlinlever/view/MembershipView.java
@@ -18,9 +18,9 @@
 public record MembershipView(long number, String digest, SortedSet<String> members) {
 
     public static final MembershipView NONE = new MembershipView(0, "-", Collections.emptySortedSet());
-    private static final int COUNTS = 20;
+    private static final int COUNT_BITS = 20;
     /** Members at the most; more names would not fit one body. */
-    public static final int MOST = 1000;
+    public static final int MAX_MEMBERS = 1000;
 
     public MembershipView {
         members = Collections.unmodifiableSortedSet(new TreeSet<>(members));
@@ -28,12 +28,12 @@
 
     /** The number of the count-th view (from 1) of a term. */
     public static long number(long term, int count) {
-        return term << COUNTS | count;
+        return term << COUNT_BITS | count;
     }
 
     /** Whether the term has a number left for a count-th view. */
-    public static boolean has(int count) {
-        return count < 1 << COUNTS;
+    public static boolean isValidCount(int count) {
+        return count < 1 << COUNT_BITS;
     }
 
     /** Of that number and these members, with their digest. */
@@ -52,20 +52,20 @@
     }
 
     static long term(long number) {
-        return number >> COUNTS;
+        return number >> COUNT_BITS;
     }
 
     /** The term and the place within it. */
-    public String place() {
-        return place(number);
+    public String displayNumber() {
+        return displayNumber(number);
     }
 
-    static String place(long number) {
-        return (number >> COUNTS) + "." + (number & (1 << COUNTS) - 1);
+    static String displayNumber(long number) {
+        return (number >> COUNT_BITS) + "." + (number & (1 << COUNT_BITS) - 1);
     }
 
     /** As operators see it. */
-    public String told() {
-        return number == 0 ? "none" : place() + " (" + digest + ", " + members.size() + " members)";
+    public String describe() {
+        return number == 0 ? "none" : displayNumber() + " (" + digest + ", " + members.size() + " members)";
     }
 }
--- a/src/main/java/merlinlever/view/ObserverRings.java
+++ b/src/main/java/merlinlever/view/ObserverRings.java
@@ -17,13 +17,13 @@
 final class ObserverRings {
 
     /** Rings, and so observers of each, at the most. */
-    static final int MOST = 8;
+    static final int MAX_RINGS = 8;
 
     private final Map<String, Set<String>> observers = new HashMap<>();
     private final Map<String, List<String>> subjects = new HashMap<>();
 
     ObserverRings(SortedSet<String> members) {
-        int k = Math.min(MOST, members.size() - 1);
+        int k = Math.min(MAX_RINGS, members.size() - 1);
         members.forEach(name -> {
             observers.put(name, new LinkedHashSet<>());
             subjects.put(name, new ArrayList<>());
@@ -32,7 +32,7 @@
             long salt = ring;
             List<String> order = new ArrayList<>(members);
             Map<String, Long> place = new HashMap<>();
-            order.forEach(name -> place.put(name, mixed(name, salt)));
+            order.forEach(name -> place.put(name, ringHash(name, salt)));
             order.sort(Comparator.<String>comparingLong(place::get).thenComparing(Comparator.naturalOrder()));
             for (int i = 0; i < order.size(); i++) {
                 Set<String> of = observers.get(order.get(i));
@@ -49,7 +49,7 @@
         }
     }
 
-    private static long mixed(String name, long salt) {
+    private static long ringHash(String name, long salt) {
         long hash = 0xcbf29ce484222325L ^ salt * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
@@ -69,12 +69,12 @@
     }
 
     /** So many observers that hold one gone take it out. */
-    static int high(int observers) {
+    static int removalThreshold(int observers) {
         return observers <= 2 ? Math.max(1, observers) : (observers * 3 + 3) / 4;
     }
 
     /** So many make it doubtful, and what is doubtful is waited for. */
-    static int low(int observers) {
+    static int doubtThreshold(int observers) {
         return Math.max(1, (observers + 2) / 3);
     }
 }
--- a/src/main/java/merlinlever/view/QuorumStatusHysteresis.java
+++ b/src/main/java/merlinlever/view/QuorumStatusHysteresis.java
@@ -5,35 +5,35 @@
 /** The standing that is shown: a worse one at once, a better one once it was found for so long, so that it does not flap. */
 final class QuorumStatusHysteresis {
 
-    private final Duration hold;
-    private QuorumStatus shown = QuorumStatus.RETURNING;
-    private Duration since;
-    private QuorumStatus better;
-    private Duration betterSince;
-
-    QuorumStatusHysteresis(Duration now, Duration hold) {
-        this.hold = hold;
-        since = now;
+    private final Duration improvementDelay;
+    private QuorumStatus shown = QuorumStatus.RECOVERING;
+    private Duration shownSince;
+    private QuorumStatus improvement;
+    private Duration improvementSince;
+
+    QuorumStatusHysteresis(Duration now, Duration improvementDelay) {
+        this.improvementDelay = improvementDelay;
+        shownSince = now;
     }
 
     /** Takes what was found now; true where what is shown changes. */
-    boolean found(Duration now, QuorumStatus found) {
-        if (found.compareTo(shown) >= 0) {
-            better = null;
-            return show(now, found);
+    boolean update(Duration now, QuorumStatus current) {
+        if (current.compareTo(shown) >= 0) {
+            improvement = null;
+            return show(now, current);
         }
         // Of several that are better in turn the least one counts.
-        if (better == null) {
-            betterSince = now;
-            better = found;
-        } else if (found.compareTo(better) > 0) {
-            better = found;
+        if (improvement == null) {
+            improvementSince = now;
+            improvement = current;
+        } else if (current.compareTo(improvement) > 0) {
+            improvement = current;
         }
-        if (now.minus(betterSince).compareTo(hold) < 0) {
+        if (now.minus(improvementSince).compareTo(improvementDelay) < 0) {
             return false;
         }
-        QuorumStatus to = better;
-        better = null;
+        QuorumStatus to = improvement;
+        improvement = null;
         return show(now, to);
     }
 
@@ -42,7 +42,7 @@
             return false;
         }
         shown = to;
-        since = now;
+        shownSince = now;
         return true;
     }
 
@@ -50,7 +50,7 @@
         return shown;
     }
 
-    Duration since() {
-        return since;
+    Duration shownSince() {
+        return shownSince;
     }
 }
--- a/src/main/java/merlinlever/view/ViewCodec.java
+++ b/src/main/java/merlinlever/view/ViewCodec.java
@@ -11,27 +11,27 @@
  */
 final class ViewCodec {
 
-    private static final String MARK = "view 1";
+    private static final String HEADER = "view 1";
     /** Earlier views that are kept for differences. */
-    private static final int KEPT = 8;
+    private static final int MAX_KEPT_VIEWS = 8;
 
-    private final ArrayDeque<MembershipView> earlier = new ArrayDeque<>();
+    private final ArrayDeque<MembershipView> recentViews = new ArrayDeque<>();
 
     /** The latest; the ones before it are kept for a while. */
-    void latest(MembershipView view) {
-        earlier.addLast(view);
-        if (earlier.size() > KEPT) {
-            earlier.removeFirst();
+    void remember(MembershipView view) {
+        recentViews.addLast(view);
+        if (recentViews.size() > MAX_KEPT_VIEWS) {
+            recentViews.removeFirst();
         }
     }
 
     /** The view for one that holds the view of that number. */
-    byte[] of(MembershipView view, long from) {
+    byte[] encode(MembershipView view, long from) {
         MembershipView base = MembershipView.NONE;
-        for (MembershipView each : earlier) {
+        for (MembershipView each : recentViews) {
             base = each.number() == from ? each : base;
         }
-        StringBuilder text = new StringBuilder(MARK)
+        StringBuilder text = new StringBuilder(HEADER)
                 .append('\n')
                 .append(Long.toString(view.number(), 36))
                 .append('\n')
@@ -48,13 +48,13 @@
         return text.toString().getBytes(StandardCharsets.US_ASCII);
     }
 
-    static boolean ours(byte[] body) {
-        return new String(body, 0, Math.min(body.length, MARK.length() + 1), StandardCharsets.US_ASCII)
-                .equals(MARK + "\n");
+    static boolean isViewPayload(byte[] body) {
+        return new String(body, 0, Math.min(body.length, HEADER.length() + 1), StandardCharsets.US_ASCII)
+                .equals(HEADER + "\n");
     }
 
     /** The view, or null where it is none, does not fit its digest, or differs from one that is not kept here. */
-    MembershipView read(byte[] body) {
+    MembershipView decode(byte[] body) {
         String[] line = new String(body, StandardCharsets.US_ASCII).split("\n");
         try {
             long number = Long.parseLong(line[1], 36);
@@ -63,7 +63,7 @@
             if (from == 0) {
                 members = new TreeSet<>();
             }
-            for (MembershipView each : earlier) {
+            for (MembershipView each : recentViews) {
                 members = from != 0 && each.number() == from ? new TreeSet<>(each.members()) : members;
             }
             if (members == null || number <= from) {
@@ -76,7 +76,7 @@
                     members.remove(line[i].substring(1));
                 }
             }
-            MembershipView view = members.size() > MembershipView.MOST ? null : MembershipView.of(number, members);
+            MembershipView view = members.size() > MembershipView.MAX_MEMBERS ? null : MembershipView.of(number, members);
             return view != null && view.digest().equals(line[2]) ? view : null;
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             return null;
--- a/src/main/java/merlinlever/view/ViewManager.java
+++ b/src/main/java/merlinlever/view/ViewManager.java
@@ -23,11 +23,11 @@
  */
 public final class ViewManager implements FleetView {
 
-    /** First parts of the words that {@link #said} takes. */
-    public static final Set<String> WORDS = Set.of("WP", "WO", "WQ", "WA", "WG");
+    /** First parts of the words that {@link #receive} takes. */
+    public static final Set<String> MESSAGE_TYPES = Set.of("WP", "WO", "WQ", "WA", "WG");
 
     /** A word to be said to another, or a body to be carried to it. */
-    public record ViewMessage(String to, long number, String what, byte[] body) {}
+    public record ViewMessage(String recipient, long correlationId, String text, byte[] payload) {}
 
     /** Words and octets of bodies in a second, and views pushed at one look, at the most; what is over is lost and asked for again. */
     private static final int MOST_WORDS = 5000;
@@ -85,26 +85,26 @@
         this.log = log;
         self = members.self();
         voices = new VoterResponses(terms.voters());
-        differing = new DivergenceMonitor(voices, stated.heard(), log);
+        differing = new DivergenceMonitor(voices, stated.minReportValidity(), log);
         probing = new FailureDetector(stated, life, chance.split());
         cut = new CutDetector(stated);
-        bearing = new QuorumStatusHysteresis(now, stated.quiet());
+        bearing = new QuorumStatusHysteresis(now, stated.quietPeriod());
         numbers = life;
         viewSince = lastLook = nextFetch = second = returnedAt = now;
-        nextAsk = now.plusNanos(chance.nextLong(stated.ask().toNanos()));
-        rivals = members.rivals();
+        nextAsk = now.plusNanos(chance.nextLong(stated.minPollInterval().toNanos()));
+        rivals = members.addressConflicts();
     }
 
     // ---- what depends on others asks
 
     @Override
-    public QuorumStatus standing(Duration now) {
-        return now.minus(lastLook).compareTo(stated.jump()) > 0 ? QuorumStatus.RETURNING : bearing.shown();
+    public QuorumStatus status(Duration now) {
+        return now.minus(lastLook).compareTo(stated.pauseThreshold()) > 0 ? QuorumStatus.RECOVERING : bearing.shown();
     }
 
     @Override
-    public Duration since() {
-        return bearing.since();
+    public Duration statusSince() {
+        return bearing.shownSince();
     }
 
     @Override
@@ -113,7 +113,7 @@
     }
 
     private Duration within() {
-        return stated.heardFor(Math.max(view.members().size(), members.size()));
+        return stated.reportValidity(Math.max(view.members().size(), members.size()));
     }
 
     private int most() {
@@ -121,20 +121,20 @@
     }
 
     private int hears(Duration now) {
-        return voices.heard(now, within()).size() + (terms.voters().contains(self) ? 1 : 0);
+        return voices.heardVoters(now, within()).size() + (terms.voters().contains(self) ? 1 : 0);
     }
 
     // ---- a look at all
 
     /** What is to be said now; to be asked for every 50 to 100 ms. */
-    public List<ViewMessage> look(Duration now) {
-        if (now.minus(lastLook).compareTo(stated.jump()) > 0) {
+    public List<ViewMessage> tick(Duration now) {
+        if (now.minus(lastLook).compareTo(stated.pauseThreshold()) > 0) {
             log.accept("view: stood still for " + now.minus(lastLook).toMillis() + " ms; what was missed is asked for");
             returning = true;
             returnedAt = now;
-            voices.stoodStill();
-            probing.stoodStill(now);
-            cut.stoodStill();
+            voices.clear();
+            probing.restartObservation(now);
+            cut.clear();
             nextAsk = now;
         }
         lastLook = now;
@@ -143,19 +143,19 @@
             words = octets = 0;
         }
         adopt(now);
-        probing.settle(now).forEach(ask -> say(ask.to(), ask.number(), "WP/"));
+        probing.dueProbes(now).forEach(ask -> say(ask.subject(), ask.correlationId(), "WP/"));
         if (now.compareTo(nextAsk) >= 0) {
-            nextAsk = now.plus(stated.askEvery(Math.max(view.members().size(), members.size())));
+            nextAsk = now.plus(stated.pollInterval(Math.max(view.members().size(), members.size())));
             ask(now);
         }
         lead(now);
         push();
         QuorumStatus before = bearing.shown();
-        if (bearing.found(now, found(now))) {
+        if (bearing.update(now, found(now))) {
             log.accept("view: standing is " + bearing.shown().wireName() + ", was " + before.wireName() + "; hears "
-                    + hears(now) + " of " + terms.voters().size() + " voters, view " + view.told());
+                    + hears(now) + " of " + terms.voters().size() + " voters, view " + view.describe());
         }
-        return said();
+        return receive();
     }
 
     private void say(String to, long number, String what) {
@@ -171,14 +171,14 @@
         }
     }
 
-    private List<ViewMessage> said() {
+    private List<ViewMessage> receive() {
         List<ViewMessage> all = List.copyOf(out);
         out.clear();
         return all;
     }
 
     private void ask(Duration now) {
-        List<String> gone = probing.gone(now);
+        List<String> gone = probing.unreachable(now);
         StringBuilder places = new StringBuilder();
         gone.forEach(name -> places.append('.').append(Integer.toString(order.indexOf(name), 36)));
         String what = "WQ/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/" + Long.toString(floor, 36)
@@ -186,9 +186,9 @@
         for (String voter : terms.voters()) {
             numbers++;
             if (voter.equals(self)) {
-                cut.told(now, self, numbers, view.number(), floor, hears(now), gone, within());
+                cut.recordReport(now, self, numbers, view.number(), floor, hears(now), gone, within());
             } else {
-                voices.asked(now, voter, numbers, within().multipliedBy(2));
+                voices.recordPoll(now, voter, numbers, within().multipliedBy(2));
                 say(voter, numbers, what);
             }
         }
@@ -196,35 +196,35 @@
 
     /** By what is heard; see {@link QuorumStatus}. */
     private QuorumStatus found(Duration now) {
-        if (members.rivals() != rivals) {
+        if (members.addressConflicts() != rivals) {
             // Once may be its own life before, which others still tell of.
-            rivalUntil = members.rivals() > 1 ? now.plus(stated.between()) : rivalUntil;
-            rivals = members.rivals();
+            rivalUntil = members.addressConflicts() > 1 ? now.plus(stated.maxDoubtDelay()) : rivalUntil;
+            rivals = members.addressConflicts();
         }
         int heard = hears(now);
         boolean enough = heard >= most();
         boolean inside = view.members().contains(self);
         boolean voter = terms.voters().contains(self);
-        int told = voices.notBeyond(returnedAt, view.number()) + (voter ? 1 : 0);
+        int told = voices.countNotAhead(returnedAt, view.number()) + (voter ? 1 : 0);
         if (returning && enough && inside && told >= most()) {
             returning = false;
         }
-        int agreeing = voices.agreeing(now, within(), view, viewSince) + (voter ? 1 : 0);
-        differing.settle(now, voices.heard(now, within()), view, viewSince);
+        int agreeing = voices.countAgreeing(now, within(), view, viewSince) + (voter ? 1 : 0);
+        differing.update(now, voices.heardVoters(now, within()), view, viewSince);
         if (now.compareTo(rivalUntil) < 0) {
-            return QuorumStatus.DISAGREEING;
-        } else if (returning && (enough || now.minus(returnedAt).compareTo(stated.heard()) < 0)) {
-            return QuorumStatus.RETURNING;
-        } else if (heard == (voter ? 1 : 0) && !probing.hears(now) && !enough) {
-            return QuorumStatus.ALONE;
+            return QuorumStatus.CONFLICTING;
+        } else if (returning && (enough || now.minus(returnedAt).compareTo(stated.minReportValidity()) < 0)) {
+            return QuorumStatus.RECOVERING;
+        } else if (heard == (voter ? 1 : 0) && !probing.isAnyReachable(now) && !enough) {
+            return QuorumStatus.ISOLATED;
         } else if (!enough) {
-            return QuorumStatus.FEW;
+            return QuorumStatus.MINORITY;
         } else if (!inside) {
-            return QuorumStatus.RETURNING;
+            return QuorumStatus.RECOVERING;
         } else if (agreeing < most()) {
-            return QuorumStatus.DISAGREEING;
+            return QuorumStatus.CONFLICTING;
         }
-        return heard == terms.voters().size() && agreeing == heard ? QuorumStatus.WHOLE : QuorumStatus.MOST;
+        return heard == terms.voters().size() && agreeing == heard ? QuorumStatus.FULL : QuorumStatus.MAJORITY;
     }
 
     // ---- views
@@ -233,11 +233,11 @@
     private void learn(Duration now, MembershipView told) {
         if (told.number() == known.number() && !told.digest().equals(known.digest())) {
             clashes++;
-            log.accept("view: two memberships under one number, " + known.told() + " and " + told.told()
+            log.accept("view: two memberships under one number, " + known.describe() + " and " + told.describe()
                     + "; the second is not taken");
         } else if (told.number() > known.number()) {
             known = told;
-            bodies.latest(told);
+            bodies.remember(told);
             adopt(now);
         }
     }
@@ -252,13 +252,13 @@
         SortedSet<String> come = new TreeSet<>(known.members());
         gone.removeAll(known.members());
         come.removeAll(view.members());
-        log.accept("view: " + known.told() + " in place of " + view.told() + list(", with ", come)
+        log.accept("view: " + known.describe() + " in place of " + view.describe() + list(", with ", come)
                 + list(", without ", gone));
         view = known;
         viewSince = now;
         order = List.copyOf(view.members());
         rings = new ObserverRings(view.members());
-        probing.subjects(now, rings.subjects(self));
+        probing.setSubjects(now, rings.subjects(self));
     }
 
     private static String list(String word, SortedSet<String> names) {
@@ -269,7 +269,7 @@
 
     /** The one that leads numbers the next view, when one is due. */
     private void lead(Duration now) {
-        if (!terms.leads(now)) {
+        if (!terms.isLeader(now)) {
             leadTerm = -1;
             return;
         }
@@ -279,7 +279,7 @@
             count = 0;
         }
         // What more than half of the voters hold comes first; nobody that is heard holds a later one.
-        if (voices.beyond(now, within(), known.number()) || voices.notBeyond(leadSince, known.number()) + 1 < most()) {
+        if (voices.isAnyAhead(now, within(), known.number()) || voices.countNotAhead(leadSince, known.number()) + 1 < most()) {
             return;
         }
         // The first view, the one that takes the leader in, and a new number for the same members cannot wait for the
@@ -287,15 +287,15 @@
         boolean outside = view.number() < known.number() || !known.members().contains(self);
         boolean anew = known.term() < leadTerm
                 && known.number() > 0
-                && (view.number() < known.number() || cut.waits(now, known, within()));
-        if (!outside && !anew && may(now, GuardedAction.DECIDE) != ActionPermissions.Permission.YES) {
+                && (view.number() < known.number() || cut.isMemberWaitingForLaterTerm(now, known, within()));
+        if (!outside && !anew && permission(now, GuardedAction.DECIDE) != ActionPermissions.Permission.ALLOWED) {
             return;
         }
         SortedSet<String> next =
-                anew ? known.members() : cut.due(now, self, known, rings, most(), members::of, within());
+                anew ? known.members() : cut.dueMembers(now, self, known, rings, most(), members::find, within());
         if (next == null
                 || next.stream().filter(terms.voters()::contains).count() < most()
-                || !MembershipView.has(count + 1)) {
+                || !MembershipView.isValidCount(count + 1)) {
             return;
         }
         SortedSet<String> all = new TreeSet<>(known.members());
@@ -310,7 +310,7 @@
     /** Some at a look; whoever misses it asks for it. */
     private void push() {
         if (!toTell.isEmpty()) {
-            byte[] body = bodies.of(known, pushFrom);
+            byte[] body = bodies.encode(known, pushFrom);
             for (int i = 0; i < PUSHED && !toTell.isEmpty(); i++) {
                 carry(toTell.poll(), body);
             }
@@ -318,8 +318,8 @@
     }
 
     /** Another carried that here. */
-    public void carried(Duration now, String name, byte[] body) {
-        MembershipView told = ViewCodec.ours(body) ? bodies.read(body) : null;
+    public void receivePayload(Duration now, String name, byte[] body) {
+        MembershipView told = ViewCodec.isViewPayload(body) ? bodies.decode(body) : null;
         if (told != null) {
             learn(now, told);
         }
@@ -327,19 +327,19 @@
 
     // ---- what others say
 
-    /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<ViewMessage> said(Duration now, String name, long number, String what) {
+    /** Another said that, one of {@link #MESSAGE_TYPES}; returns what is said to it. */
+    public List<ViewMessage> receive(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
                 case "WP" -> say(name, number, "WO/");
-                case "WO" -> probing.answered(now, name, number);
+                case "WO" -> probing.recordAnswer(now, name, number);
                 case "WQ" -> asked(now, name, number, part);
                 case "WA" -> answered(
                         now, name, number, Long.parseLong(part[1], 36), part[2], Long.parseLong(part[3], 36));
                 case "WG" -> {
                     if (known.number() >= Long.parseLong(part[2], 36)) {
-                        carry(name, bodies.of(known, Long.parseLong(part[1], 36)));
+                        carry(name, bodies.encode(known, Long.parseLong(part[1], 36)));
                     }
                 }
                 default -> throw new IllegalArgumentException(what);
@@ -347,7 +347,7 @@
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             log.accept("view: " + name + " said what is not understood: " + what);
         }
-        return said();
+        return receive();
     }
 
     private void asked(Duration now, String name, long number, String[] part) {
@@ -361,27 +361,27 @@
                 gone.add(order.get(Integer.parseInt(place, 36)));
             }
         }
-        cut.told(now, name, number, its, Long.parseLong(part[3], 36), Integer.parseInt(part[4]), gone, within());
+        cut.recordReport(now, name, number, its, Long.parseLong(part[3], 36), Integer.parseInt(part[4]), gone, within());
         say(
                 name,
                 number,
                 "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/"
-                        + (terms.leads(now) ? Long.toString(terms.term(), 36) : "0"));
+                        + (terms.isLeader(now) ? Long.toString(terms.term(), 36) : "0"));
     }
 
     private void answered(Duration now, String name, long question, long number, String digest, long leads) {
-        if (!voices.answered(now, name, question, number, digest, view)) {
+        if (!voices.recordAnswer(now, name, question, number, digest, view)) {
             return;
         }
         if (leads > 0) {
-            terms.heardLeader(now, name, leads);
+            terms.observeLeader(now, name, leads);
             if (MembershipView.term(number) == leads) {
                 // While it leads nobody can have led under a higher term, and of its own it holds the latest.
                 vouched = Math.max(vouched, number);
             }
         }
         if (number > known.number() && now.compareTo(nextFetch) >= 0) {
-            nextFetch = now.plus(stated.quiet().dividedBy(3));
+            nextFetch = now.plus(stated.quietPeriod().dividedBy(3));
             say(name, ++numbers, "WG/" + Long.toString(known.number(), 36) + "/" + Long.toString(number, 36));
         }
     }
@@ -389,11 +389,11 @@
     /** As a JSON object. */
     public String json(Duration now) {
         StringBuilder text = new StringBuilder("{\"standing\":\"")
-                .append(standing(now).wireName())
+                .append(status(now).wireName())
                 .append("\",\"since_ms\":")
-                .append(now.minus(since()).toMillis())
+                .append(now.minus(statusSince()).toMillis())
                 .append(",\"view\":\"")
-                .append(view.place())
+                .append(view.displayNumber())
                 .append("\",\"digest\":\"")
                 .append(view.digest())
                 .append("\",\"members\":")
@@ -403,9 +403,9 @@
                 .append(",\"clashes\":")
                 .append(clashes)
                 .append(",\"hears\":")
-                .append(names(voices.heard(now, within())))
+                .append(names(voices.heardVoters(now, within())))
                 .append(",\"gone\":")
-                .append(names(probing.gone(now)))
+                .append(names(probing.unreachable(now)))
                 .append(",\"others\":[");
         text.append(differing.json(now));
         return text.append("]}").toString();
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -15,11 +15,11 @@
 /** One backend's sight of the fleet, on the loop and membership's datagrams. */
 public final class ViewTransport implements SwimProtocol.TextMessageHandler, SwimProtocol.PayloadHandler {
 
-    private static final Duration LOOK = Duration.ofMillis(50);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
     private final EventLoop loop;
     private final RecoveryCoordinator rejoin;
-    private final ViewManager sight;
+    private final ViewManager manager;
 
     /**
      * @param terms who leads; the one of this process
@@ -37,32 +37,32 @@
         this.loop = loop;
         this.rejoin = rejoin;
         // The term of this moment, before this life votes on any: what its lives before may have held.
-        sight = new ViewManager(
+        manager = new ViewManager(
                 loop.clock().uptime(),
                 stated,
-                rejoin.members().views(),
+                rejoin.members().memberTable(),
                 terms,
                 life,
                 rejoin.term(),
                 rejoin::noted,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().hears(ViewManager.WORDS, this);
-        rejoin.members().takes(this);
-        loop.every(LOOK, () -> say(sight.look(loop.clock().uptime())));
+        rejoin.members().addTextHandler(ViewManager.MESSAGE_TYPES, this);
+        rejoin.members().addPayloadHandler(this);
+        loop.every(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
     }
 
     /** For those who depend on the others. */
-    public FleetView seen() {
-        return sight;
+    public FleetView fleetView() {
+        return manager;
     }
 
-    private void say(List<ViewManager.ViewMessage> all) {
+    private void send(List<ViewManager.ViewMessage> all) {
         for (ViewManager.ViewMessage each : all) {
-            if (each.body() != null) {
-                rejoin.members().carry(each.to(), each.body());
+            if (each.payload() != null) {
+                rejoin.members().sendPayload(each.recipient(), each.payload());
             } else {
-                rejoin.members().say(each.to(), each.number(), each.what());
+                rejoin.members().sendText(each.recipient(), each.correlationId(), each.text());
             }
         }
         if (!all.isEmpty()) {
@@ -71,17 +71,17 @@
     }
 
     @Override
-    public void said(String name, long number, String what) {
-        say(sight.said(loop.clock().uptime(), name, number, what));
+    public void onText(String name, long number, String what) {
+        send(manager.receive(loop.clock().uptime(), name, number, what));
     }
 
     @Override
-    public void carried(String name, byte[] body) {
-        sight.carried(loop.clock().uptime(), name, body);
+    public void onPayload(String name, byte[] body) {
+        manager.receivePayload(loop.clock().uptime(), name, body);
     }
 
     /** See {@link ViewManager#json}. */
     public String json() {
-        return sight.json(loop.clock().uptime());
+        return manager.json(loop.clock().uptime());
     }
 }
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -46,21 +46,21 @@
                 "ack",
                 MessageKind.ACK,
                 "ask-for",
-                MessageKind.ASK_FOR,
+                MessageKind.PING_REQUEST,
                 "nack",
                 MessageKind.NACK,
                 "sync",
                 MessageKind.SYNC,
                 "sync-back",
-                MessageKind.SYNC_BACK,
+                MessageKind.SYNC_REPLY,
                 "recall",
-                MessageKind.RECALL,
+                MessageKind.RECOVERY_QUERY,
                 "recalled",
-                MessageKind.RECALLED,
+                MessageKind.RECOVERY_REPLY,
                 "say",
-                MessageKind.SAY,
+                MessageKind.TEXT,
                 "carry",
-                MessageKind.CARRY);
+                MessageKind.PAYLOAD);
         assertEquals(MessageKind.values().length, kinds.size());
         List<MemberTable.MemberStatus> statuses = List.of(
                 MemberTable.MemberStatus.ALIVE,
@@ -76,21 +76,21 @@
                     kind,
                     "b1",
                     7,
-                    kind == MessageKind.ASK_FOR ? "10.0.0.2:7001" : "",
+                    kind == MessageKind.PING_REQUEST ? "10.0.0.2:7001" : "",
                     rumours,
-                    kind == MessageKind.CARRY ? new byte[] {1, 2, 3} : null);
-            fixture.pins("membership." + name, wire.write(message));
-            SwimProtocol.MembershipMessage read = wire.read(fixture.bytes("membership." + name));
+                    kind == MessageKind.PAYLOAD ? new byte[] {1, 2, 3} : null);
+            fixture.pins("membership." + name, wire.encode(message));
+            SwimProtocol.MembershipMessage read = wire.decode(fixture.bytes("membership." + name));
             assertEquals(
-                    List.of(message.kind(), message.from(), message.number(), message.about(), message.rumours()),
-                    List.of(read.kind(), read.from(), read.number(), read.about(), read.rumours()));
-            assertArrayEquals(message.body(), read.body());
+                    List.of(message.kind(), message.sender(), message.correlationId(), message.text(), message.records()),
+                    List.of(read.kind(), read.sender(), read.correlationId(), read.text(), read.records()));
+            assertArrayEquals(message.payload(), read.payload());
         });
     }
 
     private static String said(List<LeaderElection.PeerMessage> all) {
         return all.stream()
-                .map(say -> say.to() + " " + say.number() + " " + say.what())
+                .map(say -> say.recipient() + " " + say.correlationId() + " " + say.text())
                 .sorted()
                 .collect(Collectors.joining("\n"));
     }
@@ -111,11 +111,11 @@
     @Test
     void anElectionIsHeldInTheSameWords() {
         LeaderElection terms = terms("b1", "b2", "b3");
-        fixture.pins("election.granted", said(terms.said(LATER, "b2", 9, "V/7")));
-        fixture.pins("election.refused", said(terms.said(LATER, "b3", 10, "V/6")));
-        terms.said(LATER, "b3", 11, "H/7/b2");
-        fixture.pins("election.leader", terms.toldWho(LATER));
-        fixture.pins("election.asks", said(terms("b1", "b2", "b3").look(LATER)));
+        fixture.pins("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
+        fixture.pins("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
+        terms.receive(LATER, "b3", 11, "H/7/b2");
+        fixture.pins("election.leader", terms.leaderAnnouncement(LATER));
+        fixture.pins("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
     }
 
     @Test
@@ -139,21 +139,21 @@
                 Duration.ofSeconds(1),
                 Map.of());
         LeaderElection led = terms("b1", "b2", "b3");
-        led.said(LATER, "b3", 11, "H/7/b2");
+        led.receive(LATER, "b3", 11, "H/7/b2");
         fixture.pins(
                 "budgets.asks",
                 said(new QuotaCoordinator(
                                 LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
                         .look(LATER)));
         LeaderElection leads = terms("b1");
-        leads.look(LATER);
+        leads.tick(LATER);
         QuotaCoordinator sharing = new QuotaCoordinator(
                 LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
         sharing.look(LATER);
-        leads.look(LATER.plusMillis(1900));
+        leads.tick(LATER.plusMillis(1900));
         List<LeaderElection.PeerMessage> all = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
-            leads.look(LATER.plusMillis(ms));
+            leads.tick(LATER.plusMillis(ms));
             sharing.look(LATER.plusMillis(ms));
         }
         all.addAll(sharing.said(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
@@ -165,7 +165,7 @@
     void theViewIsAskedForInTheSameWords() {
         ViewManager sight = new ViewManager(
                 Duration.ZERO,
-                ViewSettings.usual(),
+                ViewSettings.defaults(),
                 new MemberTable("b1", "10.0.0.1:7001", "-", 1),
                 terms("b1", "b2", "b3"),
                 7,
@@ -176,16 +176,16 @@
         StringBuilder all = new StringBuilder();
         List<ViewManager.ViewMessage> says = new ArrayList<>();
         for (int ms = 0; ms < 1000; ms += 50) {
-            says.addAll(sight.look(Duration.ofMillis(ms)));
+            says.addAll(sight.tick(Duration.ofMillis(ms)));
         }
         for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
-            says.addAll(sight.said(Duration.ofMillis(1000), "b2", 5, what));
+            says.addAll(sight.receive(Duration.ofMillis(1000), "b2", 5, what));
         }
-        says.forEach(say -> all.append(say.to())
+        says.forEach(say -> all.append(say.recipient())
                 .append(' ')
-                .append(say.number())
+                .append(say.correlationId())
                 .append(' ')
-                .append(say.what())
+                .append(say.text())
                 .append('\n'));
         fixture.pins("view.words", all.toString());
         fixture.pins("view.state", sight.json(Duration.ofMillis(1000)));
@@ -217,7 +217,7 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            fixture.pins("recovery.tells", on.on(rejoin::tells));
+            fixture.pins("recovery.tells", on.on(rejoin::recoveryReport));
             fixture.pins("recovery.state", on.on(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
             on.on(() -> rejoin.close(Duration.ofSeconds(1)));
         }
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -107,7 +107,7 @@
                                     null,
                                     Restrictions.UNREADABLE)));
             String name = "table." + List.of("customer", "peer", "provider").get(relation.ordinal());
-            fixture.pins(name, RouteTableWriter.text(table));
+            fixture.pins(name, RouteTableWriter.write(table));
             fixture.pins(name + ".digest", RouteTableWriter.digest(table));
             assertEquals(table, RouteTableReader.read(fixture.text(name)).table());
         }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -66,14 +66,14 @@
                 List.of(
                         SwimProtocol.MessageKind.PING,
                         SwimProtocol.MessageKind.ACK,
-                        SwimProtocol.MessageKind.ASK_FOR,
+                        SwimProtocol.MessageKind.PING_REQUEST,
                         SwimProtocol.MessageKind.NACK,
                         SwimProtocol.MessageKind.SYNC,
-                        SwimProtocol.MessageKind.SYNC_BACK,
-                        SwimProtocol.MessageKind.RECALL,
-                        SwimProtocol.MessageKind.RECALLED,
-                        SwimProtocol.MessageKind.SAY,
-                        SwimProtocol.MessageKind.CARRY));
+                        SwimProtocol.MessageKind.SYNC_REPLY,
+                        SwimProtocol.MessageKind.RECOVERY_QUERY,
+                        SwimProtocol.MessageKind.RECOVERY_REPLY,
+                        SwimProtocol.MessageKind.TEXT,
+                        SwimProtocol.MessageKind.PAYLOAD));
         named(
                 "start, drain, stop, restart",
                 List.of(
@@ -104,12 +104,12 @@
         named(
                 "whole, most, few, alone, disagreeing, returning",
                 List.of(
-                        QuorumStatus.WHOLE,
-                        QuorumStatus.MOST,
-                        QuorumStatus.FEW,
-                        QuorumStatus.ALONE,
-                        QuorumStatus.DISAGREEING,
-                        QuorumStatus.RETURNING));
+                        QuorumStatus.FULL,
+                        QuorumStatus.MAJORITY,
+                        QuorumStatus.MINORITY,
+                        QuorumStatus.ISOLATED,
+                        QuorumStatus.CONFLICTING,
+                        QuorumStatus.RECOVERING));
         named(
                 "cold, rejoined, reconciled, warm",
                 List.of(
@@ -128,9 +128,9 @@
         named(
                 "good, slow, away",
                 List.of(
-                        LocalServiceHealth.HealthState.GOOD,
+                        LocalServiceHealth.HealthState.HEALTHY,
                         LocalServiceHealth.HealthState.SLOW,
-                        LocalServiceHealth.HealthState.AWAY));
+                        LocalServiceHealth.HealthState.UNREACHABLE));
         named(
                 "kill, term, pause, resume, restart, power, isolate, partition, delay, drop, duplicate, slow, reset, heal",
                 List.of(
--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -37,7 +37,7 @@
 /** Calls over real sockets of one process: the own service is lost in the middle of 200 of them. */
 class DownstreamFailoverTest {
 
-    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.FULL);
 
     /** How each call ended, by the place in their order; and what each party saw. */
     private static Map<Long, Outcome> play(String kind, long[] seen, List<Long> rooms) throws Exception {
@@ -57,7 +57,7 @@
                         new RoutingTable.PartnerSettings("east", Relation.PEER),
                         new RoutingTable.PartnerSettings("west", Relation.PEER)),
                 0.01,
-                FlapDamping.FlapDampingSettings.PUBLISHED,
+                FlapDamping.FlapDampingSettings.RECOMMENDED,
                 WHOLE,
                 line -> {});
         for (String site : List.of("east", "west")) {
@@ -76,7 +76,7 @@
                     Restrictions.NONE);
             RouteTable table = RouteTable.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
             routes.offer(clock.uptime(), table);
-            routes.stoodBy(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
+            routes.renew(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
         }
         List<RouteSelector.RoutingClass> tariffs =
                 List.of(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.valueOf(kind), true));
--- a/src/test/java/merlinlever/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/election/LeaderElectionTest.java
@@ -30,9 +30,9 @@
 
     private void send(int from, List<LeaderElection.PeerMessage> all) {
         for (LeaderElection.PeerMessage say : all) {
-            int to = VOTERS.indexOf(say.to());
-            if (say.what().startsWith("V")) {
-                asked.add(VOTERS.get(from) + " " + say.what());
+            int to = VOTERS.indexOf(say.recipient());
+            if (say.text().startsWith("V")) {
+                asked.add(VOTERS.get(from) + " " + say.text());
             }
             if (from != cut && to != cut) {
                 net.add(new Delivery(from, to, say));
@@ -46,17 +46,17 @@
             net = new ArrayList<>();
             due.forEach(sent -> send(
                     sent.to,
-                    nodes.get(sent.to).said(now(), VOTERS.get(sent.from), sent.say.number(), sent.say.what())));
+                    nodes.get(sent.to).receive(now(), VOTERS.get(sent.from), sent.say.correlationId(), sent.say.text())));
             for (int i = 0; i < nodes.size(); i++) {
-                send(i, nodes.get(i).look(now()));
+                send(i, nodes.get(i).tick(now()));
             }
-            assertTrue(nodes.stream().filter(node -> node.leads(now())).count() < 2, "two lead at " + ms);
+            assertTrue(nodes.stream().filter(node -> node.isLeader(now())).count() < 2, "two lead at " + ms);
         }
     }
 
     private int leader() {
         return nodes.indexOf(
-                nodes.stream().filter(node -> node.leads(now())).findFirst().orElseThrow());
+                nodes.stream().filter(node -> node.isLeader(now())).findFirst().orElseThrow());
     }
 
     /** One that was cut off promises the leader again when it is back, and does not stand on for terms of its own. */
--- a/src/test/java/merlinlever/faults/ViewModelTest.java
+++ b/src/test/java/merlinlever/faults/ViewModelTest.java
@@ -51,7 +51,7 @@
         for (int n : new int[] {3, 5, 9, 24}) {
             ViewModel model = fleet(n, n, Math.min(5, n));
             for (int i = 0; i < n; i++) {
-                assertEquals(QuorumStatus.WHOLE, model.nodes[i].standing());
+                assertEquals(QuorumStatus.FULL, model.nodes[i].standing());
             }
             long since = model.highest();
             model.kill(n - 1);
@@ -68,9 +68,9 @@
         ViewModel three = fleet(31, 3, 3);
         three.sides(0, 0, 1);
         three.run(16_000);
-        assertEquals(QuorumStatus.MOST, three.nodes[0].standing());
+        assertEquals(QuorumStatus.MAJORITY, three.nodes[0].standing());
         assertEquals(names(0, 1), three.nodes[0].sight.view().members());
-        assertEquals(QuorumStatus.ALONE, three.nodes[2].standing());
+        assertEquals(QuorumStatus.ISOLATED, three.nodes[2].standing());
         long since = three.highest();
         three.heal();
         agrees(three, 15_000, 1, since);
@@ -80,13 +80,13 @@
         three.sides(0, 1, 2);
         three.run(20_000);
         for (ViewModel.FleetNode node : three.nodes) {
-            assertEquals(QuorumStatus.ALONE, node.standing());
+            assertEquals(QuorumStatus.ISOLATED, node.standing());
             assertFalse(node.may(GuardedAction.DECIDE));
         }
         three.heal();
         three.run(10_000);
         agrees(three, 5000, 0, since);
-        assertEquals(QuorumStatus.WHOLE, three.nodes[0].standing());
+        assertEquals(QuorumStatus.FULL, three.nodes[0].standing());
     }
 
     @Example
@@ -131,7 +131,7 @@
         }
         model.run(15_000);
         assertEquals(names(0, 1, 2, 3, 4, 5), model.nodes[0].sight.view().members());
-        assertEquals(QuorumStatus.ALONE, model.nodes[6].standing());
+        assertEquals(QuorumStatus.ISOLATED, model.nodes[6].standing());
         assertEquals(1, model.changesSince(since));
         sound(model);
     }
@@ -150,7 +150,7 @@
             // Where its clock went on it knows at once that it knows nothing; where that stood too, nothing tells it,
             // but its lease lies behind.
             assertTrue(
-                    still || model.nodes[who].standing() == QuorumStatus.RETURNING,
+                    still || model.nodes[who].standing() == QuorumStatus.RECOVERING,
                     () -> model.nodes[who].standing() + "");
             agrees(model, 15_000, 1, since);
         }
@@ -182,7 +182,7 @@
             model.kill(i);
             model.run(1500);
             model.start(i);
-            assertEquals(QuorumStatus.RETURNING, model.nodes[i].standing());
+            assertEquals(QuorumStatus.RECOVERING, model.nodes[i].standing());
             model.run(9000);
         }
         agrees(model, 10_000, 0, since);
@@ -208,12 +208,12 @@
         boolean told = false;
         for (int i = 0; i < 600; i++) {
             model.step();
-            told |= model.nodes[4].standing() == QuorumStatus.DISAGREEING
-                    || model.nodes[5].standing() == QuorumStatus.DISAGREEING;
+            told |= model.nodes[4].standing() == QuorumStatus.CONFLICTING
+                    || model.nodes[5].standing() == QuorumStatus.CONFLICTING;
         }
         assertTrue(told);
         assertTrue(model.changesSince(since) <= 1);
-        assertEquals(QuorumStatus.WHOLE.compareTo(model.nodes[0].standing()) <= 0, true);
+        assertEquals(QuorumStatus.FULL.compareTo(model.nodes[0].standing()) <= 0, true);
         model.kill(5);
         model.run(20_000);
         assertEquals(names(0, 1, 2, 3, 4), model.nodes[0].sight.view().members());
--- a/src/test/java/merlinlever/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/membership/MemberTableModelTest.java
@@ -52,7 +52,7 @@
             StringBuilder key = new StringBuilder(12);
             for (MemberTable each : views) {
                 for (String name : NAMES) {
-                    MemberTable.MemberRecord rumour = each.of(name);
+                    MemberTable.MemberRecord rumour = each.find(name);
                     key.append((char) (rumour == null ? 0 : 1 + rumour.status().ordinal() + 4 * rumour.incarnation()));
                 }
             }
@@ -96,34 +96,34 @@
                 continue;
             }
             for (int k = 0; k < 3; k++) {
-                MemberTable.MemberRecord known = state.views[i].of(NAMES[k]);
+                MemberTable.MemberRecord known = state.views[i].find(NAMES[k]);
                 if (k == i || known == null) {
                     continue;
                 }
                 if (known.status() == MemberTable.MemberStatus.ALIVE && known.incarnation() < MOST_INCARNATION) {
                     FleetState made = state.copy();
-                    made.views[i].suspect(NAMES[k]);
+                    made.views[i].markSuspect(NAMES[k]);
                     next.add(made);
                 }
                 if (known.status() == MemberTable.MemberStatus.SUSPECT) {
                     FleetState made = state.copy();
-                    made.views[i].dead(NAMES[k]);
+                    made.views[i].markDead(NAMES[k]);
                     next.add(made);
                 }
             }
             for (long left = state.told; left != 0; left &= left - 1) {
                 MemberTable.MemberRecord rumour = RUMOURS[Long.numberOfTrailingZeros(left)];
-                MemberTable.MemberRecord known = state.views[i].of(rumour.name());
-                if (known != null && !MemberTable.overrides(rumour, known)) {
+                MemberTable.MemberRecord known = state.views[i].find(rumour.name());
+                if (known != null && !MemberTable.supersedes(rumour, known)) {
                     // It says nothing new here: the same state.
                     continue;
                 }
                 FleetState made = state.copy();
-                MemberTable.MemberRecord before = made.views[i].of(rumour.name());
-                made.views[i].heard(rumour);
-                MemberTable.MemberRecord after = made.views[i].of(rumour.name());
+                MemberTable.MemberRecord before = made.views[i].find(rumour.name());
+                made.views[i].merge(rumour);
+                MemberTable.MemberRecord after = made.views[i].find(rumour.name());
                 assertTrue(
-                        before == null || after.equals(before) || MemberTable.overrides(after, before),
+                        before == null || after.equals(before) || MemberTable.supersedes(after, before),
                         "a belief went back");
                 next.add(made);
             }
@@ -136,7 +136,7 @@
         }
         if (!state.cLeft) {
             FleetState made = state.copy();
-            made.views[2].leave();
+            made.views[2].markSelfLeft();
             made.cLeft = true;
             next.add(made);
         }
@@ -154,7 +154,7 @@
                 for (int k = 0; k < 3; k++) {
                     if (i != k && state.live(i) && state.live(k)) {
                         for (MemberTable.MemberRecord rumour : state.views[i].all()) {
-                            changed |= state.views[k].heard(rumour) != null;
+                            changed |= state.views[k].merge(rumour) != null;
                         }
                     }
                 }
@@ -171,7 +171,7 @@
         }
         for (int i = 0; i < 3; i++) {
             for (int k = 0; k < 3; k++) {
-                first.views[i].heard(
+                first.views[i].merge(
                         new MemberTable.MemberRecord(NAMES[k], "g" + k, "p" + k, MemberTable.MemberStatus.ALIVE, 0));
             }
         }
@@ -184,7 +184,7 @@
             FleetState calm = state.copy();
             List<Boolean> knewLeft = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                MemberTable.MemberRecord c = calm.views[i].of("c");
+                MemberTable.MemberRecord c = calm.views[i].find("c");
                 knewLeft.add(c != null && c.status() == MemberTable.MemberStatus.LEFT);
             }
             settle(calm);
@@ -193,15 +193,15 @@
                     if (calm.live(i) && calm.live(k)) {
                         assertEquals(
                                 MemberTable.MemberStatus.ALIVE,
-                                calm.views[i].of(NAMES[k]).status(),
+                                calm.views[i].find(NAMES[k]).status(),
                                 state::key);
-                        assertEquals(calm.views[k].of(NAMES[k]), calm.views[i].of(NAMES[k]), state::key);
+                        assertEquals(calm.views[k].find(NAMES[k]), calm.views[i].find(NAMES[k]), state::key);
                     }
                 }
             }
-            assertEquals(calm.views[0].of("c"), calm.views[1].of("c"));
+            assertEquals(calm.views[0].find("c"), calm.views[1].find("c"));
             assertFalse(
-                    knewLeft.get(0) && calm.cLeft && calm.views[0].of("c").status() != MemberTable.MemberStatus.LEFT,
+                    knewLeft.get(0) && calm.cLeft && calm.views[0].find("c").status() != MemberTable.MemberStatus.LEFT,
                     "one that left came back");
             for (FleetState each : next(state)) {
                 if (seen.add(each.key())) {
--- a/src/test/java/merlinlever/membership/SwimProtocolTest.java
+++ b/src/test/java/merlinlever/membership/SwimProtocolTest.java
@@ -44,7 +44,7 @@
             agents[i] = new SwimProtocol(
                     Duration.ofMillis(ms),
                     new MemberTable("n" + i, "g" + i, "p" + i, 0),
-                    SwimProtocol.SwimSettings.usual(List.of("g0", "g1")),
+                    SwimProtocol.SwimSettings.defaults(List.of("g0", "g1")),
                     chance.split(),
                     line -> {});
             up[i] = true;
@@ -58,7 +58,7 @@
                 }
                 for (int i = 0; i < agents.length; i++) {
                     if (up[i] && !paused[i]) {
-                        post(i, agents[i].settle(Duration.ofMillis(ms)));
+                        post(i, agents[i].tick(Duration.ofMillis(ms)));
                     }
                 }
             }
@@ -66,7 +66,7 @@
 
         void post(int from, List<SwimProtocol.OutboundDatagram> sendings) {
             for (SwimProtocol.OutboundDatagram sending : sendings) {
-                int to = Integer.parseInt(sending.to().substring(1));
+                int to = Integer.parseInt(sending.address().substring(1));
                 for (int copies = chance.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
                     if (side[from] == side[to] && chance.nextInt(100) >= loss) {
                         long at = ms + 1 + chance.nextInt(chance.nextInt(20) == 0 ? 600 : 30);
@@ -85,12 +85,12 @@
                 later.computeIfAbsent(ms + 50, k -> new ArrayList<>()).add(() -> arrive(from, to, message));
                 return;
             }
-            agents[to].heard(Duration.ofMillis(ms), "g" + from, message);
-            post(to, agents[to].settle(Duration.ofMillis(ms)));
+            agents[to].receive(Duration.ofMillis(ms), "g" + from, message);
+            post(to, agents[to].tick(Duration.ofMillis(ms)));
         }
 
         MemberTable.MemberStatus status(int by, int of) {
-            MemberTable.MemberRecord rumour = agents[by].views().of("n" + of);
+            MemberTable.MemberRecord rumour = agents[by].memberTable().find("n" + of);
             return rumour == null ? null : rumour.status();
         }
 
@@ -121,7 +121,7 @@
         net.loss = chance.nextInt(3) * 10;
         net.run(20_000);
         for (int i = 0; i < count; i++) {
-            assertEquals(count, net.agents[i].views().size(), "joined");
+            assertEquals(count, net.agents[i].memberTable().size(), "joined");
         }
         switch (chance.nextInt(4)) {
             case 0 -> {
@@ -149,7 +149,7 @@
             default -> {
                 int leaves = 1 + chance.nextInt(count - 1);
                 net.agents[leaves].leave(Duration.ofMillis(net.ms));
-                net.post(leaves, net.agents[leaves].settle(Duration.ofMillis(net.ms)));
+                net.post(leaves, net.agents[leaves].tick(Duration.ofMillis(net.ms)));
                 net.up[leaves] = false;
                 net.run(40_000);
                 for (int i = 0; i < count; i++) {
@@ -180,16 +180,16 @@
         }
         SwimProtocol.MembershipMessage message =
                 new SwimProtocol.MembershipMessage(SwimProtocol.MessageKind.SYNC, "n1", 7, "", rumours);
-        byte[] good = wire.write(message);
-        assertEquals(message, wire.read(good));
-        assertNull(new MembershipCodec("0123456789abcdeg".getBytes()).read(good));
+        byte[] good = wire.encode(message);
+        assertEquals(message, wire.decode(good));
+        assertNull(new MembershipCodec("0123456789abcdeg".getBytes()).decode(good));
         for (int at = 0; at < good.length; at += 7) {
             byte[] bad = good.clone();
             bad[at] ^= 1;
-            assertNull(wire.read(bad));
+            assertNull(wire.decode(bad));
         }
-        assertNull(wire.read(new byte[65_000]));
-        assertNull(wire.read(new byte[0]));
+        assertNull(wire.decode(new byte[65_000]));
+        assertNull(wire.decode(new byte[0]));
         SplittableRandom chance = new SplittableRandom(1);
         for (int i = 0; i < 5000; i++) {
             // Rightly signed nonsense: from a later version, say.
@@ -197,7 +197,7 @@
             for (int k = chance.nextInt(4); k >= 0; k--) {
                 inner[chance.nextInt(inner.length)] = (byte) chance.nextInt(256);
             }
-            wire.read(signed(inner));
+            wire.decode(signed(inner));
         }
         rumours.clear();
         for (int i = 0; i < 2000; i++) {
@@ -205,15 +205,15 @@
                     "name-of-a-machine-" + i, "127.0.0.1:" + i, "127.0.0.2:" + i, MemberTable.MemberStatus.ALIVE, i));
         }
         byte[] large =
-                wire.write(new SwimProtocol.MembershipMessage(SwimProtocol.MessageKind.SYNC, "n1", 7, "", rumours));
-        assertTrue(large.length <= MembershipCodec.MOST);
-        assertNotNull(wire.read(large));
+                wire.encode(new SwimProtocol.MembershipMessage(SwimProtocol.MessageKind.SYNC, "n1", 7, "", rumours));
+        assertTrue(large.length <= MembershipCodec.MAX_DATAGRAM_BYTES);
+        assertNotNull(wire.decode(large));
     }
 
     @Test
     void whatIsCarriedAndSaidReachesThoseThatHearItAndNobodyElse() {
         MembershipCodec wire = new MembershipCodec("0123456789abcdef".getBytes());
-        SwimProtocol.SwimSettings stated = SwimProtocol.SwimSettings.usual(List.of("127.0.0.1:2"));
+        SwimProtocol.SwimSettings stated = SwimProtocol.SwimSettings.defaults(List.of("127.0.0.1:2"));
         SwimProtocol one = new SwimProtocol(
                 Duration.ZERO,
                 new MemberTable("n1", "127.0.0.1:1", "-", 1),
@@ -227,33 +227,33 @@
                 new SplittableRandom(2),
                 line -> {});
         List<String> heard = new ArrayList<>();
-        two.hears(java.util.Set.of("A"), (name, number, what) -> heard.add(name + " " + number + " " + what));
-        two.hears(java.util.Set.of("B"), (name, number, what) -> heard.add("B " + what));
-        two.takes((name, body) -> heard.add(name + " carries " + body.length + " " + body[body.length - 1]));
-        one.heard(
+        two.addTextHandler(java.util.Set.of("A"), (name, number, what) -> heard.add(name + " " + number + " " + what));
+        two.addTextHandler(java.util.Set.of("B"), (name, number, what) -> heard.add("B " + what));
+        two.addPayloadHandler((name, body) -> heard.add(name + " carries " + body.length + " " + body[body.length - 1]));
+        one.receive(
                 Duration.ZERO,
                 "127.0.0.1:2",
                 new SwimProtocol.MembershipMessage(
-                        SwimProtocol.MessageKind.SYNC_BACK,
+                        SwimProtocol.MessageKind.SYNC_REPLY,
                         "n2",
                         0,
                         "",
-                        two.views().all()));
-        byte[] body = new byte[SwimProtocol.MOST_CARRIED];
+                        two.memberTable().all()));
+        byte[] body = new byte[SwimProtocol.MAX_PAYLOAD_BYTES];
         body[body.length - 1] = 7;
-        one.carry("n2", body);
-        one.carry("nobody", body);
-        one.say("n2", 5, "A/x");
-        one.say("n2", 6, "B");
-        one.say("n2", 7, "C/nobody-hears-this");
-        for (SwimProtocol.OutboundDatagram sending : one.settle(Duration.ofMillis(1))) {
-            two.heard(Duration.ofMillis(2), "127.0.0.1:1", wire.read(wire.write(sending.message())));
+        one.sendPayload("n2", body);
+        one.sendPayload("nobody", body);
+        one.sendText("n2", 5, "A/x");
+        one.sendText("n2", 6, "B");
+        one.sendText("n2", 7, "C/nobody-hears-this");
+        for (SwimProtocol.OutboundDatagram sending : one.tick(Duration.ofMillis(1))) {
+            two.receive(Duration.ofMillis(2), "127.0.0.1:1", wire.decode(wire.encode(sending.message())));
         }
         assertEquals(List.of("n1 carries " + body.length + " 7", "n1 5 A/x", "B B"), heard);
-        byte[] cut = wire.write(new SwimProtocol.MembershipMessage(
-                SwimProtocol.MessageKind.CARRY, "n1", 0, "", List.of(), new byte[100]));
+        byte[] cut = wire.encode(new SwimProtocol.MembershipMessage(
+                SwimProtocol.MessageKind.PAYLOAD, "n1", 0, "", List.of(), new byte[100]));
         byte[] inner = Arrays.copyOf(cut, cut.length - 16 - 40);
-        assertNull(wire.read(signed(inner)), "carried in part");
+        assertNull(wire.decode(signed(inner)), "carried in part");
     }
 
     private static byte[] signed(byte[] inner) {
--- a/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
@@ -246,7 +246,7 @@
                 Duration.ofSeconds(1),
                 Map.of());
         QuotaModel model = new QuotaModel(5, 3, budget);
-        QuorumStatus[] standing = {QuorumStatus.FEW};
+        QuorumStatus[] standing = {QuorumStatus.MINORITY};
         FleetView seen = new FixedFleetView(now -> standing[0]);
         for (int i = 0; i < 3; i++) {
             model.nodes[i].under(seen);
@@ -259,7 +259,7 @@
             assertEquals(0, model.share(0) + model.share(1) + model.share(2));
         }
         assertTrue(led, "somebody led all the while");
-        standing[0] = QuorumStatus.MOST;
+        standing[0] = QuorumStatus.MAJORITY;
         for (int i = 0; i < 500; i++) {
             model.step();
         }
--- a/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -208,7 +208,7 @@
     }
 
     private String address(RecoveryCoordinator one) {
-        return one.members().views().of(one.members().views().self()).gossip();
+        return one.members().memberTable().find(one.members().memberTable().self()).gossipAddress();
     }
 
     @Example
@@ -218,14 +218,14 @@
         BlockingStateDirectory held = held("b");
         RecoveryCoordinator second = make("b", held, List.of(address(first)), service);
         Thread.sleep(600);
-        assertEquals(1, first.members().views().size(), "a has heard of nobody while b's disk is held");
+        assertEquals(1, first.members().memberTable().size(), "a has heard of nobody while b's disk is held");
         assertEquals(Duration.ZERO, keyedTo, "and b begins no keyed work");
         held.permits.release(1_000_000);
-        until("a hears b", () -> first.members().views().of("b") != null);
+        until("a hears b", () -> first.members().memberTable().find("b") != null);
         until("b is warm", () -> second.order().stage() == RecoverySequence.RecoveryStage.WARM);
         // Noted with the next mark, and read while marks are made.
         until("whom to ask is noted", () -> left("b").peers().equals(List.of(address(first))));
-        assertTrue(left("b").incarnations() >= first.members().views().of("b").incarnation());
+        assertTrue(left("b").incarnations() >= first.members().memberTable().find("b").incarnation());
     }
 
     @Example
@@ -275,7 +275,7 @@
         RecoveryCoordinator two =
                 make("b", new FileStateDirectory(root.resolve("b2")), List.of(address(first)), service);
         until("one of them says so", () -> logged("another process lives under this one's name"));
-        assertTrue(one.members().views().rivals() > 1 || two.members().views().rivals() > 1);
+        assertTrue(one.members().memberTable().addressConflicts() > 1 || two.members().memberTable().addressConflicts() > 1);
     }
 
     @Example
@@ -304,9 +304,9 @@
         IncarnationAudit audit = new IncarnationAudit();
         MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
         try (UdpSwitch hub = new UdpSwitch(loop, new LinkFaults(2), real, List.of(here(0), here(0)), 7)) {
-            hub.tap((from, to, octets) -> audit.sent(from == 0 ? "a" : "b", to == 0 ? "a" : "b", wire.read(octets)));
+            hub.tap((from, to, octets) -> audit.sent(from == 0 ? "a" : "b", to == 0 ? "a" : "b", wire.decode(octets)));
             List<String> fronts =
-                    List.of(MembershipTransport.text(hub.front(0)), MembershipTransport.text(hub.front(1)));
+                    List.of(MembershipTransport.formatAddress(hub.front(0)), MembershipTransport.formatAddress(hub.front(1)));
             RecoveryCoordinator.NodeSettings place = new RecoveryCoordinator.NodeSettings(
                     "b", real.get(1), fronts.get(1), "-", List.of(fronts.get(0)), SECRET);
             RecoveryCoordinator first = make(
@@ -333,9 +333,9 @@
                 } else {
                     until(
                             "a hears this life",
-                            () -> first.members().views().of("b") != null
-                                    && first.members().views().of("b").incarnation() > heard[0]);
-                    heard[0] = first.members().views().of("b").incarnation();
+                            () -> first.members().memberTable().find("b") != null
+                                    && first.members().memberTable().find("b").incarnation() > heard[0]);
+                    heard[0] = first.members().memberTable().find("b").incarnation();
                 }
                 end(its);
                 held.close();
--- a/src/test/java/merlinlever/replication/PaxosNodeTest.java
+++ b/src/test/java/merlinlever/replication/PaxosNodeTest.java
@@ -77,7 +77,7 @@
             leadsUntil[i] = 0;
             Leadership leadership = new Leadership() {
                 @Override
-                public boolean leads(Duration at) {
+                public boolean isLeader(Duration at) {
                     return now < leadsUntil[i];
                 }
 
@@ -96,7 +96,7 @@
                     return voters;
                 }
             };
-            FleetView seen = new FixedFleetView(at -> may ? QuorumStatus.MOST : QuorumStatus.FEW);
+            FleetView seen = new FixedFleetView(at -> may ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY);
             nodes[i] = new PaxosNode(
                     clock(i), "b" + i, disk[i], leadership, seen, () -> others(i), chance.split(), line -> {});
         }
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -37,7 +37,7 @@
 /** Three that share, on real datagrams and real disks in one process. */
 class ReplicationTransportTest {
 
-    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.FULL);
 
     private Path root;
     private EventLoop loop;
@@ -89,7 +89,7 @@
 
     private record Replica(RecoveryCoordinator rejoin, ReplicationTransport spread, ElectionTransport leading) {
         String address() {
-            return rejoin.members().views().of(rejoin.members().views().self()).gossip();
+            return rejoin.members().memberTable().find(rejoin.members().memberTable().self()).gossipAddress();
         }
     }
 
@@ -127,7 +127,7 @@
                                 rejoin,
                                 new FileStateDirectory(root.resolve(name + "-shared")),
                                 ReplicatedStore.ReplicationSettings.usual(true),
-                                leading.terms(),
+                                leading.election(),
                                 WHOLE,
                                 name.hashCode(),
                                 line -> log.add(name + " " + line)),
@@ -159,7 +159,7 @@
                         .propose(
                                 loop.clock().uptime(),
                                 "end",
-                                octets("won by " + each.rejoin.members().views().self()));
+                                octets("won by " + each.rejoin.members().memberTable().self()));
             }
             return List.of(a, b, c).stream()
                     .allMatch(each -> each.spread.decree().written("end").isPresent());
--- a/src/test/java/merlinlever/routes/PartsBytesTest.java
+++ b/src/test/java/merlinlever/routes/PartsBytesTest.java
@@ -22,12 +22,12 @@
                 List.of(new Route(
                         "reads", "records", "10.1.0.1:7100", 50, 3, false, List.of("s1"), null, Restrictions.NONE)));
         Fixture fixture = new Fixture("routes.txt");
-        VersionedEntry part = TableChunks.cut(table).get(0);
+        VersionedEntry part = TableChunks.split(table).get(0);
         fixture.pins("routes.0.head", new String(part.value(), 0, 35, java.nio.charset.StandardCharsets.US_ASCII));
         assertEquals(
                 List.of("s1", "routes.0", 4L, 17L),
                 List.of(part.owner(), part.topic(), part.incarnation(), part.sequence()));
         assertEquals(
-                table, new TableChunks().came(new VersionedEntry("s1", "routes.0", 4, 17, fixture.bytes("routes.0"))));
+                table, new TableChunks().receive(new VersionedEntry("s1", "routes.0", 4, 17, fixture.bytes("routes.0"))));
     }
 }
--- a/src/test/java/merlinlever/routes/PeerTableSyncTest.java
+++ b/src/test/java/merlinlever/routes/PeerTableSyncTest.java
@@ -18,7 +18,7 @@
                 new RoutingPolicy("me"),
                 List.of(new RoutingTable.PartnerSettings("east", Relation.PEER)),
                 0,
-                FlapDamping.FlapDampingSettings.PUBLISHED,
+                FlapDamping.FlapDampingSettings.RECOMMENDED,
                 RouteSelectorTest.whole(),
                 line -> {});
     }
@@ -29,23 +29,23 @@
         RoutingTable heard = routes(), told = routes();
         RouteTable table = RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east"));
         heard.offer(s(0), table);
-        heard.stoodBy(s(0), "east", 1, 1, RouteTableWriter.digest(table), s(0), s(10));
+        heard.renew(s(0), "east", 1, 1, RouteTableWriter.digest(table), s(0), s(10));
         told.offer(s(0), table);
         PeerTableSync one = new PeerTableSync(heard, 1000, new SplittableRandom(1)),
                 other = new PeerTableSync(told, 5000, new SplittableRandom(2));
-        PeerTableSync.TableMessage question = other.look(s(2), List.of("one")).get(0);
+        PeerTableSync.TableMessage question = other.dueQueries(s(2), List.of("one")).get(0);
         PeerTableSync.TableMessage answer =
-                one.said(s(3), "other", question.number(), question.what()).get(0);
-        assertEquals("L/east/1/1/" + RouteTableWriter.digest(table) + "/7000", answer.what());
-        other.said(s(6), "one", answer.number(), answer.what());
-        other.said(s(8), "one", answer.number(), answer.what());
-        assertEquals(1, told.ways(s(8.9), "t/records").size());
-        assertEquals(0, told.ways(s(9), "t/records").size());
-        PeerTableSync.TableMessage next = other.look(s(20), List.of("one")).get(0);
-        other.said(s(20), "one", question.number(), answer.what());
-        assertEquals(0, told.ways(s(20), "t/records").size());
+                one.receive(s(3), "other", question.correlationId(), question.text()).get(0);
+        assertEquals("L/east/1/1/" + RouteTableWriter.digest(table) + "/7000", answer.text());
+        other.receive(s(6), "one", answer.correlationId(), answer.text());
+        other.receive(s(8), "one", answer.correlationId(), answer.text());
+        assertEquals(1, told.candidates(s(8.9), "t/records").size());
+        assertEquals(0, told.candidates(s(9), "t/records").size());
+        PeerTableSync.TableMessage next = other.dueQueries(s(20), List.of("one")).get(0);
+        other.receive(s(20), "one", question.correlationId(), answer.text());
+        assertEquals(0, told.candidates(s(20), "t/records").size());
         // Who has no lease left says nothing; and what is no word is passed over.
-        assertEquals(List.of(), one.said(s(20), "other", next.number(), next.what()));
+        assertEquals(List.of(), one.receive(s(20), "other", next.correlationId(), next.text()));
         for (String odd : List.of(
                 "",
                 "L",
@@ -54,8 +54,8 @@
                 "L/east/a/1/x/5",
                 "L/west/1/1/x/5",
                 "L/east/1/1/x/99999999999999999999")) {
-            assertEquals(List.of(), other.said(s(20), "one", next.number(), odd));
+            assertEquals(List.of(), other.receive(s(20), "one", next.correlationId(), odd));
         }
-        assertEquals(0, told.ways(s(20), "t/records").size());
+        assertEquals(0, told.candidates(s(20), "t/records").size());
     }
 }
--- a/src/test/java/merlinlever/routes/RouteMergerTest.java
+++ b/src/test/java/merlinlever/routes/RouteMergerTest.java
@@ -77,7 +77,7 @@
             RouteTable table = chance.nextInt(5) == 0
                     ? null
                     : RouteTable.of(site, 1, step, relation, Duration.ofSeconds(1), routes);
-            assertTrue(lived.put(site, relation, table, RouteMerger.NOBODY));
+            assertTrue(lived.replaceTable(site, relation, table, RouteMerger.NO_LISTENER));
             if (table == null) {
                 last.remove(site);
             } else {
@@ -87,12 +87,12 @@
         RouteMerger fresh = new RouteMerger(new RoutingPolicy("me"));
         last.descendingMap()
                 .forEach((site, table) ->
-                        fresh.put(site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NOBODY));
-        assertEquals(fresh.told(), lived.told());
+                        fresh.replaceTable(site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NO_LISTENER));
+        assertEquals(fresh.describe(), lived.describe());
         assertEquals(
-                last.values().stream().mapToInt(each -> each.routes().size()).sum(), lived.routes());
+                last.values().stream().mapToInt(each -> each.routes().size()).sum(), lived.routeCount());
         for (String key : lived.keys()) {
-            for (RouteMerger.Candidate each : lived.ways(key)) {
+            for (RouteMerger.Candidate each : lived.candidates(key)) {
                 assertFalse(each.route().path().contains("me"));
                 assertTrue(each.route().restrictions().allows("me"));
             }
@@ -102,17 +102,17 @@
     @Example
     void customersBeforePeersBeforeProvidersThenShortThenCheap() {
         RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
-        merge.put(
-                "pro", Relation.PROVIDER, table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")), RouteMerger.NOBODY);
-        merge.put("peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), RouteMerger.NOBODY);
-        merge.put(
+        merge.replaceTable(
+                "pro", Relation.PROVIDER, table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")), RouteMerger.NO_LISTENER);
+        merge.replaceTable("peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), RouteMerger.NO_LISTENER);
+        merge.replaceTable(
                 "cus",
                 Relation.CUSTOMER,
                 table("cus", 1, Relation.CUSTOMER, route("t", 5, "cus", "x"), route("t", 7, "cus")),
-                RouteMerger.NOBODY);
+                RouteMerger.NO_LISTENER);
         assertEquals(
                 List.of(7, 5, 9, 0),
-                merge.ways("t/records").stream()
+                merge.candidates("t/records").stream()
                         .map(each -> each.route().cost())
                         .toList());
     }
@@ -125,46 +125,46 @@
         }
         int[] withdrawn = new int[1];
         RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
-        merge.put("west", Relation.PEER, table("west", 1, Relation.PEER, route("t7", 3, "west")), RouteMerger.NOBODY);
-        String before = merge.told();
-        merge.put(
+        merge.replaceTable("west", Relation.PEER, table("west", 1, Relation.PEER, route("t7", 3, "west")), RouteMerger.NO_LISTENER);
+        String before = merge.describe();
+        merge.replaceTable(
                 "east",
                 Relation.PEER,
                 RouteTable.of("east", 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
-                RouteMerger.NOBODY);
+                RouteMerger.NO_LISTENER);
         assertEquals(10_000, merge.keys().size());
-        merge.put("east", Relation.PEER, table("east", 2, Relation.PEER), new RouteMerger.RouteListener() {
+        merge.replaceTable("east", Relation.PEER, table("east", 2, Relation.PEER), new RouteMerger.RouteListener() {
             @Override
-            public void refused(Route route, String rule) {}
+            public void onRejected(Route route, String rule) {}
 
             @Override
-            public void withdrawn(Route route) {
+            public void onWithdrawn(Route route) {
                 withdrawn[0]++;
             }
 
             @Override
-            public void changed(Route route) {}
+            public void onChanged(Route route) {}
         });
         assertEquals(10_000, withdrawn[0]);
-        assertEquals(before, merge.told());
+        assertEquals(before, merge.describe());
     }
 
     @Example
     void aTableBeyondTheRoomIsNotTaken() {
         RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
         List<Route> many = new ArrayList<>();
-        for (int i = 0; i < RouteTable.MOST; i++) {
+        for (int i = 0; i < RouteTable.MAX_ROUTES; i++) {
             many.add(route("t" + i, 1, "x"));
         }
         for (int i = 0; i < 8; i++) {
-            assertTrue(merge.put(
+            assertTrue(merge.replaceTable(
                     "p" + i,
                     Relation.PEER,
                     RouteTable.of("p" + i, 1, 1, Relation.PEER, Duration.ofSeconds(1), many),
-                    RouteMerger.NOBODY));
+                    RouteMerger.NO_LISTENER));
         }
-        assertFalse(merge.put(
-                "late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), RouteMerger.NOBODY));
-        assertEquals(RouteMerger.MOST, merge.routes());
+        assertFalse(merge.replaceTable(
+                "late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), RouteMerger.NO_LISTENER));
+        assertEquals(RouteMerger.MAX_ROUTES, merge.routeCount());
     }
 }
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -21,9 +21,9 @@
 class RouteSelectorTest {
 
     private static final RouteSelector.RoutingClass READS =
-            new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.RETRIABLE, true);
+            new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, true);
     private static final RouteSelector.RoutingClass BINDING =
-            new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.BINDING, true);
+            new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, true);
     private static final Duration NOW = Duration.ofSeconds(1);
 
     private final RoutingTable routes = new RoutingTable(
@@ -33,13 +33,13 @@
                     new RoutingTable.PartnerSettings("west", Relation.PEER),
                     new RoutingTable.PartnerSettings("far", Relation.PROVIDER)),
             0,
-            FlapDamping.FlapDampingSettings.PUBLISHED,
+            FlapDamping.FlapDampingSettings.RECOMMENDED,
             whole(),
             line -> {});
     private final RouteSelector exits = new RouteSelector(routes, 1);
 
     static FleetView whole() {
-        return new FixedFleetView(now -> QuorumStatus.WHOLE);
+        return new FixedFleetView(now -> QuorumStatus.FULL);
     }
 
     private static Route at(String site, int place, int calls, boolean binding, boolean retriableOnly) {
@@ -60,7 +60,7 @@
     private void says(Relation relation, String site, Route... all) {
         RouteTable table = RouteTable.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(all));
         routes.offer(NOW, table);
-        routes.stoodBy(NOW, site, 1, table.sequence(), RouteTableWriter.digest(table), NOW, table.lease());
+        routes.renew(NOW, site, 1, table.sequence(), RouteTableWriter.digest(table), NOW, table.lease());
     }
 
     private static RouteSelector.RoutedCall call(RouteSelector.RoutingClass tariff, String key) {
@@ -68,16 +68,16 @@
     }
 
     private Optional<String> place(RouteSelector.RoutedCall call) {
-        return exits.way(NOW, call, LocalServiceHealth.HealthState.AWAY, false).map(RouteSelector.SelectedRoute::place);
+        return exits.selectRoute(NOW, call, LocalServiceHealth.HealthState.UNREACHABLE, false).map(RouteSelector.SelectedRoute::address);
     }
 
     @Example
     void staysWhileItsOwnIsGood() {
         says(Relation.PEER, "east", at("east", 1, 10, false, false));
-        assertEquals(Optional.empty(), exits.way(NOW, call(READS, "k"), LocalServiceHealth.HealthState.GOOD, false));
-        assertTrue(exits.way(NOW, call(READS, "k"), LocalServiceHealth.HealthState.GOOD, true)
+        assertEquals(Optional.empty(), exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, false));
+        assertTrue(exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, true)
                 .isPresent());
-        assertTrue(exits.way(NOW, call(READS, "k"), LocalServiceHealth.HealthState.SLOW, false)
+        assertTrue(exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.SLOW, false)
                 .isPresent());
     }
 
@@ -89,17 +89,17 @@
         assertEquals(Optional.of("10.0.0.1:1"), place(call(BINDING, "k")));
         assertEquals(
                 Optional.empty(),
-                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.BINDING, false), "k")));
+                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, false), "k")));
         assertEquals(
                 Optional.empty(),
-                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.RETRIABLE, false), "k")));
+                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, false), "k")));
     }
 
     @Example
     void whatMayHaveHadItsEffectGoesNoSecondWay() {
         says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, false));
         RouteSelector.RoutingClass fingerprinted =
-                new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.FINGERPRINTED, true);
+                new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT_BY_KEY, true);
         for (RouteSelector.RoutingClass each : List.of(BINDING, fingerprinted)) {
             assertEquals(
                     Optional.empty(),
@@ -120,9 +120,9 @@
         for (int i = 0; i < keys; i++) {
             places.put(
                     "key" + i,
-                    fresh.way(NOW.plusSeconds(i), call(READS, "key" + i), LocalServiceHealth.HealthState.AWAY, false)
+                    fresh.selectRoute(NOW.plusSeconds(i), call(READS, "key" + i), LocalServiceHealth.HealthState.UNREACHABLE, false)
                             .orElseThrow()
-                            .place());
+                            .address());
         }
         return places;
     }
@@ -164,7 +164,7 @@
         RouteSelector eighth = new RouteSelector(routes, 8);
         Map<String, Integer> counts = new HashMap<>();
         for (int ms = 0; ms < 8000; ms += 10) {
-            eighth.way(NOW.plusMillis(ms), call(READS, "k"), LocalServiceHealth.HealthState.AWAY, false)
+            eighth.selectRoute(NOW.plusMillis(ms), call(READS, "k"), LocalServiceHealth.HealthState.UNREACHABLE, false)
                     .ifPresent(way -> counts.merge(way.site(), 1, Integer::sum));
         }
         assertEquals(Map.of("east", 8, "far", 3), counts);
@@ -173,27 +173,27 @@
 
     @Example
     void itsOwnIsAwaySlowAndGoodAgain() {
-        LocalServiceHealth own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.USUAL);
+        LocalServiceHealth own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
         Duration quick = Duration.ofMillis(5);
-        own.ended(NOW, Outcome.UNREACHABLE, quick);
-        own.ended(NOW, Outcome.CUT_OFF, quick);
-        own.ended(NOW, Outcome.OK, quick);
-        own.ended(NOW, Outcome.UNREACHABLE, quick);
-        own.ended(NOW, Outcome.UNREACHABLE, quick);
-        assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
-        own.ended(NOW, Outcome.UNREACHABLE, quick);
-        assertEquals(LocalServiceHealth.HealthState.AWAY, own.state());
-        assertFalse(own.tries(NOW.plusMillis(400)));
-        assertTrue(own.tries(NOW.plusMillis(500)));
-        assertFalse(own.tries(NOW.plusMillis(600)));
-        own.ended(NOW, Outcome.OK, quick);
-        own.ended(NOW, Outcome.OK, quick);
-        assertEquals(LocalServiceHealth.HealthState.AWAY, own.state());
-        own.ended(NOW, Outcome.TURNED_AWAY, quick);
-        assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
+        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        own.recordOutcome(NOW, Outcome.CUT_OFF, quick);
+        own.recordOutcome(NOW, Outcome.OK, quick);
+        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        assertEquals(LocalServiceHealth.HealthState.HEALTHY, own.state());
+        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, own.state());
+        assertFalse(own.shouldProbe(NOW.plusMillis(400)));
+        assertTrue(own.shouldProbe(NOW.plusMillis(500)));
+        assertFalse(own.shouldProbe(NOW.plusMillis(600)));
+        own.recordOutcome(NOW, Outcome.OK, quick);
+        own.recordOutcome(NOW, Outcome.OK, quick);
+        assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, own.state());
+        own.recordOutcome(NOW, Outcome.TURNED_AWAY, quick);
+        assertEquals(LocalServiceHealth.HealthState.HEALTHY, own.state());
         for (int i = 0; i < 32; i++) {
-            assertEquals(LocalServiceHealth.HealthState.GOOD, own.state());
-            own.ended(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
+            assertEquals(LocalServiceHealth.HealthState.HEALTHY, own.state());
+            own.recordOutcome(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
         }
         assertEquals(LocalServiceHealth.HealthState.SLOW, own.state());
     }
--- a/src/test/java/merlinlever/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableFilesTest.java
@@ -35,34 +35,34 @@
                     new RoutingPolicy("me"),
                     List.of(new RoutingTable.PartnerSettings("east", Relation.PEER)),
                     0,
-                    FlapDamping.FlapDampingSettings.PUBLISHED,
+                    FlapDamping.FlapDampingSettings.RECOMMENDED,
                     RouteSelectorTest.whole(),
                     told::add);
             RouteTableFiles files = new RouteTableFiles(routes, Map.of("east", file), s(2), told::add);
-            String text = RouteTableWriter.text(
+            String text = RouteTableWriter.write(
                     RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east")));
             write(file, text);
-            files.look(s(100));
-            assertEquals(0, routes.ways(s(100), "t/records").size(), "it may be of any age");
-            files.look(s(101));
+            files.poll(s(100));
+            assertEquals(0, routes.candidates(s(100), "t/records").size(), "it may be of any age");
+            files.poll(s(101));
             write(file, text);
-            files.look(s(104));
+            files.poll(s(104));
             // Asked for at 99 at the earliest.
-            assertEquals(1, routes.ways(s(108.9), "t/records").size());
-            assertEquals(0, routes.ways(s(109), "t/records").size());
-            files.look(s(106));
-            assertEquals(0, routes.ways(s(109), "t/records").size(), "a look alone is no word of the partner");
+            assertEquals(1, routes.candidates(s(108.9), "t/records").size());
+            assertEquals(0, routes.candidates(s(109), "t/records").size());
+            files.poll(s(106));
+            assertEquals(0, routes.candidates(s(109), "t/records").size(), "a look alone is no word of the partner");
             write(file, text.substring(0, text.length() / 2));
-            files.look(s(107));
+            files.poll(s(107));
             assertEquals(
                     1,
                     told.stream()
                             .filter(line -> line.startsWith("east: the table"))
                             .count(),
                     "a file in halves");
-            assertEquals(1, routes.ways(s(108), "t/records").size());
+            assertEquals(1, routes.candidates(s(108), "t/records").size());
             write(file, text.replace("\"site\":\"east\"", "\"site\":\"west\""));
-            files.look(s(108));
+            files.poll(s(108));
             assertEquals(
                     1,
                     told.stream()
--- a/src/test/java/merlinlever/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableReaderTest.java
@@ -52,7 +52,7 @@
 
     @Example
     void readsWhatIsWritten() throws RouteTableReader.UnusableTableException {
-        RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.text(full()));
+        RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.write(full()));
         assertEquals(full(), read.table());
         assertEquals(1, read.faults().size(), () -> read.faults().toString());
     }
@@ -119,7 +119,7 @@
             assertThrows(RouteTableReader.UnusableTableException.class, () -> RouteTableReader.read(bad), bad);
         }
         List<String> many = new ArrayList<>();
-        for (int i = 0; i <= RouteTable.MOST; i++) {
+        for (int i = 0; i <= RouteTable.MAX_ROUTES; i++) {
             many.add(ROUTE.replace("\"t\"", "\"t" + i + "\"") + "}");
         }
         assertThrows(
@@ -127,14 +127,14 @@
                 () -> RouteTableReader.read(table(many.toArray(String[]::new))));
         assertThrows(
                 RouteTableReader.UnusableTableException.class,
-                () -> RouteTableReader.read(" ".repeat(RouteTableReader.MOST_CHARACTERS + 1)));
+                () -> RouteTableReader.read(" ".repeat(RouteTableReader.MAX_CHARACTERS + 1)));
     }
 
     /** A table with anything changed, cut or put in ends in a table within the bounds or in the one fault; and never allows more than it said. */
     @Property(tries = 4000, seed = "42")
     void spoiltTextsAreReadOrRefused(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
         SplittableRandom chance = new SplittableRandom(seed);
-        StringBuilder text = new StringBuilder(RouteTableWriter.text(full()));
+        StringBuilder text = new StringBuilder(RouteTableWriter.write(full()));
         String[] words = {
             "\"",
             "{",
@@ -164,19 +164,19 @@
         }
         try {
             RouteTableReader.ParsedTable read = RouteTableReader.read(text.toString());
-            assertTrue(read.table().routes().size() <= RouteTable.MOST);
+            assertTrue(read.table().routes().size() <= RouteTable.MAX_ROUTES);
             for (Route each : read.table().routes().values()) {
-                assertTrue(each.calls() >= 1
-                        && each.calls() <= RouteTableReader.MOST_CALLS
+                assertTrue(each.callsPerSecond() >= 1
+                        && each.callsPerSecond() <= RouteTableReader.MAX_CALLS_PER_SECOND
                         && each.cost() >= 0
                         && !each.path().isEmpty()
-                        && each.path().size() <= Restrictions.MOST_SITES
+                        && each.path().size() <= Restrictions.MAX_SITES
                         && each.path().stream().allMatch(RouteTableReader::isSite));
             }
             // What is read is written and read as the same.
             assertEquals(
                     read.table(),
-                    RouteTableReader.read(RouteTableWriter.text(read.table())).table());
+                    RouteTableReader.read(RouteTableWriter.write(read.table())).table());
         } catch (RouteTableReader.UnusableTableException e) {
             assertTrue(
                     e.getMessage().startsWith("the table")
--- a/src/test/java/merlinlever/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -61,7 +61,7 @@
     /** The second is to the first what is stated. */
     RoutingModelCheck link(int one, int other, Relation relation) {
         relations[one][other] = relation;
-        relations[other][one] = relation.seenFromThere();
+        relations[other][one] = relation.inverse();
         return this;
     }
 
@@ -89,7 +89,7 @@
         RouteMerger merge = new RouteMerger(rules[site]);
         for (int from = 0; from < N; from++) {
             if (relations[site][from] != null && held[from] != NOTHING) {
-                merge.put(
+                merge.replaceTable(
                         SITES[from],
                         relations[site][from],
                         RouteTable.of(
@@ -99,7 +99,7 @@
                                 relations[site][from],
                                 Duration.ofSeconds(1),
                                 contents.get(held[from])),
-                        RouteMerger.NOBODY);
+                        RouteMerger.NO_LISTENER);
             }
         }
         return merge;
@@ -119,7 +119,7 @@
                                 all.add(
                                         strips
                                                 ? each
-                                                : rules[site].passedOn(
+                                                : rules[site].toExported(
                                                         each, "10.0.0.9:1", 100, 1, relations[site][to]));
                             }
                         }
@@ -136,9 +136,9 @@
                                 any -> true);
                         all.forEach(each -> look("sent", each, site, to));
                     }
-                    merge.keys().forEach(way -> merge.ways(way)
+                    merge.keys().forEach(way -> merge.candidates(way)
                             .forEach(each -> look(
-                                    "taken", each.route(), Arrays.asList(SITES).indexOf(each.from()), site)));
+                                    "taken", each.route(), Arrays.asList(SITES).indexOf(each.partner()), site)));
                     List<Route> content = List.copyOf(all);
                     Integer number = numbers.get(content);
                     if (number == null) {
@@ -151,7 +151,7 @@
 
     /** The auditor's own rules; it knows the variant by its figure, and who is what to whom. */
     private void look(String what, Route route, int from, int to) {
-        Restrictions said = variants.get(route.calls() - 10);
+        Restrictions said = variants.get(route.callsPerSecond() - 10);
         List<String> path = route.path();
         boolean first = path.size() == 1;
         String why = said.unreadable() && to != 0
@@ -160,9 +160,9 @@
                         ? "not among the only"
                         : said.notTo().contains(SITES[to])
                                 ? "not to it"
-                                : said.noFurther() && !first
+                                : said.noExport() && !first
                                         ? "further"
-                                        : path.size() > said.mostSites()
+                                        : path.size() > said.maxSites()
                                                 ? "too long"
                                                 : said.customersOnly()
                                                                 && !first
@@ -270,7 +270,7 @@
                     .append(":\n")
                     .append(merges.computeIfAbsent(
                             x + Arrays.toString(state.held[x]),
-                            key -> merge(site, state.held[site]).told()));
+                            key -> merge(site, state.held[site]).describe()));
         }
         results.computeIfAbsent(state.said, said -> new TreeSet<>()).add(all.toString());
     }
--- a/src/test/java/merlinlever/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/routes/RoutingTableTest.java
@@ -21,7 +21,7 @@
 class RoutingTableTest {
 
     private final List<String> told = new ArrayList<>();
-    private QuorumStatus standing = QuorumStatus.WHOLE;
+    private QuorumStatus standing = QuorumStatus.FULL;
     private final RoutingTable routes = fresh();
 
     private RoutingTable fresh() {
@@ -31,7 +31,7 @@
                         new RoutingTable.PartnerSettings("east", Relation.PEER),
                         new RoutingTable.PartnerSettings("west", Relation.PEER)),
                 0.01,
-                FlapDamping.FlapDampingSettings.PUBLISHED,
+                FlapDamping.FlapDampingSettings.RECOMMENDED,
                 new FixedFleetView(now -> standing),
                 told::add);
     }
@@ -42,7 +42,7 @@
 
     private void says(double at, RouteTable table) {
         routes.offer(s(at), table);
-        routes.stoodBy(
+        routes.renew(
                 s(at),
                 "east",
                 table.incarnation(),
@@ -53,8 +53,8 @@
     }
 
     private List<Integer> costs(double at) {
-        routes.settle(s(at));
-        return routes.ways(s(at), "t/records").stream()
+        routes.tick(s(at));
+        return routes.candidates(s(at), "t/records").stream()
                 .map(each -> each.route().cost())
                 .toList();
     }
@@ -65,12 +65,12 @@
 
     private static Route tight(Route route) {
         return new Route(
-                route.tariff(),
+                route.priorityClass(),
                 route.group(),
-                route.place(),
-                route.calls(),
+                route.address(),
+                route.callsPerSecond(),
                 route.cost(),
-                route.binding(),
+                route.allowsNonIdempotent(),
                 route.path(),
                 null,
                 new Restrictions(new TreeSet<>(List.of("other")), new TreeSet<>(), false, 16, false, false, false));
@@ -81,8 +81,8 @@
         routes.offer(s(0), of(1, route("t", 1, "east")));
         assertEquals(List.of(), costs(0.1), "nobody knows yet whether it stands by it");
         says(0.2, of(1, route("t", 1, "east")));
-        assertFalse(routes.stale(s(5), "east"));
-        assertTrue(routes.stale(s(5.3), "east"));
+        assertFalse(routes.isStale(s(5), "east"));
+        assertTrue(routes.isStale(s(5.3), "east"));
         assertEquals(List.of(1), costs(10.0));
         // A hundredth sooner, as this clock may be slow.
         assertEquals(List.of(), costs(10.11));
@@ -93,7 +93,7 @@
         says(0, of(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(s(4), west);
-        routes.stoodBy(s(4), "west", 1, 1, RouteTableWriter.digest(west), s(4), west.lease());
+        routes.renew(s(4), "west", 1, 1, RouteTableWriter.digest(west), s(4), west.lease());
         assertEquals(List.of(1, 9), costs(4));
         assertEquals(List.of(9, 1), costs(6));
         assertEquals(List.of(9), costs(11));
@@ -109,8 +109,8 @@
         assertEquals(List.of(), costs(2));
         assertEquals(1, told.stream().filter(line -> line.contains("older")).count());
         // Nor does its lease go on where the word is of another version.
-        assertFalse(routes.stoodBy(s(3), "east", 1, 1, RouteTableWriter.digest(first), s(3), s(10)));
-        assertFalse(routes.stoodBy(s(3), "east", 1, 2, RouteTableWriter.digest(first), s(3), s(10)));
+        assertFalse(routes.renew(s(3), "east", 1, 1, RouteTableWriter.digest(first), s(3), s(10)));
+        assertFalse(routes.renew(s(3), "east", 1, 2, RouteTableWriter.digest(first), s(3), s(10)));
     }
 
     /** Of one version there are two: the one before runs out, in no order is either taken, and it is told. */
@@ -122,22 +122,22 @@
             RoutingTable each = fresh();
             RouteTable before = of(1, route("t", 1, "east"));
             each.offer(s(0), before);
-            each.stoodBy(s(0), "east", 1, 1, RouteTableWriter.digest(before), s(0), s(10));
+            each.renew(s(0), "east", 1, 1, RouteTableWriter.digest(before), s(0), s(10));
             order.forEach(table -> {
                 each.offer(s(1), table);
-                each.stoodBy(s(4), "east", 1, 2, RouteTableWriter.digest(table), s(4), s(10));
+                each.renew(s(4), "east", 1, 2, RouteTableWriter.digest(table), s(4), s(10));
             });
-            order.forEach(table -> each.stoodBy(s(5), "east", 1, 2, RouteTableWriter.digest(table), s(5), s(10)));
-            each.settle(s(9));
+            order.forEach(table -> each.renew(s(5), "east", 1, 2, RouteTableWriter.digest(table), s(5), s(10)));
+            each.tick(s(9));
             assertEquals(
                     List.of(1),
-                    each.ways(s(9), "t/records").stream()
+                    each.candidates(s(9), "t/records").stream()
                             .map(way -> way.route().cost())
                             .toList());
-            each.settle(s(10));
-            assertEquals(List.of(), each.ways(s(10), "t/records"));
-            assertTrue(each.clashing("east"));
-            assertEquals(Duration.ZERO, each.holds(s(9), "east").left());
+            each.tick(s(10));
+            assertEquals(List.of(), each.candidates(s(10), "t/records"));
+            assertTrue(each.isConflicting("east"));
+            assertEquals(Duration.ZERO, each.lease(s(9), "east").remaining());
         }
         assertEquals(
                 2, told.stream().filter(line -> line.contains("two tables")).count());
@@ -148,7 +148,7 @@
     void cutOffItOnlyNarrows() {
         says(0, of(1, route("t", 1, "east"), tight(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
-        standing = QuorumStatus.FEW;
+        standing = QuorumStatus.MINORITY;
         says(
                 1,
                 of(
@@ -160,9 +160,9 @@
         assertEquals(List.of(3), costs(1));
         says(2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(), costs(2));
-        standing = QuorumStatus.MOST;
+        standing = QuorumStatus.MAJORITY;
         assertEquals(List.of(1, 2, 4), costs(3));
-        standing = QuorumStatus.RETURNING;
+        standing = QuorumStatus.RECOVERING;
         assertEquals(List.of(), costs(3));
     }
 
@@ -189,10 +189,10 @@
             if (chance.nextInt(3) == 0) {
                 // It stands by the last alone; who hears of it counts from when it asked.
                 RouteTable last = said.get(said.size() - 1);
-                routes.stoodBy(s(now), "east", 1, last.sequence(), RouteTableWriter.digest(last), s(now), last.lease());
+                routes.renew(s(now), "east", 1, last.sequence(), RouteTableWriter.digest(last), s(now), last.lease());
             }
-            routes.settle(s(now));
-            for (RouteMerger.Candidate each : routes.ways(s(now), "t/records")) {
+            routes.tick(s(now));
+            for (RouteMerger.Candidate each : routes.candidates(s(now), "t/records")) {
                 int cost = each.route().cost();
                 // The latest version that it may come from was the last one at some moment of the lease before.
                 double until = cost + 1 < at.size() ? at.get(cost + 1) : now;
@@ -210,25 +210,25 @@
 
     @Example
     void whatComesAndGoesIsLeftOutByThePublishedFigures() {
-        FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.PUBLISHED);
+        FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.RECOMMENDED);
         for (int i = 0; i < 5; i++) {
-            damping.withdrawn(s(i), "r");
+            damping.recordWithdrawal(s(i), "r");
         }
-        assertFalse(damping.leftOut(s(5), "r"));
-        damping.withdrawn(s(5), "r");
-        damping.withdrawn(s(6), "r");
-        assertTrue(damping.leftOut(s(6), "r"));
+        assertFalse(damping.isSuppressed(s(5), "r"));
+        damping.recordWithdrawal(s(5), "r");
+        damping.recordWithdrawal(s(6), "r");
+        assertTrue(damping.isSuppressed(s(6), "r"));
         // From under 7,000 to 750 it is a little over three half lives.
-        assertTrue(damping.leftOut(s(6 + 3 * 900), "r"));
-        assertFalse(damping.leftOut(s(6 + 3.3 * 900), "r"));
+        assertTrue(damping.isSuppressed(s(6 + 3 * 900), "r"));
+        assertFalse(damping.isSuppressed(s(6 + 3.3 * 900), "r"));
         for (int i = 0; i < 100; i++) {
-            damping.withdrawn(s(10_000), "r");
+            damping.recordWithdrawal(s(10_000), "r");
         }
-        assertFalse(damping.leftOut(s(10_000 + 3601), "r"), "never for more than an hour");
-        for (int i = 0; i < FlapDamping.MOST + 100; i++) {
-            damping.changed(s(20_000), "r" + i);
+        assertFalse(damping.isSuppressed(s(10_000 + 3601), "r"), "never for more than an hour");
+        for (int i = 0; i < FlapDamping.MAX_ROUTES + 100; i++) {
+            damping.recordChange(s(20_000), "r" + i);
         }
-        assertEquals(FlapDamping.MOST, damping.size());
+        assertEquals(FlapDamping.MAX_ROUTES, damping.size());
     }
 
     @Example
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -36,30 +36,30 @@
     @Example
     void inAnyOrderOnceAllIsThereAndNeverInHalves() {
         RouteTable first = large(1, 0), second = large(2, 50);
-        List<VersionedEntry> parts = new ArrayList<>(TableChunks.cut(first));
+        List<VersionedEntry> parts = new ArrayList<>(TableChunks.split(first));
         assertTrue(parts.size() > 3
-                && parts.size() < TableChunks.MOST
+                && parts.size() < TableChunks.MAX_CHUNKS
                 && parts.stream().allMatch(each -> each.value().length <= VersionedEntry.MOST_OCTETS));
         Collections.shuffle(parts, new Random(5));
         TableChunks gather = new TableChunks();
         for (VersionedEntry each : parts.subList(1, parts.size())) {
-            assertNull(gather.came(each));
-            assertNull(gather.came(each));
+            assertNull(gather.receive(each));
+            assertNull(gather.receive(each));
         }
         // Half of a later one leaves no way back to the older, and is no table either.
-        List<VersionedEntry> later = TableChunks.cut(second);
-        assertNull(gather.came(later.get(0)));
-        assertNull(gather.came(parts.get(0)));
+        List<VersionedEntry> later = TableChunks.split(second);
+        assertNull(gather.receive(later.get(0)));
+        assertNull(gather.receive(parts.get(0)));
         RouteTable whole = null;
         for (VersionedEntry each : later) {
-            whole = gather.came(each);
+            whole = gather.receive(each);
         }
         assertEquals(second, whole);
     }
 
     @Example
     void spoiltOrMixedPartsAreNoTable() {
-        List<VersionedEntry> one = TableChunks.cut(large(1, 0)), other = TableChunks.cut(large(2, 50));
+        List<VersionedEntry> one = TableChunks.split(large(1, 0)), other = TableChunks.split(large(2, 50));
         for (int spoilt = 0; spoilt < 200; spoilt++) {
             SplittableRandom chance = new SplittableRandom(spoilt);
             TableChunks gather = new TableChunks();
@@ -68,14 +68,14 @@
                 if (each == one.get(1)) {
                     value[chance.nextInt(value.length)] ^= (byte) (1 << chance.nextInt(8));
                 }
-                assertNull(gather.came(new VersionedEntry("east", each.topic(), 1, 1, value)));
+                assertNull(gather.receive(new VersionedEntry("east", each.topic(), 1, 1, value)));
             }
         }
         TableChunks gather = new TableChunks();
         for (int i = 0; i < one.size(); i++) {
             // Parts of two tables under one version.
             VersionedEntry each = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
-            assertNull(gather.came(new VersionedEntry("east", each.topic(), 1, 1, each.value())));
+            assertNull(gather.receive(new VersionedEntry("east", each.topic(), 1, 1, each.value())));
         }
         for (VersionedEntry odd : List.of(
                 new VersionedEntry("east", "routes.0", 9, 9, null),
@@ -92,7 +92,7 @@
                         9,
                         9,
                         "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)))) {
-            assertNull(gather.came(odd));
+            assertNull(gather.receive(odd));
         }
     }
 }
--- a/src/test/java/merlinlever/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/view/ViewBytesTest.java
@@ -17,13 +17,13 @@
         MembershipView second =
                 MembershipView.of(MembershipView.number(3, 2), new TreeSet<>(List.of("b0", "b2", "b3")));
         ViewCodec here = new ViewCodec();
-        here.latest(first);
-        here.latest(second);
+        here.remember(first);
+        here.remember(second);
         ViewCodec there = new ViewCodec();
-        fixture.pins("whole", here.of(first, 0));
-        assertEquals(first, there.read(fixture.bytes("whole")));
-        there.latest(first);
-        fixture.pins("difference", here.of(second, first.number()));
-        assertEquals(second, there.read(fixture.bytes("difference")));
+        fixture.pins("whole", here.encode(first, 0));
+        assertEquals(first, there.decode(fixture.bytes("whole")));
+        there.remember(first);
+        fixture.pins("difference", here.encode(second, first.number()));
+        assertEquals(second, there.decode(fixture.bytes("difference")));
     }
 }
--- a/src/test/java/merlinlever/view/ViewTest.java
+++ b/src/test/java/merlinlever/view/ViewTest.java
@@ -22,7 +22,7 @@
 
 class ViewTest {
 
-    private static final ViewSettings STATED = ViewSettings.usual();
+    private static final ViewSettings STATED = ViewSettings.defaults();
 
     private static Duration ms(long ms) {
         return Duration.ofMillis(ms);
@@ -43,12 +43,12 @@
         int observed = 0;
         for (String name : names) {
             Set<String> observers = rings.observers(name);
-            assertEquals(Math.min(ObserverRings.MOST, n - 1), observers.size());
+            assertEquals(Math.min(ObserverRings.MAX_RINGS, n - 1), observers.size());
             assertFalse(observers.contains(name));
             observers.forEach(observer -> assertTrue(rings.subjects(observer).contains(name)));
             observed += rings.subjects(name).size();
         }
-        assertEquals(n * Math.min(ObserverRings.MOST, n - 1), observed);
+        assertEquals(n * Math.min(ObserverRings.MAX_RINGS, n - 1), observed);
         if (n > 40) {
             TreeSet<String> fewer = new TreeSet<>(names);
             fewer.remove("b7");
@@ -59,7 +59,7 @@
                 gone.removeAll(after.observers(name));
                 changed += gone.size();
             }
-            assertTrue(changed <= 4 * ObserverRings.MOST, changed + " places changed with one member of " + n);
+            assertTrue(changed <= 4 * ObserverRings.MAX_RINGS, changed + " places changed with one member of " + n);
         }
     }
 
@@ -71,19 +71,19 @@
         TreeSet<String> changed = names(6);
         changed.remove("b2");
         MembershipView second = MembershipView.of(MembershipView.number(3, 2), changed);
-        here.latest(first);
-        here.latest(second);
-        assertEquals(first, there.read(here.of(first, 0)));
-        byte[] difference = here.of(second, first.number());
-        assertNull(there.read(difference), "the first is not held there");
-        there.latest(first);
-        assertEquals(second, there.read(difference));
-        assertTrue(difference.length < here.of(second, 0).length);
+        here.remember(first);
+        here.remember(second);
+        assertEquals(first, there.decode(here.encode(first, 0)));
+        byte[] difference = here.encode(second, first.number());
+        assertNull(there.decode(difference), "the first is not held there");
+        there.remember(first);
+        assertEquals(second, there.decode(difference));
+        assertTrue(difference.length < here.encode(second, 0).length);
         SplittableRandom chance = new SplittableRandom(1);
         for (int i = 0; i < 2000; i++) {
             byte[] spoilt = difference.clone();
             spoilt[chance.nextInt(spoilt.length)] ^= 1 << chance.nextInt(7);
-            MembershipView read = ViewCodec.ours(spoilt) ? there.read(spoilt) : null;
+            MembershipView read = ViewCodec.isViewPayload(spoilt) ? there.decode(spoilt) : null;
             assertTrue(
                     read == null || read.equals(second),
                     () -> "passed for a view: " + new String(spoilt, java.nio.charset.StandardCharsets.US_ASCII));
@@ -98,13 +98,13 @@
         QuorumStatusHysteresis bearing = new QuorumStatusHysteresis(ms(0), ms(1000));
         int changes = 0;
         for (int at = 0; at < 20_000; at += 50) {
-            changes += bearing.found(ms(at), at / 500 % 2 == 0 ? QuorumStatus.MOST : QuorumStatus.FEW) ? 1 : 0;
+            changes += bearing.update(ms(at), at / 500 % 2 == 0 ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY) ? 1 : 0;
         }
         assertEquals(1, changes, "it follows neither up and down");
-        assertEquals(QuorumStatus.FEW, bearing.shown());
-        assertFalse(bearing.found(ms(20_000), QuorumStatus.WHOLE));
-        assertTrue(bearing.found(ms(21_050), QuorumStatus.MOST));
-        assertTrue(bearing.found(ms(21_100), QuorumStatus.ALONE));
+        assertEquals(QuorumStatus.MINORITY, bearing.shown());
+        assertFalse(bearing.update(ms(20_000), QuorumStatus.FULL));
+        assertTrue(bearing.update(ms(21_050), QuorumStatus.MAJORITY));
+        assertTrue(bearing.update(ms(21_100), QuorumStatus.ISOLATED));
     }
 
     // ---- the cut
@@ -132,11 +132,11 @@
                         if (!mute.contains(name)) {
                             List<String> its = new ArrayList<>(rings.subjects(name));
                             its.removeIf(subject -> !gone.test(name, subject));
-                            cut.told(ms(at), name, number, view.number(), 0, most, its, ms(4000));
+                            cut.recordReport(ms(at), name, number, view.number(), 0, most, its, ms(4000));
                         }
                     }
                 }
-                Set<String> next = cut.due(
+                Set<String> next = cut.dueMembers(
                         ms(at),
                         "b0",
                         view,
@@ -156,7 +156,7 @@
     void oneObserverOrTwoTakeNobodyOutAndMostDo() {
         for (int n : new int[] {5, 9, 40}) {
             CutScenario few = new CutScenario(n, 5);
-            int low = ObserverRings.low(few.rings.observers("b3").size());
+            int low = ObserverRings.doubtThreshold(few.rings.observers("b3").size());
             List<String> observers = new ArrayList<>(few.rings.observers("b3"));
             assertNull(few.play(
                     0,
@@ -198,10 +198,10 @@
         // b2 holds the two others gone, but hears too few voters to be counted; the others hold each other well.
         for (long at = 0; at < 30_000; at += 100) {
             all.number++;
-            all.cut.told(ms(at), "b0", all.number, all.view.number(), 0, 3, List.of(), ms(4000));
-            all.cut.told(ms(at), "b1", all.number, all.view.number(), 0, 2, List.of("b2"), ms(4000));
-            all.cut.told(ms(at), "b2", all.number, all.view.number(), 0, 1, List.of("b0", "b1"), ms(4000));
-            assertNull(all.cut.due(
+            all.cut.recordReport(ms(at), "b0", all.number, all.view.number(), 0, 3, List.of(), ms(4000));
+            all.cut.recordReport(ms(at), "b1", all.number, all.view.number(), 0, 2, List.of("b2"), ms(4000));
+            all.cut.recordReport(ms(at), "b2", all.number, all.view.number(), 0, 1, List.of("b0", "b1"), ms(4000));
+            assertNull(all.cut.dueMembers(
                     ms(at),
                     "b0",
                     all.view,
@@ -218,7 +218,7 @@
         for (long at = 0; at < 30_000; at += 100) {
             all.number++;
             for (String name : all.view.members()) {
-                all.cut.told(
+                all.cut.recordReport(
                         ms(at),
                         name,
                         all.number,
@@ -228,7 +228,7 @@
                         name.equals("b3") ? List.of() : List.of("b3"),
                         ms(4000));
             }
-            assertNull(all.cut.due(
+            assertNull(all.cut.dueMembers(
                     ms(at),
                     "b0",
                     all.view,
@@ -245,7 +245,7 @@
     void wordsAndBodiesThatAreNoneOrOldChangeNothing() {
         SplittableRandom chance = new SplittableRandom(7);
         MemberTable members = new MemberTable("b0", "g0", "-", 1);
-        members.heard(new MemberTable.MemberRecord("b1", "g1", "-", MemberTable.MemberStatus.ALIVE, 1));
+        members.merge(new MemberTable.MemberRecord("b1", "g1", "-", MemberTable.MemberStatus.ALIVE, 1));
         List<String> log = new ArrayList<>();
         LeaderElection terms = new LeaderElection(
                 ms(0), "b0", List.of("b0", "b1", "b2"), ms(2000), 0.01, 0, term -> true, chance.split(), log::add);
@@ -253,7 +253,7 @@
                 new ViewManager(ms(0), STATED, members, terms, 1 << 20, 0, term -> true, chance.split(), log::add);
         MembershipView view = MembershipView.of(MembershipView.number(2, 1), names(3));
         ViewCodec bodies = new ViewCodec();
-        sight.carried(ms(50), "b1", bodies.of(view, 0));
+        sight.receivePayload(ms(50), "b1", bodies.encode(view, 0));
         assertEquals(view, sight.view());
         String[] words = {
             "WQ",
@@ -271,15 +271,15 @@
         };
         for (int i = 0; i < 3000; i++) {
             String what = words[chance.nextInt(words.length)];
-            sight.said(ms(100), "b" + chance.nextInt(4), chance.nextLong(), what);
+            sight.receive(ms(100), "b" + chance.nextInt(4), chance.nextLong(), what);
             byte[] noise = new byte[chance.nextInt(60)];
             chance.nextBytes(noise);
-            sight.carried(ms(100), "b1", noise);
+            sight.receivePayload(ms(100), "b1", noise);
         }
         assertEquals(view, sight.view());
         // An answer to no question is not heard, be it well formed.
         for (int i = 0; i < 200; i++) {
-            sight.said(
+            sight.receive(
                     ms(100),
                     "b1",
                     (1 << 20) + i,
@@ -287,8 +287,8 @@
         }
         assertTrue(sight.json(ms(100)).contains("\"hears\":[]"), sight.json(ms(100)));
         // An older view, and another under the same number.
-        sight.carried(ms(200), "b1", bodies.of(MembershipView.of(MembershipView.number(1, 9), names(2)), 0));
-        sight.carried(ms(200), "b2", bodies.of(MembershipView.of(view.number(), names(2)), 0));
+        sight.receivePayload(ms(200), "b1", bodies.encode(MembershipView.of(MembershipView.number(1, 9), names(2)), 0));
+        sight.receivePayload(ms(200), "b2", bodies.encode(MembershipView.of(view.number(), names(2)), 0));
         assertEquals(view, sight.view());
         assertTrue(sight.json(ms(200)).contains("\"clashes\":1"), sight.json(ms(200)));
     }
@@ -310,14 +310,14 @@
                 chance.split(),
                 line -> {});
         ViewCodec bodies = new ViewCodec();
-        sight.carried(ms(50), "b1", bodies.of(MembershipView.of(MembershipView.number(4, 2), names(3)), 0));
-        sight.look(ms(100));
+        sight.receivePayload(ms(50), "b1", bodies.encode(MembershipView.of(MembershipView.number(4, 2), names(3)), 0));
+        sight.tick(ms(100));
         assertEquals(MembershipView.NONE, sight.view(), "of the term on the disk, told by one that does not lead it");
-        sight.carried(ms(150), "b1", bodies.of(MembershipView.of(MembershipView.number(5, 1), names(3)), 0));
-        sight.look(ms(200));
+        sight.receivePayload(ms(150), "b1", bodies.encode(MembershipView.of(MembershipView.number(5, 1), names(3)), 0));
+        sight.tick(ms(200));
         assertEquals(MembershipView.NONE, sight.view(), "its term is not on the disk yet");
         disk[0] = 5;
-        sight.look(ms(250));
+        sight.tick(ms(250));
         assertEquals(MembershipView.number(5, 1), sight.view().number());
     }
 
@@ -325,17 +325,17 @@
     void theTableLetsNobodyDecideWhoMayNotAndEachActHasALine() {
         for (GuardedAction act : GuardedAction.values()) {
             for (QuorumStatus standing : QuorumStatus.values()) {
-                assertTrue(ActionPermissions.may(act, standing) != null);
+                assertTrue(ActionPermissions.permission(act, standing) != null);
             }
         }
         for (QuorumStatus standing : new QuorumStatus[] {
-            QuorumStatus.FEW, QuorumStatus.ALONE, QuorumStatus.DISAGREEING, QuorumStatus.RETURNING
+            QuorumStatus.MINORITY, QuorumStatus.ISOLATED, QuorumStatus.CONFLICTING, QuorumStatus.RECOVERING
         }) {
-            assertEquals(ActionPermissions.Permission.NO, ActionPermissions.may(GuardedAction.DECIDE, standing));
-            assertEquals(ActionPermissions.Permission.NO, ActionPermissions.may(GuardedAction.GRANT, standing));
-            assertEquals(ActionPermissions.Permission.YES, ActionPermissions.may(GuardedAction.TIGHTEN, standing));
+            assertEquals(ActionPermissions.Permission.DENIED, ActionPermissions.permission(GuardedAction.DECIDE, standing));
+            assertEquals(ActionPermissions.Permission.DENIED, ActionPermissions.permission(GuardedAction.GRANT_QUOTA, standing));
+            assertEquals(ActionPermissions.Permission.ALLOWED, ActionPermissions.permission(GuardedAction.ADOPT_RESTRICTION, standing));
         }
         assertEquals(
-                ActionPermissions.Permission.NO, ActionPermissions.may(GuardedAction.SERVE, QuorumStatus.RETURNING));
+                ActionPermissions.Permission.DENIED, ActionPermissions.permission(GuardedAction.USE_ADOPTED, QuorumStatus.RECOVERING));
     }
 }
