--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -9,6 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import merlinlever.core.Backend;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
@@ -59,7 +60,8 @@
                 ? text(rest, "recovery.lease", "2s")
                 : shared.get(0).lease();
         double drift = shared.isEmpty() ? 0.01 : shared.get(0).drift();
-        ElectionTransport leading = new ElectionTransport(loop, rejoin, voters, lease, drift, seed, told);
+        ElectionTransport leading =
+                new ElectionTransport(loop, rejoin, new ElectionSettings(voters, lease, drift), seed, told);
         viewing = new ViewTransport(loop, rejoin, leading.election(), ViewSettings.defaults(), life, seed, told);
         spread = new ReplicationTransport(
                 loop,
@@ -144,7 +146,8 @@
 
     /** Whether binding and fingerprinted work may be begun, as far as the others are concerned. */
     boolean mayKeyed() {
-        return viewing.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST) == ActionPermissions.Permission.ALLOWED;
+        return viewing.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST)
+                == ActionPermissions.Permission.ALLOWED;
     }
 
     void reread(Map<String, String> rest) throws ServeCommand.InvalidConfigurationException {
--- a/src/main/java/merlinlever/election/ClockDrift.java
+++ b/src/main/java/merlinlever/election/ClockDrift.java
@@ -2,17 +2,17 @@
 
 import java.time.Duration;
 
-/** Spans of leases on clocks that run apart. */
+/** Durations of leases on clocks that run apart by a bounded fraction. */
 public final class ClockDrift {
 
     private ClockDrift() {}
 
-    /** What was given by a clock that runs fast is out for so long by any other. */
+    /** How long to wait by the own clock so that the duration has passed on every other clock. */
     public static Duration upperBound(Duration duration, double drift) {
         return Duration.ofNanos((long) (duration.toNanos() * (1 + drift)));
     }
 
-    /** What may be counted on for the span by a clock that runs slow. */
+    /** How long by the own clock the duration surely has not yet passed on any other clock. */
     public static Duration lowerBound(Duration duration, double drift) {
         return Duration.ofNanos((long) (duration.toNanos() * (1 - drift)));
     }
--- a/src/main/java/merlinlever/election/LeaderElection.java
+++ b/src/main/java/merlinlever/election/LeaderElection.java
@@ -7,171 +7,188 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongPredicate;
+import merlinlever.membership.PeerMessage;
 
 /**
- * One backend's part in who leads: votes and may lead where it is a voter, knows who does otherwise. One of it serves all that
- * ask for a leader: budgets, views, registers, trials. What it says to itself does not leave the process. Decisions alone.
+ * One backend's part in leader election: votes and may lead where it is a voter, otherwise learns who leads. One of it serves all
+ * parts of the process that need a leader: quotas, views, registers, experiments. Times are since the process began. Not
+ * thread-safe.
  *
- * <p>Words, each with its number: {@code V/term} asks for a promise, {@code P/term} gives it, {@code N/term} names a higher
- * one, {@code H/term/leader} says who leads.
+ * <p>Texts, each with a correlation id: {@code V/term} requests a promise, {@code P/term} gives it, {@code N/term} rejects it and
+ * names a higher term, {@code H/term/leader} says who leads. The request of a candidate to itself does not leave the process.
  */
 public final class LeaderElection implements Leadership {
 
-    /** First parts of the words that {@link #receive} takes. */
-    public static final Set<String> MESSAGE_TYPES = Set.of("V", "P", "N", "H");
+    private static final String VOTE_REQUEST = "V";
+    private static final String PROMISE = "P";
+    private static final String REJECTION = "N";
+    private static final String LEADER_ANNOUNCEMENT = "H";
 
-    /** Something to be said to another. */
-    public record PeerMessage(String recipient, long correlationId, String text) {}
+    /** First parts of the texts that {@link #receive} takes. */
+    public static final Set<String> MESSAGE_TYPES = Set.of(VOTE_REQUEST, PROMISE, REJECTION, LEADER_ANNOUNCEMENT);
 
+    /** A vote that waits for its term to be on disk. */
     private record PendingVote(String candidate, long term, long correlationId) {}
 
     private final String self;
-    private final ElectionState election;
+    private final ElectionState state;
     private final LongPredicate persistTerm;
     private final Consumer<String> log;
-    private final List<PeerMessage> outbox = new ArrayList<>();
+    private final List<PeerMessage.Text> outbox = new ArrayList<>();
+    /** At most one; a candidate that is not answered asks again. Null for none. */
     private PendingVote pendingVote;
+    /** This backend's last request to itself, not yet decided, or null. */
     private ElectionState.PromiseRequest ownRequest;
-    private String lastLoggedLeader = "";
+
+    private Leader lastLoggedLeader;
 
     /**
-     * @param voters who may lead; the same everywhere
-     * @param lease of a promise
-     * @param drift clocks of two machines run apart by this part at the most
-     * @param term the highest that is on the disk
-     * @param persistTerm asks for a term on the disk; true once it is there
+     * @param persistedTerm the highest term that is on this backend's disk
+     * @param persistTerm requests that a term be written to disk; true once it is there
+     * @param log takes one line whenever another leader becomes known
      */
     public LeaderElection(
             Duration now,
             String self,
-            List<String> voters,
-            Duration lease,
-            double drift,
-            long term,
+            ElectionSettings settings,
+            long persistedTerm,
             LongPredicate persistTerm,
-            SplittableRandom chance,
+            SplittableRandom random,
             Consumer<String> log) {
         this.self = self;
         this.persistTerm = persistTerm;
         this.log = log;
-        election = new ElectionState(now, self, voters, lease, drift, term, chance);
+        state = new ElectionState(now, self, settings, persistedTerm, random);
     }
 
-    /** What is to be said now; to be asked for every few ms. */
-    public List<PeerMessage> tick(Duration now) {
+    /** Does what is due, and returns what is to be sent; to be called every few milliseconds. */
+    public List<PeerMessage.Text> tick(Duration now) {
         if (pendingVote != null && persistTerm.test(pendingVote.term)) {
-            PendingVote is = pendingVote;
+            PendingVote vote = pendingVote;
             pendingVote = null;
-            handleVoteRequest(now, is.candidate, is.term, is.correlationId);
+            decideVote(now, vote.candidate, vote.term, vote.correlationId);
         }
-        for (ElectionState.PromiseRequest ask : election.dueRequests(now)) {
-            if (ask.voter().equals(self)) {
-                ownRequest = ask;
+        for (ElectionState.PromiseRequest request : state.dueRequests(now)) {
+            if (request.voter().equals(self)) {
+                ownRequest = request;
             } else {
-                outbox.add(new PeerMessage(ask.voter(), ask.correlationId(), "V/" + ask.term()));
+                send(request.voter(), request.correlationId(), VOTE_REQUEST + "/" + request.term());
             }
         }
-        castOwnVote(now);
-        Leader leader = election.leader(now);
-        String told = leader == null ? "" : leader.name() + ", term " + leader.term();
-        if (!told.equals(lastLoggedLeader)) {
-            lastLoggedLeader = told;
-            log.accept(told.isEmpty() ? "terms: nobody is known to lead" : "terms: led by " + told);
+        decideOwnVote(now);
+        logLeaderChange(now);
+        return drainOutbox();
+    }
+
+    private void logLeaderChange(Duration now) {
+        Leader leader = state.leader(now);
+        if (leader == null ? lastLoggedLeader != null : !leader.equals(lastLoggedLeader)) {
+            lastLoggedLeader = leader;
+            log.accept(
+                    leader == null
+                            ? "leader-unknown"
+                            : "leader-changed leader=" + leader.name() + " term=" + leader.term());
         }
-        return receive();
     }
 
-    private List<PeerMessage> receive() {
-        List<PeerMessage> all = List.copyOf(outbox);
+    private void send(String recipient, long correlationId, String text) {
+        outbox.add(new PeerMessage.Text(recipient, correlationId, text));
+    }
+
+    private List<PeerMessage.Text> drainOutbox() {
+        List<PeerMessage.Text> drained = List.copyOf(outbox);
         outbox.clear();
-        return all;
+        return drained;
     }
 
     /**
-     * It promises itself last, when its promise makes more than half. A candidate that nobody hears would else go on to terms of
-     * its own, and could promise nothing to whoever leads when it is heard again (what Raft's pre-vote is for, Ongaro 2014).
+     * A candidate promises itself last, when its own promise completes the majority. One that is cut off would else go on to new
+     * terms of its own, and could promise nothing to the leader when it is connected again (the purpose of Raft's pre-vote,
+     * Ongaro 2014).
      */
-    private void castOwnVote(Duration now) {
-        if (ownRequest != null && ownRequest.term() == election.ownTerm() && election.isWithinOnePromiseOfMajority(now)) {
-            ElectionState.PromiseRequest is = ownRequest;
+    private void decideOwnVote(Duration now) {
+        if (ownRequest != null && ownRequest.term() == state.ownTerm() && state.isWithinOnePromiseOfMajority(now)) {
+            ElectionState.PromiseRequest request = ownRequest;
             ownRequest = null;
-            handleVoteRequest(now, self, is.term(), is.correlationId());
+            decideVote(now, self, request.term(), request.correlationId());
         }
     }
 
-    private void handleVoteRequest(Duration now, String asker, long term, long number) {
-        if (!election.canPromise(now, asker, term)) {
-            if (!asker.equals(self)) {
-                outbox.add(new PeerMessage(asker, number, "N/" + election.promisedTerm()));
+    private void decideVote(Duration now, String candidate, long term, long correlationId) {
+        boolean isOwn = candidate.equals(self);
+        if (!state.canPromise(now, candidate, term)) {
+            if (!isOwn) {
+                send(candidate, correlationId, REJECTION + "/" + state.promisedTerm());
             }
             return;
         }
         if (!persistTerm.test(term)) {
-            // One at a time; whoever is not answered asks again.
-            pendingVote = new PendingVote(asker, term, number);
+            pendingVote = new PendingVote(candidate, term, correlationId);
             return;
         }
-        election.promise(now, asker, term);
-        if (asker.equals(self)) {
-            election.receivePromise(now, self, term, number);
+        state.promise(now, candidate, term);
+        if (isOwn) {
+            state.receivePromise(now, self, term, correlationId);
         } else {
-            outbox.add(new PeerMessage(asker, number, "P/" + term));
+            send(candidate, correlationId, PROMISE + "/" + term);
         }
     }
 
-    /** Another said that, one of {@link #MESSAGE_TYPES}; returns what is said to it. */
-    public List<PeerMessage> receive(Duration now, String name, long number, String what) {
-        String[] part = what.split("/");
+    /** Takes in a text of a peer, of one of the {@link #MESSAGE_TYPES}, and returns what is to be sent in answer. */
+    public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
+        String[] parts = text.split("/");
         try {
-            switch (part[0]) {
-                case "V" -> handleVoteRequest(now, name, Long.parseLong(part[1]), number);
-                case "P" -> {
-                    election.receivePromise(now, name, Long.parseLong(part[1]), number);
-                    castOwnVote(now);
+            switch (parts[0]) {
+                case VOTE_REQUEST -> decideVote(now, sender, Long.parseLong(parts[1]), correlationId);
+                case PROMISE -> {
+                    state.receivePromise(now, sender, Long.parseLong(parts[1]), correlationId);
+                    decideOwnVote(now);
                 }
-                case "N" -> election.receiveRejection(now, Long.parseLong(part[1]));
-                case "H" -> {
-                    // Of itself it knows better.
-                    if (election.voters().contains(part[2]) && !part[2].equals(self)) {
-                        election.observeLeader(now, part[2], Long.parseLong(part[1]));
-                    }
-                }
-                default -> log.accept("terms: " + name + " said what is not understood: " + what);
+                case REJECTION -> state.receiveRejection(Long.parseLong(parts[1]));
+                case LEADER_ANNOUNCEMENT -> receiveAnnouncement(now, parts[2], parts[1]);
+                default -> throw new IllegalArgumentException("unknown type " + parts[0]);
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("terms: " + name + " said what is not understood: " + what);
+            log.accept("election-message-rejected sender=" + sender + " text=" + text);
+        }
+        return drainOutbox();
+    }
+
+    private void receiveAnnouncement(Duration now, String leader, String term) {
+        // Of itself this backend knows better.
+        if (state.voters().contains(leader) && !leader.equals(self)) {
+            state.observeLeader(now, leader, Long.parseLong(term));
         }
-        return receive();
     }
 
-    /** The word that says who leads to one that asked the wrong one, or null where that is not known. */
+    /** The text that says who leads, for a peer that took another for the leader; null where that is not known. */
     public String leaderAnnouncement(Duration now) {
-        Leader leader = election.leader(now);
-        return leader == null ? null : "H/" + leader.term() + "/" + leader.name();
+        Leader leader = state.leader(now);
+        return leader == null ? null : LEADER_ANNOUNCEMENT + "/" + leader.term() + "/" + leader.name();
     }
 
-    /** That one spoke as the leader of the term. */
-    public void observeLeader(Duration now, String name, long term) {
-        election.observeLeader(now, name, term);
+    /** A peer acted as the leader of that term. */
+    public void observeLeader(Duration now, String leader, long term) {
+        state.observeLeader(now, leader, term);
     }
 
     @Override
     public boolean isLeader(Duration now) {
-        return election.isLeader(now);
+        return state.isLeader(now);
     }
 
     @Override
     public long term() {
-        return election.ownTerm();
+        return state.ownTerm();
     }
 
     @Override
     public Leader leader(Duration now) {
-        return election.leader(now);
+        return state.leader(now);
     }
 
     @Override
     public List<String> voters() {
-        return election.voters();
+        return state.voters();
     }
 }
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -4,42 +4,39 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.PeerMessage;
+import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.net.RecoveryCoordinator;
 
-/** One backend's part in who leads, on the loop and membership's datagrams; one for all that ask for a leader. */
-public final class ElectionTransport implements SwimProtocol.TextMessageHandler {
+/**
+ * Runs one backend's {@link LeaderElection} on the event loop and membership's datagrams; one for all parts that need a leader. On
+ * the loop's thread only.
+ */
+public final class ElectionTransport implements TextMessageHandler {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
     private final EventLoop loop;
-    private final RecoveryCoordinator rejoin;
+    private final RecoveryCoordinator recovery;
     private final LeaderElection election;
 
-    /** @param voters who may lead; the same everywhere */
+    /** @param recovery where terms are persisted, and whose membership carries the messages */
     public ElectionTransport(
-            EventLoop loop,
-            RecoveryCoordinator rejoin,
-            List<String> voters,
-            Duration lease,
-            double drift,
-            long seed,
-            Consumer<String> log) {
+            EventLoop loop, RecoveryCoordinator recovery, ElectionSettings settings, long seed, Consumer<String> log) {
         this.loop = loop;
-        this.rejoin = rejoin;
+        this.recovery = recovery;
         election = new LeaderElection(
                 loop.clock().uptime(),
-                rejoin.members().memberTable().self(),
-                voters,
-                lease,
-                drift,
-                rejoin.term(),
-                rejoin::noted,
+                recovery.members().memberTable().self(),
+                settings,
+                recovery.term(),
+                recovery::noted,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
+        recovery.members().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
         loop.every(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
     }
 
@@ -47,15 +44,15 @@
         return election;
     }
 
-    private void send(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.members().sendText(each.recipient(), each.correlationId(), each.text()));
-        if (!all.isEmpty()) {
-            rejoin.send();
+    private void send(List<PeerMessage.Text> messages) {
+        messages.forEach(recovery.members()::send);
+        if (!messages.isEmpty()) {
+            recovery.send();
         }
     }
 
     @Override
-    public void onText(String name, long number, String what) {
-        send(election.receive(loop.clock().uptime(), name, number, what));
+    public void onText(String sender, long correlationId, String text) {
+        send(election.receive(loop.clock().uptime(), sender, correlationId, text));
     }
 }
--- a/src/main/java/merlinlever/election/net/package-info.java
+++ b/src/main/java/merlinlever/election/net/package-info.java
@@ -1,2 +1,2 @@
-/** Who leads, over membership's datagrams. */
+/** Leader election on the event loop and membership's datagrams. */
 package merlinlever.election.net;
--- a/src/main/java/merlinlever/election/package-info.java
+++ b/src/main/java/merlinlever/election/package-info.java
@@ -1,2 +1,5 @@
-/** Who leads: terms, promises and leases among stated voters. Decisions alone. */
+/**
+ * Leader election: terms, promises and leases among the configured voters ({@link merlinlever.election.LeaderElection}). Without input,
+ * output, threads or clocks; {@code net} runs it on the event loop.
+ */
 package merlinlever.election;
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -132,7 +132,8 @@
     // ---- the end
 
     private void decide(Duration now) {
-        if (!leadership.isLeader(now) || seen.permission(now, GuardedAction.DECIDE) != ActionPermissions.Permission.ALLOWED) {
+        if (!leadership.isLeader(now)
+                || seen.permission(now, GuardedAction.DECIDE) != ActionPermissions.Permission.ALLOWED) {
             // A leader after it decides by what it knows then.
             proposed = null;
             return;
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -11,11 +11,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.experiments.Experiment;
 import merlinlever.experiments.ExperimentCounts;
 import merlinlever.experiments.ExperimentNode;
 import merlinlever.experiments.ExperimentResult;
+import merlinlever.membership.PeerMessage;
 import merlinlever.replication.OutgoingMessage;
 import merlinlever.replication.ReplicatedStore;
 import merlinlever.replication.WriteOnceRegisters;
@@ -147,9 +149,7 @@
         terms[i] = new LeaderElection(
                 at,
                 "b" + i,
-                voters,
-                Duration.ofSeconds(2),
-                0.01,
+                new ElectionSettings(voters, Duration.ofSeconds(2), 0.01),
                 noted[i],
                 term -> {
                     noted[i] = Math.max(noted[i], term);
@@ -249,8 +249,9 @@
         }
     }
 
-    private void sendAll(int from, List<LeaderElection.PeerMessage> says, List<OutgoingMessage> carries) {
-        says.forEach(each -> send(from, Integer.parseInt(each.recipient().substring(1)), null, each.correlationId(), each.text()));
+    private void sendAll(int from, List<PeerMessage.Text> says, List<OutgoingMessage> carries) {
+        says.forEach(each ->
+                send(from, Integer.parseInt(each.recipient().substring(1)), null, each.correlationId(), each.text()));
         carries.forEach(each -> send(from, Integer.parseInt(each.to().substring(1)), each.body(), 0, null));
     }
 
@@ -279,7 +280,7 @@
             }
             Duration at = clock(i);
             force(i);
-            List<LeaderElection.PeerMessage> says = terms[i].tick(at);
+            List<PeerMessage.Text> says = terms[i].tick(at);
             LeaderElection.Leader leader = terms[i].leader(at);
             if (leader != null && leader.name().equals("b" + i) && now % 500 == 0) {
                 for (int k = 0; k < n; k++) {
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
+import merlinlever.membership.PeerMessage;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
 
@@ -89,9 +91,7 @@
         terms[i] = new LeaderElection(
                 clock(i),
                 "b" + i,
-                voters,
-                budget.lease(),
-                budget.drift(),
+                new ElectionSettings(voters, budget.lease(), budget.drift()),
                 noted[i],
                 term -> {
                     noted[who] = Math.max(noted[who], term);
@@ -122,8 +122,8 @@
         return now >= downUntil[i] && nodes[i] != null;
     }
 
-    void send(int from, List<LeaderElection.PeerMessage> all) {
-        for (LeaderElection.PeerMessage each : all) {
+    void send(int from, List<PeerMessage.Text> all) {
+        for (PeerMessage.Text each : all) {
             int to = Integer.parseInt(each.recipient().substring(1));
             // With the head, the sender, the number and the seal of membership's datagrams, without rumours.
             octets += 40 + each.text().length();
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -10,6 +10,7 @@
 import java.util.TreeMap;
 import merlinlever.Outcome;
 import merlinlever.faults.audit.RouteExportAudit;
+import merlinlever.membership.PeerMessage;
 import merlinlever.replication.VersionedEntry;
 import merlinlever.routes.FlapDamping;
 import merlinlever.routes.LocalServiceHealth;
@@ -187,7 +188,9 @@
             long heard = site.nodes.stream().filter(this::hears).count();
             return heard == perSite
                     ? QuorumStatus.FULL
-                    : 2 * heard > perSite ? QuorumStatus.MAJORITY : heard > 1 ? QuorumStatus.MINORITY : QuorumStatus.ISOLATED;
+                    : 2 * heard > perSite
+                            ? QuorumStatus.MAJORITY
+                            : heard > 1 ? QuorumStatus.MINORITY : QuorumStatus.ISOLATED;
         }
 
         @Override
@@ -202,7 +205,7 @@
 
         private void look() {
             routes.tick(clock());
-            for (PeerTableSync.TableMessage each : fellows.dueQueries(clock(), others())) {
+            for (PeerMessage.Text each : fellows.dueQueries(clock(), others())) {
                 say(each);
             }
             if (index < 2) {
@@ -229,7 +232,7 @@
                     .toList();
         }
 
-        private void say(PeerTableSync.TableMessage each) {
+        private void say(PeerMessage.Text each) {
             SiteBackend to = site.nodes.get(Integer.parseInt(each.recipient()));
             toFellow(this, to, () -> to.fellows
                     .receive(to.clock(), "" + index, each.correlationId(), each.text())
@@ -261,12 +264,13 @@
             if (holds != null && table.equals(routes.latest(table.site()))) {
                 routes.renew(
                         clock(),
-                        table.site(),
-                        table.incarnation(),
-                        table.sequence(),
-                        holds.digest(),
-                        from,
-                        table.lease());
+                        new RoutingTable.Renewal(
+                                table.site(),
+                                table.incarnation(),
+                                table.sequence(),
+                                holds.digest(),
+                                from,
+                                table.lease()));
             }
         }
 
@@ -383,8 +387,7 @@
         relations.forEach((pair, its) -> {
             this.relations.put(pair, its);
             this.relations.put(
-                    pair.substring(pair.indexOf(' ') + 1) + " " + pair.substring(0, pair.indexOf(' ')),
-                    its.inverse());
+                    pair.substring(pair.indexOf(' ') + 1) + " " + pair.substring(0, pair.indexOf(' ')), its.inverse());
         });
         audit = new RouteExportAudit((one, other) -> this.relations.get(one + " " + other), lease.toMillis());
         names.forEach(name -> sites.add(new Site(sites.size(), name)));
--- a/src/main/java/merlinlever/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/faults/ViewFaults.java
@@ -134,8 +134,9 @@
             }
             // Term and count.
             String[] place = view.path("view").asText("0.0").split("\\.");
-            long number =
-                    place.length == 2 ? MembershipView.number(Long.parseLong(place[0]), Integer.parseInt(place[1])) : 0;
+            long number = place.length == 2
+                    ? MembershipView.numberOf(Long.parseLong(place[0]), Integer.parseInt(place[1]))
+                    : 0;
             ViewConsistencyAudit.ReportedView its = new ViewConsistencyAudit.ReportedView(
                     fleet.name(i),
                     fleet.processes().starts(fleet.name(i)),
--- a/src/main/java/merlinlever/faults/ViewModel.java
+++ b/src/main/java/merlinlever/faults/ViewModel.java
@@ -7,9 +7,16 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberRecord;
 import merlinlever.membership.MemberTable;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
+import merlinlever.membership.OutboundDatagram;
+import merlinlever.membership.PeerMessage;
 import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.SwimSettings;
 import merlinlever.view.ActionPermissions;
 import merlinlever.view.GuardedAction;
 import merlinlever.view.MembershipView;
@@ -31,7 +38,7 @@
     /** Datagrams that a process that stands still keeps for later, at the most. */
     private static final int KEPT = 500;
 
-    private record Datagram(int from, int to, SwimProtocol.MembershipMessage message) {}
+    private record Datagram(int from, int to, MembershipMessage message) {}
 
     private record HeldDatagram(Datagram datagram, long at) {}
 
@@ -61,28 +68,39 @@
             members = new SwimProtocol(
                     at,
                     new MemberTable(name, "g" + place, "-", incarnation),
-                    SwimProtocol.SwimSettings.defaults(seeds),
+                    SwimSettings.defaults(seeds),
                     chance.split(),
                     line -> {});
             long floor = onDisk[place];
             terms = new LeaderElection(
-                    at, name, voters, LEASE, DRIFT, floor, term -> noted(place, term), chance.split(), line -> {});
+                    at,
+                    name,
+                    new ElectionSettings(voters, LEASE, DRIFT),
+                    floor,
+                    term -> noted(place, term),
+                    chance.split(),
+                    line -> {});
             sight = alone
                     ? null
                     : new ViewManager(
                             at,
-                            ViewSettings.defaults(),
+                            new ViewManager.Setup(
+                                    ViewSettings.defaults(),
+                                    ++lives << 30,
+                                    floor,
+                                    term -> noted(place, term),
+                                    chance.split(),
+                                    line -> log.add(now + " " + name + " " + line)),
                             members.memberTable(),
-                            terms,
-                            ++lives << 30,
-                            floor,
-                            term -> noted(place, term),
-                            chance.split(),
-                            line -> log.add(now + " " + name + " " + line));
-            members.addTextHandler(LeaderElection.MESSAGE_TYPES, (who, number, what) -> say(terms.receive(clock(), who, number, what)));
+                            terms);
+            members.addTextHandler(
+                    LeaderElection.MESSAGE_TYPES,
+                    (who, number, what) -> say(terms.receive(clock(), who, number, what)));
             if (sight != null) {
-                members.addTextHandler(ViewManager.MESSAGE_TYPES, (who, number, what) -> tell(sight.receive(clock(), who, number, what)));
-                members.addPayloadHandler((who, body) -> sight.receivePayload(clock(), who, body));
+                members.addTextHandler(
+                        ViewManager.MESSAGE_TYPES,
+                        (who, number, what) -> say(sight.receive(clock(), who, number, what)));
+                members.addPayloadHandler((who, body) -> sight.receivePayload(clock(), body));
             }
         }
 
@@ -90,24 +108,14 @@
             return Duration.ofNanos((long) ((now - offset - stood) * rate * 1e6));
         }
 
-        private void say(List<LeaderElection.PeerMessage> all) {
-            all.forEach(each -> members.sendText(each.recipient(), each.correlationId(), each.text()));
-        }
-
-        private void tell(List<ViewManager.ViewMessage> all) {
-            for (ViewManager.ViewMessage each : all) {
-                if (each.payload() != null) {
-                    members.sendPayload(each.recipient(), each.payload());
-                } else {
-                    members.sendText(each.recipient(), each.correlationId(), each.text());
-                }
-            }
+        private void say(List<? extends PeerMessage> all) {
+            all.forEach(members::send);
         }
 
         void look() {
             say(terms.tick(clock()));
             if (sight != null) {
-                tell(sight.tick(clock()));
+                say(sight.tick(clock()));
             }
             members.tick(clock()).forEach(each -> send(place, each));
         }
@@ -246,15 +254,15 @@
 
     // ---- the network
 
-    private void send(int from, SwimProtocol.OutboundDatagram sending) {
+    private void send(int from, OutboundDatagram sending) {
         int to = Integer.parseInt(sending.address().substring(1));
-        SwimProtocol.MembershipMessage message = sending.message();
+        MembershipMessage message = sending.message();
         // As the wire has it; the heads of UDP and IP come on top.
         int size = 32
                 + message.sender().length()
                 + message.text().length()
                 + (message.payload() == null ? 0 : message.payload().length + 4);
-        for (MemberTable.MemberRecord rumour : message.records()) {
+        for (MemberRecord rumour : message.records()) {
             size += 12
                     + rumour.name().length()
                     + rumour.gossipAddress().length()
@@ -262,7 +270,7 @@
         }
         octets += size;
         datagrams++;
-        octetsOfMembers += message.kind().compareTo(SwimProtocol.MessageKind.TEXT) < 0 ? size : 0;
+        octetsOfMembers += message.kind().compareTo(MessageKind.TEXT) < 0 ? size : 0;
         Datagram datagram = new Datagram(from, to, message);
         if (replays > 0) {
             if (old.size() < 2000) {
--- a/src/main/java/merlinlever/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/faults/audit/IncarnationAudit.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MembershipMessage;
 
 /**
  * Whether every life of a process told others an incarnation of its own, above all that its lives before told: by what it
@@ -59,7 +59,7 @@
     }
 
     /** It sent this to the other; null where it is no message of the fleet. */
-    public void sent(String name, String to, SwimProtocol.MembershipMessage message) {
+    public void sent(String name, String to, MembershipMessage message) {
         if (message == null) {
             unread++;
             return;
@@ -67,7 +67,7 @@
         if (!message.sender().equals(name)) {
             breach(name + " sent under the name of " + message.sender());
         }
-        for (MemberTable.MemberRecord rumour : message.records()) {
+        for (MemberRecord rumour : message.records()) {
             if (rumour.name().equals(name)) {
                 told(name, to, rumour.incarnation());
             }
--- a/src/main/java/merlinlever/faults/timeline/MembershipNode.java
+++ b/src/main/java/merlinlever/faults/timeline/MembershipNode.java
@@ -5,17 +5,22 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MemberTable;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
 import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.SwimSettings;
 
 /** Membership in a play. Addresses are the columns; a column that ends on {@code '} is another under the same name. */
-final class MembershipNode implements Scenario.ScenarioNode<SwimProtocol.MembershipMessage> {
+final class MembershipNode implements Scenario.ScenarioNode<MembershipMessage> {
 
     /** Pings are drawn where they bring news or are lost, and whatever else is of one of these kinds; news are what its hearer did not believe yet. */
-    static Scenario.MessageDescriber<SwimProtocol.MembershipMessage> words(SwimProtocol.MessageKind... always) {
+    static Scenario.MessageDescriber<MembershipMessage> words(MessageKind... always) {
         return new Scenario.MessageDescriber<>() {
             @Override
-            public String of(SwimProtocol.MembershipMessage message) {
+            public String of(MembershipMessage message) {
                 return switch (message.kind()) {
                     case PING_REQUEST -> "ping " + message.text() + " for me";
                     case SYNC -> "all I know";
@@ -26,24 +31,24 @@
             }
 
             @Override
-            public Scenario.MessageVisibility show(SwimProtocol.MembershipMessage message) {
+            public Scenario.MessageVisibility show(MembershipMessage message) {
                 return List.of(always).contains(message.kind())
                         ? Scenario.MessageVisibility.ALWAYS
-                        : message.kind() == SwimProtocol.MessageKind.PING_REQUEST
+                        : message.kind() == MessageKind.PING_REQUEST
                                 ? Scenario.MessageVisibility.SAID
-                                : message.kind() == SwimProtocol.MessageKind.PING
+                                : message.kind() == MessageKind.PING
                                         ? Scenario.MessageVisibility.EFFECT_OR_LOST
                                         : Scenario.MessageVisibility.EFFECT;
             }
 
             @Override
-            public String news(SwimProtocol.MembershipMessage message, Map<String, String> believed) {
+            public String news(MembershipMessage message, Map<String, String> believed) {
                 List<String> news = new ArrayList<>();
-                for (MemberTable.MemberRecord rumour : message.records()) {
+                for (MemberRecord rumour : message.records()) {
                     // Of the hearer itself, what is not so; of others, what it did not know.
                     if (believed.containsKey(rumour.name())
                             ? !told(rumour).equals(believed.get(rumour.name())) && !mine(rumour, believed)
-                            : rumour.status() != MemberTable.MemberStatus.ALIVE || rumour.incarnation() > 0) {
+                            : rumour.status() != MemberStatus.ALIVE || rumour.incarnation() > 0) {
                         news.add(told(rumour));
                     }
                 }
@@ -52,9 +57,9 @@
         };
     }
 
-    private static boolean mine(MemberTable.MemberRecord rumour, Map<String, String> believed) {
+    private static boolean mine(MemberRecord rumour, Map<String, String> believed) {
         return believed.get(rumour.name()).equals("I am alive/" + rumour.incarnation())
-                && rumour.status() == MemberTable.MemberStatus.ALIVE;
+                && rumour.status() == MemberStatus.ALIVE;
     }
 
     private final SwimProtocol members;
@@ -64,7 +69,7 @@
         members = new SwimProtocol(
                 born.now(),
                 new MemberTable(name, born.node(), "api-" + born.node(), 0),
-                SwimProtocol.SwimSettings.defaults(seeds),
+                SwimSettings.defaults(seeds),
                 born.chance(),
                 line -> {});
     }
@@ -74,23 +79,23 @@
     }
 
     /** The incarnation of its life, where it is not the first, behind. */
-    static String told(MemberTable.MemberRecord rumour) {
+    static String told(MemberRecord rumour) {
         return rumour.name() + " " + rumour.status().wireName()
                 + (rumour.incarnation() == 0 ? "" : "/" + rumour.incarnation())
                 + (rumour.gossipAddress().equals(rumour.name()) ? "" : " at " + rumour.gossipAddress());
     }
 
     @Override
-    public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> look(Duration now) {
-        List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> out = new ArrayList<>();
+    public List<Scenario.AddressedMessage<MembershipMessage>> look(Duration now) {
+        List<Scenario.AddressedMessage<MembershipMessage>> out = new ArrayList<>();
         members.tick(now)
                 .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.address(), sending.message())));
         return out;
     }
 
     @Override
-    public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> heard(
-            Duration now, String from, SwimProtocol.MembershipMessage message) {
+    public List<Scenario.AddressedMessage<MembershipMessage>> heard(
+            Duration now, String from, MembershipMessage message) {
         members.receive(now, from, message);
         // What it answers it says when it is looked at, in the same moment; what its own time brings is not the other's
         // doing.
@@ -100,7 +105,7 @@
     @Override
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
-        for (MemberTable.MemberRecord rumour : members.memberTable().all()) {
+        for (MemberRecord rumour : members.memberTable().all()) {
             if (!rumour.name().equals(members.memberTable().self())) {
                 all.put(rumour.name(), told(rumour));
             } else if (rumour.incarnation() > 0) {
--- a/src/main/java/merlinlever/faults/timeline/MembershipScenarios.java
+++ b/src/main/java/merlinlever/faults/timeline/MembershipScenarios.java
@@ -1,7 +1,8 @@
 package merlinlever.faults.timeline;
 
 import java.util.List;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
 
 /** Hard cases of membership. */
 final class MembershipScenarios {
@@ -11,8 +12,7 @@
     private MembershipScenarios() {}
 
     /** They know each other when it begins. */
-    private static Scenario<SwimProtocol.MembershipMessage> play(
-            long seed, List<String> names, SwimProtocol.MessageKind... always) {
+    private static Scenario<MembershipMessage> play(long seed, List<String> names, MessageKind... always) {
         return new Scenario<>(
                         seed,
                         names,
@@ -23,7 +23,7 @@
     }
 
     static Timeline death() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(1, FOUR);
+        Scenario<MembershipMessage> play = play(1, FOUR);
         play.at(12_500, p -> p.kill("b3")).until(40_000);
         return play.timeline(
                 """
@@ -33,7 +33,7 @@
     }
 
     static Timeline refutation() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(2, FOUR);
+        Scenario<MembershipMessage> play = play(2, FOUR);
         play.at(12_500, p -> p.pause("b3")).at(16_000, p -> p.resume("b3")).until(24_000);
         return play.timeline(
                 """
@@ -43,8 +43,7 @@
     }
 
     static Timeline oneWay() {
-        Scenario<SwimProtocol.MembershipMessage> play =
-                play(3, FOUR, SwimProtocol.MessageKind.PING, SwimProtocol.MessageKind.ACK);
+        Scenario<MembershipMessage> play = play(3, FOUR, MessageKind.PING, MessageKind.ACK);
         play.until(12_990).begin().at(12_990, p -> p.cut("b1", "b2")).until(13_400);
         return play.timeline(
                 """
@@ -54,7 +53,7 @@
     }
 
     static Timeline restart() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(4, THREE);
+        Scenario<MembershipMessage> play = play(4, THREE);
         play.at(12_500, p -> p.kill("b3")).at(21_000, p -> p.start("b3")).until(30_000);
         return play.timeline(
                 """
@@ -64,7 +63,7 @@
     }
 
     static Timeline twins() {
-        Scenario<SwimProtocol.MembershipMessage> play = new Scenario<>(
+        Scenario<MembershipMessage> play = new Scenario<>(
                 5,
                 List.of("b1", "b2", "b2'"),
                 born -> new MembershipNode(born, List.of("b1", "b2")),
@@ -75,11 +74,11 @@
                 """
                 Two under one name
                 Another b2 is started by mistake, on another address (b2'). Each hears of the other's life and answers with a
-                higher incarnation, without end; b1 holds now the one for b2, now the other. Both count it (Views.rivals).""");
+                higher incarnation, without end; b1 holds now the one for b2, now the other. Both count it (MemberTable.addressConflicts).""");
     }
 
     static Timeline healed() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(6, FOUR);
+        Scenario<MembershipMessage> play = play(6, FOUR);
         play.at(12_500, p -> p.partition("b1 b2 | b3 b4"))
                 .until(60_000)
                 .begin()
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -7,8 +7,10 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
+import merlinlever.membership.PeerMessage;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
 
@@ -63,9 +65,7 @@
         terms = new LeaderElection(
                 born.now(),
                 born.node(),
-                voters,
-                BUDGET.lease(),
-                BUDGET.drift(),
+                new ElectionSettings(voters, BUDGET.lease(), BUDGET.drift()),
                 disk.getOrDefault(born.node(), 0L),
                 term -> {
                     disk.merge(born.node(), term, Math::max);
@@ -100,9 +100,10 @@
         return sharing.share(now, 0);
     }
 
-    private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<LeaderElection.PeerMessage> said) {
+    private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<PeerMessage.Text> said) {
         return said.stream()
-                .map(say -> new Scenario.AddressedMessage<>(say.recipient(), new QuotaMessage(say.correlationId(), say.text())))
+                .map(say -> new Scenario.AddressedMessage<>(
+                        say.recipient(), new QuotaMessage(say.correlationId(), say.text())))
                 .toList();
     }
 
--- a/src/main/java/merlinlever/faults/timeline/RoutesNode.java
+++ b/src/main/java/merlinlever/faults/timeline/RoutesNode.java
@@ -105,12 +105,13 @@
             routes.offer(now, word.table);
             routes.renew(
                     now,
-                    from,
-                    word.table.incarnation(),
-                    word.table.sequence(),
-                    RouteTableWriter.digest(word.table),
-                    askedAt.get(from),
-                    LEASE);
+                    new RoutingTable.Renewal(
+                            from,
+                            word.table.incarnation(),
+                            word.table.sequence(),
+                            RouteTableWriter.digest(word.table),
+                            askedAt.get(from),
+                            LEASE));
         }
         return List.of();
     }
--- a/src/main/java/merlinlever/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewNode.java
@@ -7,10 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
 import merlinlever.membership.MemberTable;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
+import merlinlever.membership.PeerMessage;
 import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.SwimSettings;
 import merlinlever.view.ActionPermissions;
 import merlinlever.view.GuardedAction;
 import merlinlever.view.MembershipView;
@@ -18,7 +23,7 @@
 import merlinlever.view.ViewSettings;
 
 /** Who is there, in a play: membership, leadership and views together, as in a backend. A column is the address and, but for a {@code '}, the name. */
-final class ViewNode implements Scenario.ScenarioNode<SwimProtocol.MembershipMessage> {
+final class ViewNode implements Scenario.ScenarioNode<MembershipMessage> {
 
     /** What outlasts a life. */
     static final class SimulatedDisk {
@@ -26,24 +31,24 @@
     }
 
     /** New views and what is said about terms; questions and answers that all is as it was are not drawn. */
-    static final Scenario.MessageDescriber<SwimProtocol.MembershipMessage> WORDS = new Scenario.MessageDescriber<>() {
+    static final Scenario.MessageDescriber<MembershipMessage> WORDS = new Scenario.MessageDescriber<>() {
         @Override
-        public String of(SwimProtocol.MembershipMessage message) {
-            if (message.kind() == SwimProtocol.MessageKind.PAYLOAD) {
+        public String of(MembershipMessage message) {
+            if (message.kind() == MessageKind.PAYLOAD) {
                 return body(new String(message.payload(), StandardCharsets.US_ASCII).split("\n"));
             }
-            return message.kind() == SwimProtocol.MessageKind.TEXT
-                            && LeaderElection.MESSAGE_TYPES.contains(message.text().split("/")[0])
+            return message.kind() == MessageKind.TEXT
+                            && LeaderElection.MESSAGE_TYPES.contains(
+                                    message.text().split("/")[0])
                     ? QuotaNode.WORDS.of(new QuotaNode.QuotaMessage(message.correlationId(), message.text()))
                     : message.text();
         }
 
         @Override
-        public Scenario.MessageVisibility show(SwimProtocol.MembershipMessage message) {
-            return message.kind() == SwimProtocol.MessageKind.PAYLOAD
+        public Scenario.MessageVisibility show(MembershipMessage message) {
+            return message.kind() == MessageKind.PAYLOAD
                     ? Scenario.MessageVisibility.EFFECT_OR_LOST
-                    : message.kind() == SwimProtocol.MessageKind.TEXT
-                                    && message.text().matches("[VP]/.*")
+                    : message.kind() == MessageKind.TEXT && message.text().matches("[VP]/.*")
                             ? Scenario.MessageVisibility.EFFECT
                             : Scenario.MessageVisibility.NEVER;
         }
@@ -61,32 +66,33 @@
         members = new SwimProtocol(
                 now,
                 new MemberTable(name, born.node(), "-", born.life() - 1),
-                SwimProtocol.SwimSettings.defaults(voters),
+                SwimSettings.defaults(voters),
                 born.chance().split(),
                 line -> {});
         terms = new LeaderElection(
                 now,
                 name,
-                voters,
-                Duration.ofSeconds(2),
-                0.01,
+                new ElectionSettings(voters, Duration.ofSeconds(2), 0.01),
                 floor,
                 term -> noted(disk, born.node(), term),
                 born.chance().split(),
                 line -> {});
         sight = new ViewManager(
                 now,
-                ViewSettings.defaults(),
+                new ViewManager.Setup(
+                        ViewSettings.defaults(),
+                        (long) born.life() << 30,
+                        floor,
+                        term -> noted(disk, born.node(), term),
+                        born.chance().split(),
+                        line -> {}),
                 members.memberTable(),
-                terms,
-                (long) born.life() << 30,
-                floor,
-                term -> noted(disk, born.node(), term),
-                born.chance().split(),
-                line -> {});
-        members.addTextHandler(LeaderElection.MESSAGE_TYPES, (who, number, what) -> say(terms.receive(now, who, number, what)));
-        members.addTextHandler(ViewManager.MESSAGE_TYPES, (who, number, what) -> tell(sight.receive(now, who, number, what)));
-        members.addPayloadHandler((who, body) -> sight.receivePayload(now, who, body));
+                terms);
+        members.addTextHandler(
+                LeaderElection.MESSAGE_TYPES, (who, number, what) -> say(terms.receive(now, who, number, what)));
+        members.addTextHandler(
+                ViewManager.MESSAGE_TYPES, (who, number, what) -> say(sight.receive(now, who, number, what)));
+        members.addPayloadHandler((who, body) -> sight.receivePayload(now, body));
     }
 
     private static boolean noted(SimulatedDisk disk, String node, long term) {
@@ -109,18 +115,8 @@
         return (number >> 20) + "." + (number & 0xfffff);
     }
 
-    private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> members.sendText(each.recipient(), each.correlationId(), each.text()));
-    }
-
-    private void tell(List<ViewManager.ViewMessage> all) {
-        for (ViewManager.ViewMessage each : all) {
-            if (each.payload() != null) {
-                members.sendPayload(each.recipient(), each.payload());
-            } else {
-                members.sendText(each.recipient(), each.correlationId(), each.text());
-            }
-        }
+    private void say(List<? extends PeerMessage> all) {
+        all.forEach(members::send);
     }
 
     MembershipView view() {
@@ -136,13 +132,13 @@
     }
 
     @Override
-    public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> look(Duration at) {
+    public List<Scenario.AddressedMessage<MembershipMessage>> look(Duration at) {
         now = at;
-        List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> out = new ArrayList<>();
+        List<Scenario.AddressedMessage<MembershipMessage>> out = new ArrayList<>();
         // As often as in a process, but at its own steps.
         if (at.toMillis() % 50 == 0) {
             say(terms.tick(now));
-            tell(sight.tick(now));
+            say(sight.tick(now));
         }
         members.tick(now)
                 .forEach(sending -> out.add(new Scenario.AddressedMessage<>(sending.address(), sending.message())));
@@ -150,8 +146,8 @@
     }
 
     @Override
-    public List<Scenario.AddressedMessage<SwimProtocol.MembershipMessage>> heard(
-            Duration at, String from, SwimProtocol.MembershipMessage message) {
+    public List<Scenario.AddressedMessage<MembershipMessage>> heard(
+            Duration at, String from, MembershipMessage message) {
         now = at;
         members.receive(now, from, message);
         return List.of();
--- a/src/main/java/merlinlever/faults/timeline/ViewScenarios.java
+++ b/src/main/java/merlinlever/faults/timeline/ViewScenarios.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MembershipMessage;
 import merlinlever.view.GuardedAction;
 
 /** Hard cases of who is there: all are voters, with the times that are usual. */
@@ -16,7 +16,7 @@
     private ViewScenarios() {}
 
     /** They are whole when it begins; of one number there is one membership, and never may two who do not lead alike decide. */
-    private static Scenario<SwimProtocol.MembershipMessage> play(long seed, List<String> names) {
+    private static Scenario<MembershipMessage> play(long seed, List<String> names) {
         ViewNode.SimulatedDisk disk = new ViewNode.SimulatedDisk();
         Map<Long, String> digests = new HashMap<>();
         return new Scenario<>(seed, names, born -> new ViewNode(born, names, disk), ViewNode.WORDS)
@@ -37,21 +37,21 @@
                 .begin();
     }
 
-    private static String leader(Scenario<SwimProtocol.MembershipMessage> play) {
+    private static String leader(Scenario<MembershipMessage> play) {
         return play.names().stream()
                 .filter(name -> play.node(name) instanceof ViewNode node && node.leads(play.clock(name)))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static List<String> others(Scenario<SwimProtocol.MembershipMessage> play, String... without) {
+    private static List<String> others(Scenario<MembershipMessage> play, String... without) {
         List<String> others = new ArrayList<>(play.names());
         others.removeAll(List.of(without));
         return others;
     }
 
     static Timeline parted() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(1, THREE);
+        Scenario<MembershipMessage> play = play(1, THREE);
         play.at(
                         BEGIN + 500,
                         p -> p.partition(others(p, leader(p)).get(0) + " | " + leader(p) + " "
@@ -66,7 +66,7 @@
     }
 
     static Timeline leaderParted() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(2, THREE);
+        Scenario<MembershipMessage> play = play(2, THREE);
         play.at(BEGIN + 500, p -> p.partition(leader(p) + " | " + String.join(" ", others(p, leader(p)))))
                 .at(BEGIN + 20_000, Scenario::heal)
                 .until(BEGIN + 45_000);
@@ -78,7 +78,7 @@
     }
 
     static Timeline stoodStill() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(3, THREE);
+        Scenario<MembershipMessage> play = play(3, THREE);
         play.at(BEGIN + 500, p -> p.pause(others(p, leader(p)).get(0)))
                 .at(BEGIN + 20_500, p -> p.resume(others(p, leader(p)).get(0)))
                 .until(BEGIN + 40_000);
@@ -90,7 +90,7 @@
     }
 
     static Timeline oneWay() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(4, FIVE);
+        Scenario<MembershipMessage> play = play(4, FIVE);
         play.at(BEGIN + 500, p -> p.cut("b1", "b2"))
                 .at(BEGIN + 25_000, Scenario::heal)
                 .until(BEGIN + 40_000);
@@ -102,7 +102,7 @@
     }
 
     static Timeline flapping() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(5, FIVE);
+        Scenario<MembershipMessage> play = play(5, FIVE);
         for (int i = 0; i < 10; i++) {
             play.at(BEGIN + 500 + i * 2000L, p -> p.pause("b3")).at(BEGIN + 1500 + i * 2000L, p -> p.resume("b3"));
         }
@@ -115,7 +115,7 @@
     }
 
     static Timeline bridge() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(6, FIVE);
+        Scenario<MembershipMessage> play = play(6, FIVE);
         play.at(BEGIN + 500, p -> p.partition("b1 b2 | b4 b5"))
                 .at(BEGIN + 25_000, Scenario::heal)
                 .until(BEGIN + 45_000);
@@ -127,7 +127,7 @@
     }
 
     static Timeline restarted() {
-        Scenario<SwimProtocol.MembershipMessage> play = play(7, THREE);
+        Scenario<MembershipMessage> play = play(7, THREE);
         play.at(BEGIN + 500, p -> p.kill("b3"))
                 .at(BEGIN + 1500, p -> p.start("b3"))
                 .until(BEGIN + 20_000);
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -7,7 +7,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.membership.MemberTable;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MembershipTransport;
 import merlinlever.membership.SwimProtocol;
 import merlinlever.net.EventLoop;
@@ -19,7 +20,7 @@
 public final class PeerAgents {
 
     /** What is known of one agent; {@code report} is null before its first answer. */
-    public record PeerAgent(MemberTable.MemberRecord agent, Duration changedAgo, JsonNode report, Duration reportAgo) {}
+    public record PeerAgent(MemberRecord agent, Duration changedAgo, JsonNode report, Duration reportAgo) {}
 
     private record CachedReport(JsonNode body, Duration at) {}
 
@@ -33,7 +34,7 @@
     private final String secret;
     private final Map<String, CachedReport> reports = new HashMap<>();
     private final List<Runnable> waiting = new ArrayList<>();
-    private final List<MemberTable.MemberRecord> toAsk = new ArrayList<>();
+    private final List<MemberRecord> toAsk = new ArrayList<>();
     private int open;
 
     public PeerAgents(EventLoop loop, SwimProtocol members, String secret) {
@@ -50,10 +51,9 @@
             return;
         }
         Duration now = loop.clock().now();
-        for (MemberTable.MemberRecord agent : members.memberTable().all()) {
+        for (MemberRecord agent : members.memberTable().all()) {
             CachedReport report = reports.get(agent.name());
-            boolean gone =
-                    agent.status() == MemberTable.MemberStatus.DEAD || agent.status() == MemberTable.MemberStatus.LEFT;
+            boolean gone = agent.status() == MemberStatus.DEAD || agent.status() == MemberStatus.LEFT;
             if (!agent.name().equals(members.memberTable().self())
                     && !gone
                     && (report == null || now.minus(report.at).compareTo(FRESH) > 0)) {
@@ -65,7 +65,7 @@
 
     private void next() {
         while (open < AT_ONCE && !toAsk.isEmpty()) {
-            MemberTable.MemberRecord agent = toAsk.remove(toAsk.size() - 1);
+            MemberRecord agent = toAsk.remove(toAsk.size() - 1);
             InetSocketAddress address = MembershipTransport.parseAddress(agent.apiAddress());
             if (address == null) {
                 continue;
@@ -91,7 +91,7 @@
     public List<PeerAgent> all() {
         Duration now = loop.clock().now();
         List<PeerAgent> all = new ArrayList<>();
-        for (MemberTable.MemberRecord agent : members.memberTable().all()) {
+        for (MemberRecord agent : members.memberTable().all()) {
             if (!agent.name().equals(members.memberTable().self())) {
                 CachedReport report = reports.get(agent.name());
                 all.add(new PeerAgent(
--- a/src/main/java/merlinlever/measure/ViewMeasurement.java
+++ b/src/main/java/merlinlever/measure/ViewMeasurement.java
@@ -6,6 +6,8 @@
 import java.util.List;
 import java.util.TreeSet;
 import merlinlever.faults.ViewModel;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MemberTable;
 
 /** The measurements of docs/measurements/view: the model's virtual time, views beside membership alone in the same run. */
@@ -60,8 +62,8 @@
             }
             MemberTable views = model.nodes[i].members.memberTable();
             for (int k = 0; k < model.n; k++) {
-                MemberTable.MemberRecord known = views.find(ViewModel.name(k));
-                boolean here = known != null && known.status().compareTo(MemberTable.MemberStatus.DEAD) < 0;
+                MemberRecord known = views.find(ViewModel.name(k));
+                boolean here = known != null && known.status().compareTo(MemberStatus.DEAD) < 0;
                 if (here != running.contains(ViewModel.name(k))) {
                     return false;
                 }
@@ -273,9 +275,8 @@
             for (int k = 0; k < model.n; k++) {
                 String name = ViewModel.name(k);
                 if (alone) {
-                    MemberTable.MemberRecord known =
-                            model.nodes[i].members.memberTable().find(name);
-                    if (known != null && known.status() == MemberTable.MemberStatus.DEAD) {
+                    MemberRecord known = model.nodes[i].members.memberTable().find(name);
+                    if (known != null && known.status() == MemberStatus.DEAD) {
                         now.add(name);
                     }
                 } else if (!model.nodes[i].sight.view().members().contains(name)) {
--- a/src/main/java/merlinlever/membership/MembershipCodec.java
+++ b/src/main/java/merlinlever/membership/MembershipCodec.java
@@ -13,76 +13,117 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Messages as octets: two octets of mark, the version, the kind, sender, number, what it is about, rumours,
- * what is carried (its length and the octets), and 16 octets
- * of HMAC-SHA-256 over all before them. Of another version, forged or malformed, it is nothing; a copy of an old one says
- * only what is known already, as beliefs move forward alone.
+ * Messages as bytes: two bytes of magic number, the version, the kind, sender, correlation id, text, records, for a {@code PAYLOAD}
+ * its length and bytes, and 16 bytes of HMAC-SHA-256 over all before them. One of another version, forged or malformed decodes to
+ * nothing; a replayed one says only what is known already, as beliefs only move forward.
  */
 public final class MembershipCodec {
 
-    /** Octets at the most. */
+    /** Upper bound of a datagram. */
     public static final int MAX_DATAGRAM_BYTES = 60_000;
 
     private static final short MAGIC = 0x4d4c;
     private static final byte VERSION = 1;
     private static final int MAC_BYTES = 16;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
     private static final int MAX_TEXT_BYTES = 120;
+    private static final int MIN_HEADER_BYTES = 4;
+    /** Name, two addresses, and room for the fixed fields. */
+    private static final int MAX_RECORD_BYTES = 4 * MAX_TEXT_BYTES;
+
+    private static final MessageKind[] KINDS = MessageKind.values();
+    private static final MemberStatus[] STATUSES = MemberStatus.values();
 
     private final SecretKeySpec secret;
 
+    /** @param secret shared by all members */
     public MembershipCodec(byte[] secret) {
-        this.secret = new SecretKeySpec(secret, "HmacSHA256");
+        this.secret = new SecretKeySpec(secret, MAC_ALGORITHM);
     }
 
     private byte[] mac(byte[] bytes, int length) {
         try {
-            Mac mac = Mac.getInstance("HmacSHA256");
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(secret);
             mac.update(bytes, 0, length);
             return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has " + MAC_ALGORITHM, e);
         }
     }
 
-    private static void putText(ByteBuffer out, String text) {
-        byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-        out.put((byte) bytes.length).put(bytes);
-    }
-
-    /** Rumours that do not fit are left out; others bring them. */
-    public byte[] encode(SwimProtocol.MembershipMessage message) {
+    /** The message as a datagram. Records that do not fit are left out; other messages bring them. */
+    public byte[] encode(MembershipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         out.putShort(MAGIC).put(VERSION).put((byte) message.kind().ordinal());
         putText(out, message.sender());
         out.putLong(message.correlationId());
         putText(out, message.text());
-        int countAt = out.position();
+        putRecords(out, message.records());
+        if (message.kind() == MessageKind.PAYLOAD) {
+            out.putInt(message.payload().length).put(message.payload());
+        }
+        byte[] datagram = Arrays.copyOf(out.array(), out.position() + MAC_BYTES);
+        System.arraycopy(mac(datagram, out.position()), 0, datagram, out.position(), MAC_BYTES);
+        return datagram;
+    }
+
+    private static void putText(ByteBuffer out, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
+        out.put((byte) bytes.length).put(bytes);
+    }
+
+    private static void putRecords(ByteBuffer out, List<MemberRecord> records) {
+        int countPosition = out.position();
         out.putShort((short) 0);
         int count = 0;
-        for (MemberTable.MemberRecord rumour : message.records()) {
-            if (out.remaining() < 4 * MAX_TEXT_BYTES + MAC_BYTES) {
+        for (MemberRecord member : records) {
+            if (out.remaining() < MAX_RECORD_BYTES + MAC_BYTES) {
                 break;
             }
-            putText(out, rumour.name());
-            putText(out, rumour.gossipAddress());
-            putText(out, rumour.apiAddress());
-            out.put((byte) rumour.status().ordinal()).putLong(rumour.incarnation());
+            putText(out, member.name());
+            putText(out, member.gossipAddress());
+            putText(out, member.apiAddress());
+            out.put((byte) member.status().ordinal()).putLong(member.incarnation());
             count++;
         }
-        out.putShort(countAt, (short) count);
-        if (message.kind() == SwimProtocol.MessageKind.PAYLOAD) {
-            out.putInt(message.payload().length).put(message.payload());
+        out.putShort(countPosition, (short) count);
+    }
+
+    /** The message of a datagram, or null where it is none of this fleet's. */
+    public MembershipMessage decode(byte[] datagram) {
+        int end = datagram.length - MAC_BYTES;
+        if (end < MIN_HEADER_BYTES
+                || datagram.length > MAX_DATAGRAM_BYTES
+                || !MessageDigest.isEqual(mac(datagram, end), Arrays.copyOfRange(datagram, end, datagram.length))) {
+            return null;
+        }
+        try {
+            return readMessage(ByteBuffer.wrap(datagram, 0, end));
+        } catch (BufferUnderflowException | IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
+            return null;
+        }
+    }
+
+    private static MembershipMessage readMessage(ByteBuffer in) {
+        if (in.getShort() != MAGIC || in.get() != VERSION) {
+            return null;
         }
-        byte[] bytes = Arrays.copyOf(out.array(), out.position() + MAC_BYTES);
-        System.arraycopy(mac(bytes, out.position()), 0, bytes, out.position(), MAC_BYTES);
-        return bytes;
+        MessageKind kind = KINDS[in.get()];
+        String sender = readText(in);
+        long correlationId = in.getLong();
+        String text = readText(in);
+        List<MemberRecord> records = readRecords(in);
+        byte[] payload = kind == MessageKind.PAYLOAD ? readPayload(in) : null;
+        return in.hasRemaining() || sender.isEmpty()
+                ? null
+                : new MembershipMessage(kind, sender, correlationId, text, records, payload);
     }
 
-    private static String getText(ByteBuffer in) {
+    private static String readText(ByteBuffer in) {
         int length = in.get();
         if (length < 0 || length > MAX_TEXT_BYTES) {
-            throw new IllegalArgumentException("a text of " + length + " octets");
+            throw new IllegalArgumentException("a text of " + length + " bytes");
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
@@ -94,45 +135,26 @@
         return new String(bytes, StandardCharsets.US_ASCII);
     }
 
-    /** The message, or null where this is none of ours. */
-    public SwimProtocol.MembershipMessage decode(byte[] bytes) {
-        int end = bytes.length - MAC_BYTES;
-        if (end < 4
-                || bytes.length > MAX_DATAGRAM_BYTES
-                || !MessageDigest.isEqual(mac(bytes, end), Arrays.copyOfRange(bytes, end, bytes.length))) {
-            return null;
+    private static List<MemberRecord> readRecords(ByteBuffer in) {
+        int count = in.getShort() & 0xffff;
+        List<MemberRecord> records = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            String name = readText(in);
+            String gossipAddress = readText(in);
+            String apiAddress = readText(in);
+            MemberStatus status = STATUSES[in.get()];
+            records.add(new MemberRecord(name, gossipAddress, apiAddress, status, in.getLong()));
         }
-        try {
-            ByteBuffer in = ByteBuffer.wrap(bytes, 0, end);
-            if (in.getShort() != MAGIC || in.get() != VERSION) {
-                return null;
-            }
-            SwimProtocol.MessageKind kind = SwimProtocol.MessageKind.values()[in.get()];
-            String from = getText(in);
-            long number = in.getLong();
-            String about = getText(in);
-            int count = in.getShort() & 0xffff;
-            List<MemberTable.MemberRecord> rumours = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                String name = getText(in);
-                String gossip = getText(in);
-                String api = getText(in);
-                rumours.add(new MemberTable.MemberRecord(
-                        name, gossip, api, MemberTable.MemberStatus.values()[in.get()], in.getLong()));
-            }
-            byte[] body = null;
-            if (kind == SwimProtocol.MessageKind.PAYLOAD) {
-                int length = in.getInt();
-                if (length < 0 || length > in.remaining()) {
-                    return null;
-                }
-                in.get(body = new byte[length]);
-            }
-            return in.hasRemaining() || from.isEmpty()
-                    ? null
-                    : new SwimProtocol.MembershipMessage(kind, from, number, about, rumours, body);
-        } catch (BufferUnderflowException | IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
-            return null;
+        return records;
+    }
+
+    private static byte[] readPayload(ByteBuffer in) {
+        int length = in.getInt();
+        if (length < 0 || length > in.remaining()) {
+            throw new IllegalArgumentException("a payload of " + length + " bytes");
         }
+        byte[] payload = new byte[length];
+        in.get(payload);
+        return payload;
     }
 }
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -9,10 +9,11 @@
 import merlinlever.net.DatagramEndpoint;
 import merlinlever.net.EventLoop;
 
-/** The members on datagrams. */
+/** Runs one member's {@link SwimProtocol} on the event loop and UDP datagrams. On the loop's thread only. */
 public final class MembershipTransport {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final int MAX_PORT = 0xffff;
 
     private final EventLoop loop;
     private final SwimProtocol protocol;
@@ -21,70 +22,76 @@
     private final LongPredicate mayAnnounce;
     private long rejectedDatagrams;
 
-    /** @param mayAnnounce whether this incarnation of its own may be told to others: not before it is on disk, where one is kept */
+    /**
+     * @param mayAnnounce whether this incarnation of its own may be sent to peers: not before it is on disk, where one is
+     *     persisted
+     */
     public MembershipTransport(
             EventLoop loop,
             DatagramEndpoint datagrams,
             SwimProtocol protocol,
             MembershipCodec codec,
             LongPredicate mayAnnounce) {
-        this.mayAnnounce = mayAnnounce;
         this.loop = loop;
         this.datagrams = datagrams;
         this.protocol = protocol;
         this.codec = codec;
+        this.mayAnnounce = mayAnnounce;
         loop.every(TICK_INTERVAL, this::flush);
     }
 
-    /** A datagram came. */
-    public void receive(byte[] bytes, InetSocketAddress from) {
-        SwimProtocol.MembershipMessage message = codec.decode(bytes);
+    /** Takes in a datagram; one that is not of this fleet is counted and dropped. */
+    public void receive(byte[] datagram, InetSocketAddress sender) {
+        MembershipMessage message = codec.decode(datagram);
         if (message == null) {
             rejectedDatagrams++;
             return;
         }
-        // Since the process began: the other time may be set once more.
-        protocol.receive(loop.clock().uptime(), formatAddress(from), message);
+        // Since the process began: the wall clock may be set.
+        protocol.receive(loop.clock().uptime(), formatAddress(sender), message);
         flush();
     }
 
-    /** Datagrams that were not ours. */
+    /** How many datagrams were not of this fleet. */
     public long rejectedDatagrams() {
         return rejectedDatagrams;
     }
 
-    /** Sends what is to be sent now. */
+    /** Sends what is due now. */
     public void flush() {
-        List<SwimProtocol.OutboundDatagram> sendings =
-                protocol.tick(loop.clock().uptime());
-        if (!mayAnnounce.test(protocol.memberTable().find(protocol.memberTable().self()).incarnation())) {
+        List<OutboundDatagram> outbound = protocol.tick(loop.clock().uptime());
+        MemberTable memberTable = protocol.memberTable();
+        if (!mayAnnounce.test(memberTable.find(memberTable.self()).incarnation())) {
             // Lost, as any datagram may be.
             return;
         }
-        for (SwimProtocol.OutboundDatagram sending : sendings) {
-            InetSocketAddress to = parseAddress(sending.address());
-            if (to != null) {
-                datagrams.send(codec.encode(sending.message()), to);
+        for (OutboundDatagram datagram : outbound) {
+            InetSocketAddress address = parseAddress(datagram.address());
+            if (address != null) {
+                datagrams.send(codec.encode(datagram.message()), address);
             }
         }
     }
 
+    /** Leaves in good order: tells some peers. */
     public void leave() {
         protocol.leave(loop.clock().uptime());
         flush();
     }
 
+    /** An address as {@code ADDRESS:PORT}. */
     public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Of ADDRESS:PORT; null where it is none. Names are not looked up. */
+    /** The address of {@code ADDRESS:PORT}; null where it is none. Names are not looked up. */
     public static InetSocketAddress parseAddress(String text) {
         try {
             int colon = text.lastIndexOf(':');
             String host = colon < 0 ? "" : text.substring(0, colon);
             int port = Integer.parseInt(text.substring(colon + 1));
-            return host.matches("[0-9]+(\\.[0-9]+){3}|[0-9a-fA-F:]+") && port > 0 && port <= 0xffff
+            boolean isNumeric = host.matches("[0-9]+(\\.[0-9]+){3}|[0-9a-fA-F:]+");
+            return isNumeric && port > 0 && port <= MAX_PORT
                     ? new InetSocketAddress(InetAddress.getByName(host), port)
                     : null;
         } catch (NumberFormatException | UnknownHostException e) {
@@ -92,6 +99,7 @@
         }
     }
 
+    /** Closes the socket. */
     public void close() {
         datagrams.close();
     }
--- a/src/main/java/merlinlever/membership/MessageDispatcher.java
+++ b/src/main/java/merlinlever/membership/MessageDispatcher.java
@@ -6,34 +6,37 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What else rides on membership's datagrams, and who hears it. */
+/** Hands messages of other protocols, which travel on membership's datagrams, to their handlers. Not thread-safe. */
 final class MessageDispatcher {
 
-    private final Map<String, SwimProtocol.TextMessageHandler> textHandlers = new TreeMap<>();
-    private final List<SwimProtocol.PayloadHandler> payloadHandlers = new ArrayList<>();
+    private final Map<String, TextMessageHandler> textHandlers = new TreeMap<>();
+    private final List<PayloadHandler> payloadHandlers = new ArrayList<>();
 
-    void addTextHandler(Set<String> words, SwimProtocol.TextMessageHandler who) {
-        for (String word : words) {
-            if (textHandlers.put(word, who) != null) {
-                throw new IllegalStateException("two hear " + word);
+    /** @throws IllegalStateException if one of the types has a handler already */
+    void addTextHandler(Set<String> messageTypes, TextMessageHandler handler) {
+        for (String type : messageTypes) {
+            if (textHandlers.put(type, handler) != null) {
+                throw new IllegalStateException("two handlers for texts of type " + type);
             }
         }
     }
 
-    void addPayloadHandler(SwimProtocol.PayloadHandler who) {
-        payloadHandlers.add(who);
+    void addPayloadHandler(PayloadHandler handler) {
+        payloadHandlers.add(handler);
     }
 
-    void dispatch(SwimProtocol.MembershipMessage message) {
-        if (message.kind() == SwimProtocol.MessageKind.PAYLOAD) {
-            payloadHandlers.forEach(carrier -> carrier.onPayload(message.sender(), message.payload()));
-            return;
-        }
-        int end = message.text().indexOf('/');
-        SwimProtocol.TextMessageHandler hearer =
-                textHandlers.get(end < 0 ? message.text() : message.text().substring(0, end));
-        if (hearer != null) {
-            hearer.onText(message.sender(), message.correlationId(), message.text());
+    /** A text goes to the handler of its type, the part before the first slash; one without a handler is dropped. */
+    void dispatchText(String sender, long correlationId, String text) {
+        int slash = text.indexOf('/');
+        String type = slash < 0 ? text : text.substring(0, slash);
+        TextMessageHandler handler = textHandlers.get(type);
+        if (handler != null) {
+            handler.onText(sender, correlationId, text);
         }
     }
+
+    /** A payload goes to every handler. */
+    void dispatchPayload(String sender, byte[] payload) {
+        payloadHandlers.forEach(handler -> handler.onPayload(sender, payload));
+    }
 }
--- a/src/main/java/merlinlever/membership/SuspicionTimers.java
+++ b/src/main/java/merlinlever/membership/SuspicionTimers.java
@@ -8,12 +8,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Who is suspected since when and by how many, and when a suspicion that nothing refuted is held to be true (Lifeguard section IV-B). */
+/**
+ * Who is suspected since when and by how many, and when a suspicion that nothing refuted is taken as true (Lifeguard section
+ * IV-B). Not thread-safe.
+ */
 final class SuspicionTimers {
 
+    /** The shortest timeout, in periods for each power of ten of the members. */
     private static final int MIN_TIMEOUT_PERIODS = 4;
+    /** The longest timeout as a multiple of the shortest. */
     private static final int MAX_TIMEOUT_MULTIPLIER = 6;
 
+    private static final int MAX_EXPECTED_CONFIRMATIONS = 3;
+
     private static final class Suspicion {
         final Duration startedAt;
         final Set<String> accusers = new HashSet<>();
@@ -26,14 +33,14 @@
     private final Map<String, Suspicion> suspicions = new LinkedHashMap<>();
 
     void start(Duration now, String name) {
-        suspicions.computeIfAbsent(name, none -> new Suspicion(now));
+        suspicions.computeIfAbsent(name, absent -> new Suspicion(now));
     }
 
     void cancel(String name) {
         suspicions.remove(name);
     }
 
-    /** Independent word of the same makes it surer. */
+    /** Another member suspects the same, which makes the timeout shorter. */
     void confirm(String name, String accuser) {
         Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
@@ -41,7 +48,12 @@
         }
     }
 
-    /** Those whose time to refute it is over. */
+    /**
+     * The members whose time to refute the suspicion is over.
+     *
+     * @param peerCount how many peers this member has
+     * @param period of probing
+     */
     List<String> expired(Duration now, int peerCount, Duration period) {
         List<String> expired = new ArrayList<>();
         suspicions.forEach((name, suspicion) -> {
@@ -52,12 +64,13 @@
         return expired;
     }
 
-    /** From the longest towards the shortest as others say the same. */
+    /** From the longest towards the shortest timeout, by the logarithm of the confirmations. */
     private static Duration timeout(Suspicion suspicion, int peerCount, Duration period) {
-        double minimumNanos = MIN_TIMEOUT_PERIODS * Math.max(1, Math.log10(Math.max(1, peerCount))) * period.toNanos();
-        double maximumNanos = MAX_TIMEOUT_MULTIPLIER * minimumNanos;
-        int expectedAccusers = Math.max(1, Math.min(3, peerCount - 2));
-        double confirmation = Math.log(suspicion.accusers.size() + 1) / Math.log(expectedAccusers + 1);
-        return Duration.ofNanos((long) Math.max(minimumNanos, maximumNanos - (maximumNanos - minimumNanos) * Math.min(1, confirmation)));
+        double shortestNanos = MIN_TIMEOUT_PERIODS * Math.max(1, Math.log10(Math.max(1, peerCount))) * period.toNanos();
+        double longestNanos = MAX_TIMEOUT_MULTIPLIER * shortestNanos;
+        int expectedConfirmations = Math.max(1, Math.min(MAX_EXPECTED_CONFIRMATIONS, peerCount - 2));
+        double confirmation = Math.log(suspicion.accusers.size() + 1) / Math.log(expectedConfirmations + 1);
+        return Duration.ofNanos((long)
+                Math.max(shortestNanos, longestNanos - (longestNanos - shortestNanos) * Math.min(1, confirmation)));
     }
 }
--- a/src/main/java/merlinlever/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/membership/SwimProtocol.java
@@ -10,107 +10,34 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.WireNamed;
 
-/** Decides whom to ask when, whom to suspect, and which rumours go along. */
+/**
+ * Decides whom to ping when, whom to suspect, and which records travel along (SWIM with Lifeguard's local health). It does no
+ * input or output and has no clock; times are since the process began. Not thread-safe.
+ */
 public final class SwimProtocol {
 
-    /** The kinds of messages; only asking ones are answered. */
-    public enum MessageKind implements WireNamed {
-        PING("ping"),
-        ACK("ack"),
-        PING_REQUEST("ask_for"),
-        NACK("nack"),
-        SYNC("sync"),
-        SYNC_REPLY("sync_back"),
-        RECOVERY_QUERY("recall"),
-        RECOVERY_REPLY("recalled"),
-        TEXT("say"),
-        PAYLOAD("carry");
-
-        private final String wireName;
-
-        MessageKind(String wireName) {
-            this.wireName = wireName;
-        }
-
-        @Override
-        public String wireName() {
-            return wireName;
-        }
-    }
-
-    /**
-     * One message.
-     *
-     * @param correlationId of the question; an answer bears that of its question
-     * @param text the gossip address that {@code ASK_FOR} is about, what {@code RECALLED} tells or {@code SAY} says, else empty
-     * @param payload what {@code CARRY} carries, else null
-     */
-    public record MembershipMessage(
-            MessageKind kind,
-            String sender,
-            long correlationId,
-            String text,
-            List<MemberTable.MemberRecord> records,
-            byte[] payload) {
-        public MembershipMessage(
-                MessageKind kind, String sender, long correlationId, String text, List<MemberTable.MemberRecord> records) {
-            this(kind, sender, correlationId, text, records, null);
-        }
-    }
-
-    /** What one that comes back asks the others, and what they tell it beside all that they believe. */
-    public interface RecoveryExchange {
-        /** What this one tells: printable, without spaces, 64 octets at the most. */
-        String recoveryReport();
-
-        /** The other has told that, to the question of that number. */
-        void onRecoveryReply(String name, long number, String what);
-    }
-
-    /** Hears what others say to this one, beside membership; it takes what it understands. */
-    public interface TextMessageHandler {
-        void onText(String name, long number, String what);
-    }
-
-    /** Takes what others carry to this one, beside membership. */
-    public interface PayloadHandler {
-        void onPayload(String name, byte[] body);
-    }
-
-    /** A message and where it goes. */
-    public record OutboundDatagram(String address, MembershipMessage message) {}
-
-    /**
-     * What is stated.
-     *
-     * @param probePeriod in which one other is asked
-     * @param pingTimeout after which others are asked to ask it
-     * @param indirectPings so many of them
-     * @param seeds gossip addresses that are tried until somebody is known
-     */
-    public record SwimSettings(Duration probePeriod, Duration pingTimeout, int indirectPings, List<String> seeds) {
-        public static SwimSettings defaults(List<String> seeds) {
-            return new SwimSettings(Duration.ofSeconds(1), Duration.ofMillis(300), 3, seeds);
-        }
-    }
-
-    /** Members known, and octets carried in one message, at the most. */
+    /** Upper bound of the members known; further ones are ignored. */
     public static final int MAX_MEMBERS = 2000;
 
+    /** Upper bound of the payload of one message. */
     public static final int MAX_PAYLOAD_BYTES = 48 << 10;
+
     private static final int MAX_HEALTH_SCORE = 8;
-    /** A whole exchange with one other, a dead one too: so two halves of a network find each other again. */
+    /** All records are exchanged with one peer each so many periods, a dead one too: so two halves of a network meet again. */
     private static final int PERIODS_PER_SYNC = 10;
 
     private static final Duration DEAD_MEMBER_RETENTION = Duration.ofHours(24);
+    /** Peers that are pinged on leaving, beside those of an indirect ping, so that one of them passes the news on. */
+    private static final int EXTRA_FAREWELLS = 2;
 
-    /** A question that waits for its answer. */
+    /** A ping that waits for its answer. */
     private static final class PendingPing {
         final String target;
         final Duration expiresAt;
+        /** When peers are asked to ping the target too; null once they were. */
         Duration indirectPingAt;
+
         int outstandingNacks;
 
         PendingPing(String target, Duration indirectPingAt, Duration expiresAt) {
@@ -120,88 +47,116 @@
         }
     }
 
-    /** A question that was put for somebody else. */
-    private record RelayedPing(String requester, long correlationId, Duration nackAt, Duration expiresAt) {}
-
     private final SwimSettings settings;
     private final MemberTable memberTable;
     private final SplittableRandom random;
     private final Consumer<String> log;
     private final GossipQueue gossipQueue;
     private final Map<Long, PendingPing> pendingPings = new LinkedHashMap<>();
-    private final Map<Long, RelayedPing> relayedPings = new LinkedHashMap<>();
+    private final RelayedPings relayedPings;
     private final SuspicionTimers suspicionTimers = new SuspicionTimers();
     private final ArrayDeque<String> probeOrder = new ArrayDeque<>();
+    private final MessageDispatcher dispatcher = new MessageDispatcher();
     private List<OutboundDatagram> outbox = new ArrayList<>();
     private Duration nextPeriodAt;
+    /** Null where this member neither asks nor answers recovery queries. */
     private RecoveryExchange recoveryExchange;
-    private final MessageDispatcher dispatcher = new MessageDispatcher();
+
     private long lastCorrelationId;
     private long periodCount;
     private int healthScore;
 
+    /** @param log takes one line whenever the status of a peer changes */
     public SwimProtocol(
-            Duration now, MemberTable memberTable, SwimSettings settings, SplittableRandom random, Consumer<String> log) {
+            Duration now,
+            MemberTable memberTable,
+            SwimSettings settings,
+            SplittableRandom random,
+            Consumer<String> log) {
         this.memberTable = memberTable;
-        gossipQueue = new GossipQueue(memberTable);
         this.settings = settings;
         this.random = random;
         this.log = log;
+        gossipQueue = new GossipQueue(memberTable);
+        relayedPings = new RelayedPings(settings);
         nextPeriodAt = now;
         lastCorrelationId = random.nextLong() >>> 16;
         announce(now, memberTable.find(memberTable.self()));
     }
 
+    /** What this member believes of all. */
     public MemberTable memberTable() {
         return memberTable;
     }
 
-    /** From here on questions of those that come back are answered, and answers to this one's own are heard. */
-    public void setRecoveryExchange(RecoveryExchange with) {
-        recoveryExchange = with;
+    /** From here on recovery queries of peers are answered, and answers to this member's own are handed on. */
+    public void setRecoveryExchange(RecoveryExchange exchange) {
+        recoveryExchange = exchange;
     }
 
-    /** From here on it hears what others say to this one, where that begins with one of these words and a slash. */
-    public void addTextHandler(Set<String> words, TextMessageHandler who) {
-        dispatcher.addTextHandler(words, who);
+    /**
+     * From here on texts of these types go to the handler.
+     *
+     * @throws IllegalStateException if one of the types has a handler already
+     */
+    public void addTextHandler(Set<String> messageTypes, TextMessageHandler handler) {
+        dispatcher.addTextHandler(messageTypes, handler);
     }
 
-    /** From here on it takes what others carry to this one; each takes what it understands. */
-    public void addPayloadHandler(PayloadHandler who) {
-        dispatcher.addPayloadHandler(who);
+    /** From here on payloads go to this handler too. */
+    public void addPayloadHandler(PayloadHandler handler) {
+        dispatcher.addPayloadHandler(handler);
     }
 
-    /** Carries octets to another, {@link #MAX_PAYLOAD_BYTES} at the most; lost where it is not known. */
-    public void sendPayload(String name, byte[] body) {
-        if (body.length > MAX_PAYLOAD_BYTES) {
-            throw new IllegalArgumentException(body.length + " octets to carry");
+    // ---- messages of other protocols
+
+    /** Sends a message with the next datagrams; it is lost where the recipient is not known. */
+    public void send(PeerMessage message) {
+        if (message instanceof PeerMessage.Text text) {
+            sendText(text.recipient(), text.correlationId(), text.text());
+        } else if (message instanceof PeerMessage.Payload payload) {
+            sendPayload(payload.recipient(), payload.content());
         }
-        MemberTable.MemberRecord known = memberTable.find(name);
+    }
+
+    /**
+     * Sends bytes to a peer; they are lost where it is not known.
+     *
+     * @throws IllegalArgumentException if they are over {@link #MAX_PAYLOAD_BYTES}
+     */
+    public void sendPayload(String recipient, byte[] payload) {
+        if (payload.length > MAX_PAYLOAD_BYTES) {
+            throw new IllegalArgumentException("a payload of " + payload.length + " bytes");
+        }
+        MemberRecord known = memberTable.find(recipient);
         if (known != null) {
-            outbox.add(new OutboundDatagram(
-                    known.gossipAddress(), new MembershipMessage(MessageKind.PAYLOAD, memberTable.self(), 0, "", List.of(), body)));
+            MembershipMessage message =
+                    new MembershipMessage(MessageKind.PAYLOAD, memberTable.self(), 0, "", List.of(), payload);
+            outbox.add(new OutboundDatagram(known.gossipAddress(), message));
         }
     }
 
-    /** Says something to another, 120 printable octets without spaces at the most; lost where it is not known. */
-    public void sendText(String name, long number, String what) {
-        MemberTable.MemberRecord known = memberTable.find(name);
+    /** Sends a text, of printable ASCII without spaces and at most 120 bytes, to a peer; it is lost where that is not known. */
+    public void sendText(String recipient, long correlationId, String text) {
+        MemberRecord known = memberTable.find(recipient);
         if (known != null) {
-            enqueue(known.gossipAddress(), MessageKind.TEXT, number, what);
+            enqueue(known.gossipAddress(), MessageKind.TEXT, correlationId, text);
         }
     }
 
-    /** Asks another what it knows. */
-    public void sendRecoveryQuery(String name, long number) {
-        enqueue(memberTable.find(name).gossipAddress(), MessageKind.RECOVERY_QUERY, number, "");
+    /** Asks a known peer for its recovery report; the answer goes to the {@link RecoveryExchange}. */
+    public void sendRecoveryQuery(String recipient, long correlationId) {
+        enqueue(memberTable.find(recipient).gossipAddress(), MessageKind.RECOVERY_QUERY, correlationId, "");
     }
 
-    /** 0 where this one is well; more where its own lateness made it slow to hear (Lifeguard section IV-A). */
+    // ---- gossip
+
+    /** 0 where this member is well; more where its own slowness made it late to hear (Lifeguard section IV-A). */
     public int healthScore() {
         return healthScore;
     }
 
-    /** How long ago what is believed of the agent last changed. */
+    /** How long ago what is believed of the member last changed; zero where it never did. */
     public Duration timeSinceChange(Duration now, String name) {
         return gossipQueue.timeSinceChange(now, name);
     }
@@ -210,178 +165,199 @@
         return memberTable.size() - 1;
     }
 
-    // ---- rumours
-
-    private void announce(Duration now, MemberTable.MemberRecord rumour) {
-        if (rumour == null) {
+    /** Gossips a record that is new here; null for none. */
+    private void announce(Duration now, MemberRecord changed) {
+        if (changed == null) {
             return;
         }
-        gossipQueue.enqueue(now, rumour.name());
-        if (rumour.status() == MemberTable.MemberStatus.SUSPECT) {
-            suspicionTimers.start(now, rumour.name());
+        gossipQueue.enqueue(now, changed.name());
+        if (changed.status() == MemberStatus.SUSPECT) {
+            suspicionTimers.start(now, changed.name());
         } else {
-            suspicionTimers.cancel(rumour.name());
+            suspicionTimers.cancel(changed.name());
         }
-        if (!rumour.name().equals(memberTable.self())) {
-            log.accept("agent " + rumour.name() + " is " + rumour.status().wireName() + ", incarnation "
-                    + rumour.incarnation());
-        } else if (rumour.status() == MemberTable.MemberStatus.ALIVE && rumour.incarnation() > 0) {
+        if (!changed.name().equals(memberTable.self())) {
+            log.accept("member-status-changed member=" + changed.name() + " status="
+                    + changed.status().wireName() + " incarnation=" + changed.incarnation());
+        } else if (changed.status() == MemberStatus.ALIVE && changed.incarnation() > 0) {
+            // It had to refute something: it may have been too slow to answer.
             adjustHealth(1);
         }
     }
 
-    private void enqueue(String to, MessageKind kind, long number, String about) {
-        List<MemberTable.MemberRecord> with =
-                kind == MessageKind.SYNC || kind == MessageKind.SYNC_REPLY || kind == MessageKind.RECOVERY_REPLY
-                        ? memberTable.all()
-                        : gossipQueue.nextBatch();
-        outbox.add(new OutboundDatagram(to, new MembershipMessage(kind, memberTable.self(), number, about, with)));
+    private void enqueue(String address, MessageKind kind, long correlationId, String text) {
+        List<MemberRecord> records =
+                switch (kind) {
+                    case SYNC, SYNC_REPLY, RECOVERY_REPLY -> memberTable.all();
+                    case PING, ACK, PING_REQUEST, NACK, RECOVERY_QUERY, TEXT, PAYLOAD -> gossipQueue.nextBatch();
+                };
+        MembershipMessage message = new MembershipMessage(kind, memberTable.self(), correlationId, text, records);
+        outbox.add(new OutboundDatagram(address, message));
     }
 
-    private void adjustHealth(int by) {
-        healthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, healthScore + by));
+    private void adjustHealth(int change) {
+        healthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, healthScore + change));
     }
 
-    // ---- what happens
-
-    public void receive(Duration now, String fromAddress, MembershipMessage message) {
-        for (MemberTable.MemberRecord rumour : message.records) {
-            if (memberTable.find(rumour.name()) == null && memberTable.size() >= MAX_MEMBERS) {
-                continue;
+    // ---- messages of peers
+
+    /** Takes in a message that came from that address. */
+    public void receive(Duration now, String senderAddress, MembershipMessage message) {
+        mergeRecords(now, message);
+        long correlationId = message.correlationId();
+        switch (message.kind()) {
+            case PING -> enqueue(senderAddress, MessageKind.ACK, correlationId, "");
+            case PING_REQUEST -> relayPing(now, senderAddress, message);
+            case ACK -> receiveAck(correlationId);
+            case NACK -> receiveNack(correlationId);
+            case SYNC -> enqueue(senderAddress, MessageKind.SYNC_REPLY, correlationId, "");
+            case SYNC_REPLY -> {
+                // Its records are all that it brings.
             }
-            if (rumour.status() == MemberTable.MemberStatus.SUSPECT) {
-                suspicionTimers.confirm(rumour.name(), message.sender);
-            }
-            announce(now, memberTable.merge(rumour));
-        }
-        switch (message.kind) {
-            case PING -> enqueue(fromAddress, MessageKind.ACK, message.correlationId, "");
-            case PING_REQUEST -> {
-                long number = ++lastCorrelationId;
-                relayedPings.put(
-                        number,
-                        new RelayedPing(
-                                fromAddress,
-                                message.correlationId,
-                                now.plus(settings.pingTimeout.multipliedBy(4).dividedBy(5)),
-                                now.plus(settings.probePeriod)));
-                enqueue(message.text, MessageKind.PING, number, "");
-            }
-            case ACK -> {
-                PendingPing one = pendingPings.remove(message.correlationId);
-                if (one != null) {
-                    adjustHealth(-1);
-                }
-                RelayedPing other = relayedPings.remove(message.correlationId);
-                if (other != null) {
-                    enqueue(other.requester, MessageKind.ACK, other.correlationId, "");
-                }
-            }
-            case NACK -> {
-                PendingPing one = pendingPings.get(message.correlationId);
-                if (one != null && one.outstandingNacks > 0) {
-                    one.outstandingNacks--;
-                }
-            }
-            case SYNC -> enqueue(fromAddress, MessageKind.SYNC_REPLY, message.correlationId, "");
             case RECOVERY_QUERY -> {
                 if (recoveryExchange != null) {
-                    enqueue(fromAddress, MessageKind.RECOVERY_REPLY, message.correlationId, recoveryExchange.recoveryReport());
+                    enqueue(
+                            senderAddress,
+                            MessageKind.RECOVERY_REPLY,
+                            correlationId,
+                            recoveryExchange.recoveryReport());
                 }
             }
             case RECOVERY_REPLY -> {
                 if (recoveryExchange != null) {
-                    recoveryExchange.onRecoveryReply(message.sender, message.correlationId, message.text);
+                    recoveryExchange.onRecoveryReply(message.sender(), correlationId, message.text());
                 }
             }
-            case TEXT, PAYLOAD -> dispatcher.dispatch(message);
-            default -> {}
+            case TEXT -> dispatcher.dispatchText(message.sender(), correlationId, message.text());
+            case PAYLOAD -> dispatcher.dispatchPayload(message.sender(), message.payload());
+        }
+    }
+
+    private void mergeRecords(Duration now, MembershipMessage message) {
+        for (MemberRecord update : message.records()) {
+            boolean isFull = memberTable.size() >= MAX_MEMBERS;
+            if (isFull && memberTable.find(update.name()) == null) {
+                continue;
+            }
+            if (update.status() == MemberStatus.SUSPECT) {
+                suspicionTimers.confirm(update.name(), message.sender());
+            }
+            announce(now, memberTable.merge(update));
+        }
+    }
+
+    private void relayPing(Duration now, String requester, MembershipMessage request) {
+        lastCorrelationId++;
+        relayedPings.add(now, lastCorrelationId, requester, request.correlationId());
+        enqueue(request.text(), MessageKind.PING, lastCorrelationId, "");
+    }
+
+    private void receiveAck(long correlationId) {
+        if (pendingPings.remove(correlationId) != null) {
+            adjustHealth(-1);
+        }
+        relayedPings
+                .remove(correlationId)
+                .ifPresent(relayed -> enqueue(relayed.requester(), MessageKind.ACK, relayed.requestId(), ""));
+    }
+
+    private void receiveNack(long correlationId) {
+        PendingPing ping = pendingPings.get(correlationId);
+        if (ping != null && ping.outstandingNacks > 0) {
+            ping.outstandingNacks--;
         }
     }
 
-    /** This one leaves in good order; what {@link #tick} then returns is to be sent still. */
+    /** This member leaves in good order; what {@link #tick} returns next has to be sent still. */
     public void leave(Duration now) {
         announce(now, memberTable.markSelfLeft());
-        List<MemberTable.MemberRecord> alive = shuffledLivePeers();
-        for (int i = 0; i < Math.min(settings.indirectPings + 2, alive.size()); i++) {
-            enqueue(alive.get(i).gossipAddress(), MessageKind.PING, ++lastCorrelationId, "");
+        List<MemberRecord> peers = shuffledLivePeers();
+        int farewells = Math.min(settings.indirectPings() + EXTRA_FAREWELLS, peers.size());
+        for (MemberRecord peer : peers.subList(0, farewells)) {
+            sendNewRequest(peer.gossipAddress(), MessageKind.PING);
         }
     }
 
-    private List<MemberTable.MemberRecord> shuffledLivePeers() {
-        List<MemberTable.MemberRecord> alive = new ArrayList<>();
-        for (MemberTable.MemberRecord each : memberTable.all()) {
-            if (!each.name().equals(memberTable.self())
-                    && (each.status() == MemberTable.MemberStatus.ALIVE
-                            || each.status() == MemberTable.MemberStatus.SUSPECT)) {
-                alive.add(each);
+    private void sendNewRequest(String address, MessageKind kind) {
+        lastCorrelationId++;
+        enqueue(address, kind, lastCorrelationId, "");
+    }
+
+    private boolean isSelf(MemberRecord member) {
+        return member.name().equals(memberTable.self());
+    }
+
+    private List<MemberRecord> shuffledLivePeers() {
+        List<MemberRecord> peers = new ArrayList<>();
+        for (MemberRecord member : memberTable.all()) {
+            if (!isSelf(member) && member.isLive()) {
+                peers.add(member);
             }
         }
-        shuffle(alive);
-        return alive;
+        shuffle(peers);
+        return peers;
     }
 
-    private <T> void shuffle(List<T> list) {
+    /** Not {@code Collections.shuffle}, which takes no {@code SplittableRandom} in Java 17. */
+    private void shuffle(List<MemberRecord> list) {
         for (int i = list.size() - 1; i > 0; i--) {
             Collections.swap(list, i, random.nextInt(i + 1));
         }
     }
 
-    // ---- what is decided
+    // ---- periodic work
 
-    /** What is to be sent now. */
+    /** Does what is due, and returns all that is to be sent; to be called every 50 ms or so, and after each message. */
     public List<OutboundDatagram> tick(Duration now) {
         if (now.compareTo(nextPeriodAt) >= 0) {
-            // A period that was slept through is not made up for.
-            nextPeriodAt = now.plus(settings.probePeriod.multipliedBy(1 + healthScore));
+            // Periods that were slept through are not made up for.
+            nextPeriodAt = now.plus(stretched(settings.probePeriod()));
             startPeriod(now);
         }
-        for (Map.Entry<Long, PendingPing> entry : List.copyOf(pendingPings.entrySet())) {
-            PendingPing one = entry.getValue();
-            if (one.indirectPingAt != null && now.compareTo(one.indirectPingAt) >= 0) {
-                one.indirectPingAt = null;
-                sendIndirectPings(entry.getKey(), one);
-            }
-            if (now.compareTo(one.expiresAt) >= 0) {
-                pendingPings.remove(entry.getKey());
-                adjustHealth(1 + (one.outstandingNacks > 0 ? 1 : 0));
-                suspect(now, one.target);
-            }
-        }
-        for (Map.Entry<Long, RelayedPing> entry : List.copyOf(relayedPings.entrySet())) {
-            RelayedPing one = entry.getValue();
-            if (one.nackAt != null && now.compareTo(one.nackAt) >= 0) {
-                enqueue(one.requester, MessageKind.NACK, one.correlationId, "");
-                relayedPings.put(entry.getKey(), new RelayedPing(one.requester, one.correlationId, null, one.expiresAt));
-            }
-            if (now.compareTo(one.expiresAt) >= 0) {
-                relayedPings.remove(entry.getKey());
-            }
+        checkPendingPings(now);
+        for (RelayedPings.RelayedPing relayed : relayedPings.dueNacks(now)) {
+            enqueue(relayed.requester(), MessageKind.NACK, relayed.requestId(), "");
         }
-        for (String name : suspicionTimers.expired(now, peerCount(), settings.probePeriod)) {
+        for (String name : suspicionTimers.expired(now, peerCount(), settings.probePeriod())) {
             announce(now, memberTable.markDead(name));
             suspicionTimers.cancel(name);
         }
-        List<OutboundDatagram> sendings = outbox;
+        List<OutboundDatagram> datagrams = outbox;
         outbox = new ArrayList<>();
-        return sendings;
+        return datagrams;
     }
 
-    private void suspect(Duration now, String name) {
-        MemberTable.MemberRecord rumour = memberTable.markSuspect(name);
-        announce(now, rumour);
+    /** A span made longer while this member itself is slow. */
+    private Duration stretched(Duration span) {
+        return span.multipliedBy(1L + healthScore);
     }
 
-    private void sendIndirectPings(long number, PendingPing one) {
-        MemberTable.MemberRecord target = memberTable.find(one.target);
-        int helpers = 0;
-        for (MemberTable.MemberRecord helper : shuffledLivePeers()) {
-            if (helpers < settings.indirectPings && !helper.name().equals(one.target) && target != null) {
-                helpers++;
-                enqueue(helper.gossipAddress(), MessageKind.PING_REQUEST, number, target.gossipAddress());
+    private void checkPendingPings(Duration now) {
+        for (Map.Entry<Long, PendingPing> entry : List.copyOf(pendingPings.entrySet())) {
+            PendingPing ping = entry.getValue();
+            if (ping.indirectPingAt != null && now.compareTo(ping.indirectPingAt) >= 0) {
+                ping.indirectPingAt = null;
+                sendIndirectPings(entry.getKey(), ping);
+            }
+            if (now.compareTo(ping.expiresAt) >= 0) {
+                pendingPings.remove(entry.getKey());
+                // Peers that did not even send a nack point at this member's own connection.
+                adjustHealth(ping.outstandingNacks > 0 ? 2 : 1);
+                announce(now, memberTable.markSuspect(ping.target));
             }
         }
-        one.outstandingNacks = helpers;
+    }
+
+    private void sendIndirectPings(long correlationId, PendingPing ping) {
+        MemberRecord target = memberTable.find(ping.target);
+        int asked = 0;
+        for (MemberRecord helper : shuffledLivePeers()) {
+            if (asked < settings.indirectPings() && !helper.name().equals(ping.target) && target != null) {
+                asked++;
+                enqueue(helper.gossipAddress(), MessageKind.PING_REQUEST, correlationId, target.gossipAddress());
+            }
+        }
+        ping.outstandingNacks = asked;
     }
 
     private void startPeriod(Duration now) {
@@ -389,60 +365,60 @@
         if (peerCount() == 0 || periodCount % PERIODS_PER_SYNC == 0) {
             sendSync();
         }
-        for (MemberTable.MemberRecord each : memberTable.all()) {
-            boolean gone =
-                    each.status() == MemberTable.MemberStatus.DEAD || each.status() == MemberTable.MemberStatus.LEFT;
-            if (gone
-                    && !each.name().equals(memberTable.self())
-                    && timeSinceChange(now, each.name()).compareTo(DEAD_MEMBER_RETENTION) > 0) {
-                memberTable.remove(each.name());
-                gossipQueue.remove(each.name());
-            }
+        removeLongGoneMembers(now);
+        String target = nextProbeTarget();
+        if (target != null) {
+            lastCorrelationId++;
+            Duration indirectPingAt = now.plus(stretched(settings.pingTimeout()));
+            Duration expiresAt = now.plus(stretched(settings.probePeriod()));
+            pendingPings.put(lastCorrelationId, new PendingPing(target, indirectPingAt, expiresAt));
+            enqueue(memberTable.find(target).gossipAddress(), MessageKind.PING, lastCorrelationId, "");
         }
-        String next = nextProbeTarget();
-        if (next != null) {
-            long number = ++lastCorrelationId;
-            Duration timeout = settings.pingTimeout.multipliedBy(1 + healthScore);
-            pendingPings.put(
-                    number, new PendingPing(next, now.plus(timeout), now.plus(settings.probePeriod.multipliedBy(1 + healthScore))));
-            enqueue(memberTable.find(next).gossipAddress(), MessageKind.PING, number, "");
+    }
+
+    private void removeLongGoneMembers(Duration now) {
+        for (MemberRecord member : memberTable.all()) {
+            if (!member.isLive()
+                    && !isSelf(member)
+                    && timeSinceChange(now, member.name()).compareTo(DEAD_MEMBER_RETENTION) > 0) {
+                memberTable.remove(member.name());
+                gossipQueue.remove(member.name());
+            }
         }
     }
 
-    /** All in turn, in an order that is drawn anew each round (SWIM section 4.3). */
+    /** All peers in turn, in an order that is drawn anew each round (SWIM section 4.3); null where there is none. */
     private String nextProbeTarget() {
-        for (int tries = 0; tries < 2; tries++) {
+        for (int round = 0; round < 2; round++) {
             while (!probeOrder.isEmpty()) {
-                String name = probeOrder.poll();
-                MemberTable.MemberRecord known = memberTable.find(name);
-                if (known != null
-                        && (known.status() == MemberTable.MemberStatus.ALIVE
-                                || known.status() == MemberTable.MemberStatus.SUSPECT)) {
-                    return name;
+                MemberRecord member = memberTable.find(probeOrder.poll());
+                if (member != null && member.isLive()) {
+                    return member.name();
                 }
             }
-            shuffledLivePeers().forEach(each -> probeOrder.add(each.name()));
+            shuffledLivePeers().forEach(peer -> probeOrder.add(peer.name()));
         }
         return null;
     }
 
+    /** Exchanges all records with one peer, or with all seeds where no peer is known. */
     private void sendSync() {
-        List<String> to = new ArrayList<>();
-        for (MemberTable.MemberRecord each : memberTable.all()) {
+        List<String> addresses = new ArrayList<>();
+        for (MemberRecord member : memberTable.all()) {
             // The dead too: it may be this side that was cut off.
-            if (!each.name().equals(memberTable.self()) && each.status() != MemberTable.MemberStatus.LEFT) {
-                to.add(each.gossipAddress());
+            if (!isSelf(member) && member.status() != MemberStatus.LEFT) {
+                addresses.add(member.gossipAddress());
             }
         }
-        if (to.isEmpty()) {
-            settings.seeds.stream()
-                    .filter(seed -> !seed.equals(memberTable.find(memberTable.self()).gossipAddress()))
-                    .forEach(to::add);
-            for (String seed : to) {
-                enqueue(seed, MessageKind.SYNC, ++lastCorrelationId, "");
-            }
+        if (!addresses.isEmpty()) {
+            sendNewRequest(addresses.get(random.nextInt(addresses.size())), MessageKind.SYNC);
             return;
         }
-        enqueue(to.get(random.nextInt(to.size())), MessageKind.SYNC, ++lastCorrelationId, "");
+        String ownAddress = memberTable.find(memberTable.self()).gossipAddress();
+        for (String seed : settings.seeds()) {
+            if (!seed.equals(ownAddress)) {
+                sendNewRequest(seed, MessageKind.SYNC);
+            }
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/merlinlever/membership/SwimSettings.java
@@ -0,0 +1,24 @@
+package merlinlever.membership;
+
+import java.time.Duration;
+import java.util.List;
+
+/**
+ * Settings of the protocol.
+ *
+ * @param probePeriod in which one peer is pinged
+ * @param pingTimeout after which peers are asked to ping it
+ * @param indirectPings how many peers are asked
+ * @param seeds gossip addresses that are tried until a peer is known
+ */
+public record SwimSettings(Duration probePeriod, Duration pingTimeout, int indirectPings, List<String> seeds) {
+
+    public SwimSettings {
+        seeds = List.copyOf(seeds);
+    }
+
+    /** The settings of every released program. */
+    public static SwimSettings defaults(List<String> seeds) {
+        return new SwimSettings(Duration.ofSeconds(1), Duration.ofMillis(300), 3, seeds);
+    }
+}
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
+import merlinlever.membership.PeerMessage;
 import merlinlever.view.ActionPermissions;
 import merlinlever.view.FleetView;
 import merlinlever.view.GuardedAction;
@@ -52,7 +53,7 @@
     private FleetView seen;
 
     private Duration nextTurn = Duration.ZERO;
-    private final List<LeaderElection.PeerMessage> out = new ArrayList<>();
+    private final List<PeerMessage.Text> out = new ArrayList<>();
 
     /**
      * @param life a number that no other life of this backend has
@@ -105,7 +106,7 @@
     // ---- a look at all
 
     /** What is to be said now; to be asked for every few ms. */
-    public List<LeaderElection.PeerMessage> look(Duration now) {
+    public List<PeerMessage.Text> look(Duration now) {
         Leadership.Leader leader = terms.leader(now);
         books(now);
         for (int i = 0; i < budgets.size(); i++) {
@@ -130,11 +131,11 @@
     }
 
     private void say(String to, long number, String what) {
-        out.add(new LeaderElection.PeerMessage(to, number, what));
+        out.add(new PeerMessage.Text(to, number, what));
     }
 
-    private List<LeaderElection.PeerMessage> said() {
-        List<LeaderElection.PeerMessage> all = List.copyOf(out);
+    private List<PeerMessage.Text> said() {
+        List<PeerMessage.Text> all = List.copyOf(out);
         out.clear();
         return all;
     }
@@ -181,7 +182,8 @@
     }
 
     private LeaseLedger.LeaseGrant grant(Duration now, int budget, LeaseLedger.LeaseRequest request) {
-        boolean may = seen == null || seen.permission(now, GuardedAction.GRANT_QUOTA) == ActionPermissions.Permission.ALLOWED;
+        boolean may =
+                seen == null || seen.permission(now, GuardedAction.GRANT_QUOTA) == ActionPermissions.Permission.ALLOWED;
         return books.isEmpty() || !may ? null : books.get(budget).grant(now, request);
     }
 
@@ -208,7 +210,7 @@
     // ---- what others say
 
     /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<LeaderElection.PeerMessage> said(Duration now, String name, long number, String what) {
+    public List<PeerMessage.Text> said(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.election.LeaderElection;
 import merlinlever.election.net.ElectionTransport;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.PeerMessage;
+import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
@@ -15,7 +15,7 @@
 import merlinlever.view.FleetView;
 
 /** One backend's part in the division of all budgets, on the loop and membership's datagrams. */
-public final class QuotaTransport implements SwimProtocol.TextMessageHandler {
+public final class QuotaTransport implements TextMessageHandler {
 
     private static final Set<String> WORDS = Set.of("Q", "G");
     private static final Duration LOOK = Duration.ofMillis(20);
@@ -51,8 +51,8 @@
         loop.every(LOOK, () -> say(sharing.look(loop.clock().uptime())));
     }
 
-    private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.members().sendText(each.recipient(), each.correlationId(), each.text()));
+    private void say(List<PeerMessage.Text> all) {
+        all.forEach(rejoin.members()::send);
         if (!all.isEmpty()) {
             rejoin.send();
         }
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -13,10 +13,14 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.WireNamed;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
 import merlinlever.membership.MembershipTransport;
+import merlinlever.membership.RecoveryExchange;
 import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.SwimSettings;
 import merlinlever.net.DatagramEndpoint;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.PersistedState;
@@ -30,7 +34,7 @@
  * One process that comes back: reads what its life before left, joins the others, asks them, and tells the service what
  * it may take. While it runs it notes ahead what it may do, so that the next life knows the most that it can have done.
  */
-public final class RecoveryCoordinator implements SwimProtocol.RecoveryExchange {
+public final class RecoveryCoordinator implements RecoveryExchange {
 
     /** What comes back to work; times are since the process began. */
     public interface RecoveringService {
@@ -126,8 +130,12 @@
         this.log = log;
         this.mark = mark;
         DatagramEndpoint datagrams = new DatagramEndpoint(
-                loop, place.listen(), MembershipCodec.MAX_DATAGRAM_BYTES, (octets, from, waited) -> link[0].receive(octets, from));
-        String told = place.advertise() != null ? place.advertise() : MembershipTransport.formatAddress(datagrams.address());
+                loop,
+                place.listen(),
+                MembershipCodec.MAX_DATAGRAM_BYTES,
+                (octets, from, waited) -> link[0].receive(octets, from));
+        String told =
+                place.advertise() != null ? place.advertise() : MembershipTransport.formatAddress(datagrams.address());
         // A port that is drawn anew at each start tells nothing of whose the folder is.
         owner = place.name() + "@"
                 + (place.advertise() != null || place.listen().getPort() != 0
@@ -146,7 +154,7 @@
         members = new SwimProtocol(
                 loop.clock().uptime(),
                 new MemberTable(place.name(), told, place.api(), verdict.incarnation()),
-                SwimProtocol.SwimSettings.defaults(List.copyOf(ask)),
+                SwimSettings.defaults(List.copyOf(ask)),
                 chance.split(),
                 log);
         members.setRecoveryExchange(this);
@@ -241,9 +249,9 @@
             return;
         }
         Duration now = now();
-        for (MemberTable.MemberRecord each : members.memberTable().all()) {
+        for (MemberRecord each : members.memberTable().all()) {
             if (!each.name().equals(members.memberTable().self())) {
-                order.peer(now, each.name(), each.status() == MemberTable.MemberStatus.ALIVE);
+                order.peer(now, each.name(), each.status() == MemberStatus.ALIVE);
             }
         }
         if (members.memberTable().addressConflicts() != rivals) {
@@ -288,8 +296,8 @@
         long lead = wroteAt - now.toMillis();
         long incarnations = Math.max(onDisk, incarnation() + AHEAD);
         List<String> peers = new ArrayList<>();
-        for (MemberTable.MemberRecord each : members.memberTable().all()) {
-            if (!each.name().equals(members.memberTable().self()) && each.status() != MemberTable.MemberStatus.LEFT) {
+        for (MemberRecord each : members.memberTable().all()) {
+            if (!each.name().equals(members.memberTable().self()) && each.status() != MemberStatus.LEFT) {
                 peers.add(each.gossipAddress());
             }
         }
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -107,7 +107,8 @@
     }
 
     private boolean decides(Duration now) {
-        return leadership.isLeader(now) && seen.permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
+        return leadership.isLeader(now)
+                && seen.permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
     }
 
     @Override
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.election.Leadership;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.PayloadHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.replication.OutgoingMessage;
@@ -25,7 +25,7 @@
  * One backend's words and registers on the loop, membership's datagrams and the disk. Each letter begins with an octet that says
  * which of the two it is for. While the disk fails nothing new of its own is told and nothing is voted.
  */
-public final class ReplicationTransport implements SwimProtocol.PayloadHandler {
+public final class ReplicationTransport implements PayloadHandler {
 
     private static final Duration LOOK = Duration.ofMillis(20);
     private static final Duration AGAIN = Duration.ofSeconds(1);
@@ -95,10 +95,8 @@
 
     private List<String> live() {
         List<String> live = new ArrayList<>();
-        for (MemberTable.MemberRecord each : rejoin.members().memberTable().all()) {
-            if (!each.name().equals(self)
-                    && (each.status() == MemberTable.MemberStatus.ALIVE
-                            || each.status() == MemberTable.MemberStatus.SUSPECT)) {
+        for (MemberRecord each : rejoin.members().memberTable().all()) {
+            if (!each.name().equals(self) && each.isLive()) {
                 live.add(each.name());
             }
         }
--- a/src/main/java/merlinlever/routes/FlapDamping.java
+++ b/src/main/java/merlinlever/routes/FlapDamping.java
@@ -4,13 +4,29 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Routes that come and go are left out for a while, by the figures of RFC 2439 and RFC 7196. */
+/**
+ * Suppresses for a while routes that come and go, as RFC 2439 and RFC 7196 say. Times are since the process began. Not thread-safe.
+ */
 public final class FlapDamping {
 
-    /** @param suppressThreshold from which penalty on a route is left out, and reuse below which it is used again */
+    /**
+     * Penalties without a unit.
+     *
+     * @param withdrawalPenalty for a route that is withdrawn
+     * @param changePenalty for one that changes
+     * @param suppressThreshold from this penalty on a route is suppressed
+     * @param reuseThreshold below this penalty it is used again
+     * @param halfLife in which a penalty decays to half
+     * @param maxPenalty upper bound
+     */
     public record FlapDampingSettings(
-            double withdrawalPenalty, double changePenalty, double suppressThreshold, double reuseThreshold, Duration halfLife, double maxPenalty) {
-        /** The threshold that RFC 7196 recommends at the least; nothing is left out for more than an hour. */
+            double withdrawalPenalty,
+            double changePenalty,
+            double suppressThreshold,
+            double reuseThreshold,
+            Duration halfLife,
+            double maxPenalty) {
+        /** With the lowest threshold that RFC 7196 recommends; nothing is suppressed for more than an hour. */
         public static final FlapDampingSettings RECOMMENDED =
                 new FlapDampingSettings(1000, 500, 6000, 750, Duration.ofMinutes(15), 12_000);
     }
@@ -19,9 +35,13 @@
         double penalty;
         Duration updatedAt;
         boolean suppressed;
+
+        RoutePenalty(Duration updatedAt) {
+            this.updatedAt = updatedAt;
+        }
     }
 
-    /** Routes with a penalty at the most; beyond, no other gets one. */
+    /** Upper bound of the routes with a penalty; further ones get none. */
     public static final int MAX_ROUTES = 16_384;
 
     private final FlapDampingSettings settings;
@@ -31,12 +51,14 @@
         this.settings = settings;
     }
 
-    private double penalty(Duration now, RoutePenalty entry) {
-        return entry.penalty
-                * Math.pow(
-                        0.5,
-                        now.minus(entry.updatedAt).toNanos()
-                                / (double) settings.halfLife().toNanos());
+    private double decayedPenalty(Duration now, RoutePenalty entry) {
+        double age = now.minus(entry.updatedAt).toNanos();
+        return entry.penalty * Math.pow(0.5, age / settings.halfLife().toNanos());
+    }
+
+    /** Below this a penalty is forgotten. */
+    private double negligiblePenalty() {
+        return settings.reuseThreshold() / 2;
     }
 
     void recordWithdrawal(Duration now, String route) {
@@ -51,28 +73,28 @@
         RoutePenalty entry = penalties.get(route);
         if (entry == null) {
             if (penalties.size() >= MAX_ROUTES) {
-                penalties.values().removeIf(candidate -> penalty(now, candidate) < settings.reuseThreshold() / 2);
+                penalties.values().removeIf(candidate -> decayedPenalty(now, candidate) < negligiblePenalty());
                 if (penalties.size() >= MAX_ROUTES) {
                     return;
                 }
             }
-            penalties.put(route, entry = new RoutePenalty());
-            entry.updatedAt = now;
+            entry = new RoutePenalty(now);
+            penalties.put(route, entry);
         }
-        entry.penalty = Math.min(settings.maxPenalty(), penalty(now, entry) + increase);
+        entry.penalty = Math.min(settings.maxPenalty(), decayedPenalty(now, entry) + increase);
         entry.updatedAt = now;
         entry.suppressed |= entry.penalty >= settings.suppressThreshold();
     }
 
-    /** Whether it is left out now. */
+    /** Whether the route is suppressed now. */
     public boolean isSuppressed(Duration now, String route) {
         RoutePenalty entry = penalties.get(route);
         if (entry == null) {
             return false;
         }
-        double penalty = penalty(now, entry);
+        double penalty = decayedPenalty(now, entry);
         entry.suppressed &= penalty >= settings.reuseThreshold();
-        if (penalty < settings.reuseThreshold() / 2) {
+        if (penalty < negligiblePenalty()) {
             penalties.remove(route);
         }
         return entry.suppressed;
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -1,15 +1,18 @@
 package merlinlever.routes;
 
 import java.time.Duration;
+import java.util.Arrays;
 import merlinlever.Outcome;
 import merlinlever.WireNamed;
 
 /**
- * How this site's own records service does, by how the calls to it end: away when several in a row did not get through, slow when
- * much of what went to it lately took too long or was given up. While it is either, a call now and then tries it.
+ * The health of this site's own records service, by the outcomes of the calls to it: unreachable when several in a row did not get
+ * through, slow when half of the latest calls took too long or were abandoned. While it is either, a call now and then probes it.
+ * Times are since the process began. Not thread-safe.
  */
 public final class LocalServiceHealth {
 
+    /** How the service does. */
     public enum HealthState implements WireNamed {
         HEALTHY("good"),
         SLOW("slow"),
@@ -21,6 +24,7 @@
             this.wireName = wireName;
         }
 
+        /** The name in logs and JSON; it stays when the constant is renamed. */
         @Override
         public String wireName() {
             return wireName;
@@ -28,21 +32,35 @@
     }
 
     /**
-     * @param failuresUntilUnreachable ends that did not get through, one after the other, that make it away
+     * Settings.
+     *
+     * @param failuresUntilUnreachable calls in a row that do not get through
      * @param slowCall a call that takes longer counts as slow
-     * @param slownessWindow the last so many calls are looked at, and half of them slow make it slow
-     * @param probeInterval so often a call tries it
-     * @param successesUntilHealthy tries in a row that make it good again
+     * @param slownessWindow so many of the latest calls are considered, and half of them slow make the service slow
+     * @param probeInterval between two probes
+     * @param successesUntilHealthy calls in a row that get through quickly
      */
-    public record HealthSettings(int failuresUntilUnreachable, Duration slowCall, int slownessWindow, Duration probeInterval, int successesUntilHealthy) {
+    public record HealthSettings(
+            int failuresUntilUnreachable,
+            Duration slowCall,
+            int slownessWindow,
+            Duration probeInterval,
+            int successesUntilHealthy) {
+        /** The settings of every released program. */
         public static final HealthSettings DEFAULTS =
                 new HealthSettings(3, Duration.ofMillis(500), 32, Duration.ofMillis(500), 3);
     }
 
     private final HealthSettings settings;
+    /** A ring of the latest calls: whether each was slow. */
     private final boolean[] slowCalls;
+
     private HealthState state = HealthState.HEALTHY;
-    private int nextSlot, slowCount, sampleCount, failuresInARow, successesInARow;
+    private int nextSlot;
+    private int slowCount;
+    private int sampleCount;
+    private int failuresInARow;
+    private int successesInARow;
     private Duration lastProbeAt = Duration.ZERO;
 
     public LocalServiceHealth(HealthSettings settings) {
@@ -54,40 +72,41 @@
         return state;
     }
 
-    /** A call to it ended. */
+    /** A call to the service ended. */
     public void recordOutcome(Duration now, Outcome outcome, Duration duration) {
         if (outcome == Outcome.NEVER_BEGUN || outcome == Outcome.STOPPED) {
             return;
         }
         boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.CUT_OFF;
-        boolean wasSlow = outcome == Outcome.GIVEN_UP || duration.compareTo(settings.slowCall()) > 0;
+        boolean isSlow = outcome == Outcome.GIVEN_UP || duration.compareTo(settings.slowCall()) > 0;
         failuresInARow = failed ? failuresInARow + 1 : 0;
-        successesInARow = failed || wasSlow ? 0 : successesInARow + 1;
-        slowCount += (wasSlow ? 1 : 0) - (slowCalls[nextSlot] ? 1 : 0);
-        slowCalls[nextSlot] = wasSlow;
+        successesInARow = failed || isSlow ? 0 : successesInARow + 1;
+        slowCount += (isSlow ? 1 : 0) - (slowCalls[nextSlot] ? 1 : 0);
+        slowCalls[nextSlot] = isSlow;
         nextSlot = (nextSlot + 1) % slowCalls.length;
         sampleCount = Math.min(slowCalls.length, sampleCount + 1);
+        boolean isHalfSlow = sampleCount >= slowCalls.length && slowCount * 2 >= slowCalls.length;
         if (failuresInARow >= settings.failuresUntilUnreachable()) {
             changeState(HealthState.UNREACHABLE, now);
-        } else if (state == HealthState.HEALTHY && sampleCount >= slowCalls.length && slowCount * 2 >= slowCalls.length) {
+        } else if (state == HealthState.HEALTHY && isHalfSlow) {
             changeState(HealthState.SLOW, now);
         } else if (state != HealthState.HEALTHY && successesInARow >= settings.successesUntilHealthy()) {
             changeState(HealthState.HEALTHY, now);
-            java.util.Arrays.fill(slowCalls, false);
+            Arrays.fill(slowCalls, false);
             slowCount = 0;
             sampleCount = 0;
         }
     }
 
-    private void changeState(HealthState now, Duration at) {
-        if (state != now) {
-            state = now;
-            lastProbeAt = at;
+    private void changeState(HealthState newState, Duration now) {
+        if (state != newState) {
+            state = newState;
+            lastProbeAt = now;
             successesInARow = 0;
         }
     }
 
-    /** Whether this call is to try it although it is not good. */
+    /** Whether a call that starts now is to probe the service, which is not healthy; if so the next one waits. */
     public boolean shouldProbe(Duration now) {
         if (state == HealthState.HEALTHY || now.minus(lastProbeAt).compareTo(settings.probeInterval()) < 0) {
             return false;
--- a/src/main/java/merlinlever/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/routes/PartnerTable.java
@@ -5,41 +5,58 @@
 import java.util.function.Consumer;
 
 /**
- * What one partner said last, what of it is in use, and until when. What it says holds for a lease from a moment at which it
- * surely stood by it; so a word that comes late, twice or never widens nothing, and a tightening that does not get here holds
- * when the lease is over. Times are since the process began.
+ * The latest table of one partner, the part of it that is active, and until when. A table is valid for a lease from a moment at
+ * which the partner surely stood by it; so a message that comes late, twice or never widens nothing, and a tighter restriction
+ * that does not arrive holds when the lease is over. Times are since the process began. Not thread-safe.
  */
 final class PartnerTable {
 
-    final String site;
-    final Relation relation;
-    private final double drift;
-    /** The latest it said, and what is in use of it: all of it, or what was in use before as well. */
-    private RouteTable latest, active;
+    private final String site;
+    private final Relation relation;
+    private final double clockDrift;
+    /** The latest table that the partner published, or null, and its digest. */
+    private RouteTable latest;
 
     private String digest;
+    /** What may be used: the latest table, or only what was allowed before as well; null before the first. */
+    private RouteTable active;
+
     private Duration validUntil = Duration.ZERO;
-    /** What was in use before the latest, and until when, for the case that the latest was said in two ways. */
+    /** What was active before the latest, and until when, in case that two tables have the latest's version. */
     private RouteTable previous;
 
     private Duration previousValidUntil = Duration.ZERO;
     private boolean conflicting;
 
-    PartnerTable(String site, Relation relation, double drift) {
+    /** @param clockDrift upper bound of the fraction by which the partner's clock and this one run apart */
+    PartnerTable(String site, Relation relation, double clockDrift) {
         this.site = site;
         this.relation = relation;
-        this.drift = drift;
+        this.clockDrift = clockDrift;
+    }
+
+    String site() {
+        return site;
+    }
+
+    Relation relation() {
+        return relation;
     }
 
-    /** It is said to have said that; true where what is in use changed. */
+    /**
+     * Takes in a table that is said to be the partner's.
+     *
+     * @param mayWiden whether what it newly allows may be adopted now
+     * @return whether what is active changed
+     */
     boolean offer(Duration now, RouteTable table, String tableDigest, boolean mayWiden, Consumer<String> log) {
         if (!table.site().equals(site) || table.relation() != relation) {
-            log.accept("a table of " + table.site() + " that calls itself "
-                    + table.relation().wireName() + " is not that of " + site + ", " + relation.wireName());
+            log.accept("route-table-rejected partner=" + site + " reason=wrong-relation site=" + table.site()
+                    + " relation=" + table.relation().wireName() + " expected=" + relation.wireName());
             return false;
         }
         if (latest != null && !table.isLaterThan(latest)) {
-            return offerSameVersion(table, tableDigest, log);
+            return offerOldVersion(table, tableDigest, log);
         }
         expire(now);
         boolean isValid = now.compareTo(validUntil) < 0;
@@ -48,35 +65,42 @@
         conflicting = false;
         latest = table;
         digest = tableDigest;
-        // Where it said less before, that lease ends as the new one would.
+        // Where its lease is shorter than before, the earlier one ends as the new one would.
         Duration latestExpiry = now.plus(table.lease());
-        validUntil = validUntil.compareTo(latestExpiry) > 0 ? latestExpiry : validUntil;
-        active = mayWiden ? table : active == null ? emptyTable(table) : active.intersect(table);
+        if (validUntil.compareTo(latestExpiry) > 0) {
+            validUntil = latestExpiry;
+        }
+        if (mayWiden) {
+            active = table;
+        } else {
+            active = active == null ? emptyTable(table) : active.intersect(table);
+        }
         return true;
     }
 
     private RouteTable emptyTable(RouteTable version) {
-        return new RouteTable(site, version.incarnation(), version.sequence(), relation, version.lease(), new TreeMap<>());
+        return new RouteTable(
+                site, version.incarnation(), version.sequence(), relation, version.lease(), new TreeMap<>());
     }
 
-    /** What ran out is held no longer: to use it again is to take it on anew. */
+    /** Drops what is not valid any more: to use it again is to adopt it anew. */
     void expire(Duration now) {
         if (active != null && now.compareTo(validUntil) >= 0 && !active.routes().isEmpty()) {
             active = emptyTable(latest);
         }
     }
 
-    private boolean offerSameVersion(RouteTable table, String tableDigest, Consumer<String> log) {
+    private boolean offerOldVersion(RouteTable table, String tableDigest, Consumer<String> log) {
         if (!table.isSameVersion(latest)) {
-            log.accept(site + " came with " + formatVersion(table) + ", which is older than " + formatVersion(latest)
-                    + "; it is not taken");
+            log.accept("route-table-rejected partner=" + site + " reason=older-version version=" + formatVersion(table)
+                    + " latest=" + formatVersion(latest));
             return false;
         }
         if (tableDigest.equals(digest)) {
             return false;
         }
-        log.accept(site + " has two tables under " + formatVersion(table) + ", " + digest + " and " + tableDigest
-                + "; neither is taken");
+        log.accept("route-table-conflict partner=" + site + " version=" + formatVersion(table) + " digest=" + digest
+                + " other_digest=" + tableDigest);
         if (!conflicting) {
             conflicting = true;
             active = previous == null ? emptyTable(table) : previous.intersect(latest);
@@ -86,7 +110,13 @@
         return true;
     }
 
-    /** It surely stood by that version at a moment, or later, and so it may be used for so long from then. */
+    /**
+     * Renews the lease: the partner surely stood by that version at a moment, or later.
+     *
+     * @param confirmedAt that moment
+     * @param duration how long the table may be used from then
+     * @return whether that is the version that is known
+     */
     boolean renew(long incarnation, long sequence, String tableDigest, Duration confirmedAt, Duration duration) {
         if (latest == null
                 || conflicting
@@ -96,14 +126,15 @@
             return false;
         }
         Duration longest = duration.compareTo(latest.lease()) < 0 ? duration : latest.lease();
-        Duration expiry = confirmedAt.plus(Duration.ofNanos((long) (longest.toNanos() / (1 + drift))));
+        Duration onAnyClock = Duration.ofNanos((long) (longest.toNanos() / (1 + clockDrift)));
+        Duration expiry = confirmedAt.plus(onAnyClock);
         if (expiry.compareTo(validUntil) > 0) {
             validUntil = expiry;
         }
         return true;
     }
 
-    /** What was only narrowed so far may be widened now; true where that changed what is in use. */
+    /** Adopts what the latest table newly allows; returns whether that changed what is active. */
     boolean adoptWidening() {
         if (latest == null || conflicting || active == latest) {
             return false;
@@ -121,6 +152,7 @@
         return now.compareTo(validUntil) < 0 ? active : null;
     }
 
+    /** The latest table, active or not; null before the first. */
     RouteTable latest() {
         return latest;
     }
@@ -129,20 +161,17 @@
         return digest;
     }
 
+    /** Whether two tables came under the latest version. */
     boolean isConflicting() {
         return conflicting;
     }
 
-    Duration validUntil() {
-        return validUntil;
-    }
-
-    /** How long it may still be used, for telling others. */
+    /** How long it may still be used, for peers. */
     Duration remaining(Duration now) {
         return conflicting || now.compareTo(validUntil) >= 0 ? Duration.ZERO : validUntil.minus(now);
     }
 
-    /** It fell silent: more than half of its lease is over, and what it said is used last (RFC 4724). */
+    /** Whether more than half of its lease is over, so that its routes are used last (RFC 4724). */
     boolean isStale(Duration now) {
         return latest == null || remaining(now).compareTo(latest.lease().dividedBy(2)) < 0;
     }
--- a/src/main/java/merlinlever/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/routes/PeerTableSync.java
@@ -6,123 +6,151 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import merlinlever.membership.PeerMessage;
 import merlinlever.replication.VersionedEntry;
 
 /**
- * What the backends of one site tell each other of partners: the tables as shared words, which may come late, and how long they
- * hold as answers, which count from the question. So of one lease nobody has more than who heard the partner itself.
+ * What the backends of one site tell each other of partners: the tables as replicated entries, which may come late, and how
+ * long they are valid as answers, which count from the query. So nobody has more of a lease than the backend that heard the
+ * partner itself. Not thread-safe.
  *
- * <p>Words: {@code K/site} asks what is held, {@code L/site/incarnation/sequence/digest/left} says it.
+ * <p>Texts: {@code K/site} queries what is held, {@code L/site/incarnation/sequence/digest/remaining} answers, in ms.
  */
 public final class PeerTableSync {
 
-    /** Something to be said to another. */
-    public record TableMessage(String recipient, long correlationId, String text) {}
+    private static final String QUERY = "K";
+    private static final String ANSWER = "L";
+    private static final Duration MIN_QUERY_INTERVAL = Duration.ofMillis(100);
 
-    /** The last question about a partner, and who has had the longest lease of it. */
+    /** The last query about a partner, and the peer that has had the longest lease of it. */
     private static final class LeaseQuery {
         long correlationId;
         Duration sentAt;
         String bestPeer;
         long bestRemainingMs;
         boolean bestAnswered;
-    }
 
-    private static final Duration MIN_QUERY_INTERVAL = Duration.ofMillis(100);
+        void restart(long newCorrelationId, Duration now) {
+            correlationId = newCorrelationId;
+            sentAt = now;
+            bestRemainingMs = bestAnswered ? bestRemainingMs : 0;
+            bestAnswered = false;
+        }
 
-    private final RoutingTable routes;
+        void noteAnswer(String peer, long remainingMs) {
+            if (peer.equals(bestPeer) || remainingMs > bestRemainingMs) {
+                bestPeer = peer;
+                bestRemainingMs = remainingMs;
+                bestAnswered = true;
+            }
+        }
+    }
+
+    private final RoutingTable routingTable;
     private final SplittableRandom random;
     private final TableChunks chunks = new TableChunks();
     private final Map<String, LeaseQuery> queries = new TreeMap<>();
     private long lastCorrelationId;
 
-    /** @param first number of its questions, which no other life of this backend comes near */
-    public PeerTableSync(RoutingTable routes, long first, SplittableRandom random) {
-        this.routes = routes;
+    /** @param firstCorrelationId which no other incarnation of this backend comes near */
+    public PeerTableSync(RoutingTable routingTable, long firstCorrelationId, SplittableRandom random) {
+        this.routingTable = routingTable;
         this.random = random;
-        lastCorrelationId = first;
+        lastCorrelationId = firstCorrelationId;
     }
 
-    /** What is to be passed on of a table that was read here. */
+    /** The entries to be replicated of a table that was read here. */
     public static List<VersionedEntry> toEntries(RouteTable table) {
         return TableChunks.split(table);
     }
 
-    /** A shared word came; true where it completed a table that is newer. */
-    public boolean receiveEntry(Duration now, VersionedEntry snapshot) {
-        RouteTable table = chunks.receive(snapshot);
-        return table != null && routes.offer(now, table);
+    /** Takes in an entry of a peer; returns whether it completed a table that is newer. */
+    public boolean receiveEntry(Duration now, VersionedEntry entry) {
+        RouteTable table = chunks.receive(entry);
+        return table != null && routingTable.offer(now, table);
     }
 
-    /** Whether the word is part of a table. */
-    public static boolean isChunk(VersionedEntry snapshot) {
-        return snapshot.topic().startsWith("routes.");
+    /** Whether the entry is part of a table. */
+    public static boolean isChunk(VersionedEntry entry) {
+        return TableChunks.isChunk(entry);
     }
 
-    /** What is to be asked now: of each partner whose lease is a quarter over, each eighth of it whoever had the most of it and another one. */
-    public List<TableMessage> dueQueries(Duration now, List<String> peers) {
-        List<TableMessage> messages = new ArrayList<>();
-        for (String site : routes.partners()) {
-            RoutingTable.TableLease held = routes.lease(now, site);
+    /**
+     * The queries to be sent now: about each partner whose lease is a quarter over, every eighth of it, to the peer that had the
+     * longest and to another one.
+     */
+    public List<PeerMessage.Text> dueQueries(Duration now, List<String> peers) {
+        List<PeerMessage.Text> messages = new ArrayList<>();
+        for (String partner : routingTable.partners()) {
+            RoutingTable.TableLease held = routingTable.lease(now, partner);
             Duration lease = held == null
                     ? RouteTable.MIN_LEASE.multipliedBy(4)
-                    : routes.latest(site).lease();
-            Duration interval = lease.dividedBy(8).compareTo(MIN_QUERY_INTERVAL) < 0 ? MIN_QUERY_INTERVAL : lease.dividedBy(8);
-            LeaseQuery query = queries.computeIfAbsent(site, each -> new LeaseQuery());
-            if (!peers.isEmpty()
-                    && (held == null
-                            || held.remaining().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0)
-                    && (query.sentAt == null || now.minus(query.sentAt).compareTo(interval) >= 0)) {
-                query.correlationId = ++lastCorrelationId;
-                query.sentAt = now;
-                query.bestRemainingMs = query.bestAnswered ? query.bestRemainingMs : 0;
-                query.bestAnswered = false;
+                    : routingTable.latest(partner).lease();
+            Duration eighth = lease.dividedBy(8);
+            Duration interval = eighth.compareTo(MIN_QUERY_INTERVAL) < 0 ? MIN_QUERY_INTERVAL : eighth;
+            LeaseQuery query = queries.computeIfAbsent(partner, absent -> new LeaseQuery());
+            boolean needsRenewal = held == null
+                    || held.remaining().compareTo(lease.multipliedBy(3).dividedBy(4)) < 0;
+            boolean isDue = query.sentAt == null || now.minus(query.sentAt).compareTo(interval) >= 0;
+            if (!peers.isEmpty() && needsRenewal && isDue) {
+                lastCorrelationId++;
+                query.restart(lastCorrelationId, now);
+                String text = QUERY + "/" + partner;
                 String peer = peers.get(random.nextInt(peers.size()));
-                messages.add(new TableMessage(peer, lastCorrelationId, "K/" + site));
+                messages.add(new PeerMessage.Text(peer, lastCorrelationId, text));
                 if (query.bestPeer != null && !query.bestPeer.equals(peer) && peers.contains(query.bestPeer)) {
-                    messages.add(new TableMessage(query.bestPeer, lastCorrelationId, "K/" + site));
+                    messages.add(new PeerMessage.Text(query.bestPeer, lastCorrelationId, text));
                 }
             }
         }
         return messages;
     }
 
-    /** Another said that; returns what is said to it. */
-    public List<TableMessage> receive(Duration now, String sender, long correlationId, String text) {
+    /** Takes in a text of a peer, and returns what is to be sent in answer; one that is not understood is ignored. */
+    public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
         String[] parts = text.split("/", -1);
-        if (parts[0].equals("K") && parts.length == 2) {
-            RoutingTable.TableLease held = routes.lease(now, parts[1]);
-            return held == null || held.remaining().isZero()
-                    ? List.of()
-                    : List.of(new TableMessage(
-                            sender,
-                            correlationId,
-                            "L/" + parts[1] + "/" + held.incarnation() + "/" + held.sequence() + "/" + held.digest()
-                                    + "/" + held.remaining().toMillis()));
+        if (parts[0].equals(QUERY) && parts.length == 2) {
+            return answer(now, sender, correlationId, parts[1]);
         }
-        LeaseQuery query = parts.length == 6 ? queries.get(parts[1]) : null;
-        if (parts[0].equals("L") && query != null && query.correlationId == correlationId) {
-            try {
-                long remainingMs = Long.parseLong(parts[5]);
-                if (remainingMs >= 0 && remainingMs <= RouteTable.MAX_LEASE.toMillis()) {
-                    if (sender.equals(query.bestPeer) || remainingMs > query.bestRemainingMs) {
-                        query.bestPeer = sender;
-                        query.bestRemainingMs = remainingMs;
-                        query.bestAnswered = true;
-                    }
-                    routes.renew(
-                            now,
-                            parts[1],
-                            Long.parseLong(parts[2]),
-                            Long.parseLong(parts[3]),
-                            parts[4],
-                            query.sentAt,
-                            Duration.ofMillis(remainingMs));
-                }
-            } catch (NumberFormatException e) {
-                return List.of();
-            }
+        if (parts[0].equals(ANSWER) && parts.length == 6) {
+            receiveAnswer(now, sender, correlationId, parts);
         }
         return List.of();
     }
+
+    private List<PeerMessage.Text> answer(Duration now, String sender, long correlationId, String partner) {
+        RoutingTable.TableLease held = routingTable.lease(now, partner);
+        if (held == null || held.remaining().isZero()) {
+            return List.of();
+        }
+        String text = ANSWER + "/" + partner + "/" + held.incarnation() + "/" + held.sequence() + "/" + held.digest()
+                + "/" + held.remaining().toMillis();
+        return List.of(new PeerMessage.Text(sender, correlationId, text));
+    }
+
+    private void receiveAnswer(Duration now, String sender, long correlationId, String[] parts) {
+        String partner = parts[1];
+        LeaseQuery query = queries.get(partner);
+        if (query == null || query.correlationId != correlationId) {
+            return;
+        }
+        try {
+            long remainingMs = Long.parseLong(parts[5]);
+            if (remainingMs < 0 || remainingMs > RouteTable.MAX_LEASE.toMillis()) {
+                return;
+            }
+            query.noteAnswer(sender, remainingMs);
+            RoutingTable.Renewal renewal = new RoutingTable.Renewal(
+                    partner,
+                    Long.parseLong(parts[2]),
+                    Long.parseLong(parts[3]),
+                    parts[4],
+                    query.sentAt,
+                    Duration.ofMillis(remainingMs));
+            routingTable.renew(now, renewal);
+        } catch (NumberFormatException e) {
+            // Malformed: ignored, as any datagram may be lost.
+            return;
+        }
+    }
 }
--- a/src/main/java/merlinlever/routes/Relation.java
+++ b/src/main/java/merlinlever/routes/Relation.java
@@ -2,7 +2,7 @@
 
 import merlinlever.WireNamed;
 
-/** What a partner site is to the one that says so; the first is liked best (Gao and Rexford 2001). */
+/** What a partner site is to this one; the first is preferred (Gao and Rexford 2001). */
 public enum Relation implements WireNamed {
     /** It pays for calls. */
     CUSTOMER("customer"),
@@ -17,13 +17,18 @@
         this.wireName = wireName;
     }
 
+    /** The name in route tables; it stays when the constant is renamed. */
     @Override
     public String wireName() {
         return wireName;
     }
 
-    /** What the one that says so is to the partner. */
+    /** What this site is to the partner. */
     public Relation inverse() {
-        return this == PEER ? PEER : this == CUSTOMER ? PROVIDER : CUSTOMER;
+        return switch (this) {
+            case CUSTOMER -> PROVIDER;
+            case PEER -> PEER;
+            case PROVIDER -> CUSTOMER;
+        };
     }
 }
--- a/src/main/java/merlinlever/routes/Restrictions.java
+++ b/src/main/java/merlinlever/routes/Restrictions.java
@@ -5,15 +5,15 @@
 import java.util.TreeSet;
 
 /**
- * Where a route may go and what may go along it, as its origin says; whoever passes it on passes these on as they are.
+ * Where a route may be exported and what may go along it, as its origin says; whoever exports the route exports these unchanged.
  *
  * @param onlyTo the only sites that may have it; null for all
  * @param notTo sites that may not have it
- * @param noExport whoever has it from its origin passes it on to nobody (as NO_EXPORT in RFC 1997)
- * @param maxSites at most so many sites on the way, the origin among them
- * @param idempotentOnly only retriable calls may go along it
- * @param customersOnly passed on only to customers
- * @param unreadable it says something that is not understood, and so forbids all
+ * @param noExport whoever has it from its origin exports it to nobody (as NO_EXPORT in RFC 1997)
+ * @param maxSites upper bound of the sites on the path, the origin among them
+ * @param idempotentOnly only idempotent calls may go along it
+ * @param customersOnly exported only to customers
+ * @param unreadable they were not understood, and so forbid everything
  */
 public record Restrictions(
         SortedSet<String> onlyTo,
@@ -24,11 +24,14 @@
         boolean customersOnly,
         boolean unreadable) {
 
-    /** Sites on the way at the most, whatever is said. */
+    /** Upper bound of the sites on a path, whatever is said. */
     public static final int MAX_SITES = 16;
 
+    /** Everything is allowed. */
     public static final Restrictions NONE =
             new Restrictions(null, new TreeSet<>(), false, MAX_SITES, false, false, false);
+
+    /** Nothing is allowed. */
     public static final Restrictions UNREADABLE =
             new Restrictions(new TreeSet<>(), new TreeSet<>(), true, 1, true, true, true);
 
@@ -37,22 +40,22 @@
         notTo = Collections.unmodifiableSortedSet(new TreeSet<>(notTo));
     }
 
-    /** Whether the origin lets the site have it, however it got there. */
+    /** Whether the origin lets the site have the route, however it got there. */
     public boolean allows(String site) {
         return !unreadable && (onlyTo == null || onlyTo.contains(site)) && !notTo.contains(site);
     }
 
-    /** All that either of the two forbids is forbidden; the same in any order. */
+    /** Forbids all that either of the two forbids; the same in any order. */
     public Restrictions intersect(Restrictions other) {
-        SortedSet<String> only = onlyTo == null ? other.onlyTo : new TreeSet<>(onlyTo);
+        SortedSet<String> onlyToBoth = onlyTo == null ? other.onlyTo : new TreeSet<>(onlyTo);
         if (onlyTo != null && other.onlyTo != null) {
-            only.retainAll(other.onlyTo);
+            onlyToBoth.retainAll(other.onlyTo);
         }
-        SortedSet<String> not = new TreeSet<>(notTo);
-        not.addAll(other.notTo);
+        SortedSet<String> notToEither = new TreeSet<>(notTo);
+        notToEither.addAll(other.notTo);
         return new Restrictions(
-                only,
-                not,
+                onlyToBoth,
+                notToEither,
                 noExport || other.noExport,
                 Math.min(maxSites, other.maxSites),
                 idempotentOnly || other.idempotentOnly,
--- a/src/main/java/merlinlever/routes/Route.java
+++ b/src/main/java/merlinlever/routes/Route.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * One way on which a partner site takes calls of a tariff.
+ * One way in which a partner site takes calls of a priority class.
  *
- * @param group what the calls are for: places of one group stand in for each other
+ * @param group what the calls are for: addresses of one group stand in for each other
  * @param address ADDRESS:PORT of the publisher that takes the calls
- * @param callsPerSecond a second, of the whole site that it is published to
- * @param allowsNonIdempotent whether binding work may go along it
+ * @param callsPerSecond of the whole site that it is published to
+ * @param cost the lower the better; without a unit
+ * @param allowsNonIdempotent whether non-idempotent calls may go along it
  * @param path the sites that a call passes, the publisher first, the origin last
- * @param onlyToCustomerSite the site from which on it goes only to customers (OTC in RFC 9234); null while it only went up
+ * @param onlyToCustomerSite the site from which on it is exported only to customers (the OTC attribute of RFC 9234); null while it only
+ *     went towards providers
  */
 public record Route(
         String priorityClass,
@@ -27,16 +29,17 @@
         path = List.copyOf(path);
     }
 
-    /** What is chosen among alternatives for: calls of a tariff to a group of places. */
+    /** What routes are alternatives for: calls of a priority class to a group. */
     public String key() {
         return priorityClass + "/" + group;
     }
 
-    /** Which it is among those of one table. */
+    /** Identifies it among the routes of one table. */
     public String id() {
         return priorityClass + "/" + group + "/" + address + "/" + String.join(">", path);
     }
 
+    /** The site that takes the calls in the end. */
     public String origin() {
         return path.get(path.size() - 1);
     }
@@ -46,9 +49,6 @@
         if (equals(other)) {
             return this;
         }
-        String down = onlyToCustomerSite == null || other.onlyToCustomerSite != null && other.onlyToCustomerSite.compareTo(onlyToCustomerSite) < 0
-                ? other.onlyToCustomerSite
-                : onlyToCustomerSite;
         return new Route(
                 priorityClass,
                 group,
@@ -57,11 +57,20 @@
                 Math.max(cost, other.cost),
                 allowsNonIdempotent && other.allowsNonIdempotent,
                 path,
-                down,
+                firstOrPresent(onlyToCustomerSite, other.onlyToCustomerSite),
                 restrictions.intersect(other.restrictions));
     }
 
-    Route withOnlyToCustomerSite(String mark) {
-        return new Route(priorityClass, group, address, callsPerSecond, cost, allowsNonIdempotent, path, mark, restrictions);
+    /** The one that is present, or the first by name of both. */
+    private static String firstOrPresent(String one, String other) {
+        if (one == null || other == null) {
+            return one == null ? other : one;
+        }
+        return other.compareTo(one) < 0 ? other : one;
+    }
+
+    Route withOnlyToCustomerSite(String site) {
+        return new Route(
+                priorityClass, group, address, callsPerSecond, cost, allowsNonIdempotent, path, site, restrictions);
     }
 }
--- a/src/main/java/merlinlever/routes/RouteMerger.java
+++ b/src/main/java/merlinlever/routes/RouteMerger.java
@@ -13,27 +13,27 @@
 import java.util.function.BiConsumer;
 
 /**
- * What follows from the tables of all partners: for each tariff and group of places the ways that may be used, best first. It
- * hangs on nothing but which tables there are, in whatever order they came, and a change costs what it changes.
+ * The usable routes of all partners by key, best first. The result depends only on which tables there are, in whatever order they
+ * came, and the work of a change depends only on its size. Not thread-safe.
  */
 public final class RouteMerger {
 
-    /** One usable way, by which partner it came. */
+    /** A usable route, and the partner that published it. */
     public record Candidate(String partner, Relation relation, Route route) implements Comparable<Candidate> {
 
         private static final Comparator<Candidate> PREFERENCE = Comparator.comparing(Candidate::relation)
-                .thenComparing(each -> each.route.path().size())
-                .thenComparing(each -> each.route.cost())
+                .thenComparing(candidate -> candidate.route.path().size())
+                .thenComparing(candidate -> candidate.route.cost())
                 .thenComparing(Candidate::partner)
-                .thenComparing(each -> each.route.address())
-                .thenComparing(each -> String.join(">", each.route.path()));
+                .thenComparing(candidate -> candidate.route.address())
+                .thenComparing(candidate -> String.join(">", candidate.route.path()));
 
         @Override
         public int compareTo(Candidate other) {
             return PREFERENCE.compare(this, other);
         }
 
-        /** Whether neither is better but for names: calls are spread over such. */
+        /** Whether only names put one before the other: calls are spread over such candidates. */
         public boolean isEquallyGood(Candidate other) {
             return relation == other.relation
                     && route.path().size() == other.route.path().size()
@@ -41,17 +41,23 @@
         }
     }
 
-    /** Hears what a new table does. */
+    /** Is told what a new table of a partner changes. */
     public interface RouteListener {
-        /** By the rule of that name. */
+        /**
+         * A route may not be used.
+         *
+         * @param rule name of the rule that forbids it
+         */
         void onRejected(Route route, String rule);
 
+        /** The new table has a route no more. */
         void onWithdrawn(Route route);
 
+        /** The new table has a route in another form. */
         void onChanged(Route route);
     }
 
-    /** Hears nothing. */
+    /** Does nothing. */
     public static final RouteListener NO_LISTENER = new RouteListener() {
         @Override
         public void onRejected(Route route, String rule) {}
@@ -63,9 +69,9 @@
         public void onChanged(Route route) {}
     };
 
-    /** Routes at the most of all partners; a table that would go beyond is not taken. */
+    /** Upper bound of the routes of all partners; a table that would go beyond is not taken. */
     public static final int MAX_ROUTES = 8 * RouteTable.MAX_ROUTES;
-    /** Alternatives of one key that are looked at. */
+    /** Upper bound of the candidates of one key that are considered. */
     public static final int MAX_ALTERNATIVES = 64;
 
     private static final NavigableSet<Candidate> NO_CANDIDATES = Collections.unmodifiableNavigableSet(new TreeSet<>());
@@ -80,117 +86,142 @@
         this.policy = policy;
     }
 
-    /** In place of the partner's last table; null takes it away with all that hung on it. False where there is no room. */
-    public boolean replaceTable(String site, Relation relation, RouteTable table, RouteListener listener) {
-        RouteTable previous = tables.get(site);
+    /**
+     * Replaces a partner's table.
+     *
+     * @param table null removes the partner's routes
+     * @return false where its routes would exceed {@link #MAX_ROUTES}; then nothing is changed
+     */
+    public boolean replaceTable(String partner, Relation relation, RouteTable table, RouteListener listener) {
+        RouteTable previous = tables.get(partner);
         int previousCount = previous == null ? 0 : previous.routes().size();
-        if (table != null && routeCount - previousCount + table.routes().size() > MAX_ROUTES) {
+        int newCount = table == null ? 0 : table.routes().size();
+        if (table != null && routeCount - previousCount + newCount > MAX_ROUTES) {
             return false;
         }
-        Relation previousRelation = relations.get(site);
-        routeCount += (table == null ? 0 : table.routes().size()) - previousCount;
+        Relation previousRelation = relations.get(partner);
+        routeCount += newCount - previousCount;
         if (table == null) {
-            tables.remove(site);
-            relations.remove(site);
+            tables.remove(partner);
+            relations.remove(partner);
         } else {
-            tables.put(site, table);
-            relations.put(site, relation);
+            tables.put(partner, table);
+            relations.put(partner, relation);
         }
         forEachDifference(
                 previous == null ? new TreeMap<>() : previous.routes(),
                 table == null ? new TreeMap<>() : table.routes(),
                 previousRelation != relation,
-                (old, current) -> {
-                    if (old != null) {
-                        remove(site, previousRelation, old);
+                (before, after) -> {
+                    if (before != null) {
+                        remove(partner, previousRelation, before);
                     }
-                    if (old != null && current == null) {
-                        listener.onWithdrawn(old);
-                    } else if (old != null && !old.equals(current)) {
-                        listener.onChanged(current);
+                    if (before != null && after == null) {
+                        listener.onWithdrawn(before);
+                    } else if (before != null && !before.equals(after)) {
+                        listener.onChanged(after);
                     }
-                    if (current != null) {
-                        add(site, relation, current, listener);
+                    if (after != null) {
+                        add(partner, relation, after, listener);
                     }
                 });
         return true;
     }
 
-    /** Goes along both at once and names what differs; both are in the same order. */
+    /**
+     * Walks along both maps at once, in their common order.
+     *
+     * @param includeEqual whether equal routes are differences too
+     * @param action takes the route before and after, null for none
+     */
     private static void forEachDifference(
             SortedMap<String, Route> before,
             SortedMap<String, Route> after,
-            boolean isAllChanged,
+            boolean includeEqual,
             BiConsumer<Route, Route> action) {
-        Iterator<Map.Entry<String, Route>> olds = before.entrySet().iterator(),
-                news = after.entrySet().iterator();
-        Map.Entry<String, Route> old = nextOrNull(olds), current = nextOrNull(news);
-        while (old != null || current != null) {
-            int order = old == null ? 1 : current == null ? -1 : old.getKey().compareTo(current.getKey());
+        Iterator<Map.Entry<String, Route>> allBefore = before.entrySet().iterator();
+        Iterator<Map.Entry<String, Route>> allAfter = after.entrySet().iterator();
+        Map.Entry<String, Route> nextBefore = nextOrNull(allBefore);
+        Map.Entry<String, Route> nextAfter = nextOrNull(allAfter);
+        while (nextBefore != null || nextAfter != null) {
+            int order = compareKeys(nextBefore, nextAfter);
             if (order < 0) {
-                action.accept(old.getValue(), null);
+                action.accept(nextBefore.getValue(), null);
             } else if (order > 0) {
-                action.accept(null, current.getValue());
-            } else if (isAllChanged || !old.getValue().equals(current.getValue())) {
-                action.accept(old.getValue(), current.getValue());
+                action.accept(null, nextAfter.getValue());
+            } else if (includeEqual || !nextBefore.getValue().equals(nextAfter.getValue())) {
+                action.accept(nextBefore.getValue(), nextAfter.getValue());
             }
-            old = order <= 0 ? nextOrNull(olds) : old;
-            current = order >= 0 ? nextOrNull(news) : current;
+            nextBefore = order <= 0 ? nextOrNull(allBefore) : nextBefore;
+            nextAfter = order >= 0 ? nextOrNull(allAfter) : nextAfter;
         }
     }
 
-    private static Map.Entry<String, Route> nextOrNull(Iterator<Map.Entry<String, Route>> all) {
-        return all.hasNext() ? all.next() : null;
+    /** By key, an entry that is absent last. */
+    private static int compareKeys(Map.Entry<String, Route> one, Map.Entry<String, Route> other) {
+        if (one == null) {
+            return 1;
+        }
+        return other == null ? -1 : one.getKey().compareTo(other.getKey());
+    }
+
+    private static Map.Entry<String, Route> nextOrNull(Iterator<Map.Entry<String, Route>> entries) {
+        return entries.hasNext() ? entries.next() : null;
     }
 
-    private void add(String site, Relation relation, Route route, RouteListener listener) {
-        RoutingPolicy.ImportRule violation = policy.findViolation(site, relation, route);
+    private void add(String partner, Relation relation, Route route, RouteListener listener) {
+        RoutingPolicy.ImportRule violation = policy.findImportViolation(partner, relation, route);
         if (violation == null) {
-            candidates.computeIfAbsent(route.key(), key -> new TreeSet<>())
-                    .add(new Candidate(site, relation, RoutingPolicy.markOnImport(site, relation, route)));
+            candidates.computeIfAbsent(route.key(), key -> new TreeSet<>()).add(candidate(partner, relation, route));
         } else {
             listener.onRejected(route, violation.wireName());
         }
     }
 
-    private void remove(String site, Relation relation, Route route) {
+    private void remove(String partner, Relation relation, Route route) {
         NavigableSet<Candidate> ofKey = candidates.get(route.key());
         if (ofKey != null) {
-            ofKey.remove(new Candidate(site, relation, RoutingPolicy.markOnImport(site, relation, route)));
+            ofKey.remove(candidate(partner, relation, route));
             if (ofKey.isEmpty()) {
                 candidates.remove(route.key());
             }
         }
     }
 
-    public RouteTable table(String site) {
-        return tables.get(site);
+    private static Candidate candidate(String partner, Relation relation, Route route) {
+        return new Candidate(partner, relation, RoutingPolicy.markOnImport(partner, relation, route));
     }
 
+    /** The table of a partner, or null. */
+    public RouteTable table(String partner) {
+        return tables.get(partner);
+    }
+
+    /** How many routes all tables have, usable or not. */
     public int routeCount() {
         return routeCount;
     }
 
-    /** Best first. */
+    /** The candidates of a key, best first. */
     public NavigableSet<Candidate> candidates(String key) {
         return Collections.unmodifiableNavigableSet(candidates.getOrDefault(key, NO_CANDIDATES));
     }
 
+    /** The keys that have candidates, in order. */
     public List<String> keys() {
         return new ArrayList<>(candidates.keySet());
     }
 
-    /** All of it as text: two with the same text decide the same. */
+    /** All candidates as text: two mergers with the same text decide the same. */
     public String describe() {
         StringBuilder text = new StringBuilder();
-        candidates.forEach((key, ofKey) -> ofKey.forEach(candidate -> text.append(key)
-                .append(' ')
-                .append(candidate.relation().wireName())
-                .append(' ')
-                .append(candidate.partner())
-                .append(' ')
-                .append(candidate.route())
-                .append('\n')));
+        candidates.forEach((key, ofKey) -> {
+            for (Candidate candidate : ofKey) {
+                text.append(key).append(' ').append(candidate.relation().wireName());
+                text.append(' ').append(candidate.partner());
+                text.append(' ').append(candidate.route()).append('\n');
+            }
+        });
         return text.toString();
     }
 }
--- a/src/main/java/merlinlever/routes/RouteTable.java
+++ b/src/main/java/merlinlever/routes/RouteTable.java
@@ -7,11 +7,12 @@
 import java.util.TreeMap;
 
 /**
- * What one site publishes to another, whole. Of two of its tables the later by incarnation and then sequence counts.
+ * All that one site publishes to another. Of two tables of a site the later by incarnation and then sequence counts.
  *
- * @param relation what the publisher is to the receiver, as the publisher sees it
- * @param lease so long it may be used from when the publisher was last heard to stand by it
- * @param routes by {@link Route#id}; {@link #MAX_ROUTES} at the most
+ * @param site the publisher
+ * @param relation what the receiver has in the publisher
+ * @param lease how long it may be used from when the publisher was last known to stand by it
+ * @param routes by {@link Route#id}; at most {@link #MAX_ROUTES}
  */
 public record RouteTable(
         String site,
@@ -21,15 +22,17 @@
         Duration lease,
         SortedMap<String, Route> routes) {
 
-    /** Routes of one table at the most. */
+    /** Upper bound of the routes of one table. */
     public static final int MAX_ROUTES = 16_384;
 
-    public static final Duration MIN_LEASE = Duration.ofSeconds(1), MAX_LEASE = Duration.ofHours(1);
+    public static final Duration MIN_LEASE = Duration.ofSeconds(1);
+    public static final Duration MAX_LEASE = Duration.ofHours(1);
 
     public RouteTable {
         routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
     }
 
+    /** A table of these routes; of two with one id the last. */
     public static RouteTable of(
             String site, long incarnation, long sequence, Relation relation, Duration lease, Collection<Route> routes) {
         TreeMap<String, Route> byId = new TreeMap<>();
@@ -46,24 +49,19 @@
     }
 
     /**
-     * What both this one and the other allow, under the later version of the two; the same in any order but for that. So a
-     * tightening or a withdrawal holds at once where a loosening or a new route may not be taken on yet.
+     * What both this table and the other allow, under the later version of the two; but for that the same in any order. So a
+     * tighter restriction or a withdrawal holds at once where a looser one or a new route may not be adopted yet.
      */
     public RouteTable intersect(RouteTable other) {
-        TreeMap<String, Route> both = new TreeMap<>();
+        TreeMap<String, Route> inBoth = new TreeMap<>();
         routes.forEach((id, route) -> {
             Route counterpart = other.routes.get(id);
             if (counterpart != null) {
-                both.put(id, route.intersect(counterpart));
+                inBoth.put(id, route.intersect(counterpart));
             }
         });
         RouteTable later = other.isLaterThan(this) ? other : this;
-        return new RouteTable(
-                site,
-                later.incarnation,
-                later.sequence,
-                later.relation,
-                lease.compareTo(other.lease) < 0 ? lease : other.lease,
-                both);
+        Duration shorterLease = lease.compareTo(other.lease) < 0 ? lease : other.lease;
+        return new RouteTable(site, later.incarnation, later.sequence, later.relation, shorterLease, inBoth);
     }
 }
--- a/src/main/java/merlinlever/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/routes/RouteTableReader.java
@@ -9,12 +9,13 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import merlinlever.json.Json;
 
 /**
- * Reads a partner's table. What is wrong with its head costs the table, what is wrong with a route that route; whatever of a
- * route is not understood may be a restriction, and so forbids it.
+ * Reads a partner's table from JSON. A fault in its head costs the table, a fault in a route that route; whatever of a route's
+ * restrictions is not understood may forbid something, and so forbids the route.
  */
 public final class RouteTableReader {
 
@@ -22,56 +23,64 @@
     public static final class UnusableTableException extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnusableTableException(String message) {
-            super(message);
+        UnusableTableException(String message, Throwable cause) {
+            super(message, cause);
         }
     }
 
-    /** @param faults one line for each route that is not used as it was said, 50 at the most */
+    /** @param faults one line for each route that is not used as it was said, 50 at most */
     public record ParsedTable(RouteTable table, List<String> faults) {}
 
+    private static final class InvalidFieldException extends Exception {
+        private static final long serialVersionUID = 1;
+
+        InvalidFieldException(String message) {
+            super(message);
+        }
+    }
+
+    /** Upper bound of the length of a table. */
     public static final int MAX_CHARACTERS = 8 << 20;
+
     public static final int MAX_CALLS_PER_SECOND = 100_000;
     static final int MAX_COST = 1_000_000;
     private static final int MAX_NAMED_SITES = 64;
     private static final int MAX_FAULTS = 50;
+    private static final int MAX_SHOWN_CHARACTERS = 40;
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_OCTET = 255;
     private static final long MAX_VERSION = 1L << 52;
+    private static final String DEFAULT_GROUP = "records";
     private static final Pattern SITE = Pattern.compile("[a-z0-9-]{1,20}");
     private static final Pattern WORD = Pattern.compile("[!-.0-~]{1,40}");
-    private static final Pattern PLACE =
+    private static final Pattern ADDRESS =
             Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3}):([0-9]{1,5})");
-    private static final Set<String> HEAD = Set.of("site", "incarnation", "sequence", "relation", "lease-ms", "routes");
-    private static final Set<String> ROUTE =
+    private static final Set<String> HEAD_FIELDS =
+            Set.of("site", "incarnation", "sequence", "relation", "lease-ms", "routes");
+    private static final Set<String> ROUTE_FIELDS =
             Set.of("tariff", "group", "place", "calls", "cost", "binding", "path", "down-from", "restrictions");
-    private static final Set<String> LIMITS =
+    private static final Set<String> RESTRICTION_FIELDS =
             Set.of("only-to", "not-to", "no-further", "most-sites", "retriable-only", "customers-only");
 
     private RouteTableReader() {}
 
-    private static final class InvalidFieldException extends Exception {
-        private static final long serialVersionUID = 1;
-
-        InvalidFieldException(String message) {
-            super(message);
-        }
-    }
-
+    /** @throws UnusableTableException if the text is no JSON, or its head has a fault */
     public static ParsedTable read(String text) throws UnusableTableException {
         if (text.length() > MAX_CHARACTERS) {
-            throw new UnusableTableException("the table has over " + MAX_CHARACTERS + " characters");
+            throw new UnusableTableException("the table has over " + MAX_CHARACTERS + " characters", null);
         }
         try {
-            return read(Json.strictObject(text));
+            return readTable(Json.strictObject(text));
         } catch (Json.MalformedJsonException | InvalidFieldException e) {
-            throw new UnusableTableException("the table: " + e.getMessage());
+            throw new UnusableTableException("the table: " + e.getMessage(), e);
         }
     }
 
-    private static ParsedTable read(Map<?, ?> head) throws InvalidFieldException {
-        requireKnownNames(head, HEAD);
+    private static ParsedTable readTable(Map<?, ?> head) throws InvalidFieldException {
+        requireKnownNames(head, HEAD_FIELDS);
         String site = word(head, "site", SITE);
-        long incarnation = number(head, "incarnation", 0, MAX_VERSION),
-                sequence = number(head, "sequence", 0, MAX_VERSION);
+        long incarnation = number(head, "incarnation", 0, MAX_VERSION);
+        long sequence = number(head, "sequence", 0, MAX_VERSION);
         Relation relation = relation(word(head, "relation", WORD));
         Duration lease = Duration.ofMillis(
                 number(head, "lease-ms", RouteTable.MIN_LEASE.toMillis(), RouteTable.MAX_LEASE.toMillis()));
@@ -82,8 +91,13 @@
             throw new InvalidFieldException("over " + RouteTable.MAX_ROUTES + " routes");
         }
         List<String> faults = new ArrayList<>();
+        TreeMap<String, Route> routes = readRoutes(list, faults);
+        return new ParsedTable(new RouteTable(site, incarnation, sequence, relation, lease, routes), faults);
+    }
+
+    private static TreeMap<String, Route> readRoutes(List<?> list, List<String> faults) {
         TreeMap<String, Route> routes = new TreeMap<>();
-        Set<String> twice = new HashSet<>();
+        Set<String> duplicates = new HashSet<>();
         for (int i = 0; i < list.size(); i++) {
             try {
                 Route route = route(list.get(i));
@@ -91,20 +105,20 @@
                     addFault(faults, i, "its restrictions are not understood, so it is forbidden");
                 }
                 if (routes.put(route.id(), route) != null) {
-                    twice.add(route.id());
+                    duplicates.add(route.id());
                     throw new InvalidFieldException("the same route came before; neither is taken");
                 }
             } catch (InvalidFieldException e) {
                 addFault(faults, i, e.getMessage());
             }
         }
-        twice.forEach(routes::remove);
-        return new ParsedTable(new RouteTable(site, incarnation, sequence, relation, lease, routes), faults);
+        duplicates.forEach(routes::remove);
+        return routes;
     }
 
-    private static void addFault(List<String> faults, int i, String what) {
+    private static void addFault(List<String> faults, int index, String message) {
         if (faults.size() < MAX_FAULTS) {
-            faults.add("routes[" + i + "]: " + what);
+            faults.add("routes[" + index + "]: " + message);
         }
     }
 
@@ -112,48 +126,45 @@
         if (!(value instanceof Map<?, ?> map)) {
             throw new InvalidFieldException("not an object");
         }
-        requireKnownNames(map, ROUTE);
-        String place = word(map, "place", PLACE);
-        if (!isAddress(place)) {
-            throw new InvalidFieldException("'place' is no address and port: " + place);
+        requireKnownNames(map, ROUTE_FIELDS);
+        String address = word(map, "place", ADDRESS);
+        if (!isAddress(address)) {
+            throw new InvalidFieldException("'place' is no address and port: " + address);
         }
-        List<String> path = new ArrayList<>(sites(map.get("path"), "path", Restrictions.MAX_SITES));
+        List<String> path = sites(map.get("path"), "path", Restrictions.MAX_SITES);
         if (path.isEmpty()) {
             throw new InvalidFieldException("'path' is empty");
         }
-        String down = map.get("down-from") == null ? null : word(map, "down-from", SITE);
+        String onlyToCustomerSite = map.get("down-from") == null ? null : word(map, "down-from", SITE);
         return new Route(
                 word(map, "tariff", WORD),
-                map.containsKey("group") ? word(map, "group", WORD) : "records",
-                place,
+                map.containsKey("group") ? word(map, "group", WORD) : DEFAULT_GROUP,
+                address,
                 (int) number(map, "calls", 1, MAX_CALLS_PER_SECOND),
                 (int) number(map, "cost", 0, MAX_COST),
                 flag(map, "binding"),
                 path,
-                down,
+                onlyToCustomerSite,
                 map.containsKey("restrictions") ? restrictions(map.get("restrictions")) : Restrictions.NONE);
     }
 
-    /** Without a doubt, or all is forbidden. */
+    /** What is not understood without a doubt forbids everything. */
     private static Restrictions restrictions(Object value) {
         try {
             if (!(value instanceof Map<?, ?> map)) {
                 return Restrictions.UNREADABLE;
             }
-            requireKnownNames(map, LIMITS);
-            SortedSet<String> only = map.containsKey("only-to")
-                    ? new TreeSet<>(sites(map.get("only-to"), "only-to", MAX_NAMED_SITES))
-                    : null;
-            SortedSet<String> not = map.containsKey("not-to")
-                    ? new TreeSet<>(sites(map.get("not-to"), "not-to", MAX_NAMED_SITES))
-                    : new TreeSet<>();
+            requireKnownNames(map, RESTRICTION_FIELDS);
+            SortedSet<String> onlyTo = map.containsKey("only-to") ? siteSet(map, "only-to") : null;
+            SortedSet<String> notTo = map.containsKey("not-to") ? siteSet(map, "not-to") : new TreeSet<>();
+            int maxSites = map.containsKey("most-sites")
+                    ? (int) number(map, "most-sites", 1, Restrictions.MAX_SITES)
+                    : Restrictions.MAX_SITES;
             return new Restrictions(
-                    only,
-                    not,
+                    onlyTo,
+                    notTo,
                     flag(map, "no-further"),
-                    map.containsKey("most-sites")
-                            ? (int) number(map, "most-sites", 1, Restrictions.MAX_SITES)
-                            : Restrictions.MAX_SITES,
+                    maxSites,
                     flag(map, "retriable-only"),
                     flag(map, "customers-only"),
                     false);
@@ -162,23 +173,27 @@
         }
     }
 
-    private static boolean isAddress(String place) {
-        var parts = PLACE.matcher(place);
-        if (!parts.matches() || Integer.parseInt(parts.group(5)) > 65535 || Integer.parseInt(parts.group(5)) == 0) {
+    private static boolean isAddress(String text) {
+        Matcher parts = ADDRESS.matcher(text);
+        if (!parts.matches()) {
+            return false;
+        }
+        int port = Integer.parseInt(parts.group(5));
+        if (port == 0 || port > MAX_PORT) {
             return false;
         }
         for (int i = 1; i <= 4; i++) {
-            if (Integer.parseInt(parts.group(i)) > 255) {
+            if (Integer.parseInt(parts.group(i)) > MAX_OCTET) {
                 return false;
             }
         }
         return true;
     }
 
-    static Relation relation(String word) throws InvalidFieldException {
-        for (Relation each : Relation.values()) {
-            if (each.wireName().equals(word)) {
-                return each;
+    private static Relation relation(String name) throws InvalidFieldException {
+        for (Relation relation : Relation.values()) {
+            if (relation.wireName().equals(name)) {
+                return relation;
             }
         }
         throw new InvalidFieldException("'relation' is customer, peer or provider");
@@ -192,10 +207,9 @@
     private static void requireKnownNames(Map<?, ?> map, Set<String> names) throws InvalidFieldException {
         for (Object name : map.keySet()) {
             if (!names.contains(name)) {
-                String shown = String.valueOf(name);
-                throw new InvalidFieldException(
-                        "'" + shown.substring(0, Math.min(40, shown.length())).replaceAll("[^ -~]", "?")
-                                + "' is not known");
+                String text = String.valueOf(name);
+                String shown = text.substring(0, Math.min(MAX_SHOWN_CHARACTERS, text.length()));
+                throw new InvalidFieldException("'" + shown.replaceAll("[^ -~]", "?") + "' is not known");
             }
         }
     }
@@ -207,11 +221,11 @@
         throw new InvalidFieldException("'" + name + "' is missing or not of the form " + form.pattern());
     }
 
-    private static long number(Map<?, ?> map, String name, long least, long most) throws InvalidFieldException {
-        if (map.get(name) instanceof Long number && number >= least && number <= most) {
+    private static long number(Map<?, ?> map, String name, long min, long max) throws InvalidFieldException {
+        if (map.get(name) instanceof Long number && number >= min && number <= max) {
             return number;
         }
-        throw new InvalidFieldException("'" + name + "' is no whole number from " + least + " to " + most);
+        throw new InvalidFieldException("'" + name + "' is no whole number from " + min + " to " + max);
     }
 
     private static boolean flag(Map<?, ?> map, String name) throws InvalidFieldException {
@@ -224,13 +238,17 @@
         throw new InvalidFieldException("'" + name + "' is neither true nor false");
     }
 
-    private static List<String> sites(Object value, String name, int most) throws InvalidFieldException {
-        if (!(value instanceof List<?> list) || list.size() > most) {
-            throw new InvalidFieldException("'" + name + "' is no list of at most " + most + " sites");
+    private static SortedSet<String> siteSet(Map<?, ?> map, String name) throws InvalidFieldException {
+        return new TreeSet<>(sites(map.get(name), name, MAX_NAMED_SITES));
+    }
+
+    private static List<String> sites(Object value, String name, int max) throws InvalidFieldException {
+        if (!(value instanceof List<?> list) || list.size() > max) {
+            throw new InvalidFieldException("'" + name + "' is no list of at most " + max + " sites");
         }
         List<String> sites = new ArrayList<>();
-        for (Object each : list) {
-            if (!(each instanceof String site) || !isSite(site)) {
+        for (Object element : list) {
+            if (!(element instanceof String site) || !isSite(site)) {
                 throw new InvalidFieldException("'" + name + "' names what is no site");
             }
             sites.add(site);
