--- a/src/main/java/merlinlever/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/routes/RouteTableWriter.java
@@ -8,62 +8,69 @@
 import java.util.stream.Collectors;
 import merlinlever.json.Json;
 
-/** Writes a table as {@link RouteTableReader} reads it, the same text for the same table. */
+/** Writes a table as JSON that {@link RouteTableReader} reads, the same text for the same table. */
 public final class RouteTableWriter {
 
+    private static final int DIGEST_BYTES = 16;
+
     private RouteTableWriter() {}
 
+    /** The table as text, one route a line. */
     public static String write(RouteTable table) {
-        StringBuilder text = new StringBuilder("{\"site\":")
-                .append(Json.quoted(table.site()))
-                .append(",\"incarnation\":")
-                .append(table.incarnation())
-                .append(",\"sequence\":")
-                .append(table.sequence())
-                .append(",\"relation\":\"")
-                .append(table.relation().wireName())
-                .append("\",\"lease-ms\":")
-                .append(table.lease().toMillis())
-                .append(",\"routes\":[");
-        String between = "\n";
+        StringBuilder text = new StringBuilder();
+        text.append("{\"site\":").append(Json.quoted(table.site()));
+        text.append(",\"incarnation\":").append(table.incarnation());
+        text.append(",\"sequence\":").append(table.sequence());
+        text.append(",\"relation\":\"").append(table.relation().wireName());
+        text.append("\",\"lease-ms\":").append(table.lease().toMillis());
+        text.append(",\"routes\":[");
+        String separator = "\n";
         for (Route route : table.routes().values()) {
-            text.append(between);
+            text.append(separator);
             writeRoute(text, route);
-            between = ",\n";
+            separator = ",\n";
         }
         return text.append("]}\n").toString();
     }
 
     private static void writeRoute(StringBuilder text, Route route) {
-        text.append("{\"tariff\":")
-                .append(Json.quoted(route.priorityClass()))
-                .append(",\"group\":")
-                .append(Json.quoted(route.group()))
-                .append(",\"place\":\"")
-                .append(route.address())
-                .append("\",\"calls\":")
-                .append(route.callsPerSecond())
-                .append(",\"cost\":")
-                .append(route.cost())
-                .append(route.allowsNonIdempotent() ? ",\"binding\":true" : "")
-                .append(",\"path\":")
-                .append(jsonArray(route.path()));
+        text.append("{\"tariff\":").append(Json.quoted(route.priorityClass()));
+        text.append(",\"group\":").append(Json.quoted(route.group()));
+        text.append(",\"place\":\"").append(route.address());
+        text.append("\",\"calls\":").append(route.callsPerSecond());
+        text.append(",\"cost\":").append(route.cost());
+        if (route.allowsNonIdempotent()) {
+            text.append(",\"binding\":true");
+        }
+        text.append(",\"path\":").append(jsonArray(route.path()));
         if (route.onlyToCustomerSite() != null) {
             text.append(",\"down-from\":").append(Json.quoted(route.onlyToCustomerSite()));
         }
-        Restrictions restrictions = route.restrictions();
+        writeRestrictions(text, route.restrictions());
+        text.append('}');
+    }
+
+    private static void writeRestrictions(StringBuilder text, Restrictions restrictions) {
         if (restrictions.unreadable()) {
             text.append(",\"restrictions\":null");
-        } else if (!restrictions.equals(Restrictions.NONE)) {
-            text.append(",\"restrictions\":{\"no-further\":")
-                    .append(restrictions.noExport())
-                    .append(restrictions.onlyTo() == null ? "" : ",\"only-to\":" + jsonArray(restrictions.onlyTo()))
-                    .append(restrictions.notTo().isEmpty() ? "" : ",\"not-to\":" + jsonArray(restrictions.notTo()))
-                    .append(",\"most-sites\":")
-                    .append(restrictions.maxSites())
-                    .append(restrictions.idempotentOnly() ? ",\"retriable-only\":true" : "")
-                    .append(restrictions.customersOnly() ? ",\"customers-only\":true" : "")
-                    .append('}');
+            return;
+        }
+        if (restrictions.equals(Restrictions.NONE)) {
+            return;
+        }
+        text.append(",\"restrictions\":{\"no-further\":").append(restrictions.noExport());
+        if (restrictions.onlyTo() != null) {
+            text.append(",\"only-to\":").append(jsonArray(restrictions.onlyTo()));
+        }
+        if (!restrictions.notTo().isEmpty()) {
+            text.append(",\"not-to\":").append(jsonArray(restrictions.notTo()));
+        }
+        text.append(",\"most-sites\":").append(restrictions.maxSites());
+        if (restrictions.idempotentOnly()) {
+            text.append(",\"retriable-only\":true");
+        }
+        if (restrictions.customersOnly()) {
+            text.append(",\"customers-only\":true");
         }
         text.append('}');
     }
@@ -72,13 +79,14 @@
         return sites.stream().map(Json::quoted).collect(Collectors.joining(",", "[", "]"));
     }
 
-    /** For telling two tables of one version apart. */
+    /** Tells two tables of one version apart. */
     public static String digest(RouteTable table) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(write(table).getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(hash, 0, 16);
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256").digest(write(table).getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 }
--- a/src/main/java/merlinlever/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/routes/RoutingTable.java
@@ -11,114 +11,169 @@
 import merlinlever.view.FleetView;
 import merlinlever.view.GuardedAction;
 
-/** One backend's knowledge of all partners: their tables, what follows from them and how long it holds, and what may be passed on. */
+/**
+ * All that one backend knows of its partners' routes: their tables, how long each is valid, which routes may be used, and which may
+ * be exported. Times are since the process began. Not thread-safe.
+ */
 public final class RoutingTable {
 
-    /** What is stated of one partner. */
+    /** A partner, and what it is to this site. */
     public record PartnerSettings(String site, Relation relation) {}
 
-    /** Partners at the most. */
+    /**
+     * What is held of a partner's table, for peers.
+     *
+     * @param remaining how long it is still valid
+     */
+    public record TableLease(String site, long incarnation, long sequence, String digest, Duration remaining) {}
+
+    /**
+     * The partner surely stood by a version of its table at a moment, or later.
+     *
+     * @param confirmedAt that moment, by this process's clock
+     * @param duration how long the table may be used from then
+     */
+    public record Renewal(
+            String site, long incarnation, long sequence, String digest, Duration confirmedAt, Duration duration) {
+
+        /** The partner stood by this table. */
+        public static Renewal of(RouteTable table, Duration confirmedAt) {
+            return new Renewal(
+                    table.site(),
+                    table.incarnation(),
+                    table.sequence(),
+                    RouteTableWriter.digest(table),
+                    confirmedAt,
+                    table.lease());
+        }
+    }
+
+    /** Upper bound of the partners. */
     public static final int MAX_PARTNERS = 64;
 
+    private static final int MAX_REJECTED_ROUTES_LOGGED = 20;
+
     private final RoutingPolicy policy;
     private final RouteMerger merger;
     private final FlapDamping damping;
     private final Map<String, PartnerTable> partners = new TreeMap<>();
     private final FleetView fleetView;
     private final Consumer<String> log;
-    /** Changes with whatever {@link #candidates} may say, but for the time. */
     private long edition;
 
+    /**
+     * @param clockDrift upper bound of the fraction by which two clocks run apart
+     * @param log takes one line an event
+     * @throws IllegalArgumentException if there are more than {@link #MAX_PARTNERS}
+     */
     public RoutingTable(
             RoutingPolicy policy,
-            List<PartnerSettings> stated,
-            double drift,
-            FlapDamping.FlapDampingSettings figures,
+            List<PartnerSettings> partners,
+            double clockDrift,
+            FlapDamping.FlapDampingSettings dampingSettings,
             FleetView fleetView,
             Consumer<String> log) {
         this.policy = policy;
         this.fleetView = fleetView;
         this.log = log;
         merger = new RouteMerger(policy);
-        damping = new FlapDamping(figures);
-        if (stated.size() > MAX_PARTNERS) {
+        damping = new FlapDamping(dampingSettings);
+        if (partners.size() > MAX_PARTNERS) {
             throw new IllegalArgumentException("over " + MAX_PARTNERS + " partners");
         }
-        stated.forEach(each -> partners.put(each.site(), new PartnerTable(each.site(), each.relation(), drift)));
+        for (PartnerSettings partner : partners) {
+            this.partners.put(partner.site(), new PartnerTable(partner.site(), partner.relation(), clockDrift));
+        }
     }
 
+    /** Name of this site. */
     public String self() {
         return policy.self();
     }
 
+    /** Names of the partners, in order. */
     public Collection<String> partners() {
         return partners.keySet();
     }
 
-    /** A partner's table came, from it or from another backend; it is used once it is known that the partner stands by it. */
+    private boolean mayWiden(Duration now) {
+        return fleetView.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED;
+    }
+
+    /**
+     * Takes in a partner's table, from it or from a peer; it is used once it is known that the partner stands by it.
+     *
+     * @return whether it is later than the one that was known
+     */
     public boolean offer(Duration now, RouteTable table) {
         PartnerTable partner = partners.get(table.site());
         if (partner == null) {
-            log.accept("a table of " + table.site() + ", which is no partner");
+            log.accept("route-table-rejected partner=" + table.site() + " reason=not-a-partner");
             return false;
         }
         RouteTable latest = partner.latest();
-        boolean changed = partner.offer(
-                now,
-                table,
-                RouteTableWriter.digest(table),
-                fleetView.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED,
-                log);
+        boolean changed = partner.offer(now, table, RouteTableWriter.digest(table), mayWiden(now), log);
         if (changed) {
-            apply(now, partner, loggingListener(now, partner.site));
+            apply(now, partner, dampingListener(now, partner.site()));
         }
         return changed && partner.latest() != latest;
     }
 
-    private RouteMerger.RouteListener loggingListener(Duration now, String site) {
+    /** Logs the first rejected routes, and counts withdrawals and changes. */
+    private RouteMerger.RouteListener dampingListener(Duration now, String partner) {
         return new RouteMerger.RouteListener() {
             private int lines;
 
             @Override
             public void onRejected(Route route, String rule) {
-                if (lines++ < 20) {
-                    log.accept(site + ": " + route.key() + " by " + String.join(" ", route.path()) + " is refused: "
-                            + rule);
+                if (lines < MAX_REJECTED_ROUTES_LOGGED) {
+                    log.accept("route-rejected partner=" + partner + " route=" + route.key() + " path="
+                            + String.join(">", route.path()) + " rule=" + rule);
                 }
+                lines++;
             }
 
             @Override
             public void onWithdrawn(Route route) {
-                damping.recordWithdrawal(now, site + " " + route.id());
+                damping.recordWithdrawal(now, dampingKey(partner, route));
             }
 
             @Override
             public void onChanged(Route route) {
-                damping.recordChange(now, site + " " + route.id());
+                damping.recordChange(now, dampingKey(partner, route));
             }
         };
     }
 
+    private static String dampingKey(String partner, Route route) {
+        return partner + " " + route.id();
+    }
+
     private void apply(Duration now, PartnerTable partner, RouteMerger.RouteListener listener) {
         RouteTable active = partner.active(now);
-        if (active != merger.table(partner.site)) {
-            edition++;
-            if (!merger.replaceTable(partner.site, partner.relation, active, listener)) {
-                log.accept(partner.site + ": no room for its routes; nothing of it is used");
-                merger.replaceTable(partner.site, partner.relation, null, RouteMerger.NO_LISTENER);
-            }
+        if (active == merger.table(partner.site())) {
+            return;
+        }
+        edition++;
+        if (!merger.replaceTable(partner.site(), partner.relation(), active, listener)) {
+            log.accept("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
+            merger.replaceTable(partner.site(), partner.relation(), null, RouteMerger.NO_LISTENER);
         }
     }
 
-    /** The partner surely stood by the version at that moment of this process, or later, and it may be used for so long from then. */
-    public boolean renew(
-            Duration now, String site, long incarnation, long sequence, String digest, Duration confirmedAt, Duration duration) {
-        PartnerTable partner = partners.get(site);
+    /** Renews the lease of a partner's table; returns whether it is of the version that is known. */
+    public boolean renew(Duration now, Renewal renewal) {
+        PartnerTable partner = partners.get(renewal.site());
         if (partner == null) {
             return false;
         }
         partner.expire(now);
-        if (!partner.renew(incarnation, sequence, digest, confirmedAt, duration)) {
+        if (!partner.renew(
+                renewal.incarnation(),
+                renewal.sequence(),
+                renewal.digest(),
+                renewal.confirmedAt(),
+                renewal.duration())) {
             return false;
         }
         adoptWidening(now, partner);
@@ -126,7 +181,7 @@
         return true;
     }
 
-    /** To be asked for every few ms: what ran out goes, what was held back is taken on where it may be. */
+    /** Drops what is no longer valid, and adopts what was held back where that is permitted; to be called every few ms. */
     public void tick(Duration now) {
         for (PartnerTable partner : partners.values()) {
             partner.expire(now);
@@ -138,24 +193,28 @@
     }
 
     private void adoptWidening(Duration now, PartnerTable partner) {
-        if (fleetView.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED && partner.adoptWidening()) {
-            log.accept(partner.site + ": " + PartnerTable.formatVersion(partner.latest()) + " is taken on whole");
+        if (mayWiden(now) && partner.adoptWidening()) {
+            log.accept("route-table-adopted partner=" + partner.site() + " version="
+                    + PartnerTable.formatVersion(partner.latest()));
         }
     }
 
-    /** For the calls of a key, best first, what is stale last; empty where this backend may not serve. */
+    private boolean isUsable(Duration now, RouteMerger.Candidate candidate) {
+        return partners.get(candidate.partner()).active(now) != null
+                && !damping.isSuppressed(now, dampingKey(candidate.partner(), candidate.route()));
+    }
+
+    /** The usable candidates of a key, best first, stale ones last; empty where this backend may not use routes. */
     public List<RouteMerger.Candidate> candidates(Duration now, String key) {
-        List<RouteMerger.Candidate> fresh = new ArrayList<>(), stale = new ArrayList<>();
         if (fleetView.permission(now, GuardedAction.USE_ADOPTED) == ActionPermissions.Permission.DENIED) {
-            return fresh;
+            return List.of();
         }
-        int considered = 0;
+        List<RouteMerger.Candidate> fresh = new ArrayList<>();
+        List<RouteMerger.Candidate> stale = new ArrayList<>();
         for (RouteMerger.Candidate candidate : merger.candidates(key)) {
-            PartnerTable partner = partners.get(candidate.partner());
-            if (partner.active(now) != null
-                    && !damping.isSuppressed(now, candidate.partner() + " " + candidate.route().id())) {
-                (partner.isStale(now) ? stale : fresh).add(candidate);
-                if (++considered >= RouteMerger.MAX_ALTERNATIVES) {
+            if (isUsable(now, candidate)) {
+                (isStale(now, candidate.partner()) ? stale : fresh).add(candidate);
+                if (fresh.size() + stale.size() >= RouteMerger.MAX_ALTERNATIVES) {
                     break;
                 }
             }
@@ -164,56 +223,61 @@
         return fresh;
     }
 
-    public boolean isStale(Duration now, String site) {
-        return partners.get(site).isStale(now);
+    /** Whether more than half of the lease of a partner's table is over. */
+    public boolean isStale(Duration now, String partner) {
+        return partners.get(partner).isStale(now);
     }
 
-    /** What of it is held here, as word for another backend. */
-    public record TableLease(String site, long incarnation, long sequence, String digest, Duration remaining) {}
-
-    /** What is held of a partner; null where nothing is. */
+    /** What is held of a partner's table; null where nothing is. */
     public TableLease lease(Duration now, String site) {
         PartnerTable partner = partners.get(site);
-        return partner == null || partner.latest() == null
-                ? null
-                : new TableLease(
-                        site, partner.latest().incarnation(), partner.latest().sequence(), partner.digest(), partner.remaining(now));
+        if (partner == null || partner.latest() == null) {
+            return null;
+        }
+        RouteTable latest = partner.latest();
+        return new TableLease(site, latest.incarnation(), latest.sequence(), partner.digest(), partner.remaining(now));
     }
 
-    /** The latest table of a partner, in use or not; null where there is none. */
-    public RouteTable latest(String site) {
-        return partners.get(site).latest();
+    /** The latest table of a partner, active or not; null where there is none. */
+    public RouteTable latest(String partner) {
+        return partners.get(partner).latest();
     }
 
-    public boolean isConflicting(String site) {
-        return partners.get(site).isConflicting();
+    /** Whether two tables came under the latest version of a partner. */
+    public boolean isConflicting(String partner) {
+        return partners.get(partner).isConflicting();
     }
 
-    /** What this site's own table to a partner may hold: its own routes and what may be passed on, the best of each key. */
-    public List<Route> export(Duration now, String receiver, Collection<Route> ownRoutes, String address, int callsPerSecond, int cost) {
-        return RouteExporter.of(
-                policy,
-                merger,
-                partners.get(receiver).relation,
-                receiver,
-                ownRoutes,
-                address,
-                callsPerSecond,
-                cost,
-                candidate -> partners.get(candidate.partner()).active(now) != null
-                        && !damping.isSuppressed(
-                                now, candidate.partner() + " " + candidate.route().id()));
+    /**
+     * What this site's own table to a partner may hold: its own routes and, for each key, the best that may be exported.
+     *
+     * @param address where this site takes calls of the routes that it exports on
+     * @param maxCallsPerSecond that it takes on each of them
+     * @param addedCost of the way through this site
+     */
+    public List<Route> export(
+            Duration now,
+            String receiver,
+            Collection<Route> ownRoutes,
+            String address,
+            int maxCallsPerSecond,
+            int addedCost) {
+        Relation relation = partners.get(receiver).relation();
+        RouteExporter.Terms terms = new RouteExporter.Terms(receiver, relation, address, maxCallsPerSecond, addedCost);
+        return RouteExporter.export(policy, merger, terms, ownRoutes, candidate -> isUsable(now, candidate));
     }
 
-    /** Of all tables in use, as text: two backends with the same text decide the same. */
+    /** Of all active tables, as text: two backends with the same text decide the same. */
     public String describe() {
         return merger.describe();
     }
 
+    /** How many routes all active tables have. */
     public int routeCount() {
         return merger.routeCount();
     }
 
+    /** Changes with whatever {@link #candidates} may return, but for the passing of time. */
     public long edition() {
         return edition;
     }
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -6,26 +6,34 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.TreeMap;
+import java.util.regex.Pattern;
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 import merlinlever.replication.VersionedEntry;
 
 /**
- * A table as words that the backends share: deflated and cut where it is longer than a word may be. It is put together again only
- * when all parts of one version are there and make the table that the digest says; half a table is none.
+ * A table as entries that the backends replicate: deflated, and split where it is longer than an entry may be. It is assembled
+ * only when all chunks of one version are there and make the table that the digest says. Not thread-safe.
  */
 final class TableChunks {
 
-    /** Parts of a table at the most. */
+    /** Upper bound of the chunks of a table. */
     static final int MAX_CHUNKS = 256;
 
+    private static final String TOPIC_PREFIX = "routes.";
+    private static final int MAX_HEADER_BYTES = 60;
     private static final int CHUNK_BYTES = VersionedEntry.MOST_OCTETS - 64;
+    private static final int BUFFER_BYTES = 8192;
+    private static final Pattern HEADER = Pattern.compile("[1-9][0-9]{0,2} [0-9a-f]{32}");
+    private static final Pattern TOPIC = Pattern.compile("routes\\.[0-9]{1,3}");
 
-    /** The parts of one version of a partner's, as far as they came. */
+    /** The chunks of one version of a partner's table, as far as they came. */
     private static final class IncompleteTable {
-        final long incarnation, sequence;
+        final long incarnation;
+        final long sequence;
         final String header;
         final byte[][] chunks;
 
@@ -35,26 +43,40 @@
             this.header = header;
             chunks = new byte[count][];
         }
+
+        boolean isSameVersion(VersionedEntry chunk) {
+            return chunk.incarnation() == incarnation && chunk.sequence() == sequence;
+        }
+
+        boolean isOlderThan(VersionedEntry chunk) {
+            return chunk.incarnation() > incarnation
+                    || (chunk.incarnation() == incarnation && chunk.sequence() > sequence);
+        }
+
+        boolean isComplete() {
+            return Arrays.stream(chunks).allMatch(Objects::nonNull);
+        }
+
+        String digest() {
+            return header.substring(header.indexOf(' ') + 1);
+        }
     }
 
-    /** One for each partner: the latest of which any part came. */
+    /** By partner: the latest version of which any chunk came. */
     private final Map<String, IncompleteTable> incomplete = new TreeMap<>();
 
-    static String topic(int part) {
-        return "routes." + part;
+    static String topic(int chunk) {
+        return TOPIC_PREFIX + chunk;
     }
 
+    /** Whether an entry is a chunk of a table. */
+    static boolean isChunk(VersionedEntry entry) {
+        return entry.topic().startsWith(TOPIC_PREFIX);
+    }
+
+    /** The chunks of a table; none where it is too large. Each has a line with their count and the digest in front. */
     static List<VersionedEntry> split(RouteTable table) {
-        Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        deflater.setInput(RouteTableWriter.write(table).getBytes(StandardCharsets.UTF_8));
-        deflater.finish();
-        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
-        byte[] buffer = new byte[8192];
-        while (!deflater.finished()) {
-            compressed.write(buffer, 0, deflater.deflate(buffer));
-        }
-        deflater.end();
-        byte[] bytes = compressed.toByteArray();
+        byte[] bytes = deflate(RouteTableWriter.write(table).getBytes(StandardCharsets.UTF_8));
         int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
         List<VersionedEntry> chunks = new ArrayList<>();
         byte[] header = (count + " " + RouteTableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
@@ -67,65 +89,90 @@
         return chunks;
     }
 
-    /** A part came; the table where it was the last that was missing, or null. */
+    private static byte[] deflate(byte[] bytes) {
+        Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+        deflater.setInput(bytes);
+        deflater.finish();
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        byte[] buffer = new byte[BUFFER_BYTES];
+        while (!deflater.finished()) {
+            compressed.write(buffer, 0, deflater.deflate(buffer));
+        }
+        deflater.end();
+        return compressed.toByteArray();
+    }
+
+    /** Takes in a chunk; returns the table where it was the last that was missing, else null. */
     RouteTable receive(VersionedEntry chunk) {
-        int headerLength = 0;
-        while (chunk.value() != null && headerLength < chunk.value().length && headerLength < 60 && chunk.value()[headerLength] != '\n') {
-            headerLength++;
+        byte[] value = chunk.value();
+        if (value == null) {
+            return null;
         }
-        String header = chunk.value() == null ? "" : new String(chunk.value(), 0, headerLength, StandardCharsets.US_ASCII);
-        if (!header.matches("[1-9][0-9]{0,2} [0-9a-f]{32}") || !chunk.topic().matches("routes\\.[0-9]{1,3}")) {
+        int headerLength = headerLength(value);
+        String header = new String(value, 0, headerLength, StandardCharsets.US_ASCII);
+        if (!HEADER.matcher(header).matches() || !TOPIC.matcher(chunk.topic()).matches()) {
             return null;
         }
-        int count = Integer.parseInt(header.substring(0, header.indexOf(' '))),
-                index = Integer.parseInt(chunk.topic().substring(7));
+        int count = Integer.parseInt(header.substring(0, header.indexOf(' ')));
+        int index = Integer.parseInt(chunk.topic().substring(TOPIC_PREFIX.length()));
+        boolean isUnknownPartner = !incomplete.containsKey(chunk.owner());
         if (count > MAX_CHUNKS
                 || index >= count
-                || !incomplete.containsKey(chunk.owner()) && incomplete.size() >= RoutingTable.MAX_PARTNERS) {
+                || (isUnknownPartner && incomplete.size() >= RoutingTable.MAX_PARTNERS)) {
             return null;
         }
         IncompleteTable table = incomplete.get(chunk.owner());
-        if (table != null
-                && !header.equals(table.header)
-                && chunk.incarnation() == table.incarnation
-                && chunk.sequence() == table.sequence) {
-            // Two under one version; it begins anew with this one, and the other was taken or will come again.
-            table = null;
-        }
-        if (table == null
-                || chunk.incarnation() > table.incarnation
-                || chunk.incarnation() == table.incarnation && chunk.sequence() > table.sequence) {
-            incomplete.put(chunk.owner(), table = new IncompleteTable(chunk, header, count));
-        } else if (chunk.incarnation() != table.incarnation || chunk.sequence() != table.sequence) {
+        // Two tables under one version: it begins anew with this one, and the other was taken or will come again.
+        boolean isConflicting = table != null && table.isSameVersion(chunk) && !header.equals(table.header);
+        if (table == null || isConflicting || table.isOlderThan(chunk)) {
+            table = new IncompleteTable(chunk, header, count);
+            incomplete.put(chunk.owner(), table);
+        } else if (!table.isSameVersion(chunk)) {
             return null;
         }
-        table.chunks[index] = Arrays.copyOfRange(chunk.value(), headerLength + 1, chunk.value().length);
-        return Arrays.stream(table.chunks).allMatch(each -> each != null) ? assemble(chunk.owner(), table) : null;
+        table.chunks[index] = Arrays.copyOfRange(value, headerLength + 1, value.length);
+        return table.isComplete() ? assemble(chunk.owner(), table) : null;
     }
 
-    private static RouteTable assemble(String site, IncompleteTable incompleteTable) {
+    private static int headerLength(byte[] value) {
+        int length = 0;
+        while (length < value.length && length < MAX_HEADER_BYTES && value[length] != '\n') {
+            length++;
+        }
+        return length;
+    }
+
+    private static RouteTable assemble(String site, IncompleteTable complete) {
         ByteArrayOutputStream compressed = new ByteArrayOutputStream();
-        Arrays.stream(incompleteTable.chunks).forEach(each -> compressed.write(each, 0, each.length));
+        for (byte[] chunk : complete.chunks) {
+            compressed.write(chunk, 0, chunk.length);
+        }
+        try {
+            RouteTable table =
+                    RouteTableReader.read(inflate(compressed.toByteArray())).table();
+            boolean isAsAnnounced = table.site().equals(site)
+                    && table.incarnation() == complete.incarnation
+                    && table.sequence() == complete.sequence
+                    && RouteTableWriter.digest(table).equals(complete.digest());
+            return isAsAnnounced ? table : null;
+        } catch (DataFormatException | RouteTableReader.UnusableTableException e) {
+            return null;
+        }
+    }
+
+    /** Stops a little beyond {@link RouteTableReader#MAX_CHARACTERS}, which the reader then refuses. */
+    private static String inflate(byte[] compressed) throws DataFormatException {
         Inflater inflater = new Inflater();
-        inflater.setInput(compressed.toByteArray());
-        ByteArrayOutputStream text = new ByteArrayOutputStream();
-        byte[] buffer = new byte[8192];
         try {
+            inflater.setInput(compressed);
+            ByteArrayOutputStream text = new ByteArrayOutputStream();
+            byte[] buffer = new byte[BUFFER_BYTES];
             int length = inflater.inflate(buffer);
             while (length > 0 && text.size() <= RouteTableReader.MAX_CHARACTERS) {
                 text.write(buffer, 0, length);
                 length = inflater.inflate(buffer);
             }
-            RouteTable table =
-                    RouteTableReader.read(text.toString(StandardCharsets.UTF_8)).table();
-            return table.site().equals(site)
-                            && table.incarnation() == incompleteTable.incarnation
-                            && table.sequence() == incompleteTable.sequence
-                            && RouteTableWriter.digest(table).equals(incompleteTable.header.substring(incompleteTable.header.indexOf(' ') + 1))
-                    ? table
-                    : null;
-        } catch (DataFormatException | RouteTableReader.UnusableTableException e) {
-            return null;
+            return text.toString(StandardCharsets.UTF_8);
         } finally {
             inflater.end();
         }
--- a/src/main/java/merlinlever/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/routes/net/RouteTableFiles.java
@@ -9,79 +9,84 @@
 import java.util.function.Consumer;
 import merlinlever.routes.RouteTable;
 import merlinlever.routes.RouteTableReader;
-import merlinlever.routes.RouteTableWriter;
 import merlinlever.routes.RoutingTable;
 
 /**
- * Partners' tables as files that a job of the operator replaces whenever it has asked the partner. A file that was written anew
- * since the last look shows that the partner stood by it at most the stated span before; one that was there at the first look may be
- * of any age, and gives no lease until it is written again. The Unix clock does not count.
+ * Partners' tables as files that a job of the operator replaces whenever it has fetched one from the partner. A file that was
+ * rewritten since the last poll shows that the partner stood by it at most a known time before; one that was there at the first
+ * poll may be of any age, and renews no lease until it is rewritten. The wall clock does not matter. Not thread-safe.
  */
 public final class RouteTableFiles {
 
     private static final long MAX_BYTES = RouteTableReader.MAX_CHARACTERS;
+    private static final String ABSENT = "absent";
 
-    private final RoutingTable routes;
+    private final RoutingTable routingTable;
     private final Map<String, Path> files;
     private final Duration maxFetchTime;
     private final Consumer<String> log;
-    /** When each was written, as the file system says; for telling writes apart alone. */
+    /** Of each file its time and size as the file system has them, which only serve to tell writes apart. */
     private final Map<String, String> lastModified = new TreeMap<>();
 
     private Duration lastPollAt;
 
-    /** @param maxFetchTime the job has a table in its file at most so long after it asked the partner, and looks are not counted */
-    public RouteTableFiles(RoutingTable routes, Map<String, Path> files, Duration maxFetchTime, Consumer<String> log) {
-        this.routes = routes;
+    /**
+     * @param files by partner
+     * @param maxFetchTime the job has a table in its file at most so long after it asked the partner, polls not counted
+     */
+    public RouteTableFiles(
+            RoutingTable routingTable, Map<String, Path> files, Duration maxFetchTime, Consumer<String> log) {
+        this.routingTable = routingTable;
         this.files = new TreeMap<>(files);
         this.maxFetchTime = maxFetchTime;
         this.log = log;
     }
 
-    /** Reads what was written since the last look. */
+    /** Reads the files that were rewritten since the last poll. */
     public void poll(Duration now) {
-        files.forEach((site, file) -> {
+        files.forEach((partner, file) -> {
             try {
-                String state = Files.exists(file) ? Files.getLastModifiedTime(file) + " " + Files.size(file) : "none";
-                String previous = lastModified.put(site, state);
-                if (!state.equals(previous) && !state.equals("none")) {
-                    read(now, site, file, previous != null);
+                String current = modification(file);
+                String previous = lastModified.put(partner, current);
+                if (!current.equals(previous) && !current.equals(ABSENT)) {
+                    read(now, partner, file, previous != null);
                 }
             } catch (IOException e) {
-                log.accept(site + ": " + file.getFileName() + " cannot be read: "
+                log.accept("route-file-unreadable partner=" + partner + " file=" + file.getFileName() + " error="
                         + e.getClass().getSimpleName());
             }
         });
         lastPollAt = now;
     }
 
-    private void read(Duration now, String site, Path file, boolean isRewritten) throws IOException {
-        if (Files.size(file) > MAX_BYTES) {
-            log.accept(site + ": " + file.getFileName() + " has over " + MAX_BYTES + " octets");
+    private static String modification(Path file) throws IOException {
+        return Files.exists(file) ? Files.getLastModifiedTime(file) + " " + Files.size(file) : ABSENT;
+    }
+
+    private void read(Duration now, String partner, Path file, boolean isRewritten) throws IOException {
+        long bytes = Files.size(file);
+        if (bytes > MAX_BYTES) {
+            log.accept("route-file-rejected partner=" + partner + " file=" + file.getFileName()
+                    + " reason=too-large bytes=" + bytes + " max_bytes=" + MAX_BYTES);
             return;
         }
         try {
-            RouteTableReader.ParsedTable read = RouteTableReader.read(Files.readString(file));
-            read.faults().forEach(fault -> log.accept(site + ": " + fault));
-            RouteTable table = read.table();
-            if (!table.site().equals(site)) {
-                log.accept(site + ": " + file.getFileName() + " has a table of " + table.site());
+            RouteTableReader.ParsedTable parsed = RouteTableReader.read(Files.readString(file));
+            parsed.faults().forEach(fault -> log.accept("route-fault partner=" + partner + " fault=" + fault));
+            RouteTable table = parsed.table();
+            if (!table.site().equals(partner)) {
+                log.accept("route-file-rejected partner=" + partner + " file=" + file.getFileName()
+                        + " reason=wrong-site site=" + table.site());
                 return;
             }
-            routes.offer(now, table);
+            routingTable.offer(now, table);
             if (isRewritten) {
-                // Written after the last look, and asked for at most so long before it was written.
-                routes.renew(
-                        now,
-                        site,
-                        table.incarnation(),
-                        table.sequence(),
-                        RouteTableWriter.digest(table),
-                        lastPollAt.minus(maxFetchTime),
-                        table.lease());
+                // Written after the last poll, and asked for at most so long before it was written.
+                routingTable.renew(now, RoutingTable.Renewal.of(table, lastPollAt.minus(maxFetchTime)));
             }
         } catch (RouteTableReader.UnusableTableException e) {
-            log.accept(site + ": " + e.getMessage());
+            log.accept("route-file-rejected partner=" + partner + " file=" + file.getFileName() + " reason="
+                    + e.getMessage());
         }
     }
 }
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -21,193 +21,229 @@
 import merlinlever.routes.RoutingTable;
 
 /**
- * The calls of one backend, to its own records service and to places of partners, which speak the same protocol: carries out what
- * {@link RouteSelector} decides and tells the module how much room there is while its own service is not good. What surely never ran at
- * the own service is sent on within the same call; what may have had its effect never is.
+ * The calls of one backend, to its own records service and to partners, which speak the same protocol: carries out what {@link
+ * RouteSelector} decides, and reports how many calls per second there is capacity for while its own service is not healthy. A call
+ * that surely did not run at the own service is sent on at once; one that may have taken effect never is. On the loop's thread
+ * only.
  */
 public final class RoutedDownstreamService implements DownstreamService {
 
-    /** Places that links are kept for; a further one is not called. */
+    /** Upper bound of the partner addresses that have connections; a further one is not called. */
     private static final int MAX_PARTNER_ADDRESSES = 64;
-    /** Operations whose tries are remembered, the oldest forgotten first: as many as the core keeps marks for. */
+    /** Upper bound of the requests whose attempts are remembered, the oldest forgotten first: as many as the core caches keys of. */
     private static final int MAX_TRACKED_REQUESTS = 8192;
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final long LOCAL_SERVICE_HEALTHY = -1;
     private static final RouteSelector.RoutingClass LOCAL_ONLY =
             new RouteSelector.RoutingClass("-", RouteSelector.RetrySafety.NON_IDEMPOTENT, false);
 
-    /** What became of the calls of one operation since the last that went well. */
+    /** What became of the calls of one request since the last that succeeded. */
     private static final class CallAttempts {
-        final Set<String> places = new HashSet<>();
-        boolean missing;
-        TrackedRequest work;
+        final Set<String> addresses = new HashSet<>();
+        boolean mayHaveTakenEffect;
+        TrackedRequest request;
         byte[] body;
-        Duration began, until;
-        /** Where its call is in hand; null where none is. */
-        RecordsClient link;
+        Duration startedAt;
+        Duration deadline;
+        /** Where its call is in flight; null where none is. */
+        RecordsClient client;
     }
 
+    /**
+     * What is routed, and where the own service is.
+     *
+     * @param ownAddress of the own records service
+     * @param maxConnections to the own service, and to each address of a partner
+     * @param routingClasses of the priority classes; a class that is not among them stays
+     * @param group of the routes
+     */
+    public record RoutingSettings(
+            InetSocketAddress ownAddress,
+            int maxConnections,
+            List<RouteSelector.RoutingClass> routingClasses,
+            String group) {}
+
     private final EventLoop loop;
-    private final CompletionListener maker;
+    private final CompletionListener listener;
     private final Log log;
-    private final RecordsClient own;
-    private final RoutingTable routes;
-    private final RouteSelector exits;
-    private final LocalServiceHealth state;
-    private final Map<String, RouteSelector.RoutingClass> tariffs = new TreeMap<>();
-    private final String group;
-    private final int most;
-    private final Map<String, RecordsClient> links = new TreeMap<>();
-    private final Map<Long, CallAttempts> all = new LinkedHashMap<>();
-    private LocalServiceHealth.HealthState told = LocalServiceHealth.HealthState.HEALTHY;
-    private long ways;
+    private final RecordsClient ownClient;
+    private final RoutingTable routingTable;
+    private final RouteSelector selector;
+    private final LocalServiceHealth localHealth;
+    private final RoutingSettings settings;
+    private final Map<String, RouteSelector.RoutingClass> routingClasses = new TreeMap<>();
+    private final Map<String, RecordsClient> partnerClients = new TreeMap<>();
+    private final Map<Long, CallAttempts> attemptsByRequest = new LinkedHashMap<>();
+    private LocalServiceHealth.HealthState loggedState = LocalServiceHealth.HealthState.HEALTHY;
+    private long lastCapacity = LOCAL_SERVICE_HEALTHY;
+    private long callsToPartners;
 
     /**
-     * @param most connections to the own service, and to each place of a partner, at the same time
-     * @param room hears how many calls a second there is room for, or -1 while its own service is good; whenever that changes
+     * @param listener is told the outcome of each call
+     * @param onCapacity takes how many calls per second there is capacity for, or -1 while the own service is healthy; whenever
+     *     that changes
      */
     public RoutedDownstreamService(
             EventLoop loop,
-            InetSocketAddress ownAt,
-            CompletionListener maker,
+            CompletionListener listener,
             Log log,
-            int most,
-            RoutingTable routes,
-            RouteSelector exits,
-            LocalServiceHealth state,
-            List<RouteSelector.RoutingClass> tariffs,
-            String group,
-            LongConsumer room) {
+            RoutingTable routingTable,
+            RouteSelector selector,
+            LocalServiceHealth localHealth,
+            RoutingSettings settings,
+            LongConsumer onCapacity) {
         this.loop = loop;
-        this.maker = maker;
+        this.listener = listener;
         this.log = log;
-        this.routes = routes;
-        this.exits = exits;
-        this.state = state;
-        this.group = group;
-        this.most = most;
-        tariffs.forEach(each -> this.tariffs.put(each.name(), each));
-        own = new RecordsClient(loop, ownAt, (now, id, how, reply) -> ended(now, id, how, reply, null), log, most);
-        long[] last = {-1};
-        loop.every(TICK_INTERVAL, () -> {
-            routes.tick(loop.clock().uptime());
-            long now = state.state() == LocalServiceHealth.HealthState.HEALTHY
-                    ? -1
-                    : exits.room(loop.clock().uptime(), tariffs, group);
-            if (now != last[0]) {
-                last[0] = now;
-                room.accept(now);
-            }
-        });
+        this.routingTable = routingTable;
+        this.selector = selector;
+        this.localHealth = localHealth;
+        this.settings = settings;
+        settings.routingClasses().forEach(routingClass -> routingClasses.put(routingClass.name(), routingClass));
+        ownClient = new RecordsClient(
+                loop,
+                settings.ownAddress(),
+                (now, id, outcome, reply) -> localCallEnded(now, id, outcome, reply),
+                log,
+                settings.maxConnections());
+        loop.every(TICK_INTERVAL, () -> tick(onCapacity));
+    }
+
+    private void tick(LongConsumer onCapacity) {
+        Duration now = loop.clock().uptime();
+        routingTable.tick(now);
+        long capacity = isLocalHealthy()
+                ? LOCAL_SERVICE_HEALTHY
+                : selector.callsPerSecond(now, settings.routingClasses(), settings.group());
+        if (capacity != lastCapacity) {
+            lastCapacity = capacity;
+            onCapacity.accept(capacity);
+        }
+    }
+
+    private boolean isLocalHealthy() {
+        return localHealth.state() == LocalServiceHealth.HealthState.HEALTHY;
     }
 
-    /** Its own service is to be reached there from now on. */
-    public void moveTo(InetSocketAddress there) {
-        own.moveTo(there);
+    /** The own service is reached at that address from now on. */
+    public void moveTo(InetSocketAddress address) {
+        ownClient.moveTo(address);
     }
 
-    /** Calls that went to partners. */
-    public long ways() {
-        return ways;
+    /** How many calls went to partners. */
+    public long callsToPartners() {
+        return callsToPartners;
     }
 
     @Override
-    public void call(TrackedRequest work, byte[] body, Duration within) {
+    public void call(TrackedRequest request, byte[] body, Duration within) {
         Duration now = loop.clock().uptime();
-        CallAttempts its = all.computeIfAbsent(work.id(), id -> new CallAttempts());
-        if (all.size() > MAX_TRACKED_REQUESTS) {
-            all.remove(all.keySet().iterator().next());
+        CallAttempts attempts = attemptsByRequest.computeIfAbsent(request.id(), id -> new CallAttempts());
+        if (attemptsByRequest.size() > MAX_TRACKED_REQUESTS) {
+            attemptsByRequest.remove(attemptsByRequest.keySet().iterator().next());
         }
-        its.work = work;
-        its.body = body;
-        its.began = now;
-        its.until = now.plus(within);
-        if (its.missing && !its.places.isEmpty() && tariff(work).retrySafety() != RouteSelector.RetrySafety.IDEMPOTENT) {
-            // It may have had its effect at a partner: there is no second way, not even home.
-            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), Outcome.CUT_OFF, null));
-        } else if (state.state() == LocalServiceHealth.HealthState.HEALTHY
-                || state.shouldProbe(now)
-                || !elsewhere(now, its, false)) {
-            its.link = own;
-            own.call(work, body, within);
+        attempts.request = request;
+        attempts.body = body;
+        attempts.startedAt = now;
+        attempts.deadline = now.plus(within);
+        boolean isIdempotent = routingClass(request).retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT;
+        if (attempts.mayHaveTakenEffect && !attempts.addresses.isEmpty() && !isIdempotent) {
+            // It may have taken effect at a partner: there is no second attempt, not even at home.
+            loop.execute(() -> listener.callEnded(loop.clock().now(), request.id(), Outcome.CUT_OFF, null));
+        } else if (isLocalHealthy() || localHealth.shouldProbe(now) || !callPartner(now, attempts, false)) {
+            attempts.client = ownClient;
+            ownClient.call(request, body, within);
         }
     }
 
-    private RouteSelector.RoutingClass tariff(TrackedRequest work) {
-        return tariffs.getOrDefault(work.tariffName(), LOCAL_ONLY);
+    private RouteSelector.RoutingClass routingClass(TrackedRequest request) {
+        return routingClasses.getOrDefault(request.tariffName(), LOCAL_ONLY);
     }
 
-    /** Sends it along a route; false where there is none. */
-    private boolean elsewhere(Duration now, CallAttempts its, boolean overShare) {
-        Optional<RouteSelector.SelectedRoute> way = exits.selectRoute(
-                now,
-                new RouteSelector.RoutedCall(tariff(its.work), group, its.work.key(), its.places, its.missing),
-                state.state(),
-                overShare);
-        RecordsClient link = way.isEmpty() ? null : link(way.get().address());
-        if (link == null || its.until.compareTo(now) <= 0) {
+    /** Sends the call along a route; returns false where there is none. */
+    private boolean callPartner(Duration now, CallAttempts attempts, boolean isOverQuota) {
+        RouteSelector.RoutedCall call = new RouteSelector.RoutedCall(
+                routingClass(attempts.request),
+                settings.group(),
+                attempts.request.key(),
+                attempts.addresses,
+                attempts.mayHaveTakenEffect);
+        Optional<RouteSelector.SelectedRoute> route = selector.selectRoute(now, call, localHealth.state(), isOverQuota);
+        if (route.isEmpty()) {
             return false;
         }
-        ways++;
-        its.places.add(way.get().address());
-        its.began = now;
-        its.link = link;
-        link.call(its.work, its.body, its.until.minus(now));
+        String address = route.get().address();
+        RecordsClient client = partnerClient(address);
+        if (client == null || attempts.deadline.compareTo(now) <= 0) {
+            return false;
+        }
+        callsToPartners++;
+        attempts.addresses.add(address);
+        attempts.startedAt = now;
+        attempts.client = client;
+        client.call(attempts.request, attempts.body, attempts.deadline.minus(now));
         return true;
     }
 
-    private RecordsClient link(String place) {
-        RecordsClient link = links.get(place);
-        if (link == null && links.size() < MAX_PARTNER_ADDRESSES) {
-            int colon = place.lastIndexOf(':');
-            // Numbers alone, by the reader of tables: nothing is looked up.
-            InetSocketAddress at =
-                    new InetSocketAddress(place.substring(0, colon), Integer.parseInt(place.substring(colon + 1)));
-            link = new RecordsClient(loop, at, (now, id, how, reply) -> ended(now, id, how, reply, place), log, most);
-            links.put(place, link);
+    /** The connections to an address, or null where there are too many addresses. */
+    private RecordsClient partnerClient(String address) {
+        RecordsClient client = partnerClients.get(address);
+        if (client == null && partnerClients.size() < MAX_PARTNER_ADDRESSES) {
+            int colon = address.lastIndexOf(':');
+            // Numeric, as the reader of tables makes sure: nothing is looked up.
+            InetSocketAddress socketAddress =
+                    new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+            client = new RecordsClient(loop, socketAddress, this::callEnded, log, settings.maxConnections());
+            partnerClients.put(address, client);
         }
-        return link;
+        return client;
     }
 
-    private void ended(Duration moduleNow, long id, Outcome how, byte[] reply, String place) {
-        Duration now = loop.clock().uptime();
-        CallAttempts its = all.get(id);
-        if (its == null) {
-            maker.callEnded(moduleNow, id, how, reply);
-            return;
-        }
-        its.link = null;
-        if (place == null) {
-            state.recordOutcome(now, how, now.minus(its.began));
-            if (state.state() != told) {
-                told = state.state();
-                log.info("records service: " + told.wireName());
+    private void localCallEnded(Duration moduleNow, long id, Outcome outcome, byte[] reply) {
+        CallAttempts attempts = attemptsByRequest.get(id);
+        if (attempts != null) {
+            Duration now = loop.clock().uptime();
+            localHealth.recordOutcome(now, outcome, now.minus(attempts.startedAt));
+            if (localHealth.state() != loggedState) {
+                loggedState = localHealth.state();
+                log.info("records-service-health state=" + loggedState.wireName());
             }
         }
-        its.missing |= how != Outcome.OK && !how.provesUnrun();
-        boolean unrun = how == Outcome.UNREACHABLE || how == Outcome.TURNED_AWAY;
-        if (unrun && elsewhere(now, its, true)) {
+        callEnded(moduleNow, id, outcome, reply);
+    }
+
+    private void callEnded(Duration moduleNow, long id, Outcome outcome, byte[] reply) {
+        CallAttempts attempts = attemptsByRequest.get(id);
+        if (attempts == null) {
+            listener.callEnded(moduleNow, id, outcome, reply);
+            return;
+        }
+        attempts.client = null;
+        attempts.mayHaveTakenEffect |= outcome != Outcome.OK && !outcome.provesUnrun();
+        boolean surelyDidNotRun = outcome == Outcome.UNREACHABLE || outcome == Outcome.TURNED_AWAY;
+        if (surelyDidNotRun && callPartner(loop.clock().uptime(), attempts, true)) {
             return;
         }
-        if (how == Outcome.OK) {
-            all.remove(id);
+        if (outcome == Outcome.OK) {
+            attemptsByRequest.remove(id);
         }
-        maker.callEnded(moduleNow, id, how, reply);
+        listener.callEnded(moduleNow, id, outcome, reply);
     }
 
     @Override
-    public void giveUp(TrackedRequest work) {
-        CallAttempts its = all.get(work.id());
-        if (its != null && its.link != null) {
-            its.link.giveUp(work);
-            its.link = null;
-            its.missing = true;
+    public void giveUp(TrackedRequest request) {
+        CallAttempts attempts = attemptsByRequest.get(request.id());
+        if (attempts != null && attempts.client != null) {
+            attempts.client.giveUp(request);
+            attempts.client = null;
+            attempts.mayHaveTakenEffect = true;
         }
     }
 
-    /** What it knows, as members of a JSON object. */
+    /** The state as members of a JSON object, as {@code GET /state} shows it. */
     public String json() {
-        return "\"routes\":{\"own\":\"" + state.state().wireName() + "\",\"known\":" + routes.routeCount() + ",\"sent\":"
-                + ways + "}";
+        return "\"routes\":{\"own\":\"" + localHealth.state().wireName() + "\",\"known\":" + routingTable.routeCount()
+                + ",\"sent\":" + callsToPartners + "}";
     }
 }
--- a/src/main/java/merlinlever/routes/net/package-info.java
+++ b/src/main/java/merlinlever/routes/net/package-info.java
@@ -1,2 +1,2 @@
-/** Calls to partner sites, behind the same seam as those to the own records service. */
+/** Partner sites on the event loop: files that hold partners' tables, and calls that go to partners. */
 package merlinlever.routes.net;
--- a/src/main/java/merlinlever/routes/package-info.java
+++ b/src/main/java/merlinlever/routes/package-info.java
@@ -1,6 +1,8 @@
 /**
- * Partner sites that take calls for each other: tables of routes ({@link merlinlever.routes.Table}), what of them may be used and
- * passed on ({@link merlinlever.routes.Rules}), what follows from all of them ({@link merlinlever.routes.Merge}), how long each
- * holds ({@link merlinlever.routes.Partner}) and which way a call goes ({@link merlinlever.routes.Exits}). Decisions alone.
+ * Partner sites that take calls for each other. A site publishes a {@link merlinlever.routes.RouteTable} of routes to each partner;
+ * {@link merlinlever.routes.RoutingPolicy} says which of them may be used and which may be exported on, {@link
+ * merlinlever.routes.RouteMerger} ranks those of all partners, {@link merlinlever.routes.PartnerTable} keeps how long each table is
+ * valid, and {@link merlinlever.routes.RouteSelector} selects the route of a call. Without input, output, threads or clocks; see
+ * docs/fleet/routes.md. The rules follow BGP (RFC 4271) where it has the same problem.
  */
 package merlinlever.routes;
--- a/src/main/java/merlinlever/view/ActionPermissions.java
+++ b/src/main/java/merlinlever/view/ActionPermissions.java
@@ -1,34 +1,80 @@
 package merlinlever.view;
 
-import static merlinlever.view.ActionPermissions.Permission.ALLOWED_WHILE_LEASED;
-import static merlinlever.view.ActionPermissions.Permission.DENIED;
-import static merlinlever.view.ActionPermissions.Permission.ALLOWED;
-
 import java.util.Map;
 
-/** What may be done in which standing: the one table, asked by all who depend on the others. None makes a quorum of its own. */
+/** What may be done at which quorum status: the one table for the whole program, so that no part makes up a quorum of its own. */
 public final class ActionPermissions {
 
-    /** The answer: always, only while what was adopted holds its lease (then what is safe alone), or not at all. */
+    /** The answer to whether an action may be done. */
     public enum Permission {
         ALLOWED,
+        /** Only while what was adopted holds its lease; after that only what is safe in isolation. */
         ALLOWED_WHILE_LEASED,
         DENIED
     }
 
-    /** In the order of {@link QuorumStatus}: whole, most, few, alone, disagreeing, returning. */
-    private static final Map<GuardedAction, Permission[]> TABLE = Map.of(
-            GuardedAction.DECIDE, new Permission[] {ALLOWED, ALLOWED, DENIED, DENIED, DENIED, DENIED},
-            GuardedAction.GRANT_QUOTA, new Permission[] {ALLOWED, ALLOWED, DENIED, DENIED, DENIED, DENIED},
-            GuardedAction.ADOPT_WIDENING, new Permission[] {ALLOWED, ALLOWED, DENIED, DENIED, DENIED, DENIED},
-            GuardedAction.ADOPT_RESTRICTION, new Permission[] {ALLOWED, ALLOWED, ALLOWED, ALLOWED, ALLOWED, ALLOWED},
-            GuardedAction.USE_ADOPTED, new Permission[] {ALLOWED, ALLOWED, ALLOWED_WHILE_LEASED, ALLOWED_WHILE_LEASED, ALLOWED_WHILE_LEASED, DENIED},
-            // Its own marks on the disk hold it; the others know nothing of what it ran (docs/fleet/recovery.md).
-            GuardedAction.START_KEYED_REQUEST, new Permission[] {ALLOWED, ALLOWED, ALLOWED, ALLOWED, DENIED, DENIED});
+    private static final Map<QuorumStatus, Permission> WITH_QUORUM = row(
+            Permission.ALLOWED,
+            Permission.ALLOWED,
+            Permission.DENIED,
+            Permission.DENIED,
+            Permission.DENIED,
+            Permission.DENIED);
+
+    private static final Map<GuardedAction, Map<QuorumStatus, Permission>> TABLE = Map.of(
+            GuardedAction.DECIDE,
+            WITH_QUORUM,
+            GuardedAction.GRANT_QUOTA,
+            WITH_QUORUM,
+            GuardedAction.ADOPT_WIDENING,
+            WITH_QUORUM,
+            GuardedAction.ADOPT_RESTRICTION,
+            row(
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED),
+            GuardedAction.USE_ADOPTED,
+            row(
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED_WHILE_LEASED,
+                    Permission.ALLOWED_WHILE_LEASED,
+                    Permission.ALLOWED_WHILE_LEASED,
+                    Permission.DENIED),
+            // The backend's own idempotency marks on disk guard these; the peers know nothing of what it ran
+            // (docs/fleet/recovery.md).
+            GuardedAction.START_KEYED_REQUEST,
+            row(
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.ALLOWED,
+                    Permission.DENIED,
+                    Permission.DENIED));
 
     private ActionPermissions() {}
 
-    public static Permission permission(GuardedAction act, QuorumStatus standing) {
-        return TABLE.get(act)[standing.ordinal()];
+    private static Map<QuorumStatus, Permission> row(
+            Permission full,
+            Permission majority,
+            Permission minority,
+            Permission isolated,
+            Permission conflicting,
+            Permission recovering) {
+        return Map.of(
+                QuorumStatus.FULL, full,
+                QuorumStatus.MAJORITY, majority,
+                QuorumStatus.MINORITY, minority,
+                QuorumStatus.ISOLATED, isolated,
+                QuorumStatus.CONFLICTING, conflicting,
+                QuorumStatus.RECOVERING, recovering);
+    }
+
+    /** Whether a backend of that status may do the action. */
+    public static Permission permission(GuardedAction action, QuorumStatus status) {
+        return TABLE.get(action).get(status);
     }
 }
--- a/src/main/java/merlinlever/view/DivergenceMonitor.java
+++ b/src/main/java/merlinlever/view/DivergenceMonitor.java
@@ -7,7 +7,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Which voters hold another view than this one for longer than a view takes to come round, and since when; told once each. */
+/**
+ * Which voters hold another view than this backend for longer than a view takes to reach all, and since when. Each such voter
+ * is logged once. Not thread-safe.
+ */
 final class DivergenceMonitor {
 
     private final VoterResponses responses;
@@ -15,46 +18,56 @@
     private final Consumer<String> log;
     private final Map<String, VoterResponses.VoterResponse> diverging = new TreeMap<>();
 
+    /** @param patience how long two views may differ before it is worth a line */
     DivergenceMonitor(VoterResponses responses, Duration patience, Consumer<String> log) {
         this.responses = responses;
         this.patience = patience;
         this.log = log;
     }
 
-    void update(Duration now, List<String> heard, MembershipView view, Duration viewSince) {
+    /**
+     * @param heard the voters that are heard now
+     * @param view adopted by this backend, at {@code adoptedAt}
+     */
+    void update(Duration now, List<String> heard, MembershipView view, Duration adoptedAt) {
         for (String voter : heard) {
-            VoterResponses.VoterResponse voice = responses.find(voter);
-            boolean same = voice.viewNumber() == view.number() && voice.digest().equals(view.digest());
-            VoterResponses.VoterResponse before = diverging.get(voter);
-            if (same && before != null) {
-                diverging.remove(voter);
-                log.accept("view: " + voter + " holds the same view again");
-            } else if (!same
-                    && now.minus(voice.viewSince()).compareTo(patience) >= 0
-                    && now.minus(viewSince).compareTo(patience) >= 0
-                    && (before == null
-                            || before.viewNumber() != voice.viewNumber()
-                            || !before.digest().equals(voice.digest()))) {
-                diverging.put(voter, voice);
-                log.accept("view: " + voter + " holds another view since "
-                        + now.minus(voice.viewSince()).toMillis() + " ms: " + MembershipView.displayNumber(voice.viewNumber()) + " ("
-                        + voice.digest() + "), here it is " + view.describe());
-            }
+            compare(now, voter, view, adoptedAt);
         }
-        for (String voter : new ArrayList<>(diverging.keySet())) {
-            if (!heard.contains(voter)) {
-                diverging.remove(voter);
-            }
+        diverging.keySet().retainAll(heard);
+    }
+
+    private void compare(Duration now, String voter, MembershipView view, Duration adoptedAt) {
+        VoterResponses.VoterResponse response = responses.find(voter);
+        VoterResponses.VoterResponse reported = diverging.get(voter);
+        boolean agrees =
+                response.viewNumber() == view.number() && response.digest().equals(view.digest());
+        if (agrees && reported != null) {
+            diverging.remove(voter);
+            log.accept("voter-view-agrees-again voter=" + voter);
+        } else if (!agrees
+                && now.minus(response.viewSince()).compareTo(patience) >= 0
+                && now.minus(adoptedAt).compareTo(patience) >= 0
+                && !isSameView(response, reported)) {
+            diverging.put(voter, response);
+            log.accept("voter-view-diverges voter=" + voter + " since_ms="
+                    + now.minus(response.viewSince()).toMillis()
+                    + " voter_view=" + MembershipView.formatNumber(response.viewNumber())
+                    + " voter_digest=" + response.digest() + " " + view.describe());
         }
     }
 
-    /** As the elements of a JSON array. */
+    private static boolean isSameView(VoterResponses.VoterResponse response, VoterResponses.VoterResponse reported) {
+        return reported != null
+                && reported.viewNumber() == response.viewNumber()
+                && reported.digest().equals(response.digest());
+    }
+
+    /** The diverging voters as the elements of a JSON array. */
     String json(Duration now) {
-        List<String> each = new ArrayList<>();
-        diverging.forEach((name, voice) ->
-                each.add("{\"name\":\"" + name + "\",\"view\":\"" + MembershipView.displayNumber(voice.viewNumber())
-                        + "\",\"digest\":\"" + voice.digest() + "\",\"since_ms\":"
-                        + now.minus(voice.viewSince()).toMillis() + "}"));
-        return String.join(",", each);
+        List<String> elements = new ArrayList<>();
+        diverging.forEach((voter, response) -> elements.add("{\"name\":\"" + voter + "\",\"view\":\""
+                + MembershipView.formatNumber(response.viewNumber()) + "\",\"digest\":\"" + response.digest()
+                + "\",\"since_ms\":" + now.minus(response.viewSince()).toMillis() + "}"));
+        return String.join(",", elements);
     }
 }
--- a/src/main/java/merlinlever/view/FleetView.java
+++ b/src/main/java/merlinlever/view/FleetView.java
@@ -2,19 +2,20 @@
 
 import java.time.Duration;
 
-/** What this backend knows of the fleet as a whole, for those who depend on it. */
+/** What this backend knows of its fleet as a whole, for the parts of the program that depend on the peers. */
 public interface FleetView {
 
+    /** How much of the fleet it speaks with. */
     QuorumStatus status(Duration now);
 
-    /** When the present standing began. */
+    /** When the present status began, since the process began. */
     Duration statusSince();
 
-    /** The one adopted last; {@link MembershipView#NONE} before the first. */
+    /** The view that was adopted last; {@link MembershipView#NONE} before the first. */
     MembershipView view();
 
-    /** The answer of the one table. */
-    default ActionPermissions.Permission permission(Duration now, GuardedAction act) {
-        return ActionPermissions.permission(act, status(now));
+    /** Whether this backend may do the action now. */
+    default ActionPermissions.Permission permission(Duration now, GuardedAction action) {
+        return ActionPermissions.permission(action, status(now));
     }
 }
--- a/src/main/java/merlinlever/view/GuardedAction.java
+++ b/src/main/java/merlinlever/view/GuardedAction.java
@@ -1,17 +1,17 @@
 package merlinlever.view;
 
-/** What users of the view ask leave for. */
+/** Actions that are permitted or not by a backend's {@link QuorumStatus}; see {@link ActionPermissions}. */
 public enum GuardedAction {
-    /** Settle something once for all: write a register, end a trial, number a new view. Besides, only whoever leads may. */
+    /** Decide something once and for all: write a register, end an experiment, number a view. Only the leader does this. */
     DECIDE,
-    /** Give shares of budgets to others. Besides, only whoever leads may. */
+    /** Grant quota leases to peers. Only the leader does this. */
     GRANT_QUOTA,
-    /** Take on what widens what may be done: a new route, a looser restriction, a new trial. */
+    /** Adopt what widens the permitted actions: a new route, a looser restriction, a new experiment. */
     ADOPT_WIDENING,
-    /** Take on what narrows it: a withdrawal, a tighter restriction, the end of a trial. */
+    /** Adopt what narrows them: a withdrawal, a tighter restriction, the end of an experiment. */
     ADOPT_RESTRICTION,
-    /** Go on with what was adopted: send a call along a route, split a trial. */
+    /** Go on with what was adopted: send a call along a route, assign requests to an experiment's arms. */
     USE_ADOPTED,
-    /** Begin binding and fingerprinted work. */
+    /** Start a request that is non-idempotent, or idempotent only by its key. */
     START_KEYED_REQUEST
 }
--- a/src/main/java/merlinlever/view/QuorumStatus.java
+++ b/src/main/java/merlinlever/view/QuorumStatus.java
@@ -2,19 +2,19 @@
 
 import merlinlever.WireNamed;
 
-/** How much of the fleet a backend speaks with, and so how far its word goes. */
+/** How much of the fleet a backend speaks with, and so how far it may act; from the best to the worst. */
 public enum QuorumStatus implements WireNamed {
-    /** All stated voters are heard, and agree with it on the view. */
+    /** All configured voters are heard, and agree with this backend on the view. */
     FULL("whole"),
-    /** More than half of the voters are heard, itself among them where it is one, and agree. */
+    /** A majority of the voters is heard, itself among them where it is one, and agrees. */
     MAJORITY("most"),
-    /** Others are heard, but half of the voters or fewer. */
+    /** Peers are heard, but no majority of the voters. */
     MINORITY("few"),
     /** Nobody is heard. */
     ISOLATED("alone"),
-    /** Enough are heard, but they hold other views, or two live under its name. */
+    /** Enough voters are heard, but they hold other views, or another process uses this backend's name. */
     CONFLICTING("disagreeing"),
-    /** It stood still or began anew, and has not yet been told what it missed. */
+    /** It was paused or has just started, and has not yet heard what it missed. */
     RECOVERING("returning");
 
     private final String wireName;
@@ -23,6 +23,7 @@
         this.wireName = wireName;
     }
 
+    /** The name in logs, JSON and the operators' pages; it stays when the constant is renamed. */
     @Override
     public String wireName() {
         return wireName;
--- a/src/main/java/merlinlever/view/QuorumStatusHysteresis.java
+++ b/src/main/java/merlinlever/view/QuorumStatusHysteresis.java
@@ -2,13 +2,18 @@
 
 import java.time.Duration;
 
-/** The standing that is shown: a worse one at once, a better one once it was found for so long, so that it does not flap. */
+/**
+ * The quorum status that is shown: a worse one at once, a better one only after it lasted for some time, so that it does not
+ * flap. Not thread-safe.
+ */
 final class QuorumStatusHysteresis {
 
     private final Duration improvementDelay;
     private QuorumStatus shown = QuorumStatus.RECOVERING;
     private Duration shownSince;
+    /** The worst of the better statuses that followed one another without a break, or null. */
     private QuorumStatus improvement;
+
     private Duration improvementSince;
 
     QuorumStatusHysteresis(Duration now, Duration improvementDelay) {
@@ -16,13 +21,12 @@
         shownSince = now;
     }
 
-    /** Takes what was found now; true where what is shown changes. */
+    /** Takes in the present status; returns whether the one that is shown changes. */
     boolean update(Duration now, QuorumStatus current) {
         if (current.compareTo(shown) >= 0) {
             improvement = null;
             return show(now, current);
         }
-        // Of several that are better in turn the least one counts.
         if (improvement == null) {
             improvementSince = now;
             improvement = current;
@@ -32,16 +36,16 @@
         if (now.minus(improvementSince).compareTo(improvementDelay) < 0) {
             return false;
         }
-        QuorumStatus to = improvement;
+        QuorumStatus improved = improvement;
         improvement = null;
-        return show(now, to);
+        return show(now, improved);
     }
 
-    private boolean show(Duration now, QuorumStatus to) {
-        if (to == shown) {
+    private boolean show(Duration now, QuorumStatus status) {
+        if (status == shown) {
             return false;
         }
-        shown = to;
+        shown = status;
         shownSince = now;
         return true;
     }
--- a/src/main/java/merlinlever/view/ViewCodec.java
+++ b/src/main/java/merlinlever/view/ViewCodec.java
@@ -6,78 +6,91 @@
 import java.util.TreeSet;
 
 /**
- * Views as octets: whole, or as the difference from an earlier one that the other holds. Lines: a mark, the number, the
- * digest, the number that it differs from (0: from nothing), then {@code +name} and {@code -name}.
+ * Views as bytes: complete, or as the difference from an earlier view that the receiver holds. Lines of ASCII: a header, the
+ * number, the digest, the number of the base view (0: none), then {@code +name} and {@code -name}; numbers in base 36. Not
+ * thread-safe.
  */
 final class ViewCodec {
 
     private static final String HEADER = "view 1";
-    /** Earlier views that are kept for differences. */
-    private static final int MAX_KEPT_VIEWS = 8;
+    private static final int RADIX = 36;
+    private static final int MAX_REMEMBERED_VIEWS = 8;
+    private static final int FIRST_NAME_LINE = 4;
 
-    private final ArrayDeque<MembershipView> recentViews = new ArrayDeque<>();
+    /** Views that may be the base of a difference, the oldest first. */
+    private final ArrayDeque<MembershipView> rememberedViews = new ArrayDeque<>();
 
-    /** The latest; the ones before it are kept for a while. */
+    /** Keeps a view for a while as a base of differences. */
     void remember(MembershipView view) {
-        recentViews.addLast(view);
-        if (recentViews.size() > MAX_KEPT_VIEWS) {
-            recentViews.removeFirst();
+        rememberedViews.addLast(view);
+        if (rememberedViews.size() > MAX_REMEMBERED_VIEWS) {
+            rememberedViews.removeFirst();
         }
     }
 
-    /** The view for one that holds the view of that number. */
-    byte[] encode(MembershipView view, long from) {
-        MembershipView base = MembershipView.NONE;
-        for (MembershipView each : recentViews) {
-            base = each.number() == from ? each : base;
+    /** The remembered view of a number; {@link MembershipView#NONE} where there is none. */
+    private MembershipView findRemembered(long number) {
+        MembershipView found = MembershipView.NONE;
+        for (MembershipView view : rememberedViews) {
+            if (view.number() == number) {
+                found = view;
+            }
         }
-        StringBuilder text = new StringBuilder(HEADER)
-                .append('\n')
-                .append(Long.toString(view.number(), 36))
-                .append('\n')
-                .append(view.digest())
-                .append('\n')
-                .append(Long.toString(base.number(), 36))
-                .append('\n');
+        return found;
+    }
+
+    /** The view as bytes for a receiver that holds the view of the base number: complete where that one is not remembered. */
+    byte[] encode(MembershipView view, long baseNumber) {
+        MembershipView base = findRemembered(baseNumber);
+        StringBuilder text = new StringBuilder();
+        text.append(HEADER).append('\n');
+        text.append(Long.toString(view.number(), RADIX)).append('\n');
+        text.append(view.digest()).append('\n');
+        text.append(Long.toString(base.number(), RADIX)).append('\n');
         for (String name : base.members()) {
-            text.append(view.members().contains(name) ? "" : "-" + name + "\n");
+            if (!view.members().contains(name)) {
+                text.append('-').append(name).append('\n');
+            }
         }
         for (String name : view.members()) {
-            text.append(base.members().contains(name) ? "" : "+" + name + "\n");
+            if (!base.members().contains(name)) {
+                text.append('+').append(name).append('\n');
+            }
         }
         return text.toString().getBytes(StandardCharsets.US_ASCII);
     }
 
-    static boolean isViewPayload(byte[] body) {
-        return new String(body, 0, Math.min(body.length, HEADER.length() + 1), StandardCharsets.US_ASCII)
-                .equals(HEADER + "\n");
+    /** Whether a payload claims to be a view, and not one of another part of the program. */
+    static boolean isViewPayload(byte[] payload) {
+        int headerLength = Math.min(payload.length, HEADER.length() + 1);
+        return new String(payload, 0, headerLength, StandardCharsets.US_ASCII).equals(HEADER + "\n");
     }
 
-    /** The view, or null where it is none, does not fit its digest, or differs from one that is not kept here. */
-    MembershipView decode(byte[] body) {
-        String[] line = new String(body, StandardCharsets.US_ASCII).split("\n");
+    /** The view, or null where the payload is malformed, fails its digest, or is based on a view that is not remembered. */
+    MembershipView decode(byte[] payload) {
+        String[] lines = new String(payload, StandardCharsets.US_ASCII).split("\n");
         try {
-            long number = Long.parseLong(line[1], 36);
-            long from = Long.parseLong(line[3], 36);
-            SortedSet<String> members = null;
-            if (from == 0) {
-                members = new TreeSet<>();
-            }
-            for (MembershipView each : recentViews) {
-                members = from != 0 && each.number() == from ? new TreeSet<>(each.members()) : members;
-            }
-            if (members == null || number <= from) {
+            long number = Long.parseLong(lines[1], RADIX);
+            String digest = lines[2];
+            long baseNumber = Long.parseLong(lines[3], RADIX);
+            MembershipView base = findRemembered(baseNumber);
+            if (base.number() != baseNumber || number <= baseNumber) {
                 return null;
             }
-            for (int i = 4; i < line.length; i++) {
-                if (line[i].startsWith("+")) {
-                    members.add(line[i].substring(1));
+            SortedSet<String> members = new TreeSet<>(base.members());
+            for (int i = FIRST_NAME_LINE; i < lines.length; i++) {
+                String name = lines[i].substring(1);
+                if (lines[i].startsWith("+")) {
+                    members.add(name);
                 } else {
-                    members.remove(line[i].substring(1));
+                    members.remove(name);
                 }
             }
-            MembershipView view = members.size() > MembershipView.MAX_MEMBERS ? null : MembershipView.of(number, members);
-            return view != null && view.digest().equals(line[2]) ? view : null;
+            if (members.size() > MembershipView.MAX_MEMBERS) {
+                return null;
+            }
+            MembershipView view = MembershipView.of(number, members);
+            return view.digest().equals(digest) ? view : null;
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             return null;
         }
--- a/src/main/java/merlinlever/view/ViewManager.java
+++ b/src/main/java/merlinlever/view/ViewManager.java
@@ -4,414 +4,331 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
-import java.util.SortedSet;
 import java.util.SplittableRandom;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongPredicate;
 import merlinlever.election.LeaderElection;
 import merlinlever.membership.MemberTable;
+import merlinlever.membership.PeerMessage;
 
 /**
- * One backend's sight of the fleet: asks the voters what they hold and tells them what it finds, observes the few that the
- * view gives it, takes on each view with a higher number, and, where it leads, numbers the next. Decisions alone.
+ * One backend's part in the fleet's membership view: polls the voters and reports to them what it observes, probes the few members
+ * that the view assigns to it, adopts each view with a higher number, and, where it leads, numbers the next one. It does no
+ * input or output and has no clock; times are since the process began. Not thread-safe.
  *
- * <p>Words, each with its number: {@code WP/} asks a subject for life, {@code WO/} answers; {@code
- * WQ/view/digest/floor/hears/gone} asks a voter and tells it, {@code WA/view/digest/term} answers (its term where it leads);
- * {@code WG/known/wanted} asks for a view, which comes as a body. A question's number is answered once, by the one asked.
+ * <p>Texts, each with a correlation id: {@code WP/} probes a member, {@code WO/} answers; {@code
+ * WQ/view/digest/floor/heard/unreachable} polls a voter and reports to it, {@code WA/view/digest/term} answers (its term where it
+ * leads); {@code WG/known/wanted} fetches a view, which comes as a payload. Numbers of views and terms are in base 36. A
+ * correlation id is answered once, by the backend that was asked.
  */
 public final class ViewManager implements FleetView {
 
-    /** First parts of the words that {@link #receive} takes. */
-    public static final Set<String> MESSAGE_TYPES = Set.of("WP", "WO", "WQ", "WA", "WG");
+    private static final String PROBE = "WP";
+    private static final String PROBE_ANSWER = "WO";
+    private static final String POLL = "WQ";
+    private static final String POLL_ANSWER = "WA";
+    private static final String FETCH = "WG";
+    private static final int RADIX = 36;
 
-    /** A word to be said to another, or a body to be carried to it. */
-    public record ViewMessage(String recipient, long correlationId, String text, byte[] payload) {}
+    /** First parts of the texts that {@link #receive} takes. */
+    public static final Set<String> MESSAGE_TYPES = Set.of(PROBE, PROBE_ANSWER, POLL, POLL_ANSWER, FETCH);
 
-    /** Words and octets of bodies in a second, and views pushed at one look, at the most; what is over is lost and asked for again. */
-    private static final int MOST_WORDS = 5000;
+    /** A backend that misses a view fetches it, so a push may be spread over some ticks. */
+    private static final int MAX_PUSHES_PER_TICK = 64;
 
-    private static final int MOST_OCTETS = 2 << 20;
-    private static final int PUSHED = 64;
-
-    private final ViewSettings stated;
-    private final MemberTable members;
-    private final LeaderElection terms;
-    private final String self;
-    private final long floor;
-    private final LongPredicate noted;
+    /**
+     * How a view manager is set up.
+     *
+     * @param settings the same on every backend
+     * @param incarnationId first correlation id, which no other incarnation of this backend comes near; later ones are higher
+     * @param termFloor the highest term that is on this backend's disk: earlier incarnations may have held views of it
+     * @param persistTerm requests that a term be written to disk; true once it is there
+     * @param log takes one line an event
+     */
+    public record Setup(
+            ViewSettings settings,
+            long incarnationId,
+            long termFloor,
+            LongPredicate persistTerm,
+            SplittableRandom random,
+            Consumer<String> log) {}
+
+    private final ViewSettings settings;
+    private final MemberTable memberTable;
+    private final LeaderElection election;
+    private final VoterSet voters;
     private final Consumer<String> log;
-    private final VoterResponses voices;
-    private final FailureDetector probing;
-    private final CutDetector cut;
-    private final QuorumStatusHysteresis bearing;
-    private final ViewCodec bodies = new ViewCodec();
-    private final List<ViewMessage> out = new ArrayList<>();
-    private final ArrayDeque<String> toTell = new ArrayDeque<>();
-    private final DivergenceMonitor differing;
-    /** The one adopted, and the latest that it knows of, which may not be adopted yet. */
-    private MembershipView view = MembershipView.NONE, known = MembershipView.NONE;
-
-    private List<String> order = List.of();
-    private ObserverRings rings = new ObserverRings(view.members());
-    private Duration viewSince, lastLook, nextAsk, nextFetch, second, returnedAt, rivalUntil = Duration.ZERO;
-    private boolean returning = true;
-    private long numbers, rivals, vouched, pushFrom, clashes, leadTerm = -1;
-    private Duration leadSince = Duration.ZERO;
-    private int count, words, octets;
+    private final VoterResponses voterResponses = new VoterResponses();
+    private final FailureDetector failureDetector;
+    private final CutDetector cutDetector;
+    private final QuorumStatusHysteresis statusHysteresis;
+    private final QuorumEvaluator quorumEvaluator;
+    private final DivergenceMonitor divergenceMonitor;
+    private final ViewAdoption views;
+    private final ViewProposer proposer;
+    private final RateLimitedOutbox outbox;
+    private final ArrayDeque<String> pushQueue = new ArrayDeque<>();
+    private long pushBaseNumber;
+    private Duration lastTickAt;
+    private Duration nextPollAt;
+    private Duration nextFetchAt;
+    private long lastCorrelationId;
 
     /**
-     * @param members what membership believes, where the others' addresses and good-byes come from
-     * @param life a number that no other life of this backend comes near, later ones higher
-     * @param floor the highest term that is on the disk: views of it may have been held in lives before
-     * @param noted asks for a term on the disk; true once it is there
+     * @param memberTable what membership believes, for the peers' addresses and orderly departures
+     * @param election the one of this process
      */
-    public ViewManager(
-            Duration now,
-            ViewSettings stated,
-            MemberTable members,
-            LeaderElection terms,
-            long life,
-            long floor,
-            LongPredicate noted,
-            SplittableRandom chance,
-            Consumer<String> log) {
-        this.stated = stated;
-        this.members = members;
-        this.terms = terms;
-        this.floor = floor;
-        this.noted = noted;
-        this.log = log;
-        self = members.self();
-        voices = new VoterResponses(terms.voters());
-        differing = new DivergenceMonitor(voices, stated.minReportValidity(), log);
-        probing = new FailureDetector(stated, life, chance.split());
-        cut = new CutDetector(stated);
-        bearing = new QuorumStatusHysteresis(now, stated.quietPeriod());
-        numbers = life;
-        viewSince = lastLook = nextFetch = second = returnedAt = now;
-        nextAsk = now.plusNanos(chance.nextLong(stated.minPollInterval().toNanos()));
-        rivals = members.addressConflicts();
+    public ViewManager(Duration now, Setup setup, MemberTable memberTable, LeaderElection election) {
+        settings = setup.settings();
+        this.memberTable = memberTable;
+        this.election = election;
+        log = setup.log();
+        voters = new VoterSet(election.voters(), memberTable.self());
+        divergenceMonitor = new DivergenceMonitor(voterResponses, settings.minReportValidity(), log);
+        failureDetector = new FailureDetector(
+                settings, setup.incarnationId(), setup.random().split());
+        cutDetector = new CutDetector(settings);
+        statusHysteresis = new QuorumStatusHysteresis(now, settings.quietPeriod());
+        views = new ViewAdoption(now, voters.self(), setup.termFloor(), setup.persistTerm(), failureDetector, log);
+        quorumEvaluator = new QuorumEvaluator(
+                now, voters, settings, memberTable, views, voterResponses, failureDetector, this::reportValidity);
+        proposer = new ViewProposer(
+                voters, election, memberTable, views, cutDetector, voterResponses, this::reportValidity);
+        outbox = new RateLimitedOutbox(now);
+        lastCorrelationId = setup.incarnationId();
+        lastTickAt = now;
+        nextFetchAt = now;
+        nextPollAt =
+                now.plusNanos(setup.random().nextLong(settings.minPollInterval().toNanos()));
     }
 
-    // ---- what depends on others asks
+    // ---- FleetView
 
     @Override
     public QuorumStatus status(Duration now) {
-        return now.minus(lastLook).compareTo(stated.pauseThreshold()) > 0 ? QuorumStatus.RECOVERING : bearing.shown();
+        return wasPaused(now) ? QuorumStatus.RECOVERING : statusHysteresis.shown();
     }
 
     @Override
     public Duration statusSince() {
-        return bearing.shownSince();
+        return statusHysteresis.shownSince();
     }
 
     @Override
     public MembershipView view() {
-        return view;
+        return views.adopted();
     }
 
-    private Duration within() {
-        return stated.reportValidity(Math.max(view.members().size(), members.size()));
-    }
-
-    private int most() {
-        return terms.voters().size() / 2 + 1;
-    }
+    // ---- periodic work
 
-    private int hears(Duration now) {
-        return voices.heardVoters(now, within()).size() + (terms.voters().contains(self) ? 1 : 0);
-    }
-
-    // ---- a look at all
-
-    /** What is to be said now; to be asked for every 50 to 100 ms. */
-    public List<ViewMessage> tick(Duration now) {
-        if (now.minus(lastLook).compareTo(stated.pauseThreshold()) > 0) {
-            log.accept("view: stood still for " + now.minus(lastLook).toMillis() + " ms; what was missed is asked for");
-            returning = true;
-            returnedAt = now;
-            voices.clear();
-            probing.restartObservation(now);
-            cut.clear();
-            nextAsk = now;
-        }
-        lastLook = now;
-        if (now.minus(second).toMillis() >= 1000) {
-            second = now;
-            words = octets = 0;
+    /** Does what is due, and returns what is to be sent; to be called every 50 to 100 ms. */
+    public List<PeerMessage> tick(Duration now) {
+        if (wasPaused(now)) {
+            recoverFromPause(now);
         }
-        adopt(now);
-        probing.dueProbes(now).forEach(ask -> say(ask.subject(), ask.correlationId(), "WP/"));
-        if (now.compareTo(nextAsk) >= 0) {
-            nextAsk = now.plus(stated.pollInterval(Math.max(view.members().size(), members.size())));
-            ask(now);
+        lastTickAt = now;
+        outbox.tick(now);
+        views.adoptLatest(now);
+        failureDetector
+                .dueProbes(now)
+                .forEach(probe -> outbox.addText(probe.subject(), probe.correlationId(), PROBE + "/"));
+        if (now.compareTo(nextPollAt) >= 0) {
+            nextPollAt = now.plus(settings.pollInterval(fleetSize()));
+            pollVoters(now);
         }
-        lead(now);
-        push();
-        QuorumStatus before = bearing.shown();
-        if (bearing.update(now, found(now))) {
-            log.accept("view: standing is " + bearing.shown().wireName() + ", was " + before.wireName() + "; hears "
-                    + hears(now) + " of " + terms.voters().size() + " voters, view " + view.describe());
-        }
-        return receive();
+        proposeView(now);
+        pushView();
+        updateStatus(now);
+        return outbox.drain();
     }
 
-    private void say(String to, long number, String what) {
-        if (++words <= MOST_WORDS) {
-            out.add(new ViewMessage(to, number, what, null));
-        }
+    private boolean wasPaused(Duration now) {
+        return now.minus(lastTickAt).compareTo(settings.pauseThreshold()) > 0;
     }
 
-    private void carry(String to, byte[] body) {
-        octets += body.length;
-        if (octets <= MOST_OCTETS) {
-            out.add(new ViewMessage(to, 0, null, body));
-        }
-    }
-
-    private List<ViewMessage> receive() {
-        List<ViewMessage> all = List.copyOf(out);
-        out.clear();
-        return all;
+    private void recoverFromPause(Duration now) {
+        log.accept("process-paused pause_ms=" + now.minus(lastTickAt).toMillis());
+        quorumEvaluator.startRecovery(now);
+        voterResponses.clear();
+        failureDetector.restartObservation(now);
+        cutDetector.clear();
+        nextPollAt = now;
     }
 
-    private void ask(Duration now) {
-        List<String> gone = probing.unreachable(now);
-        StringBuilder places = new StringBuilder();
-        gone.forEach(name -> places.append('.').append(Integer.toString(order.indexOf(name), 36)));
-        String what = "WQ/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/" + Long.toString(floor, 36)
-                + "/" + hears(now) + "/" + places;
-        for (String voter : terms.voters()) {
-            numbers++;
-            if (voter.equals(self)) {
-                cut.recordReport(now, self, numbers, view.number(), floor, hears(now), gone, within());
-            } else {
-                voices.recordPoll(now, voter, numbers, within().multipliedBy(2));
-                say(voter, numbers, what);
-            }
-        }
+    private int fleetSize() {
+        return Math.max(view().members().size(), memberTable.size());
     }
 
-    /** By what is heard; see {@link QuorumStatus}. */
-    private QuorumStatus found(Duration now) {
-        if (members.addressConflicts() != rivals) {
-            // Once may be its own life before, which others still tell of.
-            rivalUntil = members.addressConflicts() > 1 ? now.plus(stated.maxDoubtDelay()) : rivalUntil;
-            rivals = members.addressConflicts();
-        }
-        int heard = hears(now);
-        boolean enough = heard >= most();
-        boolean inside = view.members().contains(self);
-        boolean voter = terms.voters().contains(self);
-        int told = voices.countNotAhead(returnedAt, view.number()) + (voter ? 1 : 0);
-        if (returning && enough && inside && told >= most()) {
-            returning = false;
-        }
-        int agreeing = voices.countAgreeing(now, within(), view, viewSince) + (voter ? 1 : 0);
-        differing.update(now, voices.heardVoters(now, within()), view, viewSince);
-        if (now.compareTo(rivalUntil) < 0) {
-            return QuorumStatus.CONFLICTING;
-        } else if (returning && (enough || now.minus(returnedAt).compareTo(stated.minReportValidity()) < 0)) {
-            return QuorumStatus.RECOVERING;
-        } else if (heard == (voter ? 1 : 0) && !probing.isAnyReachable(now) && !enough) {
-            return QuorumStatus.ISOLATED;
-        } else if (!enough) {
-            return QuorumStatus.MINORITY;
-        } else if (!inside) {
-            return QuorumStatus.RECOVERING;
-        } else if (agreeing < most()) {
-            return QuorumStatus.CONFLICTING;
-        }
-        return heard == terms.voters().size() && agreeing == heard ? QuorumStatus.FULL : QuorumStatus.MAJORITY;
+    private Duration reportValidity() {
+        return settings.reportValidity(fleetSize());
     }
 
-    // ---- views
-
-    /** Another view is known of; the higher number counts, and of one number there is one. */
-    private void learn(Duration now, MembershipView told) {
-        if (told.number() == known.number() && !told.digest().equals(known.digest())) {
-            clashes++;
-            log.accept("view: two memberships under one number, " + known.describe() + " and " + told.describe()
-                    + "; the second is not taken");
-        } else if (told.number() > known.number()) {
-            known = told;
-            bodies.remember(told);
-            adopt(now);
+    private void pollVoters(Duration now) {
+        List<String> unreachable = failureDetector.unreachable(now);
+        StringBuilder indexes = new StringBuilder();
+        unreachable.forEach(name -> indexes.append('.').append(Integer.toString(views.indexOf(name), RADIX)));
+        int heardVoters = quorumEvaluator.heardVoters(now);
+        String poll = String.join(
+                "/",
+                POLL,
+                Long.toString(view().number(), RADIX),
+                view().digest(),
+                Long.toString(views.termFloor(), RADIX),
+                Integer.toString(heardVoters),
+                indexes);
+        for (String voter : voters.names()) {
+            lastCorrelationId++;
+            if (voter.equals(voters.self())) {
+                cutDetector.recordReport(
+                        voter,
+                        new CutDetector.MemberReport(
+                                now, lastCorrelationId, view().number(), views.termFloor(), heardVoters, unreachable),
+                        reportValidity());
+            } else {
+                voterResponses.recordPoll(
+                        now, voter, lastCorrelationId, reportValidity().multipliedBy(2));
+                outbox.addText(voter, lastCorrelationId, poll);
+            }
         }
     }
 
-    /** A later view is taken on once its term is on the disk; after a new start, only one that no life before can have been beyond. */
-    private void adopt(Duration now) {
-        boolean beyond = view.number() > 0 || known.term() > floor || vouched > 0 && known.number() >= vouched;
-        if (known.number() <= view.number() || !beyond || !noted.test(known.term())) {
-            return;
+    private void proposeView(Duration now) {
+        boolean mayDecide = permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
+        Optional<ViewProposer.Proposal> proposal = proposer.propose(now, mayDecide);
+        if (proposal.isPresent()) {
+            views.learn(now, proposal.get().view());
+            pushBaseNumber = proposal.get().baseNumber();
+            pushQueue.clear();
+            pushQueue.addAll(proposal.get().recipients());
         }
-        SortedSet<String> gone = new TreeSet<>(view.members());
-        SortedSet<String> come = new TreeSet<>(known.members());
-        gone.removeAll(known.members());
-        come.removeAll(view.members());
-        log.accept("view: " + known.describe() + " in place of " + view.describe() + list(", with ", come)
-                + list(", without ", gone));
-        view = known;
-        viewSince = now;
-        order = List.copyOf(view.members());
-        rings = new ObserverRings(view.members());
-        probing.setSubjects(now, rings.subjects(self));
     }
 
-    private static String list(String word, SortedSet<String> names) {
-        return names.isEmpty()
-                ? ""
-                : word + String.join(" ", names.stream().limit(20).toList()) + (names.size() > 20 ? " and more" : "");
-    }
-
-    /** The one that leads numbers the next view, when one is due. */
-    private void lead(Duration now) {
-        if (!terms.isLeader(now)) {
-            leadTerm = -1;
-            return;
-        }
-        if (leadTerm != terms.term()) {
-            leadTerm = terms.term();
-            leadSince = now;
-            count = 0;
-        }
-        // What more than half of the voters hold comes first; nobody that is heard holds a later one.
-        if (voices.isAnyAhead(now, within(), known.number()) || voices.countNotAhead(leadSince, known.number()) + 1 < most()) {
+    private void pushView() {
+        if (pushQueue.isEmpty()) {
             return;
         }
-        // The first view, the one that takes the leader in, and a new number for the same members cannot wait for the
-        // agreement they bring.
-        boolean outside = view.number() < known.number() || !known.members().contains(self);
-        boolean anew = known.term() < leadTerm
-                && known.number() > 0
-                && (view.number() < known.number() || cut.isMemberWaitingForLaterTerm(now, known, within()));
-        if (!outside && !anew && permission(now, GuardedAction.DECIDE) != ActionPermissions.Permission.ALLOWED) {
-            return;
-        }
-        SortedSet<String> next =
-                anew ? known.members() : cut.dueMembers(now, self, known, rings, most(), members::find, within());
-        if (next == null
-                || next.stream().filter(terms.voters()::contains).count() < most()
-                || !MembershipView.isValidCount(count + 1)) {
-            return;
+        byte[] payload = views.encodeLatest(pushBaseNumber);
+        for (int pushes = 0; pushes < MAX_PUSHES_PER_TICK && !pushQueue.isEmpty(); pushes++) {
+            outbox.addPayload(pushQueue.poll(), payload);
         }
-        SortedSet<String> all = new TreeSet<>(known.members());
-        all.addAll(next);
-        all.remove(self);
-        pushFrom = known.number();
-        learn(now, MembershipView.of(MembershipView.number(leadTerm, ++count), next));
-        toTell.clear();
-        toTell.addAll(all);
     }
 
-    /** Some at a look; whoever misses it asks for it. */
-    private void push() {
-        if (!toTell.isEmpty()) {
-            byte[] body = bodies.encode(known, pushFrom);
-            for (int i = 0; i < PUSHED && !toTell.isEmpty(); i++) {
-                carry(toTell.poll(), body);
-            }
+    private void updateStatus(Duration now) {
+        QuorumStatus previous = statusHysteresis.shown();
+        QuorumStatus current = quorumEvaluator.evaluate(now);
+        divergenceMonitor.update(now, quorumEvaluator.heardVoterNames(now), view(), views.adoptedAt());
+        if (statusHysteresis.update(now, current)) {
+            log.accept(
+                    "quorum-status-changed status=" + statusHysteresis.shown().wireName() + " previous="
+                            + previous.wireName() + " heard_voters=" + quorumEvaluator.heardVoters(now) + " voters="
+                            + voters.size() + " " + view().describe());
         }
     }
 
-    /** Another carried that here. */
-    public void receivePayload(Duration now, String name, byte[] body) {
-        MembershipView told = ViewCodec.isViewPayload(body) ? bodies.decode(body) : null;
-        if (told != null) {
-            learn(now, told);
-        }
-    }
+    // ---- messages of peers
 
-    // ---- what others say
+    /** Takes in a payload of a peer; one that is no view is ignored. */
+    public void receivePayload(Duration now, byte[] payload) {
+        views.receivePayload(now, payload);
+    }
 
-    /** Another said that, one of {@link #MESSAGE_TYPES}; returns what is said to it. */
-    public List<ViewMessage> receive(Duration now, String name, long number, String what) {
-        String[] part = what.split("/");
+    /** Takes in a text of a peer, of one of the {@link #MESSAGE_TYPES}, and returns what is to be sent in answer. */
+    public List<PeerMessage> receive(Duration now, String sender, long correlationId, String text) {
+        String[] parts = text.split("/");
         try {
-            switch (part[0]) {
-                case "WP" -> say(name, number, "WO/");
-                case "WO" -> probing.recordAnswer(now, name, number);
-                case "WQ" -> asked(now, name, number, part);
-                case "WA" -> answered(
-                        now, name, number, Long.parseLong(part[1], 36), part[2], Long.parseLong(part[3], 36));
-                case "WG" -> {
-                    if (known.number() >= Long.parseLong(part[2], 36)) {
-                        carry(name, bodies.encode(known, Long.parseLong(part[1], 36)));
-                    }
-                }
-                default -> throw new IllegalArgumentException(what);
+            switch (parts[0]) {
+                case PROBE -> outbox.addText(sender, correlationId, PROBE_ANSWER + "/");
+                case PROBE_ANSWER -> failureDetector.recordAnswer(now, sender, correlationId);
+                case POLL -> receivePoll(now, sender, correlationId, parts);
+                case POLL_ANSWER -> receivePollAnswer(now, sender, correlationId, parts);
+                case FETCH -> receiveFetch(sender, parts);
+                default -> throw new IllegalArgumentException("unknown type " + parts[0]);
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("view: " + name + " said what is not understood: " + what);
+            log.accept("view-message-rejected sender=" + sender + " text=" + text);
         }
-        return receive();
+        return outbox.drain();
+    }
+
+    private static long parseNumber(String text) {
+        return Long.parseLong(text, RADIX);
     }
 
-    private void asked(Duration now, String name, long number, String[] part) {
-        if (!terms.voters().contains(self) || name.equals(self)) {
+    private void receivePoll(Duration now, String sender, long correlationId, String[] parts) {
+        if (!voters.includesSelf() || sender.equals(voters.self())) {
             return;
         }
-        long its = Long.parseLong(part[1], 36);
-        List<String> gone = new ArrayList<>();
-        if (part.length > 5 && its == view.number() && part[2].equals(view.digest())) {
-            for (String place : part[5].substring(1).split("\\.")) {
-                gone.add(order.get(Integer.parseInt(place, 36)));
+        long viewNumber = parseNumber(parts[1]);
+        List<String> unreachable = new ArrayList<>();
+        if (parts.length > 5 && viewNumber == view().number() && parts[2].equals(view().digest())) {
+            for (String index : parts[5].substring(1).split("\\.")) {
+                unreachable.add(views.memberAt(Integer.parseInt(index, RADIX)));
             }
         }
-        cut.recordReport(now, name, number, its, Long.parseLong(part[3], 36), Integer.parseInt(part[4]), gone, within());
-        say(
-                name,
-                number,
-                "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/"
-                        + (terms.isLeader(now) ? Long.toString(terms.term(), 36) : "0"));
+        CutDetector.MemberReport report = new CutDetector.MemberReport(
+                now, correlationId, viewNumber, parseNumber(parts[3]), Integer.parseInt(parts[4]), unreachable);
+        cutDetector.recordReport(sender, report, reportValidity());
+        long leadingTerm = election.isLeader(now) ? election.term() : 0;
+        outbox.addText(
+                sender,
+                correlationId,
+                String.join(
+                        "/",
+                        POLL_ANSWER,
+                        Long.toString(view().number(), RADIX),
+                        view().digest(),
+                        Long.toString(leadingTerm, RADIX)));
     }
 
-    private void answered(Duration now, String name, long question, long number, String digest, long leads) {
-        if (!voices.recordAnswer(now, name, question, number, digest, view)) {
+    private void receivePollAnswer(Duration now, String sender, long correlationId, String[] parts) {
+        long viewNumber = parseNumber(parts[1]);
+        String digest = parts[2];
+        long leadingTerm = parseNumber(parts[3]);
+        if (!voterResponses.recordAnswer(now, sender, correlationId, viewNumber, digest, view())) {
             return;
         }
-        if (leads > 0) {
-            terms.observeLeader(now, name, leads);
-            if (MembershipView.term(number) == leads) {
-                // While it leads nobody can have led under a higher term, and of its own it holds the latest.
-                vouched = Math.max(vouched, number);
+        if (leadingTerm > 0) {
+            election.observeLeader(now, sender, leadingTerm);
+            if (MembershipView.termOf(viewNumber) == leadingTerm) {
+                views.vouchFor(viewNumber);
             }
         }
-        if (number > known.number() && now.compareTo(nextFetch) >= 0) {
-            nextFetch = now.plus(stated.quietPeriod().dividedBy(3));
-            say(name, ++numbers, "WG/" + Long.toString(known.number(), 36) + "/" + Long.toString(number, 36));
+        long latest = views.latestKnown().number();
+        if (viewNumber > latest && now.compareTo(nextFetchAt) >= 0) {
+            nextFetchAt = now.plus(settings.quietPeriod().dividedBy(3));
+            lastCorrelationId++;
+            outbox.addText(
+                    sender,
+                    lastCorrelationId,
+                    String.join("/", FETCH, Long.toString(latest, RADIX), Long.toString(viewNumber, RADIX)));
         }
     }
 
-    /** As a JSON object. */
+    private void receiveFetch(String sender, String[] parts) {
+        if (views.latestKnown().number() >= parseNumber(parts[2])) {
+            outbox.addPayload(sender, views.encodeLatest(parseNumber(parts[1])));
+        }
+    }
+
+    // ---- monitoring
+
+    /** The state as a JSON object, as {@code GET /state} shows it; its fields are described in docs/fleet/operators.md. */
     public String json(Duration now) {
-        StringBuilder text = new StringBuilder("{\"standing\":\"")
-                .append(status(now).wireName())
-                .append("\",\"since_ms\":")
-                .append(now.minus(statusSince()).toMillis())
-                .append(",\"view\":\"")
-                .append(view.displayNumber())
-                .append("\",\"digest\":\"")
-                .append(view.digest())
-                .append("\",\"members\":")
-                .append(view.members().size())
-                .append(",\"inside\":")
-                .append(view.members().contains(self))
-                .append(",\"clashes\":")
-                .append(clashes)
-                .append(",\"hears\":")
-                .append(names(voices.heardVoters(now, within())))
-                .append(",\"gone\":")
-                .append(names(probing.unreachable(now)))
-                .append(",\"others\":[");
-        text.append(differing.json(now));
-        return text.append("]}").toString();
+        return "{\"standing\":\"" + status(now).wireName()
+                + "\",\"since_ms\":" + now.minus(statusSince()).toMillis()
+                + ",\"view\":\"" + view().displayNumber()
+                + "\",\"digest\":\"" + view().digest()
+                + "\",\"members\":" + view().members().size()
+                + ",\"inside\":" + view().members().contains(voters.self())
+                + ",\"clashes\":" + views.numberConflicts()
+                + ",\"hears\":" + jsonNames(quorumEvaluator.heardVoterNames(now))
+                + ",\"gone\":" + jsonNames(failureDetector.unreachable(now))
+                + ",\"others\":[" + divergenceMonitor.json(now) + "]}";
     }
 
-    private static String names(List<String> names) {
+    private static String jsonNames(List<String> names) {
         return names.isEmpty() ? "[]" : "[\"" + String.join("\",\"", names) + "\"]";
     }
 }
--- a/src/main/java/merlinlever/view/ViewSettings.java
+++ b/src/main/java/merlinlever/view/ViewSettings.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 
 /**
- * What is stated of views.
+ * Settings of the membership view, the same on every backend.
  *
- * @param probeInterval between two questions of an observer to each of its subjects
- * @param unreachableAfter after which an observer holds a subject that does not answer gone
- * @param minPollInterval between two questions to each voter, longer in large fleets ({@link #pollInterval})
- * @param maxPollsPerSecond questions a second that one voter is to answer at the most
- * @param minReportValidity so long an answer of a voter, or a word of a backend to the leader, counts
- * @param quietPeriod without anything new a change is made after so long
- * @param maxBatchingDelay and with new ones after so long
- * @param maxDoubtDelay one that is neither gone nor well by the marks holds other changes up so long at the most
- * @param pauseThreshold of the steady clock between two looks: the process stood still
- * @param joinStabilityPeriod one that joins was heard for so long before
- * @param initialRejoinPenalty one that was taken out is let in again after so long, twice as long each time
- * @param maxRejoinPenalty and this at the most
+ * @param probeInterval between two probes of an observer to each of its subjects
+ * @param unreachableAfter an observer finds a subject unreachable that answered nothing for so long
+ * @param minPollInterval between two polls of each voter; longer in large fleets, see {@link #pollInterval}
+ * @param maxPollsPerSecond that one voter has to answer
+ * @param minReportValidity how long an answer of a voter, or a report to the leader, counts; longer in large fleets, see {@link
+ *     #reportValidity}
+ * @param quietPeriod a change of the view is made once nothing was added to it for so long
+ * @param maxBatchingDelay a change of the view is made at the latest after so long, whatever is added
+ * @param maxDoubtDelay a member between the low and the high threshold delays other changes at most so long
+ * @param pauseThreshold a longer time between two ticks means that the process was paused
+ * @param joinStabilityPeriod a backend must have been heard for so long before it joins
+ * @param initialRejoinPenalty a removed member may join again after so long; the span doubles each time
+ * @param maxRejoinPenalty upper bound of that span
  */
 public record ViewSettings(
         Duration probeInterval,
@@ -32,6 +33,10 @@
         Duration initialRejoinPenalty,
         Duration maxRejoinPenalty) {
 
+    /** How many polls in a row may be lost in a large fleet before a voter counts as not heard. */
+    private static final int POLLS_PER_VALIDITY = 4;
+
+    /** The settings of every released program. */
     public static ViewSettings defaults() {
         return new ViewSettings(
                 Duration.ofMillis(500),
@@ -48,15 +53,15 @@
                 Duration.ofMinutes(5));
     }
 
-    /** In a fleet of so many. */
+    /** The time between two polls of a voter in a fleet of that size. */
     Duration pollInterval(int members) {
-        Duration spread = Duration.ofMillis(1000L * members / maxPollsPerSecond);
-        return spread.compareTo(minPollInterval) > 0 ? spread : minPollInterval;
+        Duration atMaxRate = Duration.ofMillis(1000L * members / maxPollsPerSecond);
+        return atMaxRate.compareTo(minPollInterval) > 0 ? atMaxRate : minPollInterval;
     }
 
-    /** Four questions may be lost, and in small fleets eight. */
+    /** How long an answer or a report counts in a fleet of that size. */
     Duration reportValidity(int members) {
-        Duration some = pollInterval(members).multipliedBy(4);
-        return some.compareTo(minReportValidity) > 0 ? some : minReportValidity;
+        Duration severalPolls = pollInterval(members).multipliedBy(POLLS_PER_VALIDITY);
+        return severalPolls.compareTo(minReportValidity) > 0 ? severalPolls : minReportValidity;
     }
 }
--- a/src/main/java/merlinlever/view/VoterResponses.java
+++ b/src/main/java/merlinlever/view/VoterResponses.java
@@ -8,109 +8,113 @@
 import java.util.TreeMap;
 
 /**
- * What the voters answer this one: which of them it hears, and which view each of them holds. An answer counts only to a
- * question that is out, and once; so an old one from a recording says nothing. Times are since the process began.
+ * What the voters answer this backend: which of them it hears, and which view each of them has adopted. An answer counts only
+ * once, and only to a poll that is pending, so a replayed one changes nothing. Times are since the process began. Not
+ * thread-safe.
  */
 final class VoterResponses {
 
     /**
-     * What one voter answered last.
+     * The last answer of a voter.
      *
      * @param viewSince when it was first heard to hold that view
-     * @param lastAgreedAt when it last held the same as this one, or null
+     * @param lastAgreedAt when it last held the same view as this backend, or null
      */
-    record VoterResponse(Duration heardAt, long viewNumber, String digest, Duration viewSince, Duration lastAgreedAt) {}
+    record VoterResponse(Duration heardAt, long viewNumber, String digest, Duration viewSince, Duration lastAgreedAt) {
+        private boolean isHeard(Duration now, Duration validity) {
+            return now.minus(heardAt).compareTo(validity) < 0;
+        }
+    }
 
     private record PendingPoll(String voter, Duration sentAt) {}
 
-    private final List<String> voters;
     private final Map<String, VoterResponse> responses = new TreeMap<>();
     private final Map<Long, PendingPoll> pendingPolls = new LinkedHashMap<>();
 
-    VoterResponses(List<String> voters) {
-        this.voters = voters;
-    }
-
-    void recordPoll(Duration now, String voter, long number, Duration keep) {
-        pendingPolls.values().removeIf(each -> now.minus(each.sentAt).compareTo(keep) > 0);
-        pendingPolls.put(number, new PendingPoll(voter, now));
+    /** @param retention how long an answer to a poll is waited for */
+    void recordPoll(Duration now, String voter, long correlationId, Duration retention) {
+        pendingPolls.values().removeIf(poll -> now.minus(poll.sentAt).compareTo(retention) > 0);
+        pendingPolls.put(correlationId, new PendingPoll(voter, now));
     }
 
-    /** An answer; false where it is none to a question of this one's. */
-    boolean recordAnswer(Duration now, String voter, long question, long number, String digest, MembershipView mine) {
-        PendingPoll asked = pendingPolls.get(question);
-        if (asked == null || !asked.voter.equals(voter)) {
+    /**
+     * Takes in an answer.
+     *
+     * @param own the view that this backend has adopted
+     * @return false where it answers no pending poll of that voter, and so was ignored
+     */
+    boolean recordAnswer(
+            Duration now, String voter, long correlationId, long viewNumber, String digest, MembershipView own) {
+        PendingPoll poll = pendingPolls.get(correlationId);
+        if (poll == null || !poll.voter.equals(voter)) {
             return false;
         }
-        pendingPolls.remove(question);
-        VoterResponse before = responses.get(voter);
-        boolean same = before != null && before.viewNumber == number && before.digest.equals(digest);
-        boolean agrees = number == mine.number() && digest.equals(mine.digest());
+        pendingPolls.remove(correlationId);
+        VoterResponse previous = responses.get(voter);
+        boolean isSameView = previous != null && previous.viewNumber == viewNumber && previous.digest.equals(digest);
+        boolean agrees = viewNumber == own.number() && digest.equals(own.digest());
+        Duration lastAgreedAt = previous == null ? null : previous.lastAgreedAt;
         responses.put(
                 voter,
                 new VoterResponse(
-                        now,
-                        number,
-                        digest,
-                        same ? before.viewSince : now,
-                        agrees ? now : before == null ? null : before.lastAgreedAt));
+                        now, viewNumber, digest, isSameView ? previous.viewSince : now, agrees ? now : lastAgreedAt));
         return true;
     }
 
-    /** This one stood still: nothing is heard before it is asked anew. */
+    /** This process was paused: no voter counts as heard before it has answered a new poll. */
     void clear() {
         responses.clear();
         pendingPolls.clear();
     }
 
-    /** Voters that were heard not longer ago than that, without this one. */
-    List<String> heardVoters(Duration now, Duration within) {
+    /** Names of the voters that were heard within the validity, without this backend. */
+    List<String> heardVoters(Duration now, Duration validity) {
         List<String> heard = new ArrayList<>();
-        responses.forEach((name, voice) -> {
-            if (now.minus(voice.heardAt).compareTo(within) < 0) {
+        responses.forEach((name, response) -> {
+            if (response.isHeard(now, validity)) {
                 heard.add(name);
             }
         });
         return heard;
     }
 
-    /** As bits in the order of the voters. */
-    long mask(Duration now, Duration within, String self) {
-        long mask = 0;
-        List<String> heard = heardVoters(now, within);
-        for (int i = 0; i < voters.size(); i++) {
-            mask |= heard.contains(voters.get(i)) || voters.get(i).equals(self) ? 1L << i : 0;
-        }
-        return mask;
-    }
-
-    /** Those heard that hold the same view; one that was seen to change is waited for as long as one that is silent. */
-    int countAgreeing(Duration now, Duration within, MembershipView mine, Duration mineSince) {
+    /**
+     * How many of the heard voters agree with this backend's view. One that agreed lately counts still: it may have changed
+     * first.
+     */
+    int countAgreeing(Duration now, Duration validity, MembershipView own, Duration ownSince) {
         int agreeing = 0;
-        for (String name : heardVoters(now, within)) {
-            VoterResponse voice = responses.get(name);
-            boolean clash = voice.viewNumber == mine.number() && !voice.digest.equals(mine.digest());
-            boolean lately = now.minus(mineSince).compareTo(within) < 0
-                    || voice.lastAgreedAt != null && now.minus(voice.lastAgreedAt).compareTo(within) < 0;
-            agreeing += !clash && lately ? 1 : 0;
+        for (String name : heardVoters(now, validity)) {
+            VoterResponse response = responses.get(name);
+            boolean conflicts = response.viewNumber == own.number() && !response.digest.equals(own.digest());
+            boolean agreedLately = now.minus(ownSince).compareTo(validity) < 0
+                    || (response.lastAgreedAt != null
+                            && now.minus(response.lastAgreedAt).compareTo(validity) < 0);
+            if (!conflicts && agreedLately) {
+                agreeing++;
+            }
         }
         return agreeing;
     }
 
-    /** How many voters have answered since then and hold nothing later than that number. */
-    int countNotAhead(Duration since, long number) {
+    /** How many voters have answered since that time and hold no later view than that number. */
+    int countNotAhead(Duration since, long viewNumber) {
         int count = 0;
-        for (VoterResponse voice : responses.values()) {
-            count += voice.heardAt.compareTo(since) >= 0 && voice.viewNumber <= number ? 1 : 0;
+        for (VoterResponse response : responses.values()) {
+            if (response.heardAt.compareTo(since) >= 0 && response.viewNumber <= viewNumber) {
+                count++;
+            }
         }
         return count;
     }
 
-    /** Whether one that is heard holds a later view than that. */
-    boolean isAnyAhead(Duration now, Duration within, long number) {
-        return heardVoters(now, within).stream().anyMatch(name -> responses.get(name).viewNumber > number);
+    /** Whether a voter that is heard holds a later view than that number. */
+    boolean isAnyAhead(Duration now, Duration validity, long viewNumber) {
+        return responses.values().stream()
+                .anyMatch(response -> response.isHeard(now, validity) && response.viewNumber > viewNumber);
     }
 
+    /** The last answer of a voter, or null where there is none. */
     VoterResponse find(String voter) {
         return responses.get(voter);
     }
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -5,79 +5,69 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.election.LeaderElection;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.PayloadHandler;
+import merlinlever.membership.PeerMessage;
+import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.view.FleetView;
 import merlinlever.view.ViewManager;
 import merlinlever.view.ViewSettings;
 
-/** One backend's sight of the fleet, on the loop and membership's datagrams. */
-public final class ViewTransport implements SwimProtocol.TextMessageHandler, SwimProtocol.PayloadHandler {
+/** Runs one backend's {@link ViewManager} on the event loop and membership's datagrams. On the loop's thread only. */
+public final class ViewTransport implements TextMessageHandler, PayloadHandler {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
     private final EventLoop loop;
-    private final RecoveryCoordinator rejoin;
+    private final RecoveryCoordinator recovery;
     private final ViewManager manager;
 
     /**
-     * @param terms who leads; the one of this process
-     * @param life a number that no other life of this backend comes near, later ones higher
-     * @param log one line at each change of the standing or the view, and where voters hold another
+     * @param election the one of this process
+     * @param incarnationId a number that no other incarnation of this backend comes near; later ones are higher
+     * @param log takes one line at each change of the quorum status or the view, and where voters hold another view
      */
     public ViewTransport(
             EventLoop loop,
-            RecoveryCoordinator rejoin,
-            LeaderElection terms,
-            ViewSettings stated,
-            long life,
+            RecoveryCoordinator recovery,
+            LeaderElection election,
+            ViewSettings settings,
+            long incarnationId,
             long seed,
             Consumer<String> log) {
         this.loop = loop;
-        this.rejoin = rejoin;
-        // The term of this moment, before this life votes on any: what its lives before may have held.
-        manager = new ViewManager(
-                loop.clock().uptime(),
-                stated,
-                rejoin.members().memberTable(),
-                terms,
-                life,
-                rejoin.term(),
-                rejoin::noted,
-                new SplittableRandom(seed),
-                log);
-        rejoin.members().addTextHandler(ViewManager.MESSAGE_TYPES, this);
-        rejoin.members().addPayloadHandler(this);
+        this.recovery = recovery;
+        // The term of this moment, before this incarnation votes on any: what earlier ones may have held.
+        ViewManager.Setup setup = new ViewManager.Setup(
+                settings, incarnationId, recovery.term(), recovery::noted, new SplittableRandom(seed), log);
+        manager =
+                new ViewManager(loop.clock().uptime(), setup, recovery.members().memberTable(), election);
+        recovery.members().addTextHandler(ViewManager.MESSAGE_TYPES, this);
+        recovery.members().addPayloadHandler(this);
         loop.every(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
     }
 
-    /** For those who depend on the others. */
+    /** What is known of the fleet, for the parts that depend on the peers. */
     public FleetView fleetView() {
         return manager;
     }
 
-    private void send(List<ViewManager.ViewMessage> all) {
-        for (ViewManager.ViewMessage each : all) {
-            if (each.payload() != null) {
-                rejoin.members().sendPayload(each.recipient(), each.payload());
-            } else {
-                rejoin.members().sendText(each.recipient(), each.correlationId(), each.text());
-            }
-        }
-        if (!all.isEmpty()) {
-            rejoin.send();
+    private void send(List<PeerMessage> messages) {
+        messages.forEach(recovery.members()::send);
+        if (!messages.isEmpty()) {
+            recovery.send();
         }
     }
 
     @Override
-    public void onText(String name, long number, String what) {
-        send(manager.receive(loop.clock().uptime(), name, number, what));
+    public void onText(String sender, long correlationId, String text) {
+        send(manager.receive(loop.clock().uptime(), sender, correlationId, text));
     }
 
     @Override
-    public void onPayload(String name, byte[] body) {
-        manager.receivePayload(loop.clock().uptime(), name, body);
+    public void onPayload(String sender, byte[] payload) {
+        manager.receivePayload(loop.clock().uptime(), payload);
     }
 
     /** See {@link ViewManager#json}. */
--- a/src/main/java/merlinlever/view/net/package-info.java
+++ b/src/main/java/merlinlever/view/net/package-info.java
@@ -1,2 +1,2 @@
-/** A backend's sight of the fleet, over membership's datagrams. */
+/** The membership view on the event loop and membership's datagrams. */
 package merlinlever.view.net;
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -11,11 +12,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.membership.SwimProtocol.MessageKind;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
+import merlinlever.membership.PeerMessage;
 import merlinlever.net.ManualClockLoop;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
@@ -62,17 +67,14 @@
                 "carry",
                 MessageKind.PAYLOAD);
         assertEquals(MessageKind.values().length, kinds.size());
-        List<MemberTable.MemberStatus> statuses = List.of(
-                MemberTable.MemberStatus.ALIVE,
-                MemberTable.MemberStatus.SUSPECT,
-                MemberTable.MemberStatus.DEAD,
-                MemberTable.MemberStatus.LEFT);
-        List<MemberTable.MemberRecord> rumours = statuses.stream()
-                .map(status -> new MemberTable.MemberRecord(
-                        "b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
+        List<MemberStatus> statuses =
+                List.of(MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT);
+        List<MemberRecord> rumours = statuses.stream()
+                .map(status ->
+                        new MemberRecord("b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
                 .toList();
         kinds.forEach((name, kind) -> {
-            SwimProtocol.MembershipMessage message = new SwimProtocol.MembershipMessage(
+            MembershipMessage message = new MembershipMessage(
                     kind,
                     "b1",
                     7,
@@ -80,15 +82,20 @@
                     rumours,
                     kind == MessageKind.PAYLOAD ? new byte[] {1, 2, 3} : null);
             fixture.pins("membership." + name, wire.encode(message));
-            SwimProtocol.MembershipMessage read = wire.decode(fixture.bytes("membership." + name));
+            MembershipMessage read = wire.decode(fixture.bytes("membership." + name));
             assertEquals(
-                    List.of(message.kind(), message.sender(), message.correlationId(), message.text(), message.records()),
+                    List.of(
+                            message.kind(),
+                            message.sender(),
+                            message.correlationId(),
+                            message.text(),
+                            message.records()),
                     List.of(read.kind(), read.sender(), read.correlationId(), read.text(), read.records()));
             assertArrayEquals(message.payload(), read.payload());
         });
     }
 
-    private static String said(List<LeaderElection.PeerMessage> all) {
+    private static String said(List<PeerMessage.Text> all) {
         return all.stream()
                 .map(say -> say.recipient() + " " + say.correlationId() + " " + say.text())
                 .sorted()
@@ -99,9 +106,7 @@
         return new LeaderElection(
                 Duration.ZERO,
                 "b1",
-                List.of(voters),
-                Duration.ofSeconds(2),
-                0.01,
+                new ElectionSettings(List.of(voters), Duration.ofSeconds(2), 0.01),
                 4,
                 term -> true,
                 new SplittableRandom(1),
@@ -151,7 +156,7 @@
                 LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
         sharing.look(LATER);
         leads.tick(LATER.plusMillis(1900));
-        List<LeaderElection.PeerMessage> all = new ArrayList<>();
+        List<PeerMessage.Text> all = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
             leads.tick(LATER.plusMillis(ms));
             sharing.look(LATER.plusMillis(ms));
@@ -165,28 +170,26 @@
     void theViewIsAskedForInTheSameWords() {
         ViewManager sight = new ViewManager(
                 Duration.ZERO,
-                ViewSettings.defaults(),
+                new ViewManager.Setup(ViewSettings.defaults(), 7, 4, term -> true, new SplittableRandom(1), line -> {}),
                 new MemberTable("b1", "10.0.0.1:7001", "-", 1),
-                terms("b1", "b2", "b3"),
-                7,
-                4,
-                term -> true,
-                new SplittableRandom(1),
-                line -> {});
+                terms("b1", "b2", "b3"));
         StringBuilder all = new StringBuilder();
-        List<ViewManager.ViewMessage> says = new ArrayList<>();
+        List<PeerMessage> says = new ArrayList<>();
         for (int ms = 0; ms < 1000; ms += 50) {
             says.addAll(sight.tick(Duration.ofMillis(ms)));
         }
         for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
             says.addAll(sight.receive(Duration.ofMillis(1000), "b2", 5, what));
         }
-        says.forEach(say -> all.append(say.recipient())
-                .append(' ')
-                .append(say.correlationId())
-                .append(' ')
-                .append(say.text())
-                .append('\n'));
+        for (PeerMessage say : says) {
+            PeerMessage.Text text = assertInstanceOf(PeerMessage.Text.class, say);
+            all.append(text.recipient())
+                    .append(' ')
+                    .append(text.correlationId())
+                    .append(' ')
+                    .append(text.text())
+                    .append('\n');
+        }
         fixture.pins("view.words", all.toString());
         fixture.pins("view.state", sight.json(Duration.ofMillis(1000)));
     }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -17,8 +17,8 @@
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.OrderTracker;
 import merlinlever.management.StatusReport;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MemberStatus;
+import merlinlever.membership.MessageKind;
 import merlinlever.policy.OverloadController;
 import merlinlever.recovery.PersistedStateAssessor;
 import merlinlever.recovery.RecoverySequence;
@@ -56,24 +56,20 @@
                         OverloadController.RejectionReason.UNSETTLED));
         named(
                 "alive, suspect, dead, left",
-                List.of(
-                        MemberTable.MemberStatus.ALIVE,
-                        MemberTable.MemberStatus.SUSPECT,
-                        MemberTable.MemberStatus.DEAD,
-                        MemberTable.MemberStatus.LEFT));
+                List.of(MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT));
         named(
                 "ping, ack, ask_for, nack, sync, sync_back, recall, recalled, say, carry",
                 List.of(
-                        SwimProtocol.MessageKind.PING,
-                        SwimProtocol.MessageKind.ACK,
-                        SwimProtocol.MessageKind.PING_REQUEST,
-                        SwimProtocol.MessageKind.NACK,
-                        SwimProtocol.MessageKind.SYNC,
-                        SwimProtocol.MessageKind.SYNC_REPLY,
-                        SwimProtocol.MessageKind.RECOVERY_QUERY,
-                        SwimProtocol.MessageKind.RECOVERY_REPLY,
-                        SwimProtocol.MessageKind.TEXT,
-                        SwimProtocol.MessageKind.PAYLOAD));
+                        MessageKind.PING,
+                        MessageKind.ACK,
+                        MessageKind.PING_REQUEST,
+                        MessageKind.NACK,
+                        MessageKind.SYNC,
+                        MessageKind.SYNC_REPLY,
+                        MessageKind.RECOVERY_QUERY,
+                        MessageKind.RECOVERY_REPLY,
+                        MessageKind.TEXT,
+                        MessageKind.PAYLOAD));
         named(
                 "start, drain, stop, restart",
                 List.of(
--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -76,14 +76,16 @@
                     Restrictions.NONE);
             RouteTable table = RouteTable.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
             routes.offer(clock.uptime(), table);
-            routes.renew(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
+            routes.renew(
+                    clock.uptime(),
+                    new RoutingTable.Renewal(
+                            site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease()));
         }
         List<RouteSelector.RoutingClass> tariffs =
                 List.of(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.valueOf(kind), true));
         Map<Long, Outcome> ends = new TreeMap<>();
         RoutedDownstreamService partners = new RoutedDownstreamService(
                 loop,
-                ownParty.address(),
                 (now, id, how, reply) -> {
                     assertTrue(ends.put(id, how) == null, "ended twice: " + id);
                     if (ends.size() == 200) {
@@ -91,13 +93,11 @@
                     }
                 },
                 log,
-                100,
                 routes,
                 new RouteSelector(routes, 1),
                 new LocalServiceHealth(new LocalServiceHealth.HealthSettings(
                         3, Duration.ofMillis(500), 32, Duration.ofMillis(100), 3)),
-                tariffs,
-                "records",
+                new RoutedDownstreamService.RoutingSettings(ownParty.address(), 100, tariffs, "records"),
                 rooms::add);
         for (int i = 0; i < 200; i++) {
             long id = i;
@@ -115,7 +115,7 @@
         seen[0] = own.counts()[1];
         seen[1] = east.counts()[1];
         seen[2] = west.counts()[1];
-        assertEquals(partners.ways(), seen[1] + seen[2]);
+        assertEquals(partners.callsToPartners(), seen[1] + seen[2]);
         return ends;
     }
 
@@ -123,7 +123,7 @@
     void theOwnServiceIsLostInTheMiddle() throws Exception {
         long[] seen = new long[3];
         List<Long> rooms = new ArrayList<>();
-        Map<Long, Outcome> ends = play("RETRIABLE", seen, rooms);
+        Map<Long, Outcome> ends = play("IDEMPOTENT", seen, rooms);
         assertEquals(200, ends.size());
         long good = ends.values().stream().filter(Outcome.OK::equals).count(),
                 cut = ends.values().stream().filter(Outcome.CUT_OFF::equals).count();
@@ -137,7 +137,7 @@
     @Example
     void bindingWorkStays() throws Exception {
         long[] seen = new long[3];
-        Map<Long, Outcome> ends = play("BINDING", seen, new ArrayList<>());
+        Map<Long, Outcome> ends = play("NON_IDEMPOTENT", seen, new ArrayList<>());
         assertEquals(0, seen[1] + seen[2]);
         assertTrue(ends.values().stream().filter(Outcome.UNREACHABLE::equals).count() > 20);
     }
--- a/src/test/java/merlinlever/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/election/LeaderElectionTest.java
@@ -9,48 +9,58 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
+import merlinlever.membership.PeerMessage;
 import net.jqwik.api.Example;
 
 class LeaderElectionTest {
 
     private static final List<String> VOTERS = List.of("b0", "b1", "b2");
+    private static final ElectionSettings SETTINGS = new ElectionSettings(VOTERS, Duration.ofSeconds(2), 0.01);
+    private static final int TICK_MS = 20;
+    private static final int NOBODY = -1;
 
-    private record Delivery(int from, int to, LeaderElection.PeerMessage say) {}
+    private record Delivery(int sender, int recipient, PeerMessage.Text message) {}
 
     private final List<LeaderElection> nodes = new ArrayList<>();
-    private final Set<String> asked = new TreeSet<>();
-    private List<Delivery> net = new ArrayList<>();
-    private long ms;
-    /** Whom nothing reaches and who reaches nobody; -1 for none. */
-    private int cut = -1;
+    private final Set<String> voteRequests = new TreeSet<>();
+    private List<Delivery> network = new ArrayList<>();
+    private long nowMs;
+    /** The node that nothing reaches and that reaches nobody. */
+    private int isolated = NOBODY;
 
     private Duration now() {
-        return Duration.ofMillis(ms);
+        return Duration.ofMillis(nowMs);
     }
 
-    private void send(int from, List<LeaderElection.PeerMessage> all) {
-        for (LeaderElection.PeerMessage say : all) {
-            int to = VOTERS.indexOf(say.recipient());
-            if (say.text().startsWith("V")) {
-                asked.add(VOTERS.get(from) + " " + say.text());
+    private void send(int sender, List<PeerMessage.Text> messages) {
+        for (PeerMessage.Text message : messages) {
+            int recipient = VOTERS.indexOf(message.recipient());
+            if (message.text().startsWith("V")) {
+                voteRequests.add(VOTERS.get(sender) + " " + message.text());
             }
-            if (from != cut && to != cut) {
-                net.add(new Delivery(from, to, say));
+            if (sender != isolated && recipient != isolated) {
+                network.add(new Delivery(sender, recipient, message));
             }
         }
     }
 
-    private void run(long span) {
-        for (long end = ms + span; ms < end; ms += 20) {
-            List<Delivery> due = net;
-            net = new ArrayList<>();
-            due.forEach(sent -> send(
-                    sent.to,
-                    nodes.get(sent.to).receive(now(), VOTERS.get(sent.from), sent.say.correlationId(), sent.say.text())));
+    private void deliver(Delivery delivery) {
+        PeerMessage.Text message = delivery.message;
+        LeaderElection recipient = nodes.get(delivery.recipient);
+        String sender = VOTERS.get(delivery.sender);
+        send(delivery.recipient, recipient.receive(now(), sender, message.correlationId(), message.text()));
+    }
+
+    private void run(long durationMs) {
+        for (long end = nowMs + durationMs; nowMs < end; nowMs += TICK_MS) {
+            List<Delivery> due = network;
+            network = new ArrayList<>();
+            due.forEach(this::deliver);
             for (int i = 0; i < nodes.size(); i++) {
                 send(i, nodes.get(i).tick(now()));
             }
-            assertTrue(nodes.stream().filter(node -> node.isLeader(now())).count() < 2, "two lead at " + ms);
+            long leaders = nodes.stream().filter(node -> node.isLeader(now())).count();
+            assertTrue(leaders < 2, "two lead at " + nowMs);
         }
     }
 
@@ -59,34 +69,39 @@
                 nodes.stream().filter(node -> node.isLeader(now())).findFirst().orElseThrow());
     }
 
-    /** One that was cut off promises the leader again when it is back, and does not stand on for terms of its own. */
+    private void start(SplittableRandom random) {
+        nodes.clear();
+        network.clear();
+        nowMs = 0;
+        isolated = NOBODY;
+        for (String name : VOTERS) {
+            nodes.add(new LeaderElection(now(), name, SETTINGS, 0, term -> true, random.split(), line -> {}));
+        }
+    }
+
+    /** It does not go on to terms of its own either. */
     @Example
-    void aVoterThatNobodyHeardPromisesWhoeverLeadsWhenItIsBack() {
+    void aVoterThatWasIsolatedPromisesTheLeaderWhenItIsConnectedAgain() {
         for (int seed = 0; seed < 100; seed++) {
-            nodes.clear();
-            net.clear();
-            ms = 0;
-            cut = -1;
-            SplittableRandom chance = new SplittableRandom(seed);
-            VOTERS.forEach(name -> nodes.add(new LeaderElection(
-                    now(), name, VOTERS, Duration.ofSeconds(2), 0.01, 0, term -> true, chance.split(), line -> {})));
+            SplittableRandom random = new SplittableRandom(seed);
+            start(random);
             run(6000);
-            cut = chance.nextInt(3);
+            int wasIsolated = random.nextInt(3);
+            isolated = wasIsolated;
             run(10_000);
-            int gone = cut;
-            int leads = leader();
-            assertTrue(leads != gone);
-            long term = nodes.get(leads).term();
-            cut = -1;
+            int leader = leader();
+            assertTrue(leader != wasIsolated);
+            long term = nodes.get(leader).term();
+            isolated = NOBODY;
             run(3000);
-            asked.clear();
+            voteRequests.clear();
             run(6000);
             assertEquals(
-                    Set.of(VOTERS.get(leads) + " V/" + term),
-                    asked,
+                    Set.of(VOTERS.get(leader) + " V/" + term),
+                    voteRequests,
                     "seed " + seed + ": only the leader asks, for its own term");
             // Its promise counts: the leader goes on without the third.
-            cut = 3 - gone - leads;
+            isolated = 3 - wasIsolated - leader;
             run(6000);
             assertEquals(term, nodes.get(leader()).term(), "seed " + seed);
         }
--- a/src/test/java/merlinlever/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/faults/RoutesModelTest.java
@@ -113,7 +113,7 @@
         String merged = model.merged(model.site("b").nodes.get(0));
         assertTrue(merged.contains("path=[d]"), merged);
         assertFalse(merged.contains("path=[d, e"), merged);
-        assertTrue(model.site("b").nodes.get(0).told.stream().anyMatch(line -> line.contains("refused: leak")));
+        assertTrue(model.site("b").nodes.get(0).told.stream().anyMatch(line -> line.endsWith("rule=leak")));
         model.site("b").serviceUp = false;
         model.run(6000, 2);
         assertTrue(model.audit.leaked() > 100, "the auditor sees the leak");
@@ -158,7 +158,7 @@
         model.run(1000, 1);
         assertTrue(way(model, "b", 0));
         model.run(2 * LEASE.toMillis(), 1);
-        assertTrue(model.site("b").nodes.get(0).told.stream().anyMatch(line -> line.contains("older")));
+        assertTrue(model.site("b").nodes.get(0).told.stream().anyMatch(line -> line.contains("reason=older-version")));
         assertFalse(model.merged(model.site("b").nodes.get(0)).contains("path=[a]"), "what it said last ran out");
         model.site("a").incarnation = 2;
         model.run(4000, 1);
--- a/src/test/java/merlinlever/faults/audit/IncarnationAuditTest.java
+++ b/src/test/java/merlinlever/faults/audit/IncarnationAuditTest.java
@@ -4,22 +4,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
 import net.jqwik.api.Example;
 
 class IncarnationAuditTest {
 
     private final IncarnationAudit audit = new IncarnationAudit();
 
-    private static SwimProtocol.MembershipMessage telling(String from, String of, long incarnation) {
-        return new SwimProtocol.MembershipMessage(
-                SwimProtocol.MessageKind.PING,
+    private static MembershipMessage telling(String from, String of, long incarnation) {
+        return new MembershipMessage(
+                MessageKind.PING,
                 from,
                 1,
                 "",
-                List.of(new MemberTable.MemberRecord(
-                        of, "127.0.0.1:1", "-", MemberTable.MemberStatus.ALIVE, incarnation)));
+                List.of(new MemberRecord(of, "127.0.0.1:1", "-", MemberStatus.ALIVE, incarnation)));
     }
 
     private void tells(String to, long incarnation) {
--- a/src/test/java/merlinlever/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/membership/MemberTableModelTest.java
@@ -12,149 +12,163 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Walks every state that three agents can come to: any suspicion of anyone at any time, right or wrong, one restart without
- * memory, one leaving, and any rumour that was ever told coming to anyone at any later time, any number of times or never.
+ * Walks every state that three members can reach: any suspicion of anyone at any time, right or wrong, one restart without
+ * persisted state, one that leaves, and any record that was ever sent reaching anyone at any later time, any number of times or
+ * never.
  */
 class MemberTableModelTest {
 
     private static final String[] NAMES = {"a", "b", "c"};
-    /** Suspicions are raised up to this incarnation; that each raises it by one bounds the walk. */
-    private static final int MOST_INCARNATION = 1;
+    /** Suspicions are raised up to this incarnation; each raises it by one, so this bounds the walk. */
+    private static final int MAX_SUSPECTED_INCARNATION = 1;
+
+    private static final int STATUSES = MemberStatus.values().length;
+    private static final int INCARNATIONS = 5;
+    private static final int RECORDS_PER_MEMBER = STATUSES * INCARNATIONS;
+    private static final MemberRecord[] ALL_RECORDS = allRecords();
+
+    private static MemberRecord[] allRecords() {
+        MemberRecord[] records = new MemberRecord[NAMES.length * RECORDS_PER_MEMBER];
+        for (int index = 0; index < records.length; index++) {
+            int member = index / RECORDS_PER_MEMBER;
+            MemberStatus status = MemberStatus.values()[index % STATUSES];
+            int incarnation = index % RECORDS_PER_MEMBER / STATUSES;
+            records[index] = new MemberRecord(NAMES[member], "g" + member, "p" + member, status, incarnation);
+        }
+        return records;
+    }
+
+    private static int indexOf(MemberRecord member) {
+        assertTrue(member.incarnation() < INCARNATIONS, "no room for incarnation " + member.incarnation());
+        return (member.name().charAt(0) - 'a') * RECORDS_PER_MEMBER
+                + member.status().ordinal()
+                + STATUSES * (int) member.incarnation();
+    }
 
     private static final class FleetState {
-        final MemberTable[] views = new MemberTable[3];
-        /** Which of all rumours that there can be were told. */
-        long told;
+        final MemberTable[] tables = new MemberTable[3];
+        /** Which of all possible records were ever sent, by their index. */
+        long sentRecords;
 
-        boolean restarted, cLeft;
+        boolean bRestarted;
+        boolean cLeft;
 
         FleetState copy() {
             FleetState copy = new FleetState();
             for (int i = 0; i < 3; i++) {
-                copy.views[i] = views[i].copy();
+                copy.tables[i] = tables[i].copy();
             }
-            copy.told = told;
-            copy.restarted = restarted;
+            copy.sentRecords = sentRecords;
+            copy.bRestarted = bRestarted;
             copy.cLeft = cLeft;
             return copy;
         }
 
-        void tell() {
-            for (int i = 0; i < 3; i++) {
-                for (MemberTable.MemberRecord rumour : views[i].all()) {
-                    told |= 1L << place(rumour);
+        void sendAllRecords() {
+            for (MemberTable table : tables) {
+                for (MemberRecord member : table.all()) {
+                    sentRecords |= 1L << indexOf(member);
                 }
             }
         }
 
-        /** All of it in a few characters. */
+        /** The whole state in a few characters. */
         String key() {
             StringBuilder key = new StringBuilder(12);
-            for (MemberTable each : views) {
+            for (MemberTable table : tables) {
                 for (String name : NAMES) {
-                    MemberTable.MemberRecord rumour = each.find(name);
-                    key.append((char) (rumour == null ? 0 : 1 + rumour.status().ordinal() + 4 * rumour.incarnation()));
+                    MemberRecord member = table.find(name);
+                    key.append((char)
+                            (member == null ? 0 : 1 + member.status().ordinal() + STATUSES * member.incarnation()));
                 }
             }
             for (int i = 0; i < 4; i++) {
-                key.append((char) (told >>> 16 * i));
+                key.append((char) (sentRecords >>> 16 * i));
             }
-            return key.append((char) ((restarted ? 1 : 0) + (cLeft ? 2 : 0))).toString();
+            return key.append((char) ((bRestarted ? 1 : 0) + (cLeft ? 2 : 0))).toString();
         }
 
-        boolean live(int i) {
+        boolean isLive(int i) {
             return i != 2 || !cLeft;
         }
     }
 
-    /** Of 20 each: four standings at five incarnations. */
-    private static final int EACH = 20;
-
-    private static int place(MemberTable.MemberRecord rumour) {
-        assertTrue(rumour.incarnation() < EACH / 4, "no room for incarnation " + rumour.incarnation());
-        return (rumour.name().charAt(0) - 'a') * EACH + rumour.status().ordinal() + 4 * (int) rumour.incarnation();
+    private static MemberTable newTable(int i) {
+        return new MemberTable(NAMES[i], "g" + i, "p" + i, 0);
     }
 
-    private static final MemberTable.MemberRecord[] RUMOURS = new MemberTable.MemberRecord[3 * EACH];
-
-    static {
-        for (int place = 0; place < RUMOURS.length; place++) {
-            int who = place / EACH;
-            RUMOURS[place] = new MemberTable.MemberRecord(
-                    NAMES[who], "g" + who, "p" + who, MemberTable.MemberStatus.values()[place % 4], place % EACH / 4);
+    private static List<FleetState> successors(FleetState state) {
+        List<FleetState> successors = new ArrayList<>();
+        for (int i = 0; i < 3; i++) {
+            if (state.isLive(i)) {
+                addSuspicions(state, i, successors);
+                addDeliveries(state, i, successors);
+            }
         }
+        if (!state.bRestarted) {
+            FleetState restarted = state.copy();
+            restarted.tables[1] = newTable(1);
+            restarted.bRestarted = true;
+            successors.add(restarted);
+        }
+        if (!state.cLeft) {
+            FleetState left = state.copy();
+            left.tables[2].markSelfLeft();
+            left.cLeft = true;
+            successors.add(left);
+        }
+        successors.forEach(FleetState::sendAllRecords);
+        return successors;
     }
 
-    private static MemberTable fresh(int i) {
-        return new MemberTable(NAMES[i], "g" + i, "p" + i, 0);
-    }
-
-    private static List<FleetState> next(FleetState state) {
-        List<FleetState> next = new ArrayList<>();
-        for (int i = 0; i < 3; i++) {
-            if (!state.live(i)) {
+    private static void addSuspicions(FleetState state, int observer, List<FleetState> successors) {
+        for (int subject = 0; subject < 3; subject++) {
+            MemberRecord known = state.tables[observer].find(NAMES[subject]);
+            if (subject == observer || known == null) {
                 continue;
             }
-            for (int k = 0; k < 3; k++) {
-                MemberTable.MemberRecord known = state.views[i].find(NAMES[k]);
-                if (k == i || known == null) {
-                    continue;
-                }
-                if (known.status() == MemberTable.MemberStatus.ALIVE && known.incarnation() < MOST_INCARNATION) {
-                    FleetState made = state.copy();
-                    made.views[i].markSuspect(NAMES[k]);
-                    next.add(made);
-                }
-                if (known.status() == MemberTable.MemberStatus.SUSPECT) {
-                    FleetState made = state.copy();
-                    made.views[i].markDead(NAMES[k]);
-                    next.add(made);
-                }
+            if (known.status() == MemberStatus.ALIVE && known.incarnation() < MAX_SUSPECTED_INCARNATION) {
+                FleetState next = state.copy();
+                next.tables[observer].markSuspect(NAMES[subject]);
+                successors.add(next);
             }
-            for (long left = state.told; left != 0; left &= left - 1) {
-                MemberTable.MemberRecord rumour = RUMOURS[Long.numberOfTrailingZeros(left)];
-                MemberTable.MemberRecord known = state.views[i].find(rumour.name());
-                if (known != null && !MemberTable.supersedes(rumour, known)) {
-                    // It says nothing new here: the same state.
-                    continue;
-                }
-                FleetState made = state.copy();
-                MemberTable.MemberRecord before = made.views[i].find(rumour.name());
-                made.views[i].merge(rumour);
-                MemberTable.MemberRecord after = made.views[i].find(rumour.name());
-                assertTrue(
-                        before == null || after.equals(before) || MemberTable.supersedes(after, before),
-                        "a belief went back");
-                next.add(made);
+            if (known.status() == MemberStatus.SUSPECT) {
+                FleetState next = state.copy();
+                next.tables[observer].markDead(NAMES[subject]);
+                successors.add(next);
             }
         }
-        if (!state.restarted) {
-            FleetState made = state.copy();
-            made.views[1] = fresh(1);
-            made.restarted = true;
-            next.add(made);
-        }
-        if (!state.cLeft) {
-            FleetState made = state.copy();
-            made.views[2].markSelfLeft();
-            made.cLeft = true;
-            next.add(made);
+    }
+
+    private static void addDeliveries(FleetState state, int receiver, List<FleetState> successors) {
+        for (long left = state.sentRecords; left != 0; left &= left - 1) {
+            MemberRecord update = ALL_RECORDS[Long.numberOfTrailingZeros(left)];
+            MemberRecord before = state.tables[receiver].find(update.name());
+            if (before != null && !MemberTable.supersedes(update, before)) {
+                // It says nothing new here: the same state.
+                continue;
+            }
+            FleetState next = state.copy();
+            next.tables[receiver].merge(update);
+            MemberRecord after = next.tables[receiver].find(update.name());
+            assertTrue(
+                    before == null || after.equals(before) || MemberTable.supersedes(after, before),
+                    "a belief went back");
+            successors.add(next);
         }
-        next.forEach(FleetState::tell);
-        return next;
     }
 
-    /** All that live tell each other all that they believe, until nothing is new. */
-    private static void settle(FleetState state) {
+    /** All that are live send each other all that they believe, until nothing is new. */
+    private static void converge(FleetState state) {
         boolean changed = true;
         for (int rounds = 0; changed; rounds++) {
-            assertTrue(rounds < 20, "never quiet");
+            assertTrue(rounds < 20, "does not converge");
             changed = false;
-            for (int i = 0; i < 3; i++) {
-                for (int k = 0; k < 3; k++) {
-                    if (i != k && state.live(i) && state.live(k)) {
-                        for (MemberTable.MemberRecord rumour : state.views[i].all()) {
-                            changed |= state.views[k].merge(rumour) != null;
+            for (int sender = 0; sender < 3; sender++) {
+                for (int receiver = 0; receiver < 3; receiver++) {
+                    if (sender != receiver && state.isLive(sender) && state.isLive(receiver)) {
+                        for (MemberRecord member : state.tables[sender].all()) {
+                            changed |= state.tables[receiver].merge(member) != null;
                         }
                     }
                 }
@@ -162,53 +176,56 @@
         }
     }
 
-    @Test
-    void noLiveOneStaysDeadALeftOneStaysAwayAndViewsAgree() {
-        assertTrue(MOST_INCARNATION <= 1, "the key has room for incarnations up to 4");
-        FleetState first = new FleetState();
+    private static FleetState initialState() {
+        FleetState initial = new FleetState();
         for (int i = 0; i < 3; i++) {
-            first.views[i] = fresh(i);
+            initial.tables[i] = newTable(i);
         }
         for (int i = 0; i < 3; i++) {
             for (int k = 0; k < 3; k++) {
-                first.views[i].merge(
-                        new MemberTable.MemberRecord(NAMES[k], "g" + k, "p" + k, MemberTable.MemberStatus.ALIVE, 0));
+                initial.tables[i].merge(new MemberRecord(NAMES[k], "g" + k, "p" + k, MemberStatus.ALIVE, 0));
             }
         }
-        first.tell();
+        initial.sendAllRecords();
+        return initial;
+    }
+
+    private static void assertConvergesRightly(FleetState state) {
+        FleetState converged = state.copy();
+        MemberRecord leaverBefore = converged.tables[0].find("c");
+        boolean knewThatLeft = leaverBefore != null && leaverBefore.status() == MemberStatus.LEFT;
+        converge(converged);
+        for (int i = 0; i < 3; i++) {
+            for (int k = 0; k < 3; k++) {
+                if (converged.isLive(i) && converged.isLive(k)) {
+                    MemberRecord believed = converged.tables[i].find(NAMES[k]);
+                    assertEquals(MemberStatus.ALIVE, believed.status(), state::key);
+                    assertEquals(converged.tables[k].find(NAMES[k]), believed, state::key);
+                }
+            }
+        }
+        assertEquals(converged.tables[0].find("c"), converged.tables[1].find("c"));
+        assertFalse(
+                knewThatLeft && converged.cLeft && converged.tables[0].find("c").status() != MemberStatus.LEFT,
+                "one that left came back");
+    }
+
+    @Test
+    void noLiveMemberStaysDeadOneThatLeftStaysAwayAndTablesConverge() {
+        assertTrue(MAX_SUSPECTED_INCARNATION <= 1, "the key has room for incarnations up to 4");
+        FleetState initial = initialState();
         Set<String> seen = new HashSet<>();
-        ArrayDeque<FleetState> open = new ArrayDeque<>(List.of(first));
-        seen.add(first.key());
+        ArrayDeque<FleetState> open = new ArrayDeque<>(List.of(initial));
+        seen.add(initial.key());
         while (!open.isEmpty()) {
             FleetState state = open.poll();
-            FleetState calm = state.copy();
-            List<Boolean> knewLeft = new ArrayList<>();
-            for (int i = 0; i < 3; i++) {
-                MemberTable.MemberRecord c = calm.views[i].find("c");
-                knewLeft.add(c != null && c.status() == MemberTable.MemberStatus.LEFT);
-            }
-            settle(calm);
-            for (int i = 0; i < 3; i++) {
-                for (int k = 0; k < 3; k++) {
-                    if (calm.live(i) && calm.live(k)) {
-                        assertEquals(
-                                MemberTable.MemberStatus.ALIVE,
-                                calm.views[i].find(NAMES[k]).status(),
-                                state::key);
-                        assertEquals(calm.views[k].find(NAMES[k]), calm.views[i].find(NAMES[k]), state::key);
-                    }
-                }
-            }
-            assertEquals(calm.views[0].find("c"), calm.views[1].find("c"));
-            assertFalse(
-                    knewLeft.get(0) && calm.cLeft && calm.views[0].find("c").status() != MemberTable.MemberStatus.LEFT,
-                    "one that left came back");
-            for (FleetState each : next(state)) {
-                if (seen.add(each.key())) {
-                    open.add(each);
+            assertConvergesRightly(state);
+            for (FleetState successor : successors(state)) {
+                if (seen.add(successor.key())) {
+                    open.add(successor);
                 }
             }
-            assertTrue(seen.size() < 3_000_000, "more states than were meant to be walked");
+            assertTrue(seen.size() < 3_000_000, "more states than expected");
         }
         assertTrue(seen.size() > 5_000, "walked only " + seen.size());
     }
--- a/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -208,7 +208,10 @@
     }
 
     private String address(RecoveryCoordinator one) {
-        return one.members().memberTable().find(one.members().memberTable().self()).gossipAddress();
+        return one.members()
+                .memberTable()
+                .find(one.members().memberTable().self())
+                .gossipAddress();
     }
 
     @Example
@@ -225,7 +228,8 @@
         until("b is warm", () -> second.order().stage() == RecoverySequence.RecoveryStage.WARM);
         // Noted with the next mark, and read while marks are made.
         until("whom to ask is noted", () -> left("b").peers().equals(List.of(address(first))));
-        assertTrue(left("b").incarnations() >= first.members().memberTable().find("b").incarnation());
+        assertTrue(left("b").incarnations()
+                >= first.members().memberTable().find("b").incarnation());
     }
 
     @Example
@@ -275,7 +279,8 @@
         RecoveryCoordinator two =
                 make("b", new FileStateDirectory(root.resolve("b2")), List.of(address(first)), service);
         until("one of them says so", () -> logged("another process lives under this one's name"));
-        assertTrue(one.members().memberTable().addressConflicts() > 1 || two.members().memberTable().addressConflicts() > 1);
+        assertTrue(one.members().memberTable().addressConflicts() > 1
+                || two.members().memberTable().addressConflicts() > 1);
     }
 
     @Example
@@ -305,8 +310,8 @@
         MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
         try (UdpSwitch hub = new UdpSwitch(loop, new LinkFaults(2), real, List.of(here(0), here(0)), 7)) {
             hub.tap((from, to, octets) -> audit.sent(from == 0 ? "a" : "b", to == 0 ? "a" : "b", wire.decode(octets)));
-            List<String> fronts =
-                    List.of(MembershipTransport.formatAddress(hub.front(0)), MembershipTransport.formatAddress(hub.front(1)));
+            List<String> fronts = List.of(
+                    MembershipTransport.formatAddress(hub.front(0)), MembershipTransport.formatAddress(hub.front(1)));
             RecoveryCoordinator.NodeSettings place = new RecoveryCoordinator.NodeSettings(
                     "b", real.get(1), fronts.get(1), "-", List.of(fronts.get(0)), SECRET);
             RecoveryCoordinator first = make(
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -17,6 +17,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.faults.FixedFleetView;
 import merlinlever.faults.TestDirectories;
@@ -89,7 +90,10 @@
 
     private record Replica(RecoveryCoordinator rejoin, ReplicationTransport spread, ElectionTransport leading) {
         String address() {
-            return rejoin.members().memberTable().find(rejoin.members().memberTable().self()).gossipAddress();
+            return rejoin.members()
+                    .memberTable()
+                    .find(rejoin.members().memberTable().self())
+                    .gossipAddress();
         }
     }
 
@@ -115,9 +119,7 @@
                 ElectionTransport leading = new ElectionTransport(
                         loop,
                         rejoin,
-                        List.of("a", "b", "c"),
-                        Duration.ofSeconds(3),
-                        0.01,
+                        new ElectionSettings(List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01),
                         name.hashCode(),
                         line -> log.add(name + " " + line));
                 return new Replica(
@@ -159,7 +161,8 @@
                         .propose(
                                 loop.clock().uptime(),
                                 "end",
-                                octets("won by " + each.rejoin.members().memberTable().self()));
+                                octets("won by "
+                                        + each.rejoin.members().memberTable().self()));
             }
             return List.of(a, b, c).stream()
                     .allMatch(each -> each.spread.decree().written("end").isPresent());
--- a/src/test/java/merlinlever/routes/PartsBytesTest.java
+++ b/src/test/java/merlinlever/routes/PartsBytesTest.java
@@ -28,6 +28,7 @@
                 List.of("s1", "routes.0", 4L, 17L),
                 List.of(part.owner(), part.topic(), part.incarnation(), part.sequence()));
         assertEquals(
-                table, new TableChunks().receive(new VersionedEntry("s1", "routes.0", 4, 17, fixture.bytes("routes.0"))));
+                table,
+                new TableChunks().receive(new VersionedEntry("s1", "routes.0", 4, 17, fixture.bytes("routes.0"))));
     }
 }
--- a/src/test/java/merlinlever/routes/RouteMergerTest.java
+++ b/src/test/java/merlinlever/routes/RouteMergerTest.java
@@ -63,7 +63,7 @@
 
     /** Any history of tables, in any order over the partners, ends as the last tables alone put in at once. */
     @Property(tries = 300, seed = "41")
-    void theSameWhateverTheOrder(@ForAll long seed) {
+    void theResultDoesNotDependOnTheOrderOfTables(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         RouteMerger lived = new RouteMerger(new RoutingPolicy("me"));
         TreeMap<String, RouteTable> last = new TreeMap<>();
@@ -86,8 +86,8 @@
         }
         RouteMerger fresh = new RouteMerger(new RoutingPolicy("me"));
         last.descendingMap()
-                .forEach((site, table) ->
-                        fresh.replaceTable(site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NO_LISTENER));
+                .forEach((site, table) -> fresh.replaceTable(
+                        site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NO_LISTENER));
         assertEquals(fresh.describe(), lived.describe());
         assertEquals(
                 last.values().stream().mapToInt(each -> each.routes().size()).sum(), lived.routeCount());
@@ -100,11 +100,15 @@
     }
 
     @Example
-    void customersBeforePeersBeforeProvidersThenShortThenCheap() {
+    void customersComeBeforePeersBeforeProvidersThenShortThenCheap() {
         RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
         merge.replaceTable(
-                "pro", Relation.PROVIDER, table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")), RouteMerger.NO_LISTENER);
-        merge.replaceTable("peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), RouteMerger.NO_LISTENER);
+                "pro",
+                Relation.PROVIDER,
+                table("pro", 1, Relation.PROVIDER, route("t", 0, "pro")),
+                RouteMerger.NO_LISTENER);
+        merge.replaceTable(
+                "peer", Relation.PEER, table("peer", 1, Relation.PEER, route("t", 9, "peer")), RouteMerger.NO_LISTENER);
         merge.replaceTable(
                 "cus",
                 Relation.CUSTOMER,
@@ -125,7 +129,11 @@
         }
         int[] withdrawn = new int[1];
         RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
-        merge.replaceTable("west", Relation.PEER, table("west", 1, Relation.PEER, route("t7", 3, "west")), RouteMerger.NO_LISTENER);
+        merge.replaceTable(
+                "west",
+                Relation.PEER,
+                table("west", 1, Relation.PEER, route("t7", 3, "west")),
+                RouteMerger.NO_LISTENER);
         String before = merge.describe();
         merge.replaceTable(
                 "east",
@@ -150,7 +158,7 @@
     }
 
     @Example
-    void aTableBeyondTheRoomIsNotTaken() {
+    void aTableBeyondTheBoundIsRejected() {
         RouteMerger merge = new RouteMerger(new RoutingPolicy("me"));
         List<Route> many = new ArrayList<>();
         for (int i = 0; i < RouteTable.MAX_ROUTES; i++) {
@@ -164,7 +172,10 @@
                     RouteMerger.NO_LISTENER));
         }
         assertFalse(merge.replaceTable(
-                "late", Relation.PEER, table("late", 1, Relation.PEER, route("t", 1, "late")), RouteMerger.NO_LISTENER));
+                "late",
+                Relation.PEER,
+                table("late", 1, Relation.PEER, route("t", 1, "late")),
+                RouteMerger.NO_LISTENER));
         assertEquals(RouteMerger.MAX_ROUTES, merge.routeCount());
     }
 }
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -60,7 +60,10 @@
     private void says(Relation relation, String site, Route... all) {
         RouteTable table = RouteTable.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(all));
         routes.offer(NOW, table);
-        routes.renew(NOW, site, 1, table.sequence(), RouteTableWriter.digest(table), NOW, table.lease());
+        routes.renew(
+                NOW,
+                new RoutingTable.Renewal(
+                        site, 1, table.sequence(), RouteTableWriter.digest(table), NOW, table.lease()));
     }
 
     private static RouteSelector.RoutedCall call(RouteSelector.RoutingClass tariff, String key) {
@@ -68,13 +71,16 @@
     }
 
     private Optional<String> place(RouteSelector.RoutedCall call) {
-        return exits.selectRoute(NOW, call, LocalServiceHealth.HealthState.UNREACHABLE, false).map(RouteSelector.SelectedRoute::address);
+        return exits.selectRoute(NOW, call, LocalServiceHealth.HealthState.UNREACHABLE, false)
+                .map(RouteSelector.SelectedRoute::address);
     }
 
     @Example
-    void staysWhileItsOwnIsGood() {
+    void aCallStaysWhileTheLocalServiceIsHealthy() {
         says(Relation.PEER, "east", at("east", 1, 10, false, false));
-        assertEquals(Optional.empty(), exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, false));
+        assertEquals(
+                Optional.empty(),
+                exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, false));
         assertTrue(exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, true)
                 .isPresent());
         assertTrue(exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.SLOW, false)
@@ -82,7 +88,7 @@
     }
 
     @Example
-    void bindingWorkLeavesOnlyWhereBothSaySo() {
+    void nonIdempotentCallsLeaveOnlyWhereClassAndRouteAllowIt() {
         says(Relation.PEER, "east", at("east", 1, 10, false, false), at("east", 2, 10, false, true));
         assertEquals(Optional.empty(), place(call(BINDING, "k")));
         says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, true));
@@ -96,7 +102,7 @@
     }
 
     @Example
-    void whatMayHaveHadItsEffectGoesNoSecondWay() {
+    void aCallThatMayHaveTakenEffectIsSentAgainOnlyIfIdempotent() {
         says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, false));
         RouteSelector.RoutingClass fingerprinted =
                 new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT_BY_KEY, true);
@@ -120,7 +126,11 @@
         for (int i = 0; i < keys; i++) {
             places.put(
                     "key" + i,
-                    fresh.selectRoute(NOW.plusSeconds(i), call(READS, "key" + i), LocalServiceHealth.HealthState.UNREACHABLE, false)
+                    fresh.selectRoute(
+                                    NOW.plusSeconds(i),
+                                    call(READS, "key" + i),
+                                    LocalServiceHealth.HealthState.UNREACHABLE,
+                                    false)
                             .orElseThrow()
                             .address());
         }
@@ -128,7 +138,7 @@
     }
 
     @Example
-    void spreadByCapacityAndLittleMoves() {
+    void keysAreSpreadByCapacityAndFewMoveWithAChange() {
         says(Relation.PEER, "east", at("east", 1, 10, false, false), at("east", 2, 20, false, false));
         says(Relation.PEER, "west", at("west", 3, 30, false, false));
         Map<String, String> before = all(3000);
@@ -147,7 +157,7 @@
     }
 
     @Example
-    void inNoSecondMoreThanARouteTakesThenTheNextBest() {
+    void aRouteTakesNoMoreThanItsRateAndTheNextBestTheRest() {
         says(Relation.PEER, "east", at("east", 1, 10, false, false));
         says(Relation.PROVIDER, "far", at("far", 5, 3, false, false));
         List<Optional<String>> went = new ArrayList<>();
@@ -159,7 +169,7 @@
                 went.subList(10, 13),
                 List.of(Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1")));
         assertEquals(7, went.stream().filter(Optional::isEmpty).count());
-        assertEquals(13, exits.room(NOW, List.of(READS), "records"));
+        assertEquals(13, exits.callsPerSecond(NOW, List.of(READS), "records"));
         // Of eight backends each has an eighth of ten, and less than one of three: one in three seconds.
         RouteSelector eighth = new RouteSelector(routes, 8);
         Map<String, Integer> counts = new HashMap<>();
@@ -168,11 +178,11 @@
                     .ifPresent(way -> counts.merge(way.site(), 1, Integer::sum));
         }
         assertEquals(Map.of("east", 8, "far", 3), counts);
-        assertEquals(1, eighth.room(NOW, List.of(READS), "records"));
+        assertEquals(1, eighth.callsPerSecond(NOW, List.of(READS), "records"));
     }
 
     @Example
-    void itsOwnIsAwaySlowAndGoodAgain() {
+    void theLocalServiceBecomesUnreachableSlowAndHealthyAgain() {
         LocalServiceHealth own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
         Duration quick = Duration.ofMillis(5);
         own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
--- a/src/test/java/merlinlever/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableFilesTest.java
@@ -27,7 +27,7 @@
     }
 
     @Example
-    void aLeaseCountsFromTheLastLookBeforeItWasWritten() throws IOException {
+    void aLeaseCountsFromTheLastPollBeforeTheWrite() throws IOException {
         Path file = Files.createTempFile("merlinlever-routes", ".json");
         try {
             List<String> told = new ArrayList<>();
@@ -57,7 +57,8 @@
             assertEquals(
                     1,
                     told.stream()
-                            .filter(line -> line.startsWith("east: the table"))
+                            .filter(line -> line.startsWith("route-file-rejected partner=east")
+                                    && line.contains("reason=the table"))
                             .count(),
                     "a file in halves");
             assertEquals(1, routes.candidates(s(108), "t/records").size());
@@ -66,7 +67,7 @@
             assertEquals(
                     1,
                     told.stream()
-                            .filter(line -> line.endsWith("has a table of west"))
+                            .filter(line -> line.endsWith("reason=wrong-site site=west"))
                             .count());
         } finally {
             Files.delete(file);
--- a/src/test/java/merlinlever/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableReaderTest.java
@@ -51,7 +51,7 @@
     }
 
     @Example
-    void readsWhatIsWritten() throws RouteTableReader.UnusableTableException {
+    void aWrittenTableIsReadBack() throws RouteTableReader.UnusableTableException {
         RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.write(full()));
         assertEquals(full(), read.table());
         assertEquals(1, read.faults().size(), () -> read.faults().toString());
@@ -59,7 +59,7 @@
 
     /** Whatever is said of restrictions and not understood forbids; so does a route with what is not known. */
     @Example
-    void whatIsNotUnderstoodForbids() throws RouteTableReader.UnusableTableException {
+    void restrictionsThatAreNotUnderstoodForbidTheRoute() throws RouteTableReader.UnusableTableException {
         for (String bad : List.of(
                 "null",
                 "[]",
@@ -105,7 +105,7 @@
     }
 
     @Example
-    void eachBoundIsKept() {
+    void valuesBeyondABoundAreRejected() {
         for (String bad : List.of(
                 "[]",
                 "",
@@ -132,7 +132,7 @@
 
     /** A table with anything changed, cut or put in ends in a table within the bounds or in the one fault; and never allows more than it said. */
     @Property(tries = 4000, seed = "42")
-    void spoiltTextsAreReadOrRefused(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
+    void corruptedTextsAreReadWithinBoundsOrRejected(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
         SplittableRandom chance = new SplittableRandom(seed);
         StringBuilder text = new StringBuilder(RouteTableWriter.write(full()));
         String[] words = {
--- a/src/test/java/merlinlever/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -120,19 +120,18 @@
                                         strips
                                                 ? each
                                                 : rules[site].toExported(
-                                                        each, "10.0.0.9:1", 100, 1, relations[site][to]));
+                                                        each,
+                                                        new RouteExporter.Terms(
+                                                                "-", relations[site][to], "10.0.0.9:1", 100, 1)));
                             }
                         }
                     } else {
-                        all = RouteExporter.of(
+                        all = RouteExporter.export(
                                 rules[site],
                                 merge,
-                                relations[site][to],
-                                SITES[to],
+                                new RouteExporter.Terms(
+                                        SITES[to], relations[site][to], "10.0.0." + (site + 1) + ":1", 100, 1),
                                 own == null ? List.of() : List.of(own),
-                                "10.0.0." + (site + 1) + ":1",
-                                100,
-                                1,
                                 any -> true);
                         all.forEach(each -> look("sent", each, site, to));
                     }
--- a/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
@@ -64,7 +64,7 @@
     }
 
     @Example
-    void everyOrderEndsAlikeAndNothingForbiddenIsSent() {
+    void everyOrderConvergesAndNothingForbiddenIsSent() {
         int states = 0, whole = 0, walks = 0;
         for (Restrictions tight : EACH) {
             for (RoutingModelCheck each : shapes(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
@@ -84,7 +84,7 @@
     }
 
     @Example
-    void eachExportRuleThatIsLeftOutIsFound() {
+    void aMissingExportRuleIsFound() {
         for (RoutingPolicy.ExportRule rule : RoutingPolicy.ExportRule.values()) {
             assertTrue(
                     found(EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.of(rule), -1, "sent"),
@@ -93,7 +93,7 @@
     }
 
     @Example
-    void nothingThatALeakingSitePassesOnIsTaken() {
+    void routesThatALeakingSiteExportsAreRejected() {
         assertFalse(found(
                 EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, ""));
         assertFalse(found(
@@ -103,7 +103,7 @@
     }
 
     @Example
-    void eachIntakeRuleThatIsLeftOutIsFound() {
+    void aMissingImportRuleIsFound() {
         for (RoutingPolicy.ImportRule rule : RoutingPolicy.ImportRule.values()) {
             assertTrue(
                     found(EnumSet.of(rule), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, "taken")
--- a/src/test/java/merlinlever/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/routes/RoutingTableTest.java
@@ -44,12 +44,13 @@
         routes.offer(s(at), table);
         routes.renew(
                 s(at),
-                "east",
-                table.incarnation(),
-                table.sequence(),
-                RouteTableWriter.digest(table),
-                s(at),
-                table.lease());
+                new RoutingTable.Renewal(
+                        "east",
+                        table.incarnation(),
+                        table.sequence(),
+                        RouteTableWriter.digest(table),
+                        s(at),
+                        table.lease()));
     }
 
     private List<Integer> costs(double at) {
@@ -77,7 +78,7 @@
     }
 
     @Example
-    void usedOnlyWhileItsLeaseHoldsAndLastWhileItIsSilent() {
+    void aTableIsUsedOnlyWhileItsLeaseIsValid() {
         routes.offer(s(0), of(1, route("t", 1, "east")));
         assertEquals(List.of(), costs(0.1), "nobody knows yet whether it stands by it");
         says(0.2, of(1, route("t", 1, "east")));
@@ -89,45 +90,52 @@
     }
 
     @Example
-    void whatIsSilentIsUsedLast() {
+    void staleRoutesAreUsedLast() {
         says(0, of(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(s(4), west);
-        routes.renew(s(4), "west", 1, 1, RouteTableWriter.digest(west), s(4), west.lease());
+        routes.renew(s(4), new RoutingTable.Renewal("west", 1, 1, RouteTableWriter.digest(west), s(4), west.lease()));
         assertEquals(List.of(1, 9), costs(4));
         assertEquals(List.of(9, 1), costs(6));
         assertEquals(List.of(9), costs(11));
     }
 
     @Example
-    void whatComesLateTwiceOrOldWidensNothing() {
+    void lateDuplicateAndOldTablesWidenNothing() {
         RouteTable first = of(1, route("t", 1, "east")), second = of(2, tight(route("t", 1, "east")));
         says(0, first);
         says(1, second);
         assertEquals(List.of(), costs(1));
         says(2, first);
         assertEquals(List.of(), costs(2));
-        assertEquals(1, told.stream().filter(line -> line.contains("older")).count());
+        assertEquals(
+                1,
+                told.stream()
+                        .filter(line -> line.contains("reason=older-version"))
+                        .count());
         // Nor does its lease go on where the word is of another version.
-        assertFalse(routes.renew(s(3), "east", 1, 1, RouteTableWriter.digest(first), s(3), s(10)));
-        assertFalse(routes.renew(s(3), "east", 1, 2, RouteTableWriter.digest(first), s(3), s(10)));
+        assertFalse(routes.renew(
+                s(3), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(first), s(3), s(10))));
+        assertFalse(routes.renew(
+                s(3), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(first), s(3), s(10))));
     }
 
     /** Of one version there are two: the one before runs out, in no order is either taken, and it is told. */
     @Example
-    void twoTablesUnderOneVersion() {
+    void twoTablesUnderOneVersionConflict() {
         RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x")),
                 other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
         for (List<RouteTable> order : List.of(List.of(one, other), List.of(other, one))) {
             RoutingTable each = fresh();
             RouteTable before = of(1, route("t", 1, "east"));
             each.offer(s(0), before);
-            each.renew(s(0), "east", 1, 1, RouteTableWriter.digest(before), s(0), s(10));
+            each.renew(s(0), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(before), s(0), s(10)));
             order.forEach(table -> {
                 each.offer(s(1), table);
-                each.renew(s(4), "east", 1, 2, RouteTableWriter.digest(table), s(4), s(10));
+                each.renew(s(4), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), s(4), s(10)));
             });
-            order.forEach(table -> each.renew(s(5), "east", 1, 2, RouteTableWriter.digest(table), s(5), s(10)));
+            order.forEach(table -> each.renew(
+                    s(5), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), s(5), s(10))));
             each.tick(s(9));
             assertEquals(
                     List.of(1),
@@ -140,12 +148,15 @@
             assertEquals(Duration.ZERO, each.lease(s(9), "east").remaining());
         }
         assertEquals(
-                2, told.stream().filter(line -> line.contains("two tables")).count());
+                2,
+                told.stream()
+                        .filter(line -> line.startsWith("route-table-conflict"))
+                        .count());
     }
 
     /** Cut off: a tightening and a withdrawal are taken, a new route and a looser one wait until enough are heard again. */
     @Example
-    void cutOffItOnlyNarrows() {
+    void withoutQuorumOnlyRestrictionsAreAdopted() {
         says(0, of(1, route("t", 1, "east"), tight(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
         standing = QuorumStatus.MINORITY;
@@ -168,7 +179,7 @@
 
     /** Any words in any order: what is used allows no more than one that was said at most a lease before. */
     @Property(tries = 300, seed = "43")
-    void neverMoreThanWasSaidWithinALease(@ForAll long seed) {
+    void neverAllowsMoreThanWasPublishedWithinALease(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         RoutingTable routes = fresh();
         List<RouteTable> said = new ArrayList<>();
@@ -189,7 +200,10 @@
             if (chance.nextInt(3) == 0) {
                 // It stands by the last alone; who hears of it counts from when it asked.
                 RouteTable last = said.get(said.size() - 1);
-                routes.renew(s(now), "east", 1, last.sequence(), RouteTableWriter.digest(last), s(now), last.lease());
+                routes.renew(
+                        s(now),
+                        new RoutingTable.Renewal(
+                                "east", 1, last.sequence(), RouteTableWriter.digest(last), s(now), last.lease()));
             }
             routes.tick(s(now));
             for (RouteMerger.Candidate each : routes.candidates(s(now), "t/records")) {
@@ -209,7 +223,7 @@
     }
 
     @Example
-    void whatComesAndGoesIsLeftOutByThePublishedFigures() {
+    void flappingRoutesAreSuppressedAsRecommended() {
         FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.RECOMMENDED);
         for (int i = 0; i < 5; i++) {
             damping.recordWithdrawal(s(i), "r");
@@ -232,7 +246,7 @@
     }
 
     @Example
-    void aRouteThatComesAndGoesIsLeftOutOfTheWays() {
+    void aFlappingRouteIsNoCandidate() {
         for (int i = 1; i < 16; i++) {
             says(
                     i,
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -34,7 +34,7 @@
     }
 
     @Example
-    void inAnyOrderOnceAllIsThereAndNeverInHalves() {
+    void chunksAreAssembledInAnyOrderAndOnlyOnceComplete() {
         RouteTable first = large(1, 0), second = large(2, 50);
         List<VersionedEntry> parts = new ArrayList<>(TableChunks.split(first));
         assertTrue(parts.size() > 3
@@ -58,7 +58,7 @@
     }
 
     @Example
-    void spoiltOrMixedPartsAreNoTable() {
+    void corruptedOrMixedChunksAreNoTable() {
         List<VersionedEntry> one = TableChunks.split(large(1, 0)), other = TableChunks.split(large(2, 50));
         for (int spoilt = 0; spoilt < 200; spoilt++) {
             SplittableRandom chance = new SplittableRandom(spoilt);
--- /dev/null
+++ b/src/test/java/merlinlever/view/ActionPermissionsTest.java
@@ -0,0 +1,32 @@
+package merlinlever.view;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.util.List;
+import merlinlever.view.ActionPermissions.Permission;
+import net.jqwik.api.Example;
+
+class ActionPermissionsTest {
+
+    @Example
+    void eachActionHasAnAnswerAtEachStatus() {
+        for (GuardedAction action : GuardedAction.values()) {
+            for (QuorumStatus status : QuorumStatus.values()) {
+                assertNotNull(ActionPermissions.permission(action, status), action + " at " + status);
+            }
+        }
+    }
+
+    @Example
+    void withoutQuorumNothingIsDecidedAndRestrictionsAreStillAdopted() {
+        for (QuorumStatus status : List.of(
+                QuorumStatus.MINORITY, QuorumStatus.ISOLATED, QuorumStatus.CONFLICTING, QuorumStatus.RECOVERING)) {
+            assertEquals(Permission.DENIED, ActionPermissions.permission(GuardedAction.DECIDE, status));
+            assertEquals(Permission.DENIED, ActionPermissions.permission(GuardedAction.GRANT_QUOTA, status));
+            assertEquals(Permission.ALLOWED, ActionPermissions.permission(GuardedAction.ADOPT_RESTRICTION, status));
+        }
+        assertEquals(
+                Permission.DENIED, ActionPermissions.permission(GuardedAction.USE_ADOPTED, QuorumStatus.RECOVERING));
+    }
+}
--- /dev/null
+++ b/src/test/java/merlinlever/view/QuorumStatusHysteresisTest.java
@@ -0,0 +1,26 @@
+package merlinlever.view;
+
+import static merlinlever.view.ViewFixture.ms;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import net.jqwik.api.Example;
+
+class QuorumStatusHysteresisTest {
+
+    @Example
+    void aWorseStatusIsShownAtOnceAndABetterOneWhenItLasts() {
+        QuorumStatusHysteresis hysteresis = new QuorumStatusHysteresis(ms(0), ms(1000));
+        int changes = 0;
+        for (int at = 0; at < 20_000; at += 50) {
+            QuorumStatus flapping = at / 500 % 2 == 0 ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY;
+            changes += hysteresis.update(ms(at), flapping) ? 1 : 0;
+        }
+        assertEquals(1, changes, "it does not follow up and down");
+        assertEquals(QuorumStatus.MINORITY, hysteresis.shown());
+        assertFalse(hysteresis.update(ms(20_000), QuorumStatus.FULL));
+        assertTrue(hysteresis.update(ms(21_050), QuorumStatus.MAJORITY));
+        assertTrue(hysteresis.update(ms(21_100), QuorumStatus.ISOLATED));
+    }
+}
