--- a/src/test/java/merlinlever/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/view/ViewBytesTest.java
@@ -13,9 +13,10 @@
     @Example
     void aViewAndADifference() {
         Fixture fixture = new Fixture("view.txt");
-        MembershipView first = MembershipView.of(MembershipView.number(3, 1), new TreeSet<>(List.of("b0", "b1", "b2")));
+        MembershipView first =
+                MembershipView.of(MembershipView.numberOf(3, 1), new TreeSet<>(List.of("b0", "b1", "b2")));
         MembershipView second =
-                MembershipView.of(MembershipView.number(3, 2), new TreeSet<>(List.of("b0", "b2", "b3")));
+                MembershipView.of(MembershipView.numberOf(3, 2), new TreeSet<>(List.of("b0", "b2", "b3")));
         ViewCodec here = new ViewCodec();
         here.remember(first);
         here.remember(second);
