--- a/src/main/java/merlinlever/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/membership/SwimProtocol.java
@@ -1,9 +1,7 @@
 package merlinlever.membership;
 
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -55,7 +53,7 @@
     private final Map<Long, PendingPing> pendingPings = new LinkedHashMap<>();
     private final RelayedPings relayedPings;
     private final SuspicionTimers suspicionTimers = new SuspicionTimers();
-    private final ArrayDeque<String> probeOrder = new ArrayDeque<>();
+    private final ProbeSchedule probeSchedule;
     private final MessageDispatcher dispatcher = new MessageDispatcher();
     private List<OutboundDatagram> outbox = new ArrayList<>();
     private Duration nextPeriodAt;
@@ -79,6 +77,7 @@
         this.log = log;
         gossipQueue = new GossipQueue(memberTable);
         relayedPings = new RelayedPings(settings);
+        probeSchedule = new ProbeSchedule(memberTable, random);
         nextPeriodAt = now;
         lastCorrelationId = random.nextLong() >>> 16;
         announce(now, memberTable.find(memberTable.self()));
@@ -271,7 +270,7 @@
     /** This member leaves in good order; what {@link #tick} returns next has to be sent still. */
     public void leave(Duration now) {
         announce(now, memberTable.markSelfLeft());
-        List<MemberRecord> peers = shuffledLivePeers();
+        List<MemberRecord> peers = probeSchedule.shuffledLivePeers();
         int farewells = Math.min(settings.indirectPings() + EXTRA_FAREWELLS, peers.size());
         for (MemberRecord peer : peers.subList(0, farewells)) {
             sendNewRequest(peer.gossipAddress(), MessageKind.PING);
@@ -287,24 +286,6 @@
         return member.name().equals(memberTable.self());
     }
 
-    private List<MemberRecord> shuffledLivePeers() {
-        List<MemberRecord> peers = new ArrayList<>();
-        for (MemberRecord member : memberTable.all()) {
-            if (!isSelf(member) && member.isLive()) {
-                peers.add(member);
-            }
-        }
-        shuffle(peers);
-        return peers;
-    }
-
-    /** Not {@code Collections.shuffle}, which takes no {@code SplittableRandom} in Java 17. */
-    private void shuffle(List<MemberRecord> list) {
-        for (int i = list.size() - 1; i > 0; i--) {
-            Collections.swap(list, i, random.nextInt(i + 1));
-        }
-    }
-
     // ---- periodic work
 
     /** Does what is due, and returns all that is to be sent; to be called every 50 ms or so, and after each message. */
@@ -351,7 +332,7 @@
     private void sendIndirectPings(long correlationId, PendingPing ping) {
         MemberRecord target = memberTable.find(ping.target);
         int asked = 0;
-        for (MemberRecord helper : shuffledLivePeers()) {
+        for (MemberRecord helper : probeSchedule.shuffledLivePeers()) {
             if (asked < settings.indirectPings() && !helper.name().equals(ping.target) && target != null) {
                 asked++;
                 enqueue(helper.gossipAddress(), MessageKind.PING_REQUEST, correlationId, target.gossipAddress());
@@ -366,7 +347,7 @@
             sendSync();
         }
         removeLongGoneMembers(now);
-        String target = nextProbeTarget();
+        String target = probeSchedule.nextTarget();
         if (target != null) {
             lastCorrelationId++;
             Duration indirectPingAt = now.plus(stretched(settings.pingTimeout()));
@@ -387,20 +368,6 @@
         }
     }
 
-    /** All peers in turn, in an order that is drawn anew each round (SWIM section 4.3); null where there is none. */
-    private String nextProbeTarget() {
-        for (int round = 0; round < 2; round++) {
-            while (!probeOrder.isEmpty()) {
-                MemberRecord member = memberTable.find(probeOrder.poll());
-                if (member != null && member.isLive()) {
-                    return member.name();
-                }
-            }
-            shuffledLivePeers().forEach(peer -> probeOrder.add(peer.name()));
-        }
-        return null;
-    }
-
     /** Exchanges all records with one peer, or with all seeds where no peer is known. */
     private void sendSync() {
         List<String> addresses = new ArrayList<>();
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -279,7 +279,7 @@
         }
         service.keyed(order.keyedFrom(now), keyedTo);
         if (!writer.busy()
-                && (incarnation() > onDisk || term > termOnDisk || !mark.isZero() && now.compareTo(nextMark) >= 0)) {
+                && (incarnation() > onDisk || term > termOnDisk || (!mark.isZero() && now.compareTo(nextMark) >= 0))) {
             write(now);
         }
     }
--- a/src/test/java/merlinlever/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/membership/MemberTableModelTest.java
@@ -83,7 +83,7 @@
                 }
             }
             for (int i = 0; i < 4; i++) {
-                key.append((char) (sentRecords >>> 16 * i));
+                key.append((char) (sentRecords >>> (16 * i)));
             }
             return key.append((char) ((bRestarted ? 1 : 0) + (cLeft ? 2 : 0))).toString();
         }
