--- a/src/main/java/merlinlever/election/ElectionSettings.java
+++ b/src/main/java/merlinlever/election/ElectionSettings.java
@@ -12,6 +12,7 @@
  */
 public record ElectionSettings(List<String> voters, Duration lease, double clockDrift) {
 
+    /** Copies the voters. */
     public ElectionSettings {
         voters = List.copyOf(voters);
     }
--- a/src/main/java/merlinlever/election/ElectionState.java
+++ b/src/main/java/merlinlever/election/ElectionState.java
@@ -44,7 +44,11 @@
     private String lastLeader;
     private Duration lastLeaderHeardAt;
 
-    /** @param persistedTerm the highest term that is on this voter's disk */
+    /**
+     * The state of a voter that starts now.
+     *
+     * @param persistedTerm the highest term that is on this voter's disk
+     */
     ElectionState(Duration now, String self, ElectionSettings settings, long persistedTerm, SplittableRandom random) {
         this.self = self;
         this.settings = settings;
--- a/src/main/java/merlinlever/election/LeaderElection.java
+++ b/src/main/java/merlinlever/election/LeaderElection.java
@@ -43,6 +43,8 @@
     private Leader lastLoggedLeader;
 
     /**
+     * An election in which nobody is known to lead yet.
+     *
      * @param persistedTerm the highest term that is on this backend's disk
      * @param persistTerm requests that a term be written to disk; true once it is there
      * @param log takes one line whenever another leader becomes known
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -23,7 +23,11 @@
     private final RecoveryCoordinator recovery;
     private final LeaderElection election;
 
-    /** @param recovery where terms are persisted, and whose membership carries the messages */
+    /**
+     * Starts to take part in the election.
+     *
+     * @param recovery where terms are persisted, and whose membership carries the messages
+     */
     public ElectionTransport(
             EventLoop loop, RecoveryCoordinator recovery, ElectionSettings settings, long seed, Consumer<String> log) {
         this.loop = loop;
@@ -40,6 +44,7 @@
         loop.every(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
     }
 
+    /** The election, for the parts that need a leader. */
     public LeaderElection election() {
         return election;
     }
--- a/src/main/java/merlinlever/membership/MembershipCodec.java
+++ b/src/main/java/merlinlever/membership/MembershipCodec.java
@@ -36,7 +36,11 @@
 
     private final SecretKeySpec secret;
 
-    /** @param secret shared by all members */
+    /**
+     * A codec of one fleet.
+     *
+     * @param secret shared by all members
+     */
     public MembershipCodec(byte[] secret) {
         this.secret = new SecretKeySpec(secret, MAC_ALGORITHM);
     }
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -23,6 +23,8 @@
     private long rejectedDatagrams;
 
     /**
+     * Starts to run the protocol.
+     *
      * @param mayAnnounce whether this incarnation of its own may be sent to peers: not before it is on disk, where one is
      *     persisted
      */
--- a/src/main/java/merlinlever/membership/MessageDispatcher.java
+++ b/src/main/java/merlinlever/membership/MessageDispatcher.java
@@ -12,7 +12,11 @@
     private final Map<String, TextMessageHandler> textHandlers = new TreeMap<>();
     private final List<PayloadHandler> payloadHandlers = new ArrayList<>();
 
-    /** @throws IllegalStateException if one of the types has a handler already */
+    /**
+     * From here on texts of these types go to the handler.
+     *
+     * @throws IllegalStateException if one of the types has a handler already
+     */
     void addTextHandler(Set<String> messageTypes, TextMessageHandler handler) {
         for (String type : messageTypes) {
             if (textHandlers.put(type, handler) != null) {
--- a/src/main/java/merlinlever/membership/PeerMessage.java
+++ b/src/main/java/merlinlever/membership/PeerMessage.java
@@ -19,7 +19,11 @@
         private final String recipient;
         private final byte[] content;
 
-        /** @param content not copied, and not to be changed any more */
+        /**
+         * A payload of these bytes.
+         *
+         * @param content not copied, and not to be changed any more
+         */
         public Payload(String recipient, byte[] content) {
             this.recipient = recipient;
             this.content = content;
--- a/src/main/java/merlinlever/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/membership/SwimProtocol.java
@@ -64,7 +64,11 @@
     private long periodCount;
     private int healthScore;
 
-    /** @param log takes one line whenever the status of a peer changes */
+    /**
+     * A member that knows nothing but its own table yet.
+     *
+     * @param log takes one line whenever the status of a peer changes
+     */
     public SwimProtocol(
             Duration now,
             MemberTable memberTable,
--- a/src/main/java/merlinlever/membership/SwimSettings.java
+++ b/src/main/java/merlinlever/membership/SwimSettings.java
@@ -13,6 +13,7 @@
  */
 public record SwimSettings(Duration probePeriod, Duration pingTimeout, int indirectPings, List<String> seeds) {
 
+    /** Copies the seeds. */
     public SwimSettings {
         seeds = List.copyOf(seeds);
     }
--- a/src/main/java/merlinlever/routes/FlapDamping.java
+++ b/src/main/java/merlinlever/routes/FlapDamping.java
@@ -47,13 +47,15 @@
     private final FlapDampingSettings settings;
     private final Map<String, RoutePenalty> penalties = new TreeMap<>();
 
+    /** A damping without any penalty yet. */
     public FlapDamping(FlapDampingSettings settings) {
         this.settings = settings;
     }
 
     private double decayedPenalty(Duration now, RoutePenalty entry) {
-        double age = now.minus(entry.updatedAt).toNanos();
-        return entry.penalty * Math.pow(0.5, age / settings.halfLife().toNanos());
+        long ageNanos = now.minus(entry.updatedAt).toNanos();
+        double halfLives = ageNanos / (double) settings.halfLife().toNanos();
+        return entry.penalty * Math.pow(0.5, halfLives);
     }
 
     /** Below this a penalty is forgotten. */
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -63,11 +63,13 @@
     private int successesInARow;
     private Duration lastProbeAt = Duration.ZERO;
 
+    /** A service that is taken for healthy until calls show otherwise. */
     public LocalServiceHealth(HealthSettings settings) {
         this.settings = settings;
         slowCalls = new boolean[settings.slownessWindow()];
     }
 
+    /** The present state. */
     public HealthState state() {
         return state;
     }
--- a/src/main/java/merlinlever/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/routes/PartnerTable.java
@@ -28,7 +28,11 @@
     private Duration previousValidUntil = Duration.ZERO;
     private boolean conflicting;
 
-    /** @param clockDrift upper bound of the fraction by which the partner's clock and this one run apart */
+    /**
+     * A partner of which no table is known yet.
+     *
+     * @param clockDrift upper bound of the fraction by which the partner's clock and this one run apart
+     */
     PartnerTable(String site, Relation relation, double clockDrift) {
         this.site = site;
         this.relation = relation;
@@ -135,6 +139,7 @@
     }
 
     /** Adopts what the latest table newly allows; returns whether that changed what is active. */
+    @SuppressWarnings("ReferenceEquality") // a narrowed table is another object, though it may allow the same
     boolean adoptWidening() {
         if (latest == null || conflicting || active == latest) {
             return false;
--- a/src/main/java/merlinlever/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/routes/PeerTableSync.java
@@ -52,7 +52,11 @@
     private final Map<String, LeaseQuery> queries = new TreeMap<>();
     private long lastCorrelationId;
 
-    /** @param firstCorrelationId which no other incarnation of this backend comes near */
+    /**
+     * A synchronization that has sent no query yet.
+     *
+     * @param firstCorrelationId which no other incarnation of this backend comes near
+     */
     public PeerTableSync(RoutingTable routingTable, long firstCorrelationId, SplittableRandom random) {
         this.routingTable = routingTable;
         this.random = random;
--- a/src/main/java/merlinlever/routes/RateWindow.java
+++ b/src/main/java/merlinlever/routes/RateWindow.java
@@ -21,6 +21,8 @@
     private int count;
 
     /**
+     * The part of one backend.
+     *
      * @param callsPerSecond of the whole site
      * @param backends that divide them evenly; less than one call each is one call in several seconds
      */
--- a/src/main/java/merlinlever/routes/Restrictions.java
+++ b/src/main/java/merlinlever/routes/Restrictions.java
@@ -35,6 +35,7 @@
     public static final Restrictions UNREADABLE =
             new Restrictions(new TreeSet<>(), new TreeSet<>(), true, 1, true, true, true);
 
+    /** Copies the sets. */
     public Restrictions {
         onlyTo = onlyTo == null ? null : Collections.unmodifiableSortedSet(new TreeSet<>(onlyTo));
         notTo = Collections.unmodifiableSortedSet(new TreeSet<>(notTo));
--- a/src/main/java/merlinlever/routes/Route.java
+++ b/src/main/java/merlinlever/routes/Route.java
@@ -25,6 +25,7 @@
         String onlyToCustomerSite,
         Restrictions restrictions) {
 
+    /** Copies the path. */
     public Route {
         path = List.copyOf(path);
     }
--- a/src/main/java/merlinlever/routes/RouteExporter.java
+++ b/src/main/java/merlinlever/routes/RouteExporter.java
@@ -25,6 +25,8 @@
     private RouteExporter() {}
 
     /**
+     * The routes of the table to a partner, at most {@link RouteTable#MAX_ROUTES}.
+     *
      * @param ownRoutes whose calls end at this site
      * @param isUsable whether a partner's route may be used now
      */
--- a/src/main/java/merlinlever/routes/RouteMerger.java
+++ b/src/main/java/merlinlever/routes/RouteMerger.java
@@ -82,6 +82,7 @@
     private final Map<String, NavigableSet<Candidate>> candidates = new TreeMap<>();
     private int routeCount;
 
+    /** A merger without any table yet. */
     public RouteMerger(RoutingPolicy policy) {
         this.policy = policy;
     }
--- a/src/main/java/merlinlever/routes/RouteSelector.java
+++ b/src/main/java/merlinlever/routes/RouteSelector.java
@@ -59,7 +59,11 @@
     private final int backends;
     private final Map<String, RateWindow> rateWindows = new LinkedHashMap<>();
 
-    /** @param backends of this site that divide the capacity of each route: the most that there ever are */
+    /**
+     * A selector that has used no capacity yet.
+     *
+     * @param backends of this site that divide the capacity of each route: the most that there ever are
+     */
     public RouteSelector(RoutingTable routingTable, int backends) {
         this.routingTable = routingTable;
         this.backends = backends;
--- a/src/main/java/merlinlever/routes/RouteTable.java
+++ b/src/main/java/merlinlever/routes/RouteTable.java
@@ -28,6 +28,7 @@
     public static final Duration MIN_LEASE = Duration.ofSeconds(1);
     public static final Duration MAX_LEASE = Duration.ofHours(1);
 
+    /** Copies the routes. */
     public RouteTable {
         routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
     }
@@ -40,10 +41,12 @@
         return new RouteTable(site, incarnation, sequence, relation, lease, byId);
     }
 
+    /** Whether it has a higher incarnation, or the same and a higher sequence. */
     public boolean isLaterThan(RouteTable other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : sequence > other.sequence;
     }
 
+    /** Whether it has the same incarnation and sequence. */
     public boolean isSameVersion(RouteTable other) {
         return incarnation == other.incarnation && sequence == other.sequence;
     }
--- a/src/main/java/merlinlever/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/routes/RouteTableReader.java
@@ -28,7 +28,11 @@
         }
     }
 
-    /** @param faults one line for each route that is not used as it was said, 50 at most */
+    /**
+     * What was read.
+     *
+     * @param faults one line for each route that is not used as it was said, 50 at most
+     */
     public record ParsedTable(RouteTable table, List<String> faults) {}
 
     private static final class InvalidFieldException extends Exception {
@@ -64,7 +68,11 @@
 
     private RouteTableReader() {}
 
-    /** @throws UnusableTableException if the text is no JSON, or its head has a fault */
+    /**
+     * Reads a table.
+     *
+     * @throws UnusableTableException if the text is no JSON, or its head has a fault
+     */
     public static ParsedTable read(String text) throws UnusableTableException {
         if (text.length() > MAX_CHARACTERS) {
             throw new UnusableTableException("the table has over " + MAX_CHARACTERS + " characters", null);
--- a/src/main/java/merlinlever/routes/RoutingPolicy.java
+++ b/src/main/java/merlinlever/routes/RoutingPolicy.java
@@ -63,7 +63,11 @@
     private final Set<ImportRule> importRules;
     private final Set<ExportRule> exportRules;
 
-    /** @param self name of this site */
+    /**
+     * The policy of a site, with all rules.
+     *
+     * @param self name of this site
+     */
     public RoutingPolicy(String self) {
         this(self, EnumSet.noneOf(ImportRule.class), EnumSet.noneOf(ExportRule.class));
     }
--- a/src/main/java/merlinlever/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/routes/RoutingTable.java
@@ -62,6 +62,8 @@
     private long edition;
 
     /**
+     * A table of routes that knows nothing of its partners yet.
+     *
      * @param clockDrift upper bound of the fraction by which two clocks run apart
      * @param log takes one line an event
      * @throws IllegalArgumentException if there are more than {@link #MAX_PARTNERS}
@@ -105,6 +107,7 @@
      *
      * @return whether it is later than the one that was known
      */
+    @SuppressWarnings("ReferenceEquality") // the latest table is another object exactly when it was replaced
     public boolean offer(Duration now, RouteTable table) {
         PartnerTable partner = partners.get(table.site());
         if (partner == null) {
@@ -149,6 +152,7 @@
         return partner + " " + route.id();
     }
 
+    @SuppressWarnings("ReferenceEquality") // comparing thousands of routes at each tick would cost too much
     private void apply(Duration now, PartnerTable partner, RouteMerger.RouteListener listener) {
         RouteTable active = partner.active(now);
         if (active == merger.table(partner.site())) {
--- a/src/main/java/merlinlever/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/routes/net/RouteTableFiles.java
@@ -31,6 +31,8 @@
     private Duration lastPollAt;
 
     /**
+     * Files that were not read yet.
+     *
      * @param files by partner
      * @param maxFetchTime the job has a table in its file at most so long after it asked the partner, polls not counted
      */
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -80,6 +80,8 @@
     private long callsToPartners;
 
     /**
+     * Starts to report the capacity.
+     *
      * @param listener is told the outcome of each call
      * @param onCapacity takes how many calls per second there is capacity for, or -1 while the own service is healthy; whenever
      *     that changes
--- a/src/main/java/merlinlever/view/CutDetector.java
+++ b/src/main/java/merlinlever/view/CutDetector.java
@@ -48,7 +48,11 @@
         }
     }
 
-    /** @param heardSince its reports have come without a gap from then on */
+    /**
+     * The last report of a backend.
+     *
+     * @param heardSince its reports have come without a gap from then on
+     */
     private record TrackedReport(MemberReport report, Duration heardSince) {}
 
     private record RejoinPenalty(Duration removedAt, Duration duration) {}
--- a/src/main/java/merlinlever/view/DivergenceMonitor.java
+++ b/src/main/java/merlinlever/view/DivergenceMonitor.java
@@ -18,7 +18,11 @@
     private final Consumer<String> log;
     private final Map<String, VoterResponses.VoterResponse> diverging = new TreeMap<>();
 
-    /** @param patience how long two views may differ before it is worth a line */
+    /**
+     * A monitor that has logged nothing yet.
+     *
+     * @param patience how long two views may differ before it is worth a line
+     */
     DivergenceMonitor(VoterResponses responses, Duration patience, Consumer<String> log) {
         this.responses = responses;
         this.patience = patience;
@@ -26,6 +30,8 @@
     }
 
     /**
+     * Compares the views of the voters with the own one.
+     *
      * @param heard the voters that are heard now
      * @param view adopted by this backend, at {@code adoptedAt}
      */
--- a/src/main/java/merlinlever/view/FailureDetector.java
+++ b/src/main/java/merlinlever/view/FailureDetector.java
@@ -31,7 +31,11 @@
 
     private long lastCorrelationId;
 
-    /** @param firstCorrelationId which no other incarnation of this backend comes near */
+    /**
+     * A detector without subjects.
+     *
+     * @param firstCorrelationId which no other incarnation of this backend comes near
+     */
     FailureDetector(ViewSettings settings, long firstCorrelationId, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
--- a/src/main/java/merlinlever/view/MembershipView.java
+++ b/src/main/java/merlinlever/view/MembershipView.java
@@ -28,6 +28,7 @@
     /** More names would not fit one payload. */
     public static final int MAX_MEMBERS = 1000;
 
+    /** Copies the members. */
     public MembershipView {
         members = Collections.unmodifiableSortedSet(new TreeSet<>(members));
     }
--- a/src/main/java/merlinlever/view/QuorumEvaluator.java
+++ b/src/main/java/merlinlever/view/QuorumEvaluator.java
@@ -20,7 +20,11 @@
     private long knownAddressConflicts;
     private Duration conflictUntil = Duration.ZERO;
 
-    /** @param reportValidity how long an answer counts, in a fleet of the present size */
+    /**
+     * An evaluator that begins with recovery.
+     *
+     * @param reportValidity how long an answer counts, in a fleet of the present size
+     */
     QuorumEvaluator(
             Duration now,
             VoterSet voters,
--- a/src/main/java/merlinlever/view/ViewAdoption.java
+++ b/src/main/java/merlinlever/view/ViewAdoption.java
@@ -30,6 +30,8 @@
     private long numberConflicts;
 
     /**
+     * Nothing is adopted yet.
+     *
      * @param termFloor the highest term on this backend's disk when it started: an earlier incarnation may have held views of it
      * @param persistTerm requests that a term be written to disk; true once it is there
      * @param failureDetector is told whom to observe whenever a view is adopted
--- a/src/main/java/merlinlever/view/ViewManager.java
+++ b/src/main/java/merlinlever/view/ViewManager.java
@@ -77,6 +77,8 @@
     private long lastCorrelationId;
 
     /**
+     * A manager that has adopted no view yet.
+     *
      * @param memberTable what membership believes, for the peers' addresses and orderly departures
      * @param election the one of this process
      */
--- a/src/main/java/merlinlever/view/ViewProposer.java
+++ b/src/main/java/merlinlever/view/ViewProposer.java
@@ -32,7 +32,11 @@
     private Duration leadershipSince = Duration.ZERO;
     private int viewsInTerm;
 
-    /** @param reportValidity how long an answer or a report counts, in a fleet of the present size */
+    /**
+     * A proposer that does not lead yet.
+     *
+     * @param reportValidity how long an answer or a report counts, in a fleet of the present size
+     */
     ViewProposer(
             VoterSet voters,
             LeaderElection election,
--- a/src/main/java/merlinlever/view/VoterResponses.java
+++ b/src/main/java/merlinlever/view/VoterResponses.java
@@ -31,7 +31,11 @@
     private final Map<String, VoterResponse> responses = new TreeMap<>();
     private final Map<Long, PendingPoll> pendingPolls = new LinkedHashMap<>();
 
-    /** @param retention how long an answer to a poll is waited for */
+    /**
+     * A poll is sent now.
+     *
+     * @param retention how long an answer to a poll is waited for
+     */
     void recordPoll(Duration now, String voter, long correlationId, Duration retention) {
         pendingPolls.values().removeIf(poll -> now.minus(poll.sentAt).compareTo(retention) > 0);
         pendingPolls.put(correlationId, new PendingPoll(voter, now));
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -24,6 +24,8 @@
     private final ViewManager manager;
 
     /**
+     * Starts to take part in the view.
+     *
      * @param election the one of this process
      * @param incarnationId a number that no other incarnation of this backend comes near; later ones are higher
      * @param log takes one line at each change of the quorum status or the view, and where voters hold another view
--- a/src/test/java/merlinlever/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -21,7 +21,8 @@
 final class RoutingModelCheck {
 
     static final String[] SITES = {"a", "b", "c", "d"};
-    private static final int N = 4, NOTHING = 0;
+    private static final int N = 4;
+    private static final int NOTHING = 0;
 
     /** What the second is to the first, by index; null where they are no partners. */
     final Relation[][] relations = new Relation[N][N];
@@ -40,7 +41,11 @@
     private final Map<String, Integer> exports = new HashMap<>();
     private final Map<String, String> merges = new HashMap<>();
 
-    /** @param variants of the first site's route, null for withdrawn */
+    /**
+     * A walk that begins with the first variant.
+     *
+     * @param variants of the first site's route, null for withdrawn
+     */
     RoutingModelCheck(
             List<Restrictions> variants,
             Set<RoutingPolicy.ImportRule> without,
--- a/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
@@ -65,7 +65,9 @@
 
     @Example
     void everyOrderConvergesAndNothingForbiddenIsSent() {
-        int states = 0, whole = 0, walks = 0;
+        int states = 0;
+        int whole = 0;
+        int walks = 0;
         for (Restrictions tight : EACH) {
             for (RoutingModelCheck each : shapes(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
                 each.run(MOST);
--- a/src/test/java/merlinlever/view/ViewManagerTest.java
+++ b/src/test/java/merlinlever/view/ViewManagerTest.java
@@ -37,7 +37,7 @@
 
     private ViewManager managerWithView(MembershipView view, SplittableRandom random) {
         memberTable.merge(new MemberRecord("b1", "g1", "-", MemberStatus.ALIVE, 1));
-        ViewManager manager = manager(1 << 20, 0, term -> true, random);
+        ViewManager manager = manager(1L << 20, 0, term -> true, random);
         manager.receivePayload(ms(50), complete(view));
         assertEquals(view, manager.view());
         return manager;
@@ -79,7 +79,7 @@
         ViewManager manager = managerWithView(view, new SplittableRandom(7));
         String answer = "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/0";
         for (int i = 0; i < 200; i++) {
-            manager.receive(ms(100), "b1", (1 << 20) + i, answer);
+            manager.receive(ms(100), "b1", (1L << 20) + i, answer);
         }
         String json = manager.json(ms(100));
         assertTrue(json.contains("\"hears\":[]"), json);
