--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -22,11 +22,11 @@
 
     private static final RouteSelector.RoutingClass READS =
             new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, true);
-    private static final RouteSelector.RoutingClass BINDING =
+    private static final RouteSelector.RoutingClass NON_IDEMPOTENT =
             new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, true);
     private static final Duration NOW = Duration.ofSeconds(1);
 
-    private final RoutingTable routes = new RoutingTable(
+    private final RoutingTable routingTable = new RoutingTable(
             new RoutingPolicy("me"),
             List.of(
                     new RoutingTable.PartnerSettings("east", Relation.PEER),
@@ -34,97 +34,97 @@
                     new RoutingTable.PartnerSettings("far", Relation.PROVIDER)),
             0,
             FlapDamping.FlapDampingSettings.RECOMMENDED,
-            whole(),
+            fullQuorum(),
             line -> {});
-    private final RouteSelector exits = new RouteSelector(routes, 1);
+    private final RouteSelector selector = new RouteSelector(routingTable, 1);
 
-    static FleetView whole() {
+    static FleetView fullQuorum() {
         return new FixedFleetView(now -> QuorumStatus.FULL);
     }
 
-    private static Route at(String site, int place, int calls, boolean binding, boolean retriableOnly) {
+    private static Route route(String site, int host, int calls, boolean allowsNonIdempotent, boolean idempotentOnly) {
         return new Route(
                 "t",
                 "records",
-                "10.0.0." + place + ":1",
+                "10.0.0." + host + ":1",
                 calls,
                 1,
-                binding,
+                allowsNonIdempotent,
                 List.of(site),
                 null,
-                new Restrictions(null, new TreeSet<>(), false, 16, retriableOnly, false, false));
+                new Restrictions(null, new TreeSet<>(), false, 16, idempotentOnly, false, false));
     }
 
     private long version;
 
-    private void says(Relation relation, String site, Route... all) {
-        RouteTable table = RouteTable.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(all));
-        routes.offer(NOW, table);
-        routes.renew(
+    private void publishes(Relation relation, String site, Route... published) {
+        RouteTable table = RouteTable.of(site, 1, ++version, relation, Duration.ofHours(1), List.of(published));
+        routingTable.offer(NOW, table);
+        routingTable.renew(
                 NOW,
                 new RoutingTable.Renewal(
                         site, 1, table.sequence(), RouteTableWriter.digest(table), NOW, table.lease()));
     }
 
-    private static RouteSelector.RoutedCall call(RouteSelector.RoutingClass tariff, String key) {
-        return new RouteSelector.RoutedCall(tariff, "records", key, Set.of(), false);
+    private static RouteSelector.RoutedCall call(RouteSelector.RoutingClass routingClass, String key) {
+        return new RouteSelector.RoutedCall(routingClass, "records", key, Set.of(), false);
     }
 
-    private Optional<String> place(RouteSelector.RoutedCall call) {
-        return exits.selectRoute(NOW, call, LocalServiceHealth.HealthState.UNREACHABLE, false)
+    private Optional<String> address(RouteSelector.RoutedCall call) {
+        return selector.selectRoute(NOW, call, LocalServiceHealth.HealthState.UNREACHABLE, false)
                 .map(RouteSelector.SelectedRoute::address);
     }
 
     @Example
     void aCallStaysWhileTheLocalServiceIsHealthy() {
-        says(Relation.PEER, "east", at("east", 1, 10, false, false));
+        publishes(Relation.PEER, "east", route("east", 1, 10, false, false));
         assertEquals(
                 Optional.empty(),
-                exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, false));
-        assertTrue(exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, true)
+                selector.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, false));
+        assertTrue(selector.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.HEALTHY, true)
                 .isPresent());
-        assertTrue(exits.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.SLOW, false)
+        assertTrue(selector.selectRoute(NOW, call(READS, "k"), LocalServiceHealth.HealthState.SLOW, false)
                 .isPresent());
     }
 
     @Example
     void nonIdempotentCallsLeaveOnlyWhereClassAndRouteAllowIt() {
-        says(Relation.PEER, "east", at("east", 1, 10, false, false), at("east", 2, 10, false, true));
-        assertEquals(Optional.empty(), place(call(BINDING, "k")));
-        says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, true));
-        assertEquals(Optional.of("10.0.0.1:1"), place(call(BINDING, "k")));
+        publishes(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 10, false, true));
+        assertEquals(Optional.empty(), address(call(NON_IDEMPOTENT, "k")));
+        publishes(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, true));
+        assertEquals(Optional.of("10.0.0.1:1"), address(call(NON_IDEMPOTENT, "k")));
         assertEquals(
                 Optional.empty(),
-                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, false), "k")));
+                address(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, false), "k")));
         assertEquals(
                 Optional.empty(),
-                place(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, false), "k")));
+                address(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, false), "k")));
     }
 
     @Example
     void aCallThatMayHaveTakenEffectIsSentAgainOnlyIfIdempotent() {
-        says(Relation.PEER, "east", at("east", 1, 10, true, false), at("east", 2, 10, true, false));
-        RouteSelector.RoutingClass fingerprinted =
+        publishes(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, false));
+        RouteSelector.RoutingClass idempotentByKey =
                 new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT_BY_KEY, true);
-        for (RouteSelector.RoutingClass each : List.of(BINDING, fingerprinted)) {
+        for (RouteSelector.RoutingClass routingClass : List.of(NON_IDEMPOTENT, idempotentByKey)) {
             assertEquals(
                     Optional.empty(),
-                    place(new RouteSelector.RoutedCall(each, "records", "k", Set.of("10.0.0.1:1"), true)));
-            // What surely never ran may.
+                    address(new RouteSelector.RoutedCall(routingClass, "records", "k", Set.of("10.0.0.1:1"), true)));
+            // A call that surely did not run may be sent again.
             assertEquals(
                     Optional.of("10.0.0.2:1"),
-                    place(new RouteSelector.RoutedCall(each, "records", "k", Set.of("10.0.0.1:1"), false)));
+                    address(new RouteSelector.RoutedCall(routingClass, "records", "k", Set.of("10.0.0.1:1"), false)));
         }
         assertEquals(
                 Optional.of("10.0.0.2:1"),
-                place(new RouteSelector.RoutedCall(READS, "records", "k", Set.of("10.0.0.1:1"), true)));
+                address(new RouteSelector.RoutedCall(READS, "records", "k", Set.of("10.0.0.1:1"), true)));
     }
 
-    private Map<String, String> all(int keys) {
-        Map<String, String> places = new HashMap<>();
-        RouteSelector fresh = new RouteSelector(routes, 1);
+    private Map<String, String> addressesByKey(int keys) {
+        Map<String, String> addresses = new HashMap<>();
+        RouteSelector fresh = new RouteSelector(routingTable, 1);
         for (int i = 0; i < keys; i++) {
-            places.put(
+            addresses.put(
                     "key" + i,
                     fresh.selectRoute(
                                     NOW.plusSeconds(i),
@@ -134,48 +134,48 @@
                             .orElseThrow()
                             .address());
         }
-        return places;
+        return addresses;
     }
 
     @Example
     void keysAreSpreadByCapacityAndFewMoveWithAChange() {
-        says(Relation.PEER, "east", at("east", 1, 10, false, false), at("east", 2, 20, false, false));
-        says(Relation.PEER, "west", at("west", 3, 30, false, false));
-        Map<String, String> before = all(3000);
-        for (int place = 1; place <= 3; place++) {
-            String its = "10.0.0." + place + ":1";
-            long count = before.values().stream().filter(its::equals).count();
-            assertTrue(Math.abs(count - 500 * place) < 90, its + " has " + count);
+        publishes(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 20, false, false));
+        publishes(Relation.PEER, "west", route("west", 3, 30, false, false));
+        Map<String, String> before = addressesByKey(3000);
+        for (int host = 1; host <= 3; host++) {
+            String address = "10.0.0." + host + ":1";
+            long count = before.values().stream().filter(address::equals).count();
+            assertTrue(Math.abs(count - 500 * host) < 90, address + " has " + count);
         }
-        says(Relation.PEER, "west", at("west", 3, 30, false, false), at("west", 4, 20, false, false));
-        Map<String, String> after = all(3000);
-        after.forEach((key, its) -> assertTrue(its.equals(before.get(key)) || its.equals("10.0.0.4:1"), key));
-        says(Relation.PEER, "west", at("west", 4, 20, false, false));
-        all(3000)
-                .forEach((key, its) ->
-                        assertTrue(after.get(key).equals("10.0.0.3:1") || its.equals(after.get(key)), key));
+        publishes(Relation.PEER, "west", route("west", 3, 30, false, false), route("west", 4, 20, false, false));
+        Map<String, String> after = addressesByKey(3000);
+        after.forEach((key, address) -> assertTrue(address.equals(before.get(key)) || address.equals("10.0.0.4:1"), key));
+        publishes(Relation.PEER, "west", route("west", 4, 20, false, false));
+        addressesByKey(3000)
+                .forEach((key, address) ->
+                        assertTrue(after.get(key).equals("10.0.0.3:1") || address.equals(after.get(key)), key));
     }
 
     @Example
     void aRouteTakesNoMoreThanItsRateAndTheNextBestTheRest() {
-        says(Relation.PEER, "east", at("east", 1, 10, false, false));
-        says(Relation.PROVIDER, "far", at("far", 5, 3, false, false));
-        List<Optional<String>> went = new ArrayList<>();
+        publishes(Relation.PEER, "east", route("east", 1, 10, false, false));
+        publishes(Relation.PROVIDER, "far", route("far", 5, 3, false, false));
+        List<Optional<String>> addresses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            went.add(place(call(READS, "k" + i)));
+            addresses.add(address(call(READS, "k" + i)));
         }
-        assertEquals(10, went.stream().filter(Optional.of("10.0.0.1:1")::equals).count());
+        assertEquals(10, addresses.stream().filter(Optional.of("10.0.0.1:1")::equals).count());
         assertEquals(
-                went.subList(10, 13),
+                addresses.subList(10, 13),
                 List.of(Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1")));
-        assertEquals(7, went.stream().filter(Optional::isEmpty).count());
-        assertEquals(13, exits.callsPerSecond(NOW, List.of(READS), "records"));
+        assertEquals(7, addresses.stream().filter(Optional::isEmpty).count());
+        assertEquals(13, selector.callsPerSecond(NOW, List.of(READS), "records"));
         // Of eight backends each has an eighth of ten, and less than one of three: one in three seconds.
-        RouteSelector eighth = new RouteSelector(routes, 8);
+        RouteSelector eighth = new RouteSelector(routingTable, 8);
         Map<String, Integer> counts = new HashMap<>();
         for (int ms = 0; ms < 8000; ms += 10) {
             eighth.selectRoute(NOW.plusMillis(ms), call(READS, "k"), LocalServiceHealth.HealthState.UNREACHABLE, false)
-                    .ifPresent(way -> counts.merge(way.site(), 1, Integer::sum));
+                    .ifPresent(selected -> counts.merge(selected.site(), 1, Integer::sum));
         }
         assertEquals(Map.of("east", 8, "far", 3), counts);
         assertEquals(1, eighth.callsPerSecond(NOW, List.of(READS), "records"));
@@ -183,28 +183,28 @@
 
     @Example
     void theLocalServiceBecomesUnreachableSlowAndHealthyAgain() {
-        LocalServiceHealth own = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
+        LocalServiceHealth health = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
         Duration quick = Duration.ofMillis(5);
-        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
-        own.recordOutcome(NOW, Outcome.CUT_OFF, quick);
-        own.recordOutcome(NOW, Outcome.OK, quick);
-        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
-        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
-        assertEquals(LocalServiceHealth.HealthState.HEALTHY, own.state());
-        own.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
-        assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, own.state());
-        assertFalse(own.shouldProbe(NOW.plusMillis(400)));
-        assertTrue(own.shouldProbe(NOW.plusMillis(500)));
-        assertFalse(own.shouldProbe(NOW.plusMillis(600)));
-        own.recordOutcome(NOW, Outcome.OK, quick);
-        own.recordOutcome(NOW, Outcome.OK, quick);
-        assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, own.state());
-        own.recordOutcome(NOW, Outcome.TURNED_AWAY, quick);
-        assertEquals(LocalServiceHealth.HealthState.HEALTHY, own.state());
+        health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        health.recordOutcome(NOW, Outcome.CUT_OFF, quick);
+        health.recordOutcome(NOW, Outcome.OK, quick);
+        health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        assertEquals(LocalServiceHealth.HealthState.HEALTHY, health.state());
+        health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
+        assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, health.state());
+        assertFalse(health.shouldProbe(NOW.plusMillis(400)));
+        assertTrue(health.shouldProbe(NOW.plusMillis(500)));
+        assertFalse(health.shouldProbe(NOW.plusMillis(600)));
+        health.recordOutcome(NOW, Outcome.OK, quick);
+        health.recordOutcome(NOW, Outcome.OK, quick);
+        assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, health.state());
+        health.recordOutcome(NOW, Outcome.TURNED_AWAY, quick);
+        assertEquals(LocalServiceHealth.HealthState.HEALTHY, health.state());
         for (int i = 0; i < 32; i++) {
-            assertEquals(LocalServiceHealth.HealthState.HEALTHY, own.state());
-            own.recordOutcome(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
+            assertEquals(LocalServiceHealth.HealthState.HEALTHY, health.state());
+            health.recordOutcome(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
         }
-        assertEquals(LocalServiceHealth.HealthState.SLOW, own.state());
+        assertEquals(LocalServiceHealth.HealthState.SLOW, health.state());
     }
 }
--- a/src/test/java/merlinlever/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableFilesTest.java
@@ -15,58 +15,58 @@
 
 class RouteTableFilesTest {
 
-    private static Duration s(double seconds) {
+    private static Duration seconds(double seconds) {
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private static int times;
+    private static int writes;
 
     private static void write(Path file, String text) throws IOException {
         Files.writeString(file, text);
-        Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000 * times++));
+        Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000 * writes++));
     }
 
     @Example
     void aLeaseCountsFromTheLastPollBeforeTheWrite() throws IOException {
         Path file = Files.createTempFile("merlinlever-routes", ".json");
         try {
-            List<String> told = new ArrayList<>();
+            List<String> logLines = new ArrayList<>();
             RoutingTable routes = new RoutingTable(
                     new RoutingPolicy("me"),
                     List.of(new RoutingTable.PartnerSettings("east", Relation.PEER)),
                     0,
                     FlapDamping.FlapDampingSettings.RECOMMENDED,
-                    RouteSelectorTest.whole(),
-                    told::add);
-            RouteTableFiles files = new RouteTableFiles(routes, Map.of("east", file), s(2), told::add);
+                    RouteSelectorTest.fullQuorum(),
+                    logLines::add);
+            RouteTableFiles files = new RouteTableFiles(routes, Map.of("east", file), seconds(2), logLines::add);
             String text = RouteTableWriter.write(
                     RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east")));
             write(file, text);
-            files.poll(s(100));
-            assertEquals(0, routes.candidates(s(100), "t/records").size(), "it may be of any age");
-            files.poll(s(101));
+            files.poll(seconds(100));
+            assertEquals(0, routes.candidates(seconds(100), "t/records").size(), "it may be of any age");
+            files.poll(seconds(101));
             write(file, text);
-            files.poll(s(104));
+            files.poll(seconds(104));
             // Asked for at 99 at the earliest.
-            assertEquals(1, routes.candidates(s(108.9), "t/records").size());
-            assertEquals(0, routes.candidates(s(109), "t/records").size());
-            files.poll(s(106));
-            assertEquals(0, routes.candidates(s(109), "t/records").size(), "a look alone is no word of the partner");
+            assertEquals(1, routes.candidates(seconds(108.9), "t/records").size());
+            assertEquals(0, routes.candidates(seconds(109), "t/records").size());
+            files.poll(seconds(106));
+            assertEquals(0, routes.candidates(seconds(109), "t/records").size(), "a look alone is no word of the partner");
             write(file, text.substring(0, text.length() / 2));
-            files.poll(s(107));
+            files.poll(seconds(107));
             assertEquals(
                     1,
-                    told.stream()
+                    logLines.stream()
                             .filter(line -> line.startsWith("route-file-rejected partner=east")
                                     && line.contains("reason=the table"))
                             .count(),
                     "a file in halves");
-            assertEquals(1, routes.candidates(s(108), "t/records").size());
+            assertEquals(1, routes.candidates(seconds(108), "t/records").size());
             write(file, text.replace("\"site\":\"east\"", "\"site\":\"west\""));
-            files.poll(s(108));
+            files.poll(seconds(108));
             assertEquals(
                     1,
-                    told.stream()
+                    logLines.stream()
                             .filter(line -> line.endsWith("reason=wrong-site site=west"))
                             .count());
         } finally {
--- a/src/test/java/merlinlever/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableReaderTest.java
@@ -26,7 +26,7 @@
     }
 
     private static RouteTable full() {
-        Restrictions its = new Restrictions(
+        Restrictions restrictions = new Restrictions(
                 new TreeSet<>(Set.of("me", "west")), new TreeSet<>(Set.of("north")), true, 3, true, true, false);
         return RouteTable.of(
                 "east",
@@ -44,7 +44,7 @@
                                 true,
                                 List.of("east", "south"),
                                 "south",
-                                its),
+                                restrictions),
                         new Route("t", "g", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.UNREADABLE),
                         new Route(
                                 "u", "records", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.NONE)));
@@ -77,8 +77,8 @@
             RouteTableReader.ParsedTable read = RouteTableReader.read(table(ROUTE + ",\"restrictions\":" + bad + "}"));
             assertTrue(
                     read.table().routes().values().stream()
-                            .allMatch(each -> each.restrictions().unreadable()
-                                    && !each.restrictions().allows("me")),
+                            .allMatch(route -> route.restrictions().unreadable()
+                                    && !route.restrictions().allows("me")),
                     bad);
             assertEquals(1, read.faults().size(), bad);
         }
@@ -133,7 +133,7 @@
     /** A table with anything changed, cut or put in ends in a table within the bounds or in the one fault; and never allows more than it said. */
     @Property(tries = 4000, seed = "42")
     void corruptedTextsAreReadWithinBoundsOrRejected(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int times) {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         StringBuilder text = new StringBuilder(RouteTableWriter.write(full()));
         String[] words = {
             "\"",
@@ -154,24 +154,24 @@
             " "
         };
         for (int i = 0; i < times && text.length() > 2; i++) {
-            int at = chance.nextInt(text.length());
-            switch (chance.nextInt(4)) {
-                case 0 -> text.setCharAt(at, (char) chance.nextInt(chance.nextBoolean() ? 128 : 0x10000));
-                case 1 -> text.delete(at, Math.min(text.length(), at + 1 + chance.nextInt(20)));
-                case 2 -> text.insert(at, words[chance.nextInt(words.length)]);
-                default -> text.insert(at, text.substring(at, Math.min(text.length(), at + chance.nextInt(120))));
+            int at = random.nextInt(text.length());
+            switch (random.nextInt(4)) {
+                case 0 -> text.setCharAt(at, (char) random.nextInt(random.nextBoolean() ? 128 : 0x10000));
+                case 1 -> text.delete(at, Math.min(text.length(), at + 1 + random.nextInt(20)));
+                case 2 -> text.insert(at, words[random.nextInt(words.length)]);
+                default -> text.insert(at, text.substring(at, Math.min(text.length(), at + random.nextInt(120))));
             }
         }
         try {
             RouteTableReader.ParsedTable read = RouteTableReader.read(text.toString());
             assertTrue(read.table().routes().size() <= RouteTable.MAX_ROUTES);
-            for (Route each : read.table().routes().values()) {
-                assertTrue(each.callsPerSecond() >= 1
-                        && each.callsPerSecond() <= RouteTableReader.MAX_CALLS_PER_SECOND
-                        && each.cost() >= 0
-                        && !each.path().isEmpty()
-                        && each.path().size() <= Restrictions.MAX_SITES
-                        && each.path().stream().allMatch(RouteTableReader::isSite));
+            for (Route route : read.table().routes().values()) {
+                assertTrue(route.callsPerSecond() >= 1
+                        && route.callsPerSecond() <= RouteTableReader.MAX_CALLS_PER_SECOND
+                        && route.cost() >= 0
+                        && !route.path().isEmpty()
+                        && route.path().size() <= Restrictions.MAX_SITES
+                        && route.path().stream().allMatch(RouteTableReader::isSite));
             }
             // What is read is written and read as the same.
             assertEquals(
--- a/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
@@ -27,7 +27,7 @@
 
     private static final List<Restrictions> EACH = List.of(ONLY, NOT, STAY, ONE, DOWN, UNREADABLE);
     /** A larger bound walks all of it: 2,000,000 does, in some minutes. */
-    private static final int MOST = Integer.getInteger("merlinlever.states", 10_000);
+    private static final int MAX_STATES = Integer.getInteger("merlinlever.states", 10_000);
 
     /** A circle: the first pays the second and fourth, which both pay the third. */
     private static RoutingModelCheck circle(RoutingModelCheck search) {
@@ -53,7 +53,7 @@
                 .link(3, 2, Relation.CUSTOMER);
     }
 
-    private static List<RoutingModelCheck> shapes(
+    private static List<RoutingModelCheck> topologies(
             List<Restrictions> variants,
             Set<RoutingPolicy.ImportRule> without,
             Set<RoutingPolicy.ExportRule> withoutExport) {
@@ -66,22 +66,22 @@
     @Example
     void everyOrderConvergesAndNothingForbiddenIsSent() {
         int states = 0;
-        int whole = 0;
+        int completeWalks = 0;
         int walks = 0;
         for (Restrictions tight : EACH) {
-            for (RoutingModelCheck each : shapes(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
-                each.run(MOST);
-                assertEquals(Set.of(), each.breaches);
-                each.results.forEach((said, results) -> assertEquals(1, results.size(), () -> said + ": " + results));
-                assertEquals(Set.of(0, 1, 2), each.results.keySet());
-                assertFalse(each.results.get(0).iterator().next().contains("no rest"));
-                states += each.states;
-                whole += each.states < MOST ? 1 : 0;
+            for (RoutingModelCheck check : topologies(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
+                check.run(MAX_STATES);
+                assertEquals(Set.of(), check.breaches);
+                check.results.forEach((variant, results) -> assertEquals(1, results.size(), () -> variant + ": " + results));
+                assertEquals(Set.of(0, 1, 2), check.results.keySet());
+                assertFalse(check.results.get(0).iterator().next().contains("no rest"));
+                states += check.states;
+                completeWalks += check.states < MAX_STATES ? 1 : 0;
                 walks++;
             }
         }
         System.out.println(
-                "routes search: " + states + " states; " + whole + " of " + walks + " walks saw all of theirs");
+                "routes search: " + states + " states; " + completeWalks + " of " + walks + " walks saw all of theirs");
         assertTrue(states > 10_000, "only " + states + " states");
     }
 
@@ -122,12 +122,12 @@
             String what) {
         boolean found = false;
         for (Restrictions tight : EACH) {
-            for (boolean strips : leaker < 0 ? new boolean[] {false} : new boolean[] {false, true}) {
-                for (RoutingModelCheck each : shapes(Arrays.asList(OPEN, tight), without, withoutExport)) {
-                    each.leaker = leaker;
-                    each.strips = strips;
-                    each.run(400);
-                    found |= each.breaches.stream().anyMatch(breach -> breach.startsWith(what));
+            for (boolean stripsPath : leaker < 0 ? new boolean[] {false} : new boolean[] {false, true}) {
+                for (RoutingModelCheck check : topologies(Arrays.asList(OPEN, tight), without, withoutExport)) {
+                    check.leaker = leaker;
+                    check.stripsPath = stripsPath;
+                    check.run(400);
+                    found |= check.breaches.stream().anyMatch(breach -> brcheck.startsWith(what));
                 }
             }
         }
--- a/src/test/java/merlinlever/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/routes/RoutingTableTest.java
@@ -17,14 +17,14 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What holds of a partner's word, and for how long. */
+/** Which of a partner's routes are used, and for how long. */
 class RoutingTableTest {
 
-    private final List<String> told = new ArrayList<>();
-    private QuorumStatus standing = QuorumStatus.FULL;
-    private final RoutingTable routes = fresh();
+    private final List<String> logLines = new ArrayList<>();
+    private QuorumStatus quorumStatus = QuorumStatus.FULL;
+    private final RoutingTable routes = newTable();
 
-    private RoutingTable fresh() {
+    private RoutingTable newTable() {
         return new RoutingTable(
                 new RoutingPolicy("me"),
                 List.of(
@@ -32,31 +32,31 @@
                         new RoutingTable.PartnerSettings("west", Relation.PEER)),
                 0.01,
                 FlapDamping.FlapDampingSettings.RECOMMENDED,
-                new FixedFleetView(now -> standing),
-                told::add);
+                new FixedFleetView(now -> quorumStatus),
+                logLines::add);
     }
 
-    private static Duration s(double seconds) {
+    private static Duration seconds(double seconds) {
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private void says(double at, RouteTable table) {
-        routes.offer(s(at), table);
+    private void publishes(double at, RouteTable table) {
+        routes.offer(seconds(at), table);
         routes.renew(
-                s(at),
+                seconds(at),
                 new RoutingTable.Renewal(
                         "east",
                         table.incarnation(),
                         table.sequence(),
                         RouteTableWriter.digest(table),
-                        s(at),
+                        seconds(at),
                         table.lease()));
     }
 
     private List<Integer> costs(double at) {
-        routes.tick(s(at));
-        return routes.candidates(s(at), "t/records").stream()
-                .map(each -> each.route().cost())
+        routes.tick(seconds(at));
+        return routes.candidates(seconds(at), "t/records").stream()
+                .map(candidate -> candidate.route().cost())
                 .toList();
     }
 
@@ -64,7 +64,7 @@
         return table("east", sequence, Relation.PEER, all);
     }
 
-    private static Route tight(Route route) {
+    private static Route restricted(Route route) {
         return new Route(
                 route.priorityClass(),
                 route.group(),
@@ -79,11 +79,11 @@
 
     @Example
     void aTableIsUsedOnlyWhileItsLeaseIsValid() {
-        routes.offer(s(0), of(1, route("t", 1, "east")));
+        routes.offer(seconds(0), of(1, route("t", 1, "east")));
         assertEquals(List.of(), costs(0.1), "nobody knows yet whether it stands by it");
-        says(0.2, of(1, route("t", 1, "east")));
-        assertFalse(routes.isStale(s(5), "east"));
-        assertTrue(routes.isStale(s(5.3), "east"));
+        publishes(0.2, of(1, route("t", 1, "east")));
+        assertFalse(routes.isStale(seconds(5), "east"));
+        assertTrue(routes.isStale(seconds(5.3), "east"));
         assertEquals(List.of(1), costs(10.0));
         // A hundredth sooner, as this clock may be slow.
         assertEquals(List.of(), costs(10.11));
@@ -91,10 +91,10 @@
 
     @Example
     void staleRoutesAreUsedLast() {
-        says(0, of(1, route("t", 1, "east")));
+        publishes(0, of(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
-        routes.offer(s(4), west);
-        routes.renew(s(4), new RoutingTable.Renewal("west", 1, 1, RouteTableWriter.digest(west), s(4), west.lease()));
+        routes.offer(seconds(4), west);
+        routes.renew(seconds(4), new RoutingTable.Renewal("west", 1, 1, RouteTableWriter.digest(west), seconds(4), west.lease()));
         assertEquals(List.of(1, 9), costs(4));
         assertEquals(List.of(9, 1), costs(6));
         assertEquals(List.of(9), costs(11));
@@ -102,116 +102,117 @@
 
     @Example
     void lateDuplicateAndOldTablesWidenNothing() {
-        RouteTable first = of(1, route("t", 1, "east")), second = of(2, tight(route("t", 1, "east")));
-        says(0, first);
-        says(1, second);
+        RouteTable first = of(1, route("t", 1, "east"));
+        RouteTable second = of(2, restricted(route("t", 1, "east")));
+        publishes(0, first);
+        publishes(1, second);
         assertEquals(List.of(), costs(1));
-        says(2, first);
+        publishes(2, first);
         assertEquals(List.of(), costs(2));
         assertEquals(
                 1,
-                told.stream()
+                logLines.stream()
                         .filter(line -> line.contains("reason=older-version"))
                         .count());
-        // Nor does its lease go on where the word is of another version.
+        // Nor is its lease renewed by a message about another version.
         assertFalse(routes.renew(
-                s(3), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(first), s(3), s(10))));
+                seconds(3), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(first), seconds(3), seconds(10))));
         assertFalse(routes.renew(
-                s(3), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(first), s(3), s(10))));
+                seconds(3), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(first), seconds(3), seconds(10))));
     }
 
-    /** Of one version there are two: the one before runs out, in no order is either taken, and it is told. */
+    /** The table before them is used until its lease ends, neither is adopted in whatever order they come, and it is logged. */
     @Example
     void twoTablesUnderOneVersionConflict() {
-        RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x")),
-                other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
+        RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x"));
+        RouteTable other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
         for (List<RouteTable> order : List.of(List.of(one, other), List.of(other, one))) {
-            RoutingTable each = fresh();
+            RoutingTable routingTable = newTable();
             RouteTable before = of(1, route("t", 1, "east"));
-            each.offer(s(0), before);
-            each.renew(s(0), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(before), s(0), s(10)));
+            routingTable.offer(seconds(0), before);
+            routingTable.renew(seconds(0), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(before), seconds(0), seconds(10)));
             order.forEach(table -> {
-                each.offer(s(1), table);
-                each.renew(s(4), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), s(4), s(10)));
+                routingTable.offer(seconds(1), table);
+                routingTable.renew(seconds(4), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), seconds(4), seconds(10)));
             });
-            order.forEach(table -> each.renew(
-                    s(5), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), s(5), s(10))));
-            each.tick(s(9));
+            order.forEach(table -> routingTable.renew(
+                    seconds(5), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), seconds(5), seconds(10))));
+            routingTable.tick(seconds(9));
             assertEquals(
                     List.of(1),
-                    each.candidates(s(9), "t/records").stream()
-                            .map(way -> way.route().cost())
+                    routingTable.candidates(seconds(9), "t/records").stream()
+                            .map(candidate -> candidate.route().cost())
                             .toList());
-            each.tick(s(10));
-            assertEquals(List.of(), each.candidates(s(10), "t/records"));
-            assertTrue(each.isConflicting("east"));
-            assertEquals(Duration.ZERO, each.lease(s(9), "east").remaining());
+            routingTable.tick(seconds(10));
+            assertEquals(List.of(), routingTable.candidates(seconds(10), "t/records"));
+            assertTrue(routingTable.isConflicting("east"));
+            assertEquals(Duration.ZERO, routingTable.lease(seconds(9), "east").remaining());
         }
         assertEquals(
                 2,
-                told.stream()
+                logLines.stream()
                         .filter(line -> line.startsWith("route-table-conflict"))
                         .count());
     }
 
-    /** Cut off: a tightening and a withdrawal are taken, a new route and a looser one wait until enough are heard again. */
+    /** A tighter restriction and a withdrawal are adopted; a new route and a looser one wait until there is a quorum again. */
     @Example
     void withoutQuorumOnlyRestrictionsAreAdopted() {
-        says(0, of(1, route("t", 1, "east"), tight(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
+        publishes(0, of(1, route("t", 1, "east"), restricted(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
-        standing = QuorumStatus.MINORITY;
-        says(
+        quorumStatus = QuorumStatus.MINORITY;
+        publishes(
                 1,
                 of(
                         2,
-                        tight(route("t", 1, "east")),
+                        restricted(route("t", 1, "east")),
                         route("t", 2, "east", "x"),
                         route("t", 3, "east", "x", "y"),
                         route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(3), costs(1));
-        says(2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
+        publishes(2, of(3, route("t", 1, "east"), route("t", 2, "east", "x"), route("t", 4, "east", "x", "y", "z")));
         assertEquals(List.of(), costs(2));
-        standing = QuorumStatus.MAJORITY;
+        quorumStatus = QuorumStatus.MAJORITY;
         assertEquals(List.of(1, 2, 4), costs(3));
-        standing = QuorumStatus.RECOVERING;
+        quorumStatus = QuorumStatus.RECOVERING;
         assertEquals(List.of(), costs(3));
     }
 
-    /** Any words in any order: what is used allows no more than one that was said at most a lease before. */
+    /** Whatever tables come in any order: what is used allows no more than one that was published at most a lease before. */
     @Property(tries = 300, seed = "43")
     void neverAllowsMoreThanWasPublishedWithinALease(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        RoutingTable routes = fresh();
-        List<RouteTable> said = new ArrayList<>();
+        SplittableRandom random = new SplittableRandom(seed);
+        RoutingTable routes = newTable();
+        List<RouteTable> published = new ArrayList<>();
         List<Double> at = new ArrayList<>();
         for (int step = 0; step < 60; step++) {
             double now = step * 0.7;
-            if (chance.nextInt(3) == 0 || said.isEmpty()) {
-                Route its = route("t", said.size(), "east");
-                said.add(
-                        chance.nextInt(4) == 0
-                                ? of(said.size() + 1)
-                                : of(said.size() + 1, chance.nextBoolean() ? its : tight(its)));
+            if (random.nextInt(3) == 0 || published.isEmpty()) {
+                Route latest = route("t", published.size(), "east");
+                published.add(
+                        random.nextInt(4) == 0
+                                ? of(published.size() + 1)
+                                : of(published.size() + 1, random.nextBoolean() ? latest : restricted(latest)));
                 at.add(now);
             }
-            standing = QuorumStatus.values()[chance.nextInt(5)];
-            int which = chance.nextInt(said.size());
-            routes.offer(s(now), said.get(which));
-            if (chance.nextInt(3) == 0) {
-                // It stands by the last alone; who hears of it counts from when it asked.
-                RouteTable last = said.get(said.size() - 1);
+            quorumStatus = QuorumStatus.values()[random.nextInt(5)];
+            int index = random.nextInt(published.size());
+            routes.offer(seconds(now), published.get(index));
+            if (random.nextInt(3) == 0) {
+                // The partner stands by the last alone; a lease counts from when it was asked.
+                RouteTable last = published.get(published.size() - 1);
                 routes.renew(
-                        s(now),
+                        seconds(now),
                         new RoutingTable.Renewal(
-                                "east", 1, last.sequence(), RouteTableWriter.digest(last), s(now), last.lease()));
+                                "east", 1, last.sequence(), RouteTableWriter.digest(last), seconds(now), last.lease()));
             }
-            routes.tick(s(now));
-            for (RouteMerger.Candidate each : routes.candidates(s(now), "t/records")) {
-                int cost = each.route().cost();
+            routes.tick(seconds(now));
+            for (RouteMerger.Candidate candidate : routes.candidates(seconds(now), "t/records")) {
+                int cost = candidate.route().cost();
                 // The latest version that it may come from was the last one at some moment of the lease before.
                 double until = cost + 1 < at.size() ? at.get(cost + 1) : now;
                 assertTrue(now - until <= 10, cost + " at " + now);
-                assertTrue(said.get(cost)
+                assertTrue(published.get(cost)
                         .routes()
                         .values()
                         .iterator()
@@ -226,21 +227,21 @@
     void flappingRoutesAreSuppressedAsRecommended() {
         FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.RECOMMENDED);
         for (int i = 0; i < 5; i++) {
-            damping.recordWithdrawal(s(i), "r");
+            damping.recordWithdrawal(seconds(i), "r");
         }
-        assertFalse(damping.isSuppressed(s(5), "r"));
-        damping.recordWithdrawal(s(5), "r");
-        damping.recordWithdrawal(s(6), "r");
-        assertTrue(damping.isSuppressed(s(6), "r"));
+        assertFalse(damping.isSuppressed(seconds(5), "r"));
+        damping.recordWithdrawal(seconds(5), "r");
+        damping.recordWithdrawal(seconds(6), "r");
+        assertTrue(damping.isSuppressed(seconds(6), "r"));
         // From under 7,000 to 750 it is a little over three half lives.
-        assertTrue(damping.isSuppressed(s(6 + 3 * 900), "r"));
-        assertFalse(damping.isSuppressed(s(6 + 3.3 * 900), "r"));
+        assertTrue(damping.isSuppressed(seconds(6 + 3 * 900), "r"));
+        assertFalse(damping.isSuppressed(seconds(6 + 3.3 * 900), "r"));
         for (int i = 0; i < 100; i++) {
-            damping.recordWithdrawal(s(10_000), "r");
+            damping.recordWithdrawal(seconds(10_000), "r");
         }
-        assertFalse(damping.isSuppressed(s(10_000 + 3601), "r"), "never for more than an hour");
+        assertFalse(damping.isSuppressed(seconds(10_000 + 3601), "r"), "never for more than an hour");
         for (int i = 0; i < FlapDamping.MAX_ROUTES + 100; i++) {
-            damping.recordChange(s(20_000), "r" + i);
+            damping.recordChange(seconds(20_000), "r" + i);
         }
         assertEquals(FlapDamping.MAX_ROUTES, damping.size());
     }
@@ -248,7 +249,7 @@
     @Example
     void aFlappingRouteIsNoCandidate() {
         for (int i = 1; i < 16; i++) {
-            says(
+            publishes(
                     i,
                     i % 2 == 1
                             ? of(i, route("t", 1, "east"), route("t", 2, "east", "x"))
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -17,14 +18,14 @@
 
     private static RouteTable large(long sequence, int from) {
         List<Route> many = new ArrayList<>();
-        SplittableRandom chance = new SplittableRandom(sequence);
+        SplittableRandom random = new SplittableRandom(sequence);
         for (int i = from; i < from + 10_000; i++) {
             many.add(new Route(
                     "t" + i,
                     "records",
-                    "10.0.0.1:" + (1 + chance.nextInt(60_000)),
-                    1 + chance.nextInt(1000),
-                    chance.nextInt(1000),
+                    "10.0.0.1:" + (1 + random.nextInt(60_000)),
+                    1 + random.nextInt(1000),
+                    random.nextInt(1000),
                     false,
                     List.of("east"),
                     null,
@@ -35,49 +36,52 @@
 
     @Example
     void chunksAreAssembledInAnyOrderAndOnlyOnceComplete() {
-        RouteTable first = large(1, 0), second = large(2, 50);
-        List<VersionedEntry> parts = new ArrayList<>(TableChunks.split(first));
-        assertTrue(parts.size() > 3
-                && parts.size() < TableChunks.MAX_CHUNKS
-                && parts.stream().allMatch(each -> each.value().length <= VersionedEntry.MOST_OCTETS));
-        Collections.shuffle(parts, new Random(5));
-        TableChunks gather = new TableChunks();
-        for (VersionedEntry each : parts.subList(1, parts.size())) {
-            assertNull(gather.receive(each));
-            assertNull(gather.receive(each));
+        RouteTable first = large(1, 0);
+        RouteTable second = large(2, 50);
+        List<VersionedEntry> entries = new ArrayList<>(TableChunks.split(first));
+        assertTrue(entries.size() > 3
+                && entries.size() < TableChunks.MAX_CHUNKS
+                && entries.stream().allMatch(chunk -> chunk.value().length <= VersionedEntry.MOST_OCTETS));
+        Collections.shuffle(entries, new Random(5));
+        TableChunks receiver = new TableChunks();
+        for (VersionedEntry chunk : entries.subList(1, entries.size())) {
+            assertNull(receiver.receive(chunk));
+            assertNull(receiver.receive(chunk));
         }
-        // Half of a later one leaves no way back to the older, and is no table either.
+        // Half of a later table leaves no way back to the older one, and is no table either.
         List<VersionedEntry> later = TableChunks.split(second);
-        assertNull(gather.receive(later.get(0)));
-        assertNull(gather.receive(parts.get(0)));
-        RouteTable whole = null;
-        for (VersionedEntry each : later) {
-            whole = gather.receive(each);
+        assertNull(receiver.receive(later.get(0)));
+        assertNull(receiver.receive(entries.get(0)));
+        RouteTable assembled = null;
+        for (VersionedEntry chunk : later) {
+            assembled = receiver.receive(chunk);
         }
-        assertEquals(second, whole);
+        assertEquals(second, assembled);
     }
 
     @Example
     void corruptedOrMixedChunksAreNoTable() {
-        List<VersionedEntry> one = TableChunks.split(large(1, 0)), other = TableChunks.split(large(2, 50));
-        for (int spoilt = 0; spoilt < 200; spoilt++) {
-            SplittableRandom chance = new SplittableRandom(spoilt);
-            TableChunks gather = new TableChunks();
-            for (VersionedEntry each : one) {
-                byte[] value = each.value().clone();
-                if (each == one.get(1)) {
-                    value[chance.nextInt(value.length)] ^= (byte) (1 << chance.nextInt(8));
+        List<VersionedEntry> one = TableChunks.split(large(1, 0));
+        List<VersionedEntry> other = TableChunks.split(large(2, 50));
+        for (int seed = 0; seed < 200; seed++) {
+            SplittableRandom random = new SplittableRandom(seed);
+            TableChunks receiver = new TableChunks();
+            for (int i = 0; i < one.size(); i++) {
+                VersionedEntry chunk = one.get(i);
+                byte[] value = chunk.value().clone();
+                if (i == 1) {
+                    value[random.nextInt(value.length)] ^= (byte) (1 << random.nextInt(8));
                 }
-                assertNull(gather.receive(new VersionedEntry("east", each.topic(), 1, 1, value)));
+                assertNull(receiver.receive(new VersionedEntry("east", chunk.topic(), 1, 1, value)));
             }
         }
-        TableChunks gather = new TableChunks();
+        TableChunks receiver = new TableChunks();
         for (int i = 0; i < one.size(); i++) {
-            // Parts of two tables under one version.
-            VersionedEntry each = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
-            assertNull(gather.receive(new VersionedEntry("east", each.topic(), 1, 1, each.value())));
+            // Chunks of two tables under one version.
+            VersionedEntry chunk = i % 2 == 0 ? one.get(i) : other.get(Math.min(i, other.size() - 1));
+            assertNull(receiver.receive(new VersionedEntry("east", chunk.topic(), 1, 1, chunk.value())));
         }
-        for (VersionedEntry odd : List.of(
+        for (VersionedEntry malformed : List.of(
                 new VersionedEntry("east", "routes.0", 9, 9, null),
                 new VersionedEntry("east", "routes.0", 9, 9, new byte[0]),
                 new VersionedEntry(
@@ -85,14 +89,14 @@
                         "routes.7",
                         9,
                         9,
-                        "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
+                        "3 00000000000000000000000000000000\n".getBytes(StandardCharsets.US_ASCII)),
                 new VersionedEntry(
                         "east",
                         "routes.x",
                         9,
                         9,
-                        "3 00000000000000000000000000000000\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII)))) {
-            assertNull(gather.receive(odd));
+                        "3 00000000000000000000000000000000\n".getBytes(StandardCharsets.US_ASCII)))) {
+            assertNull(receiver.receive(malformed));
         }
     }
 }
