--- a/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
@@ -127,7 +127,7 @@
                     check.leaker = leaker;
                     check.stripsPath = stripsPath;
                     check.run(400);
-                    found |= check.breaches.stream().anyMatch(breach -> brcheck.startsWith(what));
+                    found |= check.breaches.stream().anyMatch(breach -> breach.startsWith(what));
                 }
             }
         }
