--- a/src/test/java/merlinlever/routes/PeerTableSyncTest.java
+++ b/src/test/java/merlinlever/routes/PeerTableSyncTest.java
@@ -31,7 +31,9 @@
         RoutingTable tableOfOther = routingTable();
         RouteTable table = RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east"));
         tableOfOne.offer(seconds(0), table);
-        tableOfOne.renew(seconds(0), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(table), seconds(0), seconds(10)));
+        tableOfOne.renew(
+                seconds(0),
+                new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(table), seconds(0), seconds(10)));
         tableOfOther.offer(seconds(0), table);
         PeerTableSync one = new PeerTableSync(tableOfOne, 1000, new SplittableRandom(1));
         PeerTableSync other = new PeerTableSync(tableOfOther, 5000, new SplittableRandom(2));
--- a/src/test/java/merlinlever/routes/RouteMergerTest.java
+++ b/src/test/java/merlinlever/routes/RouteMergerTest.java
@@ -90,7 +90,10 @@
                         site, Relation.values()[site.charAt(1) % 3], table, RouteMerger.NO_LISTENER));
         assertEquals(fresh.describe(), changed.describe());
         assertEquals(
-                last.values().stream().mapToInt(candidate -> candidate.routes().size()).sum(), changed.routeCount());
+                last.values().stream()
+                        .mapToInt(candidate -> candidate.routes().size())
+                        .sum(),
+                changed.routeCount());
         for (String key : changed.keys()) {
             for (RouteMerger.Candidate candidate : changed.candidates(key)) {
                 assertFalse(candidate.route().path().contains("me"));
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -95,7 +95,8 @@
         assertEquals(Optional.of("10.0.0.1:1"), address(call(NON_IDEMPOTENT, "k")));
         assertEquals(
                 Optional.empty(),
-                address(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, false), "k")));
+                address(call(
+                        new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.NON_IDEMPOTENT, false), "k")));
         assertEquals(
                 Optional.empty(),
                 address(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, false), "k")));
@@ -149,7 +150,8 @@
         }
         publishes(Relation.PEER, "west", route("west", 3, 30, false, false), route("west", 4, 20, false, false));
         Map<String, String> after = addressesByKey(3000);
-        after.forEach((key, address) -> assertTrue(address.equals(before.get(key)) || address.equals("10.0.0.4:1"), key));
+        after.forEach(
+                (key, address) -> assertTrue(address.equals(before.get(key)) || address.equals("10.0.0.4:1"), key));
         publishes(Relation.PEER, "west", route("west", 4, 20, false, false));
         addressesByKey(3000)
                 .forEach((key, address) ->
@@ -164,7 +166,8 @@
         for (int i = 0; i < 20; i++) {
             addresses.add(address(call(READS, "k" + i)));
         }
-        assertEquals(10, addresses.stream().filter(Optional.of("10.0.0.1:1")::equals).count());
+        assertEquals(
+                10, addresses.stream().filter(Optional.of("10.0.0.1:1")::equals).count());
         assertEquals(
                 addresses.subList(10, 13),
                 List.of(Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1"), Optional.of("10.0.0.5:1")));
--- a/src/test/java/merlinlever/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/routes/RouteTableFilesTest.java
@@ -51,7 +51,8 @@
             assertEquals(1, routes.candidates(seconds(108.9), "t/records").size());
             assertEquals(0, routes.candidates(seconds(109), "t/records").size());
             files.poll(seconds(106));
-            assertEquals(0, routes.candidates(seconds(109), "t/records").size(), "a look alone is no word of the partner");
+            assertEquals(
+                    0, routes.candidates(seconds(109), "t/records").size(), "a look alone is no word of the partner");
             write(file, text.substring(0, text.length() / 2));
             files.poll(seconds(107));
             assertEquals(
--- a/src/test/java/merlinlever/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheck.java
@@ -36,6 +36,7 @@
 
     /** Whether the leaker passes routes on as if they were its own. */
     boolean stripsPath;
+
     final Set<String> breaches = new TreeSet<>();
     final Map<Integer, Set<String>> results = new TreeMap<>();
     int states;
@@ -96,7 +97,10 @@
     private Route own(int published) {
         Restrictions restrictions = variants.get(published);
         // By its rate the variant is recognized, whatever became of the rest.
-        return restrictions == null ? null : new Route("t", "g", "10.0.0.1:1", VARIANT_RATE + published, 0, false, List.of("a"), null, restrictions);
+        return restrictions == null
+                ? null
+                : new Route(
+                        "t", "g", "10.0.0.1:1", VARIANT_RATE + published, 0, false, List.of("a"), null, restrictions);
     }
 
     private RouteMerger merger(int site, int[] held) {
--- a/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
@@ -72,7 +72,8 @@
             for (RoutingModelCheck check : topologies(Arrays.asList(OPEN, tight, null), Set.of(), Set.of())) {
                 check.run(MAX_STATES);
                 assertEquals(Set.of(), check.breaches);
-                check.results.forEach((variant, results) -> assertEquals(1, results.size(), () -> variant + ": " + results));
+                check.results.forEach(
+                        (variant, results) -> assertEquals(1, results.size(), () -> variant + ": " + results));
                 assertEquals(Set.of(0, 1, 2), check.results.keySet());
                 assertFalse(check.results.get(0).iterator().next().contains("no rest"));
                 states += check.states;
--- a/src/test/java/merlinlever/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/routes/RoutingTableTest.java
@@ -94,7 +94,9 @@
         publishes(0, of(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
         routes.offer(seconds(4), west);
-        routes.renew(seconds(4), new RoutingTable.Renewal("west", 1, 1, RouteTableWriter.digest(west), seconds(4), west.lease()));
+        routes.renew(
+                seconds(4),
+                new RoutingTable.Renewal("west", 1, 1, RouteTableWriter.digest(west), seconds(4), west.lease()));
         assertEquals(List.of(1, 9), costs(4));
         assertEquals(List.of(9, 1), costs(6));
         assertEquals(List.of(9), costs(11));
@@ -116,9 +118,11 @@
                         .count());
         // Nor is its lease renewed by a message about another version.
         assertFalse(routes.renew(
-                seconds(3), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(first), seconds(3), seconds(10))));
+                seconds(3),
+                new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(first), seconds(3), seconds(10))));
         assertFalse(routes.renew(
-                seconds(3), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(first), seconds(3), seconds(10))));
+                seconds(3),
+                new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(first), seconds(3), seconds(10))));
     }
 
     /** The table before them is used until its lease ends, neither is adopted in whatever order they come, and it is logged. */
@@ -130,13 +134,19 @@
             RoutingTable routingTable = newTable();
             RouteTable before = of(1, route("t", 1, "east"));
             routingTable.offer(seconds(0), before);
-            routingTable.renew(seconds(0), new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(before), seconds(0), seconds(10)));
+            routingTable.renew(
+                    seconds(0),
+                    new RoutingTable.Renewal("east", 1, 1, RouteTableWriter.digest(before), seconds(0), seconds(10)));
             order.forEach(table -> {
                 routingTable.offer(seconds(1), table);
-                routingTable.renew(seconds(4), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), seconds(4), seconds(10)));
+                routingTable.renew(
+                        seconds(4),
+                        new RoutingTable.Renewal(
+                                "east", 1, 2, RouteTableWriter.digest(table), seconds(4), seconds(10)));
             });
             order.forEach(table -> routingTable.renew(
-                    seconds(5), new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), seconds(5), seconds(10))));
+                    seconds(5),
+                    new RoutingTable.Renewal("east", 1, 2, RouteTableWriter.digest(table), seconds(5), seconds(10))));
             routingTable.tick(seconds(9));
             assertEquals(
                     List.of(1),
@@ -158,7 +168,9 @@
     /** A tighter restriction and a withdrawal are adopted; a new route and a looser one wait until there is a quorum again. */
     @Example
     void withoutQuorumOnlyRestrictionsAreAdopted() {
-        publishes(0, of(1, route("t", 1, "east"), restricted(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
+        publishes(
+                0,
+                of(1, route("t", 1, "east"), restricted(route("t", 2, "east", "x")), route("t", 3, "east", "x", "y")));
         assertEquals(List.of(1, 3), costs(0));
         quorumStatus = QuorumStatus.MINORITY;
         publishes(
@@ -212,7 +224,8 @@
                 // The latest version that it may come from was the last one at some moment of the lease before.
                 double until = cost + 1 < at.size() ? at.get(cost + 1) : now;
                 assertTrue(now - until <= 10, cost + " at " + now);
-                assertTrue(published.get(cost)
+                assertTrue(published
+                        .get(cost)
                         .routes()
                         .values()
                         .iterator()
