--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -67,7 +67,7 @@
                 loop,
                 rejoin,
                 StateDirectories.open(Path.of(rest.get("recovery.state"), "shared"), System.getenv()),
-                ReplicatedStore.ReplicationSettings.usual(true),
+                ReplicatedStore.ReplicationSettings.defaults(true),
                 leading.election(),
                 viewing.fleetView(),
                 seed,
@@ -110,7 +110,7 @@
             } else if (!(drift >= 0 && drift <= 0.2)) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + at + "drift is to be from 0 to 0.2");
-            } else if (!of.equals("calls") && backend.tariff(of) < 0) {
+            } else if (!of.equals("calls") && backend.priorityClassIndex(of) < 0) {
                 throw new ServeCommand.InvalidConfigurationException(
                         "the configuration's " + at + "of is calls or a tariff, not " + of);
             }
@@ -158,13 +158,13 @@
 
     @Override
     public long[] demand(Duration now, FleetQuota budget) {
-        return backend.demand(ofModule(now), backend.tariff(budget.of()));
+        return backend.quotaDemand(ofModule(now), backend.priorityClassIndex(budget.of()));
     }
 
     @Override
     public void share(FleetQuota budget, long share, Duration until) {
-        backend.share(
-                backend.tariff(budget.of()),
+        backend.setQuota(
+                backend.priorityClassIndex(budget.of()),
                 share,
                 budget.per() == FleetQuota.QuotaKind.SECOND,
                 ofModule(until),
@@ -177,7 +177,7 @@
 
     /** Further members of the JSON object that tells how far this one has come. */
     String json() {
-        return ",\"view\":" + viewing.json() + ",\"shared\":" + spread.json()
+        return ",\"view\":" + viewing.json() + ",\"shared\":" + spread.statusJson()
                 + (budgets == null ? "" : ",\"budgets\":" + budgets.json());
     }
 }
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -25,7 +25,7 @@
 
     private static final String TOPIC_PREFIX = "routes.";
     private static final int MAX_HEADER_BYTES = 60;
-    private static final int CHUNK_BYTES = VersionedEntry.MOST_OCTETS - 64;
+    private static final int CHUNK_BYTES = VersionedEntry.MAX_VALUE_BYTES - 64;
     private static final int BUFFER_BYTES = 8192;
     private static final Pattern HEADER = Pattern.compile("[1-9][0-9]{0,2} [0-9a-f]{32}");
     private static final Pattern TOPIC = Pattern.compile("routes\\.[0-9]{1,3}");
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -160,7 +160,7 @@
     }
 
     private RouteSelector.RoutingClass routingClass(TrackedRequest request) {
-        return routingClasses.getOrDefault(request.tariffName(), LOCAL_ONLY);
+        return routingClasses.getOrDefault(request.priorityClassName(), LOCAL_ONLY);
     }
 
     /** Sends the call along a route; returns false where there is none. */
@@ -168,7 +168,7 @@
         RouteSelector.RoutedCall call = new RouteSelector.RoutedCall(
                 routingClass(attempts.request),
                 settings.group(),
-                attempts.request.key(),
+                attempts.request.routingKey(),
                 attempts.addresses,
                 attempts.mayHaveTakenEffect);
         Optional<RouteSelector.SelectedRoute> route = selector.selectRoute(now, call, localHealth.state(), isOverQuota);
@@ -234,10 +234,10 @@
     }
 
     @Override
-    public void giveUp(TrackedRequest request) {
+    public void cancel(TrackedRequest request) {
         CallAttempts attempts = attemptsByRequest.get(request.id());
         if (attempts != null && attempts.client != null) {
-            attempts.client.giveUp(request);
+            attempts.client.cancel(request);
             attempts.client = null;
             attempts.mayHaveTakenEffect = true;
         }
--- a/src/main/java/merlinlever/storage/StateDirectories.java
+++ b/src/main/java/merlinlever/storage/StateDirectories.java
@@ -5,31 +5,39 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Opens a state folder on disk, told where the environment asks it to be (by the fault harness alone). */
+/** Opens state directories on disk, recorded if the environment asks for it (as the fault harness does). */
 public final class StateDirectories {
 
-    /** Names a folder; each state folder of the process then adds what passes through it to a file there. */
-    public static final String RECORD = "MERLINLEVER_DISK_RECORD";
+    /**
+     * The environment variable that names a directory for recordings. Each state directory of the process then appends its operations
+     * to a file there, named after its own path.
+     */
+    public static final String RECORDING_DIRECTORY_VARIABLE = "MERLINLEVER_DISK_RECORD";
 
     private StateDirectories() {}
 
-    /** Held by this process alone until it is closed. */
+    /** Opens and locks the directory; the caller closes it. */
     public static StateDirectory open(Path path, Map<String, String> environment) throws IOException {
-        FileStateDirectory folder = new FileStateDirectory(path);
-        String into = environment.get(RECORD);
-        if (into == null || into.isEmpty()) {
-            return folder;
+        FileStateDirectory directory = new FileStateDirectory(path);
+        String recordingDirectory = environment.get(RECORDING_DIRECTORY_VARIABLE);
+        if (recordingDirectory == null || recordingDirectory.isEmpty()) {
+            return directory;
         }
         try {
-            Path records = Path.of(into);
-            Files.createDirectories(records);
-            String absolute = path.toAbsolutePath().normalize().toString();
-            String name = absolute.replaceAll("[^A-Za-z0-9.-]", "_") + ".ops";
-            return new RecordingStateDirectory(
-                    folder, RecordingStateDirectory.OperationLog.to(records.resolve(name)), absolute);
+            return recorded(directory, path, Path.of(recordingDirectory));
         } catch (IOException e) {
-            folder.close();
+            directory.close();
             throw e;
         }
     }
+
+    private static StateDirectory recorded(StateDirectory directory, Path path, Path recordings) throws IOException {
+        Files.createDirectories(recordings);
+        String absolutePath = path.toAbsolutePath().normalize().toString();
+        String fileName = absolutePath.replaceAll("[^A-Za-z0-9.-]", "_") + ".ops";
+        return new RecordingStateDirectory(
+                directory,
+                RecordingStateDirectory.OperationLog.appendingTo(recordings.resolve(fileName)),
+                absolutePath);
+    }
 }
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -146,7 +146,7 @@
         for (int host = 1; host <= 3; host++) {
             String address = "10.0.0." + host + ":1";
             long count = before.values().stream().filter(address::equals).count();
-            assertTrue(Math.abs(count - 500 * host) < 90, address + " has " + count);
+            assertTrue(Math.abs(count - 500L * host) < 90, address + " has " + count);
         }
         publishes(Relation.PEER, "west", route("west", 3, 30, false, false), route("west", 4, 20, false, false));
         Map<String, String> after = addressesByKey(3000);
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -41,7 +41,7 @@
         List<VersionedEntry> entries = new ArrayList<>(TableChunks.split(first));
         assertTrue(entries.size() > 3
                 && entries.size() < TableChunks.MAX_CHUNKS
-                && entries.stream().allMatch(chunk -> chunk.value().length <= VersionedEntry.MOST_OCTETS));
+                && entries.stream().allMatch(chunk -> chunk.value().length <= VersionedEntry.MAX_VALUE_BYTES));
         Collections.shuffle(entries, new Random(5));
         TableChunks receiver = new TableChunks();
         for (VersionedEntry chunk : entries.subList(1, entries.size())) {
--- a/src/test/java/merlinlever/view/ViewCodecTest.java
+++ b/src/test/java/merlinlever/view/ViewCodecTest.java
@@ -44,7 +44,7 @@
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 2000; i++) {
             byte[] corrupted = difference.clone();
-            corrupted[random.nextInt(corrupted.length)] ^= 1 << random.nextInt(7);
+            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(7));
             MembershipView decoded = ViewCodec.isViewPayload(corrupted) ? receiver.decode(corrupted) : null;
             assertTrue(
                     decoded == null || decoded.equals(second),
