--- a/src/test/java/merlinlever/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/replication/PaxosFleet.java
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public boolean leads(Duration at) {
+        public boolean isLeader(Duration at) {
             return nowMs < leadsUntilMs[node];
         }
 
