--- a/src/main/java/merlinlever/core/DecisionExecutor.java
+++ b/src/main/java/merlinlever/core/DecisionExecutor.java
@@ -1,6 +1,7 @@
 package merlinlever.core;
 
 import java.time.Duration;
+import merlinlever.ControllerEvent;
 import merlinlever.Outcome;
 
 /** Carries out the decisions of the controller on the requests of one backend. */
@@ -106,8 +107,8 @@
     }
 
     @Override
-    public void log(String line) {
-        dependencies.log(line);
+    public void log(ControllerEvent event) {
+        dependencies.log(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/core/PendingFleetState.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
+import merlinlever.QuotaDemand;
+import merlinlever.QuotaGrant;
 import merlinlever.policy.OverloadController;
 
 /**
@@ -24,43 +27,44 @@
     /** The controller exists: sets on it what was held. */
     void attach(OverloadController newController, Duration now) {
         controller = newController;
-        controller.guess(estimatedCapacity, estimateCompletions);
+        controller.setWarmStartEstimate(estimatedCapacity, estimateCompletions);
         // Until its quota arrives, this backend uses nothing of what it shares with others.
-        perSecondByLimit.forEach(
-                (priorityClass, perSecond) -> controller.share(priorityClass, 0, perSecond, now, null));
+        perSecondByLimit.forEach((priorityClass, perSecond) ->
+                controller.setQuota(priorityClass, new QuotaGrant(0, perSecond, now, Optional.empty())));
         if (nonIdempotentFrom != null) {
-            controller.keyed(nonIdempotentFrom, nonIdempotentUntil);
+            controller.permitNonIdempotentStarts(nonIdempotentFrom, nonIdempotentUntil);
         }
     }
 
-    /** See {@link OverloadController#keyed}. */
+    /** See {@link OverloadController#permitNonIdempotentStarts}. */
     void permitNonIdempotentStarts(Duration from, Duration until) {
         nonIdempotentFrom = from;
         nonIdempotentUntil = until;
         if (controller != null) {
-            controller.keyed(from, until);
+            controller.permitNonIdempotentStarts(from, until);
         }
     }
 
-    /** See {@link OverloadController#share}. */
+    /** See {@link OverloadController#setQuota}. */
     void setQuota(int priorityClass, long quota, boolean perSecond, Duration leaseEnd, Duration maxCallDuration) {
         perSecondByLimit.put(priorityClass, perSecond);
         if (controller != null) {
-            controller.share(priorityClass, quota, perSecond, leaseEnd, maxCallDuration);
+            QuotaGrant grant = new QuotaGrant(quota, perSecond, leaseEnd, Optional.ofNullable(maxCallDuration));
+            controller.setQuota(priorityClass, grant);
         }
     }
 
-    /** See {@link OverloadController#demand}; nothing before the controller exists. */
-    long[] quotaDemand(Duration now, int priorityClass) {
-        return controller == null ? new long[2] : controller.demand(now, priorityClass);
+    /** See {@link OverloadController#quotaDemand}; nothing before the controller exists. */
+    QuotaDemand quotaDemand(Duration now, int priorityClass) {
+        return controller == null ? QuotaDemand.NONE : controller.quotaDemand(now, priorityClass);
     }
 
-    /** See {@link OverloadController#guess}. */
+    /** See {@link OverloadController#setWarmStartEstimate}. */
     void setWarmStartEstimate(double capacity, double completions) {
         estimatedCapacity = capacity;
         estimateCompletions = completions;
         if (controller != null) {
-            controller.guess(capacity, completions);
+            controller.setWarmStartEstimate(capacity, completions);
         }
     }
 }
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -297,8 +297,10 @@
                 long began = now;
                 boolean lostThen = !site.serviceUp;
                 later(lostThen ? 1 : 5 + chance.nextInt(20), () -> {
-                    Outcome how = lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CUT_OFF;
-                    if ((how == Outcome.OK && effect) || (how == Outcome.CUT_OFF && effect && chance.nextBoolean())) {
+                    Outcome how =
+                            lostThen ? Outcome.UNREACHABLE : site.serviceUp ? Outcome.OK : Outcome.CONNECTION_LOST;
+                    if ((how == Outcome.OK && effect)
+                            || (how == Outcome.CONNECTION_LOST && effect && chance.nextBoolean())) {
                         audit.effect(now, id, site.name);
                     }
                     own.recordOutcome(clock(), how, Duration.ofMillis(now - began));
@@ -321,7 +323,7 @@
             later(600, () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    ended(id, tariff, key, tried, missing, times, Outcome.CUT_OFF);
+                    ended(id, tariff, key, tried, missing, times, Outcome.CONNECTION_LOST);
                 }
             });
             boolean[] came = new boolean[1];
@@ -339,7 +341,7 @@
                 toSite(first.nodes.get(0), site, () -> {
                     if (!over[0]) {
                         over[0] = true;
-                        ended(id, tariff, key, tried, missing, times, ran ? Outcome.OK : Outcome.TURNED_AWAY);
+                        ended(id, tariff, key, tried, missing, times, ran ? Outcome.OK : Outcome.REJECTED);
                     }
                 });
             });
@@ -355,9 +357,9 @@
                 Outcome how) {
             boolean again = how != Outcome.OK
                     && times < 3
-                    && (how.provesUnrun() || tariff.retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT || secondWay);
+                    && (how.provesNoEffect() || tariff.retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT || secondWay);
             if (again) {
-                attempt(id, tariff, key, tried, missing || !how.provesUnrun(), times + 1);
+                attempt(id, tariff, key, tried, missing || !how.provesNoEffect(), times + 1);
                 return;
             }
             audit.ended(now, id);
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/routes/LocalServiceHealth.java
@@ -76,11 +76,11 @@
 
     /** A call to the service ended. */
     public void recordOutcome(Duration now, Outcome outcome, Duration duration) {
-        if (outcome == Outcome.NEVER_BEGUN || outcome == Outcome.STOPPED) {
+        if (outcome == Outcome.NOT_STARTED || outcome == Outcome.STOPPED) {
             return;
         }
-        boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.CUT_OFF;
-        boolean isSlow = outcome == Outcome.GIVEN_UP || duration.compareTo(settings.slowCall()) > 0;
+        boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.CONNECTION_LOST;
+        boolean isSlow = outcome == Outcome.TIMED_OUT || duration.compareTo(settings.slowCall()) > 0;
         failuresInARow = failed ? failuresInARow + 1 : 0;
         successesInARow = failed || isSlow ? 0 : successesInARow + 1;
         slowCount += (isSlow ? 1 : 0) - (slowCalls[nextSlot] ? 1 : 0);
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -152,7 +152,7 @@
         boolean isIdempotent = routingClass(request).retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT;
         if (attempts.mayHaveTakenEffect && !attempts.addresses.isEmpty() && !isIdempotent) {
             // It may have taken effect at a partner: there is no second attempt, not even at home.
-            loop.execute(() -> listener.callEnded(loop.clock().now(), request.id(), Outcome.CUT_OFF, null));
+            loop.execute(() -> listener.callEnded(loop.clock().now(), request.id(), Outcome.CONNECTION_LOST, null));
         } else if (isLocalHealthy() || localHealth.shouldProbe(now) || !callPartner(now, attempts, false)) {
             attempts.client = ownClient;
             ownClient.call(request, body, within);
@@ -222,8 +222,8 @@
             return;
         }
         attempts.client = null;
-        attempts.mayHaveTakenEffect |= outcome != Outcome.OK && !outcome.provesUnrun();
-        boolean surelyDidNotRun = outcome == Outcome.UNREACHABLE || outcome == Outcome.TURNED_AWAY;
+        attempts.mayHaveTakenEffect |= outcome != Outcome.OK && !outcome.provesNoEffect();
+        boolean surelyDidNotRun = outcome == Outcome.UNREACHABLE || outcome == Outcome.REJECTED;
         if (surelyDidNotRun && callPartner(loop.clock().uptime(), attempts, true)) {
             return;
         }
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/routes/RouteSelectorTest.java
@@ -189,7 +189,7 @@
         LocalServiceHealth health = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
         Duration quick = Duration.ofMillis(5);
         health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
-        health.recordOutcome(NOW, Outcome.CUT_OFF, quick);
+        health.recordOutcome(NOW, Outcome.CONNECTION_LOST, quick);
         health.recordOutcome(NOW, Outcome.OK, quick);
         health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
         health.recordOutcome(NOW, Outcome.UNREACHABLE, quick);
@@ -202,11 +202,11 @@
         health.recordOutcome(NOW, Outcome.OK, quick);
         health.recordOutcome(NOW, Outcome.OK, quick);
         assertEquals(LocalServiceHealth.HealthState.UNREACHABLE, health.state());
-        health.recordOutcome(NOW, Outcome.TURNED_AWAY, quick);
+        health.recordOutcome(NOW, Outcome.REJECTED, quick);
         assertEquals(LocalServiceHealth.HealthState.HEALTHY, health.state());
         for (int i = 0; i < 32; i++) {
             assertEquals(LocalServiceHealth.HealthState.HEALTHY, health.state());
-            health.recordOutcome(NOW, i % 2 == 0 ? Outcome.OK : Outcome.GIVEN_UP, quick);
+            health.recordOutcome(NOW, i % 2 == 0 ? Outcome.OK : Outcome.TIMED_OUT, quick);
         }
         assertEquals(LocalServiceHealth.HealthState.SLOW, health.state());
     }
