--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -64,7 +64,8 @@
         double clockDrift = configuredQuotas.isEmpty()
                 ? DEFAULT_CLOCK_DRIFT
                 : configuredQuotas.get(0).drift();
-        ElectionTransport election = new ElectionTransport(loop, recovery, new ElectionSettings(voters, lease, clockDrift), seed, log);
+        ElectionTransport election =
+                new ElectionTransport(loop, recovery, new ElectionSettings(voters, lease, clockDrift), seed, log);
         view = new ViewTransport(loop, recovery, election.election(), ViewSettings.defaults(), incarnation, seed, log);
         replication = new ReplicationTransport(
                 loop,
@@ -87,7 +88,8 @@
 
     /** Whether the view permits that requests with an idempotency key, and those that are not idempotent, are started. */
     boolean mayStartKeyedRequests() {
-        return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST) == ActionPermissions.Permission.ALLOWED;
+        return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST)
+                == ActionPermissions.Permission.ALLOWED;
     }
 
     /** Takes over the sizes of the quotas; nothing else may change while the process runs. */
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -183,10 +183,17 @@
                 () -> peersOf(i),
                 random.split(),
                 line -> {});
-        elections[i] = new LeaderElection(now, "b" + i, new ElectionSettings(voters, Duration.ofSeconds(2), 0.01), termsOnDisk[i], term -> {
+        elections[i] = new LeaderElection(
+                now,
+                "b" + i,
+                new ElectionSettings(voters, Duration.ofSeconds(2), 0.01),
+                termsOnDisk[i],
+                term -> {
                     termsOnDisk[i] = Math.max(termsOnDisk[i], term);
                     return true;
-                }, random.split(), line -> {});
+                },
+                random.split(),
+                line -> {});
         FleetView view = new FixedFleetView(at -> quorumStatus(i));
         nodes[i] = new ExperimentNode(
                 now, "b" + i, experiments[i], view, elections[i], new SimulatedRegister(i), stores[i], line -> {});
@@ -294,8 +301,8 @@
     }
 
     private void sendElection(int sender, List<PeerMessage.Text> messages) {
-        messages.forEach(
-                message -> send(sender, index(message.recipient()), new ElectionPayload(message.correlationId(), message.text())));
+        messages.forEach(message ->
+                send(sender, index(message.recipient()), new ElectionPayload(message.correlationId(), message.text())));
     }
 
     private void sendReplication(int sender, List<OutgoingMessage> messages) {
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/faults/RoutesModel.java
@@ -357,7 +357,9 @@
                 Outcome how) {
             boolean again = how != Outcome.OK
                     && times < 3
-                    && (how.provesNoEffect() || tariff.retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT || secondWay);
+                    && (how.provesNoEffect()
+                            || tariff.retrySafety() == RouteSelector.RetrySafety.IDEMPOTENT
+                            || secondWay);
             if (again) {
                 attempt(id, tariff, key, tried, missing || !how.provesNoEffect(), times + 1);
                 return;
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/replication/PaxosNode.java
@@ -83,7 +83,8 @@
     }
 
     private boolean mayDecide(Duration now) {
-        return leadership.isLeader(now) && view.permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
+        return leadership.isLeader(now)
+                && view.permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
     }
 
     @Override
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -126,7 +126,12 @@
                 System::currentTimeMillis,
                 RecoveryCoordinator.RecoveringService.NONE,
                 line -> log.add(name + " " + line));
-        ElectionTransport election = new ElectionTransport(loop, recovery, new ElectionSettings(List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01), name.hashCode(), line -> log.add(name + " " + line));
+        ElectionTransport election = new ElectionTransport(
+                loop,
+                recovery,
+                new ElectionSettings(List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01),
+                name.hashCode(),
+                line -> log.add(name + " " + line));
         ReplicationTransport transport = new ReplicationTransport(
                 loop,
                 recovery,
