--- a/src/main/java/merlinlever/experiments/Experiment.java
+++ b/src/main/java/merlinlever/experiments/Experiment.java
@@ -11,27 +11,27 @@
  * it, so that one that is changed under the same name is another experiment, with counts and a result of its own.
  *
  * @param arms 2 to {@value #MAX_ARMS}
- * @param safe index of the arm that runs wherever callers are not split
+ * @param safeArm index of the arm that runs wherever callers are not split
  * @param alpha probability of a wrong winner at most, over the whole experiment and all evaluations
- * @param harm probability of wrongly calling an arm harmful at most; not lower than {@code alpha}
- * @param difference a winner is better by more than this, as a share of the requests or of their highest value
- * @param longest the experiment ends without a winner after callers were split for so long
- * @param lease for so long a backend goes on splitting after the leader confirmed that the experiment goes on
- * @param valueMost higher values of a request count as this one
- * @param deaths the experiment ends with the safe arm when so many backends have died while splitting
+ * @param harmAlpha probability of wrongly calling an arm harmful at most; not lower than {@code alpha}
+ * @param minDifference a winner is better by more than this, as a share of the requests or of their highest value
+ * @param maxDuration the experiment ends without a winner after callers were split for so long
+ * @param leaseDuration for so long a backend goes on splitting after the leader confirmed that the experiment goes on
+ * @param maxValue higher values of a request count as this one
+ * @param maxDeaths the experiment ends with the safe arm when so many backends have died while splitting
  */
 public record Experiment(
         String name,
         int version,
         List<Arm> arms,
-        int safe,
+        int safeArm,
         double alpha,
-        double harm,
-        double difference,
-        Duration longest,
-        Duration lease,
-        double valueMost,
-        int deaths) {
+        double harmAlpha,
+        double minDifference,
+        Duration maxDuration,
+        Duration leaseDuration,
+        double maxValue,
+        int maxDeaths) {
 
     /** The largest number of arms. */
     public static final int MAX_ARMS = 8;
@@ -95,9 +95,9 @@
                     + arm.maxCallDuration.map(Duration::toString).orElse("null") + ", route="
                     + arm.preferredRoute.orElse("null") + "]");
         }
-        return "Trial[name=" + name + ", version=" + version + ", arms=" + armTexts + ", safe=" + safe + ", alpha="
-                + alpha + ", harm=" + harm + ", difference=" + difference + ", longest=" + longest + ", lease=" + lease
-                + ", valueMost=" + valueMost + ", deaths=" + deaths + "]";
+        return "Trial[name=" + name + ", version=" + version + ", arms=" + armTexts + ", safe=" + safeArm + ", alpha="
+                + alpha + ", harm=" + harmAlpha + ", difference=" + minDifference + ", longest=" + maxDuration + ", lease=" + leaseDuration
+                + ", valueMost=" + maxValue + ", deaths=" + maxDeaths + "]";
     }
 
     /** Identifies the experiment in its register, its counts and its assignment of callers. */
--- a/src/main/java/merlinlever/experiments/ExperimentCounts.java
+++ b/src/main/java/merlinlever/experiments/ExperimentCounts.java
@@ -213,7 +213,7 @@
     }
 
     private long scaledValue(double requestValue) {
-        return Math.round(VALUE_SCALE * Math.max(0, Math.min(1, requestValue / experiment.valueMost())));
+        return Math.round(VALUE_SCALE * Math.max(0, Math.min(1, requestValue / experiment.maxValue())));
     }
 
     /** This process has split callers for so much longer. */
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -142,7 +142,7 @@
     }
 
     private void publishCounts(Duration now, boolean stillSplitting) {
-        nextPublication = now.plus(experiment.lease().dividedBy(PUBLICATIONS_PER_LEASE));
+        nextPublication = now.plus(experiment.leaseDuration().dividedBy(PUBLICATIONS_PER_LEASE));
         ownCounts.setSplitting(stillSplitting);
         store.put(now, experiment.topic(), ownCounts.encode());
     }
@@ -210,7 +210,7 @@
         if (result.isPresent()) {
             return result.get().arm();
         }
-        return splitting ? assignment.arm(caller) : experiment.safe();
+        return splitting ? assignment.arm(caller) : experiment.safeArm();
     }
 
     @Override
--- a/src/main/java/merlinlever/experiments/ExperimentResult.java
+++ b/src/main/java/merlinlever/experiments/ExperimentResult.java
@@ -36,7 +36,7 @@
             return decodeKnownFormat(experiment, new VarInts(bytes));
         } catch (IllegalArgumentException e) {
             return new ExperimentResult(
-                    StoppingDecision.Kind.INVALID, experiment.safe(), "the register holds what is not understood");
+                    StoppingDecision.Kind.INVALID, experiment.safeArm(), "the register holds what is not understood");
         }
     }
 
--- a/src/main/java/merlinlever/experiments/SequentialAnalysis.java
+++ b/src/main/java/merlinlever/experiments/SequentialAnalysis.java
@@ -71,11 +71,11 @@
         // that
         // matters, and coarser ones.
         for (int i = 0; i < MIXTURES; i++) {
-            double size = 2 * Math.max(MIN_TUNED_DIFFERENCE, experiment.difference()) * Math.pow(MIXTURE_RATIO, i);
+            double size = 2 * Math.max(MIN_TUNED_DIFFERENCE, experiment.minDifference()) * Math.pow(MIXTURE_RATIO, i);
             mixtureInformation[i] = 1.5 / (size * size);
         }
         winnerLevel = experiment.alpha() / (arms * (arms - 1));
-        harmLevel = 2 * experiment.harm() / (2 * (arms - 1));
+        harmLevel = 2 * experiment.harmAlpha() / (2 * (arms - 1));
     }
 
     /**
@@ -86,21 +86,21 @@
     public StoppingDecision evaluate(ExperimentCounts counts, Duration splitTime) {
         long[] callers = counts.sample.callersByArm(shares.length);
         if (SampleRatioCheck.isMismatch(callers, shares, counts.sample.level())) {
-            return safeArm(StoppingDecision.Kind.INVALID, describeMismatch(callers));
+            return withSafeArm(StoppingDecision.Kind.INVALID, describeMismatch(callers));
         }
-        if (counts.deaths() >= experiment.deaths()) {
-            return safeArm(StoppingDecision.Kind.HARM, counts.deaths() + " backends died while they split");
+        if (counts.deaths() >= experiment.maxDeaths()) {
+            return withSafeArm(StoppingDecision.Kind.HARM, counts.deaths() + " backends died while they split");
         }
         RunningMoments[] arms = new RunningMoments[shares.length];
         Arrays.setAll(arms, counts::moments);
         StoppingDecision decision = test(arms);
-        return decision.isFinal() || splitTime.compareTo(experiment.longest()) < 0
+        return decision.isFinal() || splitTime.compareTo(experiment.maxDuration()) < 0
                 ? decision
-                : safeArm(StoppingDecision.Kind.TIME_LIMIT, "no difference was shown in the longest time");
+                : withSafeArm(StoppingDecision.Kind.TIME_LIMIT, "no difference was shown in the longest time");
     }
 
-    private StoppingDecision safeArm(StoppingDecision.Kind kind, String reason) {
-        return new StoppingDecision(kind, experiment.safe(), reason);
+    private StoppingDecision withSafeArm(StoppingDecision.Kind kind, String reason) {
+        return new StoppingDecision(kind, experiment.safeArm(), reason);
     }
 
     private String describeMismatch(long[] callers) {
@@ -131,7 +131,7 @@
     StoppingDecision test(RunningMoments... arms) {
         for (RunningMoments arm : arms) {
             if (arm.requests() < MIN_REQUESTS || arm.buckets() < MIN_BUCKETS) {
-                return safeArm(StoppingDecision.Kind.CONTINUE, "too few are counted");
+                return withSafeArm(StoppingDecision.Kind.CONTINUE, "too few are counted");
             }
         }
         ArmBounds[][] bounds = new ArmBounds[arms.length][MEASURES.length];
@@ -149,14 +149,14 @@
             return winner.get();
         }
         if (worstHarm.arm.isPresent()) {
-            return safeArm(
+            return withSafeArm(
                     StoppingDecision.Kind.HARM,
                     experiment.arms().get(worstHarm.arm.get()).name() + " is worse than the safe arm by more than "
                             + format(worstHarm.lead));
         }
         return isFutile(bounds)
-                ? safeArm(StoppingDecision.Kind.FUTILE, "none is better than another by the smallest difference")
-                : safeArm(StoppingDecision.Kind.CONTINUE, "nothing is shown yet");
+                ? withSafeArm(StoppingDecision.Kind.FUTILE, "none is better than another by the smallest difference")
+                : withSafeArm(StoppingDecision.Kind.CONTINUE, "nothing is shown yet");
     }
 
     /** Includes the difference of a pair of arms in the bounds of both. */
@@ -174,9 +174,9 @@
             double radius = radius(estimate, winnerLevel);
             boundsOfFirst.include(difference - radius, difference + radius);
             boundsOfSecond.include(-difference - radius, -difference + radius);
-            if (i == experiment.safe()) {
+            if (i == experiment.safeArm()) {
                 worstHarm.include(difference - radius(estimate, harmLevel), k);
-            } else if (k == experiment.safe()) {
+            } else if (k == experiment.safeArm()) {
                 worstHarm.include(-difference - radius(estimate, harmLevel), i);
             }
         }
@@ -188,7 +188,7 @@
             for (Measure measure : MEASURES) {
                 double low = bounds[arm][measure.ordinal()].low;
                 double highOfOther = bounds[arm][1 - measure.ordinal()].high;
-                if (low > experiment.difference() && highOfOther >= 0) {
+                if (low > experiment.minDifference() && highOfOther >= 0) {
                     String reason = experiment.arms().get(arm).name() + " is better by more than " + format(low)
                             + (measure == Measure.SERVED_SHARE ? " of the operations asked" : " of the highest value");
                     return Optional.of(new StoppingDecision(StoppingDecision.Kind.WINNER, arm, reason));
@@ -200,14 +200,14 @@
 
     /** Whether no arm can be better than all others by a difference that matters. */
     private boolean isFutile(ArmBounds[][] bounds) {
-        return Arrays.stream(bounds).flatMap(Arrays::stream).allMatch(bound -> bound.high < experiment.difference());
+        return Arrays.stream(bounds).flatMap(Arrays::stream).allMatch(bound -> bound.high < experiment.minDifference());
     }
 
     /** Whether the interval, at either level, contains both zero and the smallest difference for certain; most evaluations end here. */
     private boolean isInconclusive(EstimatedDifference estimate) {
         double minSquare = estimate.variance * 2 * Math.log(1 / Math.max(winnerLevel, harmLevel));
         return estimate.difference * estimate.difference < minSquare
-                && minSquare > experiment.difference() * experiment.difference();
+                && minSquare > experiment.minDifference() * experiment.minDifference();
     }
 
     private static String format(double difference) {
--- a/src/main/java/merlinlever/experiments/SimulatedExperiments.java
+++ b/src/main/java/merlinlever/experiments/SimulatedExperiments.java
@@ -90,7 +90,7 @@
                 request++) {
             simulateRequest(request);
         }
-        StoppingDecision timeLimit = new StoppingDecision(StoppingDecision.Kind.TIME_LIMIT, experiment.safe(), "");
+        StoppingDecision timeLimit = new StoppingDecision(StoppingDecision.Kind.TIME_LIMIT, experiment.safeArm(), "");
         return new SimulationResult(
                 decision.orElse(timeLimit),
                 decision.isPresent() ? requestsAtDecision : settings.maxRequests,
--- a/src/main/java/merlinlever/experiments/SplitLease.java
+++ b/src/main/java/merlinlever/experiments/SplitLease.java
@@ -50,7 +50,7 @@
     }
 
     private Duration renewalInterval() {
-        return experiment.lease().dividedBy(RENEWALS_PER_LEASE);
+        return experiment.leaseDuration().dividedBy(RENEWALS_PER_LEASE);
     }
 
     boolean isHeld(Duration now) {
@@ -125,7 +125,7 @@
 
     private void granted(long incarnation, long sequence) {
         for (PendingLeaseRequest request : pending) {
-            Duration requestExpiry = request.at.plus(experiment.lease());
+            Duration requestExpiry = request.at.plus(experiment.leaseDuration());
             if (request.incarnation == incarnation
                     && request.sequence == sequence
                     && requestExpiry.compareTo(expiry) > 0) {
--- a/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
@@ -101,7 +101,7 @@
             fixture.pins(topic, store.get("b1", topic).orElseThrow().value());
         }
         lease.readGrants(new Leadership.Leader("b1", 9));
-        assertEquals(now.plus(experiment.lease()), lease.expiry());
+        assertEquals(now.plus(experiment.leaseDuration()), lease.expiry());
         assertEquals("trial/t", experiment.topic());
     }
 }
--- a/src/test/java/merlinlever/experiments/ExperimentConfigReaderTest.java
+++ b/src/test/java/merlinlever/experiments/ExperimentConfigReaderTest.java
@@ -39,8 +39,8 @@
         assertEquals(
                 List.of("now", "short"),
                 experiment.arms().stream().map(Experiment.Arm::name).toList());
-        assertEquals(0, experiment.safe());
-        assertEquals(Duration.ofSeconds(5), experiment.lease());
+        assertEquals(0, experiment.safeArm());
+        assertEquals(Duration.ofSeconds(5), experiment.leaseDuration());
         assertEquals(Optional.of("near"), experiment.arms().get(0).preferredRoute());
         Experiment.Arm shortened = experiment.arms().get(1);
         assertEquals(Duration.ofMillis(300), shortened.retryAfter(Duration.ofSeconds(2)));
--- a/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
+++ b/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
@@ -199,12 +199,12 @@
         assertEquals(
                 StoppingDecision.Kind.CONTINUE,
                 new SequentialAnalysis(experiment)
-                        .evaluate(equal, experiment.longest().minusMillis(1))
+                        .evaluate(equal, experiment.maxDuration().minusMillis(1))
                         .kind());
         assertEquals(
                 StoppingDecision.Kind.TIME_LIMIT,
                 new SequentialAnalysis(experiment)
-                        .evaluate(equal, experiment.longest())
+                        .evaluate(equal, experiment.maxDuration())
                         .kind());
     }
 }
