--- a/src/test/java/merlinlever/faults/TestDirectories.java
+++ b/src/test/java/merlinlever/faults/TestDirectories.java
@@ -8,14 +8,14 @@
 import java.util.stream.Stream;
 import merlinlever.storage.RecordingStateDirectory;
 
-/** Folders of tests, and a record kept in memory. */
+/** Temporary directories of tests, and a recording kept in memory. */
 public final class TestDirectories {
 
     private TestDirectories() {}
 
-    /** Removes it with all that is in it. */
-    public static void remove(Path folder) {
-        try (Stream<Path> all = Files.walk(folder)) {
+    /** Removes the directory with all its content. */
+    public static void remove(Path directory) {
+        try (Stream<Path> all = Files.walk(directory)) {
             for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
@@ -24,11 +24,12 @@
         }
     }
 
+    /** A recording that is appended to the list. */
     public static RecordingStateDirectory.OperationLog into(List<String> lines) {
         return new RecordingStateDirectory.OperationLog() {
             @Override
-            public void append(String text) {
-                lines.add(text);
+            public void append(String line) {
+                lines.add(line);
             }
 
             @Override
--- a/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
+++ b/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
@@ -9,25 +9,25 @@
 import java.util.TreeMap;
 import merlinlever.storage.StateDirectory;
 
-/** A folder in memory that remembers what was forced, and loses of the rest what a kill loses. */
+/** A state directory in memory that knows what was synced, and loses the rest in a simulated power loss. */
 final class InMemoryStateDirectory implements StateDirectory {
 
     private static final class Content {
-        byte[] octets = {};
-        int forced;
+        byte[] bytes = {};
+        int syncedLength;
     }
 
     private final TreeMap<String, Content> files = new TreeMap<>();
-    /** Octets that still fit on the disk. */
+    /** Bytes that still fit on the disk. */
     long room = Long.MAX_VALUE;
 
-    /** What is left after the machine went down: of each file what was forced, and so much more of it as is said. */
-    InMemoryStateDirectory after(int unforcedKept) {
+    /** What a power loss leaves: of each file the synced bytes, and so many of the others. */
+    InMemoryStateDirectory after(int unsyncedBytesKept) {
         InMemoryStateDirectory left = new InMemoryStateDirectory();
         files.forEach((name, content) -> {
             Content kept = new Content();
-            kept.octets = Arrays.copyOf(content.octets, Math.min(content.octets.length, content.forced + unforcedKept));
-            kept.forced = kept.octets.length;
+            kept.bytes = Arrays.copyOf(content.bytes, Math.min(content.bytes.length, content.syncedLength + unsyncedBytesKept));
+            kept.syncedLength = kept.bytes.length;
             left.files.put(name, kept);
         });
         return left;
@@ -35,15 +35,15 @@
 
     int unforced() {
         return files.values().stream()
-                .mapToInt(content -> content.octets.length - content.forced)
+                .mapToInt(content -> content.bytes.length - content.syncedLength)
                 .max()
                 .orElse(0);
     }
 
-    void put(String name, byte[] octets) {
+    void put(String name, byte[] bytes) {
         Content content = new Content();
-        content.octets = octets;
-        content.forced = octets.length;
+        content.bytes = bytes;
+        content.syncedLength = bytes.length;
         files.put(name, content);
     }
 
@@ -57,7 +57,7 @@
         if (!files.containsKey(name)) {
             throw new FileNotFoundException(name);
         }
-        return files.get(name).octets.clone();
+        return files.get(name).bytes.clone();
     }
 
     @Override
@@ -66,16 +66,16 @@
         return new AppendableFile() {
             @Override
             public long length() {
-                return content.octets.length;
+                return content.bytes.length;
             }
 
             @Override
-            public void write(ByteBuffer octets) throws IOException {
-                int fits = (int) Math.min(room, octets.remaining());
-                int from = content.octets.length;
-                content.octets = Arrays.copyOf(content.octets, from + fits);
-                boolean full = fits < octets.remaining();
-                octets.get(content.octets, from, fits);
+            public void write(ByteBuffer bytes) throws IOException {
+                int fits = (int) Math.min(room, bytes.remaining());
+                int from = content.bytes.length;
+                content.bytes = Arrays.copyOf(content.bytes, from + fits);
+                boolean full = fits < bytes.remaining();
+                bytes.get(content.bytes, from, fits);
                 room -= fits;
                 if (full) {
                     throw new IOException("No space left on device");
@@ -84,14 +84,14 @@
 
             @Override
             public void sync() {
-                content.forced = content.octets.length;
+                content.syncedLength = content.bytes.length;
             }
 
             @Override
             public void truncate(long length) {
-                room += content.octets.length - length;
-                content.octets = Arrays.copyOf(content.octets, (int) length);
-                content.forced = (int) length;
+                room += content.bytes.length - length;
+                content.bytes = Arrays.copyOf(content.bytes, (int) length);
+                content.syncedLength = (int) length;
             }
 
             @Override
