--- a/src/main/java/merlinlever/experiments/Experiment.java
+++ b/src/main/java/merlinlever/experiments/Experiment.java
@@ -96,7 +96,8 @@
                     + arm.preferredRoute.orElse("null") + "]");
         }
         return "Trial[name=" + name + ", version=" + version + ", arms=" + armTexts + ", safe=" + safeArm + ", alpha="
-                + alpha + ", harm=" + harmAlpha + ", difference=" + minDifference + ", longest=" + maxDuration + ", lease=" + leaseDuration
+                + alpha + ", harm=" + harmAlpha + ", difference=" + minDifference + ", longest=" + maxDuration
+                + ", lease=" + leaseDuration
                 + ", valueMost=" + maxValue + ", deaths=" + maxDeaths + "]";
     }
 
--- a/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
+++ b/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
@@ -26,7 +26,8 @@
         InMemoryStateDirectory left = new InMemoryStateDirectory();
         files.forEach((name, content) -> {
             Content kept = new Content();
-            kept.bytes = Arrays.copyOf(content.bytes, Math.min(content.bytes.length, content.syncedLength + unsyncedBytesKept));
+            kept.bytes = Arrays.copyOf(
+                    content.bytes, Math.min(content.bytes.length, content.syncedLength + unsyncedBytesKept));
             kept.syncedLength = kept.bytes.length;
             left.files.put(name, kept);
         });
