--- a/src/main/java/merlinlever/agent/AgentEvent.java
+++ b/src/main/java/merlinlever/agent/AgentEvent.java
@@ -26,7 +26,7 @@
         double[] row) {
 
     /** The notice on the line. */
-    static AgentEvent read(String line) throws Json.MalformedJsonException {
+    static AgentEvent parse(String line) throws Json.MalformedJsonException {
         Map<?, ?> object = Json.object(line);
         try {
             String text = string(object, "result");
--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/agent/AgentLink.java
@@ -19,28 +19,28 @@
 /** The link to the agent: made again when it is lost, with each notice taken once and in its order. */
 public final class AgentLink {
 
-    private static final int LONGEST_LINE = 64 * 1024;
-    private static final int MOST_QUEUED = 8 * 1024 * 1024;
-    private static final int LONGEST_RESULT = 4096;
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(20);
-    private static final Duration LONGEST_PAUSE = Duration.ofMillis(500);
-    private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Duration CHECK = Duration.ofMillis(500);
-    private static final int CHECKS = 6;
-    private static final Duration EXERCISE = Duration.ofSeconds(1);
+    private static final int MAX_LINE_BYTES = 64 * 1024;
+    private static final int MAX_QUEUED_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_RESULT_BYTES = 4096;
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(20);
+    private static final Duration MAX_BACKOFF = Duration.ofMillis(500);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration LIVENESS_CHECK_INTERVAL = Duration.ofMillis(500);
+    private static final int MAX_UNANSWERED_CHECKS = 6;
+    private static final Duration HEALTH_EXERCISE_TIMEOUT = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final Backend backend;
     private final Log log;
     private InetSocketAddress address;
     /** The greeted one that commands go over, or null. */
-    private Session link;
+    private Session active;
     /** The one that is being made and takes its place with the greeting, or null. */
-    private Session coming;
+    private Session pending;
 
-    private EventLoop.Timer retry;
-    private Duration pause = FIRST_PAUSE;
-    private long lastRead, tokens;
+    private EventLoop.Timer reconnectTimer;
+    private Duration backoff = INITIAL_BACKOFF;
+    private long lastOffset, tokens;
     /** What is asked on the link in use and not answered yet, or null: for the gauges, and whether all notices are read. */
     private PendingSample gauges, caughtUp;
 
@@ -59,44 +59,44 @@
 
     /** One connection; what comes on one that is neither in use nor coming is passed over. */
     private final class Session implements Connection.Handler {
-        private final LineDecoder lines = new LineDecoder(LONGEST_LINE);
+        private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
         private Connection connection;
         private Duration madeAt;
 
         @Override
-        public void made() {
+        public void onConnected() {
             madeAt = loop.clock().now();
-            send("{\"cmd\":\"subscribe\",\"offset\":" + lastRead + "}\n");
+            send("{\"cmd\":\"subscribe\",\"offset\":" + lastOffset + "}\n");
         }
 
         @Override
-        public void read(ByteBuffer in) {
-            if (!lines.take(in, this::line)) {
+        public void onReceived(ByteBuffer in) {
+            if (!lines.decode(in, this::line)) {
                 // On a new link it would come again.
                 log.warn("passed over a line of the agent that is too long");
-                lines.passOver(in);
+                lines.skipLine(in);
             }
         }
 
         private void line(String line) {
-            if (this == link || this == coming) {
+            if (this == active || this == pending) {
                 AgentLink.this.line(this, line);
             }
         }
 
         @Override
-        public void ended(CloseReason how) {
-            if (this == link) {
-                log.warn("link to the agent lost: " + how + ", last notice " + lastRead);
-                link = null;
+        public void onClosed(CloseReason how) {
+            if (this == active) {
+                log.warn("link to the agent lost: " + how + ", last notice " + lastOffset);
+                active = null;
                 backend.agentLinkLost(stood);
-            } else if (this == coming) {
-                coming = null;
+            } else if (this == pending) {
+                pending = null;
             } else {
                 return;
             }
-            if (coming == null) {
-                again();
+            if (pending == null) {
+                scheduleReconnect();
             }
         }
 
@@ -114,58 +114,58 @@
 
     public void start() {
         connect();
-        loop.every(CHECK, this::checkThatItAnswers);
+        loop.runNowAndEvery(LIVENESS_CHECK_INTERVAL, this::checkLiveness);
     }
 
     /** The agent is to be reached there from now on; the link in use stays until the new one is greeted. */
-    public void moveTo(InetSocketAddress there) {
+    public void setAddress(InetSocketAddress there) {
         if (there.equals(address)) {
             return;
         }
         address = there;
-        pause = FIRST_PAUSE;
-        Session stale = coming;
-        coming = null;
+        backoff = INITIAL_BACKOFF;
+        Session stale = pending;
+        pending = null;
         if (stale != null) {
-            stale.connection.end(CloseReason.DONE);
+            stale.connection.close(CloseReason.COMPLETED);
         }
         connect();
     }
 
     /** A link on which questions stay unanswered for so many checks is made anew; a stall of ours is one check. */
-    private void checkThatItAnswers() {
+    private void checkLiveness() {
         // Before it is up the agent may take as long for its greeting as it likes.
-        boolean waits = coming != null ? backend.isStarted() : link != null && gauges != null;
+        boolean waits = pending != null ? backend.isStarted() : active != null && gauges != null;
         unanswered = waits ? unanswered + 1 : 0;
-        if (unanswered >= CHECKS) {
+        if (unanswered >= MAX_UNANSWERED_CHECKS) {
             unanswered = 0;
-            (coming != null ? coming : link).connection.end(CloseReason.SLOW);
+            (pending != null ? pending : active).connection.close(CloseReason.TIMED_OUT);
         }
     }
 
     private void connect() {
-        if (retry != null) {
-            retry.callOff();
-            retry = null;
+        if (reconnectTimer != null) {
+            reconnectTimer.cancel();
+            reconnectTimer = null;
         }
         unanswered = 0;
         Session made = new Session();
         try {
-            made.connection = Connection.to(loop, address, made, LONGEST_LINE, MOST_QUEUED, CONNECT);
-            coming = made;
+            made.connection = Connection.connect(loop, address, made, MAX_LINE_BYTES, MAX_QUEUED_BYTES, CONNECT_TIMEOUT);
+            pending = made;
         } catch (IOException e) {
             log.error("no channel for the link to the agent", e);
-            again();
+            scheduleReconnect();
         }
     }
 
-    private void again() {
-        if (retry != null) {
+    private void scheduleReconnect() {
+        if (reconnectTimer != null) {
             // A link can be lost while one to take its place is about to be made.
-            retry.callOff();
+            reconnectTimer.cancel();
         }
-        retry = loop.in(pause, this::connect);
-        pause = pause.multipliedBy(2).compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause.multipliedBy(2);
+        reconnectTimer = loop.schedule(backoff, this::connect);
+        backoff = backoff.multipliedBy(2).compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : backoff.multipliedBy(2);
     }
 
     private void line(Session from, String line) {
@@ -173,7 +173,7 @@
             return;
         }
         try {
-            notice(from, AgentEvent.read(line));
+            notice(from, AgentEvent.parse(line));
         } catch (Json.MalformedJsonException e) {
             log.warn("passed over a line of the agent: " + e.getMessage());
         }
@@ -181,18 +181,18 @@
 
     private void notice(Session from, AgentEvent notice) {
         if (notice.offset() > 0) {
-            if (notice.offset() <= lastRead) {
+            if (notice.offset() <= lastOffset) {
                 return;
             }
-            if (notice.offset() > lastRead + 1) {
-                log.warn("notices " + (lastRead + 1) + " to " + (notice.offset() - 1) + " were missed");
+            if (notice.offset() > lastOffset + 1) {
+                log.warn("notices " + (lastOffset + 1) + " to " + (notice.offset() - 1) + " were missed");
                 backend.agentEventsLost(loop.clock().now());
             }
-            lastRead = notice.offset();
+            lastOffset = notice.offset();
         }
         switch (notice.word() == null ? "" : notice.word()) {
             case "greeting" -> {
-                if (from == coming) {
+                if (from == pending) {
                     greeted(notice);
                 }
             }
@@ -217,20 +217,20 @@
     }
 
     private void greeted(AgentEvent notice) {
-        Session before = link;
-        link = coming;
-        coming = null;
+        Session before = active;
+        active = pending;
+        pending = null;
         gauges = null;
         unanswered = 0;
-        pause = FIRST_PAUSE;
+        backoff = INITIAL_BACKOFF;
         if (before != null) {
             // It was replaced at some time after the new one had been made.
-            backend.agentLinkLost(stood.compareTo(link.madeAt) < 0 ? stood : link.madeAt);
-            before.connection.end(CloseReason.DONE);
+            backend.agentLinkLost(stood.compareTo(active.madeAt) < 0 ? stood : active.madeAt);
+            before.connection.close(CloseReason.COMPLETED);
         }
-        stood = link.madeAt;
+        stood = active.madeAt;
         if (!backend.isStarted()) {
-            loop.clock().startWas(Duration.ofNanos((long) (notice.elapsedMs() * 1e6)));
+            loop.clock().setOriginAgo(Duration.ofNanos((long) (notice.elapsedMs() * 1e6)));
             stood = loop.clock().now();
             log.info("the agent is up: " + notice.text() + ", started " + notice.elapsedMs() + " ms ago");
             backend.agentStarted(loop.clock().now(), "COLD".equals(notice.text()));
@@ -250,7 +250,7 @@
             log.warn("an outcome without a result");
             how = Outcome.ERROR;
         }
-        if (how == Outcome.OK && notice.payload().length > LONGEST_RESULT) {
+        if (how == Outcome.OK && notice.payload().length > MAX_RESULT_BYTES) {
             log.warn("a result of " + notice.payload().length + " bytes is not passed on");
             how = Outcome.ERROR;
         }
@@ -278,14 +278,14 @@
 
     private PendingSample ask(String kind) {
         PendingSample question = new PendingSample(kind + tokens++, loop.clock().now());
-        link.send("{\"cmd\":\"sample\",\"token\":\"" + question.token + "\"}\n");
+        active.send("{\"cmd\":\"sample\",\"token\":\"" + question.token + "\"}\n");
         return question;
     }
 
     private void exerciseOver() {
         exercise = null;
         if (exerciseLimit != null) {
-            exerciseLimit.callOff();
+            exerciseLimit.cancel();
             exerciseLimit = null;
         }
     }
@@ -293,8 +293,8 @@
     // ---- commands; without a link they are lost, and the backend sends again what matters
 
     private void command(String word, TrackedRequest work, String rest) {
-        if (link != null) {
-            link.send("{\"cmd\":\"" + word + "\",\"req\":\"" + work.idText() + "\"" + rest + "}\n");
+        if (active != null) {
+            active.send("{\"cmd\":\"" + word + "\",\"req\":\"" + work.idText() + "\"" + rest + "}\n");
         }
     }
 
@@ -320,7 +320,7 @@
 
     /** One at a time. */
     public boolean sample() {
-        boolean asks = link != null && gauges == null;
+        boolean asks = active != null && gauges == null;
         if (asks) {
             gauges = ask("s");
         }
@@ -328,18 +328,18 @@
     }
 
     /** One at a time too; without a link it is asked for once there is one, if that is soon. */
-    public void exercise() {
+    public void requestHealthExercise() {
         exercise = "x" + tokens++;
-        exerciseLimit = loop.in(EXERCISE, () -> {
+        exerciseLimit = loop.schedule(HEALTH_EXERCISE_TIMEOUT, () -> {
             exerciseOver();
             backend.deepCheckCompleted(false);
         });
-        if (link != null) {
+        if (active != null) {
             askToExercise();
         }
     }
 
     private void askToExercise() {
-        link.send("{\"cmd\":\"exercise\",\"token\":\"" + exercise + "\"}\n");
+        active.send("{\"cmd\":\"exercise\",\"token\":\"" + exercise + "\"}\n");
     }
 }
--- a/src/main/java/merlinlever/agent/LineDecoder.java
+++ b/src/main/java/merlinlever/agent/LineDecoder.java
@@ -7,39 +7,39 @@
 /** Cuts what is read into lines; the bytes of a line that is not whole are left, and not looked at twice. */
 public final class LineDecoder {
 
-    private final int longest;
-    private int seen;
-    private boolean passingOver;
+    private final int maxLineBytes;
+    private int scannedBytes;
+    private boolean skipping;
 
-    public LineDecoder(int longest) {
-        this.longest = longest;
+    public LineDecoder(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
     /** Hands over each whole line without its end; says whether what is left may still become one. */
-    public boolean take(ByteBuffer in, Consumer<String> taker) {
-        byte[] bytes = in.array();
-        int start = in.position();
-        for (int at = start + seen; at < in.limit(); at++) {
+    public boolean decode(ByteBuffer input, Consumer<String> lineConsumer) {
+        byte[] bytes = input.array();
+        int start = input.position();
+        for (int at = start + scannedBytes; at < input.limit(); at++) {
             if (bytes[at] == '\n') {
-                in.position(at + 1);
-                if (!passingOver) {
-                    taker.accept(new String(bytes, start, at - start, StandardCharsets.UTF_8));
+                input.position(at + 1);
+                if (!skipping) {
+                    lineConsumer.accept(new String(bytes, start, at - start, StandardCharsets.UTF_8));
                 }
-                passingOver = false;
+                skipping = false;
                 start = at + 1;
             }
         }
-        if (passingOver) {
-            in.position(in.limit());
+        if (skipping) {
+            input.position(input.limit());
         }
-        seen = in.remaining();
-        return seen < longest;
+        scannedBytes = input.remaining();
+        return scannedBytes < maxLineBytes;
     }
 
     /** Of the line that is not whole, what came and what will still come is not handed over. */
-    public void passOver(ByteBuffer in) {
-        passingOver = true;
-        in.position(in.limit());
-        seen = 0;
+    public void skipLine(ByteBuffer input) {
+        skipping = true;
+        input.position(input.limit());
+        scannedBytes = 0;
     }
 }
--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -48,7 +48,7 @@
         agent = new AgentLink(loop, agentAddress, backend, log);
         records = new RecordsClient(loop, recordsAddress, backend, log, maxCalls);
         edge = new EdgeServer(loop, backend, settings);
-        loop.after(() -> backend.decide(loop.clock().now()));
+        loop.setAfterBatch(() -> backend.decide(loop.clock().now()));
         agent.start();
     }
 
@@ -95,7 +95,7 @@
 
     @Override
     public void startDeepCheck() {
-        agent.exercise();
+        agent.requestHealthExercise();
     }
 
     @Override
@@ -105,15 +105,15 @@
 
     @Override
     public void closeIdleConnections(Duration after) {
-        edge.closeIdle(after);
+        edge.setIdleTimeout(after);
     }
 
     @Override
     public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
-        alarm = loop.in(
+        alarm = loop.schedule(
                 at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 
--- a/src/main/java/merlinlever/cli/ConfigurationReloader.java
+++ b/src/main/java/merlinlever/cli/ConfigurationReloader.java
@@ -47,7 +47,7 @@
     /** @param loggedReason why the first of these attempts failed, empty for the first one itself */
     private void attempt(int attemptsLeft, String loggedReason) {
         if (retry != null) {
-            retry.callOff();
+            retry.cancel();
             retry = null;
         }
         try {
@@ -62,7 +62,7 @@
             }
             if (!isLast) {
                 String firstReason = loggedReason.isEmpty() ? reason : loggedReason;
-                retry = loop.in(RETRY_DELAY, () -> attempt(attemptsLeft - 1, firstReason));
+                retry = loop.schedule(RETRY_DELAY, () -> attempt(attemptsLeft - 1, firstReason));
             }
         }
     }
--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -52,27 +52,27 @@
         backend.startDrain(now.minus(SIGNAL_DELAY), now.plus(timeToStop));
         // Within the grace requests are started still; after it none is, so none need come.
         Duration openFor = drainGrace.compareTo(timeToStop) < 0 ? drainGrace : timeToStop;
-        loop.in(openFor, () -> {
+        loop.schedule(openFor, () -> {
             edge.close();
             Duration lastMoment = loop.clock().uptime().plus(timeToStop.minus(openFor));
             // Not in this turn of the loop: a connection accepted in it is not registered with the server yet.
-            loop.in(POLL_PERIOD, () -> loop.every(POLL_PERIOD, () -> finishWhenAnswered(lastMoment)));
+            loop.schedule(POLL_PERIOD, () -> loop.runNowAndEvery(POLL_PERIOD, () -> finishWhenAnswered(lastMoment)));
         });
     }
 
     /** Not before the last moment while a connection is open: what its client writes as the process ends would be lost. */
     private void finishWhenAnswered(Duration lastMoment) {
-        if (backend.unansweredRequests() > 0 || !edge.allWritten()) {
+        if (backend.unansweredRequests() > 0 || !edge.hasFlushedAllResponses()) {
             return;
         }
-        if (edge.none()) {
+        if (edge.hasNoConnections()) {
             finish();
         } else if (!idleHalfClosed && loop.clock().uptime().compareTo(lastMoment) >= 0) {
             // To end the process over unread bytes would reset the connection, and discard responses not read yet.
             idleHalfClosed = true;
             log.info("idle-connections-half-closed read_on_ms=" + HALF_CLOSED_READ.toMillis());
-            edge.shutResting();
-            loop.in(HALF_CLOSED_READ, this::finish);
+            edge.closeIdleConnections();
+            loop.schedule(HALF_CLOSED_READ, this::finish);
         }
     }
 
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -96,7 +96,7 @@
     }
 
     private String statusReport() {
-        return StatusReport.of(
+        return StatusReport.toJson(
                 backend.isDraining(),
                 backend.isHealthy(),
                 backend.unansweredRequests(),
@@ -117,14 +117,14 @@
             throw new InvalidConfigurationException(
                     "cannot listen on " + configuration.values().text("listen", "") + ": " + e.getMessage(), e);
         }
-        loop.every(HeartbeatSender.PERIOD, this::sendHeartbeat);
-        loop.every(CLOCK_COMPARISON_PERIOD, loop.clock()::compare);
+        loop.runNowAndEvery(HeartbeatSender.PERIOD, this::sendHeartbeat);
+        loop.runNowAndEvery(CLOCK_COMPARISON_PERIOD, loop.clock()::resyncUnixOffset);
     }
 
     private void sendHeartbeat() {
         boolean draining = backend.isDraining();
         if (!draining || directoryFollowsReports) {
-            heartbeats.beat(!draining && (!backend.isStarted() || backend.isHealthy()));
+            heartbeats.send(!draining && (!backend.isStarted() || backend.isHealthy()));
         }
     }
 
@@ -137,7 +137,7 @@
     private static int main(Map<String, String> environment, ProcessSignals signals, Log log, PrintStream console) {
         try {
             ServeCommand command = new ServeCommand(environment, log, System.nanoTime());
-            if (!signals.receive(command)) {
+            if (!signals.subscribe(command)) {
                 return 0;
             }
             command.listen();
@@ -152,17 +152,17 @@
             return 1;
         } finally {
             // A shutdown hook waits for the event loop, which runs no more.
-            signals.over();
+            signals.completeShutdown();
         }
     }
 
     @Override
-    public void hangUp() {
+    public void onHangup() {
         loop.execute(reloader::reload);
     }
 
     @Override
-    public void terminate() {
+    public void onTerminate() {
         loop.execute(() -> {
             recovery.startShutdown();
             shutdown.start();
@@ -177,9 +177,9 @@
         if (!reloaded.settings().equals(configuration.settings())) {
             log.warn("changed-settings-ignored until=restart");
         }
-        assembly.agent().moveTo(reloaded.agentAddress());
-        assembly.records().moveTo(reloaded.recordsAddress());
-        heartbeats.moveTo(reloaded.directoryAddress());
+        assembly.agent().setAddress(reloaded.agentAddress());
+        assembly.records().setAddress(reloaded.recordsAddress());
+        heartbeats.setAddress(reloaded.directoryAddress());
         sendHeartbeat();
     }
 
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -47,7 +47,7 @@
         private Connection connection;
 
         @Override
-        public void on(Connection connected) {
+        public void attach(Connection connected) {
             connection = connected;
         }
 
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public void ended(CloseReason reason) {}
+        public void onClosed(CloseReason reason) {}
     }
 
     /** Runs each request at once, with one downstream call where there is a records service. */
@@ -70,8 +70,8 @@
         }
 
         @Override
-        public void read(ByteBuffer in) {
-            lines.take(in, this::command);
+        public void onReceived(ByteBuffer in) {
+            lines.decode(in, this::command);
         }
 
         private void command(String line) {
@@ -106,7 +106,7 @@
     /** Answers each call at once. */
     private static final class StubRecordsService extends StubPeer {
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
             int headEnd = text.indexOf("\r\n");
             if (headEnd < 0) {
@@ -124,7 +124,7 @@
     /** Sends one request after the other, through the priority classes in turn. */
     private final class StubEdgeClient extends StubPeer {
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             // Responses arrive whole, and a client has one request in flight.
             in.position(in.limit());
             sendRequest();
@@ -160,8 +160,8 @@
         BackendAssembly assembly = new BackendAssembly(loop, settings, 1, AGENT, RECORDS, MAX_CALLS, discarded);
         for (int i = 0; i < CLIENTS; i++) {
             StubEdgeClient client = new StubEdgeClient();
-            assembly.edge().take(server -> Connection.pair(loop, server, client, BUFFER_BYTES, 8 * BUFFER_BYTES));
-            loop.in(FIRST_REQUEST_DELAY, client::sendRequest);
+            assembly.edge().addConnection(server -> Connection.inMemory(loop, server, client, BUFFER_BYTES, 8 * BUFFER_BYTES));
+            loop.schedule(FIRST_REQUEST_DELAY, client::sendRequest);
         }
     }
 
@@ -187,7 +187,7 @@
         long startNanos = System.nanoTime();
         WarmUp warmUp = new WarmUp(settings, hasRecordsService);
         // The construction loads most of the classes: on a slow processor that alone takes a second or more.
-        warmUp.loop.in(timeLimit.minusNanos(System.nanoTime() - startNanos), warmUp.loop::stop);
+        warmUp.loop.schedule(timeLimit.minusNanos(System.nanoTime() - startNanos), warmUp.loop::stop);
         warmUp.loop.run();
         return Math.min(warmUp.requests, MAX_REQUESTS);
     }
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -175,13 +175,13 @@
         if (drain) {
             agent.drainAll();
         }
-        loop.in(drain ? SHUTDOWN_POLL_PERIOD : grace(), () -> {
+        loop.schedule(drain ? SHUTDOWN_POLL_PERIOD : grace(), () -> {
             if (!drain) {
                 server.close();
             }
-            loop.every(SHUTDOWN_POLL_PERIOD, this::stopWhenAnswered);
+            loop.runNowAndEvery(SHUTDOWN_POLL_PERIOD, this::stopWhenAnswered);
         });
-        loop.in(stop, loop::stop);
+        loop.schedule(stop, loop::stop);
     }
 
     private void stopWhenAnswered() {
--- a/src/main/java/merlinlever/cli/zone/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneFollowerProcess.java
@@ -88,7 +88,7 @@
             throw new InvalidConfigFileException(
                     "cannot listen on " + config.text("pulse", "") + ": " + e.getMessage(), e);
         }
-        loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
+        loop.runNowAndEvery(CLOCK_COMPARISON_PERIOD, clock::resyncUnixOffset);
     }
 
     private String listenForPulses(ConfigFile config) throws IOException, InvalidConfigFileException {
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -107,7 +107,7 @@
                     "cannot listen on " + config.text("listen", "") + ": " + e.getMessage(), e);
         }
         secondaries.forEach((zone, addresses) -> zone.watch(changed -> notifySender.tell(changed, addresses)));
-        loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
+        loop.runNowAndEvery(CLOCK_COMPARISON_PERIOD, clock::resyncUnixOffset);
     }
 
     private static ExecutorService daemonThread(String name) {
@@ -127,7 +127,7 @@
     }
 
     private String statusReport() {
-        return StatusReport.of(
+        return StatusReport.toJson(
                 server.desk().figures().draining(),
                 true,
                 server.desk().inHand(),
@@ -259,7 +259,7 @@
 
     /** Runs the server until SIGTERM. */
     void run() {
-        HangupSignal.handle(() -> loop.execute(this::reloadAll));
+        HangupSignal.onHangup(() -> loop.execute(this::reloadAll));
         ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
         LOG.info("listening address={}", SocketAddresses.format(serverAddress));
         runner.run(() -> {});
@@ -267,15 +267,15 @@
 
     private void startShutdown() {
         server.leave(stopAfter);
-        loop.in(grace(), () -> {
+        loop.schedule(grace(), () -> {
             server.close();
-            loop.every(SHUTDOWN_POLL_PERIOD, () -> {
+            loop.runNowAndEvery(SHUTDOWN_POLL_PERIOD, () -> {
                 if (server.answered()) {
                     stop("all-answered");
                 }
             });
         });
-        loop.in(stopAfter, () -> stop("stop-time-reached"));
+        loop.schedule(stopAfter, () -> stop("stop-time-reached"));
     }
 
     private void stop(String reason) {
--- a/src/main/java/merlinlever/directory/HeartbeatSender.java
+++ b/src/main/java/merlinlever/directory/HeartbeatSender.java
@@ -17,25 +17,25 @@
     public static final Duration PERIOD = Duration.ofMillis(500);
 
     private final DatagramChannel channel;
-    private final String name;
-    private InetSocketAddress address;
+    private final String serverName;
+    private InetSocketAddress directoryAddress;
 
-    public HeartbeatSender(InetSocketAddress address, String name) throws IOException {
-        this.address = address;
-        this.name = name;
+    public HeartbeatSender(InetSocketAddress directoryAddress, String serverName) throws IOException {
+        this.directoryAddress = directoryAddress;
+        this.serverName = serverName;
         channel = DatagramChannel.open();
         channel.configureBlocking(false);
     }
 
     /** Heartbeats go there from now on. */
-    public void moveTo(InetSocketAddress there) {
-        address = there;
+    public void setAddress(InetSocketAddress there) {
+        directoryAddress = there;
     }
 
-    public void beat(boolean open) {
-        byte[] text = ("PULSE " + name + (open ? " open" : " closed")).getBytes(StandardCharsets.UTF_8);
+    public void send(boolean accepting) {
+        byte[] text = ("PULSE " + serverName + (accepting ? " open" : " closed")).getBytes(StandardCharsets.UTF_8);
         try {
-            channel.send(ByteBuffer.wrap(text), address);
+            channel.send(ByteBuffer.wrap(text), directoryAddress);
         } catch (IOException e) {
             // Nobody listens, or there is no room now: the next report says the same.
         }
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -40,7 +40,7 @@
                 new SplittableRandom(seed),
                 log);
         rejoin.members().hears(LeaderElection.WORDS, this);
-        loop.every(LOOK, () -> say(terms.look(loop.clock().uptime())));
+        loop.runNowAndEvery(LOOK, () -> say(terms.look(loop.clock().uptime())));
     }
 
     public LeaderElection terms() {
--- a/src/main/java/merlinlever/faults/link/TcpProxy.java
+++ b/src/main/java/merlinlever/faults/link/TcpProxy.java
@@ -83,7 +83,7 @@
             @Override
             public void failed(Throwable failure, Void nothing) {
                 if (listener.isOpen()) {
-                    loop.in(AGAIN, TcpProxy.this::accept);
+                    loop.schedule(AGAIN, TcpProxy.this::accept);
                 }
             }
         });
@@ -176,10 +176,10 @@
             Duration now = loop.clock().now();
             Duration leaves = links.stream(now, fromMember, toMember, buffer.remaining(), chance);
             if (leaves == null) {
-                loop.in(AGAIN, () -> pass(from, to, fromMember, toMember, buffer));
+                loop.schedule(AGAIN, () -> pass(from, to, fromMember, toMember, buffer));
                 return;
             }
-            loop.in(leaves.minus(now), () -> write(from, to, fromMember, toMember, buffer));
+            loop.schedule(leaves.minus(now), () -> write(from, to, fromMember, toMember, buffer));
         }
 
         void write(
--- a/src/main/java/merlinlever/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/faults/link/UdpSwitch.java
@@ -88,7 +88,7 @@
      */
     public void takeIn() throws IOException {
         for (DatagramEndpoint front : fronts) {
-            if (!front.readAll()) {
+            if (!front.receiveAll()) {
                 throw new IOException("more came to a front than it can hold");
             }
         }
@@ -112,7 +112,7 @@
                 continue;
             }
             held++;
-            loop.in(leaves.minus(now), () -> {
+            loop.schedule(leaves.minus(now), () -> {
                 held--;
                 carried++;
                 fronts.get(sender).send(octets, real.get(to));
--- a/src/main/java/merlinlever/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/faults/standins/LoadGenerator.java
@@ -101,7 +101,7 @@
                             keyed ? token : "look-" + token, keyed, loop.clock().uptime())
                     .send();
             // As a Poisson stream, so that no two backends are in step.
-            loop.in(Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / stated.perSecond * 1e9)), this::next);
+            loop.schedule(Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / stated.perSecond * 1e9)), this::next);
         }
     }
 
@@ -124,9 +124,9 @@
 
         void send() {
             open++;
-            late = loop.in(stated.patience.plus(SLACK), () -> over(0, null, "no answer by its due time", false));
+            late = loop.schedule(stated.patience.plus(SLACK), () -> over(0, null, "no answer by its due time", false));
             try {
-                connection = Connection.to(loop, backend, this, ANSWER, ANSWER, stated.patience);
+                connection = Connection.connect(loop, backend, this, ANSWER, ANSWER, stated.patience);
             } catch (IOException e) {
                 over(0, null, "no channel", true);
                 return;
@@ -142,12 +142,12 @@
         }
 
         @Override
-        public void made() {
+        public void onConnected() {
             made = true;
         }
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             String text = StandardCharsets.US_ASCII.decode(in.duplicate()).toString();
             int head = text.indexOf("\r\n\r\n");
             int at = text.indexOf("Content-Length: ");
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             // A refused connection proves that nothing ran.
             over(0, null, "its connection ended: " + how, !made);
         }
@@ -174,7 +174,7 @@
             }
             over = true;
             open--;
-            late.callOff();
+            late.cancel();
             Duration now = loop.clock().uptime();
             ends.add(new long[] {now.toMillis(), keyed ? 1 : 0, status});
             if (status > 0) {
@@ -188,12 +188,12 @@
                 rules.unanswered(operation, id, excused || away || life != begunIn, how);
             }
             if (connection != null) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
             }
             if (status == 200) {
                 satisfiedAt[keyed ? 1 : 0] = now;
             } else if (keyed && now.minus(first).compareTo(stated.window) < 0) {
-                loop.in(pause(text), () -> {
+                loop.schedule(pause(text), () -> {
                     if (loop.clock().uptime().minus(first).compareTo(stated.window) < 0) {
                         new RequestAttempt(operation, true, first).send();
                     }
--- a/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
@@ -69,7 +69,7 @@
                 channel -> {
                     BackendConnection made = new BackendConnection();
                     made.connection = Connection.accepted(loop, channel, made, LINE, 1 << 20);
-                    made.connection.readOn();
+                    made.connection.resumeReading();
                 },
                 () -> {});
         listener.accept();
@@ -86,7 +86,7 @@
         notices.clear();
         dark = true;
         if (link != null) {
-            link.connection.end(CloseReason.DONE);
+            link.connection.close(CloseReason.COMPLETED);
         }
     }
 
@@ -96,8 +96,8 @@
     }
 
     private static void stop(RunningRequest run) {
-        run.effect.callOff();
-        run.end.callOff();
+        run.effect.cancel();
+        run.end.cancel();
     }
 
     public void close() {
@@ -110,8 +110,8 @@
         private Connection connection;
 
         @Override
-        public void read(ByteBuffer in) {
-            lines.take(in, this::command);
+        public void onReceived(ByteBuffer in) {
+            lines.decode(in, this::command);
         }
 
         private void say(String line) {
@@ -123,7 +123,7 @@
             try {
                 command = Json.object(line);
             } catch (Json.MalformedJsonException e) {
-                connection.end(CloseReason.MALFORMED);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
             String id = String.valueOf(command.get("req"));
@@ -156,11 +156,11 @@
 
         private void subscribed(int offset) {
             if (dark) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
                 return;
             }
             if (link != null && link != this) {
-                link.connection.end(CloseReason.DONE);
+                link.connection.close(CloseReason.COMPLETED);
             }
             link = this;
             if (offset == 0) {
@@ -174,11 +174,11 @@
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             if (link == this) {
                 link = null;
             }
-            listener.gone();
+            listener.connectionClosed();
         }
     }
 
@@ -190,7 +190,7 @@
         rules.launched(id);
         RunningRequest run = new RunningRequest(id);
         runs.put(id, run);
-        run.effect = loop.in(work.multipliedBy(2).dividedBy(5), () -> {
+        run.effect = loop.schedule(work.multipliedBy(2).dividedBy(5), () -> {
             if (keyed) {
                 rules.effect(operation, id, name);
             }
@@ -205,7 +205,7 @@
                     "\"result\":\"OK\",\"elapsed_ms\":" + work.toMillis() + ",\"payload\":\""
                             + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.US_ASCII)) + "\"");
         };
-        run.end = loop.in(work, () -> {
+        run.end = loop.schedule(work, () -> {
             if (calls) {
                 run.then = ends;
                 notice("\"cmd\":\"request\"", id, "\"payload\":\"AQ==\"");
--- a/src/main/java/merlinlever/faults/standins/SimulatedRecordsService.java
+++ b/src/main/java/merlinlever/faults/standins/SimulatedRecordsService.java
@@ -38,7 +38,7 @@
                     CallConnection made = new CallConnection();
                     made.connection = Connection.accepted(loop, channel, made, BUFFER, BUFFER);
                     lines.add(made);
-                    made.connection.readOn();
+                    made.connection.resumeReading();
                 },
                 () -> {});
         listener.accept();
@@ -55,7 +55,7 @@
     /** It is lost: nothing listens, and what was open breaks off. */
     public void lose() {
         listener.close();
-        java.util.List.copyOf(lines).forEach(line -> line.connection.end(CloseReason.FAILED));
+        java.util.List.copyOf(lines).forEach(line -> line.connection.close(CloseReason.HANDLER_FAILED));
     }
 
     private final class CallConnection implements Connection.Handler {
@@ -63,7 +63,7 @@
         private Connection connection;
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             while (true) {
                 String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
                 int end = text.indexOf("\r\n");
@@ -82,7 +82,7 @@
                     in.position(in.position() + end + 2 + length + 2);
                     begin(words[1]);
                 } else {
-                    connection.end(CloseReason.MALFORMED);
+                    connection.close(CloseReason.PROTOCOL_ERROR);
                     return;
                 }
             }
@@ -91,7 +91,7 @@
         private void begin(String id) {
             over(id);
             shares.began(loop.clock().uptime().toMillis(), id);
-            calls.put(id, loop.in(takes, () -> {
+            calls.put(id, loop.schedule(takes, () -> {
                 over(id);
                 connection.write(ByteBuffer.wrap((id + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII)));
             }));
@@ -100,16 +100,16 @@
         private void over(String id) {
             EventLoop.Timer call = calls.remove(id);
             if (call != null) {
-                call.callOff();
+                call.cancel();
                 shares.ended();
             }
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             lines.remove(this);
             java.util.List.copyOf(calls.keySet()).forEach(this::over);
-            listener.gone();
+            listener.connectionClosed();
         }
     }
 }
--- a/src/main/java/merlinlever/host/front/HostApiServer.java
+++ b/src/main/java/merlinlever/host/front/HostApiServer.java
@@ -81,8 +81,8 @@
         desk = new OrderAdmission(grace, seed, this::alarm, log);
         listener = new ConnectionAcceptor(loop, address, CONNECTIONS, this::accepted, () -> {});
         listener.accept();
-        loop.after(() -> desk.settle(loop.clock().now()));
-        loop.every(LOOK, () -> List.copyOf(open).forEach(ClientConnection::look));
+        loop.setAfterBatch(() -> desk.settle(loop.clock().now()));
+        loop.runNowAndEvery(LOOK, () -> List.copyOf(open).forEach(ClientConnection::look));
     }
 
     public InetSocketAddress address() throws IOException {
@@ -91,9 +91,9 @@
 
     private void alarm(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
-        alarm = loop.in(
+        alarm = loop.schedule(
                 at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
     }
 
@@ -113,7 +113,7 @@
         ClientConnection visit = new ClientConnection();
         open.add(visit);
         visit.connection = Connection.accepted(loop, channel, visit, MESSAGE, 8 << 20);
-        visit.connection.readOn();
+        visit.connection.resumeReading();
     }
 
     // ---- what is told
@@ -223,12 +223,12 @@
         private boolean said, written;
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             String text = StandardCharsets.UTF_8.decode(in.duplicate()).toString();
             int head = text.indexOf("\r\n\r\n");
             if (said || head < 0) {
                 if (in.remaining() == MESSAGE) {
-                    connection.end(CloseReason.MALFORMED);
+                    connection.close(CloseReason.PROTOCOL_ERROR);
                 }
                 return;
             }
@@ -387,21 +387,21 @@
         }
 
         @Override
-        public void written() {
+        public void onFlushed() {
             written = true;
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             written = true;
             open.remove(this);
-            listener.gone();
+            listener.connectionClosed();
         }
 
         void look() {
             if (loop.clock().uptime().minus(since).compareTo(SLOW) > 0) {
-                connection.end(CloseReason.SLOW);
+                connection.close(CloseReason.TIMED_OUT);
             }
         }
     }
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -71,8 +71,8 @@
         visiting = new boolean[hosted.size()];
         last = new InstanceSupervisor.InstanceState[hosted.size()];
         takeOver();
-        loop.every(LOOK, this::look);
-        loop.every(VISIT, this::visitAll);
+        loop.runNowAndEvery(LOOK, this::look);
+        loop.runNowAndEvery(VISIT, this::visitAll);
     }
 
     private Duration now() {
--- a/src/main/java/merlinlever/host/run/StatusPoll.java
+++ b/src/main/java/merlinlever/host/run/StatusPoll.java
@@ -58,9 +58,9 @@
     private static void pay(
             EventLoop loop, InetSocketAddress address, String path, String head, int most, Consumer<JsonNode> done) {
         StatusPoll visit = new StatusPoll(most, done);
-        visit.late = loop.in(PATIENCE, () -> visit.end(null));
+        visit.late = loop.schedule(PATIENCE, () -> visit.end(null));
         try {
-            visit.connection = Connection.to(loop, address, visit, most, 4096, PATIENCE);
+            visit.connection = Connection.connect(loop, address, visit, most, 4096, PATIENCE);
             visit.connection.write(
                     StandardCharsets.US_ASCII.encode("GET " + path + " HTTP/1.1\r\nHost: it\r\n" + head + "\r\n"));
         } catch (IOException e) {
@@ -73,15 +73,15 @@
             return;
         }
         over = true;
-        late.callOff();
+        late.cancel();
         if (connection != null) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
         done.accept(body);
     }
 
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer in) {
         // The head alone is looked at until all is there.
         String head = StandardCharsets.ISO_8859_1
                 .decode(in.slice(in.position(), Math.min(in.remaining(), 1024)))
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void ended(CloseReason how) {
+    public void onClosed(CloseReason how) {
         end(null);
     }
 }
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -13,38 +13,38 @@
 /** One connection of an edge node: one message at a time, answered before the next is looked at. */
 final class EdgeConnection implements Connection.Handler, ResponseSink {
 
-    static final int BUFFER = RequestHead.LONGEST + RequestHead.LONGEST_BODY;
-    static final int MOST_QUEUED = 64 * 1024;
+    static final int READ_BUFFER_BYTES = RequestHead.MAX_BYTES + RequestHead.MAX_BODY_BYTES;
+    static final int MAX_QUEUED_BYTES = 64 * 1024;
 
-    private static final byte[] NOTHING = {};
-    private static final byte[] GO_ON = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EMPTY_BODY = {};
+    private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What it is about: before its first whole message, waiting for one, reading one, having one in hand, answering, awaiting its end. */
     enum State {
         NEW,
         IDLE,
         RECEIVING,
-        IN_HAND,
-        ANSWERING,
+        IN_FLIGHT,
+        RESPONDING,
         LINGERING
     }
 
-    private final EdgeServer owner;
+    private final EdgeServer server;
     private final RequestHead head = new RequestHead();
     private Connection connection;
     private State state = State.NEW;
-    private TrackedRequest work;
-    private int seen;
-    private boolean last, asked;
-    private CloseReason how = CloseReason.DONE;
+    private TrackedRequest inFlight;
+    private int scannedBytes;
+    private boolean closeAfterResponse, continueSent;
+    private CloseReason closeReason = CloseReason.COMPLETED;
 
-    EdgeConnection(EdgeServer owner) {
-        this.owner = owner;
+    EdgeConnection(EdgeServer server) {
+        this.server = server;
     }
 
-    void on(Connection made) {
+    void attach(Connection made) {
         connection = made;
-        become(State.NEW);
+        changeState(State.NEW);
     }
 
     Connection connection() {
@@ -52,169 +52,169 @@
     }
 
     /** How it ends where this side ends it after its last word. */
-    CloseReason how() {
-        return how;
+    CloseReason closeReason() {
+        return closeReason;
     }
 
     /**
      * Ends it in good order while no message is in hand. What crosses this was sent to a connection that may be closed:
      * it is read, as a close over unread bytes would be a reset, and it goes no further, as it could not be answered.
      */
-    void shut(CloseReason as) {
+    void shutDown(CloseReason as) {
         if (state == State.NEW || state == State.IDLE || state == State.RECEIVING) {
-            how = as;
-            become(State.LINGERING);
-            connection.writeNoMore();
-            connection.readAgain();
+            closeReason = as;
+            changeState(State.LINGERING);
+            connection.shutdownOutput();
+            connection.redeliver();
         }
     }
 
-    private void become(State next) {
-        if (connection.ended() == null) {
-            owner.moved(this, state, next);
+    private void changeState(State next) {
+        if (connection.closeReason() == null) {
+            server.stateChanged(this, state, next);
             state = next;
         }
     }
 
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer in) {
         if (state == State.LINGERING) {
             in.position(in.limit());
         } else if (state == State.NEW || state == State.IDLE || state == State.RECEIVING) {
-            message(in);
+            readRequest(in);
         }
     }
 
-    private void message(ByteBuffer in) {
+    private void readRequest(ByteBuffer in) {
         byte[] bytes = in.array();
         while (in.remaining() >= 2 && bytes[in.position()] == '\r' && bytes[in.position() + 1] == '\n') {
             in.position(in.position() + 2);
-            seen = 0;
+            scannedBytes = 0;
         }
         int start = in.position();
-        int end = RequestHead.end(bytes, start, start + seen, in.limit());
+        int end = RequestHead.findEnd(bytes, start, start + scannedBytes, in.limit());
         if (in.hasRemaining() && state == State.IDLE) {
-            become(State.RECEIVING);
+            changeState(State.RECEIVING);
         }
-        if (end < 0 || end - start > RequestHead.LONGEST) {
-            seen = in.remaining();
-            if (end >= 0 || seen >= RequestHead.LONGEST) {
-                give(in, 431);
+        if (end < 0 || end - start > RequestHead.MAX_BYTES) {
+            scannedBytes = in.remaining();
+            if (end >= 0 || scannedBytes >= RequestHead.MAX_BYTES) {
+                rejectMalformed(in, 431);
             }
             return;
         }
-        int wrong = head.read(bytes, start, end);
+        int wrong = head.parse(bytes, start, end);
         if (wrong != 0) {
-            give(in, wrong);
+            rejectMalformed(in, wrong);
             return;
         }
-        int length = Math.max(0, head.length());
+        int length = Math.max(0, head.contentLength());
         if (in.limit() - end < length) {
-            seen = end - start - 4;
-            if (head.expectsToBeAsked() && !asked) {
-                asked = true;
-                connection.write(ByteBuffer.wrap(GO_ON));
+            scannedBytes = end - start - 4;
+            if (head.expectsContinue() && !continueSent) {
+                continueSent = true;
+                connection.write(ByteBuffer.wrap(CONTINUE_RESPONSE));
             }
             return;
         }
         in.position(end + length);
-        seen = 0;
-        asked = false;
-        last = head.closes();
-        become(State.IN_HAND);
+        scannedBytes = 0;
+        continueSent = false;
+        closeAfterResponse = head.closesConnection();
+        changeState(State.IN_FLIGHT);
         String path = head.path();
-        if (path.equals(EdgeServer.HEALTH)) {
-            health();
-        } else if (path.startsWith(EdgeServer.OPERATIONS)) {
-            operation(path.substring(EdgeServer.OPERATIONS.length()), Arrays.copyOfRange(bytes, end, end + length));
+        if (path.equals(EdgeServer.HEALTH_CHECK_PATH)) {
+            answerHealthCheck();
+        } else if (path.startsWith(EdgeServer.REQUEST_PATH_PREFIX)) {
+            acceptRequest(path.substring(EdgeServer.REQUEST_PATH_PREFIX.length()), Arrays.copyOfRange(bytes, end, end + length));
         } else {
-            answer(404, NOTHING, "");
+            respond(404, EMPTY_BODY, "");
         }
     }
 
     /** What came is not to be understood; its place in the stream is lost. */
-    private void give(ByteBuffer in, int status) {
+    private void rejectMalformed(ByteBuffer in, int status) {
         in.position(in.limit());
-        last = true;
-        become(State.IN_HAND);
-        answer(status, NOTHING, "");
+        closeAfterResponse = true;
+        changeState(State.IN_FLIGHT);
+        respond(status, EMPTY_BODY, "");
     }
 
-    private void health() {
+    private void answerHealthCheck() {
         if (!head.method().equals("GET")) {
-            answer(405, NOTHING, "Allow: GET\r\n");
-        } else if (head.asks("real=1")) {
-            owner.backend().runDeepCheck(this::checked);
+            respond(405, EMPTY_BODY, "Allow: GET\r\n");
+        } else if (head.hasQueryParameter("real=1")) {
+            server.backend().runDeepCheck(this::answerHealth);
         } else {
-            checked(owner.backend().isHealthy());
+            answerHealth(server.backend().isHealthy());
         }
     }
 
-    private void checked(boolean good) {
-        if (state == State.IN_HAND) {
-            answer(good ? 200 : 503, NOTHING, "");
+    private void answerHealth(boolean good) {
+        if (state == State.IN_FLIGHT) {
+            respond(good ? 200 : 503, EMPTY_BODY, "");
         }
     }
 
-    private void operation(String tariff, byte[] body) {
-        int index = owner.backend().priorityClassIndex(tariff);
+    private void acceptRequest(String tariff, byte[] body) {
+        int index = server.backend().priorityClassIndex(tariff);
         if (index < 0) {
-            answer(404, NOTHING, "");
+            respond(404, EMPTY_BODY, "");
             return;
         }
         if (!head.method().equals("POST")) {
-            answer(405, NOTHING, "Allow: POST\r\n");
+            respond(405, EMPTY_BODY, "Allow: POST\r\n");
             return;
         }
-        if (head.length() < 0) {
-            last = true;
-            answer(411, NOTHING, "");
+        if (head.contentLength() < 0) {
+            closeAfterResponse = true;
+            respond(411, EMPTY_BODY, "");
             return;
         }
-        RequestMetadata operation = owner.asked(head, tariff, index);
+        RequestMetadata operation = server.parseRequest(head, tariff, index);
         if (operation == null) {
-            answer(400, NOTHING, "");
+            respond(400, EMPTY_BODY, "");
             return;
         }
-        TrackedRequest taken = owner.backend()
-                .receive(owner.clock().now(), operation, body, this)
+        TrackedRequest taken = server.backend()
+                .receive(server.clock().now(), operation, body, this)
                 .orElse(null);
-        work = state == State.IN_HAND ? taken : null;
+        inFlight = state == State.IN_FLIGHT ? taken : null;
     }
 
     @Override
     public void succeed(byte[] result) {
-        answer(200, result, "");
+        respond(200, result, "");
     }
 
     @Override
     public void reject(boolean nowhereElse, Duration stayAway) {
         String fields = stayAway.isZero() ? "" : "Srv-Wait-Ms: " + Math.max(1, stayAway.toMillis()) + "\r\n";
-        answer(503, NOTHING, nowhereElse ? fields + "Srv-Last: 1\r\n" : fields);
+        respond(503, EMPTY_BODY, nowhereElse ? fields + "Srv-Last: 1\r\n" : fields);
     }
 
     @Override
     public void fail() {
-        answer(500, NOTHING, "");
+        respond(500, EMPTY_BODY, "");
     }
 
-    private void answer(int status, byte[] body, String fields) {
-        work = null;
-        last |= owner.closing();
+    private void respond(int status, byte[] body, String fields) {
+        inFlight = null;
+        closeAfterResponse |= server.isClosing();
         StringBuilder out = new StringBuilder(120)
                 .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(reason(status))
+                .append(reasonPhrase(status))
                 .append("\r\nContent-Length: ")
                 .append(body.length)
                 .append("\r\n");
-        out.append(owner.level()).append(fields).append(last ? "Connection: close\r\n\r\n" : "\r\n");
-        become(State.ANSWERING);
+        out.append(server.loadHeader()).append(fields).append(closeAfterResponse ? "Connection: close\r\n\r\n" : "\r\n");
+        changeState(State.RESPONDING);
         connection.write(ByteBuffer.wrap(out.toString().getBytes(StandardCharsets.US_ASCII)), ByteBuffer.wrap(body));
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
@@ -230,26 +230,26 @@
     }
 
     @Override
-    public void written() {
-        if (state != State.ANSWERING) {
+    public void onFlushed() {
+        if (state != State.RESPONDING) {
             return;
         }
-        if (last) {
-            become(State.LINGERING);
-            connection.writeNoMore();
+        if (closeAfterResponse) {
+            changeState(State.LINGERING);
+            connection.shutdownOutput();
         } else {
-            become(State.IDLE);
+            changeState(State.IDLE);
         }
-        connection.readAgain();
+        connection.redeliver();
     }
 
     @Override
-    public void ended(CloseReason how) {
-        TrackedRequest open = work;
-        work = null;
-        owner.gone(this, state);
+    public void onClosed(CloseReason how) {
+        TrackedRequest open = inFlight;
+        inFlight = null;
+        server.connectionClosed(this, state);
         if (open != null) {
-            owner.backend().callerDisconnected(owner.clock().now(), open);
+            server.backend().callerDisconnected(server.clock().now(), open);
         }
     }
 }
--- a/src/main/java/merlinlever/http/RequestHead.java
+++ b/src/main/java/merlinlever/http/RequestHead.java
@@ -11,47 +11,47 @@
 final class RequestHead {
 
     /** A head may take this much. */
-    static final int LONGEST = 4096;
+    static final int MAX_BYTES = 4096;
 
-    static final int LONGEST_BODY = 2048;
+    static final int MAX_BODY_BYTES = 2048;
 
     /** The fields that mean something here; any other is passed over. */
     // Nothing reads OWNER since tenant shares went; known, two that differ are still refused.
     enum HeaderField {
-        LENGTH("content-length"),
-        ENCODING("transfer-encoding"),
+        CONTENT_LENGTH("content-length"),
+        TRANSFER_ENCODING("transfer-encoding"),
         CONNECTION("connection"),
         EXPECT("expect"),
-        ID("req-id"),
-        TIME("req-time"),
-        FROM("req-from"),
-        WAIT("req-wait-ms"),
-        COST("req-cost"),
-        KB("req-kb"),
+        REQUEST_ID("req-id"),
+        SENT_AT("req-time"),
+        SENDER("req-from"),
+        MAX_WAIT("req-wait-ms"),
+        EXPECTED_COST("req-cost"),
+        MEMORY_KB("req-kb"),
         RANK("req-rank"),
-        TOKEN("req-token"),
-        KEY("req-key"),
+        IDEMPOTENCY_KEY("req-token"),
+        SUBJECT_KEY("req-key"),
         OWNER("req-owner"),
-        AGAIN("req-retry");
+        RETRY("req-retry");
 
-        private final byte[] name;
+        private final byte[] wireName;
 
-        HeaderField(String name) {
-            this.name = name.getBytes(StandardCharsets.US_ASCII);
+        HeaderField(String wireName) {
+            this.wireName = wireName.getBytes(StandardCharsets.US_ASCII);
         }
     }
 
     private static final HeaderField[] FIELDS = HeaderField.values();
 
-    private final int[] from = new int[FIELDS.length];
-    private final int[] to = new int[FIELDS.length];
+    private final int[] valueStart = new int[FIELDS.length];
+    private final int[] valueEnd = new int[FIELDS.length];
     private byte[] bytes;
-    private int methodAt, methodEnd, pathAt, pathEnd, queryAt, queryEnd;
-    private boolean old;
-    private int length;
+    private int methodStart, methodEnd, pathStart, pathEnd, queryStart, queryEnd;
+    private boolean http10;
+    private int contentLength;
 
     /** Where the head that begins at {@code start} ends, or -1; nothing before {@code seen} needs looking at. */
-    static int end(byte[] bytes, int start, int seen, int limit) {
+    static int findEnd(byte[] bytes, int start, int seen, int limit) {
         for (int i = Math.max(start, seen - 3); i + 4 <= limit; i++) {
             if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
                 return i + 4;
@@ -61,71 +61,71 @@
     }
 
     /** Reads the head between the places; returns 0, or the status that answers what is wrong with it. */
-    int read(byte[] in, int start, int end) {
+    int parse(byte[] in, int start, int end) {
         bytes = in;
-        Arrays.fill(from, -1);
-        length = -1;
-        int line = lineEnd(start, end);
-        if (!requestLine(start, line)) {
+        Arrays.fill(valueStart, -1);
+        contentLength = -1;
+        int line = findLineEnd(start, end);
+        if (!parseRequestLine(start, line)) {
             return 400;
         }
         for (int at = line + 2; at < end - 2; at = line + 2) {
-            line = lineEnd(at, end);
-            if (!field(at, line)) {
+            line = findLineEnd(at, end);
+            if (!parseHeaderField(at, line)) {
                 return 400;
             }
         }
-        if (has(HeaderField.ENCODING)) {
-            return has(HeaderField.LENGTH) ? 400 : 501;
+        if (has(HeaderField.TRANSFER_ENCODING)) {
+            return has(HeaderField.CONTENT_LENGTH) ? 400 : 501;
         }
-        if (has(HeaderField.LENGTH)) {
-            long stated = digits(HeaderField.LENGTH);
+        if (has(HeaderField.CONTENT_LENGTH)) {
+            long stated = digits(HeaderField.CONTENT_LENGTH);
             if (stated < 0) {
                 return 400;
             }
-            if (stated > LONGEST_BODY) {
+            if (stated > MAX_BODY_BYTES) {
                 return 413;
             }
-            length = (int) stated;
+            contentLength = (int) stated;
         }
         return 0;
     }
 
-    private int lineEnd(int at, int end) {
+    private int findLineEnd(int at, int end) {
         while (at + 1 < end && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
             at++;
         }
         return at;
     }
 
-    private boolean requestLine(int start, int end) {
-        methodAt = start;
-        methodEnd = token(start, end);
+    private boolean parseRequestLine(int start, int end) {
+        methodStart = start;
+        methodEnd = skipToken(start, end);
         int at = methodEnd + 1;
         if (methodEnd == start || at >= end || bytes[methodEnd] != ' ' || bytes[at] != '/') {
             return false;
         }
-        pathAt = at;
-        queryAt = -1;
+        pathStart = at;
+        queryStart = -1;
         while (at < end && bytes[at] != ' ') {
             if (bytes[at] <= ' ' || bytes[at] == 127) {
                 return false;
             }
-            if (bytes[at] == '?' && queryAt < 0) {
-                queryAt = at + 1;
+            if (bytes[at] == '?' && queryStart < 0) {
+                queryStart = at + 1;
             }
             at++;
         }
         queryEnd = at;
-        pathEnd = queryAt < 0 ? at : queryAt - 1;
+        pathEnd = queryStart < 0 ? at : queryStart - 1;
         if (end - at != 9 || !matches(at, " HTTP/1.") || (bytes[end - 1] != '0' && bytes[end - 1] != '1')) {
             return false;
         }
-        old = bytes[end - 1] == '0';
+        http10 = bytes[end - 1] == '0';
         return true;
     }
 
-    private int token(int at, int end) {
+    private int skipToken(int at, int end) {
         while (at < end
                 && ((bytes[at] >= 'a' && bytes[at] <= 'z')
                         || (bytes[at] >= 'A' && bytes[at] <= 'Z')
@@ -136,8 +136,8 @@
         return at;
     }
 
-    private boolean field(int start, int end) {
-        int colon = token(start, end);
+    private boolean parseHeaderField(int start, int end) {
+        int colon = skipToken(start, end);
         if (colon == start || colon >= end || bytes[colon] != ':') {
             return false;
         }
@@ -155,25 +155,25 @@
             }
         }
         for (HeaderField field : FIELDS) {
-            if (named(field, start, colon)) {
+            if (isNamed(field, start, colon)) {
                 int i = field.ordinal();
-                boolean again = from[i] >= 0;
-                boolean same = again && Arrays.equals(bytes, from[i], to[i], bytes, at, stop);
-                from[i] = at;
-                to[i] = stop;
+                boolean again = valueStart[i] >= 0;
+                boolean same = again && Arrays.equals(bytes, valueStart[i], valueEnd[i], bytes, at, stop);
+                valueStart[i] = at;
+                valueEnd[i] = stop;
                 return !again || same;
             }
         }
         return true;
     }
 
-    private boolean named(HeaderField field, int start, int end) {
-        if (end - start != field.name.length) {
+    private boolean isNamed(HeaderField field, int start, int end) {
+        if (end - start != field.wireName.length) {
             return false;
         }
-        for (int i = 0; i < field.name.length; i++) {
+        for (int i = 0; i < field.wireName.length; i++) {
             int c = bytes[start + i];
-            if ((c >= 'A' && c <= 'Z' ? c + 32 : c) != field.name[i]) {
+            if ((c >= 'A' && c <= 'Z' ? c + 32 : c) != field.wireName[i]) {
                 return false;
             }
         }
@@ -194,49 +194,49 @@
     }
 
     String method() {
-        return text(methodAt, methodEnd);
+        return text(methodStart, methodEnd);
     }
 
     String path() {
-        return text(pathAt, pathEnd);
+        return text(pathStart, pathEnd);
     }
 
     /** Whether the query sets the name to the value. */
-    boolean asks(String pair) {
-        return queryAt >= 0 && ("&" + text(queryAt, queryEnd) + "&").contains("&" + pair + "&");
+    boolean hasQueryParameter(String pair) {
+        return queryStart >= 0 && ("&" + text(queryStart, queryEnd) + "&").contains("&" + pair + "&");
     }
 
     /** The length of the body, or -1 where none is stated. */
-    int length() {
-        return length;
+    int contentLength() {
+        return contentLength;
     }
 
     /** Whether the connection is not to be kept. */
-    boolean closes() {
+    boolean closesConnection() {
         String said = has(HeaderField.CONNECTION) ? text(HeaderField.CONNECTION).toLowerCase(Locale.ROOT) : "";
-        return said.contains("close") || (old && !said.contains("keep-alive"));
+        return said.contains("close") || (http10 && !said.contains("keep-alive"));
     }
 
-    boolean expectsToBeAsked() {
+    boolean expectsContinue() {
         return has(HeaderField.EXPECT);
     }
 
     boolean has(HeaderField field) {
-        return from[field.ordinal()] >= 0;
+        return valueStart[field.ordinal()] >= 0;
     }
 
     String text(HeaderField field) {
-        return text(from[field.ordinal()], to[field.ordinal()]);
+        return text(valueStart[field.ordinal()], valueEnd[field.ordinal()]);
     }
 
     /** A number of digits only, or -1. */
     long digits(HeaderField field) {
         int i = field.ordinal();
-        if (!has(field) || to[i] == from[i] || to[i] - from[i] > 17) {
+        if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > 17) {
             return -1;
         }
         long value = 0;
-        for (int at = from[i]; at < to[i]; at++) {
+        for (int at = valueStart[i]; at < valueEnd[i]; at++) {
             if (bytes[at] < '0' || bytes[at] > '9') {
                 return -1;
             }
@@ -248,10 +248,10 @@
     /** A plain decimal number, or NaN. */
     double number(HeaderField field) {
         int i = field.ordinal();
-        if (!has(field) || to[i] == from[i] || to[i] - from[i] > 24) {
+        if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > 24) {
             return Double.NaN;
         }
-        for (int at = from[i]; at < to[i]; at++) {
+        for (int at = valueStart[i]; at < valueEnd[i]; at++) {
             if ("0123456789.eE+-".indexOf(bytes[at]) < 0) {
                 return Double.NaN;
             }
@@ -264,12 +264,12 @@
     }
 
     /** Whether the field holds so many hex digits and nothing else. */
-    boolean hex(HeaderField field, int count) {
+    boolean isHex(HeaderField field, int count) {
         int i = field.ordinal();
-        if (!has(field) || to[i] - from[i] != count) {
+        if (!has(field) || valueEnd[i] - valueStart[i] != count) {
             return false;
         }
-        for (int at = from[i]; at < to[i]; at++) {
+        for (int at = valueStart[i]; at < valueEnd[i]; at++) {
             if (Character.digit(bytes[at], 16) < 0) {
                 return false;
             }
--- a/src/main/java/merlinlever/management/ManagementServer.java
+++ b/src/main/java/merlinlever/management/ManagementServer.java
@@ -22,70 +22,70 @@
  */
 public final class ManagementServer {
 
-    private static final int CONNECTIONS = 8;
-    private static final int MESSAGE = 1024;
-    private static final Duration SLOW = Duration.ofSeconds(2);
-    private static final Duration LOOK = Duration.ofMillis(500);
+    private static final int MAX_CONNECTIONS = 8;
+    private static final int MAX_REQUEST_BYTES = 1024;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration TIMEOUT_CHECK_INTERVAL = Duration.ofMillis(500);
     /** Answers a second. */
-    private static final int MOST = 50;
+    private static final int MAX_RESPONSES_PER_SECOND = 50;
 
     private final EventLoop loop;
-    private final ConnectionAcceptor listener;
+    private final ConnectionAcceptor acceptor;
     private final Supplier<String> state;
     private final Set<ManagementConnection> open = new LinkedHashSet<>();
-    private long second;
-    private int answered;
+    private long currentSecond;
+    private int acceptedThisSecond;
 
     /** @param state what is told, as one JSON object */
     public ManagementServer(EventLoop loop, InetSocketAddress address, Supplier<String> state) throws IOException {
         this.loop = loop;
         this.state = state;
-        listener = new ConnectionAcceptor(loop, address, CONNECTIONS, this::accepted, () -> {});
-        listener.accept();
-        loop.every(LOOK, () -> List.copyOf(open).forEach(ManagementConnection::look));
+        acceptor = new ConnectionAcceptor(loop, address, MAX_CONNECTIONS, this::accepted, () -> {});
+        acceptor.accept();
+        loop.runNowAndEvery(TIMEOUT_CHECK_INTERVAL, () -> List.copyOf(open).forEach(ManagementConnection::closeIfTimedOut));
     }
 
     public InetSocketAddress address() throws IOException {
-        return listener.address();
+        return acceptor.address();
     }
 
     public void close() {
-        listener.close();
-        List.copyOf(open).forEach(visit -> visit.connection.end(CloseReason.DONE));
+        acceptor.close();
+        List.copyOf(open).forEach(visit -> visit.connection.close(CloseReason.COMPLETED));
     }
 
     private void accepted(AsynchronousSocketChannel channel) {
         long now = loop.clock().uptime().toSeconds();
-        if (now != second) {
-            second = now;
-            answered = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            acceptedThisSecond = 0;
         }
         ManagementConnection visit = new ManagementConnection();
         open.add(visit);
-        visit.connection = Connection.accepted(loop, channel, visit, MESSAGE, 64 * 1024);
-        if (++answered > MOST) {
-            visit.connection.end(CloseReason.DONE);
+        visit.connection = Connection.accepted(loop, channel, visit, MAX_REQUEST_BYTES, 64 * 1024);
+        if (++acceptedThisSecond > MAX_RESPONSES_PER_SECOND) {
+            visit.connection.close(CloseReason.COMPLETED);
         } else {
-            visit.connection.readOn();
+            visit.connection.resumeReading();
         }
     }
 
     private final class ManagementConnection implements Connection.Handler {
-        private final Duration since = loop.clock().uptime();
+        private final Duration openedAt = loop.clock().uptime();
         private Connection connection;
-        private boolean said;
+        private boolean responded;
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
-            if (said || !text.contains("\r\n\r\n")) {
-                if (in.remaining() == MESSAGE) {
-                    connection.end(CloseReason.MALFORMED);
+            if (responded || !text.contains("\r\n\r\n")) {
+                if (in.remaining() == MAX_REQUEST_BYTES) {
+                    connection.close(CloseReason.PROTOCOL_ERROR);
                 }
                 return;
             }
             in.position(in.limit());
-            said = true;
+            responded = true;
             String body = text.startsWith("GET /state HTTP/1.") ? state.get() : null;
             String head = "HTTP/1.1 " + (body != null ? "200 OK\r\nContent-Type: application/json" : "404 Not Found")
                     + "\r\nConnection: close\r\nContent-Length: "
@@ -94,19 +94,19 @@
         }
 
         @Override
-        public void written() {
-            connection.end(CloseReason.DONE);
+        public void onFlushed() {
+            connection.close(CloseReason.COMPLETED);
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             open.remove(this);
-            listener.gone();
+            acceptor.connectionClosed();
         }
 
-        void look() {
-            if (loop.clock().uptime().minus(since).compareTo(SLOW) > 0) {
-                connection.end(CloseReason.SLOW);
+        void closeIfTimedOut() {
+            if (loop.clock().uptime().minus(openedAt).compareTo(REQUEST_TIMEOUT) > 0) {
+                connection.close(CloseReason.TIMED_OUT);
             }
         }
     }
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -7,7 +7,7 @@
 public final class StatusReport {
 
     /** JSON has no figure for what no limit was learned of. */
-    private static final double MOST = 1e9;
+    private static final double MAX_REPORTED_CAPACITY = 1e9;
 
     private StatusReport() {}
 
@@ -17,7 +17,7 @@
      * @param figures null where the module is not there yet
      * @param recovery a JSON object that says how far it has come back, or null where nothing is kept for a return
      */
-    public static String of(
+    public static String toJson(
             boolean leaving, boolean healthy, int inHand, long ageMs, ControllerMetrics figures, String recovery) {
         StringBuilder text = new StringBuilder(512)
                 .append("{\"phase\":\"")
@@ -41,7 +41,7 @@
                     .append(",\"calls\":")
                     .append(figures.requests().inCalls())
                     .append(",\"capacity\":")
-                    .append(Math.min(MOST, figures.queueCapacity()))
+                    .append(Math.min(MAX_REPORTED_CAPACITY, figures.queueCapacity()))
                     .append(",\"avg\":")
                     .append(figures.averageOccupancy())
                     .append(",\"level\":")
--- a/src/main/java/merlinlever/measure/DnsMeasurement.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -417,7 +417,7 @@
                 int number = i;
                 loop.execute(() -> new Client().go(number));
             }
-            loop.in(span.plusMillis(500), loop::stop);
+            loop.schedule(span.plusMillis(500), loop::stop);
             loop.run();
             asker.close();
             if (counts[1] > counts[0] / 10) {
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -33,7 +33,7 @@
         this.datagrams = datagrams;
         this.members = members;
         this.wire = wire;
-        loop.every(LOOK, this::settle);
+        loop.runNowAndEvery(LOOK, this::settle);
     }
 
     /** A datagram came. */
--- a/src/main/java/merlinlever/net/Connection.java
+++ b/src/main/java/merlinlever/net/Connection.java
@@ -19,52 +19,52 @@
     /** Who uses a connection. */
     public interface Handler {
         /** It is made; for one that was accepted this is not called. */
-        default void made() {}
+        default void onConnected() {}
 
         /** Bytes lie between position and limit; those that are taken are passed over, the others come again. */
-        void read(ByteBuffer in);
+        void onReceived(ByteBuffer input);
 
         /** All that was queued has been handed to the system. */
-        default void written() {}
+        default void onFlushed() {}
 
         /** It is over; called once. */
-        void ended(CloseReason how);
+        void onClosed(CloseReason reason);
     }
 
     /** A party in this process, at the other end of a connection in memory. */
     public interface InMemoryPeer extends Handler {
         /** Called once, before anything else. */
-        void on(Connection mine);
+        void attach(Connection connection);
     }
 
-    private static final int BUFFERS_A_WRITE = 16;
+    private static final int MAX_BUFFERS_PER_WRITE = 16;
 
     private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
-    private final Handler user;
-    private final ByteBuffer in;
-    /** What a pending read brings while something lies in {@link #in}; made where that comes up. */
-    private ByteBuffer beside;
-
-    private final int mostQueued;
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-    private int queued;
-    private boolean reading, readingBeside, taking, writing, asked, made;
-    private CloseReason ended;
+    private final Handler handler;
+    private final ByteBuffer input;
+    /** What a pending read brings while something lies in {@link #input}; made where that comes up. */
+    private ByteBuffer overflow;
+
+    private final int maxQueuedBytes;
+    private final ArrayDeque<ByteBuffer> outgoing = new ArrayDeque<>();
+    private int queuedBytes;
+    private boolean readPending, readingIntoOverflow, delivering, writePending, flushScheduled, connected;
+    private CloseReason closeReason;
     /** In memory: the other end, and what it has written and was not read here yet. */
-    private Connection other;
+    private Connection peer;
 
     private final ArrayDeque<ByteBuffer> arriving = new ArrayDeque<>(0);
 
     private Connection(
-            EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
+            EventLoop loop, AsynchronousSocketChannel channel, Handler handler, int readBufferBytes, int maxQueuedBytes) {
         this.loop = loop;
         this.channel = channel;
-        this.user = user;
-        this.mostQueued = mostQueued;
-        in = ByteBuffer.allocate(readBuffer);
+        this.handler = handler;
+        this.maxQueuedBytes = maxQueuedBytes;
+        input = ByteBuffer.allocate(readBufferBytes);
         if (channel == null) {
-            made = true;
+            connected = true;
             return;
         }
         try {
@@ -76,247 +76,247 @@
 
     /** One that was accepted; {@link #start} begins to read. */
     public static Connection accepted(
-            EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
-        Connection connection = new Connection(loop, channel, user, readBuffer, mostQueued);
-        connection.made = true;
+            EventLoop loop, AsynchronousSocketChannel channel, Handler handler, int readBufferBytes, int maxQueuedBytes) {
+        Connection connection = new Connection(loop, channel, handler, readBufferBytes, maxQueuedBytes);
+        connection.connected = true;
         return connection;
     }
 
     /** One in memory between two users on the loop; returns the end of the first. */
-    public static Connection pair(EventLoop loop, Handler user, InMemoryPeer party, int readBuffer, int mostQueued) {
-        Connection here = new Connection(loop, null, user, readBuffer, mostQueued);
-        here.other = new Connection(loop, null, party, readBuffer, mostQueued);
-        here.other.other = here;
-        party.on(here.other);
-        return here;
+    public static Connection inMemory(EventLoop loop, Handler handler, InMemoryPeer peer, int readBufferBytes, int maxQueuedBytes) {
+        Connection connection = new Connection(loop, null, handler, readBufferBytes, maxQueuedBytes);
+        connection.peer = new Connection(loop, null, peer, readBufferBytes, maxQueuedBytes);
+        connection.peer.peer = connection;
+        peer.attach(connection.peer);
+        return connection;
     }
 
     /** Makes one; what is queued before it is made is written then. Its end comes later even if it fails at once. */
-    public static Connection to(
-            EventLoop loop, SocketAddress address, Handler user, int readBuffer, int mostQueued, Duration patience)
+    public static Connection connect(
+            EventLoop loop, SocketAddress address, Handler handler, int readBufferBytes, int maxQueuedBytes, Duration connectTimeout)
             throws IOException {
-        InMemoryPeer party = loop.party(address);
-        if (party != null) {
-            Connection here = pair(loop, user, party, readBuffer, mostQueued);
-            loop.execute(user::made);
-            return here;
+        InMemoryPeer peer = loop.inMemoryPeer(address);
+        if (peer != null) {
+            Connection connection = inMemory(loop, handler, peer, readBufferBytes, maxQueuedBytes);
+            loop.execute(handler::onConnected);
+            return connection;
         }
         Connection connection =
-                new Connection(loop, AsynchronousSocketChannel.open(loop.group()), user, readBuffer, mostQueued);
-        EventLoop.Timer late = loop.in(patience, () -> connection.notMade(CloseReason.NOT_MADE));
-        loop.execute(() -> connection.connect(address, late));
+                new Connection(loop, AsynchronousSocketChannel.open(loop.group()), handler, readBufferBytes, maxQueuedBytes);
+        EventLoop.Timer timeout = loop.schedule(connectTimeout, () -> connection.connectFailed(CloseReason.CONNECT_TIMEOUT));
+        loop.execute(() -> connection.startConnecting(address, timeout));
         return connection;
     }
 
-    private void connect(SocketAddress address, EventLoop.Timer late) {
-        if (ended != null) {
+    private void startConnecting(SocketAddress address, EventLoop.Timer timeout) {
+        if (closeReason != null) {
             return;
         }
         channel.connect(address, null, new CompletionHandler<Void, Void>() {
             @Override
             public void completed(Void nothing, Void none) {
-                late.callOff();
-                if (ended == null) {
-                    made = true;
-                    tell(user::made);
-                    wantWrite();
-                    readOn();
+                timeout.cancel();
+                if (closeReason == null) {
+                    connected = true;
+                    notifyHandler(handler::onConnected);
+                    scheduleFlush();
+                    resumeReading();
                 }
             }
 
             @Override
             public void failed(Throwable cause, Void none) {
-                late.callOff();
-                notMade(CloseReason.REFUSED);
+                timeout.cancel();
+                connectFailed(CloseReason.CONNECT_FAILED);
             }
         });
     }
 
-    private void notMade(CloseReason how) {
-        if (!made) {
-            end(how);
+    private void connectFailed(CloseReason reason) {
+        if (!connected) {
+            close(reason);
         }
     }
 
-    public CloseReason ended() {
-        return ended;
+    public CloseReason closeReason() {
+        return closeReason;
     }
 
-    /** Goes on reading if there is room: after {@link Handler#read} has taken something that it left before. */
-    public void readOn() {
-        if (reading || taking || ended != null || !made || !in.hasRemaining()) {
+    /** Goes on reading if there is room: after {@link Handler#onReceived} has taken something that it left before. */
+    public void resumeReading() {
+        if (readPending || delivering || closeReason != null || !connected || !input.hasRemaining()) {
             return;
         }
-        if (other != null) {
-            arrive();
+        if (peer != null) {
+            deliverFromPeer();
             return;
         }
-        reading = true;
+        readPending = true;
         // The channel's thread fills the buffer at any moment from here on, so nobody else may touch that one.
-        readingBeside = in.position() > 0;
-        channel.read(readingBeside ? beside() : in, null, ON_READ);
+        readingIntoOverflow = input.position() > 0;
+        channel.read(readingIntoOverflow ? overflowBuffer() : input, null, readCompletion);
     }
 
-    private ByteBuffer beside() {
-        if (beside == null) {
-            beside = ByteBuffer.allocate(in.capacity());
+    private ByteBuffer overflowBuffer() {
+        if (overflow == null) {
+            overflow = ByteBuffer.allocate(input.capacity());
         }
-        return beside.clear().limit(in.remaining());
+        return overflow.clear().limit(input.remaining());
     }
 
-    private void arrive() {
-        while (ended == null && !taking && !arriving.isEmpty() && in.hasRemaining()) {
-            ByteBuffer next = arriving.peek();
-            ByteBuffer part = next.slice(next.position(), Math.min(next.remaining(), in.remaining()));
-            next.position(next.position() + part.remaining());
-            in.put(part);
-            if (!next.hasRemaining()) {
+    private void deliverFromPeer() {
+        while (closeReason == null && !delivering && !arriving.isEmpty() && input.hasRemaining()) {
+            ByteBuffer buffer = arriving.peek();
+            ByteBuffer part = buffer.slice(buffer.position(), Math.min(buffer.remaining(), input.remaining()));
+            buffer.position(buffer.position() + part.remaining());
+            input.put(part);
+            if (!buffer.hasRemaining()) {
                 arriving.poll();
             }
-            take();
+            deliver();
         }
     }
 
     /** Offers what has been read and was left; a read that is pending may be filling an empty buffer meanwhile. */
-    public void readAgain() {
-        boolean filling = reading && !readingBeside;
-        if (!filling && !taking && ended == null && in.position() > 0) {
-            take();
+    public void redeliver() {
+        boolean filling = readPending && !readingIntoOverflow;
+        if (!filling && !delivering && closeReason == null && input.position() > 0) {
+            deliver();
         }
-        readOn();
+        resumeReading();
     }
 
-    private void take() {
-        taking = true;
-        in.flip();
-        boolean well = loop.guarded(() -> user.read(in));
-        in.compact();
-        taking = false;
-        if (!well) {
-            end(CloseReason.FAILED);
+    private void deliver() {
+        delivering = true;
+        input.flip();
+        boolean succeeded = loop.runGuarded(() -> handler.onReceived(input));
+        input.compact();
+        delivering = false;
+        if (!succeeded) {
+            close(CloseReason.HANDLER_FAILED);
         }
     }
 
-    private void tell(Runnable what) {
-        if (!loop.guarded(what)) {
-            end(CloseReason.FAILED);
+    private void notifyHandler(Runnable callback) {
+        if (!loop.runGuarded(callback)) {
+            close(CloseReason.HANDLER_FAILED);
         }
     }
 
-    private final CompletionHandler<Integer, Void> ON_READ = new CompletionHandler<>() {
+    private final CompletionHandler<Integer, Void> readCompletion = new CompletionHandler<>() {
         @Override
         public void completed(Integer count, Void none) {
-            reading = false;
-            if (ended != null) {
+            readPending = false;
+            if (closeReason != null) {
                 return;
             }
             if (count < 0) {
-                end(CloseReason.CLOSED_THERE);
+                close(CloseReason.CLOSED_BY_PEER);
                 return;
             }
-            if (readingBeside) {
-                in.put(beside.flip());
+            if (readingIntoOverflow) {
+                input.put(overflow.flip());
             }
-            take();
-            readOn();
+            deliver();
+            resumeReading();
         }
 
         @Override
         public void failed(Throwable cause, Void none) {
-            reading = false;
-            end(CloseReason.BROKEN);
+            readPending = false;
+            close(CloseReason.IO_FAILURE);
         }
     };
 
     /** Queues the bytes; they leave at the end of the batch. */
     public void write(ByteBuffer... buffers) {
-        if (ended != null) {
+        if (closeReason != null) {
             return;
         }
         for (ByteBuffer buffer : buffers) {
             if (buffer.hasRemaining()) {
-                queued += buffer.remaining();
-                out.add(buffer);
+                queuedBytes += buffer.remaining();
+                outgoing.add(buffer);
             }
         }
-        if (queued > mostQueued) {
-            end(CloseReason.OVERFULL);
+        if (queuedBytes > maxQueuedBytes) {
+            close(CloseReason.WRITE_QUEUE_FULL);
             return;
         }
-        wantWrite();
+        scheduleFlush();
     }
 
-    private void wantWrite() {
-        if (made && !asked && !writing && !out.isEmpty()) {
-            asked = true;
-            loop.wantsWriting(this);
+    private void scheduleFlush() {
+        if (connected && !flushScheduled && !writePending && !outgoing.isEmpty()) {
+            flushScheduled = true;
+            loop.scheduleFlush(this);
         }
     }
 
-    void writeOut() {
-        asked = false;
-        if (writing || ended != null || out.isEmpty()) {
+    void flush() {
+        flushScheduled = false;
+        if (writePending || closeReason != null || outgoing.isEmpty()) {
             return;
         }
-        if (other != null) {
-            other.arriving.addAll(out);
-            out.clear();
-            queued = 0;
-            loop.execute(other::readOn);
-            tell(user::written);
+        if (peer != null) {
+            peer.arriving.addAll(outgoing);
+            outgoing.clear();
+            queuedBytes = 0;
+            loop.execute(peer::resumeReading);
+            notifyHandler(handler::onFlushed);
             return;
         }
-        writing = true;
-        ByteBuffer[] some = out.stream().limit(BUFFERS_A_WRITE).toArray(ByteBuffer[]::new);
-        channel.write(some, 0, some.length, 0, TimeUnit.SECONDS, null, ON_WRITTEN);
+        writePending = true;
+        ByteBuffer[] batch = outgoing.stream().limit(MAX_BUFFERS_PER_WRITE).toArray(ByteBuffer[]::new);
+        channel.write(batch, 0, batch.length, 0, TimeUnit.SECONDS, null, writeCompletion);
     }
 
-    private final CompletionHandler<Long, Void> ON_WRITTEN = new CompletionHandler<>() {
+    private final CompletionHandler<Long, Void> writeCompletion = new CompletionHandler<>() {
         @Override
         public void completed(Long count, Void none) {
-            writing = false;
-            queued -= (int) (long) count;
-            while (!out.isEmpty() && !out.peek().hasRemaining()) {
-                out.poll();
+            writePending = false;
+            queuedBytes -= (int) (long) count;
+            while (!outgoing.isEmpty() && !outgoing.peek().hasRemaining()) {
+                outgoing.poll();
             }
-            if (ended != null) {
+            if (closeReason != null) {
                 return;
             }
-            if (out.isEmpty()) {
-                tell(user::written);
+            if (outgoing.isEmpty()) {
+                notifyHandler(handler::onFlushed);
             } else {
-                wantWrite();
+                scheduleFlush();
             }
         }
 
         @Override
         public void failed(Throwable cause, Void none) {
-            writing = false;
-            end(CloseReason.BROKEN);
+            writePending = false;
+            close(CloseReason.IO_FAILURE);
         }
     };
 
     /** Says to the other side that nothing more will be written. */
-    public void writeNoMore() {
+    public void shutdownOutput() {
         try {
-            if (ended == null && other == null) {
+            if (closeReason == null && peer == null) {
                 channel.shutdownOutput();
             }
         } catch (IOException e) {
-            end(CloseReason.BROKEN);
+            close(CloseReason.IO_FAILURE);
         }
     }
 
     /** Ends it; a second end changes nothing. */
-    public void end(CloseReason how) {
-        if (ended != null) {
+    public void close(CloseReason reason) {
+        if (closeReason != null) {
             return;
         }
-        ended = how;
-        out.clear();
-        queued = 0;
-        if (other != null) {
-            loop.execute(() -> other.end(CloseReason.CLOSED_THERE));
+        closeReason = reason;
+        outgoing.clear();
+        queuedBytes = 0;
+        if (peer != null) {
+            loop.execute(() -> peer.close(CloseReason.CLOSED_BY_PEER));
         } else {
             try {
                 channel.close();
@@ -324,6 +324,6 @@
                 // It is gone either way.
             }
         }
-        user.ended(how);
+        handler.onClosed(reason);
     }
 }
--- a/src/main/java/merlinlever/net/ConnectionAcceptor.java
+++ b/src/main/java/merlinlever/net/ConnectionAcceptor.java
@@ -12,37 +12,37 @@
 /** Accepts connections as long as there is room; out of room or of descriptors it asks for some and pauses. */
 public final class ConnectionAcceptor {
 
-    private static final Duration PAUSE = Duration.ofMillis(50);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(50);
     /** Whoever is at the door as it is closed has been let in after so long, or longer where there was no room. */
-    private static final Duration LAST_LOOK = Duration.ofMillis(50);
+    private static final Duration BACKLOG_GRACE = Duration.ofMillis(50);
 
-    private static final Duration LONGEST_CLOSING = Duration.ofSeconds(3);
+    private static final Duration MAX_CLOSE_DELAY = Duration.ofSeconds(3);
 
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel channel;
-    private final Consumer<AsynchronousSocketChannel> taker;
-    private final Runnable makeRoom;
-    private final int most;
+    private final Consumer<AsynchronousSocketChannel> onAccepted;
+    private final Runnable onFull;
+    private final int maxOpen;
     private int open;
-    private long looks;
-    private boolean accepting, pausing, closing, closed;
+    private long acceptAttempts;
+    private boolean accepting, paused, closing, closed;
 
     /**
-     * @param most connections open at the same time
-     * @param taker is given each; {@link #gone} is to be called when it is over
-     * @param makeRoom closes the idlest connection, if any is idle
+     * @param maxOpen connections open at the same time
+     * @param onAccepted is given each; {@link #connectionClosed} is to be called when it is over
+     * @param onFull closes the idlest connection, if any is idle
      */
     public ConnectionAcceptor(
             EventLoop loop,
             InetSocketAddress address,
-            int most,
-            Consumer<AsynchronousSocketChannel> taker,
-            Runnable makeRoom)
+            int maxOpen,
+            Consumer<AsynchronousSocketChannel> onAccepted,
+            Runnable onFull)
             throws IOException {
         this.loop = loop;
-        this.most = most;
-        this.taker = taker;
-        this.makeRoom = makeRoom;
+        this.maxOpen = maxOpen;
+        this.onAccepted = onAccepted;
+        this.onFull = onFull;
         channel = AsynchronousServerSocketChannel.open(loop.group());
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         channel.bind(address, 512);
@@ -54,24 +54,24 @@
 
     /** Accepts if there is room; where there is none it asks for some, and is to be called again. */
     public void accept() {
-        if (accepting || pausing || closed) {
+        if (accepting || paused || closed) {
             return;
         }
-        if (open >= most) {
-            makeRoom.run();
+        if (open >= maxOpen) {
+            onFull.run();
         }
         // Making room may have begun to accept already.
-        if (accepting || pausing || closed || open >= most) {
+        if (accepting || paused || closed || open >= maxOpen) {
             return;
         }
         accepting = true;
-        looks++;
+        acceptAttempts++;
         channel.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
             @Override
             public void completed(AsynchronousSocketChannel accepted, Void none) {
                 accepting = false;
                 open++;
-                taker.accept(accepted);
+                onAccepted.accept(accepted);
                 accept();
             }
 
@@ -79,22 +79,22 @@
             public void failed(Throwable cause, Void none) {
                 accepting = false;
                 if (!closed) {
-                    pausing = true;
-                    loop.in(PAUSE, () -> {
-                        pausing = false;
+                    paused = true;
+                    loop.schedule(RETRY_DELAY, () -> {
+                        paused = false;
                         accept();
                     });
-                    makeRoom.run();
+                    onFull.run();
                 }
             }
         });
         if (closing) {
-            closeUnlessMoreCame();
+            closeIfBacklogEmpty();
         }
     }
 
     /** A connection that was accepted is over. */
-    public void gone() {
+    public void connectionClosed() {
         open--;
         accept();
     }
@@ -103,31 +103,31 @@
      * Lets in whoever waits and closes then: what the system has accepted and the program has not would be reset, with
      * all that was written to it.
      */
-    public void closeBehindTheLast() {
+    public void closeAfterBacklog() {
         if (closing) {
             return;
         }
         closing = true;
         accept();
-        loop.in(LAST_LOOK, () -> {
+        loop.schedule(BACKLOG_GRACE, () -> {
             if (accepting) {
-                closeUnlessMoreCame();
+                closeIfBacklogEmpty();
             }
         });
-        loop.in(LONGEST_CLOSING, this::close);
+        loop.schedule(MAX_CLOSE_DELAY, this::close);
     }
 
     /** An accept that is not over when what was ready has had its turn found nobody waiting. */
-    private void closeUnlessMoreCame() {
-        long look = looks;
+    private void closeIfBacklogEmpty() {
+        long attempt = acceptAttempts;
         loop.execute(() -> {
-            if (accepting && look == looks) {
+            if (accepting && attempt == acceptAttempts) {
                 close();
             }
         });
     }
 
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
--- a/src/main/java/merlinlever/net/DatagramEndpoint.java
+++ b/src/main/java/merlinlever/net/DatagramEndpoint.java
@@ -19,34 +19,34 @@
 
     /** Who hears of each datagram; {@code waited} is how long it may have lain there unread, at the most. */
     public interface Receiver {
-        void came(byte[] octets, InetSocketAddress from, Duration waited);
+        void onDatagram(byte[] payload, InetSocketAddress sender, Duration maxQueueTime);
     }
 
     /** Read in one go, so that connections and timers have their turn. */
-    private static final int BATCH = 128;
+    private static final int MAX_BATCH_DATAGRAMS = 128;
     /** What the system keeps until it is read; the rest it drops. */
-    private static final int SYSTEM_BUFFER = 1 << 20;
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
     /** What the system counts for a datagram, at the least. */
-    private static final int LEAST = 64;
+    private static final int MIN_ACCOUNTED_BYTES = 64;
 
     private final EventLoop loop;
     private final DatagramChannel channel;
     private final Selector selector;
-    private final Receiver user;
-    private final ByteBuffer in;
+    private final Receiver receiver;
+    private final ByteBuffer input;
     private final Semaphore drained = new Semaphore(0);
     private volatile boolean closed;
-    private long readyAt;
+    private long readyNanos;
 
-    /** @param largest octets of a datagram that are read; longer ones come cut */
-    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int largest, Receiver user) throws IOException {
+    /** @param maxDatagramBytes octets of a datagram that are read; longer ones come cut */
+    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int maxDatagramBytes, Receiver receiver) throws IOException {
         this.loop = loop;
-        this.user = user;
-        in = ByteBuffer.allocateDirect(largest);
+        this.receiver = receiver;
+        input = ByteBuffer.allocateDirect(maxDatagramBytes);
         channel = DatagramChannel.open();
         try {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, SYSTEM_BUFFER);
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
             channel.bind(address);
             channel.configureBlocking(false);
             selector = Selector.open();
@@ -55,23 +55,23 @@
             channel.close();
             throw e;
         }
-        Thread waiter = new Thread(this::waitOn, "datagrams");
-        waiter.setDaemon(true);
-        waiter.start();
+        Thread selectorThread = new Thread(this::awaitReadable, "datagrams");
+        selectorThread.setDaemon(true);
+        selectorThread.start();
     }
 
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    private void waitOn() {
+    private void awaitReadable() {
         try {
             while (!closed) {
                 selector.select();
                 selector.selectedKeys().clear();
                 if (!closed) {
-                    readyAt = loop.clock().nanoTime();
-                    loop.execute(this::drain);
+                    readyNanos = loop.clock().nanoTime();
+                    loop.execute(this::receiveBatch);
                     drained.acquire();
                 }
             }
@@ -80,17 +80,17 @@
         }
     }
 
-    private boolean readOne() throws IOException {
-        in.clear();
-        InetSocketAddress from = closed ? null : (InetSocketAddress) channel.receive(in);
-        if (from == null) {
+    private boolean receiveOne() throws IOException {
+        input.clear();
+        InetSocketAddress sender = closed ? null : (InetSocketAddress) channel.receive(input);
+        if (sender == null) {
             return false;
         }
-        in.flip();
-        byte[] octets = new byte[in.remaining()];
-        in.get(octets);
-        Duration waited = Duration.ofNanos(Math.max(0, loop.clock().nanoTime() - readyAt));
-        loop.guarded(() -> user.came(octets, from, waited));
+        input.flip();
+        byte[] payload = new byte[input.remaining()];
+        input.get(payload);
+        Duration maxQueueTime = Duration.ofNanos(Math.max(0, loop.clock().nanoTime() - readyNanos));
+        loop.runGuarded(() -> receiver.onDatagram(payload, sender, maxQueueTime));
         return true;
     }
 
@@ -99,18 +99,18 @@
      *
      * @return false where more came than the system's buffer can hold, and some may be there still
      */
-    public boolean readAll() throws IOException {
-        for (int i = 0; i < SYSTEM_BUFFER / LEAST; i++) {
-            if (!readOne()) {
+    public boolean receiveAll() throws IOException {
+        for (int i = 0; i < RECEIVE_BUFFER_BYTES / MIN_ACCOUNTED_BYTES; i++) {
+            if (!receiveOne()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void drain() {
+    private void receiveBatch() {
         try {
-            for (int i = 0; i < BATCH && readOne(); i++) {}
+            for (int i = 0; i < MAX_BATCH_DATAGRAMS && receiveOne(); i++) {}
         } catch (IOException e) {
             // Such as an answer that found nobody at its place: the next ones are read.
         } finally {
@@ -119,9 +119,9 @@
     }
 
     /** Sends it, or drops it where there is no room now; whoever needs it asks again. */
-    public boolean send(byte[] octets, InetSocketAddress to) {
+    public boolean send(byte[] payload, InetSocketAddress recipient) {
         try {
-            return !closed && channel.send(ByteBuffer.wrap(octets), to) == octets.length;
+            return !closed && channel.send(ByteBuffer.wrap(payload), recipient) == payload.length;
         } catch (IOException | RuntimeException e) {
             return false;
         }
--- a/src/main/java/merlinlever/net/EventLoop.java
+++ b/src/main/java/merlinlever/net/EventLoop.java
@@ -22,65 +22,65 @@
  */
 public final class EventLoop extends AbstractExecutorService {
 
-    private static final int LARGEST_BATCH = 256;
+    private static final int MAX_BATCH_TASKS = 256;
 
     /** Something to be done at a time, unless it was called off. */
     public static final class Timer {
-        private final long at;
-        private final long order;
+        private final long dueNanos;
+        private final long sequence;
         private Runnable task;
 
-        private Timer(long at, long order, Runnable task) {
-            this.at = at;
-            this.order = order;
+        private Timer(long dueNanos, long sequence, Runnable task) {
+            this.dueNanos = dueNanos;
+            this.sequence = sequence;
             this.task = task;
         }
 
-        public void callOff() {
+        public void cancel() {
             task = null;
         }
     }
 
     private final MonotonicClock clock;
-    private final Consumer<Throwable> failures;
+    private final Consumer<Throwable> failureHandler;
     /**
      * Without locks or conditions: wherever a thread that hands something over is held, the loop goes on. A timed wait on
      * a condition turns round without waiting while the one that signals is held between two steps of it.
      */
-    private final Queue<Runnable> ready = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> readyTasks = new ConcurrentLinkedQueue<>();
     /** The thread that runs it, once there is one. */
-    private volatile Thread runner;
+    private volatile Thread loopThread;
 
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.<Timer>comparingLong(t -> t.at).thenComparingLong(t -> t.order));
+            new PriorityQueue<>(Comparator.<Timer>comparingLong(t -> t.dueNanos).thenComparingLong(t -> t.sequence));
     private final AsynchronousChannelGroup group;
-    private final Function<SocketAddress, Connection.InMemoryPeer> parties;
-    private List<Connection> unwritten = new ArrayList<>();
-    private Runnable after = () -> {};
-    private long timersSet;
+    private final Function<SocketAddress, Connection.InMemoryPeer> inMemoryPeers;
+    private List<Connection> pendingFlushes = new ArrayList<>();
+    private Runnable afterBatch = () -> {};
+    private long timersScheduled;
     private volatile boolean stopping;
 
-    public EventLoop(MonotonicClock clock, Consumer<Throwable> failures) throws IOException {
+    public EventLoop(MonotonicClock clock, Consumer<Throwable> failureHandler) throws IOException {
         this.clock = clock;
-        this.failures = failures;
+        this.failureHandler = failureHandler;
         group = AsynchronousChannelGroup.withThreadPool(this);
-        parties = address -> null;
+        inMemoryPeers = address -> null;
     }
 
     /** Without sockets: whatever is connected to on it is a party in this process. */
     public EventLoop(
             MonotonicClock clock,
-            Consumer<Throwable> failures,
-            Function<SocketAddress, Connection.InMemoryPeer> parties) {
+            Consumer<Throwable> failureHandler,
+            Function<SocketAddress, Connection.InMemoryPeer> inMemoryPeers) {
         this.clock = clock;
-        this.failures = failures;
-        this.parties = parties;
+        this.failureHandler = failureHandler;
+        this.inMemoryPeers = inMemoryPeers;
         group = null;
     }
 
     /** Who is at the address, if it is someone in this process. */
-    Connection.InMemoryPeer party(SocketAddress address) {
-        return parties.apply(address);
+    Connection.InMemoryPeer inMemoryPeer(SocketAddress address) {
+        return inMemoryPeers.apply(address);
     }
 
     public AsynchronousChannelGroup group() {
@@ -92,46 +92,46 @@
     }
 
     /** Runs after each batch, before anything is written. */
-    public void after(Runnable hook) {
-        after = hook;
+    public void setAfterBatch(Runnable hook) {
+        afterBatch = hook;
     }
 
-    public Timer in(Duration span, Runnable task) {
-        Timer timer = new Timer(clock.nanoTime() + span.toNanos(), timersSet++, task);
+    public Timer schedule(Duration delay, Runnable task) {
+        Timer timer = new Timer(clock.nanoTime() + delay.toNanos(), timersScheduled++, task);
         timers.add(timer);
         return timer;
     }
 
     /** Runs the task now and then again and again, each time so long after the last run began. */
-    public void every(Duration span, Runnable task) {
-        in(span, () -> every(span, task));
+    public void runNowAndEvery(Duration period, Runnable task) {
+        schedule(period, () -> runNowAndEvery(period, task));
         task.run();
     }
 
     @Override
     public void execute(Runnable task) {
-        ready.add(task);
-        Thread waiting = runner;
-        if (waiting != null && waiting != Thread.currentThread()) {
-            LockSupport.unpark(waiting);
+        readyTasks.add(task);
+        Thread thread = loopThread;
+        if (thread != null && thread != Thread.currentThread()) {
+            LockSupport.unpark(thread);
         }
     }
 
-    void wantsWriting(Connection connection) {
-        unwritten.add(connection);
+    void scheduleFlush(Connection connection) {
+        pendingFlushes.add(connection);
     }
 
     /** Runs on the calling thread until {@link #stop}. */
     public void run() {
-        runner = Thread.currentThread();
-        while (!stopping && !runner.isInterrupted()) {
-            Runnable first = ready.poll();
+        loopThread = Thread.currentThread();
+        while (!stopping && !loopThread.isInterrupted()) {
+            Runnable first = readyTasks.poll();
             if (first == null) {
                 // What is added after this look wakes it, or lets it not sleep at all.
-                LockSupport.parkNanos(this, untilNextTimer());
-                first = ready.poll();
+                LockSupport.parkNanos(this, nanosUntilNextTimer());
+                first = readyTasks.poll();
             }
-            batch(first);
+            runBatch(first);
         }
     }
 
@@ -141,44 +141,44 @@
         execute(() -> {});
     }
 
-    private long untilNextTimer() {
+    private long nanosUntilNextTimer() {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at - clock.nanoTime();
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueNanos - clock.nanoTime();
     }
 
-    private void batch(Runnable first) {
-        int done = 0;
-        for (Runnable task = first; task != null; task = ++done < LARGEST_BATCH ? ready.poll() : null) {
-            guarded(task);
+    private void runBatch(Runnable first) {
+        int completed = 0;
+        for (Runnable task = first; task != null; task = ++completed < MAX_BATCH_TASKS ? readyTasks.poll() : null) {
+            runGuarded(task);
         }
         // Only those due now: a task that sets the next timer in the past does not keep the loop here.
         long now = clock.nanoTime();
         List<Timer> due = new ArrayList<>(0);
-        while (!timers.isEmpty() && timers.peek().at - now <= 0) {
+        while (!timers.isEmpty() && timers.peek().dueNanos - now <= 0) {
             due.add(timers.poll());
         }
         for (Timer timer : due) {
             if (timer.task != null) {
-                guarded(timer.task);
+                runGuarded(timer.task);
             }
         }
         do {
-            guarded(after);
-            List<Connection> writing = unwritten;
-            unwritten = new ArrayList<>();
-            writing.forEach(connection -> guarded(connection::writeOut));
-        } while (!unwritten.isEmpty());
+            runGuarded(afterBatch);
+            List<Connection> flushing = pendingFlushes;
+            pendingFlushes = new ArrayList<>();
+            flushing.forEach(connection -> runGuarded(connection::flush));
+        } while (!pendingFlushes.isEmpty());
     }
 
     /** Runs a part whose failure is told and ends nothing else; says whether it went well. */
-    boolean guarded(Runnable task) {
+    boolean runGuarded(Runnable task) {
         try {
             task.run();
             return true;
         } catch (RuntimeException | StackOverflowError e) {
-            failures.accept(e);
+            failureHandler.accept(e);
             return false;
         }
     }
--- a/src/main/java/merlinlever/net/HangupSignal.java
+++ b/src/main/java/merlinlever/net/HangupSignal.java
@@ -12,11 +12,11 @@
     private HangupSignal() {}
 
     /** Runs the task at each signal from here on, on a thread of the runtime's. */
-    public static void handle(Runnable task) {
+    public static void onHangup(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            InvocationHandler run = (self, method, arguments) -> {
+            InvocationHandler runTask = (self, method, arguments) -> {
                 if (method.getName().equals("handle")) {
                     task.run();
                 }
@@ -26,7 +26,7 @@
                     .invoke(
                             null,
                             signal.getConstructor(String.class).newInstance("HUP"),
-                            Proxy.newProxyInstance(HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, run));
+                            Proxy.newProxyInstance(HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, runTask));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this runtime knows no SIGHUP", e);
         }
--- a/src/main/java/merlinlever/net/MonotonicClock.java
+++ b/src/main/java/merlinlever/net/MonotonicClock.java
@@ -11,21 +11,21 @@
 public final class MonotonicClock {
 
     /** The process may be held up between two readings of the clocks; the narrowest of so many pairs counts. */
-    private static final int READINGS = 5;
+    private static final int CLOCK_READINGS = 5;
 
-    private final LongSupplier unix;
-    private final LongSupplier nanos;
-    private final long madeAt;
-    private long ahead;
-    private long start;
+    private final LongSupplier unixNanos;
+    private final LongSupplier monotonicNanos;
+    private final long createdNanos;
+    private long unixOffsetNanos;
+    private long originNanos;
 
     /** On clocks that count nanoseconds, the one since 1970. */
-    public MonotonicClock(LongSupplier unix, LongSupplier nanos) {
-        this.unix = unix;
-        this.nanos = nanos;
-        madeAt = nanos.getAsLong();
-        start = madeAt;
-        compare();
+    public MonotonicClock(LongSupplier unixNanos, LongSupplier monotonicNanos) {
+        this.unixNanos = unixNanos;
+        this.monotonicNanos = monotonicNanos;
+        createdNanos = monotonicNanos.getAsLong();
+        originNanos = createdNanos;
+        resyncUnixOffset();
     }
 
     public static MonotonicClock system() {
@@ -38,39 +38,39 @@
     }
 
     /** Reads again how far the Unix clock is ahead. */
-    public void compare() {
-        long narrowest = Long.MAX_VALUE;
-        for (int i = 0; i < READINGS; i++) {
-            long before = nanos.getAsLong();
-            long then = unix.getAsLong();
-            long gap = nanos.getAsLong() - before;
-            if (gap < narrowest) {
-                narrowest = gap;
-                ahead = then - before - gap / 2;
+    public void resyncUnixOffset() {
+        long smallestGap = Long.MAX_VALUE;
+        for (int i = 0; i < CLOCK_READINGS; i++) {
+            long before = monotonicNanos.getAsLong();
+            long unixReading = unixNanos.getAsLong();
+            long gap = monotonicNanos.getAsLong() - before;
+            if (gap < smallestGap) {
+                smallestGap = gap;
+                unixOffsetNanos = unixReading - before - gap / 2;
             }
         }
     }
 
     /** From here on spans count from so long ago. */
-    public void startWas(Duration ago) {
-        start = nanos.getAsLong() - ago.toNanos();
+    public void setOriginAgo(Duration ago) {
+        originNanos = monotonicNanos.getAsLong() - ago.toNanos();
     }
 
     /** Since this clock was made, whatever else spans count from. */
     public Duration uptime() {
-        return Duration.ofNanos(nanos.getAsLong() - madeAt);
+        return Duration.ofNanos(monotonicNanos.getAsLong() - createdNanos);
     }
 
     public Duration now() {
-        return Duration.ofNanos(nanos.getAsLong() - start);
+        return Duration.ofNanos(monotonicNanos.getAsLong() - originNanos);
     }
 
     /** The span since the start that a Unix time stands for; it may lie before the start. */
-    public Duration ofUnix(long millis) {
-        return Duration.ofNanos(millis * 1_000_000L - ahead - start);
+    public Duration fromUnixMillis(long unixMillis) {
+        return Duration.ofNanos(unixMillis * 1_000_000L - unixOffsetNanos - originNanos);
     }
 
     long nanoTime() {
-        return nanos.getAsLong();
+        return monotonicNanos.getAsLong();
     }
 }
--- a/src/main/java/merlinlever/net/ProcessSignals.java
+++ b/src/main/java/merlinlever/net/ProcessSignals.java
@@ -9,41 +9,41 @@
 
     /** Who acts on them; each call only hands over to the receiver's own thread. */
     public interface Subscriber {
-        void hangUp();
+        void onHangup();
 
-        void terminate();
+        void onTerminate();
     }
 
-    private Subscriber receiver;
-    private boolean hungUp, terminated, over;
+    private Subscriber subscriber;
+    private boolean hangupPending, terminating, shutdownComplete;
 
     /** Those of this process, from here on. */
     public static ProcessSignals ofProcess() {
         ProcessSignals signals = new ProcessSignals();
-        HangupSignal.handle(signals::hangUp);
+        HangupSignal.onHangup(signals::hangup);
         Runtime.getRuntime().addShutdownHook(new Thread(signals::terminate, "terminate"));
         return signals;
     }
 
-    public synchronized void hangUp() {
-        if (receiver == null) {
-            hungUp = true;
+    public synchronized void hangup() {
+        if (subscriber == null) {
+            hangupPending = true;
         } else {
-            receiver.hangUp();
+            subscriber.onHangup();
         }
     }
 
     /** Returns once the receiver is done, or at once where there is none: the runtime ends then. */
     public synchronized void terminate() {
-        terminated = true;
-        if (receiver == null) {
+        terminating = true;
+        if (subscriber == null) {
             return;
         }
-        if (!over) {
-            receiver.terminate();
+        if (!shutdownComplete) {
+            subscriber.onTerminate();
         }
         boolean interrupted = false;
-        while (!over) {
+        while (!shutdownComplete) {
             try {
                 wait();
             } catch (InterruptedException e) {
@@ -56,20 +56,20 @@
     }
 
     /** Signals go there from here on; false where the process is ending and nothing is to be begun. */
-    public synchronized boolean receive(Subscriber by) {
-        if (terminated) {
+    public synchronized boolean subscribe(Subscriber newSubscriber) {
+        if (terminating) {
             return false;
         }
-        receiver = by;
-        if (hungUp) {
-            by.hangUp();
+        subscriber = newSubscriber;
+        if (hangupPending) {
+            newSubscriber.onHangup();
         }
         return true;
     }
 
     /** The receiver is done, also where it failed: nobody waits for it. */
-    public synchronized void over() {
-        over = true;
+    public synchronized void completeShutdown() {
+        shutdownComplete = true;
         notifyAll();
     }
 }
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -48,7 +48,7 @@
                 log);
         sharing.under(seen);
         rejoin.members().hears(WORDS, this);
-        loop.every(LOOK, () -> say(sharing.look(loop.clock().uptime())));
+        loop.runNowAndEvery(LOOK, () -> say(sharing.look(loop.clock().uptime())));
     }
 
     private void say(List<LeaderElection.PeerMessage> all) {
--- a/src/main/java/merlinlever/records/RecordsClient.java
+++ b/src/main/java/merlinlever/records/RecordsClient.java
@@ -26,20 +26,20 @@
  */
 public final class RecordsClient implements DownstreamService {
 
-    private static final int MOST_QUEUED = 64 * 1024;
-    private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Duration SWEEP = Duration.ofMillis(100);
+    private static final int MAX_QUEUED_BYTES = 64 * 1024;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
     /** What is idle for longer may have been forgotten there, and a call on it would be cut off with nothing proven. */
-    private static final Duration IDLE = Duration.ofMillis(300);
+    private static final Duration MAX_IDLE = Duration.ofMillis(300);
     /** A reply whose rest takes longer has a length that does not fit. */
-    private static final Duration STALLED = Duration.ofMillis(200);
+    private static final Duration MAX_PARTIAL_REPLY_TIME = Duration.ofMillis(200);
     /** A reply may take so much longer than the service was told that we wait. */
-    private static final Duration LATE = Duration.ofMillis(20);
+    private static final Duration REPLY_GRACE = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final CompletionListener maker;
     private final Log log;
-    private final int most;
+    private final int maxConnections;
     private InetSocketAddress address;
     private final Map<Long, PendingCall> calls = new LinkedHashMap<>();
     /** Calls in hand that have no line yet. */
@@ -90,14 +90,14 @@
         }
 
         @Override
-        public void made() {
+        public void onConnected() {
             made = true;
         }
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             try {
-                RecordsReply reply = RecordsReply.read(in.array(), in.position(), in.limit());
+                RecordsReply reply = RecordsReply.parse(in.array(), in.position(), in.limit());
                 while (reply != null) {
                     in.position(reply.end());
                     if (call != null && reply.id() == lastId) {
@@ -105,11 +105,11 @@
                     } else {
                         surplus = true;
                     }
-                    reply = RecordsReply.read(in.array(), in.position(), in.limit());
+                    reply = RecordsReply.parse(in.array(), in.position(), in.limit());
                 }
             } catch (RecordsReply.MalformedReplyException e) {
                 log.warn("records service: " + e.getMessage());
-                connection.end(CloseReason.MALFORMED);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
             since = loop.clock().uptime();
@@ -118,7 +118,7 @@
                 return;
             }
             if (surplus || in.hasRemaining() || !to.equals(address)) {
-                connection.end(surplus || in.hasRemaining() ? CloseReason.MALFORMED : CloseReason.DONE);
+                connection.close(surplus || in.hasRemaining() ? CloseReason.PROTOCOL_ERROR : CloseReason.COMPLETED);
             } else {
                 idle.addFirst(this);
                 nextWaiting();
@@ -126,12 +126,12 @@
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             lines--;
             idle.remove(this);
             if (call != null) {
                 log.warn("connection to the records service over: " + how + ", a call in hand");
-                over(call, how.ofCall(), null);
+                over(call, how.callOutcome(), null);
             }
             nextWaiting();
         }
@@ -139,19 +139,19 @@
 
     /**
      * @param address of the service, or null where there is none
-     * @param most connections at the same time; calls beyond that wait for one
+     * @param maxConnections connections at the same time; calls beyond that wait for one
      */
-    public RecordsClient(EventLoop loop, InetSocketAddress address, CompletionListener maker, Log log, int most) {
+    public RecordsClient(EventLoop loop, InetSocketAddress address, CompletionListener maker, Log log, int maxConnections) {
         this.loop = loop;
         this.address = address;
         this.maker = maker;
         this.log = log;
-        this.most = most;
-        loop.every(SWEEP, this::sweep);
+        this.maxConnections = maxConnections;
+        loop.runNowAndEvery(SWEEP_INTERVAL, this::sweep);
     }
 
     /** The service is to be reached there from now on; calls end where they are, but where nothing of them has left. */
-    public void moveTo(InetSocketAddress there) {
+    public void setAddress(InetSocketAddress there) {
         if (Objects.equals(there, address)) {
             return;
         }
@@ -166,9 +166,9 @@
             line.call.line = null;
             line.call = null;
         }
-        unmade.forEach(line -> line.connection.end(CloseReason.DONE));
+        unmade.forEach(line -> line.connection.close(CloseReason.COMPLETED));
         if (there == null) {
-            List.copyOf(waiting).forEach(call -> over(call, CloseReason.NOT_MADE.ofCall(), null));
+            List.copyOf(waiting).forEach(call -> over(call, CloseReason.CONNECT_TIMEOUT.callOutcome(), null));
         }
         sweep();
     }
@@ -178,13 +178,13 @@
         calls.values().stream()
                 .map(call -> call.line)
                 .filter(line ->
-                        line != null && line.partly && line.since.plus(STALLED).compareTo(now) <= 0)
+                        line != null && line.partly && line.since.plus(MAX_PARTIAL_REPLY_TIME).compareTo(now) <= 0)
                 .toList()
-                .forEach(line -> line.connection.end(CloseReason.SLOW));
+                .forEach(line -> line.connection.close(CloseReason.TIMED_OUT));
         while (!idle.isEmpty()
                 && (!idle.peekLast().to.equals(address)
-                        || idle.peekLast().since.plus(IDLE).compareTo(now) <= 0)) {
-            idle.pollLast().connection.end(CloseReason.IDLE);
+                        || idle.peekLast().since.plus(MAX_IDLE).compareTo(now) <= 0)) {
+            idle.pollLast().connection.close(CloseReason.IDLE);
         }
         // There may be a descriptor now where there was none.
         nextWaiting();
@@ -193,7 +193,7 @@
     @Override
     public void call(TrackedRequest work, byte[] body, Duration within) {
         if (address == null) {
-            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), CloseReason.NOT_MADE.ofCall(), null));
+            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), CloseReason.CONNECT_TIMEOUT.callOutcome(), null));
             return;
         }
         // The service takes a second call for an operation as the end of its first.
@@ -202,7 +202,7 @@
         calls.put(work.id(), call);
         // What has been read is gone through before: a reply that is among it is in time, and an idle line whose end is
         // among it gets no call.
-        call.limit = loop.in(within.plus(LATE), () -> loop.execute(() -> expired(call)));
+        call.limit = loop.schedule(within.plus(REPLY_GRACE), () -> loop.execute(() -> expired(call)));
         waiting.add(call);
         loop.execute(this::nextWaiting);
     }
@@ -226,7 +226,7 @@
         PooledConnection its = call.line;
         over(call, how, null);
         if (its != null) {
-            its.connection.end(CloseReason.SLOW);
+            its.connection.close(CloseReason.TIMED_OUT);
         }
     }
 
@@ -234,7 +234,7 @@
     private void over(PendingCall call, Outcome how, byte[] reply) {
         calls.remove(call.work.id());
         waiting.remove(call);
-        call.limit.callOff();
+        call.limit.cancel();
         if (call.line != null) {
             call.line.call = null;
         }
@@ -267,22 +267,22 @@
                 return line;
             }
         }
-        if (lines >= most && !idle.isEmpty()) {
+        if (lines >= maxConnections && !idle.isEmpty()) {
             // All that are idle had this operation's last call: one of them makes room.
-            idle.peekLast().connection.end(CloseReason.IDLE);
+            idle.peekLast().connection.close(CloseReason.IDLE);
         }
-        if (lines >= most) {
+        if (lines >= maxConnections) {
             return null;
         }
         PooledConnection made = new PooledConnection();
         try {
-            made.connection = Connection.to(
+            made.connection = Connection.connect(
                     loop,
                     address,
                     made,
-                    RecordsReply.LONGEST_LINE + RecordsReply.LONGEST_BODY + 4,
-                    MOST_QUEUED,
-                    CONNECT);
+                    RecordsReply.MAX_LINE_BYTES + RecordsReply.MAX_BODY_BYTES + 4,
+                    MAX_QUEUED_BYTES,
+                    CONNECT_TIMEOUT);
         } catch (IOException e) {
             log.error("no channel to the records service", e);
             return null;
--- a/src/main/java/merlinlever/records/RecordsReply.java
+++ b/src/main/java/merlinlever/records/RecordsReply.java
@@ -11,8 +11,8 @@
  */
 record RecordsReply(long id, Outcome ending, byte[] body, int end) {
 
-    static final int LONGEST_LINE = 128;
-    static final int LONGEST_BODY = 16 * 1024;
+    static final int MAX_LINE_BYTES = 128;
+    static final int MAX_BODY_BYTES = 16 * 1024;
 
     /** Bytes that are no reply. */
     static final class MalformedReplyException extends Exception {
@@ -24,7 +24,7 @@
     }
 
     /** The reply that begins at {@code start}, or null as long as it is not whole. */
-    static RecordsReply read(byte[] bytes, int start, int limit) throws MalformedReplyException {
+    static RecordsReply parse(byte[] bytes, int start, int limit) throws MalformedReplyException {
         int at = start;
         while (at + 1 < limit && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
             // Noise need not have an end, so it is not waited for.
@@ -34,8 +34,8 @@
             at++;
         }
         if (at + 1 >= limit) {
-            if (limit - start > LONGEST_LINE) {
-                throw new MalformedReplyException("a line of over " + LONGEST_LINE + " bytes");
+            if (limit - start > MAX_LINE_BYTES) {
+                throw new MalformedReplyException("a line of over " + MAX_LINE_BYTES + " bytes");
             }
             return null;
         }
@@ -47,8 +47,8 @@
         int length = 0;
         int end = bodyAt;
         if (parts.length == 3) {
-            long stated = number(parts[2], 10);
-            if (stated < 0 || stated > LONGEST_BODY) {
+            long stated = parseNumber(parts[2], 10);
+            if (stated < 0 || stated > MAX_BODY_BYTES) {
                 throw new MalformedReplyException("no length: " + parts[2]);
             }
             length = (int) stated;
@@ -64,10 +64,10 @@
         if (ending == Outcome.OK && parts.length != 3) {
             throw new MalformedReplyException("done, without a length");
         }
-        return new RecordsReply(number(parts[0], 16), ending, Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
+        return new RecordsReply(parseNumber(parts[0], 16), ending, Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
     }
 
-    private static long number(String digits, int radix) throws MalformedReplyException {
+    private static long parseNumber(String digits, int radix) throws MalformedReplyException {
         try {
             return Long.parseUnsignedLong(digits, radix);
         } catch (NumberFormatException e) {
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -159,7 +159,7 @@
                 new MembershipCodec(place.secret().getBytes(StandardCharsets.UTF_8)),
                 this::mayTell);
         writer = new RecoveryFileWriter(store, loop);
-        loop.every(LOOK, this::look);
+        loop.runNowAndEvery(LOOK, this::look);
     }
 
     public SwimProtocol members() {
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -88,7 +88,7 @@
         registers = new PaxosNode(
                 now, self, readFile(directory, REGISTER_FILE), leadership, view, this::livePeers, random.split(), log);
         recovery.members().takes(this);
-        loop.every(TICK_INTERVAL, this::tick);
+        loop.runNowAndEvery(TICK_INTERVAL, this::tick);
     }
 
     private static Optional<byte[]> readFile(StateDirectory directory, String name) throws IOException {
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -89,7 +89,7 @@
         tariffs.forEach(each -> this.tariffs.put(each.name(), each));
         own = new RecordsClient(loop, ownAt, (now, id, how, reply) -> ended(now, id, how, reply, null), log, most);
         long[] last = {-1};
-        loop.every(LOOK, () -> {
+        loop.runNowAndEvery(LOOK, () -> {
             routes.settle(loop.clock().uptime());
             long now = state.state() == LocalServiceHealth.HealthState.GOOD
                     ? -1
@@ -103,7 +103,7 @@
 
     /** Its own service is to be reached there from now on. */
     public void moveTo(InetSocketAddress there) {
-        own.moveTo(there);
+        own.setAddress(there);
     }
 
     /** Calls that went to partners. */
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -49,7 +49,7 @@
                 log);
         rejoin.members().hears(ViewManager.WORDS, this);
         rejoin.members().takes(this);
-        loop.every(LOOK, () -> say(sight.look(loop.clock().uptime())));
+        loop.runNowAndEvery(LOOK, () -> say(sight.look(loop.clock().uptime())));
     }
 
     /** For those who depend on the others. */
--- a/src/main/java/merlinlever/zone/client/DnsClient.java
+++ b/src/main/java/merlinlever/zone/client/DnsClient.java
@@ -82,12 +82,12 @@
             }
             over = true;
             open.remove(sent.id());
-            end.callOff();
+            end.cancel();
             if (again != null) {
-                again.callOff();
+                again.cancel();
             }
             if (connection != null) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
             }
             done.accept(new ExchangeResult(way, message));
         }
@@ -120,7 +120,7 @@
                 if (message.signature().mac().length == 0 && message.signature().error() != 0) {
                     if (!keyRefused) {
                         keyRefused = true;
-                        loop.in(patience.dividedBy(UNSIGNED), this::late);
+                        loop.schedule(patience.dividedBy(UNSIGNED), this::late);
                     }
                     return null;
                 }
@@ -135,15 +135,15 @@
 
         void byDatagram(Duration pause) {
             reached |= datagrams.send(octets, server);
-            again = loop.in(pause, () -> byDatagram(pause.multipliedBy(2)));
+            again = loop.schedule(pause, () -> byDatagram(pause.multipliedBy(2)));
         }
 
         void byConnection() {
             if (again != null) {
-                again.callOff();
+                again.cancel();
             }
             try {
-                connection = Connection.to(
+                connection = Connection.connect(
                         loop, server, new ExchangeConnection(this), 2 + DnsMessage.MOST, 4 * DnsMessage.MOST, patience);
                 connection.write(framed(octets));
             } catch (IOException e) {
@@ -161,13 +161,13 @@
         }
 
         @Override
-        public void made() {
+        public void onConnected() {
             // From here on it may get there.
             one.reached = true;
         }
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             while (!one.over) {
                 byte[] octets = message(in);
                 if (octets == null) {
@@ -181,10 +181,10 @@
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             if (!one.over) {
                 one.connection = null;
-                boolean never = how.ofCall() == Outcome.UNREACHABLE;
+                boolean never = how.callOutcome() == Outcome.UNREACHABLE;
                 one.end(
                         never
                                 ? ExchangeResult.ExchangeStatus.UNREACHABLE
@@ -255,7 +255,7 @@
         } catch (MalformedDnsException e) {
             throw new IllegalArgumentException(e.getMessage());
         }
-        one.end = loop.in(patience, one::late);
+        one.end = loop.schedule(patience, one::late);
         if (one.octets.length <= DATAGRAM) {
             one.byDatagram(patience.dividedBy(AGAIN));
         } else {
--- a/src/main/java/merlinlever/zone/client/FollowerDriver.java
+++ b/src/main/java/merlinlever/zone/client/FollowerDriver.java
@@ -56,7 +56,7 @@
         this.name = name;
         this.patience = patience;
         instances.forEach(instance -> this.instances.put(instance, this.instances.size()));
-        loop.every(LOOK, this::settle);
+        loop.runNowAndEvery(LOOK, this::settle);
     }
 
     /** A datagram such as {@code PULSE n3 open}; says whether it was one of a known instance. */
--- a/src/main/java/merlinlever/zone/client/ZoneFetcher.java
+++ b/src/main/java/merlinlever/zone/client/ZoneFetcher.java
@@ -64,7 +64,7 @@
                 key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
         ZoneFetcher fetch = new ZoneFetcher(asker, origin, key, signed == null ? null : signed.mac(), id, done);
         try {
-            fetch.connection = Connection.to(fetch.loop, server, fetch, 2 + DnsMessage.MOST, DnsMessage.MOST, SILENT);
+            fetch.connection = Connection.connect(fetch.loop, server, fetch, 2 + DnsMessage.MOST, DnsMessage.MOST, SILENT);
             fetch.connection.write(DnsClient.framed(signed == null ? question : signed.octets()));
             fetch.listen();
         } catch (IOException e) {
@@ -74,10 +74,10 @@
 
     private void listen() {
         if (silent != null) {
-            silent.callOff();
+            silent.cancel();
         }
         silent =
-                loop.in(SILENT, () -> end(null, "the transfer stopped: nothing came for " + SILENT.toSeconds() + " s"));
+                loop.schedule(SILENT, () -> end(null, "the transfer stopped: nothing came for " + SILENT.toSeconds() + " s"));
     }
 
     private void end(Zone zone, String why) {
@@ -86,16 +86,16 @@
         }
         over = true;
         if (silent != null) {
-            silent.callOff();
+            silent.cancel();
         }
         if (connection != null) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
         done.accept(new FetchResult(zone, why));
     }
 
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer in) {
         listen();
         try {
             for (byte[] octets = DnsClient.message(in); octets != null && !over; octets = DnsClient.message(in)) {
@@ -152,10 +152,10 @@
     }
 
     @Override
-    public void ended(CloseReason how) {
+    public void onClosed(CloseReason how) {
         end(
                 null,
-                how == CloseReason.REFUSED || how == CloseReason.NOT_MADE
+                how == CloseReason.CONNECT_FAILED || how == CloseReason.CONNECT_TIMEOUT
                         ? "cannot be reached"
                         : "the transfer was cut");
     }
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -43,11 +43,11 @@
 
     void on(Connection mine) {
         connection = mine;
-        connection.readOn();
+        connection.resumeReading();
     }
 
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer in) {
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
         while (in.remaining() >= 2 && inHand.size() < MOST_IN_HAND) {
@@ -66,7 +66,7 @@
                 inHand.add(asked);
             } else if (!one.answered) {
                 // Not a question: nothing that such a peer says next is worth reading.
-                connection.end(CloseReason.MALFORMED);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
         }
@@ -88,14 +88,14 @@
             inHand.remove(asked);
             idleSince = loop.clock().now();
             // Behind this batch: what waits in the buffer is read now that there is room.
-            loop.execute(connection::readAgain);
+            loop.execute(connection::redeliver);
         }
 
         @Override
         public void answer(byte[] octets) {
             over();
             if (octets == null) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
             } else {
                 write(octets);
             }
@@ -103,7 +103,7 @@
 
         @Override
         public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
-            if (connection.ended() != null) {
+            if (connection.closeReason() != null) {
                 done.accept(false);
                 return;
             }
@@ -147,18 +147,18 @@
     }
 
     @Override
-    public void written() {
+    public void onFlushed() {
         unwrittenSince = null;
         idleSince = loop.clock().now();
         if (sending != null) {
             more();
         } else if (last && inHand.isEmpty()) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
     }
 
     @Override
-    public void ended(CloseReason how) {
+    public void onClosed(CloseReason how) {
         Duration now = loop.clock().now();
         for (PendingMessage asked : List.copyOf(inHand)) {
             desk.callerGone(now, asked);
@@ -177,9 +177,9 @@
     void look(Duration now) {
         if ((incompleteSince != null && inHand.size() < MOST_IN_HAND && passed(incompleteSince, now, WHOLE))
                 || (unwrittenSince != null && passed(unwrittenSince, now, WHOLE))) {
-            connection.end(CloseReason.SLOW);
+            connection.close(CloseReason.TIMED_OUT);
         } else if (inHand.isEmpty() && unwrittenSince == null && passed(idleSince, now, IDLE)) {
-            connection.end(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE);
         }
     }
 
@@ -191,14 +191,14 @@
     void leave() {
         last = true;
         if (inHand.isEmpty() && unwrittenSince == null) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
     }
 
     /** Ends it if nothing is open on it; says whether it did. */
     boolean makeRoom() {
         if (inHand.isEmpty() && unwrittenSince == null) {
-            connection.end(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE);
             return true;
         }
         return false;
--- a/src/main/java/merlinlever/zone/server/DnsServer.java
+++ b/src/main/java/merlinlever/zone/server/DnsServer.java
@@ -67,8 +67,8 @@
         listener = listening;
         datagrams = taking;
         listener.accept();
-        loop.after(() -> desk.settle(loop.clock().now()));
-        loop.every(LOOK, () -> List.copyOf(streams)
+        loop.setAfterBatch(() -> desk.settle(loop.clock().now()));
+        loop.runNowAndEvery(LOOK, () -> List.copyOf(streams)
                 .forEach(stream -> stream.look(loop.clock().now())));
     }
 
@@ -82,9 +82,9 @@
 
     private void alarm(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
-        alarm = loop.in(
+        alarm = loop.schedule(
                 at.minus(loop.clock().now()), () -> desk.alarmed(loop.clock().now()));
     }
 
@@ -119,7 +119,7 @@
 
     private void gone(DnsConnection stream) {
         if (streams.remove(stream)) {
-            listener.gone();
+            listener.connectionClosed();
         }
     }
 
--- a/src/main/java/merlinlever/zone/server/NotifySender.java
+++ b/src/main/java/merlinlever/zone/server/NotifySender.java
@@ -47,7 +47,7 @@
                     telling.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
             if (one.again == null) {
                 one.id = chance.nextInt(0x10000);
-                one.again = loop.in(GATHER, () -> send(zone, server, one, 0));
+                one.again = loop.schedule(GATHER, () -> send(zone, server, one, 0));
             } else {
                 one.newer = true;
             }
@@ -81,7 +81,7 @@
         }
         one.newer = false;
         if (tries + 1 < TRIES) {
-            one.again = loop.in(FIRST.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
+            one.again = loop.schedule(FIRST.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
         } else {
             one.again = null;
         }
@@ -93,7 +93,7 @@
         }
         telling.forEach((whom, one) -> {
             if (whom.server.equals(from) && one.id == DnsMessage.id(octets) && one.again != null && !one.newer) {
-                one.again.callOff();
+                one.again.cancel();
                 one.again = null;
             }
         });
--- a/src/test/java/merlinlever/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/agent/AgentBytesTest.java
@@ -19,10 +19,10 @@
     void eachCommand() throws Exception {
         Fixture fixture = new Fixture("agent.txt");
         Map<String, String> lines = new TreeMap<>();
-        try (ServerSocket place = new ServerSocket(0, 5, AgentLinkFixture.HERE);
-                AgentLinkFixture backend = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.at(place));
+        try (ServerSocket place = new ServerSocket(0, 5, AgentLinkFixture.LOOPBACK);
+                AgentLinkFixture backend = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(place));
                 Socket agent = place.accept()) {
-            agent.setSoTimeout(ManualClockLoop.PATIENCE_MS);
+            agent.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.UTF_8));
             fixture.pins("subscribe", in.readLine());
@@ -31,12 +31,12 @@
                             .getBytes(StandardCharsets.UTF_8));
             // The link is in use once something comes on it.
             while (!lines.containsKey("sample")) {
-                backend.driven.later(100);
-                backend.driven.run(() -> backend.link.sample());
+                backend.loop.advance(100);
+                backend.loop.runOnLoop(() -> backend.link.sample());
                 add(lines, in);
             }
-            backend.driven.run(() -> {
-                backend.link.exercise();
+            backend.loop.runOnLoop(() -> {
+                backend.link.requestHealthExercise();
                 backend.link.launch(TestRequests.tracked(1));
                 backend.link.freeze(TestRequests.tracked(2));
                 backend.link.deliver(TestRequests.tracked(3), new byte[] {1, 2});
--- a/src/test/java/merlinlever/agent/AgentEventTest.java
+++ b/src/test/java/merlinlever/agent/AgentEventTest.java
@@ -20,9 +20,9 @@
 class AgentEventTest {
 
     @Example
-    void anOutcomeAndTheGaugesAreRead() throws Json.MalformedJsonException {
+    void anOutcomeAndASampleAreParsed() throws Json.MalformedJsonException {
         AgentEvent outcome =
-                AgentEvent.read("{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"ff1f03aa5c7e2d41\",\"result\":\"OK\","
+                AgentEvent.parse("{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"ff1f03aa5c7e2d41\",\"result\":\"OK\","
                         + "\"elapsed_ms\":1.5,\"payload\":\"AP8=\"}");
         assertEquals(7, outcome.offset());
         assertEquals(Long.parseUnsignedLong("ff1f03aa5c7e2d41", 16), outcome.id());
@@ -30,12 +30,12 @@
         assertArrayEquals(new byte[] {0, -1}, outcome.payload());
         assertArrayEquals(
                 new double[] {0.5, 3},
-                AgentEvent.read("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}")
+                AgentEvent.parse("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}")
                         .row());
     }
 
     @Property(tries = 200, seed = "47")
-    void linesAreTheSameWhereverTheBytesAreCut(@ForAll List<@IntRange(min = 1, max = 9) Integer> cuts) {
+    void linesAreDecodedAlikeWhereverTheBytesAreSplit(@ForAll List<@IntRange(min = 1, max = 9) Integer> cuts) {
         byte[] all = "one\n\n{\"two\":\"\u00e9\"}\nthr".getBytes(StandardCharsets.UTF_8);
         ByteBuffer in = ByteBuffer.allocate(64);
         LineDecoder lines = new LineDecoder(64);
@@ -46,7 +46,7 @@
             in.put(all, sent, part);
             sent += part;
             in.flip();
-            assertTrue(lines.take(in, heard::add));
+            assertTrue(lines.decode(in, heard::add));
             in.compact();
         }
         assertEquals(List.of("one", "", "{\"two\":\"\u00e9\"}"), heard);
@@ -54,12 +54,12 @@
     }
 
     @Example
-    void aLineWithoutAnEndIsNotWaitedForWithoutBound() {
-        assertFalse(new LineDecoder(16).take(ByteBuffer.wrap(new byte[16]), line -> {}));
+    void aLineBeyondTheLimitIsReported() {
+        assertFalse(new LineDecoder(16).decode(ByteBuffer.wrap(new byte[16]), line -> {}));
     }
 
     @Example
-    void whatIsNoNoticeIsMalformed() {
+    void aLineThatIsNoEventIsMalformed() {
         for (String bad : new String[] {
             "",
             "[]",
@@ -71,7 +71,7 @@
             "{\"cmd\":\"a\"",
             "{} {}"
         }) {
-            assertThrows(Json.MalformedJsonException.class, () -> AgentEvent.read(bad), bad);
+            assertThrows(Json.MalformedJsonException.class, () -> AgentEvent.parse(bad), bad);
         }
     }
 
@@ -81,7 +81,7 @@
                 "{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"9b1f03aa5c7e2d41\",\"result\":\"OK\",\"payload\":\"AP8=\"}";
         int cut = Math.floorMod(at, line.length());
         try {
-            AgentEvent.read(line.substring(0, cut) + noise + line.substring(Math.min(line.length(), cut + 2)));
+            AgentEvent.parse(line.substring(0, cut) + noise + line.substring(Math.min(line.length(), cut + 2)));
         } catch (Json.MalformedJsonException e) {
             assertEquals(Json.MalformedJsonException.class, e.getClass());
         }
--- a/src/test/java/merlinlever/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/agent/AgentLinkFixture.java
@@ -38,8 +38,8 @@
 /** A real backend with its real link to an agent that the test plays; what lies below and the callers are lists. */
 final class AgentLinkFixture implements BackendDependencies, DownstreamService, AutoCloseable {
 
-    static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    private static final Map<String, String> GIVEN = Map.ofEntries(
+    static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final Map<String, String> SETTINGS = Map.ofEntries(
             Map.entry("server.cores", "64"), Map.entry("server.memory-kb", "200000"),
             Map.entry("server.run-factor", "4"), Map.entry("server.gauges", "run-queue"),
             Map.entry("server.halt", "drop"), Map.entry("server.calls-by-tariff", "true"),
@@ -47,38 +47,38 @@
             Map.entry("tariffs.0.name", "look"), Map.entry("tariffs.0.kind", "retriable"),
             Map.entry("tariffs.0.soft-limit", "50000"), Map.entry("tariffs.0.client-timeout", "100000"));
 
-    final ManualClockLoop driven;
+    final ManualClockLoop loop;
     final Backend backend;
     final AgentLink link;
     /** What it has logged, line by line. */
-    final List<String> logged = Collections.synchronizedList(new ArrayList<>());
+    final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
 
     final Map<String, List<String>> answers = new HashMap<>();
-    final Map<String, TrackedRequest> taken = new HashMap<>();
+    final Map<String, TrackedRequest> admitted = new HashMap<>();
     final List<String> calls = Collections.synchronizedList(new ArrayList<>());
     /** Runs once after a batch, before what was written in it leaves. */
     Runnable afterBatch;
 
-    private final List<ServerSocket> places = new ArrayList<>();
+    private final List<ServerSocket> agentServers = new ArrayList<>();
     private EventLoop.Timer alarm;
-    private long ids = 0x9b1f03aa5c7e2d41L, seconds;
+    private long lastRequestId = 0x9b1f03aa5c7e2d41L, seconds;
 
     /** The agent's end of one link. */
     final class FakeAgent {
         final Socket socket;
         private final BufferedReader in;
         /** What had been read when the link was made. */
-        long after;
+        long resumeOffset;
 
         private FakeAgent(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(ManualClockLoop.PATIENCE_MS);
+            socket.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
             socket.setTcpNoDelay(true);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         }
 
         /** The next command, whatever it is; null where the link was closed. */
-        Map<?, ?> next() throws IOException {
+        Map<?, ?> nextCommand() throws IOException {
             String line = in.readLine();
             try {
                 return line == null ? null : Json.object(line);
@@ -88,13 +88,13 @@
         }
 
         /** The next command of the word; questions for the gauges between are answered. */
-        Map<?, ?> hear(String word) throws IOException {
-            for (Map<?, ?> next = next(); next != null; next = next()) {
+        Map<?, ?> awaitCommand(String word) throws IOException {
+            for (Map<?, ?> next = nextCommand(); next != null; next = nextCommand()) {
                 if (next.get("cmd").equals(word)) {
                     return next;
                 }
                 if (next.get("cmd").equals("sample")) {
-                    sampled(next.get("token"), "[0]");
+                    sendSampled(next.get("token"), "[0]");
                 }
             }
             throw new IOException("the link was closed");
@@ -104,53 +104,53 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        void tell(String line) throws IOException {
+        void sendLine(String line) throws IOException {
             write(line + "\n");
         }
 
-        void greet() throws IOException {
-            tell("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
+        void sendGreeting() throws IOException {
+            sendLine("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
         }
 
-        void sampled(Object token, String load) throws IOException {
-            tell("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":" + load + "}");
+        void sendSampled(Object token, String load) throws IOException {
+            sendLine("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":" + load + "}");
         }
 
-        void outcome(long offset, String name, String result, String bytes) throws IOException {
-            tell(AgentLinkFixture.outcome(offset, name, result, bytes));
+        void sendOutcome(long offset, String name, String result, String bytes) throws IOException {
+            sendLine(AgentLinkFixture.outcomeLine(offset, name, result, bytes));
         }
 
-        void request(long offset, String name) throws IOException {
-            tell(AgentLinkFixture.request(offset, name));
+        void sendCallRequest(long offset, String name) throws IOException {
+            sendLine(AgentLinkFixture.callRequestLine(offset, name));
         }
 
         /** All that was told before has been read. */
-        void read() throws IOException {
+        void awaitAllRead() throws IOException {
             String mark = "mark" + seconds++;
-            tell("{\"cmd\":\"" + mark + "\"}");
-            driven.until(() -> logged.stream().anyMatch(line -> line.endsWith(mark)), mark);
+            sendLine("{\"cmd\":\"" + mark + "\"}");
+            loop.awaitCondition(() -> logLines.stream().anyMatch(line -> line.endsWith(mark)), mark);
         }
     }
 
-    static String outcome(long offset, String name, String result, String bytes) {
+    static String outcomeLine(long offset, String name, String result, String bytes) {
         return "{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + name + "\",\"result\":\"" + result
                 + "\",\"elapsed_ms\":3.5,\"payload\":\""
                 + Base64.getEncoder().encodeToString(bytes.getBytes(StandardCharsets.UTF_8)) + "\"}";
     }
 
-    static String request(long offset, String name) {
+    static String callRequestLine(long offset, String name) {
         return "{\"cmd\":\"request\",\"offset\":" + offset + ",\"req\":\"" + name + "\",\"payload\":\"AQI=\"}";
     }
 
-    AgentLinkFixture(ManualClockLoop driven, InetSocketAddress address) {
-        this.driven = driven;
+    AgentLinkFixture(ManualClockLoop loop, InetSocketAddress address) {
+        this.loop = loop;
         OutputStream lines = new OutputStream() {
             private final StringBuilder line = new StringBuilder();
 
             @Override
             public void write(int next) {
                 if (next == '\n') {
-                    logged.add(line.toString());
+                    logLines.add(line.toString());
                     line.setLength(0);
                 } else {
                     line.append((char) next);
@@ -159,11 +159,11 @@
         };
         // Each line in a second of its own, so that none is left out.
         Log log = new Log(new PrintStream(lines), () -> Instant.ofEpochSecond(++seconds));
-        backend = new Backend(GIVEN, 5, this);
-        link = new AgentLink(driven.loop, address, backend, log);
-        driven.run(() -> {
-            driven.loop.after(() -> {
-                backend.decide(driven.loop.clock().now());
+        backend = new Backend(SETTINGS, 5, this);
+        link = new AgentLink(loop.loop, address, backend, log);
+        loop.runOnLoop(() -> {
+            loop.loop.setAfterBatch(() -> {
+                backend.decide(loop.loop.clock().now());
                 Runnable once = afterBatch;
                 afterBatch = null;
                 if (once != null) {
@@ -175,91 +175,91 @@
     }
 
     /** Where the agent is to be reached. */
-    ServerSocket place() throws IOException {
-        ServerSocket place = new ServerSocket(0, 50, HERE);
-        place.setSoTimeout(ManualClockLoop.PATIENCE_MS);
-        places.add(place);
+    ServerSocket openAgentServer() throws IOException {
+        ServerSocket place = new ServerSocket(0, 50, LOOPBACK);
+        place.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+        agentServers.add(place);
         return place;
     }
 
-    static InetSocketAddress at(ServerSocket place) {
-        return new InetSocketAddress(HERE, place.getLocalPort());
+    static InetSocketAddress addressOf(ServerSocket place) {
+        return new InetSocketAddress(LOOPBACK, place.getLocalPort());
     }
 
     void moveTo(ServerSocket place) {
-        driven.run(() -> link.moveTo(at(place)));
+        loop.runOnLoop(() -> link.setAddress(addressOf(place)));
     }
 
     /** The next link at the place. */
     FakeAgent accept(ServerSocket place) throws IOException {
         FakeAgent agent = new FakeAgent(place.accept());
-        Map<?, ?> subscribe = agent.next();
+        Map<?, ?> subscribe = agent.nextCommand();
         if (!subscribe.get("cmd").equals("subscribe")) {
             throw new IOException("not a subscription: " + subscribe);
         }
-        agent.after = (Long) subscribe.get("offset");
+        agent.resumeOffset = (Long) subscribe.get("offset");
         return agent;
     }
 
     /** The next link at the place, which says so much has been read. */
     FakeAgent accept(ServerSocket place, long offset) throws IOException {
         FakeAgent agent = accept(place);
-        if (agent.after != offset) {
-            throw new IOException("a subscription after " + agent.after + ", not " + offset);
+        if (agent.resumeOffset != offset) {
+            throw new IOException("a subscription after " + agent.resumeOffset + ", not " + offset);
         }
         return agent;
     }
 
     /** Backend and agent are up. */
-    FakeAgent up(ServerSocket place) throws IOException {
+    FakeAgent connectAndGreet(ServerSocket place) throws IOException {
         FakeAgent agent = accept(place, 0);
-        agent.greet();
-        driven.until(backend::isHealthy, "good health");
+        agent.sendGreeting();
+        loop.awaitCondition(backend::isHealthy, "good health");
         return agent;
     }
 
     /** The link breaks, and that has been seen. */
-    void breaks(FakeAgent agent) throws IOException {
-        long before = driven.on(this::losses);
+    void breakLink(FakeAgent agent) throws IOException {
+        long before = loop.callOnLoop(this::countLostLinks);
         agent.socket.close();
-        driven.until(() -> losses() > before, "the loss of the link");
+        loop.awaitCondition(() -> countLostLinks() > before, "the loss of the link");
     }
 
-    private long losses() {
-        return logged.stream()
+    private long countLostLinks() {
+        return logLines.stream()
                 .filter(line -> line.contains("link to the agent lost"))
                 .count();
     }
 
     /** The new link takes over, and all notices are read. */
-    void takesOver(FakeAgent agent) throws IOException {
-        agent.greet();
-        Map<?, ?> question = agent.next();
+    void completeTakeover(FakeAgent agent) throws IOException {
+        agent.sendGreeting();
+        Map<?, ?> question = agent.nextCommand();
         while (!question.get("token").toString().startsWith("up")) {
-            question = agent.next();
+            question = agent.nextCommand();
         }
-        agent.sampled(question.get("token"), "[0]");
+        agent.sendSampled(question.get("token"), "[0]");
     }
 
     /** An operation has been read, and what follows from that has been decided: no outcome comes before its launch. */
-    String take() {
-        String taken = driven.on(this::takeNow);
-        driven.batches(2);
+    String admitRequest() {
+        String taken = loop.callOnLoop(this::admitRequestOnLoop);
+        loop.runBatches(2);
         return taken;
     }
 
-    private String takeNow() {
-        String name = String.format("%016x", ++ids);
+    private String admitRequestOnLoop() {
+        String name = String.format("%016x", ++lastRequestId);
         List<String> heard = Collections.synchronizedList(new ArrayList<>());
         answers.put(name, heard);
         ResponseSink caller = new RecordingResponseSink(heard);
-        Duration now = driven.loop.clock().now();
-        taken.put(
+        Duration now = loop.loop.clock().now();
+        admitted.put(
                 name,
                 backend.receive(
                                 now,
                                 TestRequests.metadata(
-                                        new RequestId(ids, name),
+                                        new RequestId(lastRequestId, name),
                                         0,
                                         TestRequests.LOOKUP,
                                         new Timing(now, Optional.of(now.plusSeconds(100))),
@@ -271,38 +271,38 @@
         return name;
     }
 
-    void gone(String name) {
-        driven.run(() -> backend.callerDisconnected(driven.loop.clock().now(), taken.get(name)));
+    void disconnectCaller(String name) {
+        loop.runOnLoop(() -> backend.callerDisconnected(loop.loop.clock().now(), admitted.get(name)));
     }
 
     /** Has been answered, once, with that. */
-    void answered(String name, String answer) {
-        driven.until(() -> !answers.get(name).isEmpty(), "the answer of " + name);
+    void assertAnswered(String name, String answer) {
+        loop.awaitCondition(() -> !answers.get(name).isEmpty(), "the answer of " + name);
         org.junit.jupiter.api.Assertions.assertEquals(List.of(answer), answers.get(name), name);
     }
 
-    void reply(String name, String bytes) {
-        driven.run(() -> replyNow(name, bytes));
+    void completeCall(String name, String bytes) {
+        loop.runOnLoop(() -> completeCallOnLoop(name, bytes));
     }
 
-    void replyNow(String name, String bytes) {
+    void completeCallOnLoop(String name, String bytes) {
         backend.callEnded(
-                driven.loop.clock().now(),
+                loop.loop.clock().now(),
                 Long.parseUnsignedLong(name, 16),
                 Outcome.OK,
                 bytes.getBytes(StandardCharsets.UTF_8));
     }
 
-    void check(Consumer<Boolean> asker) {
-        driven.run(() -> backend.runDeepCheck(asker));
+    void checkHealthDeeply(Consumer<Boolean> asker) {
+        loop.runOnLoop(() -> backend.runDeepCheck(asker));
     }
 
     @Override
     public void close() throws IOException {
-        for (ServerSocket place : places) {
+        for (ServerSocket place : agentServers) {
             place.close();
         }
-        driven.close();
+        loop.close();
     }
 
     @Override
@@ -332,7 +332,7 @@
 
     @Override
     public void startDeepCheck() {
-        link.exercise();
+        link.requestHealthExercise();
     }
 
     @Override
@@ -356,11 +356,11 @@
     @Override
     public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
-        alarm = driven.loop.in(
-                at.minus(driven.loop.clock().now()),
-                () -> backend.wakeUp(driven.loop.clock().now()));
+        alarm = loop.loop.schedule(
+                at.minus(loop.loop.clock().now()),
+                () -> backend.wakeUp(loop.loop.clock().now()));
     }
 
     @Override
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -39,12 +39,12 @@
             this.around = around;
             this.notices = notices;
             this.agent = agent;
-            next = (int) agent.after;
+            next = (int) agent.resumeOffset;
         }
 
         boolean tell(Random chance) throws IOException {
             if (!rest.isEmpty()) {
-                agent.tell(rest);
+                agent.sendLine(rest);
                 rest = "";
             } else if (next < notices.size()) {
                 String line = notices.get(chance.nextInt(4) == 0 && next > 0 ? next - 1 : next++);
@@ -63,7 +63,7 @@
         /** The order is forced where a line is whole. */
         void read() throws IOException {
             if (rest.isEmpty()) {
-                agent.read();
+                agent.awaitAllRead();
             }
         }
     }
@@ -73,15 +73,15 @@
      * greeting: every notice counts once, none is held for missed, and what is launched again is launched once.
      */
     @Property(tries = 40, seed = "36")
-    void noticesOnTwoLinksCountOnceInWhateverOrder(@ForAll long seed) throws IOException {
+    void eventsOnTwoConnectionsCountOnceInAnyOrder(@ForAll long seed) throws IOException {
         Random chance = new Random(seed);
-        try (ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.HERE);
-                AgentLinkFixture around = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.at(first))) {
-            first.setSoTimeout(ManualClockLoop.PATIENCE_MS);
-            FakeAgent agent = around.up(first);
+        try (ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.LOOPBACK);
+                AgentLinkFixture around = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(first))) {
+            first.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+            FakeAgent agent = around.connectAndGreet(first);
             List<String> names = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                names.add(around.take());
+                names.add(around.admitRequest());
             }
             List<String> notices = new ArrayList<>();
             List<String> ends = new ArrayList<>(names);
@@ -90,14 +90,14 @@
                 while (chance.nextBoolean()) {
                     notices.add("{\"cmd\":\"aside\",\"offset\":" + (notices.size() + 1) + ",\"result\":\"\"}");
                 }
-                notices.add(AgentLinkFixture.outcome(notices.size() + 1, name, "OK", "of " + name));
+                notices.add(AgentLinkFixture.outcomeLine(notices.size() + 1, name, "OK", "of " + name));
             }
             Teller old = new Teller(around, notices, agent);
             for (int i = chance.nextInt(notices.size()); i > 0; i--) {
                 old.tell(chance);
                 old.read();
             }
-            ServerSocket second = around.place();
+            ServerSocket second = around.openAgentServer();
             around.moveTo(second);
             Teller teller = new Teller(around, notices, around.accept(second));
             boolean broken = chance.nextInt(3) == 0;
@@ -107,32 +107,32 @@
                 either.read();
             }
             if (broken) {
-                around.breaks(old.agent);
+                around.breakLink(old.agent);
             }
             if (!teller.rest.isEmpty()) {
                 teller.tell(chance);
             }
-            around.takesOver(teller.agent);
+            around.completeTakeover(teller.agent);
             while (teller.tell(chance)) {
                 // All is told, in pieces that the loop may find in whatever portions.
             }
             for (String name : names) {
-                around.answered(name, "succeeded of " + name);
+                around.assertAnswered(name, "succeeded of " + name);
             }
             assertTrue(
-                    driven(around).stream().noneMatch(line -> line.contains("missed") || line.contains("passed over")));
-            String last = around.take();
+                    logLines(around).stream().noneMatch(line -> line.contains("missed") || line.contains("passed over")));
+            String last = around.admitRequest();
             Set<String> launched = new HashSet<>();
-            Map<?, ?> command = teller.agent.next();
+            Map<?, ?> command = teller.agent.nextCommand();
             while (!last.equals(command.get("req"))) {
                 assertTrue(!command.get("cmd").equals("launch") || launched.add("" + command.get("req")), "" + command);
-                command = teller.agent.next();
+                command = teller.agent.nextCommand();
             }
         }
     }
 
-    private static List<String> driven(AgentLinkFixture around) {
-        return around.driven.on(() -> List.copyOf(around.logged));
+    private static List<String> logLines(AgentLinkFixture around) {
+        return around.loop.callOnLoop(() -> List.copyOf(around.logLines));
     }
 
     /** The agent in memory. */
@@ -141,19 +141,19 @@
         private Connection mine;
 
         @Override
-        public void on(Connection connection) {
+        public void attach(Connection connection) {
             mine = connection;
         }
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             while (in.hasRemaining()) {
                 heard.append((char) in.get());
             }
         }
 
         @Override
-        public void ended(CloseReason how) {}
+        public void onClosed(CloseReason how) {}
 
         void say(String line) {
             mine.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
@@ -165,33 +165,33 @@
      * reply goes with the old link, and over the new one, though the clock shows one instant for both.
      */
     @Example
-    void aReplyThatIsQueuedAsItsLinkIsReplacedIsSentOnTheNewOne() throws IOException {
+    void aReplyQueuedWhileItsConnectionIsReplacedIsSentOnTheNewOne() throws IOException {
         List<Party> parties = new ArrayList<>();
         ManualClockLoop driven = new ManualClockLoop(address -> {
             parties.add(new Party());
             return parties.get(parties.size() - 1);
         });
         try (AgentLinkFixture around = new AgentLinkFixture(driven, new InetSocketAddress(1))) {
-            driven.run(() -> parties.get(0).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
-            driven.until(around.backend::isHealthy, "good health");
-            String name = around.take();
-            driven.run(() -> parties.get(0).say(AgentLinkFixture.request(1, name)));
-            driven.until(() -> !around.calls.isEmpty(), "the call");
-            driven.run(() -> around.link.moveTo(new InetSocketAddress(2)));
-            driven.batches(3);
-            driven.run(() -> {
+            driven.runOnLoop(() -> parties.get(0).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
+            driven.awaitCondition(around.backend::isHealthy, "good health");
+            String name = around.admitRequest();
+            driven.runOnLoop(() -> parties.get(0).say(AgentLinkFixture.callRequestLine(1, name)));
+            driven.awaitCondition(() -> !around.calls.isEmpty(), "the call");
+            driven.runOnLoop(() -> around.link.setAddress(new InetSocketAddress(2)));
+            driven.runBatches(3);
+            driven.runOnLoop(() -> {
                 parties.get(1).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
                 // Ready before the greeting is, and run in the same batch.
-                around.afterBatch = () -> driven.loop.execute(() -> around.replyNow(name, "b"));
+                around.afterBatch = () -> driven.loop.execute(() -> around.completeCallOnLoop(name, "b"));
             });
-            driven.until(() -> parties.get(1).heard.indexOf("\"up") > 0, "the question whether all is read");
-            String heard = driven.on(() -> parties.get(1).heard.toString());
+            driven.awaitCondition(() -> parties.get(1).heard.indexOf("\"up") > 0, "the question whether all is read");
+            String heard = driven.callOnLoop(() -> parties.get(1).heard.toString());
             assertFalse(heard.contains("deliver")
-                    || driven.on(() -> parties.get(0).heard.toString()).contains("deliver"));
+                    || driven.callOnLoop(() -> parties.get(0).heard.toString()).contains("deliver"));
             String token = heard.substring(heard.indexOf("\"up") + 1, heard.indexOf('"', heard.indexOf("\"up") + 1));
-            driven.run(() -> parties.get(1).say("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":[0]}"));
-            driven.batches(4);
-            String all = driven.on(() -> parties.get(1).heard.toString());
+            driven.runOnLoop(() -> parties.get(1).say("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":[0]}"));
+            driven.runBatches(4);
+            String all = driven.callOnLoop(() -> parties.get(1).heard.toString());
             assertEquals(2, all.split("deliver").length, all);
         }
     }
