--- a/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
@@ -23,15 +23,15 @@
 
     private final AgentLinkFixture around;
     private final ManualClockLoop driven = new ManualClockLoop();
-    private final ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.HERE);
+    private final ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.LOOPBACK);
 
     AgentLinkRaceTest() throws IOException {
-        first.setSoTimeout(ManualClockLoop.PATIENCE_MS);
-        around = new AgentLinkFixture(driven, AgentLinkFixture.at(first));
+        first.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+        around = new AgentLinkFixture(driven, AgentLinkFixture.addressOf(first));
     }
 
     @AfterTry
-    void end() throws IOException {
+    void closeAll() throws IOException {
         first.close();
         around.close();
     }
@@ -41,43 +41,43 @@
      * and a reply that left before must not count as arrived.
      */
     @Example
-    void aReplyThatLeftBeforeAStallAndABreakIsSentAgain() throws IOException {
-        FakeAgent agent = around.up(first);
-        String name = around.take();
-        agent.hear("launch");
-        agent.request(1, name);
-        driven.until(() -> !around.calls.isEmpty(), "the call");
-        around.reply(name, "b");
-        assertEquals("Yg==", agent.hear("deliver").get("payload"));
-        driven.later(300);
-        agent.read();
-        around.breaks(agent);
-        driven.later(20);
+    void aReplySentBeforeAPauseAndALinkLossIsSentAgain() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        String name = around.admitRequest();
+        agent.awaitCommand("launch");
+        agent.sendCallRequest(1, name);
+        driven.awaitCondition(() -> !around.calls.isEmpty(), "the call");
+        around.completeCall(name, "b");
+        assertEquals("Yg==", agent.awaitCommand("deliver").get("payload"));
+        driven.advance(300);
+        agent.awaitAllRead();
+        around.breakLink(agent);
+        driven.advance(20);
         FakeAgent next = around.accept(first, 1);
-        around.takesOver(next);
-        assertEquals("Yg==", next.hear("deliver").get("payload"));
+        around.completeTakeover(next);
+        assertEquals("Yg==", next.awaitCommand("deliver").get("payload"));
     }
 
     /** What a question shows to have arrived long before the break is not sent again. */
     @Example
-    void whatAnAnsweredQuestionShowsToHaveArrivedIsNotSentAgain() throws IOException {
-        FakeAgent agent = around.up(first);
-        String sure = around.take();
-        agent.hear("launch");
-        driven.later(70);
-        Map<?, ?> question = agent.hear("sample");
-        agent.sampled(question.get("token"), "[0]");
-        agent.read();
-        String doubtful = around.take();
-        assertEquals(doubtful, agent.hear("launch").get("req"));
-        around.breaks(agent);
-        driven.later(20);
+    void commandsAcknowledgedByAnAnsweredSampleAreNotSentAgain() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        String sure = around.admitRequest();
+        agent.awaitCommand("launch");
+        driven.advance(70);
+        Map<?, ?> question = agent.awaitCommand("sample");
+        agent.sendSampled(question.get("token"), "[0]");
+        agent.awaitAllRead();
+        String doubtful = around.admitRequest();
+        assertEquals(doubtful, agent.awaitCommand("launch").get("req"));
+        around.breakLink(agent);
+        driven.advance(20);
         FakeAgent next = around.accept(first, 0);
-        around.takesOver(next);
-        assertEquals(doubtful, next.hear("launch").get("req"));
+        around.completeTakeover(next);
+        assertEquals(doubtful, next.awaitCommand("launch").get("req"));
         // Commands come in their order: nothing was between.
-        around.gone(sure);
-        Map<?, ?> command = next.next();
+        around.disconnectCaller(sure);
+        Map<?, ?> command = next.nextCommand();
         assertEquals("freeze " + sure, command.get("cmd") + " " + command.get("req"));
     }
 
@@ -86,283 +86,283 @@
      * connect one is left, or a second link takes the place of the one that waits for its greeting.
      */
     @Example
-    void aRetryThatIsUnderWayAsTheLinkIsLostDoesNotOutliveAMove() throws IOException {
-        FakeAgent agent = around.up(first);
-        ServerSocket second = around.place();
+    void aPendingReconnectDoesNotOutliveAnAddressChange() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        ServerSocket second = around.openAgentServer();
         around.moveTo(second);
         FakeAgent coming = around.accept(second, 0);
         coming.socket.close();
         // The end of the one that was coming has been read once these have.
-        agent.read();
-        agent.read();
-        around.breaks(agent);
-        ServerSocket third = around.place();
+        agent.awaitAllRead();
+        agent.awaitAllRead();
+        around.breakLink(agent);
+        ServerSocket third = around.openAgentServer();
         around.moveTo(third);
         FakeAgent waits = around.accept(third, 0);
-        driven.later(100);
-        around.takesOver(waits);
-        String name = around.take();
-        assertEquals(name, waits.hear("launch").get("req"));
+        driven.advance(100);
+        around.completeTakeover(waits);
+        String name = around.admitRequest();
+        assertEquals(name, waits.awaitCommand("launch").get("req"));
     }
 
     /** The greeting of the new link was long in coming: that says nothing of the questions asked on it since. */
     @Example
-    void aSlowGreetingDoesNotCountAgainstTheFirstQuestions() throws IOException {
-        around.up(first);
+    void aSlowGreetingDoesNotCountAgainstTheFirstSamples() throws IOException {
+        around.connectAndGreet(first);
         // With something in hand the gauges are asked for all the time.
-        String name = around.take();
-        ServerSocket second = around.place();
+        String name = around.admitRequest();
+        ServerSocket second = around.openAgentServer();
         around.moveTo(second);
         FakeAgent agent = around.accept(second, 0);
         for (int i = 0; i < 5; i++) {
-            driven.later(500);
+            driven.advance(500);
         }
-        around.takesOver(agent);
-        agent.read();
-        driven.later(10);
-        driven.later(500);
-        around.gone(name);
-        assertEquals(name, agent.hear("freeze").get("req"));
+        around.completeTakeover(agent);
+        agent.awaitAllRead();
+        driven.advance(10);
+        driven.advance(500);
+        around.disconnectCaller(name);
+        assertEquals(name, agent.awaitCommand("freeze").get("req"));
         // One that is never greeted is made anew.
-        ServerSocket third = around.place();
+        ServerSocket third = around.openAgentServer();
         around.moveTo(third);
         FakeAgent silent = around.accept(third, 0);
         for (int i = 0; i < 6; i++) {
-            driven.later(500);
+            driven.advance(500);
         }
-        assertNull(silent.next());
-        driven.later(20);
-        around.takesOver(around.accept(third, 0));
+        assertNull(silent.nextCommand());
+        driven.advance(20);
+        around.completeTakeover(around.accept(third, 0));
     }
 
     /** Gauges that answer no open question, or are out of range, are not taken for the state of the cores. */
     @Example
-    void onlyAnAnswerToTheOpenQuestionCountsAsGauges() throws IOException {
-        FakeAgent agent = around.up(first);
-        around.take();
-        agent.hear("launch");
-        driven.later(10);
-        Object open = agent.next().get("token");
-        agent.sampled("other", "[1000]");
-        agent.read();
-        driven.later(10);
-        String launched = around.take();
+    void onlyTheAnswerToTheOpenSampleCountsAsGauges() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        around.admitRequest();
+        agent.awaitCommand("launch");
+        driven.advance(10);
+        Object open = agent.nextCommand().get("token");
+        agent.sendSampled("other", "[1000]");
+        agent.awaitAllRead();
+        driven.advance(10);
+        String launched = around.admitRequest();
         // The one question is still open: no other was asked in between.
-        assertEquals(launched, agent.next().get("req"));
+        assertEquals(launched, agent.nextCommand().get("req"));
         for (String bad : new String[] {"[1e999]", "[-1]", "[]", "[1,2,3]"}) {
-            agent.sampled(open, bad.equals("[1,2,3]") ? "[0,2,3]" : bad);
-            agent.read();
-            String name = around.take();
-            assertEquals(name, agent.next().get("req"), bad);
-            driven.later(10);
-            open = agent.next().get("token");
+            agent.sendSampled(open, bad.equals("[1,2,3]") ? "[0,2,3]" : bad);
+            agent.awaitAllRead();
+            String name = around.admitRequest();
+            assertEquals(name, agent.nextCommand().get("req"), bad);
+            driven.advance(10);
+            open = agent.nextCommand().get("token");
         }
     }
 
     /** A line beyond all bounds is passed over where it stands: on a new link it would come again, and again. */
     @Example
-    void aLineThatIsTooLongCostsNeitherTheLinkNorWhatFollows() throws IOException {
-        FakeAgent agent = around.up(first);
-        String name = around.take();
-        agent.hear("launch");
+    void anOverlongLineCostsNeitherTheLinkNorLaterEvents() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        String name = around.admitRequest();
+        agent.awaitCommand("launch");
         agent.write("{\"cmd\":\"aside\",\"result\":\"");
         for (int i = 0; i < 40; i++) {
             agent.write("x".repeat(5000));
         }
-        agent.write("\"}\n" + AgentLinkFixture.outcome(1, name, "OK", "r") + "\n");
-        around.answered(name, "succeeded r");
-        String next = around.take();
-        assertEquals(next, agent.hear("launch").get("req"));
+        agent.write("\"}\n" + AgentLinkFixture.outcomeLine(1, name, "OK", "r") + "\n");
+        around.assertAnswered(name, "succeeded r");
+        String next = around.admitRequest();
+        assertEquals(next, agent.awaitCommand("launch").get("req"));
     }
 
     /** A number that is none must not make all later notices old ones. */
     @Example
-    void aNoticeWithANumberThatIsNoneIsPassedOver() throws IOException {
-        FakeAgent agent = around.up(first);
-        String name = around.take();
-        agent.hear("launch");
+    void anEventWithAnInvalidOffsetIsIgnored() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        String name = around.admitRequest();
+        agent.awaitCommand("launch");
         for (String number : new String[] {"1e300", "-5", "9999999999999999999999", "1.5", "\"1\""}) {
-            agent.tell("{\"cmd\":\"aside\",\"offset\":" + number + ",\"result\":\"\"}");
+            agent.sendLine("{\"cmd\":\"aside\",\"offset\":" + number + ",\"result\":\"\"}");
         }
-        agent.tell("{\"cmd\":\"outcome\",\"offset\":1,\"req\":\"zz\",\"result\":\"OK\"}");
-        agent.outcome(1, name, "OK", "r");
-        around.answered(name, "succeeded r");
+        agent.sendLine("{\"cmd\":\"outcome\",\"offset\":1,\"req\":\"zz\",\"result\":\"OK\"}");
+        agent.sendOutcome(1, name, "OK", "r");
+        around.assertAnswered(name, "succeeded r");
         // Of an operation that nobody knows, or one that is over.
-        agent.outcome(2, "00000000000000ff", "OK", "x");
-        agent.request(3, "00000000000000ff");
-        agent.tell("{\"cmd\":\"refusal\",\"result\":\"launch\",\"req\":\"" + name + "\"}");
-        agent.tell("{\"cmd\":\"refusal\",\"result\":\"deliver\",\"req\":\"" + name + "\"}");
-        agent.tell("{\"cmd\":\"refusal\",\"result\":\"freeze\",\"req\":\"00000000000000ff\"}");
-        agent.read();
-        around.answered(name, "succeeded r");
+        agent.sendOutcome(2, "00000000000000ff", "OK", "x");
+        agent.sendCallRequest(3, "00000000000000ff");
+        agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"launch\",\"req\":\"" + name + "\"}");
+        agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"deliver\",\"req\":\"" + name + "\"}");
+        agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"freeze\",\"req\":\"00000000000000ff\"}");
+        agent.awaitAllRead();
+        around.assertAnswered(name, "succeeded r");
     }
 
     /** The old link delivers until the new one is greeted, half a notice at last: each counts once, none is missed. */
     @Example
-    void aNoticeThatIsHalfReadAsItsLinkIsReplacedComesWholeOnTheNewOne() throws IOException {
-        FakeAgent old = around.up(first);
+    void anEventHalfReadWhenItsConnectionIsReplacedCountsOnceOnTheNewOne() throws IOException {
+        FakeAgent old = around.connectAndGreet(first);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            names.add(around.take());
+            names.add(around.admitRequest());
         }
-        old.outcome(1, names.get(0), "OK", "0");
-        around.answered(names.get(0), "succeeded 0");
-        ServerSocket second = around.place();
+        old.sendOutcome(1, names.get(0), "OK", "0");
+        around.assertAnswered(names.get(0), "succeeded 0");
+        ServerSocket second = around.openAgentServer();
         around.moveTo(second);
         FakeAgent agent = around.accept(second, 1);
-        old.outcome(2, names.get(1), "OK", "1");
-        String half = AgentLinkFixture.outcome(3, names.get(2), "OK", "2");
+        old.sendOutcome(2, names.get(1), "OK", "1");
+        String half = AgentLinkFixture.outcomeLine(3, names.get(2), "OK", "2");
         old.write(half.substring(0, 60));
-        around.answered(names.get(1), "succeeded 1");
-        agent.greet();
-        agent.outcome(2, names.get(1), "ERROR", "");
-        agent.tell(half);
-        around.answered(names.get(2), "succeeded 2");
-        assertNull(lastOf(old), "the old link is closed");
-        agent.outcome(4, names.get(3), "OK", "3");
-        around.answered(names.get(3), "succeeded 3");
-        assertTrue(driven.on(() -> around.logged.stream().noneMatch(line -> line.contains("missed"))));
+        around.assertAnswered(names.get(1), "succeeded 1");
+        agent.sendGreeting();
+        agent.sendOutcome(2, names.get(1), "ERROR", "");
+        agent.sendLine(half);
+        around.assertAnswered(names.get(2), "succeeded 2");
+        assertNull(readToEnd(old), "the old link is closed");
+        agent.sendOutcome(4, names.get(3), "OK", "3");
+        around.assertAnswered(names.get(3), "succeeded 3");
+        assertTrue(driven.callOnLoop(() -> around.logLines.stream().noneMatch(line -> line.contains("missed"))));
     }
 
-    private static Map<?, ?> lastOf(FakeAgent agent) throws IOException {
-        Map<?, ?> next = agent.next();
+    private static Map<?, ?> readToEnd(FakeAgent agent) throws IOException {
+        Map<?, ?> next = agent.nextCommand();
         while (next != null) {
-            next = agent.next();
+            next = agent.nextCommand();
         }
         return next;
     }
 
     /** Moved on, moved back and moved to where it is: one link is made to the last place, and the others are closed. */
     @Example
-    void oneOfManyMovesCounts() throws IOException {
-        FakeAgent old = around.up(first);
+    void onlyTheLastOfManyAddressChangesCounts() throws IOException {
+        FakeAgent old = around.connectAndGreet(first);
         around.moveTo(first);
-        ServerSocket second = around.place();
+        ServerSocket second = around.openAgentServer();
         around.moveTo(second);
         FakeAgent dropped = around.accept(second, 0);
-        ServerSocket third = around.place();
-        driven.run(() -> {
-            around.link.moveTo(AgentLinkFixture.at(third));
-            around.link.moveTo(AgentLinkFixture.at(second));
-            around.link.moveTo(AgentLinkFixture.at(first));
+        ServerSocket third = around.openAgentServer();
+        driven.runOnLoop(() -> {
+            around.link.setAddress(AgentLinkFixture.addressOf(third));
+            around.link.setAddress(AgentLinkFixture.addressOf(second));
+            around.link.setAddress(AgentLinkFixture.addressOf(first));
         });
-        assertNull(dropped.next());
-        String name = around.take();
-        assertEquals(name, old.hear("launch").get("req"));
+        assertNull(dropped.nextCommand());
+        String name = around.admitRequest();
+        assertEquals(name, old.awaitCommand("launch").get("req"));
         FakeAgent again = around.accept(first, 0);
-        again.greet();
-        assertNull(lastOf(old));
-        around.takesOver(again);
-        assertEquals(name, again.hear("launch").get("req"));
+        again.sendGreeting();
+        assertNull(readToEnd(old));
+        around.completeTakeover(again);
+        assertEquals(name, again.awaitCommand("launch").get("req"));
         // Without any link a move does not wait for the next try.
-        around.breaks(again);
+        around.breakLink(again);
         around.moveTo(second);
         FakeAgent last = around.accept(second, 0);
-        around.takesOver(last);
-        assertEquals(name, last.hear("launch").get("req"));
+        around.completeTakeover(last);
+        assertEquals(name, last.awaitCommand("launch").get("req"));
     }
 
     /** The old link is closed before the new one is greeted: what is begun and replied meanwhile reaches the agent once. */
     @Example
-    void whatIsSentBetweenTwoLinksGoesOverTheNewOneOnce() throws IOException {
-        FakeAgent old = around.up(first);
-        String calling = around.take();
-        old.hear("launch");
-        old.request(1, calling);
-        driven.until(() -> !around.calls.isEmpty(), "the call");
-        ServerSocket second = around.place();
+    void commandsIssuedBetweenTwoConnectionsAreSentOnceOnTheNewOne() throws IOException {
+        FakeAgent old = around.connectAndGreet(first);
+        String calling = around.admitRequest();
+        old.awaitCommand("launch");
+        old.sendCallRequest(1, calling);
+        driven.awaitCondition(() -> !around.calls.isEmpty(), "the call");
+        ServerSocket second = around.openAgentServer();
         around.moveTo(second);
         FakeAgent agent = around.accept(second, 1);
-        around.breaks(old);
-        String begun = around.take();
-        around.reply(calling, "b");
-        driven.later(200);
-        around.takesOver(agent);
+        around.breakLink(old);
+        String begun = around.admitRequest();
+        around.completeCall(calling, "b");
+        driven.advance(200);
+        around.completeTakeover(agent);
         List<String> heard = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Map<?, ?> next = agent.next();
+            Map<?, ?> next = agent.nextCommand();
             heard.add(next.get("cmd") + " " + next.get("req"));
         }
         assertEquals(List.of("deliver " + calling, "launch " + begun), heard);
-        around.gone(begun);
-        assertEquals("freeze", agent.next().get("cmd"));
+        around.disconnectCaller(begun);
+        assertEquals("freeze", agent.nextCommand().get("cmd"));
     }
 
     /** An exercise crosses the change of links, and its own limit: each answer counts for its own question alone. */
     @Example
-    void anExerciseIsAskedAgainOnTheNewLinkAndLateAnswersAreNobodys() throws IOException {
-        FakeAgent old = around.up(first);
+    void aHealthExerciseIsRepeatedOnTheNewConnectionAndLateAnswersAreIgnored() throws IOException {
+        FakeAgent old = around.connectAndGreet(first);
         List<Boolean> heard = Collections.synchronizedList(new ArrayList<>());
-        around.check(heard::add);
-        Object token = old.hear("exercise").get("token");
-        ServerSocket second = around.place();
+        around.checkHealthDeeply(heard::add);
+        Object token = old.awaitCommand("exercise").get("token");
+        ServerSocket second = around.openAgentServer();
         around.moveTo(second);
         FakeAgent agent = around.accept(second, 0);
-        around.takesOver(agent);
-        assertEquals(token, agent.hear("exercise").get("token"));
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"OK\"}");
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"ERROR\"}");
-        agent.read();
+        around.completeTakeover(agent);
+        assertEquals(token, agent.awaitCommand("exercise").get("token"));
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"OK\"}");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"ERROR\"}");
+        agent.awaitAllRead();
         assertEquals(List.of(true), heard);
-        around.check(heard::add);
-        Object late = agent.hear("exercise").get("token");
-        driven.later(1000);
+        around.checkHealthDeeply(heard::add);
+        Object late = agent.awaitCommand("exercise").get("token");
+        driven.advance(1000);
         assertEquals(List.of(true, false), heard);
-        around.check(heard::add);
-        Object next = agent.hear("exercise").get("token");
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + late + "\",\"result\":\"OK\"}");
-        agent.read();
+        around.checkHealthDeeply(heard::add);
+        Object next = agent.awaitCommand("exercise").get("token");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + late + "\",\"result\":\"OK\"}");
+        agent.awaitAllRead();
         assertEquals(List.of(true, false), heard);
         // Health that goes bad in between counts more than an exercise that went well.
-        driven.run(() -> around.backend.startDrain(
+        driven.runOnLoop(() -> around.backend.startDrain(
                 driven.loop.clock().now(), driven.loop.clock().now().plusSeconds(3)));
-        driven.until(() -> !around.backend.isHealthy(), "bad health");
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
-        agent.read();
+        driven.awaitCondition(() -> !around.backend.isHealthy(), "bad health");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
+        agent.awaitAllRead();
         assertEquals(List.of(true, false, false), heard);
     }
 
     /** Notices that are missed for good: the runs of that time are broken off, and what comes after counts. */
     @Example
-    void aRealGapBreaksOffTheRunsOfItsTimeOnly() throws IOException {
-        FakeAgent agent = around.up(first);
-        String lost = around.take();
-        agent.hear("launch");
-        agent.tell("{\"cmd\":\"aside\",\"offset\":7,\"result\":\"\"}");
-        around.answered(lost, "failed");
-        String after = around.take();
-        agent.hear("launch");
-        agent.outcome(8, lost, "OK", "late");
-        agent.outcome(9, after, "OK", "r");
-        around.answered(after, "succeeded r");
-        around.answered(lost, "failed");
+    void aGapInTheOffsetsFailsOnlyTheRunsOfItsTime() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        String lost = around.admitRequest();
+        agent.awaitCommand("launch");
+        agent.sendLine("{\"cmd\":\"aside\",\"offset\":7,\"result\":\"\"}");
+        around.assertAnswered(lost, "failed");
+        String after = around.admitRequest();
+        agent.awaitCommand("launch");
+        agent.sendOutcome(8, lost, "OK", "late");
+        agent.sendOutcome(9, after, "OK", "r");
+        around.assertAnswered(after, "succeeded r");
+        around.assertAnswered(lost, "failed");
     }
 
     /** A place that neither accepts nor refuses: the link in use goes on, the dial ends in its time, a move ends it at once. */
     @Example
-    void aDialThatHangsHoldsUpNothing() throws IOException {
-        FakeAgent agent = around.up(first);
-        try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.HERE)) {
+    void aHangingConnectAttemptDelaysNothing() throws IOException {
+        FakeAgent agent = around.connectAndGreet(first);
+        try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.LOOPBACK)) {
             List<Socket> queued = new ArrayList<>();
             assertThrows(SocketTimeoutException.class, () -> {
                 while (queued.size() < 20) {
                     queued.add(new Socket());
-                    queued.get(queued.size() - 1).connect(AgentLinkFixture.at(silent), 200);
+                    queued.get(queued.size() - 1).connect(AgentLinkFixture.addressOf(silent), 200);
                 }
             });
             around.moveTo(silent);
             for (int i = 0; i < 3; i++) {
-                String name = around.take();
-                assertEquals(name, agent.hear("launch").get("req"));
-                agent.outcome(i + 1, name, "OK", "r");
-                around.answered(name, "succeeded r");
+                String name = around.admitRequest();
+                assertEquals(name, agent.awaitCommand("launch").get("req"));
+                agent.sendOutcome(i + 1, name, "OK", "r");
+                around.assertAnswered(name, "succeeded r");
                 // The dial has its 2 s and is made again; the questions on the link in use are answered.
-                driven.later(2100);
-                agent.read();
+                driven.advance(2100);
+                agent.awaitAllRead();
             }
-            ServerSocket second = around.place();
+            ServerSocket second = around.openAgentServer();
             around.moveTo(second);
-            around.takesOver(around.accept(second, 3));
+            around.completeTakeover(around.accept(second, 3));
             for (Socket socket : queued) {
                 socket.close();
             }
--- a/src/test/java/merlinlever/agent/LineDecoderTest.java
+++ b/src/test/java/merlinlever/agent/LineDecoderTest.java
@@ -14,7 +14,7 @@
 
     /** A line that is too long crosses the lines round it in any pieces: it alone is passed over, and no buffer is full. */
     @Property(tries = 200, seed = "36")
-    void aLineThatIsTooLongIsPassedOverWhereverTheBytesAreCut(@ForAll long seed) {
+    void anOverlongLineAloneIsSkippedWhereverTheBytesAreSplit(@ForAll long seed) {
         Random chance = new Random(seed);
         byte[] all = ("one\n" + "x".repeat(40 + chance.nextInt(60)) + "\ntwo\n" + "y".repeat(70) + "\nthree\n")
                 .getBytes(StandardCharsets.UTF_8);
@@ -27,8 +27,8 @@
             in.put(all, sent, part);
             sent += part;
             in.flip();
-            if (!lines.take(in, heard::add)) {
-                lines.passOver(in);
+            if (!lines.decode(in, heard::add)) {
+                lines.skipLine(in);
             }
             in.compact();
         }
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/SignalsTest.java
@@ -19,12 +19,12 @@
     private final CountDownLatch terminateReceived = new CountDownLatch(1);
     private final ProcessSignals.Subscriber subscriber = new ProcessSignals.Subscriber() {
         @Override
-        public void hangUp() {
+        public void onHangup() {
             received.add("hang up");
         }
 
         @Override
-        public void terminate() {
+        public void onTerminate() {
             received.add("terminate");
             terminateReceived.countDown();
         }
@@ -47,29 +47,29 @@
     /** Against a SIGHUP that is lost where it comes while the start still reads and rehearses; twice is as good as once. */
     @Example
     void hangUpBeforeThereIsASubscriberIsPassedOnOnce() {
-        signals.hangUp();
-        signals.hangUp();
-        assertTrue(signals.receive(subscriber));
+        signals.hangup();
+        signals.hangup();
+        assertTrue(signals.subscribe(subscriber));
         assertEquals(List.of("hang up"), received);
-        signals.hangUp();
-        signals.hangUp();
+        signals.hangup();
+        signals.hangup();
         assertEquals(List.of("hang up", "hang up", "hang up"), received);
     }
 
     /** Against a shutdown hook that waits for a loop that never runs, and against listening after it. */
     @Example
     void terminationBeforeThereIsASubscriberWaitsForNobody() throws InterruptedException {
-        signals.hangUp();
+        signals.hangup();
         assertEnds(startThread(signals::terminate));
-        assertFalse(signals.receive(subscriber));
+        assertFalse(signals.subscribe(subscriber));
         assertEquals(List.of(), received);
     }
 
     /** Against a hook that waits where the start has failed by itself: the exit with status 1 runs it too. */
     @Example
     void terminationAfterTheEndWaitsForNobody() throws InterruptedException {
-        assertTrue(signals.receive(subscriber));
-        signals.over();
+        assertTrue(signals.subscribe(subscriber));
+        signals.completeShutdown();
         assertEnds(startThread(signals::terminate));
         assertEquals(List.of(), received, "nobody is there to be told");
     }
@@ -77,15 +77,15 @@
     /** Against an end before all is answered, and against a SIGHUP that is held up by the wait of the termination. */
     @Example
     void terminationWaitsForTheSubscriberAndDelaysNoHangUp() throws InterruptedException {
-        assertTrue(signals.receive(subscriber));
+        assertTrue(signals.subscribe(subscriber));
         Thread first = startThread(signals::terminate);
         assertTrue(terminateReceived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         Thread second = startThread(signals::terminate);
         // It gets in between only while the termination waits: so nobody has returned yet.
-        assertEnds(startThread(signals::hangUp));
+        assertEnds(startThread(signals::hangup));
         assertTrue(first.isAlive());
         assertTrue(received.contains("hang up"));
-        signals.over();
+        signals.completeShutdown();
         assertEnds(first);
         assertEnds(second);
         assertEquals("terminate", received.get(0));
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -195,7 +195,7 @@
     void whoComesBackTellsTheSame() throws Exception {
         try (ManualClockLoop on = new ManualClockLoop();
                 FileStateDirectory disk = new FileStateDirectory(folder)) {
-            RecoveryCoordinator rejoin = on.on(() -> {
+            RecoveryCoordinator rejoin = on.callOnLoop(() -> {
                 try {
                     return new RecoveryCoordinator(
                             on.loop,
@@ -217,9 +217,9 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            fixture.pins("recovery.tells", on.on(rejoin::tells));
-            fixture.pins("recovery.state", on.on(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
-            on.on(() -> rejoin.close(Duration.ofSeconds(1)));
+            fixture.pins("recovery.tells", on.callOnLoop(rejoin::tells));
+            fixture.pins("recovery.state", on.callOnLoop(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
         }
     }
 }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -198,8 +198,8 @@
         }
         ControllerMetrics figures = new ControllerMetrics(
                 new ControllerMetrics.RequestCounts(1, 2, 3, rejected, 8), 4.5, 0.25, 0.125, false, false, 1);
-        fixture.pins("state.warm", StatusReport.of(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
-        fixture.pins("state.starting", StatusReport.of(false, false, 0, 10, null, null));
+        fixture.pins("state.warm", StatusReport.toJson(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
+        fixture.pins("state.starting", StatusReport.toJson(false, false, 0, 10, null, null));
         InstanceStatus told = new InstanceStatus(
                 "warm",
                 true,
--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -101,15 +101,15 @@
                 rooms::add);
         for (int i = 0; i < 200; i++) {
             long id = i;
-            loop.in(
+            loop.schedule(
                     Duration.ofMillis(5L * i),
                     () -> partners.call(
                             TestRequests.tracked(id, "t"),
                             "body".getBytes(StandardCharsets.US_ASCII),
                             Duration.ofSeconds(5)));
         }
-        loop.in(Duration.ofMillis(500), ownParty::lose);
-        loop.in(Duration.ofSeconds(20), loop::stop);
+        loop.schedule(Duration.ofMillis(500), ownParty::lose);
+        loop.schedule(Duration.ofSeconds(20), loop::stop);
         loop.run();
         seen[0] = own.counts()[1];
         seen[1] = east.counts()[1];
--- a/src/test/java/merlinlever/host/run/FakeInstance.java
+++ b/src/test/java/merlinlever/host/run/FakeInstance.java
@@ -48,7 +48,7 @@
             }
         }));
         System.out.println("up");
-        loop.in(Duration.ofMinutes(3), () -> System.exit(9));
+        loop.schedule(Duration.ofMinutes(3), () -> System.exit(9));
         loop.run();
     }
 }
--- a/src/test/java/merlinlever/http/EdgeBytesTest.java
+++ b/src/test/java/merlinlever/http/EdgeBytesTest.java
@@ -16,21 +16,21 @@
     @Example
     void eachAnswer() throws Exception {
         listen(10);
-        Socket socket = ask(CHECK);
-        fixture.pins("check", answer(socket));
+        Socket socket = send(HEALTH_CHECK);
+        fixture.pins("check", readResponse(socket));
         for (String[] each : new String[][] {
-            {"no-tariff", operation("", "x").replace("/svc/look", "/svc/none")},
+            {"no-tariff", request("", "x").replace("/svc/look", "/svc/none")},
             {"no-body", "POST /svc/look HTTP/1.1\r\n\r\n"},
             {"get", "GET /svc/look HTTP/1.1\r\n\r\n"},
             {"bad", "POST\r\n\r\n"},
             {"long", "POST /svc/look HTTP/1.1\r\nContent-Length: 3000\r\n\r\n"},
             {"chunked", "POST /svc/look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"}
         }) {
-            fixture.pins(each[0], answer(ask(each[1])));
+            fixture.pins(each[0], readResponse(send(each[1])));
         }
-        write(socket, operation("", "body"));
-        awaitAsked(1);
-        ends(asked.get(0), "result".getBytes(StandardCharsets.US_ASCII));
-        fixture.pins("satisfied", answer(socket));
+        write(socket, request("", "body"));
+        awaitAgentCommands(1);
+        completeRun(agentCommands.get(0), "result".getBytes(StandardCharsets.US_ASCII));
+        fixture.pins("satisfied", readResponse(socket));
     }
 }
--- a/src/test/java/merlinlever/http/EdgeCloseRaceTest.java
+++ b/src/test/java/merlinlever/http/EdgeCloseRaceTest.java
@@ -23,15 +23,15 @@
      * What crosses the close of a resting connection: the edge node sees a good end and may write more than once without a
      * reset, and nothing of it reaches the agent. A close at once would reset the connection over what is unread.
      */
-    private void crosses(Socket socket, String rest) throws Exception {
-        assertEnds(socket);
+    private void assertBytesAfterCloseAreDropped(Socket socket, String rest) throws Exception {
+        assertEndOfStream(socket);
         for (int i = 0; i < 20; i++) {
-            write(socket, i == 0 ? rest : operation("", "again"));
-            settle();
+            write(socket, i == 0 ? rest : request("", "again"));
+            runPendingWork();
         }
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), agentCommands);
         // It is not read on for ever: with its time over it is closed, and that is a reset for who writes on.
-        pass(1200);
+        advance(1200);
         boolean closed = false;
         for (int i = 0; i < 200 && !closed; i++) {
             try {
@@ -42,82 +42,82 @@
             }
         }
         assertTrue(closed, "it stays open");
-        on(() -> assertTrue(edge.none()));
+        runOnLoop(() -> assertTrue(edge.hasNoConnections()));
     }
 
     @Example
-    void aRequestThatCrossesTheCloseOfAnIdleConnectionIsReadAndNotRun() throws Exception {
+    void aRequestRacingTheCloseOfAnIdleConnectionIsReadAndNotRun() throws Exception {
         listen(100);
-        Socket socket = ask(CHECK);
+        Socket socket = send(HEALTH_CHECK);
         assertStatus(200, socket);
-        pass(8_300);
-        crosses(socket, operation("", "body"));
+        advance(8_300);
+        assertBytesAfterCloseAreDropped(socket, request("", "body"));
     }
 
     @Example
-    void aRequestThatCrossesTheCloseOfAConnectionNeverUsedIsReadAndNotRun() throws Exception {
+    void aRequestRacingTheCloseOfAnUnusedConnectionIsReadAndNotRun() throws Exception {
         listen(100);
         Socket socket = connect();
         await(State.NEW, 1);
-        pass(2_700);
-        crosses(socket, operation("", "body"));
+        advance(2_700);
+        assertBytesAfterCloseAreDropped(socket, request("", "body"));
     }
 
     @Example
-    void theRestOfHalfALineThatCrossesTheCloseIsReadAndNotRun() throws Exception {
+    void theRestOfAnIncompleteRequestRacingTheCloseIsReadAndNotRun() throws Exception {
         listen(100);
-        Socket socket = ask(CHECK);
+        Socket socket = send(HEALTH_CHECK);
         assertStatus(200, socket);
-        String operation = operation("", "body");
+        String operation = request("", "body");
         write(socket, operation.substring(0, 10));
         await(State.RECEIVING, 1);
-        pass(5_200);
-        crosses(socket, operation.substring(10));
+        advance(5_200);
+        assertBytesAfterCloseAreDropped(socket, operation.substring(10));
     }
 
     /** Read before the close was due but not looked at yet: the loop has more than a batch to do. It is run. */
     @Example
-    void aRequestThatWaitsInTheLoopAsTheIdleTimeEndsIsRun() throws Exception {
+    void aRequestAlreadyQueuedInTheLoopAtTheIdleTimeoutIsRun() throws Exception {
         listen(100);
         StringBuilder heard = new StringBuilder();
         Connection[] mine = new Connection[1];
-        on(() -> edge.take(user -> Connection.pair(
+        runOnLoop(() -> edge.addConnection(user -> Connection.inMemory(
                 loop,
                 user,
                 new Connection.InMemoryPeer() {
                     @Override
-                    public void on(Connection connection) {
+                    public void attach(Connection connection) {
                         mine[0] = connection;
                     }
 
                     @Override
-                    public void read(ByteBuffer in) {
+                    public void onReceived(ByteBuffer in) {
                         heard.append(StandardCharsets.ISO_8859_1.decode(in));
                     }
 
                     @Override
-                    public void ended(CloseReason how) {
+                    public void onClosed(CloseReason how) {
                         heard.append(how);
                     }
                 },
-                EdgeConnection.BUFFER,
-                EdgeConnection.MOST_QUEUED)));
-        on(() -> mine[0].write(ByteBuffer.wrap(CHECK.getBytes(StandardCharsets.US_ASCII))));
+                EdgeConnection.READ_BUFFER_BYTES,
+                EdgeConnection.MAX_QUEUED_BYTES)));
+        runOnLoop(() -> mine[0].write(ByteBuffer.wrap(HEALTH_CHECK.getBytes(StandardCharsets.US_ASCII))));
         await(State.IDLE, 1);
-        pass(7_900);
+        advance(7_900);
         // Batches of 256: what is written is queued behind these with the end of the first, the time passes in the
         // second,
         // whose timers are due at once, and the third comes to what was written.
-        on(() -> {
-            mine[0].write(ByteBuffer.wrap(operation("", "body").getBytes(StandardCharsets.ISO_8859_1)));
+        runOnLoop(() -> {
+            mine[0].write(ByteBuffer.wrap(request("", "body").getBytes(StandardCharsets.ISO_8859_1)));
             for (int i = 0; i < 600; i++) {
                 loop.execute(i == 400 ? () -> nanos.addAndGet(400_000_000) : () -> {});
             }
         });
-        settle();
-        awaitAsked(1);
+        runPendingWork();
+        awaitAgentCommands(1);
         heard.setLength(0);
-        ends(asked.get(0), new byte[] {'7'});
+        completeRun(agentCommands.get(0), new byte[] {'7'});
         assertTrue(
                 heard.toString().startsWith("HTTP/1.1 200 OK")
                         && heard.toString().endsWith("\r\n\r\n7"),
@@ -126,97 +126,97 @@
 
     /** The machine stands still for longer than any time limit: what was written to it meanwhile is read first. */
     @Example
-    void aStallIsNoReasonToCloseWhatHasNotBeenRead() throws Exception {
+    void aProcessPauseDoesNotCountTowardsTimeouts() throws Exception {
         listen(100);
         Socket fresh = connect();
-        Socket half = ask(CHECK);
+        Socket half = send(HEALTH_CHECK);
         assertStatus(200, half);
-        write(half, CHECK.substring(0, 10));
+        write(half, HEALTH_CHECK.substring(0, 10));
         await(State.RECEIVING, 1);
         await(State.NEW, 1);
-        stall(30_000);
-        pass(200);
-        write(fresh, CHECK);
+        advanceAtOnce(30_000);
+        advance(200);
+        write(fresh, HEALTH_CHECK);
         assertStatus(200, fresh);
-        write(half, CHECK.substring(10));
+        write(half, HEALTH_CHECK.substring(10));
         assertStatus(200, half);
     }
 
     /** Leaving: what rests ends in good order, and what comes then is not sent on; what is in hand is answered. */
     @Example
-    void whatRestsAsTheProcessEndsIsShutAndWhatIsInHandIsAnswered() throws Exception {
+    void onShutdownIdleConnectionsCloseAndInFlightRequestsAreAnswered() throws Exception {
         listen(100);
-        Socket resting = ask(CHECK);
+        Socket resting = send(HEALTH_CHECK);
         assertStatus(200, resting);
-        Socket busy = ask(operation("", "body"));
-        awaitAsked(1);
-        on(() -> {
+        Socket busy = send(request("", "body"));
+        awaitAgentCommands(1);
+        runOnLoop(() -> {
             edge.close();
-            edge.shutResting();
+            edge.closeIdleConnections();
         });
-        assertEnds(resting);
-        write(resting, operation("", "late"));
-        ends(asked.get(0), new byte[] {'7'});
-        String answer = answer(busy);
+        assertEndOfStream(resting);
+        write(resting, request("", "late"));
+        completeRun(agentCommands.get(0), new byte[] {'7'});
+        String answer = readResponse(busy);
         assertTrue(answer.contains("Connection: close\r\n") && answer.endsWith("7"), answer);
-        assertEquals(1, asked.size());
+        assertEquals(1, agentCommands.size());
     }
 
     /** A second request behind one whose answer says "close" gets no answer and is never run; nor is the connection reset. */
     @Example
-    void aRequestBehindTheLastAnswerIsNotRunAndResetsNothing() throws Exception {
+    void aRequestBehindTheLastResponseIsNotRunAndResetsNothing() throws Exception {
         listen(100);
-        Socket socket = ask(operation("Connection: close\r\n", "body") + operation("", "second"));
-        awaitAsked(1);
-        ends(asked.get(0), new byte[] {'7'});
-        write(socket, operation("", "third"));
-        settle();
-        assertTrue(answer(socket).contains("Connection: close\r\n"));
-        assertEnds(socket);
-        assertEquals(1, asked.size());
+        Socket socket = send(request("Connection: close\r\n", "body") + request("", "second"));
+        awaitAgentCommands(1);
+        completeRun(agentCommands.get(0), new byte[] {'7'});
+        write(socket, request("", "third"));
+        runPendingWork();
+        assertTrue(readResponse(socket).contains("Connection: close\r\n"));
+        assertEndOfStream(socket);
+        assertEquals(1, agentCommands.size());
     }
 
     /** Half a message as the listener closes: its rest is read and answered, with the end of the connection. */
     @Example
-    void theRestOfAMessageAfterTheListenerHasClosedIsAnswered() throws Exception {
+    void aRequestCompletedAfterTheAcceptorClosedIsAnswered() throws Exception {
         listen(100);
-        String operation = operation("", "body");
-        Socket half = ask(operation.substring(0, operation.length() - 3));
+        String operation = request("", "body");
+        Socket half = send(operation.substring(0, operation.length() - 3));
         await(State.NEW, 1);
-        on(edge::close);
-        pass(100);
-        on(() -> backend.startDrain(
+        runOnLoop(edge::close);
+        advance(100);
+        runOnLoop(() -> backend.startDrain(
                 loop.clock().now().minusMillis(200), loop.clock().now().plusSeconds(2)));
         write(half, operation.substring(operation.length() - 3));
-        String answer = answer(half);
+        String answer = readResponse(half);
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
-        assertEnds(half);
-        assertEquals(List.of(), asked);
+        assertEndOfStream(half);
+        assertEquals(List.of(), agentCommands);
     }
 
     /** Connections that the system has accepted and the program not yet, as the listener closes: they are let in. */
     @Example
-    void whoWaitsAtTheDoorAsTheListenerClosesIsAnswered() throws Exception {
+    void connectionsInTheBacklogWhenTheAcceptorClosesAreAnswered() throws Exception {
         listen(4);
         List<Socket> busy = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            busy.add(ask(operation("", "body")));
-            awaitAsked(i + 1);
+            busy.add(send(request("", "body")));
+            awaitAgentCommands(i + 1);
         }
         // No room for these: they wait in the system's queue with a whole request each.
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            waiting.add(ask("GET /none HTTP/1.1\r\n\r\n"));
+            waiting.add(send("GET /none HTTP/1.1\r\n\r\n"));
         }
-        on(edge::close);
-        on(() -> assertTrue(!edge.none()));
+        runOnLoop(edge::close);
+        runOnLoop(() -> assertTrue(!edge.hasNoConnections()));
         for (Socket each : busy) {
-            ends(asked.get(busy.indexOf(each)), new byte[] {'7'});
-            assertTrue(answer(each).contains("Connection: close\r\n"));
+            completeRun(agentCommands.get(busy.indexOf(each)), new byte[] {'7'});
+            assertTrue(readResponse(each).contains("Connection: close\r\n"));
             each.close();
         }
         for (Socket each : waiting) {
-            String answer = answer(each);
+            String answer = readResponse(each);
             assertTrue(answer.startsWith("HTTP/1.1 404 ") && answer.contains("Connection: close\r\n"), answer);
         }
     }
--- a/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
@@ -27,13 +27,13 @@
         List<Socket> all = new ArrayList<>();
         all.add(connect());
         await(State.NEW, 1);
-        all.add(ask(CHECK));
+        all.add(send(HEALTH_CHECK));
         await(State.IDLE, 1);
-        all.add(ask(CHECK + "POST "));
+        all.add(send(HEALTH_CHECK + "POST "));
         await(State.RECEIVING, 1);
-        all.add(ask(operation("", "body")));
-        await(State.IN_HAND, 1);
-        all.add(ask("nonsense\r\n\r\n"));
+        all.add(send(request("", "body")));
+        await(State.IN_FLIGHT, 1);
+        all.add(send("nonsense\r\n\r\n"));
         await(State.LINGERING, 1);
         // Answers that nobody takes: the system holds so much of them and no more.
         Socket answering = connect();
@@ -48,41 +48,41 @@
             }
         });
         flood.start();
-        await(State.ANSWERING, 1);
+        await(State.RESPONDING, 1);
         assertEquals(6, edge.count());
         for (Socket each : all) {
             reset(each);
         }
         flood.join();
         await(() -> edge.count() == 0, "some are left");
-        awaitAsked(2);
+        awaitAgentCommands(2);
         assertEquals(
                 List.of("launch", "freeze"),
-                asked.stream().map(word -> word.split(" ")[0]).toList());
+                agentCommands.stream().map(word -> word.split(" ")[0]).toList());
         // The run ends after its caller has gone: nobody is answered.
-        ends(asked.get(0), new byte[] {'7'});
-        on(() -> assertTrue(edge.allWritten() && edge.none()));
+        completeRun(agentCommands.get(0), new byte[] {'7'});
+        runOnLoop(() -> assertTrue(edge.hasFlushedAllResponses() && edge.hasNoConnections()));
     }
 
     /** A verdict on health that comes after its asker has gone answers nobody else, not on any connection. */
     @Example
-    void aLateVerdictAnswersOnlyWhoAskedForIt() throws Exception {
+    void aLateHealthResultAnswersOnlyItsOwnCheck() throws Exception {
         listen(100);
-        Socket gone = ask("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
-        await(State.IN_HAND, 1);
+        Socket gone = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
+        await(State.IN_FLIGHT, 1);
         reset(gone);
         await(() -> edge.count() == 0, "it is still there");
-        Socket other = ask("GET /status/live?real=1 HTTP/1.1\r\n\r\n" + operation("", "body"));
-        await(State.IN_HAND, 1);
+        Socket other = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n" + request("", "body"));
+        await(State.IN_FLIGHT, 1);
         // The verdict answers the check; the operation behind it is read then, and a second verdict does not touch it.
-        on(() -> backend.deepCheckCompleted(true));
+        runOnLoop(() -> backend.deepCheckCompleted(true));
         assertStatus(200, other);
-        awaitAsked(2);
-        on(() -> backend.deepCheckCompleted(false));
-        ends(asked.get(1), new byte[] {'7'});
-        String answer = answer(other);
+        awaitAgentCommands(2);
+        runOnLoop(() -> backend.deepCheckCompleted(false));
+        completeRun(agentCommands.get(1), new byte[] {'7'});
+        String answer = readResponse(other);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n7"), answer);
-        assertEquals(List.of("exercise"), asked.subList(0, 1));
+        assertEquals(List.of("exercise"), agentCommands.subList(0, 1));
     }
 
     /** Thousands of requests at once on a connection: each has its answer, in order, and another client is not held up. */
@@ -93,14 +93,14 @@
         Thread writer = new Thread(() -> {
             try {
                 for (int i = 0; i < 2000; i++) {
-                    write(many, (i % 2 == 0 ? CHECK : "GET /none HTTP/1.1\r\n\r\n").repeat(1));
+                    write(many, (i % 2 == 0 ? HEALTH_CHECK : "GET /none HTTP/1.1\r\n\r\n").repeat(1));
                 }
             } catch (IOException e) {
                 failures.add(e);
             }
         });
         writer.start();
-        assertStatus(200, ask(CHECK));
+        assertStatus(200, send(HEALTH_CHECK));
         for (int i = 0; i < 2000; i++) {
             assertStatus(i % 2 == 0 ? 200 : 404, many);
         }
@@ -109,7 +109,7 @@
 
     /** Bytes of a body that is too long are read and dropped for a bounded time, and its refusal arrives before. */
     @Example
-    void aBodyWithoutEndIsRefusedAndCutOff() throws Exception {
+    void anUnboundedBodyIsRejectedAndTheConnectionClosed() throws Exception {
         listen(100);
         for (String head : new String[] {
             "Content-Length: 60000000\r\n\r\n",
@@ -117,8 +117,8 @@
             "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n",
             "Content-Length: -1\r\n\r\n"
         }) {
-            Socket socket = ask("POST /svc/look HTTP/1.1\r\n" + head);
-            String answer = answer(socket);
+            Socket socket = send("POST /svc/look HTTP/1.1\r\n" + head);
+            String answer = readResponse(socket);
             assertTrue(
                     answer.startsWith("HTTP/1.1 413 ")
                             || answer.startsWith("HTTP/1.1 501 ")
@@ -126,36 +126,36 @@
                     answer);
             assertTrue(answer.contains("Connection: close\r\n"));
             for (int i = 0; i < 20; i++) {
-                write(socket, operation("", "hidden"));
+                write(socket, request("", "hidden"));
             }
-            assertEnds(socket);
-            pass(1200);
+            assertEndOfStream(socket);
+            advance(1200);
             assertEquals(0, edge.count());
         }
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), agentCommands);
     }
 
     /** "100 Continue" is said once, before the answer and not within another one. */
     @Example
-    void goOnIsSaidOnceAndBeforeItsOwnAnswer() throws Exception {
+    void continueIsSentOnceAndBeforeItsOwnResponse() throws Exception {
         listen(100);
-        String operation = operation("Expect: 100-continue\r\n", "body");
+        String operation = request("Expect: 100-continue\r\n", "body");
         int body = operation.length() - 4;
-        Socket socket = ask(CHECK + operation.substring(0, body));
+        Socket socket = send(HEALTH_CHECK + operation.substring(0, body));
         assertStatus(200, socket);
         assertStatus(100, socket);
         write(socket, operation.substring(body, body + 2));
-        settle();
-        write(socket, operation.substring(body + 2) + CHECK);
-        awaitAsked(1);
-        ends(asked.get(0), new byte[] {'7'});
-        assertTrue(answer(socket).endsWith("\r\n\r\n7"));
+        runPendingWork();
+        write(socket, operation.substring(body + 2) + HEALTH_CHECK);
+        awaitAgentCommands(1);
+        completeRun(agentCommands.get(0), new byte[] {'7'});
+        assertTrue(readResponse(socket).endsWith("\r\n\r\n7"));
         assertStatus(200, socket);
     }
 
     /** A client that takes no answers is ended after 5 s, however long it goes on asking. */
     @Example
-    void whoTakesNoAnswersIsEnded() throws Exception {
+    void aClientThatReadsNoResponsesIsDisconnected() throws Exception {
         listen(100);
         Socket socket = connect();
         Thread flood = new Thread(() -> {
@@ -169,10 +169,10 @@
         });
         flood.start();
         // Before the system's buffers are full it is answering now and then; from then on it stays so.
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         while (flood.isAlive()) {
             assertTrue(System.nanoTime() < until, "it is not ended");
-            pass(500);
+            advance(500);
         }
         await(() -> edge.count() == 0, "it is still there");
     }
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -34,13 +34,13 @@
  */
 abstract class EdgeServerFixture implements BackendDependencies, DownstreamService {
 
-    static final int PATIENCE_MS = 20_000;
-    static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    static final int TIMEOUT_MS = 20_000;
+    static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     final AtomicLong nanos = new AtomicLong(1_000_000_000L);
     final List<Throwable> failures = new CopyOnWriteArrayList<>();
     /** What the agent was asked, as words. */
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    final List<String> agentCommands = new CopyOnWriteArrayList<>();
 
     private final List<Socket> sockets = new ArrayList<>();
     final EventLoop loop = new EventLoop(
@@ -61,19 +61,19 @@
             this);
     final EdgeServer edge = new EdgeServer(loop, backend, Map.of("server.idle", "4000"));
     private final Thread thread = new Thread(loop::run, "loop");
-    private volatile long batches;
-    private long ids = 0x9b1f03aa5c7e2d41L;
+    private volatile long batchesRun;
+    private long nextRequestId = 0x9b1f03aa5c7e2d41L;
 
     EdgeServerFixture() throws IOException {
-        loop.after(() -> {
+        loop.setAfterBatch(() -> {
             backend.decide(loop.clock().now());
-            batches++;
+            batchesRun++;
         });
     }
 
     /** Begins to listen, with room for so many, and with the agent up. */
     void listen(int most) throws Exception {
-        edge.listen(new InetSocketAddress(HERE, 0), most);
+        edge.listen(new InetSocketAddress(LOOPBACK, 0), most);
         backend.agentStarted(loop.clock().now(), false);
         thread.setDaemon(true);
         thread.start();
@@ -81,7 +81,7 @@
     }
 
     @AfterTry
-    void end() throws Exception {
+    void stopLoopAndCloseSockets() throws Exception {
         loop.stop();
         thread.join();
         for (Socket socket : sockets) {
@@ -92,20 +92,20 @@
     }
 
     /** Runs it on the loop, between other handlers. */
-    void on(Runnable task) throws Exception {
+    void runOnLoop(Runnable task) throws Exception {
         FutureTask<Void> future = new FutureTask<>(task, null);
         loop.execute(future);
-        future.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        future.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** What is ready, what that makes ready, and the timers that are due have had their turn. */
-    void settle() throws Exception {
+    void runPendingWork() throws Exception {
         // Tasks that come while a batch runs may join it; the timers and writes of each come behind its tasks.
         for (int i = 0; i < 4; i++) {
-            long before = batches;
-            on(() -> {});
-            long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-            while (batches == before) {
+            long before = batchesRun;
+            runOnLoop(() -> {});
+            long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+            while (batchesRun == before) {
                 assertTrue(System.nanoTime() < until, "the loop stands still");
                 Thread.onSpinWait();
             }
@@ -113,26 +113,26 @@
     }
 
     /** Moves the clock in steps of a sweep. */
-    void pass(long ms) throws Exception {
+    void advance(long ms) throws Exception {
         for (long left = ms; left > 0; left -= 50) {
             long step = Math.min(left, 50);
-            on(() -> nanos.addAndGet(step * 1_000_000L));
-            settle();
+            runOnLoop(() -> nanos.addAndGet(step * 1_000_000L));
+            runPendingWork();
         }
     }
 
     /** Moves the clock at once, as over a stall. */
-    void stall(long ms) throws Exception {
-        on(() -> nanos.addAndGet(ms * 1_000_000L));
-        settle();
+    void advanceAtOnce(long ms) throws Exception {
+        runOnLoop(() -> nanos.addAndGet(ms * 1_000_000L));
+        runPendingWork();
     }
 
     Socket connect() throws Exception {
         Socket socket = new Socket();
         sockets.add(socket);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
-        socket.connect(new InetSocketAddress(HERE, edge.address().getPort()), PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
+        socket.connect(new InetSocketAddress(LOOPBACK, edge.address().getPort()), TIMEOUT_MS);
         return socket;
     }
 
@@ -140,23 +140,23 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    Socket ask(String text) throws Exception {
+    Socket send(String text) throws Exception {
         Socket socket = connect();
         write(socket, text);
         return socket;
     }
 
-    String operation(String more, String body) {
-        return "POST /svc/look HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", ids++) + "\r\nReq-Time: "
+    String request(String more, String body) {
+        return "POST /svc/look HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", nextRequestId++) + "\r\nReq-Time: "
                 + (nanos.get() / 1_000_000 + 1_700_000_000_000L)
                 + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
                 + "Req-Rank: 0.6250\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static final String CHECK = "GET /status/live HTTP/1.1\r\n\r\n";
+    static final String HEALTH_CHECK = "GET /status/live HTTP/1.1\r\n\r\n";
 
     /** The next answer: its head and its body. */
-    static String answer(Socket socket) throws IOException {
+    static String readResponse(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -171,17 +171,17 @@
     }
 
     static void assertStatus(int status, Socket socket) throws IOException {
-        String answer = answer(socket);
+        String answer = readResponse(socket);
         assertEquals("" + status, answer.substring(9, 12), answer);
     }
 
-    static void assertEnds(Socket socket) throws IOException {
+    static void assertEndOfStream(Socket socket) throws IOException {
         assertEquals(-1, socket.getInputStream().read());
     }
 
     /** Waits until the agent has been asked so much. */
-    void awaitAsked(int count) throws Exception {
-        await(() -> asked.size() >= count, "asked only " + asked);
+    void awaitAgentCommands(int count) throws Exception {
+        await(() -> agentCommands.size() >= count, "asked only " + agentCommands);
     }
 
     /** Waits until so many connections are in the state. */
@@ -191,39 +191,39 @@
 
     /** Waits for what the loop sees. */
     void await(BooleanSupplier wanted, String otherwise) throws Exception {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         boolean[] seen = new boolean[1];
         while (!seen[0]) {
             assertTrue(System.nanoTime() < until, otherwise);
-            on(() -> seen[0] = wanted.getAsBoolean());
+            runOnLoop(() -> seen[0] = wanted.getAsBoolean());
         }
     }
 
     /** The operation that was sent on as the given one ends with the result. */
-    void ends(String launch, byte[] result) throws Exception {
-        on(() -> backend.runEnded(
+    void completeRun(String launch, byte[] result) throws Exception {
+        runOnLoop(() -> backend.runEnded(
                 loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
-        settle();
+        runPendingWork();
     }
 
     @Override
     public void launch(TrackedRequest work) {
-        asked.add("launch " + work.idText());
+        agentCommands.add("launch " + work.idText());
     }
 
     @Override
     public void stop(TrackedRequest work) {
-        asked.add("freeze " + work.idText());
+        agentCommands.add("freeze " + work.idText());
     }
 
     @Override
     public void deliverReply(TrackedRequest work, byte[] reply) {
-        asked.add("deliver " + work.idText());
+        agentCommands.add("deliver " + work.idText());
     }
 
     @Override
     public void continueWithoutCall(TrackedRequest work) {
-        asked.add("forgo " + work.idText());
+        agentCommands.add("forgo " + work.idText());
     }
 
     @Override
@@ -233,7 +233,7 @@
 
     @Override
     public void startDeepCheck() {
-        asked.add("exercise");
+        agentCommands.add("exercise");
     }
 
     @Override
@@ -243,7 +243,7 @@
 
     @Override
     public void call(TrackedRequest work, byte[] body, Duration within) {
-        asked.add("call " + work.idText());
+        agentCommands.add("call " + work.idText());
     }
 
     @Override
@@ -257,9 +257,9 @@
     @Override
     public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
-        alarm = loop.in(
+        alarm = loop.schedule(
                 at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 
--- a/src/test/java/merlinlever/http/RequestHeadTest.java
+++ b/src/test/java/merlinlever/http/RequestHeadTest.java
@@ -16,32 +16,32 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static int read(String text) {
+    private static int parse(String text) {
         byte[] bytes = ascii(text);
-        return new RequestHead().read(bytes, 0, bytes.length);
+        return new RequestHead().parse(bytes, 0, bytes.length);
     }
 
     @Example
-    void theFieldsOfAnOperationAreFound() {
+    void theFieldsOfARequestAreParsed() {
         byte[] bytes = ascii("xxPOST /svc/buy?real=1&b=2 HTTP/1.1\r\nHost: a\r\nreq-ID: 9b1f03aa5c7e2d41\r\n"
                 + "Req-Kb:  24.5 \r\nReq-Time: 1764576000123\r\nContent-Length: 12\r\nConnection: Close\r\n\r\nbody");
         RequestHead head = new RequestHead();
-        assertEquals(0, head.read(bytes, 2, RequestHead.end(bytes, 2, 2, bytes.length)));
+        assertEquals(0, head.parse(bytes, 2, RequestHead.findEnd(bytes, 2, 2, bytes.length)));
         assertEquals("POST", head.method());
         assertEquals("/svc/buy", head.path());
-        assertTrue(head.asks("real=1") && head.asks("b=2") && !head.asks("real=2"));
-        assertTrue(head.hex(HeaderField.ID, 16) && !head.hex(HeaderField.ID, 32) && !head.hex(HeaderField.TOKEN, 32));
-        assertEquals(24.5, head.number(HeaderField.KB));
-        assertEquals(1764576000123L, head.digits(HeaderField.TIME));
-        assertEquals(-1, head.digits(HeaderField.KB));
-        assertEquals(12, head.length());
-        assertTrue(head.closes());
+        assertTrue(head.hasQueryParameter("real=1") && head.hasQueryParameter("b=2") && !head.hasQueryParameter("real=2"));
+        assertTrue(head.isHex(HeaderField.REQUEST_ID, 16) && !head.isHex(HeaderField.REQUEST_ID, 32) && !head.isHex(HeaderField.IDEMPOTENCY_KEY, 32));
+        assertEquals(24.5, head.number(HeaderField.MEMORY_KB));
+        assertEquals(1764576000123L, head.digits(HeaderField.SENT_AT));
+        assertEquals(-1, head.digits(HeaderField.MEMORY_KB));
+        assertEquals(12, head.contentLength());
+        assertTrue(head.closesConnection());
     }
 
     @Example
-    void whatIsWrongWithAHeadIsSaidByItsStatus() {
+    void aMalformedHeadIsRejectedWithTheMatchingStatus() {
         String start = "POST /svc/a HTTP/1.1\r\n";
-        assertEquals(0, read(start + "\r\n"));
+        assertEquals(0, parse(start + "\r\n"));
         for (String bad : new String[] {
             "POST /svc/a\r\n\r\n",
             "POST svc HTTP/1.1\r\n\r\n",
@@ -61,21 +61,21 @@
             start + "Req-Id: a\r\nReq-Id: b\r\n\r\n",
             start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
         }) {
-            assertEquals(400, read(bad), bad);
+            assertEquals(400, parse(bad), bad);
         }
-        assertEquals(0, read(start + "Content-Length: 4\r\nContent-Length: 4\r\n\r\n"));
-        assertEquals(413, read(start + "Content-Length: 2049\r\n\r\n"));
-        assertEquals(501, read(start + "Transfer-Encoding: chunked\r\n\r\n"));
+        assertEquals(0, parse(start + "Content-Length: 4\r\nContent-Length: 4\r\n\r\n"));
+        assertEquals(413, parse(start + "Content-Length: 2049\r\n\r\n"));
+        assertEquals(501, parse(start + "Transfer-Encoding: chunked\r\n\r\n"));
     }
 
     @Property(tries = 500, seed = "42")
-    void theEndIsFoundWhereverTheBytesAreCut(@ForAll byte[] noise, @ForAll int cut) {
+    void theEndIsFoundWhereverTheBytesAreSplit(@ForAll byte[] noise, @ForAll int cut) {
         byte[] head = ascii("GET / HTTP/1.1\r\na: b\r\n\r\n");
         byte[] all = java.util.Arrays.copyOf(head, head.length + noise.length);
         System.arraycopy(noise, 0, all, head.length, noise.length);
         int first = Math.floorMod(cut, all.length + 1);
-        int found = RequestHead.end(all, 0, 0, first);
-        assertEquals(head.length, found >= 0 ? found : RequestHead.end(all, 0, first, all.length));
+        int found = RequestHead.findEnd(all, 0, 0, first);
+        assertEquals(head.length, found >= 0 ? found : RequestHead.findEnd(all, 0, first, all.length));
     }
 
     @Property(tries = 2000, seed = "43")
@@ -85,17 +85,17 @@
         for (int i = 0; i < noise.length && i < 6; i++) {
             bytes[Math.floorMod(at + i * 7, bytes.length)] = noise[i];
         }
-        int end = RequestHead.end(bytes, 0, 0, bytes.length);
+        int end = RequestHead.findEnd(bytes, 0, 0, bytes.length);
         if (end > 0) {
             RequestHead head = new RequestHead();
-            int status = head.read(bytes, 0, end);
+            int status = head.parse(bytes, 0, end);
             assertTrue(status == 0 || status == 400 || status == 413 || status == 501, "" + status);
             if (status == 0) {
-                head.number(HeaderField.KB);
-                head.digits(HeaderField.TIME);
-                head.closes();
+                head.number(HeaderField.MEMORY_KB);
+                head.digits(HeaderField.SENT_AT);
+                head.closesConnection();
                 assertTrue(
-                        head.length() <= RequestHead.LONGEST_BODY && head.path().startsWith("/"));
+                        head.contentLength() <= RequestHead.MAX_BODY_BYTES && head.path().startsWith("/"));
             }
         }
     }
--- a/src/test/java/merlinlever/management/ManagementServerTest.java
+++ b/src/test/java/merlinlever/management/ManagementServerTest.java
@@ -13,7 +13,7 @@
 
 class ManagementServerTest {
 
-    private static String ask(InetSocketAddress address, String line) throws Exception {
+    private static String exchange(InetSocketAddress address, String line) throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(4000);
             socket.getOutputStream().write(line.getBytes(UTF_8));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void itTellsItsStateAndNothingElseAndAFloodIsClosedUnread() throws Exception {
+    void servesTheStateOnlyAndClosesExcessConnectionsUnread() throws Exception {
         EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
         AtomicInteger told = new AtomicInteger();
         ManagementServer manage = new ManagementServer(loop, new InetSocketAddress("127.0.0.1", 0), () -> {
@@ -33,17 +33,17 @@
         });
         new Thread(loop::run).start();
         InetSocketAddress address = manage.address();
-        String answer = ask(address, "GET /state HTTP/1.1\r\nHost: x\r\n\r\n");
+        String answer = exchange(address, "GET /state HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n") && answer.endsWith("\r\n\r\n{\"phase\":\"warm\"}"), answer);
-        assertTrue(ask(address, "POST /state HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 404"));
-        assertEquals("", ask(address, "x".repeat(5000)));
+        assertTrue(exchange(address, "POST /state HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 404"));
+        assertEquals("", exchange(address, "x".repeat(5000)));
         long began = System.nanoTime();
-        assertEquals("", ask(address, "GET /st"), "half a message is closed");
+        assertEquals("", exchange(address, "GET /st"), "half a message is closed");
         assertTrue(System.nanoTime() - began > 1_500_000_000L);
         told.set(0);
         began = System.nanoTime();
         for (int i = 0; i < 2000; i++) {
-            ask(address, "GET /state HTTP/1.1\r\n\r\n");
+            exchange(address, "GET /state HTTP/1.1\r\n\r\n");
         }
         double seconds = (System.nanoTime() - began) / 1e9;
         assertTrue(told.get() <= 50 * (seconds + 2), told.get() + " in " + seconds + " s");
--- a/src/test/java/merlinlever/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/net/ConnectionRaceTest.java
@@ -25,13 +25,13 @@
 /** Ends, failures and writes of connections that cross each other. */
 class ConnectionRaceTest {
 
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private final List<Throwable> failures = new ArrayList<>();
 
     private EventLoop loop() throws IOException {
         EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add);
         // Whatever goes wrong, no test waits for ever.
-        loop.in(Duration.ofSeconds(20), () -> {
+        loop.schedule(Duration.ofSeconds(20), () -> {
             failures.add(new IllegalStateException("it took too long"));
             loop.stop();
         });
@@ -40,7 +40,7 @@
 
     /** Hears the end, which stops the loop; what else it does is up to each test. */
     private static class LoopStoppingHandler implements Connection.Handler {
-        final List<CloseReason> heard = new ArrayList<>();
+        final List<CloseReason> closeReasons = new ArrayList<>();
         final EventLoop loop;
 
         LoopStoppingHandler(EventLoop loop) {
@@ -48,13 +48,13 @@
         }
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             in.position(in.limit());
         }
 
         @Override
-        public void ended(CloseReason how) {
-            heard.add(how);
+        public void onClosed(CloseReason how) {
+            closeReasons.add(how);
             loop.stop();
         }
     }
@@ -67,12 +67,12 @@
 
     /** The system holds nothing back on any stream: small writes would wait there, and a reset throw them away. */
     @Example
-    void nothingIsHeldBackOnAcceptedAndOnDialledStreams() throws Exception {
+    void acceptedAndConnectedStreamsHaveNoDelaySet() throws Exception {
         EventLoop loop = loop();
         List<Boolean> accepted = new ArrayList<>();
         ConnectionAcceptor listener = new ConnectionAcceptor(
                 loop,
-                new InetSocketAddress(HERE, 0),
+                new InetSocketAddress(LOOPBACK, 0),
                 4,
                 channel -> {
                     try {
@@ -86,7 +86,7 @@
                 () -> {});
         listener.accept();
         Connection dialled =
-                Connection.to(loop, listener.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
+                Connection.connect(loop, listener.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
         loop.run();
         assertEquals(List.of(true), accepted);
         assertTrue(noDelay(dialled));
@@ -96,29 +96,29 @@
 
     /** A user that fails as it hears of a connection made, or of all written, ends it: nobody else would look at it again. */
     @Example
-    void aUserThatFailsBetweenReadsEndsItsConnection() throws Exception {
+    void aHandlerThatThrowsInOnConnectedOrOnFlushedClosesItsConnection() throws Exception {
         for (boolean asMade : new boolean[] {true, false}) {
             failures.clear();
-            try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
+            try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
                 EventLoop loop = loop();
                 LoopStoppingHandler ends = new LoopStoppingHandler(loop) {
                     @Override
-                    public void made() {
+                    public void onConnected() {
                         if (asMade) {
                             throw new IllegalStateException("on purpose");
                         }
                     }
 
                     @Override
-                    public void written() {
+                    public void onFlushed() {
                         throw new IllegalStateException("on purpose");
                     }
                 };
                 Connection connection =
-                        Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 64, Duration.ofSeconds(5));
+                        Connection.connect(loop, server.getLocalSocketAddress(), ends, 64, 64, Duration.ofSeconds(5));
                 connection.write(ByteBuffer.wrap(new byte[] {1}));
                 loop.run();
-                assertEquals(List.of(CloseReason.FAILED), ends.heard);
+                assertEquals(List.of(CloseReason.HANDLER_FAILED), ends.closeReasons);
                 assertEquals(1, failures.size(), failures.toString());
                 loop.group().shutdownNow();
             }
@@ -130,25 +130,25 @@
      * moment, and must not write into the buffer that the user has in its hands.
      */
     @Example
-    void whatComesWhileTheRestIsOfferedAgainLeavesThatAlone() throws Exception {
-        try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
+    void bytesArrivingDuringRedeliveryDoNotTouchTheDeliveredBuffer() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
             Field ready = EventLoop.class.getDeclaredField("ready");
             ready.setAccessible(true);
             Socket[] peer = new Socket[1];
             Connection[] made = new Connection[1];
             StringBuilder read = new StringBuilder();
-            made[0] = Connection.to(
+            made[0] = Connection.connect(
                     loop,
                     server.getLocalSocketAddress(),
                     new Connection.Handler() {
                         private int offers;
 
                         @Override
-                        public void read(ByteBuffer in) {
+                        public void onReceived(ByteBuffer in) {
                             if (++offers == 1) {
                                 // Left; by then the next read is pending.
-                                loop.execute(() -> loop.execute(made[0]::readAgain));
+                                loop.execute(() -> loop.execute(made[0]::redeliver));
                             } else if (offers == 2) {
                                 try {
                                     peer[0].getOutputStream().write("cdef".getBytes(StandardCharsets.US_ASCII));
@@ -167,7 +167,7 @@
                         }
 
                         @Override
-                        public void ended(CloseReason how) {
+                        public void onClosed(CloseReason how) {
                             failures.add(new IllegalStateException("" + how));
                             loop.stop();
                         }
@@ -195,18 +195,18 @@
 
     /** More buffers than one write takes, and more bytes than the system takes at once: all arrive, in order, said once. */
     @Example
-    void whatTakesManyWritesArrivesWholeAndInOrder() throws Exception {
-        try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
+    void dataNeedingManyWritesArrivesCompleteAndInOrderAndIsReportedOnce() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
             int[] written = new int[1];
             LoopStoppingHandler ends = new LoopStoppingHandler(loop) {
                 @Override
-                public void written() {
+                public void onFlushed() {
                     written[0]++;
                 }
             };
             Connection connection =
-                    Connection.to(loop, server.getLocalSocketAddress(), ends, 64, 16 << 20, Duration.ofSeconds(5));
+                    Connection.connect(loop, server.getLocalSocketAddress(), ends, 64, 16 << 20, Duration.ofSeconds(5));
             byte[] sent = new byte[12 << 20];
             for (int i = 0; i < sent.length; i++) {
                 sent[i] = (byte) (i * 31 + i / 251);
@@ -229,7 +229,7 @@
             peer.join();
             assertTrue(Arrays.equals(sent, got[0]));
             assertEquals(1, written[0]);
-            assertEquals(List.of(CloseReason.CLOSED_THERE), ends.heard);
+            assertEquals(List.of(CloseReason.CLOSED_BY_PEER), ends.closeReasons);
             assertEquals(List.of(), failures);
             loop.group().shutdownNow();
         }
@@ -237,47 +237,47 @@
 
     /** Over with a read and a write pending and a time limit set: one end is heard, and what fires later finds it over. */
     @Example
-    void whatCompletesAfterTheEndChangesNothing() throws Exception {
-        try (ServerSocket server = new ServerSocket(0, 50, HERE)) {
+    void completionsAfterCloseChangeNothing() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
             List<CloseReason> heard = new ArrayList<>();
             Connection[] made = new Connection[1];
-            made[0] = Connection.to(
+            made[0] = Connection.connect(
                     loop,
                     server.getLocalSocketAddress(),
                     new Connection.Handler() {
                         @Override
-                        public void made() {
+                        public void onConnected() {
                             made[0].write(ByteBuffer.allocate(8 << 20));
-                            loop.in(Duration.ofMillis(20), () -> made[0].end(CloseReason.DONE));
+                            loop.schedule(Duration.ofMillis(20), () -> made[0].close(CloseReason.COMPLETED));
                             // Past the time limit of the dialling.
-                            loop.in(Duration.ofMillis(150), loop::stop);
+                            loop.schedule(Duration.ofMillis(150), loop::stop);
                         }
 
                         @Override
-                        public void read(ByteBuffer in) {
+                        public void onReceived(ByteBuffer in) {
                             failures.add(new IllegalStateException("read after its end"));
                         }
 
                         @Override
-                        public void written() {
+                        public void onFlushed() {
                             failures.add(new IllegalStateException("written after its end"));
                         }
 
                         @Override
-                        public void ended(CloseReason how) {
+                        public void onClosed(CloseReason how) {
                             heard.add(how);
                             made[0].write(ByteBuffer.wrap(new byte[] {1}));
-                            made[0].readAgain();
-                            made[0].writeNoMore();
-                            made[0].end(CloseReason.BROKEN);
+                            made[0].redeliver();
+                            made[0].shutdownOutput();
+                            made[0].close(CloseReason.IO_FAILURE);
                         }
                     },
                     64,
                     16 << 20,
                     Duration.ofMillis(100));
             loop.run();
-            assertEquals(List.of(CloseReason.DONE), heard);
+            assertEquals(List.of(CloseReason.COMPLETED), heard);
             assertEquals(List.of(), failures);
             loop.group().shutdownNow();
         }
@@ -285,32 +285,32 @@
 
     /** An error that is no handler's own ends the loop, and whoever runs it hears it: it never goes on half done. */
     @Example
-    void anErrorThatIsNoHandlersOwnIsThrownOutOfTheLoop() throws Exception {
+    void anErrorOtherThanStackOverflowIsThrownOutOfTheLoop() throws Exception {
         EventLoop loop = loop();
         loop.execute(() -> {
             throw new NoClassDefFoundError("on purpose");
         });
         assertThrows(NoClassDefFoundError.class, loop::run);
         EventLoop deep = loop();
-        deep.execute(() -> descend(deep));
+        deep.execute(() -> recurseForever(deep));
         deep.execute(deep::stop);
         deep.run();
         assertEquals(1, failures.size());
         assertTrue(failures.get(0) instanceof StackOverflowError);
     }
 
-    private static int descend(EventLoop loop) {
-        return descend(loop) + 1;
+    private static int recurseForever(EventLoop loop) {
+        return recurseForever(loop) + 1;
     }
 
     /** Out of descriptors each accept fails at once: it is tried again after a pause, also where others end meanwhile. */
     @Example
-    void aListenerThatCannotAcceptPauses() throws Exception {
+    void anAcceptorThatCannotAcceptPauses() throws Exception {
         // The clock stands still, so the pause does not end.
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, () -> 0), failures::add);
         int[] asked = new int[1];
         ConnectionAcceptor listener =
-                new ConnectionAcceptor(loop, new InetSocketAddress(HERE, 0), 4, channel -> {}, () -> asked[0]++);
+                new ConnectionAcceptor(loop, new InetSocketAddress(LOOPBACK, 0), 4, channel -> {}, () -> asked[0]++);
         // A closed channel fails each accept, as a full table of descriptors does.
         Field field = ConnectionAcceptor.class.getDeclaredField("channel");
         field.setAccessible(true);
--- a/src/test/java/merlinlever/net/ManualClockLoop.java
+++ b/src/test/java/merlinlever/net/ManualClockLoop.java
@@ -20,7 +20,7 @@
 public final class ManualClockLoop implements AutoCloseable {
 
     /** Of real time, for what never comes; it decides no verdict. */
-    public static final int PATIENCE_MS = 10_000;
+    public static final int TIMEOUT_MS = 10_000;
 
     private final AtomicLong nanos = new AtomicLong(1_000_000_000_000L);
     private final List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
@@ -30,24 +30,24 @@
     /** On sockets. */
     public ManualClockLoop() throws IOException {
         loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add);
-        thread = begin();
+        thread = startThread();
     }
 
     /** In memory: what is connected to is a party of the test's. */
-    public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> parties) {
-        loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, parties);
-        thread = begin();
+    public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> peers) {
+        loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, peers);
+        thread = startThread();
     }
 
-    private Thread begin() {
-        Thread made = new Thread(loop::run);
-        made.setDaemon(true);
-        made.start();
-        return made;
+    private Thread startThread() {
+        Thread started = new Thread(loop::run);
+        started.setDaemon(true);
+        started.start();
+        return started;
     }
 
     /** What the task returns, which runs on the loop. */
-    public <T> T on(Supplier<T> task) {
+    public <T> T callOnLoop(Supplier<T> task) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
@@ -60,43 +60,43 @@
     }
 
     private static <T> T join(CompletableFuture<T> done) {
-        return done.orTimeout(PATIENCE_MS, TimeUnit.MILLISECONDS).join();
+        return done.orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
     }
 
-    public void run(Runnable task) {
-        on(() -> {
+    public void runOnLoop(Runnable task) {
+        callOnLoop(() -> {
             task.run();
             return null;
         });
     }
 
     /** So much later; the timers that are due have run when this returns. */
-    public void later(long ms) {
+    public void advance(long ms) {
         CompletableFuture<Void> last = new CompletableFuture<>();
         loop.execute(() -> {
-            laterNow(ms);
-            loop.in(Duration.ZERO, () -> last.complete(null));
+            advanceOnLoop(ms);
+            loop.schedule(Duration.ZERO, () -> last.complete(null));
         });
         join(last);
     }
 
     /** From a task on the loop: its timers are due with the batch that runs. */
-    public void laterNow(long ms) {
+    public void advanceOnLoop(long ms) {
         nanos.addAndGet(Duration.ofMillis(ms).toNanos());
     }
 
     /** So many batches have run; in memory all that was under way has arrived after some. */
-    public void batches(int count) {
+    public void runBatches(int count) {
         for (int i = 0; i < count; i++) {
-            later(0);
+            advance(0);
         }
     }
 
     /** Waits for what is sure to come. */
-    public void until(BooleanSupplier come, String what) {
-        long from = System.nanoTime();
-        while (!on(come::getAsBoolean)) {
-            assertTrue(System.nanoTime() - from < PATIENCE_MS * 1_000_000L, "did not come: " + what);
+    public void awaitCondition(BooleanSupplier condition, String description) {
+        long startedNanos = System.nanoTime();
+        while (!callOnLoop(condition::getAsBoolean)) {
+            assertTrue(System.nanoTime() - startedNanos < TIMEOUT_MS * 1_000_000L, "did not come: " + description);
             Thread.onSpinWait();
         }
     }
@@ -106,7 +106,7 @@
     public void close() {
         loop.stop();
         try {
-            thread.join(PATIENCE_MS);
+            thread.join(TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/merlinlever/net/TaskHandOffProgram.java
+++ b/src/test/java/merlinlever/net/TaskHandOffProgram.java
@@ -6,23 +6,23 @@
 final class TaskHandOffProgram {
 
     static volatile int ticks;
-    private static volatile int taken;
+    private static volatile int tasksRun;
 
     private TaskHandOffProgram() {}
 
     public static void main(String[] none) throws Exception {
         EventLoop loop = new EventLoop(MonotonicClock.system(), failure -> {});
-        loop.every(Duration.ofMillis(1), () -> ticks++);
+        loop.runNowAndEvery(Duration.ofMillis(1), () -> ticks++);
         Thread thread = new Thread(loop::run, "loop");
         thread.setDaemon(true);
         thread.start();
         for (int i = 1; i <= 200; i++) {
             Thread.sleep(3);
-            handOver(loop);
+            handOff(loop);
         }
     }
 
-    private static void handOver(EventLoop loop) {
-        loop.execute(() -> taken++);
+    private static void handOff(EventLoop loop) {
+        loop.execute(() -> tasksRun++);
     }
 }
--- a/src/test/java/merlinlever/net/TaskHandOffTest.java
+++ b/src/test/java/merlinlever/net/TaskHandOffTest.java
@@ -31,30 +31,30 @@
  */
 class TaskHandOffTest {
 
-    private static final int HAND_OVERS = 8;
-    private static final long LONGEST = 3_000_000_000L;
+    private static final int HAND_OFFS = 8;
+    private static final long MAX_WAIT_NANOS = 3_000_000_000L;
 
     @Example
-    void theLoopGoesOnWhereverAHandOverIsHeld() throws Exception {
+    void timersKeepRunningWhileTheHandingThreadIsSuspendedAtAnyLine() throws Exception {
         VirtualMachine machine = launch();
         try {
-            ClassPrepareRequest prepared = machine.eventRequestManager().createClassPrepareRequest();
-            prepared.addClassFilter(TaskHandOffProgram.class.getName());
-            prepared.setSuspendPolicy(EventRequest.SUSPEND_ALL);
-            prepared.enable();
+            ClassPrepareRequest classPrepareRequest = machine.eventRequestManager().createClassPrepareRequest();
+            classPrepareRequest.addClassFilter(TaskHandOffProgram.class.getName());
+            classPrepareRequest.setSuspendPolicy(EventRequest.SUSPEND_ALL);
+            classPrepareRequest.enable();
             machine.resume();
-            ReferenceType type = null;
-            int handOvers = 0;
-            int held = 0;
-            while (handOvers < HAND_OVERS) {
-                EventSet set = machine.eventQueue().remove(60_000);
-                assertTrue(set != null, "nothing came from the second process");
-                for (Event event : set) {
+            ReferenceType program = null;
+            int handOffs = 0;
+            int suspendedLines = 0;
+            while (handOffs < HAND_OFFS) {
+                EventSet events = machine.eventQueue().remove(60_000);
+                assertTrue(events != null, "nothing came from the second process");
+                for (Event event : events) {
                     if (event instanceof ClassPrepareEvent ready) {
-                        type = ready.referenceType();
+                        program = ready.referenceType();
                         EventRequest at = machine.eventRequestManager()
                                 .createBreakpointRequest(
-                                        type.methodsByName("handOver").get(0).location());
+                                        program.methodsByName("handOff").get(0).location());
                         at.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
                         at.enable();
                     } else if (event instanceof BreakpointEvent begun) {
@@ -63,34 +63,34 @@
                         step.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
                         step.enable();
                     } else if (event instanceof StepEvent at) {
-                        boolean over = at.location().declaringType().equals(type)
+                        boolean over = at.location().declaringType().equals(program)
                                 && at.location().method().name().equals("main");
                         if (over) {
                             event.request().disable();
                             machine.eventRequestManager().deleteEventRequest(event.request());
-                            handOvers++;
+                            handOffs++;
                         } else {
-                            goesOn(type, at);
-                            held++;
+                            assertTimersKeepRunning(program, at);
+                            suspendedLines++;
                         }
                     }
                 }
-                set.resume();
+                events.resume();
             }
-            assertTrue(held >= HAND_OVERS * 10, "held at " + held + " lines alone");
+            assertTrue(suspendedLines >= HAND_OFFS * 10, "held at " + suspendedLines + " lines alone");
         } finally {
             machine.exit(0);
         }
     }
 
     /** Waits for another turn of the timer while the thread is held. */
-    private static void goesOn(ReferenceType type, LocatableEvent at) throws InterruptedException {
-        Field ticks = type.fieldByName("ticks");
-        int before = ((IntegerValue) type.getValue(ticks)).value();
-        long until = System.nanoTime() + LONGEST;
-        while (((IntegerValue) type.getValue(ticks)).value() < before + 3) {
+    private static void assertTimersKeepRunning(ReferenceType program, LocatableEvent at) throws InterruptedException {
+        Field ticks = program.fieldByName("ticks");
+        int before = ((IntegerValue) program.getValue(ticks)).value();
+        long deadlineNanos = System.nanoTime() + MAX_WAIT_NANOS;
+        while (((IntegerValue) program.getValue(ticks)).value() < before + 3) {
             assertTrue(
-                    System.nanoTime() < until,
+                    System.nanoTime() < deadlineNanos,
                     "the loop stands still while " + at.thread().name() + " is held at "
                             + at.location().declaringType().name() + "."
                             + at.location().method().name() + ", line "
@@ -101,10 +101,10 @@
 
     private static VirtualMachine launch() throws Exception {
         LaunchingConnector connector = Bootstrap.virtualMachineManager().defaultConnector();
-        Map<String, Connector.Argument> given = connector.defaultArguments();
-        given.get("main").setValue(TaskHandOffProgram.class.getName());
-        given.get("options").setValue("-cp " + String.join(":", List.of("target/classes", "target/test-classes")));
+        Map<String, Connector.Argument> arguments = connector.defaultArguments();
+        arguments.get("main").setValue(TaskHandOffProgram.class.getName());
+        arguments.get("options").setValue("-cp " + String.join(":", List.of("target/classes", "target/test-classes")));
         assertTrue(Files.isDirectory(Path.of("target/test-classes")));
-        return connector.launch(given);
+        return connector.launch(arguments);
     }
 }
--- a/src/test/java/merlinlever/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/records/RecordsClientFixture.java
@@ -24,56 +24,56 @@
 /** The link to a records service that the test plays; time stands still but where the test moves it on. */
 abstract class RecordsClientFixture {
 
-    static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    static final Duration LIMIT = Duration.ofMillis(300);
+    static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    static final Duration CALL_TIMEOUT = Duration.ofMillis(300);
 
     /** How each call ended, in order, as "id ending reply". */
-    final List<String> ended = new ArrayList<>();
+    final List<String> callOutcomes = new ArrayList<>();
 
-    ManualClockLoop driven;
-    RecordsClient link;
+    ManualClockLoop loop;
+    RecordsClient client;
 
-    RecordsClient link(ManualClockLoop on, InetSocketAddress address, int most) {
-        driven = on;
+    RecordsClient createClient(ManualClockLoop on, InetSocketAddress address, int most) {
+        loop = on;
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
-        return driven.on(() -> new RecordsClient(
-                driven.loop,
+        return loop.callOnLoop(() -> new RecordsClient(
+                loop.loop,
                 address,
-                (now, id, how, reply) -> ended.add(
+                (now, id, how, reply) -> callOutcomes.add(
                         id + " " + how + (reply == null ? "" : " " + new String(reply, StandardCharsets.UTF_8))),
                 log,
                 most));
     }
 
     void call(long id) {
-        driven.run(() -> link.call(TestRequests.tracked(id), new byte[] {'b'}, LIMIT));
+        loop.runOnLoop(() -> client.call(TestRequests.tracked(id), new byte[] {'b'}, CALL_TIMEOUT));
     }
 
     /** So many calls have ended, and these were they. */
-    void hasEnded(String... what) {
-        driven.until(() -> ended.size() >= what.length, String.join(", ", what));
-        assertEquals(List.of(what), driven.on(() -> List.copyOf(ended)));
+    void assertCallOutcomes(String... what) {
+        loop.awaitCondition(() -> callOutcomes.size() >= what.length, String.join(", ", what));
+        assertEquals(List.of(what), loop.callOnLoop(() -> List.copyOf(callOutcomes)));
     }
 
-    static InetSocketAddress at(ServerSocket place) {
-        return new InetSocketAddress(HERE, place.getLocalPort());
+    static InetSocketAddress addressOf(ServerSocket place) {
+        return new InetSocketAddress(LOOPBACK, place.getLocalPort());
     }
 
-    static ServerSocket place() throws IOException {
-        ServerSocket place = new ServerSocket(0, 50, HERE);
-        place.setSoTimeout(ManualClockLoop.PATIENCE_MS);
+    static ServerSocket openServer() throws IOException {
+        ServerSocket place = new ServerSocket(0, 50, LOOPBACK);
+        place.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
         return place;
     }
 
     /** The next connection, on which the operation's call has come. */
-    static Socket accept(ServerSocket place, long id) throws IOException {
+    static Socket acceptCall(ServerSocket place, long id) throws IOException {
         Socket socket = place.accept();
-        socket.setSoTimeout(ManualClockLoop.PATIENCE_MS);
+        socket.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        return hear(socket, id);
+        return readCall(socket, id);
     }
 
-    static Socket hear(Socket socket, long id) throws IOException {
+    static Socket readCall(Socket socket, long id) throws IOException {
         StringBuilder heard = new StringBuilder();
         while (!heard.toString().endsWith("\r\nb\r\n")) {
             int next = socket.getInputStream().read();
@@ -86,36 +86,36 @@
         return socket;
     }
 
-    static void say(Socket socket, String text) throws IOException {
+    static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    static String done(long id, String body) {
+    static String doneReply(long id, String body) {
         return String.format("%016x DONE %d\r\n%s\r\n", id, body.length(), body);
     }
 
     /** The service in memory: every connection takes all and says what the test says. */
     static final class InMemoryRecordsService implements Connection.InMemoryPeer {
-        Connection mine;
-        final StringBuilder heard = new StringBuilder();
+        Connection serviceEnd;
+        final StringBuilder received = new StringBuilder();
 
         @Override
-        public void on(Connection connection) {
-            mine = connection;
+        public void attach(Connection connection) {
+            serviceEnd = connection;
         }
 
         @Override
-        public void read(ByteBuffer in) {
+        public void onReceived(ByteBuffer in) {
             while (in.hasRemaining()) {
-                heard.append((char) in.get());
+                received.append((char) in.get());
             }
         }
 
         @Override
-        public void ended(CloseReason how) {}
+        public void onClosed(CloseReason how) {}
 
-        void say(String text) {
-            mine.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
+        void send(String text) {
+            serviceEnd.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
         }
     }
 }
--- a/src/test/java/merlinlever/records/RecordsReplyTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyTest.java
@@ -18,12 +18,12 @@
     }
 
     @Example
-    void eachWordHasItsEndingAndOnlySomeProveThatNothingRan() throws RecordsReply.MalformedReplyException {
+    void eachStatusWordMapsToItsOutcomeAndOnlySomeProveThatNothingRan() throws RecordsReply.MalformedReplyException {
         String[] words = {"DONE 0\r\n", "WAIT", "ERROR", "PAST", "EMPTY"};
         Outcome[] endings = {Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.NOT_STARTED};
         for (int i = 0; i < words.length; i++) {
             byte[] bytes = ascii("9b1f03aa5c7e2d41 " + words[i] + "\r\n");
-            RecordsReply reply = RecordsReply.read(bytes, 0, bytes.length);
+            RecordsReply reply = RecordsReply.parse(bytes, 0, bytes.length);
             assertEquals(endings[i], reply.ending());
             assertEquals(bytes.length, reply.end());
             assertEquals(
@@ -33,7 +33,7 @@
     }
 
     @Property(tries = 200, seed = "46")
-    void aReplyIsReadOnceItIsWhole(@ForAll byte[] body) throws RecordsReply.MalformedReplyException {
+    void aReplyIsParsedOnceItIsComplete(@ForAll byte[] body) throws RecordsReply.MalformedReplyException {
         byte[] head = ascii("9b1f03aa5c7e2d41 DONE " + body.length + "\r\n");
         byte[] all = new byte[head.length + body.length + 5];
         System.arraycopy(head, 0, all, 0, head.length);
@@ -41,7 +41,7 @@
         System.arraycopy(ascii("\r\nabc"), 0, all, head.length + body.length, 5);
         int whole = all.length - 3;
         for (int limit = 0; limit <= all.length; limit++) {
-            RecordsReply reply = RecordsReply.read(all, 0, limit);
+            RecordsReply reply = RecordsReply.parse(all, 0, limit);
             if (limit < whole) {
                 assertNull(reply);
             } else {
@@ -52,7 +52,7 @@
     }
 
     @Example
-    void whatIsNoReplyIsMalformed() {
+    void invalidBytesAreMalformed() {
         for (String bad : new String[] {
             "x",
             "9b1f03aa5c7e2d41",
@@ -66,12 +66,12 @@
         }) {
             byte[] bytes = ascii(bad + "\r\n");
             assertThrows(
-                    RecordsReply.MalformedReplyException.class, () -> RecordsReply.read(bytes, 0, bytes.length), bad);
+                    RecordsReply.MalformedReplyException.class, () -> RecordsReply.parse(bytes, 0, bytes.length), bad);
         }
         // What cannot become a reply is not waited for, whether its line ends or not.
         for (String endless : new String[] {"a".repeat(200), "9b1f\u0003x", "\u00e9t\u00e9"}) {
             byte[] bytes = ascii(endless);
-            assertThrows(RecordsReply.MalformedReplyException.class, () -> RecordsReply.read(bytes, 0, bytes.length));
+            assertThrows(RecordsReply.MalformedReplyException.class, () -> RecordsReply.parse(bytes, 0, bytes.length));
         }
     }
 }
--- a/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/zone/client/FollowerAndApplyTest.java
@@ -298,7 +298,7 @@
                     names,
                     Duration.ofMillis(300)));
             boolean[] alive = {true, true, true, true};
-            loop.execute(() -> loop.every(Duration.ofMillis(100), () -> {
+            loop.execute(() -> loop.runNowAndEvery(Duration.ofMillis(100), () -> {
                 for (int i = 0; i < 4; i++) {
                     if (alive[i]) {
                         link[0].came(("PULSE n" + i + " open").getBytes(UTF_8));
