--- a/src/main/java/merlinlever/net/CloseReason.java
+++ b/src/main/java/merlinlever/net/CloseReason.java
@@ -3,29 +3,29 @@
 import merlinlever.Outcome;
 
 /**
- * Every way in which a connection can end, and in this one place what each means for a call that was in hand on it
- * ({@link #callOutcome}). For an operation in hand all mean the same: its caller is gone. For runs none means anything.
+ * Why a connection was closed, and what that means for a downstream call that was in flight on it. For a request in
+ * flight on it all mean the same: its caller is gone.
  */
 public enum CloseReason {
-    /** The other side closed in good order. */
+    /** The peer closed it in good order. */
     CLOSED_BY_PEER(Outcome.CONNECTION_LOST),
-    /** A reset or any other failure of reading or writing. */
+    /** A reset, or another failure of reading or writing. */
     IO_FAILURE(Outcome.CONNECTION_LOST),
-    /** It was never made. */
+    /** It could not be established. */
     CONNECT_FAILED(Outcome.UNREACHABLE),
-    /** It was not made in time. */
+    /** It was not established in time. */
     CONNECT_TIMEOUT(Outcome.UNREACHABLE),
-    /** Closed here as nothing was open on it. */
+    /** Closed here: nothing was in flight on it. */
     IDLE(Outcome.CONNECTION_LOST),
-    /** Closed here after the last answer on it. */
+    /** Closed here after the last message on it. */
     COMPLETED(Outcome.CONNECTION_LOST),
-    /** What was begun did not become whole, or what was written was not taken, in time. */
+    /** Closed here: a message was not complete, or not read by the peer, in time. */
     TIMED_OUT(Outcome.CONNECTION_LOST),
-    /** What came was not the protocol's. */
+    /** Closed here: the peer broke the protocol. */
     PROTOCOL_ERROR(Outcome.CONNECTION_LOST),
-    /** More waited to be written than is allowed. */
+    /** Closed here: more was queued for writing than is allowed. */
     WRITE_QUEUE_FULL(Outcome.CONNECTION_LOST),
-    /** What uses it here has failed. */
+    /** Closed here: its handler threw. */
     HANDLER_FAILED(Outcome.CONNECTION_LOST);
 
     private final Outcome callOutcome;
@@ -34,7 +34,7 @@
         this.callOutcome = callOutcome;
     }
 
-    /** How a call ended that had been handed to the connection. */
+    /** The outcome of a call that was in flight on the connection. */
     public Outcome callOutcome() {
         return callOutcome;
     }
--- a/src/main/java/merlinlever/net/ConnectionAcceptor.java
+++ b/src/main/java/merlinlever/net/ConnectionAcceptor.java
@@ -9,11 +9,14 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Accepts connections as long as there is room; out of room or of descriptors it asks for some and pauses. */
+/**
+ * Accepts connections up to a limit. At the limit, or out of file descriptors, it asks its owner to close some, and
+ * tries again later.
+ */
 public final class ConnectionAcceptor {
 
     private static final Duration RETRY_DELAY = Duration.ofMillis(50);
-    /** Whoever is at the door as it is closed has been let in after so long, or longer where there was no room. */
+    /** On closing, the backlog is taken to be accepted after this time, or later where the limit was reached. */
     private static final Duration BACKLOG_GRACE = Duration.ofMillis(50);
 
     private static final Duration MAX_CLOSE_DELAY = Duration.ofSeconds(3);
@@ -29,8 +32,8 @@
 
     /**
      * @param maxOpen connections open at the same time
-     * @param onAccepted is given each; {@link #connectionClosed} is to be called when it is over
-     * @param onFull closes the idlest connection, if any is idle
+     * @param onAccepted gets each connection; {@link #connectionClosed} is to be called once it is closed
+     * @param onFull closes connections where it can
      */
     public ConnectionAcceptor(
             EventLoop loop,
@@ -48,11 +51,12 @@
         channel.bind(address, 512);
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Accepts if there is room; where there is none it asks for some, and is to be called again. */
+    /** Accepts the next connection below the limit; at the limit it asks for room, and is to be called again. */
     public void accept() {
         if (accepting || paused || closed) {
             return;
@@ -60,7 +64,7 @@
         if (open >= maxOpen) {
             onFull.run();
         }
-        // Making room may have begun to accept already.
+        // The owner may have called this method again meanwhile.
         if (accepting || paused || closed || open >= maxOpen) {
             return;
         }
@@ -93,15 +97,15 @@
         }
     }
 
-    /** A connection that was accepted is over. */
+    /** An accepted connection has been closed. */
     public void connectionClosed() {
         open--;
         accept();
     }
 
     /**
-     * Lets in whoever waits and closes then: what the system has accepted and the program has not would be reset, with
-     * all that was written to it.
+     * Accepts the backlog and closes then: connections that the system has established and the program has not accepted
+     * would be reset, with all that was written to them.
      */
     public void closeAfterBacklog() {
         if (closing) {
@@ -117,7 +121,7 @@
         loop.schedule(MAX_CLOSE_DELAY, this::close);
     }
 
-    /** An accept that is not over when what was ready has had its turn found nobody waiting. */
+    /** An accept that has not completed once all ready tasks have run found the backlog empty. */
     private void closeIfBacklogEmpty() {
         long attempt = acceptAttempts;
         loop.execute(() -> {
@@ -127,10 +131,12 @@
         });
     }
 
+    /** Whether no further connection can come. */
     public boolean isClosed() {
         return closed;
     }
 
+    /** Closes it at once; the backlog is reset. */
     public void close() {
         closed = true;
         try {
--- a/src/main/java/merlinlever/net/DatagramEndpoint.java
+++ b/src/main/java/merlinlever/net/DatagramEndpoint.java
@@ -8,26 +8,29 @@
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
+import java.nio.channels.UnresolvedAddressException;
+import java.nio.channels.UnsupportedAddressTypeException;
 import java.time.Duration;
 import java.util.concurrent.Semaphore;
 
 /**
- * A socket for datagrams. NIO.2 has no asynchronous channel for them, so one thread waits until some are there and hands
- * over to the loop, which reads and sends; like the thread of a channel group it does nothing else.
+ * A UDP socket on an event loop. NIO.2 has no asynchronous channel for datagrams, so a thread waits until some have
+ * come and hands over to the loop, which receives and sends; like a channel group's thread it does nothing else.
  */
 public final class DatagramEndpoint {
 
-    /** Who hears of each datagram; {@code waited} is how long it may have lain there unread, at the most. */
+    /** Receives datagrams on the loop's thread. */
     public interface Receiver {
+        /** @param maxQueueTime how long the datagram may have waited to be read, at most */
         void onDatagram(byte[] payload, InetSocketAddress sender, Duration maxQueueTime);
     }
 
-    /** Read in one go, so that connections and timers have their turn. */
+    /** Received in one batch, so that connections and timers have their turn. */
     private static final int MAX_BATCH_DATAGRAMS = 128;
-    /** What the system keeps until it is read; the rest it drops. */
+    /** What the system buffers; it drops datagrams beyond that. */
     private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
-    /** What the system counts for a datagram, at the least. */
+    /** What the system accounts for any datagram, at least. */
     private static final int MIN_ACCOUNTED_BYTES = 64;
 
     private final EventLoop loop;
@@ -39,8 +42,14 @@
     private volatile boolean closed;
     private long readyNanos;
 
-    /** @param maxDatagramBytes octets of a datagram that are read; longer ones come cut */
-    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int maxDatagramBytes, Receiver receiver) throws IOException {
+    /**
+     * Receives datagrams at the address.
+     *
+     * @param maxDatagramBytes longer datagrams are truncated
+     * @throws IOException if the address cannot be bound
+     */
+    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int maxDatagramBytes, Receiver receiver)
+            throws IOException {
         this.loop = loop;
         this.receiver = receiver;
         input = ByteBuffer.allocateDirect(maxDatagramBytes);
@@ -60,6 +69,7 @@
         selectorThread.start();
     }
 
+    /** Where it receives. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
@@ -75,7 +85,9 @@
                     drained.acquire();
                 }
             }
-        } catch (IOException | ClosedSelectorException | InterruptedException e) {
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } catch (IOException | ClosedSelectorException e) {
             // Closed, or the process ends.
         }
     }
@@ -95,9 +107,9 @@
     }
 
     /**
-     * Reads what has come until now, on the loop's thread; so that what happens next comes after it.
+     * Receives all datagrams that have come by now, so that whatever the caller does next comes after them.
      *
-     * @return false where more came than the system's buffer can hold, and some may be there still
+     * @return false if more came than the system's buffer holds, and some may be left
      */
     public boolean receiveAll() throws IOException {
         for (int i = 0; i < RECEIVE_BUFFER_BYTES / MIN_ACCOUNTED_BYTES; i++) {
@@ -112,21 +124,22 @@
         try {
             for (int i = 0; i < MAX_BATCH_DATAGRAMS && receiveOne(); i++) {}
         } catch (IOException e) {
-            // Such as an answer that found nobody at its place: the next ones are read.
+            // Such as the ICMP error for a datagram sent to a closed port: the next datagrams are received.
         } finally {
             drained.release();
         }
     }
 
-    /** Sends it, or drops it where there is no room now; whoever needs it asks again. */
+    /** Sends a datagram, or drops it where it cannot be sent now; returns whether it was sent. */
     public boolean send(byte[] payload, InetSocketAddress recipient) {
         try {
             return !closed && channel.send(ByteBuffer.wrap(payload), recipient) == payload.length;
-        } catch (IOException | RuntimeException e) {
+        } catch (IOException | UnresolvedAddressException | UnsupportedAddressTypeException e) {
             return false;
         }
     }
 
+    /** Closes the socket and ends the thread. */
     public void close() {
         closed = true;
         try {
--- a/src/main/java/merlinlever/net/EventLoop.java
+++ b/src/main/java/merlinlever/net/EventLoop.java
@@ -17,14 +17,15 @@
 import java.util.function.Function;
 
 /**
- * The one thread on which all completion handlers and timers run. What is ready is a batch; after each batch the
- * {@code after} hook runs and then all connections that have something to write are written to, once each.
+ * Runs all completion handlers, timers and tasks on one thread. Tasks that are ready form a batch; after each batch the
+ * hook of {@link #setAfterBatch} runs, and then each connection with queued bytes is written to once. Only
+ * {@link #execute} and {@link #stop} may be called on other threads.
  */
 public final class EventLoop extends AbstractExecutorService {
 
     private static final int MAX_BATCH_TASKS = 256;
 
-    /** Something to be done at a time, unless it was called off. */
+    /** A task that runs at a time unless it is cancelled before. */
     public static final class Timer {
         private final long dueNanos;
         private final long sequence;
@@ -36,6 +37,7 @@
             this.task = task;
         }
 
+        /** The task does not run any more; may be called at any time. */
         public void cancel() {
             task = null;
         }
@@ -44,15 +46,15 @@
     private final MonotonicClock clock;
     private final Consumer<Throwable> failureHandler;
     /**
-     * Without locks or conditions: wherever a thread that hands something over is held, the loop goes on. A timed wait on
-     * a condition turns round without waiting while the one that signals is held between two steps of it.
+     * Without locks or conditions: wherever a thread that hands a task over is suspended, the loop goes on. A timed
+     * wait on a condition spins while the signalling thread is suspended in the middle of its signal.
      */
     private final Queue<Runnable> readyTasks = new ConcurrentLinkedQueue<>();
-    /** The thread that runs it, once there is one. */
+    /** The thread that runs the loop; null before there is one. */
     private volatile Thread loopThread;
 
-    private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.<Timer>comparingLong(t -> t.dueNanos).thenComparingLong(t -> t.sequence));
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>(
+            Comparator.<Timer>comparingLong(timer -> timer.dueNanos).thenComparingLong(timer -> timer.sequence));
     private final AsynchronousChannelGroup group;
     private final Function<SocketAddress, Connection.InMemoryPeer> inMemoryPeers;
     private List<Connection> pendingFlushes = new ArrayList<>();
@@ -67,7 +69,7 @@
         inMemoryPeers = address -> null;
     }
 
-    /** Without sockets: whatever is connected to on it is a party in this process. */
+    /** A loop without sockets, for tests and warm-up: connecting reaches the peer that the function gives. */
     public EventLoop(
             MonotonicClock clock,
             Consumer<Throwable> failureHandler,
@@ -78,31 +80,34 @@
         group = null;
     }
 
-    /** Who is at the address, if it is someone in this process. */
+    /** The peer at the address inside this process, or null where the address is a real one. */
     Connection.InMemoryPeer inMemoryPeer(SocketAddress address) {
         return inMemoryPeers.apply(address);
     }
 
+    /** The group for channels whose handlers run on this loop; null for a loop without sockets. */
     public AsynchronousChannelGroup group() {
         return group;
     }
 
+    /** The clock that timers run on. */
     public MonotonicClock clock() {
         return clock;
     }
 
-    /** Runs after each batch, before anything is written. */
+    /** Sets the task that runs after each batch, before connections are written to. */
     public void setAfterBatch(Runnable hook) {
         afterBatch = hook;
     }
 
+    /** Runs the task once, after the delay. */
     public Timer schedule(Duration delay, Runnable task) {
         Timer timer = new Timer(clock.nanoTime() + delay.toNanos(), timersScheduled++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Runs the task now and then again and again, each time so long after the last run began. */
+    /** Runs the task now and then periodically, the period counting from the begin of each run. */
     public void runNowAndEvery(Duration period, Runnable task) {
         schedule(period, () -> runNowAndEvery(period, task));
         task.run();
@@ -127,7 +132,7 @@
         while (!stopping && !loopThread.isInterrupted()) {
             Runnable first = readyTasks.poll();
             if (first == null) {
-                // What is added after this look wakes it, or lets it not sleep at all.
+                // A task that is added after the poll wakes the thread, or keeps it from parking.
                 LockSupport.parkNanos(this, nanosUntilNextTimer());
                 first = readyTasks.poll();
             }
@@ -135,7 +140,7 @@
         }
     }
 
-    /** Ends it with the batch that runs now, or at once where it waits for one. */
+    /** Ends {@link #run} with the batch that is running, or at once where none is. */
     public void stop() {
         stopping = true;
         execute(() -> {});
@@ -153,7 +158,7 @@
         for (Runnable task = first; task != null; task = ++completed < MAX_BATCH_TASKS ? readyTasks.poll() : null) {
             runGuarded(task);
         }
-        // Only those due now: a task that sets the next timer in the past does not keep the loop here.
+        // Only timers that are due now: one that schedules the next in the past does not keep the loop here.
         long now = clock.nanoTime();
         List<Timer> due = new ArrayList<>(0);
         while (!timers.isEmpty() && timers.peek().dueNanos - now <= 0) {
@@ -172,7 +177,7 @@
         } while (!pendingFlushes.isEmpty());
     }
 
-    /** Runs a part whose failure is told and ends nothing else; says whether it went well. */
+    /** Runs the task and reports what it throws; the loop goes on. Returns whether it completed normally. */
     boolean runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/merlinlever/net/HangupSignal.java
+++ b/src/main/java/merlinlever/net/HangupSignal.java
@@ -26,7 +26,8 @@
                     .invoke(
                             null,
                             signal.getConstructor(String.class).newInstance("HUP"),
-                            Proxy.newProxyInstance(HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, runTask));
+                            Proxy.newProxyInstance(
+                                    HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, runTask));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this runtime knows no SIGHUP", e);
         }
--- a/src/main/java/merlinlever/net/MonotonicClock.java
+++ b/src/main/java/merlinlever/net/MonotonicClock.java
@@ -5,12 +5,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Spans since a start that can be set once more, on a clock that never steps. Times of the Unix clock are brought over
- * by how far that one is ahead, which is read again now and then, as the two need not run equally fast.
+ * Durations since an origin, on a clock that never steps. The origin can be set anew. Unix times are converted by the
+ * offset between the two clocks, which is measured again now and then, as the two need not run equally fast.
  */
 public final class MonotonicClock {
 
-    /** The process may be held up between two readings of the clocks; the narrowest of so many pairs counts. */
+    /** The process may be paused between two readings of the clocks: of so many pairs the closest one counts. */
     private static final int CLOCK_READINGS = 5;
 
     private final LongSupplier unixNanos;
@@ -19,7 +19,12 @@
     private long unixOffsetNanos;
     private long originNanos;
 
-    /** On clocks that count nanoseconds, the one since 1970. */
+    /**
+     * A clock on two others, which count nanoseconds.
+     *
+     * @param unixNanos since 1970; may step
+     * @param monotonicNanos since any time; never steps back
+     */
     public MonotonicClock(LongSupplier unixNanos, LongSupplier monotonicNanos) {
         this.unixNanos = unixNanos;
         this.monotonicNanos = monotonicNanos;
@@ -28,6 +33,7 @@
         resyncUnixOffset();
     }
 
+    /** A clock on those of the system; the origin is now. */
     public static MonotonicClock system() {
         return new MonotonicClock(
                 () -> {
@@ -37,7 +43,7 @@
                 System::nanoTime);
     }
 
-    /** Reads again how far the Unix clock is ahead. */
+    /** Measures again how far the Unix clock is ahead. */
     public void resyncUnixOffset() {
         long smallestGap = Long.MAX_VALUE;
         for (int i = 0; i < CLOCK_READINGS; i++) {
@@ -51,21 +57,22 @@
         }
     }
 
-    /** From here on spans count from so long ago. */
+    /** Durations count from this long ago from now on. */
     public void setOriginAgo(Duration ago) {
         originNanos = monotonicNanos.getAsLong() - ago.toNanos();
     }
 
-    /** Since this clock was made, whatever else spans count from. */
+    /** Time since this clock was made, whatever the origin. */
     public Duration uptime() {
         return Duration.ofNanos(monotonicNanos.getAsLong() - createdNanos);
     }
 
+    /** Time since the origin. */
     public Duration now() {
         return Duration.ofNanos(monotonicNanos.getAsLong() - originNanos);
     }
 
-    /** The span since the start that a Unix time stands for; it may lie before the start. */
+    /** The time since the origin that corresponds to a Unix time; negative for one before the origin. */
     public Duration fromUnixMillis(long unixMillis) {
         return Duration.ofNanos(unixMillis * 1_000_000L - unixOffsetNanos - originNanos);
     }
--- a/src/main/java/merlinlever/net/ProcessSignals.java
+++ b/src/main/java/merlinlever/net/ProcessSignals.java
@@ -1,23 +1,25 @@
 package merlinlever.net;
 
 /**
- * What the system tells the process by signals: SIGHUP, to read its configuration again, and SIGTERM, to drain and end.
- * What comes before there is a receiver is remembered: a SIGHUP is passed on once there is one, and after a SIGTERM there
- * is none any more, as nothing was begun yet. Called on threads of the runtime's, one for each signal.
+ * SIGHUP, to reload the configuration, and SIGTERM, to drain and exit. Signals that come before there is a subscriber
+ * are remembered: a SIGHUP is passed on at the subscription, and after a SIGTERM none is accepted any more. The runtime
+ * calls it on a thread for each signal; thread-safe.
  */
 public final class ProcessSignals {
 
-    /** Who acts on them; each call only hands over to the receiver's own thread. */
+    /** Acts on signals; a method only hands over to the subscriber's own thread. */
     public interface Subscriber {
+        /** Reload the configuration. */
         void onHangup();
 
+        /** Drain, and call {@link ProcessSignals#completeShutdown} at the end. */
         void onTerminate();
     }
 
     private Subscriber subscriber;
     private boolean hangupPending, terminating, shutdownComplete;
 
-    /** Those of this process, from here on. */
+    /** Handles the signals of this process from now on. */
     public static ProcessSignals ofProcess() {
         ProcessSignals signals = new ProcessSignals();
         HangupSignal.onHangup(signals::hangup);
@@ -25,6 +27,7 @@
         return signals;
     }
 
+    /** A SIGHUP has come. */
     public synchronized void hangup() {
         if (subscriber == null) {
             hangupPending = true;
@@ -33,7 +36,9 @@
         }
     }
 
-    /** Returns once the receiver is done, or at once where there is none: the runtime ends then. */
+    /**
+     * A SIGTERM has come; the runtime exits when this returns, which is after the shutdown where there is a subscriber.
+     */
     public synchronized void terminate() {
         terminating = true;
         if (subscriber == null) {
@@ -55,7 +60,7 @@
         }
     }
 
-    /** Signals go there from here on; false where the process is ending and nothing is to be begun. */
+    /** Passes signals on from now on; returns false if the process is exiting already and must not begin anything. */
     public synchronized boolean subscribe(Subscriber newSubscriber) {
         if (terminating) {
             return false;
@@ -67,7 +72,7 @@
         return true;
     }
 
-    /** The receiver is done, also where it failed: nobody waits for it. */
+    /** The subscriber has shut down or failed: the process may exit. */
     public synchronized void completeShutdown() {
         shutdownComplete = true;
         notifyAll();
--- a/src/main/java/merlinlever/net/package-info.java
+++ b/src/main/java/merlinlever/net/package-info.java
@@ -1,2 +1,5 @@
-/** The one thread with its timer and clock, connections with their buffers, and the ways in which they end. */
+/**
+ * The event loop with its timers and clock, connections and datagram sockets on it, and the signals of the process. One
+ * thread runs the loop; everything here is used on it unless said otherwise.
+ */
 package merlinlever.net;
--- a/src/main/java/merlinlever/zone/client/ZoneFetcher.java
+++ b/src/main/java/merlinlever/zone/client/ZoneFetcher.java
@@ -64,7 +64,8 @@
                 key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
         ZoneFetcher fetch = new ZoneFetcher(asker, origin, key, signed == null ? null : signed.mac(), id, done);
         try {
-            fetch.connection = Connection.connect(fetch.loop, server, fetch, 2 + DnsMessage.MOST, DnsMessage.MOST, SILENT);
+            fetch.connection =
+                    Connection.connect(fetch.loop, server, fetch, 2 + DnsMessage.MOST, DnsMessage.MOST, SILENT);
             fetch.connection.write(DnsClient.framed(signed == null ? question : signed.octets()));
             fetch.listen();
         } catch (IOException e) {
@@ -76,8 +77,8 @@
         if (silent != null) {
             silent.cancel();
         }
-        silent =
-                loop.schedule(SILENT, () -> end(null, "the transfer stopped: nothing came for " + SILENT.toSeconds() + " s"));
+        silent = loop.schedule(
+                SILENT, () -> end(null, "the transfer stopped: nothing came for " + SILENT.toSeconds() + " s"));
     }
 
     private void end(Zone zone, String why) {
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -103,7 +103,7 @@
 
         @Override
         public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
-            if (connection.closeReason() != null) {
+            if (!connection.isOpen()) {
                 done.accept(false);
                 return;
             }
--- a/src/test/java/merlinlever/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/net/ConnectionRaceTest.java
@@ -22,7 +22,7 @@
 import java.util.Queue;
 import net.jqwik.api.Example;
 
-/** Ends, failures and writes of connections that cross each other. */
+/** Closes, failures and writes of connections that race each other. */
 class ConnectionRaceTest {
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -30,7 +30,7 @@
 
     private EventLoop loop() throws IOException {
         EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add);
-        // Whatever goes wrong, no test waits for ever.
+        // Whatever fails, no test runs for ever.
         loop.schedule(Duration.ofSeconds(20), () -> {
             failures.add(new IllegalStateException("it took too long"));
             loop.stop();
@@ -38,7 +38,7 @@
         return loop;
     }
 
-    /** Hears the end, which stops the loop; what else it does is up to each test. */
+    /** Records the close and stops the loop; each test adds what else it needs. */
     private static class LoopStoppingHandler implements Connection.Handler {
         final List<CloseReason> closeReasons = new ArrayList<>();
         final EventLoop loop;
@@ -60,12 +60,12 @@
     }
 
     private static boolean noDelay(Connection connection) throws ReflectiveOperationException, IOException {
-        Field field = Connection.class.getDeclaredField("channel");
+        Field field = SocketConnection.class.getDeclaredField("channel");
         field.setAccessible(true);
         return ((AsynchronousSocketChannel) field.get(connection)).getOption(StandardSocketOptions.TCP_NODELAY);
     }
 
-    /** The system holds nothing back on any stream: small writes would wait there, and a reset throw them away. */
+    /** Without TCP_NODELAY small writes would be delayed by the system, and lost with a reset. */
     @Example
     void acceptedAndConnectedStreamsHaveNoDelaySet() throws Exception {
         EventLoop loop = loop();
@@ -85,8 +85,8 @@
                 },
                 () -> {});
         listener.accept();
-        Connection dialled =
-                Connection.connect(loop, listener.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
+        Connection dialled = Connection.connect(
+                loop, listener.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
         loop.run();
         assertEquals(List.of(true), accepted);
         assertTrue(noDelay(dialled));
@@ -94,7 +94,7 @@
         loop.group().shutdownNow();
     }
 
-    /** A user that fails as it hears of a connection made, or of all written, ends it: nobody else would look at it again. */
+    /** A handler that throws outside a read closes its connection, which nothing would touch again. */
     @Example
     void aHandlerThatThrowsInOnConnectedOrOnFlushedClosesItsConnection() throws Exception {
         for (boolean asMade : new boolean[] {true, false}) {
@@ -126,14 +126,14 @@
     }
 
     /**
-     * Bytes come while what was left of earlier ones is offered again: the channel's own thread reads them at that very
-     * moment, and must not write into the buffer that the user has in its hands.
+     * Bytes arrive while earlier ones are handed over again: the channel's own thread reads them at that moment, and
+     * must not write into the buffer that the handler is using.
      */
     @Example
     void bytesArrivingDuringRedeliveryDoNotTouchTheDeliveredBuffer() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
-            Field ready = EventLoop.class.getDeclaredField("ready");
+            Field ready = EventLoop.class.getDeclaredField("readyTasks");
             ready.setAccessible(true);
             Socket[] peer = new Socket[1];
             Connection[] made = new Connection[1];
@@ -147,7 +147,7 @@
                         @Override
                         public void onReceived(ByteBuffer in) {
                             if (++offers == 1) {
-                                // Left; by then the next read is pending.
+                                // The bytes are left; the next read is pending by then.
                                 loop.execute(() -> loop.execute(made[0]::redeliver));
                             } else if (offers == 2) {
                                 try {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** More buffers than one write takes, and more bytes than the system takes at once: all arrive, in order, said once. */
+    /** More buffers than one write takes and more bytes than the system buffers: all arrive in order, reported once. */
     @Example
     void dataNeedingManyWritesArrivesCompleteAndInOrderAndIsReportedOnce() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
@@ -235,7 +235,7 @@
         }
     }
 
-    /** Over with a read and a write pending and a time limit set: one end is heard, and what fires later finds it over. */
+    /** Closed with a read, a write and a timer pending: one close is reported, and later completions have no effect. */
     @Example
     void completionsAfterCloseChangeNothing() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
@@ -250,7 +250,7 @@
                         public void onConnected() {
                             made[0].write(ByteBuffer.allocate(8 << 20));
                             loop.schedule(Duration.ofMillis(20), () -> made[0].close(CloseReason.COMPLETED));
-                            // Past the time limit of the dialling.
+                            // Past the connect timeout.
                             loop.schedule(Duration.ofMillis(150), loop::stop);
                         }
 
@@ -283,7 +283,7 @@
         }
     }
 
-    /** An error that is no handler's own ends the loop, and whoever runs it hears it: it never goes on half done. */
+    /** An error other than a stack overflow ends the loop and is thrown to its caller; the loop does not go on. */
     @Example
     void anErrorOtherThanStackOverflowIsThrownOutOfTheLoop() throws Exception {
         EventLoop loop = loop();
@@ -303,15 +303,15 @@
         return recurseForever(loop) + 1;
     }
 
-    /** Out of descriptors each accept fails at once: it is tried again after a pause, also where others end meanwhile. */
+    /** Out of file descriptors each accept fails at once: it is retried after a delay, whatever is closed meanwhile. */
     @Example
     void anAcceptorThatCannotAcceptPauses() throws Exception {
-        // The clock stands still, so the pause does not end.
+        // The clock stands still, so the delay does not end.
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, () -> 0), failures::add);
         int[] asked = new int[1];
         ConnectionAcceptor listener =
                 new ConnectionAcceptor(loop, new InetSocketAddress(LOOPBACK, 0), 4, channel -> {}, () -> asked[0]++);
-        // A closed channel fails each accept, as a full table of descriptors does.
+        // A closed channel fails each accept, as a full descriptor table does.
         Field field = ConnectionAcceptor.class.getDeclaredField("channel");
         field.setAccessible(true);
         ((AsynchronousServerSocketChannel) field.get(listener)).close();
--- a/src/test/java/merlinlever/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/net/ConnectionTest.java
@@ -12,7 +12,6 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.atomic.AtomicLong;
 import merlinlever.Outcome;
 import merlinlever.faults.process.PortAllocator;
 import net.jqwik.api.Example;
@@ -21,7 +20,7 @@
 
     private final List<Throwable> failures = new ArrayList<>();
 
-    /** Records the end of a connection and stops the loop with it. */
+    /** Records the close of a connection and stops the loop. */
     private static final class CloseRecorder implements Connection.Handler {
         final List<CloseReason> closeReasons = new ArrayList<>();
         private final EventLoop loop;
@@ -51,59 +50,6 @@
         return new EventLoop(MonotonicClock.system(), failures::add);
     }
 
-    @Example
-    void unixTimesAreConvertedByTheLastMeasuredOffset() {
-        AtomicLong nanos = new AtomicLong(50);
-        AtomicLong unix = new AtomicLong(10_000_000_000L);
-        // Held up by 400 ms between its first two readings of the clocks, and by nothing between later ones.
-        AtomicLong readings = new AtomicLong();
-        MonotonicClock clock = new MonotonicClock(
-                () -> {
-                    long then = unix.get();
-                    if (readings.incrementAndGet() == 1) {
-                        nanos.addAndGet(400_000_000);
-                        unix.addAndGet(400_000_000);
-                    }
-                    return then;
-                },
-                nanos::get);
-        assertEquals(Duration.ofMillis(400), clock.now());
-        assertEquals(Duration.ofMillis(-500), clock.fromUnixMillis(9_500));
-        clock.setOriginAgo(Duration.ofMillis(100));
-        assertEquals(Duration.ofMillis(100), clock.now());
-        assertEquals(Duration.ofMillis(-300), clock.fromUnixMillis(10_000));
-        // The Unix clock gains on the other one: that is seen at the next comparison, and the spans go on as they were.
-        unix.addAndGet(30_000_000);
-        clock.resyncUnixOffset();
-        assertEquals(Duration.ofMillis(100), clock.now());
-        assertEquals(Duration.ofMillis(-330), clock.fromUnixMillis(10_000));
-    }
-
-    /** A late loop runs what is due in the order in which it was due, and what repeats runs once. */
-    @Example
-    void afterAStallTimersRunInOrderAndPeriodicOnesOnce() throws IOException {
-        AtomicLong nanos = new AtomicLong();
-        EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, nanos::get), failures::add);
-        List<String> ran = new ArrayList<>();
-        loop.schedule(Duration.ofMillis(30), () -> ran.add("b"));
-        loop.schedule(Duration.ofMillis(20), () -> ran.add("a"));
-        EventLoop.Timer off = loop.schedule(Duration.ofMillis(25), () -> ran.add("off"));
-        loop.runNowAndEvery(Duration.ofMillis(10), () -> ran.add("tick"));
-        off.cancel();
-        loop.execute(() -> {
-            throw new IllegalStateException("on purpose");
-        });
-        loop.execute(() -> nanos.addAndGet(500_000_000));
-        loop.setAfterBatch(() -> {
-            if (ran.contains("b")) {
-                loop.stop();
-            }
-        });
-        loop.run();
-        assertEquals(List.of("tick", "tick", "a", "b"), ran);
-        assertEquals(1, failures.size());
-    }
-
     private CloseRecorder connectTo(int port, EventLoop loop, boolean fails) throws IOException {
         CloseRecorder ends = new CloseRecorder(loop, fails);
         Connection.connect(loop, new InetSocketAddress("127.0.0.1", port), ends, 64, 1024, Duration.ofSeconds(5));
@@ -113,7 +59,7 @@
 
     @Example
     void aConnectionClosesOnceWithTheMatchingReason() throws IOException {
-        // One that no other process of these tests listens at meanwhile either.
+        // A port that no other process of these tests listens at.
         int closed = PortAllocator.free();
         CloseRecorder refused = connectTo(closed, loop(), false);
         assertEquals(List.of(CloseReason.CONNECT_FAILED), refused.closeReasons);
@@ -131,13 +77,16 @@
                 });
                 other.start();
                 CloseRecorder ends = connectTo(server.getLocalPort(), loop(), fails);
-                assertEquals(List.of(fails ? CloseReason.HANDLER_FAILED : CloseReason.CLOSED_BY_PEER), ends.closeReasons);
+                assertEquals(
+                        List.of(fails ? CloseReason.HANDLER_FAILED : CloseReason.CLOSED_BY_PEER), ends.closeReasons);
                 assertEquals(fails ? 1 : 0, failures.size());
             }
         }
     }
 
-    /** In memory a connection carries bytes both ways, piece by piece where the buffer is small, and ends at both ends. */
+    /**
+     * An in-memory connection carries bytes both ways, in pieces where the buffer is small, and closes at both ends.
+     */
     @Example
     void anInMemoryConnectionCarriesBytesBothWaysAndClosesAtBothEnds() {
         StringBuilder there = new StringBuilder();
@@ -197,7 +146,7 @@
         assertEquals(List.of(), failures);
     }
 
-    /** What the other side does not take is bounded. */
+    /** The bytes that the peer does not read are bounded. */
     @Example
     void exceedingTheWriteQueueLimitClosesTheConnection() throws IOException {
         try (ServerSocket server = new ServerSocket(0)) {
--- a/src/test/java/merlinlever/net/ManualClockLoop.java
+++ b/src/test/java/merlinlever/net/ManualClockLoop.java
@@ -16,10 +16,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** A real loop on a thread of its own, whose time stands still but where the test moves it on. */
+/** A real event loop on a thread of its own, whose clock advances only where the test advances it. */
 public final class ManualClockLoop implements AutoCloseable {
 
-    /** Of real time, for what never comes; it decides no verdict. */
+    /** Real time to wait for something that never comes; it decides no assertion otherwise. */
     public static final int TIMEOUT_MS = 10_000;
 
     private final AtomicLong nanos = new AtomicLong(1_000_000_000_000L);
@@ -27,13 +27,13 @@
     private final Thread thread;
     public final EventLoop loop;
 
-    /** On sockets. */
+    /** A loop on sockets. */
     public ManualClockLoop() throws IOException {
         loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add);
         thread = startThread();
     }
 
-    /** In memory: what is connected to is a party of the test's. */
+    /** A loop in memory, on which connecting reaches the test's peers. */
     public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> peers) {
         loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, peers);
         thread = startThread();
@@ -46,7 +46,7 @@
         return started;
     }
 
-    /** What the task returns, which runs on the loop. */
+    /** Runs the task on the loop and returns its result. */
     public <T> T callOnLoop(Supplier<T> task) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
@@ -70,7 +70,7 @@
         });
     }
 
-    /** So much later; the timers that are due have run when this returns. */
+    /** Advances the clock; the timers that are due have run when this returns. */
     public void advance(long ms) {
         CompletableFuture<Void> last = new CompletableFuture<>();
         loop.execute(() -> {
@@ -80,19 +80,19 @@
         join(last);
     }
 
-    /** From a task on the loop: its timers are due with the batch that runs. */
+    /** Advances the clock from a task on the loop: timers are due with the running batch. */
     public void advanceOnLoop(long ms) {
         nanos.addAndGet(Duration.ofMillis(ms).toNanos());
     }
 
-    /** So many batches have run; in memory all that was under way has arrived after some. */
+    /** Runs so many batches; on a loop in memory everything written has arrived after a few. */
     public void runBatches(int count) {
         for (int i = 0; i < count; i++) {
             advance(0);
         }
     }
 
-    /** Waits for what is sure to come. */
+    /** Waits until the condition, which is evaluated on the loop, holds. */
     public void awaitCondition(BooleanSupplier condition, String description) {
         long startedNanos = System.nanoTime();
         while (!callOnLoop(condition::getAsBoolean)) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Ends it; nothing on it may have failed. */
+    /** Stops the loop, and asserts that nothing on it has failed. */
     @Override
     public void close() {
         loop.stop();
--- a/src/test/java/merlinlever/net/TaskHandOffProgram.java
+++ b/src/test/java/merlinlever/net/TaskHandOffProgram.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** What {@link TaskHandOffTest} looks into: a loop with a timer that never rests, and a thread that hands it tasks. */
+/** The program that {@link TaskHandOffTest} debugs: a loop with a periodic timer, and a thread that hands it tasks. */
 final class TaskHandOffProgram {
 
     static volatile int ticks;
--- a/src/test/java/merlinlever/net/TaskHandOffTest.java
+++ b/src/test/java/merlinlever/net/TaskHandOffTest.java
@@ -25,9 +25,9 @@
 import net.jqwik.api.Example;
 
 /**
- * A thread that hands a task to the loop may be held for any time at any line of it: the machine runs another one, or
- * the runtime stops it. The loop must neither wait for it nor turn round and round until it goes on. Here a second
- * process is looked into: the one thread is held at each line that it passes, and the loop's timers have to go on.
+ * A thread that hands a task to the loop may be suspended at any line, by the system or the runtime. The loop must
+ * neither wait for it nor spin until it goes on. This test debugs a second process: it suspends the thread at each line
+ * that it passes, and the loop's timers must keep running.
  */
 class TaskHandOffTest {
 
@@ -38,7 +38,8 @@
     void timersKeepRunningWhileTheHandingThreadIsSuspendedAtAnyLine() throws Exception {
         VirtualMachine machine = launch();
         try {
-            ClassPrepareRequest classPrepareRequest = machine.eventRequestManager().createClassPrepareRequest();
+            ClassPrepareRequest classPrepareRequest =
+                    machine.eventRequestManager().createClassPrepareRequest();
             classPrepareRequest.addClassFilter(TaskHandOffProgram.class.getName());
             classPrepareRequest.setSuspendPolicy(EventRequest.SUSPEND_ALL);
             classPrepareRequest.enable();
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Waits for another turn of the timer while the thread is held. */
+    /** Waits for further runs of the timer while the thread is suspended. */
     private static void assertTimersKeepRunning(ReferenceType program, LocatableEvent at) throws InterruptedException {
         Field ticks = program.fieldByName("ticks");
         int before = ((IntegerValue) program.getValue(ticks)).value();
