--- /dev/null
+++ b/src/main/java/merlinlever/agent/AgentCommands.java
@@ -0,0 +1,55 @@
+package merlinlever.agent;
+
+import java.util.Base64;
+import merlinlever.core.TrackedRequest;
+import merlinlever.json.Json;
+
+/** Encodes the commands to the agent: one JSON object a line, with its line end. */
+final class AgentCommands {
+
+    private AgentCommands() {}
+
+    /** Asks for all events after the offset. */
+    static String subscribe(long lastOffset) {
+        return "{\"cmd\":\"subscribe\",\"offset\":" + lastOffset + "}\n";
+    }
+
+    /** Asks for the gauges; the answer carries the token. */
+    static String sample(String token) {
+        return "{\"cmd\":\"sample\",\"token\":\"" + token + "\"}\n";
+    }
+
+    /** Asks for the work of a deep health check; the answer carries the token. */
+    static String exercise(String token) {
+        return "{\"cmd\":\"exercise\",\"token\":\"" + token + "\"}\n";
+    }
+
+    /** Starts the run of a request; the agent ignores it where the run has been started already. */
+    static String launch(TrackedRequest request) {
+        return forRequest(
+                "launch", request, ",\"method\":" + Json.quoted(request.priorityClassName()) + payload(request.body()));
+    }
+
+    /** Stops the run. */
+    static String freeze(TrackedRequest request) {
+        return forRequest("freeze", request, "");
+    }
+
+    /** Hands the run the reply to its downstream call. */
+    static String deliver(TrackedRequest request, byte[] reply) {
+        return forRequest("deliver", request, payload(reply));
+    }
+
+    /** Lets the run go on without its downstream call. */
+    static String forgo(TrackedRequest request) {
+        return forRequest("forgo", request, "");
+    }
+
+    private static String forRequest(String command, TrackedRequest request, String members) {
+        return "{\"cmd\":\"" + command + "\",\"req\":\"" + request.idText() + "\"" + members + "}\n";
+    }
+
+    private static String payload(byte[] bytes) {
+        return ",\"payload\":\"" + Base64.getEncoder().encodeToString(bytes) + "\"";
+    }
+}
--- a/src/main/java/merlinlever/agent/AgentEvent.java
+++ b/src/main/java/merlinlever/agent/AgentEvent.java
@@ -1,99 +1,210 @@
 package merlinlever.agent;
 
-import java.util.Base64;
-import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import merlinlever.Outcome;
 import merlinlever.json.Json;
 
-/**
- * One line of the agent.
- *
- * @param offset its number, or 0 where it has none
- * @param id of the operation, or 0
- * @param ending how the run ended, where that is what it says
- * @param row the gauges, where it brings them
- */
-record AgentEvent(
-        String word,
-        long offset,
-        long id,
-        String text,
-        Outcome ending,
-        double elapsedMs,
-        byte[] payload,
-        String token,
-        double[] row) {
-
-    /** The notice on the line. */
+/** One event that the agent reports. */
+sealed interface AgentEvent {
+
+    /** Reads the event on one line. */
     static AgentEvent parse(String line) throws Json.MalformedJsonException {
-        Map<?, ?> object = Json.object(line);
-        try {
-            String text = string(object, "result");
-            String id = string(object, "req");
-            String payload = string(object, "payload");
-            return new AgentEvent(
-                    string(object, "cmd"),
-                    offset(object),
-                    id == null ? 0 : Long.parseUnsignedLong(id, 16),
-                    text,
-                    ending(text),
-                    number(object, "elapsed_ms"),
-                    payload == null ? new byte[0] : Base64.getDecoder().decode(payload),
-                    string(object, "token"),
-                    row(object.get("load")));
-        } catch (IllegalArgumentException e) {
-            throw new Json.MalformedJsonException("not a notice: " + e.getMessage());
+        return AgentEventParser.parse(line);
+    }
+
+    /** Position in the agent's event log, counted from 1; 0 for events that are not part of the log. */
+    long offset();
+
+    /** Calls the handler's method for this kind of event. */
+    void dispatch(AgentConnection source, Handler handler);
+
+    /** Receives events by kind. */
+    interface Handler {
+        /** The agent accepts commands on the connection from now on. */
+        void onGreeting(AgentConnection source, Greeting event);
+
+        /** A run has ended. */
+        void onRunEnded(RunEnded event);
+
+        /** A run waits for the reply to a downstream call. */
+        void onCallRequested(CallRequested event);
+
+        /** The answer to a request for the gauges. */
+        void onSampled(Sampled event);
+
+        /** The answer to a deep health check. */
+        void onExercised(Exercised event);
+
+        /** The agent rejected a command. */
+        void onCommandRefused(CommandRefused event);
+
+        /** A kind of event that this version does not know. */
+        void onUnknown(Unknown event);
+    }
+
+    /**
+     * The first event on a connection.
+     *
+     * @param startMode {@code COLD} or {@code WARM}: whether the agent started with empty caches
+     * @param elapsedMs milliseconds since the agent started
+     */
+    record Greeting(long offset, String startMode, double elapsedMs) implements AgentEvent {
+        /** Whether the agent started with empty caches. */
+        boolean isCold() {
+            return "COLD".equals(startMode);
+        }
+
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onGreeting(source, this);
+        }
+    }
+
+    /** A run has ended. */
+    final class RunEnded implements AgentEvent {
+        private final long offset;
+        private final long requestId;
+        private final Optional<Outcome> outcome;
+        private final byte[] result;
+
+        RunEnded(long offset, long requestId, Optional<Outcome> outcome, byte[] result) {
+            this.offset = offset;
+            this.requestId = requestId;
+            this.outcome = outcome;
+            this.result = result;
+        }
+
+        @Override
+        public long offset() {
+            return offset;
+        }
+
+        /** The request that was run. */
+        long requestId() {
+            return requestId;
+        }
+
+        /** How it ended; empty where the agent did not say. */
+        Optional<Outcome> outcome() {
+            return outcome;
+        }
+
+        /** The bytes for the caller; empty where there are none. */
+        byte[] result() {
+            return result;
+        }
+
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onRunEnded(this);
+        }
+    }
+
+    /** A run waits for the reply to a downstream call. */
+    final class CallRequested implements AgentEvent {
+        private final long offset;
+        private final long requestId;
+        private final byte[] body;
+
+        CallRequested(long offset, long requestId, byte[] body) {
+            this.offset = offset;
+            this.requestId = requestId;
+            this.body = body;
+        }
+
+        @Override
+        public long offset() {
+            return offset;
+        }
+
+        /** The request whose run waits. */
+        long requestId() {
+            return requestId;
+        }
+
+        /** The body of the call. */
+        byte[] body() {
+            return body;
+        }
+
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onCallRequested(this);
         }
     }
 
-    private static String string(Map<?, ?> object, String name) {
-        Object value = object.get(name);
-        if (value != null && !(value instanceof String)) {
-            throw new IllegalArgumentException(name + " is no string");
+    /** The gauges, in the order of the setting that lists them. */
+    final class Sampled implements AgentEvent {
+        private final long offset;
+        private final String token;
+        private final double[] gauges;
+
+        Sampled(long offset, String token, double[] gauges) {
+            this.offset = offset;
+            this.token = token;
+            this.gauges = gauges;
+        }
+
+        @Override
+        public long offset() {
+            return offset;
+        }
+
+        /** The token of the question. */
+        String token() {
+            return token;
+        }
+
+        /** The values; any number of them. */
+        double[] gauges() {
+            return gauges;
+        }
+
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onSampled(this);
         }
-        return (String) value;
     }
 
-    /** One that is no number of a notice would be the last that is ever read: all others lie below it. */
-    private static long offset(Map<?, ?> object) {
-        Object value = object.get("offset");
-        if (value != null && !(value instanceof Long number && number >= 0)) {
-            throw new IllegalArgumentException("offset is no number of a notice");
+    /**
+     * The answer to a deep health check.
+     *
+     * @param token of the question
+     * @param succeeded whether the work was done
+     */
+    record Exercised(long offset, String token, boolean succeeded) implements AgentEvent {
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onExercised(this);
         }
-        return value == null ? 0 : (Long) value;
     }
 
-    private static double number(Map<?, ?> object, String name) {
-        Object value = object.get(name);
-        if (value != null && !(value instanceof Number)) {
-            throw new IllegalArgumentException(name + " is no number");
+    /**
+     * The agent rejected a command.
+     *
+     * @param command the command's name
+     * @param requestId the request that it was for
+     */
+    record CommandRefused(long offset, String command, long requestId) implements AgentEvent {
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onCommandRefused(this);
         }
-        return value == null ? 0 : ((Number) value).doubleValue();
     }
 
-    private static double[] row(Object value) {
-        if (!(value instanceof List<?> list)) {
-            return new double[0];
-        }
-        return list.stream()
-                .mapToDouble(item -> {
-                    if (item instanceof Number number) {
-                        return number.doubleValue();
-                    }
-                    throw new IllegalArgumentException("a gauge is no number");
-                })
-                .toArray();
+    /** An event of the log that does not concern this server. */
+    record Unrelated(long offset) implements AgentEvent {
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            // Counts in the log only.
+        }
     }
 
-    private static Outcome ending(String text) {
-        return text == null
-                ? null
-                : switch (text) {
-                    case "OK" -> Outcome.OK;
-                    case "STOPPED" -> Outcome.STOPPED;
-                    case "MOOT" -> Outcome.NOT_STARTED;
-                    default -> Outcome.ERROR;
-                };
+    /** A kind of event that this version does not know. */
+    record Unknown(long offset, String kind) implements AgentEvent {
+        @Override
+        public void dispatch(AgentConnection source, Handler handler) {
+            handler.onUnknown(this);
+        }
     }
 }
--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/agent/AgentLink.java
@@ -2,344 +2,353 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.Arrays;
-import java.util.Base64;
+import java.util.Optional;
 import merlinlever.Outcome;
 import merlinlever.core.Backend;
 import merlinlever.core.TrackedRequest;
 import merlinlever.json.Json;
 import merlinlever.log.Log;
 import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
 import merlinlever.net.EventLoop;
 
-/** The link to the agent: made again when it is lost, with each notice taken once and in its order. */
+/**
+ * The link to the agent. It keeps one connection, made again with a growing pause when it is lost, and resumes the
+ * agent's event log after the last offset read, so that each event counts once and in order. When the address changes,
+ * the connection in use stays until the agent greets on the new one.
+ */
 public final class AgentLink {
 
-    private static final int MAX_LINE_BYTES = 64 * 1024;
-    private static final int MAX_QUEUED_BYTES = 8 * 1024 * 1024;
-    private static final int MAX_RESULT_BYTES = 4096;
     private static final Duration INITIAL_BACKOFF = Duration.ofMillis(20);
     private static final Duration MAX_BACKOFF = Duration.ofMillis(500);
-    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration LIVENESS_CHECK_INTERVAL = Duration.ofMillis(500);
     private static final int MAX_UNANSWERED_CHECKS = 6;
-    private static final Duration HEALTH_EXERCISE_TIMEOUT = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final Backend backend;
     private final Log log;
+    private final SampleTracker samples = new SampleTracker();
+    private final HealthExercise exercise;
+    private final EventHandler events = new EventHandler();
+    private final AgentConnection.Listener connectionListener = new ConnectionListener();
     private InetSocketAddress address;
-    /** The greeted one that commands go over, or null. */
-    private Session active;
-    /** The one that is being made and takes its place with the greeting, or null. */
-    private Session pending;
+    /** The greeted connection, which commands are sent on; null while there is none. */
+    private AgentConnection active;
+    /** The connection that is being made and replaces the active one with its greeting; null while there is none. */
+    private AgentConnection pending;
 
     private EventLoop.Timer reconnectTimer;
     private Duration backoff = INITIAL_BACKOFF;
-    private long lastOffset, tokens;
-    /** What is asked on the link in use and not answered yet, or null: for the gauges, and whether all notices are read. */
-    private PendingSample gauges, caughtUp;
-
-    private String exercise;
-    private EventLoop.Timer exerciseLimit;
-    /** The link in use stood then, and took what had been sent before: a question that was asked then has its answer. */
-    private Duration stood = Duration.ZERO;
-
-    private int unanswered;
-
-    private record PendingSample(String token, Duration at) {
-        boolean answeredBy(AgentEvent notice) {
-            return token.equals(notice.token());
-        }
-    }
-
-    /** One connection; what comes on one that is neither in use nor coming is passed over. */
-    private final class Session implements Connection.Handler {
-        private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
-        private Connection connection;
-        private Duration madeAt;
-
-        @Override
-        public void onConnected() {
-            madeAt = loop.clock().now();
-            send("{\"cmd\":\"subscribe\",\"offset\":" + lastOffset + "}\n");
-        }
-
-        @Override
-        public void onReceived(ByteBuffer in) {
-            if (!lines.decode(in, this::line)) {
-                // On a new link it would come again.
-                log.warn("passed over a line of the agent that is too long");
-                lines.skipLine(in);
-            }
-        }
-
-        private void line(String line) {
-            if (this == active || this == pending) {
-                AgentLink.this.line(this, line);
-            }
-        }
-
-        @Override
-        public void onClosed(CloseReason how) {
-            if (this == active) {
-                log.warn("link to the agent lost: " + how + ", last notice " + lastOffset);
-                active = null;
-                backend.agentLinkLost(stood);
-            } else if (this == pending) {
-                pending = null;
-            } else {
-                return;
-            }
-            if (pending == null) {
-                scheduleReconnect();
-            }
-        }
-
-        private void send(String line) {
-            connection.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
-        }
-    }
+    private long lastOffset;
+    private long tokensIssued;
+    private int unansweredChecks;
 
+    /** Does nothing before {@link #start}. */
     public AgentLink(EventLoop loop, InetSocketAddress address, Backend backend, Log log) {
         this.loop = loop;
         this.address = address;
         this.backend = backend;
         this.log = log;
+        exercise = new HealthExercise(loop, backend::deepCheckCompleted);
     }
 
+    // ---- the connection
+
+    /** Connects, and goes on watching the connection. */
     public void start() {
         connect();
         loop.runNowAndEvery(LIVENESS_CHECK_INTERVAL, this::checkLiveness);
     }
 
-    /** The agent is to be reached there from now on; the link in use stays until the new one is greeted. */
-    public void setAddress(InetSocketAddress there) {
-        if (there.equals(address)) {
+    /** Connects to the agent at the address from now on; the connection in use stays until the new one is greeted. */
+    public void setAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = there;
+        address = newAddress;
         backoff = INITIAL_BACKOFF;
-        Session stale = pending;
+        AgentConnection stale = pending;
         pending = null;
         if (stale != null) {
-            stale.connection.close(CloseReason.COMPLETED);
+            stale.close(CloseReason.COMPLETED);
         }
         connect();
     }
 
-    /** A link on which questions stay unanswered for so many checks is made anew; a stall of ours is one check. */
+    /** Closes a connection on which questions stay unanswered; a pause of this process counts as one check only. */
     private void checkLiveness() {
-        // Before it is up the agent may take as long for its greeting as it likes.
-        boolean waits = pending != null ? backend.isStarted() : active != null && gauges != null;
-        unanswered = waits ? unanswered + 1 : 0;
-        if (unanswered >= MAX_UNANSWERED_CHECKS) {
-            unanswered = 0;
-            (pending != null ? pending : active).connection.close(CloseReason.TIMED_OUT);
+        // Until it has started, the agent may take any time for its greeting.
+        boolean awaitsAnswer = pending != null ? backend.isStarted() : active != null && samples.isGaugesPending();
+        unansweredChecks = awaitsAnswer ? unansweredChecks + 1 : 0;
+        if (unansweredChecks >= MAX_UNANSWERED_CHECKS) {
+            unansweredChecks = 0;
+            (pending != null ? pending : active).close(CloseReason.TIMED_OUT);
         }
     }
 
     private void connect() {
-        if (reconnectTimer != null) {
-            reconnectTimer.cancel();
-            reconnectTimer = null;
-        }
-        unanswered = 0;
-        Session made = new Session();
+        cancelReconnect();
+        unansweredChecks = 0;
         try {
-            made.connection = Connection.connect(loop, address, made, MAX_LINE_BYTES, MAX_QUEUED_BYTES, CONNECT_TIMEOUT);
-            pending = made;
+            pending = AgentConnection.connect(loop, address, connectionListener, log);
         } catch (IOException e) {
-            log.error("no channel for the link to the agent", e);
+            log.error("agent-connect-failed", e);
             scheduleReconnect();
         }
     }
 
     private void scheduleReconnect() {
+        // The active connection can be lost while the next attempt is scheduled already.
+        cancelReconnect();
+        reconnectTimer = loop.schedule(backoff, this::connect);
+        Duration doubled = backoff.multipliedBy(2);
+        backoff = doubled.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : doubled;
+    }
+
+    private void cancelReconnect() {
         if (reconnectTimer != null) {
-            // A link can be lost while one to take its place is about to be made.
             reconnectTimer.cancel();
+            reconnectTimer = null;
         }
-        reconnectTimer = loop.schedule(backoff, this::connect);
-        backoff = backoff.multipliedBy(2).compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : backoff.multipliedBy(2);
     }
 
-    private void line(Session from, String line) {
-        if (line.isBlank()) {
-            return;
-        }
-        try {
-            notice(from, AgentEvent.parse(line));
-        } catch (Json.MalformedJsonException e) {
-            log.warn("passed over a line of the agent: " + e.getMessage());
+    // ---- events
+
+    /** Acts on what happens on the connections. */
+    private final class ConnectionListener implements AgentConnection.Listener {
+
+        @Override
+        public long lastOffset() {
+            return lastOffset;
         }
-    }
 
-    private void notice(Session from, AgentEvent notice) {
-        if (notice.offset() > 0) {
-            if (notice.offset() <= lastOffset) {
+        @Override
+        public void onLine(AgentConnection source, String line) {
+            boolean isCurrent = source == active || source == pending;
+            if (!isCurrent || line.isBlank()) {
                 return;
             }
-            if (notice.offset() > lastOffset + 1) {
-                log.warn("notices " + (lastOffset + 1) + " to " + (notice.offset() - 1) + " were missed");
-                backend.agentEventsLost(loop.clock().now());
-            }
-            lastOffset = notice.offset();
-        }
-        switch (notice.word() == null ? "" : notice.word()) {
-            case "greeting" -> {
-                if (from == pending) {
-                    greeted(notice);
+            try {
+                AgentEvent event = AgentEvent.parse(line);
+                if (advanceTo(event.offset())) {
+                    event.dispatch(source, events);
                 }
+            } catch (Json.MalformedJsonException e) {
+                log.warn("agent-line-ignored reason=malformed detail=" + e.getMessage());
             }
-            case "outcome" -> outcome(notice);
-            case "request" -> backend.callNeeded(loop.clock().now(), notice.id(), notice.payload());
-            case "sampled" -> sampled(notice);
-            case "exercised" -> {
-                if (notice.token() != null && notice.token().equals(exercise)) {
-                    exerciseOver();
-                    backend.deepCheckCompleted(notice.ending() == Outcome.OK);
-                }
+        }
+
+        @Override
+        public void onClosed(AgentConnection source, CloseReason reason) {
+            if (source == active) {
+                log.warn("agent-link-lost reason=" + reason + " last_offset=" + lastOffset);
+                active = null;
+                backend.agentLinkLost(samples.confirmedUntil());
+            } else if (source == pending) {
+                pending = null;
+            } else {
+                return;
             }
-            case "refusal" -> {
-                log.warn("the agent would not " + notice.text() + " " + Long.toHexString(notice.id()));
-                if ("launch".equals(notice.text())) {
-                    backend.runEnded(loop.clock().now(), notice.id(), Outcome.NOT_STARTED, null);
-                }
+            if (pending == null) {
+                scheduleReconnect();
             }
-            case "aside" -> {}
-            default -> log.warn("unknown word of the agent: " + notice.word());
         }
     }
 
-    private void greeted(AgentEvent notice) {
-        Session before = active;
-        active = pending;
-        pending = null;
-        gauges = null;
-        unanswered = 0;
-        backoff = INITIAL_BACKOFF;
-        if (before != null) {
-            // It was replaced at some time after the new one had been made.
-            backend.agentLinkLost(stood.compareTo(active.madeAt) < 0 ? stood : active.madeAt);
-            before.connection.close(CloseReason.COMPLETED);
+    /** Moves on in the agent's event log; false for an event that has been read already. */
+    private boolean advanceTo(long offset) {
+        if (offset == 0) {
+            return true;
         }
-        stood = active.madeAt;
-        if (!backend.isStarted()) {
-            loop.clock().setOriginAgo(Duration.ofNanos((long) (notice.elapsedMs() * 1e6)));
-            stood = loop.clock().now();
-            log.info("the agent is up: " + notice.text() + ", started " + notice.elapsedMs() + " ms ago");
-            backend.agentStarted(loop.clock().now(), "COLD".equals(notice.text()));
-            return;
+        if (offset <= lastOffset) {
+            return false;
         }
-        log.info("link to the agent is back");
-        backend.agentLinkRestored(loop.clock().now());
-        caughtUp = ask("up");
-        if (exercise != null) {
-            askToExercise();
+        if (offset > lastOffset + 1) {
+            log.warn("agent-events-missed first=" + (lastOffset + 1) + " last=" + (offset - 1));
+            backend.agentEventsLost(loop.clock().now());
         }
+        lastOffset = offset;
+        return true;
     }
 
-    private void outcome(AgentEvent notice) {
-        Outcome how = notice.ending();
-        if (how == null) {
-            log.warn("an outcome without a result");
-            how = Outcome.ERROR;
+    /** Acts on each kind of event. */
+    private final class EventHandler implements AgentEvent.Handler {
+
+        private static final int MAX_RESULT_BYTES = 4096;
+
+        @Override
+        public void onGreeting(AgentConnection source, AgentEvent.Greeting event) {
+            if (source == pending) {
+                activatePending();
+                if (backend.isStarted()) {
+                    resume();
+                } else {
+                    begin(event);
+                }
+            }
         }
-        if (how == Outcome.OK && notice.payload().length > MAX_RESULT_BYTES) {
-            log.warn("a result of " + notice.payload().length + " bytes is not passed on");
-            how = Outcome.ERROR;
+
+        @Override
+        public void onRunEnded(AgentEvent.RunEnded event) {
+            backend.runEnded(loop.clock().now(), event.requestId(), checkedOutcome(event), event.result());
         }
-        backend.runEnded(loop.clock().now(), notice.id(), how, notice.payload());
-    }
 
-    private void sampled(AgentEvent notice) {
-        if (caughtUp != null && caughtUp.answeredBy(notice)) {
-            stood = caughtUp.at;
-            caughtUp = null;
-            backend.agentEventsCaughtUp(loop.clock().now());
-        } else if (gauges != null && gauges.answeredBy(notice)) {
-            stood = gauges.at;
-            gauges = null;
-            unanswered = 0;
-            if (Arrays.stream(notice.row()).allMatch(gauge -> gauge >= 0 && gauge <= Double.MAX_VALUE)) {
-                backend.metricsReceived(loop.clock().now(), notice.row());
-            } else {
-                log.warn("passed over gauges that are out of range");
+        private Outcome checkedOutcome(AgentEvent.RunEnded event) {
+            Optional<Outcome> outcome = event.outcome();
+            if (outcome.isEmpty()) {
+                log.warn("agent-outcome-missing request=" + Long.toHexString(event.requestId()));
+                return Outcome.ERROR;
             }
-        } else {
-            log.warn("passed over gauges that were not asked for");
+            int resultBytes = event.result().length;
+            if (outcome.get() == Outcome.OK && resultBytes > MAX_RESULT_BYTES) {
+                log.warn("agent-result-dropped request=" + Long.toHexString(event.requestId()) + " bytes=" + resultBytes
+                        + " max_bytes=" + MAX_RESULT_BYTES);
+                return Outcome.ERROR;
+            }
+            return outcome.get();
+        }
+
+        @Override
+        public void onCallRequested(AgentEvent.CallRequested event) {
+            backend.callNeeded(loop.clock().now(), event.requestId(), event.body());
+        }
+
+        @Override
+        public void onSampled(AgentEvent.Sampled event) {
+            switch (samples.answered(event.token())) {
+                case CATCH_UP -> backend.agentEventsCaughtUp(loop.clock().now());
+                case GAUGES -> {
+                    unansweredChecks = 0;
+                    if (areInRange(event.gauges())) {
+                        backend.metricsReceived(loop.clock().now(), event.gauges());
+                    } else {
+                        log.warn("agent-gauges-ignored reason=out-of-range");
+                    }
+                }
+                case UNEXPECTED -> log.warn("agent-gauges-ignored reason=not-requested");
+            }
+        }
+
+        private static boolean areInRange(double[] gauges) {
+            for (double gauge : gauges) {
+                // Written so that NaN is out of range.
+                if (!(gauge >= 0 && gauge <= Double.MAX_VALUE)) {
+                    return false;
+                }
+            }
+            return true;
+        }
+
+        @Override
+        public void onExercised(AgentEvent.Exercised event) {
+            exercise.answered(event.token(), event.succeeded());
         }
-    }
 
-    private PendingSample ask(String kind) {
-        PendingSample question = new PendingSample(kind + tokens++, loop.clock().now());
-        active.send("{\"cmd\":\"sample\",\"token\":\"" + question.token + "\"}\n");
-        return question;
+        @Override
+        public void onCommandRefused(AgentEvent.CommandRefused event) {
+            log.warn("agent-command-refused command=" + event.command() + " request="
+                    + Long.toHexString(event.requestId()));
+            if ("launch".equals(event.command())) {
+                backend.runEnded(loop.clock().now(), event.requestId(), Outcome.NOT_STARTED, null);
+            }
+        }
+
+        @Override
+        public void onUnknown(AgentEvent.Unknown event) {
+            log.warn("agent-event-unknown kind=" + event.kind());
+        }
     }
 
-    private void exerciseOver() {
-        exercise = null;
-        if (exerciseLimit != null) {
-            exerciseLimit.cancel();
-            exerciseLimit = null;
+    /** The pending connection has been greeted and takes the place of the active one. */
+    private void activatePending() {
+        AgentConnection replaced = active;
+        active = pending;
+        pending = null;
+        samples.dropGauges();
+        unansweredChecks = 0;
+        backoff = INITIAL_BACKOFF;
+        Duration connectedAt = active.connectedAt();
+        if (replaced != null) {
+            // The agent gave it up at some time after the new one was made.
+            Duration confirmed = samples.confirmedUntil();
+            backend.agentLinkLost(confirmed.compareTo(connectedAt) < 0 ? confirmed : connectedAt);
+            replaced.close(CloseReason.COMPLETED);
         }
+        samples.setConfirmedUntil(connectedAt);
     }
 
-    // ---- commands; without a link they are lost, and the backend sends again what matters
+    /** The agent is there for the first time: the clock counts from its start. */
+    private void begin(AgentEvent.Greeting greeting) {
+        loop.clock().setOriginAgo(Duration.ofNanos((long) (greeting.elapsedMs() * 1e6)));
+        samples.setConfirmedUntil(loop.clock().now());
+        log.info("agent-up mode=" + greeting.startMode() + " started_ms_ago=" + greeting.elapsedMs());
+        backend.agentStarted(loop.clock().now(), greeting.isCold());
+    }
 
-    private void command(String word, TrackedRequest work, String rest) {
-        if (active != null) {
-            active.send("{\"cmd\":\"" + word + "\",\"req\":\"" + work.idText() + "\"" + rest + "}\n");
-        }
+    /** The agent is there again: what was in doubt is settled once all events of the time between have been read. */
+    private void resume() {
+        log.info("agent-link-restored");
+        backend.agentLinkRestored(loop.clock().now());
+        String token = nextToken("up");
+        samples.expectCatchUp(token, loop.clock().now());
+        active.send(AgentCommands.sample(token));
+        exercise.openToken().ifPresent(open -> active.send(AgentCommands.exercise(open)));
     }
 
-    private static String payload(byte[] bytes) {
-        return ",\"payload\":\"" + Base64.getEncoder().encodeToString(bytes) + "\"";
+    private String nextToken(String prefix) {
+        return prefix + tokensIssued++;
     }
 
-    public void launch(TrackedRequest work) {
-        command("launch", work, ",\"method\":" + Json.quoted(work.priorityClassName()) + payload(work.body()));
+    // ---- commands; without a connection they are lost, and the backend sends again what matters
+
+    /** Starts the run of a request. */
+    public void launch(TrackedRequest request) {
+        if (active != null) {
+            active.send(AgentCommands.launch(request));
+        }
     }
 
-    public void freeze(TrackedRequest work) {
-        command("freeze", work, "");
+    /** Stops the run of a request. */
+    public void freeze(TrackedRequest request) {
+        if (active != null) {
+            active.send(AgentCommands.freeze(request));
+        }
     }
 
-    public void deliver(TrackedRequest work, byte[] reply) {
-        command("deliver", work, payload(reply));
+    /** Hands a run the reply to its downstream call. */
+    public void deliver(TrackedRequest request, byte[] reply) {
+        if (active != null) {
+            active.send(AgentCommands.deliver(request, reply));
+        }
     }
 
-    public void forgo(TrackedRequest work) {
-        command("forgo", work, "");
+    /** Lets a run go on without its downstream call. */
+    public void forgo(TrackedRequest request) {
+        if (active != null) {
+            active.send(AgentCommands.forgo(request));
+        }
     }
 
-    /** One at a time. */
+    /** Asks for the gauges unless such a question is open or there is no connection; says whether it did. */
     public boolean sample() {
-        boolean asks = active != null && gauges == null;
-        if (asks) {
-            gauges = ask("s");
+        if (active == null || samples.isGaugesPending()) {
+            return false;
         }
-        return asks;
+        String token = nextToken("s");
+        samples.expectGauges(token, loop.clock().now());
+        active.send(AgentCommands.sample(token));
+        return true;
     }
 
-    /** One at a time too; without a link it is asked for once there is one, if that is soon. */
+    /**
+     * Asks for the work of a deep health check, one at a time; {@link Backend#deepCheckCompleted} gets the verdict.
+     * Without a connection it is asked for once there is one, within the time limit.
+     */
     public void requestHealthExercise() {
-        exercise = "x" + tokens++;
-        exerciseLimit = loop.schedule(HEALTH_EXERCISE_TIMEOUT, () -> {
-            exerciseOver();
-            backend.deepCheckCompleted(false);
-        });
+        String token = nextToken("x");
+        exercise.open(token);
         if (active != null) {
-            askToExercise();
+            active.send(AgentCommands.exercise(token));
         }
     }
-
-    private void askToExercise() {
-        active.send("{\"cmd\":\"exercise\",\"token\":\"" + exercise + "\"}\n");
-    }
 }
--- a/src/main/java/merlinlever/agent/LineDecoder.java
+++ b/src/main/java/merlinlever/agent/LineDecoder.java
@@ -4,18 +4,26 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Cuts what is read into lines; the bytes of a line that is not whole are left, and not looked at twice. */
+/** Cuts a stream of bytes into lines; the bytes of an incomplete line stay in the buffer and are not scanned twice. */
 public final class LineDecoder {
 
     private final int maxLineBytes;
+    /** Bytes at the front of the buffer that are known to hold no line end. */
     private int scannedBytes;
+
     private boolean skipping;
 
+    /** @param maxLineBytes as many bytes without a line end are too many */
     public LineDecoder(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
-    /** Hands over each whole line without its end; says whether what is left may still become one. */
+    /**
+     * Hands over each complete line without its line end.
+     *
+     * @param input an array-backed buffer; its position moves behind the last line end
+     * @return whether the rest may still become a line; if not, {@link #skipLine} drops it
+     */
     public boolean decode(ByteBuffer input, Consumer<String> lineConsumer) {
         byte[] bytes = input.array();
         int start = input.position();
@@ -36,7 +44,7 @@
         return scannedBytes < maxLineBytes;
     }
 
-    /** Of the line that is not whole, what came and what will still come is not handed over. */
+    /** Drops the incomplete line: what has come of it, and what will still come up to its line end. */
     public void skipLine(ByteBuffer input) {
         skipping = true;
         input.position(input.limit());
--- a/src/test/java/merlinlever/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/agent/AgentBytesTest.java
@@ -20,7 +20,8 @@
         Fixture fixture = new Fixture("agent.txt");
         Map<String, String> lines = new TreeMap<>();
         try (ServerSocket place = new ServerSocket(0, 5, AgentLinkFixture.LOOPBACK);
-                AgentLinkFixture backend = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(place));
+                AgentLinkFixture backend =
+                        new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(place));
                 Socket agent = place.accept()) {
             agent.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
             BufferedReader in =
@@ -29,7 +30,7 @@
             agent.getOutputStream()
                     .write("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}\n"
                             .getBytes(StandardCharsets.UTF_8));
-            // The link is in use once something comes on it.
+            // The connection is active once the greeting has been read.
             while (!lines.containsKey("sample")) {
                 backend.loop.advance(100);
                 backend.loop.runOnLoop(() -> backend.link.sample());
--- a/src/test/java/merlinlever/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/agent/AgentLinkFixture.java
@@ -35,7 +35,7 @@
 import merlinlever.net.EventLoop;
 import merlinlever.net.ManualClockLoop;
 
-/** A real backend with its real link to an agent that the test plays; what lies below and the callers are lists. */
+/** A real backend with a real link to an agent that the test plays; downstream calls and responses are recorded. */
 final class AgentLinkFixture implements BackendDependencies, DownstreamService, AutoCloseable {
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -50,24 +50,24 @@
     final ManualClockLoop loop;
     final Backend backend;
     final AgentLink link;
-    /** What it has logged, line by line. */
+    /** The log, line by line. */
     final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
 
     final Map<String, List<String>> answers = new HashMap<>();
     final Map<String, TrackedRequest> admitted = new HashMap<>();
     final List<String> calls = Collections.synchronizedList(new ArrayList<>());
-    /** Runs once after a batch, before what was written in it leaves. */
+    /** Runs once after a batch, before the batch's writes. */
     Runnable afterBatch;
 
     private final List<ServerSocket> agentServers = new ArrayList<>();
     private EventLoop.Timer alarm;
     private long lastRequestId = 0x9b1f03aa5c7e2d41L, seconds;
 
-    /** The agent's end of one link. */
+    /** The agent's end of one connection. */
     final class FakeAgent {
         final Socket socket;
         private final BufferedReader in;
-        /** What had been read when the link was made. */
+        /** The offset that the link subscribed after. */
         long resumeOffset;
 
         private FakeAgent(Socket socket) throws IOException {
@@ -77,7 +77,7 @@
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         }
 
-        /** The next command, whatever it is; null where the link was closed. */
+        /** The next command of any kind; null where the connection was closed. */
         Map<?, ?> nextCommand() throws IOException {
             String line = in.readLine();
             try {
@@ -87,7 +87,7 @@
             }
         }
 
-        /** The next command of the word; questions for the gauges between are answered. */
+        /** The next command of the kind; requests for gauges before it are answered. */
         Map<?, ?> awaitCommand(String word) throws IOException {
             for (Map<?, ?> next = nextCommand(); next != null; next = nextCommand()) {
                 if (next.get("cmd").equals(word)) {
@@ -124,7 +124,7 @@
             sendLine(AgentLinkFixture.callRequestLine(offset, name));
         }
 
-        /** All that was told before has been read. */
+        /** Waits until all that was sent before has been read. */
         void awaitAllRead() throws IOException {
             String mark = "mark" + seconds++;
             sendLine("{\"cmd\":\"" + mark + "\"}");
@@ -132,14 +132,14 @@
         }
     }
 
-    static String outcomeLine(long offset, String name, String result, String bytes) {
-        return "{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + name + "\",\"result\":\"" + result
+    static String outcomeLine(long offset, String requestId, String result, String bytes) {
+        return "{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + requestId + "\",\"result\":\"" + result
                 + "\",\"elapsed_ms\":3.5,\"payload\":\""
                 + Base64.getEncoder().encodeToString(bytes.getBytes(StandardCharsets.UTF_8)) + "\"}";
     }
 
-    static String callRequestLine(long offset, String name) {
-        return "{\"cmd\":\"request\",\"offset\":" + offset + ",\"req\":\"" + name + "\",\"payload\":\"AQI=\"}";
+    static String callRequestLine(long offset, String requestId) {
+        return "{\"cmd\":\"request\",\"offset\":" + offset + ",\"req\":\"" + requestId + "\",\"payload\":\"AQI=\"}";
     }
 
     AgentLinkFixture(ManualClockLoop loop, InetSocketAddress address) {
@@ -157,7 +157,7 @@
                 }
             }
         };
-        // Each line in a second of its own, so that none is left out.
+        // Each line in a second of its own, so that the rate limit drops none.
         Log log = new Log(new PrintStream(lines), () -> Instant.ofEpochSecond(++seconds));
         backend = new Backend(SETTINGS, 5, this);
         link = new AgentLink(loop.loop, address, backend, log);
@@ -174,25 +174,25 @@
         });
     }
 
-    /** Where the agent is to be reached. */
+    /** Opens a server socket for the agent. */
     ServerSocket openAgentServer() throws IOException {
-        ServerSocket place = new ServerSocket(0, 50, LOOPBACK);
-        place.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
-        agentServers.add(place);
-        return place;
+        ServerSocket server = new ServerSocket(0, 50, LOOPBACK);
+        server.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+        agentServers.add(server);
+        return server;
     }
 
-    static InetSocketAddress addressOf(ServerSocket place) {
-        return new InetSocketAddress(LOOPBACK, place.getLocalPort());
+    static InetSocketAddress addressOf(ServerSocket server) {
+        return new InetSocketAddress(LOOPBACK, server.getLocalPort());
     }
 
-    void moveTo(ServerSocket place) {
-        loop.runOnLoop(() -> link.setAddress(addressOf(place)));
+    void moveTo(ServerSocket server) {
+        loop.runOnLoop(() -> link.setAddress(addressOf(server)));
     }
 
-    /** The next link at the place. */
-    FakeAgent accept(ServerSocket place) throws IOException {
-        FakeAgent agent = new FakeAgent(place.accept());
+    /** Accepts the next connection. */
+    FakeAgent accept(ServerSocket server) throws IOException {
+        FakeAgent agent = new FakeAgent(server.accept());
         Map<?, ?> subscribe = agent.nextCommand();
         if (!subscribe.get("cmd").equals("subscribe")) {
             throw new IOException("not a subscription: " + subscribe);
@@ -201,24 +201,24 @@
         return agent;
     }
 
-    /** The next link at the place, which says so much has been read. */
-    FakeAgent accept(ServerSocket place, long offset) throws IOException {
-        FakeAgent agent = accept(place);
+    /** Accepts the next connection, which must subscribe after the offset. */
+    FakeAgent accept(ServerSocket server, long offset) throws IOException {
+        FakeAgent agent = accept(server);
         if (agent.resumeOffset != offset) {
             throw new IOException("a subscription after " + agent.resumeOffset + ", not " + offset);
         }
         return agent;
     }
 
-    /** Backend and agent are up. */
-    FakeAgent connectAndGreet(ServerSocket place) throws IOException {
-        FakeAgent agent = accept(place, 0);
+    /** Accepts and greets the first connection, and waits until the backend is healthy. */
+    FakeAgent connectAndGreet(ServerSocket server) throws IOException {
+        FakeAgent agent = accept(server, 0);
         agent.sendGreeting();
         loop.awaitCondition(backend::isHealthy, "good health");
         return agent;
     }
 
-    /** The link breaks, and that has been seen. */
+    /** Closes the agent's end, and waits until the link has noticed. */
     void breakLink(FakeAgent agent) throws IOException {
         long before = loop.callOnLoop(this::countLostLinks);
         agent.socket.close();
@@ -227,11 +227,11 @@
 
     private long countLostLinks() {
         return logLines.stream()
-                .filter(line -> line.contains("link to the agent lost"))
+                .filter(line -> line.contains("agent-link-lost"))
                 .count();
     }
 
-    /** The new link takes over, and all notices are read. */
+    /** Greets the new connection and answers its catch-up question. */
     void completeTakeover(FakeAgent agent) throws IOException {
         agent.sendGreeting();
         Map<?, ?> question = agent.nextCommand();
@@ -241,7 +241,7 @@
         agent.sendSampled(question.get("token"), "[0]");
     }
 
-    /** An operation has been read, and what follows from that has been decided: no outcome comes before its launch. */
+    /** Has a request received and the decisions about it made, so that no outcome can come before its launch. */
     String admitRequest() {
         String taken = loop.callOnLoop(this::admitRequestOnLoop);
         loop.runBatches(2);
@@ -249,46 +249,46 @@
     }
 
     private String admitRequestOnLoop() {
-        String name = String.format("%016x", ++lastRequestId);
+        String requestId = String.format("%016x", ++lastRequestId);
         List<String> heard = Collections.synchronizedList(new ArrayList<>());
-        answers.put(name, heard);
+        answers.put(requestId, heard);
         ResponseSink caller = new RecordingResponseSink(heard);
         Duration now = loop.loop.clock().now();
         admitted.put(
-                name,
+                requestId,
                 backend.receive(
                                 now,
                                 TestRequests.metadata(
-                                        new RequestId(lastRequestId, name),
+                                        new RequestId(lastRequestId, requestId),
                                         0,
                                         TestRequests.LOOKUP,
                                         new Timing(now, Optional.of(now.plusSeconds(100))),
                                         null,
                                         null),
-                                name.getBytes(StandardCharsets.UTF_8),
+                                requestId.getBytes(StandardCharsets.UTF_8),
                                 caller)
                         .orElse(null));
-        return name;
+        return requestId;
     }
 
-    void disconnectCaller(String name) {
-        loop.runOnLoop(() -> backend.callerDisconnected(loop.loop.clock().now(), admitted.get(name)));
+    void disconnectCaller(String requestId) {
+        loop.runOnLoop(() -> backend.callerDisconnected(loop.loop.clock().now(), admitted.get(requestId)));
     }
 
-    /** Has been answered, once, with that. */
-    void assertAnswered(String name, String answer) {
-        loop.awaitCondition(() -> !answers.get(name).isEmpty(), "the answer of " + name);
-        org.junit.jupiter.api.Assertions.assertEquals(List.of(answer), answers.get(name), name);
+    /** Asserts that the request has been answered once, with this. */
+    void assertAnswered(String requestId, String answer) {
+        loop.awaitCondition(() -> !answers.get(requestId).isEmpty(), "the answer of " + requestId);
+        org.junit.jupiter.api.Assertions.assertEquals(List.of(answer), answers.get(requestId), requestId);
     }
 
-    void completeCall(String name, String bytes) {
-        loop.runOnLoop(() -> completeCallOnLoop(name, bytes));
+    void completeCall(String requestId, String bytes) {
+        loop.runOnLoop(() -> completeCallOnLoop(requestId, bytes));
     }
 
-    void completeCallOnLoop(String name, String bytes) {
+    void completeCallOnLoop(String requestId, String bytes) {
         backend.callEnded(
                 loop.loop.clock().now(),
-                Long.parseUnsignedLong(name, 16),
+                Long.parseUnsignedLong(requestId, 16),
                 Outcome.OK,
                 bytes.getBytes(StandardCharsets.UTF_8));
     }
@@ -299,8 +299,8 @@
 
     @Override
     public void close() throws IOException {
-        for (ServerSocket place : agentServers) {
-            place.close();
+        for (ServerSocket server : agentServers) {
+            server.close();
         }
         loop.close();
     }
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -24,34 +24,34 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Two links to the agent and what comes on both, in many orders, and in the one that only one batch can make. */
+/** Events on two connections to the agent, in many orders, and in one that needs a single batch of the loop. */
 class AgentLinkOrderingTest {
 
-    /** What the agent has to tell, by number, and one link that tells it, in pieces and some of it twice. */
-    private static final class Teller {
-        private final AgentLinkFixture around;
-        private final List<String> notices;
+    /** Sends the agent's log on one connection, in pieces and some events twice. */
+    private static final class EventSender {
+        private final AgentLinkFixture fixture;
+        private final List<String> events;
         private final FakeAgent agent;
-        private String rest = "";
+        private String unsentRest = "";
         private int next;
 
-        Teller(AgentLinkFixture around, List<String> notices, FakeAgent agent) {
-            this.around = around;
-            this.notices = notices;
+        EventSender(AgentLinkFixture fixture, List<String> events, FakeAgent agent) {
+            this.fixture = fixture;
+            this.events = events;
             this.agent = agent;
             next = (int) agent.resumeOffset;
         }
 
-        boolean tell(Random chance) throws IOException {
-            if (!rest.isEmpty()) {
-                agent.sendLine(rest);
-                rest = "";
-            } else if (next < notices.size()) {
-                String line = notices.get(chance.nextInt(4) == 0 && next > 0 ? next - 1 : next++);
-                int cut = chance.nextInt(3) == 0 ? 1 + chance.nextInt(line.length() - 1) : line.length();
-                rest = line.substring(cut);
+        boolean sendNext(Random random) throws IOException {
+            if (!unsentRest.isEmpty()) {
+                agent.sendLine(unsentRest);
+                unsentRest = "";
+            } else if (next < events.size()) {
+                String line = events.get(random.nextInt(4) == 0 && next > 0 ? next - 1 : next++);
+                int cut = random.nextInt(3) == 0 ? 1 + random.nextInt(line.length() - 1) : line.length();
+                unsentRest = line.substring(cut);
                 agent.write(line.substring(0, cut));
-                if (rest.isEmpty()) {
+                if (unsentRest.isEmpty()) {
                     agent.write("\n");
                 }
             } else {
@@ -60,138 +60,143 @@
             return true;
         }
 
-        /** The order is forced where a line is whole. */
-        void read() throws IOException {
-            if (rest.isEmpty()) {
+        /** Waits until what was sent has been read, where that ends with a whole line. */
+        void awaitRead() throws IOException {
+            if (unsentRest.isEmpty()) {
                 agent.awaitAllRead();
             }
         }
     }
 
     /**
-     * The old link delivers, whole and half notices, until the new one is greeted; the new one may deliver before its
-     * greeting: every notice counts once, none is held for missed, and what is launched again is launched once.
+     * The old connection delivers whole and half events until the new one is greeted, and the new one may deliver
+     * before its greeting: every event counts once, none is taken for missed, and no request is relaunched twice.
      */
     @Property(tries = 40, seed = "36")
     void eventsOnTwoConnectionsCountOnceInAnyOrder(@ForAll long seed) throws IOException {
-        Random chance = new Random(seed);
-        try (ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.LOOPBACK);
-                AgentLinkFixture around = new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(first))) {
-            first.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
-            FakeAgent agent = around.connectAndGreet(first);
+        Random random = new Random(seed);
+        try (ServerSocket firstServer = new ServerSocket(0, 50, AgentLinkFixture.LOOPBACK);
+                AgentLinkFixture fixture =
+                        new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(firstServer))) {
+            firstServer.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+            FakeAgent agent = fixture.connectAndGreet(firstServer);
             List<String> names = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                names.add(around.admitRequest());
+                names.add(fixture.admitRequest());
             }
-            List<String> notices = new ArrayList<>();
+            List<String> events = new ArrayList<>();
             List<String> ends = new ArrayList<>(names);
-            Collections.shuffle(ends, chance);
+            Collections.shuffle(ends, random);
             for (String name : ends) {
-                while (chance.nextBoolean()) {
-                    notices.add("{\"cmd\":\"aside\",\"offset\":" + (notices.size() + 1) + ",\"result\":\"\"}");
+                while (random.nextBoolean()) {
+                    events.add("{\"cmd\":\"aside\",\"offset\":" + (events.size() + 1) + ",\"result\":\"\"}");
                 }
-                notices.add(AgentLinkFixture.outcomeLine(notices.size() + 1, name, "OK", "of " + name));
+                events.add(AgentLinkFixture.outcomeLine(events.size() + 1, name, "OK", "of " + name));
             }
-            Teller old = new Teller(around, notices, agent);
-            for (int i = chance.nextInt(notices.size()); i > 0; i--) {
-                old.tell(chance);
-                old.read();
+            EventSender oldSender = new EventSender(fixture, events, agent);
+            for (int i = random.nextInt(events.size()); i > 0; i--) {
+                oldSender.sendNext(random);
+                oldSender.awaitRead();
             }
-            ServerSocket second = around.openAgentServer();
-            around.moveTo(second);
-            Teller teller = new Teller(around, notices, around.accept(second));
-            boolean broken = chance.nextInt(3) == 0;
-            for (int i = chance.nextInt(12); i > 0; i--) {
-                Teller either = chance.nextBoolean() ? old : teller;
-                either.tell(chance);
-                either.read();
+            ServerSocket secondServer = fixture.openAgentServer();
+            fixture.moveTo(secondServer);
+            EventSender newSender = new EventSender(fixture, events, fixture.accept(secondServer));
+            boolean broken = random.nextInt(3) == 0;
+            for (int i = random.nextInt(12); i > 0; i--) {
+                EventSender either = random.nextBoolean() ? oldSender : newSender;
+                either.sendNext(random);
+                either.awaitRead();
             }
             if (broken) {
-                around.breakLink(old.agent);
+                fixture.breakLink(oldSender.agent);
             }
-            if (!teller.rest.isEmpty()) {
-                teller.tell(chance);
+            if (!newSender.unsentRest.isEmpty()) {
+                newSender.sendNext(random);
             }
-            around.completeTakeover(teller.agent);
-            while (teller.tell(chance)) {
-                // All is told, in pieces that the loop may find in whatever portions.
+            fixture.completeTakeover(newSender.agent);
+            while (newSender.sendNext(random)) {
+                // Everything is sent, in pieces that the loop may read in any portions.
             }
             for (String name : names) {
-                around.assertAnswered(name, "succeeded of " + name);
+                fixture.assertAnswered(name, "succeeded of " + name);
             }
-            assertTrue(
-                    logLines(around).stream().noneMatch(line -> line.contains("missed") || line.contains("passed over")));
-            String last = around.admitRequest();
+            assertTrue(logLines(fixture).stream()
+                    .noneMatch(line -> line.contains("agent-events-missed") || line.contains("-ignored")));
+            String last = fixture.admitRequest();
             Set<String> launched = new HashSet<>();
-            Map<?, ?> command = teller.agent.nextCommand();
+            Map<?, ?> command = newSender.agent.nextCommand();
             while (!last.equals(command.get("req"))) {
                 assertTrue(!command.get("cmd").equals("launch") || launched.add("" + command.get("req")), "" + command);
-                command = teller.agent.nextCommand();
+                command = newSender.agent.nextCommand();
             }
         }
     }
 
-    private static List<String> logLines(AgentLinkFixture around) {
-        return around.loop.callOnLoop(() -> List.copyOf(around.logLines));
+    private static List<String> logLines(AgentLinkFixture fixture) {
+        return fixture.loop.callOnLoop(() -> List.copyOf(fixture.logLines));
     }
 
-    /** The agent in memory. */
-    private static final class Party implements Connection.InMemoryPeer {
-        private final StringBuilder heard = new StringBuilder();
-        private Connection mine;
+    /** The agent, in memory. */
+    private static final class InMemoryAgent implements Connection.InMemoryPeer {
+        private final StringBuilder received = new StringBuilder();
+        private Connection agentEnd;
 
         @Override
         public void attach(Connection connection) {
-            mine = connection;
+            agentEnd = connection;
         }
 
         @Override
         public void onReceived(ByteBuffer in) {
             while (in.hasRemaining()) {
-                heard.append((char) in.get());
+                received.append((char) in.get());
             }
         }
 
         @Override
         public void onClosed(CloseReason how) {}
 
-        void say(String line) {
-            mine.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
+        void sendLine(String line) {
+            agentEnd.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
         }
     }
 
     /**
-     * A reply is queued on the old link, and in the same batch, before anything is written, the new link is greeted: the
-     * reply goes with the old link, and over the new one, though the clock shows one instant for both.
+     * A reply is queued on the old connection, and the new one is greeted in the same batch, before anything is
+     * written: the reply is lost with the old connection and sent again on the new one, although both have the same
+     * time.
      */
     @Example
     void aReplyQueuedWhileItsConnectionIsReplacedIsSentOnTheNewOne() throws IOException {
-        List<Party> parties = new ArrayList<>();
-        ManualClockLoop driven = new ManualClockLoop(address -> {
-            parties.add(new Party());
-            return parties.get(parties.size() - 1);
+        List<InMemoryAgent> agents = new ArrayList<>();
+        ManualClockLoop loop = new ManualClockLoop(address -> {
+            agents.add(new InMemoryAgent());
+            return agents.get(agents.size() - 1);
         });
-        try (AgentLinkFixture around = new AgentLinkFixture(driven, new InetSocketAddress(1))) {
-            driven.runOnLoop(() -> parties.get(0).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
-            driven.awaitCondition(around.backend::isHealthy, "good health");
-            String name = around.admitRequest();
-            driven.runOnLoop(() -> parties.get(0).say(AgentLinkFixture.callRequestLine(1, name)));
-            driven.awaitCondition(() -> !around.calls.isEmpty(), "the call");
-            driven.runOnLoop(() -> around.link.setAddress(new InetSocketAddress(2)));
-            driven.runBatches(3);
-            driven.runOnLoop(() -> {
-                parties.get(1).say("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
+        try (AgentLinkFixture fixture = new AgentLinkFixture(loop, new InetSocketAddress(1))) {
+            loop.runOnLoop(
+                    () -> agents.get(0).sendLine("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
+            loop.awaitCondition(fixture.backend::isHealthy, "good health");
+            String name = fixture.admitRequest();
+            loop.runOnLoop(() -> agents.get(0).sendLine(AgentLinkFixture.callRequestLine(1, name)));
+            loop.awaitCondition(() -> !fixture.calls.isEmpty(), "the call");
+            loop.runOnLoop(() -> fixture.link.setAddress(new InetSocketAddress(2)));
+            loop.runBatches(3);
+            loop.runOnLoop(() -> {
+                agents.get(1).sendLine("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
                 // Ready before the greeting is, and run in the same batch.
-                around.afterBatch = () -> driven.loop.execute(() -> around.completeCallOnLoop(name, "b"));
+                fixture.afterBatch = () -> loop.loop.execute(() -> fixture.completeCallOnLoop(name, "b"));
             });
-            driven.awaitCondition(() -> parties.get(1).heard.indexOf("\"up") > 0, "the question whether all is read");
-            String heard = driven.callOnLoop(() -> parties.get(1).heard.toString());
-            assertFalse(heard.contains("deliver")
-                    || driven.callOnLoop(() -> parties.get(0).heard.toString()).contains("deliver"));
-            String token = heard.substring(heard.indexOf("\"up") + 1, heard.indexOf('"', heard.indexOf("\"up") + 1));
-            driven.runOnLoop(() -> parties.get(1).say("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":[0]}"));
-            driven.runBatches(4);
-            String all = driven.callOnLoop(() -> parties.get(1).heard.toString());
+            loop.awaitCondition(() -> agents.get(1).received.indexOf("\"up") > 0, "the question whether all is read");
+            String received = loop.callOnLoop(() -> agents.get(1).received.toString());
+            assertFalse(received.contains("deliver")
+                    || loop.callOnLoop(() -> agents.get(0).received.toString()).contains("deliver"));
+            String token = received.substring(
+                    received.indexOf("\"up") + 1, received.indexOf('"', received.indexOf("\"up") + 1));
+            loop.runOnLoop(
+                    () -> agents.get(1).sendLine("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":[0]}"));
+            loop.runBatches(4);
+            String all = loop.callOnLoop(() -> agents.get(1).received.toString());
             assertEquals(2, all.split("deliver").length, all);
         }
     }
--- a/src/test/java/merlinlever/agent/LineDecoderTest.java
+++ b/src/test/java/merlinlever/agent/LineDecoderTest.java
@@ -12,26 +12,26 @@
 
 class LineDecoderTest {
 
-    /** A line that is too long crosses the lines round it in any pieces: it alone is passed over, and no buffer is full. */
+    /** An overlong line among others, in any pieces: it alone is skipped, and the buffer never fills up. */
     @Property(tries = 200, seed = "36")
     void anOverlongLineAloneIsSkippedWhereverTheBytesAreSplit(@ForAll long seed) {
-        Random chance = new Random(seed);
-        byte[] all = ("one\n" + "x".repeat(40 + chance.nextInt(60)) + "\ntwo\n" + "y".repeat(70) + "\nthree\n")
+        Random random = new Random(seed);
+        byte[] all = ("one\n" + "x".repeat(40 + random.nextInt(60)) + "\ntwo\n" + "y".repeat(70) + "\nthree\n")
                 .getBytes(StandardCharsets.UTF_8);
         ByteBuffer in = ByteBuffer.allocate(32);
-        LineDecoder lines = new LineDecoder(32);
-        List<String> heard = new ArrayList<>();
+        LineDecoder decoder = new LineDecoder(32);
+        List<String> lines = new ArrayList<>();
         int sent = 0;
         while (sent < all.length) {
-            int part = Math.min(all.length - sent, 1 + chance.nextInt(in.remaining()));
+            int part = Math.min(all.length - sent, 1 + random.nextInt(in.remaining()));
             in.put(all, sent, part);
             sent += part;
             in.flip();
-            if (!lines.decode(in, heard::add)) {
-                lines.skipLine(in);
+            if (!decoder.decode(in, lines::add)) {
+                decoder.skipLine(in);
             }
             in.compact();
         }
-        assertEquals(List.of("one", "two", "three"), heard);
+        assertEquals(List.of("one", "two", "three"), lines);
     }
 }
