--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -160,7 +160,8 @@
         BackendAssembly assembly = new BackendAssembly(loop, settings, 1, AGENT, RECORDS, MAX_CALLS, discarded);
         for (int i = 0; i < CLIENTS; i++) {
             StubEdgeClient client = new StubEdgeClient();
-            assembly.edge().addConnection(server -> Connection.inMemory(loop, server, client, BUFFER_BYTES, 8 * BUFFER_BYTES));
+            assembly.edge()
+                    .addConnection(server -> Connection.inMemory(loop, server, client, BUFFER_BYTES, 8 * BUFFER_BYTES));
             loop.schedule(FIRST_REQUEST_DELAY, client::sendRequest);
         }
     }
--- a/src/main/java/merlinlever/directory/HeartbeatSender.java
+++ b/src/main/java/merlinlever/directory/HeartbeatSender.java
@@ -7,12 +7,13 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** Heartbeats to the directory, one datagram each, which nobody has to receive. */
+/** Sends heartbeats to the directory: one datagram each, without an answer. Used on one thread. */
 public final class HeartbeatSender {
 
     /**
-     * A quarter of the reports may be lost, and an entry lapses 3 s after the last. With one a second the third report
-     * comes as it lapses: two lost in a row, one in sixteen, take a backend that serves off the list. So five come within.
+     * The time between two heartbeats. A quarter of them may be lost, and the directory removes an entry 3 s after the
+     * last one. With one a second, two lost in a row (one case in sixteen) would remove a healthy backend, as the third
+     * comes at the moment of the expiry; with this period five come in time.
      */
     public static final Duration PERIOD = Duration.ofMillis(500);
 
@@ -20,6 +21,10 @@
     private final String serverName;
     private InetSocketAddress directoryAddress;
 
+    /**
+     * @param serverName the name that the directory lists
+     * @throws IOException if no socket can be opened
+     */
     public HeartbeatSender(InetSocketAddress directoryAddress, String serverName) throws IOException {
         this.directoryAddress = directoryAddress;
         this.serverName = serverName;
@@ -27,17 +32,18 @@
         channel.configureBlocking(false);
     }
 
-    /** Heartbeats go there from now on. */
-    public void setAddress(InetSocketAddress there) {
-        directoryAddress = there;
+    /** Sends heartbeats to this address from now on. */
+    public void setAddress(InetSocketAddress newAddress) {
+        directoryAddress = newAddress;
     }
 
+    /** Sends one heartbeat, or drops it where it cannot be sent now: the next one says the same. */
     public void send(boolean accepting) {
-        byte[] text = ("PULSE " + serverName + (accepting ? " open" : " closed")).getBytes(StandardCharsets.UTF_8);
+        String text = "PULSE " + serverName + (accepting ? " open" : " closed");
         try {
-            channel.send(ByteBuffer.wrap(text), directoryAddress);
+            channel.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), directoryAddress);
         } catch (IOException e) {
-            // Nobody listens, or there is no room now: the next report says the same.
+            // Nobody listens, or the system has no buffer left.
         }
     }
 }
--- a/src/main/java/merlinlever/directory/package-info.java
+++ b/src/main/java/merlinlever/directory/package-info.java
@@ -1,2 +1,2 @@
-/** The directory, through which edge nodes learn of this server. */
+/** Client of the directory, from which edge nodes learn which servers there are. */
 package merlinlever.directory;
--- a/src/main/java/merlinlever/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/faults/standins/LoadGenerator.java
@@ -101,7 +101,8 @@
                             keyed ? token : "look-" + token, keyed, loop.clock().uptime())
                     .send();
             // As a Poisson stream, so that no two backends are in step.
-            loop.schedule(Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / stated.perSecond * 1e9)), this::next);
+            loop.schedule(
+                    Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / stated.perSecond * 1e9)), this::next);
         }
     }
 
--- a/src/main/java/merlinlever/management/ManagementServer.java
+++ b/src/main/java/merlinlever/management/ManagementServer.java
@@ -16,42 +16,50 @@
 import merlinlever.net.EventLoop;
 
 /**
- * The management endpoint: {@code GET /state} over HTTP/1.1 gives one JSON object, anything else a short refusal. It tells
- * and decides nothing. Few connections, one message on each, and so many answers a second at the most: whoever asks more
- * is closed unread, so that the operations of the instance do not suffer from it.
+ * The management endpoint: {@code GET /state} over HTTP/1.1 returns one JSON object, anything else is not found. It
+ * serves few connections, one request on each, and so many a second at most; further ones are closed unread, so that
+ * the instance's own requests do not suffer.
  */
 public final class ManagementServer {
 
     private static final int MAX_CONNECTIONS = 8;
     private static final int MAX_REQUEST_BYTES = 1024;
+    private static final int MAX_QUEUED_BYTES = 64 * 1024;
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration TIMEOUT_CHECK_INTERVAL = Duration.ofMillis(500);
-    /** Answers a second. */
-    private static final int MAX_RESPONSES_PER_SECOND = 50;
+    private static final int MAX_ACCEPTED_PER_SECOND = 50;
 
     private final EventLoop loop;
     private final ConnectionAcceptor acceptor;
     private final Supplier<String> state;
-    private final Set<ManagementConnection> open = new LinkedHashSet<>();
+    private final Set<ManagementConnection> connections = new LinkedHashSet<>();
     private long currentSecond;
     private int acceptedThisSecond;
 
-    /** @param state what is told, as one JSON object */
+    /**
+     * Listens at the address.
+     *
+     * @param state the response's body, one JSON object
+     * @throws IOException if the address cannot be bound
+     */
     public ManagementServer(EventLoop loop, InetSocketAddress address, Supplier<String> state) throws IOException {
         this.loop = loop;
         this.state = state;
         acceptor = new ConnectionAcceptor(loop, address, MAX_CONNECTIONS, this::accepted, () -> {});
         acceptor.accept();
-        loop.runNowAndEvery(TIMEOUT_CHECK_INTERVAL, () -> List.copyOf(open).forEach(ManagementConnection::closeIfTimedOut));
+        loop.runNowAndEvery(
+                TIMEOUT_CHECK_INTERVAL, () -> List.copyOf(connections).forEach(ManagementConnection::closeIfTimedOut));
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() throws IOException {
         return acceptor.address();
     }
 
+    /** Closes it with all connections. */
     public void close() {
         acceptor.close();
-        List.copyOf(open).forEach(visit -> visit.connection.close(CloseReason.COMPLETED));
+        List.copyOf(connections).forEach(open -> open.connection.close(CloseReason.COMPLETED));
     }
 
     private void accepted(AsynchronousSocketChannel channel) {
@@ -60,37 +68,47 @@
             currentSecond = now;
             acceptedThisSecond = 0;
         }
-        ManagementConnection visit = new ManagementConnection();
-        open.add(visit);
-        visit.connection = Connection.accepted(loop, channel, visit, MAX_REQUEST_BYTES, 64 * 1024);
-        if (++acceptedThisSecond > MAX_RESPONSES_PER_SECOND) {
-            visit.connection.close(CloseReason.COMPLETED);
+        ManagementConnection accepted = new ManagementConnection();
+        connections.add(accepted);
+        accepted.connection = Connection.accepted(loop, channel, accepted, MAX_REQUEST_BYTES, MAX_QUEUED_BYTES);
+        acceptedThisSecond++;
+        if (acceptedThisSecond > MAX_ACCEPTED_PER_SECOND) {
+            accepted.connection.close(CloseReason.COMPLETED);
         } else {
-            visit.connection.resumeReading();
+            accepted.connection.resumeReading();
         }
     }
 
+    /** One connection, with its one request. */
     private final class ManagementConnection implements Connection.Handler {
         private final Duration openedAt = loop.clock().uptime();
         private Connection connection;
         private boolean responded;
 
         @Override
-        public void onReceived(ByteBuffer in) {
-            String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
-            if (responded || !text.contains("\r\n\r\n")) {
-                if (in.remaining() == MAX_REQUEST_BYTES) {
+        public void onReceived(ByteBuffer input) {
+            String request =
+                    StandardCharsets.ISO_8859_1.decode(input.duplicate()).toString();
+            if (responded || !request.contains("\r\n\r\n")) {
+                if (input.remaining() == MAX_REQUEST_BYTES) {
                     connection.close(CloseReason.PROTOCOL_ERROR);
                 }
                 return;
             }
-            in.position(in.limit());
+            input.position(input.limit());
             responded = true;
-            String body = text.startsWith("GET /state HTTP/1.") ? state.get() : null;
-            String head = "HTTP/1.1 " + (body != null ? "200 OK\r\nContent-Type: application/json" : "404 Not Found")
-                    + "\r\nConnection: close\r\nContent-Length: "
-                    + (body == null ? 0 : body.getBytes(StandardCharsets.UTF_8).length) + "\r\n\r\n";
-            connection.write(StandardCharsets.UTF_8.encode(head + (body == null ? "" : body)));
+            boolean isForState = request.startsWith("GET /state HTTP/1.");
+            connection.write(StandardCharsets.UTF_8.encode(isForState ? found(state.get()) : notFound()));
+        }
+
+        private static String found(String body) {
+            int length = body.getBytes(StandardCharsets.UTF_8).length;
+            return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: " + length
+                    + "\r\n\r\n" + body;
+        }
+
+        private static String notFound() {
+            return "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         }
 
         @Override
@@ -99,12 +117,12 @@
         }
 
         @Override
-        public void onClosed(CloseReason how) {
-            open.remove(this);
+        public void onClosed(CloseReason reason) {
+            connections.remove(this);
             acceptor.connectionClosed();
         }
 
-        void closeIfTimedOut() {
+        private void closeIfTimedOut() {
             if (loop.clock().uptime().minus(openedAt).compareTo(REQUEST_TIMEOUT) > 0) {
                 connection.close(CloseReason.TIMED_OUT);
             }
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/management/StatusReport.java
@@ -3,63 +3,81 @@
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.RejectionReason;
 
-/** What an instance tells of itself, as one JSON object. */
+/** Writes the state of an instance as one JSON object; its member names are part of the management interface. */
 public final class StatusReport {
 
-    /** JSON has no figure for what no limit was learned of. */
+    /** JSON has no infinity, which is the capacity while none has been learned. */
     private static final double MAX_REPORTED_CAPACITY = 1e9;
 
     private StatusReport() {}
 
     /**
-     * @param inHand operations that are read and not yet answered
-     * @param ageMs since its start
-     * @param figures null where the module is not there yet
-     * @param recovery a JSON object that says how far it has come back, or null where nothing is kept for a return
+     * Writes the object.
+     *
+     * @param unansweredRequests requests that have been read and not answered yet
+     * @param uptimeMs milliseconds since the start
+     * @param metrics of the controller; null before there is one
+     * @param recovery a JSON object on the progress of recovery; null where no state is kept for one
      */
     public static String toJson(
-            boolean leaving, boolean healthy, int inHand, long ageMs, ControllerMetrics figures, String recovery) {
+            boolean draining,
+            boolean healthy,
+            int unansweredRequests,
+            long uptimeMs,
+            ControllerMetrics metrics,
+            String recovery) {
         StringBuilder text = new StringBuilder(512)
                 .append("{\"phase\":\"")
-                .append(
-                        leaving
-                                ? "leaving"
-                                : figures == null ? "starting" : figures.speedFraction() < 1 ? "cold" : "warm")
+                .append(phase(draining, metrics))
                 .append("\",\"healthy\":")
                 .append(healthy)
                 .append(",\"in_hand\":")
-                .append(inHand)
+                .append(unansweredRequests)
                 .append(",\"age_ms\":")
-                .append(ageMs);
-        if (figures != null) {
-            text.append(",\"hung\":")
-                    .append(figures.stalled())
-                    .append(",\"held\":")
-                    .append(figures.requests().queued())
-                    .append(",\"running\":")
-                    .append(figures.requests().onCores())
-                    .append(",\"calls\":")
-                    .append(figures.requests().inCalls())
-                    .append(",\"capacity\":")
-                    .append(Math.min(MAX_REPORTED_CAPACITY, figures.queueCapacity()))
-                    .append(",\"avg\":")
-                    .append(figures.averageOccupancy())
-                    .append(",\"level\":")
-                    .append(figures.backpressureLevel())
-                    .append(",\"broken_off\":")
-                    .append(figures.requests().failed())
-                    .append(",\"pushed_back\":{");
-            for (RejectionReason reason : RejectionReason.values()) {
-                text.append(reason.ordinal() == 0 ? "\"" : ",\"")
-                        .append(reason.wireName())
-                        .append("\":")
-                        .append(figures.requests().rejected().get(reason));
-            }
-            text.append('}');
+                .append(uptimeMs);
+        if (metrics != null) {
+            appendMetrics(text, metrics);
         }
         if (recovery != null) {
             text.append(",\"recovery\":").append(recovery);
         }
         return text.append('}').toString();
     }
+
+    private static String phase(boolean draining, ControllerMetrics metrics) {
+        if (draining) {
+            return "leaving";
+        }
+        if (metrics == null) {
+            return "starting";
+        }
+        return metrics.speedFraction() < 1 ? "cold" : "warm";
+    }
+
+    private static void appendMetrics(StringBuilder text, ControllerMetrics metrics) {
+        text.append(",\"hung\":")
+                .append(metrics.stalled())
+                .append(",\"held\":")
+                .append(metrics.requests().queued())
+                .append(",\"running\":")
+                .append(metrics.requests().onCores())
+                .append(",\"calls\":")
+                .append(metrics.requests().inCalls())
+                .append(",\"capacity\":")
+                .append(Math.min(MAX_REPORTED_CAPACITY, metrics.queueCapacity()))
+                .append(",\"avg\":")
+                .append(metrics.averageOccupancy())
+                .append(",\"level\":")
+                .append(metrics.backpressureLevel())
+                .append(",\"broken_off\":")
+                .append(metrics.requests().failed())
+                .append(",\"pushed_back\":{");
+        for (RejectionReason reason : RejectionReason.values()) {
+            text.append(reason.ordinal() == 0 ? "\"" : ",\"")
+                    .append(reason.wireName())
+                    .append("\":")
+                    .append(metrics.requests().rejected().get(reason));
+        }
+        text.append('}');
+    }
 }
--- a/src/main/java/merlinlever/management/package-info.java
+++ b/src/main/java/merlinlever/management/package-info.java
@@ -1,2 +1,2 @@
-/** What an instance tells of itself to whoever manages it, on an address of its own; absent unless configured. */
+/** The management endpoint, which reports an instance's state on an address of its own; absent unless configured. */
 package merlinlever.management;
--- a/src/main/java/merlinlever/records/RecordsClient.java
+++ b/src/main/java/merlinlever/records/RecordsClient.java
@@ -2,296 +2,264 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import java.util.Optional;
 import merlinlever.Outcome;
 import merlinlever.core.DownstreamService;
 import merlinlever.core.TrackedRequest;
 import merlinlever.log.Log;
 import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
 import merlinlever.net.EventLoop;
 
 /**
- * All calls to the records service. Each has a connection to itself while it is in hand, so that one spoilt reply, one
- * that never comes or one broken connection costs one call; a connection that brought its one whole reply and nothing
- * else is used again, the one used last first.
+ * All calls to the records service. A call has a connection to itself until its outcome is known, so that a malformed
+ * reply, one that never comes or a broken connection costs one call. A connection that brought one complete reply and
+ * nothing else is used again, the one used last first.
  */
 public final class RecordsClient implements DownstreamService {
 
-    private static final int MAX_QUEUED_BYTES = 64 * 1024;
-    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
-    /** What is idle for longer may have been forgotten there, and a call on it would be cut off with nothing proven. */
+    /**
+     * The service may forget connections that are idle for longer; whether a call on one was run would not be known.
+     */
     private static final Duration MAX_IDLE = Duration.ofMillis(300);
-    /** A reply whose rest takes longer has a length that does not fit. */
+    /** A reply whose rest takes longer has a length that does not match its body. */
     private static final Duration MAX_PARTIAL_REPLY_TIME = Duration.ofMillis(200);
-    /** A reply may take so much longer than the service was told that we wait. */
+    /** A reply may take so much longer than the timeout that the service was sent. */
     private static final Duration REPLY_GRACE = Duration.ofMillis(20);
 
     private final EventLoop loop;
-    private final CompletionListener maker;
+    private final CompletionListener listener;
     private final Log log;
     private final int maxConnections;
+    /** Null where there is no service. */
     private InetSocketAddress address;
-    private final Map<Long, PendingCall> calls = new LinkedHashMap<>();
-    /** Calls in hand that have no line yet. */
-    private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
-    /** Lines without a call, the one used last first. */
-    private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
-
-    private int lines;
-    /** While calls get their lines, a line that ends has the next one to do. */
-    private boolean dealing;
-
-    /** One call, from its asking to its end. */
-    private static final class PendingCall {
-        private final TrackedRequest work;
-        private final byte[] body;
-        private final Duration until;
-        private EventLoop.Timer limit;
-        private PooledConnection line;
-
-        PendingCall(TrackedRequest work, byte[] body, Duration until) {
-            this.work = work;
-            this.body = body;
-            this.until = until;
-        }
-    }
-
-    /** One connection. */
-    private final class PooledConnection implements Connection.Handler {
-        private final InetSocketAddress to = address;
-        private Connection connection;
-        private PendingCall call;
-        private long lastId;
-        private boolean made, surplus;
-        /** Since when it has been idle, or has held a part of a reply. */
-        private Duration since;
-
-        private boolean partly;
 
-        private void carry(PendingCall next) {
-            call = next;
-            next.line = this;
-            lastId = next.work.id();
-            long wait = Math.max(1, next.until.minus(loop.clock().uptime()).toMillis());
-            connection.write(
-                    ascii("OP " + next.work.idText() + " " + wait + " " + next.body.length + "\r\n"),
-                    ByteBuffer.wrap(next.body),
-                    ascii("\r\n"));
-        }
-
-        @Override
-        public void onConnected() {
-            made = true;
-        }
+    private final Map<Long, PendingCall> callsByRequest = new LinkedHashMap<>();
+    /** Calls without a connection, in their order. */
+    private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
+    /** Connections without a call, the one used last first. */
+    private final ArrayDeque<RecordsConnection> idle = new ArrayDeque<>();
 
-        @Override
-        public void onReceived(ByteBuffer in) {
-            try {
-                RecordsReply reply = RecordsReply.parse(in.array(), in.position(), in.limit());
-                while (reply != null) {
-                    in.position(reply.end());
-                    if (call != null && reply.id() == lastId) {
-                        over(call, reply.ending(), reply.body());
-                    } else {
-                        surplus = true;
-                    }
-                    reply = RecordsReply.parse(in.array(), in.position(), in.limit());
-                }
-            } catch (RecordsReply.MalformedReplyException e) {
-                log.warn("records service: " + e.getMessage());
-                connection.close(CloseReason.PROTOCOL_ERROR);
-                return;
-            }
-            since = loop.clock().uptime();
-            partly = in.hasRemaining();
-            if (call != null) {
-                return;
-            }
-            if (surplus || in.hasRemaining() || !to.equals(address)) {
-                connection.close(surplus || in.hasRemaining() ? CloseReason.PROTOCOL_ERROR : CloseReason.COMPLETED);
-            } else {
-                idle.addFirst(this);
-                nextWaiting();
-            }
-        }
+    private final RecordsConnection.Listener connectionListener = new ConnectionListener();
 
-        @Override
-        public void onClosed(CloseReason how) {
-            lines--;
-            idle.remove(this);
-            if (call != null) {
-                log.warn("connection to the records service over: " + how + ", a call in hand");
-                over(call, how.callOutcome(), null);
-            }
-            nextWaiting();
-        }
-    }
+    private int openConnections;
+    /** While waiting calls are being sent, a connection that closes must not begin to do the same. */
+    private boolean sendingWaiting;
 
     /**
      * @param address of the service, or null where there is none
-     * @param maxConnections connections at the same time; calls beyond that wait for one
+     * @param maxConnections at the same time; calls beyond that wait for one
      */
-    public RecordsClient(EventLoop loop, InetSocketAddress address, CompletionListener maker, Log log, int maxConnections) {
+    public RecordsClient(
+            EventLoop loop, InetSocketAddress address, CompletionListener listener, Log log, int maxConnections) {
         this.loop = loop;
         this.address = address;
-        this.maker = maker;
+        this.listener = listener;
         this.log = log;
         this.maxConnections = maxConnections;
         loop.runNowAndEvery(SWEEP_INTERVAL, this::sweep);
     }
 
-    /** The service is to be reached there from now on; calls end where they are, but where nothing of them has left. */
-    public void setAddress(InetSocketAddress there) {
-        if (Objects.equals(there, address)) {
-            return;
-        }
-        address = there;
-        List<PooledConnection> unmade = calls.values().stream()
-                .map(call -> call.line)
-                .filter(line -> line != null && !line.made)
-                .toList();
-        for (int i = unmade.size(); i-- > 0; ) {
-            PooledConnection line = unmade.get(i);
-            waiting.addFirst(line.call);
-            line.call.line = null;
-            line.call = null;
-        }
-        unmade.forEach(line -> line.connection.close(CloseReason.COMPLETED));
-        if (there == null) {
-            List.copyOf(waiting).forEach(call -> over(call, CloseReason.CONNECT_TIMEOUT.callOutcome(), null));
-        }
-        sweep();
-    }
-
-    private void sweep() {
-        Duration now = loop.clock().uptime();
-        calls.values().stream()
-                .map(call -> call.line)
-                .filter(line ->
-                        line != null && line.partly && line.since.plus(MAX_PARTIAL_REPLY_TIME).compareTo(now) <= 0)
-                .toList()
-                .forEach(line -> line.connection.close(CloseReason.TIMED_OUT));
-        while (!idle.isEmpty()
-                && (!idle.peekLast().to.equals(address)
-                        || idle.peekLast().since.plus(MAX_IDLE).compareTo(now) <= 0)) {
-            idle.pollLast().connection.close(CloseReason.IDLE);
-        }
-        // There may be a descriptor now where there was none.
-        nextWaiting();
-    }
+    // ---- calls
 
     @Override
-    public void call(TrackedRequest work, byte[] body, Duration within) {
+    public void call(TrackedRequest request, byte[] body, Duration timeout) {
         if (address == null) {
-            loop.execute(() -> maker.callEnded(loop.clock().now(), work.id(), CloseReason.CONNECT_TIMEOUT.callOutcome(), null));
+            loop.execute(() -> listener.callEnded(
+                    loop.clock().now(), request.id(), CloseReason.CONNECT_TIMEOUT.callOutcome(), null));
             return;
         }
-        // The service takes a second call for an operation as the end of its first.
-        cancel(work);
-        PendingCall call = new PendingCall(work, body, loop.clock().uptime().plus(within));
-        calls.put(work.id(), call);
-        // What has been read is gone through before: a reply that is among it is in time, and an idle line whose end is
-        // among it gets no call.
-        call.limit = loop.schedule(within.plus(REPLY_GRACE), () -> loop.execute(() -> expired(call)));
+        // The service, too, takes a second call for a request as the end of its first.
+        cancel(request);
+        PendingCall call = new PendingCall(request, body, loop.clock().uptime().plus(timeout));
+        callsByRequest.put(request.id(), call);
+        // Bytes that have been read already come first: a reply among them is in time, and an idle connection whose
+        // close
+        // is among them gets no call.
+        call.setTimeout(loop.schedule(timeout.plus(REPLY_GRACE), () -> loop.execute(() -> expire(call))));
         waiting.add(call);
-        loop.execute(this::nextWaiting);
+        loop.execute(this::sendWaiting);
     }
 
-    private void expired(PendingCall call) {
-        if (calls.get(call.work.id()) == call) {
-            giveUp(call, Outcome.TIMED_OUT);
+    private void expire(PendingCall call) {
+        if (callsByRequest.get(call.request().id()) == call) {
+            abandon(call, Optional.of(Outcome.TIMED_OUT));
         }
     }
 
     @Override
-    public void cancel(TrackedRequest work) {
-        PendingCall call = calls.get(work.id());
+    public void cancel(TrackedRequest request) {
+        PendingCall call = callsByRequest.get(request.id());
         if (call != null) {
-            giveUp(call, null);
+            abandon(call, Optional.empty());
         }
     }
 
-    /** With its connection, on which the reply may still come. */
-    private void giveUp(PendingCall call, Outcome how) {
-        PooledConnection its = call.line;
-        over(call, how, null);
-        if (its != null) {
-            its.connection.close(CloseReason.TIMED_OUT);
+    /** Ends the call and its connection, on which the reply may still come. */
+    private void abandon(PendingCall call, Optional<Outcome> outcome) {
+        RecordsConnection connection = call.connection();
+        complete(call, outcome, null);
+        if (connection != null) {
+            connection.close(CloseReason.TIMED_OUT);
         }
     }
 
-    /** The call is in hand no longer; where it matters how it ended, the backend hears of it. */
-    private void over(PendingCall call, Outcome how, byte[] reply) {
-        calls.remove(call.work.id());
+    /** The call is over; the listener is told unless it gave the call up itself. */
+    private void complete(PendingCall call, Optional<Outcome> outcome, byte[] reply) {
+        callsByRequest.remove(call.request().id());
         waiting.remove(call);
-        call.limit.cancel();
-        if (call.line != null) {
-            call.line.call = null;
+        call.cancelTimeout();
+        if (call.connection() != null) {
+            call.connection().detachCall();
+        }
+        if (outcome.isPresent()) {
+            listener.callEnded(loop.clock().now(), call.request().id(), outcome.get(), reply);
+        }
+    }
+
+    // ---- connections
+
+    /**
+     * Reaches the service at the address from now on, or nowhere if null; calls that have been sent end where they are.
+     */
+    public void setAddress(InetSocketAddress newAddress) {
+        if (Objects.equals(newAddress, address)) {
+            return;
+        }
+        address = newAddress;
+        List<RecordsConnection> connecting = connectingWithCall();
+        for (int i = connecting.size() - 1; i >= 0; i--) {
+            waiting.addFirst(connecting.get(i).call());
+            connecting.get(i).detachCall();
+        }
+        connecting.forEach(connection -> connection.close(CloseReason.COMPLETED));
+        if (newAddress == null) {
+            Optional<Outcome> outcome = Optional.of(CloseReason.CONNECT_TIMEOUT.callOutcome());
+            List.copyOf(waiting).forEach(call -> complete(call, outcome, null));
         }
-        if (how != null) {
-            maker.callEnded(loop.clock().now(), call.work.id(), how, reply);
+        sweep();
+    }
+
+    /** In the order of their calls. */
+    private List<RecordsConnection> connectingWithCall() {
+        List<RecordsConnection> connecting = new ArrayList<>();
+        for (PendingCall call : callsByRequest.values()) {
+            if (call.connection() != null && !call.connection().isConnected()) {
+                connecting.add(call.connection());
+            }
+        }
+        return connecting;
+    }
+
+    private void sweep() {
+        closeStalled();
+        while (!idle.isEmpty() && isExpired(idle.peekLast())) {
+            idle.pollLast().close(CloseReason.IDLE);
+        }
+        // There may be a file descriptor now where there was none.
+        sendWaiting();
+    }
+
+    private void closeStalled() {
+        List<RecordsConnection> stalled = new ArrayList<>(0);
+        for (PendingCall call : callsByRequest.values()) {
+            if (call.connection() != null && call.connection().isStalledFor(MAX_PARTIAL_REPLY_TIME)) {
+                stalled.add(call.connection());
+            }
         }
+        stalled.forEach(connection -> connection.close(CloseReason.TIMED_OUT));
+    }
+
+    private boolean isExpired(RecordsConnection connection) {
+        return !connection.address().equals(address) || connection.isIdleFor(MAX_IDLE);
     }
 
-    private void nextWaiting() {
-        if (dealing || address == null) {
+    private void sendWaiting() {
+        if (sendingWaiting || address == null) {
             return;
         }
-        dealing = true;
+        sendingWaiting = true;
         try {
-            PooledConnection line = null;
-            while (!waiting.isEmpty() && (line = line(waiting.peek().work.id())) != null) {
-                line.carry(waiting.poll());
+            boolean sent = true;
+            while (sent && !waiting.isEmpty()) {
+                Optional<RecordsConnection> connection =
+                        connectionFor(waiting.peek().request().id());
+                connection.ifPresent(free -> free.send(waiting.poll()));
+                sent = connection.isPresent();
             }
         } finally {
-            dealing = false;
+            sendingWaiting = false;
         }
     }
 
-    /** One for the operation's call, or null as long as there is none; never the one that its last call was on. */
-    private PooledConnection line(long id) {
-        for (Iterator<PooledConnection> all = idle.iterator(); all.hasNext(); ) {
-            PooledConnection line = all.next();
-            if (line.lastId != id) {
-                all.remove();
-                return line;
+    /**
+     * A connection for the request's call, if there is one. It is never the one that the request's last call was on, as
+     * a second reply to that call would be taken for the reply to the new one.
+     */
+    private Optional<RecordsConnection> connectionFor(long requestId) {
+        for (Iterator<RecordsConnection> connections = idle.iterator(); connections.hasNext(); ) {
+            RecordsConnection connection = connections.next();
+            if (connection.lastRequestId() != requestId) {
+                connections.remove();
+                return Optional.of(connection);
             }
         }
-        if (lines >= maxConnections && !idle.isEmpty()) {
-            // All that are idle had this operation's last call: one of them makes room.
-            idle.peekLast().connection.close(CloseReason.IDLE);
+        if (openConnections >= maxConnections && !idle.isEmpty()) {
+            // All idle connections carried this request's last call: one of them makes room.
+            idle.peekLast().close(CloseReason.IDLE);
         }
-        if (lines >= maxConnections) {
-            return null;
+        if (openConnections >= maxConnections) {
+            return Optional.empty();
         }
-        PooledConnection made = new PooledConnection();
         try {
-            made.connection = Connection.connect(
-                    loop,
-                    address,
-                    made,
-                    RecordsReply.MAX_LINE_BYTES + RecordsReply.MAX_BODY_BYTES + 4,
-                    MAX_QUEUED_BYTES,
-                    CONNECT_TIMEOUT);
+            RecordsConnection made = RecordsConnection.connect(loop, address, connectionListener, log);
+            openConnections++;
+            return Optional.of(made);
         } catch (IOException e) {
-            log.error("no channel to the records service", e);
-            return null;
+            log.error("records-connect-failed", e);
+            return Optional.empty();
         }
-        lines++;
-        return made;
     }
 
-    private static ByteBuffer ascii(String text) {
-        return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
+    /** Acts on what happens on the connections. */
+    private final class ConnectionListener implements RecordsConnection.Listener {
+
+        @Override
+        public void onReply(PendingCall call, RecordsReply reply) {
+            complete(call, Optional.of(reply.outcome()), reply.body());
+        }
+
+        @Override
+        public void onIdle(RecordsConnection connection) {
+            idle.addFirst(connection);
+            sendWaiting();
+        }
+
+        @Override
+        public void onClosed(RecordsConnection connection, CloseReason reason) {
+            openConnections--;
+            idle.remove(connection);
+            PendingCall call = connection.call();
+            if (call != null) {
+                Outcome outcome = reason.callOutcome();
+                log.warn("records-connection-lost reason=" + reason + " request="
+                        + call.request().idText() + " outcome=" + outcome);
+                complete(call, Optional.of(outcome), null);
+            }
+            sendWaiting();
+        }
+
+        @Override
+        public boolean isCurrent(InetSocketAddress connectionAddress) {
+            return connectionAddress.equals(address);
+        }
     }
 }
--- a/src/main/java/merlinlever/records/RecordsReply.java
+++ b/src/main/java/merlinlever/records/RecordsReply.java
@@ -2,19 +2,33 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import java.util.Optional;
 import merlinlever.Outcome;
 
-/**
- * One reply of the records service.
- *
- * @param end where it ends in the bytes it was read from
- */
-record RecordsReply(long id, Outcome ending, byte[] body, int end) {
+/** One reply of the records service: a line of the request's id, a status word and a length, then the body. */
+final class RecordsReply {
 
     static final int MAX_LINE_BYTES = 128;
     static final int MAX_BODY_BYTES = 16 * 1024;
+    private static final int REQUEST_ID_DIGITS = 16;
+    private static final int HEXADECIMAL = 16;
+    private static final int DECIMAL = 10;
+    private static final int LINE_END_BYTES = 2;
+    private static final int DELETE = 127;
 
-    /** Bytes that are no reply. */
+    private final long requestId;
+    private final Outcome outcome;
+    private final byte[] body;
+    private final int end;
+
+    private RecordsReply(long requestId, Outcome outcome, byte[] body, int end) {
+        this.requestId = requestId;
+        this.outcome = outcome;
+        this.body = body;
+        this.end = end;
+    }
+
+    /** Bytes that cannot be or become a reply. */
     static final class MalformedReplyException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -23,48 +37,88 @@
         }
     }
 
-    /** The reply that begins at {@code start}, or null as long as it is not whole. */
-    static RecordsReply parse(byte[] bytes, int start, int limit) throws MalformedReplyException {
-        int at = start;
-        while (at + 1 < limit && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
-            // Noise need not have an end, so it is not waited for.
-            if (bytes[at] < ' ' || bytes[at] == 127) {
-                throw new MalformedReplyException("no reply: what is not text");
-            }
-            at++;
-        }
-        if (at + 1 >= limit) {
-            if (limit - start > MAX_LINE_BYTES) {
-                throw new MalformedReplyException("a line of over " + MAX_LINE_BYTES + " bytes");
-            }
-            return null;
+    /** The request whose call this is the reply to. */
+    long requestId() {
+        return requestId;
+    }
+
+    /** How the call ended. */
+    Outcome outcome() {
+        return outcome;
+    }
+
+    /** Empty where the reply has none. */
+    byte[] body() {
+        return body;
+    }
+
+    /** The place behind the reply in the bytes that it was read from. */
+    int end() {
+        return end;
+    }
+
+    /**
+     * Reads the reply that begins at {@code start}; empty as long as it is not complete.
+     *
+     * @throws MalformedReplyException if no further bytes can make it a reply
+     */
+    static Optional<RecordsReply> parse(byte[] bytes, int start, int limit) throws MalformedReplyException {
+        int lineEnd = findLineEnd(bytes, start, limit);
+        if (lineEnd < 0) {
+            return Optional.empty();
         }
-        String[] parts = new String(bytes, start, at - start, StandardCharsets.ISO_8859_1).split(" ");
-        if (parts.length < 2 || parts.length > 3 || parts[0].length() != 16) {
-            throw new MalformedReplyException("no reply: " + String.join(" ", parts));
+        String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1).split(" ");
+        int wordCount = words.length;
+        if (wordCount < 2 || wordCount > 3 || words[0].length() != REQUEST_ID_DIGITS) {
+            throw new MalformedReplyException("no reply: " + String.join(" ", words));
         }
-        int bodyAt = at + 2;
+        int bodyStart = lineEnd + LINE_END_BYTES;
         int length = 0;
-        int end = bodyAt;
-        if (parts.length == 3) {
-            long stated = parseNumber(parts[2], 10);
-            if (stated < 0 || stated > MAX_BODY_BYTES) {
-                throw new MalformedReplyException("no length: " + parts[2]);
-            }
-            length = (int) stated;
-            end = bodyAt + length + 2;
+        int end = bodyStart;
+        if (wordCount == 3) {
+            length = parseLength(words[2]);
+            end = bodyStart + length + LINE_END_BYTES;
             if (end > limit) {
-                return null;
+                return Optional.empty();
             }
             if (bytes[end - 2] != '\r' || bytes[end - 1] != '\n') {
                 throw new MalformedReplyException("a body without its end");
             }
         }
-        Outcome ending = ending(parts[1]);
-        if (ending == Outcome.OK && parts.length != 3) {
+        Outcome outcome = parseOutcome(words[1]);
+        if (outcome == Outcome.OK && wordCount != 3) {
             throw new MalformedReplyException("done, without a length");
         }
-        return new RecordsReply(parseNumber(parts[0], 16), ending, Arrays.copyOfRange(bytes, bodyAt, bodyAt + length), end);
+        long requestId = parseNumber(words[0], HEXADECIMAL);
+        byte[] body = Arrays.copyOfRange(bytes, bodyStart, bodyStart + length);
+        return Optional.of(new RecordsReply(requestId, outcome, body, end));
+    }
+
+    /** The place of the line's end, or -1 as long as it has none. */
+    private static int findLineEnd(byte[] bytes, int start, int limit) throws MalformedReplyException {
+        int at = start;
+        while (at + 1 < limit && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
+            // Noise need not have a line end, so it is not waited for; bytes beyond ASCII are negative.
+            if (bytes[at] < ' ' || bytes[at] == DELETE) {
+                throw new MalformedReplyException("no reply: not text");
+            }
+            at++;
+        }
+        if (at + 1 < limit) {
+            return at;
+        }
+        if (limit - start > MAX_LINE_BYTES) {
+            throw new MalformedReplyException("a line of over " + MAX_LINE_BYTES + " bytes");
+        }
+        return -1;
+    }
+
+    private static int parseLength(String digits) throws MalformedReplyException {
+        long declared = parseNumber(digits, DECIMAL);
+        if (declared < 0 || declared > MAX_BODY_BYTES) {
+            throw new MalformedReplyException("no length: " + digits);
+        }
+        return (int) declared;
     }
 
     private static long parseNumber(String digits, int radix) throws MalformedReplyException {
@@ -75,7 +129,7 @@
         }
     }
 
-    private static Outcome ending(String word) throws MalformedReplyException {
+    private static Outcome parseOutcome(String word) throws MalformedReplyException {
         return switch (word) {
             case "DONE" -> Outcome.OK;
             case "WAIT" -> Outcome.REJECTED;
--- a/src/test/java/merlinlever/management/ManagementServerTest.java
+++ b/src/test/java/merlinlever/management/ManagementServerTest.java
@@ -26,13 +26,13 @@
     @Test
     void servesTheStateOnlyAndClosesExcessConnectionsUnread() throws Exception {
         EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
-        AtomicInteger told = new AtomicInteger();
-        ManagementServer manage = new ManagementServer(loop, new InetSocketAddress("127.0.0.1", 0), () -> {
-            told.incrementAndGet();
+        AtomicInteger stateReads = new AtomicInteger();
+        ManagementServer server = new ManagementServer(loop, new InetSocketAddress("127.0.0.1", 0), () -> {
+            stateReads.incrementAndGet();
             return "{\"phase\":\"warm\"}";
         });
         new Thread(loop::run).start();
-        InetSocketAddress address = manage.address();
+        InetSocketAddress address = server.address();
         String answer = exchange(address, "GET /state HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n") && answer.endsWith("\r\n\r\n{\"phase\":\"warm\"}"), answer);
         assertTrue(exchange(address, "POST /state HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 404"));
@@ -40,14 +40,14 @@
         long began = System.nanoTime();
         assertEquals("", exchange(address, "GET /st"), "half a message is closed");
         assertTrue(System.nanoTime() - began > 1_500_000_000L);
-        told.set(0);
+        stateReads.set(0);
         began = System.nanoTime();
         for (int i = 0; i < 2000; i++) {
             exchange(address, "GET /state HTTP/1.1\r\n\r\n");
         }
         double seconds = (System.nanoTime() - began) / 1e9;
-        assertTrue(told.get() <= 50 * (seconds + 2), told.get() + " in " + seconds + " s");
-        loop.execute(manage::close);
+        assertTrue(stateReads.get() <= 50 * (seconds + 2), stateReads.get() + " in " + seconds + " s");
+        loop.execute(server::close);
         loop.stop();
     }
 }
--- a/src/test/java/merlinlever/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/records/RecordsClientFixture.java
@@ -21,20 +21,20 @@
 import merlinlever.net.Connection;
 import merlinlever.net.ManualClockLoop;
 
-/** The link to a records service that the test plays; time stands still but where the test moves it on. */
+/** A client of a records service that the test plays; time advances only where the test advances it. */
 abstract class RecordsClientFixture {
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     static final Duration CALL_TIMEOUT = Duration.ofMillis(300);
 
-    /** How each call ended, in order, as "id ending reply". */
+    /** How each call ended, in order, as "id outcome reply". */
     final List<String> callOutcomes = new ArrayList<>();
 
     ManualClockLoop loop;
     RecordsClient client;
 
-    RecordsClient createClient(ManualClockLoop on, InetSocketAddress address, int most) {
-        loop = on;
+    RecordsClient createClient(ManualClockLoop newLoop, InetSocketAddress address, int maxConnections) {
+        loop = newLoop;
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), Instant::now);
         return loop.callOnLoop(() -> new RecordsClient(
                 loop.loop,
@@ -42,32 +42,32 @@
                 (now, id, how, reply) -> callOutcomes.add(
                         id + " " + how + (reply == null ? "" : " " + new String(reply, StandardCharsets.UTF_8))),
                 log,
-                most));
+                maxConnections));
     }
 
     void call(long id) {
         loop.runOnLoop(() -> client.call(TestRequests.tracked(id), new byte[] {'b'}, CALL_TIMEOUT));
     }
 
-    /** So many calls have ended, and these were they. */
-    void assertCallOutcomes(String... what) {
-        loop.awaitCondition(() -> callOutcomes.size() >= what.length, String.join(", ", what));
-        assertEquals(List.of(what), loop.callOnLoop(() -> List.copyOf(callOutcomes)));
+    /** Waits until so many calls have ended, and asserts that these were they. */
+    void assertCallOutcomes(String... outcomes) {
+        loop.awaitCondition(() -> callOutcomes.size() >= outcomes.length, String.join(", ", outcomes));
+        assertEquals(List.of(outcomes), loop.callOnLoop(() -> List.copyOf(callOutcomes)));
     }
 
-    static InetSocketAddress addressOf(ServerSocket place) {
-        return new InetSocketAddress(LOOPBACK, place.getLocalPort());
+    static InetSocketAddress addressOf(ServerSocket server) {
+        return new InetSocketAddress(LOOPBACK, server.getLocalPort());
     }
 
     static ServerSocket openServer() throws IOException {
-        ServerSocket place = new ServerSocket(0, 50, LOOPBACK);
-        place.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
-        return place;
+        ServerSocket server = new ServerSocket(0, 50, LOOPBACK);
+        server.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+        return server;
     }
 
-    /** The next connection, on which the operation's call has come. */
-    static Socket acceptCall(ServerSocket place, long id) throws IOException {
-        Socket socket = place.accept();
+    /** Accepts the next connection, and reads the request's call on it. */
+    static Socket acceptCall(ServerSocket server, long id) throws IOException {
+        Socket socket = server.accept();
         socket.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         return readCall(socket, id);
@@ -94,7 +94,7 @@
         return String.format("%016x DONE %d\r\n%s\r\n", id, body.length(), body);
     }
 
-    /** The service in memory: every connection takes all and says what the test says. */
+    /** The service, in memory: every connection reads everything and sends what the test says. */
     static final class InMemoryRecordsService implements Connection.InMemoryPeer {
         Connection serviceEnd;
         final StringBuilder received = new StringBuilder();
--- a/src/test/java/merlinlever/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/records/RecordsClientRaceTest.java
@@ -16,97 +16,99 @@
 import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 
-/** Events that cross on the connections to the records service. */
+/** Races on the connections to the records service. */
 class RecordsClientRaceTest extends RecordsClientFixture {
 
-    /** The close of an idle connection has been read, but not gone through, as a call is made: it gets another one. */
+    /**
+     * The close of an idle connection has been read but not processed when a call is made: the call gets another one.
+     */
     @Example
     void aCallIsNotSentOnAConnectionWhoseCloseWasRead() {
-        List<InMemoryRecordsService> parties = new ArrayList<>();
-        ManualClockLoop on = new ManualClockLoop(address -> {
-            parties.add(new InMemoryRecordsService());
-            return parties.get(parties.size() - 1);
+        List<InMemoryRecordsService> services = new ArrayList<>();
+        ManualClockLoop loop = new ManualClockLoop(address -> {
+            services.add(new InMemoryRecordsService());
+            return services.get(services.size() - 1);
         });
-        try (on) {
-            client = createClient(on, new InetSocketAddress(1), 4);
+        try (loop) {
+            client = createClient(loop, new InetSocketAddress(1), 4);
             call(1);
-            on.runBatches(3);
-            on.runOnLoop(() -> parties.get(0).send(doneReply(1, "r")));
-            on.runBatches(3);
-            on.runOnLoop(() -> {
-                parties.get(0).serviceEnd.close(CloseReason.IDLE);
+            loop.runBatches(3);
+            loop.runOnLoop(() -> services.get(0).send(doneReply(1, "r")));
+            loop.runBatches(3);
+            loop.runOnLoop(() -> {
+                services.get(0).serviceEnd.close(CloseReason.IDLE);
                 client.call(TestRequests.tracked(2), new byte[] {'b'}, CALL_TIMEOUT);
             });
-            on.runBatches(3);
-            assertEquals(2, parties.size());
-            on.runOnLoop(() -> parties.get(1).send(doneReply(2, "s")));
+            loop.runBatches(3);
+            assertEquals(2, services.size());
+            loop.runOnLoop(() -> services.get(1).send(doneReply(2, "s")));
             assertCallOutcomes("1 OK r", "2 OK s");
         }
     }
 
-    /** Without a descriptor for its connection a call waits for one, and not for its limit. */
+    /** Without a file descriptor for its connection a call waits for one, not for its timeout. */
     @Example
     void aCallWithoutAFileDescriptorIsMadeOnceOneIsFree() {
         boolean[] full = {true};
-        InMemoryRecordsService party = new InMemoryRecordsService();
-        ManualClockLoop on = new ManualClockLoop(address -> {
+        InMemoryRecordsService service = new InMemoryRecordsService();
+        ManualClockLoop loop = new ManualClockLoop(address -> {
             if (full[0]) {
                 RecordsClientRaceTest.<RuntimeException>sneakyThrow(new IOException("Too many open files"));
             }
-            return party;
+            return service;
         });
-        try (on) {
-            client = createClient(on, new InetSocketAddress(1), 4);
+        try (loop) {
+            client = createClient(loop, new InetSocketAddress(1), 4);
             call(1);
-            on.runBatches(2);
-            on.runOnLoop(() -> full[0] = false);
-            on.advance(100);
-            on.runBatches(3);
-            assertEquals("OP 0000000000000001 200 1\r\nb\r\n", on.callOnLoop(party.received::toString));
+            loop.runBatches(2);
+            loop.runOnLoop(() -> full[0] = false);
+            loop.advance(100);
+            loop.runBatches(3);
+            assertEquals("OP 0000000000000001 200 1\r\nb\r\n", loop.callOnLoop(service.received::toString));
         }
     }
 
     @SuppressWarnings("unchecked")
-    private static <E extends Throwable> void sneakyThrow(Throwable how) throws E {
-        throw (E) how;
+    private static <E extends Throwable> void sneakyThrow(Throwable throwable) throws E {
+        throw (E) throwable;
     }
 
-    /** A place that neither accepts nor refuses: all whose queue of connections is full. */
-    private static List<Socket> fillBacklog(ServerSocket place) throws IOException {
+    /** Fills the backlog, so that the address neither accepts nor refuses. */
+    private static List<Socket> fillBacklog(ServerSocket server) throws IOException {
         List<Socket> queued = new ArrayList<>();
         assertThrows(SocketTimeoutException.class, () -> {
             while (queued.size() < 20) {
                 Socket socket = new Socket();
                 queued.add(socket);
-                socket.connect(addressOf(place), 200);
+                socket.connect(addressOf(server), 200);
             }
         });
         return queued;
     }
 
     /**
-     * Dials that hang: each call ends at its own limit and its dial with it, so that they take no room from the next; and
-     * what has not left yet goes to the new place at once when the service moves.
+     * Connect attempts that hang: each call ends at its own timeout and its attempt with it, so that the next one has
+     * room; calls that have not been sent go to the new address at once when the service moves.
      */
     @Example
     void aHangingConnectAttemptEndsWithItsCallOrMovesWithTheService() throws IOException {
         try (ServerSocket silent = new ServerSocket(0, 1, LOOPBACK);
-                ServerSocket place = openServer();
-                ManualClockLoop on = new ManualClockLoop()) {
+                ServerSocket server = openServer();
+                ManualClockLoop loop = new ManualClockLoop()) {
             List<Socket> queued = fillBacklog(silent);
-            client = createClient(on, addressOf(silent), 2);
+            client = createClient(loop, addressOf(silent), 2);
             call(1);
             call(2);
             call(3);
-            on.advance(200);
+            loop.advance(200);
             call(4);
-            on.advance(120);
-            on.runBatches(1);
+            loop.advance(120);
+            loop.runBatches(1);
             assertCallOutcomes("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT");
             call(5);
-            on.runOnLoop(() -> client.setAddress(addressOf(place)));
-            Socket one = acceptCall(place, 4);
-            Socket other = acceptCall(place, 5);
+            loop.runOnLoop(() -> client.setAddress(addressOf(server)));
+            Socket one = acceptCall(server, 4);
+            Socket other = acceptCall(server, 5);
             send(other, doneReply(5, "s"));
             assertCallOutcomes("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT", "5 OK s");
             send(one, doneReply(4, "r"));
@@ -117,76 +119,82 @@
         }
     }
 
-    /** The service moves: a call that has left ends where it is, and its connection with it; the next goes to the new place. */
+    /**
+     * The service moves: a sent call ends on its connection, which is closed then; the next goes to the new address.
+     */
     @Example
     void aSentCallCompletesOnItsConnectionWhenTheServiceMoves() throws IOException {
         try (ServerSocket old = openServer();
-                ServerSocket place = openServer();
-                ManualClockLoop on = new ManualClockLoop()) {
-            client = createClient(on, addressOf(old), 1);
+                ServerSocket server = openServer();
+                ManualClockLoop loop = new ManualClockLoop()) {
+            client = createClient(loop, addressOf(old), 1);
             call(1);
-            Socket line = acceptCall(old, 1);
+            Socket socket = acceptCall(old, 1);
             call(2);
-            on.runOnLoop(() -> client.setAddress(addressOf(place)));
-            send(line, doneReply(1, "r"));
+            loop.runOnLoop(() -> client.setAddress(addressOf(server)));
+            send(socket, doneReply(1, "r"));
             assertCallOutcomes("1 OK r");
-            assertEquals(-1, line.getInputStream().read());
-            Socket next = acceptCall(place, 2);
+            assertEquals(-1, socket.getInputStream().read());
+            Socket next = acceptCall(server, 2);
             call(3);
-            // Without any place there is nobody to call: what waits has not left.
-            on.runOnLoop(() -> client.setAddress(null));
+            // Without an address there is nobody to call; a waiting call has not been sent.
+            loop.runOnLoop(() -> client.setAddress(null));
             send(next, doneReply(2, "s"));
             assertCallOutcomes("1 OK r", "3 UNREACHABLE", "2 OK s");
         }
     }
 
-    /** All connections had the operation's own last call, on which a copy may follow: one makes room for a new one. */
+    /**
+     * All connections carried the request's own last call, whose reply may be repeated: one is closed for a new one.
+     */
     @Example
     void aRequestIsNotSentOnTheConnectionOfItsOwnLastCall() throws IOException {
-        try (ServerSocket place = openServer();
-                ManualClockLoop on = new ManualClockLoop()) {
-            client = createClient(on, addressOf(place), 1);
+        try (ServerSocket server = openServer();
+                ManualClockLoop loop = new ManualClockLoop()) {
+            client = createClient(loop, addressOf(server), 1);
             call(1);
-            Socket line = acceptCall(place, 1);
-            send(line, doneReply(1, "r"));
+            Socket socket = acceptCall(server, 1);
+            send(socket, doneReply(1, "r"));
             assertCallOutcomes("1 OK r");
             call(1);
-            Socket next = acceptCall(place, 1);
+            Socket next = acceptCall(server, 1);
             send(next, doneReply(1, "s"));
             assertCallOutcomes("1 OK r", "1 OK s");
         }
     }
 
-    /** A second call for an operation gives up its first, here as at the service: one ending is heard, the second's. */
+    /** A second call for a request cancels the first, here as at the service: only the second one's end is reported. */
     @Example
     void aSecondCallForARequestCancelsTheFirst() throws IOException {
-        try (ServerSocket place = openServer();
-                ManualClockLoop on = new ManualClockLoop()) {
-            client = createClient(on, addressOf(place), 4);
+        try (ServerSocket server = openServer();
+                ManualClockLoop loop = new ManualClockLoop()) {
+            client = createClient(loop, addressOf(server), 4);
             call(1);
-            Socket line = acceptCall(place, 1);
+            Socket socket = acceptCall(server, 1);
             call(1);
-            Socket next = acceptCall(place, 1);
-            assertEquals(-1, line.getInputStream().read());
+            Socket next = acceptCall(server, 1);
+            assertEquals(-1, socket.getInputStream().read());
             send(next, doneReply(1, "s"));
             assertCallOutcomes("1 OK s");
-            on.advance(400);
-            on.runBatches(1);
+            loop.advance(400);
+            loop.runBatches(1);
             assertCallOutcomes("1 OK s");
         }
     }
 
-    /** Calls that wait for a connection while each dial is refused: each is told that it never ran, however many there are. */
+    /**
+     * Calls that wait while every connect attempt is refused: each is reported as never run, however many there are.
+     */
     @Example
     void manyWaitingCallsEndOneByOneWhenConnectsFail() throws IOException {
-        try (ManualClockLoop on = new ManualClockLoop()) {
-            client = createClient(on, new InetSocketAddress(LOOPBACK, PortAllocator.free()), 4);
-            on.runOnLoop(() -> {
+        try (ManualClockLoop loop = new ManualClockLoop()) {
+            client = createClient(loop, new InetSocketAddress(LOOPBACK, PortAllocator.free()), 4);
+            loop.runOnLoop(() -> {
                 for (int i = 1; i <= 3000; i++) {
                     client.call(TestRequests.tracked(i), new byte[] {'b'}, CALL_TIMEOUT);
                 }
             });
-            on.awaitCondition(() -> callOutcomes.size() == 3000, "all endings");
+            loop.awaitCondition(() -> callOutcomes.size() == 3000, "all endings");
             assertEquals(
                     3000,
                     callOutcomes.stream()
--- a/src/test/java/merlinlever/records/RecordsReplyTest.java
+++ b/src/test/java/merlinlever/records/RecordsReplyTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import merlinlever.Outcome;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -23,12 +23,12 @@
         Outcome[] endings = {Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.NOT_STARTED};
         for (int i = 0; i < words.length; i++) {
             byte[] bytes = ascii("9b1f03aa5c7e2d41 " + words[i] + "\r\n");
-            RecordsReply reply = RecordsReply.parse(bytes, 0, bytes.length);
-            assertEquals(endings[i], reply.ending());
+            RecordsReply reply = RecordsReply.parse(bytes, 0, bytes.length).orElseThrow();
+            assertEquals(endings[i], reply.outcome());
             assertEquals(bytes.length, reply.end());
             assertEquals(
                     words[i].equals("WAIT") || words[i].equals("EMPTY"),
-                    reply.ending().provesNoEffect());
+                    reply.outcome().provesNoEffect());
         }
     }
 
@@ -41,12 +41,12 @@
         System.arraycopy(ascii("\r\nabc"), 0, all, head.length + body.length, 5);
         int whole = all.length - 3;
         for (int limit = 0; limit <= all.length; limit++) {
-            RecordsReply reply = RecordsReply.parse(all, 0, limit);
+            Optional<RecordsReply> reply = RecordsReply.parse(all, 0, limit);
             if (limit < whole) {
-                assertNull(reply);
+                assertEquals(Optional.empty(), reply);
             } else {
-                assertArrayEquals(body, reply.body());
-                assertEquals(whole, reply.end());
+                assertArrayEquals(body, reply.orElseThrow().body());
+                assertEquals(whole, reply.orElseThrow().end());
             }
         }
     }
@@ -68,7 +68,7 @@
             assertThrows(
                     RecordsReply.MalformedReplyException.class, () -> RecordsReply.parse(bytes, 0, bytes.length), bad);
         }
-        // What cannot become a reply is not waited for, whether its line ends or not.
+        // Bytes that cannot become a reply are rejected without waiting for the line's end.
         for (String endless : new String[] {"a".repeat(200), "9b1f\u0003x", "\u00e9t\u00e9"}) {
             byte[] bytes = ascii(endless);
             assertThrows(RecordsReply.MalformedReplyException.class, () -> RecordsReply.parse(bytes, 0, bytes.length));
