--- a/src/main/java/merlinlever/agent/LineDecoder.java
+++ b/src/main/java/merlinlever/agent/LineDecoder.java
@@ -4,42 +4,50 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Cuts what is read into lines; the bytes of a line that is not whole are left, and not looked at twice. */
+/** Cuts a stream of bytes into lines; the bytes of an incomplete line stay in the buffer and are not scanned twice. */
 public final class LineDecoder {
 
-    private final int longest;
-    private int seen;
-    private boolean passingOver;
+    private final int maxLineBytes;
+    /** Bytes at the front of the buffer that are known to hold no line end. */
+    private int scannedBytes;
 
-    public LineDecoder(int longest) {
-        this.longest = longest;
+    private boolean skipping;
+
+    /** @param maxLineBytes as many bytes without a line end are too many */
+    public LineDecoder(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
-    /** Hands over each whole line without its end; says whether what is left may still become one. */
-    public boolean take(ByteBuffer in, Consumer<String> taker) {
-        byte[] bytes = in.array();
-        int start = in.position();
-        for (int at = start + seen; at < in.limit(); at++) {
+    /**
+     * Hands over each complete line without its line end.
+     *
+     * @param input an array-backed buffer; its position moves behind the last line end
+     * @return whether the rest may still become a line; if not, {@link #skipLine} drops it
+     */
+    public boolean decode(ByteBuffer input, Consumer<String> lineConsumer) {
+        byte[] bytes = input.array();
+        int start = input.position();
+        for (int at = start + scannedBytes; at < input.limit(); at++) {
             if (bytes[at] == '\n') {
-                in.position(at + 1);
-                if (!passingOver) {
-                    taker.accept(new String(bytes, start, at - start, StandardCharsets.UTF_8));
+                input.position(at + 1);
+                if (!skipping) {
+                    lineConsumer.accept(new String(bytes, start, at - start, StandardCharsets.UTF_8));
                 }
-                passingOver = false;
+                skipping = false;
                 start = at + 1;
             }
         }
-        if (passingOver) {
-            in.position(in.limit());
+        if (skipping) {
+            input.position(input.limit());
         }
-        seen = in.remaining();
-        return seen < longest;
+        scannedBytes = input.remaining();
+        return scannedBytes < maxLineBytes;
     }
 
-    /** Of the line that is not whole, what came and what will still come is not handed over. */
-    public void passOver(ByteBuffer in) {
-        passingOver = true;
-        in.position(in.limit());
-        seen = 0;
+    /** Drops the incomplete line: what has come of it, and what will still come up to its line end. */
+    public void skipLine(ByteBuffer input) {
+        skipping = true;
+        input.position(input.limit());
+        scannedBytes = 0;
     }
 }
--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -260,7 +260,7 @@
 
     /** Runs the server until SIGTERM. */
     void run() {
-        HangupSignal.handle(() -> loop.execute(this::reloadAll));
+        HangupSignal.onHangup(() -> loop.execute(this::reloadAll));
         ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
         LOG.info("listening address={}", SocketAddresses.format(serverAddress));
         runner.run(() -> {});
@@ -276,7 +276,7 @@
                 }
             });
         });
-        loop.in(stopAfter, () -> stop("stop-time-reached"));
+        loop.schedule(stopAfter, () -> stop("stop-time-reached"));
     }
 
     private void stop(String reason) {
--- a/src/main/java/merlinlever/directory/HeartbeatSender.java
+++ b/src/main/java/merlinlever/directory/HeartbeatSender.java
@@ -7,37 +7,43 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** Heartbeats to the directory, one datagram each, which nobody has to receive. */
+/** Sends heartbeats to the directory: one datagram each, without an answer. Used on one thread. */
 public final class HeartbeatSender {
 
     /**
-     * A quarter of the reports may be lost, and an entry lapses 3 s after the last. With one a second the third report
-     * comes as it lapses: two lost in a row, one in sixteen, take a backend that serves off the list. So five come within.
+     * The time between two heartbeats. A quarter of them may be lost, and the directory removes an entry 3 s after the
+     * last one. With one a second, two lost in a row (one case in sixteen) would remove a healthy backend, as the third
+     * comes at the moment of the expiry; with this period five come in time.
      */
     public static final Duration PERIOD = Duration.ofMillis(500);
 
     private final DatagramChannel channel;
-    private final String name;
-    private InetSocketAddress address;
+    private final String serverName;
+    private InetSocketAddress directoryAddress;
 
-    public HeartbeatSender(InetSocketAddress address, String name) throws IOException {
-        this.address = address;
-        this.name = name;
+    /**
+     * @param serverName the name that the directory lists
+     * @throws IOException if no socket can be opened
+     */
+    public HeartbeatSender(InetSocketAddress directoryAddress, String serverName) throws IOException {
+        this.directoryAddress = directoryAddress;
+        this.serverName = serverName;
         channel = DatagramChannel.open();
         channel.configureBlocking(false);
     }
 
-    /** Heartbeats go there from now on. */
-    public void moveTo(InetSocketAddress there) {
-        address = there;
+    /** Sends heartbeats to this address from now on. */
+    public void setAddress(InetSocketAddress newAddress) {
+        directoryAddress = newAddress;
     }
 
-    public void beat(boolean open) {
-        byte[] text = ("PULSE " + name + (open ? " open" : " closed")).getBytes(StandardCharsets.UTF_8);
+    /** Sends one heartbeat, or drops it where it cannot be sent now: the next one says the same. */
+    public void send(boolean accepting) {
+        String text = "PULSE " + serverName + (accepting ? " open" : " closed");
         try {
-            channel.send(ByteBuffer.wrap(text), address);
+            channel.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), directoryAddress);
         } catch (IOException e) {
-            // Nobody listens, or there is no room now: the next report says the same.
+            // Nobody listens, or the system has no buffer left.
         }
     }
 }
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -39,7 +39,7 @@
         this.protocol = protocol;
         this.codec = codec;
         this.mayAnnounce = mayAnnounce;
-        loop.every(TICK_INTERVAL, this::flush);
+        loop.runNowAndEvery(TICK_INTERVAL, this::flush);
     }
 
     /** Takes in a datagram; one that is not of this fleet is counted and dropped. */
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
@@ -109,7 +109,7 @@
                 (now, id, outcome, reply) -> localCallEnded(now, id, outcome, reply),
                 log,
                 settings.maxConnections());
-        loop.every(TICK_INTERVAL, () -> tick(onCapacity));
+        loop.runNowAndEvery(TICK_INTERVAL, () -> tick(onCapacity));
     }
 
     private void tick(LongConsumer onCapacity) {
@@ -130,7 +130,7 @@
 
     /** The own service is reached at that address from now on. */
     public void moveTo(InetSocketAddress address) {
-        ownClient.moveTo(address);
+        ownClient.setAddress(address);
     }
 
     /** How many calls went to partners. */
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -47,7 +47,7 @@
                 new ViewManager(loop.clock().uptime(), setup, recovery.members().memberTable(), election);
         recovery.members().addTextHandler(ViewManager.MESSAGE_TYPES, this);
         recovery.members().addPayloadHandler(this);
-        loop.every(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
+        loop.runNowAndEvery(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
     }
 
     /** What is known of the fleet, for the parts that depend on the peers. */
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -43,11 +43,11 @@
 
     void attach(Connection mine) {
         connection = mine;
-        connection.readOn();
+        connection.resumeReading();
     }
 
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer in) {
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
         while (in.remaining() >= 2 && inFlight.size() < MAX_IN_FLIGHT) {
@@ -66,7 +66,7 @@
                 inFlight.add(asked);
             } else if (!one.answered) {
                 // Not a question: nothing that such a peer says next is worth reading.
-                connection.end(CloseReason.MALFORMED);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
         }
@@ -88,14 +88,14 @@
             inFlight.remove(asked);
             idleSince = loop.clock().now();
             // Behind this batch: what waits in the buffer is read now that there is room.
-            loop.execute(connection::readAgain);
+            loop.execute(connection::redeliver);
         }
 
         @Override
         public void answer(byte[] octets) {
             over();
             if (octets == null) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
             } else {
                 write(octets);
             }
@@ -103,7 +103,7 @@
 
         @Override
         public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
-            if (connection.ended() != null) {
+            if (!connection.isOpen()) {
                 done.accept(false);
                 return;
             }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void written() {
+    public void onFlushed() {
         unwrittenSince = null;
         idleSince = loop.clock().now();
         if (sending != null) {
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void ended(CloseReason how) {
+    public void onClosed(CloseReason how) {
         Duration now = loop.clock().now();
         for (PendingMessage asked : List.copyOf(inFlight)) {
             desk.clientDisconnected(now, asked);
--- a/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
@@ -18,351 +18,360 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Events that cross on the links to the agent, on sockets; time stands still but where a test moves it on. */
+/** Races on the connections to the agent, over sockets; time advances only where a test advances it. */
 class AgentLinkRaceTest {
 
-    private final AgentLinkFixture around;
-    private final ManualClockLoop driven = new ManualClockLoop();
-    private final ServerSocket first = new ServerSocket(0, 50, AgentLinkFixture.HERE);
+    private final AgentLinkFixture fixture;
+    private final ManualClockLoop loop = new ManualClockLoop();
+    private final ServerSocket firstServer = new ServerSocket(0, 50, AgentLinkFixture.LOOPBACK);
 
     AgentLinkRaceTest() throws IOException {
-        first.setSoTimeout(ManualClockLoop.PATIENCE_MS);
-        around = new AgentLinkFixture(driven, AgentLinkFixture.at(first));
+        firstServer.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
+        fixture = new AgentLinkFixture(loop, AgentLinkFixture.addressOf(firstServer));
     }
 
     @AfterTry
-    void end() throws IOException {
-        first.close();
-        around.close();
+    void closeAll() throws IOException {
+        firstServer.close();
+        fixture.close();
     }
 
     /**
-     * The loop is held up while the link breaks: when the last bytes are read says nothing about when the link broke,
-     * and a reply that left before must not count as arrived.
+     * The loop pauses while the connection breaks: the time of the last read does not tell when it broke, and a reply
+     * that was sent before must not count as received.
      */
     @Example
-    void aReplyThatLeftBeforeAStallAndABreakIsSentAgain() throws IOException {
-        FakeAgent agent = around.up(first);
-        String name = around.take();
-        agent.hear("launch");
-        agent.request(1, name);
-        driven.until(() -> !around.calls.isEmpty(), "the call");
-        around.reply(name, "b");
-        assertEquals("Yg==", agent.hear("deliver").get("payload"));
-        driven.later(300);
-        agent.read();
-        around.breaks(agent);
-        driven.later(20);
-        FakeAgent next = around.accept(first, 1);
-        around.takesOver(next);
-        assertEquals("Yg==", next.hear("deliver").get("payload"));
+    void aReplySentBeforeAPauseAndALinkLossIsSentAgain() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        String requestId = fixture.admitRequest();
+        agent.awaitCommand("launch");
+        agent.sendCallRequest(1, requestId);
+        loop.awaitCondition(() -> !fixture.calls.isEmpty(), "the call");
+        fixture.completeCall(requestId, "b");
+        assertEquals("Yg==", agent.awaitCommand("deliver").get("payload"));
+        loop.advance(300);
+        agent.awaitAllRead();
+        fixture.breakLink(agent);
+        loop.advance(20);
+        FakeAgent next = fixture.accept(firstServer, 1);
+        fixture.completeTakeover(next);
+        assertEquals("Yg==", next.awaitCommand("deliver").get("payload"));
     }
 
-    /** What a question shows to have arrived long before the break is not sent again. */
+    /** A command that an answered question proves to have arrived is not sent again. */
     @Example
-    void whatAnAnsweredQuestionShowsToHaveArrivedIsNotSentAgain() throws IOException {
-        FakeAgent agent = around.up(first);
-        String sure = around.take();
-        agent.hear("launch");
-        driven.later(70);
-        Map<?, ?> question = agent.hear("sample");
-        agent.sampled(question.get("token"), "[0]");
-        agent.read();
-        String doubtful = around.take();
-        assertEquals(doubtful, agent.hear("launch").get("req"));
-        around.breaks(agent);
-        driven.later(20);
-        FakeAgent next = around.accept(first, 0);
-        around.takesOver(next);
-        assertEquals(doubtful, next.hear("launch").get("req"));
-        // Commands come in their order: nothing was between.
-        around.gone(sure);
-        Map<?, ?> command = next.next();
-        assertEquals("freeze " + sure, command.get("cmd") + " " + command.get("req"));
+    void commandsAcknowledgedByAnAnsweredSampleAreNotSentAgain() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        String confirmed = fixture.admitRequest();
+        agent.awaitCommand("launch");
+        loop.advance(70);
+        Map<?, ?> question = agent.awaitCommand("sample");
+        agent.sendSampled(question.get("token"), "[0]");
+        agent.awaitAllRead();
+        String inDoubt = fixture.admitRequest();
+        assertEquals(inDoubt, agent.awaitCommand("launch").get("req"));
+        fixture.breakLink(agent);
+        loop.advance(20);
+        FakeAgent next = fixture.accept(firstServer, 0);
+        fixture.completeTakeover(next);
+        assertEquals(inDoubt, next.awaitCommand("launch").get("req"));
+        // Commands are sent in order, so none came in between.
+        fixture.disconnectCaller(confirmed);
+        Map<?, ?> command = next.nextCommand();
+        assertEquals("freeze " + confirmed, command.get("cmd") + " " + command.get("req"));
     }
 
     /**
-     * The next link is to be made in a while as the one in use is lost, and the agent moves: of the three reasons to
-     * connect one is left, or a second link takes the place of the one that waits for its greeting.
+     * A reconnect is scheduled when the active connection is lost and the address changes: one of the three reasons to
+     * connect must remain, or a second connection replaces the one that waits for its greeting.
      */
     @Example
-    void aRetryThatIsUnderWayAsTheLinkIsLostDoesNotOutliveAMove() throws IOException {
-        FakeAgent agent = around.up(first);
-        ServerSocket second = around.place();
-        around.moveTo(second);
-        FakeAgent coming = around.accept(second, 0);
-        coming.socket.close();
-        // The end of the one that was coming has been read once these have.
-        agent.read();
-        agent.read();
-        around.breaks(agent);
-        ServerSocket third = around.place();
-        around.moveTo(third);
-        FakeAgent waits = around.accept(third, 0);
-        driven.later(100);
-        around.takesOver(waits);
-        String name = around.take();
-        assertEquals(name, waits.hear("launch").get("req"));
+    void aPendingReconnectDoesNotOutliveAnAddressChange() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        ServerSocket secondServer = fixture.openAgentServer();
+        fixture.moveTo(secondServer);
+        FakeAgent pendingAgent = fixture.accept(secondServer, 0);
+        pendingAgent.socket.close();
+        // The close of the pending connection has been read once these have.
+        agent.awaitAllRead();
+        agent.awaitAllRead();
+        fixture.breakLink(agent);
+        ServerSocket thirdServer = fixture.openAgentServer();
+        fixture.moveTo(thirdServer);
+        FakeAgent greetedLate = fixture.accept(thirdServer, 0);
+        loop.advance(100);
+        fixture.completeTakeover(greetedLate);
+        String requestId = fixture.admitRequest();
+        assertEquals(requestId, greetedLate.awaitCommand("launch").get("req"));
     }
 
-    /** The greeting of the new link was long in coming: that says nothing of the questions asked on it since. */
+    /** A greeting that took long does not count against the questions that are asked after it. */
     @Example
-    void aSlowGreetingDoesNotCountAgainstTheFirstQuestions() throws IOException {
-        around.up(first);
-        // With something in hand the gauges are asked for all the time.
-        String name = around.take();
-        ServerSocket second = around.place();
-        around.moveTo(second);
-        FakeAgent agent = around.accept(second, 0);
+    void aSlowGreetingDoesNotCountAgainstTheFirstSamples() throws IOException {
+        fixture.connectAndGreet(firstServer);
+        // While a request is in flight the gauges are polled all the time.
+        String requestId = fixture.admitRequest();
+        ServerSocket secondServer = fixture.openAgentServer();
+        fixture.moveTo(secondServer);
+        FakeAgent agent = fixture.accept(secondServer, 0);
         for (int i = 0; i < 5; i++) {
-            driven.later(500);
+            loop.advance(500);
         }
-        around.takesOver(agent);
-        agent.read();
-        driven.later(10);
-        driven.later(500);
-        around.gone(name);
-        assertEquals(name, agent.hear("freeze").get("req"));
-        // One that is never greeted is made anew.
-        ServerSocket third = around.place();
-        around.moveTo(third);
-        FakeAgent silent = around.accept(third, 0);
+        fixture.completeTakeover(agent);
+        agent.awaitAllRead();
+        loop.advance(10);
+        loop.advance(500);
+        fixture.disconnectCaller(requestId);
+        assertEquals(requestId, agent.awaitCommand("freeze").get("req"));
+        // A connection that is never greeted is made again.
+        ServerSocket thirdServer = fixture.openAgentServer();
+        fixture.moveTo(thirdServer);
+        FakeAgent silent = fixture.accept(thirdServer, 0);
         for (int i = 0; i < 6; i++) {
-            driven.later(500);
+            loop.advance(500);
         }
-        assertNull(silent.next());
-        driven.later(20);
-        around.takesOver(around.accept(third, 0));
+        assertNull(silent.nextCommand());
+        loop.advance(20);
+        fixture.completeTakeover(fixture.accept(thirdServer, 0));
     }
 
-    /** Gauges that answer no open question, or are out of range, are not taken for the state of the cores. */
+    /** Gauges that answer no open question or are out of range are ignored. */
     @Example
-    void onlyAnAnswerToTheOpenQuestionCountsAsGauges() throws IOException {
-        FakeAgent agent = around.up(first);
-        around.take();
-        agent.hear("launch");
-        driven.later(10);
-        Object open = agent.next().get("token");
-        agent.sampled("other", "[1000]");
-        agent.read();
-        driven.later(10);
-        String launched = around.take();
-        // The one question is still open: no other was asked in between.
-        assertEquals(launched, agent.next().get("req"));
+    void onlyTheAnswerToTheOpenSampleCountsAsGauges() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        fixture.admitRequest();
+        agent.awaitCommand("launch");
+        loop.advance(10);
+        Object open = agent.nextCommand().get("token");
+        agent.sendSampled("other", "[1000]");
+        agent.awaitAllRead();
+        loop.advance(10);
+        String launched = fixture.admitRequest();
+        // The question is still open, as no other was asked in between.
+        assertEquals(launched, agent.nextCommand().get("req"));
         for (String bad : new String[] {"[1e999]", "[-1]", "[]", "[1,2,3]"}) {
-            agent.sampled(open, bad.equals("[1,2,3]") ? "[0,2,3]" : bad);
-            agent.read();
-            String name = around.take();
-            assertEquals(name, agent.next().get("req"), bad);
-            driven.later(10);
-            open = agent.next().get("token");
+            agent.sendSampled(open, bad.equals("[1,2,3]") ? "[0,2,3]" : bad);
+            agent.awaitAllRead();
+            String requestId = fixture.admitRequest();
+            assertEquals(requestId, agent.nextCommand().get("req"), bad);
+            loop.advance(10);
+            open = agent.nextCommand().get("token");
         }
     }
 
-    /** A line beyond all bounds is passed over where it stands: on a new link it would come again, and again. */
+    /** An overlong line is skipped in place: on a new connection the agent would only send it again. */
     @Example
-    void aLineThatIsTooLongCostsNeitherTheLinkNorWhatFollows() throws IOException {
-        FakeAgent agent = around.up(first);
-        String name = around.take();
-        agent.hear("launch");
+    void anOverlongLineCostsNeitherTheLinkNorLaterEvents() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        String requestId = fixture.admitRequest();
+        agent.awaitCommand("launch");
         agent.write("{\"cmd\":\"aside\",\"result\":\"");
         for (int i = 0; i < 40; i++) {
             agent.write("x".repeat(5000));
         }
-        agent.write("\"}\n" + AgentLinkFixture.outcome(1, name, "OK", "r") + "\n");
-        around.answered(name, "succeeded r");
-        String next = around.take();
-        assertEquals(next, agent.hear("launch").get("req"));
+        agent.write("\"}\n" + AgentLinkFixture.outcomeLine(1, requestId, "OK", "r") + "\n");
+        fixture.assertAnswered(requestId, "succeeded r");
+        String next = fixture.admitRequest();
+        assertEquals(next, agent.awaitCommand("launch").get("req"));
     }
 
-    /** A number that is none must not make all later notices old ones. */
+    /** An invalid offset must not make all later events count as read. */
     @Example
-    void aNoticeWithANumberThatIsNoneIsPassedOver() throws IOException {
-        FakeAgent agent = around.up(first);
-        String name = around.take();
-        agent.hear("launch");
+    void anEventWithAnInvalidOffsetIsIgnored() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        String requestId = fixture.admitRequest();
+        agent.awaitCommand("launch");
         for (String number : new String[] {"1e300", "-5", "9999999999999999999999", "1.5", "\"1\""}) {
-            agent.tell("{\"cmd\":\"aside\",\"offset\":" + number + ",\"result\":\"\"}");
+            agent.sendLine("{\"cmd\":\"aside\",\"offset\":" + number + ",\"result\":\"\"}");
         }
-        agent.tell("{\"cmd\":\"outcome\",\"offset\":1,\"req\":\"zz\",\"result\":\"OK\"}");
-        agent.outcome(1, name, "OK", "r");
-        around.answered(name, "succeeded r");
-        // Of an operation that nobody knows, or one that is over.
-        agent.outcome(2, "00000000000000ff", "OK", "x");
-        agent.request(3, "00000000000000ff");
-        agent.tell("{\"cmd\":\"refusal\",\"result\":\"launch\",\"req\":\"" + name + "\"}");
-        agent.tell("{\"cmd\":\"refusal\",\"result\":\"deliver\",\"req\":\"" + name + "\"}");
-        agent.tell("{\"cmd\":\"refusal\",\"result\":\"freeze\",\"req\":\"00000000000000ff\"}");
-        agent.read();
-        around.answered(name, "succeeded r");
+        agent.sendLine("{\"cmd\":\"outcome\",\"offset\":1,\"req\":\"zz\",\"result\":\"OK\"}");
+        agent.sendOutcome(1, requestId, "OK", "r");
+        fixture.assertAnswered(requestId, "succeeded r");
+        // Of an unknown request, or of one that has ended.
+        agent.sendOutcome(2, "00000000000000ff", "OK", "x");
+        agent.sendCallRequest(3, "00000000000000ff");
+        agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"launch\",\"req\":\"" + requestId + "\"}");
+        agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"deliver\",\"req\":\"" + requestId + "\"}");
+        agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"freeze\",\"req\":\"00000000000000ff\"}");
+        agent.awaitAllRead();
+        fixture.assertAnswered(requestId, "succeeded r");
     }
 
-    /** The old link delivers until the new one is greeted, half a notice at last: each counts once, none is missed. */
+    /**
+     * The old connection delivers until the new one is greeted, at last half an event: each counts once, none is
+     * missed.
+     */
     @Example
-    void aNoticeThatIsHalfReadAsItsLinkIsReplacedComesWholeOnTheNewOne() throws IOException {
-        FakeAgent old = around.up(first);
+    void anEventHalfReadWhenItsConnectionIsReplacedCountsOnceOnTheNewOne() throws IOException {
+        FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            names.add(around.take());
+            names.add(fixture.admitRequest());
         }
-        old.outcome(1, names.get(0), "OK", "0");
-        around.answered(names.get(0), "succeeded 0");
-        ServerSocket second = around.place();
-        around.moveTo(second);
-        FakeAgent agent = around.accept(second, 1);
-        old.outcome(2, names.get(1), "OK", "1");
-        String half = AgentLinkFixture.outcome(3, names.get(2), "OK", "2");
-        old.write(half.substring(0, 60));
-        around.answered(names.get(1), "succeeded 1");
-        agent.greet();
-        agent.outcome(2, names.get(1), "ERROR", "");
-        agent.tell(half);
-        around.answered(names.get(2), "succeeded 2");
-        assertNull(lastOf(old), "the old link is closed");
-        agent.outcome(4, names.get(3), "OK", "3");
-        around.answered(names.get(3), "succeeded 3");
-        assertTrue(driven.on(() -> around.logged.stream().noneMatch(line -> line.contains("missed"))));
+        oldAgent.sendOutcome(1, names.get(0), "OK", "0");
+        fixture.assertAnswered(names.get(0), "succeeded 0");
+        ServerSocket secondServer = fixture.openAgentServer();
+        fixture.moveTo(secondServer);
+        FakeAgent agent = fixture.accept(secondServer, 1);
+        oldAgent.sendOutcome(2, names.get(1), "OK", "1");
+        String half = AgentLinkFixture.outcomeLine(3, names.get(2), "OK", "2");
+        oldAgent.write(half.substring(0, 60));
+        fixture.assertAnswered(names.get(1), "succeeded 1");
+        agent.sendGreeting();
+        agent.sendOutcome(2, names.get(1), "ERROR", "");
+        agent.sendLine(half);
+        fixture.assertAnswered(names.get(2), "succeeded 2");
+        assertNull(readToEnd(oldAgent), "the old link is closed");
+        agent.sendOutcome(4, names.get(3), "OK", "3");
+        fixture.assertAnswered(names.get(3), "succeeded 3");
+        assertTrue(loop.callOnLoop(
+                () -> fixture.logLines.stream().noneMatch(line -> line.contains("agent-events-missed"))));
     }
 
-    private static Map<?, ?> lastOf(FakeAgent agent) throws IOException {
-        Map<?, ?> next = agent.next();
+    private static Map<?, ?> readToEnd(FakeAgent agent) throws IOException {
+        Map<?, ?> next = agent.nextCommand();
         while (next != null) {
-            next = agent.next();
+            next = agent.nextCommand();
         }
         return next;
     }
 
-    /** Moved on, moved back and moved to where it is: one link is made to the last place, and the others are closed. */
+    /**
+     * The address changes on, back, and to itself: one connection to the last address remains, the others are closed.
+     */
     @Example
-    void oneOfManyMovesCounts() throws IOException {
-        FakeAgent old = around.up(first);
-        around.moveTo(first);
-        ServerSocket second = around.place();
-        around.moveTo(second);
-        FakeAgent dropped = around.accept(second, 0);
-        ServerSocket third = around.place();
-        driven.run(() -> {
-            around.link.moveTo(AgentLinkFixture.at(third));
-            around.link.moveTo(AgentLinkFixture.at(second));
-            around.link.moveTo(AgentLinkFixture.at(first));
+    void onlyTheLastOfManyAddressChangesCounts() throws IOException {
+        FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
+        fixture.moveTo(firstServer);
+        ServerSocket secondServer = fixture.openAgentServer();
+        fixture.moveTo(secondServer);
+        FakeAgent droppedAgent = fixture.accept(secondServer, 0);
+        ServerSocket thirdServer = fixture.openAgentServer();
+        loop.runOnLoop(() -> {
+            fixture.link.setAddress(AgentLinkFixture.addressOf(thirdServer));
+            fixture.link.setAddress(AgentLinkFixture.addressOf(secondServer));
+            fixture.link.setAddress(AgentLinkFixture.addressOf(firstServer));
         });
-        assertNull(dropped.next());
-        String name = around.take();
-        assertEquals(name, old.hear("launch").get("req"));
-        FakeAgent again = around.accept(first, 0);
-        again.greet();
-        assertNull(lastOf(old));
-        around.takesOver(again);
-        assertEquals(name, again.hear("launch").get("req"));
-        // Without any link a move does not wait for the next try.
-        around.breaks(again);
-        around.moveTo(second);
-        FakeAgent last = around.accept(second, 0);
-        around.takesOver(last);
-        assertEquals(name, last.hear("launch").get("req"));
+        assertNull(droppedAgent.nextCommand());
+        String requestId = fixture.admitRequest();
+        assertEquals(requestId, oldAgent.awaitCommand("launch").get("req"));
+        FakeAgent again = fixture.accept(firstServer, 0);
+        again.sendGreeting();
+        assertNull(readToEnd(oldAgent));
+        fixture.completeTakeover(again);
+        assertEquals(requestId, again.awaitCommand("launch").get("req"));
+        // Without a connection a change of address does not wait for the scheduled reconnect.
+        fixture.breakLink(again);
+        fixture.moveTo(secondServer);
+        FakeAgent last = fixture.accept(secondServer, 0);
+        fixture.completeTakeover(last);
+        assertEquals(requestId, last.awaitCommand("launch").get("req"));
     }
 
-    /** The old link is closed before the new one is greeted: what is begun and replied meanwhile reaches the agent once. */
+    /** The old connection closes before the new one is greeted: commands of the time between reach the agent once. */
     @Example
-    void whatIsSentBetweenTwoLinksGoesOverTheNewOneOnce() throws IOException {
-        FakeAgent old = around.up(first);
-        String calling = around.take();
-        old.hear("launch");
-        old.request(1, calling);
-        driven.until(() -> !around.calls.isEmpty(), "the call");
-        ServerSocket second = around.place();
-        around.moveTo(second);
-        FakeAgent agent = around.accept(second, 1);
-        around.breaks(old);
-        String begun = around.take();
-        around.reply(calling, "b");
-        driven.later(200);
-        around.takesOver(agent);
+    void commandsIssuedBetweenTwoConnectionsAreSentOnceOnTheNewOne() throws IOException {
+        FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
+        String calling = fixture.admitRequest();
+        oldAgent.awaitCommand("launch");
+        oldAgent.sendCallRequest(1, calling);
+        loop.awaitCondition(() -> !fixture.calls.isEmpty(), "the call");
+        ServerSocket secondServer = fixture.openAgentServer();
+        fixture.moveTo(secondServer);
+        FakeAgent agent = fixture.accept(secondServer, 1);
+        fixture.breakLink(oldAgent);
+        String begun = fixture.admitRequest();
+        fixture.completeCall(calling, "b");
+        loop.advance(200);
+        fixture.completeTakeover(agent);
         List<String> heard = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Map<?, ?> next = agent.next();
+            Map<?, ?> next = agent.nextCommand();
             heard.add(next.get("cmd") + " " + next.get("req"));
         }
         assertEquals(List.of("deliver " + calling, "launch " + begun), heard);
-        around.gone(begun);
-        assertEquals("freeze", agent.next().get("cmd"));
+        fixture.disconnectCaller(begun);
+        assertEquals("freeze", agent.nextCommand().get("cmd"));
     }
 
-    /** An exercise crosses the change of links, and its own limit: each answer counts for its own question alone. */
+    /** A health exercise races a change of connections and its own timeout: each answer counts for its own question. */
     @Example
-    void anExerciseIsAskedAgainOnTheNewLinkAndLateAnswersAreNobodys() throws IOException {
-        FakeAgent old = around.up(first);
+    void aHealthExerciseIsRepeatedOnTheNewConnectionAndLateAnswersAreIgnored() throws IOException {
+        FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
         List<Boolean> heard = Collections.synchronizedList(new ArrayList<>());
-        around.check(heard::add);
-        Object token = old.hear("exercise").get("token");
-        ServerSocket second = around.place();
-        around.moveTo(second);
-        FakeAgent agent = around.accept(second, 0);
-        around.takesOver(agent);
-        assertEquals(token, agent.hear("exercise").get("token"));
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"OK\"}");
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"ERROR\"}");
-        agent.read();
+        fixture.checkHealthDeeply(heard::add);
+        Object token = oldAgent.awaitCommand("exercise").get("token");
+        ServerSocket secondServer = fixture.openAgentServer();
+        fixture.moveTo(secondServer);
+        FakeAgent agent = fixture.accept(secondServer, 0);
+        fixture.completeTakeover(agent);
+        assertEquals(token, agent.awaitCommand("exercise").get("token"));
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"OK\"}");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"ERROR\"}");
+        agent.awaitAllRead();
         assertEquals(List.of(true), heard);
-        around.check(heard::add);
-        Object late = agent.hear("exercise").get("token");
-        driven.later(1000);
+        fixture.checkHealthDeeply(heard::add);
+        Object late = agent.awaitCommand("exercise").get("token");
+        loop.advance(1000);
         assertEquals(List.of(true, false), heard);
-        around.check(heard::add);
-        Object next = agent.hear("exercise").get("token");
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + late + "\",\"result\":\"OK\"}");
-        agent.read();
+        fixture.checkHealthDeeply(heard::add);
+        Object next = agent.awaitCommand("exercise").get("token");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + late + "\",\"result\":\"OK\"}");
+        agent.awaitAllRead();
         assertEquals(List.of(true, false), heard);
-        // Health that goes bad in between counts more than an exercise that went well.
-        driven.run(() -> around.backend.startDrain(
-                driven.loop.clock().now(), driven.loop.clock().now().plusSeconds(3)));
-        driven.until(() -> !around.backend.isHealthy(), "bad health");
-        agent.tell("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
-        agent.read();
+        // A backend that becomes unhealthy meanwhile outweighs an exercise that succeeds.
+        loop.runOnLoop(() -> fixture.backend.startDrain(
+                loop.loop.clock().now(), loop.loop.clock().now().plusSeconds(3)));
+        loop.awaitCondition(() -> !fixture.backend.isHealthy(), "bad health");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
+        agent.awaitAllRead();
         assertEquals(List.of(true, false, false), heard);
     }
 
-    /** Notices that are missed for good: the runs of that time are broken off, and what comes after counts. */
+    /** Events that are lost for good: the runs of that time fail, and later events count. */
     @Example
-    void aRealGapBreaksOffTheRunsOfItsTimeOnly() throws IOException {
-        FakeAgent agent = around.up(first);
-        String lost = around.take();
-        agent.hear("launch");
-        agent.tell("{\"cmd\":\"aside\",\"offset\":7,\"result\":\"\"}");
-        around.answered(lost, "failed");
-        String after = around.take();
-        agent.hear("launch");
-        agent.outcome(8, lost, "OK", "late");
-        agent.outcome(9, after, "OK", "r");
-        around.answered(after, "succeeded r");
-        around.answered(lost, "failed");
+    void aGapInTheOffsetsFailsOnlyTheRunsOfItsTime() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        String lost = fixture.admitRequest();
+        agent.awaitCommand("launch");
+        agent.sendLine("{\"cmd\":\"aside\",\"offset\":7,\"result\":\"\"}");
+        fixture.assertAnswered(lost, "failed");
+        String after = fixture.admitRequest();
+        agent.awaitCommand("launch");
+        agent.sendOutcome(8, lost, "OK", "late");
+        agent.sendOutcome(9, after, "OK", "r");
+        fixture.assertAnswered(after, "succeeded r");
+        fixture.assertAnswered(lost, "failed");
     }
 
-    /** A place that neither accepts nor refuses: the link in use goes on, the dial ends in its time, a move ends it at once. */
+    /**
+     * An address that neither accepts nor refuses: the active connection is used meanwhile, the attempt times out, and
+     * a change of address ends it at once.
+     */
     @Example
-    void aDialThatHangsHoldsUpNothing() throws IOException {
-        FakeAgent agent = around.up(first);
-        try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.HERE)) {
+    void aHangingConnectAttemptDelaysNothing() throws IOException {
+        FakeAgent agent = fixture.connectAndGreet(firstServer);
+        try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.LOOPBACK)) {
             List<Socket> queued = new ArrayList<>();
             assertThrows(SocketTimeoutException.class, () -> {
                 while (queued.size() < 20) {
                     queued.add(new Socket());
-                    queued.get(queued.size() - 1).connect(AgentLinkFixture.at(silent), 200);
+                    queued.get(queued.size() - 1).connect(AgentLinkFixture.addressOf(silent), 200);
                 }
             });
-            around.moveTo(silent);
+            fixture.moveTo(silent);
             for (int i = 0; i < 3; i++) {
-                String name = around.take();
-                assertEquals(name, agent.hear("launch").get("req"));
-                agent.outcome(i + 1, name, "OK", "r");
-                around.answered(name, "succeeded r");
-                // The dial has its 2 s and is made again; the questions on the link in use are answered.
-                driven.later(2100);
-                agent.read();
+                String requestId = fixture.admitRequest();
+                assertEquals(requestId, agent.awaitCommand("launch").get("req"));
+                agent.sendOutcome(i + 1, requestId, "OK", "r");
+                fixture.assertAnswered(requestId, "succeeded r");
+                // The attempt times out after 2 s and is repeated; questions on the active connection are answered.
+                loop.advance(2100);
+                agent.awaitAllRead();
             }
-            ServerSocket second = around.place();
-            around.moveTo(second);
-            around.takesOver(around.accept(second, 3));
+            ServerSocket secondServer = fixture.openAgentServer();
+            fixture.moveTo(secondServer);
+            fixture.completeTakeover(fixture.accept(secondServer, 3));
             for (Socket socket : queued) {
                 socket.close();
             }
--- a/src/test/java/merlinlever/net/ManualClockLoop.java
+++ b/src/test/java/merlinlever/net/ManualClockLoop.java
@@ -16,38 +16,38 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** A real loop on a thread of its own, whose time stands still but where the test moves it on. */
+/** A real event loop on a thread of its own, whose clock advances only where the test advances it. */
 public final class ManualClockLoop implements AutoCloseable {
 
-    /** Of real time, for what never comes; it decides no verdict. */
-    public static final int PATIENCE_MS = 10_000;
+    /** Real time to wait for something that never comes; it decides no assertion otherwise. */
+    public static final int TIMEOUT_MS = 10_000;
 
     private final AtomicLong nanos = new AtomicLong(1_000_000_000_000L);
     private final List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
     private final Thread thread;
     public final EventLoop loop;
 
-    /** On sockets. */
+    /** A loop on sockets. */
     public ManualClockLoop() throws IOException {
         loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add);
-        thread = begin();
+        thread = startThread();
     }
 
-    /** In memory: what is connected to is a party of the test's. */
-    public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> parties) {
-        loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, parties);
-        thread = begin();
+    /** A loop in memory, on which connecting reaches the test's peers. */
+    public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> peers) {
+        loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, peers);
+        thread = startThread();
     }
 
-    private Thread begin() {
-        Thread made = new Thread(loop::run);
-        made.setDaemon(true);
-        made.start();
-        return made;
+    private Thread startThread() {
+        Thread started = new Thread(loop::run);
+        started.setDaemon(true);
+        started.start();
+        return started;
     }
 
-    /** What the task returns, which runs on the loop. */
-    public <T> T on(Supplier<T> task) {
+    /** Runs the task on the loop and returns its result. */
+    public <T> T callOnLoop(Supplier<T> task) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
@@ -60,53 +60,53 @@
     }
 
     private static <T> T join(CompletableFuture<T> done) {
-        return done.orTimeout(PATIENCE_MS, TimeUnit.MILLISECONDS).join();
+        return done.orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
     }
 
-    public void run(Runnable task) {
-        on(() -> {
+    public void runOnLoop(Runnable task) {
+        callOnLoop(() -> {
             task.run();
             return null;
         });
     }
 
-    /** So much later; the timers that are due have run when this returns. */
-    public void later(long ms) {
+    /** Advances the clock; the timers that are due have run when this returns. */
+    public void advance(long ms) {
         CompletableFuture<Void> last = new CompletableFuture<>();
         loop.execute(() -> {
-            laterNow(ms);
-            loop.in(Duration.ZERO, () -> last.complete(null));
+            advanceOnLoop(ms);
+            loop.schedule(Duration.ZERO, () -> last.complete(null));
         });
         join(last);
     }
 
-    /** From a task on the loop: its timers are due with the batch that runs. */
-    public void laterNow(long ms) {
+    /** Advances the clock from a task on the loop: timers are due with the running batch. */
+    public void advanceOnLoop(long ms) {
         nanos.addAndGet(Duration.ofMillis(ms).toNanos());
     }
 
-    /** So many batches have run; in memory all that was under way has arrived after some. */
-    public void batches(int count) {
+    /** Runs so many batches; on a loop in memory everything written has arrived after a few. */
+    public void runBatches(int count) {
         for (int i = 0; i < count; i++) {
-            later(0);
+            advance(0);
         }
     }
 
-    /** Waits for what is sure to come. */
-    public void until(BooleanSupplier come, String what) {
-        long from = System.nanoTime();
-        while (!on(come::getAsBoolean)) {
-            assertTrue(System.nanoTime() - from < PATIENCE_MS * 1_000_000L, "did not come: " + what);
+    /** Waits until the condition, which is evaluated on the loop, holds. */
+    public void awaitCondition(BooleanSupplier condition, String description) {
+        long startedNanos = System.nanoTime();
+        while (!callOnLoop(condition::getAsBoolean)) {
+            assertTrue(System.nanoTime() - startedNanos < TIMEOUT_MS * 1_000_000L, "did not come: " + description);
             Thread.onSpinWait();
         }
     }
 
-    /** Ends it; nothing on it may have failed. */
+    /** Stops the loop, and asserts that nothing on it has failed. */
     @Override
     public void close() {
         loop.stop();
         try {
-            thread.join(PATIENCE_MS);
+            thread.join(TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
