--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
 import merlinlever.experiments.Experiment;
@@ -19,6 +20,7 @@
 import merlinlever.experiments.ExperimentCounts.RequestResult;
 import merlinlever.experiments.ExperimentNode;
 import merlinlever.experiments.ExperimentResult;
+import merlinlever.membership.PeerMessage;
 import merlinlever.replication.OutgoingMessage;
 import merlinlever.replication.ReplicatedStore;
 import merlinlever.replication.ReplicatedStore.PersistedEntries;
@@ -146,7 +148,7 @@
     /** The backend that leads, or -1. */
     private int leader() {
         for (int i = 0; i < size; i++) {
-            if (nodes[i] != null && elections[i].leads(clock(i))) {
+            if (nodes[i] != null && elections[i].isLeader(clock(i))) {
                 return i;
             }
         }
@@ -184,9 +186,7 @@
         elections[i] = new LeaderElection(
                 now,
                 "b" + i,
-                voters,
-                Duration.ofSeconds(2),
-                0.01,
+                new ElectionSettings(voters, Duration.ofSeconds(2), 0.01),
                 termsOnDisk[i],
                 term -> {
                     termsOnDisk[i] = Math.max(termsOnDisk[i], term);
@@ -212,12 +212,12 @@
     private QuorumStatus quorumStatus(int i) {
         int reachable = reachableVoters(i).size();
         if (nowMs - startedAtMs[i] < RECOVERY_MS) {
-            return QuorumStatus.RETURNING;
+            return QuorumStatus.RECOVERING;
         }
         if (reachable == voters.size()) {
-            return QuorumStatus.WHOLE;
+            return QuorumStatus.FULL;
         }
-        return isMajority(reachable) ? QuorumStatus.MOST : QuorumStatus.FEW;
+        return isMajority(reachable) ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY;
     }
 
     private boolean isMajority(int count) {
@@ -244,7 +244,7 @@
         @Override
         public void propose(Duration now, String name, byte[] value) {
             List<Integer> reachable = reachableVoters(backend);
-            if (!elections[backend].leads(now) || !isMajority(reachable.size())) {
+            if (!elections[backend].isLeader(now) || !isMajority(reachable.size())) {
                 return;
             }
             byte[] safeValue = reachable.stream()
@@ -300,9 +300,9 @@
         return Integer.parseInt(name.substring(1));
     }
 
-    private void sendElection(int sender, List<LeaderElection.PeerMessage> messages) {
-        messages.forEach(
-                message -> send(sender, index(message.to()), new ElectionPayload(message.number(), message.what())));
+    private void sendElection(int sender, List<PeerMessage.Text> messages) {
+        messages.forEach(message ->
+                send(sender, index(message.recipient()), new ElectionPayload(message.correlationId(), message.text())));
     }
 
     private void sendReplication(int sender, List<OutgoingMessage> messages) {
@@ -338,7 +338,7 @@
             Duration now = clock(receiver);
             String sender = "b" + datagram.sender;
             if (datagram.payload instanceof ElectionPayload election) {
-                sendElection(receiver, elections[receiver].said(now, sender, election.number, election.text));
+                sendElection(receiver, elections[receiver].receive(now, sender, election.number, election.text));
             } else if (datagram.payload instanceof ReplicationPayload replication) {
                 sendReplication(receiver, stores[receiver].receive(now, sender, replication.body));
             }
@@ -348,11 +348,11 @@
     private void tick(int i) {
         Duration now = clock(i);
         write(i);
-        List<LeaderElection.PeerMessage> electionMessages = elections[i].look(now);
+        List<PeerMessage.Text> electionMessages = elections[i].tick(now);
         Leadership.Leader leader = elections[i].leader(now);
         if (leader != null && leader.name().equals("b" + i) && nowMs % ANNOUNCEMENT_MS == 0) {
             for (int k = 0; k < size; k++) {
-                send(i, k, new ElectionPayload(0, elections[i].toldWho(now)));
+                send(i, k, new ElectionPayload(0, elections[i].leaderAnnouncement(now)));
             }
         }
         if (nowMs % NODE_TICK_MS == 0) {
--- a/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
@@ -64,7 +64,7 @@
                 channel -> {
                     BackendConnection made = new BackendConnection();
                     made.connection = Connection.accepted(loop, channel, made, LINE, 1 << 20);
-                    made.connection.readOn();
+                    made.connection.resumeReading();
                 },
                 () -> {});
         listener.accept();
@@ -81,7 +81,7 @@
         notices.clear();
         dark = true;
         if (link != null) {
-            link.connection.end(CloseReason.DONE);
+            link.connection.close(CloseReason.COMPLETED);
         }
     }
 
@@ -91,8 +91,8 @@
     }
 
     private static void stop(RunningRequest run) {
-        run.effect.callOff();
-        run.end.callOff();
+        run.effect.cancel();
+        run.end.cancel();
     }
 
     public void close() {
@@ -105,8 +105,8 @@
         private Connection connection;
 
         @Override
-        public void read(ByteBuffer in) {
-            lines.take(in, this::command);
+        public void onReceived(ByteBuffer in) {
+            lines.decode(in, this::command);
         }
 
         private void say(String line) {
@@ -118,7 +118,7 @@
             try {
                 command = Json.object(line);
             } catch (Json.MalformedJsonException e) {
-                connection.end(CloseReason.MALFORMED);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
             String id = String.valueOf(command.get("req"));
@@ -151,11 +151,11 @@
 
         private void subscribed(int offset) {
             if (dark) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
                 return;
             }
             if (link != null && link != this) {
-                link.connection.end(CloseReason.DONE);
+                link.connection.close(CloseReason.COMPLETED);
             }
             link = this;
             if (offset == 0) {
@@ -169,11 +169,11 @@
         }
 
         @Override
-        public void ended(CloseReason how) {
+        public void onClosed(CloseReason how) {
             if (link == this) {
                 link = null;
             }
-            listener.gone();
+            listener.connectionClosed();
         }
     }
 
@@ -185,7 +185,7 @@
         rules.launched(id);
         RunningRequest run = new RunningRequest();
         runs.put(id, run);
-        run.effect = loop.in(work.multipliedBy(2).dividedBy(5), () -> {
+        run.effect = loop.schedule(work.multipliedBy(2).dividedBy(5), () -> {
             if (keyed) {
                 rules.effect(operation, id, name);
             }
@@ -200,7 +200,7 @@
                     "\"result\":\"OK\",\"elapsed_ms\":" + work.toMillis() + ",\"payload\":\""
                             + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.US_ASCII)) + "\"");
         };
-        run.end = loop.in(work, () -> {
+        run.end = loop.schedule(work, () -> {
             if (calls) {
                 run.then = ends;
                 notice("\"cmd\":\"request\"", id, "\"payload\":\"AQ==\"");
--- a/src/main/java/merlinlever/http/RequestHead.java
+++ b/src/main/java/merlinlever/http/RequestHead.java
@@ -5,176 +5,213 @@
 import java.util.Locale;
 
 /**
- * The head of one message from an edge node, read where it lies; the fields are places in the bytes until they are
- * asked for.
+ * Parses the head of one request in place: each value is a range of the buffer's bytes until it is asked for, and is
+ * valid only as long as those bytes are. An instance is used again for the next head.
  */
 final class RequestHead {
 
-    /** A head may take this much. */
-    static final int LONGEST = 4096;
+    /** The longest head, with its end. */
+    static final int MAX_BYTES = 4096;
 
-    static final int LONGEST_BODY = 2048;
+    static final int MAX_BODY_BYTES = 2048;
+    /** The end of a head: two line ends. */
+    private static final int END_BYTES = 4;
 
-    /** The fields that mean something here; any other is passed over. */
-    // Nothing reads OWNER since tenant shares went; known, two that differ are still refused.
+    private static final int MAX_DIGITS = 17;
+    private static final int MAX_NUMBER_CHARS = 24;
+    private static final String VERSION_PREFIX = " HTTP/1.";
+    private static final int DELETE = 127;
+
+    /**
+     * The header fields that are read; any other is ignored. A field that comes twice with different values makes the
+     * head malformed, also {@link #OWNER}, which nothing else reads.
+     */
     enum HeaderField {
-        LENGTH("content-length"),
-        ENCODING("transfer-encoding"),
+        CONTENT_LENGTH("content-length"),
+        TRANSFER_ENCODING("transfer-encoding"),
         CONNECTION("connection"),
         EXPECT("expect"),
-        ID("req-id"),
-        TIME("req-time"),
-        FROM("req-from"),
-        WAIT("req-wait-ms"),
-        COST("req-cost"),
-        KB("req-kb"),
+        REQUEST_ID("req-id"),
+        SENT_AT("req-time"),
+        SENDER("req-from"),
+        MAX_WAIT("req-wait-ms"),
+        EXPECTED_COST("req-cost"),
+        MEMORY_KB("req-kb"),
         RANK("req-rank"),
-        TOKEN("req-token"),
-        KEY("req-key"),
+        IDEMPOTENCY_KEY("req-token"),
+        SUBJECT_KEY("req-key"),
         OWNER("req-owner"),
-        AGAIN("req-retry");
+        RETRY("req-retry");
 
-        @SuppressWarnings("ImmutableEnumChecker") // compared with the bytes as they come, never written
-        private final byte[] name;
+        private final byte[] wireName;
 
-        HeaderField(String name) {
-            this.name = name.getBytes(StandardCharsets.US_ASCII);
+        HeaderField(String wireName) {
+            this.wireName = wireName.getBytes(StandardCharsets.US_ASCII);
         }
     }
 
     private static final HeaderField[] FIELDS = HeaderField.values();
 
-    private final int[] from = new int[FIELDS.length];
-    private final int[] to = new int[FIELDS.length];
+    private final int[] valueStart = new int[FIELDS.length];
+    private final int[] valueEnd = new int[FIELDS.length];
     private byte[] bytes;
-    private int methodAt, methodEnd, pathAt, pathEnd, queryAt, queryEnd;
-    private boolean old;
-    private int length;
+    private int methodStart;
+    private int methodEnd;
+    private int pathStart;
+    private int pathEnd;
+    private int queryStart;
+    private int queryEnd;
+    private boolean http10;
+    private int contentLength;
 
-    /** Where the head that begins at {@code start} ends, or -1; nothing before {@code seen} needs looking at. */
-    static int end(byte[] bytes, int start, int seen, int limit) {
-        for (int i = Math.max(start, seen - 3); i + 4 <= limit; i++) {
+    /**
+     * Finds where the head that begins at {@code start} ends.
+     *
+     * @param scanned no end lies wholly before this place
+     * @return the place behind the end, or -1 where the head is not complete
+     */
+    static int findEnd(byte[] bytes, int start, int scanned, int limit) {
+        for (int i = Math.max(start, scanned - (END_BYTES - 1)); i + END_BYTES <= limit; i++) {
             if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
-                return i + 4;
+                return i + END_BYTES;
             }
         }
         return -1;
     }
 
-    /** Reads the head between the places; returns 0, or the status that answers what is wrong with it. */
-    int read(byte[] in, int start, int end) {
-        bytes = in;
-        Arrays.fill(from, -1);
-        length = -1;
-        int line = lineEnd(start, end);
-        if (!requestLine(start, line)) {
-            return 400;
+    /** Parses the head between the places; returns {@link HttpStatus#OK}, or the status to reject it with. */
+    HttpStatus parse(byte[] input, int start, int end) {
+        bytes = input;
+        Arrays.fill(valueStart, -1);
+        contentLength = -1;
+        int line = findLineEnd(start, end);
+        if (!parseRequestLine(start, line)) {
+            return HttpStatus.BAD_REQUEST;
         }
         for (int at = line + 2; at < end - 2; at = line + 2) {
-            line = lineEnd(at, end);
-            if (!field(at, line)) {
-                return 400;
+            line = findLineEnd(at, end);
+            if (!parseHeaderField(at, line)) {
+                return HttpStatus.BAD_REQUEST;
             }
         }
-        if (has(HeaderField.ENCODING)) {
-            return has(HeaderField.LENGTH) ? 400 : 501;
+        if (has(HeaderField.TRANSFER_ENCODING)) {
+            return has(HeaderField.CONTENT_LENGTH) ? HttpStatus.BAD_REQUEST : HttpStatus.NOT_IMPLEMENTED;
         }
-        if (has(HeaderField.LENGTH)) {
-            long stated = digits(HeaderField.LENGTH);
-            if (stated < 0) {
-                return 400;
+        if (has(HeaderField.CONTENT_LENGTH)) {
+            long declared = digits(HeaderField.CONTENT_LENGTH);
+            if (declared < 0) {
+                return HttpStatus.BAD_REQUEST;
             }
-            if (stated > LONGEST_BODY) {
-                return 413;
+            if (declared > MAX_BODY_BYTES) {
+                return HttpStatus.CONTENT_TOO_LARGE;
             }
-            length = (int) stated;
+            contentLength = (int) declared;
         }
-        return 0;
+        return HttpStatus.OK;
     }
 
-    private int lineEnd(int at, int end) {
+    private int findLineEnd(int at, int end) {
         while (at + 1 < end && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
             at++;
         }
         return at;
     }
 
-    private boolean requestLine(int start, int end) {
-        methodAt = start;
-        methodEnd = token(start, end);
+    private boolean parseRequestLine(int start, int end) {
+        methodStart = start;
+        methodEnd = skipToken(start, end);
         int at = methodEnd + 1;
         if (methodEnd == start || at >= end || bytes[methodEnd] != ' ' || bytes[at] != '/') {
             return false;
         }
-        pathAt = at;
-        queryAt = -1;
+        pathStart = at;
+        queryStart = -1;
         while (at < end && bytes[at] != ' ') {
-            if (bytes[at] <= ' ' || bytes[at] == 127) {
+            if (bytes[at] <= ' ' || bytes[at] == DELETE) {
                 return false;
             }
-            if (bytes[at] == '?' && queryAt < 0) {
-                queryAt = at + 1;
+            if (bytes[at] == '?' && queryStart < 0) {
+                queryStart = at + 1;
             }
             at++;
         }
         queryEnd = at;
-        pathEnd = queryAt < 0 ? at : queryAt - 1;
-        if (end - at != 9 || !matches(at, " HTTP/1.") || (bytes[end - 1] != '0' && bytes[end - 1] != '1')) {
+        pathEnd = queryStart < 0 ? at : queryStart - 1;
+        if (end - at != 9 || !matches(at, VERSION_PREFIX) || bytes[end - 1] != '0' && bytes[end - 1] != '1') {
             return false;
         }
-        old = bytes[end - 1] == '0';
+        http10 = bytes[end - 1] == '0';
         return true;
     }
 
-    private int token(int at, int end) {
-        while (at < end
-                && ((bytes[at] >= 'a' && bytes[at] <= 'z')
-                        || (bytes[at] >= 'A' && bytes[at] <= 'Z')
-                        || (bytes[at] >= '0' && bytes[at] <= '9')
-                        || "!#$%&'*+-.^_`|~".indexOf(bytes[at]) >= 0)) {
+    private int skipToken(int at, int end) {
+        while (at < end && isTokenCharacter(bytes[at])) {
             at++;
         }
         return at;
     }
 
-    private boolean field(int start, int end) {
-        int colon = token(start, end);
+    /** RFC 9110, 5.6.2. */
+    private static boolean isTokenCharacter(byte character) {
+        return (character >= 'a' && character <= 'z')
+                || (character >= 'A' && character <= 'Z')
+                || (character >= '0' && character <= '9')
+                || "!#$%&'*+-.^_`|~".indexOf(character) >= 0;
+    }
+
+    private static boolean isBlank(byte character) {
+        return character == ' ' || character == '\t';
+    }
+
+    /** Bytes beyond ASCII are negative, and no control characters. */
+    private static boolean isControl(byte character) {
+        return (character >= 0 && character < ' ') || character == DELETE;
+    }
+
+    private boolean parseHeaderField(int start, int end) {
+        int colon = skipToken(start, end);
         if (colon == start || colon >= end || bytes[colon] != ':') {
             return false;
         }
         int at = colon + 1;
         int stop = end;
-        while (at < stop && (bytes[at] == ' ' || bytes[at] == '\t')) {
+        while (at < stop && isBlank(bytes[at])) {
             at++;
         }
-        while (stop > at && (bytes[stop - 1] == ' ' || bytes[stop - 1] == '\t')) {
+        while (stop > at && isBlank(bytes[stop - 1])) {
             stop--;
         }
         for (int i = at; i < stop; i++) {
-            if ((bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t') || bytes[i] == 127) {
+            if (isControl(bytes[i]) && bytes[i] != '\t') {
                 return false;
             }
         }
         for (HeaderField field : FIELDS) {
-            if (named(field, start, colon)) {
-                int i = field.ordinal();
-                boolean again = from[i] >= 0;
-                boolean same = again && Arrays.equals(bytes, from[i], to[i], bytes, at, stop);
-                from[i] = at;
-                to[i] = stop;
-                return !again || same;
+            if (isNamed(field, start, colon)) {
+                return setValue(field, at, stop);
             }
         }
         return true;
     }
 
-    private boolean named(HeaderField field, int start, int end) {
-        if (end - start != field.name.length) {
+    /** False where the field has come before with another value. */
+    private boolean setValue(HeaderField field, int start, int end) {
+        int i = field.ordinal();
+        boolean repeated = valueStart[i] >= 0;
+        boolean isSame = repeated && Arrays.equals(bytes, valueStart[i], valueEnd[i], bytes, start, end);
+        valueStart[i] = start;
+        valueEnd[i] = end;
+        return !repeated || isSame;
+    }
+
+    private boolean isNamed(HeaderField field, int start, int end) {
+        if (end - start != field.wireName.length) {
             return false;
         }
-        for (int i = 0; i < field.name.length; i++) {
-            int c = bytes[start + i];
-            if ((c >= 'A' && c <= 'Z' ? c + 32 : c) != field.name[i]) {
+        for (int i = 0; i < field.wireName.length; i++) {
+            int character = bytes[start + i];
+            int lowerCase = character >= 'A' && character <= 'Z' ? character - 'A' + 'a' : character;
+            if (lowerCase != field.wireName[i]) {
                 return false;
             }
         }
@@ -194,50 +231,56 @@
         return new String(bytes, start, end - start, StandardCharsets.ISO_8859_1);
     }
 
+    /** As it came. */
     String method() {
-        return text(methodAt, methodEnd);
+        return text(methodStart, methodEnd);
     }
 
+    /** Without the query. */
     String path() {
-        return text(pathAt, pathEnd);
+        return text(pathStart, pathEnd);
     }
 
-    /** Whether the query sets the name to the value. */
-    boolean asks(String pair) {
-        return queryAt >= 0 && ("&" + text(queryAt, queryEnd) + "&").contains("&" + pair + "&");
+    /** Whether the query has this {@code name=value}. */
+    boolean hasQueryParameter(String pair) {
+        return queryStart >= 0 && ("&" + text(queryStart, queryEnd) + "&").contains("&" + pair + "&");
     }
 
-    /** The length of the body, or -1 where none is stated. */
-    int length() {
-        return length;
+    /** The length of the body, or -1 where none is declared. */
+    int contentLength() {
+        return contentLength;
     }
 
-    /** Whether the connection is not to be kept. */
-    boolean closes() {
-        String said = has(HeaderField.CONNECTION) ? text(HeaderField.CONNECTION).toLowerCase(Locale.ROOT) : "";
-        return said.contains("close") || (old && !said.contains("keep-alive"));
+    /** Whether the connection ends with the response: on request, and in HTTP/1.0 by default. */
+    boolean closesConnection() {
+        String option =
+                has(HeaderField.CONNECTION) ? text(HeaderField.CONNECTION).toLowerCase(Locale.ROOT) : "";
+        return option.contains("close") || (http10 && !option.contains("keep-alive"));
     }
 
-    boolean expectsToBeAsked() {
+    /** Whether the client waits for "100 Continue" before it sends the body. */
+    boolean expectsContinue() {
         return has(HeaderField.EXPECT);
     }
 
+    /** Whether the field has come, with whatever value. */
     boolean has(HeaderField field) {
-        return from[field.ordinal()] >= 0;
+        return valueStart[field.ordinal()] >= 0;
     }
 
+    /** The value of a field that has come, without blanks around it. */
     String text(HeaderField field) {
-        return text(from[field.ordinal()], to[field.ordinal()]);
+        return text(valueStart[field.ordinal()], valueEnd[field.ordinal()]);
     }
 
-    /** A number of digits only, or -1. */
+    /** The value of a field that consists of 1 to {@value #MAX_DIGITS} digits only, or -1. */
     long digits(HeaderField field) {
         int i = field.ordinal();
-        if (!has(field) || to[i] == from[i] || to[i] - from[i] > 17) {
+        if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > MAX_DIGITS) {
             return -1;
         }
         long value = 0;
-        for (int at = from[i]; at < to[i]; at++) {
+        for (int at = valueStart[i]; at < valueEnd[i]; at++) {
             if (bytes[at] < '0' || bytes[at] > '9') {
                 return -1;
             }
@@ -246,13 +289,13 @@
         return value;
     }
 
-    /** A plain decimal number, or NaN. */
+    /** The value of a field that is a decimal number of {@value #MAX_NUMBER_CHARS} characters at most, or NaN. */
     double number(HeaderField field) {
         int i = field.ordinal();
-        if (!has(field) || to[i] == from[i] || to[i] - from[i] > 24) {
+        if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > MAX_NUMBER_CHARS) {
             return Double.NaN;
         }
-        for (int at = from[i]; at < to[i]; at++) {
+        for (int at = valueStart[i]; at < valueEnd[i]; at++) {
             if ("0123456789.eE+-".indexOf(bytes[at]) < 0) {
                 return Double.NaN;
             }
@@ -264,13 +307,13 @@
         }
     }
 
-    /** Whether the field holds so many hex digits and nothing else. */
-    boolean hex(HeaderField field, int count) {
+    /** Whether the value is exactly so many hexadecimal digits. */
+    boolean isHex(HeaderField field, int count) {
         int i = field.ordinal();
-        if (!has(field) || to[i] - from[i] != count) {
+        if (!has(field) || valueEnd[i] - valueStart[i] != count) {
             return false;
         }
-        for (int at = from[i]; at < to[i]; at++) {
+        for (int at = valueStart[i]; at < valueEnd[i]; at++) {
             if (Character.digit(bytes[at], 16) < 0) {
                 return false;
             }
--- a/src/main/java/merlinlever/routes/FlapDamping.java
+++ b/src/main/java/merlinlever/routes/FlapDamping.java
@@ -4,86 +4,105 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Routes that come and go are left out for a while, by the figures of RFC 2439 and RFC 7196. */
+/**
+ * Suppresses for a while routes that come and go, as RFC 2439 and RFC 7196 say. Times are since the process began. Not thread-safe.
+ */
 public final class FlapDamping {
 
     /**
-     * The figures of route flap damping (RFC 2439).
+     * Penalties without a unit.
      *
-     * @param suppress from which penalty on a route is left out, and reuse below which it is used again
+     * @param withdrawalPenalty for a route that is withdrawn
+     * @param changePenalty for one that changes
+     * @param suppressThreshold from this penalty on a route is suppressed
+     * @param reuseThreshold below this penalty it is used again
+     * @param halfLife in which a penalty decays to half
+     * @param maxPenalty upper bound
      */
     public record FlapDampingSettings(
-            double withdrawal, double change, double suppress, double reuse, Duration halfLife, double most) {
-        /** The threshold that RFC 7196 recommends at the least; nothing is left out for more than an hour. */
-        public static final FlapDampingSettings PUBLISHED =
+            double withdrawalPenalty,
+            double changePenalty,
+            double suppressThreshold,
+            double reuseThreshold,
+            Duration halfLife,
+            double maxPenalty) {
+        /** With the lowest threshold that RFC 7196 recommends; nothing is suppressed for more than an hour. */
+        public static final FlapDampingSettings RECOMMENDED =
                 new FlapDampingSettings(1000, 500, 6000, 750, Duration.ofMinutes(15), 12_000);
     }
 
     private static final class RoutePenalty {
         double penalty;
-        Duration at;
-        boolean left;
+        Duration updatedAt;
+        boolean suppressed;
+
+        RoutePenalty(Duration updatedAt) {
+            this.updatedAt = updatedAt;
+        }
     }
 
-    /** Routes with a penalty at the most; beyond, no other gets one. */
-    public static final int MOST = 16_384;
+    /** Upper bound of the routes with a penalty; further ones get none. */
+    public static final int MAX_ROUTES = 16_384;
 
-    private final FlapDampingSettings figures;
-    private final Map<String, RoutePenalty> all = new TreeMap<>();
+    private final FlapDampingSettings settings;
+    private final Map<String, RoutePenalty> penalties = new TreeMap<>();
+
+    /** A damping without any penalty yet. */
+    public FlapDamping(FlapDampingSettings settings) {
+        this.settings = settings;
+    }
 
-    public FlapDamping(FlapDampingSettings figures) {
-        this.figures = figures;
+    private double decayedPenalty(Duration now, RoutePenalty entry) {
+        long ageNanos = now.minus(entry.updatedAt).toNanos();
+        double halfLives = ageNanos / (double) settings.halfLife().toNanos();
+        return entry.penalty * Math.pow(0.5, halfLives);
     }
 
-    private double penalty(Duration now, RoutePenalty figure) {
-        return figure.penalty
-                * Math.pow(
-                        0.5,
-                        now.minus(figure.at).toNanos()
-                                / (double) figures.halfLife().toNanos());
+    /** Below this a penalty is forgotten. */
+    private double negligiblePenalty() {
+        return settings.reuseThreshold() / 2;
     }
 
-    void withdrawn(Duration now, String route) {
-        add(now, route, figures.withdrawal());
+    void recordWithdrawal(Duration now, String route) {
+        addPenalty(now, route, settings.withdrawalPenalty());
     }
 
-    void changed(Duration now, String route) {
-        add(now, route, figures.change());
+    void recordChange(Duration now, String route) {
+        addPenalty(now, route, settings.changePenalty());
     }
 
-    private void add(Duration now, String route, double more) {
-        RoutePenalty its = all.get(route);
-        if (its == null) {
-            if (all.size() >= MOST) {
-                all.values().removeIf(each -> penalty(now, each) < figures.reuse() / 2);
-                if (all.size() >= MOST) {
+    private void addPenalty(Duration now, String route, double increase) {
+        RoutePenalty entry = penalties.get(route);
+        if (entry == null) {
+            if (penalties.size() >= MAX_ROUTES) {
+                penalties.values().removeIf(candidate -> decayedPenalty(now, candidate) < negligiblePenalty());
+                if (penalties.size() >= MAX_ROUTES) {
                     return;
                 }
             }
-            its = new RoutePenalty();
-            all.put(route, its);
-            its.at = now;
+            entry = new RoutePenalty(now);
+            penalties.put(route, entry);
         }
-        its.penalty = Math.min(figures.most(), penalty(now, its) + more);
-        its.at = now;
-        its.left |= its.penalty >= figures.suppress();
+        entry.penalty = Math.min(settings.maxPenalty(), decayedPenalty(now, entry) + increase);
+        entry.updatedAt = now;
+        entry.suppressed |= entry.penalty >= settings.suppressThreshold();
     }
 
-    /** Whether it is left out now. */
-    public boolean leftOut(Duration now, String route) {
-        RoutePenalty its = all.get(route);
-        if (its == null) {
+    /** Whether the route is suppressed now. */
+    public boolean isSuppressed(Duration now, String route) {
+        RoutePenalty entry = penalties.get(route);
+        if (entry == null) {
             return false;
         }
-        double penalty = penalty(now, its);
-        its.left &= penalty >= figures.reuse();
-        if (penalty < figures.reuse() / 2) {
-            all.remove(route);
+        double penalty = decayedPenalty(now, entry);
+        entry.suppressed &= penalty >= settings.reuseThreshold();
+        if (penalty < negligiblePenalty()) {
+            penalties.remove(route);
         }
-        return its.left;
+        return entry.suppressed;
     }
 
     int size() {
-        return all.size();
+        return penalties.size();
     }
 }
--- a/src/main/java/merlinlever/routes/Route.java
+++ b/src/main/java/merlinlever/routes/Route.java
@@ -3,65 +3,75 @@
 import java.util.List;
 
 /**
- * One way on which a partner site takes calls of a tariff.
+ * One way in which a partner site takes calls of a priority class.
  *
- * @param group what the calls are for: places of one group stand in for each other
- * @param place ADDRESS:PORT of the publisher that takes the calls
- * @param calls a second, of the whole site that it is published to
- * @param binding whether binding work may go along it
+ * @param group what the calls are for: addresses of one group stand in for each other
+ * @param address ADDRESS:PORT of the publisher that takes the calls
+ * @param callsPerSecond of the whole site that it is published to
+ * @param cost the lower the better; without a unit
+ * @param allowsNonIdempotent whether non-idempotent calls may go along it
  * @param path the sites that a call passes, the publisher first, the origin last
- * @param downFrom the site from which on it goes only to customers (OTC in RFC 9234); null while it only went up
+ * @param onlyToCustomerSite the site from which on it is exported only to customers (the OTC attribute of RFC 9234); null while it only
+ *     went towards providers
  */
 public record Route(
-        String tariff,
+        String priorityClass,
         String group,
-        String place,
-        int calls,
+        String address,
+        int callsPerSecond,
         int cost,
-        boolean binding,
+        boolean allowsNonIdempotent,
         List<String> path,
-        String downFrom,
+        String onlyToCustomerSite,
         Restrictions restrictions) {
 
+    /** Copies the path. */
     public Route {
         path = List.copyOf(path);
     }
 
-    /** What is chosen among alternatives for: calls of a tariff to a group of places. */
+    /** What routes are alternatives for: calls of a priority class to a group. */
     public String key() {
-        return tariff + "/" + group;
+        return priorityClass + "/" + group;
     }
 
-    /** Which it is among those of one table. */
+    /** Identifies it among the routes of one table. */
     public String id() {
-        return tariff + "/" + group + "/" + place + "/" + String.join(">", path);
+        return priorityClass + "/" + group + "/" + address + "/" + String.join(">", path);
     }
 
+    /** The site that takes the calls in the end. */
     public String origin() {
         return path.get(path.size() - 1);
     }
 
     /** What both of two versions of it allow; the same in any order. */
-    Route and(Route other) {
+    Route intersect(Route other) {
         if (equals(other)) {
             return this;
         }
-        String down = downFrom == null || (other.downFrom != null && other.downFrom.compareTo(downFrom) < 0)
-                ? other.downFrom
-                : downFrom;
         return new Route(
-                tariff,
+                priorityClass,
                 group,
-                place,
-                Math.min(calls, other.calls),
+                address,
+                Math.min(callsPerSecond, other.callsPerSecond),
                 Math.max(cost, other.cost),
-                binding && other.binding,
+                allowsNonIdempotent && other.allowsNonIdempotent,
                 path,
-                down,
-                restrictions.and(other.restrictions));
+                firstOrPresent(onlyToCustomerSite, other.onlyToCustomerSite),
+                restrictions.intersect(other.restrictions));
     }
 
-    Route with(String mark) {
-        return new Route(tariff, group, place, calls, cost, binding, path, mark, restrictions);
+    /** The one that is present, or the first by name of both. */
+    private static String firstOrPresent(String one, String other) {
+        if (one == null || other == null) {
+            return one == null ? other : one;
+        }
+        return other.compareTo(one) < 0 ? other : one;
+    }
+
+    Route withOnlyToCustomerSite(String site) {
+        return new Route(
+                priorityClass, group, address, callsPerSecond, cost, allowsNonIdempotent, path, site, restrictions);
     }
 }
--- a/src/main/java/merlinlever/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/routes/RouteTableWriter.java
@@ -8,77 +8,85 @@
 import java.util.stream.Collectors;
 import merlinlever.json.Json;
 
-/** Writes a table as {@link RouteTableReader} reads it, the same text for the same table. */
+/** Writes a table as JSON that {@link RouteTableReader} reads, the same text for the same table. */
 public final class RouteTableWriter {
 
+    private static final int DIGEST_BYTES = 16;
+
     private RouteTableWriter() {}
 
-    public static String text(RouteTable table) {
-        StringBuilder text = new StringBuilder("{\"site\":")
-                .append(Json.quoted(table.site()))
-                .append(",\"incarnation\":")
-                .append(table.incarnation())
-                .append(",\"sequence\":")
-                .append(table.sequence())
-                .append(",\"relation\":\"")
-                .append(table.relation().wireName())
-                .append("\",\"lease-ms\":")
-                .append(table.lease().toMillis())
-                .append(",\"routes\":[");
-        String between = "\n";
+    /** The table as text, one route a line. */
+    public static String write(RouteTable table) {
+        StringBuilder text = new StringBuilder();
+        text.append("{\"site\":").append(Json.quoted(table.site()));
+        text.append(",\"incarnation\":").append(table.incarnation());
+        text.append(",\"sequence\":").append(table.sequence());
+        text.append(",\"relation\":\"").append(table.relation().wireName());
+        text.append("\",\"lease-ms\":").append(table.lease().toMillis());
+        text.append(",\"routes\":[");
+        String separator = "\n";
         for (Route route : table.routes().values()) {
-            text.append(between);
-            route(text, route);
-            between = ",\n";
+            text.append(separator);
+            writeRoute(text, route);
+            separator = ",\n";
         }
         return text.append("]}\n").toString();
     }
 
-    private static void route(StringBuilder text, Route route) {
-        text.append("{\"tariff\":")
-                .append(Json.quoted(route.tariff()))
-                .append(",\"group\":")
-                .append(Json.quoted(route.group()))
-                .append(",\"place\":\"")
-                .append(route.place())
-                .append("\",\"calls\":")
-                .append(route.calls())
-                .append(",\"cost\":")
-                .append(route.cost())
-                .append(route.binding() ? ",\"binding\":true" : "")
-                .append(",\"path\":")
-                .append(list(route.path()));
-        if (route.downFrom() != null) {
-            text.append(",\"down-from\":").append(Json.quoted(route.downFrom()));
+    private static void writeRoute(StringBuilder text, Route route) {
+        text.append("{\"tariff\":").append(Json.quoted(route.priorityClass()));
+        text.append(",\"group\":").append(Json.quoted(route.group()));
+        text.append(",\"place\":\"").append(route.address());
+        text.append("\",\"calls\":").append(route.callsPerSecond());
+        text.append(",\"cost\":").append(route.cost());
+        if (route.allowsNonIdempotent()) {
+            text.append(",\"binding\":true");
+        }
+        text.append(",\"path\":").append(jsonArray(route.path()));
+        if (route.onlyToCustomerSite() != null) {
+            text.append(",\"down-from\":").append(Json.quoted(route.onlyToCustomerSite()));
         }
-        Restrictions its = route.restrictions();
-        if (its.unreadable()) {
+        writeRestrictions(text, route.restrictions());
+        text.append('}');
+    }
+
+    private static void writeRestrictions(StringBuilder text, Restrictions restrictions) {
+        if (restrictions.unreadable()) {
             text.append(",\"restrictions\":null");
-        } else if (!its.equals(Restrictions.NONE)) {
-            text.append(",\"restrictions\":{\"no-further\":")
-                    .append(its.noFurther())
-                    .append(its.onlyTo() == null ? "" : ",\"only-to\":" + list(its.onlyTo()))
-                    .append(its.notTo().isEmpty() ? "" : ",\"not-to\":" + list(its.notTo()))
-                    .append(",\"most-sites\":")
-                    .append(its.mostSites())
-                    .append(its.retriableOnly() ? ",\"retriable-only\":true" : "")
-                    .append(its.customersOnly() ? ",\"customers-only\":true" : "")
-                    .append('}');
+            return;
+        }
+        if (restrictions.equals(Restrictions.NONE)) {
+            return;
+        }
+        text.append(",\"restrictions\":{\"no-further\":").append(restrictions.noExport());
+        if (restrictions.onlyTo() != null) {
+            text.append(",\"only-to\":").append(jsonArray(restrictions.onlyTo()));
+        }
+        if (!restrictions.notTo().isEmpty()) {
+            text.append(",\"not-to\":").append(jsonArray(restrictions.notTo()));
+        }
+        text.append(",\"most-sites\":").append(restrictions.maxSites());
+        if (restrictions.idempotentOnly()) {
+            text.append(",\"retriable-only\":true");
+        }
+        if (restrictions.customersOnly()) {
+            text.append(",\"customers-only\":true");
         }
         text.append('}');
     }
 
-    private static String list(Collection<String> sites) {
+    private static String jsonArray(Collection<String> sites) {
         return sites.stream().map(Json::quoted).collect(Collectors.joining(",", "[", "]"));
     }
 
-    /** For telling two tables of one version apart. */
+    /** Tells two tables of one version apart. */
     public static String digest(RouteTable table) {
         try {
-            byte[] all = MessageDigest.getInstance("SHA-256").digest(text(table).getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(all, 0, 16);
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256").digest(write(table).getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 }
--- a/src/main/java/merlinlever/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/routes/RoutingTable.java
@@ -11,154 +11,214 @@
 import merlinlever.view.FleetView;
 import merlinlever.view.GuardedAction;
 
-/** One backend's knowledge of all partners: their tables, what follows from them and how long it holds, and what may be passed on. */
+/**
+ * All that one backend knows of its partners' routes: their tables, how long each is valid, which routes may be used, and which may
+ * be exported. Times are since the process began. Not thread-safe.
+ */
 public final class RoutingTable {
 
-    /** What is stated of one partner. */
+    /** A partner, and what it is to this site. */
     public record PartnerSettings(String site, Relation relation) {}
 
-    /** Partners at the most. */
-    public static final int MOST_PARTNERS = 64;
+    /**
+     * What is held of a partner's table, for peers.
+     *
+     * @param remaining how long it is still valid
+     */
+    public record TableLease(String site, long incarnation, long sequence, String digest, Duration remaining) {}
 
-    private final RoutingPolicy rules;
-    private final RouteMerger merge;
+    /**
+     * The partner surely stood by a version of its table at a moment, or later.
+     *
+     * @param confirmedAt that moment, by this process's clock
+     * @param duration how long the table may be used from then
+     */
+    public record Renewal(
+            String site, long incarnation, long sequence, String digest, Duration confirmedAt, Duration duration) {
+
+        /** The partner stood by this table. */
+        public static Renewal of(RouteTable table, Duration confirmedAt) {
+            return new Renewal(
+                    table.site(),
+                    table.incarnation(),
+                    table.sequence(),
+                    RouteTableWriter.digest(table),
+                    confirmedAt,
+                    table.lease());
+        }
+    }
+
+    /** Upper bound of the partners. */
+    public static final int MAX_PARTNERS = 64;
+
+    private static final int MAX_REJECTED_ROUTES_LOGGED = 20;
+
+    private final RoutingPolicy policy;
+    private final RouteMerger merger;
     private final FlapDamping damping;
     private final Map<String, PartnerTable> partners = new TreeMap<>();
-    private final FleetView seen;
-    private final Consumer<String> told;
-    /** Changes with whatever {@link #ways} may say, but for the time. */
+    private final FleetView fleetView;
+    private final Consumer<String> log;
     private long edition;
 
+    /**
+     * A table of routes that knows nothing of its partners yet.
+     *
+     * @param clockDrift upper bound of the fraction by which two clocks run apart
+     * @param log takes one line an event
+     * @throws IllegalArgumentException if there are more than {@link #MAX_PARTNERS}
+     */
     public RoutingTable(
-            RoutingPolicy rules,
-            List<PartnerSettings> stated,
-            double drift,
-            FlapDamping.FlapDampingSettings figures,
-            FleetView seen,
-            Consumer<String> told) {
-        this.rules = rules;
-        this.seen = seen;
-        this.told = told;
-        merge = new RouteMerger(rules);
-        damping = new FlapDamping(figures);
-        if (stated.size() > MOST_PARTNERS) {
-            throw new IllegalArgumentException("over " + MOST_PARTNERS + " partners");
+            RoutingPolicy policy,
+            List<PartnerSettings> partners,
+            double clockDrift,
+            FlapDamping.FlapDampingSettings dampingSettings,
+            FleetView fleetView,
+            Consumer<String> log) {
+        this.policy = policy;
+        this.fleetView = fleetView;
+        this.log = log;
+        merger = new RouteMerger(policy);
+        damping = new FlapDamping(dampingSettings);
+        if (partners.size() > MAX_PARTNERS) {
+            throw new IllegalArgumentException("over " + MAX_PARTNERS + " partners");
+        }
+        for (PartnerSettings partner : partners) {
+            this.partners.put(partner.site(), new PartnerTable(partner.site(), partner.relation(), clockDrift));
         }
-        stated.forEach(each -> partners.put(each.site(), new PartnerTable(each.site(), each.relation(), drift)));
     }
 
+    /** Name of this site. */
     public String self() {
-        return rules.self();
+        return policy.self();
     }
 
-    public Collection<String> sites() {
+    /** Names of the partners, in order. */
+    public Collection<String> partners() {
         return partners.keySet();
     }
 
-    /** A partner's table came, from it or from another backend; it is used once it is known that the partner stands by it. */
-    @SuppressWarnings("ReferenceEquality") // the same table object means that the offer brought nothing newer
+    private boolean mayWiden(Duration now) {
+        return fleetView.permission(now, GuardedAction.ADOPT_WIDENING) == ActionPermissions.Permission.ALLOWED;
+    }
+
+    /**
+     * Takes in a partner's table, from it or from a peer; it is used once it is known that the partner stands by it.
+     *
+     * @return whether it is later than the one that was known
+     */
+    @SuppressWarnings("ReferenceEquality") // the latest table is another object exactly when it was replaced
     public boolean offer(Duration now, RouteTable table) {
-        PartnerTable its = partners.get(table.site());
-        if (its == null) {
-            told.accept("a table of " + table.site() + ", which is no partner");
+        PartnerTable partner = partners.get(table.site());
+        if (partner == null) {
+            log.accept("route-table-rejected partner=" + table.site() + " reason=not-a-partner");
             return false;
         }
-        RouteTable latest = its.latest();
-        boolean changed = its.offer(
-                now,
-                table,
-                RouteTableWriter.digest(table),
-                seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES,
-                told);
+        RouteTable latest = partner.latest();
+        boolean changed = partner.offer(now, table, RouteTableWriter.digest(table), mayWiden(now), log);
         if (changed) {
-            apply(now, its, hearer(now, its.site));
+            apply(now, partner, dampingListener(now, partner.site()));
         }
-        return changed && its.latest() != latest;
+        return changed && partner.latest() != latest;
     }
 
-    private RouteMerger.RouteListener hearer(Duration now, String site) {
+    /** Logs the first rejected routes, and counts withdrawals and changes. */
+    private RouteMerger.RouteListener dampingListener(Duration now, String partner) {
         return new RouteMerger.RouteListener() {
             private int lines;
 
             @Override
-            public void refused(Route route, String rule) {
-                if (lines++ < 20) {
-                    told.accept(site + ": " + route.key() + " by " + String.join(" ", route.path()) + " is refused: "
-                            + rule);
+            public void onRejected(Route route, String rule) {
+                if (lines < MAX_REJECTED_ROUTES_LOGGED) {
+                    log.accept("route-rejected partner=" + partner + " route=" + route.key() + " path="
+                            + String.join(">", route.path()) + " rule=" + rule);
                 }
+                lines++;
             }
 
             @Override
-            public void withdrawn(Route route) {
-                damping.withdrawn(now, site + " " + route.id());
+            public void onWithdrawn(Route route) {
+                damping.recordWithdrawal(now, dampingKey(partner, route));
             }
 
             @Override
-            public void changed(Route route) {
-                damping.changed(now, site + " " + route.id());
+            public void onChanged(Route route) {
+                damping.recordChange(now, dampingKey(partner, route));
             }
         };
     }
 
-    // The same table object means that nothing changed since the last merge.
-    @SuppressWarnings("ReferenceEquality")
-    private void apply(Duration now, PartnerTable its, RouteMerger.RouteListener hearer) {
-        RouteTable used = its.used(now);
-        if (used != merge.table(its.site)) {
-            edition++;
-            if (!merge.put(its.site, its.relation, used, hearer)) {
-                told.accept(its.site + ": no room for its routes; nothing of it is used");
-                merge.put(its.site, its.relation, null, RouteMerger.NOBODY);
-            }
+    private static String dampingKey(String partner, Route route) {
+        return partner + " " + route.id();
+    }
+
+    @SuppressWarnings("ReferenceEquality") // comparing thousands of routes at each tick would cost too much
+    private void apply(Duration now, PartnerTable partner, RouteMerger.RouteListener listener) {
+        RouteTable active = partner.active(now);
+        if (active == merger.table(partner.site())) {
+            return;
+        }
+        edition++;
+        if (!merger.replaceTable(partner.site(), partner.relation(), active, listener)) {
+            log.accept("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
+            merger.replaceTable(partner.site(), partner.relation(), null, RouteMerger.NO_LISTENER);
         }
     }
 
-    /** The partner surely stood by the version at that moment of this process, or later, and it may be used for so long from then. */
-    public boolean stoodBy(
-            Duration now, String site, long incarnation, long sequence, String digest, Duration from, Duration lasts) {
-        PartnerTable its = partners.get(site);
-        if (its == null) {
+    /** Renews the lease of a partner's table; returns whether it is of the version that is known. */
+    public boolean renew(Duration now, Renewal renewal) {
+        PartnerTable partner = partners.get(renewal.site());
+        if (partner == null) {
             return false;
         }
-        its.expire(now);
-        if (!its.stoodBy(incarnation, sequence, digest, from, lasts)) {
+        partner.expire(now);
+        if (!partner.renew(
+                renewal.incarnation(),
+                renewal.sequence(),
+                renewal.digest(),
+                renewal.confirmedAt(),
+                renewal.duration())) {
             return false;
         }
-        widen(now, its);
-        apply(now, its, RouteMerger.NOBODY);
+        adoptWidening(now, partner);
+        apply(now, partner, RouteMerger.NO_LISTENER);
         return true;
     }
 
-    /** To be asked for every few ms: what ran out goes, what was held back is taken on where it may be. */
-    public void settle(Duration now) {
-        for (PartnerTable each : partners.values()) {
-            each.expire(now);
-            if (each.used(now) != null) {
-                widen(now, each);
+    /** Drops what is no longer valid, and adopts what was held back where that is permitted; to be called every few ms. */
+    public void tick(Duration now) {
+        for (PartnerTable partner : partners.values()) {
+            partner.expire(now);
+            if (partner.active(now) != null) {
+                adoptWidening(now, partner);
             }
-            apply(now, each, RouteMerger.NOBODY);
+            apply(now, partner, RouteMerger.NO_LISTENER);
         }
     }
 
-    private void widen(Duration now, PartnerTable its) {
-        if (seen.may(now, GuardedAction.ADOPT) == ActionPermissions.Permission.YES && its.widen()) {
-            told.accept(its.site + ": " + PartnerTable.version(its.latest()) + " is taken on whole");
+    private void adoptWidening(Duration now, PartnerTable partner) {
+        if (mayWiden(now) && partner.adoptWidening()) {
+            log.accept("route-table-adopted partner=" + partner.site() + " version="
+                    + PartnerTable.formatVersion(partner.latest()));
         }
     }
 
-    /** For the calls of a key, best first, what is stale last; empty where this backend may not serve. */
-    public List<RouteMerger.Candidate> ways(Duration now, String key) {
-        List<RouteMerger.Candidate> fresh = new ArrayList<>(), stale = new ArrayList<>();
-        if (seen.may(now, GuardedAction.SERVE) == ActionPermissions.Permission.NO) {
-            return fresh;
+    private boolean isUsable(Duration now, RouteMerger.Candidate candidate) {
+        return partners.get(candidate.partner()).active(now) != null
+                && !damping.isSuppressed(now, dampingKey(candidate.partner(), candidate.route()));
+    }
+
+    /** The usable candidates of a key, best first, stale ones last; empty where this backend may not use routes. */
+    public List<RouteMerger.Candidate> candidates(Duration now, String key) {
+        if (fleetView.permission(now, GuardedAction.USE_ADOPTED) == ActionPermissions.Permission.DENIED) {
+            return List.of();
         }
-        int looked = 0;
-        for (RouteMerger.Candidate each : merge.ways(key)) {
-            PartnerTable its = partners.get(each.from());
-            if (its.used(now) != null
-                    && !damping.leftOut(now, each.from() + " " + each.route().id())) {
-                (its.stale(now) ? stale : fresh).add(each);
-                if (++looked >= RouteMerger.MOST_ALTERNATIVES) {
+        List<RouteMerger.Candidate> fresh = new ArrayList<>();
+        List<RouteMerger.Candidate> stale = new ArrayList<>();
+        for (RouteMerger.Candidate candidate : merger.candidates(key)) {
+            if (isUsable(now, candidate)) {
+                (isStale(now, candidate.partner()) ? stale : fresh).add(candidate);
+                if (fresh.size() + stale.size() >= RouteMerger.MAX_ALTERNATIVES) {
                     break;
                 }
             }
@@ -167,61 +227,66 @@
         return fresh;
     }
 
-    public boolean stale(Duration now, String site) {
-        return partners.get(site).stale(now);
+    /** Whether more than half of the lease of a partner's table is over. */
+    public boolean isStale(Duration now, String partner) {
+        return partners.get(partner).isStale(now);
     }
 
-    /** What of it is held here, as word for another backend. */
-    public record TableLease(String site, long incarnation, long sequence, String digest, Duration left) {}
-
-    /** What is held of a partner; null where nothing is. */
-    public TableLease holds(Duration now, String site) {
-        PartnerTable its = partners.get(site);
-        return its == null || its.latest() == null
-                ? null
-                : new TableLease(
-                        site, its.latest().incarnation(), its.latest().sequence(), its.digest(), its.left(now));
+    /** What is held of a partner's table; null where nothing is. */
+    public TableLease lease(Duration now, String site) {
+        PartnerTable partner = partners.get(site);
+        if (partner == null || partner.latest() == null) {
+            return null;
+        }
+        RouteTable latest = partner.latest();
+        return new TableLease(site, latest.incarnation(), latest.sequence(), partner.digest(), partner.remaining(now));
     }
 
-    /** The latest table of a partner, in use or not; null where there is none. */
-    public RouteTable latest(String site) {
-        return partners.get(site).latest();
+    /** The latest table of a partner, active or not; null where there is none. */
+    public RouteTable latest(String partner) {
+        return partners.get(partner).latest();
     }
 
-    public boolean clashing(String site) {
-        return partners.get(site).clashing();
+    /** Whether two tables came under the latest version of a partner. */
+    public boolean isConflicting(String partner) {
+        return partners.get(partner).isConflicting();
     }
 
-    /** What this site's own table to a partner may hold: its own routes and what may be passed on, the best of each key. */
-    public List<Route> export(Duration now, String receiver, Collection<Route> own, String place, int calls, int cost) {
-        return RouteExporter.of(
-                rules,
-                merge,
-                partners.get(receiver).relation,
-                receiver,
-                own,
-                place,
-                calls,
-                cost,
-                each -> partners.get(each.from()).used(now) != null
-                        && !damping.leftOut(
-                                now, each.from() + " " + each.route().id()));
+    /**
+     * What this site's own table to a partner may hold: its own routes and, for each key, the best that may be exported.
+     *
+     * @param address where this site takes calls of the routes that it exports on
+     * @param maxCallsPerSecond that it takes on each of them
+     * @param addedCost of the way through this site
+     */
+    public List<Route> export(
+            Duration now,
+            String receiver,
+            Collection<Route> ownRoutes,
+            String address,
+            int maxCallsPerSecond,
+            int addedCost) {
+        Relation relation = partners.get(receiver).relation();
+        RouteExporter.Terms terms = new RouteExporter.Terms(receiver, relation, address, maxCallsPerSecond, addedCost);
+        return RouteExporter.export(policy, merger, terms, ownRoutes, candidate -> isUsable(now, candidate));
     }
 
-    /** Of all tables in use, as text: two backends with the same text decide the same. */
-    public String merged() {
-        return merge.told();
+    /** Of all active tables, as text: two backends with the same text decide the same. */
+    public String describe() {
+        return merger.describe();
     }
 
-    public int routes() {
-        return merge.routes();
+    /** How many routes all active tables have. */
+    public int routeCount() {
+        return merger.routeCount();
     }
 
+    /** Changes with whatever {@link #candidates} may return, but for the passing of time. */
     public long edition() {
         return edition;
     }
 
     List<String> keys() {
-        return merge.keys();
+        return merger.keys();
     }
 }
--- a/src/main/java/merlinlever/zone/server/DnsServer.java
+++ b/src/main/java/merlinlever/zone/server/DnsServer.java
@@ -82,7 +82,7 @@
 
     private void alarm(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
         alarm = loop.in(
                 at.minus(loop.clock().now()),
@@ -121,7 +121,7 @@
 
     private void connectionClosed(DnsConnection stream) {
         if (streams.remove(stream)) {
-            listener.gone();
+            listener.connectionClosed();
         }
     }
 
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -11,11 +12,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.membership.SwimProtocol.MessageKind;
+import merlinlever.membership.MembershipMessage;
+import merlinlever.membership.MessageKind;
+import merlinlever.membership.PeerMessage;
 import merlinlever.net.ManualClockLoop;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
@@ -46,51 +51,53 @@
                 "ack",
                 MessageKind.ACK,
                 "ask-for",
-                MessageKind.ASK_FOR,
+                MessageKind.PING_REQUEST,
                 "nack",
                 MessageKind.NACK,
                 "sync",
                 MessageKind.SYNC,
                 "sync-back",
-                MessageKind.SYNC_BACK,
+                MessageKind.SYNC_REPLY,
                 "recall",
-                MessageKind.RECALL,
+                MessageKind.RECOVERY_QUERY,
                 "recalled",
-                MessageKind.RECALLED,
+                MessageKind.RECOVERY_REPLY,
                 "say",
-                MessageKind.SAY,
+                MessageKind.TEXT,
                 "carry",
-                MessageKind.CARRY);
+                MessageKind.PAYLOAD);
         assertEquals(MessageKind.values().length, kinds.size());
-        List<MemberTable.MemberStatus> statuses = List.of(
-                MemberTable.MemberStatus.ALIVE,
-                MemberTable.MemberStatus.SUSPECT,
-                MemberTable.MemberStatus.DEAD,
-                MemberTable.MemberStatus.LEFT);
-        List<MemberTable.MemberRecord> rumours = statuses.stream()
-                .map(status -> new MemberTable.MemberRecord(
-                        "b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
+        List<MemberStatus> statuses =
+                List.of(MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT);
+        List<MemberRecord> rumours = statuses.stream()
+                .map(status ->
+                        new MemberRecord("b" + statuses.indexOf(status), "10.0.0.1:7001", "10.0.0.1:7002", status, 5))
                 .toList();
         kinds.forEach((name, kind) -> {
-            SwimProtocol.MembershipMessage message = new SwimProtocol.MembershipMessage(
+            MembershipMessage message = new MembershipMessage(
                     kind,
                     "b1",
                     7,
-                    kind == MessageKind.ASK_FOR ? "10.0.0.2:7001" : "",
+                    kind == MessageKind.PING_REQUEST ? "10.0.0.2:7001" : "",
                     rumours,
-                    kind == MessageKind.CARRY ? new byte[] {1, 2, 3} : null);
-            fixture.pins("membership." + name, wire.write(message));
-            SwimProtocol.MembershipMessage read = wire.read(fixture.bytes("membership." + name));
+                    kind == MessageKind.PAYLOAD ? new byte[] {1, 2, 3} : null);
+            fixture.pins("membership." + name, wire.encode(message));
+            MembershipMessage read = wire.decode(fixture.bytes("membership." + name));
             assertEquals(
-                    List.of(message.kind(), message.from(), message.number(), message.about(), message.rumours()),
-                    List.of(read.kind(), read.from(), read.number(), read.about(), read.rumours()));
-            assertArrayEquals(message.body(), read.body());
+                    List.of(
+                            message.kind(),
+                            message.sender(),
+                            message.correlationId(),
+                            message.text(),
+                            message.records()),
+                    List.of(read.kind(), read.sender(), read.correlationId(), read.text(), read.records()));
+            assertArrayEquals(message.payload(), read.payload());
         });
     }
 
-    private static String said(List<LeaderElection.PeerMessage> all) {
+    private static String said(List<PeerMessage.Text> all) {
         return all.stream()
-                .map(say -> say.to() + " " + say.number() + " " + say.what())
+                .map(say -> say.recipient() + " " + say.correlationId() + " " + say.text())
                 .sorted()
                 .collect(Collectors.joining("\n"));
     }
@@ -99,9 +106,7 @@
         return new LeaderElection(
                 Duration.ZERO,
                 "b1",
-                List.of(voters),
-                Duration.ofSeconds(2),
-                0.01,
+                new ElectionSettings(List.of(voters), Duration.ofSeconds(2), 0.01),
                 4,
                 term -> true,
                 new SplittableRandom(1),
@@ -111,11 +116,11 @@
     @Test
     void anElectionIsHeldInTheSameWords() {
         LeaderElection terms = terms("b1", "b2", "b3");
-        fixture.pins("election.granted", said(terms.said(LATER, "b2", 9, "V/7")));
-        fixture.pins("election.refused", said(terms.said(LATER, "b3", 10, "V/6")));
-        terms.said(LATER, "b3", 11, "H/7/b2");
-        fixture.pins("election.leader", terms.toldWho(LATER));
-        fixture.pins("election.asks", said(terms("b1", "b2", "b3").look(LATER)));
+        fixture.pins("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
+        fixture.pins("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
+        terms.receive(LATER, "b3", 11, "H/7/b2");
+        fixture.pins("election.leader", terms.leaderAnnouncement(LATER));
+        fixture.pins("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
     }
 
     @Test
@@ -139,21 +144,21 @@
                 Duration.ofSeconds(1),
                 Map.of());
         LeaderElection led = terms("b1", "b2", "b3");
-        led.said(LATER, "b3", 11, "H/7/b2");
+        led.receive(LATER, "b3", 11, "H/7/b2");
         fixture.pins(
                 "budgets.asks",
                 said(new QuotaCoordinator(
                                 LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
                         .look(LATER)));
         LeaderElection leads = terms("b1");
-        leads.look(LATER);
+        leads.tick(LATER);
         QuotaCoordinator sharing = new QuotaCoordinator(
                 LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
         sharing.look(LATER);
-        leads.look(LATER.plusMillis(1900));
-        List<LeaderElection.PeerMessage> all = new ArrayList<>();
+        leads.tick(LATER.plusMillis(1900));
+        List<PeerMessage.Text> all = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
-            leads.look(LATER.plusMillis(ms));
+            leads.tick(LATER.plusMillis(ms));
             sharing.look(LATER.plusMillis(ms));
         }
         all.addAll(sharing.said(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
@@ -165,37 +170,35 @@
     void theViewIsAskedForInTheSameWords() {
         ViewManager sight = new ViewManager(
                 Duration.ZERO,
-                ViewSettings.usual(),
+                new ViewManager.Setup(ViewSettings.defaults(), 7, 4, term -> true, new SplittableRandom(1), line -> {}),
                 new MemberTable("b1", "10.0.0.1:7001", "-", 1),
-                terms("b1", "b2", "b3"),
-                7,
-                4,
-                term -> true,
-                new SplittableRandom(1),
-                line -> {});
+                terms("b1", "b2", "b3"));
         StringBuilder all = new StringBuilder();
-        List<ViewManager.ViewMessage> says = new ArrayList<>();
+        List<PeerMessage> says = new ArrayList<>();
         for (int ms = 0; ms < 1000; ms += 50) {
-            says.addAll(sight.look(Duration.ofMillis(ms)));
+            says.addAll(sight.tick(Duration.ofMillis(ms)));
         }
         for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
-            says.addAll(sight.said(Duration.ofSeconds(1), "b2", 5, what));
+            says.addAll(sight.receive(Duration.ofMillis(1000), "b2", 5, what));
+        }
+        for (PeerMessage say : says) {
+            PeerMessage.Text text = assertInstanceOf(PeerMessage.Text.class, say);
+            all.append(text.recipient())
+                    .append(' ')
+                    .append(text.correlationId())
+                    .append(' ')
+                    .append(text.text())
+                    .append('\n');
         }
-        says.forEach(say -> all.append(say.to())
-                .append(' ')
-                .append(say.number())
-                .append(' ')
-                .append(say.what())
-                .append('\n'));
         fixture.pins("view.words", all.toString());
-        fixture.pins("view.state", sight.json(Duration.ofSeconds(1)));
+        fixture.pins("view.state", sight.json(Duration.ofMillis(1000)));
     }
 
     @Test
     void whoComesBackTellsTheSame() throws Exception {
         try (ManualClockLoop on = new ManualClockLoop();
                 FileStateDirectory disk = new FileStateDirectory(folder)) {
-            RecoveryCoordinator rejoin = on.on(() -> {
+            RecoveryCoordinator rejoin = on.callOnLoop(() -> {
                 try {
                     return new RecoveryCoordinator(
                             on.loop,
@@ -217,9 +220,9 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            fixture.pins("recovery.tells", on.on(rejoin::tells));
-            fixture.pins("recovery.state", on.on(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
-            on.on(() -> rejoin.close(Duration.ofSeconds(1)));
+            fixture.pins("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
+            fixture.pins("recovery.state", on.callOnLoop(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
         }
     }
 }
