--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -162,21 +162,26 @@
             } finally {
                 program.destroyForcibly().waitFor();
             }
-            List<String> foreign = foreignPrefixes();
-            List<String> loaded = new ArrayList<>();
-            for (String line : Files.readAllLines(classes)) {
-                int at = line.indexOf("] ");
-                String name = line.substring(at + 2).split(" ")[0];
-                if (foreign.stream().anyMatch(name::startsWith)) {
-                    loaded.add(name);
-                }
-            }
             assertTrue(
                     Files.readString(classes).contains(Backend.class.getName()), "the log of loaded classes is read");
-            assertEquals(List.of(), loaded, "classes that serve must not load");
+            assertEquals(List.of(), foreignClasses(classes), "classes that serve must not load");
         } finally {
             Files.deleteIfExists(file);
             Files.deleteIfExists(classes);
         }
     }
+
+    /** The classes in the runtime's log of loaded ones that serve must not load. */
+    private static List<String> foreignClasses(Path log) throws IOException {
+        List<String> foreign = foreignPrefixes();
+        List<String> loaded = new ArrayList<>();
+        for (String line : Files.readAllLines(log)) {
+            int at = line.indexOf("] ");
+            String name = line.substring(at + 2).split(" ")[0];
+            if (foreign.stream().anyMatch(name::startsWith)) {
+                loaded.add(name);
+            }
+        }
+        return loaded;
+    }
 }
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -32,7 +32,8 @@
     DatagramSocket directorySocket = new DatagramSocket(0, LOOPBACK);
     final Path configFile = Files.createTempFile("merlinlever", ".json");
     Process program;
-    Socket agentLink, recordsConnection;
+    Socket agentLink;
+    Socket recordsConnection;
     BufferedReader commandReader;
     int port;
     long nextRequestId = 0x9b1f03aa5c7e2d41L;
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -250,6 +250,20 @@
 
     @Test
     void reportedStatesAreTrueThroughKillsStopsDrainsAndTheLossOfAnAgent() throws Exception {
+        startAllAgents();
+        killOneInstanceAndStopAnother();
+        drainAndStartAZone();
+        Map<String, Long> running = stopOneAgentAndKillAnother();
+        Map<String, Long> restarted = restartAMachine(running);
+        rollInstances(restarted);
+        assertEquals(1, runFleetCommand("stop", "no-such-instance"));
+        assertEquals(2, runFleetCommand("stop"));
+        assertEquals(0, runFleetCommand("stop", "--all", "--now", "--yes", "--wait"), output);
+        assertTrue(output.contains(AGENTS * INSTANCES_PER_AGENT * 5 + " operations are in hand"), output);
+        assertEquals(0, processTable(new HashSet<>()).size());
+    }
+
+    private void startAllAgents() throws Exception {
         for (int i = 0; i < AGENTS; i++) {
             apiPorts[i] = PortAllocator.free();
             membershipPorts[i] = PortAllocator.free();
@@ -269,7 +283,9 @@
         }
         askedAgent = 0;
         assertEquals(AGENTS * INSTANCES_PER_AGENT, processTable(new HashSet<>()).size());
-        // One dies, one is stopped.
+    }
+
+    private void killOneInstanceAndStopAnother() throws Exception {
         Map<String, Long> before = processTable(new HashSet<>());
         justEnded.add("t1-1");
         signal("KILL", before.get("t1-1"));
@@ -283,7 +299,10 @@
         justEnded.clear();
         signal("CONT", before.get("t2-2"));
         awaitInstances("all warm", 10, list -> allHaveState(list, "warm"));
-        // A drain of a zone, by the agent that is asked, at two others.
+    }
+
+    /** By one agent, at two others. */
+    private void drainAndStartAZone() throws Exception {
         assertEquals(0, runFleetCommand("drain", "--label", "zone=east", "--wait"), output);
         Map<String, JsonNode> drained = listInstances();
         drained.values()
@@ -293,7 +312,10 @@
         assertEquals(2 * INSTANCES_PER_AGENT, processTable(new HashSet<>()).size());
         assertEquals(0, runFleetCommand("start", "--state", "down", "--wait"), output);
         awaitInstances("all warm", 20, list -> allHaveState(list, "warm"));
-        // A stopped agent and a dead one: their instances are not reached since then, and run on.
+    }
+
+    /** Their instances are not reached since then, and run on; returns the processes of all. */
+    private Map<String, Long> stopOneAgentAndKillAnother() throws Exception {
         Map<String, Long> running = processTable(new HashSet<>());
         signal("STOP", agents[3].pid());
         agents[2].destroyForcibly().waitFor();
@@ -312,11 +334,18 @@
         launchAgent(2);
         awaitInstances("all warm", 30, list -> allHaveState(list, "warm"));
         assertEquals(running, processTable(new HashSet<>()), "none was launched beside itself, none was lost");
-        // A restart of one machine, in one command.
+        return running;
+    }
+
+    private Map<String, Long> restartAMachine(Map<String, Long> running) throws Exception {
         assertEquals(0, runFleetCommand("restart", "--host", "m1", "--wait"), output);
         Map<String, Long> restarted = processTable(new HashSet<>());
         running.forEach((name, pid) -> assertEquals(!name.startsWith("t1-"), pid.equals(restarted.get(name)), name));
-        // A roll of two more, batch by batch; then one of a version that crashes, which stops behind its first batch.
+        return restarted;
+    }
+
+    /** Three of them batch by batch; then a version that crashes, which stops behind its first batch. */
+    private void rollInstances(Map<String, Long> restarted) throws Exception {
         assertEquals(0, runFleetCommand("roll", "t0-1", "t0-2", "t3-1", "--watch", "1"), output);
         Map<String, Long> rolled = processTable(new HashSet<>());
         restarted.forEach((name, pid) ->
@@ -330,10 +359,5 @@
                 output);
         Files.writeString(folder.resolve("mode"), "0");
         assertEquals(0, runFleetCommand("start", "t0-1", "--wait"), output);
-        assertEquals(1, runFleetCommand("stop", "no-such-instance"));
-        assertEquals(2, runFleetCommand("stop"));
-        assertEquals(0, runFleetCommand("stop", "--all", "--now", "--yes", "--wait"), output);
-        assertTrue(output.contains(AGENTS * INSTANCES_PER_AGENT * 5 + " operations are in hand"), output);
-        assertEquals(0, processTable(new HashSet<>()).size());
     }
 }
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -18,7 +18,8 @@
 
 class RecoverCommandTest {
 
-    private final StringWriter out = new StringWriter(), err = new StringWriter();
+    private final StringWriter out = new StringWriter();
+    private final StringWriter err = new StringWriter();
 
     private int recover(String... more) {
         out.getBuffer().setLength(0);
--- a/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
@@ -23,6 +23,7 @@
 import merlinlever.zone.client.ZoneFetcher;
 import merlinlever.zone.record.DomainNames;
 import merlinlever.zone.record.RecordTypes;
+import merlinlever.zone.state.RecordSet;
 import merlinlever.zone.state.UpdateEntry;
 import merlinlever.zone.state.Zone;
 import merlinlever.zone.wire.Tsig;
@@ -83,19 +84,7 @@
 
     @Test
     void answeredUpdatesSurviveEveryKill() throws Exception {
-        Files.writeString(folder.resolve("k"), Base64.getEncoder().encodeToString(SECRET));
-        Files.writeString(
-                folder.resolve("z"), "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n");
-        Files.writeString(
-                folder.resolve("c.yaml"),
-                """
-                listen: 127.0.0.1:0
-                state: state
-                snapshot-after: 200
-                stop: 1s
-                keys: [{name: k., secret-file: k}]
-                zones: [{origin: example.org., file: z, update: [k.], transfer: [k.]}]
-                """);
+        writeFilesWithSnapshots();
         SplittableRandom chance = new SplittableRandom(Long.getLong("zone.seed", 8));
         Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
         EventLoop loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
@@ -111,13 +100,7 @@
                 if (kill > 0) {
                     Zone zone = fetch(loop, asker, key);
                     for (int i = 0; i < CLIENTS; i++) {
-                        int there = zone.set(name("c" + i + ".example.org."), RecordTypes.TXT) == null
-                                ? 0
-                                : Integer.parseInt(new String(
-                                                zone.set(name("c" + i + ".example.org."), RecordTypes.TXT)
-                                                        .data(0),
-                                                UTF_8)
-                                        .substring(1));
+                        int there = lastUpdate(zone, i);
                         assertTrue(
                                 there >= answered[i] && there <= sent[i],
                                 "kill " + kill + ": answered " + answered[i] + ", sent " + sent[i] + ", there "
@@ -140,12 +123,7 @@
                 });
                 Thread.sleep(20 + chance.nextInt(400));
                 process.destroyForcibly().waitFor();
-                CompletableFuture<Boolean> told = new CompletableFuture<>();
-                loop.execute(() -> {
-                    over[0] = true;
-                    told.complete(true);
-                });
-                told.get(2, TimeUnit.SECONDS);
+                endUpdates(loop, over);
             }
             assertTrue(all > 100, "updates were answered: " + all);
             process.destroy();
@@ -158,6 +136,37 @@
         }
     }
 
+    private void writeFilesWithSnapshots() throws Exception {
+        Files.writeString(folder.resolve("k"), Base64.getEncoder().encodeToString(SECRET));
+        Files.writeString(
+                folder.resolve("z"), "$ORIGIN example.org.\n$TTL 60\n@ IN SOA ns1 host 7 1h 15m 1w 5m\n@ NS ns1\n");
+        Files.writeString(
+                folder.resolve("c.yaml"),
+                """
+                listen: 127.0.0.1:0
+                state: state
+                snapshot-after: 200
+                stop: 1s
+                keys: [{name: k., secret-file: k}]
+                zones: [{origin: example.org., file: z, update: [k.], transfer: [k.]}]
+                """);
+    }
+
+    /** The number of the last update of the client that the zone holds, 0 for none. */
+    private static int lastUpdate(Zone zone, int client) {
+        RecordSet texts = zone.set(name("c" + client + ".example.org."), RecordTypes.TXT);
+        return texts == null ? 0 : Integer.parseInt(new String(texts.data(0), UTF_8).substring(1));
+    }
+
+    private static void endUpdates(EventLoop loop, boolean[] over) throws Exception {
+        CompletableFuture<Boolean> ended = new CompletableFuture<>();
+        loop.execute(() -> {
+            over[0] = true;
+            ended.complete(true);
+        });
+        ended.get(2, TimeUnit.SECONDS);
+    }
+
     private static Zone fetch(EventLoop loop, DnsClient asker, InetSocketAddress address, Tsig.TsigKey key)
             throws Exception {
         CompletableFuture<ZoneFetcher.FetchResult> ended = new CompletableFuture<>();
