--- a/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneServerProcess.java
@@ -108,7 +108,7 @@
         }
         secondaries.forEach(
                 (zone, addresses) -> zone.addListener(changed -> notifySender.notifyOfChange(changed, addresses)));
-        loop.every(CLOCK_COMPARISON_PERIOD, clock::compare);
+        loop.runNowAndEvery(CLOCK_COMPARISON_PERIOD, clock::resyncUnixOffset);
     }
 
     private static ExecutorService daemonThread(String name) {
@@ -128,7 +128,7 @@
     }
 
     private String statusReport() {
-        return StatusReport.of(
+        return StatusReport.toJson(
                 server.processor().controllerMetrics().draining(),
                 true,
                 server.processor().inFlight(),
@@ -268,9 +268,9 @@
 
     private void startShutdown() {
         server.startDrain(stopAfter);
-        loop.in(grace(), () -> {
+        loop.schedule(grace(), () -> {
             server.close();
-            loop.every(SHUTDOWN_POLL_PERIOD, () -> {
+            loop.runNowAndEvery(SHUTDOWN_POLL_PERIOD, () -> {
                 if (server.isDrained()) {
                     stop("all-answered");
                 }
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -241,6 +241,7 @@
     }
 
     /** @param headers further header lines, each with its line end */
+    @SuppressWarnings("UnnecessaryStringBuilder") // sized for a whole head, as each response has one
     private void respond(HttpStatus status, byte[] body, String headers) {
         inFlight = null;
         closeAfterResponse |= server.isClosing();
--- a/src/main/java/merlinlever/http/RequestHead.java
+++ b/src/main/java/merlinlever/http/RequestHead.java
@@ -43,6 +43,7 @@
         OWNER("req-owner"),
         RETRY("req-retry");
 
+        @SuppressWarnings("ImmutableEnumChecker") // compared with the bytes as they come, never written
         private final byte[] wireName;
 
         HeaderField(String wireName) {
@@ -137,7 +138,7 @@
         }
         queryEnd = at;
         pathEnd = queryStart < 0 ? at : queryStart - 1;
-        if (end - at != 9 || !matches(at, VERSION_PREFIX) || bytes[end - 1] != '0' && bytes[end - 1] != '1') {
+        if (end - at != 9 || !matches(at, VERSION_PREFIX) || (bytes[end - 1] != '0' && bytes[end - 1] != '1')) {
             return false;
         }
         http10 = bytes[end - 1] == '0';
--- a/src/main/java/merlinlever/net/DatagramEndpoint.java
+++ b/src/main/java/merlinlever/net/DatagramEndpoint.java
@@ -21,7 +21,11 @@
 
     /** Receives datagrams on the loop's thread. */
     public interface Receiver {
-        /** @param maxQueueTime how long the datagram may have waited to be read, at most */
+        /**
+         * Called for each datagram.
+         *
+         * @param maxQueueTime how long the datagram may have waited to be read, at most
+         */
         void onDatagram(byte[] payload, InetSocketAddress sender, Duration maxQueueTime);
     }
 
--- a/src/main/java/merlinlever/policy/Dispatcher.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -19,7 +19,7 @@
                 continue;
             }
             double additionalKb = request.memoryKb * (server.runMemoryFactor - 1);
-            if (server.onCoreCount() >= 1 && server.runQueue.estimate() >= server.cores
+            if ((server.onCoreCount() >= 1 && server.runQueue.estimate() >= server.cores)
                     || server.startedCount() >= maxStarted
                     || !server.capacity.hasMemoryFor(additionalKb)
                     || server.stallDetector.stalled) {
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -32,7 +32,7 @@
      * Returns whether that settles it; else it is decided on like any other arrival.
      */
     boolean coalesce(Request request, RequestHandle originalHandle, Duration now) {
-        Request original = originalHandle instanceof Request ? ((Request) originalHandle).successor() : null;
+        Request original = originalHandle instanceof Request coalescedWith ? coalescedWith.successor() : null;
         if (original == null) {
             if (!request.priorityClass.idempotent) {
                 server.completions.fail(request, now);
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -153,7 +153,7 @@
         if (sending != null) {
             sendNextMessage();
         } else if (isClosing && inFlight.isEmpty()) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
     }
 
@@ -179,9 +179,9 @@
                         && inFlight.size() < MAX_IN_FLIGHT
                         && hasElapsed(incompleteSince, now, MESSAGE_TIMEOUT))
                 || (unwrittenSince != null && hasElapsed(unwrittenSince, now, MESSAGE_TIMEOUT))) {
-            connection.end(CloseReason.SLOW);
+            connection.close(CloseReason.TIMED_OUT);
         } else if (inFlight.isEmpty() && unwrittenSince == null && hasElapsed(idleSince, now, IDLE_TIMEOUT)) {
-            connection.end(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE);
         }
     }
 
@@ -193,14 +193,14 @@
     void closeWhenAnswered() {
         isClosing = true;
         if (inFlight.isEmpty() && unwrittenSince == null) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
     }
 
     /** Ends it if nothing is open on it; says whether it did. */
     boolean closeIfIdle() {
         if (inFlight.isEmpty() && unwrittenSince == null) {
-            connection.end(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE);
             return true;
         }
         return false;
--- a/src/main/java/merlinlever/zone/server/DnsServer.java
+++ b/src/main/java/merlinlever/zone/server/DnsServer.java
@@ -67,8 +67,8 @@
         listener = listening;
         datagrams = taking;
         listener.accept();
-        loop.after(() -> processor.decide(loop.clock().now()));
-        loop.every(TIMEOUT_CHECK_PERIOD, () -> List.copyOf(streams)
+        loop.setAfterBatch(() -> processor.decide(loop.clock().now()));
+        loop.runNowAndEvery(TIMEOUT_CHECK_PERIOD, () -> List.copyOf(streams)
                 .forEach(stream -> stream.closeIfTimedOut(loop.clock().now())));
     }
 
@@ -84,7 +84,7 @@
         if (alarm != null) {
             alarm.cancel();
         }
-        alarm = loop.in(
+        alarm = loop.schedule(
                 at.minus(loop.clock().now()),
                 () -> processor.wakeUp(loop.clock().now()));
     }
--- a/src/main/java/merlinlever/zone/server/NotifySender.java
+++ b/src/main/java/merlinlever/zone/server/NotifySender.java
@@ -47,7 +47,7 @@
                     pending.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
             if (one.retry == null) {
                 one.id = random.nextInt(0x10000);
-                one.retry = loop.in(COALESCE_DELAY, () -> send(zone, server, one, 0));
+                one.retry = loop.schedule(COALESCE_DELAY, () -> send(zone, server, one, 0));
             } else {
                 one.hasNewerVersion = true;
             }
@@ -81,7 +81,8 @@
         }
         one.hasNewerVersion = false;
         if (tries + 1 < MAX_ATTEMPTS) {
-            one.retry = loop.in(FIRST_RETRY_DELAY.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
+            one.retry = loop.schedule(
+                    FIRST_RETRY_DELAY.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
         } else {
             one.retry = null;
         }
@@ -96,7 +97,7 @@
                     && one.id == DnsMessage.id(octets)
                     && one.retry != null
                     && !one.hasNewerVersion) {
-                one.retry.callOff();
+                one.retry.cancel();
                 one.retry = null;
             }
         });
--- a/src/test/java/merlinlever/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/FleetDownstreamCallsTest.java
@@ -168,7 +168,7 @@
         DecidedBatch batch = server.decide();
         long onCores =
                 process.runs.stream().filter(run -> run.nextEventMs != NEVER).count();
-        server.updateGauges(0, onCores);
+        server.updateGauges(0, (double) onCores);
         carryOut(process, batch, nowMs, callMs);
         double speed = Math.min(1, 0.25 + 0.75 * (nowMs - process.startsAtMs) / 10_000);
         int running = server.controller().metrics().requests().onCores();
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -29,14 +29,12 @@
 
     /** Sends the agent's log on one connection, in pieces and some events twice. */
     private static final class EventSender {
-        private final AgentLinkFixture fixture;
         private final List<String> events;
         private final FakeAgent agent;
         private String unsentRest = "";
         private int next;
 
-        EventSender(AgentLinkFixture fixture, List<String> events, FakeAgent agent) {
-            this.fixture = fixture;
+        EventSender(List<String> events, FakeAgent agent) {
             this.events = events;
             this.agent = agent;
             next = (int) agent.resumeOffset;
@@ -93,14 +91,14 @@
                 }
                 events.add(AgentLinkFixture.outcomeLine(events.size() + 1, name, "OK", "of " + name));
             }
-            EventSender oldSender = new EventSender(fixture, events, agent);
+            EventSender oldSender = new EventSender(events, agent);
             for (int i = random.nextInt(events.size()); i > 0; i--) {
                 oldSender.sendNext(random);
                 oldSender.awaitRead();
             }
             ServerSocket secondServer = fixture.openAgentServer();
             fixture.moveTo(secondServer);
-            EventSender newSender = new EventSender(fixture, events, fixture.accept(secondServer));
+            EventSender newSender = new EventSender(events, fixture.accept(secondServer));
             boolean broken = random.nextInt(3) == 0;
             for (int i = random.nextInt(12); i > 0; i--) {
                 EventSender either = random.nextBoolean() ? oldSender : newSender;
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -179,7 +179,7 @@
             says.addAll(sight.tick(Duration.ofMillis(ms)));
         }
         for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
-            says.addAll(sight.receive(Duration.ofMillis(1000), "b2", 5, what));
+            says.addAll(sight.receive(Duration.ofSeconds(1), "b2", 5, what));
         }
         for (PeerMessage say : says) {
             PeerMessage.Text text = assertInstanceOf(PeerMessage.Text.class, say);
@@ -191,7 +191,7 @@
                     .append('\n');
         }
         fixture.pins("view.words", all.toString());
-        fixture.pins("view.state", sight.json(Duration.ofMillis(1000)));
+        fixture.pins("view.state", sight.json(Duration.ofSeconds(1)));
     }
 
     @Test
--- a/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
@@ -57,7 +57,7 @@
         await(() -> edge.count() == 0, "some are left");
         awaitAgentCommands(2);
         assertEquals(
-                List.of("launch", "freeze"),
+                List.of("launch", "stop"),
                 agentCommands.stream().map(word -> word.split(" ")[0]).toList());
         // The run ends after its caller has disconnected: nobody is answered.
         completeRun(agentCommands.get(0), new byte[] {'7'});
@@ -82,7 +82,7 @@
         completeRun(agentCommands.get(1), new byte[] {'7'});
         String answer = readResponse(other);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n7"), answer);
-        assertEquals(List.of("exercise"), agentCommands.subList(0, 1));
+        assertEquals(List.of("deep-check"), agentCommands.subList(0, 1));
     }
 
     /** Thousands of pipelined requests are answered in order, without delaying another client. */
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -38,7 +38,7 @@
     final AtomicLong nanos = new AtomicLong(1_000_000_000L);
     final List<Throwable> failures = new CopyOnWriteArrayList<>();
     /** The commands to the agent, as "command id". */
-    final List<String> agentCommands = new CopyOnWriteArrayList<>();
+    final List<String> agentCommands = commands;
 
     private final List<Socket> sockets = new ArrayList<>();
     final EventLoop loop = new EventLoop(
@@ -59,13 +59,14 @@
             this);
     final EdgeServer edge = new EdgeServer(loop, backend, Map.of("server.idle", "4000"));
     private final Thread thread = new Thread(loop::run, "loop");
-    private volatile long batchesRun;
+    private final AtomicLong batchesRun = new AtomicLong();
     private long nextRequestId = 0x9b1f03aa5c7e2d41L;
 
     EdgeServerFixture() throws IOException {
+        super(new CopyOnWriteArrayList<>());
         loop.setAfterBatch(() -> {
             backend.decide(loop.clock().now());
-            batchesRun++;
+            batchesRun.incrementAndGet();
         });
     }
 
@@ -100,10 +101,10 @@
     void runPendingWork() throws Exception {
         // Tasks that come during a batch may join it; its timers and writes follow its tasks.
         for (int i = 0; i < 4; i++) {
-            long before = batchesRun;
+            long before = batchesRun.get();
             runOnLoop(() -> {});
             long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-            while (batchesRun == before) {
+            while (batchesRun.get() == before) {
                 assertTrue(System.nanoTime() < deadlineNanos, "the loop stands still");
                 Thread.onSpinWait();
             }
@@ -205,52 +206,6 @@
         runPendingWork();
     }
 
-    @Override
-    public void launch(TrackedRequest work) {
-        agentCommands.add("launch " + work.idText());
-    }
-
-    @Override
-    public void stop(TrackedRequest work) {
-        agentCommands.add("freeze " + work.idText());
-    }
-
-    @Override
-    public void deliverReply(TrackedRequest work, byte[] reply) {
-        agentCommands.add("deliver " + work.idText());
-    }
-
-    @Override
-    public void continueWithoutCall(TrackedRequest work) {
-        agentCommands.add("forgo " + work.idText());
-    }
-
-    @Override
-    public boolean pollMetrics() {
-        return true;
-    }
-
-    @Override
-    public void startDeepCheck() {
-        agentCommands.add("exercise");
-    }
-
-    @Override
-    public DownstreamService downstream() {
-        return this;
-    }
-
-    @Override
-    public void call(TrackedRequest work, byte[] body, Duration within) {
-        agentCommands.add("call " + work.idText());
-    }
-
-    @Override
-    public void cancel(TrackedRequest work) {}
-
-    @Override
-    public void closeIdleConnections(Duration after) {}
-
     private EventLoop.Timer alarm;
 
     @Override
--- a/src/test/java/merlinlever/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/net/ConnectionRaceTest.java
@@ -299,6 +299,8 @@
         assertTrue(failures.get(0) instanceof StackOverflowError);
     }
 
+    // It overflows the stack on purpose.
+    @SuppressWarnings("InfiniteRecursion")
     private static int recurseForever(EventLoop loop) {
         return recurseForever(loop) + 1;
     }
--- a/src/test/java/merlinlever/net/TaskHandOffProgram.java
+++ b/src/test/java/merlinlever/net/TaskHandOffProgram.java
@@ -24,6 +24,8 @@
         }
     }
 
+    // As above: the loop alone counts.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     private static void handOff(EventLoop loop) {
         loop.execute(() -> tasksRun++);
     }
--- a/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/routes/net/DownstreamFailoverTest.java
@@ -39,7 +39,7 @@
 /** Calls of one backend over real sockets of one process, while its local service is lost in the middle of them. */
 class DownstreamFailoverTest {
 
-    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.FULL);
     private static final String SERVICE = "records";
     private static final String PRIORITY_CLASS = "t";
     private static final int CALLS = 200;
@@ -70,21 +70,22 @@
         return new SimulatedRecordsService(loop, anyPort, Duration.ofMillis(20), audit);
     }
 
-    private RoutingTable routes(Map<String, SimulatedRecordsService> partners) {
+    private RoutingTable routes(Map<String, SimulatedRecordsService> partners) throws Exception {
         RoutingTable routes = new RoutingTable(
                 new RoutingPolicy("me"),
                 partners.keySet().stream()
                         .map(site -> new RoutingTable.PartnerSettings(site, Relation.PEER))
                         .toList(),
                 0.01,
-                FlapDamping.FlapDampingSettings.PUBLISHED,
+                FlapDamping.FlapDampingSettings.RECOMMENDED,
                 FULL_QUORUM,
                 line -> {});
-        partners.forEach((site, service) -> {
+        for (Map.Entry<String, SimulatedRecordsService> partner : partners.entrySet()) {
+            String site = partner.getKey();
             Route route = new Route(
                     PRIORITY_CLASS,
                     SERVICE,
-                    "127.0.0.1:" + service.address().getPort(),
+                    "127.0.0.1:" + partner.getValue().address().getPort(),
                     PARTNER_CAPACITY,
                     1,
                     false,
@@ -93,8 +94,11 @@
                     Restrictions.NONE);
             RouteTable table = RouteTable.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
             routes.offer(clock.uptime(), table);
-            routes.stoodBy(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
-        });
+            routes.renew(
+                    clock.uptime(),
+                    new RoutingTable.Renewal(
+                            site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease()));
+        }
         return routes;
     }
 
@@ -103,7 +107,6 @@
             throws Exception {
         return new RoutedDownstreamService(
                 loop,
-                local.address(),
                 (now, id, outcome, reply) -> {
                     assertTrue(outcomesById.put(id, outcome) == null, "ended twice: " + id);
                     if (outcomesById.size() == CALLS) {
@@ -111,13 +114,15 @@
                     }
                 },
                 new Log(System.out, Instant::now),
-                100,
                 routes,
                 new RouteSelector(routes, 1),
                 new LocalServiceHealth(new LocalServiceHealth.HealthSettings(
                         3, Duration.ofMillis(500), 32, Duration.ofMillis(100), 3)),
-                List.of(new RouteSelector.RoutingClass(PRIORITY_CLASS, retrySafety, true)),
-                SERVICE,
+                new RoutedDownstreamService.RoutingSettings(
+                        local.address(),
+                        100,
+                        List.of(new RouteSelector.RoutingClass(PRIORITY_CLASS, retrySafety, true)),
+                        SERVICE),
                 partnerCapacities::add);
     }
 
@@ -130,14 +135,14 @@
         byte[] body = "body".getBytes(StandardCharsets.US_ASCII);
         for (long i = 0; i < CALLS; i++) {
             long id = i;
-            loop.in(
+            loop.schedule(
                     CALL_INTERVAL.multipliedBy(i),
                     () -> downstream.call(TestRequests.tracked(id, PRIORITY_CLASS), body, Duration.ofSeconds(5)));
         }
-        loop.in(LOSS_OF_LOCAL_SERVICE, local::lose);
-        loop.in(TEST_TIMEOUT, loop::stop);
+        loop.schedule(LOSS_OF_LOCAL_SERVICE, local::lose);
+        loop.schedule(TEST_TIMEOUT, loop::stop);
         loop.run();
-        assertEquals(downstream.ways(), received(eastAudit) + received(westAudit));
+        assertEquals(downstream.callsToPartners(), received(eastAudit) + received(westAudit));
     }
 
     private long count(Outcome outcome) {
@@ -146,7 +151,7 @@
 
     @Example
     void idempotentCallsAreForwardedToPartnersWhenTheLocalServiceIsLost() throws Exception {
-        makeCalls(RouteSelector.RetrySafety.RETRIABLE);
+        makeCalls(RouteSelector.RetrySafety.IDEMPOTENT);
         assertEquals(CALLS, outcomesById.size());
         long succeeded = count(Outcome.OK);
         long connectionLost = count(Outcome.CONNECTION_LOST);
@@ -164,7 +169,7 @@
 
     @Example
     void nonIdempotentCallsAreNotForwarded() throws Exception {
-        makeCalls(RouteSelector.RetrySafety.BINDING);
+        makeCalls(RouteSelector.RetrySafety.NON_IDEMPOTENT);
         assertEquals(0, received(eastAudit) + received(westAudit));
         assertTrue(count(Outcome.UNREACHABLE) > 20);
     }
