--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import merlinlever.QuotaDemand;
 import merlinlever.core.Backend;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
@@ -63,21 +64,22 @@
         double clockDrift = configuredQuotas.isEmpty()
                 ? DEFAULT_CLOCK_DRIFT
                 : configuredQuotas.get(0).drift();
-        ElectionTransport election = new ElectionTransport(loop, recovery, voters, lease, clockDrift, seed, log);
-        view = new ViewTransport(loop, recovery, election.terms(), ViewSettings.usual(), incarnation, seed, log);
+        ElectionTransport election =
+                new ElectionTransport(loop, recovery, new ElectionSettings(voters, lease, clockDrift), seed, log);
+        view = new ViewTransport(loop, recovery, election.election(), ViewSettings.defaults(), incarnation, seed, log);
         replication = new ReplicationTransport(
                 loop,
                 recovery,
                 StateDirectories.open(Path.of(values.text("recovery.state", ""), "shared"), System.getenv()),
                 ReplicatedStore.ReplicationSettings.defaults(true),
-                election.terms(),
-                view.seen(),
+                election.election(),
+                view.fleetView(),
                 seed,
                 log);
         quotas = configuredQuotas.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new QuotaTransport(
-                        loop, recovery, configuredQuotas, election, view.seen(), incarnation, seed, this, log));
+                        loop, recovery, configuredQuotas, election, view.fleetView(), incarnation, seed, this, log));
     }
 
     private List<FleetQuota> quotas(ConfigurationValues values) throws InvalidConfigurationException {
@@ -86,7 +88,8 @@
 
     /** Whether the view permits that requests with an idempotency key, and those that are not idempotent, are started. */
     boolean mayStartKeyedRequests() {
-        return view.seen().may(loop.clock().uptime(), GuardedAction.KEYED) == ActionPermissions.Permission.YES;
+        return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST)
+                == ActionPermissions.Permission.ALLOWED;
     }
 
     /** Takes over the sizes of the quotas; nothing else may change while the process runs. */
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -103,7 +103,7 @@
             if (seed.isEmpty()) {
                 continue;
             }
-            if (MembershipTransport.address(seed) == null) {
+            if (MembershipTransport.parseAddress(seed) == null) {
                 throw new InvalidConfigurationException(
                         "the configuration's recovery.seeds has '" + seed + "', which is no ADDRESS:PORT");
             }
@@ -114,7 +114,7 @@
 
     private static String advertisedAddress(ConfigurationValues values) throws InvalidConfigurationException {
         String text = values.text(PREFIX + "advertise", null);
-        if (text != null && MembershipTransport.address(text) == null) {
+        if (text != null && MembershipTransport.parseAddress(text) == null) {
             throw new InvalidConfigurationException(
                     "the configuration's recovery.advertise is no ADDRESS:PORT: " + text);
         }
--- a/src/main/java/merlinlever/election/ElectionState.java
+++ b/src/main/java/merlinlever/election/ElectionState.java
@@ -9,203 +9,212 @@
 import java.util.SplittableRandom;
 
 /**
- * Who leads: one leader at a time, by the promises of more than half of the stated voters. A promise holds for a lease
- * on the voter's own steady clock, so no two leaders can have one at the same time, whatever the Unix clocks say; its term
+ * The rules of leader election: one leader at a time, by the promises of a majority of the configured voters. A promise holds for a
+ * lease on the voter's own steady clock, so no two leaders can have one at the same time, whatever the wall clocks say; its term
  * is on the voter's disk before it is given, so terms only go up. A voter that has just started may have promised anything
- * before and waits a whole lease. Times are since the process began.
+ * before and waits for a whole lease. Times are since the process began. Not thread-safe.
  */
-public final class ElectionState {
+final class ElectionState {
 
-    /** A question for a promise, or for its renewal; {@code number} comes back with the answer. */
-    public record PromiseRequest(String to, long term, long number) {}
+    /** A request for a promise, or for its renewal; the answer repeats the correlation id. */
+    record PromiseRequest(String voter, long term, long correlationId) {}
 
     private final String self;
-    private final List<String> voters;
-    private final Duration lease;
-    private final double drift;
-    private final SplittableRandom chance;
+    private final ElectionSettings settings;
+    private final SplittableRandom random;
 
-    /** As a voter: the highest term that was promised, and to whom until when. */
-    private long promised;
-
-    private String promisedTo;
+    // As a voter: the highest term that was promised, and to whom until when.
+    private long promisedTerm;
+    private String promisedCandidate;
     private Duration promisedUntil;
 
-    /** As a candidate or leader: its term, its questions that are out, and when the promises that it has were asked for. */
-    private long term;
-
-    private boolean leads;
-    private long numbers;
-    private final Map<Long, Duration> out = new HashMap<>();
-    private final Map<String, Duration> promisedSince = new HashMap<>();
-    private Duration nextAsk;
-    private long heardTerm, heardLeaderTerm;
-    private String heardLeader;
-    private Duration heardAt;
+    // As a candidate or leader: its term, its pending requests by correlation id, and by voter when the promise that it
+    // holds was
+    // requested.
+    private long ownTerm;
+    private boolean leading;
+    private long lastCorrelationId;
+    private final Map<Long, Duration> pendingRequests = new HashMap<>();
+    private final Map<String, Duration> promiseRequestedAt = new HashMap<>();
+    private Duration nextRequestAt;
+
+    // What was heard of others.
+    private long highestTermHeard;
+    private long lastLeaderTerm;
+    private String lastLeader;
+    private Duration lastLeaderHeardAt;
 
     /**
-     * @param voters the same everywhere; only they lead
-     * @param term the highest that is on the disk
+     * The state of a voter that starts now.
+     *
+     * @param persistedTerm the highest term that is on this voter's disk
      */
-    public ElectionState(
-            Duration now,
-            String self,
-            List<String> voters,
-            Duration lease,
-            double drift,
-            long term,
-            SplittableRandom chance) {
+    ElectionState(Duration now, String self, ElectionSettings settings, long persistedTerm, SplittableRandom random) {
         this.self = self;
-        this.voters = List.copyOf(voters);
-        this.lease = lease;
-        this.drift = drift;
-        this.chance = chance;
-        promised = term;
-        heardTerm = term;
-        promisedUntil = now.plus(ClockDrift.slowest(lease, drift));
-        nextAsk = promisedUntil.plus(drawn());
+        this.settings = settings;
+        this.random = random;
+        promisedTerm = persistedTerm;
+        highestTermHeard = persistedTerm;
+        promisedUntil = now.plus(ClockDrift.upperBound(settings.lease(), settings.clockDrift()));
+        nextRequestAt = promisedUntil.plus(randomDelay());
     }
 
-    private Duration drawn() {
-        return Duration.ofNanos(chance.nextLong(lease.dividedBy(2).toNanos() + 1));
+    /** Up to half a lease, so that candidates seldom meet. */
+    private Duration randomDelay() {
+        return Duration.ofNanos(random.nextLong(settings.lease().dividedBy(2).toNanos() + 1));
     }
 
     // ---- as a voter
 
     /**
-     * Whether it may promise the asker this term now; if so the term has to be on the disk before the answer is given
-     * ({@link #promise}).
+     * Whether the candidate may be promised this term now; if so the term has to be on disk before {@link #promise} is called.
      */
-    public boolean mayPromise(Duration now, String asker, long asked) {
-        if (!voters.contains(asker) || !voters.contains(self) || asked < promised) {
+    boolean canPromise(Duration now, String candidate, long term) {
+        if (!voters().contains(candidate) || !voters().contains(self) || term < promisedTerm) {
             return false;
         }
-        // The same one may have its promise renewed, or made for its next attempt.
-        return asker.equals(promisedTo) || (asked > promised && now.compareTo(promisedUntil) >= 0);
-    }
-
-    /** The promise is made, from now on. */
-    public void promise(Duration now, String to, long asked) {
-        promised = asked;
-        promisedTo = to;
-        promisedUntil = now.plus(lease);
-        heardTerm = Math.max(heardTerm, asked);
-        if (!to.equals(self)) {
-            nextAsk = promisedUntil.plus(drawn());
+        // The same candidate may have its promise renewed, or made for its next attempt.
+        return candidate.equals(promisedCandidate) || (term > promisedTerm && now.compareTo(promisedUntil) >= 0);
+    }
+
+    /** Makes the promise, from now on. */
+    void promise(Duration now, String candidate, long term) {
+        promisedTerm = term;
+        promisedCandidate = candidate;
+        promisedUntil = now.plus(settings.lease());
+        highestTermHeard = Math.max(highestTermHeard, term);
+        if (!candidate.equals(self)) {
+            nextRequestAt = promisedUntil.plus(randomDelay());
         }
     }
 
     /** The highest term that was promised here. */
-    public long promised() {
-        return promised;
+    long promisedTerm() {
+        return promisedTerm;
     }
 
     // ---- as a candidate or leader
 
-    /** The questions to be put now: for a new term where nobody leads, or for the renewal of its own. */
-    public List<PromiseRequest> settle(Duration now) {
-        List<PromiseRequest> asks = new ArrayList<>();
-        if (leads && now.compareTo(leadsUntil()) >= 0) {
-            leads = false;
-            nextAsk = now.plus(drawn());
-            promisedSince.clear();
-            out.clear();
+    /** The requests to be sent now: for a new term where nobody leads, or to renew the promises of its own. */
+    List<PromiseRequest> dueRequests(Duration now) {
+        if (leading && now.compareTo(leadershipExpiry()) >= 0) {
+            leading = false;
+            nextRequestAt = now.plus(randomDelay());
+            forgetPromises();
         }
-        if (!voters.contains(self) || now.compareTo(nextAsk) < 0) {
-            return asks;
+        if (!voters().contains(self) || now.compareTo(nextRequestAt) < 0) {
+            return List.of();
         }
-        if (!leads) {
-            if (now.compareTo(promisedUntil) < 0 && !self.equals(promisedTo)) {
-                nextAsk = promisedUntil.plus(drawn());
-                return asks;
+        if (!leading) {
+            boolean promisedToAnother = now.compareTo(promisedUntil) < 0 && !self.equals(promisedCandidate);
+            if (promisedToAnother) {
+                nextRequestAt = promisedUntil.plus(randomDelay());
+                return List.of();
             }
-            // A new attempt is a new term: answers to the one before say nothing of it.
-            term = Math.max(Math.max(term, promised), heardTerm) + 1;
-            promisedSince.clear();
-            out.clear();
+            // A new attempt is a new term: answers to an earlier one say nothing of it.
+            ownTerm = Math.max(Math.max(ownTerm, promisedTerm), highestTermHeard) + 1;
+            forgetPromises();
         }
-        nextAsk = now.plus(leads ? lease.dividedBy(4) : lease.dividedBy(2).plus(drawn()));
-        for (String voter : voters) {
-            long number = ++numbers;
-            out.put(number, now);
-            asks.add(new PromiseRequest(voter, term, number));
+        Duration lease = settings.lease();
+        nextRequestAt =
+                now.plus(leading ? lease.dividedBy(4) : lease.dividedBy(2).plus(randomDelay()));
+        List<PromiseRequest> requests = new ArrayList<>();
+        for (String voter : voters()) {
+            lastCorrelationId++;
+            pendingRequests.put(lastCorrelationId, now);
+            requests.add(new PromiseRequest(voter, ownTerm, lastCorrelationId));
         }
-        out.values().removeIf(at -> now.minus(at).compareTo(lease) >= 0);
-        return asks;
+        pendingRequests.values().removeIf(sentAt -> now.minus(sentAt).compareTo(lease) >= 0);
+        return requests;
     }
 
-    /** The voter has promised; counts from when it was asked, which was before it promised. */
-    public void promisedBy(Duration now, String voter, long asked, long number) {
-        Duration at = out.get(number);
-        if (asked != term || at == null || !voters.contains(voter)) {
+    private void forgetPromises() {
+        promiseRequestedAt.clear();
+        pendingRequests.clear();
+    }
+
+    /** A voter has promised; its lease counts from when it was requested, which was before it was given. */
+    void receivePromise(Duration now, String voter, long term, long correlationId) {
+        Duration requestedAt = pendingRequests.get(correlationId);
+        if (term != ownTerm || requestedAt == null || !voters().contains(voter)) {
             return;
         }
-        promisedSince.merge(voter, at, (a, b) -> a.compareTo(b) > 0 ? a : b);
-        if (!leads && leadsUntil() != null && now.compareTo(leadsUntil()) < 0) {
-            leads = true;
-            nextAsk = now;
+        promiseRequestedAt.merge(voter, requestedAt, (first, second) -> first.compareTo(second) > 0 ? first : second);
+        Duration expiry = leadershipExpiry();
+        if (!leading && expiry != null && now.compareTo(expiry) < 0) {
+            leading = true;
+            nextRequestAt = now;
         }
     }
 
-    /** Whether it leads, or the promises that hold at the least want but one more. */
-    boolean oneShort(Duration now) {
-        long hold = promisedSince.values().stream()
-                .filter(since -> now.compareTo(since.plus(ClockDrift.surest(lease, drift))) < 0)
+    /** Whether it leads, or one more promise would make the valid ones a majority. */
+    boolean isWithinOnePromiseOfMajority(Duration now) {
+        long validPromises = promiseRequestedAt.values().stream()
+                .filter(requestedAt -> now.compareTo(validUntil(requestedAt)) < 0)
                 .count();
-        return leads || hold >= voters.size() / 2;
+        return leading || validPromises >= settings.largestMinority();
+    }
+
+    /** Until when a promise that was requested then holds, by any clock. */
+    private Duration validUntil(Duration requestedAt) {
+        return requestedAt.plus(ClockDrift.lowerBound(settings.lease(), settings.clockDrift()));
     }
 
-    /** The voter has promised a higher term to another, or knows of one. */
-    public void refused(Duration now, long higher) {
-        heardTerm = Math.max(heardTerm, higher);
+    /** A voter has promised a higher term to another candidate, or knows of one. */
+    void receiveRejection(long higherTerm) {
+        highestTermHeard = Math.max(highestTermHeard, higherTerm);
     }
 
-    /** Until when more than half of the promises hold at the least, by any clock; null without them. */
-    private Duration leadsUntil() {
-        // Its own promise is needed: so the term is on its own disk, and no later life of it comes to the same term
+    /** Until when a majority of the promises holds at least, by any clock; null without a majority. */
+    private Duration leadershipExpiry() {
+        // Its own promise is required: so the term is on its own disk, and no later incarnation of it comes to the same
+        // term
         // again.
-        if (promisedSince.size() <= voters.size() / 2 || !promisedSince.containsKey(self)) {
+        if (promiseRequestedAt.size() <= settings.largestMinority() || !promiseRequestedAt.containsKey(self)) {
             return null;
         }
-        Duration[] since = promisedSince.values().toArray(new Duration[0]);
-        Arrays.sort(since);
-        // The oldest of the youngest majority.
-        Duration oldest = since[since.length - voters.size() / 2 - 1];
-        return oldest.plus(ClockDrift.surest(lease, drift));
+        Duration[] requestedAt = promiseRequestedAt.values().toArray(new Duration[0]);
+        Arrays.sort(requestedAt);
+        Duration oldestOfYoungestMajority = requestedAt[requestedAt.length - settings.largestMinority() - 1];
+        return validUntil(oldestOfYoungestMajority);
     }
 
-    public boolean leads(Duration now) {
-        return leads && now.compareTo(leadsUntil()) < 0;
+    boolean isLeader(Duration now) {
+        return leading && now.compareTo(leadershipExpiry()) < 0;
     }
 
-    /** Of its own leadership. */
-    public long term() {
-        return term;
+    /** The term of its own leadership or last attempt. */
+    long ownTerm() {
+        return ownTerm;
     }
 
-    /** A leader was heard; the highest term counts, and an older one is not listened to. */
-    public void heardLeader(Duration now, String leader, long itsTerm) {
-        if (itsTerm >= heardLeaderTerm) {
-            heardTerm = Math.max(heardTerm, itsTerm);
-            heardLeaderTerm = itsTerm;
-            heardLeader = leader;
-            heardAt = now;
+    // ---- what is known of others
+
+    /** A leader was heard; the highest term counts, and one of an older term is ignored. */
+    void observeLeader(Duration now, String leader, long term) {
+        if (term >= lastLeaderTerm) {
+            highestTermHeard = Math.max(highestTermHeard, term);
+            lastLeaderTerm = term;
+            lastLeader = leader;
+            lastLeaderHeardAt = now;
         }
     }
 
-    /** Who leads as far as this one knows, or null. */
-    public Leadership.Leader leader(Duration now) {
-        if (leads(now)) {
-            return new Leadership.Leader(self, term);
+    /** Who leads as far as this voter knows, or null. */
+    Leadership.Leader leader(Duration now) {
+        if (isLeader(now)) {
+            return new Leadership.Leader(self, ownTerm);
         }
-        boolean holds = promisedTo != null && !promisedTo.equals(self) && now.compareTo(promisedUntil) < 0;
-        if (heardLeader != null && now.minus(heardAt).compareTo(lease) < 0 && (!holds || heardLeaderTerm >= promised)) {
-            return new Leadership.Leader(heardLeader, heardLeaderTerm);
+        boolean promisedToAnother =
+                promisedCandidate != null && !promisedCandidate.equals(self) && now.compareTo(promisedUntil) < 0;
+        boolean heardLately = lastLeader != null && now.minus(lastLeaderHeardAt).compareTo(settings.lease()) < 0;
+        if (heardLately && (!promisedToAnother || lastLeaderTerm >= promisedTerm)) {
+            return new Leadership.Leader(lastLeader, lastLeaderTerm);
         }
-        return holds ? new Leadership.Leader(promisedTo, promised) : null;
+        return promisedToAnother ? new Leadership.Leader(promisedCandidate, promisedTerm) : null;
     }
 
-    public List<String> voters() {
-        return voters;
+    List<String> voters() {
+        return settings.voters();
     }
 }
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/experiments/ExperimentNode.java
@@ -84,7 +84,7 @@
         lastTick = now;
         if (mayServe(now)) {
             restoreCounts();
-            if (isPermitted(now, GuardedAction.ADOPT)) {
+            if (isPermitted(now, GuardedAction.ADOPT_WIDENING)) {
                 lease.request(now);
             }
             readGrants(now);
@@ -97,11 +97,11 @@
     }
 
     private boolean isPermitted(Duration now, GuardedAction action) {
-        return view.may(now, action) == ActionPermissions.Permission.YES;
+        return view.permission(now, action) == ActionPermissions.Permission.ALLOWED;
     }
 
     private boolean mayServe(Duration now) {
-        return view.may(now, GuardedAction.SERVE) != ActionPermissions.Permission.NO;
+        return view.permission(now, GuardedAction.USE_ADOPTED) != ActionPermissions.Permission.DENIED;
     }
 
     private void readGrants(Duration now) {
@@ -158,7 +158,7 @@
     // ---- the result
 
     private void decide(Duration now) {
-        if (!leadership.leads(now) || !isPermitted(now, GuardedAction.DECIDE)) {
+        if (!leadership.isLeader(now) || !isPermitted(now, GuardedAction.DECIDE)) {
             // The next leader decides by what it knows then.
             proposed = Optional.empty();
             return;
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/membership/MembershipTransport.java
@@ -9,82 +9,91 @@
 import merlinlever.net.DatagramEndpoint;
 import merlinlever.net.EventLoop;
 
-/** The members on datagrams. */
+/** Runs one member's {@link SwimProtocol} on the event loop and UDP datagrams. On the loop's thread only. */
 public final class MembershipTransport {
 
-    private static final Duration LOOK = Duration.ofMillis(50);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final int MAX_PORT = 0xffff;
 
     private final EventLoop loop;
-    private final SwimProtocol members;
-    private final MembershipCodec wire;
+    private final SwimProtocol protocol;
+    private final MembershipCodec codec;
     private final DatagramEndpoint datagrams;
-    private final LongPredicate mayTell;
-    private long strange;
+    private final LongPredicate mayAnnounce;
+    private long rejectedDatagrams;
 
-    /** @param mayTell whether this incarnation of its own may be told to others: not before it is on disk, where one is kept */
+    /**
+     * Starts to run the protocol.
+     *
+     * @param mayAnnounce whether this incarnation of its own may be sent to peers: not before it is on disk, where one is
+     *     persisted
+     */
     public MembershipTransport(
             EventLoop loop,
             DatagramEndpoint datagrams,
-            SwimProtocol members,
-            MembershipCodec wire,
-            LongPredicate mayTell) {
-        this.mayTell = mayTell;
+            SwimProtocol protocol,
+            MembershipCodec codec,
+            LongPredicate mayAnnounce) {
         this.loop = loop;
         this.datagrams = datagrams;
-        this.members = members;
-        this.wire = wire;
-        loop.every(LOOK, this::settle);
+        this.protocol = protocol;
+        this.codec = codec;
+        this.mayAnnounce = mayAnnounce;
+        loop.every(TICK_INTERVAL, this::flush);
     }
 
-    /** A datagram came. */
-    public void came(byte[] octets, InetSocketAddress from) {
-        SwimProtocol.MembershipMessage message = wire.read(octets);
+    /** Takes in a datagram; one that is not of this fleet is counted and dropped. */
+    public void receive(byte[] datagram, InetSocketAddress sender) {
+        MembershipMessage message = codec.decode(datagram);
         if (message == null) {
-            strange++;
+            rejectedDatagrams++;
             return;
         }
-        // Since the process began: the other time may be set once more.
-        members.heard(loop.clock().uptime(), text(from), message);
-        settle();
+        // Since the process began: the wall clock may be set.
+        protocol.receive(loop.clock().uptime(), formatAddress(sender), message);
+        flush();
     }
 
-    /** Datagrams that were not ours. */
-    public long strange() {
-        return strange;
+    /** How many datagrams were not of this fleet. */
+    public long rejectedDatagrams() {
+        return rejectedDatagrams;
     }
 
-    /** Sends what is to be sent now. */
-    public void settle() {
-        List<SwimProtocol.OutboundDatagram> sendings =
-                members.settle(loop.clock().uptime());
-        if (!mayTell.test(members.views().of(members.views().self()).incarnation())) {
+    /** Sends what is due now. */
+    public void flush() {
+        List<OutboundDatagram> outbound = protocol.tick(loop.clock().uptime());
+        MemberTable memberTable = protocol.memberTable();
+        if (!mayAnnounce.test(memberTable.find(memberTable.self()).incarnation())) {
             // Lost, as any datagram may be.
             return;
         }
-        for (SwimProtocol.OutboundDatagram sending : sendings) {
-            InetSocketAddress to = address(sending.to());
-            if (to != null) {
-                datagrams.send(wire.write(sending.message()), to);
+        for (OutboundDatagram datagram : outbound) {
+            InetSocketAddress address = parseAddress(datagram.address());
+            if (address != null) {
+                datagrams.send(codec.encode(datagram.message()), address);
             }
         }
     }
 
+    /** Leaves in good order: tells some peers. */
     public void leave() {
-        members.leave(loop.clock().uptime());
-        settle();
+        protocol.leave(loop.clock().uptime());
+        flush();
     }
 
-    public static String text(InetSocketAddress address) {
+    /** An address as {@code ADDRESS:PORT}. */
+    public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Of ADDRESS:PORT; null where it is none. Names are not looked up. */
-    public static InetSocketAddress address(String text) {
+    /** The address of {@code ADDRESS:PORT}; null where it is none. Names are not looked up. */
+    public static InetSocketAddress parseAddress(String text) {
         try {
             int colon = text.lastIndexOf(':');
             String host = colon < 0 ? "" : text.substring(0, colon);
             int port = Integer.parseInt(text.substring(colon + 1));
-            return host.matches("[0-9]+(\\.[0-9]+){3}|[0-9a-fA-F:]+") && port > 0 && port <= 0xffff
+            boolean isNumeric = host.matches("[0-9]+(\\.[0-9]+){3}|[0-9a-fA-F:]+");
+            return isNumeric && port > 0 && port <= MAX_PORT
                     ? new InetSocketAddress(InetAddress.getByName(host), port)
                     : null;
         } catch (NumberFormatException | UnknownHostException e) {
@@ -92,6 +101,7 @@
         }
     }
 
+    /** Closes the socket. */
     public void close() {
         datagrams.close();
     }
--- a/src/main/java/merlinlever/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/membership/SwimProtocol.java
@@ -1,448 +1,395 @@
 package merlinlever.membership;
 
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.WireNamed;
 
-/** Decides whom to ask when, whom to suspect, and which rumours go along. */
+/**
+ * Decides whom to ping when, whom to suspect, and which records travel along (SWIM with Lifeguard's local health). It does no
+ * input or output and has no clock; times are since the process began. Not thread-safe.
+ */
 public final class SwimProtocol {
 
-    /** The kinds of messages; only asking ones are answered. */
-    public enum MessageKind implements WireNamed {
-        PING("ping"),
-        ACK("ack"),
-        ASK_FOR("ask_for"),
-        NACK("nack"),
-        SYNC("sync"),
-        SYNC_BACK("sync_back"),
-        RECALL("recall"),
-        RECALLED("recalled"),
-        SAY("say"),
-        CARRY("carry");
-
-        private final String wireName;
-
-        MessageKind(String wireName) {
-            this.wireName = wireName;
-        }
+    /** Upper bound of the members known; further ones are ignored. */
+    public static final int MAX_MEMBERS = 2000;
 
-        @Override
-        public String wireName() {
-            return wireName;
-        }
-    }
+    /** Upper bound of the payload of one message. */
+    public static final int MAX_PAYLOAD_BYTES = 48 << 10;
 
-    /**
-     * One message.
-     *
-     * @param number of the question; an answer bears that of its question
-     * @param about the gossip address that {@code ASK_FOR} is about, what {@code RECALLED} tells or {@code SAY} says, else empty
-     * @param body what {@code CARRY} carries, else null
-     */
-    public record MembershipMessage(
-            MessageKind kind,
-            String from,
-            long number,
-            String about,
-            List<MemberTable.MemberRecord> rumours,
-            byte[] body) {
-        public MembershipMessage(
-                MessageKind kind, String from, long number, String about, List<MemberTable.MemberRecord> rumours) {
-            this(kind, from, number, about, rumours, null);
-        }
-    }
+    private static final int MAX_HEALTH_SCORE = 8;
+    /** All records are exchanged with one peer each so many periods, a dead one too: so two halves of a network meet again. */
+    private static final int PERIODS_PER_SYNC = 10;
 
-    /** What one that comes back asks the others, and what they tell it beside all that they believe. */
-    public interface RecoveryExchange {
-        /** What this one tells: printable, without spaces, 64 octets at the most. */
-        String tells();
+    private static final Duration DEAD_MEMBER_RETENTION = Duration.ofHours(24);
+    /** Peers that are pinged on leaving, beside those of an indirect ping, so that one of them passes the news on. */
+    private static final int EXTRA_FAREWELLS = 2;
 
-        /** The other has told that, to the question of that number. */
-        void told(String name, long number, String what);
-    }
+    /** A ping that waits for its answer. */
+    private static final class PendingPing {
+        final String target;
+        final Duration expiresAt;
+        /** When peers are asked to ping the target too; null once they were. */
+        Duration indirectPingAt;
 
-    /** Hears what others say to this one, beside membership; it takes what it understands. */
-    public interface TextMessageHandler {
-        void said(String name, long number, String what);
-    }
+        int outstandingNacks;
 
-    /** Takes what others carry to this one, beside membership. */
-    public interface PayloadHandler {
-        void carried(String name, byte[] body);
+        PendingPing(String target, Duration indirectPingAt, Duration expiresAt) {
+            this.target = target;
+            this.indirectPingAt = indirectPingAt;
+            this.expiresAt = expiresAt;
+        }
     }
 
-    /** A message and where it goes. */
-    public record OutboundDatagram(String to, MembershipMessage message) {}
+    private final SwimSettings settings;
+    private final MemberTable memberTable;
+    private final SplittableRandom random;
+    private final Consumer<String> log;
+    private final GossipQueue gossipQueue;
+    private final Map<Long, PendingPing> pendingPings = new LinkedHashMap<>();
+    private final RelayedPings relayedPings;
+    private final SuspicionTimers suspicionTimers = new SuspicionTimers();
+    private final ProbeSchedule probeSchedule;
+    private final MessageDispatcher dispatcher = new MessageDispatcher();
+    private List<OutboundDatagram> outbox = new ArrayList<>();
+    private Duration nextPeriodAt;
+    /** Null where this member neither asks nor answers recovery queries. */
+    private RecoveryExchange recoveryExchange;
+
+    private long lastCorrelationId;
+    private long periodCount;
+    private int healthScore;
 
     /**
-     * What is stated.
+     * A member that knows nothing but its own table yet.
      *
-     * @param period in which one other is asked
-     * @param timeout after which others are asked to ask it
-     * @param helpers so many of them
-     * @param seeds gossip addresses that are tried until somebody is known
+     * @param log takes one line whenever the status of a peer changes
      */
-    public record SwimSettings(Duration period, Duration timeout, int helpers, List<String> seeds) {
-        public static SwimSettings usual(List<String> seeds) {
-            return new SwimSettings(Duration.ofSeconds(1), Duration.ofMillis(300), 3, seeds);
-        }
+    public SwimProtocol(
+            Duration now,
+            MemberTable memberTable,
+            SwimSettings settings,
+            SplittableRandom random,
+            Consumer<String> log) {
+        this.memberTable = memberTable;
+        this.settings = settings;
+        this.random = random;
+        this.log = log;
+        gossipQueue = new GossipQueue(memberTable);
+        relayedPings = new RelayedPings(settings);
+        probeSchedule = new ProbeSchedule(memberTable, random);
+        nextPeriodAt = now;
+        lastCorrelationId = random.nextLong() >>> 16;
+        announce(now, memberTable.find(memberTable.self()));
     }
 
-    /** Members known, and octets carried in one message, at the most. */
-    public static final int MOST = 2000;
-
-    public static final int MOST_CARRIED = 48 << 10;
-    private static final int HEALTH_MOST = 8;
-    /** A whole exchange with one other, a dead one too: so two halves of a network find each other again. */
-    private static final int SYNC_PERIODS = 10;
-
-    private static final Duration FORGET = Duration.ofHours(24);
-
-    /** A question that waits for its answer. */
-    private static final class PendingPing {
-        final String name;
-        final Duration until;
-        Duration helpAt;
-        int nacksWanted;
-
-        PendingPing(String name, Duration helpAt, Duration until) {
-            this.name = name;
-            this.helpAt = helpAt;
-            this.until = until;
-        }
+    /** What this member believes of all. */
+    public MemberTable memberTable() {
+        return memberTable;
     }
 
-    /** A question that was put for somebody else. */
-    private record RelayedPing(String to, long number, Duration nackAt, Duration until) {}
-
-    private final SwimSettings stated;
-    private final MemberTable views;
-    private final SplittableRandom chance;
-    private final Consumer<String> log;
-    private final GossipQueue rumours;
-    private final Map<Long, PendingPing> asked = new LinkedHashMap<>();
-    private final Map<Long, RelayedPing> relayed = new LinkedHashMap<>();
-    private final SuspicionTimers suspicions = new SuspicionTimers();
-    private final ArrayDeque<String> round = new ArrayDeque<>();
-    private List<OutboundDatagram> out = new ArrayList<>();
-    private Duration nextPeriod;
-    private RecoveryExchange recall;
-    private final MessageDispatcher beside = new MessageDispatcher();
-    private long numbers;
-    private long periods;
-    private int health;
-
-    public SwimProtocol(
-            Duration now, MemberTable views, SwimSettings stated, SplittableRandom chance, Consumer<String> log) {
-        this.views = views;
-        rumours = new GossipQueue(views);
-        this.stated = stated;
-        this.chance = chance;
-        this.log = log;
-        nextPeriod = now;
-        numbers = chance.nextLong() >>> 16;
-        tell(now, views.of(views.self()));
+    /** From here on recovery queries of peers are answered, and answers to this member's own are handed on. */
+    public void setRecoveryExchange(RecoveryExchange exchange) {
+        recoveryExchange = exchange;
     }
 
-    public MemberTable views() {
-        return views;
+    /**
+     * From here on texts of these types go to the handler.
+     *
+     * @throws IllegalStateException if one of the types has a handler already
+     */
+    public void addTextHandler(Set<String> messageTypes, TextMessageHandler handler) {
+        dispatcher.addTextHandler(messageTypes, handler);
     }
 
-    /** From here on questions of those that come back are answered, and answers to this one's own are heard. */
-    public void recall(RecoveryExchange with) {
-        recall = with;
+    /** From here on payloads go to this handler too. */
+    public void addPayloadHandler(PayloadHandler handler) {
+        dispatcher.addPayloadHandler(handler);
     }
 
-    /** From here on it hears what others say to this one, where that begins with one of these words and a slash. */
-    public void hears(Set<String> words, TextMessageHandler who) {
-        beside.hears(words, who);
-    }
+    // ---- messages of other protocols
 
-    /** From here on it takes what others carry to this one; each takes what it understands. */
-    public void takes(PayloadHandler who) {
-        beside.takes(who);
+    /** Sends a message with the next datagrams; it is lost where the recipient is not known. */
+    public void send(PeerMessage message) {
+        if (message instanceof PeerMessage.Text text) {
+            sendText(text.recipient(), text.correlationId(), text.text());
+        } else if (message instanceof PeerMessage.Payload payload) {
+            sendPayload(payload.recipient(), payload.content());
+        }
     }
 
-    /** Carries octets to another, {@link #MOST_CARRIED} at the most; lost where it is not known. */
-    public void carry(String name, byte[] body) {
-        if (body.length > MOST_CARRIED) {
-            throw new IllegalArgumentException(body.length + " octets to carry");
+    /**
+     * Sends bytes to a peer; they are lost where it is not known.
+     *
+     * @throws IllegalArgumentException if they are over {@link #MAX_PAYLOAD_BYTES}
+     */
+    public void sendPayload(String recipient, byte[] payload) {
+        if (payload.length > MAX_PAYLOAD_BYTES) {
+            throw new IllegalArgumentException("a payload of " + payload.length + " bytes");
         }
-        MemberTable.MemberRecord known = views.of(name);
+        MemberRecord known = memberTable.find(recipient);
         if (known != null) {
-            out.add(new OutboundDatagram(
-                    known.gossip(), new MembershipMessage(MessageKind.CARRY, views.self(), 0, "", List.of(), body)));
+            MembershipMessage message =
+                    new MembershipMessage(MessageKind.PAYLOAD, memberTable.self(), 0, "", List.of(), payload);
+            outbox.add(new OutboundDatagram(known.gossipAddress(), message));
         }
     }
 
-    /** Says something to another, 120 printable octets without spaces at the most; lost where it is not known. */
-    public void say(String name, long number, String what) {
-        MemberTable.MemberRecord known = views.of(name);
+    /** Sends a text, of printable ASCII without spaces and at most 120 bytes, to a peer; it is lost where that is not known. */
+    public void sendText(String recipient, long correlationId, String text) {
+        MemberRecord known = memberTable.find(recipient);
         if (known != null) {
-            send(known.gossip(), MessageKind.SAY, number, what);
+            enqueue(known.gossipAddress(), MessageKind.TEXT, correlationId, text);
         }
     }
 
-    /** Asks another what it knows. */
-    public void ask(String name, long number) {
-        send(views.of(name).gossip(), MessageKind.RECALL, number, "");
+    /** Asks a known peer for its recovery report; the answer goes to the {@link RecoveryExchange}. */
+    public void sendRecoveryQuery(String recipient, long correlationId) {
+        enqueue(memberTable.find(recipient).gossipAddress(), MessageKind.RECOVERY_QUERY, correlationId, "");
     }
 
-    /** 0 where this one is well; more where its own lateness made it slow to hear (Lifeguard section IV-A). */
-    public int health() {
-        return health;
-    }
+    // ---- gossip
 
-    /** How long ago what is believed of the agent last changed. */
-    public Duration changedAgo(Duration now, String name) {
-        return rumours.changedAgo(now, name);
+    /** 0 where this member is well; more where its own slowness made it late to hear (Lifeguard section IV-A). */
+    public int healthScore() {
+        return healthScore;
     }
 
-    private int others() {
-        return views.size() - 1;
+    /** How long ago what is believed of the member last changed; zero where it never did. */
+    public Duration timeSinceChange(Duration now, String name) {
+        return gossipQueue.timeSinceChange(now, name);
     }
 
-    // ---- rumours
+    private int peerCount() {
+        return memberTable.size() - 1;
+    }
 
-    private void tell(Duration now, MemberTable.MemberRecord rumour) {
-        if (rumour == null) {
+    /** Gossips a record that is new here; null for none. */
+    private void announce(Duration now, MemberRecord changed) {
+        if (changed == null) {
             return;
         }
-        rumours.begin(now, rumour.name());
-        if (rumour.status() == MemberTable.MemberStatus.SUSPECT) {
-            suspicions.begin(now, rumour.name());
+        gossipQueue.enqueue(now, changed.name());
+        if (changed.status() == MemberStatus.SUSPECT) {
+            suspicionTimers.start(now, changed.name());
         } else {
-            suspicions.end(rumour.name());
+            suspicionTimers.cancel(changed.name());
         }
-        if (!rumour.name().equals(views.self())) {
-            log.accept("agent " + rumour.name() + " is " + rumour.status().wireName() + ", incarnation "
-                    + rumour.incarnation());
-        } else if (rumour.status() == MemberTable.MemberStatus.ALIVE && rumour.incarnation() > 0) {
-            worse(1);
+        if (!changed.name().equals(memberTable.self())) {
+            log.accept("member-status-changed member=" + changed.name() + " status="
+                    + changed.status().wireName() + " incarnation=" + changed.incarnation());
+        } else if (changed.status() == MemberStatus.ALIVE && changed.incarnation() > 0) {
+            // It had to refute something: it may have been too slow to answer.
+            adjustHealth(1);
         }
     }
 
-    private void send(String to, MessageKind kind, long number, String about) {
-        List<MemberTable.MemberRecord> with =
-                kind == MessageKind.SYNC || kind == MessageKind.SYNC_BACK || kind == MessageKind.RECALLED
-                        ? views.all()
-                        : rumours.next();
-        out.add(new OutboundDatagram(to, new MembershipMessage(kind, views.self(), number, about, with)));
+    private void enqueue(String address, MessageKind kind, long correlationId, String text) {
+        List<MemberRecord> records =
+                switch (kind) {
+                    case SYNC, SYNC_REPLY, RECOVERY_REPLY -> memberTable.all();
+                    case PING, ACK, PING_REQUEST, NACK, RECOVERY_QUERY, TEXT, PAYLOAD -> gossipQueue.nextBatch();
+                };
+        MembershipMessage message = new MembershipMessage(kind, memberTable.self(), correlationId, text, records);
+        outbox.add(new OutboundDatagram(address, message));
     }
 
-    private void worse(int by) {
-        health = Math.max(0, Math.min(HEALTH_MOST, health + by));
+    private void adjustHealth(int change) {
+        healthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, healthScore + change));
     }
 
-    // ---- what happens
-
-    public void heard(Duration now, String fromAddress, MembershipMessage message) {
-        for (MemberTable.MemberRecord rumour : message.rumours) {
-            if (views.of(rumour.name()) == null && views.size() >= MOST) {
-                continue;
-            }
-            if (rumour.status() == MemberTable.MemberStatus.SUSPECT) {
-                suspicions.alsoBy(rumour.name(), message.from);
-            }
-            tell(now, views.heard(rumour));
-        }
-        switch (message.kind) {
-            case PING -> send(fromAddress, MessageKind.ACK, message.number, "");
-            case ASK_FOR -> {
-                long number = ++numbers;
-                relayed.put(
-                        number,
-                        new RelayedPing(
-                                fromAddress,
-                                message.number,
-                                now.plus(stated.timeout.multipliedBy(4).dividedBy(5)),
-                                now.plus(stated.period)));
-                send(message.about, MessageKind.PING, number, "");
+    // ---- messages of peers
+
+    /** Takes in a message that came from that address. */
+    public void receive(Duration now, String senderAddress, MembershipMessage message) {
+        mergeRecords(now, message);
+        long correlationId = message.correlationId();
+        switch (message.kind()) {
+            case PING -> enqueue(senderAddress, MessageKind.ACK, correlationId, "");
+            case PING_REQUEST -> relayPing(now, senderAddress, message);
+            case ACK -> receiveAck(correlationId);
+            case NACK -> receiveNack(correlationId);
+            case SYNC -> enqueue(senderAddress, MessageKind.SYNC_REPLY, correlationId, "");
+            case SYNC_REPLY -> {
+                // Its records are all that it brings.
             }
-            case ACK -> {
-                PendingPing one = asked.remove(message.number);
-                if (one != null) {
-                    worse(-1);
-                }
-                RelayedPing other = relayed.remove(message.number);
-                if (other != null) {
-                    send(other.to, MessageKind.ACK, other.number, "");
+            case RECOVERY_QUERY -> {
+                if (recoveryExchange != null) {
+                    enqueue(
+                            senderAddress,
+                            MessageKind.RECOVERY_REPLY,
+                            correlationId,
+                            recoveryExchange.recoveryReport());
                 }
             }
-            case NACK -> {
-                PendingPing one = asked.get(message.number);
-                if (one != null && one.nacksWanted > 0) {
-                    one.nacksWanted--;
+            case RECOVERY_REPLY -> {
+                if (recoveryExchange != null) {
+                    recoveryExchange.onRecoveryReply(message.sender(), correlationId, message.text());
                 }
             }
-            case SYNC -> send(fromAddress, MessageKind.SYNC_BACK, message.number, "");
-            case RECALL -> {
-                if (recall != null) {
-                    send(fromAddress, MessageKind.RECALLED, message.number, recall.tells());
-                }
+            case TEXT -> dispatcher.dispatchText(message.sender(), correlationId, message.text());
+            case PAYLOAD -> dispatcher.dispatchPayload(message.sender(), message.payload());
+        }
+    }
+
+    private void mergeRecords(Duration now, MembershipMessage message) {
+        for (MemberRecord update : message.records()) {
+            boolean isFull = memberTable.size() >= MAX_MEMBERS;
+            if (isFull && memberTable.find(update.name()) == null) {
+                continue;
             }
-            case RECALLED -> {
-                if (recall != null) {
-                    recall.told(message.from, message.number, message.about);
-                }
+            if (update.status() == MemberStatus.SUSPECT) {
+                suspicionTimers.confirm(update.name(), message.sender());
             }
-            case SAY, CARRY -> beside.came(message);
-            default -> {}
+            announce(now, memberTable.merge(update));
         }
     }
 
-    /** This one leaves in good order; what {@link #settle} then returns is to be sent still. */
-    public void leave(Duration now) {
-        tell(now, views.leave());
-        List<MemberTable.MemberRecord> alive = alive();
-        for (int i = 0; i < Math.min(stated.helpers + 2, alive.size()); i++) {
-            send(alive.get(i).gossip(), MessageKind.PING, ++numbers, "");
+    private void relayPing(Duration now, String requester, MembershipMessage request) {
+        lastCorrelationId++;
+        relayedPings.add(now, lastCorrelationId, requester, request.correlationId());
+        enqueue(request.text(), MessageKind.PING, lastCorrelationId, "");
+    }
+
+    private void receiveAck(long correlationId) {
+        if (pendingPings.remove(correlationId) != null) {
+            adjustHealth(-1);
         }
+        relayedPings
+                .remove(correlationId)
+                .ifPresent(relayed -> enqueue(relayed.requester(), MessageKind.ACK, relayed.requestId(), ""));
     }
 
-    private List<MemberTable.MemberRecord> alive() {
-        List<MemberTable.MemberRecord> alive = new ArrayList<>();
-        for (MemberTable.MemberRecord each : views.all()) {
-            if (!each.name().equals(views.self())
-                    && (each.status() == MemberTable.MemberStatus.ALIVE
-                            || each.status() == MemberTable.MemberStatus.SUSPECT)) {
-                alive.add(each);
-            }
+    private void receiveNack(long correlationId) {
+        PendingPing ping = pendingPings.get(correlationId);
+        if (ping != null && ping.outstandingNacks > 0) {
+            ping.outstandingNacks--;
         }
-        shuffle(alive);
-        return alive;
     }
 
-    private <T> void shuffle(List<T> list) {
-        for (int i = list.size() - 1; i > 0; i--) {
-            Collections.swap(list, i, chance.nextInt(i + 1));
+    /** This member leaves in good order; what {@link #tick} returns next has to be sent still. */
+    public void leave(Duration now) {
+        announce(now, memberTable.markSelfLeft());
+        List<MemberRecord> peers = probeSchedule.shuffledLivePeers();
+        int farewells = Math.min(settings.indirectPings() + EXTRA_FAREWELLS, peers.size());
+        for (MemberRecord peer : peers.subList(0, farewells)) {
+            sendNewRequest(peer.gossipAddress(), MessageKind.PING);
         }
     }
 
-    // ---- what is decided
+    private void sendNewRequest(String address, MessageKind kind) {
+        lastCorrelationId++;
+        enqueue(address, kind, lastCorrelationId, "");
+    }
 
-    /** What is to be sent now. */
-    public List<OutboundDatagram> settle(Duration now) {
-        if (now.compareTo(nextPeriod) >= 0) {
-            // A period that was slept through is not made up for.
-            nextPeriod = now.plus(stated.period.multipliedBy(1 + health));
-            period(now);
-        }
-        for (Map.Entry<Long, PendingPing> entry : List.copyOf(asked.entrySet())) {
-            PendingPing one = entry.getValue();
-            if (one.helpAt != null && now.compareTo(one.helpAt) >= 0) {
-                one.helpAt = null;
-                help(entry.getKey(), one);
-            }
-            if (now.compareTo(one.until) >= 0) {
-                asked.remove(entry.getKey());
-                worse(1 + (one.nacksWanted > 0 ? 1 : 0));
-                suspect(now, one.name);
-            }
+    private boolean isSelf(MemberRecord member) {
+        return member.name().equals(memberTable.self());
+    }
+
+    // ---- periodic work
+
+    /** Does what is due, and returns all that is to be sent; to be called every 50 ms or so, and after each message. */
+    public List<OutboundDatagram> tick(Duration now) {
+        if (now.compareTo(nextPeriodAt) >= 0) {
+            // Periods that were slept through are not made up for.
+            nextPeriodAt = now.plus(stretched(settings.probePeriod()));
+            startPeriod(now);
         }
-        for (Map.Entry<Long, RelayedPing> entry : List.copyOf(relayed.entrySet())) {
-            RelayedPing one = entry.getValue();
-            if (one.nackAt != null && now.compareTo(one.nackAt) >= 0) {
-                send(one.to, MessageKind.NACK, one.number, "");
-                relayed.put(entry.getKey(), new RelayedPing(one.to, one.number, null, one.until));
-            }
-            if (now.compareTo(one.until) >= 0) {
-                relayed.remove(entry.getKey());
-            }
+        checkPendingPings(now);
+        for (RelayedPings.RelayedPing relayed : relayedPings.dueNacks(now)) {
+            enqueue(relayed.requester(), MessageKind.NACK, relayed.requestId(), "");
         }
-        for (String name : suspicions.over(now, others(), stated.period)) {
-            tell(now, views.dead(name));
-            suspicions.end(name);
+        for (String name : suspicionTimers.expired(now, peerCount(), settings.probePeriod())) {
+            announce(now, memberTable.markDead(name));
+            suspicionTimers.cancel(name);
         }
-        List<OutboundDatagram> sendings = out;
-        out = new ArrayList<>();
-        return sendings;
+        List<OutboundDatagram> datagrams = outbox;
+        outbox = new ArrayList<>();
+        return datagrams;
     }
 
-    private void suspect(Duration now, String name) {
-        MemberTable.MemberRecord rumour = views.suspect(name);
-        tell(now, rumour);
+    /** A span made longer while this member itself is slow. */
+    private Duration stretched(Duration span) {
+        return span.multipliedBy(1L + healthScore);
     }
 
-    private void help(long number, PendingPing one) {
-        MemberTable.MemberRecord target = views.of(one.name);
-        int helpers = 0;
-        for (MemberTable.MemberRecord helper : alive()) {
-            if (helpers < stated.helpers && !helper.name().equals(one.name) && target != null) {
-                helpers++;
-                send(helper.gossip(), MessageKind.ASK_FOR, number, target.gossip());
+    private void checkPendingPings(Duration now) {
+        for (Map.Entry<Long, PendingPing> entry : List.copyOf(pendingPings.entrySet())) {
+            PendingPing ping = entry.getValue();
+            if (ping.indirectPingAt != null && now.compareTo(ping.indirectPingAt) >= 0) {
+                ping.indirectPingAt = null;
+                sendIndirectPings(entry.getKey(), ping);
+            }
+            if (now.compareTo(ping.expiresAt) >= 0) {
+                pendingPings.remove(entry.getKey());
+                // Peers that did not even send a nack point at this member's own connection.
+                adjustHealth(ping.outstandingNacks > 0 ? 2 : 1);
+                announce(now, memberTable.markSuspect(ping.target));
             }
         }
-        one.nacksWanted = helpers;
     }
 
-    private void period(Duration now) {
-        periods++;
-        if (others() == 0 || periods % SYNC_PERIODS == 0) {
-            sync();
-        }
-        for (MemberTable.MemberRecord each : views.all()) {
-            boolean gone =
-                    each.status() == MemberTable.MemberStatus.DEAD || each.status() == MemberTable.MemberStatus.LEFT;
-            if (gone
-                    && !each.name().equals(views.self())
-                    && changedAgo(now, each.name()).compareTo(FORGET) > 0) {
-                views.forget(each.name());
-                rumours.forget(each.name());
+    private void sendIndirectPings(long correlationId, PendingPing ping) {
+        MemberRecord target = memberTable.find(ping.target);
+        int asked = 0;
+        for (MemberRecord helper : probeSchedule.shuffledLivePeers()) {
+            if (asked < settings.indirectPings() && !helper.name().equals(ping.target) && target != null) {
+                asked++;
+                enqueue(helper.gossipAddress(), MessageKind.PING_REQUEST, correlationId, target.gossipAddress());
             }
         }
-        String next = next();
-        if (next != null) {
-            long number = ++numbers;
-            Duration timeout = stated.timeout.multipliedBy(1 + health);
-            asked.put(
-                    number, new PendingPing(next, now.plus(timeout), now.plus(stated.period.multipliedBy(1 + health))));
-            send(views.of(next).gossip(), MessageKind.PING, number, "");
+        ping.outstandingNacks = asked;
+    }
+
+    private void startPeriod(Duration now) {
+        periodCount++;
+        if (peerCount() == 0 || periodCount % PERIODS_PER_SYNC == 0) {
+            sendSync();
+        }
+        removeLongGoneMembers(now);
+        String target = probeSchedule.nextTarget();
+        if (target != null) {
+            lastCorrelationId++;
+            Duration indirectPingAt = now.plus(stretched(settings.pingTimeout()));
+            Duration expiresAt = now.plus(stretched(settings.probePeriod()));
+            pendingPings.put(lastCorrelationId, new PendingPing(target, indirectPingAt, expiresAt));
+            enqueue(memberTable.find(target).gossipAddress(), MessageKind.PING, lastCorrelationId, "");
         }
     }
 
-    /** All in turn, in an order that is drawn anew each round (SWIM section 4.3). */
-    private String next() {
-        for (int tries = 0; tries < 2; tries++) {
-            while (!round.isEmpty()) {
-                String name = round.poll();
-                MemberTable.MemberRecord known = views.of(name);
-                if (known != null
-                        && (known.status() == MemberTable.MemberStatus.ALIVE
-                                || known.status() == MemberTable.MemberStatus.SUSPECT)) {
-                    return name;
-                }
+    private void removeLongGoneMembers(Duration now) {
+        for (MemberRecord member : memberTable.all()) {
+            if (!member.isLive()
+                    && !isSelf(member)
+                    && timeSinceChange(now, member.name()).compareTo(DEAD_MEMBER_RETENTION) > 0) {
+                memberTable.remove(member.name());
+                gossipQueue.remove(member.name());
             }
-            alive().forEach(each -> round.add(each.name()));
         }
-        return null;
     }
 
-    private void sync() {
-        List<String> to = new ArrayList<>();
-        for (MemberTable.MemberRecord each : views.all()) {
+    /** Exchanges all records with one peer, or with all seeds where no peer is known. */
+    private void sendSync() {
+        List<String> addresses = new ArrayList<>();
+        for (MemberRecord member : memberTable.all()) {
             // The dead too: it may be this side that was cut off.
-            if (!each.name().equals(views.self()) && each.status() != MemberTable.MemberStatus.LEFT) {
-                to.add(each.gossip());
+            if (!isSelf(member) && member.status() != MemberStatus.LEFT) {
+                addresses.add(member.gossipAddress());
             }
         }
-        if (to.isEmpty()) {
-            stated.seeds.stream()
-                    .filter(seed -> !seed.equals(views.of(views.self()).gossip()))
-                    .forEach(to::add);
-            for (String seed : to) {
-                send(seed, MessageKind.SYNC, ++numbers, "");
-            }
+        if (!addresses.isEmpty()) {
+            sendNewRequest(addresses.get(random.nextInt(addresses.size())), MessageKind.SYNC);
             return;
         }
-        send(to.get(chance.nextInt(to.size())), MessageKind.SYNC, ++numbers, "");
+        String ownAddress = memberTable.find(memberTable.self()).gossipAddress();
+        for (String seed : settings.seeds()) {
+            if (!seed.equals(ownAddress)) {
+                sendNewRequest(seed, MessageKind.SYNC);
+            }
+        }
     }
 }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -18,8 +18,8 @@
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.OrderTracker;
 import merlinlever.management.StatusReport;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MemberStatus;
+import merlinlever.membership.MessageKind;
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.RejectionReason;
 import merlinlever.recovery.PersistedStateAssessor;
@@ -58,24 +58,20 @@
                         RejectionReason.IDEMPOTENCY_UNKNOWN));
         named(
                 "alive, suspect, dead, left",
-                List.of(
-                        MemberTable.MemberStatus.ALIVE,
-                        MemberTable.MemberStatus.SUSPECT,
-                        MemberTable.MemberStatus.DEAD,
-                        MemberTable.MemberStatus.LEFT));
+                List.of(MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT));
         named(
                 "ping, ack, ask_for, nack, sync, sync_back, recall, recalled, say, carry",
                 List.of(
-                        SwimProtocol.MessageKind.PING,
-                        SwimProtocol.MessageKind.ACK,
-                        SwimProtocol.MessageKind.ASK_FOR,
-                        SwimProtocol.MessageKind.NACK,
-                        SwimProtocol.MessageKind.SYNC,
-                        SwimProtocol.MessageKind.SYNC_BACK,
-                        SwimProtocol.MessageKind.RECALL,
-                        SwimProtocol.MessageKind.RECALLED,
-                        SwimProtocol.MessageKind.SAY,
-                        SwimProtocol.MessageKind.CARRY));
+                        MessageKind.PING,
+                        MessageKind.ACK,
+                        MessageKind.PING_REQUEST,
+                        MessageKind.NACK,
+                        MessageKind.SYNC,
+                        MessageKind.SYNC_REPLY,
+                        MessageKind.RECOVERY_QUERY,
+                        MessageKind.RECOVERY_REPLY,
+                        MessageKind.TEXT,
+                        MessageKind.PAYLOAD));
         named(
                 "start, drain, stop, restart",
                 List.of(
@@ -106,12 +102,12 @@
         named(
                 "whole, most, few, alone, disagreeing, returning",
                 List.of(
-                        QuorumStatus.WHOLE,
-                        QuorumStatus.MOST,
-                        QuorumStatus.FEW,
-                        QuorumStatus.ALONE,
-                        QuorumStatus.DISAGREEING,
-                        QuorumStatus.RETURNING));
+                        QuorumStatus.FULL,
+                        QuorumStatus.MAJORITY,
+                        QuorumStatus.MINORITY,
+                        QuorumStatus.ISOLATED,
+                        QuorumStatus.CONFLICTING,
+                        QuorumStatus.RECOVERING));
         named(
                 "cold, rejoined, reconciled, warm",
                 List.of(
@@ -130,9 +126,9 @@
         named(
                 "good, slow, away",
                 List.of(
-                        LocalServiceHealth.HealthState.GOOD,
+                        LocalServiceHealth.HealthState.HEALTHY,
                         LocalServiceHealth.HealthState.SLOW,
-                        LocalServiceHealth.HealthState.AWAY));
+                        LocalServiceHealth.HealthState.UNREACHABLE));
         named(
                 "kill, term, pause, resume, restart, power, isolate, partition, delay, drop, duplicate, slow, reset, heal",
                 List.of(
--- a/src/test/java/merlinlever/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/replication/PaxosFleet.java
@@ -68,7 +68,7 @@
         startedAtMs[i] = nowMs;
         writing.set(i, Optional.empty());
         leadsUntilMs[i] = 0;
-        FleetView view = new FixedFleetView(at -> mayDecide ? QuorumStatus.MOST : QuorumStatus.FEW);
+        FleetView view = new FixedFleetView(at -> mayDecide ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY);
         nodes[i] = new PaxosNode(
                 clock(i),
                 "b" + i,
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public boolean leads(Duration at) {
+        public boolean isLeader(Duration at) {
             return nowMs < leadsUntilMs[node];
         }
 
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -17,6 +17,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.faults.FixedFleetView;
 import merlinlever.faults.TestDirectories;
@@ -37,7 +38,7 @@
 /** Three replicas in one process, on real datagrams and disks. */
 class ReplicationTransportTest {
 
-    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.FULL);
     private static final long MAX_WAIT_NANOS = 90_000_000_000L;
 
     private Path root;
@@ -90,11 +91,11 @@
 
     private record Replica(RecoveryCoordinator recovery, ReplicationTransport transport) {
         String name() {
-            return recovery.members().views().self();
+            return recovery.members().memberTable().self();
         }
 
         String address() {
-            return recovery.members().views().of(name()).gossip();
+            return recovery.members().memberTable().find(name()).gossipAddress();
         }
     }
 
@@ -128,9 +129,7 @@
         ElectionTransport election = new ElectionTransport(
                 loop,
                 recovery,
-                List.of("a", "b", "c"),
-                Duration.ofSeconds(3),
-                0.01,
+                new ElectionSettings(List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01),
                 name.hashCode(),
                 line -> log.add(name + " " + line));
         ReplicationTransport transport = new ReplicationTransport(
@@ -138,7 +137,7 @@
                 recovery,
                 new FileStateDirectory(root.resolve(name + "-shared")),
                 ReplicatedStore.ReplicationSettings.defaults(true),
-                election.terms(),
+                election.election(),
                 FULL_QUORUM,
                 name.hashCode(),
                 line -> log.add(name + " " + line));
