--- a/src/main/java/merlinlever/zone/server/NotifySender.java
+++ b/src/main/java/merlinlever/zone/server/NotifySender.java
@@ -81,7 +81,8 @@
         }
         one.hasNewerVersion = false;
         if (tries + 1 < MAX_ATTEMPTS) {
-            one.retry = loop.schedule(FIRST_RETRY_DELAY.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
+            one.retry = loop.schedule(
+                    FIRST_RETRY_DELAY.multipliedBy(1L << tries), () -> send(zone, server, one, tries + 1));
         } else {
             one.retry = null;
         }
