--- a/src/main/java/merlinlever/WireNamed.java
+++ b/src/main/java/merlinlever/WireNamed.java
@@ -3,6 +3,7 @@
 /** A constant that files, messages or commands name; the name there stays whatever the constant is called here. */
 public interface WireNamed {
 
+    /** The name outside the program. */
     String wireName();
 
     /** The constant of that name, in any case; an {@link IllegalArgumentException} where there is none. */
--- a/src/main/java/merlinlever/cli/zone/ZoneConfigParser.java
+++ b/src/main/java/merlinlever/cli/zone/ZoneConfigParser.java
@@ -15,6 +15,9 @@
 /** Reads addresses, domain names and TSIG keys from configuration files and arguments. */
 final class ZoneConfigParser {
 
+    /** Shorthand forms such as {@code 127.1} are refused. */
+    private static final String FULL_ADDRESS = "(\\[[0-9a-fA-F:.]+\\]|[0-9]+(\\.[0-9]+){3}):.*";
+
     private static final int MAX_SECRET_FILE_BYTES = 4096;
 
     private ZoneConfigParser() {}
@@ -22,6 +25,7 @@
     /** {@code ADDRESS:PORT}; host names are not looked up. */
     static InetSocketAddress address(String text) throws MalformedDnsException {
         return SocketAddresses.parse(text)
+                .filter(address -> text.matches(FULL_ADDRESS))
                 .orElseThrow(() -> new MalformedDnsException("expected ADDRESS:PORT, found " + text));
     }
 
--- a/src/main/java/merlinlever/net/ConnectionAcceptor.java
+++ b/src/main/java/merlinlever/net/ConnectionAcceptor.java
@@ -28,7 +28,10 @@
     private final int maxOpen;
     private int open;
     private long acceptAttempts;
-    private boolean accepting, paused, closing, closed;
+    private boolean accepting;
+    private boolean paused;
+    private boolean closing;
+    private boolean closed;
 
     /**
      * @param maxOpen connections open at the same time
--- a/src/main/java/merlinlever/net/EventLoop.java
+++ b/src/main/java/merlinlever/net/EventLoop.java
@@ -62,6 +62,11 @@
     private long timersScheduled;
     private volatile boolean stopping;
 
+    /**
+     * Opens the channel group; the loop itself runs with {@link #run}.
+     *
+     * @param failureHandler receives what a task or handler throws; the loop goes on
+     */
     public EventLoop(MonotonicClock clock, Consumer<Throwable> failureHandler) throws IOException {
         this.clock = clock;
         this.failureHandler = failureHandler;
--- a/src/main/java/merlinlever/net/ProcessSignals.java
+++ b/src/main/java/merlinlever/net/ProcessSignals.java
@@ -17,7 +17,9 @@
     }
 
     private Subscriber subscriber;
-    private boolean hangupPending, terminating, shutdownComplete;
+    private boolean hangupPending;
+    private boolean terminating;
+    private boolean shutdownComplete;
 
     /** Handles the signals of this process from now on. */
     public static ProcessSignals ofProcess() {
--- a/src/test/java/merlinlever/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/agent/AgentLinkFixture.java
@@ -61,7 +61,8 @@
 
     private final List<ServerSocket> agentServers = new ArrayList<>();
     private EventLoop.Timer alarm;
-    private long lastRequestId = 0x9b1f03aa5c7e2d41L, seconds;
+    private long lastRequestId = 0x9b1f03aa5c7e2d41L;
+    private long seconds;
 
     /** The agent's end of one connection. */
     final class FakeAgent {
--- a/src/test/java/merlinlever/compatibility/Fixture.java
+++ b/src/test/java/merlinlever/compatibility/Fixture.java
@@ -38,12 +38,14 @@
         return text.replace("\\r", "\r").replace("\\n", "\n");
     }
 
+    /** The bytes of an entry. */
     public byte[] bytes(String name) {
         byte[] entry = entries.get(name);
         assertNotNull(entry, "no entry " + name);
         return entry;
     }
 
+    /** An entry as text. */
     public String text(String name) {
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
@@ -58,6 +60,7 @@
                 name);
     }
 
+    /** The program writes the same text now. */
     public void pins(String name, String written) {
         pins(name, written.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void constants() {
+    void namesOfDecisionsAndMembership() {
         named(
                 "leaving, hung, memory, hopeless, chance, late, unsettled",
                 List.of(
@@ -72,6 +72,10 @@
                         MessageKind.RECOVERY_REPLY,
                         MessageKind.TEXT,
                         MessageKind.PAYLOAD));
+    }
+
+    @Test
+    void namesOfOrdersAndInstances() {
         named(
                 "start, drain, stop, restart",
                 List.of(
@@ -99,6 +103,10 @@
                         InstanceSupervisor.InstanceState.DRAINING,
                         InstanceSupervisor.InstanceState.UNREACHED,
                         InstanceSupervisor.InstanceState.GIVEN_UP));
+    }
+
+    @Test
+    void namesOfQuorumRecoveryAndRoutes() {
         named(
                 "whole, most, few, alone, disagreeing, returning",
                 List.of(
@@ -129,6 +137,10 @@
                         LocalServiceHealth.HealthState.HEALTHY,
                         LocalServiceHealth.HealthState.SLOW,
                         LocalServiceHealth.HealthState.UNREACHABLE));
+    }
+
+    @Test
+    void namesOfScriptedFaultsAndPowerLosses() {
         named(
                 "kill, term, pause, resume, restart, power, isolate, partition, delay, drop, duplicate, slow, reset, heal",
                 List.of(
@@ -159,6 +171,10 @@
                         PowerLoss.PowerLossKind.TWICE,
                         PowerLoss.PowerLossKind.PARTITION,
                         PowerLoss.PowerLossKind.SLOW_LINK));
+    }
+
+    @Test
+    void namesOfViewAndQuotaFaults() {
         named(
                 "parted, one-cut-off, one-way, pause, kill, flap, slow",
                 List.of(
@@ -182,6 +198,10 @@
                         QuotaFaults.QuotaFaultKind.LOSSY,
                         QuotaFaults.QuotaFaultKind.POWER,
                         QuotaFaults.QuotaFaultKind.WHOLE));
+    }
+
+    @Test
+    void namesAreReadInAnyCaseAndNoOthers() {
         assertEquals(OrderTracker.OrderVerb.START, WireNamed.parse(OrderTracker.OrderVerb.class, "Start"));
         assertThrows(IllegalArgumentException.class, () -> WireNamed.parse(OrderTracker.OrderVerb.class, ""));
     }
--- a/src/test/java/merlinlever/directory/HeartbeatSenderTest.java
+++ b/src/test/java/merlinlever/directory/HeartbeatSenderTest.java
@@ -33,7 +33,8 @@
     /** Against a backend that serves and drops off the list: with one a second that came about every twenty seconds. */
     @Example
     void losingAQuarterOfTheHeartbeatsRarelyExpiresTheEntry() {
-        int lapses = 0, before = 0;
+        int lapses = 0;
+        int before = 0;
         for (long seed = 1; seed <= 20; seed++) {
             lapses += countExpiries(HeartbeatSender.PERIOD.toMillis(), 1000, seed);
             before += countExpiries(1000, 1000, seed);
--- a/src/test/java/merlinlever/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/net/ConnectionRaceTest.java
@@ -125,6 +125,18 @@
         }
     }
 
+    /** Writes, and waits until the channel's own thread has read it and handed the completion to the loop. */
+    private void writeAndAwaitReadyTask(Socket peer, Field readyTasks, EventLoop loop) {
+        try {
+            peer.getOutputStream().write("cdef".getBytes(StandardCharsets.US_ASCII));
+            while (((Queue<?>) readyTasks.get(loop)).isEmpty()) {
+                Thread.onSpinWait();
+            }
+        } catch (IOException | ReflectiveOperationException e) {
+            failures.add(e);
+        }
+    }
+
     /**
      * Bytes arrive while earlier ones are handed over again: the channel's own thread reads them at that moment, and
      * must not write into the buffer that the handler is using.
@@ -150,14 +162,7 @@
                                 // The bytes are left; the next read is pending by then.
                                 loop.execute(() -> loop.execute(made[0]::redeliver));
                             } else if (offers == 2) {
-                                try {
-                                    peer[0].getOutputStream().write("cdef".getBytes(StandardCharsets.US_ASCII));
-                                    while (((Queue<?>) ready.get(loop)).isEmpty()) {
-                                        Thread.onSpinWait();
-                                    }
-                                } catch (IOException | ReflectiveOperationException e) {
-                                    failures.add(e);
-                                }
+                                writeAndAwaitReadyTask(peer[0], ready, loop);
                                 assertEquals(0, in.position());
                                 assertEquals(2, in.limit());
                             } else {
--- a/src/test/java/merlinlever/net/ManualClockLoop.java
+++ b/src/test/java/merlinlever/net/ManualClockLoop.java
@@ -63,6 +63,7 @@
         return done.orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
     }
 
+    /** Runs the task on the loop and waits for it. */
     public void runOnLoop(Runnable task) {
         callOnLoop(() -> {
             task.run();
