--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -59,10 +59,10 @@
                 ^ ProcessHandle.current().pid();
         Duration lease = configuredQuotas.isEmpty()
                 ? FleetQuotaParser.duration(values, "recovery.lease", DEFAULT_LEASE)
-                : configuredQuotas.get(0).lease();
+                : configuredQuotas.get(0).leaseDuration();
         double clockDrift = configuredQuotas.isEmpty()
                 ? DEFAULT_CLOCK_DRIFT
-                : configuredQuotas.get(0).drift();
+                : configuredQuotas.get(0).maxClockDrift();
         ElectionTransport election = new ElectionTransport(loop, recovery, voters, lease, clockDrift, seed, log);
         view = new ViewTransport(loop, recovery, election.terms(), ViewSettings.usual(), incarnation, seed, log);
         replication = new ReplicationTransport(
@@ -92,25 +92,25 @@
     /** Takes over the sizes of the quotas; nothing else may change while the process runs. */
     void reload(ConfigurationValues values) throws InvalidConfigurationException {
         if (quotas.isPresent()) {
-            quotas.get().wholes(quotas(values));
+            quotas.get().updateQuotas(quotas(values));
         }
     }
 
     @Override
     public long[] demand(Duration now, FleetQuota quota) {
-        QuotaDemand demand = backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.of()));
+        QuotaDemand demand = backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.limitedResource()));
         return new long[] {demand.inUse(), demand.wanted()};
     }
 
     @Override
-    public void share(FleetQuota quota, long share, Duration until) {
-        boolean limitsCallsInFlight = quota.of().equals("calls") && quota.per() == FleetQuota.QuotaKind.AT_ONCE;
+    public void setAllowance(FleetQuota quota, long share, Duration until) {
+        boolean limitsCallsInFlight = quota.limitedResource().equals("calls") && quota.kind() == FleetQuota.QuotaKind.CONCURRENT;
         backend.setQuota(
-                backend.priorityClassIndex(quota.of()),
+                backend.priorityClassIndex(quota.limitedResource()),
                 share,
-                quota.per() == FleetQuota.QuotaKind.SECOND,
+                quota.kind() == FleetQuota.QuotaKind.PER_SECOND,
                 sinceModuleStart(until),
-                limitsCallsInFlight ? quota.longest() : null);
+                limitsCallsInFlight ? quota.maxCallDuration() : null);
     }
 
     private Duration sinceModuleStart(Duration sinceProcessStart) {
@@ -120,6 +120,6 @@
     /** Further members of the JSON object of the status page, each after a comma. */
     String statusJsonMembers() {
         return ",\"view\":" + view.json() + ",\"shared\":" + replication.statusJson()
-                + quotas.map(transport -> ",\"budgets\":" + transport.json()).orElse("");
+                + quotas.map(transport -> ",\"budgets\":" + transport.statusJson()).orElse("");
     }
 }
--- a/src/main/java/merlinlever/cli/FleetQuotaParser.java
+++ b/src/main/java/merlinlever/cli/FleetQuotaParser.java
@@ -72,7 +72,7 @@
                 name,
                 limited,
                 (long) whole,
-                per.equals("second") ? FleetQuota.QuotaKind.SECOND : FleetQuota.QuotaKind.AT_ONCE,
+                per.equals("second") ? FleetQuota.QuotaKind.PER_SECOND : FleetQuota.QuotaKind.CONCURRENT,
                 duration(values, prefix + "lease", "2s"),
                 drift,
                 duration(values, prefix + "longest", "5s"),
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -124,14 +124,14 @@
     private static RecoverySequence.RecoverySettings settings(
             ConfigurationValues values, Map<String, String> moduleSettings) throws InvalidConfigurationException {
         RecoverySequence.RecoverySettings defaults =
-                RecoverySequence.RecoverySettings.usual(idempotencyWindow(moduleSettings));
+                RecoverySequence.RecoverySettings.defaults(idempotencyWindow(moduleSettings));
         return new RecoverySequence.RecoverySettings(
-                period(values, "patience-ms", defaults.patience()),
-                period(values, "spread-ms", defaults.spread()),
-                defaults.askAgain(),
-                defaults.longestAskAgain(),
-                defaults.window(),
-                defaults.mostAsked());
+                period(values, "patience-ms", defaults.answerTimeout()),
+                period(values, "spread-ms", defaults.firstQuerySpread()),
+                defaults.initialRetryDelay(),
+                defaults.maxRetryDelay(),
+                defaults.idempotencyWindow(),
+                defaults.maxPeersQueried());
     }
 
     /** The time in which a duplicate of a request with an idempotency key may come, the longest of all priority classes. */
@@ -178,19 +178,19 @@
     }
 
     @Override
-    public void keyed(Duration from, Duration to) {
+    public void admitNonIdempotent(Duration from, Duration to) {
         boolean permitted = fleet.map(FleetAssembly::mayStartKeyedRequests).orElse(true);
         backend.permitNonIdempotentStarts(
                 sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
     }
 
     @Override
-    public void guess(double capacity, double completions) {
+    public void warmStart(double capacity, double completions) {
         backend.setWarmStartEstimate(capacity, completions);
     }
 
     @Override
-    public double capacity() {
+    public double learnedCapacity() {
         return backend.metrics()
                 .map(ControllerMetrics::queueCapacity)
                 .filter(Double::isFinite)
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public boolean fullSpeed() {
+    public boolean isAtFullSpeed() {
         return backend.metrics().filter(metrics -> metrics.speedFraction() >= 1).isPresent();
     }
 
@@ -211,7 +211,7 @@
 
     @Override
     public Optional<String> statusJson() {
-        String json = coordinator.json();
+        String json = coordinator.statusJson();
         return Optional.of(
                 fleet.map(assembly -> json.substring(0, json.length() - 1) + assembly.statusJsonMembers() + "}")
                         .orElse(json));
@@ -219,6 +219,6 @@
 
     @Override
     public void startShutdown() {
-        coordinator.leave();
+        coordinator.announceLeave();
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -69,7 +69,7 @@
             StateDirectory state = StateDirectories.open(stateFolder, System.getenv());
             InstanceLedger ledger = new InstanceLedger(state);
             recovery = config.has("members") ? recovery(config, state, secret, seed) : null;
-            PeerAgents peers = recovery == null ? null : new PeerAgents(loop, recovery.members(), secret);
+            PeerAgents peers = recovery == null ? null : new PeerAgents(loop, recovery.membership(), secret);
             agent = new HostAgent(
                     loop,
                     ledger,
@@ -141,7 +141,7 @@
                 loop,
                 state,
                 node,
-                RecoverySequence.RecoverySettings.usual(Duration.ZERO),
+                RecoverySequence.RecoverySettings.defaults(Duration.ZERO),
                 Duration.ZERO,
                 seed,
                 System::currentTimeMillis,
@@ -170,7 +170,7 @@
         LOG.info("shutdown-started stop_ms={} drain_instances={}", stop.toMillis(), drain);
         server.leave(stop);
         if (recovery != null) {
-            recovery.leave();
+            recovery.announceLeave();
         }
         if (drain) {
             agent.drainAll();
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -96,18 +96,18 @@
     private boolean assessState(StateDirectory directory) throws IOException {
         RecoveryFile.LoadResult loaded = new RecoveryFile(directory).read();
         String owner = expectedOwner;
-        if (owner == null && loaded.memory() != null) {
-            owner = loaded.memory().owner();
+        if (owner == null && loaded.state() != null) {
+            owner = loaded.state().owner();
         }
         PersistedStateAssessor.TrustedState assessment =
-                PersistedStateAssessor.judge(loaded.memory(), loaded.spoilt(), owner, System.currentTimeMillis());
-        if (loaded.memory() != null) {
-            out().println("  owner: " + loaded.memory().owner());
+                PersistedStateAssessor.assess(loaded.state(), loaded.corruption(), owner, System.currentTimeMillis());
+        if (loaded.state() != null) {
+            out().println("  owner: " + loaded.state().owner());
         }
         boolean isTrusted = true;
         for (PersistedStateAssessor.Finding finding : assessment.findings()) {
-            out().println("  " + finding.told());
-            isTrusted &= finding.belief() != PersistedStateAssessor.Disposition.THROWN_AWAY;
+            out().println("  " + finding.describe());
+            isTrusted &= finding.disposition() != PersistedStateAssessor.Disposition.THROWN_AWAY;
         }
         return isTrusted;
     }
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -31,15 +31,15 @@
         this.rejoin = rejoin;
         terms = new LeaderElection(
                 loop.clock().uptime(),
-                rejoin.members().views().self(),
+                rejoin.membership().views().self(),
                 voters,
                 lease,
                 drift,
-                rejoin.term(),
-                rejoin::noted,
+                rejoin.highestTerm(),
+                rejoin::reserveTerm,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().hears(LeaderElection.WORDS, this);
+        rejoin.membership().hears(LeaderElection.WORDS, this);
         loop.every(LOOK, () -> say(terms.look(loop.clock().uptime())));
     }
 
@@ -48,9 +48,9 @@
     }
 
     private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.members().say(each.to(), each.number(), each.what()));
+        all.forEach(each -> rejoin.membership().say(each.to(), each.number(), each.what()));
         if (!all.isEmpty()) {
-            rejoin.send();
+            rejoin.flush();
         }
     }
 
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/faults/PowerLoss.java
@@ -211,7 +211,7 @@
         if (who.isEmpty() || !fleet.stated().recovery()) {
             return;
         }
-        Path file = fleet.state(who.get(0)).resolve(RecoveryFile.FILE);
+        Path file = fleet.state(who.get(0)).resolve(RecoveryFile.FILE_NAME);
         if (kind == PowerLossKind.TORN || kind == PowerLossKind.EMPTIED || kind == PowerLossKind.COPIED) {
             fleet.forgot(who.get(0));
         }
@@ -227,26 +227,26 @@
             }
             case EMPTIED -> Files.deleteIfExists(file);
             case COPIED -> Files.copy(
-                    fleet.state(who.get(1)).resolve(RecoveryFile.FILE),
+                    fleet.state(who.get(1)).resolve(RecoveryFile.FILE_NAME),
                     file,
                     java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             case CLOCK_BACK -> {
                 for (int i : who) {
-                    Path each = fleet.state(i).resolve(RecoveryFile.FILE);
+                    Path each = fleet.state(i).resolve(RecoveryFile.FILE_NAME);
                     PersistedState left = Files.exists(each)
-                            ? RecoveryFile.parsed(Files.readAllBytes(each)).memory()
+                            ? RecoveryFile.decode(Files.readAllBytes(each)).state()
                             : null;
                     if (left != null) {
                         Files.write(
                                 each,
-                                RecoveryFile.text(new PersistedState(
+                                RecoveryFile.encode(new PersistedState(
                                         left.owner(),
-                                        left.incarnations(),
-                                        left.term(),
-                                        left.keyedUntil() + 30_000,
-                                        left.wroteAt() + 30_000,
-                                        left.capacity(),
-                                        left.peers())));
+                                        left.reservedIncarnation(),
+                                        left.highestTerm(),
+                                        left.nonIdempotentUntilUnixMs() + 30_000,
+                                        left.writtenAtUnixMs() + 30_000,
+                                        left.learnedCapacity(),
+                                        left.peerAddresses())));
                     }
                 }
             }
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -54,7 +54,7 @@
             voters.add("b" + i);
         }
         for (int i = 0; i < n; i++) {
-            rate[i] = 1 + (chance.nextDouble() - 0.5) * budget.drift();
+            rate[i] = 1 + (chance.nextDouble() - 0.5) * budget.maxClockDrift();
             begin(i);
         }
     }
@@ -72,7 +72,7 @@
     /** Who divides, or -1. */
     public int leader() {
         for (int i = 0; i < n; i++) {
-            if (nodes[i] != null && nodes[i].leads(clock(i))) {
+            if (nodes[i] != null && nodes[i].isLeader(clock(i))) {
                 return i;
             }
         }
@@ -80,7 +80,7 @@
     }
 
     public long share(int i) {
-        return nodes[i] == null ? 0 : nodes[i].share(clock(i), 0);
+        return nodes[i] == null ? 0 : nodes[i].available(clock(i), 0);
     }
 
     public void begin(int i) {
@@ -90,8 +90,8 @@
                 clock(i),
                 "b" + i,
                 voters,
-                budget.lease(),
-                budget.drift(),
+                budget.leaseDuration(),
+                budget.maxClockDrift(),
                 noted[i],
                 term -> {
                     noted[who] = Math.max(noted[who], term);
@@ -113,7 +113,7 @@
                     }
 
                     @Override
-                    public void share(FleetQuota of, long share, Duration until) {}
+                    public void setAllowance(FleetQuota of, long share, Duration until) {}
                 },
                 line -> {});
     }
@@ -163,16 +163,16 @@
                     to,
                     LeaderElection.WORDS.contains(what.split("/")[0])
                             ? terms[to].said(clock(to), "b" + message[1], (long) message[3], what)
-                            : nodes[to].said(clock(to), "b" + message[1], (long) message[3], what));
+                            : nodes[to].receive(clock(to), "b" + message[1], (long) message[3], what));
         }
         long all = 0;
         for (int i = 0; i < n; i++) {
             if (up(i) && now >= pausedUntil[i]) {
                 send(i, terms[i].look(clock(i)));
-                send(i, nodes[i].look(clock(i)));
+                send(i, nodes[i].tick(clock(i)));
             }
             if (up(i)) {
-                long share = nodes[i].share(clock(i), 0);
+                long share = nodes[i].available(clock(i), 0);
                 all += share;
                 lately.add(new long[] {now, life[i], share});
             }
@@ -183,9 +183,9 @@
         }
         Map<Long, Long> most = new HashMap<>();
         lately.forEach(each -> most.merge(each[1], each[2], Math::max));
-        over = Math.max(over, most.values().stream().mapToLong(each -> each).sum() - budget.whole());
+        over = Math.max(over, most.values().stream().mapToLong(each -> each).sum() - budget.limit());
         used += all;
-        usable += budget.whole();
+        usable += budget.limit();
     }
 
     public void trouble() {
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -22,7 +22,7 @@
             "calls",
             "calls",
             12,
-            FleetQuota.QuotaKind.SECOND,
+            FleetQuota.QuotaKind.PER_SECOND,
             Duration.ofSeconds(2),
             0.01,
             Duration.ofSeconds(1),
@@ -64,8 +64,8 @@
                 born.now(),
                 born.node(),
                 voters,
-                BUDGET.lease(),
-                BUDGET.drift(),
+                BUDGET.leaseDuration(),
+                BUDGET.maxClockDrift(),
                 disk.getOrDefault(born.node(), 0L),
                 term -> {
                     disk.merge(born.node(), term, Math::max);
@@ -87,7 +87,7 @@
                     }
 
                     @Override
-                    public void share(FleetQuota budget, long share, Duration until) {}
+                    public void setAllowance(FleetQuota budget, long share, Duration until) {}
                 },
                 line -> {});
     }
@@ -97,7 +97,7 @@
     }
 
     long share(Duration now) {
-        return sharing.share(now, 0);
+        return sharing.available(now, 0);
     }
 
     private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<LeaderElection.PeerMessage> said) {
@@ -109,7 +109,7 @@
     @Override
     public List<Scenario.AddressedMessage<QuotaMessage>> look(Duration now) {
         List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.look(now)));
-        out.addAll(out(sharing.look(now)));
+        out.addAll(out(sharing.tick(now)));
         return out;
     }
 
@@ -118,7 +118,7 @@
         return out(
                 LeaderElection.WORDS.contains(word.what.split("/")[0])
                         ? terms.said(now, from, word.number, word.what)
-                        : sharing.said(now, from, word.number, word.what));
+                        : sharing.receive(now, from, word.number, word.what));
     }
 
     @Override
@@ -132,11 +132,11 @@
                         : terms.leads(now)
                                 ? "I lead, term " + leader.term()
                                 : leader.name() + " leads, term " + leader.term());
-        Matcher out = OUT.matcher(sharing.json(now));
+        Matcher out = OUT.matcher(sharing.statusJson(now));
         all.put(
                 "out",
-                out.find() && !out.group(1).equals("-1") ? "given " + out.group(1) + " of " + BUDGET.whole() : "");
-        all.put("share", "share " + sharing.share(now, 0));
+                out.find() && !out.group(1).equals("-1") ? "given " + out.group(1) + " of " + BUDGET.limit() : "");
+        all.put("share", "share " + sharing.available(now, 0));
         return all;
     }
 }
--- a/src/main/java/merlinlever/faults/timeline/QuotaScenarios.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaScenarios.java
@@ -23,7 +23,7 @@
                                 .mapToLong(
                                         name -> p.node(name) instanceof QuotaNode node ? node.share(p.clock(name)) : 0)
                                 .sum()
-                        > QuotaNode.BUDGET.whole());
+                        > QuotaNode.BUDGET.limit());
         return play;
     }
 
--- a/src/main/java/merlinlever/host/front/HostApiServer.java
+++ b/src/main/java/merlinlever/host/front/HostApiServer.java
@@ -147,7 +147,7 @@
             list.add(instance(i));
         }
         if (rejoin != null) {
-            all.putRawValue("recovery", new RawValue(rejoin.json()));
+            all.putRawValue("recovery", new RawValue(rejoin.statusJson()));
         }
         return all;
     }
--- a/src/main/java/merlinlever/measure/QuotaMeasurement.java
+++ b/src/main/java/merlinlever/measure/QuotaMeasurement.java
@@ -33,7 +33,7 @@
                         "calls",
                         "calls",
                         whole,
-                        FleetQuota.QuotaKind.SECOND,
+                        FleetQuota.QuotaKind.PER_SECOND,
                         LEASE,
                         0.01,
                         Duration.ofSeconds(1),
--- a/src/main/java/merlinlever/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/quota/FleetQuota.java
@@ -7,35 +7,35 @@
 /**
  * One limit of the whole fleet, as it is stated.
  *
- * @param of calls, or the tariff whose runs are meant
- * @param whole never more than this, in any second or at any moment
- * @param per what it counts
- * @param lease a share is spent for so long after it was asked for
- * @param drift clocks of two machines run apart by this part at the most
- * @param longest of one call, for a budget of calls at once: one that outlives its share is given up by then
- * @param weights by the name of a backend; 1 where none is stated
+ * @param limitedResource calls, or the tariff whose runs are meant
+ * @param limit never more than this, in any second or at any moment
+ * @param kind what it counts
+ * @param leaseDuration a share is spent for so long after it was asked for
+ * @param maxClockDrift clocks of two machines run apart by this part at the most
+ * @param maxCallDuration of one call, for a budget of calls at once: one that outlives its share is given up by then
+ * @param weightsByBackend by the name of a backend; 1 where none is stated
  */
 public record FleetQuota(
         String name,
-        String of,
-        long whole,
-        QuotaKind per,
-        Duration lease,
-        double drift,
-        Duration longest,
-        Map<String, Integer> weights) {
+        String limitedResource,
+        long limit,
+        QuotaKind kind,
+        Duration leaseDuration,
+        double maxClockDrift,
+        Duration maxCallDuration,
+        Map<String, Integer> weightsByBackend) {
 
     public enum QuotaKind {
-        SECOND,
-        AT_ONCE
+        PER_SECOND,
+        CONCURRENT
     }
 
     public FleetQuota {
-        weights = Map.copyOf(weights);
+        weightsByBackend = Map.copyOf(weightsByBackend);
     }
 
-    public int weight(String holder) {
-        return weights.getOrDefault(holder, 1);
+    public int weightOf(String holder) {
+        return weightsByBackend.getOrDefault(holder, 1);
     }
 
     /** What was given by a clock that runs fast is out for so long by any other. */
@@ -52,7 +52,7 @@
      * How long a share that is no longer held counts still: its last calls are in the same second as the first ones of
      * whoever has it next, or are still at the party.
      */
-    public Duration linger() {
-        return slowest(per == QuotaKind.SECOND ? Duration.ofSeconds(1) : longest, drift);
+    public Duration releaseDelay() {
+        return slowest(kind == QuotaKind.PER_SECOND ? Duration.ofSeconds(1) : maxCallDuration, maxClockDrift);
     }
 }
--- a/src/main/java/merlinlever/quota/MaxMinFairAllocation.java
+++ b/src/main/java/merlinlever/quota/MaxMinFairAllocation.java
@@ -14,7 +14,7 @@
      * @param weights 1 or more each
      * @param turn what is left over after equal parts goes round from here, so that it is not always the same that get it
      */
-    public static long[] shares(long whole, long[] wanted, int[] weights, int turn) {
+    public static long[] allocate(long whole, long[] wanted, int[] weights, int turn) {
         int n = wanted.length;
         long[] shares = new long[n];
         boolean[] full = new boolean[n];
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -27,14 +27,14 @@
         long[] demand(Duration now, FleetQuota budget);
 
         /** It may use so much until then. */
-        void share(FleetQuota budget, long share, Duration until);
+        void setAllowance(FleetQuota budget, long share, Duration until);
     }
 
     /** Beyond what is used, so much of it is asked for as well, and one: or nobody who has little could show that it wants more. */
     private static final int MORE = 4;
 
-    /** First parts of the words that {@link #said} takes. */
-    public static final Set<String> WORDS = Set.of("Q", "G");
+    /** First parts of the words that {@link #receive} takes. */
+    public static final Set<String> MESSAGE_TYPES = Set.of("Q", "G");
 
     private final String self;
     private final long life;
@@ -83,19 +83,19 @@
     }
 
     /** From here on it gives shares only while its standing among the others lets it. */
-    public void under(FleetView with) {
+    public void restrictTo(FleetView with) {
         seen = with;
     }
 
     /** The wholes were changed; a share over a smaller one is given back as the leases run out. */
-    public void wholes(List<FleetQuota> changed) {
+    public void updateQuotas(List<FleetQuota> changed) {
         for (int i = 0; i < budgets.size(); i++) {
             for (FleetQuota each : changed) {
                 if (each.name().equals(budgets.get(i).name())) {
                     budgets.set(i, each);
-                    holdings.get(i).whole(each);
+                    holdings.get(i).updateQuota(each);
                     if (!books.isEmpty()) {
-                        books.get(i).whole(each);
+                        books.get(i).updateQuota(each);
                     }
                 }
             }
@@ -105,7 +105,7 @@
     // ---- a look at all
 
     /** What is to be said now; to be asked for every few ms. */
-    public List<LeaderElection.PeerMessage> look(Duration now) {
+    public List<LeaderElection.PeerMessage> tick(Duration now) {
         Leadership.Leader leader = terms.leader(now);
         books(now);
         for (int i = 0; i < budgets.size(); i++) {
@@ -113,7 +113,7 @@
             long[] demand = spender.demand(now, budgets.get(i));
             used[i] |= demand[1] > 0;
             // One that is out of share and wants some does not wait for its turn as long.
-            boolean wants = demand[1] > holding.share(now);
+            boolean wants = demand[1] > holding.available(now);
             if (now.compareTo(nextAsk[i]) >= 0
                     || (wants
                             && now.compareTo(nextAsk[i].minus(
@@ -124,23 +124,23 @@
                                 chance.nextLong(pause(i).dividedBy(4).toNanos() + 1)));
                 ask(now, i, leader, demand);
             }
-            spender.share(budgets.get(i), holding.share(now), holding.until());
+            spender.setAllowance(budgets.get(i), holding.available(now), holding.expiresAt());
         }
-        return said();
+        return receive();
     }
 
     private void say(String to, long number, String what) {
         out.add(new LeaderElection.PeerMessage(to, number, what));
     }
 
-    private List<LeaderElection.PeerMessage> said() {
+    private List<LeaderElection.PeerMessage> receive() {
         List<LeaderElection.PeerMessage> all = List.copyOf(out);
         out.clear();
         return all;
     }
 
     private Duration pause(int i) {
-        return budgets.get(i).lease().dividedBy(4);
+        return budgets.get(i).leaseDuration().dividedBy(4);
     }
 
     private void ask(Duration now, int i, Leadership.Leader leader, long[] demand) {
@@ -154,11 +154,11 @@
         }
         long wanted = demand[1] == 0 && !used[i] ? 0 : demand[1] + demand[1] / MORE + 1;
         QuotaLease.RenewalRequest ask = holdings.get(i)
-                .ask(
+                .requestRenewal(
                         now,
                         leader.term(),
                         demand[0],
-                        Math.min(wanted, budgets.get(i).whole()));
+                        Math.min(wanted, budgets.get(i).limit()));
         used[i] = false;
         if (ask == null) {
             return;
@@ -167,16 +167,16 @@
             LeaseLedger.LeaseGrant grant = grant(
                     now,
                     i,
-                    new LeaseLedger.LeaseRequest(self, life, ask.grant(), ask.held(), ask.inUse(), ask.wanted()));
+                    new LeaseLedger.LeaseRequest(self, life, ask.currentGrant(), ask.held(), ask.inUse(), ask.wanted()));
             if (grant != null) {
-                holdings.get(i).granted(now, leader.term(), ask.number(), grant.number(), grant.amount());
+                holdings.get(i).applyGrant(now, leader.term(), ask.number(), grant.number(), grant.amount());
             }
         } else {
             say(
                     leader.name(),
                     ask.number(),
                     "Q/" + leader.term() + "/" + budgets.get(i).name() + "/" + Long.toHexString(life) + "/"
-                            + ask.grant() + "/" + ask.held() + "/" + ask.inUse() + "/" + ask.wanted());
+                            + ask.currentGrant() + "/" + ask.held() + "/" + ask.inUse() + "/" + ask.wanted());
         }
     }
 
@@ -200,15 +200,15 @@
         }
         if (now.compareTo(nextTurn) >= 0) {
             nextTurn = now.plus(
-                    budgets.isEmpty() ? Duration.ofSeconds(1) : budgets.get(0).lease());
-            books.forEach(LeaseLedger::turn);
+                    budgets.isEmpty() ? Duration.ofSeconds(1) : budgets.get(0).leaseDuration());
+            books.forEach(LeaseLedger::rotateRemainder);
         }
     }
 
     // ---- what others say
 
-    /** Another said that, one of {@link #WORDS}; returns what is said to it. */
-    public List<LeaderElection.PeerMessage> said(Duration now, String name, long number, String what) {
+    /** Another said that, one of {@link #MESSAGE_TYPES}; returns what is said to it. */
+    public List<LeaderElection.PeerMessage> receive(Duration now, String name, long number, String what) {
         String[] part = what.split("/");
         try {
             switch (part[0]) {
@@ -218,7 +218,7 @@
                     long term = Long.parseLong(part[1]);
                     if (i >= 0
                             && holdings.get(i)
-                                    .granted(now, term, number, Long.parseLong(part[3]), Long.parseLong(part[4]))) {
+                                    .applyGrant(now, term, number, Long.parseLong(part[3]), Long.parseLong(part[4]))) {
                         terms.heardLeader(now, name, term);
                     }
                 }
@@ -227,7 +227,7 @@
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             log.accept("budgets: " + name + " said what is not understood: " + what);
         }
-        return said();
+        return receive();
     }
 
     private int index(String budget) {
@@ -268,16 +268,16 @@
     }
 
     /** Its share of a budget now. */
-    public long share(Duration now, int budget) {
-        return holdings.get(budget).share(now);
+    public long available(Duration now, int budget) {
+        return holdings.get(budget).available(now);
     }
 
-    public boolean leads(Duration now) {
+    public boolean isLeader(Duration now) {
         return terms.leads(now);
     }
 
     /** Each budget with its share, as a JSON array. */
-    public String json(Duration now) {
+    public String statusJson(Duration now) {
         StringBuilder text = new StringBuilder("[");
         Leadership.Leader leader = terms.leader(now);
         for (int i = 0; i < budgets.size(); i++) {
@@ -286,11 +286,11 @@
                     .append("{\"name\":\"")
                     .append(budgets.get(i).name())
                     .append("\",\"whole\":")
-                    .append(budgets.get(i).whole())
+                    .append(budgets.get(i).limit())
                     .append(",\"share\":")
-                    .append(holding.share(now))
+                    .append(holding.available(now))
                     .append(",\"left_ms\":")
-                    .append(Math.max(0, holding.until().minus(now).toMillis()))
+                    .append(Math.max(0, holding.expiresAt().minus(now).toMillis()))
                     .append(",\"in_use\":")
                     .append(spender.demand(now, budgets.get(i))[0])
                     .append(",\"leader\":\"")
@@ -298,7 +298,7 @@
                     .append("\",\"term\":")
                     .append(leader == null ? 0 : leader.term())
                     .append(",\"out\":")
-                    .append(books.isEmpty() ? -1 : books.get(i).out(now))
+                    .append(books.isEmpty() ? -1 : books.get(i).outstanding(now))
                     .append('}');
         }
         return text.append(']').toString();
--- a/src/main/java/merlinlever/quota/QuotaLease.java
+++ b/src/main/java/merlinlever/quota/QuotaLease.java
@@ -10,7 +10,7 @@
 public final class QuotaLease {
 
     /** A question for a share, under a number that the answer has to bear. */
-    public record RenewalRequest(long number, long grant, long held, long inUse, long wanted) {}
+    public record RenewalRequest(long number, long currentGrant, long held, long inUse, long wanted) {}
 
     private FleetQuota budget;
     private long number, answered;
@@ -25,28 +25,28 @@
         answered = first;
     }
 
-    public FleetQuota budget() {
+    public FleetQuota quota() {
         return budget;
     }
 
     /** The whole was changed. */
-    public void whole(FleetQuota changed) {
+    public void updateQuota(FleetQuota changed) {
         budget = changed;
     }
 
     /** All that its next steps hang on, for a walk of its states. */
-    String key(Duration now) {
+    String stateKey(Duration now) {
         return number + "," + answered + "," + (askedAt == null ? "" : now.minus(askedAt)) + "," + term + "," + grant
-                + "," + share(now) + "," + (share(now) == 0 ? "" : until.minus(now));
+                + "," + available(now) + "," + (available(now) == 0 ? "" : until.minus(now));
     }
 
     /** What may be spent now. */
-    public long share(Duration now) {
+    public long available(Duration now) {
         return now.compareTo(until) < 0 ? amount : 0;
     }
 
     /** Until when, unless it is renewed. */
-    public Duration until() {
+    public Duration expiresAt() {
         return until;
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** Asks the leader of that term; from here on nothing of an older one is taken. */
-    public RenewalRequest ask(Duration now, long ofTerm, long inUse, long wanted) {
+    public RenewalRequest requestRenewal(Duration now, long ofTerm, long inUse, long wanted) {
         if (ofTerm < term) {
             return null;
         }
@@ -66,18 +66,18 @@
         }
         number++;
         askedAt = now;
-        return new RenewalRequest(number, grant, share(now), inUse, wanted);
+        return new RenewalRequest(number, grant, available(now), inUse, wanted);
     }
 
     /** The answer to the last question; older ones, doubled ones and those of older leaders change nothing. */
-    public boolean granted(Duration now, long ofTerm, long to, long itsNumber, long itsAmount) {
-        if (ofTerm != term || to != number || to <= answered || itsAmount < 0 || itsAmount > budget.whole()) {
+    public boolean applyGrant(Duration now, long ofTerm, long to, long itsNumber, long itsAmount) {
+        if (ofTerm != term || to != number || to <= answered || itsAmount < 0 || itsAmount > budget.limit()) {
             return false;
         }
         answered = to;
         grant = itsNumber;
         amount = itsAmount;
-        until = askedAt.plus(FleetQuota.surest(budget.lease(), budget.drift()));
+        until = askedAt.plus(FleetQuota.surest(budget.leaseDuration(), budget.maxClockDrift()));
         return true;
     }
 }
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -39,37 +39,37 @@
         this.rejoin = rejoin;
         sharing = new QuotaCoordinator(
                 loop.clock().uptime(),
-                rejoin.members().views().self(),
+                rejoin.membership().views().self(),
                 life,
                 budgets,
                 leading.terms(),
                 new SplittableRandom(seed),
                 spender,
                 log);
-        sharing.under(seen);
-        rejoin.members().hears(WORDS, this);
-        loop.every(LOOK, () -> say(sharing.look(loop.clock().uptime())));
+        sharing.restrictTo(seen);
+        rejoin.membership().hears(WORDS, this);
+        loop.every(LOOK, () -> say(sharing.tick(loop.clock().uptime())));
     }
 
     private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.members().say(each.to(), each.number(), each.what()));
+        all.forEach(each -> rejoin.membership().say(each.to(), each.number(), each.what()));
         if (!all.isEmpty()) {
-            rejoin.send();
+            rejoin.flush();
         }
     }
 
     @Override
     public void said(String name, long number, String what) {
-        say(sharing.said(loop.clock().uptime(), name, number, what));
+        say(sharing.receive(loop.clock().uptime(), name, number, what));
     }
 
-    /** See {@link QuotaCoordinator#wholes}. */
-    public void wholes(List<FleetQuota> changed) {
-        sharing.wholes(changed);
+    /** See {@link QuotaCoordinator#updateQuotas}. */
+    public void updateQuotas(List<FleetQuota> changed) {
+        sharing.updateQuotas(changed);
     }
 
-    /** See {@link QuotaCoordinator#json}. */
-    public String json() {
-        return sharing.json(loop.clock().uptime());
+    /** See {@link QuotaCoordinator#statusJson}. */
+    public String statusJson() {
+        return sharing.statusJson(loop.clock().uptime());
     }
 }
--- a/src/main/java/merlinlever/recovery/PersistedStateAssessor.java
+++ b/src/main/java/merlinlever/recovery/PersistedStateAssessor.java
@@ -32,9 +32,9 @@
     }
 
     /** One piece and why it is believed or not, for people. */
-    public record Finding(String piece, Disposition belief, String why) {
-        public String told() {
-            return piece + ": " + belief.wireName() + ", " + why;
+    public record Finding(String piece, Disposition disposition, String reason) {
+        public String describe() {
+            return piece + ": " + disposition.wireName() + ", " + reason;
         }
     }
 
@@ -42,20 +42,20 @@
      * What the new life begins with.
      *
      * @param incarnation its own first, above all that may have been told
-     * @param term the highest that may have been promised
-     * @param keyedUntil until when the life before may have begun keyed work, by the Unix clock; {@link #UNKNOWN} where
+     * @param highestTerm the highest that may have been promised
+     * @param nonIdempotentUntilUnixMs until when the life before may have begun keyed work, by the Unix clock; {@link #UNKNOWN} where
      *        nothing that can be trusted says so
-     * @param capacity a starting guess, 0 for none
-     * @param weight of the guess, in completions of operations
+     * @param capacityEstimate a starting guess, 0 for none
+     * @param estimateWeight of the guess, in completions of operations
      */
     public record TrustedState(
             List<Finding> findings,
             long incarnation,
-            long term,
-            long keyedUntil,
-            double capacity,
-            double weight,
-            List<String> peers) {}
+            long highestTerm,
+            long nonIdempotentUntilUnixMs,
+            double capacityEstimate,
+            double estimateWeight,
+            List<String> peerAddresses) {}
 
     public static final long UNKNOWN = Long.MIN_VALUE;
     /** A guess of the capacity counts as so many completions, half of it for each span that the process was down. */
@@ -72,7 +72,7 @@
      * @param spoilt why it could not be read, or null
      * @param owner who asks
      */
-    public static TrustedState judge(PersistedState left, String spoilt, String owner, long unixNow) {
+    public static TrustedState assess(PersistedState left, String spoilt, String owner, long unixNow) {
         List<Finding> findings = new ArrayList<>();
         if (left == null) {
             Disposition belief = spoilt == null ? Disposition.ABSENT : Disposition.THROWN_AWAY;
@@ -88,31 +88,31 @@
             findings.add(new Finding("peers", belief, why + "; those that the configuration names are asked"));
             return new TrustedState(findings, 1, 0, UNKNOWN, 0, 0, List.of());
         }
-        long incarnation = left.incarnations() + 1;
+        long incarnation = left.reservedIncarnation() + 1;
         if (!left.owner().equals(owner)) {
             String why = "it is that of " + left.owner() + ", not of " + owner;
             findings.add(new Finding(
                     "incarnation",
                     Disposition.KEPT,
-                    "above " + left.incarnations() + ", as a higher one does no harm; " + why));
-            findings.add(new Finding("term", Disposition.KEPT, "none under " + left.term() + " is promised; " + why));
+                    "above " + left.reservedIncarnation() + ", as a higher one does no harm; " + why));
+            findings.add(new Finding("term", Disposition.KEPT, "none under " + left.highestTerm() + " is promised; " + why));
             findings.add(new Finding(
                     "keyed work", Disposition.THROWN_AWAY, why + "; may have been begun here until this start"));
             findings.add(new Finding("capacity", Disposition.THROWN_AWAY, why));
             findings.add(new Finding("peers", Disposition.THROWN_AWAY, why));
-            return new TrustedState(findings, incarnation, left.term(), UNKNOWN, 0, 0, List.of());
+            return new TrustedState(findings, incarnation, left.highestTerm(), UNKNOWN, 0, 0, List.of());
         }
         findings.add(new Finding(
                 "incarnation",
                 Disposition.KEPT,
-                "up to " + left.incarnations() + " may have been told, goes on at " + incarnation));
+                "up to " + left.reservedIncarnation() + " may have been told, goes on at " + incarnation));
         findings.add(new Finding(
                 "term",
                 Disposition.KEPT,
-                "none under " + left.term() + " is promised; leases from before are held lost"));
-        long down = unixNow - left.wroteAt();
+                "none under " + left.highestTerm() + " is promised; leases from before are held lost"));
+        long down = unixNow - left.writtenAtUnixMs();
         boolean back = down < 0;
-        long keyedUntil = back ? UNKNOWN : left.keyedUntil();
+        long keyedUntil = back ? UNKNOWN : left.nonIdempotentUntilUnixMs();
         findings.add(
                 back
                         ? new Finding(
@@ -125,7 +125,7 @@
                                 Disposition.KEPT,
                                 "may have been begun until " + Math.max(0, unixNow - keyedUntil) + " ms ago"));
         double weight = 0;
-        if (left.capacity() <= 0) {
+        if (left.learnedCapacity() <= 0) {
             findings.add(new Finding("capacity", Disposition.ABSENT, "none was learned"));
         } else if (back) {
             findings.add(new Finding("capacity", Disposition.THROWN_AWAY, "how old it is cannot be told"));
@@ -137,15 +137,15 @@
                     String.format(
                             Locale.ROOT,
                             "%.1f operations, %d ms old, counts as %.1f completions",
-                            left.capacity(),
+                            left.learnedCapacity(),
                             down,
                             weight)));
         }
         findings.add(new Finding(
                 "peers",
-                left.peers().isEmpty() ? Disposition.ABSENT : Disposition.KEPT,
-                left.peers().size() + " addresses to ask, nothing more is believed of them"));
+                left.peerAddresses().isEmpty() ? Disposition.ABSENT : Disposition.KEPT,
+                left.peerAddresses().size() + " addresses to ask, nothing more is believed of them"));
         return new TrustedState(
-                findings, incarnation, left.term(), keyedUntil, back ? 0 : left.capacity(), weight, left.peers());
+                findings, incarnation, left.highestTerm(), keyedUntil, back ? 0 : left.learnedCapacity(), weight, left.peerAddresses());
     }
 }
--- a/src/main/java/merlinlever/recovery/RecoverySequence.java
+++ b/src/main/java/merlinlever/recovery/RecoverySequence.java
@@ -39,20 +39,20 @@
     /**
      * What is stated.
      *
-     * @param patience for answers, after which those that came have to do
-     * @param spread the first questions are spread over so long, by chance
-     * @param askAgain after which an unanswered question is put again; doubled each time up to the longest
-     * @param window in which a repeat of keyed work may come
-     * @param mostAsked others that are asked, at the most
+     * @param answerTimeout for answers, after which those that came have to do
+     * @param firstQuerySpread the first questions are spread over so long, by chance
+     * @param initialRetryDelay after which an unanswered question is put again; doubled each time up to the longest
+     * @param idempotencyWindow in which a repeat of keyed work may come
+     * @param maxPeersQueried others that are asked, at the most
      */
     public record RecoverySettings(
-            Duration patience,
-            Duration spread,
-            Duration askAgain,
-            Duration longestAskAgain,
-            Duration window,
-            int mostAsked) {
-        public static RecoverySettings usual(Duration window) {
+            Duration answerTimeout,
+            Duration firstQuerySpread,
+            Duration initialRetryDelay,
+            Duration maxRetryDelay,
+            Duration idempotencyWindow,
+            int maxPeersQueried) {
+        public static RecoverySettings defaults(Duration window) {
             return new RecoverySettings(
                     Duration.ofSeconds(3),
                     Duration.ofMillis(500),
@@ -67,15 +67,15 @@
      * What another told.
      *
      * @param unixMs its clock when it told
-     * @param capacity that it has learned, 0 for none
+     * @param learnedCapacity that it has learned, 0 for none
      */
-    public record PeerReport(long unixMs, RecoveryStage stage, double capacity) {}
+    public record PeerReport(long unixMs, RecoveryStage stage, double learnedCapacity) {}
 
     /** A question to be put now. */
-    public record PeerQuery(String name, long number) {}
+    public record PeerQuery(String peer, long correlationId) {}
 
     /** Something that came to pass, for the log. */
-    public record RecoveryEvent(Duration at, RecoveryStage stage, String why) {}
+    public record RecoveryEvent(Duration at, RecoveryStage stage, String description) {}
 
     /** A repeat may be read so much later than its own time says, and clocks are read one after the other. */
     private static final Duration SLACK = Duration.ofMillis(100);
@@ -138,22 +138,22 @@
     // ---- what happens
 
     /** Membership holds the other alive, or not. */
-    public void peer(Duration now, String name, boolean alive) {
+    public void peerStatusChanged(Duration now, String name, boolean alive) {
         Peer peer = peers.get(name);
         if (peer == null) {
-            if (!alive || peers.size() >= stated.mostAsked) {
+            if (!alive || peers.size() >= stated.maxPeersQueried) {
                 return;
             }
             peer = new Peer();
-            peer.nextAsk = now.plus(drawn(stated.spread));
-            peer.pause = stated.askAgain;
+            peer.nextAsk = now.plus(drawn(stated.firstQuerySpread));
+            peer.pause = stated.initialRetryDelay;
             peers.put(name, peer);
         }
         peer.alive = alive;
     }
 
     /** An answer to the question of that number; an answer to none that is out changes nothing. */
-    public void told(Duration now, long unixNow, String name, long number, PeerReport told) {
+    public void reportReceived(Duration now, long unixNow, String name, long number, PeerReport told) {
         Peer peer = peers.get(name);
         Duration asked = peer == null ? null : peer.asked.get(number);
         if (asked == null) {
@@ -168,7 +168,7 @@
     }
 
     /** Another process tells others that it is this one. */
-    public void rival(Duration now) {
+    public void nameConflictObserved(Duration now) {
         if (rivalAt == null) {
             steps.add(new RecoveryEvent(
                     now, stage, "another process lives under this one's name; keyed work is held until it is silent"));
@@ -177,8 +177,8 @@
     }
 
     /** The process says that it is at its full speed. */
-    public void fullSpeed(Duration now) {
-        if (stage == RecoveryStage.RECONCILED && keyedFrom(now).compareTo(now) <= 0) {
+    public void fullSpeedReached(Duration now) {
+        if (stage == RecoveryStage.RECONCILED && nonIdempotentAdmittedFrom(now).compareTo(now) <= 0) {
             step(now, RecoveryStage.WARM, "at full speed, keyed work taken");
         }
     }
@@ -186,7 +186,7 @@
     // ---- what is decided
 
     /** The questions to be put now. */
-    public List<PeerQuery> settle(Duration now) {
+    public List<PeerQuery> dueQueries(Duration now) {
         List<PeerQuery> asks = new ArrayList<>();
         if (rivalAt != null && now.minus(rivalAt).compareTo(RIVAL) >= 0) {
             rivalAt = null;
@@ -199,13 +199,13 @@
         if (stage == RecoveryStage.COLD && alive > 0) {
             step(now, RecoveryStage.REJOINED, "hears " + alive + " of the others");
         }
-        boolean waited = now.minus(began).compareTo(stated.patience) >= 0;
+        boolean waited = now.minus(began).compareTo(stated.answerTimeout) >= 0;
         if (alive == 0 && waited && !alone) {
             alone = true;
             steps.add(new RecoveryEvent(
                     now,
                     stage,
-                    "no other is reached after " + stated.patience.toMillis()
+                    "no other is reached after " + stated.answerTimeout.toMillis()
                             + " ms; retriable work is served, keyed work is turned away until one is"));
         }
         long told = peers.values().stream().filter(peer -> peer.told != null).count();
@@ -229,8 +229,8 @@
                     peer.asked.remove(peer.asked.keySet().iterator().next());
                 }
                 peer.nextAsk = now.plus(peer.pause).plus(drawn(peer.pause.dividedBy(2)));
-                peer.pause = peer.pause.multipliedBy(2).compareTo(stated.longestAskAgain) > 0
-                        ? stated.longestAskAgain
+                peer.pause = peer.pause.multipliedBy(2).compareTo(stated.maxRetryDelay) > 0
+                        ? stated.maxRetryDelay
                         : peer.pause.multipliedBy(2);
                 asks.add(new PeerQuery(entry.getKey(), number));
             }
@@ -245,8 +245,8 @@
     private boolean enough(Duration now, long told) {
         Duration waited = now.minus(began);
         boolean all = peers.values().stream().allMatch(peer -> peer.told != null || !peer.alive);
-        return (all && waited.compareTo(stated.spread.multipliedBy(2)) >= 0)
-                || (told * 2 > peers.size() && waited.compareTo(stated.patience) >= 0);
+        return (all && waited.compareTo(stated.firstQuerySpread.multipliedBy(2)) >= 0)
+                || (told * 2 > peers.size() && waited.compareTo(stated.answerTimeout) >= 0);
     }
 
     /** Whether more of those that told have another time than the same; with one against one neither is believed. */
@@ -271,34 +271,34 @@
      * Keyed work that came before then is not begun: the life before may have begun an earlier try of it. Before it is
      * reconciled that is a moment that lies ahead still.
      */
-    public Duration keyedFrom(Duration now) {
+    public Duration nonIdempotentAdmittedFrom(Duration now) {
         if (stage.compareTo(RecoveryStage.RECONCILED) < 0 || rivalAt != null) {
-            return now.plus(stated.askAgain.multipliedBy(5));
+            return now.plus(stated.initialRetryDelay.multipliedBy(5));
         }
         // The life before ended before this one began, whatever the disk and the clock say.
         Duration until = began;
-        if (!distrusted && verdict.keyedUntil() != PersistedStateAssessor.UNKNOWN && verdict.keyedUntil() < beganUnix) {
-            until = began.minusMillis(beganUnix - verdict.keyedUntil());
+        if (!distrusted && verdict.nonIdempotentUntilUnixMs() != PersistedStateAssessor.UNKNOWN && verdict.nonIdempotentUntilUnixMs() < beganUnix) {
+            until = began.minusMillis(beganUnix - verdict.nonIdempotentUntilUnixMs());
         }
-        return until.plus(stated.window).plus(SLACK);
+        return until.plus(stated.idempotencyWindow).plus(SLACK);
     }
 
     /** What the hold may take to begin with: what was left, or what the others have learned, in the middle; 0 for none. */
-    public double capacity() {
-        if (verdict.capacity() > 0) {
-            return verdict.capacity();
+    public double capacityEstimate() {
+        if (verdict.capacityEstimate() > 0) {
+            return verdict.capacityEstimate();
         }
         List<Double> learned = peers.values().stream()
-                .filter(peer -> peer.told != null && peer.told.capacity() > 0)
-                .map(peer -> peer.told.capacity())
+                .filter(peer -> peer.told != null && peer.told.learnedCapacity() > 0)
+                .map(peer -> peer.told.learnedCapacity())
                 .sorted()
                 .toList();
         return learned.isEmpty() ? 0 : learned.get(learned.size() / 2);
     }
 
     /** Of that guess, in completions; that of others counts least. */
-    public double weight() {
-        return verdict.capacity() > 0 ? verdict.weight() : capacity() > 0 ? 2 : 0;
+    public double estimateWeight() {
+        return verdict.capacityEstimate() > 0 ? verdict.estimateWeight() : capacityEstimate() > 0 ? 2 : 0;
     }
 
     private Duration drawn(Duration within) {
@@ -306,14 +306,14 @@
     }
 
     /** What came to pass since this was asked last. */
-    public List<RecoveryEvent> steps() {
+    public List<RecoveryEvent> takeEvents() {
         List<RecoveryEvent> since = List.copyOf(steps);
         steps.clear();
         return since;
     }
 
     /** Others it knows of, and how many of them have told. */
-    public int[] counts() {
+    public int[] peerCounts() {
         return new int[] {
             peers.size(),
             (int) peers.values().stream().filter(peer -> peer.told != null).count()
--- a/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
@@ -16,11 +16,11 @@
 public final class RecoveryFile {
 
     /** What was found: a memory, or why there is none; both null where the folder holds nothing. */
-    public record LoadResult(PersistedState memory, String spoilt) {}
+    public record LoadResult(PersistedState state, String corruption) {}
 
-    public static final String FILE = "recovery";
-    private static final String FORM = "merlinlever recovery 1";
-    private static final int MOST = 16 * 1024;
+    public static final String FILE_NAME = "recovery";
+    private static final String HEADER = "merlinlever recovery 1";
+    private static final int MAX_BYTES = 16 * 1024;
 
     private final StateDirectory folder;
 
@@ -30,7 +30,7 @@
 
     public LoadResult read() {
         try {
-            return folder.exists(FILE) ? parsed(folder.read(FILE)) : new LoadResult(null, null);
+            return folder.exists(FILE_NAME) ? decode(folder.read(FILE_NAME)) : new LoadResult(null, null);
         } catch (IOException e) {
             return new LoadResult(null, "cannot be read: " + e.getMessage());
         }
@@ -38,26 +38,26 @@
 
     /** Returns when it is on the disk; after a failure the one before stands. */
     public void write(PersistedState memory) throws IOException {
-        folder.replace(FILE, text(memory));
+        folder.replace(FILE_NAME, encode(memory));
     }
 
     /** The octets of the file. */
-    public static byte[] text(PersistedState memory) {
-        StringBuilder rest = new StringBuilder(FORM)
+    public static byte[] encode(PersistedState memory) {
+        StringBuilder rest = new StringBuilder(HEADER)
                 .append("\nowner ")
                 .append(memory.owner())
                 .append("\nincarnations ")
-                .append(memory.incarnations())
+                .append(memory.reservedIncarnation())
                 .append("\nterm ")
-                .append(memory.term())
+                .append(memory.highestTerm())
                 .append("\nkeyed-until ")
-                .append(memory.keyedUntil())
+                .append(memory.nonIdempotentUntilUnixMs())
                 .append("\nwrote-at ")
-                .append(memory.wroteAt())
+                .append(memory.writtenAtUnixMs())
                 .append("\ncapacity ")
-                .append(String.format(Locale.ROOT, "%.3f", memory.capacity()))
+                .append(String.format(Locale.ROOT, "%.3f", memory.learnedCapacity()))
                 .append('\n');
-        memory.peers().forEach(peer -> rest.append("peer ").append(peer).append('\n'));
+        memory.peerAddresses().forEach(peer -> rest.append("peer ").append(peer).append('\n'));
         return (sum(rest.toString()) + "\n" + rest).getBytes(StandardCharsets.US_ASCII);
     }
 
@@ -68,9 +68,9 @@
     }
 
     /** Of the octets of a file. */
-    public static LoadResult parsed(byte[] octets) {
-        if (octets.length > MOST) {
-            return new LoadResult(null, "spoilt: over " + MOST + " octets");
+    public static LoadResult decode(byte[] octets) {
+        if (octets.length > MAX_BYTES) {
+            return new LoadResult(null, "spoilt: over " + MAX_BYTES + " octets");
         }
         String text = new String(octets, StandardCharsets.US_ASCII);
         int end = text.indexOf('\n');
@@ -80,7 +80,7 @@
         }
         String[] lines = rest.split("\n");
         try {
-            if (!lines[0].equals(FORM)) {
+            if (!lines[0].equals(HEADER)) {
                 return new LoadResult(null, "of another form, '" + lines[0] + "'");
             }
             List<String> peers = new ArrayList<>();
--- a/src/main/java/merlinlever/recovery/disk/RecoveryFileWriter.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFileWriter.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether a write is under way. */
-    public boolean busy() {
+    public boolean isBusy() {
         return busy;
     }
 
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -35,32 +35,32 @@
     /** What comes back to work; times are since the process began. */
     public interface RecoveringService {
         /** Keyed work that came before the one moment is not begun, nor any at or after the other. */
-        void keyed(Duration from, Duration to);
+        void admitNonIdempotent(Duration from, Duration to);
 
         /** A starting guess of what the hold can take, worth so many completions. */
-        void guess(double capacity, double completions);
+        void warmStart(double capacity, double completions);
 
         /** Learned in this life, 0 for nothing yet. */
-        double capacity();
+        double learnedCapacity();
 
         /** Whether it has its full speed. */
-        boolean fullSpeed();
+        boolean isAtFullSpeed();
 
         /** One without operations. */
         RecoveringService NONE = new RecoveringService() {
             @Override
-            public void keyed(Duration from, Duration to) {}
+            public void admitNonIdempotent(Duration from, Duration to) {}
 
             @Override
-            public void guess(double capacity, double completions) {}
+            public void warmStart(double capacity, double completions) {}
 
             @Override
-            public double capacity() {
+            public double learnedCapacity() {
                 return 0;
             }
 
             @Override
-            public boolean fullSpeed() {
+            public boolean isAtFullSpeed() {
                 return true;
             }
         };
@@ -69,12 +69,12 @@
     /**
      * Where it is.
      *
-     * @param advertise what others are told, or null for the address that it listens at
-     * @param api told to others as where it takes commands
+     * @param advertisedAddress what others are told, or null for the address that it listens at
+     * @param apiAddress told to others as where it takes commands
      * @param seeds where some of the others listen
      */
     public record NodeSettings(
-            String name, InetSocketAddress listen, String advertise, String api, List<String> seeds, String secret) {}
+            String name, InetSocketAddress listenAddress, String advertisedAddress, String apiAddress, List<String> seeds, String secret) {}
 
     private static final Duration LOOK = Duration.ofMillis(50);
     /** Incarnations noted ahead, so that refuting a rumour seldom waits for the disk. */
@@ -126,31 +126,31 @@
         this.log = log;
         this.mark = mark;
         DatagramEndpoint datagrams = new DatagramEndpoint(
-                loop, place.listen(), MembershipCodec.MOST, (octets, from, waited) -> link[0].came(octets, from));
-        String told = place.advertise() != null ? place.advertise() : MembershipTransport.text(datagrams.address());
+                loop, place.listenAddress(), MembershipCodec.MOST, (octets, from, waited) -> link[0].came(octets, from));
+        String told = place.advertisedAddress() != null ? place.advertisedAddress() : MembershipTransport.text(datagrams.address());
         // A port that is drawn anew at each start tells nothing of whose the folder is.
         owner = place.name() + "@"
-                + (place.advertise() != null || place.listen().getPort() != 0
+                + (place.advertisedAddress() != null || place.listenAddress().getPort() != 0
                         ? told
-                        : place.listen().getAddress().getHostAddress());
+                        : place.listenAddress().getAddress().getHostAddress());
         RecoveryFile store = new RecoveryFile(folder);
         RecoveryFile.LoadResult found = store.read();
         long now = unix.getAsLong();
         PersistedStateAssessor.TrustedState verdict =
-                PersistedStateAssessor.judge(found.memory(), found.spoilt(), owner, now);
-        verdict.findings().forEach(finding -> log.accept("found " + finding.told()));
+                PersistedStateAssessor.assess(found.state(), found.corruption(), owner, now);
+        verdict.findings().forEach(finding -> log.accept("found " + finding.describe()));
         Set<String> ask = new LinkedHashSet<>(place.seeds());
-        ask.addAll(verdict.peers());
+        ask.addAll(verdict.peerAddresses());
         ask.remove(told);
         SplittableRandom chance = new SplittableRandom(seed);
         members = new SwimProtocol(
                 loop.clock().uptime(),
-                new MemberTable(place.name(), told, place.api(), verdict.incarnation()),
+                new MemberTable(place.name(), told, place.apiAddress(), verdict.incarnation()),
                 SwimProtocol.SwimSettings.usual(List.copyOf(ask)),
                 chance.split(),
                 log);
         members.recall(this);
-        term = verdict.term();
+        term = verdict.highestTerm();
         order = new RecoverySequence(loop.clock().uptime(), now, verdict, stated, !ask.isEmpty(), chance.split());
         link[0] = new MembershipTransport(
                 loop,
@@ -162,21 +162,21 @@
         loop.every(LOOK, this::look);
     }
 
-    public SwimProtocol members() {
+    public SwimProtocol membership() {
         return members;
     }
 
-    public RecoverySequence order() {
+    public RecoverySequence sequence() {
         return order;
     }
 
     /** What is to be said to others is said now, and not at the next look. */
-    public void send() {
+    public void flush() {
         link[0].settle();
     }
 
     /** This one goes in good order; the others are told. */
-    public void leave() {
+    public void announceLeave() {
         link[0].leave();
     }
 
@@ -213,14 +213,14 @@
                 "%d/%s/%.2f",
                 unix.getAsLong(),
                 order.stage().wireName(),
-                Math.min(1e9, service.capacity()));
+                Math.min(1e9, service.learnedCapacity()));
     }
 
     @Override
     public void told(String name, long number, String what) {
         String[] parts = what.split("/");
         try {
-            order.told(
+            order.reportReceived(
                     now(),
                     unix.getAsLong(),
                     name,
@@ -243,34 +243,34 @@
         Duration now = now();
         for (MemberTable.MemberRecord each : members.views().all()) {
             if (!each.name().equals(members.views().self())) {
-                order.peer(now, each.name(), each.status() == MemberTable.MemberStatus.ALIVE);
+                order.peerStatusChanged(now, each.name(), each.status() == MemberTable.MemberStatus.ALIVE);
             }
         }
         if (members.views().rivals() != rivals) {
             rivals = members.views().rivals();
             if (rivals > 1) {
-                order.rival(now);
+                order.nameConflictObserved(now);
             }
         }
-        order.settle(now).forEach(ask -> members.ask(ask.name(), ask.number()));
-        if (service.fullSpeed()) {
-            order.fullSpeed(now);
+        order.dueQueries(now).forEach(ask -> members.ask(ask.peer(), ask.correlationId()));
+        if (service.isAtFullSpeed()) {
+            order.fullSpeedReached(now);
         }
-        for (RecoverySequence.RecoveryEvent step : order.steps()) {
+        for (RecoverySequence.RecoveryEvent step : order.takeEvents()) {
             since = step.at();
-            log.accept(step.stage().wireName() + ": " + step.why());
+            log.accept(step.stage().wireName() + ": " + step.description());
         }
-        if (!guessed && order.weight() > 0) {
+        if (!guessed && order.estimateWeight() > 0) {
             guessed = true;
-            service.guess(order.capacity(), order.weight());
+            service.warmStart(order.capacityEstimate(), order.estimateWeight());
         }
         if (Math.abs(lead() - leadAtMark) > SET_MS && !keyedTo.isZero()) {
             log.accept("the clock was set by " + (lead() - leadAtMark) + " ms; keyed work waits for the next mark");
             keyedTo = Duration.ZERO;
             nextMark = now;
         }
-        service.keyed(order.keyedFrom(now), keyedTo);
-        if (!writer.busy()
+        service.admitNonIdempotent(order.nonIdempotentAdmittedFrom(now), keyedTo);
+        if (!writer.isBusy()
                 && (incarnation() > onDisk || term > termOnDisk || (!mark.isZero() && now.compareTo(nextMark) >= 0))) {
             write(now);
         }
@@ -295,7 +295,7 @@
         }
         long terms = term;
         PersistedState memory = new PersistedState(
-                owner, incarnations, terms, wroteAt + to.minus(now).toMillis(), wroteAt, service.capacity(), peers);
+                owner, incarnations, terms, wroteAt + to.minus(now).toMillis(), wroteAt, service.learnedCapacity(), peers);
         writer.write(memory, failed -> {
             if (failed == null) {
                 onDisk = incarnations;
@@ -315,24 +315,24 @@
     }
 
     /** The term is wanted on the disk; true once it is there. Nothing is promised under it before. */
-    public boolean noted(long wanted) {
+    public boolean reserveTerm(long wanted) {
         term = Math.max(term, wanted);
-        if (term > termOnDisk && !writer.busy()) {
+        if (term > termOnDisk && !writer.isBusy()) {
             write(now());
         }
         return wanted <= termOnDisk;
     }
 
     /** The highest term that was noted, in this life or before. */
-    public long term() {
+    public long highestTerm() {
         return term;
     }
 
     /** How far it has come, as a JSON object. */
-    public String json() {
+    public String statusJson() {
         Duration now = now();
-        int[] counts = order.counts();
-        long wait = Math.max(0, order.keyedFrom(now).minus(now).toMillis());
+        int[] counts = order.peerCounts();
+        long wait = Math.max(0, order.nonIdempotentAdmittedFrom(now).minus(now).toMillis());
         return "{\"stage\":\"" + order.stage().wireName() + "\",\"since_ms\":"
                 + now.minus(since).toMillis() + ",\"incarnation\":" + incarnation()
                 + ",\"others\":" + counts[0] + ",\"told\":" + counts[1] + ",\"keyed_in_ms\":" + wait + ",\"mark_ms\":"
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -72,14 +72,14 @@
         this.recovery = recovery;
         this.view = view;
         this.log = log;
-        self = recovery.members().views().self();
+        self = recovery.membership().views().self();
         writer = new BackgroundWriter(directory, loop, "replication-writer");
         SplittableRandom random = new SplittableRandom(seed);
         Duration now = loop.clock().uptime();
         store = new ReplicatedStore(
                 now,
                 self,
-                recovery.members().views().of(self).incarnation(),
+                recovery.membership().views().of(self).incarnation(),
                 readEntries(directory),
                 settings,
                 this::livePeers,
@@ -87,7 +87,7 @@
                 log);
         registers = new PaxosNode(
                 now, self, readFile(directory, REGISTER_FILE), leadership, view, this::livePeers, random.split(), log);
-        recovery.members().takes(this);
+        recovery.membership().takes(this);
         loop.every(TICK_INTERVAL, this::tick);
     }
 
@@ -119,7 +119,7 @@
 
     private List<String> livePeers() {
         List<String> peers = new ArrayList<>();
-        for (MemberTable.MemberRecord member : recovery.members().views().all()) {
+        for (MemberTable.MemberRecord member : recovery.membership().views().all()) {
             boolean live = member.status() == MemberTable.MemberStatus.ALIVE
                     || member.status() == MemberTable.MemberStatus.SUSPECT;
             if (live && !member.name().equals(self)) {
@@ -186,10 +186,10 @@
             byte[] payload = new byte[message.body().length + 1];
             payload[0] = address;
             System.arraycopy(message.body(), 0, payload, 1, message.body().length);
-            recovery.members().carry(message.receiver(), payload);
+            recovery.membership().carry(message.receiver(), payload);
         }
         if (!messages.isEmpty()) {
-            recovery.send();
+            recovery.flush();
         }
     }
 
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -40,15 +40,15 @@
         sight = new ViewManager(
                 loop.clock().uptime(),
                 stated,
-                rejoin.members().views(),
+                rejoin.membership().views(),
                 terms,
                 life,
-                rejoin.term(),
-                rejoin::noted,
+                rejoin.highestTerm(),
+                rejoin::reserveTerm,
                 new SplittableRandom(seed),
                 log);
-        rejoin.members().hears(ViewManager.WORDS, this);
-        rejoin.members().takes(this);
+        rejoin.membership().hears(ViewManager.WORDS, this);
+        rejoin.membership().takes(this);
         loop.every(LOOK, () -> say(sight.look(loop.clock().uptime())));
     }
 
@@ -60,13 +60,13 @@
     private void say(List<ViewManager.ViewMessage> all) {
         for (ViewManager.ViewMessage each : all) {
             if (each.body() != null) {
-                rejoin.members().carry(each.to(), each.body());
+                rejoin.membership().carry(each.to(), each.body());
             } else {
-                rejoin.members().say(each.to(), each.number(), each.what());
+                rejoin.membership().say(each.to(), each.number(), each.what());
             }
         }
         if (!all.isEmpty()) {
-            rejoin.send();
+            rejoin.flush();
         }
     }
 
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -62,7 +62,7 @@
                     out.toString());
             Path spoilt = root.resolve("spoilt");
             Files.createDirectories(spoilt);
-            Files.writeString(spoilt.resolve(RecoveryFile.FILE), "0000");
+            Files.writeString(spoilt.resolve(RecoveryFile.FILE_NAME), "0000");
             Path held = root.resolve("held");
             try (FileStateDirectory folder = new FileStateDirectory(held)) {
                 assertEquals(List.of(), folder.fileNames());
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -127,13 +127,13 @@
             }
 
             @Override
-            public void share(FleetQuota budget, long share, Duration until) {}
+            public void setAllowance(FleetQuota budget, long share, Duration until) {}
         };
         FleetQuota budget = new FleetQuota(
                 "calls",
                 "calls",
                 100,
-                FleetQuota.QuotaKind.SECOND,
+                FleetQuota.QuotaKind.PER_SECOND,
                 Duration.ofSeconds(2),
                 0.01,
                 Duration.ofSeconds(1),
@@ -144,21 +144,21 @@
                 "budgets.asks",
                 said(new QuotaCoordinator(
                                 LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
-                        .look(LATER)));
+                        .tick(LATER)));
         LeaderElection leads = terms("b1");
         leads.look(LATER);
         QuotaCoordinator sharing = new QuotaCoordinator(
                 LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
-        sharing.look(LATER);
+        sharing.tick(LATER);
         leads.look(LATER.plusMillis(1900));
         List<LeaderElection.PeerMessage> all = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
             leads.look(LATER.plusMillis(ms));
-            sharing.look(LATER.plusMillis(ms));
+            sharing.tick(LATER.plusMillis(ms));
         }
-        all.addAll(sharing.said(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
+        all.addAll(sharing.receive(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
         fixture.pins("budgets.grants", said(all));
-        fixture.pins("budgets.state", sharing.json(LATER.plusMillis(8000)));
+        fixture.pins("budgets.state", sharing.statusJson(LATER.plusMillis(8000)));
     }
 
     @Test
@@ -207,7 +207,7 @@
                                     "-",
                                     List.of(),
                                     "a-secret-of-16-or-more"),
-                            RecoverySequence.RecoverySettings.usual(Duration.ofSeconds(5)),
+                            RecoverySequence.RecoverySettings.defaults(Duration.ofSeconds(5)),
                             Duration.ZERO,
                             1,
                             () -> 1_700_000_000_000L,
@@ -218,7 +218,7 @@
                 }
             });
             fixture.pins("recovery.tells", on.on(rejoin::tells));
-            fixture.pins("recovery.state", on.on(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            fixture.pins("recovery.state", on.on(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
             on.on(() -> rejoin.close(Duration.ofSeconds(1)));
         }
     }
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -42,8 +42,8 @@
                 1_700_000_000_000L,
                 12.5,
                 List.of("10.0.0.2:7001", "10.0.0.3:7001"));
-        fixture.pins("recovery", RecoveryFile.text(memory));
-        assertEquals(memory, RecoveryFile.parsed(fixture.bytes("recovery")).memory());
+        fixture.pins("recovery", RecoveryFile.encode(memory));
+        assertEquals(memory, RecoveryFile.decode(fixture.bytes("recovery")).state());
     }
 
     @Test
--- a/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
@@ -42,7 +42,7 @@
         SplittableRandom chance = new SplittableRandom(seed);
         long[] wanted = chance.longs(n, 0, 40).toArray();
         int[] weights = chance.ints(n, 1, 5).toArray();
-        long[] shares = MaxMinFairAllocation.shares(whole, wanted, weights, chance.nextInt(n));
+        long[] shares = MaxMinFairAllocation.allocate(whole, wanted, weights, chance.nextInt(n));
         assertEquals(
                 Math.min(whole, Arrays.stream(wanted).sum()),
                 Arrays.stream(shares).sum(),
@@ -74,7 +74,7 @@
             "calls",
             "calls",
             2,
-            FleetQuota.QuotaKind.SECOND,
+            FleetQuota.QuotaKind.PER_SECOND,
             Duration.ofSeconds(2),
             0,
             Duration.ofSeconds(1),
@@ -97,8 +97,8 @@
                 }
                 case "ask" -> {
                     int who = Integer.parseInt(word[1]);
-                    QuotaLease.RenewalRequest ask = state.holders[who].ask(state.now, state.leaderships, 0, 1 + who);
-                    state.net.add("Q/" + who + "/" + state.leaderships + "/" + ask.number() + "/" + ask.grant() + "/"
+                    QuotaLease.RenewalRequest ask = state.holders[who].requestRenewal(state.now, state.leaderships, 0, 1 + who);
+                    state.net.add("Q/" + who + "/" + state.leaderships + "/" + ask.number() + "/" + ask.currentGrant() + "/"
                             + ask.held());
                 }
                 case "Q" -> {
@@ -120,7 +120,7 @@
                             "G/" + word[1] + "/" + term + "/" + word[3] + "/" + grant.number() + "/" + grant.amount());
                 }
                 default -> {
-                    if (!state.holders[Integer.parseInt(word[1])].granted(
+                    if (!state.holders[Integer.parseInt(word[1])].applyGrant(
                             state.now,
                             Long.parseLong(word[2]),
                             Long.parseLong(word[3]),
@@ -131,7 +131,7 @@
                 }
             }
             lately.add(new long[] {
-                state.now.toMillis(), state.holders[0].share(state.now), state.holders[1].share(state.now)
+                state.now.toMillis(), state.holders[0].available(state.now), state.holders[1].available(state.now)
             });
             long[] most = new long[2];
             for (long[] each : lately) {
@@ -162,15 +162,15 @@
             StringBuilder key = new StringBuilder().append(state.leaderships).append(state.net);
             for (int i = 0; i < 2; i++) {
                 key.append('|')
-                        .append(state.holders[i].key(state.now))
+                        .append(state.holders[i].stateKey(state.now))
                         .append('|')
-                        .append(state.books[i] == null ? "" : state.books[i].key(state.now));
+                        .append(state.books[i] == null ? "" : state.books[i].stateKey(state.now));
             }
             if (!seen.add(key.toString())) {
                 continue;
             }
             walked++;
-            shared += state.holders[0].share(state.now) > 0 && state.holders[1].share(state.now) > 0 ? 1 : 0;
+            shared += state.holders[0].available(state.now) > 0 && state.holders[1].available(state.now) > 0 ? 1 : 0;
             if (path.size() == 9) {
                 continue;
             }
@@ -193,7 +193,7 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
             int n = 2 + chance.nextInt(7);
-            QuotaModel fleet = new QuotaModel(seed, n, budget(1 + chance.nextInt(60), FleetQuota.QuotaKind.SECOND));
+            QuotaModel fleet = new QuotaModel(seed, n, budget(1 + chance.nextInt(60), FleetQuota.QuotaKind.PER_SECOND));
             for (int step = 0; step < 3000; step++) {
                 if (chance.nextInt(60) == 0) {
                     fleet.trouble();
@@ -211,7 +211,7 @@
 
     @Example
     void theWholeIsUsedWhereMoreIsWantedAndDividedAnewWithinSomeLeases() {
-        QuotaModel fleet = new QuotaModel(5, 6, budget(50, FleetQuota.QuotaKind.SECOND));
+        QuotaModel fleet = new QuotaModel(5, 6, budget(50, FleetQuota.QuotaKind.PER_SECOND));
         Arrays.stream(fleet.wanted).forEach(each -> each[0] = 30);
         for (int step = 0; step < 600; step++) {
             fleet.step();
@@ -229,7 +229,7 @@
         for (int step = 0; step < 500; step++) {
             fleet.step();
         }
-        assertTrue(fleet.nodes[0].share(fleet.clock(0), 0) >= 45, "" + fleet.nodes[0].share(fleet.clock(0), 0));
+        assertTrue(fleet.nodes[0].available(fleet.clock(0), 0) >= 45, "" + fleet.nodes[0].available(fleet.clock(0), 0));
         assertEquals(0, Math.max(0, fleet.over));
     }
 
@@ -240,7 +240,7 @@
                 "calls",
                 "calls",
                 100,
-                FleetQuota.QuotaKind.SECOND,
+                FleetQuota.QuotaKind.PER_SECOND,
                 Duration.ofSeconds(2),
                 0.01,
                 Duration.ofSeconds(1),
@@ -249,7 +249,7 @@
         QuorumStatus[] standing = {QuorumStatus.FEW};
         FleetView seen = new FixedFleetView(now -> standing[0]);
         for (int i = 0; i < 3; i++) {
-            model.nodes[i].under(seen);
+            model.nodes[i].restrictTo(seen);
             model.wanted[i][0] = 50;
         }
         boolean led = false;
--- a/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
+++ b/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
@@ -39,8 +39,8 @@
         return new RecoverySequence(
                 Duration.ZERO,
                 unixNow,
-                PersistedStateAssessor.judge(left, null, owner, unixNow),
-                RecoverySequence.RecoverySettings.usual(WINDOW),
+                PersistedStateAssessor.assess(left, null, owner, unixNow),
+                RecoverySequence.RecoverySettings.defaults(WINDOW),
                 true,
                 new SplittableRandom(5));
     }
@@ -58,11 +58,11 @@
         List<String> who = new ArrayList<>();
         for (long now = fromMs; now <= untilMs; now += 50) {
             for (String name : names) {
-                order.peer(ms(now), name, true);
+                order.peerStatusChanged(ms(now), name, true);
             }
             for (int i = 0; i < coming.size(); i++) {
                 if (coming.get(i)[0] == now) {
-                    order.told(
+                    order.reportReceived(
                             ms(now),
                             unixAtZero + now,
                             who.get(i),
@@ -71,10 +71,10 @@
                                     unixAtZero + now - tookMs / 2 + aheadMs, RecoverySequence.RecoveryStage.WARM, 30));
                 }
             }
-            for (RecoverySequence.PeerQuery ask : order.settle(ms(now))) {
-                if (List.of(names).contains(ask.name())) {
-                    coming.add(new long[] {now + tookMs, ask.number()});
-                    who.add(ask.name());
+            for (RecoverySequence.PeerQuery ask : order.dueQueries(ms(now))) {
+                if (List.of(names).contains(ask.peer())) {
+                    coming.add(new long[] {now + tookMs, ask.correlationId()});
+                    who.add(ask.peer());
                 }
             }
         }
@@ -95,7 +95,7 @@
         long died = NOON + lastBegunAfterMark;
         long began = died + down;
         PersistedState memory = disk == 0 ? null : left(NOON);
-        PersistedStateAssessor.TrustedState verdict = PersistedStateAssessor.judge(
+        PersistedStateAssessor.TrustedState verdict = PersistedStateAssessor.assess(
                 disk == 1 ? null : memory,
                 disk == 1 ? "spoilt" : null,
                 disk == 2 ? "b-2@127.0.0.1:2" : "b-1@127.0.0.1:1",
@@ -104,12 +104,12 @@
                 Duration.ZERO,
                 began + set,
                 verdict,
-                RecoverySequence.RecoverySettings.usual(WINDOW),
+                RecoverySequence.RecoverySettings.defaults(WINDOW),
                 true,
                 new SplittableRandom(down));
         answers(order, 0, 1500, began + set, -set, 100, "b-3", "b-4", "b-5");
         assertEquals(RecoverySequence.RecoveryStage.RECONCILED, order.stage());
-        long realFrom = began + order.keyedFrom(ms(1500)).toMillis();
+        long realFrom = began + order.nonIdempotentAdmittedFrom(ms(1500)).toMillis();
         // A clock that is off by under a second is not told apart from the time a message takes.
         long unseen = Math.abs(set) <= 1200 ? Math.max(0, set) : 0;
         assertTrue(
@@ -117,7 +117,7 @@
                 "down " + down + ", begun " + lastBegunAfterMark + " after the mark, set " + set + ", disk " + disk
                         + ": taken from " + (realFrom - NOON) + " after the mark");
         assertTrue(
-                order.keyedFrom(ms(1500)).compareTo(WINDOW.plus(ms(200))) <= 0,
+                order.nonIdempotentAdmittedFrom(ms(1500)).compareTo(WINDOW.plus(ms(200))) <= 0,
                 "and never held longer than a window after the start");
     }
 
@@ -125,16 +125,16 @@
     void aLongOutageHasTheWindowBehindItAndAShortOneWaitsForTheRest() {
         RecoverySequence longOne = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         answers(longOne, 0, 1500, NOON + 60_000, 0, 100, "b-3");
-        assertTrue(longOne.keyedFrom(ms(1500)).isNegative(), "keyed work is taken at once");
-        longOne.fullSpeed(ms(1500));
+        assertTrue(longOne.nonIdempotentAdmittedFrom(ms(1500)).isNegative(), "keyed work is taken at once");
+        longOne.fullSpeedReached(ms(1500));
         assertEquals(RecoverySequence.RecoveryStage.WARM, longOne.stage());
         RecoverySequence shortOne = begin(left(NOON), NOON + 4000, "b-1@127.0.0.1:1");
         answers(shortOne, 0, 1500, NOON + 4000, 0, 100, "b-3");
         assertEquals(
                 ms(3000 + 4000 - 4000 + 100),
-                shortOne.keyedFrom(ms(1500)),
+                shortOne.nonIdempotentAdmittedFrom(ms(1500)),
                 "a mark that reached 3 s ahead, and the window");
-        shortOne.fullSpeed(ms(1500));
+        shortOne.fullSpeedReached(ms(1500));
         assertEquals(RecoverySequence.RecoveryStage.RECONCILED, shortOne.stage(), "not warm while keyed work waits");
     }
 
@@ -142,18 +142,18 @@
     void aloneItServesWhatItSafelyCanAndSaysSo() {
         RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         for (long now = 0; now <= 20_000; now += 50) {
-            assertTrue(order.settle(ms(now)).isEmpty(), "nobody is there to be asked");
-            assertTrue(order.keyedFrom(ms(now)).compareTo(ms(now)) > 0, "keyed work waits");
+            assertTrue(order.dueQueries(ms(now)).isEmpty(), "nobody is there to be asked");
+            assertTrue(order.nonIdempotentAdmittedFrom(ms(now)).compareTo(ms(now)) > 0, "keyed work waits");
         }
         assertEquals(RecoverySequence.RecoveryStage.COLD, order.stage());
-        List<RecoverySequence.RecoveryEvent> steps = order.steps();
+        List<RecoverySequence.RecoveryEvent> steps = order.takeEvents();
         assertEquals(1, steps.size());
         assertTrue(
-                steps.get(0).why().startsWith("no other is reached after 3000 ms"),
-                steps.get(0).why());
+                steps.get(0).description().startsWith("no other is reached after 3000 ms"),
+                steps.get(0).description());
         answers(order, 20_000, 21_500, NOON + 60_000, 0, 100, "b-3");
         assertEquals(RecoverySequence.RecoveryStage.RECONCILED, order.stage(), "the partition is over");
-        assertTrue(order.keyedFrom(ms(21_500)).isNegative());
+        assertTrue(order.nonIdempotentAdmittedFrom(ms(21_500)).isNegative());
     }
 
     @Example
@@ -161,8 +161,8 @@
         RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         int asked = 0;
         for (long now = 0; now < 9000; now += 50) {
-            order.peer(ms(now), "b-3", true);
-            asked += order.settle(ms(now)).size();
+            order.peerStatusChanged(ms(now), "b-3", true);
+            asked += order.dueQueries(ms(now)).size();
             assertTrue(order.stage() == RecoverySequence.RecoveryStage.COLD
                     || order.stage() == RecoverySequence.RecoveryStage.REJOINED);
         }
@@ -174,7 +174,7 @@
     @Example
     void oneThatDiedIsNotWaitedForLongerThanThePatienceWhereMostHaveTold() {
         RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
-        order.peer(ms(0), "b-9", true);
+        order.peerStatusChanged(ms(0), "b-9", true);
         answers(order, 0, 2900, NOON + 60_000, 0, 100, "b-3", "b-4");
         assertEquals(RecoverySequence.RecoveryStage.REJOINED, order.stage());
         answers(order, 2950, 3100, NOON + 60_000, 0, 100, "b-3", "b-4");
@@ -185,33 +185,33 @@
     void anotherUnderItsNameHoldsKeyedWorkUntilItIsSilent() {
         RecoverySequence order = begin(left(NOON), NOON + 60_000, "b-1@127.0.0.1:1");
         answers(order, 0, 1500, NOON + 60_000, 0, 100, "b-3");
-        order.rival(ms(2000));
-        assertTrue(order.keyedFrom(ms(2000)).compareTo(ms(2000)) > 0);
-        order.settle(ms(11_950));
-        assertTrue(order.keyedFrom(ms(11_950)).compareTo(ms(11_950)) > 0);
-        order.settle(ms(12_000));
-        assertTrue(order.keyedFrom(ms(12_000)).isNegative());
+        order.nameConflictObserved(ms(2000));
+        assertTrue(order.nonIdempotentAdmittedFrom(ms(2000)).compareTo(ms(2000)) > 0);
+        order.dueQueries(ms(11_950));
+        assertTrue(order.nonIdempotentAdmittedFrom(ms(11_950)).compareTo(ms(11_950)) > 0);
+        order.dueQueries(ms(12_000));
+        assertTrue(order.nonIdempotentAdmittedFrom(ms(12_000)).isNegative());
     }
 
     @Example
     void anAnswerToNoQuestionChangesNothingAndAGuessOfOthersCountsLeast() {
         RecoverySequence order = begin(null, NOON, "b-1@127.0.0.1:1");
-        order.peer(ms(0), "b-3", true);
-        order.told(
+        order.peerStatusChanged(ms(0), "b-3", true);
+        order.reportReceived(
                 ms(0), NOON, "b-3", 77, new RecoverySequence.PeerReport(NOON, RecoverySequence.RecoveryStage.WARM, 30));
-        order.told(
+        order.reportReceived(
                 ms(0), NOON, "b-8", 77, new RecoverySequence.PeerReport(NOON, RecoverySequence.RecoveryStage.WARM, 30));
-        assertEquals(0, order.counts()[1]);
+        assertEquals(0, order.peerCounts()[1]);
         answers(order, 0, 1500, NOON, 0, 100, "b-3");
-        assertEquals(30, order.capacity());
-        assertEquals(2, order.weight());
+        assertEquals(30, order.capacityEstimate());
+        assertEquals(2, order.estimateWeight());
         PersistedStateAssessor.TrustedState aged =
-                PersistedStateAssessor.judge(left(NOON), null, "b-1@127.0.0.1:1", NOON + 600_000);
-        assertEquals(2.0, aged.weight(), 1e-9, "two half-lives after its last note");
+                PersistedStateAssessor.assess(left(NOON), null, "b-1@127.0.0.1:1", NOON + 600_000);
+        assertEquals(2.0, aged.estimateWeight(), 1e-9, "two half-lives after its last note");
         assertEquals(65, aged.incarnation());
         assertEquals(
                 65,
-                PersistedStateAssessor.judge(left(NOON), null, "other@127.0.0.1:1", NOON)
+                PersistedStateAssessor.assess(left(NOON), null, "other@127.0.0.1:1", NOON)
                         .incarnation(),
                 "a floor may be another's");
     }
@@ -256,13 +256,13 @@
                     }
                     PersistedState last = done == 0 ? null : written.get(done - 1);
                     PersistedState next = done < written.size() ? written.get(done) : last;
-                    assertEquals(null, found.spoilt(), "cut " + state.cut() + ", " + state.how());
+                    assertEquals(null, found.corruption(), "cut " + state.cut() + ", " + state.how());
                     assertTrue(
-                            found.memory() == null
+                            found.state() == null
                                     ? last == null
-                                    : found.memory().equals(last)
-                                            || found.memory().equals(next),
-                            "cut " + state.cut() + ", " + state.how() + ": " + found.memory());
+                                    : found.state().equals(last)
+                                            || found.state().equals(next),
+                            "cut " + state.cut() + ", " + state.how() + ": " + found.state());
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
@@ -278,19 +278,19 @@
     @Property(tries = 500, seed = "27")
     void aFlippedBitOrATornFileIsToldAndThrownAway(
             @ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll boolean tear) {
-        byte[] octets = RecoveryFile.text(left(NOON));
+        byte[] octets = RecoveryFile.encode(left(NOON));
         if (tear) {
             octets = java.util.Arrays.copyOf(octets, at % octets.length);
         } else {
             octets[at % octets.length] ^= (byte) (1 << at % 7);
         }
-        RecoveryFile.LoadResult found = RecoveryFile.parsed(octets);
-        assertEquals(null, found.memory());
-        assertTrue(found.spoilt() != null);
+        RecoveryFile.LoadResult found = RecoveryFile.decode(octets);
+        assertEquals(null, found.state());
+        assertTrue(found.corruption() != null);
         PersistedStateAssessor.TrustedState verdict =
-                PersistedStateAssessor.judge(null, found.spoilt(), "b-1@127.0.0.1:1", NOON);
-        assertEquals(PersistedStateAssessor.UNKNOWN, verdict.keyedUntil());
+                PersistedStateAssessor.assess(null, found.corruption(), "b-1@127.0.0.1:1", NOON);
+        assertEquals(PersistedStateAssessor.UNKNOWN, verdict.nonIdempotentUntilUnixMs());
         assertTrue(verdict.findings().stream()
-                .allMatch(finding -> finding.belief() == PersistedStateAssessor.Disposition.THROWN_AWAY));
+                .allMatch(finding -> finding.disposition() == PersistedStateAssessor.Disposition.THROWN_AWAY));
     }
 }
--- a/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -74,21 +74,21 @@
 
     private final RecoveryCoordinator.RecoveringService service = new RecoveryCoordinator.RecoveringService() {
         @Override
-        public void keyed(Duration from, Duration to) {
+        public void admitNonIdempotent(Duration from, Duration to) {
             keyedFrom = from;
             keyedTo = to;
         }
 
         @Override
-        public void guess(double capacity, double completions) {}
+        public void warmStart(double capacity, double completions) {}
 
         @Override
-        public double capacity() {
+        public double learnedCapacity() {
             return 12;
         }
 
         @Override
-        public boolean fullSpeed() {
+        public boolean isAtFullSpeed() {
             return true;
         }
     };
@@ -196,8 +196,8 @@
 
     private PersistedState left(String folder) {
         try {
-            return RecoveryFile.parsed(Files.readAllBytes(root.resolve(folder).resolve(RecoveryFile.FILE)))
-                    .memory();
+            return RecoveryFile.decode(Files.readAllBytes(root.resolve(folder).resolve(RecoveryFile.FILE_NAME)))
+                    .state();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -208,7 +208,7 @@
     }
 
     private String address(RecoveryCoordinator one) {
-        return one.members().views().of(one.members().views().self()).gossip();
+        return one.membership().views().of(one.membership().views().self()).gossip();
     }
 
     @Example
@@ -218,14 +218,14 @@
         BlockingStateDirectory held = held("b");
         RecoveryCoordinator second = make("b", held, List.of(address(first)), service);
         Thread.sleep(600);
-        assertEquals(1, first.members().views().size(), "a has heard of nobody while b's disk is held");
+        assertEquals(1, first.membership().views().size(), "a has heard of nobody while b's disk is held");
         assertEquals(Duration.ZERO, keyedTo, "and b begins no keyed work");
         held.permits.release(1_000_000);
-        until("a hears b", () -> first.members().views().of("b") != null);
-        until("b is warm", () -> second.order().stage() == RecoverySequence.RecoveryStage.WARM);
+        until("a hears b", () -> first.membership().views().of("b") != null);
+        until("b is warm", () -> second.sequence().stage() == RecoverySequence.RecoveryStage.WARM);
         // Noted with the next mark, and read while marks are made.
-        until("whom to ask is noted", () -> left("b").peers().equals(List.of(address(first))));
-        assertTrue(left("b").incarnations() >= first.members().views().of("b").incarnation());
+        until("whom to ask is noted", () -> left("b").peerAddresses().equals(List.of(address(first))));
+        assertTrue(left("b").reservedIncarnation() >= first.membership().views().of("b").incarnation());
     }
 
     @Example
@@ -271,11 +271,11 @@
                 new FileStateDirectory(root.resolve("b1")),
                 List.of(address(first)),
                 RecoveryCoordinator.RecoveringService.NONE);
-        until("b is there", () -> one.order().stage() == RecoverySequence.RecoveryStage.WARM);
+        until("b is there", () -> one.sequence().stage() == RecoverySequence.RecoveryStage.WARM);
         RecoveryCoordinator two =
                 make("b", new FileStateDirectory(root.resolve("b2")), List.of(address(first)), service);
         until("one of them says so", () -> logged("another process lives under this one's name"));
-        assertTrue(one.members().views().rivals() > 1 || two.members().views().rivals() > 1);
+        assertTrue(one.membership().views().rivals() > 1 || two.membership().views().rivals() > 1);
     }
 
     @Example
@@ -288,9 +288,9 @@
         assertEquals(false, ended.get(5, TimeUnit.SECONDS), "the disk hangs");
         held.permits.release(1_000_000);
         end(life);
-        byte[] left = Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE));
+        byte[] left = Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE_NAME));
         Thread.sleep(400);
-        assertArrayEquals(left, Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE)), "four marks later");
+        assertArrayEquals(left, Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE_NAME)), "four marks later");
         assertEquals(999_999, held.permits.availablePermits());
     }
 
@@ -333,9 +333,9 @@
                 } else {
                     until(
                             "a hears this life",
-                            () -> first.members().views().of("b") != null
-                                    && first.members().views().of("b").incarnation() > heard[0]);
-                    heard[0] = first.members().views().of("b").incarnation();
+                            () -> first.membership().views().of("b") != null
+                                    && first.membership().views().of("b").incarnation() > heard[0]);
+                    heard[0] = first.membership().views().of("b").incarnation();
                 }
                 end(its);
                 held.close();
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -90,11 +90,11 @@
 
     private record Replica(RecoveryCoordinator recovery, ReplicationTransport transport) {
         String name() {
-            return recovery.members().views().self();
+            return recovery.membership().views().self();
         }
 
         String address() {
-            return recovery.members().views().of(name()).gossip();
+            return recovery.membership().views().of(name()).gossip();
         }
     }
 
@@ -119,7 +119,7 @@
                         "-",
                         seeds,
                         "a-secret-of-16-or-more"),
-                RecoverySequence.RecoverySettings.usual(Duration.ofSeconds(1)),
+                RecoverySequence.RecoverySettings.defaults(Duration.ofSeconds(1)),
                 Duration.ofMillis(100),
                 3,
                 System::currentTimeMillis,
