--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -5,12 +5,14 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
+import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.QuotaDemand;
 import merlinlever.core.Backend;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
 import merlinlever.quota.net.QuotaTransport;
 import merlinlever.recovery.net.RecoveryCoordinator;
@@ -26,7 +28,7 @@
  * What one backend decides and shares with the others of its fleet: leader election, the membership view, the replicated store and
  * fleet quotas. Loaded only where the configuration names {@code recovery.voters} or quotas. Runs on the event loop.
  */
-final class FleetAssembly implements QuotaCoordinator.QuotaConsumer {
+final class FleetAssembly implements QuotaConsumer {
 
     private static final String DEFAULT_LEASE = "2s";
     private static final double DEFAULT_CLOCK_DRIFT = 0.01;
@@ -77,7 +79,27 @@
         quotas = configuredQuotas.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new QuotaTransport(
-                        loop, recovery, configuredQuotas, election, view.seen(), incarnation, seed, this, log));
+                        loop, recovery, coordinator(recovery, configuredQuotas, election, incarnation, seed, log)));
+    }
+
+    private QuotaCoordinator coordinator(
+            RecoveryCoordinator recovery,
+            List<FleetQuota> configuredQuotas,
+            ElectionTransport election,
+            long incarnation,
+            long seed,
+            Consumer<String> log) {
+        QuotaCoordinator coordinator = new QuotaCoordinator(
+                loop.clock().uptime(),
+                recovery.membership().views().self(),
+                incarnation,
+                configuredQuotas,
+                election.terms(),
+                new SplittableRandom(seed),
+                this,
+                log);
+        coordinator.restrictTo(view.seen());
+        return coordinator;
     }
 
     private List<FleetQuota> quotas(ConfigurationValues values) throws InvalidConfigurationException {
@@ -97,17 +119,17 @@
     }
 
     @Override
-    public long[] demand(Duration now, FleetQuota quota) {
-        QuotaDemand demand = backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.limitedResource()));
-        return new long[] {demand.inUse(), demand.wanted()};
+    public QuotaDemand demand(Duration now, FleetQuota quota) {
+        return backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.limitedResource()));
     }
 
     @Override
-    public void setAllowance(FleetQuota quota, long share, Duration until) {
-        boolean limitsCallsInFlight = quota.limitedResource().equals("calls") && quota.kind() == FleetQuota.QuotaKind.CONCURRENT;
+    public void setAllowance(FleetQuota quota, long amount, Duration until) {
+        boolean limitsCallsInFlight =
+                quota.limitedResource().equals("calls") && quota.kind() == FleetQuota.QuotaKind.CONCURRENT;
         backend.setQuota(
                 backend.priorityClassIndex(quota.limitedResource()),
-                share,
+                amount,
                 quota.kind() == FleetQuota.QuotaKind.PER_SECOND,
                 sinceModuleStart(until),
                 limitsCallsInFlight ? quota.maxCallDuration() : null);
@@ -120,6 +142,7 @@
     /** Further members of the JSON object of the status page, each after a comma. */
     String statusJsonMembers() {
         return ",\"view\":" + view.json() + ",\"shared\":" + replication.statusJson()
-                + quotas.map(transport -> ",\"budgets\":" + transport.statusJson()).orElse("");
+                + quotas.map(transport -> ",\"budgets\":" + transport.statusJson())
+                        .orElse("");
     }
 }
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -15,7 +15,9 @@
 import merlinlever.membership.MembershipTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.policy.ControllerMetrics;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.net.NodeSettings;
+import merlinlever.recovery.net.RecoveringService;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.StateDirectories;
 
@@ -24,7 +26,7 @@
  * configured the rest of the fleet ({@link FleetAssembly}). Loaded only where the configuration has {@code recovery}; the users'
  * platform has neither. Runs on the event loop.
  */
-final class RecoveryAssembly implements RecoveryCoordinator.RecoveringService, RecoveryParticipation {
+final class RecoveryAssembly implements RecoveringService, RecoveryParticipation {
 
     private static final String PREFIX = "recovery.";
     private static final List<String> KNOWN_NAMES = List.of(
@@ -56,19 +58,18 @@
         ConfigurationValues values = configuration.values();
         checkNames(values);
         List<String> seeds = seeds(values);
-        String advertisedAddress = advertisedAddress(values);
+        Optional<String> advertisedAddress = advertisedAddress(values);
         String name = values.text("name", "");
         if (!name.matches("[!-~]{1,40}")) {
             throw new InvalidConfigurationException(
                     "with recovery the configuration's name has 1 to 40 printable characters");
         }
-        RecoverySequence.RecoverySettings settings = settings(values, configuration.settings());
-        Duration persistPeriod = period(values, "mark-ms", DEFAULT_PERSIST_PERIOD);
+        RecoverySettings settings = settings(values, configuration.settings());
         Consumer<String> recoveryLog = line -> log.info("recovery: " + line);
         coordinator = new RecoveryCoordinator(
                 loop,
                 StateDirectories.open(Path.of(values.text(PREFIX + "state", "")), System.getenv()),
-                new RecoveryCoordinator.NodeSettings(
+                new NodeSettings(
                         name,
                         values.address(PREFIX + "listen"),
                         advertisedAddress,
@@ -76,7 +77,6 @@
                         seeds,
                         secret(values)),
                 settings,
-                persistPeriod,
                 configuration.seed(),
                 System::currentTimeMillis,
                 this,
@@ -112,26 +112,27 @@
         return seeds;
     }
 
-    private static String advertisedAddress(ConfigurationValues values) throws InvalidConfigurationException {
+    private static Optional<String> advertisedAddress(ConfigurationValues values) throws InvalidConfigurationException {
         String text = values.text(PREFIX + "advertise", null);
         if (text != null && MembershipTransport.address(text) == null) {
             throw new InvalidConfigurationException(
                     "the configuration's recovery.advertise is no ADDRESS:PORT: " + text);
         }
-        return text;
+        return Optional.ofNullable(text);
     }
 
-    private static RecoverySequence.RecoverySettings settings(
-            ConfigurationValues values, Map<String, String> moduleSettings) throws InvalidConfigurationException {
-        RecoverySequence.RecoverySettings defaults =
-                RecoverySequence.RecoverySettings.defaults(idempotencyWindow(moduleSettings));
-        return new RecoverySequence.RecoverySettings(
+    private static RecoverySettings settings(ConfigurationValues values, Map<String, String> moduleSettings)
+            throws InvalidConfigurationException {
+        RecoverySettings defaults =
+                RecoverySettings.defaults(idempotencyWindow(moduleSettings), DEFAULT_PERSIST_PERIOD);
+        return new RecoverySettings(
                 period(values, "patience-ms", defaults.answerTimeout()),
                 period(values, "spread-ms", defaults.firstQuerySpread()),
                 defaults.initialRetryDelay(),
                 defaults.maxRetryDelay(),
                 defaults.idempotencyWindow(),
-                defaults.maxPeersQueried());
+                defaults.maxPeersQueried(),
+                period(values, "mark-ms", defaults.reservationInterval()));
     }
 
     /** The time in which a duplicate of a request with an idempotency key may come, the longest of all priority classes. */
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -6,6 +6,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.cli.ServiceRunner;
 import merlinlever.config.ConfigFile;
@@ -19,7 +20,9 @@
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
 import merlinlever.net.SocketAddresses;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.net.NodeSettings;
+import merlinlever.recovery.net.RecoveringService;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.StateDirectories;
 import merlinlever.storage.StateDirectory;
@@ -130,10 +133,10 @@
         }
         // Others send to the advertised address, which differs where something stands between, such as the fault
         // harness.
-        RecoveryCoordinator.NodeSettings node = new RecoveryCoordinator.NodeSettings(
+        NodeSettings node = new NodeSettings(
                 config.text("name", ""),
                 address(config, "members.listen"),
-                config.has("members.advertise") ? config.text("members.advertise", "") : null,
+                config.has("members.advertise") ? Optional.of(config.text("members.advertise", "")) : Optional.empty(),
                 apiAddress,
                 config.textList("members.seeds"),
                 secret);
@@ -141,11 +144,10 @@
                 loop,
                 state,
                 node,
-                RecoverySequence.RecoverySettings.defaults(Duration.ZERO),
-                Duration.ZERO,
+                RecoverySettings.defaults(Duration.ZERO, Duration.ZERO),
                 seed,
                 System::currentTimeMillis,
-                RecoveryCoordinator.RecoveringService.NONE,
+                RecoveringService.NONE,
                 line -> LOG.info("{}", line));
     }
 
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -5,9 +5,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import merlinlever.host.disk.InstanceLedger;
+import merlinlever.recovery.Finding;
+import merlinlever.recovery.LoadedState;
+import merlinlever.recovery.PersistedState;
 import merlinlever.recovery.PersistedStateAssessor;
+import merlinlever.recovery.TrustedState;
 import merlinlever.recovery.disk.RecoveryFile;
 import merlinlever.storage.FileStateDirectory;
 import merlinlever.storage.StateDirectory;
@@ -94,20 +99,16 @@
     }
 
     private boolean assessState(StateDirectory directory) throws IOException {
-        RecoveryFile.LoadResult loaded = new RecoveryFile(directory).read();
-        String owner = expectedOwner;
-        if (owner == null && loaded.state() != null) {
-            owner = loaded.state().owner();
-        }
-        PersistedStateAssessor.TrustedState assessment =
-                PersistedStateAssessor.assess(loaded.state(), loaded.corruption(), owner, System.currentTimeMillis());
-        if (loaded.state() != null) {
-            out().println("  owner: " + loaded.state().owner());
-        }
+        LoadedState loaded = new RecoveryFile(directory).read();
+        Optional<String> writer = loaded.state().map(PersistedState::owner);
+        // Without a state there is no owner to compare with.
+        String owner = Optional.ofNullable(expectedOwner).or(() -> writer).orElse("");
+        TrustedState trusted = PersistedStateAssessor.assess(loaded, owner, System.currentTimeMillis());
+        writer.ifPresent(name -> out().println("  owner: " + name));
         boolean isTrusted = true;
-        for (PersistedStateAssessor.Finding finding : assessment.findings()) {
+        for (Finding finding : trusted.findings()) {
             out().println("  " + finding.describe());
-            isTrusted &= finding.disposition() != PersistedStateAssessor.Disposition.THROWN_AWAY;
+            isTrusted &= finding.disposition() != Finding.Disposition.DISCARDED;
         }
         return isTrusted;
     }
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/faults/PowerLoss.java
@@ -9,6 +9,7 @@
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -233,20 +234,11 @@
             case CLOCK_BACK -> {
                 for (int i : who) {
                     Path each = fleet.state(i).resolve(RecoveryFile.FILE_NAME);
-                    PersistedState left = Files.exists(each)
+                    Optional<PersistedState> left = Files.exists(each)
                             ? RecoveryFile.decode(Files.readAllBytes(each)).state()
-                            : null;
-                    if (left != null) {
-                        Files.write(
-                                each,
-                                RecoveryFile.encode(new PersistedState(
-                                        left.owner(),
-                                        left.reservedIncarnation(),
-                                        left.highestTerm(),
-                                        left.nonIdempotentUntilUnixMs() + 30_000,
-                                        left.writtenAtUnixMs() + 30_000,
-                                        left.learnedCapacity(),
-                                        left.peerAddresses())));
+                            : Optional.empty();
+                    if (left.isPresent()) {
+                        Files.write(each, RecoveryFile.encode(later(left.get(), 30_000)));
                     }
                 }
             }
@@ -254,6 +246,18 @@
         }
     }
 
+    /** As if the state had been written that much later: the clock went back across the outage. */
+    private static PersistedState later(PersistedState state, long ms) {
+        return new PersistedState(
+                state.owner(),
+                state.reservedIncarnation(),
+                state.highestTerm(),
+                state.nonIdempotentUntilUnixMs() + ms,
+                state.writtenAtUnixMs() + ms,
+                state.learnedCapacity(),
+                state.peerAddresses());
+    }
+
     /** When all of them have served something since the moment, and keyed work too; null for what took too long. */
     private Duration[] served(List<Integer> who, Duration since, List<String> breaches) throws InterruptedException {
         Duration[] at = new Duration[2];
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -8,8 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import merlinlever.QuotaDemand;
 import merlinlever.election.LeaderElection;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
 
 /**
@@ -106,10 +108,10 @@
                 List.of(budget),
                 terms[i],
                 chance.split(),
-                new QuotaCoordinator.QuotaConsumer() {
+                new QuotaConsumer() {
                     @Override
-                    public long[] demand(Duration at, FleetQuota of) {
-                        return new long[] {0, wanted[who][0]};
+                    public QuotaDemand demand(Duration at, FleetQuota of) {
+                        return new QuotaDemand(0, wanted[who][0]);
                     }
 
                     @Override
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -7,9 +7,11 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import merlinlever.QuotaDemand;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
 
 /** Leadership and one budget in a play. */
@@ -80,10 +82,10 @@
                 List.of(BUDGET),
                 terms,
                 born.chance().split(),
-                new QuotaCoordinator.QuotaConsumer() {
+                new QuotaConsumer() {
                     @Override
-                    public long[] demand(Duration now, FleetQuota budget) {
-                        return new long[] {0, wants};
+                    public QuotaDemand demand(Duration now, FleetQuota budget) {
+                        return new QuotaDemand(0, wants);
                     }
 
                     @Override
--- a/src/main/java/merlinlever/measure/RecoveryMeasurement.java
+++ b/src/main/java/merlinlever/measure/RecoveryMeasurement.java
@@ -7,6 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import merlinlever.faults.AgentFleet;
 import merlinlever.faults.PowerLoss;
 import merlinlever.faults.ServeFleet;
@@ -125,15 +127,18 @@
         }
     }
 
+    private static final Pattern STATE_FOUND =
+            Pattern.compile("recovery: recovery-state-found piece=(?<piece>\\S+) disposition=(?<disposition>\\S+) ");
+
     /** From the logs: each piece with what became of it, and at how many starts. */
     private static String thrownAway(ServeFleet fleet) throws IOException {
         TreeMap<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < fleet.count(); i++) {
             for (String line : Files.readAllLines(fleet.processes().log(fleet.name(i)))) {
-                int at = line.indexOf("recovery: found ");
-                if (at >= 0) {
-                    String rest = line.substring(at + 16);
-                    counts.merge(rest.substring(0, rest.indexOf(',')), 1, Integer::sum);
+                Matcher found = STATE_FOUND.matcher(line);
+                if (found.find()) {
+                    String piece = found.group("piece") + ": " + found.group("disposition");
+                    counts.merge(piece.replace('-', ' '), 1, Integer::sum);
                 }
             }
         }
--- a/src/main/java/merlinlever/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/quota/FleetQuota.java
@@ -5,15 +5,16 @@
 import merlinlever.election.ClockDrift;
 
 /**
- * One limit of the whole fleet, as it is stated.
+ * A limit that all backends of a fleet keep to together, as configured.
  *
- * @param limitedResource calls, or the tariff whose runs are meant
- * @param limit never more than this, in any second or at any moment
- * @param kind what it counts
- * @param leaseDuration a share is spent for so long after it was asked for
- * @param maxClockDrift clocks of two machines run apart by this part at the most
- * @param maxCallDuration of one call, for a budget of calls at once: one that outlives its share is given up by then
- * @param weightsByBackend by the name of a backend; 1 where none is stated
+ * @param name the name of the quota
+ * @param limitedResource {@code calls} for calls to the shared dependency, or the priority class whose requests are limited
+ * @param limit the most that all may use together, in any second or at any moment
+ * @param kind what the limit counts
+ * @param leaseDuration how long a backend may spend a lease after it requested it
+ * @param maxClockDrift the rates of two machines' clocks differ by this part at most
+ * @param maxCallDuration of one call where the limit is on concurrent calls: one that outlives its lease is given up by then
+ * @param weightsByBackend by the name of the backend; 1 where none is configured
  */
 public record FleetQuota(
         String name,
@@ -25,8 +26,11 @@
         Duration maxCallDuration,
         Map<String, Integer> weightsByBackend) {
 
+    /** What the limit of a quota counts. */
     public enum QuotaKind {
+        /** Calls begun in any second. */
         PER_SECOND,
+        /** Calls in flight at any moment. */
         CONCURRENT
     }
 
@@ -34,25 +38,31 @@
         weightsByBackend = Map.copyOf(weightsByBackend);
     }
 
-    public int weightOf(String holder) {
-        return weightsByBackend.getOrDefault(holder, 1);
+    /** The weight of the backend in the division of this quota. */
+    public int weightOf(String backend) {
+        return weightsByBackend.getOrDefault(backend, 1);
     }
 
-    /** What was given by a clock that runs fast is out for so long by any other. */
-    public static Duration slowest(Duration span, double drift) {
-        return ClockDrift.slowest(span, drift);
+    /** How long a lease counts as outstanding by the clock of the leader that granted it, the holder's clock being slow. */
+    public Duration leaseDurationAtLeader() {
+        return ClockDrift.slowest(leaseDuration, maxClockDrift);
     }
 
-    /** What may be counted on for the span by a clock that runs slow. */
-    public static Duration surest(Duration span, double drift) {
-        return ClockDrift.surest(span, drift);
+    /** How long a lease may be spent by the clock of its holder, that clock being slow. */
+    public Duration leaseDurationAtHolder() {
+        return ClockDrift.surest(leaseDuration, maxClockDrift);
     }
 
     /**
-     * How long a share that is no longer held counts still: its last calls are in the same second as the first ones of
-     * whoever has it next, or are still at the party.
+     * How long an amount counts as used after its lease ended: its last calls are in the same second as the first ones of the
+     * next holder, or are still in flight.
      */
     public Duration releaseDelay() {
-        return slowest(kind == QuotaKind.PER_SECOND ? Duration.ofSeconds(1) : maxCallDuration, maxClockDrift);
+        Duration lastUse =
+                switch (kind) {
+                    case PER_SECOND -> Duration.ofSeconds(1);
+                    case CONCURRENT -> maxCallDuration;
+                };
+        return ClockDrift.slowest(lastUse, maxClockDrift);
     }
 }
--- a/src/main/java/merlinlever/quota/LeaseLedger.java
+++ b/src/main/java/merlinlever/quota/LeaseLedger.java
@@ -4,170 +4,186 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * A leader's account of one budget: what each life of each backend may hold, at the most, and until when. What it grants
- * beyond what the asker may hold already comes out of what is certainly free; so whatever messages are lost, late or
- * twice, the sum of all that is held is never over the whole. Times are since the process began.
+ * A leader's account of one quota: the most that each incarnation of each backend may hold, and until when. What it grants
+ * beyond what the requester may hold already is taken from what is certainly free; so whatever messages are lost, late or
+ * duplicated, the sum of all that is held never exceeds the limit.
+ *
+ * <p>Not thread-safe; durations are since the process began.
  */
 public final class LeaseLedger {
 
-    /**
-     * What a backend asks with.
-     *
-     * @param holder its name
-     * @param incarnation a number of its own life, which no other life of it has
-     * @param held what it holds at this moment, by the grant of that number (0: none in this leadership)
-     * @param inUse calls that are out at this moment, for a budget of calls at once
-     */
-    public record LeaseRequest(String holder, long incarnation, long currentGrant, long held, long inUse, long wanted) {}
-
-    /** What was granted, under a number that the asker's next request tells it has. */
-    public record LeaseGrant(long number, long amount) {}
-
-    /** One amount that may be held until then. */
+    /** An amount that its holder may spend until it expires. */
     private static final class IssuedLease {
-        final long number;
+        final long grantNumber;
         final long amount;
-        Duration until;
+        Duration expiresAt;
 
-        IssuedLease(long number, long amount, Duration until) {
-            this.number = number;
+        IssuedLease(long grantNumber, long amount, Duration expiresAt) {
+            this.grantNumber = grantNumber;
             this.amount = amount;
-            this.until = until;
+            this.expiresAt = expiresAt;
+        }
+    }
+
+    /** One incarnation of one backend. */
+    private record HolderId(String backend, long incarnation) implements Comparable<HolderId> {
+        static HolderId of(LeaseRequest request) {
+            return new HolderId(request.holder(), request.incarnation());
+        }
+
+        /** By the text: the order decides who gets the units that are left over after an even division. */
+        @Override
+        public int compareTo(HolderId other) {
+            return toString().compareTo(other.toString());
+        }
+
+        @Override
+        public String toString() {
+            return backend + "#" + incarnation;
         }
     }
 
     private static final class HolderAccount {
-        final List<IssuedLease> out = new ArrayList<>();
+        final List<IssuedLease> leases = new ArrayList<>();
         long wanted;
-        Duration askedAt;
+        Duration lastRequestAt = Duration.ZERO;
 
-        long most() {
-            long most = 0;
-            for (IssuedLease each : out) {
-                most = Math.max(most, each.amount);
-            }
-            return most;
+        /** The most that the holder can spend: it has one of the leases, whichever reached it last. */
+        long maxHeld() {
+            return leases.stream().mapToLong(lease -> lease.amount).max().orElse(0);
         }
     }
 
-    /** Accounts at the most; beyond, nobody new is granted anything. */
+    /** Beyond this number nobody new is granted anything. */
     private static final int MAX_ACCOUNTS = 4096;
+    /** The number of a lease that was not granted here, but found to be held. */
+    private static final long NOT_GRANTED_HERE = 0;
+
+    private FleetQuota quota;
+    /** From then on all leases of earlier leaders have expired. */
+    private final Duration earlierLeasesExpiredAt;
 
-    private FleetQuota budget;
-    /** When every share that leaders before gave has run out. */
-    private final Duration settledAt;
+    private final Map<HolderId, HolderAccount> accounts = new TreeMap<>();
+    private long lastGrantNumber;
+    private int rotation;
 
-    private final Map<String, HolderAccount> accounts = new TreeMap<>();
-    private long numbers;
-    private int turn;
+    /** The ledger of a new leadership, which knows nothing of what was granted before it. */
+    public LeaseLedger(Duration now, FleetQuota quota) {
+        this.quota = quota;
+        earlierLeasesExpiredAt = expiryOfLeaseGrantedAt(now);
+    }
 
-    /** A new leadership knows nothing of what was granted before it. */
-    public LeaseLedger(Duration now, FleetQuota budget) {
-        this.budget = budget;
-        settledAt = now.plus(FleetQuota.slowest(budget.leaseDuration(), budget.maxClockDrift())).plus(budget.releaseDelay());
+    private Duration expiryOfLeaseGrantedAt(Duration now) {
+        return now.plus(quota.leaseDurationAtLeader()).plus(quota.releaseDelay());
     }
 
-    /** The whole was changed; what is out over a smaller one comes back as its leases run out. */
+    /** The quota was changed; what is outstanding above a smaller limit comes back as its leases expire. */
     public void updateQuota(FleetQuota changed) {
-        budget = changed;
+        quota = changed;
     }
 
-    private static String stateKey(LeaseRequest request) {
-        return request.holder() + "#" + request.incarnation();
+    /** The most that all holders together may spend now. */
+    public long outstanding(Duration now) {
+        expire(now);
+        return accounts.values().stream().mapToLong(HolderAccount::maxHeld).sum();
     }
 
     private void expire(Duration now) {
-        accounts.values().forEach(account -> account.out.removeIf(out -> now.compareTo(out.until) >= 0));
-        accounts.values()
-                .removeIf(account ->
-                        account.out.isEmpty() && now.minus(account.askedAt).compareTo(budget.leaseDuration()) >= 0);
+        for (HolderAccount account : accounts.values()) {
+            account.leases.removeIf(lease -> now.compareTo(lease.expiresAt) >= 0);
+        }
+        accounts.values().removeIf(account -> account.leases.isEmpty() && !hasRequestedLately(now, account));
     }
 
-    /** The most that all may hold together now. */
-    public long outstanding(Duration now) {
-        expire(now);
-        return accounts.values().stream().mapToLong(HolderAccount::most).sum();
+    private boolean hasRequestedLately(Duration now, HolderAccount account) {
+        return now.minus(account.lastRequestAt).compareTo(quota.leaseDuration()) < 0;
     }
 
-    /** Answers a request, or null where there is no room for another account. */
-    public LeaseGrant grant(Duration now, LeaseRequest request) {
+    /** Answers a request; empty where there is no room for another account. */
+    public Optional<LeaseGrant> grant(Duration now, LeaseRequest request) {
         expire(now);
-        HolderAccount account = accounts.get(stateKey(request));
+        HolderId holder = HolderId.of(request);
+        HolderAccount account = accounts.get(holder);
         if (account == null) {
             if (accounts.size() >= MAX_ACCOUNTS) {
-                return null;
+                return Optional.empty();
             }
             account = new HolderAccount();
-            accounts.put(stateKey(request), account);
+            accounts.put(holder, account);
         }
-        account.askedAt = now;
+        account.lastRequestAt = now;
         account.wanted = Math.max(0, request.wanted());
-        Duration until =
-                now.plus(FleetQuota.slowest(budget.leaseDuration(), budget.maxClockDrift())).plus(budget.releaseDelay());
-        if (request.currentGrant() == 0 && request.held() > 0 && account.out.isEmpty()) {
-            // By a leader before: it may hold that until its lease runs out, which no leader can have given later than
-            // now.
-            account.out.add(new IssuedLease(0, request.held(), until));
+        recordWhatIsHeld(now, account, request);
+        long amount = Math.min(fairShare(now, holder), maxGrant(now, account, request));
+        LeaseGrant grant = new LeaseGrant(++lastGrantNumber, Math.max(0, amount));
+        account.leases.add(new IssuedLease(grant.number(), grant.amount(), expiryOfLeaseGrantedAt(now)));
+        return Optional.of(grant);
+    }
+
+    /** Takes over from the request which of its leases the holder still has. */
+    private void recordWhatIsHeld(Duration now, HolderAccount account, LeaseRequest request) {
+        if (request.currentGrant() == 0 && request.held() > 0 && account.leases.isEmpty()) {
+            // Granted by an earlier leader, which cannot have granted it later than now.
+            account.leases.add(new IssuedLease(NOT_GRANTED_HERE, request.held(), expiryOfLeaseGrantedAt(now)));
         }
-        // It has a later grant: what it had before counts only as long as its last calls may.
-        for (IssuedLease out : account.out) {
-            if (out.number < request.currentGrant() && out.until.compareTo(now.plus(budget.releaseDelay())) > 0) {
-                out.until = now.plus(budget.releaseDelay());
+        // The holder has a later grant: what it held before counts only as long as its last calls may.
+        Duration released = now.plus(quota.releaseDelay());
+        for (IssuedLease lease : account.leases) {
+            if (lease.grantNumber < request.currentGrant() && lease.expiresAt.compareTo(released) > 0) {
+                lease.expiresAt = released;
             }
         }
-        if (request.inUse() > account.most()) {
-            account.out.add(new IssuedLease(0, request.inUse(), now.plus(budget.releaseDelay())));
+        if (request.inUse() > account.maxHeld()) {
+            account.leases.add(new IssuedLease(NOT_GRANTED_HERE, request.inUse(), released));
         }
-        long others = outstanding(now) - account.most();
-        long free = Math.max(0, budget.limit() - others);
-        // Until all that leaders before gave has run out, nothing is certainly free.
-        long most = now.compareTo(settledAt) < 0 ? Math.min(request.held(), account.most()) : free;
-        long amount = Math.min(fair(now, stateKey(request)), most);
-        LeaseGrant grant = new LeaseGrant(++numbers, Math.max(0, amount));
-        account.out.add(new IssuedLease(grant.number(), grant.amount(), until));
-        return grant;
     }
 
-    /** What the asker would get if all that asked lately were to be given their shares now. */
-    private long fair(Duration now, String key) {
-        List<String> asking = new ArrayList<>();
-        for (Map.Entry<String, HolderAccount> entry : accounts.entrySet()) {
-            if (now.minus(entry.getValue().askedAt).compareTo(budget.leaseDuration()) < 0) {
-                asking.add(entry.getKey());
+    /** The most that can be granted without exceeding the limit, whatever the other holders have. */
+    private long maxGrant(Duration now, HolderAccount account, LeaseRequest request) {
+        long heldByOthers = outstanding(now) - account.maxHeld();
+        boolean earlierLeasesMayBeHeld = now.compareTo(earlierLeasesExpiredAt) < 0;
+        return earlierLeasesMayBeHeld
+                ? Math.min(request.held(), account.maxHeld())
+                : Math.max(0, quota.limit() - heldByOthers);
+    }
+
+    /** What the holder would get if all that requested lately were to be given their shares now. */
+    private long fairShare(Duration now, HolderId holder) {
+        List<HolderId> claimants = new ArrayList<>();
+        List<MaxMinFairAllocation.Claim> claims = new ArrayList<>();
+        accounts.forEach((id, account) -> {
+            if (hasRequestedLately(now, account)) {
+                claimants.add(id);
+                claims.add(new MaxMinFairAllocation.Claim(account.wanted, quota.weightOf(id.backend())));
             }
-        }
-        long[] wanted = new long[asking.size()];
-        int[] weights = new int[asking.size()];
-        for (int i = 0; i < wanted.length; i++) {
-            wanted[i] = accounts.get(asking.get(i)).wanted;
-            weights[i] = budget.weightOf(asking.get(i).substring(0, asking.get(i).lastIndexOf('#')));
-        }
-        return MaxMinFairAllocation.allocate(budget.limit(), wanted, weights, turn)[asking.indexOf(key)];
+        });
+        return MaxMinFairAllocation.allocate(quota.limit(), claims, rotation)[claimants.indexOf(holder)];
     }
 
-    /** What is left over goes to the next ones from here on. */
+    /** Units that are left over after an even division go to the next holders from here on. */
     public void rotateRemainder() {
-        turn++;
+        rotation++;
     }
 
-    /** All that its next steps hang on, for a walk of its states. */
+    /** All that future decisions depend on, for a walk of the states in tests. */
     String stateKey(Duration now) {
         expire(now);
         StringBuilder key = new StringBuilder()
-                .append(numbers)
-                .append(now.compareTo(settledAt) < 0 ? settledAt.minus(now) : "")
-                .append(turn);
+                .append(lastGrantNumber)
+                .append(now.compareTo(earlierLeasesExpiredAt) < 0 ? earlierLeasesExpiredAt.minus(now) : "")
+                .append(rotation);
         accounts.forEach((holder, account) -> {
-            key.append(holder).append(account.wanted).append(now.minus(account.askedAt));
-            account.out.forEach(out -> key.append('/')
-                    .append(out.number)
+            key.append(holder).append(account.wanted).append(now.minus(account.lastRequestAt));
+            account.leases.forEach(lease -> key.append('/')
+                    .append(lease.grantNumber)
                     .append(':')
-                    .append(out.amount)
+                    .append(lease.amount)
                     .append(':')
-                    .append(out.until.minus(now)));
+                    .append(lease.expiresAt.minus(now)));
         });
         return key.toString();
     }
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -3,304 +3,316 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import merlinlever.QuotaDemand;
 import merlinlever.election.LeaderElection;
+import merlinlever.election.LeaderElection.PeerMessage;
 import merlinlever.election.Leadership;
 import merlinlever.view.ActionPermissions;
 import merlinlever.view.FleetView;
 import merlinlever.view.GuardedAction;
 
 /**
- * One backend's part in the division of all budgets: divides where it leads, asks whoever leads for its shares, and tells
- * the spender what it may spend until when. What it says to itself does not leave the process. Decisions alone.
+ * One backend's part in the division of all quotas: it grants leases while it is the leader, requests its own from whoever
+ * leads, and tells the consumer what it may use until when. A leader grants its own leases without messages.
  *
- * <p>Words, each with its number: {@code Q/term/budget/life/grant/held/inUse/wanted} asks for a share, {@code
- * G/term/budget/grant/amount} grants it; who leads is told by a word of {@link LeaderElection}.
+ * <p>Does no I/O; not thread-safe. Durations are since the process began.
  */
 public final class QuotaCoordinator {
 
-    /** Who spends; times are since the process began. */
-    public interface QuotaConsumer {
-        /** What is in use of the budget now, and what would be used if there were more. */
-        long[] demand(Duration now, FleetQuota budget);
+    /** The first fields of the messages that {@link #receive} takes. */
+    public static final Set<String> MESSAGE_TYPES = Set.of(LeaseMessage.Request.TYPE, LeaseMessage.Grant.TYPE);
 
-        /** It may use so much until then. */
-        void setAllowance(FleetQuota budget, long share, Duration until);
-    }
+    /**
+     * A backend requests this part more than it wants, and one: a backend that holds little could not show otherwise that it
+     * wants more.
+     */
+    private static final int EXTRA_DEMAND_DIVISOR = 4;
+    /** Requests are sent so often in the time of a lease. */
+    private static final int REQUESTS_PER_LEASE = 4;
 
-    /** Beyond what is used, so much of it is asked for as well, and one: or nobody who has little could show that it wants more. */
-    private static final int MORE = 4;
+    private static final Duration ROTATION_INTERVAL_WITHOUT_QUOTAS = Duration.ofSeconds(1);
+    private static final long NO_TERM = -1;
 
-    /** First parts of the words that {@link #receive} takes. */
-    public static final Set<String> MESSAGE_TYPES = Set.of("Q", "G");
+    /** One quota and what this backend holds and knows of it. */
+    private static final class QuotaState {
+        FleetQuota quota;
+        final QuotaLease lease;
+        Duration nextRequestAt;
+        boolean wantedSinceRequest;
+        /** Present while this backend is the leader. */
+        Optional<LeaseLedger> ledger = Optional.empty();
+
+        QuotaState(FleetQuota quota, long incarnation, Duration now) {
+            this.quota = quota;
+            lease = new QuotaLease(quota, incarnation);
+            nextRequestAt = now;
+        }
+
+        void update(FleetQuota changed) {
+            quota = changed;
+            lease.updateQuota(changed);
+            ledger.ifPresent(open -> open.updateQuota(changed));
+        }
+
+        Duration requestInterval() {
+            return quota.leaseDuration().dividedBy(REQUESTS_PER_LEASE);
+        }
+    }
 
     private final String self;
-    private final long life;
-    private final List<FleetQuota> budgets;
-    private final List<QuotaLease> holdings = new ArrayList<>();
-    private final Duration[] nextAsk;
-    private final boolean[] used;
-    private final List<LeaseLedger> books = new ArrayList<>();
-    private final LeaderElection terms;
-    private final SplittableRandom chance;
-    private final QuotaConsumer spender;
+    private final long incarnation;
+    private final List<QuotaState> states = new ArrayList<>();
+    private final LeaderElection election;
+    private final SplittableRandom random;
+    private final QuotaConsumer consumer;
     private final Consumer<String> log;
-    private long bookTerm = -1;
-    /** Null where there is no view of the fleet; then terms alone say who may give. */
-    private FleetView seen;
-
-    private Duration nextTurn = Duration.ZERO;
-    private final List<LeaderElection.PeerMessage> out = new ArrayList<>();
+    private final List<PeerMessage> outbox = new ArrayList<>();
+    private long ledgerTerm = NO_TERM;
+    private Duration nextRotationAt = Duration.ZERO;
+    /** Without a view of the fleet the election alone decides who may grant. */
+    private Optional<FleetView> fleetView = Optional.empty();
 
     /**
-     * @param life a number that no other life of this backend has
-     * @param terms who leads; looked at and told by its owner, before this one is looked at
+     * @param self the name of this backend
+     * @param incarnation a number that no other incarnation of this backend has
+     * @param election who leads; advanced by its owner, each time before this coordinator is
      */
     public QuotaCoordinator(
             Duration now,
             String self,
-            long life,
-            List<FleetQuota> budgets,
-            LeaderElection terms,
-            SplittableRandom chance,
-            QuotaConsumer spender,
+            long incarnation,
+            List<FleetQuota> quotas,
+            LeaderElection election,
+            SplittableRandom random,
+            QuotaConsumer consumer,
             Consumer<String> log) {
         this.self = self;
-        this.life = life;
-        this.budgets = new ArrayList<>(budgets);
-        this.terms = terms;
-        this.chance = chance;
-        this.spender = spender;
+        this.incarnation = incarnation;
+        this.election = election;
+        this.random = random;
+        this.consumer = consumer;
         this.log = log;
-        nextAsk = new Duration[budgets.size()];
-        used = new boolean[budgets.size()];
-        for (int i = 0; i < nextAsk.length; i++) {
-            holdings.add(new QuotaLease(budgets.get(i), life));
-            nextAsk[i] = now;
-        }
+        quotas.forEach(quota -> states.add(new QuotaState(quota, incarnation, now)));
     }
 
-    /** From here on it gives shares only while its standing among the others lets it. */
-    public void restrictTo(FleetView with) {
-        seen = with;
+    /** From here on it grants only while the view of the fleet permits it. */
+    public void restrictTo(FleetView view) {
+        fleetView = Optional.of(view);
     }
 
-    /** The wholes were changed; a share over a smaller one is given back as the leases run out. */
+    /** The configured quotas were changed; what is held above a smaller limit is given back as the leases expire. */
     public void updateQuotas(List<FleetQuota> changed) {
-        for (int i = 0; i < budgets.size(); i++) {
-            for (FleetQuota each : changed) {
-                if (each.name().equals(budgets.get(i).name())) {
-                    budgets.set(i, each);
-                    holdings.get(i).updateQuota(each);
-                    if (!books.isEmpty()) {
-                        books.get(i).updateQuota(each);
-                    }
-                }
-            }
+        for (FleetQuota quota : changed) {
+            states.stream()
+                    .filter(state -> state.quota.name().equals(quota.name()))
+                    .forEach(state -> state.update(quota));
         }
     }
 
-    // ---- a look at all
-
-    /** What is to be said now; to be asked for every few ms. */
-    public List<LeaderElection.PeerMessage> tick(Duration now) {
-        Leadership.Leader leader = terms.leader(now);
-        books(now);
-        for (int i = 0; i < budgets.size(); i++) {
-            QuotaLease holding = holdings.get(i);
-            long[] demand = spender.demand(now, budgets.get(i));
-            used[i] |= demand[1] > 0;
-            // One that is out of share and wants some does not wait for its turn as long.
-            boolean wants = demand[1] > holding.available(now);
-            if (now.compareTo(nextAsk[i]) >= 0
-                    || (wants
-                            && now.compareTo(nextAsk[i].minus(
-                                            pause(i).multipliedBy(3).dividedBy(4)))
-                                    >= 0)) {
-                nextAsk[i] = now.plus(pause(i))
-                        .plus(Duration.ofNanos(
-                                chance.nextLong(pause(i).dividedBy(4).toNanos() + 1)));
-                ask(now, i, leader, demand);
-            }
-            spender.setAllowance(budgets.get(i), holding.available(now), holding.expiresAt());
-        }
-        return receive();
+    private Optional<QuotaState> find(String quota) {
+        return states.stream().filter(state -> state.quota.name().equals(quota)).findFirst();
     }
 
-    private void say(String to, long number, String what) {
-        out.add(new LeaderElection.PeerMessage(to, number, what));
+    // ---- requests
+
+    /** Does what is due, and returns the messages to be sent; to be called every few milliseconds. */
+    public List<PeerMessage> tick(Duration now) {
+        Leadership.Leader leader = election.leader(now);
+        updateLedgers(now);
+        for (QuotaState state : states) {
+            QuotaDemand demand = consumer.demand(now, state.quota);
+            state.wantedSinceRequest |= demand.wanted() > 0;
+            if (isRequestDue(now, state, demand)) {
+                Duration interval = state.requestInterval();
+                state.nextRequestAt = now.plus(interval).plus(randomUpTo(interval.dividedBy(4)));
+                request(now, state, Optional.ofNullable(leader), demand);
+            }
+            consumer.setAllowance(state.quota, state.lease.available(now), state.lease.expiresAt());
+        }
+        return takeOutbox();
     }
 
-    private List<LeaderElection.PeerMessage> receive() {
-        List<LeaderElection.PeerMessage> all = List.copyOf(out);
-        out.clear();
-        return all;
+    /** A backend that wants more than it holds requests after a quarter of the interval. */
+    private static boolean isRequestDue(Duration now, QuotaState state, QuotaDemand demand) {
+        boolean wantsMore = demand.wanted() > state.lease.available(now);
+        Duration earlier = state.requestInterval().multipliedBy(3).dividedBy(4);
+        Duration dueAt = wantsMore ? state.nextRequestAt.minus(earlier) : state.nextRequestAt;
+        return now.compareTo(dueAt) >= 0;
     }
 
-    private Duration pause(int i) {
-        return budgets.get(i).leaseDuration().dividedBy(4);
+    private Duration randomUpTo(Duration bound) {
+        return Duration.ofNanos(random.nextLong(bound.toNanos() + 1));
     }
 
-    private void ask(Duration now, int i, Leadership.Leader leader, long[] demand) {
-        if (leader == null) {
-            // Any voter may know who leads.
-            String voter = terms.voters().get(chance.nextInt(terms.voters().size()));
-            if (!voter.equals(self)) {
-                say(voter, 0, "Q/0/" + budgets.get(i).name() + "/" + Long.toHexString(life) + "/0/0/0/0");
-            }
+    private void request(Duration now, QuotaState state, Optional<Leadership.Leader> leader, QuotaDemand demand) {
+        if (leader.isEmpty()) {
+            askWhoLeads(state);
             return;
         }
-        long wanted = demand[1] == 0 && !used[i] ? 0 : demand[1] + demand[1] / MORE + 1;
-        QuotaLease.RenewalRequest ask = holdings.get(i)
-                .requestRenewal(
-                        now,
-                        leader.term(),
-                        demand[0],
-                        Math.min(wanted, budgets.get(i).limit()));
-        used[i] = false;
-        if (ask == null) {
-            return;
+        long wanted = Math.min(amountToRequest(state, demand), state.quota.limit());
+        state.wantedSinceRequest = false;
+        long term = leader.get().term();
+        state.lease
+                .requestRenewal(now, term, demand.inUse(), wanted)
+                .ifPresent(renewal -> send(now, state, leader.get(), renewal));
+    }
+
+    private static long amountToRequest(QuotaState state, QuotaDemand demand) {
+        boolean wantsNothing = demand.wanted() == 0 && !state.wantedSinceRequest;
+        return wantsNothing ? 0 : demand.wanted() + demand.wanted() / EXTRA_DEMAND_DIVISOR + 1;
+    }
+
+    /** Any voter may know. */
+    private void askWhoLeads(QuotaState state) {
+        List<String> voters = election.voters();
+        String voter = voters.get(random.nextInt(voters.size()));
+        if (!voter.equals(self)) {
+            send(voter, 0, LeaseMessage.Request.forLeader(state.quota.name(), incarnation));
         }
+    }
+
+    private void send(Duration now, QuotaState state, Leadership.Leader leader, QuotaLease.RenewalRequest renewal) {
+        LeaseMessage.Request request = new LeaseMessage.Request(
+                leader.term(),
+                state.quota.name(),
+                incarnation,
+                renewal.currentGrant(),
+                renewal.held(),
+                renewal.inUse(),
+                renewal.wanted());
         if (leader.name().equals(self)) {
-            LeaseLedger.LeaseGrant grant = grant(
-                    now,
-                    i,
-                    new LeaseLedger.LeaseRequest(self, life, ask.currentGrant(), ask.held(), ask.inUse(), ask.wanted()));
-            if (grant != null) {
-                holdings.get(i).applyGrant(now, leader.term(), ask.number(), grant.number(), grant.amount());
-            }
+            grant(now, state, self, request)
+                    .ifPresent(grant -> state.lease.applyGrant(leader.term(), renewal.correlationId(), grant));
         } else {
-            say(
-                    leader.name(),
-                    ask.number(),
-                    "Q/" + leader.term() + "/" + budgets.get(i).name() + "/" + Long.toHexString(life) + "/"
-                            + ask.currentGrant() + "/" + ask.held() + "/" + ask.inUse() + "/" + ask.wanted());
+            send(leader.name(), renewal.correlationId(), request);
         }
     }
 
-    private LeaseLedger.LeaseGrant grant(Duration now, int budget, LeaseLedger.LeaseRequest request) {
-        boolean may = seen == null || seen.may(now, GuardedAction.GRANT) == ActionPermissions.Permission.YES;
-        return books.isEmpty() || !may ? null : books.get(budget).grant(now, request);
+    private void send(String recipient, long correlationId, LeaseMessage message) {
+        outbox.add(new PeerMessage(recipient, correlationId, message.encode()));
     }
 
-    /** A leadership begins with books that know nothing of the one before. */
-    private void books(Duration now) {
-        if (!terms.leads(now)) {
-            books.clear();
-            bookTerm = -1;
+    private List<PeerMessage> takeOutbox() {
+        List<PeerMessage> taken = List.copyOf(outbox);
+        outbox.clear();
+        return taken;
+    }
+
+    // ---- grants
+
+    /** A leadership begins with ledgers that know nothing of the one before. */
+    private void updateLedgers(Duration now) {
+        if (!election.leads(now)) {
+            states.forEach(state -> state.ledger = Optional.empty());
+            ledgerTerm = NO_TERM;
             return;
         }
-        if (bookTerm != terms.term()) {
-            bookTerm = terms.term();
-            books.clear();
-            budgets.forEach(budget -> books.add(new LeaseLedger(now, budget)));
-            log.accept("budgets: leads, term " + bookTerm);
+        if (ledgerTerm != election.term()) {
+            ledgerTerm = election.term();
+            states.forEach(state -> state.ledger = Optional.of(new LeaseLedger(now, state.quota)));
+            log.accept("quota-leadership-started term=" + ledgerTerm);
         }
-        if (now.compareTo(nextTurn) >= 0) {
-            nextTurn = now.plus(
-                    budgets.isEmpty() ? Duration.ofSeconds(1) : budgets.get(0).leaseDuration());
-            books.forEach(LeaseLedger::rotateRemainder);
+        if (now.compareTo(nextRotationAt) >= 0) {
+            Duration interval = states.isEmpty()
+                    ? ROTATION_INTERVAL_WITHOUT_QUOTAS
+                    : states.get(0).quota.leaseDuration();
+            nextRotationAt = now.plus(interval);
+            states.forEach(state -> state.ledger.ifPresent(LeaseLedger::rotateRemainder));
         }
     }
 
-    // ---- what others say
-
-    /** Another said that, one of {@link #MESSAGE_TYPES}; returns what is said to it. */
-    public List<LeaderElection.PeerMessage> receive(Duration now, String name, long number, String what) {
-        String[] part = what.split("/");
-        try {
-            switch (part[0]) {
-                case "Q" -> asked(now, name, number, part);
-                case "G" -> {
-                    int i = index(part[2]);
-                    long term = Long.parseLong(part[1]);
-                    if (i >= 0
-                            && holdings.get(i)
-                                    .applyGrant(now, term, number, Long.parseLong(part[3]), Long.parseLong(part[4]))) {
-                        terms.heardLeader(now, name, term);
-                    }
-                }
-                default -> log.accept("budgets: " + name + " said what is not understood: " + what);
-            }
-        } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("budgets: " + name + " said what is not understood: " + what);
+    private Optional<LeaseGrant> grant(Duration now, QuotaState state, String holder, LeaseMessage.Request message) {
+        boolean permitted = fleetView
+                .map(view -> view.may(now, GuardedAction.GRANT) == ActionPermissions.Permission.YES)
+                .orElse(true);
+        if (!permitted) {
+            return Optional.empty();
         }
-        return receive();
+        LeaseRequest request = new LeaseRequest(
+                holder,
+                message.incarnation(),
+                message.currentGrant(),
+                message.held(),
+                message.inUse(),
+                message.wanted());
+        return state.ledger.flatMap(ledger -> ledger.grant(now, request));
     }
 
-    private int index(String budget) {
-        for (int i = 0; i < budgets.size(); i++) {
-            if (budgets.get(i).name().equals(budget)) {
-                return i;
+    // ---- messages from peers
+
+    /** A peer sent a message of one of the {@link #MESSAGE_TYPES}; returns the messages to be sent to it. */
+    public List<PeerMessage> receive(Duration now, String sender, long correlationId, String text) {
+        try {
+            LeaseMessage message = LeaseMessage.decode(text);
+            if (message instanceof LeaseMessage.Request request) {
+                requestReceived(now, sender, correlationId, request);
+            } else if (message instanceof LeaseMessage.Grant grant) {
+                grantReceived(now, sender, correlationId, grant);
             }
+        } catch (IllegalArgumentException e) {
+            log.accept("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
         }
-        return -1;
+        return takeOutbox();
     }
 
-    private void asked(Duration now, String name, long number, String[] part) {
-        Leadership.Leader leader = terms.leader(now);
-        books(now);
-        if (leader == null || books.isEmpty() || Long.parseLong(part[1]) != bookTerm) {
-            if (leader != null) {
-                say(name, 0, terms.toldWho(now));
-            }
+    private void requestReceived(Duration now, String sender, long correlationId, LeaseMessage.Request request) {
+        Leadership.Leader leader = election.leader(now);
+        updateLedgers(now);
+        if (leader == null) {
             return;
         }
-        int i = index(part[2]);
-        if (i < 0) {
+        if (ledgerTerm == NO_TERM || request.term() != ledgerTerm) {
+            outbox.add(new PeerMessage(sender, 0, election.toldWho(now)));
             return;
         }
-        LeaseLedger.LeaseGrant grant = grant(
-                now,
-                i,
-                new LeaseLedger.LeaseRequest(
-                        name,
-                        Long.parseUnsignedLong(part[3], 16),
-                        Long.parseLong(part[4]),
-                        Long.parseLong(part[5]),
-                        Long.parseLong(part[6]),
-                        Long.parseLong(part[7])));
-        if (grant != null) {
-            say(name, number, "G/" + bookTerm + "/" + part[2] + "/" + grant.number() + "/" + grant.amount());
+        find(request.quota())
+                .flatMap(state -> grant(now, state, sender, request))
+                .ifPresent(grant ->
+                        send(sender, correlationId, new LeaseMessage.Grant(ledgerTerm, request.quota(), grant)));
+    }
+
+    private void grantReceived(Duration now, String sender, long correlationId, LeaseMessage.Grant message) {
+        boolean accepted = find(message.quota())
+                .map(state -> state.lease.applyGrant(message.term(), correlationId, message.grant()))
+                .orElse(false);
+        if (accepted) {
+            election.heardLeader(now, sender, message.term());
         }
     }
 
-    /** Its share of a budget now. */
-    public long available(Duration now, int budget) {
-        return holdings.get(budget).available(now);
+    // ---- status
+
+    /** What may be spent of the quota of that index now. */
+    public long available(Duration now, int index) {
+        return states.get(index).lease.available(now);
     }
 
+    /** Whether this backend divides the quotas. */
     public boolean isLeader(Duration now) {
-        return terms.leads(now);
+        return election.leads(now);
     }
 
-    /** Each budget with its share, as a JSON array. */
+    /** Each quota with what this backend holds of it, as a JSON array. */
     public String statusJson(Duration now) {
-        StringBuilder text = new StringBuilder("[");
-        Leadership.Leader leader = terms.leader(now);
-        for (int i = 0; i < budgets.size(); i++) {
-            QuotaLease holding = holdings.get(i);
-            text.append(i == 0 ? "" : ",")
-                    .append("{\"name\":\"")
-                    .append(budgets.get(i).name())
-                    .append("\",\"whole\":")
-                    .append(budgets.get(i).limit())
-                    .append(",\"share\":")
-                    .append(holding.available(now))
-                    .append(",\"left_ms\":")
-                    .append(Math.max(0, holding.expiresAt().minus(now).toMillis()))
-                    .append(",\"in_use\":")
-                    .append(spender.demand(now, budgets.get(i))[0])
-                    .append(",\"leader\":\"")
-                    .append(leader == null ? "" : leader.name())
-                    .append("\",\"term\":")
-                    .append(leader == null ? 0 : leader.term())
-                    .append(",\"out\":")
-                    .append(books.isEmpty() ? -1 : books.get(i).outstanding(now))
-                    .append('}');
+        List<String> objects = new ArrayList<>();
+        Optional<Leadership.Leader> leader = Optional.ofNullable(election.leader(now));
+        for (QuotaState state : states) {
+            long remainingMs = Math.max(0, state.lease.expiresAt().minus(now).toMillis());
+            objects.add("{\"name\":\"" + state.quota.name()
+                    + "\",\"whole\":" + state.quota.limit()
+                    + ",\"share\":" + state.lease.available(now)
+                    + ",\"left_ms\":" + remainingMs
+                    + ",\"in_use\":" + consumer.demand(now, state.quota).inUse()
+                    + ",\"leader\":\"" + leader.map(Leadership.Leader::name).orElse("")
+                    + "\",\"term\":" + leader.map(Leadership.Leader::term).orElse(0L)
+                    + ",\"out\":"
+                    + state.ledger.map(ledger -> ledger.outstanding(now)).orElse(-1L)
+                    + "}");
         }
-        return text.append(']').toString();
+        return "[" + String.join(",", objects) + "]";
     }
 }
--- a/src/main/java/merlinlever/quota/QuotaLease.java
+++ b/src/main/java/merlinlever/quota/QuotaLease.java
@@ -1,83 +1,107 @@
 package merlinlever.quota;
 
 import java.time.Duration;
+import java.util.Optional;
 
 /**
- * One backend's share of one budget. It is spent for a lease from the moment at which it was asked for, less what clocks
- * may drift apart, and is nothing after that: a backend that loses contact keeps what it holds until then and never more.
- * Times are since the process began.
+ * What one backend holds of one quota. A lease may be spent for its duration from the moment at which it was requested, less
+ * what clocks may drift apart, and is nothing after that: a backend that loses contact keeps what it holds until then and
+ * never more. Not thread-safe; durations are since the process began.
  */
 public final class QuotaLease {
 
-    /** A question for a share, under a number that the answer has to bear. */
-    public record RenewalRequest(long number, long currentGrant, long held, long inUse, long wanted) {}
+    /**
+     * A request to renew the lease.
+     *
+     * @param correlationId identifies the request; the grant has to carry the same one
+     * @param currentGrant the number of the grant held by, 0 if there is none of this leader
+     * @param held the amount held now
+     * @param inUse calls in flight now
+     * @param wanted the amount that would be used
+     */
+    public record RenewalRequest(long correlationId, long currentGrant, long held, long inUse, long wanted) {}
 
-    private FleetQuota budget;
-    private long number, answered;
-    private Duration askedAt;
-    private long term, grant, amount;
-    private Duration until = Duration.ZERO;
+    private FleetQuota quota;
+    private long lastCorrelationId;
+    private long answeredCorrelationId;
+    private Optional<Duration> requestedAt = Optional.empty();
+    private long term;
+    private long grantNumber;
+    private long amount;
+    private Duration expiresAt = Duration.ZERO;
 
-    /** @param first number of its questions, which no other life of this backend comes near: an old answer is none to it */
-    public QuotaLease(FleetQuota budget, long first) {
-        this.budget = budget;
-        number = first;
-        answered = first;
+    /**
+     * @param firstCorrelationId above it the correlation ids of requests begin; no other incarnation of this backend comes
+     *     near it, so that an old grant is none to this one
+     */
+    public QuotaLease(FleetQuota quota, long firstCorrelationId) {
+        this.quota = quota;
+        lastCorrelationId = firstCorrelationId;
+        answeredCorrelationId = firstCorrelationId;
     }
 
+    /** The quota that this is a lease of. */
     public FleetQuota quota() {
-        return budget;
+        return quota;
     }
 
-    /** The whole was changed. */
+    /** The configuration of the quota was changed. */
     public void updateQuota(FleetQuota changed) {
-        budget = changed;
+        quota = changed;
     }
 
-    /** All that its next steps hang on, for a walk of its states. */
+    /** All that future decisions depend on, for a walk of the states in tests. */
     String stateKey(Duration now) {
-        return number + "," + answered + "," + (askedAt == null ? "" : now.minus(askedAt)) + "," + term + "," + grant
-                + "," + available(now) + "," + (available(now) == 0 ? "" : until.minus(now));
+        return lastCorrelationId + "," + answeredCorrelationId + ","
+                + requestedAt.map(at -> now.minus(at).toString()).orElse("") + "," + term + ","
+                + grantNumber + "," + available(now) + ","
+                + (available(now) == 0 ? "" : expiresAt.minus(now));
     }
 
-    /** What may be spent now. */
+    /** The amount that may be spent now. */
     public long available(Duration now) {
-        return now.compareTo(until) < 0 ? amount : 0;
+        return now.compareTo(expiresAt) < 0 ? amount : 0;
     }
 
-    /** Until when, unless it is renewed. */
+    /** Until when the amount may be spent, unless the lease is renewed. */
     public Duration expiresAt() {
-        return until;
+        return expiresAt;
     }
 
-    /** Of the leadership whose grant it holds. */
-    public long term() {
-        return term;
-    }
-
-    /** Asks the leader of that term; from here on nothing of an older one is taken. */
-    public RenewalRequest requestRenewal(Duration now, long ofTerm, long inUse, long wanted) {
-        if (ofTerm < term) {
-            return null;
+    /**
+     * Requests a renewal from the leader of that term; from here on no grant of an earlier term is accepted.
+     *
+     * @return the request, empty if a leader of a later term was asked before
+     */
+    public Optional<RenewalRequest> requestRenewal(Duration now, long leaderTerm, long inUse, long wanted) {
+        if (leaderTerm < term) {
+            return Optional.empty();
         }
-        if (ofTerm > term) {
-            term = ofTerm;
-            grant = 0;
+        if (leaderTerm > term) {
+            term = leaderTerm;
+            grantNumber = 0;
         }
-        number++;
-        askedAt = now;
-        return new RenewalRequest(number, grant, available(now), inUse, wanted);
+        lastCorrelationId++;
+        requestedAt = Optional.of(now);
+        return Optional.of(new RenewalRequest(lastCorrelationId, grantNumber, available(now), inUse, wanted));
     }
 
-    /** The answer to the last question; older ones, doubled ones and those of older leaders change nothing. */
-    public boolean applyGrant(Duration now, long ofTerm, long to, long itsNumber, long itsAmount) {
-        if (ofTerm != term || to != number || to <= answered || itsAmount < 0 || itsAmount > budget.limit()) {
+    /**
+     * Accepts the grant that answers the last request. Answers to earlier requests, duplicates, and those of leaders of
+     * earlier terms change nothing.
+     *
+     * @return whether it was accepted
+     */
+    public boolean applyGrant(long leaderTerm, long correlationId, LeaseGrant grant) {
+        boolean isAnswerToLastRequest =
+                leaderTerm == term && correlationId == lastCorrelationId && correlationId > answeredCorrelationId;
+        if (!isAnswerToLastRequest || grant.amount() < 0 || grant.amount() > quota.limit()) {
             return false;
         }
-        answered = to;
-        grant = itsNumber;
-        amount = itsAmount;
-        until = askedAt.plus(FleetQuota.surest(budget.leaseDuration(), budget.maxClockDrift()));
+        answeredCorrelationId = correlationId;
+        grantNumber = grant.number();
+        amount = grant.amount();
+        expiresAt = requestedAt.orElseThrow().plus(quota.leaseDurationAtHolder());
         return true;
     }
 }
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -2,74 +2,56 @@
 
 import java.time.Duration;
 import java.util.List;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.function.Consumer;
-import merlinlever.election.LeaderElection;
-import merlinlever.election.net.ElectionTransport;
+import merlinlever.election.LeaderElection.PeerMessage;
 import merlinlever.membership.SwimProtocol;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
 import merlinlever.recovery.net.RecoveryCoordinator;
-import merlinlever.view.FleetView;
 
-/** One backend's part in the division of all budgets, on the loop and membership's datagrams. */
+/** Carries a {@link QuotaCoordinator}'s messages in membership's datagrams. On the loop's thread. */
 public final class QuotaTransport implements SwimProtocol.TextMessageHandler {
 
-    private static final Set<String> WORDS = Set.of("Q", "G");
-    private static final Duration LOOK = Duration.ofMillis(20);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
     private final EventLoop loop;
-    private final RecoveryCoordinator rejoin;
-    private final QuotaCoordinator sharing;
+    private final RecoveryCoordinator recovery;
+    private final QuotaCoordinator coordinator;
 
-    /** @param life a number that no other life of this backend has */
-    public QuotaTransport(
-            EventLoop loop,
-            RecoveryCoordinator rejoin,
-            List<FleetQuota> budgets,
-            ElectionTransport leading,
-            FleetView seen,
-            long life,
-            long seed,
-            QuotaCoordinator.QuotaConsumer spender,
-            Consumer<String> log) {
+    /** Begins at once. */
+    public QuotaTransport(EventLoop loop, RecoveryCoordinator recovery, QuotaCoordinator coordinator) {
         this.loop = loop;
-        this.rejoin = rejoin;
-        sharing = new QuotaCoordinator(
-                loop.clock().uptime(),
-                rejoin.membership().views().self(),
-                life,
-                budgets,
-                leading.terms(),
-                new SplittableRandom(seed),
-                spender,
-                log);
-        sharing.restrictTo(seen);
-        rejoin.membership().hears(WORDS, this);
-        loop.every(LOOK, () -> say(sharing.tick(loop.clock().uptime())));
+        this.recovery = recovery;
+        this.coordinator = coordinator;
+        recovery.membership().hears(QuotaCoordinator.MESSAGE_TYPES, this);
+        loop.every(TICK_INTERVAL, () -> send(coordinator.tick(now())));
     }
 
-    private void say(List<LeaderElection.PeerMessage> all) {
-        all.forEach(each -> rejoin.membership().say(each.to(), each.number(), each.what()));
-        if (!all.isEmpty()) {
-            rejoin.flush();
+    private Duration now() {
+        return loop.clock().uptime();
+    }
+
+    private void send(List<PeerMessage> messages) {
+        for (PeerMessage message : messages) {
+            recovery.membership().say(message.to(), message.number(), message.what());
+        }
+        if (!messages.isEmpty()) {
+            recovery.flush();
         }
     }
 
     @Override
-    public void said(String name, long number, String what) {
-        say(sharing.receive(loop.clock().uptime(), name, number, what));
+    public void said(String sender, long correlationId, String text) {
+        send(coordinator.receive(now(), sender, correlationId, text));
     }
 
     /** See {@link QuotaCoordinator#updateQuotas}. */
     public void updateQuotas(List<FleetQuota> changed) {
-        sharing.updateQuotas(changed);
+        coordinator.updateQuotas(changed);
     }
 
     /** See {@link QuotaCoordinator#statusJson}. */
     public String statusJson() {
-        return sharing.statusJson(loop.clock().uptime());
+        return coordinator.statusJson(now());
     }
 }
--- a/src/main/java/merlinlever/quota/net/package-info.java
+++ b/src/main/java/merlinlever/quota/net/package-info.java
@@ -1,2 +1,2 @@
-/** Budgets among the backends: promises, questions for shares and their answers, over membership's datagrams. */
+/** The exchange of lease requests and grants among the backends, over membership's datagrams. */
 package merlinlever.quota.net;
--- a/src/main/java/merlinlever/quota/package-info.java
+++ b/src/main/java/merlinlever/quota/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Limits of the whole fleet, divided among its backends as leases: who divides ({@link merlinlever.election.Terms}), what
- * each gets ({@link merlinlever.quota.Division}), what may be out at the most ({@link merlinlever.quota.Book}), and what
- * one may spend ({@link merlinlever.quota.Holding}). Decisions alone; {@code net} carries them out.
+ * Limits of the whole fleet, divided among its backends as leases. The elected leader
+ * ({@link merlinlever.election.LeaderElection}) divides each quota ({@link merlinlever.quota.MaxMinFairAllocation}) and keeps
+ * account of what is outstanding ({@link merlinlever.quota.LeaseLedger}); each backend spends what it holds
+ * ({@link merlinlever.quota.QuotaLease}). Decisions only; {@code net} carries them out.
  */
 package merlinlever.quota;
--- a/src/main/java/merlinlever/recovery/PersistedState.java
+++ b/src/main/java/merlinlever/recovery/PersistedState.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * What a process leaves on disk for its next life. Times are of the Unix clock in milliseconds.
+ * The state that a process keeps on disk for its next incarnation. Moments are milliseconds of the Unix clock, as the
+ * monotonic clock does not outlast the process.
  *
- * @param owner whose it is: the name and the address told to the others
- * @param reservedIncarnation up to this one any may have been told to others
- * @param highestTerm the highest that was promised to a leader, a fencing number; it only goes up
- * @param nonIdempotentUntilUnixMs up to then work that must not run twice may have been begun
- * @param writtenAtUnixMs when this was written
- * @param learnedCapacity operations that the hold could take, learned in service; 0 where nothing was learned
- * @param peerAddresses where others were known to listen
+ * @param owner the process that wrote it: its name and the address that it advertises to its peers
+ * @param reservedIncarnation incarnations up to this one may have been sent to peers
+ * @param highestTerm the highest election term that may have been promised to a leader, a fencing token; never decreases
+ * @param nonIdempotentUntilUnixMs non-idempotent requests may have been started up to this moment
+ * @param writtenAtUnixMs when this state was written
+ * @param learnedCapacity requests that the admission queue could hold, learned in service; 0 if nothing was learned
+ * @param peerAddresses where peers were known to listen, {@link #MAX_PEER_ADDRESSES} at most
  */
 public record PersistedState(
         String owner,
@@ -22,7 +23,7 @@
         double learnedCapacity,
         List<String> peerAddresses) {
 
-    /** Of the others so many are remembered; membership brings the rest. */
+    /** Further addresses are dropped: one peer that answers is enough to learn of the others from membership. */
     public static final int MAX_PEER_ADDRESSES = 64;
 
     public PersistedState {
--- a/src/main/java/merlinlever/recovery/RecoverySequence.java
+++ b/src/main/java/merlinlever/recovery/RecoverySequence.java
@@ -2,321 +2,217 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
-import merlinlever.WireNamed;
 
 /**
- * The order in which a process takes up service again: cold, rejoined (it hears others), reconciled (others have told it
- * what they know), warm. Retriable work is taken from the first; keyed work, which must not run twice, only when the
- * process is reconciled and every repeat of what its life before may have begun has run out of its window. Decides whom to
- * ask when; does neither input nor output. Times are since the process began, but where they are called Unix.
+ * Decides in which order a process takes up service after its start ({@link RecoveryStage}) and which peers it queries when.
+ * Idempotent requests are admitted from the first moment. Non-idempotent ones, whose work must not run twice, are admitted
+ * only when the process is reconciled and any duplicate of what its incarnation before may have started has passed out of
+ * the idempotency window.
+ *
+ * <p>Does no I/O; not thread-safe. Moments are durations since the start of the process, except where named Unix.
  */
 public final class RecoverySequence {
 
-    /** How far it has come; it never goes back. */
-    public enum RecoveryStage implements WireNamed {
-        COLD("cold"),
-        REJOINED("rejoined"),
-        RECONCILED("reconciled"),
-        WARM("warm");
-
-        private final String wireName;
-
-        RecoveryStage(String wireName) {
-            this.wireName = wireName;
-        }
-
-        @Override
-        public String wireName() {
-            return wireName;
-        }
-    }
-
     /**
-     * What is stated.
+     * The peers of a sequence.
      *
-     * @param answerTimeout for answers, after which those that came have to do
-     * @param firstQuerySpread the first questions are spread over so long, by chance
-     * @param initialRetryDelay after which an unanswered question is put again; doubled each time up to the longest
-     * @param idempotencyWindow in which a repeat of keyed work may come
-     * @param maxPeersQueried others that are asked, at the most
+     * @param known peers that have been alive at any time
+     * @param reported those of them that have reported
      */
-    public record RecoverySettings(
-            Duration answerTimeout,
-            Duration firstQuerySpread,
-            Duration initialRetryDelay,
-            Duration maxRetryDelay,
-            Duration idempotencyWindow,
-            int maxPeersQueried) {
-        public static RecoverySettings defaults(Duration window) {
-            return new RecoverySettings(
-                    Duration.ofSeconds(3),
-                    Duration.ofMillis(500),
-                    Duration.ofMillis(200),
-                    Duration.ofSeconds(2),
-                    window,
-                    16);
-        }
-    }
-
-    /**
-     * What another told.
-     *
-     * @param unixMs its clock when it told
-     * @param learnedCapacity that it has learned, 0 for none
-     */
-    public record PeerReport(long unixMs, RecoveryStage stage, double learnedCapacity) {}
-
-    /** A question to be put now. */
-    public record PeerQuery(String peer, long correlationId) {}
-
-    /** Something that came to pass, for the log. */
-    public record RecoveryEvent(Duration at, RecoveryStage stage, String description) {}
-
-    /** A repeat may be read so much later than its own time says, and clocks are read one after the other. */
-    private static final Duration SLACK = Duration.ofMillis(100);
-    /** What a clock may differ from another's, beside the time that question and answer took. */
-    private static final Duration SKEW = Duration.ofSeconds(1);
-    /** Questions to one other whose answers still count. */
-    private static final int OUTSTANDING = 16;
-    /** Another life under this one's name counts as there for so long after it was last heard. */
-    private static final Duration RIVAL = Duration.ofSeconds(10);
-
-    private static final class Peer {
-        final LinkedHashMap<Long, Duration> asked = new LinkedHashMap<>();
-        Duration nextAsk;
-        Duration pause;
-        boolean alive;
-        PeerReport told;
-        /** What its clock is ahead of this one's at the least and at the most. */
-        long aheadLeast, aheadMost;
-    }
-
-    private final RecoverySettings stated;
-    private final PersistedStateAssessor.TrustedState verdict;
-    private final Duration began;
-    private final long beganUnix;
-    private final SplittableRandom chance;
-    private final Map<String, Peer> peers = new TreeMap<>();
-    private final List<RecoveryEvent> steps = new ArrayList<>();
-    private long numbers;
+    public record PeerCounts(int known, int reported) {}
+
+    /** A request may be read this much later than its own time says, as clocks are read one after the other. */
+    private static final Duration READ_SLACK = Duration.ofMillis(100);
+    /** Another process under this one's name counts as there for this long after it was last heard. */
+    private static final Duration NAME_CONFLICT_TIMEOUT = Duration.ofSeconds(10);
+    /** Weight of a capacity estimate of peers, in completed requests; less than that of an own estimate. */
+    private static final double PEER_ESTIMATE_WEIGHT = 2;
+    /** Before the process is reconciled, non-idempotent requests are put off by this many retry delays at a time. */
+    private static final int POSTPONE_RETRY_DELAYS = 5;
+
+    private final RecoverySettings settings;
+    private final TrustedState trusted;
+    private final Duration startedAt;
+    private final long startedAtUnixMs;
+    private final PeerReports peers;
+    private final List<RecoveryEvent> events = new ArrayList<>();
     private RecoveryStage stage = RecoveryStage.COLD;
-    private Duration rivalAt;
-    private boolean distrusted, alone;
+    private Optional<Duration> nameConflictAt = Optional.empty();
+    private boolean clockDistrusted;
+    private boolean isolationReported;
 
     /**
-     * @param expected whether there are others to be heard of at all
-     * @param unixNow the Unix clock at {@code now}
+     * @param unixNow the Unix clock at {@code now}, in milliseconds
+     * @param trusted what the process may rely on of the state that its incarnation before left
+     * @param peersExpected whether there are peers to be heard from at all; without, the process is reconciled at once
      */
     public RecoverySequence(
             Duration now,
             long unixNow,
-            PersistedStateAssessor.TrustedState verdict,
-            RecoverySettings stated,
-            boolean expected,
-            SplittableRandom chance) {
-        this.stated = stated;
-        this.verdict = verdict;
-        this.chance = chance;
-        began = now;
-        beganUnix = unixNow;
-        numbers = chance.nextLong() >>> 16;
-        if (!expected) {
-            step(now, RecoveryStage.RECONCILED, "no others are stated");
+            TrustedState trusted,
+            RecoverySettings settings,
+            boolean peersExpected,
+            SplittableRandom random) {
+        this.settings = settings;
+        this.trusted = trusted;
+        startedAt = now;
+        startedAtUnixMs = unixNow;
+        peers = new PeerReports(settings, random);
+        if (!peersExpected) {
+            enter(now, RecoveryStage.RECONCILED, "reason=\"no peers are configured\"");
         }
     }
 
-    private void step(Duration now, RecoveryStage to, String why) {
-        stage = to;
-        steps.add(new RecoveryEvent(now, to, why));
+    private void enter(Duration now, RecoveryStage next, String details) {
+        stage = next;
+        report(now, "recovery-stage-changed", details);
     }
 
-    // ---- what happens
+    private void report(Duration now, String name, String details) {
+        events.add(new RecoveryEvent(now, name, stage, details));
+    }
+
+    // ---- input
 
-    /** Membership holds the other alive, or not. */
+    /** Membership holds the peer alive, or not. */
     public void peerStatusChanged(Duration now, String name, boolean alive) {
-        Peer peer = peers.get(name);
-        if (peer == null) {
-            if (!alive || peers.size() >= stated.maxPeersQueried) {
-                return;
-            }
-            peer = new Peer();
-            peer.nextAsk = now.plus(drawn(stated.firstQuerySpread));
-            peer.pause = stated.initialRetryDelay;
-            peers.put(name, peer);
-        }
-        peer.alive = alive;
+        peers.statusChanged(now, name, alive);
     }
 
-    /** An answer to the question of that number; an answer to none that is out changes nothing. */
-    public void reportReceived(Duration now, long unixNow, String name, long number, PeerReport told) {
-        Peer peer = peers.get(name);
-        Duration asked = peer == null ? null : peer.asked.get(number);
-        if (asked == null) {
-            return;
-        }
-        peer.asked.clear();
-        peer.told = told;
-        long took = now.minus(asked).toMillis();
-        // It told at some time between the question and now.
-        peer.aheadLeast = told.unixMs() - unixNow;
-        peer.aheadMost = peer.aheadLeast + took;
+    /** A peer answered the query of that correlation id; a report that answers no pending query is ignored. */
+    public void reportReceived(Duration now, long unixNow, String name, long correlationId, PeerReport report) {
+        peers.reportReceived(now, unixNow, name, correlationId, report);
     }
 
-    /** Another process tells others that it is this one. */
+    /** Another process claims this one's name. */
     public void nameConflictObserved(Duration now) {
-        if (rivalAt == null) {
-            steps.add(new RecoveryEvent(
-                    now, stage, "another process lives under this one's name; keyed work is held until it is silent"));
+        if (nameConflictAt.isEmpty()) {
+            report(now, "name-conflict-started", "effect=\"non-idempotent requests rejected until it ends\"");
         }
-        rivalAt = now;
+        nameConflictAt = Optional.of(now);
     }
 
-    /** The process says that it is at its full speed. */
+    /** The service is at its full speed. */
     public void fullSpeedReached(Duration now) {
         if (stage == RecoveryStage.RECONCILED && nonIdempotentAdmittedFrom(now).compareTo(now) <= 0) {
-            step(now, RecoveryStage.WARM, "at full speed, keyed work taken");
+            enter(now, RecoveryStage.WARM, "reason=\"at full speed, all requests admitted\"");
         }
     }
 
-    // ---- what is decided
+    // ---- decisions
 
-    /** The questions to be put now. */
+    /** Advances the stage, and returns the queries to be sent now. */
     public List<PeerQuery> dueQueries(Duration now) {
-        List<PeerQuery> asks = new ArrayList<>();
-        if (rivalAt != null && now.minus(rivalAt).compareTo(RIVAL) >= 0) {
-            rivalAt = null;
-            steps.add(new RecoveryEvent(now, stage, "the other process under this one's name is silent"));
-        }
+        expireNameConflict(now);
         if (stage.compareTo(RecoveryStage.RECONCILED) >= 0) {
-            return asks;
+            return List.of();
         }
-        long alive = peers.values().stream().filter(peer -> peer.alive).count();
+        long alive = peers.aliveCount();
         if (stage == RecoveryStage.COLD && alive > 0) {
-            step(now, RecoveryStage.REJOINED, "hears " + alive + " of the others");
+            enter(now, RecoveryStage.REJOINED, "peers_alive=" + alive);
         }
-        boolean waited = now.minus(began).compareTo(stated.answerTimeout) >= 0;
-        if (alive == 0 && waited && !alone) {
-            alone = true;
-            steps.add(new RecoveryEvent(
+        if (alive == 0 && isAnswerTimeoutOver(now) && !isolationReported) {
+            isolationReported = true;
+            report(
                     now,
-                    stage,
-                    "no other is reached after " + stated.answerTimeout.toMillis()
-                            + " ms; retriable work is served, keyed work is turned away until one is"));
+                    "no-peer-reached",
+                    "waited_ms=" + settings.answerTimeout().toMillis()
+                            + " effect=\"only idempotent requests are admitted until a peer is reached\"");
         }
-        long told = peers.values().stream().filter(peer -> peer.told != null).count();
-        if (stage == RecoveryStage.REJOINED && told > 0 && enough(now, told)) {
-            distrusted = clocksDisagree();
-            step(
+        if (stage == RecoveryStage.REJOINED && haveEnoughReported(now)) {
+            clockDistrusted = peers.doMostClocksDiffer();
+            enter(
                     now,
                     RecoveryStage.RECONCILED,
-                    told + " of " + peers.size() + " others told what they know"
-                            + (distrusted
-                                    ? "; most of their clocks differ from this one's, the disk's times are not believed"
-                                    : ""));
-            return asks;
+                    "peers_reported=" + peers.reportedCount() + " peers_known=" + peers.knownCount()
+                            + " clock_distrusted=" + clockDistrusted);
+            return List.of();
         }
-        for (Map.Entry<String, Peer> entry : peers.entrySet()) {
-            Peer peer = entry.getValue();
-            if (peer.alive && peer.told == null && now.compareTo(peer.nextAsk) >= 0) {
-                long number = ++numbers;
-                peer.asked.put(number, now);
-                if (peer.asked.size() > OUTSTANDING) {
-                    peer.asked.remove(peer.asked.keySet().iterator().next());
-                }
-                peer.nextAsk = now.plus(peer.pause).plus(drawn(peer.pause.dividedBy(2)));
-                peer.pause = peer.pause.multipliedBy(2).compareTo(stated.maxRetryDelay) > 0
-                        ? stated.maxRetryDelay
-                        : peer.pause.multipliedBy(2);
-                asks.add(new PeerQuery(entry.getKey(), number));
-            }
+        return peers.dueQueries(now);
+    }
+
+    private void expireNameConflict(Duration now) {
+        boolean over = nameConflictAt
+                .map(at -> now.minus(at).compareTo(NAME_CONFLICT_TIMEOUT) >= 0)
+                .orElse(false);
+        if (over) {
+            nameConflictAt = Optional.empty();
+            report(now, "name-conflict-ended", "");
         }
-        return asks;
     }
 
-    /**
-     * One that is held alive is waited for: a slow link is no reason to go on without what only it may know. But where
-     * more than half have told, not longer than the patience, as one that died may be held alive for a while.
-     */
-    private boolean enough(Duration now, long told) {
-        Duration waited = now.minus(began);
-        boolean all = peers.values().stream().allMatch(peer -> peer.told != null || !peer.alive);
-        return (all && waited.compareTo(stated.firstQuerySpread.multipliedBy(2)) >= 0)
-                || (told * 2 > peers.size() && waited.compareTo(stated.answerTimeout) >= 0);
+    private boolean isAnswerTimeoutOver(Duration now) {
+        return now.minus(startedAt).compareTo(settings.answerTimeout()) >= 0;
     }
 
-    /** Whether more of those that told have another time than the same; with one against one neither is believed. */
-    private boolean clocksDisagree() {
-        int same = 0;
-        int other = 0;
-        for (Peer peer : peers.values()) {
-            if (peer.told != null) {
-                boolean apart = peer.aheadMost < -SKEW.toMillis() || peer.aheadLeast > SKEW.toMillis();
-                other += apart ? 1 : 0;
-                same += apart ? 0 : 1;
-            }
+    /**
+     * A peer that is held alive is waited for: a slow link is no reason to go on without what only that peer may know. But
+     * once a majority has reported, no longer than the answer timeout, as a peer that died may be held alive for a while.
+     */
+    private boolean haveEnoughReported(Duration now) {
+        if (peers.reportedCount() == 0) {
+            return false;
+        }
+        boolean firstQueriesSent =
+                now.minus(startedAt).compareTo(settings.firstQuerySpread().multipliedBy(2)) >= 0;
+        if (firstQueriesSent && peers.haveAllAliveReported()) {
+            return true;
         }
-        return other > same;
+        return isAnswerTimeoutOver(now) && peers.reportedCount() * 2 > peers.knownCount();
     }
 
+    /** How far recovery has come. */
     public RecoveryStage stage() {
         return stage;
     }
 
     /**
-     * Keyed work that came before then is not begun: the life before may have begun an earlier try of it. Before it is
-     * reconciled that is a moment that lies ahead still.
+     * Non-idempotent requests that arrived before this moment are not started, as the incarnation before may have started
+     * an earlier attempt of them. As long as the process is not reconciled that is a moment still to come.
      */
     public Duration nonIdempotentAdmittedFrom(Duration now) {
-        if (stage.compareTo(RecoveryStage.RECONCILED) < 0 || rivalAt != null) {
-            return now.plus(stated.initialRetryDelay.multipliedBy(5));
+        if (stage.compareTo(RecoveryStage.RECONCILED) < 0 || nameConflictAt.isPresent()) {
+            return now.plus(settings.initialRetryDelay().multipliedBy(POSTPONE_RETRY_DELAYS));
         }
-        // The life before ended before this one began, whatever the disk and the clock say.
-        Duration until = began;
-        if (!distrusted && verdict.nonIdempotentUntilUnixMs() != PersistedStateAssessor.UNKNOWN && verdict.nonIdempotentUntilUnixMs() < beganUnix) {
-            until = began.minusMillis(beganUnix - verdict.nonIdempotentUntilUnixMs());
-        }
-        return until.plus(stated.idempotencyWindow).plus(SLACK);
+        return lastPossibleStartByPredecessor()
+                .plus(settings.idempotencyWindow())
+                .plus(READ_SLACK);
     }
 
-    /** What the hold may take to begin with: what was left, or what the others have learned, in the middle; 0 for none. */
-    public double capacityEstimate() {
-        if (verdict.capacityEstimate() > 0) {
-            return verdict.capacityEstimate();
+    /** The incarnation before ended before this one began, whatever the disk and the clock say. */
+    private Duration lastPossibleStartByPredecessor() {
+        if (clockDistrusted || trusted.nonIdempotentUntilUnixMs().isEmpty()) {
+            return startedAt;
         }
-        List<Double> learned = peers.values().stream()
-                .filter(peer -> peer.told != null && peer.told.learnedCapacity() > 0)
-                .map(peer -> peer.told.learnedCapacity())
-                .sorted()
-                .toList();
-        return learned.isEmpty() ? 0 : learned.get(learned.size() / 2);
+        long agoMs = startedAtUnixMs - trusted.nonIdempotentUntilUnixMs().getAsLong();
+        return agoMs > 0 ? startedAt.minusMillis(agoMs) : startedAt;
     }
 
-    /** Of that guess, in completions; that of others counts least. */
-    public double estimateWeight() {
-        return verdict.capacityEstimate() > 0 ? verdict.estimateWeight() : capacityEstimate() > 0 ? 2 : 0;
+    /** The capacity to begin with: what the incarnation before learned, else the median of the peers'; 0 if none is known. */
+    public double capacityEstimate() {
+        return trusted.capacityEstimate() > 0 ? trusted.capacityEstimate() : peers.medianLearnedCapacity();
     }
 
-    private Duration drawn(Duration within) {
-        return Duration.ofNanos(chance.nextLong(within.toNanos() + 1));
+    /** How much the capacity estimate counts, in completed requests; 0 if there is none. */
+    public double estimateWeight() {
+        if (trusted.capacityEstimate() > 0) {
+            return trusted.estimateWeight();
+        }
+        return capacityEstimate() > 0 ? PEER_ESTIMATE_WEIGHT : 0;
     }
 
-    /** What came to pass since this was asked last. */
+    /** The events since the last call, in their order. */
     public List<RecoveryEvent> takeEvents() {
-        List<RecoveryEvent> since = List.copyOf(steps);
-        steps.clear();
-        return since;
+        List<RecoveryEvent> taken = List.copyOf(events);
+        events.clear();
+        return taken;
     }
 
-    /** Others it knows of, and how many of them have told. */
-    public int[] peerCounts() {
-        return new int[] {
-            peers.size(),
-            (int) peers.values().stream().filter(peer -> peer.told != null).count()
-        };
+    /** How many peers are known and how many of them have reported. */
+    public PeerCounts peerCounts() {
+        return new PeerCounts(peers.knownCount(), peers.reportedCount());
     }
 }
--- a/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
+++ b/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
@@ -6,106 +6,117 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.zip.CRC32C;
+import merlinlever.recovery.LoadedState;
 import merlinlever.recovery.PersistedState;
 import merlinlever.storage.StateDirectory;
 
 /**
- * One file in a state folder, replaced whole ({@link StateDirectory#replace}): the CRC-32C of the rest, then a line for each
- * piece. What cannot be read is told and thrown away, never a reason not to start: all that it said can be done without.
+ * The file of a {@link PersistedState} in a state directory, replaced whole ({@link StateDirectory#replace}). Its first line
+ * is the CRC-32C of the rest in hexadecimal, followed by a line for the format and one for each piece. A file that cannot be
+ * read is reported and ignored, and never keeps the process from starting: it can do without all that was in it.
  */
 public final class RecoveryFile {
 
-    /** What was found: a memory, or why there is none; both null where the folder holds nothing. */
-    public record LoadResult(PersistedState state, String corruption) {}
-
+    /** The name of the file in the state directory. */
     public static final String FILE_NAME = "recovery";
-    private static final String HEADER = "merlinlever recovery 1";
+
+    private static final String FORMAT_LINE = "merlinlever recovery 1";
     private static final int MAX_BYTES = 16 * 1024;
+    /** The format line and the six pieces of which there is one each; behind them come the peers. */
+    private static final int FIRST_PEER_LINE = 7;
 
-    private final StateDirectory folder;
+    private final StateDirectory directory;
 
-    public RecoveryFile(StateDirectory folder) {
-        this.folder = folder;
+    /** The file in that directory, which stays its owner's to close. */
+    public RecoveryFile(StateDirectory directory) {
+        this.directory = directory;
     }
 
-    public LoadResult read() {
+    /** Reads the file; one that cannot be read or used is reported as corrupt. */
+    public LoadedState read() {
         try {
-            return folder.exists(FILE_NAME) ? decode(folder.read(FILE_NAME)) : new LoadResult(null, null);
+            return directory.exists(FILE_NAME) ? decode(directory.read(FILE_NAME)) : LoadedState.absent();
         } catch (IOException e) {
-            return new LoadResult(null, "cannot be read: " + e.getMessage());
+            return LoadedState.corrupt("cannot be read: " + e.getMessage());
         }
     }
 
-    /** Returns when it is on the disk; after a failure the one before stands. */
-    public void write(PersistedState memory) throws IOException {
-        folder.replace(FILE_NAME, encode(memory));
+    /**
+     * Replaces the file; blocks until the new one is on the disk.
+     *
+     * @throws IOException if it could not be written; then the file is the one before
+     */
+    public void write(PersistedState state) throws IOException {
+        directory.replace(FILE_NAME, encode(state));
     }
 
-    /** The octets of the file. */
-    public static byte[] encode(PersistedState memory) {
-        StringBuilder rest = new StringBuilder(HEADER)
-                .append("\nowner ")
-                .append(memory.owner())
-                .append("\nincarnations ")
-                .append(memory.reservedIncarnation())
-                .append("\nterm ")
-                .append(memory.highestTerm())
-                .append("\nkeyed-until ")
-                .append(memory.nonIdempotentUntilUnixMs())
-                .append("\nwrote-at ")
-                .append(memory.writtenAtUnixMs())
-                .append("\ncapacity ")
-                .append(String.format(Locale.ROOT, "%.3f", memory.learnedCapacity()))
-                .append('\n');
-        memory.peerAddresses().forEach(peer -> rest.append("peer ").append(peer).append('\n'));
-        return (sum(rest.toString()) + "\n" + rest).getBytes(StandardCharsets.US_ASCII);
+    /** The bytes of the file. */
+    public static byte[] encode(PersistedState state) {
+        StringBuilder body = new StringBuilder(FORMAT_LINE).append('\n');
+        appendLine(body, "owner", state.owner());
+        appendLine(body, "incarnations", Long.toString(state.reservedIncarnation()));
+        appendLine(body, "term", Long.toString(state.highestTerm()));
+        appendLine(body, "keyed-until", Long.toString(state.nonIdempotentUntilUnixMs()));
+        appendLine(body, "wrote-at", Long.toString(state.writtenAtUnixMs()));
+        appendLine(body, "capacity", String.format(Locale.ROOT, "%.3f", state.learnedCapacity()));
+        state.peerAddresses().forEach(address -> appendLine(body, "peer", address));
+        return (checksum(body.toString()) + "\n" + body).getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static String sum(String rest) {
+    private static void appendLine(StringBuilder body, String key, String value) {
+        body.append(key).append(' ').append(value).append('\n');
+    }
+
+    private static String checksum(String body) {
         CRC32C crc = new CRC32C();
-        crc.update(rest.getBytes(StandardCharsets.US_ASCII));
+        crc.update(body.getBytes(StandardCharsets.US_ASCII));
         return String.format("%08x", crc.getValue());
     }
 
-    /** Of the octets of a file. */
-    public static LoadResult decode(byte[] octets) {
-        if (octets.length > MAX_BYTES) {
-            return new LoadResult(null, "spoilt: over " + MAX_BYTES + " octets");
+    /** The state in the bytes of a file. */
+    public static LoadedState decode(byte[] bytes) {
+        if (bytes.length > MAX_BYTES) {
+            return LoadedState.corrupt("spoilt: over " + MAX_BYTES + " octets");
+        }
+        String text = new String(bytes, StandardCharsets.US_ASCII);
+        int firstLineEnd = text.indexOf('\n');
+        String body = text.substring(firstLineEnd + 1);
+        if (firstLineEnd < 0 || !text.substring(0, firstLineEnd).equals(checksum(body))) {
+            return LoadedState.corrupt("spoilt: its sum is not that of what it holds");
         }
-        String text = new String(octets, StandardCharsets.US_ASCII);
-        int end = text.indexOf('\n');
-        String rest = text.substring(end + 1);
-        if (end < 0 || !text.substring(0, end).equals(sum(rest))) {
-            return new LoadResult(null, "spoilt: its sum is not that of what it holds");
+        String[] lines = body.split("\n");
+        if (lines.length == 0) {
+            return LoadedState.corrupt("not what this program writes");
+        }
+        if (!lines[0].equals(FORMAT_LINE)) {
+            return LoadedState.corrupt("of another form, '" + lines[0] + "'");
         }
-        String[] lines = rest.split("\n");
         try {
-            if (!lines[0].equals(HEADER)) {
-                return new LoadResult(null, "of another form, '" + lines[0] + "'");
-            }
-            List<String> peers = new ArrayList<>();
-            for (int i = 7; i < lines.length; i++) {
-                peers.add(value(lines[i], "peer"));
-            }
-            return new LoadResult(
-                    new PersistedState(
-                            value(lines[1], "owner"),
-                            Long.parseLong(value(lines[2], "incarnations")),
-                            Long.parseLong(value(lines[3], "term")),
-                            Long.parseLong(value(lines[4], "keyed-until")),
-                            Long.parseLong(value(lines[5], "wrote-at")),
-                            Double.parseDouble(value(lines[6], "capacity")),
-                            peers),
-                    null);
+            return LoadedState.of(parse(lines));
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            return new LoadResult(null, "not what this program writes");
+            return LoadedState.corrupt("not what this program writes");
+        }
+    }
+
+    private static PersistedState parse(String[] lines) {
+        List<String> peerAddresses = new ArrayList<>();
+        for (int i = FIRST_PEER_LINE; i < lines.length; i++) {
+            peerAddresses.add(value(lines[i], "peer"));
         }
+        return new PersistedState(
+                value(lines[1], "owner"),
+                Long.parseLong(value(lines[2], "incarnations")),
+                Long.parseLong(value(lines[3], "term")),
+                Long.parseLong(value(lines[4], "keyed-until")),
+                Long.parseLong(value(lines[5], "wrote-at")),
+                Double.parseDouble(value(lines[6], "capacity")),
+                peerAddresses);
     }
 
-    private static String value(String line, String name) {
-        if (!line.startsWith(name + " ")) {
-            throw new IllegalArgumentException(name);
+    private static String value(String line, String key) {
+        if (!line.startsWith(key + " ")) {
+            throw new IllegalArgumentException("no " + key + " in " + line);
         }
-        return line.substring(name.length() + 1);
+        return line.substring(key.length() + 1);
     }
 }
--- a/src/main/java/merlinlever/recovery/disk/package-info.java
+++ b/src/main/java/merlinlever/recovery/disk/package-info.java
@@ -1,2 +1,5 @@
-/** What a process leaves for its next life, on disk: read once, written whole, forced before it counts. */
+/**
+ * The file with the state that a process keeps for its next incarnation: read once at the start, replaced whole, and forced
+ * to the disk before anything that it reserves is used.
+ */
 package merlinlever.recovery.disk;
--- a/src/main/java/merlinlever/recovery/net/package-info.java
+++ b/src/main/java/merlinlever/recovery/net/package-info.java
@@ -1,2 +1,4 @@
-/** The return of a process on the loop: membership, its disk, and what it tells of how far it has come. */
+/**
+ * Recovery on the event loop: membership over datagrams, the state on disk, and the exchange of recovery reports with peers.
+ */
 package merlinlever.recovery.net;
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -9,8 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
+import merlinlever.QuotaDemand;
 import merlinlever.election.LeaderElection;
 import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
@@ -18,8 +20,11 @@
 import merlinlever.membership.SwimProtocol.MessageKind;
 import merlinlever.net.ManualClockLoop;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.net.NodeSettings;
+import merlinlever.recovery.net.RecoveringService;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.FileStateDirectory;
 import merlinlever.view.ViewManager;
@@ -120,10 +125,10 @@
 
     @Test
     void sharesOfBudgetsAreAskedForAndGrantedInTheSameWords() {
-        QuotaCoordinator.QuotaConsumer spender = new QuotaCoordinator.QuotaConsumer() {
+        QuotaConsumer spender = new QuotaConsumer() {
             @Override
-            public long[] demand(Duration now, FleetQuota budget) {
-                return new long[] {2, 8};
+            public QuotaDemand demand(Duration now, FleetQuota budget) {
+                return new QuotaDemand(2, 8);
             }
 
             @Override
@@ -200,18 +205,17 @@
                     return new RecoveryCoordinator(
                             on.loop,
                             disk,
-                            new RecoveryCoordinator.NodeSettings(
+                            new NodeSettings(
                                     "b1",
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
-                                    "127.0.0.1:1",
+                                    Optional.of("127.0.0.1:1"),
                                     "-",
                                     List.of(),
                                     "a-secret-of-16-or-more"),
-                            RecoverySequence.RecoverySettings.defaults(Duration.ofSeconds(5)),
-                            Duration.ZERO,
+                            RecoverySettings.defaults(Duration.ofSeconds(5), Duration.ZERO),
                             1,
                             () -> 1_700_000_000_000L,
-                            RecoveryCoordinator.RecoveringService.NONE,
+                            RecoveringService.NONE,
                             line -> {});
                 } catch (java.io.IOException e) {
                     throw new java.io.UncheckedIOException(e);
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.TreeSet;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.recovery.PersistedState;
@@ -43,7 +44,9 @@
                 12.5,
                 List.of("10.0.0.2:7001", "10.0.0.3:7001"));
         fixture.pins("recovery", RecoveryFile.encode(memory));
-        assertEquals(memory, RecoveryFile.decode(fixture.bytes("recovery")).state());
+        assertEquals(
+                Optional.of(memory),
+                RecoveryFile.decode(fixture.bytes("recovery")).state());
     }
 
     @Test
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -22,8 +22,8 @@
 import merlinlever.membership.SwimProtocol;
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.RejectionReason;
-import merlinlever.recovery.PersistedStateAssessor;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.Finding;
+import merlinlever.recovery.RecoveryStage;
 import merlinlever.routes.LocalServiceHealth;
 import merlinlever.routes.Relation;
 import merlinlever.view.QuorumStatus;
@@ -114,18 +114,14 @@
                         QuorumStatus.RETURNING));
         named(
                 "cold, rejoined, reconciled, warm",
-                List.of(
-                        RecoverySequence.RecoveryStage.COLD,
-                        RecoverySequence.RecoveryStage.REJOINED,
-                        RecoverySequence.RecoveryStage.RECONCILED,
-                        RecoverySequence.RecoveryStage.WARM));
+                List.of(RecoveryStage.COLD, RecoveryStage.REJOINED, RecoveryStage.RECONCILED, RecoveryStage.WARM));
         named(
                 "kept, aged, thrown away, absent",
                 List.of(
-                        PersistedStateAssessor.Disposition.KEPT,
-                        PersistedStateAssessor.Disposition.AGED,
-                        PersistedStateAssessor.Disposition.THROWN_AWAY,
-                        PersistedStateAssessor.Disposition.ABSENT));
+                        Finding.Disposition.KEPT,
+                        Finding.Disposition.AGED,
+                        Finding.Disposition.DISCARDED,
+                        Finding.Disposition.ABSENT));
         named("customer, peer, provider", List.of(Relation.CUSTOMER, Relation.PEER, Relation.PROVIDER));
         named(
                 "good, slow, away",
--- /dev/null
+++ b/src/test/java/merlinlever/recovery/PersistedStateAssessorTest.java
@@ -0,0 +1,28 @@
+package merlinlever.recovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import net.jqwik.api.Example;
+
+class PersistedStateAssessorTest {
+
+    private static final long NOON = 1_800_000_000_000L;
+    private static final String OWNER = "b-1@127.0.0.1:1";
+    private static final LoadedState LOADED =
+            LoadedState.of(new PersistedState(OWNER, 64, 3, NOON + 3000, NOON, 12.5, List.of("127.0.0.1:2")));
+
+    @Example
+    void aCapacityEstimateCountsHalfForEachHalfLifeSinceItWasWritten() {
+        TrustedState trusted = PersistedStateAssessor.assess(LOADED, OWNER, NOON + 600_000);
+        assertEquals(2.0, trusted.estimateWeight(), 1e-9, "two half-lives after it was written");
+        assertEquals(65, trusted.incarnation());
+    }
+
+    @Example
+    void theReservedIncarnationOfAnotherProcessIsAFloorToo() {
+        assertEquals(
+                65,
+                PersistedStateAssessor.assess(LOADED, "other@127.0.0.1:1", NOON).incarnation());
+    }
+}
--- /dev/null
+++ b/src/test/java/merlinlever/recovery/disk/RecoveryFileTest.java
@@ -0,0 +1,118 @@
+package merlinlever.recovery.disk;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
+import merlinlever.faults.TestDirectories;
+import merlinlever.faults.disk.CrashStates;
+import merlinlever.faults.disk.StateRestorer;
+import merlinlever.recovery.Finding;
+import merlinlever.recovery.LoadedState;
+import merlinlever.recovery.PersistedState;
+import merlinlever.recovery.PersistedStateAssessor;
+import merlinlever.recovery.TrustedState;
+import merlinlever.storage.FileStateDirectory;
+import merlinlever.storage.RecordingStateDirectory;
+import net.jqwik.api.Example;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+
+class RecoveryFileTest {
+
+    private static final long NOON = 1_800_000_000_000L;
+    private static final String OWNER = "b-1@127.0.0.1:1";
+
+    private static PersistedState numbered(int i) {
+        return new PersistedState(
+                OWNER,
+                64 + i / 10,
+                i / 20,
+                NOON + i * 1000L + 3000,
+                NOON + i * 1000L,
+                i / 2.0,
+                List.of("127.0.0.1:" + (i + 1)));
+    }
+
+    /** Of every state that a power loss may leave of 200 writes. */
+    @Example
+    void afterAPowerLossTheStateReadIsTheLastThatWasForcedOrTheOneBeingWritten() throws Exception {
+        Path root = Files.createTempDirectory("merlinlever-recovery");
+        try {
+            List<String> recording = new ArrayList<>();
+            List<PersistedState> written = new ArrayList<>();
+            // How long the recording was when each write returned.
+            List<Integer> returnedAt = new ArrayList<>();
+            try (RecordingStateDirectory directory = new RecordingStateDirectory(
+                    new FileStateDirectory(root.resolve("day")), TestDirectories.into(recording), "day")) {
+                RecoveryFile file = new RecoveryFile(directory);
+                for (int i = 0; i < 200; i++) {
+                    PersistedState state = numbered(i);
+                    file.write(state);
+                    written.add(state);
+                    returnedAt.add(recording.size());
+                }
+            }
+            int[] checked = {0};
+            int generated = CrashStates.of(String.join("\n", recording) + "\n").each(crashState -> {
+                int returned = 0;
+                while (returned < returnedAt.size() && returnedAt.get(returned) <= crashState.cut()) {
+                    returned++;
+                }
+                Optional<PersistedState> last =
+                        returned == 0 ? Optional.empty() : Optional.of(written.get(returned - 1));
+                Optional<PersistedState> next = returned < written.size() ? Optional.of(written.get(returned)) : last;
+                LoadedState loaded = readAfter(crashState, root.resolve("state"));
+                String where = "cut " + crashState.cut() + ", " + crashState.how();
+                assertEquals(Optional.empty(), loaded.corruption(), where);
+                assertTrue(
+                        loaded.state().equals(last)
+                                || loaded.state().isPresent() && loaded.state().equals(next),
+                        where + ": " + loaded);
+                checked[0]++;
+            });
+            assertEquals(generated, checked[0]);
+            assertTrue(generated >= 600, "states: " + generated);
+        } finally {
+            TestDirectories.remove(root);
+        }
+    }
+
+    private static LoadedState readAfter(CrashStates.CrashState crashState, Path path) {
+        try {
+            StateRestorer.into(path, crashState);
+            try (FileStateDirectory directory = new FileStateDirectory(path)) {
+                return new RecoveryFile(directory).read();
+            }
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    @Property(tries = 500, seed = "27")
+    void aFlippedBitOrATornFileIsReportedAndDiscarded(
+            @ForAll @IntRange(min = 0, max = 10_000) int position, @ForAll boolean tear) {
+        byte[] bytes =
+                RecoveryFile.encode(new PersistedState(OWNER, 64, 3, NOON + 3000, NOON, 12.5, List.of("127.0.0.1:2")));
+        if (tear) {
+            bytes = Arrays.copyOf(bytes, position % bytes.length);
+        } else {
+            bytes[position % bytes.length] ^= (byte) (1 << position % 7);
+        }
+        LoadedState loaded = RecoveryFile.decode(bytes);
+        assertEquals(Optional.empty(), loaded.state());
+        assertTrue(loaded.corruption().isPresent());
+        TrustedState trusted = PersistedStateAssessor.assess(loaded, OWNER, NOON);
+        assertEquals(OptionalLong.empty(), trusted.nonIdempotentUntilUnixMs());
+        assertTrue(trusted.findings().stream()
+                .allMatch(finding -> finding.disposition() == Finding.Disposition.DISCARDED));
+    }
+}
--- a/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -14,9 +14,9 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
@@ -26,12 +26,14 @@
 import merlinlever.faults.link.LinkFaults;
 import merlinlever.faults.link.UdpSwitch;
 import merlinlever.faults.process.PortAllocator;
+import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
 import merlinlever.membership.MembershipTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
 import merlinlever.recovery.PersistedState;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.RecoveryStage;
 import merlinlever.recovery.disk.RecoveryFile;
 import merlinlever.storage.FileStateDirectory;
 import merlinlever.storage.StateDirectory;
@@ -39,44 +41,44 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** Two that come back, on real datagrams and a real disk in one process; the disk of one may be held or fail. */
+/** Processes that recover, on real datagrams and real disks within one process; a disk may hang or fail. */
 class RecoveryCoordinatorTest {
 
     private static final String SECRET = "a-secret-of-16-or-more";
+    private static final int UNLIMITED = 1_000_000;
 
     private Path root;
     private EventLoop loop;
     private Thread thread;
-    private final List<RecoveryCoordinator> lives = new ArrayList<>();
+    private final List<RecoveryCoordinator> running = new ArrayList<>();
     private final List<BlockingStateDirectory> disks = new ArrayList<>();
-    private final AtomicLong set = new AtomicLong();
+    private final AtomicLong clockStepMs = new AtomicLong();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private volatile Duration keyedFrom, keyedTo;
+    private volatile Duration admittedUntil = Duration.ZERO;
 
-    /** A folder whose writes wait for a permit each, and fail where they are told to. */
+    /** A state directory whose writes wait for a permit each, and fail when they are told to. */
     private static final class BlockingStateDirectory extends ForwardingStateDirectory {
         final Semaphore permits = new Semaphore(0);
-        volatile boolean fails;
+        volatile boolean failing;
 
         BlockingStateDirectory(StateDirectory inner) {
             super(inner);
         }
 
         @Override
-        public void replace(String name, byte[] octets) throws IOException {
+        public void replace(String name, byte[] bytes) throws IOException {
             permits.acquireUninterruptibly();
-            if (fails) {
+            if (failing) {
                 throw new IOException("no space left");
             }
-            super.replace(name, octets);
+            super.replace(name, bytes);
         }
     }
 
-    private final RecoveryCoordinator.RecoveringService service = new RecoveryCoordinator.RecoveringService() {
+    private final RecoveringService service = new RecoveringService() {
         @Override
-        public void admitNonIdempotent(Duration from, Duration to) {
-            keyedFrom = from;
-            keyedTo = to;
+        public void admitNonIdempotent(Duration from, Duration until) {
+            admittedUntil = until;
         }
 
         @Override
@@ -94,262 +96,275 @@
     };
 
     @BeforeTry
-    void begin() throws IOException {
-        root = Files.createTempDirectory("merlinlever-rejoin");
+    void startLoop() throws IOException {
+        root = Files.createTempDirectory("merlinlever-recovery");
         loop = new EventLoop(MonotonicClock.system(), failure -> log.add("failed: " + failure));
-        thread = new Thread(loop::run, "rejoin-test");
+        thread = new Thread(loop::run, "recovery-test");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The folder goes when no thread writes in it any more. */
+    /** The directory is removed when no thread writes in it any more. */
     @AfterTry
-    void end() throws Exception {
-        disks.forEach(held -> held.permits.release(1_000_000));
-        for (RecoveryCoordinator each : List.copyOf(lives)) {
-            end(each);
+    void stopAll() throws Exception {
+        disks.forEach(disk -> disk.permits.release(UNLIMITED));
+        for (RecoveryCoordinator coordinator : List.copyOf(running)) {
+            close(coordinator);
         }
         loop.stop();
         thread.join(10_000);
         TestDirectories.remove(root);
     }
 
-    private void on(Callable<?> what) throws Exception {
-        CompletableFuture<Throwable> done = new CompletableFuture<>();
+    private <T> T callOnLoop(Callable<T> call) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> {
             try {
-                what.call();
-                done.complete(null);
+                result.complete(call.call());
             } catch (Exception | AssertionError e) {
-                done.complete(e);
+                result.completeExceptionally(e);
             }
         });
-        Throwable failed = done.get(15, TimeUnit.SECONDS);
-        if (failed != null) {
-            throw new AssertionError(failed.getMessage(), failed);
-        }
+        return result.get(15, TimeUnit.SECONDS);
+    }
+
+    private void close(RecoveryCoordinator coordinator) throws Exception {
+        assertTrue(callOnLoop(() -> coordinator.close(Duration.ofSeconds(10))), "its last write has ended");
+        running.remove(coordinator);
     }
 
-    private void end(RecoveryCoordinator life) throws Exception {
-        CompletableFuture<Boolean> ended = new CompletableFuture<>();
-        loop.execute(() -> ended.complete(life.close(Duration.ofSeconds(10))));
-        assertTrue(ended.get(15, TimeUnit.SECONDS), "its last write has ended");
-        lives.remove(life);
+    private StateDirectory directory(String name) throws IOException {
+        return new FileStateDirectory(root.resolve(name));
     }
 
-    private BlockingStateDirectory held(String folder) throws IOException {
-        BlockingStateDirectory held = new BlockingStateDirectory(new FileStateDirectory(root.resolve(folder)));
-        disks.add(held);
-        return held;
+    private BlockingStateDirectory blockingDirectory(String name) throws IOException {
+        BlockingStateDirectory disk = new BlockingStateDirectory(directory(name));
+        disks.add(disk);
+        return disk;
     }
 
-    private static InetSocketAddress here(int port) {
+    private static InetSocketAddress loopback(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private RecoveryCoordinator make(
-            String name, StateDirectory folder, List<String> seeds, RecoveryCoordinator.RecoveringService its)
+    private RecoveryCoordinator start(
+            String name, StateDirectory directory, List<String> seedAddresses, RecoveringService service)
             throws Exception {
-        return make(new RecoveryCoordinator.NodeSettings(name, here(0), null, "-", seeds, SECRET), folder, its);
+        return start(
+                new NodeSettings(name, loopback(0), Optional.empty(), "-", seedAddresses, SECRET), directory, service);
     }
 
-    private RecoveryCoordinator make(
-            RecoveryCoordinator.NodeSettings place, StateDirectory folder, RecoveryCoordinator.RecoveringService its)
+    private RecoveryCoordinator start(NodeSettings node, StateDirectory directory, RecoveringService service)
             throws Exception {
-        CountDownLatch done = new CountDownLatch(1);
-        RecoveryCoordinator[] made = new RecoveryCoordinator[1];
-        loop.execute(() -> {
-            try {
-                made[0] = new RecoveryCoordinator(
-                        loop,
-                        folder,
-                        place,
-                        new RecoverySequence.RecoverySettings(
-                                Duration.ofMillis(800),
-                                Duration.ofMillis(100),
-                                Duration.ofMillis(100),
-                                Duration.ofMillis(400),
-                                Duration.ofMillis(600),
-                                16),
-                        Duration.ofMillis(100),
-                        3,
-                        () -> System.currentTimeMillis() + set.get(),
-                        its,
-                        line -> log.add(place.name() + " " + line));
-            } catch (IOException e) {
-                log.add("failed: " + e);
-            }
-            done.countDown();
-        });
-        done.await();
-        lives.add(made[0]);
-        return made[0];
+        RecoverySettings settings = new RecoverySettings(
+                Duration.ofMillis(800),
+                Duration.ofMillis(100),
+                Duration.ofMillis(100),
+                Duration.ofMillis(400),
+                Duration.ofMillis(600),
+                16,
+                Duration.ofMillis(100));
+        RecoveryCoordinator coordinator = callOnLoop(() -> new RecoveryCoordinator(
+                loop,
+                directory,
+                node,
+                settings,
+                3,
+                () -> System.currentTimeMillis() + clockStepMs.get(),
+                service,
+                line -> log.add(node.name() + " " + line)));
+        running.add(coordinator);
+        return coordinator;
     }
 
-    private static void until(String what, BooleanSupplier so) throws InterruptedException {
-        long end = System.nanoTime() + 15_000_000_000L;
-        while (!so.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "not within 15 s: " + what);
+    private static void await(String condition, BooleanSupplier isMet) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
+        while (!isMet.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadline, "not within 15 s: " + condition);
             Thread.sleep(10);
         }
     }
 
-    private PersistedState left(String folder) {
+    private boolean isAdmitting() {
+        return admittedUntil.compareTo(loop.clock().uptime()) > 0;
+    }
+
+    private byte[] fileOf(String directory) throws IOException {
+        return Files.readAllBytes(root.resolve(directory).resolve(RecoveryFile.FILE_NAME));
+    }
+
+    private PersistedState persistedBy(String directory) {
         try {
-            return RecoveryFile.decode(Files.readAllBytes(root.resolve(folder).resolve(RecoveryFile.FILE_NAME)))
-                    .state();
+            return RecoveryFile.decode(fileOf(directory)).state().orElseThrow();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private boolean logged(String part) {
+    private boolean isLogged(String part) {
         return List.copyOf(log).stream().anyMatch(line -> line.contains(part));
     }
 
-    private String address(RecoveryCoordinator one) {
-        return one.membership().views().of(one.membership().views().self()).gossip();
+    private static String addressOf(RecoveryCoordinator coordinator) {
+        MemberTable members = coordinator.membership().views();
+        return members.of(members.self()).gossip();
+    }
+
+    private static boolean knows(RecoveryCoordinator coordinator, String name) {
+        return coordinator.membership().views().of(name) != null;
+    }
+
+    private static long incarnationOf(String name, RecoveryCoordinator asSeenBy) {
+        return asSeenBy.membership().views().of(name).incarnation();
     }
 
     @Example
-    void nothingIsToldBeforeTheIncarnationIsOnTheDisk() throws Exception {
-        RecoveryCoordinator first = make(
-                "a", new FileStateDirectory(root.resolve("a")), List.of(), RecoveryCoordinator.RecoveringService.NONE);
-        BlockingStateDirectory held = held("b");
-        RecoveryCoordinator second = make("b", held, List.of(address(first)), service);
+    void nothingIsSentBeforeTheIncarnationIsOnDisk() throws Exception {
+        RecoveryCoordinator first = start("a", directory("a"), List.of(), RecoveringService.NONE);
+        BlockingStateDirectory disk = blockingDirectory("b");
+        RecoveryCoordinator second = start("b", disk, List.of(addressOf(first)), service);
         Thread.sleep(600);
-        assertEquals(1, first.membership().views().size(), "a has heard of nobody while b's disk is held");
-        assertEquals(Duration.ZERO, keyedTo, "and b begins no keyed work");
-        held.permits.release(1_000_000);
-        until("a hears b", () -> first.membership().views().of("b") != null);
-        until("b is warm", () -> second.sequence().stage() == RecoverySequence.RecoveryStage.WARM);
-        // Noted with the next mark, and read while marks are made.
-        until("whom to ask is noted", () -> left("b").peerAddresses().equals(List.of(address(first))));
-        assertTrue(left("b").reservedIncarnation() >= first.membership().views().of("b").incarnation());
+        assertEquals(1, first.membership().views().size(), "a has heard of nobody while b's disk hangs");
+        assertEquals(Duration.ZERO, admittedUntil, "and b starts no non-idempotent requests");
+        disk.permits.release(UNLIMITED);
+        await("a hears of b", () -> knows(first, "b"));
+        await("b is warm", () -> second.sequence().stage() == RecoveryStage.WARM);
+        // Written with the next reservation, and read while reservations are written.
+        await(
+                "the address of a is on disk",
+                () -> persistedBy("b").peerAddresses().equals(List.of(addressOf(first))));
+        assertTrue(persistedBy("b").reservedIncarnation() >= incarnationOf("b", first));
     }
 
     @Example
-    void aDiskThatFailsEndsKeyedWorkAndOneThatWorksAgainBeginsIt() throws Exception {
-        BlockingStateDirectory held = held("b");
-        held.permits.release(1_000_000);
-        make("b", held, List.of(), service);
-        until(
-                "keyed work is taken",
-                () -> keyedTo != null && keyedTo.compareTo(loop.clock().uptime()) > 0);
-        held.fails = true;
-        until(
+    void aFailingDiskEndsTheAdmissionOfNonIdempotentRequestsUntilItWorksAgain() throws Exception {
+        BlockingStateDirectory disk = blockingDirectory("b");
+        disk.permits.release(UNLIMITED);
+        start("b", disk, List.of(), service);
+        await("non-idempotent requests are admitted", this::isAdmitting);
+        disk.failing = true;
+        await(
                 "a write has failed",
-                () -> logged("cannot be written: no space left; keyed work is turned away until it can"));
-        until("the last mark has run out", () -> keyedTo.compareTo(loop.clock().uptime()) <= 0);
-        held.fails = false;
-        until("marks are made again", () -> keyedTo.compareTo(loop.clock().uptime()) > 0);
-        assertTrue(logged("it can be written again"));
+                () -> isLogged("recovery-state-write-failed error=\"no space left\" "
+                        + "effect=\"non-idempotent requests rejected until it succeeds\""));
+        await("the last reservation has run out", () -> !isAdmitting());
+        disk.failing = false;
+        await("reservations are written again", this::isAdmitting);
+        assertTrue(isLogged("recovery-state-write-recovered"));
     }
 
     @Example
-    void aClockThatIsSetEndsTheMarkAtOnce() throws Exception {
-        BlockingStateDirectory held = held("b");
-        held.permits.release(1_000_000);
-        make("b", held, List.of(), service);
-        until(
-                "keyed work is taken",
-                () -> keyedTo != null && keyedTo.compareTo(loop.clock().uptime()) > 0);
-        held.permits.drainPermits();
-        set.set(30_000);
-        until("the mark is not believed", () -> keyedTo.isZero());
-        held.permits.release(1_000_000);
-        until("the next one is", () -> keyedTo.compareTo(loop.clock().uptime()) > 0);
-        assertTrue(logged("the clock was set by "));
+    void settingTheClockRevokesTheReservationAtOnce() throws Exception {
+        BlockingStateDirectory disk = blockingDirectory("b");
+        disk.permits.release(UNLIMITED);
+        start("b", disk, List.of(), service);
+        await("non-idempotent requests are admitted", this::isAdmitting);
+        disk.permits.drainPermits();
+        clockStepMs.set(30_000);
+        await("the reservation is revoked", () -> admittedUntil.isZero());
+        disk.permits.release(UNLIMITED);
+        await("the next one counts", this::isAdmitting);
+        assertTrue(isLogged("unix-clock-set step_ms="));
     }
 
     @Example
-    void anotherUnderTheSameNameIsFoundOut() throws Exception {
-        RecoveryCoordinator first = make(
-                "a", new FileStateDirectory(root.resolve("a")), List.of(), RecoveryCoordinator.RecoveringService.NONE);
-        RecoveryCoordinator one = make(
-                "b",
-                new FileStateDirectory(root.resolve("b1")),
-                List.of(address(first)),
-                RecoveryCoordinator.RecoveringService.NONE);
-        until("b is there", () -> one.sequence().stage() == RecoverySequence.RecoveryStage.WARM);
-        RecoveryCoordinator two =
-                make("b", new FileStateDirectory(root.resolve("b2")), List.of(address(first)), service);
-        until("one of them says so", () -> logged("another process lives under this one's name"));
-        assertTrue(one.membership().views().rivals() > 1 || two.membership().views().rivals() > 1);
+    void anotherProcessUnderTheSameNameIsDetected() throws Exception {
+        RecoveryCoordinator first = start("a", directory("a"), List.of(), RecoveringService.NONE);
+        RecoveryCoordinator one = start("b", directory("b1"), List.of(addressOf(first)), RecoveringService.NONE);
+        await("b is warm", () -> one.sequence().stage() == RecoveryStage.WARM);
+        RecoveryCoordinator other = start("b", directory("b2"), List.of(addressOf(first)), service);
+        await("one of the two reports it", () -> isLogged("name-conflict-started"));
+        assertTrue(one.membership().views().rivals() > 1
+                || other.membership().views().rivals() > 1);
     }
 
     @Example
-    void afterItsEndALifeWritesNothingAndADiskThatHangsHoldsTheEndNoLongerThanStated() throws Exception {
-        BlockingStateDirectory held = held("b");
-        RecoveryCoordinator life = make("b", held, List.of(), service);
-        until("a write is under way", held.permits::hasQueuedThreads);
-        CompletableFuture<Boolean> ended = new CompletableFuture<>();
-        loop.execute(() -> ended.complete(life.close(Duration.ofMillis(200))));
-        assertEquals(false, ended.get(5, TimeUnit.SECONDS), "the disk hangs");
-        held.permits.release(1_000_000);
-        end(life);
-        byte[] left = Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE_NAME));
+    void closeWaitsForAHangingDiskUpToTheTimeoutAndNothingIsWrittenAfterIt() throws Exception {
+        BlockingStateDirectory disk = blockingDirectory("b");
+        RecoveryCoordinator coordinator = start("b", disk, List.of(), service);
+        await("a write is under way", disk.permits::hasQueuedThreads);
+        assertEquals(false, callOnLoop(() -> coordinator.close(Duration.ofMillis(200))), "the disk hangs");
+        disk.permits.release(UNLIMITED);
+        close(coordinator);
+        byte[] written = fileOf("b");
         Thread.sleep(400);
-        assertArrayEquals(left, Files.readAllBytes(root.resolve("b").resolve(RecoveryFile.FILE_NAME)), "four marks later");
-        assertEquals(999_999, held.permits.availablePermits());
+        assertArrayEquals(written, fileOf("b"), "four reservation intervals later");
+        assertEquals(UNLIMITED - 1, disk.permits.availablePermits());
     }
 
     /**
-     * A life that ends between its first line of log and its first force told nobody, so the next may begin at the same
-     * incarnation: the audit looks at what passes the switch, and finds the two apart only if the one in between tells.
+     * An incarnation that ends between its first line of log and its first forced write has sent nothing, so the next may
+     * begin with the same number. The audit looks at what passes the switch, and would find the two only if the one in
+     * between had sent something.
      */
     @Example
-    void aLifeThatEndsBeforeItsForceIsRepeatedByTheNextAndHasToldNobody() throws Exception {
-        List<InetSocketAddress> real = List.of(here(PortAllocator.free()), here(PortAllocator.free()));
+    void anIncarnationThatEndsBeforeItsFirstWriteIsReusedAndHasSentNothing() throws Exception {
+        List<InetSocketAddress> addresses = List.of(loopback(PortAllocator.free()), loopback(PortAllocator.free()));
         IncarnationAudit audit = new IncarnationAudit();
-        MembershipCodec wire = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
-        try (UdpSwitch hub = new UdpSwitch(loop, new LinkFaults(2), real, List.of(here(0), here(0)), 7)) {
-            hub.tap((from, to, octets) -> audit.sent(from == 0 ? "a" : "b", to == 0 ? "a" : "b", wire.read(octets)));
-            List<String> fronts =
-                    List.of(MembershipTransport.text(hub.front(0)), MembershipTransport.text(hub.front(1)));
-            RecoveryCoordinator.NodeSettings place = new RecoveryCoordinator.NodeSettings(
-                    "b", real.get(1), fronts.get(1), "-", List.of(fronts.get(0)), SECRET);
-            RecoveryCoordinator first = make(
-                    new RecoveryCoordinator.NodeSettings(
-                            "a", real.get(0), fronts.get(0), "-", List.of(fronts.get(1)), SECRET),
-                    new FileStateDirectory(root.resolve("a")),
-                    RecoveryCoordinator.RecoveringService.NONE);
-            long[] heard = new long[1];
-            for (int life = 0; life < 3; life++) {
-                on(() -> {
-                    hub.takeIn();
-                    audit.began("b");
-                    return null;
-                });
-                BlockingStateDirectory held = held("b");
-                held.permits.release(life == 1 ? 0 : 1_000_000);
-                RecoveryCoordinator its = make(place, held, service);
-                if (life == 1) {
-                    until("its write is under way", held.permits::hasQueuedThreads);
-                    // It is pinged meanwhile, and would answer.
-                    Thread.sleep(1500);
-                    held.fails = true;
-                    held.permits.release(1_000_000);
-                } else {
-                    until(
-                            "a hears this life",
-                            () -> first.membership().views().of("b") != null
-                                    && first.membership().views().of("b").incarnation() > heard[0]);
-                    heard[0] = first.membership().views().of("b").incarnation();
-                }
-                end(its);
-                held.close();
-            }
-            List<String> began = List.copyOf(log).stream()
-                    .filter(line -> line.startsWith("b found incarnation: ") && line.contains(" goes on at "))
+        MembershipCodec codec = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
+        try (UdpSwitch network =
+                new UdpSwitch(loop, new LinkFaults(2), addresses, List.of(loopback(0), loopback(0)), 7)) {
+            network.tap((from, to, bytes) -> audit.sent(nodeName(from), nodeName(to), codec.read(bytes)));
+            String frontOfA = MembershipTransport.text(network.front(0));
+            String frontOfB = MembershipTransport.text(network.front(1));
+            RecoveryCoordinator a = start(
+                    new NodeSettings("a", addresses.get(0), Optional.of(frontOfA), "-", List.of(frontOfB), SECRET),
+                    directory("a"),
+                    RecoveringService.NONE);
+            NodeSettings nodeB =
+                    new NodeSettings("b", addresses.get(1), Optional.of(frontOfB), "-", List.of(frontOfA), SECRET);
+            runAndHear(nodeB, a, 0, network, audit);
+            long firstIncarnation = incarnationOf("b", a);
+            runWithFailingDisk(nodeB, network, audit);
+            runAndHear(nodeB, a, firstIncarnation, network, audit);
+
+            List<String> starts = List.copyOf(log).stream()
+                    .filter(line -> line.startsWith("b recovery-state-found piece=incarnation ")
+                            && line.contains(" goes on at "))
                     .toList();
-            assertEquals(2, began.size(), "" + log);
-            assertEquals(began.get(0), began.get(1), "the log tells the same of two lives");
-            on(() -> {
+            assertEquals(2, starts.size(), "" + log);
+            assertEquals(starts.get(0), starts.get(1), "both log the same incarnation");
+            callOnLoop(() -> {
                 assertEquals(List.of(), audit.breaches());
-                assertTrue(audit.counts()[0] >= 4 && audit.counts()[1] == 0, "told and read");
+                assertTrue(audit.counts()[0] >= 4 && audit.counts()[1] == 0, "sent and read");
                 return null;
             });
         }
     }
+
+    private static String nodeName(int index) {
+        return index == 0 ? "a" : "b";
+    }
+
+    private BlockingStateDirectory nextIncarnation(UdpSwitch network, IncarnationAudit audit) throws Exception {
+        callOnLoop(() -> {
+            network.takeIn();
+            audit.began("b");
+            return null;
+        });
+        return blockingDirectory("b");
+    }
+
+    private void runAndHear(
+            NodeSettings node, RecoveryCoordinator peer, long above, UdpSwitch network, IncarnationAudit audit)
+            throws Exception {
+        BlockingStateDirectory disk = nextIncarnation(network, audit);
+        disk.permits.release(UNLIMITED);
+        RecoveryCoordinator coordinator = start(node, disk, service);
+        await("a hears of this incarnation", () -> knows(peer, "b") && incarnationOf("b", peer) > above);
+        close(coordinator);
+        disk.close();
+    }
+
+    private void runWithFailingDisk(NodeSettings node, UdpSwitch network, IncarnationAudit audit) throws Exception {
+        BlockingStateDirectory disk = nextIncarnation(network, audit);
+        RecoveryCoordinator coordinator = start(node, disk, service);
+        await("its write is under way", disk.permits::hasQueuedThreads);
+        // It is pinged meanwhile, and would answer.
+        Thread.sleep(1500);
+        disk.failing = true;
+        disk.permits.release(UNLIMITED);
+        close(coordinator);
+        disk.close();
+    }
 }
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -15,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
 import merlinlever.election.net.ElectionTransport;
@@ -22,7 +23,9 @@
 import merlinlever.faults.TestDirectories;
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.net.NodeSettings;
+import merlinlever.recovery.net.RecoveringService;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.replication.ReplicatedStore;
 import merlinlever.replication.VersionedEntry;
@@ -112,18 +115,17 @@
         RecoveryCoordinator recovery = new RecoveryCoordinator(
                 loop,
                 new FileStateDirectory(root.resolve(name)),
-                new RecoveryCoordinator.NodeSettings(
+                new NodeSettings(
                         name,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        null,
+                        Optional.empty(),
                         "-",
                         seeds,
                         "a-secret-of-16-or-more"),
-                RecoverySequence.RecoverySettings.defaults(Duration.ofSeconds(1)),
-                Duration.ofMillis(100),
+                RecoverySettings.defaults(Duration.ofSeconds(1), Duration.ofMillis(100)),
                 3,
                 System::currentTimeMillis,
-                RecoveryCoordinator.RecoveringService.NONE,
+                RecoveringService.NONE,
                 line -> log.add(name + " " + line));
         ElectionTransport election = new ElectionTransport(
                 loop,
