--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -9,6 +9,7 @@
 import java.util.function.Consumer;
 import merlinlever.QuotaDemand;
 import merlinlever.core.Backend;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
@@ -65,15 +66,16 @@
         double clockDrift = configuredQuotas.isEmpty()
                 ? DEFAULT_CLOCK_DRIFT
                 : configuredQuotas.get(0).maxClockDrift();
-        ElectionTransport election = new ElectionTransport(loop, recovery, voters, lease, clockDrift, seed, log);
-        view = new ViewTransport(loop, recovery, election.terms(), ViewSettings.usual(), incarnation, seed, log);
+        ElectionTransport election =
+                new ElectionTransport(loop, recovery, new ElectionSettings(voters, lease, clockDrift), seed, log);
+        view = new ViewTransport(loop, recovery, election.election(), ViewSettings.defaults(), incarnation, seed, log);
         replication = new ReplicationTransport(
                 loop,
                 recovery,
                 StateDirectories.open(Path.of(values.text("recovery.state", ""), "shared"), System.getenv()),
                 ReplicatedStore.ReplicationSettings.defaults(true),
-                election.terms(),
-                view.seen(),
+                election.election(),
+                view.fleetView(),
                 seed,
                 log);
         quotas = configuredQuotas.isEmpty()
@@ -91,14 +93,14 @@
             Consumer<String> log) {
         QuotaCoordinator coordinator = new QuotaCoordinator(
                 loop.clock().uptime(),
-                recovery.membership().views().self(),
+                recovery.membership().memberTable().self(),
                 incarnation,
                 configuredQuotas,
-                election.terms(),
+                election.election(),
                 new SplittableRandom(seed),
                 this,
                 log);
-        coordinator.restrictTo(view.seen());
+        coordinator.restrictTo(view.fleetView());
         return coordinator;
     }
 
@@ -108,7 +110,8 @@
 
     /** Whether the view permits that requests with an idempotency key, and those that are not idempotent, are started. */
     boolean mayStartKeyedRequests() {
-        return view.seen().may(loop.clock().uptime(), GuardedAction.KEYED) == ActionPermissions.Permission.YES;
+        return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST)
+                == ActionPermissions.Permission.ALLOWED;
     }
 
     /** Takes over the sizes of the quotas; nothing else may change while the process runs. */
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -9,7 +9,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import merlinlever.QuotaDemand;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
+import merlinlever.membership.PeerMessage;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
@@ -91,9 +93,7 @@
         terms[i] = new LeaderElection(
                 clock(i),
                 "b" + i,
-                voters,
-                budget.leaseDuration(),
-                budget.maxClockDrift(),
+                new ElectionSettings(voters, budget.leaseDuration(), budget.maxClockDrift()),
                 noted[i],
                 term -> {
                     noted[who] = Math.max(noted[who], term);
@@ -124,11 +124,11 @@
         return now >= downUntil[i] && nodes[i] != null;
     }
 
-    void send(int from, List<LeaderElection.PeerMessage> all) {
-        for (LeaderElection.PeerMessage each : all) {
-            int to = Integer.parseInt(each.to().substring(1));
+    void send(int from, List<PeerMessage.Text> all) {
+        for (PeerMessage.Text each : all) {
+            int to = Integer.parseInt(each.recipient().substring(1));
             // With the head, the sender, the number and the seal of membership's datagrams, without rumours.
-            octets += 40 + each.what().length();
+            octets += 40 + each.text().length();
             if (side[from] != side[to] || chance.nextDouble() < loss) {
                 continue;
             }
@@ -136,7 +136,7 @@
             for (int c = 0; c < copies; c++) {
                 // Some come very late.
                 long at = now + 1 + (chance.nextInt(50) == 0 ? chance.nextInt(5000) : chance.nextInt(40));
-                net.add(new Object[] {at, from, to, each.number(), each.what()});
+                net.add(new Object[] {at, from, to, each.correlationId(), each.text()});
             }
         }
     }
@@ -163,14 +163,14 @@
             String what = (String) message[4];
             send(
                     to,
-                    LeaderElection.WORDS.contains(what.split("/")[0])
-                            ? terms[to].said(clock(to), "b" + message[1], (long) message[3], what)
+                    LeaderElection.MESSAGE_TYPES.contains(what.split("/")[0])
+                            ? terms[to].receive(clock(to), "b" + message[1], (long) message[3], what)
                             : nodes[to].receive(clock(to), "b" + message[1], (long) message[3], what));
         }
         long all = 0;
         for (int i = 0; i < n; i++) {
             if (up(i) && now >= pausedUntil[i]) {
-                send(i, terms[i].look(clock(i)));
+                send(i, terms[i].tick(clock(i)));
                 send(i, nodes[i].tick(clock(i)));
             }
             if (up(i)) {
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -8,8 +8,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import merlinlever.QuotaDemand;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
+import merlinlever.membership.PeerMessage;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
@@ -65,9 +67,7 @@
         terms = new LeaderElection(
                 born.now(),
                 born.node(),
-                voters,
-                BUDGET.leaseDuration(),
-                BUDGET.maxClockDrift(),
+                new ElectionSettings(voters, BUDGET.leaseDuration(), BUDGET.maxClockDrift()),
                 disk.getOrDefault(born.node(), 0L),
                 term -> {
                     disk.merge(born.node(), term, Math::max);
@@ -95,22 +95,23 @@
     }
 
     boolean leads(Duration now) {
-        return terms.leads(now);
+        return terms.isLeader(now);
     }
 
     long share(Duration now) {
         return sharing.available(now, 0);
     }
 
-    private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<LeaderElection.PeerMessage> said) {
+    private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<PeerMessage.Text> said) {
         return said.stream()
-                .map(say -> new Scenario.AddressedMessage<>(say.to(), new QuotaMessage(say.number(), say.what())))
+                .map(say -> new Scenario.AddressedMessage<>(
+                        say.recipient(), new QuotaMessage(say.correlationId(), say.text())))
                 .toList();
     }
 
     @Override
     public List<Scenario.AddressedMessage<QuotaMessage>> look(Duration now) {
-        List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.look(now)));
+        List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.tick(now)));
         out.addAll(out(sharing.tick(now)));
         return out;
     }
@@ -118,8 +119,8 @@
     @Override
     public List<Scenario.AddressedMessage<QuotaMessage>> heard(Duration now, String from, QuotaMessage word) {
         return out(
-                LeaderElection.WORDS.contains(word.what.split("/")[0])
-                        ? terms.said(now, from, word.number, word.what)
+                LeaderElection.MESSAGE_TYPES.contains(word.what.split("/")[0])
+                        ? terms.receive(now, from, word.number, word.what)
                         : sharing.receive(now, from, word.number, word.what));
     }
 
@@ -131,7 +132,7 @@
                 "leader",
                 leader == null
                         ? "nobody leads"
-                        : terms.leads(now)
+                        : terms.isLeader(now)
                                 ? "I lead, term " + leader.term()
                                 : leader.name() + " leads, term " + leader.term());
         Matcher out = OUT.matcher(sharing.statusJson(now));
--- a/src/main/java/merlinlever/membership/GossipQueue.java
+++ b/src/main/java/merlinlever/membership/GossipQueue.java
@@ -2,57 +2,66 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Which rumours ride along on the next messages: those told least often first, each some log n times (SWIM section 4.1). */
+/**
+ * Which records travel with the next messages: those sent least often first, each some multiple of log n times (SWIM section
+ * 4.1). Not thread-safe.
+ */
 final class GossipQueue {
 
-    /** On one message at the most. */
-    private static final int MOST = 12;
+    private static final int MAX_RECORDS_PER_MESSAGE = 12;
+    private static final int RETRANSMIT_MULTIPLIER = 3;
 
-    private static final int TELL = 3;
+    private final MemberTable memberTable;
+    /** How often each queued member's record was sent, the members queued first in front. */
+    private final Map<String, Integer> transmissions = new LinkedHashMap<>();
 
-    private final MemberTable views;
-    private final Map<String, Integer> telling = new LinkedHashMap<>();
     private final Map<String, Duration> changedAt = new HashMap<>();
 
-    GossipQueue(MemberTable views) {
-        this.views = views;
+    GossipQueue(MemberTable memberTable) {
+        this.memberTable = memberTable;
     }
 
-    void begin(Duration now, String name) {
-        telling.remove(name);
-        telling.put(name, 0);
+    /** The record of that member has changed and is to be sent. */
+    void enqueue(Duration now, String name) {
+        transmissions.remove(name);
+        transmissions.put(name, 0);
         changedAt.put(name, now);
     }
 
-    void forget(String name) {
-        telling.remove(name);
+    /** The member was removed from the table. */
+    void remove(String name) {
+        transmissions.remove(name);
         changedAt.remove(name);
     }
 
-    Duration changedAgo(Duration now, String name) {
+    /** How long ago the record of the member last changed; zero where it never did. */
+    Duration timeSinceChange(Duration now, String name) {
         Duration at = changedAt.get(name);
         return at == null ? Duration.ZERO : now.minus(at);
     }
 
-    private int logarithm() {
-        return Math.max(1, (int) Math.ceil(Math.log(views.size() + 1) / Math.log(2)));
+    private int maxTransmissions() {
+        int logOfMembers = Math.max(1, (int) Math.ceil(Math.log(memberTable.size() + 1) / Math.log(2)));
+        return RETRANSMIT_MULTIPLIER * logOfMembers;
     }
 
-    List<MemberTable.MemberRecord> next() {
-        List<String> names = new ArrayList<>(telling.keySet());
-        names.sort((a, b) -> Integer.compare(telling.get(a), telling.get(b)));
-        List<MemberTable.MemberRecord> rumours = new ArrayList<>();
-        for (String name : names.subList(0, Math.min(MOST, names.size()))) {
-            rumours.add(views.of(name));
-            if (telling.merge(name, 1, Integer::sum) >= TELL * logarithm()) {
-                telling.remove(name);
+    /** The records for one message; counts them as sent. */
+    List<MemberRecord> nextBatch() {
+        List<String> names = new ArrayList<>(transmissions.keySet());
+        names.sort(Comparator.comparingInt(transmissions::get));
+        List<MemberRecord> batch = new ArrayList<>();
+        for (String name : names.subList(0, Math.min(MAX_RECORDS_PER_MESSAGE, names.size()))) {
+            batch.add(memberTable.find(name));
+            if (transmissions.merge(name, 1, Integer::sum) >= maxTransmissions()) {
+                transmissions.remove(name);
             }
         }
-        return rumours;
+        return batch;
     }
 }
--- a/src/main/java/merlinlever/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/quota/FleetQuota.java
@@ -45,12 +45,12 @@
 
     /** How long a lease counts as outstanding by the clock of the leader that granted it, the holder's clock being slow. */
     public Duration leaseDurationAtLeader() {
-        return ClockDrift.slowest(leaseDuration, maxClockDrift);
+        return ClockDrift.upperBound(leaseDuration, maxClockDrift);
     }
 
     /** How long a lease may be spent by the clock of its holder, that clock being slow. */
     public Duration leaseDurationAtHolder() {
-        return ClockDrift.surest(leaseDuration, maxClockDrift);
+        return ClockDrift.lowerBound(leaseDuration, maxClockDrift);
     }
 
     /**
@@ -63,6 +63,6 @@
                     case PER_SECOND -> Duration.ofSeconds(1);
                     case CONCURRENT -> maxCallDuration;
                 };
-        return ClockDrift.slowest(lastUse, maxClockDrift);
+        return ClockDrift.upperBound(lastUse, maxClockDrift);
     }
 }
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import merlinlever.QuotaDemand;
 import merlinlever.election.LeaderElection;
-import merlinlever.election.LeaderElection.PeerMessage;
 import merlinlever.election.Leadership;
+import merlinlever.membership.PeerMessage;
 import merlinlever.view.ActionPermissions;
 import merlinlever.view.FleetView;
 import merlinlever.view.GuardedAction;
@@ -70,7 +70,7 @@
     private final SplittableRandom random;
     private final QuotaConsumer consumer;
     private final Consumer<String> log;
-    private final List<PeerMessage> outbox = new ArrayList<>();
+    private final List<PeerMessage.Text> outbox = new ArrayList<>();
     private long ledgerTerm = NO_TERM;
     private Duration nextRotationAt = Duration.ZERO;
     /** Without a view of the fleet the election alone decides who may grant. */
@@ -120,7 +120,7 @@
     // ---- requests
 
     /** Does what is due, and returns the messages to be sent; to be called every few milliseconds. */
-    public List<PeerMessage> tick(Duration now) {
+    public List<PeerMessage.Text> tick(Duration now) {
         Leadership.Leader leader = election.leader(now);
         updateLedgers(now);
         for (QuotaState state : states) {
@@ -193,11 +193,11 @@
     }
 
     private void send(String recipient, long correlationId, LeaseMessage message) {
-        outbox.add(new PeerMessage(recipient, correlationId, message.encode()));
+        outbox.add(new PeerMessage.Text(recipient, correlationId, message.encode()));
     }
 
-    private List<PeerMessage> takeOutbox() {
-        List<PeerMessage> taken = List.copyOf(outbox);
+    private List<PeerMessage.Text> takeOutbox() {
+        List<PeerMessage.Text> taken = List.copyOf(outbox);
         outbox.clear();
         return taken;
     }
@@ -206,7 +206,7 @@
 
     /** A leadership begins with ledgers that know nothing of the one before. */
     private void updateLedgers(Duration now) {
-        if (!election.leads(now)) {
+        if (!election.isLeader(now)) {
             states.forEach(state -> state.ledger = Optional.empty());
             ledgerTerm = NO_TERM;
             return;
@@ -227,7 +227,7 @@
 
     private Optional<LeaseGrant> grant(Duration now, QuotaState state, String holder, LeaseMessage.Request message) {
         boolean permitted = fleetView
-                .map(view -> view.may(now, GuardedAction.GRANT) == ActionPermissions.Permission.YES)
+                .map(view -> view.permission(now, GuardedAction.GRANT_QUOTA) == ActionPermissions.Permission.ALLOWED)
                 .orElse(true);
         if (!permitted) {
             return Optional.empty();
@@ -245,7 +245,7 @@
     // ---- messages from peers
 
     /** A peer sent a message of one of the {@link #MESSAGE_TYPES}; returns the messages to be sent to it. */
-    public List<PeerMessage> receive(Duration now, String sender, long correlationId, String text) {
+    public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
         try {
             LeaseMessage message = LeaseMessage.decode(text);
             if (message instanceof LeaseMessage.Request request) {
@@ -266,7 +266,7 @@
             return;
         }
         if (ledgerTerm == NO_TERM || request.term() != ledgerTerm) {
-            outbox.add(new PeerMessage(sender, 0, election.toldWho(now)));
+            outbox.add(new PeerMessage.Text(sender, 0, election.leaderAnnouncement(now)));
             return;
         }
         find(request.quota())
@@ -280,7 +280,7 @@
                 .map(state -> state.lease.applyGrant(message.term(), correlationId, message.grant()))
                 .orElse(false);
         if (accepted) {
-            election.heardLeader(now, sender, message.term());
+            election.observeLeader(now, sender, message.term());
         }
     }
 
@@ -293,7 +293,7 @@
 
     /** Whether this backend divides the quotas. */
     public boolean isLeader(Duration now) {
-        return election.leads(now);
+        return election.isLeader(now);
     }
 
     /** Each quota with what this backend holds of it, as a JSON array. */
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -2,15 +2,15 @@
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.election.LeaderElection.PeerMessage;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.PeerMessage;
+import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
 import merlinlever.quota.QuotaCoordinator;
 import merlinlever.recovery.net.RecoveryCoordinator;
 
 /** Carries a {@link QuotaCoordinator}'s messages in membership's datagrams. On the loop's thread. */
-public final class QuotaTransport implements SwimProtocol.TextMessageHandler {
+public final class QuotaTransport implements TextMessageHandler {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
@@ -23,7 +23,7 @@
         this.loop = loop;
         this.recovery = recovery;
         this.coordinator = coordinator;
-        recovery.membership().hears(QuotaCoordinator.MESSAGE_TYPES, this);
+        recovery.membership().addTextHandler(QuotaCoordinator.MESSAGE_TYPES, this);
         loop.every(TICK_INTERVAL, () -> send(coordinator.tick(now())));
     }
 
@@ -31,17 +31,15 @@
         return loop.clock().uptime();
     }
 
-    private void send(List<PeerMessage> messages) {
-        for (PeerMessage message : messages) {
-            recovery.membership().say(message.to(), message.number(), message.what());
-        }
+    private void send(List<PeerMessage.Text> messages) {
+        messages.forEach(recovery.membership()::send);
         if (!messages.isEmpty()) {
             recovery.flush();
         }
     }
 
     @Override
-    public void said(String sender, long correlationId, String text) {
+    public void onText(String sender, long correlationId, String text) {
         send(coordinator.receive(now(), sender, correlationId, text));
     }
 
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -13,10 +13,14 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.WireNamed;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.MemberStatus;
 import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
 import merlinlever.membership.MembershipTransport;
+import merlinlever.membership.RecoveryExchange;
 import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.SwimSettings;
 import merlinlever.net.DatagramEndpoint;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.PeerQuery;
@@ -38,7 +42,7 @@
  *
  * <p>On the loop's thread, as all methods are; durations are since the process began.
  */
-public final class RecoveryCoordinator implements SwimProtocol.RecoveryExchange {
+public final class RecoveryCoordinator implements RecoveryExchange {
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
     /** A larger capacity is reported as this, so that a report stays short. */
@@ -79,9 +83,9 @@
         this.unixClock = unixClock;
         this.service = service;
         this.log = log;
-        DatagramEndpoint datagrams =
-                new DatagramEndpoint(loop, node.listenAddress(), MembershipCodec.MOST, this::datagramReceived);
-        String boundAddress = MembershipTransport.text(datagrams.address());
+        DatagramEndpoint datagrams = new DatagramEndpoint(
+                loop, node.listenAddress(), MembershipCodec.MAX_DATAGRAM_BYTES, this::datagramReceived);
+        String boundAddress = MembershipTransport.formatAddress(datagrams.address());
         String gossipAddress = node.advertisedAddress().orElse(boundAddress);
         String owner = node.owner(gossipAddress);
         RecoveryFile file = new RecoveryFile(directory);
@@ -95,10 +99,10 @@
         members = new SwimProtocol(
                 now(),
                 new MemberTable(node.name(), gossipAddress, node.apiAddress(), trusted.incarnation()),
-                SwimProtocol.SwimSettings.usual(List.copyOf(seedAddresses)),
+                SwimSettings.defaults(List.copyOf(seedAddresses)),
                 random.split(),
                 log);
-        members.recall(this);
+        members.setRecoveryExchange(this);
         sequence = new RecoverySequence(now(), unixNow, trusted, settings, !seedAddresses.isEmpty(), random.split());
         reservations = new DurableReservations(
                 owner,
@@ -119,7 +123,7 @@
     }
 
     private void datagramReceived(byte[] bytes, InetSocketAddress from, Duration waited) {
-        transport.came(bytes, from);
+        transport.receive(bytes, from);
     }
 
     /** The membership that this process takes part in. */
@@ -134,7 +138,7 @@
 
     /** Sends at once what is to be sent to peers, not only with the next poll. */
     public void flush() {
-        transport.settle();
+        transport.flush();
     }
 
     /** Tells the peers that this process leaves in good order. */
@@ -158,15 +162,15 @@
         return loop.clock().uptime();
     }
 
-    private MemberTable.MemberRecord self() {
-        return members.views().of(members.views().self());
+    private MemberRecord self() {
+        return members.memberTable().find(members.memberTable().self());
     }
 
     // ---- the exchange with peers
 
     /** What this process reports to a peer that recovers: its Unix clock, stage and learned capacity. */
     @Override
-    public String tells() {
+    public String recoveryReport() {
         return String.format(
                 Locale.ROOT,
                 "%d/%s/%.2f",
@@ -175,9 +179,9 @@
                 Math.min(MAX_REPORTED_CAPACITY, service.learnedCapacity()));
     }
 
-    /** A peer's report, in the form of {@link #tells}. */
+    /** A peer's report, in the form of {@link #recoveryReport}. */
     @Override
-    public void told(String name, long number, String text) {
+    public void onRecoveryReply(String sender, long correlationId, String text) {
         String[] fields = text.split("/");
         PeerReport report;
         try {
@@ -186,10 +190,10 @@
                     WireNamed.parse(RecoveryStage.class, fields[1]),
                     Double.parseDouble(fields[2]));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("recovery-report-malformed peer=" + name + " report=\"" + text + "\"");
+            log.accept("recovery-report-malformed peer=" + sender + " report=\"" + text + "\"");
             return;
         }
-        sequence.reportReceived(now(), unixClock.getAsLong(), name, number, report);
+        sequence.reportReceived(now(), unixClock.getAsLong(), sender, correlationId, report);
     }
 
     // ---- polling
@@ -201,7 +205,7 @@
         Duration now = now();
         observeMembership(now);
         for (PeerQuery query : sequence.dueQueries(now)) {
-            members.ask(query.peer(), query.correlationId());
+            members.sendRecoveryQuery(query.peer(), query.correlationId());
         }
         if (service.isAtFullSpeed()) {
             sequence.fullSpeedReached(now);
@@ -217,13 +221,13 @@
     }
 
     private void observeMembership(Duration now) {
-        for (MemberTable.MemberRecord member : members.views().all()) {
-            if (!member.name().equals(members.views().self())) {
-                sequence.peerStatusChanged(now, member.name(), member.status() == MemberTable.MemberStatus.ALIVE);
+        for (MemberRecord member : members.memberTable().all()) {
+            if (!member.name().equals(members.memberTable().self())) {
+                sequence.peerStatusChanged(now, member.name(), member.status() == MemberStatus.ALIVE);
             }
         }
-        if (members.views().rivals() != conflictingMembers) {
-            conflictingMembers = members.views().rivals();
+        if (members.memberTable().addressConflicts() != conflictingMembers) {
+            conflictingMembers = members.memberTable().addressConflicts();
             if (conflictingMembers > 1) {
                 sequence.nameConflictObserved(now);
             }
@@ -239,9 +243,9 @@
 
     private DurableReservations.Snapshot snapshot() {
         List<String> peerAddresses = new ArrayList<>();
-        for (MemberTable.MemberRecord member : members.views().all()) {
-            if (!member.name().equals(members.views().self()) && member.status() != MemberTable.MemberStatus.LEFT) {
-                peerAddresses.add(member.gossip());
+        for (MemberRecord member : members.memberTable().all()) {
+            if (!member.name().equals(members.memberTable().self()) && member.status() != MemberStatus.LEFT) {
+                peerAddresses.add(member.gossipAddress());
             }
         }
         return new DurableReservations.Snapshot(self().incarnation(), service.learnedCapacity(), peerAddresses);
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.election.Leadership;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.SwimProtocol;
+import merlinlever.membership.MemberRecord;
+import merlinlever.membership.PayloadHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.replication.OutgoingMessage;
@@ -27,7 +27,7 @@
  * both. The first byte of each payload says which of the two it is for. While the disk fails, nothing new of this backend is published
  * and it doesn't vote; writes are retried.
  */
-public final class ReplicationTransport implements SwimProtocol.PayloadHandler {
+public final class ReplicationTransport implements PayloadHandler {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
     private static final Duration WRITE_RETRY_DELAY = Duration.ofSeconds(1);
@@ -72,14 +72,14 @@
         this.recovery = recovery;
         this.view = view;
         this.log = log;
-        self = recovery.membership().views().self();
+        self = recovery.membership().memberTable().self();
         writer = new BackgroundWriter(directory, loop, "replication-writer");
         SplittableRandom random = new SplittableRandom(seed);
         Duration now = loop.clock().uptime();
         store = new ReplicatedStore(
                 now,
                 self,
-                recovery.membership().views().of(self).incarnation(),
+                recovery.membership().memberTable().find(self).incarnation(),
                 readEntries(directory),
                 settings,
                 this::livePeers,
@@ -87,7 +87,7 @@
                 log);
         registers = new PaxosNode(
                 now, self, readFile(directory, REGISTER_FILE), leadership, view, this::livePeers, random.split(), log);
-        recovery.membership().takes(this);
+        recovery.membership().addPayloadHandler(this);
         loop.every(TICK_INTERVAL, this::tick);
     }
 
@@ -119,9 +119,8 @@
 
     private List<String> livePeers() {
         List<String> peers = new ArrayList<>();
-        for (MemberTable.MemberRecord member : recovery.membership().views().all()) {
-            boolean live = member.status() == MemberTable.MemberStatus.ALIVE
-                    || member.status() == MemberTable.MemberStatus.SUSPECT;
+        for (MemberRecord member : recovery.membership().memberTable().all()) {
+            boolean live = member.isLive();
             if (live && !member.name().equals(self)) {
                 peers.add(member.name());
             }
@@ -132,7 +131,7 @@
     private void tick() {
         Duration now = loop.clock().uptime();
         boolean wasRecovering = recovering;
-        recovering = view.standing(now) == QuorumStatus.RETURNING;
+        recovering = view.status(now) == QuorumStatus.RECOVERING;
         if (recovering && !wasRecovering) {
             store.discardForeignEntries(now);
         }
@@ -186,7 +185,7 @@
             byte[] payload = new byte[message.body().length + 1];
             payload[0] = address;
             System.arraycopy(message.body(), 0, payload, 1, message.body().length);
-            recovery.membership().carry(message.receiver(), payload);
+            recovery.membership().sendPayload(message.receiver(), payload);
         }
         if (!messages.isEmpty()) {
             recovery.flush();
@@ -194,7 +193,7 @@
     }
 
     @Override
-    public void carried(String sender, byte[] payload) {
+    public void onPayload(String sender, byte[] payload) {
         if (payload.length == 0) {
             return;
         }
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/routes/TableChunks.java
@@ -6,126 +6,173 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.TreeMap;
+import java.util.regex.Pattern;
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 import merlinlever.replication.VersionedEntry;
 
 /**
- * A table as words that the backends share: deflated and cut where it is longer than a word may be. It is put together again only
- * when all parts of one version are there and make the table that the digest says; half a table is none.
+ * A table as entries that the backends replicate: deflated, and split where it is longer than an entry may be. It is assembled
+ * only when all chunks of one version are there and make the table that the digest says. Not thread-safe.
  */
 final class TableChunks {
 
-    /** Parts of a table at the most. */
-    static final int MOST = 256;
+    /** Upper bound of the chunks of a table. */
+    static final int MAX_CHUNKS = 256;
 
-    private static final int OCTETS = VersionedEntry.MAX_VALUE_BYTES - 64;
+    private static final String TOPIC_PREFIX = "routes.";
+    private static final int MAX_HEADER_BYTES = 60;
+    private static final int CHUNK_BYTES = VersionedEntry.MAX_VALUE_BYTES - 64;
+    private static final int BUFFER_BYTES = 8192;
+    private static final Pattern HEADER = Pattern.compile("[1-9][0-9]{0,2} [0-9a-f]{32}");
+    private static final Pattern TOPIC = Pattern.compile("routes\\.[0-9]{1,3}");
 
-    /** The parts of one version of a partner's, as far as they came. */
+    /** The chunks of one version of a partner's table, as far as they came. */
     private static final class IncompleteTable {
-        final long incarnation, sequence;
-        final String head;
-        final byte[][] parts;
+        final long incarnation;
+        final long sequence;
+        final String header;
+        final byte[][] chunks;
 
-        IncompleteTable(VersionedEntry first, String head, int count) {
+        IncompleteTable(VersionedEntry first, String header, int count) {
             incarnation = first.incarnation();
             sequence = first.sequence();
-            this.head = head;
-            parts = new byte[count][];
+            this.header = header;
+            chunks = new byte[count][];
+        }
+
+        boolean isSameVersion(VersionedEntry chunk) {
+            return chunk.incarnation() == incarnation && chunk.sequence() == sequence;
+        }
+
+        boolean isOlderThan(VersionedEntry chunk) {
+            return chunk.incarnation() > incarnation
+                    || (chunk.incarnation() == incarnation && chunk.sequence() > sequence);
+        }
+
+        boolean isComplete() {
+            return Arrays.stream(chunks).allMatch(Objects::nonNull);
+        }
+
+        String digest() {
+            return header.substring(header.indexOf(' ') + 1);
         }
     }
 
-    /** One for each partner: the latest of which any part came. */
-    private final Map<String, IncompleteTable> coming = new TreeMap<>();
+    /** By partner: the latest version of which any chunk came. */
+    private final Map<String, IncompleteTable> incomplete = new TreeMap<>();
+
+    static String topic(int chunk) {
+        return TOPIC_PREFIX + chunk;
+    }
 
-    static String topic(int part) {
-        return "routes." + part;
+    /** Whether an entry is a chunk of a table. */
+    static boolean isChunk(VersionedEntry entry) {
+        return entry.topic().startsWith(TOPIC_PREFIX);
     }
 
-    static List<VersionedEntry> cut(RouteTable table) {
+    /** The chunks of a table; none where it is too large. Each has a line with their count and the digest in front. */
+    static List<VersionedEntry> split(RouteTable table) {
+        byte[] bytes = deflate(RouteTableWriter.write(table).getBytes(StandardCharsets.UTF_8));
+        int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
+        List<VersionedEntry> chunks = new ArrayList<>();
+        byte[] header = (count + " " + RouteTableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
+        for (int i = 0; i < count && count <= MAX_CHUNKS; i++) {
+            int length = Math.min(CHUNK_BYTES, bytes.length - i * CHUNK_BYTES);
+            byte[] value = Arrays.copyOf(header, header.length + length);
+            System.arraycopy(bytes, i * CHUNK_BYTES, value, header.length, length);
+            chunks.add(new VersionedEntry(table.site(), topic(i), table.incarnation(), table.sequence(), value));
+        }
+        return chunks;
+    }
+
+    private static byte[] deflate(byte[] bytes) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        deflater.setInput(RouteTableWriter.text(table).getBytes(StandardCharsets.UTF_8));
+        deflater.setInput(bytes);
         deflater.finish();
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        byte[] some = new byte[8192];
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        byte[] buffer = new byte[BUFFER_BYTES];
         while (!deflater.finished()) {
-            all.write(some, 0, deflater.deflate(some));
+            compressed.write(buffer, 0, deflater.deflate(buffer));
         }
         deflater.end();
-        byte[] octets = all.toByteArray();
-        int count = Math.max(1, (octets.length + OCTETS - 1) / OCTETS);
-        List<VersionedEntry> parts = new ArrayList<>();
-        byte[] head = (count + " " + RouteTableWriter.digest(table) + "\n").getBytes(StandardCharsets.US_ASCII);
-        for (int i = 0; i < count && count <= MOST; i++) {
-            int length = Math.min(OCTETS, octets.length - i * OCTETS);
-            byte[] value = Arrays.copyOf(head, head.length + length);
-            System.arraycopy(octets, i * OCTETS, value, head.length, length);
-            parts.add(new VersionedEntry(table.site(), topic(i), table.incarnation(), table.sequence(), value));
-        }
-        return parts;
+        return compressed.toByteArray();
     }
 
-    /** A part came; the table where it was the last that was missing, or null. */
-    RouteTable came(VersionedEntry part) {
-        int line = 0;
-        while (part.value() != null && line < part.value().length && line < 60 && part.value()[line] != '\n') {
-            line++;
-        }
-        String head = part.value() == null ? "" : new String(part.value(), 0, line, StandardCharsets.US_ASCII);
-        if (!head.matches("[1-9][0-9]{0,2} [0-9a-f]{32}") || !part.topic().matches("routes\\.[0-9]{1,3}")) {
+    /** Takes in a chunk; returns the table where it was the last that was missing, else null. */
+    RouteTable receive(VersionedEntry chunk) {
+        byte[] value = chunk.value();
+        if (value == null) {
             return null;
         }
-        int count = Integer.parseInt(head.substring(0, head.indexOf(' '))),
-                which = Integer.parseInt(part.topic().substring(7));
-        if (count > MOST
-                || which >= count
-                || (!coming.containsKey(part.owner()) && coming.size() >= RoutingTable.MOST_PARTNERS)) {
+        int headerLength = headerLength(value);
+        String header = new String(value, 0, headerLength, StandardCharsets.US_ASCII);
+        if (!HEADER.matcher(header).matches() || !TOPIC.matcher(chunk.topic()).matches()) {
             return null;
         }
-        IncompleteTable its = coming.get(part.owner());
-        if (its != null
-                && !head.equals(its.head)
-                && part.incarnation() == its.incarnation
-                && part.sequence() == its.sequence) {
-            // Two under one version; it begins anew with this one, and the other was taken or will come again.
-            its = null;
+        int count = Integer.parseInt(header.substring(0, header.indexOf(' ')));
+        int index = Integer.parseInt(chunk.topic().substring(TOPIC_PREFIX.length()));
+        boolean isUnknownPartner = !incomplete.containsKey(chunk.owner());
+        if (count > MAX_CHUNKS
+                || index >= count
+                || (isUnknownPartner && incomplete.size() >= RoutingTable.MAX_PARTNERS)) {
+            return null;
         }
-        if (its == null
-                || part.incarnation() > its.incarnation
-                || (part.incarnation() == its.incarnation && part.sequence() > its.sequence)) {
-            coming.put(part.owner(), its = new IncompleteTable(part, head, count));
-        } else if (part.incarnation() != its.incarnation || part.sequence() != its.sequence) {
+        IncompleteTable table = incomplete.get(chunk.owner());
+        // Two tables under one version: it begins anew with this one, and the other was taken or will come again.
+        boolean isConflicting = table != null && table.isSameVersion(chunk) && !header.equals(table.header);
+        if (table == null || isConflicting || table.isOlderThan(chunk)) {
+            table = new IncompleteTable(chunk, header, count);
+            incomplete.put(chunk.owner(), table);
+        } else if (!table.isSameVersion(chunk)) {
             return null;
         }
-        its.parts[which] = Arrays.copyOfRange(part.value(), line + 1, part.value().length);
-        return Arrays.stream(its.parts).allMatch(each -> each != null) ? whole(part.owner(), its) : null;
+        table.chunks[index] = Arrays.copyOfRange(value, headerLength + 1, value.length);
+        return table.isComplete() ? assemble(chunk.owner(), table) : null;
     }
 
-    private static RouteTable whole(String site, IncompleteTable its) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        Arrays.stream(its.parts).forEach(each -> all.write(each, 0, each.length));
-        Inflater inflater = new Inflater();
-        inflater.setInput(all.toByteArray());
-        ByteArrayOutputStream text = new ByteArrayOutputStream();
-        byte[] some = new byte[8192];
+    private static int headerLength(byte[] value) {
+        int length = 0;
+        while (length < value.length && length < MAX_HEADER_BYTES && value[length] != '\n') {
+            length++;
+        }
+        return length;
+    }
+
+    private static RouteTable assemble(String site, IncompleteTable complete) {
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        for (byte[] chunk : complete.chunks) {
+            compressed.write(chunk, 0, chunk.length);
+        }
         try {
-            int got = inflater.inflate(some);
-            while (got > 0 && text.size() <= RouteTableReader.MOST_CHARACTERS) {
-                text.write(some, 0, got);
-                got = inflater.inflate(some);
-            }
             RouteTable table =
-                    RouteTableReader.read(text.toString(StandardCharsets.UTF_8)).table();
-            return table.site().equals(site)
-                            && table.incarnation() == its.incarnation
-                            && table.sequence() == its.sequence
-                            && RouteTableWriter.digest(table).equals(its.head.substring(its.head.indexOf(' ') + 1))
-                    ? table
-                    : null;
+                    RouteTableReader.read(inflate(compressed.toByteArray())).table();
+            boolean isAsAnnounced = table.site().equals(site)
+                    && table.incarnation() == complete.incarnation
+                    && table.sequence() == complete.sequence
+                    && RouteTableWriter.digest(table).equals(complete.digest());
+            return isAsAnnounced ? table : null;
         } catch (DataFormatException | RouteTableReader.UnusableTableException e) {
             return null;
+        }
+    }
+
+    /** Stops a little beyond {@link RouteTableReader#MAX_CHARACTERS}, which the reader then refuses. */
+    private static String inflate(byte[] compressed) throws DataFormatException {
+        Inflater inflater = new Inflater();
+        try {
+            inflater.setInput(compressed);
+            ByteArrayOutputStream text = new ByteArrayOutputStream();
+            byte[] buffer = new byte[BUFFER_BYTES];
+            int length = inflater.inflate(buffer);
+            while (length > 0 && text.size() <= RouteTableReader.MAX_CHARACTERS) {
+                text.write(buffer, 0, length);
+                length = inflater.inflate(buffer);
+            }
+            return text.toString(StandardCharsets.UTF_8);
         } finally {
             inflater.end();
         }
--- a/src/test/java/merlinlever/core/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/core/DownstreamFailoverTest.java
@@ -37,7 +37,7 @@
 /** Calls over real sockets of one process: the own service is lost in the middle of 200 of them. */
 class DownstreamFailoverTest {
 
-    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final FleetView WHOLE = new FixedFleetView(now -> QuorumStatus.FULL);
 
     /** How each call ended, by the place in their order; and what each party saw. */
     private static Map<Long, Outcome> play(String kind, long[] seen, List<Long> rooms) throws Exception {
@@ -57,7 +57,7 @@
                         new RoutingTable.PartnerSettings("east", Relation.PEER),
                         new RoutingTable.PartnerSettings("west", Relation.PEER)),
                 0.01,
-                FlapDamping.FlapDampingSettings.PUBLISHED,
+                FlapDamping.FlapDampingSettings.RECOMMENDED,
                 WHOLE,
                 line -> {});
         for (String site : List.of("east", "west")) {
@@ -76,14 +76,16 @@
                     Restrictions.NONE);
             RouteTable table = RouteTable.of(site, 1, 1, Relation.PEER, Duration.ofMinutes(5), List.of(route));
             routes.offer(clock.uptime(), table);
-            routes.stoodBy(clock.uptime(), site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease());
+            routes.renew(
+                    clock.uptime(),
+                    new RoutingTable.Renewal(
+                            site, 1, 1, RouteTableWriter.digest(table), clock.uptime(), table.lease()));
         }
         List<RouteSelector.RoutingClass> tariffs =
                 List.of(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.valueOf(kind), true));
         Map<Long, Outcome> ends = new TreeMap<>();
         RoutedDownstreamService partners = new RoutedDownstreamService(
                 loop,
-                ownParty.address(),
                 (now, id, how, reply) -> {
                     assertTrue(ends.put(id, how) == null, "ended twice: " + id);
                     if (ends.size() == 200) {
@@ -91,13 +93,11 @@
                     }
                 },
                 log,
-                100,
                 routes,
                 new RouteSelector(routes, 1),
                 new LocalServiceHealth(new LocalServiceHealth.HealthSettings(
                         3, Duration.ofMillis(500), 32, Duration.ofMillis(100), 3)),
-                tariffs,
-                "records",
+                new RoutedDownstreamService.RoutingSettings(ownParty.address(), 100, tariffs, "records"),
                 rooms::add);
         for (int i = 0; i < 200; i++) {
             long id = i;
@@ -114,7 +114,7 @@
         seen[0] = own.counts()[1];
         seen[1] = east.counts()[1];
         seen[2] = west.counts()[1];
-        assertEquals(partners.ways(), seen[1] + seen[2]);
+        assertEquals(partners.callsToPartners(), seen[1] + seen[2]);
         return ends;
     }
 
@@ -122,7 +122,7 @@
     void theOwnServiceIsLostInTheMiddle() throws Exception {
         long[] seen = new long[3];
         List<Long> rooms = new ArrayList<>();
-        Map<Long, Outcome> ends = play("RETRIABLE", seen, rooms);
+        Map<Long, Outcome> ends = play("IDEMPOTENT", seen, rooms);
         assertEquals(200, ends.size());
         long good = ends.values().stream().filter(Outcome.OK::equals).count(),
                 cut =
@@ -139,7 +139,7 @@
     @Example
     void bindingWorkStays() throws Exception {
         long[] seen = new long[3];
-        Map<Long, Outcome> ends = play("BINDING", seen, new ArrayList<>());
+        Map<Long, Outcome> ends = play("NON_IDEMPOTENT", seen, new ArrayList<>());
         assertEquals(0, seen[1] + seen[2]);
         assertTrue(ends.values().stream().filter(Outcome.UNREACHABLE::equals).count() > 20);
     }
--- a/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
@@ -82,7 +82,7 @@
     @Example
     void aLeaderGrantsOnlyWhileItsQuorumStatusPermits() {
         QuotaModel model = new QuotaModel(5, 3, callsPerSecond(100));
-        AtomicReference<QuorumStatus> status = new AtomicReference<>(QuorumStatus.FEW);
+        AtomicReference<QuorumStatus> status = new AtomicReference<>(QuorumStatus.MINORITY);
         FleetView view = new FixedFleetView(now -> status.get());
         for (int i = 0; i < 3; i++) {
             model.nodes[i].restrictTo(view);
@@ -95,7 +95,7 @@
             assertEquals(0, model.share(0) + model.share(1) + model.share(2));
         }
         assertTrue(hadLeader, "there was a leader all the while");
-        status.set(QuorumStatus.MOST);
+        status.set(QuorumStatus.MAJORITY);
         for (int i = 0; i < 500; i++) {
             model.step();
         }
--- a/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/recovery/net/RecoveryCoordinatorTest.java
@@ -206,16 +206,16 @@
     }
 
     private static String addressOf(RecoveryCoordinator coordinator) {
-        MemberTable members = coordinator.membership().views();
-        return members.of(members.self()).gossip();
+        MemberTable members = coordinator.membership().memberTable();
+        return members.find(members.self()).gossipAddress();
     }
 
     private static boolean knows(RecoveryCoordinator coordinator, String name) {
-        return coordinator.membership().views().of(name) != null;
+        return coordinator.membership().memberTable().find(name) != null;
     }
 
     private static long incarnationOf(String name, RecoveryCoordinator asSeenBy) {
-        return asSeenBy.membership().views().of(name).incarnation();
+        return asSeenBy.membership().memberTable().find(name).incarnation();
     }
 
     @Example
@@ -224,7 +224,7 @@
         BlockingStateDirectory disk = blockingDirectory("b");
         RecoveryCoordinator second = start("b", disk, List.of(addressOf(first)), service);
         Thread.sleep(600);
-        assertEquals(1, first.membership().views().size(), "a has heard of nobody while b's disk hangs");
+        assertEquals(1, first.membership().memberTable().size(), "a has heard of nobody while b's disk hangs");
         assertEquals(Duration.ZERO, admittedUntil, "and b starts no non-idempotent requests");
         disk.permits.release(UNLIMITED);
         await("a hears of b", () -> knows(first, "b"));
@@ -274,8 +274,8 @@
         await("b is warm", () -> one.sequence().stage() == RecoveryStage.WARM);
         RecoveryCoordinator other = start("b", directory("b2"), List.of(addressOf(first)), service);
         await("one of the two reports it", () -> isLogged("name-conflict-started"));
-        assertTrue(one.membership().views().rivals() > 1
-                || other.membership().views().rivals() > 1);
+        assertTrue(one.membership().memberTable().addressConflicts() > 1
+                || other.membership().memberTable().addressConflicts() > 1);
     }
 
     @Example
@@ -304,9 +304,9 @@
         MembershipCodec codec = new MembershipCodec(SECRET.getBytes(StandardCharsets.UTF_8));
         try (UdpSwitch network =
                 new UdpSwitch(loop, new LinkFaults(2), addresses, List.of(loopback(0), loopback(0)), 7)) {
-            network.tap((from, to, bytes) -> audit.sent(nodeName(from), nodeName(to), codec.read(bytes)));
-            String frontOfA = MembershipTransport.text(network.front(0));
-            String frontOfB = MembershipTransport.text(network.front(1));
+            network.tap((from, to, bytes) -> audit.sent(nodeName(from), nodeName(to), codec.decode(bytes)));
+            String frontOfA = MembershipTransport.formatAddress(network.front(0));
+            String frontOfB = MembershipTransport.formatAddress(network.front(1));
             RecoveryCoordinator a = start(
                     new NodeSettings("a", addresses.get(0), Optional.of(frontOfA), "-", List.of(frontOfB), SECRET),
                     directory("a"),
--- a/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/replication/net/ReplicationTransportTest.java
@@ -18,6 +18,7 @@
 import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
+import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.faults.FixedFleetView;
 import merlinlever.faults.TestDirectories;
@@ -40,7 +41,7 @@
 /** Three replicas in one process, on real datagrams and disks. */
 class ReplicationTransportTest {
 
-    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.WHOLE);
+    private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.FULL);
     private static final long MAX_WAIT_NANOS = 90_000_000_000L;
 
     private Path root;
@@ -93,11 +94,11 @@
 
     private record Replica(RecoveryCoordinator recovery, ReplicationTransport transport) {
         String name() {
-            return recovery.membership().views().self();
+            return recovery.membership().memberTable().self();
         }
 
         String address() {
-            return recovery.membership().views().of(name()).gossip();
+            return recovery.membership().memberTable().find(name()).gossipAddress();
         }
     }
 
@@ -130,9 +131,7 @@
         ElectionTransport election = new ElectionTransport(
                 loop,
                 recovery,
-                List.of("a", "b", "c"),
-                Duration.ofSeconds(3),
-                0.01,
+                new ElectionSettings(List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01),
                 name.hashCode(),
                 line -> log.add(name + " " + line));
         ReplicationTransport transport = new ReplicationTransport(
@@ -140,7 +139,7 @@
                 recovery,
                 new FileStateDirectory(root.resolve(name + "-shared")),
                 ReplicatedStore.ReplicationSettings.defaults(true),
-                election.terms(),
+                election.election(),
                 FULL_QUORUM,
                 name.hashCode(),
                 line -> log.add(name + " " + line));
