--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -8,6 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.QuotaDemand;
+import merlinlever.QuotaGrant;
 import merlinlever.core.Backend;
 import merlinlever.election.ElectionSettings;
 import merlinlever.election.net.ElectionTransport;
@@ -130,12 +131,12 @@
     public void setAllowance(FleetQuota quota, long amount, Duration until) {
         boolean limitsCallsInFlight =
                 quota.limitedResource().equals("calls") && quota.kind() == FleetQuota.QuotaKind.CONCURRENT;
-        backend.setQuota(
-                backend.priorityClassIndex(quota.limitedResource()),
+        QuotaGrant grant = new QuotaGrant(
                 amount,
                 quota.kind() == FleetQuota.QuotaKind.PER_SECOND,
                 sinceModuleStart(until),
-                limitsCallsInFlight ? quota.maxCallDuration() : null);
+                limitsCallsInFlight ? Optional.of(quota.maxCallDuration()) : Optional.empty());
+        backend.setQuota(backend.priorityClassIndex(quota.limitedResource()), grant);
     }
 
     private Duration sinceModuleStart(Duration sinceProcessStart) {
--- a/src/main/java/merlinlever/config/SchemaValidator.java
+++ b/src/main/java/merlinlever/config/SchemaValidator.java
@@ -85,7 +85,7 @@
         String location = violation.getSchemaLocation().toString();
         String pointer = location.substring(location.indexOf('#') + 1);
         int keywordAt = pointer.lastIndexOf('/');
-        if (keywordAt < 0 || keywordAt > 0 && pointer.charAt(0) != '/') {
+        if (keywordAt < 0 || (keywordAt > 0 && pointer.charAt(0) != '/')) {
             return JsonNodeFactory.instance.objectNode();
         }
         return schemaTree.at(pointer.substring(0, keywordAt));
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/core/ControllerDriver.java
@@ -38,7 +38,7 @@
     private final OverloadController controller;
     private final DecisionHandler<T> handler;
     private final Map<String, Integer> priorityClassIndexes;
-    private final Map<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
+    private final IdentityHashMap<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
     private final Optional<ShadowModeCounter> shadowMode;
     private final Decision.Visitor executor = new Executor();
     /** Null while no wake-up is scheduled. */
@@ -70,6 +70,7 @@
         return indexes;
     }
 
+    /** The controller, for events that need no handle. */
     public OverloadController controller() {
         return controller;
     }
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -41,7 +41,7 @@
                 new SplittableRandom(seed),
                 log);
         recovery.membership().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
-        loop.every(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
+        loop.runNowAndEvery(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
     }
 
     /** The election, for the parts that need a leader. */
--- a/src/main/java/merlinlever/experiments/ExperimentConfigReader.java
+++ b/src/main/java/merlinlever/experiments/ExperimentConfigReader.java
@@ -224,7 +224,7 @@
     }
 
     private long wholeNumber(String path, long defaultValue, long min, long max) throws InvalidExperimentException {
-        double number = number(path, defaultValue, min, max);
+        double number = number(path, (double) defaultValue, (double) min, (double) max);
         if (number != Math.rint(number)) {
             throw invalid(path, " is to be a whole number from " + min + " to " + max);
         }
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/faults/ExperimentModel.java
@@ -289,7 +289,7 @@
     private void send(int sender, int receiver, Payload payload) {
         if (partition[sender] == partition[receiver] && random.nextDouble() >= lossRate) {
             for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-                long delayMs = 1 + (random.nextInt(50) == 0 ? random.nextInt(3000) : random.nextInt(40));
+                long delayMs = 1L + (random.nextInt(50) == 0 ? random.nextInt(3000) : random.nextInt(40));
                 network.add(new Datagram(nowMs + delayMs, sentDatagrams, sender, receiver, payload));
                 sentDatagrams++;
             }
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/http/EdgeConnection.java
@@ -4,252 +4,283 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Arrays;
+import java.util.Optional;
 import merlinlever.core.RequestMetadata;
 import merlinlever.core.ResponseSink;
 import merlinlever.core.TrackedRequest;
 import merlinlever.net.CloseReason;
 import merlinlever.net.Connection;
 
-/** One connection of an edge node: one message at a time, answered before the next is looked at. */
+/** One connection of an edge node: serves one request at a time, and reads the next after the response. */
 final class EdgeConnection implements Connection.Handler, ResponseSink {
 
-    static final int BUFFER = RequestHead.LONGEST + RequestHead.LONGEST_BODY;
-    static final int MOST_QUEUED = 64 * 1024;
+    static final int READ_BUFFER_BYTES = RequestHead.MAX_BYTES + RequestHead.MAX_BODY_BYTES;
+    static final int MAX_QUEUED_BYTES = 64 * 1024;
 
-    private static final byte[] NOTHING = {};
-    private static final byte[] GO_ON = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EMPTY_BODY = {};
+    private static final String NO_HEADERS = "";
+    private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    /** The end of a head: two line ends. */
+    private static final int HEAD_END_BYTES = 4;
 
-    /** What it is about: before its first whole message, waiting for one, reading one, having one in hand, answering, awaiting its end. */
+    private static final int USUAL_HEAD_CHARS = 120;
+
+    /** What a connection is doing. */
     enum State {
+        /** Before its first complete request. */
         NEW,
+        /** Between two requests. */
         IDLE,
+        /** A part of a request has come; not the first one, which is read in state {@link #NEW}. */
         RECEIVING,
-        IN_HAND,
-        ANSWERING,
+        /** A complete request is being processed. */
+        IN_FLIGHT,
+        /** A response is being written. */
+        RESPONDING,
+        /** This side has ended its direction, and drops what still comes until the other side does the same. */
         LINGERING
     }
 
-    private final EdgeServer owner;
+    private final EdgeServer server;
     private final RequestHead head = new RequestHead();
     private Connection connection;
     private State state = State.NEW;
-    private TrackedRequest work;
-    private int seen;
-    private boolean last, asked;
-    private CloseReason how = CloseReason.DONE;
+    /** The request that waits for its outcome in the backend; null while there is none. */
+    private TrackedRequest inFlight;
+    /** Bytes behind the buffer's position that are known to hold no end of a head. */
+    private int scannedBytes;
+
+    private boolean closeAfterResponse;
+    private boolean continueSent;
+    private CloseReason closeReason = CloseReason.COMPLETED;
 
-    EdgeConnection(EdgeServer owner) {
-        this.owner = owner;
+    EdgeConnection(EdgeServer server) {
+        this.server = server;
     }
 
-    void on(Connection made) {
-        connection = made;
-        become(State.NEW);
+    /** To be called once, before anything else. */
+    void attach(Connection newConnection) {
+        connection = newConnection;
+        changeState(State.NEW);
     }
 
-    Connection connection() {
-        return connection;
+    /** The reason to close with after lingering. */
+    CloseReason closeReason() {
+        return closeReason;
     }
 
-    /** How it ends where this side ends it after its last word. */
-    CloseReason how() {
-        return how;
+    /** Closes it at once. */
+    void close(CloseReason reason) {
+        connection.close(reason);
     }
 
     /**
-     * Ends it in good order while no message is in hand. What crosses this was sent to a connection that may be closed:
-     * it is read, as a close over unread bytes would be a reset, and it goes no further, as it could not be answered.
+     * Ends this side's direction, unless a request is being processed or answered. What the edge node has sent
+     * meanwhile is read and dropped: closing with unread bytes would reset the connection, and the edge node has to
+     * expect that a request which races the close is not run.
      */
-    void shut(CloseReason as) {
-        if (state == State.NEW || state == State.IDLE || state == State.RECEIVING) {
-            how = as;
-            become(State.LINGERING);
-            connection.writeNoMore();
-            connection.readAgain();
+    void shutDown(CloseReason reason) {
+        if (acceptsRequests()) {
+            closeReason = reason;
+            changeState(State.LINGERING);
+            connection.shutdownOutput();
+            connection.redeliver();
         }
     }
 
-    private void become(State next) {
-        if (connection.ended() == null) {
-            owner.moved(this, state, next);
+    private boolean acceptsRequests() {
+        return state == State.NEW || state == State.IDLE || state == State.RECEIVING;
+    }
+
+    private void changeState(State next) {
+        if (connection.isOpen()) {
+            server.stateChanged(this, state, next);
             state = next;
         }
     }
 
+    // ---- requests
+
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer input) {
         if (state == State.LINGERING) {
-            in.position(in.limit());
-        } else if (state == State.NEW || state == State.IDLE || state == State.RECEIVING) {
-            message(in);
+            input.position(input.limit());
+        } else if (acceptsRequests()) {
+            readRequest(input);
         }
     }
 
-    private void message(ByteBuffer in) {
-        byte[] bytes = in.array();
-        while (in.remaining() >= 2 && bytes[in.position()] == '\r' && bytes[in.position() + 1] == '\n') {
-            in.position(in.position() + 2);
-            seen = 0;
-        }
-        int start = in.position();
-        int end = RequestHead.end(bytes, start, start + seen, in.limit());
-        if (in.hasRemaining() && state == State.IDLE) {
-            become(State.RECEIVING);
+    private void readRequest(ByteBuffer input) {
+        skipBlankLines(input);
+        byte[] bytes = input.array();
+        int start = input.position();
+        int headEnd = RequestHead.findEnd(bytes, start, start + scannedBytes, input.limit());
+        if (input.hasRemaining() && state == State.IDLE) {
+            changeState(State.RECEIVING);
         }
-        if (end < 0 || end - start > RequestHead.LONGEST) {
-            seen = in.remaining();
-            if (end >= 0 || seen >= RequestHead.LONGEST) {
-                give(in, 431);
+        if (headEnd < 0 || headEnd - start > RequestHead.MAX_BYTES) {
+            scannedBytes = input.remaining();
+            if (headEnd >= 0 || scannedBytes >= RequestHead.MAX_BYTES) {
+                rejectMalformed(input, HttpStatus.HEAD_TOO_LARGE);
             }
             return;
         }
-        int wrong = head.read(bytes, start, end);
-        if (wrong != 0) {
-            give(in, wrong);
+        HttpStatus verdict = head.parse(bytes, start, headEnd);
+        if (verdict != HttpStatus.OK) {
+            rejectMalformed(input, verdict);
             return;
         }
-        int length = Math.max(0, head.length());
-        if (in.limit() - end < length) {
-            seen = end - start - 4;
-            if (head.expectsToBeAsked() && !asked) {
-                asked = true;
-                connection.write(ByteBuffer.wrap(GO_ON));
-            }
+        int bodyBytes = Math.max(0, head.contentLength());
+        if (input.limit() - headEnd < bodyBytes) {
+            awaitBody(headEnd - start);
             return;
         }
-        in.position(end + length);
-        seen = 0;
-        asked = false;
-        last = head.closes();
-        become(State.IN_HAND);
-        String path = head.path();
-        if (path.equals(EdgeServer.HEALTH)) {
-            health();
-        } else if (path.startsWith(EdgeServer.OPERATIONS)) {
-            operation(path.substring(EdgeServer.OPERATIONS.length()), Arrays.copyOfRange(bytes, end, end + length));
-        } else {
-            answer(404, NOTHING, "");
+        input.position(headEnd + bodyBytes);
+        scannedBytes = 0;
+        continueSent = false;
+        closeAfterResponse = head.closesConnection();
+        changeState(State.IN_FLIGHT);
+        route(bytes, headEnd, headEnd + bodyBytes);
+    }
+
+    private void skipBlankLines(ByteBuffer input) {
+        byte[] bytes = input.array();
+        while (input.remaining() >= 2 && bytes[input.position()] == '\r' && bytes[input.position() + 1] == '\n') {
+            input.position(input.position() + 2);
+            scannedBytes = 0;
         }
     }
 
-    /** What came is not to be understood; its place in the stream is lost. */
-    private void give(ByteBuffer in, int status) {
-        in.position(in.limit());
-        last = true;
-        become(State.IN_HAND);
-        answer(status, NOTHING, "");
+    private void awaitBody(int headBytes) {
+        scannedBytes = headBytes - HEAD_END_BYTES;
+        if (head.expectsContinue() && !continueSent) {
+            continueSent = true;
+            connection.write(ByteBuffer.wrap(CONTINUE_RESPONSE));
+        }
+    }
+
+    /** Answers bytes that are no request; where the next one begins is not known, so the connection ends. */
+    private void rejectMalformed(ByteBuffer input, HttpStatus status) {
+        input.position(input.limit());
+        closeAfterResponse = true;
+        changeState(State.IN_FLIGHT);
+        respond(status, EMPTY_BODY, NO_HEADERS);
     }
 
-    private void health() {
+    private void route(byte[] bytes, int bodyStart, int bodyEnd) {
+        String path = head.path();
+        if (path.equals(EdgeServer.HEALTH_CHECK_PATH)) {
+            answerHealthCheck();
+        } else if (path.startsWith(EdgeServer.REQUEST_PATH_PREFIX)) {
+            String service = path.substring(EdgeServer.REQUEST_PATH_PREFIX.length());
+            acceptRequest(service, Arrays.copyOfRange(bytes, bodyStart, bodyEnd));
+        } else {
+            respond(HttpStatus.NOT_FOUND, EMPTY_BODY, NO_HEADERS);
+        }
+    }
+
+    private void answerHealthCheck() {
         if (!head.method().equals("GET")) {
-            answer(405, NOTHING, "Allow: GET\r\n");
-        } else if (head.asks("real=1")) {
-            owner.backend().runDeepCheck(this::checked);
+            respond(HttpStatus.METHOD_NOT_ALLOWED, EMPTY_BODY, "Allow: GET\r\n");
+        } else if (head.hasQueryParameter("real=1")) {
+            server.backend().runDeepCheck(this::answerHealth);
         } else {
-            checked(owner.backend().isHealthy());
+            answerHealth(server.backend().isHealthy());
         }
     }
 
-    private void checked(boolean good) {
-        if (state == State.IN_HAND) {
-            answer(good ? 200 : 503, NOTHING, "");
+    private void answerHealth(boolean healthy) {
+        // The verdict of a deep check may come after the connection has closed.
+        if (state == State.IN_FLIGHT) {
+            respond(healthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, NO_HEADERS);
         }
     }
 
-    private void operation(String tariff, byte[] body) {
-        int index = owner.backend().priorityClassIndex(tariff);
-        if (index < 0) {
-            answer(404, NOTHING, "");
+    private void acceptRequest(String service, byte[] body) {
+        int priorityClass = server.backend().priorityClassIndex(service);
+        if (priorityClass < 0) {
+            respond(HttpStatus.NOT_FOUND, EMPTY_BODY, NO_HEADERS);
             return;
         }
         if (!head.method().equals("POST")) {
-            answer(405, NOTHING, "Allow: POST\r\n");
+            respond(HttpStatus.METHOD_NOT_ALLOWED, EMPTY_BODY, "Allow: POST\r\n");
             return;
         }
-        if (head.length() < 0) {
-            last = true;
-            answer(411, NOTHING, "");
+        if (head.contentLength() < 0) {
+            closeAfterResponse = true;
+            respond(HttpStatus.LENGTH_REQUIRED, EMPTY_BODY, NO_HEADERS);
             return;
         }
-        RequestMetadata operation = owner.asked(head, tariff, index);
-        if (operation == null) {
-            answer(400, NOTHING, "");
+        Optional<RequestMetadata> metadata = server.parseRequest(head, service, priorityClass);
+        if (metadata.isEmpty()) {
+            respond(HttpStatus.BAD_REQUEST, EMPTY_BODY, NO_HEADERS);
             return;
         }
-        TrackedRequest taken = owner.backend()
-                .receive(owner.clock().now(), operation, body, this)
-                .orElse(null);
-        work = state == State.IN_HAND ? taken : null;
+        Optional<TrackedRequest> accepted =
+                server.backend().receive(server.clock().now(), metadata.get(), body, this);
+        // The connection may have failed meanwhile.
+        inFlight = state == State.IN_FLIGHT ? accepted.orElse(null) : null;
     }
 
+    // ---- responses
+
     @Override
     public void succeed(byte[] result) {
-        answer(200, result, "");
+        respond(HttpStatus.OK, result, NO_HEADERS);
     }
 
     @Override
-    public void reject(boolean nowhereElse, Duration stayAway) {
-        String fields = stayAway.isZero() ? "" : "Srv-Wait-Ms: " + Math.max(1, stayAway.toMillis()) + "\r\n";
-        answer(503, NOTHING, nowhereElse ? fields + "Srv-Last: 1\r\n" : fields);
+    public void reject(boolean finalRejection, Duration retryAfter) {
+        String headers = retryAfter.isZero() ? "" : "Srv-Wait-Ms: " + Math.max(1, retryAfter.toMillis()) + "\r\n";
+        respond(HttpStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, finalRejection ? headers + "Srv-Last: 1\r\n" : headers);
     }
 
     @Override
     public void fail() {
-        answer(500, NOTHING, "");
+        respond(HttpStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, NO_HEADERS);
     }
 
-    private void answer(int status, byte[] body, String fields) {
-        work = null;
-        last |= owner.closing();
-        StringBuilder out = new StringBuilder(120)
+    /** @param headers further header lines, each with its line end */
+    @SuppressWarnings("UnnecessaryStringBuilder") // sized for a whole head, as each response has one
+    private void respond(HttpStatus status, byte[] body, String headers) {
+        inFlight = null;
+        closeAfterResponse |= server.isClosing();
+        StringBuilder out = new StringBuilder(USUAL_HEAD_CHARS)
                 .append("HTTP/1.1 ")
-                .append(status)
+                .append(status.code())
                 .append(' ')
-                .append(reason(status))
+                .append(status.reasonPhrase())
                 .append("\r\nContent-Length: ")
                 .append(body.length)
-                .append("\r\n");
-        out.append(owner.level()).append(fields).append(last ? "Connection: close\r\n\r\n" : "\r\n");
-        become(State.ANSWERING);
+                .append("\r\n")
+                .append(server.loadHeader())
+                .append(headers)
+                .append(closeAfterResponse ? "Connection: close\r\n\r\n" : "\r\n");
+        changeState(State.RESPONDING);
         connection.write(ByteBuffer.wrap(out.toString().getBytes(StandardCharsets.US_ASCII)), ByteBuffer.wrap(body));
     }
 
-    private static String reason(int status) {
-        return switch (status) {
-            case 200 -> "OK";
-            case 400 -> "Bad Request";
-            case 404 -> "Not Found";
-            case 405 -> "Method Not Allowed";
-            case 411 -> "Length Required";
-            case 413 -> "Content Too Large";
-            case 431 -> "Request Header Fields Too Large";
-            case 500 -> "Internal Server Error";
-            case 501 -> "Not Implemented";
-            default -> "Service Unavailable";
-        };
-    }
-
     @Override
-    public void written() {
-        if (state != State.ANSWERING) {
+    public void onFlushed() {
+        if (state != State.RESPONDING) {
             return;
         }
-        if (last) {
-            become(State.LINGERING);
-            connection.writeNoMore();
+        if (closeAfterResponse) {
+            changeState(State.LINGERING);
+            connection.shutdownOutput();
         } else {
-            become(State.IDLE);
+            changeState(State.IDLE);
         }
-        connection.readAgain();
+        connection.redeliver();
     }
 
     @Override
-    public void ended(CloseReason how) {
-        TrackedRequest open = work;
-        work = null;
-        owner.gone(this, state);
-        if (open != null) {
-            owner.backend().callerDisconnected(owner.clock().now(), open);
+    public void onClosed(CloseReason reason) {
+        TrackedRequest abandoned = inFlight;
+        inFlight = null;
+        server.connectionClosed(this, state);
+        if (abandoned != null) {
+            server.backend().callerDisconnected(server.clock().now(), abandoned);
         }
     }
 }
--- a/src/main/java/merlinlever/measure/DnsMeasurement.java
+++ b/src/main/java/merlinlever/measure/DnsMeasurement.java
@@ -183,10 +183,12 @@
         page.append(table.write(out, "seconds", List.of(0), List.of(1, 2), true));
     }
 
+    /** Written only, so that the measured calls are not optimised away. */
+    @SuppressWarnings("UnusedVariable")
     private static volatile long kept;
 
     private static void keep(long value) {
-        kept += value;
+        kept = value;
     }
 
     // ---- index
@@ -424,7 +426,7 @@
                 int number = i;
                 loop.execute(() -> new Client().go(number));
             }
-            loop.in(span.plusMillis(500), loop::stop);
+            loop.schedule(span.plusMillis(500), loop::stop);
             loop.run();
             asker.close();
             if (counts[1] > counts[0] / 10) {
--- a/src/main/java/merlinlever/net/Connection.java
+++ b/src/main/java/merlinlever/net/Connection.java
@@ -2,328 +2,234 @@
 
 import java.io.IOException;
 import java.net.SocketAddress;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.AsynchronousSocketChannel;
-import java.nio.channels.CompletionHandler;
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.concurrent.TimeUnit;
 
 /**
- * One connection: reads into one buffer that its user takes whole messages from, and writes what is queued at the end
- * of each batch in one gathered write. It ends once, in one way.
+ * One stream connection. It reads into one buffer, out of which its handler takes complete messages; what is queued for
+ * writing is written at the end of the event loop's batch, in one gathered write. It is closed once, for one reason.
+ * All methods are called on the event loop's thread.
  */
-public final class Connection {
+public abstract class Connection {
 
-    /** Who uses a connection. */
+    /** Receives what happens on a connection. A handler that throws closes its connection. */
     public interface Handler {
-        /** It is made; for one that was accepted this is not called. */
-        default void made() {}
+        /** The connection is established; not called for an accepted one. */
+        default void onConnected() {}
 
-        /** Bytes lie between position and limit; those that are taken are passed over, the others come again. */
-        void read(ByteBuffer in);
+        /**
+         * Bytes lie between position and limit; those behind the position at return are handed over again with more.
+         */
+        void onReceived(ByteBuffer input);
 
         /** All that was queued has been handed to the system. */
-        default void written() {}
+        default void onFlushed() {}
 
-        /** It is over; called once. */
-        void ended(CloseReason how);
+        /** The connection is closed; called once. */
+        void onClosed(CloseReason reason);
     }
 
-    /** A party in this process, at the other end of a connection in memory. */
+    /** The handler of the far end of a connection inside this process. */
     public interface InMemoryPeer extends Handler {
-        /** Called once, before anything else. */
-        void on(Connection mine);
-    }
-
-    private static final int BUFFERS_A_WRITE = 16;
-
-    private final EventLoop loop;
-    private final AsynchronousSocketChannel channel;
-    private final Handler user;
-    private final ByteBuffer in;
-    /** What a pending read brings while something lies in {@link #in}; made where that comes up. */
-    private ByteBuffer beside;
-
-    private final int mostQueued;
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-    private int queued;
-    private boolean reading, readingBeside, taking, writing, asked, made;
-    private CloseReason ended;
-    /** In memory: the other end, and what it has written and was not read here yet. */
-    private Connection other;
-
-    private final ArrayDeque<ByteBuffer> arriving = new ArrayDeque<>(0);
-
-    private Connection(
-            EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
+        /** Called once, before anything else, with the peer's own end. */
+        void attach(Connection connection);
+    }
+
+    final EventLoop loop;
+    final Handler handler;
+    final ByteBuffer input;
+    final ArrayDeque<ByteBuffer> outgoing = new ArrayDeque<>();
+    private final int maxQueuedBytes;
+    private int queuedBytes;
+    private boolean connected;
+    private boolean delivering;
+    private boolean flushScheduled;
+    /** Null while it is open. */
+    private CloseReason closeReason;
+
+    Connection(EventLoop loop, Handler handler, int readBufferBytes, int maxQueuedBytes) {
         this.loop = loop;
-        this.channel = channel;
-        this.user = user;
-        this.mostQueued = mostQueued;
-        in = ByteBuffer.allocate(readBuffer);
-        if (channel == null) {
-            made = true;
-            return;
-        }
-        try {
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        } catch (IOException e) {
-            // Only a matter of speed; a channel that is broken will say so when it is read.
-        }
+        this.handler = handler;
+        this.maxQueuedBytes = maxQueuedBytes;
+        input = ByteBuffer.allocate(readBufferBytes);
     }
 
-    /** One that was accepted; {@link #start} begins to read. */
+    /** An accepted connection; {@link #resumeReading} begins to read. */
     public static Connection accepted(
-            EventLoop loop, AsynchronousSocketChannel channel, Handler user, int readBuffer, int mostQueued) {
-        Connection connection = new Connection(loop, channel, user, readBuffer, mostQueued);
-        connection.made = true;
+            EventLoop loop,
+            AsynchronousSocketChannel channel,
+            Handler handler,
+            int readBufferBytes,
+            int maxQueuedBytes) {
+        Connection connection = new SocketConnection(loop, channel, handler, readBufferBytes, maxQueuedBytes);
+        connection.setConnected();
         return connection;
     }
 
-    /** One in memory between two users on the loop; returns the end of the first. */
-    public static Connection pair(EventLoop loop, Handler user, InMemoryPeer party, int readBuffer, int mostQueued) {
-        Connection here = new Connection(loop, null, user, readBuffer, mostQueued);
-        here.other = new Connection(loop, null, party, readBuffer, mostQueued);
-        here.other.other = here;
-        party.on(here.other);
-        return here;
-    }
-
-    /** Makes one; what is queued before it is made is written then. Its end comes later even if it fails at once. */
-    public static Connection to(
-            EventLoop loop, SocketAddress address, Handler user, int readBuffer, int mostQueued, Duration patience)
+    /** A connection inside this process; returns the handler's end. */
+    public static Connection inMemory(
+            EventLoop loop, Handler handler, InMemoryPeer peer, int readBufferBytes, int maxQueuedBytes) {
+        return InMemoryConnection.pair(loop, handler, peer, readBufferBytes, maxQueuedBytes);
+    }
+
+    /**
+     * Begins to connect. What is queued before the connection is established is written then; a failure is reported to
+     * the handler later, also where it is known at once.
+     *
+     * @throws IOException if no socket can be opened
+     */
+    public static Connection connect(
+            EventLoop loop,
+            SocketAddress address,
+            Handler handler,
+            int readBufferBytes,
+            int maxQueuedBytes,
+            Duration connectTimeout)
             throws IOException {
-        InMemoryPeer party = loop.party(address);
-        if (party != null) {
-            Connection here = pair(loop, user, party, readBuffer, mostQueued);
-            loop.execute(user::made);
-            return here;
-        }
-        Connection connection =
-                new Connection(loop, AsynchronousSocketChannel.open(loop.group()), user, readBuffer, mostQueued);
-        EventLoop.Timer late = loop.in(patience, () -> connection.notMade(CloseReason.NOT_MADE));
-        loop.execute(() -> connection.connect(address, late));
+        InMemoryPeer peer = loop.inMemoryPeer(address);
+        if (peer != null) {
+            Connection connection = inMemory(loop, handler, peer, readBufferBytes, maxQueuedBytes);
+            loop.execute(handler::onConnected);
+            return connection;
+        }
+        AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
+        SocketConnection connection = new SocketConnection(loop, channel, handler, readBufferBytes, maxQueuedBytes);
+        connection.connect(address, connectTimeout);
         return connection;
     }
 
-    private void connect(SocketAddress address, EventLoop.Timer late) {
-        if (ended != null) {
-            return;
-        }
-        channel.connect(address, null, new CompletionHandler<Void, Void>() {
-            @Override
-            public void completed(Void nothing, Void none) {
-                late.callOff();
-                if (ended == null) {
-                    made = true;
-                    tell(user::made);
-                    wantWrite();
-                    readOn();
-                }
-            }
-
-            @Override
-            public void failed(Throwable cause, Void none) {
-                late.callOff();
-                notMade(CloseReason.REFUSED);
-            }
-        });
+    /** Whether it has not been closed. */
+    public final boolean isOpen() {
+        return closeReason == null;
     }
 
-    private void notMade(CloseReason how) {
-        if (!made) {
-            end(how);
-        }
+    final boolean isConnected() {
+        return connected;
     }
 
-    public CloseReason ended() {
-        return ended;
+    final void setConnected() {
+        connected = true;
     }
 
-    /** Goes on reading if there is room: after {@link Handler#read} has taken something that it left before. */
-    public void readOn() {
-        if (reading || taking || ended != null || !made || !in.hasRemaining()) {
-            return;
-        }
-        if (other != null) {
-            arrive();
-            return;
-        }
-        reading = true;
-        // The channel's thread fills the buffer at any moment from here on, so nobody else may touch that one.
-        readingBeside = in.position() > 0;
-        channel.read(readingBeside ? beside() : in, null, ON_READ);
-    }
+    // ---- reading
 
-    private ByteBuffer beside() {
-        if (beside == null) {
-            beside = ByteBuffer.allocate(in.capacity());
+    /** Goes on reading if there is room, after {@link Handler#onReceived} has taken what it left before. */
+    public final void resumeReading() {
+        if (canReceive() && connected) {
+            startReading();
         }
-        return beside.clear().limit(in.remaining());
     }
 
-    private void arrive() {
-        while (ended == null && !taking && !arriving.isEmpty() && in.hasRemaining()) {
-            ByteBuffer next = arriving.peek();
-            ByteBuffer part = next.slice(next.position(), Math.min(next.remaining(), in.remaining()));
-            next.position(next.position() + part.remaining());
-            in.put(part);
-            if (!next.hasRemaining()) {
-                arriving.poll();
-            }
-            take();
-        }
+    /** Whether bytes may be handed over, and there is room for more. */
+    final boolean canReceive() {
+        return isOpen() && !delivering && input.hasRemaining();
     }
 
-    /** Offers what has been read and was left; a read that is pending may be filling an empty buffer meanwhile. */
-    public void readAgain() {
-        boolean filling = reading && !readingBeside;
-        if (!filling && !taking && ended == null && in.position() > 0) {
-            take();
+    /** Offers the bytes again that the handler has left, and goes on reading. */
+    public final void redeliver() {
+        if (!isInputInUse() && !delivering && isOpen() && input.position() > 0) {
+            deliver();
         }
-        readOn();
+        resumeReading();
     }
 
-    private void take() {
-        taking = true;
-        in.flip();
-        boolean well = loop.guarded(() -> user.read(in));
-        in.compact();
-        taking = false;
-        if (!well) {
-            end(CloseReason.FAILED);
+    final void deliver() {
+        delivering = true;
+        input.flip();
+        boolean succeeded = loop.runGuarded(() -> handler.onReceived(input));
+        input.compact();
+        delivering = false;
+        if (!succeeded) {
+            close(CloseReason.HANDLER_FAILED);
         }
     }
 
-    private void tell(Runnable what) {
-        if (!loop.guarded(what)) {
-            end(CloseReason.FAILED);
+    final void notifyHandler(Runnable callback) {
+        if (!loop.runGuarded(callback)) {
+            close(CloseReason.HANDLER_FAILED);
         }
     }
 
-    private final CompletionHandler<Integer, Void> ON_READ = new CompletionHandler<>() {
-        @Override
-        public void completed(Integer count, Void none) {
-            reading = false;
-            if (ended != null) {
-                return;
-            }
-            if (count < 0) {
-                end(CloseReason.CLOSED_THERE);
-                return;
-            }
-            if (readingBeside) {
-                in.put(beside.flip());
-            }
-            take();
-            readOn();
-        }
+    // ---- writing
 
-        @Override
-        public void failed(Throwable cause, Void none) {
-            reading = false;
-            end(CloseReason.BROKEN);
-        }
-    };
-
-    /** Queues the bytes; they leave at the end of the batch. */
-    public void write(ByteBuffer... buffers) {
-        if (ended != null) {
+    /** Queues the bytes; they are written at the end of the loop's batch. More than the limit closes the connection. */
+    public final void write(ByteBuffer... buffers) {
+        if (!isOpen()) {
             return;
         }
         for (ByteBuffer buffer : buffers) {
             if (buffer.hasRemaining()) {
-                queued += buffer.remaining();
-                out.add(buffer);
+                queuedBytes += buffer.remaining();
+                outgoing.add(buffer);
             }
         }
-        if (queued > mostQueued) {
-            end(CloseReason.OVERFULL);
+        if (queuedBytes > maxQueuedBytes) {
+            close(CloseReason.WRITE_QUEUE_FULL);
             return;
         }
-        wantWrite();
+        scheduleFlush();
     }
 
-    private void wantWrite() {
-        if (made && !asked && !writing && !out.isEmpty()) {
-            asked = true;
-            loop.wantsWriting(this);
+    final void scheduleFlush() {
+        if (connected && !flushScheduled && !isWritePending() && !outgoing.isEmpty()) {
+            flushScheduled = true;
+            loop.scheduleFlush(this);
         }
     }
 
-    void writeOut() {
-        asked = false;
-        if (writing || ended != null || out.isEmpty()) {
-            return;
+    /** Called by the loop at the end of a batch. */
+    final void flush() {
+        flushScheduled = false;
+        if (!isWritePending() && isOpen() && !outgoing.isEmpty()) {
+            startWriting();
         }
-        if (other != null) {
-            other.arriving.addAll(out);
-            out.clear();
-            queued = 0;
-            loop.execute(other::readOn);
-            tell(user::written);
-            return;
-        }
-        writing = true;
-        ByteBuffer[] some = out.stream().limit(BUFFERS_A_WRITE).toArray(ByteBuffer[]::new);
-        channel.write(some, 0, some.length, 0, TimeUnit.SECONDS, null, ON_WRITTEN);
     }
 
-    private final CompletionHandler<Long, Void> ON_WRITTEN = new CompletionHandler<>() {
-        @Override
-        public void completed(Long count, Void none) {
-            writing = false;
-            queued -= (int) (long) count;
-            while (!out.isEmpty() && !out.peek().hasRemaining()) {
-                out.poll();
-            }
-            if (ended != null) {
-                return;
-            }
-            if (out.isEmpty()) {
-                tell(user::written);
-            } else {
-                wantWrite();
-            }
-        }
+    /** So many bytes of what was queued have been written. */
+    final void written(int bytes) {
+        queuedBytes -= bytes;
+    }
 
-        @Override
-        public void failed(Throwable cause, Void none) {
-            writing = false;
-            end(CloseReason.BROKEN);
-        }
-    };
+    final void clearQueue() {
+        outgoing.clear();
+        queuedBytes = 0;
+    }
 
-    /** Says to the other side that nothing more will be written. */
-    public void writeNoMore() {
-        try {
-            if (ended == null && other == null) {
-                channel.shutdownOutput();
-            }
-        } catch (IOException e) {
-            end(CloseReason.BROKEN);
+    /** Ends this side's direction: the other side reads an end of stream. */
+    public final void shutdownOutput() {
+        if (isOpen()) {
+            shutdownTransportOutput();
         }
     }
 
-    /** Ends it; a second end changes nothing. */
-    public void end(CloseReason how) {
-        if (ended != null) {
+    /** Closes it, and calls {@link Handler#onClosed} before this returns; once it is closed nothing happens. */
+    public final void close(CloseReason reason) {
+        if (!isOpen()) {
             return;
         }
-        ended = how;
-        out.clear();
-        queued = 0;
-        if (other != null) {
-            loop.execute(() -> other.end(CloseReason.CLOSED_THERE));
-        } else {
-            try {
-                channel.close();
-            } catch (IOException e) {
-                // It is gone either way.
-            }
-        }
-        user.ended(how);
+        closeReason = reason;
+        clearQueue();
+        closeTransport();
+        handler.onClosed(reason);
     }
+
+    // ---- the transport
+
+    /** Reads into {@link #input}, unless that is under way. */
+    abstract void startReading();
+
+    /** Whether the transport may be writing into {@link #input} at this moment. */
+    abstract boolean isInputInUse();
+
+    /** Writes from {@link #outgoing}. */
+    abstract void startWriting();
+
+    /** Whether a write is under way. */
+    abstract boolean isWritePending();
+
+    abstract void shutdownTransportOutput();
+
+    abstract void closeTransport();
 }
--- a/src/main/java/merlinlever/net/DatagramEndpoint.java
+++ b/src/main/java/merlinlever/net/DatagramEndpoint.java
@@ -8,45 +8,58 @@
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
+import java.nio.channels.UnresolvedAddressException;
+import java.nio.channels.UnsupportedAddressTypeException;
 import java.time.Duration;
 import java.util.concurrent.Semaphore;
 
 /**
- * A socket for datagrams. NIO.2 has no asynchronous channel for them, so one thread waits until some are there and hands
- * over to the loop, which reads and sends; like the thread of a channel group it does nothing else.
+ * A UDP socket on an event loop. NIO.2 has no asynchronous channel for datagrams, so a thread waits until some have
+ * come and hands over to the loop, which receives and sends; like a channel group's thread it does nothing else.
  */
 public final class DatagramEndpoint {
 
-    /** Who hears of each datagram; {@code waited} is how long it may have lain there unread, at the most. */
+    /** Receives datagrams on the loop's thread. */
     public interface Receiver {
-        void came(byte[] octets, InetSocketAddress from, Duration waited);
+        /**
+         * Called for each datagram.
+         *
+         * @param maxQueueTime how long the datagram may have waited to be read, at most
+         */
+        void onDatagram(byte[] payload, InetSocketAddress sender, Duration maxQueueTime);
     }
 
-    /** Read in one go, so that connections and timers have their turn. */
-    private static final int BATCH = 128;
-    /** What the system keeps until it is read; the rest it drops. */
-    private static final int SYSTEM_BUFFER = 1 << 20;
+    /** Received in one batch, so that connections and timers have their turn. */
+    private static final int MAX_BATCH_DATAGRAMS = 128;
+    /** What the system buffers; it drops datagrams beyond that. */
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
-    /** What the system counts for a datagram, at the least. */
-    private static final int LEAST = 64;
+    /** What the system accounts for any datagram, at least. */
+    private static final int MIN_ACCOUNTED_BYTES = 64;
 
     private final EventLoop loop;
     private final DatagramChannel channel;
     private final Selector selector;
-    private final Receiver user;
-    private final ByteBuffer in;
+    private final Receiver receiver;
+    private final ByteBuffer input;
     private final Semaphore drained = new Semaphore(0);
     private volatile boolean closed;
-    private long readyAt;
+    private long readyNanos;
 
-    /** @param largest octets of a datagram that are read; longer ones come cut */
-    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int largest, Receiver user) throws IOException {
+    /**
+     * Receives datagrams at the address.
+     *
+     * @param maxDatagramBytes longer datagrams are truncated
+     * @throws IOException if the address cannot be bound
+     */
+    public DatagramEndpoint(EventLoop loop, InetSocketAddress address, int maxDatagramBytes, Receiver receiver)
+            throws IOException {
         this.loop = loop;
-        this.user = user;
-        in = ByteBuffer.allocateDirect(largest);
+        this.receiver = receiver;
+        input = ByteBuffer.allocateDirect(maxDatagramBytes);
         channel = DatagramChannel.open();
         try {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, SYSTEM_BUFFER);
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
             channel.bind(address);
             channel.configureBlocking(false);
             selector = Selector.open();
@@ -55,78 +68,82 @@
             channel.close();
             throw e;
         }
-        Thread waiter = new Thread(this::waitOn, "datagrams");
-        waiter.setDaemon(true);
-        waiter.start();
+        Thread selectorThread = new Thread(this::awaitReadable, "datagrams");
+        selectorThread.setDaemon(true);
+        selectorThread.start();
     }
 
+    /** Where it receives. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    private void waitOn() {
+    private void awaitReadable() {
         try {
             while (!closed) {
                 selector.select();
                 selector.selectedKeys().clear();
                 if (!closed) {
-                    readyAt = loop.clock().nanoTime();
-                    loop.execute(this::drain);
+                    readyNanos = loop.clock().nanoTime();
+                    loop.execute(this::receiveBatch);
                     drained.acquire();
                 }
             }
-        } catch (IOException | ClosedSelectorException | InterruptedException e) {
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } catch (IOException | ClosedSelectorException e) {
             // Closed, or the process ends.
         }
     }
 
-    private boolean readOne() throws IOException {
-        in.clear();
-        InetSocketAddress from = closed ? null : (InetSocketAddress) channel.receive(in);
-        if (from == null) {
+    private boolean receiveOne() throws IOException {
+        input.clear();
+        InetSocketAddress sender = closed ? null : (InetSocketAddress) channel.receive(input);
+        if (sender == null) {
             return false;
         }
-        in.flip();
-        byte[] octets = new byte[in.remaining()];
-        in.get(octets);
-        Duration waited = Duration.ofNanos(Math.max(0, loop.clock().nanoTime() - readyAt));
-        loop.guarded(() -> user.came(octets, from, waited));
+        input.flip();
+        byte[] payload = new byte[input.remaining()];
+        input.get(payload);
+        Duration maxQueueTime = Duration.ofNanos(Math.max(0, loop.clock().nanoTime() - readyNanos));
+        loop.runGuarded(() -> receiver.onDatagram(payload, sender, maxQueueTime));
         return true;
     }
 
     /**
-     * Reads what has come until now, on the loop's thread; so that what happens next comes after it.
+     * Receives all datagrams that have come by now, so that whatever the caller does next comes after them.
      *
-     * @return false where more came than the system's buffer can hold, and some may be there still
+     * @return false if more came than the system's buffer holds, and some may be left
      */
-    public boolean readAll() throws IOException {
-        for (int i = 0; i < SYSTEM_BUFFER / LEAST; i++) {
-            if (!readOne()) {
+    public boolean receiveAll() throws IOException {
+        for (int i = 0; i < RECEIVE_BUFFER_BYTES / MIN_ACCOUNTED_BYTES; i++) {
+            if (!receiveOne()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void drain() {
+    private void receiveBatch() {
         try {
-            for (int i = 0; i < BATCH && readOne(); i++) {}
+            for (int i = 0; i < MAX_BATCH_DATAGRAMS && receiveOne(); i++) {}
         } catch (IOException e) {
-            // Such as an answer that found nobody at its place: the next ones are read.
+            // Such as the ICMP error for a datagram sent to a closed port: the next datagrams are received.
         } finally {
             drained.release();
         }
     }
 
-    /** Sends it, or drops it where there is no room now; whoever needs it asks again. */
-    public boolean send(byte[] octets, InetSocketAddress to) {
+    /** Sends a datagram, or drops it where it cannot be sent now; returns whether it was sent. */
+    public boolean send(byte[] payload, InetSocketAddress recipient) {
         try {
-            return !closed && channel.send(ByteBuffer.wrap(octets), to) == octets.length;
-        } catch (IOException | RuntimeException e) {
+            return !closed && channel.send(ByteBuffer.wrap(payload), recipient) == payload.length;
+        } catch (IOException | UnresolvedAddressException | UnsupportedAddressTypeException e) {
             return false;
         }
     }
 
+    /** Closes the socket and ends the thread. */
     public void close() {
         closed = true;
         try {
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -24,7 +24,7 @@
         this.recovery = recovery;
         this.coordinator = coordinator;
         recovery.membership().addTextHandler(QuotaCoordinator.MESSAGE_TYPES, this);
-        loop.every(TICK_INTERVAL, () -> send(coordinator.tick(now())));
+        loop.runNowAndEvery(TICK_INTERVAL, () -> send(coordinator.tick(now())));
     }
 
     private Duration now() {
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -119,7 +119,7 @@
                 members,
                 new MembershipCodec(node.secret().getBytes(StandardCharsets.UTF_8)),
                 reservations::isIncarnationReserved);
-        loop.every(POLL_INTERVAL, this::poll);
+        loop.runNowAndEvery(POLL_INTERVAL, this::poll);
     }
 
     private void datagramReceived(byte[] bytes, InetSocketAddress from, Duration waited) {
--- a/src/main/java/merlinlever/replication/MessageFormatter.java
+++ b/src/main/java/merlinlever/replication/MessageFormatter.java
@@ -17,7 +17,11 @@
         MALFORMED
     }
 
-    /** @param text a short description; values are shown as text and cut off */
+    /**
+     * A message as a timeline shows it.
+     *
+     * @param text a short description; values are shown as text and cut off
+     */
     public record FormattedMessage(MessageKind kind, String text) {}
 
     private static final int MAX_VALUE_LENGTH = 20;
--- a/src/main/java/merlinlever/storage/BackgroundWriter.java
+++ b/src/main/java/merlinlever/storage/BackgroundWriter.java
@@ -1,11 +1,8 @@
 package merlinlever.storage;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.time.Duration;
 import java.util.Optional;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CompletionException;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -23,7 +20,11 @@
     private final ExecutorService writerThread;
     private boolean busy;
 
-    /** @param threadName of the daemon thread that writes */
+    /**
+     * A writer with its own thread.
+     *
+     * @param threadName of the daemon thread that writes
+     */
     public BackgroundWriter(StateDirectory directory, Executor eventLoop, String threadName) {
         this.directory = directory;
         this.eventLoop = eventLoop;
@@ -50,29 +51,28 @@
             return false;
         }
         busy = true;
-        CompletableFuture.runAsync(() -> replaceNow(name, bytes), writerThread)
-                .whenCompleteAsync(
-                        (nothing, failure) -> {
-                            busy = false;
-                            completion.accept(Optional.ofNullable(failure).map(BackgroundWriter::toIoException));
-                        },
-                        eventLoop);
+        writerThread.execute(() -> {
+            Optional<IOException> failure = tryReplace(name, bytes);
+            eventLoop.execute(() -> {
+                busy = false;
+                completion.accept(failure);
+            });
+        });
         return true;
     }
 
-    private void replaceNow(String name, byte[] bytes) {
+    private Optional<IOException> tryReplace(String name, byte[] bytes) {
         try {
             directory.replace(name, bytes);
+            return Optional.empty();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);
+            return Optional.of(e);
+        } catch (RuntimeException e) {
+            // Whatever fails, the completion has to be called, or this writer would stay busy for good.
+            return Optional.of(new IOException(e));
         }
     }
 
-    private static IOException toIoException(Throwable failure) {
-        Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        return cause instanceof UncheckedIOException unchecked ? unchecked.getCause() : new IOException(cause);
-    }
-
     /**
      * Starts no further write and waits for the one in progress, so that the directory is not touched afterwards.
      *
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -52,7 +52,7 @@
                 loop.clock().uptime(), setup, recovery.membership().memberTable(), election);
         recovery.membership().addTextHandler(ViewManager.MESSAGE_TYPES, this);
         recovery.membership().addPayloadHandler(this);
-        loop.every(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
+        loop.runNowAndEvery(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
     }
 
     /** What is known of the fleet, for the parts that depend on the peers. */
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/zone/server/DnsConnection.java
@@ -43,11 +43,11 @@
 
     void attach(Connection mine) {
         connection = mine;
-        connection.readOn();
+        connection.resumeReading();
     }
 
     @Override
-    public void read(ByteBuffer in) {
+    public void onReceived(ByteBuffer in) {
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
         while (in.remaining() >= 2 && inFlight.size() < MAX_IN_FLIGHT) {
@@ -66,7 +66,7 @@
                 inFlight.add(asked);
             } else if (!one.answered) {
                 // Not a question: nothing that such a peer says next is worth reading.
-                connection.end(CloseReason.MALFORMED);
+                connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
             }
         }
@@ -88,14 +88,14 @@
             inFlight.remove(asked);
             idleSince = loop.clock().now();
             // Behind this batch: what waits in the buffer is read now that there is room.
-            loop.execute(connection::readAgain);
+            loop.execute(connection::redeliver);
         }
 
         @Override
         public void answer(byte[] octets) {
             over();
             if (octets == null) {
-                connection.end(CloseReason.DONE);
+                connection.close(CloseReason.COMPLETED);
             } else {
                 write(octets);
             }
@@ -103,7 +103,7 @@
 
         @Override
         public void answer(ZoneTransfer transfer, Consumer<Boolean> done) {
-            if (connection.ended() != null) {
+            if (!connection.isOpen()) {
                 done.accept(false);
                 return;
             }
@@ -147,18 +147,18 @@
     }
 
     @Override
-    public void written() {
+    public void onFlushed() {
         unwrittenSince = null;
         idleSince = loop.clock().now();
         if (sending != null) {
             sendNextMessage();
         } else if (isClosing && inFlight.isEmpty()) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
     }
 
     @Override
-    public void ended(CloseReason how) {
+    public void onClosed(CloseReason how) {
         Duration now = loop.clock().now();
         for (PendingMessage asked : List.copyOf(inFlight)) {
             desk.clientDisconnected(now, asked);
@@ -179,9 +179,9 @@
                         && inFlight.size() < MAX_IN_FLIGHT
                         && hasElapsed(incompleteSince, now, MESSAGE_TIMEOUT))
                 || (unwrittenSince != null && hasElapsed(unwrittenSince, now, MESSAGE_TIMEOUT))) {
-            connection.end(CloseReason.SLOW);
+            connection.close(CloseReason.TIMED_OUT);
         } else if (inFlight.isEmpty() && unwrittenSince == null && hasElapsed(idleSince, now, IDLE_TIMEOUT)) {
-            connection.end(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE);
         }
     }
 
@@ -193,14 +193,14 @@
     void closeWhenAnswered() {
         isClosing = true;
         if (inFlight.isEmpty() && unwrittenSince == null) {
-            connection.end(CloseReason.DONE);
+            connection.close(CloseReason.COMPLETED);
         }
     }
 
     /** Ends it if nothing is open on it; says whether it did. */
     boolean closeIfIdle() {
         if (inFlight.isEmpty() && unwrittenSince == null) {
-            connection.end(CloseReason.IDLE);
+            connection.close(CloseReason.IDLE);
             return true;
         }
         return false;
--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/SafetyRulesModelTest.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -40,7 +39,7 @@
         Duration retainedUntil;
     }
 
-    private final Map<RequestHandle, ModelRequest> requests = new IdentityHashMap<>();
+    private final IdentityHashMap<RequestHandle, ModelRequest> requests = new IdentityHashMap<>();
     private final List<RequestHandle> inOrder = new ArrayList<>();
     private SplittableRandom random;
     private ControllerFixture server;
--- a/src/test/java/merlinlever/cli/ServeCommandTest.java
+++ b/src/test/java/merlinlever/cli/ServeCommandTest.java
@@ -175,7 +175,8 @@
         Map<?, ?> first = awaitCommand("launch");
         sendDownstreamCall(1, first);
         Socket its = acceptCall(first);
-        Socket edge = send(httpRequest("look", "", ""));
+        // Held open until the end of the test.
+        Socket unusedEdge = send(httpRequest("look", "", ""));
         Map<?, ?> second = awaitCommand("launch");
         String id = "" + second.get("req");
         sendDownstreamCall(2, second);
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -184,7 +184,7 @@
             says.addAll(sight.tick(Duration.ofMillis(ms)));
         }
         for (String what : List.of("WP/", "WQ/0/-/4/3/", "WG/0/1")) {
-            says.addAll(sight.receive(Duration.ofMillis(1000), "b2", 5, what));
+            says.addAll(sight.receive(Duration.ofSeconds(1), "b2", 5, what));
         }
         for (PeerMessage say : says) {
             PeerMessage.Text text = assertInstanceOf(PeerMessage.Text.class, say);
@@ -196,14 +196,14 @@
                     .append('\n');
         }
         fixture.pins("view.words", all.toString());
-        fixture.pins("view.state", sight.json(Duration.ofMillis(1000)));
+        fixture.pins("view.state", sight.json(Duration.ofSeconds(1)));
     }
 
     @Test
     void whoComesBackTellsTheSame() throws Exception {
         try (ManualClockLoop on = new ManualClockLoop();
                 FileStateDirectory disk = new FileStateDirectory(folder)) {
-            RecoveryCoordinator rejoin = on.on(() -> {
+            RecoveryCoordinator rejoin = on.callOnLoop(() -> {
                 try {
                     return new RecoveryCoordinator(
                             on.loop,
@@ -224,9 +224,9 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            fixture.pins("recovery.tells", on.on(rejoin::recoveryReport));
-            fixture.pins("recovery.state", on.on(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
-            on.on(() -> rejoin.close(Duration.ofSeconds(1)));
+            fixture.pins("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
+            fixture.pins("recovery.state", on.callOnLoop(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
         }
     }
 }
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/http/EdgeServerFixture.java
@@ -21,26 +21,24 @@
 import java.util.function.BooleanSupplier;
 import merlinlever.Outcome;
 import merlinlever.core.Backend;
-import merlinlever.core.BackendDependencies;
-import merlinlever.core.DownstreamService;
-import merlinlever.core.TrackedRequest;
+import merlinlever.core.RecordingDependencies;
 import merlinlever.net.EventLoop;
 import merlinlever.net.MonotonicClock;
 import net.jqwik.api.lifecycle.AfterTry;
 
 /**
- * The side of the edge nodes on loopback sockets, with a backend whose other parties are played here. The loop runs on a
- * thread of its own; its clock stands still but where a test moves it, and it can be held while peers write.
+ * An edge server on loopback sockets, with a real backend whose dependencies are recorded here. The loop runs on a
+ * thread of its own; its clock advances only where a test advances it, and tasks on it hold it up while peers write.
  */
-abstract class EdgeServerFixture implements BackendDependencies, DownstreamService {
+abstract class EdgeServerFixture extends RecordingDependencies {
 
-    static final int PATIENCE_MS = 20_000;
-    static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    static final int TIMEOUT_MS = 20_000;
+    static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     final AtomicLong nanos = new AtomicLong(1_000_000_000L);
     final List<Throwable> failures = new CopyOnWriteArrayList<>();
-    /** What the agent was asked, as words. */
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    /** The commands to the agent, as "command id". */
+    final List<String> agentCommands = commands;
 
     private final List<Socket> sockets = new ArrayList<>();
     final EventLoop loop = new EventLoop(
@@ -61,19 +59,20 @@
             this);
     final EdgeServer edge = new EdgeServer(loop, backend, Map.of("server.idle", "4000"));
     private final Thread thread = new Thread(loop::run, "loop");
-    private volatile long batches;
-    private long ids = 0x9b1f03aa5c7e2d41L;
+    private final AtomicLong batchesRun = new AtomicLong();
+    private long nextRequestId = 0x9b1f03aa5c7e2d41L;
 
     EdgeServerFixture() throws IOException {
-        loop.after(() -> {
+        super(new CopyOnWriteArrayList<>());
+        loop.setAfterBatch(() -> {
             backend.decide(loop.clock().now());
-            batches++;
+            batchesRun.incrementAndGet();
         });
     }
 
-    /** Begins to listen, with room for so many, and with the agent up. */
-    void listen(int most) throws Exception {
-        edge.listen(new InetSocketAddress(HERE, 0), most);
+    /** Begins to listen, with the agent up. */
+    void listen(int maxConnections) throws Exception {
+        edge.listen(new InetSocketAddress(LOOPBACK, 0), maxConnections);
         backend.agentStarted(loop.clock().now(), false);
         thread.setDaemon(true);
         thread.start();
@@ -81,7 +80,7 @@
     }
 
     @AfterTry
-    void end() throws Exception {
+    void stopLoopAndCloseSockets() throws Exception {
         loop.stop();
         thread.join();
         for (Socket socket : sockets) {
@@ -91,48 +90,48 @@
         assertEquals(List.of(), failures);
     }
 
-    /** Runs it on the loop, between other handlers. */
-    void on(Runnable task) throws Exception {
+    /** Runs the task on the loop and waits for it. */
+    void runOnLoop(Runnable task) throws Exception {
         FutureTask<Void> future = new FutureTask<>(task, null);
         loop.execute(future);
-        future.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        future.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What is ready, what that makes ready, and the timers that are due have had their turn. */
-    void settle() throws Exception {
-        // Tasks that come while a batch runs may join it; the timers and writes of each come behind its tasks.
+    /** Waits until the ready tasks, those that they make ready, and the due timers have run. */
+    void runPendingWork() throws Exception {
+        // Tasks that come during a batch may join it; its timers and writes follow its tasks.
         for (int i = 0; i < 4; i++) {
-            long before = batches;
-            on(() -> {});
-            long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-            while (batches == before) {
-                assertTrue(System.nanoTime() < until, "the loop stands still");
+            long before = batchesRun.get();
+            runOnLoop(() -> {});
+            long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+            while (batchesRun.get() == before) {
+                assertTrue(System.nanoTime() < deadlineNanos, "the loop stands still");
                 Thread.onSpinWait();
             }
         }
     }
 
-    /** Moves the clock in steps of a sweep. */
-    void pass(long ms) throws Exception {
+    /** Advances the clock in steps that are shorter than a sweep. */
+    void advance(long ms) throws Exception {
         for (long left = ms; left > 0; left -= 50) {
             long step = Math.min(left, 50);
-            on(() -> nanos.addAndGet(step * 1_000_000L));
-            settle();
+            runOnLoop(() -> nanos.addAndGet(step * 1_000_000L));
+            runPendingWork();
         }
     }
 
-    /** Moves the clock at once, as over a stall. */
-    void stall(long ms) throws Exception {
-        on(() -> nanos.addAndGet(ms * 1_000_000L));
-        settle();
+    /** Advances the clock in one step, as over a pause of the process. */
+    void advanceAtOnce(long ms) throws Exception {
+        runOnLoop(() -> nanos.addAndGet(ms * 1_000_000L));
+        runPendingWork();
     }
 
     Socket connect() throws Exception {
         Socket socket = new Socket();
         sockets.add(socket);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
-        socket.connect(new InetSocketAddress(HERE, edge.address().getPort()), PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
+        socket.connect(new InetSocketAddress(LOOPBACK, edge.address().getPort()), TIMEOUT_MS);
         return socket;
     }
 
@@ -140,23 +139,24 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    Socket ask(String text) throws Exception {
+    Socket send(String text) throws Exception {
         Socket socket = connect();
         write(socket, text);
         return socket;
     }
 
-    String operation(String more, String body) {
-        return "POST /svc/look HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", ids++) + "\r\nReq-Time: "
+    String request(String headers, String body) {
+        return "POST /svc/look HTTP/1.1\r\nHost: api\r\nReq-Id: " + String.format("%016x", nextRequestId++)
+                + "\r\nReq-Time: "
                 + (nanos.get() / 1_000_000 + 1_700_000_000_000L)
                 + "\r\nReq-From: 4\r\nReq-Wait-Ms: 30000\r\nReq-Kb: 24.5\r\n"
-                + "Req-Rank: 0.6250\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+                + "Req-Rank: 0.6250\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static final String CHECK = "GET /status/live HTTP/1.1\r\n\r\n";
+    static final String HEALTH_CHECK = "GET /status/live HTTP/1.1\r\n\r\n";
 
-    /** The next answer: its head and its body. */
-    static String answer(Socket socket) throws IOException {
+    /** Reads the next response: its head and its body. */
+    static String readResponse(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -171,17 +171,17 @@
     }
 
     static void assertStatus(int status, Socket socket) throws IOException {
-        String answer = answer(socket);
+        String answer = readResponse(socket);
         assertEquals("" + status, answer.substring(9, 12), answer);
     }
 
-    static void assertEnds(Socket socket) throws IOException {
+    static void assertEndOfStream(Socket socket) throws IOException {
         assertEquals(-1, socket.getInputStream().read());
     }
 
-    /** Waits until the agent has been asked so much. */
-    void awaitAsked(int count) throws Exception {
-        await(() -> asked.size() >= count, "asked only " + asked);
+    /** Waits until so many commands have been sent to the agent. */
+    void awaitAgentCommands(int count) throws Exception {
+        await(() -> agentCommands.size() >= count, "asked only " + agentCommands);
     }
 
     /** Waits until so many connections are in the state. */
@@ -189,80 +189,31 @@
         await(() -> edge.count(state) == count, "not " + count + " are " + state);
     }
 
-    /** Waits for what the loop sees. */
-    void await(BooleanSupplier wanted, String otherwise) throws Exception {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    /** Waits for a condition, which is evaluated on the loop. */
+    void await(BooleanSupplier condition, String message) throws Exception {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         boolean[] seen = new boolean[1];
         while (!seen[0]) {
-            assertTrue(System.nanoTime() < until, otherwise);
-            on(() -> seen[0] = wanted.getAsBoolean());
+            assertTrue(System.nanoTime() < deadlineNanos, message);
+            runOnLoop(() -> seen[0] = condition.getAsBoolean());
         }
     }
 
-    /** The operation that was sent on as the given one ends with the result. */
-    void ends(String launch, byte[] result) throws Exception {
-        on(() -> backend.runEnded(
+    /** The run of the launch command ends with the result. */
+    void completeRun(String launch, byte[] result) throws Exception {
+        runOnLoop(() -> backend.runEnded(
                 loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
-        settle();
+        runPendingWork();
     }
 
-    @Override
-    public void launch(TrackedRequest work) {
-        asked.add("launch " + work.idText());
-    }
-
-    @Override
-    public void stop(TrackedRequest work) {
-        asked.add("freeze " + work.idText());
-    }
-
-    @Override
-    public void deliverReply(TrackedRequest work, byte[] reply) {
-        asked.add("deliver " + work.idText());
-    }
-
-    @Override
-    public void continueWithoutCall(TrackedRequest work) {
-        asked.add("forgo " + work.idText());
-    }
-
-    @Override
-    public boolean pollMetrics() {
-        return true;
-    }
-
-    @Override
-    public void startDeepCheck() {
-        asked.add("exercise");
-    }
-
-    @Override
-    public DownstreamService downstream() {
-        return this;
-    }
-
-    @Override
-    public void call(TrackedRequest work, byte[] body, Duration within) {
-        asked.add("call " + work.idText());
-    }
-
-    @Override
-    public void cancel(TrackedRequest work) {}
-
-    @Override
-    public void closeIdleConnections(Duration after) {}
-
     private EventLoop.Timer alarm;
 
     @Override
     public void scheduleWakeUp(Duration at) {
         if (alarm != null) {
-            alarm.callOff();
+            alarm.cancel();
         }
-        alarm = loop.in(
+        alarm = loop.schedule(
                 at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
-
-    @Override
-    public void log(String line) {}
 }
--- a/src/test/java/merlinlever/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/replication/PaxosFleet.java
@@ -108,7 +108,7 @@
             assertTrue(receiver != sender && message.body().length <= GossipCodec.MAX_MESSAGE_BYTES);
             if (partition[sender] == partition[receiver] && random.nextDouble() >= lossRate) {
                 for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-                    long delayMs = 1 + (random.nextInt(20) == 0 ? random.nextInt(4000) : random.nextInt(60));
+                    long delayMs = 1L + (random.nextInt(20) == 0 ? random.nextInt(4000) : random.nextInt(60));
                     network.add(new Datagram(nowMs + delayMs, sender, receiver, message.body()));
                 }
             }
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/routes/TableChunksTest.java
@@ -59,6 +59,8 @@
         assertEquals(second, assembled);
     }
 
+    // One part of the list is picked out by its identity.
+    @SuppressWarnings("ReferenceEquality")
     @Example
     void corruptedOrMixedChunksAreNoTable() {
         List<VersionedEntry> one = TableChunks.split(large(1, 0));
