--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -5,6 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
+import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.QuotaDemand;
 import merlinlever.QuotaGrant;
@@ -13,6 +14,7 @@
 import merlinlever.election.net.ElectionTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
 import merlinlever.quota.net.QuotaTransport;
 import merlinlever.recovery.net.RecoveryCoordinator;
@@ -28,7 +30,7 @@
  * What one backend decides and shares with the others of its fleet: leader election, the membership view, the replicated store and
  * fleet quotas. Loaded only where the configuration names {@code recovery.voters} or quotas. Runs on the event loop.
  */
-final class FleetAssembly implements QuotaCoordinator.QuotaConsumer {
+final class FleetAssembly implements QuotaConsumer {
 
     private static final String DEFAULT_LEASE = "2s";
     private static final double DEFAULT_CLOCK_DRIFT = 0.01;
@@ -61,10 +63,10 @@
                 ^ ProcessHandle.current().pid();
         Duration lease = configuredQuotas.isEmpty()
                 ? FleetQuotaParser.duration(values, "recovery.lease", DEFAULT_LEASE)
-                : configuredQuotas.get(0).lease();
+                : configuredQuotas.get(0).leaseDuration();
         double clockDrift = configuredQuotas.isEmpty()
                 ? DEFAULT_CLOCK_DRIFT
-                : configuredQuotas.get(0).drift();
+                : configuredQuotas.get(0).maxClockDrift();
         ElectionTransport election =
                 new ElectionTransport(loop, recovery, new ElectionSettings(voters, lease, clockDrift), seed, log);
         view = new ViewTransport(loop, recovery, election.election(), ViewSettings.defaults(), incarnation, seed, log);
@@ -80,7 +82,27 @@
         quotas = configuredQuotas.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new QuotaTransport(
-                        loop, recovery, configuredQuotas, election, view.fleetView(), incarnation, seed, this, log));
+                        loop, recovery, coordinator(recovery, configuredQuotas, election, incarnation, seed, log)));
+    }
+
+    private QuotaCoordinator coordinator(
+            RecoveryCoordinator recovery,
+            List<FleetQuota> configuredQuotas,
+            ElectionTransport election,
+            long incarnation,
+            long seed,
+            Consumer<String> log) {
+        QuotaCoordinator coordinator = new QuotaCoordinator(
+                loop.clock().uptime(),
+                recovery.membership().memberTable().self(),
+                incarnation,
+                configuredQuotas,
+                election.election(),
+                new SplittableRandom(seed),
+                this,
+                log);
+        coordinator.restrictTo(view.fleetView());
+        return coordinator;
     }
 
     private List<FleetQuota> quotas(ConfigurationValues values) throws InvalidConfigurationException {
@@ -96,25 +118,25 @@
     /** Takes over the sizes of the quotas; nothing else may change while the process runs. */
     void reload(ConfigurationValues values) throws InvalidConfigurationException {
         if (quotas.isPresent()) {
-            quotas.get().wholes(quotas(values));
+            quotas.get().updateQuotas(quotas(values));
         }
     }
 
     @Override
-    public long[] demand(Duration now, FleetQuota quota) {
-        QuotaDemand demand = backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.of()));
-        return new long[] {demand.inUse(), demand.wanted()};
+    public QuotaDemand demand(Duration now, FleetQuota quota) {
+        return backend.quotaDemand(sinceModuleStart(now), backend.priorityClassIndex(quota.limitedResource()));
     }
 
     @Override
-    public void share(FleetQuota quota, long share, Duration until) {
-        boolean limitsCallsInFlight = quota.of().equals("calls") && quota.per() == FleetQuota.QuotaKind.AT_ONCE;
+    public void setAllowance(FleetQuota quota, long amount, Duration until) {
+        boolean limitsCallsInFlight =
+                quota.limitedResource().equals("calls") && quota.kind() == FleetQuota.QuotaKind.CONCURRENT;
         QuotaGrant grant = new QuotaGrant(
-                share,
-                quota.per() == FleetQuota.QuotaKind.SECOND,
+                amount,
+                quota.kind() == FleetQuota.QuotaKind.PER_SECOND,
                 sinceModuleStart(until),
-                limitsCallsInFlight ? Optional.ofNullable(quota.longest()) : Optional.empty());
-        backend.setQuota(backend.priorityClassIndex(quota.of()), grant);
+                limitsCallsInFlight ? Optional.of(quota.maxCallDuration()) : Optional.empty());
+        backend.setQuota(backend.priorityClassIndex(quota.limitedResource()), grant);
     }
 
     private Duration sinceModuleStart(Duration sinceProcessStart) {
@@ -124,6 +146,7 @@
     /** Further members of the JSON object of the status page, each after a comma. */
     String statusJsonMembers() {
         return ",\"view\":" + view.json() + ",\"shared\":" + replication.statusJson()
-                + quotas.map(transport -> ",\"budgets\":" + transport.json()).orElse("");
+                + quotas.map(transport -> ",\"budgets\":" + transport.statusJson())
+                        .orElse("");
     }
 }
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -15,7 +15,9 @@
 import merlinlever.membership.MembershipTransport;
 import merlinlever.net.EventLoop;
 import merlinlever.policy.ControllerMetrics;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.net.NodeSettings;
+import merlinlever.recovery.net.RecoveringService;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.StateDirectories;
 
@@ -24,7 +26,7 @@
  * configured the rest of the fleet ({@link FleetAssembly}). Loaded only where the configuration has {@code recovery}; the users'
  * platform has neither. Runs on the event loop.
  */
-final class RecoveryAssembly implements RecoveryCoordinator.RecoveringService, RecoveryParticipation {
+final class RecoveryAssembly implements RecoveringService, RecoveryParticipation {
 
     private static final String PREFIX = "recovery.";
     private static final List<String> KNOWN_NAMES = List.of(
@@ -56,19 +58,18 @@
         ConfigurationValues values = configuration.values();
         checkNames(values);
         List<String> seeds = seeds(values);
-        String advertisedAddress = advertisedAddress(values);
+        Optional<String> advertisedAddress = advertisedAddress(values);
         String name = values.text("name", "");
         if (!name.matches("[!-~]{1,40}")) {
             throw new InvalidConfigurationException(
                     "with recovery the configuration's name has 1 to 40 printable characters");
         }
-        RecoverySequence.RecoverySettings settings = settings(values, configuration.settings());
-        Duration persistPeriod = period(values, "mark-ms", DEFAULT_PERSIST_PERIOD);
+        RecoverySettings settings = settings(values, configuration.settings());
         Consumer<String> recoveryLog = line -> log.info("recovery: " + line);
         coordinator = new RecoveryCoordinator(
                 loop,
                 StateDirectories.open(Path.of(values.text(PREFIX + "state", "")), System.getenv()),
-                new RecoveryCoordinator.NodeSettings(
+                new NodeSettings(
                         name,
                         values.address(PREFIX + "listen"),
                         advertisedAddress,
@@ -76,7 +77,6 @@
                         seeds,
                         secret(values)),
                 settings,
-                persistPeriod,
                 configuration.seed(),
                 System::currentTimeMillis,
                 this,
@@ -112,26 +112,27 @@
         return seeds;
     }
 
-    private static String advertisedAddress(ConfigurationValues values) throws InvalidConfigurationException {
+    private static Optional<String> advertisedAddress(ConfigurationValues values) throws InvalidConfigurationException {
         String text = values.text(PREFIX + "advertise", null);
         if (text != null && MembershipTransport.parseAddress(text) == null) {
             throw new InvalidConfigurationException(
                     "the configuration's recovery.advertise is no ADDRESS:PORT: " + text);
         }
-        return text;
+        return Optional.ofNullable(text);
     }
 
-    private static RecoverySequence.RecoverySettings settings(
-            ConfigurationValues values, Map<String, String> moduleSettings) throws InvalidConfigurationException {
-        RecoverySequence.RecoverySettings defaults =
-                RecoverySequence.RecoverySettings.usual(idempotencyWindow(moduleSettings));
-        return new RecoverySequence.RecoverySettings(
-                period(values, "patience-ms", defaults.patience()),
-                period(values, "spread-ms", defaults.spread()),
-                defaults.askAgain(),
-                defaults.longestAskAgain(),
-                defaults.window(),
-                defaults.mostAsked());
+    private static RecoverySettings settings(ConfigurationValues values, Map<String, String> moduleSettings)
+            throws InvalidConfigurationException {
+        RecoverySettings defaults =
+                RecoverySettings.defaults(idempotencyWindow(moduleSettings), DEFAULT_PERSIST_PERIOD);
+        return new RecoverySettings(
+                period(values, "patience-ms", defaults.answerTimeout()),
+                period(values, "spread-ms", defaults.firstQuerySpread()),
+                defaults.initialRetryDelay(),
+                defaults.maxRetryDelay(),
+                defaults.idempotencyWindow(),
+                defaults.maxPeersQueried(),
+                period(values, "mark-ms", defaults.reservationInterval()));
     }
 
     /** The time in which a duplicate of a request with an idempotency key may come, the longest of all priority classes. */
@@ -178,19 +179,19 @@
     }
 
     @Override
-    public void keyed(Duration from, Duration to) {
+    public void admitNonIdempotent(Duration from, Duration to) {
         boolean permitted = fleet.map(FleetAssembly::mayStartKeyedRequests).orElse(true);
         backend.permitNonIdempotentStarts(
                 sinceModuleStart(loop, from), sinceModuleStart(loop, permitted ? to : Duration.ZERO));
     }
 
     @Override
-    public void guess(double capacity, double completions) {
+    public void warmStart(double capacity, double completions) {
         backend.setWarmStartEstimate(capacity, completions);
     }
 
     @Override
-    public double capacity() {
+    public double learnedCapacity() {
         return backend.metrics()
                 .map(ControllerMetrics::queueCapacity)
                 .filter(Double::isFinite)
@@ -198,7 +199,7 @@
     }
 
     @Override
-    public boolean fullSpeed() {
+    public boolean isAtFullSpeed() {
         return backend.metrics().filter(metrics -> metrics.speedFraction() >= 1).isPresent();
     }
 
@@ -211,7 +212,7 @@
 
     @Override
     public Optional<String> statusJson() {
-        String json = coordinator.json();
+        String json = coordinator.statusJson();
         return Optional.of(
                 fleet.map(assembly -> json.substring(0, json.length() - 1) + assembly.statusJsonMembers() + "}")
                         .orElse(json));
@@ -219,6 +220,6 @@
 
     @Override
     public void startShutdown() {
-        coordinator.leave();
+        coordinator.announceLeave();
     }
 }
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -34,13 +34,13 @@
         this.recovery = recovery;
         election = new LeaderElection(
                 loop.clock().uptime(),
-                recovery.members().memberTable().self(),
+                recovery.membership().memberTable().self(),
                 settings,
-                recovery.term(),
-                recovery::noted,
+                recovery.highestTerm(),
+                recovery::reserveTerm,
                 new SplittableRandom(seed),
                 log);
-        recovery.members().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
+        recovery.membership().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
         loop.runNowAndEvery(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
     }
 
@@ -50,9 +50,9 @@
     }
 
     private void send(List<PeerMessage.Text> messages) {
-        messages.forEach(recovery.members()::send);
+        messages.forEach(recovery.membership()::send);
         if (!messages.isEmpty()) {
-            recovery.send();
+            recovery.flush();
         }
     }
 
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/faults/PowerLoss.java
@@ -9,6 +9,7 @@
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -211,7 +212,7 @@
         if (who.isEmpty() || !fleet.stated().recovery()) {
             return;
         }
-        Path file = fleet.state(who.get(0)).resolve(RecoveryFile.FILE);
+        Path file = fleet.state(who.get(0)).resolve(RecoveryFile.FILE_NAME);
         if (kind == PowerLossKind.TORN || kind == PowerLossKind.EMPTIED || kind == PowerLossKind.COPIED) {
             fleet.forgot(who.get(0));
         }
@@ -227,26 +228,17 @@
             }
             case EMPTIED -> Files.deleteIfExists(file);
             case COPIED -> Files.copy(
-                    fleet.state(who.get(1)).resolve(RecoveryFile.FILE),
+                    fleet.state(who.get(1)).resolve(RecoveryFile.FILE_NAME),
                     file,
                     java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             case CLOCK_BACK -> {
                 for (int i : who) {
-                    Path each = fleet.state(i).resolve(RecoveryFile.FILE);
-                    PersistedState left = Files.exists(each)
-                            ? RecoveryFile.parsed(Files.readAllBytes(each)).memory()
-                            : null;
-                    if (left != null) {
-                        Files.write(
-                                each,
-                                RecoveryFile.text(new PersistedState(
-                                        left.owner(),
-                                        left.incarnations(),
-                                        left.term(),
-                                        left.keyedUntil() + 30_000,
-                                        left.wroteAt() + 30_000,
-                                        left.capacity(),
-                                        left.peers())));
+                    Path each = fleet.state(i).resolve(RecoveryFile.FILE_NAME);
+                    Optional<PersistedState> left = Files.exists(each)
+                            ? RecoveryFile.decode(Files.readAllBytes(each)).state()
+                            : Optional.empty();
+                    if (left.isPresent()) {
+                        Files.write(each, RecoveryFile.encode(later(left.get(), 30_000)));
                     }
                 }
             }
@@ -254,6 +246,18 @@
         }
     }
 
+    /** As if the state had been written that much later: the clock went back across the outage. */
+    private static PersistedState later(PersistedState state, long ms) {
+        return new PersistedState(
+                state.owner(),
+                state.reservedIncarnation(),
+                state.highestTerm(),
+                state.nonIdempotentUntilUnixMs() + ms,
+                state.writtenAtUnixMs() + ms,
+                state.learnedCapacity(),
+                state.peerAddresses());
+    }
+
     /** When all of them have served something since the moment, and keyed work too; null for what took too long. */
     private Duration[] served(List<Integer> who, Duration since, List<String> breaches) throws InterruptedException {
         Duration[] at = new Duration[2];
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/faults/QuotaModel.java
@@ -8,10 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import merlinlever.QuotaDemand;
 import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.membership.PeerMessage;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
 
 /**
@@ -56,7 +58,7 @@
             voters.add("b" + i);
         }
         for (int i = 0; i < n; i++) {
-            rate[i] = 1 + (chance.nextDouble() - 0.5) * budget.drift();
+            rate[i] = 1 + (chance.nextDouble() - 0.5) * budget.maxClockDrift();
             begin(i);
         }
     }
@@ -74,7 +76,7 @@
     /** Who divides, or -1. */
     public int leader() {
         for (int i = 0; i < n; i++) {
-            if (nodes[i] != null && nodes[i].leads(clock(i))) {
+            if (nodes[i] != null && nodes[i].isLeader(clock(i))) {
                 return i;
             }
         }
@@ -82,7 +84,7 @@
     }
 
     public long share(int i) {
-        return nodes[i] == null ? 0 : nodes[i].share(clock(i), 0);
+        return nodes[i] == null ? 0 : nodes[i].available(clock(i), 0);
     }
 
     public void begin(int i) {
@@ -91,7 +93,7 @@
         terms[i] = new LeaderElection(
                 clock(i),
                 "b" + i,
-                new ElectionSettings(voters, budget.lease(), budget.drift()),
+                new ElectionSettings(voters, budget.leaseDuration(), budget.maxClockDrift()),
                 noted[i],
                 term -> {
                     noted[who] = Math.max(noted[who], term);
@@ -106,14 +108,14 @@
                 List.of(budget),
                 terms[i],
                 chance.split(),
-                new QuotaCoordinator.QuotaConsumer() {
+                new QuotaConsumer() {
                     @Override
-                    public long[] demand(Duration at, FleetQuota of) {
-                        return new long[] {0, wanted[who][0]};
+                    public QuotaDemand demand(Duration at, FleetQuota of) {
+                        return new QuotaDemand(0, wanted[who][0]);
                     }
 
                     @Override
-                    public void share(FleetQuota of, long share, Duration until) {}
+                    public void setAllowance(FleetQuota of, long share, Duration until) {}
                 },
                 line -> {});
     }
@@ -163,16 +165,16 @@
                     to,
                     LeaderElection.MESSAGE_TYPES.contains(what.split("/")[0])
                             ? terms[to].receive(clock(to), "b" + message[1], (long) message[3], what)
-                            : nodes[to].said(clock(to), "b" + message[1], (long) message[3], what));
+                            : nodes[to].receive(clock(to), "b" + message[1], (long) message[3], what));
         }
         long all = 0;
         for (int i = 0; i < n; i++) {
             if (up(i) && now >= pausedUntil[i]) {
                 send(i, terms[i].tick(clock(i)));
-                send(i, nodes[i].look(clock(i)));
+                send(i, nodes[i].tick(clock(i)));
             }
             if (up(i)) {
-                long share = nodes[i].share(clock(i), 0);
+                long share = nodes[i].available(clock(i), 0);
                 all += share;
                 lately.add(new long[] {now, life[i], share});
             }
@@ -183,9 +185,9 @@
         }
         Map<Long, Long> most = new HashMap<>();
         lately.forEach(each -> most.merge(each[1], each[2], Math::max));
-        over = Math.max(over, most.values().stream().mapToLong(each -> each).sum() - budget.whole());
+        over = Math.max(over, most.values().stream().mapToLong(each -> each).sum() - budget.limit());
         used += all;
-        usable += budget.whole();
+        usable += budget.limit();
     }
 
     public void trouble() {
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/faults/timeline/QuotaNode.java
@@ -7,11 +7,13 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import merlinlever.QuotaDemand;
 import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.election.Leadership;
 import merlinlever.membership.PeerMessage;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
 
 /** Leadership and one budget in a play. */
@@ -24,7 +26,7 @@
             "calls",
             "calls",
             12,
-            FleetQuota.QuotaKind.SECOND,
+            FleetQuota.QuotaKind.PER_SECOND,
             Duration.ofSeconds(2),
             0.01,
             Duration.ofSeconds(1),
@@ -65,7 +67,7 @@
         terms = new LeaderElection(
                 born.now(),
                 born.node(),
-                new ElectionSettings(voters, BUDGET.lease(), BUDGET.drift()),
+                new ElectionSettings(voters, BUDGET.leaseDuration(), BUDGET.maxClockDrift()),
                 disk.getOrDefault(born.node(), 0L),
                 term -> {
                     disk.merge(born.node(), term, Math::max);
@@ -80,14 +82,14 @@
                 List.of(BUDGET),
                 terms,
                 born.chance().split(),
-                new QuotaCoordinator.QuotaConsumer() {
+                new QuotaConsumer() {
                     @Override
-                    public long[] demand(Duration now, FleetQuota budget) {
-                        return new long[] {0, wants};
+                    public QuotaDemand demand(Duration now, FleetQuota budget) {
+                        return new QuotaDemand(0, wants);
                     }
 
                     @Override
-                    public void share(FleetQuota budget, long share, Duration until) {}
+                    public void setAllowance(FleetQuota budget, long share, Duration until) {}
                 },
                 line -> {});
     }
@@ -97,7 +99,7 @@
     }
 
     long share(Duration now) {
-        return sharing.share(now, 0);
+        return sharing.available(now, 0);
     }
 
     private static List<Scenario.AddressedMessage<QuotaMessage>> out(List<PeerMessage.Text> said) {
@@ -110,7 +112,7 @@
     @Override
     public List<Scenario.AddressedMessage<QuotaMessage>> look(Duration now) {
         List<Scenario.AddressedMessage<QuotaMessage>> out = new ArrayList<>(out(terms.tick(now)));
-        out.addAll(out(sharing.look(now)));
+        out.addAll(out(sharing.tick(now)));
         return out;
     }
 
@@ -119,7 +121,7 @@
         return out(
                 LeaderElection.MESSAGE_TYPES.contains(word.what.split("/")[0])
                         ? terms.receive(now, from, word.number, word.what)
-                        : sharing.said(now, from, word.number, word.what));
+                        : sharing.receive(now, from, word.number, word.what));
     }
 
     @Override
@@ -133,11 +135,11 @@
                         : terms.isLeader(now)
                                 ? "I lead, term " + leader.term()
                                 : leader.name() + " leads, term " + leader.term());
-        Matcher out = OUT.matcher(sharing.json(now));
+        Matcher out = OUT.matcher(sharing.statusJson(now));
         all.put(
                 "out",
-                out.find() && !out.group(1).equals("-1") ? "given " + out.group(1) + " of " + BUDGET.whole() : "");
-        all.put("share", "share " + sharing.share(now, 0));
+                out.find() && !out.group(1).equals("-1") ? "given " + out.group(1) + " of " + BUDGET.limit() : "");
+        all.put("share", "share " + sharing.available(now, 0));
         return all;
     }
 }
--- a/src/main/java/merlinlever/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/quota/FleetQuota.java
@@ -5,54 +5,64 @@
 import merlinlever.election.ClockDrift;
 
 /**
- * One limit of the whole fleet, as it is stated.
+ * A limit that all backends of a fleet keep to together, as configured.
  *
- * @param of calls, or the tariff whose runs are meant
- * @param whole never more than this, in any second or at any moment
- * @param per what it counts
- * @param lease a share is spent for so long after it was asked for
- * @param drift clocks of two machines run apart by this part at the most
- * @param longest of one call, for a budget of calls at once: one that outlives its share is given up by then
- * @param weights by the name of a backend; 1 where none is stated
+ * @param name the name of the quota
+ * @param limitedResource {@code calls} for calls to the shared dependency, or the priority class whose requests are limited
+ * @param limit the most that all may use together, in any second or at any moment
+ * @param kind what the limit counts
+ * @param leaseDuration how long a backend may spend a lease after it requested it
+ * @param maxClockDrift the rates of two machines' clocks differ by this part at most
+ * @param maxCallDuration of one call where the limit is on concurrent calls: one that outlives its lease is given up by then
+ * @param weightsByBackend by the name of the backend; 1 where none is configured
  */
 public record FleetQuota(
         String name,
-        String of,
-        long whole,
-        QuotaKind per,
-        Duration lease,
-        double drift,
-        Duration longest,
-        Map<String, Integer> weights) {
+        String limitedResource,
+        long limit,
+        QuotaKind kind,
+        Duration leaseDuration,
+        double maxClockDrift,
+        Duration maxCallDuration,
+        Map<String, Integer> weightsByBackend) {
 
+    /** What the limit of a quota counts. */
     public enum QuotaKind {
-        SECOND,
-        AT_ONCE
+        /** Calls begun in any second. */
+        PER_SECOND,
+        /** Calls in flight at any moment. */
+        CONCURRENT
     }
 
     public FleetQuota {
-        weights = Map.copyOf(weights);
+        weightsByBackend = Map.copyOf(weightsByBackend);
     }
 
-    public int weight(String holder) {
-        return weights.getOrDefault(holder, 1);
+    /** The weight of the backend in the division of this quota. */
+    public int weightOf(String backend) {
+        return weightsByBackend.getOrDefault(backend, 1);
     }
 
-    /** What was given by a clock that runs fast is out for so long by any other. */
-    public static Duration slowest(Duration span, double drift) {
-        return ClockDrift.upperBound(span, drift);
+    /** How long a lease counts as outstanding by the clock of the leader that granted it, the holder's clock being slow. */
+    public Duration leaseDurationAtLeader() {
+        return ClockDrift.upperBound(leaseDuration, maxClockDrift);
     }
 
-    /** What may be counted on for the span by a clock that runs slow. */
-    public static Duration surest(Duration span, double drift) {
-        return ClockDrift.lowerBound(span, drift);
+    /** How long a lease may be spent by the clock of its holder, that clock being slow. */
+    public Duration leaseDurationAtHolder() {
+        return ClockDrift.lowerBound(leaseDuration, maxClockDrift);
     }
 
     /**
-     * How long a share that is no longer held counts still: its last calls are in the same second as the first ones of
-     * whoever has it next, or are still at the party.
+     * How long an amount counts as used after its lease ended: its last calls are in the same second as the first ones of the
+     * next holder, or are still in flight.
      */
-    public Duration linger() {
-        return slowest(per == QuotaKind.SECOND ? Duration.ofSeconds(1) : longest, drift);
+    public Duration releaseDelay() {
+        Duration lastUse =
+                switch (kind) {
+                    case PER_SECOND -> Duration.ofSeconds(1);
+                    case CONCURRENT -> maxCallDuration;
+                };
+        return ClockDrift.upperBound(lastUse, maxClockDrift);
     }
 }
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/replication/net/ReplicationTransport.java
@@ -72,14 +72,14 @@
         this.recovery = recovery;
         this.view = view;
         this.log = log;
-        self = recovery.members().memberTable().self();
+        self = recovery.membership().memberTable().self();
         writer = new BackgroundWriter(directory, loop, "replication-writer");
         SplittableRandom random = new SplittableRandom(seed);
         Duration now = loop.clock().uptime();
         store = new ReplicatedStore(
                 now,
                 self,
-                recovery.members().memberTable().find(self).incarnation(),
+                recovery.membership().memberTable().find(self).incarnation(),
                 readEntries(directory),
                 settings,
                 this::livePeers,
@@ -87,7 +87,7 @@
                 log);
         registers = new PaxosNode(
                 now, self, readFile(directory, REGISTER_FILE), leadership, view, this::livePeers, random.split(), log);
-        recovery.members().addPayloadHandler(this);
+        recovery.membership().addPayloadHandler(this);
         loop.runNowAndEvery(TICK_INTERVAL, this::tick);
     }
 
@@ -119,7 +119,7 @@
 
     private List<String> livePeers() {
         List<String> peers = new ArrayList<>();
-        for (MemberRecord member : recovery.members().memberTable().all()) {
+        for (MemberRecord member : recovery.membership().memberTable().all()) {
             boolean live = member.isLive();
             if (live && !member.name().equals(self)) {
                 peers.add(member.name());
@@ -185,10 +185,10 @@
             byte[] payload = new byte[message.body().length + 1];
             payload[0] = address;
             System.arraycopy(message.body(), 0, payload, 1, message.body().length);
-            recovery.members().sendPayload(message.receiver(), payload);
+            recovery.membership().sendPayload(message.receiver(), payload);
         }
         if (!messages.isEmpty()) {
-            recovery.send();
+            recovery.flush();
         }
     }
 
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -42,11 +42,16 @@
         this.recovery = recovery;
         // The term of this moment, before this incarnation votes on any: what earlier ones may have held.
         ViewManager.Setup setup = new ViewManager.Setup(
-                settings, incarnationId, recovery.term(), recovery::noted, new SplittableRandom(seed), log);
-        manager =
-                new ViewManager(loop.clock().uptime(), setup, recovery.members().memberTable(), election);
-        recovery.members().addTextHandler(ViewManager.MESSAGE_TYPES, this);
-        recovery.members().addPayloadHandler(this);
+                settings,
+                incarnationId,
+                recovery.highestTerm(),
+                recovery::reserveTerm,
+                new SplittableRandom(seed),
+                log);
+        manager = new ViewManager(
+                loop.clock().uptime(), setup, recovery.membership().memberTable(), election);
+        recovery.membership().addTextHandler(ViewManager.MESSAGE_TYPES, this);
+        recovery.membership().addPayloadHandler(this);
         loop.runNowAndEvery(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
     }
 
@@ -56,9 +61,9 @@
     }
 
     private void send(List<PeerMessage> messages) {
-        messages.forEach(recovery.members()::send);
+        messages.forEach(recovery.membership()::send);
         if (!messages.isEmpty()) {
-            recovery.send();
+            recovery.flush();
         }
     }
 
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -10,8 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
+import merlinlever.QuotaDemand;
 import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
 import merlinlever.membership.MemberRecord;
@@ -23,8 +25,11 @@
 import merlinlever.membership.PeerMessage;
 import merlinlever.net.ManualClockLoop;
 import merlinlever.quota.FleetQuota;
+import merlinlever.quota.QuotaConsumer;
 import merlinlever.quota.QuotaCoordinator;
-import merlinlever.recovery.RecoverySequence;
+import merlinlever.recovery.RecoverySettings;
+import merlinlever.recovery.net.NodeSettings;
+import merlinlever.recovery.net.RecoveringService;
 import merlinlever.recovery.net.RecoveryCoordinator;
 import merlinlever.storage.FileStateDirectory;
 import merlinlever.view.ViewManager;
@@ -125,20 +130,20 @@
 
     @Test
     void sharesOfBudgetsAreAskedForAndGrantedInTheSameWords() {
-        QuotaCoordinator.QuotaConsumer spender = new QuotaCoordinator.QuotaConsumer() {
+        QuotaConsumer spender = new QuotaConsumer() {
             @Override
-            public long[] demand(Duration now, FleetQuota budget) {
-                return new long[] {2, 8};
+            public QuotaDemand demand(Duration now, FleetQuota budget) {
+                return new QuotaDemand(2, 8);
             }
 
             @Override
-            public void share(FleetQuota budget, long share, Duration until) {}
+            public void setAllowance(FleetQuota budget, long share, Duration until) {}
         };
         FleetQuota budget = new FleetQuota(
                 "calls",
                 "calls",
                 100,
-                FleetQuota.QuotaKind.SECOND,
+                FleetQuota.QuotaKind.PER_SECOND,
                 Duration.ofSeconds(2),
                 0.01,
                 Duration.ofSeconds(1),
@@ -149,21 +154,21 @@
                 "budgets.asks",
                 said(new QuotaCoordinator(
                                 LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
-                        .look(LATER)));
+                        .tick(LATER)));
         LeaderElection leads = terms("b1");
         leads.tick(LATER);
         QuotaCoordinator sharing = new QuotaCoordinator(
                 LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
-        sharing.look(LATER);
+        sharing.tick(LATER);
         leads.tick(LATER.plusMillis(1900));
         List<PeerMessage.Text> all = new ArrayList<>();
         for (int ms = 0; ms < 8000; ms += 20) {
             leads.tick(LATER.plusMillis(ms));
-            sharing.look(LATER.plusMillis(ms));
+            sharing.tick(LATER.plusMillis(ms));
         }
-        all.addAll(sharing.said(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
+        all.addAll(sharing.receive(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
         fixture.pins("budgets.grants", said(all));
-        fixture.pins("budgets.state", sharing.json(LATER.plusMillis(8000)));
+        fixture.pins("budgets.state", sharing.statusJson(LATER.plusMillis(8000)));
     }
 
     @Test
@@ -203,25 +208,24 @@
                     return new RecoveryCoordinator(
                             on.loop,
                             disk,
-                            new RecoveryCoordinator.NodeSettings(
+                            new NodeSettings(
                                     "b1",
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
-                                    "127.0.0.1:1",
+                                    Optional.of("127.0.0.1:1"),
                                     "-",
                                     List.of(),
                                     "a-secret-of-16-or-more"),
-                            RecoverySequence.RecoverySettings.usual(Duration.ofSeconds(5)),
-                            Duration.ZERO,
+                            RecoverySettings.defaults(Duration.ofSeconds(5), Duration.ZERO),
                             1,
                             () -> 1_700_000_000_000L,
-                            RecoveryCoordinator.RecoveringService.NONE,
+                            RecoveringService.NONE,
                             line -> {});
                 } catch (java.io.IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
             });
             fixture.pins("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
-            fixture.pins("recovery.state", on.callOnLoop(rejoin::json).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            fixture.pins("recovery.state", on.callOnLoop(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
             on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
         }
     }
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.TreeSet;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.recovery.PersistedState;
@@ -42,8 +43,10 @@
                 1_700_000_000_000L,
                 12.5,
                 List.of("10.0.0.2:7001", "10.0.0.3:7001"));
-        fixture.pins("recovery", RecoveryFile.text(memory));
-        assertEquals(memory, RecoveryFile.parsed(fixture.bytes("recovery")).memory());
+        fixture.pins("recovery", RecoveryFile.encode(memory));
+        assertEquals(
+                Optional.of(memory),
+                RecoveryFile.decode(fixture.bytes("recovery")).state());
     }
 
     @Test
