--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -225,7 +225,9 @@
                 }
             });
             fixture.pins("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
-            fixture.pins("recovery.state", on.callOnLoop(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
+            fixture.pins(
+                    "recovery.state",
+                    on.callOnLoop(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
             on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
         }
     }
--- a/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
+++ b/src/test/java/merlinlever/recovery/RecoverySequenceTest.java
@@ -15,7 +15,7 @@
 
 class RecoverySequenceTest {
 
-    private static final Duration WINDOW = Duration.ofMillis(4000);
+    private static final Duration WINDOW = Duration.ofSeconds(4);
     private static final long NOON = 1_800_000_000_000L;
     private static final String OWNER = "b-1@127.0.0.1:1";
     private static final long STEP_MS = 50;
--- a/src/test/java/merlinlever/recovery/disk/RecoveryFileTest.java
+++ b/src/test/java/merlinlever/recovery/disk/RecoveryFileTest.java
@@ -75,7 +75,7 @@
                 assertEquals(Optional.empty(), loaded.corruption(), where);
                 assertTrue(
                         loaded.state().equals(last)
-                                || loaded.state().isPresent() && loaded.state().equals(next),
+                                || (loaded.state().isPresent() && loaded.state().equals(next)),
                         where + ": " + loaded);
                 checked[0]++;
             });
