--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -49,7 +49,8 @@
     private final EventLoop loop;
     private final Backend backend;
     private final RecoveryCoordinator coordinator;
-    private final Optional<FleetAssembly> fleet;
+    /** Empty until the fleet's parts are assembled, too: the coordinator calls back while it is constructed. */
+    private Optional<FleetAssembly> fleet = Optional.empty();
 
     RecoveryAssembly(ServeConfiguration configuration, EventLoop loop, Backend backend, Log log)
             throws InvalidConfigurationException, IOException {
@@ -83,9 +84,10 @@
                 recoveryLog);
         boolean hasFleet = values.paths().stream().anyMatch(path -> path.startsWith(PREFIX + "voters"))
                 || values.has("budgets.0.name");
-        fleet = hasFleet
-                ? Optional.of(new FleetAssembly(values, loop, coordinator, backend, configuration.seed(), recoveryLog))
-                : Optional.empty();
+        if (hasFleet) {
+            fleet = Optional.of(
+                    new FleetAssembly(values, loop, coordinator, backend, configuration.seed(), recoveryLog));
+        }
     }
 
     private static void checkNames(ConfigurationValues values) throws InvalidConfigurationException {
