--- a/src/main/java/merlinlever/quota/LeaseMessage.java
+++ b/src/main/java/merlinlever/quota/LeaseMessage.java
@@ -7,30 +7,70 @@
     String encode();
 
     /**
-     * Reads the text of a message.
-     *
-     * @throws IllegalArgumentException if it is not one
+     * A message as it was received. Each part is read only when it is asked for, as a receiver answers some messages without
+     * looking at all of them: whoever asks the wrong backend is told who leads, whatever else the request holds.
      */
-    static LeaseMessage decode(String text) {
-        String[] fields = text.split("/");
-        try {
-            return switch (fields[0]) {
-                case Request.TYPE -> new Request(
-                        Long.parseLong(fields[1]),
-                        fields[2],
-                        Long.parseUnsignedLong(fields[3], 16),
-                        Long.parseLong(fields[4]),
-                        Long.parseLong(fields[5]),
-                        Long.parseLong(fields[6]),
-                        Long.parseLong(fields[7]));
-                case Grant.TYPE -> new Grant(
-                        Long.parseLong(fields[1]),
-                        fields[2],
-                        new LeaseGrant(Long.parseLong(fields[3]), Long.parseLong(fields[4])));
-                default -> throw new IllegalArgumentException("unknown type " + fields[0]);
-            };
-        } catch (IndexOutOfBoundsException e) {
-            throw new IllegalArgumentException("too few fields", e);
+    final class Received {
+
+        private final String[] fields;
+
+        Received(String text) {
+            fields = text.split("/");
+        }
+
+        /** {@link Request#TYPE}, {@link Grant#TYPE}, or something else. */
+        String type() {
+            return field(0);
+        }
+
+        /**
+         * The term of the message.
+         *
+         * @throws IllegalArgumentException if it has none
+         */
+        long term() {
+            return Long.parseLong(field(1));
+        }
+
+        /**
+         * The name of the quota.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        String quota() {
+            return field(2);
+        }
+
+        /**
+         * The whole message as a request.
+         *
+         * @throws IllegalArgumentException if it is not one
+         */
+        Request toRequest() {
+            return new Request(
+                    term(),
+                    quota(),
+                    Long.parseUnsignedLong(field(3), 16),
+                    Long.parseLong(field(4)),
+                    Long.parseLong(field(5)),
+                    Long.parseLong(field(6)),
+                    Long.parseLong(field(7)));
+        }
+
+        /**
+         * The whole message as a grant.
+         *
+         * @throws IllegalArgumentException if it is not one
+         */
+        Grant toGrant() {
+            return new Grant(term(), quota(), new LeaseGrant(Long.parseLong(field(3)), Long.parseLong(field(4))));
+        }
+
+        private String field(int index) {
+            if (index >= fields.length) {
+                throw new IllegalArgumentException("too few fields");
+            }
+            return fields[index];
         }
     }
 
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/quota/QuotaCoordinator.java
@@ -247,11 +247,11 @@
     /** A peer sent a message of one of the {@link #MESSAGE_TYPES}; returns the messages to be sent to it. */
     public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
         try {
-            LeaseMessage message = LeaseMessage.decode(text);
-            if (message instanceof LeaseMessage.Request request) {
-                requestReceived(now, sender, correlationId, request);
-            } else if (message instanceof LeaseMessage.Grant grant) {
-                grantReceived(now, sender, correlationId, grant);
+            LeaseMessage.Received message = new LeaseMessage.Received(text);
+            switch (message.type()) {
+                case LeaseMessage.Request.TYPE -> requestReceived(now, sender, correlationId, message);
+                case LeaseMessage.Grant.TYPE -> grantReceived(now, sender, correlationId, message);
+                default -> throw new IllegalArgumentException("unknown type " + message.type());
             }
         } catch (IllegalArgumentException e) {
             log.accept("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
@@ -259,28 +259,30 @@
         return takeOutbox();
     }
 
-    private void requestReceived(Duration now, String sender, long correlationId, LeaseMessage.Request request) {
+    private void requestReceived(Duration now, String sender, long correlationId, LeaseMessage.Received message) {
         Leadership.Leader leader = election.leader(now);
         updateLedgers(now);
         if (leader == null) {
             return;
         }
-        if (ledgerTerm == NO_TERM || request.term() != ledgerTerm) {
+        if (ledgerTerm == NO_TERM || message.term() != ledgerTerm) {
             outbox.add(new PeerMessage.Text(sender, 0, election.leaderAnnouncement(now)));
             return;
         }
-        find(request.quota())
-                .flatMap(state -> grant(now, state, sender, request))
-                .ifPresent(grant ->
-                        send(sender, correlationId, new LeaseMessage.Grant(ledgerTerm, request.quota(), grant)));
+        String quota = message.quota();
+        find(quota)
+                .flatMap(state -> grant(now, state, sender, message.toRequest()))
+                .ifPresent(grant -> send(sender, correlationId, new LeaseMessage.Grant(ledgerTerm, quota, grant)));
     }
 
-    private void grantReceived(Duration now, String sender, long correlationId, LeaseMessage.Grant message) {
-        boolean accepted = find(message.quota())
-                .map(state -> state.lease.applyGrant(message.term(), correlationId, message.grant()))
-                .orElse(false);
-        if (accepted) {
-            election.observeLeader(now, sender, message.term());
+    private void grantReceived(Duration now, String sender, long correlationId, LeaseMessage.Received message) {
+        Optional<QuotaState> state = find(message.quota());
+        long term = message.term();
+        if (state.isPresent()
+                && state.get()
+                        .lease
+                        .applyGrant(term, correlationId, message.toGrant().grant())) {
+            election.observeLeader(now, sender, term);
         }
     }
 
