--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/election/net/ElectionTransport.java
@@ -1,12 +1,10 @@
 package merlinlever.election.net;
 
 import java.time.Duration;
-import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.election.ElectionSettings;
 import merlinlever.election.LeaderElection;
-import merlinlever.membership.PeerMessage;
 import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.net.RecoveryCoordinator;
@@ -41,7 +39,8 @@
                 new SplittableRandom(seed),
                 log);
         recovery.membership().addTextHandler(LeaderElection.MESSAGE_TYPES, this);
-        loop.runNowAndEvery(TICK_INTERVAL, () -> send(election.tick(loop.clock().uptime())));
+        loop.runNowAndEvery(
+                TICK_INTERVAL, () -> recovery.send(election.tick(loop.clock().uptime())));
     }
 
     /** The election, for the parts that need a leader. */
@@ -49,15 +48,8 @@
         return election;
     }
 
-    private void send(List<PeerMessage.Text> messages) {
-        messages.forEach(recovery.membership()::send);
-        if (!messages.isEmpty()) {
-            recovery.flush();
-        }
-    }
-
     @Override
     public void onText(String sender, long correlationId, String text) {
-        send(election.receive(loop.clock().uptime(), sender, correlationId, text));
+        recovery.send(election.receive(loop.clock().uptime(), sender, correlationId, text));
     }
 }
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/quota/net/QuotaTransport.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.membership.PeerMessage;
 import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.quota.FleetQuota;
@@ -24,23 +23,16 @@
         this.recovery = recovery;
         this.coordinator = coordinator;
         recovery.membership().addTextHandler(QuotaCoordinator.MESSAGE_TYPES, this);
-        loop.runNowAndEvery(TICK_INTERVAL, () -> send(coordinator.tick(now())));
+        loop.runNowAndEvery(TICK_INTERVAL, () -> recovery.send(coordinator.tick(now())));
     }
 
     private Duration now() {
         return loop.clock().uptime();
     }
 
-    private void send(List<PeerMessage.Text> messages) {
-        messages.forEach(recovery.membership()::send);
-        if (!messages.isEmpty()) {
-            recovery.flush();
-        }
-    }
-
     @Override
     public void onText(String sender, long correlationId, String text) {
-        send(coordinator.receive(now(), sender, correlationId, text));
+        recovery.send(coordinator.receive(now(), sender, correlationId, text));
     }
 
     /** See {@link QuotaCoordinator#updateQuotas}. */
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
@@ -18,6 +18,7 @@
 import merlinlever.membership.MemberTable;
 import merlinlever.membership.MembershipCodec;
 import merlinlever.membership.MembershipTransport;
+import merlinlever.membership.PeerMessage;
 import merlinlever.membership.RecoveryExchange;
 import merlinlever.membership.SwimProtocol;
 import merlinlever.membership.SwimSettings;
@@ -136,6 +137,14 @@
         return sequence;
     }
 
+    /** Sends the messages to peers at once. */
+    public void send(List<? extends PeerMessage> messages) {
+        messages.forEach(members::send);
+        if (!messages.isEmpty()) {
+            flush();
+        }
+    }
+
     /** Sends at once what is to be sent to peers, not only with the next poll. */
     public void flush() {
         transport.flush();
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/view/net/ViewTransport.java
@@ -1,12 +1,10 @@
 package merlinlever.view.net;
 
 import java.time.Duration;
-import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import merlinlever.election.LeaderElection;
 import merlinlever.membership.PayloadHandler;
-import merlinlever.membership.PeerMessage;
 import merlinlever.membership.TextMessageHandler;
 import merlinlever.net.EventLoop;
 import merlinlever.recovery.net.RecoveryCoordinator;
@@ -52,7 +50,8 @@
                 loop.clock().uptime(), setup, recovery.membership().memberTable(), election);
         recovery.membership().addTextHandler(ViewManager.MESSAGE_TYPES, this);
         recovery.membership().addPayloadHandler(this);
-        loop.runNowAndEvery(TICK_INTERVAL, () -> send(manager.tick(loop.clock().uptime())));
+        loop.runNowAndEvery(
+                TICK_INTERVAL, () -> recovery.send(manager.tick(loop.clock().uptime())));
     }
 
     /** What is known of the fleet, for the parts that depend on the peers. */
@@ -60,16 +59,9 @@
         return manager;
     }
 
-    private void send(List<PeerMessage> messages) {
-        messages.forEach(recovery.membership()::send);
-        if (!messages.isEmpty()) {
-            recovery.flush();
-        }
-    }
-
     @Override
     public void onText(String sender, long correlationId, String text) {
-        send(manager.receive(loop.clock().uptime(), sender, correlationId, text));
+        recovery.send(manager.receive(loop.clock().uptime(), sender, correlationId, text));
     }
 
     @Override
