--- /dev/null
+++ b/src/test/java/merlinlever/DecisionsTest.java
@@ -0,0 +1,38 @@
+package merlinlever;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.lang.reflect.RecordComponent;
+import java.time.Duration;
+import java.util.Arrays;
+import java.util.List;
+import net.jqwik.api.Example;
+
+class DecisionsTest {
+
+    /** A kind that the builder did not know would be dropped without a word. */
+    @Example
+    void decisionsOfEveryKindComeOutInTheOrderInWhichTheKindsAreDeclared() throws ReflectiveOperationException {
+        List<Class<?>> declared = List.of(Decision.class.getPermittedSubclasses());
+        Decisions.Builder builder = new Decisions.Builder();
+        for (int i = declared.size() - 1; i >= 0; i--) {
+            builder.add(anyOf(declared.get(i)));
+        }
+        List<? extends Class<?>> decided = builder.build(Duration.ZERO).inOrder().stream()
+                .map(Decision::getClass)
+                .toList();
+        assertEquals(declared, decided);
+    }
+
+    private static Decision anyOf(Class<?> kind) throws ReflectiveOperationException {
+        Class<?>[] types = Arrays.stream(kind.getRecordComponents())
+                .map(RecordComponent::getType)
+                .toArray(Class<?>[]::new);
+        Object[] values = Arrays.stream(types)
+                .map(type -> type == double.class ? (Object) 0.5 : type == boolean.class ? (Object) true : null)
+                .toArray();
+        var constructor = kind.getDeclaredConstructor(types);
+        constructor.setAccessible(true);
+        return (Decision) constructor.newInstance(values);
+    }
+}
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
@@ -17,9 +17,8 @@
 import java.util.Random;
 import java.util.Set;
 import merlinlever.agent.AgentLinkFixture.FakeAgent;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
 import merlinlever.net.ManualClockLoop;
+import merlinlever.net.RecordingPeer;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -135,27 +134,10 @@
     }
 
     /** The agent, in memory. */
-    private static final class InMemoryAgent implements Connection.InMemoryPeer {
-        private final StringBuilder received = new StringBuilder();
-        private Connection agentEnd;
-
-        @Override
-        public void attach(Connection connection) {
-            agentEnd = connection;
-        }
-
-        @Override
-        public void onReceived(ByteBuffer in) {
-            while (in.hasRemaining()) {
-                received.append((char) in.get());
-            }
-        }
-
-        @Override
-        public void onClosed(CloseReason how) {}
+    private static final class InMemoryAgent extends RecordingPeer {
 
         void sendLine(String line) {
-            agentEnd.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
+            end().write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
         }
     }
 
--- a/src/test/java/merlinlever/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/records/RecordsClientFixture.java
@@ -17,9 +17,8 @@
 import java.util.List;
 import merlinlever.core.TestRequests;
 import merlinlever.log.Log;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
 import merlinlever.net.ManualClockLoop;
+import merlinlever.net.RecordingPeer;
 
 /** A client of a records service that the test plays; time advances only where the test advances it. */
 abstract class RecordsClientFixture {
@@ -95,27 +94,10 @@
     }
 
     /** The service, in memory: every connection reads everything and sends what the test says. */
-    static final class InMemoryRecordsService implements Connection.InMemoryPeer {
-        Connection serviceEnd;
-        final StringBuilder received = new StringBuilder();
-
-        @Override
-        public void attach(Connection connection) {
-            serviceEnd = connection;
-        }
-
-        @Override
-        public void onReceived(ByteBuffer in) {
-            while (in.hasRemaining()) {
-                received.append((char) in.get());
-            }
-        }
-
-        @Override
-        public void onClosed(CloseReason how) {}
+    static final class InMemoryRecordsService extends RecordingPeer {
 
         void send(String text) {
-            serviceEnd.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
+            end().write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
         }
     }
 }
