--- a/src/main/java/merlinlever/core/Backend.java
+++ b/src/main/java/merlinlever/backend/Backend.java
@@ -1,12 +1,14 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.Outcome;
-import merlinlever.QuotaDemand;
-import merlinlever.QuotaGrant;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.controller.QuotaGrant;
+import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.driver.ControllerDriver;
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.OverloadController;
 
--- a/src/main/java/merlinlever/core/BackendSettings.java
+++ b/src/main/java/merlinlever/backend/BackendSettings.java
@@ -1,10 +1,13 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.Durations;
+import merlinlever.common.Durations;
+import merlinlever.controller.settings.SettingNames;
+import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.driver.ControllerDriver;
 
 /** The settings that the backend itself reads, and those that it gives to its controller. */
 final class BackendSettings {
--- a/src/main/java/merlinlever/core/DecisionExecutor.java
+++ b/src/main/java/merlinlever/backend/DecisionExecutor.java
@@ -1,8 +1,9 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
-import merlinlever.ControllerEvent;
-import merlinlever.Outcome;
+import merlinlever.controller.ControllerEvent;
+import merlinlever.controller.Outcome;
+import merlinlever.driver.DecisionHandler;
 
 /** Carries out the decisions of the controller on the requests of one backend. */
 final class DecisionExecutor implements DecisionHandler<TrackedRequest> {
--- a/src/main/java/merlinlever/core/DownstreamCallTracker.java
+++ b/src/main/java/merlinlever/backend/DownstreamCallTracker.java
@@ -1,8 +1,8 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.function.Supplier;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 
 /**
  * Follows the downstream call of each run, from the moment the run needs it until the run has its reply. A run has one
--- a/src/main/java/merlinlever/core/DownstreamService.java
+++ b/src/main/java/merlinlever/backend/DownstreamService.java
@@ -1,7 +1,7 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 
 /**
  * The service that runs call while they execute. A service that is unreachable, slow or over its quota is reported by
--- a/src/main/java/merlinlever/core/DuplicateKey.java
+++ b/src/main/java/merlinlever/backend/DuplicateKey.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 /** What a request has in common with its duplicates. */
 final class DuplicateKey {
--- a/src/main/java/merlinlever/core/HealthChecks.java
+++ b/src/main/java/merlinlever/backend/HealthChecks.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/merlinlever/core/IdempotencyCache.java
+++ b/src/main/java/merlinlever/backend/IdempotencyCache.java
@@ -1,11 +1,12 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import merlinlever.RequestHandle;
+import merlinlever.controller.RequestHandle;
+import merlinlever.driver.ControllerDriver;
 
 /**
  * The requests that duplicates can find, by their {@link DuplicateKey}. An entry exists from the arrival of the request
--- a/src/main/java/merlinlever/core/PendingFleetState.java
+++ b/src/main/java/merlinlever/backend/PendingFleetState.java
@@ -1,11 +1,11 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import merlinlever.QuotaDemand;
-import merlinlever.QuotaGrant;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.controller.QuotaGrant;
 import merlinlever.policy.OverloadController;
 
 /**
--- a/src/main/java/merlinlever/core/RequestComponents.java
+++ b/src/main/java/merlinlever/backend/RequestComponents.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 /** The parts of a backend that each follow one aspect of its requests; events and decisions both go through them. */
 record RequestComponents(
--- a/src/main/java/merlinlever/core/RequestLifecycle.java
+++ b/src/main/java/merlinlever/backend/RequestLifecycle.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.Collection;
@@ -6,10 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.Durations;
-import merlinlever.Outcome;
-import merlinlever.RequestAttributes;
-import merlinlever.RequestHandle;
+import merlinlever.common.Durations;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestAttributes;
+import merlinlever.controller.RequestHandle;
+import merlinlever.driver.ControllerDriver;
 
 /**
  * What happens to requests: receipt, end of the run, downstream calls, callers that disconnect. Each event updates the
--- a/src/main/java/merlinlever/core/ResponseTracker.java
+++ b/src/main/java/merlinlever/backend/ResponseTracker.java
@@ -1,8 +1,8 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 
 /** Sends each request its one response, and counts the requests that are still to be answered. */
 final class ResponseTracker {
--- a/src/main/java/merlinlever/core/RunQueueCorrection.java
+++ b/src/main/java/merlinlever/backend/RunQueueCorrection.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 /**
  * Makes up for the delay of the agent's metrics. The agent reads its commands in order, so that runs which were started
--- a/src/main/java/merlinlever/core/TrackedRequest.java
+++ b/src/main/java/merlinlever/backend/TrackedRequest.java
@@ -1,11 +1,12 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import merlinlever.Outcome;
-import merlinlever.RequestHandle;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestHandle;
+import merlinlever.driver.ControllerDriver;
 
 /**
  * One request, from its receipt until neither the controller nor a duplicate can name it any more. Its state is written
--- a/src/main/java/merlinlever/agent/AgentCommands.java
+++ b/src/main/java/merlinlever/backend/agent/AgentCommands.java
@@ -1,8 +1,8 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.util.Base64;
-import merlinlever.core.TrackedRequest;
-import merlinlever.json.Json;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.common.json.Json;
 
 /** Encodes the commands to the agent: one JSON object a line, with its line end. */
 final class AgentCommands {
--- a/src/main/java/merlinlever/agent/AgentConnection.java
+++ b/src/main/java/merlinlever/backend/agent/AgentConnection.java
@@ -1,14 +1,14 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import merlinlever.log.Log;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
 
 /** One TCP connection to the agent: subscribes once it is made, and cuts what comes into lines. */
 final class AgentConnection implements Connection.Handler {
--- a/src/main/java/merlinlever/agent/AgentEvent.java
+++ b/src/main/java/merlinlever/backend/agent/AgentEvent.java
@@ -1,8 +1,8 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
+import merlinlever.controller.Outcome;
 
 /** One event that the agent reports. */
 sealed interface AgentEvent {
--- a/src/main/java/merlinlever/agent/AgentEventParser.java
+++ b/src/main/java/merlinlever/backend/agent/AgentEventParser.java
@@ -1,11 +1,11 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.util.Base64;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
+import merlinlever.controller.Outcome;
 
 /** Reads the agent's lines; every member that the protocol knows is checked, whatever the kind of event. */
 final class AgentEventParser {
--- a/src/main/java/merlinlever/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -1,16 +1,16 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.core.Backend;
-import merlinlever.core.TrackedRequest;
-import merlinlever.json.Json;
-import merlinlever.log.Log;
-import merlinlever.net.CloseReason;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.Backend;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.common.json.Json;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.EventLoop;
+import merlinlever.controller.Outcome;
 
 /**
  * The link to the agent. It keeps one connection, made again with a growing pause when it is lost, and resumes the
--- a/src/main/java/merlinlever/agent/HealthExercise.java
+++ b/src/main/java/merlinlever/backend/agent/HealthExercise.java
@@ -1,9 +1,9 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.EventLoop;
 
 /** The deep health check that is open, if any: its token, its time limit, and its one verdict. */
 final class HealthExercise {
--- a/src/main/java/merlinlever/agent/LineDecoder.java
+++ b/src/main/java/merlinlever/backend/agent/LineDecoder.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/merlinlever/agent/SampleTracker.java
+++ b/src/main/java/merlinlever/backend/agent/SampleTracker.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.time.Duration;
 import java.util.Optional;
--- a/src/main/java/merlinlever/directory/HeartbeatSender.java
+++ b/src/main/java/merlinlever/backend/directory/HeartbeatSender.java
@@ -1,4 +1,4 @@
-package merlinlever.directory;
+package merlinlever.backend.directory;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/merlinlever/directory/package-info.java
+++ b/src/main/java/merlinlever/backend/directory/package-info.java
@@ -1,2 +1,2 @@
 /** Client of the directory, from which edge nodes learn which servers there are. */
-package merlinlever.directory;
+package merlinlever.backend.directory;
--- a/src/main/java/merlinlever/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnection.java
@@ -1,15 +1,15 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.Optional;
-import merlinlever.core.RequestMetadata;
-import merlinlever.core.ResponseSink;
-import merlinlever.core.TrackedRequest;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
+import merlinlever.backend.RequestMetadata;
+import merlinlever.backend.ResponseSink;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
 
 /** One connection of an edge node: serves one request at a time, and reads the next after the response. */
 final class EdgeConnection implements Connection.Handler, ResponseSink {
--- a/src/main/java/merlinlever/http/EdgeConnectionReaper.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnectionReaper.java
@@ -1,10 +1,10 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.time.Duration;
 import java.util.Optional;
-import merlinlever.http.EdgeConnection.State;
-import merlinlever.net.CloseReason;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.http.EdgeConnection.State;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.EventLoop;
 
 /**
  * Closes connections: those that exceed the time limit of their state, and others to make room for new ones. A
--- a/src/main/java/merlinlever/http/EdgeConnectionTable.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnectionTable.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.time.Duration;
 import java.util.EnumMap;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.net.MonotonicClock;
+import merlinlever.common.net.MonotonicClock;
 
 /**
  * All open connections by state, each with the time at which it entered the state. Time is active time: it counts a
--- a/src/main/java/merlinlever/http/EdgeServer.java
+++ b/src/main/java/merlinlever/backend/http/EdgeServer.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
-import merlinlever.core.Backend;
-import merlinlever.core.RequestMetadata;
-import merlinlever.core.SettingsTranslator;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.ConnectionAcceptor;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
+import merlinlever.backend.Backend;
+import merlinlever.backend.RequestMetadata;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.ConnectionAcceptor;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.controller.settings.SettingsTranslator;
 
 /** The server that edge nodes connect to. */
 public final class EdgeServer {
--- a/src/main/java/merlinlever/http/HttpStatus.java
+++ b/src/main/java/merlinlever/backend/http/HttpStatus.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 /** The statuses that edge nodes are answered with. */
 enum HttpStatus {
--- a/src/main/java/merlinlever/http/RequestHead.java
+++ b/src/main/java/merlinlever/backend/http/RequestHead.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/src/main/java/merlinlever/http/RequestMetadataParser.java
+++ b/src/main/java/merlinlever/backend/http/RequestMetadataParser.java
@@ -1,15 +1,15 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.time.Duration;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.core.RequestMetadata;
-import merlinlever.core.RequestMetadata.Cost;
-import merlinlever.core.RequestMetadata.RequestId;
-import merlinlever.core.RequestMetadata.Timing;
-import merlinlever.http.RequestHead.HeaderField;
-import merlinlever.net.MonotonicClock;
+import merlinlever.backend.RequestMetadata;
+import merlinlever.backend.RequestMetadata.Cost;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.Timing;
+import merlinlever.backend.http.RequestHead.HeaderField;
+import merlinlever.common.net.MonotonicClock;
 
 /** Reads what the backend needs to know of a request out of its head, and checks each field's form and range. */
 final class RequestMetadataParser {
--- a/src/main/java/merlinlever/management/ManagementServer.java
+++ b/src/main/java/merlinlever/backend/management/ManagementServer.java
@@ -1,4 +1,4 @@
-package merlinlever.management;
+package merlinlever.backend.management;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.ConnectionAcceptor;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.ConnectionAcceptor;
+import merlinlever.common.net.EventLoop;
 
 /**
  * The management endpoint: {@code GET /state} over HTTP/1.1 returns one JSON object, anything else is not found. It
--- a/src/main/java/merlinlever/management/StatusReport.java
+++ b/src/main/java/merlinlever/backend/management/StatusReport.java
@@ -1,4 +1,4 @@
-package merlinlever.management;
+package merlinlever.backend.management;
 
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.RejectionReason;
--- a/src/main/java/merlinlever/records/PendingCall.java
+++ b/src/main/java/merlinlever/backend/records/PendingCall.java
@@ -1,8 +1,8 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import java.time.Duration;
-import merlinlever.core.TrackedRequest;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.common.net.EventLoop;
 
 /** One call, until its outcome is known or nobody waits for it. */
 final class PendingCall {
--- a/src/main/java/merlinlever/records/RecordsClient.java
+++ b/src/main/java/merlinlever/backend/records/RecordsClient.java
@@ -1,4 +1,4 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.core.DownstreamService;
-import merlinlever.core.TrackedRequest;
-import merlinlever.log.Log;
-import merlinlever.net.CloseReason;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.DownstreamService;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.EventLoop;
+import merlinlever.controller.Outcome;
 
 /**
  * All calls to the records service. A call has a connection to itself until its outcome is known, so that a malformed
@@ -74,7 +74,7 @@
     public void call(TrackedRequest request, byte[] body, Duration timeout) {
         if (address == null) {
             loop.execute(() -> listener.callEnded(
-                    loop.clock().now(), request.id(), CloseReason.CONNECT_TIMEOUT.callOutcome(), null));
+                    loop.clock().now(), request.id(), callOutcome(CloseReason.CONNECT_TIMEOUT), null));
             return;
         }
         // The service, too, takes a second call for a request as the end of its first.
@@ -142,7 +142,7 @@
         }
         connecting.forEach(connection -> connection.close(CloseReason.COMPLETED));
         if (newAddress == null) {
-            Optional<Outcome> outcome = Optional.of(CloseReason.CONNECT_TIMEOUT.callOutcome());
+            Optional<Outcome> outcome = Optional.of(callOutcome(CloseReason.CONNECT_TIMEOUT));
             List.copyOf(waiting).forEach(call -> complete(call, outcome, null));
         }
         sweep();
@@ -249,7 +249,7 @@
             idle.remove(connection);
             PendingCall call = connection.call();
             if (call != null) {
-                Outcome outcome = reason.callOutcome();
+                Outcome outcome = callOutcome(reason);
                 log.warn("records-connection-lost reason=" + reason + " request="
                         + call.request().idText() + " outcome=" + outcome);
                 complete(call, Optional.of(outcome), null);
@@ -262,4 +262,9 @@
             return connectionAddress.equals(address);
         }
     }
+
+    /** The outcome of a call that was in flight on a connection that was closed. */
+    static Outcome callOutcome(CloseReason reason) {
+        return reason.wasEstablished() ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE;
+    }
 }
--- a/src/main/java/merlinlever/records/RecordsConnection.java
+++ b/src/main/java/merlinlever/backend/records/RecordsConnection.java
@@ -1,4 +1,4 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,10 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Optional;
-import merlinlever.log.Log;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
 
 /** One connection to the records service: carries one call at a time, and is used again after one clean reply. */
 final class RecordsConnection implements Connection.Handler {
--- a/src/main/java/merlinlever/records/RecordsReply.java
+++ b/src/main/java/merlinlever/backend/records/RecordsReply.java
@@ -1,9 +1,9 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Optional;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 
 /** One reply of the records service: a line of the request's id, a status word and a length, then the body. */
 final class RecordsReply {
--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.Map;
-import merlinlever.agent.AgentLink;
-import merlinlever.core.Backend;
-import merlinlever.core.BackendDependencies;
-import merlinlever.core.DownstreamService;
-import merlinlever.core.TrackedRequest;
-import merlinlever.http.EdgeServer;
-import merlinlever.log.Log;
-import merlinlever.net.EventLoop;
-import merlinlever.records.RecordsClient;
+import merlinlever.backend.Backend;
+import merlinlever.backend.BackendDependencies;
+import merlinlever.backend.DownstreamService;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.backend.agent.AgentLink;
+import merlinlever.backend.http.EdgeServer;
+import merlinlever.backend.records.RecordsClient;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
 
 /**
  * One backend with its links to the render farm agent, the records service and the edge nodes, all on one event loop and its
--- a/src/main/java/merlinlever/cli/ConfigurationReloader.java
+++ b/src/main/java/merlinlever/cli/ConfigurationReloader.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.Map;
-import merlinlever.log.Log;
-import merlinlever.net.EventLoop;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
 
 /**
  * Reads the configuration again on SIGHUP. A file that is unusable may be half written still, so it is read a few times more
--- a/src/main/java/merlinlever/cli/FleetQuotaParser.java
+++ b/src/main/java/merlinlever/cli/FleetQuotaParser.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import merlinlever.quota.FleetQuota;
+import merlinlever.fleet.quota.FleetQuota;
 
 /**
  * Reads the fleet quotas from the configuration of {@code serve}: the list {@code budgets}. Everything is checked here, as
--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.stream.Collectors;
-import merlinlever.core.Backend;
-import merlinlever.http.EdgeServer;
-import merlinlever.log.Log;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.Backend;
+import merlinlever.backend.http.EdgeServer;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
 
 /**
  * The end of one backend after SIGTERM: it drains, closes its listener once the drain grace is over, answers what is in flight,
--- a/src/main/java/merlinlever/cli/Main.java
+++ b/src/main/java/merlinlever/cli/Main.java
@@ -1,7 +1,7 @@
 package merlinlever.cli;
 
 import java.io.IOException;
-import merlinlever.wire.WireHost;
+import merlinlever.simulator.WireHost;
 
 /** Entry point of the program. The two commands that the platform starts often, {@code serve} and {@code wirehost}, load no library. */
 public final class Main {
--- a/src/main/java/merlinlever/cli/MeasureCommands.java
+++ b/src/main/java/merlinlever/cli/MeasureCommands.java
@@ -1,13 +1,13 @@
 package merlinlever.cli;
 
 import java.nio.file.Path;
-import merlinlever.measure.DnsMeasurement;
-import merlinlever.measure.ExperimentMeasurement;
-import merlinlever.measure.QuotaMeasurement;
-import merlinlever.measure.RecoveryMeasurement;
-import merlinlever.measure.ReplicationMeasurement;
-import merlinlever.measure.RoutesMeasurement;
-import merlinlever.measure.ViewMeasurement;
+import merlinlever.testing.measurement.DnsMeasurement;
+import merlinlever.testing.measurement.ExperimentMeasurement;
+import merlinlever.testing.measurement.QuotaMeasurement;
+import merlinlever.testing.measurement.RecoveryMeasurement;
+import merlinlever.testing.measurement.ReplicationMeasurement;
+import merlinlever.testing.measurement.RoutesMeasurement;
+import merlinlever.testing.measurement.ViewMeasurement;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.core.Backend;
-import merlinlever.core.SettingsTranslator;
-import merlinlever.log.Log;
-import merlinlever.membership.MembershipTransport;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.Backend;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.storage.StateDirectories;
+import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.fleet.membership.MembershipTransport;
+import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.net.NodeSettings;
+import merlinlever.fleet.recovery.net.RecoveringService;
+import merlinlever.fleet.recovery.net.RecoveryCoordinator;
 import merlinlever.policy.ControllerMetrics;
-import merlinlever.recovery.RecoverySettings;
-import merlinlever.recovery.net.NodeSettings;
-import merlinlever.recovery.net.RecoveringService;
-import merlinlever.recovery.net.RecoveryCoordinator;
-import merlinlever.storage.StateDirectories;
 
 /**
  * The recovery of one backend after a restart: persisted state on disk and membership with the other backends, and where it is
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -6,16 +6,16 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
-import merlinlever.core.Backend;
-import merlinlever.core.SettingsTranslator;
-import merlinlever.directory.HeartbeatSender;
-import merlinlever.log.Log;
-import merlinlever.management.ManagementServer;
-import merlinlever.management.StatusReport;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
-import merlinlever.net.ProcessSignals;
-import merlinlever.net.SocketAddresses;
+import merlinlever.backend.Backend;
+import merlinlever.backend.directory.HeartbeatSender;
+import merlinlever.backend.management.ManagementServer;
+import merlinlever.backend.management.StatusReport;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.common.net.ProcessSignals;
+import merlinlever.common.net.SocketAddresses;
+import merlinlever.controller.settings.SettingsTranslator;
 
 /**
  * The {@code serve} command: one real backend in one process. It reads the configuration, assembles the backend with its links to
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -12,10 +12,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import merlinlever.core.SettingsTranslator;
-import merlinlever.core.SettingsValidator;
-import merlinlever.json.Json;
-import merlinlever.json.Json.MalformedJsonException;
+import merlinlever.common.json.Json;
+import merlinlever.common.json.Json.MalformedJsonException;
+import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.SettingsValidator;
 
 /**
  * The configuration of one backend as it was read once, at the start or on SIGHUP, and found valid as a whole.
--- a/src/main/java/merlinlever/cli/ServiceCommand.java
+++ b/src/main/java/merlinlever/cli/ServiceCommand.java
@@ -2,9 +2,9 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import merlinlever.config.ConfigFile;
-import merlinlever.config.ConfigSchema;
-import merlinlever.config.InvalidConfigFileException;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.config.ConfigSchema;
+import merlinlever.common.config.InvalidConfigFileException;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
--- a/src/main/java/merlinlever/cli/ServiceRunner.java
+++ b/src/main/java/merlinlever/cli/ServiceRunner.java
@@ -1,7 +1,7 @@
 package merlinlever.cli;
 
 import java.util.concurrent.CountDownLatch;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.EventLoop;
 
 /**
  * Runs the event loop of a service on the calling thread. On SIGTERM, and wherever else the runtime begins to end, the shutdown is
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -8,14 +8,14 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
-import merlinlever.agent.LineDecoder;
-import merlinlever.json.Json;
-import merlinlever.json.Json.MalformedJsonException;
-import merlinlever.log.Log;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
+import merlinlever.backend.agent.LineDecoder;
+import merlinlever.common.json.Json;
+import merlinlever.common.json.Json.MalformedJsonException;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
 
 /**
  * Serves synthetic requests before the first real one, with a backend, an event loop and stub peers of its own and connections in
--- a/src/main/java/merlinlever/cli/zone/ZoneApplyRunner.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneApplyRunner.java
@@ -1,4 +1,4 @@
-package merlinlever.cli.zone;
+package merlinlever.cli.dns;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
-import merlinlever.zone.client.DnsClient;
-import merlinlever.zone.client.ZoneApplier;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.state.UpdatePlan;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.dns.client.DnsClient;
+import merlinlever.dns.client.ZoneApplier;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.state.UpdatePlan;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.Tsig;
 
 /** Carries out {@code zone apply} on an event loop of its own and prints the progress. */
 final class ZoneApplyRunner implements ZoneApplier.ProgressListener {
--- a/src/main/java/merlinlever/cli/zone/ZoneConfigParser.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneConfigParser.java
@@ -1,16 +1,16 @@
-package merlinlever.cli.zone;
+package merlinlever.cli.dns;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Base64;
-import merlinlever.config.ConfigFile;
-import merlinlever.config.InvalidConfigFileException;
-import merlinlever.net.SocketAddresses;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.config.InvalidConfigFileException;
+import merlinlever.common.net.SocketAddresses;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.wire.Tsig;
 
 /** Reads addresses, domain names and TSIG keys from configuration files and arguments. */
 final class ZoneConfigParser {
--- a/src/main/java/merlinlever/cli/zone/package-info.java
+++ b/src/main/java/merlinlever/cli/dns/package-info.java
@@ -1,2 +1,2 @@
 /** The commands {@code zone ...}: DNS zones read, compared, served, updated and followed. */
-package merlinlever.cli.zone;
+package merlinlever.cli.dns;
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -1,9 +1,9 @@
 package merlinlever.cli.fleet;
 
 import merlinlever.cli.ServiceCommand;
-import merlinlever.config.ConfigFile;
-import merlinlever.config.ConfigSchema;
-import merlinlever.config.InvalidConfigFileException;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.config.ConfigSchema;
+import merlinlever.common.config.InvalidConfigFileException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
+++ b/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import merlinlever.config.ConfigFile;
-import merlinlever.config.InvalidConfigFileException;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.host.run.InstanceSpec;
 
 /**
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.UUID;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.RollingRestart;
 import picocli.CommandLine;
--- a/src/main/java/merlinlever/Durations.java
+++ b/src/main/java/merlinlever/common/Durations.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.common;
 
 import java.time.Duration;
 
--- a/src/main/java/merlinlever/WireNamed.java
+++ b/src/main/java/merlinlever/common/WireNamed.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.common;
 
 /** A constant that files, messages or commands name; the name there stays whatever the constant is called here. */
 public interface WireNamed {
--- a/src/main/java/merlinlever/config/ConfigSchema.java
+++ b/src/main/java/merlinlever/common/config/ConfigSchema.java
@@ -1,4 +1,4 @@
-package merlinlever.config;
+package merlinlever.common.config;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /** The JSON Schemas that configuration files are validated against; each is a resource of this program. */
 public enum ConfigSchema implements WireNamed {
--- a/src/main/java/merlinlever/config/InvalidConfigFileException.java
+++ b/src/main/java/merlinlever/common/config/InvalidConfigFileException.java
@@ -1,4 +1,4 @@
-package merlinlever.config;
+package merlinlever.common.config;
 
 /**
  * A configuration file that cannot be used. The message is for the operator: one line for each fault, in the form
--- a/src/main/java/merlinlever/config/YamlDocument.java
+++ b/src/main/java/merlinlever/common/config/YamlDocument.java
@@ -1,4 +1,4 @@
-package merlinlever.config;
+package merlinlever.common.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/main/java/merlinlever/json/Json.java
+++ b/src/main/java/merlinlever/common/json/Json.java
@@ -1,4 +1,4 @@
-package merlinlever.json;
+package merlinlever.common.json;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/merlinlever/json/JsonParser.java
+++ b/src/main/java/merlinlever/common/json/JsonParser.java
@@ -1,10 +1,10 @@
-package merlinlever.json;
+package merlinlever.common.json;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.json.Json.MalformedJsonException;
+import merlinlever.common.json.Json.MalformedJsonException;
 
 /** Reads one JSON text by recursive descent. Its depth is bounded, so that no text overflows the stack. */
 final class JsonParser {
--- a/src/main/java/merlinlever/json/package-info.java
+++ b/src/main/java/merlinlever/common/json/package-info.java
@@ -1,2 +1,2 @@
 /** A small reader of JSON, and a writer of JSON strings, which the program loads at its start in place of a library. */
-package merlinlever.json;
+package merlinlever.common.json;
--- a/src/main/java/merlinlever/log/Log.java
+++ b/src/main/java/merlinlever/common/log/Log.java
@@ -1,4 +1,4 @@
-package merlinlever.log;
+package merlinlever.common.log;
 
 import java.io.PrintStream;
 import java.time.Instant;
--- a/src/main/java/merlinlever/log/package-info.java
+++ b/src/main/java/merlinlever/common/log/package-info.java
@@ -1,2 +1,2 @@
 /** A small logger, bounded in volume, which the program loads at its start in place of a library. */
-package merlinlever.log;
+package merlinlever.common.log;
--- a/src/main/java/merlinlever/net/HangupSignal.java
+++ b/src/main/java/merlinlever/common/net/HangupSignal.java
@@ -1,4 +1,4 @@
-package merlinlever.net;
+package merlinlever.common.net;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
--- a/src/main/java/merlinlever/net/ProcessSignals.java
+++ b/src/main/java/merlinlever/common/net/ProcessSignals.java
@@ -1,4 +1,4 @@
-package merlinlever.net;
+package merlinlever.common.net;
 
 /**
  * SIGHUP, to reload the configuration, and SIGTERM, to drain and exit. Signals that come before there is a subscriber
--- a/src/main/java/merlinlever/net/SocketAddresses.java
+++ b/src/main/java/merlinlever/common/net/SocketAddresses.java
@@ -1,4 +1,4 @@
-package merlinlever.net;
+package merlinlever.common.net;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/merlinlever/net/SocketConnection.java
+++ b/src/main/java/merlinlever/common/net/SocketConnection.java
@@ -1,4 +1,4 @@
-package merlinlever.net;
+package merlinlever.common.net;
 
 import java.io.IOException;
 import java.net.SocketAddress;
--- a/src/main/java/merlinlever/storage/BackgroundWriter.java
+++ b/src/main/java/merlinlever/common/storage/BackgroundWriter.java
@@ -1,4 +1,4 @@
-package merlinlever.storage;
+package merlinlever.common.storage;
 
 import java.io.IOException;
 import java.time.Duration;
--- a/src/main/java/merlinlever/storage/StateDirectory.java
+++ b/src/main/java/merlinlever/common/storage/StateDirectory.java
@@ -1,4 +1,4 @@
-package merlinlever.storage;
+package merlinlever.common.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/merlinlever/ControllerEvent.java
+++ b/src/main/java/merlinlever/controller/ControllerEvent.java
@@ -1,7 +1,8 @@
-package merlinlever;
+package merlinlever.controller;
 
 import java.time.Duration;
 import java.util.Locale;
+import merlinlever.common.Durations;
 
 /** Something that the log is to tell of; it has no effect. */
 public sealed interface ControllerEvent {
--- a/src/main/java/merlinlever/Outcome.java
+++ b/src/main/java/merlinlever/controller/Outcome.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 /** How a run or a downstream call ended. */
 public enum Outcome {
--- a/src/main/java/merlinlever/QuotaDemand.java
+++ b/src/main/java/merlinlever/controller/QuotaDemand.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 /**
  * How much of a quota a server uses.
--- a/src/main/java/merlinlever/QuotaGrant.java
+++ b/src/main/java/merlinlever/controller/QuotaGrant.java
@@ -1,7 +1,8 @@
-package merlinlever;
+package merlinlever.controller;
 
 import java.time.Duration;
 import java.util.Optional;
+import merlinlever.common.Durations;
 
 /**
  * A server's part of a limit of the whole fleet.
--- a/src/main/java/merlinlever/RequestAttributes.java
+++ b/src/main/java/merlinlever/controller/RequestAttributes.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 import java.time.Duration;
 import java.util.Optional;
--- a/src/main/java/merlinlever/core/DeploymentProfile.java
+++ b/src/main/java/merlinlever/controller/settings/DeploymentProfile.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.controller.settings;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * advertised to callers ({@code say}), whether the endpoint list follows health ({@code readiness}) and what lies
  * downstream ({@code below}).
  */
-final class DeploymentProfile {
+public final class DeploymentProfile {
 
     /** The prefix of the settings in force. */
     private static final String IN_FORCE = "server.";
@@ -45,12 +45,12 @@
     }
 
     /** Whether any setting is given for shadow mode. */
-    static boolean hasShadowedSettings(Map<String, String> settings) {
+    public static boolean hasShadowedSettings(Map<String, String> settings) {
         return settings.keySet().stream().anyMatch(name -> name.startsWith(SHADOWED));
     }
 
     /** The settings whose shadowed value is not the one in force, in alphabetical order. */
-    static List<String> shadowedDifferently(Map<String, String> settings) {
+    public static List<String> shadowedDifferently(Map<String, String> settings) {
         List<String> names = new ArrayList<>();
         for (String name : ALLOWED_VALUES.keySet()) {
             String inForce = settings.getOrDefault(IN_FORCE + name, DEFAULTS.get(name));
--- a/src/main/java/merlinlever/core/SettingNames.java
+++ b/src/main/java/merlinlever/controller/settings/SettingNames.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.controller.settings;
 
 /**
  * The internal names of settings that more than one class reads; {@link SettingsTranslator} has the operators' names of
--- a/src/main/java/merlinlever/Settings.java
+++ b/src/main/java/merlinlever/controller/settings/Settings.java
@@ -1,11 +1,12 @@
-package merlinlever;
+package merlinlever.controller.settings;
 
 import java.time.Duration;
 import java.util.Map;
+import merlinlever.common.Durations;
 
 /**
  * The settings of a controller by name, each read as the type that is asked for. The names are those that
- * {@code core.SettingsTranslator} translates to.
+ * {@link SettingsTranslator} translates to.
  */
 public record Settings(Map<String, String> values) {
 
--- a/src/main/java/merlinlever/core/SettingsTranslator.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsTranslator.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.controller.settings;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/merlinlever/core/SettingsValidator.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsValidator.java
@@ -1,6 +1,6 @@
-package merlinlever.core;
+package merlinlever.controller.settings;
 
-import static merlinlever.core.SettingsTranslator.externalName;
+import static merlinlever.controller.settings.SettingsTranslator.externalName;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/merlinlever/zone/client/DnsClient.java
+++ b/src/main/java/merlinlever/dns/client/DnsClient.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.client;
+package merlinlever.dns.client;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -12,14 +12,13 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import merlinlever.Outcome;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.DatagramEndpoint;
-import merlinlever.net.EventLoop;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.DatagramEndpoint;
+import merlinlever.common.net.EventLoop;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.Tsig;
 
 /**
  * Asks other servers, by datagram where the question is small and over a connection where it or the answer is not. Only an
@@ -184,7 +183,7 @@
         public void onClosed(CloseReason how) {
             if (!one.over) {
                 one.connection = null;
-                boolean never = how.callOutcome() == Outcome.UNREACHABLE;
+                boolean never = !how.wasEstablished();
                 one.end(
                         never
                                 ? ExchangeResult.ExchangeStatus.UNREACHABLE
--- a/src/main/java/merlinlever/zone/client/ExchangeResult.java
+++ b/src/main/java/merlinlever/dns/client/ExchangeResult.java
@@ -1,6 +1,6 @@
-package merlinlever.zone.client;
+package merlinlever.dns.client;
 
-import merlinlever.zone.wire.DnsMessage;
+import merlinlever.dns.wire.DnsMessage;
 
 /**
  * How a question or an update ended.
--- a/src/main/java/merlinlever/zone/client/FollowerDriver.java
+++ b/src/main/java/merlinlever/dns/client/FollowerDriver.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.client;
+package merlinlever.dns.client;
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -8,17 +8,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.net.EventLoop;
-import merlinlever.zone.follow.Follower;
-import merlinlever.zone.follow.ObservedRecords;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.MessageWriter;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.EventLoop;
+import merlinlever.dns.follow.Follower;
+import merlinlever.dns.follow.ObservedRecords;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Tsig;
 
 /** Carries out what a follower decides, and tells it what was heard. */
 public final class FollowerDriver {
--- a/src/main/java/merlinlever/zone/client/UpdateMessages.java
+++ b/src/main/java/merlinlever/dns/client/UpdateMessages.java
@@ -1,11 +1,11 @@
-package merlinlever.zone.client;
+package merlinlever.dns.client;
 
 import java.util.List;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.MessageWriter;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Tsig;
 
 /** Update messages (RFC 2136 section 2). */
 public final class UpdateMessages {
--- a/src/main/java/merlinlever/zone/client/ZoneApplier.java
+++ b/src/main/java/merlinlever/dns/client/ZoneApplier.java
@@ -1,13 +1,13 @@
-package merlinlever.zone.client;
+package merlinlever.dns.client;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.UpdatePlan;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.UpdatePlan;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.Tsig;
 
 /**
  * Brings a live zone to what is wanted: fetches it, plans, sends one update after the other, and fetches it again to see.
--- a/src/main/java/merlinlever/zone/client/ZoneFetcher.java
+++ b/src/main/java/merlinlever/dns/client/ZoneFetcher.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.client;
+package merlinlever.dns.client;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,19 +8,19 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.MessageWriter;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Tsig;
 
 /** Fetches a whole zone (AXFR, RFC 5936). What comes cut, unsigned or otherwise wrong is nothing. */
 public final class ZoneFetcher implements Connection.Handler {
--- a/src/main/java/merlinlever/zone/client/package-info.java
+++ b/src/main/java/merlinlever/dns/client/package-info.java
@@ -1,2 +1,2 @@
 /** Questions, updates and transfers to other servers, on the house's loop. */
-package merlinlever.zone.client;
+package merlinlever.dns.client;
--- a/src/main/java/merlinlever/zone/follow/Follower.java
+++ b/src/main/java/merlinlever/dns/follow/Follower.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.follow;
+package merlinlever.dns.follow;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,12 +9,12 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.SerialNumbers;
-import merlinlever.zone.state.UpdateEntry;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.SerialNumbers;
+import merlinlever.dns.state.UpdateEntry;
 
 /**
  * Decides which records a name has, when they are changed, and when not (docs/dns/design.md). One step is in hand at a
--- a/src/main/java/merlinlever/zone/follow/InstanceTracker.java
+++ b/src/main/java/merlinlever/dns/follow/InstanceTracker.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.follow;
+package merlinlever.dns.follow;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/merlinlever/zone/follow/ObservedRecords.java
+++ b/src/main/java/merlinlever/dns/follow/ObservedRecords.java
@@ -1,7 +1,7 @@
-package merlinlever.zone.follow;
+package merlinlever.dns.follow;
 
 import java.util.List;
-import merlinlever.zone.record.ResourceRecord;
+import merlinlever.dns.record.ResourceRecord;
 
 /**
  * What a server says of the name.
--- a/src/main/java/merlinlever/zone/follow/OwnershipClaim.java
+++ b/src/main/java/merlinlever/dns/follow/OwnershipClaim.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.follow;
+package merlinlever.dns.follow;
 
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
--- a/src/main/java/merlinlever/zone/follow/package-info.java
+++ b/src/main/java/merlinlever/dns/follow/package-info.java
@@ -1,2 +1,2 @@
 /** Decides how a name in a zone follows the live instances. No input or output. */
-package merlinlever.zone.follow;
+package merlinlever.dns.follow;
--- a/src/main/java/merlinlever/zone/journal/JournalFormat.java
+++ b/src/main/java/merlinlever/dns/journal/JournalFormat.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.journal;
+package merlinlever.dns.journal;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -6,9 +6,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.Difference;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.Difference;
 
 /**
  * The octets of journals and snapshots. A journal is a header and entries; an entry is a mark, its length, the CRC-32C of
--- a/src/main/java/merlinlever/zone/journal/JournalRecovery.java
+++ b/src/main/java/merlinlever/dns/journal/JournalRecovery.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.journal;
+package merlinlever.dns.journal;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/merlinlever/zone/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/dns/journal/ZoneStore.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.journal;
+package merlinlever.dns.journal;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,11 +8,11 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
-import merlinlever.storage.StateDirectory;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Zone;
+import merlinlever.common.storage.StateDirectory;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.Zone;
 
 /**
  * The journal and snapshots of one zone. What comes while the disk is at work waits and leaves in one write with one
--- a/src/main/java/merlinlever/zone/record/CompressedNames.java
+++ b/src/main/java/merlinlever/dns/record/CompressedNames.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.record;
+package merlinlever.dns.record;
 
 /** Names in messages, with compression (RFC 1035 section 4.1.4). */
 public final class CompressedNames {
--- a/src/main/java/merlinlever/zone/record/MalformedDnsException.java
+++ b/src/main/java/merlinlever/dns/record/MalformedDnsException.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.record;
+package merlinlever.dns.record;
 
 /** What came is not what the format allows; its message says why in one line. It carries no trace, as it may come often. */
 public final class MalformedDnsException extends Exception {
--- a/src/main/java/merlinlever/zone/record/ResourceRecord.java
+++ b/src/main/java/merlinlever/dns/record/ResourceRecord.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.record;
+package merlinlever.dns.record;
 
 import java.util.Arrays;
 
--- a/src/main/java/merlinlever/zone/record/package-info.java
+++ b/src/main/java/merlinlever/dns/record/package-info.java
@@ -1,2 +1,2 @@
 /** Names, types and data of DNS records, as octets; what everything else about zones stands on. No input or output. */
-package merlinlever.zone.record;
+package merlinlever.dns.record;
--- a/src/main/java/merlinlever/zone/server/DnsConnection.java
+++ b/src/main/java/merlinlever/dns/server/DnsConnection.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
 
 /** One TCP connection (RFC 7766): messages with their length before them, answers in the order in which they are ready. */
 final class DnsConnection implements Connection.Handler {
--- a/src/main/java/merlinlever/zone/server/DnsServer.java
+++ b/src/main/java/merlinlever/dns/server/DnsServer.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import merlinlever.net.Connection;
-import merlinlever.net.ConnectionAcceptor;
-import merlinlever.net.DatagramEndpoint;
-import merlinlever.net.EventLoop;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.ConnectionAcceptor;
+import merlinlever.common.net.DatagramEndpoint;
+import merlinlever.common.net.EventLoop;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.Tsig;
 
 /** The sockets round the desk: datagrams and connections on one address. */
 public final class DnsServer {
--- a/src/main/java/merlinlever/zone/server/NotifySender.java
+++ b/src/main/java/merlinlever/dns/server/NotifySender.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.net.DatagramEndpoint;
-import merlinlever.net.EventLoop;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.MessageWriter;
+import merlinlever.common.net.DatagramEndpoint;
+import merlinlever.common.net.EventLoop;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageWriter;
 
 /** Tells other servers of each new version until they say that they heard (RFC 1996 section 3). */
 public final class NotifySender {
--- a/src/main/java/merlinlever/zone/server/PendingMessage.java
+++ b/src/main/java/merlinlever/dns/server/PendingMessage.java
@@ -1,12 +1,12 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.RequestHandle;
-import merlinlever.WireNamed;
-import merlinlever.core.ControllerDriver;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.WireNamed;
+import merlinlever.controller.RequestHandle;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.Tsig;
+import merlinlever.driver.ControllerDriver;
 
 /** One message that was taken, from its reading until nothing names it any more. */
 final class PendingMessage {
--- a/src/main/java/merlinlever/zone/server/ReplyChannel.java
+++ b/src/main/java/merlinlever/dns/server/ReplyChannel.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.util.function.Consumer;
 
--- a/src/main/java/merlinlever/zone/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -10,24 +10,24 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import merlinlever.ControllerEvent;
-import merlinlever.Outcome;
-import merlinlever.RequestAttributes;
-import merlinlever.RequestHandle;
-import merlinlever.core.ControllerDriver;
-import merlinlever.core.DecisionHandler;
+import merlinlever.controller.ControllerEvent;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestAttributes;
+import merlinlever.controller.RequestHandle;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.Lookup;
+import merlinlever.dns.state.SerialNumbers;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.Tsig;
+import merlinlever.driver.ControllerDriver;
+import merlinlever.driver.DecisionHandler;
 import merlinlever.policy.ControllerMetrics;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.Lookup;
-import merlinlever.zone.state.SerialNumbers;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.Tsig;
 
 /**
  * Follows each message from its reading to its one answer. What is taken, begun and turned away the decision module
--- a/src/main/java/merlinlever/zone/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/dns/server/ResponseBuilder.java
@@ -1,16 +1,16 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import java.util.function.LongSupplier;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.Lookup;
-import merlinlever.zone.state.RecordSet;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.MessageWriter;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.Lookup;
+import merlinlever.dns.state.RecordSet;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Tsig;
 
 /** Makes the answers: sections, EDNS, truncation, signatures. Decides nothing. */
 final class ResponseBuilder {
--- a/src/main/java/merlinlever/zone/server/ServedZone.java
+++ b/src/main/java/merlinlever/dns/server/ServedZone.java
@@ -1,18 +1,18 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.DifferenceHistory;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.ReplayWindow;
-import merlinlever.zone.state.SerialNumbers;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
+import merlinlever.dns.journal.ZoneStore;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.DifferenceHistory;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.ReplayWindow;
+import merlinlever.dns.state.SerialNumbers;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
 
 /**
  * One zone in service. Questions see the last version that is on the disk; an update is decided on the last one that is
--- a/src/main/java/merlinlever/zone/server/ZoneServerMetrics.java
+++ b/src/main/java/merlinlever/dns/server/ZoneServerMetrics.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
--- a/src/main/java/merlinlever/zone/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/dns/server/ZoneTransfer.java
@@ -1,17 +1,17 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.DnsMessage;
-import merlinlever.zone.wire.MessageWriter;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Tsig;
 
 /** A zone, or what has changed in it, as messages that are made as they are wanted (RFC 5936, RFC 1995). */
 public final class ZoneTransfer {
--- a/src/main/java/merlinlever/zone/state/CopyOnWriteBTree.java
+++ b/src/main/java/merlinlever/dns/state/CopyOnWriteBTree.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/merlinlever/zone/state/Difference.java
+++ b/src/main/java/merlinlever/dns/state/Difference.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
 
 /**
  * What leads from one version of a zone to another: records taken out, then records put in. The SOA is among both, first
--- a/src/main/java/merlinlever/zone/state/DynamicUpdate.java
+++ b/src/main/java/merlinlever/dns/state/DynamicUpdate.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
 
 /** Decides a dynamic update: all of it or nothing (RFC 2136 section 3). */
 public final class DynamicUpdate {
--- a/src/main/java/merlinlever/zone/state/Lookup.java
+++ b/src/main/java/merlinlever/dns/state/Lookup.java
@@ -1,10 +1,10 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
 
 /**
  * Finds the answer to a question in one version of a zone (RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by
--- a/src/main/java/merlinlever/zone/state/RecordSet.java
+++ b/src/main/java/merlinlever/dns/state/RecordSet.java
@@ -1,8 +1,8 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.Arrays;
 import java.util.function.Consumer;
-import merlinlever.zone.record.ResourceRecord;
+import merlinlever.dns.record.ResourceRecord;
 
 /** All records of one type at one name: one time to live (RFC 2181 section 5.2), the data sorted and each once. */
 public final class RecordSet {
--- a/src/main/java/merlinlever/zone/state/SerialNumbers.java
+++ b/src/main/java/merlinlever/dns/state/SerialNumbers.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 /** Serial numbers of 32 bits, which wrap (RFC 1982). */
 public final class SerialNumbers {
--- a/src/main/java/merlinlever/zone/state/UpdateEntry.java
+++ b/src/main/java/merlinlever/dns/state/UpdateEntry.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 /**
  * One entry of an update message: a record, or what RFC 2136 writes in the form of one.
--- a/src/main/java/merlinlever/zone/state/UpdatePlan.java
+++ b/src/main/java/merlinlever/dns/state/UpdatePlan.java
@@ -1,13 +1,13 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
 
 /**
  * Decides in which updates a live zone is brought to what a file says. All changes of one name are in one update, on the
--- a/src/main/java/merlinlever/zone/state/Zone.java
+++ b/src/main/java/merlinlever/dns/state/Zone.java
@@ -1,12 +1,12 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
 
 /** One version of a zone; it never changes. */
 public final class Zone {
--- a/src/main/java/merlinlever/zone/state/package-info.java
+++ b/src/main/java/merlinlever/dns/state/package-info.java
@@ -1,2 +1,2 @@
 /** Zones as immutable versions, and all that is decided about their contents. No input or output. */
-package merlinlever.zone.state;
+package merlinlever.dns.state;
--- a/src/main/java/merlinlever/zone/text/ZoneFile.java
+++ b/src/main/java/merlinlever/dns/text/ZoneFile.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.text;
+package merlinlever.dns.text;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,12 +17,12 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.Zone;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.record.Rdata;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.Zone;
 
 /**
  * Reads a zone file (RFC 1035 section 5, {@code $TTL} of RFC 2308 section 4, unknown types of RFC 3597). One fault, and
--- a/src/main/java/merlinlever/zone/text/ZoneFileLexer.java
+++ b/src/main/java/merlinlever/dns/text/ZoneFileLexer.java
@@ -1,9 +1,9 @@
-package merlinlever.zone.text;
+package merlinlever.dns.text;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.dns.record.MalformedDnsException;
 
 /** Cuts the octets of a zone file into entries and these into words; knows of parentheses, quotes, escapes, comments. */
 final class ZoneFileLexer {
--- a/src/main/java/merlinlever/zone/text/package-info.java
+++ b/src/main/java/merlinlever/dns/text/package-info.java
@@ -1,2 +1,2 @@
 /** Zone files (RFC 1035 section 5): read whole or not at all, and written. */
-package merlinlever.zone.text;
+package merlinlever.dns.text;
--- a/src/main/java/merlinlever/zone/wire/DnsMessage.java
+++ b/src/main/java/merlinlever/dns/wire/DnsMessage.java
@@ -1,14 +1,14 @@
-package merlinlever.zone.wire;
+package merlinlever.dns.wire;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import merlinlever.zone.record.CompressedNames;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.state.UpdateEntry;
+import merlinlever.dns.record.CompressedNames;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.record.Rdata;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.state.UpdateEntry;
 
 /** A DNS message that was read whole (RFC 1035 section 4, EDNS of RFC 6891). */
 public final class DnsMessage {
--- a/src/main/java/merlinlever/zone/wire/MessageWriter.java
+++ b/src/main/java/merlinlever/dns/wire/MessageWriter.java
@@ -1,8 +1,8 @@
-package merlinlever.zone.wire;
+package merlinlever.dns.wire;
 
 import java.util.Arrays;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
 
 /** Writes one message, owner names compressed against those already in it, up to a size. */
 public final class MessageWriter {
--- a/src/main/java/merlinlever/zone/wire/Tsig.java
+++ b/src/main/java/merlinlever/dns/wire/Tsig.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.wire;
+package merlinlever.dns.wire;
 
 import java.security.InvalidKeyException;
 import java.security.MessageDigest;
@@ -9,9 +9,9 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.record.RecordTypes;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.record.RecordTypes;
 
 /**
  * Signatures of messages (RFC 8945), on the octets as they came. Times are Unix seconds and told by the caller, so that a
--- a/src/main/java/merlinlever/zone/wire/package-info.java
+++ b/src/main/java/merlinlever/dns/wire/package-info.java
@@ -1,2 +1,2 @@
 /** DNS messages and their signatures, read and written. No input or output. */
-package merlinlever.zone.wire;
+package merlinlever.dns.wire;
--- a/src/main/java/merlinlever/core/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -1,15 +1,17 @@
-package merlinlever.core;
+package merlinlever.driver;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.ControllerEvent;
-import merlinlever.Decision;
-import merlinlever.Decisions;
-import merlinlever.Outcome;
-import merlinlever.RequestHandle;
+import merlinlever.controller.ControllerEvent;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Decisions;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestHandle;
+import merlinlever.controller.settings.SettingNames;
+import merlinlever.controller.settings.SettingsTranslator;
 import merlinlever.policy.OverloadController;
 
 /**
@@ -62,7 +64,8 @@
         return shadowMode.map(ShadowModeCounter::differences).orElse(Map.of());
     }
 
-    static Map<String, Integer> priorityClassIndexes(Map<String, String> settings) {
+    /** The index of each priority class by its name. */
+    public static Map<String, Integer> priorityClassIndexes(Map<String, String> settings) {
         Map<String, Integer> indexes = new HashMap<>();
         for (int i = 0; settings.containsKey(SettingNames.ofPriorityClass(i, "name")); i++) {
             indexes.put(settings.get(SettingNames.ofPriorityClass(i, "name")), i);
--- a/src/main/java/merlinlever/core/DecisionHandler.java
+++ b/src/main/java/merlinlever/driver/DecisionHandler.java
@@ -1,7 +1,7 @@
-package merlinlever.core;
+package merlinlever.driver;
 
 import java.time.Duration;
-import merlinlever.ControllerEvent;
+import merlinlever.controller.ControllerEvent;
 
 /**
  * Carries out the decisions of one batch. The methods are called in the order in which they are declared here; that
--- a/src/main/java/merlinlever/core/ShadowModeCounter.java
+++ b/src/main/java/merlinlever/driver/ShadowModeCounter.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.driver;
 
 import java.util.Collection;
 import java.util.Map;
@@ -6,8 +6,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.Decision;
-import merlinlever.Decisions;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Decisions;
+import merlinlever.controller.settings.DeploymentProfile;
 
 /**
  * Shadow mode: counts how often the settings under {@code watch.} would have decided otherwise than the settings in
--- a/src/main/java/merlinlever/election/ElectionState.java
+++ b/src/main/java/merlinlever/fleet/election/ElectionState.java
@@ -1,4 +1,4 @@
-package merlinlever.election;
+package merlinlever.fleet.election;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/merlinlever/election/LeaderElection.java
+++ b/src/main/java/merlinlever/fleet/election/LeaderElection.java
@@ -1,4 +1,4 @@
-package merlinlever.election;
+package merlinlever.fleet.election;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongPredicate;
-import merlinlever.membership.PeerMessage;
+import merlinlever.fleet.membership.PeerMessage;
 
 /**
  * One backend's part in leader election: votes and may lead where it is a voter, otherwise learns who leads. One of it serves all
--- a/src/main/java/merlinlever/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/fleet/election/net/ElectionTransport.java
@@ -1,13 +1,13 @@
-package merlinlever.election.net;
+package merlinlever.fleet.election.net;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.TextMessageHandler;
-import merlinlever.net.EventLoop;
-import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.common.net.EventLoop;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.TextMessageHandler;
+import merlinlever.fleet.recovery.net.RecoveryCoordinator;
 
 /**
  * Runs one backend's {@link LeaderElection} on the event loop and membership's datagrams; one for all parts that need a leader. On
--- a/src/main/java/merlinlever/election/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/election/net/package-info.java
@@ -1,2 +1,2 @@
 /** Leader election on the event loop and membership's datagrams. */
-package merlinlever.election.net;
+package merlinlever.fleet.election.net;
--- a/src/main/java/merlinlever/election/package-info.java
+++ b/src/main/java/merlinlever/fleet/election/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leader election: terms, promises and leases among the configured voters ({@link merlinlever.election.LeaderElection}). Without input,
+ * Leader election: terms, promises and leases among the configured voters ({@link merlinlever.fleet.election.LeaderElection}). Without input,
  * output, threads or clocks; {@code net} runs it on the event loop.
  */
-package merlinlever.election;
+package merlinlever.fleet.election;
--- a/src/main/java/merlinlever/experiments/ArmSelector.java
+++ b/src/main/java/merlinlever/fleet/experiments/ArmSelector.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 /** What an adapter needs to know of an experiment. */
 public interface ArmSelector {
--- a/src/main/java/merlinlever/experiments/DistinctSample.java
+++ b/src/main/java/merlinlever/fleet/experiments/DistinctSample.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.util.TreeSet;
 
--- a/src/main/java/merlinlever/experiments/Experiment.java
+++ b/src/main/java/merlinlever/fleet/experiments/Experiment.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
--- a/src/main/java/merlinlever/experiments/ExperimentCounts.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentCounts.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.experiments.RunningMoments.BucketSums;
+import merlinlever.fleet.experiments.RunningMoments.BucketSums;
 
 /**
  * The results of requests in one experiment, by arm and by bucket of callers ({@link BucketAssignment}). Counts of several processes and
--- a/src/main/java/merlinlever/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
@@ -1,15 +1,15 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.election.Leadership;
-import merlinlever.replication.SharedStore;
-import merlinlever.replication.VersionedEntry;
-import merlinlever.replication.WriteOnceRegisters;
-import merlinlever.view.ActionPermissions;
-import merlinlever.view.FleetView;
-import merlinlever.view.GuardedAction;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.replication.SharedStore;
+import merlinlever.fleet.replication.VersionedEntry;
+import merlinlever.fleet.replication.WriteOnceRegisters;
+import merlinlever.fleet.view.ActionPermissions;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.GuardedAction;
 
 /**
  * One backend's part in one experiment: splits callers while it holds a lease ({@link SplitLease}), counts, publishes its counts, and, where
--- a/src/main/java/merlinlever/experiments/RunningMoments.java
+++ b/src/main/java/merlinlever/fleet/experiments/RunningMoments.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 /** Sums over the buckets of one arm, of requests, served requests and value; updated as single buckets change. */
 final class RunningMoments {
--- a/src/main/java/merlinlever/experiments/SampleRatioCheck.java
+++ b/src/main/java/merlinlever/fleet/experiments/SampleRatioCheck.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 /**
  * Detects that callers were not assigned to the arms as configured (sample ratio mismatch): the likelihood ratio of a mixture of assignments
--- a/src/main/java/merlinlever/experiments/SequentialAnalysis.java
+++ b/src/main/java/merlinlever/fleet/experiments/SequentialAnalysis.java
@@ -1,10 +1,10 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.Optional;
-import merlinlever.experiments.RunningMoments.Measure;
+import merlinlever.fleet.experiments.RunningMoments.Measure;
 
 /**
  * Decides when an experiment is over, by a test that may be evaluated after every request: confidence sequences for the differences between
--- a/src/main/java/merlinlever/experiments/SimulatedExperiments.java
+++ b/src/main/java/merlinlever/fleet/experiments/SimulatedExperiments.java
@@ -1,8 +1,8 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.util.Optional;
 import java.util.SplittableRandom;
-import merlinlever.experiments.RunningMoments.BucketSums;
+import merlinlever.fleet.experiments.RunningMoments.BucketSums;
 
 /**
  * Simulates experiments of two arms, evaluated after every request: how often and when the test stops, compared with a test of fixed size
--- a/src/main/java/merlinlever/experiments/SplitLease.java
+++ b/src/main/java/merlinlever/fleet/experiments/SplitLease.java
@@ -1,12 +1,12 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Optional;
-import merlinlever.election.Leadership;
-import merlinlever.replication.SharedStore;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.replication.SharedStore;
+import merlinlever.fleet.replication.VersionedEntry;
 
 /**
  * For how long a backend may split callers. It requests a lease by an entry of its own in the replicated store; a leader that has not ended
--- a/src/main/java/merlinlever/experiments/StoppingDecision.java
+++ b/src/main/java/merlinlever/fleet/experiments/StoppingDecision.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 /**
  * The result of evaluating an experiment.
--- a/src/main/java/merlinlever/experiments/VarInts.java
+++ b/src/main/java/merlinlever/fleet/experiments/VarInts.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import java.io.ByteArrayOutputStream;
 
--- a/src/main/java/merlinlever/membership/MemberRecord.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberRecord.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 /**
  * What is believed, and told to peers, of a member.
--- a/src/main/java/merlinlever/membership/MemberStatus.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberStatus.java
@@ -1,6 +1,6 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /**
  * What is believed of a member; of one incarnation a later constant overrides an earlier one. On the wire they go by their position,
--- a/src/main/java/merlinlever/membership/MemberTable.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberTable.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/merlinlever/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/fleet/membership/MembershipTransport.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -6,8 +6,8 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.function.LongPredicate;
-import merlinlever.net.DatagramEndpoint;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.DatagramEndpoint;
+import merlinlever.common.net.EventLoop;
 
 /** Runs one member's {@link SwimProtocol} on the event loop and UDP datagrams. On the loop's thread only. */
 public final class MembershipTransport {
--- a/src/main/java/merlinlever/membership/MessageKind.java
+++ b/src/main/java/merlinlever/fleet/membership/MessageKind.java
@@ -1,6 +1,6 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /** Kinds of {@link MembershipMessage}. On the wire they go by their position, so their order is fixed. */
 public enum MessageKind implements WireNamed {
--- a/src/main/java/merlinlever/membership/OutboundDatagram.java
+++ b/src/main/java/merlinlever/fleet/membership/OutboundDatagram.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 /**
  * A message to be sent.
--- a/src/main/java/merlinlever/membership/PayloadHandler.java
+++ b/src/main/java/merlinlever/fleet/membership/PayloadHandler.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 /** Takes the payloads that peers send on membership's datagrams; every handler sees each, and takes what it understands. */
 public interface PayloadHandler {
--- a/src/main/java/merlinlever/membership/PeerMessage.java
+++ b/src/main/java/merlinlever/fleet/membership/PeerMessage.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 /** A message of another protocol, such as leader election, that travels on membership's datagrams and may be lost. */
 public sealed interface PeerMessage {
--- a/src/main/java/merlinlever/membership/RecoveryExchange.java
+++ b/src/main/java/merlinlever/fleet/membership/RecoveryExchange.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 /** What a restarted member asks its peers, and what they answer, beside all that they believe of the members. */
 public interface RecoveryExchange {
--- a/src/main/java/merlinlever/membership/TextMessageHandler.java
+++ b/src/main/java/merlinlever/fleet/membership/TextMessageHandler.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 /** Takes the texts of another protocol that peers send on membership's datagrams. */
 public interface TextMessageHandler {
--- a/src/main/java/merlinlever/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/fleet/quota/FleetQuota.java
@@ -1,8 +1,8 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import java.time.Duration;
 import java.util.Map;
-import merlinlever.election.ClockDrift;
+import merlinlever.fleet.election.ClockDrift;
 
 /**
  * A limit that all backends of a fleet keep to together, as configured.
--- a/src/main/java/merlinlever/quota/LeaseGrant.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseGrant.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 /**
  * What the leader granted.
--- a/src/main/java/merlinlever/quota/LeaseMessage.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseMessage.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 /** The messages between the holder of a lease and the leader, as text of fields separated by slashes. */
 sealed interface LeaseMessage {
--- a/src/main/java/merlinlever/quota/LeaseRequest.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseRequest.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 /**
  * A backend's request to the leader for a lease of a quota.
--- a/src/main/java/merlinlever/quota/QuotaConsumer.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaConsumer.java
@@ -1,7 +1,7 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import java.time.Duration;
-import merlinlever.QuotaDemand;
+import merlinlever.controller.QuotaDemand;
 
 /** Spends what a backend is granted of the quotas. Durations are since the process began. */
 public interface QuotaConsumer {
--- a/src/main/java/merlinlever/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.QuotaDemand;
-import merlinlever.election.LeaderElection;
-import merlinlever.election.Leadership;
-import merlinlever.membership.PeerMessage;
-import merlinlever.view.ActionPermissions;
-import merlinlever.view.FleetView;
-import merlinlever.view.GuardedAction;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.view.ActionPermissions;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.GuardedAction;
 
 /**
  * One backend's part in the division of all quotas: it grants leases while it is the leader, requests its own from whoever
--- a/src/main/java/merlinlever/quota/QuotaLease.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaLease.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import java.time.Duration;
 import java.util.Optional;
--- a/src/main/java/merlinlever/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/fleet/quota/net/QuotaTransport.java
@@ -1,12 +1,12 @@
-package merlinlever.quota.net;
+package merlinlever.fleet.quota.net;
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.membership.TextMessageHandler;
-import merlinlever.net.EventLoop;
-import merlinlever.quota.FleetQuota;
-import merlinlever.quota.QuotaCoordinator;
-import merlinlever.recovery.net.RecoveryCoordinator;
+import merlinlever.common.net.EventLoop;
+import merlinlever.fleet.membership.TextMessageHandler;
+import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.QuotaCoordinator;
+import merlinlever.fleet.recovery.net.RecoveryCoordinator;
 
 /** Carries a {@link QuotaCoordinator}'s messages in membership's datagrams. On the loop's thread. */
 public final class QuotaTransport implements TextMessageHandler {
--- a/src/main/java/merlinlever/quota/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/quota/net/package-info.java
@@ -1,2 +1,2 @@
 /** The exchange of lease requests and grants among the backends, over membership's datagrams. */
-package merlinlever.quota.net;
+package merlinlever.fleet.quota.net;
--- a/src/main/java/merlinlever/recovery/Finding.java
+++ b/src/main/java/merlinlever/fleet/recovery/Finding.java
@@ -1,6 +1,6 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /**
  * One piece of the persisted state, and why it is relied on or not. Written for operators.
--- a/src/main/java/merlinlever/recovery/PeerQuery.java
+++ b/src/main/java/merlinlever/fleet/recovery/PeerQuery.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
 /**
  * A query that is to be sent to a peer now.
--- a/src/main/java/merlinlever/recovery/PeerReport.java
+++ b/src/main/java/merlinlever/fleet/recovery/PeerReport.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
 /**
  * What a peer reports of itself to a process that recovers.
--- a/src/main/java/merlinlever/recovery/PersistedStateAssessor.java
+++ b/src/main/java/merlinlever/fleet/recovery/PersistedStateAssessor.java
@@ -1,12 +1,12 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.OptionalLong;
-import merlinlever.recovery.Finding.Disposition;
-import merlinlever.recovery.Finding.Piece;
+import merlinlever.fleet.recovery.Finding.Disposition;
+import merlinlever.fleet.recovery.Finding.Piece;
 
 /**
  * Decides what a process may rely on of the state that its incarnation before left. Only what was forced to the disk, and is
--- a/src/main/java/merlinlever/recovery/RecoverySequence.java
+++ b/src/main/java/merlinlever/fleet/recovery/RecoverySequence.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/merlinlever/recovery/RecoveryStage.java
+++ b/src/main/java/merlinlever/fleet/recovery/RecoveryStage.java
@@ -1,6 +1,6 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /** How far a process has come in taking up service again after its start. The stages are passed in this order, never back. */
 public enum RecoveryStage implements WireNamed {
--- a/src/main/java/merlinlever/recovery/disk/RecoveryFile.java
+++ b/src/main/java/merlinlever/fleet/recovery/disk/RecoveryFile.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery.disk;
+package merlinlever.fleet.recovery.disk;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.zip.CRC32C;
-import merlinlever.recovery.LoadedState;
-import merlinlever.recovery.PersistedState;
-import merlinlever.storage.StateDirectory;
+import merlinlever.common.storage.StateDirectory;
+import merlinlever.fleet.recovery.LoadedState;
+import merlinlever.fleet.recovery.PersistedState;
 
 /**
  * The file of a {@link PersistedState} in a state directory, replaced whole ({@link StateDirectory#replace}). Its first line
--- a/src/main/java/merlinlever/recovery/net/DurableReservations.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
@@ -1,14 +1,14 @@
-package merlinlever.recovery.net;
+package merlinlever.fleet.recovery.net;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import merlinlever.net.MonotonicClock;
-import merlinlever.recovery.PersistedState;
-import merlinlever.recovery.disk.RecoveryFile;
-import merlinlever.storage.BackgroundWriter;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.common.storage.BackgroundWriter;
+import merlinlever.fleet.recovery.PersistedState;
+import merlinlever.fleet.recovery.disk.RecoveryFile;
 
 /**
  * Reserves on disk, before it is used, whatever the next incarnation has to know as possible: incarnations, election terms,
--- a/src/main/java/merlinlever/recovery/net/RecoveringService.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveringService.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery.net;
+package merlinlever.fleet.recovery.net;
 
 import java.time.Duration;
 
--- a/src/main/java/merlinlever/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery.net;
+package merlinlever.fleet.recovery.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,29 +12,29 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import merlinlever.WireNamed;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.MembershipCodec;
-import merlinlever.membership.MembershipTransport;
-import merlinlever.membership.PeerMessage;
-import merlinlever.membership.RecoveryExchange;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.membership.SwimSettings;
-import merlinlever.net.DatagramEndpoint;
-import merlinlever.net.EventLoop;
-import merlinlever.recovery.PeerQuery;
-import merlinlever.recovery.PeerReport;
-import merlinlever.recovery.PersistedStateAssessor;
-import merlinlever.recovery.RecoveryEvent;
-import merlinlever.recovery.RecoverySequence;
-import merlinlever.recovery.RecoverySettings;
-import merlinlever.recovery.RecoveryStage;
-import merlinlever.recovery.TrustedState;
-import merlinlever.recovery.disk.RecoveryFile;
-import merlinlever.storage.BackgroundWriter;
-import merlinlever.storage.StateDirectory;
+import merlinlever.common.WireNamed;
+import merlinlever.common.net.DatagramEndpoint;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.storage.BackgroundWriter;
+import merlinlever.common.storage.StateDirectory;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.fleet.membership.MembershipCodec;
+import merlinlever.fleet.membership.MembershipTransport;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.membership.RecoveryExchange;
+import merlinlever.fleet.membership.SwimProtocol;
+import merlinlever.fleet.membership.SwimSettings;
+import merlinlever.fleet.recovery.PeerQuery;
+import merlinlever.fleet.recovery.PeerReport;
+import merlinlever.fleet.recovery.PersistedStateAssessor;
+import merlinlever.fleet.recovery.RecoveryEvent;
+import merlinlever.fleet.recovery.RecoverySequence;
+import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.RecoveryStage;
+import merlinlever.fleet.recovery.TrustedState;
+import merlinlever.fleet.recovery.disk.RecoveryFile;
 
 /**
  * Coordinates the recovery of one process: reads the state that its incarnation before left, joins the membership, queries
--- a/src/main/java/merlinlever/recovery/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Recovery on the event loop: membership over datagrams, the state on disk, and the exchange of recovery reports with peers.
  */
-package merlinlever.recovery.net;
+package merlinlever.fleet.recovery.net;
--- a/src/main/java/merlinlever/replication/EntryTable.java
+++ b/src/main/java/merlinlever/fleet/replication/EntryTable.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.replication.StoredEntry.EntryKey;
+import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
  * All entries of one replica, and how two tables become one: of each key the higher version wins, and of one version all values that were
--- a/src/main/java/merlinlever/replication/Gossip.java
+++ b/src/main/java/merlinlever/fleet/replication/Gossip.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -13,8 +13,8 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.function.ToIntFunction;
-import merlinlever.replication.EntryTable.EntryVersion;
-import merlinlever.replication.StoredEntry.EntryKey;
+import merlinlever.fleet.replication.EntryTable.EntryVersion;
+import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
  * Decides which messages go to whom. A new entry goes to some random replicas in two rounds, whole if it is small and as its version if
--- a/src/main/java/merlinlever/replication/GossipCodec.java
+++ b/src/main/java/merlinlever/fleet/replication/GossipCodec.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.nio.BufferOverflowException;
 import java.nio.BufferUnderflowException;
@@ -10,13 +10,13 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Optional;
-import merlinlever.replication.EntryTable.EntryVersion;
-import merlinlever.replication.GossipMessage.AgedEntry;
-import merlinlever.replication.GossipMessage.BucketChecksums;
-import merlinlever.replication.GossipMessage.EntryBatch;
-import merlinlever.replication.GossipMessage.EntryRequest;
-import merlinlever.replication.GossipMessage.VersionList;
-import merlinlever.replication.StoredEntry.EntryKey;
+import merlinlever.fleet.replication.EntryTable.EntryVersion;
+import merlinlever.fleet.replication.GossipMessage.AgedEntry;
+import merlinlever.fleet.replication.GossipMessage.BucketChecksums;
+import merlinlever.fleet.replication.GossipMessage.EntryBatch;
+import merlinlever.fleet.replication.GossipMessage.EntryRequest;
+import merlinlever.fleet.replication.GossipMessage.VersionList;
+import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
  * The bytes of {@link GossipMessage}s: protocol version, kind, content. There is one encoding of each message; anything else is rejected
--- a/src/main/java/merlinlever/replication/GossipMessage.java
+++ b/src/main/java/merlinlever/fleet/replication/GossipMessage.java
@@ -1,8 +1,8 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.util.List;
-import merlinlever.replication.EntryTable.EntryVersion;
-import merlinlever.replication.StoredEntry.EntryKey;
+import merlinlever.fleet.replication.EntryTable.EntryVersion;
+import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /** What replicas send each other; {@link GossipCodec} has the bytes. */
 sealed interface GossipMessage {
--- a/src/main/java/merlinlever/replication/MessageFormatter.java
+++ b/src/main/java/merlinlever/fleet/replication/MessageFormatter.java
@@ -1,9 +1,9 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import merlinlever.replication.StoredEntry.EntryKey;
+import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /** Describes gossip messages for logs and timelines. */
 public final class MessageFormatter {
--- a/src/main/java/merlinlever/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/fleet/replication/PaxosNode.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import merlinlever.election.Leadership;
-import merlinlever.view.ActionPermissions;
-import merlinlever.view.FleetView;
-import merlinlever.view.GuardedAction;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.view.ActionPermissions;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.GuardedAction;
 
 /**
  * One backend's part in the {@link WriteOnceRegisters}: voter, leader and learner of single-decree Paxos, with the leader's term as the
--- a/src/main/java/merlinlever/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import merlinlever.replication.EntryTable.MergeResult;
-import merlinlever.replication.StoredEntry.EntryKey;
+import merlinlever.fleet.replication.EntryTable.MergeResult;
+import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
  * One replica of the {@link SharedStore}. New entries are pushed to some replicas at once, and each round one other replica is compared
--- a/src/main/java/merlinlever/replication/RetentionPolicy.java
+++ b/src/main/java/merlinlever/fleet/replication/RetentionPolicy.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.time.Duration;
 
--- a/src/main/java/merlinlever/replication/VersionedEntry.java
+++ b/src/main/java/merlinlever/fleet/replication/VersionedEntry.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 /**
  * One value of the replicated store, under the version its owner gave it. The higher version, by incarnation and then by sequence,
--- a/src/main/java/merlinlever/replication/disk/EntryFile.java
+++ b/src/main/java/merlinlever/fleet/replication/disk/EntryFile.java
@@ -1,4 +1,4 @@
-package merlinlever.replication.disk;
+package merlinlever.fleet.replication.disk;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.zip.CRC32C;
-import merlinlever.replication.ReplicatedStore.PersistedEntries;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.fleet.replication.VersionedEntry;
 
 /** The file of a backend's own entries: CRC-32C of the rest, format, last version, owner, entries. */
 public final class EntryFile {
--- /dev/null
+++ b/src/main/java/merlinlever/fleet/replication/disk/package-info.java
@@ -0,0 +1,2 @@
+/** The files of what is replicated. */
+package merlinlever.fleet.replication.disk;
--- a/src/main/java/merlinlever/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
@@ -1,4 +1,4 @@
-package merlinlever.replication.net;
+package merlinlever.fleet.replication.net;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -8,19 +8,19 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.election.Leadership;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.PayloadHandler;
-import merlinlever.net.EventLoop;
-import merlinlever.recovery.net.RecoveryCoordinator;
-import merlinlever.replication.OutgoingMessage;
-import merlinlever.replication.PaxosNode;
-import merlinlever.replication.ReplicatedStore;
-import merlinlever.replication.disk.EntryFile;
-import merlinlever.storage.BackgroundWriter;
-import merlinlever.storage.StateDirectory;
-import merlinlever.view.FleetView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.storage.BackgroundWriter;
+import merlinlever.common.storage.StateDirectory;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.PayloadHandler;
+import merlinlever.fleet.recovery.net.RecoveryCoordinator;
+import merlinlever.fleet.replication.OutgoingMessage;
+import merlinlever.fleet.replication.PaxosNode;
+import merlinlever.fleet.replication.ReplicatedStore;
+import merlinlever.fleet.replication.disk.EntryFile;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.QuorumStatus;
 
 /**
  * Runs one backend's replicated store and write-once registers on the event loop, over the membership protocol's datagrams, and persists
--- a/src/main/java/merlinlever/replication/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/replication/net/package-info.java
@@ -1,2 +1,2 @@
 /** Replication on the event loop, over the membership protocol's datagrams. */
-package merlinlever.replication.net;
+package merlinlever.fleet.replication.net;
--- a/src/main/java/merlinlever/routes/LocalServiceHealth.java
+++ b/src/main/java/merlinlever/fleet/routes/LocalServiceHealth.java
@@ -1,9 +1,9 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.time.Duration;
 import java.util.Arrays;
-import merlinlever.Outcome;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
+import merlinlever.controller.Outcome;
 
 /**
  * The health of this site's own records service, by the outcomes of the calls to it: unreachable when several in a row did not get
--- a/src/main/java/merlinlever/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/fleet/routes/PartnerTable.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.time.Duration;
 import java.util.TreeMap;
--- a/src/main/java/merlinlever/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import merlinlever.membership.PeerMessage;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.replication.VersionedEntry;
 
 /**
  * What the backends of one site tell each other of partners: the tables as replicated entries, which may come late, and how
--- a/src/main/java/merlinlever/routes/Relation.java
+++ b/src/main/java/merlinlever/fleet/routes/Relation.java
@@ -1,6 +1,6 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /** What a partner site is to this one; the first is preferred (Gao and Rexford 2001). */
 public enum Relation implements WireNamed {
--- a/src/main/java/merlinlever/routes/RouteSelector.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteSelector.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
--- a/src/main/java/merlinlever/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
 
 /**
  * Reads a partner's table from JSON. A fault in its head costs the table, a fault in a route that route; whatever of a route's
--- a/src/main/java/merlinlever/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import java.util.HexFormat;
 import java.util.stream.Collectors;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
 
 /** Writes a table as JSON that {@link RouteTableReader} reads, the same text for the same table. */
 public final class RouteTableWriter {
--- a/src/main/java/merlinlever/routes/RoutingPolicy.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingPolicy.java
@@ -1,11 +1,11 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /**
  * Which routes of a partner may be used, and which may be exported to another. A test can leave out each rule, to show that it
--- a/src/main/java/merlinlever/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingTable.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import merlinlever.view.ActionPermissions;
-import merlinlever.view.FleetView;
-import merlinlever.view.GuardedAction;
+import merlinlever.fleet.view.ActionPermissions;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.GuardedAction;
 
 /**
  * All that one backend knows of its partners' routes: their tables, how long each is valid, which routes may be used, and which may
--- a/src/main/java/merlinlever/routes/TableChunks.java
+++ b/src/main/java/merlinlever/fleet/routes/TableChunks.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -12,7 +12,7 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.replication.VersionedEntry;
 
 /**
  * A table as entries that the backends replicate: deflated, and split where it is longer than an entry may be. It is assembled
--- a/src/main/java/merlinlever/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
@@ -1,4 +1,4 @@
-package merlinlever.routes.net;
+package merlinlever.fleet.routes.net;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import merlinlever.routes.RouteTable;
-import merlinlever.routes.RouteTableReader;
-import merlinlever.routes.RoutingTable;
+import merlinlever.fleet.routes.RouteTable;
+import merlinlever.fleet.routes.RouteTableReader;
+import merlinlever.fleet.routes.RoutingTable;
 
 /**
  * Partners' tables as files that a job of the operator replaces whenever it has fetched one from the partner. A file that was
--- a/src/main/java/merlinlever/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RoutedDownstreamService.java
@@ -1,4 +1,4 @@
-package merlinlever.routes.net;
+package merlinlever.fleet.routes.net;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -10,15 +10,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
-import merlinlever.Outcome;
-import merlinlever.core.DownstreamService;
-import merlinlever.core.TrackedRequest;
-import merlinlever.log.Log;
-import merlinlever.net.EventLoop;
-import merlinlever.records.RecordsClient;
-import merlinlever.routes.LocalServiceHealth;
-import merlinlever.routes.RouteSelector;
-import merlinlever.routes.RoutingTable;
+import merlinlever.backend.DownstreamService;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.backend.records.RecordsClient;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
+import merlinlever.controller.Outcome;
+import merlinlever.fleet.routes.LocalServiceHealth;
+import merlinlever.fleet.routes.RouteSelector;
+import merlinlever.fleet.routes.RoutingTable;
 
 /**
  * The calls of one backend, to its own records service and to partners, which speak the same protocol: carries out what {@link
--- a/src/main/java/merlinlever/routes/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/routes/net/package-info.java
@@ -1,2 +1,2 @@
 /** Partner sites on the event loop: files that hold partners' tables, and calls that go to partners. */
-package merlinlever.routes.net;
+package merlinlever.fleet.routes.net;
--- a/src/main/java/merlinlever/view/CutDetector.java
+++ b/src/main/java/merlinlever/fleet/view/CutDetector.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
 
 /**
  * Which change of the view is due, as the leader counts it from the reports of all backends (Suresh et al., Rapid, 2018). A member
--- a/src/main/java/merlinlever/view/FailureDetector.java
+++ b/src/main/java/merlinlever/fleet/view/FailureDetector.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/merlinlever/view/GuardedAction.java
+++ b/src/main/java/merlinlever/fleet/view/GuardedAction.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 /** Actions that are permitted or not by a backend's {@link QuorumStatus}; see {@link ActionPermissions}. */
 public enum GuardedAction {
--- a/src/main/java/merlinlever/view/ObserverRings.java
+++ b/src/main/java/merlinlever/fleet/view/ObserverRings.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/merlinlever/view/QuorumEvaluator.java
+++ b/src/main/java/merlinlever/fleet/view/QuorumEvaluator.java
@@ -1,9 +1,9 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
-import merlinlever.membership.MemberTable;
+import merlinlever.fleet.membership.MemberTable;
 
 /** Determines the present {@link QuorumStatus} from what this backend hears, before any hysteresis. Not thread-safe. */
 final class QuorumEvaluator {
--- a/src/main/java/merlinlever/view/QuorumStatus.java
+++ b/src/main/java/merlinlever/fleet/view/QuorumStatus.java
@@ -1,6 +1,6 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /** How much of the fleet a backend speaks with, and so how far it may act; from the best to the worst. */
 public enum QuorumStatus implements WireNamed {
--- a/src/main/java/merlinlever/view/RateLimitedOutbox.java
+++ b/src/main/java/merlinlever/fleet/view/RateLimitedOutbox.java
@@ -1,9 +1,9 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.membership.PeerMessage;
+import merlinlever.fleet.membership.PeerMessage;
 
 /**
  * Messages to be sent, limited in number and in bytes per second. What exceeds a limit is dropped: its sender asks again, as
--- a/src/main/java/merlinlever/view/ViewCodec.java
+++ b/src/main/java/merlinlever/fleet/view/ViewCodec.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/src/main/java/merlinlever/view/ViewManager.java
+++ b/src/main/java/merlinlever/fleet/view/ViewManager.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongPredicate;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.PeerMessage;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.fleet.membership.PeerMessage;
 
 /**
  * One backend's part in the fleet's membership view: polls the voters and reports to them what it observes, probes the few members
--- a/src/main/java/merlinlever/view/ViewProposer.java
+++ b/src/main/java/merlinlever/fleet/view/ViewProposer.java
@@ -1,12 +1,12 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.Optional;
 import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.MemberTable;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.MemberTable;
 
 /** Numbers the next view, on the backend that leads, when a change of the members is due. Not thread-safe. */
 final class ViewProposer {
--- a/src/main/java/merlinlever/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/fleet/view/net/ViewTransport.java
@@ -1,16 +1,16 @@
-package merlinlever.view.net;
+package merlinlever.fleet.view.net;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.PayloadHandler;
-import merlinlever.membership.TextMessageHandler;
-import merlinlever.net.EventLoop;
-import merlinlever.recovery.net.RecoveryCoordinator;
-import merlinlever.view.FleetView;
-import merlinlever.view.ViewManager;
-import merlinlever.view.ViewSettings;
+import merlinlever.common.net.EventLoop;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.PayloadHandler;
+import merlinlever.fleet.membership.TextMessageHandler;
+import merlinlever.fleet.recovery.net.RecoveryCoordinator;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.ViewManager;
+import merlinlever.fleet.view.ViewSettings;
 
 /** Runs one backend's {@link ViewManager} on the event loop and membership's datagrams. On the loop's thread only. */
 public final class ViewTransport implements TextMessageHandler, PayloadHandler {
--- a/src/main/java/merlinlever/view/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/view/net/package-info.java
@@ -1,2 +1,2 @@
 /** The membership view on the event loop and membership's datagrams. */
-package merlinlever.view.net;
+package merlinlever.fleet.view.net;
--- a/src/main/java/merlinlever/host/disk/InstanceLedger.java
+++ b/src/main/java/merlinlever/host/disk/InstanceLedger.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import merlinlever.storage.StateDirectories;
-import merlinlever.storage.StateDirectory;
+import merlinlever.common.storage.StateDirectories;
+import merlinlever.common.storage.StateDirectory;
 
 /**
  * Which instances are wanted, and which process each has. A launch is noted before it is made, with a token that the new
--- a/src/main/java/merlinlever/host/front/HostApiServer.java
+++ b/src/main/java/merlinlever/host/front/HostApiServer.java
@@ -18,17 +18,17 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Consumer;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.ConnectionAcceptor;
+import merlinlever.common.net.EventLoop;
+import merlinlever.fleet.recovery.net.RecoveryCoordinator;
 import merlinlever.host.run.HostAgent;
 import merlinlever.host.run.InstanceSpec;
 import merlinlever.host.run.PeerAgents;
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.OrderTracker;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.ConnectionAcceptor;
-import merlinlever.net.EventLoop;
-import merlinlever.recovery.net.RecoveryCoordinator;
 
 /**
  * What the {@code fleet} commands talk to: {@code GET /instances}, {@code GET /events?after=N}, {@code POST /orders},
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.ControllerEvent;
-import merlinlever.Outcome;
-import merlinlever.RequestAttributes;
-import merlinlever.RequestHandle;
-import merlinlever.core.ControllerDriver;
-import merlinlever.core.DecisionHandler;
+import merlinlever.controller.ControllerEvent;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestAttributes;
+import merlinlever.controller.RequestHandle;
+import merlinlever.driver.ControllerDriver;
+import merlinlever.driver.DecisionHandler;
 
 /**
  * Has the decision module say which messages to the host agent are taken and begun: looks are retriable, orders are
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import merlinlever.common.net.EventLoop;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.host.state.InstanceStatus;
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.OrderTracker;
 import merlinlever.host.state.OutlierDetector;
-import merlinlever.net.EventLoop;
 
 /** Carries out what the keepers decide about the instances of one machine, and tells them what happens. */
 public final class HostAgent {
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -7,11 +7,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
-import merlinlever.membership.MembershipTransport;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.EventLoop;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
+import merlinlever.fleet.membership.MembershipTransport;
+import merlinlever.fleet.membership.SwimProtocol;
 
 /**
  * What the other agents tell of their instances, asked for when somebody wants to know, and kept with its age for when they
--- a/src/main/java/merlinlever/host/run/StatusPoll.java
+++ b/src/main/java/merlinlever/host/run/StatusPoll.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
 import merlinlever.host.state.InstanceStatus;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
 
 /** Asks an instance, or another agent, once for one JSON object; no answer in time is none. */
 final class StatusPoll implements Connection.Handler {
--- a/src/main/java/merlinlever/host/state/InstanceSupervisor.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Locale;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /**
  * Keeps one instance: decides when it is launched, told to leave or killed, and says what is so of it. What is not known it
--- a/src/main/java/merlinlever/host/state/OrderTracker.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /**
  * Orders of operators, each done once whatever number of times it is sent: its id says which it is. What has happened to
--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import merlinlever.Durations;
-import merlinlever.Settings;
+import merlinlever.common.Durations;
+import merlinlever.controller.settings.Settings;
 
 /**
  * Decides which arrivals are queued and which rejected: by the safety rules, by whether the objective can be
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 import java.util.OptionalDouble;
-import merlinlever.Decision;
-import merlinlever.Durations;
-import merlinlever.Settings;
+import merlinlever.common.Durations;
+import merlinlever.controller.Decision;
+import merlinlever.controller.settings.Settings;
 
 /** Decides what callers are sent unasked: a signal to hold back, and when idle connections are closed. */
 final class BackpressureSignals {
--- a/src/main/java/merlinlever/policy/CapacityEstimator.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -1,8 +1,8 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.toMillis;
+import static merlinlever.common.Durations.toMillis;
 
-import merlinlever.Settings;
+import merlinlever.controller.settings.Settings;
 
 /** Estimates what the server can do from what it did, and limits it to what it survives: rule 4. */
 final class CapacityEstimator {
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -1,10 +1,10 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import merlinlever.Decision;
-import merlinlever.Durations;
-import merlinlever.Outcome;
-import merlinlever.Settings;
+import merlinlever.common.Durations;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.Settings;
 import merlinlever.policy.Request.Phase;
 
 /** Decides how a request ends: its run is over, it is rejected or failed, or its time has passed. */
--- a/src/main/java/merlinlever/policy/DecisionCycle.java
+++ b/src/main/java/merlinlever/policy/DecisionCycle.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import merlinlever.Decisions;
-import merlinlever.RequestHandle;
+import merlinlever.controller.Decisions;
+import merlinlever.controller.RequestHandle;
 
 /** Decides in which order the other parts decide on all that is open, and how often. */
 final class DecisionCycle {
--- a/src/main/java/merlinlever/policy/Dispatcher.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -1,7 +1,7 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import merlinlever.Decision;
+import merlinlever.controller.Decision;
 import merlinlever.policy.Request.Phase;
 
 /** Decides which queued requests are started: oldest first, as far as the gauge of the run queue permits. */
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import merlinlever.Decision;
-import merlinlever.Durations;
-import merlinlever.Outcome;
-import merlinlever.Settings;
+import merlinlever.common.Durations;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.Settings;
 import merlinlever.policy.Request.Phase;
 
 /**
--- a/src/main/java/merlinlever/policy/DrainState.java
+++ b/src/main/java/merlinlever/policy/DrainState.java
@@ -1,8 +1,8 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import merlinlever.Durations;
-import merlinlever.Settings;
+import merlinlever.common.Durations;
+import merlinlever.controller.settings.Settings;
 
 /** Whether the server is draining, and what may still be started before its process is stopped. */
 final class DrainState {
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -1,10 +1,10 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import merlinlever.Decision;
-import merlinlever.Outcome;
-import merlinlever.RequestHandle;
-import merlinlever.Settings;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestHandle;
+import merlinlever.controller.settings.Settings;
 import merlinlever.policy.Request.Phase;
 
 /** Decides which requests are retained for duplicates, for how long, and what becomes of a duplicate. */
--- a/src/main/java/merlinlever/policy/IdempotencyWindow.java
+++ b/src/main/java/merlinlever/policy/IdempotencyWindow.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.isReached;
+import static merlinlever.common.Durations.isReached;
 
 import java.time.Duration;
 
--- a/src/main/java/merlinlever/policy/OverloadController.java
+++ b/src/main/java/merlinlever/policy/OverloadController.java
@@ -2,12 +2,12 @@
 
 import java.time.Duration;
 import java.util.Map;
-import merlinlever.Decisions;
-import merlinlever.QuotaDemand;
-import merlinlever.QuotaGrant;
-import merlinlever.RequestAttributes;
-import merlinlever.RequestHandle;
-import merlinlever.Settings;
+import merlinlever.controller.Decisions;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.controller.QuotaGrant;
+import merlinlever.controller.RequestAttributes;
+import merlinlever.controller.RequestHandle;
+import merlinlever.controller.settings.Settings;
 import merlinlever.policy.Request.Phase;
 
 /**
--- a/src/main/java/merlinlever/policy/PriorityClass.java
+++ b/src/main/java/merlinlever/policy/PriorityClass.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Settings;
+import merlinlever.controller.settings.Settings;
 
 /** A class of requests: its settings, and what the controller learns of it. It decides nothing. */
 final class PriorityClass {
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -1,11 +1,11 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.isReached;
+import static merlinlever.common.Durations.isReached;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
-import merlinlever.QuotaDemand;
-import merlinlever.QuotaGrant;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.controller.QuotaGrant;
 
 /**
  * Limits what this server starts to its quota of a limit of the whole fleet: nothing beyond it, and nothing
--- a/src/main/java/merlinlever/policy/RejectionReason.java
+++ b/src/main/java/merlinlever/policy/RejectionReason.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import merlinlever.WireNamed;
+import merlinlever.common.WireNamed;
 
 /** Why a request was rejected. The order of the constants is that of the fields in {@code GET /state}. */
 public enum RejectionReason implements WireNamed {
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Durations;
-import merlinlever.Outcome;
-import merlinlever.RequestAttributes;
-import merlinlever.RequestHandle;
+import merlinlever.common.Durations;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestAttributes;
+import merlinlever.controller.RequestHandle;
 
 /**
  * A request from its submission to its end: what is known of it, its phase, and which part handles its
--- a/src/main/java/merlinlever/policy/RetentionTable.java
+++ b/src/main/java/merlinlever/policy/RetentionTable.java
@@ -1,12 +1,12 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.isReached;
+import static merlinlever.common.Durations.isReached;
 
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import merlinlever.Decision;
-import merlinlever.Settings;
+import merlinlever.controller.Decision;
+import merlinlever.controller.settings.Settings;
 
 /**
  * The requests that are retained for duplicates, with the memory that this takes, and until when a handle may
--- a/src/main/java/merlinlever/policy/RunQueueGauge.java
+++ b/src/main/java/merlinlever/policy/RunQueueGauge.java
@@ -1,7 +1,7 @@
 package merlinlever.policy;
 
 import java.util.List;
-import merlinlever.Settings;
+import merlinlever.controller.settings.Settings;
 import merlinlever.policy.Request.Phase;
 
 /** The gauge of the run queue, and what has changed since it was read. It decides nothing. */
--- a/src/main/java/merlinlever/policy/RunTimeEstimator.java
+++ b/src/main/java/merlinlever/policy/RunTimeEstimator.java
@@ -1,7 +1,7 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import merlinlever.Durations;
+import merlinlever.common.Durations;
 
 /** Estimates from earlier runs of a priority class how long one is likely to take. */
 final class RunTimeEstimator {
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -1,6 +1,6 @@
 package merlinlever.policy;
 
-import static merlinlever.Durations.toMillis;
+import static merlinlever.common.Durations.toMillis;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.DoubleStream;
-import merlinlever.ControllerEvent;
-import merlinlever.Decision;
-import merlinlever.Decisions;
-import merlinlever.Settings;
+import merlinlever.controller.ControllerEvent;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Decisions;
+import merlinlever.controller.settings.Settings;
 import merlinlever.policy.Request.Phase;
 
 /**
--- a/src/main/java/merlinlever/policy/StallDetector.java
+++ b/src/main/java/merlinlever/policy/StallDetector.java
@@ -1,7 +1,7 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import merlinlever.Durations;
+import merlinlever.common.Durations;
 
 /** Decides whether the runs on the cores are stalled, and which health the server reports. */
 final class StallDetector {
--- a/src/main/java/merlinlever/replication/disk/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The files of what is replicated. */
-package merlinlever.replication.disk;
--- a/src/main/java/merlinlever/routes/package-info.java
+++ /dev/null
@@ -1,8 +0,0 @@
-/**
- * Partner sites that take calls for each other. A site publishes a {@link merlinlever.routes.RouteTable} of routes to each partner;
- * {@link merlinlever.routes.RoutingPolicy} says which of them may be used and which may be exported on, {@link
- * merlinlever.routes.RouteMerger} ranks those of all partners, {@link merlinlever.routes.PartnerTable} keeps how long each table is
- * valid, and {@link merlinlever.routes.RouteSelector} selects the route of a call. Without input, output, threads or clocks; see
- * docs/fleet/routes.md. The rules follow BGP (RFC 4271) where it has the same problem.
- */
-package merlinlever.routes;
--- a/src/main/java/merlinlever/wire/ControllerInstance.java
+++ b/src/main/java/merlinlever/simulator/ControllerInstance.java
@@ -1,16 +1,16 @@
-package merlinlever.wire;
+package merlinlever.simulator;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.ControllerEvent;
-import merlinlever.Outcome;
-import merlinlever.RequestAttributes;
-import merlinlever.RequestHandle;
-import merlinlever.core.ControllerDriver;
-import merlinlever.core.DecisionHandler;
-import merlinlever.core.SettingsTranslator;
+import merlinlever.controller.ControllerEvent;
+import merlinlever.controller.Outcome;
+import merlinlever.controller.RequestAttributes;
+import merlinlever.controller.RequestHandle;
+import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.driver.ControllerDriver;
+import merlinlever.driver.DecisionHandler;
 
 /**
  * One simulated server: a controller and the ids by which the bench names its requests. Times on the wire are
--- a/src/main/java/merlinlever/wire/WireEventText.java
+++ b/src/main/java/merlinlever/simulator/WireEventText.java
@@ -1,8 +1,8 @@
-package merlinlever.wire;
+package merlinlever.simulator;
 
 import java.util.Locale;
-import merlinlever.ControllerEvent;
-import merlinlever.Durations;
+import merlinlever.common.Durations;
+import merlinlever.controller.ControllerEvent;
 
 /** The texts of the controller's events on the wire, which stay as they were in version 0.2. */
 final class WireEventText {
--- a/src/main/java/merlinlever/wire/WireMessage.java
+++ b/src/main/java/merlinlever/simulator/WireMessage.java
@@ -1,4 +1,4 @@
-package merlinlever.wire;
+package merlinlever.simulator;
 
 import java.util.Arrays;
 
--- a/src/main/java/merlinlever/faults/AgentFleet.java
+++ b/src/main/java/merlinlever/testing/faults/AgentFleet.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,14 +17,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.faults.audit.AgreementAudit;
-import merlinlever.faults.link.LinkFaults;
-import merlinlever.faults.link.UdpSwitch;
-import merlinlever.faults.process.ManagedProcesses;
-import merlinlever.faults.process.PortAllocator;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
-import merlinlever.storage.StateDirectories;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.common.storage.StateDirectories;
+import merlinlever.testing.faults.audit.AgreementAudit;
+import merlinlever.testing.faults.link.LinkFaults;
+import merlinlever.testing.faults.link.UdpSwitch;
+import merlinlever.testing.faults.process.ManagedProcesses;
+import merlinlever.testing.faults.process.PortAllocator;
 
 /**
  * Host agents of the program (`host run`), each a real process with a folder of its own, that know each other through
--- a/src/main/java/merlinlever/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/testing/faults/ExperimentModel.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,23 +12,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.election.Leadership;
-import merlinlever.experiments.Experiment;
-import merlinlever.experiments.ExperimentCounts;
-import merlinlever.experiments.ExperimentCounts.RequestResult;
-import merlinlever.experiments.ExperimentNode;
-import merlinlever.experiments.ExperimentResult;
-import merlinlever.membership.PeerMessage;
-import merlinlever.replication.OutgoingMessage;
-import merlinlever.replication.ReplicatedStore;
-import merlinlever.replication.ReplicatedStore.PersistedEntries;
-import merlinlever.replication.ReplicatedStore.ReplicationSettings;
-import merlinlever.replication.VersionedEntry;
-import merlinlever.replication.WriteOnceRegisters;
-import merlinlever.view.FleetView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.experiments.Experiment;
+import merlinlever.fleet.experiments.ExperimentCounts;
+import merlinlever.fleet.experiments.ExperimentCounts.RequestResult;
+import merlinlever.fleet.experiments.ExperimentNode;
+import merlinlever.fleet.experiments.ExperimentResult;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.replication.OutgoingMessage;
+import merlinlever.fleet.replication.ReplicatedStore;
+import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.fleet.replication.ReplicatedStore.ReplicationSettings;
+import merlinlever.fleet.replication.VersionedEntry;
+import merlinlever.fleet.replication.WriteOnceRegisters;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.QuorumStatus;
 
 /**
  * A fleet of backends with one experiment, on simulated network and clocks, in steps of 20 ms. Replication and leader election are the
--- a/src/main/java/merlinlever/faults/FaultHarness.java
+++ b/src/main/java/merlinlever/testing/faults/FaultHarness.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,12 +11,12 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import merlinlever.faults.audit.AgreementAudit;
-import merlinlever.faults.disk.CrashStates;
-import merlinlever.faults.disk.StateRestorer;
-import merlinlever.faults.link.LinkFaults;
-import merlinlever.faults.process.ManagedProcesses;
-import merlinlever.faults.script.FaultScript;
+import merlinlever.testing.faults.audit.AgreementAudit;
+import merlinlever.testing.faults.disk.CrashStates;
+import merlinlever.testing.faults.disk.StateRestorer;
+import merlinlever.testing.faults.link.LinkFaults;
+import merlinlever.testing.faults.process.ManagedProcesses;
+import merlinlever.testing.faults.script.FaultScript;
 
 /**
  * Plays a script of faults on a fleet of agents in real time, then heals all, resumes and starts again what it stopped,
--- a/src/main/java/merlinlever/faults/FixedFleetView.java
+++ b/src/main/java/merlinlever/testing/faults/FixedFleetView.java
@@ -1,10 +1,10 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.time.Duration;
 import java.util.function.Function;
-import merlinlever.view.FleetView;
-import merlinlever.view.MembershipView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.MembershipView;
+import merlinlever.fleet.view.QuorumStatus;
 
 /** A sight of the fleet that stands as a model or a test says, and holds no view. */
 public record FixedFleetView(Function<Duration, QuorumStatus> by) implements FleetView {
--- a/src/main/java/merlinlever/faults/NetworkPartitions.java
+++ b/src/main/java/merlinlever/testing/faults/NetworkPartitions.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.util.Arrays;
 import java.util.TreeSet;
--- a/src/main/java/merlinlever/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/testing/faults/PowerLoss.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -15,10 +15,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import merlinlever.WireNamed;
-import merlinlever.faults.link.LinkFaults;
-import merlinlever.recovery.PersistedState;
-import merlinlever.recovery.disk.RecoveryFile;
+import merlinlever.common.WireNamed;
+import merlinlever.fleet.recovery.PersistedState;
+import merlinlever.fleet.recovery.disk.RecoveryFile;
+import merlinlever.testing.faults.link.LinkFaults;
 
 /**
  * Power losses of a fleet of backends under load, each of a kind and drawn from a seed; after each one service has to come
--- a/src/main/java/merlinlever/faults/QuotaFaults.java
+++ b/src/main/java/merlinlever/testing/faults/QuotaFaults.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import merlinlever.WireNamed;
-import merlinlever.faults.link.LinkFaults;
+import merlinlever.common.WireNamed;
+import merlinlever.testing.faults.link.LinkFaults;
 
 /**
  * Faults among backends that share a limit of the whole fleet, under more load than it allows: after each the shares are
--- a/src/main/java/merlinlever/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/testing/faults/QuotaModel.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.QuotaDemand;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.PeerMessage;
-import merlinlever.quota.FleetQuota;
-import merlinlever.quota.QuotaConsumer;
-import merlinlever.quota.QuotaCoordinator;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.QuotaConsumer;
+import merlinlever.fleet.quota.QuotaCoordinator;
 
 /**
  * Backends that share one limit, on a network and clocks of the model's own: steps of 20 ms, each clock running apart by
--- a/src/main/java/merlinlever/faults/ReplicationModel.java
+++ b/src/main/java/merlinlever/testing/faults/ReplicationModel.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import merlinlever.replication.OutgoingMessage;
-import merlinlever.replication.ReplicatedStore;
-import merlinlever.replication.ReplicatedStore.PersistedEntries;
-import merlinlever.replication.ReplicatedStore.ReplicationSettings;
+import merlinlever.fleet.replication.OutgoingMessage;
+import merlinlever.fleet.replication.ReplicatedStore;
+import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.fleet.replication.ReplicatedStore.ReplicationSettings;
 
 /**
  * A fleet of replicated stores on simulated network, clocks and disks, in steps of 20 ms: datagrams are delayed, lost, duplicated and
--- a/src/main/java/merlinlever/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/testing/faults/RoutesModel.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,23 +8,23 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import merlinlever.Outcome;
-import merlinlever.faults.audit.RouteExportAudit;
-import merlinlever.membership.PeerMessage;
-import merlinlever.replication.VersionedEntry;
-import merlinlever.routes.FlapDamping;
-import merlinlever.routes.LocalServiceHealth;
-import merlinlever.routes.PeerTableSync;
-import merlinlever.routes.Relation;
-import merlinlever.routes.Restrictions;
-import merlinlever.routes.Route;
-import merlinlever.routes.RouteSelector;
-import merlinlever.routes.RouteTable;
-import merlinlever.routes.RoutingPolicy;
-import merlinlever.routes.RoutingTable;
-import merlinlever.view.FleetView;
-import merlinlever.view.MembershipView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.controller.Outcome;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.replication.VersionedEntry;
+import merlinlever.fleet.routes.FlapDamping;
+import merlinlever.fleet.routes.LocalServiceHealth;
+import merlinlever.fleet.routes.PeerTableSync;
+import merlinlever.fleet.routes.Relation;
+import merlinlever.fleet.routes.Restrictions;
+import merlinlever.fleet.routes.Route;
+import merlinlever.fleet.routes.RouteSelector;
+import merlinlever.fleet.routes.RouteTable;
+import merlinlever.fleet.routes.RoutingPolicy;
+import merlinlever.fleet.routes.RoutingTable;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.MembershipView;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.audit.RouteExportAudit;
 
 /**
  * Sites with several backends each that publish routes to each other and send calls along them, on a network and clocks of the
--- a/src/main/java/merlinlever/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/testing/faults/ServeFleet.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.Closeable;
@@ -15,20 +15,20 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
-import merlinlever.faults.audit.IncarnationAudit;
-import merlinlever.faults.audit.QuotaAudit;
-import merlinlever.faults.audit.RequestAudit;
-import merlinlever.faults.link.LinkFaults;
-import merlinlever.faults.link.UdpSwitch;
-import merlinlever.faults.process.ManagedProcesses;
-import merlinlever.faults.process.PortAllocator;
-import merlinlever.faults.standins.LoadGenerator;
-import merlinlever.faults.standins.SimulatedAgent;
-import merlinlever.faults.standins.SimulatedRecordsService;
-import merlinlever.membership.MembershipCodec;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
-import merlinlever.storage.StateDirectories;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.common.storage.StateDirectories;
+import merlinlever.fleet.membership.MembershipCodec;
+import merlinlever.testing.faults.audit.IncarnationAudit;
+import merlinlever.testing.faults.audit.QuotaAudit;
+import merlinlever.testing.faults.audit.RequestAudit;
+import merlinlever.testing.faults.link.LinkFaults;
+import merlinlever.testing.faults.link.UdpSwitch;
+import merlinlever.testing.faults.process.ManagedProcesses;
+import merlinlever.testing.faults.process.PortAllocator;
+import merlinlever.testing.faults.standins.LoadGenerator;
+import merlinlever.testing.faults.standins.SimulatedAgent;
+import merlinlever.testing.faults.standins.SimulatedRecordsService;
 
 /**
  * Real backends of the program (`serve`), each with an agent of its own that runs its operations, callers of its own, a
--- a/src/main/java/merlinlever/faults/ViewFaults.java
+++ b/src/main/java/merlinlever/testing/faults/ViewFaults.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -14,13 +14,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import merlinlever.WireNamed;
-import merlinlever.faults.audit.ViewConsistencyAudit;
-import merlinlever.faults.link.LinkFaults;
-import merlinlever.faults.timeline.LogTimeline;
-import merlinlever.faults.timeline.TimelineEvent;
-import merlinlever.faults.timeline.TimelineRenderer;
-import merlinlever.view.MembershipView;
+import merlinlever.common.WireNamed;
+import merlinlever.fleet.view.MembershipView;
+import merlinlever.testing.faults.audit.ViewConsistencyAudit;
+import merlinlever.testing.faults.link.LinkFaults;
+import merlinlever.testing.faults.timeline.LogTimeline;
+import merlinlever.testing.faults.timeline.TimelineEvent;
+import merlinlever.testing.faults.timeline.TimelineRenderer;
 
 /**
  * Faults among real backends that know who is there: what each tells of its standing and its view is asked for all the
--- a/src/main/java/merlinlever/faults/ViewInvariants.java
+++ b/src/main/java/merlinlever/testing/faults/ViewInvariants.java
@@ -1,10 +1,10 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.view.MembershipView;
+import merlinlever.fleet.view.MembershipView;
 
 /** What is held of views at each step of a model: one membership of each number, and at each process numbers that only go up. */
 final class ViewInvariants {
--- a/src/main/java/merlinlever/faults/ViewModel.java
+++ b/src/main/java/merlinlever/testing/faults/ViewModel.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -7,22 +7,22 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.MembershipMessage;
-import merlinlever.membership.MessageKind;
-import merlinlever.membership.OutboundDatagram;
-import merlinlever.membership.PeerMessage;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.membership.SwimSettings;
-import merlinlever.view.ActionPermissions;
-import merlinlever.view.GuardedAction;
-import merlinlever.view.MembershipView;
-import merlinlever.view.QuorumStatus;
-import merlinlever.view.ViewManager;
-import merlinlever.view.ViewSettings;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.membership.MessageKind;
+import merlinlever.fleet.membership.OutboundDatagram;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.membership.SwimProtocol;
+import merlinlever.fleet.membership.SwimSettings;
+import merlinlever.fleet.view.ActionPermissions;
+import merlinlever.fleet.view.GuardedAction;
+import merlinlever.fleet.view.MembershipView;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.fleet.view.ViewManager;
+import merlinlever.fleet.view.ViewSettings;
 
 /**
  * A fleet whose nodes are the real membership, terms and views, on a network and clocks of the model's own: steps of 50 ms,
--- a/src/main/java/merlinlever/faults/VirtualNetwork.java
+++ b/src/main/java/merlinlever/testing/faults/VirtualNetwork.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
--- a/src/main/java/merlinlever/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
@@ -1,11 +1,11 @@
-package merlinlever.faults.audit;
+package merlinlever.testing.faults.audit;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MembershipMessage;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MembershipMessage;
 
 /**
  * Whether every life of a process told others an incarnation of its own, above all that its lives before told: by what it
--- a/src/main/java/merlinlever/faults/audit/RequestAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.audit;
+package merlinlever.testing.faults.audit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/merlinlever/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.audit;
+package merlinlever.testing.faults.audit;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BiFunction;
-import merlinlever.routes.Relation;
-import merlinlever.routes.Restrictions;
-import merlinlever.routes.Route;
-import merlinlever.routes.RouteTable;
+import merlinlever.fleet.routes.Relation;
+import merlinlever.fleet.routes.Restrictions;
+import merlinlever.fleet.routes.Route;
+import merlinlever.fleet.routes.RouteTable;
 
 /**
  * Whether sites kept to what the origins of routes allow, by what passed between them: no table and no call came to or from a site
--- a/src/main/java/merlinlever/faults/audit/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/audit/package-info.java
@@ -1,2 +1,2 @@
 /** What is so against what the processes say, judged from outside them. */
-package merlinlever.faults.audit;
+package merlinlever.testing.faults.audit;
--- a/src/main/java/merlinlever/faults/disk/CrashStates.java
+++ b/src/main/java/merlinlever/testing/faults/disk/CrashStates.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.disk;
+package merlinlever.testing.faults.disk;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,7 +15,7 @@
 
 /**
  * The states that a power loss may leave of one folder, made from the record of what passed through its seam
- * ({@link merlinlever.storage.RecordingStateDirectory}). Decisions alone: lines in, states out.
+ * ({@link merlinlever.common.storage.RecordingStateDirectory}). Decisions alone: lines in, states out.
  *
  * <p>What the disk is taken to do, after each operation of the record in turn:
  * <ul>
--- a/src/main/java/merlinlever/faults/disk/StateRestorer.java
+++ b/src/main/java/merlinlever/testing/faults/disk/StateRestorer.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.disk;
+package merlinlever.testing.faults.disk;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/merlinlever/faults/disk/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/disk/package-info.java
@@ -1,2 +1,2 @@
 /** States that a power loss may leave of a folder, made from the record of its seam: decisions, and laying one down. */
-package merlinlever.faults.disk;
+package merlinlever.testing.faults.disk;
--- a/src/main/java/merlinlever/faults/link/LinkFaults.java
+++ b/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.link;
+package merlinlever.testing.faults.link;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/merlinlever/faults/link/TcpProxy.java
+++ b/src/main/java/merlinlever/testing/faults/link/TcpProxy.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.link;
+package merlinlever.testing.faults.link;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -12,7 +12,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.EventLoop;
 
 /**
  * Stands between a client member and a server member on TCP: each connection to the front is carried to the server's own
--- a/src/main/java/merlinlever/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.link;
+package merlinlever.testing.faults.link;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.net.DatagramEndpoint;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.DatagramEndpoint;
+import merlinlever.common.net.EventLoop;
 
 /**
  * Stands between processes that talk in datagrams. Each member is told to others by the address of its front here; what
--- a/src/main/java/merlinlever/faults/link/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/link/package-info.java
@@ -1,2 +1,2 @@
 /** What links between processes do to what they carry (decisions), and the switch and proxy that carry it out. */
-package merlinlever.faults.link;
+package merlinlever.testing.faults.link;
--- a/src/main/java/merlinlever/faults/process/ManagedProcesses.java
+++ b/src/main/java/merlinlever/testing/faults/process/ManagedProcesses.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.process;
+package merlinlever.testing.faults.process;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/merlinlever/faults/process/PortAllocator.java
+++ b/src/main/java/merlinlever/testing/faults/process/PortAllocator.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.process;
+package merlinlever.testing.faults.process;
 
 import java.io.IOException;
 import java.net.DatagramSocket;
--- a/src/main/java/merlinlever/faults/process/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/process/package-info.java
@@ -1,2 +1,2 @@
 /** Real processes of a test: started, killed, paused, resumed, told to leave, started again. */
-package merlinlever.faults.process;
+package merlinlever.testing.faults.process;
--- a/src/main/java/merlinlever/faults/script/FaultScript.java
+++ b/src/main/java/merlinlever/testing/faults/script/FaultScript.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.script;
+package merlinlever.testing.faults.script;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import merlinlever.WireNamed;
-import merlinlever.config.ConfigFile;
-import merlinlever.config.InvalidConfigFileException;
+import merlinlever.common.WireNamed;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.config.InvalidConfigFileException;
 
 /**
  * Faults in the order they are played: written in a YAML file (schema {@code faults}), drawn from a seed, or both. Decisions
--- a/src/main/java/merlinlever/faults/script/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/script/package-info.java
@@ -1,2 +1,2 @@
 /** Faults in YAML and drawn from a seed, in the order they are played. */
-package merlinlever.faults.script;
+package merlinlever.testing.faults.script;
--- a/src/main/java/merlinlever/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.standins;
+package merlinlever.testing.faults.standins;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,10 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.faults.audit.RequestAudit;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.EventLoop;
+import merlinlever.testing.faults.audit.RequestAudit;
 
 /**
  * Those who call one backend: so many operations a second, a part of them keyed. A keyed one that was not satisfied is
--- a/src/main/java/merlinlever/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.standins;
+package merlinlever.testing.faults.standins;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,13 +10,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.agent.LineDecoder;
-import merlinlever.faults.audit.RequestAudit;
-import merlinlever.json.Json;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.ConnectionAcceptor;
-import merlinlever.net.EventLoop;
+import merlinlever.backend.agent.LineDecoder;
+import merlinlever.common.json.Json;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.ConnectionAcceptor;
+import merlinlever.common.net.EventLoop;
+import merlinlever.testing.faults.audit.RequestAudit;
 
 /**
  * The agent of one machine as the protocol page has it: runs what it is told to, each for the same time, and has the
--- a/src/main/java/merlinlever/faults/standins/SimulatedRecordsService.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.standins;
+package merlinlever.testing.faults.standins;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,11 +7,11 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
-import merlinlever.faults.audit.QuotaAudit;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
-import merlinlever.net.ConnectionAcceptor;
-import merlinlever.net.EventLoop;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
+import merlinlever.common.net.ConnectionAcceptor;
+import merlinlever.common.net.EventLoop;
+import merlinlever.testing.faults.audit.QuotaAudit;
 
 /** The records service as the protocol page has it, one for all backends: answers each call after the same time, and counts. */
 public final class SimulatedRecordsService {
--- a/src/main/java/merlinlever/faults/standins/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/standins/package-info.java
@@ -1,2 +1,2 @@
 /** Stand-ins for the parties round a backend, in the harness's process: the agent that runs operations, and callers. */
-package merlinlever.faults.standins;
+package merlinlever.testing.faults.standins;
--- a/src/main/java/merlinlever/faults/timeline/LazyEvent.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/LazyEvent.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 /** What may be drawn of a play: it is known later whether it is. */
 final class LazyEvent {
--- a/src/main/java/merlinlever/faults/timeline/LogTimeline.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/LogTimeline.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/merlinlever/faults/timeline/MembershipNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/MembershipNode.java
@@ -1,17 +1,17 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.MembershipMessage;
-import merlinlever.membership.MessageKind;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.membership.SwimSettings;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.membership.MessageKind;
+import merlinlever.fleet.membership.SwimProtocol;
+import merlinlever.fleet.membership.SwimSettings;
 
 /** Membership in a play. Addresses are the columns; a column that ends on {@code '} is another under the same name. */
 final class MembershipNode implements Scenario.ScenarioNode<MembershipMessage> {
--- a/src/main/java/merlinlever/faults/timeline/MembershipScenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/MembershipScenarios.java
@@ -1,8 +1,8 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.List;
-import merlinlever.membership.MembershipMessage;
-import merlinlever.membership.MessageKind;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.membership.MessageKind;
 
 /** Hard cases of membership. */
 final class MembershipScenarios {
--- a/src/main/java/merlinlever/faults/timeline/NodeStateFormatter.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/NodeStateFormatter.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/merlinlever/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/QuotaNode.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import merlinlever.QuotaDemand;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.election.Leadership;
-import merlinlever.membership.PeerMessage;
-import merlinlever.quota.FleetQuota;
-import merlinlever.quota.QuotaConsumer;
-import merlinlever.quota.QuotaCoordinator;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.QuotaConsumer;
+import merlinlever.fleet.quota.QuotaCoordinator;
 
 /** Leadership and one budget in a play. */
 final class QuotaNode implements Scenario.ScenarioNode<QuotaNode.QuotaMessage> {
--- a/src/main/java/merlinlever/faults/timeline/QuotaScenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/QuotaScenarios.java
@@ -1,8 +1,8 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.faults.timeline.QuotaNode.QuotaMessage;
+import merlinlever.testing.faults.timeline.QuotaNode.QuotaMessage;
 
 /** Hard cases of leadership, and of a limit of the whole fleet (12 calls a second; leases of 2 s) that each would use 8 of. */
 final class QuotaScenarios {
@@ -96,7 +96,7 @@
                         p.link(
                                 voter,
                                 "b2",
-                                merlinlever.faults.link.LinkFaults.LinkFault.CUT,
+                                merlinlever.testing.faults.link.LinkFaults.LinkFault.CUT,
                                 "nothing from " + voter + " reaches b2");
                     }
                 })
--- a/src/main/java/merlinlever/faults/timeline/ReplicationNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/ReplicationNode.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.replication.MessageFormatter;
-import merlinlever.replication.OutgoingMessage;
-import merlinlever.replication.ReplicatedStore;
-import merlinlever.replication.SharedStore;
+import merlinlever.fleet.replication.MessageFormatter;
+import merlinlever.fleet.replication.OutgoingMessage;
+import merlinlever.fleet.replication.ReplicatedStore;
+import merlinlever.fleet.replication.SharedStore;
 
 /** What is known in common, in a play: all words on one topic. A column that ends on {@code '} speaks under the name before that. */
 final class ReplicationNode implements Scenario.ScenarioNode<byte[]> {
--- a/src/main/java/merlinlever/faults/timeline/ReplicationScenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/ReplicationScenarios.java
@@ -1,8 +1,8 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.replication.ReplicatedStore;
+import merlinlever.fleet.replication.ReplicatedStore;
 
 /** Hard cases of what all know in common. Here each tells one other a new word each 500 ms, and compares with one other. */
 final class ReplicationScenarios {
--- a/src/main/java/merlinlever/faults/timeline/RoutesNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/RoutesNode.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.faults.FixedFleetView;
-import merlinlever.routes.FlapDamping;
-import merlinlever.routes.Relation;
-import merlinlever.routes.Route;
-import merlinlever.routes.RouteMerger;
-import merlinlever.routes.RouteTable;
-import merlinlever.routes.RouteTableWriter;
-import merlinlever.routes.RoutingPolicy;
-import merlinlever.routes.RoutingTable;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.routes.FlapDamping;
+import merlinlever.fleet.routes.Relation;
+import merlinlever.fleet.routes.Route;
+import merlinlever.fleet.routes.RouteMerger;
+import merlinlever.fleet.routes.RouteTable;
+import merlinlever.fleet.routes.RouteTableWriter;
+import merlinlever.fleet.routes.RoutingPolicy;
+import merlinlever.fleet.routes.RoutingTable;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.FixedFleetView;
 
 /**
  * A site of one backend in a play: each second it asks each partner what that stands by, and uses it for a lease from its
--- a/src/main/java/merlinlever/faults/timeline/RoutesScenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/RoutesScenarios.java
@@ -1,12 +1,12 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import merlinlever.faults.timeline.RoutesNode.RouteMessage;
-import merlinlever.routes.Relation;
-import merlinlever.routes.Restrictions;
-import merlinlever.routes.Route;
+import merlinlever.fleet.routes.Relation;
+import merlinlever.fleet.routes.Restrictions;
+import merlinlever.fleet.routes.Route;
+import merlinlever.testing.faults.timeline.RoutesNode.RouteMessage;
 
 /** Hard cases of routes between sites: each asks its partners each second, and uses what they say for 6 s from its question. */
 final class RoutesScenarios {
--- a/src/main/java/merlinlever/faults/timeline/Scenario.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/Scenario.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import merlinlever.faults.link.LinkFaults;
+import merlinlever.testing.faults.link.LinkFaults;
 
 /**
  * A few nodes of decisions alone on a network and clocks of the play's own, with faults at stated moments; what passes
--- a/src/main/java/merlinlever/faults/timeline/Scenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/Scenarios.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.Collections;
 import java.util.LinkedHashMap;
--- a/src/main/java/merlinlever/faults/timeline/Timeline.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/Timeline.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/merlinlever/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/ViewNode.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -7,20 +7,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.election.Leadership;
-import merlinlever.membership.MemberTable;
-import merlinlever.membership.MembershipMessage;
-import merlinlever.membership.MessageKind;
-import merlinlever.membership.PeerMessage;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.membership.SwimSettings;
-import merlinlever.view.ActionPermissions;
-import merlinlever.view.GuardedAction;
-import merlinlever.view.MembershipView;
-import merlinlever.view.ViewManager;
-import merlinlever.view.ViewSettings;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.membership.MessageKind;
+import merlinlever.fleet.membership.PeerMessage;
+import merlinlever.fleet.membership.SwimProtocol;
+import merlinlever.fleet.membership.SwimSettings;
+import merlinlever.fleet.view.ActionPermissions;
+import merlinlever.fleet.view.GuardedAction;
+import merlinlever.fleet.view.MembershipView;
+import merlinlever.fleet.view.ViewManager;
+import merlinlever.fleet.view.ViewSettings;
 
 /** Who is there, in a play: membership, leadership and views together, as in a backend. A column is the address and, but for a {@code '}, the name. */
 final class ViewNode implements Scenario.ScenarioNode<MembershipMessage> {
--- a/src/main/java/merlinlever/faults/timeline/ViewScenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/ViewScenarios.java
@@ -1,11 +1,11 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.membership.MembershipMessage;
-import merlinlever.view.GuardedAction;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.view.GuardedAction;
 
 /** Hard cases of who is there: all are voters, with the times that are usual. */
 final class ViewScenarios {
--- a/src/main/java/merlinlever/faults/timeline/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/package-info.java
@@ -1,2 +1,2 @@
 /** Timelines as text, one column a node: what each heard, believed, decided and sent, in virtual time or from the logs of processes. */
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
--- a/src/main/java/merlinlever/measure/ExperimentMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/ExperimentMeasurement.java
@@ -1,4 +1,4 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
-import merlinlever.experiments.Experiment;
-import merlinlever.experiments.SimulatedExperiments;
-import merlinlever.experiments.StoppingDecision;
+import merlinlever.fleet.experiments.Experiment;
+import merlinlever.fleet.experiments.SimulatedExperiments;
+import merlinlever.fleet.experiments.StoppingDecision;
 
 /** The measurements of docs/measurements/trials: drawn trials for what the test is worth, and fleets on virtual time for its end. */
 public final class ExperimentMeasurement {
--- a/src/main/java/merlinlever/measure/QuotaMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/QuotaMeasurement.java
@@ -1,4 +1,4 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,11 +6,11 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.faults.AgentFleet;
-import merlinlever.faults.QuotaFaults;
-import merlinlever.faults.QuotaModel;
-import merlinlever.faults.ServeFleet;
-import merlinlever.quota.FleetQuota;
+import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.testing.faults.AgentFleet;
+import merlinlever.testing.faults.QuotaFaults;
+import merlinlever.testing.faults.QuotaModel;
+import merlinlever.testing.faults.ServeFleet;
 
 /** The measurements of docs/measurements/budgets: on the model's virtual time, and on real processes under faults. */
 public final class QuotaMeasurement {
--- a/src/main/java/merlinlever/measure/RecoveryMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/RecoveryMeasurement.java
@@ -1,4 +1,4 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import merlinlever.faults.AgentFleet;
-import merlinlever.faults.PowerLoss;
-import merlinlever.faults.ServeFleet;
+import merlinlever.testing.faults.AgentFleet;
+import merlinlever.testing.faults.PowerLoss;
+import merlinlever.testing.faults.ServeFleet;
 
 /**
  * The measurements of docs/measurements/recovery: fleets of real processes that lose their power under load and come
--- a/src/main/java/merlinlever/measure/ReplicationMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/ReplicationMeasurement.java
@@ -1,4 +1,4 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,8 +9,8 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.faults.ReplicationModel;
-import merlinlever.replication.ReplicatedStore;
+import merlinlever.fleet.replication.ReplicatedStore;
+import merlinlever.testing.faults.ReplicationModel;
 
 /** The measurements of docs/measurements/shared: words on the model's virtual time, against pushing everything each period. */
 public final class ReplicationMeasurement {
--- a/src/main/java/merlinlever/measure/RoutesMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/RoutesMeasurement.java
@@ -1,4 +1,4 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import merlinlever.faults.RoutesModel;
-import merlinlever.routes.Relation;
-import merlinlever.routes.Restrictions;
-import merlinlever.routes.Route;
-import merlinlever.routes.RouteMerger;
-import merlinlever.routes.RoutingPolicy;
+import merlinlever.fleet.routes.Relation;
+import merlinlever.fleet.routes.Restrictions;
+import merlinlever.fleet.routes.Route;
+import merlinlever.fleet.routes.RouteMerger;
+import merlinlever.fleet.routes.RoutingPolicy;
+import merlinlever.testing.faults.RoutesModel;
 
 /** What routes cost and bring: the merge against a plain rebuild, and in virtual time tightening and the loss of a records service. */
 public final class RoutesMeasurement {
@@ -65,8 +65,8 @@
         return all;
     }
 
-    private static merlinlever.routes.RouteTable table(int partner, long sequence, List<Route> all) {
-        return merlinlever.routes.RouteTable.of("p" + partner, 1, sequence, Relation.PEER, LEASE, all);
+    private static merlinlever.fleet.routes.RouteTable table(int partner, long sequence, List<Route> all) {
+        return merlinlever.fleet.routes.RouteTable.of("p" + partner, 1, sequence, Relation.PEER, LEASE, all);
     }
 
     private static double middle(double[] all) {
@@ -97,11 +97,11 @@
                 "all routes of one partner withdrawn");
         for (int all : quick ? new int[] {10, 1000} : new int[] {10, 100, 1000, 10_000, 100_000}) {
             int each = all / PARTNERS;
-            List<merlinlever.routes.RouteTable> tables = new ArrayList<>();
+            List<merlinlever.fleet.routes.RouteTable> tables = new ArrayList<>();
             for (int partner = 0; partner < PARTNERS; partner++) {
                 tables.add(table(partner, 1, routes(partner, each, 0)));
             }
-            merlinlever.routes.RouteTable one = table(3, 2, routes(3, each, 1)),
+            merlinlever.fleet.routes.RouteTable one = table(3, 2, routes(3, each, 1)),
                     other = table(3, 3, routes(3, each, 2)),
                     none = table(3, 4, List.of());
             int runs = all >= 100_000 ? 15 : 51;
--- a/src/main/java/merlinlever/measure/TemporaryDirectories.java
+++ b/src/main/java/merlinlever/testing/measurement/TemporaryDirectories.java
@@ -1,4 +1,4 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/merlinlever/measure/ViewMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/ViewMeasurement.java
@@ -1,14 +1,14 @@
-package merlinlever.measure;
+package merlinlever.testing.measurement;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.TreeSet;
-import merlinlever.faults.ViewModel;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
-import merlinlever.membership.MemberTable;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.testing.faults.ViewModel;
 
 /** The measurements of docs/measurements/view: the model's virtual time, views beside membership alone in the same run. */
 public final class ViewMeasurement {
--- a/src/main/java/merlinlever/view/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * The membership view of the fleet: which backends belong to it ({@link merlinlever.view.MembershipView}), how much of it this backend
- * speaks with ({@link merlinlever.view.QuorumStatus}), and what it may do then ({@link merlinlever.view.ActionPermissions}). Without
- * input, output, threads or clocks; see docs/fleet/view.md.
- */
-package merlinlever.view;
--- a/src/test/java/merlinlever/core/BackendFixture.java
+++ b/src/test/java/merlinlever/backend/BackendFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.core.RequestMetadata.RequestId;
-import merlinlever.core.RequestMetadata.Timing;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.Timing;
+import merlinlever.controller.Outcome;
 
 /**
  * A backend with a clock and dependencies of the test's own. Each event is a batch: the controller decides on it at
--- a/src/test/java/merlinlever/core/BackendTest.java
+++ b/src/test/java/merlinlever/backend/BackendTest.java
@@ -1,6 +1,6 @@
-package merlinlever.core;
+package merlinlever.backend;
 
-import static merlinlever.core.BatchedBackendFixture.REJECTED;
+import static merlinlever.backend.BatchedBackendFixture.REJECTED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /** The life of a request, with a clock and dependencies of the test's own. */
--- a/src/test/java/merlinlever/core/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/backend/BatchedBackendFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.core.RequestMetadata.RequestId;
-import merlinlever.core.RequestMetadata.Timing;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.Timing;
+import merlinlever.controller.Outcome;
 
 /** A backend whose batches the test puts together: nothing is decided, and no time passes, unless the test says so. */
 final class BatchedBackendFixture {
--- a/src/test/java/merlinlever/core/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/backend/CompletionRaceTest.java
@@ -1,13 +1,13 @@
-package merlinlever.core;
+package merlinlever.backend;
 
-import static merlinlever.core.BatchedBackendFixture.FAILED;
-import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
-import static merlinlever.core.BatchedBackendFixture.UNANSWERED;
+import static merlinlever.backend.BatchedBackendFixture.FAILED;
+import static merlinlever.backend.BatchedBackendFixture.SUCCEEDED;
+import static merlinlever.backend.BatchedBackendFixture.UNANSWERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /**
--- a/src/test/java/merlinlever/core/DrainRaceTest.java
+++ b/src/test/java/merlinlever/backend/DrainRaceTest.java
@@ -1,8 +1,8 @@
-package merlinlever.core;
+package merlinlever.backend;
 
-import static merlinlever.core.BatchedBackendFixture.FAILED;
-import static merlinlever.core.BatchedBackendFixture.REJECTED;
-import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
+import static merlinlever.backend.BatchedBackendFixture.FAILED;
+import static merlinlever.backend.BatchedBackendFixture.REJECTED;
+import static merlinlever.backend.BatchedBackendFixture.SUCCEEDED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /** The drain notice together with requests that are being read, queued, duplicated and timed. */
--- a/src/test/java/merlinlever/core/DuplicateKeyTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateKeyTest.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/merlinlever/core/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
