--- a/src/test/java/merlinlever/core/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -1,17 +1,17 @@
-package merlinlever.core;
+package merlinlever.backend;
 
-import static merlinlever.core.BatchedBackendFixture.FAILED;
-import static merlinlever.core.BatchedBackendFixture.REJECTED;
-import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
-import static merlinlever.core.BatchedBackendFixture.UNANSWERED;
+import static merlinlever.backend.BatchedBackendFixture.FAILED;
+import static merlinlever.backend.BatchedBackendFixture.REJECTED;
+import static merlinlever.backend.BatchedBackendFixture.SUCCEEDED;
+import static merlinlever.backend.BatchedBackendFixture.UNANSWERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.core.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /**
--- a/src/test/java/merlinlever/core/DuplicateRequestTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestTest.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.core.RequestMetadata.RequestId;
-import merlinlever.core.RequestMetadata.Timing;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.Timing;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /** Duplicates of a request: who shares its run, who fails, and what is retained. */
--- a/src/test/java/merlinlever/core/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
@@ -1,14 +1,14 @@
-package merlinlever.core;
+package merlinlever.backend;
 
-import static merlinlever.core.BatchedBackendFixture.FAILED;
-import static merlinlever.core.BatchedBackendFixture.SUCCEEDED;
+import static merlinlever.backend.BatchedBackendFixture.FAILED;
+import static merlinlever.backend.BatchedBackendFixture.SUCCEEDED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
 import java.util.List;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /** The release of what is retained of a run, while duplicates of it arrive, disconnect or are read late. */
--- a/src/test/java/merlinlever/core/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
@@ -1,12 +1,12 @@
-package merlinlever.core;
+package merlinlever.backend;
 
-import static merlinlever.core.BatchedBackendFixture.UNANSWERED;
+import static merlinlever.backend.BatchedBackendFixture.UNANSWERED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 
 /** Commands to the agent together with the loss of the link to it. */
--- a/src/test/java/merlinlever/core/RecordingDependencies.java
+++ b/src/test/java/merlinlever/backend/RecordingDependencies.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.List;
--- a/src/test/java/merlinlever/core/RecordingResponseSink.java
+++ b/src/test/java/merlinlever/backend/RecordingResponseSink.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
--- a/src/test/java/merlinlever/core/SafetyRulesPropertyTest.java
+++ b/src/test/java/merlinlever/backend/SafetyRulesPropertyTest.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
-import merlinlever.Outcome;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
--- a/src/test/java/merlinlever/core/TestRequests.java
+++ b/src/test/java/merlinlever/backend/TestRequests.java
@@ -1,10 +1,10 @@
-package merlinlever.core;
+package merlinlever.backend;
 
 import java.time.Duration;
 import java.util.Optional;
-import merlinlever.core.RequestMetadata.Cost;
-import merlinlever.core.RequestMetadata.RequestId;
-import merlinlever.core.RequestMetadata.Timing;
+import merlinlever.backend.RequestMetadata.Cost;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.Timing;
 
 /** Requests for tests. */
 public final class TestRequests {
--- a/src/test/java/merlinlever/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.io.BufferedReader;
 import java.io.InputStreamReader;
@@ -7,9 +7,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
+import merlinlever.backend.TestRequests;
+import merlinlever.common.net.ManualClockLoop;
 import merlinlever.compatibility.Fixture;
-import merlinlever.core.TestRequests;
-import merlinlever.net.ManualClockLoop;
 import net.jqwik.api.Example;
 
 /** Commands to the agent, byte for byte; a token's number counts up. */
--- a/src/test/java/merlinlever/agent/AgentEventTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentEventTest.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,8 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import merlinlever.Outcome;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -20,20 +20,20 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import merlinlever.Outcome;
-import merlinlever.core.Backend;
-import merlinlever.core.BackendDependencies;
-import merlinlever.core.DownstreamService;
-import merlinlever.core.RecordingResponseSink;
-import merlinlever.core.RequestMetadata.RequestId;
-import merlinlever.core.RequestMetadata.Timing;
-import merlinlever.core.ResponseSink;
-import merlinlever.core.TestRequests;
-import merlinlever.core.TrackedRequest;
-import merlinlever.json.Json;
-import merlinlever.log.Log;
-import merlinlever.net.EventLoop;
-import merlinlever.net.ManualClockLoop;
+import merlinlever.backend.Backend;
+import merlinlever.backend.BackendDependencies;
+import merlinlever.backend.DownstreamService;
+import merlinlever.backend.RecordingResponseSink;
+import merlinlever.backend.RequestMetadata.RequestId;
+import merlinlever.backend.RequestMetadata.Timing;
+import merlinlever.backend.ResponseSink;
+import merlinlever.backend.TestRequests;
+import merlinlever.backend.TrackedRequest;
+import merlinlever.common.json.Json;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.ManualClockLoop;
+import merlinlever.controller.Outcome;
 
 /** A real backend with a real link to an agent that the test plays; downstream calls and responses are recorded. */
 final class AgentLinkFixture implements BackendDependencies, DownstreamService, AutoCloseable {
--- a/src/test/java/merlinlever/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import merlinlever.agent.AgentLinkFixture.FakeAgent;
-import merlinlever.net.ManualClockLoop;
-import merlinlever.net.RecordingPeer;
+import merlinlever.backend.agent.AgentLinkFixture.FakeAgent;
+import merlinlever.common.net.ManualClockLoop;
+import merlinlever.common.net.RecordingPeer;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,8 +13,8 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
-import merlinlever.agent.AgentLinkFixture.FakeAgent;
-import merlinlever.net.ManualClockLoop;
+import merlinlever.backend.agent.AgentLinkFixture.FakeAgent;
+import merlinlever.common.net.ManualClockLoop;
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
--- a/src/test/java/merlinlever/agent/LineDecoderTest.java
+++ b/src/test/java/merlinlever/backend/agent/LineDecoderTest.java
@@ -1,4 +1,4 @@
-package merlinlever.agent;
+package merlinlever.backend.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/merlinlever/directory/HeartbeatSenderTest.java
+++ b/src/test/java/merlinlever/backend/directory/HeartbeatSenderTest.java
@@ -1,4 +1,4 @@
-package merlinlever.directory;
+package merlinlever.backend.directory;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/merlinlever/http/EdgeBytesTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import java.io.IOException;
 import java.net.Socket;
--- a/src/test/java/merlinlever/http/EdgeCloseRaceTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeCloseRaceTest.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,9 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.http.EdgeConnection.State;
-import merlinlever.net.CloseReason;
-import merlinlever.net.Connection;
+import merlinlever.backend.http.EdgeConnection.State;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.Connection;
 import net.jqwik.api.Example;
 
 /** Bytes of an edge node that race the close of its connection: idle, unused, half read, evicted, draining. */
--- a/src/test/java/merlinlever/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeConnectionStateTest.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.http.EdgeConnection.State;
+import merlinlever.backend.http.EdgeConnection.State;
 import net.jqwik.api.Example;
 
 /** Resets, late health results and floods in each state of a connection. */
--- a/src/test/java/merlinlever/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import merlinlever.Outcome;
-import merlinlever.core.Backend;
-import merlinlever.core.RecordingDependencies;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
+import merlinlever.backend.Backend;
+import merlinlever.backend.RecordingDependencies;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.lifecycle.AfterTry;
 
 /**
--- a/src/test/java/merlinlever/http/RequestHeadTest.java
+++ b/src/test/java/merlinlever/backend/http/RequestHeadTest.java
@@ -1,10 +1,10 @@
-package merlinlever.http;
+package merlinlever.backend.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
-import merlinlever.http.RequestHead.HeaderField;
+import merlinlever.backend.http.RequestHead.HeaderField;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/management/ManagementServerTest.java
+++ b/src/test/java/merlinlever/backend/management/ManagementServerTest.java
@@ -1,4 +1,4 @@
-package merlinlever.management;
+package merlinlever.backend.management;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,8 +7,8 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
 class ManagementServerTest {
--- a/src/test/java/merlinlever/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,10 +15,10 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.core.TestRequests;
-import merlinlever.log.Log;
-import merlinlever.net.ManualClockLoop;
-import merlinlever.net.RecordingPeer;
+import merlinlever.backend.TestRequests;
+import merlinlever.common.log.Log;
+import merlinlever.common.net.ManualClockLoop;
+import merlinlever.common.net.RecordingPeer;
 
 /** A client of a records service that the test plays; time advances only where the test advances it. */
 abstract class RecordsClientFixture {
--- a/src/test/java/merlinlever/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
@@ -1,4 +1,4 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,10 +10,10 @@
 import java.net.SocketTimeoutException;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.core.TestRequests;
-import merlinlever.faults.process.PortAllocator;
-import merlinlever.net.CloseReason;
-import merlinlever.net.ManualClockLoop;
+import merlinlever.backend.TestRequests;
+import merlinlever.common.net.CloseReason;
+import merlinlever.common.net.ManualClockLoop;
+import merlinlever.testing.faults.process.PortAllocator;
 import net.jqwik.api.Example;
 
 /** Races on the connections to the records service. */
--- a/src/test/java/merlinlever/records/RecordsReplyRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
@@ -1,4 +1,4 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,8 +8,8 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.core.TestRequests;
-import merlinlever.net.ManualClockLoop;
+import merlinlever.backend.TestRequests;
+import merlinlever.common.net.ManualClockLoop;
 import net.jqwik.api.Example;
 
 /** Replies of the records service that race other events, or come with surplus bytes. */
--- a/src/test/java/merlinlever/records/RecordsReplyTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyTest.java
@@ -1,4 +1,4 @@
-package merlinlever.records;
+package merlinlever.backend.records;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,7 +6,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import merlinlever.Outcome;
+import merlinlever.common.net.CloseReason;
+import merlinlever.controller.Outcome;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -74,4 +75,12 @@
             assertThrows(RecordsReply.MalformedReplyException.class, () -> RecordsReply.parse(bytes, 0, bytes.length));
         }
     }
+
+    @Example
+    void onlyAClosedConnectionThatWasNeverEstablishedProvesThatNothingRan() {
+        assertEquals(Outcome.UNREACHABLE, RecordsClient.callOutcome(CloseReason.CONNECT_FAILED));
+        assertEquals(Outcome.UNREACHABLE, RecordsClient.callOutcome(CloseReason.CONNECT_TIMEOUT));
+        assertEquals(Outcome.CONNECTION_LOST, RecordsClient.callOutcome(CloseReason.IO_FAILURE));
+        assertEquals(Outcome.CONNECTION_LOST, RecordsClient.callOutcome(CloseReason.CLOSED_BY_PEER));
+    }
 }
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import merlinlever.faults.TestDirectories;
+import merlinlever.testing.faults.TestDirectories;
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -20,24 +20,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import merlinlever.backend.Backend;
+import merlinlever.cli.dns.ZoneCommands;
 import merlinlever.cli.faults.FaultsCommands;
 import merlinlever.cli.fleet.FleetCommands;
-import merlinlever.cli.zone.ZoneCommands;
-import merlinlever.config.ConfigFile;
-import merlinlever.core.Backend;
-import merlinlever.election.LeaderElection;
-import merlinlever.experiments.Experiment;
-import merlinlever.faults.FaultHarness;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.storage.StateDirectory;
+import merlinlever.dns.state.Zone;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.experiments.Experiment;
+import merlinlever.fleet.membership.SwimProtocol;
+import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.recovery.RecoverySequence;
+import merlinlever.fleet.replication.ReplicatedStore;
+import merlinlever.fleet.routes.RoutingTable;
+import merlinlever.fleet.view.ViewManager;
 import merlinlever.host.state.InstanceSupervisor;
-import merlinlever.measure.DnsMeasurement;
-import merlinlever.membership.SwimProtocol;
-import merlinlever.quota.FleetQuota;
-import merlinlever.recovery.RecoverySequence;
-import merlinlever.replication.ReplicatedStore;
-import merlinlever.routes.RoutingTable;
-import merlinlever.storage.StateDirectory;
-import merlinlever.view.ViewManager;
-import merlinlever.zone.state.Zone;
+import merlinlever.testing.faults.FaultHarness;
+import merlinlever.testing.measurement.DnsMeasurement;
 import net.jqwik.api.Example;
 
 /**
@@ -90,8 +90,10 @@
         for (Class<?> type : FOREIGN_SUBSYSTEMS) {
             String name = type.getPackageName();
             int subsystemEnd = (name + ".").indexOf('.', "merlinlever.".length());
-            boolean command = name.startsWith(Main.class.getPackageName() + ".");
-            prefixes.add((command ? name : name.substring(0, subsystemEnd)) + ".");
+            // Only some packages of the commands and of the common layer are foreign.
+            boolean single =
+                    name.startsWith(Main.class.getPackageName() + ".") || name.startsWith("merlinlever.common.");
+            prefixes.add((single ? name : name.substring(0, subsystemEnd)) + ".");
         }
         return prefixes;
     }
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** The whole program as a process of its own, with small stand-ins for the parties around it, on loopback. */
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/SignalsTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import merlinlever.net.ProcessSignals;
+import merlinlever.common.net.ProcessSignals;
 import net.jqwik.api.Example;
 
 /** Signals that come before, while and after somebody receives them, without a process. */
--- a/src/test/java/merlinlever/cli/zone/ZoneConfigParserTest.java
+++ b/src/test/java/merlinlever/cli/dns/ZoneConfigParserTest.java
@@ -1,11 +1,11 @@
-package merlinlever.cli.zone;
+package merlinlever.cli.dns;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import merlinlever.zone.record.MalformedDnsException;
+import merlinlever.dns.record.MalformedDnsException;
 import net.jqwik.api.Example;
 
 class ZoneConfigParserTest {
--- a/src/test/java/merlinlever/cli/zone/ZoneServerKillTest.java
+++ b/src/test/java/merlinlever/cli/dns/ZoneServerKillTest.java
@@ -1,4 +1,4 @@
-package merlinlever.cli.zone;
+package merlinlever.cli.dns;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,17 +16,17 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
-import merlinlever.zone.client.DnsClient;
-import merlinlever.zone.client.UpdateMessages;
-import merlinlever.zone.client.ZoneFetcher;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.state.RecordSet;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.dns.client.DnsClient;
+import merlinlever.dns.client.UpdateMessages;
+import merlinlever.dns.client.ZoneFetcher;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.state.RecordSet;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
+import merlinlever.dns.wire.Tsig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
+++ b/src/test/java/merlinlever/cli/fleet/FleetCommandsTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import merlinlever.cli.Commands;
-import merlinlever.faults.process.PortAllocator;
+import merlinlever.testing.faults.process.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -9,11 +9,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import merlinlever.cli.Commands;
-import merlinlever.faults.TestDirectories;
+import merlinlever.common.storage.FileStateDirectory;
+import merlinlever.fleet.recovery.PersistedState;
+import merlinlever.fleet.recovery.disk.RecoveryFile;
 import merlinlever.host.disk.InstanceLedger;
-import merlinlever.recovery.PersistedState;
-import merlinlever.recovery.disk.RecoveryFile;
-import merlinlever.storage.FileStateDirectory;
+import merlinlever.testing.faults.TestDirectories;
 import net.jqwik.api.Example;
 
 class RecoverCommandTest {
--- a/src/test/java/merlinlever/config/ConfigFileTest.java
+++ b/src/test/java/merlinlever/common/config/ConfigFileTest.java
@@ -1,4 +1,4 @@
-package merlinlever.config;
+package merlinlever.common.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/merlinlever/json/JsonTest.java
+++ b/src/test/java/merlinlever/common/json/JsonTest.java
@@ -1,4 +1,4 @@
-package merlinlever.json;
+package merlinlever.common.json;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/merlinlever/log/LogTest.java
+++ b/src/test/java/merlinlever/common/log/LogTest.java
@@ -1,4 +1,4 @@
-package merlinlever.log;
+package merlinlever.common.log;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/merlinlever/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionTest.java
@@ -1,4 +1,4 @@
-package merlinlever.net;
+package merlinlever.common.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,8 +12,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.Outcome;
-import merlinlever.faults.process.PortAllocator;
+import merlinlever.testing.faults.process.PortAllocator;
 import net.jqwik.api.Example;
 
 class ConnectionTest {
@@ -63,9 +62,9 @@
         int closed = PortAllocator.free();
         CloseRecorder refused = connectTo(closed, loop(), false);
         assertEquals(List.of(CloseReason.CONNECT_FAILED), refused.closeReasons);
-        assertTrue(CloseReason.CONNECT_FAILED.callOutcome().provesNoEffect()
-                && !CloseReason.IO_FAILURE.callOutcome().provesNoEffect()
-                && CloseReason.CLOSED_BY_PEER.callOutcome() == Outcome.CONNECTION_LOST);
+        assertTrue(!CloseReason.CONNECT_FAILED.wasEstablished()
+                && CloseReason.IO_FAILURE.wasEstablished()
+                && CloseReason.CLOSED_BY_PEER.wasEstablished());
         for (boolean fails : new boolean[] {false, true}) {
             try (ServerSocket server = new ServerSocket(0)) {
                 Thread other = new Thread(() -> {
--- a/src/test/java/merlinlever/net/SocketAddressesTest.java
+++ b/src/test/java/merlinlever/common/net/SocketAddressesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.net;
+package merlinlever.common.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/merlinlever/storage/BackgroundWriterTest.java
+++ b/src/test/java/merlinlever/common/storage/BackgroundWriterTest.java
@@ -1,4 +1,4 @@
-package merlinlever.storage;
+package merlinlever.common.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/merlinlever/compatibility/BenchBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/BenchBytesTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
-import merlinlever.wire.WireHost;
+import merlinlever.simulator.WireHost;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/merlinlever/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/merlinlever/ControllerFixture.java
+++ b/src/test/java/merlinlever/controller/ControllerFixture.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import merlinlever.common.Durations;
 import merlinlever.policy.OverloadController;
 
 /** A controller with its settings and a clock, and short ways to drive it. */
--- a/src/test/java/merlinlever/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,6 +10,7 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.SplittableRandom;
+import merlinlever.common.Durations;
 import net.jqwik.api.Example;
 
 /**
--- a/src/test/java/merlinlever/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesModelTest.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,6 +7,7 @@
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.SplittableRandom;
+import merlinlever.common.Durations;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
--- a/src/test/java/merlinlever/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesTest.java
@@ -1,4 +1,4 @@
-package merlinlever;
+package merlinlever.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import merlinlever.common.Durations;
 import merlinlever.policy.RejectionReason;
 import net.jqwik.api.Example;
 
--- a/src/test/java/merlinlever/core/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
@@ -1,4 +1,4 @@
-package merlinlever.core;
+package merlinlever.controller.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/merlinlever/core/SettingsTranslatorTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsTranslatorTest.java
@@ -1,11 +1,11 @@
-package merlinlever.core;
+package merlinlever.controller.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.json.Json;
+import merlinlever.common.json.Json;
 import net.jqwik.api.Example;
 
 /** The translation of settings from the two forms in which they are given at start. */
--- a/src/test/java/merlinlever/zone/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/dns/follow/FollowerTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.follow;
+package merlinlever.dns.follow;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,12 +12,12 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.RecordSet;
-import merlinlever.zone.state.Zone;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.RecordSet;
+import merlinlever.dns.state.Zone;
 import org.junit.jupiter.api.Test;
 
 /** Followers in virtual time before a server that loses, refuses, forgets and answers late, audited at every change. */
--- a/src/test/java/merlinlever/zone/journal/InMemoryStateDirectory.java
+++ b/src/test/java/merlinlever/dns/journal/InMemoryStateDirectory.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.journal;
+package merlinlever.dns.journal;
 
 import java.io.FileNotFoundException;
 import java.io.IOException;
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
-import merlinlever.storage.StateDirectory;
+import merlinlever.common.storage.StateDirectory;
 
 /** A state directory in memory that knows what was synced, and loses the rest in a simulated power loss. */
 final class InMemoryStateDirectory implements StateDirectory {
--- a/src/test/java/merlinlever/zone/journal/ZoneBytesTest.java
+++ b/src/test/java/merlinlever/dns/journal/ZoneBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.journal;
+package merlinlever.dns.journal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,13 +6,13 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import merlinlever.compatibility.Fixture;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.Rdata;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
 import org.junit.jupiter.api.Test;
 
 /** A zone's files: the snapshot, the journal that goes on from it, and what is read back from both. */
--- a/src/test/java/merlinlever/zone/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/dns/journal/ZoneStoreTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.journal;
+package merlinlever.dns.journal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,15 +11,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.storage.StateDirectory;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.Rdata;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.DynamicUpdate;
-import merlinlever.zone.state.UpdateEntry;
-import merlinlever.zone.state.Zone;
+import merlinlever.common.storage.StateDirectory;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.Rdata;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.DynamicUpdate;
+import merlinlever.dns.state.UpdateEntry;
+import merlinlever.dns.state.Zone;
 import org.junit.jupiter.api.Test;
 
 /** The journal on a disk in memory that is killed, filled and spoilt at every place. */
--- a/src/test/java/merlinlever/zone/server/DnsServerFixture.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerFixture.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
-import merlinlever.storage.FileStateDirectory;
-import merlinlever.zone.journal.ZoneStore;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.state.ReplayWindow;
-import merlinlever.zone.text.ZoneFile;
-import merlinlever.zone.wire.Tsig;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
+import merlinlever.common.storage.FileStateDirectory;
+import merlinlever.dns.journal.ZoneStore;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.state.ReplayWindow;
+import merlinlever.dns.text.ZoneFile;
+import merlinlever.dns.wire.Tsig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/merlinlever/zone/server/DnsServerTest.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.server;
+package merlinlever.dns.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -17,7 +17,7 @@
 import java.util.Arrays;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import merlinlever.zone.record.DomainNames;
+import merlinlever.dns.record.DomainNames;
 import org.junit.jupiter.api.Test;
 import org.xbill.DNS.ARecord;
 import org.xbill.DNS.Flags;
--- a/src/test/java/merlinlever/zone/state/CopyOnWriteBTreeTest.java
+++ b/src/test/java/merlinlever/dns/state/CopyOnWriteBTreeTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/merlinlever/zone/state/LookupTest.java
+++ b/src/test/java/merlinlever/dns/state/LookupTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.state;
+package merlinlever.dns.state;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
 import org.junit.jupiter.api.Test;
 
 class LookupTest {
--- a/src/test/java/merlinlever/zone/text/ZoneFileTest.java
+++ b/src/test/java/merlinlever/dns/text/ZoneFileTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.text;
+package merlinlever.dns.text;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,11 +14,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.RecordTypes;
-import merlinlever.zone.record.ResourceRecord;
-import merlinlever.zone.state.Difference;
-import merlinlever.zone.state.Zone;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.state.Difference;
+import merlinlever.dns.state.Zone;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.xbill.DNS.Master;
--- a/src/test/java/merlinlever/zone/wire/WireTest.java
+++ b/src/test/java/merlinlever/dns/wire/WireTest.java
@@ -1,4 +1,4 @@
-package merlinlever.zone.wire;
+package merlinlever.dns.wire;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,9 +8,9 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.zone.record.DomainNames;
-import merlinlever.zone.record.MalformedDnsException;
-import merlinlever.zone.record.RecordTypes;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.MalformedDnsException;
+import merlinlever.dns.record.RecordTypes;
 import net.jqwik.api.EdgeCasesMode;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/core/ShadowModeCounterTest.java
+++ b/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
@@ -1,12 +1,12 @@
-package merlinlever.core;
+package merlinlever.driver;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.Decision;
-import merlinlever.Decisions;
+import merlinlever.controller.Decision;
+import merlinlever.controller.Decisions;
 import net.jqwik.api.Example;
 
 /** Shadow mode: settings that are compared with those in force without changing a decision. */
--- a/src/test/java/merlinlever/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
@@ -1,4 +1,4 @@
-package merlinlever.election;
+package merlinlever.fleet.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.membership.PeerMessage;
+import merlinlever.fleet.membership.PeerMessage;
 import net.jqwik.api.Example;
 
 class LeaderElectionTest {
--- a/src/test/java/merlinlever/experiments/ExperimentBytesTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.compatibility.Fixture;
-import merlinlever.election.Leadership;
-import merlinlever.experiments.StoppingDecision.Kind;
-import merlinlever.replication.ReplicatedStore;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.experiments.StoppingDecision.Kind;
+import merlinlever.fleet.replication.ReplicatedStore;
 import net.jqwik.api.Example;
 
 /** The bytes of an experiment's identity, counts, result and lease are those of the versions before. */
--- a/src/test/java/merlinlever/experiments/ExperimentConfigReaderTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentConfigReaderTest.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.experiments.ExperimentConfigReader.InvalidExperimentException;
+import merlinlever.fleet.experiments.ExperimentConfigReader.InvalidExperimentException;
 import net.jqwik.api.Example;
 
 class ExperimentConfigReaderTest {
--- a/src/test/java/merlinlever/experiments/ExperimentCountsTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,10 +10,10 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import merlinlever.experiments.ExperimentCounts.ArmTotals;
-import merlinlever.experiments.ExperimentCounts.CountedRequest;
-import merlinlever.experiments.ExperimentCounts.RequestResult;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.experiments.ExperimentCounts.ArmTotals;
+import merlinlever.fleet.experiments.ExperimentCounts.CountedRequest;
+import merlinlever.fleet.experiments.ExperimentCounts.RequestResult;
+import merlinlever.fleet.replication.VersionedEntry;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/experiments/ExperimentNodeTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentNodeTest.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import merlinlever.faults.ExperimentModel;
+import merlinlever.testing.faults.ExperimentModel;
 import net.jqwik.api.Example;
 
 class ExperimentNodeTest {
--- a/src/test/java/merlinlever/experiments/SequentialAnalysisTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/SequentialAnalysisTest.java
@@ -1,4 +1,4 @@
-package merlinlever.experiments;
+package merlinlever.fleet.experiments;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import merlinlever.experiments.ExperimentCounts.RequestResult;
-import merlinlever.experiments.SimulatedExperiments.SimulationResult;
-import merlinlever.experiments.SimulatedExperiments.SimulationSettings;
+import merlinlever.fleet.experiments.ExperimentCounts.RequestResult;
+import merlinlever.fleet.experiments.SimulatedExperiments.SimulationResult;
+import merlinlever.fleet.experiments.SimulatedExperiments.SimulationSettings;
 import net.jqwik.api.Example;
 
 class SequentialAnalysisTest {
--- a/src/test/java/merlinlever/membership/SwimProtocolTest.java
+++ b/src/test/java/merlinlever/fleet/membership/SwimProtocolTest.java
@@ -1,4 +1,4 @@
-package merlinlever.membership;
+package merlinlever.fleet.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/merlinlever/quota/LeaseMessageReceptionTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.QuotaDemand;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.PeerMessage;
+import merlinlever.controller.QuotaDemand;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.PeerMessage;
 import net.jqwik.api.Example;
 
 /** How much of a received message is looked at before it is answered, ignored or called malformed. */
--- a/src/test/java/merlinlever/quota/LeaseModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseModelCheckTest.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/merlinlever/quota/MaxMinFairAllocationTest.java
+++ b/src/test/java/merlinlever/fleet/quota/MaxMinFairAllocationTest.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.quota.MaxMinFairAllocation.Claim;
+import merlinlever.fleet.quota.MaxMinFairAllocation.Claim;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
--- a/src/test/java/merlinlever/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
@@ -1,4 +1,4 @@
-package merlinlever.quota;
+package merlinlever.fleet.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicReference;
-import merlinlever.faults.FixedFleetView;
-import merlinlever.faults.QuotaModel;
-import merlinlever.view.FleetView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.FixedFleetView;
+import merlinlever.testing.faults.QuotaModel;
 import net.jqwik.api.Example;
 
 class QuotaCoordinatorTest {
--- a/src/test/java/merlinlever/recovery/PersistedStateAssessorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/PersistedStateAssessorTest.java
@@ -1,4 +1,4 @@
-package merlinlever.recovery;
+package merlinlever.fleet.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/merlinlever/recovery/net/ForwardingStateDirectory.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/ForwardingStateDirectory.java
@@ -1,8 +1,8 @@
-package merlinlever.recovery.net;
+package merlinlever.fleet.recovery.net;
 
 import java.io.IOException;
 import java.util.List;
-import merlinlever.storage.StateDirectory;
+import merlinlever.common.storage.StateDirectory;
 
 /** Another folder; what a test wants otherwise it overrides. */
 class ForwardingStateDirectory implements StateDirectory {
--- a/src/test/java/merlinlever/replication/EntryTableTest.java
+++ b/src/test/java/merlinlever/fleet/replication/EntryTableTest.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/merlinlever/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import merlinlever.election.Leadership;
-import merlinlever.faults.FixedFleetView;
-import merlinlever.view.FleetView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.election.Leadership;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.FixedFleetView;
 
 /** Paxos nodes on a simulated network with simulated disks, in steps of 20 ms; the test says who leads. */
 final class PaxosFleet {
--- a/src/test/java/merlinlever/replication/PaxosModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
@@ -1,7 +1,7 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
-import static merlinlever.replication.ReplicationFixture.bytes;
-import static merlinlever.replication.ReplicationFixture.text;
+import static merlinlever.fleet.replication.ReplicationFixture.bytes;
+import static merlinlever.fleet.replication.ReplicationFixture.text;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/merlinlever/replication/RegisterCodecTest.java
+++ b/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
@@ -1,6 +1,6 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
-import static merlinlever.replication.ReplicationFixture.bytes;
+import static merlinlever.fleet.replication.ReplicationFixture.bytes;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/merlinlever/replication/ReplicatedStoreFleetTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicatedStoreFleetTest.java
@@ -1,8 +1,8 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
-import static merlinlever.replication.ReplicationFixture.SHORT_RETENTION;
-import static merlinlever.replication.ReplicationFixture.bytes;
-import static merlinlever.replication.ReplicationFixture.text;
+import static merlinlever.fleet.replication.ReplicationFixture.SHORT_RETENTION;
+import static merlinlever.fleet.replication.ReplicationFixture.bytes;
+import static merlinlever.fleet.replication.ReplicationFixture.text;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import merlinlever.faults.ReplicationModel;
+import merlinlever.testing.faults.ReplicationModel;
 import net.jqwik.api.Example;
 
 /** Fleets of replicas on a simulated network. */
--- a/src/test/java/merlinlever/replication/ReplicationBytesTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.compatibility.Fixture;
-import merlinlever.replication.RegisterMessage.Kind;
+import merlinlever.fleet.replication.RegisterMessage.Kind;
 import net.jqwik.api.Example;
 
 /** The bytes of replication messages and of a voter's file are those of the versions before. */
--- a/src/test/java/merlinlever/replication/ReplicationFixture.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicationFixture.java
@@ -1,11 +1,11 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.replication.ReplicatedStore.PersistedEntries;
-import merlinlever.replication.ReplicatedStore.ReplicationSettings;
+import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.fleet.replication.ReplicatedStore.ReplicationSettings;
 
 /** What the tests of this package share. */
 final class ReplicationFixture {
--- a/src/test/java/merlinlever/replication/VersionConflictTest.java
+++ b/src/test/java/merlinlever/fleet/replication/VersionConflictTest.java
@@ -1,6 +1,6 @@
-package merlinlever.replication;
+package merlinlever.fleet.replication;
 
-import static merlinlever.replication.ReplicationFixture.bytes;
+import static merlinlever.fleet.replication.ReplicationFixture.bytes;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,8 +10,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import merlinlever.faults.ReplicationModel;
-import merlinlever.replication.SharedStore.VersionConflict;
+import merlinlever.fleet.replication.SharedStore.VersionConflict;
+import merlinlever.testing.faults.ReplicationModel;
 import net.jqwik.api.Example;
 
 class VersionConflictTest {
--- a/src/test/java/merlinlever/replication/disk/EntryFileTest.java
+++ b/src/test/java/merlinlever/fleet/replication/disk/EntryFileTest.java
@@ -1,4 +1,4 @@
-package merlinlever.replication.disk;
+package merlinlever.fleet.replication.disk;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,8 +7,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
-import merlinlever.replication.ReplicatedStore.PersistedEntries;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
+import merlinlever.fleet.replication.VersionedEntry;
 import net.jqwik.api.Example;
 
 class EntryFileTest {
--- a/src/test/java/merlinlever/routes/PartsBytesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/PartsBytesTest.java
@@ -1,11 +1,11 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.List;
 import merlinlever.compatibility.Fixture;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.replication.VersionedEntry;
 import net.jqwik.api.Example;
 
 /** A partner's table as the backends share it: deflated, so it is read, and its head alone is compared. */
--- a/src/test/java/merlinlever/routes/PeerTableSyncTest.java
+++ b/src/test/java/merlinlever/fleet/routes/PeerTableSyncTest.java
@@ -1,11 +1,11 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
-import merlinlever.membership.PeerMessage;
+import merlinlever.fleet.membership.PeerMessage;
 import net.jqwik.api.Example;
 
 class PeerTableSyncTest {
--- a/src/test/java/merlinlever/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,10 +12,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import merlinlever.Outcome;
-import merlinlever.faults.FixedFleetView;
-import merlinlever.view.FleetView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.controller.Outcome;
+import merlinlever.fleet.view.FleetView;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.FixedFleetView;
 import net.jqwik.api.Example;
 
 class RouteSelectorTest {
--- a/src/test/java/merlinlever/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import merlinlever.routes.net.RouteTableFiles;
+import merlinlever.fleet.routes.net.RouteTableFiles;
 import net.jqwik.api.Example;
 
 class RouteTableFilesTest {
--- a/src/test/java/merlinlever/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheckTest.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/merlinlever/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
@@ -1,7 +1,7 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
-import static merlinlever.routes.RouteMergerTest.route;
-import static merlinlever.routes.RouteMergerTest.table;
+import static merlinlever.fleet.routes.RouteMergerTest.route;
+import static merlinlever.fleet.routes.RouteMergerTest.table;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.faults.FixedFleetView;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.FixedFleetView;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
@@ -1,4 +1,4 @@
-package merlinlever.routes;
+package merlinlever.fleet.routes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.SplittableRandom;
-import merlinlever.replication.VersionedEntry;
+import merlinlever.fleet.replication.VersionedEntry;
 import net.jqwik.api.Example;
 
 class TableChunksTest {
--- a/src/test/java/merlinlever/view/ActionPermissionsTest.java
+++ b/src/test/java/merlinlever/fleet/view/ActionPermissionsTest.java
@@ -1,10 +1,10 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.util.List;
-import merlinlever.view.ActionPermissions.Permission;
+import merlinlever.fleet.view.ActionPermissions.Permission;
 import net.jqwik.api.Example;
 
 class ActionPermissionsTest {
--- a/src/test/java/merlinlever/view/CutDetectorTest.java
+++ b/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
@@ -1,8 +1,8 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
-import static merlinlever.view.ViewFixture.REPORT_VALIDITY;
-import static merlinlever.view.ViewFixture.ms;
-import static merlinlever.view.ViewFixture.names;
+import static merlinlever.fleet.view.ViewFixture.REPORT_VALIDITY;
+import static merlinlever.fleet.view.ViewFixture.ms;
+import static merlinlever.fleet.view.ViewFixture.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
--- a/src/test/java/merlinlever/view/QuorumStatusHysteresisTest.java
+++ b/src/test/java/merlinlever/fleet/view/QuorumStatusHysteresisTest.java
@@ -1,6 +1,6 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
-import static merlinlever.view.ViewFixture.ms;
+import static merlinlever.fleet.view.ViewFixture.ms;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/merlinlever/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/merlinlever/view/ViewFixture.java
+++ b/src/test/java/merlinlever/fleet/view/ViewFixture.java
@@ -1,9 +1,9 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
 import java.time.Duration;
 import java.util.TreeSet;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
 
 /** Values that several tests of this package need. */
 final class ViewFixture {
--- a/src/test/java/merlinlever/view/ViewManagerTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
@@ -1,18 +1,18 @@
-package merlinlever.view;
+package merlinlever.fleet.view;
 
-import static merlinlever.view.ViewFixture.ms;
-import static merlinlever.view.ViewFixture.names;
+import static merlinlever.fleet.view.ViewFixture.ms;
+import static merlinlever.fleet.view.ViewFixture.names;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
-import merlinlever.election.ElectionSettings;
-import merlinlever.election.LeaderElection;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
-import merlinlever.membership.MemberTable;
+import merlinlever.fleet.election.ElectionSettings;
+import merlinlever.fleet.election.LeaderElection;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
+import merlinlever.fleet.membership.MemberTable;
 import net.jqwik.api.Example;
 
 class ViewManagerTest {
--- a/src/test/java/merlinlever/host/run/FakeInstance.java
+++ b/src/test/java/merlinlever/host/run/FakeInstance.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import merlinlever.management.ManagementServer;
-import merlinlever.net.EventLoop;
-import merlinlever.net.MonotonicClock;
+import merlinlever.backend.management.ManagementServer;
+import merlinlever.common.net.EventLoop;
+import merlinlever.common.net.MonotonicClock;
 
 /**
  * An instance that does nothing but tell of itself: arguments are its port, and a file whose first word says what it does at
--- a/src/test/java/merlinlever/wire/WireHostTest.java
+++ b/src/test/java/merlinlever/simulator/WireHostTest.java
@@ -1,4 +1,4 @@
-package merlinlever.wire;
+package merlinlever.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/merlinlever/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import merlinlever.faults.script.FaultScript;
+import merlinlever.testing.faults.script.FaultScript;
 import net.jqwik.api.Example;
 
 /**
--- a/src/test/java/merlinlever/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/testing/faults/PowerLossTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import merlinlever.faults.audit.RequestAudit;
+import merlinlever.testing.faults.audit.RequestAudit;
 import net.jqwik.api.Example;
 
 /**
--- a/src/test/java/merlinlever/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/testing/faults/RoutesModelTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.routes.Relation;
-import merlinlever.routes.Restrictions;
+import merlinlever.fleet.routes.Relation;
+import merlinlever.fleet.routes.Restrictions;
 import net.jqwik.api.Example;
 
 /** The hard cases of routes, in virtual time. */
--- a/src/test/java/merlinlever/faults/TestDirectories.java
+++ b/src/test/java/merlinlever/testing/faults/TestDirectories.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.Stream;
-import merlinlever.storage.RecordingStateDirectory;
+import merlinlever.common.storage.RecordingStateDirectory;
 
 /** Temporary directories of tests, and a recording kept in memory. */
 public final class TestDirectories {
--- a/src/test/java/merlinlever/faults/ViewFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/ViewFaultsTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import merlinlever.faults.audit.ViewConsistencyAudit;
+import merlinlever.testing.faults.audit.ViewConsistencyAudit;
 import net.jqwik.api.Example;
 
 /** Fleets of five real backends under faults between them, 10 seeds: who is there is one thing for all of them, always. */
--- a/src/test/java/merlinlever/faults/ViewModelTest.java
+++ b/src/test/java/merlinlever/testing/faults/ViewModelTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults;
+package merlinlever.testing.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,8 +6,8 @@
 
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import merlinlever.view.GuardedAction;
-import merlinlever.view.QuorumStatus;
+import merlinlever.fleet.view.GuardedAction;
+import merlinlever.fleet.view.QuorumStatus;
 import net.jqwik.api.Example;
 
 /** Fleets of real memberships, terms and views in virtual time, in each hard case. */
--- a/src/test/java/merlinlever/faults/audit/IncarnationAuditTest.java
+++ b/src/test/java/merlinlever/testing/faults/audit/IncarnationAuditTest.java
@@ -1,13 +1,13 @@
-package merlinlever.faults.audit;
+package merlinlever.testing.faults.audit;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import merlinlever.membership.MemberRecord;
-import merlinlever.membership.MemberStatus;
-import merlinlever.membership.MembershipMessage;
-import merlinlever.membership.MessageKind;
+import merlinlever.fleet.membership.MemberRecord;
+import merlinlever.fleet.membership.MemberStatus;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.membership.MessageKind;
 import net.jqwik.api.Example;
 
 class IncarnationAuditTest {
--- a/src/test/java/merlinlever/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.disk;
+package merlinlever.testing.faults.disk;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,10 +15,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import merlinlever.faults.TestDirectories;
+import merlinlever.common.storage.FileStateDirectory;
+import merlinlever.common.storage.RecordingStateDirectory;
 import merlinlever.host.disk.InstanceLedger;
-import merlinlever.storage.FileStateDirectory;
-import merlinlever.storage.RecordingStateDirectory;
+import merlinlever.testing.faults.TestDirectories;
 import net.jqwik.api.Example;
 
 class CrashStatesTest {
--- a/src/test/java/merlinlever/faults/link/LinkFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.link;
+package merlinlever.testing.faults.link;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/merlinlever/faults/process/PortAllocatorTest.java
+++ b/src/test/java/merlinlever/testing/faults/process/PortAllocatorTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.process;
+package merlinlever.testing.faults.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/merlinlever/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.script;
+package merlinlever.testing.faults.script;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,9 +10,9 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import merlinlever.config.ConfigFile;
-import merlinlever.config.ConfigSchema;
-import merlinlever.config.InvalidConfigFileException;
+import merlinlever.common.config.ConfigFile;
+import merlinlever.common.config.ConfigSchema;
+import merlinlever.common.config.InvalidConfigFileException;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/merlinlever/faults/timeline/LogTimelineTest.java
+++ b/src/test/java/merlinlever/testing/faults/timeline/LogTimelineTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,7 +8,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
-import merlinlever.faults.TestDirectories;
+import merlinlever.testing.faults.TestDirectories;
 import net.jqwik.api.Example;
 
 class LogTimelineTest {
--- a/src/test/java/merlinlever/faults/timeline/TimelineRendererTest.java
+++ b/src/test/java/merlinlever/testing/faults/timeline/TimelineRendererTest.java
@@ -1,4 +1,4 @@
-package merlinlever.faults.timeline;
+package merlinlever.testing.faults.timeline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
