--- a/src/test/java/merlinlever/backend/BackendTest.java
+++ b/src/test/java/merlinlever/backend/BackendTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Optional;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The life of a request, with a clock and dependencies of the test's own. */
 class BackendTest {
 
-    @Example
+    @Test
     void runWithACallIsAnsweredOnceWithItsResult() {
         BackendFixture fixture = new BackendFixture();
         String id = fixture.receive("look", null, "a");
@@ -28,7 +28,7 @@
     }
 
     /** The metrics are a round trip old: they do not count what was started after the poll. */
-    @Example
+    @Test
     void runsStartedAfterThePollAreAddedToItsAnswer() {
         BackendFixture fixture = new BackendFixture();
         fixture.receive("look", null, "a");
@@ -42,7 +42,7 @@
         assertEquals(4, fixture.commands.size());
     }
 
-    @Example
+    @Test
     void callIsCancelledWhenItsCallerDisconnectsOrTimesOut() {
         BackendFixture fixture = new BackendFixture();
         String disconnected = fixture.receive("look", null, "a");
@@ -61,7 +61,7 @@
     /**
      * A downstream service that is unreachable may report so while it is called; its outcome is all that it reports.
      */
-    @Example
+    @Test
     void callMayEndWhileItIsMade() {
         BackendFixture fixture = new BackendFixture();
         List<String> calls = new ArrayList<>();
@@ -91,7 +91,7 @@
         }
     }
 
-    @Example
+    @Test
     void everyRequestIsAnsweredBeforeTheStopAndNoneRunsAfterTheGracePeriod() {
         BackendFixture fixture = new BackendFixture();
         String running = fixture.receive("buy", "t", "a");
@@ -106,7 +106,7 @@
         assertEquals(List.of("launch " + running, "stop " + running), fixture.commands);
     }
 
-    @Example
+    @Test
     void deepChecksShareOneRunThatSurvivesALostLink() {
         BackendFixture fixture = new BackendFixture();
         List<Boolean> results = new ArrayList<>();
@@ -124,7 +124,7 @@
         assertEquals(List.of(true, true, false), results);
     }
 
-    @Example
+    @Test
     void beforeTheAgentIsUpRequestsAreRejectedAndHealthIsBad() {
         Backend backend = new BackendFixture().backendBeforeAgent();
         List<Boolean> checked = new ArrayList<>();
--- a/src/test/java/merlinlever/backend/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/backend/CompletionRaceTest.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.util.List;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * The end of a run together with its deadline, the disconnect of its caller, its downstream call and its duplicates.
@@ -19,7 +19,7 @@
      * The outcome and the disconnect, in one batch and in either order: at most one response, and no stop for a run
      * that has ended.
      */
-    @Example
+    @Test
     void outcomeAndDisconnectInOneBatchGiveAtMostOneResponse() {
         for (String priorityClass : new String[] {"look", "buy"}) {
             for (boolean disconnectFirst : new boolean[] {false, true}) {
@@ -42,7 +42,7 @@
     }
 
     /** An outcome that is read in the batch of the deadline is the response; one that is read after it is not. */
-    @Example
+    @Test
     void outcomeCountsIfReadInTheBatchOfTheDeadline() {
         for (boolean after : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -68,7 +68,7 @@
      * An outcome in the last moment before the process stops: the response is either that outcome or a failure, never
      * both.
      */
-    @Example
+    @Test
     void outcomeShortlyBeforeTheStopGivesOneResponse() {
         for (boolean after : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -93,7 +93,7 @@
     /**
      * A reply in the batch of the deadline goes to the run before that is stopped; after the deadline it goes nowhere.
      */
-    @Example
+    @Test
     void replyInTheBatchOfTheDeadlineIsDeliveredBeforeTheStop() {
         for (boolean after : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -126,7 +126,7 @@
      * A reply in the batch in which the caller disconnects: whichever comes first, the reply is delivered or the call
      * cancelled, once.
      */
-    @Example
+    @Test
     void replyAndDisconnectInOneBatchDeliverOrCancel() {
         for (boolean disconnectFirst : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -151,7 +151,7 @@
     }
 
     /** A run that reaches its call as it is stopped, or after its request was answered, makes no call. */
-    @Example
+    @Test
     void noCallIsMadeForAStoppedRun() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("look", null, "a");
@@ -170,7 +170,7 @@
     }
 
     /** A launch was sent twice: the agent's report that the second never began, after the outcome, changes nothing. */
-    @Example
+    @Test
     void neverBegunAfterTheOutcomeIsIgnored() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
@@ -192,7 +192,7 @@
      * The agent reports that a run whose caller waits never began: the request fails, is not rejected, and no duplicate
      * of it runs.
      */
-    @Example
+    @Test
     void neverBegunFailsTheRequestAndItsDuplicates() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
@@ -212,7 +212,7 @@
     /**
      * A duplicate whose deadline falls in the batch in which its original ends: the outcome is read first and counts.
      */
-    @Example
+    @Test
     void duplicateAtItsDeadlineGetsAnOutcomeOfTheSameBatch() {
         for (boolean after : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -237,7 +237,7 @@
     }
 
     /** A run is not stopped at the deadline of its own request while a later duplicate waits for its outcome. */
-    @Example
+    @Test
     void runWithALaterDuplicateOutlivesTheFirstDeadline() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -254,7 +254,7 @@
     }
 
     /** A read that others share continues when its own caller disconnects; without others it is stopped. */
-    @Example
+    @Test
     void sharedReadContinuesWithoutItsCaller() {
         BatchedBackendFixture fixture =
                 new BatchedBackendFixture(BatchedBackendFixture.settings("server.fresh-for", "1000"));
@@ -276,7 +276,7 @@
     }
 
     /** Duplicates of a run that is stopped for good fail with it, and those that come later are not run either. */
-    @Example
+    @Test
     void duplicatesOfAStoppedRunFail() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -294,7 +294,7 @@
     }
 
     /** A clock reading earlier than the one before: no request is answered twice or late because of it. */
-    @Example
+    @Test
     void clockThatGoesBackForABatchChangesNoResponse() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
--- a/src/test/java/merlinlever/backend/DrainRaceTest.java
+++ b/src/test/java/merlinlever/backend/DrainRaceTest.java
@@ -12,13 +12,13 @@
 import java.util.List;
 import java.util.Optional;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The drain notice together with requests that are being read, queued, duplicated and timed. */
 class DrainRaceTest {
 
     /** Of two drain notices the grace period counts from the first; a request after it does not run. */
-    @Example
+    @Test
     void secondDrainNoticeDoesNotExtendTheGracePeriod() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         Duration stopAt = fixture.now().plusMillis(3000);
@@ -38,7 +38,7 @@
      * A request that arrived in the grace period runs even if it starts later; one that arrived at its end is rejected,
      * also as a duplicate.
      */
-    @Example
+    @Test
     void gracePeriodCountsFromArrivalNotFromStart() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         fixture.callerTimeout = Duration.ofSeconds(2);
@@ -64,7 +64,7 @@
      * A retry after the grace period shares the result of a run that has ended and the outcome of one in flight, and
      * does not run.
      */
-    @Example
+    @Test
     void retryAfterTheGracePeriodSharesTheRun() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.callerTimeout = Duration.ofSeconds(2);
@@ -89,7 +89,7 @@
      * A drain notice before the agent is up, and its greeting after: no request is started, all are rejected, none is
      * left unanswered.
      */
-    @Example
+    @Test
     void agentThatComesUpWhileDrainingStartsNothing() {
         Backend backend = new BackendFixture().backendBeforeAgent();
         backend.startDrain(Duration.ZERO, Duration.ofSeconds(3));
@@ -106,7 +106,7 @@
     }
 
     /** Wake-ups are scheduled and handled while draining, up to the stop, and one after it does no harm. */
-    @Example
+    @Test
     void wakeUpsContinueWhileDrainingAndAfterTheStop() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
--- a/src/test/java/merlinlever/backend/DuplicateKeyTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateKeyTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The form of the keys, by whose hash routes are selected. */
 class DuplicateKeyTest {
 
-    @Example
+    @Test
     void textsAreThoseOfEarlierVersions() {
         assertEquals("token 5f2e", DuplicateKey.ofIdempotencyKey("5f2e").text());
         assertEquals("3 a1", DuplicateKey.ofSharedRead(3, "a1").text());
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import merlinlever.backend.RequestMetadata.RequestId;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * Duplicates of one request together with each other, with the end of their window and with the release of its result.
@@ -20,7 +20,7 @@
 class DuplicateRequestRaceTest {
 
     /** The window counts from arrival to arrival, and its last moment belongs to it. */
-    @Example
+    @Test
     void duplicateAtTheEndOfTheWindowSharesAndOneAfterItRuns() {
         for (int ms : new int[] {4999, 5000, 5001}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -34,7 +34,7 @@
     }
 
     /** Whether a duplicate belongs to the window is judged by its arrival and not by when it was read. */
-    @Example
+    @Test
     void duplicateOfTheWindowThatIsReadAfterItShares() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.receiveAndComplete();
@@ -50,7 +50,7 @@
      * A request after the window that ended without running does not evict the run before it, as a duplicate of that
      * one's window may still be unread.
      */
-    @Example
+    @Test
     void duplicateOfTheWindowDoesNotRunAfterALaterOneEndedUnrun() {
         for (boolean rejected : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
@@ -77,7 +77,7 @@
     }
 
     /** The same where the later request is still queued: a duplicate of the first window does not succeed it. */
-    @Example
+    @Test
     void duplicateOfTheWindowDoesNotReplaceALaterQueuedOne() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receiveAndComplete();
@@ -94,7 +94,7 @@
     }
 
     /** An arrival time in the future takes no duplicate out of its window. */
-    @Example
+    @Test
     void arrivalInTheFutureCountsAsNow() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.receiveAndComplete();
@@ -106,7 +106,7 @@
     }
 
     /** An arrival time years ago does not count as time that requests wait to be read, and rejects nobody else. */
-    @Example
+    @Test
     void arrivalLongAgoRejectsNobodyElse() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String old = fixture.receive("look", null, null, "x", Duration.ofDays(-18_000));
@@ -124,7 +124,7 @@
      * Of three duplicates in one batch the first is rejected at once, the second takes its place, and the third, which
      * still names the first, shares.
      */
-    @Example
+    @Test
     void oneOfThreeDuplicatesInOneBatchRuns() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         // Next to one that was read at once, one that is read so late is turned away as it is read.
@@ -143,7 +143,7 @@
     }
 
     /** Of two duplicates in one batch the second waits for the first. */
-    @Example
+    @Test
     void oneOfTwoDuplicatesInOneBatchRuns() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -159,7 +159,7 @@
      * The caller of the first disconnects, a waiting duplicate takes its place, and another one of the same batch still
      * names the first: one runs.
      */
-    @Example
+    @Test
     void successorAndDuplicateOfTheSameBatchDoNotBothRun() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String first = fixture.receive("buy", "t", "a");
@@ -181,7 +181,7 @@
      * The callers of the first and of its successor disconnect in one batch: the next in line runs, and nothing of the
      * others is retained.
      */
-    @Example
+    @Test
     void successorWhoseCallerDisconnectsPassesItsPlaceOn() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String first = fixture.receive("buy", "t", "a");
@@ -199,7 +199,7 @@
     }
 
     /** A window that is over before the run ends: the run is found until it has ended. */
-    @Example
+    @Test
     void duplicateAfterAWindowShorterThanTheRunShares() {
         for (String window : new String[] {"50", "0"}) {
             BatchedBackendFixture fixture =
@@ -223,7 +223,7 @@
     }
 
     /** The same id on two connections: the second request fails at once, the first is answered by its run. */
-    @Example
+    @Test
     void secondRequestWithAnIdInUseFails() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -244,7 +244,7 @@
      * The id of a request whose caller disconnects, on a new connection: it fails in the same batch, as ids are new
      * with every attempt, and is accepted later.
      */
-    @Example
+    @Test
     void idReusedAsItsCallerDisconnectsIsAnsweredOnceEach() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String first = fixture.receive("look", null, "a");
@@ -270,7 +270,7 @@
     }
 
     /** The id of a released request, which the agent still knows: what the agent reports of it counts. */
-    @Example
+    @Test
     void idReusedAfterItsReleaseIsAnsweredAsTheAgentReports() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receiveAndComplete();
@@ -287,7 +287,7 @@
     }
 
     /** A subject that comes with a write stands for no result to share: each request is run and answered by itself. */
-    @Example
+    @Test
     void writesOfOneSubjectDoNotShareResults() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(
                 BatchedBackendFixture.settings("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
@@ -306,7 +306,7 @@
      * In a class without idempotency keys no two requests are duplicates, and a call that may have had its effect is
      * not made again.
      */
-    @Example
+    @Test
     void requestsWithoutIdempotencyKeyRunAndCallOnceEach() {
         BatchedBackendFixture fixture =
                 new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.kind", "binding"));
--- a/src/test/java/merlinlever/backend/DuplicateRequestTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestTest.java
@@ -10,13 +10,13 @@
 import merlinlever.backend.RequestMetadata.RequestId;
 import merlinlever.backend.RequestMetadata.Timing;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Duplicates of a request: who shares its run, who fails, and what is retained. */
 class DuplicateRequestTest {
 
     /** Rule 2: every duplicate in the window of a request with an idempotency key gets the outcome of the one run. */
-    @Example
+    @Test
     void duplicatesShareTheRunWhileItLastsAndAfterIt() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -35,7 +35,7 @@
     }
 
     /** The caller of the first disconnected; its run continues for the one that retries. */
-    @Example
+    @Test
     void duplicateGetsTheOutcomeOfARunWhoseCallerDisconnected() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -47,7 +47,7 @@
         assertTrue(fixture.responsesById.get(first).isEmpty());
     }
 
-    @Example
+    @Test
     void duplicateOfAFailedRequestFailsAndIsNotRun() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -58,7 +58,7 @@
     }
 
     /** An idempotency key that comes with another body stands for no request whose outcome could be shared. */
-    @Example
+    @Test
     void idempotencyKeyWithAnotherBodyFailsAndLeavesTheFirstAlone() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -72,7 +72,7 @@
     /**
      * The process's own limit: with more keys than are planned for, new requests are rejected, and no key is dropped.
      */
-    @Example
+    @Test
     void keysBeyondTheLimitOfTheProcessAreRejectedAndNoneIsEvicted() {
         BackendFixture fixture = new BackendFixture(Map.of("server.kb-per-fingerprint", "0"));
         int succeeded = 0;
@@ -89,7 +89,7 @@
     }
 
     /** In a flood of rejections nothing is retained of the rejected requests; only runs are remembered. */
-    @Example
+    @Test
     void rejectedRequestsAreNotRetained() {
         BackendFixture fixture = new BackendFixture();
         fixture.receive("look", null, "a");
@@ -100,7 +100,7 @@
         assertEquals(1, fixture.backend.trackedRequests());
     }
 
-    @Example
+    @Test
     void readsOfASubjectShareAFreshResultWhereThatIsAllowed() {
         BackendFixture fixture = new BackendFixture(Map.of("server.fresh-for", "1000"));
         for (int round = 0; round < 2; round++) {
--- a/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
@@ -9,13 +9,13 @@
 import java.time.Duration;
 import java.util.List;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The release of what is retained of a run, while duplicates of it arrive, disconnect or are read late. */
 class IdempotencyCacheMemoryTest {
 
     /** No result is retained longer than it can be asked for, however long its run took. */
-    @Example
+    @Test
     void resultOfARunLongerThanItsWindowIsReleased() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(
                 BatchedBackendFixture.settings("tariffs.1.window", "50", "tariffs.1.client-timeout", "9000"));
@@ -32,7 +32,7 @@
     }
 
     /** A result is released also if another run has taken its place under the key. */
-    @Example
+    @Test
     void resultOfARunThatWasReplacedIsReleased() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receiveAndComplete();
@@ -44,7 +44,7 @@
     }
 
     /** In a flood of callers that disconnect at once, the body is released with the request that never ran. */
-    @Example
+    @Test
     void bodyOfARequestThatNeverRanIsReleasedWithItsCaller() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String queued = fixture.receive("buy", "t", "a");
@@ -56,7 +56,7 @@
     }
 
     /** A caller that retries and disconnects many times during one run leaves no list behind. */
-    @Example
+    @Test
     void disconnectedDuplicatesOfARunAreNotRetained() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
@@ -74,7 +74,7 @@
     }
 
     /** A duplicate that arrived in the window but is read more than 2 s after its end fails, and does not run. */
-    @Example
+    @Test
     void duplicateReadAfterTheResultWasReleasedFails() {
         for (int lateMs : new int[] {1990, 2010, 20_000}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -92,7 +92,7 @@
      * The result is released in the batch in which a duplicate is read: before the release it shares, after it it
      * fails.
      */
-    @Example
+    @Test
     void duplicateReadInTheBatchOfTheReleaseHasOneResponse() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.callerTimeout = Duration.ofSeconds(25);
@@ -109,7 +109,7 @@
     }
 
     /** What a class with a long window leaves behind does not retain what a class with a short one has left. */
-    @Example
+    @Test
     void shortWindowIsNotRetainedBehindALongOne() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(
                 BatchedBackendFixture.settings("tariffs.0.window", "1000", "tariffs.1.window", "600000"));
--- a/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Commands to the agent together with the loss of the link to it. */
 class InDoubtCommandsTest {
@@ -33,7 +33,7 @@
     }
 
     /** Commands that were sent again and lost again: the second loss counts from their second sending. */
-    @Example
+    @Test
     void resentCommandsAreInDoubtAgainWithTheNextLink() {
         BackendFixture fixture = new BackendFixture();
         String replied = receiveAndReply(fixture);
@@ -61,7 +61,7 @@
     }
 
     /** A launch that arrived long ago is not sent again: its outcome may be under way, and it would run twice. */
-    @Example
+    @Test
     void launchThatSurelyArrivedIsNotResent() {
         BackendFixture fixture = new BackendFixture();
         String arrived = fixture.receive("buy", "t", "a");
@@ -83,7 +83,7 @@
     }
 
     /** The clock need not move between two events of one batch: their order counts, not the time. */
-    @Example
+    @Test
     void orderOfReplyAndLinkCountsAtOneInstant() {
         BackendFixture fixture = new BackendFixture();
         String before = fixture.receive("look", null, "a");
@@ -102,7 +102,7 @@
     /**
      * A link that is lost before all events are read leaves in doubt what the first one left, and what was sent since.
      */
-    @Example
+    @Test
     void secondBreakBeforeCatchingUpAddsToTheDoubt() {
         BackendFixture fixture = new BackendFixture();
         String first = receiveAndReply(fixture);
@@ -120,7 +120,7 @@
     }
 
     /** A run that continued while the link was away has its reply; at its next call that reply is not sent again. */
-    @Example
+    @Test
     void consumedReplyIsNotSentToTheNextCall() {
         BackendFixture fixture = new BackendFixture();
         String id = receiveAndReply(fixture);
@@ -139,7 +139,7 @@
     }
 
     /** An outcome that crosses the command to stop: whichever it is, the run is over and the request is released. */
-    @Example
+    @Test
     void anyOutcomeThatCrossesAStopEndsTheRequest() {
         for (Outcome outcome : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NOT_STARTED)) {
             BackendFixture fixture = new BackendFixture(Map.of("tariffs.0.window", "0"));
@@ -159,7 +159,7 @@
     }
 
     /** A stop that was lost with the link is sent again, unless the outcome has been read meanwhile. */
-    @Example
+    @Test
     void stopIsResentUnlessTheRunHasEnded() {
         BackendFixture fixture = new BackendFixture();
         String running = fixture.receive("look", null, "a");
@@ -177,7 +177,7 @@
     }
 
     /** The same request for a call in two events: one call is made, and one reply goes to the run. */
-    @Example
+    @Test
     void repeatedCallRequestMakesOneCall() {
         BackendFixture fixture = new BackendFixture();
         String id = fixture.receive("look", null, "a");
@@ -191,7 +191,7 @@
     /**
      * Commands that were sent on a link that broke are sent again, and only those; a consumed reply is not sent twice.
      */
-    @Example
+    @Test
     void onlyCommandsInDoubtAreResentAfterALostLink() {
         BackendFixture fixture = new BackendFixture();
         String old = fixture.receive("look", null, "a");
@@ -220,7 +220,7 @@
     }
 
     /** A command that left up to 50 ms before the break may be lost, even if the link was known to work until then. */
-    @Example
+    @Test
     void replySentShortlyBeforeTheBreakIsResent() {
         BackendFixture fixture = new BackendFixture();
         String id = fixture.receive("look", null, "a");
@@ -234,7 +234,7 @@
     }
 
     /** The outcome can no longer be known: the request fails, and its idempotency key does not run again. */
-    @Example
+    @Test
     void runsWhoseEventsWereLostFailAndAreNotRestarted() {
         BackendFixture fixture = new BackendFixture();
         String id = fixture.receive("buy", "t", "a");
--- a/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
@@ -10,12 +10,12 @@
 import merlinlever.backend.TestRequests;
 import merlinlever.common.net.ManualClockLoop;
 import merlinlever.compatibility.Fixture;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Commands to the agent, byte for byte; a token's number counts up. */
 class AgentBytesTest {
 
-    @Example
+    @Test
     void eachCommand() throws Exception {
         Fixture fixture = new Fixture("agent.txt");
         Map<String, String> lines = new TreeMap<>();
--- a/src/test/java/merlinlever/backend/agent/AgentEventTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentEventTest.java
@@ -14,14 +14,14 @@
 import java.util.Optional;
 import merlinlever.common.json.Json;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
 class AgentEventTest {
 
-    @Example
+    @Test
     void anOutcomeAndASampleAreParsed() throws Json.MalformedJsonException {
         AgentEvent event =
                 AgentEvent.parse("{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"ff1f03aa5c7e2d41\",\"result\":\"OK\","
@@ -37,7 +37,7 @@
         assertArrayEquals(new double[] {0.5, 3}, sampled.gauges());
     }
 
-    @Example
+    @Test
     void eachKindOfEventIsParsed() throws Json.MalformedJsonException {
         assertEquals(
                 new AgentEvent.Greeting(0, "COLD", 12.5),
@@ -91,12 +91,12 @@
         assertEquals(3, in.position());
     }
 
-    @Example
+    @Test
     void aLineBeyondTheLimitIsReported() {
         assertFalse(new LineDecoder(16).decode(ByteBuffer.wrap(new byte[16]), line -> {}));
     }
 
-    @Example
+    @Test
     void aLineThatIsNoEventIsMalformed() {
         for (String bad : new String[] {
             "",
--- a/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
@@ -19,7 +19,7 @@
 import merlinlever.backend.agent.AgentLinkFixture.FakeAgent;
 import merlinlever.common.net.ManualClockLoop;
 import merlinlever.common.net.RecordingPeer;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -146,7 +146,7 @@
      * written: the reply is lost with the old connection and sent again on the new one, although both have the same
      * time.
      */
-    @Example
+    @Test
     void aReplyQueuedWhileItsConnectionIsReplacedIsSentOnTheNewOne() throws IOException {
         List<InMemoryAgent> agents = new ArrayList<>();
         ManualClockLoop loop = new ManualClockLoop(address -> {
--- a/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import merlinlever.backend.agent.AgentLinkFixture.FakeAgent;
 import merlinlever.common.net.ManualClockLoop;
-import net.jqwik.api.Example;
-import net.jqwik.api.lifecycle.AfterTry;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.AfterEach;
 
 /** Races on the connections to the agent, over sockets; time advances only where a test advances it. */
 class AgentLinkRaceTest {
@@ -30,7 +30,7 @@
         fixture = new AgentLinkFixture(loop, AgentLinkFixture.addressOf(firstServer));
     }
 
-    @AfterTry
+    @AfterEach
     void closeAll() throws IOException {
         firstServer.close();
         fixture.close();
@@ -40,7 +40,7 @@
      * The loop pauses while the connection breaks: the time of the last read does not tell when it broke, and a reply
      * that was sent before must not count as received.
      */
-    @Example
+    @Test
     void aReplySentBeforeAPauseAndALinkLossIsSentAgain() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String requestId = fixture.admitRequest();
@@ -59,7 +59,7 @@
     }
 
     /** A command that an answered question proves to have arrived is not sent again. */
-    @Example
+    @Test
     void commandsAcknowledgedByAnAnsweredSampleAreNotSentAgain() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String confirmed = fixture.admitRequest();
@@ -85,7 +85,7 @@
      * A reconnect is scheduled when the active connection is lost and the address changes: one of the three reasons to
      * connect must remain, or a second connection replaces the one that waits for its greeting.
      */
-    @Example
+    @Test
     void aPendingReconnectDoesNotOutliveAnAddressChange() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         ServerSocket secondServer = fixture.openAgentServer();
@@ -106,7 +106,7 @@
     }
 
     /** A greeting that took long does not count against the questions that are asked after it. */
-    @Example
+    @Test
     void aSlowGreetingDoesNotCountAgainstTheFirstSamples() throws IOException {
         fixture.connectAndGreet(firstServer);
         // While a request is in flight the gauges are polled all the time.
@@ -136,7 +136,7 @@
     }
 
     /** Gauges that answer no open question or are out of range are ignored. */
-    @Example
+    @Test
     void onlyTheAnswerToTheOpenSampleCountsAsGauges() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         fixture.admitRequest();
@@ -160,7 +160,7 @@
     }
 
     /** An overlong line is skipped in place: on a new connection the agent would only send it again. */
-    @Example
+    @Test
     void anOverlongLineCostsNeitherTheLinkNorLaterEvents() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String requestId = fixture.admitRequest();
@@ -176,7 +176,7 @@
     }
 
     /** An invalid offset must not make all later events count as read. */
-    @Example
+    @Test
     void anEventWithAnInvalidOffsetIsIgnored() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String requestId = fixture.admitRequest();
@@ -201,7 +201,7 @@
      * The old connection delivers until the new one is greeted, at last half an event: each counts once, none is
      * missed.
      */
-    @Example
+    @Test
     void anEventHalfReadWhenItsConnectionIsReplacedCountsOnceOnTheNewOne() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
         List<String> names = new ArrayList<>();
@@ -239,7 +239,7 @@
     /**
      * The address changes on, back, and to itself: one connection to the last address remains, the others are closed.
      */
-    @Example
+    @Test
     void onlyTheLastOfManyAddressChangesCounts() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
         fixture.moveTo(firstServer);
@@ -269,7 +269,7 @@
     }
 
     /** The old connection closes before the new one is greeted: commands of the time between reach the agent once. */
-    @Example
+    @Test
     void commandsIssuedBetweenTwoConnectionsAreSentOnceOnTheNewOne() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
         String calling = fixture.admitRequest();
@@ -295,7 +295,7 @@
     }
 
     /** A health exercise races a change of connections and its own timeout: each answer counts for its own question. */
-    @Example
+    @Test
     void aHealthExerciseIsRepeatedOnTheNewConnectionAndLateAnswersAreIgnored() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
         List<Boolean> heard = Collections.synchronizedList(new ArrayList<>());
@@ -329,7 +329,7 @@
     }
 
     /** Events that are lost for good: the runs of that time fail, and later events count. */
-    @Example
+    @Test
     void aGapInTheOffsetsFailsOnlyTheRunsOfItsTime() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String lost = fixture.admitRequest();
@@ -348,7 +348,7 @@
      * An address that neither accepts nor refuses: the active connection is used meanwhile, the attempt times out, and
      * a change of address ends it at once.
      */
-    @Example
+    @Test
     void aHangingConnectAttemptDelaysNothing() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.LOOPBACK)) {
--- a/src/test/java/merlinlever/backend/directory/HeartbeatSenderTest.java
+++ b/src/test/java/merlinlever/backend/directory/HeartbeatSenderTest.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Heartbeats against the lapse of an entry, and to a directory that is not there. */
 class HeartbeatSenderTest {
@@ -31,7 +31,7 @@
     }
 
     /** Against a backend that serves and drops off the list: with one a second that came about every twenty seconds. */
-    @Example
+    @Test
     void losingAQuarterOfTheHeartbeatsRarelyExpiresTheEntry() {
         int lapses = 0;
         int before = 0;
@@ -44,7 +44,7 @@
     }
 
     /** A directory that is gone, or moves between two reports, costs nothing but those heartbeats. */
-    @Example
+    @Test
     void heartbeatsContinueWhenTheDirectoryIsDownAndMoves() throws Exception {
         InetAddress here = InetAddress.getLoopbackAddress();
         DatagramSocket gone = new DatagramSocket(0, here);
--- a/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
@@ -4,7 +4,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import merlinlever.compatibility.Fixture;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Responses to edge nodes, byte for byte. */
 class EdgeBytesTest extends EdgeServerFixture {
@@ -13,7 +13,7 @@
 
     EdgeBytesTest() throws IOException {}
 
-    @Example
+    @Test
     void eachAnswer() throws Exception {
         listen(10);
         Socket socket = send(HEALTH_CHECK);
--- a/src/test/java/merlinlever/backend/http/EdgeCapacityTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeCapacityTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import merlinlever.backend.http.EdgeConnection.State;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** A table full of connections in each state: the next one is served after a short time, and none is reset. */
 class EdgeCapacityTest extends EdgeServerFixture {
@@ -35,7 +35,7 @@
         assertStatus(200, check);
     }
 
-    @Example
+    @Test
     void connectionsThatBecomeIdleAfterTheTableFilledAreEvicted() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
@@ -52,7 +52,7 @@
         assertEndOfStream(openSockets.get(0));
     }
 
-    @Example
+    @Test
     void connectionsThatNeverSentARequestAreEvicted() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
@@ -63,7 +63,7 @@
         assertEndOfStream(openSockets.get(0));
     }
 
-    @Example
+    @Test
     void connectionsWithAnIncompleteRequestAreEvicted() throws Exception {
         listen(MAX_CONNECTIONS);
         // All but the one with half a request are busy, so that no other can be evicted.
@@ -78,7 +78,7 @@
         assertEndOfStream(half);
     }
 
-    @Example
+    @Test
     void lingeringConnectionsAreEvicted() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
@@ -91,7 +91,7 @@
     }
 
     /** A new connection is not evicted for the next one, however busy the others are. */
-    @Example
+    @Test
     void aNewConnectionIsNotEvictedWhileAllOthersAreBusy() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
@@ -107,7 +107,7 @@
     }
 
     /** Some connections are evicted ahead of time: the next ones are served without waiting. */
-    @Example
+    @Test
     void idleConnectionsAreEvictedBeforeTheTableIsFull() throws Exception {
         listen(16);
         for (int i = 0; i < 16; i++) {
@@ -125,7 +125,7 @@
     }
 
     /** Many more connections than the limit, each used once and left idle: all are answered, and none is reset. */
-    @Example
+    @Test
     void manyConnectionsUsedOnceAreAllAnswered() throws Exception {
         listen(16);
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/merlinlever/backend/http/EdgeCloseRaceTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeCloseRaceTest.java
@@ -12,7 +12,7 @@
 import merlinlever.backend.http.EdgeConnection.State;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Bytes of an edge node that race the close of its connection: idle, unused, half read, evicted, draining. */
 class EdgeCloseRaceTest extends EdgeServerFixture {
@@ -45,7 +45,7 @@
         runOnLoop(() -> assertTrue(edge.hasNoConnections()));
     }
 
-    @Example
+    @Test
     void aRequestRacingTheCloseOfAnIdleConnectionIsReadAndNotRun() throws Exception {
         listen(100);
         Socket socket = send(HEALTH_CHECK);
@@ -54,7 +54,7 @@
         assertBytesAfterCloseAreDropped(socket, request("", "body"));
     }
 
-    @Example
+    @Test
     void aRequestRacingTheCloseOfAnUnusedConnectionIsReadAndNotRun() throws Exception {
         listen(100);
         Socket socket = connect();
@@ -63,7 +63,7 @@
         assertBytesAfterCloseAreDropped(socket, request("", "body"));
     }
 
-    @Example
+    @Test
     void theRestOfAnIncompleteRequestRacingTheCloseIsReadAndNotRun() throws Exception {
         listen(100);
         Socket socket = send(HEALTH_CHECK);
@@ -79,7 +79,7 @@
      * A request that was read before the idle timeout, but not processed as the loop has more than a batch to do, is
      * run.
      */
-    @Example
+    @Test
     void aRequestAlreadyQueuedInTheLoopAtTheIdleTimeoutIsRun() throws Exception {
         listen(100);
         StringBuilder heard = new StringBuilder();
@@ -127,7 +127,7 @@
     }
 
     /** The machine pauses for longer than any time limit: bytes that were written meanwhile are read first. */
-    @Example
+    @Test
     void aProcessPauseDoesNotCountTowardsTimeouts() throws Exception {
         listen(100);
         Socket fresh = connect();
@@ -145,7 +145,7 @@
     }
 
     /** Draining: idle connections end in good order and drop what comes then; requests in flight are answered. */
-    @Example
+    @Test
     void onShutdownIdleConnectionsCloseAndInFlightRequestsAreAnswered() throws Exception {
         listen(100);
         Socket resting = send(HEALTH_CHECK);
@@ -167,7 +167,7 @@
     /**
      * A request behind one whose response says "close" is neither answered nor run, and the connection is not reset.
      */
-    @Example
+    @Test
     void aRequestBehindTheLastResponseIsNotRunAndResetsNothing() throws Exception {
         listen(100);
         Socket socket = send(request("Connection: close\r\n", "body") + request("", "second"));
@@ -181,7 +181,7 @@
     }
 
     /** Half a request as the acceptor closes: its rest is read and answered, and the connection ends. */
-    @Example
+    @Test
     void aRequestCompletedAfterTheAcceptorClosedIsAnswered() throws Exception {
         listen(100);
         String operation = request("", "body");
@@ -199,7 +199,7 @@
     }
 
     /** Connections in the system's backlog as the acceptor closes are accepted and answered. */
-    @Example
+    @Test
     void connectionsInTheBacklogWhenTheAcceptorClosesAreAnswered() throws Exception {
         listen(4);
         List<Socket> busy = new ArrayList<>();
--- a/src/test/java/merlinlever/backend/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeConnectionStateTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import merlinlever.backend.http.EdgeConnection.State;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Resets, late health results and floods in each state of a connection. */
 class EdgeConnectionStateTest extends EdgeServerFixture {
@@ -21,7 +21,7 @@
     }
 
     /** A reset in each state leaves nothing in any table, and stops the request's run once. */
-    @Example
+    @Test
     void aResetInEachStateLeavesNothingBehind() throws Exception {
         listen(100);
         List<Socket> all = new ArrayList<>();
@@ -65,7 +65,7 @@
     }
 
     /** A health result that comes after its client has disconnected answers nobody else. */
-    @Example
+    @Test
     void aLateHealthResultAnswersOnlyItsOwnCheck() throws Exception {
         listen(100);
         Socket gone = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
@@ -86,7 +86,7 @@
     }
 
     /** Thousands of pipelined requests are answered in order, without delaying another client. */
-    @Example
+    @Test
     void thousandsOfRequestsAtOnceAreAnsweredInOrder() throws Exception {
         listen(100);
         Socket many = connect();
@@ -108,7 +108,7 @@
     }
 
     /** The bytes of a body that is too long are dropped for a bounded time, and the rejection arrives before. */
-    @Example
+    @Test
     void anUnboundedBodyIsRejectedAndTheConnectionClosed() throws Exception {
         listen(100);
         for (String head : new String[] {
@@ -136,7 +136,7 @@
     }
 
     /** "100 Continue" is sent once, before the response and not within another one. */
-    @Example
+    @Test
     void continueIsSentOnceAndBeforeItsOwnResponse() throws Exception {
         listen(100);
         String operation = request("Expect: 100-continue\r\n", "body");
@@ -154,7 +154,7 @@
     }
 
     /** A client that reads no responses is disconnected after 5 s, however long it goes on sending. */
-    @Example
+    @Test
     void aClientThatReadsNoResponsesIsDisconnected() throws Exception {
         listen(100);
         Socket socket = connect();
--- a/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
@@ -24,7 +24,7 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.lifecycle.AfterTry;
+import org.junit.jupiter.api.AfterEach;
 
 /**
  * An edge server on loopback sockets, with a real backend whose dependencies are recorded here. The loop runs on a
@@ -79,7 +79,7 @@
         await(backend::isHealthy, "the backend is not healthy");
     }
 
-    @AfterTry
+    @AfterEach
     void stopLoopAndCloseSockets() throws Exception {
         loop.stop();
         thread.join();
--- a/src/test/java/merlinlever/backend/http/RequestHeadTest.java
+++ b/src/test/java/merlinlever/backend/http/RequestHeadTest.java
@@ -5,7 +5,7 @@
 
 import java.nio.charset.StandardCharsets;
 import merlinlever.backend.http.RequestHead.HeaderField;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -21,7 +21,7 @@
         return new RequestHead().parse(bytes, 0, bytes.length);
     }
 
-    @Example
+    @Test
     void theFieldsOfARequestAreParsed() {
         byte[] bytes = ascii("xxPOST /svc/buy?real=1&b=2 HTTP/1.1\r\nHost: a\r\nreq-ID: 9b1f03aa5c7e2d41\r\n"
                 + "Req-Kb:  24.5 \r\nReq-Time: 1764576000123\r\nContent-Length: 12\r\nConnection: Close\r\n\r\nbody");
@@ -41,7 +41,7 @@
         assertTrue(head.closesConnection());
     }
 
-    @Example
+    @Test
     void aMalformedHeadIsRejectedWithTheMatchingStatus() {
         String start = "POST /svc/a HTTP/1.1\r\n";
         assertEquals(HttpStatus.OK, parse(start + "\r\n"));
--- a/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
@@ -14,7 +14,7 @@
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.ManualClockLoop;
 import merlinlever.testing.faults.process.PortAllocator;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Races on the connections to the records service. */
 class RecordsClientRaceTest extends RecordsClientFixture {
@@ -22,7 +22,7 @@
     /**
      * The close of an idle connection has been read but not processed when a call is made: the call gets another one.
      */
-    @Example
+    @Test
     void aCallIsNotSentOnAConnectionWhoseCloseWasRead() {
         List<InMemoryRecordsService> services = new ArrayList<>();
         ManualClockLoop loop = new ManualClockLoop(address -> {
@@ -47,7 +47,7 @@
     }
 
     /** Without a file descriptor for its connection a call waits for one, not for its timeout. */
-    @Example
+    @Test
     void aCallWithoutAFileDescriptorIsMadeOnceOneIsFree() {
         boolean[] full = {true};
         InMemoryRecordsService service = new InMemoryRecordsService();
@@ -90,7 +90,7 @@
      * Connect attempts that hang: each call ends at its own timeout and its attempt with it, so that the next one has
      * room; calls that have not been sent go to the new address at once when the service moves.
      */
-    @Example
+    @Test
     void aHangingConnectAttemptEndsWithItsCallOrMovesWithTheService() throws IOException {
         try (ServerSocket silent = new ServerSocket(0, 1, LOOPBACK);
                 ServerSocket server = openServer();
@@ -122,7 +122,7 @@
     /**
      * The service moves: a sent call ends on its connection, which is closed then; the next goes to the new address.
      */
-    @Example
+    @Test
     void aSentCallCompletesOnItsConnectionWhenTheServiceMoves() throws IOException {
         try (ServerSocket old = openServer();
                 ServerSocket server = openServer();
@@ -147,7 +147,7 @@
     /**
      * All connections carried the request's own last call, whose reply may be repeated: one is closed for a new one.
      */
-    @Example
+    @Test
     void aRequestIsNotSentOnTheConnectionOfItsOwnLastCall() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
@@ -164,7 +164,7 @@
     }
 
     /** A second call for a request cancels the first, here as at the service: only the second one's end is reported. */
-    @Example
+    @Test
     void aSecondCallForARequestCancelsTheFirst() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
@@ -185,7 +185,7 @@
     /**
      * Calls that wait while every connect attempt is refused: each is reported as never run, however many there are.
      */
-    @Example
+    @Test
     void manyWaitingCallsEndOneByOneWhenConnectsFail() throws IOException {
         try (ManualClockLoop loop = new ManualClockLoop()) {
             client = createClient(loop, new InetSocketAddress(LOOPBACK, PortAllocator.free()), 4);
--- a/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import merlinlever.backend.TestRequests;
 import merlinlever.common.net.ManualClockLoop;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Replies of the records service that race other events, or come with surplus bytes. */
 class RecordsReplyRaceTest extends RecordsClientFixture {
 
     /** A complete reply right before the close counts; a close without one proves nothing about the call. */
-    @Example
+    @Test
     void aReplyJustBeforeTheCloseCounts() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
@@ -35,7 +35,7 @@
     }
 
     /** A reply that was read before the timeout is processed, behind other tasks, is in time. */
-    @Example
+    @Test
     void aReplyReadBeforeTheDeadlineIsInTime() {
         InMemoryRecordsService service = new InMemoryRecordsService();
         ManualClockLoop loop = new ManualClockLoop(address -> service);
@@ -61,7 +61,7 @@
     /**
      * Cancelled as its reply arrives, in either order: the reply is ignored, and its connection carries no other call.
      */
-    @Example
+    @Test
     void aCancelledCallClosesItsConnectionAndItsReplyIsIgnored() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
@@ -88,7 +88,7 @@
     }
 
     /** Bytes before, behind or long after a reply are ignored, and the connection carries no further call. */
-    @Example
+    @Test
     void surplusBytesAroundAReplyAreIgnoredAndCloseTheConnection() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
@@ -127,7 +127,7 @@
     }
 
     /** Wrong lengths, endless lines and missing rests each end their call in time, with nothing proven about it. */
-    @Example
+    @Test
     void aMalformedReplyEndsItsCallAtOnceOrWithinItsTimeout() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
--- a/src/test/java/merlinlever/backend/records/RecordsReplyTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import merlinlever.common.net.CloseReason;
 import merlinlever.controller.Outcome;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -18,7 +18,7 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    @Example
+    @Test
     void eachStatusWordMapsToItsOutcomeAndOnlySomeProveThatNothingRan() throws RecordsReply.MalformedReplyException {
         String[] words = {"DONE 0\r\n", "WAIT", "ERROR", "PAST", "EMPTY"};
         Outcome[] endings = {Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.NOT_STARTED};
@@ -52,7 +52,7 @@
         }
     }
 
-    @Example
+    @Test
     void invalidBytesAreMalformed() {
         for (String bad : new String[] {
             "x",
@@ -76,7 +76,7 @@
         }
     }
 
-    @Example
+    @Test
     void onlyAClosedConnectionThatWasNeverEstablishedProvesThatNothingRan() {
         assertEquals(Outcome.UNREACHABLE, RecordsClient.callOutcome(CloseReason.CONNECT_FAILED));
         assertEquals(Outcome.UNREACHABLE, RecordsClient.callOutcome(CloseReason.CONNECT_TIMEOUT));
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -11,7 +11,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinlever.testing.faults.TestDirectories;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 
@@ -27,6 +29,7 @@
     private record Ran(int status, List<String> out) {}
 
     @BeforeTry
+    @BeforeEach
     void layACheckout() throws IOException {
         root = Files.createTempDirectory("known-red");
         for (String script : List.of("run", "known-red")) {
@@ -88,12 +91,13 @@
     }
 
     @AfterTry
+    @AfterEach
     void removeIt() {
         TestDirectories.remove(root);
     }
 
     /** Without a list CI is the README's command and has its status, and nothing is passed over. */
-    @Example
+    @Test
     void withoutAListMavenRunsAlone() throws Exception {
         write("verdict", "7");
         assertEquals(7, run(".ci/run").status());
@@ -103,7 +107,7 @@
     }
 
     /** A listed test is told of and doesn't count; the others' counts come last and their status is CI's. */
-    @Example
+    @Test
     void aListedTestRunsByItselfAndOnlyTheOthersCount() throws Exception {
         write(
                 "KNOWN-RED.txt",
@@ -140,7 +144,7 @@
     }
 
     /** Whatever is not a line of the form, or one too many, ends CI before Maven is asked. */
-    @Example
+    @Test
     void aListOfAnotherFormFails() throws Exception {
         for (String wrong : List.of(
                 "\n",
@@ -165,7 +169,7 @@
     }
 
     /** A name that is no test would pass over nothing today, and over a test of that name once there is one. */
-    @Example
+    @Test
     void aTestThatDoesNotExistFails() throws Exception {
         for (String name : List.of(
                 "SecondTest.red",
@@ -181,7 +185,7 @@
     }
 
     /** Maven passes over all methods of a name: two of one name are refused, so that the second isn't passed over unseen. */
-    @Example
+    @Test
     void aNameThatTwoTestsHaveFails() throws Exception {
         refused("some.place.FirstTest.twice | it breaks | 36\n");
     }
--- a/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
+++ b/src/test/java/merlinlever/cli/FileDescriptorLimitTest.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The whole program under the system's own limit of descriptors, which idle and silent clients fill. */
 class FileDescriptorLimitTest extends ServeProcessFixture {
@@ -47,7 +47,7 @@
      * Clients that ask once and rest, clients that say nothing, half messages and answered ones that stay: the next check
      * and the next operation are answered, the agent's link comes back, calls and reports leave, and nobody is reset.
      */
-    @Example
+    @Test
     void allLinksWorkWhileClientsFillTheDescriptors() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -107,7 +107,7 @@
     }
 
     /** Accepting fails before the table is full, as the system gives out fewer: those that rest make room, none is reset. */
-    @Example
+    @Test
     void failedAcceptClosesIdleConnections() throws IOException {
         limit = 22;
         startAndLinkAgent();
--- a/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
+++ b/src/test/java/merlinlever/cli/GracefulShutdownEndTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The last moment of a drain, for clients that rest until the backend ends. */
 class GracefulShutdownEndTest extends ServeProcessFixture {
@@ -30,7 +30,7 @@
      * A request that is unread as the process would end: held still over its last moment, the process has both before it
      * when it goes on, the bytes and its end. It must not end over what is unread, as that resets the connection.
      */
-    @Example
+    @Test
     void requestUnreadAtTheLastMomentGetsAnAnswerOrOrderlyCloseAndNoReset() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":" + STOP_MS));
         String line = program.inputReader().readLine();
--- a/src/test/java/merlinlever/cli/RunLineTest.java
+++ b/src/test/java/merlinlever/cli/RunLineTest.java
@@ -38,7 +38,7 @@
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.testing.faults.FaultHarness;
 import merlinlever.testing.measurement.DnsMeasurement;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * The `run` line of the deploy file, as the standing fleet test starts it: one process that is the JVM itself, that starts
@@ -108,7 +108,7 @@
         throw new AssertionError("deploy/balancer.toml has no run line");
     }
 
-    @Example
+    @Test
     void runLineIsOneJavaProcessThatServes() throws IOException {
         List<String> words = Arrays.asList(runLine().trim().split("\\s+"));
         assertEquals("exec", words.get(0), "the shell is replaced, not kept as a parent");
@@ -118,7 +118,7 @@
                 runLine().contains("&") || runLine().contains("|") || runLine().contains(";"), "one command alone");
     }
 
-    @Example
+    @Test
     void servingWithTheRunLinesFlagsStartsNoProgramAndLoadsNothingOfTheFleet() throws Exception {
         List<String> words = Arrays.asList(runLine().trim().split("\\s+"));
         Path classes = Files.createTempFile("merlinlever-classes", ".log");
--- a/src/test/java/merlinlever/cli/ServeCommandTest.java
+++ b/src/test/java/merlinlever/cli/ServeCommandTest.java
@@ -14,14 +14,14 @@
 import java.util.Base64;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** What the whole program does on sockets. */
 class ServeCommandTest extends ServeProcessFixture {
 
     ServeCommandTest() throws IOException {}
 
-    @Example
+    @Test
     void requestWithADownstreamCallIsServedAndItsDuplicateGetsTheSameBytes() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -69,7 +69,7 @@
         assertEquals("PULSE n3 open", new String(report.getData(), 0, report.getLength(), StandardCharsets.UTF_8));
     }
 
-    @Example
+    @Test
     void requestsAreRejectedAndChecksFailUntilTheAgentIsUp() throws IOException {
         startAndLinkAgent();
         assertEquals(503, readAnswer(send(httpRequest("look", "", ""))).status());
@@ -84,7 +84,7 @@
         }
     }
 
-    @Example
+    @Test
     void invalidRequestGetsItsStatusAndNeverReachesTheAgent() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -116,7 +116,7 @@
     }
 
     /** More connections than there is room for: the idlest make room, and those with an operation stay. */
-    @Example
+    @Test
     void idlestConnectionsAreClosedWhenDescriptorsRunOut() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -130,7 +130,7 @@
         assertEquals(200, readAnswer(busy).status());
     }
 
-    @Example
+    @Test
     void callersDisconnectEndsTheRunAndALostLinkDoesNot() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -167,7 +167,7 @@
     }
 
     /** A reply that is spoilt costs its own call; one that brings more than belongs to it is taken once, alone. */
-    @Example
+    @Test
     void malformedReplyFailsOneCallAndASecondCopyNone() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -201,7 +201,7 @@
     }
 
     /** Replaced under load, the configuration moves the parties and costs no run, no call, no notice and no connection. */
-    @Example
+    @Test
     void reloadMovesAllLinksWhileRequestsAreInFlight() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
@@ -257,7 +257,7 @@
     }
 
     /** A party that takes what is written and says nothing: its connection is made anew, and not waited on for ever. */
-    @Example
+    @Test
     void silentPeerIsNotWaitedForIndefinitely() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -281,7 +281,7 @@
     }
 
     /** Within 3 s of connecting each hears something; a connection that was of use may be idle for longer. */
-    @Example
+    @Test
     void connectionWithoutACompleteMessageIsClosedInTime() throws IOException {
         startAndLinkAgent();
         sendGreeting();
@@ -298,7 +298,7 @@
         assertEquals(200, readAnswer(used).status());
     }
 
-    @Example
+    @Test
     void sigtermAnswersWhatIsInFlightAndEnds() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
@@ -324,7 +324,7 @@
         assertEquals(143, program.exitValue());
     }
 
-    @Example
+    @Test
     void unusableConfigurationIsReportedInOneLine() throws IOException, InterruptedException {
         String good = "{\"listen\":\"127.0.0.1:" + agentListener.getLocalPort()
                 + "\",\"agent\":\"127.0.0.1:1\",\"lookup\":\"127.0.0.1:1\"}";
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** What a backend can be served with, and what is said where it can't or where something is assumed. */
 class ServeConfigurationTest {
@@ -53,7 +53,7 @@
         }
     }
 
-    @Example
+    @Test
     void validConfigurationHasNoWarnings() throws Exception {
         ServeConfiguration good = read(GOOD);
         assertEquals(List.of(), good.warnings());
@@ -66,7 +66,7 @@
      * stop too far away as well; a memory or core count out of range was replaced in silence, a class after one without a
      * name was left out, and of two classes with one name the first was served by the terms of the second.
      */
-    @Example
+    @Test
     void invalidValueIsRejectedWithItsNameAndWhatIsAllowed() {
         assertRejected(with("2000.0", "\"soon\""), "invariants.drain-grace is \"soon\"", "allowed: a number from 0");
         assertRejected(with("2000.0", "-1"), "invariants.drain-grace");
@@ -106,7 +106,7 @@
     }
 
     /** Against a failure that is not told in one line: bytes that are no text, a folder in the file's place. */
-    @Example
+    @Test
     void fileThatIsNoTextOrNoFileIsRejected() {
         assertThrows(InvalidConfigurationException.class, () -> read(new byte[] {'{', (byte) 0xff, '}'}));
         String message = assertThrows(
@@ -117,7 +117,7 @@
     }
 
     /** Against defaults that hide a missing setting: each that matters is named in one line, with what is assumed. */
-    @Example
+    @Test
     void missingSettingsThatMatterAreWarnedOfInOneLine() throws Exception {
         String[][] each = {
             {"\"n-cores\":4,", "family-info.n-cores (1)"},
@@ -154,7 +154,7 @@
     }
 
     /** A window that is stated as none, and a class of no value, do no harm. */
-    @Example
+    @Test
     void unkeyedClassMayHaveNoWindowAndAnyClassNoWeight() throws Exception {
         assertEquals(
                 List.of(),
@@ -162,7 +162,7 @@
     }
 
     /** The fleet's chances fall apart also where no seed is told. */
-    @Example
+    @Test
     void seedIsMadeOfTheNameWhereNoneIsGiven() throws Exception {
         String without = with("\"seed\":\"8c1f30d27a5be964\",", "");
         assertFalse(read(without).seed()
@@ -170,7 +170,7 @@
     }
 
     /** A class may have any name, also one that is a word of the settings; it was looked for under another then. */
-    @Example
+    @Test
     void classNamedLikeASettingsKeywordKeepsItsName() throws Exception {
         for (String name : new String[] {"sockets", "once", "silent", "repeatable"}) {
             assertEquals(
@@ -179,7 +179,7 @@
     }
 
     /** New keys are skipped and named, as before. */
-    @Example
+    @Test
     void unknownKeyIsIgnoredWithAWarning() throws Exception {
         assertEquals(
                 List.of("unknown-settings-ignored settings=family-info.cpus"),
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import merlinlever.common.json.Json;
-import net.jqwik.api.lifecycle.AfterTry;
+import org.junit.jupiter.api.AfterEach;
 
 /** The whole program as a process of its own, with small stand-ins for the parties around it, on loopback. */
 abstract class ServeProcessFixture {
@@ -110,7 +110,7 @@
         assertEquals(offset, awaitCommand("subscribe").get("offset"));
     }
 
-    @AfterTry
+    @AfterEach
     void endProgram() throws IOException, InterruptedException {
         program.destroyForcibly().waitFor();
         agentListener.close();
--- a/src/test/java/merlinlever/cli/SignalsTest.java
+++ b/src/test/java/merlinlever/cli/SignalsTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import merlinlever.common.net.ProcessSignals;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Signals that come before, while and after somebody receives them, without a process. */
 class SignalsTest {
@@ -45,7 +45,7 @@
     }
 
     /** Against a SIGHUP that is lost where it comes while the start still reads and rehearses; twice is as good as once. */
-    @Example
+    @Test
     void hangUpBeforeThereIsASubscriberIsPassedOnOnce() {
         signals.hangup();
         signals.hangup();
@@ -57,7 +57,7 @@
     }
 
     /** Against a shutdown hook that waits for a loop that never runs, and against listening after it. */
-    @Example
+    @Test
     void terminationBeforeThereIsASubscriberWaitsForNobody() throws InterruptedException {
         signals.hangup();
         assertEnds(startThread(signals::terminate));
@@ -66,7 +66,7 @@
     }
 
     /** Against a hook that waits where the start has failed by itself: the exit with status 1 runs it too. */
-    @Example
+    @Test
     void terminationAfterTheEndWaitsForNobody() throws InterruptedException {
         assertTrue(signals.subscribe(subscriber));
         signals.completeShutdown();
@@ -75,7 +75,7 @@
     }
 
     /** Against an end before all is answered, and against a SIGHUP that is held up by the wait of the termination. */
-    @Example
+    @Test
     void terminationWaitsForTheSubscriberAndDelaysNoHangUp() throws InterruptedException {
         assertTrue(signals.subscribe(subscriber));
         Thread first = startThread(signals::terminate);
--- a/src/test/java/merlinlever/cli/StartAndStopTest.java
+++ b/src/test/java/merlinlever/cli/StartAndStopTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * Signals that cross the start, each other, the greeting, a configuration that is being written, and the stop. Where a
@@ -138,7 +138,7 @@
     }
 
     /** Against a SIGHUP that ends the start, or is lost in it: what is read before it may be out of date. */
-    @Example
+    @Test
     void sighupDuringStartIsCarriedOutAfterIt() throws IOException, InterruptedException {
         String old = configuration();
         replaceFileByPipe();
@@ -158,7 +158,7 @@
     }
 
     /** Against a shutdown hook that waits for a loop that does not run yet. */
-    @Example
+    @Test
     void sigtermDuringStartEndsItAtOnce() throws IOException, InterruptedException {
         replaceFileByPipe();
         startWithFileAsItIs();
@@ -169,7 +169,7 @@
     }
 
     /** A start that fails by itself runs the shutdown hook too, which must not wait: nothing here ever ran. */
-    @Example
+    @Test
     void failedStartEndsWithOneLineThatNamesTheFile() throws IOException, InterruptedException {
         String good = configuration();
         String[][] bad = {
@@ -193,7 +193,7 @@
     }
 
     /** Against a request that is read and not answered, run, or waited for, where the agent has not even greeted yet. */
-    @Example
+    @Test
     void sigtermBeforeGreetingRejectsAllRequestsAndEnds() throws IOException, InterruptedException {
         startAndLinkAgent();
         Socket resting = send("GET /status/live HTTP/1.1\r\n\r\n");
@@ -218,7 +218,7 @@
     }
 
     /** Against a drain that begins anew, and against a SIGHUP that is left aside while there is work on the old link. */
-    @Example
+    @Test
     void secondSigtermChangesNothingAndSighupAfterItMovesTheLink() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
@@ -242,7 +242,7 @@
     }
 
     /** Against five lines for one bad file, and against a reading too many that is still to come when the next signal has come. */
-    @Example
+    @Test
     void invalidFileIsLoggedOnceAndTheConfigurationStays() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
@@ -276,7 +276,7 @@
     }
 
     /** Against two rows of readings side by side: the later signal's takes the place of what was to come of the earlier. */
-    @Example
+    @Test
     void secondSighupReplacesPendingRetries() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
@@ -297,7 +297,7 @@
     }
 
     /** Against a notice to leave that waits for a file, and against a reading that outlives the drain. */
-    @Example
+    @Test
     void sigtermDuringHalfWrittenConfigurationDrainsAsUsual() throws IOException, InterruptedException {
         startAndLinkAgent();
         sendGreeting();
@@ -315,7 +315,7 @@
     }
 
     /** Against a stop before the grace is over, or so soon that no time is left for last writes: all is answered still. */
-    @Example
+    @Test
     void stopShorterThanGraceAnswersAllAndEnds() throws IOException, InterruptedException {
         start(configuration()
                 .replace("\"stop_ms\":8000", "\"stop_ms\":100")
@@ -332,7 +332,7 @@
     }
 
     /** A client that rests until the backend ends hears its end, and no reset; nobody is let in after the grace. */
-    @Example
+    @Test
     void idleConnectionSeesOrderlyCloseWithinTheStop() throws IOException, InterruptedException {
         start(configuration().replace("\"stop_ms\":8000", "\"stop_ms\":1200"));
         String line = awaitLogLine("listening address=");
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -5,13 +5,13 @@
 
 import java.time.Duration;
 import java.util.Map;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** How long the start may rehearse. */
 class WarmUpTest {
 
     /** Against a rehearsal that takes a start on little processor beyond its time: what came before it tells how slow it is. */
-    @Example
+    @Test
     void isShortenedWhereTheStartWasSlow() {
         Duration whole = WarmUp.timeLimit(Duration.ofMillis(100));
         assertEquals(Duration.ofMillis(2500), whole, "on a whole core it is bounded by itself");
--- a/src/test/java/merlinlever/cli/dns/ZoneConfigParserTest.java
+++ b/src/test/java/merlinlever/cli/dns/ZoneConfigParserTest.java
@@ -6,11 +6,11 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import merlinlever.dns.record.MalformedDnsException;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ZoneConfigParserTest {
 
-    @Example
+    @Test
     void onlyFullAddressesAreAccepted() throws Exception {
         InetSocketAddress expected = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 53);
         assertEquals(expected, ZoneConfigParser.address("127.0.0.1:53"));
--- a/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
+++ b/src/test/java/merlinlever/cli/fleet/RecoverCommandTest.java
@@ -14,7 +14,7 @@
 import merlinlever.fleet.recovery.disk.RecoveryFile;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.testing.faults.TestDirectories;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class RecoverCommandTest {
 
@@ -31,7 +31,7 @@
         return Commands.start(new PrintWriter(out, true), new PrintWriter(err, true), words);
     }
 
-    @Example
+    @Test
     void everyFolderIsPrintedWithWhatIsDiscardedAndWhy() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-recover");
         try {
--- a/src/test/java/merlinlever/common/json/JsonTest.java
+++ b/src/test/java/merlinlever/common/json/JsonTest.java
@@ -6,14 +6,14 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
 /** The reader of JSON, and the writer of its strings. */
 class JsonTest {
 
-    @Example
+    @Test
     void valuesAreParsed() throws Json.MalformedJsonException {
         assertEquals(
                 Map.of("a", Arrays.asList(1L, -2.5, 1e3, true, false, null), "b", Map.of("c", "x\n\u00e9\"")),
@@ -25,7 +25,7 @@
                         .toString());
     }
 
-    @Example
+    @Test
     void malformedTextIsRejected() {
         for (String malformed : new String[] {
             "",
--- a/src/test/java/merlinlever/common/log/LogTest.java
+++ b/src/test/java/merlinlever/common/log/LogTest.java
@@ -7,12 +7,12 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.util.concurrent.atomic.AtomicReference;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The form and the volume of the log. */
 class LogTest {
 
-    @Example
+    @Test
     void linesBeyondTheLimitAreDroppedAndCounted() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         AtomicReference<Instant> time = new AtomicReference<>(Instant.ofEpochSecond(1_000_000));
@@ -29,7 +29,7 @@
         assertEquals("1970-01-12T13:46:41Z WARN next", lines[21]);
     }
 
-    @Example
+    @Test
     void errorNamesTheExceptionAndItsPlace() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Log log = new Log(new PrintStream(out, true, StandardCharsets.UTF_8), () -> Instant.ofEpochSecond(1_000_000));
--- a/src/test/java/merlinlever/common/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionRaceTest.java
@@ -20,7 +20,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Queue;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Closes, failures and writes of connections that race each other. */
 class ConnectionRaceTest {
@@ -66,7 +66,7 @@
     }
 
     /** Without TCP_NODELAY small writes would be delayed by the system, and lost with a reset. */
-    @Example
+    @Test
     void acceptedAndConnectedStreamsHaveNoDelaySet() throws Exception {
         EventLoop loop = loop();
         List<Boolean> accepted = new ArrayList<>();
@@ -95,7 +95,7 @@
     }
 
     /** A handler that throws outside a read closes its connection, which nothing would touch again. */
-    @Example
+    @Test
     void aHandlerThatThrowsInOnConnectedOrOnFlushedClosesItsConnection() throws Exception {
         for (boolean asMade : new boolean[] {true, false}) {
             failures.clear();
@@ -141,7 +141,7 @@
      * Bytes arrive while earlier ones are handed over again: the channel's own thread reads them at that moment, and
      * must not write into the buffer that the handler is using.
      */
-    @Example
+    @Test
     void bytesArrivingDuringRedeliveryDoNotTouchTheDeliveredBuffer() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
@@ -199,7 +199,7 @@
     }
 
     /** More buffers than one write takes and more bytes than the system buffers: all arrive in order, reported once. */
-    @Example
+    @Test
     void dataNeedingManyWritesArrivesCompleteAndInOrderAndIsReportedOnce() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
@@ -241,7 +241,7 @@
     }
 
     /** Closed with a read, a write and a timer pending: one close is reported, and later completions have no effect. */
-    @Example
+    @Test
     void completionsAfterCloseChangeNothing() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
@@ -289,7 +289,7 @@
     }
 
     /** An error other than a stack overflow ends the loop and is thrown to its caller; the loop does not go on. */
-    @Example
+    @Test
     void anErrorOtherThanStackOverflowIsThrownOutOfTheLoop() throws Exception {
         EventLoop loop = loop();
         loop.execute(() -> {
@@ -311,7 +311,7 @@
     }
 
     /** Out of file descriptors each accept fails at once: it is retried after a delay, whatever is closed meanwhile. */
-    @Example
+    @Test
     void anAcceptorThatCannotAcceptPauses() throws Exception {
         // The clock stands still, so the delay does not end.
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, () -> 0), failures::add);
--- a/src/test/java/merlinlever/common/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionTest.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import merlinlever.testing.faults.process.PortAllocator;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ConnectionTest {
 
@@ -56,7 +56,7 @@
         return ends;
     }
 
-    @Example
+    @Test
     void aConnectionClosesOnceWithTheMatchingReason() throws IOException {
         // A port that no other process of these tests listens at.
         int closed = PortAllocator.free();
@@ -86,7 +86,7 @@
     /**
      * An in-memory connection carries bytes both ways, in pieces where the buffer is small, and closes at both ends.
      */
-    @Example
+    @Test
     void anInMemoryConnectionCarriesBytesBothWaysAndClosesAtBothEnds() {
         StringBuilder there = new StringBuilder();
         List<CloseReason> ends = new ArrayList<>();
@@ -146,7 +146,7 @@
     }
 
     /** The bytes that the peer does not read are bounded. */
-    @Example
+    @Test
     void exceedingTheWriteQueueLimitClosesTheConnection() throws IOException {
         try (ServerSocket server = new ServerSocket(0)) {
             EventLoop loop = loop();
--- a/src/test/java/merlinlever/common/net/EventLoopTest.java
+++ b/src/test/java/merlinlever/common/net/EventLoopTest.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class EventLoopTest {
 
     private final List<Throwable> failures = new ArrayList<>();
 
     /** After a pause the loop runs due timers in their order, and a periodic one once. */
-    @Example
+    @Test
     void afterAStallTimersRunInOrderAndPeriodicOnesOnce() throws IOException {
         AtomicLong nanos = new AtomicLong();
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, nanos::get), failures::add);
--- a/src/test/java/merlinlever/common/net/MonotonicClockTest.java
+++ b/src/test/java/merlinlever/common/net/MonotonicClockTest.java
@@ -4,11 +4,11 @@
 
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicLong;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class MonotonicClockTest {
 
-    @Example
+    @Test
     void unixTimesAreConvertedByTheLastMeasuredOffset() {
         AtomicLong nanos = new AtomicLong(50);
         AtomicLong unix = new AtomicLong(10_000_000_000L);
--- a/src/test/java/merlinlever/common/net/TaskHandOffTest.java
+++ b/src/test/java/merlinlever/common/net/TaskHandOffTest.java
@@ -22,7 +22,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * A thread that hands a task to the loop may be suspended at any line, by the system or the runtime. The loop must
@@ -34,7 +34,7 @@
     private static final int HAND_OFFS = 8;
     private static final long MAX_WAIT_NANOS = 3_000_000_000L;
 
-    @Example
+    @Test
     void timersKeepRunningWhileTheHandingThreadIsSuspendedAtAnyLine() throws Exception {
         VirtualMachine machine = launch();
         try {
--- a/src/test/java/merlinlever/common/storage/BackgroundWriterTest.java
+++ b/src/test/java/merlinlever/common/storage/BackgroundWriterTest.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class BackgroundWriterTest {
 
@@ -82,7 +82,7 @@
         return writer.replace("file", content.getBytes(StandardCharsets.US_ASCII), completions::add);
     }
 
-    @Example
+    @Test
     void oneWriteAtATimeIsReportedOnTheLoopAndNotBefore() throws InterruptedException {
         assertTrue(replace("x"));
         assertTrue(writer.isBusy());
@@ -97,7 +97,7 @@
         assertTrue(replace("z"));
     }
 
-    @Example
+    @Test
     void failuresAreReportedAndTheNextWriteIsTaken() throws InterruptedException {
         IOException full = new IOException("disk full");
         directory.failure = Optional.of(full);
@@ -117,7 +117,7 @@
         assertTrue(completions.get(2).isEmpty());
     }
 
-    @Example
+    @Test
     void closeWaitsForTheWriteInProgressAndTakesNoOther() throws InterruptedException {
         assertTrue(replace("x"));
         assertFalse(writer.close(Duration.ofMillis(50)), "the disk hangs");
--- a/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Random early detection, dispatching and backpressure as docs/design.md has them, with figures worked by hand. */
 class AdmissionMechanismTest {
@@ -40,12 +40,12 @@
         return count / (double) arrivals;
     }
 
-    @Example
+    @Test
     void rejectsNothingBelowTheLowerThreshold() {
         assertEquals(0, rejectedFraction(ControllerFixture.LOOKUP, false, 10, 200));
     }
 
-    @Example
+    @Test
     void rejectsTheClassOfLeastWeightFirst() {
         // Capacity 40 (8 cores, 200 ms a run, 1 s): 20 queued give occupancy 0.5, average 0.48, base
         // probability 0.14 and over 7 queued since the last rejection.
@@ -58,7 +58,7 @@
     }
 
     /** A class without weight must not switch off the rejections of all classes. */
-    @Example
+    @Test
     void rejectsAClassWithoutWeightFirstAndTheOthersByTheirWeight() {
         Supplier<ControllerFixture> fixtures =
                 () -> new ControllerFixture().with("tariffs." + ControllerFixture.LOOKUP + ".value", 0);
@@ -68,7 +68,7 @@
         assertTrue(charges > 0 && charges < 0.1, "coefficient 0.1: " + charges);
     }
 
-    @Example
+    @Test
     void whatIdleCoresStartAtOnceDoesNotCountAsQueued() {
         fixture.with("server.cores", 2);
         for (int i = 0; i < 100; i++) {
@@ -78,7 +78,7 @@
         }
     }
 
-    @Example
+    @Test
     void startsTheOldestFirstWhileTheRunQueueIsShorterThanTheCores() {
         List<RequestHandle> running = fixture.occupyAllCores();
         RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
@@ -93,7 +93,7 @@
         assertEquals(List.of(second), fixture.decide().started());
     }
 
-    @Example
+    @Test
     void readDelayCountsAsQueueing() {
         fixture.warmUp(10, 200);
         int rejected = 0;
@@ -104,7 +104,7 @@
         assertEquals(30, rejected, "850 ms of an objective of 1000 ms is over the upper threshold");
     }
 
-    @Example
+    @Test
     void randomRejectionIsFinalWhateverReadingCosts() {
         for (int readMs : new int[] {50, 150}) {
             ControllerFixture server = new ControllerFixture();
@@ -115,7 +115,7 @@
         }
     }
 
-    @Example
+    @Test
     void backpressureRisesWithTheOccupancyAndFallsAfterIt() {
         fixture.with("server.say", "level").warmUp(10, 200);
         double level = 0;
@@ -132,7 +132,7 @@
         assertEquals(0, level);
     }
 
-    @Example
+    @Test
     void closesIdleConnectionsOfManyCallersSoonerTheMoreOftenACoreIsFree() {
         fixture.with("server.idle", 30000).with("server.callers", 200);
         for (int i = 0; i < 50; i++) {
@@ -155,7 +155,7 @@
         assertNull(fewCallers.idleConnectionTimeout, "few callers cannot fill the table");
     }
 
-    @Example
+    @Test
     void oneLongRunDoesNotUndoTheCapacityThatWasLearned() {
         fixture.with("server.cores", 2).warmUp(20, 100);
         fixture.submit(ControllerFixture.ORDER);
@@ -170,7 +170,7 @@
                 "capacity 20, one queued: occupancy under 0.3 though nothing completed lately");
     }
 
-    @Example
+    @Test
     void sameSeedMakesTheSameDecisions() {
         ControllerFixture first = new ControllerFixture();
         ControllerFixture second = new ControllerFixture();
--- a/src/test/java/merlinlever/controller/DecisionsTest.java
+++ b/src/test/java/merlinlever/controller/DecisionsTest.java
@@ -6,12 +6,12 @@
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class DecisionsTest {
 
     /** A kind that the builder did not know would be dropped without a word. */
-    @Example
+    @Test
     void decisionsOfEveryKindComeOutInTheOrderInWhichTheKindsAreDeclared() throws ReflectiveOperationException {
         List<Class<?>> declared = List.of(Decision.class.getPermittedSubclasses());
         Decisions.Builder builder = new Decisions.Builder();
--- a/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.common.Durations;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * A model of a whole fleet of controllers round one downstream service that they share, whose calls take longer the
@@ -217,7 +217,7 @@
         return exceeding;
     }
 
-    @Example
+    @Test
     void fleetStaysWithinItsSharesAndTheRandomExcess() {
         List<Fleet> fleets = new ArrayList<>();
         for (int processes : new int[] {1, 2, 20, 30}) {
@@ -234,7 +234,7 @@
     }
 
     /** Where the fleet is not counted, or fewer are listed at a start than there are in the end. */
-    @Example
+    @Test
     void fleetOfUnknownSizeStaysWithinThemToo() {
         List<Fleet> fleets = new ArrayList<>();
         for (int announced : new int[] {0, 1}) {
--- a/src/test/java/merlinlever/controller/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesTest.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 import merlinlever.common.Durations;
 import merlinlever.policy.RejectionReason;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The safety rules, and what the controller does about stalls, failing calls, restarts and late requests. */
 class SafetyRulesTest {
 
     private ControllerFixture fixture = new ControllerFixture();
 
-    @Example
+    @Test
     void failsAndStopsARunAtItsDeadline() {
         RequestHandle charge = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(List.of(charge), fixture.decide().started());
@@ -30,7 +30,7 @@
         assertTrue(fixture.decideAfter(10).started().isEmpty(), "what may have had an effect is not run again");
     }
 
-    @Example
+    @Test
     void rejectsWhatWaitsTooLongInTheQueue() {
         fixture.occupyAllCores();
         RequestHandle waiting = fixture.submit(ControllerFixture.LOOKUP);
@@ -41,7 +41,7 @@
         assertTrue(fixture.wasRejected(waiting));
     }
 
-    @Example
+    @Test
     void duplicateOfARequestThatIsIdempotentByKeySharesItsOutcome() {
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(first, fixture.decide().retained().get(0).request());
@@ -55,7 +55,7 @@
         assertEquals(List.of(third), fixture.decide().sharingOutcome());
     }
 
-    @Example
+    @Test
     void duplicateOfAStoppedChargeFails() {
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         fixture.decide();
@@ -65,7 +65,7 @@
         assertEquals(List.of(second), fixture.decide().failed());
     }
 
-    @Example
+    @Test
     void duplicateOfAnUnknownChargeFailsAndOneOfAnUnknownLookupRuns() {
         RequestHandle unknown = new ControllerFixture().submit(ControllerFixture.CHARGE);
         RequestHandle charge = fixture.submit(ControllerFixture.CHARGE, 0, 10, foreign(unknown));
@@ -99,7 +99,7 @@
         };
     }
 
-    @Example
+    @Test
     void duplicateTakesThePlaceOfAQueuedOriginalWhoseCallerIsGone() {
         fixture.occupyAllCores();
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
@@ -111,7 +111,7 @@
         assertEquals(List.of(second), fixture.decide().started());
     }
 
-    @Example
+    @Test
     void retriesACallOnlyIfItNeverReachedTheServiceAndOnlyOnce() {
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.REJECTED)) {
             RequestHandle charge = submitAndEndCall(outcome, ControllerFixture.CALLING);
@@ -125,7 +125,7 @@
     }
 
     /** A corrupt reply or a lost connection costs an idempotent request some time, not its outcome. */
-    @Example
+    @Test
     void retriesACallOfAnIdempotentRequestAfterALostConnectionOnce() {
         RequestHandle lookup = submitAndEndCall(Outcome.CONNECTION_LOST, ControllerFixture.LOOKUP);
         assertEquals(lookup, fixture.decideAfter(200).calls().get(0).request(), "a second call is harmless");
@@ -150,7 +150,7 @@
         return handle;
     }
 
-    @Example
+    @Test
     void startsNothingNewAfterTheDrainGraceAndAnswersAllBeforeTheStop() {
         RequestHandle running = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(List.of(running), fixture.decide().started());
@@ -166,7 +166,7 @@
         assertTrue(beforeStop.failed().contains(running));
     }
 
-    @Example
+    @Test
     void duplicateAfterTheDrainGraceTakesNoOnesPlace() {
         fixture.occupyAllCores();
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
@@ -180,7 +180,7 @@
         assertTrue(fixture.wasRejected(late));
     }
 
-    @Example
+    @Test
     void rejectsWhatItHasNoMemoryToRetain() {
         fixture.with("server.memory-kb", 1000).with("server.kb-per-fingerprint", 500);
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
@@ -190,7 +190,7 @@
         assertTrue(fixture.wasRejected(second), "no memory to retain a second one");
     }
 
-    @Example
+    @Test
     void startsARunOnlyWithMemoryForIt() {
         fixture.with("server.memory-kb", 1200);
         RequestHandle first = fixture.submit(ControllerFixture.ORDER, 0, 200, null);
@@ -198,7 +198,7 @@
         assertEquals(List.of(first), fixture.decide().started());
     }
 
-    @Example
+    @Test
     void startsNoMoreThanTheServerSurvivesWhileAllWaitForCalls() {
         fixture.with("server.cold", true).with("rules.cold-share", 0.2).with("rules.cold", 18000);
         int started = 0;
@@ -212,7 +212,7 @@
         assertEquals(10, started, "8 cores x (1 + 3 x 0.2) x 0.75, rounded up: cold");
     }
 
-    @Example
+    @Test
     void reportsAStallAndRejectsAllThatWaits() {
         fixture.occupyAllCores();
         fixture.decideAfter(900);
@@ -228,7 +228,7 @@
         assertEquals(Duration.ofSeconds(1), stalled.rejected().get(0).retryAfter());
     }
 
-    @Example
+    @Test
     void readsShareAFreshOutcomeAndAFailedOneIsNotShared() {
         fixture.with("server.fresh-for", 1000);
         RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
@@ -243,7 +243,7 @@
     }
 
     /** On slow cores waiting requests are rejected early; elsewhere they may be served, if the cost hint leaves time. */
-    @Example
+    @Test
     void whatIsTooLateForASlowServerMayBeRetriedElsewhere() {
         for (int hintMs : new int[] {0, 100, 900}) {
             fixture = new ControllerFixture().warmUp(10, 800);
@@ -265,7 +265,7 @@
     }
 
     /** A downstream server that dies takes all its calls with it: one sign of an overloaded service, not one each. */
-    @Example
+    @Test
     void callsThatFailTogetherDecreaseTheConcurrencyLimitOnce() {
         for (boolean together : new boolean[] {true, false}) {
             fixture = new ControllerFixture().with("rules.crowd-factor", "20");
@@ -298,7 +298,7 @@
         return calling;
     }
 
-    @Example
+    @Test
     void afterARestartRejectsWhatIsNotIdempotentUntilItIsPermitted() {
         fixture.controller().permitNonIdempotentStarts(Duration.ofMillis(700), Duration.ofHours(1));
         RequestHandle charge = fixture.submit(ControllerFixture.CHARGE);
@@ -320,7 +320,7 @@
         assertEquals(List.of(fresh), fixture.decide().started());
     }
 
-    @Example
+    @Test
     void startsNothingThatIsNotIdempotentBeyondWhatTheNextIncarnationWouldKnow() {
         List<RequestHandle> running = fixture.occupyAllCores();
         RequestHandle charge = fixture.submit(ControllerFixture.CHARGE);
@@ -338,7 +338,7 @@
         assertEquals(List.of(charge), fixture.decideAfter(10).started(), "the next time is set");
     }
 
-    @Example
+    @Test
     void warmStartEstimateIsOutweighedByWhatIsLearned() {
         fixture.controller().setWarmStartEstimate(40, 8);
         assertEquals(40, fixture.controller().metrics().queueCapacity(), 1e-9);
--- a/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
@@ -5,12 +5,12 @@
 
 import java.util.List;
 import java.util.Map;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The check of the settings that describe a deployment. */
 class DeploymentProfileTest {
 
-    @Example
+    @Test
     void valueThatIsNotAllowedIsReported() {
         List<String> problems = DeploymentProfile.problems(Map.of("server.halt", "pasue", "server.say", "weight"));
         assertEquals(List.of("settings: server.halt is \"pasue\"; allowed: drop, none, pause"), problems);
--- a/src/test/java/merlinlever/controller/settings/SettingsTranslatorTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsTranslatorTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.common.json.Json;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The translation of settings from the two forms in which they are given at start. */
 class SettingsTranslatorTest {
@@ -26,7 +26,7 @@
                     + " invariants.overload-factor=8.0 tenants= services.0.name=buy services.0.semantics=by_key"
                     + " services.0.aim=350.0 services.0.hard-limit=1140.0 services.0.gain=4.0";
 
-    @Example
+    @Test
     void configurationFileAndEnlistmentTranslateAlike() throws Json.MalformedJsonException {
         Map<String, String> enlisted = new HashMap<>();
         for (String field : ENLISTMENT.split(" ")) {
@@ -41,7 +41,7 @@
     }
 
     /** A setting whose name is not known would fall back to its default without notice. */
-    @Example
+    @Test
     void unknownNamesAreFound() {
         assertEquals(
                 List.of("family-info.cpus"),
--- a/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
+++ b/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
@@ -7,17 +7,17 @@
 import java.util.Optional;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Decisions;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Shadow mode: settings that are compared with those in force without changing a decision. */
 class ShadowModeCounterTest {
 
-    @Example
+    @Test
     void withoutShadowSettingsNothingIsCounted() {
         assertEquals(Optional.empty(), ShadowModeCounter.of(Map.of("server.halt", "drop")));
     }
 
-    @Example
+    @Test
     void decisionsAreCountedWhereShadowSettingsDiffer() {
         ShadowModeCounter counter = ShadowModeCounter.of(Map.of(
                         "server.halt", "drop",
--- a/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import merlinlever.fleet.membership.PeerMessage;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class LeaderElectionTest {
 
@@ -80,7 +80,7 @@
     }
 
     /** It does not go on to terms of its own either. */
-    @Example
+    @Test
     void aVoterThatWasIsolatedPromisesTheLeaderWhenItIsConnectedAgain() {
         for (int seed = 0; seed < 100; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
@@ -12,7 +12,7 @@
 import merlinlever.fleet.election.Leadership;
 import merlinlever.fleet.experiments.StoppingDecision.Kind;
 import merlinlever.fleet.replication.ReplicatedStore;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The bytes of an experiment's identity, counts, result and lease are those of the versions before. */
 class ExperimentBytesTest {
@@ -38,7 +38,7 @@
             2,
             3);
 
-    @Example
+    @Test
     void identityAndCounts() {
         fixture.pins("key", experiment.key());
         ExperimentCounts counts = new ExperimentCounts(experiment);
@@ -59,7 +59,7 @@
         assertArrayEquals(fixture.bytes("tally"), decoded.encode());
     }
 
-    @Example
+    @Test
     void results() {
         Map<String, Kind> kinds = Map.of(
                 "goes-on",
@@ -82,7 +82,7 @@
         });
     }
 
-    @Example
+    @Test
     void leaseRequestsAndGrants() {
         ReplicatedStore store = new ReplicatedStore(
                 Duration.ZERO,
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentConfigReaderTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentConfigReaderTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Optional;
 import merlinlever.fleet.experiments.ExperimentConfigReader.InvalidExperimentException;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ExperimentConfigReaderTest {
 
@@ -33,7 +33,7 @@
         return ExperimentConfigReader.read(configuration, "near"::equals);
     }
 
-    @Example
+    @Test
     void validConfigurationIsReadAndOnlyShortensRetryAfter() throws InvalidExperimentException {
         Experiment experiment = read(validConfiguration()).get(0);
         assertEquals(
@@ -52,7 +52,7 @@
         assertEquals(List.of(), read(Map.of("name", "n1")));
     }
 
-    @Example
+    @Test
     void eachInvalidSettingIsNamedInOneLine() {
         String[][] invalid = {
             {"trials.0.arms.1.value", "3", "order by worth"},
@@ -83,7 +83,7 @@
         }
     }
 
-    @Example
+    @Test
     void anyChangeMakesAnotherExperiment() throws InvalidExperimentException {
         Experiment before = read(validConfiguration()).get(0);
         assertEquals(before.key(), read(validConfiguration()).get(0).key());
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
@@ -14,7 +14,7 @@
 import merlinlever.fleet.experiments.ExperimentCounts.CountedRequest;
 import merlinlever.fleet.experiments.ExperimentCounts.RequestResult;
 import merlinlever.fleet.replication.VersionedEntry;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -55,7 +55,7 @@
         assertEquals(1 - unchanged, moved / (double) callers, 0.03, "the next experiment assigns them anew");
     }
 
-    @Example
+    @Test
     void retriesCountAsTheirRequest() {
         Experiment experiment = experiment(1, 1, 1);
         ExperimentCounts counts = new ExperimentCounts(experiment);
@@ -83,7 +83,7 @@
         assertEquals(1, counts.totals(request.arm()).late());
     }
 
-    @Example
+    @Test
     void callerWithHalfOfTheTrafficHasLittleWeight() {
         ExperimentCounts counts = new ExperimentCounts(experiment(1, 1, 1));
         SplittableRandom random = new SplittableRandom(1);
@@ -134,7 +134,7 @@
         }
     }
 
-    @Example
+    @Test
     void largestCountsFitIntoAnEntry() {
         Experiment experiment = experiment(1, 1, 1, 1, 1, 1, 1, 1, 1);
         ExperimentCounts counts = randomCounts(experiment, 1, 60_000);
@@ -148,7 +148,7 @@
         assertTrue(ExperimentCounts.decode(experiment, encoded).isPresent());
     }
 
-    @Example
+    @Test
     void samplesMergeInAnyOrderAndAnyNumberOfTimes() {
         Experiment experiment = experiment(1, 1, 1);
         ExperimentCounts first = randomCounts(experiment, 1, 9000);
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentNodeTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentNodeTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import merlinlever.testing.faults.ExperimentModel;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ExperimentNodeTest {
 
@@ -41,7 +41,7 @@
         assertTrue(condition.getAsBoolean(), "not within " + maxMs + " ms");
     }
 
-    @Example
+    @Test
     void resultStandsWhenTheLeaderDiesBeforeItAnnouncesIt() {
         ExperimentModel fleet = fleet(1, 1000);
         fleet.servedShare = new double[] {0.5, 0.7};
@@ -54,7 +54,7 @@
         assertEquals(1, fleet.results().iterator().next().arm(), "the result that the dead leader had written");
     }
 
-    @Example
+    @Test
     void minorityEndsNothingAndRunsTheSafeArmAfterItsLease() {
         ExperimentModel fleet = fleet(2, 1000);
         fleet.requestsPerStep = 2;
@@ -82,7 +82,7 @@
         assertEquals(1, fleet.results().size());
     }
 
-    @Example
+    @Test
     void deadlyArmEndsTheExperimentWithTheSafeArm() {
         ExperimentModel fleet = fleet(3, 3);
         fleet.deadlyArm = 1;
@@ -94,7 +94,7 @@
         assertTrue(result.reason().contains("died"), result.reason());
     }
 
-    @Example
+    @Test
     void experimentChangedUnderTheSameNameStartsWithoutCounts() {
         ExperimentModel fleet = fleet(4, 1000);
         fleet.requestsPerStep = 2;
@@ -110,7 +110,7 @@
         assertEquals(0, fleet.nodes[0].fleetCounts().totals(0).requests(), "no count of the earlier one");
     }
 
-    @Example
+    @Test
     void restartLosesAtMostTheLastPublicationAndCountsNothingTwice() {
         ExperimentModel fleet = fleet(5, 1000);
         fleet.requestsPerStep = 4;
@@ -136,7 +136,7 @@
         assertEquals(15, fleet.nodes[0].fleetCounts().deaths());
     }
 
-    @Example
+    @Test
     void equalArmsEndAtTheTimeLimitWhichClockJumpsDoNotShorten() {
         ExperimentModel fleet = new ExperimentModel(6, 5, experiment(1, 1000, Duration.ofSeconds(60)));
         fleet.requestsPerStep = 2;
@@ -153,7 +153,7 @@
         assertEquals(0, fleet.results().iterator().next().arm());
     }
 
-    @Example
+    @Test
     void allBackendsAdoptOneResultUnderAnyFaults() {
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 4); seed++) {
             SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/merlinlever/fleet/experiments/SequentialAnalysisTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/SequentialAnalysisTest.java
@@ -11,7 +11,7 @@
 import merlinlever.fleet.experiments.ExperimentCounts.RequestResult;
 import merlinlever.fleet.experiments.SimulatedExperiments.SimulationResult;
 import merlinlever.fleet.experiments.SimulatedExperiments.SimulationSettings;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class SequentialAnalysisTest {
 
@@ -50,7 +50,7 @@
         return runs * probability + 4 * Math.sqrt(runs * probability * (1 - probability));
     }
 
-    @Example
+    @Test
     void equalArmsRarelyHaveAWinnerHoweverOftenTheTestIsEvaluated() {
         int runs = 2000;
         List<SimulationResult> results = simulate(runs, experiment(0), new SimulationSettings(0.6, 0.6, 0, 0, 0, 3000));
@@ -68,7 +68,7 @@
                 "a fixed test that is evaluated as often is wrong far more often: " + fixedTestWinners);
     }
 
-    @Example
+    @Test
     void differentCallersAndOneWithHalfOfTheTrafficMakeNoFalseWinner() {
         int runs = 200;
         for (double heavyShare : new double[] {0, 0.5}) {
@@ -83,7 +83,7 @@
         }
     }
 
-    @Example
+    @Test
     void betterArmWinsAndWorseArmIsStoppedEarlier() {
         List<SimulationResult> better =
                 simulate(60, experiment(0.02), new SimulationSettings(0.5, 0.6, 0, 0, 0, 40_000));
@@ -104,7 +104,7 @@
                 "the looser level is sooner");
     }
 
-    @Example
+    @Test
     void irrelevantDifferenceIsNoWinnerAndEqualArmsAreFutile() {
         List<SimulationResult> small =
                 simulate(100, experiment(0.05), new SimulationSettings(0.5, 0.52, 0, 0, 0, 40_000));
@@ -139,7 +139,7 @@
         return counts;
     }
 
-    @Example
+    @Test
     void sampleRatioMismatchInvalidatesTheExperimentInsteadOfAWinner() {
         Experiment experiment = experiment(0.02);
         SequentialAnalysis test = new SequentialAnalysis(experiment);
@@ -156,7 +156,7 @@
                 test.evaluate(complete, Duration.ZERO));
     }
 
-    @Example
+    @Test
     void correctAssignmentIsRarelyCalledAMismatchHoweverOftenItIsChecked() {
         int mismatches = 0;
         int runs = 2000;
@@ -175,7 +175,7 @@
         assertTrue(SampleRatioCheck.isMismatch(new long[] {200, 200}, new double[] {0.25, 0.75}, 0));
     }
 
-    @Example
+    @Test
     void valueDecidesWhereServedSharesAreEqualAndNotAgainstThem() {
         Experiment experiment = experiment(0.02);
         SequentialAnalysis test = new SequentialAnalysis(experiment);
@@ -192,7 +192,7 @@
         assertEquals(0, test.evaluate(mixed, Duration.ZERO).arm());
     }
 
-    @Example
+    @Test
     void equalArmsEndAtTheTimeLimitAndNoSooner() {
         Experiment experiment = experiment(0.02);
         ExperimentCounts equal = counts(experiment, 4, 2000, new double[] {0.7, 0.7}, new double[] {1, 1}, 1);
--- a/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
@@ -12,7 +12,7 @@
 import merlinlever.fleet.election.ElectionSettings;
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.membership.PeerMessage;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** How much of a received message is looked at before it is answered, ignored or called malformed. */
 class LeaseMessageReceptionTest {
@@ -49,7 +49,7 @@
                 START, "b1", 0xabc, List.of(quota), election, new SplittableRandom(1), consumer, log::add);
     }
 
-    @Example
+    @Test
     void aBackendThatDoesNotLeadNamesTheLeaderWhateverTheRequestHolds() {
         LeaderElection election = election("b1", "b2", "b3");
         election.receive(START, "b3", 11, "H/7/b2");
@@ -61,7 +61,7 @@
         assertEquals(List.of(), log);
     }
 
-    @Example
+    @Test
     void messagesOnAnUnknownQuotaAreIgnoredAndOthersOfTooFewFieldsAreMalformed() {
         LeaderElection election = election("b1");
         Duration now = START;
--- a/src/test/java/merlinlever/fleet/quota/LeaseModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseModelCheckTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * Walks every reachable state of two backends under one leadership after another, up to a depth: any message arrives at any
@@ -140,7 +140,7 @@
                 + recent.stream().mapToLong(Sample::second).max().orElse(0);
     }
 
-    @Example
+    @Test
     void inNoReachableStateDoLeasesExceedTheLimit() {
         Set<String> seen = new HashSet<>();
         ArrayDeque<List<String>> open = new ArrayDeque<>();
--- a/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
@@ -12,7 +12,7 @@
 import merlinlever.fleet.view.QuorumStatus;
 import merlinlever.testing.faults.FixedFleetView;
 import merlinlever.testing.faults.QuotaModel;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class QuotaCoordinatorTest {
 
@@ -31,7 +31,7 @@
                 Map.of());
     }
 
-    @Example
+    @Test
     void underAnyFaultsTheLimitIsNeverExceeded() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -52,7 +52,7 @@
         }
     }
 
-    @Example
+    @Test
     void theQuotaIsUsedUpUnderLoadAndRedividedWithinSomeLeases() {
         QuotaModel fleet = new QuotaModel(5, 6, callsPerSecond(50));
         Arrays.stream(fleet.wanted).forEach(wanted -> wanted[0] = 30);
@@ -79,7 +79,7 @@
     }
 
     /** It grants nothing even to itself, and grants again when it is permitted to. */
-    @Example
+    @Test
     void aLeaderGrantsOnlyWhileItsQuorumStatusPermits() {
         QuotaModel model = new QuotaModel(5, 3, callsPerSecond(100));
         AtomicReference<QuorumStatus> status = new AtomicReference<>(QuorumStatus.MINORITY);
--- a/src/test/java/merlinlever/fleet/recovery/PersistedStateAssessorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/PersistedStateAssessorTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class PersistedStateAssessorTest {
 
@@ -12,14 +12,14 @@
     private static final LoadedState LOADED =
             LoadedState.of(new PersistedState(OWNER, 64, 3, NOON + 3000, NOON, 12.5, List.of("127.0.0.1:2")));
 
-    @Example
+    @Test
     void aCapacityEstimateCountsHalfForEachHalfLifeSinceItWasWritten() {
         TrustedState trusted = PersistedStateAssessor.assess(LOADED, OWNER, NOON + 600_000);
         assertEquals(2.0, trusted.estimateWeight(), 1e-9, "two half-lives after it was written");
         assertEquals(65, trusted.incarnation());
     }
 
-    @Example
+    @Test
     void theReservedIncarnationOfAnotherProcessIsAFloorToo() {
         assertEquals(
                 65,
--- a/src/test/java/merlinlever/fleet/recovery/RecoverySequenceTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/RecoverySequenceTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -137,7 +137,7 @@
                 "and never delayed for longer than a window after the start");
     }
 
-    @Example
+    @Test
     void afterALongOutageNonIdempotentRequestsAreAdmittedAtOnce() {
         RecoverySequence sequence = startAfterNoon(60_000);
         Peers.inTime(NOON + 60_000, "b-3").answer(sequence, 0, 1500);
@@ -146,7 +146,7 @@
         assertEquals(RecoveryStage.WARM, sequence.stage());
     }
 
-    @Example
+    @Test
     void afterAShortOutageTheRestOfTheWindowIsWaitedFor() {
         RecoverySequence sequence = startAfterNoon(4000);
         Peers.inTime(NOON + 4000, "b-3").answer(sequence, 0, 1500);
@@ -158,7 +158,7 @@
         assertEquals(RecoveryStage.RECONCILED, sequence.stage(), "not warm while non-idempotent requests wait");
     }
 
-    @Example
+    @Test
     void withoutPeersOnlyIdempotentRequestsAreAdmittedAndTheIsolationIsReportedOnce() {
         RecoverySequence sequence = startAfterNoon(60_000);
         for (long now = 0; now <= 20_000; now += STEP_MS) {
@@ -176,7 +176,7 @@
         assertTrue(sequence.nonIdempotentAdmittedFrom(ms(21_500)).isNegative());
     }
 
-    @Example
+    @Test
     void aSlowLinkToTheOnlyPeerIsWaitedForAndQueriedLessAndLessOften() {
         RecoverySequence sequence = startAfterNoon(60_000);
         int queries = 0;
@@ -190,7 +190,7 @@
         assertEquals(RecoveryStage.RECONCILED, sequence.stage(), "an answer that took 2.5 s counts");
     }
 
-    @Example
+    @Test
     void aDeadPeerIsNotWaitedForBeyondTheTimeoutOnceAMajorityHasReported() {
         RecoverySequence sequence = startAfterNoon(60_000);
         sequence.peerStatusChanged(ms(0), "b-9", true);
@@ -201,7 +201,7 @@
         assertEquals(RecoveryStage.RECONCILED, sequence.stage());
     }
 
-    @Example
+    @Test
     void aNameConflictHoldsNonIdempotentRequestsUntilTheOtherProcessIsSilent() {
         RecoverySequence sequence = startAfterNoon(60_000);
         Peers.inTime(NOON + 60_000, "b-3").answer(sequence, 0, 1500);
@@ -213,7 +213,7 @@
         assertTrue(sequence.nonIdempotentAdmittedFrom(ms(12_000)).isNegative());
     }
 
-    @Example
+    @Test
     void aReportThatAnswersNoQueryChangesNothing() {
         RecoverySequence sequence = start(LoadedState.absent(), NOON);
         sequence.peerStatusChanged(ms(0), "b-3", true);
@@ -223,7 +223,7 @@
         assertEquals(0, sequence.peerCounts().reported());
     }
 
-    @Example
+    @Test
     void aCapacityLearnedByPeersCountsLess() {
         RecoverySequence sequence = start(LoadedState.absent(), NOON);
         Peers.inTime(NOON, "b-3").answer(sequence, 0, 1500);
--- a/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
@@ -21,7 +21,7 @@
 import merlinlever.testing.faults.TestDirectories;
 import merlinlever.testing.faults.disk.CrashStates;
 import merlinlever.testing.faults.disk.StateRestorer;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -43,7 +43,7 @@
     }
 
     /** Of every state that a power loss may leave of 200 writes. */
-    @Example
+    @Test
     void afterAPowerLossTheStateReadIsTheLastThatWasForcedOrTheOneBeingWritten() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-recovery");
         try {
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -37,9 +37,9 @@
 import merlinlever.testing.faults.link.LinkFaults;
 import merlinlever.testing.faults.link.UdpSwitch;
 import merlinlever.testing.faults.process.PortAllocator;
-import net.jqwik.api.Example;
-import net.jqwik.api.lifecycle.AfterTry;
-import net.jqwik.api.lifecycle.BeforeTry;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
 
 /** Processes that recover, on real datagrams and real disks within one process; a disk may hang or fail. */
 class RecoveryCoordinatorTest {
@@ -95,7 +95,7 @@
         }
     };
 
-    @BeforeTry
+    @BeforeEach
     void startLoop() throws IOException {
         root = Files.createTempDirectory("merlinlever-recovery");
         loop = new EventLoop(MonotonicClock.system(), failure -> log.add("failed: " + failure));
@@ -105,7 +105,7 @@
     }
 
     /** The directory is removed when no thread writes in it any more. */
-    @AfterTry
+    @AfterEach
     void stopAll() throws Exception {
         disks.forEach(disk -> disk.permits.release(UNLIMITED));
         for (RecoveryCoordinator coordinator : List.copyOf(running)) {
@@ -218,7 +218,7 @@
         return asSeenBy.membership().memberTable().find(name).incarnation();
     }
 
-    @Example
+    @Test
     void nothingIsSentBeforeTheIncarnationIsOnDisk() throws Exception {
         RecoveryCoordinator first = start("a", directory("a"), List.of(), RecoveringService.NONE);
         BlockingStateDirectory disk = blockingDirectory("b");
@@ -236,7 +236,7 @@
         assertTrue(persistedBy("b").reservedIncarnation() >= incarnationOf("b", first));
     }
 
-    @Example
+    @Test
     void aFailingDiskEndsTheAdmissionOfNonIdempotentRequestsUntilItWorksAgain() throws Exception {
         BlockingStateDirectory disk = blockingDirectory("b");
         disk.permits.release(UNLIMITED);
@@ -253,7 +253,7 @@
         assertTrue(isLogged("recovery-state-write-recovered"));
     }
 
-    @Example
+    @Test
     void settingTheClockRevokesTheReservationAtOnce() throws Exception {
         BlockingStateDirectory disk = blockingDirectory("b");
         disk.permits.release(UNLIMITED);
@@ -267,7 +267,7 @@
         assertTrue(isLogged("unix-clock-set step_ms="));
     }
 
-    @Example
+    @Test
     void anotherProcessUnderTheSameNameIsDetected() throws Exception {
         RecoveryCoordinator first = start("a", directory("a"), List.of(), RecoveringService.NONE);
         RecoveryCoordinator one = start("b", directory("b1"), List.of(addressOf(first)), RecoveringService.NONE);
@@ -278,7 +278,7 @@
                 || other.membership().memberTable().addressConflicts() > 1);
     }
 
-    @Example
+    @Test
     void closeWaitsForAHangingDiskUpToTheTimeoutAndNothingIsWrittenAfterIt() throws Exception {
         BlockingStateDirectory disk = blockingDirectory("b");
         RecoveryCoordinator coordinator = start("b", disk, List.of(), service);
@@ -297,7 +297,7 @@
      * begin with the same number. The audit looks at what passes the switch, and would find the two only if the one in
      * between had sent something.
      */
-    @Example
+    @Test
     void anIncarnationThatEndsBeforeItsFirstWriteIsReusedAndHasSentNothing() throws Exception {
         List<InetSocketAddress> addresses = List.of(loopback(PortAllocator.free()), loopback(PortAllocator.free()));
         IncarnationAudit audit = new IncarnationAudit();
--- a/src/test/java/merlinlever/fleet/replication/GossipBudgetTest.java
+++ b/src/test/java/merlinlever/fleet/replication/GossipBudgetTest.java
@@ -5,14 +5,14 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class GossipBudgetTest {
 
     private static final int BYTES_PER_SECOND = 100 << 10;
     private static final int TICKS_PER_SECOND = 50;
 
-    @Example
+    @Test
     void neitherMessagesNorSecondsExceedTheirByteLimits() {
         ReplicatedStore store =
                 ReplicationFixture.replica("b0", ReplicationFixture.notPersistent(BYTES_PER_SECOND), "b1", "b2", "b3");
--- a/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Stream;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Visits every reachable state of three voters and two leaders that want to write two values to one register. */
 class PaxosModelCheckTest {
@@ -304,13 +304,13 @@
         }
     }
 
-    @Example
+    @Test
     void noReachableStateHasTwoChosenValues() {
         Result result = new ModelCheck(PlantedFault.NONE).run();
         assertTrue(result.states > 400_000 && result.chosen > 300_000, result.toString());
     }
 
-    @Example
+    @Test
     void eachPlantedFaultIsFound() {
         for (PlantedFault fault :
                 List.of(PlantedFault.ANSWER_BEFORE_WRITE, PlantedFault.SKIP_PREPARE, PlantedFault.ACCEPT_LOWER_TERM)) {
--- a/src/test/java/merlinlever/fleet/replication/PaxosNodeTest.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosNodeTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class PaxosNodeTest {
 
@@ -30,7 +30,7 @@
         fleet.nodes[i].propose(fleet.clock(i), register, bytes(value));
     }
 
-    @Example
+    @Test
     void oneValuePerRegisterIsChosenAndLearnedByAllUnderAnyFaults() {
         int chosenUnderFaults = 0;
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 40); seed++) {
@@ -102,7 +102,7 @@
                 (register, values) -> assertEquals(1, values.size(), "seed " + seed + ", " + register + ": " + values));
     }
 
-    @Example
+    @Test
     void nodeThatDoesNotLeadOrMayNotDecideWritesNothing() {
         PaxosFleet fleet = startedFleet(1, 3, 3);
         propose(fleet, 0, "end", "a");
@@ -127,7 +127,7 @@
         }
     }
 
-    @Example
+    @Test
     void nothingIsChosenWhileDisksAreBlockedAndALaterLeaderKeepsAPossiblyChosenValue() {
         PaxosFleet fleet = startedFleet(4, 3, 3);
         fleet.disksBlocked = true;
@@ -155,7 +155,7 @@
         assertArrayEquals(bytes("a"), fleet.nodes[2].chosen("end").orElseThrow());
     }
 
-    @Example
+    @Test
     void voterThatLostItsDiskDoesNotVoteBeforeTheOthersToldIt() {
         PaxosFleet fleet = startedFleet(2, 3, 3);
         fleet.lead(0, 1_000_000);
--- a/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
+++ b/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -64,7 +64,7 @@
                 .isEmpty());
     }
 
-    @Example
+    @Test
     void registersAreBoundedAndNeverDropped() {
         PaxosAcceptor acceptor = new PaxosAcceptor();
         for (int i = 0; i < PaxosAcceptor.MAX_REGISTERS; i++) {
--- a/src/test/java/merlinlever/fleet/replication/ReplicatedStoreFleetTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicatedStoreFleetTest.java
@@ -13,14 +13,14 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import merlinlever.testing.faults.ReplicationModel;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Fleets of replicas on a simulated network. */
 class ReplicatedStoreFleetTest {
 
     private static final int TOPICS = 3;
 
-    @Example
+    @Test
     void replicasConvergeToTheLastWritesAfterAnyFaults() {
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 25); seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -96,7 +96,7 @@
                 .orElse(0L);
     }
 
-    @Example
+    @Test
     void restartedOwnerNeverPublishesLessThanOthersReceivedBefore() {
         for (int seed = 0; seed < 20; seed++) {
             ReplicationModel fleet = new ReplicationModel(seed, 4, SHORT_RETENTION);
@@ -121,7 +121,7 @@
         }
     }
 
-    @Example
+    @Test
     void removedEntryNeverReappearsFromPausedOrPartitionedReplicas() {
         for (int seed = 0; seed < 12; seed++) {
             ReplicationModel fleet = new ReplicationModel(seed, 5, SHORT_RETENTION);
@@ -161,7 +161,7 @@
         }
     }
 
-    @Example
+    @Test
     void entriesOfADeadOwnerExpireEverywhereAndThoseOfLiveOwnersStay() {
         ReplicationModel fleet = new ReplicationModel(5, 4, SHORT_RETENTION);
         List<String> expired = new ArrayList<>();
@@ -192,7 +192,7 @@
         assertEquals(List.of("b3 count"), expired);
     }
 
-    @Example
+    @Test
     void ownerThatLostItsDiskPublishesAboveItsEarlierVersions() {
         ReplicationModel fleet = new ReplicationModel(8, 3, SHORT_RETENTION);
         for (int k = 0; k < 9; k++) {
--- a/src/test/java/merlinlever/fleet/replication/ReplicatedStoreTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicatedStoreTest.java
@@ -8,11 +8,11 @@
 
 import java.time.Duration;
 import java.util.List;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ReplicatedStoreTest {
 
-    @Example
+    @Test
     void pausedReplicaDropsForeignEntriesAndRejectsStaleMessagesFromItsBuffers() {
         ReplicatedStore store = singleReplica("b0", "b1");
         store.put(Duration.ZERO, "mine", bytes("m"));
@@ -33,7 +33,7 @@
                 store.get("b1", "theirs").isEmpty() && store.get("b0", "mine").isPresent());
     }
 
-    @Example
+    @Test
     void messageReadRightAfterALongPauseCountsAsOldAsThePause() {
         StoredEntry entry = StoredEntry.of(new VersionedEntry("b1", "theirs", 1, 1, bytes("t")), Duration.ZERO);
         byte[] message = GossipCodec.encodeEntries(Duration.ZERO, List.of(entry));
@@ -46,7 +46,7 @@
         assertTrue(store.get("b1", "theirs").isPresent(), "what is read a second later has not waited");
     }
 
-    @Example
+    @Test
     void ownTopicsAndBytesAreBounded() {
         ReplicatedStore store = singleReplica("b0");
         assertFalse(store.put(Duration.ZERO, "t", new byte[VersionedEntry.MAX_VALUE_BYTES + 1]));
@@ -72,7 +72,7 @@
         return count;
     }
 
-    @Example
+    @Test
     void numberOfEntriesIsBoundedAndHeldOnesCanStillBeReplaced() {
         ReplicatedStore store = singleReplica("b1");
         assertEquals(EntryTable.MAX_ENTRIES, relayMany(store, bytes("x")));
@@ -81,7 +81,7 @@
                 "a newer version of what is held is accepted all the same");
     }
 
-    @Example
+    @Test
     void totalBytesAreBounded() {
         int count = relayMany(singleReplica("b2"), new byte[VersionedEntry.MAX_VALUE_BYTES]);
         assertTrue(count >= 500 && count <= 512, "8 MiB: " + count);
--- a/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import merlinlever.compatibility.Fixture;
 import merlinlever.fleet.replication.RegisterMessage.Kind;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The bytes of replication messages and of a voter's file are those of the versions before. */
 class ReplicationBytesTest {
@@ -17,7 +17,7 @@
 
     private final Fixture fixture = new Fixture("shared.txt");
 
-    @Example
+    @Test
     void gossipMessages() {
         Duration now = Duration.ofSeconds(10);
         StoredEntry entry =
@@ -52,7 +52,7 @@
                         .ageMs());
     }
 
-    @Example
+    @Test
     void registerMessagesAndTheVotersFile() {
         Map<String, Kind> kinds = Map.of(
                 "prepare",
--- a/src/test/java/merlinlever/fleet/replication/VersionConflictTest.java
+++ b/src/test/java/merlinlever/fleet/replication/VersionConflictTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import merlinlever.fleet.replication.SharedStore.VersionConflict;
 import merlinlever.testing.faults.ReplicationModel;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class VersionConflictTest {
 
@@ -20,7 +20,7 @@
         return new VersionedEntry("site", "table", 4, sequence, bytes(value));
     }
 
-    @Example
+    @Test
     void twoValuesOfOneVersionAreWithheldAndReportedUntilAHigherVersion() {
         ReplicationModel fleet = new ReplicationModel(6, 4, ReplicationFixture.SHORT_RETENTION);
         List<VersionConflict> reported = new ArrayList<>();
--- a/src/test/java/merlinlever/fleet/replication/disk/EntryFileTest.java
+++ b/src/test/java/merlinlever/fleet/replication/disk/EntryFileTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
 import merlinlever.fleet.replication.VersionedEntry;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class EntryFileTest {
 
@@ -20,7 +20,7 @@
                     new VersionedEntry("a", "t", 4, 8, "x".getBytes(StandardCharsets.US_ASCII)),
                     new VersionedEntry("a", "gone", 4, 9, null)));
 
-    @Example
+    @Test
     void corruptOrCopiedFileIsNotTakenAsOwnEntries() {
         byte[] file = EntryFile.encode("a", PERSISTED);
         PersistedEntries decoded = EntryFile.decode("a", file).orElseThrow();
--- a/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
@@ -34,9 +34,9 @@
 import merlinlever.fleet.view.QuorumStatus;
 import merlinlever.testing.faults.FixedFleetView;
 import merlinlever.testing.faults.TestDirectories;
-import net.jqwik.api.Example;
-import net.jqwik.api.lifecycle.AfterTry;
-import net.jqwik.api.lifecycle.BeforeTry;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
 
 /** Three replicas in one process, on real datagrams and disks. */
 class ReplicationTransportTest {
@@ -48,7 +48,7 @@
     private EventLoop loop;
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
 
-    @BeforeTry
+    @BeforeEach
     void startLoop() throws IOException {
         root = Files.createTempDirectory("merlinlever-replication");
         loop = new EventLoop(MonotonicClock.system(), failure -> log.add("failed: " + failure));
@@ -57,7 +57,7 @@
         thread.start();
     }
 
-    @AfterTry
+    @AfterEach
     void stopLoop() throws InterruptedException {
         loop.stop();
         // A write in progress is completed; no new one starts.
@@ -146,7 +146,7 @@
         return new Replica(recovery, transport);
     }
 
-    @Example
+    @Test
     void entriesReachTheOthersOnceOnDiskAndTheLeaderWritesARegister() throws InterruptedException, IOException {
         Replica a = start("a", List.of());
         Replica b = start("b", List.of(onLoop(a::address)));
--- a/src/test/java/merlinlever/fleet/routes/PartsBytesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/PartsBytesTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import merlinlever.compatibility.Fixture;
 import merlinlever.fleet.replication.VersionedEntry;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** A partner's table as the backends share it: deflated, so it is read, and its head alone is compared. */
 class PartsBytesTest {
 
-    @Example
+    @Test
     void aTableIsReadFromItsPart() {
         RouteTable table = RouteTable.of(
                 "s1",
--- a/src/test/java/merlinlever/fleet/routes/PeerTableSyncTest.java
+++ b/src/test/java/merlinlever/fleet/routes/PeerTableSyncTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import merlinlever.fleet.membership.PeerMessage;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class PeerTableSyncTest {
 
@@ -25,7 +25,7 @@
     }
 
     /** However late or often the answer comes; and an answer to an earlier query is ignored. */
-    @Example
+    @Test
     void aLeaseCountsFromTheQuery() {
         RoutingTable tableOfOne = routingTable();
         RoutingTable tableOfOther = routingTable();
--- a/src/test/java/merlinlever/fleet/routes/RouteMergerTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteMergerTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -102,7 +102,7 @@
         }
     }
 
-    @Example
+    @Test
     void customersComeBeforePeersBeforeProvidersThenShortThenCheap() {
         RouteMerger merger = new RouteMerger(new RoutingPolicy("me"));
         merger.replaceTable(
@@ -124,7 +124,7 @@
                         .toList());
     }
 
-    @Example
+    @Test
     void tenThousandWithdrawnAtOnceLeaveNothing() {
         List<Route> many = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
@@ -160,7 +160,7 @@
         assertEquals(before, merger.describe());
     }
 
-    @Example
+    @Test
     void aTableBeyondTheBoundIsRejected() {
         RouteMerger merger = new RouteMerger(new RoutingPolicy("me"));
         List<Route> many = new ArrayList<>();
--- a/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
@@ -16,7 +16,7 @@
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
 import merlinlever.testing.faults.FixedFleetView;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class RouteSelectorTest {
 
@@ -75,7 +75,7 @@
                 .map(RouteSelector.SelectedRoute::address);
     }
 
-    @Example
+    @Test
     void aCallStaysWhileTheLocalServiceIsHealthy() {
         publishes(Relation.PEER, "east", route("east", 1, 10, false, false));
         assertEquals(
@@ -87,7 +87,7 @@
                 .isPresent());
     }
 
-    @Example
+    @Test
     void nonIdempotentCallsLeaveOnlyWhereClassAndRouteAllowIt() {
         publishes(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 10, false, true));
         assertEquals(Optional.empty(), address(call(NON_IDEMPOTENT, "k")));
@@ -102,7 +102,7 @@
                 address(call(new RouteSelector.RoutingClass("t", RouteSelector.RetrySafety.IDEMPOTENT, false), "k")));
     }
 
-    @Example
+    @Test
     void aCallThatMayHaveTakenEffectIsSentAgainOnlyIfIdempotent() {
         publishes(Relation.PEER, "east", route("east", 1, 10, true, false), route("east", 2, 10, true, false));
         RouteSelector.RoutingClass idempotentByKey =
@@ -138,7 +138,7 @@
         return addresses;
     }
 
-    @Example
+    @Test
     void keysAreSpreadByCapacityAndFewMoveWithAChange() {
         publishes(Relation.PEER, "east", route("east", 1, 10, false, false), route("east", 2, 20, false, false));
         publishes(Relation.PEER, "west", route("west", 3, 30, false, false));
@@ -158,7 +158,7 @@
                         assertTrue(after.get(key).equals("10.0.0.3:1") || address.equals(after.get(key)), key));
     }
 
-    @Example
+    @Test
     void aRouteTakesNoMoreThanItsRateAndTheNextBestTheRest() {
         publishes(Relation.PEER, "east", route("east", 1, 10, false, false));
         publishes(Relation.PROVIDER, "far", route("far", 5, 3, false, false));
@@ -184,7 +184,7 @@
         assertEquals(1, eighth.callsPerSecond(NOW, List.of(READS), "records"));
     }
 
-    @Example
+    @Test
     void theLocalServiceBecomesUnreachableSlowAndHealthyAgain() {
         LocalServiceHealth health = new LocalServiceHealth(LocalServiceHealth.HealthSettings.DEFAULTS);
         Duration quick = Duration.ofMillis(5);
--- a/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.fleet.routes.net.RouteTableFiles;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class RouteTableFilesTest {
 
@@ -26,7 +26,7 @@
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000_000L + 1000L * writes++));
     }
 
-    @Example
+    @Test
     void aLeaseCountsFromTheLastPollBeforeTheWrite() throws IOException {
         Path file = Files.createTempFile("merlinlever-routes", ".json");
         try {
--- a/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -50,7 +50,7 @@
                                 "u", "records", "10.1.2.3:1", 1, 0, false, List.of("east"), null, Restrictions.NONE)));
     }
 
-    @Example
+    @Test
     void aWrittenTableIsReadBack() throws RouteTableReader.UnusableTableException {
         RouteTableReader.ParsedTable read = RouteTableReader.read(RouteTableWriter.write(full()));
         assertEquals(full(), read.table());
@@ -58,7 +58,7 @@
     }
 
     /** Whatever is said of restrictions and not understood forbids; so does a route with what is not known. */
-    @Example
+    @Test
     void restrictionsThatAreNotUnderstoodForbidTheRoute() throws RouteTableReader.UnusableTableException {
         for (String bad : List.of(
                 "null",
@@ -104,7 +104,7 @@
                         .size());
     }
 
-    @Example
+    @Test
     void valuesBeyondABoundAreRejected() {
         for (String bad : List.of(
                 "[]",
--- a/src/test/java/merlinlever/fleet/routes/RoutingModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheckTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class RoutingModelCheckTest {
 
@@ -63,7 +63,7 @@
                 down(new RoutingModelCheck(variants, without, withoutExport)));
     }
 
-    @Example
+    @Test
     void everyOrderConvergesAndNothingForbiddenIsSent() {
         int states = 0;
         int completeWalks = 0;
@@ -86,7 +86,7 @@
         assertTrue(states > 10_000, "only " + states + " states");
     }
 
-    @Example
+    @Test
     void aMissingExportRuleIsFound() {
         for (RoutingPolicy.ExportRule rule : RoutingPolicy.ExportRule.values()) {
             assertTrue(
@@ -95,7 +95,7 @@
         }
     }
 
-    @Example
+    @Test
     void routesThatALeakingSiteExportsAreRejected() {
         assertFalse(found(
                 EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 0, ""));
@@ -105,7 +105,7 @@
                 EnumSet.noneOf(RoutingPolicy.ImportRule.class), EnumSet.noneOf(RoutingPolicy.ExportRule.class), 3, ""));
     }
 
-    @Example
+    @Test
     void aMissingImportRuleIsFound() {
         for (RoutingPolicy.ImportRule rule : RoutingPolicy.ImportRule.values()) {
             assertTrue(
--- a/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import merlinlever.fleet.view.QuorumStatus;
 import merlinlever.testing.faults.FixedFleetView;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -77,7 +77,7 @@
                 new Restrictions(new TreeSet<>(List.of("other")), new TreeSet<>(), false, 16, false, false, false));
     }
 
-    @Example
+    @Test
     void aTableIsUsedOnlyWhileItsLeaseIsValid() {
         routes.offer(seconds(0), of(1, route("t", 1, "east")));
         assertEquals(List.of(), costs(0.1), "nobody knows yet whether it stands by it");
@@ -89,7 +89,7 @@
         assertEquals(List.of(), costs(10.11));
     }
 
-    @Example
+    @Test
     void staleRoutesAreUsedLast() {
         publishes(0, of(1, route("t", 1, "east")));
         RouteTable west = table("west", 1, Relation.PEER, route("t", 9, "west"));
@@ -102,7 +102,7 @@
         assertEquals(List.of(9), costs(11));
     }
 
-    @Example
+    @Test
     void lateDuplicateAndOldTablesWidenNothing() {
         RouteTable first = of(1, route("t", 1, "east"));
         RouteTable second = of(2, restricted(route("t", 1, "east")));
@@ -126,7 +126,7 @@
     }
 
     /** The table before them is used until its lease ends, neither is adopted in whatever order they come, and it is logged. */
-    @Example
+    @Test
     void twoTablesUnderOneVersionConflict() {
         RouteTable one = of(2, route("t", 1, "east"), route("t", 2, "east", "x"));
         RouteTable other = of(2, route("t", 1, "east"), route("t", 3, "east", "y", "z"));
@@ -166,7 +166,7 @@
     }
 
     /** A tighter restriction and a withdrawal are adopted; a new route and a looser one wait until there is a quorum again. */
-    @Example
+    @Test
     void withoutQuorumOnlyRestrictionsAreAdopted() {
         publishes(
                 0,
@@ -236,7 +236,7 @@
         }
     }
 
-    @Example
+    @Test
     void flappingRoutesAreSuppressedAsRecommended() {
         FlapDamping damping = new FlapDamping(FlapDamping.FlapDampingSettings.RECOMMENDED);
         for (int i = 0; i < 5; i++) {
@@ -259,7 +259,7 @@
         assertEquals(FlapDamping.MAX_ROUTES, damping.size());
     }
 
-    @Example
+    @Test
     void aFlappingRouteIsNoCandidate() {
         for (int i = 1; i < 16; i++) {
             publishes(
--- a/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
+++ b/src/test/java/merlinlever/fleet/routes/TableChunksTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import merlinlever.fleet.replication.VersionedEntry;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class TableChunksTest {
 
@@ -34,7 +34,7 @@
         return RouteTable.of("east", 1, sequence, Relation.PEER, Duration.ofSeconds(5), many);
     }
 
-    @Example
+    @Test
     void chunksAreAssembledInAnyOrderAndOnlyOnceComplete() {
         RouteTable first = large(1, 0);
         RouteTable second = large(2, 50);
@@ -61,7 +61,7 @@
 
     // One part of the list is picked out by its identity.
     @SuppressWarnings("ReferenceEquality")
-    @Example
+    @Test
     void corruptedOrMixedChunksAreNoTable() {
         List<VersionedEntry> one = TableChunks.split(large(1, 0));
         List<VersionedEntry> other = TableChunks.split(large(2, 50));
--- a/src/test/java/merlinlever/fleet/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/fleet/routes/net/DownstreamFailoverTest.java
@@ -34,7 +34,7 @@
 import merlinlever.testing.faults.FixedFleetView;
 import merlinlever.testing.faults.audit.QuotaAudit;
 import merlinlever.testing.faults.standins.SimulatedRecordsService;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Calls of one backend over real sockets of one process, while its local service is lost in the middle of them. */
 class DownstreamFailoverTest {
@@ -149,7 +149,7 @@
         return outcomesById.values().stream().filter(outcome::equals).count();
     }
 
-    @Example
+    @Test
     void idempotentCallsAreForwardedToPartnersWhenTheLocalServiceIsLost() throws Exception {
         makeCalls(RouteSelector.RetrySafety.IDEMPOTENT);
         assertEquals(CALLS, outcomesById.size());
@@ -167,7 +167,7 @@
         assertEquals(List.of(2L * PARTNER_CAPACITY), partnerCapacities);
     }
 
-    @Example
+    @Test
     void nonIdempotentCallsAreNotForwarded() throws Exception {
         makeCalls(RouteSelector.RetrySafety.NON_IDEMPOTENT);
         assertEquals(0, received(eastAudit) + received(westAudit));
--- a/src/test/java/merlinlever/fleet/view/ActionPermissionsTest.java
+++ b/src/test/java/merlinlever/fleet/view/ActionPermissionsTest.java
@@ -5,11 +5,11 @@
 
 import java.util.List;
 import merlinlever.fleet.view.ActionPermissions.Permission;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ActionPermissionsTest {
 
-    @Example
+    @Test
     void eachActionHasAnAnswerAtEachStatus() {
         for (GuardedAction action : GuardedAction.values()) {
             for (QuorumStatus status : QuorumStatus.values()) {
@@ -18,7 +18,7 @@
         }
     }
 
-    @Example
+    @Test
     void withoutQuorumNothingIsDecidedAndRestrictionsAreStillAdopted() {
         for (QuorumStatus status : List.of(
                 QuorumStatus.MINORITY, QuorumStatus.ISOLATED, QuorumStatus.CONFLICTING, QuorumStatus.RECOVERING)) {
--- a/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
+++ b/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
@@ -12,7 +12,7 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.function.BiPredicate;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class CutDetectorTest {
 
@@ -71,7 +71,7 @@
         }
     }
 
-    @Example
+    @Test
     void oneOrTwoObserversRemoveNobodyAndMostOfThemDo() {
         for (int size : new int[] {5, 9, 40}) {
             CutScenario few = new CutScenario(size, 5);
@@ -93,7 +93,7 @@
         }
     }
 
-    @Example
+    @Test
     void membersThatFailTogetherLeaveInOneChangeThoughTheyAreFoundOneAfterTheOther() {
         CutScenario scenario = new CutScenario(40, 5);
         Set<String> dead = Set.of("b10", "b20", "b30");
@@ -115,7 +115,7 @@
         assertEquals(Optional.of(remaining), first);
     }
 
-    @Example
+    @Test
     void aMemberThatHearsNobodyAccusesAllAndRemovesNobody() {
         CutScenario scenario = new CutScenario(3, 3);
         // b2 finds the two others unreachable, but hears too few voters to be counted; the others hear each other well.
@@ -128,7 +128,7 @@
         }
     }
 
-    @Example
+    @Test
     void reportsOfMembersThatHearTooFewVotersAreNotCounted() {
         CutScenario scenario = new CutScenario(5, 5);
         for (long atMs = 0; atMs < 30_000; atMs += TICK_MS) {
--- a/src/test/java/merlinlever/fleet/view/QuorumStatusHysteresisTest.java
+++ b/src/test/java/merlinlever/fleet/view/QuorumStatusHysteresisTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class QuorumStatusHysteresisTest {
 
-    @Example
+    @Test
     void aWorseStatusIsShownAtOnceAndABetterOneWhenItLasts() {
         QuorumStatusHysteresis hysteresis = new QuorumStatusHysteresis(ms(0), ms(1000));
         int changes = 0;
--- a/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.TreeSet;
 import merlinlever.compatibility.Fixture;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Views as they are sent, whole and as a difference. */
 class ViewBytesTest {
 
-    @Example
+    @Test
     void aViewAndADifference() {
         Fixture fixture = new Fixture("view.txt");
         MembershipView first =
--- a/src/test/java/merlinlever/fleet/view/ViewCodecTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewCodecTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ViewCodecTest {
 
@@ -23,7 +23,7 @@
         return names;
     }
 
-    @Example
+    @Test
     void aViewIsDecodedFromAllMembersOrFromADifferenceWhoseBaseIsHeld() {
         sender.remember(first);
         sender.remember(second);
@@ -35,7 +35,7 @@
         assertTrue(difference.length < sender.encode(second, 0).length);
     }
 
-    @Example
+    @Test
     void aCorruptedPayloadIsNeverDecodedToAnotherView() {
         sender.remember(first);
         sender.remember(second);
@@ -52,7 +52,7 @@
         }
     }
 
-    @Example
+    @Test
     void theDigestDependsOnTheNumber() {
         assertNotEquals(
                 MembershipView.of(1, ViewFixture.names(3)).digest(),
--- a/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
@@ -13,7 +13,7 @@
 import merlinlever.fleet.membership.MemberRecord;
 import merlinlever.fleet.membership.MemberStatus;
 import merlinlever.fleet.membership.MemberTable;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class ViewManagerTest {
 
@@ -43,7 +43,7 @@
         return manager;
     }
 
-    @Example
+    @Test
     void malformedTextsAndPayloadsChangeNothing() {
         SplittableRandom random = new SplittableRandom(7);
         MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
@@ -73,7 +73,7 @@
         assertTrue(json.contains("\"hears\":[]") && json.contains("\"clashes\":0"), json);
     }
 
-    @Example
+    @Test
     void anAnswerToNoPendingPollIsIgnored() {
         MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
         ViewManager manager = managerWithView(view, new SplittableRandom(7));
@@ -85,7 +85,7 @@
         assertTrue(json.contains("\"hears\":[]"), json);
     }
 
-    @Example
+    @Test
     void anOlderViewAndASecondOneUnderTheSameNumberAreNotAdopted() {
         MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
         ViewManager manager = managerWithView(view, new SplittableRandom(7));
@@ -96,7 +96,7 @@
         assertTrue(json.contains("\"clashes\":1"), json);
     }
 
-    @Example
+    @Test
     void aRestartedBackendAdoptsNoViewThatAnEarlierIncarnationMayHaveBeenBeyond() {
         long[] persistedTerm = {4};
         ViewManager manager = manager(1, 4, term -> term <= persistedTerm[0], new SplittableRandom(8));
--- a/src/test/java/merlinlever/policy/PolicyFilesTest.java
+++ b/src/test/java/merlinlever/policy/PolicyFilesTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The operators print the files that the deploy file names: all that decides is found, and within their limits. */
 final class PolicyFilesTest {
@@ -41,7 +41,7 @@
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    @Example
+    @Test
     void deployFileNamesAllFilesThatDecide() throws IOException {
         Set<String> found = new TreeSet<>();
         try (var files = Files.list(PACKAGE)) {
@@ -51,7 +51,7 @@
         assertEquals(found, named());
     }
 
-    @Example
+    @Test
     void namedFilesKeepTheirLimits() throws IOException {
         long lines = 0;
         for (String file : named()) {
@@ -68,7 +68,7 @@
     }
 
     /** Every tuned value is a constant of a file that decides. */
-    @Example
+    @Test
     void otherFilesTuneNothing() throws IOException {
         for (String file : DECIDE_NOTHING) {
             assertFalse(Files.readString(PACKAGE.resolve(file)).contains("static final"), file);
--- a/src/test/java/merlinlever/simulator/WireHostTest.java
+++ b/src/test/java/merlinlever/simulator/WireHostTest.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The adapter on hand-written batches. */
 class WireHostTest {
@@ -34,13 +34,13 @@
         assertEquals(line, errors.toString(StandardCharsets.UTF_8).trim());
     }
 
-    @Example
+    @Test
     void emptyBatchIsAnsweredAndEndOfInputEndsTheHost() throws IOException {
         assertEquals(0, serve("frame now=1.5 n=1\neof_batch\n"));
         assertEquals("ready n=1\n", out.toString(StandardCharsets.UTF_8));
     }
 
-    @Example
+    @Test
     void requestIsRetainedBeforeItRuns() throws IOException {
         assertEquals(
                 0,
@@ -53,7 +53,7 @@
         assertTrue(reply.endsWith("ready n=2\n"));
     }
 
-    @Example
+    @Test
     void restartedInstanceKnowsNothingOfItsPredecessor() throws IOException {
         assertEquals(
                 0,
@@ -64,31 +64,31 @@
         assertTrue(!reply.contains("id=77") && reply.contains("report_health who=backend-1 on=1"), reply);
     }
 
-    @Example
+    @Test
     void malformedInputEndsTheHostWithOneLine() throws IOException {
         assertMalformed("frame now=1.x n=1\neof_batch\n", "wirehost: line 1: not a number: now=1.x");
     }
 
-    @Example
+    @Test
     void eventForAnUnknownInstanceIsMalformed() throws IOException {
         assertMalformed(
                 "frame now=1 n=1\ndrain who=backend-9 not-after=5\neof_batch\n",
                 "wirehost: line 2: no instance backend-9");
     }
 
-    @Example
+    @Test
     void unknownEventIsMalformed() throws IOException {
         assertMalformed(
                 "frame now=1 n=1\n" + ENLIST + "dance who=backend-1\neof_batch\n",
                 "wirehost: line 3: unknown event dance");
     }
 
-    @Example
+    @Test
     void truncatedBatchIsMalformed() throws IOException {
         assertMalformed("frame now=1 n=1\n" + ENLIST, "wirehost: line 3: the input ends within a batch");
     }
 
-    @Example
+    @Test
     void controllerFailureIsReportedOnTheWire() throws IOException {
         assertEquals(0, serve("frame now=1 n=1\n" + ENLIST.trim() + " family-info.class-skip-worth=x\neof_batch\n"));
         assertTrue(out.toString(StandardCharsets.UTF_8).startsWith("die who=backend-1 line="));
--- a/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/AgentFaultsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.testing.faults.script.FaultScript;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * Real host agents of the program, three processes on loopback, with the harness's switch between every two: faults are
@@ -39,7 +39,7 @@
         return breaches;
     }
 
-    @Example
+    @Test
     void aCutOffAgentIsHeldDownByTheOthersWhileItLastsAndAliveAgainAfter() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-faults");
         List<String> log = new ArrayList<>();
@@ -65,7 +65,7 @@
         }
     }
 
-    @Example
+    @Test
     void aKilledAgentIsHeldDeadAndAfterAPowerLossOfAllTheyStartOnWhatTheDiskMayHaveKept() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-faults");
         List<String> log = new ArrayList<>();
@@ -99,7 +99,7 @@
         }
     }
 
-    @Example
+    @Test
     void drawnFaultsFromOneSeedPlayTheSameStepsAndEndInAgreement() throws Exception {
         Map<FaultScript.FaultKind, Integer> kinds = Map.of(
                 FaultScript.FaultKind.PAUSE,
--- a/src/test/java/merlinlever/testing/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/testing/faults/PowerLossTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import merlinlever.testing.faults.audit.RequestAudit;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /**
  * Fleets of five real backends under load lose their power at drawn moments, in every kind that the harness knows, twice
@@ -55,7 +55,7 @@
         return failed;
     }
 
-    @Example
+    @Test
     void twentyPowerLossesOfEveryKindBreakNoRuleAndServiceComesBack() throws Exception {
         // Two fleets at a time: a machine of two cores has to keep up too.
         ExecutorService threads = Executors.newFixedThreadPool(2);
@@ -77,7 +77,7 @@
     }
 
     /** The audit is not blind: backends that keep nothing for their return do run what ran before, and it says which. */
-    @Example
+    @Test
     void withoutWhatIsKeptTheSameLossesHaveEffectsTwice() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-power");
         try (ServeFleet fleet = new ServeFleet(
@@ -99,7 +99,7 @@
         }
     }
 
-    @Example
+    @Test
     void theAuditNamesEachBreach() {
         RequestAudit rules = new RequestAudit();
         rules.launched("t1");
--- a/src/test/java/merlinlever/testing/faults/RoutesModelTest.java
+++ b/src/test/java/merlinlever/testing/faults/RoutesModelTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 import merlinlever.fleet.routes.Relation;
 import merlinlever.fleet.routes.Restrictions;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** The hard cases of routes, in virtual time. */
 class RoutesModelTest {
@@ -44,7 +44,7 @@
         return model.hasWay(model.site(site).nodes.get(node));
     }
 
-    @Example
+    @Test
     void allBackendsOfASiteComeToTheSame() {
         RoutesModel model = model(1);
         model.loss = 0.2;
@@ -57,7 +57,7 @@
         passed(model);
     }
 
-    @Example
+    @Test
     void tightenedWhileHalfIsCutOff() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RoutesModel model = model(seed);
@@ -90,7 +90,7 @@
         }
     }
 
-    @Example
+    @Test
     void aPartnerThatLeaksAnothersTable() {
         // d leaks to b what it has of c over its provider e; b is d's peer.
         RoutesModel model = new RoutesModel(
@@ -120,7 +120,7 @@
         passed(model);
     }
 
-    @Example
+    @Test
     void aCircleOfFourThatReExport() {
         RoutesModel model = new RoutesModel(
                 4,
@@ -148,7 +148,7 @@
         passed(model);
     }
 
-    @Example
+    @Test
     void aPartnerBackWithAnOlderTableAndASilentOne() {
         RoutesModel model = model(5);
         model.run(10_000, 1);
@@ -169,7 +169,7 @@
         passed(model);
     }
 
-    @Example
+    @Test
     void ownServiceLostInTheMiddleOfTwoHundredCalls() {
         for (boolean without : new boolean[] {false, true}) {
             RoutesModel model = model(6);
@@ -189,7 +189,7 @@
     }
 
     /** Whatever asks again: what may have had its effect goes no second way. */
-    @Example
+    @Test
     void noEffectTwiceThoughAnswersAreLost() {
         RoutesModel model = model(7);
         model.run(10_000, 0);
@@ -202,7 +202,7 @@
     }
 
     /** The backend that read the table is killed while its words are on their way. */
-    @Example
+    @Test
     void theReaderKilledWhileATableIsAdopted() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RoutesModel model = model(seed);
@@ -224,7 +224,7 @@
         }
     }
 
-    @Example
+    @Test
     void drawnTroubles() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RoutesModel model = model(seed * 77L + 5);
--- a/src/test/java/merlinlever/testing/faults/ViewFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/ViewFaultsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import merlinlever.testing.faults.audit.ViewConsistencyAudit;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Fleets of five real backends under faults between them, 10 seeds: who is there is one thing for all of them, always. */
 class ViewFaultsTest {
@@ -45,7 +45,7 @@
         return failed;
     }
 
-    @Example
+    @Test
     void underFaultsOneNumberIsOneMembershipAndAllAreWholeAfterThem() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(2);
         try {
@@ -65,7 +65,7 @@
         }
     }
 
-    @Example
+    @Test
     void theAuditNamesEachBreach() {
         ViewConsistencyAudit audit = new ViewConsistencyAudit();
         audit.told(new ViewConsistencyAudit.ReportedView("b-0", 1, "whole", 5, "d", 2));
--- a/src/test/java/merlinlever/testing/faults/ViewModelTest.java
+++ b/src/test/java/merlinlever/testing/faults/ViewModelTest.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import merlinlever.fleet.view.GuardedAction;
 import merlinlever.fleet.view.QuorumStatus;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Fleets of real memberships, terms and views in virtual time, in each hard case. */
 class ViewModelTest {
@@ -46,7 +46,7 @@
         sound(model);
     }
 
-    @Example
+    @Test
     void aDeathAndItsReturnAreOneChangeEach() {
         for (int n : new int[] {3, 5, 9, 24}) {
             ViewModel model = fleet(n, n, Math.min(5, n));
@@ -63,7 +63,7 @@
         }
     }
 
-    @Example
+    @Test
     void halvesOfThreeAndFive() {
         ViewModel three = fleet(31, 3, 3);
         three.sides(0, 0, 1);
@@ -89,7 +89,7 @@
         assertEquals(QuorumStatus.FULL, three.nodes[0].standing());
     }
 
-    @Example
+    @Test
     void threeAndTwoWithOneThatBothReach() {
         for (int seed = 0; seed < 4; seed++) {
             ViewModel model = fleet(seed, 5, 5);
@@ -109,7 +109,7 @@
         }
     }
 
-    @Example
+    @Test
     void oneWayLinksAndSlowOnesAndLossAreNoDeath() {
         ViewModel model = fleet(41, 7, 5);
         long since = model.highest();
@@ -136,7 +136,7 @@
         sound(model);
     }
 
-    @Example
+    @Test
     void stoodStillForHalfAMinuteAndBack() {
         for (boolean still : new boolean[] {false, true}) {
             ViewModel model = fleet(51, 5, 5);
@@ -156,7 +156,7 @@
         }
     }
 
-    @Example
+    @Test
     void aFlapEachSecondIsNoChangeAndASlowOneIsDamped() {
         ViewModel model = fleet(61, 5, 5);
         long since = model.highest();
@@ -174,7 +174,7 @@
         sound(model);
     }
 
-    @Example
+    @Test
     void aQuickRestartIsNoChangeAndNumbersStillGoForward() {
         ViewModel model = fleet(71, 5, 5);
         long since = model.highest();
@@ -196,7 +196,7 @@
         sound(model);
     }
 
-    @Example
+    @Test
     void twoUnderOneNameAreToldAndTakeNobodyAlong() {
         ViewModel model = new ViewModel(81, 6, 5, false);
         for (int i = 0; i < 5; i++) {
@@ -220,7 +220,7 @@
         sound(model);
     }
 
-    @Example
+    @Test
     void fiftyThatJoinInTwoSecondsAreTwoChangesAtTheMost() {
         ViewModel model = new ViewModel(91, 55, 5, false);
         for (int i = 0; i < 5; i++) {
@@ -239,7 +239,7 @@
         sound(model);
     }
 
-    @Example
+    @Test
     void underAnyTroubleOfOneNumberThereIsOneMembershipAndAllAgreeInTheEnd() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
--- a/src/test/java/merlinlever/testing/faults/audit/IncarnationAuditTest.java
+++ b/src/test/java/merlinlever/testing/faults/audit/IncarnationAuditTest.java
@@ -8,7 +8,7 @@
 import merlinlever.fleet.membership.MemberStatus;
 import merlinlever.fleet.membership.MembershipMessage;
 import merlinlever.fleet.membership.MessageKind;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class IncarnationAuditTest {
 
@@ -27,7 +27,7 @@
         audit.sent("b-0", to, telling("b-0", "b-0", incarnation));
     }
 
-    @Example
+    @Test
     void livesThatRiseAboveAllThatWasToldBreakNothing() {
         audit.began("b-0");
         tells("b-1", 1);
@@ -48,7 +48,7 @@
         assertArrayEquals(new long[] {7, 0, 4}, audit.counts());
     }
 
-    @Example
+    @Test
     void aPlantedRepeatAndEveryOtherBreachIsFound() {
         audit.began("b-0");
         tells("b-1", 7);
--- a/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
+++ b/src/test/java/merlinlever/testing/faults/disk/CrashStatesTest.java
@@ -19,7 +19,7 @@
 import merlinlever.common.storage.RecordingStateDirectory;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.testing.faults.TestDirectories;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class CrashStatesTest {
 
@@ -43,7 +43,7 @@
                                                 .equals(file.getValue())));
     }
 
-    @Example
+    @Test
     void whatWasNotForcedMayBeLostTornOrReordered() throws CrashStates.MalformedRecordingException {
         String record = "had a " + b64("old") + "\nopen b\nwrite b 0 " + b64("one") + "\nwrite b 3 " + b64("two")
                 + "\nforce b\nwrite b 6 " + b64("three") + "\nwrite b 11 " + b64("four") + "\n";
@@ -73,7 +73,7 @@
                         .count());
     }
 
-    @Example
+    @Test
     void aRenameReturnsForcedAndADeleteNeedsTheFolderForced() throws CrashStates.MalformedRecordingException {
         String record = "had x " + b64("1") + "\nopen x.new\nwrite x.new 0 " + b64("2")
                 + "\nforce x.new\nrename x.new x\n" + "delete x\n";
@@ -89,7 +89,7 @@
         assertTrue(holds(last, 6, Map.of()) && holds(last, 6, Map.of("x", "2")), "the delete may or may not be there");
     }
 
-    @Example
+    @Test
     void aLineThatIsNotTheSeamsIsToldWithItsNumber() {
         assertEquals(
                 "line 2: 'scribble' is none of folder, had, open, write, force, truncate, rename, delete, sync",
@@ -105,7 +105,7 @@
      * The agent's ledger after every state that a power loss may leave of a day of notes: it opens, and each instance is
      * as it was last noted before the cut, or as the note then under way says; never older, never spoilt.
      */
-    @Example
+    @Test
     void theLedgerBelievesNothingThatWasNotForcedAndLosesNothingThatWas() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-crash");
         try {
@@ -165,7 +165,7 @@
         return true;
     }
 
-    @Example
+    @Test
     void aStateLaidIsReadBackAsItWas() throws Exception {
         Path folder = Files.createTempDirectory("merlinlever-lay");
         try {
@@ -181,7 +181,7 @@
     }
 
     /** A process killed while it tells what it found has touched nothing: what stood before stands. */
-    @Example
+    @Test
     void aStartThatWasCutOffWhileItToldWhatWasThereEmptiesNothing() throws Exception {
         String before = "folder f 0\nopen a\nwrite a 0 eA==\nforce a\nsync\n";
         for (String cutOff : List.of("folder f 2\n", "folder f 2\nhad a eA==\n", "folder f 2\nhad a eA==\nhad b e")) {
--- a/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -47,7 +47,7 @@
         }
     }
 
-    @Example
+    @Test
     void aPartitionCutsBetweenSidesAloneAndHealingUndoesIt() {
         SplittableRandom chance = new SplittableRandom(1);
         LinkFaults links = new LinkFaults(4);
@@ -66,7 +66,7 @@
         assertTrue(links.resets(1, 0) > before && links.resets(0, 1) > before);
     }
 
-    @Example
+    @Test
     void lossAndCopiesComeAtTheirShare() {
         SplittableRandom chance = new SplittableRandom(7);
         LinkFaults links = new LinkFaults(2);
--- a/src/test/java/merlinlever/testing/faults/process/PortAllocatorTest.java
+++ b/src/test/java/merlinlever/testing/faults/process/PortAllocatorTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Two processes that ask at once, from the same place on, as two forks of the tests may. */
 class PortAllocatorTest {
@@ -32,7 +32,7 @@
         }
     }
 
-    @Example
+    @Test
     void noPortIsGivenOutTwiceNotToAnotherProcessEither() throws Exception {
         int each = 40;
         List<Process> takers = new ArrayList<>();
--- a/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
@@ -13,7 +13,7 @@
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.ConfigSchema;
 import merlinlever.common.config.InvalidConfigFileException;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -73,7 +73,7 @@
         assertEquals(count, undoing, "each drawn fault is undone");
     }
 
-    @Example
+    @Test
     void aScriptIsReadWithItsDrawnStepsAndAFaultyOneIsToldByLine() throws Exception {
         Path file = Files.createTempFile("faults", ".yaml");
         try {
--- a/src/test/java/merlinlever/testing/faults/timeline/LogTimelineTest.java
+++ b/src/test/java/merlinlever/testing/faults/timeline/LogTimelineTest.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 import merlinlever.testing.faults.TestDirectories;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class LogTimelineTest {
 
-    @Example
+    @Test
     void whatTheHarnessDidAndWhatTheProcessesLoggedAreOneTimeline() throws Exception {
         Path root = Files.createTempDirectory("merlinlever-logs");
         try {
--- a/src/test/java/merlinlever/testing/faults/timeline/ScenariosTest.java
+++ b/src/test/java/merlinlever/testing/faults/timeline/ScenariosTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 /** Every play is drawn as it was when somebody looked at it; {@code -Dmerlinlever.renew=true} writes what is drawn now. */
 class ScenariosTest {
@@ -33,7 +33,7 @@
         return null;
     }
 
-    @Example
+    @Test
     void everyPlayIsDrawnAsItWas() throws IOException {
         List<String> different = new ArrayList<>();
         for (var each : Scenarios.all().entrySet()) {
@@ -59,7 +59,7 @@
         }
     }
 
-    @Example
+    @Test
     void thereIsNoFileWithoutItsPlay() throws IOException {
         if (RENEW) {
             // They may not be written yet.
@@ -73,7 +73,7 @@
         }
     }
 
-    @Example
+    @Test
     void theFirstRowThatDiffersIsTold() {
         assertEquals(null, differs("a", "x\ny\n", "x\ny\n"));
         assertEquals(
--- a/src/test/java/merlinlever/testing/faults/timeline/TimelineRendererTest.java
+++ b/src/test/java/merlinlever/testing/faults/timeline/TimelineRendererTest.java
@@ -6,7 +6,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import net.jqwik.api.Example;
+import org.junit.jupiter.api.Test;
 
 class TimelineRendererTest {
 
@@ -20,7 +20,7 @@
         return lines.subList(4, lines.size() - 3);
     }
 
-    @Example
+    @Test
     void aSmallOneIsDrawnSo() {
         Timeline timeline = new Timeline("One asks, the other is killed", List.of("b1", "b2", "b3"));
         timeline.add(ms(0), "b1", "> b2: ask");
@@ -54,7 +54,7 @@
                 TimelineRenderer.draw(timeline));
     }
 
-    @Example
+    @Test
     void repeatsAreFoldedUntilSomethingTurnsInTheirColumn() {
         Timeline timeline = new Timeline("", List.of("b1", "b2"));
         for (int i = 0; i < 4; i++) {
@@ -74,7 +74,7 @@
         assertTrue(rows.get(8).startsWith("    800 | > b2: ask  "), rows.get(8));
     }
 
-    @Example
+    @Test
     void upToFiveNodesAreNoWiderThanATerminalAndSevenAreAllThere() {
         for (int nodes = 1; nodes <= 7; nodes++) {
             List<String> names = java.util.stream.IntStream.range(0, nodes)
@@ -101,7 +101,7 @@
         }
     }
 
-    @Example
+    @Test
     void eventsComeInTheOrderOfTimeAndAreBounded() {
         Timeline timeline = new Timeline("", List.of("b1"));
         timeline.add(ms(20), "b1", "* second");
