--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -14,7 +14,7 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.StateDirectories;
 import merlinlever.controller.settings.SettingsTranslator;
-import merlinlever.fleet.membership.MembershipTransport;
+import merlinlever.fleet.membership.net.MembershipTransport;
 import merlinlever.fleet.recovery.RecoverySettings;
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
--- a/src/main/java/merlinlever/cli/dns/ZoneCommands.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneCommands.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import merlinlever.cli.ServiceCommand;
+import merlinlever.cli.service.ServiceCommand;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.ConfigSchema;
 import merlinlever.common.config.InvalidConfigFileException;
--- a/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import merlinlever.cli.ServiceRunner;
+import merlinlever.cli.service.ServiceRunner;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.common.net.DatagramEndpoint;
--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Executors;
 import merlinlever.backend.management.ManagementServer;
 import merlinlever.backend.management.StatusReport;
-import merlinlever.cli.ServiceRunner;
+import merlinlever.cli.service.ServiceRunner;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.common.net.EventLoop;
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import merlinlever.cli.ServiceRunner;
+import merlinlever.cli.service.ServiceRunner;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.common.net.EventLoop;
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -1,6 +1,6 @@
 package merlinlever.cli.fleet;
 
-import merlinlever.cli.ServiceCommand;
+import merlinlever.cli.service.ServiceCommand;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.ConfigSchema;
 import merlinlever.common.config.InvalidConfigFileException;
--- a/src/main/java/merlinlever/cli/LoggingSetup.java
+++ b/src/main/java/merlinlever/cli/service/LoggingSetup.java
@@ -1,4 +1,4 @@
-package merlinlever.cli;
+package merlinlever.cli.service;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
--- a/src/main/java/merlinlever/cli/ServiceCommand.java
+++ b/src/main/java/merlinlever/cli/service/ServiceCommand.java
@@ -1,4 +1,4 @@
-package merlinlever.cli;
+package merlinlever.cli.service;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
--- a/src/main/java/merlinlever/cli/ServiceRunner.java
+++ b/src/main/java/merlinlever/cli/service/ServiceRunner.java
@@ -1,4 +1,4 @@
-package merlinlever.cli;
+package merlinlever.cli.service;
 
 import java.util.concurrent.CountDownLatch;
 import merlinlever.common.net.EventLoop;
--- a/src/main/java/merlinlever/fleet/membership/MembershipTransport.java
+++ b/src/main/java/merlinlever/fleet/membership/net/MembershipTransport.java
@@ -1,4 +1,4 @@
-package merlinlever.fleet.membership;
+package merlinlever.fleet.membership.net;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -8,6 +8,11 @@
 import java.util.function.LongPredicate;
 import merlinlever.common.net.DatagramEndpoint;
 import merlinlever.common.net.EventLoop;
+import merlinlever.fleet.membership.MemberTable;
+import merlinlever.fleet.membership.MembershipCodec;
+import merlinlever.fleet.membership.MembershipMessage;
+import merlinlever.fleet.membership.OutboundDatagram;
+import merlinlever.fleet.membership.SwimProtocol;
 
 /** Runs one member's {@link SwimProtocol} on the event loop and UDP datagrams. On the loop's thread only. */
 public final class MembershipTransport {
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -10,8 +10,8 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.fleet.membership.MemberRecord;
 import merlinlever.fleet.membership.MemberStatus;
-import merlinlever.fleet.membership.MembershipTransport;
 import merlinlever.fleet.membership.SwimProtocol;
+import merlinlever.fleet.membership.net.MembershipTransport;
 
 /**
  * What the other agents tell of their instances, asked for when somebody wants to know, and kept with its age for when they
--- a/src/main/java/merlinlever/testing/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/testing/faults/ExperimentModel.java
@@ -29,6 +29,7 @@
 import merlinlever.fleet.replication.WriteOnceRegisters;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 
 /**
  * A fleet of backends with one experiment, on simulated network and clocks, in steps of 20 ms. Replication and leader election are the
--- a/src/main/java/merlinlever/testing/faults/FixedFleetView.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/FixedFleetView.java
@@ -1,4 +1,4 @@
-package merlinlever.testing.faults;
+package merlinlever.testing.faults.timeline;
 
 import java.time.Duration;
 import java.util.function.Function;
--- a/src/main/java/merlinlever/testing/faults/timeline/RoutesNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/RoutesNode.java
@@ -15,7 +15,6 @@
 import merlinlever.fleet.routes.RoutingPolicy;
 import merlinlever.fleet.routes.RoutingTable;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
 
 /**
  * A site of one backend in a play: each second it asks each partner what that stands by, and uses it for a lease from its
--- a/src/test/java/merlinlever/backend/agent/AgentEventTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentEventTest.java
@@ -14,10 +14,10 @@
 import java.util.Optional;
 import merlinlever.common.json.Json;
 import merlinlever.controller.Outcome;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
 
 class AgentEventTest {
 
--- a/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
@@ -19,9 +19,9 @@
 import merlinlever.backend.agent.AgentLinkFixture.FakeAgent;
 import merlinlever.common.net.ManualClockLoop;
 import merlinlever.common.net.RecordingPeer;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 /** Events on two connections to the agent, in many orders, and in one that needs a single batch of the loop. */
 class AgentLinkOrderingTest {
--- a/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import merlinlever.backend.agent.AgentLinkFixture.FakeAgent;
 import merlinlever.common.net.ManualClockLoop;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
 
 /** Races on the connections to the agent, over sockets; time advances only where a test advances it. */
 class AgentLinkRaceTest {
--- a/src/test/java/merlinlever/backend/http/RequestHeadTest.java
+++ b/src/test/java/merlinlever/backend/http/RequestHeadTest.java
@@ -5,9 +5,9 @@
 
 import java.nio.charset.StandardCharsets;
 import merlinlever.backend.http.RequestHead.HeaderField;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 /** Valid and malformed heads. */
 class RequestHeadTest {
--- a/src/test/java/merlinlever/backend/records/RecordsReplyTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyTest.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import merlinlever.common.net.CloseReason;
 import merlinlever.controller.Outcome;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 class RecordsReplyTest {
 
--- a/src/test/java/merlinlever/ci/KnownRedTest.java
+++ b/src/test/java/merlinlever/ci/KnownRedTest.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import merlinlever.testing.faults.TestDirectories;
+import net.jqwik.api.lifecycle.AfterTry;
+import net.jqwik.api.lifecycle.BeforeTry;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import net.jqwik.api.lifecycle.AfterTry;
-import net.jqwik.api.lifecycle.BeforeTry;
 
 /** CI passes over the tests that KNOWN-RED.txt lists, and over nothing else. Maven is a script here that notes how it is called. */
 class KnownRedTest {
--- a/src/test/java/merlinlever/common/json/JsonTest.java
+++ b/src/test/java/merlinlever/common/json/JsonTest.java
@@ -6,9 +6,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 /** The reader of JSON, and the writer of its strings. */
 class JsonTest {
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentCountsTest.java
@@ -14,10 +14,10 @@
 import merlinlever.fleet.experiments.ExperimentCounts.CountedRequest;
 import merlinlever.fleet.experiments.ExperimentCounts.RequestResult;
 import merlinlever.fleet.replication.VersionedEntry;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
 
 class ExperimentCountsTest {
 
--- a/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
 import merlinlever.testing.faults.QuotaModel;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 import org.junit.jupiter.api.Test;
 
 class QuotaCoordinatorTest {
--- a/src/test/java/merlinlever/fleet/recovery/RecoverySequenceTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/RecoverySequenceTest.java
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
+import org.junit.jupiter.api.Test;
 
 class RecoverySequenceTest {
 
--- a/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/disk/RecoveryFileTest.java
@@ -21,10 +21,10 @@
 import merlinlever.testing.faults.TestDirectories;
 import merlinlever.testing.faults.disk.CrashStates;
 import merlinlever.testing.faults.disk.StateRestorer;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
 
 class RecoveryFileTest {
 
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -27,7 +27,7 @@
 import merlinlever.common.storage.StateDirectory;
 import merlinlever.fleet.membership.MemberTable;
 import merlinlever.fleet.membership.MembershipCodec;
-import merlinlever.fleet.membership.MembershipTransport;
+import merlinlever.fleet.membership.net.MembershipTransport;
 import merlinlever.fleet.recovery.PersistedState;
 import merlinlever.fleet.recovery.RecoverySettings;
 import merlinlever.fleet.recovery.RecoveryStage;
@@ -37,9 +37,9 @@
 import merlinlever.testing.faults.link.LinkFaults;
 import merlinlever.testing.faults.link.UdpSwitch;
 import merlinlever.testing.faults.process.PortAllocator;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** Processes that recover, on real datagrams and real disks within one process; a disk may hang or fail. */
 class RecoveryCoordinatorTest {
--- a/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
@@ -10,7 +10,7 @@
 import merlinlever.fleet.election.Leadership;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 
 /** Paxos nodes on a simulated network with simulated disks, in steps of 20 ms; the test says who leads. */
 final class PaxosFleet {
--- a/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
+++ b/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 /** The file of a voter's registers, and the messages about them. */
 class RegisterCodecTest {
--- a/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
@@ -32,11 +32,11 @@
 import merlinlever.fleet.replication.disk.EntryFile;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
 import merlinlever.testing.faults.TestDirectories;
-import org.junit.jupiter.api.Test;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** Three replicas in one process, on real datagrams and disks. */
 class ReplicationTransportTest {
--- a/src/test/java/merlinlever/fleet/routes/RouteMergerTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteMergerTest.java
@@ -11,9 +11,9 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 class RouteMergerTest {
 
--- a/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteSelectorTest.java
@@ -15,7 +15,7 @@
 import merlinlever.controller.Outcome;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 import org.junit.jupiter.api.Test;
 
 class RouteSelectorTest {
--- a/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
 
 class RouteTableReaderTest {
 
--- a/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
@@ -12,10 +12,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
-import org.junit.jupiter.api.Test;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
 
 /** Which of a partner's routes are used, and for how long. */
 class RoutingTableTest {
--- a/src/test/java/merlinlever/fleet/routes/net/DownstreamFailoverTest.java
+++ b/src/test/java/merlinlever/fleet/routes/net/DownstreamFailoverTest.java
@@ -31,9 +31,9 @@
 import merlinlever.fleet.routes.RoutingTable;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.QuorumStatus;
-import merlinlever.testing.faults.FixedFleetView;
 import merlinlever.testing.faults.audit.QuotaAudit;
 import merlinlever.testing.faults.standins.SimulatedRecordsService;
+import merlinlever.testing.faults.timeline.FixedFleetView;
 import org.junit.jupiter.api.Test;
 
 /** Calls of one backend over real sockets of one process, while its local service is lost in the middle of them. */
--- a/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
 
 class LinkFaultsTest {
 
--- a/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
+++ b/src/test/java/merlinlever/testing/faults/script/FaultScriptTest.java
@@ -13,10 +13,10 @@
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.ConfigSchema;
 import merlinlever.common.config.InvalidConfigFileException;
-import org.junit.jupiter.api.Test;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
 
 class FaultScriptTest {
 
