--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import merlinlever.backend.Backend;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.StateDirectories;
 import merlinlever.controller.QuotaDemand;
@@ -48,7 +48,7 @@
             RecoveryCoordinator recovery,
             Backend backend,
             long seed,
-            Consumer<String> log)
+            EventLog log)
             throws InvalidConfigurationException, IOException {
         this.loop = loop;
         this.backend = backend;
@@ -91,7 +91,7 @@
             ElectionTransport election,
             long incarnation,
             long seed,
-            Consumer<String> log) {
+            EventLog log) {
         QuotaCoordinator coordinator = new QuotaCoordinator(
                 loop.clock().uptime(),
                 recovery.membership().memberTable().self(),
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.function.Consumer;
 import merlinlever.backend.Backend;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.log.Log;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.StateDirectories;
@@ -66,7 +66,7 @@
                     "with recovery the configuration's name has 1 to 40 printable characters");
         }
         RecoverySettings settings = settings(values, configuration.settings());
-        Consumer<String> recoveryLog = line -> log.info("recovery: " + line);
+        EventLog recoveryLog = log.withPrefix("recovery: ");
         coordinator = new RecoveryCoordinator(
                 loop,
                 StateDirectories.open(Path.of(values.text(PREFIX + "state", "")), System.getenv()),
--- a/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import merlinlever.cli.service.ServiceRunner;
+import merlinlever.cli.service.Slf4jEventLog;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.common.net.DatagramEndpoint;
@@ -74,7 +75,7 @@
         try {
             loop = new EventLoop(clock, failure -> LOG.error("event-loop-task-failed", failure));
             client = new DnsClient(loop, random.split(), () -> System.currentTimeMillis() / 1000);
-            Follower follower = new Follower(clock.now(), settings, random.split(), LOG::info);
+            Follower follower = new Follower(clock.now(), settings, random.split(), new Slf4jEventLog(LOG));
             if (UpdateMessages.message(zone, List.of(), follower.largest(), key) == null) {
                 throw config.invalidValue(
                         "instances", records.size() + " records do not fit one update of 65,535 octets");
--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -16,6 +16,7 @@
 import merlinlever.backend.management.ManagementServer;
 import merlinlever.backend.management.StatusReport;
 import merlinlever.cli.service.ServiceRunner;
+import merlinlever.cli.service.Slf4jEventLog;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.common.net.EventLoop;
@@ -95,7 +96,7 @@
                             !config.text("queries-decided", "true").equals("false"),
                             ZoneConfigParser.seed(config)),
                     ZoneServerProcess::unixSeconds,
-                    LOG::info,
+                    new Slf4jEventLog(LOG),
                     metrics);
             serverAddress = server.address();
             notifySender = new NotifySender(loop, ZoneConfigParser.seed(config));
@@ -189,7 +190,7 @@
                 journalThread,
                 snapshotThread,
                 loop,
-                LOG::warn,
+                event -> LOG.warn(event.text()),
                 (int) config.number("snapshot-after", DEFAULT_SNAPSHOT_AFTER),
                 RequestProcessor.REPLAY_WINDOW_SECONDS);
         stores.add(store);
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -9,6 +9,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.cli.service.ServiceRunner;
+import merlinlever.cli.service.Slf4jEventLog;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
 import merlinlever.common.net.EventLoop;
@@ -80,7 +81,7 @@
                     supervisorSettings(config),
                     config.duration("spread", DEFAULT_LAUNCH_SPREAD),
                     new SplittableRandom(seed),
-                    LOG::info);
+                    new Slf4jEventLog(LOG));
             server = new HostApiServer(
                     loop,
                     address(config, "listen"),
@@ -91,7 +92,7 @@
                     secret,
                     grace(),
                     seed,
-                    LOG::info);
+                    new Slf4jEventLog(LOG));
             serverAddress = server.address();
         } catch (InstanceLedger.CorruptLedgerException e) {
             throw new InvalidConfigFileException(e.getMessage(), e);
@@ -148,7 +149,7 @@
                 seed,
                 System::currentTimeMillis,
                 RecoveringService.NONE,
-                line -> LOG.info("{}", line));
+                new Slf4jEventLog(LOG));
     }
 
     private static InetSocketAddress address(ConfigFile config, String path) throws InvalidConfigFileException {
--- a/src/main/java/merlinlever/common/log/Log.java
+++ b/src/main/java/merlinlever/common/log/Log.java
@@ -10,7 +10,7 @@
  * {@value #MAX_LINES_PER_SECOND} lines are written per second; how many were dropped is logged in the next.
  * Thread-safe.
  */
-public final class Log {
+public final class Log implements EventLog {
 
     private static final int MAX_LINES_PER_SECOND = 20;
     private static final int MAX_EVENT_CHARS = 500;
@@ -31,28 +31,27 @@
 
     /** Something that an operator may want to know. */
     public void info(String event) {
-        write("INFO", event);
+        write(LogEvent.info(event));
     }
 
     /** Something that an operator should look at, while the program goes on as it is meant to. */
     public void warn(String event) {
-        write("WARN", event);
+        write(LogEvent.warn(event));
     }
 
     /** A fault of the program itself; the line ends with the exception and the place where it was thrown. */
     public void error(String event, Throwable cause) {
-        StackTraceElement[] trace = cause.getStackTrace();
-        String at = trace.length > 0 ? " at=" + trace[0] : "";
-        write("ERROR", event + " error=\"" + cause + "\"" + at);
+        write(LogEvent.error(event, cause));
     }
 
-    private synchronized void write(String level, String event) {
+    @Override
+    public synchronized void write(LogEvent event) {
         Instant now = time.get();
         if (now.getEpochSecond() != currentSecond) {
             currentSecond = now.getEpochSecond();
             writtenThisSecond = 0;
             if (dropped > 0) {
-                print(now, "WARN", "log-lines-dropped count=" + dropped);
+                print(now, LogEvent.warn("log-lines-dropped").with("count", dropped));
                 dropped = 0;
             }
         }
@@ -61,17 +60,18 @@
             return;
         }
         writtenThisSecond++;
-        print(now, level, event);
+        print(now, event);
     }
 
-    private void print(Instant now, String level, String event) {
-        StringBuilder line = new StringBuilder(event.length() + PREFIX_CHARS);
+    private void print(Instant now, LogEvent event) {
+        String text = event.text();
+        StringBuilder line = new StringBuilder(text.length() + PREFIX_CHARS);
         line.append(now.truncatedTo(ChronoUnit.MILLIS))
                 .append(' ')
-                .append(level)
+                .append(event.level())
                 .append(' ');
-        for (int i = 0; i < event.length() && i < MAX_EVENT_CHARS; i++) {
-            line.append(event.charAt(i) < ' ' ? ' ' : event.charAt(i));
+        for (int i = 0; i < text.length() && i < MAX_EVENT_CHARS; i++) {
+            line.append(text.charAt(i) < ' ' ? ' ' : text.charAt(i));
         }
         out.println(line);
         out.flush();
--- a/src/main/java/merlinlever/dns/follow/Follower.java
+++ b/src/main/java/merlinlever/dns/follow/Follower.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.dns.record.DomainNames;
 import merlinlever.dns.record.RecordTypes;
 import merlinlever.dns.record.ResourceRecord;
@@ -154,7 +154,7 @@
     private final byte[] claimName;
     private final InstanceTracker fleet;
     private final SplittableRandom chance;
-    private final Consumer<String> log;
+    private final EventLog log;
     private Step inHand;
     private int server;
     private Duration nextAt, readAgainAt = Duration.ZERO;
@@ -177,7 +177,7 @@
     private Duration tokensAt = Duration.ZERO;
     private String mode = "";
 
-    public Follower(Duration now, FollowerSettings stated, SplittableRandom chance, Consumer<String> log) {
+    public Follower(Duration now, FollowerSettings stated, SplittableRandom chance, EventLog log) {
         this.stated = stated;
         this.chance = chance;
         this.log = log;
@@ -236,7 +236,7 @@
     private void failed(Duration now, String how, boolean nextServer) {
         if (!how.equals(lastFailure)) {
             lastFailure = how;
-            log.accept("server " + server + " " + how);
+            log.line("server " + server + " " + how);
         }
         if (nextServer) {
             server = (server + 1) % stated.servers;
@@ -250,7 +250,7 @@
 
     private void well() {
         if (failures > 0) {
-            log.accept("server " + server + " answers again");
+            log.line("server " + server + " answers again");
         }
         failures = 0;
         lastFailure = "";
@@ -259,7 +259,7 @@
     private void seen(Duration now, ObservedRecords seen) {
         well();
         if (lastSerial >= 0 && SerialNumbers.after(lastSerial, seen.serial())) {
-            log.accept("server " + server + " went back from serial " + lastSerial + " to " + seen.serial()
+            log.line("server " + server + " went back from serial " + lastSerial + " to " + seen.serial()
                     + "; going on from what it says");
         }
         lastSerial = seen.serial();
@@ -312,7 +312,7 @@
     private void mode(String to, Supplier<String> line) {
         if (!to.equals(mode)) {
             mode = to;
-            log.accept(line.get());
+            log.line(line.get());
         }
     }
 
@@ -365,8 +365,7 @@
             return null;
         }
         if (taking && claim != null) {
-            log.accept(
-                    stated.holder + " keeps " + DomainNames.text(stated.name) + " from here on, term " + mine.term());
+            log.line(stated.holder + " keeps " + DomainNames.text(stated.name) + " from here on, term " + mine.term());
         }
         return new WriteStep(server, prerequisites(claim), changes(mine, wanted), mine, wanted);
     }
--- a/src/main/java/merlinlever/dns/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/dns/journal/ZoneStore.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.storage.StateDirectory;
 import merlinlever.dns.record.DomainNames;
 import merlinlever.dns.record.ResourceRecord;
@@ -46,7 +47,7 @@
     private final Executor disk;
     private final Executor snapshots;
     private final Executor callerThread;
-    private final Consumer<String> faultLog;
+    private final EventLog faultLog;
     private final int snapshotAfter;
     /** How long marks are wanted, in seconds. */
     private final long replayWindowSeconds;
@@ -78,7 +79,7 @@
             Executor disk,
             Executor snapshots,
             Executor callerThread,
-            Consumer<String> faultLog,
+            EventLog faultLog,
             int snapshotAfter,
             long replayWindowSeconds) {
         this.folder = folder;
@@ -279,7 +280,7 @@
         writing = false;
         if (failure != null) {
             if (!failed) {
-                faultLog.accept("updates of " + name + " are turned away: the journal cannot be written: "
+                faultLog.line("updates of " + name + " are turned away: the journal cannot be written: "
                         + failure.getMessage());
             }
             failed = true;
@@ -289,7 +290,7 @@
             behind.forEach(each -> each.done.accept(false));
         } else {
             if (failed) {
-                faultLog.accept("the journal of " + name + " can be written again");
+                faultLog.line("the journal of " + name + " can be written again");
             }
             failed = false;
             for (PendingUpdate each : batch) {
@@ -373,7 +374,7 @@
     private void snapshotFinished(IOException failure) {
         snapshotting = false;
         if (failure != null) {
-            faultLog.accept("no snapshot of " + name + ": " + failure.getMessage() + "; its journals are kept");
+            faultLog.line("no snapshot of " + name + ": " + failure.getMessage() + "; its journals are kept");
         }
     }
 
--- a/src/main/java/merlinlever/dns/server/DnsServer.java
+++ b/src/main/java/merlinlever/dns/server/DnsServer.java
@@ -9,6 +9,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.ConnectionAcceptor;
 import merlinlever.common.net.DatagramEndpoint;
@@ -39,7 +40,7 @@
             Tsig.TsigKeyRing keys,
             RequestProcessor.ProcessorSettings stated,
             LongSupplier unix,
-            Consumer<String> log,
+            EventLog log,
             ZoneServerMetrics counts)
             throws IOException {
         this.loop = loop;
--- a/src/main/java/merlinlever/dns/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
@@ -54,7 +55,7 @@
     private final ResponseBuilder responses;
     private final ControllerDriver<PendingMessage> conductor;
     private final boolean queriesDecided;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final Consumer<Duration> alarm;
     private final ZoneServerMetrics metrics;
     private final Map<Object, PendingMessage> pendingByReplayKey = new HashMap<>();
@@ -85,7 +86,7 @@
             Tsig.TsigKeyRing keys,
             ProcessorSettings stated,
             LongSupplier unix,
-            Consumer<String> log,
+            EventLog log,
             Consumer<Duration> alarm,
             ZoneServerMetrics metrics) {
         served.forEach(zone -> zones.put(new ByteArrayKey(zone.origin()), zone));
@@ -597,7 +598,7 @@
 
     @Override
     public void log(ControllerEvent event) {
-        log.accept(event.logLine());
+        log.line(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/fleet/election/LeaderElection.java
+++ b/src/main/java/merlinlever/fleet/election/LeaderElection.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.LongPredicate;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.membership.PeerMessage;
 
 /**
@@ -33,7 +33,7 @@
     private final String self;
     private final ElectionState state;
     private final LongPredicate persistTerm;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final List<PeerMessage.Text> outbox = new ArrayList<>();
     /** At most one; a candidate that is not answered asks again. Null for none. */
     private PendingVote pendingVote;
@@ -56,7 +56,7 @@
             long persistedTerm,
             LongPredicate persistTerm,
             SplittableRandom random,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.persistTerm = persistTerm;
         this.log = log;
@@ -86,7 +86,7 @@
         Leader leader = state.leader(now);
         if (leader == null ? lastLoggedLeader != null : !leader.equals(lastLoggedLeader)) {
             lastLoggedLeader = leader;
-            log.accept(
+            log.line(
                     leader == null
                             ? "leader-unknown"
                             : "leader-changed leader=" + leader.name() + " term=" + leader.term());
@@ -151,7 +151,7 @@
                 default -> throw new IllegalArgumentException("unknown type " + parts[0]);
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("election-message-rejected sender=" + sender + " text=" + text);
+            log.line("election-message-rejected sender=" + sender + " text=" + text);
         }
         return drainOutbox();
     }
--- a/src/main/java/merlinlever/fleet/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/fleet/election/net/ElectionTransport.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.EventLoop;
 import merlinlever.fleet.election.ElectionSettings;
 import merlinlever.fleet.election.LeaderElection;
@@ -27,7 +27,7 @@
      * @param recovery where terms are persisted, and whose membership carries the messages
      */
     public ElectionTransport(
-            EventLoop loop, RecoveryCoordinator recovery, ElectionSettings settings, long seed, Consumer<String> log) {
+            EventLoop loop, RecoveryCoordinator recovery, ElectionSettings settings, long seed, EventLog log) {
         this.loop = loop;
         this.recovery = recovery;
         election = new LeaderElection(
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.election.Leadership;
 import merlinlever.fleet.replication.SharedStore;
 import merlinlever.fleet.replication.VersionedEntry;
@@ -34,7 +34,7 @@
     private final Leadership leadership;
     private final WriteOnceRegisters registers;
     private final SharedStore store;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final SplitLease lease;
     private final ExperimentCounts ownCounts;
     /** Whether the counts of this backend's earlier processes are part of its own. */
@@ -56,7 +56,7 @@
             Leadership leadership,
             WriteOnceRegisters registers,
             SharedStore store,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.experiment = experiment;
         this.view = view;
@@ -118,7 +118,7 @@
         result = ExperimentResult.decode(experiment, registers.chosen(experiment.key()));
         result.ifPresent(adopted -> {
             splitting = false;
-            log.accept("experiment-ended experiment=" + experiment.name() + " kind=" + adopted.kind() + " arm="
+            log.line("experiment-ended experiment=" + experiment.name() + " kind=" + adopted.kind() + " arm="
                     + experiment.arms().get(adopted.arm()).name() + " reason=\"" + adopted.reason() + "\"");
             if (restored) {
                 publishCounts(now, false);
--- a/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 
 /**
  * Decides whom to ping when, whom to suspect, and which records travel along (SWIM with Lifeguard's local health). It does no
@@ -48,7 +48,7 @@
     private final SwimSettings settings;
     private final MemberTable memberTable;
     private final SplittableRandom random;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final GossipQueue gossipQueue;
     private final Map<Long, PendingPing> pendingPings = new LinkedHashMap<>();
     private final RelayedPings relayedPings;
@@ -70,11 +70,7 @@
      * @param log takes one line whenever the status of a peer changes
      */
     public SwimProtocol(
-            Duration now,
-            MemberTable memberTable,
-            SwimSettings settings,
-            SplittableRandom random,
-            Consumer<String> log) {
+            Duration now, MemberTable memberTable, SwimSettings settings, SplittableRandom random, EventLog log) {
         this.memberTable = memberTable;
         this.settings = settings;
         this.random = random;
@@ -180,7 +176,7 @@
             suspicionTimers.cancel(changed.name());
         }
         if (!changed.name().equals(memberTable.self())) {
-            log.accept("member-status-changed member=" + changed.name() + " status="
+            log.line("member-status-changed member=" + changed.name() + " status="
                     + changed.status().wireName() + " incarnation=" + changed.incarnation());
         } else if (changed.status() == MemberStatus.ALIVE && changed.incarnation() > 0) {
             // It had to refute something: it may have been too slow to answer.
--- a/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.controller.QuotaDemand;
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.election.Leadership;
@@ -69,7 +69,7 @@
     private final LeaderElection election;
     private final SplittableRandom random;
     private final QuotaConsumer consumer;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final List<PeerMessage.Text> outbox = new ArrayList<>();
     private long ledgerTerm = NO_TERM;
     private Duration nextRotationAt = Duration.ZERO;
@@ -89,7 +89,7 @@
             LeaderElection election,
             SplittableRandom random,
             QuotaConsumer consumer,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.incarnation = incarnation;
         this.election = election;
@@ -214,7 +214,7 @@
         if (ledgerTerm != election.term()) {
             ledgerTerm = election.term();
             states.forEach(state -> state.ledger = Optional.of(new LeaseLedger(now, state.quota)));
-            log.accept("quota-leadership-started term=" + ledgerTerm);
+            log.line("quota-leadership-started term=" + ledgerTerm);
         }
         if (now.compareTo(nextRotationAt) >= 0) {
             Duration interval = states.isEmpty()
@@ -254,7 +254,7 @@
                 default -> throw new IllegalArgumentException("unknown type " + message.type());
             }
         } catch (IllegalArgumentException e) {
-            log.accept("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
+            log.line("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
         }
         return takeOutbox();
     }
--- a/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 import java.util.List;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.common.storage.BackgroundWriter;
 import merlinlever.fleet.recovery.PersistedState;
@@ -40,7 +40,7 @@
     private final LongSupplier unixClock;
     private final BackgroundWriter writer;
     private final Supplier<Snapshot> snapshots;
-    private final Consumer<String> log;
+    private final EventLog log;
     private long incarnationsOnDisk;
     private long highestTerm;
     private long highestTermOnDisk;
@@ -63,7 +63,7 @@
             LongSupplier unixClock,
             BackgroundWriter writer,
             Supplier<Snapshot> snapshots,
-            Consumer<String> log) {
+            EventLog log) {
         this.owner = owner;
         this.interval = interval;
         this.highestTerm = highestTerm;
@@ -104,7 +104,7 @@
     void revokeIfClockWasSet(Duration now) {
         long stepMs = clockLeadMs() - clockLeadAtReservationMs;
         if (Math.abs(stepMs) > CLOCK_STEP_THRESHOLD_MS && !nonIdempotentUntil.isZero()) {
-            log.accept("unix-clock-set step_ms=" + stepMs
+            log.line("unix-clock-set step_ms=" + stepMs
                     + " effect=\"non-idempotent requests rejected until the next reservation\"");
             nonIdempotentUntil = Duration.ZERO;
             nextReservationAt = now;
@@ -158,7 +158,7 @@
             return;
         }
         writeFailed = failed;
-        log.accept(
+        log.line(
                 failed
                         ? "recovery-state-write-failed error=\"" + error
                                 + "\" effect=\"non-idempotent requests rejected until it succeeds\""
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -10,9 +10,9 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import merlinlever.common.WireNamed;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.DatagramEndpoint;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.BackgroundWriter;
@@ -52,7 +52,7 @@
     private final EventLoop loop;
     private final LongSupplier unixClock;
     private final RecoveringService service;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final SwimProtocol members;
     private final MembershipTransport transport;
     private final RecoverySequence sequence;
@@ -78,7 +78,7 @@
             long seed,
             LongSupplier unixClock,
             RecoveringService service,
-            Consumer<String> log)
+            EventLog log)
             throws IOException {
         this.loop = loop;
         this.unixClock = unixClock;
@@ -92,7 +92,7 @@
         RecoveryFile file = new RecoveryFile(directory);
         long unixNow = unixClock.getAsLong();
         TrustedState trusted = PersistedStateAssessor.assess(file.read(), owner, unixNow);
-        trusted.findings().forEach(finding -> log.accept(finding.toLogLine()));
+        trusted.findings().forEach(finding -> log.line(finding.toLogLine()));
         Set<String> seedAddresses = new LinkedHashSet<>(node.seedAddresses());
         seedAddresses.addAll(trusted.peerAddresses());
         seedAddresses.remove(gossipAddress);
@@ -199,7 +199,7 @@
                     WireNamed.parse(RecoveryStage.class, fields[1]),
                     Double.parseDouble(fields[2]));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("recovery-report-malformed peer=" + sender + " report=\"" + text + "\"");
+            log.line("recovery-report-malformed peer=" + sender + " report=\"" + text + "\"");
             return;
         }
         sequence.reportReceived(now(), unixClock.getAsLong(), sender, correlationId, report);
@@ -221,7 +221,7 @@
         }
         for (RecoveryEvent event : sequence.takeEvents()) {
             lastEventAt = event.at();
-            log.accept(event.toLogLine());
+            log.line(event.toLogLine());
         }
         warmStartOnce();
         reservations.revokeIfClockWasSet(now);
--- a/src/main/java/merlinlever/fleet/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/fleet/replication/PaxosNode.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.election.Leadership;
 import merlinlever.fleet.view.ActionPermissions;
 import merlinlever.fleet.view.FleetView;
@@ -34,7 +34,7 @@
     private final FleetView view;
     private final Supplier<List<String>> peers;
     private final SplittableRandom random;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final PaxosAcceptor acceptor;
     private final VoterRecovery recovery;
     private final DurabilityGate gate = new DurabilityGate();
@@ -60,7 +60,7 @@
             FleetView view,
             Supplier<List<String>> peers,
             SplittableRandom random,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.leadership = leadership;
         this.view = view;
@@ -310,7 +310,7 @@
         }
         if (!acceptor.markChosen(state.name(), state.value())) {
             if (conflicts == 0) {
-                log.accept("register-conflict register=" + state.name() + " action=kept-first-value");
+                log.line("register-conflict register=" + state.name() + " action=kept-first-value");
             }
             conflicts++;
             return;
@@ -339,7 +339,7 @@
         acceptor.mergePeerState(page.term(), page.registers());
         gate.stateChanged();
         if (recovery.pageReceived(sender, page, voterCount())) {
-            log.accept("register-voting-resumed answers=" + recovery.answers() + " voting=" + recovery.votingAnswers()
+            log.line("register-voting-resumed answers=" + recovery.answers() + " voting=" + recovery.votingAnswers()
                     + " other_voters=" + (voterCount() - 1));
         }
     }
--- a/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.replication.EntryTable.MergeResult;
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
@@ -62,7 +62,7 @@
     private final String self;
     private final ReplicationSettings settings;
     private final RetentionPolicy retention;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final EntryTable table = new EntryTable();
     private final OwnEntries own;
     private final Gossip gossip;
@@ -88,7 +88,7 @@
             ReplicationSettings settings,
             Supplier<List<String>> peers,
             SplittableRandom random,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.settings = settings;
         this.log = log;
@@ -216,7 +216,7 @@
     }
 
     private void reportConflict(Duration now, VersionConflict conflict) {
-        log.accept("replication-version-conflict owner=" + conflict.owner() + " topic=" + conflict.topic() + " version="
+        log.line("replication-version-conflict owner=" + conflict.owner() + " topic=" + conflict.topic() + " version="
                 + conflict.incarnation() + "." + conflict.sequence() + " digests=" + conflict.lowerDigest() + ","
                 + conflict.higherDigest());
         List.copyOf(listeners).forEach(listener -> listener.conflictDetected(now, conflict));
@@ -224,7 +224,7 @@
 
     private void reportRejection(StoredEntry entry) {
         if (rejectedEntries % REJECTIONS_PER_LOG_LINE == 0) {
-            log.accept("replication-table-full owner=" + entry.key().owner() + " topic="
+            log.line("replication-table-full owner=" + entry.key().owner() + " topic="
                     + entry.key().topic() + " entries=" + table.size() + " bytes=" + table.sizeBytes());
         }
         rejectedEntries++;
@@ -281,7 +281,7 @@
         table.expire(now, retention).forEach(entry -> notifyExpired(now, entry));
         own.removeExpiredTombstones(now, retention);
         if (own.raiseIncarnationIfOvertaken()) {
-            log.accept("entry-incarnation-raised incarnation=" + own.incarnation());
+            log.line("entry-incarnation-raised incarnation=" + own.incarnation());
             own.all().forEach(entry -> republish(now, entry));
         }
         own.all().stream()
@@ -327,7 +327,7 @@
      * its own clock or as others report, that it may hold what they have dropped.
      */
     public void discardForeignEntries(Duration now) {
-        log.accept("replication-foreign-entries-discarded held=" + table.size());
+        log.line("replication-foreign-entries-discarded held=" + table.size());
         for (StoredEntry entry : table.entries()) {
             if (!entry.key().owner().equals(self)) {
                 table.remove(entry.key());
--- a/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.BackgroundWriter;
 import merlinlever.common.storage.StateDirectory;
@@ -42,7 +42,7 @@
     private final EventLoop loop;
     private final RecoveryCoordinator recovery;
     private final FleetView view;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final BackgroundWriter writer;
     private final ReplicatedStore store;
     private final PaxosNode registers;
@@ -66,7 +66,7 @@
             Leadership leadership,
             FleetView view,
             long seed,
-            Consumer<String> log)
+            EventLog log)
             throws IOException {
         this.loop = loop;
         this.recovery = recovery;
@@ -102,7 +102,7 @@
         }
         Optional<ReplicatedStore.PersistedEntries> entries = EntryFile.decode(self, file.get());
         if (entries.isEmpty()) {
-            log.accept("replication-file-corrupt file=" + ENTRY_FILE + " action=discarded");
+            log.line("replication-file-corrupt file=" + ENTRY_FILE + " action=discarded");
         }
         return entries.orElse(ReplicatedStore.PersistedEntries.NONE);
     }
@@ -175,7 +175,7 @@
         failure.ifPresent(cause -> nextWrite = loop.clock().uptime().plus(WRITE_RETRY_DELAY));
         if (failure.isPresent() != diskFailing) {
             diskFailing = failure.isPresent();
-            log.accept(failure.map(cause -> "replication-write-failed error=\"" + cause.getMessage() + "\"")
+            log.line(failure.map(cause -> "replication-write-failed error=\"" + cause.getMessage() + "\"")
                     .orElse("replication-write-recovered"));
         }
     }
--- a/src/main/java/merlinlever/fleet/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/fleet/routes/PartnerTable.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.TreeMap;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 
 /**
  * The latest table of one partner, the part of it that is active, and until when. A table is valid for a lease from a moment at
@@ -53,9 +53,9 @@
      * @param mayWiden whether what it newly allows may be adopted now
      * @return whether what is active changed
      */
-    boolean offer(Duration now, RouteTable table, String tableDigest, boolean mayWiden, Consumer<String> log) {
+    boolean offer(Duration now, RouteTable table, String tableDigest, boolean mayWiden, EventLog log) {
         if (!table.site().equals(site) || table.relation() != relation) {
-            log.accept("route-table-rejected partner=" + site + " reason=wrong-relation site=" + table.site()
+            log.line("route-table-rejected partner=" + site + " reason=wrong-relation site=" + table.site()
                     + " relation=" + table.relation().wireName() + " expected=" + relation.wireName());
             return false;
         }
@@ -94,16 +94,16 @@
         }
     }
 
-    private boolean offerOldVersion(RouteTable table, String tableDigest, Consumer<String> log) {
+    private boolean offerOldVersion(RouteTable table, String tableDigest, EventLog log) {
         if (!table.isSameVersion(latest)) {
-            log.accept("route-table-rejected partner=" + site + " reason=older-version version=" + formatVersion(table)
+            log.line("route-table-rejected partner=" + site + " reason=older-version version=" + formatVersion(table)
                     + " latest=" + formatVersion(latest));
             return false;
         }
         if (tableDigest.equals(digest)) {
             return false;
         }
-        log.accept("route-table-conflict partner=" + site + " version=" + formatVersion(table) + " digest=" + digest
+        log.line("route-table-conflict partner=" + site + " version=" + formatVersion(table) + " digest=" + digest
                 + " other_digest=" + tableDigest);
         if (!conflicting) {
             conflicting = true;
--- a/src/main/java/merlinlever/fleet/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.view.ActionPermissions;
 import merlinlever.fleet.view.FleetView;
 import merlinlever.fleet.view.GuardedAction;
@@ -58,7 +58,7 @@
     private final FlapDamping damping;
     private final Map<String, PartnerTable> partners = new TreeMap<>();
     private final FleetView fleetView;
-    private final Consumer<String> log;
+    private final EventLog log;
     private long edition;
 
     /**
@@ -74,7 +74,7 @@
             double clockDrift,
             FlapDamping.FlapDampingSettings dampingSettings,
             FleetView fleetView,
-            Consumer<String> log) {
+            EventLog log) {
         this.policy = policy;
         this.fleetView = fleetView;
         this.log = log;
@@ -111,7 +111,7 @@
     public boolean offer(Duration now, RouteTable table) {
         PartnerTable partner = partners.get(table.site());
         if (partner == null) {
-            log.accept("route-table-rejected partner=" + table.site() + " reason=not-a-partner");
+            log.line("route-table-rejected partner=" + table.site() + " reason=not-a-partner");
             return false;
         }
         RouteTable latest = partner.latest();
@@ -130,7 +130,7 @@
             @Override
             public void onRejected(Route route, String rule) {
                 if (lines < MAX_REJECTED_ROUTES_LOGGED) {
-                    log.accept("route-rejected partner=" + partner + " route=" + route.key() + " path="
+                    log.line("route-rejected partner=" + partner + " route=" + route.key() + " path="
                             + String.join(">", route.path()) + " rule=" + rule);
                 }
                 lines++;
@@ -160,7 +160,7 @@
         }
         edition++;
         if (!merger.replaceTable(partner.site(), partner.relation(), active, listener)) {
-            log.accept("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
+            log.line("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
             merger.replaceTable(partner.site(), partner.relation(), null, RouteMerger.NO_LISTENER);
         }
     }
@@ -198,7 +198,7 @@
 
     private void adoptWidening(Duration now, PartnerTable partner) {
         if (mayWiden(now) && partner.adoptWidening()) {
-            log.accept("route-table-adopted partner=" + partner.site() + " version="
+            log.line("route-table-adopted partner=" + partner.site() + " version="
                     + PartnerTable.formatVersion(partner.latest()));
         }
     }
--- a/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.routes.RouteTable;
 import merlinlever.fleet.routes.RouteTableReader;
 import merlinlever.fleet.routes.RoutingTable;
@@ -24,7 +24,7 @@
     private final RoutingTable routingTable;
     private final Map<String, Path> files;
     private final Duration maxFetchTime;
-    private final Consumer<String> log;
+    private final EventLog log;
     /** Of each file its time and size as the file system has them, which only serve to tell writes apart. */
     private final Map<String, String> lastModified = new TreeMap<>();
 
@@ -36,8 +36,7 @@
      * @param files by partner
      * @param maxFetchTime the job has a table in its file at most so long after it asked the partner, polls not counted
      */
-    public RouteTableFiles(
-            RoutingTable routingTable, Map<String, Path> files, Duration maxFetchTime, Consumer<String> log) {
+    public RouteTableFiles(RoutingTable routingTable, Map<String, Path> files, Duration maxFetchTime, EventLog log) {
         this.routingTable = routingTable;
         this.files = new TreeMap<>(files);
         this.maxFetchTime = maxFetchTime;
@@ -54,7 +53,7 @@
                     read(now, partner, file, previous != null);
                 }
             } catch (IOException e) {
-                log.accept("route-file-unreadable partner=" + partner + " file=" + file.getFileName() + " error="
+                log.line("route-file-unreadable partner=" + partner + " file=" + file.getFileName() + " error="
                         + e.getClass().getSimpleName());
             }
         });
@@ -68,16 +67,16 @@
     private void read(Duration now, String partner, Path file, boolean isRewritten) throws IOException {
         long bytes = Files.size(file);
         if (bytes > MAX_BYTES) {
-            log.accept("route-file-rejected partner=" + partner + " file=" + file.getFileName()
+            log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName()
                     + " reason=too-large bytes=" + bytes + " max_bytes=" + MAX_BYTES);
             return;
         }
         try {
             RouteTableReader.ParsedTable parsed = RouteTableReader.read(Files.readString(file));
-            parsed.faults().forEach(fault -> log.accept("route-fault partner=" + partner + " fault=" + fault));
+            parsed.faults().forEach(fault -> log.line("route-fault partner=" + partner + " fault=" + fault));
             RouteTable table = parsed.table();
             if (!table.site().equals(partner)) {
-                log.accept("route-file-rejected partner=" + partner + " file=" + file.getFileName()
+                log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName()
                         + " reason=wrong-site site=" + table.site());
                 return;
             }
@@ -87,7 +86,7 @@
                 routingTable.renew(now, RoutingTable.Renewal.of(table, lastPollAt.minus(maxFetchTime)));
             }
         } catch (RouteTableReader.UnusableTableException e) {
-            log.accept("route-file-rejected partner=" + partner + " file=" + file.getFileName() + " reason="
+            log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName() + " reason="
                     + e.getMessage());
         }
     }
--- a/src/main/java/merlinlever/fleet/view/DivergenceMonitor.java
+++ b/src/main/java/merlinlever/fleet/view/DivergenceMonitor.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 
 /**
  * Which voters hold another view than this backend for longer than a view takes to reach all, and since when. Each such voter
@@ -15,7 +15,7 @@
 
     private final VoterResponses responses;
     private final Duration patience;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final Map<String, VoterResponses.VoterResponse> diverging = new TreeMap<>();
 
     /**
@@ -23,7 +23,7 @@
      *
      * @param patience how long two views may differ before it is worth a line
      */
-    DivergenceMonitor(VoterResponses responses, Duration patience, Consumer<String> log) {
+    DivergenceMonitor(VoterResponses responses, Duration patience, EventLog log) {
         this.responses = responses;
         this.patience = patience;
         this.log = log;
@@ -49,13 +49,13 @@
                 response.viewNumber() == view.number() && response.digest().equals(view.digest());
         if (agrees && reported != null) {
             diverging.remove(voter);
-            log.accept("voter-view-agrees-again voter=" + voter);
+            log.line("voter-view-agrees-again voter=" + voter);
         } else if (!agrees
                 && now.minus(response.viewSince()).compareTo(patience) >= 0
                 && now.minus(adoptedAt).compareTo(patience) >= 0
                 && !isSameView(response, reported)) {
             diverging.put(voter, response);
-            log.accept("voter-view-diverges voter=" + voter + " since_ms="
+            log.line("voter-view-diverges voter=" + voter + " since_ms="
                     + now.minus(response.viewSince()).toMillis()
                     + " voter_view=" + MembershipView.formatNumber(response.viewNumber())
                     + " voter_digest=" + response.digest() + " " + view.describe());
--- a/src/main/java/merlinlever/fleet/view/ViewAdoption.java
+++ b/src/main/java/merlinlever/fleet/view/ViewAdoption.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.SortedSet;
 import java.util.TreeSet;
-import java.util.function.Consumer;
 import java.util.function.LongPredicate;
+import merlinlever.common.log.EventLog;
 
 /**
  * The view that this backend has adopted, and the latest one that it knows of, which it may not have adopted yet. Only a view
@@ -19,7 +19,7 @@
     private final long termFloor;
     private final LongPredicate persistTerm;
     private final FailureDetector failureDetector;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final ViewCodec codec = new ViewCodec();
     private MembershipView adopted = MembershipView.NONE;
     private MembershipView latestKnown = MembershipView.NONE;
@@ -42,7 +42,7 @@
             long termFloor,
             LongPredicate persistTerm,
             FailureDetector failureDetector,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.termFloor = termFloor;
         this.persistTerm = persistTerm;
@@ -116,8 +116,8 @@
     void learn(Duration now, MembershipView received) {
         if (received.number() == latestKnown.number() && !received.digest().equals(latestKnown.digest())) {
             numberConflicts++;
-            log.accept("view-number-conflict view=" + latestKnown.displayNumber() + " kept_digest="
-                    + latestKnown.digest() + " rejected_digest=" + received.digest());
+            log.line("view-number-conflict view=" + latestKnown.displayNumber() + " kept_digest=" + latestKnown.digest()
+                    + " rejected_digest=" + received.digest());
         } else if (received.number() > latestKnown.number()) {
             latestKnown = received;
             codec.remember(received);
@@ -149,7 +149,7 @@
         joined.removeAll(adopted.members());
         SortedSet<String> removed = new TreeSet<>(adopted.members());
         removed.removeAll(latestKnown.members());
-        log.accept("view-adopted " + latestKnown.describe() + " previous=" + adopted.displayNumber()
+        log.line("view-adopted " + latestKnown.describe() + " previous=" + adopted.displayNumber()
                 + namesField(" joined=", joined) + namesField(" removed=", removed));
     }
 
--- a/src/main/java/merlinlever/fleet/view/ViewManager.java
+++ b/src/main/java/merlinlever/fleet/view/ViewManager.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.LongPredicate;
+import merlinlever.common.log.EventLog;
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.membership.MemberTable;
 import merlinlever.fleet.membership.PeerMessage;
@@ -53,13 +53,13 @@
             long termFloor,
             LongPredicate persistTerm,
             SplittableRandom random,
-            Consumer<String> log) {}
+            EventLog log) {}
 
     private final ViewSettings settings;
     private final MemberTable memberTable;
     private final LeaderElection election;
     private final VoterSet voters;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final VoterResponses voterResponses = new VoterResponses();
     private final FailureDetector failureDetector;
     private final CutDetector cutDetector;
@@ -151,7 +151,7 @@
     }
 
     private void recoverFromPause(Duration now) {
-        log.accept("process-paused pause_ms=" + now.minus(lastTickAt).toMillis());
+        log.line("process-paused pause_ms=" + now.minus(lastTickAt).toMillis());
         quorumEvaluator.startRecovery(now);
         voterResponses.clear();
         failureDetector.restartObservation(now);
@@ -222,10 +222,9 @@
         QuorumStatus current = quorumEvaluator.evaluate(now);
         divergenceMonitor.update(now, quorumEvaluator.heardVoterNames(now), view(), views.adoptedAt());
         if (statusHysteresis.update(now, current)) {
-            log.accept(
-                    "quorum-status-changed status=" + statusHysteresis.shown().wireName() + " previous="
-                            + previous.wireName() + " heard_voters=" + quorumEvaluator.heardVoters(now) + " voters="
-                            + voters.size() + " " + view().describe());
+            log.line("quorum-status-changed status=" + statusHysteresis.shown().wireName() + " previous="
+                    + previous.wireName() + " heard_voters=" + quorumEvaluator.heardVoters(now) + " voters="
+                    + voters.size() + " " + view().describe());
         }
     }
 
@@ -249,7 +248,7 @@
                 default -> throw new IllegalArgumentException("unknown type " + parts[0]);
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.accept("view-message-rejected sender=" + sender + " text=" + text);
+            log.line("view-message-rejected sender=" + sender + " text=" + text);
         }
         return outbox.drain();
     }
--- a/src/main/java/merlinlever/fleet/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/fleet/view/net/ViewTransport.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.EventLoop;
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.membership.PayloadHandler;
@@ -35,7 +35,7 @@
             ViewSettings settings,
             long incarnationId,
             long seed,
-            Consumer<String> log) {
+            EventLog log) {
         this.loop = loop;
         this.recovery = recovery;
         // The term of this moment, before this incarnation votes on any: what earlier ones may have held.
--- a/src/main/java/merlinlever/host/front/HostApiServer.java
+++ b/src/main/java/merlinlever/host/front/HostApiServer.java
@@ -17,8 +17,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import java.util.function.Consumer;
 import merlinlever.common.WireNamed;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.ConnectionAcceptor;
@@ -70,7 +70,7 @@
             String secret,
             Duration grace,
             long seed,
-            Consumer<String> log)
+            EventLog log)
             throws IOException {
         this.neighbours = neighbours;
         this.rejoin = rejoin;
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
@@ -39,12 +40,12 @@
     private final ControllerDriver<PendingRequest> conductor;
     private final Map<String, PendingRequest> byMark = new HashMap<>();
     private final Consumer<Duration> alarm;
-    private final Consumer<String> log;
+    private final EventLog log;
     private Duration now = Duration.ZERO;
     private boolean touched;
     private int inHand;
 
-    OrderAdmission(Duration grace, long seed, Consumer<Duration> alarm, Consumer<String> log) {
+    OrderAdmission(Duration grace, long seed, Consumer<Duration> alarm, EventLog log) {
         this.alarm = alarm;
         this.log = log;
         Map<String, String> given = new HashMap<>();
@@ -200,7 +201,7 @@
 
     @Override
     public void log(ControllerEvent event) {
-        log.accept(event.logLine());
+        log.line(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.EventLoop;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.host.state.InstanceStatus;
@@ -43,7 +43,7 @@
     private final ArrayDeque<InstanceEvent> events = new ArrayDeque<>();
     private final SplittableRandom chance;
     private final Duration spread;
-    private final Consumer<String> log;
+    private final EventLog log;
     private Duration lastLook;
     private Duration distrustUntil = Duration.ZERO;
     private long numbered;
@@ -57,7 +57,7 @@
             InstanceSupervisor.SupervisorSettings stated,
             Duration spread,
             SplittableRandom chance,
-            Consumer<String> log) {
+            EventLog log) {
         this.loop = loop;
         this.ledger = ledger;
         this.hosted = List.copyOf(hosted);
@@ -114,13 +114,13 @@
         try {
             ledger.note(hosted.get(index).name(), noted);
             if (noteFailed) {
-                log.accept("the state can be written again");
+                log.line("the state can be written again");
             }
             noteFailed = false;
             return true;
         } catch (IOException e) {
             if (!noteFailed) {
-                log.accept("the state cannot be written: " + e.getMessage()
+                log.line("the state cannot be written: " + e.getMessage()
                         + "; nothing is launched and no order taken until it can");
             }
             noteFailed = true;
@@ -133,7 +133,7 @@
         if (events.size() > EVENTS) {
             events.poll();
         }
-        log.accept(hosted.get(index).name() + ": " + what);
+        log.line(hosted.get(index).name() + ": " + what);
     }
 
     private boolean stalled() {
@@ -150,7 +150,7 @@
     private void look() {
         if (stalled()) {
             distrustUntil = now().plus(STALE);
-            log.accept("was stopped or held up for " + now().minus(lastLook).toMillis()
+            log.line("was stopped or held up for " + now().minus(lastLook).toMillis()
                     + " ms; orders that came meanwhile are turned away");
         }
         lastLook = now();
--- a/src/main/java/merlinlever/testing/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/testing/faults/RoutesModel.java
@@ -168,7 +168,7 @@
                     this,
                     line -> {
                         if (told.size() < 200) {
-                            told.add(now + " " + line);
+                            told.add(now + " " + line.text());
                         }
                     });
             fellows = new PeerTableSync(routes, chance.nextLong(1L << 40), chance.split());
--- a/src/main/java/merlinlever/testing/faults/ViewModel.java
+++ b/src/main/java/merlinlever/testing/faults/ViewModel.java
@@ -90,7 +90,7 @@
                                     floor,
                                     term -> noted(place, term),
                                     chance.split(),
-                                    line -> log.add(now + " " + name + " " + line)),
+                                    line -> log.add(now + " " + name + " " + line.text())),
                             members.memberTable(),
                             terms);
             members.addTextHandler(
--- a/src/main/java/merlinlever/testing/faults/timeline/ReplicationNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/ReplicationNode.java
@@ -56,10 +56,10 @@
                 stated,
                 () -> others,
                 born.chance(),
-                line -> {
+                event -> {
                     // A conflict is drawn as what is believed.
-                    if (!line.startsWith("replication-version-conflict ")) {
-                        born.notes().accept(line);
+                    if (!event.text().startsWith("replication-version-conflict ")) {
+                        born.notes().accept(event.text());
                     }
                 });
     }
--- a/src/main/java/merlinlever/testing/faults/timeline/RoutesNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/RoutesNode.java
@@ -72,7 +72,7 @@
                 0.01,
                 FlapDamping.FlapDampingSettings.RECOMMENDED,
                 new FixedFleetView(now -> QuorumStatus.FULL),
-                born.notes());
+                event -> born.notes().accept(event.text()));
     }
 
     List<Route> own() {
--- a/src/test/java/merlinlever/common/log/LogTest.java
+++ b/src/test/java/merlinlever/common/log/LogTest.java
@@ -40,4 +40,18 @@
                         + cause.getStackTrace()[0],
                 out.toString(StandardCharsets.UTF_8).trim());
     }
+
+    @Test
+    void valuesAreQuotedOnlyWhereTheyWouldBeReadAsMoreThanOneField() {
+        LogEvent event = LogEvent.info("view-adopted")
+                .with("view", "3.1")
+                .with("reason", "two words")
+                .with("empty", "")
+                .with("text", "a=\"b\"");
+        assertEquals("view-adopted view=3.1 reason=\"two words\" empty=\"\" text=\"a=\\\"b\\\"\"", event.text());
+        assertEquals(LogLevel.INFO, event.level());
+        assertEquals(
+                "recovery: joined",
+                LogEvent.info("joined").withPrefix("recovery: ").text());
+    }
 }
--- a/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
@@ -295,7 +295,7 @@
                                     Duration.ofSeconds(2),
                                     2),
                             new SplittableRandom(3),
-                            told::add),
+                            event -> told.add(event.text())),
                     servers,
                     key,
                     name("example.org."),
--- a/src/test/java/merlinlever/dns/follow/FollowerTest.java
+++ b/src/test/java/merlinlever/dns/follow/FollowerTest.java
@@ -108,7 +108,7 @@
                             Duration.ofSeconds(10),
                             2),
                     chance.split(),
-                    log::add);
+                    event -> log.add(event.text()));
         }
 
         void in(long span, Runnable what) {
@@ -321,7 +321,7 @@
                         Duration.ofSeconds(10),
                         1),
                 chance,
-                log::add);
+                event -> log.add(event.text()));
     }
 
     @Test
--- a/src/test/java/merlinlever/dns/journal/ZoneStoreTest.java
+++ b/src/test/java/merlinlever/dns/journal/ZoneStoreTest.java
@@ -53,7 +53,14 @@
 
     private ZoneStore store(StateDirectory folder, int snapshotAfter) {
         return new ZoneStore(
-                folder, origin, disk::add, snapshots::add, Runnable::run, trouble::add, snapshotAfter, 600);
+                folder,
+                origin,
+                disk::add,
+                snapshots::add,
+                Runnable::run,
+                event -> trouble.add(event.text()),
+                snapshotAfter,
+                600);
     }
 
     private void work() {
--- a/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
@@ -46,7 +46,14 @@
         FleetQuota quota = new FleetQuota(
                 "calls", "calls", 100, FleetQuota.QuotaKind.PER_SECOND, LEASE, 0.01, Duration.ofSeconds(1), Map.of());
         return new QuotaCoordinator(
-                START, "b1", 0xabc, List.of(quota), election, new SplittableRandom(1), consumer, log::add);
+                START,
+                "b1",
+                0xabc,
+                List.of(quota),
+                election,
+                new SplittableRandom(1),
+                consumer,
+                event -> log.add(event.text()));
     }
 
     @Test
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -172,7 +172,7 @@
                 3,
                 () -> System.currentTimeMillis() + clockStepMs.get(),
                 service,
-                line -> log.add(node.name() + " " + line)));
+                line -> log.add(node.name() + " " + line.text())));
         running.add(coordinator);
         return coordinator;
     }
--- a/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
@@ -127,13 +127,13 @@
                 3,
                 System::currentTimeMillis,
                 RecoveringService.NONE,
-                line -> log.add(name + " " + line));
+                line -> log.add(name + " " + line.text()));
         ElectionTransport election = new ElectionTransport(
                 loop,
                 recovery,
                 new ElectionSettings(List.of("a", "b", "c"), Duration.ofSeconds(3), 0.01),
                 name.hashCode(),
-                line -> log.add(name + " " + line));
+                line -> log.add(name + " " + line.text()));
         ReplicationTransport transport = new ReplicationTransport(
                 loop,
                 recovery,
@@ -142,7 +142,7 @@
                 election.election(),
                 FULL_QUORUM,
                 name.hashCode(),
-                line -> log.add(name + " " + line));
+                line -> log.add(name + " " + line.text()));
         return new Replica(recovery, transport);
     }
 
--- a/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableFilesTest.java
@@ -37,8 +37,9 @@
                     0,
                     FlapDamping.FlapDampingSettings.RECOMMENDED,
                     RouteSelectorTest.fullQuorum(),
-                    logLines::add);
-            RouteTableFiles files = new RouteTableFiles(routes, Map.of("east", file), seconds(2), logLines::add);
+                    event -> logLines.add(event.text()));
+            RouteTableFiles files =
+                    new RouteTableFiles(routes, Map.of("east", file), seconds(2), event -> logLines.add(event.text()));
             String text = RouteTableWriter.write(
                     RouteMergerTest.table("east", 1, Relation.PEER, RouteMergerTest.route("t", 1, "east")));
             write(file, text);
--- a/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingTableTest.java
@@ -33,7 +33,7 @@
                 0.01,
                 FlapDamping.FlapDampingSettings.RECOMMENDED,
                 new FixedFleetView(now -> quorumStatus),
-                logLines::add);
+                event -> logLines.add(event.text()));
     }
 
     private static Duration seconds(double seconds) {
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -91,7 +91,7 @@
                         Duration.ofMillis(1500)),
                 Duration.ZERO,
                 new SplittableRandom(seed),
-                log::add);
+                event -> log.add(event.text()));
         front = new HostApiServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
