--- /dev/null
+++ b/src/test/java/merlinlever/architecture/LayersTest.java
@@ -0,0 +1,193 @@
+package merlinlever.architecture;
+
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaAccess;
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** The layers of docs/architecture.md: which package may use which, and which do no input or output. */
+class LayersTest {
+
+    private static final String ROOT = "merlinlever";
+
+    /** Packages that decide or hold state in memory; only what their arguments say happens in them. */
+    private static final String[] DECISION_PACKAGES = {
+        ROOT + ".controller..",
+        ROOT + ".policy..",
+        ROOT + ".driver..",
+        ROOT + ".fleet.membership",
+        ROOT + ".fleet.election",
+        ROOT + ".fleet.view",
+        ROOT + ".fleet.quota",
+        ROOT + ".fleet.replication",
+        ROOT + ".fleet.routes",
+        ROOT + ".fleet.recovery",
+        ROOT + ".fleet.experiments",
+        ROOT + ".host.state",
+        ROOT + ".dns.record",
+        ROOT + ".dns.state",
+        ROOT + ".dns.follow",
+    };
+
+    private static final JavaClasses PROGRAM = new ClassFileImporter()
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages(ROOT);
+
+    @Test
+    void arrowsPointDownwardsOnly() {
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("cli")
+                .definedBy(ROOT + ".cli..")
+                .layer("testing")
+                .definedBy(ROOT + ".testing..")
+                .layer("simulator")
+                .definedBy(ROOT + ".simulator..")
+                .layer("host")
+                .definedBy(ROOT + ".host..")
+                .layer("dns")
+                .definedBy(ROOT + ".dns..")
+                .layer("fleet")
+                .definedBy(ROOT + ".fleet..")
+                .layer("backend")
+                .definedBy(ROOT + ".backend..")
+                .layer("driver")
+                .definedBy(ROOT + ".driver..")
+                .layer("policy")
+                .definedBy(ROOT + ".policy..")
+                .layer("controller")
+                .definedBy(ROOT + ".controller..")
+                .layer("common")
+                .definedBy(ROOT + ".common..")
+                .whereLayer("cli")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("testing")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("simulator")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("host")
+                .mayOnlyBeAccessedByLayers("cli", "testing")
+                .whereLayer("dns")
+                .mayOnlyBeAccessedByLayers("cli", "testing")
+                .whereLayer("fleet")
+                .mayOnlyBeAccessedByLayers("cli", "testing", "host")
+                .whereLayer("backend")
+                .mayOnlyBeAccessedByLayers("cli", "testing", "fleet")
+                .whereLayer("driver")
+                .mayOnlyBeAccessedByLayers("cli", "testing", "simulator", "host", "dns", "backend")
+                .whereLayer("policy")
+                .mayOnlyBeAccessedByLayers("cli", "testing", "simulator", "host", "dns", "backend", "driver")
+                .whereLayer("controller")
+                .mayOnlyBeAccessedByLayers(
+                        "cli", "testing", "simulator", "host", "dns", "fleet", "backend", "driver", "policy")
+                .check(PROGRAM);
+    }
+
+    @Test
+    void everyClassBelongsToALayer() {
+        classes()
+                .should()
+                .resideInAnyPackage(
+                        ROOT + ".cli..",
+                        ROOT + ".testing..",
+                        ROOT + ".simulator..",
+                        ROOT + ".host..",
+                        ROOT + ".dns..",
+                        ROOT + ".fleet..",
+                        ROOT + ".backend..",
+                        ROOT + ".driver..",
+                        ROOT + ".policy..",
+                        ROOT + ".controller..",
+                        ROOT + ".common..")
+                .check(PROGRAM);
+    }
+
+    @Test
+    void noPackagesDependOnEachOtherInACircle() {
+        slices().matching(ROOT + ".(**)").should().beFreeOfCycles().check(PROGRAM);
+    }
+
+    @Test
+    void decisionPackagesDoNoInputOrOutput() {
+        noClasses()
+                .that(resideInAnyPackage(DECISION_PACKAGES))
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file.."))
+                .orShould()
+                .dependOnClassesThat(isStreamOfTheOperatingSystem())
+                .check(PROGRAM);
+    }
+
+    @Test
+    void decisionPackagesHaveNoThreadAndNoClock() {
+        noClasses()
+                .that(resideInAnyPackage(DECISION_PACKAGES))
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, java.time.Clock.class, java.util.Timer.class)
+                .orShould()
+                .dependOnClassesThat(resideInAnyPackage("java.util.concurrent.."))
+                .orShould()
+                .accessTargetWhere(isReadingOfTheClock())
+                .check(PROGRAM);
+    }
+
+    @Test
+    void whatServesNeverUsesTheTestTools() {
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(ROOT + ".testing..", ROOT + ".cli..")
+                .should()
+                .dependOnClassesThat(resideInAnyPackage(ROOT + ".testing.."))
+                .check(PROGRAM);
+    }
+
+    @Test
+    void theImportSeesTheProgram() {
+        assertTrue(PROGRAM.size() > 500, PROGRAM.size() + " classes");
+        for (String decisionPackage : DECISION_PACKAGES) {
+            assertTrue(PROGRAM.stream().anyMatch(resideInAnyPackage(decisionPackage)), decisionPackage + " is empty");
+        }
+    }
+
+    /** Streams of java.io reach files and sockets; those over byte arrays in memory do not. */
+    private static DescribedPredicate<JavaClass> isStreamOfTheOperatingSystem() {
+        Set<String> inMemory = Set.of("ByteArrayInputStream", "ByteArrayOutputStream", "StringReader", "StringWriter");
+        return new DescribedPredicate<>("streams of java.io over anything but memory") {
+            @Override
+            public boolean test(JavaClass type) {
+                String name = type.getSimpleName();
+                return type.getPackageName().equals("java.io")
+                        && (name.endsWith("Stream")
+                                || name.endsWith("Reader")
+                                || name.endsWith("Writer")
+                                || name.startsWith("File")
+                                || name.equals("RandomAccessFile"))
+                        && !inMemory.contains(name);
+            }
+        };
+    }
+
+    private static DescribedPredicate<JavaAccess<?>> isReadingOfTheClock() {
+        Set<String> clockMethods = Set.of("nanoTime", "currentTimeMillis", "now");
+        return new DescribedPredicate<>("reading of the time of day or of the monotonic clock") {
+            @Override
+            public boolean test(JavaAccess<?> access) {
+                String owner = access.getTargetOwner().getName();
+                return clockMethods.contains(access.getName())
+                        && (owner.equals("java.lang.System") || owner.startsWith("java.time."));
+            }
+        };
+    }
+}
