--- a/src/main/java/merlinlever/controller/Decision.java
+++ b/src/main/java/merlinlever/controller/Decision.java
@@ -3,62 +3,29 @@
 import java.time.Duration;
 
 /**
- * One thing to do that an {@link merlinlever.policy.OverloadController} decided. The kinds stand here in the order in
- * which they are carried out within a batch; that order keeps the safety rules, such as recording an idempotency key
- * before its request starts.
+ * One action that an {@link merlinlever.policy.OverloadController} decided on. Within a batch, decisions are carried out
+ * in the order in which the kinds are declared here; that order keeps the safety rules, such as recording an idempotency
+ * key before its request starts.
  */
 public sealed interface Decision {
 
-    /** Calls the method of the visitor for this kind of decision. */
-    void accept(Visitor visitor);
-
     /** From now on, send this value with every answer: by the settings a level, a weight or a credit. */
-    record SendBackpressure(double value) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.sendBackpressure(value);
-        }
-    }
+    record SendBackpressure(double value) implements Decision {}
 
     /** From now on, report this health. */
-    record ReportHealth(boolean healthy) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.reportHealth(healthy);
-        }
-    }
+    record ReportHealth(boolean healthy) implements Decision {}
 
     /** From now on, close connections that are idle for this long. */
-    record CloseIdleConnections(Duration idleTimeout) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.closeIdleConnections(idleTimeout);
-        }
-    }
+    record CloseIdleConnections(Duration idleTimeout) implements Decision {}
 
     /** Let duplicates find the request for this long. */
-    record Retain(RequestHandle request, Duration retention) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.retain(request, retention);
-        }
-    }
+    record Retain(RequestHandle request, Duration retention) implements Decision {}
 
     /** Answer the request: failed. */
-    record Fail(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.fail(request);
-        }
-    }
+    record Fail(RequestHandle request) implements Decision {}
 
     /** Stop the run of the request. */
-    record Stop(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.stop(request);
-        }
-    }
+    record Stop(RequestHandle request) implements Decision {}
 
     /**
      * Answer the request: rejected, never run.
@@ -66,112 +33,26 @@
      * @param isFinal whether the caller is asked not to retry elsewhere
      * @param retryAfter how long the caller is asked to wait before it retries; zero: nothing is said about that
      */
-    record Reject(RequestHandle request, boolean isFinal, Duration retryAfter) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.reject(request, isFinal, retryAfter);
-        }
-    }
+    record Reject(RequestHandle request, boolean isFinal, Duration retryAfter) implements Decision {}
 
     /** Let no duplicate find the request any more. */
-    record Evict(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.evict(request);
-        }
-    }
+    record Evict(RequestHandle request) implements Decision {}
 
     /** Start the run of the request. */
-    record Start(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.start(request);
-        }
-    }
+    record Start(RequestHandle request) implements Decision {}
 
     /** Answer the request with the outcome of the one that it duplicates. */
-    record ShareOutcome(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.shareOutcome(request);
-        }
-    }
+    record ShareOutcome(RequestHandle request) implements Decision {}
 
     /** Make the downstream call that the run waits for, and give it up after the timeout. */
-    record CallDownstream(RequestHandle request, Duration timeout) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.callDownstream(request, timeout);
-        }
-    }
+    record CallDownstream(RequestHandle request, Duration timeout) implements Decision {}
 
     /** Let the run continue without the downstream call that it waits for. */
-    record SkipCall(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.skipCall(request);
-        }
-    }
+    record SkipCall(RequestHandle request) implements Decision {}
 
     /** Write the event to the log. */
-    record Log(ControllerEvent event) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.log(event);
-        }
-    }
+    record Log(ControllerEvent event) implements Decision {}
 
     /** The handle will not be named again: forget the request. */
-    record Release(RequestHandle request) implements Decision {
-        @Override
-        public void accept(Visitor visitor) {
-            visitor.release(request);
-        }
-    }
-
-    /** Has one method for each kind of decision, of the same name and with its components. */
-    interface Visitor {
-
-        /** See {@link SendBackpressure}. */
-        void sendBackpressure(double value);
-
-        /** See {@link ReportHealth}. */
-        void reportHealth(boolean healthy);
-
-        /** See {@link CloseIdleConnections}. */
-        void closeIdleConnections(Duration idleTimeout);
-
-        /** See {@link Retain}. */
-        void retain(RequestHandle request, Duration retention);
-
-        /** See {@link Fail}. */
-        void fail(RequestHandle request);
-
-        /** See {@link Stop}. */
-        void stop(RequestHandle request);
-
-        /** See {@link Reject}. */
-        void reject(RequestHandle request, boolean isFinal, Duration retryAfter);
-
-        /** See {@link Evict}. */
-        void evict(RequestHandle request);
-
-        /** See {@link Start}. */
-        void start(RequestHandle request);
-
-        /** See {@link ShareOutcome}. */
-        void shareOutcome(RequestHandle request);
-
-        /** See {@link CallDownstream}. */
-        void callDownstream(RequestHandle request, Duration timeout);
-
-        /** See {@link SkipCall}. */
-        void skipCall(RequestHandle request);
-
-        /** See {@link Log}. */
-        void log(ControllerEvent event);
-
-        /** See {@link Release}. */
-        void release(RequestHandle request);
-    }
+    record Release(RequestHandle request) implements Decision {}
 }
--- a/src/main/java/merlinlever/dns/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -570,31 +570,11 @@
         evict(pending);
     }
 
-    @Override
-    public void skipCall(PendingMessage pending) {
-        // No tariff here has a value without its call.
-    }
-
-    @Override
-    public void stop(PendingMessage pending) {
-        // Nothing here can be stopped half way.
-    }
-
-    @Override
-    public void updateBackpressureLevel(double level) {
-        // The protocol has no place for it.
-    }
-
     @Override
     public void updateHealth(boolean good) {
         metrics.healthy(good);
     }
 
-    @Override
-    public void closeIdleConnections(Duration after) {
-        // Connections are few and closed by their own time.
-    }
-
     @Override
     public void log(ControllerEvent event) {
         log.accept(event.logLine());
--- a/src/main/java/merlinlever/driver/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -5,7 +5,6 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Decisions;
 import merlinlever.controller.Outcome;
@@ -42,7 +41,6 @@
     private final Map<String, Integer> priorityClassIndexes;
     private final IdentityHashMap<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
     private final Optional<ShadowModeCounter> shadowMode;
-    private final Decision.Visitor executor = new Executor();
     /** Null while no wake-up is scheduled. */
     private Duration nextWakeUp;
 
@@ -98,7 +96,7 @@
     public void decide(Duration now) {
         Decisions decisions = controller.decide(now);
         shadowMode.ifPresent(counter -> counter.count(decisions));
-        decisions.inOrder().forEach(decision -> decision.accept(executor));
+        decisions.inOrder().forEach(this::carryOut);
         Duration nextDecisionAt = decisions.nextDecisionAt();
         if (nextWakeUp == null || nextDecisionAt.compareTo(nextWakeUp) < 0) {
             nextWakeUp = nextDecisionAt;
@@ -106,77 +104,47 @@
         }
     }
 
-    /** Passes each decision on to the handler, with the handler's request in place of the handle. */
-    private final class Executor implements Decision.Visitor {
-
-        @Override
-        public void sendBackpressure(double value) {
-            handler.updateBackpressureLevel(value);
-        }
-
-        @Override
-        public void reportHealth(boolean healthy) {
-            handler.updateHealth(healthy);
-        }
-
-        @Override
-        public void closeIdleConnections(Duration idleTimeout) {
-            handler.closeIdleConnections(idleTimeout);
-        }
-
-        @Override
-        public void retain(RequestHandle request, Duration retention) {
-            handler.retain(requestsByHandle.get(request), retention);
-        }
-
-        @Override
-        public void fail(RequestHandle request) {
-            handler.fail(requestsByHandle.get(request));
-        }
-
-        @Override
-        public void stop(RequestHandle request) {
-            handler.stop(requestsByHandle.get(request));
-        }
-
-        @Override
-        public void reject(RequestHandle request, boolean isFinal, Duration retryAfter) {
-            handler.reject(requestsByHandle.get(request), isFinal, retryAfter);
-        }
-
-        @Override
-        public void evict(RequestHandle request) {
-            handler.evict(requestsByHandle.get(request));
-        }
-
-        @Override
-        public void start(RequestHandle request) {
-            handler.start(requestsByHandle.get(request));
-        }
-
-        @Override
-        public void shareOutcome(RequestHandle request) {
-            handler.shareOutcome(requestsByHandle.get(request));
-        }
-
-        @Override
-        public void callDownstream(RequestHandle request, Duration timeout) {
-            handler.callDownstream(requestsByHandle.get(request), timeout);
-        }
-
-        @Override
-        public void skipCall(RequestHandle request) {
-            handler.skipCall(requestsByHandle.get(request));
+    private void carryOut(Decision decision) {
+        if (decision instanceof Decision.SendBackpressure backpressure) {
+            handler.updateBackpressureLevel(backpressure.value());
+        } else if (decision instanceof Decision.ReportHealth health) {
+            handler.updateHealth(health.healthy());
+        } else if (decision instanceof Decision.CloseIdleConnections close) {
+            handler.closeIdleConnections(close.idleTimeout());
+        } else if (decision instanceof Decision.Log log) {
+            handler.log(log.event());
+        } else {
+            carryOutOnRequest(decision);
         }
+    }
 
-        @Override
-        public void log(ControllerEvent event) {
-            handler.log(event);
+    private void carryOutOnRequest(Decision decision) {
+        if (decision instanceof Decision.Retain retain) {
+            handler.retain(requestOf(retain.request()), retain.retention());
+        } else if (decision instanceof Decision.Fail fail) {
+            handler.fail(requestOf(fail.request()));
+        } else if (decision instanceof Decision.Stop stop) {
+            handler.stop(requestOf(stop.request()));
+        } else if (decision instanceof Decision.Reject reject) {
+            handler.reject(requestOf(reject.request()), reject.isFinal(), reject.retryAfter());
+        } else if (decision instanceof Decision.Evict evict) {
+            handler.evict(requestOf(evict.request()));
+        } else if (decision instanceof Decision.Start start) {
+            handler.start(requestOf(start.request()));
+        } else if (decision instanceof Decision.ShareOutcome share) {
+            handler.shareOutcome(requestOf(share.request()));
+        } else if (decision instanceof Decision.CallDownstream call) {
+            handler.callDownstream(requestOf(call.request()), call.timeout());
+        } else if (decision instanceof Decision.SkipCall skip) {
+            handler.skipCall(requestOf(skip.request()));
+        } else if (decision instanceof Decision.Release release) {
+            handler.release(requestsByHandle.remove(release.request()));
+        } else {
+            throw new IllegalStateException("unhandled kind of decision: " + decision);
         }
+    }
 
-        @Override
-        public void release(RequestHandle request) {
-            handler.release(requestsByHandle.remove(request));
-        }
+    private T requestOf(RequestHandle handle) {
+        return requestsByHandle.get(handle);
     }
 }
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -168,36 +168,6 @@
         // Entered when it came.
     }
 
-    @Override
-    public void stop(PendingRequest asked) {
-        // Nothing runs longer than a batch.
-    }
-
-    @Override
-    public void callDownstream(PendingRequest asked, Duration giveUpAfter) {
-        // Nothing here calls.
-    }
-
-    @Override
-    public void skipCall(PendingRequest asked) {
-        // Nothing here calls.
-    }
-
-    @Override
-    public void updateBackpressureLevel(double level) {
-        // Told nowhere.
-    }
-
-    @Override
-    public void updateHealth(boolean good) {
-        // Told nowhere.
-    }
-
-    @Override
-    public void closeIdleConnections(Duration after) {
-        // Each connection carries one message.
-    }
-
     @Override
     public void log(ControllerEvent event) {
         log.accept(event.logLine());
