--- a/src/main/java/merlinlever/cli/Commands.java
+++ b/src/main/java/merlinlever/cli/Commands.java
@@ -14,14 +14,15 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The root of the command line, for everything but a plain {@code serve} or {@code wirehost}, which {@link Main} starts without
- * this class. The exit status of a command is 0, 1 where what was asked for did not hold, and 2 where it was asked for wrongly.
+ * The root command, for everything except {@code serve} and {@code wirehost} without options, which {@link Main} starts
+ * without this class. A command exits with 0 on success, 1 on failure or if a check found a difference, and 2 on wrong
+ * usage.
  */
 @Command(
         name = "merlinlever",
         mixinStandardHelpOptions = true,
         version = "merlinlever 0.2.0",
-        description = "Decides, inside each server of a fleet, what it takes, runs and turns away.",
+        description = "Overload control for request servers, with tools to operate a fleet of them.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             Commands.ServeHelp.class,
@@ -38,11 +39,11 @@
     @Spec
     private CommandSpec spec;
 
-    /** {@code serve}, for the help and where options are given beside it. */
+    /** {@code serve}, for its help text and when options are given; without any, {@link Main} runs it directly. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
-            description = "Serve as one real backend, told by the file that GW_CONFIG names. Takes no arguments.")
+            description = "Run one backend with the configuration file named by GW_CONFIG. Takes no arguments.")
     static final class ServeHelp implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -50,11 +51,11 @@
         }
     }
 
-    /** {@code wirehost}, likewise. */
+    /** {@code wirehost}, for its help text and when options are given; without any, {@link Main} runs it directly. */
     @Command(
             name = "wirehost",
             mixinStandardHelpOptions = true,
-            description = "Host decision modules on the bench's wire (standard input and output). Takes no arguments.")
+            description = "Run controllers for simulated servers over standard input and output. Takes no arguments.")
     static final class WireHostHelp implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -72,7 +73,7 @@
         return execute(new CommandLine(new Commands()), arguments);
     }
 
-    /** The same with other streams than the console's. */
+    /** Runs the command that the arguments name, with these streams instead of the console, and returns its exit status. */
     public static int start(PrintWriter out, PrintWriter err, String... arguments) {
         CommandLine commandLine = new CommandLine(new Commands());
         commandLine.setOut(out);
--- a/src/main/java/merlinlever/cli/ConfigCommands.java
+++ b/src/main/java/merlinlever/cli/ConfigCommands.java
@@ -16,7 +16,7 @@
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
-        description = "The forms of configuration files.",
+        description = "Print and check configuration schemas.",
         synopsisSubcommandLabel = "COMMAND")
 final class ConfigCommands implements Runnable {
 
@@ -33,8 +33,8 @@
     @Command(
             name = "schema",
             mixinStandardHelpOptions = true,
-            description = "Print the JSON Schema that a configuration is checked against: " + SCHEMA_NAMES + ".")
-    int schema(@Parameters(paramLabel = "NAME", description = SCHEMA_NAMES) String name) {
+            description = "Print a JSON Schema: " + SCHEMA_NAMES + ".")
+    int schema(@Parameters(paramLabel = "NAME", description = "schema: " + SCHEMA_NAMES) String name) {
         Optional<ConfigSchema> schema = ConfigSchema.named(name);
         if (schema.isEmpty()) {
             return reportUnknown(name);
@@ -48,10 +48,10 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Check a configuration file against its schema; one line for each fault.")
+            description = "Validate a configuration file against its schema; prints one line per error.")
     int check(
-            @Parameters(paramLabel = "NAME", description = SCHEMA_NAMES) String name,
-            @Parameters(paramLabel = "FILE", description = "the file") Path file) {
+            @Parameters(paramLabel = "NAME", description = "schema: " + SCHEMA_NAMES) String name,
+            @Parameters(paramLabel = "FILE", description = "configuration file") Path file) {
         Optional<ConfigSchema> schema = ConfigSchema.named(name);
         if (schema.isEmpty()) {
             return reportUnknown(name);
--- a/src/main/java/merlinlever/cli/MeasureCommands.java
+++ b/src/main/java/merlinlever/cli/MeasureCommands.java
@@ -1,5 +1,6 @@
 package merlinlever.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import merlinlever.testing.measurement.DnsMeasurement;
 import merlinlever.testing.measurement.ExperimentMeasurement;
@@ -15,23 +16,29 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The group of commands that measure parts of this program; each writes tables and charts into a folder. */
+/** Commands that measure components of this program; each writes tables and charts to a directory. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "Measure parts of this program against plain ones, on this machine alone.")
+        description = "Measure components of this program against baselines, on this machine only.")
 final class MeasureCommands implements Runnable {
 
+    private static final String DURATION = " Takes some minutes.";
+
     @Spec
     private CommandSpec spec;
 
     /** Where a measurement writes its results, and how large it is. */
     static final class MeasureOptions {
-        @Option(names = "--out", required = true, paramLabel = "FOLDER", description = "for tables and charts")
+        @Option(
+                names = "--out",
+                required = true,
+                paramLabel = "FOLDER",
+                description = "directory for tables and charts")
         private Path out;
 
-        @Option(names = "--quick", description = "small sizes, to see that it runs")
+        @Option(names = "--quick", description = "small sizes, as a smoke test")
         private boolean quick;
     }
 
@@ -43,69 +50,62 @@
     @Command(
             name = "dns",
             mixinStandardHelpOptions = true,
-            description = "Zone files, index, updates, queries, following. Some minutes.")
-    int dns(@Mixin MeasureOptions options) throws Exception {
+            description = "DNS server: zone file parsing, lookups, updates, queries and following a fleet." + DURATION)
+    void dns(@Mixin MeasureOptions options) throws Exception {
         new DnsMeasurement(options.out, options.quick).run();
-        return 0;
     }
 
     @Command(
             name = "budgets",
             mixinStandardHelpOptions = true,
             description =
-                    "Limits of the whole fleet: on virtual time with up to 1,000 backends, and on real ones under "
-                            + "faults. Some minutes.")
-    int budgets(@Mixin MeasureOptions options) throws Exception {
+                    "Fleet quotas: up to 1,000 simulated backends, and real backends under injected faults." + DURATION)
+    void budgets(@Mixin MeasureOptions options) throws IOException, InterruptedException {
         new QuotaMeasurement(options.out, options.quick).run();
-        return 0;
     }
 
     @Command(
             name = "trials",
             mixinStandardHelpOptions = true,
-            description = "Trials stopped early: wrong winners, operations needed, the way of an end through fleets on "
-                    + "virtual time. Some minutes.")
-    int trials(@Mixin MeasureOptions options) throws Exception {
+            description =
+                    "Experiments with early stopping: false winners, requests needed, spread of the stop in simulated fleets."
+                            + DURATION)
+    void trials(@Mixin MeasureOptions options) throws IOException {
         new ExperimentMeasurement(options.out, options.quick).run();
-        return 0;
     }
 
     @Command(
             name = "routes",
             mixinStandardHelpOptions = true,
-            description = "Routes of partner sites: merging, and on virtual time tightening and the loss of a records "
-                    + "service. Some minutes.")
-    int routes(@Mixin MeasureOptions options) throws Exception {
+            description =
+                    "Routes to partner sites: merging of tables; in simulation, tightening of routes and loss of a downstream service."
+                            + DURATION)
+    void routes(@Mixin MeasureOptions options) throws IOException {
         new RoutesMeasurement(options.out, options.quick).run();
-        return 0;
     }
 
     @Command(
             name = "shared",
             mixinStandardHelpOptions = true,
-            description = "Words that all backends share, on virtual time with up to 500 of them, against telling "
-                    + "everything. Some minutes.")
-    int shared(@Mixin MeasureOptions options) throws Exception {
+            description =
+                    "Replicated state: up to 500 simulated backends, compared with sending the full state." + DURATION)
+    void shared(@Mixin MeasureOptions options) throws IOException {
         new ReplicationMeasurement(options.out, options.quick).run();
-        return 0;
     }
 
     @Command(
             name = "view",
             mixinStandardHelpOptions = true,
-            description = "Who is there: up to 1,000 backends in virtual time, beside membership alone. Some minutes.")
-    int view(@Mixin MeasureOptions options) throws Exception {
+            description = "Fleet view: up to 1,000 simulated backends, compared with membership alone." + DURATION)
+    void view(@Mixin MeasureOptions options) throws IOException {
         new ViewMeasurement(options.out, options.quick).run();
-        return 0;
     }
 
     @Command(
             name = "recovery",
             mixinStandardHelpOptions = true,
-            description = "Fleets of backends that lose their power and come back, with what they keep and without. "
-                    + "Some minutes.")
-    int recovery(@Mixin MeasureOptions options) throws Exception {
+            description = "Recovery of backends from power losses, with and without persisted state." + DURATION)
+    void recovery(@Mixin MeasureOptions options) throws IOException, InterruptedException {
         new RecoveryMeasurement(options.out, options.quick).run();
-        return 0;
     }
 }
--- a/src/main/java/merlinlever/cli/dns/ZoneCommands.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneCommands.java
@@ -30,7 +30,7 @@
         name = "zone",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "DNS zones: read, compare, serve, update, and follow the live fleet.",
+        description = "DNS zones: check, compare, serve and update zones, and keep a name on live instances.",
         subcommands = {
             ZoneCommands.ZoneCheckCommand.class,
             ZoneCommands.ZoneDiffCommand.class,
@@ -80,9 +80,9 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Read zone files as zone serve would. One line for each good one; the faults go to standard error.",
+                    "Parse zone files as 'zone serve' does; prints one line per valid file, and errors to standard error.",
             exitCodeListHeading = "%nExit status:%n",
-            exitCodeList = {"0:all are good", "1:at least one is not", "2:wrong usage"})
+            exitCodeList = {"0:all files are valid", "1:at least one file is invalid", "2:wrong usage"})
     static final class ZoneCheckCommand extends ZoneSubcommand {
         @Parameters(paramLabel = "FILE", arity = "1..*", description = "zone files")
         private List<Path> files;
@@ -90,7 +90,7 @@
         @Option(
                 names = "--origin",
                 paramLabel = "NAME",
-                description = "the zone that is expected, and what relative names stand below; else the file says it")
+                description = "expected zone and origin of relative names (default: as in the file)")
         private String origin;
 
         @Override
@@ -120,9 +120,9 @@
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
-            description = "Compare two zone files by the records that they hold, whatever their order and form.",
+            description = "Compare the records of two zone files, regardless of order and format.",
             exitCodeListHeading = "%nExit status:%n",
-            exitCodeList = {"0:they say the same", "1:they differ", "2:one cannot be read"})
+            exitCodeList = {"0:same records", "1:records differ", "2:a file cannot be read"})
     static final class ZoneDiffCommand extends ZoneSubcommand {
         /** The SOA records of both sides are in every difference. */
         private static final int MIN_RECORDS = 2;
@@ -133,7 +133,7 @@
         @Parameters(index = "1", paramLabel = "NEW")
         private Path newFile;
 
-        @Option(names = "--origin", paramLabel = "NAME", description = "the zone, where the files do not say it")
+        @Option(names = "--origin", paramLabel = "NAME", description = "zone name, if the files do not contain it")
         private String origin;
 
         @Override
@@ -166,12 +166,12 @@
             name = "serve",
             mixinStandardHelpOptions = true,
             description =
-                    "Serve zones: queries, transfers and signed updates over UDP and TCP. Ends with 143 after SIGTERM.",
+                    "Serve zones: queries, transfers and signed updates over UDP and TCP. Exits with 143 after SIGTERM.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {
-                "1:it cannot start; the reason is on standard error",
+                "1:startup failed; the reason is on standard error",
                 "2:wrong usage",
-                "143:told to leave, all was answered"
+                "143:terminated by SIGTERM; all requests were answered"
             })
     static final class ZoneServeCommand extends ServiceCommand {
         @Override
@@ -190,11 +190,11 @@
             name = "apply",
             mixinStandardHelpOptions = true,
             description =
-                    "Bring a live zone to what a file says, by signed updates: fetch it, show what differs, send it in batches, look again.",
+                    "Update a live zone to match a zone file: transfer it, show the differences, send signed updates in batches, verify.",
             exitCodeListHeading = "%nExit status:%n",
             exitCodeList = {
-                "0:the live zone says what the file says (with --dry-run: the plan is shown)",
-                "1:it does not; what was done is told",
+                "0:the live zone matches the file (with --dry-run: the differences were shown)",
+                "1:it does not match; what was done is printed",
                 "2:wrong usage"
             })
     static final class ZoneApplyCommand extends ZoneSubcommand {
@@ -203,28 +203,35 @@
         @Parameters(paramLabel = "FILE", description = "zone file")
         private Path file;
 
-        @Option(names = "--server", required = true, paramLabel = "ADDRESS:PORT", description = "the zone's primary")
+        @Option(
+                names = "--server",
+                required = true,
+                paramLabel = "ADDRESS:PORT",
+                description = "primary server of the zone")
         private String server;
 
         @Option(
                 names = "--key",
                 paramLabel = "NAME:FILE",
-                description = "name of a key, and the file with its secret in base64")
+                description = "TSIG key: its name, and the file with its secret in base64")
         private String key;
 
         @Option(
                 names = "--algorithm",
                 paramLabel = "NAME",
-                description = "of the key: hmac-sha224, -sha256 (default), -sha384, -sha512")
+                description = "TSIG algorithm: hmac-sha224, -sha256 (default), -sha384, -sha512")
         private String algorithm = "hmac-sha256";
 
-        @Option(names = "--origin", paramLabel = "NAME", description = "the zone, where the file does not say it")
+        @Option(names = "--origin", paramLabel = "NAME", description = "zone name, if the file does not contain it")
         private String origin;
 
-        @Option(names = "--dry-run", description = "show what would change and change nothing")
+        @Option(names = "--dry-run", description = "show the differences and change nothing")
         private boolean dryRun;
 
-        @Option(names = "--timeout", paramLabel = "SECONDS", description = "for each answer, 1 to 300 (default: 10)")
+        @Option(
+                names = "--timeout",
+                paramLabel = "SECONDS",
+                description = "timeout of each response, 1 to 300 (default: 10)")
         private int timeoutSeconds = 10;
 
         @Override
@@ -267,10 +274,13 @@
     @Command(
             name = "follow",
             mixinStandardHelpOptions = true,
-            description =
-                    "Keep a name in a zone on the instances that report to be alive. Ends with 143 after SIGTERM.",
+            description = "Keep the addresses of a DNS name on the live instances. Exits with 143 after SIGTERM.",
             exitCodeListHeading = "%nExit status:%n",
-            exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
+            exitCodeList = {
+                "1:startup failed; the reason is on standard error",
+                "2:wrong usage",
+                "143:terminated by SIGTERM"
+            })
     static final class ZoneFollowCommand extends ServiceCommand {
         @Override
         protected ConfigSchema schema() {
--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -27,13 +27,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The group of commands of the fault harness: for tests and trials on one machine, never part of a deployment. */
+/** Commands for fault injection, for tests on one machine; never part of a deployment. */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
         description =
-                "Play faults on real processes of this program on loopback and audit them from outside; make the states of a power loss.")
+                "Inject faults into real processes on loopback and audit them; enumerate the disk states after a power loss.")
 public final class FaultsCommands implements Runnable {
 
     private static final String SEED = "[0-9a-fA-F]{1,16}";
@@ -73,18 +73,22 @@
             name = "play",
             mixinStandardHelpOptions = true,
             description =
-                    "Start host agents that know each other, play the script's faults on them and between them, heal, and audit "
-                            + "that they agree with what is so. Ends with 0 where they do, 1 with the seed and the steps where not.")
+                    "Start connected host agents, inject the faults of a script into them and the network between them, "
+                            + "end all faults, and check that the agents agree on the actual state of the fleet. Exits with 0 "
+                            + "if they do, else with 1 and the seed and steps of the failure.")
     int play(
-            @Parameters(paramLabel = "SCRIPT", description = "YAML, checked against 'config schema faults'")
+            @Parameters(
+                            paramLabel = "SCRIPT",
+                            description = "fault script in YAML; 'config schema faults' prints its schema")
                     Path script,
             @Option(
                             names = "--folder",
                             required = true,
                             paramLabel = "FOLDER",
-                            description = "for the agents' folders, logs and records; made where it is not there")
+                            description = "directory for state, logs and recordings; created if missing")
                     Path folder,
-            @Option(names = "--seed", paramLabel = "HEX", description = "in place of the script's") String seed)
+            @Option(names = "--seed", paramLabel = "HEX", description = "random seed; overrides the one in the script")
+                    String seed)
             throws IOException, InterruptedException {
         FaultScript.FaultPlan plan;
         try {
@@ -126,34 +130,36 @@
             name = "power",
             mixinStandardHelpOptions = true,
             description =
-                    "Start backends with callers and agents of their own, take their power away at drawn moments under load, and audit from outside "
-                            + "that nothing is done twice, no answer is lost and service comes back. Ends with 0 where all holds, 1 with the seed where not.")
+                    "Start backends with their clients and agents, simulate power losses at random times under load, and check "
+                            + "that no request runs twice, no response is lost and service resumes. Exits with 0 if all checks "
+                            + "pass, else with 1 and the seed of the failure.")
     int power(
             @Option(
                             names = "--folder",
                             required = true,
                             paramLabel = "FOLDER",
-                            description = "for the backends' folders, logs and records")
+                            description = "directory for state, logs and recordings")
                     Path folder,
             @Option(
                             names = "--processes",
                             paramLabel = "N",
-                            description = "backends, 2 to 60 (default: 5)",
+                            description = "number of backends, 2 to 60 (default: 5)",
                             defaultValue = "5")
                     int processes,
             @Option(
                             names = "--losses",
                             paramLabel = "N",
-                            description = "power losses, one after the other; the kinds take turns (default: 10)",
+                            description =
+                                    "number of power losses, one at a time, rotating over the kinds (default: 10)",
                             defaultValue = "10")
                     int losses,
             @Option(
                             names = "--seed",
                             paramLabel = "HEX",
-                            description = "of the first; each further one adds 1 (default: 1)",
+                            description = "random seed of the first power loss; each next one adds 1 (default: 1)",
                             defaultValue = "1")
                     String seed,
-            @Option(names = "--without", description = "the backends keep nothing for their return, as a comparison")
+            @Option(names = "--without", description = "as a baseline: backends persist no recovery state")
                     boolean withoutRecovery)
             throws IOException, InterruptedException {
         if (processes < MIN_PROCESSES
@@ -202,14 +208,14 @@
             name = "states",
             mixinStandardHelpOptions = true,
             description =
-                    "Tell the states that a power loss may leave of a folder, from the record of its seam (MERLINLEVER_DISK_RECORD); "
-                            + "with --out, lay each in a folder of its own.")
+                    "Enumerate the states in which a power loss may leave a state directory, from a recording of its file "
+                            + "operations (MERLINLEVER_DISK_RECORD); with --out, write each state to a directory.")
     int states(
-            @Parameters(paramLabel = "RECORD", description = "a .ops file") Path recording,
+            @Parameters(paramLabel = "RECORD", description = "recorded file operations (.ops)") Path recording,
             @Option(
                             names = "--out",
                             paramLabel = "FOLDER",
-                            description = "where each state is laid, as 00000, 00001, ...")
+                            description = "parent directory of the states, which are named 00000, 00001, ...")
                     Path restoreInto)
             throws IOException {
         if (!Files.isRegularFile(recording)) {
--- a/src/main/java/merlinlever/cli/fleet/AgentOptions.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentOptions.java
@@ -18,17 +18,17 @@
             names = "--agent",
             paramLabel = "ADDRESS:PORT",
             required = true,
-            description = "an agent; may come several times")
+            description = "address of a host agent; repeatable")
     private List<String> agents = List.of();
 
     @Option(
             names = "--secret-file",
             paramLabel = "FILE",
             required = true,
-            description = "the secret that the agents know")
+            description = "file with the secret that is shared with the agents")
     private Path secretFile;
 
-    @Option(names = "--output", paramLabel = "FORM", description = "table or json (default: table)")
+    @Option(names = "--output", paramLabel = "FORM", description = "output format: table or json (default: table)")
     private OutputFormat format = OutputFormat.table;
 
     OutputFormat format() {
--- a/src/main/java/merlinlever/cli/fleet/EventsCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/EventsCommand.java
@@ -9,7 +9,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code fleet events}: what has happened to the instances, as the agents remember it. */
-@Command(name = "events", mixinStandardHelpOptions = true, description = "Show what has happened, oldest first.")
+@Command(
+        name = "events",
+        mixinStandardHelpOptions = true,
+        description = "Show recent events of the instances, oldest first.")
 final class EventsCommand extends FleetSubcommand {
 
     private final TextTable table = new TextTable("AGO", "HOST", "INSTANCE", "WHAT");
--- a/src/main/java/merlinlever/cli/fleet/FleetCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetCommands.java
@@ -10,7 +10,7 @@
         name = "fleet",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "List, start, drain, stop and restart instances through their agents.",
+        description = "List, start, drain, stop and restart instances through their host agents.",
         subcommands = {
             ListCommand.class,
             ShowCommand.class,
--- a/src/main/java/merlinlever/cli/fleet/HostCommands.java
+++ b/src/main/java/merlinlever/cli/fleet/HostCommands.java
@@ -15,7 +15,7 @@
         name = "host",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "The agent that keeps the instances of one machine.",
+        description = "Host agent: supervises the instances of one machine.",
         subcommands = HostCommands.HostRunCommand.class)
 public final class HostCommands implements Runnable {
 
@@ -32,12 +32,17 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description =
-                    "Keep the instances that a file describes. SIGTERM ends the agent and leaves them running; the next agent takes them over.",
+                    "Supervise the instances listed in a configuration file. On SIGTERM the agent exits and its instances keep running; "
+                            + "the next agent adopts them.",
             exitCodeListHeading = "%nExit status:%n",
-            exitCodeList = {"1:it cannot start; the reason is on standard error", "2:wrong usage", "143:told to leave"})
+            exitCodeList = {
+                "1:startup failed; the reason is on standard error",
+                "2:wrong usage",
+                "143:terminated by SIGTERM"
+            })
     static final class HostRunCommand extends ServiceCommand {
 
-        @Option(names = "--drain", description = "at SIGTERM tell all instances to leave, and end when all are down")
+        @Option(names = "--drain", description = "on SIGTERM, drain all instances and exit when all have stopped")
         private boolean drain;
 
         @Override
--- a/src/main/java/merlinlever/cli/fleet/InstanceFilter.java
+++ b/src/main/java/merlinlever/cli/fleet/InstanceFilter.java
@@ -10,23 +10,23 @@
 /** The options that select instances; an instance has to fulfil all that are given. */
 final class InstanceFilter {
 
-    @Parameters(paramLabel = "NAME", arity = "0..*", description = "instances, by name")
+    @Parameters(paramLabel = "NAME", arity = "0..*", description = "names of instances")
     private List<String> names = List.of();
 
-    @Option(names = "--host", paramLabel = "NAME", description = "those of this machine")
+    @Option(names = "--host", paramLabel = "NAME", description = "instances on this host")
     private String host;
 
-    @Option(names = "--label", paramLabel = "KEY=VALUE", description = "those with this label; may come several times")
+    @Option(names = "--label", paramLabel = "KEY=VALUE", description = "instances with this label; repeatable")
     private Map<String, String> labels = new LinkedHashMap<>();
 
     @Option(
             names = "--state",
             paramLabel = "STATE",
             description =
-                    "those in this state: down, starting, cold, warm, there, slow, hung, draining, unreached, given_up")
+                    "instances in this state: down, starting, cold, warm, there, slow, hung, draining, unreached, given_up")
     private String state;
 
-    @Option(names = "--all", description = "all of them")
+    @Option(names = "--all", description = "all instances")
     private boolean all;
 
     List<String> names() {
--- a/src/main/java/merlinlever/cli/fleet/ListCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/ListCommand.java
@@ -7,9 +7,9 @@
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
-        description = "List instances with their states, and how long ago each was heard.",
+        description = "List instances with their states and the age of their last report.",
         exitCodeListHeading = "%nExit status:%n",
-        exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
+        exitCodeList = {"0:all agents responded", "1:at least one agent did not respond", "2:wrong usage"})
 final class ListCommand extends FleetSubcommand {
 
     @Mixin
--- a/src/main/java/merlinlever/cli/fleet/OrderCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/OrderCommand.java
@@ -25,19 +25,19 @@
     @Mixin
     private InstanceFilter filter;
 
-    @Option(names = "--wait", description = "until it has happened, or cannot")
+    @Option(names = "--wait", description = "wait until the order has completed or failed")
     private boolean wait;
 
-    @Option(names = "--timeout", paramLabel = "SECONDS", description = "for --wait (default: 120)")
+    @Option(names = "--timeout", paramLabel = "SECONDS", description = "timeout of --wait (default: 120)")
     private int timeoutSeconds = 120;
 
-    @Option(names = "--dry-run", description = "show which instances it would be and order nothing")
+    @Option(names = "--dry-run", description = "show the selected instances and change nothing")
     private boolean dryRun;
 
     @Option(
             names = "--id",
             paramLabel = "ID",
-            description = "of the order; sent again under the same id it is not done again")
+            description = "id of the order; an order with an id that was already used is not executed again")
     private String givenId;
 
     /** Orders as the agents last reported them, by the agent that has them. */
@@ -188,7 +188,7 @@
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
-            description = "Start instances. With --wait until they serve.")
+            description = "Start instances; with --wait, wait until they serve.")
     static final class StartCommand extends OrderCommand {
         @Override
         String verb() {
@@ -200,7 +200,7 @@
     @Command(
             name = "drain",
             mixinStandardHelpOptions = true,
-            description = "Tell instances to leave: they answer what they have read, then end.")
+            description = "Drain instances: they finish the requests in flight, then exit.")
     static final class DrainCommand extends OrderCommand {
         @Override
         String verb() {
@@ -212,7 +212,7 @@
     @Command(
             name = "restart",
             mixinStandardHelpOptions = true,
-            description = "Drain instances and start them again. With --wait until they serve.")
+            description = "Drain instances and start them again; with --wait, wait until they serve.")
     static final class RestartCommand extends OrderCommand {
         @Override
         String verb() {
--- a/src/main/java/merlinlever/cli/fleet/QuotasCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/QuotasCommand.java
@@ -12,9 +12,9 @@
 @Command(
         name = "budgets",
         mixinStandardHelpOptions = true,
-        description = "Show each backend's share of the limits of the whole fleet, how old that is, and the sum.",
+        description = "Show each backend's part of the fleet quotas, its age, and the total.",
         exitCodeListHeading = "%nExit status:%n",
-        exitCodeList = {"0:all agents answered", "1:at least one did not", "2:wrong usage"})
+        exitCodeList = {"0:all agents responded", "1:at least one agent did not respond", "2:wrong usage"})
 final class QuotasCommand extends FleetSubcommand {
 
     /** What the backends hold of one quota together. */
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -27,13 +27,10 @@
         name = "recover",
         mixinStandardHelpOptions = true,
         description =
-                "After a power loss, before anything is started: tell for each state folder what is found in it, what is thrown away and why.",
+                "After a power loss, before anything is started: report for each state directory what is recovered from it, what is "
+                        + "discarded, and why.",
         exitCodeListHeading = "%nExit status:%n",
-        exitCodeList = {
-            "0:everything found is believed",
-            "1:something is thrown away or cannot be looked at",
-            "2:wrong usage"
-        })
+        exitCodeList = {"0:everything can be recovered", "1:something is discarded or cannot be read", "2:wrong usage"})
 final class RecoverCommand implements Callable<Integer> {
 
     private static final String LEDGER_FILE = "instances";
@@ -47,13 +44,13 @@
             paramLabel = "DIR",
             required = true,
             arity = "1..*",
-            description = "a state folder of an agent or a backend; may come several times")
+            description = "state directory of a host agent or a backend; repeatable")
     private List<Path> folders = List.of();
 
     @Option(
             names = "--owner",
             paramLabel = "NAME@ADDRESS:PORT",
-            description = "whose they have to be; without it each is taken for that of its own owner")
+            description = "expected owner of the directories (default: the owner recorded in each)")
     private String expectedOwner;
 
     @Override
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -20,10 +20,12 @@
         name = "roll",
         mixinStandardHelpOptions = true,
         description =
-                "Restart instances in batches: one machine at a time, never more than a part of the fleet away, on only when successors are warm "
-                        + "and callers are not worse off. Interrupted or stopped, it says what was done and begins nothing more.",
+                "Rolling restart: restart instances in batches, one machine at a time, with a limit on unavailable instances; continue "
+                        + "only once restarted instances are warm and rejections have not risen. If interrupted or stopped, "
+                        + "report what was done and start nothing more.",
         exitCodeListHeading = "%nExit status:%n",
-        exitCodeList = {"0:all were restarted and serve", "1:it was stopped; the reason is told", "2:wrong usage"})
+        exitCodeList = {"0:all instances were restarted and serve", "1:stopped; the reason is printed", "2:wrong usage"
+        })
 final class RollCommand extends FleetSubcommand {
 
     private static final Duration POLL_PERIOD = Duration.ofMillis(300);
@@ -31,34 +33,34 @@
     @Mixin
     private InstanceFilter filter;
 
-    @Option(names = "--batch", paramLabel = "N", description = "restarted at once at the most (default: 1)")
+    @Option(names = "--batch", paramLabel = "N", description = "instances restarted at a time (default: 1)")
     private int batchSize = 1;
 
     @Option(
             names = "--most-away",
             paramLabel = "PERCENT",
-            description = "of the instances seen that may be away at once, for whatever reason (default: 20)")
+            description = "maximum share of instances unavailable at a time, for any reason (default: 20)")
     private int maxAwayPercent = 20;
 
     @Option(
             names = "--warm-within",
             paramLabel = "SECONDS",
-            description = "after its restart an instance has to be warm (default: 120)")
+            description = "time limit for a restarted instance to become warm (default: 120)")
     private int warmWithinSeconds = 120;
 
     @Option(
             names = "--watch",
             paramLabel = "SECONDS",
-            description = "callers are watched so long before the first batch and behind each (default: 5)")
+            description = "how long rejections are measured before the first batch and after each (default: 5)")
     private int watchSeconds = 5;
 
     @Option(
             names = "--worse",
             paramLabel = "TIMES",
-            description = "stop where so many times as many are turned away as before (default: 2)")
+            description = "stop if the rejection rate rises by more than this factor (default: 2)")
     private double maxRejectionRatio = 2;
 
-    @Option(names = "--dry-run", description = "show which instances it would be, in their order, and restart nothing")
+    @Option(names = "--dry-run", description = "show the selected instances in restart order and restart nothing")
     private boolean dryRun;
 
     /** Read by the shutdown hook as well. */
--- a/src/main/java/merlinlever/cli/fleet/ShowCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/ShowCommand.java
@@ -8,7 +8,7 @@
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = "Show everything that is known of instances, as JSON.")
+        description = "Show all reported details of instances, as JSON.")
 final class ShowCommand extends FleetSubcommand {
 
     @Mixin
--- a/src/main/java/merlinlever/cli/fleet/StopCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/StopCommand.java
@@ -9,13 +9,15 @@
 @Command(
         name = "stop",
         mixinStandardHelpOptions = true,
-        description = "Stop instances. One that still answers what it has read is waited for, but with --now.")
+        description = "Stop instances; waits until requests in flight have finished, except with --now.")
 final class StopCommand extends OrderCommand {
 
-    @Option(names = "--now", description = "end them at once; says how many operations are lost by it and asks")
+    @Option(
+            names = "--now",
+            description = "stop immediately; asks for confirmation with the number of requests that fail")
     private boolean now;
 
-    @Option(names = "--yes", description = "with --now: do not ask")
+    @Option(names = "--yes", description = "with --now: skip the confirmation")
     private boolean yes;
 
     @Override
--- a/src/main/java/merlinlever/cli/fleet/WatchCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/WatchCommand.java
@@ -10,7 +10,7 @@
 @Command(
         name = "watch",
         mixinStandardHelpOptions = true,
-        description = "Show the list again each second, until it is interrupted.")
+        description = "List instances every second until interrupted.")
 final class WatchCommand extends FleetSubcommand {
 
     private static final Duration PERIOD = Duration.ofSeconds(1);
@@ -19,7 +19,7 @@
     @Mixin
     private InstanceFilter filter;
 
-    @Option(names = "--times", paramLabel = "N", description = "so often, then end (default: until interrupted)")
+    @Option(names = "--times", paramLabel = "N", description = "number of times (default: until interrupted)")
     private int times = Integer.MAX_VALUE;
 
     @Override
--- a/src/main/java/merlinlever/cli/service/ServiceCommand.java
+++ b/src/main/java/merlinlever/cli/service/ServiceCommand.java
@@ -19,10 +19,11 @@
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "YAML; 'config schema ${PARENT-COMMAND-NAME}-${COMMAND-NAME}' prints its form")
+            description =
+                    "configuration in YAML; 'config schema ${PARENT-COMMAND-NAME}-${COMMAND-NAME}' prints its schema")
     private Path file;
 
-    @Option(names = "--log", paramLabel = "FORM", description = "text or json (default: text)")
+    @Option(names = "--log", paramLabel = "FORM", description = "log format: text or json (default: text)")
     private LoggingSetup.LogFormat logFormat = LoggingSetup.LogFormat.text;
 
     /** What the configuration file is validated against. */
