--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -191,9 +191,9 @@
                 loop,
                 LOG::warn,
                 (int) config.number("snapshot-after", DEFAULT_SNAPSHOT_AFTER),
-                RequestProcessor.REPLAY_WINDOW_SECONDS);
+                RequestProcessor.REPLAY_WINDOW.toSeconds());
         stores.add(store);
-        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS);
+        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY_WINDOW.toSeconds());
         try {
             ZoneStore.RecoveredZone recovered = store.recover(origin);
             if (recovered == null) {
--- a/src/main/java/merlinlever/dns/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -39,12 +39,8 @@
     /** What is stated to the module of the front. */
     public record ProcessorSettings(double memoryMb, Duration grace, boolean queriesDecided, long seed) {}
 
-    /** Begun in one go; the module looks again behind each. Calls in hand are four times as many at the most. */
-    private static final int MAX_STARTS_PER_TURN = 16;
-    /** Seconds on either side of its time in which a signed message can come again. */
-    public static final long REPLAY_WINDOW_SECONDS = 2L * Tsig.FUDGE;
-    /** What remembering one update takes here, with its repeats. */
-    private static final double KB_PER_UPDATE = 0.5;
+    /** For how long a signed message can be replayed: the TSIG fudge on either side of its time (RFC 8945). */
+    public static final Duration REPLAY_WINDOW = Duration.ofSeconds(2L * Tsig.FUDGE);
 
     private static final int SERVFAIL_FROM_DISK = -1;
 
@@ -96,54 +92,10 @@
         this.metrics = metrics;
         responses = new ResponseBuilder(unix);
         queriesDecided = stated.queriesDecided;
-        conductor = new ControllerDriver<>(moduleSettings(stated), stated.seed, this);
+        conductor = new ControllerDriver<>(DnsControllerSettings.of(stated.memoryMb, stated.grace), stated.seed, this);
         isDirty = true;
     }
 
-    private static Map<String, String> moduleSettings(ProcessorSettings stated) {
-        Map<String, String> given = new HashMap<>();
-        given.put("server.cores", "" + MAX_STARTS_PER_TURN);
-        given.put("server.gauges", "run-queue");
-        given.put("server.memory-kb", "" + stated.memoryMb * 1024);
-        given.put("server.run-factor", "1");
-        given.put("server.kb-per-fingerprint", "" + KB_PER_UPDATE);
-        given.put("rules.drain-grace", "" + stated.grace.toMillis());
-        // Runs that wait for the disk or a reader take no core: many are no crowd.
-        given.put("rules.crowd-factor", "8");
-        given.put("rules.longest-unread", "0");
-        given.put("limits.stay-away", "true");
-        given.put("limits.longest-stay-away", "2000");
-        addPriorityClass(given, PendingMessage.MessageKind.QUERY, "retriable", 1, 500, 2_000, 0);
-        addPriorityClass(
-                given,
-                PendingMessage.MessageKind.UPDATE,
-                "fingerprinted",
-                8,
-                2_000,
-                5_000,
-                REPLAY_WINDOW_SECONDS * 1000);
-        addPriorityClass(given, PendingMessage.MessageKind.TRANSFER, "retriable", 2, 5_000, 60_000, 0);
-        return given;
-    }
-
-    private static void addPriorityClass(
-            Map<String, String> given,
-            PendingMessage.MessageKind kind,
-            String how,
-            int value,
-            long softMs,
-            long timeoutMs,
-            long windowMs) {
-        String at = "tariffs." + kind.ordinal() + ".";
-        given.put(at + "name", kind.wireName().toUpperCase(java.util.Locale.ROOT));
-        given.put(at + "kind", how);
-        given.put(at + "value", "" + value);
-        given.put(at + "soft-limit", "" + softMs);
-        given.put(at + "client-timeout", "" + timeoutMs);
-        given.put(at + "late-value", "0.2");
-        given.put(at + "window", "" + windowMs);
-    }
-
     /** Messages that are read and not yet answered. */
     public int inFlight() {
         return inFlight;
@@ -293,7 +245,7 @@
     }
 
     private PendingMessage admit(PendingMessage pending, Duration waited, PendingMessage original) {
-        if (++requestsSinceDecision > MAX_STARTS_PER_TURN) {
+        if (++requestsSinceDecision > DnsControllerSettings.MAX_STARTS_PER_TURN) {
             // A burst that came at once is begun as it is read: what waits for the end of the batch is not waiting.
             decide(now);
         }
--- a/src/main/java/merlinlever/testing/measurement/DnsMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/DnsMeasurement.java
@@ -316,13 +316,17 @@
                     loop,
                     System.err::println,
                     1_000_000,
-                    RequestProcessor.REPLAY_WINDOW_SECONDS);
+                    RequestProcessor.REPLAY_WINDOW.toSeconds());
             store.limitUpdatesPerWrite(mostAWrite);
             store.recover(origin);
             Zone zone = ZoneFile.read(file, origin);
             store.initialize(zone);
             ServedZone served = new ServedZone(
-                    zone, Set.of("k."), Set.of("k."), store, new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
+                    zone,
+                    Set.of("k."),
+                    Set.of("k."),
+                    store,
+                    new ReplayWindow(RequestProcessor.REPLAY_WINDOW.toSeconds()));
             Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
             front = new DnsServer(
                     loop,
--- a/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
@@ -74,7 +74,7 @@
         byte[] origin = name("example.org.");
         state = new FileStateDirectory(folder.resolve("state"));
         store = new ZoneStore(
-                state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY_WINDOW_SECONDS);
+                state, origin, disk, disk, loop, line -> {}, 1000, RequestProcessor.REPLAY_WINDOW.toSeconds());
         store.recover(origin);
         Zone zone = read(HEAD + "a A 1.1.1.1\nb A 1.1.1.2\nc TXT c\n");
         store.initialize(zone);
@@ -83,7 +83,7 @@
                 Set.of("k.", "n."),
                 Set.of("k."),
                 store,
-                new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS));
+                new ReplayWindow(RequestProcessor.REPLAY_WINDOW.toSeconds()));
         front = new DnsServer(
                 loop,
                 new InetSocketAddress("127.0.0.1", 0),
--- a/src/test/java/merlinlever/dns/server/DnsServerFixture.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerFixture.java
@@ -75,9 +75,9 @@
                 loop,
                 line -> {},
                 50,
-                RequestProcessor.REPLAY_WINDOW_SECONDS);
+                RequestProcessor.REPLAY_WINDOW.toSeconds());
         ZoneStore.RecoveredZone recovered = store.recover(origin);
-        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY_WINDOW_SECONDS);
+        ReplayWindow replays = new ReplayWindow(RequestProcessor.REPLAY_WINDOW.toSeconds());
         if (recovered == null) {
             store.initialize(ZoneFile.read(file, origin));
         } else {
