--- a/src/main/java/merlinlever/backend/Backend.java
+++ b/src/main/java/merlinlever/backend/Backend.java
@@ -7,7 +7,7 @@
 import merlinlever.controller.Outcome;
 import merlinlever.controller.QuotaDemand;
 import merlinlever.controller.QuotaGrant;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.driver.ControllerDriver;
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.OverloadController;
@@ -37,10 +37,10 @@
     /**
      * Creates a backend whose agent is not up yet; until then all requests are rejected.
      *
-     * @param settings the settings by their internal names, see {@link SettingsTranslator}
+     * @param settings of the controller
      * @param seed the seed of the controller's random draws
      */
-    public Backend(Map<String, String> settings, long seed, BackendDependencies dependencies) {
+    public Backend(ControllerSettings settings, long seed, BackendDependencies dependencies) {
         this.seed = seed;
         this.dependencies = dependencies;
         this.settings = new BackendSettings(settings);
--- a/src/main/java/merlinlever/backend/http/EdgeServer.java
+++ b/src/main/java/merlinlever/backend/http/EdgeServer.java
@@ -5,7 +5,6 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
 import merlinlever.backend.Backend;
@@ -15,7 +14,7 @@
 import merlinlever.common.net.ConnectionAcceptor;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.ControllerSettings;
 
 /** The server that edge nodes connect to. */
 public final class EdgeServer {
@@ -49,13 +48,13 @@
     private double encodedLoadLevel = Double.NaN;
     private String loadHeader = "";
 
-    /** @param settings the configuration, by key */
-    public EdgeServer(EventLoop loop, Backend backend, Map<String, String> settings) {
+    /** @param settings of the controller of the backend */
+    public EdgeServer(EventLoop loop, Backend backend, ControllerSettings settings) {
         this.loop = loop;
         this.backend = backend;
-        requestParser = new RequestMetadataParser(settings, loop.clock());
+        requestParser = new RequestMetadataParser(settings.priorityClasses(), loop.clock());
         connections = new EdgeConnectionTable(loop.clock());
-        long configuredIdleMs = (long) SettingsTranslator.number(settings, "server.idle", 30_000);
+        long configuredIdleMs = settings.callers().idleTimeout().toMillis();
         reaper = new EdgeConnectionReaper(loop, connections, Duration.ofMillis(IDLE_TIMEOUT_FACTOR * configuredIdleMs));
         loop.runNowAndEvery(SWEEP_INTERVAL, this::sweep);
     }
--- a/src/main/java/merlinlever/backend/http/RequestMetadataParser.java
+++ b/src/main/java/merlinlever/backend/http/RequestMetadataParser.java
@@ -1,8 +1,8 @@
 package merlinlever.backend.http;
 
 import java.time.Duration;
+import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 import java.util.Optional;
 import merlinlever.backend.RequestMetadata;
 import merlinlever.backend.RequestMetadata.Cost;
@@ -10,6 +10,7 @@
 import merlinlever.backend.RequestMetadata.Timing;
 import merlinlever.backend.http.RequestHead.HeaderField;
 import merlinlever.common.net.MonotonicClock;
+import merlinlever.controller.settings.PriorityClassSettings;
 
 /** Reads what the backend needs to know of a request out of its head, and checks each field's form and range. */
 final class RequestMetadataParser {
@@ -26,18 +27,18 @@
     private static final int SUBJECT_KEY_DIGITS = 16;
     private static final double NANOS_PER_MS = 1e6;
 
-    private final Map<String, String> settings;
+    private final List<PriorityClassSettings> priorityClasses;
     private final MonotonicClock clock;
 
-    /** @param settings the configuration, by key; it says which priority classes are idempotent by key */
-    RequestMetadataParser(Map<String, String> settings, MonotonicClock clock) {
-        this.settings = settings;
+    /** @param priorityClasses by their index */
+    RequestMetadataParser(List<PriorityClassSettings> priorityClasses, MonotonicClock clock) {
+        this.priorityClasses = priorityClasses;
         this.clock = clock;
     }
 
     /** The request's metadata; empty if a field is missing, malformed or out of range. */
     Optional<RequestMetadata> parse(RequestHead head, String className, int classIndex) {
-        boolean needsKey = "fingerprinted".equals(settings.get("tariffs." + classIndex + ".kind"));
+        boolean needsKey = priorityClasses.get(classIndex).isIdempotentByKey();
         double kb = head.number(HeaderField.MEMORY_KB);
         double costMs = optionalNumber(head, HeaderField.EXPECTED_COST);
         if (!hasValidTimes(head) || !areValidCosts(kb, costMs) || !hasValidRank(head) || !hasValidIds(head, needsKey)) {
--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -2,7 +2,6 @@
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import java.util.Map;
 import merlinlever.backend.Backend;
 import merlinlever.backend.BackendDependencies;
 import merlinlever.backend.DownstreamService;
@@ -12,6 +11,7 @@
 import merlinlever.backend.records.RecordsClient;
 import merlinlever.common.log.Log;
 import merlinlever.common.net.EventLoop;
+import merlinlever.controller.settings.ControllerSettings;
 
 /**
  * One backend with its links to the render farm agent, the records service and the edge nodes, all on one event loop and its
@@ -36,7 +36,7 @@
      */
     BackendAssembly(
             EventLoop loop,
-            Map<String, String> settings,
+            ControllerSettings settings,
             long seed,
             InetSocketAddress agentAddress,
             InetSocketAddress recordsAddress,
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -6,14 +6,15 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
 import merlinlever.backend.Backend;
+import merlinlever.common.Durations;
 import merlinlever.common.log.Log;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.StateDirectories;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.PriorityClassSettings;
 import merlinlever.fleet.membership.net.MembershipTransport;
 import merlinlever.fleet.recovery.RecoverySettings;
 import merlinlever.fleet.recovery.net.NodeSettings;
@@ -44,7 +45,6 @@
     private static final double MIN_PERIOD_MS = 10;
     private static final double MAX_PERIOD_MS = 600_000;
     private static final Duration DEFAULT_PERSIST_PERIOD = Duration.ofSeconds(1);
-    private static final double DEFAULT_WINDOW_MS = 10_000;
 
     private final EventLoop loop;
     private final Backend backend;
@@ -123,10 +123,10 @@
         return Optional.ofNullable(text);
     }
 
-    private static RecoverySettings settings(ConfigurationValues values, Map<String, String> moduleSettings)
+    private static RecoverySettings settings(ConfigurationValues values, ControllerSettings controllerSettings)
             throws InvalidConfigurationException {
         RecoverySettings defaults =
-                RecoverySettings.defaults(idempotencyWindow(moduleSettings), DEFAULT_PERSIST_PERIOD);
+                RecoverySettings.defaults(idempotencyWindow(controllerSettings), DEFAULT_PERSIST_PERIOD);
         return new RecoverySettings(
                 period(values, "patience-ms", defaults.answerTimeout()),
                 period(values, "spread-ms", defaults.firstQuerySpread()),
@@ -138,16 +138,14 @@
     }
 
     /** The time in which a duplicate of a request with an idempotency key may come, the longest of all priority classes. */
-    private static Duration idempotencyWindow(Map<String, String> moduleSettings) {
-        double longestMs = 0;
-        for (int i = 0; moduleSettings.containsKey("tariffs." + i + ".name"); i++) {
-            if (!"retriable".equals(moduleSettings.get("tariffs." + i + ".kind"))) {
-                double windowMs =
-                        SettingsTranslator.number(moduleSettings, "tariffs." + i + ".window", DEFAULT_WINDOW_MS);
-                longestMs = Math.max(longestMs, windowMs);
+    private static Duration idempotencyWindow(ControllerSettings controllerSettings) {
+        Duration longest = Duration.ZERO;
+        for (PriorityClassSettings priorityClass : controllerSettings.priorityClasses()) {
+            if (!priorityClass.isIdempotent()) {
+                longest = Durations.later(longest, priorityClass.idempotencyWindow());
             }
         }
-        return Duration.ofNanos((long) (longestMs * 1e6));
+        return longest;
     }
 
     private static Duration period(ConfigurationValues values, String name, Duration defaultValue)
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -15,7 +15,7 @@
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.common.net.ProcessSignals;
 import merlinlever.common.net.SocketAddresses;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.ControllerSettings;
 
 /**
  * The {@code serve} command: one real backend in one process. It reads the configuration, assembles the backend with its links to
@@ -52,7 +52,7 @@
         this.log = log;
         configuration = ServeConfiguration.read(environment);
         configuration.warnings().forEach(log::warn);
-        Map<String, String> settings = configuration.settings();
+        ControllerSettings settings = configuration.settings();
         try {
             warmUpReport = warmUp(processStartNanos);
             loop = new EventLoop(MonotonicClock.system(), failure -> log.error("event-loop-task-failed", failure));
@@ -77,13 +77,13 @@
         } catch (IllegalArgumentException | ArithmeticException e) {
             throw new InvalidConfigurationException("cannot be served: " + e, e);
         }
-        directoryFollowsReports = Boolean.parseBoolean(settings.get("server.readiness"));
+        directoryFollowsReports = settings.deployment().listFollowsHealth();
         reloader = new ConfigurationReloader(environment, loop, log, this::apply);
         shutdown = new GracefulShutdown(
                 loop,
                 assembly,
                 configuration.stopAfter(),
-                Duration.ofMillis((long) SettingsTranslator.number(settings, "rules.drain-grace", 0)),
+                Duration.ofMillis(settings.safety().drainGrace().toMillis()),
                 log);
     }
 
@@ -174,7 +174,7 @@
         recovery.reload(reloaded.values());
         log.info("configuration-reloaded agent=" + text(reloaded.agentAddress()) + " records="
                 + text(reloaded.recordsAddress()) + " lookup=" + text(reloaded.directoryAddress()));
-        if (!reloaded.settings().equals(configuration.settings())) {
+        if (!reloaded.rawSettings().equals(configuration.rawSettings())) {
             log.warn("changed-settings-ignored until=restart");
         }
         assembly.agent().setAddress(reloaded.agentAddress());
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -14,14 +14,17 @@
 import java.util.Map;
 import merlinlever.common.json.Json;
 import merlinlever.common.json.Json.MalformedJsonException;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.RawSettings;
+import merlinlever.controller.settings.SettingsParser;
 import merlinlever.controller.settings.SettingsValidator;
 
 /**
  * The configuration of one backend as it was read once, at the start or on SIGHUP, and found valid as a whole.
  *
  * @param values everything in the file, by path
- * @param settings the settings of the decision module, under the names of this project
+ * @param rawSettings the settings of the controller as they were given
+ * @param settings the settings of the controller
  * @param agentAddress of the render farm agent
  * @param recordsAddress of the records service; null where the backend has none
  * @param directoryAddress of the service directory, which receives the heartbeats
@@ -33,7 +36,8 @@
  */
 record ServeConfiguration(
         ConfigurationValues values,
-        Map<String, String> settings,
+        RawSettings rawSettings,
+        ControllerSettings settings,
         InetSocketAddress agentAddress,
         InetSocketAddress recordsAddress,
         InetSocketAddress directoryAddress,
@@ -86,12 +90,13 @@
     private static ServeConfiguration of(Map<?, ?> json, Map<String, String> environment)
             throws InvalidConfigurationException {
         ConfigurationValues values = new ConfigurationValues(Json.flat(json));
-        Map<String, String> givenSettings = json.get("settings") instanceof Map<?, ?> map ? Json.flat(map) : Map.of();
+        RawSettings rawSettings =
+                RawSettings.of(json.get("settings") instanceof Map<?, ?> map ? Json.flat(map) : Map.of());
         values.address("listen");
         InetSocketAddress recordsAddress = values.has("records") ? values.peerAddress("records") : null;
         InetSocketAddress agentAddress = values.peerAddress("agent");
         InetSocketAddress directoryAddress = values.peerAddress("lookup");
-        SettingsValidator validator = new SettingsValidator(givenSettings);
+        SettingsValidator validator = new SettingsValidator(rawSettings);
         if (!validator.problems().isEmpty()) {
             throw new InvalidConfigurationException(validator.problems().get(0));
         }
@@ -103,7 +108,8 @@
         boolean hasSeed = seed.matches("[0-9a-fA-F]{1,16}");
         return new ServeConfiguration(
                 values,
-                SettingsTranslator.translate(givenSettings),
+                rawSettings,
+                SettingsParser.parse(rawSettings),
                 agentAddress,
                 recordsAddress,
                 directoryAddress,
@@ -111,12 +117,12 @@
                 (int) descriptors,
                 hasSeed ? Long.parseUnsignedLong(seed, 16) : name.hashCode(),
                 name,
-                warnings(values, givenSettings, validator.assumedDefaults(), hasSeed, name));
+                warnings(values, rawSettings.unknownPaths(), validator.assumedDefaults(), hasSeed, name));
     }
 
     private static List<String> warnings(
             ConfigurationValues values,
-            Map<String, String> givenSettings,
+            List<String> unknownSettings,
             List<String> missingSettings,
             boolean hasSeed,
             String name) {
@@ -134,9 +140,8 @@
             defaulted.add("name (reports name nobody)");
         }
         List<String> warnings = new ArrayList<>();
-        List<String> unknown = SettingsTranslator.unknownNames(givenSettings);
-        if (!unknown.isEmpty()) {
-            warnings.add("unknown-settings-ignored settings=" + String.join(" ", unknown));
+        if (!unknownSettings.isEmpty()) {
+            warnings.add("unknown-settings-ignored settings=" + String.join(" ", unknownSettings));
         }
         if (!defaulted.isEmpty()) {
             warnings.add("missing-settings-defaulted settings=" + String.join(", ", defaulted));
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -7,6 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.List;
 import java.util.Map;
 import merlinlever.backend.agent.LineDecoder;
 import merlinlever.common.json.Json;
@@ -16,6 +17,8 @@
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.PriorityClassSettings;
 
 /**
  * Serves synthetic requests before the first real one, with a backend, an event loop and stub peers of its own and connections in
@@ -38,7 +41,7 @@
     private static final InetSocketAddress AGENT = new InetSocketAddress(1);
     private static final InetSocketAddress RECORDS = new InetSocketAddress(2);
 
-    private final Map<String, String> settings;
+    private final ControllerSettings settings;
     private final EventLoop loop;
     private int requests;
 
@@ -135,14 +138,11 @@
                 loop.stop();
                 return;
             }
-            int classes = 0;
-            while (settings.containsKey("tariffs." + classes + ".name")) {
-                classes++;
-            }
-            String prefix = "tariffs." + requests % classes + ".";
-            boolean isKeyed = settings.getOrDefault(prefix + "kind", "").equals("fingerprinted");
-            String idempotencyKey = isKeyed ? "Req-Token: " + String.format("%032x", requests) + "\r\n" : "";
-            send("POST /svc/" + settings.get(prefix + "name") + " HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
+            List<PriorityClassSettings> classes = settings.priorityClasses();
+            PriorityClassSettings priorityClass = classes.get(requests % classes.size());
+            String idempotencyKey =
+                    priorityClass.isIdempotentByKey() ? "Req-Token: " + String.format("%032x", requests) + "\r\n" : "";
+            send("POST /svc/" + priorityClass.name() + " HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
                     + String.format("%016x", requests) + "\r\nReq-Time: " + System.currentTimeMillis()
                     + "\r\nReq-From: 1\r\nReq-Wait-Ms: 5000\r\nReq-Cost: 1.25\r\nReq-Kb: 1.5\r\nReq-Rank: 0.5000\r\n"
                     + idempotencyKey
@@ -150,7 +150,7 @@
         }
     }
 
-    private WarmUp(Map<String, String> settings, boolean hasRecordsService) {
+    private WarmUp(ControllerSettings settings, boolean hasRecordsService) {
         this.settings = settings;
         loop = new EventLoop(
                 MonotonicClock.system(),
@@ -181,7 +181,7 @@
     }
 
     /** Serves synthetic requests until the limit of time or of their number, and returns how many were sent. */
-    static int run(Map<String, String> settings, boolean hasRecordsService, Duration timeLimit) {
+    static int run(ControllerSettings settings, boolean hasRecordsService, Duration timeLimit) {
         if (timeLimit.isZero()) {
             return 0;
         }
--- /dev/null
+++ b/src/main/java/merlinlever/controller/settings/RequestSemantics.java
@@ -0,0 +1,24 @@
+package merlinlever.controller.settings;
+
+import merlinlever.common.WireNamed;
+
+/** How often the requests of a priority class may run. */
+public enum RequestSemantics implements WireNamed {
+    /** Any number of times. */
+    IDEMPOTENT("repeatable"),
+    /** Once for each idempotency key. */
+    IDEMPOTENT_BY_KEY("by_key"),
+    /** Once. */
+    NON_IDEMPOTENT("once");
+
+    private final String wireName;
+
+    RequestSemantics(String wireName) {
+        this.wireName = wireName;
+    }
+
+    @Override
+    public String wireName() {
+        return wireName;
+    }
+}
--- /dev/null
+++ b/src/main/java/merlinlever/controller/settings/SettingsParser.java
@@ -0,0 +1,171 @@
+package merlinlever.controller.settings;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import merlinlever.common.Durations;
+import merlinlever.common.WireNamed;
+
+/**
+ * Makes {@link ControllerSettings} from what operators configured. It accepts everything: a number that cannot be read
+ * counts as missing, and a word that is not known as the default, so that a simulated server runs with any settings.
+ * {@link SettingsValidator} finds what a backend is not to be started with.
+ */
+public final class SettingsParser {
+
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    private final RawSettings raw;
+
+    private SettingsParser(RawSettings raw) {
+        this.raw = raw;
+    }
+
+    /**
+     * The typed settings.
+     *
+     * @throws NumberFormatException if an element of {@code family-info.class-skip-worth} is no number
+     */
+    public static ControllerSettings parse(RawSettings raw) {
+        return new SettingsParser(raw).parse();
+    }
+
+    private ControllerSettings parse() {
+        ControllerSettings.Builder settings = ControllerSettings.builder();
+        parseServer(settings);
+        parseRules(settings);
+        parseCallers(settings);
+        parseDownstream(settings);
+        settings.deployment(profile(SettingPaths.PROFILE_IN_FORCE, DeploymentProfile.MINIMAL));
+        shadowProfile().ifPresent(settings::shadowDeployment);
+        for (int i = 0; i < raw.classCount(); i++) {
+            settings.addPriorityClass(priorityClass(i));
+        }
+        return settings.build();
+    }
+
+    private void parseServer(ControllerSettings.Builder settings) {
+        settings.cores((int) Math.max(1, number(NumberSetting.CORES)))
+                .runMemoryFactor(number(NumberSetting.RUN_MEMORY_FACTOR))
+                .memoryPerKeyKb(number(NumberSetting.MEMORY_PER_KEY))
+                .gauges(gauges());
+        raw.number(NumberSetting.MEMORY.path()).ifPresent(settings::memoryKb);
+    }
+
+    private void parseRules(ControllerSettings.Builder settings) {
+        settings.cold(raw.flag(SettingPaths.COLD))
+                .coldSpeed(number(NumberSetting.COLD_SPEED))
+                .warmUpTime(roundedDuration(NumberSetting.WARM_UP_TIME))
+                .overloadFactor(number(NumberSetting.OVERLOAD_FACTOR))
+                .drainGrace(duration(NumberSetting.DRAIN_GRACE))
+                .maxReadDelay(duration(NumberSetting.MAX_READ_DELAY));
+    }
+
+    private void parseCallers(ControllerSettings.Builder settings) {
+        settings.callers(number(NumberSetting.CALLERS))
+                .idleTimeout(roundedDuration(NumberSetting.IDLE_TIMEOUT))
+                .freshFor(duration(NumberSetting.FRESH_FOR));
+        if (raw.flag(SettingPaths.RETRY_AFTER)) {
+            settings.maxRetryAfter(duration(NumberSetting.MAX_RETRY_AFTER));
+        }
+    }
+
+    private void parseDownstream(ControllerSettings.Builder settings) {
+        settings.shareOfCalls(number(NumberSetting.SHARE_OF_CALLS))
+                .callAveragingTime(roundedDuration(NumberSetting.CALL_AVERAGING_TIME))
+                .callLingerTime(roundedDuration(NumberSetting.CALL_LINGER_TIME))
+                .fleetSize(number(NumberSetting.FLEET_SIZE));
+    }
+
+    private double number(NumberSetting setting) {
+        return raw.number(setting.path()).orElse(setting.defaultValue());
+    }
+
+    /** Cut to whole nanoseconds. */
+    private Duration duration(NumberSetting setting) {
+        return Durations.ofMillis(number(setting));
+    }
+
+    /** Rounded to whole nanoseconds, so that the milliseconds that are calculated with are those that were given. */
+    private Duration roundedDuration(NumberSetting setting) {
+        return Duration.ofNanos(Math.round(number(setting) * NANOS_PER_MILLI));
+    }
+
+    private List<Gauge> gauges() {
+        if (!raw.has(SettingPaths.GAUGES)) {
+            return List.of();
+        }
+        List<Gauge> gauges = new ArrayList<>();
+        for (String name : raw.value(SettingPaths.GAUGES).split(",", -1)) {
+            gauges.add(constant(Gauge.values(), name).orElse(Gauge.OTHER));
+        }
+        return gauges;
+    }
+
+    private Optional<DeploymentProfile> shadowProfile() {
+        boolean isGiven = raw.paths().stream().anyMatch(path -> path.startsWith(SettingPaths.SHADOW_PROFILE));
+        DeploymentProfile inForce = profile(SettingPaths.PROFILE_IN_FORCE, DeploymentProfile.MINIMAL);
+        return isGiven ? Optional.of(profile(SettingPaths.SHADOW_PROFILE, inForce)) : Optional.empty();
+    }
+
+    private DeploymentProfile profile(String prefix, DeploymentProfile defaults) {
+        String readiness = raw.value(prefix + DeploymentSetting.READINESS.wireName());
+        return new DeploymentProfile(
+                word(prefix, DeploymentSetting.DOWNSTREAM, DownstreamKind.values(), defaults.downstream()),
+                runStopping(prefix, defaults.runStopping()),
+                readiness == null ? defaults.listFollowsHealth() : Boolean.parseBoolean(readiness),
+                word(prefix, DeploymentSetting.SIGNAL, BackpressureSignal.values(), defaults.signal()));
+    }
+
+    /** Whoever says how runs are stopped, in a word that is not known, can stop them. */
+    private RunStopping runStopping(String prefix, RunStopping defaultValue) {
+        String given = raw.value(prefix + DeploymentSetting.RUN_STOPPING.wireName());
+        return given == null
+                ? defaultValue
+                : constant(RunStopping.values(), given).orElse(RunStopping.DROP);
+    }
+
+    /** The constant that the setting names: the default without the setting, the first one for an unknown word. */
+    private <E extends WireNamed> E word(String prefix, DeploymentSetting setting, E[] constants, E defaultValue) {
+        String given = raw.value(prefix + setting.wireName());
+        return given == null ? defaultValue : constant(constants, given).orElse(constants[0]);
+    }
+
+    private PriorityClassSettings.Builder priorityClass(int index) {
+        String name = raw.value(SettingPaths.ofClass(index, SettingPaths.CLASS_NAME));
+        String semantics = raw.value(SettingPaths.ofClass(index, SettingPaths.CLASS_SEMANTICS), "");
+        String weightWithoutCall = raw.listElement(SettingPaths.WEIGHTS_WITHOUT_CALL, index, "0");
+        String makesCalls = raw.listElement(SettingPaths.CALLS_BY_CLASS, index, "true");
+        return PriorityClassSettings.named(name)
+                .semantics(constant(RequestSemantics.values(), semantics).orElse(RequestSemantics.NON_IDEMPOTENT))
+                .latencyObjective(duration(ClassNumberSetting.LATENCY_OBJECTIVE, index))
+                .clientTimeout(duration(ClassNumberSetting.CLIENT_TIMEOUT, index))
+                .idempotencyWindow(duration(ClassNumberSetting.IDEMPOTENCY_WINDOW, index))
+                .objectiveStretch(number(ClassNumberSetting.OBJECTIVE_STRETCH, index))
+                .weight(number(ClassNumberSetting.WEIGHT, index))
+                .lateWeight(number(ClassNumberSetting.LATE_WEIGHT, index))
+                .weightWithoutCall(Double.parseDouble(weightWithoutCall))
+                .makesCalls(Boolean.parseBoolean(makesCalls));
+    }
+
+    private double number(ClassNumberSetting setting, int classIndex) {
+        OptionalDouble given = raw.number(setting.path(classIndex));
+        return given.orElse(setting.defaultValue());
+    }
+
+    private Duration duration(ClassNumberSetting setting, int classIndex) {
+        return Durations.ofMillis(number(setting, classIndex));
+    }
+
+    /** The constant of that name in the form in which values are kept; empty if there is none. */
+    static <E extends WireNamed> Optional<E> constant(E[] constants, String value) {
+        for (E each : constants) {
+            if (RawSettings.canonicalValue(each.wireName()).equals(value)) {
+                return Optional.of(each);
+            }
+        }
+        return Optional.empty();
+    }
+}
--- a/src/main/java/merlinlever/controller/settings/SettingsValidator.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsValidator.java
@@ -1,15 +1,14 @@
 package merlinlever.controller.settings;
 
-import static merlinlever.controller.settings.SettingsTranslator.externalName;
-
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Predicate;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import merlinlever.common.WireNamed;
 
 /**
  * Checks whether a backend can be run with the settings: values that are not numbers or out of range, priority classes
@@ -18,89 +17,36 @@
  */
 public final class SettingsValidator {
 
-    /** The allowed range of a number. Milliseconds above 1e12 no longer fit a Duration in nanoseconds. */
-    private enum Range {
-        POSITIVE("a number above 0, at most 1e12"),
-        NON_NEGATIVE("a number from 0 to 1e12"),
-        FRACTION("a number from 0 to 1"),
-        FINITE("a number");
-
-        private final String description;
-
-        Range(String description) {
-            this.description = description;
-        }
-
-        boolean contains(double number) {
-            return switch (this) {
-                case POSITIVE -> number > 0 && number <= 1e12;
-                case NON_NEGATIVE -> number >= 0 && number <= 1e12;
-                case FRACTION -> number >= 0 && number <= 1;
-                case FINITE -> Double.isFinite(number);
-            };
-        }
-    }
-
-    private static final Map<String, Range> NUMBERS = new TreeMap<>(Map.ofEntries(
-            Map.entry("server.cores", Range.POSITIVE),
-            Map.entry("server.memory-kb", Range.POSITIVE),
-            Map.entry("server.run-factor", Range.POSITIVE),
-            Map.entry("server.kb-per-fingerprint", Range.NON_NEGATIVE),
-            Map.entry("server.idle", Range.NON_NEGATIVE),
-            Map.entry("server.callers", Range.NON_NEGATIVE),
-            Map.entry("server.fresh-for", Range.NON_NEGATIVE),
-            Map.entry("server.calls-over", Range.NON_NEGATIVE),
-            Map.entry("server.share-of-calls", Range.NON_NEGATIVE),
-            Map.entry("servers", Range.NON_NEGATIVE),
-            Map.entry("rules.crowd-factor", Range.POSITIVE),
-            Map.entry("rules.cold", Range.NON_NEGATIVE),
-            Map.entry("rules.cold-share", Range.FRACTION),
-            Map.entry("rules.drain-grace", Range.NON_NEGATIVE),
-            Map.entry("limits.longest-stay-away", Range.NON_NEGATIVE)));
-
-    private static final Map<String, Range> NUMBERS_BY_CLASS = new TreeMap<>(Map.of(
-            "soft-limit", Range.POSITIVE,
-            "client-timeout", Range.POSITIVE,
-            "soft-limit-stretch", Range.NON_NEGATIVE,
-            "value", Range.NON_NEGATIVE,
-            "late-value", Range.FINITE));
-
-    private static final Set<String> KINDS =
-            Set.of(SettingNames.IDEMPOTENT, SettingNames.IDEMPOTENT_BY_KEY, SettingNames.NON_IDEMPOTENT);
-
-    /** What is assumed for a setting that is missing, as it is reported. */
-    private static final Map<String, String> DEFAULTS = new TreeMap<>(Map.of(
-            "server.cores", "1",
-            "server.memory-kb", "no limit",
-            "server.gauges", "none",
-            "rules.crowd-factor", "2",
-            "rules.drain-grace", "0 ms"));
-
-    /** What is assumed for a setting that is missing in a class, as it is reported. */
-    private static final Map<String, String> DEFAULTS_BY_CLASS =
-            new TreeMap<>(Map.of("soft-limit", "1000 ms", "client-timeout", "2000 ms", "kind", "once"));
-
-    private final Map<String, String> settings;
-    private final Map<String, String> externalByInternalName = new HashMap<>();
+    private record ReportedDefault(String path, String assumed) {}
+
+    private static final String ALLOWED_CLASS_NAME = "a name that no other class has";
+
+    /** What is assumed for a setting that is missing, as it is reported, in the order of the report. */
+    private static final List<ReportedDefault> REPORTED_DEFAULTS = List.of(
+            new ReportedDefault(NumberSetting.OVERLOAD_FACTOR.path(), "2"),
+            new ReportedDefault(NumberSetting.DRAIN_GRACE.path(), "0 ms"),
+            new ReportedDefault(NumberSetting.CORES.path(), "1"),
+            new ReportedDefault(SettingPaths.GAUGES, "none"),
+            new ReportedDefault(NumberSetting.MEMORY.path(), "no limit"));
+
+    private final RawSettings settings;
     private final List<String> problems = new ArrayList<>();
     private final List<String> assumedDefaults = new ArrayList<>();
     private final int classCount;
 
-    /** Checks the settings, under the operators' names. */
-    public SettingsValidator(Map<String, String> externalSettings) {
-        settings = SettingsTranslator.translate(externalSettings);
-        externalSettings
-                .keySet()
-                .forEach(name -> externalByInternalName.put(SettingsTranslator.internalName(name), name));
-        classCount = countClasses();
-        DeploymentProfile.problems(settings)
-                .forEach(problem -> problems.add(problem.replace("settings: server.", "settings: family-info.")));
-        NUMBERS.forEach(this::checkNumber);
+    /** Checks the settings. */
+    public SettingsValidator(RawSettings settings) {
+        this.settings = settings;
+        classCount = settings.classCount();
+        checkProfile(SettingPaths.PROFILE_IN_FORCE);
+        checkProfile(SettingPaths.SHADOW_PROFILE);
+        for (NumberSetting setting : NumberSetting.values()) {
+            checkNumber(setting.path(), setting.range());
+        }
         checkClasses();
+        checkValuesByClass(SettingPaths.WEIGHTS_WITHOUT_CALL, "a number", "0", SettingsValidator::isFiniteNumber);
         checkValuesByClass(
-                "server.value-without-call", "a number", "0", value -> Range.FINITE.contains(parseNumber(value)));
-        checkValuesByClass(
-                "server.calls-by-tariff",
+                SettingPaths.CALLS_BY_CLASS,
                 "true, false",
                 "true",
                 value -> value.equals("true") || value.equals("false"));
@@ -117,19 +63,8 @@
         return List.copyOf(assumedDefaults);
     }
 
-    private int countClasses() {
-        int count = 0;
-        while (settings.containsKey(SettingNames.ofPriorityClass(count, "name"))) {
-            count++;
-        }
-        return count;
-    }
-
-    private void addProblem(String name, String allowed) {
-        String value = settings.get(name);
-        String external = externalByInternalName.getOrDefault(name, externalName(name));
-        String finding = value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"";
-        problems.add("settings: " + external + finding + "; allowed: " + allowed);
+    private static boolean isFiniteNumber(String value) {
+        return NumberRange.FINITE.contains(parseNumber(value));
     }
 
     private static double parseNumber(String value) {
@@ -140,45 +75,89 @@
         }
     }
 
-    private void checkNumber(String name, Range range) {
-        String value = settings.get(name);
+    private void addProblem(String path, String allowed) {
+        String value = settings.value(path);
+        String finding = value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"";
+        problems.add("settings: " + settings.givenPath(path) + finding + "; allowed: " + allowed);
+    }
+
+    private void checkProfile(String prefix) {
+        for (DeploymentSetting setting : DeploymentSetting.values()) {
+            String path = prefix + setting.wireName();
+            String value = settings.value(path);
+            List<String> allowed = allowedWords(setting);
+            if (value != null && !allowed.contains(value)) {
+                problems.add("settings: " + path + " is \"" + value + "\"; allowed: " + String.join(", ", allowed));
+            }
+        }
+    }
+
+    private static List<String> allowedWords(DeploymentSetting setting) {
+        return switch (setting) {
+            case DOWNSTREAM -> words(DownstreamKind.values());
+            case RUN_STOPPING -> words(RunStopping.values());
+            case READINESS -> List.of("false", "true");
+            case SIGNAL -> words(BackpressureSignal.values());
+        };
+    }
+
+    /** The words for the constants, in the form in which values are kept, in alphabetical order. */
+    private static List<String> words(WireNamed[] constants) {
+        return Stream.of(constants)
+                .map(constant -> RawSettings.canonicalValue(constant.wireName()))
+                .sorted()
+                .toList();
+    }
+
+    private void checkNumber(String path, NumberRange range) {
+        String value = settings.value(path);
         if (value != null && !range.contains(parseNumber(value))) {
-            addProblem(name, range.description);
+            addProblem(path, range.description());
         }
     }
 
     private void checkClasses() {
         if (classCount == 0) {
-            addProblem(SettingNames.PRIORITY_CLASSES, "one class or more, each with its name");
+            addProblem(SettingPaths.CLASSES, "one class or more, each with its name");
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classCount; i++) {
             checkClass(i, names);
         }
         checkThatNoClassIsIgnored();
-        DEFAULTS_BY_CLASS.forEach((name, assumed) -> checkMissingInClasses(name, assumed, false));
-        checkMissingInClasses("window", "10000 ms", true);
+        checkMissingInClasses(ClassNumberSetting.CLIENT_TIMEOUT.shortName(), "2000 ms", false);
+        checkMissingInClasses(SettingPaths.CLASS_SEMANTICS, "once", false);
+        checkMissingInClasses(ClassNumberSetting.LATENCY_OBJECTIVE.shortName(), "1000 ms", false);
+        checkMissingInClasses(ClassNumberSetting.IDEMPOTENCY_WINDOW.shortName(), "10000 ms", true);
     }
 
     private void checkClass(int index, Set<String> namesSoFar) {
-        String nameSetting = SettingNames.ofPriorityClass(index, "name");
-        String name = settings.get(nameSetting);
+        String namePath = SettingPaths.ofClass(index, SettingPaths.CLASS_NAME);
+        String name = settings.value(namePath);
         if (name.isEmpty() || !namesSoFar.add(name)) {
-            addProblem(nameSetting, "a name that no other class has");
+            addProblem(namePath, ALLOWED_CLASS_NAME);
         }
-        NUMBERS_BY_CLASS.forEach((setting, range) -> checkNumber(SettingNames.ofPriorityClass(index, setting), range));
-        // Only classes with idempotency keys use the window; others may set it to zero.
-        checkNumber(
-                SettingNames.ofPriorityClass(index, "window"),
-                isIdempotentByKey(index) ? Range.POSITIVE : Range.NON_NEGATIVE);
-        String kindSetting = SettingNames.ofPriorityClass(index, "kind");
-        if (!KINDS.contains(settings.getOrDefault(kindSetting, SettingNames.NON_IDEMPOTENT))) {
-            addProblem(kindSetting, "by_key, once, repeatable");
+        for (ClassNumberSetting setting : ClassNumberSetting.values()) {
+            checkNumber(setting.path(index), setting.range(isIdempotentByKey(index)));
         }
+        String semanticsPath = SettingPaths.ofClass(index, SettingPaths.CLASS_SEMANTICS);
+        if (settings.has(semanticsPath) && semantics(index).isEmpty()) {
+            addProblem(
+                    semanticsPath,
+                    Stream.of(RequestSemantics.values())
+                            .map(RequestSemantics::wireName)
+                            .sorted()
+                            .collect(Collectors.joining(", ")));
+        }
+    }
+
+    private Optional<RequestSemantics> semantics(int classIndex) {
+        String value = settings.value(SettingPaths.ofClass(classIndex, SettingPaths.CLASS_SEMANTICS), "");
+        return SettingsParser.constant(RequestSemantics.values(), value);
     }
 
-    private boolean isIdempotentByKey(int index) {
-        return SettingNames.IDEMPOTENT_BY_KEY.equals(settings.get(SettingNames.ofPriorityClass(index, "kind")));
+    private boolean isIdempotentByKey(int classIndex) {
+        return semantics(classIndex).equals(Optional.of(RequestSemantics.IDEMPOTENT_BY_KEY));
     }
 
     /** The list of classes ends at the first one without a name: those after it would be ignored. */
@@ -186,12 +165,12 @@
         if (classCount == 0) {
             return;
         }
-        for (String name : settings.keySet()) {
-            String[] parts = name.split("\\.");
-            if (parts.length > 2 && parts[0].equals(SettingNames.PRIORITY_CLASSES)) {
-                String nameSetting = SettingNames.PRIORITY_CLASSES + "." + parts[1] + ".name";
-                if (!settings.containsKey(nameSetting)) {
-                    addProblem(nameSetting, "a name that no other class has");
+        for (String path : settings.paths()) {
+            String[] parts = path.split("\\.");
+            if (parts.length > 2 && parts[0].equals(SettingPaths.CLASSES)) {
+                String namePath = SettingPaths.CLASSES + "." + parts[1] + "." + SettingPaths.CLASS_NAME;
+                if (!settings.has(namePath)) {
+                    addProblem(namePath, ALLOWED_CLASS_NAME);
                     return;
                 }
             }
@@ -199,47 +178,47 @@
     }
 
     private void checkMissing() {
-        if (!List.of(settings.getOrDefault("server.gauges", "run-queue").split(","))
-                .contains("run-queue")) {
-            assumedDefaults.add("runnable in " + externalName("server.gauges") + " (only own runs counted)");
-        }
-        DEFAULTS.forEach((name, assumed) -> {
-            if (!settings.containsKey(name)) {
-                assumedDefaults.add(externalName(name) + " (" + assumed + ")");
+        List<String> gauges =
+                List.of(settings.value(SettingPaths.GAUGES, "run-queue").split(","));
+        if (!gauges.contains(RawSettings.canonicalValue(Gauge.RUN_QUEUE.wireName()))) {
+            assumedDefaults.add("runnable in " + SettingPaths.GAUGES + " (only own runs counted)");
+        }
+        for (ReportedDefault each : REPORTED_DEFAULTS) {
+            if (!settings.has(each.path)) {
+                assumedDefaults.add(each.path + " (" + each.assumed + ")");
             }
-        });
+        }
     }
 
-    private void checkMissingInClasses(String setting, String assumed, boolean onlyIdempotentByKey) {
+    private void checkMissingInClasses(String shortName, String assumed, boolean onlyIdempotentByKey) {
         List<String> without = new ArrayList<>();
         for (int i = 0; i < classCount; i++) {
             boolean needed = !onlyIdempotentByKey || isIdempotentByKey(i);
-            if (needed && !settings.containsKey(SettingNames.ofPriorityClass(i, setting))) {
+            if (needed && !settings.has(SettingPaths.ofClass(i, shortName))) {
                 without.add("" + i);
             }
         }
         if (!without.isEmpty()) {
-            assumedDefaults.add(externalName(SettingNames.PRIORITY_CLASSES) + "." + String.join("+", without) + "."
-                    + externalName(setting) + " (" + assumed + ")");
+            assumedDefaults.add(
+                    SettingPaths.CLASSES + "." + String.join("+", without) + "." + shortName + " (" + assumed + ")");
         }
     }
 
     /** Checks a setting with one value for each class, set apart by commas; it may be left empty. */
-    private void checkValuesByClass(String name, String allowed, String assumed, Predicate<String> isAllowed) {
-        String setting = settings.getOrDefault(name, "");
+    private void checkValuesByClass(String path, String allowed, String assumed, Predicate<String> isAllowed) {
+        String setting = settings.value(path, "");
         if (setting.isEmpty()) {
             return;
         }
         String[] values = setting.split(",", -1);
         for (String value : values) {
             if (!value.isEmpty() && !isAllowed.test(value)) {
-                addProblem(name, allowed + " for each class");
+                addProblem(path, allowed + " for each class");
                 return;
             }
         }
         if (values.length != classCount) {
-            assumedDefaults.add(
-                    externalName(name) + " has " + values.length + " of " + classCount + " (" + assumed + ")");
+            assumedDefaults.add(path + " has " + values.length + " of " + classCount + " (" + assumed + ")");
         }
     }
 }
--- a/src/main/java/merlinlever/driver/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import merlinlever.controller.ControllerEvent;
@@ -10,8 +11,10 @@
 import merlinlever.controller.Decisions;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestHandle;
-import merlinlever.controller.settings.SettingNames;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RawSettings;
+import merlinlever.controller.settings.SettingsParser;
 import merlinlever.policy.OverloadController;
 
 /**
@@ -49,26 +52,31 @@
     /**
      * Creates the controller.
      *
-     * @param settings the settings by their internal names, see {@link SettingsTranslator}
      * @param seed the seed of the controller's random draws
      */
-    public ControllerDriver(Map<String, String> settings, long seed, DecisionHandler<T> handler) {
+    public ControllerDriver(ControllerSettings settings, long seed, DecisionHandler<T> handler) {
         this.handler = handler;
         priorityClassIndexes = priorityClassIndexes(settings);
         controller = new OverloadController(settings, seed);
         shadowMode = ShadowModeCounter.of(settings);
     }
 
+    /** A controller whose settings are still text. */
+    public ControllerDriver(Map<String, String> settings, long seed, DecisionHandler<T> handler) {
+        this(SettingsParser.parse(RawSettings.of(settings)), seed, handler);
+    }
+
     /** In shadow mode, how often by kind the shadowed settings would have decided otherwise; else empty. */
     public Map<String, Long> shadowDifferences() {
         return shadowMode.map(ShadowModeCounter::differences).orElse(Map.of());
     }
 
     /** The index of each priority class by its name. */
-    public static Map<String, Integer> priorityClassIndexes(Map<String, String> settings) {
+    public static Map<String, Integer> priorityClassIndexes(ControllerSettings settings) {
         Map<String, Integer> indexes = new HashMap<>();
-        for (int i = 0; settings.containsKey(SettingNames.ofPriorityClass(i, "name")); i++) {
-            indexes.put(settings.get(SettingNames.ofPriorityClass(i, "name")), i);
+        List<PriorityClassSettings> classes = settings.priorityClasses();
+        for (int i = 0; i < classes.size(); i++) {
+            indexes.put(classes.get(i).name(), i);
         }
         return indexes;
     }
--- a/src/main/java/merlinlever/driver/ShadowModeCounter.java
+++ b/src/main/java/merlinlever/driver/ShadowModeCounter.java
@@ -1,48 +1,52 @@
 package merlinlever.driver;
 
-import java.util.Collection;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Decisions;
-import merlinlever.controller.settings.DeploymentProfile;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.DeploymentSetting;
 
 /**
- * Shadow mode: counts how often the settings under {@code watch.} would have decided otherwise than the settings in
- * force, without changing a decision. See {@link DeploymentProfile} for these settings.
+ * Shadow mode: counts how often another deployment profile would have decided otherwise than the one in force, without
+ * changing a decision.
  */
 final class ShadowModeCounter {
 
-    private final Set<String> differingSettings;
+    private final Set<DeploymentSetting> differingSettings;
     private final Map<String, Long> differences = new TreeMap<>();
 
-    private ShadowModeCounter(Collection<String> differingSettings) {
-        this.differingSettings = new TreeSet<>(differingSettings);
+    private ShadowModeCounter(Set<DeploymentSetting> differingSettings) {
+        this.differingSettings = differingSettings;
     }
 
-    /** The counter over these settings; empty unless a {@code watch.} setting is given. */
-    static Optional<ShadowModeCounter> of(Map<String, String> settings) {
-        return DeploymentProfile.hasShadowedSettings(settings)
-                ? Optional.of(new ShadowModeCounter(DeploymentProfile.shadowedDifferently(settings)))
-                : Optional.empty();
+    /** The counter over these settings; empty without a shadow profile. */
+    static Optional<ShadowModeCounter> of(ControllerSettings settings) {
+        return settings.shadowDeployment()
+                .map(shadow -> new ShadowModeCounter(settings.deployment().differences(shadow)));
     }
 
     /** Counts what the shadowed settings would have decided otherwise in one batch of decisions. */
     void count(Decisions decisions) {
         // Dropped work is lost and its call cancelled; paused work keeps its progress and memory.
-        add("halt", decisions.of(Decision.Stop.class).size());
-        add("say", decisions.of(Decision.SendBackpressure.class).size());
+        add(DeploymentSetting.RUN_STOPPING, decisions.of(Decision.Stop.class).size());
+        add(
+                DeploymentSetting.SIGNAL,
+                decisions.of(Decision.SendBackpressure.class).size());
         // Where the endpoint list follows health, every caller's list drops or takes back this server.
-        add("readiness", decisions.of(Decision.ReportHealth.class).size());
-        add("below", decisions.of(Decision.CallDownstream.class).size());
+        add(
+                DeploymentSetting.READINESS,
+                decisions.of(Decision.ReportHealth.class).size());
+        add(
+                DeploymentSetting.DOWNSTREAM,
+                decisions.of(Decision.CallDownstream.class).size());
     }
 
-    private void add(String setting, long times) {
+    private void add(DeploymentSetting setting, long times) {
         if (times > 0 && differingSettings.contains(setting)) {
-            differences.merge(setting, times, Long::sum);
+            differences.merge(setting.wireName(), times, Long::sum);
         }
     }
 
--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.SplittableRandom;
 import merlinlever.common.Durations;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
 
 /**
  * Decides which arrivals are queued and which rejected: by the safety rules, by whether the objective can be
@@ -38,11 +38,10 @@
     private double quickestReadMs = 1e9;
     private int queuedSinceRejection;
 
-    AdmissionControl(ServerState server, Settings settings, long seed) {
+    AdmissionControl(ServerState server, ControllerSettings settings, long seed) {
         this.server = server;
         random = new SplittableRandom(seed);
-        boolean canAsk = settings.flag("limits.stay-away");
-        maxRetryAfter = canAsk ? settings.duration("limits.longest-stay-away", 0) : Duration.ZERO;
+        maxRetryAfter = settings.callers().maxRetryAfter();
         double least = Math.max(MIN_WEIGHT, server.weights().min().orElse(1));
         double range = Math.log(server.weights().max().orElse(1) / least);
         for (PriorityClass priorityClass : server.priorityClasses) {
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -4,7 +4,8 @@
 import java.util.OptionalDouble;
 import merlinlever.common.Durations;
 import merlinlever.controller.Decision;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.BackpressureSignal;
+import merlinlever.controller.settings.ControllerSettings;
 
 /** Decides what callers are sent unasked: a signal to hold back, and when idle connections are closed. */
 final class BackpressureSignals {
@@ -20,7 +21,7 @@
     private static final double TIMEOUT_INCREASE = 1.02;
 
     private final ServerState server;
-    private final String signal;
+    private final BackpressureSignal signal;
     private final double maxIdleMs;
     private final double callers;
     private double idleTimeoutMs;
@@ -31,12 +32,12 @@
     private double announcedLevel;
     private Duration nextUpdateAt = Duration.ZERO;
 
-    BackpressureSignals(ServerState server, Settings settings) {
+    BackpressureSignals(ServerState server, ControllerSettings settings) {
         this.server = server;
-        signal = settings.text("server.say", "none");
-        maxIdleMs = settings.number("server.idle", 30_000);
+        signal = settings.deployment().signal();
+        maxIdleMs = Durations.toMillis(settings.callers().idleTimeout());
         idleTimeoutMs = maxIdleMs / 10;
-        callers = settings.number("server.callers", 1);
+        callers = settings.callers().callers();
     }
 
     void update(Duration now) {
@@ -45,7 +46,7 @@
         }
         nextUpdateAt = now.plusMillis(100);
         updateIdleTimeout();
-        if (!signal.equals("none")) {
+        if (signal != BackpressureSignal.NONE) {
             updateLevel(now);
         }
     }
@@ -68,10 +69,10 @@
     private OptionalDouble signalValue() {
         double concurrency = server.cores + server.capacity.queueCapacity();
         return switch (signal) {
-            case "level" -> OptionalDouble.of(level);
-            case "weight" -> OptionalDouble.of(1 - level);
-            case "credit" -> OptionalDouble.of(2 * (1 - level) * concurrency / callers);
-            default -> OptionalDouble.empty();
+            case LEVEL -> OptionalDouble.of(level);
+            case WEIGHT -> OptionalDouble.of(1 - level);
+            case CREDIT -> OptionalDouble.of(2 * (1 - level) * concurrency / callers);
+            case NONE -> OptionalDouble.empty();
         };
     }
 
--- a/src/main/java/merlinlever/policy/CapacityEstimator.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -2,7 +2,8 @@
 
 import static merlinlever.common.Durations.toMillis;
 
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.WarmUpSettings;
 
 /** Estimates what the server can do from what it did, and limits it to what it survives: rule 4. */
 final class CapacityEstimator {
@@ -20,12 +21,13 @@
     private double completions;
     private double busyMs;
 
-    CapacityEstimator(ServerState server, Settings settings) {
+    CapacityEstimator(ServerState server, ControllerSettings settings) {
         this.server = server;
-        coldSpeed = settings.flag("server.cold") ? settings.number("rules.cold-share", 0.2) : 1;
-        warmUpMs = Math.max(1, settings.number("rules.cold", 1));
-        overloadFactor = settings.number("rules.crowd-factor", 2);
-        memoryKb = settings.number("server.memory-kb", 1e9);
+        WarmUpSettings warmUp = settings.warmUp();
+        coldSpeed = warmUp.cold() ? warmUp.coldSpeed() : 1;
+        warmUpMs = Math.max(1, toMillis(warmUp.duration()));
+        overloadFactor = settings.safety().overloadFactor();
+        memoryKb = settings.server().memoryLimitKb();
     }
 
     void accrueBusyTime(double elapsedMs) {
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -4,7 +4,8 @@
 import merlinlever.common.Durations;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Outcome;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.RunStopping;
 import merlinlever.policy.Request.Phase;
 
 /** Decides how a request ends: its run is over, it is rejected or failed, or its time has passed. */
@@ -13,10 +14,10 @@
     private final boolean canStopRuns;
     private final double fleetSize;
 
-    Completions(ServerState server, Settings settings) {
+    Completions(ServerState server, ControllerSettings settings) {
         this.server = server;
-        canStopRuns = !settings.text("server.halt", "none").equals("none");
-        fleetSize = Math.max(1, settings.number("servers", 1));
+        canStopRuns = settings.deployment().runStopping() != RunStopping.NONE;
+        fleetSize = Math.max(1, settings.downstream().fleetSize());
     }
 
     /** The run of the request, or the sharing of another's outcome, has ended. */
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -5,7 +5,9 @@
 import merlinlever.common.Durations;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Outcome;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.DownstreamKind;
+import merlinlever.controller.settings.DownstreamSettings;
 import merlinlever.policy.Request.Phase;
 
 /**
@@ -28,19 +30,20 @@
     private double creditMs;
     private Duration decreasedAt = Duration.ZERO;
 
-    DownstreamCalls(ServerState server, Settings settings, long seed) {
+    DownstreamCalls(ServerState server, ControllerSettings settings, long seed) {
         this.server = server;
         // Rule 4: this server's share of the shared limit, and as saved credit its share of the random excess
         // that the fleet is allowed, 2 x sqrt(N) + 2; with a fleet of unknown size, the share of one period.
         // All survive one call between them.
-        boolean shared = settings.text("server.below", "none").equals("shared");
-        double configuredShare = shared ? settings.number("server.share-of-calls", 1) : 1e9;
+        DownstreamSettings downstream = settings.downstream();
+        boolean shared = settings.deployment().downstream() == DownstreamKind.SHARED;
+        double configuredShare = shared ? downstream.shareOfCalls() : 1e9;
         maxConcurrent = Math.min(CALLS_PER_CORE * server.cores, configuredShare);
         double share = Math.max(maxConcurrent, 0.001);
-        double fleetSize = settings.number("servers", 0);
+        double fleetSize = downstream.fleetSize();
         double fleetLimit = Math.max(share * fleetSize, 1);
-        lingerMs = shared ? settings.number("server.linger", 0) : 0;
-        minCreditMs = Math.max(1, settings.number("server.calls-over", 5000)) * share;
+        lingerMs = shared ? Durations.toMillis(downstream.lingerTime()) : 0;
+        minCreditMs = Math.max(1, Durations.toMillis(downstream.averagingTime())) * share;
         double randomExcess = 2 * (Math.sqrt(fleetLimit) + 1) / fleetLimit;
         double savedMs = fleetSize < 1 ? lingerMs + minCreditMs : randomExcess * minCreditMs;
         maxCreditMs = Math.max(2 * lingerMs, savedMs);
--- a/src/main/java/merlinlever/policy/DrainState.java
+++ b/src/main/java/merlinlever/policy/DrainState.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import merlinlever.common.Durations;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.SafetySettings;
 
 /** Whether the server is draining, and what may still be started before its process is stopped. */
 final class DrainState {
@@ -13,9 +13,9 @@
 
     private Duration stopAt;
 
-    DrainState(ServerState server, Settings settings) {
+    DrainState(ServerState server, SafetySettings settings) {
         this.server = server;
-        grace = settings.duration("rules.drain-grace", 0);
+        grace = settings.drainGrace();
     }
 
     void start(Duration now, Duration processStopAt) {
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -4,22 +4,19 @@
 import merlinlever.controller.Decision;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestHandle;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.policy.Request.Phase;
 
 /** Decides which requests are retained for duplicates, for how long, and what becomes of a duplicate. */
 final class DuplicateRequests {
-    // Unless configured, no duplicate is read later after its arrival; so long its original is known.
-    private static final double MAX_READ_DELAY_MS = 30_000;
-
     private final ServerState server;
     private final Duration freshFor;
     private final Duration maxReadDelay;
 
-    DuplicateRequests(ServerState server, Settings settings) {
+    DuplicateRequests(ServerState server, ControllerSettings settings) {
         this.server = server;
-        freshFor = settings.duration("server.fresh-for", 0);
-        maxReadDelay = settings.duration("rules.longest-unread", MAX_READ_DELAY_MS);
+        freshFor = settings.callers().freshFor();
+        maxReadDelay = settings.safety().maxReadDelay();
     }
 
     /** Whether a read of this class may be answered with the outcome of another. */
--- a/src/main/java/merlinlever/policy/OverloadController.java
+++ b/src/main/java/merlinlever/policy/OverloadController.java
@@ -1,13 +1,12 @@
 package merlinlever.policy;
 
 import java.time.Duration;
-import java.util.Map;
 import merlinlever.controller.Decisions;
 import merlinlever.controller.QuotaDemand;
 import merlinlever.controller.QuotaGrant;
 import merlinlever.controller.RequestAttributes;
 import merlinlever.controller.RequestHandle;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.policy.Request.Phase;
 
 /**
@@ -23,9 +22,9 @@
     private final ServerState server;
     private final DecisionCycle decisionCycle;
 
-    /** A controller with its settings by name and the seed of its random draws. */
-    public OverloadController(Map<String, String> settings, long seed) {
-        server = new ServerState(new Settings(settings), seed);
+    /** A controller with its settings and the seed of its random draws. */
+    public OverloadController(ControllerSettings settings, long seed) {
+        server = new ServerState(settings, seed);
         decisionCycle = new DecisionCycle(server);
     }
 
@@ -78,7 +77,7 @@
         return server.quota(classIndex).demand(now, waiting);
     }
 
-    /** New readings of the gauges, in the order of the setting {@code server.gauges}. */
+    /** New readings of the gauges, in the order of the settings. */
     public void updateGauges(Duration now, double[] gauges) {
         server.advanceClock(now);
         server.runQueue.update(gauges);
--- a/src/main/java/merlinlever/policy/PriorityClass.java
+++ b/src/main/java/merlinlever/policy/PriorityClass.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.PriorityClassSettings;
 
 /** A class of requests: its settings, and what the controller learns of it. It decides nothing. */
 final class PriorityClass {
@@ -34,27 +35,25 @@
     /** Factor of the probability of a random rejection. Written by {@link AdmissionControl}. */
     double rejectionCoefficient = 1;
 
-    private PriorityClass(Settings settings, int index) {
+    private PriorityClass(PriorityClassSettings settings, int index) {
         this.index = index;
-        String prefix = "tariffs." + index + ".";
-        latencyObjective = settings.duration(prefix + "soft-limit", 1000);
-        clientTimeout = settings.duration(prefix + "client-timeout", 2000);
-        idempotencyWindow = settings.duration(prefix + "window", 10000);
-        objectiveStretch = settings.number(prefix + "soft-limit-stretch", 0);
-        weight = settings.number(prefix + "value", 1);
-        lateWeight = settings.number(prefix + "late-value", 0);
-        weightWithoutCall = Double.parseDouble(settings.listElement("server.value-without-call", index, "0"));
-        makesCalls = Boolean.parseBoolean(settings.listElement("server.calls-by-tariff", index, "true"));
-        String kind = settings.text(prefix + "kind", "binding");
-        idempotent = kind.equals("retriable");
-        idempotentByKey = kind.equals("fingerprinted");
+        latencyObjective = settings.latencyObjective();
+        clientTimeout = settings.clientTimeout();
+        idempotencyWindow = settings.idempotencyWindow();
+        objectiveStretch = settings.objectiveStretch();
+        weight = settings.weight();
+        lateWeight = settings.lateWeight();
+        weightWithoutCall = settings.weightWithoutCall();
+        makesCalls = settings.makesCalls();
+        idempotent = settings.isIdempotent();
+        idempotentByKey = settings.isIdempotentByKey();
     }
 
     /** All classes in the settings, in the order of their indexes. */
-    static List<PriorityClass> fromSettings(Settings settings) {
+    static List<PriorityClass> fromSettings(ControllerSettings settings) {
         List<PriorityClass> priorityClasses = new ArrayList<>();
-        for (int i = 0; settings.has("tariffs." + i + ".name"); i++) {
-            priorityClasses.add(new PriorityClass(settings, i));
+        for (PriorityClassSettings each : settings.priorityClasses()) {
+            priorityClasses.add(new PriorityClass(each, priorityClasses.size()));
         }
         return priorityClasses;
     }
--- a/src/main/java/merlinlever/policy/RetentionTable.java
+++ b/src/main/java/merlinlever/policy/RetentionTable.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import merlinlever.controller.Decision;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ServerSettings;
 
 /**
  * The requests that are retained for duplicates, with the memory that this takes, and until when a handle may
@@ -23,9 +23,9 @@
     private final PriorityQueue<Expiry> retained = new PriorityQueue<>(Comparator.comparing(Expiry::time));
     private final PriorityQueue<Expiry> handles = new PriorityQueue<>(Comparator.comparing(Expiry::time));
 
-    RetentionTable(ServerState server, Settings settings) {
+    RetentionTable(ServerState server, ServerSettings settings) {
         this.server = server;
-        entryKb = settings.number("server.kb-per-fingerprint", 0);
+        entryKb = settings.memoryPerKeyKb();
     }
 
     /** Retains the request for that long from now on, also if it is retained already. */
--- a/src/main/java/merlinlever/policy/RunQueueGauge.java
+++ b/src/main/java/merlinlever/policy/RunQueueGauge.java
@@ -1,7 +1,6 @@
 package merlinlever.policy;
 
-import java.util.List;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ServerSettings;
 import merlinlever.policy.Request.Phase;
 
 /** The gauge of the run queue, and what has changed since it was read. It decides nothing. */
@@ -10,11 +9,11 @@
     private double lastSample;
     private int changeSinceSample;
 
-    RunQueueGauge(Settings settings) {
-        index = List.of(settings.text("server.gauges", "").split(",", -1)).indexOf("run-queue");
+    RunQueueGauge(ServerSettings settings) {
+        index = settings.runQueueIndex();
     }
 
-    /** New readings of all gauges, in the order of the setting {@code server.gauges}. */
+    /** New readings of all gauges, in the order of the settings. */
     void update(double[] gauges) {
         if (index >= 0 && index < gauges.length) {
             lastSample = gauges[index];
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -12,7 +12,7 @@
 import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Decisions;
-import merlinlever.controller.settings.Settings;
+import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.policy.Request.Phase;
 
 /**
@@ -63,7 +63,7 @@
     private Duration now = Duration.ZERO;
     private Decisions.Builder decisions = new Decisions.Builder();
 
-    ServerState(Settings settings, long seed) {
+    ServerState(ControllerSettings settings, long seed) {
         priorityClasses = PriorityClass.fromSettings(settings);
         objectiveMs = toMillis(priorityClasses.stream()
                 .map(priorityClass -> priorityClass.latencyObjective)
@@ -72,12 +72,12 @@
         for (RejectionReason reason : RejectionReason.values()) {
             rejections.put(reason, 0L);
         }
-        cores = (int) Math.max(1, settings.number("server.cores", 1));
-        runMemoryFactor = settings.number("server.run-factor", 4);
-        runQueue = new RunQueueGauge(settings);
-        retained = new RetentionTable(this, settings);
+        cores = settings.server().cores();
+        runMemoryFactor = settings.server().runMemoryFactor();
+        runQueue = new RunQueueGauge(settings.server());
+        retained = new RetentionTable(this, settings.server());
         stallDetector = new StallDetector(this);
-        drain = new DrainState(this, settings);
+        drain = new DrainState(this, settings.safety());
         idempotencyWindow = new IdempotencyWindow();
         capacity = new CapacityEstimator(this, settings);
         for (int i = 0; i <= priorityClasses.size(); i++) {
--- a/src/main/java/merlinlever/simulator/ControllerInstance.java
+++ b/src/main/java/merlinlever/simulator/ControllerInstance.java
@@ -8,7 +8,8 @@
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
 import merlinlever.controller.RequestHandle;
-import merlinlever.controller.settings.SettingsTranslator;
+import merlinlever.controller.settings.RawSettings;
+import merlinlever.controller.settings.SettingsParser;
 import merlinlever.driver.ControllerDriver;
 import merlinlever.driver.DecisionHandler;
 
@@ -45,10 +46,10 @@
         name = enlistment.requiredText("who");
         startMs = nowMs;
         driver = new ControllerDriver<>(
-                SettingsTranslator.translate(settings(enlistment)), enlistment.wholeNumber("entropy", 0), this);
+                SettingsParser.parse(settings(enlistment)), enlistment.wholeNumber("entropy", 0), this);
     }
 
-    private static Map<String, String> settings(WireMessage enlistment) {
+    private static RawSettings settings(WireMessage enlistment) {
         Map<String, String> settings = new HashMap<>();
         for (String field : enlistment.line().split(" ")) {
             int equals = field.indexOf('=');
@@ -56,7 +57,7 @@
                 settings.put(field.substring(0, equals), field.substring(equals + 1));
             }
         }
-        return settings;
+        return RawSettings.of(settings);
     }
 
     private Duration sinceStart(double timeMs) {
--- a/src/test/java/merlinlever/backend/BackendFixture.java
+++ b/src/test/java/merlinlever/backend/BackendFixture.java
@@ -10,9 +10,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Consumer;
 import merlinlever.backend.RequestMetadata.RequestId;
 import merlinlever.backend.RequestMetadata.Timing;
 import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.BackpressureSignal;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.DeploymentProfile;
+import merlinlever.controller.settings.DownstreamKind;
+import merlinlever.controller.settings.Gauge;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RequestSemantics;
+import merlinlever.controller.settings.RunStopping;
 
 /**
  * A backend with a clock and dependencies of the test's own. Each event is a batch: the controller decides on it at
@@ -20,24 +29,29 @@
  */
 final class BackendFixture extends RecordingDependencies {
 
-    static final Map<String, String> SETTINGS = Map.ofEntries(
-            Map.entry("server.cores", "4"),
-            Map.entry("server.memory-kb", "20000"),
-            Map.entry("server.run-factor", "4"),
-            Map.entry("server.gauges", "busy,run-queue"),
-            Map.entry("server.halt", "drop"),
-            Map.entry("server.calls-by-tariff", "true,true"),
-            Map.entry("rules.crowd-factor", "8"),
-            Map.entry("rules.drain-grace", "500"),
-            Map.entry("tariffs.0.name", "look"),
-            Map.entry("tariffs.0.kind", "retriable"),
-            Map.entry("tariffs.0.soft-limit", "500"),
-            Map.entry("tariffs.0.client-timeout", "1000"),
-            Map.entry("tariffs.1.name", "buy"),
-            Map.entry("tariffs.1.kind", "fingerprinted"),
-            Map.entry("tariffs.1.soft-limit", "500"),
-            Map.entry("tariffs.1.client-timeout", "1000"),
-            Map.entry("tariffs.1.window", "5000"));
+    /** The priority class of that name, whose requests are idempotent. */
+    static final int LOOK = 0;
+    /** The priority class of that name, whose requests are idempotent by key. */
+    static final int BUY = 1;
+
+    private static final ControllerSettings SETTINGS = ControllerSettings.builder()
+            .cores(4)
+            .memoryKb(20_000)
+            .runMemoryFactor(4)
+            .gauges(List.of(Gauge.CPU_BUSY, Gauge.RUN_QUEUE))
+            .deployment(new DeploymentProfile(DownstreamKind.NONE, RunStopping.DROP, false, BackpressureSignal.NONE))
+            .overloadFactor(8)
+            .drainGrace(Duration.ofMillis(500))
+            .addPriorityClass(PriorityClassSettings.named("look")
+                    .semantics(RequestSemantics.IDEMPOTENT)
+                    .latencyObjective(Duration.ofMillis(500))
+                    .clientTimeout(Duration.ofSeconds(1)))
+            .addPriorityClass(PriorityClassSettings.named("buy")
+                    .semantics(RequestSemantics.IDEMPOTENT_BY_KEY)
+                    .latencyObjective(Duration.ofMillis(500))
+                    .clientTimeout(Duration.ofSeconds(1))
+                    .idempotencyWindow(Duration.ofSeconds(5)))
+            .build();
 
     /** The body of each downstream call. */
     static final byte[] CALL = {1};
@@ -61,17 +75,18 @@
     /** Where downstream calls go, unless a test plays the downstream service itself. */
     DownstreamService downstream = this;
 
-    BackendFixture(Map<String, String> changedSettings) {
+    /** @param change of the settings */
+    BackendFixture(Consumer<ControllerSettings.Builder> change) {
         super(new ArrayList<>());
-        Map<String, String> settings = new HashMap<>(SETTINGS);
-        settings.putAll(changedSettings);
-        backend = new Backend(settings, SEED, this);
+        ControllerSettings.Builder settings = SETTINGS.toBuilder();
+        change.accept(settings);
+        backend = new Backend(settings.build(), SEED, this);
         backend.agentStarted(now, false);
         decide();
     }
 
     BackendFixture() {
-        this(Map.of());
+        this(settings -> {});
     }
 
     /** A backend of the same settings whose agent is not up. */
--- a/src/test/java/merlinlever/backend/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/backend/BatchedBackendFixture.java
@@ -4,13 +4,13 @@
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
+import java.util.function.Consumer;
 import merlinlever.backend.RequestMetadata.RequestId;
 import merlinlever.backend.RequestMetadata.Timing;
 import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.ControllerSettings;
 
 /** A backend whose batches the test puts together: nothing is decided, and no time passes, unless the test says so. */
 final class BatchedBackendFixture {
@@ -27,13 +27,14 @@
     /** How long callers wait, from the arrival of their request on. */
     Duration callerTimeout = Duration.ofSeconds(1);
 
-    BatchedBackendFixture(Map<String, String> changedSettings) {
-        fixture = new BackendFixture(changedSettings);
+    /** @param change of the settings of {@link BackendFixture} */
+    BatchedBackendFixture(Consumer<ControllerSettings.Builder> change) {
+        fixture = new BackendFixture(change);
         backend = fixture.backend;
     }
 
     BatchedBackendFixture() {
-        this(Map.of());
+        this(settings -> {});
     }
 
     Duration now() {
@@ -144,12 +145,9 @@
                 .toList();
     }
 
-    static Map<String, String> settings(String... namesAndValues) {
-        Map<String, String> settings = new HashMap<>();
-        for (int i = 0; i < namesAndValues.length; i += 2) {
-            settings.put(namesAndValues[i], namesAndValues[i + 1]);
-        }
-        return settings;
+    static BatchedBackendFixture withBuyWindow(long ms) {
+        return new BatchedBackendFixture(settings ->
+                settings.changePriorityClass(BackendFixture.BUY, buy -> buy.idempotencyWindow(Duration.ofMillis(ms))));
     }
 
     /** Receives a request that is run and answered at once; its window of 5 s counts from now. */
--- a/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
@@ -42,7 +42,7 @@
     void noOrderOfEventsRunsARequestTwiceInItsWindow(@ForAll long seed) {
         random = new SplittableRandom(seed);
         int windowMs = new int[] {0, 40, 400, 5000}[random.nextInt(4)];
-        fixture = new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", "" + windowMs));
+        fixture = BatchedBackendFixture.withBuyWindow(windowMs);
         attempts.clear();
         gracePeriodEnd = null;
         for (int step = 0; step < 300; step++) {
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -12,6 +12,7 @@
 import java.util.Optional;
 import merlinlever.backend.RequestMetadata.RequestId;
 import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.RequestSemantics;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -201,9 +202,8 @@
     /** A window that is over before the run ends: the run is found until it has ended. */
     @Test
     void duplicateAfterAWindowShorterThanTheRunShares() {
-        for (String window : new String[] {"50", "0"}) {
-            BatchedBackendFixture fixture =
-                    new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.window", window));
+        for (long windowMs : new long[] {50, 0}) {
+            BatchedBackendFixture fixture = BatchedBackendFixture.withBuyWindow(windowMs);
             String first = fixture.receive("buy", "t", "a");
             fixture.decide();
             fixture.advance(300);
@@ -289,8 +289,8 @@
     /** A subject that comes with a write stands for no result to share: each request is run and answered by itself. */
     @Test
     void writesOfOneSubjectDoNotShareResults() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(
-                BatchedBackendFixture.settings("server.fresh-for", "1000", "tariffs.1.kind", "binding"));
+        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1))
+                .changePriorityClass(BackendFixture.BUY, buy -> buy.semantics(RequestSemantics.NON_IDEMPOTENT)));
         String one = fixture.receive("buy", null, "s", "a", fixture.now());
         String two = fixture.receive("buy", null, "s", "b", fixture.now());
         fixture.decide();
@@ -308,8 +308,8 @@
      */
     @Test
     void requestsWithoutIdempotencyKeyRunAndCallOnceEach() {
-        BatchedBackendFixture fixture =
-                new BatchedBackendFixture(BatchedBackendFixture.settings("tariffs.1.kind", "binding"));
+        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.changePriorityClass(
+                BackendFixture.BUY, buy -> buy.semantics(RequestSemantics.NON_IDEMPOTENT)));
         String one = fixture.receive("buy", null, "a");
         String two = fixture.receive("buy", null, "a");
         fixture.decide();
--- a/src/test/java/merlinlever/backend/DuplicateRequestTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import merlinlever.backend.RequestMetadata.RequestId;
 import merlinlever.backend.RequestMetadata.Timing;
@@ -74,7 +74,7 @@
      */
     @Test
     void keysBeyondTheLimitOfTheProcessAreRejectedAndNoneIsEvicted() {
-        BackendFixture fixture = new BackendFixture(Map.of("server.kb-per-fingerprint", "0"));
+        BackendFixture fixture = new BackendFixture(settings -> settings.memoryPerKeyKb(0));
         int succeeded = 0;
         String id = fixture.receive("buy", "t0", "a");
         for (int i = 0; fixture.count("launch " + id) == 1 && i < 4200; i++) {
@@ -102,7 +102,7 @@
 
     @Test
     void readsOfASubjectShareAFreshResultWhereThatIsAllowed() {
-        BackendFixture fixture = new BackendFixture(Map.of("server.fresh-for", "1000"));
+        BackendFixture fixture = new BackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1)));
         for (int round = 0; round < 2; round++) {
             List<String> responses = new ArrayList<>();
             long firstId = fixture.lastId + 1;
--- a/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
@@ -17,8 +17,9 @@
     /** No result is retained longer than it can be asked for, however long its run took. */
     @Test
     void resultOfARunLongerThanItsWindowIsReleased() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(
-                BatchedBackendFixture.settings("tariffs.1.window", "50", "tariffs.1.client-timeout", "9000"));
+        BatchedBackendFixture fixture = new BatchedBackendFixture(settings ->
+                settings.changePriorityClass(BackendFixture.BUY, buy -> buy.idempotencyWindow(Duration.ofMillis(50))
+                        .clientTimeout(Duration.ofSeconds(9))));
         String first = fixture.receive("buy", "t", "a");
         fixture.decide();
         fixture.advance(3000);
@@ -111,8 +112,9 @@
     /** What a class with a long window leaves behind does not retain what a class with a short one has left. */
     @Test
     void shortWindowIsNotRetainedBehindALongOne() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(
-                BatchedBackendFixture.settings("tariffs.0.window", "1000", "tariffs.1.window", "600000"));
+        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.changePriorityClass(
+                        BackendFixture.LOOK, look -> look.idempotencyWindow(Duration.ofSeconds(1)))
+                .changePriorityClass(BackendFixture.BUY, buy -> buy.idempotencyWindow(Duration.ofMinutes(10))));
         fixture.receiveAndComplete();
         for (int i = 0; i < 100; i++) {
             String lookup = fixture.receive("look", null, "a");
--- a/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
@@ -5,7 +5,6 @@
 
 import java.time.Duration;
 import java.util.List;
-import java.util.Map;
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
@@ -142,7 +141,8 @@
     @Test
     void anyOutcomeThatCrossesAStopEndsTheRequest() {
         for (Outcome outcome : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NOT_STARTED)) {
-            BackendFixture fixture = new BackendFixture(Map.of("tariffs.0.window", "0"));
+            BackendFixture fixture = new BackendFixture(settings ->
+                    settings.changePriorityClass(BackendFixture.LOOK, look -> look.idempotencyWindow(Duration.ZERO)));
             String id = fixture.receive("look", null, "a");
             fixture.disconnectCaller(id);
             fixture.decide();
--- a/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
@@ -34,18 +34,32 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.ManualClockLoop;
 import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.BackpressureSignal;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.DeploymentProfile;
+import merlinlever.controller.settings.DownstreamKind;
+import merlinlever.controller.settings.Gauge;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RequestSemantics;
+import merlinlever.controller.settings.RunStopping;
 
 /** A real backend with a real link to an agent that the test plays; downstream calls and responses are recorded. */
 final class AgentLinkFixture implements BackendDependencies, DownstreamService, AutoCloseable {
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final Map<String, String> SETTINGS = Map.ofEntries(
-            Map.entry("server.cores", "64"), Map.entry("server.memory-kb", "200000"),
-            Map.entry("server.run-factor", "4"), Map.entry("server.gauges", "run-queue"),
-            Map.entry("server.halt", "drop"), Map.entry("server.calls-by-tariff", "true"),
-            Map.entry("rules.crowd-factor", "8"), Map.entry("rules.drain-grace", "500"),
-            Map.entry("tariffs.0.name", "look"), Map.entry("tariffs.0.kind", "retriable"),
-            Map.entry("tariffs.0.soft-limit", "50000"), Map.entry("tariffs.0.client-timeout", "100000"));
+    private static final ControllerSettings SETTINGS = ControllerSettings.builder()
+            .cores(64)
+            .memoryKb(200_000)
+            .runMemoryFactor(4)
+            .gauges(List.of(Gauge.RUN_QUEUE))
+            .deployment(new DeploymentProfile(DownstreamKind.NONE, RunStopping.DROP, false, BackpressureSignal.NONE))
+            .overloadFactor(8)
+            .drainGrace(Duration.ofMillis(500))
+            .addPriorityClass(PriorityClassSettings.named("look")
+                    .semantics(RequestSemantics.IDEMPOTENT)
+                    .latencyObjective(Duration.ofSeconds(50))
+                    .clientTimeout(Duration.ofSeconds(100)))
+            .build();
 
     final ManualClockLoop loop;
     final Backend backend;
--- a/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
@@ -13,7 +13,6 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.FutureTask;
 import java.util.concurrent.TimeUnit;
@@ -24,6 +23,13 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.controller.Outcome;
+import merlinlever.controller.settings.BackpressureSignal;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.DeploymentProfile;
+import merlinlever.controller.settings.DownstreamKind;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RequestSemantics;
+import merlinlever.controller.settings.RunStopping;
 import org.junit.jupiter.api.AfterEach;
 
 /**
@@ -43,21 +49,23 @@
     private final List<Socket> sockets = new ArrayList<>();
     final EventLoop loop = new EventLoop(
             new MonotonicClock(() -> nanos.get() + 1_700_000_000_000_000_000L, nanos::get), failures::add);
-    final Backend backend = new Backend(
-            Map.ofEntries(
-                    Map.entry("server.cores", "16"),
-                    Map.entry("server.memory-kb", "90000"),
-                    Map.entry("server.run-factor", "4"),
-                    Map.entry("server.halt", "drop"),
-                    Map.entry("rules.crowd-factor", "8"),
-                    Map.entry("rules.drain-grace", "100"),
-                    Map.entry("tariffs.0.name", "look"),
-                    Map.entry("tariffs.0.kind", "retriable"),
-                    Map.entry("tariffs.0.soft-limit", "20000"),
-                    Map.entry("tariffs.0.client-timeout", "40000")),
-            5,
-            this);
-    final EdgeServer edge = new EdgeServer(loop, backend, Map.of("server.idle", "4000"));
+    private final ControllerSettings settings = ControllerSettings.builder()
+            .cores(16)
+            .memoryKb(90_000)
+            .runMemoryFactor(4)
+            .deployment(new DeploymentProfile(DownstreamKind.NONE, RunStopping.DROP, false, BackpressureSignal.NONE))
+            .overloadFactor(8)
+            .drainGrace(Duration.ofMillis(100))
+            .addPriorityClass(PriorityClassSettings.named("look")
+                    .semantics(RequestSemantics.IDEMPOTENT)
+                    .latencyObjective(Duration.ofSeconds(20))
+                    .clientTimeout(Duration.ofSeconds(40)))
+            .build();
+    final Backend backend = new Backend(settings, 5, this);
+    final EdgeServer edge = new EdgeServer(
+            loop,
+            backend,
+            settings.toBuilder().idleTimeout(Duration.ofSeconds(4)).build());
     private final Thread thread = new Thread(loop::run, "loop");
     private final AtomicLong batchesRun = new AtomicLong();
     private long nextRequestId = 0x9b1f03aa5c7e2d41L;
--- a/src/test/java/merlinlever/cli/ServeConfigurationTest.java
+++ b/src/test/java/merlinlever/cli/ServeConfigurationTest.java
@@ -174,7 +174,12 @@
     void classNamedLikeASettingsKeywordKeepsItsName() throws Exception {
         for (String name : new String[] {"sockets", "once", "silent", "repeatable"}) {
             assertEquals(
-                    name, read(with("\"look\"", "\"" + name + "\"")).settings().get("tariffs.0.name"));
+                    name,
+                    read(with("\"look\"", "\"" + name + "\""))
+                            .settings()
+                            .priorityClasses()
+                            .get(0)
+                            .name());
         }
     }
 
--- a/src/test/java/merlinlever/cli/WarmUpTest.java
+++ b/src/test/java/merlinlever/cli/WarmUpTest.java
@@ -4,7 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
-import java.util.Map;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.PriorityClassSettings;
 import org.junit.jupiter.api.Test;
 
 /** How long the start may rehearse. */
@@ -23,6 +24,9 @@
         }
         assertEquals(Duration.ZERO, WarmUp.timeLimit(Duration.ofMillis(2500)));
         assertEquals(Duration.ZERO, WarmUp.timeLimit(Duration.ofSeconds(60)));
-        assertEquals(0, WarmUp.run(Map.of("tariffs.0.name", "look"), true, Duration.ZERO));
+        ControllerSettings settings = ControllerSettings.builder()
+                .addPriorityClass(PriorityClassSettings.named("look"))
+                .build();
+        assertEquals(0, WarmUp.run(settings, true, Duration.ZERO));
     }
 }
--- a/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
@@ -7,6 +7,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
+import merlinlever.controller.settings.BackpressureSignal;
 import org.junit.jupiter.api.Test;
 
 /** Random early detection, dispatching and backpressure as docs/design.md has them, with figures worked by hand. */
@@ -60,8 +61,8 @@
     /** A class without weight must not switch off the rejections of all classes. */
     @Test
     void rejectsAClassWithoutWeightFirstAndTheOthersByTheirWeight() {
-        Supplier<ControllerFixture> fixtures =
-                () -> new ControllerFixture().with("tariffs." + ControllerFixture.LOOKUP + ".value", 0);
+        Supplier<ControllerFixture> fixtures = () -> new ControllerFixture()
+                .with(settings -> settings.changePriorityClass(ControllerFixture.LOOKUP, lookup -> lookup.weight(0)));
         double lookups = rejectedFraction(ControllerFixture.LOOKUP, false, 20, 400, fixtures);
         double charges = rejectedFraction(ControllerFixture.CHARGE, false, 20, 400, fixtures);
         assertTrue(lookups > 0.2, "coefficient 5: " + lookups);
@@ -70,7 +71,7 @@
 
     @Test
     void whatIdleCoresStartAtOnceDoesNotCountAsQueued() {
-        fixture.with("server.cores", 2);
+        fixture.with(settings -> settings.cores(2));
         for (int i = 0; i < 100; i++) {
             RequestHandle lookup = fixture.submit(ControllerFixture.LOOKUP);
             assertEquals(List.of(lookup), fixture.decide().started(), "two cores, one at a time: nothing is queued");
@@ -117,7 +118,7 @@
 
     @Test
     void backpressureRisesWithTheOccupancyAndFallsAfterIt() {
-        fixture.with("server.say", "level").warmUp(10, 200);
+        fixture.withSignal(BackpressureSignal.LEVEL).warmUp(10, 200);
         double level = 0;
         for (int i = 0; i < 30; i++) {
             fixture.submit(ControllerFixture.LOOKUP, 850, 10, null);
@@ -134,7 +135,7 @@
 
     @Test
     void closesIdleConnectionsOfManyCallersSoonerTheMoreOftenACoreIsFree() {
-        fixture.with("server.idle", 30000).with("server.callers", 200);
+        fixture.with(settings -> settings.idleTimeout(Duration.ofSeconds(30)).callers(200));
         for (int i = 0; i < 50; i++) {
             fixture.decideAfter(100);
         }
@@ -148,8 +149,8 @@
         assertTrue(
                 fixture.idleConnectionTimeout.compareTo(Duration.ofSeconds(25)) > 0,
                 "busy cores: all of it, " + fixture.idleConnectionTimeout);
-        ControllerFixture fewCallers =
-                new ControllerFixture().with("server.idle", 30000).with("server.callers", 100);
+        ControllerFixture fewCallers = new ControllerFixture()
+                .with(settings -> settings.idleTimeout(Duration.ofSeconds(30)).callers(100));
         fewCallers.decideAfter(100);
         fewCallers.decideAfter(5000);
         assertNull(fewCallers.idleConnectionTimeout, "few callers cannot fill the table");
@@ -157,7 +158,7 @@
 
     @Test
     void oneLongRunDoesNotUndoTheCapacityThatWasLearned() {
-        fixture.with("server.cores", 2).warmUp(20, 100);
+        fixture.with(settings -> settings.cores(2)).warmUp(20, 100);
         fixture.submit(ControllerFixture.ORDER);
         fixture.submit(ControllerFixture.ORDER);
         fixture.decideAfter(900);
--- a/src/test/java/merlinlever/controller/ControllerFixture.java
+++ b/src/test/java/merlinlever/controller/ControllerFixture.java
@@ -2,11 +2,18 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
+import java.util.function.Consumer;
 import merlinlever.common.Durations;
+import merlinlever.controller.settings.BackpressureSignal;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.DeploymentProfile;
+import merlinlever.controller.settings.DownstreamKind;
+import merlinlever.controller.settings.Gauge;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RequestSemantics;
+import merlinlever.controller.settings.RunStopping;
 import merlinlever.policy.OverloadController;
 
 /** A controller with its settings and a clock, and short ways to drive it. */
@@ -23,7 +30,10 @@
 
     private static final int CORES = 8;
 
-    final Map<String, String> settings = new HashMap<>();
+    private final ControllerSettings.Builder settings = ControllerSettings.builder();
+    private DownstreamKind downstream = DownstreamKind.NONE;
+    private RunStopping runStopping = RunStopping.DROP;
+    private BackpressureSignal signal = BackpressureSignal.NONE;
     long seed = 7;
     Duration now = Duration.ZERO;
     DecidedBatch lastBatch;
@@ -33,42 +43,58 @@
     private OverloadController controller;
 
     ControllerFixture() {
-        with("server.cores", CORES);
-        with("server.memory-kb", 100_000);
-        with("server.run-factor", 4);
-        with("server.halt", "drop");
-        with("server.gauges", "busy,run-queue");
-        with("server.calls-by-tariff", "false,false,false,true");
-        with("server.kb-per-fingerprint", 100);
-        with("rules.crowd-factor", 4);
-        with("rules.drain-grace", 2000);
-        with("limits.stay-away", true);
-        with("limits.longest-stay-away", 1000);
-        priorityClass(LOOKUP, "retriable", 1);
-        priorityClass(CHARGE, "fingerprinted", 4);
-        priorityClass(ORDER, "binding", 4);
-        priorityClass(CALLING, "fingerprinted", 4);
-    }
-
-    private void priorityClass(int index, String kind, double weight) {
-        String prefix = "tariffs." + index + ".";
-        with(prefix + "name", "t" + index);
-        with(prefix + "kind", kind);
-        with(prefix + "value", weight);
-        with(prefix + "soft-limit", 1000);
-        with(prefix + "client-timeout", 3000);
-        with(prefix + "window", 10_000);
-    }
-
-    /** Sets a setting; only before the controller is first used. */
-    ControllerFixture with(String name, Object value) {
-        settings.put(name, String.valueOf(value));
+        settings.cores(CORES)
+                .memoryKb(100_000)
+                .runMemoryFactor(4)
+                .gauges(List.of(Gauge.CPU_BUSY, Gauge.RUN_QUEUE))
+                .memoryPerKeyKb(100)
+                .overloadFactor(4)
+                .drainGrace(Duration.ofSeconds(2))
+                .maxRetryAfter(Duration.ofSeconds(1))
+                .addPriorityClass(priorityClass(LOOKUP, RequestSemantics.IDEMPOTENT, 1))
+                .addPriorityClass(priorityClass(CHARGE, RequestSemantics.IDEMPOTENT_BY_KEY, 4))
+                .addPriorityClass(priorityClass(ORDER, RequestSemantics.NON_IDEMPOTENT, 4))
+                .addPriorityClass(priorityClass(CALLING, RequestSemantics.IDEMPOTENT_BY_KEY, 4));
+    }
+
+    private static PriorityClassSettings.Builder priorityClass(int index, RequestSemantics semantics, double weight) {
+        return PriorityClassSettings.named("t" + index)
+                .semantics(semantics)
+                .weight(weight)
+                .latencyObjective(Duration.ofSeconds(1))
+                .clientTimeout(Duration.ofSeconds(3))
+                .idempotencyWindow(Duration.ofSeconds(10))
+                .makesCalls(index == CALLING);
+    }
+
+    /** Changes settings; only before the controller is first used. */
+    ControllerFixture with(Consumer<ControllerSettings.Builder> change) {
+        change.accept(settings);
+        return this;
+    }
+
+    /** Sets what lies downstream, like {@link #with}. */
+    ControllerFixture withDownstream(DownstreamKind kind) {
+        downstream = kind;
+        return this;
+    }
+
+    /** Sets how runs can be stopped, like {@link #with}. */
+    ControllerFixture withRunStopping(RunStopping stopping) {
+        runStopping = stopping;
+        return this;
+    }
+
+    /** Sets what callers are sent, like {@link #with}. */
+    ControllerFixture withSignal(BackpressureSignal sent) {
+        signal = sent;
         return this;
     }
 
     OverloadController controller() {
         if (controller == null) {
-            controller = new OverloadController(settings, seed);
+            settings.deployment(new DeploymentProfile(downstream, runStopping, false, signal));
+            controller = new OverloadController(settings.build(), seed);
         }
         return controller;
     }
--- a/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
@@ -11,6 +11,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import merlinlever.common.Durations;
+import merlinlever.controller.settings.DownstreamKind;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -107,15 +108,15 @@
         for (int i = 0; i < fleet.processes; i++) {
             SimulatedProcess process = new SimulatedProcess();
             process.server = new ControllerFixture()
-                    .with("server.below", "shared")
-                    .with("server.share-of-calls", fleet.totalShare / fleet.processes)
-                    .with("server.calls-over", PERIOD_MS)
-                    .with("server.linger", LINGER_MS)
-                    .with("server.cold", true)
-                    .with("rules.cold-share", 0.25)
-                    .with("rules.cold", 10_000);
+                    .withDownstream(DownstreamKind.SHARED)
+                    .with(settings -> settings.shareOfCalls(fleet.totalShare / fleet.processes)
+                            .callAveragingTime(Duration.ofMillis(PERIOD_MS))
+                            .callLingerTime(Duration.ofMillis(LINGER_MS))
+                            .cold(true)
+                            .coldSpeed(0.25)
+                            .warmUpTime(Duration.ofSeconds(10)));
             if (fleet.announced > 0) {
-                process.server.with("servers", fleet.announced);
+                process.server.with(settings -> settings.fleetSize(fleet.announced));
             }
             process.server.seed = random.nextLong();
             process.startsAtMs = fleet.aligned ? 0 : random.nextInt(PERIOD_MS / STEP_MS) * STEP_MS;
--- a/src/test/java/merlinlever/controller/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesModelTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import merlinlever.common.Durations;
+import merlinlever.controller.settings.RunStopping;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -58,11 +59,9 @@
         double memoryKb = random.nextBoolean() ? 1500 : 20000;
         boolean cold = random.nextBoolean();
         server = new ControllerFixture()
-                .with("server.memory-kb", memoryKb)
-                .with("server.cold", cold)
-                .with("rules.cold-share", 0.25)
-                .with("rules.cold", 8000)
-                .with("server.halt", random.nextBoolean() ? "drop" : "none");
+                .with(settings ->
+                        settings.memoryKb(memoryKb).cold(cold).coldSpeed(0.25).warmUpTime(Duration.ofSeconds(8)))
+                .withRunStopping(random.nextBoolean() ? RunStopping.DROP : RunStopping.NONE);
         boolean stalls = random.nextInt(4) == 0;
         for (int step = 0; step < 900 && !isStopped(); step++) {
             server.now = server.now.plusMillis(10);
--- a/src/test/java/merlinlever/controller/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesTest.java
@@ -182,7 +182,7 @@
 
     @Test
     void rejectsWhatItHasNoMemoryToRetain() {
-        fixture.with("server.memory-kb", 1000).with("server.kb-per-fingerprint", 500);
+        fixture.with(settings -> settings.memoryKb(1000).memoryPerKeyKb(500));
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(List.of(first), fixture.decide().started());
         RequestHandle second = fixture.submit(ControllerFixture.CHARGE);
@@ -192,7 +192,7 @@
 
     @Test
     void startsARunOnlyWithMemoryForIt() {
-        fixture.with("server.memory-kb", 1200);
+        fixture.with(settings -> settings.memoryKb(1200));
         RequestHandle first = fixture.submit(ControllerFixture.ORDER, 0, 200, null);
         fixture.submit(ControllerFixture.ORDER, 0, 200, null);
         assertEquals(List.of(first), fixture.decide().started());
@@ -200,7 +200,7 @@
 
     @Test
     void startsNoMoreThanTheServerSurvivesWhileAllWaitForCalls() {
-        fixture.with("server.cold", true).with("rules.cold-share", 0.2).with("rules.cold", 18000);
+        fixture.with(settings -> settings.cold(true).coldSpeed(0.2).warmUpTime(Duration.ofSeconds(18)));
         int started = 0;
         for (int i = 0; i < 40; i++) {
             RequestHandle handle = fixture.submit(ControllerFixture.CALLING);
@@ -230,7 +230,7 @@
 
     @Test
     void readsShareAFreshOutcomeAndAFailedOneIsNotShared() {
-        fixture.with("server.fresh-for", 1000);
+        fixture.with(settings -> settings.freshFor(Duration.ofSeconds(1)));
         RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
         fixture.decide();
         RequestHandle second = fixture.submit(ControllerFixture.LOOKUP, 0, 10, first);
@@ -268,7 +268,7 @@
     @Test
     void callsThatFailTogetherDecreaseTheConcurrencyLimitOnce() {
         for (boolean together : new boolean[] {true, false}) {
-            fixture = new ControllerFixture().with("rules.crowd-factor", "20");
+            fixture = new ControllerFixture().with(settings -> settings.overloadFactor(20));
             fixture.decideAfter(1000);
             List<RequestHandle> calling = startCalls(10);
             for (RequestHandle handle : calling) {
--- a/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -10,12 +11,18 @@
 /** The check of the settings that describe a deployment. */
 class DeploymentProfileTest {
 
+    /** What is wrong with the settings, apart from the one priority class that they need. */
+    private static List<String> problems(Map<String, String> given) {
+        Map<String, String> complete = new HashMap<>(given);
+        complete.put("services.0.name", "look");
+        return new SettingsValidator(RawSettings.of(complete)).problems();
+    }
+
     @Test
     void valueThatIsNotAllowedIsReported() {
-        List<String> problems = DeploymentProfile.problems(Map.of("server.halt", "pasue", "server.say", "weight"));
-        assertEquals(List.of("settings: server.halt is \"pasue\"; allowed: drop, none, pause"), problems);
-        assertEquals(
-                1, DeploymentProfile.problems(Map.of("watch.readiness", "yes")).size());
-        assertTrue(DeploymentProfile.problems(Map.of()).isEmpty(), "missing settings have defaults");
+        List<String> problems = problems(Map.of("family-info.halt", "pasue", "family-info.say", "weight"));
+        assertEquals(List.of("settings: family-info.halt is \"pasue\"; allowed: drop, none, pause"), problems);
+        assertEquals(1, problems(Map.of("watch.readiness", "yes")).size());
+        assertTrue(problems(Map.of()).isEmpty(), "missing settings have defaults");
     }
 }
--- a/src/test/java/merlinlever/controller/settings/SettingsTranslatorTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsParserTest.java
@@ -8,8 +8,8 @@
 import merlinlever.common.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** The translation of settings from the two forms in which they are given at start. */
-class SettingsTranslatorTest {
+/** The reading of settings from the two forms in which they are given at start. */
+class SettingsParserTest {
 
     private static final String CONFIGURATION_FILE =
             "{\"family-info\":{\"n-cores\":12,\"memory-kb\":11040.0,\"blowup\":4.0,\"kb-per-key\":18.85,"
@@ -27,17 +27,22 @@
                     + " services.0.aim=350.0 services.0.hard-limit=1140.0 services.0.gain=4.0";
 
     @Test
-    void configurationFileAndEnlistmentTranslateAlike() throws Json.MalformedJsonException {
+    void configurationFileAndEnlistmentAreReadAlike() throws Json.MalformedJsonException {
         Map<String, String> enlisted = new HashMap<>();
         for (String field : ENLISTMENT.split(" ")) {
             int equals = field.indexOf('=');
             enlisted.put(field.substring(0, equals), field.substring(equals + 1));
         }
-        Map<String, String> settings = SettingsTranslator.translate(Json.flat(Json.object(CONFIGURATION_FILE)));
-        assertEquals(SettingsTranslator.translate(enlisted), settings);
-        assertEquals("fingerprinted", settings.get("tariffs.0.kind"));
-        assertEquals("busy,run-queue,memory,connections", settings.get("server.gauges"));
-        assertEquals(List.of(), SettingsTranslator.unknownNames(enlisted));
+        RawSettings raw = RawSettings.of(Json.flat(Json.object(CONFIGURATION_FILE)));
+        assertEquals(RawSettings.of(enlisted), raw);
+        ControllerSettings settings = SettingsParser.parse(raw);
+        assertEquals(
+                RequestSemantics.IDEMPOTENT_BY_KEY,
+                settings.priorityClasses().get(0).semantics());
+        assertEquals(
+                List.of(Gauge.CPU_BUSY, Gauge.RUN_QUEUE, Gauge.MEMORY, Gauge.CONNECTIONS),
+                settings.server().gauges());
+        assertEquals(List.of(), RawSettings.of(enlisted).unknownPaths());
     }
 
     /** A setting whose name is not known would fall back to its default without notice. */
@@ -45,6 +50,7 @@
     void unknownNamesAreFound() {
         assertEquals(
                 List.of("family-info.cpus"),
-                SettingsTranslator.unknownNames(Map.of("family-info.cpus", "3", "services.2.aim", "1")));
+                RawSettings.of(Map.of("family-info.cpus", "3", "services.2.aim", "1"))
+                        .unknownPaths());
     }
 }
--- a/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
+++ b/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
@@ -7,24 +7,31 @@
 import java.util.Optional;
 import merlinlever.controller.Decision;
 import merlinlever.controller.Decisions;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.RawSettings;
+import merlinlever.controller.settings.SettingsParser;
 import org.junit.jupiter.api.Test;
 
 /** Shadow mode: settings that are compared with those in force without changing a decision. */
 class ShadowModeCounterTest {
 
+    private static ControllerSettings settingsOf(Map<String, String> given) {
+        return SettingsParser.parse(RawSettings.of(given));
+    }
+
     @Test
     void withoutShadowSettingsNothingIsCounted() {
-        assertEquals(Optional.empty(), ShadowModeCounter.of(Map.of("server.halt", "drop")));
+        assertEquals(Optional.empty(), ShadowModeCounter.of(settingsOf(Map.of("family-info.halt", "drop"))));
     }
 
     @Test
     void decisionsAreCountedWhereShadowSettingsDiffer() {
-        ShadowModeCounter counter = ShadowModeCounter.of(Map.of(
-                        "server.halt", "drop",
+        ShadowModeCounter counter = ShadowModeCounter.of(settingsOf(Map.of(
+                        "family-info.halt", "drop",
                         "watch.halt", "pause",
-                        "server.say", "level",
+                        "family-info.say", "level",
                         "watch.say", "level",
-                        "watch.readiness", "true"))
+                        "watch.readiness", "true")))
                 .orElseThrow();
         Decisions.Builder decisions = new Decisions.Builder();
         decisions.add(new Decision.Stop(ControllerDriver.UNKNOWN_REQUEST));
