--- a/src/main/java/merlinlever/dns/server/DnsControllerSettings.java
+++ b/src/main/java/merlinlever/dns/server/DnsControllerSettings.java
@@ -1,9 +1,12 @@
 package merlinlever.dns.server;
 
 import java.time.Duration;
-import java.util.HashMap;
+import java.util.List;
 import java.util.Locale;
-import java.util.Map;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.Gauge;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RequestSemantics;
 import merlinlever.dns.server.PendingMessage.MessageKind;
 
 /** The overload controller's settings for a DNS server: one priority class for each kind of message. */
@@ -25,58 +28,57 @@
     /** The part of its priority weight that a message keeps when it is answered after its latency objective. */
     private static final double LATE_WEIGHT = 0.2;
 
-    private static final PriorityClass QUERY_CLASS =
-            new PriorityClass("retriable", 1, Duration.ofMillis(500), Duration.ofSeconds(2), Duration.ZERO);
-
-    private static final PriorityClass UPDATE_CLASS = new PriorityClass(
-            "fingerprinted", 8, Duration.ofSeconds(2), Duration.ofSeconds(5), RequestProcessor.REPLAY_WINDOW);
-
-    private static final PriorityClass TRANSFER_CLASS =
-            new PriorityClass("retriable", 2, Duration.ofSeconds(5), Duration.ofMinutes(1), Duration.ZERO);
-
-    /**
-     * The settings of one priority class.
-     *
-     * @param semantics what a second execution would do, as the controller's setting names it
-     * @param idempotencyWindow for which an outcome is kept for duplicates
-     */
-    private record PriorityClass(
-            String semantics, int weight, Duration latencyObjective, Duration deadline, Duration idempotencyWindow) {}
+    private static final double QUERY_WEIGHT = 1;
+    private static final double TRANSFER_WEIGHT = 2;
+    private static final double UPDATE_WEIGHT = 8;
 
     private DnsControllerSettings() {}
 
     /**
-     * The settings by their names.
+     * The settings, with the priority classes in the order of {@link MessageKind}.
      *
      * @param memoryMb that messages in flight and remembered updates may take, in MiB
      * @param drainGrace after the start of a drain in which new messages are still admitted
      */
-    static Map<String, String> of(double memoryMb, Duration drainGrace) {
-        Map<String, String> settings = new HashMap<>();
-        settings.put("server.cores", "" + MAX_STARTS_PER_TURN);
-        settings.put("server.gauges", "run-queue");
-        settings.put("server.memory-kb", "" + memoryMb * KB_PER_MB);
-        settings.put("server.run-factor", "1");
-        settings.put("server.kb-per-fingerprint", "" + KB_PER_UPDATE);
-        settings.put("rules.drain-grace", "" + drainGrace.toMillis());
-        settings.put("rules.crowd-factor", "" + IN_FLIGHT_PER_CORE);
-        settings.put("rules.longest-unread", "0");
-        settings.put("limits.stay-away", "true");
-        settings.put("limits.longest-stay-away", "" + MAX_RETRY_AFTER.toMillis());
-        putClass(settings, MessageKind.QUERY, QUERY_CLASS);
-        putClass(settings, MessageKind.UPDATE, UPDATE_CLASS);
-        putClass(settings, MessageKind.TRANSFER, TRANSFER_CLASS);
-        return settings;
+    static ControllerSettings of(double memoryMb, Duration drainGrace) {
+        ControllerSettings.Builder settings = ControllerSettings.builder()
+                .cores(MAX_STARTS_PER_TURN)
+                .gauges(List.of(Gauge.RUN_QUEUE))
+                .memoryKb(memoryMb * KB_PER_MB)
+                .runMemoryFactor(1)
+                .memoryPerKeyKb(KB_PER_UPDATE)
+                .drainGrace(Duration.ofMillis(drainGrace.toMillis()))
+                .overloadFactor(IN_FLIGHT_PER_CORE)
+                .maxReadDelay(Duration.ZERO)
+                .maxRetryAfter(MAX_RETRY_AFTER);
+        for (MessageKind kind : MessageKind.values()) {
+            settings.addPriorityClass(priorityClass(kind).lateWeight(LATE_WEIGHT));
+        }
+        return settings.build();
     }
 
-    private static void putClass(Map<String, String> settings, MessageKind kind, PriorityClass priorityClass) {
-        String prefix = "tariffs." + kind.ordinal() + ".";
-        settings.put(prefix + "name", kind.wireName().toUpperCase(Locale.ROOT));
-        settings.put(prefix + "kind", priorityClass.semantics);
-        settings.put(prefix + "value", "" + priorityClass.weight);
-        settings.put(prefix + "soft-limit", "" + priorityClass.latencyObjective.toMillis());
-        settings.put(prefix + "client-timeout", "" + priorityClass.deadline.toMillis());
-        settings.put(prefix + "late-value", "" + LATE_WEIGHT);
-        settings.put(prefix + "window", "" + priorityClass.idempotencyWindow.toMillis());
+    private static PriorityClassSettings.Builder priorityClass(MessageKind kind) {
+        PriorityClassSettings.Builder priorityClass =
+                PriorityClassSettings.named(kind.wireName().toUpperCase(Locale.ROOT));
+        return switch (kind) {
+            case QUERY -> priorityClass
+                    .semantics(RequestSemantics.IDEMPOTENT)
+                    .weight(QUERY_WEIGHT)
+                    .latencyObjective(Duration.ofMillis(500))
+                    .clientTimeout(Duration.ofSeconds(2))
+                    .idempotencyWindow(Duration.ZERO);
+            case UPDATE -> priorityClass
+                    .semantics(RequestSemantics.IDEMPOTENT_BY_KEY)
+                    .weight(UPDATE_WEIGHT)
+                    .latencyObjective(Duration.ofSeconds(2))
+                    .clientTimeout(Duration.ofSeconds(5))
+                    .idempotencyWindow(RequestProcessor.REPLAY_WINDOW);
+            case TRANSFER -> priorityClass
+                    .semantics(RequestSemantics.IDEMPOTENT)
+                    .weight(TRANSFER_WEIGHT)
+                    .latencyObjective(Duration.ofSeconds(5))
+                    .clientTimeout(Duration.ofMinutes(1))
+                    .idempotencyWindow(Duration.ZERO);
+        };
     }
 }
--- a/src/main/java/merlinlever/driver/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -12,8 +12,6 @@
 import merlinlever.controller.RequestHandle;
 import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.controller.settings.PriorityClassSettings;
-import merlinlever.controller.settings.RawSettings;
-import merlinlever.controller.settings.SettingsParser;
 import merlinlever.policy.OverloadController;
 
 /**
@@ -59,11 +57,6 @@
         shadowMode = ShadowModeCounter.of(settings);
     }
 
-    /** A controller whose settings are still text. */
-    public ControllerDriver(Map<String, String> settings, long seed, DecisionHandler<T> handler) {
-        this(SettingsParser.parse(RawSettings.of(settings)), seed, handler);
-    }
-
     /** In shadow mode, how often by kind the shadowed settings would have decided otherwise; else empty. */
     public Map<String, Long> shadowDifferences() {
         return shadowMode.map(ShadowModeCounter::differences).orElse(Map.of());
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/front/OrderAdmission.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -10,6 +11,10 @@
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
 import merlinlever.controller.RequestHandle;
+import merlinlever.controller.settings.ControllerSettings;
+import merlinlever.controller.settings.Gauge;
+import merlinlever.controller.settings.PriorityClassSettings;
+import merlinlever.controller.settings.RequestSemantics;
 import merlinlever.driver.ControllerDriver;
 import merlinlever.driver.DecisionHandler;
 
@@ -36,6 +41,9 @@
 
     private static final int LOOK = 0, ORDER = 1;
     private static final int IN_ONE_GO = 8;
+    private static final double MEMORY_KB = 16 * 1024.0;
+    private static final double MEMORY_PER_ORDER_KB = 4;
+    private static final double ORDER_WEIGHT = 8;
 
     private final ControllerDriver<PendingRequest> conductor;
     private final Map<String, PendingRequest> byMark = new HashMap<>();
@@ -48,29 +56,34 @@
     OrderAdmission(Duration grace, long seed, Consumer<Duration> alarm, EventLog log) {
         this.alarm = alarm;
         this.log = log;
-        Map<String, String> given = new HashMap<>();
-        given.put("server.cores", "" + IN_ONE_GO);
-        given.put("server.gauges", "run-queue");
-        given.put("server.memory-kb", "16384");
-        given.put("server.run-factor", "1");
-        given.put("server.kb-per-fingerprint", "4");
-        given.put("rules.drain-grace", "" + grace.toMillis());
-        given.put("rules.longest-unread", "0");
-        given.put("limits.stay-away", "true");
-        given.put("limits.longest-stay-away", "2000");
-        tariff(given, LOOK, "retriable", 1, 0);
-        tariff(given, ORDER, "fingerprinted", 8, 600_000);
-        conductor = new ControllerDriver<>(given, seed, this);
-    }
-
-    private static void tariff(Map<String, String> given, int index, String kind, int value, int windowMs) {
-        String at = "tariffs." + index + ".";
-        given.put(at + "name", index == LOOK ? "look" : "order");
-        given.put(at + "kind", kind);
-        given.put(at + "value", "" + value);
-        given.put(at + "soft-limit", "1000");
-        given.put(at + "client-timeout", "5000");
-        given.put(at + "window", "" + windowMs);
+        conductor = new ControllerDriver<>(settings(grace), seed, this);
+    }
+
+    /** The priority classes stand at the indexes {@link #LOOK} and {@link #ORDER}. */
+    private static ControllerSettings settings(Duration drainGrace) {
+        return ControllerSettings.builder()
+                .cores(IN_ONE_GO)
+                .gauges(List.of(Gauge.RUN_QUEUE))
+                .memoryKb(MEMORY_KB)
+                .runMemoryFactor(1)
+                .memoryPerKeyKb(MEMORY_PER_ORDER_KB)
+                .drainGrace(Duration.ofMillis(drainGrace.toMillis()))
+                .maxReadDelay(Duration.ZERO)
+                .maxRetryAfter(Duration.ofSeconds(2))
+                .addPriorityClass(priorityClass("look", RequestSemantics.IDEMPOTENT)
+                        .weight(1)
+                        .idempotencyWindow(Duration.ZERO))
+                .addPriorityClass(priorityClass("order", RequestSemantics.IDEMPOTENT_BY_KEY)
+                        .weight(ORDER_WEIGHT)
+                        .idempotencyWindow(Duration.ofMinutes(10)))
+                .build();
+    }
+
+    private static PriorityClassSettings.Builder priorityClass(String name, RequestSemantics semantics) {
+        return PriorityClassSettings.named(name)
+                .semantics(semantics)
+                .latencyObjective(Duration.ofSeconds(1))
+                .clientTimeout(Duration.ofSeconds(5));
     }
 
     int inHand() {
