--- a/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
@@ -19,10 +19,12 @@
 import merlinlever.dns.client.UpdateMessages;
 import merlinlever.dns.follow.Follower;
 import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.IpAddresses;
 import merlinlever.dns.record.MalformedDnsException;
 import merlinlever.dns.record.Rdata;
 import merlinlever.dns.record.RecordTypes;
 import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.record.TimeToLive;
 import merlinlever.dns.wire.Tsig;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -136,11 +138,8 @@
     }
 
     private static long ttlSeconds(ConfigFile config) throws InvalidConfigFileException {
-        long ttl = Rdata.seconds(config.text("ttl", "30"));
-        if (ttl < 0) {
-            throw config.invalidValue("ttl", "expected seconds, or a span such as 30s or 5m");
-        }
-        return ttl;
+        return TimeToLive.parseSeconds(config.text("ttl", "30"))
+                .orElseThrow(() -> config.invalidValue("ttl", "expected seconds, or a span such as 30s or 5m"));
     }
 
     private static ResourceRecord serviceRecord(
@@ -161,8 +160,8 @@
         String address = instance.getValue();
         try {
             return address.indexOf(':') >= 0
-                    ? new ResourceRecord(name, RecordTypes.AAAA, ttl, Rdata.address6(address))
-                    : new ResourceRecord(name, RecordTypes.A, ttl, Rdata.address4(address));
+                    ? new ResourceRecord(name, RecordTypes.AAAA, ttl, IpAddresses.parseIpv6(address))
+                    : new ResourceRecord(name, RecordTypes.A, ttl, IpAddresses.parseIpv4(address));
         } catch (MalformedDnsException e) {
             throw config.invalidValue("instances." + instance.getKey(), e.getMessage(), e);
         }
--- a/src/main/java/merlinlever/dns/client/DnsClient.java
+++ b/src/main/java/merlinlever/dns/client/DnsClient.java
@@ -103,9 +103,9 @@
         DnsMessage believed(byte[] answer) {
             try {
                 DnsMessage message = DnsMessage.read(answer);
-                if (!message.response()
+                if (!message.isResponse()
                         || message.id() != sent.id()
-                        || message.operation() != sent.operation()
+                        || message.opcode() != sent.opcode()
                         || (message.hasQuestion()
                                 && !(Arrays.equals(message.name(), sent.name()) && message.type() == sent.type()))) {
                     return null;
@@ -143,7 +143,12 @@
             }
             try {
                 connection = Connection.connect(
-                        loop, server, new ExchangeConnection(this), 2 + DnsMessage.MOST, 4 * DnsMessage.MOST, patience);
+                        loop,
+                        server,
+                        new ExchangeConnection(this),
+                        2 + DnsMessage.MAX_BYTES,
+                        4 * DnsMessage.MAX_BYTES,
+                        patience);
                 connection.write(framed(octets));
             } catch (IOException e) {
                 end(ExchangeResult.ExchangeStatus.UNREACHABLE, null);
@@ -207,7 +212,10 @@
         this.chance = chance;
         this.unix = unix;
         datagrams = new DatagramEndpoint(
-                loop, new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0), DnsMessage.MOST, this::came);
+                loop,
+                new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0),
+                DnsMessage.MAX_BYTES,
+                this::came);
     }
 
     static ByteBuffer framed(byte[] octets) {
@@ -271,7 +279,7 @@
         if (message == null) {
             return;
         }
-        if (message.truncated()) {
+        if (message.isTruncated()) {
             one.byConnection();
         } else {
             one.end(ExchangeResult.ExchangeStatus.ANSWERED, message);
--- a/src/main/java/merlinlever/dns/client/FollowerDriver.java
+++ b/src/main/java/merlinlever/dns/client/FollowerDriver.java
@@ -126,7 +126,7 @@
             }
             int type = types.remove(0);
             byte[] at = type == RecordTypes.SOA ? zone : type == RecordTypes.TXT ? follower.claimName() : name;
-            MessageWriter out = new MessageWriter(0, 0, DnsMessage.PLAIN_DATAGRAM);
+            MessageWriter out = new MessageWriter(0, 0, DnsMessage.MAX_PLAIN_DATAGRAM_BYTES);
             out.question(at, type, RecordTypes.IN);
             out.edns(1232, 0, null);
             asker.exchange(
--- a/src/main/java/merlinlever/dns/client/ZoneFetcher.java
+++ b/src/main/java/merlinlever/dns/client/ZoneFetcher.java
@@ -61,15 +61,15 @@
     public static void zone(
             DnsClient asker, InetSocketAddress server, byte[] origin, Tsig.TsigKey key, Consumer<FetchResult> done) {
         int id = asker.id();
-        byte[] question = new MessageWriter(id, 0, DnsMessage.PLAIN_DATAGRAM)
+        byte[] question = new MessageWriter(id, 0, DnsMessage.MAX_PLAIN_DATAGRAM_BYTES)
                 .question(origin, RecordTypes.AXFR, RecordTypes.IN)
                 .toBytes();
         Tsig.SignedMessage signed =
                 key == null ? null : Tsig.sign(question, key, asker.unix().getAsLong(), null);
         ZoneFetcher fetch = new ZoneFetcher(asker, origin, key, signed == null ? null : signed.mac(), id, done);
         try {
-            fetch.connection =
-                    Connection.connect(fetch.loop, server, fetch, 2 + DnsMessage.MOST, DnsMessage.MOST, SILENT);
+            fetch.connection = Connection.connect(
+                    fetch.loop, server, fetch, 2 + DnsMessage.MAX_BYTES, DnsMessage.MAX_BYTES, SILENT);
             fetch.connection.write(DnsClient.framed(signed == null ? question : signed.octets()));
             fetch.listen();
         } catch (IOException e) {
@@ -112,7 +112,7 @@
     }
 
     private void take(DnsMessage message) throws MalformedDnsException {
-        if (!message.response() || message.id() != id) {
+        if (!message.isResponse() || message.id() != id) {
             throw new MalformedDnsException("an answer to something else");
         }
         if (message.code() != 0) {
--- a/src/main/java/merlinlever/dns/record/DomainNames.java
+++ b/src/main/java/merlinlever/dns/record/DomainNames.java
@@ -1,24 +1,37 @@
 package merlinlever.dns.record;
 
 import java.util.Arrays;
+import java.util.Locale;
 
 /**
- * Domain names as octets on the wire (RFC 1035 section 3.1), in lower case (RFC 4343), and as keys whose plain order is
- * the canonical order of RFC 4034 section 6.1. The key of an ancestor begins every key below it.
+ * Domain names as octets on the wire (RFC 1035 section 3.1), in lower case (RFC 4343), and as keys whose unsigned byte
+ * order is the canonical order of RFC 4034 section 6.1. The key of an ancestor is a prefix of every key below it.
  */
 public final class DomainNames {
 
-    /** Octets of a name on the wire at the most, and of a label. */
-    public static final int MOST = 255;
+    /** Octets of a name on the wire (RFC 1035 section 2.3.4). */
+    public static final int MAX_BYTES = 255;
+
+    /** Octets of a label without its length (RFC 1035 section 2.3.4). */
+    public static final int MAX_LABEL_BYTES = 63;
+
+    /** Each label takes two octets at least. */
+    private static final int MAX_LABELS = (MAX_BYTES + 1) / 2;
+
+    /** Printable characters that have a meaning in zone files. */
+    private static final String ESCAPED_CHARACTERS = ".\\\"();@$";
 
-    public static final int MOST_LABEL = 63;
     /** The root. */
     @SuppressWarnings("MutablePublicArray") // names on the wire are byte arrays throughout; nobody writes into one
     public static final byte[] ROOT = {0};
 
     private DomainNames() {}
 
-    /** A name from its text; a relative one stands below the origin. A null origin allows none. */
+    /**
+     * The name of a text as in zone files: escapes, {@code @} for the origin, a relative name below the origin.
+     *
+     * @param origin on the wire, or null where relative names are not allowed
+     */
     public static byte[] parse(String text, byte[] origin) throws MalformedDnsException {
         if (text.equals("@")) {
             if (origin == null) {
@@ -26,56 +39,7 @@
             }
             return origin;
         }
-        if (text.equals(".")) {
-            return ROOT;
-        }
-        byte[] out = new byte[MOST + 1];
-        int at = 1;
-        int start = 0;
-        boolean absolute = false;
-        for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c == '.') {
-                if (at - start == 1) {
-                    throw new MalformedDnsException("an empty label in " + shortened(text));
-                }
-                out[start] = (byte) (at - start - 1);
-                start = at++;
-                absolute = i == text.length() - 1;
-            } else {
-                if (c == '\\') {
-                    int taken = escaped(text, i);
-                    c = (char) (taken & 0xff);
-                    i += taken >> 8;
-                } else if (c < '!' || c > '~') {
-                    throw new MalformedDnsException(
-                            "a name holds only printable ASCII; write \\DDD in " + shortened(text));
-                }
-                if (at - start > MOST_LABEL) {
-                    throw new MalformedDnsException("a label over " + MOST_LABEL + " octets in " + shortened(text));
-                }
-                out[at++] = (byte) lower(c);
-            }
-            if (at > MOST) {
-                throw new MalformedDnsException("a name over " + MOST + " octets: " + shortened(text));
-            }
-        }
-        if (text.isEmpty()) {
-            throw new MalformedDnsException("an empty name");
-        }
-        if (absolute) {
-            return Arrays.copyOf(out, at);
-        }
-        out[start] = (byte) (at - start - 1);
-        if (origin == null) {
-            throw new MalformedDnsException("the relative name " + shortened(text) + " without an origin");
-        }
-        if (at + origin.length > MOST) {
-            throw new MalformedDnsException("a name over " + MOST + " octets: " + shortened(text));
-        }
-        byte[] whole = Arrays.copyOf(out, at + origin.length);
-        System.arraycopy(origin, 0, whole, at, origin.length);
-        return whole;
+        return text.equals(".") ? ROOT : NameParser.parse(text, origin);
     }
 
     /** An absolute name, with or without its last dot. */
@@ -83,71 +47,46 @@
         return parse(text, ROOT);
     }
 
-    /** The octet that an escape at the place stands for, and in the bits above it how much longer than one it is. */
-    static int escaped(String text, int at) throws MalformedDnsException {
-        if (at + 1 >= text.length()) {
-            throw new MalformedDnsException("a backslash at the end of " + shortened(text));
-        }
-        char first = text.charAt(at + 1);
-        if (first < '0' || first > '9') {
-            return (first & 0xff) | 1 << 8;
-        }
-        int value = 0;
-        for (int i = 1; i <= 3; i++) {
-            char digit = at + i < text.length() ? text.charAt(at + i) : 'x';
-            if (digit < '0' || digit > '9') {
-                throw new MalformedDnsException("an escape is a backslash and three digits in " + shortened(text));
-            }
-            value = value * 10 + digit - '0';
-        }
-        if (value > 255) {
-            throw new MalformedDnsException("an escape over 255 in " + shortened(text));
-        }
-        return value | 3 << 8;
-    }
-
-    private static String shortened(String text) {
-        return text.length() > 40 ? text.substring(0, 40) + "..." : text;
-    }
-
-    private static int lower(int c) {
-        return c >= 'A' && c <= 'Z' ? c + 32 : c;
+    static int lower(int octet) {
+        return octet >= 'A' && octet <= 'Z' ? octet + ('a' - 'A') : octet;
     }
 
+    /** The name in lower case. */
     public static byte[] lower(byte[] wire) {
         byte[] low = wire.clone();
         for (int i = 0; i < low.length; i++) {
-            // Lengths are under 'A'.
+            // The octets that hold a label's length are under 'A'.
             low[i] = (byte) lower(low[i]);
         }
         return low;
     }
 
+    /** The absolute name as in zone files, with its last dot. */
     public static String text(byte[] wire) {
         if (wire.length == 1) {
             return ".";
         }
-        StringBuilder text = new StringBuilder(wire.length + 4);
+        StringBuilder text = new StringBuilder(wire.length);
         for (int at = 0; wire[at] != 0; at += wire[at] + 1) {
             for (int i = at + 1; i <= at + wire[at]; i++) {
-                int c = wire[i] & 0xff;
-                if (c < '!' || c > '~') {
-                    text.append('\\')
-                            .append((char) ('0' + c / 100))
-                            .append((char) ('0' + c / 10 % 10))
-                            .append((char) ('0' + c % 10));
-                } else {
-                    if (".\\\"();@$".indexOf(c) >= 0) {
-                        text.append('\\');
-                    }
-                    text.append((char) c);
-                }
+                appendEscaped(text, Octets.u8(wire, i));
             }
             text.append('.');
         }
         return text.toString();
     }
 
+    private static void appendEscaped(StringBuilder text, int octet) {
+        if (octet < '!' || octet > '~') {
+            text.append(String.format(Locale.ROOT, "\\%03d", octet));
+            return;
+        }
+        if (ESCAPED_CHARACTERS.indexOf(octet) >= 0) {
+            text.append('\\');
+        }
+        text.append((char) octet);
+    }
+
     /** Whether the name is the ancestor or below it; both in lower case. */
     public static boolean isUnder(byte[] name, byte[] ancestor) {
         int at = 0;
@@ -163,9 +102,9 @@
         return wire.length == 1 ? wire : Arrays.copyOfRange(wire, wire[0] + 1, wire.length);
     }
 
-    /** The label put before the name, or null if that is too long. */
+    /** The name of the label directly below a name, or null if that is too long. */
     public static byte[] below(byte[] label, byte[] name) {
-        if (label.length + 1 + name.length > MOST) {
+        if (label.length + 1 + name.length > MAX_BYTES) {
             return null;
         }
         byte[] whole = new byte[label.length + 1 + name.length];
@@ -175,10 +114,12 @@
         return whole;
     }
 
-    // ---- keys: the labels from the root on, each ended by 0, with 0 and 1 within a label written as 1 1 and 1 2
-
+    /**
+     * The key of a name: the labels from the root on, each ended by 0, with 0 and 1 within a label written as 1 1 and
+     * 1 2.
+     */
     public static byte[] key(byte[] wire) {
-        int[] starts = new int[128];
+        int[] starts = new int[MAX_LABELS];
         int labels = 0;
         int special = 0;
         for (int at = 0; wire[at] != 0; at += wire[at] + 1) {
@@ -204,11 +145,12 @@
         return key;
     }
 
+    /** The name of a key. */
     public static byte[] wire(byte[] key) {
         byte[] wire = new byte[key.length + 1];
         int from = wire.length - 1;
         int to = from;
-        byte[] label = new byte[MOST_LABEL];
+        byte[] label = new byte[MAX_LABEL_BYTES];
         int length = 0;
         for (int i = 0; i < key.length; i++) {
             if (key[i] == 0) {
@@ -223,7 +165,7 @@
         return to == 0 ? wire : Arrays.copyOfRange(wire, to, wire.length);
     }
 
-    /** How many octets of the two keys are the same whole labels. */
+    /** The length, in octets, of the whole labels that two keys have in common. */
     public static int shared(byte[] a, byte[] b) {
         int end = Arrays.mismatch(a, b);
         end = end < 0 ? a.length : end;
@@ -233,6 +175,7 @@
         return end;
     }
 
+    /** Whether the name of the first key is the second's own name or an ancestor of it. */
     public static boolean isPrefix(byte[] prefix, byte[] key) {
         return key.length >= prefix.length && Arrays.equals(prefix, 0, prefix.length, key, 0, prefix.length);
     }
--- a/src/main/java/merlinlever/dns/record/RecordTypes.java
+++ b/src/main/java/merlinlever/dns/record/RecordTypes.java
@@ -2,50 +2,114 @@
 
 import org.xbill.DNS.Type;
 
-/** The types that this program treats in a way of their own, and the names of all. */
+/**
+ * Record types that this program treats specially, and the names of all types. Types are numbers, since unknown ones are
+ * stored and served as well (RFC 3597).
+ */
 public final class RecordTypes {
 
-    public static final int A = 1,
-            NS = 2,
-            CNAME = 5,
-            SOA = 6,
-            PTR = 12,
-            MX = 15,
-            TXT = 16,
-            AAAA = 28,
-            SRV = 33,
-            DNAME = 39,
-            OPT = 41,
-            DS = 43,
-            TSIG = 250,
-            IXFR = 251,
-            AXFR = 252,
-            ANY = 255;
-    /** Classes (RFC 1035 section 3.2.4, RFC 2136 section 2.4). */
-    public static final int IN = 1, CLASS_NONE = 254, CLASS_ANY = 255;
+    // RFC 1035 section 3.2.2.
+    public static final int A = 1;
+    public static final int NS = 2;
+    public static final int MD = 3;
+    public static final int MF = 4;
+    public static final int CNAME = 5;
+    public static final int SOA = 6;
+    public static final int MB = 7;
+    public static final int MG = 8;
+    public static final int MR = 9;
+    public static final int PTR = 12;
+    public static final int MINFO = 14;
+    public static final int MX = 15;
+    public static final int TXT = 16;
+
+    // RFC 1183.
+    public static final int RP = 17;
+    public static final int AFSDB = 18;
+    public static final int RT = 21;
+
+    /** RFC 2163. */
+    public static final int PX = 26;
+
+    /** RFC 3596. */
+    public static final int AAAA = 28;
+
+    /** RFC 2782. */
+    public static final int SRV = 33;
+
+    /** RFC 3403. */
+    public static final int NAPTR = 35;
+
+    /** RFC 2230. */
+    public static final int KX = 36;
+
+    /** RFC 6672. */
+    public static final int DNAME = 39;
+
+    /** EDNS, RFC 6891. */
+    public static final int OPT = 41;
+
+    /** RFC 4034. */
+    public static final int DS = 43;
+
+    /** RFC 4408. */
+    public static final int SPF = 99;
+
+    /** RFC 8945. */
+    public static final int TSIG = 250;
+
+    /** RFC 1995. */
+    public static final int IXFR = 251;
+
+    /** RFC 5936. */
+    public static final int AXFR = 252;
+
+    /** RFC 1035 section 3.2.3. */
+    public static final int ANY = 255;
+
+    /** The class of the Internet (RFC 1035 section 3.2.4). */
+    public static final int IN = 1;
+
+    /** The class NONE (RFC 2136 section 2.4). */
+    public static final int CLASS_NONE = 254;
+
+    /** The class ANY (RFC 1035 section 3.2.5). */
+    public static final int CLASS_ANY = 255;
+
+    /** Query and meta types lie in this range (RFC 6895 section 3.1). */
+    private static final int FIRST_META_TYPE = 128;
+
+    private static final int LAST_META_TYPE = 255;
+
+    private static final int MAX_TYPE = 0xffff;
+
+    /** Precedes the number of a type without a name (RFC 3597 section 5). */
+    private static final String NUMBER_PREFIX = "TYPE";
 
     private RecordTypes() {}
 
-    /** Types that no zone holds: questions, and what is made for one message. */
+    /** Whether no zone holds the type: it is for queries, or for one message only. */
     public static boolean isMeta(int type) {
-        return type == 0 || type == OPT || (type >= 128 && type <= 255);
+        return type == 0 || type == OPT || (type >= FIRST_META_TYPE && type <= LAST_META_TYPE);
     }
 
+    /** The name of the type, such as AAAA or TYPE65280. */
     public static String text(int type) {
         String known = Type.string(type);
-        return known == null ? "TYPE" + type : known;
+        return known == null ? NUMBER_PREFIX + type : known;
     }
 
-    /** The number, TYPE65280 too (RFC 3597 section 5), or -1. */
+    /** The type of a name such as AAAA or TYPE65280, or -1. */
     public static int number(String text) {
-        if (text.regionMatches(true, 0, "TYPE", 0, 4) && text.length() > 4) {
-            try {
-                int number = Integer.parseInt(text.substring(4));
-                return number >= 0 && number <= 0xffff && text.charAt(4) != '+' ? number : -1;
-            } catch (NumberFormatException e) {
-                return -1;
-            }
+        int prefix = NUMBER_PREFIX.length();
+        if (!text.regionMatches(true, 0, NUMBER_PREFIX, 0, prefix) || text.length() == prefix) {
+            return Type.value(text);
+        }
+        try {
+            int number = Integer.parseInt(text.substring(prefix));
+            return number >= 0 && number <= MAX_TYPE && text.charAt(prefix) != '+' ? number : -1;
+        } catch (NumberFormatException e) {
+            return -1;
         }
-        return Type.value(text);
     }
 }
--- a/src/main/java/merlinlever/dns/record/ResourceRecord.java
+++ b/src/main/java/merlinlever/dns/record/ResourceRecord.java
@@ -12,7 +12,7 @@
 public record ResourceRecord(byte[] owner, int type, long ttl, byte[] data) {
 
     /** The longest time to live, in seconds. */
-    public static final long MOST_TTL = Integer.MAX_VALUE;
+    public static final long MAX_TTL_SECONDS = Integer.MAX_VALUE;
 
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/merlinlever/dns/record/package-info.java
+++ b/src/main/java/merlinlever/dns/record/package-info.java
@@ -1,2 +1,2 @@
-/** Names, types and data of DNS records, as octets; what everything else about zones stands on. No input or output. */
+/** Names, types and data of DNS records as octets, on which all other packages of {@code dns} stand. No input or output. */
 package merlinlever.dns.record;
--- a/src/main/java/merlinlever/dns/server/DnsServer.java
+++ b/src/main/java/merlinlever/dns/server/DnsServer.java
@@ -52,7 +52,7 @@
             listening = new ConnectionAcceptor(loop, address, connections, this::accepted, this::closeIdleConnection);
             try {
                 // A free port is to be free for both.
-                taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MOST, this::receive);
+                taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MAX_BYTES, this::receive);
             } catch (IOException e) {
                 listening.close();
                 failure = e;
--- a/src/main/java/merlinlever/dns/server/NotifySender.java
+++ b/src/main/java/merlinlever/dns/server/NotifySender.java
@@ -12,7 +12,9 @@
 import merlinlever.common.net.EventLoop;
 import merlinlever.dns.record.RecordTypes;
 import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageSection;
 import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Opcode;
 
 /** Tells other servers of each new version until they say that they heard (RFC 1996 section 3). */
 public final class NotifySender {
@@ -60,7 +62,7 @@
                 datagrams = new DatagramEndpoint(
                         loop,
                         new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0),
-                        DnsMessage.MOST,
+                        DnsMessage.MAX_BYTES,
                         this::receive);
             }
         } catch (IOException e) {
@@ -68,10 +70,10 @@
         }
         if (datagrams != null) {
             MessageWriter out = new MessageWriter(
-                    one.id, DnsMessage.NOTIFY << 11 | DnsMessage.AUTHORITATIVE, DnsMessage.PLAIN_DATAGRAM);
+                    one.id, Opcode.NOTIFY.flags() | DnsMessage.AUTHORITATIVE, DnsMessage.MAX_PLAIN_DATAGRAM_BYTES);
             out.question(zone.origin(), RecordTypes.SOA, RecordTypes.IN);
             out.record(
-                    1,
+                    MessageSection.ANSWER,
                     zone.origin(),
                     RecordTypes.SOA,
                     RecordTypes.IN,
--- a/src/main/java/merlinlever/dns/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -135,11 +135,11 @@
             replyChannel.answer(responses.unknownEdns(message, verification));
             return null;
         }
-        return switch (message.operation()) {
-            case DnsMessage.QUERY -> query(message, verification, waited, replyChannel);
-            case DnsMessage.UPDATE -> update(message, verification, waited, replyChannel);
+        return switch (message.opcode()) {
+            case QUERY -> query(message, verification, waited, replyChannel);
+            case UPDATE -> update(message, verification, waited, replyChannel);
                 // This front has no primary that could have news for it.
-            case DnsMessage.NOTIFY -> answerWithCode(replyChannel, message, verification, DynamicUpdate.REFUSED);
+            case NOTIFY -> answerWithCode(replyChannel, message, verification, DynamicUpdate.REFUSED);
             default -> answerWithCode(replyChannel, message, verification, DynamicUpdate.NOTIMP);
         };
     }
--- a/src/main/java/merlinlever/dns/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/dns/server/ResponseBuilder.java
@@ -9,6 +9,7 @@
 import merlinlever.dns.state.Lookup;
 import merlinlever.dns.state.RecordSet;
 import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageSection;
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Tsig;
 
@@ -72,7 +73,7 @@
     }
 
     private static int maxLength(Tsig.Verification verification) {
-        return DnsMessage.MOST
+        return DnsMessage.MAX_BYTES
                 - (verification == null || verification.key() == null ? 0 : Tsig.room(verification.key()));
     }
 
@@ -103,12 +104,12 @@
     }
 
     byte[] answer(DnsMessage request, Tsig.Verification verification, Lookup.Answer answer, boolean datagram) {
-        int most = DnsMessage.MOST;
+        int most = DnsMessage.MAX_BYTES;
         if (datagram) {
             int theirs = request.edns() == null
-                    ? DnsMessage.PLAIN_DATAGRAM
+                    ? DnsMessage.MAX_PLAIN_DATAGRAM_BYTES
                     : request.edns().payload();
-            most = Math.max(DnsMessage.PLAIN_DATAGRAM, Math.min(theirs, MAX_DATAGRAM_BYTES));
+            most = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(theirs, MAX_DATAGRAM_BYTES));
         }
         most -= verification == null ? 0 : Tsig.room(verification.key());
         MessageWriter out = new MessageWriter(
@@ -121,14 +122,14 @@
         out.question(request.name(), request.type(), request.dclass());
         int questionEnd = out.length();
         int reserved = request.edns() == null ? 0 : 11;
-        boolean whole = section(out, 1, answer.answer, most - reserved, request.id())
-                && section(out, 2, answer.authority, most - reserved, request.id());
+        boolean whole = section(out, MessageSection.ANSWER, answer.answer, most - reserved, request.id())
+                && section(out, MessageSection.AUTHORITY, answer.authority, most - reserved, request.id());
         if (!whole) {
             out.truncateToQuestion(questionEnd);
             out.flag(DnsMessage.TRUNCATED);
         } else {
             // What does not fit here is only a help.
-            section(out, 3, answer.additional, most - reserved, request.id());
+            section(out, MessageSection.ADDITIONAL, answer.additional, most - reserved, request.id());
         }
         if (request.edns() != null) {
             out.edns(MAX_DATAGRAM_BYTES, 0, null);
@@ -137,7 +138,8 @@
     }
 
     /** Each set from another record on, so that callers who take the first spread (RFC 1794). */
-    private static boolean section(MessageWriter out, int section, List<Lookup.AnswerSet> sets, int most, int turn) {
+    private static boolean section(
+            MessageWriter out, MessageSection section, List<Lookup.AnswerSet> sets, int most, int turn) {
         for (Lookup.AnswerSet shown : sets) {
             RecordSet set = shown.set();
             for (int i = 0; i < set.size(); i++) {
--- a/src/main/java/merlinlever/dns/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/dns/server/ZoneTransfer.java
@@ -10,6 +10,7 @@
 import merlinlever.dns.state.Difference;
 import merlinlever.dns.state.Zone;
 import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageSection;
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Tsig;
 
@@ -74,15 +75,16 @@
         }
         MessageWriter out = new MessageWriter(
                 request.id(),
-                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | (request.flags() & DnsMessage.DESIRED),
-                DnsMessage.MOST - signatureRoom);
+                DnsMessage.RESPONSE | DnsMessage.AUTHORITATIVE | (request.flags() & DnsMessage.RECURSION_DESIRED),
+                DnsMessage.MAX_BYTES - signatureRoom);
         if (first) {
             out.question(request.name(), request.type(), request.dclass());
         }
         first = false;
         while (next != null
                 && out.length() < MAX_MESSAGE_BYTES
-                && out.record(1, next.owner(), next.type(), RecordTypes.IN, next.ttl(), next.data())) {
+                && out.record(
+                        MessageSection.ANSWER, next.owner(), next.type(), RecordTypes.IN, next.ttl(), next.data())) {
             next = records.hasNext() ? records.next() : null;
         }
         return chain == null ? out.toBytes() : chain.sign(out.toBytes(), unix.getAsLong());
--- a/src/main/java/merlinlever/dns/state/Lookup.java
+++ b/src/main/java/merlinlever/dns/state/Lookup.java
@@ -124,7 +124,7 @@
         byte[] target = dname.data[0];
         byte[] front = Arrays.copyOf(name, name.length - at.length);
         answer.answer.add(new AnswerSet(at, dname, dname.ttl));
-        if (front.length + target.length > DomainNames.MOST) {
+        if (front.length + target.length > DomainNames.MAX_BYTES) {
             answer.code = DynamicUpdate.YXDOMAIN;
             return null;
         }
--- a/src/main/java/merlinlever/dns/text/ZoneFile.java
+++ b/src/main/java/merlinlever/dns/text/ZoneFile.java
@@ -22,6 +22,7 @@
 import merlinlever.dns.record.Rdata;
 import merlinlever.dns.record.RecordTypes;
 import merlinlever.dns.record.ResourceRecord;
+import merlinlever.dns.record.TimeToLive;
 import merlinlever.dns.state.Zone;
 
 /**
@@ -228,11 +229,7 @@
                     && (word.equalsIgnoreCase("CH") || word.equalsIgnoreCase("HS") || word.equalsIgnoreCase("CS"))) {
                 throw new MalformedDnsException("the class " + word + " is not held here, only IN");
             } else if (ttl < 0 && word.charAt(0) >= '0' && word.charAt(0) <= '9') {
-                ttl = Rdata.seconds(word);
-                if (ttl < 0) {
-                    throw new MalformedDnsException(
-                            "expected a time to live from 0 to " + ResourceRecord.MOST_TTL + " seconds, found " + word);
-                }
+                ttl = timeToLive(word);
             } else {
                 break;
             }
@@ -242,8 +239,8 @@
         }
         int type = RecordTypes.number(words.get(next));
         if (type < 0 || RecordTypes.isMeta(type)) {
-            throw new MalformedDnsException(
-                    (type < 0 ? "unknown type " : "no zone holds the type ") + shortened(words.get(next)));
+            throw new MalformedDnsException((type < 0 ? "unknown type " : "no zone holds the type ")
+                    + MalformedDnsException.excerpt(words.get(next)));
         }
         byte[] data = Rdata.fromText(type, words.subList(next + 1, words.size()), scope.origin);
         if (type == RecordTypes.SOA && zone == null) {
@@ -283,6 +280,12 @@
         records.add(new ResourceRecord(scope.owner, type, ttl, data));
     }
 
+    private static long timeToLive(String word) throws MalformedDnsException {
+        return TimeToLive.parseSeconds(word)
+                .orElseThrow(() -> new MalformedDnsException("expected a time to live from 0 to "
+                        + ResourceRecord.MAX_TTL_SECONDS + " seconds, found " + word));
+    }
+
     /** The same owner in entry after entry is one array. */
     private byte[] owner(String text, byte[] origin) throws MalformedDnsException {
         if (text.equals(lastOwnerText) && lastOwner != null) {
@@ -294,10 +297,6 @@
         return owner;
     }
 
-    private static String shortened(String word) {
-        return word.length() > 40 ? word.substring(0, 40) + "..." : word;
-    }
-
     private void directive(FileScope scope, ZoneFileLexer lexer, int depth) throws MalformedDnsException {
         List<String> words = lexer.words();
         String name = words.get(0).toUpperCase(Locale.ROOT);
@@ -309,11 +308,9 @@
             }
             case "$TTL" -> {
                 count(words, 2, 2, "$TTL SECONDS");
-                defaultTtl = Rdata.seconds(words.get(1));
-                if (defaultTtl < 0) {
-                    throw new MalformedDnsException("expected a time to live from 0 to " + ResourceRecord.MOST_TTL
-                            + " seconds, found " + words.get(1));
-                }
+                // Without a valid one, the entries that need it are reported as well.
+                defaultTtl = -1;
+                defaultTtl = timeToLive(words.get(1));
             }
             case "$INCLUDE" -> {
                 count(words, 2, 3, "$INCLUDE FILE [ORIGIN]");
@@ -327,8 +324,8 @@
                 lastOwnerText = null;
                 enter(scope.file);
             }
-            default -> throw new MalformedDnsException(
-                    "unknown directive " + shortened(words.get(0)) + "; known are $ORIGIN, $TTL, $INCLUDE");
+            default -> throw new MalformedDnsException("unknown directive "
+                    + MalformedDnsException.excerpt(words.get(0)) + "; known are $ORIGIN, $TTL, $INCLUDE");
         }
     }
 
@@ -350,10 +347,11 @@
                     || !real.startsWith(folder)
                     || (Files.exists(shown) && !shown.toRealPath().startsWith(folder.toRealPath()))
                     || (Files.isSymbolicLink(shown) && !Files.exists(shown, LinkOption.NOFOLLOW_LINKS))) {
-                throw new MalformedDnsException("$INCLUDE " + shortened(name) + " leaves the folder of the zone file");
+                throw new MalformedDnsException(
+                        "$INCLUDE " + MalformedDnsException.excerpt(name) + " leaves the folder of the zone file");
             }
         } catch (IOException | RuntimeException e) {
-            throw new MalformedDnsException("$INCLUDE " + shortened(name) + " cannot be followed");
+            throw new MalformedDnsException("$INCLUDE " + MalformedDnsException.excerpt(name) + " cannot be followed");
         }
         return shown;
     }
--- a/src/main/java/merlinlever/dns/wire/package-info.java
+++ b/src/main/java/merlinlever/dns/wire/package-info.java
@@ -1,2 +1,2 @@
-/** DNS messages and their signatures, read and written. No input or output. */
+/** Parses and writes DNS messages and their TSIG signatures. No input or output. */
 package merlinlever.dns.wire;
--- a/src/main/java/merlinlever/testing/measurement/DnsMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/DnsMeasurement.java
@@ -502,7 +502,7 @@
                 while (open < inHand) {
                     id = id + 1 & 0xffff;
                     int host = chance.nextInt(2500) * 4;
-                    byte[] question = new MessageWriter(id, DnsMessage.DESIRED, 512)
+                    byte[] question = new MessageWriter(id, DnsMessage.RECURSION_DESIRED, 512)
                             .question(name("host" + host + ".example.org."), RecordTypes.A, RecordTypes.IN)
                             .toBytes();
                     sentAt[id] = System.nanoTime();
--- a/src/test/java/merlinlever/dns/client/DnsClientTest.java
+++ b/src/test/java/merlinlever/dns/client/DnsClientTest.java
@@ -27,6 +27,7 @@
 import merlinlever.dns.record.RecordTypes;
 import merlinlever.dns.state.UpdateEntry;
 import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.MessageSection;
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Tsig;
 import merlinlever.testing.faults.process.PortAllocator;
@@ -116,7 +117,8 @@
 
     private static byte[] answer(byte[] asked, int id, int code, int flags) throws Exception {
         DnsMessage message = DnsMessage.read(asked);
-        return new MessageWriter(id, DnsMessage.RESPONSE | flags | message.operation() << 11 | code, DnsMessage.MOST)
+        return new MessageWriter(
+                        id, DnsMessage.RESPONSE | flags | message.opcode().flags() | code, DnsMessage.MAX_BYTES)
                 .question(message.name(), message.type(), message.dclass())
                 .toBytes();
     }
@@ -245,19 +247,22 @@
     private static byte[] part(byte[] asked, boolean first, boolean last, int records) throws Exception {
         DnsMessage message = DnsMessage.read(asked);
         byte[] soa = new byte[22];
-        MessageWriter out = new MessageWriter(message.id(), DnsMessage.RESPONSE, DnsMessage.MOST);
+        MessageWriter out = new MessageWriter(message.id(), DnsMessage.RESPONSE, DnsMessage.MAX_BYTES);
         out.question(message.name(), message.type(), message.dclass());
         if (first) {
-            out.record(1, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
+            out.record(MessageSection.ANSWER, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
         }
         for (int i = 0; i < records; i++) {
             out.record(
-                    1, DomainNames.absolute("n" + i + ".example.org."), RecordTypes.A, RecordTypes.IN, 1, new byte[] {
-                        1, 2, 3, (byte) i
-                    });
+                    MessageSection.ANSWER,
+                    DomainNames.absolute("n" + i + ".example.org."),
+                    RecordTypes.A,
+                    RecordTypes.IN,
+                    1,
+                    new byte[] {1, 2, 3, (byte) i});
         }
         if (last) {
-            out.record(1, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
+            out.record(MessageSection.ANSWER, message.name(), RecordTypes.SOA, RecordTypes.IN, 1, soa);
         }
         return out.toBytes();
     }
--- a/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
@@ -41,6 +41,7 @@
 import merlinlever.dns.state.Zone;
 import merlinlever.dns.text.ZoneFile;
 import merlinlever.dns.wire.DnsMessage;
+import merlinlever.dns.wire.Opcode;
 import merlinlever.dns.wire.Tsig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -341,7 +342,7 @@
                 DatagramPacket got = new DatagramPacket(new byte[1500], 1500);
                 other.receive(got);
                 DnsMessage notice = DnsMessage.read(java.util.Arrays.copyOf(got.getData(), got.getLength()));
-                assertEquals(DnsMessage.NOTIFY, notice.operation());
+                assertEquals(Opcode.NOTIFY, notice.opcode());
                 assertEquals(8, Zone.serial(notice.answers().get(0).data()));
                 if (i == 1) {
                     got.getData()[2] |= (byte) 0x80;
--- a/src/test/java/merlinlever/dns/wire/WireTest.java
+++ b/src/test/java/merlinlever/dns/wire/WireTest.java
@@ -25,11 +25,11 @@
     private static final byte[] SECRET = "0123456789abcdef0123456789abcdef".getBytes(UTF_8);
 
     private static byte[] message(int records) throws Exception {
-        MessageWriter out = new MessageWriter(7, DnsMessage.UPDATE << 11, DnsMessage.MOST);
+        MessageWriter out = new MessageWriter(7, Opcode.UPDATE.flags(), DnsMessage.MAX_BYTES);
         out.question(DomainNames.absolute("example.org."), RecordTypes.SOA, RecordTypes.IN);
         for (int i = 0; i < records; i++) {
             out.record(
-                    2,
+                    MessageSection.AUTHORITY,
                     DomainNames.absolute("n" + i + ".deep.example.org."),
                     RecordTypes.MX,
                     RecordTypes.IN,
@@ -60,7 +60,8 @@
         assertTrue(octets.length < 200 * 30, "compressed");
     }
 
-    private static int read, malformed;
+    private static int read;
+    private static int malformed;
 
     /** Messages of any octets are read or malformed, in bounded time and memory: no other end. */
     @Property(tries = 60_000, seed = "12", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
@@ -170,9 +171,13 @@
         MessageWriter out = new MessageWriter(1, 0, 100);
         out.question(DomainNames.absolute("example.org."), RecordTypes.A, RecordTypes.IN);
         int written = 0;
-        while (out.record(1, DomainNames.absolute("example.org."), RecordTypes.A, RecordTypes.IN, 1, new byte[] {
-            1, 2, 3, (byte) written
-        })) {
+        while (out.record(
+                MessageSection.ANSWER,
+                DomainNames.absolute("example.org."),
+                RecordTypes.A,
+                RecordTypes.IN,
+                1,
+                new byte[] {1, 2, 3, (byte) written})) {
             written++;
         }
         byte[] octets = out.toBytes();
