--- a/src/main/java/merlinlever/host/front/HostApiServer.java
+++ b/src/main/java/merlinlever/host/api/HostApiServer.java
@@ -1,4 +1,4 @@
-package merlinlever.host.front;
+package merlinlever.host.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/merlinlever/host/front/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/api/OrderAdmission.java
@@ -1,4 +1,4 @@
-package merlinlever.host.front;
+package merlinlever.host.api;
 
 import java.time.Duration;
 import java.util.HashMap;
--- a/src/main/java/merlinlever/host/front/package-info.java
+++ b/src/main/java/merlinlever/host/api/package-info.java
@@ -1,2 +1,2 @@
 /** The front of the host agent: HTTP/1.1 with JSON for the {@code fleet} commands, decided by the decision module. */
-package merlinlever.host.front;
+package merlinlever.host.api;
