--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -25,7 +25,7 @@
 import merlinlever.host.run.HostAgent;
 import merlinlever.host.run.InstanceSpec;
 import merlinlever.host.run.PeerAgents;
-import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.SupervisorSettings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -48,8 +48,8 @@
     private final HostAgent agent;
     private final HostApiServer server;
     private final InetSocketAddress serverAddress;
-    /** Null where no other agents are configured. */
-    private final RecoveryCoordinator recovery;
+    /** Empty where no other agents are configured. */
+    private final Optional<RecoveryCoordinator> recovery;
 
     private final boolean drain;
     private final Duration stop;
@@ -71,8 +71,9 @@
             loop = new EventLoop(MonotonicClock.system(), failure -> LOG.error("event-loop-task-failed", failure));
             StateDirectory state = StateDirectories.open(stateFolder, System.getenv());
             InstanceLedger ledger = new InstanceLedger(state);
-            recovery = config.has("members") ? recovery(config, state, secret, seed) : null;
-            PeerAgents peers = recovery == null ? null : new PeerAgents(loop, recovery.membership(), secret);
+            recovery = config.has("members") ? Optional.of(recovery(config, state, secret, seed)) : Optional.empty();
+            Optional<PeerAgents> peers =
+                    recovery.map(coordinator -> new PeerAgents(loop, coordinator.membership(), secret));
             agent = new HostAgent(
                     loop,
                     ledger,
@@ -83,14 +84,11 @@
                     LOG::info);
             server = new HostApiServer(
                     loop,
-                    address(config, "listen"),
-                    config.text("name", ""),
+                    new HostApiServer.Settings(
+                            address(config, "listen"), config.text("name", ""), secret, grace(), seed),
                     agent,
                     peers,
                     recovery,
-                    secret,
-                    grace(),
-                    seed,
                     LOG::info);
             serverAddress = server.address();
         } catch (InstanceLedger.CorruptLedgerException e) {
@@ -114,15 +112,15 @@
         return secret;
     }
 
-    private static InstanceSupervisor.SupervisorSettings supervisorSettings(ConfigFile config) {
-        InstanceSupervisor.SupervisorSettings defaults = InstanceSupervisor.SupervisorSettings.USUAL;
-        return new InstanceSupervisor.SupervisorSettings(
-                defaults.firstPause(),
-                defaults.longestPause(),
-                defaults.steadyAfter(),
-                (int) config.number("deaths", defaults.budget()),
-                defaults.budgetSpan(),
-                config.duration("silent-after", defaults.silentAfter()));
+    private static SupervisorSettings supervisorSettings(ConfigFile config) {
+        SupervisorSettings defaults = SupervisorSettings.DEFAULTS;
+        return new SupervisorSettings(
+                defaults.initialBackoff(),
+                defaults.maxBackoff(),
+                defaults.stableAfter(),
+                (int) config.number("deaths", defaults.maxRestarts()),
+                defaults.restartWindow(),
+                config.duration("silent-after", defaults.statusTimeout()));
     }
 
     private RecoveryCoordinator recovery(ConfigFile config, StateDirectory state, String secret, long seed)
@@ -170,10 +168,8 @@
 
     private void startShutdown() {
         LOG.info("shutdown-started stop_ms={} drain_instances={}", stop.toMillis(), drain);
-        server.leave(stop);
-        if (recovery != null) {
-            recovery.announceLeave();
-        }
+        server.startDrain(stop);
+        recovery.ifPresent(RecoveryCoordinator::announceLeave);
         if (drain) {
             agent.drainAll();
         }
@@ -187,7 +183,7 @@
     }
 
     private void stopWhenAnswered() {
-        if (server.answered() && (!drain || agent.allDown())) {
+        if (server.isIdle() && (!drain || agent.areAllDown())) {
             loop.stop();
         }
     }
--- a/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
+++ b/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
@@ -10,6 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.InvalidConfigFileException;
@@ -53,21 +54,25 @@
             if (!names.add(instance.name())) {
                 throw config.invalidValue(path + ".name", "an instance " + instance.name() + " is there already");
             }
-            if (instance.manage() != null && !managementAddresses.add(instance.manage())) {
-                throw config.invalidValue(
-                        path + ".manage",
-                        "another instance tells of itself at "
-                                + instance.manage().getPort());
-            }
+            checkManagementAddress(path, instance);
             instances.add(instance);
         }
     }
 
+    private void checkManagementAddress(String path, InstanceSpec instance) throws InvalidConfigFileException {
+        Optional<InetSocketAddress> address = instance.managementAddress();
+        if (address.isPresent() && !managementAddresses.add(address.get())) {
+            throw config.invalidValue(
+                    path + ".manage",
+                    "another instance tells of itself at " + address.get().getPort());
+        }
+    }
+
     private InstanceSpec instance(String path, int number) throws InvalidConfigFileException {
         String kind = config.text(path + ".name", "");
         String name = kind + "-" + number;
         Path folder = stateFolder.resolve(name);
-        InetSocketAddress managementAddress = managementAddress(path, number);
+        Optional<InetSocketAddress> managementAddress = managementAddress(path, number);
         Map<String, String> placeholders = placeholders(path, number, name, folder, managementAddress);
         writeFiles(path, folder, placeholders);
         return new InstanceSpec(
@@ -82,10 +87,10 @@
                 config.number(path + ".log-mb", DEFAULT_LOG_MB) << MB_SHIFT);
     }
 
-    /** Each further instance of a kind takes the next port; null where none is configured. */
-    private InetSocketAddress managementAddress(String path, int number) throws InvalidConfigFileException {
+    /** Each further instance of a kind takes the next port; empty where none is configured. */
+    private Optional<InetSocketAddress> managementAddress(String path, int number) throws InvalidConfigFileException {
         if (!config.has(path + ".manage")) {
-            return null;
+            return Optional.empty();
         }
         String text = config.text(path + ".manage", "");
         int colon = text.lastIndexOf(':');
@@ -93,20 +98,19 @@
         if (port > MAX_PORT) {
             throw config.invalidValue(path + ".manage", "the ports of " + number + " instances go beyond " + MAX_PORT);
         }
-        return new InetSocketAddress(text.substring(0, colon), port);
+        return Optional.of(new InetSocketAddress(text.substring(0, colon), port));
     }
 
     private Map<String, String> placeholders(
-            String path, int number, String name, Path folder, InetSocketAddress managementAddress) {
+            String path, int number, String name, Path folder, Optional<InetSocketAddress> managementAddress) {
         Map<String, String> placeholders = new LinkedHashMap<>();
         placeholders.put("{n}", Integer.toString(number));
         placeholders.put("{name}", name);
         placeholders.put("{folder}", folder.toString());
         placeholders.put("{budgets}", config.json("budgets"));
         placeholders.put("{program}", programPath());
-        if (managementAddress != null) {
-            placeholders.put("{manage}", managementAddress.getHostString() + ":" + managementAddress.getPort());
-        }
+        managementAddress.ifPresent(
+                address -> placeholders.put("{manage}", address.getHostString() + ":" + address.getPort()));
         for (String port : config.textMap(path + ".ports").keySet()) {
             long value = config.number(path + ".ports." + port, 0) + number - 1;
             placeholders.put("{" + port + "}", Long.toString(value));
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -36,7 +36,6 @@
         })
 final class RecoverCommand implements Callable<Integer> {
 
-    private static final String LEDGER_FILE = "instances";
     private static final String LOCK_FILE = "lock";
 
     @Spec
@@ -115,7 +114,7 @@
 
     /** The ledger of an agent's instances; a backend has none. */
     private boolean assessLedger(StateDirectory directory) throws IOException {
-        if (!directory.exists(LEDGER_FILE)) {
+        if (!directory.exists(InstanceLedger.FILE_NAME)) {
             return true;
         }
         try {
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -95,7 +95,7 @@
         boolean isOrdered = restartAll(clients, selected.size());
         Runtime.getRuntime().removeShutdownHook(summaryAtInterrupt);
         if (rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED) {
-            err().println("stopped: " + rollingRestart.why());
+            err().println("stopped: " + rollingRestart.reason());
             err().flush();
         }
         printSummary();
@@ -123,22 +123,22 @@
     private boolean restartAll(List<AgentClient> clients, int total) throws InterruptedException {
         long startNanos = System.nanoTime();
         String printedReason = "";
-        while (!isOver()) {
+        while (!rollingRestart.isOver()) {
             List<ReportedInstance> instances = FleetSnapshot.read(clients).instances();
             List<String> nextBatch = instances.isEmpty()
                     ? List.of()
-                    : rollingRestart.settle(
+                    : rollingRestart.nextBatch(
                             Duration.ofNanos(System.nanoTime() - startNanos),
                             instances.stream().map(RollCommand::observation).toList());
-            String doneSoFar = rollingRestart.done().size() + " of " + total + " done";
+            String doneSoFar = rollingRestart.completed().size() + " of " + total + " done";
             if (!nextBatch.isEmpty()) {
                 out().println("restarting " + String.join(", ", nextBatch) + "; " + doneSoFar);
                 out().flush();
                 if (!orderRestart(clients.get(0), instances, nextBatch)) {
                     return false;
                 }
-            } else if (!rollingRestart.why().equals(printedReason)) {
-                printedReason = rollingRestart.why();
+            } else if (!rollingRestart.reason().equals(printedReason)) {
+                printedReason = rollingRestart.reason();
                 out().println(printedReason.isEmpty() ? doneSoFar : printedReason);
                 out().flush();
             }
@@ -147,11 +147,6 @@
         return true;
     }
 
-    private boolean isOver() {
-        return rollingRestart.phase() == RollingRestart.RolloutPhase.DONE
-                || rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED;
-    }
-
     private static RollingRestart.InstanceObservation observation(ReportedInstance instance) {
         long rejections = instance.status().path("brokenOff").asLong();
         for (JsonNode count : instance.status().path("pushedBack")) {
@@ -186,11 +181,11 @@
     }
 
     private void printSummary() {
-        List<String> restarting = rollingRestart.inHand();
+        List<String> restarting = rollingRestart.restarting();
         String names = restarting.isEmpty() ? "" : " (" + String.join(", ", restarting) + ")";
-        out().println(rollingRestart.done().size() + " done, " + restarting.size()
+        out().println(rollingRestart.completed().size() + " done, " + restarting.size()
                 + " restarted and not serving yet" + names + ", "
-                + rollingRestart.todo().size() + " not begun");
+                + rollingRestart.pending().size() + " not begun");
         out().flush();
     }
 }
--- a/src/main/java/merlinlever/host/api/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/api/OrderAdmission.java
@@ -13,39 +13,41 @@
 import merlinlever.driver.DecisionHandler;
 
 /**
- * Has the decision module say which messages to the host agent are taken and begun: looks are retriable, orders are
- * fingerprinted by their id. What runs ends within the same batch; that an order is done once is seen to by its id.
+ * Lets the overload controller decide which requests to the API are handled: queries are idempotent, orders are idempotent
+ * by their id. A handler ends within the batch in which it starts; that an order is carried out once is up to the agent.
  */
 final class OrderAdmission implements DecisionHandler<OrderAdmission.PendingRequest> {
 
-    /** One message: how it is answered when it runs, and how when it is turned away. */
+    /** A request: how it is handled when it is admitted, and how it is answered when it is rejected. */
     static final class PendingRequest {
-        private final Runnable run;
-        private final Consumer<Duration> pushedBack;
-        private final String mark;
+        private final Optional<String> orderId;
+        private final Runnable handler;
+        private final Consumer<Duration> onRejected;
         private RequestHandle handle;
         private boolean answered;
 
-        private PendingRequest(String mark, Runnable run, Consumer<Duration> pushedBack) {
-            this.mark = mark;
-            this.run = run;
-            this.pushedBack = pushedBack;
+        private PendingRequest(Optional<String> orderId, Runnable handler, Consumer<Duration> onRejected) {
+            this.orderId = orderId;
+            this.handler = handler;
+            this.onRejected = onRejected;
         }
     }
 
     private static final int LOOK = 0, ORDER = 1;
     private static final int IN_ONE_GO = 8;
 
-    private final ControllerDriver<PendingRequest> conductor;
-    private final Map<String, PendingRequest> byMark = new HashMap<>();
-    private final Consumer<Duration> alarm;
+    private final ControllerDriver<PendingRequest> driver;
+    private final Map<String, PendingRequest> ordersById = new HashMap<>();
+    private final Consumer<Duration> wakeUpScheduler;
     private final Consumer<String> log;
     private Duration now = Duration.ZERO;
-    private boolean touched;
-    private int inHand;
+    /** Whether something happened since the last decisions. */
+    private boolean decisionDue;
 
-    OrderAdmission(Duration grace, long seed, Consumer<Duration> alarm, Consumer<String> log) {
-        this.alarm = alarm;
+    private int requestsInFlight;
+
+    OrderAdmission(Duration grace, long seed, Consumer<Duration> wakeUpScheduler, Consumer<String> log) {
+        this.wakeUpScheduler = wakeUpScheduler;
         this.log = log;
         Map<String, String> given = new HashMap<>();
         given.put("server.cores", "" + IN_ONE_GO);
@@ -59,7 +61,7 @@
         given.put("limits.longest-stay-away", "2000");
         tariff(given, LOOK, "retriable", 1, 0);
         tariff(given, ORDER, "fingerprinted", 8, 600_000);
-        conductor = new ControllerDriver<>(given, seed, this);
+        driver = new ControllerDriver<>(given, seed, this);
     }
 
     private static void tariff(Map<String, String> given, int index, String kind, int value, int windowMs) {
@@ -72,55 +74,64 @@
         given.put(at + "window", "" + windowMs);
     }
 
-    int inHand() {
-        return inHand;
+    /** How many requests have no response yet. */
+    int requestsInFlight() {
+        return requestsInFlight;
     }
 
-    /** @param mark the id of an order, or null for a look */
-    void came(Duration at, String mark, Runnable run, Consumer<Duration> pushedBack) {
+    /**
+     * Submits a request.
+     *
+     * @param orderId for an order, empty for a query
+     * @param handler handles it once it is admitted
+     * @param onRejected answers it if it is rejected, with the time after which the client may retry
+     */
+    void submit(Duration at, Optional<String> orderId, Runnable handler, Consumer<Duration> onRejected) {
         now = at;
-        touched = true;
-        inHand++;
-        PendingRequest asked = new PendingRequest(mark, run, pushedBack);
-        PendingRequest original = mark == null ? null : byMark.putIfAbsent(mark, asked);
-        RequestHandle taken = conductor
-                .controller()
+        decisionDue = true;
+        requestsInFlight++;
+        PendingRequest request = new PendingRequest(orderId, handler, onRejected);
+        Optional<PendingRequest> original = orderId.map(id -> ordersById.putIfAbsent(id, request));
+        RequestHandle handle = driver.controller()
                 .submit(
                         at,
-                        RequestAttributes.ofClass(mark == null ? LOOK : ORDER)
+                        RequestAttributes.ofClass(orderId.isEmpty() ? LOOK : ORDER)
                                 .memoryKb(4)
-                                .original(Optional.ofNullable(original).map(earlier -> earlier.handle))
+                                .original(original.map(earlier -> earlier.handle))
                                 .build());
-        asked.handle = conductor.register(taken, asked);
+        request.handle = driver.register(handle, request);
     }
 
-    void alarmed(Duration at) {
+    /** The time has come for which the controller had scheduled a wake-up. */
+    void wakeUp(Duration at) {
         now = at;
-        touched = true;
-        conductor.wakeUpFired();
-        conductor.controller().updateGauges(at, new double[] {0});
+        decisionDue = true;
+        driver.wakeUpFired();
+        driver.controller().updateGauges(at, new double[] {0});
     }
 
-    void leave(Duration at, Duration stop) {
+    /** Begins to reject new requests, so that none is left when the agent stops. */
+    void startDrain(Duration at, Duration stopAt) {
         now = at;
-        touched = true;
-        conductor.controller().startDrain(at, stop);
+        decisionDue = true;
+        driver.controller().startDrain(at, stopAt);
     }
 
-    void settle(Duration at) {
-        while (touched) {
-            touched = false;
+    /** Lets the controller decide, until its decisions cause nothing more to be decided. */
+    void decide(Duration at) {
+        while (decisionDue) {
+            decisionDue = false;
             now = at;
-            conductor.decide(at);
+            driver.decide(at);
         }
     }
 
     private void run(PendingRequest asked) {
-        touched = true;
+        decisionDue = true;
         if (!asked.answered) {
             asked.answered = true;
-            inHand--;
-            asked.run.run();
+            requestsInFlight--;
+            asked.handler.run();
         }
         asked.handle.runEnded(now, Outcome.OK);
     }
@@ -140,8 +151,8 @@
     public void reject(PendingRequest asked, boolean nowhereElse, Duration stayAway) {
         if (!asked.answered) {
             asked.answered = true;
-            inHand--;
-            asked.pushedBack.accept(stayAway);
+            requestsInFlight--;
+            asked.onRejected.accept(stayAway);
         }
         evict(asked);
     }
@@ -153,9 +164,7 @@
 
     @Override
     public void evict(PendingRequest asked) {
-        if (asked.mark != null) {
-            byMark.remove(asked.mark, asked);
-        }
+        asked.orderId.ifPresent(id -> ordersById.remove(id, asked));
     }
 
     @Override
@@ -205,6 +214,6 @@
 
     @Override
     public void scheduleWakeUp(Duration at) {
-        alarm.accept(at);
+        wakeUpScheduler.accept(at);
     }
 }
--- a/src/main/java/merlinlever/host/api/package-info.java
+++ b/src/main/java/merlinlever/host/api/package-info.java
@@ -1,2 +1,5 @@
-/** The front of the host agent: HTTP/1.1 with JSON for the {@code fleet} commands, decided by the decision module. */
+/**
+ * The HTTP API of the host agent, for the {@code fleet} commands and for other agents. Requests pass through the overload
+ * controller before they are handled. Everything runs on the thread of the event loop.
+ */
 package merlinlever.host.api;
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -1,319 +1,324 @@
 package merlinlever.host.run;
 
 import java.io.IOException;
-import java.nio.channels.FileChannel;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.time.Duration;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import java.util.function.UnaryOperator;
 import merlinlever.common.net.EventLoop;
 import merlinlever.host.disk.InstanceLedger;
+import merlinlever.host.disk.InstanceLedger.InstanceRecord;
+import merlinlever.host.run.OsProcesses.ProcessIdentity;
 import merlinlever.host.state.InstanceStatus;
 import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.InstanceSupervisor.InstanceState;
 import merlinlever.host.state.OrderTracker;
 import merlinlever.host.state.OutlierDetector;
+import merlinlever.host.state.SupervisorSettings;
 
-/** Carries out what the keepers decide about the instances of one machine, and tells them what happens. */
+/**
+ * Carries out what the supervisors of one machine's instances decide, and reports to them what happens. Instances are named
+ * by their index in the configuration. All methods are called on the thread of the event loop.
+ */
 public final class HostAgent {
 
-    /** Something that happened, numbered from 1. */
-    public record InstanceEvent(long number, Duration at, String instance, String what) {}
-
-    private static final Duration LOOK = Duration.ofMillis(100);
-    private static final Duration VISIT = Duration.ofMillis(500);
-    private static final int EVENTS = 2000;
-    /** Not having looked for so long, the agent was stopped; what is read this long after may be from that time. */
-    private static final Duration STALL = Duration.ofSeconds(2), STALE = Duration.ofMillis(500);
+    private static final Duration SUPERVISION_PERIOD = Duration.ofMillis(100);
+    private static final Duration POLL_PERIOD = Duration.ofMillis(500);
 
     private final EventLoop loop;
     private final InstanceLedger ledger;
-    private final List<InstanceSpec> hosted;
-    private final List<InstanceSupervisor> keepers = new ArrayList<>();
+    private final List<HostedInstance> instances;
     private final OrderTracker orders;
-    private final OutlierDetector peers;
-    private final OsProcesses.ProcessIdentity[] processes;
-    private final boolean[] visiting;
-    private final InstanceSupervisor.InstanceState[] last;
-    private final ArrayDeque<InstanceEvent> events = new ArrayDeque<>();
-    private final SplittableRandom chance;
-    private final Duration spread;
+    private final OutlierDetector outliers;
+    private final PauseDetector pauses = new PauseDetector();
+    private final EventHistory history = new EventHistory();
+    private final SplittableRandom random;
+    private final Duration launchSpread;
     private final Consumer<String> log;
-    private Duration lastLook;
-    private Duration distrustUntil = Duration.ZERO;
-    private long numbered;
-    private boolean noteFailed;
+    private boolean ledgerFailed;
 
-    /** @param spread those that it launches at its start are launched over so long, so that they do not all begin at once */
+    /**
+     * Adopts the processes that an agent before this one left, and begins to supervise.
+     *
+     * @param launchSpread the launches of the start are spread at random over this time, so that the processes do not all
+     *     begin at once
+     */
     public HostAgent(
             EventLoop loop,
             InstanceLedger ledger,
-            List<InstanceSpec> hosted,
-            InstanceSupervisor.SupervisorSettings stated,
-            Duration spread,
-            SplittableRandom chance,
+            List<InstanceSpec> specs,
+            SupervisorSettings settings,
+            Duration launchSpread,
+            SplittableRandom random,
             Consumer<String> log) {
         this.loop = loop;
         this.ledger = ledger;
-        this.hosted = List.copyOf(hosted);
-        this.chance = chance;
+        this.random = random;
         this.log = log;
-        this.spread = spread;
-        hosted.forEach(each -> keepers.add(new InstanceSupervisor(stated, each.manage() != null)));
-        orders = new OrderTracker(keepers);
-        peers = new OutlierDetector(hosted.size());
-        processes = new OsProcesses.ProcessIdentity[hosted.size()];
-        visiting = new boolean[hosted.size()];
-        last = new InstanceSupervisor.InstanceState[hosted.size()];
-        takeOver();
-        loop.runNowAndEvery(LOOK, this::look);
-        loop.runNowAndEvery(VISIT, this::visitAll);
+        this.launchSpread = launchSpread;
+        instances = specs.stream()
+                .map(spec -> new HostedInstance(
+                        spec,
+                        new InstanceSupervisor(
+                                settings, spec.managementAddress().isPresent())))
+                .toList();
+        orders = new OrderTracker(
+                instances.stream().map(HostedInstance::supervisor).toList());
+        outliers = new OutlierDetector(instances.size());
+        instances.forEach(this::recover);
+        loop.runNowAndEvery(SUPERVISION_PERIOD, this::superviseAll);
+        loop.runNowAndEvery(POLL_PERIOD, this::pollAll);
     }
 
     private Duration now() {
         return loop.clock().now();
     }
 
-    /** What an agent before this one left: running instances are taken over, none is launched twice. */
-    private void takeOver() {
-        for (int i = 0; i < hosted.size(); i++) {
-            InstanceLedger.InstanceRecord noted = ledger.of(hosted.get(i).name());
-            OsProcesses.ProcessIdentity found =
-                    noted.pid() == 0 ? null : new OsProcesses.ProcessIdentity(noted.pid(), noted.startTicks());
-            if (found == null || !OsProcesses.alive(found)) {
-                // The last launch may have been made and not been noted any more.
-                found = noted.token().isEmpty() ? null : OsProcesses.byToken(noted.token());
-            }
-            if (found != null) {
-                processes[i] = found;
-                keepers.get(i).there(now(), now());
-                event(i, "taken over, pid " + found.pid());
-                if (noted.wanted()) {
-                    keepers.get(i).start(now());
-                } else {
-                    keepers.get(i).leave(now());
-                }
-                note(
-                        i,
-                        new InstanceLedger.InstanceRecord(
-                                noted.wanted(), noted.token(), found.pid(), found.startTicks()));
-            } else if (noted.equals(InstanceLedger.InstanceRecord.NOTHING)
-                    ? hosted.get(i).atStart()
-                    : noted.wanted()) {
-                keepers.get(i).startAfter(now(), Duration.ofNanos(chance.nextLong(spread.toNanos() + 1)));
+    // ---- recovery of what the agent before this one left
+
+    /** Adopts the process of the instance if there is one, so that none is launched twice; else starts it if desired. */
+    private void recover(HostedInstance instance) {
+        InstanceRecord recorded = ledger.of(instance.name());
+        Optional<ProcessIdentity> process = findProcess(recorded);
+        if (process.isPresent()) {
+            adopt(instance, recorded, process.get());
+            return;
+        }
+        boolean isNew = recorded.equals(InstanceRecord.NOTHING);
+        if (isNew ? instance.spec().launchedInitially() : recorded.wanted()) {
+            Duration delay = Duration.ofNanos(random.nextLong(launchSpread.toNanos() + 1));
+            instance.supervisor().startAfter(now(), delay);
+        }
+    }
+
+    private static Optional<ProcessIdentity> findProcess(InstanceRecord recorded) {
+        if (recorded.pid() != 0) {
+            ProcessIdentity process = new ProcessIdentity(recorded.pid(), recorded.startTicks());
+            if (OsProcesses.isAlive(process)) {
+                return Optional.of(process);
             }
         }
+        // The last launch may have been made and its pid not been recorded.
+        return recorded.token().isEmpty() ? Optional.empty() : OsProcesses.findByToken(recorded.token());
     }
 
-    private boolean note(int index, InstanceLedger.InstanceRecord noted) {
+    private void adopt(HostedInstance instance, InstanceRecord recorded, ProcessIdentity process) {
+        instance.setProcess(Optional.of(process));
+        InstanceSupervisor supervisor = instance.supervisor();
+        supervisor.processStarted(now());
+        addEvent(instance, "taken over, pid " + process.pid());
+        if (recorded.wanted()) {
+            supervisor.start(now());
+        } else {
+            supervisor.drain();
+        }
+        updateRecord(instance, record -> record.withProcess(process.pid(), process.startTicks()));
+    }
+
+    /** Returns whether the new record is on disk. */
+    private boolean updateRecord(HostedInstance instance, UnaryOperator<InstanceRecord> change) {
         try {
-            ledger.note(hosted.get(index).name(), noted);
-            if (noteFailed) {
+            ledger.note(instance.name(), change.apply(ledger.of(instance.name())));
+            if (ledgerFailed) {
                 log.accept("the state can be written again");
             }
-            noteFailed = false;
+            ledgerFailed = false;
             return true;
         } catch (IOException e) {
-            if (!noteFailed) {
+            if (!ledgerFailed) {
                 log.accept("the state cannot be written: " + e.getMessage()
                         + "; nothing is launched and no order taken until it can");
             }
-            noteFailed = true;
+            ledgerFailed = true;
             return false;
         }
     }
 
-    private void event(int index, String what) {
-        events.add(new InstanceEvent(++numbered, now(), hosted.get(index).name(), what));
-        if (events.size() > EVENTS) {
-            events.poll();
-        }
-        log.accept(hosted.get(index).name() + ": " + what);
+    private void addEvent(HostedInstance instance, String text) {
+        history.add(now(), instance.name(), text);
+        log.accept(instance.name() + ": " + text);
     }
 
-    private boolean stalled() {
-        return lastLook != null && now().minus(lastLook).compareTo(STALL) > 0;
-    }
+    // ---- supervision
 
-    /** Whether what is read now may have lain there while this agent did not run: whoever sent it may have given it up. */
-    public boolean behind() {
-        return stalled() || now().compareTo(distrustUntil) < 0;
+    private void superviseAll() {
+        pauses.run(now())
+                .ifPresent(pause -> log.accept("was stopped or held up for " + pause.toMillis()
+                        + " ms; orders that came meanwhile are turned away"));
+        instances.forEach(this::supervise);
+        orders.updateProgress(now());
     }
 
-    // ---- a look at all
-
-    private void look() {
-        if (stalled()) {
-            distrustUntil = now().plus(STALE);
-            log.accept("was stopped or held up for " + now().minus(lastLook).toMillis()
-                    + " ms; orders that came meanwhile are turned away");
-        }
-        lastLook = now();
-        for (int i = 0; i < hosted.size(); i++) {
-            InstanceSupervisor keeper = keepers.get(i);
-            if (processes[i] != null && !OsProcesses.alive(processes[i])) {
-                long pid = processes[i].pid();
-                processes[i] = null;
-                event(i, "ended, pid " + pid);
-                keeper.ended(now(), "its process " + pid + " ended");
-            }
-            switch (keeper.settle(now())) {
-                case LAUNCH -> launch(i);
-                case LEAVE -> {
-                    event(i, "told to leave");
-                    OsProcesses.signal(processes[i], false);
-                }
-                case KILL -> {
-                    event(i, "killed");
-                    OsProcesses.signal(processes[i], true);
-                }
-                default -> {}
+    private void supervise(HostedInstance instance) {
+        instance.process()
+                .filter(process -> !OsProcesses.isAlive(process))
+                .ifPresent(process -> processEnded(instance, process));
+        switch (instance.supervisor().nextAction(now())) {
+            case LAUNCH -> launch(instance);
+            case DRAIN -> {
+                addEvent(instance, "told to leave");
+                instance.process().ifPresent(OsProcesses::terminate);
             }
-            InstanceSupervisor.InstanceState state = keeper.state(now());
-            if (state != last[i]) {
-                event(
-                        i,
-                        (last[i] == null ? "" : last[i].wireName() + " -> ")
-                                + state.wireName()
-                                + (keeper.why(now()).isEmpty() ? "" : ": " + keeper.why(now())));
-                last[i] = state;
+            case KILL -> {
+                addEvent(instance, "killed");
+                instance.process().ifPresent(OsProcesses::kill);
             }
+            case NONE -> {}
         }
-        orders.look(now());
+        recordStateChange(instance);
     }
 
-    private Path logFile(int index) {
-        return hosted.get(index).folder().resolve(hosted.get(index).name() + ".log");
+    private void processEnded(HostedInstance instance, ProcessIdentity process) {
+        instance.setProcess(Optional.empty());
+        addEvent(instance, "ended, pid " + process.pid());
+        instance.supervisor().processEnded(now(), "its process " + process.pid() + " ended");
     }
 
-    private void launch(int index) {
-        InstanceSpec one = hosted.get(index);
-        InstanceSupervisor keeper = keepers.get(index);
-        String token = String.format("%016x%016x", chance.nextLong(), chance.nextLong());
-        // Noted before it is made: an agent that dies in between finds it by its token.
-        if (!note(index, new InstanceLedger.InstanceRecord(true, token, 0, 0))) {
-            keeper.launchFailed(now(), "the state cannot be written");
+    private void recordStateChange(HostedInstance instance) {
+        InstanceState state = instance.supervisor().state(now());
+        Optional<InstanceState> before = instance.recordedState();
+        if (before.isPresent() && before.get() == state) {
+            return;
+        }
+        String reason = instance.supervisor().reason(now());
+        String from = before.map(earlier -> earlier.wireName() + " -> ").orElse("");
+        addEvent(instance, from + state.wireName() + (reason.isEmpty() ? "" : ": " + reason));
+        instance.setRecordedState(state);
+    }
+
+    /** Launches a process, recorded before it is made: an agent that dies in between leaves one that is found by its token. */
+    private void launch(HostedInstance instance) {
+        InstanceSupervisor supervisor = instance.supervisor();
+        String token = String.format("%016x%016x", random.nextLong(), random.nextLong());
+        if (!updateRecord(instance, record -> InstanceRecord.launching(token))) {
+            supervisor.launchFailed(now(), "the state cannot be written");
             return;
         }
         try {
-            Files.createDirectories(one.folder());
-            OsProcesses.ProcessIdentity made =
-                    OsProcesses.launch(one.command(), one.environment(), token, one.folder(), logFile(index));
-            processes[index] = made;
-            keeper.there(now(), now());
-            event(index, "launched, pid " + made.pid());
-            // If this is not noted, the token still leads to it.
-            note(index, new InstanceLedger.InstanceRecord(true, token, made.pid(), made.startTicks()));
+            ProcessIdentity process = OsProcesses.launch(instance.spec(), token);
+            instance.setProcess(Optional.of(process));
+            supervisor.processStarted(now());
+            addEvent(instance, "launched, pid " + process.pid());
+            // If this fails, the process is still found by its token.
+            updateRecord(instance, record -> record.withProcess(process.pid(), process.startTicks()));
         } catch (IOException e) {
-            keeper.launchFailed(now(), e.getMessage());
-            event(index, "cannot be launched: " + e.getMessage());
+            supervisor.launchFailed(now(), e.getMessage());
+            addEvent(instance, "cannot be launched: " + e.getMessage());
         }
     }
 
-    private void visitAll() {
-        double[] capacity = new double[hosted.size()];
-        for (int i = 0; i < hosted.size(); i++) {
-            InstanceSupervisor keeper = keepers.get(i);
-            InstanceStatus told = keeper.told();
-            boolean counts = told != null
-                    && told.phase().equals("warm")
-                    && keeper.state(now()) != InstanceSupervisor.InstanceState.UNREACHED;
-            capacity[i] = counts ? told.capacity() : Double.NaN;
-            cutLog(i);
-            if (processes[i] != null && hosted.get(i).manage() != null && !visiting[i]) {
-                visiting[i] = true;
-                int index = i;
-                OsProcesses.ProcessIdentity asked = processes[i];
-                StatusPoll.instance(loop, hosted.get(i).manage(), answer -> {
-                    visiting[index] = false;
-                    // An answer of one that is gone says nothing of the next.
-                    if (answer != null && asked.equals(processes[index])) {
-                        keeper.told(now(), answer);
-                    }
-                });
-            }
+    // ---- status polls
+
+    private void pollAll() {
+        double[] capacities = new double[instances.size()];
+        for (int i = 0; i < capacities.length; i++) {
+            HostedInstance instance = instances.get(i);
+            capacities[i] = comparableCapacity(instance.supervisor());
+            LogRotation.rotateIfTooLong(instance.spec());
+            poll(instance);
         }
-        peers.look(capacity);
-        for (int i = 0; i < hosted.size(); i++) {
-            keepers.get(i).slow(peers.slow(i));
+        outliers.addSample(capacities);
+        for (int i = 0; i < capacities.length; i++) {
+            instances.get(i).supervisor().setOutlier(outliers.isOutlier(i));
         }
     }
 
-    /** The instance goes on writing to the end of its file, wherever that is: so it can be copied and cut under it. */
-    private void cutLog(int index) {
-        Path file = logFile(index);
-        try {
-            if (Files.exists(file) && Files.size(file) > hosted.get(index).logBytes()) {
-                Files.copy(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
-                try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
-                    channel.truncate(0);
-                }
-            }
-        } catch (IOException e) {
-            // Tried again at the next look.
+    /** NaN where the instance is warming up, or its capacity is not known. */
+    private double comparableCapacity(InstanceSupervisor supervisor) {
+        if (supervisor.state(now()) == InstanceState.UNREACHED) {
+            return Double.NaN;
         }
+        return supervisor
+                .lastStatus()
+                .filter(InstanceStatus::reportsWarm)
+                .map(InstanceStatus::capacity)
+                .orElse(Double.NaN);
     }
 
-    // ---- orders and questions
-
-    /** Takes an order, or returns null where it cannot be noted. */
-    public OrderTracker.Order order(String id, OrderTracker.OrderVerb verb, boolean atOnce, List<Integer> instances) {
-        if (orders.find(id) == null) {
-            boolean wanted = verb == OrderTracker.OrderVerb.START || verb == OrderTracker.OrderVerb.RESTART;
-            for (int index : instances) {
-                InstanceLedger.InstanceRecord before =
-                        ledger.of(hosted.get(index).name());
-                if (!note(
-                        index,
-                        new InstanceLedger.InstanceRecord(wanted, before.token(), before.pid(), before.startTicks()))) {
-                    return null;
+    private void poll(HostedInstance instance) {
+        Optional<ProcessIdentity> polledProcess = instance.process();
+        if (polledProcess.isEmpty() || instance.spec().managementAddress().isEmpty() || instance.isPolled()) {
+            return;
+        }
+        instance.setPolled(true);
+        StatusPoll.ofInstance(loop, instance.spec().managementAddress().get(), answer -> {
+            instance.setPolled(false);
+            // The status of a process that has ended says nothing about the next one.
+            if (polledProcess.equals(instance.process())) {
+                answer.ifPresent(status -> instance.supervisor().statusReceived(now(), status));
+            }
+        });
+    }
+
+    // ---- orders and reports
+
+    /**
+     * Carries out an order, once for its id, or returns nothing if it cannot be recorded on disk; an order that was
+     * recorded for some of its instances only is not carried out for any.
+     *
+     * @param immediate whether instances that are to end are killed in place of drained
+     */
+    public Optional<OrderTracker.Order> accept(
+            String id, OrderTracker.OrderVerb verb, boolean immediate, List<Integer> indexes) {
+        if (orders.find(id).isEmpty()) {
+            for (int index : indexes) {
+                if (!updateRecord(instances.get(index), record -> record.withWanted(verb.desiresInstance()))) {
+                    return Optional.empty();
                 }
             }
-            instances.forEach(index -> event(index, verb.wireName() + (atOnce ? " at once" : "") + " ordered, " + id));
+            String event = verb.wireName() + (immediate ? " at once" : "") + " ordered, " + id;
+            indexes.forEach(index -> addEvent(instances.get(index), event));
         }
-        return orders.take(now(), id, verb, atOnce, instances);
+        return Optional.of(orders.accept(now(), id, verb, immediate, indexes));
     }
 
-    public OrderTracker.Order find(String id) {
+    /** The order of that id, if it is known. */
+    public Optional<OrderTracker.Order> findOrder(String id) {
         return orders.find(id);
     }
 
-    public boolean room() {
-        return orders.room();
+    /** Whether one more order can be accepted. */
+    public boolean hasOrderCapacity() {
+        return orders.hasCapacity();
+    }
+
+    /** Whether what is read now may have been sent while this agent was paused, and its sender have given it up. */
+    public boolean mayInputBeStale() {
+        return pauses.mayInputBeStale(now());
     }
 
-    public List<InstanceSpec> hosted() {
-        return hosted;
+    /** The configuration of all instances, in the order of their indexes. */
+    public List<InstanceSpec> specs() {
+        return instances.stream().map(HostedInstance::spec).toList();
     }
 
-    public InstanceSupervisor keeper(int index) {
-        return keepers.get(index);
+    /** The supervisor of an instance. */
+    public InstanceSupervisor supervisor(int index) {
+        return instances.get(index).supervisor();
     }
 
-    /** Of the process, or 0. */
+    /** The process id of an instance, 0 if it has no process. */
     public long pid(int index) {
-        return processes[index] == null ? 0 : processes[index].pid();
+        return instances.get(index).process().map(ProcessIdentity::pid).orElse(0L);
     }
 
-    public List<InstanceEvent> events(long after) {
-        return events.stream().filter(event -> event.number > after).toList();
+    /** The last events with a higher number, oldest first. */
+    public List<InstanceEvent> eventsAfter(long number) {
+        return history.after(number);
     }
 
-    /** All are told to leave; for an agent that is asked to take its instances with it. */
+    /** Drains all instances, for an agent that is to end together with them. */
     public void drainAll() {
-        for (int i = 0; i < hosted.size(); i++) {
-            keepers.get(i).leave(now());
-            InstanceLedger.InstanceRecord before = ledger.of(hosted.get(i).name());
-            note(i, new InstanceLedger.InstanceRecord(false, before.token(), before.pid(), before.startTicks()));
+        for (HostedInstance instance : instances) {
+            instance.supervisor().drain();
+            updateRecord(instance, record -> record.withWanted(false));
         }
     }
 
-    public boolean allDown() {
-        return keepers.stream().noneMatch(InstanceSupervisor::there);
+    /** Whether no instance has a process. */
+    public boolean areAllDown() {
+        return instances.stream().map(HostedInstance::supervisor).noneMatch(InstanceSupervisor::hasProcess);
     }
 }
--- a/src/main/java/merlinlever/host/run/OsProcesses.java
+++ b/src/main/java/merlinlever/host/run/OsProcesses.java
@@ -4,88 +4,112 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.stream.Stream;
 
-/** Processes by pid and start time, as the kernel tells them under /proc. */
+/** Launches, finds and signals processes of the operating system, which are identified as in Linux' {@code /proc}. */
 public final class OsProcesses {
 
-    /** The variable by which a process is known as launched here. */
+    /** The environment variable with the token of the launch, by which a process is found again. */
     public static final String TOKEN = "MERLINLEVER_LAUNCH";
 
-    /** A process that cannot be taken for a later one with its pid. */
+    private static final Path PROC = Path.of("/proc");
+    private static final Path NULL_DEVICE = Path.of("/dev/null");
+    /** The start of a process that had ended before it was looked at; no process has it. */
+    private static final long UNKNOWN_START = -1;
+
+    // proc(5), /proc/PID/stat; counted from the first field after the name.
+    private static final int STAT_STATE_FIELD = 0;
+    private static final int STAT_START_TIME_FIELD = 19;
+
+    /**
+     * A process, told apart from a later one with the same pid.
+     *
+     * @param startTicks when it began, in the kernel's clock ticks since boot
+     */
     public record ProcessIdentity(long pid, long startTicks) {}
 
     private OsProcesses() {}
 
-    /** Starts a command; its output goes to the end of the file. */
-    static ProcessIdentity launch(
-            List<String> command, Map<String, String> environment, String token, Path folder, Path log)
-            throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command)
+    /** Launches a command in a folder, with its output appended to the log file. */
+    static ProcessIdentity launch(InstanceSpec instance, String token) throws IOException {
+        Files.createDirectories(instance.folder());
+        ProcessBuilder builder = new ProcessBuilder(instance.command())
                 .redirectErrorStream(true)
-                .directory(folder.toFile())
-                .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        builder.environment().putAll(environment);
+                .directory(instance.folder().toFile())
+                .redirectInput(ProcessBuilder.Redirect.from(NULL_DEVICE.toFile()))
+                .redirectOutput(
+                        ProcessBuilder.Redirect.appendTo(instance.logFile().toFile()));
+        builder.environment().putAll(instance.environment());
         builder.environment().put(TOKEN, token);
-        Process process = builder.start();
-        Long ticks = startTicks(process.pid());
-        // One that has ended already is known by a time that no process has.
-        return new ProcessIdentity(process.pid(), ticks == null ? -1 : ticks);
+        long pid = builder.start().pid();
+        return new ProcessIdentity(pid, startTicks(pid).orElse(UNKNOWN_START));
     }
 
-    /** When the process began, or null where there is none of that pid, or it is a dead one that nobody has waited for. */
-    static Long startTicks(long pid) {
+    /** When the process began; empty where there is none of that pid, or only a zombie. */
+    private static OptionalLong startTicks(long pid) {
         try {
-            String stat = Files.readString(Path.of("/proc/" + pid + "/stat"), StandardCharsets.ISO_8859_1);
-            // The name in parentheses may hold anything; behind it the state is the third field, the start the 22nd.
+            String stat = Files.readString(PROC.resolve(pid + "/stat"), StandardCharsets.ISO_8859_1);
+            // The name stands in parentheses and may contain any character.
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return fields[0].equals("Z") || fields[0].equals("X") ? null : Long.valueOf(fields[19]);
-        } catch (IOException | RuntimeException e) {
-            return null;
+            boolean isDead = fields[STAT_STATE_FIELD].equals("Z") || fields[STAT_STATE_FIELD].equals("X");
+            return isDead ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(fields[STAT_START_TIME_FIELD]));
+        } catch (IOException | IndexOutOfBoundsException | NumberFormatException e) {
+            return OptionalLong.empty();
         }
     }
 
-    static boolean alive(ProcessIdentity process) {
-        Long ticks = startTicks(process.pid);
-        return ticks != null && ticks == process.startTicks;
+    static boolean isAlive(ProcessIdentity process) {
+        OptionalLong ticks = startTicks(process.pid);
+        return ticks.isPresent() && ticks.getAsLong() == process.startTicks;
     }
 
-    /** The process that carries the token, or null. */
-    static ProcessIdentity byToken(String token) {
-        String wanted = TOKEN + "=" + token;
-        try (Stream<Path> all = Files.list(Path.of("/proc"))) {
-            for (Path each : all.filter(path -> path.getFileName().toString().matches("[0-9]+"))
-                    .toList()) {
-                try {
-                    String environment =
-                            new String(Files.readAllBytes(each.resolve("environ")), StandardCharsets.ISO_8859_1);
-                    for (String variable : environment.split("\0")) {
-                        if (variable.equals(wanted)) {
-                            long pid = Long.parseLong(each.getFileName().toString());
-                            Long ticks = startTicks(pid);
-                            if (ticks != null) {
-                                return new ProcessIdentity(pid, ticks);
-                            }
-                        }
+    /** The process that was launched with the token. */
+    static Optional<ProcessIdentity> findByToken(String token) {
+        String variable = TOKEN + "=" + token;
+        try (Stream<Path> entries = Files.list(PROC)) {
+            List<Path> processes = entries.filter(
+                            path -> path.getFileName().toString().matches("[0-9]+"))
+                    .toList();
+            for (Path process : processes) {
+                long pid = Long.parseLong(process.getFileName().toString());
+                if (hasVariable(process, variable)) {
+                    OptionalLong ticks = startTicks(pid);
+                    if (ticks.isPresent()) {
+                        return Optional.of(new ProcessIdentity(pid, ticks.getAsLong()));
                     }
-                } catch (IOException e) {
-                    // Not ours to read, or gone meanwhile.
                 }
             }
+            return Optional.empty();
         } catch (IOException e) {
-            return null;
+            return Optional.empty();
         }
-        return null;
     }
 
-    /** Asks it to leave, or kills it; false where it is not there any more. */
-    static boolean signal(ProcessIdentity process, boolean kill) {
-        Optional<ProcessHandle> handle = alive(process) ? ProcessHandle.of(process.pid) : Optional.empty();
-        return handle.isPresent()
-                && (kill ? handle.get().destroyForcibly() : handle.get().destroy());
+    private static boolean hasVariable(Path process, String variable) {
+        try {
+            String environment = Files.readString(process.resolve("environ"), StandardCharsets.ISO_8859_1);
+            return Arrays.asList(environment.split("\0")).contains(variable);
+        } catch (IOException e) {
+            // Of another user, or ended meanwhile.
+            return false;
+        }
+    }
+
+    /** Asks the process to end. */
+    static void terminate(ProcessIdentity process) {
+        handle(process).ifPresent(ProcessHandle::destroy);
+    }
+
+    /** Ends the process at once. */
+    static void kill(ProcessIdentity process) {
+        handle(process).ifPresent(ProcessHandle::destroyForcibly);
+    }
+
+    private static Optional<ProcessHandle> handle(ProcessIdentity process) {
+        return isAlive(process) ? ProcessHandle.of(process.pid) : Optional.empty();
     }
 }
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -3,10 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
 import java.time.Duration;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import merlinlever.common.net.EventLoop;
 import merlinlever.fleet.membership.MemberRecord;
 import merlinlever.fleet.membership.MemberStatus;
@@ -14,93 +16,111 @@
 import merlinlever.fleet.membership.net.MembershipTransport;
 
 /**
- * What the other agents tell of their instances, asked for when somebody wants to know, and kept with its age for when they
- * do not answer any more.
+ * The reports of the other agents about their instances. They are asked on demand; the last report of each is kept with its
+ * age, also when the agent does not answer any more. All methods are called on the thread of the event loop.
  */
 public final class PeerAgents {
 
-    /** What is known of one agent; {@code report} is null before its first answer. */
-    public record PeerAgent(MemberRecord agent, Duration changedAgo, JsonNode report, Duration reportAgo) {}
+    /**
+     * What is known of one other agent.
+     *
+     * @param timeSinceStatusChange how long its membership status is as it is
+     * @param report its last report, empty before the first
+     */
+    public record PeerAgent(MemberRecord member, Duration timeSinceStatusChange, Optional<PeerReport> report) {}
 
-    private record CachedReport(JsonNode body, Duration at) {}
+    /**
+     * The last report of an agent.
+     *
+     * @param body as the agent answered {@code GET /instances}
+     * @param age since it arrived
+     */
+    public record PeerReport(JsonNode body, Duration age) {}
 
-    /** A report that is younger than this is not asked for again; of two thousand agents so many are asked at once. */
-    private static final Duration FRESH = Duration.ofMillis(200);
+    private record CachedReport(JsonNode body, Duration receivedAt) {}
 
-    private static final int AT_ONCE = 64;
+    /** An agent with a younger report is not asked again. */
+    private static final Duration MAX_CACHE_AGE = Duration.ofMillis(200);
+
+    private static final int MAX_CONCURRENT_POLLS = 64;
 
     private final EventLoop loop;
-    private final SwimProtocol members;
+    private final SwimProtocol membership;
     private final String secret;
     private final Map<String, CachedReport> reports = new HashMap<>();
-    private final List<Runnable> waiting = new ArrayList<>();
-    private final List<MemberRecord> toAsk = new ArrayList<>();
-    private int open;
+    private final List<Runnable> callbacks = new ArrayList<>();
+    /** Agents that are still to be asked, the next one last. */
+    private final ArrayDeque<MemberRecord> unasked = new ArrayDeque<>();
+
+    private int openPolls;
 
-    public PeerAgents(EventLoop loop, SwimProtocol members, String secret) {
+    /** Knows the agents by the membership; they are asked with the secret that all agents share. */
+    public PeerAgents(EventLoop loop, SwimProtocol membership, String secret) {
         this.loop = loop;
-        this.members = members;
+        this.membership = membership;
         this.secret = secret;
     }
 
-    /** Asks all that are not known to be gone; {@code then} runs when all have answered or their time is over. */
-    public void ask(Runnable then) {
-        waiting.add(then);
-        if (open > 0) {
-            // They are being asked; what comes is new enough.
+    /** Asks all agents that are not known to be gone, and runs the callback when each has answered or timed out. */
+    public void refresh(Runnable callback) {
+        callbacks.add(callback);
+        if (openPolls > 0) {
+            // A refresh is under way; its reports are new enough.
             return;
         }
         Duration now = loop.clock().now();
-        for (MemberRecord agent : members.memberTable().all()) {
-            CachedReport report = reports.get(agent.name());
-            boolean gone = agent.status() == MemberStatus.DEAD || agent.status() == MemberStatus.LEFT;
-            if (!agent.name().equals(members.memberTable().self())
-                    && !gone
-                    && (report == null || now.minus(report.at).compareTo(FRESH) > 0)) {
-                toAsk.add(agent);
-            }
+        otherMembers().stream().filter(member -> needsPoll(now, member)).forEach(unasked::addLast);
+        pollNext();
+    }
+
+    private List<MemberRecord> otherMembers() {
+        String self = membership.memberTable().self();
+        return membership.memberTable().all().stream()
+                .filter(member -> !member.name().equals(self))
+                .toList();
+    }
+
+    private boolean needsPoll(Duration now, MemberRecord member) {
+        if (member.status() == MemberStatus.DEAD || member.status() == MemberStatus.LEFT) {
+            return false;
         }
-        next();
+        CachedReport report = reports.get(member.name());
+        return report == null || now.minus(report.receivedAt).compareTo(MAX_CACHE_AGE) > 0;
     }
 
-    private void next() {
-        while (open < AT_ONCE && !toAsk.isEmpty()) {
-            MemberRecord agent = toAsk.remove(toAsk.size() - 1);
-            InetSocketAddress address = MembershipTransport.parseAddress(agent.apiAddress());
-            if (address == null) {
-                continue;
+    private void pollNext() {
+        while (openPolls < MAX_CONCURRENT_POLLS && !unasked.isEmpty()) {
+            MemberRecord member = unasked.removeLast();
+            InetSocketAddress address = MembershipTransport.parseAddress(member.apiAddress());
+            if (address != null) {
+                openPolls++;
+                StatusPoll.ofAgent(loop, address, secret, answer -> pollEnded(member, answer));
             }
-            open++;
-            StatusPoll.agent(loop, address, secret, body -> {
-                open--;
-                if (body != null && body.path("host").asText().equals(agent.name())) {
-                    reports.put(
-                            agent.name(), new CachedReport(body, loop.clock().now()));
-                }
-                next();
-            });
         }
-        if (open == 0) {
-            List<Runnable> all = List.copyOf(waiting);
-            waiting.clear();
-            all.forEach(Runnable::run);
+        if (openPolls == 0) {
+            List<Runnable> completed = List.copyOf(callbacks);
+            callbacks.clear();
+            completed.forEach(Runnable::run);
         }
     }
 
+    private void pollEnded(MemberRecord member, Optional<JsonNode> answer) {
+        openPolls--;
+        answer.filter(body -> body.path("host").asText().equals(member.name()))
+                .ifPresent(body -> reports.put(
+                        member.name(), new CachedReport(body, loop.clock().now())));
+        pollNext();
+    }
+
     /** All other agents, with their last reports. */
     public List<PeerAgent> all() {
         Duration now = loop.clock().now();
-        List<PeerAgent> all = new ArrayList<>();
-        for (MemberRecord agent : members.memberTable().all()) {
-            if (!agent.name().equals(members.memberTable().self())) {
-                CachedReport report = reports.get(agent.name());
-                all.add(new PeerAgent(
-                        agent,
-                        members.timeSinceChange(now, agent.name()),
-                        report == null ? null : report.body,
-                        report == null ? null : now.minus(report.at)));
-            }
-        }
-        return all;
+        return otherMembers().stream()
+                .map(member -> new PeerAgent(
+                        member,
+                        membership.timeSinceChange(now, member.name()),
+                        Optional.ofNullable(reports.get(member.name()))
+                                .map(report -> new PeerReport(report.body, now.minus(report.receivedAt)))))
+                .toList();
     }
 }
--- a/src/main/java/merlinlever/host/state/InstanceStatus.java
+++ b/src/main/java/merlinlever/host/state/InstanceStatus.java
@@ -5,59 +5,72 @@
 import java.util.Map;
 
 /**
- * What an instance told of itself.
+ * The status that an instance reports of itself.
  *
- * @param phase starting, cold, warm or leaving
- * @param capacity what its module learned that its hold can take
- * @param inHand operations that are read and not yet answered
- * @param pushedBack since its start, by reason
- * @param shares of the limits of the whole fleet
- * @param view its standing among the others of its fleet, or null where it has none
+ * @param phaseName starting, cold, warm or leaving; a later version may report others
+ * @param stalled whether executions have stopped to progress
+ * @param queued requests in the admission queue
+ * @param running requests that execute
+ * @param inFlight requests that were read and are not answered yet
+ * @param capacity how many requests at once the instance estimates that it can run
+ * @param averageLoad the load averaged by its admission control
+ * @param threshold the admission threshold that it sends to clients
+ * @param rejections since its start, by reason
+ * @param aborted requests that failed since its start
+ * @param quotas its parts of the fleet quotas
+ * @param view its quorum status among its peers, or null where it has none
  */
 public record InstanceStatus(
-        @JsonProperty("phase") String phase,
+        @JsonProperty("phase") String phaseName,
         @JsonProperty("healthy") boolean healthy,
-        @JsonProperty("hung") boolean hung,
-        @JsonProperty("held") int held,
+        @JsonProperty("hung") boolean stalled,
+        @JsonProperty("held") int queued,
         @JsonProperty("running") int running,
-        @JsonProperty("inHand") int inHand,
+        @JsonProperty("inHand") int inFlight,
         @JsonProperty("capacity") double capacity,
-        @JsonProperty("avg") double avg,
-        @JsonProperty("level") double level,
-        @JsonProperty("pushedBack") Map<String, Long> pushedBack,
-        @JsonProperty("brokenOff") long brokenOff,
-        @JsonProperty("shares") List<QuotaShare> shares,
+        @JsonProperty("avg") double averageLoad,
+        @JsonProperty("level") double threshold,
+        @JsonProperty("pushedBack") Map<String, Long> rejections,
+        @JsonProperty("brokenOff") long aborted,
+        @JsonProperty("shares") List<QuotaShare> quotas,
         @JsonProperty("view") ViewStatus view) {
 
-    /** Its share of one limit, how long that holds still, and who divides under which term. */
+    /**
+     * The part of one fleet quota that the instance holds.
+     *
+     * @param total the quota of the whole fleet
+     * @param share the part that it may use
+     * @param leaseMillis how long its lease still holds
+     * @param inUse how much of its part is in use
+     * @param leader who grants the leases; empty where nobody does
+     */
     public record QuotaShare(
             @JsonProperty("name") String name,
-            @JsonProperty("whole") long whole,
+            @JsonProperty("whole") long total,
             @JsonProperty("share") long share,
-            @JsonProperty("leftMs") long leftMs,
+            @JsonProperty("leftMs") long leaseMillis,
             @JsonProperty("inUse") long inUse,
             @JsonProperty("leader") String leader,
             @JsonProperty("term") long term) {}
 
-    /** How far its word goes since when, and which view of the fleet it holds. */
+    /**
+     * The quorum status of the instance, and the fleet view that it has adopted.
+     *
+     * @param quorumStatus as the instance names it
+     * @param sinceMillis how long it has had that status
+     */
     public record ViewStatus(
-            @JsonProperty("standing") String standing,
-            @JsonProperty("sinceMs") long sinceMs,
+            @JsonProperty("standing") String quorumStatus,
+            @JsonProperty("sinceMs") long sinceMillis,
             @JsonProperty("number") String number,
             @JsonProperty("digest") String digest) {}
 
-    public InstanceStatus(
-            String phase,
-            boolean healthy,
-            boolean hung,
-            int held,
-            int running,
-            int inHand,
-            double capacity,
-            double avg,
-            double level,
-            Map<String, Long> pushedBack,
-            long brokenOff) {
-        this(phase, healthy, hung, held, running, inHand, capacity, avg, level, pushedBack, brokenOff, List.of(), null);
+    /** Whether it reports to serve at full speed, so that its capacity can be compared with that of its peers. */
+    public boolean reportsWarm() {
+        return phase() == ReportedPhase.WARM;
+    }
+
+    ReportedPhase phase() {
+        return ReportedPhase.ofWireName(phaseName);
     }
 }
--- a/src/main/java/merlinlever/host/state/InstanceSupervisor.java
+++ b/src/main/java/merlinlever/host/state/InstanceSupervisor.java
@@ -3,35 +3,37 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Locale;
+import java.util.Optional;
 import merlinlever.common.WireNamed;
 
 /**
- * Keeps one instance: decides when it is launched, told to leave or killed, and says what is so of it. What is not known it
- * does not say: an instance that does not answer is not reached since then, and neither down nor launched again while its
- * process is there.
+ * Supervises one instance: decides when to launch, drain or kill its process, and reports its state. A process that exists
+ * and does not answer is unreached, neither down nor launched a second time. Without input, output, thread or clock: the
+ * caller reports what happens, with the time since its own start, and carries out the actions.
  */
 public final class InstanceSupervisor {
 
-    /** What is so of an instance. */
+    /** The state of an instance as it is reported to operators. */
     public enum InstanceState implements WireNamed {
-        /** No process, and none is wanted or its next launch is waited for. */
+        /** No process exists: none is desired, or the next launch is due later. */
         DOWN("down"),
-        /** A process is there, of a kind that tells nothing of itself: more is not known. */
+        /** A process exists, of a kind that does not report its status: more is not known. */
         THERE("there"),
-        /** A process that has not told anything of itself yet. */
+        /** The process has not reported its status yet. */
         STARTING("starting"),
-        /** It tells that it is not at its full speed yet. */
+        /** It reports that it is still warming up. */
         COLD("cold"),
+        /** It reports that it serves at full speed. */
         WARM("warm"),
-        /** Warm, and much slower than most of its kind. */
+        /** Warm, and an outlier among its peers. */
         SLOW("slow"),
-        /** It tells that its work does not get on. */
+        /** It reports that its executions do not progress. */
         HUNG("hung"),
-        /** Told to leave; what it has read is being answered. */
+        /** It answers what it has read, then it ends. */
         DRAINING("draining"),
-        /** The process is there and does not answer. */
+        /** The process exists and has not answered in time. */
         UNREACHED("unreached"),
-        /** It died too often and is left down until it is started by hand. */
+        /** It crashed too often, and is left down until an operator starts it. */
         GIVEN_UP("given_up");
 
         private final String wireName;
@@ -46,275 +48,314 @@
         }
     }
 
-    /** What is to be done with the process. */
+    /** What the caller has to do with the process. */
     public enum SupervisorAction {
-        NOTHING,
+        /** Nothing. */
+        NONE,
+        /** Launch a process, then report {@link #processStarted} or {@link #launchFailed}. */
         LAUNCH,
-        LEAVE,
+        /** Ask the process to shut down gracefully. */
+        DRAIN,
+        /** End the process at once. */
         KILL
     }
 
-    /**
-     * What is stated.
-     *
-     * @param firstPause before it is launched again after it died; doubled each time up to the longest
-     * @param steadyAfter having run so long, it starts again from the first pause
-     * @param budget deaths within the span after which it is given up
-     * @param silentAfter without an answer for so long it is not reached
-     */
-    public record SupervisorSettings(
-            Duration firstPause,
-            Duration longestPause,
-            Duration steadyAfter,
-            int budget,
-            Duration budgetSpan,
-            Duration silentAfter) {
-        public static final SupervisorSettings USUAL = new SupervisorSettings(
-                Duration.ofMillis(200),
-                Duration.ofSeconds(30),
-                Duration.ofSeconds(60),
-                5,
-                Duration.ofMinutes(10),
-                Duration.ofMillis(2500));
+    /** Whether the instance is meant to run. */
+    private enum DesiredState {
+        STOPPED,
+        RUNNING
+    }
+
+    /** The life of the process. DRAINING and KILLING last until the process has ended. */
+    private enum ProcessState {
+        STOPPED,
+        /** The caller was asked to launch it. */
+        STARTING,
+        RUNNING,
+        DRAINING,
+        KILLING,
+        /** Stopped, and not launched again until {@link InstanceSupervisor#start}. */
+        GIVEN_UP;
+
+        boolean hasProcess() {
+            return this == RUNNING || this == DRAINING || this == KILLING;
+        }
+
+        boolean isEnding() {
+            return this == DRAINING || this == KILLING;
+        }
     }
 
-    private final SupervisorSettings stated;
-    private final boolean tells;
-    private boolean wanted;
-    private boolean there, launching, leaving, killing, left, killed, slow, givenUp;
-    private Duration launchAt = Duration.ZERO, launchedAt, toldAt;
-    private Duration pause;
-    private final ArrayDeque<Duration> deaths = new ArrayDeque<>();
-    private InstanceStatus told;
-    private boolean again;
+    /** A new process has this many status timeouts for its first report. */
+    private static final int FIRST_STATUS_TIMEOUTS = 4;
+
+    private final SupervisorSettings settings;
+    private final boolean reportsStatus;
+    private DesiredState desiredState = DesiredState.STOPPED;
+    private ProcessState processState = ProcessState.STOPPED;
+    /** Whether the caller has still to be asked for the action that the process state stands for. */
+    private boolean actionPending;
+
+    private Duration nextLaunchAt = Duration.ZERO;
+    private Duration backoff;
+    private final ArrayDeque<Duration> recentCrashes = new ArrayDeque<>();
     private String lastEnd = "";
     private long launches;
+    /** Null before the first process. */
+    private Duration startedAt;
+    /** Of the current process; null before its first report. */
+    private InstanceStatus lastStatus;
+    /** When the last process reported last; null before its first report. */
+    private Duration lastStatusAt;
 
-    /** @param tells whether instances of its kind tell of themselves */
-    public InstanceSupervisor(SupervisorSettings stated, boolean tells) {
-        this.stated = stated;
-        this.tells = tells;
-        pause = stated.firstPause;
+    private boolean outlier;
+
+    /**
+     * A supervisor of an instance that has no process and is not desired.
+     *
+     * @param reportsStatus whether instances of its kind report their status
+     */
+    public InstanceSupervisor(SupervisorSettings settings, boolean reportsStatus) {
+        this.settings = settings;
+        this.reportsStatus = reportsStatus;
+        backoff = settings.initialBackoff();
     }
 
     // ---- orders
 
-    /** It is wanted; one that was given up gets a new budget. */
+    /** Desires the instance. One that is ending is launched again once it has ended; one given up may crash anew. */
     public void start(Duration now) {
-        if (!wanted || givenUp) {
-            launchAt = now;
-            pause = stated.firstPause;
-            deaths.clear();
-            givenUp = false;
+        if (desiredState == DesiredState.STOPPED || processState == ProcessState.GIVEN_UP) {
+            nextLaunchAt = now;
+            backoff = settings.initialBackoff();
+            recentCrashes.clear();
+        }
+        if (processState == ProcessState.GIVEN_UP) {
+            processState = ProcessState.STOPPED;
         }
-        wanted = true;
-        // On its way out it is launched again once it is down.
-        again = leaving || killing;
+        desiredState = DesiredState.RUNNING;
     }
 
-    /** It is wanted, and is launched so much later. */
-    public void startAfter(Duration now, Duration wait) {
+    /** Desires the instance, and launches it after the delay. */
+    public void startAfter(Duration now, Duration delay) {
         start(now);
-        launchAt = now.plus(wait);
+        nextLaunchAt = now.plus(delay);
     }
 
-    /** It is to leave: answer what it has read, then end. */
-    public void leave(Duration now) {
-        wanted = false;
-        again = false;
-        givenUp = false;
-        if (there && !leaving) {
-            leaving = true;
+    /** Lets the instance answer what it has read, then end. */
+    public void drain() {
+        desiredState = DesiredState.STOPPED;
+        if (processState == ProcessState.GIVEN_UP) {
+            processState = ProcessState.STOPPED;
+        } else if (processState == ProcessState.RUNNING) {
+            enter(ProcessState.DRAINING);
         }
     }
 
-    /** It is to be ended at once; what it has in hand is lost. */
-    public void kill(Duration now) {
-        leave(now);
-        killing = there;
+    /** Ends the instance at once; its requests in flight are lost. */
+    public void kill() {
+        drain();
+        if (processState == ProcessState.DRAINING) {
+            enter(ProcessState.KILLING);
+        }
     }
 
-    /** It is to leave and to be launched again. */
+    /** Drains the instance and launches it again, or starts it where it has no process. */
     public void restart(Duration now) {
-        if (!there) {
+        if (processState.hasProcess()) {
+            drain();
+            desiredState = DesiredState.RUNNING;
+        } else {
             start(now);
-            return;
         }
-        leave(now);
-        wanted = true;
-        again = true;
     }
 
-    // ---- what happens
+    private void enter(ProcessState next) {
+        processState = next;
+        actionPending = true;
+    }
 
-    /** A process of it is there: launched now, or found from before. */
-    public void there(Duration now, Duration since) {
-        there = true;
-        launching = false;
-        launchedAt = since;
-        toldAt = null;
-        told = null;
-        slow = false;
+    // ---- events
+
+    /** A process of the instance exists: launched now, or found running. */
+    public void processStarted(Duration now) {
+        processState = ProcessState.RUNNING;
+        startedAt = now;
+        lastStatus = null;
+        lastStatusAt = null;
+        outlier = false;
         launches++;
     }
 
-    public void launchFailed(Duration now, String why) {
-        launching = false;
-        died(now, why);
+    /** The launch that was asked for failed; counts as a crash. */
+    public void launchFailed(Duration now, String reason) {
+        recordCrash(now, reason);
     }
 
-    /** Its process has ended. */
-    public void ended(Duration now, String how) {
-        if (!there) {
+    /** The process has ended. */
+    public void processEnded(Duration now, String reason) {
+        if (!processState.hasProcess()) {
             return;
         }
-        boolean ordered = leaving || killing;
-        there = false;
-        leaving = false;
-        killing = false;
-        left = false;
-        killed = false;
-        told = null;
-        lastEnd = how;
-        if (ordered) {
-            launchAt = now;
-            if (again) {
-                wanted = true;
-            }
-            again = false;
+        lastStatus = null;
+        if (processState.isEnding()) {
+            processState = ProcessState.STOPPED;
+            actionPending = false;
+            lastEnd = reason;
+            nextLaunchAt = now;
             return;
         }
-        if (launchedAt != null && now.minus(launchedAt).compareTo(stated.steadyAfter) >= 0) {
-            pause = stated.firstPause;
+        if (now.minus(startedAt).compareTo(settings.stableAfter()) >= 0) {
+            backoff = settings.initialBackoff();
         }
-        died(now, how);
+        recordCrash(now, reason);
     }
 
-    private void died(Duration now, String how) {
-        lastEnd = how;
-        deaths.add(now);
-        while (now.minus(deaths.peek()).compareTo(stated.budgetSpan) > 0) {
-            deaths.poll();
+    private void recordCrash(Duration now, String reason) {
+        lastEnd = reason;
+        recentCrashes.add(now);
+        while (now.minus(recentCrashes.peek()).compareTo(settings.restartWindow()) > 0) {
+            recentCrashes.poll();
         }
-        launchAt = now.plus(pause);
-        pause = pause.multipliedBy(2).compareTo(stated.longestPause) > 0 ? stated.longestPause : pause.multipliedBy(2);
-        givenUp |= wanted && deaths.size() >= stated.budget;
+        nextLaunchAt = now.plus(backoff);
+        Duration doubled = backoff.multipliedBy(2);
+        backoff = doubled.compareTo(settings.maxBackoff()) > 0 ? settings.maxBackoff() : doubled;
+        boolean giveUp = desiredState == DesiredState.RUNNING && recentCrashes.size() >= settings.maxRestarts();
+        processState = giveUp ? ProcessState.GIVEN_UP : ProcessState.STOPPED;
     }
 
-    public void told(Duration now, InstanceStatus what) {
-        if (there) {
-            told = what;
-            toldAt = now;
+    /** The instance has reported its status. */
+    public void statusReceived(Duration now, InstanceStatus status) {
+        if (processState.hasProcess()) {
+            lastStatus = status;
+            lastStatusAt = now;
         }
     }
 
-    /** Whether it is slower than its kind, as {@link OutlierDetector} found. */
-    public void slow(boolean is) {
-        slow = is;
+    /** Whether the instance is an outlier among its peers, as {@link OutlierDetector} found. */
+    public void setOutlier(boolean isOutlier) {
+        outlier = isOutlier;
     }
 
-    // ---- what is decided
-
-    /** What is to be done now; an act is decided once. */
-    public SupervisorAction settle(Duration now) {
-        if (there) {
-            if (killing && !killed) {
-                killed = true;
-                return SupervisorAction.KILL;
-            }
-            if (leaving && !left && !killing) {
-                left = true;
-                return SupervisorAction.LEAVE;
+    // ---- decisions
+
+    /** What has to be done now; each action is returned once. */
+    public SupervisorAction nextAction(Duration now) {
+        return switch (processState) {
+            case STOPPED -> {
+                if (desiredState == DesiredState.STOPPED || now.compareTo(nextLaunchAt) < 0) {
+                    yield SupervisorAction.NONE;
+                }
+                processState = ProcessState.STARTING;
+                yield SupervisorAction.LAUNCH;
             }
-            return SupervisorAction.NOTHING;
-        }
-        if (wanted && !givenUp && !launching && now.compareTo(launchAt) >= 0) {
-            launching = true;
-            return SupervisorAction.LAUNCH;
+            case DRAINING -> takePending(SupervisorAction.DRAIN);
+            case KILLING -> takePending(SupervisorAction.KILL);
+            case STARTING, RUNNING, GIVEN_UP -> SupervisorAction.NONE;
+        };
+    }
+
+    private SupervisorAction takePending(SupervisorAction action) {
+        if (!actionPending) {
+            return SupervisorAction.NONE;
         }
-        return SupervisorAction.NOTHING;
+        actionPending = false;
+        return action;
     }
 
+    // ---- reports
+
+    /** The state of the instance, by its process and by its last status report. */
     public InstanceState state(Duration now) {
-        if (!there) {
-            return givenUp ? InstanceState.GIVEN_UP : launching ? InstanceState.STARTING : InstanceState.DOWN;
-        }
-        if (leaving || killing) {
-            return InstanceState.DRAINING;
-        }
-        if (!tells) {
-            return InstanceState.THERE;
-        }
-        Duration heard = toldAt == null ? launchedAt : toldAt;
-        boolean silent =
-                now.minus(heard).compareTo(toldAt == null ? stated.silentAfter.multipliedBy(4) : stated.silentAfter)
-                        > 0;
-        if (silent) {
+        return switch (processState) {
+            case STOPPED -> InstanceState.DOWN;
+            case STARTING -> InstanceState.STARTING;
+            case GIVEN_UP -> InstanceState.GIVEN_UP;
+            case DRAINING, KILLING -> InstanceState.DRAINING;
+            case RUNNING -> reportsStatus ? runningState(now) : InstanceState.THERE;
+        };
+    }
+
+    private InstanceState runningState(Duration now) {
+        if (isSilent(now)) {
             return InstanceState.UNREACHED;
         }
-        if (told == null) {
+        if (lastStatus == null) {
             return InstanceState.STARTING;
         }
-        return told.hung()
-                ? InstanceState.HUNG
-                : switch (told.phase()) {
-                    case "leaving" -> InstanceState.DRAINING;
-                    case "starting" -> InstanceState.STARTING;
-                    case "cold" -> InstanceState.COLD;
-                    default -> slow ? InstanceState.SLOW : InstanceState.WARM;
-                };
+        if (lastStatus.stalled()) {
+            return InstanceState.HUNG;
+        }
+        return switch (lastStatus.phase()) {
+            case DRAINING -> InstanceState.DRAINING;
+            case STARTING -> InstanceState.STARTING;
+            case WARMING_UP -> InstanceState.COLD;
+            case WARM, UNKNOWN -> outlier ? InstanceState.SLOW : InstanceState.WARM;
+        };
+    }
+
+    private boolean isSilent(Duration now) {
+        if (lastStatusAt == null) {
+            Duration firstStatusTimeout = settings.statusTimeout().multipliedBy(FIRST_STATUS_TIMEOUTS);
+            return now.minus(startedAt).compareTo(firstStatusTimeout) > 0;
+        }
+        return now.minus(lastStatusAt).compareTo(settings.statusTimeout()) > 0;
     }
 
-    /** One sentence for people about why it is so. */
-    public String why(Duration now) {
+    /** One phrase for operators on why the instance is in its state; empty where there is nothing to say. */
+    public String reason(Duration now) {
         return switch (state(now)) {
-            case DOWN -> wanted
-                    ? String.format(
-                            Locale.ROOT,
-                            "%s; launched again in %d ms",
-                            lastEnd,
-                            Math.max(0, launchAt.minus(now).toMillis()))
-                    : lastEnd.isEmpty() ? "not wanted" : "not wanted; " + lastEnd;
-            case GIVEN_UP -> "died " + deaths.size() + " times, last: " + lastEnd + "; start it by hand";
-            case UNREACHED -> toldAt == null
+            case DOWN -> downReason(now);
+            case GIVEN_UP -> "died " + recentCrashes.size() + " times, last: " + lastEnd + "; start it by hand";
+            case UNREACHED -> lastStatusAt == null
                     ? "has not answered since it was launched"
                     : String.format(
                             Locale.ROOT,
                             "not reached for %d ms",
-                            now.minus(toldAt).toMillis());
-            case DRAINING -> told == null ? "leaving" : told.inHand() + " operations to be answered when last heard";
+                            now.minus(lastStatusAt).toMillis());
+            case DRAINING -> lastStatus == null
+                    ? "leaving"
+                    : lastStatus.inFlight() + " operations to be answered when last heard";
             case SLOW -> "its capacity is far under that of its peers";
             case HUNG -> "no run gets on";
-            default -> "";
+            case THERE, STARTING, COLD, WARM -> "";
         };
     }
 
-    public boolean wanted() {
-        return wanted;
+    private String downReason(Duration now) {
+        if (desiredState == DesiredState.RUNNING) {
+            long millisToLaunch = Math.max(0, nextLaunchAt.minus(now).toMillis());
+            return String.format(Locale.ROOT, "%s; launched again in %d ms", lastEnd, millisToLaunch);
+        }
+        return lastEnd.isEmpty() ? "not wanted" : "not wanted; " + lastEnd;
     }
 
-    public boolean there() {
-        return there;
+    /** Whether the instance is meant to run. */
+    public boolean isDesired() {
+        return desiredState == DesiredState.RUNNING;
     }
 
-    public boolean leaving() {
-        return there && (leaving || killing);
+    /** Whether a process of the instance exists, as far as was reported. */
+    public boolean hasProcess() {
+        return processState.hasProcess();
     }
 
-    public InstanceStatus told() {
-        return told;
+    /** The last status report of the current process; empty where it has none. */
+    public Optional<InstanceStatus> lastStatus() {
+        return Optional.ofNullable(lastStatus);
     }
 
-    /** How old the last answer is, or null. */
-    public Duration heardAgo(Duration now) {
-        return toldAt == null ? null : now.minus(toldAt);
+    /** The age of the last status report, also after the end of the process; empty where it never reported. */
+    public Optional<Duration> statusAge(Duration now) {
+        return Optional.ofNullable(lastStatusAt).map(now::minus);
     }
 
-    /** How long its process has been there. */
-    public Duration age(Duration now) {
-        return there ? now.minus(launchedAt) : null;
+    /** How long the current process has been known; empty where there is none. */
+    public Optional<Duration> processAge(Duration now) {
+        return hasProcess() ? Optional.of(now.minus(startedAt)) : Optional.empty();
     }
 
+    /** How many processes of the instance were launched or found running. */
     public long launches() {
         return launches;
     }
--- a/src/main/java/merlinlever/host/state/OrderTracker.java
+++ b/src/main/java/merlinlever/host/state/OrderTracker.java
@@ -1,19 +1,21 @@
 package merlinlever.host.state;
 
+import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import merlinlever.common.WireNamed;
 
 /**
- * Orders of operators, each done once whatever number of times it is sent: its id says which it is. What has happened to
- * each is kept for as many as there is room; a later order to the same instance takes the place of an earlier one, which
- * is told so.
+ * Carries orders of operators over to the supervisors. An order has an id, under which it is carried out once however
+ * often it is sent. A later order to an instance supersedes an earlier one. At most {@value #MAX_ORDERS} orders are kept,
+ * so that their progress can be asked for; the oldest finished ones are forgotten first.
  */
 public final class OrderTracker {
 
-    /** What operators ask for. */
+    /** What operators can order. */
     public enum OrderVerb implements WireNamed {
         START("start"),
         DRAIN("drain"),
@@ -30,13 +32,20 @@
         public String wireName() {
             return wireName;
         }
+
+        /** Whether an instance is meant to run after the order. */
+        public boolean desiresInstance() {
+            return this == START || this == RESTART;
+        }
     }
 
     /** How far an order is with one instance. */
     public enum OrderProgress implements WireNamed {
         UNDER_WAY("under way"),
         DONE("done"),
+        /** A later order to the instance has replaced it. */
         SUPERSEDED("superseded"),
+        /** The instance crashed too often. */
         GIVEN_UP("given up");
 
         private final String wireName;
@@ -51,147 +60,156 @@
         }
     }
 
-    /** One order. */
+    /** One order and its progress. */
     public static final class Order {
         private final String id;
         private final OrderVerb verb;
-        private final boolean now;
         private final List<Integer> instances;
-        private final OrderProgress[] ends;
+        private final OrderProgress[] progress;
         private final long[] launchesBefore;
 
-        private Order(
-                String id, OrderVerb verb, boolean now, List<Integer> instances, List<InstanceSupervisor> keepers) {
+        private Order(String id, OrderVerb verb, List<Integer> instances, List<InstanceSupervisor> supervisors) {
             this.id = id;
             this.verb = verb;
-            this.now = now;
             this.instances = List.copyOf(instances);
-            ends = new OrderProgress[instances.size()];
-            java.util.Arrays.fill(ends, OrderProgress.UNDER_WAY);
-            launchesBefore =
-                    instances.stream().mapToLong(i -> keepers.get(i).launches()).toArray();
+            progress = new OrderProgress[instances.size()];
+            Arrays.fill(progress, OrderProgress.UNDER_WAY);
+            launchesBefore = instances.stream()
+                    .mapToLong(index -> supervisors.get(index).launches())
+                    .toArray();
         }
 
+        /** The id that its sender gave it. */
         public String id() {
             return id;
         }
 
+        /** What was ordered. */
         public OrderVerb verb() {
             return verb;
         }
 
-        public boolean now() {
-            return now;
-        }
-
+        /** The indexes of the instances that it is for. */
         public List<Integer> instances() {
             return instances;
         }
 
-        public OrderProgress end(int place) {
-            return ends[place];
+        /** How far it is with the instance at that position of {@link #instances}. */
+        public OrderProgress progress(int position) {
+            return progress[position];
         }
 
-        public boolean over() {
-            for (OrderProgress end : ends) {
-                if (end == OrderProgress.UNDER_WAY) {
-                    return false;
-                }
-            }
-            return true;
+        /** Whether it is under way with none of its instances any more. */
+        public boolean isFinished() {
+            return Arrays.stream(progress).noneMatch(each -> each == OrderProgress.UNDER_WAY);
         }
     }
 
-    private static final int MOST = 1000;
+    private static final int MAX_ORDERS = 1000;
 
-    private final List<InstanceSupervisor> keepers;
-    private final LinkedHashMap<String, Order> byId = new LinkedHashMap<>();
+    private final List<InstanceSupervisor> supervisors;
+    private final LinkedHashMap<String, Order> ordersById = new LinkedHashMap<>();
 
-    public OrderTracker(List<InstanceSupervisor> keepers) {
-        this.keepers = keepers;
+    /** A tracker without orders; they name instances by their index in the list. */
+    public OrderTracker(List<InstanceSupervisor> supervisors) {
+        this.supervisors = supervisors;
     }
 
-    /** The order of that id, or null. */
-    public Order find(String id) {
-        return byId.get(id);
+    /** The order of that id, if it is known. */
+    public Optional<Order> find(String id) {
+        return Optional.ofNullable(ordersById.get(id));
     }
 
-    /** Whether one more can be taken: all that are kept may be under way. */
-    public boolean room() {
-        return byId.size() < MOST || byId.values().stream().anyMatch(Order::over);
+    /** Whether one more order can be accepted; false while as many as are kept are all under way. */
+    public boolean hasCapacity() {
+        return ordersById.size() < MAX_ORDERS || ordersById.values().stream().anyMatch(Order::isFinished);
     }
 
-    /** Takes an order; one whose id is known is not done again, and what has become of it is returned. */
-    public Order take(java.time.Duration at, String id, OrderVerb verb, boolean now, List<Integer> instances) {
-        Order known = byId.get(id);
+    /**
+     * Carries an order out. One whose id is known is returned as it stands and not carried out again.
+     *
+     * @param immediate whether instances that are to end are killed in place of drained
+     * @throws IllegalStateException if there is no capacity for a new order
+     */
+    public Order accept(Duration now, String id, OrderVerb verb, boolean immediate, List<Integer> instances) {
+        Order known = ordersById.get(id);
         if (known != null) {
             return known;
         }
-        while (byId.size() >= MOST) {
-            byId.values().stream().filter(Order::over).findFirst().ifPresent(over -> byId.remove(over.id));
+        makeRoom();
+        supersedeOrdersTo(instances);
+        Order order = new Order(id, verb, instances, supervisors);
+        ordersById.put(id, order);
+        instances.forEach(index -> carryOut(now, verb, immediate, supervisors.get(index)));
+        updateProgress(now);
+        return order;
+    }
+
+    private void makeRoom() {
+        while (ordersById.size() >= MAX_ORDERS) {
+            Order oldestFinished = ordersById.values().stream()
+                    .filter(Order::isFinished)
+                    .findFirst()
+                    .orElseThrow(() -> new IllegalStateException("all orders are under way"));
+            ordersById.remove(oldestFinished.id);
         }
-        for (Order other : byId.values()) {
-            for (int i = 0; i < other.ends.length; i++) {
-                if (other.ends[i] == OrderProgress.UNDER_WAY && instances.contains(other.instances.get(i))) {
-                    other.ends[i] = OrderProgress.SUPERSEDED;
+    }
+
+    private void supersedeOrdersTo(List<Integer> instances) {
+        for (Order order : ordersById.values()) {
+            for (int i = 0; i < order.progress.length; i++) {
+                if (order.progress[i] == OrderProgress.UNDER_WAY && instances.contains(order.instances.get(i))) {
+                    order.progress[i] = OrderProgress.SUPERSEDED;
                 }
             }
         }
-        Order order = new Order(id, verb, now, instances, keepers);
-        byId.put(id, order);
-        for (int index : instances) {
-            InstanceSupervisor keeper = keepers.get(index);
-            switch (verb) {
-                case START -> keeper.start(at);
-                case RESTART -> keeper.restart(at);
-                default -> {
-                    if (now) {
-                        keeper.kill(at);
-                    } else {
-                        keeper.leave(at);
-                    }
+    }
+
+    private static void carryOut(Duration now, OrderVerb verb, boolean immediate, InstanceSupervisor supervisor) {
+        switch (verb) {
+            case START -> supervisor.start(now);
+            case RESTART -> supervisor.restart(now);
+            case DRAIN, STOP -> {
+                if (immediate) {
+                    supervisor.kill();
+                } else {
+                    supervisor.drain();
                 }
             }
         }
-        look(at);
-        return order;
     }
 
-    /** Sees how far all are, by what is so of their instances. Returns those that ended with this look. */
-    public List<Order> look(java.time.Duration at) {
-        List<Order> ended = new ArrayList<>(0);
-        for (Map.Entry<String, Order> entry : byId.entrySet()) {
-            Order order = entry.getValue();
-            boolean before = order.over();
-            for (int i = 0; i < order.ends.length; i++) {
-                if (order.ends[i] == OrderProgress.UNDER_WAY) {
-                    order.ends[i] = end(at, order, i);
+    /** Updates the progress of all orders by the states of their instances, and returns those that finished by it. */
+    public List<Order> updateProgress(Duration now) {
+        List<Order> finished = new ArrayList<>(0);
+        for (Order order : ordersById.values()) {
+            if (order.isFinished()) {
+                continue;
+            }
+            for (int i = 0; i < order.progress.length; i++) {
+                if (order.progress[i] == OrderProgress.UNDER_WAY) {
+                    order.progress[i] = currentProgress(now, order, i);
                 }
             }
-            if (!before && order.over()) {
-                ended.add(order);
+            if (order.isFinished()) {
+                finished.add(order);
             }
         }
-        return ended;
+        return finished;
     }
 
-    private OrderProgress end(java.time.Duration at, Order order, int place) {
-        InstanceSupervisor keeper = keepers.get(order.instances.get(place));
-        InstanceSupervisor.InstanceState state = keeper.state(at);
-        boolean serving = state == InstanceSupervisor.InstanceState.COLD
-                || state == InstanceSupervisor.InstanceState.WARM
-                || state == InstanceSupervisor.InstanceState.SLOW
-                || state == InstanceSupervisor.InstanceState.THERE;
-        return switch (order.verb) {
-            case START -> state == InstanceSupervisor.InstanceState.GIVEN_UP
-                    ? OrderProgress.GIVEN_UP
-                    : serving ? OrderProgress.DONE : OrderProgress.UNDER_WAY;
-            case RESTART -> state == InstanceSupervisor.InstanceState.GIVEN_UP
-                    ? OrderProgress.GIVEN_UP
-                    : serving && keeper.launches() > order.launchesBefore[place]
-                            ? OrderProgress.DONE
-                            : OrderProgress.UNDER_WAY;
-            default -> keeper.there() ? OrderProgress.UNDER_WAY : OrderProgress.DONE;
+    private OrderProgress currentProgress(Duration now, Order order, int position) {
+        InstanceSupervisor supervisor = supervisors.get(order.instances.get(position));
+        if (!order.verb.desiresInstance()) {
+            return supervisor.hasProcess() ? OrderProgress.UNDER_WAY : OrderProgress.DONE;
+        }
+        boolean hasSuccessor = supervisor.launches() > order.launchesBefore[position];
+        return switch (supervisor.state(now)) {
+            case GIVEN_UP -> OrderProgress.GIVEN_UP;
+            case THERE, COLD, WARM, SLOW -> order.verb == OrderVerb.START || hasSuccessor
+                    ? OrderProgress.DONE
+                    : OrderProgress.UNDER_WAY;
+            case DOWN, STARTING, HUNG, DRAINING, UNREACHED -> OrderProgress.UNDER_WAY;
         };
     }
 }
--- a/src/main/java/merlinlever/host/state/RollingRestart.java
+++ b/src/main/java/merlinlever/host/state/RollingRestart.java
@@ -10,28 +10,33 @@
 import java.util.Set;
 
 /**
- * Decides a rolling restart: which instances are restarted next, whether it has to wait, and when it has gone wrong. One
- * machine at a time and no more at once than a stated part of the fleet, in which everything counts that is away for
- * whatever reason; on only when the successors are warm by what they tell and callers are not worse off than before.
+ * Decides a rolling restart: which instances to restart next, when to wait, and when to stop because it went wrong. A batch
+ * is of one machine. At most a configured fraction of the fleet is unavailable at once, whatever the reason. The next batch
+ * begins when the restarted instances report to be warm and callers are rejected hardly more often than before. Without
+ * input, output, thread or clock: the caller passes in what it observes and restarts what it is told to.
  */
 public final class RollingRestart {
 
-    /** How far it is. */
+    /** How far the rolling restart is. */
     public enum RolloutPhase {
-        WATCHING,
-        ROLLING,
+        /** The rejection rate before the first batch is measured. */
+        MEASURING_BASELINE,
+        RESTARTING,
         DONE,
+        /** Something went wrong; {@link RollingRestart#reason} says what. */
         STOPPED
     }
 
     /**
-     * One instance as it was last seen.
+     * One instance as it was last observed.
      *
-     * @param turnedAway pushbacks and operations broken off since its process began
+     * @param launches how many processes of it were launched
+     * @param rejections requests that its process rejected or aborted since it began
      */
     public record InstanceObservation(
-            String name, String host, InstanceSupervisor.InstanceState state, long launches, long turnedAway) {
-        boolean serves() {
+            String name, String host, InstanceSupervisor.InstanceState state, long launches, long rejections) {
+
+        boolean isServing() {
             return state == InstanceSupervisor.InstanceState.WARM
                     || state == InstanceSupervisor.InstanceState.SLOW
                     || state == InstanceSupervisor.InstanceState.THERE;
@@ -39,190 +44,243 @@
     }
 
     /**
-     * What is stated.
+     * How a rolling restart proceeds.
      *
-     * @param batch restarted at once at the most
-     * @param mostAway part of the fleet that may be away at once, 0 to 1; one always may
-     * @param warmWithin a restarted one has to serve again
-     * @param watch so long callers are watched before the first batch and behind each
-     * @param worse the roll is stopped where so many times as many are turned away as before it
+     * @param batchSize the most instances that are restarted at once
+     * @param maxUnavailableFraction the part of the fleet that may be unavailable at once, 0 to 1; one instance always may
+     * @param warmUpTimeout within which a restarted instance has to serve again
+     * @param observationPeriod for which rejections are measured before the first batch and after each
+     * @param maxRejectionRatio the restart is stopped if the rejection rate exceeds the baseline so many times
      */
     public record RollingRestartSettings(
-            int batch, double mostAway, Duration warmWithin, Duration watch, double worse) {}
+            int batchSize,
+            double maxUnavailableFraction,
+            Duration warmUpTimeout,
+            Duration observationPeriod,
+            double maxRejectionRatio) {}
+
+    /** Rejections per second above the limit that are tolerated, so that a single one in a quiet fleet is no reason to stop. */
+    private static final double TOLERATED_REJECTION_RATE = 1;
 
-    /** Turned away a second that nobody minds, so that one in a quiet fleet is no reason to stop. */
-    private static final double UNMINDED = 1;
+    private static final double MIN_RATE_SECONDS = 0.001;
+    /** A restarted instance may crash once before it serves; with another crash the restart is stopped. */
+    private static final int MAX_LAUNCHES_AFTER_RESTART = 2;
+    /** So many unavailable instances are named in the reason for waiting. */
+    private static final int MAX_NAMED_INSTANCES = 5;
 
-    private final RollingRestartSettings stated;
-    private final Set<String> todo;
-    private final Map<String, Long> inHand = new LinkedHashMap<>();
-    private final List<String> done = new ArrayList<>();
-    private final Map<String, InstanceObservation> last = new LinkedHashMap<>();
-    private RolloutPhase phase = RolloutPhase.WATCHING;
-    private String why = "";
-    private Duration since, batchAt;
-    private double turnedAway;
-    private double usual = -1;
+    private final RollingRestartSettings settings;
+    private final Set<String> pending;
+    /** The instances that were restarted and do not serve yet, with their launches before. */
+    private final Map<String, Long> launchesBeforeRestart = new LinkedHashMap<>();
 
-    /** @param names in the order in which they are restarted, as far as machines allow */
-    public RollingRestart(RollingRestartSettings stated, List<String> names) {
-        this.stated = stated;
-        todo = new LinkedHashSet<>(names);
+    private final List<String> completed = new ArrayList<>();
+    private final Map<String, InstanceObservation> lastObservations = new LinkedHashMap<>();
+    private RolloutPhase phase = RolloutPhase.MEASURING_BASELINE;
+    private String reason = "";
+    private long rejections;
+    /** Since when the rejections are counted; null before the first observation. */
+    private Duration measuringSince;
+    /** Rejections per second before the first batch. */
+    private double baselineRate;
+    /** When the last batch began; null before the first. */
+    private Duration batchStartedAt;
+
+    /** @param names the instances to restart, in that order as far as their machines allow */
+    public RollingRestart(RollingRestartSettings settings, List<String> names) {
+        this.settings = settings;
+        pending = new LinkedHashSet<>(names);
     }
 
+    /** How far it is. */
     public RolloutPhase phase() {
         return phase;
     }
 
-    /** Why it waits or was stopped, for people. */
-    public String why() {
-        return why;
+    /** Whether it restarts nothing any more. */
+    public boolean isOver() {
+        return phase == RolloutPhase.DONE || phase == RolloutPhase.STOPPED;
     }
 
-    public List<String> done() {
-        return done;
+    /** Why it waits or was stopped, for operators; empty where it does neither. */
+    public String reason() {
+        return reason;
     }
 
-    /** Restarted and not serving yet. */
-    public List<String> inHand() {
-        return new ArrayList<>(inHand.keySet());
+    /** The instances that were restarted and serve again. */
+    public List<String> completed() {
+        return completed;
     }
 
-    public List<String> todo() {
-        return new ArrayList<>(todo);
+    /** The instances that were restarted and do not serve yet. */
+    public List<String> restarting() {
+        return new ArrayList<>(launchesBeforeRestart.keySet());
     }
 
-    private List<String> stop(String reason) {
-        phase = RolloutPhase.STOPPED;
-        why = reason;
-        return List.of();
+    /** The instances that are still to be restarted. */
+    public List<String> pending() {
+        return new ArrayList<>(pending);
     }
 
-    /** What is to be restarted now, by what is seen of the whole fleet. */
-    public List<String> settle(Duration now, List<InstanceObservation> fleet) {
-        if (phase == RolloutPhase.DONE || phase == RolloutPhase.STOPPED) {
+    /** The instances to restart now, by an observation of the whole fleet; empty while it waits or when it is over. */
+    public List<String> nextBatch(Duration now, List<InstanceObservation> fleet) {
+        if (isOver()) {
             return List.of();
         }
-        count(fleet);
-        if (since == null) {
-            since = now;
-            turnedAway = 0;
+        countRejections(fleet);
+        if (measuringSince == null) {
+            resetRejections(now);
         }
-        if (phase == RolloutPhase.WATCHING) {
-            if (now.minus(since).compareTo(stated.watch) < 0) {
-                why = "watching callers before the first batch";
-                return List.of();
-            }
-            usual = rate(now);
-            phase = RolloutPhase.ROLLING;
-        }
-        String wrong = look(now);
-        if (wrong != null) {
-            return stop(wrong);
-        }
-        if (!inHand.isEmpty()) {
-            why = "waiting for " + String.join(", ", inHand.keySet()) + " to be warm";
+        if (isMeasuringBaseline(now) || hasFailedInstance(now) || isWaitingForBatch(now) || isRejectingMore(now)) {
             return List.of();
         }
-        if (batchAt != null) {
-            if (now.minus(since).compareTo(stated.watch) < 0) {
-                why = "watching callers behind the batch";
-                return List.of();
-            }
-            double is = rate(now);
-            if (is > UNMINDED + stated.worse * usual) {
-                return stop(String.format(
-                        Locale.ROOT, "%.1f operations a second are turned away, %.1f were before", is, usual));
-            }
-        }
-        if (todo.isEmpty()) {
+        if (pending.isEmpty()) {
             phase = RolloutPhase.DONE;
-            why = "";
+            reason = "";
             return List.of();
         }
-        return next(now, fleet);
+        return chooseBatch(now, fleet);
+    }
+
+    private void stop(String why) {
+        phase = RolloutPhase.STOPPED;
+        reason = why;
     }
 
-    /** Adds up what was turned away since the last look, over restarts, which begin to count anew. */
-    private void count(List<InstanceObservation> fleet) {
-        for (InstanceObservation seen : fleet) {
-            InstanceObservation before = last.put(seen.name, seen);
+    /** Adds the rejections since the last observation; a restarted process counts from zero. */
+    private void countRejections(List<InstanceObservation> fleet) {
+        for (InstanceObservation current : fleet) {
+            InstanceObservation before = lastObservations.put(current.name, current);
             if (before != null) {
-                turnedAway += seen.launches == before.launches && seen.turnedAway >= before.turnedAway
-                        ? seen.turnedAway - before.turnedAway
-                        : seen.turnedAway;
+                boolean isSameProcess = current.launches == before.launches && current.rejections >= before.rejections;
+                rejections += isSameProcess ? current.rejections - before.rejections : current.rejections;
             }
         }
     }
 
-    private double rate(Duration now) {
-        return turnedAway / Math.max(0.001, now.minus(since).toMillis() / 1000.0);
+    private void resetRejections(Duration now) {
+        measuringSince = now;
+        rejections = 0;
+    }
+
+    private double rejectionRate(Duration now) {
+        return rejections / Math.max(MIN_RATE_SECONDS, now.minus(measuringSince).toMillis() / 1000.0);
+    }
+
+    private boolean isObserved(Duration now) {
+        return now.minus(measuringSince).compareTo(settings.observationPeriod) >= 0;
     }
 
-    /** Sees which of the batch serve again; returns what went wrong, or null. */
-    private String look(Duration now) {
-        for (Map.Entry<String, Long> entry : List.copyOf(inHand.entrySet())) {
-            InstanceObservation seen = last.get(entry.getKey());
-            if (seen.state == InstanceSupervisor.InstanceState.GIVEN_UP) {
-                return seen.name + " keeps dying since it was restarted";
+    private boolean isMeasuringBaseline(Duration now) {
+        if (phase != RolloutPhase.MEASURING_BASELINE) {
+            return false;
+        }
+        if (!isObserved(now)) {
+            reason = "watching callers before the first batch";
+            return true;
+        }
+        baselineRate = rejectionRate(now);
+        phase = RolloutPhase.RESTARTING;
+        return false;
+    }
+
+    /** Completes the instances of the batch that serve again, and stops where one of them has failed. */
+    private boolean hasFailedInstance(Duration now) {
+        for (Map.Entry<String, Long> entry : List.copyOf(launchesBeforeRestart.entrySet())) {
+            InstanceObservation current = lastObservations.get(entry.getKey());
+            long launches = current.launches - entry.getValue();
+            if (current.state == InstanceSupervisor.InstanceState.GIVEN_UP) {
+                stop(current.name + " keeps dying since it was restarted");
+                return true;
             }
-            if (seen.launches > entry.getValue() + 2) {
-                return seen.name + " died " + (seen.launches - entry.getValue() - 1) + " times since it was restarted";
+            if (launches > MAX_LAUNCHES_AFTER_RESTART) {
+                stop(current.name + " died " + (launches - 1) + " times since it was restarted");
+                return true;
             }
-            if (seen.serves() && seen.launches > entry.getValue()) {
-                inHand.remove(entry.getKey());
-                done.add(entry.getKey());
-                since = now;
-                turnedAway = 0;
-            } else if (now.minus(batchAt).compareTo(stated.warmWithin) > 0) {
-                return seen.name + " is not warm " + stated.warmWithin.toSeconds() + " s after it was restarted, but "
-                        + seen.state.wireName();
+            if (current.isServing() && launches > 0) {
+                launchesBeforeRestart.remove(entry.getKey());
+                completed.add(entry.getKey());
+                resetRejections(now);
+            } else if (now.minus(batchStartedAt).compareTo(settings.warmUpTimeout) > 0) {
+                stop(current.name + " is not warm " + settings.warmUpTimeout.toSeconds()
+                        + " s after it was restarted, but " + current.state.wireName());
+                return true;
             }
         }
-        return null;
+        return false;
+    }
+
+    private boolean isWaitingForBatch(Duration now) {
+        if (!launchesBeforeRestart.isEmpty()) {
+            reason = "waiting for " + String.join(", ", launchesBeforeRestart.keySet()) + " to be warm";
+            return true;
+        }
+        if (batchStartedAt != null && !isObserved(now)) {
+            reason = "watching callers behind the batch";
+            return true;
+        }
+        return false;
+    }
+
+    /** Stops where callers are rejected clearly more often since the last batch than before the first. */
+    private boolean isRejectingMore(Duration now) {
+        if (batchStartedAt == null) {
+            return false;
+        }
+        double rate = rejectionRate(now);
+        if (rate <= TOLERATED_REJECTION_RATE + settings.maxRejectionRatio * baselineRate) {
+            return false;
+        }
+        stop(String.format(
+                Locale.ROOT, "%.1f operations a second are turned away, %.1f were before", rate, baselineRate));
+        return true;
     }
 
-    private List<String> next(Duration now, List<InstanceObservation> fleet) {
-        int allowed = Math.max(1, (int) (stated.mostAway * fleet.size()));
-        List<String> away = fleet.stream()
-                .filter(seen -> !seen.serves())
+    private List<String> chooseBatch(Duration now, List<InstanceObservation> fleet) {
+        int maxUnavailable = Math.max(1, (int) (settings.maxUnavailableFraction * fleet.size()));
+        List<String> unavailable = fleet.stream()
+                .filter(observation -> !observation.isServing())
                 .map(InstanceObservation::name)
                 .toList();
-        int room = Math.min(
-                stated.batch,
-                allowed
-                        - (int) away.stream()
-                                .filter(name -> !todo.contains(name))
-                                .count());
-        // One that is away already and is to be restarted takes nobody else away.
-        List<String> chosen = new ArrayList<>();
-        String host = null;
-        for (String name : todo) {
-            InstanceObservation seen = last.get(name);
-            if (seen == null) {
-                return stop(name + " is not known any more");
-            }
-            if (seen.state == InstanceSupervisor.InstanceState.UNREACHED) {
-                why = name + " is not reached: waiting for it";
+        // A pending instance that is unavailable already takes no other one away.
+        long unavailableOthers =
+                unavailable.stream().filter(name -> !pending.contains(name)).count();
+        int maxBatch = Math.min(settings.batchSize, maxUnavailable - (int) unavailableOthers);
+        for (String name : pending) {
+            InstanceObservation observation = lastObservations.get(name);
+            if (observation == null) {
+                stop(name + " is not known any more");
                 return List.of();
             }
-            if (chosen.size() < room && (host == null || host.equals(seen.host))) {
-                host = seen.host;
-                chosen.add(name);
+            if (observation.state == InstanceSupervisor.InstanceState.UNREACHED) {
+                reason = name + " is not reached: waiting for it";
+                return List.of();
             }
         }
-        if (chosen.isEmpty()) {
-            why = away.size() + " of " + fleet.size() + " are away ("
-                    + String.join(", ", away.subList(0, Math.min(5, away.size()))) + "), at most " + allowed
-                    + " may be: waiting";
+        List<String> batch = firstOfOneHost(maxBatch);
+        if (batch.isEmpty()) {
+            List<String> named = unavailable.subList(0, Math.min(MAX_NAMED_INSTANCES, unavailable.size()));
+            reason = unavailable.size() + " of " + fleet.size() + " are away (" + String.join(", ", named)
+                    + "), at most " + maxUnavailable + " may be: waiting";
             return List.of();
         }
-        chosen.forEach(name -> {
-            todo.remove(name);
-            inHand.put(name, last.get(name).launches);
-        });
-        batchAt = now;
-        why = "";
-        return chosen;
+        begin(now, batch);
+        return batch;
+    }
+
+    private List<String> firstOfOneHost(int maxBatch) {
+        String host = lastObservations.get(pending.iterator().next()).host;
+        return pending.stream()
+                .filter(name -> lastObservations.get(name).host.equals(host))
+                .limit(Math.max(0, maxBatch))
+                .toList();
+    }
+
+    private void begin(Duration now, List<String> batch) {
+        for (String name : batch) {
+            pending.remove(name);
+            launchesBeforeRestart.put(name, lastObservations.get(name).launches);
+        }
+        batchStartedAt = now;
+        reason = "";
     }
 }
--- a/src/main/java/merlinlever/host/state/package-info.java
+++ b/src/main/java/merlinlever/host/state/package-info.java
@@ -1,2 +1,5 @@
-/** Decides when instances are started, told to leave and given up, and what is so of each. No input or output. */
+/**
+ * The decisions of the host agent and of rolling restarts: supervision of one instance, orders, outliers. No input, output,
+ * thread or clock; {@code host.run} and the {@code fleet} commands drive them.
+ */
 package merlinlever.host.state;
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,10 +13,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
@@ -25,6 +27,7 @@
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.host.state.InstanceSupervisor;
 import merlinlever.host.state.OrderTracker;
+import merlinlever.host.state.SupervisorSettings;
 import merlinlever.testing.faults.process.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -40,17 +43,18 @@
     private EventLoop loop;
     private InstanceLedger ledger;
     private HostAgent agent;
-    private HostApiServer front;
-    private List<InstanceSpec> hosted;
+    private HostApiServer server;
+    private Thread loopThread;
+    private List<InstanceSpec> specs;
     private final List<String> log = new ArrayList<>();
 
     @BeforeEach
     void describe() throws Exception {
-        hosted = new ArrayList<>();
+        specs = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int port = PortAllocator.free();
             Path mode = Files.writeString(folder.resolve("mode" + i), "0");
-            hosted.add(new InstanceSpec(
+            specs.add(new InstanceSpec(
                     "t-" + i,
                     "t",
                     Map.of("zone", i == 0 ? "west" : "east"),
@@ -67,7 +71,7 @@
                             mode.toString()),
                     Map.of("WHO", "t-" + i),
                     folder.resolve("t-" + i),
-                    new InetSocketAddress("127.0.0.1", port),
+                    Optional.of(new InetSocketAddress("127.0.0.1", port)),
                     true,
                     4096));
         }
@@ -77,45 +81,48 @@
     private void begin(long seed) throws Exception {
         loop = new EventLoop(MonotonicClock.system(), Throwable::printStackTrace);
         ledger = new InstanceLedger(folder.resolve("state"));
-        InstanceSupervisor.SupervisorSettings usual = InstanceSupervisor.SupervisorSettings.USUAL;
+        SupervisorSettings defaults = SupervisorSettings.DEFAULTS;
         agent = new HostAgent(
                 loop,
                 ledger,
-                hosted,
-                new InstanceSupervisor.SupervisorSettings(
-                        usual.firstPause(),
-                        usual.longestPause(),
-                        usual.steadyAfter(),
+                specs,
+                new SupervisorSettings(
+                        defaults.initialBackoff(),
+                        defaults.maxBackoff(),
+                        defaults.stableAfter(),
                         4,
-                        usual.budgetSpan(),
+                        defaults.restartWindow(),
                         Duration.ofMillis(1500)),
                 Duration.ZERO,
                 new SplittableRandom(seed),
                 log::add);
-        front = new HostApiServer(
+        server = new HostApiServer(
                 loop,
-                new InetSocketAddress("127.0.0.1", 0),
-                "m1",
+                new HostApiServer.Settings(
+                        new InetSocketAddress("127.0.0.1", 0),
+                        "m1",
+                        "a-secret-of-16-or-more",
+                        Duration.ofSeconds(1),
+                        1),
                 agent,
-                null,
-                null,
-                "a-secret-of-16-or-more",
-                Duration.ofSeconds(1),
-                1,
+                Optional.empty(),
+                Optional.empty(),
                 line -> {});
-        new Thread(loop::run).start();
+        loopThread = new Thread(loop::run);
+        loopThread.start();
     }
 
     /** The agent is gone as by a kill: nothing more is noted. */
     private void killAgent() throws Exception {
         CompletableFuture<Void> over = new CompletableFuture<>();
         loop.execute(() -> {
-            front.close();
+            server.close();
             loop.stop();
             over.complete(null);
         });
         over.get(2, TimeUnit.SECONDS);
-        Thread.sleep(50);
+        loopThread.join(2000);
+        assertFalse(loopThread.isAlive());
         ledger.close();
     }
 
@@ -159,15 +166,41 @@
     }
 
     private InstanceSupervisor.InstanceState state(int index) throws Exception {
-        return on(() -> agent.keeper(index).state(loop.clock().now()));
+        return on(() -> agent.supervisor(index).state(loop.clock().now()));
     }
 
-    private void await(int index, InstanceSupervisor.InstanceState wanted, long ms) throws Exception {
-        long end = System.nanoTime() + ms * 1_000_000;
-        while (state(index) != wanted && System.nanoTime() < end) {
-            Thread.sleep(20);
+    /** Waits until the condition holds, which is checked on the loop's thread; the time is the bound. */
+    private void waitUntil(Duration bound, BooleanSupplier condition) throws Exception {
+        CompletableFuture<Void> held = new CompletableFuture<>();
+        loop.execute(() -> check(condition, held));
+        try {
+            held.get(bound.toMillis(), TimeUnit.MILLISECONDS);
+        } catch (TimeoutException e) {
+            // The caller asserts what it waited for.
+            held.cancel(false);
         }
-        assertEquals(wanted, state(index), log.toString());
+    }
+
+    private void check(BooleanSupplier condition, CompletableFuture<Void> held) {
+        if (condition.getAsBoolean()) {
+            held.complete(null);
+        } else if (!held.isDone()) {
+            loop.schedule(Duration.ofMillis(20), () -> check(condition, held));
+        }
+    }
+
+    /** Lets the agent run for a while, in which something must not happen. */
+    private void runAgentFor(Duration time) throws Exception {
+        CompletableFuture<Void> over = new CompletableFuture<>();
+        loop.execute(() -> loop.schedule(time, () -> over.complete(null)));
+        over.get(time.toMillis() + 5000, TimeUnit.MILLISECONDS);
+    }
+
+    private void await(int index, InstanceSupervisor.InstanceState desired, long ms) throws Exception {
+        waitUntil(
+                Duration.ofMillis(ms),
+                () -> agent.supervisor(index).state(loop.clock().now()) == desired);
+        assertEquals(desired, state(index), log.toString());
     }
 
     private long pid(int index) throws Exception {
@@ -187,22 +220,20 @@
         // One dies: launched again.
         long first = pid(0);
         signal("KILL", first);
-        for (int i = 0; i < 100 && (pid(0) == first || pid(0) == 0); i++) {
-            Thread.sleep(50);
-        }
+        waitUntil(Duration.ofSeconds(5), () -> agent.pid(0) != first && agent.pid(0) != 0);
         assertNotEquals(first, pid(0));
         await(0, InstanceSupervisor.InstanceState.WARM, 10_000);
         // One is stopped: not reached, and not launched beside itself.
         long stopped = pid(1);
         signal("STOP", stopped);
         await(1, InstanceSupervisor.InstanceState.UNREACHED, 5_000);
-        Thread.sleep(1500);
+        runAgentFor(Duration.ofMillis(1500));
         assertEquals(3, table().size());
         // The agent dies; one instance dies meanwhile; the next agent finds the others by pid and start.
         killAgent();
-        signal("KILL", pid(2, hosted));
+        signal("KILL", pid(2, specs));
         begin(2);
-        Thread.sleep(300);
+        runAgentFor(Duration.ofMillis(300));
         assertEquals(stopped, pid(1));
         assertTrue(table().containsKey(stopped));
         signal("CONT", stopped);
@@ -243,7 +274,7 @@
                             12345));
         }
         begin(3);
-        Thread.sleep(300);
+        runAgentFor(Duration.ofMillis(300));
         assertEquals(was, pid(0));
         assertNotEquals(ProcessHandle.current().pid(), pid(1));
         await(1, InstanceSupervisor.InstanceState.WARM, 5_000);
@@ -259,29 +290,35 @@
         for (int i = 0; i < 3; i++) {
             // The mode is read at the start.
             int index = i;
-            on(() -> agent.order("restart-number-" + index, OrderTracker.OrderVerb.RESTART, false, List.of(index)));
+            on(() -> agent.accept("restart-number-" + index, OrderTracker.OrderVerb.RESTART, false, List.of(index)));
+        }
+        for (int i = 0; i < 3; i++) {
+            String id = "restart-number-" + i;
+            waitUntil(
+                    Duration.ofSeconds(15),
+                    () -> agent.findOrder(id).orElseThrow().isFinished());
         }
-        Thread.sleep(500);
         for (int i = 0; i < 3; i++) {
             await(i, InstanceSupervisor.InstanceState.WARM, 15_000);
         }
         long began = System.nanoTime();
         OrderTracker.Order stop =
-                on(() -> agent.order("stop-number-one", OrderTracker.OrderVerb.STOP, false, List.of(0)));
+                on(() -> agent.accept("stop-number-one", OrderTracker.OrderVerb.STOP, false, List.of(0))
+                        .orElseThrow());
         await(0, InstanceSupervisor.InstanceState.DRAINING, 2_000);
-        assertFalse(on(stop::over));
+        assertFalse(on(stop::isFinished));
         await(0, InstanceSupervisor.InstanceState.DOWN, 6_000);
         assertTrue(System.nanoTime() - began > 1_400_000_000L);
-        Thread.sleep(150);
-        assertTrue(on(stop::over));
+        waitUntil(Duration.ofMillis(150), stop::isFinished);
+        assertTrue(on(stop::isFinished));
         began = System.nanoTime();
-        on(() -> agent.order("stop-number-two", OrderTracker.OrderVerb.STOP, true, List.of(1)));
+        on(() -> agent.accept("stop-number-two", OrderTracker.OrderVerb.STOP, true, List.of(1)));
         await(1, InstanceSupervisor.InstanceState.DOWN, 2_000);
         assertTrue(System.nanoTime() - began < 1_200_000_000L);
         // What is not wanted stays down for the next agent too.
         killAgent();
         begin(4);
-        Thread.sleep(500);
+        runAgentFor(Duration.ofMillis(500));
         assertEquals(InstanceSupervisor.InstanceState.DOWN, state(0));
         assertEquals(1, table().size());
     }
@@ -292,12 +329,12 @@
         Files.writeString(folder.resolve("mode0"), "crash");
         signal("KILL", pid(0));
         await(0, InstanceSupervisor.InstanceState.GIVEN_UP, 20_000);
-        int launches = (int) (long) on(() -> agent.keeper(0).launches());
-        Thread.sleep(1000);
-        assertEquals(launches, (int) (long) on(() -> agent.keeper(0).launches()));
-        assertTrue(on(() -> agent.keeper(0).why(loop.clock().now())).contains("start it by hand"));
+        int launches = (int) (long) on(() -> agent.supervisor(0).launches());
+        runAgentFor(Duration.ofMillis(1000));
+        assertEquals(launches, (int) (long) on(() -> agent.supervisor(0).launches()));
+        assertTrue(on(() -> agent.supervisor(0).reason(loop.clock().now())).contains("start it by hand"));
         Files.writeString(folder.resolve("mode0"), "0");
-        on(() -> agent.order("start-by-hand-1", OrderTracker.OrderVerb.START, false, List.of(0)));
+        on(() -> agent.accept("start-by-hand-1", OrderTracker.OrderVerb.START, false, List.of(0)));
         await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
     }
 
@@ -308,14 +345,16 @@
         }
         // A folder in place of the file that is written first: no note gets to the disk.
         Files.createDirectory(folder.resolve("state/instances.new"));
-        assertNull(on(() -> agent.order("refused-order", OrderTracker.OrderVerb.STOP, false, List.of(0))));
-        Thread.sleep(300);
+        assertEquals(
+                Optional.empty(),
+                on(() -> agent.accept("refused-order", OrderTracker.OrderVerb.STOP, false, List.of(0))));
+        runAgentFor(Duration.ofMillis(300));
         assertEquals(InstanceSupervisor.InstanceState.WARM, state(0));
         signal("KILL", pid(0));
-        Thread.sleep(2500);
+        runAgentFor(Duration.ofMillis(2500));
         assertEquals(2, table().size(), "launched without a note");
         Files.delete(folder.resolve("state/instances.new"));
-        on(() -> agent.order("start-order-1", OrderTracker.OrderVerb.START, false, List.of(0)));
+        on(() -> agent.accept("start-order-1", OrderTracker.OrderVerb.START, false, List.of(0)));
         await(0, InstanceSupervisor.InstanceState.WARM, 15_000);
         killAgent();
         byte[] good = Files.readAllBytes(folder.resolve("state/instances"));
--- a/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
+++ b/src/test/java/merlinlever/host/state/InstanceSupervisorTest.java
@@ -13,26 +13,26 @@
 
 class InstanceSupervisorTest {
 
-    private final InstanceSupervisor keeper = new InstanceSupervisor(InstanceSupervisor.SupervisorSettings.USUAL, true);
+    private final InstanceSupervisor supervisor = new InstanceSupervisor(SupervisorSettings.DEFAULTS, true);
 
     private static Duration ms(long ms) {
         return Duration.ofMillis(ms);
     }
 
-    private static InstanceStatus told(String phase, int inHand) {
-        return new InstanceStatus(phase, true, false, 0, 0, inHand, 10, 0, 0, Map.of(), 0);
+    private static InstanceStatus status(String phase, int inFlight) {
+        return new InstanceStatus(phase, true, false, 0, 0, inFlight, 10, 0, 0, Map.of(), 0, List.of(), null);
     }
 
     @Test
     void whatDiesIsLaunchedAgainAfterGrowingPausesUntilTheBudgetIsSpent() {
-        keeper.start(ms(0));
+        supervisor.start(ms(0));
         long at = 0;
         long[] pauses = new long[8];
         int deaths = 0;
         while (deaths < 8 && at < 60_000) {
-            if (keeper.settle(ms(at)) == InstanceSupervisor.SupervisorAction.LAUNCH) {
-                keeper.there(ms(at), ms(at));
-                keeper.ended(ms(at), "status 1");
+            if (supervisor.nextAction(ms(at)) == InstanceSupervisor.SupervisorAction.LAUNCH) {
+                supervisor.processStarted(ms(at));
+                supervisor.processEnded(ms(at), "status 1");
                 pauses[deaths++] = at;
             }
             at += 10;
@@ -41,106 +41,106 @@
         assertEquals(
                 List.of(0L, 200L, 600L, 1400L, 3000L),
                 java.util.Arrays.stream(pauses).limit(5).boxed().toList());
-        assertEquals(InstanceSupervisor.InstanceState.GIVEN_UP, keeper.state(ms(at)));
-        keeper.start(ms(at));
-        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(at)));
+        assertEquals(InstanceSupervisor.InstanceState.GIVEN_UP, supervisor.state(ms(at)));
+        supervisor.start(ms(at));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(at)));
     }
 
     @Test
     void silenceIsNotDeathAndNothingIsLaunchedBeside() {
-        keeper.start(ms(0));
-        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(0)));
-        assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(1)));
-        keeper.there(ms(5), ms(5));
-        assertEquals(InstanceSupervisor.InstanceState.STARTING, keeper.state(ms(100)));
-        keeper.told(ms(200), told("cold", 0));
-        assertEquals(InstanceSupervisor.InstanceState.COLD, keeper.state(ms(300)));
-        keeper.told(ms(400), told("warm", 0));
-        assertEquals(InstanceSupervisor.InstanceState.WARM, keeper.state(ms(2900)));
-        assertEquals(InstanceSupervisor.InstanceState.UNREACHED, keeper.state(ms(2901)));
-        assertTrue(keeper.why(ms(4400)).startsWith("not reached for 4000 ms"));
+        supervisor.start(ms(0));
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(0)));
+        assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(1)));
+        supervisor.processStarted(ms(5));
+        assertEquals(InstanceSupervisor.InstanceState.STARTING, supervisor.state(ms(100)));
+        supervisor.statusReceived(ms(200), status("cold", 0));
+        assertEquals(InstanceSupervisor.InstanceState.COLD, supervisor.state(ms(300)));
+        supervisor.statusReceived(ms(400), status("warm", 0));
+        assertEquals(InstanceSupervisor.InstanceState.WARM, supervisor.state(ms(2900)));
+        assertEquals(InstanceSupervisor.InstanceState.UNREACHED, supervisor.state(ms(2901)));
+        assertTrue(supervisor.reason(ms(4400)).startsWith("not reached for 4000 ms"));
         for (long at = 3000; at < 600_000; at += 100) {
-            assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(at)));
+            assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(at)));
         }
-        keeper.told(ms(600_000), told("warm", 0));
-        assertEquals(InstanceSupervisor.InstanceState.WARM, keeper.state(ms(600_001)));
+        supervisor.statusReceived(ms(600_000), status("warm", 0));
+        assertEquals(InstanceSupervisor.InstanceState.WARM, supervisor.state(ms(600_001)));
     }
 
     @Test
     void oneThatLeavesIsToldOnceAndWaitedFor() {
-        keeper.start(ms(0));
-        keeper.settle(ms(0));
-        keeper.there(ms(0), ms(0));
-        keeper.told(ms(10), told("warm", 7));
-        keeper.leave(ms(20));
-        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(20)));
+        supervisor.start(ms(0));
+        supervisor.nextAction(ms(0));
+        supervisor.processStarted(ms(0));
+        supervisor.statusReceived(ms(10), status("warm", 7));
+        supervisor.drain();
+        assertEquals(InstanceSupervisor.SupervisorAction.DRAIN, supervisor.nextAction(ms(20)));
         for (long at = 30; at < 60_000; at += 10) {
-            assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(at)));
-            assertEquals(InstanceSupervisor.InstanceState.DRAINING, keeper.state(ms(at)));
+            assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(at)));
+            assertEquals(InstanceSupervisor.InstanceState.DRAINING, supervisor.state(ms(at)));
         }
-        keeper.ended(ms(60_000), "status 143");
-        assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(99_000)));
-        assertEquals(InstanceSupervisor.InstanceState.DOWN, keeper.state(ms(99_000)));
+        supervisor.processEnded(ms(60_000), "status 143");
+        assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(99_000)));
+        assertEquals(InstanceSupervisor.InstanceState.DOWN, supervisor.state(ms(99_000)));
     }
 
     @Test
     void startWhileItLeavesLaunchesItOnceItIsDown() {
-        keeper.start(ms(0));
-        keeper.settle(ms(0));
-        keeper.there(ms(0), ms(0));
-        keeper.leave(ms(20));
-        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(20)));
-        keeper.start(ms(30));
-        assertEquals(InstanceSupervisor.SupervisorAction.NOTHING, keeper.settle(ms(40)));
-        keeper.ended(ms(50), "status 143");
-        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(50)));
+        supervisor.start(ms(0));
+        supervisor.nextAction(ms(0));
+        supervisor.processStarted(ms(0));
+        supervisor.drain();
+        assertEquals(InstanceSupervisor.SupervisorAction.DRAIN, supervisor.nextAction(ms(20)));
+        supervisor.start(ms(30));
+        assertEquals(InstanceSupervisor.SupervisorAction.NONE, supervisor.nextAction(ms(40)));
+        supervisor.processEnded(ms(50), "status 143");
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(50)));
     }
 
     @Test
     void anOrderIsDoneOnceAndALaterOneTakesItsPlace() {
-        OrderTracker orders = new OrderTracker(List.of(keeper));
-        OrderTracker.Order start = orders.take(ms(0), "order-one", OrderTracker.OrderVerb.START, false, List.of(0));
-        keeper.settle(ms(0));
-        keeper.there(ms(0), ms(0));
-        OrderTracker.Order stop = orders.take(ms(10), "order-two", OrderTracker.OrderVerb.STOP, false, List.of(0));
-        assertEquals(OrderTracker.OrderProgress.SUPERSEDED, start.end(0));
-        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(10)));
-        assertSame(start, orders.take(ms(20), "order-one", OrderTracker.OrderVerb.START, false, List.of(0)));
-        assertFalse(keeper.wanted());
-        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, stop.end(0));
-        keeper.ended(ms(30), "status 143");
-        assertEquals(List.of(stop), orders.look(ms(30)));
-        assertEquals(OrderTracker.OrderProgress.DONE, stop.end(0));
+        OrderTracker orders = new OrderTracker(List.of(supervisor));
+        OrderTracker.Order start = orders.accept(ms(0), "order-one", OrderTracker.OrderVerb.START, false, List.of(0));
+        supervisor.nextAction(ms(0));
+        supervisor.processStarted(ms(0));
+        OrderTracker.Order stop = orders.accept(ms(10), "order-two", OrderTracker.OrderVerb.STOP, false, List.of(0));
+        assertEquals(OrderTracker.OrderProgress.SUPERSEDED, start.progress(0));
+        assertEquals(InstanceSupervisor.SupervisorAction.DRAIN, supervisor.nextAction(ms(10)));
+        assertSame(start, orders.accept(ms(20), "order-one", OrderTracker.OrderVerb.START, false, List.of(0)));
+        assertFalse(supervisor.isDesired());
+        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, stop.progress(0));
+        supervisor.processEnded(ms(30), "status 143");
+        assertEquals(List.of(stop), orders.updateProgress(ms(30)));
+        assertEquals(OrderTracker.OrderProgress.DONE, stop.progress(0));
     }
 
     @Test
     void aRestartIsDoneWhenItsSuccessorServes() {
-        OrderTracker orders = new OrderTracker(List.of(keeper));
-        keeper.start(ms(0));
-        keeper.settle(ms(0));
-        keeper.there(ms(0), ms(0));
-        keeper.told(ms(5), told("warm", 0));
+        OrderTracker orders = new OrderTracker(List.of(supervisor));
+        supervisor.start(ms(0));
+        supervisor.nextAction(ms(0));
+        supervisor.processStarted(ms(0));
+        supervisor.statusReceived(ms(5), status("warm", 0));
         OrderTracker.Order restart =
-                orders.take(ms(10), "order-three", OrderTracker.OrderVerb.RESTART, false, List.of(0));
-        orders.look(ms(10));
-        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, restart.end(0));
-        assertEquals(InstanceSupervisor.SupervisorAction.LEAVE, keeper.settle(ms(10)));
-        keeper.ended(ms(20), "status 143");
-        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, keeper.settle(ms(20)));
-        keeper.there(ms(20), ms(20));
-        orders.look(ms(30));
-        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, restart.end(0));
-        keeper.told(ms(40), told("cold", 0));
-        orders.look(ms(40));
-        assertEquals(OrderTracker.OrderProgress.DONE, restart.end(0));
+                orders.accept(ms(10), "order-three", OrderTracker.OrderVerb.RESTART, false, List.of(0));
+        orders.updateProgress(ms(10));
+        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, restart.progress(0));
+        assertEquals(InstanceSupervisor.SupervisorAction.DRAIN, supervisor.nextAction(ms(10)));
+        supervisor.processEnded(ms(20), "status 143");
+        assertEquals(InstanceSupervisor.SupervisorAction.LAUNCH, supervisor.nextAction(ms(20)));
+        supervisor.processStarted(ms(20));
+        orders.updateProgress(ms(30));
+        assertEquals(OrderTracker.OrderProgress.UNDER_WAY, restart.progress(0));
+        supervisor.statusReceived(ms(40), status("cold", 0));
+        orders.updateProgress(ms(40));
+        assertEquals(OrderTracker.OrderProgress.DONE, restart.progress(0));
     }
 
-    /** Any orders, deaths and answers: never two processes, a LEAVE at most once a process, none launched that is not wanted. */
+    /** Any orders, deaths and answers: never two processes, a DRAIN at most once a process, none launched that is not wanted. */
     @Test
     void anyOrderOfEventsKeepsOneProcessAtTheMost() {
         for (long seed = 0; seed < 3000; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
-            InstanceSupervisor one = new InstanceSupervisor(InstanceSupervisor.SupervisorSettings.USUAL, true);
+            InstanceSupervisor one = new InstanceSupervisor(SupervisorSettings.DEFAULTS, true);
             boolean running = false;
             boolean wanted = false;
             int leaves = 0;
@@ -151,12 +151,12 @@
                         wanted = true;
                     }
                     case 1 -> {
-                        one.leave(ms(at));
+                        one.drain();
                         wanted = false;
                     }
                     case 2 -> {
                         if (chance.nextInt(4) == 0) {
-                            one.kill(ms(at));
+                            one.kill();
                             wanted = false;
                         }
                     }
@@ -166,29 +166,29 @@
                     }
                     case 4 -> {
                         if (running) {
-                            one.ended(ms(at), "died");
+                            one.processEnded(ms(at), "died");
                             running = false;
                         }
                     }
-                    case 5 -> one.told(ms(at), told("warm", 1));
+                    case 5 -> one.statusReceived(ms(at), status("warm", 1));
                     default -> {}
                 }
-                InstanceSupervisor.SupervisorAction act = one.settle(ms(at));
+                InstanceSupervisor.SupervisorAction act = one.nextAction(ms(at));
                 if (act == InstanceSupervisor.SupervisorAction.LAUNCH) {
                     assertTrue(!running && wanted, "seed " + seed);
                     if (chance.nextInt(5) == 0) {
                         one.launchFailed(ms(at), "no");
                     } else {
-                        one.there(ms(at), ms(at));
+                        one.processStarted(ms(at));
                         running = true;
                         leaves = 0;
                     }
-                } else if (act != InstanceSupervisor.SupervisorAction.NOTHING) {
+                } else if (act != InstanceSupervisor.SupervisorAction.NONE) {
                     assertTrue(running, "seed " + seed);
-                    leaves += act == InstanceSupervisor.SupervisorAction.LEAVE ? 1 : 0;
+                    leaves += act == InstanceSupervisor.SupervisorAction.DRAIN ? 1 : 0;
                     assertTrue(leaves <= 1, "seed " + seed);
                 }
-                assertEquals(running, one.there(), "seed " + seed);
+                assertEquals(running, one.hasProcess(), "seed " + seed);
                 InstanceSupervisor.InstanceState state = one.state(ms(at));
                 assertTrue(running
                         || state == InstanceSupervisor.InstanceState.DOWN
@@ -203,23 +203,23 @@
         OutlierDetector peers = new OutlierDetector(4);
         double[] fine = {100, 98, 103, 101};
         double[] one = {100, 98, 40, 101};
-        peers.look(one);
-        peers.look(one);
-        assertFalse(peers.slow(2));
-        peers.look(one);
-        assertTrue(peers.slow(2));
+        peers.addSample(one);
+        peers.addSample(one);
+        assertFalse(peers.isOutlier(2));
+        peers.addSample(one);
+        assertTrue(peers.isOutlier(2));
         double[] nearly = {100, 98, 60, 101};
         for (int i = 0; i < 9; i++) {
-            peers.look(nearly);
+            peers.addSample(nearly);
         }
-        assertTrue(peers.slow(2));
+        assertTrue(peers.isOutlier(2));
         for (int i = 0; i < 3; i++) {
-            peers.look(fine);
+            peers.addSample(fine);
         }
-        assertFalse(peers.slow(2));
+        assertFalse(peers.isOutlier(2));
         for (int i = 0; i < 9; i++) {
-            peers.look(new double[] {100, Double.NaN, 10, Double.NaN});
+            peers.addSample(new double[] {100, Double.NaN, 10, Double.NaN});
         }
-        assertFalse(peers.slow(2), "two are no peers");
+        assertFalse(peers.isOutlier(2), "two are no peers");
     }
 }
--- a/src/test/java/merlinlever/host/state/RollingRestartTest.java
+++ b/src/test/java/merlinlever/host/state/RollingRestartTest.java
@@ -18,7 +18,9 @@
         final long[] launches;
         final long[] turned;
         final boolean[] deadHost = new boolean[10];
-        boolean crashes, pushes, never;
+        boolean crashes;
+        boolean rejects;
+        boolean staysCold;
         long ms;
 
         Fleet(int count) {
@@ -40,7 +42,7 @@
                                 ? InstanceSupervisor.InstanceState.DRAINING
                                 : made && crashes
                                         ? InstanceSupervisor.InstanceState.GIVEN_UP
-                                        : since < 2000 || (made && never)
+                                        : since < 2000 || (made && staysCold)
                                                 ? InstanceSupervisor.InstanceState.COLD
                                                 : InstanceSupervisor.InstanceState.WARM;
                 seen.add(new RollingRestart.InstanceObservation(
@@ -54,13 +56,13 @@
         }
 
         int away() {
-            return (int) seen().stream().filter(each -> !each.serves()).count();
+            return (int) seen().stream().filter(each -> !each.isServing()).count();
         }
 
         void tick() {
             ms += 100;
             for (int i = 0; i < count; i++) {
-                turned[i] += pushes && restartedAt[i] >= 0 ? 3 : ms % 1000 == 0 && i == 0 ? 1 : 0;
+                turned[i] += rejects && restartedAt[i] >= 0 ? 3 : ms % 1000 == 0 && i == 0 ? 1 : 0;
             }
         }
     }
@@ -83,7 +85,7 @@
                 && roll.phase() != RollingRestart.RolloutPhase.DONE
                 && roll.phase() != RollingRestart.RolloutPhase.STOPPED) {
             fleet.tick();
-            List<String> chosen = roll.settle(Duration.ofMillis(fleet.ms), fleet.seen());
+            List<String> chosen = roll.nextBatch(Duration.ofMillis(fleet.ms), fleet.seen());
             long hosts = chosen.stream()
                     .map(name -> Integer.parseInt(name.substring(1)) / 4)
                     .distinct()
@@ -108,8 +110,8 @@
             RollingRestart roll = roll(count, part);
             most = 0;
             run(roll, fleet, 900_000);
-            assertEquals(RollingRestart.RolloutPhase.DONE, roll.phase(), roll.why());
-            assertEquals(count, roll.done().size());
+            assertEquals(RollingRestart.RolloutPhase.DONE, roll.phase(), roll.reason());
+            assertEquals(count, roll.completed().size());
             assertTrue(most <= Math.max(1, (int) (part * count)), most + " of " + count + " away at " + part);
         }
     }
@@ -119,16 +121,16 @@
         for (int bad = 0; bad < 3; bad++) {
             Fleet fleet = new Fleet(12);
             fleet.crashes = bad == 0;
-            fleet.never = bad == 1;
-            fleet.pushes = bad == 2;
+            fleet.staysCold = bad == 1;
+            fleet.rejects = bad == 2;
             RollingRestart roll = roll(12, 0.25);
             run(roll, fleet, 100_000);
             assertEquals(RollingRestart.RolloutPhase.STOPPED, roll.phase());
-            assertTrue(roll.done().size() + roll.inHand().size() <= 2, "stopped at " + roll.done());
+            assertTrue(roll.completed().size() + roll.restarting().size() <= 2, "stopped at " + roll.completed());
             String expected =
                     new String[] {"keeps dying", "is not warm 10 s", "operations a second are turned away"}[bad];
-            assertTrue(roll.why().contains(expected), roll.why());
-            assertTrue(roll.settle(Duration.ofHours(1), fleet.seen()).isEmpty());
+            assertTrue(roll.reason().contains(expected), roll.reason());
+            assertTrue(roll.nextBatch(Duration.ofHours(1), fleet.seen()).isEmpty());
         }
     }
 
@@ -137,16 +139,16 @@
         Fleet fleet = new Fleet(16);
         RollingRestart roll = roll(16, 0.25);
         run(roll, fleet, 12_000);
-        int done = roll.done().size();
+        int done = roll.completed().size();
         assertTrue(done > 0 && done < 8);
         fleet.deadHost[3] = true;
         run(roll, fleet, 60_000);
-        assertEquals(RollingRestart.RolloutPhase.ROLLING, roll.phase());
-        assertTrue(roll.why().contains("waiting"), roll.why());
-        int stood = roll.done().size();
+        assertEquals(RollingRestart.RolloutPhase.RESTARTING, roll.phase());
+        assertTrue(roll.reason().contains("waiting"), roll.reason());
+        int stood = roll.completed().size();
         fleet.deadHost[3] = false;
         run(roll, fleet, 300_000);
-        assertEquals(RollingRestart.RolloutPhase.DONE, roll.phase(), roll.why());
+        assertEquals(RollingRestart.RolloutPhase.DONE, roll.phase(), roll.reason());
         assertTrue(stood <= done + 2);
     }
 }
