--- a/src/main/java/merlinlever/cli/fleet/EventsCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/EventsCommand.java
@@ -9,7 +9,10 @@
 import picocli.CommandLine.Command;
 
 /** {@code fleet events}: what has happened to the instances, as the agents remember it. */
-@Command(name = "events", mixinStandardHelpOptions = true, description = "Show what has happened, oldest first.")
+@Command(
+        name = "events",
+        mixinStandardHelpOptions = true,
+        description = "Show recent events of the instances, oldest first.")
 final class EventsCommand extends FleetSubcommand {
 
     private final TextTable table = new TextTable("AGO", "HOST", "INSTANCE", "WHAT");
@@ -29,7 +32,7 @@
 
     private void addEvents(AgentClient client) {
         AgentClient.AgentResponse response = client.get("/events");
-        if (response.status() != 200) {
+        if (!response.isOk()) {
             problems.add("agent " + client.address() + ": " + response.failure());
             return;
         }
@@ -37,7 +40,7 @@
         String host = body.path("host").asText();
         for (JsonNode event : body.path("events")) {
             double secondsAgo =
-                    (body.path("now_ms").asLong() - event.path("at_ms").asLong()) / 1000.0;
+                    seconds(body.path("now_ms").asLong() - event.path("at_ms").asLong());
             table.addRow(
                     String.format(Locale.ROOT, "%.1fs", secondsAgo),
                     host,
--- a/src/main/java/merlinlever/cli/fleet/FleetSubcommand.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetSubcommand.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.io.PrintWriter;
+import java.time.Duration;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -16,6 +17,9 @@
 
     static final ObjectMapper JSON = new ObjectMapper();
     private static final int VIEW_DIGEST_DIGITS = 6;
+    private static final double MILLIS_PER_SECOND = Duration.ofSeconds(1).toMillis();
+    private static final long SECONDS_PER_MINUTE = Duration.ofMinutes(1).toSeconds();
+    /** Longer times are printed in minutes. */
     private static final double MAX_PRINTED_SECONDS = 100;
 
     @Spec
@@ -80,15 +84,19 @@
                 + digest.substring(0, Math.min(VIEW_DIGEST_DIGITS, digest.length()));
     }
 
+    static double seconds(long millis) {
+        return millis / MILLIS_PER_SECOND;
+    }
+
     /** A time in milliseconds for people, a dash where there is none. */
     static String elapsed(JsonNode millis) {
         if (!millis.isNumber()) {
             return "-";
         }
-        double seconds = millis.asLong() / 1000.0;
+        double seconds = seconds(millis.asLong());
         return seconds < MAX_PRINTED_SECONDS
                 ? String.format(Locale.ROOT, "%.1fs", seconds)
-                : String.format(Locale.ROOT, "%dm", (long) seconds / 60);
+                : String.format(Locale.ROOT, "%dm", (long) seconds / SECONDS_PER_MINUTE);
     }
 
     /** Prints the problems to standard error and returns the exit status: 0 where there are none, else 1. */
--- a/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
+++ b/src/main/java/merlinlever/cli/fleet/InstanceSpecParser.java
@@ -25,7 +25,7 @@
 
     private static final int MAX_PORT = 0xffff;
     private static final long DEFAULT_LOG_MB = 10;
-    private static final int MB_SHIFT = 20;
+    private static final long BYTES_PER_MB = 1024 * 1024;
 
     private final ConfigFile config;
     private final Path stateFolder;
@@ -84,7 +84,7 @@
                 folder,
                 managementAddress,
                 !config.text(path + ".start", "true").equals("false"),
-                config.number(path + ".log-mb", DEFAULT_LOG_MB) << MB_SHIFT);
+                config.number(path + ".log-mb", DEFAULT_LOG_MB) * BYTES_PER_MB);
     }
 
     /** Each further instance of a kind takes the next port; empty where none is configured. */
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -1,7 +1,6 @@
 package merlinlever.cli.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,6 +8,7 @@
 import java.util.UUID;
 import merlinlever.common.WireNamed;
 import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
 import merlinlever.host.state.RollingRestart;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -20,45 +20,51 @@
         name = "roll",
         mixinStandardHelpOptions = true,
         description =
-                "Restart instances in batches: one machine at a time, never more than a part of the fleet away, on only when successors are warm "
-                        + "and callers are not worse off. Interrupted or stopped, it says what was done and begins nothing more.",
+                "Rolling restart: restart instances in batches, one machine at a time, with a limit on unavailable instances; continue "
+                        + "only once restarted instances are warm and rejections have not risen. If interrupted or stopped, "
+                        + "report what was done and start nothing more.",
         exitCodeListHeading = "%nExit status:%n",
-        exitCodeList = {"0:all were restarted and serve", "1:it was stopped; the reason is told", "2:wrong usage"})
+        exitCodeList = {"0:all instances were restarted and serve", "1:stopped; the reason is printed", "2:wrong usage"
+        })
 final class RollCommand extends FleetSubcommand {
 
     private static final Duration POLL_PERIOD = Duration.ofMillis(300);
+    private static final int DEFAULT_MAX_UNAVAILABLE_PERCENT = 20;
+    private static final int DEFAULT_WARM_UP_TIMEOUT_SECONDS = 120;
+    private static final int DEFAULT_OBSERVATION_SECONDS = 5;
+    private static final int ALL_PERCENT = 100;
 
     @Mixin
     private InstanceFilter filter;
 
-    @Option(names = "--batch", paramLabel = "N", description = "restarted at once at the most (default: 1)")
+    @Option(names = "--batch", paramLabel = "N", description = "instances restarted at a time (default: 1)")
     private int batchSize = 1;
 
     @Option(
             names = "--most-away",
             paramLabel = "PERCENT",
-            description = "of the instances seen that may be away at once, for whatever reason (default: 20)")
-    private int maxAwayPercent = 20;
+            description = "maximum share of instances unavailable at a time, for any reason (default: 20)")
+    private int maxUnavailablePercent = DEFAULT_MAX_UNAVAILABLE_PERCENT;
 
     @Option(
             names = "--warm-within",
             paramLabel = "SECONDS",
-            description = "after its restart an instance has to be warm (default: 120)")
-    private int warmWithinSeconds = 120;
+            description = "time limit for a restarted instance to become warm (default: 120)")
+    private int warmUpTimeoutSeconds = DEFAULT_WARM_UP_TIMEOUT_SECONDS;
 
     @Option(
             names = "--watch",
             paramLabel = "SECONDS",
-            description = "callers are watched so long before the first batch and behind each (default: 5)")
-    private int watchSeconds = 5;
+            description = "how long rejections are measured before the first batch and after each (default: 5)")
+    private int observationSeconds = DEFAULT_OBSERVATION_SECONDS;
 
     @Option(
             names = "--worse",
             paramLabel = "TIMES",
-            description = "stop where so many times as many are turned away as before (default: 2)")
+            description = "stop if the rejection rate rises by more than this factor (default: 2)")
     private double maxRejectionRatio = 2;
 
-    @Option(names = "--dry-run", description = "show which instances it would be, in their order, and restart nothing")
+    @Option(names = "--dry-run", description = "show the selected instances in restart order and restart nothing")
     private boolean dryRun;
 
     /** Read by the shutdown hook as well. */
@@ -85,9 +91,9 @@
         rollingRestart = new RollingRestart(
                 new RollingRestart.RollingRestartSettings(
                         batchSize,
-                        maxAwayPercent / 100.0,
-                        Duration.ofSeconds(warmWithinSeconds),
-                        Duration.ofSeconds(watchSeconds),
+                        maxUnavailablePercent / (double) ALL_PERCENT,
+                        Duration.ofSeconds(warmUpTimeoutSeconds),
+                        Duration.ofSeconds(observationSeconds),
                         maxRejectionRatio),
                 selected.stream().map(ReportedInstance::name).toList());
         Thread summaryAtInterrupt = new Thread(this::printSummary);
@@ -108,10 +114,10 @@
                     spec().commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
         }
         if (batchSize < 1
-                || maxAwayPercent < 0
-                || maxAwayPercent > 100
-                || warmWithinSeconds < 1
-                || watchSeconds < 0
+                || maxUnavailablePercent < 0
+                || maxUnavailablePercent > ALL_PERCENT
+                || warmUpTimeoutSeconds < 1
+                || observationSeconds < 0
                 || maxRejectionRatio < 1) {
             throw new CommandLine.ParameterException(
                     spec().commandLine(),
@@ -167,17 +173,13 @@
                 .findFirst()
                 .orElseThrow()
                 .agent();
-        ObjectNode order = JSON.createObjectNode()
-                .put("id", UUID.randomUUID().toString())
-                .put("verb", "restart")
-                .put("now", false);
-        batch.forEach(order.putArray("names")::add);
+        AgentOrder order = new AgentOrder(UUID.randomUUID().toString(), OrderTracker.OrderVerb.RESTART, false, batch);
         AgentClient.AgentResponse response = anyClient.forAgent(agent).order(order);
-        if (response.status() != 200) {
+        if (!response.isOk()) {
             err().println("agent " + agent + ": " + response.failure() + "; stopped");
             err().flush();
         }
-        return response.status() == 200;
+        return response.isOk();
     }
 
     private void printSummary() {
--- a/src/main/java/merlinlever/host/api/ClientConnection.java
+++ b/src/main/java/merlinlever/host/api/ClientConnection.java
@@ -22,7 +22,7 @@
     }
 
     private static final int MAX_REQUEST_BYTES = 256 * 1024;
-    private static final int MAX_RESPONSE_BYTES = 8 << 20;
+    private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     private final EventLoop loop;
--- a/src/main/java/merlinlever/host/api/HostApiServer.java
+++ b/src/main/java/merlinlever/host/api/HostApiServer.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.ConnectionAcceptor;
 import merlinlever.common.net.EventLoop;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
@@ -57,7 +57,7 @@
             HostAgent agent,
             Optional<PeerAgents> peers,
             Optional<RecoveryCoordinator> recovery,
-            Consumer<String> log)
+            EventLog log)
             throws IOException {
         this.loop = loop;
         secret = settings.secret.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/merlinlever/host/api/HttpMessage.java
+++ b/src/main/java/merlinlever/host/api/HttpMessage.java
@@ -14,6 +14,9 @@
 record HttpMessage(String requestLine, int contentLength, Optional<String> bearerToken, String body) {
 
     private static final String HEAD_END = "\r\n\r\n";
+    /** Method, path and version. */
+    private static final int REQUEST_LINE_WORDS = 3;
+
     private static final String AUTHORIZATION = "authorization: bearer ";
 
     /** Parses what was received; empty while the head is incomplete. */
@@ -46,6 +49,8 @@
     /** Method and path with the body; empty if the request line is not one of HTTP. */
     Optional<ApiRequest> request() {
         String[] words = requestLine.split(" ");
-        return words.length == 3 ? Optional.of(new ApiRequest(words[0], words[1], body)) : Optional.empty();
+        return words.length == REQUEST_LINE_WORDS
+                ? Optional.of(new ApiRequest(words[0], words[1], body))
+                : Optional.empty();
     }
 }
--- a/src/main/java/merlinlever/host/api/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/api/OrderAdmission.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
+import merlinlever.common.log.EventLog;
 import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
@@ -33,24 +34,34 @@
         }
     }
 
-    private static final int LOOK = 0, ORDER = 1;
-    private static final int IN_ONE_GO = 8;
+    /** The index of the priority class of queries. */
+    private static final int QUERY = 0;
+    /** The index of the priority class of orders. */
+    private static final int ORDER = 1;
+
+    private static final int QUERY_WEIGHT = 1;
+    private static final int ORDER_WEIGHT = 8;
+    /** For so long an order that is sent again is recognized. */
+    private static final Duration ORDER_RETENTION = Duration.ofMinutes(10);
+
+    private static final int MAX_CONCURRENT_HANDLERS = 8;
+    private static final int REQUEST_MEMORY_KB = 4;
 
     private final ControllerDriver<PendingRequest> driver;
     private final Map<String, PendingRequest> ordersById = new HashMap<>();
     private final Consumer<Duration> wakeUpScheduler;
-    private final Consumer<String> log;
+    private final EventLog log;
     private Duration now = Duration.ZERO;
     /** Whether something happened since the last decisions. */
     private boolean decisionDue;
 
     private int requestsInFlight;
 
-    OrderAdmission(Duration grace, long seed, Consumer<Duration> wakeUpScheduler, Consumer<String> log) {
+    OrderAdmission(Duration grace, long seed, Consumer<Duration> wakeUpScheduler, EventLog log) {
         this.wakeUpScheduler = wakeUpScheduler;
         this.log = log;
         Map<String, String> given = new HashMap<>();
-        given.put("server.cores", "" + IN_ONE_GO);
+        given.put("server.cores", "" + MAX_CONCURRENT_HANDLERS);
         given.put("server.gauges", "run-queue");
         given.put("server.memory-kb", "16384");
         given.put("server.run-factor", "1");
@@ -59,19 +70,19 @@
         given.put("rules.longest-unread", "0");
         given.put("limits.stay-away", "true");
         given.put("limits.longest-stay-away", "2000");
-        tariff(given, LOOK, "retriable", 1, 0);
-        tariff(given, ORDER, "fingerprinted", 8, 600_000);
+        tariff(given, QUERY, "retriable", QUERY_WEIGHT, Duration.ZERO);
+        tariff(given, ORDER, "fingerprinted", ORDER_WEIGHT, ORDER_RETENTION);
         driver = new ControllerDriver<>(given, seed, this);
     }
 
-    private static void tariff(Map<String, String> given, int index, String kind, int value, int windowMs) {
+    private static void tariff(Map<String, String> given, int index, String kind, int value, Duration window) {
         String at = "tariffs." + index + ".";
-        given.put(at + "name", index == LOOK ? "look" : "order");
+        given.put(at + "name", index == QUERY ? "look" : "order");
         given.put(at + "kind", kind);
         given.put(at + "value", "" + value);
         given.put(at + "soft-limit", "1000");
         given.put(at + "client-timeout", "5000");
-        given.put(at + "window", "" + windowMs);
+        given.put(at + "window", "" + window.toMillis());
     }
 
     /** How many requests have no response yet. */
@@ -95,8 +106,8 @@
         RequestHandle handle = driver.controller()
                 .submit(
                         at,
-                        RequestAttributes.ofClass(orderId.isEmpty() ? LOOK : ORDER)
-                                .memoryKb(4)
+                        RequestAttributes.ofClass(orderId.isEmpty() ? QUERY : ORDER)
+                                .memoryKb(REQUEST_MEMORY_KB)
                                 .original(original.map(earlier -> earlier.handle))
                                 .build());
         request.handle = driver.register(handle, request);
@@ -126,90 +137,60 @@
         }
     }
 
-    private void run(PendingRequest asked) {
+    private void run(PendingRequest request) {
         decisionDue = true;
-        if (!asked.answered) {
-            asked.answered = true;
+        if (!request.answered) {
+            request.answered = true;
             requestsInFlight--;
-            asked.handler.run();
+            request.handler.run();
         }
-        asked.handle.runEnded(now, Outcome.OK);
+        request.handle.runEnded(now, Outcome.OK);
     }
 
     @Override
-    public void start(PendingRequest asked) {
-        run(asked);
+    public void start(PendingRequest request) {
+        run(request);
     }
 
     @Override
-    public void shareOutcome(PendingRequest asked) {
-        // The order is found by its id, and what has become of it is told.
-        run(asked);
+    public void shareOutcome(PendingRequest request) {
+        // The handler finds the order by its id and reports its progress.
+        run(request);
     }
 
     @Override
-    public void reject(PendingRequest asked, boolean nowhereElse, Duration stayAway) {
-        if (!asked.answered) {
-            asked.answered = true;
+    public void reject(PendingRequest request, boolean finalRejection, Duration retryAfter) {
+        if (!request.answered) {
+            request.answered = true;
             requestsInFlight--;
-            asked.onRejected.accept(stayAway);
+            request.onRejected.accept(retryAfter);
         }
-        evict(asked);
-    }
-
-    @Override
-    public void fail(PendingRequest asked) {
-        reject(asked, false, Duration.ZERO);
-    }
-
-    @Override
-    public void evict(PendingRequest asked) {
-        asked.orderId.ifPresent(id -> ordersById.remove(id, asked));
-    }
-
-    @Override
-    public void release(PendingRequest asked) {
-        evict(asked);
-    }
-
-    @Override
-    public void retain(PendingRequest asked, Duration span) {
-        // Entered when it came.
-    }
-
-    @Override
-    public void stop(PendingRequest asked) {
-        // Nothing runs longer than a batch.
-    }
-
-    @Override
-    public void callDownstream(PendingRequest asked, Duration giveUpAfter) {
-        // Nothing here calls.
+        evict(request);
     }
 
     @Override
-    public void skipCall(PendingRequest asked) {
-        // Nothing here calls.
+    public void fail(PendingRequest request) {
+        reject(request, false, Duration.ZERO);
     }
 
     @Override
-    public void updateBackpressureLevel(double level) {
-        // Told nowhere.
+    public void evict(PendingRequest request) {
+        request.orderId.ifPresent(id -> ordersById.remove(id, request));
     }
 
     @Override
-    public void updateHealth(boolean good) {
-        // Told nowhere.
+    public void release(PendingRequest request) {
+        evict(request);
     }
 
     @Override
-    public void closeIdleConnections(Duration after) {
-        // Each connection carries one message.
+    public void retain(PendingRequest request, Duration retention) {
+        // An order is found by its id from its arrival on.
     }
 
     @Override
     public void log(ControllerEvent event) {
-        log.accept(event.logLine());
+        log.line(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/host/disk/InstanceLedger.java
+++ b/src/main/java/merlinlever/host/disk/InstanceLedger.java
@@ -71,7 +71,7 @@
         }
     }
 
-    private static final int MAX_BYTES = 4 << 20;
+    private static final int MAX_BYTES = 4 * 1024 * 1024;
 
     private final StateDirectory folder;
     private final ObjectMapper json = new ObjectMapper();
--- a/src/main/java/merlinlever/host/run/HostAgent.java
+++ b/src/main/java/merlinlever/host/run/HostAgent.java
@@ -5,8 +5,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
+import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.EventLoop;
 import merlinlever.host.disk.InstanceLedger;
 import merlinlever.host.disk.InstanceLedger.InstanceRecord;
@@ -36,7 +37,7 @@
     private final EventHistory history = new EventHistory();
     private final SplittableRandom random;
     private final Duration launchSpread;
-    private final Consumer<String> log;
+    private final EventLog log;
     private boolean ledgerFailed;
 
     /**
@@ -52,7 +53,7 @@
             SupervisorSettings settings,
             Duration launchSpread,
             SplittableRandom random,
-            Consumer<String> log) {
+            EventLog log) {
         this.loop = loop;
         this.ledger = ledger;
         this.random = random;
@@ -122,14 +123,15 @@
         try {
             ledger.note(instance.name(), change.apply(ledger.of(instance.name())));
             if (ledgerFailed) {
-                log.accept("the state can be written again");
+                log.write(LogEvent.info("state-writable-again"));
             }
             ledgerFailed = false;
             return true;
         } catch (IOException e) {
             if (!ledgerFailed) {
-                log.accept("the state cannot be written: " + e.getMessage()
-                        + "; nothing is launched and no order taken until it can");
+                // The operators' page names this line.
+                log.write(LogEvent.info("the state cannot be written: " + e.getMessage()
+                        + "; nothing is launched and no order taken until it can"));
             }
             ledgerFailed = true;
             return false;
@@ -138,15 +140,17 @@
 
     private void addEvent(HostedInstance instance, String text) {
         history.add(now(), instance.name(), text);
-        log.accept(instance.name() + ": " + text);
+        log.write(LogEvent.info("instance-event")
+                .with("instance", instance.name())
+                .with("what", text));
     }
 
     // ---- supervision
 
     private void superviseAll() {
+        // Orders that came during the pause are rejected.
         pauses.run(now())
-                .ifPresent(pause -> log.accept("was stopped or held up for " + pause.toMillis()
-                        + " ms; orders that came meanwhile are turned away"));
+                .ifPresent(pause -> log.write(LogEvent.info("agent-was-paused").with("pause_ms", pause.toMillis())));
         instances.forEach(this::supervise);
         orders.updateProgress(now());
     }
--- a/src/main/java/merlinlever/host/run/StatusPoll.java
+++ b/src/main/java/merlinlever/host/run/StatusPoll.java
@@ -16,7 +16,7 @@
 
     private static final int MAX_INSTANCE_BYTES = 32 * 1024;
     /** An agent reports all its instances. */
-    private static final int MAX_AGENT_BYTES = 2 << 20;
+    private static final int MAX_AGENT_BYTES = 2 * 1024 * 1024;
 
     private StatusPoll() {}
 
--- a/src/main/java/merlinlever/host/state/RollingRestart.java
+++ b/src/main/java/merlinlever/host/state/RollingRestart.java
@@ -62,6 +62,7 @@
     /** Rejections per second above the limit that are tolerated, so that a single one in a quiet fleet is no reason to stop. */
     private static final double TOLERATED_REJECTION_RATE = 1;
 
+    private static final double MILLIS_PER_SECOND = Duration.ofSeconds(1).toMillis();
     private static final double MIN_RATE_SECONDS = 0.001;
     /** A restarted instance may crash once before it serves; with another crash the restart is stopped. */
     private static final int MAX_LAUNCHES_AFTER_RESTART = 2;
@@ -163,7 +164,7 @@
     }
 
     private double rejectionRate(Duration now) {
-        return rejections / Math.max(MIN_RATE_SECONDS, now.minus(measuringSince).toMillis() / 1000.0);
+        return rejections / Math.max(MIN_RATE_SECONDS, now.minus(measuringSince).toMillis() / MILLIS_PER_SECOND);
     }
 
     private boolean isObserved(Duration now) {
--- a/src/test/java/merlinlever/host/run/HostAgentTest.java
+++ b/src/test/java/merlinlever/host/run/HostAgentTest.java
@@ -21,6 +21,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.host.api.HostApiServer;
@@ -95,7 +96,7 @@
                         Duration.ofMillis(1500)),
                 Duration.ZERO,
                 new SplittableRandom(seed),
-                log::add);
+                event -> log.add(event.text()));
         server = new HostApiServer(
                 loop,
                 new HostApiServer.Settings(
@@ -107,7 +108,7 @@
                 agent,
                 Optional.empty(),
                 Optional.empty(),
-                line -> {});
+                EventLog.NONE);
         loopThread = new Thread(loop::run);
         loopThread.start();
     }
@@ -330,7 +331,7 @@
         signal("KILL", pid(0));
         await(0, InstanceSupervisor.InstanceState.GIVEN_UP, 20_000);
         int launches = (int) (long) on(() -> agent.supervisor(0).launches());
-        runAgentFor(Duration.ofMillis(1000));
+        runAgentFor(Duration.ofSeconds(1));
         assertEquals(launches, (int) (long) on(() -> agent.supervisor(0).launches()));
         assertTrue(on(() -> agent.supervisor(0).reason(loop.clock().now())).contains("start it by hand"));
         Files.writeString(folder.resolve("mode0"), "0");
