--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -21,12 +21,12 @@
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
+import merlinlever.host.api.HostApiServer;
 import merlinlever.host.disk.InstanceLedger;
-import merlinlever.host.front.HostApiServer;
 import merlinlever.host.run.HostAgent;
 import merlinlever.host.run.InstanceSpec;
 import merlinlever.host.run.PeerAgents;
-import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.SupervisorSettings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -49,8 +49,8 @@
     private final HostAgent agent;
     private final HostApiServer server;
     private final InetSocketAddress serverAddress;
-    /** Null where no other agents are configured. */
-    private final RecoveryCoordinator recovery;
+    /** Empty where no other agents are configured. */
+    private final Optional<RecoveryCoordinator> recovery;
 
     private final boolean drain;
     private final Duration stop;
@@ -72,8 +72,9 @@
             loop = new EventLoop(MonotonicClock.system(), failure -> LOG.error("event-loop-task-failed", failure));
             StateDirectory state = StateDirectories.open(stateFolder, System.getenv());
             InstanceLedger ledger = new InstanceLedger(state);
-            recovery = config.has("members") ? recovery(config, state, secret, seed) : null;
-            PeerAgents peers = recovery == null ? null : new PeerAgents(loop, recovery.membership(), secret);
+            recovery = config.has("members") ? Optional.of(recovery(config, state, secret, seed)) : Optional.empty();
+            Optional<PeerAgents> peers =
+                    recovery.map(coordinator -> new PeerAgents(loop, coordinator.membership(), secret));
             agent = new HostAgent(
                     loop,
                     ledger,
@@ -84,14 +85,11 @@
                     new Slf4jEventLog(LOG));
             server = new HostApiServer(
                     loop,
-                    address(config, "listen"),
-                    config.text("name", ""),
+                    new HostApiServer.Settings(
+                            address(config, "listen"), config.text("name", ""), secret, grace(), seed),
                     agent,
                     peers,
                     recovery,
-                    secret,
-                    grace(),
-                    seed,
                     new Slf4jEventLog(LOG));
             serverAddress = server.address();
         } catch (InstanceLedger.CorruptLedgerException e) {
@@ -115,15 +113,15 @@
         return secret;
     }
 
-    private static InstanceSupervisor.SupervisorSettings supervisorSettings(ConfigFile config) {
-        InstanceSupervisor.SupervisorSettings defaults = InstanceSupervisor.SupervisorSettings.USUAL;
-        return new InstanceSupervisor.SupervisorSettings(
-                defaults.firstPause(),
-                defaults.longestPause(),
-                defaults.steadyAfter(),
-                (int) config.number("deaths", defaults.budget()),
-                defaults.budgetSpan(),
-                config.duration("silent-after", defaults.silentAfter()));
+    private static SupervisorSettings supervisorSettings(ConfigFile config) {
+        SupervisorSettings defaults = SupervisorSettings.DEFAULTS;
+        return new SupervisorSettings(
+                defaults.initialBackoff(),
+                defaults.maxBackoff(),
+                defaults.stableAfter(),
+                (int) config.number("deaths", defaults.maxRestarts()),
+                defaults.restartWindow(),
+                config.duration("silent-after", defaults.statusTimeout()));
     }
 
     private RecoveryCoordinator recovery(ConfigFile config, StateDirectory state, String secret, long seed)
@@ -171,10 +169,8 @@
 
     private void startShutdown() {
         LOG.info("shutdown-started stop_ms={} drain_instances={}", stop.toMillis(), drain);
-        server.leave(stop);
-        if (recovery != null) {
-            recovery.announceLeave();
-        }
+        server.startDrain(stop);
+        recovery.ifPresent(RecoveryCoordinator::announceLeave);
         if (drain) {
             agent.drainAll();
         }
@@ -188,7 +184,7 @@
     }
 
     private void stopWhenAnswered() {
-        if (server.answered() && (!drain || agent.allDown())) {
+        if (server.isIdle() && (!drain || agent.areAllDown())) {
             loop.stop();
         }
     }
