--- a/src/main/java/merlinlever/fleet/membership/SuspicionTimers.java
+++ b/src/main/java/merlinlever/fleet/membership/SuspicionTimers.java
@@ -22,8 +22,8 @@
     private static final int MAX_EXPECTED_CONFIRMATIONS = 3;
 
     private static final class Suspicion {
-        final Duration startedAt;
-        final Set<String> accusers = new HashSet<>();
+        private final Duration startedAt;
+        private final Set<String> accusers = new HashSet<>();
 
         Suspicion(Duration startedAt) {
             this.startedAt = startedAt;
--- a/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
@@ -31,12 +31,12 @@
 
     /** A ping that waits for its answer. */
     private static final class PendingPing {
-        final String target;
-        final Duration expiresAt;
+        private final String target;
+        private final Duration expiresAt;
         /** When peers are asked to ping the target too; null once they were. */
-        Duration indirectPingAt;
+        private Duration indirectPingAt;
 
-        int outstandingNacks;
+        private int outstandingNacks;
 
         PendingPing(String target, Duration indirectPingAt, Duration expiresAt) {
             this.target = target;
--- a/src/main/java/merlinlever/fleet/recovery/LoadedState.java
+++ b/src/main/java/merlinlever/fleet/recovery/LoadedState.java
@@ -10,6 +10,7 @@
  */
 public record LoadedState(Optional<PersistedState> state, Optional<String> corruption) {
 
+    /** @throws IllegalArgumentException if there is both a state and a reason why there is none */
     public LoadedState {
         if (state.isPresent() && corruption.isPresent()) {
             throw new IllegalArgumentException("a state that is read is not corrupt: " + corruption.get());
--- a/src/main/java/merlinlever/fleet/recovery/PeerReports.java
+++ b/src/main/java/merlinlever/fleet/recovery/PeerReports.java
@@ -21,17 +21,17 @@
 
     private static final class Peer {
         /** Unanswered queries by correlation id, with the moment at which each was sent. */
-        final LinkedHashMap<Long, Duration> pendingQueries = new LinkedHashMap<>();
+        private final LinkedHashMap<Long, Duration> pendingQueries = new LinkedHashMap<>();
 
-        Duration nextQueryAt;
-        Duration retryDelay;
-        boolean alive;
-        boolean reported;
-        double learnedCapacity;
+        private Duration nextQueryAt;
+        private Duration retryDelay;
+        private boolean alive;
+        private boolean reported;
+        private double learnedCapacity;
         /** By how much its clock is ahead of this process's at least. */
-        long minClockLeadMs;
+        private long minClockLeadMs;
         /** By how much its clock is ahead of this process's at most. */
-        long maxClockLeadMs;
+        private long maxClockLeadMs;
     }
 
     private final RecoverySettings settings;
--- a/src/main/java/merlinlever/fleet/recovery/PersistedState.java
+++ b/src/main/java/merlinlever/fleet/recovery/PersistedState.java
@@ -26,6 +26,7 @@
     /** Further addresses are dropped: one peer that answers is enough to learn of the others from membership. */
     public static final int MAX_PEER_ADDRESSES = 64;
 
+    /** Copies the addresses, up to {@link #MAX_PEER_ADDRESSES}. */
     public PersistedState {
         peerAddresses = List.copyOf(peerAddresses.subList(0, Math.min(MAX_PEER_ADDRESSES, peerAddresses.size())));
     }
--- a/src/main/java/merlinlever/fleet/recovery/RecoverySettings.java
+++ b/src/main/java/merlinlever/fleet/recovery/RecoverySettings.java
@@ -23,15 +23,21 @@
         int maxPeersQueried,
         Duration reservationInterval) {
 
+    private static final Duration DEFAULT_ANSWER_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration DEFAULT_FIRST_QUERY_SPREAD = Duration.ofMillis(500);
+    private static final Duration DEFAULT_INITIAL_RETRY_DELAY = Duration.ofMillis(200);
+    private static final Duration DEFAULT_MAX_RETRY_DELAY = Duration.ofSeconds(2);
+    private static final int DEFAULT_MAX_PEERS_QUERIED = 16;
+
     /** The default settings, for a service with that idempotency window. */
     public static RecoverySettings defaults(Duration idempotencyWindow, Duration reservationInterval) {
         return new RecoverySettings(
-                Duration.ofSeconds(3),
-                Duration.ofMillis(500),
-                Duration.ofMillis(200),
-                Duration.ofSeconds(2),
+                DEFAULT_ANSWER_TIMEOUT,
+                DEFAULT_FIRST_QUERY_SPREAD,
+                DEFAULT_INITIAL_RETRY_DELAY,
+                DEFAULT_MAX_RETRY_DELAY,
                 idempotencyWindow,
-                16,
+                DEFAULT_MAX_PEERS_QUERIED,
                 reservationInterval);
     }
 }
--- a/src/main/java/merlinlever/fleet/recovery/TrustedState.java
+++ b/src/main/java/merlinlever/fleet/recovery/TrustedState.java
@@ -24,6 +24,7 @@
         double estimateWeight,
         List<String> peerAddresses) {
 
+    /** Copies the findings and addresses. */
     public TrustedState {
         findings = List.copyOf(findings);
         peerAddresses = List.copyOf(peerAddresses);
--- a/src/main/java/merlinlever/fleet/recovery/disk/RecoveryFile.java
+++ b/src/main/java/merlinlever/fleet/recovery/disk/RecoveryFile.java
@@ -22,8 +22,15 @@
 
     private static final String FORMAT_LINE = "merlinlever recovery 1";
     private static final int MAX_BYTES = 16 * 1024;
-    /** The format line and the six pieces of which there is one each; behind them come the peers. */
-    private static final int FIRST_PEER_LINE = 7;
+    private static final int FORMAT_LINE_INDEX = 0;
+    private static final int OWNER_LINE_INDEX = 1;
+    private static final int INCARNATIONS_LINE_INDEX = 2;
+    private static final int TERM_LINE_INDEX = 3;
+    private static final int NON_IDEMPOTENT_UNTIL_LINE_INDEX = 4;
+    private static final int WRITTEN_AT_LINE_INDEX = 5;
+    private static final int CAPACITY_LINE_INDEX = 6;
+    /** The addresses of peers come last, one a line. */
+    private static final int FIRST_PEER_LINE_INDEX = 7;
 
     private final StateDirectory directory;
 
@@ -88,8 +95,8 @@
         if (lines.length == 0) {
             return LoadedState.corrupt("not what this program writes");
         }
-        if (!lines[0].equals(FORMAT_LINE)) {
-            return LoadedState.corrupt("of another form, '" + lines[0] + "'");
+        if (!lines[FORMAT_LINE_INDEX].equals(FORMAT_LINE)) {
+            return LoadedState.corrupt("of another form, '" + lines[FORMAT_LINE_INDEX] + "'");
         }
         try {
             return LoadedState.of(parse(lines));
@@ -100,16 +107,16 @@
 
     private static PersistedState parse(String[] lines) {
         List<String> peerAddresses = new ArrayList<>();
-        for (int i = FIRST_PEER_LINE; i < lines.length; i++) {
+        for (int i = FIRST_PEER_LINE_INDEX; i < lines.length; i++) {
             peerAddresses.add(value(lines[i], "peer"));
         }
         return new PersistedState(
-                value(lines[1], "owner"),
-                Long.parseLong(value(lines[2], "incarnations")),
-                Long.parseLong(value(lines[3], "term")),
-                Long.parseLong(value(lines[4], "keyed-until")),
-                Long.parseLong(value(lines[5], "wrote-at")),
-                Double.parseDouble(value(lines[6], "capacity")),
+                value(lines[OWNER_LINE_INDEX], "owner"),
+                Long.parseLong(value(lines[INCARNATIONS_LINE_INDEX], "incarnations")),
+                Long.parseLong(value(lines[TERM_LINE_INDEX], "term")),
+                Long.parseLong(value(lines[NON_IDEMPOTENT_UNTIL_LINE_INDEX], "keyed-until")),
+                Long.parseLong(value(lines[WRITTEN_AT_LINE_INDEX], "wrote-at")),
+                Double.parseDouble(value(lines[CAPACITY_LINE_INDEX], "capacity")),
                 peerAddresses);
     }
 
--- a/src/main/java/merlinlever/fleet/recovery/net/NodeSettings.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/NodeSettings.java
@@ -22,6 +22,7 @@
         List<String> seedAddresses,
         String secret) {
 
+    /** Copies the addresses. */
     public NodeSettings {
         seedAddresses = List.copyOf(seedAddresses);
     }
--- a/src/main/java/merlinlever/fleet/replication/EntryTable.java
+++ b/src/main/java/merlinlever/fleet/replication/EntryTable.java
@@ -38,10 +38,10 @@
     }
 
     private static final class Row {
-        final StoredEntry entry;
-        final long fingerprint;
+        private final StoredEntry entry;
+        private final long fingerprint;
         /** Near the end of its lifetime: still served here, but no longer sent. */
-        boolean unshared;
+        private boolean unshared;
 
         Row(StoredEntry entry) {
             this.entry = entry;
--- a/src/main/java/merlinlever/fleet/routes/FlapDamping.java
+++ b/src/main/java/merlinlever/fleet/routes/FlapDamping.java
@@ -32,9 +32,9 @@
     }
 
     private static final class RoutePenalty {
-        double penalty;
-        Duration updatedAt;
-        boolean suppressed;
+        private double penalty;
+        private Duration updatedAt;
+        private boolean suppressed;
 
         RoutePenalty(Duration updatedAt) {
             this.updatedAt = updatedAt;
--- a/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
@@ -24,11 +24,11 @@
 
     /** The last query about a partner, and the peer that has had the longest lease of it. */
     private static final class LeaseQuery {
-        long correlationId;
-        Duration sentAt;
-        String bestPeer;
-        long bestRemainingMs;
-        boolean bestAnswered;
+        private long correlationId;
+        private Duration sentAt;
+        private String bestPeer;
+        private long bestRemainingMs;
+        private boolean bestAnswered;
 
         void restart(long newCorrelationId, Duration now) {
             correlationId = newCorrelationId;
--- a/src/main/java/merlinlever/fleet/routes/TableChunks.java
+++ b/src/main/java/merlinlever/fleet/routes/TableChunks.java
@@ -32,10 +32,10 @@
 
     /** The chunks of one version of a partner's table, as far as they came. */
     private static final class IncompleteTable {
-        final long incarnation;
-        final long sequence;
-        final String header;
-        final byte[][] chunks;
+        private final long incarnation;
+        private final long sequence;
+        private final String header;
+        private final byte[][] chunks;
 
         IncompleteTable(VersionedEntry first, String header, int count) {
             incarnation = first.incarnation();
--- a/src/main/java/merlinlever/fleet/routes/net/RoutedDownstreamService.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RoutedDownstreamService.java
@@ -40,14 +40,14 @@
 
     /** What became of the calls of one request since the last that succeeded. */
     private static final class CallAttempts {
-        final Set<String> addresses = new HashSet<>();
-        boolean mayHaveTakenEffect;
-        TrackedRequest request;
-        byte[] body;
-        Duration startedAt;
-        Duration deadline;
+        private final Set<String> addresses = new HashSet<>();
+        private boolean mayHaveTakenEffect;
+        private TrackedRequest request;
+        private byte[] body;
+        private Duration startedAt;
+        private Duration deadline;
         /** Where its call is in flight; null where none is. */
-        RecordsClient client;
+        private RecordsClient client;
     }
 
     /**
