--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -15,6 +15,7 @@
 import merlinlever.fleet.election.ElectionSettings;
 import merlinlever.fleet.election.net.ElectionTransport;
 import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.LeaseHolder;
 import merlinlever.fleet.quota.QuotaConsumer;
 import merlinlever.fleet.quota.QuotaCoordinator;
 import merlinlever.fleet.quota.net.QuotaTransport;
@@ -94,8 +95,7 @@
             Consumer<String> log) {
         QuotaCoordinator coordinator = new QuotaCoordinator(
                 loop.clock().uptime(),
-                recovery.membership().memberTable().self(),
-                incarnation,
+                new LeaseHolder(recovery.membership().memberTable().self(), incarnation),
                 configuredQuotas,
                 election.election(),
                 new SplittableRandom(seed),
--- a/src/main/java/merlinlever/fleet/election/ElectionState.java
+++ b/src/main/java/merlinlever/fleet/election/ElectionState.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 
 /**
@@ -19,18 +20,20 @@
     /** A request for a promise, or for its renewal; the answer repeats the correlation id. */
     record PromiseRequest(String voter, long term, long correlationId) {}
 
+    /** A leader has its promises renewed this often in the time of a lease. */
+    private static final int RENEWALS_PER_LEASE = 4;
+
     private final String self;
     private final ElectionSettings settings;
     private final SplittableRandom random;
 
     // As a voter: the highest term that was promised, and to whom until when.
     private long promisedTerm;
-    private String promisedCandidate;
+    private Optional<String> promisedCandidate = Optional.empty();
     private Duration promisedUntil;
 
     // As a candidate or leader: its term, its pending requests by correlation id, and by voter when the promise that it
-    // holds was
-    // requested.
+    // holds was requested.
     private long ownTerm;
     private boolean leading;
     private long lastCorrelationId;
@@ -40,9 +43,8 @@
 
     // What was heard of others.
     private long highestTermHeard;
-    private long lastLeaderTerm;
-    private String lastLeader;
-    private Duration lastLeaderHeardAt;
+    private Optional<Leadership.Leader> lastLeader = Optional.empty();
+    private Duration lastLeaderHeardAt = Duration.ZERO;
 
     /**
      * The state of a voter that starts now.
@@ -74,13 +76,17 @@
             return false;
         }
         // The same candidate may have its promise renewed, or made for its next attempt.
-        return candidate.equals(promisedCandidate) || (term > promisedTerm && now.compareTo(promisedUntil) >= 0);
+        return isPromisedTo(candidate) || (term > promisedTerm && now.compareTo(promisedUntil) >= 0);
+    }
+
+    private boolean isPromisedTo(String candidate) {
+        return promisedCandidate.equals(Optional.of(candidate));
     }
 
     /** Makes the promise, from now on. */
     void promise(Duration now, String candidate, long term) {
         promisedTerm = term;
-        promisedCandidate = candidate;
+        promisedCandidate = Optional.of(candidate);
         promisedUntil = now.plus(settings.lease());
         highestTermHeard = Math.max(highestTermHeard, term);
         if (!candidate.equals(self)) {
@@ -97,7 +103,7 @@
 
     /** The requests to be sent now: for a new term where nobody leads, or to renew the promises of its own. */
     List<PromiseRequest> dueRequests(Duration now) {
-        if (leading && now.compareTo(leadershipExpiry()) >= 0) {
+        if (leading && !isLeader(now)) {
             leading = false;
             nextRequestAt = now.plus(randomDelay());
             forgetPromises();
@@ -106,7 +112,7 @@
             return List.of();
         }
         if (!leading) {
-            boolean promisedToAnother = now.compareTo(promisedUntil) < 0 && !self.equals(promisedCandidate);
+            boolean promisedToAnother = now.compareTo(promisedUntil) < 0 && !isPromisedTo(self);
             if (promisedToAnother) {
                 nextRequestAt = promisedUntil.plus(randomDelay());
                 return List.of();
@@ -116,8 +122,10 @@
             forgetPromises();
         }
         Duration lease = settings.lease();
-        nextRequestAt =
-                now.plus(leading ? lease.dividedBy(4) : lease.dividedBy(2).plus(randomDelay()));
+        nextRequestAt = now.plus(
+                leading
+                        ? lease.dividedBy(RENEWALS_PER_LEASE)
+                        : lease.dividedBy(2).plus(randomDelay()));
         List<PromiseRequest> requests = new ArrayList<>();
         for (String voter : voters()) {
             lastCorrelationId++;
@@ -140,8 +148,7 @@
             return;
         }
         promiseRequestedAt.merge(voter, requestedAt, (first, second) -> first.compareTo(second) > 0 ? first : second);
-        Duration expiry = leadershipExpiry();
-        if (!leading && expiry != null && now.compareTo(expiry) < 0) {
+        if (!leading && holdsMajority(now)) {
             leading = true;
             nextRequestAt = now;
         }
@@ -165,22 +172,25 @@
         highestTermHeard = Math.max(highestTermHeard, higherTerm);
     }
 
-    /** Until when a majority of the promises holds at least, by any clock; null without a majority. */
-    private Duration leadershipExpiry() {
+    /** Until when a majority of the promises holds at least, by any clock; empty without a majority. */
+    private Optional<Duration> leadershipExpiry() {
         // Its own promise is required: so the term is on its own disk, and no later incarnation of it comes to the same
-        // term
-        // again.
+        // term again.
         if (promiseRequestedAt.size() <= settings.largestMinority() || !promiseRequestedAt.containsKey(self)) {
-            return null;
+            return Optional.empty();
         }
         Duration[] requestedAt = promiseRequestedAt.values().toArray(new Duration[0]);
         Arrays.sort(requestedAt);
         Duration oldestOfYoungestMajority = requestedAt[requestedAt.length - settings.largestMinority() - 1];
-        return validUntil(oldestOfYoungestMajority);
+        return Optional.of(validUntil(oldestOfYoungestMajority));
+    }
+
+    private boolean holdsMajority(Duration now) {
+        return leadershipExpiry().filter(expiry -> now.compareTo(expiry) < 0).isPresent();
     }
 
     boolean isLeader(Duration now) {
-        return leading && now.compareTo(leadershipExpiry()) < 0;
+        return leading && holdsMajority(now);
     }
 
     /** The term of its own leadership or last attempt. */
@@ -192,26 +202,26 @@
 
     /** A leader was heard; the highest term counts, and one of an older term is ignored. */
     void observeLeader(Duration now, String leader, long term) {
+        long lastLeaderTerm = lastLeader.map(Leadership.Leader::term).orElse(0L);
         if (term >= lastLeaderTerm) {
             highestTermHeard = Math.max(highestTermHeard, term);
-            lastLeaderTerm = term;
-            lastLeader = leader;
+            lastLeader = Optional.of(new Leadership.Leader(leader, term));
             lastLeaderHeardAt = now;
         }
     }
 
-    /** Who leads as far as this voter knows, or null. */
-    Leadership.Leader leader(Duration now) {
+    /** Who leads as far as this voter knows. */
+    Optional<Leadership.Leader> leader(Duration now) {
         if (isLeader(now)) {
-            return new Leadership.Leader(self, ownTerm);
-        }
-        boolean promisedToAnother =
-                promisedCandidate != null && !promisedCandidate.equals(self) && now.compareTo(promisedUntil) < 0;
-        boolean heardLately = lastLeader != null && now.minus(lastLeaderHeardAt).compareTo(settings.lease()) < 0;
-        if (heardLately && (!promisedToAnother || lastLeaderTerm >= promisedTerm)) {
-            return new Leadership.Leader(lastLeader, lastLeaderTerm);
+            return Optional.of(new Leadership.Leader(self, ownTerm));
         }
-        return promisedToAnother ? new Leadership.Leader(promisedCandidate, promisedTerm) : null;
+        Optional<Leadership.Leader> promisedTo = promisedCandidate
+                .filter(candidate -> !candidate.equals(self) && now.compareTo(promisedUntil) < 0)
+                .map(candidate -> new Leadership.Leader(candidate, promisedTerm));
+        Optional<Leadership.Leader> heard =
+                lastLeader.filter(leader -> now.minus(lastLeaderHeardAt).compareTo(settings.lease()) < 0
+                        && (promisedTo.isEmpty() || leader.term() >= promisedTerm));
+        return heard.or(() -> promisedTo);
     }
 
     List<String> voters() {
--- a/src/main/java/merlinlever/fleet/election/LeaderElection.java
+++ b/src/main/java/merlinlever/fleet/election/LeaderElection.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
@@ -19,13 +20,12 @@
  */
 public final class LeaderElection implements Leadership {
 
-    private static final String VOTE_REQUEST = "V";
-    private static final String PROMISE = "P";
-    private static final String REJECTION = "N";
-    private static final String LEADER_ANNOUNCEMENT = "H";
-
     /** First parts of the texts that {@link #receive} takes. */
-    public static final Set<String> MESSAGE_TYPES = Set.of(VOTE_REQUEST, PROMISE, REJECTION, LEADER_ANNOUNCEMENT);
+    public static final Set<String> MESSAGE_TYPES = Set.of(
+            ElectionMessage.VoteRequest.TYPE,
+            ElectionMessage.Promise.TYPE,
+            ElectionMessage.Rejection.TYPE,
+            ElectionMessage.LeaderAnnouncement.TYPE);
 
     /** A vote that waits for its term to be on disk. */
     private record PendingVote(String candidate, long term, long correlationId) {}
@@ -35,12 +35,12 @@
     private final LongPredicate persistTerm;
     private final Consumer<String> log;
     private final List<PeerMessage.Text> outbox = new ArrayList<>();
-    /** At most one; a candidate that is not answered asks again. Null for none. */
-    private PendingVote pendingVote;
-    /** This backend's last request to itself, not yet decided, or null. */
-    private ElectionState.PromiseRequest ownRequest;
+    /** At most one; a candidate that is not answered asks again. */
+    private Optional<PendingVote> pendingVote = Optional.empty();
+    /** This backend's last request to itself, while it is not yet decided. */
+    private Optional<ElectionState.PromiseRequest> ownRequest = Optional.empty();
 
-    private Leader lastLoggedLeader;
+    private Optional<Leader> lastLoggedLeader = Optional.empty();
 
     /**
      * An election in which nobody is known to lead yet.
@@ -65,16 +65,17 @@
 
     /** Does what is due, and returns what is to be sent; to be called every few milliseconds. */
     public List<PeerMessage.Text> tick(Duration now) {
-        if (pendingVote != null && persistTerm.test(pendingVote.term)) {
-            PendingVote vote = pendingVote;
-            pendingVote = null;
+        if (pendingVote.isPresent() && persistTerm.test(pendingVote.get().term)) {
+            PendingVote vote = pendingVote.get();
+            pendingVote = Optional.empty();
             decideVote(now, vote.candidate, vote.term, vote.correlationId);
         }
         for (ElectionState.PromiseRequest request : state.dueRequests(now)) {
             if (request.voter().equals(self)) {
-                ownRequest = request;
+                ownRequest = Optional.of(request);
             } else {
-                send(request.voter(), request.correlationId(), VOTE_REQUEST + "/" + request.term());
+                ElectionMessage voteRequest = new ElectionMessage.VoteRequest(request.term());
+                send(request.voter(), request.correlationId(), voteRequest);
             }
         }
         decideOwnVote(now);
@@ -83,18 +84,16 @@
     }
 
     private void logLeaderChange(Duration now) {
-        Leader leader = state.leader(now);
-        if (leader == null ? lastLoggedLeader != null : !leader.equals(lastLoggedLeader)) {
+        Optional<Leader> leader = state.leader(now);
+        if (!leader.equals(lastLoggedLeader)) {
             lastLoggedLeader = leader;
-            log.accept(
-                    leader == null
-                            ? "leader-unknown"
-                            : "leader-changed leader=" + leader.name() + " term=" + leader.term());
+            log.accept(leader.map(known -> "leader-changed leader=" + known.name() + " term=" + known.term())
+                    .orElse("leader-unknown"));
         }
     }
 
-    private void send(String recipient, long correlationId, String text) {
-        outbox.add(new PeerMessage.Text(recipient, correlationId, text));
+    private void send(String recipient, long correlationId, ElectionMessage message) {
+        outbox.add(new PeerMessage.Text(recipient, correlationId, message.encode()));
     }
 
     private List<PeerMessage.Text> drainOutbox() {
@@ -109,9 +108,11 @@
      * Ongaro 2014).
      */
     private void decideOwnVote(Duration now) {
-        if (ownRequest != null && ownRequest.term() == state.ownTerm() && state.isWithinOnePromiseOfMajority(now)) {
-            ElectionState.PromiseRequest request = ownRequest;
-            ownRequest = null;
+        boolean isCurrent =
+                ownRequest.filter(request -> request.term() == state.ownTerm()).isPresent();
+        if (isCurrent && state.isWithinOnePromiseOfMajority(now)) {
+            ElectionState.PromiseRequest request = ownRequest.get();
+            ownRequest = Optional.empty();
             decideVote(now, self, request.term(), request.correlationId());
         }
     }
@@ -120,53 +121,54 @@
         boolean isOwn = candidate.equals(self);
         if (!state.canPromise(now, candidate, term)) {
             if (!isOwn) {
-                send(candidate, correlationId, REJECTION + "/" + state.promisedTerm());
+                send(candidate, correlationId, new ElectionMessage.Rejection(state.promisedTerm()));
             }
             return;
         }
         if (!persistTerm.test(term)) {
-            pendingVote = new PendingVote(candidate, term, correlationId);
+            pendingVote = Optional.of(new PendingVote(candidate, term, correlationId));
             return;
         }
         state.promise(now, candidate, term);
         if (isOwn) {
             state.receivePromise(now, self, term, correlationId);
         } else {
-            send(candidate, correlationId, PROMISE + "/" + term);
+            send(candidate, correlationId, new ElectionMessage.Promise(term));
         }
     }
 
     /** Takes in a text of a peer, of one of the {@link #MESSAGE_TYPES}, and returns what is to be sent in answer. */
     public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
-        String[] parts = text.split("/");
         try {
-            switch (parts[0]) {
-                case VOTE_REQUEST -> decideVote(now, sender, Long.parseLong(parts[1]), correlationId);
-                case PROMISE -> {
-                    state.receivePromise(now, sender, Long.parseLong(parts[1]), correlationId);
+            ElectionMessage.Received message = new ElectionMessage.Received(text);
+            switch (message.type()) {
+                case ElectionMessage.VoteRequest.TYPE -> decideVote(now, sender, message.term(), correlationId);
+                case ElectionMessage.Promise.TYPE -> {
+                    state.receivePromise(now, sender, message.term(), correlationId);
                     decideOwnVote(now);
                 }
-                case REJECTION -> state.receiveRejection(Long.parseLong(parts[1]));
-                case LEADER_ANNOUNCEMENT -> receiveAnnouncement(now, parts[2], parts[1]);
-                default -> throw new IllegalArgumentException("unknown type " + parts[0]);
+                case ElectionMessage.Rejection.TYPE -> state.receiveRejection(message.term());
+                case ElectionMessage.LeaderAnnouncement.TYPE -> receiveAnnouncement(now, message);
+                default -> throw new IllegalArgumentException("unknown type " + message.type());
             }
-        } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
+        } catch (IllegalArgumentException e) {
             log.accept("election-message-rejected sender=" + sender + " text=" + text);
         }
         return drainOutbox();
     }
 
-    private void receiveAnnouncement(Duration now, String leader, String term) {
+    private void receiveAnnouncement(Duration now, ElectionMessage.Received message) {
+        String leader = message.leader();
         // Of itself this backend knows better.
         if (state.voters().contains(leader) && !leader.equals(self)) {
-            state.observeLeader(now, leader, Long.parseLong(term));
+            state.observeLeader(now, leader, message.term());
         }
     }
 
-    /** The text that says who leads, for a peer that took another for the leader; null where that is not known. */
-    public String leaderAnnouncement(Duration now) {
-        Leader leader = state.leader(now);
-        return leader == null ? null : LEADER_ANNOUNCEMENT + "/" + leader.term() + "/" + leader.name();
+    /** The text that says who leads, for a peer that took another for the leader; empty where that is not known. */
+    public Optional<String> leaderAnnouncement(Duration now) {
+        return state.leader(now)
+                .map(leader -> new ElectionMessage.LeaderAnnouncement(leader.term(), leader.name()).encode());
     }
 
     /** A peer acted as the leader of that term. */
@@ -185,7 +187,7 @@
     }
 
     @Override
-    public Leader leader(Duration now) {
+    public Optional<Leader> leader(Duration now) {
         return state.leader(now);
     }
 
--- a/src/main/java/merlinlever/fleet/election/Leadership.java
+++ b/src/main/java/merlinlever/fleet/election/Leadership.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Who leads among the configured voters, by promises that are leases (docs/fleet/budgets.md). At no time do two backends consider
@@ -19,8 +20,8 @@
     /** The term of this backend's own leadership; meaningful only while it leads. */
     long term();
 
-    /** Who leads as far as this backend knows, or null where it doesn't know. */
-    Leader leader(Duration now);
+    /** Who leads as far as this backend knows; empty where it does not know. */
+    Optional<Leader> leader(Duration now);
 
     /** Names of the voters, in the configured order. */
     List<String> voters();
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
@@ -105,10 +105,7 @@
     }
 
     private void readGrants(Duration now) {
-        Leadership.Leader leader = leadership.leader(now);
-        if (leader != null) {
-            lease.readGrants(leader);
-        }
+        leadership.leader(now).ifPresent(lease::readGrants);
     }
 
     private void adoptResult(Duration now) {
--- a/src/main/java/merlinlever/fleet/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/fleet/quota/FleetQuota.java
@@ -34,6 +34,7 @@
         CONCURRENT
     }
 
+    /** Copies the weights. */
     public FleetQuota {
         weightsByBackend = Map.copyOf(weightsByBackend);
     }
--- a/src/main/java/merlinlever/fleet/quota/LeaseLedger.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseLedger.java
@@ -18,9 +18,9 @@
 
     /** An amount that its holder may spend until it expires. */
     private static final class IssuedLease {
-        final long grantNumber;
-        final long amount;
-        Duration expiresAt;
+        private final long grantNumber;
+        private final long amount;
+        private Duration expiresAt;
 
         IssuedLease(long grantNumber, long amount, Duration expiresAt) {
             this.grantNumber = grantNumber;
@@ -29,28 +29,10 @@
         }
     }
 
-    /** One incarnation of one backend. */
-    private record HolderId(String backend, long incarnation) implements Comparable<HolderId> {
-        static HolderId of(LeaseRequest request) {
-            return new HolderId(request.holder(), request.incarnation());
-        }
-
-        /** By the text: the order decides who gets the units that are left over after an even division. */
-        @Override
-        public int compareTo(HolderId other) {
-            return toString().compareTo(other.toString());
-        }
-
-        @Override
-        public String toString() {
-            return backend + "#" + incarnation;
-        }
-    }
-
     private static final class HolderAccount {
-        final List<IssuedLease> leases = new ArrayList<>();
-        long wanted;
-        Duration lastRequestAt = Duration.ZERO;
+        private final List<IssuedLease> leases = new ArrayList<>();
+        private long wanted;
+        private Duration lastRequestAt = Duration.ZERO;
 
         /** The most that the holder can spend: it has one of the leases, whichever reached it last. */
         long maxHeld() {
@@ -67,7 +49,7 @@
     /** From then on all leases of earlier leaders have expired. */
     private final Duration earlierLeasesExpiredAt;
 
-    private final Map<HolderId, HolderAccount> accounts = new TreeMap<>();
+    private final Map<LeaseHolder, HolderAccount> accounts = new TreeMap<>();
     private long lastGrantNumber;
     private int rotation;
 
@@ -106,7 +88,7 @@
     /** Answers a request; empty where there is no room for another account. */
     public Optional<LeaseGrant> grant(Duration now, LeaseRequest request) {
         expire(now);
-        HolderId holder = HolderId.of(request);
+        LeaseHolder holder = new LeaseHolder(request.holder(), request.incarnation());
         HolderAccount account = accounts.get(holder);
         if (account == null) {
             if (accounts.size() >= MAX_ACCOUNTS) {
@@ -152,8 +134,8 @@
     }
 
     /** What the holder would get if all that requested lately were to be given their shares now. */
-    private long fairShare(Duration now, HolderId holder) {
-        List<HolderId> claimants = new ArrayList<>();
+    private long fairShare(Duration now, LeaseHolder holder) {
+        List<LeaseHolder> claimants = new ArrayList<>();
         List<MaxMinFairAllocation.Claim> claims = new ArrayList<>();
         accounts.forEach((id, account) -> {
             if (hasRequestedLately(now, account)) {
--- a/src/main/java/merlinlever/fleet/quota/LeaseMessage.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseMessage.java
@@ -1,5 +1,7 @@
 package merlinlever.fleet.quota;
 
+import merlinlever.fleet.membership.TextFields;
+
 /** The messages between the holder of a lease and the leader, as text of fields separated by slashes. */
 sealed interface LeaseMessage {
 
@@ -12,15 +14,23 @@
      */
     final class Received {
 
-        private final String[] fields;
+        private static final int TYPE_INDEX = 0;
+        private static final int TERM_INDEX = 1;
+        private static final int QUOTA_INDEX = 2;
+
+        private final TextFields fields;
 
         Received(String text) {
-            fields = text.split("/");
+            fields = new TextFields(text);
         }
 
-        /** {@link Request#TYPE}, {@link Grant#TYPE}, or something else. */
+        /**
+         * {@link Request#TYPE}, {@link Grant#TYPE}, or something else.
+         *
+         * @throws IllegalArgumentException if it has none
+         */
         String type() {
-            return field(0);
+            return fields.text(TYPE_INDEX);
         }
 
         /**
@@ -29,7 +39,7 @@
          * @throws IllegalArgumentException if it has none
          */
         long term() {
-            return Long.parseLong(field(1));
+            return fields.number(TERM_INDEX);
         }
 
         /**
@@ -38,7 +48,7 @@
          * @throws IllegalArgumentException if there is none
          */
         String quota() {
-            return field(2);
+            return fields.text(QUOTA_INDEX);
         }
 
         /**
@@ -50,11 +60,11 @@
             return new Request(
                     term(),
                     quota(),
-                    Long.parseUnsignedLong(field(3), 16),
-                    Long.parseLong(field(4)),
-                    Long.parseLong(field(5)),
-                    Long.parseLong(field(6)),
-                    Long.parseLong(field(7)));
+                    Long.parseUnsignedLong(fields.text(Request.INCARNATION_INDEX), Request.INCARNATION_RADIX),
+                    fields.number(Request.CURRENT_GRANT_INDEX),
+                    fields.number(Request.HELD_INDEX),
+                    fields.number(Request.IN_USE_INDEX),
+                    fields.number(Request.WANTED_INDEX));
         }
 
         /**
@@ -63,14 +73,8 @@
          * @throws IllegalArgumentException if it is not one
          */
         Grant toGrant() {
-            return new Grant(term(), quota(), new LeaseGrant(Long.parseLong(field(3)), Long.parseLong(field(4))));
-        }
-
-        private String field(int index) {
-            if (index >= fields.length) {
-                throw new IllegalArgumentException("too few fields");
-            }
-            return fields[index];
+            LeaseGrant grant = new LeaseGrant(fields.number(Grant.NUMBER_INDEX), fields.number(Grant.AMOUNT_INDEX));
+            return new Grant(term(), quota(), grant);
         }
     }
 
@@ -85,6 +89,13 @@
 
         static final String TYPE = "Q";
 
+        private static final int INCARNATION_INDEX = 3;
+        private static final int CURRENT_GRANT_INDEX = 4;
+        private static final int HELD_INDEX = 5;
+        private static final int IN_USE_INDEX = 6;
+        private static final int WANTED_INDEX = 7;
+        private static final int INCARNATION_RADIX = 16;
+
         /** Asks any voter who leads; the numbers are not looked at. */
         static Request forLeader(String quota, long incarnation) {
             return new Request(0, quota, incarnation, 0, 0, 0, 0);
@@ -92,8 +103,15 @@
 
         @Override
         public String encode() {
-            return TYPE + "/" + term + "/" + quota + "/" + Long.toHexString(incarnation) + "/" + currentGrant + "/"
-                    + held + "/" + inUse + "/" + wanted;
+            return TextFields.join(
+                    TYPE,
+                    Long.toString(term),
+                    quota,
+                    Long.toHexString(incarnation),
+                    Long.toString(currentGrant),
+                    Long.toString(held),
+                    Long.toString(inUse),
+                    Long.toString(wanted));
         }
     }
 
@@ -107,9 +125,13 @@
 
         static final String TYPE = "G";
 
+        private static final int NUMBER_INDEX = 3;
+        private static final int AMOUNT_INDEX = 4;
+
         @Override
         public String encode() {
-            return TYPE + "/" + term + "/" + quota + "/" + grant.number() + "/" + grant.amount();
+            return TextFields.join(
+                    TYPE, Long.toString(term), quota, Long.toString(grant.number()), Long.toString(grant.amount()));
         }
     }
 }
--- a/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -33,18 +33,22 @@
     private static final int EXTRA_DEMAND_DIVISOR = 4;
     /** Requests are sent so often in the time of a lease. */
     private static final int REQUESTS_PER_LEASE = 4;
+    /** Each interval between two requests is lengthened by a random part of it, up to this one. */
+    private static final int JITTER_DIVISOR = 4;
+    /** A backend that wants more than it holds requests after this part of the interval. */
+    private static final int URGENT_REQUEST_DIVISOR = 4;
 
     private static final Duration ROTATION_INTERVAL_WITHOUT_QUOTAS = Duration.ofSeconds(1);
     private static final long NO_TERM = -1;
 
     /** One quota and what this backend holds and knows of it. */
     private static final class QuotaState {
-        FleetQuota quota;
-        final QuotaLease lease;
-        Duration nextRequestAt;
-        boolean wantedSinceRequest;
+        private FleetQuota quota;
+        private final QuotaLease lease;
+        private Duration nextRequestAt;
+        private boolean wantedSinceRequest;
         /** Present while this backend is the leader. */
-        Optional<LeaseLedger> ledger = Optional.empty();
+        private Optional<LeaseLedger> ledger = Optional.empty();
 
         QuotaState(FleetQuota quota, long incarnation, Duration now) {
             this.quota = quota;
@@ -63,8 +67,7 @@
         }
     }
 
-    private final String self;
-    private final long incarnation;
+    private final LeaseHolder self;
     private final List<QuotaState> states = new ArrayList<>();
     private final LeaderElection election;
     private final SplittableRandom random;
@@ -77,26 +80,23 @@
     private Optional<FleetView> fleetView = Optional.empty();
 
     /**
-     * @param self the name of this backend
-     * @param incarnation a number that no other incarnation of this backend has
+     * @param self this incarnation of this backend
      * @param election who leads; advanced by its owner, each time before this coordinator is
      */
     public QuotaCoordinator(
             Duration now,
-            String self,
-            long incarnation,
+            LeaseHolder self,
             List<FleetQuota> quotas,
             LeaderElection election,
             SplittableRandom random,
             QuotaConsumer consumer,
             Consumer<String> log) {
         this.self = self;
-        this.incarnation = incarnation;
         this.election = election;
         this.random = random;
         this.consumer = consumer;
         this.log = log;
-        quotas.forEach(quota -> states.add(new QuotaState(quota, incarnation, now)));
+        quotas.forEach(quota -> states.add(new QuotaState(quota, self.incarnation(), now)));
     }
 
     /** From here on it grants only while the view of the fleet permits it. */
@@ -121,25 +121,25 @@
 
     /** Does what is due, and returns the messages to be sent; to be called every few milliseconds. */
     public List<PeerMessage.Text> tick(Duration now) {
-        Leadership.Leader leader = election.leader(now);
+        Optional<Leadership.Leader> leader = election.leader(now);
         updateLedgers(now);
         for (QuotaState state : states) {
             QuotaDemand demand = consumer.demand(now, state.quota);
             state.wantedSinceRequest |= demand.wanted() > 0;
             if (isRequestDue(now, state, demand)) {
                 Duration interval = state.requestInterval();
-                state.nextRequestAt = now.plus(interval).plus(randomUpTo(interval.dividedBy(4)));
-                request(now, state, Optional.ofNullable(leader), demand);
+                state.nextRequestAt = now.plus(interval).plus(randomUpTo(interval.dividedBy(JITTER_DIVISOR)));
+                request(now, state, leader, demand);
             }
             consumer.setAllowance(state.quota, state.lease.available(now), state.lease.expiresAt());
         }
         return takeOutbox();
     }
 
-    /** A backend that wants more than it holds requests after a quarter of the interval. */
     private static boolean isRequestDue(Duration now, QuotaState state, QuotaDemand demand) {
         boolean wantsMore = demand.wanted() > state.lease.available(now);
-        Duration earlier = state.requestInterval().multipliedBy(3).dividedBy(4);
+        Duration interval = state.requestInterval();
+        Duration earlier = interval.minus(interval.dividedBy(URGENT_REQUEST_DIVISOR));
         Duration dueAt = wantsMore ? state.nextRequestAt.minus(earlier) : state.nextRequestAt;
         return now.compareTo(dueAt) >= 0;
     }
@@ -170,8 +170,8 @@
     private void askWhoLeads(QuotaState state) {
         List<String> voters = election.voters();
         String voter = voters.get(random.nextInt(voters.size()));
-        if (!voter.equals(self)) {
-            send(voter, 0, LeaseMessage.Request.forLeader(state.quota.name(), incarnation));
+        if (!voter.equals(self.backend())) {
+            send(voter, 0, LeaseMessage.Request.forLeader(state.quota.name(), self.incarnation()));
         }
     }
 
@@ -179,13 +179,13 @@
         LeaseMessage.Request request = new LeaseMessage.Request(
                 leader.term(),
                 state.quota.name(),
-                incarnation,
+                self.incarnation(),
                 renewal.currentGrant(),
                 renewal.held(),
                 renewal.inUse(),
                 renewal.wanted());
-        if (leader.name().equals(self)) {
-            grant(now, state, self, request)
+        if (leader.name().equals(self.backend())) {
+            grant(now, state, self.backend(), request)
                     .ifPresent(grant -> state.lease.applyGrant(leader.term(), renewal.correlationId(), grant));
         } else {
             send(leader.name(), renewal.correlationId(), request);
@@ -260,13 +260,13 @@
     }
 
     private void requestReceived(Duration now, String sender, long correlationId, LeaseMessage.Received message) {
-        Leadership.Leader leader = election.leader(now);
+        Optional<String> announcement = election.leaderAnnouncement(now);
         updateLedgers(now);
-        if (leader == null) {
+        if (announcement.isEmpty()) {
             return;
         }
         if (ledgerTerm == NO_TERM || message.term() != ledgerTerm) {
-            outbox.add(new PeerMessage.Text(sender, 0, election.leaderAnnouncement(now)));
+            outbox.add(new PeerMessage.Text(sender, 0, announcement.get()));
             return;
         }
         String quota = message.quota();
@@ -301,7 +301,7 @@
     /** Each quota with what this backend holds of it, as a JSON array. */
     public String statusJson(Duration now) {
         List<String> objects = new ArrayList<>();
-        Optional<Leadership.Leader> leader = Optional.ofNullable(election.leader(now));
+        Optional<Leadership.Leader> leader = election.leader(now);
         for (QuotaState state : states) {
             long remainingMs = Math.max(0, state.lease.expiresAt().minus(now).toMillis());
             objects.add("{\"name\":\"" + state.quota.name()
--- a/src/main/java/merlinlever/testing/faults/ExperimentModel.java
+++ b/src/main/java/merlinlever/testing/faults/ExperimentModel.java
@@ -350,10 +350,14 @@
         Duration now = clock(i);
         write(i);
         List<PeerMessage.Text> electionMessages = elections[i].tick(now);
-        Leadership.Leader leader = elections[i].leader(now);
+        Leadership.Leader leader = elections[i].leader(now).orElse(null);
         if (leader != null && leader.name().equals("b" + i) && nowMs % ANNOUNCEMENT_MS == 0) {
             for (int k = 0; k < size; k++) {
-                send(i, k, new ElectionPayload(0, elections[i].leaderAnnouncement(now)));
+                send(
+                        i,
+                        k,
+                        new ElectionPayload(
+                                0, elections[i].leaderAnnouncement(now).orElseThrow()));
             }
         }
         if (nowMs % NODE_TICK_MS == 0) {
--- a/src/main/java/merlinlever/testing/faults/QuotaModel.java
+++ b/src/main/java/merlinlever/testing/faults/QuotaModel.java
@@ -13,6 +13,7 @@
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.membership.PeerMessage;
 import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.LeaseHolder;
 import merlinlever.fleet.quota.QuotaConsumer;
 import merlinlever.fleet.quota.QuotaCoordinator;
 
@@ -103,8 +104,7 @@
                 line -> {});
         nodes[i] = new QuotaCoordinator(
                 clock(i),
-                "b" + i,
-                (life[i] = ++lives) << 20,
+                new LeaseHolder("b" + i, (life[i] = ++lives) << 20),
                 List.of(budget),
                 terms[i],
                 chance.split(),
--- a/src/main/java/merlinlever/testing/faults/timeline/QuotaNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/QuotaNode.java
@@ -13,6 +13,7 @@
 import merlinlever.fleet.election.Leadership;
 import merlinlever.fleet.membership.PeerMessage;
 import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.LeaseHolder;
 import merlinlever.fleet.quota.QuotaConsumer;
 import merlinlever.fleet.quota.QuotaCoordinator;
 
@@ -77,8 +78,7 @@
                 line -> {});
         sharing = new QuotaCoordinator(
                 born.now(),
-                born.node(),
-                (long) born.life() << 20,
+                new LeaseHolder(born.node(), (long) born.life() << 20),
                 List.of(BUDGET),
                 terms,
                 born.chance().split(),
@@ -127,7 +127,7 @@
     @Override
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
-        Leadership.Leader leader = terms.leader(now);
+        Leadership.Leader leader = terms.leader(now).orElse(null);
         all.put(
                 "leader",
                 leader == null
--- a/src/main/java/merlinlever/testing/faults/timeline/ViewNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/ViewNode.java
@@ -156,7 +156,7 @@
     @Override
     public Map<String, String> believes(Duration at) {
         Map<String, String> all = new LinkedHashMap<>();
-        Leadership.Leader leader = terms.leader(at);
+        Leadership.Leader leader = terms.leader(at).orElse(null);
         all.put("standing", sight.status(at).wireName().toUpperCase(java.util.Locale.ROOT));
         all.put(
                 "view",
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -26,6 +26,7 @@
 import merlinlever.fleet.membership.MessageKind;
 import merlinlever.fleet.membership.PeerMessage;
 import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.LeaseHolder;
 import merlinlever.fleet.quota.QuotaConsumer;
 import merlinlever.fleet.quota.QuotaCoordinator;
 import merlinlever.fleet.recovery.RecoverySettings;
@@ -124,7 +125,7 @@
         fixture.pins("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
         fixture.pins("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
         terms.receive(LATER, "b3", 11, "H/7/b2");
-        fixture.pins("election.leader", terms.leaderAnnouncement(LATER));
+        fixture.pins("election.leader", terms.leaderAnnouncement(LATER).orElseThrow());
         fixture.pins("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
     }
 
@@ -153,12 +154,24 @@
         fixture.pins(
                 "budgets.asks",
                 said(new QuotaCoordinator(
-                                LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
+                                LATER,
+                                new LeaseHolder("b1", 0xabc),
+                                List.of(budget),
+                                led,
+                                new SplittableRandom(1),
+                                spender,
+                                line -> {})
                         .tick(LATER)));
         LeaderElection leads = terms("b1");
         leads.tick(LATER);
         QuotaCoordinator sharing = new QuotaCoordinator(
-                LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
+                LATER,
+                new LeaseHolder("b1", 0xabc),
+                List.of(budget),
+                leads,
+                new SplittableRandom(1),
+                spender,
+                line -> {});
         sharing.tick(LATER);
         leads.tick(LATER.plusMillis(1900));
         List<PeerMessage.Text> all = new ArrayList<>();
--- a/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
@@ -46,14 +46,21 @@
         FleetQuota quota = new FleetQuota(
                 "calls", "calls", 100, FleetQuota.QuotaKind.PER_SECOND, LEASE, 0.01, Duration.ofSeconds(1), Map.of());
         return new QuotaCoordinator(
-                START, "b1", 0xabc, List.of(quota), election, new SplittableRandom(1), consumer, log::add);
+                START,
+                new LeaseHolder("b1", 0xabc),
+                List.of(quota),
+                election,
+                new SplittableRandom(1),
+                consumer,
+                log::add);
     }
 
     @Test
     void aBackendThatDoesNotLeadNamesTheLeaderWhateverTheRequestHolds() {
         LeaderElection election = election("b1", "b2", "b3");
         election.receive(START, "b3", 11, "H/7/b2");
-        PeerMessage.Text announcement = new PeerMessage.Text("b9", 0, election.leaderAnnouncement(START));
+        PeerMessage.Text announcement =
+                new PeerMessage.Text("b9", 0, election.leaderAnnouncement(START).orElseThrow());
         QuotaCoordinator coordinator = coordinator(election);
         for (String request : List.of("Q/7/calls/abc/0/0/0/3", "Q/no-number/calls", "Q")) {
             assertEquals(List.of(announcement), coordinator.receive(START, "b9", 5, request), request);
--- a/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
@@ -169,8 +169,8 @@
         }
 
         @Override
-        public Leader leader(Duration at) {
-            return null;
+        public Optional<Leader> leader(Duration at) {
+            return Optional.empty();
         }
 
         @Override
