--- a/src/main/java/merlinlever/fleet/election/LeaderElection.java
+++ b/src/main/java/merlinlever/fleet/election/LeaderElection.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.LongPredicate;
+import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
 import merlinlever.fleet.membership.PeerMessage;
 
 /**
@@ -33,7 +34,7 @@
     private final String self;
     private final ElectionState state;
     private final LongPredicate persistTerm;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final List<PeerMessage.Text> outbox = new ArrayList<>();
     /** At most one; a candidate that is not answered asks again. */
     private Optional<PendingVote> pendingVote = Optional.empty();
@@ -56,7 +57,7 @@
             long persistedTerm,
             LongPredicate persistTerm,
             SplittableRandom random,
-            Consumer<String> log) {
+            EventLog log) {
         this.self = self;
         this.persistTerm = persistTerm;
         this.log = log;
@@ -87,11 +88,14 @@
         Optional<Leader> leader = state.leader(now);
         if (!leader.equals(lastLoggedLeader)) {
             lastLoggedLeader = leader;
-            log.accept(leader.map(known -> "leader-changed leader=" + known.name() + " term=" + known.term())
-                    .orElse("leader-unknown"));
+            log.write(leader.map(LeaderElection::leaderChanged).orElse(LogEvent.info("leader-unknown")));
         }
     }
 
+    private static LogEvent leaderChanged(Leader leader) {
+        return LogEvent.info("leader-changed").with("leader", leader.name()).with("term", leader.term());
+    }
+
     private void send(String recipient, long correlationId, ElectionMessage message) {
         outbox.add(new PeerMessage.Text(recipient, correlationId, message.encode()));
     }
@@ -152,7 +156,9 @@
                 default -> throw new IllegalArgumentException("unknown type " + message.type());
             }
         } catch (IllegalArgumentException e) {
-            log.accept("election-message-rejected sender=" + sender + " text=" + text);
+            log.write(LogEvent.info("election-message-rejected")
+                    .with("sender", sender)
+                    .with("text", text));
         }
         return drainOutbox();
     }
--- a/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
@@ -52,7 +52,7 @@
                 election,
                 new SplittableRandom(1),
                 consumer,
-                log::add);
+                event -> log.add(event.text()));
     }
 
     @Test
