--- a/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
@@ -106,4 +106,27 @@
             assertEquals(term, nodes.get(leader()).term(), "seed " + seed);
         }
     }
+
+    /** Of a leader that is no voter, or that is this backend itself, not even the term is read. */
+    @Test
+    void malformedTextsAreLoggedOnceTheyAreReadAndChangeNothing() {
+        List<String> log = new ArrayList<>();
+        LeaderElection election = new LeaderElection(
+                now(), "b0", SETTINGS, 0, term -> true, new SplittableRandom(1), event -> log.add(event.text()));
+        for (String ignored : List.of("H/no-number/b9", "H/no-number/b0", "H//b9", "N/3/more", "H/5/b9/more")) {
+            assertEquals(List.of(), election.receive(now(), "b1", 7, ignored), ignored);
+        }
+        assertEquals(List.of(), log);
+        List<String> malformed = List.of("H/no-number/b1", "H/5", "H", "V", "V/", "P/x", "N/", "X/1", "/");
+        for (String text : malformed) {
+            assertEquals(List.of(), election.receive(now(), "b1", 7, text), text);
+        }
+        assertEquals(
+                malformed.stream()
+                        .map(text -> "election-message-rejected sender=b1 text=" + text)
+                        .toList(),
+                log);
+        assertTrue(election.leader(now()).isEmpty());
+        assertTrue(election.leaderAnnouncement(now()).isEmpty());
+    }
 }
--- a/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
@@ -22,12 +23,19 @@
     private final ViewCodec codec = new ViewCodec();
     private final MemberTable memberTable = new MemberTable("b0", "g0", "-", 1);
 
+    private final List<String> log = new ArrayList<>();
+
     private ViewManager manager(
             long incarnationId, long termFloor, LongPredicate persistTerm, SplittableRandom random) {
         LeaderElection election =
                 new LeaderElection(ms(0), "b0", ELECTION, termFloor, term -> true, random.split(), line -> {});
         ViewManager.Setup setup = new ViewManager.Setup(
-                ViewSettings.defaults(), incarnationId, termFloor, persistTerm, random.split(), line -> {});
+                ViewSettings.defaults(),
+                incarnationId,
+                termFloor,
+                persistTerm,
+                random.split(),
+                event -> log.add(event.text()));
         return new ViewManager(ms(0), setup, memberTable, election);
     }
 
@@ -111,4 +119,49 @@
         manager.tick(ms(250));
         assertEquals(MembershipView.numberOf(5, 1), manager.view().number());
     }
+
+    /** What a message names beside what its receiver needs of it is not read. */
+    @Test
+    void malformedTextsAreLoggedOnceTheyAreRead() {
+        MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
+        ViewManager manager = managerWithView(view, new SplittableRandom(7));
+        String held = Long.toString(view.number(), 36) + "/" + view.digest();
+        log.clear();
+        List<String> accepted = List.of(
+                "WP",
+                "WP/x",
+                "WO",
+                "WQ/1/other/0/3",
+                "WQ/1/other/0/3/x",
+                "WQ/" + held + "/0/3/.0.2",
+                "WQ/" + held + "/0/3//",
+                "WG/!/zzzzzz",
+                "WA/1/other/0/more");
+        for (String text : accepted) {
+            manager.receive(ms(100), "b1", 7, text);
+        }
+        assertEquals(List.of(), log);
+        List<String> malformed = List.of(
+                "WQ",
+                "WQ/1/other/0",
+                "WQ/1/other/0/x",
+                "WQ/!/other/0/3",
+                "WQ/" + held + "/0/3/.99",
+                "WQ/" + held + "/0/3/.!",
+                "WQ/" + held + "/0/3//more",
+                "WA/1/other",
+                "WA/1/other/!",
+                "WG/0",
+                "WG/!/0",
+                "X",
+                "/");
+        for (String text : malformed) {
+            assertEquals(List.of(), manager.receive(ms(100), "b1", 7, text), text);
+        }
+        assertEquals(
+                malformed.stream()
+                        .map(text -> "view-message-rejected sender=b1 text=" + text)
+                        .toList(),
+                log);
+    }
 }
