--- a/src/main/java/merlinlever/controller/ControllerEvent.java
+++ b/src/main/java/merlinlever/controller/ControllerEvent.java
@@ -47,4 +47,13 @@
                     Durations.toMillis(silence));
         }
     }
+
+    /** A request changed its phase in a way that no request should: a fault of the controller. */
+    record IllegalPhaseChange(String from, String to) implements ControllerEvent {
+
+        @Override
+        public String logLine() {
+            return "illegal-phase-change from=" + from + " to=" + to;
+        }
+    }
 }
--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -26,6 +26,8 @@
     private static final double EXPENSIVE_READ = 0.1;
     // Fraction of the difference by which the quickest read is forgotten with each arrival.
     private static final double READ_DECAY = 0.002;
+    // Longer than any read, until the first arrival.
+    private static final double NO_READ_MS = 1e9;
 
     private final ServerState server;
     private final SplittableRandom random;
@@ -35,7 +37,7 @@
     double averageOccupancy;
 
     Duration averagedAt = Duration.ZERO;
-    private double quickestReadMs = 1e9;
+    private double quickestReadMs = NO_READ_MS;
     private int queuedSinceRejection;
 
     AdmissionControl(ServerState server, ControllerSettings settings, long seed) {
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -14,11 +14,19 @@
     private static final double LEVEL_RISE = 0.04;
     private static final double LEVEL_FALL = 0.01;
     private static final double LEVEL_STEP = 0.02;
+    private static final Duration UPDATE_INTERVAL = Duration.ofMillis(100);
+    // Without an arrival for this long the average occupancy says nothing of the present.
+    private static final Duration MAX_AVERAGE_AGE = Duration.ofMillis(300);
     // Callers a core from which on idle connections are closed early; servers that make a fleet large.
     static final double MANY = 16;
     // Factors of the idle timeout at each update, with a core free and with none.
     private static final double TIMEOUT_DECREASE = 0.94;
     private static final double TIMEOUT_INCREASE = 1.02;
+    // The first idle timeout and the shortest one, as divisors of the configured one.
+    private static final double INITIAL_TIMEOUT_DIVISOR = 10;
+    private static final double MIN_TIMEOUT_DIVISOR = 30;
+    // Relative change of the idle timeout that is worth a decision.
+    private static final double TIMEOUT_STEP = 0.1;
 
     private final ServerState server;
     private final BackpressureSignal signal;
@@ -36,7 +44,7 @@
         this.server = server;
         signal = settings.deployment().signal();
         maxIdleMs = Durations.toMillis(settings.callers().idleTimeout());
-        idleTimeoutMs = maxIdleMs / 10;
+        idleTimeoutMs = maxIdleMs / INITIAL_TIMEOUT_DIVISOR;
         callers = settings.callers().callers();
     }
 
@@ -44,7 +52,7 @@
         if (!Durations.isReached(now, nextUpdateAt)) {
             return;
         }
-        nextUpdateAt = now.plusMillis(100);
+        nextUpdateAt = now.plus(UPDATE_INTERVAL);
         updateIdleTimeout();
         if (signal != BackpressureSignal.NONE) {
             updateLevel(now);
@@ -53,7 +61,7 @@
 
     private void updateLevel(Duration now) {
         // The average changes with arrivals only: without any for a while, the queue itself counts.
-        boolean outdated = Durations.isReached(now, server.admissionControl.averagedAt.plusMillis(300));
+        boolean outdated = Durations.isReached(now, server.admissionControl.averagedAt.plus(MAX_AVERAGE_AGE));
         double occupancy = outdated
                 ? server.queuedCount() / server.capacity.queueCapacity()
                 : server.admissionControl.averageOccupancy;
@@ -83,8 +91,8 @@
         if (callers > MANY * server.cores) {
             boolean freeCore = server.runQueue.lastSample() < server.cores;
             double wantedMs = idleTimeoutMs * (freeCore ? TIMEOUT_DECREASE : TIMEOUT_INCREASE);
-            idleTimeoutMs = Math.max(maxIdleMs / 30, Math.min(maxIdleMs, wantedMs));
-            if (Math.abs(idleTimeoutMs / announcedIdleMs - 1) > 0.1) {
+            idleTimeoutMs = Math.max(maxIdleMs / MIN_TIMEOUT_DIVISOR, Math.min(maxIdleMs, wantedMs));
+            if (Math.abs(idleTimeoutMs / announcedIdleMs - 1) > TIMEOUT_STEP) {
                 announcedIdleMs = idleTimeoutMs;
                 server.decided(new Decision.CloseIdleConnections(Durations.ofMillis(idleTimeoutMs)));
             }
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -33,17 +33,23 @@
         }
         server.stallDetector.recordProgress(now);
         request.outcome = outcome;
-        if ((outcome == Outcome.OK || outcome == Outcome.ERROR) && request.phase == Phase.RUNNING) {
-            server.capacity.recordCompletion();
-            double runMs = Durations.toMillis(now.minus(request.startedAt));
-            request.priorityClass.runTimes.record(runMs, request.costHintMs);
-        }
+        learnFromRun(request, now);
         if (outcome == Outcome.OK && request.shareable && request.retainedUntil != null) {
             server.duplicates.retainWhileFresh(request, now);
         }
         finish(request, now);
     }
 
+    /** Only runs that came to their own end say how long runs take. */
+    private void learnFromRun(Request request, Duration now) {
+        boolean completed = request.outcome == Outcome.OK || request.outcome == Outcome.ERROR;
+        if (completed && request.phase == Phase.RUNNING) {
+            server.capacity.recordCompletion();
+            double runMs = Durations.toMillis(now.minus(request.startedAt));
+            request.priorityClass.runTimes.record(runMs, request.costHintMs);
+        }
+    }
+
     void callerGone(Request request, Duration now) {
         request.answered = true;
         if (request.isWaiting()) {
@@ -109,16 +115,21 @@
             }
         } else if (waiting) {
             rejectIfLate(request, now);
-        } else if (canStopRuns
-                && server.queuedCount() > 0
-                && request.phase != Phase.SHARING_OUTCOME
-                && Durations.isReached(now, request.objectiveAt)
-                && request.priorityClass.lateWeight == 0) {
+        } else if (isUselessRun(request, now)) {
             fail(request, now);
             stop(request);
         }
     }
 
+    /** Whether the run of the request only keeps queued ones from the cores: its answer has no weight. */
+    private boolean isUselessRun(Request request, Duration now) {
+        return canStopRuns
+                && server.queuedCount() > 0
+                && request.phase != Phase.SHARING_OUTCOME
+                && Durations.isReached(now, request.objectiveAt)
+                && request.priorityClass.lateWeight == 0;
+    }
+
     /** Rejects a waiting request if a start now would miss its objective, or if no run makes progress. */
     private void rejectIfLate(Request request, Duration now) {
         Duration maxRetryAfter = server.admissionControl.maxRetryAfter;
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -18,6 +18,9 @@
     private static final double CALLS_PER_CORE = 4;
     // Factor of the concurrency limit after a failed call.
     private static final double DECREASE = 0.8;
+    // Share of the limit where none is configured, and the least one that is calculated with; in calls.
+    private static final double UNLIMITED_SHARE = 1e9;
+    private static final double MIN_SHARE = 0.001;
     private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
 
     private final ServerState server;
@@ -37,9 +40,9 @@
         // All survive one call between them.
         DownstreamSettings downstream = settings.downstream();
         boolean shared = settings.deployment().downstream() == DownstreamKind.SHARED;
-        double configuredShare = shared ? downstream.shareOfCalls() : 1e9;
+        double configuredShare = shared ? downstream.shareOfCalls() : UNLIMITED_SHARE;
         maxConcurrent = Math.min(CALLS_PER_CORE * server.cores, configuredShare);
-        double share = Math.max(maxConcurrent, 0.001);
+        double share = Math.max(maxConcurrent, MIN_SHARE);
         double fleetSize = downstream.fleetSize();
         double fleetLimit = Math.max(share * fleetSize, 1);
         lingerMs = shared ? Durations.toMillis(downstream.lingerTime()) : 0;
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -40,10 +40,7 @@
             awaitOriginal(request, original, now);
             return true;
         }
-        boolean lastingError = original.outcome == Outcome.ERROR && !request.priorityClass.idempotent;
-        boolean hasOutcome =
-                original.isInFlight() ? !original.stopping : original.outcome == Outcome.OK || lastingError;
-        if (hasOutcome && server.capacity.hasMemoryFor(0)) {
+        if (hasOutcomeFor(request, original) && server.capacity.hasMemoryFor(0)) {
             shareOutcome(request, original);
         } else if (!request.priorityClass.idempotent && original.started) {
             server.completions.fail(request, now);
@@ -54,6 +51,15 @@
         return true;
     }
 
+    /** Whether the original has an outcome that the request may share, or will have one. */
+    private static boolean hasOutcomeFor(Request request, Request original) {
+        if (original.isInFlight()) {
+            return !original.stopping;
+        }
+        boolean lastingError = original.outcome == Outcome.ERROR && !request.priorityClass.idempotent;
+        return original.outcome == Outcome.OK || lastingError;
+    }
+
     private void awaitOriginal(Request request, Request original, Duration now) {
         // Rule 3: what arrived after the grace may not take the place of an original either.
         boolean pastGrace = server.drain.isPastGrace(request);
--- a/src/main/java/merlinlever/policy/RunTimeEstimator.java
+++ b/src/main/java/merlinlever/policy/RunTimeEstimator.java
@@ -12,6 +12,7 @@
     private static final int BINS = 32;
     private static final double BIN_RATIO = 1.5;
     private static final double MAX_VALUES = 60;
+    private static final double PERCENT = 100;
 
     private final DecayingHistogram runTimesMs = new DecayingHistogram(BINS, BIN_RATIO, MAX_VALUES);
     private final DecayingHistogram percentOfHint = new DecayingHistogram(BINS, BIN_RATIO, MAX_VALUES);
@@ -19,7 +20,7 @@
     void record(double runMs, double costHintMs) {
         runTimesMs.add(runMs);
         if (costHintMs > 0) {
-            percentOfHint.add(100 * runMs / costHintMs);
+            percentOfHint.add(PERCENT * runMs / costHintMs);
         }
     }
 
@@ -34,7 +35,7 @@
     Duration expected(double costHintMs, boolean underPressure, Duration latencyObjective) {
         boolean usesHint = costHintMs > 0 && percentOfHint.total() > MIN_HINTED_RUNS && underPressure;
         return usesHint
-                ? Durations.ofMillis(costHintMs * percentOfHint.mean() / 100)
+                ? Durations.ofMillis(costHintMs * percentOfHint.mean() / PERCENT)
                 : Durations.earlier(Durations.ofMillis(runTimesMs.mean()), latencyObjective.dividedBy(2));
     }
 }
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -55,6 +55,8 @@
     private int awaitingCallCount;
     private int inCallCount;
     private double usedMemoryKb;
+    private final PhaseTransitions phaseTransitions = new PhaseTransitions();
+    private boolean loggedIllegalPhaseChange;
     private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
     private long failures;
     /** Null before the first report. */
@@ -136,6 +138,14 @@
         decided(new Decision.Log(event));
     }
 
+    /** Logs the first one only: a fault that repeats would fill the log. */
+    void logIllegalPhaseChange(Phase from, Phase to) {
+        if (!loggedIllegalPhaseChange) {
+            loggedIllegalPhaseChange = true;
+            decided(new Decision.Log(new ControllerEvent.IllegalPhaseChange(from.name(), to.name())));
+        }
+    }
+
     /** Reports the health if it has changed. */
     void reportHealth(boolean healthy) {
         if (reportedHealth == null || healthy != reportedHealth) {
@@ -212,7 +222,13 @@
         adjustCounts(request, 1);
     }
 
+    /** An illegal change fails where assertions are on; in service it is logged, and carried out. */
     void moveTo(Request request, Phase phase) {
+        boolean legal = phaseTransitions.isLegal(request.phase, phase);
+        assert legal : "illegal phase change from " + request.phase + " to " + phase;
+        if (!legal) {
+            logIllegalPhaseChange(request.phase, phase);
+        }
         adjustCounts(request, -1);
         runQueue.phaseChanged(request.phase, phase);
         request.phase = phase;
--- a/src/main/java/merlinlever/simulator/WireEventText.java
+++ b/src/main/java/merlinlever/simulator/WireEventText.java
@@ -27,6 +27,9 @@
                     stall.queued(),
                     Durations.toMillis(stall.silence()));
         }
+        if (event instanceof ControllerEvent.IllegalPhaseChange change) {
+            return change.logLine();
+        }
         throw new IllegalArgumentException("an event without a text: " + event);
     }
 }
