--- a/src/main/java/merlinlever/driver/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -2,10 +2,8 @@
 
 import java.time.Duration;
 import java.util.HashMap;
-import java.util.IdentityHashMap;
 import java.util.Map;
 import java.util.Optional;
-import merlinlever.controller.Decision;
 import merlinlever.controller.Decisions;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestHandle;
@@ -14,8 +12,8 @@
 import merlinlever.policy.OverloadController;
 
 /**
- * Drives one {@link OverloadController}: maps its handles to the requests of the handler, keeps its next wake-up and
- * passes on what it decides. Not thread-safe.
+ * Drives one {@link OverloadController}: hands its decisions to the handler, in terms of the handler's own requests, and
+ * keeps its next wake-up. Not thread-safe.
  *
  * @param <T> how the handler names a request
  */
@@ -39,7 +37,7 @@
     private final OverloadController controller;
     private final DecisionHandler<T> handler;
     private final Map<String, Integer> priorityClassIndexes;
-    private final IdentityHashMap<RequestHandle, T> requestsByHandle = new IdentityHashMap<>();
+    private final DecisionDispatcher<T> dispatcher;
     private final Optional<ShadowModeCounter> shadowMode;
     /** Null while no wake-up is scheduled. */
     private Duration nextWakeUp;
@@ -52,6 +50,7 @@
      */
     public ControllerDriver(Map<String, String> settings, long seed, DecisionHandler<T> handler) {
         this.handler = handler;
+        dispatcher = new DecisionDispatcher<>(handler);
         priorityClassIndexes = priorityClassIndexes(settings);
         controller = new OverloadController(settings, seed);
         shadowMode = ShadowModeCounter.of(settings);
@@ -83,7 +82,7 @@
 
     /** From now on the handler is given decisions about the handle under this name. */
     public RequestHandle register(RequestHandle handle, T request) {
-        requestsByHandle.put(handle, request);
+        dispatcher.register(handle, request);
         return handle;
     }
 
@@ -96,55 +95,11 @@
     public void decide(Duration now) {
         Decisions decisions = controller.decide(now);
         shadowMode.ifPresent(counter -> counter.count(decisions));
-        decisions.inOrder().forEach(this::carryOut);
+        decisions.inOrder().forEach(dispatcher::dispatch);
         Duration nextDecisionAt = decisions.nextDecisionAt();
         if (nextWakeUp == null || nextDecisionAt.compareTo(nextWakeUp) < 0) {
             nextWakeUp = nextDecisionAt;
             handler.scheduleWakeUp(nextWakeUp);
         }
     }
-
-    private void carryOut(Decision decision) {
-        if (decision instanceof Decision.SendBackpressure backpressure) {
-            handler.updateBackpressureLevel(backpressure.value());
-        } else if (decision instanceof Decision.ReportHealth health) {
-            handler.updateHealth(health.healthy());
-        } else if (decision instanceof Decision.CloseIdleConnections close) {
-            handler.closeIdleConnections(close.idleTimeout());
-        } else if (decision instanceof Decision.Log log) {
-            handler.log(log.event());
-        } else {
-            carryOutOnRequest(decision);
-        }
-    }
-
-    private void carryOutOnRequest(Decision decision) {
-        if (decision instanceof Decision.Retain retain) {
-            handler.retain(requestOf(retain.request()), retain.retention());
-        } else if (decision instanceof Decision.Fail fail) {
-            handler.fail(requestOf(fail.request()));
-        } else if (decision instanceof Decision.Stop stop) {
-            handler.stop(requestOf(stop.request()));
-        } else if (decision instanceof Decision.Reject reject) {
-            handler.reject(requestOf(reject.request()), reject.isFinal(), reject.retryAfter());
-        } else if (decision instanceof Decision.Evict evict) {
-            handler.evict(requestOf(evict.request()));
-        } else if (decision instanceof Decision.Start start) {
-            handler.start(requestOf(start.request()));
-        } else if (decision instanceof Decision.ShareOutcome share) {
-            handler.shareOutcome(requestOf(share.request()));
-        } else if (decision instanceof Decision.CallDownstream call) {
-            handler.callDownstream(requestOf(call.request()), call.timeout());
-        } else if (decision instanceof Decision.SkipCall skip) {
-            handler.skipCall(requestOf(skip.request()));
-        } else if (decision instanceof Decision.Release release) {
-            handler.release(requestsByHandle.remove(release.request()));
-        } else {
-            throw new IllegalStateException("unhandled kind of decision: " + decision);
-        }
-    }
-
-    private T requestOf(RequestHandle handle) {
-        return requestsByHandle.get(handle);
-    }
 }
