--- a/src/main/java/merlinlever/backend/DecisionExecutor.java
+++ b/src/main/java/merlinlever/backend/DecisionExecutor.java
@@ -63,7 +63,7 @@
     @Override
     public void stop(TrackedRequest request) {
         if (request.isRunning()) {
-            request.stopRequested = true;
+            request.markStopRequested();
             dependencies.stop(request);
         }
     }
@@ -81,7 +81,7 @@
 
     @Override
     public void start(TrackedRequest request) {
-        request.launched = true;
+        request.markLaunched();
         components.runQueue().runStarted();
         components.commands().launch(request, batch.now());
     }
--- a/src/main/java/merlinlever/backend/DownstreamCallTracker.java
+++ b/src/main/java/merlinlever/backend/DownstreamCallTracker.java
@@ -19,16 +19,14 @@
 
     /** The run has reached a call and waits for it. */
     void callNeeded(TrackedRequest request, byte[] callBody) {
-        request.callBody = callBody;
-        request.callReply = null;
+        request.needCall(callBody);
     }
 
     /** Makes the call, unless the run has meanwhile ended or continued without it. */
     void startCall(TrackedRequest request, Duration now, Duration timeout) {
-        if (request.callBody != null && !request.hasEnded()) {
-            request.callInFlight = true;
-            request.calledAt = now;
-            downstream.get().call(request, request.callBody, timeout);
+        if (request.callBody() != null && !request.hasEnded()) {
+            request.startCall(now);
+            downstream.get().call(request, request.callBody(), timeout);
         }
     }
 
@@ -38,31 +36,30 @@
      * @return how long the call took
      */
     Duration callEnded(TrackedRequest request, Duration now, Outcome outcome, byte[] reply) {
-        request.callInFlight = false;
         if (outcome == Outcome.OK) {
-            request.callBody = null;
-            request.callReply = reply;
+            request.endCall(reply);
+        } else {
+            request.endCall();
         }
-        return now.minus(request.calledAt);
+        return now.minus(request.calledAt());
     }
 
     /** The run continues without the call that it waited for. */
     void callSkipped(TrackedRequest request) {
-        request.callBody = null;
+        request.skipCall();
     }
 
     /** Abandons the call in flight, if there is one. */
     void cancel(TrackedRequest request) {
-        if (request.callInFlight) {
-            request.callInFlight = false;
+        if (request.isCallInFlight()) {
+            request.endCall();
             downstream.get().cancel(request);
         }
     }
 
     /** The run has ended: neither its call nor the reply to it is of use. */
     void runEnded(TrackedRequest request) {
-        request.callReply = null;
-        request.callBody = null;
+        request.releaseCall();
         cancel(request);
     }
 }
--- a/src/main/java/merlinlever/backend/IdempotencyCache.java
+++ b/src/main/java/merlinlever/backend/IdempotencyCache.java
@@ -26,7 +26,7 @@
     private record Entry(TrackedRequest request, Duration expiresAt, Entry previous) {
 
         boolean covers(TrackedRequest duplicate) {
-            return expiresAt == null || duplicate.arrivedAt.compareTo(expiresAt) <= 0;
+            return expiresAt == null || duplicate.arrivedAt().compareTo(expiresAt) <= 0;
         }
 
         Entry withoutPrevious() {
@@ -44,21 +44,22 @@
      *     key that comes with another body belongs to an unknown request: the controller lets such a duplicate fail.
      */
     RequestHandle register(TrackedRequest request) {
-        DuplicateKey key = request.duplicateKey;
-        request.duplicateOf = key == null ? null : findOrRegister(request, key);
-        if (request.duplicateOf == null) {
+        DuplicateKey key = request.duplicateKey();
+        TrackedRequest original = key == null ? null : findOrRegister(request, key);
+        request.setDuplicateOf(original);
+        if (original == null) {
             return null;
         }
         boolean bodyMustMatch = key.kind() == DuplicateKey.Kind.IDEMPOTENCY_KEY;
-        return !bodyMustMatch || request.duplicateOf.hasSameContentAs(request)
-                ? request.duplicateOf.handle
+        return !bodyMustMatch || original.hasSameContentAs(request)
+                ? original.handle()
                 : ControllerDriver.UNKNOWN_REQUEST;
     }
 
     /** The request that this one duplicates, or null; then this one is registered. */
     private TrackedRequest findOrRegister(TrackedRequest request, DuplicateKey key) {
         Entry entry = entriesByKey.get(key.text());
-        Entry lastRun = entry == null || entry.request.launched ? entry : entry.previous;
+        Entry lastRun = entry == null || entry.request.isLaunched() ? entry : entry.previous;
         // A duplicate from the time of the last run belongs to that, also where a later request is registered by now.
         if (lastRun != null && lastRun.covers(request)) {
             return lastRun.request;
@@ -74,11 +75,11 @@
 
     /** The request whose outcome this duplicate is to share, or null. */
     TrackedRequest findOriginal(TrackedRequest duplicate) {
-        TrackedRequest original = duplicate.duplicateOf;
-        while (original != null && !original.launched && original.duplicateOf != null) {
-            original = original.duplicateOf;
+        TrackedRequest original = duplicate.duplicateOf();
+        while (original != null && !original.isLaunched() && original.duplicateOf() != null) {
+            original = original.duplicateOf();
         }
-        if (original != null && original.launched) {
+        if (original != null && original.isLaunched()) {
             return original;
         }
         // The original ended without running, and another duplicate may have taken its place.
@@ -88,7 +89,7 @@
 
     /** The request was answered: if it never ran, no duplicate is to find it. */
     void evictIfNeverRun(TrackedRequest request) {
-        if (!request.launched) {
+        if (!request.isLaunched()) {
             evict(request);
         }
     }
@@ -108,12 +109,12 @@
 
     /** Duplicates that arrive until then are to find the request. */
     void retain(TrackedRequest request, Duration until) {
-        if (request.duplicateKey == null) {
+        if (request.duplicateKey() == null) {
             return;
         }
         Entry replaced = entryOf(request);
         Entry entry = new Entry(request, until, replaced == null ? null : replaced.previous);
-        entriesByKey.put(request.duplicateKey.text(), entry);
+        entriesByKey.put(request.duplicateKey().text(), entry);
         expirations.add(entry);
     }
 
@@ -121,14 +122,14 @@
     void evict(TrackedRequest request) {
         Entry entry = entryOf(request);
         if (entry != null && entry.request == request) {
-            if (request.launched || entry.previous == null || entry.previous.request.released) {
-                entriesByKey.remove(request.duplicateKey.text());
+            if (request.isLaunched() || entry.previous == null || entry.previous.request.isReleased()) {
+                entriesByKey.remove(request.duplicateKey().text());
             } else {
-                entriesByKey.put(request.duplicateKey.text(), entry.previous);
+                entriesByKey.put(request.duplicateKey().text(), entry.previous);
             }
         }
-        if (!request.launched) {
-            request.body = null;
+        if (!request.isLaunched()) {
+            request.releaseBody();
         }
     }
 
@@ -149,11 +150,12 @@
 
     /** The entry under the key of the request, which may be of another request; null if there is none. */
     private Entry entryOf(TrackedRequest request) {
-        return request.duplicateKey == null ? null : entriesByKey.get(request.duplicateKey.text());
+        return request.duplicateKey() == null
+                ? null
+                : entriesByKey.get(request.duplicateKey().text());
     }
 
     private static void releasePayloads(TrackedRequest request) {
-        request.result = null;
-        request.body = null;
+        request.releasePayloads();
     }
 }
--- a/src/main/java/merlinlever/backend/InDoubtCommands.java
+++ b/src/main/java/merlinlever/backend/InDoubtCommands.java
@@ -22,15 +22,13 @@
     }
 
     void launch(TrackedRequest request, Duration now) {
-        request.launchedAt = now;
-        request.launchInDoubt = false;
+        request.launchDelivery().sent(now);
         dependencies.launch(request);
     }
 
     void deliverReply(TrackedRequest request, Duration now) {
-        request.repliedAt = now;
-        request.replyInDoubt = false;
-        dependencies.deliverReply(request, request.callReply);
+        request.replyDelivery().sent(now);
+        dependencies.deliverReply(request, request.callReply());
     }
 
     /** The link is lost, and was last known to work at that time. */
@@ -44,8 +42,8 @@
     /** There is a new link: what is sent from now on is in doubt only if that one is lost too. */
     void linkRestored(Collection<TrackedRequest> requests) {
         for (TrackedRequest request : requests) {
-            request.launchInDoubt = inDoubtFrom != null && request.launchedAt.compareTo(inDoubtFrom) >= 0;
-            request.replyInDoubt = inDoubtFrom != null && request.repliedAt.compareTo(inDoubtFrom) >= 0;
+            request.launchDelivery().linkReplaced(inDoubtFrom);
+            request.replyDelivery().linkReplaced(inDoubtFrom);
         }
     }
 
@@ -57,14 +55,14 @@
             if (!request.isRunning()) {
                 continue;
             }
-            if (request.launchInDoubt && request.callBody == null && request.callReply == null) {
+            if (request.launchDelivery().isInDoubt() && request.callBody() == null && request.callReply() == null) {
                 launch(request, now);
             }
             // A second copy could be taken for the reply to the next call of the run: only where it is in doubt.
-            if (request.replyInDoubt && request.callReply != null) {
+            if (request.replyDelivery().isInDoubt() && request.callReply() != null) {
                 deliverReply(request, now);
             }
-            if (request.stopRequested) {
+            if (request.isStopRequested()) {
                 dependencies.stop(request);
             }
         }
--- a/src/main/java/merlinlever/backend/RequestLifecycle.java
+++ b/src/main/java/merlinlever/backend/RequestLifecycle.java
@@ -57,10 +57,10 @@
         }
         batch.eventAt(now);
         TrackedRequest request = new TrackedRequest(metadata, arrivedAt, duplicateKey(metadata), body, sink);
-        requestsById.put(request.id, request);
+        requestsById.put(request.id(), request);
         components.responses().requestReceived();
         RequestHandle original = components.idempotencyCache().register(request);
-        request.handle = driver.register(submit(now, metadata, arrivedAt, original), request);
+        request.setHandle(driver.register(submit(now, metadata, arrivedAt, original), request));
         return Optional.of(request);
     }
 
@@ -90,12 +90,12 @@
 
     /** See {@link Backend#callerDisconnected}. */
     void callerDisconnected(Duration now, TrackedRequest request) {
-        if (request.answered) {
+        if (request.isAnswered()) {
             return;
         }
         batch.eventAt(now);
         components.responses().close(request);
-        request.handle.callerGone(now);
+        request.handle().callerGone(now);
         components.downstreamCalls().cancel(request);
     }
 
@@ -106,15 +106,13 @@
             return;
         }
         batch.eventAt(now);
-        if (outcome == Outcome.STOPPED && request.stopRequested && !request.answered) {
+        if (outcome == Outcome.STOPPED && request.isStopRequested() && !request.isAnswered()) {
             // It still waits for its response, and may be started again.
-            request.launched = false;
-            request.stopRequested = false;
-            request.handle.runEnded(now, outcome);
+            request.returnToQueue();
+            request.handle().runEnded(now, outcome);
             return;
         }
-        request.outcome = outcome;
-        request.result = outcome == Outcome.OK ? result : null;
+        request.end(outcome, result);
         components.downstreamCalls().runEnded(request);
         components.responses().runEnded(request, now, outcome, result);
         components.idempotencyCache().runEnded(request, now);
@@ -126,14 +124,14 @@
         if (request != null && request.isRunning()) {
             batch.eventAt(now);
             components.downstreamCalls().callNeeded(request, body);
-            request.handle.callNeeded(now);
+            request.handle().callNeeded(now);
         }
     }
 
     /** See {@link Backend#callEnded}. */
     void callEnded(Duration now, long id, Outcome outcome, byte[] reply) {
         TrackedRequest request = requestsById.get(id);
-        if (request == null || !request.callInFlight) {
+        if (request == null || !request.isCallInFlight()) {
             return;
         }
         batch.eventAt(now);
@@ -142,22 +140,22 @@
             components.runQueue().runStarted();
             components.commands().deliverReply(request, now);
         }
-        request.handle.callEnded(now, outcome, elapsed);
+        request.handle().callEnded(now, outcome, elapsed);
     }
 
     /** See {@link Backend#agentEventsLost}. */
     void agentEventsLost(Duration now) {
         for (TrackedRequest request : List.copyOf(requests())) {
             if (request.isRunning()) {
-                runEnded(now, request.id, Outcome.ERROR, null);
+                runEnded(now, request.id(), Outcome.ERROR, null);
             }
         }
     }
 
     /** The controller will not name the request again. */
     void release(TrackedRequest request) {
-        requestsById.remove(request.id);
-        request.released = true;
+        requestsById.remove(request.id());
+        request.markReleased();
         components.idempotencyCache().evict(request);
     }
 }
--- a/src/main/java/merlinlever/backend/ResponseTracker.java
+++ b/src/main/java/merlinlever/backend/ResponseTracker.java
@@ -1,7 +1,6 @@
 package merlinlever.backend;
 
 import java.time.Duration;
-import java.util.List;
 import merlinlever.controller.Outcome;
 
 /** Sends each request its one response, and counts the requests that are still to be answered. */
@@ -20,16 +19,13 @@
 
     /** The request is answered, or need not be any more; returns the sink that waited for the response. */
     ResponseSink close(TrackedRequest request) {
-        ResponseSink sink = request.responseSink;
-        request.answered = true;
-        request.responseSink = null;
         unanswered--;
-        return sink;
+        return request.closeResponse();
     }
 
     /** Answers with the outcome, unless the request is answered already. */
     void respond(TrackedRequest request, Outcome outcome, byte[] result) {
-        if (request.answered) {
+        if (request.isAnswered()) {
             return;
         }
         ResponseSink sink = close(request);
@@ -42,7 +38,7 @@
 
     /** Answers with a rejection, unless the request is answered already. */
     void reject(TrackedRequest request, boolean finalRejection, Duration retryAfter) {
-        if (!request.answered) {
+        if (!request.isAnswered()) {
             close(request).reject(finalRejection, retryAfter);
         }
     }
@@ -50,11 +46,11 @@
     /** The run of the request has ended, and with it the request and all that share its outcome. */
     void runEnded(TrackedRequest request, Duration now, Outcome outcome, byte[] result) {
         respond(request, outcome, result);
-        request.handle.runEnded(now, outcome);
-        for (TrackedRequest duplicate : request.coalesced) {
+        request.handle().runEnded(now, outcome);
+        for (TrackedRequest duplicate : request.coalesced()) {
             endWithOutcomeOf(request, duplicate, now);
         }
-        request.coalesced = List.of();
+        request.clearCoalesced();
     }
 
     /**
@@ -67,11 +63,12 @@
         if (duplicate.hasEnded()) {
             return false;
         }
-        byte[] result = original != null && original.outcome == Outcome.OK ? original.result : null;
-        duplicate.outcome = result != null ? Outcome.OK : Outcome.ERROR;
-        duplicate.body = null;
-        respond(duplicate, duplicate.outcome, result);
-        duplicate.handle.runEnded(now, duplicate.outcome);
+        byte[] result = original != null && original.outcome() == Outcome.OK ? original.result() : null;
+        Outcome outcome = result != null ? Outcome.OK : Outcome.ERROR;
+        duplicate.end(outcome, null);
+        duplicate.releaseBody();
+        respond(duplicate, outcome, result);
+        duplicate.handle().runEnded(now, outcome);
         return true;
     }
 }
--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import merlinlever.backend.Backend;
 import merlinlever.backend.TrackedRequest;
+import merlinlever.common.Durations;
 import merlinlever.common.json.Json;
 import merlinlever.common.log.Log;
 import merlinlever.common.net.CloseReason;
@@ -279,7 +280,7 @@
 
     /** The agent is there for the first time: the clock counts from its start. */
     private void begin(AgentEvent.Greeting greeting) {
-        loop.clock().setOriginAgo(Duration.ofNanos((long) (greeting.elapsedMs() * 1e6)));
+        loop.clock().setOriginAgo(Durations.ofMillis(greeting.elapsedMs()));
         samples.setConfirmedUntil(loop.clock().now());
         log.info("agent-up mode=" + greeting.startMode() + " started_ms_ago=" + greeting.elapsedMs());
         backend.agentStarted(loop.clock().now(), greeting.isCold());
--- a/src/main/java/merlinlever/backend/http/EdgeServer.java
+++ b/src/main/java/merlinlever/backend/http/EdgeServer.java
@@ -37,6 +37,8 @@
      */
     private static final int IDLE_TIMEOUT_FACTOR = 2;
 
+    private static final int DEFAULT_IDLE_MS = 30_000;
+
     private final EventLoop loop;
     private final Backend backend;
     private final RequestMetadataParser requestParser;
@@ -55,7 +57,7 @@
         this.backend = backend;
         requestParser = new RequestMetadataParser(settings, loop.clock());
         connections = new EdgeConnectionTable(loop.clock());
-        long configuredIdleMs = (long) SettingsTranslator.number(settings, "server.idle", 30_000);
+        long configuredIdleMs = (long) SettingsTranslator.number(settings, "server.idle", DEFAULT_IDLE_MS);
         reaper = new EdgeConnectionReaper(loop, connections, Duration.ofMillis(IDLE_TIMEOUT_FACTOR * configuredIdleMs));
         loop.runNowAndEvery(SWEEP_INTERVAL, this::sweep);
     }
--- a/src/main/java/merlinlever/backend/http/RequestHead.java
+++ b/src/main/java/merlinlever/backend/http/RequestHead.java
@@ -73,13 +73,17 @@
      */
     static int findEnd(byte[] bytes, int start, int scanned, int limit) {
         for (int i = Math.max(start, scanned - (END_BYTES - 1)); i + END_BYTES <= limit; i++) {
-            if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
+            if (isLineEnd(bytes, i) && isLineEnd(bytes, i + 2)) {
                 return i + END_BYTES;
             }
         }
         return -1;
     }
 
+    private static boolean isLineEnd(byte[] bytes, int at) {
+        return bytes[at] == '\r' && bytes[at + 1] == '\n';
+    }
+
     /** Parses the head between the places; returns {@link HttpStatus#OK}, or the status to reject it with. */
     HttpStatus parse(byte[] input, int start, int end) {
         bytes = input;
@@ -112,7 +116,7 @@
     }
 
     private int findLineEnd(int at, int end) {
-        while (at + 1 < end && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
+        while (at + 1 < end && !isLineEnd(bytes, at)) {
             at++;
         }
         return at;
@@ -125,8 +129,13 @@
         if (methodEnd == start || at >= end || bytes[methodEnd] != ' ' || bytes[at] != '/') {
             return false;
         }
-        pathStart = at;
+        return parseTarget(at, end) && parseVersion(queryEnd, end);
+    }
+
+    private boolean parseTarget(int start, int end) {
+        pathStart = start;
         queryStart = -1;
+        int at = start;
         while (at < end && bytes[at] != ' ') {
             if (bytes[at] <= ' ' || bytes[at] == DELETE) {
                 return false;
@@ -138,10 +147,19 @@
         }
         queryEnd = at;
         pathEnd = queryStart < 0 ? at : queryStart - 1;
-        if (end - at != 9 || !matches(at, VERSION_PREFIX) || (bytes[end - 1] != '0' && bytes[end - 1] != '1')) {
+        return true;
+    }
+
+    /** Accepts HTTP/1.0 and HTTP/1.1. */
+    private boolean parseVersion(int start, int end) {
+        if (end - start != VERSION_PREFIX.length() + 1 || !matches(start, VERSION_PREFIX)) {
             return false;
         }
-        http10 = bytes[end - 1] == '0';
+        byte minorVersion = bytes[end - 1];
+        if (minorVersion != '0' && minorVersion != '1') {
+            return false;
+        }
+        http10 = minorVersion == '0';
         return true;
     }
 
@@ -182,10 +200,8 @@
         while (stop > at && isBlank(bytes[stop - 1])) {
             stop--;
         }
-        for (int i = at; i < stop; i++) {
-            if (isControl(bytes[i]) && bytes[i] != '\t') {
-                return false;
-            }
+        if (!isFieldValue(at, stop)) {
+            return false;
         }
         for (HeaderField field : FIELDS) {
             if (isNamed(field, start, colon)) {
@@ -195,6 +211,16 @@
         return true;
     }
 
+    /** RFC 9110, 5.5: no control characters but tabs. */
+    private boolean isFieldValue(int start, int end) {
+        for (int i = start; i < end; i++) {
+            if (isControl(bytes[i]) && bytes[i] != '\t') {
+                return false;
+            }
+        }
+        return true;
+    }
+
     /** False where the field has come before with another value. */
     private boolean setValue(HeaderField field, int start, int end) {
         int i = field.ordinal();
--- a/src/main/java/merlinlever/backend/management/StatusReport.java
+++ b/src/main/java/merlinlever/backend/management/StatusReport.java
@@ -6,6 +6,8 @@
 /** Writes the state of an instance as one JSON object; its member names are part of the management interface. */
 public final class StatusReport {
 
+    private static final int INITIAL_CAPACITY = 512;
+
     /** JSON has no infinity, which is the capacity while none has been learned. */
     private static final double MAX_REPORTED_CAPACITY = 1e9;
 
@@ -26,7 +28,7 @@
             long uptimeMs,
             ControllerMetrics metrics,
             String recovery) {
-        StringBuilder text = new StringBuilder(512)
+        StringBuilder text = new StringBuilder(INITIAL_CAPACITY)
                 .append("{\"phase\":\"")
                 .append(phase(draining, metrics))
                 .append("\",\"healthy\":")
--- a/src/main/java/merlinlever/backend/records/RecordsReply.java
+++ b/src/main/java/merlinlever/backend/records/RecordsReply.java
@@ -8,6 +8,11 @@
 /** One reply of the records service: a line of the request's id, a status word and a length, then the body. */
 final class RecordsReply {
 
+    /** The request id and the outcome. */
+    private static final int MIN_WORDS = 2;
+    /** With the length of a body. */
+    private static final int MAX_WORDS = 3;
+
     static final int MAX_LINE_BYTES = 128;
     static final int MAX_BODY_BYTES = 16 * 1024;
     private static final int REQUEST_ID_DIGITS = 16;
@@ -69,13 +74,14 @@
         }
         String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1).split(" ");
         int wordCount = words.length;
-        if (wordCount < 2 || wordCount > 3 || words[0].length() != REQUEST_ID_DIGITS) {
+        if (wordCount < MIN_WORDS || wordCount > MAX_WORDS || words[0].length() != REQUEST_ID_DIGITS) {
             throw new MalformedReplyException("no reply: " + String.join(" ", words));
         }
         int bodyStart = lineEnd + LINE_END_BYTES;
         int length = 0;
         int end = bodyStart;
-        if (wordCount == 3) {
+        boolean hasBody = wordCount == MAX_WORDS;
+        if (hasBody) {
             length = parseLength(words[2]);
             end = bodyStart + length + LINE_END_BYTES;
             if (end > limit) {
@@ -86,7 +92,7 @@
             }
         }
         Outcome outcome = parseOutcome(words[1]);
-        if (outcome == Outcome.OK && wordCount != 3) {
+        if (outcome == Outcome.OK && !hasBody) {
             throw new MalformedReplyException("done, without a length");
         }
         long requestId = parseNumber(words[0], HEXADECIMAL);
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import merlinlever.backend.Backend;
+import merlinlever.common.Durations;
 import merlinlever.common.log.Log;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.storage.StateDirectories;
@@ -147,7 +148,7 @@
                 longestMs = Math.max(longestMs, windowMs);
             }
         }
-        return Duration.ofNanos((long) (longestMs * 1e6));
+        return Durations.ofMillis(longestMs);
     }
 
     private static Duration period(ConfigurationValues values, String name, Duration defaultValue)
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import merlinlever.backend.Backend;
 import merlinlever.backend.directory.HeartbeatSender;
 import merlinlever.backend.management.ManagementServer;
@@ -91,7 +92,7 @@
         long startNanos = System.nanoTime();
         Duration timeLimit = WarmUp.timeLimit(Duration.ofNanos(startNanos - processStartNanos));
         int requests = WarmUp.run(configuration.settings(), configuration.recordsAddress() != null, timeLimit);
-        long durationMs = (System.nanoTime() - startNanos) / 1_000_000;
+        long durationMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         return "warm-up-finished requests=" + requests + " duration_ms=" + durationMs;
     }
 
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -35,6 +35,7 @@
     private static final int MAX_CALLS = 64;
     private static final Duration FIRST_REQUEST_DELAY = Duration.ofMillis(5);
     private static final int BUFFER_BYTES = 8 * 1024;
+    private static final int MAX_QUEUED_BYTES = 8 * BUFFER_BYTES;
     private static final InetSocketAddress AGENT = new InetSocketAddress(1);
     private static final InetSocketAddress RECORDS = new InetSocketAddress(2);
 
@@ -61,7 +62,7 @@
 
     /** Runs each request at once, with one downstream call where there is a records service. */
     private static final class StubAgent extends StubPeer {
-        private final LineDecoder lines = new LineDecoder(BUFFER_BYTES * 8);
+        private final LineDecoder lines = new LineDecoder(MAX_QUEUED_BYTES);
         private final boolean makesCalls;
         private int offset;
 
@@ -105,17 +106,20 @@
 
     /** Answers each call at once. */
     private static final class StubRecordsService extends StubPeer {
+        private static final String LINE_END = "\r\n";
+
         @Override
         public void onReceived(ByteBuffer in) {
             String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
-            int headEnd = text.indexOf("\r\n");
+            int headEnd = text.indexOf(LINE_END);
             if (headEnd < 0) {
                 return;
             }
             int bodyLength = Integer.parseInt(text.substring(text.lastIndexOf(' ', headEnd) + 1, headEnd));
-            if (text.length() >= headEnd + 4 + bodyLength) {
+            if (text.length() >= headEnd + LINE_END.length() + bodyLength + LINE_END.length()) {
                 in.position(in.limit());
-                String requestId = text.substring(3, 19);
+                int idStart = text.indexOf(' ') + 1;
+                String requestId = text.substring(idStart, text.indexOf(' ', idStart));
                 send(requestId + " DONE 3\r\nabc\r\n");
             }
         }
@@ -161,7 +165,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             StubEdgeClient client = new StubEdgeClient();
             assembly.edge()
-                    .addConnection(server -> Connection.inMemory(loop, server, client, BUFFER_BYTES, 8 * BUFFER_BYTES));
+                    .addConnection(server -> Connection.inMemory(loop, server, client, BUFFER_BYTES, MAX_QUEUED_BYTES));
             loop.schedule(FIRST_REQUEST_DELAY, client::sendRequest);
         }
     }
--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -8,7 +8,9 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.function.Consumer;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.ConfigSchema;
@@ -197,10 +199,12 @@
     }
 
     private static String powerSummary(boolean isPassed, int losses, int failedLosses, ServeFleet fleet) {
-        long[] counts = fleet.rules().counts();
-        return (isPassed ? "passed" : "FAILED") + ": " + losses + " losses, " + failedLosses + " failed; tries "
-                + counts[0] + " satisfied, " + counts[1] + " pushed back, " + counts[2] + " failed, " + counts[3]
-                + " without an answer; " + counts[4] + " operations with an effect, "
+        Object[] counts = Arrays.stream(fleet.rules().counts()).boxed().toArray();
+        return (isPassed ? "passed" : "FAILED") + ": " + losses + " losses, " + failedLosses + " failed; "
+                + String.format(
+                        Locale.ROOT,
+                        "tries %d satisfied, %d pushed back, %d failed, %d without an answer; %d operations with an effect, ",
+                        counts)
                 + fleet.rules().breached() + " breaches";
     }
 
--- a/src/main/java/merlinlever/common/config/ConfigFile.java
+++ b/src/main/java/merlinlever/common/config/ConfigFile.java
@@ -14,6 +14,8 @@
  */
 public final class ConfigFile {
 
+    private static final double PERCENT_PER_UNIT = 100;
+
     private final Path file;
     private final YamlDocument document;
 
@@ -82,7 +84,7 @@
 
     /** A percentage such as 50% as a fraction from 0 to 1, or the default where there is none. */
     public double fraction(String path, double defaultValue) {
-        return has(path) ? Double.parseDouble(at(path).asText().replace("%", "")) / 100 : defaultValue;
+        return has(path) ? Double.parseDouble(at(path).asText().replace("%", "")) / PERCENT_PER_UNIT : defaultValue;
     }
 
     /** A path of the file system; a relative one is resolved against the folder of this file. */
--- a/src/main/java/merlinlever/common/net/Connection.java
+++ b/src/main/java/merlinlever/common/net/Connection.java
@@ -37,10 +37,10 @@
         void attach(Connection connection);
     }
 
-    final EventLoop loop;
-    final Handler handler;
-    final ByteBuffer input;
-    final ArrayDeque<ByteBuffer> outgoing = new ArrayDeque<>();
+    private final EventLoop loop;
+    private final Handler handler;
+    private final ByteBuffer input;
+    private final ArrayDeque<ByteBuffer> outgoing = new ArrayDeque<>();
     private final int maxQueuedBytes;
     private int queuedBytes;
     private boolean connected;
@@ -146,7 +146,15 @@
         }
     }
 
-    final void notifyHandler(Runnable callback) {
+    final void notifyConnected() {
+        notifyHandler(handler::onConnected);
+    }
+
+    final void notifyFlushed() {
+        notifyHandler(handler::onFlushed);
+    }
+
+    private void notifyHandler(Runnable callback) {
         if (!loop.runGuarded(callback)) {
             close(CloseReason.HANDLER_FAILED);
         }
@@ -217,13 +225,27 @@
 
     // ---- the transport
 
-    /** Reads into {@link #input}, unless that is under way. */
+    final EventLoop loop() {
+        return loop;
+    }
+
+    /** The read buffer, ready to be written to: bytes that the handler has left lie before its position. */
+    final ByteBuffer input() {
+        return input;
+    }
+
+    /** The buffers queued for writing; the transport removes those that it has written. */
+    final ArrayDeque<ByteBuffer> outgoing() {
+        return outgoing;
+    }
+
+    /** Reads into {@link #input()}, unless that is under way. */
     abstract void startReading();
 
-    /** Whether the transport may be writing into {@link #input} at this moment. */
+    /** Whether the transport may be writing into {@link #input()} at this moment. */
     abstract boolean isInputInUse();
 
-    /** Writes from {@link #outgoing}. */
+    /** Writes from {@link #outgoing()}. */
     abstract void startWriting();
 
     /** Whether a write is under way. */
--- a/src/main/java/merlinlever/common/net/ConnectionAcceptor.java
+++ b/src/main/java/merlinlever/common/net/ConnectionAcceptor.java
@@ -15,6 +15,9 @@
  */
 public final class ConnectionAcceptor {
 
+    /** Connections that the system may hold established before they are accepted. */
+    private static final int MAX_PENDING_CONNECTIONS = 512;
+
     private static final Duration RETRY_DELAY = Duration.ofMillis(50);
     /** On closing, the backlog is taken to be accepted after this time, or later where the limit was reached. */
     private static final Duration BACKLOG_GRACE = Duration.ofMillis(50);
@@ -51,7 +54,7 @@
         this.onFull = onFull;
         channel = AsynchronousServerSocketChannel.open(loop.group());
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(address, 512);
+        channel.bind(address, MAX_PENDING_CONNECTIONS);
     }
 
     /** Where it listens. */
--- a/src/main/java/merlinlever/common/net/InMemoryConnection.java
+++ b/src/main/java/merlinlever/common/net/InMemoryConnection.java
@@ -29,8 +29,8 @@
     void startReading() {
         while (canReceive() && !arriving.isEmpty()) {
             ByteBuffer next = arriving.peek();
-            int count = Math.min(next.remaining(), input.remaining());
-            input.put(next.slice(next.position(), count));
+            int count = Math.min(next.remaining(), input().remaining());
+            input().put(next.slice(next.position(), count));
             next.position(next.position() + count);
             if (!next.hasRemaining()) {
                 arriving.poll();
@@ -46,10 +46,10 @@
 
     @Override
     void startWriting() {
-        peer.arriving.addAll(outgoing);
+        peer.arriving.addAll(outgoing());
         clearQueue();
-        loop.execute(peer::resumeReading);
-        notifyHandler(handler::onFlushed);
+        loop().execute(peer::resumeReading);
+        notifyFlushed();
     }
 
     @Override
@@ -64,6 +64,6 @@
 
     @Override
     void closeTransport() {
-        loop.execute(() -> peer.close(CloseReason.CLOSED_BY_PEER));
+        loop().execute(() -> peer.close(CloseReason.CLOSED_BY_PEER));
     }
 }
--- a/src/main/java/merlinlever/common/net/MonotonicClock.java
+++ b/src/main/java/merlinlever/common/net/MonotonicClock.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
+import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
 /**
@@ -13,6 +14,8 @@
     /** The process may be paused between two readings of the clocks: of so many pairs the closest one counts. */
     private static final int CLOCK_READINGS = 5;
 
+    private static final long NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
+
     private final LongSupplier unixNanos;
     private final LongSupplier monotonicNanos;
     private final long createdNanos;
@@ -38,7 +41,7 @@
         return new MonotonicClock(
                 () -> {
                     Instant now = Instant.now();
-                    return now.getEpochSecond() * 1_000_000_000L + now.getNano();
+                    return TimeUnit.SECONDS.toNanos(now.getEpochSecond()) + now.getNano();
                 },
                 System::nanoTime);
     }
@@ -74,7 +77,7 @@
 
     /** The time since the origin that corresponds to a Unix time; negative for one before the origin. */
     public Duration fromUnixMillis(long unixMillis) {
-        return Duration.ofNanos(unixMillis * 1_000_000L - unixOffsetNanos - originNanos);
+        return Duration.ofNanos(unixMillis * NANOS_PER_MILLI - unixOffsetNanos - originNanos);
     }
 
     long nanoTime() {
--- a/src/main/java/merlinlever/common/net/SocketConnection.java
+++ b/src/main/java/merlinlever/common/net/SocketConnection.java
@@ -15,7 +15,7 @@
     private static final int MAX_BUFFERS_PER_WRITE = 16;
 
     private final AsynchronousSocketChannel channel;
-    /** Receives a read while the handler's bytes lie in {@link #input}; null before the first such read. */
+    /** Receives a read while the handler's bytes lie in {@link #input()}; null before the first such read. */
     private ByteBuffer overflow;
 
     private boolean readPending;
@@ -38,8 +38,8 @@
     }
 
     void connect(SocketAddress address, Duration connectTimeout) {
-        EventLoop.Timer timeout = loop.schedule(connectTimeout, () -> connectFailed(CloseReason.CONNECT_TIMEOUT));
-        loop.execute(() -> startConnecting(address, timeout));
+        EventLoop.Timer timeout = loop().schedule(connectTimeout, () -> connectFailed(CloseReason.CONNECT_TIMEOUT));
+        loop().execute(() -> startConnecting(address, timeout));
     }
 
     private void startConnecting(SocketAddress address, EventLoop.Timer timeout) {
@@ -52,7 +52,7 @@
                 timeout.cancel();
                 if (isOpen()) {
                     setConnected();
-                    notifyHandler(handler::onConnected);
+                    notifyConnected();
                     scheduleFlush();
                     resumeReading();
                 }
@@ -81,15 +81,15 @@
         }
         readPending = true;
         // The channel's own thread fills the buffer at any moment from here on, so nobody else may use that one.
-        readingIntoOverflow = input.position() > 0;
-        channel.read(readingIntoOverflow ? overflowBuffer() : input, null, readCompletion);
+        readingIntoOverflow = input().position() > 0;
+        channel.read(readingIntoOverflow ? overflowBuffer() : input(), null, readCompletion);
     }
 
     private ByteBuffer overflowBuffer() {
         if (overflow == null) {
-            overflow = ByteBuffer.allocate(input.capacity());
+            overflow = ByteBuffer.allocate(input().capacity());
         }
-        return overflow.clear().limit(input.remaining());
+        return overflow.clear().limit(input().remaining());
     }
 
     @Override
@@ -109,7 +109,7 @@
                 return;
             }
             if (readingIntoOverflow) {
-                input.put(overflow.flip());
+                input().put(overflow.flip());
             }
             deliver();
             resumeReading();
@@ -127,9 +127,10 @@
     @Override
     void startWriting() {
         writePending = true;
-        ByteBuffer[] batch = new ByteBuffer[Math.min(MAX_BUFFERS_PER_WRITE, outgoing.size())];
+        ByteBuffer[] batch =
+                new ByteBuffer[Math.min(MAX_BUFFERS_PER_WRITE, outgoing().size())];
         int count = 0;
-        for (ByteBuffer buffer : outgoing) {
+        for (ByteBuffer buffer : outgoing()) {
             if (count == batch.length) {
                 break;
             }
@@ -148,14 +149,14 @@
         public void completed(Long count, Void attachment) {
             writePending = false;
             written(count.intValue());
-            while (!outgoing.isEmpty() && !outgoing.peek().hasRemaining()) {
-                outgoing.poll();
+            while (!outgoing().isEmpty() && !outgoing().peek().hasRemaining()) {
+                outgoing().poll();
             }
             if (!isOpen()) {
                 return;
             }
-            if (outgoing.isEmpty()) {
-                notifyHandler(handler::onFlushed);
+            if (outgoing().isEmpty()) {
+                notifyFlushed();
             } else {
                 scheduleFlush();
             }
--- a/src/main/java/merlinlever/simulator/ControllerInstance.java
+++ b/src/main/java/merlinlever/simulator/ControllerInstance.java
@@ -4,6 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import merlinlever.common.Durations;
 import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
@@ -30,6 +32,11 @@
         Outcome.NOT_STARTED
     };
 
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long MICROS_PER_MILLI = 1000;
+    /** The protocol has no timer that is due at once. */
+    private static final double MIN_WAKE_UP_DELAY_MS = 0.001;
+
     private final String name;
     private final double startMs;
     private final ControllerDriver<Long> driver;
@@ -64,7 +71,7 @@
     }
 
     private static Duration duration(double ms) {
-        return Duration.ofNanos(Math.round(ms * 1e6));
+        return Duration.ofNanos(Math.round(ms * NANOS_PER_MILLI));
     }
 
     /**
@@ -203,8 +210,7 @@
     @Override
     public void scheduleWakeUp(Duration at) {
         wakeUps++;
-        // The bench takes no timer that is due at once.
-        Duration delay = duration(Math.max(startMs + at.toNanos() / 1e6 - nowMs, 0.001));
+        Duration delay = duration(Math.max(startMs + Durations.toMillis(at) - nowMs, MIN_WAKE_UP_DELAY_MS));
         appendMillis(begin("set_alarm").append(" offset="), delay)
                 .append(" handle=look")
                 .append(wakeUps)
@@ -236,8 +242,10 @@
 
     /** Appends milliseconds with three places, cut off and not rounded. */
     private static StringBuilder appendMillis(StringBuilder out, Duration duration) {
-        long micros = duration.toNanos() / 1000;
-        out.append(micros / 1000).append('.');
-        return out.append(Long.toString(micros % 1000 + 1000), 1, 4);
+        long micros = TimeUnit.NANOSECONDS.toMicros(duration.toNanos());
+        out.append(micros / MICROS_PER_MILLI).append('.');
+        // The digit before the three places keeps their leading zeros.
+        String padded = Long.toString(micros % MICROS_PER_MILLI + MICROS_PER_MILLI);
+        return out.append(padded, 1, padded.length());
     }
 }
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -195,7 +195,7 @@
         assertEquals(List.of(next), fixture.launched(first, successor, next));
         fixture.disconnectCaller(next);
         assertEquals(5, fixture.backend.trackedRequests(), "four that run and the one that ran on");
-        assertNull(fixture.request(successor).body);
+        assertNull(fixture.request(successor).body());
     }
 
     /** A window that is over before the run ends: the run is found until it has ended. */
--- a/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
@@ -25,10 +25,10 @@
         fixture.endRun(first, Outcome.OK, "done");
         fixture.decide();
         fixture.advance(1900);
-        assertTrue(fixture.request(first).result != null);
+        assertTrue(fixture.request(first).result() != null);
         fixture.advance(200);
-        assertNull(fixture.request(first).result);
-        assertNull(fixture.request(first).body);
+        assertNull(fixture.request(first).result());
+        assertNull(fixture.request(first).body());
     }
 
     /** A result is released also if another run has taken its place under the key. */
@@ -39,8 +39,8 @@
         fixture.advance(5001);
         fixture.receiveAndComplete();
         fixture.advance(2100);
-        assertNull(fixture.request(first).result);
-        assertNull(fixture.request(first).body);
+        assertNull(fixture.request(first).result());
+        assertNull(fixture.request(first).body());
     }
 
     /** In a flood of callers that disconnect at once, the body is released with the request that never ran. */
@@ -51,7 +51,7 @@
         fixture.decide();
         fixture.disconnectCaller(queued);
         fixture.decide();
-        assertNull(fixture.request(queued).body);
+        assertNull(fixture.request(queued).body());
         assertEquals(4, fixture.backend.trackedRequests());
     }
 
@@ -68,8 +68,8 @@
             fixture.decide();
         }
         assertTrue(
-                fixture.request(first).coalesced.size() <= 1,
-                fixture.request(first).coalesced.size() + " retained");
+                fixture.request(first).coalesced().size() <= 1,
+                fixture.request(first).coalesced().size() + " retained");
         assertEquals(1, fixture.backend.trackedRequests());
     }
 
