--- a/src/main/java/merlinlever/backend/DownstreamService.java
+++ b/src/main/java/merlinlever/backend/DownstreamService.java
@@ -5,7 +5,7 @@
 
 /**
  * The service that runs call while they execute. A service that is unreachable, slow or over its quota is reported by
- * the outcome of the call; which way the call took is hidden behind this interface.
+ * the outcome of the call; which route the call took is hidden behind this interface.
  */
 public interface DownstreamService {
 
@@ -21,7 +21,7 @@
         void callEnded(Duration now, long requestId, Outcome outcome, byte[] reply);
     }
 
-    /** Makes the call that the request's run waits for; it ends with {@link Outcome#GIVEN_UP} after the timeout. */
+    /** Makes the call that the request's run waits for; it ends with {@link Outcome#TIMED_OUT} after the timeout. */
     void call(TrackedRequest request, byte[] body, Duration timeout);
 
     /** Abandons the call of the request: nobody waits for it any longer, and its end is not reported. */
--- a/src/main/java/merlinlever/backend/agent/AgentConnection.java
+++ b/src/main/java/merlinlever/backend/agent/AgentConnection.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
@@ -79,7 +80,9 @@
     public void onReceived(ByteBuffer input) {
         if (!lines.decode(input, line -> listener.onLine(this, line))) {
             // Closing would not help: on a new connection the same line would come again.
-            log.warn("agent-line-ignored reason=too-long max_bytes=" + MAX_LINE_BYTES);
+            log.write(LogEvent.warn("agent-line-ignored")
+                    .with("reason", "too-long")
+                    .with("max_bytes", MAX_LINE_BYTES));
             lines.skipLine(input);
         }
     }
--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -9,6 +9,7 @@
 import merlinlever.common.Durations;
 import merlinlever.common.json.Json;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.EventLoop;
 import merlinlever.controller.Outcome;
@@ -142,7 +143,8 @@
         @Override
         public void onClosed(AgentConnection source, CloseReason reason) {
             if (source == active) {
-                log.warn("agent-link-lost reason=" + reason + " last_offset=" + lastOffset);
+                log.write(
+                        LogEvent.warn("agent-link-lost").with("reason", reason).with("last_offset", lastOffset));
                 active = null;
                 backend.agentLinkLost(samples.confirmedUntil());
             } else if (source == pending) {
@@ -165,7 +167,9 @@
             return false;
         }
         if (offset > lastOffset + 1) {
-            log.warn("agent-events-missed first=" + (lastOffset + 1) + " last=" + (offset - 1));
+            log.write(LogEvent.warn("agent-events-missed")
+                    .with("first", lastOffset + 1)
+                    .with("last", offset - 1));
             backend.agentEventsLost(loop.clock().now());
         }
         lastOffset = offset;
@@ -197,13 +201,15 @@
         private Outcome checkedOutcome(AgentEvent.RunEnded event) {
             Optional<Outcome> outcome = event.outcome();
             if (outcome.isEmpty()) {
-                log.warn("agent-outcome-missing request=" + Long.toHexString(event.requestId()));
+                log.write(LogEvent.warn("agent-outcome-missing").with("request", Long.toHexString(event.requestId())));
                 return Outcome.ERROR;
             }
             int resultBytes = event.result().length;
             if (outcome.get() == Outcome.OK && resultBytes > MAX_RESULT_BYTES) {
-                log.warn("agent-result-dropped request=" + Long.toHexString(event.requestId()) + " bytes=" + resultBytes
-                        + " max_bytes=" + MAX_RESULT_BYTES);
+                log.write(LogEvent.warn("agent-result-dropped")
+                        .with("request", Long.toHexString(event.requestId()))
+                        .with("bytes", resultBytes)
+                        .with("max_bytes", MAX_RESULT_BYTES));
                 return Outcome.ERROR;
             }
             return outcome.get();
@@ -223,10 +229,11 @@
                     if (areInRange(event.gauges())) {
                         backend.metricsReceived(loop.clock().now(), event.gauges());
                     } else {
-                        log.warn("agent-gauges-ignored reason=out-of-range");
+                        log.write(LogEvent.warn("agent-gauges-ignored").with("reason", "out-of-range"));
                     }
                 }
-                case UNEXPECTED -> log.warn("agent-gauges-ignored reason=not-requested");
+                case UNEXPECTED -> log.write(
+                        LogEvent.warn("agent-gauges-ignored").with("reason", "not-requested"));
             }
         }
 
@@ -247,8 +254,9 @@
 
         @Override
         public void onCommandRefused(AgentEvent.CommandRefused event) {
-            log.warn("agent-command-refused command=" + event.command() + " request="
-                    + Long.toHexString(event.requestId()));
+            log.write(LogEvent.warn("agent-command-refused")
+                    .with("command", event.command())
+                    .with("request", Long.toHexString(event.requestId())));
             if ("launch".equals(event.command())) {
                 backend.runEnded(loop.clock().now(), event.requestId(), Outcome.NOT_STARTED, null);
             }
@@ -256,7 +264,7 @@
 
         @Override
         public void onUnknown(AgentEvent.Unknown event) {
-            log.warn("agent-event-unknown kind=" + event.kind());
+            log.write(LogEvent.warn("agent-event-unknown").with("kind", event.kind()));
         }
     }
 
@@ -282,7 +290,9 @@
     private void begin(AgentEvent.Greeting greeting) {
         loop.clock().setOriginAgo(Durations.ofMillis(greeting.elapsedMs()));
         samples.setConfirmedUntil(loop.clock().now());
-        log.info("agent-up mode=" + greeting.startMode() + " started_ms_ago=" + greeting.elapsedMs());
+        log.write(LogEvent.info("agent-up")
+                .with("mode", greeting.startMode())
+                .with("started_ms_ago", greeting.elapsedMs()));
         backend.agentStarted(loop.clock().now(), greeting.isCold());
     }
 
--- a/src/main/java/merlinlever/backend/http/EdgeServer.java
+++ b/src/main/java/merlinlever/backend/http/EdgeServer.java
@@ -36,7 +36,6 @@
      */
     private static final int IDLE_TIMEOUT_FACTOR = 2;
 
-
     private final EventLoop loop;
     private final Backend backend;
     private final RequestMetadataParser requestParser;
--- a/src/main/java/merlinlever/backend/package-info.java
+++ b/src/main/java/merlinlever/backend/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The backend without input or output: drives one {@link merlinlever.policy.OverloadController}, follows each request
- * from its receipt to its response and keeps results for duplicates. {@link merlinlever.backend.Backend} is its entry
- * point for the sockets; the adapter of the simulation uses {@link merlinlever.driver.ControllerDriver} alone. Nothing
- * here is thread-safe: all of it runs on one loop.
+ * The backend without input or output. It owns the requests of one server from receipt to response, their results for
+ * duplicates, and the controller that decides on them. {@link merlinlever.backend.Backend} is the entry point; the
+ * packages below call it with events from their sockets, and it calls them back through
+ * {@link merlinlever.backend.BackendDependencies}. Not thread-safe: everything runs on the event loop's thread.
  */
 package merlinlever.backend;
--- a/src/main/java/merlinlever/backend/records/RecordsClient.java
+++ b/src/main/java/merlinlever/backend/records/RecordsClient.java
@@ -14,6 +14,7 @@
 import merlinlever.backend.DownstreamService;
 import merlinlever.backend.TrackedRequest;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.EventLoop;
 import merlinlever.controller.Outcome;
@@ -250,8 +251,10 @@
             PendingCall call = connection.call();
             if (call != null) {
                 Outcome outcome = callOutcome(reason);
-                log.warn("records-connection-lost reason=" + reason + " request="
-                        + call.request().idText() + " outcome=" + outcome);
+                log.write(LogEvent.warn("records-connection-lost")
+                        .with("reason", reason)
+                        .with("request", call.request().idText())
+                        .with("outcome", outcome));
                 complete(call, Optional.of(outcome), null);
             }
             sendWaiting();
--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import java.util.Map;
-import java.util.stream.Collectors;
 import merlinlever.backend.Backend;
 import merlinlever.backend.http.EdgeServer;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.EventLoop;
 
 /**
@@ -70,7 +70,7 @@
         } else if (!idleHalfClosed && loop.clock().uptime().compareTo(lastMoment) >= 0) {
             // To end the process over unread bytes would reset the connection, and discard responses not read yet.
             idleHalfClosed = true;
-            log.info("idle-connections-half-closed read_on_ms=" + HALF_CLOSED_READ.toMillis());
+            log.write(LogEvent.info("idle-connections-half-closed").with("read_on_ms", HALF_CLOSED_READ.toMillis()));
             edge.closeIdleConnections();
             loop.schedule(HALF_CLOSED_READ, this::finish);
         }
@@ -83,10 +83,11 @@
         finished = true;
         Map<String, Long> differences = backend.shadowDifferences();
         if (!differences.isEmpty()) {
-            log.info("watched-settings-differences "
-                    + differences.entrySet().stream()
-                            .map(kind -> kind.getKey() + "=" + kind.getValue())
-                            .collect(Collectors.joining(" ")));
+            LogEvent event = LogEvent.info("watched-settings-differences");
+            for (Map.Entry<String, Long> setting : differences.entrySet()) {
+                event = event.with(setting.getKey(), setting.getValue());
+            }
+            log.write(event);
         }
         log.info("shutdown-finished");
         loop.stop();
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -12,6 +12,7 @@
 import merlinlever.backend.management.ManagementServer;
 import merlinlever.backend.management.StatusReport;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.EventLoop;
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.common.net.ProcessSignals;
@@ -45,7 +46,7 @@
     /** Whether the service directory lists backends by what they report; elsewhere any report keeps one listed. */
     private final boolean directoryFollowsReports;
 
-    private final String warmUpReport;
+    private final LogEvent warmUpReport;
 
     /** Everything but the listening: no client may connect before it is certain who receives the signals. */
     private ServeCommand(Map<String, String> environment, Log log, long processStartNanos)
@@ -88,12 +89,12 @@
                 log);
     }
 
-    private String warmUp(long processStartNanos) {
+    private LogEvent warmUp(long processStartNanos) {
         long startNanos = System.nanoTime();
         Duration timeLimit = WarmUp.timeLimit(Duration.ofNanos(startNanos - processStartNanos));
         int requests = WarmUp.run(configuration.settings(), configuration.recordsAddress() != null, timeLimit);
         long durationMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-        return "warm-up-finished requests=" + requests + " duration_ms=" + durationMs;
+        return LogEvent.info("warm-up-finished").with("requests", requests).with("duration_ms", durationMs);
     }
 
     private String statusReport() {
@@ -142,9 +143,11 @@
                 return 0;
             }
             command.listen();
-            log.info("listening address="
-                    + SocketAddresses.format(command.assembly.edge().address()));
-            log.info(command.warmUpReport);
+            log.write(LogEvent.info("listening")
+                    .with(
+                            "address",
+                            SocketAddresses.format(command.assembly.edge().address())));
+            log.write(command.warmUpReport);
             command.loop.run();
             return 0;
         } catch (InvalidConfigurationException | IOException e) {
@@ -173,10 +176,12 @@
     /** The other programs may be elsewhere now; everything else stays as it was at the start. */
     private void apply(ServeConfiguration reloaded) throws InvalidConfigurationException {
         recovery.reload(reloaded.values());
-        log.info("configuration-reloaded agent=" + text(reloaded.agentAddress()) + " records="
-                + text(reloaded.recordsAddress()) + " lookup=" + text(reloaded.directoryAddress()));
+        log.write(LogEvent.info("configuration-reloaded")
+                .with("agent", text(reloaded.agentAddress()))
+                .with("records", text(reloaded.recordsAddress()))
+                .with("lookup", text(reloaded.directoryAddress())));
         if (!reloaded.rawSettings().equals(configuration.rawSettings())) {
-            log.warn("changed-settings-ignored until=restart");
+            log.write(LogEvent.warn("changed-settings-ignored").with("until", "restart"));
         }
         assembly.agent().setAddress(reloaded.agentAddress());
         assembly.records().setAddress(reloaded.recordsAddress());
--- a/src/main/java/merlinlever/cli/faults/package-info.java
+++ b/src/main/java/merlinlever/cli/faults/package-info.java
@@ -1,2 +1,2 @@
-/** The command {@code faults ...}: the fault harness, for tests and trials on one machine. */
+/** The commands {@code faults ...}: fault injection and crash-state enumeration, for tests on one machine. */
 package merlinlever.cli.faults;
