--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -30,7 +30,7 @@
     private final Backend backend;
     private final Log log;
     private final SampleTracker samples = new SampleTracker();
-    private final HealthExercise exercise;
+    private final DeepHealthCheck deepCheck;
     private final EventHandler events = new EventHandler();
     private final AgentConnection.Listener connectionListener = new ConnectionListener();
     private InetSocketAddress address;
@@ -51,7 +51,7 @@
         this.address = address;
         this.backend = backend;
         this.log = log;
-        exercise = new HealthExercise(loop, backend::deepCheckCompleted);
+        deepCheck = new DeepHealthCheck(loop, backend::deepCheckCompleted);
     }
 
     // ---- the connection
@@ -249,7 +249,7 @@
 
         @Override
         public void onExercised(AgentEvent.Exercised event) {
-            exercise.answered(event.token(), event.succeeded());
+            deepCheck.answered(event.token(), event.succeeded());
         }
 
         @Override
@@ -303,7 +303,7 @@
         String token = nextToken("up");
         samples.expectCatchUp(token, loop.clock().now());
         active.send(AgentCommands.sample(token));
-        exercise.openToken().ifPresent(open -> active.send(AgentCommands.exercise(open)));
+        deepCheck.openToken().ifPresent(open -> active.send(AgentCommands.exercise(open)));
     }
 
     private String nextToken(String prefix) {
@@ -357,7 +357,7 @@
      */
     public void requestHealthExercise() {
         String token = nextToken("x");
-        exercise.open(token);
+        deepCheck.open(token);
         if (active != null) {
             active.send(AgentCommands.exercise(token));
         }
--- a/src/main/java/merlinlever/backend/agent/HealthExercise.java
+++ b/src/main/java/merlinlever/backend/agent/DeepHealthCheck.java
@@ -6,7 +6,7 @@
 import merlinlever.common.net.EventLoop;
 
 /** The deep health check that is open, if any: its token, its time limit, and its one verdict. */
-final class HealthExercise {
+final class DeepHealthCheck {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
 
@@ -16,7 +16,7 @@
     private EventLoop.Timer timeout;
 
     /** @param verdict gets whether the work was done in time, once for each check */
-    HealthExercise(EventLoop loop, Consumer<Boolean> verdict) {
+    DeepHealthCheck(EventLoop loop, Consumer<Boolean> verdict) {
         this.loop = loop;
         this.verdict = verdict;
     }
