--- a/src/main/java/merlinlever/backend/TrackedRequest.java
+++ b/src/main/java/merlinlever/backend/TrackedRequest.java
@@ -53,7 +53,7 @@
 
     /** The body of the call that the run waits for, or null; written by {@link DownstreamCallTracker}. */
     private byte[] callBody;
-    /** The reply to the run's last call until the run gets on, or null; written by {@link DownstreamCallTracker}. */
+    /** The reply to the run's last call until the run continues, or null; written by {@link DownstreamCallTracker}. */
     private byte[] callReply;
     /** Whether the run's call is with the downstream service; written by {@link DownstreamCallTracker}. */
     private boolean callInFlight;
--- a/src/main/java/merlinlever/backend/http/EdgeServer.java
+++ b/src/main/java/merlinlever/backend/http/EdgeServer.java
@@ -16,7 +16,7 @@
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.controller.settings.ControllerSettings;
 
-/** The server that edge nodes connect to. */
+/** The HTTP server that edge nodes connect to: accepts connections, and limits their number, age and idle time. */
 public final class EdgeServer {
 
     static final String REQUEST_PATH_PREFIX = "/svc/";
@@ -27,12 +27,12 @@
             List.of(EdgeConnection.State.NEW, EdgeConnection.State.IDLE, EdgeConnection.State.RECEIVING);
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
-    /** One connection in so many is kept free for new ones, and {@link #MIN_FREE_CONNECTIONS} at least. */
+    /** This fraction of the connections is kept free for new ones, at least {@link #MIN_FREE_CONNECTIONS}. */
     private static final int FREE_FRACTION_DIVISOR = 8;
 
     private static final int MIN_FREE_CONNECTIONS = 4;
     /**
-     * Edge nodes close idle connections themselves after the configured time; this server waits so many times longer.
+     * Edge nodes close idle connections themselves after the configured time; this server waits for a multiple of it.
      */
     private static final int IDLE_TIMEOUT_FACTOR = 2;
 
--- a/src/main/java/merlinlever/backend/http/RequestHead.java
+++ b/src/main/java/merlinlever/backend/http/RequestHead.java
@@ -68,8 +68,8 @@
     /**
      * Finds where the head that begins at {@code start} ends.
      *
-     * @param scanned no end lies wholly before this place
-     * @return the place behind the end, or -1 where the head is not complete
+     * @param scanned the index up to which the bytes are known to contain no end
+     * @return the index after the head, or -1 if it is not complete
      */
     static int findEnd(byte[] bytes, int start, int scanned, int limit) {
         for (int i = Math.max(start, scanned - (END_BYTES - 1)); i + END_BYTES <= limit; i++) {
@@ -84,7 +84,7 @@
         return bytes[at] == '\r' && bytes[at + 1] == '\n';
     }
 
-    /** Parses the head between the places; returns {@link HttpStatus#OK}, or the status to reject it with. */
+    /** Parses the head between the two indexes; returns {@link HttpStatus#OK}, or the status to reject it with. */
     HttpStatus parse(byte[] input, int start, int end) {
         bytes = input;
         Arrays.fill(valueStart, -1);
@@ -221,7 +221,7 @@
         return true;
     }
 
-    /** False where the field has come before with another value. */
+    /** False if the field occurred before with another value. */
     private boolean setValue(HeaderField field, int start, int end) {
         int i = field.ordinal();
         boolean repeated = valueStart[i] >= 0;
@@ -258,7 +258,7 @@
         return new String(bytes, start, end - start, StandardCharsets.ISO_8859_1);
     }
 
-    /** As it came. */
+    /** The method, as received. */
     String method() {
         return text(methodStart, methodEnd);
     }
@@ -290,12 +290,12 @@
         return has(HeaderField.EXPECT);
     }
 
-    /** Whether the field has come, with whatever value. */
+    /** Whether the head has the field. */
     boolean has(HeaderField field) {
         return valueStart[field.ordinal()] >= 0;
     }
 
-    /** The value of a field that has come, without blanks around it. */
+    /** The value of a field that the head has, without surrounding blanks. */
     String text(HeaderField field) {
         return text(valueStart[field.ordinal()], valueEnd[field.ordinal()]);
     }
@@ -334,7 +334,7 @@
         }
     }
 
-    /** Whether the value is exactly so many hexadecimal digits. */
+    /** Whether the value consists of exactly this number of hexadecimal digits. */
     boolean isHex(HeaderField field, int count) {
         int i = field.ordinal();
         if (!has(field) || valueEnd[i] - valueStart[i] != count) {
--- a/src/main/java/merlinlever/backend/management/ManagementServer.java
+++ b/src/main/java/merlinlever/backend/management/ManagementServer.java
@@ -16,9 +16,9 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * The management endpoint: {@code GET /state} over HTTP/1.1 returns one JSON object, anything else is not found. It
- * serves few connections, one request on each, and so many a second at most; further ones are closed unread, so that
- * the instance's own requests do not suffer.
+ * The management endpoint: {@code GET /state} over HTTP/1.1 returns one JSON object, anything else is 404. It
+ * limits concurrent connections and connections per second, serves one request on each, and closes further ones
+ * unread, so that the requests of the instance itself are not delayed.
  */
 public final class ManagementServer {
 
--- a/src/main/java/merlinlever/backend/records/RecordsReply.java
+++ b/src/main/java/merlinlever/backend/records/RecordsReply.java
@@ -5,19 +5,20 @@
 import java.util.Optional;
 import merlinlever.controller.Outcome;
 
-/** One reply of the records service: a line of the request's id, a status word and a length, then the body. */
+/**
+ * One reply of the downstream service: a line with the id of the request, a status and the length of the body, then the
+ * body. Immutable.
+ */
 final class RecordsReply {
 
     /** The request id and the outcome. */
-    private static final int MIN_WORDS = 2;
+    private static final int MIN_PARTS = 2;
     /** With the length of a body. */
-    private static final int MAX_WORDS = 3;
+    private static final int MAX_PARTS = 3;
 
     static final int MAX_LINE_BYTES = 128;
     static final int MAX_BODY_BYTES = 16 * 1024;
     private static final int REQUEST_ID_DIGITS = 16;
-    private static final int HEXADECIMAL = 16;
-    private static final int DECIMAL = 10;
     private static final int LINE_END_BYTES = 2;
     private static final int DELETE = 127;
 
@@ -33,7 +34,7 @@
         this.end = end;
     }
 
-    /** Bytes that cannot be or become a reply. */
+    /** The bytes violate the protocol, whatever follows them. */
     static final class MalformedReplyException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -57,13 +58,13 @@
         return body;
     }
 
-    /** The place behind the reply in the bytes that it was read from. */
+    /** The index after the reply in the bytes that it was parsed from. */
     int end() {
         return end;
     }
 
     /**
-     * Reads the reply that begins at {@code start}; empty as long as it is not complete.
+     * Parses the reply that begins at {@code start}; empty if it is not complete.
      *
      * @throws MalformedReplyException if no further bytes can make it a reply
      */
@@ -72,17 +73,17 @@
         if (lineEnd < 0) {
             return Optional.empty();
         }
-        String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1).split(" ");
-        int wordCount = words.length;
-        if (wordCount < MIN_WORDS || wordCount > MAX_WORDS || words[0].length() != REQUEST_ID_DIGITS) {
-            throw new MalformedReplyException("no reply: " + String.join(" ", words));
+        String[] parts = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1).split(" ");
+        int partCount = parts.length;
+        if (partCount < MIN_PARTS || partCount > MAX_PARTS || parts[0].length() != REQUEST_ID_DIGITS) {
+            throw new MalformedReplyException("no reply: " + String.join(" ", parts));
         }
         int bodyStart = lineEnd + LINE_END_BYTES;
         int length = 0;
         int end = bodyStart;
-        boolean hasBody = wordCount == MAX_WORDS;
+        boolean hasBody = partCount == MAX_PARTS;
         if (hasBody) {
-            length = parseLength(words[2]);
+            length = parseLength(parts[2]);
             end = bodyStart + length + LINE_END_BYTES;
             if (end > limit) {
                 return Optional.empty();
@@ -91,16 +92,16 @@
                 throw new MalformedReplyException("a body without its end");
             }
         }
-        Outcome outcome = parseOutcome(words[1]);
+        Outcome outcome = parseOutcome(parts[1]);
         if (outcome == Outcome.OK && !hasBody) {
             throw new MalformedReplyException("done, without a length");
         }
-        long requestId = parseNumber(words[0], HEXADECIMAL);
+        long requestId = parseNumber(parts[0], 16);
         byte[] body = Arrays.copyOfRange(bytes, bodyStart, bodyStart + length);
         return Optional.of(new RecordsReply(requestId, outcome, body, end));
     }
 
-    /** The place of the line's end, or -1 as long as it has none. */
+    /** The index of the line's end, or -1 if the line is not complete. */
     private static int findLineEnd(byte[] bytes, int start, int limit) throws MalformedReplyException {
         int at = start;
         while (at + 1 < limit && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
@@ -120,7 +121,7 @@
     }
 
     private static int parseLength(String digits) throws MalformedReplyException {
-        long declared = parseNumber(digits, DECIMAL);
+        long declared = parseNumber(digits, 10);
         if (declared < 0 || declared > MAX_BODY_BYTES) {
             throw new MalformedReplyException("no length: " + digits);
         }
--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -25,12 +25,12 @@
     private final EdgeServer edge;
     private final EventLoop loop;
     private final Log log;
-    private EventLoop.Timer alarm;
+    private EventLoop.Timer wakeUpTimer;
 
     /**
      * Connects to the agent at once; the edge server does not listen yet.
      *
-     * @param settings of the decision module
+     * @param settings of the controller
      * @param recordsAddress null where there is no records service
      * @param maxCalls calls to the records service in flight at once
      */
@@ -110,10 +110,10 @@
 
     @Override
     public void scheduleWakeUp(Duration at) {
-        if (alarm != null) {
-            alarm.cancel();
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel();
         }
-        alarm = loop.schedule(
+        wakeUpTimer = loop.schedule(
                 at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 
--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -19,7 +19,7 @@
     private static final Duration LAST_WRITES = Duration.ofMillis(150);
     /** How long half-closed connections are read on, for requests that are on their way; less than the reserve above. */
     private static final Duration HALF_CLOSED_READ = Duration.ofMillis(60);
-    /** The signal may take so long to reach the event loop; the grace counts from the signal. */
+    /** How long the signal may take to reach the event loop; the grace period counts from the signal. */
     private static final Duration SIGNAL_DELAY = Duration.ofMillis(100);
 
     private final EventLoop loop;
@@ -35,7 +35,7 @@
      * Does nothing until it is started.
      *
      * @param stopAfter from the signal to the end of the process
-     * @param drainGrace from the signal, for so long new requests are accepted still
+     * @param drainGrace how long new requests are accepted after the signal
      */
     GracefulShutdown(EventLoop loop, BackendAssembly assembly, Duration stopAfter, Duration drainGrace, Log log) {
         this.loop = loop;
@@ -50,7 +50,7 @@
     void start() {
         Duration now = loop.clock().now();
         backend.startDrain(now.minus(SIGNAL_DELAY), now.plus(timeToStop));
-        // Within the grace requests are started still; after it none is, so none need come.
+        // Requests are still started within the grace period, and none after it.
         Duration openFor = drainGrace.compareTo(timeToStop) < 0 ? drainGrace : timeToStop;
         loop.schedule(openFor, () -> {
             edge.close();
@@ -68,7 +68,7 @@
         if (edge.hasNoConnections()) {
             finish();
         } else if (!idleHalfClosed && loop.clock().uptime().compareTo(lastMoment) >= 0) {
-            // To end the process over unread bytes would reset the connection, and discard responses not read yet.
+            // Ending the process with unread bytes would reset the connection and discard responses in transit.
             idleHalfClosed = true;
             log.write(LogEvent.info("idle-connections-half-closed").with("read_on_ms", HALF_CLOSED_READ.toMillis()));
             edge.closeIdleConnections();
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -173,7 +173,7 @@
         }
     }
 
-    /** A time since the process started, on the clock from whose start the decision module counts. */
+    /** A time since the process started, on the clock whose origin the controller counts from. */
     static Duration sinceModuleStart(EventLoop loop, Duration sinceProcessStart) {
         return loop.clock().now().plus(sinceProcessStart.minus(loop.clock().uptime()));
     }
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -27,7 +27,7 @@
 public final class ServeCommand implements ProcessSignals.Subscriber {
 
     private static final Duration CLOCK_COMPARISON_PERIOD = Duration.ofSeconds(1);
-    /** One file descriptor in so many is for a call to the records service. */
+    /** This fraction of the file descriptors is for calls to the downstream service. */
     private static final int DESCRIPTORS_PER_CALL = 8;
 
     private static final int MIN_CALLS = 4;
@@ -173,7 +173,7 @@
         });
     }
 
-    /** The other programs may be elsewhere now; everything else stays as it was at the start. */
+    /** Applies new addresses of the other programs; all other changes wait for the next start. */
     private void apply(ServeConfiguration reloaded) throws InvalidConfigurationException {
         recovery.reload(reloaded.values());
         log.write(LogEvent.info("configuration-reloaded")
--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -39,7 +39,6 @@
 public final class FaultsCommands implements Runnable {
 
     private static final String SEED = "[0-9a-fA-F]{1,16}";
-    private static final int HEX = 16;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
     private static final int MIN_PROCESSES = 2;
     private static final int MAX_PROCESSES = 60;
@@ -107,7 +106,7 @@
             err().println("merlinlever: --folder " + folder + " is not a folder");
             return 2;
         }
-        return play(seed == null ? plan : withSeed(plan, Long.parseUnsignedLong(seed, HEX)), folder);
+        return play(seed == null ? plan : withSeed(plan, Long.parseUnsignedLong(seed, 16)), folder);
     }
 
     private static FaultScript.FaultPlan withSeed(FaultScript.FaultPlan plan, long seed) {
@@ -173,7 +172,7 @@
                             "merlinlever: --processes is from 2 to 60, --losses from 1 to 100000, --seed 1 to 16 hex digits");
             return 2;
         }
-        long firstSeed = Long.parseUnsignedLong(seed, HEX);
+        long firstSeed = Long.parseUnsignedLong(seed, 16);
         try (ServeFleet fleet = new ServeFleet(
                 folder.toAbsolutePath(),
                 new ServeFleet.ServeFleetSettings(processes, !withoutRecovery, POWER_REQUESTS_PER_SECOND, POWER_WINDOW),
--- a/src/main/java/merlinlever/cli/service/ServiceCommand.java
+++ b/src/main/java/merlinlever/cli/service/ServiceCommand.java
@@ -30,7 +30,7 @@
     protected abstract ConfigSchema schema();
 
     /**
-     * Runs the service until it is told to stop.
+     * Runs the service until SIGTERM.
      *
      * @throws InvalidConfigFileException if it cannot start with the configuration
      */
--- a/src/main/java/merlinlever/common/Durations.java
+++ b/src/main/java/merlinlever/common/Durations.java
@@ -9,7 +9,7 @@
 
     private Durations() {}
 
-    /** The duration of so many milliseconds, cut to whole nanoseconds. */
+    /** The duration of this number of milliseconds, truncated to nanoseconds. */
     public static Duration ofMillis(double millis) {
         return Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
     }
--- a/src/main/java/merlinlever/common/net/Connection.java
+++ b/src/main/java/merlinlever/common/net/Connection.java
@@ -8,8 +8,8 @@
 import java.util.ArrayDeque;
 
 /**
- * One stream connection. It reads into one buffer, out of which its handler takes complete messages; what is queued for
- * writing is written at the end of the event loop's batch, in one gathered write. It is closed once, for one reason.
+ * A stream connection. It reads into one buffer, from which its handler takes complete messages. Queued buffers are
+ * written at the end of the event loop's batch, in one gathering write. A connection is closed once, for one reason.
  * All methods are called on the event loop's thread.
  */
 public abstract class Connection {
@@ -115,7 +115,7 @@
 
     // ---- reading
 
-    /** Goes on reading if there is room, after {@link Handler#onReceived} has taken what it left before. */
+    /** Continues to read if the buffer has room, after the handler has consumed bytes. */
     public final void resumeReading() {
         if (canReceive() && connected) {
             startReading();
@@ -127,7 +127,7 @@
         return isOpen() && !delivering && input.hasRemaining();
     }
 
-    /** Offers the bytes again that the handler has left, and goes on reading. */
+    /** Hands the bytes that the handler has left to it again, and continues to read. */
     public final void redeliver() {
         if (!isInputInUse() && !delivering && isOpen() && input.position() > 0) {
             deliver();
@@ -195,7 +195,7 @@
         }
     }
 
-    /** So many bytes of what was queued have been written. */
+    /** This number of queued bytes has been written. */
     final void written(int bytes) {
         queuedBytes -= bytes;
     }
@@ -239,7 +239,7 @@
         return outgoing;
     }
 
-    /** Reads into {@link #input()}, unless that is under way. */
+    /** Starts to read into {@link #input()}, unless a read is in progress. */
     abstract void startReading();
 
     /** Whether the transport may be writing into {@link #input()} at this moment. */
@@ -248,7 +248,7 @@
     /** Writes from {@link #outgoing()}. */
     abstract void startWriting();
 
-    /** Whether a write is under way. */
+    /** Whether a write is in progress. */
     abstract boolean isWritePending();
 
     abstract void shutdownTransportOutput();
--- a/src/main/java/merlinlever/common/net/ConnectionAcceptor.java
+++ b/src/main/java/merlinlever/common/net/ConnectionAcceptor.java
@@ -15,7 +15,7 @@
  */
 public final class ConnectionAcceptor {
 
-    /** Connections that the system may hold established before they are accepted. */
+    /** The backlog: connections that the system has established and the program has not accepted. */
     private static final int MAX_PENDING_CONNECTIONS = 512;
 
     private static final Duration RETRY_DELAY = Duration.ofMillis(50);
--- a/src/main/java/merlinlever/common/net/MonotonicClock.java
+++ b/src/main/java/merlinlever/common/net/MonotonicClock.java
@@ -6,12 +6,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Durations since an origin, on a clock that never steps. The origin can be set anew. Unix times are converted by the
- * offset between the two clocks, which is measured again now and then, as the two need not run equally fast.
+ * Durations since an origin, on a clock that never steps. The origin can be reset. Unix times are converted by the offset
+ * between the two clocks, which is measured repeatedly, as they may drift apart. Used on the event loop's thread.
  */
 public final class MonotonicClock {
 
-    /** The process may be paused between two readings of the clocks: of so many pairs the closest one counts. */
+    /** Pairs of readings of both clocks; the closest pair counts, as the process may be paused between two readings. */
     private static final int CLOCK_READINGS = 5;
 
     private static final long NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
@@ -23,7 +23,7 @@
     private long originNanos;
 
     /**
-     * A clock on two others, which count nanoseconds.
+     * Creates a clock from two others, which count nanoseconds.
      *
      * @param unixNanos since 1970; may step
      * @param monotonicNanos since any time; never steps back
@@ -36,7 +36,7 @@
         resyncUnixOffset();
     }
 
-    /** A clock on those of the system; the origin is now. */
+    /** Creates a clock from those of the system; the origin is now. */
     public static MonotonicClock system() {
         return new MonotonicClock(
                 () -> {
--- a/src/main/java/merlinlever/common/storage/package-info.java
+++ b/src/main/java/merlinlever/common/storage/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The one seam through which the program's durable writes go: a directory of state files on disk, a writer that keeps disk latency
- * off the event loop, and a recording of all operations for the fault harness, which replays them up to simulated power losses.
+ * Durable storage: a directory of state files, a writer thread that keeps disk latency off the event loop, and a recording of all
+ * file operations, from which the fault tests reconstruct the states after a power loss. All durable writes of the program go
+ * through {@link merlinlever.common.storage.StateDirectory}. Each class states its threads.
  */
 package merlinlever.common.storage;
--- a/src/main/java/merlinlever/simulator/ControllerInstance.java
+++ b/src/main/java/merlinlever/simulator/ControllerInstance.java
@@ -16,8 +16,8 @@
 import merlinlever.driver.DecisionHandler;
 
 /**
- * One simulated server: a controller and the ids by which the bench names its requests. Times on the wire are
- * milliseconds of the bench's clock; the controller's count from the start of the instance.
+ * One simulated server: a controller, and the ids by which the simulator names its requests. Times on the wire are
+ * milliseconds of the simulator's clock; the controller's times count from the start of the server.
  */
 final class ControllerInstance implements DecisionHandler<Long> {
 
@@ -42,7 +42,7 @@
     private final double startMs;
     private final ControllerDriver<Long> driver;
     private final Map<Long, RequestHandle> handlesById = new HashMap<>();
-    /** Wake-ups that were asked for; the number is part of their handle on the wire. */
+    /** How many wake-ups were requested; the number is part of their handle on the wire. */
     private long wakeUps;
     /** The time of the decision that is being carried out. */
     private double nowMs;
@@ -241,7 +241,7 @@
         return OUTCOMES_BY_CODE[(int) code];
     }
 
-    /** Appends milliseconds with three places, cut off and not rounded. */
+    /** Appends milliseconds with three decimal places, truncated. */
     private static StringBuilder appendMillis(StringBuilder out, Duration duration) {
         long micros = TimeUnit.NANOSECONDS.toMicros(duration.toNanos());
         out.append(micros / MICROS_PER_MILLI).append('.');
--- a/src/main/java/merlinlever/simulator/WireEventText.java
+++ b/src/main/java/merlinlever/simulator/WireEventText.java
@@ -4,7 +4,7 @@
 import merlinlever.common.Durations;
 import merlinlever.controller.ControllerEvent;
 
-/** The texts of the controller's events on the wire, which stay as they were in version 0.2. */
+/** The text of each controller event in the simulator's protocol, unchanged since version 0.2. */
 final class WireEventText {
 
     private WireEventText() {}
--- a/src/main/java/merlinlever/simulator/WireHost.java
+++ b/src/main/java/merlinlever/simulator/WireHost.java
@@ -11,7 +11,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Runs any number of simulated servers for the bench, on its line protocol. The instances share nothing. */
+/**
+ * Runs the controllers of any number of simulated servers, on the line protocol of the simulator. The servers share
+ * nothing. Not thread-safe.
+ */
 public final class WireHost {
 
     private static final int INPUT_BUFFER_CHARS = 1 << 16;
@@ -22,7 +25,7 @@
     private final Map<String, ControllerInstance> instancesByName = new HashMap<>();
     private long linesRead;
 
-    /** Reads batches from the input, answers them on the output and reports why it ends on the errors. */
+    /** Reads batches from the input, writes decisions to the output, and the reason of a failed end to the errors. */
     public WireHost(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), INPUT_BUFFER_CHARS);
         this.out = out;
@@ -107,7 +110,7 @@
 
     /**
      * Runs an action of one instance. A failure of its controller, whatever it is, ends that instance alone and is
-     * reported to the bench, which counts it; input that breaks the protocol ends the host.
+     * reported to the simulator, which counts it; input that breaks the protocol ends the host.
      */
     private static void reportFailure(String name, StringBuilder reply, Runnable action) {
         try {
--- a/src/main/java/merlinlever/simulator/WireMessage.java
+++ b/src/main/java/merlinlever/simulator/WireMessage.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * One line of the bench's protocol: a verb and fields {@code name=value}, set apart by blanks. Fields are parsed where
- * they lie when they are asked for; those beyond the {@value #MAX_FIELDS}th are ignored.
+ * One line of the simulator's protocol: a verb and fields {@code name=value}, separated by blanks. A field is parsed in
+ * place when it is asked for; those beyond the {@value #MAX_FIELDS}th are ignored.
  */
 final class WireMessage {
 
@@ -162,7 +162,7 @@
     /**
      * Whether the field is {@code 1} or {@code true}; false without the field.
      *
-     * @throws MalformedMessageException if it is something else than a truth value
+     * @throws MalformedMessageException if it is anything but a truth value
      */
     boolean flag(String name) {
         String value = text(name);
@@ -176,7 +176,7 @@
     }
 
     /**
-     * The numbers in the field, which are set apart by commas; none without the field.
+     * The numbers in the field, which are separated by commas; none without the field.
      *
      * @throws MalformedMessageException if one of them is no number
      */
--- a/src/main/java/merlinlever/testing/measurement/DecisionBenchmark.java
+++ b/src/main/java/merlinlever/testing/measurement/DecisionBenchmark.java
@@ -36,6 +36,7 @@
     private static final Duration GAUGE_PERIOD = Duration.ofMillis(50);
     private static final Duration WARM_UP_TIME = Duration.ofSeconds(5);
     private static final Duration MEASURED_TIME = Duration.ofSeconds(10);
+    private static final int CHECKSUM_FACTOR = 31;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -50,16 +51,19 @@
         Result result = measure(MEASURED_TIME);
         System.out.printf(
                 Locale.ROOT,
-                "decisions_per_second=%.0f batches_per_second=%.0f rounds=%d seconds=%.1f checksum=%08x%n",
+                "decisions_per_second=%.0f batches_per_second=%.0f rounds=%d seconds=%.1f"
+                        + " started=%d rejected=%d checksum=%08x%n",
                 result.decisions / result.seconds,
                 result.batches / result.seconds,
                 result.rounds,
                 result.seconds,
-                result.checksum);
+                result.lastRound.started,
+                result.lastRound.rejected,
+                result.lastRound.checksum);
     }
 
-    /** The sums over all rounds; the checksum is that of one round. */
-    private record Result(int rounds, long batches, long decisions, double seconds, int checksum) {}
+    /** The sums over all rounds, and one of the rounds, which are all alike. */
+    private record Result(int rounds, long batches, long decisions, double seconds, Round lastRound) {}
 
     private static Result measure(Duration time) {
         long start = System.nanoTime();
@@ -75,7 +79,7 @@
             rounds++;
         } while (System.nanoTime() - start < time.toNanos());
         double seconds = (System.nanoTime() - start) / NANOS_PER_SECOND;
-        return new Result(rounds, batches, decisions, seconds, round.checksum);
+        return new Result(rounds, batches, decisions, seconds, round);
     }
 
     private static Map<String, String> settings() {
@@ -110,6 +114,8 @@
         private Duration nextDecision = Duration.ofDays(1);
         private long batches;
         private long decisions;
+        private int started;
+        private int rejected;
         private int checksum;
 
         void play() {
@@ -160,12 +166,17 @@
             batches++;
             decisions += decided.inOrder().size();
             for (Decision decision : decided.inOrder()) {
-                checksum = 31 * checksum + decision.getClass().getSimpleName().hashCode();
+                checksum = CHECKSUM_FACTOR * checksum
+                        + decision.getClass().getSimpleName().hashCode();
+                if (decision instanceof Decision.Reject) {
+                    rejected++;
+                }
                 if (decision instanceof Decision.Start start) {
+                    started++;
                     runs.add(new Run(start.request(), now.plus(exponential(MEAN_RUN_MS))));
                 }
             }
-            checksum = 31 * checksum + Long.hashCode(now.toNanos());
+            checksum = CHECKSUM_FACTOR * checksum + Long.hashCode(now.toNanos());
             nextDecision = decided.nextDecisionAt();
         }
 
