--- a/src/main/java/merlinlever/cli/faults/FaultsCommands.java
+++ b/src/main/java/merlinlever/cli/faults/FaultsCommands.java
@@ -8,7 +8,9 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.function.Consumer;
 import merlinlever.common.config.ConfigFile;
 import merlinlever.common.config.ConfigSchema;
@@ -37,7 +39,6 @@
 public final class FaultsCommands implements Runnable {
 
     private static final String SEED = "[0-9a-fA-F]{1,16}";
-    private static final int HEX = 16;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
     private static final int MIN_PROCESSES = 2;
     private static final int MAX_PROCESSES = 60;
@@ -105,7 +106,7 @@
             err().println("merlinlever: --folder " + folder + " is not a folder");
             return 2;
         }
-        return play(seed == null ? plan : withSeed(plan, Long.parseUnsignedLong(seed, HEX)), folder);
+        return play(seed == null ? plan : withSeed(plan, Long.parseUnsignedLong(seed, 16)), folder);
     }
 
     private static FaultScript.FaultPlan withSeed(FaultScript.FaultPlan plan, long seed) {
@@ -171,7 +172,7 @@
                             "merlinlever: --processes is from 2 to 60, --losses from 1 to 100000, --seed 1 to 16 hex digits");
             return 2;
         }
-        long firstSeed = Long.parseUnsignedLong(seed, HEX);
+        long firstSeed = Long.parseUnsignedLong(seed, 16);
         try (ServeFleet fleet = new ServeFleet(
                 folder.toAbsolutePath(),
                 new ServeFleet.ServeFleetSettings(processes, !withoutRecovery, POWER_REQUESTS_PER_SECOND, POWER_WINDOW),
@@ -197,10 +198,12 @@
     }
 
     private static String powerSummary(boolean isPassed, int losses, int failedLosses, ServeFleet fleet) {
-        long[] counts = fleet.rules().counts();
-        return (isPassed ? "passed" : "FAILED") + ": " + losses + " losses, " + failedLosses + " failed; tries "
-                + counts[0] + " satisfied, " + counts[1] + " pushed back, " + counts[2] + " failed, " + counts[3]
-                + " without an answer; " + counts[4] + " operations with an effect, "
+        Object[] counts = Arrays.stream(fleet.rules().counts()).boxed().toArray();
+        return (isPassed ? "passed" : "FAILED") + ": " + losses + " losses, " + failedLosses + " failed; "
+                + String.format(
+                        Locale.ROOT,
+                        "tries %d satisfied, %d pushed back, %d failed, %d without an answer; %d operations with an effect, ",
+                        counts)
                 + fleet.rules().breached() + " breaches";
     }
 
