--- a/src/main/java/merlinlever/testing/faults/AgentFleet.java
+++ b/src/main/java/merlinlever/testing/faults/AgentFleet.java
@@ -188,7 +188,7 @@
         for (int i = 0; i < count; i++) {
             running.put(
                     name(i),
-                    processes.starts(name(i)) > 0 && processes.seen(name(i)) == ManagedProcesses.ProcessState.RUNNING);
+                    processes.starts(name(i)) > 0 && processes.state(name(i)) == ManagedProcesses.ProcessState.RUNNING);
         }
         return running;
     }
--- a/src/main/java/merlinlever/testing/faults/FaultHarness.java
+++ b/src/main/java/merlinlever/testing/faults/FaultHarness.java
@@ -96,10 +96,10 @@
         fleet.links(LinkFaults::heal);
         for (int i = 0; i < fleet.count(); i++) {
             String name = fleet.name(i);
-            if (fleet.processes().seen(name) == ManagedProcesses.ProcessState.PAUSED) {
+            if (fleet.processes().state(name) == ManagedProcesses.ProcessState.PAUSED) {
                 fleet.processes().resume(name);
             }
-            if (fleet.processes().seen(name) == ManagedProcesses.ProcessState.ENDED) {
+            if (fleet.processes().state(name) == ManagedProcesses.ProcessState.ENDED) {
                 restart(i);
             }
         }
@@ -139,7 +139,7 @@
         switch (step.kind()) {
             case KILL, POWER -> {
                 for (int i : who(step.who())) {
-                    if (processes.seen(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED) {
+                    if (processes.state(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED) {
                         processes.kill(fleet.name(i));
                         powered[i] = step.kind() == FaultScript.FaultKind.POWER;
                     }
@@ -147,8 +147,8 @@
             }
             case TERM -> {
                 for (int i : who(step.who())) {
-                    if (processes.seen(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED
-                            && !processes.term(fleet.name(i), TERM)) {
+                    if (processes.state(fleet.name(i)) != ManagedProcesses.ProcessState.ENDED
+                            && !processes.terminate(fleet.name(i), TERM)) {
                         log.accept(fleet.name(i) + " did not end within " + TERM.toMillis() + " ms of SIGTERM; killed");
                         processes.kill(fleet.name(i));
                     }
@@ -156,7 +156,7 @@
             }
             case PAUSE, RESUME -> {
                 for (int i : who(step.who())) {
-                    ManagedProcesses.ProcessState seen = processes.seen(fleet.name(i));
+                    ManagedProcesses.ProcessState seen = processes.state(fleet.name(i));
                     if (step.kind() == FaultScript.FaultKind.PAUSE && seen == ManagedProcesses.ProcessState.RUNNING) {
                         processes.pause(fleet.name(i));
                     } else if (step.kind() == FaultScript.FaultKind.RESUME
@@ -167,7 +167,7 @@
             }
             case RESTART -> {
                 for (int i : who(step.who())) {
-                    if (processes.seen(fleet.name(i)) == ManagedProcesses.ProcessState.ENDED) {
+                    if (processes.state(fleet.name(i)) == ManagedProcesses.ProcessState.ENDED) {
                         restart(i);
                     }
                 }
--- a/src/main/java/merlinlever/testing/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/testing/faults/ServeFleet.java
@@ -334,7 +334,7 @@
     }
 
     public boolean runs(int i) {
-        return processes.starts(name(i)) > 0 && processes.seen(name(i)) == ManagedProcesses.ProcessState.RUNNING;
+        return processes.starts(name(i)) > 0 && processes.state(name(i)) == ManagedProcesses.ProcessState.RUNNING;
     }
 
     /** The machine loses its power: the backend and all that its agent runs are gone at once. */
--- a/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
+++ b/src/main/java/merlinlever/testing/faults/link/LinkFaults.java
@@ -4,30 +4,34 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
- * What each one-way link between the processes of a test does to what it carries, changed while they run. Decisions alone:
- * the proxies ask, with the time and the size, when something goes on, and carry it out.
+ * The faults of each one-way link between the processes of a test, which may change while they run. Without input, output,
+ * thread or clock: the proxies ask when a datagram or a part of a stream leaves the link, and carry it out.
  */
 public final class LinkFaults {
 
     /**
-     * What one link does.
+     * The faults of one link.
      *
-     * @param drop share of datagrams lost
-     * @param duplicate share of datagrams that arrive twice
-     * @param delay added to all
-     * @param jitter up to so much more, drawn; datagrams may overtake each other by it, a stream keeps its order
-     * @param bytesPerSecond 0 for no bound
-     * @param cut nothing passes: datagrams are lost, a stream is held (a partition looks so to TCP)
+     * @param drop the fraction of datagrams that are lost
+     * @param duplicate the fraction of datagrams that arrive twice
+     * @param delay added to everything
+     * @param jitter the most that is added at random; datagrams may overtake each other by it, a stream keeps its order
+     * @param bytesPerSecond the bandwidth, 0 for no limit
+     * @param cut whether nothing passes: datagrams are lost, a stream is held, as TCP sees a partition
      */
     public record LinkFault(
             double drop, double duplicate, Duration delay, Duration jitter, long bytesPerSecond, boolean cut) {
+        /** A link without faults. */
         public static final LinkFault NONE = new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, 0, false);
+        /** A link that nothing passes. */
         public static final LinkFault CUT = new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, 0, true);
 
+        /** Checks the ranges. */
         public LinkFault {
             if (!(drop >= 0 && drop <= 1 && duplicate >= 0 && duplicate <= 1)
                     || delay.isNegative()
@@ -38,26 +42,33 @@
             }
         }
 
+        /** A link with a delay and no other fault. */
         public static LinkFault delayed(Duration delay, Duration jitter) {
             return new LinkFault(0, 0, delay, jitter, 0, false);
         }
 
+        /** A link that loses a fraction of the datagrams. */
         public static LinkFault lossy(double drop) {
             return new LinkFault(drop, 0, Duration.ZERO, Duration.ZERO, 0, false);
         }
 
+        /** A link with a limited bandwidth. */
         public static LinkFault slow(long bytesPerSecond) {
             return new LinkFault(0, 0, Duration.ZERO, Duration.ZERO, bytesPerSecond, false);
         }
     }
 
+    private static final long NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
+
     private final int members;
+    /** By the indexes of the sender and the receiver, as the following. */
     private final LinkFault[][] faults;
-    /** When a link has carried what it was given, for the bound on bytes a second and for a stream's order. */
+    /** When a link has carried what it was given, for the bandwidth and for the order of a stream. */
     private final Duration[][] freeAt;
 
     private final long[][] resets;
 
+    /** Links without faults between so many members, which are named by their index. */
     public LinkFaults(int members) {
         this.members = members;
         faults = new LinkFault[members][members];
@@ -69,41 +80,41 @@
         }
     }
 
+    /** How many members the links connect. */
     public int members() {
         return members;
     }
 
+    /** The faults of the link now. */
     public LinkFault of(int from, int to) {
         return faults[from][to];
     }
 
-    /** One way. */
+    /** Sets the faults of a link one way. */
     public void set(int from, int to, LinkFault fault) {
         faults[from][to] = fault;
     }
 
-    /** Both ways. */
+    /** Sets the faults of a link both ways. */
     public void both(int one, int other, LinkFault fault) {
         set(one, other, fault);
         set(other, one, fault);
     }
 
-    /** Cuts every link between two sides, both ways; links within a side are left as they are. Others are not touched. */
+    /** Cuts every link between two sides, both ways. All other links stay as they are. */
     public void partition(List<Set<Integer>> sides) {
-        for (int a = 0; a < sides.size(); a++) {
-            for (int b = 0; b < sides.size(); b++) {
-                if (a != b) {
-                    for (int from : sides.get(a)) {
-                        for (int to : sides.get(b)) {
-                            set(from, to, LinkFault.CUT);
-                        }
-                    }
-                }
+        for (int i = 0; i < sides.size(); i++) {
+            for (Set<Integer> other : sides.subList(i + 1, sides.size())) {
+                sides.get(i).forEach(one -> other.forEach(another -> both(one, another, LinkFault.CUT)));
             }
         }
     }
 
-    /** Cuts one member off from all the others; with oneWay only what it sends is lost. */
+    /**
+     * Cuts one member off from all the others.
+     *
+     * @param oneWay whether only what it sends is lost
+     */
     public void isolate(int member, boolean oneWay) {
         for (int other = 0; other < members; other++) {
             if (other != member) {
@@ -115,72 +126,72 @@
         }
     }
 
-    /** Every link as it was; what is held in streams goes on. */
+    /** Removes the faults of all links; streams that were held go on. */
     public void heal() {
         for (LinkFault[] row : faults) {
             Arrays.fill(row, LinkFault.NONE);
         }
     }
 
-    /** Connections of the link that are open now are broken off hard (a reset), both ways. */
+    /** Resets the connections between the two that are open now. */
     public void reset(int one, int other) {
         resets[one][other]++;
         resets[other][one]++;
     }
 
-    /** Grows with each reset of the link: a connection opened under a smaller one is reset. */
+    /** How often the link was reset: a connection opened under a smaller number is reset. */
     public long resets(int from, int to) {
         return resets[from][to];
     }
 
-    /** When a datagram that came now goes on: none where it is lost, two where it is duplicated. */
-    public List<Duration> datagram(Duration now, int from, int to, int size, SplittableRandom chance) {
+    /** When a datagram that arrived now leaves the link: never if it is lost, twice if it is duplicated. */
+    public List<Duration> datagram(Duration now, int from, int to, int size, SplittableRandom random) {
         LinkFault fault = faults[from][to];
-        List<Duration> at = new ArrayList<>(2);
-        if (fault.cut() || chance.nextDouble() < fault.drop()) {
-            return at;
+        List<Duration> departures = new ArrayList<>(2);
+        if (fault.cut() || random.nextDouble() < fault.drop()) {
+            return departures;
         }
-        int copies = chance.nextDouble() < fault.duplicate() ? 2 : 1;
+        int copies = random.nextDouble() < fault.duplicate() ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            Duration leaves = now.plus(fault.delay()).plus(jitter(fault, chance));
+            Duration leaves = now.plus(fault.delay()).plus(jitter(fault, random));
             if (fault.bytesPerSecond() > 0) {
-                Duration start = max(leaves, freeAt[from][to]);
-                freeAt[from][to] = start.plus(carrying(size, fault.bytesPerSecond()));
+                Duration start = later(leaves, freeAt[from][to]);
+                freeAt[from][to] = start.plus(transmissionTime(size, fault.bytesPerSecond()));
                 leaves = freeAt[from][to];
             }
-            at.add(leaves);
+            departures.add(leaves);
         }
-        return at;
+        return departures;
     }
 
     /**
-     * When octets of a stream that came now go on, never before what the link carried before them; null while the link is
-     * cut, and they are asked about again later.
+     * When bytes of a stream that arrived now leave the link, never before earlier ones; empty while the link is cut, so
+     * that the caller has to ask again later.
      */
-    public Duration stream(Duration now, int from, int to, int size, SplittableRandom chance) {
+    public Optional<Duration> stream(Duration now, int from, int to, int size, SplittableRandom random) {
         LinkFault fault = faults[from][to];
         if (fault.cut()) {
-            return null;
+            return Optional.empty();
         }
-        Duration leaves = max(now.plus(fault.delay()).plus(jitter(fault, chance)), freeAt[from][to]);
+        Duration leaves = later(now.plus(fault.delay()).plus(jitter(fault, random)), freeAt[from][to]);
         if (fault.bytesPerSecond() > 0) {
-            leaves = leaves.plus(carrying(size, fault.bytesPerSecond()));
+            leaves = leaves.plus(transmissionTime(size, fault.bytesPerSecond()));
         }
         freeAt[from][to] = leaves;
-        return leaves;
+        return Optional.of(leaves);
     }
 
-    private static Duration jitter(LinkFault fault, SplittableRandom chance) {
+    private static Duration jitter(LinkFault fault, SplittableRandom random) {
         return fault.jitter().isZero()
                 ? Duration.ZERO
-                : Duration.ofNanos(chance.nextLong(fault.jitter().toNanos() + 1));
+                : Duration.ofNanos(random.nextLong(fault.jitter().toNanos() + 1));
     }
 
-    private static Duration carrying(int size, long bytesPerSecond) {
-        return Duration.ofNanos(Math.max(1, size * 1_000_000_000L / bytesPerSecond));
+    private static Duration transmissionTime(int size, long bytesPerSecond) {
+        return Duration.ofNanos(Math.max(1, size * NANOS_PER_SECOND / bytesPerSecond));
     }
 
-    private static Duration max(Duration one, Duration other) {
+    private static Duration later(Duration one, Duration other) {
         return one.compareTo(other) >= 0 ? one : other;
     }
 }
--- a/src/main/java/merlinlever/testing/faults/link/TcpProxy.java
+++ b/src/main/java/merlinlever/testing/faults/link/TcpProxy.java
@@ -15,250 +15,252 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Stands between a client member and a server member on TCP: each connection to the front is carried to the server's own
- * address, both ways, as {@link LinkFaults} decide. A cut link holds what it is given (as a partition does to TCP), a slow one
- * lets it through at its pace, a reset breaks open connections off hard. One buffer a direction, so a slow link pushes
- * back on the sender through TCP itself.
+ * Relays TCP connections between a client and a server of a test, both ways, as {@link LinkFaults} decide: a cut link holds
+ * what it is given, as TCP sees a partition, a slow one limits the bandwidth, a reset aborts open connections. There is one
+ * buffer a direction, so a slow link pushes back on the sender by TCP's own flow control. All methods are called on the
+ * thread of the loop.
  */
 public final class TcpProxy implements Closeable {
 
-    /** Octets read in one go on each direction of one connection. */
-    private static final int CHUNK = 16 << 10;
-    /** A held link is asked again after so long. */
-    private static final Duration AGAIN = Duration.ofMillis(20);
-    /** Connections at once at the most; more are closed at once. */
-    private static final int MOST = 512;
+    private static final int BUFFER_BYTES = 16 * 1024;
+    /** After this time a cut link is asked, or a failed accept tried, again. */
+    private static final Duration RETRY_DELAY = Duration.ofMillis(20);
+    /** Further connections are closed at once. */
+    private static final int MAX_CONNECTIONS = 512;
 
     private final EventLoop loop;
     private final LinkFaults links;
-    private final int client, server;
-    private final InetSocketAddress real;
-    private final SplittableRandom chance;
+    private final int client;
+    private final int server;
+    private final InetSocketAddress serverAddress;
+    private final SplittableRandom random;
     private final AsynchronousServerSocketChannel listener;
     private final Set<ProxiedConnection> open = new LinkedHashSet<>();
-    private long accepted, refused, resets;
 
+    /**
+     * Listens and accepts at once.
+     *
+     * @param client the index of the client among the members of the links
+     * @param server the index of the server
+     * @param front where the client connects to
+     * @param serverAddress where the server listens
+     * @param seed of the random faults
+     */
     public TcpProxy(
             EventLoop loop,
             LinkFaults links,
             int client,
             int server,
             InetSocketAddress front,
-            InetSocketAddress real,
+            InetSocketAddress serverAddress,
             long seed)
             throws IOException {
         this.loop = loop;
         this.links = links;
         this.client = client;
         this.server = server;
-        this.real = real;
-        chance = new SplittableRandom(seed);
+        this.serverAddress = serverAddress;
+        random = new SplittableRandom(seed);
         listener = AsynchronousServerSocketChannel.open(loop.group()).bind(front);
         loop.execute(this::accept);
     }
 
+    /** Where it listens. */
     public InetSocketAddress front() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    /** Accepted, refused as too many, broken off by a reset. */
-    public long[] counts() {
-        return new long[] {accepted, refused, resets};
-    }
-
     private void accept() {
         listener.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
             @Override
-            public void completed(AsynchronousSocketChannel caller, Void nothing) {
+            public void completed(AsynchronousSocketChannel caller, Void none) {
                 accept();
-                if (open.size() >= MOST) {
-                    refused++;
-                    quietly(caller);
+                if (open.size() >= MAX_CONNECTIONS) {
+                    closeQuietly(caller);
                     return;
                 }
-                accepted++;
-                new ProxiedConnection(caller).connect();
+                ProxiedConnection connection = new ProxiedConnection(caller);
+                open.add(connection);
+                connection.connect();
             }
 
             @Override
-            public void failed(Throwable failure, Void nothing) {
+            public void failed(Throwable failure, Void none) {
                 if (listener.isOpen()) {
-                    loop.schedule(AGAIN, TcpProxy.this::accept);
+                    loop.schedule(RETRY_DELAY, TcpProxy.this::accept);
                 }
             }
         });
     }
 
-    /** One connection: the caller's and ours to the server. */
+    /** The two connections between which bytes are relayed, of the client and to the server. */
     private final class ProxiedConnection {
-        final AsynchronousSocketChannel caller;
-        AsynchronousSocketChannel callee;
-        final long epoch;
-        boolean over;
+        private final AsynchronousSocketChannel clientChannel;
+        /** The resets of the link when the client connected. */
+        private final long resetsAtStart;
+        /** Null while it could not be opened. */
+        private AsynchronousSocketChannel serverChannel;
+
+        private boolean closed;
 
-        ProxiedConnection(AsynchronousSocketChannel caller) {
-            this.caller = caller;
-            epoch = links.resets(client, server);
-            open.add(this);
+        ProxiedConnection(AsynchronousSocketChannel clientChannel) {
+            this.clientChannel = clientChannel;
+            resetsAtStart = links.resets(client, server);
         }
 
         void connect() {
             try {
-                callee = AsynchronousSocketChannel.open(loop.group());
+                serverChannel = AsynchronousSocketChannel.open(loop.group());
             } catch (IOException e) {
                 end(false);
                 return;
             }
-            callee.connect(real, null, new CompletionHandler<Void, Void>() {
+            serverChannel.connect(serverAddress, null, new CompletionHandler<Void, Void>() {
                 @Override
-                public void completed(Void result, Void nothing) {
-                    carry(caller, callee, client, server, ByteBuffer.allocate(CHUNK));
-                    carry(callee, caller, server, client, ByteBuffer.allocate(CHUNK));
+                public void completed(Void result, Void none) {
+                    new Relay(clientChannel, serverChannel, client, server).read();
+                    new Relay(serverChannel, clientChannel, server, client).read();
                 }
 
                 @Override
-                public void failed(Throwable failure, Void nothing) {
+                public void failed(Throwable failure, Void none) {
                     end(false);
                 }
             });
         }
 
-        boolean resetNow() {
-            if (!over && links.resets(client, server) > epoch) {
-                resets++;
+        /** Aborts the connections if the link was reset since; returns whether they are closed. */
+        boolean checkReset() {
+            if (!closed && links.resets(client, server) > resetsAtStart) {
                 end(true);
             }
-            return over;
+            return closed;
         }
 
-        void carry(
-                AsynchronousSocketChannel from,
-                AsynchronousSocketChannel to,
-                int fromMember,
-                int toMember,
-                ByteBuffer buffer) {
-            if (resetNow()) {
+        void end(boolean abort) {
+            if (closed) {
                 return;
             }
-            buffer.clear();
-            from.read(buffer, null, new CompletionHandler<Integer, Void>() {
-                @Override
-                public void completed(Integer read, Void nothing) {
-                    if (read < 0) {
-                        // The one side ended its sending; so does ours to the other.
-                        try {
-                            to.shutdownOutput();
-                        } catch (IOException e) {
-                            end(false);
-                        }
-                        return;
-                    }
-                    buffer.flip();
-                    pass(from, to, fromMember, toMember, buffer);
-                }
-
-                @Override
-                public void failed(Throwable failure, Void nothing) {
-                    end(false);
-                }
-            });
+            closed = true;
+            open.remove(this);
+            close(clientChannel, abort);
+            if (serverChannel != null) {
+                close(serverChannel, abort);
+            }
         }
 
-        void pass(
-                AsynchronousSocketChannel from,
-                AsynchronousSocketChannel to,
-                int fromMember,
-                int toMember,
-                ByteBuffer buffer) {
-            if (resetNow()) {
-                return;
-            }
-            Duration now = loop.clock().now();
-            Duration leaves = links.stream(now, fromMember, toMember, buffer.remaining(), chance);
-            if (leaves == null) {
-                loop.schedule(AGAIN, () -> pass(from, to, fromMember, toMember, buffer));
-                return;
+        private void close(AsynchronousSocketChannel channel, boolean abort) {
+            if (abort) {
+                sendResetOnClose(channel);
             }
-            loop.schedule(leaves.minus(now), () -> write(from, to, fromMember, toMember, buffer));
+            closeQuietly(channel);
         }
 
-        void write(
-                AsynchronousSocketChannel from,
-                AsynchronousSocketChannel to,
-                int fromMember,
-                int toMember,
-                ByteBuffer buffer) {
-            if (resetNow()) {
-                return;
+        /** One direction: reads, waits as the link demands, writes, and begins again. */
+        private final class Relay {
+            private final AsynchronousSocketChannel from;
+            private final AsynchronousSocketChannel to;
+            private final int fromMember;
+            private final int toMember;
+            private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+
+            Relay(AsynchronousSocketChannel from, AsynchronousSocketChannel to, int fromMember, int toMember) {
+                this.from = from;
+                this.to = to;
+                this.fromMember = fromMember;
+                this.toMember = toMember;
             }
-            to.write(buffer, null, new CompletionHandler<Integer, Void>() {
-                @Override
-                public void completed(Integer written, Void nothing) {
-                    if (buffer.hasRemaining()) {
-                        write(from, to, fromMember, toMember, buffer);
-                    } else {
-                        carry(from, to, fromMember, toMember, buffer);
-                    }
+
+            void read() {
+                if (checkReset()) {
+                    return;
                 }
+                buffer.clear();
+                from.read(buffer, null, new EndOnFailure() {
+                    @Override
+                    public void completed(Integer bytes, Void none) {
+                        if (bytes < 0) {
+                            endOutput();
+                        } else {
+                            buffer.flip();
+                            delay();
+                        }
+                    }
+                });
+            }
 
-                @Override
-                public void failed(Throwable failure, Void nothing) {
+            private void endOutput() {
+                try {
+                    to.shutdownOutput();
+                } catch (IOException e) {
                     end(false);
                 }
-            });
-        }
+            }
 
-        void end(boolean hard) {
-            if (over) {
-                return;
+            private void delay() {
+                if (checkReset()) {
+                    return;
+                }
+                Duration now = loop.clock().now();
+                links.stream(now, fromMember, toMember, buffer.remaining(), random)
+                        .ifPresentOrElse(
+                                departure -> loop.schedule(departure.minus(now), this::write),
+                                () -> loop.schedule(RETRY_DELAY, this::delay));
             }
-            over = true;
-            open.remove(this);
-            if (hard) {
-                hard(caller);
-                if (callee != null) {
-                    hard(callee);
+
+            private void write() {
+                if (checkReset()) {
+                    return;
                 }
+                to.write(buffer, null, new EndOnFailure() {
+                    @Override
+                    public void completed(Integer bytes, Void none) {
+                        if (buffer.hasRemaining()) {
+                            write();
+                        } else {
+                            read();
+                        }
+                    }
+                });
             }
-            quietly(caller);
-            if (callee != null) {
-                quietly(callee);
+        }
+
+        private abstract class EndOnFailure implements CompletionHandler<Integer, Void> {
+            @Override
+            public void failed(Throwable failure, Void none) {
+                end(false);
             }
         }
     }
 
-    private static void hard(AsynchronousSocketChannel channel) {
+    private static void sendResetOnClose(AsynchronousSocketChannel channel) {
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // Closed already: nothing to break off.
+            // Closed already.
         }
     }
 
-    private static void quietly(AsynchronousSocketChannel channel) {
+    private static void closeQuietly(AsynchronousSocketChannel channel) {
         try {
             channel.close();
         } catch (IOException e) {
-            // Nothing more is owed to it.
+            // Nothing more can be done about it.
         }
     }
 
-    /** A reset of the link breaks off at once even the connections that wait for octets. */
-    public void look() {
-        for (ProxiedConnection pair : Set.copyOf(open)) {
-            pair.resetNow();
-        }
+    /** Aborts connections of a link that was reset, also those that wait for bytes. */
+    public void applyResets() {
+        Set.copyOf(open).forEach(ProxiedConnection::checkReset);
     }
 
     @Override
     public void close() {
-        for (ProxiedConnection pair : Set.copyOf(open)) {
-            pair.end(false);
-        }
+        Set.copyOf(open).forEach(connection -> connection.end(false));
         try {
             listener.close();
         } catch (IOException e) {
-            // It takes nobody more.
+            // It accepts nothing more.
         }
     }
 }
--- a/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
+++ b/src/main/java/merlinlever/testing/faults/link/UdpSwitch.java
@@ -13,54 +13,62 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Stands between processes that talk in datagrams. Each member is told to others by the address of its front here; what
- * reaches the front of k from member s's own socket goes on to k from the front of s, so that k sees s's told address as
- * the sender and answers there. On the way {@link LinkFaults} decide on loss, delay, copies and order.
+ * Relays the datagrams between the processes of a test. The other members know a member by the address of its front here.
+ * What reaches the front of a receiver from the socket of a sender is passed on from the front of the sender, so that the
+ * receiver sees the address that it knows, and answers there. {@link LinkFaults} decide on loss, delay, copies and order.
+ * All methods are called on the thread of the loop.
  */
 public final class UdpSwitch implements Closeable {
 
-    /** Hears of each datagram as its sender sent it, before the links lose, delay or double it. */
+    /** Observes each datagram as it was sent, before the links lose, delay or duplicate it. */
     public interface DatagramTap {
-        void sent(int from, int to, byte[] octets);
+        /** A member sent a datagram to another one. */
+        void sent(int from, int to, byte[] payload);
     }
 
-    /** Datagrams held back for their delay at the most; beyond, they are lost and counted. */
-    private static final int HELD = 20_000;
-
-    private static final int LARGEST = 65_507;
+    /** The most datagrams that are delayed at once; others are lost. */
+    private static final int MAX_DELAYED = 20_000;
+    /** The most bytes that one datagram over IPv4 carries. */
+    private static final int MAX_PAYLOAD_BYTES = 65_507;
 
     private final EventLoop loop;
     private final LinkFaults links;
-    private final SplittableRandom chance;
-    private final List<InetSocketAddress> real;
-    private final Map<String, Integer> byReal = new HashMap<>();
+    private final SplittableRandom random;
+    private final List<InetSocketAddress> addresses;
+    private final Map<String, Integer> indexByAddress = new HashMap<>();
     private final List<DatagramEndpoint> fronts = new ArrayList<>();
-    private DatagramTap tap = (from, to, octets) -> {};
-    private int held;
-    private long carried, lost, strangers, overHeld;
+    private DatagramTap tap = (from, to, payload) -> {};
+    private int delayed;
 
     /**
-     * @param real where each member's own socket is bound
-     * @param fronts where each member is to be told to the others; port 0 takes a free one
+     * Opens the fronts.
+     *
+     * @param addresses where the socket of each member is bound
+     * @param fronts where each member is reached by the others; port 0 takes a free one
+     * @param seed of the random faults
      */
     public UdpSwitch(
-            EventLoop loop, LinkFaults links, List<InetSocketAddress> real, List<InetSocketAddress> fronts, long seed)
+            EventLoop loop,
+            LinkFaults links,
+            List<InetSocketAddress> addresses,
+            List<InetSocketAddress> fronts,
+            long seed)
             throws IOException {
-        if (real.size() != links.members() || fronts.size() != links.members()) {
+        if (addresses.size() != links.members() || fronts.size() != links.members()) {
             throw new IllegalArgumentException("one real address and one front for each member of the links");
         }
         this.loop = loop;
         this.links = links;
-        this.real = List.copyOf(real);
-        chance = new SplittableRandom(seed);
-        for (int i = 0; i < real.size(); i++) {
-            byReal.put(text(real.get(i)), i);
+        this.addresses = List.copyOf(addresses);
+        random = new SplittableRandom(seed);
+        for (int i = 0; i < addresses.size(); i++) {
+            indexByAddress.put(text(addresses.get(i)), i);
         }
         try {
             for (int i = 0; i < fronts.size(); i++) {
                 int to = i;
                 this.fronts.add(new DatagramEndpoint(
-                        loop, fronts.get(i), LARGEST, (octets, from, waited) -> came(to, octets, from)));
+                        loop, fronts.get(i), MAX_PAYLOAD_BYTES, (payload, from, waited) -> relay(to, payload, from)));
             }
         } catch (IOException e) {
             close();
@@ -72,19 +80,19 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Where member i is to be told to the others. */
-    public InetSocketAddress front(int i) throws IOException {
-        return fronts.get(i).address();
+    /** Where the member is reached by the others. */
+    public InetSocketAddress front(int member) throws IOException {
+        return fronts.get(member).address();
     }
 
-    /** From here on it hears of each datagram, on the loop's thread. */
-    public void tap(DatagramTap with) {
-        tap = with;
+    /** Sets the observer of all datagrams from now on. */
+    public void tap(DatagramTap observer) {
+        tap = observer;
     }
 
     /**
-     * Takes in all that has been sent by now, on the loop's thread. Between two lives of a member it parts what the one
-     * sent from what the other sends: a datagram on this machine is at its front before its sender goes on.
+     * Receives all that has been sent by now. Called between two incarnations of a member, it separates their datagrams:
+     * on one machine a datagram is at the front before its sender continues.
      */
     public void takeIn() throws IOException {
         for (DatagramEndpoint front : fronts) {
@@ -94,37 +102,24 @@
         }
     }
 
-    private void came(int to, byte[] octets, InetSocketAddress from) {
-        Integer sender = byReal.get(text(from));
-        if (sender == null) {
-            strangers++;
+    private void relay(int to, byte[] payload, InetSocketAddress source) {
+        Integer from = indexByAddress.get(text(source));
+        if (from == null) {
             return;
         }
-        tap.sent(sender, to, octets);
+        tap.sent(from, to, payload);
         Duration now = loop.clock().now();
-        List<Duration> at = links.datagram(now, sender, to, octets.length, chance);
-        if (at.isEmpty()) {
-            lost++;
-        }
-        for (Duration leaves : at) {
-            if (held >= HELD) {
-                overHeld++;
-                continue;
+        for (Duration departure : links.datagram(now, from, to, payload.length, random)) {
+            if (delayed < MAX_DELAYED) {
+                delayed++;
+                loop.schedule(departure.minus(now), () -> {
+                    delayed--;
+                    fronts.get(from).send(payload, addresses.get(to));
+                });
             }
-            held++;
-            loop.schedule(leaves.minus(now), () -> {
-                held--;
-                carried++;
-                fronts.get(sender).send(octets, real.get(to));
-            });
         }
     }
 
-    /** Carried, lost by the links, from no member, lost as too many were held. */
-    public long[] counts() {
-        return new long[] {carried, lost, strangers, overHeld};
-    }
-
     @Override
     public void close() {
         fronts.forEach(DatagramEndpoint::close);
--- a/src/main/java/merlinlever/testing/faults/link/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/link/package-info.java
@@ -1,2 +1,2 @@
-/** What links between processes do to what they carry (decisions), and the switch and proxy that carry it out. */
+/** Networks between the real processes of a test that lose, delay, hold or reset what they carry. */
 package merlinlever.testing.faults.link;
--- a/src/main/java/merlinlever/testing/faults/process/ManagedProcesses.java
+++ b/src/main/java/merlinlever/testing/faults/process/ManagedProcesses.java
@@ -12,43 +12,51 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Real processes of a test, each with a folder and a log of its own: started, killed hard, paused and resumed, told to
- * leave, started again. The harness's alone: the deployed program never starts a process.
+ * Real processes of a test, each with a folder and a log of its own. Only for tests: the deployed program starts no
+ * process but in {@code host run}.
  */
 public final class ManagedProcesses implements Closeable {
 
-    /** How one is started; the same again on a restart. */
+    /** How a process is started, also on a restart. */
     public record ProcessSpec(String name, List<String> command, Map<String, String> environment, Path folder) {
+        /** Copies the collections. */
         public ProcessSpec {
             command = List.copyOf(command);
             environment = Map.copyOf(environment);
         }
     }
 
-    /** What became of one, as seen from outside. */
+    /** The state of a process as it is seen from outside. */
     public enum ProcessState {
         RUNNING,
+        /** Stopped by SIGSTOP. */
         PAUSED,
         ENDED
     }
 
     private static final class ManagedProcess {
-        final ProcessSpec spec;
-        Process process;
-        boolean paused;
-        int starts;
+        private final ProcessSpec spec;
+        /** Null before the first start. */
+        private Process process;
+
+        private boolean paused;
+        private int starts;
 
         ManagedProcess(ProcessSpec spec) {
             this.spec = spec;
         }
     }
 
-    private final Map<String, ManagedProcess> all = new LinkedHashMap<>();
+    private static final Duration KILL_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration SIGNAL_TIMEOUT = Duration.ofSeconds(5);
+    private static final String LOG_FILE = "log";
+
+    private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
 
-    /** Starts it, its standard output and error added to log in its folder. */
+    /** Starts a process; its standard output and error are appended to its log. */
     public void start(ProcessSpec spec) throws IOException {
-        ManagedProcess one = all.computeIfAbsent(spec.name(), name -> new ManagedProcess(spec));
-        if (one.process != null && one.process.isAlive()) {
+        ManagedProcess managed = processes.computeIfAbsent(spec.name(), name -> new ManagedProcess(spec));
+        if (managed.process != null && managed.process.isAlive()) {
             throw new IllegalStateException(spec.name() + " runs already");
         }
         Files.createDirectories(spec.folder());
@@ -56,111 +64,112 @@
                 .directory(spec.folder().toFile())
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                        spec.folder().resolve("log").toFile()));
+                        spec.folder().resolve(LOG_FILE).toFile()));
         builder.environment().putAll(spec.environment());
-        one.process = builder.start();
-        one.paused = false;
-        one.starts++;
+        managed.process = builder.start();
+        managed.paused = false;
+        managed.starts++;
     }
 
-    /** Started again as it was started first; it has to have ended. */
+    /** Starts a process again that has ended. */
     public void restart(String name) throws IOException {
-        start(one(name).spec);
+        start(find(name).spec);
     }
 
-    private ManagedProcess one(String name) {
-        ManagedProcess one = all.get(name);
-        if (one == null || one.process == null) {
+    private ManagedProcess find(String name) {
+        ManagedProcess managed = processes.get(name);
+        if (managed == null || managed.process == null) {
             throw new IllegalArgumentException("no process " + name + " was started");
         }
-        return one;
+        return managed;
     }
 
+    /** The names of all processes in the order of their first start. */
     public List<String> names() {
-        return new ArrayList<>(all.keySet());
+        return new ArrayList<>(processes.keySet());
     }
 
+    /** The process id, also of one that has ended. */
     public long pid(String name) {
-        return one(name).process.pid();
+        return find(name).process.pid();
     }
 
+    /** How often it was started. */
     public int starts(String name) {
-        return all.containsKey(name) ? all.get(name).starts : 0;
+        return processes.containsKey(name) ? processes.get(name).starts : 0;
     }
 
-    public ProcessState seen(String name) {
-        ManagedProcess one = one(name);
-        return !one.process.isAlive() ? ProcessState.ENDED : one.paused ? ProcessState.PAUSED : ProcessState.RUNNING;
-    }
-
-    /** The exit status, once it has ended. */
-    public Integer exit(String name) {
-        Process process = one(name).process;
-        return process.isAlive() ? null : process.exitValue();
+    /** Its state now. */
+    public ProcessState state(String name) {
+        ManagedProcess managed = find(name);
+        if (!managed.process.isAlive()) {
+            return ProcessState.ENDED;
+        }
+        return managed.paused ? ProcessState.PAUSED : ProcessState.RUNNING;
     }
 
+    /** The file with its output. */
     public Path log(String name) {
-        return one(name).spec.folder().resolve("log");
+        return find(name).spec.folder().resolve(LOG_FILE);
     }
 
-    /** SIGKILL, as a power loss or the kernel's killer: returns once it is gone. */
+    /** Sends SIGKILL and returns once the process has ended. */
     public void kill(String name) throws InterruptedException {
-        ManagedProcess one = one(name);
-        one.process.destroyForcibly();
-        one.process.waitFor();
-        one.paused = false;
+        ManagedProcess managed = find(name);
+        managed.process.destroyForcibly();
+        managed.process.waitFor();
+        managed.paused = false;
     }
 
-    /** SIGTERM: the program's own leaving; returns whether it ended within the time. */
-    public boolean term(String name, Duration within) throws IOException, InterruptedException {
-        ManagedProcess one = one(name);
-        if (one.paused) {
+    /** Sends SIGTERM, after SIGCONT if it is paused, and returns whether it ended within the time. */
+    public boolean terminate(String name, Duration within) throws IOException, InterruptedException {
+        ManagedProcess managed = find(name);
+        if (managed.paused) {
             resume(name);
         }
-        one.process.destroy();
-        return one.process.waitFor(within.toMillis(), TimeUnit.MILLISECONDS);
+        managed.process.destroy();
+        return managed.process.waitFor(within.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** SIGSTOP: it does nothing, and its sockets stay open, until it is resumed. */
+    /** Sends SIGSTOP: the process does nothing until it is resumed, and its sockets stay open. */
     public void pause(String name) throws IOException, InterruptedException {
         signal(name, "STOP");
-        one(name).paused = true;
+        find(name).paused = true;
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     public void resume(String name) throws IOException, InterruptedException {
         signal(name, "CONT");
-        one(name).paused = false;
+        find(name).paused = false;
     }
 
-    /** SIGHUP: it reads its configuration again. */
+    /** Sends SIGHUP, at which the program reads its configuration again. */
     public void hangUp(String name) throws IOException, InterruptedException {
         signal(name, "HUP");
     }
 
     private void signal(String name, String signal) throws IOException, InterruptedException {
-        Process process = one(name).process;
+        Process process = find(name).process;
         if (!process.isAlive()) {
             return;
         }
-        // Java sends TERM and KILL alone; the system's kill sends the others.
+        // Java itself sends TERM and KILL only.
         Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                 .inheritIO()
                 .start();
-        if (!kill.waitFor(5, TimeUnit.SECONDS) || kill.exitValue() != 0) {
+        if (!kill.waitFor(SIGNAL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS) || kill.exitValue() != 0) {
             throw new IOException("kill -" + signal + " " + process.pid() + " did not succeed");
         }
     }
 
-    /** Every one still running is killed hard; the harness leaves nothing behind. */
+    /** Kills all processes that still run, also paused ones. */
     @Override
     public void close() {
-        for (ManagedProcess one : all.values()) {
-            if (one.process != null && one.process.isAlive()) {
-                // A paused one ends by SIGKILL too.
-                one.process.destroyForcibly();
+        for (ManagedProcess managed : processes.values()) {
+            if (managed.process != null && managed.process.isAlive()) {
+                managed.process.destroyForcibly();
                 try {
-                    one.process.waitFor(10, TimeUnit.SECONDS);
+                    managed.process.waitFor(KILL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                     return;
--- a/src/main/java/merlinlever/testing/faults/process/PortAllocator.java
+++ b/src/main/java/merlinlever/testing/faults/process/PortAllocator.java
@@ -11,85 +11,106 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Ports for processes that are started later: each is given out once in the life of this process, and to no other process
- * that asks here meanwhile, as for each a byte of a file that all share is locked; the system lets go of the locks with
- * the process. Other users of the machine are seen by whether the port can be bound now.
+ * Allocates ports for processes that are started later. Each port is allocated once in the life of this process, and to no
+ * other process that allocates ports meanwhile: each has a byte in a file that all share, which is locked until the process
+ * ends. A port that another program uses is noticed as it cannot be bound. Thread-safe.
  */
 public final class PortAllocator {
 
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    /** Below those that the system gives to connections, so that none of these takes one before the process listens there. */
-    private static final int LOWEST = 12_000, PORTS = 18_000;
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    /** Below the ephemeral ports, so that no outgoing connection takes a port before the process listens at it. */
+    private static final int FIRST_PORT = 12_000;
 
-    private static int next = (int) (ProcessHandle.current().pid() * 397 % PORTS);
-    /** Never closed: the locks end with the process, or with the first closing of the file. */
-    private static FileChannel claims;
-    /** Kept, as a lock that is let go of is no claim; not more than there are ports. */
-    private static final List<FileLock> CLAIMED = new ArrayList<>();
+    private static final int PORTS = 18_000;
+    private static final int MAX_ROW = 1000;
+    /** Spreads processes with successive ids over the ports. */
+    private static final int PORTS_PER_PROCESS = 397;
+
+    /** Where the search goes on, counted from the first port. */
+    private static int next = (int) (ProcessHandle.current().pid() * PORTS_PER_PROCESS % PORTS);
+    /** The shared file; never closed, as that would release the locks. Null before the first allocation. */
+    private static FileChannel lockFile;
+    /** Kept until the process ends; at most one for each port. */
+    private static final List<FileLock> LOCKS = new ArrayList<>();
 
     private PortAllocator() {}
 
-    /** Where the search goes on; two that start at the same place are told apart by their claims alone. */
-    static synchronized void from(int place) {
-        next = place % PORTS;
+    /** Sets where the search goes on, for a test of two processes that search from the same port on. */
+    static synchronized void from(int offset) {
+        next = offset % PORTS;
     }
 
-    /** A port that nothing listens at, neither for streams nor for datagrams. */
+    /** A port at which nothing listens, over TCP or UDP. */
     public static int free() throws IOException {
         return free(1);
     }
 
-    /** The first of so many such ports in a row, 1000 at the most. */
+    /**
+     * The first of so many such ports in a row.
+     *
+     * @param count 1 to {@value #MAX_ROW}
+     */
     public static synchronized int free(int count) throws IOException {
-        if (count < 1 || count > 1000) {
+        if (count < 1 || count > MAX_ROW) {
             throw new IllegalArgumentException("1 to 1000 ports, not " + count);
         }
-        if (claims == null) {
+        openLockFile();
+        for (int attempts = 0; attempts < PORTS; attempts++) {
+            int first = FIRST_PORT + (next % PORTS + count <= PORTS ? next % PORTS : 0);
+            if (lockRow(first, count)) {
+                return first;
+            }
+        }
+        throw new IOException("no " + count + " ports in a row are free");
+    }
+
+    private static void openLockFile() throws IOException {
+        if (lockFile == null) {
             Path file = Path.of(System.getProperty("java.io.tmpdir"))
                     .resolve("merlinlever-ports-" + System.getProperty("user.name"));
-            claims = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            lockFile = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
-        for (int tries = 0; tries < PORTS; tries++) {
-            int first = next % PORTS + count <= PORTS ? LOWEST + next % PORTS : LOWEST;
-            List<FileLock> claimed = new ArrayList<>();
-            while (claimed.size() < count) {
-                next = first - LOWEST + claimed.size() + 1;
-                FileLock claim = claim(first + claimed.size());
-                if (claim == null) {
-                    break;
-                }
-                claimed.add(claim);
-                if (!bindable(first + claimed.size() - 1)) {
-                    break;
-                }
-            }
-            if (claimed.size() == count && bindable(first + count - 1)) {
-                CLAIMED.addAll(claimed);
-                return first;
-            }
-            for (FileLock claim : claimed) {
-                claim.release();
+    }
+
+    /** Locks the ports if all of them are free; else the search goes on behind the first that is not. */
+    private static boolean lockRow(int first, int count) throws IOException {
+        List<FileLock> locks = new ArrayList<>();
+        for (int port = first; port < first + count; port++) {
+            next = port - FIRST_PORT + 1;
+            Optional<FileLock> lock = tryLock(port);
+            lock.ifPresent(locks::add);
+            if (lock.isEmpty() || !isBindable(port)) {
+                releaseAll(locks);
+                return false;
             }
         }
-        throw new IOException("no " + count + " ports in a row are free");
+        LOCKS.addAll(locks);
+        return true;
+    }
+
+    private static void releaseAll(List<FileLock> locks) throws IOException {
+        for (FileLock lock : locks) {
+            lock.release();
+        }
     }
 
-    private static boolean bindable(int port) {
-        try (ServerSocket tcp = new ServerSocket(port, 1, HERE);
-                DatagramSocket udp = new DatagramSocket(port, HERE)) {
+    private static boolean isBindable(int port) {
+        try (ServerSocket tcp = new ServerSocket(port, 1, LOOPBACK);
+                DatagramSocket udp = new DatagramSocket(port, LOOPBACK)) {
             return tcp.isBound() && udp.isBound();
         } catch (IOException e) {
             return false;
         }
     }
 
-    private static FileLock claim(int port) throws IOException {
+    private static Optional<FileLock> tryLock(int port) throws IOException {
         try {
-            return claims.tryLock(port, 1, false);
+            return Optional.ofNullable(lockFile.tryLock(port, 1, false));
         } catch (OverlappingFileLockException e) {
-            return null;
+            return Optional.empty();
         }
     }
 }
--- a/src/main/java/merlinlever/testing/faults/process/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/process/package-info.java
@@ -1,2 +1,2 @@
-/** Real processes of a test: started, killed, paused, resumed, told to leave, started again. */
+/** Real processes of a test and the ports that they listen at. */
 package merlinlever.testing.faults.process;
--- a/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
+++ b/src/test/java/merlinlever/testing/faults/link/LinkFaultsTest.java
@@ -1,11 +1,11 @@
 package merlinlever.testing.faults.link;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
@@ -33,7 +33,7 @@
         for (int i = 0; i < 50; i++) {
             Duration now = Duration.ofMillis(i * 3L);
             int size = 1 + chance.nextInt(16_384);
-            Duration leaves = links.stream(now, 0, 1, size, chance);
+            Duration leaves = links.stream(now, 0, 1, size, chance).orElseThrow();
             carried += size;
             assertTrue(leaves.compareTo(last) >= 0, "in order");
             assertTrue(leaves.compareTo(now.plusMillis(delayMs)) >= 0, "not before its delay");
@@ -54,7 +54,7 @@
         links.partition(List.of(Set.of(0, 1), Set.of(2, 3)));
         assertEquals(List.of(), links.datagram(Duration.ZERO, 0, 2, 10, chance));
         assertEquals(List.of(), links.datagram(Duration.ZERO, 3, 1, 10, chance));
-        assertNull(links.stream(Duration.ZERO, 1, 3, 10, chance), "a stream is held while cut");
+        assertEquals(Optional.empty(), links.stream(Duration.ZERO, 1, 3, 10, chance), "a stream is held while cut");
         assertEquals(1, links.datagram(Duration.ZERO, 0, 1, 10, chance).size());
         links.isolate(0, true);
         assertEquals(List.of(), links.datagram(Duration.ZERO, 0, 1, 10, chance));
