--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -17,6 +17,7 @@
 import merlinlever.controller.settings.PriorityClassSettings;
 import merlinlever.fleet.membership.net.MembershipTransport;
 import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.net.NodeEnvironment;
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
@@ -68,8 +69,10 @@
         RecoverySettings settings = settings(values, configuration.settings());
         EventLog recoveryLog = log.withPrefix("recovery: ");
         coordinator = new RecoveryCoordinator(
-                loop,
-                StateDirectories.open(Path.of(values.text(PREFIX + "state", "")), System.getenv()),
+                new NodeEnvironment(
+                        loop,
+                        StateDirectories.open(Path.of(values.text(PREFIX + "state", "")), System.getenv()),
+                        System::currentTimeMillis),
                 new NodeSettings(
                         name,
                         values.address(PREFIX + "listen"),
@@ -79,7 +82,6 @@
                         secret(values)),
                 settings,
                 configuration.seed(),
-                System::currentTimeMillis,
                 this,
                 recoveryLog);
         boolean hasFleet = values.paths().stream().anyMatch(path -> path.startsWith(PREFIX + "voters"))
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -18,6 +18,7 @@
 import merlinlever.common.storage.StateDirectories;
 import merlinlever.common.storage.StateDirectory;
 import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.net.NodeEnvironment;
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
@@ -142,12 +143,10 @@
                 config.textList("members.seeds"),
                 secret);
         return new RecoveryCoordinator(
-                loop,
-                state,
+                new NodeEnvironment(loop, state, System::currentTimeMillis),
                 node,
                 RecoverySettings.defaults(Duration.ZERO, Duration.ZERO),
                 seed,
-                System::currentTimeMillis,
                 RecoveringService.NONE,
                 new Slf4jEventLog(LOG));
     }
--- a/src/main/java/merlinlever/fleet/membership/MembershipCodec.java
+++ b/src/main/java/merlinlever/fleet/membership/MembershipCodec.java
@@ -140,7 +140,7 @@
     }
 
     private static List<MemberRecord> readRecords(ByteBuffer in) {
-        int count = in.getShort() & 0xffff;
+        int count = Short.toUnsignedInt(in.getShort());
         List<MemberRecord> records = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String name = readText(in);
--- a/src/main/java/merlinlever/fleet/membership/RelayedPings.java
+++ b/src/main/java/merlinlever/fleet/membership/RelayedPings.java
@@ -23,6 +23,9 @@
         }
     }
 
+    /** The requester of a ping is told after its timeout less this part of it that no answer came. */
+    private static final int NACK_LEAD_DIVISOR = 5;
+
     private final SwimSettings settings;
     private final Map<Long, RelayedPing> byCorrelationId = new LinkedHashMap<>();
 
@@ -32,7 +35,8 @@
 
     /** A ping is sent now under that correlation id; its requester is told after four fifths of the timeout that none came. */
     void add(Duration now, long correlationId, String requester, long requestId) {
-        Duration nackAt = now.plus(settings.pingTimeout().multipliedBy(4).dividedBy(5));
+        Duration timeout = settings.pingTimeout();
+        Duration nackAt = now.plus(timeout.minus(timeout.dividedBy(NACK_LEAD_DIVISOR)));
         Duration expiresAt = now.plus(settings.probePeriod());
         byCorrelationId.put(correlationId, new RelayedPing(requester, requestId, nackAt, expiresAt));
     }
--- a/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
@@ -5,9 +5,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
 
 /**
  * Decides whom to ping when, whom to suspect, and which records travel along (SWIM with Lifeguard's local health). It does no
@@ -57,8 +59,8 @@
     private final MessageDispatcher dispatcher = new MessageDispatcher();
     private List<OutboundDatagram> outbox = new ArrayList<>();
     private Duration nextPeriodAt;
-    /** Null where this member neither asks nor answers recovery queries. */
-    private RecoveryExchange recoveryExchange;
+    /** Empty where this member neither asks nor answers recovery queries. */
+    private Optional<RecoveryExchange> recoveryExchange = Optional.empty();
 
     private long lastCorrelationId;
     private long periodCount;
@@ -90,7 +92,7 @@
 
     /** From here on recovery queries of peers are answered, and answers to this member's own are handed on. */
     public void setRecoveryExchange(RecoveryExchange exchange) {
-        recoveryExchange = exchange;
+        recoveryExchange = Optional.of(exchange);
     }
 
     /**
@@ -176,8 +178,10 @@
             suspicionTimers.cancel(changed.name());
         }
         if (!changed.name().equals(memberTable.self())) {
-            log.line("member-status-changed member=" + changed.name() + " status="
-                    + changed.status().wireName() + " incarnation=" + changed.incarnation());
+            log.write(LogEvent.info("member-status-changed")
+                    .with("member", changed.name())
+                    .with("status", changed.status().wireName())
+                    .with("incarnation", changed.incarnation()));
         } else if (changed.status() == MemberStatus.ALIVE && changed.incarnation() > 0) {
             // It had to refute something: it may have been too slow to answer.
             adjustHealth(1);
@@ -213,20 +217,10 @@
             case SYNC_REPLY -> {
                 // Its records are all that it brings.
             }
-            case RECOVERY_QUERY -> {
-                if (recoveryExchange != null) {
-                    enqueue(
-                            senderAddress,
-                            MessageKind.RECOVERY_REPLY,
-                            correlationId,
-                            recoveryExchange.recoveryReport());
-                }
-            }
-            case RECOVERY_REPLY -> {
-                if (recoveryExchange != null) {
-                    recoveryExchange.onRecoveryReply(message.sender(), correlationId, message.text());
-                }
-            }
+            case RECOVERY_QUERY -> recoveryExchange.ifPresent(exchange ->
+                    enqueue(senderAddress, MessageKind.RECOVERY_REPLY, correlationId, exchange.recoveryReport()));
+            case RECOVERY_REPLY -> recoveryExchange.ifPresent(
+                    exchange -> exchange.onRecoveryReply(message.sender(), correlationId, message.text()));
             case TEXT -> dispatcher.dispatchText(message.sender(), correlationId, message.text());
             case PAYLOAD -> dispatcher.dispatchPayload(message.sender(), message.payload());
         }
--- a/src/main/java/merlinlever/fleet/membership/SwimSettings.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimSettings.java
@@ -13,6 +13,10 @@
  */
 public record SwimSettings(Duration probePeriod, Duration pingTimeout, int indirectPings, List<String> seeds) {
 
+    private static final Duration DEFAULT_PROBE_PERIOD = Duration.ofSeconds(1);
+    private static final Duration DEFAULT_PING_TIMEOUT = Duration.ofMillis(300);
+    private static final int DEFAULT_INDIRECT_PINGS = 3;
+
     /** Copies the seeds. */
     public SwimSettings {
         seeds = List.copyOf(seeds);
@@ -20,6 +24,6 @@
 
     /** The settings of every released program. */
     public static SwimSettings defaults(List<String> seeds) {
-        return new SwimSettings(Duration.ofSeconds(1), Duration.ofMillis(300), 3, seeds);
+        return new SwimSettings(DEFAULT_PROBE_PERIOD, DEFAULT_PING_TIMEOUT, DEFAULT_INDIRECT_PINGS, seeds);
     }
 }
--- a/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -7,6 +7,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
 import merlinlever.controller.QuotaDemand;
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.election.Leadership;
@@ -214,7 +215,7 @@
         if (ledgerTerm != election.term()) {
             ledgerTerm = election.term();
             states.forEach(state -> state.ledger = Optional.of(new LeaseLedger(now, state.quota)));
-            log.line("quota-leadership-started term=" + ledgerTerm);
+            log.write(LogEvent.info("quota-leadership-started").with("term", ledgerTerm));
         }
         if (now.compareTo(nextRotationAt) >= 0) {
             Duration interval = states.isEmpty()
--- a/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
@@ -53,23 +53,20 @@
      * @param owner the process that writes, see {@link PersistedState#owner}
      * @param interval between two reservations of non-idempotent requests; zero for none
      * @param highestTerm the highest term that may have been promised before
-     * @param unixClock the Unix clock, in milliseconds
      */
     DurableReservations(
+            NodeEnvironment environment,
             String owner,
             Duration interval,
             long highestTerm,
-            MonotonicClock clock,
-            LongSupplier unixClock,
-            BackgroundWriter writer,
             Supplier<Snapshot> snapshots,
             EventLog log) {
         this.owner = owner;
         this.interval = interval;
         this.highestTerm = highestTerm;
-        this.clock = clock;
-        this.unixClock = unixClock;
-        this.writer = writer;
+        clock = environment.loop().clock();
+        unixClock = environment.unixClock();
+        writer = new BackgroundWriter(environment.directory(), environment.loop(), "recovery-disk");
         this.snapshots = snapshots;
         this.log = log;
     }
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -15,8 +15,6 @@
 import merlinlever.common.log.EventLog;
 import merlinlever.common.net.DatagramEndpoint;
 import merlinlever.common.net.EventLoop;
-import merlinlever.common.storage.BackgroundWriter;
-import merlinlever.common.storage.StateDirectory;
 import merlinlever.fleet.membership.MemberRecord;
 import merlinlever.fleet.membership.MemberStatus;
 import merlinlever.fleet.membership.MemberTable;
@@ -65,23 +63,19 @@
     /**
      * Begins at once. Nothing is sent to peers before this incarnation is reserved on disk.
      *
-     * @param directory where the state is kept; stays its owner's to close
-     * @param unixClock the Unix clock, in milliseconds
-     * @param log takes lines without level and time
+     * @param log takes what an operator should know of
      * @throws IOException if the listen address cannot be used
      */
     public RecoveryCoordinator(
-            EventLoop loop,
-            StateDirectory directory,
+            NodeEnvironment environment,
             NodeSettings node,
             RecoverySettings settings,
             long seed,
-            LongSupplier unixClock,
             RecoveringService service,
             EventLog log)
             throws IOException {
-        this.loop = loop;
-        this.unixClock = unixClock;
+        loop = environment.loop();
+        unixClock = environment.unixClock();
         this.service = service;
         this.log = log;
         DatagramEndpoint datagrams = new DatagramEndpoint(
@@ -89,31 +83,22 @@
         String boundAddress = MembershipTransport.formatAddress(datagrams.address());
         String gossipAddress = node.advertisedAddress().orElse(boundAddress);
         String owner = node.owner(gossipAddress);
-        RecoveryFile file = new RecoveryFile(directory);
+        RecoveryFile file = new RecoveryFile(environment.directory());
         long unixNow = unixClock.getAsLong();
         TrustedState trusted = PersistedStateAssessor.assess(file.read(), owner, unixNow);
         trusted.findings().forEach(finding -> log.line(finding.toLogLine()));
-        Set<String> seedAddresses = new LinkedHashSet<>(node.seedAddresses());
-        seedAddresses.addAll(trusted.peerAddresses());
-        seedAddresses.remove(gossipAddress);
+        List<String> seedAddresses = peerAddresses(node, trusted, gossipAddress);
         SplittableRandom random = new SplittableRandom(seed);
         members = new SwimProtocol(
                 now(),
                 new MemberTable(node.name(), gossipAddress, node.apiAddress(), trusted.incarnation()),
-                SwimSettings.defaults(List.copyOf(seedAddresses)),
+                SwimSettings.defaults(seedAddresses),
                 random.split(),
                 log);
         members.setRecoveryExchange(this);
         sequence = new RecoverySequence(now(), unixNow, trusted, settings, !seedAddresses.isEmpty(), random.split());
         reservations = new DurableReservations(
-                owner,
-                settings.reservationInterval(),
-                trusted.highestTerm(),
-                loop.clock(),
-                unixClock,
-                new BackgroundWriter(directory, loop, "recovery-disk"),
-                this::snapshot,
-                log);
+                environment, owner, settings.reservationInterval(), trusted.highestTerm(), this::snapshot, log);
         transport = new MembershipTransport(
                 loop,
                 datagrams,
@@ -123,6 +108,14 @@
         loop.runNowAndEvery(POLL_INTERVAL, this::poll);
     }
 
+    /** The configured addresses of peers and those that the incarnation before knew, without the own one. */
+    private static List<String> peerAddresses(NodeSettings node, TrustedState trusted, String gossipAddress) {
+        Set<String> addresses = new LinkedHashSet<>(node.seedAddresses());
+        addresses.addAll(trusted.peerAddresses());
+        addresses.remove(gossipAddress);
+        return List.copyOf(addresses);
+    }
+
     private void datagramReceived(byte[] bytes, InetSocketAddress from, Duration waited) {
         transport.receive(bytes, from);
     }
--- a/src/main/java/merlinlever/fleet/view/DivergenceMonitor.java
+++ b/src/main/java/merlinlever/fleet/view/DivergenceMonitor.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
 
 /**
  * Which voters hold another view than this backend for longer than a view takes to reach all, and since when. Each such voter
@@ -49,16 +50,18 @@
                 response.viewNumber() == view.number() && response.digest().equals(view.digest());
         if (agrees && reported != null) {
             diverging.remove(voter);
-            log.line("voter-view-agrees-again voter=" + voter);
+            log.write(LogEvent.info("voter-view-agrees-again").with("voter", voter));
         } else if (!agrees
                 && now.minus(response.viewSince()).compareTo(patience) >= 0
                 && now.minus(adoptedAt).compareTo(patience) >= 0
                 && !isSameView(response, reported)) {
             diverging.put(voter, response);
-            log.line("voter-view-diverges voter=" + voter + " since_ms="
-                    + now.minus(response.viewSince()).toMillis()
-                    + " voter_view=" + MembershipView.formatNumber(response.viewNumber())
-                    + " voter_digest=" + response.digest() + " " + view.describe());
+            LogEvent diverges = LogEvent.info("voter-view-diverges")
+                    .with("voter", voter)
+                    .with("since_ms", now.minus(response.viewSince()).toMillis())
+                    .with("voter_view", MembershipView.formatNumber(response.viewNumber()))
+                    .with("voter_digest", response.digest());
+            log.write(view.addTo(diverges));
         }
     }
 
--- a/src/main/java/merlinlever/fleet/view/MembershipView.java
+++ b/src/main/java/merlinlever/fleet/view/MembershipView.java
@@ -7,6 +7,7 @@
 import java.util.HexFormat;
 import java.util.SortedSet;
 import java.util.TreeSet;
+import merlinlever.common.log.LogEvent;
 
 /**
  * Who belongs to the fleet at one time. Numbers only go up (a leader's term in the upper bits, a count within the term in the
@@ -73,8 +74,13 @@
         return termOf(number) + "." + (number & COUNT_MASK);
     }
 
-    /** For log lines. */
+    /** The view in a few words, for messages. */
     public String describe() {
         return "view=" + displayNumber() + " digest=" + digest + " members=" + members.size();
     }
+
+    /** The event with fields that name this view. */
+    LogEvent addTo(LogEvent event) {
+        return event.with("view", displayNumber()).with("digest", digest).with("members", members.size());
+    }
 }
--- a/src/main/java/merlinlever/fleet/view/ObserverRings.java
+++ b/src/main/java/merlinlever/fleet/view/ObserverRings.java
@@ -19,6 +19,20 @@
     /** Upper bound of the rings, and so of the observers of each member. */
     static final int MAX_RINGS = 8;
 
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final long RING_SALT = 0x9e3779b97f4a7c15L;
+    private static final long MIX_MULTIPLIER = 0xd6e8feb86659fd93L;
+    private static final int FIRST_MIX_SHIFT = 32;
+    private static final int SECOND_MIX_SHIFT = 29;
+
+    /** The high threshold is this fraction of the observers, rounded up. */
+    private static final int REMOVAL_NUMERATOR = 3;
+
+    private static final int REMOVAL_DENOMINATOR = 4;
+    /** The low threshold is the observers divided by this, rounded up. */
+    private static final int DOUBT_DIVISOR = 3;
+
     private final Map<String, Set<String>> observers = new HashMap<>();
     private final Map<String, List<String>> subjects = new HashMap<>();
 
@@ -59,12 +73,12 @@
 
     /** FNV-1a, salted with the ring, and then a step of multiplying and shifting that spreads short names. */
     private static long ringHash(String name, long ring) {
-        long hash = 0xcbf29ce484222325L ^ (ring * 0x9e3779b97f4a7c15L);
+        long hash = FNV_OFFSET_BASIS ^ (ring * RING_SALT);
         for (int i = 0; i < name.length(); i++) {
-            hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
         }
-        hash = (hash ^ (hash >>> 32)) * 0xd6e8feb86659fd93L;
-        return hash ^ (hash >>> 29);
+        hash = (hash ^ (hash >>> FIRST_MIX_SHIFT)) * MIX_MULTIPLIER;
+        return hash ^ (hash >>> SECOND_MIX_SHIFT);
     }
 
     /** Those that observe a member; none for one that is no member. */
@@ -79,11 +93,13 @@
 
     /** High threshold: a member is removed when so many of its observers find it unreachable; all of them up to two. */
     static int removalThreshold(int observers) {
-        return observers <= 2 ? Math.max(1, observers) : (observers * 3 + 3) / 4;
+        return observers <= 2
+                ? Math.max(1, observers)
+                : (observers * REMOVAL_NUMERATOR + REMOVAL_DENOMINATOR - 1) / REMOVAL_DENOMINATOR;
     }
 
     /** Low threshold: when so many observers find a member unreachable it is doubtful, and other changes wait for it. */
     static int doubtThreshold(int observers) {
-        return Math.max(1, (observers + 2) / 3);
+        return Math.max(1, (observers + DOUBT_DIVISOR - 1) / DOUBT_DIVISOR);
     }
 }
--- a/src/main/java/merlinlever/fleet/view/QuorumEvaluator.java
+++ b/src/main/java/merlinlever/fleet/view/QuorumEvaluator.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.util.List;
-import java.util.function.Supplier;
 import merlinlever.fleet.membership.MemberTable;
 
 /** Determines the present {@link QuorumStatus} from what this backend hears, before any hysteresis. Not thread-safe. */
@@ -14,17 +13,12 @@
     private final ViewAdoption views;
     private final VoterResponses voterResponses;
     private final FailureDetector failureDetector;
-    private final Supplier<Duration> reportValidity;
     private boolean recovering = true;
     private Duration recoveringSince;
     private long knownAddressConflicts;
     private Duration conflictUntil = Duration.ZERO;
 
-    /**
-     * An evaluator that begins with recovery.
-     *
-     * @param reportValidity how long an answer counts, in a fleet of the present size
-     */
+    /** An evaluator that begins with recovery. */
     QuorumEvaluator(
             Duration now,
             VoterSet voters,
@@ -32,15 +26,13 @@
             MemberTable memberTable,
             ViewAdoption views,
             VoterResponses voterResponses,
-            FailureDetector failureDetector,
-            Supplier<Duration> reportValidity) {
+            FailureDetector failureDetector) {
         this.voters = voters;
         this.settings = settings;
         this.memberTable = memberTable;
         this.views = views;
         this.voterResponses = voterResponses;
         this.failureDetector = failureDetector;
-        this.reportValidity = reportValidity;
         recoveringSince = now;
         knownAddressConflicts = memberTable.addressConflicts();
     }
@@ -51,9 +43,14 @@
         recoveringSince = now;
     }
 
+    /** How long an answer counts, in a fleet of the present size. */
+    private Duration reportValidity() {
+        return settings.reportValidity(views.fleetSize(memberTable));
+    }
+
     /** How many voters are heard, this backend among them where it is one. */
     int heardVoters(Duration now) {
-        return voterResponses.heardVoters(now, reportValidity.get()).size() + voters.ownVote();
+        return voterResponses.heardVoters(now, reportValidity()).size() + voters.ownVote();
     }
 
     QuorumStatus evaluate(Duration now) {
@@ -63,20 +60,24 @@
         MembershipView view = views.adopted();
         boolean isMember = view.members().contains(voters.self());
         endRecoveryIfInformed(hasQuorum && isMember);
-        int agreeing =
-                voterResponses.countAgreeing(now, reportValidity.get(), view, views.adoptedAt()) + voters.ownVote();
+        int agreeing = voterResponses.countAgreeing(now, reportValidity(), view, views.adoptedAt()) + voters.ownVote();
         if (now.compareTo(conflictUntil) < 0) {
             return QuorumStatus.CONFLICTING;
-        } else if (recovering
-                && (hasQuorum || now.minus(recoveringSince).compareTo(settings.minReportValidity()) < 0)) {
-            return QuorumStatus.RECOVERING;
-        } else if (heard == voters.ownVote() && !failureDetector.isAnyReachable(now) && !hasQuorum) {
-            return QuorumStatus.ISOLATED;
-        } else if (!hasQuorum) {
-            return QuorumStatus.MINORITY;
-        } else if (!isMember) {
+        }
+        boolean awaitsQuorum = now.minus(recoveringSince).compareTo(settings.minReportValidity()) < 0;
+        if (recovering && (hasQuorum || awaitsQuorum)) {
             return QuorumStatus.RECOVERING;
-        } else if (agreeing < voters.majority()) {
+        }
+        if (!hasQuorum) {
+            boolean hearsNobody = heard == voters.ownVote() && !failureDetector.isAnyReachable(now);
+            return hearsNobody ? QuorumStatus.ISOLATED : QuorumStatus.MINORITY;
+        }
+        return isMember ? statusOfMember(heard, agreeing) : QuorumStatus.RECOVERING;
+    }
+
+    /** The status of a member of the adopted view that hears a majority of the voters. */
+    private QuorumStatus statusOfMember(int heard, int agreeing) {
+        if (agreeing < voters.majority()) {
             return QuorumStatus.CONFLICTING;
         }
         return heard == voters.size() && agreeing == heard ? QuorumStatus.FULL : QuorumStatus.MAJORITY;
@@ -104,6 +105,6 @@
 
     /** Names of the voters that are heard, without this backend. */
     List<String> heardVoterNames(Duration now) {
-        return voterResponses.heardVoters(now, reportValidity.get());
+        return voterResponses.heardVoters(now, reportValidity());
     }
 }
--- a/src/main/java/merlinlever/fleet/view/ViewAdoption.java
+++ b/src/main/java/merlinlever/fleet/view/ViewAdoption.java
@@ -6,6 +6,8 @@
 import java.util.TreeSet;
 import java.util.function.LongPredicate;
 import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
+import merlinlever.fleet.membership.MemberTable;
 
 /**
  * The view that this backend has adopted, and the latest one that it knows of, which it may not have adopted yet. Only a view
@@ -77,6 +79,11 @@
         return numberConflicts;
     }
 
+    /** How many backends there are: those of the adopted view, or all that membership knows where these are more. */
+    int fleetSize(MemberTable memberTable) {
+        return Math.max(adopted.members().size(), memberTable.size());
+    }
+
     /** Index of a member in the adopted view, by which messages name it; -1 where it is no member. */
     int indexOf(String member) {
         return memberOrder.indexOf(member);
@@ -116,8 +123,10 @@
     void learn(Duration now, MembershipView received) {
         if (received.number() == latestKnown.number() && !received.digest().equals(latestKnown.digest())) {
             numberConflicts++;
-            log.line("view-number-conflict view=" + latestKnown.displayNumber() + " kept_digest=" + latestKnown.digest()
-                    + " rejected_digest=" + received.digest());
+            log.write(LogEvent.info("view-number-conflict")
+                    .with("view", latestKnown.displayNumber())
+                    .with("kept_digest", latestKnown.digest())
+                    .with("rejected_digest", received.digest()));
         } else if (received.number() > latestKnown.number()) {
             latestKnown = received;
             codec.remember(received);
@@ -149,15 +158,16 @@
         joined.removeAll(adopted.members());
         SortedSet<String> removed = new TreeSet<>(adopted.members());
         removed.removeAll(latestKnown.members());
-        log.line("view-adopted " + latestKnown.describe() + " previous=" + adopted.displayNumber()
-                + namesField(" joined=", joined) + namesField(" removed=", removed));
+        LogEvent event = latestKnown.addTo(LogEvent.info("view-adopted")).with("previous", adopted.displayNumber());
+        event = withNames(event, "joined", joined);
+        log.write(withNames(event, "removed", removed));
     }
 
-    private static String namesField(String field, SortedSet<String> names) {
+    private static LogEvent withNames(LogEvent event, String key, SortedSet<String> names) {
         if (names.isEmpty()) {
-            return "";
+            return event;
         }
         String listed = String.join(",", names.stream().limit(MAX_NAMES_LOGGED).toList());
-        return field + listed + (names.size() > MAX_NAMES_LOGGED ? ",..." : "");
+        return event.with(key, listed + (names.size() > MAX_NAMES_LOGGED ? ",..." : ""));
     }
 }
--- a/src/main/java/merlinlever/fleet/view/ViewCodec.java
+++ b/src/main/java/merlinlever/fleet/view/ViewCodec.java
@@ -15,6 +15,9 @@
     private static final String HEADER = "view 1";
     private static final int RADIX = 36;
     private static final int MAX_REMEMBERED_VIEWS = 8;
+    private static final int NUMBER_LINE = 1;
+    private static final int DIGEST_LINE = 2;
+    private static final int BASE_NUMBER_LINE = 3;
     private static final int FIRST_NAME_LINE = 4;
 
     /** Views that may be the base of a difference, the oldest first. */
@@ -70,9 +73,9 @@
     MembershipView decode(byte[] payload) {
         String[] lines = new String(payload, StandardCharsets.US_ASCII).split("\n");
         try {
-            long number = Long.parseLong(lines[1], RADIX);
-            String digest = lines[2];
-            long baseNumber = Long.parseLong(lines[3], RADIX);
+            long number = Long.parseLong(lines[NUMBER_LINE], RADIX);
+            String digest = lines[DIGEST_LINE];
+            long baseNumber = Long.parseLong(lines[BASE_NUMBER_LINE], RADIX);
             MembershipView base = findRemembered(baseNumber);
             if (base.number() != baseNumber || number <= baseNumber) {
                 return null;
--- a/src/main/java/merlinlever/fleet/view/ViewManager.java
+++ b/src/main/java/merlinlever/fleet/view/ViewManager.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
 import merlinlever.common.log.EventLog;
+import merlinlever.common.log.LogEvent;
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.membership.MemberTable;
 import merlinlever.fleet.membership.PeerMessage;
@@ -18,25 +18,22 @@
  * that the view assigns to it, adopts each view with a higher number, and, where it leads, numbers the next one. It does no
  * input or output and has no clock; times are since the process began. Not thread-safe.
  *
- * <p>Texts, each with a correlation id: {@code WP/} probes a member, {@code WO/} answers; {@code
- * WQ/view/digest/floor/heard/unreachable} polls a voter and reports to it, {@code WA/view/digest/term} answers (its term where it
- * leads); {@code WG/known/wanted} fetches a view, which comes as a payload. Numbers of views and terms are in base 36. A
- * correlation id is answered once, by the backend that was asked.
+ * <p>{@link ViewMessage} has the messages. A correlation id is answered once, by the backend that was asked.
  */
 public final class ViewManager implements FleetView {
 
-    private static final String PROBE = "WP";
-    private static final String PROBE_ANSWER = "WO";
-    private static final String POLL = "WQ";
-    private static final String POLL_ANSWER = "WA";
-    private static final String FETCH = "WG";
-    private static final int RADIX = 36;
-
     /** First parts of the texts that {@link #receive} takes. */
-    public static final Set<String> MESSAGE_TYPES = Set.of(PROBE, PROBE_ANSWER, POLL, POLL_ANSWER, FETCH);
+    public static final Set<String> MESSAGE_TYPES = Set.of(
+            ViewMessage.Probe.TYPE,
+            ViewMessage.ProbeAnswer.TYPE,
+            ViewMessage.Poll.TYPE,
+            ViewMessage.PollAnswer.TYPE,
+            ViewMessage.Fetch.TYPE);
 
     /** A backend that misses a view fetches it, so a push may be spread over some ticks. */
     private static final int MAX_PUSHES_PER_TICK = 64;
+    /** A later view that was heard of is fetched at most so often in a quiet period. */
+    private static final int FETCHES_PER_QUIET_PERIOD = 3;
 
     /**
      * How a view manager is set up.
@@ -94,8 +91,8 @@
         cutDetector = new CutDetector(settings);
         statusHysteresis = new QuorumStatusHysteresis(now, settings.quietPeriod());
         views = new ViewAdoption(now, voters.self(), setup.termFloor(), setup.persistTerm(), failureDetector, log);
-        quorumEvaluator = new QuorumEvaluator(
-                now, voters, settings, memberTable, views, voterResponses, failureDetector, this::reportValidity);
+        quorumEvaluator =
+                new QuorumEvaluator(now, voters, settings, memberTable, views, voterResponses, failureDetector);
         proposer = new ViewProposer(
                 voters, election, memberTable, views, cutDetector, voterResponses, this::reportValidity);
         outbox = new RateLimitedOutbox(now);
@@ -135,7 +132,8 @@
         views.adoptLatest(now);
         failureDetector
                 .dueProbes(now)
-                .forEach(probe -> outbox.addText(probe.subject(), probe.correlationId(), PROBE + "/"));
+                .forEach(probe ->
+                        outbox.addText(probe.subject(), probe.correlationId(), new ViewMessage.Probe().encode()));
         if (now.compareTo(nextPollAt) >= 0) {
             nextPollAt = now.plus(settings.pollInterval(fleetSize()));
             pollVoters(now);
@@ -151,7 +149,8 @@
     }
 
     private void recoverFromPause(Duration now) {
-        log.line("process-paused pause_ms=" + now.minus(lastTickAt).toMillis());
+        log.write(LogEvent.info("process-paused")
+                .with("pause_ms", now.minus(lastTickAt).toMillis()));
         quorumEvaluator.startRecovery(now);
         voterResponses.clear();
         failureDetector.restartObservation(now);
@@ -160,7 +159,7 @@
     }
 
     private int fleetSize() {
-        return Math.max(view().members().size(), memberTable.size());
+        return views.fleetSize(memberTable);
     }
 
     private Duration reportValidity() {
@@ -169,17 +168,14 @@
 
     private void pollVoters(Duration now) {
         List<String> unreachable = failureDetector.unreachable(now);
-        StringBuilder indexes = new StringBuilder();
-        unreachable.forEach(name -> indexes.append('.').append(Integer.toString(views.indexOf(name), RADIX)));
+        List<Integer> indexes = unreachable.stream().map(views::indexOf).toList();
         int heardVoters = quorumEvaluator.heardVoters(now);
-        String poll = String.join(
-                "/",
-                POLL,
-                Long.toString(view().number(), RADIX),
+        ViewMessage poll = new ViewMessage.Poll(
+                view().number(),
                 view().digest(),
-                Long.toString(views.termFloor(), RADIX),
-                Integer.toString(heardVoters),
-                indexes);
+                views.termFloor(),
+                heardVoters,
+                ViewMessage.Poll.formatIndexes(indexes));
         for (String voter : voters.names()) {
             lastCorrelationId++;
             if (voter.equals(voters.self())) {
@@ -191,7 +187,7 @@
             } else {
                 voterResponses.recordPoll(
                         now, voter, lastCorrelationId, reportValidity().multipliedBy(2));
-                outbox.addText(voter, lastCorrelationId, poll);
+                outbox.addText(voter, lastCorrelationId, poll.encode());
             }
         }
     }
@@ -222,9 +218,12 @@
         QuorumStatus current = quorumEvaluator.evaluate(now);
         divergenceMonitor.update(now, quorumEvaluator.heardVoterNames(now), view(), views.adoptedAt());
         if (statusHysteresis.update(now, current)) {
-            log.line("quorum-status-changed status=" + statusHysteresis.shown().wireName() + " previous="
-                    + previous.wireName() + " heard_voters=" + quorumEvaluator.heardVoters(now) + " voters="
-                    + voters.size() + " " + view().describe());
+            LogEvent changed = LogEvent.info("quorum-status-changed")
+                    .with("status", statusHysteresis.shown().wireName())
+                    .with("previous", previous.wireName())
+                    .with("heard_voters", quorumEvaluator.heardVoters(now))
+                    .with("voters", voters.size());
+            log.write(view().addTo(changed));
         }
     }
 
@@ -237,57 +236,50 @@
 
     /** Takes in a text of a peer, of one of the {@link #MESSAGE_TYPES}, and returns what is to be sent in answer. */
     public List<PeerMessage> receive(Duration now, String sender, long correlationId, String text) {
-        String[] parts = text.split("/");
         try {
-            switch (parts[0]) {
-                case PROBE -> outbox.addText(sender, correlationId, PROBE_ANSWER + "/");
-                case PROBE_ANSWER -> failureDetector.recordAnswer(now, sender, correlationId);
-                case POLL -> receivePoll(now, sender, correlationId, parts);
-                case POLL_ANSWER -> receivePollAnswer(now, sender, correlationId, parts);
-                case FETCH -> receiveFetch(sender, parts);
-                default -> throw new IllegalArgumentException("unknown type " + parts[0]);
+            ViewMessage.Received message = new ViewMessage.Received(text);
+            switch (message.type()) {
+                case ViewMessage.Probe.TYPE -> send(sender, correlationId, new ViewMessage.ProbeAnswer());
+                case ViewMessage.ProbeAnswer.TYPE -> failureDetector.recordAnswer(now, sender, correlationId);
+                case ViewMessage.Poll.TYPE -> receivePoll(now, sender, correlationId, message);
+                case ViewMessage.PollAnswer.TYPE -> receivePollAnswer(now, sender, correlationId, message);
+                case ViewMessage.Fetch.TYPE -> receiveFetch(sender, message);
+                default -> throw new IllegalArgumentException("unknown type " + message.type());
             }
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.line("view-message-rejected sender=" + sender + " text=" + text);
+            log.write(LogEvent.info("view-message-rejected")
+                    .with("sender", sender)
+                    .with("text", text));
         }
         return outbox.drain();
     }
 
-    private static long parseNumber(String text) {
-        return Long.parseLong(text, RADIX);
+    private void send(String recipient, long correlationId, ViewMessage message) {
+        outbox.addText(recipient, correlationId, message.encode());
     }
 
-    private void receivePoll(Duration now, String sender, long correlationId, String[] parts) {
+    private void receivePoll(Duration now, String sender, long correlationId, ViewMessage.Received message) {
         if (!voters.includesSelf() || sender.equals(voters.self())) {
             return;
         }
-        long viewNumber = parseNumber(parts[1]);
-        List<String> unreachable = new ArrayList<>();
-        if (parts.length > 5 && viewNumber == view().number() && parts[2].equals(view().digest())) {
-            for (String index : parts[5].substring(1).split("\\.")) {
-                unreachable.add(views.memberAt(Integer.parseInt(index, RADIX)));
-            }
-        }
+        ViewMessage.Poll poll = message.toPoll();
+        boolean isSameView =
+                poll.viewNumber() == view().number() && poll.digest().equals(view().digest());
+        List<String> unreachable = isSameView
+                ? poll.unreachableIndexes().stream().map(views::memberAt).toList()
+                : List.of();
         CutDetector.MemberReport report = new CutDetector.MemberReport(
-                now, correlationId, viewNumber, parseNumber(parts[3]), Integer.parseInt(parts[4]), unreachable);
+                now, correlationId, poll.viewNumber(), poll.termFloor(), poll.heardVoters(), unreachable);
         cutDetector.recordReport(sender, report, reportValidity());
         long leadingTerm = election.isLeader(now) ? election.term() : 0;
-        outbox.addText(
-                sender,
-                correlationId,
-                String.join(
-                        "/",
-                        POLL_ANSWER,
-                        Long.toString(view().number(), RADIX),
-                        view().digest(),
-                        Long.toString(leadingTerm, RADIX)));
+        send(sender, correlationId, new ViewMessage.PollAnswer(view().number(), view().digest(), leadingTerm));
     }
 
-    private void receivePollAnswer(Duration now, String sender, long correlationId, String[] parts) {
-        long viewNumber = parseNumber(parts[1]);
-        String digest = parts[2];
-        long leadingTerm = parseNumber(parts[3]);
-        if (!voterResponses.recordAnswer(now, sender, correlationId, viewNumber, digest, view())) {
+    private void receivePollAnswer(Duration now, String sender, long correlationId, ViewMessage.Received message) {
+        ViewMessage.PollAnswer answer = message.toPollAnswer();
+        long viewNumber = answer.viewNumber();
+        long leadingTerm = answer.leadingTerm();
+        if (!voterResponses.recordAnswer(now, sender, correlationId, viewNumber, answer.digest(), view())) {
             return;
         }
         if (leadingTerm > 0) {
@@ -298,18 +290,15 @@
         }
         long latest = views.latestKnown().number();
         if (viewNumber > latest && now.compareTo(nextFetchAt) >= 0) {
-            nextFetchAt = now.plus(settings.quietPeriod().dividedBy(3));
+            nextFetchAt = now.plus(settings.quietPeriod().dividedBy(FETCHES_PER_QUIET_PERIOD));
             lastCorrelationId++;
-            outbox.addText(
-                    sender,
-                    lastCorrelationId,
-                    String.join("/", FETCH, Long.toString(latest, RADIX), Long.toString(viewNumber, RADIX)));
+            send(sender, lastCorrelationId, new ViewMessage.Fetch(latest, viewNumber));
         }
     }
 
-    private void receiveFetch(String sender, String[] parts) {
-        if (views.latestKnown().number() >= parseNumber(parts[2])) {
-            outbox.addPayload(sender, views.encodeLatest(parseNumber(parts[1])));
+    private void receiveFetch(String sender, ViewMessage.Received message) {
+        if (views.latestKnown().number() >= message.wantedNumber()) {
+            outbox.addPayload(sender, views.encodeLatest(message.knownNumber()));
         }
     }
 
--- a/src/main/java/merlinlever/fleet/view/ViewSettings.java
+++ b/src/main/java/merlinlever/fleet/view/ViewSettings.java
@@ -36,26 +36,28 @@
     /** How many polls in a row may be lost in a large fleet before a voter counts as not heard. */
     private static final int POLLS_PER_VALIDITY = 4;
 
+    private static final ViewSettings DEFAULTS = new ViewSettings(
+            Duration.ofMillis(500),
+            Duration.ofSeconds(5),
+            Duration.ofMillis(500),
+            500,
+            Duration.ofSeconds(4),
+            Duration.ofSeconds(1),
+            Duration.ofSeconds(3),
+            Duration.ofSeconds(10),
+            Duration.ofSeconds(2),
+            Duration.ofSeconds(2),
+            Duration.ofSeconds(5),
+            Duration.ofMinutes(5));
+
     /** The settings of every released program. */
     public static ViewSettings defaults() {
-        return new ViewSettings(
-                Duration.ofMillis(500),
-                Duration.ofSeconds(5),
-                Duration.ofMillis(500),
-                500,
-                Duration.ofSeconds(4),
-                Duration.ofSeconds(1),
-                Duration.ofSeconds(3),
-                Duration.ofSeconds(10),
-                Duration.ofSeconds(2),
-                Duration.ofSeconds(2),
-                Duration.ofSeconds(5),
-                Duration.ofMinutes(5));
+        return DEFAULTS;
     }
 
     /** The time between two polls of a voter in a fleet of that size. */
     Duration pollInterval(int members) {
-        Duration atMaxRate = Duration.ofMillis(1000L * members / maxPollsPerSecond);
+        Duration atMaxRate = Duration.ofMillis(Duration.ofSeconds(members).toMillis() / maxPollsPerSecond);
         return atMaxRate.compareTo(minPollInterval) > 0 ? atMaxRate : minPollInterval;
     }
 
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -30,6 +30,7 @@
 import merlinlever.fleet.quota.QuotaConsumer;
 import merlinlever.fleet.quota.QuotaCoordinator;
 import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.net.NodeEnvironment;
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
@@ -219,8 +220,7 @@
             RecoveryCoordinator rejoin = on.callOnLoop(() -> {
                 try {
                     return new RecoveryCoordinator(
-                            on.loop,
-                            disk,
+                            new NodeEnvironment(on.loop, disk, () -> 1_700_000_000_000L),
                             new NodeSettings(
                                     "b1",
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
@@ -230,7 +230,6 @@
                                     "a-secret-of-16-or-more"),
                             RecoverySettings.defaults(Duration.ofSeconds(5), Duration.ZERO),
                             1,
-                            () -> 1_700_000_000_000L,
                             RecoveringService.NONE,
                             line -> {});
                 } catch (java.io.IOException e) {
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -165,12 +165,10 @@
                 16,
                 Duration.ofMillis(100));
         RecoveryCoordinator coordinator = callOnLoop(() -> new RecoveryCoordinator(
-                loop,
-                directory,
+                new NodeEnvironment(loop, directory, () -> System.currentTimeMillis() + clockStepMs.get()),
                 node,
                 settings,
                 3,
-                () -> System.currentTimeMillis() + clockStepMs.get(),
                 service,
                 line -> log.add(node.name() + " " + line.text())));
         running.add(coordinator);
--- a/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
@@ -24,6 +24,7 @@
 import merlinlever.fleet.election.ElectionSettings;
 import merlinlever.fleet.election.net.ElectionTransport;
 import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.net.NodeEnvironment;
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
@@ -114,8 +115,7 @@
 
     private Replica startNow(String name, List<String> seeds) throws IOException {
         RecoveryCoordinator recovery = new RecoveryCoordinator(
-                loop,
-                new FileStateDirectory(root.resolve(name)),
+                new NodeEnvironment(loop, new FileStateDirectory(root.resolve(name)), System::currentTimeMillis),
                 new NodeSettings(
                         name,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -125,7 +125,6 @@
                         "a-secret-of-16-or-more"),
                 RecoverySettings.defaults(Duration.ofSeconds(1), Duration.ofMillis(100)),
                 3,
-                System::currentTimeMillis,
                 RecoveringService.NONE,
                 line -> log.add(name + " " + line.text()));
         ElectionTransport election = new ElectionTransport(
