--- a/src/main/java/merlinlever/backend/agent/AgentCommands.java
+++ b/src/main/java/merlinlever/backend/agent/AgentCommands.java
@@ -9,17 +9,17 @@
 
     private AgentCommands() {}
 
-    /** Asks for all events after the offset. */
+    /** Subscribes to all events after the offset. */
     static String subscribe(long lastOffset) {
         return "{\"cmd\":\"subscribe\",\"offset\":" + lastOffset + "}\n";
     }
 
-    /** Asks for the gauges; the answer carries the token. */
+    /** Polls the metrics; the answer carries the token. */
     static String sample(String token) {
         return "{\"cmd\":\"sample\",\"token\":\"" + token + "\"}\n";
     }
 
-    /** Asks for the work of a deep health check; the answer carries the token. */
+    /** Requests the work of a deep health check; the answer carries the token. */
     static String exercise(String token) {
         return "{\"cmd\":\"exercise\",\"token\":\"" + token + "\"}\n";
     }
@@ -35,12 +35,12 @@
         return forRequest("freeze", request, "");
     }
 
-    /** Hands the run the reply to its downstream call. */
+    /** Delivers the reply of the run's downstream call. */
     static String deliver(TrackedRequest request, byte[] reply) {
         return forRequest("deliver", request, payload(reply));
     }
 
-    /** Lets the run go on without its downstream call. */
+    /** Lets the run continue without its downstream call. */
     static String forgo(TrackedRequest request) {
         return forRequest("forgo", request, "");
     }
--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -15,9 +15,10 @@
 import merlinlever.controller.Outcome;
 
 /**
- * The link to the agent. It keeps one connection, made again with a growing pause when it is lost, and resumes the
- * agent's event log after the last offset read, so that each event counts once and in order. When the address changes,
- * the connection in use stays until the agent greets on the new one.
+ * The link to the agent. It keeps one connection, reconnects with exponential backoff, and resumes the agent's event log
+ * after the last sequence number read ({@code offset} on the wire), so that each event counts once and in order. After a
+ * change of the address, the present connection is used until the agent has greeted on the new one. All methods are
+ * called on the event loop's thread.
  */
 public final class AgentLink {
 
@@ -56,13 +57,13 @@
 
     // ---- the connection
 
-    /** Connects, and goes on watching the connection. */
+    /** Connects, and checks the liveness of the connection from now on. */
     public void start() {
         connect();
         loop.runNowAndEvery(LIVENESS_CHECK_INTERVAL, this::checkLiveness);
     }
 
-    /** Connects to the agent at the address from now on; the connection in use stays until the new one is greeted. */
+    /** Connects to the agent at the address from now on; the present connection is used until the new one is greeted. */
     public void setAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -77,7 +78,7 @@
         connect();
     }
 
-    /** Closes a connection on which questions stay unanswered; a pause of this process counts as one check only. */
+    /** Closes a connection on which polls stay unanswered; a pause of this process counts as one check only. */
     private void checkLiveness() {
         // Until it has started, the agent may take any time for its greeting.
         boolean awaitsAnswer = pending != null ? backend.isStarted() : active != null && samples.isGaugesPending();
@@ -116,7 +117,7 @@
 
     // ---- events
 
-    /** Acts on what happens on the connections. */
+    /** Handles the events of the connections. */
     private final class ConnectionListener implements AgentConnection.Listener {
 
         @Override
@@ -158,7 +159,7 @@
         }
     }
 
-    /** Moves on in the agent's event log; false for an event that has been read already. */
+    /** Advances in the agent's event log; false for an event that was read before. */
     private boolean advanceTo(long offset) {
         if (offset == 0) {
             return true;
@@ -176,7 +177,7 @@
         return true;
     }
 
-    /** Acts on each kind of event. */
+    /** Handles each kind of event of the agent. */
     private final class EventHandler implements AgentEvent.Handler {
 
         private static final int MAX_RESULT_BYTES = 4096;
@@ -286,7 +287,7 @@
         samples.setConfirmedUntil(connectedAt);
     }
 
-    /** The agent is there for the first time: the clock counts from its start. */
+    /** The agent has greeted for the first time: the clock counts from its start. */
     private void begin(AgentEvent.Greeting greeting) {
         loop.clock().setOriginAgo(Durations.ofMillis(greeting.elapsedMs()));
         samples.setConfirmedUntil(loop.clock().now());
@@ -296,7 +297,7 @@
         backend.agentStarted(loop.clock().now(), greeting.isCold());
     }
 
-    /** The agent is there again: what was in doubt is settled once all events of the time between have been read. */
+    /** The agent has greeted again: commands in doubt are resolved once all events of the time between have been read. */
     private void resume() {
         log.info("agent-link-restored");
         backend.agentLinkRestored(loop.clock().now());
@@ -326,21 +327,21 @@
         }
     }
 
-    /** Hands a run the reply to its downstream call. */
+    /** Delivers the reply of a run's downstream call. */
     public void deliver(TrackedRequest request, byte[] reply) {
         if (active != null) {
             active.send(AgentCommands.deliver(request, reply));
         }
     }
 
-    /** Lets a run go on without its downstream call. */
+    /** Lets a run continue without its downstream call. */
     public void forgo(TrackedRequest request) {
         if (active != null) {
             active.send(AgentCommands.forgo(request));
         }
     }
 
-    /** Asks for the gauges unless such a question is open or there is no connection; says whether it did. */
+    /** Polls the agent's metrics unless a poll is in flight or there is no connection; returns whether it did. */
     public boolean sample() {
         if (active == null || samples.isGaugesPending()) {
             return false;
--- a/src/main/java/merlinlever/backend/agent/DeepHealthCheck.java
+++ b/src/main/java/merlinlever/backend/agent/DeepHealthCheck.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import merlinlever.common.net.EventLoop;
 
-/** The deep health check that is open, if any: its token, its time limit, and its one verdict. */
+/** The deep health check in flight, if any: its token, its timeout and its single result. */
 final class DeepHealthCheck {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
@@ -15,18 +15,18 @@
     private Optional<String> openToken = Optional.empty();
     private EventLoop.Timer timeout;
 
-    /** @param verdict gets whether the work was done in time, once for each check */
+    /** @param verdict receives the result of each check, once: whether the work was done in time */
     DeepHealthCheck(EventLoop loop, Consumer<Boolean> verdict) {
         this.loop = loop;
         this.verdict = verdict;
     }
 
-    /** The token of the check that is open. */
+    /** The token of the check in flight. */
     Optional<String> openToken() {
         return openToken;
     }
 
-    /** Opens a check; unless it is answered in time it has failed. */
+    /** Starts a check, which fails unless it is answered within the timeout. */
     void open(String token) {
         openToken = Optional.of(token);
         timeout = loop.schedule(TIMEOUT, () -> {
@@ -35,7 +35,7 @@
         });
     }
 
-    /** Takes an answer; one to another check than the open one is ignored. */
+    /** Ends the check with the answer; an answer to any other check is ignored. */
     void answered(String token, boolean succeeded) {
         if (openToken.isPresent() && openToken.get().equals(token)) {
             close();
--- a/src/main/java/merlinlever/backend/agent/LineDecoder.java
+++ b/src/main/java/merlinlever/backend/agent/LineDecoder.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Cuts a stream of bytes into lines; the bytes of an incomplete line stay in the buffer and are not scanned twice. */
+/** Splits a stream of bytes into lines; bytes of an incomplete line stay in the buffer and are not scanned twice. */
 public final class LineDecoder {
 
     private final int maxLineBytes;
@@ -13,7 +13,7 @@
 
     private boolean skipping;
 
-    /** @param maxLineBytes as many bytes without a line end are too many */
+    /** @param maxLineBytes a line of this length or longer is rejected */
     public LineDecoder(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
@@ -44,7 +44,7 @@
         return scannedBytes < maxLineBytes;
     }
 
-    /** Drops the incomplete line: what has come of it, and what will still come up to its line end. */
+    /** Drops the incomplete line: its bytes so far, and those to come up to its line end. */
     public void skipLine(ByteBuffer input) {
         skipping = true;
         input.position(input.limit());
--- a/src/main/java/merlinlever/backend/agent/SampleTracker.java
+++ b/src/main/java/merlinlever/backend/agent/SampleTracker.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * The questions for gauges that are open on the connection in use, and what their answers prove: the agent answers in
- * order, so whatever was sent before an answered question has arrived.
+ * The metrics polls in flight on the present connection, and what their answers prove: the agent answers in order, so all
+ * commands sent before an answered poll have arrived.
  */
 final class SampleTracker {
 
-    /** What an answer was for. */
+    /** Which poll was answered. */
     enum Answer {
         /** All events of the time without a connection have been read. */
         CATCH_UP,
-        /** The gauges are up to date. */
+        /** The metrics are up to date. */
         GAUGES,
-        /** No such question is open. */
+        /** No such poll is in flight. */
         UNEXPECTED
     }
 
@@ -35,27 +35,27 @@
         confirmedUntil = time;
     }
 
-    /** Whether a question for the gauges is open. */
+    /** Whether a poll of the metrics is in flight. */
     boolean isGaugesPending() {
         return gauges.isPresent();
     }
 
-    /** Forgets the question for the gauges: its connection is replaced. */
+    /** Forgets the poll of the metrics: its connection is replaced. */
     void dropGauges() {
         gauges = Optional.empty();
     }
 
-    /** A question for the gauges is being sent. */
+    /** A poll of the metrics is being sent. */
     void expectGauges(String token, Duration now) {
         gauges = Optional.of(new PendingSample(token, now));
     }
 
-    /** A question is being sent whose answer shows that all missed events have been read. */
+    /** A poll is being sent whose answer shows that all missed events have been read. */
     void expectCatchUp(String token, Duration now) {
         catchUp = Optional.of(new PendingSample(token, now));
     }
 
-    /** Takes an answer and says which question it closes. */
+    /** Matches an answer to the poll that it ends. */
     Answer answered(String token) {
         if (isFor(catchUp, token)) {
             confirmedUntil = catchUp.get().askedAt();
--- a/src/main/java/merlinlever/backend/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnection.java
@@ -11,7 +11,7 @@
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
 
-/** One connection of an edge node: serves one request at a time, and reads the next after the response. */
+/** A connection of an edge node: serves one request at a time, and reads the next one after the response. */
 final class EdgeConnection implements Connection.Handler, ResponseSink {
 
     static final int READ_BUFFER_BYTES = RequestHead.MAX_BYTES + RequestHead.MAX_BODY_BYTES;
@@ -25,19 +25,19 @@
 
     private static final int USUAL_HEAD_CHARS = 120;
 
-    /** What a connection is doing. */
+    /** The state of a connection. */
     enum State {
         /** Before its first complete request. */
         NEW,
         /** Between two requests. */
         IDLE,
-        /** A part of a request has come; not the first one, which is read in state {@link #NEW}. */
+        /** Part of a request was received; the first request is received in state {@link #NEW}. */
         RECEIVING,
         /** A complete request is being processed. */
         IN_FLIGHT,
         /** A response is being written. */
         RESPONDING,
-        /** This side has ended its direction, and drops what still comes until the other side does the same. */
+        /** Half-closed by this side: further input is dropped until the peer closes, too. */
         LINGERING
     }
 
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Answers bytes that are no request; where the next one begins is not known, so the connection ends. */
+    /** Responds to a malformed request; as the start of the next one is unknown, the connection is closed. */
     private void rejectMalformed(ByteBuffer input, HttpStatus status) {
         input.position(input.limit());
         closeAfterResponse = true;
--- a/src/main/java/merlinlever/backend/records/PendingCall.java
+++ b/src/main/java/merlinlever/backend/records/PendingCall.java
@@ -4,7 +4,7 @@
 import merlinlever.backend.TrackedRequest;
 import merlinlever.common.net.EventLoop;
 
-/** One call, until its outcome is known or nobody waits for it. */
+/** One downstream call, from its request until its outcome is known or nobody waits for it. */
 final class PendingCall {
 
     private final TrackedRequest request;
--- a/src/main/java/merlinlever/backend/records/RecordsClient.java
+++ b/src/main/java/merlinlever/backend/records/RecordsClient.java
@@ -20,9 +20,9 @@
 import merlinlever.controller.Outcome;
 
 /**
- * All calls to the records service. A call has a connection to itself until its outcome is known, so that a malformed
- * reply, one that never comes or a broken connection costs one call. A connection that brought one complete reply and
- * nothing else is used again, the one used last first.
+ * The pooled client of the downstream service. A call has a connection to itself until its outcome is known, so that a
+ * malformed or missing reply or a broken connection costs one call. A connection that delivered one complete reply and
+ * nothing else is reused, the most recently used one first. All methods are called on the event loop's thread.
  */
 public final class RecordsClient implements DownstreamService {
 
@@ -33,7 +33,7 @@
     private static final Duration MAX_IDLE = Duration.ofMillis(300);
     /** A reply whose rest takes longer has a length that does not match its body. */
     private static final Duration MAX_PARTIAL_REPLY_TIME = Duration.ofMillis(200);
-    /** A reply may take so much longer than the timeout that the service was sent. */
+    /** How much longer than the timeout that was sent to the service a reply may take. */
     private static final Duration REPLY_GRACE = Duration.ofMillis(20);
 
     private final EventLoop loop;
@@ -82,9 +82,8 @@
         cancel(request);
         PendingCall call = new PendingCall(request, body, loop.clock().uptime().plus(timeout));
         callsByRequest.put(request.id(), call);
-        // Bytes that have been read already come first: a reply among them is in time, and an idle connection whose
-        // close
-        // is among them gets no call.
+        // Bytes that have been read already come first: a reply among them is in time, and an idle connection that they
+        // close gets no call.
         call.setTimeout(loop.schedule(timeout.plus(REPLY_GRACE), () -> loop.execute(() -> expire(call))));
         waiting.add(call);
         loop.execute(this::sendWaiting);
@@ -129,7 +128,7 @@
     // ---- connections
 
     /**
-     * Reaches the service at the address from now on, or nowhere if null; calls that have been sent end where they are.
+     * Sends calls to this address from now on, or nowhere if null; calls in flight finish on their connections.
      */
     public void setAddress(InetSocketAddress newAddress) {
         if (Objects.equals(newAddress, address)) {
@@ -230,7 +229,7 @@
         }
     }
 
-    /** Acts on what happens on the connections. */
+    /** Handles the events of the connections. */
     private final class ConnectionListener implements RecordsConnection.Listener {
 
         @Override
--- a/src/main/java/merlinlever/backend/records/RecordsConnection.java
+++ b/src/main/java/merlinlever/backend/records/RecordsConnection.java
@@ -11,7 +11,7 @@
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
 
-/** One connection to the records service: carries one call at a time, and is used again after one clean reply. */
+/** One connection to the downstream service: carries one call at a time, and is reused after one complete reply. */
 final class RecordsConnection implements Connection.Handler {
 
     private static final int MAX_QUEUED_BYTES = 64 * 1024;
@@ -21,7 +21,7 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final byte[] LINE_END = {'\r', '\n'};
 
-    /** Receives what happens on a connection. */
+    /** Receives the events of a connection. */
     interface Listener {
         /** The reply to the connection's call. */
         void onReply(PendingCall call, RecordsReply reply);
@@ -41,7 +41,7 @@
     private final Listener listener;
     private final Log log;
     private Connection connection;
-    /** The call that a reply is due for; null while there is none. */
+    /** The call in flight; null if there is none. */
     private PendingCall call;
     /** The request of the last call, also when that is over. */
     private long lastRequestId;
@@ -79,7 +79,7 @@
         return connected;
     }
 
-    /** The call that a reply is due for; null while there is none. */
+    /** The call in flight; null if there is none. */
     PendingCall call() {
         return call;
     }
--- a/src/main/java/merlinlever/common/net/EventLoop.java
+++ b/src/main/java/merlinlever/common/net/EventLoop.java
@@ -25,7 +25,7 @@
 
     private static final int MAX_BATCH_TASKS = 256;
 
-    /** A task that runs at a time unless it is cancelled before. */
+    /** A task scheduled for a time; it can be cancelled. */
     public static final class Timer {
         private final long dueNanos;
         private final long sequence;
@@ -37,7 +37,7 @@
             this.task = task;
         }
 
-        /** The task does not run any more; may be called at any time. */
+        /** Cancels the task; without effect after it has run. */
         public void cancel() {
             task = null;
         }
@@ -65,7 +65,7 @@
     /**
      * Opens the channel group; the loop itself runs with {@link #run}.
      *
-     * @param failureHandler receives what a task or handler throws; the loop goes on
+     * @param failureHandler receives what a task or handler throws; the loop continues
      */
     public EventLoop(MonotonicClock clock, Consumer<Throwable> failureHandler) throws IOException {
         this.clock = clock;
@@ -112,7 +112,7 @@
         return timer;
     }
 
-    /** Runs the task now and then periodically, the period counting from the begin of each run. */
+    /** Runs the task now and then periodically, the period counting from the start of each run. */
     public void runNowAndEvery(Duration period, Runnable task) {
         schedule(period, () -> runNowAndEvery(period, task));
         task.run();
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Ends {@link #run} with the batch that is running, or at once where none is. */
+    /** Ends {@link #run} after the current batch; may be called on any thread. */
     public void stop() {
         stopping = true;
         execute(() -> {});
@@ -182,7 +182,7 @@
         } while (!pendingFlushes.isEmpty());
     }
 
-    /** Runs the task and reports what it throws; the loop goes on. Returns whether it completed normally. */
+    /** Runs the task and reports what it throws to the failure handler; returns whether it completed normally. */
     boolean runGuarded(Runnable task) {
         try {
             task.run();
