--- a/src/main/java/merlinlever/testing/faults/audit/AgreementAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/AgreementAudit.java
@@ -3,47 +3,59 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Whether what the processes say of each other is what is so, judged from outside: the harness knows which processes run,
- * and each running one is asked what it believes of the others. Decisions alone.
+ * Checks that the processes of a test agree on which of them run: the test knows that, and each running process is asked
+ * for the membership status of the others.
  */
 public final class AgreementAudit {
 
-    /** What one process said of another: alive, suspect, dead, left, or absent where it knows none of that name. */
+    /**
+     * The membership status of one process in the table of another.
+     *
+     * @param by who reported it
+     * @param of whose it is
+     * @param status alive, suspect, dead, left, or absent where that name is not known
+     */
     public record ReportedStatus(String by, String of, String status) {}
 
     private AgreementAudit() {}
 
     /**
-     * After the faults have ended and the processes had their time: every running one holds every other running one alive,
-     * and none holds one alive that has ended.
+     * Checks, some time after the last fault, that every running process considers every other running one alive, and none
+     * that has ended.
      *
-     * @param running each process by name, whether it runs (and is not paused)
-     * @return each breach in one line, naming both; empty where all agree
+     * @param running by the name of each process, whether it runs and is not paused
+     * @param reported what the running processes reported
+     * @return each violation in one line; empty where all agree
      */
-    public static List<String> breaches(Map<String, Boolean> running, List<ReportedStatus> said) {
-        List<String> breaches = new ArrayList<>();
-        for (Map.Entry<String, Boolean> by : running.entrySet()) {
-            if (!by.getValue()) {
-                continue;
-            }
-            for (Map.Entry<String, Boolean> of : running.entrySet()) {
-                if (of.getKey().equals(by.getKey())) {
-                    continue;
-                }
-                String status = said.stream()
-                        .filter(one -> one.by().equals(by.getKey()) && one.of().equals(of.getKey()))
-                        .map(ReportedStatus::status)
-                        .findFirst()
-                        .orElse("absent");
-                if (of.getValue() && !status.equals("alive")) {
-                    breaches.add(by.getKey() + " holds " + of.getKey() + " " + status + ", which runs");
-                } else if (!of.getValue() && status.equals("alive")) {
-                    breaches.add(by.getKey() + " holds " + of.getKey() + " alive, which has ended");
+    public static List<String> breaches(Map<String, Boolean> running, List<ReportedStatus> reported) {
+        List<String> violations = new ArrayList<>();
+        for (Map.Entry<String, Boolean> reporter : running.entrySet()) {
+            for (Map.Entry<String, Boolean> subject : running.entrySet()) {
+                if (reporter.getValue() && !subject.getKey().equals(reporter.getKey())) {
+                    check(reporter.getKey(), subject.getKey(), subject.getValue(), reported)
+                            .ifPresent(violations::add);
                 }
             }
         }
-        return breaches;
+        return violations;
+    }
+
+    private static Optional<String> check(
+            String reporter, String subject, boolean isRunning, List<ReportedStatus> reported) {
+        String status = reported.stream()
+                .filter(each -> each.by().equals(reporter) && each.of().equals(subject))
+                .map(ReportedStatus::status)
+                .findFirst()
+                .orElse("absent");
+        boolean isAlive = status.equals("alive");
+        if (isRunning && !isAlive) {
+            return Optional.of(reporter + " holds " + subject + " " + status + ", which runs");
+        }
+        return !isRunning && isAlive
+                ? Optional.of(reporter + " holds " + subject + " alive, which has ended")
+                : Optional.empty();
     }
 }
--- a/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/IncarnationAudit.java
@@ -8,99 +8,111 @@
 import merlinlever.fleet.membership.MembershipMessage;
 
 /**
- * Whether every life of a process told others an incarnation of its own, above all that its lives before told: by what it
- * sent alone. What a life writes in its log before it is on the disk is told to nobody, and the next may begin at the same.
- * The harness says where a life begins; whatever the process sent before has to be given to this first. Decisions alone.
+ * Checks by the messages of a process that each run of it announces higher incarnations than the runs before. An incarnation
+ * that a run never announced may be used by the next one. The test says when a run begins; all messages of the run before
+ * have to be passed in first.
  */
 public final class IncarnationAudit {
 
-    private static final int MOST = 20;
+    private static final int MAX_LISTED = 20;
     private static final long NONE = -1;
 
-    /** What one process told. */
+    /** What one process announced. */
     private static final class ProcessHistory {
-        /** The lives before this one, and this one: the highest that they told. */
-        long before = NONE, highest = NONE;
-        /** To each other the last that this life told; datagrams of one way are read in the order of their sending. */
-        final Map<String, Long> last = new TreeMap<>();
+        /** The highest incarnation of the runs before this one. */
+        private long highestBefore = NONE;
+        /** The highest incarnation of this run. */
+        private long highest = NONE;
+        /** The last incarnation of this run by receiver; datagrams between two processes are passed in in order. */
+        private final Map<String, Long> lastByReceiver = new TreeMap<>();
 
-        int life;
+        private int run;
     }
 
-    private final Map<String, ProcessHistory> all = new TreeMap<>();
-    private final List<String> breaches = new ArrayList<>();
-    private long breached, told, unread;
+    private final Map<String, ProcessHistory> histories = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private long violationCount;
+    private long announcements;
+    private long undecodable;
 
-    private ProcessHistory one(String name) {
-        return all.computeIfAbsent(name, none -> new ProcessHistory());
+    private ProcessHistory history(String name) {
+        return histories.computeIfAbsent(name, none -> new ProcessHistory());
     }
 
-    private void breach(String what) {
-        breached++;
-        if (breaches.size() < MOST) {
-            breaches.add(what);
+    private void addViolation(String what) {
+        violationCount++;
+        if (violations.size() < MAX_LISTED) {
+            violations.add(what);
         }
     }
 
-    /** Another life of the process begins; what it sends from here on is this one's. */
+    /** Another run of the process begins, which sends all that follows. */
     public void began(String name) {
-        ProcessHistory one = one(name);
-        one.before = Math.max(one.before, one.highest);
-        one.highest = NONE;
-        one.last.clear();
-        one.life++;
+        ProcessHistory history = history(name);
+        history.highestBefore = Math.max(history.highestBefore, history.highest);
+        history.highest = NONE;
+        history.lastByReceiver.clear();
+        history.run++;
     }
 
-    /** Its disk was spoilt, emptied or another's: it cannot know what it told, and rises above it by what others heard. */
+    /** The process lost its state on disk: it may repeat incarnations until others tell it of higher ones. */
     public void forgot(String name) {
-        ProcessHistory one = one(name);
-        one.before = NONE;
-        one.highest = NONE;
+        ProcessHistory history = history(name);
+        history.highestBefore = NONE;
+        history.highest = NONE;
     }
 
-    /** It sent this to the other; null where it is no message of the fleet. */
+    /**
+     * A process sent a message to another one.
+     *
+     * @param message null where the datagram could not be decoded
+     */
     public void sent(String name, String to, MembershipMessage message) {
         if (message == null) {
-            unread++;
+            undecodable++;
             return;
         }
         if (!message.sender().equals(name)) {
-            breach(name + " sent under the name of " + message.sender());
+            addViolation(name + " sent under the name of " + message.sender());
         }
-        for (MemberRecord rumour : message.records()) {
-            if (rumour.name().equals(name)) {
-                told(name, to, rumour.incarnation());
+        for (MemberRecord member : message.records()) {
+            if (member.name().equals(name)) {
+                announced(name, to, member.incarnation());
             }
         }
     }
 
-    private void told(String name, String to, long incarnation) {
-        ProcessHistory one = one(name);
-        told++;
-        if (incarnation <= one.before && incarnation > one.highest) {
-            breach(name + " tells incarnation " + incarnation + " in life " + one.life
-                    + "; its lives before told up to " + one.before);
+    private void announced(String name, String to, long incarnation) {
+        ProcessHistory history = history(name);
+        announcements++;
+        if (incarnation <= history.highestBefore && incarnation > history.highest) {
+            addViolation(name + " tells incarnation " + incarnation + " in life " + history.run
+                    + "; its lives before told up to " + history.highestBefore);
         }
-        one.highest = Math.max(one.highest, incarnation);
-        Long last = one.last.put(to, incarnation);
+        history.highest = Math.max(history.highest, incarnation);
+        Long last = history.lastByReceiver.put(to, incarnation);
         if (last != null && incarnation < last) {
-            breach(name + " tells " + to + " incarnation " + incarnation + " after " + last + " in life " + one.life);
+            addViolation(name + " tells " + to + " incarnation " + incarnation + " after " + last + " in life "
+                    + history.run);
         }
     }
 
-    /** Each in one line, the first twenty of them. */
+    /** The first {@value #MAX_LISTED} violations, one line each. */
     public List<String> breaches() {
-        return List.copyOf(breaches);
+        return List.copyOf(violations);
     }
 
+    /** How many violations there were. */
     public long breached() {
-        return breached;
+        return violationCount;
     }
 
-    /** How often one told its own incarnation; datagrams that were no messages of the fleet; lives begun. */
+    /** How often a process announced its own incarnation; datagrams that could not be decoded; runs begun. */
     public long[] counts() {
         return new long[] {
-            told, unread, all.values().stream().mapToInt(one -> one.life).sum()
+            announcements,
+            undecodable,
+            histories.values().stream().mapToInt(history -> history.run).sum()
         };
     }
 }
--- a/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/QuotaAudit.java
@@ -1,63 +1,75 @@
 package merlinlever.testing.faults.audit;
 
+import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Whether all backends together kept to a limit of the whole fleet, by what the party called saw: calls at once, and calls
- * in any second. Decisions alone. A call may be held up on its way by up to {@link #JITTER}, so a second is counted as
- * shorter by that.
+ * Checks that all backends together keep a fleet quota, by what the called service sees: concurrent calls, or calls in any
+ * second. A call may be delayed on its way by up to {@link #JITTER} ms, so a second is counted as shorter by that.
  */
 public final class QuotaAudit {
 
-    /** What a connection on a busy machine may hold a call up. */
+    /** The most that a connection on a busy machine delays a call, in milliseconds. */
     public static final long JITTER = 250;
 
-    private static final int MOST = 20;
+    private static final int MAX_LISTED = 20;
+    private static final long SECOND_MS = Duration.ofSeconds(1).toMillis();
 
     private final boolean perSecond;
-    private final ArrayDeque<Long> begun = new ArrayDeque<>();
-    private final List<String> breaches = new ArrayList<>();
-    private long whole, atOnce, most, calls;
+    /** When the calls of the last second began, in milliseconds. */
+    private final ArrayDeque<Long> recentCalls = new ArrayDeque<>();
 
-    public QuotaAudit(long whole, boolean perSecond) {
-        this.whole = whole;
+    private final List<String> violations = new ArrayList<>();
+    private long quota;
+    private long concurrentCalls;
+    private long highest;
+    private long calls;
+
+    /**
+     * An audit of one quota.
+     *
+     * @param perSecond whether it limits calls per second in place of concurrent ones
+     */
+    public QuotaAudit(long quota, boolean perSecond) {
+        this.quota = quota;
         this.perSecond = perSecond;
     }
 
-    /** From now on it is another; a smaller one is to be told when the shares of the larger one have run out. */
+    /** Changes the quota; to a smaller one once the leases of the larger one have expired. */
     public void whole(long changed) {
-        whole = changed;
+        quota = changed;
     }
 
-    /** A call came. */
+    /** A call arrived. */
     public void began(long ms, String by) {
         calls++;
-        atOnce++;
-        begun.add(ms);
-        while (ms - begun.peek() >= 1000 - JITTER) {
-            begun.poll();
+        concurrentCalls++;
+        recentCalls.add(ms);
+        while (ms - recentCalls.peek() >= SECOND_MS - JITTER) {
+            recentCalls.poll();
         }
-        long now = perSecond ? begun.size() : atOnce;
-        most = Math.max(most, now);
-        if (now > whole && breaches.size() < MOST) {
-            breaches.add(now + (perSecond ? " calls within a second" : " calls at once") + " with the call for " + by
-                    + ", over " + whole);
+        long now = perSecond ? recentCalls.size() : concurrentCalls;
+        highest = Math.max(highest, now);
+        if (now > quota && violations.size() < MAX_LISTED) {
+            violations.add(now + (perSecond ? " calls within a second" : " calls at once") + " with the call for " + by
+                    + ", over " + quota);
         }
     }
 
-    /** A call ended: answered, given up, or its connection is gone. */
+    /** A call ended: answered, abandoned, or its connection closed. */
     public void ended() {
-        atOnce--;
+        concurrentCalls--;
     }
 
+    /** The first {@value #MAX_LISTED} violations, one line each. */
     public List<String> breaches() {
-        return List.copyOf(breaches);
+        return List.copyOf(violations);
     }
 
-    /** The most that were seen, and how many calls in all. */
+    /** The highest number that counted against the quota, and how many calls there were. */
     public long[] counts() {
-        return new long[] {most, calls};
+        return new long[] {highest, calls};
     }
 }
--- a/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RequestAudit.java
@@ -1,5 +1,6 @@
 package merlinlever.testing.faults.audit;
 
+import java.net.HttpURLConnection;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,85 +9,101 @@
 import java.util.Set;
 
 /**
- * The rules for operations, by what passed outside the processes alone: what callers sent and were answered, and what the
- * parties called saw run and have its effect. Decisions alone; each breach names the operation.
+ * Checks the rules for requests by what is visible outside the backends: what clients sent and were answered, and what the
+ * agents ran. A request may have several attempts; it takes effect at most once, its result is one that a run produced, and
+ * each attempt is answered in time.
  */
 public final class RequestAudit {
 
-    private static final int MOST = 50;
+    private static final int MAX_LISTED = 50;
+    /** RFC 6585. */
+    private static final int HTTP_TOO_MANY_REQUESTS = 429;
 
-    private final Map<String, List<String>> effects = new HashMap<>();
-    private final Map<String, Set<String>> results = new HashMap<>();
-    private final Set<String> launched = new HashSet<>();
-    private final List<String> breaches = new ArrayList<>();
-    private long breached, served, pushedBack, failed, unanswered;
+    private final Map<String, List<String>> effectsByRequest = new HashMap<>();
+    private final Map<String, Set<String>> resultsByRequest = new HashMap<>();
+    private final Set<String> startedAttempts = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
+    private long violationCount;
+    private long served;
+    private long rejected;
+    private long failed;
+    private long unanswered;
 
-    private void breach(String what) {
-        breached++;
-        if (breaches.size() < MOST) {
-            breaches.add(what);
+    private void addViolation(String what) {
+        violationCount++;
+        if (violations.size() < MAX_LISTED) {
+            violations.add(what);
         }
     }
 
-    /** A run of the try began. */
+    /** The execution of an attempt started. */
     public void launched(String id) {
-        launched.add(id);
+        startedAttempts.add(id);
     }
 
-    /** The operation's work had its effect, by a run of this try at that backend. */
-    public void effect(String operation, String id, String at) {
-        List<String> by = effects.computeIfAbsent(operation, none -> new ArrayList<>(1));
+    /** The execution of an attempt at that backend took effect. */
+    public void effect(String request, String id, String at) {
+        List<String> by = effectsByRequest.computeIfAbsent(request, none -> new ArrayList<>(1));
         by.add(id + " at " + at);
         if (by.size() > 1) {
-            breach("effect twice: operation " + operation + ", by " + String.join(" and ", by));
+            addViolation("effect twice: operation " + request + ", by " + String.join(" and ", by));
         }
     }
 
-    /** A run of the operation was satisfied with that result. */
-    public void made(String operation, String result) {
-        results.computeIfAbsent(operation, none -> new HashSet<>(2)).add(result);
+    /** An execution of the request produced that result. */
+    public void recordResult(String request, String result) {
+        resultsByRequest.computeIfAbsent(request, none -> new HashSet<>(2)).add(result);
     }
 
-    /** The try was answered; {@code lateMs} is how long after its due time, with the slack, or below 0. */
-    public void answered(String operation, String id, int status, String body, long lateMs) {
+    /**
+     * An attempt was answered.
+     *
+     * @param lateMs how long after its deadline and a tolerance; negative if it was in time
+     */
+    public void answered(String request, String id, int status, String body, long lateMs) {
         if (lateMs > 0) {
-            breach("late: try " + id + " of " + operation + " was answered " + status + " " + lateMs
+            addViolation("late: try " + id + " of " + request + " was answered " + status + " " + lateMs
                     + " ms after its due time");
         }
-        if (status == 200) {
+        if (status == HttpURLConnection.HTTP_OK) {
             served++;
-            if (!results.getOrDefault(operation, Set.of()).contains(body)) {
-                breach("no run made it: try " + id + " of " + operation + " was satisfied with '" + body + "'");
+            if (!resultsByRequest.getOrDefault(request, Set.of()).contains(body)) {
+                addViolation("no run made it: try " + id + " of " + request + " was satisfied with '" + body + "'");
             }
-        } else if (status == 503 || status == 429) {
-            pushedBack++;
-            if (launched.contains(id)) {
-                breach("pushed back after it began: try " + id + " of " + operation);
+        } else if (status == HttpURLConnection.HTTP_UNAVAILABLE || status == HTTP_TOO_MANY_REQUESTS) {
+            rejected++;
+            if (startedAttempts.contains(id)) {
+                addViolation("pushed back after it began: try " + id + " of " + request);
             }
         } else {
             failed++;
         }
     }
 
-    /** The try ended without an answer; {@code excused} where its backend was killed or its caller had gone. */
-    public void unanswered(String operation, String id, boolean excused, String how) {
+    /**
+     * An attempt ended without an answer.
+     *
+     * @param excused whether its backend was killed or its client had gone
+     */
+    public void unanswered(String request, String id, boolean excused, String how) {
         unanswered++;
         if (!excused) {
-            breach("lost: try " + id + " of " + operation + ", " + how);
+            addViolation("lost: try " + id + " of " + request + ", " + how);
         }
     }
 
-    /** Each in one line, the first fifty of them. */
+    /** The first {@value #MAX_LISTED} violations, one line each. */
     public List<String> breaches() {
-        return List.copyOf(breaches);
+        return List.copyOf(violations);
     }
 
+    /** How many violations there were. */
     public long breached() {
-        return breached;
+        return violationCount;
     }
 
-    /** Tries satisfied, pushed back, failed, without an answer; operations with an effect. */
+    /** Attempts served, rejected, failed and unanswered; requests that took effect. */
     public long[] counts() {
-        return new long[] {served, pushedBack, failed, unanswered, effects.size()};
+        return new long[] {served, rejected, failed, unanswered, effectsByRequest.size()};
     }
 }
--- a/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -4,7 +4,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.function.BiFunction;
 import merlinlever.fleet.routes.Relation;
 import merlinlever.fleet.routes.Restrictions;
@@ -12,157 +15,184 @@
 import merlinlever.fleet.routes.RouteTable;
 
 /**
- * Whether sites kept to what the origins of routes allow, by what passed between them: no table and no call came to or from a site
- * that was not allowed it at any moment of the leases before (one for each step of the way), none went round, no effect came
- * twice, and every operation ended. Decisions alone; its rules are its own and not those of the program.
+ * Checks that sites respect the restrictions of the routes' origins, by what passes between them: a table or call reaches a
+ * site only if that was allowed at some moment within the last leases (one for each hop), no path has a loop, no request
+ * takes effect twice, and every request ends. Its rules are written independently of the program.
  */
 public final class RouteExportAudit {
 
-    private static final int MOST = 20;
+    private static final int MAX_LISTED = 20;
 
-    /** What an origin said of its route from then on; null for withdrawn. */
-    private record PublishedRestrictions(long ms, Restrictions what) {}
+    /** The restrictions of an origin from that time on; empty while its route is withdrawn. */
+    private record PublishedRestrictions(long ms, Optional<Restrictions> restrictions) {}
 
     private final BiFunction<String, String, Relation> relations;
-    private final long lease;
-    private final Map<String, List<PublishedRestrictions>> said = new TreeMap<>();
-    private final Map<Long, String> effects = new TreeMap<>();
-    private final Map<Long, Long> open = new TreeMap<>();
-    private final List<String> breaches = new ArrayList<>();
-    private final Map<String, Long> last = new TreeMap<>();
-    private final java.util.Set<String> leaking = new java.util.TreeSet<>();
-    private long calls, tables, leaks;
-
-    /** @param relations what the second site is to the first */
+    private final long leaseMs;
+    private final Map<String, List<PublishedRestrictions>> publishedByOrigin = new TreeMap<>();
+    private final Map<Long, String> effectsByRequest = new TreeMap<>();
+    /** The latest end of each open request, in milliseconds. */
+    private final Map<Long, Long> openRequests = new TreeMap<>();
+
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, Long> lastCallByOrigin = new TreeMap<>();
+    private final Set<String> leakingSites = new TreeSet<>();
+    private long calls;
+    private long tables;
+    private long leaks;
+
+    /**
+     * An audit of one network of sites.
+     *
+     * @param relations what the second site is to the first; null where they are no partners
+     * @param leaseMs for how long a published table holds
+     */
     public RouteExportAudit(BiFunction<String, String, Relation> relations, long leaseMs) {
         this.relations = relations;
-        lease = leaseMs;
+        this.leaseMs = leaseMs;
     }
 
-    /** The origin says that of its routes from now on; null withdraws them. */
-    public void said(long ms, String origin, Restrictions what) {
-        said.computeIfAbsent(origin, site -> new ArrayList<>()).add(new PublishedRestrictions(ms, what));
+    /**
+     * The origin publishes its routes with these restrictions from now on.
+     *
+     * @param restrictions null withdraws the routes
+     */
+    public void said(long ms, String origin, Restrictions restrictions) {
+        publishedByOrigin
+                .computeIfAbsent(origin, site -> new ArrayList<>())
+                .add(new PublishedRestrictions(ms, Optional.ofNullable(restrictions)));
     }
 
-    /** What that site publishes is only counted: it is known to leak. */
+    /** The site is known to leak routes: what it publishes against the rules is only counted. */
     public void leaks(String site) {
-        leaking.add(site);
+        leakingSites.add(site);
     }
 
-    /** Routes that such a site may not have published. */
+    /** How many routes leaking sites published against the rules. */
     public long leaked() {
         return leaks;
     }
 
-    /** A table came to a site. */
+    /** A site received the table of another. */
     public void table(long ms, String from, String to, RouteTable table) {
         tables++;
         for (Route each : table.routes().values()) {
             if (!each.path().get(0).equals(from)) {
-                breach(ms + ": table of " + from + " to " + to + " has a route of "
+                addViolation(ms + ": table of " + from + " to " + to + " has a route of "
                         + each.path().get(0));
             }
-            String why = look(to, each.path(), ms, (each.path().size() - 1) * lease, false);
-            if (why != null && leaking.contains(from)) {
+            Optional<String> violation = check(to, each.path(), ms, (each.path().size() - 1) * leaseMs, false);
+            if (violation.isPresent() && leakingSites.contains(from)) {
                 leaks++;
-            } else if (why != null) {
-                breach(ms + ": a table of " + from + " to " + why);
+            } else {
+                violation.ifPresent(what -> addViolation(ms + ": a table of " + from + " to " + what));
             }
         }
     }
 
-    /** A call of a site came to the first of those sites, to be passed along the others. */
+    /**
+     * A site sent a call along a path.
+     *
+     * @param path the sites that pass it on, the origin of the route last
+     * @param effect whether the call is not idempotent
+     */
     public void call(long ms, String from, List<String> path, boolean effect) {
         calls++;
-        last.put(path.get(path.size() - 1), ms);
-        String why = look(from, path, ms, path.size() * lease, effect);
-        if (why != null) {
-            breach(ms + ": a call of " + why);
-        }
+        lastCallByOrigin.put(path.get(path.size() - 1), ms);
+        check(from, path, ms, path.size() * leaseMs, effect)
+                .ifPresent(what -> addViolation(ms + ": a call of " + what));
     }
 
-    private String look(String to, List<String> path, long ms, long leases, boolean effect) {
+    /** What is wrong with a path that reaches a site at that time; empty where it was allowed within the leases. */
+    private Optional<String> check(String to, List<String> path, long ms, long leases, boolean effect) {
         if (path.contains(to) || new HashSet<>(path).size() < path.size()) {
-            return to + " goes round: " + path;
+            return Optional.of(to + " goes round: " + path);
         }
-        List<PublishedRestrictions> all = said.getOrDefault(path.get(path.size() - 1), List.of());
-        boolean allowed = false;
-        for (int i = 0; i < all.size(); i++) {
-            boolean past = i + 1 < all.size() && all.get(i + 1).ms() < ms - leases;
-            allowed |= !past
-                    && all.get(i).ms() <= ms
-                    && all.get(i).what() != null
-                    && allows(all.get(i).what(), to, path, effect);
+        List<PublishedRestrictions> published = publishedByOrigin.getOrDefault(path.get(path.size() - 1), List.of());
+        for (int i = 0; i < published.size(); i++) {
+            boolean isExpired = i + 1 < published.size() && published.get(i + 1).ms() < ms - leases;
+            boolean isPublished = published.get(i).ms() <= ms;
+            Optional<Restrictions> restrictions = published.get(i).restrictions();
+            if (!isExpired && isPublished && restrictions.isPresent() && allows(restrictions.get(), to, path, effect)) {
+                return Optional.empty();
+            }
         }
-        return allowed ? null : to + " along " + path + " is forbidden since more than " + leases + " ms";
+        return Optional.of(to + " along " + path + " is forbidden since more than " + leases + " ms");
+    }
+
+    private boolean allows(Restrictions restrictions, String to, List<String> path, boolean effect) {
+        return !restrictions.unreadable()
+                && path.size() <= restrictions.maxSites()
+                && !(restrictions.noExport() && path.size() > 1)
+                && !(restrictions.idempotentOnly() && effect)
+                && allowsHops(restrictions, to, path);
     }
 
-    private boolean allows(Restrictions its, String to, List<String> path, boolean effect) {
-        boolean down = false;
+    /** Checks the hops from the origin on: after a hop to a customer or peer only customers may follow. */
+    private boolean allowsHops(Restrictions restrictions, String to, List<String> path) {
+        boolean onlyCustomers = false;
         for (int i = path.size() - 1; i >= 0; i--) {
             String next = i == 0 ? to : path.get(i - 1);
-            Relation step = relations.apply(path.get(i), next);
-            boolean only = down || (its.customersOnly() && i < path.size() - 1);
-            if (step == null
-                    || (only && step != Relation.CUSTOMER)
-                    || its.notTo().contains(next)
-                    || (its.onlyTo() != null && !its.onlyTo().contains(next))) {
+            Relation relation = relations.apply(path.get(i), next);
+            boolean customersOnly = onlyCustomers || (restrictions.customersOnly() && i < path.size() - 1);
+            if (relation == null || (customersOnly && relation != Relation.CUSTOMER)) {
+                return false;
+            }
+            if (restrictions.notTo().contains(next)
+                    || (restrictions.onlyTo() != null && !restrictions.onlyTo().contains(next))) {
                 return false;
             }
-            down |= step != Relation.PROVIDER;
+            onlyCustomers |= relation != Relation.PROVIDER;
         }
-        return !its.unreadable()
-                && path.size() <= its.maxSites()
-                && !(its.noExport() && path.size() > 1)
-                && !(its.idempotentOnly() && effect);
+        return true;
     }
 
-    /** An operation has come and is owed an end until then. */
+    /** A request arrived, which has to end by that time. */
     public void begun(long id, long until) {
-        open.put(id, until);
+        openRequests.put(id, until);
     }
 
-    /** It ended, whichever way. */
+    /** A request ended, with any outcome. */
     public void ended(long ms, long id) {
-        Long until = open.remove(id);
+        Long until = openRequests.remove(id);
         if (until == null || until < ms) {
-            breach(ms + ": operation " + id + (until == null ? " ended twice" : " ended late"));
+            addViolation(ms + ": operation " + id + (until == null ? " ended twice" : " ended late"));
         }
     }
 
-    /** A call of it had its effect there. */
+    /** A call of the request took effect at a site. */
     public void effect(long ms, long id, String where) {
-        String before = effects.putIfAbsent(id, where);
+        String before = effectsByRequest.putIfAbsent(id, where);
         if (before != null) {
-            breach(ms + ": operation " + id + " had its effect at " + before + " and at " + where);
+            addViolation(ms + ": operation " + id + " had its effect at " + before + " and at " + where);
         }
     }
 
-    /** All is over: what is still owed is lost. */
+    /** The run is over: requests that should have ended are lost. */
     public void over(long ms) {
-        open.forEach((id, until) -> {
+        openRequests.forEach((id, until) -> {
             if (until < ms) {
-                breach(ms + ": operation " + id + " is lost");
+                addViolation(ms + ": operation " + id + " is lost");
             }
         });
     }
 
-    private void breach(String what) {
-        if (breaches.size() < MOST) {
-            breaches.add(what);
+    private void addViolation(String what) {
+        if (violations.size() < MAX_LISTED) {
+            violations.add(what);
         }
     }
 
+    /** The first {@value #MAX_LISTED} violations, one line each. */
     public List<String> breaches() {
-        return List.copyOf(breaches);
+        return List.copyOf(violations);
     }
 
-    /** When the last call along a route of the origin was sent. */
+    /** When the last call along a route of the origin was sent, in milliseconds; 0 for never. */
     public long lastOf(String origin) {
-        return last.getOrDefault(origin, 0L);
+        return lastCallByOrigin.getOrDefault(origin, 0L);
     }
 
-    /** Calls and tables seen between sites. */
+    /** How many calls and tables passed between sites. */
     public long[] counts() {
         return new long[] {calls, tables};
     }
--- a/src/main/java/merlinlever/testing/faults/audit/ViewConsistencyAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/ViewConsistencyAudit.java
@@ -6,47 +6,58 @@
 import java.util.TreeMap;
 
 /**
- * What backends tell of their views, held against the rules: one number is one membership, whoever tells it, and in one life
- * of a process its number goes forward alone. Views that were seen at the most: {@link #MOST}.
+ * Checks the fleet views that backends report: a number stands for one membership, whoever reports it, and the number never
+ * decreases within a run of a process. At most {@value #MAX_VIEWS} views are compared.
  */
 public final class ViewConsistencyAudit {
 
-    /** What one of them told; the digest is of the number and of who is in it. */
+    /**
+     * The view of one backend.
+     *
+     * @param by who reported it
+     * @param life counts the runs of its process
+     * @param standing its quorum status
+     * @param number of the view, 0 for none
+     * @param digest of the number and the members
+     * @param members how many there are
+     */
     public record ReportedView(String by, int life, String standing, long number, String digest, int members) {}
 
-    static final int MOST = 10_000;
+    static final int MAX_VIEWS = 10_000;
 
-    private final Map<Long, ReportedView> views = new TreeMap<>();
-    private final Map<String, ReportedView> last = new TreeMap<>();
-    private final List<String> breaches = new ArrayList<>();
+    private final Map<Long, ReportedView> viewsByNumber = new TreeMap<>();
+    private final Map<String, ReportedView> lastByBackend = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
 
+    /** A backend reported its view. */
     public void told(ReportedView now) {
-        ReportedView before = last.put(now.by(), now);
+        ReportedView before = lastByBackend.put(now.by(), now);
         if (before != null && before.life() == now.life() && now.number() < before.number()) {
-            breaches.add(now.by() + " went back from view " + before.number() + " to " + now.number());
+            violations.add(now.by() + " went back from view " + before.number() + " to " + now.number());
         }
-        if (now.number() == 0 || views.size() >= MOST) {
+        if (now.number() == 0 || viewsByNumber.size() >= MAX_VIEWS) {
             return;
         }
-        ReportedView other = views.putIfAbsent(now.number(), now);
+        ReportedView other = viewsByNumber.putIfAbsent(now.number(), now);
         if (other != null
                 && (other.members() != now.members() || !other.digest().equals(now.digest()))) {
-            breaches.add("view " + now.number() + " is " + other.digest() + " at " + other.by() + " and " + now.digest()
-                    + " at " + now.by());
+            violations.add("view " + now.number() + " is " + other.digest() + " at " + other.by() + " and "
+                    + now.digest() + " at " + now.by());
         }
     }
 
+    /** All violations, one line each. */
     public List<String> breaches() {
-        return List.copyOf(breaches);
+        return List.copyOf(violations);
     }
 
-    /** How many views were seen. */
+    /** How many different views were reported. */
     public int views() {
-        return views.size();
+        return viewsByNumber.size();
     }
 
-    /** What each told last. */
+    /** The last report of each backend, by its name. */
     public Map<String, ReportedView> last() {
-        return new TreeMap<>(last);
+        return new TreeMap<>(lastByBackend);
     }
 }
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
@@ -193,7 +193,7 @@
         Runnable ends = () -> {
             runs.remove(id);
             String result = "done " + operation + " by " + id;
-            rules.made(operation, result);
+            rules.recordResult(operation, result);
             notice(
                     "\"cmd\":\"outcome\"",
                     id,
--- a/src/test/java/merlinlever/testing/faults/PowerLossTest.java
+++ b/src/test/java/merlinlever/testing/faults/PowerLossTest.java
@@ -104,7 +104,7 @@
         RequestAudit rules = new RequestAudit();
         rules.launched("t1");
         rules.effect("op", "t1", "b-0");
-        rules.made("op", "done");
+        rules.recordResult("op", "done");
         rules.answered("op", "t1", 200, "done", -5);
         rules.unanswered("op", "t2", true, "killed");
         assertEquals(List.of(), rules.breaches());
