--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -31,12 +31,9 @@
 
     private final ServerState server;
     private final SplittableRandom random;
-    /** The longest time that a caller may be asked to stay away; zero where it cannot be asked. */
-    final Duration maxRetryAfter;
-    /** Written here alone, like the time of the arrival that was averaged last. */
-    double averageOccupancy;
-
-    Duration averagedAt = Duration.ZERO;
+    private final Duration maxRetryAfter;
+    private double averageOccupancy;
+    private Duration averagedAt = Duration.ZERO;
     private double quickestReadMs = NO_READ_MS;
     private int queuedSinceRejection;
 
@@ -46,10 +43,10 @@
         maxRetryAfter = settings.callers().maxRetryAfter();
         double least = Math.max(MIN_WEIGHT, server.weights().min().orElse(1));
         double range = Math.log(server.weights().max().orElse(1) / least);
-        for (PriorityClass priorityClass : server.priorityClasses) {
-            double rank = range > 0 ? Math.log(Math.max(1, priorityClass.weight / least)) / range : 0.5;
+        for (PriorityClass priorityClass : server.priorityClasses()) {
+            double rank = range > 0 ? Math.log(Math.max(1, priorityClass.weight() / least)) / range : 0.5;
             double ratio = MOST_COEFFICIENT / LEAST_COEFFICIENT;
-            priorityClass.rejectionCoefficient = LEAST_COEFFICIENT * Math.pow(ratio, rank);
+            priorityClass.setRejectionCoefficient(LEAST_COEFFICIENT * Math.pow(ratio, rank));
         }
     }
 
@@ -57,22 +54,23 @@
         double waiting = updateAverage(request, now);
         // Rule 3: what arrived after the grace is not run; near the stop nothing more is started.
         Duration expectedEnd = now.plus(request.expectedRunTime());
-        Duration expectedAnswer = expectedEnd.plus(Durations.ofMillis(waiting * server.objectiveMs));
-        boolean missesObjective = Durations.isReached(expectedAnswer, request.objectiveAt);
-        Completions completions = server.completions;
-        if (server.drain.isPastGrace(request) || server.drain.stopsBy(expectedEnd)) {
+        Duration expectedAnswer = expectedEnd.plus(Durations.ofMillis(waiting * server.objectiveMs()));
+        boolean missesObjective = Durations.isReached(expectedAnswer, request.objectiveAt());
+        Completions completions = server.completions();
+        if (server.drain().isPastGrace(request) || server.drain().stopsBy(expectedEnd)) {
             completions.reject(request, now, RejectionReason.DRAINING, false, maxRetryAfter);
-        } else if (server.stallDetector.stalled) {
+        } else if (server.stallDetector().isStalled()) {
             completions.reject(request, now, RejectionReason.STALLED, false, maxRetryAfter);
-        } else if (!server.duplicates.hasMemoryFor(request)) {
+        } else if (!server.duplicates().hasMemoryFor(request)) {
             completions.reject(request, now, RejectionReason.MEMORY, false, Duration.ZERO);
-        } else if (server.idempotencyWindow.forbidsAdmission(request, now)) {
-            Duration wait = Durations.later(Duration.ZERO, server.idempotencyWindow.arrivedFrom.minus(now));
+        } else if (server.idempotencyWindow().forbidsAdmission(request, now)) {
+            Duration wait = Durations.later(
+                    Duration.ZERO, server.idempotencyWindow().arrivedFrom().minus(now));
             Duration retryAfter = Durations.earlier(maxRetryAfter, wait);
             completions.reject(request, now, RejectionReason.IDEMPOTENCY_UNKNOWN, false, retryAfter);
-        } else if (server.onCoreCount() >= server.cores && missesObjective) {
+        } else if (server.onCoreCount() >= server.cores() && missesObjective) {
             // Work that cannot meet its objective is waste.
-            boolean isFinal = request.retry || isReadingExpensive();
+            boolean isFinal = request.isRetry() || isReadingExpensive();
             completions.reject(request, now, RejectionReason.OBJECTIVE_UNREACHABLE, isFinal, maxRetryAfter);
         } else if (isRejectedAtRandom(request)) {
             // Random rejections happen only while the queue is long, as it is then on the other servers: a
@@ -81,20 +79,21 @@
             completions.reject(request, now, RejectionReason.RANDOM, true, randomRetryAfter());
         } else {
             queuedSinceRejection++;
-            server.duplicates.retainFromAdmission(request, now);
+            server.duplicates().retainFromAdmission(request, now);
         }
     }
 
     /** Updates the average occupancy; returns the occupancy by the queue alone. */
     private double updateAverage(Request request, Duration now) {
         // Time unread counts as waiting too: what exceeds the quickest read, as part of the objective.
-        double readDelayMs = Durations.toMillis(now.minus(request.arrivedAt));
+        double readDelayMs = Durations.toMillis(now.minus(request.arrivedAt()));
         quickestReadMs = Math.min(readDelayMs, quickestReadMs + READ_DECAY * (readDelayMs - quickestReadMs));
         // Neither the arrival nor what idle cores start at once is waiting: on two cores either was over the
         // lower threshold, and an idle server rejected its next arrival.
-        int idleCores = Math.max(0, server.cores - server.onCoreCount());
-        double waiting = Math.max(0, server.queuedCount() - 1 - idleCores) / server.capacity.queueCapacity();
-        double unread = (readDelayMs - quickestReadMs) / server.objectiveMs;
+        int idleCores = Math.max(0, server.cores() - server.onCoreCount());
+        double waiting = Math.max(0, server.queuedCount() - 1 - idleCores)
+                / server.capacity().queueCapacity();
+        double unread = (readDelayMs - quickestReadMs) / server.objectiveMs();
         averagedAt = now;
         averageOccupancy = (1 - QUEUE_WEIGHT) * averageOccupancy + QUEUE_WEIGHT * (waiting + unread);
         return waiting;
@@ -105,13 +104,28 @@
         return (occupancy - MIN_THRESHOLD) / (MAX_THRESHOLD - MIN_THRESHOLD);
     }
 
+    /** The longest time that a caller may be asked to stay away; zero where it cannot be asked. */
+    Duration maxRetryAfter() {
+        return maxRetryAfter;
+    }
+
+    /** The moving average of the queue's occupancy, 1 for the capacity of the queue. */
+    double averageOccupancy() {
+        return averageOccupancy;
+    }
+
+    /** When the last arrival was averaged. */
+    Duration averagedAt() {
+        return averagedAt;
+    }
+
     boolean isUnderPressure() {
         return averageOccupancy >= MIN_THRESHOLD;
     }
 
     boolean isReadingExpensive() {
-        double capacity = server.capacity.queueCapacity();
-        return quickestReadMs > EXPENSIVE_READ * server.cores * server.objectiveMs / capacity;
+        double capacity = server.capacity().queueCapacity();
+        return quickestReadMs > EXPENSIVE_READ * server.cores() * server.objectiveMs() / capacity;
     }
 
     private boolean isRejectedAtRandom(Request request) {
@@ -119,7 +133,8 @@
             return false;
         }
         double base = thresholdExcess(averageOccupancy) * MAX_PROBABILITY;
-        double coefficient = request.priorityClass.rejectionCoefficient * (request.retry ? RETRY_FACTOR : 1);
+        double retryFactor = request.isRetry() ? RETRY_FACTOR : 1;
+        double coefficient = request.priorityClass().rejectionCoefficient() * retryFactor;
         boolean certain = averageOccupancy > MAX_THRESHOLD || queuedSinceRejection * base >= 1;
         double probability = certain ? 1 : coefficient * base / (1 - queuedSinceRejection * base);
         return random.nextDouble() < probability;
--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -34,8 +34,7 @@
     private final double callers;
     private double idleTimeoutMs;
     private double announcedIdleMs;
-    /** What callers are asked to hold back; written here alone. */
-    double level;
+    private double level;
 
     private double announcedLevel;
     private Duration nextUpdateAt = Duration.ZERO;
@@ -48,6 +47,11 @@
         callers = settings.callers().callers();
     }
 
+    /** What callers are asked to hold back. */
+    double level() {
+        return level;
+    }
+
     void update(Duration now) {
         if (!Durations.isReached(now, nextUpdateAt)) {
             return;
@@ -61,10 +65,11 @@
 
     private void updateLevel(Duration now) {
         // The average changes with arrivals only: without any for a while, the queue itself counts.
-        boolean outdated = Durations.isReached(now, server.admissionControl.averagedAt.plus(MAX_AVERAGE_AGE));
+        boolean outdated =
+                Durations.isReached(now, server.admissionControl().averagedAt().plus(MAX_AVERAGE_AGE));
         double occupancy = outdated
-                ? server.queuedCount() / server.capacity.queueCapacity()
-                : server.admissionControl.averageOccupancy;
+                ? server.queuedCount() / server.capacity().queueCapacity()
+                : server.admissionControl().averageOccupancy();
         double excess = AdmissionControl.thresholdExcess(occupancy);
         level += excess > 0 ? LEVEL_RISE * Math.min(1, excess) : -LEVEL_FALL;
         level = Math.max(0, Math.min(MAX_LEVEL, level));
@@ -75,7 +80,7 @@
     }
 
     private OptionalDouble signalValue() {
-        double concurrency = server.cores + server.capacity.queueCapacity();
+        double concurrency = server.cores() + server.capacity().queueCapacity();
         return switch (signal) {
             case LEVEL -> OptionalDouble.of(level);
             case WEIGHT -> OptionalDouble.of(1 - level);
@@ -88,8 +93,8 @@
     // new one costs work, and a full table rejects callers at no cost. So they are closed the sooner the more
     // often a core is free, and kept while the cores are full.
     private void updateIdleTimeout() {
-        if (callers > MANY * server.cores) {
-            boolean freeCore = server.runQueue.lastSample() < server.cores;
+        if (callers > MANY * server.cores()) {
+            boolean freeCore = server.runQueue().lastSample() < server.cores();
             double wantedMs = idleTimeoutMs * (freeCore ? TIMEOUT_DECREASE : TIMEOUT_INCREASE);
             idleTimeoutMs = Math.max(maxIdleMs / MIN_TIMEOUT_DIVISOR, Math.min(maxIdleMs, wantedMs));
             if (Math.abs(idleTimeoutMs / announcedIdleMs - 1) > TIMEOUT_STEP) {
--- a/src/main/java/merlinlever/policy/CapacityEstimator.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -31,7 +31,7 @@
     }
 
     void accrueBusyTime(double elapsedMs) {
-        busyMs += elapsedMs * Math.min(server.onCoreCount(), server.cores);
+        busyMs += elapsedMs * Math.min(server.onCoreCount(), server.cores());
     }
 
     void recordCompletion() {
@@ -45,7 +45,7 @@
     void setWarmStartEstimate(double capacity, double estimateCompletions) {
         if (completions < 1 && capacity > 0) {
             completions = estimateCompletions;
-            busyMs = estimateCompletions * server.cores * server.objectiveMs / capacity;
+            busyMs = estimateCompletions * server.cores() * server.objectiveMs() / capacity;
         }
     }
 
@@ -54,8 +54,8 @@
      * quiet server would take its few arrivals for all that it can do.
      */
     double queueCapacity() {
-        double perBusyTime = completions * server.cores * server.objectiveMs / busyMs;
-        return Math.max(server.cores, completions < 1 ? 0 : perBusyTime);
+        double perBusyTime = completions * server.cores() * server.objectiveMs() / busyMs;
+        return Math.max(server.cores(), completions < 1 ? 0 : perBusyTime);
     }
 
     /** The fraction of its full speed that the server has at least. */
@@ -66,7 +66,7 @@
     /** How many started requests the server survives, with a margin. */
     double safeConcurrency() {
         double perCore = 1 + (overloadFactor - 1) * speedFraction();
-        return Math.max(server.cores, CONCURRENCY_USED * server.cores * perCore);
+        return Math.max(server.cores(), CONCURRENCY_USED * server.cores() * perCore);
     }
 
     boolean hasMemoryFor(double additionalKb) {
--- a/src/main/java/merlinlever/policy/ControllerMetrics.java
+++ b/src/main/java/merlinlever/policy/ControllerMetrics.java
@@ -42,11 +42,11 @@
                         server.awaitingCallCount() + server.inCallCount(),
                         server.rejections(),
                         server.failures()),
-                server.capacity.queueCapacity(),
-                server.admissionControl.averageOccupancy,
-                server.backpressure.level,
-                server.stallDetector.stalled,
-                server.drain.hasStarted(),
-                server.capacity.speedFraction());
+                server.capacity().queueCapacity(),
+                server.admissionControl().averageOccupancy(),
+                server.backpressure().level(),
+                server.stallDetector().isStalled(),
+                server.drain().hasStarted(),
+                server.capacity().speedFraction());
     }
 }
--- a/src/main/java/merlinlever/policy/DecisionCycle.java
+++ b/src/main/java/merlinlever/policy/DecisionCycle.java
@@ -19,25 +19,25 @@
     }
 
     void arrive(Request request, Optional<RequestHandle> original, Duration now) {
-        if (server.inFlight.isEmpty()) {
-            server.stallDetector.recordProgress(now);
+        if (server.inFlight().isEmpty()) {
+            server.stallDetector().recordProgress(now);
         }
         server.add(request);
-        if (original.isEmpty() || !server.duplicates.coalesce(request, original.get(), now)) {
-            server.admissionControl.decideOnArrival(request, now);
+        if (original.isEmpty() || !server.duplicates().coalesce(request, original.get(), now)) {
+            server.admissionControl().decideOnArrival(request, now);
         }
     }
 
     Decisions decide(Duration now) {
-        server.stallDetector.check(now);
-        server.inFlight.forEach(request -> server.completions.enforceDeadlines(request, now));
-        server.inFlight.removeIf(request -> !request.isInFlight());
+        server.stallDetector().check(now);
+        server.inFlight().forEach(request -> server.completions().enforceDeadlines(request, now));
+        server.inFlight().removeIf(request -> !request.isInFlight());
         server.withdrawOutdatedShares();
-        server.retained.expire(now);
-        server.downstreamCalls.startCalls(now);
-        server.dispatcher.startQueued(now);
-        server.backpressure.update(now);
-        Duration interval = server.inFlight.isEmpty() ? IDLE_INTERVAL : INTERVAL;
-        return server.takeDecisions(server.drain.nextDecisionAt(now, now.plus(interval)));
+        server.retained().expire(now);
+        server.downstreamCalls().startCalls(now);
+        server.dispatcher().startQueued(now);
+        server.backpressure().update(now);
+        Duration interval = server.inFlight().isEmpty() ? IDLE_INTERVAL : INTERVAL;
+        return server.takeDecisions(server.drain().nextDecisionAt(now, now.plus(interval)));
     }
 }
--- a/src/main/java/merlinlever/policy/Dispatcher.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -13,20 +13,21 @@
     }
 
     void startQueued(Duration now) {
-        double maxStarted = server.capacity.safeConcurrency();
-        for (Request request : server.inFlight) {
+        double maxStarted = server.capacity().safeConcurrency();
+        for (Request request : server.inFlight()) {
             if (!isStartable(request, now)) {
                 continue;
             }
-            double additionalKb = request.memoryKb * (server.runMemoryFactor - 1);
-            if ((server.onCoreCount() >= 1 && server.runQueue.estimate() >= server.cores)
+            double additionalKb = request.memoryKb() * (server.runMemoryFactor() - 1);
+            if ((server.onCoreCount() >= 1 && server.runQueue().estimate() >= server.cores())
                     || server.startedCount() >= maxStarted
-                    || !server.capacity.hasMemoryFor(additionalKb)
-                    || server.stallDetector.stalled) {
+                    || !server.capacity().hasMemoryFor(additionalKb)
+                    || server.stallDetector().isStalled()) {
                 return;
             }
-            QuotaLimiter quota = server.runQuota(request.priorityClass);
-            boolean callsBlocked = request.priorityClass.makesCalls && server.downstreamCalls.isSaturated();
+            QuotaLimiter quota = server.runQuota(request.priorityClass());
+            boolean callsBlocked = request.priorityClass().makesCalls()
+                    && server.downstreamCalls().isSaturated();
             if (!callsBlocked && quota.permits(now)) {
                 quota.recordStart(now);
                 start(request, now);
@@ -35,20 +36,19 @@
     }
 
     private boolean isStartable(Request request, Duration now) {
-        return request.phase == Phase.QUEUED
-                && !request.answered
-                && (!request.started || request.priorityClass.idempotent)
-                && !server.idempotencyWindow.forbidsStart(request, now);
+        return request.phase() == Phase.QUEUED
+                && !request.isAnswered()
+                && (!request.wasStarted() || request.priorityClass().isIdempotent())
+                && !server.idempotencyWindow().forbidsStart(request, now);
     }
 
     private void start(Request request, Duration now) {
         if (server.onCoreCount() == 0) {
-            server.stallDetector.recordProgress(now);
+            server.stallDetector().recordProgress(now);
         }
-        request.started = true;
-        request.startedAt = now;
+        request.markStarted(now);
         server.moveTo(request, Phase.RUNNING);
         server.decided(new Decision.Start(request));
-        server.duplicates.resolveWaiting(request, now);
+        server.duplicates().resolveWaiting(request, now);
     }
 }
--- a/src/main/java/merlinlever/policy/DownstreamCalls.java
+++ b/src/main/java/merlinlever/policy/DownstreamCalls.java
@@ -41,7 +41,7 @@
         DownstreamSettings downstream = settings.downstream();
         boolean shared = settings.deployment().downstream() == DownstreamKind.SHARED;
         double configuredShare = shared ? downstream.shareOfCalls() : UNLIMITED_SHARE;
-        maxConcurrent = Math.min(CALLS_PER_CORE * server.cores, configuredShare);
+        maxConcurrent = Math.min(CALLS_PER_CORE * server.cores(), configuredShare);
         double share = Math.max(maxConcurrent, MIN_SHARE);
         double fleetSize = downstream.fleetSize();
         double fleetLimit = Math.max(share * fleetSize, 1);
@@ -77,14 +77,14 @@
 
     void startCalls(Duration now) {
         QuotaLimiter quota = server.callQuota();
-        for (Request request : server.inFlight) {
-            boolean waits = request.phase == Phase.AWAITING_CALL && !request.answered;
+        for (Request request : server.inFlight()) {
+            boolean waits = request.phase() == Phase.AWAITING_CALL && !request.isAnswered();
             if (waits && canCall() && quota.permits(now)) {
                 server.moveTo(request, Phase.IN_CALL);
                 quota.recordStart(now);
                 creditMs -= lingerMs;
-                Duration affordable = maxConcurrent < 1 ? Durations.ofMillis(creditMs) : request.deadline;
-                Duration limit = Durations.earlier(request.deadline.minus(now), affordable);
+                Duration affordable = maxConcurrent < 1 ? Durations.ofMillis(creditMs) : request.deadline();
+                Duration limit = Durations.earlier(request.deadline().minus(now), affordable);
                 Duration timeout = Durations.later(MIN_TIMEOUT, quota.limitDuration(limit));
                 server.decided(new Decision.CallDownstream(request, timeout));
             }
@@ -106,14 +106,15 @@
         server.moveTo(request, Phase.AWAITING_CALL);
         // Rule 2: a call that may have had its effect is only repeated for an idempotent request. Nor is one
         // that was rejected or failed: it has been tried elsewhere, and the service is overloaded.
-        boolean lost = outcome == Outcome.CONNECTION_LOST && request.priorityClass.idempotent;
-        if ((lost || outcome == Outcome.UNREACHABLE) && !request.callRetried) {
-            request.callRetried = true;
-        } else if (request.priorityClass.weightWithoutCall > 0 && !request.answered) {
+        boolean lost =
+                outcome == Outcome.CONNECTION_LOST && request.priorityClass().isIdempotent();
+        if ((lost || outcome == Outcome.UNREACHABLE) && !request.wasCallRetried()) {
+            request.markCallRetried();
+        } else if (request.priorityClass().weightWithoutCall() > 0 && !request.isAnswered()) {
             server.moveTo(request, Phase.RUNNING);
             server.decided(new Decision.SkipCall(request));
         } else {
-            server.completions.fail(request, now);
+            server.completions().fail(request, now);
         }
     }
 }
--- a/src/main/java/merlinlever/policy/DrainState.java
+++ b/src/main/java/merlinlever/policy/DrainState.java
@@ -30,7 +30,7 @@
 
     /** Rule 3: whether the request arrived too late to be started. */
     boolean isPastGrace(Request request) {
-        return startedAt != null && Durations.isReached(request.arrivedAt, startedAt.plus(grace));
+        return startedAt != null && Durations.isReached(request.arrivedAt(), startedAt.plus(grace));
     }
 
     /** Whether the process is stopped within one decision interval of that time, or before it. */
--- a/src/main/java/merlinlever/policy/IdempotencyWindow.java
+++ b/src/main/java/merlinlever/policy/IdempotencyWindow.java
@@ -9,17 +9,27 @@
  * it, and if the next one would know that this one did.
  */
 final class IdempotencyWindow {
-    /** Written by {@link OverloadController#permitNonIdempotentStarts}, as the end. */
-    Duration arrivedFrom = Duration.ZERO;
+    private Duration arrivedFrom = Duration.ZERO;
     /** Null: not limited. */
-    Duration until;
+    private Duration until;
+
+    /** See {@link OverloadController#permitNonIdempotentStarts}. */
+    void permitStarts(Duration requestsArrivedFrom, Duration permittedUntil) {
+        arrivedFrom = requestsArrivedFrom;
+        until = permittedUntil;
+    }
+
+    /** No earlier incarnation can have run what arrived from then on. */
+    Duration arrivedFrom() {
+        return arrivedFrom;
+    }
 
     boolean forbidsAdmission(Request request, Duration now) {
-        boolean mayHaveRun = !isReached(request.arrivedAt, arrivedFrom);
-        return !request.priorityClass.idempotent && (mayHaveRun || forbidsStart(request, now));
+        boolean mayHaveRun = !isReached(request.arrivedAt(), arrivedFrom);
+        return !request.priorityClass().isIdempotent() && (mayHaveRun || forbidsStart(request, now));
     }
 
     boolean forbidsStart(Request request, Duration now) {
-        return !request.priorityClass.idempotent && until != null && isReached(now, until);
+        return !request.priorityClass().isIdempotent() && until != null && isReached(now, until);
     }
 }
--- a/src/main/java/merlinlever/policy/OverloadController.java
+++ b/src/main/java/merlinlever/policy/OverloadController.java
@@ -39,13 +39,12 @@
     /** The server is draining: its process is stopped at that time. */
     public void startDrain(Duration now, Duration stopAt) {
         server.advanceClock(now);
-        server.drain.start(now, stopAt);
+        server.drain().start(now, stopAt);
     }
 
     /** Requests that are not idempotent start only if they arrived from then on, and until the other time. */
     public void permitNonIdempotentStarts(Duration arrivedFrom, Duration until) {
-        server.idempotencyWindow.arrivedFrom = arrivedFrom;
-        server.idempotencyWindow.until = until;
+        server.idempotencyWindow().permitStarts(arrivedFrom, until);
     }
 
     /**
@@ -54,7 +53,7 @@
      * @param completions how many completions the estimate weighs as much as
      */
     public void setWarmStartEstimate(double capacity, double completions) {
-        server.capacity.setWarmStartEstimate(capacity, completions);
+        server.capacity().setWarmStartEstimate(capacity, completions);
     }
 
     /**
@@ -63,16 +62,16 @@
      * @param classIndex the priority class whose runs are limited, or -1 for downstream calls
      */
     public void setQuota(int classIndex, QuotaGrant grant) {
-        server.quota(classIndex).grant = grant;
+        server.quota(classIndex).setGrant(grant);
     }
 
     /** How much of such a quota is in use now, and how much would be if it were larger. */
     public QuotaDemand quotaDemand(Duration now, int classIndex) {
         long waiting = classIndex < 0
                 ? server.awaitingCallCount()
-                : server.inFlight.stream()
-                        .filter(request -> request.phase == Phase.QUEUED)
-                        .filter(request -> request.priorityClass.index == classIndex)
+                : server.inFlight().stream()
+                        .filter(request -> request.phase() == Phase.QUEUED)
+                        .filter(request -> request.priorityClass().index() == classIndex)
                         .count();
         return server.quota(classIndex).demand(now, waiting);
     }
@@ -80,7 +79,7 @@
     /** New readings of the gauges, in the order of the settings. */
     public void updateGauges(Duration now, double[] gauges) {
         server.advanceClock(now);
-        server.runQueue.update(gauges);
+        server.runQueue().update(gauges);
     }
 
     /** What the controller sees of its server; reading it changes nothing. */
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -15,13 +15,25 @@
     // A quota per second is kept in any span of this; the way from here to the limited service is not even.
     private static final Duration RATE_WINDOW = Duration.ofMillis(1050);
 
-    /** Null: not limited. Written by {@link OverloadController#setQuota}. */
-    QuotaGrant grant;
-    /** How many are in progress. Written by {@link ServerState}. */
-    int inUse;
+    /** Null: not limited. */
+    private QuotaGrant grant;
+    /** How many are in progress. */
+    private int inUse;
 
     private final ArrayDeque<Duration> recentStarts = new ArrayDeque<>();
 
+    void setGrant(QuotaGrant newGrant) {
+        grant = newGrant;
+    }
+
+    void setInUse(int count) {
+        inUse = count;
+    }
+
+    void adjustInUse(int change) {
+        inUse += change;
+    }
+
     boolean permits(Duration now) {
         while (!recentStarts.isEmpty() && isReached(now, recentStarts.peek().plus(RATE_WINDOW))) {
             recentStarts.poll();
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -31,60 +31,164 @@
     }
 
     private final ServerState server;
-    final PriorityClass priorityClass;
-    final Duration arrivedAt;
-    /** When its caller gives up. */
-    final Duration deadline;
-    /** When its latency objective is missed; at most the deadline. */
-    final Duration objectiveAt;
+    private final PriorityClass priorityClass;
+    private final Duration arrivedAt;
+    private final Duration deadline;
+    private final Duration objectiveAt;
+    private final double memoryKb;
+    private final double costHintMs;
+    private final boolean shareable;
+    private final boolean retry;
 
-    final double memoryKb;
-    /** The caller's estimate of its run time, or 0. */
-    final double costHintMs;
-    /** Whether other requests may be answered with its outcome, a read of the same subject. */
-    final boolean shareable;
-    /** Whether its caller marked it as a retry. */
-    final boolean retry;
-
-    /** Written by {@link ServerState#moveTo}. */
-    Phase phase = Phase.QUEUED;
-    /** Answered, or owed no answer any more. Written by {@link Completions}. */
-    boolean answered;
-    /** A run was asked to stop. Written by {@link Completions}. */
-    boolean stopping;
-    /** How its run ended, or null. Written by {@link Completions}. */
-    Outcome outcome;
-    /** Whether it was ever started. Written by {@link Dispatcher}. */
-    boolean started;
-    /** Written by {@link Dispatcher}. */
-    Duration startedAt;
-    /** Whether its call was made a second time. Written by {@link DownstreamCalls}. */
-    boolean callRetried;
-    /** Until when duplicates find it, or null. Written by {@link DuplicateRequests}. */
-    Duration retainedUntil;
-    /** What it duplicates, or what took its place, or null. Written by {@link DuplicateRequests}. */
-    Request original;
-    /** Duplicates in phase {@link Phase#AWAITING_ORIGINAL}. Written by {@link DuplicateRequests}. */
-    final List<Request> waitingDuplicates = new ArrayList<>(0);
+    private Phase phase = Phase.QUEUED;
+    private boolean answered;
+    private boolean stopping;
+    private Outcome outcome;
+    private boolean started;
+    private Duration startedAt;
+    private boolean callRetried;
+    private Duration retainedUntil;
+    private Request original;
+    private final List<Request> waitingDuplicates = new ArrayList<>(0);
 
     Request(ServerState server, Duration now, RequestAttributes attributes) {
         this.server = server;
-        priorityClass = server.priorityClasses.get(attributes.priorityClass());
+        priorityClass = server.priorityClasses().get(attributes.priorityClass());
         arrivedAt = now.minus(attributes.readDelay());
-        Duration defaultDeadline = arrivedAt.plus(priorityClass.clientTimeout);
+        Duration defaultDeadline = arrivedAt.plus(priorityClass.clientTimeout());
         deadline = Durations.later(now, attributes.deadline().orElse(defaultDeadline));
         memoryKb = attributes.memoryKb();
         costHintMs = Durations.toMillis(attributes.costHint().orElse(Duration.ZERO));
-        shareable = attributes.shareable() && server.duplicates.canShare(priorityClass);
+        shareable = attributes.shareable() && server.duplicates().canShare(priorityClass);
         retry = attributes.retry();
-        Duration stretch = Durations.ofMillis(priorityClass.objectiveStretch * costHintMs);
-        Duration objective = priorityClass.latencyObjective.plus(stretch);
+        Duration stretch = Durations.ofMillis(priorityClass.objectiveStretch() * costHintMs);
+        Duration objective = priorityClass.latencyObjective().plus(stretch);
         objectiveAt = Durations.earlier(arrivedAt.plus(objective), deadline);
     }
 
+    PriorityClass priorityClass() {
+        return priorityClass;
+    }
+
+    Duration arrivedAt() {
+        return arrivedAt;
+    }
+
+    /** When its caller gives up. */
+    Duration deadline() {
+        return deadline;
+    }
+
+    /** When its latency objective is missed; at most the deadline. */
+    Duration objectiveAt() {
+        return objectiveAt;
+    }
+
+    double memoryKb() {
+        return memoryKb;
+    }
+
+    /** The caller's estimate of its run time, or 0. */
+    double costHintMs() {
+        return costHintMs;
+    }
+
+    /** Whether other requests may be answered with its outcome, a read of the same subject. */
+    boolean isShareable() {
+        return shareable;
+    }
+
+    /** Whether its caller marked it as a retry. */
+    boolean isRetry() {
+        return retry;
+    }
+
+    Phase phase() {
+        return phase;
+    }
+
+    /** Called by {@link ServerState#moveTo} alone, which checks the change and counts it. */
+    void setPhase(Phase next) {
+        phase = next;
+    }
+
+    /** Whether it was answered, or is owed no answer any more. */
+    boolean isAnswered() {
+        return answered;
+    }
+
+    void markAnswered() {
+        answered = true;
+    }
+
+    /** Whether its run was asked to stop. */
+    boolean isStopping() {
+        return stopping;
+    }
+
+    void setStopping(boolean asked) {
+        stopping = asked;
+    }
+
+    /** How its run ended, or null. */
+    Outcome outcome() {
+        return outcome;
+    }
+
+    void setOutcome(Outcome runOutcome) {
+        outcome = runOutcome;
+    }
+
+    /** Whether it was ever started. */
+    boolean wasStarted() {
+        return started;
+    }
+
+    /** When it was started last, or null. */
+    Duration startedAt() {
+        return startedAt;
+    }
+
+    void markStarted(Duration now) {
+        started = true;
+        startedAt = now;
+    }
+
+    /** Whether its call was made a second time. */
+    boolean wasCallRetried() {
+        return callRetried;
+    }
+
+    void markCallRetried() {
+        callRetried = true;
+    }
+
+    /** Until when duplicates find it, or null. */
+    Duration retainedUntil() {
+        return retainedUntil;
+    }
+
+    void setRetainedUntil(Duration time) {
+        retainedUntil = time;
+    }
+
+    /** What it duplicates, or what took its place, or null. */
+    Request original() {
+        return original;
+    }
+
+    void setOriginal(Request request) {
+        original = request;
+    }
+
+    /** Duplicates in phase {@link Phase#AWAITING_ORIGINAL}; {@link DuplicateRequests} changes the list. */
+    List<Request> waitingDuplicates() {
+        return waitingDuplicates;
+    }
+
     Duration expectedRunTime() {
-        boolean underPressure = server.admissionControl.isUnderPressure();
-        return priorityClass.runTimes.expected(costHintMs, underPressure, priorityClass.latencyObjective);
+        boolean underPressure = server.admissionControl().isUnderPressure();
+        return priorityClass.runTimes().expected(costHintMs, underPressure, priorityClass.latencyObjective());
     }
 
     /** Whether it waits for its start or for the outcome of another, and uses no core. */
@@ -112,7 +216,7 @@
 
     double usedMemoryKb() {
         boolean holdsRun = started && phase != Phase.QUEUED && phase != Phase.SHARING_OUTCOME;
-        return holdsRun ? memoryKb * server.runMemoryFactor : memoryKb;
+        return holdsRun ? memoryKb * server.runMemoryFactor() : memoryKb;
     }
 
     /** Itself, or what took its place: a request that ended unstarted in this batch may still be named. */
@@ -131,13 +235,13 @@
     @Override
     public void runEnded(Duration now, Outcome runOutcome) {
         server.advanceClock(now);
-        server.completions.runEnded(this, now, runOutcome);
+        server.completions().runEnded(this, now, runOutcome);
     }
 
     @Override
     public void callNeeded(Duration now) {
         server.advanceClock(now);
-        server.stallDetector.recordProgress(now);
+        server.stallDetector().recordProgress(now);
         if (phase == Phase.RUNNING) {
             server.moveTo(this, Phase.AWAITING_CALL);
         }
@@ -147,13 +251,13 @@
     public void callEnded(Duration now, Outcome callOutcome, Duration elapsed) {
         server.advanceClock(now);
         if (phase == Phase.IN_CALL) {
-            server.downstreamCalls.callEnded(this, now, callOutcome, elapsed);
+            server.downstreamCalls().callEnded(this, now, callOutcome, elapsed);
         }
     }
 
     @Override
     public void callerGone(Duration now) {
         server.advanceClock(now);
-        server.completions.callerGone(this, now);
+        server.completions().callerGone(this, now);
     }
 }
--- a/src/main/java/merlinlever/policy/RetentionTable.java
+++ b/src/main/java/merlinlever/policy/RetentionTable.java
@@ -17,8 +17,7 @@
     private record Expiry(Request request, Duration time) {}
 
     private final ServerState server;
-    /** The memory that a retained request takes. */
-    final double entryKb;
+    private final double entryKb;
 
     private final PriorityQueue<Expiry> retained = new PriorityQueue<>(Comparator.comparing(Expiry::time));
     private final PriorityQueue<Expiry> handles = new PriorityQueue<>(Comparator.comparing(Expiry::time));
@@ -28,23 +27,28 @@
         entryKb = settings.memoryPerKeyKb();
     }
 
+    /** The memory that a retained request takes. */
+    double entryKb() {
+        return entryKb;
+    }
+
     /** Retains the request for that long from now on, also if it is retained already. */
     void retain(Request request, Duration now, Duration retention) {
-        if (request.retainedUntil == null) {
+        if (request.retainedUntil() == null) {
             server.reserve(entryKb);
         }
-        request.retainedUntil = now.plus(retention);
-        retained.add(new Expiry(request, request.retainedUntil));
+        request.setRetainedUntil(now.plus(retention));
+        retained.add(new Expiry(request, request.retainedUntil()));
         server.decided(new Decision.Retain(request, retention));
     }
 
     /** Ends the retention of the request; returns whether it was retained. */
     boolean remove(Request request) {
-        boolean wasRetained = request.retainedUntil != null;
+        boolean wasRetained = request.retainedUntil() != null;
         if (wasRetained) {
             server.reserve(-entryKb);
         }
-        request.retainedUntil = null;
+        request.setRetainedUntil(null);
         return wasRetained;
     }
 
@@ -57,7 +61,7 @@
     void expire(Duration now) {
         while (!retained.isEmpty() && isReached(now, retained.peek().time)) {
             Expiry expiry = retained.poll();
-            if (expiry.time.equals(expiry.request.retainedUntil)) {
+            if (expiry.time.equals(expiry.request.retainedUntil())) {
                 remove(expiry.request);
             }
         }
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -20,32 +20,28 @@
  * flight, how many of them are in each phase, the memory that they use, the quotas, the counters for
  * monitoring, and the parts themselves. It decides nothing.
  *
- * <p>All counts are written here alone, by the methods below; the fields of a {@link Request} by the part
- * that is named beside each of them.
+ * <p>All counts are written here alone, by the methods below.
  */
 final class ServerState {
-    final List<PriorityClass> priorityClasses;
-    final int cores;
-    /** The shortest latency objective of all priority classes, in milliseconds. */
-    final double objectiveMs;
-    /** How many times the memory of a queued request a started one uses. */
-    final double runMemoryFactor;
-
-    final StallDetector stallDetector;
-    final DrainState drain;
-    final IdempotencyWindow idempotencyWindow;
-    final RunQueueGauge runQueue;
-    final RetentionTable retained;
-    final CapacityEstimator capacity;
-    final DownstreamCalls downstreamCalls;
-    final AdmissionControl admissionControl;
-    final DuplicateRequests duplicates;
-    final Dispatcher dispatcher;
-    final Completions completions;
-    final BackpressureSignals backpressure;
-
-    /** In the order of submission; finished requests leave with the next decision. */
-    final List<Request> inFlight = new ArrayList<>();
+    private final List<PriorityClass> priorityClasses;
+    private final int cores;
+    private final double objectiveMs;
+    private final double runMemoryFactor;
+
+    private final StallDetector stallDetector;
+    private final DrainState drain;
+    private final IdempotencyWindow idempotencyWindow;
+    private final RunQueueGauge runQueue;
+    private final RetentionTable retained;
+    private final CapacityEstimator capacity;
+    private final DownstreamCalls downstreamCalls;
+    private final AdmissionControl admissionControl;
+    private final DuplicateRequests duplicates;
+    private final Dispatcher dispatcher;
+    private final Completions completions;
+    private final BackpressureSignals backpressure;
+
+    private final List<Request> inFlight = new ArrayList<>();
 
     /** Of downstream calls, then of the runs of each priority class. */
     private final List<QuotaLimiter> quotas = new ArrayList<>();
@@ -68,7 +64,7 @@
     ServerState(ControllerSettings settings, long seed) {
         priorityClasses = PriorityClass.fromSettings(settings);
         objectiveMs = toMillis(priorityClasses.stream()
-                .map(priorityClass -> priorityClass.latencyObjective)
+                .map(priorityClass -> priorityClass.latencyObjective())
                 .min(Duration::compareTo)
                 .orElse(Duration.ofSeconds(1)));
         for (RejectionReason reason : RejectionReason.values()) {
@@ -93,9 +89,80 @@
         backpressure = new BackpressureSignals(this, settings);
     }
 
+    List<PriorityClass> priorityClasses() {
+        return priorityClasses;
+    }
+
+    int cores() {
+        return cores;
+    }
+
+    /** The shortest latency objective of all priority classes, in milliseconds. */
+    double objectiveMs() {
+        return objectiveMs;
+    }
+
+    /** How many times the memory of a queued request a started one uses. */
+    double runMemoryFactor() {
+        return runMemoryFactor;
+    }
+
+    StallDetector stallDetector() {
+        return stallDetector;
+    }
+
+    DrainState drain() {
+        return drain;
+    }
+
+    IdempotencyWindow idempotencyWindow() {
+        return idempotencyWindow;
+    }
+
+    RunQueueGauge runQueue() {
+        return runQueue;
+    }
+
+    RetentionTable retained() {
+        return retained;
+    }
+
+    CapacityEstimator capacity() {
+        return capacity;
+    }
+
+    DownstreamCalls downstreamCalls() {
+        return downstreamCalls;
+    }
+
+    AdmissionControl admissionControl() {
+        return admissionControl;
+    }
+
+    DuplicateRequests duplicates() {
+        return duplicates;
+    }
+
+    Dispatcher dispatcher() {
+        return dispatcher;
+    }
+
+    Completions completions() {
+        return completions;
+    }
+
+    BackpressureSignals backpressure() {
+        return backpressure;
+    }
+
+    /** In the order of submission; finished requests leave with the next decision. */
+    List<Request> inFlight() {
+        return inFlight;
+    }
+
     /** The weights of all priority classes. */
     DoubleStream weights() {
-        return priorityClasses.stream().mapToDouble(priorityClass -> priorityClass.weight);
+        return priorityClasses.stream().mapToDouble(priorityClass -> priorityClass.weight());
     }
 
     /** Time since the start of the server, as of the latest event. */
@@ -120,7 +187,7 @@
 
     /** Withdraws the decisions to share an outcome of requests that have ended since. */
     void withdrawOutdatedShares() {
-        decisions.withdrawShares(handle -> ((Request) handle).phase != Phase.SHARING_OUTCOME);
+        decisions.withdrawShares(handle -> ((Request) handle).phase() != Phase.SHARING_OUTCOME);
     }
 
     Decisions takeDecisions(Duration nextDecisionAt) {
@@ -179,7 +246,7 @@
 
     /** The quota of the runs of a priority class. */
     QuotaLimiter runQuota(PriorityClass priorityClass) {
-        return quota(priorityClass.index);
+        return quota(priorityClass.index());
     }
 
     /** The quota of the runs of the priority class with this index, or of downstream calls for -1. */
@@ -224,29 +291,29 @@
 
     /** An illegal change fails where assertions are on; in service it is logged, and carried out. */
     void moveTo(Request request, Phase phase) {
-        boolean legal = phaseTransitions.isLegal(request.phase, phase);
-        assert legal : "illegal phase change from " + request.phase + " to " + phase;
+        boolean legal = phaseTransitions.isLegal(request.phase(), phase);
+        assert legal : "illegal phase change from " + request.phase() + " to " + phase;
         if (!legal) {
-            logIllegalPhaseChange(request.phase, phase);
+            logIllegalPhaseChange(request.phase(), phase);
         }
         adjustCounts(request, -1);
-        runQueue.phaseChanged(request.phase, phase);
-        request.phase = phase;
+        runQueue.phaseChanged(request.phase(), phase);
+        request.setPhase(phase);
         adjustCounts(request, 1);
     }
 
     private void adjustCounts(Request request, int sign) {
-        usedMemoryKb += sign * (request.phase == Phase.FINISHED ? 0 : request.usedMemoryKb());
-        switch (request.phase) {
+        usedMemoryKb += sign * (request.phase() == Phase.FINISHED ? 0 : request.usedMemoryKb());
+        switch (request.phase()) {
             case QUEUED -> queuedCount += sign;
             case RUNNING -> onCoreCount += sign;
             case AWAITING_CALL -> awaitingCallCount += sign;
             case IN_CALL -> inCallCount += sign;
             case AWAITING_ORIGINAL, SHARING_OUTCOME, FINISHED -> {}
         }
-        callQuota().inUse = inCallCount;
+        callQuota().setInUse(inCallCount);
         if (request.isStarted()) {
-            runQuota(request.priorityClass).inUse += sign;
+            runQuota(request.priorityClass()).adjustInUse(sign);
         }
     }
 }
--- a/src/main/java/merlinlever/policy/StallDetector.java
+++ b/src/main/java/merlinlever/policy/StallDetector.java
@@ -12,31 +12,36 @@
 
     private final ServerState server;
     private Duration lastProgressAt = Duration.ZERO;
-    /** Written here alone. */
-    boolean stalled;
+    private boolean stalled;
 
     StallDetector(ServerState server) {
         this.server = server;
     }
 
+    /** Whether no run makes progress. */
+    boolean isStalled() {
+        return stalled;
+    }
+
     void recordProgress(Duration now) {
         lastProgressAt = now;
     }
 
     void check(Duration now) {
         // One long run is no stall: the fewer run, the longer they may be silent; cold cores are slower.
-        double longestRunMs = server.priorityClasses.stream()
-                .mapToDouble(priorityClass -> priorityClass.runTimes.meanMs())
+        double longestRunMs = server.priorityClasses().stream()
+                .mapToDouble(priorityClass -> priorityClass.runTimes().meanMs())
                 .max()
                 .orElse(0);
         double runTimes = RUN_TIMES + RUN_TIMES_ALONE / Math.max(1, server.onCoreCount());
-        Duration minSilence = Durations.ofMillis(MIN_SILENCE_MS / server.capacity.speedFraction());
+        Duration minSilence =
+                Durations.ofMillis(MIN_SILENCE_MS / server.capacity().speedFraction());
         Duration patience = Durations.later(minSilence, Durations.ofMillis(longestRunMs * runTimes));
         boolean silent = Durations.isReached(now, lastProgressAt.plus(patience));
         if (stalled != (silent && server.onCoreCount() > 0)) {
             stalled = !stalled;
             server.logStall(stalled, now.minus(lastProgressAt));
         }
-        server.reportHealth(!stalled && !server.drain.hasStarted());
+        server.reportHealth(!stalled && !server.drain().hasStarted());
     }
 }
