--- a/src/main/java/merlinlever/dns/server/RequestProcessor.java
+++ b/src/main/java/merlinlever/dns/server/RequestProcessor.java
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import merlinlever.common.log.EventLog;
 import merlinlever.controller.ControllerEvent;
 import merlinlever.controller.Outcome;
 import merlinlever.controller.RequestAttributes;
@@ -50,7 +51,7 @@
     private final ResponseBuilder responses;
     private final ControllerDriver<PendingMessage> conductor;
     private final boolean queriesDecided;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final Consumer<Duration> alarm;
     private final ZoneServerMetrics metrics;
     private final Map<Object, PendingMessage> pendingByReplayKey = new HashMap<>();
@@ -81,7 +82,7 @@
             Tsig.TsigKeyRing keys,
             ProcessorSettings stated,
             LongSupplier unix,
-            Consumer<String> log,
+            EventLog log,
             Consumer<Duration> alarm,
             ZoneServerMetrics metrics) {
         served.forEach(zone -> zones.put(new ByteArrayKey(zone.origin()), zone));
@@ -522,34 +523,14 @@
         evict(pending);
     }
 
-    @Override
-    public void skipCall(PendingMessage pending) {
-        // No tariff here has a value without its call.
-    }
-
-    @Override
-    public void stop(PendingMessage pending) {
-        // Nothing here can be stopped half way.
-    }
-
-    @Override
-    public void updateBackpressureLevel(double level) {
-        // The protocol has no place for it.
-    }
-
     @Override
     public void updateHealth(boolean good) {
         metrics.healthy(good);
     }
 
-    @Override
-    public void closeIdleConnections(Duration after) {
-        // Connections are few and closed by their own time.
-    }
-
     @Override
     public void log(ControllerEvent event) {
-        log.accept(event.logLine());
+        log.line(event.logLine());
     }
 
     @Override
