--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -86,10 +86,9 @@
         try {
             server = new DnsServer(
                     loop,
-                    listenAddress,
-                    (int) config.number("connections", DEFAULT_CONNECTIONS),
-                    List.copyOf(fileByZone.keySet()),
-                    new Tsig.TsigKeyRing(keys),
+                    new DnsServer.ListenSettings(
+                            listenAddress, (int) config.number("connections", DEFAULT_CONNECTIONS)),
+                    new RequestProcessor.ZonesAndKeys(List.copyOf(fileByZone.keySet()), new Tsig.TsigKeyRing(keys)),
                     new RequestProcessor.ProcessorSettings(
                             config.number("memory-mb", DEFAULT_MEMORY_MB),
                             grace(),
--- /dev/null
+++ b/src/main/java/merlinlever/dns/server/ByteArrayKey.java
@@ -0,0 +1,16 @@
+package merlinlever.dns.server;
+
+import java.util.Arrays;
+
+/** Octets as the key of a map, compared by content. */
+record ByteArrayKey(byte[] octets) {
+    @Override
+    public boolean equals(Object other) {
+        return other instanceof ByteArrayKey key && Arrays.equals(octets, key.octets);
+    }
+
+    @Override
+    public int hashCode() {
+        return Arrays.hashCode(octets);
+    }
+}
--- a/src/main/java/merlinlever/dns/server/DnsConnection.java
+++ b/src/main/java/merlinlever/dns/server/DnsConnection.java
@@ -9,34 +9,42 @@
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
+import merlinlever.dns.wire.DnsMessage;
 
 /** One TCP connection (RFC 7766): messages with their length before them, answers in the order in which they are ready. */
 final class DnsConnection implements Connection.Handler {
 
-    /** A message and its length fit; what waits to be written may be a few answers of the largest kind. */
-    static final int READ_BUFFER = 2 + 65_535;
+    /** Octets of the length before each message (RFC 1035 section 4.2.2). */
+    private static final int LENGTH_BYTES = Short.BYTES;
 
-    static final int MAX_QUEUED_BYTES = 8 * 65_537;
-    /** Messages of one connection in hand; what comes beyond is read when one is answered. */
+    /** Octets of the largest message with its length. */
+    static final int READ_BUFFER = LENGTH_BYTES + DnsMessage.MAX_BYTES;
+
+    /** Octets that wait to be written: a few responses of the largest size. */
+    static final int MAX_QUEUED_BYTES = 8 * READ_BUFFER;
+
+    /** Pending messages of one connection; further ones are read when one is answered. */
     private static final int MAX_IN_FLIGHT = 64;
 
     private static final Duration MESSAGE_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(10);
 
     private final EventLoop loop;
-    private final RequestProcessor desk;
+    private final RequestProcessor processor;
     private final Consumer<DnsConnection> onClosed;
     private Connection connection;
     private final List<PendingMessage> inFlight = new ArrayList<>(2);
-    private Duration idleSince, incompleteSince, unwrittenSince;
+    private Duration idleSince;
+    private Duration incompleteSince;
+    private Duration unwrittenSince;
     private ZoneTransfer sending;
     private Consumer<Boolean> transferDone;
     private final ArrayDeque<Runnable> queuedTransfers = new ArrayDeque<>(0);
     private boolean isClosing;
 
-    DnsConnection(EventLoop loop, RequestProcessor desk, Consumer<DnsConnection> onClosed) {
+    DnsConnection(EventLoop loop, RequestProcessor processor, Consumer<DnsConnection> onClosed) {
         this.loop = loop;
-        this.desk = desk;
+        this.processor = processor;
         this.onClosed = onClosed;
         idleSince = loop.clock().now();
     }
@@ -50,17 +58,17 @@
     public void onReceived(ByteBuffer in) {
         Duration now = loop.clock().now();
         incompleteSince = in.hasRemaining() && incompleteSince == null ? now : incompleteSince;
-        while (in.remaining() >= 2 && inFlight.size() < MAX_IN_FLIGHT) {
-            int length = (in.get(in.position()) & 0xff) << 8 | (in.get(in.position() + 1) & 0xff);
-            if (in.remaining() < 2 + length) {
+        while (in.remaining() >= LENGTH_BYTES && inFlight.size() < MAX_IN_FLIGHT) {
+            int length = Short.toUnsignedInt(in.getShort(in.position()));
+            if (in.remaining() < LENGTH_BYTES + length) {
                 break;
             }
-            in.position(in.position() + 2);
+            in.position(in.position() + LENGTH_BYTES);
             byte[] octets = new byte[length];
             in.get(octets);
             incompleteSince = in.hasRemaining() ? now : null;
             ConnectionReply one = new ConnectionReply();
-            PendingMessage asked = desk.receive(now, octets, Duration.ZERO, one);
+            PendingMessage asked = processor.receive(now, octets, Duration.ZERO, one);
             if (asked != null && !one.answered) {
                 one.asked = asked;
                 inFlight.add(asked);
@@ -124,7 +132,7 @@
     }
 
     private void write(byte[] octets) {
-        ByteBuffer out = ByteBuffer.allocate(2 + octets.length)
+        ByteBuffer out = ByteBuffer.allocate(LENGTH_BYTES + octets.length)
                 .putShort((short) octets.length)
                 .put(octets);
         unwrittenSince = unwrittenSince == null ? loop.clock().now() : unwrittenSince;
@@ -161,7 +169,7 @@
     public void onClosed(CloseReason how) {
         Duration now = loop.clock().now();
         for (PendingMessage asked : List.copyOf(inFlight)) {
-            desk.clientDisconnected(now, asked);
+            processor.clientDisconnected(now, asked);
         }
         inFlight.clear();
         if (sending != null) {
@@ -173,7 +181,7 @@
         onClosed.accept(this);
     }
 
-    /** Ends it where it was silent, or slow, for too long. */
+    /** Closes the connection if it was idle, or slow, for too long. */
     void closeIfTimedOut(Duration now) {
         if ((incompleteSince != null
                         && inFlight.size() < MAX_IN_FLIGHT
@@ -189,7 +197,7 @@
         return now.minus(since).compareTo(span) >= 0;
     }
 
-    /** Takes no more messages, and ends with the last answer. */
+    /** Closes the connection after the last response. */
     void closeWhenAnswered() {
         isClosing = true;
         if (inFlight.isEmpty() && unwrittenSince == null) {
@@ -197,7 +205,7 @@
         }
     }
 
-    /** Ends it if nothing is open on it; says whether it did. */
+    /** Closes the connection if nothing is pending on it; returns whether it did. */
     boolean closeIfIdle() {
         if (inFlight.isEmpty() && unwrittenSince == null) {
             connection.close(CloseReason.IDLE);
--- a/src/main/java/merlinlever/dns/server/DnsServer.java
+++ b/src/main/java/merlinlever/dns/server/DnsServer.java
@@ -15,9 +15,8 @@
 import merlinlever.common.net.DatagramEndpoint;
 import merlinlever.common.net.EventLoop;
 import merlinlever.dns.wire.DnsMessage;
-import merlinlever.dns.wire.Tsig;
 
-/** The sockets round the desk: datagrams and connections on one address. */
+/** The sockets of a DNS server: datagrams and connections on one address. */
 public final class DnsServer {
 
     private static final Duration TIMEOUT_CHECK_PERIOD = Duration.ofMillis(250);
@@ -31,28 +30,41 @@
     private final List<ServedZone> zones;
     private EventLoop.Timer alarm;
 
-    /** @param connections open at once at the most */
+    /**
+     * Where the server listens, over UDP and TCP.
+     *
+     * @param address port 0 takes a free port
+     * @param maxConnections open at once
+     */
+    public record ListenSettings(InetSocketAddress address, int maxConnections) {}
+
+    /**
+     * Binds the sockets and starts to serve.
+     *
+     * @param unixClock in seconds
+     * @throws IOException where the address cannot be bound
+     */
     public DnsServer(
             EventLoop loop,
-            InetSocketAddress address,
-            int connections,
-            List<ServedZone> zones,
-            Tsig.TsigKeyRing keys,
-            RequestProcessor.ProcessorSettings stated,
-            LongSupplier unix,
+            ListenSettings listen,
+            RequestProcessor.ZonesAndKeys zonesAndKeys,
+            RequestProcessor.ProcessorSettings settings,
+            LongSupplier unixClock,
             EventLog log,
-            ZoneServerMetrics counts)
+            ZoneServerMetrics metrics)
             throws IOException {
         this.loop = loop;
-        this.zones = zones;
-        processor = new RequestProcessor(zones, keys, stated, unix, log, this::alarm, counts);
+        this.zones = zonesAndKeys.zones();
+        InetSocketAddress address = listen.address;
+        processor = new RequestProcessor(zonesAndKeys, settings, unixClock, log, this::alarm, metrics);
         IOException failure = null;
         ConnectionAcceptor listening = null;
         DatagramEndpoint taking = null;
         for (int i = 0; i < MAX_BIND_ATTEMPTS && taking == null; i++) {
-            listening = new ConnectionAcceptor(loop, address, connections, this::accepted, this::closeIdleConnection);
+            listening = new ConnectionAcceptor(
+                    loop, address, listen.maxConnections, this::accepted, this::closeIdleConnection);
             try {
-                // A free port is to be free for both.
+                // A free port has to be free for both protocols.
                 taking = new DatagramEndpoint(loop, listening.address(), DnsMessage.MAX_BYTES, this::receive);
             } catch (IOException e) {
                 listening.close();
@@ -73,10 +85,12 @@
                 .forEach(stream -> stream.closeIfTimedOut(loop.clock().now())));
     }
 
+    /** The address that it listens on, with the port. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
+    /** The processor of its messages. */
     public RequestProcessor processor() {
         return processor;
     }
@@ -134,22 +148,23 @@
         }
     }
 
-    /** The notice to leave: the module is told; what comes within the grace is still read. */
+    /** Starts the drain, which ends after {@code stop}; messages within the grace period are still admitted. */
     public void startDrain(Duration stop) {
         processor.startDrain(loop.clock().now(), loop.clock().now().plus(stop));
     }
 
-    /** From here on nothing more is read; {@link #isDrained} says when all that was read is answered. */
+    /** Stops reading; {@link #isDrained} says when all that was read is answered. */
     public void close() {
         listener.close();
         List.copyOf(streams).forEach(DnsConnection::closeWhenAnswered);
     }
 
-    /** Whether all that was read is answered and written, and what was answered is on the disk. */
+    /** Whether all messages that were read are answered, and no write to the disk is in flight. */
     public boolean isDrained() {
         return processor.inFlight() == 0 && streams.isEmpty() && zones.stream().allMatch(ServedZone::isIdle);
     }
 
+    /** Closes the datagram socket. */
     public void closeSockets() {
         datagrams.close();
     }
--- a/src/main/java/merlinlever/dns/server/NotifySender.java
+++ b/src/main/java/merlinlever/dns/server/NotifySender.java
@@ -16,19 +16,21 @@
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Opcode;
 
-/** Tells other servers of each new version until they say that they heard (RFC 1996 section 3). */
+/** Notifies secondary servers of each new version until they acknowledge it (RFC 1996 section 3). */
 public final class NotifySender {
 
     private static final Duration FIRST_RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MAX_ATTEMPTS = 6;
-    /** Versions that come within this are told as one. */
+    private static final int MESSAGE_IDS = 0x10000;
+    private static final byte[] IPV4_WILDCARD = {0, 0, 0, 0};
+    /** Versions published within this time are notified once. */
     private static final Duration COALESCE_DELAY = Duration.ofMillis(100);
 
-    /** One server that is being told of one zone. */
+    /** A zone's notification of one server. */
     private static final class PendingNotify {
-        int id;
-        EventLoop.Timer retry;
-        boolean hasNewerVersion;
+        private int id;
+        private EventLoop.Timer retry;
+        private boolean hasNewerVersion;
     }
 
     private record NotifyTarget(String zone, InetSocketAddress server) {}
@@ -38,17 +40,19 @@
     private final Map<NotifyTarget, PendingNotify> pending = new HashMap<>();
     private DatagramEndpoint datagrams;
 
+    /** A sender whose message ids are drawn from the seed. */
     public NotifySender(EventLoop loop, long seed) {
         this.loop = loop;
         random = new SplittableRandom(seed);
     }
 
+    /** Notifies the servers of the zone's published version. */
     public void notifyOfChange(ServedZone zone, List<InetSocketAddress> servers) {
         for (InetSocketAddress server : servers) {
             PendingNotify one =
                     pending.computeIfAbsent(new NotifyTarget(zone.name(), server), whom -> new PendingNotify());
             if (one.retry == null) {
-                one.id = random.nextInt(0x10000);
+                one.id = random.nextInt(MESSAGE_IDS);
                 one.retry = loop.schedule(COALESCE_DELAY, () -> send(zone, server, one, 0));
             } else {
                 one.hasNewerVersion = true;
@@ -61,12 +65,12 @@
             if (datagrams == null) {
                 datagrams = new DatagramEndpoint(
                         loop,
-                        new InetSocketAddress(InetAddress.getByAddress(new byte[4]), 0),
+                        new InetSocketAddress(InetAddress.getByAddress(IPV4_WILDCARD), 0),
                         DnsMessage.MAX_BYTES,
                         this::receive);
             }
         } catch (IOException e) {
-            // Tried again like one that was lost.
+            // Retried like a notification that was lost.
         }
         if (datagrams != null) {
             MessageWriter out = new MessageWriter(
--- a/src/main/java/merlinlever/dns/server/ReplyChannel.java
+++ b/src/main/java/merlinlever/dns/server/ReplyChannel.java
@@ -2,15 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** Where one message came from and its answer goes. */
+/** Sends the response to one message. */
 public interface ReplyChannel {
 
-    /** Whether the answer goes in one datagram. */
+    /** Whether the response is one datagram. */
     boolean isDatagram();
 
-    /** The one answer. */
+    /** Sends the one response; null ends the connection without it. */
     void answer(byte[] octets);
 
-    /** An answer of many messages, of which the next is wanted whenever there is room; tells whether all have left. */
+    /** Sends a transfer message by message as there is room; {@code done} is told whether all were sent. */
     void answer(ZoneTransfer transfer, Consumer<Boolean> done);
 }
--- a/src/main/java/merlinlever/dns/server/ResponseBuilder.java
+++ b/src/main/java/merlinlever/dns/server/ResponseBuilder.java
@@ -1,5 +1,6 @@
 package merlinlever.dns.server;
 
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
@@ -11,34 +12,52 @@
 import merlinlever.dns.wire.DnsMessage;
 import merlinlever.dns.wire.MessageSection;
 import merlinlever.dns.wire.MessageWriter;
+import merlinlever.dns.wire.Opcode;
 import merlinlever.dns.wire.Tsig;
 
-/** Makes the answers: sections, EDNS, truncation, signatures. Decides nothing. */
+/** Builds responses: sections, EDNS, truncation, signatures. Decides nothing. */
 final class ResponseBuilder {
 
-    /** Octets of a datagram that pass everywhere unbroken, stated and kept to (RFC 9715 section 3). */
+    /** Octets of a datagram that is not fragmented on usual paths; stated in EDNS and kept to (RFC 9715 section 3). */
     static final int MAX_DATAGRAM_BYTES = 1232;
 
+    /** The extended response code for a version of EDNS that is not supported (RFC 6891 section 9). */
     private static final int BADVERS = 16;
-    /** An extended error (RFC 8914): its option, and the code for what cannot be answered now. */
-    private static final int EXTENDED_ERROR = 15, NOT_READY = 14;
 
-    private final LongSupplier unix;
+    /** The EDNS option for an extended error (RFC 8914 section 2). */
+    private static final int EXTENDED_ERROR_OPTION = 15;
 
-    ResponseBuilder(LongSupplier unix) {
-        this.unix = unix;
+    /** The extended error Not Ready (RFC 8914 section 4.15). */
+    private static final int NOT_READY = 14;
+
+    /** Octets of the option beside its text: code, length, error. */
+    private static final int EXTENDED_ERROR_FIXED_BYTES = 3 * Short.BYTES;
+
+    /** Flags that a response repeats from its request. */
+    private static final int REPEATED_FLAGS = Opcode.FLAGS_MASK | DnsMessage.RECURSION_DESIRED;
+
+    /** Octets of an OPT record without options: the root as its owner, and the fixed fields. */
+    private static final int EDNS_BYTES = 1 + DnsMessage.RECORD_FIXED_BYTES;
+
+    /** Octets of a record beside its data whose owner is compressed to a pointer. */
+    private static final int COMPRESSED_RECORD_BYTES = 2 + DnsMessage.RECORD_FIXED_BYTES;
+
+    private final LongSupplier unixClock;
+
+    ResponseBuilder(LongSupplier unixClock) {
+        this.unixClock = unixClock;
     }
 
-    /** Of what could not be read as a message, by its id alone. */
+    /** The response to what cannot be parsed, with the id alone. */
     static byte[] malformed(byte[] octets) {
         return new MessageWriter(
                         DnsMessage.id(octets),
-                        DnsMessage.RESPONSE | (DnsMessage.flags(octets) & 0x7900) | DynamicUpdate.FORMERR,
-                        12)
+                        DnsMessage.RESPONSE | (DnsMessage.flags(octets) & REPEATED_FLAGS) | DynamicUpdate.FORMERR,
+                        DnsMessage.HEADER_BYTES)
                 .toBytes();
     }
 
-    /** A code without records. */
+    /** A response code without records. */
     byte[] withCode(DnsMessage request, Tsig.Verification verification, int code) {
         return signed(
                 request,
@@ -46,18 +65,11 @@
                 head(request, code, maxLength(verification), code, null).toBytes());
     }
 
-    /** Turned away unseen; the advice to stay away goes along where there is a place for it. */
-    byte[] rejection(DnsMessage request, Tsig.Verification verification, Duration stayAway) {
-        byte[] options = null;
-        if (!stayAway.isZero()) {
-            byte[] text = ("full, come again in " + stayAway.toMillis() + " ms").getBytes(StandardCharsets.US_ASCII);
-            options = new byte[6 + text.length];
-            options[1] = EXTENDED_ERROR;
-            options[2] = (byte) ((text.length + 2) >> 8);
-            options[3] = (byte) (text.length + 2);
-            options[5] = NOT_READY;
-            System.arraycopy(text, 0, options, 6, text.length);
-        }
+    /** The response to a rejected request; the time to retry after goes into an extended error where EDNS is used. */
+    byte[] rejection(DnsMessage request, Tsig.Verification verification, Duration retryAfter) {
+        byte[] options = retryAfter.isZero()
+                ? null
+                : extendedError(NOT_READY, "full, come again in " + retryAfter.toMillis() + " ms");
         return signed(
                 request,
                 verification,
@@ -65,6 +77,16 @@
                         .toBytes());
     }
 
+    private static byte[] extendedError(int code, String message) {
+        byte[] text = message.getBytes(StandardCharsets.US_ASCII);
+        ByteBuffer option = ByteBuffer.allocate(EXTENDED_ERROR_FIXED_BYTES + text.length);
+        option.putShort((short) EXTENDED_ERROR_OPTION);
+        option.putShort((short) (Short.BYTES + text.length));
+        option.putShort((short) code);
+        return option.put(text).array();
+    }
+
+    /** The response to a version of EDNS that is not supported. */
     byte[] unknownEdns(DnsMessage request, Tsig.Verification verification) {
         return signed(
                 request,
@@ -77,9 +99,9 @@
                 - (verification == null || verification.key() == null ? 0 : Tsig.room(verification.key()));
     }
 
-    private static MessageWriter head(DnsMessage request, int code, int most, int extended, byte[] options) {
-        MessageWriter out =
-                new MessageWriter(request.id(), DnsMessage.RESPONSE | (request.flags() & 0x7900) | code, most);
+    private static MessageWriter head(DnsMessage request, int code, int maxBytes, int extended, byte[] options) {
+        MessageWriter out = new MessageWriter(
+                request.id(), DnsMessage.RESPONSE | (request.flags() & REPEATED_FLAGS) | code, maxBytes);
         if (request.hasQuestion()) {
             out.question(request.name(), request.type(), request.dclass());
         }
@@ -89,47 +111,52 @@
         return out;
     }
 
-    private byte[] signed(DnsMessage request, Tsig.Verification verification, byte[] made) {
+    private byte[] signed(DnsMessage request, Tsig.Verification verification, byte[] response) {
         if (verification == null) {
-            return made;
+            return response;
         }
         return switch (verification.error()) {
-            case 0 -> Tsig.sign(made, verification.key(), unix.getAsLong(), verification.mac())
+            case 0 -> Tsig.sign(response, verification.key(), unixClock.getAsLong(), verification.mac())
                     .octets();
             case Tsig.BADTIME -> Tsig.signBadTime(
-                            made, verification.key(), verification.time(), unix.getAsLong(), verification.mac())
+                            response,
+                            verification.key(),
+                            verification.time(),
+                            unixClock.getAsLong(),
+                            verification.mac())
                     .octets();
-            default -> Tsig.unsignedError(made, request.signature(), verification.error());
+            default -> Tsig.unsignedError(response, request.signature(), verification.error());
         };
     }
 
+    /** The response to a query, truncated where it does not fit a datagram. */
     byte[] answer(DnsMessage request, Tsig.Verification verification, Lookup.Answer answer, boolean datagram) {
-        int most = DnsMessage.MAX_BYTES;
+        int maxBytes = DnsMessage.MAX_BYTES;
         if (datagram) {
             int theirs = request.edns() == null
                     ? DnsMessage.MAX_PLAIN_DATAGRAM_BYTES
                     : request.edns().payload();
-            most = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(theirs, MAX_DATAGRAM_BYTES));
+            maxBytes = Math.max(DnsMessage.MAX_PLAIN_DATAGRAM_BYTES, Math.min(theirs, MAX_DATAGRAM_BYTES));
         }
-        most -= verification == null ? 0 : Tsig.room(verification.key());
+        maxBytes -= verification == null ? 0 : Tsig.room(verification.key());
         MessageWriter out = new MessageWriter(
                 request.id(),
                 DnsMessage.RESPONSE
                         | (answer.authoritative ? DnsMessage.AUTHORITATIVE : 0)
-                        | (request.flags() & 0x7900)
+                        | (request.flags() & REPEATED_FLAGS)
                         | answer.code,
-                most);
+                maxBytes);
         out.question(request.name(), request.type(), request.dclass());
         int questionEnd = out.length();
-        int reserved = request.edns() == null ? 0 : 11;
-        boolean whole = section(out, MessageSection.ANSWER, answer.answer, most - reserved, request.id())
-                && section(out, MessageSection.AUTHORITY, answer.authority, most - reserved, request.id());
+        int reserved = request.edns() == null ? 0 : EDNS_BYTES;
+        boolean whole = section(out, MessageSection.ANSWER, answer.answer, maxBytes - reserved, request.id())
+                && section(out, MessageSection.AUTHORITY, answer.authority, maxBytes - reserved, request.id());
         if (!whole) {
             out.truncateToQuestion(questionEnd);
             out.flag(DnsMessage.TRUNCATED);
         } else {
             // What does not fit here is only a help.
-            section(out, MessageSection.ADDITIONAL, answer.additional, most - reserved, request.id());
+            section(out, MessageSection.ADDITIONAL, answer.additional, maxBytes - reserved, request.id());
         }
         if (request.edns() != null) {
             out.edns(MAX_DATAGRAM_BYTES, 0, null);
@@ -137,15 +164,15 @@
         return signed(request, verification, out.toBytes());
     }
 
-    /** Each set from another record on, so that callers who take the first spread (RFC 1794). */
+    /** Appends sets, each rotated by {@code turn}, so that clients that take the first record spread (RFC 1794). */
     private static boolean section(
-            MessageWriter out, MessageSection section, List<Lookup.AnswerSet> sets, int most, int turn) {
+            MessageWriter out, MessageSection section, List<Lookup.AnswerSet> sets, int maxBytes, int turn) {
         for (Lookup.AnswerSet shown : sets) {
             RecordSet set = shown.set();
             for (int i = 0; i < set.size(); i++) {
                 byte[] data = set.data((i + turn) % set.size());
-                if ((out.length() + shown.owner().length + 10 + data.length > most
-                                && out.length() + 12 + data.length > most)
+                if ((out.length() + shown.owner().length + DnsMessage.RECORD_FIXED_BYTES + data.length > maxBytes
+                                && out.length() + COMPRESSED_RECORD_BYTES + data.length > maxBytes)
                         || !out.record(section, shown.owner(), set.type(), RecordTypes.IN, shown.ttl(), data)) {
                     return false;
                 }
--- a/src/main/java/merlinlever/dns/server/ServedZone.java
+++ b/src/main/java/merlinlever/dns/server/ServedZone.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalInt;
 import java.util.Set;
 import java.util.function.Consumer;
 import merlinlever.dns.journal.ZoneStore;
@@ -15,13 +16,14 @@
 import merlinlever.dns.state.Zone;
 
 /**
- * One zone in service. Questions see the last version that is on the disk; an update is decided on the last one that is
- * on its way there, and becomes seen, in order, when it has got there.
+ * One zone in service. Queries see the published version, which is on the disk; an update is decided on the staged version,
+ * whose writes may be in flight, and versions are published in order as their writes complete. Used on the event loop.
  */
 public final class ServedZone {
 
-    /** Who hears that a new version is seen. */
+    /** Is told of each new version. */
     public interface VersionListener {
+        /** Queries see a new version of the zone. */
         void versionPublished(ServedZone zone);
     }
 
@@ -36,12 +38,17 @@
     private Zone published;
     private Zone staged;
     private int writesInFlight;
-    /** What waits for the newest step that is on its way, and whether the last step got there. */
+    /** Run after the newest write in flight; null where none is. */
     private List<Runnable> waitingForNewestWrite;
 
     private boolean lastWriteSucceeded;
 
-    /** @param updaters names of keys as text, as are {@code transferers} */
+    /**
+     * A zone in service.
+     *
+     * @param updaters names of the keys that may update it, as text
+     * @param transferers names of the keys that may transfer it, as text
+     */
     public ServedZone(Zone zone, Set<String> updaters, Set<String> transferers, ZoneStore store, ReplayWindow replays) {
         this.origin = zone.origin();
         this.name = DomainNames.text(origin);
@@ -53,22 +60,27 @@
         staged = zone;
     }
 
+    /** The name of its apex, on the wire. */
     public byte[] origin() {
         return origin;
     }
 
+    /** The name of its apex, as text. */
     public String name() {
         return name;
     }
 
+    /** The published version. */
     public Zone zone() {
         return published;
     }
 
+    /** The differences between the last versions. */
     public DifferenceHistory history() {
         return history;
     }
 
+    /** The keys of updates that could be replayed. */
     public ReplayWindow replays() {
         return replays;
     }
@@ -85,24 +97,44 @@
         return !updaters.isEmpty();
     }
 
+    /** Tells the listener of each new version from now on. */
     public void addListener(VersionListener watcher) {
         listeners.add(watcher);
     }
 
-    /** Decides an update; {@code done} hears the code, at once or when the disk has it, or -1 where the disk would not. */
+    /**
+     * Decides an update.
+     *
+     * @param unixSeconds when it came
+     * @param replayKey that its duplicates are known by
+     * @param done gets the response code at once or when the update is on the disk; nothing where the disk failed
+     */
     void update(
-            long at, byte[] mark, List<UpdateEntry> prerequisites, List<UpdateEntry> changes, Consumer<Integer> done) {
+            long unixSeconds,
+            byte[] replayKey,
+            List<UpdateEntry> prerequisites,
+            List<UpdateEntry> changes,
+            Consumer<OptionalInt> done) {
         DynamicUpdate.UpdateResult outcome = DynamicUpdate.apply(staged, prerequisites, changes);
         if (outcome.difference() == null) {
             if (waitingForNewestWrite == null) {
-                done.accept(outcome.code());
+                done.accept(OptionalInt.of(outcome.code()));
             } else {
-                // It was decided on what is not on the disk yet, and stands or falls with it.
-                waitingForNewestWrite.add(() -> done.accept(lastWriteSucceeded ? outcome.code() : -1));
+                // It was decided on a version that is not on the disk yet, and fails if that write fails.
+                waitingForNewestWrite.add(() -> done.accept(codeIf(lastWriteSucceeded, outcome.code())));
             }
             return;
         }
-        write(at, mark, outcome.zone(), outcome.difference(), well -> done.accept(well ? DynamicUpdate.NOERROR : -1));
+        write(
+                unixSeconds,
+                replayKey,
+                outcome.zone(),
+                outcome.difference(),
+                succeeded -> done.accept(codeIf(succeeded, DynamicUpdate.NOERROR)));
+    }
+
+    private static OptionalInt codeIf(boolean written, int code) {
+        return written ? OptionalInt.of(code) : OptionalInt.empty();
     }
 
     private void write(long at, byte[] mark, Zone made, Difference difference, Consumer<Boolean> done) {
@@ -137,8 +169,10 @@
     }
 
     /**
-     * The operator's file was read again and is good. It takes the place of what is served where its serial comes after;
-     * returns a line about it.
+     * Replaces the zone by the reloaded zone file if its serial is newer.
+     *
+     * @param at Unix seconds
+     * @return a log line about it
      */
     public String reload(Zone file, long at) {
         Difference difference = Difference.between(staged, file);
@@ -155,7 +189,7 @@
                 + (difference.added().size() - 1) + " in";
     }
 
-    /** Whether all updates have been heard of from the disk. */
+    /** Whether no write is in flight. */
     boolean isIdle() {
         return writesInFlight == 0 && store.isIdle();
     }
--- /dev/null
+++ b/src/main/java/merlinlever/dns/server/ZoneCatalog.java
@@ -0,0 +1,35 @@
+package merlinlever.dns.server;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import merlinlever.dns.record.DomainNames;
+import merlinlever.dns.record.RecordTypes;
+
+/** The served zones by origin. */
+final class ZoneCatalog {
+
+    private final Map<ByteArrayKey, ServedZone> zones = new HashMap<>();
+
+    ZoneCatalog(List<ServedZone> served) {
+        served.forEach(zone -> zones.put(new ByteArrayKey(zone.origin()), zone));
+    }
+
+    /** The zone whose origin is the name, or null. */
+    ServedZone find(byte[] origin) {
+        return zones.get(new ByteArrayKey(origin));
+    }
+
+    /** The zone that answers for a name and class: the one with the longest origin; null for none. */
+    ServedZone closest(byte[] name, int dclass) {
+        if (dclass != RecordTypes.IN && dclass != RecordTypes.CLASS_ANY) {
+            return null;
+        }
+        for (byte[] ancestor = name; ; ancestor = DomainNames.parent(ancestor)) {
+            ServedZone zone = find(ancestor);
+            if (zone != null || ancestor.length == 1) {
+                return zone;
+            }
+        }
+    }
+}
--- a/src/main/java/merlinlever/dns/server/ZoneServerMetrics.java
+++ b/src/main/java/merlinlever/dns/server/ZoneServerMetrics.java
@@ -3,10 +3,11 @@
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
 
-/** What the front counts: messages by kind and end. */
+/** Counters of messages by kind and outcome. */
 public final class ZoneServerMetrics {
 
     private static final int KINDS = PendingMessage.MessageKind.values().length;
+    /** Response codes of a header (RFC 1035 section 4.1.1). */
     private static final int CODES = 16;
 
     private final Counter[] accepted = new Counter[KINDS];
@@ -18,6 +19,7 @@
     private final Counter dropped;
     private boolean healthy = true;
 
+    /** Registers the counters. */
     public ZoneServerMetrics(MeterRegistry registry) {
         for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
             String name = kind.wireName();
@@ -70,7 +72,7 @@
         return healthy;
     }
 
-    /** One line about all of it. */
+    /** All counters in one line. */
     public String summary() {
         StringBuilder line = new StringBuilder();
         for (PendingMessage.MessageKind kind : PendingMessage.MessageKind.values()) {
--- a/src/main/java/merlinlever/dns/server/ZoneTransfer.java
+++ b/src/main/java/merlinlever/dns/server/ZoneTransfer.java
@@ -4,6 +4,8 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
+import java.util.NoSuchElementException;
+import java.util.function.LongSupplier;
 import merlinlever.dns.record.DomainNames;
 import merlinlever.dns.record.RecordTypes;
 import merlinlever.dns.record.ResourceRecord;
@@ -14,27 +16,25 @@
 import merlinlever.dns.wire.MessageWriter;
 import merlinlever.dns.wire.Tsig;
 
-/** A zone, or what has changed in it, as messages that are made as they are wanted (RFC 5936, RFC 1995). */
+/** The messages of one zone transfer, each built when it can be sent (RFC 5936, RFC 1995). */
 public final class ZoneTransfer {
 
-    /** Octets of a message: records share their names' ends, and a reader need not hold much. */
+    /** Octets after which a message ends: large enough to compress names, small enough to buffer. */
     private static final int MAX_MESSAGE_BYTES = 16_384;
 
+    /** Records that are read ahead from the zone. */
     private static final int CHUNK = 500;
 
     private final DnsMessage request;
     private final Tsig.SignatureChain chain;
-    private final java.util.function.LongSupplier unix;
+    private final LongSupplier unix;
     private final int signatureRoom;
     private final Iterator<ResourceRecord> records;
     private ResourceRecord next;
     private boolean first = true;
 
     private ZoneTransfer(
-            DnsMessage request,
-            Tsig.Verification verification,
-            java.util.function.LongSupplier unix,
-            Iterator<ResourceRecord> records) {
+            DnsMessage request, Tsig.Verification verification, LongSupplier unix, Iterator<ResourceRecord> records) {
         this.request = request;
         this.unix = unix;
         this.records = records;
@@ -43,17 +43,16 @@
         next = records.next();
     }
 
-    /** All of the zone. */
-    static ZoneTransfer full(
-            DnsMessage request, Tsig.Verification verification, java.util.function.LongSupplier unix, Zone zone) {
+    /** The whole zone. */
+    static ZoneTransfer full(DnsMessage request, Tsig.Verification verification, LongSupplier unix, Zone zone) {
         return new ZoneTransfer(request, verification, unix, new ZoneRecordIterator(zone));
     }
 
-    /** What has changed; none gives the SOA alone, which says that nothing has. */
+    /** The differences; without any, the SOA alone, which says that nothing has changed. */
     static ZoneTransfer incremental(
             DnsMessage request,
             Tsig.Verification verification,
-            java.util.function.LongSupplier unix,
+            LongSupplier unix,
             Zone zone,
             List<Difference> differences) {
         List<ResourceRecord> all = new ArrayList<>();
@@ -68,7 +67,7 @@
         return new ZoneTransfer(request, verification, unix, all.iterator());
     }
 
-    /** The next message, or null behind the last. */
+    /** The next message, or null after the last. */
     public byte[] next() {
         if (next == null) {
             return null;
@@ -133,7 +132,7 @@
         @Override
         public ResourceRecord next() {
             if (!hasNext()) {
-                throw new java.util.NoSuchElementException();
+                throw new NoSuchElementException();
             }
             return ready.poll();
         }
--- a/src/main/java/merlinlever/dns/server/package-info.java
+++ b/src/main/java/merlinlever/dns/server/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The front for zones: reads messages, has the decision module say what is taken, run and turned away, and answers. The
- * zones served are {@link merlinlever.dns.server.Served}, the life of a message {@link merlinlever.dns.server.Desk}, both
- * without input or output; the sockets are round them.
+ * The authoritative DNS server: reads messages, lets the overload controller decide what is admitted, and responds. The
+ * sockets are in {@link merlinlever.dns.server.DnsServer} and {@link merlinlever.dns.server.DnsConnection}; all other
+ * classes have no input or output. Everything runs on the event loop.
  */
 package merlinlever.dns.server;
--- a/src/main/java/merlinlever/testing/measurement/DnsMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/DnsMeasurement.java
@@ -330,10 +330,8 @@
             Tsig.TsigKey key = new Tsig.TsigKey(name("k."), "hmac-sha256", SECRET);
             front = new DnsServer(
                     loop,
-                    new InetSocketAddress("127.0.0.1", 0),
-                    64,
-                    List.of(served),
-                    new Tsig.TsigKeyRing(List.of(key)),
+                    new DnsServer.ListenSettings(new InetSocketAddress("127.0.0.1", 0), 64),
+                    new RequestProcessor.ZonesAndKeys(List.of(served), new Tsig.TsigKeyRing(List.of(key))),
                     new RequestProcessor.ProcessorSettings(1024, Duration.ofSeconds(1), decided, 1),
                     () -> System.currentTimeMillis() / 1000,
                     line -> {},
--- a/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
+++ b/src/test/java/merlinlever/dns/client/FollowerAndApplyTest.java
@@ -87,10 +87,8 @@
                 new ReplayWindow(RequestProcessor.REPLAY_WINDOW.toSeconds()));
         front = new DnsServer(
                 loop,
-                new InetSocketAddress("127.0.0.1", 0),
-                64,
-                List.of(served),
-                new Tsig.TsigKeyRing(List.of(key, next)),
+                new DnsServer.ListenSettings(new InetSocketAddress("127.0.0.1", 0), 64),
+                new RequestProcessor.ZonesAndKeys(List.of(served), new Tsig.TsigKeyRing(List.of(key, next))),
                 new RequestProcessor.ProcessorSettings(64, Duration.ofSeconds(1), true, 1),
                 () -> System.currentTimeMillis() / 1000,
                 line -> {},
--- a/src/test/java/merlinlever/dns/server/DnsServerFixture.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerFixture.java
@@ -95,10 +95,8 @@
                 new Tsig.TsigKey(DomainNames.absolute("reader."), "hmac-sha256", new byte[48]));
         front = new DnsServer(
                 loop,
-                new InetSocketAddress("127.0.0.1", 0),
-                8,
-                List.of(zone),
-                new Tsig.TsigKeyRing(keys),
+                new DnsServer.ListenSettings(new InetSocketAddress("127.0.0.1", 0), 8),
+                new RequestProcessor.ZonesAndKeys(List.of(zone), new Tsig.TsigKeyRing(keys)),
                 new RequestProcessor.ProcessorSettings(64, Duration.ofMillis(200), true, 1),
                 () -> System.currentTimeMillis() / 1000 + unixAhead,
                 line -> {},
--- a/src/test/java/merlinlever/dns/server/DnsServerTest.java
+++ b/src/test/java/merlinlever/dns/server/DnsServerTest.java
@@ -295,8 +295,12 @@
             byte[] framed = new byte[good.length + 2];
             framed[1] = (byte) good.length;
             System.arraycopy(good, 0, framed, 2, good.length);
-            loop.execute(() -> front.startDrain(Duration.ofSeconds(2)));
-            Thread.sleep(20);
+            CompletableFuture<Boolean> draining = new CompletableFuture<>();
+            loop.execute(() -> {
+                front.startDrain(Duration.ofSeconds(2));
+                draining.complete(true);
+            });
+            assertTrue(draining.get(1, TimeUnit.SECONDS));
             DataInputStream in = new DataInputStream(socket.getInputStream());
             // Within the grace it is answered, past it turned away; an answer comes either way.
             assertEquals(Rcode.NOERROR, answered(socket, framed, in));
