--- a/src/main/java/merlinlever/cli/dns/ZoneApplyRunner.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneApplyRunner.java
@@ -5,6 +5,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
@@ -58,8 +59,8 @@
         DnsClient client;
         try {
             loop = new EventLoop(MonotonicClock.system(), failure -> ended(doneUpdates, "failed: " + failure));
-            client = new DnsClient(
-                    loop, new SplittableRandom(System.nanoTime()), () -> System.currentTimeMillis() / 1000);
+            client = new DnsClient(loop, new SplittableRandom(System.nanoTime()), () -> Instant.now()
+                    .getEpochSecond());
         } catch (IOException e) {
             err.println("no socket: " + e.getMessage());
             return 1;
--- a/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -37,6 +38,12 @@
     private static final Duration CLOCK_COMPARISON_PERIOD = Duration.ofSeconds(1);
     private static final Duration EXCHANGE_TIMEOUT = Duration.ofSeconds(2);
     private static final int MAX_PULSE_BYTES = 1024;
+    private static final Duration DEFAULT_LAPSE = Duration.ofSeconds(3);
+    private static final Duration DEFAULT_DAMPING_HALF_LIFE = Duration.ofSeconds(60);
+    private static final Duration DEFAULT_HEARTBEAT_INTERVAL = Duration.ofSeconds(20);
+    private static final double DEFAULT_MIN_ALIVE_FRACTION = 0.5;
+
+    /** Updates a minute, heartbeats included. */
     private static final long DEFAULT_MAX_UPDATES = 60;
 
     private final MonotonicClock clock = MonotonicClock.system();
@@ -68,20 +75,14 @@
             records.add(dnsRecord);
         }
         Tsig.TsigKey key = config.has("key") ? ZoneConfigParser.key(config, "key") : null;
-        List<InetSocketAddress> servers = new ArrayList<>();
-        for (int i = 0; i < config.size("servers"); i++) {
-            servers.add(ZoneConfigParser.address(config, "servers." + i));
-        }
+        List<InetSocketAddress> servers = servers(config);
         SplittableRandom random = new SplittableRandom(ZoneConfigParser.seed(config));
         Follower.FollowerSettings settings = settings(config, name, records, ttl, servers.size(), random);
         try {
             loop = new EventLoop(clock, failure -> LOG.error("event-loop-task-failed", failure));
-            client = new DnsClient(loop, random.split(), () -> System.currentTimeMillis() / 1000);
+            client = new DnsClient(loop, random.split(), () -> Instant.now().getEpochSecond());
             Follower follower = new Follower(clock.now(), settings, random.split(), new Slf4jEventLog(LOG));
-            if (UpdateMessages.message(zone, List.of(), follower.largest(), key) == null) {
-                throw config.invalidValue(
-                        "instances", records.size() + " records do not fit one update of 65,535 octets");
-            }
+            requireOneMessage(config, zone, follower, key);
             driver = new FollowerDriver(
                     loop, client, follower, servers, key, zone, name, instanceNames, EXCHANGE_TIMEOUT);
             pulseAddress = config.has("pulse") ? listenForPulses(config) : "none";
@@ -94,6 +95,23 @@
         loop.runNowAndEvery(CLOCK_COMPARISON_PERIOD, clock::resyncUnixOffset);
     }
 
+    private static List<InetSocketAddress> servers(ConfigFile config) throws InvalidConfigFileException {
+        List<InetSocketAddress> servers = new ArrayList<>();
+        for (int i = 0; i < config.size("servers"); i++) {
+            servers.add(ZoneConfigParser.address(config, "servers." + i));
+        }
+        return servers;
+    }
+
+    /** The records of all instances have to fit one update, since a name changes as a whole. */
+    private static void requireOneMessage(ConfigFile config, byte[] zone, Follower follower, Tsig.TsigKey key)
+            throws InvalidConfigFileException {
+        if (UpdateMessages.message(zone, List.of(), follower.largest(), key) == null) {
+            int records = config.textMap("instances").size();
+            throw config.invalidValue("instances", records + " records do not fit one update of 65,535 octets");
+        }
+    }
+
     private String listenForPulses(ConfigFile config) throws IOException, InvalidConfigFileException {
         DatagramEndpoint pulses = new DatagramEndpoint(
                 loop,
@@ -116,13 +134,13 @@
                 name,
                 records,
                 ttl,
-                config.duration("lapse", Duration.ofSeconds(3)),
-                config.fraction("keep-at-least", 0.5),
+                config.duration("lapse", DEFAULT_LAPSE),
+                config.fraction("keep-at-least", DEFAULT_MIN_ALIVE_FRACTION),
                 config.text("owner", "fleet"),
                 config.text("holder", drawnHolder),
                 (int) config.number("most-updates", DEFAULT_MAX_UPDATES),
-                config.duration("damp", Duration.ofSeconds(60)),
-                config.duration("beat", Duration.ofSeconds(20)),
+                config.duration("damp", DEFAULT_DAMPING_HALF_LIFE),
+                config.duration("beat", DEFAULT_HEARTBEAT_INTERVAL),
                 servers);
     }
 
--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -5,6 +5,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -120,7 +121,7 @@
     }
 
     private static long unixSeconds() {
-        return System.currentTimeMillis() / 1000;
+        return Instant.now().getEpochSecond();
     }
 
     private Duration grace() {
