--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -5,6 +5,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -86,10 +87,9 @@
         try {
             server = new DnsServer(
                     loop,
-                    listenAddress,
-                    (int) config.number("connections", DEFAULT_CONNECTIONS),
-                    List.copyOf(fileByZone.keySet()),
-                    new Tsig.TsigKeyRing(keys),
+                    new DnsServer.ListenSettings(
+                            listenAddress, (int) config.number("connections", DEFAULT_CONNECTIONS)),
+                    new RequestProcessor.ZonesAndKeys(List.copyOf(fileByZone.keySet()), new Tsig.TsigKeyRing(keys)),
                     new RequestProcessor.ProcessorSettings(
                             config.number("memory-mb", DEFAULT_MEMORY_MB),
                             grace(),
@@ -121,7 +121,7 @@
     }
 
     private static long unixSeconds() {
-        return System.currentTimeMillis() / 1000;
+        return Instant.now().getEpochSecond();
     }
 
     private Duration grace() {
