--- a/src/main/java/merlinlever/cli/GracefulShutdown.java
+++ b/src/main/java/merlinlever/cli/GracefulShutdown.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import java.util.Map;
-import java.util.stream.Collectors;
 import merlinlever.backend.Backend;
 import merlinlever.backend.http.EdgeServer;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.EventLoop;
 
 /**
@@ -19,7 +19,7 @@
     private static final Duration LAST_WRITES = Duration.ofMillis(150);
     /** How long half-closed connections are read on, for requests that are on their way; less than the reserve above. */
     private static final Duration HALF_CLOSED_READ = Duration.ofMillis(60);
-    /** The signal may take so long to reach the event loop; the grace counts from the signal. */
+    /** How long the signal may take to reach the event loop; the grace period counts from the signal. */
     private static final Duration SIGNAL_DELAY = Duration.ofMillis(100);
 
     private final EventLoop loop;
@@ -35,7 +35,7 @@
      * Does nothing until it is started.
      *
      * @param stopAfter from the signal to the end of the process
-     * @param drainGrace from the signal, for so long new requests are accepted still
+     * @param drainGrace how long new requests are accepted after the signal
      */
     GracefulShutdown(EventLoop loop, BackendAssembly assembly, Duration stopAfter, Duration drainGrace, Log log) {
         this.loop = loop;
@@ -50,7 +50,7 @@
     void start() {
         Duration now = loop.clock().now();
         backend.startDrain(now.minus(SIGNAL_DELAY), now.plus(timeToStop));
-        // Within the grace requests are started still; after it none is, so none need come.
+        // Requests are still started within the grace period, and none after it.
         Duration openFor = drainGrace.compareTo(timeToStop) < 0 ? drainGrace : timeToStop;
         loop.schedule(openFor, () -> {
             edge.close();
@@ -68,9 +68,9 @@
         if (edge.hasNoConnections()) {
             finish();
         } else if (!idleHalfClosed && loop.clock().uptime().compareTo(lastMoment) >= 0) {
-            // To end the process over unread bytes would reset the connection, and discard responses not read yet.
+            // Ending the process with unread bytes would reset the connection and discard responses in transit.
             idleHalfClosed = true;
-            log.info("idle-connections-half-closed read_on_ms=" + HALF_CLOSED_READ.toMillis());
+            log.write(LogEvent.info("idle-connections-half-closed").with("read_on_ms", HALF_CLOSED_READ.toMillis()));
             edge.closeIdleConnections();
             loop.schedule(HALF_CLOSED_READ, this::finish);
         }
@@ -83,10 +83,11 @@
         finished = true;
         Map<String, Long> differences = backend.shadowDifferences();
         if (!differences.isEmpty()) {
-            log.info("watched-settings-differences "
-                    + differences.entrySet().stream()
-                            .map(kind -> kind.getKey() + "=" + kind.getValue())
-                            .collect(Collectors.joining(" ")));
+            LogEvent event = LogEvent.info("watched-settings-differences");
+            for (Map.Entry<String, Long> setting : differences.entrySet()) {
+                event = event.with(setting.getKey(), setting.getValue());
+            }
+            log.write(event);
         }
         log.info("shutdown-finished");
         loop.stop();
