--- a/src/main/java/merlinlever/fleet/membership/GossipQueue.java
+++ b/src/main/java/merlinlever/fleet/membership/GossipQueue.java
@@ -57,7 +57,7 @@
         names.sort(Comparator.comparingInt(transmissions::get));
         List<MemberRecord> batch = new ArrayList<>();
         for (String name : names.subList(0, Math.min(MAX_RECORDS_PER_MESSAGE, names.size()))) {
-            batch.add(memberTable.find(name));
+            batch.add(memberTable.find(name).orElseThrow());
             if (transmissions.merge(name, 1, Integer::sum) >= maxTransmissions()) {
                 transmissions.remove(name);
             }
--- a/src/main/java/merlinlever/fleet/membership/MemberTable.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberTable.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
@@ -40,9 +41,14 @@
         return self;
     }
 
-    /** What is believed of a member, or null where it is not known. */
-    public MemberRecord find(String name) {
-        return records.get(name);
+    /** The record of this member itself. */
+    public MemberRecord own() {
+        return records.get(self);
+    }
+
+    /** What is believed of a member; empty where it is not known. */
+    public Optional<MemberRecord> find(String name) {
+        return Optional.ofNullable(records.get(name));
     }
 
     /** A copy of all records, in the order of the names. */
@@ -62,30 +68,30 @@
                 : update.status().compareTo(current.status()) > 0;
     }
 
-    /** Takes in an update; returns the record to be gossiped on, or null where it says nothing new. */
-    public MemberRecord merge(MemberRecord update) {
+    /** Takes in an update; returns the record to be gossiped on, none where it says nothing new. */
+    public Optional<MemberRecord> merge(MemberRecord update) {
         if (update.name().equals(self)) {
             return refute(update);
         }
         MemberRecord current = records.get(update.name());
         if (current != null && !supersedes(update, current)) {
-            return null;
+            return Optional.empty();
         }
         records.put(update.name(), update);
-        return update;
+        return Optional.of(update);
     }
 
     /**
      * Answers an update about this member itself that is wrong, or was true of an earlier incarnation, with a higher incarnation.
      * Two processes that happen to have the same incarnation must not pass for one, so another address is refuted too.
      */
-    private MemberRecord refute(MemberRecord update) {
-        MemberRecord own = records.get(self);
+    private Optional<MemberRecord> refute(MemberRecord update) {
+        MemberRecord own = own();
         boolean isElsewhere = update.status() == MemberStatus.ALIVE
                 && !update.gossipAddress().equals(own.gossipAddress())
                 && update.incarnation() >= own.incarnation();
         if (hasLeft || (!isElsewhere && !supersedes(update, own))) {
-            return null;
+            return Optional.empty();
         }
         if (isElsewhere) {
             addressConflicts++;
@@ -93,7 +99,7 @@
         MemberRecord refutation = new MemberRecord(
                 self, own.gossipAddress(), own.apiAddress(), MemberStatus.ALIVE, update.incarnation() + 1);
         records.put(self, refutation);
-        return refutation;
+        return Optional.of(refutation);
     }
 
     /**
@@ -105,20 +111,22 @@
     }
 
     /** This member got no answer from a peer: it is suspected, unless more is known already; returns as {@link #merge}. */
-    public MemberRecord markSuspect(String name) {
+    public Optional<MemberRecord> markSuspect(String name) {
         return downgrade(name, MemberStatus.SUSPECT);
     }
 
     /** The suspicion of a peer was not refuted in time; returns as {@link #merge}. */
-    public MemberRecord markDead(String name) {
+    public Optional<MemberRecord> markDead(String name) {
         MemberRecord current = records.get(name);
-        return current != null && current.status() == MemberStatus.SUSPECT ? downgrade(name, MemberStatus.DEAD) : null;
+        return current != null && current.status() == MemberStatus.SUSPECT
+                ? downgrade(name, MemberStatus.DEAD)
+                : Optional.empty();
     }
 
-    private MemberRecord downgrade(String name, MemberStatus status) {
+    private Optional<MemberRecord> downgrade(String name, MemberStatus status) {
         MemberRecord current = records.get(name);
         return current == null || name.equals(self)
-                ? null
+                ? Optional.empty()
                 : merge(new MemberRecord(
                         name, current.gossipAddress(), current.apiAddress(), status, current.incarnation()));
     }
@@ -126,7 +134,7 @@
     /** This member leaves in good order; returns the record to be gossiped. */
     public MemberRecord markSelfLeft() {
         hasLeft = true;
-        MemberRecord own = records.get(self);
+        MemberRecord own = own();
         MemberRecord departed =
                 new MemberRecord(self, own.gossipAddress(), own.apiAddress(), MemberStatus.LEFT, own.incarnation());
         records.put(self, departed);
--- a/src/main/java/merlinlever/fleet/membership/ProbeSchedule.java
+++ b/src/main/java/merlinlever/fleet/membership/ProbeSchedule.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 
 /** Which peer is pinged next, and random choices among live peers. Not thread-safe. */
@@ -19,18 +20,18 @@
         this.random = random;
     }
 
-    /** All live peers in turn, in an order that is drawn anew each round (SWIM section 4.3); null where there is none. */
-    String nextTarget() {
+    /** All live peers in turn, in an order that is drawn anew each round (SWIM section 4.3). */
+    Optional<String> nextTarget() {
         for (int attempt = 0; attempt < 2; attempt++) {
             while (!round.isEmpty()) {
-                MemberRecord member = memberTable.find(round.poll());
-                if (member != null && member.isLive()) {
-                    return member.name();
+                Optional<MemberRecord> member = memberTable.find(round.poll()).filter(MemberRecord::isLive);
+                if (member.isPresent()) {
+                    return member.map(MemberRecord::name);
                 }
             }
             shuffledLivePeers().forEach(peer -> round.add(peer.name()));
         }
-        return null;
+        return Optional.empty();
     }
 
     /** The peers that are alive or only suspected, in a random order. */
--- a/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
@@ -82,7 +82,7 @@
         probeSchedule = new ProbeSchedule(memberTable, random);
         nextPeriodAt = now;
         lastCorrelationId = random.nextLong() >>> 16;
-        announce(now, memberTable.find(memberTable.self()));
+        announce(now, memberTable.own());
     }
 
     /** What this member believes of all. */
@@ -129,25 +129,24 @@
         if (payload.length > MAX_PAYLOAD_BYTES) {
             throw new IllegalArgumentException("a payload of " + payload.length + " bytes");
         }
-        MemberRecord known = memberTable.find(recipient);
-        if (known != null) {
+        memberTable.find(recipient).ifPresent(known -> {
             MembershipMessage message =
                     new MembershipMessage(MessageKind.PAYLOAD, memberTable.self(), 0, "", List.of(), payload);
             outbox.add(new OutboundDatagram(known.gossipAddress(), message));
-        }
+        });
     }
 
     /** Sends a text, of printable ASCII without spaces and at most 120 bytes, to a peer; it is lost where that is not known. */
     public void sendText(String recipient, long correlationId, String text) {
-        MemberRecord known = memberTable.find(recipient);
-        if (known != null) {
-            enqueue(known.gossipAddress(), MessageKind.TEXT, correlationId, text);
-        }
+        memberTable
+                .find(recipient)
+                .ifPresent(known -> enqueue(known.gossipAddress(), MessageKind.TEXT, correlationId, text));
     }
 
     /** Asks a known peer for its recovery report; the answer goes to the {@link RecoveryExchange}. */
     public void sendRecoveryQuery(String recipient, long correlationId) {
-        enqueue(memberTable.find(recipient).gossipAddress(), MessageKind.RECOVERY_QUERY, correlationId, "");
+        MemberRecord known = memberTable.find(recipient).orElseThrow();
+        enqueue(known.gossipAddress(), MessageKind.RECOVERY_QUERY, correlationId, "");
     }
 
     // ---- gossip
@@ -166,11 +165,8 @@
         return memberTable.size() - 1;
     }
 
-    /** Gossips a record that is new here; null for none. */
+    /** Gossips a record that is new here. */
     private void announce(Duration now, MemberRecord changed) {
-        if (changed == null) {
-            return;
-        }
         gossipQueue.enqueue(now, changed.name());
         if (changed.status() == MemberStatus.SUSPECT) {
             suspicionTimers.start(now, changed.name());
@@ -229,13 +225,13 @@
     private void mergeRecords(Duration now, MembershipMessage message) {
         for (MemberRecord update : message.records()) {
             boolean isFull = memberTable.size() >= MAX_MEMBERS;
-            if (isFull && memberTable.find(update.name()) == null) {
+            if (isFull && memberTable.find(update.name()).isEmpty()) {
                 continue;
             }
             if (update.status() == MemberStatus.SUSPECT) {
                 suspicionTimers.confirm(update.name(), message.sender());
             }
-            announce(now, memberTable.merge(update));
+            memberTable.merge(update).ifPresent(changed -> announce(now, changed));
         }
     }
 
@@ -294,7 +290,7 @@
             enqueue(relayed.requester(), MessageKind.NACK, relayed.requestId(), "");
         }
         for (String name : suspicionTimers.expired(now, peerCount(), settings.probePeriod())) {
-            announce(now, memberTable.markDead(name));
+            memberTable.markDead(name).ifPresent(changed -> announce(now, changed));
             suspicionTimers.cancel(name);
         }
         List<OutboundDatagram> datagrams = outbox;
@@ -318,18 +314,22 @@
                 pendingPings.remove(entry.getKey());
                 // Peers that did not even send a nack point at this member's own connection.
                 adjustHealth(ping.outstandingNacks > 0 ? 2 : 1);
-                announce(now, memberTable.markSuspect(ping.target));
+                memberTable.markSuspect(ping.target).ifPresent(changed -> announce(now, changed));
             }
         }
     }
 
     private void sendIndirectPings(long correlationId, PendingPing ping) {
-        MemberRecord target = memberTable.find(ping.target);
+        Optional<MemberRecord> target = memberTable.find(ping.target);
         int asked = 0;
         for (MemberRecord helper : probeSchedule.shuffledLivePeers()) {
-            if (asked < settings.indirectPings() && !helper.name().equals(ping.target) && target != null) {
+            if (asked < settings.indirectPings() && !helper.name().equals(ping.target) && target.isPresent()) {
                 asked++;
-                enqueue(helper.gossipAddress(), MessageKind.PING_REQUEST, correlationId, target.gossipAddress());
+                enqueue(
+                        helper.gossipAddress(),
+                        MessageKind.PING_REQUEST,
+                        correlationId,
+                        target.get().gossipAddress());
             }
         }
         ping.outstandingNacks = asked;
@@ -341,14 +341,16 @@
             sendSync();
         }
         removeLongGoneMembers(now);
-        String target = probeSchedule.nextTarget();
-        if (target != null) {
-            lastCorrelationId++;
-            Duration indirectPingAt = now.plus(stretched(settings.pingTimeout()));
-            Duration expiresAt = now.plus(stretched(settings.probePeriod()));
-            pendingPings.put(lastCorrelationId, new PendingPing(target, indirectPingAt, expiresAt));
-            enqueue(memberTable.find(target).gossipAddress(), MessageKind.PING, lastCorrelationId, "");
-        }
+        probeSchedule.nextTarget().ifPresent(target -> ping(now, target));
+    }
+
+    private void ping(Duration now, String target) {
+        lastCorrelationId++;
+        Duration indirectPingAt = now.plus(stretched(settings.pingTimeout()));
+        Duration expiresAt = now.plus(stretched(settings.probePeriod()));
+        pendingPings.put(lastCorrelationId, new PendingPing(target, indirectPingAt, expiresAt));
+        MemberRecord known = memberTable.find(target).orElseThrow();
+        enqueue(known.gossipAddress(), MessageKind.PING, lastCorrelationId, "");
     }
 
     private void removeLongGoneMembers(Duration now) {
@@ -375,7 +377,7 @@
             sendNewRequest(addresses.get(random.nextInt(addresses.size())), MessageKind.SYNC);
             return;
         }
-        String ownAddress = memberTable.find(memberTable.self()).gossipAddress();
+        String ownAddress = memberTable.own().gossipAddress();
         for (String seed : settings.seeds()) {
             if (!seed.equals(ownAddress)) {
                 sendNewRequest(seed, MessageKind.SYNC);
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -165,7 +165,7 @@
     }
 
     private MemberRecord self() {
-        return members.memberTable().find(members.memberTable().self());
+        return members.memberTable().own();
     }
 
     // ---- the exchange with peers
--- a/src/main/java/merlinlever/fleet/replication/EntryTable.java
+++ b/src/main/java/merlinlever/fleet/replication/EntryTable.java
@@ -60,14 +60,23 @@
         }
     }
 
+    private static final int HASH_MULTIPLIER = 31;
+    /** Each bucket number has so many bits; all bits of a hash code are folded into them. */
+    private static final int BUCKET_BITS = Integer.numberOfTrailingZeros(BUCKET_COUNT);
+
     private final TreeMap<EntryKey, Row> rows = new TreeMap<>();
     private final long[] bucketChecksums = new long[BUCKET_COUNT];
     private long sizeBytes;
 
     /** The bucket of a key: the same at every replica, as the Java specification defines String's hash code. */
     static int bucket(EntryKey key) {
-        int hash = 31 * key.owner().hashCode() + key.topic().hashCode();
-        return (hash ^ (hash >>> 6) ^ (hash >>> 12) ^ (hash >>> 18) ^ (hash >>> 24)) & (BUCKET_COUNT - 1);
+        int hash = HASH_MULTIPLIER * key.owner().hashCode() + key.topic().hashCode();
+        int folded = 0;
+        // The two highest bits alone are left out: so it was in every released program.
+        for (int shift = 0; shift + BUCKET_BITS <= Integer.SIZE; shift += BUCKET_BITS) {
+            folded ^= hash >>> shift;
+        }
+        return folded & (BUCKET_COUNT - 1);
     }
 
     /** The entry, or null if there is none. */
--- a/src/main/java/merlinlever/fleet/replication/Gossip.java
+++ b/src/main/java/merlinlever/fleet/replication/Gossip.java
@@ -75,7 +75,8 @@
     private void fillBudget(Duration now) {
         Duration elapsed = now.minus(budgetFilledAt);
         budgetFilledAt = now;
-        double added = Math.min(1, elapsed.toNanos() / 1e9) * settings.bytesPerSecond();
+        double added =
+                Math.min(1, elapsed.toNanos() / (double) Duration.ofSeconds(1).toNanos()) * settings.bytesPerSecond();
         budgetBytes = Math.min(settings.bytesPerSecond(), budgetBytes + (long) added);
     }
 
@@ -242,10 +243,8 @@
             int comparison = own == null ? 1 : theirs.compareVersion(own);
             boolean conflict = comparison == 0 && own.fingerprint() != theirs.fingerprint();
             int keyBytes = GossipCodec.keyBytes(key);
-            if ((comparison > 0 || conflict)
-                    && bytes + keyBytes <= GossipCodec.MAX_MESSAGE_BYTES
-                    && requestedUntil.size() < EntryTable.MAX_ENTRIES
-                    && !requestedUntil.containsKey(key)) {
+            boolean fits = bytes + keyBytes <= GossipCodec.MAX_MESSAGE_BYTES;
+            if ((comparison > 0 || conflict) && fits && mayRequest(key)) {
                 bytes += keyBytes;
                 requested.add(key);
                 requestedUntil.put(key, now.plus(settings.gossipInterval()));
@@ -265,6 +264,10 @@
         sendEntries(now, sender, sent, answers);
     }
 
+    private boolean mayRequest(EntryKey key) {
+        return requestedUntil.size() < EntryTable.MAX_ENTRIES && !requestedUntil.containsKey(key);
+    }
+
     private void sendEntries(Duration now, String receiver, List<EntryKey> keys, List<OutgoingMessage> messages) {
         List<StoredEntry> entries = new ArrayList<>();
         long bytes = HEADER_BYTES;
--- a/src/main/java/merlinlever/fleet/replication/GossipCodec.java
+++ b/src/main/java/merlinlever/fleet/replication/GossipCodec.java
@@ -26,13 +26,22 @@
 
     static final int MAX_MESSAGE_BYTES = 32 << 10;
     /** Higher ages are encoded as this one. */
-    private static final long MAX_AGE_MS = Duration.ofDays(1000).toMillis();
+    private static final Duration MAX_AGE = Duration.ofDays(1000);
+
+    private static final long MAX_AGE_MS = MAX_AGE.toMillis();
 
     private static final byte PROTOCOL_VERSION = 1;
     private static final int MAX_OWNER_LENGTH = 120;
     private static final int MAX_TOPIC_LENGTH = 40;
     private static final int DIGEST_BYTES = 32;
     private static final int MAX_VARINT_BYTES = 9;
+    /** Incarnation, sequence and age. */
+    private static final int VARINTS_PER_ENTRY = 3;
+    /** Bits of the number in each byte of a variable-length one; the highest bit says that more follow. */
+    private static final int VARINT_BITS = 7;
+
+    private static final int VARINT_MASK = (1 << VARINT_BITS) - 1;
+    private static final int MORE_BYTES_FLAG = 1 << VARINT_BITS;
 
     private static final byte CHECKSUMS = 0;
     private static final byte VERSIONS = 1;
@@ -105,7 +114,7 @@
         } else if (entry.value() != null) {
             contentBytes = Short.BYTES + entry.value().length;
         }
-        return keyBytes(entry.key()) + 3 * MAX_VARINT_BYTES + 1 + contentBytes;
+        return keyBytes(entry.key()) + VARINTS_PER_ENTRY * MAX_VARINT_BYTES + 1 + contentBytes;
     }
 
     static byte[] encodeEntries(Duration now, List<StoredEntry> entries) {
@@ -146,9 +155,9 @@
     /** Seven bits a byte, the lowest first; the highest bit says that more follow. */
     private static void putVarint(ByteBuffer out, long number) {
         long rest = number;
-        while (rest > 0x7f) {
-            out.put((byte) ((rest & 0x7f) | 0x80));
-            rest >>>= 7;
+        while (rest > VARINT_MASK) {
+            out.put((byte) ((rest & VARINT_MASK) | MORE_BYTES_FLAG));
+            rest >>>= VARINT_BITS;
         }
         out.put((byte) rest);
     }
@@ -189,7 +198,7 @@
 
     private static VersionList decodeVersions(ByteBuffer in) {
         long completeBuckets = in.getLong();
-        int count = in.getShort() & 0xffff;
+        int count = Short.toUnsignedInt(in.getShort());
         List<EntryVersion> versions = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             EntryKey key = getKey(in);
@@ -199,7 +208,7 @@
     }
 
     private static EntryBatch decodeEntries(ByteBuffer in) {
-        int count = in.getShort() & 0xffff;
+        int count = Short.toUnsignedInt(in.getShort());
         List<AgedEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(decodeEntry(in));
@@ -235,7 +244,7 @@
     }
 
     private static EntryRequest decodeRequest(ByteBuffer in) {
-        int count = in.getShort() & 0xffff;
+        int count = Short.toUnsignedInt(in.getShort());
         List<EntryKey> keys = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             keys.add(getKey(in));
@@ -244,7 +253,7 @@
     }
 
     private static byte[] getValue(ByteBuffer in) {
-        byte[] value = new byte[in.getShort() & 0xffff];
+        byte[] value = new byte[Short.toUnsignedInt(in.getShort())];
         if (value.length > VersionedEntry.MAX_VALUE_BYTES) {
             throw new IllegalArgumentException("length of value");
         }
@@ -267,7 +276,7 @@
     }
 
     private static String getText(ByteBuffer in) {
-        byte[] bytes = new byte[in.get() & 0xff];
+        byte[] bytes = new byte[Byte.toUnsignedInt(in.get())];
         in.get(bytes);
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
@@ -283,9 +292,9 @@
 
     private static long getVarint(ByteBuffer in) {
         long number = 0;
-        for (int shift = 0; shift < 63; shift += 7) {
+        for (int shift = 0; shift < MAX_VARINT_BYTES * VARINT_BITS; shift += VARINT_BITS) {
             byte next = in.get();
-            number |= (next & 0x7fL) << shift;
+            number |= (long) (next & VARINT_MASK) << shift;
             if (next >= 0) {
                 if (next == 0 && shift > 0) {
                     // Not the shortest form.
--- a/src/main/java/merlinlever/fleet/replication/RegisterMessage.java
+++ b/src/main/java/merlinlever/fleet/replication/RegisterMessage.java
@@ -158,10 +158,10 @@
             int kind = in.get();
             long term = in.getLong();
             long number = in.getLong();
-            byte[] nameBytes = new byte[in.get() & 0xff];
+            byte[] nameBytes = new byte[Byte.toUnsignedInt(in.get())];
             in.get(nameBytes);
             String register = new String(nameBytes, StandardCharsets.ISO_8859_1);
-            int count = in.getShort() & 0xffff;
+            int count = Short.toUnsignedInt(in.getShort());
             List<RegisterState> registers = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 registers.add(RegisterState.decode(in));
--- a/src/main/java/merlinlever/fleet/replication/RegisterState.java
+++ b/src/main/java/merlinlever/fleet/replication/RegisterState.java
@@ -34,12 +34,12 @@
      * @throws IllegalArgumentException if a field is out of its bounds
      */
     static RegisterState decode(ByteBuffer in) {
-        byte[] nameBytes = new byte[in.get() & 0xff];
+        byte[] nameBytes = new byte[Byte.toUnsignedInt(in.get())];
         in.get(nameBytes);
         String name = new String(nameBytes, StandardCharsets.ISO_8859_1);
         long acceptedTerm = in.getLong();
         byte chosen = in.get();
-        int length = in.getShort() & 0xffff;
+        int length = Short.toUnsignedInt(in.getShort());
         if (!isValidName(name)
                 || acceptedTerm < 0
                 || chosen < 0
--- a/src/main/java/merlinlever/fleet/replication/disk/EntryFile.java
+++ b/src/main/java/merlinlever/fleet/replication/disk/EntryFile.java
@@ -57,7 +57,7 @@
     }
 
     private static String getText(ByteBuffer in) {
-        byte[] bytes = new byte[in.get() & 0xff];
+        byte[] bytes = new byte[Byte.toUnsignedInt(in.get())];
         in.get(bytes);
         return new String(bytes, StandardCharsets.US_ASCII);
     }
--- a/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
@@ -79,7 +79,7 @@
         store = new ReplicatedStore(
                 now,
                 self,
-                recovery.membership().memberTable().find(self).incarnation(),
+                recovery.membership().memberTable().own().incarnation(),
                 readEntries(directory),
                 settings,
                 this::livePeers,
--- a/src/main/java/merlinlever/fleet/view/CutDetector.java
+++ b/src/main/java/merlinlever/fleet/view/CutDetector.java
@@ -123,7 +123,7 @@
      *
      * @param voters a report counts only where its sender hears a majority of them
      * @param rings of the view
-     * @param members what membership knows of a backend, null for nothing
+     * @param members what membership knows of a backendhing
      * @param validity how long a report counts
      */
     Optional<SortedSet<String>> dueMembers(
@@ -131,7 +131,7 @@
             VoterSet voters,
             MembershipView view,
             ObserverRings rings,
-            Function<String, MemberRecord> members,
+            Function<String, Optional<MemberRecord>> members,
             Duration validity) {
         Set<String> removed = new TreeSet<>();
         Set<String> doubtful = new TreeSet<>();
@@ -216,17 +216,22 @@
         return countSilent ? accusing + silent : accusing;
     }
 
-    private static boolean hasLeft(MemberRecord known) {
-        return known != null && known.status() == MemberStatus.LEFT;
+    private static boolean hasLeft(Optional<MemberRecord> known) {
+        return known.map(MemberRecord::status).equals(Optional.of(MemberStatus.LEFT));
     }
 
     private boolean canJoin(
-            Duration now, String name, TrackedReport last, VoterSet voters, MemberRecord known, Duration validity) {
+            Duration now,
+            String name,
+            TrackedReport last,
+            VoterSet voters,
+            Optional<MemberRecord> known,
+            Duration validity) {
         RejoinPenalty penalty = penalties.get(name);
         return last.report.isValid(now, validity)
                 && now.minus(last.heardSince).compareTo(settings.joinStabilityPeriod()) >= 0
                 && last.report.heardVoters() >= voters.majority()
-                && known != null
+                && known.isPresent()
                 && !hasLeft(known)
                 && (penalty == null || now.minus(penalty.removedAt).compareTo(penalty.duration) >= 0);
     }
--- a/src/main/java/merlinlever/testing/measurement/ViewMeasurement.java
+++ b/src/main/java/merlinlever/testing/measurement/ViewMeasurement.java
@@ -62,7 +62,7 @@
             }
             MemberTable views = model.nodes[i].members.memberTable();
             for (int k = 0; k < model.n; k++) {
-                MemberRecord known = views.find(ViewModel.name(k));
+                MemberRecord known = views.find(ViewModel.name(k)).orElse(null);
                 boolean here = known != null && known.status().compareTo(MemberStatus.DEAD) < 0;
                 if (here != running.contains(ViewModel.name(k))) {
                     return false;
@@ -275,7 +275,8 @@
             for (int k = 0; k < model.n; k++) {
                 String name = ViewModel.name(k);
                 if (alone) {
-                    MemberRecord known = model.nodes[i].members.memberTable().find(name);
+                    MemberRecord known =
+                            model.nodes[i].members.memberTable().find(name).orElse(null);
                     if (known != null && known.status() == MemberStatus.DEAD) {
                         now.add(name);
                     }
--- a/src/test/java/merlinlever/fleet/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/fleet/membership/MemberTableModelTest.java
@@ -77,7 +77,7 @@
             StringBuilder key = new StringBuilder(12);
             for (MemberTable table : tables) {
                 for (String name : NAMES) {
-                    MemberRecord member = table.find(name);
+                    MemberRecord member = table.find(name).orElse(null);
                     key.append((char)
                             (member == null ? 0 : 1 + member.status().ordinal() + STATUSES * member.incarnation()));
                 }
@@ -123,7 +123,7 @@
 
     private static void addSuspicions(FleetState state, int observer, List<FleetState> successors) {
         for (int subject = 0; subject < 3; subject++) {
-            MemberRecord known = state.tables[observer].find(NAMES[subject]);
+            MemberRecord known = state.tables[observer].find(NAMES[subject]).orElse(null);
             if (subject == observer || known == null) {
                 continue;
             }
@@ -143,14 +143,14 @@
     private static void addDeliveries(FleetState state, int receiver, List<FleetState> successors) {
         for (long left = state.sentRecords; left != 0; left &= left - 1) {
             MemberRecord update = ALL_RECORDS[Long.numberOfTrailingZeros(left)];
-            MemberRecord before = state.tables[receiver].find(update.name());
+            MemberRecord before = state.tables[receiver].find(update.name()).orElse(null);
             if (before != null && !MemberTable.supersedes(update, before)) {
                 // It says nothing new here: the same state.
                 continue;
             }
             FleetState next = state.copy();
             next.tables[receiver].merge(update);
-            MemberRecord after = next.tables[receiver].find(update.name());
+            MemberRecord after = next.tables[receiver].find(update.name()).orElse(null);
             assertTrue(
                     before == null || after.equals(before) || MemberTable.supersedes(after, before),
                     "a belief went back");
@@ -168,7 +168,7 @@
                 for (int receiver = 0; receiver < 3; receiver++) {
                     if (sender != receiver && state.isLive(sender) && state.isLive(receiver)) {
                         for (MemberRecord member : state.tables[sender].all()) {
-                            changed |= state.tables[receiver].merge(member) != null;
+                            changed |= state.tables[receiver].merge(member).isPresent();
                         }
                     }
                 }
@@ -192,21 +192,23 @@
 
     private static void assertConvergesRightly(FleetState state) {
         FleetState converged = state.copy();
-        MemberRecord leaverBefore = converged.tables[0].find("c");
+        MemberRecord leaverBefore = converged.tables[0].find("c").orElse(null);
         boolean knewThatLeft = leaverBefore != null && leaverBefore.status() == MemberStatus.LEFT;
         converge(converged);
         for (int i = 0; i < 3; i++) {
             for (int k = 0; k < 3; k++) {
                 if (converged.isLive(i) && converged.isLive(k)) {
-                    MemberRecord believed = converged.tables[i].find(NAMES[k]);
+                    MemberRecord believed = converged.tables[i].find(NAMES[k]).orElse(null);
                     assertEquals(MemberStatus.ALIVE, believed.status(), state::key);
-                    assertEquals(converged.tables[k].find(NAMES[k]), believed, state::key);
+                    assertEquals(converged.tables[k].find(NAMES[k]).orElse(null), believed, state::key);
                 }
             }
         }
         assertEquals(converged.tables[0].find("c"), converged.tables[1].find("c"));
         assertFalse(
-                knewThatLeft && converged.cLeft && converged.tables[0].find("c").status() != MemberStatus.LEFT,
+                knewThatLeft
+                        && converged.cLeft
+                        && converged.tables[0].find("c").orElseThrow().status() != MemberStatus.LEFT,
                 "one that left came back");
     }
 
--- a/src/test/java/merlinlever/fleet/membership/SwimProtocolTest.java
+++ b/src/test/java/merlinlever/fleet/membership/SwimProtocolTest.java
@@ -98,7 +98,11 @@
         }
 
         MemberStatus status(int observer, int subject) {
-            return members[observer].memberTable().find("n" + subject).status();
+            return members[observer]
+                    .memberTable()
+                    .find("n" + subject)
+                    .orElseThrow()
+                    .status();
         }
 
         void assertAllSee(MemberStatus expected, int subject, String when) {
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -205,15 +205,15 @@
 
     private static String addressOf(RecoveryCoordinator coordinator) {
         MemberTable members = coordinator.membership().memberTable();
-        return members.find(members.self()).gossipAddress();
+        return members.own().gossipAddress();
     }
 
     private static boolean knows(RecoveryCoordinator coordinator, String name) {
-        return coordinator.membership().memberTable().find(name) != null;
+        return coordinator.membership().memberTable().find(name).isPresent();
     }
 
     private static long incarnationOf(String name, RecoveryCoordinator asSeenBy) {
-        return asSeenBy.membership().memberTable().find(name).incarnation();
+        return asSeenBy.membership().memberTable().find(name).orElseThrow().incarnation();
     }
 
     @Test
--- a/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
@@ -99,7 +99,11 @@
         }
 
         String address() {
-            return recovery.membership().memberTable().find(name()).gossipAddress();
+            return recovery.membership()
+                    .memberTable()
+                    .find(name())
+                    .orElseThrow()
+                    .gossipAddress();
         }
     }
 
--- a/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
+++ b/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
@@ -40,7 +40,8 @@
         }
 
         Optional<SortedSet<String>> dueMembers(long atMs) {
-            return cutDetector.dueMembers(ms(atMs), voters, view, rings, ViewFixture::alive, REPORT_VALIDITY);
+            return cutDetector.dueMembers(
+                    ms(atMs), voters, view, rings, name -> Optional.of(ViewFixture.alive(name)), REPORT_VALIDITY);
         }
 
         /**
