--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -6,8 +6,10 @@
 import java.util.Optional;
 import merlinlever.backend.Backend;
 import merlinlever.backend.TrackedRequest;
+import merlinlever.common.Durations;
 import merlinlever.common.json.Json;
 import merlinlever.common.log.Log;
+import merlinlever.common.log.LogEvent;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.EventLoop;
 import merlinlever.controller.Outcome;
@@ -28,7 +30,7 @@
     private final Backend backend;
     private final Log log;
     private final SampleTracker samples = new SampleTracker();
-    private final HealthExercise exercise;
+    private final DeepHealthCheck deepCheck;
     private final EventHandler events = new EventHandler();
     private final AgentConnection.Listener connectionListener = new ConnectionListener();
     private InetSocketAddress address;
@@ -49,7 +51,7 @@
         this.address = address;
         this.backend = backend;
         this.log = log;
-        exercise = new HealthExercise(loop, backend::deepCheckCompleted);
+        deepCheck = new DeepHealthCheck(loop, backend::deepCheckCompleted);
     }
 
     // ---- the connection
@@ -141,7 +143,8 @@
         @Override
         public void onClosed(AgentConnection source, CloseReason reason) {
             if (source == active) {
-                log.warn("agent-link-lost reason=" + reason + " last_offset=" + lastOffset);
+                log.write(
+                        LogEvent.warn("agent-link-lost").with("reason", reason).with("last_offset", lastOffset));
                 active = null;
                 backend.agentLinkLost(samples.confirmedUntil());
             } else if (source == pending) {
@@ -164,7 +167,9 @@
             return false;
         }
         if (offset > lastOffset + 1) {
-            log.warn("agent-events-missed first=" + (lastOffset + 1) + " last=" + (offset - 1));
+            log.write(LogEvent.warn("agent-events-missed")
+                    .with("first", lastOffset + 1)
+                    .with("last", offset - 1));
             backend.agentEventsLost(loop.clock().now());
         }
         lastOffset = offset;
@@ -196,13 +201,15 @@
         private Outcome checkedOutcome(AgentEvent.RunEnded event) {
             Optional<Outcome> outcome = event.outcome();
             if (outcome.isEmpty()) {
-                log.warn("agent-outcome-missing request=" + Long.toHexString(event.requestId()));
+                log.write(LogEvent.warn("agent-outcome-missing").with("request", Long.toHexString(event.requestId())));
                 return Outcome.ERROR;
             }
             int resultBytes = event.result().length;
             if (outcome.get() == Outcome.OK && resultBytes > MAX_RESULT_BYTES) {
-                log.warn("agent-result-dropped request=" + Long.toHexString(event.requestId()) + " bytes=" + resultBytes
-                        + " max_bytes=" + MAX_RESULT_BYTES);
+                log.write(LogEvent.warn("agent-result-dropped")
+                        .with("request", Long.toHexString(event.requestId()))
+                        .with("bytes", resultBytes)
+                        .with("max_bytes", MAX_RESULT_BYTES));
                 return Outcome.ERROR;
             }
             return outcome.get();
@@ -222,10 +229,11 @@
                     if (areInRange(event.gauges())) {
                         backend.metricsReceived(loop.clock().now(), event.gauges());
                     } else {
-                        log.warn("agent-gauges-ignored reason=out-of-range");
+                        log.write(LogEvent.warn("agent-gauges-ignored").with("reason", "out-of-range"));
                     }
                 }
-                case UNEXPECTED -> log.warn("agent-gauges-ignored reason=not-requested");
+                case UNEXPECTED -> log.write(
+                        LogEvent.warn("agent-gauges-ignored").with("reason", "not-requested"));
             }
         }
 
@@ -241,13 +249,14 @@
 
         @Override
         public void onExercised(AgentEvent.Exercised event) {
-            exercise.answered(event.token(), event.succeeded());
+            deepCheck.answered(event.token(), event.succeeded());
         }
 
         @Override
         public void onCommandRefused(AgentEvent.CommandRefused event) {
-            log.warn("agent-command-refused command=" + event.command() + " request="
-                    + Long.toHexString(event.requestId()));
+            log.write(LogEvent.warn("agent-command-refused")
+                    .with("command", event.command())
+                    .with("request", Long.toHexString(event.requestId())));
             if ("launch".equals(event.command())) {
                 backend.runEnded(loop.clock().now(), event.requestId(), Outcome.NOT_STARTED, null);
             }
@@ -255,7 +264,7 @@
 
         @Override
         public void onUnknown(AgentEvent.Unknown event) {
-            log.warn("agent-event-unknown kind=" + event.kind());
+            log.write(LogEvent.warn("agent-event-unknown").with("kind", event.kind()));
         }
     }
 
@@ -279,9 +288,11 @@
 
     /** The agent is there for the first time: the clock counts from its start. */
     private void begin(AgentEvent.Greeting greeting) {
-        loop.clock().setOriginAgo(Duration.ofNanos((long) (greeting.elapsedMs() * 1e6)));
+        loop.clock().setOriginAgo(Durations.ofMillis(greeting.elapsedMs()));
         samples.setConfirmedUntil(loop.clock().now());
-        log.info("agent-up mode=" + greeting.startMode() + " started_ms_ago=" + greeting.elapsedMs());
+        log.write(LogEvent.info("agent-up")
+                .with("mode", greeting.startMode())
+                .with("started_ms_ago", greeting.elapsedMs()));
         backend.agentStarted(loop.clock().now(), greeting.isCold());
     }
 
@@ -292,7 +303,7 @@
         String token = nextToken("up");
         samples.expectCatchUp(token, loop.clock().now());
         active.send(AgentCommands.sample(token));
-        exercise.openToken().ifPresent(open -> active.send(AgentCommands.exercise(open)));
+        deepCheck.openToken().ifPresent(open -> active.send(AgentCommands.exercise(open)));
     }
 
     private String nextToken(String prefix) {
@@ -346,7 +357,7 @@
      */
     public void requestHealthExercise() {
         String token = nextToken("x");
-        exercise.open(token);
+        deepCheck.open(token);
         if (active != null) {
             active.send(AgentCommands.exercise(token));
         }
--- a/src/main/java/merlinlever/backend/http/RequestHead.java
+++ b/src/main/java/merlinlever/backend/http/RequestHead.java
@@ -68,19 +68,23 @@
     /**
      * Finds where the head that begins at {@code start} ends.
      *
-     * @param scanned no end lies wholly before this place
-     * @return the place behind the end, or -1 where the head is not complete
+     * @param scanned the index up to which the bytes are known to contain no end
+     * @return the index after the head, or -1 if it is not complete
      */
     static int findEnd(byte[] bytes, int start, int scanned, int limit) {
         for (int i = Math.max(start, scanned - (END_BYTES - 1)); i + END_BYTES <= limit; i++) {
-            if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
+            if (isLineEnd(bytes, i) && isLineEnd(bytes, i + 2)) {
                 return i + END_BYTES;
             }
         }
         return -1;
     }
 
-    /** Parses the head between the places; returns {@link HttpStatus#OK}, or the status to reject it with. */
+    private static boolean isLineEnd(byte[] bytes, int at) {
+        return bytes[at] == '\r' && bytes[at + 1] == '\n';
+    }
+
+    /** Parses the head between the two indexes; returns {@link HttpStatus#OK}, or the status to reject it with. */
     HttpStatus parse(byte[] input, int start, int end) {
         bytes = input;
         Arrays.fill(valueStart, -1);
@@ -112,7 +116,7 @@
     }
 
     private int findLineEnd(int at, int end) {
-        while (at + 1 < end && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
+        while (at + 1 < end && !isLineEnd(bytes, at)) {
             at++;
         }
         return at;
@@ -125,8 +129,13 @@
         if (methodEnd == start || at >= end || bytes[methodEnd] != ' ' || bytes[at] != '/') {
             return false;
         }
-        pathStart = at;
+        return parseTarget(at, end) && parseVersion(queryEnd, end);
+    }
+
+    private boolean parseTarget(int start, int end) {
+        pathStart = start;
         queryStart = -1;
+        int at = start;
         while (at < end && bytes[at] != ' ') {
             if (bytes[at] <= ' ' || bytes[at] == DELETE) {
                 return false;
@@ -138,10 +147,19 @@
         }
         queryEnd = at;
         pathEnd = queryStart < 0 ? at : queryStart - 1;
-        if (end - at != 9 || !matches(at, VERSION_PREFIX) || (bytes[end - 1] != '0' && bytes[end - 1] != '1')) {
+        return true;
+    }
+
+    /** Accepts HTTP/1.0 and HTTP/1.1. */
+    private boolean parseVersion(int start, int end) {
+        if (end - start != VERSION_PREFIX.length() + 1 || !matches(start, VERSION_PREFIX)) {
             return false;
         }
-        http10 = bytes[end - 1] == '0';
+        byte minorVersion = bytes[end - 1];
+        if (minorVersion != '0' && minorVersion != '1') {
+            return false;
+        }
+        http10 = minorVersion == '0';
         return true;
     }
 
@@ -182,10 +200,8 @@
         while (stop > at && isBlank(bytes[stop - 1])) {
             stop--;
         }
-        for (int i = at; i < stop; i++) {
-            if (isControl(bytes[i]) && bytes[i] != '\t') {
-                return false;
-            }
+        if (!isFieldValue(at, stop)) {
+            return false;
         }
         for (HeaderField field : FIELDS) {
             if (isNamed(field, start, colon)) {
@@ -195,7 +211,17 @@
         return true;
     }
 
-    /** False where the field has come before with another value. */
+    /** RFC 9110, 5.5: no control characters but tabs. */
+    private boolean isFieldValue(int start, int end) {
+        for (int i = start; i < end; i++) {
+            if (isControl(bytes[i]) && bytes[i] != '\t') {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** False if the field occurred before with another value. */
     private boolean setValue(HeaderField field, int start, int end) {
         int i = field.ordinal();
         boolean repeated = valueStart[i] >= 0;
@@ -232,7 +258,7 @@
         return new String(bytes, start, end - start, StandardCharsets.ISO_8859_1);
     }
 
-    /** As it came. */
+    /** The method, as received. */
     String method() {
         return text(methodStart, methodEnd);
     }
@@ -264,12 +290,12 @@
         return has(HeaderField.EXPECT);
     }
 
-    /** Whether the field has come, with whatever value. */
+    /** Whether the head has the field. */
     boolean has(HeaderField field) {
         return valueStart[field.ordinal()] >= 0;
     }
 
-    /** The value of a field that has come, without blanks around it. */
+    /** The value of a field that the head has, without surrounding blanks. */
     String text(HeaderField field) {
         return text(valueStart[field.ordinal()], valueEnd[field.ordinal()]);
     }
@@ -308,7 +334,7 @@
         }
     }
 
-    /** Whether the value is exactly so many hexadecimal digits. */
+    /** Whether the value consists of exactly this number of hexadecimal digits. */
     boolean isHex(HeaderField field, int count) {
         int i = field.ordinal();
         if (!has(field) || valueEnd[i] - valueStart[i] != count) {
--- a/src/main/java/merlinlever/cli/fleet/FleetSnapshot.java
+++ b/src/main/java/merlinlever/cli/fleet/FleetSnapshot.java
@@ -36,7 +36,7 @@
 
         void add(AgentClient client) {
             AgentClient.AgentResponse response = client.get("/fleet");
-            if (response.status() != 200) {
+            if (!response.isOk()) {
                 problems.add("agent " + client.address() + ": " + response.failure());
                 return;
             }
--- a/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RecoverCommand.java
@@ -33,7 +33,6 @@
         exitCodeList = {"0:everything can be recovered", "1:something is discarded or cannot be read", "2:wrong usage"})
 final class RecoverCommand implements Callable<Integer> {
 
-    private static final String LEDGER_FILE = "instances";
     private static final String LOCK_FILE = "lock";
 
     @Spec
@@ -112,7 +111,7 @@
 
     /** The ledger of an agent's instances; a backend has none. */
     private boolean assessLedger(StateDirectory directory) throws IOException {
-        if (!directory.exists(LEDGER_FILE)) {
+        if (!directory.exists(InstanceLedger.FILE_NAME)) {
             return true;
         }
         try {
--- a/src/main/java/merlinlever/simulator/WireEventText.java
+++ b/src/main/java/merlinlever/simulator/WireEventText.java
@@ -4,7 +4,7 @@
 import merlinlever.common.Durations;
 import merlinlever.controller.ControllerEvent;
 
-/** The texts of the controller's events on the wire, which stay as they were in version 0.2. */
+/** The text of each controller event in the simulator's protocol, unchanged since version 0.2. */
 final class WireEventText {
 
     private WireEventText() {}
@@ -27,6 +27,9 @@
                     stall.queued(),
                     Durations.toMillis(stall.silence()));
         }
+        if (event instanceof ControllerEvent.IllegalPhaseChange change) {
+            return change.logLine();
+        }
         throw new IllegalArgumentException("an event without a text: " + event);
     }
 }
