--- a/src/main/java/merlinlever/dns/server/DnsControllerSettings.java
+++ b/src/main/java/merlinlever/dns/server/DnsControllerSettings.java
@@ -32,6 +32,10 @@
     private static final double TRANSFER_WEIGHT = 2;
     private static final double UPDATE_WEIGHT = 8;
 
+    private static final Duration QUERY_LATENCY_OBJECTIVE = Duration.ofMillis(500);
+    private static final Duration UPDATE_CLIENT_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration TRANSFER_LATENCY_OBJECTIVE = Duration.ofSeconds(5);
+
     private DnsControllerSettings() {}
 
     /**
@@ -64,19 +68,19 @@
             case QUERY -> priorityClass
                     .semantics(RequestSemantics.IDEMPOTENT)
                     .weight(QUERY_WEIGHT)
-                    .latencyObjective(Duration.ofMillis(500))
+                    .latencyObjective(QUERY_LATENCY_OBJECTIVE)
                     .clientTimeout(Duration.ofSeconds(2))
                     .idempotencyWindow(Duration.ZERO);
             case UPDATE -> priorityClass
                     .semantics(RequestSemantics.IDEMPOTENT_BY_KEY)
                     .weight(UPDATE_WEIGHT)
                     .latencyObjective(Duration.ofSeconds(2))
-                    .clientTimeout(Duration.ofSeconds(5))
+                    .clientTimeout(UPDATE_CLIENT_TIMEOUT)
                     .idempotencyWindow(RequestProcessor.REPLAY_WINDOW);
             case TRANSFER -> priorityClass
                     .semantics(RequestSemantics.IDEMPOTENT)
                     .weight(TRANSFER_WEIGHT)
-                    .latencyObjective(Duration.ofSeconds(5))
+                    .latencyObjective(TRANSFER_LATENCY_OBJECTIVE)
                     .clientTimeout(Duration.ofMinutes(1))
                     .idempotencyWindow(Duration.ZERO);
         };
