--- a/src/main/java/merlinlever/cli/fleet/AgentClient.java
+++ b/src/main/java/merlinlever/cli/fleet/AgentClient.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import java.io.IOException;
 import java.net.ConnectException;
+import java.net.HttpURLConnection;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -23,7 +24,7 @@
      *
      * @param status of HTTP, {@link #NO_ANSWER} where there was no answer
      * @param body missing where there was no answer
-     * @param failure for people; of use where the status is not 200
+     * @param failure for people; of use where it is not {@link #isOk}
      */
     record AgentResponse(int status, JsonNode body, String failure) {
         static final int NO_ANSWER = 0;
@@ -32,6 +33,10 @@
             return new AgentResponse(NO_ANSWER, MissingNode.getInstance(), failure);
         }
 
+        boolean isOk() {
+            return status == HttpURLConnection.HTTP_OK;
+        }
+
         boolean isAnswered() {
             return status != NO_ANSWER;
         }
@@ -63,11 +68,11 @@
     }
 
     /** Sends an order, again where no answer came: the agent carries an order out once for its id. */
-    AgentResponse order(JsonNode order) {
+    AgentResponse order(AgentOrder order) {
         AgentResponse response = AgentResponse.noAnswer("");
         for (int attempt = 0; attempt < MAX_ORDER_ATTEMPTS && !response.isAnswered(); attempt++) {
-            response = send(
-                    HttpRequest.newBuilder(uri("/orders")).POST(HttpRequest.BodyPublishers.ofString(order.toString())));
+            response = send(HttpRequest.newBuilder(uri("/orders"))
+                    .POST(HttpRequest.BodyPublishers.ofString(order.json().toString())));
         }
         return response;
     }
--- a/src/main/java/merlinlever/cli/fleet/OrderCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/OrderCommand.java
@@ -1,8 +1,6 @@
 package merlinlever.cli.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,6 +8,8 @@
 import java.util.Map;
 import java.util.UUID;
 import java.util.stream.Collectors;
+import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -19,8 +19,10 @@
 abstract class OrderCommand extends FleetSubcommand {
 
     private static final Duration POLL_PERIOD = Duration.ofMillis(200);
-    private static final String IN_PROGRESS = "under way";
-    private static final String DONE = "done";
+    private static final int DEFAULT_TIMEOUT_SECONDS = 120;
+    private static final String IN_PROGRESS = OrderTracker.OrderProgress.UNDER_WAY.wireName();
+    private static final String DONE = OrderTracker.OrderProgress.DONE.wireName();
+    private static final String DRAINING = InstanceSupervisor.InstanceState.DRAINING.wireName();
 
     @Mixin
     private InstanceFilter filter;
@@ -29,7 +31,7 @@
     private boolean wait;
 
     @Option(names = "--timeout", paramLabel = "SECONDS", description = "timeout of --wait (default: 120)")
-    private int timeoutSeconds = 120;
+    private int timeoutSeconds = DEFAULT_TIMEOUT_SECONDS;
 
     @Option(names = "--dry-run", description = "show the selected instances and change nothing")
     private boolean dryRun;
@@ -45,8 +47,11 @@
 
     private final Map<String, String> printedProgress = new LinkedHashMap<>();
 
-    /** The verb of the agents' API. */
-    abstract String verb();
+    private final OrderTracker.OrderVerb verb;
+
+    OrderCommand(OrderTracker.OrderVerb verb) {
+        this.verb = verb;
+    }
 
     /** Whether the instances are ended without a drain. */
     boolean isImmediate() {
@@ -81,7 +86,7 @@
         }
         if (dryRun) {
             selected.forEach(instance ->
-                    out().println("would " + verb() + " " + instance.name() + " (" + instance.state() + ")"));
+                    out().println("would " + verb.wireName() + " " + instance.name() + " (" + instance.state() + ")"));
             out().flush();
             return 0;
         }
@@ -110,8 +115,10 @@
         boolean isAccepted = true;
         for (Map.Entry<String, List<ReportedInstance>> entry : instancesByAgent.entrySet()) {
             AgentClient client = anyClient.forAgent(entry.getKey());
-            AgentClient.AgentResponse response = client.order(order(id, entry.getValue()));
-            if (response.status() == 200) {
+            List<String> names =
+                    entry.getValue().stream().map(ReportedInstance::name).toList();
+            AgentClient.AgentResponse response = client.order(new AgentOrder(id, verb, isImmediate(), names));
+            if (response.isOk()) {
                 orders.put(client, response.body());
                 continue;
             }
@@ -124,14 +131,6 @@
         return isAccepted;
     }
 
-    private ObjectNode order(String id, List<ReportedInstance> instances) {
-        ObjectNode order =
-                JSON.createObjectNode().put("id", id).put("verb", verb()).put("now", isImmediate());
-        ArrayNode names = order.putArray("names");
-        instances.forEach(instance -> names.add(instance.name()));
-        return order;
-    }
-
     /** Prints the progress until the order is over or the time is; returns whether all of it was done, as far as it waited. */
     private boolean follow(String id) throws InterruptedException {
         long deadline = System.nanoTime() + Duration.ofSeconds(timeoutSeconds).toNanos();
@@ -149,7 +148,7 @@
             Thread.sleep(POLL_PERIOD.toMillis());
             orders.replaceAll((client, order) -> {
                 AgentClient.AgentResponse response = client.get("/orders/" + id);
-                return response.status() == 200 ? response.body() : order;
+                return response.isOk() ? response.body() : order;
             });
         }
     }
@@ -159,7 +158,7 @@
             String name = instance.path("name").asText();
             String progress = progress(instance);
             if (!progress.equals(printedProgress.put(name, progress))) {
-                out().println(name + ": " + verb() + " " + progress);
+                out().println(name + ": " + verb.wireName() + " " + progress);
             }
         }
     }
@@ -170,7 +169,7 @@
             return end;
         }
         String state = instance.path("state").asText();
-        String reason = state.equals("draining") ? " (" + instance.path("why").asText() + ")" : "";
+        String reason = state.equals(DRAINING) ? " (" + instance.path("why").asText() + ")" : "";
         return IN_PROGRESS + ", " + state + reason;
     }
 
@@ -190,9 +189,8 @@
             mixinStandardHelpOptions = true,
             description = "Start instances; with --wait, wait until they serve.")
     static final class StartCommand extends OrderCommand {
-        @Override
-        String verb() {
-            return "start";
+        StartCommand() {
+            super(OrderTracker.OrderVerb.START);
         }
     }
 
@@ -202,9 +200,8 @@
             mixinStandardHelpOptions = true,
             description = "Drain instances: they finish the requests in flight, then exit.")
     static final class DrainCommand extends OrderCommand {
-        @Override
-        String verb() {
-            return "drain";
+        DrainCommand() {
+            super(OrderTracker.OrderVerb.DRAIN);
         }
     }
 
@@ -214,9 +211,8 @@
             mixinStandardHelpOptions = true,
             description = "Drain instances and start them again; with --wait, wait until they serve.")
     static final class RestartCommand extends OrderCommand {
-        @Override
-        String verb() {
-            return "restart";
+        RestartCommand() {
+            super(OrderTracker.OrderVerb.RESTART);
         }
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/RollCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/RollCommand.java
@@ -1,7 +1,6 @@
 package merlinlever.cli.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,6 +8,7 @@
 import java.util.UUID;
 import merlinlever.common.WireNamed;
 import merlinlever.host.state.InstanceSupervisor;
+import merlinlever.host.state.OrderTracker;
 import merlinlever.host.state.RollingRestart;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -29,6 +29,10 @@
 final class RollCommand extends FleetSubcommand {
 
     private static final Duration POLL_PERIOD = Duration.ofMillis(300);
+    private static final int DEFAULT_MAX_UNAVAILABLE_PERCENT = 20;
+    private static final int DEFAULT_WARM_UP_TIMEOUT_SECONDS = 120;
+    private static final int DEFAULT_OBSERVATION_SECONDS = 5;
+    private static final int ALL_PERCENT = 100;
 
     @Mixin
     private InstanceFilter filter;
@@ -40,19 +44,19 @@
             names = "--most-away",
             paramLabel = "PERCENT",
             description = "maximum share of instances unavailable at a time, for any reason (default: 20)")
-    private int maxAwayPercent = 20;
+    private int maxUnavailablePercent = DEFAULT_MAX_UNAVAILABLE_PERCENT;
 
     @Option(
             names = "--warm-within",
             paramLabel = "SECONDS",
             description = "time limit for a restarted instance to become warm (default: 120)")
-    private int warmWithinSeconds = 120;
+    private int warmUpTimeoutSeconds = DEFAULT_WARM_UP_TIMEOUT_SECONDS;
 
     @Option(
             names = "--watch",
             paramLabel = "SECONDS",
             description = "how long rejections are measured before the first batch and after each (default: 5)")
-    private int watchSeconds = 5;
+    private int observationSeconds = DEFAULT_OBSERVATION_SECONDS;
 
     @Option(
             names = "--worse",
@@ -87,9 +91,9 @@
         rollingRestart = new RollingRestart(
                 new RollingRestart.RollingRestartSettings(
                         batchSize,
-                        maxAwayPercent / 100.0,
-                        Duration.ofSeconds(warmWithinSeconds),
-                        Duration.ofSeconds(watchSeconds),
+                        maxUnavailablePercent / (double) ALL_PERCENT,
+                        Duration.ofSeconds(warmUpTimeoutSeconds),
+                        Duration.ofSeconds(observationSeconds),
                         maxRejectionRatio),
                 selected.stream().map(ReportedInstance::name).toList());
         Thread summaryAtInterrupt = new Thread(this::printSummary);
@@ -97,7 +101,7 @@
         boolean isOrdered = restartAll(clients, selected.size());
         Runtime.getRuntime().removeShutdownHook(summaryAtInterrupt);
         if (rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED) {
-            err().println("stopped: " + rollingRestart.why());
+            err().println("stopped: " + rollingRestart.reason());
             err().flush();
         }
         printSummary();
@@ -110,10 +114,10 @@
                     spec().commandLine(), "Which instances? Give names, --host, --label, --state or --all.");
         }
         if (batchSize < 1
-                || maxAwayPercent < 0
-                || maxAwayPercent > 100
-                || warmWithinSeconds < 1
-                || watchSeconds < 0
+                || maxUnavailablePercent < 0
+                || maxUnavailablePercent > ALL_PERCENT
+                || warmUpTimeoutSeconds < 1
+                || observationSeconds < 0
                 || maxRejectionRatio < 1) {
             throw new CommandLine.ParameterException(
                     spec().commandLine(),
@@ -125,22 +129,22 @@
     private boolean restartAll(List<AgentClient> clients, int total) throws InterruptedException {
         long startNanos = System.nanoTime();
         String printedReason = "";
-        while (!isOver()) {
+        while (!rollingRestart.isOver()) {
             List<ReportedInstance> instances = FleetSnapshot.read(clients).instances();
             List<String> nextBatch = instances.isEmpty()
                     ? List.of()
-                    : rollingRestart.settle(
+                    : rollingRestart.nextBatch(
                             Duration.ofNanos(System.nanoTime() - startNanos),
                             instances.stream().map(RollCommand::observation).toList());
-            String doneSoFar = rollingRestart.done().size() + " of " + total + " done";
+            String doneSoFar = rollingRestart.completed().size() + " of " + total + " done";
             if (!nextBatch.isEmpty()) {
                 out().println("restarting " + String.join(", ", nextBatch) + "; " + doneSoFar);
                 out().flush();
                 if (!orderRestart(clients.get(0), instances, nextBatch)) {
                     return false;
                 }
-            } else if (!rollingRestart.why().equals(printedReason)) {
-                printedReason = rollingRestart.why();
+            } else if (!rollingRestart.reason().equals(printedReason)) {
+                printedReason = rollingRestart.reason();
                 out().println(printedReason.isEmpty() ? doneSoFar : printedReason);
                 out().flush();
             }
@@ -149,11 +153,6 @@
         return true;
     }
 
-    private boolean isOver() {
-        return rollingRestart.phase() == RollingRestart.RolloutPhase.DONE
-                || rollingRestart.phase() == RollingRestart.RolloutPhase.STOPPED;
-    }
-
     private static RollingRestart.InstanceObservation observation(ReportedInstance instance) {
         long rejections = instance.status().path("brokenOff").asLong();
         for (JsonNode count : instance.status().path("pushedBack")) {
@@ -174,25 +173,21 @@
                 .findFirst()
                 .orElseThrow()
                 .agent();
-        ObjectNode order = JSON.createObjectNode()
-                .put("id", UUID.randomUUID().toString())
-                .put("verb", "restart")
-                .put("now", false);
-        batch.forEach(order.putArray("names")::add);
+        AgentOrder order = new AgentOrder(UUID.randomUUID().toString(), OrderTracker.OrderVerb.RESTART, false, batch);
         AgentClient.AgentResponse response = anyClient.forAgent(agent).order(order);
-        if (response.status() != 200) {
+        if (!response.isOk()) {
             err().println("agent " + agent + ": " + response.failure() + "; stopped");
             err().flush();
         }
-        return response.status() == 200;
+        return response.isOk();
     }
 
     private void printSummary() {
-        List<String> restarting = rollingRestart.inHand();
+        List<String> restarting = rollingRestart.restarting();
         String names = restarting.isEmpty() ? "" : " (" + String.join(", ", restarting) + ")";
-        out().println(rollingRestart.done().size() + " done, " + restarting.size()
+        out().println(rollingRestart.completed().size() + " done, " + restarting.size()
                 + " restarted and not serving yet" + names + ", "
-                + rollingRestart.todo().size() + " not begun");
+                + rollingRestart.pending().size() + " not begun");
         out().flush();
     }
 }
--- a/src/main/java/merlinlever/cli/fleet/StopCommand.java
+++ b/src/main/java/merlinlever/cli/fleet/StopCommand.java
@@ -2,6 +2,7 @@
 
 import java.io.Console;
 import java.util.List;
+import merlinlever.host.state.OrderTracker;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -20,9 +21,8 @@
     @Option(names = "--yes", description = "with --now: skip the confirmation")
     private boolean yes;
 
-    @Override
-    String verb() {
-        return "stop";
+    StopCommand() {
+        super(OrderTracker.OrderVerb.STOP);
     }
 
     @Override
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -26,9 +26,11 @@
 import merlinlever.fleet.membership.MessageKind;
 import merlinlever.fleet.membership.PeerMessage;
 import merlinlever.fleet.quota.FleetQuota;
+import merlinlever.fleet.quota.LeaseHolder;
 import merlinlever.fleet.quota.QuotaConsumer;
 import merlinlever.fleet.quota.QuotaCoordinator;
 import merlinlever.fleet.recovery.RecoverySettings;
+import merlinlever.fleet.recovery.net.NodeEnvironment;
 import merlinlever.fleet.recovery.net.NodeSettings;
 import merlinlever.fleet.recovery.net.RecoveringService;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
@@ -124,7 +126,7 @@
         fixture.pins("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
         fixture.pins("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
         terms.receive(LATER, "b3", 11, "H/7/b2");
-        fixture.pins("election.leader", terms.leaderAnnouncement(LATER));
+        fixture.pins("election.leader", terms.leaderAnnouncement(LATER).orElseThrow());
         fixture.pins("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
     }
 
@@ -153,12 +155,24 @@
         fixture.pins(
                 "budgets.asks",
                 said(new QuotaCoordinator(
-                                LATER, "b1", 0xabc, List.of(budget), led, new SplittableRandom(1), spender, line -> {})
+                                LATER,
+                                new LeaseHolder("b1", 0xabc),
+                                List.of(budget),
+                                led,
+                                new SplittableRandom(1),
+                                spender,
+                                line -> {})
                         .tick(LATER)));
         LeaderElection leads = terms("b1");
         leads.tick(LATER);
         QuotaCoordinator sharing = new QuotaCoordinator(
-                LATER, "b1", 0xabc, List.of(budget), leads, new SplittableRandom(1), spender, line -> {});
+                LATER,
+                new LeaseHolder("b1", 0xabc),
+                List.of(budget),
+                leads,
+                new SplittableRandom(1),
+                spender,
+                line -> {});
         sharing.tick(LATER);
         leads.tick(LATER.plusMillis(1900));
         List<PeerMessage.Text> all = new ArrayList<>();
@@ -206,8 +220,7 @@
             RecoveryCoordinator rejoin = on.callOnLoop(() -> {
                 try {
                     return new RecoveryCoordinator(
-                            on.loop,
-                            disk,
+                            new NodeEnvironment(on.loop, disk, () -> 1_700_000_000_000L),
                             new NodeSettings(
                                     "b1",
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
@@ -217,7 +230,6 @@
                                     "a-secret-of-16-or-more"),
                             RecoverySettings.defaults(Duration.ofSeconds(5), Duration.ZERO),
                             1,
-                            () -> 1_700_000_000_000L,
                             RecoveringService.NONE,
                             line -> {});
                 } catch (java.io.IOException e) {
