--- a/src/main/java/merlinlever/policy/AdmissionControl.java
+++ b/src/main/java/merlinlever/policy/AdmissionControl.java
@@ -88,8 +88,7 @@
         // Time unread counts as waiting too: what exceeds the quickest read, as part of the objective.
         double readDelayMs = Durations.toMillis(now.minus(request.arrivedAt()));
         quickestReadMs = Math.min(readDelayMs, quickestReadMs + READ_DECAY * (readDelayMs - quickestReadMs));
-        // Neither the arrival nor what idle cores start at once is waiting: on two cores either was over the
-        // lower threshold, and an idle server rejected its next arrival.
+        // Neither the arrival nor what idle cores start at once is waiting.
         int idleCores = Math.max(0, server.cores() - server.onCoreCount());
         double waiting = Math.max(0, server.queuedCount() - 1 - idleCores)
                 / server.capacity().queueCapacity();
@@ -140,8 +139,7 @@
         return random.nextDouble() < probability;
     }
 
-    // Longer the fuller the queue. The longest time on each rejection shut callers out of nearly every server
-    // at once while the servers had room.
+    // Grows with the queue, as the longest time on each rejection would keep callers from servers with room.
     private Duration randomRetryAfter() {
         double fraction = Math.min(1, thresholdExcess(averageOccupancy));
         return Durations.ofMillis(Durations.toMillis(maxRetryAfter) * fraction);
--- a/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
@@ -30,7 +30,8 @@
             agent.getOutputStream()
                     .write("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}\n"
                             .getBytes(StandardCharsets.UTF_8));
-            // The connection is active once the greeting has been read.
+            // The connection is active once the greeting has been read; a sample before is not sent.
+            backend.loop.awaitCondition(backend.backend::isHealthy, "the greeting");
             while (!lines.containsKey("sample")) {
                 backend.loop.advance(100);
                 backend.loop.runOnLoop(() -> backend.link.sample());
