--- a/src/main/java/merlinlever/testing/faults/PowerLoss.java
+++ b/src/main/java/merlinlever/testing/faults/PowerLoss.java
@@ -164,13 +164,14 @@
     /** After the last: no new operations, and those in hand come to their end; what the audit found since is returned. */
     public List<String> end() throws InterruptedException {
         List<String> found = new ArrayList<>();
-        fleet.on(none -> fleet.all().forEach(i -> fleet.callers(i).end()));
+        fleet.on(none -> fleet.all().forEach(i -> fleet.callers(i).stop()));
         long until = System.nanoTime() + Duration.ofSeconds(10).toNanos();
         int[] open = {1};
         while (open[0] > 0 && System.nanoTime() < until) {
             Thread.sleep(LOOK.toMillis());
-            fleet.on(none -> open[0] =
-                    fleet.all().stream().mapToInt(i -> fleet.callers(i).open()).sum());
+            fleet.on(none -> open[0] = fleet.all().stream()
+                    .mapToInt(i -> fleet.callers(i).openAttempts())
+                    .sum());
         }
         fleet.on(none -> found.addAll(fleet.rules().breaches()));
         if (open[0] > 0) {
--- a/src/main/java/merlinlever/testing/faults/QuotaFaults.java
+++ b/src/main/java/merlinlever/testing/faults/QuotaFaults.java
@@ -147,11 +147,11 @@
                 String who = fleet.name(kind == QuotaFaultKind.PAUSE ? one : leader);
                 // What it owes meanwhile it cannot answer in time; that is not what is looked at here.
                 fleet.on(none -> fleet.callers(kind == QuotaFaultKind.PAUSE ? one : leader)
-                        .away(true));
+                        .setBackendDown(true));
                 fleet.processes().pause(who);
                 Thread.sleep(lease + chance.nextInt(2 * lease));
                 fleet.on(none -> fleet.callers(kind == QuotaFaultKind.PAUSE ? one : leader)
-                        .away(false));
+                        .setBackendDown(false));
                 fleet.processes().resume(who);
             }
             case PARTITION, THREE_SIDES -> {
--- a/src/main/java/merlinlever/testing/faults/ServeFleet.java
+++ b/src/main/java/merlinlever/testing/faults/ServeFleet.java
@@ -244,7 +244,7 @@
         for (int i : all()) {
             start(i);
         }
-        on(none -> callers.forEach(LoadGenerator::begin));
+        on(none -> callers.forEach(LoadGenerator::start));
     }
 
     public ServeFleetSettings stated() {
@@ -306,7 +306,7 @@
     public void start(int i) throws IOException, InterruptedException {
         between(() -> incarnations.began(name(i)));
         on(none -> {
-            callers.get(i).away(false);
+            callers.get(i).setBackendDown(false);
             farms.get(i).powerOn();
         });
         processes.start(specs.get(i));
@@ -340,7 +340,7 @@
     /** The machine loses its power: the backend and all that its agent runs are gone at once. */
     public void powerOff(int i) throws InterruptedException {
         on(none -> {
-            callers.get(i).away(true);
+            callers.get(i).setBackendDown(true);
             farms.get(i).powerOff();
         });
         processes.kill(name(i));
--- a/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
+++ b/src/main/java/merlinlever/testing/faults/standins/LoadGenerator.java
@@ -5,8 +5,6 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.SplittableRandom;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
@@ -14,197 +12,260 @@
 import merlinlever.testing.faults.audit.RequestAudit;
 
 /**
- * Those who call one backend: so many operations a second, a part of them keyed. A keyed one that was not satisfied is
- * tried again, under its token, at the same backend, until its window is over: after a refusal when it was told to come
- * back, after a lost connection soon. Each try is judged when it ends.
+ * Generates the HTTP load of one backend: operations arrive as a Poisson stream, and a share of them carries an
+ * idempotency token. A keyed operation that did not succeed is retried with the same token at the same backend until its
+ * retry window ends: after the pause that a rejection names, or after {@link #DEFAULT_RETRY_DELAY}. The result of each
+ * attempt is reported to the {@link RequestAudit}. Use on the thread of the loop only.
  */
 public final class LoadGenerator {
 
     /**
-     * What is stated.
+     * The load of one backend.
      *
-     * @param keyed share of operations that must not run twice
-     * @param patience for one try
-     * @param window in which a keyed operation is tried again
+     * @param perSecond mean rate of new operations
+     * @param keyedShare share of operations that carry a token and must not run twice
+     * @param attemptTimeout time that one attempt allows the backend
+     * @param retryWindow time since the first attempt within which a keyed operation is retried
      */
-    public record LoadSettings(double perSecond, double keyed, Duration patience, Duration window) {}
+    public record LoadSettings(double perSecond, double keyedShare, Duration attemptTimeout, Duration retryWindow) {}
 
-    /** Many processes share one machine here, and the harness is late itself at times. */
-    private static final Duration SLACK = Duration.ofSeconds(1);
+    /** Added to the timeout of an attempt: many processes share the machine, and the harness may run late itself. */
+    private static final Duration TIMEOUT_TOLERANCE = Duration.ofSeconds(1);
 
-    private static final Duration SOON = Duration.ofMillis(150);
-    private static final int ANSWER = 16 * 1024;
+    private static final Duration DEFAULT_RETRY_DELAY = Duration.ofMillis(150);
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int HTTP_OK = 200;
+    /** Status of an attempt that ended without a response. */
+    private static final int NO_RESPONSE = 0;
+
+    private static final String LINE_END = "\r\n";
+    private static final String HEADER_END = "\r\n\r\n";
+    private static final String CONTENT_LENGTH = "Content-Length: ";
+    private static final String RETRY_AFTER = "Srv-Wait-Ms: ";
+    private static final int STATUS_START = "HTTP/1.1 ".length();
+    private static final int STATUS_DIGITS = 3;
 
     private final EventLoop loop;
     private final InetSocketAddress backend;
-    private final LoadSettings stated;
-    private final RequestAudit rules;
-    private final SplittableRandom chance;
-    private boolean calling, away;
-    private int life, open;
-    /** When what was satisfied last, by kind: retriable, keyed. */
-    private final Duration[] satisfiedAt = new Duration[2];
+    private final LoadSettings settings;
+    private final RequestAudit audit;
+    private final SplittableRandom random;
+    private boolean generating;
+    private boolean backendDown;
+    /** Counts the changes of {@link #backendDown}: an attempt across a change is owed no response. */
+    private int backendIncarnation;
 
-    private final List<long[]> ends = new ArrayList<>();
+    private int openAttempts;
+    private Duration lastUnkeyedSuccess;
+    private Duration lastKeyedSuccess;
 
+    /** Creates an idle generator; see {@link #start}. */
     public LoadGenerator(
             EventLoop loop,
             InetSocketAddress backend,
-            LoadSettings stated,
-            RequestAudit rules,
-            SplittableRandom chance) {
+            LoadSettings settings,
+            RequestAudit audit,
+            SplittableRandom random) {
         this.loop = loop;
         this.backend = backend;
-        this.stated = stated;
-        this.rules = rules;
-        this.chance = chance;
+        this.settings = settings;
+        this.audit = audit;
+        this.random = random;
     }
 
-    public void begin() {
-        calling = true;
-        next();
+    /** Starts the stream of operations. */
+    public void start() {
+        generating = true;
+        generateNext();
     }
 
-    /** No new operations; those in hand are tried to their end. */
-    public void end() {
-        calling = false;
+    /** Stops new operations; open ones are still retried to their end. */
+    public void stop() {
+        generating = false;
     }
 
-    /** The backend is killed or stopped, or is there again: what is open there, or is sent meanwhile, is owed no answer. */
-    public void away(boolean is) {
-        away = is;
-        life++;
+    /** Tells that the backend was killed or paused, or runs again: attempts open at or sent in that time may fail. */
+    public void setBackendDown(boolean down) {
+        backendDown = down;
+        backendIncarnation++;
     }
 
-    /** Tries that are open. */
-    public int open() {
-        return open;
+    /** Attempts without a result yet. */
+    public int openAttempts() {
+        return openAttempts;
     }
 
-    /** Whether both kinds were satisfied after the moment. */
-    public boolean servedSince(Duration moment, boolean keyedToo) {
-        return satisfiedAt[0] != null
-                && satisfiedAt[0].compareTo(moment) > 0
-                && (!keyedToo || (satisfiedAt[1] != null && satisfiedAt[1].compareTo(moment) > 0));
+    /** Whether an unkeyed operation, and a keyed one too if asked for, succeeded after the given uptime. */
+    public boolean servedSince(Duration uptime, boolean keyedToo) {
+        return isAfter(lastUnkeyedSuccess, uptime) && (!keyedToo || isAfter(lastKeyedSuccess, uptime));
     }
 
-    /** Of each try that ended: when (ms since the start), whether keyed, the status or 0. */
-    public List<long[]> ends() {
-        return ends;
+    private static boolean isAfter(Duration success, Duration uptime) {
+        return success != null && success.compareTo(uptime) > 0;
     }
 
-    private void next() {
-        if (calling) {
-            boolean keyed = chance.nextDouble() < stated.keyed;
-            String token = String.format("%016x%016x", chance.nextLong(), chance.nextLong());
+    private void generateNext() {
+        if (generating) {
+            boolean keyed = random.nextDouble() < settings.keyedShare;
+            String token = String.format("%016x%016x", random.nextLong(), random.nextLong());
             new RequestAttempt(
                             keyed ? token : "look-" + token, keyed, loop.clock().uptime())
                     .send();
-            // As a Poisson stream, so that no two backends are in step.
-            loop.schedule(
-                    Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / stated.perSecond * 1e9)), this::next);
+            // Exponential gaps, so that no two backends get their requests in step.
+            double gapSeconds = -Math.log(1 - random.nextDouble()) / settings.perSecond;
+            loop.schedule(Duration.ofNanos((long) (gapSeconds * NANOS_PER_SECOND)), this::generateNext);
         }
     }
 
     private final class RequestAttempt implements Connection.Handler {
         private final String operation;
         private final boolean keyed;
-        private final Duration first;
-        private final Duration sent = loop.clock().uptime();
-        private final int begunIn = life;
-        private final String id = String.format("%016x", chance.nextLong());
+        private final Duration firstSentAt;
+        private final Duration sentAt = loop.clock().uptime();
+        private final int sentInIncarnation = backendIncarnation;
+        private final String id = String.format("%016x", random.nextLong());
         private Connection connection;
-        private EventLoop.Timer late;
-        private boolean over, made;
+        private EventLoop.Timer timeout;
+        private boolean ended;
+        private boolean connected;
 
-        RequestAttempt(String operation, boolean keyed, Duration first) {
+        RequestAttempt(String operation, boolean keyed, Duration firstSentAt) {
             this.operation = operation;
             this.keyed = keyed;
-            this.first = first;
+            this.firstSentAt = firstSentAt;
         }
 
         void send() {
-            open++;
-            late = loop.schedule(stated.patience.plus(SLACK), () -> over(0, null, "no answer by its due time", false));
+            openAttempts++;
+            timeout = loop.schedule(
+                    settings.attemptTimeout.plus(TIMEOUT_TOLERANCE), () -> fail("no answer by its due time", false));
             try {
-                connection = Connection.connect(loop, backend, this, ANSWER, ANSWER, stated.patience);
+                connection =
+                        Connection.connect(loop, backend, this, BUFFER_BYTES, BUFFER_BYTES, settings.attemptTimeout);
             } catch (IOException e) {
-                over(0, null, "no channel", true);
+                fail("no channel", true);
                 return;
             }
-            connection.write(ByteBuffer.wrap(
-                    ("POST /svc/" + (keyed ? "buy" : "look") + " HTTP/1.1\r\nHost: harness\r\nReq-Id: " + id
-                                    + "\r\nReq-Time: " + System.currentTimeMillis() + "\r\nReq-From: 1\r\nReq-Wait-Ms: "
-                                    + stated.patience.toMillis()
-                                    + "\r\nReq-Kb: 10\r\nReq-Rank: 0.5\r\n"
-                                    + (keyed ? "Req-Token: " + operation + "\r\n" : "") + "Content-Length: "
-                                    + operation.length() + "\r\n\r\n" + operation)
-                            .getBytes(StandardCharsets.US_ASCII)));
+            connection.write(ByteBuffer.wrap(encodeRequest().getBytes(StandardCharsets.US_ASCII)));
+        }
+
+        private String encodeRequest() {
+            return "POST /svc/" + (keyed ? "buy" : "look") + " HTTP/1.1\r\n"
+                    + "Host: harness\r\n"
+                    + "Req-Id: " + id + LINE_END
+                    + "Req-Time: " + System.currentTimeMillis() + LINE_END
+                    + "Req-From: 1\r\n"
+                    + "Req-Wait-Ms: " + settings.attemptTimeout.toMillis() + LINE_END
+                    + "Req-Kb: 10\r\n"
+                    + "Req-Rank: 0.5\r\n"
+                    + (keyed ? "Req-Token: " + operation + LINE_END : "")
+                    + CONTENT_LENGTH + operation.length() + HEADER_END
+                    + operation;
         }
 
         @Override
         public void onConnected() {
-            made = true;
+            connected = true;
         }
 
         @Override
         public void onReceived(ByteBuffer in) {
             String text = StandardCharsets.US_ASCII.decode(in.duplicate()).toString();
-            int head = text.indexOf("\r\n\r\n");
-            int at = text.indexOf("Content-Length: ");
-            if (head < 0 || at < 0) {
+            int headerEnd = text.indexOf(HEADER_END);
+            int lengthHeader = text.indexOf(CONTENT_LENGTH);
+            if (headerEnd < 0 || lengthHeader < 0) {
                 return;
             }
-            int length = Integer.parseInt(text.substring(at + 16, text.indexOf('\r', at)));
-            if (text.length() < head + 4 + length) {
+            int length = Math.toIntExact(headerNumber(text, lengthHeader + CONTENT_LENGTH.length()));
+            int bodyStart = headerEnd + HEADER_END.length();
+            if (text.length() < bodyStart + length) {
                 return;
             }
             in.position(in.limit());
-            over(Integer.parseInt(text.substring(9, 12)), text, null, false);
+            int status = Integer.parseInt(text.substring(STATUS_START, STATUS_START + STATUS_DIGITS));
+            complete(status, text, bodyStart);
         }
 
         @Override
-        public void onClosed(CloseReason how) {
+        public void onClosed(CloseReason reason) {
             // A refused connection proves that nothing ran.
-            over(0, null, "its connection ended: " + how, !made);
+            fail("its connection ended: " + reason, !connected);
         }
 
-        private void over(int status, String text, String how, boolean excused) {
-            if (over) {
+        private void complete(int status, String response, int bodyStart) {
+            if (ended) {
                 return;
             }
-            over = true;
-            open--;
-            late.cancel();
-            Duration now = loop.clock().uptime();
-            ends.add(new long[] {now.toMillis(), keyed ? 1 : 0, status});
-            if (status > 0) {
-                rules.answered(
-                        operation,
-                        id,
-                        status,
-                        text.substring(text.indexOf("\r\n\r\n") + 4),
-                        now.minus(sent).minus(stated.patience).minus(SLACK).toMillis());
+            Duration now = end();
+            Duration lateBy = now.minus(sentAt).minus(settings.attemptTimeout).minus(TIMEOUT_TOLERANCE);
+            if (status > NO_RESPONSE) {
+                audit.answered(operation, id, status, response.substring(bodyStart), lateBy.toMillis());
             } else {
-                rules.unanswered(operation, id, excused || away || life != begunIn, how);
+                audit.unanswered(operation, id, isFailureExcused(false), null);
+            }
+            connection.close(CloseReason.COMPLETED);
+            if (status == HTTP_OK) {
+                recordSuccess(now);
+            } else {
+                retryAfter(retryDelay(response), now);
+            }
+        }
+
+        private void fail(String reason, boolean excused) {
+            if (ended) {
+                return;
             }
+            Duration now = end();
+            audit.unanswered(operation, id, isFailureExcused(excused), reason);
             if (connection != null) {
                 connection.close(CloseReason.COMPLETED);
             }
-            if (status == 200) {
-                satisfiedAt[keyed ? 1 : 0] = now;
-            } else if (keyed && now.minus(first).compareTo(stated.window) < 0) {
-                loop.schedule(pause(text), () -> {
-                    if (loop.clock().uptime().minus(first).compareTo(stated.window) < 0) {
-                        new RequestAttempt(operation, true, first).send();
+            retryAfter(DEFAULT_RETRY_DELAY, now);
+        }
+
+        private Duration end() {
+            ended = true;
+            openAttempts--;
+            timeout.cancel();
+            return loop.clock().uptime();
+        }
+
+        private boolean isFailureExcused(boolean excused) {
+            return excused || backendDown || sentInIncarnation != backendIncarnation;
+        }
+
+        private void recordSuccess(Duration now) {
+            if (keyed) {
+                lastKeyedSuccess = now;
+            } else {
+                lastUnkeyedSuccess = now;
+            }
+        }
+
+        private void retryAfter(Duration delay, Duration now) {
+            if (keyed && isInRetryWindow(now)) {
+                loop.schedule(delay, () -> {
+                    if (isInRetryWindow(loop.clock().uptime())) {
+                        new RequestAttempt(operation, true, firstSentAt).send();
                     }
                 });
             }
         }
 
-        private Duration pause(String text) {
-            int at = text == null ? -1 : text.indexOf("Srv-Wait-Ms: ");
-            return at < 0 ? SOON : Duration.ofMillis(Long.parseLong(text.substring(at + 13, text.indexOf('\r', at))));
+        private boolean isInRetryWindow(Duration now) {
+            return now.minus(firstSentAt).compareTo(settings.retryWindow) < 0;
         }
     }
+
+    private static Duration retryDelay(String response) {
+        int header = response.indexOf(RETRY_AFTER);
+        return header < 0
+                ? DEFAULT_RETRY_DELAY
+                : Duration.ofMillis(headerNumber(response, header + RETRY_AFTER.length()));
+    }
+
+    private static long headerNumber(String response, int start) {
+        return Long.parseLong(response.substring(start, response.indexOf('\r', start)));
+    }
 }
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
@@ -19,101 +19,127 @@
 import merlinlever.testing.faults.audit.RequestAudit;
 
 /**
- * The agent of one machine as the protocol page has it: runs what it is told to, each for the same time, and has the
- * effect of keyed work at some moment within. It outlives its backend; a power loss takes it too, with all runs that have
- * had no effect yet.
+ * Simulates the agent of one machine: runs the requests that its backend launches, each for the same time, and reports
+ * the effect of keyed requests to the audit part of the way through. It survives its backend; a power loss ends all
+ * runs. Use on the thread of the loop only.
  */
 public final class SimulatedAgent {
 
-    private static final int LINE = 64 * 1024;
+    private static final int MAX_LINE_BYTES = 64 * 1024;
+    private static final int WRITE_BUFFER_BYTES = 1 << 20;
+    private static final int MAX_CONNECTIONS = 64;
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** Uptime from which the agent reports itself as warm. */
+    private static final double WARM_AFTER_MS = 30_000;
+    /** The effect happens after two fifths of the run time. */
+    private static final int EFFECT_NUMERATOR = 2;
+
+    private static final int EFFECT_DENOMINATOR = 5;
 
     private static final class RunningRequest {
-        EventLoop.Timer effect, end;
-        /** What goes on once its call is answered. */
-        Runnable then;
+        private EventLoop.Timer effect;
+        private EventLoop.Timer end;
+        /** Continues the run when its downstream call is answered; null without an open call. */
+        private Runnable continuation;
     }
 
     private final EventLoop loop;
     private final String name;
-    private final RequestAudit rules;
-    private final Duration work;
-    /** Whether each run makes one call before it ends. */
-    private final boolean calls;
+    private final RequestAudit audit;
+    private final Duration runTime;
+    private final boolean callsDownstream;
 
-    private final ConnectionAcceptor listener;
+    private final ConnectionAcceptor acceptor;
     private final Map<String, RunningRequest> runs = new LinkedHashMap<>();
-    private final List<String> notices = new ArrayList<>();
-    private BackendConnection link;
-    private Duration began;
-    private boolean dark;
-
-    /** On the loop's thread, as all of it. */
+    /** Messages since the latest subscription from offset 0, for replay when it reconnects. */
+    private final List<String> sentMessages = new ArrayList<>();
+
+    private BackendConnection subscriber;
+    private Duration startedAt;
+    private boolean poweredOff;
+
+    /**
+     * Starts the agent.
+     *
+     * @param name names the agent to the audit
+     * @param runTime of every request
+     * @param callsDownstream whether each run makes one downstream call before it ends
+     */
     public SimulatedAgent(
-            EventLoop loop, String name, InetSocketAddress address, Duration work, boolean calls, RequestAudit rules)
+            EventLoop loop,
+            String name,
+            InetSocketAddress address,
+            Duration runTime,
+            boolean callsDownstream,
+            RequestAudit audit)
             throws IOException {
         this.loop = loop;
-        this.calls = calls;
+        this.callsDownstream = callsDownstream;
         this.name = name;
-        this.work = work;
-        this.rules = rules;
-        began = loop.clock().uptime();
-        listener = new ConnectionAcceptor(
+        this.runTime = runTime;
+        this.audit = audit;
+        startedAt = loop.clock().uptime();
+        acceptor = new ConnectionAcceptor(
                 loop,
                 address,
-                64,
+                MAX_CONNECTIONS,
                 channel -> {
-                    BackendConnection made = new BackendConnection();
-                    made.connection = Connection.accepted(loop, channel, made, LINE, 1 << 20);
-                    made.connection.resumeReading();
+                    BackendConnection accepted = new BackendConnection();
+                    accepted.connection =
+                            Connection.accepted(loop, channel, accepted, MAX_LINE_BYTES, WRITE_BUFFER_BYTES);
+                    accepted.connection.resumeReading();
                 },
                 () -> {});
-        listener.accept();
+        acceptor.accept();
     }
 
+    /** The address that the agent listens on. */
     public InetSocketAddress address() throws IOException {
-        return listener.address();
+        return acceptor.address();
     }
 
-    /** The machine loses its power: all runs end where they are, and nobody is told. */
+    /** Simulates a power loss: all runs end without a message. */
     public void powerOff() {
-        runs.values().forEach(SimulatedAgent::stop);
+        runs.values().forEach(SimulatedAgent::cancel);
         runs.clear();
-        notices.clear();
-        dark = true;
-        if (link != null) {
-            link.connection.close(CloseReason.COMPLETED);
+        sentMessages.clear();
+        poweredOff = true;
+        if (subscriber != null) {
+            subscriber.connection.close(CloseReason.COMPLETED);
         }
     }
 
+    /** Ends the power loss; the agent's uptime starts anew. */
     public void powerOn() {
-        dark = false;
-        began = loop.clock().uptime();
+        poweredOff = false;
+        startedAt = loop.clock().uptime();
     }
 
-    private static void stop(RunningRequest run) {
+    private static void cancel(RunningRequest run) {
         run.effect.cancel();
         run.end.cancel();
     }
 
+    /** Ends all runs and stops listening. */
     public void close() {
         powerOff();
-        listener.close();
+        acceptor.close();
     }
 
     private final class BackendConnection implements Connection.Handler {
-        private final LineDecoder lines = new LineDecoder(LINE);
+        private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
         private Connection connection;
 
         @Override
         public void onReceived(ByteBuffer in) {
-            lines.decode(in, this::command);
+            lines.decode(in, this::handleCommand);
         }
 
-        private void say(String line) {
+        private void send(String line) {
             connection.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
         }
 
-        private void command(String line) {
+        private void handleCommand(String line) {
             Map<?, ?> command;
             try {
                 command = Json.object(line);
@@ -123,57 +149,63 @@
             }
             String id = String.valueOf(command.get("req"));
             switch (String.valueOf(command.get("cmd"))) {
-                case "subscribe" -> subscribed(((Number) command.get("offset")).intValue());
-                case "sample" -> say("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":["
+                case "subscribe" -> handleSubscribe(((Number) command.get("offset")).intValue());
+                case "sample" -> send("{\"cmd\":\"sampled\",\"token\":\"" + command.get("token") + "\",\"load\":["
                         + runs.size() + "]}");
-                case "exercise" -> say(
+                case "exercise" -> send(
                         "{\"cmd\":\"exercised\",\"token\":\"" + command.get("token") + "\",\"result\":\"OK\"}");
                 case "launch" -> launch(
                         id, String.valueOf(command.get("payload")), "buy".equals(command.get("method")));
-                case "deliver" -> {
-                    RunningRequest run = runs.get(id);
-                    if (run != null && run.then != null) {
-                        Runnable then = run.then;
-                        run.then = null;
-                        then.run();
-                    }
-                }
-                case "freeze" -> {
-                    RunningRequest run = runs.remove(id);
-                    if (run != null) {
-                        stop(run);
-                        notice("\"cmd\":\"outcome\"", id, "\"result\":\"STOPPED\",\"elapsed_ms\":1");
-                    }
-                }
+                case "deliver" -> handleDeliver(id);
+                case "freeze" -> handleFreeze(id);
                 default -> {}
             }
         }
 
-        private void subscribed(int offset) {
-            if (dark) {
+        private void handleDeliver(String id) {
+            RunningRequest run = runs.get(id);
+            if (run != null && run.continuation != null) {
+                Runnable continuation = run.continuation;
+                run.continuation = null;
+                continuation.run();
+            }
+        }
+
+        private void handleFreeze(String id) {
+            RunningRequest run = runs.remove(id);
+            if (run != null) {
+                cancel(run);
+                sendMessage("outcome", id, "\"result\":\"STOPPED\",\"elapsed_ms\":1");
+            }
+        }
+
+        private void handleSubscribe(int offset) {
+            if (poweredOff) {
                 connection.close(CloseReason.COMPLETED);
                 return;
             }
-            if (link != null && link != this) {
-                link.connection.close(CloseReason.COMPLETED);
+            if (subscriber != null && subscriber != this) {
+                subscriber.connection.close(CloseReason.COMPLETED);
             }
-            link = this;
+            subscriber = this;
             if (offset == 0) {
-                // A new life of the backend; what the one before began runs on, and nobody hears of its end.
-                notices.clear();
+                // The backend restarted: what its predecessor launched runs on, but earlier messages are not replayed.
+                sentMessages.clear();
             }
-            double elapsed = loop.clock().uptime().minus(began).toNanos() / 1e6;
-            say("{\"cmd\":\"greeting\",\"result\":\"" + (elapsed < 30_000 ? "COLD" : "WARM") + "\",\"elapsed_ms\":"
-                    + elapsed + "}");
-            notices.subList(Math.min(offset, notices.size()), notices.size()).forEach(this::say);
+            double elapsedMs = loop.clock().uptime().minus(startedAt).toNanos() / NANOS_PER_MILLI;
+            send("{\"cmd\":\"greeting\",\"result\":\"" + (elapsedMs < WARM_AFTER_MS ? "COLD" : "WARM")
+                    + "\",\"elapsed_ms\":" + elapsedMs + "}");
+            sentMessages
+                    .subList(Math.min(offset, sentMessages.size()), sentMessages.size())
+                    .forEach(this::send);
         }
 
         @Override
-        public void onClosed(CloseReason how) {
-            if (link == this) {
-                link = null;
+        public void onClosed(CloseReason reason) {
+            if (subscriber == this) {
+                subscriber = null;
             }
-            listener.connectionClosed();
+            acceptor.connectionClosed();
         }
     }
 
@@ -182,39 +214,40 @@
             return;
         }
         String operation = new String(Base64.getDecoder().decode(payload), StandardCharsets.US_ASCII);
-        rules.launched(id);
+        audit.launched(id);
         RunningRequest run = new RunningRequest();
         runs.put(id, run);
-        run.effect = loop.schedule(work.multipliedBy(2).dividedBy(5), () -> {
+        run.effect = loop.schedule(runTime.multipliedBy(EFFECT_NUMERATOR).dividedBy(EFFECT_DENOMINATOR), () -> {
             if (keyed) {
-                rules.effect(operation, id, name);
+                audit.effect(operation, id, name);
             }
         });
-        Runnable ends = () -> {
+        Runnable finish = () -> {
             runs.remove(id);
             String result = "done " + operation + " by " + id;
-            rules.made(operation, result);
-            notice(
-                    "\"cmd\":\"outcome\"",
+            audit.made(operation, result);
+            sendMessage(
+                    "outcome",
                     id,
-                    "\"result\":\"OK\",\"elapsed_ms\":" + work.toMillis() + ",\"payload\":\""
+                    "\"result\":\"OK\",\"elapsed_ms\":" + runTime.toMillis() + ",\"payload\":\""
                             + Base64.getEncoder().encodeToString(result.getBytes(StandardCharsets.US_ASCII)) + "\"");
         };
-        run.end = loop.schedule(work, () -> {
-            if (calls) {
-                run.then = ends;
-                notice("\"cmd\":\"request\"", id, "\"payload\":\"AQ==\"");
+        run.end = loop.schedule(runTime, () -> {
+            if (callsDownstream) {
+                run.continuation = finish;
+                sendMessage("request", id, "\"payload\":\"AQ==\"");
             } else {
-                ends.run();
+                finish.run();
             }
         });
     }
 
-    private void notice(String word, String id, String rest) {
-        String line = "{" + word + ",\"offset\":" + (notices.size() + 1) + ",\"req\":\"" + id + "\"," + rest + "}";
-        notices.add(line);
-        if (link != null) {
-            link.say(line);
+    private void sendMessage(String type, String id, String fields) {
+        String line = "{\"cmd\":\"" + type + "\",\"offset\":" + (sentMessages.size() + 1) + ",\"req\":\"" + id + "\","
+                + fields + "}";
+        sentMessages.add(line);
+        if (subscriber != null) {
+            subscriber.send(line);
         }
     }
 }
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedRecordsService.java
@@ -6,56 +6,72 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.ConnectionAcceptor;
 import merlinlever.common.net.EventLoop;
 import merlinlever.testing.faults.audit.QuotaAudit;
 
-/** The records service as the protocol page has it, one for all backends: answers each call after the same time, and counts. */
+/**
+ * Simulates the records service that all backends share: answers each call after the same time and reports calls to the
+ * {@link QuotaAudit}. Use on the thread of the loop only.
+ */
 public final class SimulatedRecordsService {
 
-    private static final int BUFFER = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final int MAX_CONNECTIONS = 4000;
+    private static final String LINE_END = "\r\n";
+    /** Words of "UNOP id". */
+    private static final int CANCEL_WORDS = 2;
+    /** Words of "OP id, one more and the length of the body". */
+    private static final int CALL_WORDS = 4;
+
+    private static final int CALL_LENGTH_WORD = 3;
 
     private final EventLoop loop;
-    private final Duration takes;
-    private final QuotaAudit shares;
-    private final ConnectionAcceptor listener;
-    private final java.util.Set<CallConnection> lines = new java.util.LinkedHashSet<>();
+    private final Duration responseTime;
+    private final QuotaAudit audit;
+    private final ConnectionAcceptor acceptor;
+    private final Set<CallConnection> connections = new LinkedHashSet<>();
 
-    /** On the loop's thread, as all of it. */
-    public SimulatedRecordsService(EventLoop loop, InetSocketAddress address, Duration takes, QuotaAudit shares)
+    /** Starts the service, which answers each call after the given time. */
+    public SimulatedRecordsService(EventLoop loop, InetSocketAddress address, Duration responseTime, QuotaAudit audit)
             throws IOException {
         this.loop = loop;
-        this.takes = takes;
-        this.shares = shares;
-        listener = new ConnectionAcceptor(
+        this.responseTime = responseTime;
+        this.audit = audit;
+        acceptor = new ConnectionAcceptor(
                 loop,
                 address,
-                4000,
+                MAX_CONNECTIONS,
                 channel -> {
-                    CallConnection made = new CallConnection();
-                    made.connection = Connection.accepted(loop, channel, made, BUFFER, BUFFER);
-                    lines.add(made);
-                    made.connection.resumeReading();
+                    CallConnection accepted = new CallConnection();
+                    accepted.connection = Connection.accepted(loop, channel, accepted, BUFFER_BYTES, BUFFER_BYTES);
+                    connections.add(accepted);
+                    accepted.connection.resumeReading();
                 },
                 () -> {});
-        listener.accept();
+        acceptor.accept();
     }
 
+    /** The address that the service listens on. */
     public InetSocketAddress address() throws IOException {
-        return listener.address();
+        return acceptor.address();
     }
 
+    /** Stops listening; open connections stay. */
     public void close() {
-        listener.close();
+        acceptor.close();
     }
 
-    /** It is lost: nothing listens, and what was open breaks off. */
+    /** Simulates an outage: stops listening and breaks all open connections. */
     public void lose() {
-        listener.close();
-        java.util.List.copyOf(lines).forEach(line -> line.connection.close(CloseReason.HANDLER_FAILED));
+        acceptor.close();
+        List.copyOf(connections).forEach(open -> open.connection.close(CloseReason.HANDLER_FAILED));
     }
 
     private final class CallConnection implements Connection.Handler {
@@ -66,21 +82,22 @@
         public void onReceived(ByteBuffer in) {
             while (true) {
                 String text = StandardCharsets.ISO_8859_1.decode(in.duplicate()).toString();
-                int end = text.indexOf("\r\n");
+                int end = text.indexOf(LINE_END);
                 if (end < 0) {
                     return;
                 }
                 String[] words = text.substring(0, end).split(" ");
-                if (words[0].equals("UNOP") && words.length == 2) {
-                    in.position(in.position() + end + 2);
-                    over(words[1]);
-                } else if (words[0].equals("OP") && words.length == 4) {
-                    int length = Integer.parseInt(words[3]);
-                    if (text.length() < end + 2 + length + 2) {
+                if (words[0].equals("UNOP") && words.length == CANCEL_WORDS) {
+                    in.position(in.position() + end + LINE_END.length());
+                    endCall(words[1]);
+                } else if (words[0].equals("OP") && words.length == CALL_WORDS) {
+                    int length = Integer.parseInt(words[CALL_LENGTH_WORD]);
+                    int messageLength = end + LINE_END.length() + length + LINE_END.length();
+                    if (text.length() < messageLength) {
                         return;
                     }
-                    in.position(in.position() + end + 2 + length + 2);
-                    begin(words[1]);
+                    in.position(in.position() + messageLength);
+                    beginCall(words[1]);
                 } else {
                     connection.close(CloseReason.PROTOCOL_ERROR);
                     return;
@@ -88,28 +105,28 @@
             }
         }
 
-        private void begin(String id) {
-            over(id);
-            shares.began(loop.clock().uptime().toMillis(), id);
-            calls.put(id, loop.schedule(takes, () -> {
-                over(id);
+        private void beginCall(String id) {
+            endCall(id);
+            audit.began(loop.clock().uptime().toMillis(), id);
+            calls.put(id, loop.schedule(responseTime, () -> {
+                endCall(id);
                 connection.write(ByteBuffer.wrap((id + " DONE 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII)));
             }));
         }
 
-        private void over(String id) {
+        private void endCall(String id) {
             EventLoop.Timer call = calls.remove(id);
             if (call != null) {
                 call.cancel();
-                shares.ended();
+                audit.ended();
             }
         }
 
         @Override
-        public void onClosed(CloseReason how) {
-            lines.remove(this);
-            java.util.List.copyOf(calls.keySet()).forEach(this::over);
-            listener.connectionClosed();
+        public void onClosed(CloseReason reason) {
+            connections.remove(this);
+            List.copyOf(calls.keySet()).forEach(this::endCall);
+            acceptor.connectionClosed();
         }
     }
 }
--- a/src/main/java/merlinlever/testing/faults/standins/package-info.java
+++ b/src/main/java/merlinlever/testing/faults/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for the parties round a backend, in the harness's process: the agent that runs operations, and callers. */
+/** Simulated peers of a backend inside the test harness: its agent, the records service and the load generator. */
 package merlinlever.testing.faults.standins;
