--- a/src/main/java/merlinlever/backend/agent/AgentCommands.java
+++ b/src/main/java/merlinlever/backend/agent/AgentCommands.java
@@ -15,12 +15,12 @@
     }
 
     /** Polls the metrics; the answer carries the token. */
-    static String sample(String token) {
+    static String pollMetrics(String token) {
         return "{\"cmd\":\"sample\",\"token\":\"" + token + "\"}\n";
     }
 
     /** Requests the work of a deep health check; the answer carries the token. */
-    static String exercise(String token) {
+    static String deepHealthCheck(String token) {
         return "{\"cmd\":\"exercise\",\"token\":\"" + token + "\"}\n";
     }
 
@@ -31,17 +31,17 @@
     }
 
     /** Stops the run. */
-    static String freeze(TrackedRequest request) {
+    static String stopRun(TrackedRequest request) {
         return forRequest("freeze", request, "");
     }
 
     /** Delivers the reply of the run's downstream call. */
-    static String deliver(TrackedRequest request, byte[] reply) {
+    static String deliverReply(TrackedRequest request, byte[] reply) {
         return forRequest("deliver", request, payload(reply));
     }
 
     /** Lets the run continue without its downstream call. */
-    static String forgo(TrackedRequest request) {
+    static String continueWithoutCall(TrackedRequest request) {
         return forRequest("forgo", request, "");
     }
 
--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -303,8 +303,8 @@
         backend.agentLinkRestored(loop.clock().now());
         String token = nextToken("up");
         samples.expectCatchUp(token, loop.clock().now());
-        active.send(AgentCommands.sample(token));
-        deepCheck.openToken().ifPresent(open -> active.send(AgentCommands.exercise(open)));
+        active.send(AgentCommands.pollMetrics(token));
+        deepCheck.openToken().ifPresent(open -> active.send(AgentCommands.deepHealthCheck(open)));
     }
 
     private String nextToken(String prefix) {
@@ -321,34 +321,34 @@
     }
 
     /** Stops the run of a request. */
-    public void freeze(TrackedRequest request) {
+    public void stopRun(TrackedRequest request) {
         if (active != null) {
-            active.send(AgentCommands.freeze(request));
+            active.send(AgentCommands.stopRun(request));
         }
     }
 
     /** Delivers the reply of a run's downstream call. */
-    public void deliver(TrackedRequest request, byte[] reply) {
+    public void deliverReply(TrackedRequest request, byte[] reply) {
         if (active != null) {
-            active.send(AgentCommands.deliver(request, reply));
+            active.send(AgentCommands.deliverReply(request, reply));
         }
     }
 
     /** Lets a run continue without its downstream call. */
-    public void forgo(TrackedRequest request) {
+    public void continueWithoutCall(TrackedRequest request) {
         if (active != null) {
-            active.send(AgentCommands.forgo(request));
+            active.send(AgentCommands.continueWithoutCall(request));
         }
     }
 
     /** Polls the agent's metrics unless a poll is in flight or there is no connection; returns whether it did. */
-    public boolean sample() {
+    public boolean pollMetrics() {
         if (active == null || samples.isGaugesPending()) {
             return false;
         }
         String token = nextToken("s");
         samples.expectGauges(token, loop.clock().now());
-        active.send(AgentCommands.sample(token));
+        active.send(AgentCommands.pollMetrics(token));
         return true;
     }
 
@@ -356,11 +356,11 @@
      * Asks for the work of a deep health check, one at a time; {@link Backend#deepCheckCompleted} gets the verdict.
      * Without a connection it is asked for once there is one, within the time limit.
      */
-    public void requestHealthExercise() {
+    public void startDeepCheck() {
         String token = nextToken("x");
         deepCheck.open(token);
         if (active != null) {
-            active.send(AgentCommands.exercise(token));
+            active.send(AgentCommands.deepHealthCheck(token));
         }
     }
 }
--- a/src/main/java/merlinlever/cli/BackendAssembly.java
+++ b/src/main/java/merlinlever/cli/BackendAssembly.java
@@ -75,27 +75,27 @@
 
     @Override
     public void stop(TrackedRequest request) {
-        agent.freeze(request);
+        agent.stopRun(request);
     }
 
     @Override
     public void deliverReply(TrackedRequest request, byte[] reply) {
-        agent.deliver(request, reply);
+        agent.deliverReply(request, reply);
     }
 
     @Override
     public void continueWithoutCall(TrackedRequest request) {
-        agent.forgo(request);
+        agent.continueWithoutCall(request);
     }
 
     @Override
     public boolean pollMetrics() {
-        return agent.sample();
+        return agent.pollMetrics();
     }
 
     @Override
     public void startDeepCheck() {
-        agent.requestHealthExercise();
+        agent.startDeepCheck();
     }
 
     @Override
--- a/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
@@ -34,15 +34,15 @@
             backend.loop.awaitCondition(backend.backend::isHealthy, "the greeting");
             while (!lines.containsKey("sample")) {
                 backend.loop.advance(100);
-                backend.loop.runOnLoop(() -> backend.link.sample());
+                backend.loop.runOnLoop(() -> backend.link.pollMetrics());
                 add(lines, in);
             }
             backend.loop.runOnLoop(() -> {
-                backend.link.requestHealthExercise();
+                backend.link.startDeepCheck();
                 backend.link.launch(TestRequests.tracked(1));
-                backend.link.freeze(TestRequests.tracked(2));
-                backend.link.deliver(TestRequests.tracked(3), new byte[] {1, 2});
-                backend.link.forgo(TestRequests.tracked(4));
+                backend.link.stopRun(TestRequests.tracked(2));
+                backend.link.deliverReply(TestRequests.tracked(3), new byte[] {1, 2});
+                backend.link.continueWithoutCall(TestRequests.tracked(4));
             });
             while (!lines.containsKey("forgo")) {
                 add(lines, in);
--- a/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
@@ -327,27 +327,27 @@
 
     @Override
     public void stop(TrackedRequest work) {
-        link.freeze(work);
+        link.stopRun(work);
     }
 
     @Override
     public void deliverReply(TrackedRequest work, byte[] reply) {
-        link.deliver(work, reply);
+        link.deliverReply(work, reply);
     }
 
     @Override
     public void continueWithoutCall(TrackedRequest work) {
-        link.forgo(work);
+        link.continueWithoutCall(work);
     }
 
     @Override
     public boolean pollMetrics() {
-        return link.sample();
+        return link.pollMetrics();
     }
 
     @Override
     public void startDeepCheck() {
-        link.requestHealthExercise();
+        link.startDeepCheck();
     }
 
     @Override
