--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -101,7 +101,7 @@
                 new SplittableRandom(seed),
                 this,
                 log);
-        coordinator.restrictTo(view.fleetView());
+        coordinator.setFleetView(view.fleetView());
         return coordinator;
     }
 
--- a/src/main/java/merlinlever/fleet/membership/MemberTable.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberTable.java
@@ -42,7 +42,7 @@
     }
 
     /** The record of this member itself. */
-    public MemberRecord own() {
+    public MemberRecord ownRecord() {
         return records.get(self);
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** A copy of all records, in the order of the names. */
-    public List<MemberRecord> all() {
+    public List<MemberRecord> records() {
         return new ArrayList<>(records.values());
     }
 
@@ -86,7 +86,7 @@
      * Two processes that happen to have the same incarnation must not pass for one, so another address is refuted too.
      */
     private Optional<MemberRecord> refute(MemberRecord update) {
-        MemberRecord own = own();
+        MemberRecord own = ownRecord();
         boolean isElsewhere = update.status() == MemberStatus.ALIVE
                 && !update.gossipAddress().equals(own.gossipAddress())
                 && update.incarnation() >= own.incarnation();
@@ -134,7 +134,7 @@
     /** This member leaves in good order; returns the record to be gossiped. */
     public MemberRecord markSelfLeft() {
         hasLeft = true;
-        MemberRecord own = own();
+        MemberRecord own = ownRecord();
         MemberRecord departed =
                 new MemberRecord(self, own.gossipAddress(), own.apiAddress(), MemberStatus.LEFT, own.incarnation());
         records.put(self, departed);
--- a/src/main/java/merlinlever/fleet/membership/ProbeSchedule.java
+++ b/src/main/java/merlinlever/fleet/membership/ProbeSchedule.java
@@ -37,7 +37,7 @@
     /** The peers that are alive or only suspected, in a random order. */
     List<MemberRecord> shuffledLivePeers() {
         List<MemberRecord> peers = new ArrayList<>();
-        for (MemberRecord member : memberTable.all()) {
+        for (MemberRecord member : memberTable.records()) {
             if (!member.name().equals(memberTable.self()) && member.isLive()) {
                 peers.add(member);
             }
--- a/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
@@ -82,7 +82,7 @@
         probeSchedule = new ProbeSchedule(memberTable, random);
         nextPeriodAt = now;
         lastCorrelationId = random.nextLong() >>> 16;
-        announce(now, memberTable.own());
+        announce(now, memberTable.ownRecord());
     }
 
     /** What this member believes of all. */
@@ -187,7 +187,7 @@
     private void enqueue(String address, MessageKind kind, long correlationId, String text) {
         List<MemberRecord> records =
                 switch (kind) {
-                    case SYNC, SYNC_REPLY, RECOVERY_REPLY -> memberTable.all();
+                    case SYNC, SYNC_REPLY, RECOVERY_REPLY -> memberTable.records();
                     case PING, ACK, PING_REQUEST, NACK, RECOVERY_QUERY, TEXT, PAYLOAD -> gossipQueue.nextBatch();
                 };
         MembershipMessage message = new MembershipMessage(kind, memberTable.self(), correlationId, text, records);
@@ -354,7 +354,7 @@
     }
 
     private void removeLongGoneMembers(Duration now) {
-        for (MemberRecord member : memberTable.all()) {
+        for (MemberRecord member : memberTable.records()) {
             if (!member.isLive()
                     && !isSelf(member)
                     && timeSinceChange(now, member.name()).compareTo(DEAD_MEMBER_RETENTION) > 0) {
@@ -367,7 +367,7 @@
     /** Exchanges all records with one peer, or with all seeds where no peer is known. */
     private void sendSync() {
         List<String> addresses = new ArrayList<>();
-        for (MemberRecord member : memberTable.all()) {
+        for (MemberRecord member : memberTable.records()) {
             // The dead too: it may be this side that was cut off.
             if (!isSelf(member) && member.status() != MemberStatus.LEFT) {
                 addresses.add(member.gossipAddress());
@@ -377,7 +377,7 @@
             sendNewRequest(addresses.get(random.nextInt(addresses.size())), MessageKind.SYNC);
             return;
         }
-        String ownAddress = memberTable.own().gossipAddress();
+        String ownAddress = memberTable.ownRecord().gossipAddress();
         for (String seed : settings.seeds()) {
             if (!seed.equals(ownAddress)) {
                 sendNewRequest(seed, MessageKind.SYNC);
--- a/src/main/java/merlinlever/fleet/membership/net/MembershipTransport.java
+++ b/src/main/java/merlinlever/fleet/membership/net/MembershipTransport.java
@@ -68,7 +68,7 @@
     public void flush() {
         List<OutboundDatagram> outbound = protocol.tick(loop.clock().uptime());
         MemberTable memberTable = protocol.memberTable();
-        if (!mayAnnounce.test(memberTable.own().incarnation())) {
+        if (!mayAnnounce.test(memberTable.ownRecord().incarnation())) {
             // Lost, as any datagram may be.
             return;
         }
--- a/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -101,7 +101,7 @@
     }
 
     /** From here on it grants only while the view of the fleet permits it. */
-    public void restrictTo(FleetView view) {
+    public void setFleetView(FleetView view) {
         fleetView = Optional.of(view);
     }
 
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -165,7 +165,7 @@
     }
 
     private MemberRecord self() {
-        return members.memberTable().own();
+        return members.memberTable().ownRecord();
     }
 
     // ---- the exchange with peers
@@ -223,7 +223,7 @@
     }
 
     private void observeMembership(Duration now) {
-        for (MemberRecord member : members.memberTable().all()) {
+        for (MemberRecord member : members.memberTable().records()) {
             if (!member.name().equals(members.memberTable().self())) {
                 sequence.peerStatusChanged(now, member.name(), member.status() == MemberStatus.ALIVE);
             }
@@ -245,7 +245,7 @@
 
     private DurableReservations.Snapshot snapshot() {
         List<String> peerAddresses = new ArrayList<>();
-        for (MemberRecord member : members.memberTable().all()) {
+        for (MemberRecord member : members.memberTable().records()) {
             if (!member.name().equals(members.memberTable().self()) && member.status() != MemberStatus.LEFT) {
                 peerAddresses.add(member.gossipAddress());
             }
--- a/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
@@ -79,7 +79,7 @@
         store = new ReplicatedStore(
                 now,
                 self,
-                recovery.membership().memberTable().own().incarnation(),
+                recovery.membership().memberTable().ownRecord().incarnation(),
                 readEntries(directory),
                 settings,
                 this::livePeers,
@@ -119,7 +119,7 @@
 
     private List<String> livePeers() {
         List<String> peers = new ArrayList<>();
-        for (MemberRecord member : recovery.membership().memberTable().all()) {
+        for (MemberRecord member : recovery.membership().memberTable().records()) {
             boolean live = member.isLive();
             if (live && !member.name().equals(self)) {
                 peers.add(member.name());
--- a/src/main/java/merlinlever/host/run/PeerAgents.java
+++ b/src/main/java/merlinlever/host/run/PeerAgents.java
@@ -75,7 +75,7 @@
 
     private List<MemberRecord> otherMembers() {
         String self = membership.memberTable().self();
-        return membership.memberTable().all().stream()
+        return membership.memberTable().records().stream()
                 .filter(member -> !member.name().equals(self))
                 .toList();
     }
--- a/src/main/java/merlinlever/testing/faults/timeline/MembershipNode.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/MembershipNode.java
@@ -105,7 +105,7 @@
     @Override
     public Map<String, String> believes(Duration now) {
         Map<String, String> all = new LinkedHashMap<>();
-        for (MemberRecord rumour : members.memberTable().all()) {
+        for (MemberRecord rumour : members.memberTable().records()) {
             if (!rumour.name().equals(members.memberTable().self())) {
                 all.put(rumour.name(), told(rumour));
             } else if (rumour.incarnation() > 0) {
--- a/src/test/java/merlinlever/fleet/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/fleet/membership/MemberTableModelTest.java
@@ -66,7 +66,7 @@
 
         void sendAllRecords() {
             for (MemberTable table : tables) {
-                for (MemberRecord member : table.all()) {
+                for (MemberRecord member : table.records()) {
                     sentRecords |= 1L << indexOf(member);
                 }
             }
@@ -167,7 +167,7 @@
             for (int sender = 0; sender < 3; sender++) {
                 for (int receiver = 0; receiver < 3; receiver++) {
                     if (sender != receiver && state.isLive(sender) && state.isLive(receiver)) {
-                        for (MemberRecord member : state.tables[sender].all()) {
+                        for (MemberRecord member : state.tables[sender].records()) {
                             changed |= state.tables[receiver].merge(member).isPresent();
                         }
                     }
--- a/src/test/java/merlinlever/fleet/membership/MembershipCodecTest.java
+++ b/src/test/java/merlinlever/fleet/membership/MembershipCodecTest.java
@@ -115,7 +115,7 @@
                         "n2",
                         0,
                         "",
-                        receiver.memberTable().all()));
+                        receiver.memberTable().records()));
         byte[] payload = new byte[SwimProtocol.MAX_PAYLOAD_BYTES];
         payload[payload.length - 1] = 7;
         sender.send(new PeerMessage.Payload("n2", payload));
--- a/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
@@ -85,7 +85,7 @@
         AtomicReference<QuorumStatus> status = new AtomicReference<>(QuorumStatus.MINORITY);
         FleetView view = new FixedFleetView(now -> status.get());
         for (int i = 0; i < 3; i++) {
-            model.nodes[i].restrictTo(view);
+            model.nodes[i].setFleetView(view);
             model.wanted[i][0] = 50;
         }
         boolean hadLeader = false;
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -205,7 +205,7 @@
 
     private static String addressOf(RecoveryCoordinator coordinator) {
         MemberTable members = coordinator.membership().memberTable();
-        return members.own().gossipAddress();
+        return members.ownRecord().gossipAddress();
     }
 
     private static boolean knows(RecoveryCoordinator coordinator, String name) {
