--- a/src/main/java/merlinlever/cli/FleetAssembly.java
+++ b/src/main/java/merlinlever/cli/FleetAssembly.java
@@ -111,7 +111,7 @@
 
     /** Whether the view permits that requests with an idempotency key, and those that are not idempotent, are started. */
     boolean mayStartKeyedRequests() {
-        return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_KEYED_REQUEST)
+        return view.fleetView().permission(loop.clock().uptime(), GuardedAction.START_NON_IDEMPOTENT_REQUEST)
                 == ActionPermissions.Permission.ALLOWED;
     }
 
--- a/src/main/java/merlinlever/cli/RecoveryAssembly.java
+++ b/src/main/java/merlinlever/cli/RecoveryAssembly.java
@@ -201,7 +201,7 @@
     }
 
     @Override
-    public boolean isAtFullSpeed() {
+    public boolean isWarmedUp() {
         return backend.metrics().filter(metrics -> metrics.speedFraction() >= 1).isPresent();
     }
 
--- a/src/main/java/merlinlever/fleet/recovery/RecoverySequence.java
+++ b/src/main/java/merlinlever/fleet/recovery/RecoverySequence.java
@@ -96,7 +96,7 @@
     }
 
     /** The service is at its full speed. */
-    public void fullSpeedReached(Duration now) {
+    public void serviceWarmedUp(Duration now) {
         if (stage == RecoveryStage.RECONCILED && nonIdempotentAdmittedFrom(now).compareTo(now) <= 0) {
             enter(now, RecoveryStage.WARM, "reason=\"at full speed, all requests admitted\"");
         }
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveringService.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveringService.java
@@ -19,7 +19,7 @@
         }
 
         @Override
-        public boolean isAtFullSpeed() {
+        public boolean isWarmedUp() {
             return true;
         }
     };
@@ -39,5 +39,5 @@
     double learnedCapacity();
 
     /** Whether the service has warmed up. */
-    boolean isAtFullSpeed();
+    boolean isWarmedUp();
 }
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -209,8 +209,8 @@
         for (PeerQuery query : sequence.dueQueries(now)) {
             members.sendRecoveryQuery(query.peer(), query.correlationId());
         }
-        if (service.isAtFullSpeed()) {
-            sequence.fullSpeedReached(now);
+        if (service.isWarmedUp()) {
+            sequence.serviceWarmedUp(now);
         }
         for (RecoveryEvent event : sequence.takeEvents()) {
             lastEventAt = event.at();
--- a/src/main/java/merlinlever/fleet/view/ActionPermissions.java
+++ b/src/main/java/merlinlever/fleet/view/ActionPermissions.java
@@ -46,7 +46,7 @@
                     Permission.DENIED),
             // The backend's own idempotency marks on disk guard these; the peers know nothing of what it ran
             // (docs/fleet/recovery.md).
-            GuardedAction.START_KEYED_REQUEST,
+            GuardedAction.START_NON_IDEMPOTENT_REQUEST,
             row(
                     Permission.ALLOWED,
                     Permission.ALLOWED,
--- a/src/main/java/merlinlever/fleet/view/GuardedAction.java
+++ b/src/main/java/merlinlever/fleet/view/GuardedAction.java
@@ -13,5 +13,5 @@
     /** Go on with what was adopted: send a call along a route, assign requests to an experiment's arms. */
     USE_ADOPTED,
     /** Start a request that is non-idempotent, or idempotent only by its key. */
-    START_KEYED_REQUEST
+    START_NON_IDEMPOTENT_REQUEST
 }
--- a/src/test/java/merlinlever/fleet/recovery/RecoverySequenceTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/RecoverySequenceTest.java
@@ -142,7 +142,7 @@
         RecoverySequence sequence = startAfterNoon(60_000);
         Peers.inTime(NOON + 60_000, "b-3").answer(sequence, 0, 1500);
         assertTrue(sequence.nonIdempotentAdmittedFrom(ms(1500)).isNegative());
-        sequence.fullSpeedReached(ms(1500));
+        sequence.serviceWarmedUp(ms(1500));
         assertEquals(RecoveryStage.WARM, sequence.stage());
     }
 
@@ -154,7 +154,7 @@
                 ms(3000 + 4000 - 4000 + 100),
                 sequence.nonIdempotentAdmittedFrom(ms(1500)),
                 "a reservation that reached 3 s ahead, and the window");
-        sequence.fullSpeedReached(ms(1500));
+        sequence.serviceWarmedUp(ms(1500));
         assertEquals(RecoveryStage.RECONCILED, sequence.stage(), "not warm while non-idempotent requests wait");
     }
 
--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public boolean isAtFullSpeed() {
+        public boolean isWarmedUp() {
             return true;
         }
     };
