--- a/src/main/java/merlinlever/backend/BackendSettings.java
+++ b/src/main/java/merlinlever/backend/BackendSettings.java
@@ -67,7 +67,7 @@
     /** Whether requests of the class that read the same subject may share a result. */
     boolean sharesReads(int priorityClass) {
         // Only what is idempotent is a read; a subject that comes with anything else stands for no result to share.
-        boolean freshReadsShared = !settings.callers().freshFor().isZero();
+        boolean freshReadsShared = !settings.callers().maxOutcomeAge().isZero();
         return freshReadsShared && settings.priorityClasses().get(priorityClass).isIdempotent();
     }
 }
--- a/src/main/java/merlinlever/cli/ServeCommand.java
+++ b/src/main/java/merlinlever/cli/ServeCommand.java
@@ -79,7 +79,7 @@
         } catch (IllegalArgumentException | ArithmeticException e) {
             throw new InvalidConfigurationException("cannot be served: " + e, e);
         }
-        directoryFollowsReports = settings.deployment().listFollowsHealth();
+        directoryFollowsReports = settings.deployment().endpointListFollowsHealth();
         reloader = new ConfigurationReloader(environment, loop, log, this::apply);
         shutdown = new GracefulShutdown(
                 loop,
--- a/src/main/java/merlinlever/controller/Decisions.java
+++ b/src/main/java/merlinlever/controller/Decisions.java
@@ -10,19 +10,22 @@
 /**
  * What one {@link merlinlever.policy.OverloadController#decide} decided.
  *
- * @param inOrder the decisions in the order in which they are to be carried out
+ * @param inExecutionOrder the decisions in the order in which they are to be carried out
  * @param nextDecisionAt when to decide again, unless something happens before; since the start of the server
  */
-public record Decisions(List<Decision> inOrder, Duration nextDecisionAt) {
+public record Decisions(List<Decision> inExecutionOrder, Duration nextDecisionAt) {
 
     /** Copies the list. */
     public Decisions {
-        inOrder = List.copyOf(inOrder);
+        inExecutionOrder = List.copyOf(inExecutionOrder);
     }
 
     /** The decisions of one kind, in their order. */
     public <D extends Decision> List<D> of(Class<D> kind) {
-        return inOrder.stream().filter(kind::isInstance).map(kind::cast).toList();
+        return inExecutionOrder.stream()
+                .filter(kind::isInstance)
+                .map(kind::cast)
+                .toList();
     }
 
     /**
@@ -62,9 +65,9 @@
 
         /** All decisions in the order in which they are to be carried out. */
         public Decisions build(Duration nextDecisionAt) {
-            List<Decision> inOrder = new ArrayList<>();
-            KINDS_IN_ORDER.forEach(kind -> inOrder.addAll(byKind.getOrDefault(kind, List.of())));
-            return new Decisions(inOrder, nextDecisionAt);
+            List<Decision> inExecutionOrder = new ArrayList<>();
+            KINDS_IN_ORDER.forEach(kind -> inExecutionOrder.addAll(byKind.getOrDefault(kind, List.of())));
+            return new Decisions(inExecutionOrder, nextDecisionAt);
         }
     }
 }
--- a/src/main/java/merlinlever/controller/settings/ControllerSettings.java
+++ b/src/main/java/merlinlever/controller/settings/ControllerSettings.java
@@ -65,7 +65,7 @@
         private double callers = NumberSetting.CALLERS.defaultValue();
         private Duration idleTimeout = millis(NumberSetting.IDLE_TIMEOUT);
         private Duration maxRetryAfter = Duration.ZERO;
-        private Duration freshFor = millis(NumberSetting.FRESH_FOR);
+        private Duration maxOutcomeAge = millis(NumberSetting.FRESH_FOR);
         private double shareOfCalls = NumberSetting.SHARE_OF_CALLS.defaultValue();
         private Duration callAveragingTime = millis(NumberSetting.CALL_AVERAGING_TIME);
         private Duration callLingerTime = millis(NumberSetting.CALL_LINGER_TIME);
@@ -91,7 +91,7 @@
             callers = settings.callers.callers();
             idleTimeout = settings.callers.idleTimeout();
             maxRetryAfter = settings.callers.maxRetryAfter();
-            freshFor = settings.callers.freshFor();
+            maxOutcomeAge = settings.callers.maxOutcomeAge();
             shareOfCalls = settings.downstream.shareOfCalls();
             callAveragingTime = settings.downstream.averagingTime();
             callLingerTime = settings.downstream.lingerTime();
@@ -212,8 +212,8 @@
         }
 
         /** For how long an outcome of an idempotent request may answer others of the same subject. */
-        public Builder freshFor(Duration value) {
-            freshFor = value;
+        public Builder maxOutcomeAge(Duration value) {
+            maxOutcomeAge = value;
             return this;
         }
 
@@ -247,7 +247,7 @@
                     new ServerSettings(cores, memoryKb, runMemoryFactor, memoryPerKeyKb, gauges),
                     new WarmUpSettings(cold, coldSpeed, warmUpTime),
                     new SafetySettings(overloadFactor, drainGrace, maxReadDelay),
-                    new CallerSettings(callers, idleTimeout, maxRetryAfter, freshFor),
+                    new CallerSettings(callers, idleTimeout, maxRetryAfter, maxOutcomeAge),
                     new DownstreamSettings(shareOfCalls, callAveragingTime, callLingerTime, fleetSize),
                     deployment,
                     shadowDeployment,
--- a/src/main/java/merlinlever/controller/settings/DeploymentProfile.java
+++ b/src/main/java/merlinlever/controller/settings/DeploymentProfile.java
@@ -8,11 +8,14 @@
  *
  * @param downstream what lies downstream
  * @param runStopping how running work can be stopped
- * @param listFollowsHealth whether the endpoint list drops a server that reports to be unhealthy
+ * @param endpointListFollowsHealth whether the endpoint list drops a server that reports to be unhealthy
  * @param signal what callers are sent for them to hold back
  */
 public record DeploymentProfile(
-        DownstreamKind downstream, RunStopping runStopping, boolean listFollowsHealth, BackpressureSignal signal) {
+        DownstreamKind downstream,
+        RunStopping runStopping,
+        boolean endpointListFollowsHealth,
+        BackpressureSignal signal) {
 
     /** A deployment without any of these capabilities, and without anything downstream. */
     public static final DeploymentProfile MINIMAL =
@@ -27,7 +30,7 @@
         if (runStopping != other.runStopping) {
             differing.add(DeploymentSetting.RUN_STOPPING);
         }
-        if (listFollowsHealth != other.listFollowsHealth) {
+        if (endpointListFollowsHealth != other.endpointListFollowsHealth) {
             differing.add(DeploymentSetting.READINESS);
         }
         if (signal != other.signal) {
--- a/src/main/java/merlinlever/controller/settings/SettingsParser.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsParser.java
@@ -66,7 +66,7 @@
     private void parseCallers(ControllerSettings.Builder settings) {
         settings.callers(number(NumberSetting.CALLERS))
                 .idleTimeout(roundedDuration(NumberSetting.IDLE_TIMEOUT))
-                .freshFor(duration(NumberSetting.FRESH_FOR));
+                .maxOutcomeAge(duration(NumberSetting.FRESH_FOR));
         if (raw.flag(SettingPaths.RETRY_AFTER)) {
             settings.maxRetryAfter(duration(NumberSetting.MAX_RETRY_AFTER));
         }
@@ -115,7 +115,7 @@
         return new DeploymentProfile(
                 word(prefix, DeploymentSetting.DOWNSTREAM, DownstreamKind.values(), defaults.downstream()),
                 runStopping(prefix, defaults.runStopping()),
-                readiness == null ? defaults.listFollowsHealth() : Boolean.parseBoolean(readiness),
+                readiness == null ? defaults.endpointListFollowsHealth() : Boolean.parseBoolean(readiness),
                 word(prefix, DeploymentSetting.SIGNAL, BackpressureSignal.values(), defaults.signal()));
     }
 
--- a/src/main/java/merlinlever/driver/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -96,7 +96,7 @@
     public void decide(Duration now) {
         Decisions decisions = controller.decide(now);
         shadowMode.ifPresent(counter -> counter.count(decisions));
-        decisions.inOrder().forEach(dispatcher::dispatch);
+        decisions.inExecutionOrder().forEach(dispatcher::dispatch);
         Duration nextDecisionAt = decisions.nextDecisionAt();
         if (nextWakeUp == null || nextDecisionAt.compareTo(nextWakeUp) < 0) {
             nextWakeUp = nextDecisionAt;
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -10,18 +10,18 @@
 /** Decides which requests are retained for duplicates, for how long, and what becomes of a duplicate. */
 final class DuplicateRequests {
     private final ServerState server;
-    private final Duration freshFor;
+    private final Duration maxOutcomeAge;
     private final Duration maxReadDelay;
 
     DuplicateRequests(ServerState server, ControllerSettings settings) {
         this.server = server;
-        freshFor = settings.callers().freshFor();
+        maxOutcomeAge = settings.callers().maxOutcomeAge();
         maxReadDelay = settings.safety().maxReadDelay();
     }
 
     /** Whether a read of this class may be answered with the outcome of another. */
     boolean canShare(PriorityClass priorityClass) {
-        return priorityClass.isIdempotent() && !freshFor.isZero();
+        return priorityClass.isIdempotent() && !maxOutcomeAge.isZero();
     }
 
     /**
@@ -142,11 +142,11 @@
         if (request.priorityClass().isIdempotentByKey()) {
             server.retained().retain(request, now, request.priorityClass().idempotencyWindow());
         } else if (request.isShareable()) {
-            server.retained().retain(request, now, request.deadline().minus(now).plus(freshFor));
+            server.retained().retain(request, now, request.deadline().minus(now).plus(maxOutcomeAge));
         }
     }
 
     void retainWhileFresh(Request request, Duration now) {
-        server.retained().retain(request, now, freshFor);
+        server.retained().retain(request, now, maxOutcomeAge);
     }
 }
--- a/src/main/java/merlinlever/testing/measurement/DecisionBenchmark.java
+++ b/src/main/java/merlinlever/testing/measurement/DecisionBenchmark.java
@@ -164,8 +164,8 @@
         private void decide(Duration now) {
             Decisions decided = controller.decide(now);
             batches++;
-            decisions += decided.inOrder().size();
-            for (Decision decision : decided.inOrder()) {
+            decisions += decided.inExecutionOrder().size();
+            for (Decision decision : decided.inExecutionOrder()) {
                 checksum = CHECKSUM_FACTOR * checksum
                         + decision.getClass().getSimpleName().hashCode();
                 if (decision instanceof Decision.Reject) {
--- a/src/test/java/merlinlever/backend/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/backend/CompletionRaceTest.java
@@ -256,7 +256,8 @@
     /** A read that others share continues when its own caller disconnects; without others it is stopped. */
     @Test
     void sharedReadContinuesWithoutItsCaller() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1)));
+        BatchedBackendFixture fixture =
+                new BatchedBackendFixture(settings -> settings.maxOutcomeAge(Duration.ofSeconds(1)));
         String first = fixture.receive("look", null, "s", "", fixture.now());
         fixture.decide();
         String other = fixture.receive("look", null, "s", "", fixture.now());
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -289,7 +289,8 @@
     /** A subject that comes with a write stands for no result to share: each request is run and answered by itself. */
     @Test
     void writesOfOneSubjectDoNotShareResults() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1))
+        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.maxOutcomeAge(
+                        Duration.ofSeconds(1))
                 .changePriorityClass(BackendFixture.BUY, buy -> buy.semantics(RequestSemantics.NON_IDEMPOTENT)));
         String one = fixture.receive("buy", null, "s", "a", fixture.now());
         String two = fixture.receive("buy", null, "s", "b", fixture.now());
--- a/src/test/java/merlinlever/backend/DuplicateRequestTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestTest.java
@@ -102,7 +102,7 @@
 
     @Test
     void readsOfASubjectShareAFreshResultWhereThatIsAllowed() {
-        BackendFixture fixture = new BackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1)));
+        BackendFixture fixture = new BackendFixture(settings -> settings.maxOutcomeAge(Duration.ofSeconds(1)));
         for (int round = 0; round < 2; round++) {
             List<String> responses = new ArrayList<>();
             long firstId = fixture.lastId + 1;
--- a/src/test/java/merlinlever/controller/DecisionsTest.java
+++ b/src/test/java/merlinlever/controller/DecisionsTest.java
@@ -18,7 +18,7 @@
         for (int i = declared.size() - 1; i >= 0; i--) {
             builder.add(anyOf(declared.get(i)));
         }
-        List<? extends Class<?>> decided = builder.build(Duration.ZERO).inOrder().stream()
+        List<? extends Class<?>> decided = builder.build(Duration.ZERO).inExecutionOrder().stream()
                 .map(Decision::getClass)
                 .toList();
         assertEquals(declared, decided);
--- a/src/test/java/merlinlever/controller/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesTest.java
@@ -230,7 +230,7 @@
 
     @Test
     void readsShareAFreshOutcomeAndAFailedOneIsNotShared() {
-        fixture.with(settings -> settings.freshFor(Duration.ofSeconds(1)));
+        fixture.with(settings -> settings.maxOutcomeAge(Duration.ofSeconds(1)));
         RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
         fixture.decide();
         RequestHandle second = fixture.submit(ControllerFixture.LOOKUP, 0, 10, first);
--- a/src/test/java/merlinlever/controller/settings/SettingsParserPropertyTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsParserPropertyTest.java
@@ -162,7 +162,7 @@
                 (long) reference.number("server.idle", 30_000),
                 callers.idleTimeout().toMillis());
         assertEquals(reference.number("server.callers", 1), callers.callers());
-        assertEquals(reference.duration("server.fresh-for", 0), callers.freshFor());
+        assertEquals(reference.duration("server.fresh-for", 0), callers.maxOutcomeAge());
         DownstreamSettings downstream = settings.downstream();
         assertEquals(reference.number("server.share-of-calls", 1), downstream.shareOfCalls());
         assertEquals(reference.number("server.linger", 0), Durations.toMillis(downstream.lingerTime()));
@@ -178,7 +178,7 @@
         assertEquals(
                 reference.text("server.say", "none"),
                 RawSettings.canonicalValue(profile.signal().wireName()));
-        assertEquals(Boolean.parseBoolean(reference.text("server.readiness", "")), profile.listFollowsHealth());
+        assertEquals(Boolean.parseBoolean(reference.text("server.readiness", "")), profile.endpointListFollowsHealth());
         boolean isWatched = reference.values.keySet().stream().anyMatch(name -> name.startsWith("watch."));
         assertEquals(isWatched, settings.shadowDeployment().isPresent());
         Map<String, String> defaults = Map.of("halt", "none", "say", "none", "readiness", "false", "below", "none");
