--- a/src/main/java/merlinlever/backend/agent/AgentCommands.java
+++ b/src/main/java/merlinlever/backend/agent/AgentCommands.java
@@ -4,43 +4,43 @@
 import merlinlever.backend.TrackedRequest;
 import merlinlever.common.json.Json;
 
-/** Encodes the commands to the agent: one JSON object a line, with its line end. */
+/** Encodes commands to the agent, each as a JSON object followed by a line end. */
 final class AgentCommands {
 
     private AgentCommands() {}
 
-    /** Subscribes to all events after the offset. */
+    /** Encodes a subscription to all events after the offset. */
     static String subscribe(long lastOffset) {
         return "{\"cmd\":\"subscribe\",\"offset\":" + lastOffset + "}\n";
     }
 
-    /** Polls the metrics; the answer carries the token. */
+    /** Encodes a metrics poll; the answer carries the token. */
     static String pollMetrics(String token) {
         return "{\"cmd\":\"sample\",\"token\":\"" + token + "\"}\n";
     }
 
-    /** Requests the work of a deep health check; the answer carries the token. */
+    /** Encodes the start of a deep health check; the answer carries the token. */
     static String deepHealthCheck(String token) {
         return "{\"cmd\":\"exercise\",\"token\":\"" + token + "\"}\n";
     }
 
-    /** Starts the run of a request; the agent ignores it where the run has been started already. */
+    /** Encodes the start of a request's run; the agent ignores the command if the run has already been started. */
     static String launch(TrackedRequest request) {
         return forRequest(
                 "launch", request, ",\"method\":" + Json.quoted(request.priorityClassName()) + payload(request.body()));
     }
 
-    /** Stops the run. */
+    /** Encodes the command that stops the request's run. */
     static String stopRun(TrackedRequest request) {
         return forRequest("freeze", request, "");
     }
 
-    /** Delivers the reply of the run's downstream call. */
+    /** Encodes the reply to the downstream call that the request's run waits for. */
     static String deliverReply(TrackedRequest request, byte[] reply) {
         return forRequest("deliver", request, payload(reply));
     }
 
-    /** Lets the run continue without its downstream call. */
+    /** Encodes the command that lets the request's run continue without its downstream call. */
     static String continueWithoutCall(TrackedRequest request) {
         return forRequest("forgo", request, "");
     }
--- a/src/main/java/merlinlever/backend/agent/AgentConnection.java
+++ b/src/main/java/merlinlever/backend/agent/AgentConnection.java
@@ -11,29 +11,29 @@
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
 
-/** One TCP connection to the agent: subscribes once it is made, and cuts what comes into lines. */
+/** A TCP connection to the agent. Subscribes to events once connected, and splits the received bytes into lines. */
 final class AgentConnection implements Connection.Handler {
 
     private static final int MAX_LINE_BYTES = 64 * 1024;
     private static final int MAX_QUEUED_BYTES = 8 * 1024 * 1024;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-    /** Receives what happens on a connection. */
+    /** Receives the lines and the close of a connection. */
     interface Listener {
-        /** The offset after which events are wanted. */
+        /** Returns the offset of the last event read; the connection subscribes to all later events. */
         long lastOffset();
 
-        /** One line has come, without its line end. */
+        /** Called for each received line, without its line end. */
         void onLine(AgentConnection source, String line);
 
-        /** The connection is closed; called once. */
+        /** Called once, when the connection has been closed. */
         void onClosed(AgentConnection source, CloseReason reason);
     }
 
     private final EventLoop loop;
     private final Listener listener;
     private final Log log;
-    private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
+    private final LineDecoder lineDecoder = new LineDecoder(MAX_LINE_BYTES);
     private Connection connection;
     private Duration connectedAt;
 
@@ -44,28 +44,29 @@
     }
 
     /**
-     * Begins to connect.
+     * Starts connecting to the agent.
      *
      * @throws IOException if no socket can be opened
      */
     static AgentConnection connect(EventLoop loop, InetSocketAddress address, Listener listener, Log log)
             throws IOException {
-        AgentConnection made = new AgentConnection(loop, listener, log);
-        made.connection = Connection.connect(loop, address, made, MAX_LINE_BYTES, MAX_QUEUED_BYTES, CONNECT_TIMEOUT);
-        return made;
+        AgentConnection handler = new AgentConnection(loop, listener, log);
+        handler.connection =
+                Connection.connect(loop, address, handler, MAX_LINE_BYTES, MAX_QUEUED_BYTES, CONNECT_TIMEOUT);
+        return handler;
     }
 
-    /** When the connection was established, on the loop's clock. */
+    /** Returns the time at which the connection was established, on the loop's clock. */
     Duration connectedAt() {
         return connectedAt;
     }
 
-    /** Queues one command, which ends with its line end. */
+    /** Queues a command for writing; the command includes its line end. */
     void send(String command) {
         connection.write(ByteBuffer.wrap(command.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Closes it; {@link Listener#onClosed} is called before this returns. */
+    /** Closes the connection and calls {@link Listener#onClosed} before returning. */
     void close(CloseReason reason) {
         connection.close(reason);
     }
@@ -78,12 +79,12 @@
 
     @Override
     public void onReceived(ByteBuffer input) {
-        if (!lines.decode(input, line -> listener.onLine(this, line))) {
-            // Closing would not help: on a new connection the same line would come again.
+        if (!lineDecoder.decode(input, line -> listener.onLine(this, line))) {
+            // Reconnecting would not help: the agent would send the same line again.
             log.write(LogEvent.warn("agent-line-ignored")
                     .with("reason", "too-long")
                     .with("max_bytes", MAX_LINE_BYTES));
-            lines.skipLine(input);
+            lineDecoder.skipLine(input);
         }
     }
 
--- a/src/main/java/merlinlever/backend/agent/AgentEvent.java
+++ b/src/main/java/merlinlever/backend/agent/AgentEvent.java
@@ -4,52 +4,52 @@
 import merlinlever.common.json.Json;
 import merlinlever.controller.Outcome;
 
-/** One event that the agent reports. */
+/** An event reported by the agent. */
 sealed interface AgentEvent {
 
-    /** Reads the event on one line. */
+    /** Parses the event on one line. */
     static AgentEvent parse(String line) throws Json.MalformedJsonException {
         return AgentEventParser.parse(line);
     }
 
-    /** Position in the agent's event log, counted from 1; 0 for events that are not part of the log. */
+    /** Returns the position in the agent's event log, counted from 1, or 0 for an event that is not part of the log. */
     long offset();
 
-    /** Calls the handler's method for this kind of event. */
+    /** Calls the handler method for this kind of event. */
     void dispatch(AgentConnection source, Handler handler);
 
-    /** Receives events by kind. */
+    /** Handles events, with one method per kind of event. */
     interface Handler {
-        /** The agent accepts commands on the connection from now on. */
+        /** Called when the agent is ready to receive commands on the connection. */
         void onGreeting(AgentConnection source, Greeting event);
 
-        /** A run has ended. */
+        /** Called when a run has ended. */
         void onRunEnded(RunEnded event);
 
-        /** A run waits for the reply to a downstream call. */
+        /** Called when a run needs a downstream call and waits for the reply. */
         void onCallRequested(CallRequested event);
 
-        /** The answer to a request for the gauges. */
-        void onSampled(Sampled event);
+        /** Called when the agent answers a metrics poll. */
+        void onMetricsReported(MetricsReported event);
 
-        /** The answer to a deep health check. */
-        void onExercised(Exercised event);
+        /** Called when the agent has completed a deep health check. */
+        void onDeepCheckCompleted(DeepCheckCompleted event);
 
-        /** The agent rejected a command. */
-        void onCommandRefused(CommandRefused event);
+        /** Called when the agent has rejected a command. */
+        void onCommandRejected(CommandRejected event);
 
-        /** A kind of event that this version does not know. */
+        /** Called for a kind of event that this version does not support. */
         void onUnknown(Unknown event);
     }
 
     /**
      * The first event on a connection.
      *
-     * @param startMode {@code COLD} or {@code WARM}: whether the agent started with empty caches
-     * @param elapsedMs milliseconds since the agent started
+     * @param startMode {@code COLD} if the agent started with empty caches, otherwise {@code WARM}
+     * @param elapsedMs time since the agent started, in milliseconds
      */
     record Greeting(long offset, String startMode, double elapsedMs) implements AgentEvent {
-        /** Whether the agent started with empty caches. */
+        /** Returns whether the agent started with empty caches. */
         boolean isCold() {
             return "COLD".equals(startMode);
         }
@@ -60,7 +60,7 @@
         }
     }
 
-    /** A run has ended. */
+    /** The end of a run. */
     final class RunEnded implements AgentEvent {
         private final long offset;
         private final long requestId;
@@ -79,17 +79,17 @@
             return offset;
         }
 
-        /** The request that was run. */
+        /** Returns the id of the request that was run. */
         long requestId() {
             return requestId;
         }
 
-        /** How it ended; empty where the agent did not say. */
+        /** Returns the outcome of the run, or empty if the agent did not report one. */
         Optional<Outcome> outcome() {
             return outcome;
         }
 
-        /** The bytes for the caller; empty where there are none. */
+        /** Returns the response body for the caller, which may be empty. */
         byte[] result() {
             return result;
         }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** A run waits for the reply to a downstream call. */
+    /** A downstream call that a run needs; the run waits for the reply. */
     final class CallRequested implements AgentEvent {
         private final long offset;
         private final long requestId;
@@ -117,12 +117,12 @@
             return offset;
         }
 
-        /** The request whose run waits. */
+        /** Returns the id of the request whose run waits for the reply. */
         long requestId() {
             return requestId;
         }
 
-        /** The body of the call. */
+        /** Returns the body of the downstream call. */
         byte[] body() {
             return body;
         }
@@ -133,13 +133,13 @@
         }
     }
 
-    /** The gauges, in the order of the setting that lists them. */
-    final class Sampled implements AgentEvent {
+    /** The answer to a metrics poll: gauge values in the order in which the settings list the gauges. */
+    final class MetricsReported implements AgentEvent {
         private final long offset;
         private final String token;
         private final double[] gauges;
 
-        Sampled(long offset, String token, double[] gauges) {
+        MetricsReported(long offset, String token, double[] gauges) {
             this.offset = offset;
             this.token = token;
             this.gauges = gauges;
@@ -150,45 +150,45 @@
             return offset;
         }
 
-        /** The token of the question. */
+        /** Returns the token of the answered poll. */
         String token() {
             return token;
         }
 
-        /** The values; any number of them. */
+        /** Returns the gauge values; their number is not validated. */
         double[] gauges() {
             return gauges;
         }
 
         @Override
         public void dispatch(AgentConnection source, Handler handler) {
-            handler.onSampled(this);
+            handler.onMetricsReported(this);
         }
     }
 
     /**
-     * The answer to a deep health check.
+     * The result of a deep health check.
      *
-     * @param token of the question
-     * @param succeeded whether the work was done
+     * @param token the token of the check
+     * @param succeeded whether the check succeeded
      */
-    record Exercised(long offset, String token, boolean succeeded) implements AgentEvent {
+    record DeepCheckCompleted(long offset, String token, boolean succeeded) implements AgentEvent {
         @Override
         public void dispatch(AgentConnection source, Handler handler) {
-            handler.onExercised(this);
+            handler.onDeepCheckCompleted(this);
         }
     }
 
     /**
-     * The agent rejected a command.
+     * The rejection of a command by the agent.
      *
-     * @param command the command's name
-     * @param requestId the request that it was for
+     * @param command the name of the rejected command
+     * @param requestId the id of the request that the command referred to
      */
-    record CommandRefused(long offset, String command, long requestId) implements AgentEvent {
+    record CommandRejected(long offset, String command, long requestId) implements AgentEvent {
         @Override
         public void dispatch(AgentConnection source, Handler handler) {
-            handler.onCommandRefused(this);
+            handler.onCommandRejected(this);
         }
     }
 
@@ -196,11 +196,11 @@
     record Unrelated(long offset) implements AgentEvent {
         @Override
         public void dispatch(AgentConnection source, Handler handler) {
-            // Counts in the log only.
+            // Only the position in the event log matters.
         }
     }
 
-    /** A kind of event that this version does not know. */
+    /** An event of a kind that this version does not support. */
     record Unknown(long offset, String kind) implements AgentEvent {
         @Override
         public void dispatch(AgentConnection source, Handler handler) {
--- a/src/main/java/merlinlever/backend/agent/AgentEventParser.java
+++ b/src/main/java/merlinlever/backend/agent/AgentEventParser.java
@@ -7,7 +7,7 @@
 import merlinlever.common.json.Json;
 import merlinlever.controller.Outcome;
 
-/** Reads the agent's lines; every member that the protocol knows is checked, whatever the kind of event. */
+/** Parses events of the agent. The members defined by the protocol are validated for every kind of event. */
 final class AgentEventParser {
 
     private final Map<?, ?> object;
@@ -16,13 +16,13 @@
         this.object = object;
     }
 
-    /** Reads the event on one line. */
+    /** Parses one line. */
     static AgentEvent parse(String line) throws Json.MalformedJsonException {
         Map<?, ?> object = Json.object(line);
         try {
             return new AgentEventParser(object).event();
         } catch (IllegalArgumentException e) {
-            throw new Json.MalformedJsonException("not an event: " + e.getMessage());
+            throw new Json.MalformedJsonException("invalid event: " + e.getMessage());
         }
     }
 
@@ -40,9 +40,9 @@
             case "greeting" -> new AgentEvent.Greeting(offset, result, elapsedMs);
             case "outcome" -> new AgentEvent.RunEnded(offset, requestId, outcome(result), payload);
             case "request" -> new AgentEvent.CallRequested(offset, requestId, payload);
-            case "sampled" -> new AgentEvent.Sampled(offset, token, gauges);
-            case "exercised" -> new AgentEvent.Exercised(offset, token, "OK".equals(result));
-            case "refusal" -> new AgentEvent.CommandRefused(offset, result, requestId);
+            case "sampled" -> new AgentEvent.MetricsReported(offset, token, gauges);
+            case "exercised" -> new AgentEvent.DeepCheckCompleted(offset, token, "OK".equals(result));
+            case "refusal" -> new AgentEvent.CommandRejected(offset, result, requestId);
             case "aside" -> new AgentEvent.Unrelated(offset);
             default -> new AgentEvent.Unknown(offset, kind);
         };
@@ -59,7 +59,7 @@
         throw new IllegalArgumentException(member + " is not a string");
     }
 
-    /** An invalid offset must not be accepted: events with lower ones would count as read already. */
+    /** Rejects invalid offsets: a wrong high offset would cause all events with lower offsets to be skipped. */
     private long offset() {
         Object value = object.get("offset");
         if (value == null) {
@@ -68,7 +68,7 @@
         if (value instanceof Long offset && offset >= 0) {
             return offset;
         }
-        throw new IllegalArgumentException("offset is not a whole number from 0 on");
+        throw new IllegalArgumentException("offset is not a non-negative integer");
     }
 
     private double elapsedMs() {
@@ -89,7 +89,7 @@
         double[] gauges = new double[values.size()];
         for (int i = 0; i < gauges.length; i++) {
             if (!(values.get(i) instanceof Number number)) {
-                throw new IllegalArgumentException("a gauge is not a number");
+                throw new IllegalArgumentException("gauge is not a number");
             }
             gauges[i] = number.doubleValue();
         }
--- a/src/main/java/merlinlever/backend/agent/AgentLink.java
+++ b/src/main/java/merlinlever/backend/agent/AgentLink.java
@@ -15,10 +15,10 @@
 import merlinlever.controller.Outcome;
 
 /**
- * The link to the agent. It keeps one connection, reconnects with exponential backoff, and resumes the agent's event log
- * after the last sequence number read ({@code offset} on the wire), so that each event counts once and in order. After a
- * change of the address, the present connection is used until the agent has greeted on the new one. All methods are
- * called on the event loop's thread.
+ * The link to the agent. Maintains a connection, reconnects with exponential backoff, and resumes the agent's event log
+ * after the last sequence number read ({@code offset} on the wire), so that each event is processed once and in order.
+ * After an address change, the active connection remains in use until the agent has sent its greeting on the new one.
+ * All methods must be called on the event loop's thread.
  */
 public final class AgentLink {
 
@@ -30,14 +30,14 @@
     private final EventLoop loop;
     private final Backend backend;
     private final Log log;
-    private final SampleTracker samples = new SampleTracker();
+    private final MetricsPollTracker polls = new MetricsPollTracker();
     private final DeepHealthCheck deepCheck;
-    private final EventHandler events = new EventHandler();
+    private final EventHandler eventHandler = new EventHandler();
     private final AgentConnection.Listener connectionListener = new ConnectionListener();
     private InetSocketAddress address;
-    /** The greeted connection, which commands are sent on; null while there is none. */
+    /** The connection on which the agent has sent its greeting, used for commands; null while disconnected. */
     private AgentConnection active;
-    /** The connection that is being made and replaces the active one with its greeting; null while there is none. */
+    /** The connection that becomes the active one when the agent sends its greeting; null if there is none. */
     private AgentConnection pending;
 
     private EventLoop.Timer reconnectTimer;
@@ -46,7 +46,7 @@
     private long tokensIssued;
     private int unansweredChecks;
 
-    /** Does nothing before {@link #start}. */
+    /** Creates a link that does not connect before {@link #start}. */
     public AgentLink(EventLoop loop, InetSocketAddress address, Backend backend, Log log) {
         this.loop = loop;
         this.address = address;
@@ -55,33 +55,33 @@
         deepCheck = new DeepHealthCheck(loop, backend::deepCheckCompleted);
     }
 
-    // ---- the connection
+    // ---- connection management
 
-    /** Connects, and checks the liveness of the connection from now on. */
+    /** Connects to the agent and starts the periodic liveness checks. */
     public void start() {
         connect();
         loop.runNowAndEvery(LIVENESS_CHECK_INTERVAL, this::checkLiveness);
     }
 
-    /** Connects to the agent at the address from now on; the present connection is used until the new one is greeted. */
+    /** Switches to a new address; the active connection remains in use until the new one has received its greeting. */
     public void setAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
         address = newAddress;
         backoff = INITIAL_BACKOFF;
-        AgentConnection stale = pending;
+        AgentConnection previousPending = pending;
         pending = null;
-        if (stale != null) {
-            stale.close(CloseReason.COMPLETED);
+        if (previousPending != null) {
+            previousPending.close(CloseReason.COMPLETED);
         }
         connect();
     }
 
-    /** Closes a connection on which polls stay unanswered; a pause of this process counts as one check only. */
+    /** Closes a connection without an answer for several checks; a pause of this process counts as a single check. */
     private void checkLiveness() {
-        // Until it has started, the agent may take any time for its greeting.
-        boolean awaitsAnswer = pending != null ? backend.isStarted() : active != null && samples.isGaugesPending();
+        // Before the backend has started, there is no time limit for the greeting: the agent may still be starting.
+        boolean awaitsAnswer = pending != null ? backend.isStarted() : active != null && polls.isMetricsPollPending();
         unansweredChecks = awaitsAnswer ? unansweredChecks + 1 : 0;
         if (unansweredChecks >= MAX_UNANSWERED_CHECKS) {
             unansweredChecks = 0;
@@ -101,11 +101,11 @@
     }
 
     private void scheduleReconnect() {
-        // The active connection can be lost while the next attempt is scheduled already.
+        // A reconnect may already be scheduled when the active connection is lost.
         cancelReconnect();
         reconnectTimer = loop.schedule(backoff, this::connect);
-        Duration doubled = backoff.multipliedBy(2);
-        backoff = doubled.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : doubled;
+        Duration nextBackoff = backoff.multipliedBy(2);
+        backoff = nextBackoff.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : nextBackoff;
     }
 
     private void cancelReconnect() {
@@ -117,7 +117,7 @@
 
     // ---- events
 
-    /** Handles the events of the connections. */
+    /** Handles lines from, and the close of, the active and the pending connection. */
     private final class ConnectionListener implements AgentConnection.Listener {
 
         @Override
@@ -134,7 +134,7 @@
             try {
                 AgentEvent event = AgentEvent.parse(line);
                 if (advanceTo(event.offset())) {
-                    event.dispatch(source, events);
+                    event.dispatch(source, eventHandler);
                 }
             } catch (Json.MalformedJsonException e) {
                 log.warn("agent-line-ignored reason=malformed detail=" + e.getMessage());
@@ -147,7 +147,7 @@
                 log.write(
                         LogEvent.warn("agent-link-lost").with("reason", reason).with("last_offset", lastOffset));
                 active = null;
-                backend.agentLinkLost(samples.confirmedUntil());
+                backend.agentLinkLost(polls.confirmedUntil());
             } else if (source == pending) {
                 pending = null;
             } else {
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Advances in the agent's event log; false for an event that was read before. */
+    /** Advances the position in the agent's event log. Returns false if the event has already been read. */
     private boolean advanceTo(long offset) {
         if (offset == 0) {
             return true;
@@ -177,7 +177,7 @@
         return true;
     }
 
-    /** Handles each kind of event of the agent. */
+    /** Handles the agent's events. */
     private final class EventHandler implements AgentEvent.Handler {
 
         private static final int MAX_RESULT_BYTES = 4096;
@@ -187,9 +187,9 @@
             if (source == pending) {
                 activatePending();
                 if (backend.isStarted()) {
-                    resume();
+                    handleReconnect();
                 } else {
-                    begin(event);
+                    handleFirstGreeting(event);
                 }
             }
         }
@@ -222,10 +222,10 @@
         }
 
         @Override
-        public void onSampled(AgentEvent.Sampled event) {
-            switch (samples.answered(event.token())) {
+        public void onMetricsReported(AgentEvent.MetricsReported event) {
+            switch (polls.matchAnswer(event.token())) {
                 case CATCH_UP -> backend.agentEventsCaughtUp(loop.clock().now());
-                case GAUGES -> {
+                case METRICS -> {
                     unansweredChecks = 0;
                     if (areInRange(event.gauges())) {
                         backend.metricsReceived(loop.clock().now(), event.gauges());
@@ -240,7 +240,7 @@
 
         private static boolean areInRange(double[] gauges) {
             for (double gauge : gauges) {
-                // Written so that NaN is out of range.
+                // The negated comparison also rejects NaN.
                 if (!(gauge >= 0 && gauge <= Double.MAX_VALUE)) {
                     return false;
                 }
@@ -249,12 +249,12 @@
         }
 
         @Override
-        public void onExercised(AgentEvent.Exercised event) {
-            deepCheck.answered(event.token(), event.succeeded());
+        public void onDeepCheckCompleted(AgentEvent.DeepCheckCompleted event) {
+            deepCheck.complete(event.token(), event.succeeded());
         }
 
         @Override
-        public void onCommandRefused(AgentEvent.CommandRefused event) {
+        public void onCommandRejected(AgentEvent.CommandRejected event) {
             log.write(LogEvent.warn("agent-command-refused")
                     .with("command", event.command())
                     .with("request", Long.toHexString(event.requestId())));
@@ -269,96 +269,96 @@
         }
     }
 
-    /** The pending connection has been greeted and takes the place of the active one. */
+    /** Makes the pending connection the active one, after the agent has sent its greeting. */
     private void activatePending() {
-        AgentConnection replaced = active;
+        AgentConnection previousActive = active;
         active = pending;
         pending = null;
-        samples.dropGauges();
+        polls.discardMetricsPoll();
         unansweredChecks = 0;
         backoff = INITIAL_BACKOFF;
         Duration connectedAt = active.connectedAt();
-        if (replaced != null) {
-            // The agent gave it up at some time after the new one was made.
-            Duration confirmed = samples.confirmedUntil();
-            backend.agentLinkLost(confirmed.compareTo(connectedAt) < 0 ? confirmed : connectedAt);
-            replaced.close(CloseReason.COMPLETED);
+        if (previousActive != null) {
+            // The agent stopped reading the previous connection at some time after the new one was established.
+            Duration confirmedUntil = polls.confirmedUntil();
+            backend.agentLinkLost(confirmedUntil.compareTo(connectedAt) < 0 ? confirmedUntil : connectedAt);
+            previousActive.close(CloseReason.COMPLETED);
         }
-        samples.setConfirmedUntil(connectedAt);
+        polls.setConfirmedUntil(connectedAt);
     }
 
-    /** The agent has greeted for the first time: the clock counts from its start. */
-    private void begin(AgentEvent.Greeting greeting) {
+    /** Handles the first greeting: sets the origin of the clock to the start of the agent. */
+    private void handleFirstGreeting(AgentEvent.Greeting greeting) {
         loop.clock().setOriginAgo(Durations.ofMillis(greeting.elapsedMs()));
-        samples.setConfirmedUntil(loop.clock().now());
+        polls.setConfirmedUntil(loop.clock().now());
         log.write(LogEvent.info("agent-up")
                 .with("mode", greeting.startMode())
                 .with("started_ms_ago", greeting.elapsedMs()));
         backend.agentStarted(loop.clock().now(), greeting.isCold());
     }
 
-    /** The agent has greeted again: commands in doubt are resolved once all events of the time between have been read. */
-    private void resume() {
+    /** Handles a later greeting: sends a catch-up poll, after which the backend sends unconfirmed commands again. */
+    private void handleReconnect() {
         log.info("agent-link-restored");
         backend.agentLinkRestored(loop.clock().now());
         String token = nextToken("up");
-        samples.expectCatchUp(token, loop.clock().now());
+        polls.recordCatchUpPoll(token, loop.clock().now());
         active.send(AgentCommands.pollMetrics(token));
-        deepCheck.openToken().ifPresent(open -> active.send(AgentCommands.deepHealthCheck(open)));
+        deepCheck.pendingToken().ifPresent(pendingToken -> active.send(AgentCommands.deepHealthCheck(pendingToken)));
     }
 
     private String nextToken(String prefix) {
         return prefix + tokensIssued++;
     }
 
-    // ---- commands; without a connection they are lost, and the backend sends again what matters
+    // ---- commands; a command issued while disconnected is dropped, and the backend sends required commands again
 
-    /** Starts the run of a request. */
+    /** Tells the agent to start the run of the request. */
     public void launch(TrackedRequest request) {
         if (active != null) {
             active.send(AgentCommands.launch(request));
         }
     }
 
-    /** Stops the run of a request. */
+    /** Tells the agent to stop the run of the request. */
     public void stopRun(TrackedRequest request) {
         if (active != null) {
             active.send(AgentCommands.stopRun(request));
         }
     }
 
-    /** Delivers the reply of a run's downstream call. */
+    /** Sends the agent the reply to the downstream call that the request's run waits for. */
     public void deliverReply(TrackedRequest request, byte[] reply) {
         if (active != null) {
             active.send(AgentCommands.deliverReply(request, reply));
         }
     }
 
-    /** Lets a run continue without its downstream call. */
+    /** Tells the agent to let the request's run continue without its downstream call. */
     public void continueWithoutCall(TrackedRequest request) {
         if (active != null) {
             active.send(AgentCommands.continueWithoutCall(request));
         }
     }
 
-    /** Polls the agent's metrics unless a poll is in flight or there is no connection; returns whether it did. */
+    /** Polls the agent's metrics unless a poll is in flight or the link is down; returns whether a poll was sent. */
     public boolean pollMetrics() {
-        if (active == null || samples.isGaugesPending()) {
+        if (active == null || polls.isMetricsPollPending()) {
             return false;
         }
         String token = nextToken("s");
-        samples.expectGauges(token, loop.clock().now());
+        polls.recordMetricsPoll(token, loop.clock().now());
         active.send(AgentCommands.pollMetrics(token));
         return true;
     }
 
     /**
-     * Asks for the work of a deep health check, one at a time; {@link Backend#deepCheckCompleted} gets the verdict.
-     * Without a connection it is asked for once there is one, within the time limit.
+     * Starts a deep health check and reports the result to {@link Backend#deepCheckCompleted}. Only one check may be
+     * pending at a time. If the link is down, the command is sent after the reconnect, unless the check has timed out.
      */
     public void startDeepCheck() {
         String token = nextToken("x");
-        deepCheck.open(token);
+        deepCheck.start(token);
         if (active != null) {
             active.send(AgentCommands.deepHealthCheck(token));
         }
--- a/src/main/java/merlinlever/backend/agent/DeepHealthCheck.java
+++ b/src/main/java/merlinlever/backend/agent/DeepHealthCheck.java
@@ -5,46 +5,46 @@
 import java.util.function.Consumer;
 import merlinlever.common.net.EventLoop;
 
-/** The deep health check in flight, if any: its token, its timeout and its single result. */
+/** The pending deep health check, if any, with its token and timeout. Each check has exactly one result. */
 final class DeepHealthCheck {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
 
     private final EventLoop loop;
-    private final Consumer<Boolean> verdict;
-    private Optional<String> openToken = Optional.empty();
+    private final Consumer<Boolean> resultConsumer;
+    private Optional<String> pendingToken = Optional.empty();
     private EventLoop.Timer timeout;
 
-    /** @param verdict receives the result of each check, once: whether the work was done in time */
-    DeepHealthCheck(EventLoop loop, Consumer<Boolean> verdict) {
+    /** @param resultConsumer called once per check, with whether the agent completed the check in time */
+    DeepHealthCheck(EventLoop loop, Consumer<Boolean> resultConsumer) {
         this.loop = loop;
-        this.verdict = verdict;
+        this.resultConsumer = resultConsumer;
     }
 
-    /** The token of the check in flight. */
-    Optional<String> openToken() {
-        return openToken;
+    /** Returns the token of the pending check. */
+    Optional<String> pendingToken() {
+        return pendingToken;
     }
 
-    /** Starts a check, which fails unless it is answered within the timeout. */
-    void open(String token) {
-        openToken = Optional.of(token);
+    /** Starts a check, which fails unless it is completed within the timeout. */
+    void start(String token) {
+        pendingToken = Optional.of(token);
         timeout = loop.schedule(TIMEOUT, () -> {
-            close();
-            verdict.accept(false);
+            clear();
+            resultConsumer.accept(false);
         });
     }
 
-    /** Ends the check with the answer; an answer to any other check is ignored. */
-    void answered(String token, boolean succeeded) {
-        if (openToken.isPresent() && openToken.get().equals(token)) {
-            close();
-            verdict.accept(succeeded);
+    /** Completes the pending check if the token matches; results of other checks are ignored. */
+    void complete(String token, boolean succeeded) {
+        if (pendingToken.isPresent() && pendingToken.get().equals(token)) {
+            clear();
+            resultConsumer.accept(succeeded);
         }
     }
 
-    private void close() {
-        openToken = Optional.empty();
+    private void clear() {
+        pendingToken = Optional.empty();
         if (timeout != null) {
             timeout.cancel();
             timeout = null;
--- a/src/main/java/merlinlever/backend/agent/LineDecoder.java
+++ b/src/main/java/merlinlever/backend/agent/LineDecoder.java
@@ -4,49 +4,50 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Splits a stream of bytes into lines; bytes of an incomplete line stay in the buffer and are not scanned twice. */
+/** Splits a byte stream into lines. The bytes of an incomplete line remain in the buffer and are not scanned again. */
 public final class LineDecoder {
 
     private final int maxLineBytes;
-    /** Bytes at the front of the buffer that are known to hold no line end. */
+    /** Number of bytes at the front of the buffer that have been scanned and contain no line end. */
     private int scannedBytes;
 
-    private boolean skipping;
+    private boolean skippingLine;
 
-    /** @param maxLineBytes a line of this length or longer is rejected */
+    /** @param maxLineBytes lines of this length or longer are rejected */
     public LineDecoder(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
     /**
-     * Hands over each complete line without its line end.
+     * Passes each complete line, without its line end, to the consumer.
      *
-     * @param input an array-backed buffer; its position moves behind the last line end
-     * @return whether the rest may still become a line; if not, {@link #skipLine} drops it
+     * @param input an array-backed buffer; its position moves past the last line end
+     * @return whether the remaining incomplete line is still below the limit; if not, the caller drops the line with
+     *     {@link #skipLine}
      */
     public boolean decode(ByteBuffer input, Consumer<String> lineConsumer) {
         byte[] bytes = input.array();
         int start = input.position();
-        for (int at = start + scannedBytes; at < input.limit(); at++) {
-            if (bytes[at] == '\n') {
-                input.position(at + 1);
-                if (!skipping) {
-                    lineConsumer.accept(new String(bytes, start, at - start, StandardCharsets.UTF_8));
+        for (int index = start + scannedBytes; index < input.limit(); index++) {
+            if (bytes[index] == '\n') {
+                input.position(index + 1);
+                if (!skippingLine) {
+                    lineConsumer.accept(new String(bytes, start, index - start, StandardCharsets.UTF_8));
                 }
-                skipping = false;
-                start = at + 1;
+                skippingLine = false;
+                start = index + 1;
             }
         }
-        if (skipping) {
+        if (skippingLine) {
             input.position(input.limit());
         }
         scannedBytes = input.remaining();
         return scannedBytes < maxLineBytes;
     }
 
-    /** Drops the incomplete line: its bytes so far, and those to come up to its line end. */
+    /** Drops the incomplete line: the bytes received so far and all further bytes up to the line end. */
     public void skipLine(ByteBuffer input) {
-        skipping = true;
+        skippingLine = true;
         input.position(input.limit());
         scannedBytes = 0;
     }
--- a/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
@@ -12,17 +12,17 @@
 import merlinlever.compatibility.Fixture;
 import org.junit.jupiter.api.Test;
 
-/** Commands to the agent, byte for byte; a token's number counts up. */
+/** Compares each command to the agent with its recorded bytes. Numbers in tokens are normalized. */
 class AgentBytesTest {
 
     @Test
-    void eachCommand() throws Exception {
+    void encodesEachCommandAsRecorded() throws Exception {
         Fixture fixture = new Fixture("agent.txt");
         Map<String, String> lines = new TreeMap<>();
-        try (ServerSocket place = new ServerSocket(0, 5, AgentLinkFixture.LOOPBACK);
-                AgentLinkFixture backend =
-                        new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(place));
-                Socket agent = place.accept()) {
+        try (ServerSocket agentServer = new ServerSocket(0, 5, AgentLinkFixture.LOOPBACK);
+                AgentLinkFixture linkFixture =
+                        new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(agentServer));
+                Socket agent = agentServer.accept()) {
             agent.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.UTF_8));
@@ -30,30 +30,30 @@
             agent.getOutputStream()
                     .write("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}\n"
                             .getBytes(StandardCharsets.UTF_8));
-            // The connection is active once the greeting has been read; a sample before is not sent.
-            backend.loop.awaitCondition(backend.backend::isHealthy, "the greeting");
+            // The link sends polls only on a connection on which it has read the greeting.
+            linkFixture.loop.awaitCondition(linkFixture.backend::isHealthy, "healthy backend");
             while (!lines.containsKey("sample")) {
-                backend.loop.advance(100);
-                backend.loop.runOnLoop(() -> backend.link.pollMetrics());
-                add(lines, in);
+                linkFixture.loop.advance(100);
+                linkFixture.loop.runOnLoop(() -> linkFixture.link.pollMetrics());
+                addNextCommand(lines, in);
             }
-            backend.loop.runOnLoop(() -> {
-                backend.link.startDeepCheck();
-                backend.link.launch(TestRequests.tracked(1));
-                backend.link.stopRun(TestRequests.tracked(2));
-                backend.link.deliverReply(TestRequests.tracked(3), new byte[] {1, 2});
-                backend.link.continueWithoutCall(TestRequests.tracked(4));
+            linkFixture.loop.runOnLoop(() -> {
+                linkFixture.link.startDeepCheck();
+                linkFixture.link.launch(TestRequests.tracked(1));
+                linkFixture.link.stopRun(TestRequests.tracked(2));
+                linkFixture.link.deliverReply(TestRequests.tracked(3), new byte[] {1, 2});
+                linkFixture.link.continueWithoutCall(TestRequests.tracked(4));
             });
             while (!lines.containsKey("forgo")) {
-                add(lines, in);
+                addNextCommand(lines, in);
             }
         }
-        for (String word : new String[] {"sample", "exercise", "launch", "freeze", "deliver", "forgo"}) {
-            fixture.pins(word, lines.get(word));
+        for (String command : new String[] {"sample", "exercise", "launch", "freeze", "deliver", "forgo"}) {
+            fixture.pins(command, lines.get(command));
         }
     }
 
-    private static void add(Map<String, String> lines, BufferedReader in) throws Exception {
+    private static void addNextCommand(Map<String, String> lines, BufferedReader in) throws Exception {
         String line = in.readLine();
         lines.put(line.split("\"")[3], line.replaceAll("(\"token\":\"[sx])[0-9]+", "$10"));
     }
--- a/src/test/java/merlinlever/backend/agent/AgentEventTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentEventTest.java
@@ -22,7 +22,7 @@
 class AgentEventTest {
 
     @Test
-    void anOutcomeAndASampleAreParsed() throws Json.MalformedJsonException {
+    void parsesRunEndedAndMetricsReported() throws Json.MalformedJsonException {
         AgentEvent event =
                 AgentEvent.parse("{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"ff1f03aa5c7e2d41\",\"result\":\"OK\","
                         + "\"elapsed_ms\":1.5,\"payload\":\"AP8=\"}");
@@ -31,27 +31,28 @@
         assertEquals(Long.parseUnsignedLong("ff1f03aa5c7e2d41", 16), runEnded.requestId());
         assertEquals(Optional.of(Outcome.OK), runEnded.outcome());
         assertArrayEquals(new byte[] {0, -1}, runEnded.result());
-        AgentEvent.Sampled sampled = assertInstanceOf(
-                AgentEvent.Sampled.class, AgentEvent.parse("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}"));
-        assertEquals("a", sampled.token());
-        assertArrayEquals(new double[] {0.5, 3}, sampled.gauges());
+        AgentEvent.MetricsReported metrics = assertInstanceOf(
+                AgentEvent.MetricsReported.class,
+                AgentEvent.parse("{\"cmd\":\"sampled\",\"token\":\"a\",\"load\":[0.5,3]}"));
+        assertEquals("a", metrics.token());
+        assertArrayEquals(new double[] {0.5, 3}, metrics.gauges());
     }
 
     @Test
-    void eachKindOfEventIsParsed() throws Json.MalformedJsonException {
+    void parsesEachKindOfEvent() throws Json.MalformedJsonException {
         assertEquals(
                 new AgentEvent.Greeting(0, "COLD", 12.5),
                 AgentEvent.parse("{\"cmd\":\"greeting\",\"result\":\"COLD\",\"elapsed_ms\":12.5}"));
         assertTrue(new AgentEvent.Greeting(0, "COLD", 0).isCold());
         assertFalse(new AgentEvent.Greeting(0, "WARM", 0).isCold());
         assertEquals(
-                new AgentEvent.Exercised(0, "x3", true),
+                new AgentEvent.DeepCheckCompleted(0, "x3", true),
                 AgentEvent.parse("{\"cmd\":\"exercised\",\"token\":\"x3\",\"result\":\"OK\"}"));
         assertEquals(
-                new AgentEvent.Exercised(0, "", false),
+                new AgentEvent.DeepCheckCompleted(0, "", false),
                 AgentEvent.parse("{\"cmd\":\"exercised\",\"result\":\"ERROR\"}"));
         assertEquals(
-                new AgentEvent.CommandRefused(4, "launch", 255),
+                new AgentEvent.CommandRejected(4, "launch", 255),
                 AgentEvent.parse("{\"cmd\":\"refusal\",\"offset\":4,\"result\":\"launch\",\"req\":\"ff\"}"));
         assertEquals(new AgentEvent.Unrelated(5), AgentEvent.parse("{\"cmd\":\"aside\",\"offset\":5}"));
         assertEquals(new AgentEvent.Unknown(0, "else"), AgentEvent.parse("{\"cmd\":\"else\"}"));
@@ -61,44 +62,45 @@
                 AgentEvent.parse("{\"cmd\":\"request\",\"offset\":3,\"req\":\"a\",\"payload\":\"AQI=\"}"));
         assertEquals(10, call.requestId());
         assertArrayEquals(new byte[] {1, 2}, call.body());
-        for (String[] each : new String[][] {{"STOPPED", "STOPPED"}, {"MOOT", "NOT_STARTED"}, {"else", "ERROR"}}) {
+        for (String[] resultAndOutcome :
+                new String[][] {{"STOPPED", "STOPPED"}, {"MOOT", "NOT_STARTED"}, {"else", "ERROR"}}) {
             AgentEvent.RunEnded ended = assertInstanceOf(
                     AgentEvent.RunEnded.class,
-                    AgentEvent.parse("{\"cmd\":\"outcome\",\"req\":\"a\",\"result\":\"" + each[0] + "\"}"));
-            assertEquals(Optional.of(Outcome.valueOf(each[1])), ended.outcome());
+                    AgentEvent.parse("{\"cmd\":\"outcome\",\"req\":\"a\",\"result\":\"" + resultAndOutcome[0] + "\"}"));
+            assertEquals(Optional.of(Outcome.valueOf(resultAndOutcome[1])), ended.outcome());
         }
-        AgentEvent.RunEnded unclear =
+        AgentEvent.RunEnded withoutOutcome =
                 assertInstanceOf(AgentEvent.RunEnded.class, AgentEvent.parse("{\"cmd\":\"outcome\",\"req\":\"a\"}"));
-        assertEquals(Optional.empty(), unclear.outcome());
+        assertEquals(Optional.empty(), withoutOutcome.outcome());
     }
 
     @Property(tries = 200, seed = "47")
-    void linesAreDecodedAlikeWhereverTheBytesAreSplit(@ForAll List<@IntRange(min = 1, max = 9) Integer> cuts) {
+    void decodesTheSameLinesForAnySplitOfTheInput(@ForAll List<@IntRange(min = 1, max = 9) Integer> chunkSizes) {
         byte[] all = "one\n\n{\"two\":\"\u00e9\"}\nthr".getBytes(StandardCharsets.UTF_8);
-        ByteBuffer in = ByteBuffer.allocate(64);
+        ByteBuffer input = ByteBuffer.allocate(64);
         LineDecoder decoder = new LineDecoder(64);
         List<String> lines = new ArrayList<>();
-        int sent = 0;
-        for (int i = 0; sent < all.length; i++) {
-            int part = Math.min(all.length - sent, i < cuts.size() ? cuts.get(i) : all.length);
-            in.put(all, sent, part);
-            sent += part;
-            in.flip();
-            assertTrue(decoder.decode(in, lines::add));
-            in.compact();
+        int bytesSent = 0;
+        for (int i = 0; bytesSent < all.length; i++) {
+            int chunkBytes = Math.min(all.length - bytesSent, i < chunkSizes.size() ? chunkSizes.get(i) : all.length);
+            input.put(all, bytesSent, chunkBytes);
+            bytesSent += chunkBytes;
+            input.flip();
+            assertTrue(decoder.decode(input, lines::add));
+            input.compact();
         }
         assertEquals(List.of("one", "", "{\"two\":\"\u00e9\"}"), lines);
-        assertEquals(3, in.position());
+        assertEquals(3, input.position());
     }
 
     @Test
-    void aLineBeyondTheLimitIsReported() {
+    void reportsALineThatReachesTheLimit() {
         assertFalse(new LineDecoder(16).decode(ByteBuffer.wrap(new byte[16]), line -> {}));
     }
 
     @Test
-    void aLineThatIsNoEventIsMalformed() {
-        for (String bad : new String[] {
+    void rejectsLinesThatAreNotValidEvents() {
+        for (String line : new String[] {
             "",
             "[]",
             "{\"req\":5}",
@@ -109,15 +111,15 @@
             "{\"cmd\":\"a\"",
             "{} {}"
         }) {
-            assertThrows(Json.MalformedJsonException.class, () -> AgentEvent.parse(bad), bad);
+            assertThrows(Json.MalformedJsonException.class, () -> AgentEvent.parse(line), line);
         }
     }
 
     @Property(tries = 1000, seed = "44")
-    void hostileLinesAreMalformedAndNothingElse(@ForAll String noise, @ForAll int at) {
+    void throwsOnlyMalformedJsonExceptionForCorruptedLines(@ForAll String noise, @ForAll int position) {
         String line =
                 "{\"cmd\":\"outcome\",\"offset\":7,\"req\":\"9b1f03aa5c7e2d41\",\"result\":\"OK\",\"payload\":\"AP8=\"}";
-        int cut = Math.floorMod(at, line.length());
+        int cut = Math.floorMod(position, line.length());
         try {
             AgentEvent.parse(line.substring(0, cut) + noise + line.substring(Math.min(line.length(), cut + 2)));
         } catch (Json.MalformedJsonException e) {
--- a/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
@@ -43,7 +43,7 @@
 import merlinlever.controller.settings.RequestSemantics;
 import merlinlever.controller.settings.RunStopping;
 
-/** A real backend with a real link to an agent that the test plays; downstream calls and responses are recorded. */
+/** A real backend and agent link, connected to a fake agent. Downstream calls and responses are recorded. */
 final class AgentLinkFixture implements BackendDependencies, DownstreamService, AutoCloseable {
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -64,25 +64,28 @@
     final ManualClockLoop loop;
     final Backend backend;
     final AgentLink link;
-    /** The log, line by line. */
+    /** The lines logged by the link. */
     final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
 
-    final Map<String, List<String>> answers = new HashMap<>();
-    final Map<String, TrackedRequest> admitted = new HashMap<>();
+    /** The responses to each request, by request id. */
+    final Map<String, List<String>> responses = new HashMap<>();
+
+    final Map<String, TrackedRequest> admittedRequests = new HashMap<>();
     final List<String> calls = Collections.synchronizedList(new ArrayList<>());
-    /** Runs once after a batch, before the batch's writes. */
+    /** Runs once, after the next batch and before the writes of that batch. */
     Runnable afterBatch;
 
     private final List<ServerSocket> agentServers = new ArrayList<>();
-    private EventLoop.Timer alarm;
+    private EventLoop.Timer wakeUpTimer;
     private long lastRequestId = 0x9b1f03aa5c7e2d41L;
-    private long seconds;
+    /** Used for the timestamps of log lines and for the numbers of markers. */
+    private long logSeconds;
 
-    /** The agent's end of one connection. */
+    /** The agent's end of a connection. */
     final class FakeAgent {
         final Socket socket;
         private final BufferedReader in;
-        /** The offset that the link subscribed after. */
+        /** The offset after which the link subscribed to events. */
         long resumeOffset;
 
         private FakeAgent(Socket socket) throws IOException {
@@ -92,7 +95,7 @@
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         }
 
-        /** The next command of any kind; null where the connection was closed. */
+        /** Returns the next command of any kind, or null if the connection has been closed. */
         Map<?, ?> nextCommand() throws IOException {
             String line = in.readLine();
             try {
@@ -102,17 +105,17 @@
             }
         }
 
-        /** The next command of the kind; requests for gauges before it are answered. */
-        Map<?, ?> awaitCommand(String word) throws IOException {
-            for (Map<?, ?> next = nextCommand(); next != null; next = nextCommand()) {
-                if (next.get("cmd").equals(word)) {
-                    return next;
+        /** Returns the next command with the name; answers the metrics polls and skips other commands before it. */
+        Map<?, ?> awaitCommand(String name) throws IOException {
+            for (Map<?, ?> command = nextCommand(); command != null; command = nextCommand()) {
+                if (command.get("cmd").equals(name)) {
+                    return command;
                 }
-                if (next.get("cmd").equals("sample")) {
-                    sendSampled(next.get("token"), "[0]");
+                if (command.get("cmd").equals("sample")) {
+                    sendMetrics(command.get("token"), "[0]");
                 }
             }
-            throw new IOException("the link was closed");
+            throw new IOException("link closed before the expected command arrived");
         }
 
         void write(String text) throws IOException {
@@ -127,30 +130,30 @@
             sendLine("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
         }
 
-        void sendSampled(Object token, String load) throws IOException {
-            sendLine("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":" + load + "}");
+        void sendMetrics(Object token, String gauges) throws IOException {
+            sendLine("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":" + gauges + "}");
         }
 
-        void sendOutcome(long offset, String name, String result, String bytes) throws IOException {
-            sendLine(AgentLinkFixture.outcomeLine(offset, name, result, bytes));
+        void sendOutcome(long offset, String requestId, String result, String payload) throws IOException {
+            sendLine(AgentLinkFixture.outcomeLine(offset, requestId, result, payload));
         }
 
-        void sendCallRequest(long offset, String name) throws IOException {
-            sendLine(AgentLinkFixture.callRequestLine(offset, name));
+        void sendCallRequest(long offset, String requestId) throws IOException {
+            sendLine(AgentLinkFixture.callRequestLine(offset, requestId));
         }
 
-        /** Waits until all that was sent before has been read. */
+        /** Waits until the link has read all bytes sent so far. */
         void awaitAllRead() throws IOException {
-            String mark = "mark" + seconds++;
-            sendLine("{\"cmd\":\"" + mark + "\"}");
-            loop.awaitCondition(() -> logLines.stream().anyMatch(line -> line.endsWith(mark)), mark);
+            String marker = "mark" + logSeconds++;
+            sendLine("{\"cmd\":\"" + marker + "\"}");
+            loop.awaitCondition(() -> logLines.stream().anyMatch(line -> line.endsWith(marker)), marker);
         }
     }
 
-    static String outcomeLine(long offset, String requestId, String result, String bytes) {
+    static String outcomeLine(long offset, String requestId, String result, String payload) {
         return "{\"cmd\":\"outcome\",\"offset\":" + offset + ",\"req\":\"" + requestId + "\",\"result\":\"" + result
                 + "\",\"elapsed_ms\":3.5,\"payload\":\""
-                + Base64.getEncoder().encodeToString(bytes.getBytes(StandardCharsets.UTF_8)) + "\"}";
+                + Base64.getEncoder().encodeToString(payload.getBytes(StandardCharsets.UTF_8)) + "\"}";
     }
 
     static String callRequestLine(long offset, String requestId) {
@@ -159,30 +162,30 @@
 
     AgentLinkFixture(ManualClockLoop loop, InetSocketAddress address) {
         this.loop = loop;
-        OutputStream lines = new OutputStream() {
+        OutputStream logOutput = new OutputStream() {
             private final StringBuilder line = new StringBuilder();
 
             @Override
-            public void write(int next) {
-                if (next == '\n') {
+            public void write(int character) {
+                if (character == '\n') {
                     logLines.add(line.toString());
                     line.setLength(0);
                 } else {
-                    line.append((char) next);
+                    line.append((char) character);
                 }
             }
         };
-        // Each line in a second of its own, so that the rate limit drops none.
-        Log log = new Log(new PrintStream(lines), () -> Instant.ofEpochSecond(++seconds));
+        // Each line has a timestamp in a different second, so that the log's rate limit drops no line.
+        Log log = new Log(new PrintStream(logOutput), () -> Instant.ofEpochSecond(++logSeconds));
         backend = new Backend(SETTINGS, 5, this);
         link = new AgentLink(loop.loop, address, backend, log);
         loop.runOnLoop(() -> {
             loop.loop.setAfterBatch(() -> {
                 backend.decide(loop.loop.clock().now());
-                Runnable once = afterBatch;
+                Runnable action = afterBatch;
                 afterBatch = null;
-                if (once != null) {
-                    once.run();
+                if (action != null) {
+                    action.run();
                 }
             });
             link.start();
@@ -201,43 +204,43 @@
         return new InetSocketAddress(LOOPBACK, server.getLocalPort());
     }
 
-    void moveTo(ServerSocket server) {
+    void setAddress(ServerSocket server) {
         loop.runOnLoop(() -> link.setAddress(addressOf(server)));
     }
 
-    /** Accepts the next connection. */
+    /** Accepts the next connection and reads its subscription. */
     FakeAgent accept(ServerSocket server) throws IOException {
         FakeAgent agent = new FakeAgent(server.accept());
         Map<?, ?> subscribe = agent.nextCommand();
         if (!subscribe.get("cmd").equals("subscribe")) {
-            throw new IOException("not a subscription: " + subscribe);
+            throw new IOException("expected a subscription, but received: " + subscribe);
         }
         agent.resumeOffset = (Long) subscribe.get("offset");
         return agent;
     }
 
-    /** Accepts the next connection, which must subscribe after the offset. */
-    FakeAgent accept(ServerSocket server, long offset) throws IOException {
+    /** Accepts the next connection, and checks that it subscribes to events after the offset. */
+    FakeAgent accept(ServerSocket server, long expectedOffset) throws IOException {
         FakeAgent agent = accept(server);
-        if (agent.resumeOffset != offset) {
-            throw new IOException("a subscription after " + agent.resumeOffset + ", not " + offset);
+        if (agent.resumeOffset != expectedOffset) {
+            throw new IOException("subscribed after offset " + agent.resumeOffset + " instead of " + expectedOffset);
         }
         return agent;
     }
 
-    /** Accepts and greets the first connection, and waits until the backend is healthy. */
+    /** Accepts the first connection, sends the greeting, and waits until the backend is healthy. */
     FakeAgent connectAndGreet(ServerSocket server) throws IOException {
         FakeAgent agent = accept(server, 0);
         agent.sendGreeting();
-        loop.awaitCondition(backend::isHealthy, "good health");
+        loop.awaitCondition(backend::isHealthy, "healthy backend");
         return agent;
     }
 
-    /** Closes the agent's end, and waits until the link has noticed. */
-    void breakLink(FakeAgent agent) throws IOException {
-        long before = loop.callOnLoop(this::countLostLinks);
+    /** Closes the agent's end of the connection, and waits until the link has detected the loss. */
+    void disconnect(FakeAgent agent) throws IOException {
+        long lossesBefore = loop.callOnLoop(this::countLostLinks);
         agent.socket.close();
-        loop.awaitCondition(() -> countLostLinks() > before, "the loss of the link");
+        loop.awaitCondition(() -> countLostLinks() > lossesBefore, "loss of the link");
     }
 
     private long countLostLinks() {
@@ -246,30 +249,30 @@
                 .count();
     }
 
-    /** Greets the new connection and answers its catch-up question. */
-    void completeTakeover(FakeAgent agent) throws IOException {
+    /** Sends the greeting on a new connection, and answers the catch-up poll. */
+    void greetAndCatchUp(FakeAgent agent) throws IOException {
         agent.sendGreeting();
-        Map<?, ?> question = agent.nextCommand();
-        while (!question.get("token").toString().startsWith("up")) {
-            question = agent.nextCommand();
+        Map<?, ?> poll = agent.nextCommand();
+        while (!poll.get("token").toString().startsWith("up")) {
+            poll = agent.nextCommand();
         }
-        agent.sendSampled(question.get("token"), "[0]");
+        agent.sendMetrics(poll.get("token"), "[0]");
     }
 
-    /** Has a request received and the decisions about it made, so that no outcome can come before its launch. */
+    /** Submits a request and waits until it has been launched, so that its outcome cannot arrive before the launch. */
     String admitRequest() {
-        String taken = loop.callOnLoop(this::admitRequestOnLoop);
+        String requestId = loop.callOnLoop(this::admitRequestOnLoop);
         loop.runBatches(2);
-        return taken;
+        return requestId;
     }
 
     private String admitRequestOnLoop() {
         String requestId = String.format("%016x", ++lastRequestId);
-        List<String> heard = Collections.synchronizedList(new ArrayList<>());
-        answers.put(requestId, heard);
-        ResponseSink caller = new RecordingResponseSink(heard);
+        List<String> recordedResponses = Collections.synchronizedList(new ArrayList<>());
+        responses.put(requestId, recordedResponses);
+        ResponseSink caller = new RecordingResponseSink(recordedResponses);
         Duration now = loop.loop.clock().now();
-        admitted.put(
+        admittedRequests.put(
                 requestId,
                 backend.receive(
                                 now,
@@ -287,29 +290,29 @@
     }
 
     void disconnectCaller(String requestId) {
-        loop.runOnLoop(() -> backend.callerDisconnected(loop.loop.clock().now(), admitted.get(requestId)));
+        loop.runOnLoop(() -> backend.callerDisconnected(loop.loop.clock().now(), admittedRequests.get(requestId)));
     }
 
-    /** Asserts that the request has been answered once, with this. */
-    void assertAnswered(String requestId, String answer) {
-        loop.awaitCondition(() -> !answers.get(requestId).isEmpty(), "the answer of " + requestId);
-        org.junit.jupiter.api.Assertions.assertEquals(List.of(answer), answers.get(requestId), requestId);
+    /** Asserts that the request receives exactly one response, with the expected content. */
+    void assertAnswered(String requestId, String expectedResponse) {
+        loop.awaitCondition(() -> !responses.get(requestId).isEmpty(), "response to request " + requestId);
+        org.junit.jupiter.api.Assertions.assertEquals(List.of(expectedResponse), responses.get(requestId), requestId);
     }
 
-    void completeCall(String requestId, String bytes) {
-        loop.runOnLoop(() -> completeCallOnLoop(requestId, bytes));
+    void completeCall(String requestId, String reply) {
+        loop.runOnLoop(() -> completeCallOnLoop(requestId, reply));
     }
 
-    void completeCallOnLoop(String requestId, String bytes) {
+    void completeCallOnLoop(String requestId, String reply) {
         backend.callEnded(
                 loop.loop.clock().now(),
                 Long.parseUnsignedLong(requestId, 16),
                 Outcome.OK,
-                bytes.getBytes(StandardCharsets.UTF_8));
+                reply.getBytes(StandardCharsets.UTF_8));
     }
 
-    void checkHealthDeeply(Consumer<Boolean> asker) {
-        loop.runOnLoop(() -> backend.runDeepCheck(asker));
+    void runDeepCheck(Consumer<Boolean> resultConsumer) {
+        loop.runOnLoop(() -> backend.runDeepCheck(resultConsumer));
     }
 
     @Override
@@ -321,23 +324,23 @@
     }
 
     @Override
-    public void launch(TrackedRequest work) {
-        link.launch(work);
+    public void launch(TrackedRequest request) {
+        link.launch(request);
     }
 
     @Override
-    public void stop(TrackedRequest work) {
-        link.stopRun(work);
+    public void stop(TrackedRequest request) {
+        link.stopRun(request);
     }
 
     @Override
-    public void deliverReply(TrackedRequest work, byte[] reply) {
-        link.deliverReply(work, reply);
+    public void deliverReply(TrackedRequest request, byte[] reply) {
+        link.deliverReply(request, reply);
     }
 
     @Override
-    public void continueWithoutCall(TrackedRequest work) {
-        link.continueWithoutCall(work);
+    public void continueWithoutCall(TrackedRequest request) {
+        link.continueWithoutCall(request);
     }
 
     @Override
@@ -356,24 +359,24 @@
     }
 
     @Override
-    public void call(TrackedRequest operation, byte[] body, Duration within) {
-        calls.add("call " + operation.idText());
+    public void call(TrackedRequest request, byte[] body, Duration timeout) {
+        calls.add("call " + request.idText());
     }
 
     @Override
-    public void cancel(TrackedRequest operation) {
-        calls.add("give up " + operation.idText());
+    public void cancel(TrackedRequest request) {
+        calls.add("cancel " + request.idText());
     }
 
     @Override
-    public void closeIdleConnections(Duration after) {}
+    public void closeIdleConnections(Duration idleTimeout) {}
 
     @Override
     public void scheduleWakeUp(Duration at) {
-        if (alarm != null) {
-            alarm.cancel();
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel();
         }
-        alarm = loop.loop.schedule(
+        wakeUpTimer = loop.loop.schedule(
                 at.minus(loop.loop.clock().now()),
                 () -> backend.wakeUp(loop.loop.clock().now()));
     }
--- a/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
@@ -23,28 +23,28 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Events on two connections to the agent, in many orders, and in one that needs a single batch of the loop. */
+/** Tests events on an old and a new connection to the agent, in random orders and within a single batch of the loop. */
 class AgentLinkOrderingTest {
 
-    /** Sends the agent's log on one connection, in pieces and some events twice. */
+    /** Sends the agent's event log on a connection; splits some lines and sends some events twice. */
     private static final class EventSender {
         private final List<String> events;
         private final FakeAgent agent;
         private String unsentRest = "";
-        private int next;
+        private int nextEvent;
 
         EventSender(List<String> events, FakeAgent agent) {
             this.events = events;
             this.agent = agent;
-            next = (int) agent.resumeOffset;
+            nextEvent = (int) agent.resumeOffset;
         }
 
         boolean sendNext(Random random) throws IOException {
             if (!unsentRest.isEmpty()) {
                 agent.sendLine(unsentRest);
                 unsentRest = "";
-            } else if (next < events.size()) {
-                String line = events.get(random.nextInt(4) == 0 && next > 0 ? next - 1 : next++);
+            } else if (nextEvent < events.size()) {
+                String line = events.get(random.nextInt(4) == 0 && nextEvent > 0 ? nextEvent - 1 : nextEvent++);
                 int cut = random.nextInt(3) == 0 ? 1 + random.nextInt(line.length() - 1) : line.length();
                 unsentRest = line.substring(cut);
                 agent.write(line.substring(0, cut));
@@ -57,7 +57,7 @@
             return true;
         }
 
-        /** Waits until what was sent has been read, where that ends with a whole line. */
+        /** Waits until the link has read all sent bytes; does nothing while a line is incomplete. */
         void awaitRead() throws IOException {
             if (unsentRest.isEmpty()) {
                 agent.awaitAllRead();
@@ -66,29 +66,30 @@
     }
 
     /**
-     * The old connection delivers whole and half events until the new one is greeted, and the new one may deliver
-     * before its greeting: every event counts once, none is taken for missed, and no request is relaunched twice.
+     * The old connection may deliver complete and partial events until the greeting on the new connection, and the
+     * new connection may deliver events before its greeting. Every event must be processed once, no event may be
+     * reported as missed, and no request may be launched again more than once.
      */
     @Property(tries = 40, seed = "36")
-    void eventsOnTwoConnectionsCountOnceInAnyOrder(@ForAll long seed) throws IOException {
+    void processesEventsOnTwoConnectionsOnceInAnyOrder(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         try (ServerSocket firstServer = new ServerSocket(0, 50, AgentLinkFixture.LOOPBACK);
                 AgentLinkFixture fixture =
                         new AgentLinkFixture(new ManualClockLoop(), AgentLinkFixture.addressOf(firstServer))) {
             firstServer.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
             FakeAgent agent = fixture.connectAndGreet(firstServer);
-            List<String> names = new ArrayList<>();
+            List<String> requestIds = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                names.add(fixture.admitRequest());
+                requestIds.add(fixture.admitRequest());
             }
             List<String> events = new ArrayList<>();
-            List<String> ends = new ArrayList<>(names);
-            Collections.shuffle(ends, random);
-            for (String name : ends) {
+            List<String> completionOrder = new ArrayList<>(requestIds);
+            Collections.shuffle(completionOrder, random);
+            for (String requestId : completionOrder) {
                 while (random.nextBoolean()) {
                     events.add("{\"cmd\":\"aside\",\"offset\":" + (events.size() + 1) + ",\"result\":\"\"}");
                 }
-                events.add(AgentLinkFixture.outcomeLine(events.size() + 1, name, "OK", "of " + name));
+                events.add(AgentLinkFixture.outcomeLine(events.size() + 1, requestId, "OK", "of " + requestId));
             }
             EventSender oldSender = new EventSender(events, agent);
             for (int i = random.nextInt(events.size()); i > 0; i--) {
@@ -96,34 +97,35 @@
                 oldSender.awaitRead();
             }
             ServerSocket secondServer = fixture.openAgentServer();
-            fixture.moveTo(secondServer);
+            fixture.setAddress(secondServer);
             EventSender newSender = new EventSender(events, fixture.accept(secondServer));
-            boolean broken = random.nextInt(3) == 0;
+            boolean losesOldConnection = random.nextInt(3) == 0;
             for (int i = random.nextInt(12); i > 0; i--) {
-                EventSender either = random.nextBoolean() ? oldSender : newSender;
-                either.sendNext(random);
-                either.awaitRead();
+                EventSender sender = random.nextBoolean() ? oldSender : newSender;
+                sender.sendNext(random);
+                sender.awaitRead();
             }
-            if (broken) {
-                fixture.breakLink(oldSender.agent);
+            if (losesOldConnection) {
+                fixture.disconnect(oldSender.agent);
             }
             if (!newSender.unsentRest.isEmpty()) {
                 newSender.sendNext(random);
             }
-            fixture.completeTakeover(newSender.agent);
+            fixture.greetAndCatchUp(newSender.agent);
             while (newSender.sendNext(random)) {
-                // Everything is sent, in pieces that the loop may read in any portions.
+                // Sends all remaining events; the loop may read any number of bytes at a time.
             }
-            for (String name : names) {
-                fixture.assertAnswered(name, "succeeded of " + name);
+            for (String requestId : requestIds) {
+                fixture.assertAnswered(requestId, "succeeded of " + requestId);
             }
             assertTrue(logLines(fixture).stream()
                     .noneMatch(line -> line.contains("agent-events-missed") || line.contains("-ignored")));
-            String last = fixture.admitRequest();
-            Set<String> launched = new HashSet<>();
+            String lastRequestId = fixture.admitRequest();
+            Set<String> launchedIds = new HashSet<>();
             Map<?, ?> command = newSender.agent.nextCommand();
-            while (!last.equals(command.get("req"))) {
-                assertTrue(!command.get("cmd").equals("launch") || launched.add("" + command.get("req")), "" + command);
+            while (!lastRequestId.equals(command.get("req"))) {
+                assertTrue(
+                        !command.get("cmd").equals("launch") || launchedIds.add("" + command.get("req")), "" + command);
                 command = newSender.agent.nextCommand();
             }
         }
@@ -133,7 +135,7 @@
         return fixture.loop.callOnLoop(() -> List.copyOf(fixture.logLines));
     }
 
-    /** The agent, in memory. */
+    /** The agent's end of an in-memory connection. */
     private static final class InMemoryAgent extends RecordingPeer {
 
         void sendLine(String line) {
@@ -142,12 +144,12 @@
     }
 
     /**
-     * A reply is queued on the old connection, and the new one is greeted in the same batch, before anything is
-     * written: the reply is lost with the old connection and sent again on the new one, although both have the same
-     * time.
+     * A reply is queued on the old connection in the batch in which the new connection receives its greeting, before
+     * the loop writes. The reply is lost with the old connection and must be sent on the new one, although the reply
+     * and the new connection have the same timestamp.
      */
     @Test
-    void aReplyQueuedWhileItsConnectionIsReplacedIsSentOnTheNewOne() throws IOException {
+    void resendsAReplyQueuedInTheBatchThatReplacesTheConnection() throws IOException {
         List<InMemoryAgent> agents = new ArrayList<>();
         ManualClockLoop loop = new ManualClockLoop(address -> {
             agents.add(new InMemoryAgent());
@@ -156,18 +158,18 @@
         try (AgentLinkFixture fixture = new AgentLinkFixture(loop, new InetSocketAddress(1))) {
             loop.runOnLoop(
                     () -> agents.get(0).sendLine("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}"));
-            loop.awaitCondition(fixture.backend::isHealthy, "good health");
-            String name = fixture.admitRequest();
-            loop.runOnLoop(() -> agents.get(0).sendLine(AgentLinkFixture.callRequestLine(1, name)));
-            loop.awaitCondition(() -> !fixture.calls.isEmpty(), "the call");
+            loop.awaitCondition(fixture.backend::isHealthy, "healthy backend");
+            String requestId = fixture.admitRequest();
+            loop.runOnLoop(() -> agents.get(0).sendLine(AgentLinkFixture.callRequestLine(1, requestId)));
+            loop.awaitCondition(() -> !fixture.calls.isEmpty(), "downstream call");
             loop.runOnLoop(() -> fixture.link.setAddress(new InetSocketAddress(2)));
             loop.runBatches(3);
             loop.runOnLoop(() -> {
                 agents.get(1).sendLine("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}");
-                // Ready before the greeting is, and run in the same batch.
-                fixture.afterBatch = () -> loop.loop.execute(() -> fixture.completeCallOnLoop(name, "b"));
+                // The task becomes ready before the greeting does, and runs in the same batch.
+                fixture.afterBatch = () -> loop.loop.execute(() -> fixture.completeCallOnLoop(requestId, "b"));
             });
-            loop.awaitCondition(() -> agents.get(1).received.indexOf("\"up") > 0, "the question whether all is read");
+            loop.awaitCondition(() -> agents.get(1).received.indexOf("\"up") > 0, "catch-up poll");
             String received = loop.callOnLoop(() -> agents.get(1).received.toString());
             assertFalse(received.contains("deliver")
                     || loop.callOnLoop(() -> agents.get(0).received.toString()).contains("deliver"));
@@ -176,8 +178,8 @@
             loop.runOnLoop(
                     () -> agents.get(1).sendLine("{\"cmd\":\"sampled\",\"token\":\"" + token + "\",\"load\":[0]}"));
             loop.runBatches(4);
-            String all = loop.callOnLoop(() -> agents.get(1).received.toString());
-            assertEquals(2, all.split("deliver").length, all);
+            String allReceived = loop.callOnLoop(() -> agents.get(1).received.toString());
+            assertEquals(2, allReceived.split("deliver").length, allReceived);
         }
     }
 }
--- a/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkRaceTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Races on the connections to the agent, over sockets; time advances only where a test advances it. */
+/** Tests races on the connections to the agent, over sockets and with a manually advanced clock. */
 class AgentLinkRaceTest {
 
     private final AgentLinkFixture fixture;
@@ -37,131 +37,131 @@
     }
 
     /**
-     * The loop pauses while the connection breaks: the time of the last read does not tell when it broke, and a reply
-     * that was sent before must not count as received.
+     * The connection is lost during a pause of the loop. The time of the last read does not show when the connection
+     * was lost, so a reply sent before the pause must not be considered received.
      */
     @Test
-    void aReplySentBeforeAPauseAndALinkLossIsSentAgain() throws IOException {
+    void resendsAReplySentBeforeAPauseWithALinkLoss() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String requestId = fixture.admitRequest();
         agent.awaitCommand("launch");
         agent.sendCallRequest(1, requestId);
-        loop.awaitCondition(() -> !fixture.calls.isEmpty(), "the call");
+        loop.awaitCondition(() -> !fixture.calls.isEmpty(), "downstream call");
         fixture.completeCall(requestId, "b");
         assertEquals("Yg==", agent.awaitCommand("deliver").get("payload"));
         loop.advance(300);
         agent.awaitAllRead();
-        fixture.breakLink(agent);
+        fixture.disconnect(agent);
         loop.advance(20);
-        FakeAgent next = fixture.accept(firstServer, 1);
-        fixture.completeTakeover(next);
-        assertEquals("Yg==", next.awaitCommand("deliver").get("payload"));
+        FakeAgent newAgent = fixture.accept(firstServer, 1);
+        fixture.greetAndCatchUp(newAgent);
+        assertEquals("Yg==", newAgent.awaitCommand("deliver").get("payload"));
     }
 
-    /** A command that an answered question proves to have arrived is not sent again. */
+    /** A command is not sent again if the answer to a later metrics poll confirms that the command has arrived. */
     @Test
-    void commandsAcknowledgedByAnAnsweredSampleAreNotSentAgain() throws IOException {
+    void doesNotResendCommandsConfirmedByAnAnsweredPoll() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
-        String confirmed = fixture.admitRequest();
+        String confirmedRequest = fixture.admitRequest();
         agent.awaitCommand("launch");
         loop.advance(70);
-        Map<?, ?> question = agent.awaitCommand("sample");
-        agent.sendSampled(question.get("token"), "[0]");
+        Map<?, ?> poll = agent.awaitCommand("sample");
+        agent.sendMetrics(poll.get("token"), "[0]");
         agent.awaitAllRead();
-        String inDoubt = fixture.admitRequest();
-        assertEquals(inDoubt, agent.awaitCommand("launch").get("req"));
-        fixture.breakLink(agent);
+        String unconfirmedRequest = fixture.admitRequest();
+        assertEquals(unconfirmedRequest, agent.awaitCommand("launch").get("req"));
+        fixture.disconnect(agent);
         loop.advance(20);
-        FakeAgent next = fixture.accept(firstServer, 0);
-        fixture.completeTakeover(next);
-        assertEquals(inDoubt, next.awaitCommand("launch").get("req"));
-        // Commands are sent in order, so none came in between.
-        fixture.disconnectCaller(confirmed);
-        Map<?, ?> command = next.nextCommand();
-        assertEquals("freeze " + confirmed, command.get("cmd") + " " + command.get("req"));
+        FakeAgent newAgent = fixture.accept(firstServer, 0);
+        fixture.greetAndCatchUp(newAgent);
+        assertEquals(unconfirmedRequest, newAgent.awaitCommand("launch").get("req"));
+        // Commands are sent in order, so no other command was sent before this one.
+        fixture.disconnectCaller(confirmedRequest);
+        Map<?, ?> command = newAgent.nextCommand();
+        assertEquals("freeze " + confirmedRequest, command.get("cmd") + " " + command.get("req"));
     }
 
     /**
-     * A reconnect is scheduled when the active connection is lost and the address changes: one of the three reasons to
-     * connect must remain, or a second connection replaces the one that waits for its greeting.
+     * An address change while a reconnect is scheduled must cancel the reconnect. Otherwise a second connection would
+     * replace the one that waits for its greeting.
      */
     @Test
-    void aPendingReconnectDoesNotOutliveAnAddressChange() throws IOException {
+    void addressChangeCancelsAScheduledReconnect() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         ServerSocket secondServer = fixture.openAgentServer();
-        fixture.moveTo(secondServer);
+        fixture.setAddress(secondServer);
         FakeAgent pendingAgent = fixture.accept(secondServer, 0);
         pendingAgent.socket.close();
-        // The close of the pending connection has been read once these have.
+        // After both markers have been read, the link has also detected the close of the pending connection.
         agent.awaitAllRead();
         agent.awaitAllRead();
-        fixture.breakLink(agent);
+        fixture.disconnect(agent);
         ServerSocket thirdServer = fixture.openAgentServer();
-        fixture.moveTo(thirdServer);
-        FakeAgent greetedLate = fixture.accept(thirdServer, 0);
+        fixture.setAddress(thirdServer);
+        FakeAgent slowAgent = fixture.accept(thirdServer, 0);
         loop.advance(100);
-        fixture.completeTakeover(greetedLate);
+        fixture.greetAndCatchUp(slowAgent);
         String requestId = fixture.admitRequest();
-        assertEquals(requestId, greetedLate.awaitCommand("launch").get("req"));
+        assertEquals(requestId, slowAgent.awaitCommand("launch").get("req"));
     }
 
-    /** A greeting that took long does not count against the questions that are asked after it. */
+    /** The liveness checks missed during a slow greeting must not count for the polls after the greeting. */
     @Test
-    void aSlowGreetingDoesNotCountAgainstTheFirstSamples() throws IOException {
+    void resetsUnansweredChecksAfterASlowGreeting() throws IOException {
         fixture.connectAndGreet(firstServer);
-        // While a request is in flight the gauges are polled all the time.
+        // The backend polls the metrics continuously while a request is in flight.
         String requestId = fixture.admitRequest();
         ServerSocket secondServer = fixture.openAgentServer();
-        fixture.moveTo(secondServer);
+        fixture.setAddress(secondServer);
         FakeAgent agent = fixture.accept(secondServer, 0);
         for (int i = 0; i < 5; i++) {
             loop.advance(500);
         }
-        fixture.completeTakeover(agent);
+        fixture.greetAndCatchUp(agent);
         agent.awaitAllRead();
         loop.advance(10);
         loop.advance(500);
         fixture.disconnectCaller(requestId);
         assertEquals(requestId, agent.awaitCommand("freeze").get("req"));
-        // A connection that is never greeted is made again.
+        // The link closes a connection without a greeting, and reconnects.
         ServerSocket thirdServer = fixture.openAgentServer();
-        fixture.moveTo(thirdServer);
-        FakeAgent silent = fixture.accept(thirdServer, 0);
+        fixture.setAddress(thirdServer);
+        FakeAgent silentAgent = fixture.accept(thirdServer, 0);
         for (int i = 0; i < 6; i++) {
             loop.advance(500);
         }
-        assertNull(silent.nextCommand());
+        assertNull(silentAgent.nextCommand());
         loop.advance(20);
-        fixture.completeTakeover(fixture.accept(thirdServer, 0));
+        fixture.greetAndCatchUp(fixture.accept(thirdServer, 0));
     }
 
-    /** Gauges that answer no open question or are out of range are ignored. */
+    /** Gauge values are ignored if they are out of range or do not answer the pending poll. */
     @Test
-    void onlyTheAnswerToTheOpenSampleCountsAsGauges() throws IOException {
+    void acceptsOnlyValidGaugesThatAnswerThePendingPoll() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         fixture.admitRequest();
         agent.awaitCommand("launch");
         loop.advance(10);
-        Object open = agent.nextCommand().get("token");
-        agent.sendSampled("other", "[1000]");
+        Object pendingToken = agent.nextCommand().get("token");
+        agent.sendMetrics("other", "[1000]");
         agent.awaitAllRead();
         loop.advance(10);
-        String launched = fixture.admitRequest();
-        // The question is still open, as no other was asked in between.
-        assertEquals(launched, agent.nextCommand().get("req"));
-        for (String bad : new String[] {"[1e999]", "[-1]", "[]", "[1,2,3]"}) {
-            agent.sendSampled(open, bad.equals("[1,2,3]") ? "[0,2,3]" : bad);
+        String launchedRequest = fixture.admitRequest();
+        // The poll is still pending: the link has not sent another one.
+        assertEquals(launchedRequest, agent.nextCommand().get("req"));
+        for (String gauges : new String[] {"[1e999]", "[-1]", "[]", "[1,2,3]"}) {
+            agent.sendMetrics(pendingToken, gauges.equals("[1,2,3]") ? "[0,2,3]" : gauges);
             agent.awaitAllRead();
             String requestId = fixture.admitRequest();
-            assertEquals(requestId, agent.nextCommand().get("req"), bad);
+            assertEquals(requestId, agent.nextCommand().get("req"), gauges);
             loop.advance(10);
-            open = agent.nextCommand().get("token");
+            pendingToken = agent.nextCommand().get("token");
         }
     }
 
-    /** An overlong line is skipped in place: on a new connection the agent would only send it again. */
+    /** An overlong line is skipped without a reconnect, because the agent would send the line again. */
     @Test
-    void anOverlongLineCostsNeitherTheLinkNorLaterEvents() throws IOException {
+    void keepsTheLinkAndLaterEventsAfterAnOverlongLine() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String requestId = fixture.admitRequest();
         agent.awaitCommand("launch");
@@ -171,23 +171,23 @@
         }
         agent.write("\"}\n" + AgentLinkFixture.outcomeLine(1, requestId, "OK", "r") + "\n");
         fixture.assertAnswered(requestId, "succeeded r");
-        String next = fixture.admitRequest();
-        assertEquals(next, agent.awaitCommand("launch").get("req"));
+        String nextRequest = fixture.admitRequest();
+        assertEquals(nextRequest, agent.awaitCommand("launch").get("req"));
     }
 
-    /** An invalid offset must not make all later events count as read. */
+    /** An invalid offset must not cause all later events to be skipped as already read. */
     @Test
-    void anEventWithAnInvalidOffsetIsIgnored() throws IOException {
+    void ignoresInvalidEvents() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
         String requestId = fixture.admitRequest();
         agent.awaitCommand("launch");
-        for (String number : new String[] {"1e300", "-5", "9999999999999999999999", "1.5", "\"1\""}) {
-            agent.sendLine("{\"cmd\":\"aside\",\"offset\":" + number + ",\"result\":\"\"}");
+        for (String offset : new String[] {"1e300", "-5", "9999999999999999999999", "1.5", "\"1\""}) {
+            agent.sendLine("{\"cmd\":\"aside\",\"offset\":" + offset + ",\"result\":\"\"}");
         }
         agent.sendLine("{\"cmd\":\"outcome\",\"offset\":1,\"req\":\"zz\",\"result\":\"OK\"}");
         agent.sendOutcome(1, requestId, "OK", "r");
         fixture.assertAnswered(requestId, "succeeded r");
-        // Of an unknown request, or of one that has ended.
+        // Events for an unknown request or for a request that has ended.
         agent.sendOutcome(2, "00000000000000ff", "OK", "x");
         agent.sendCallRequest(3, "00000000000000ff");
         agent.sendLine("{\"cmd\":\"refusal\",\"result\":\"launch\",\"req\":\"" + requestId + "\"}");
@@ -198,181 +198,183 @@
     }
 
     /**
-     * The old connection delivers until the new one is greeted, at last half an event: each counts once, none is
-     * missed.
+     * The old connection delivers events until the greeting on the new connection; the last one is incomplete. Every
+     * event must be processed once, and no event may be reported as missed.
      */
     @Test
-    void anEventHalfReadWhenItsConnectionIsReplacedCountsOnceOnTheNewOne() throws IOException {
+    void processesOnceAnEventPartiallyReadOnTheReplacedConnection() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
-        List<String> names = new ArrayList<>();
+        List<String> requestIds = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            names.add(fixture.admitRequest());
+            requestIds.add(fixture.admitRequest());
         }
-        oldAgent.sendOutcome(1, names.get(0), "OK", "0");
-        fixture.assertAnswered(names.get(0), "succeeded 0");
+        oldAgent.sendOutcome(1, requestIds.get(0), "OK", "0");
+        fixture.assertAnswered(requestIds.get(0), "succeeded 0");
         ServerSocket secondServer = fixture.openAgentServer();
-        fixture.moveTo(secondServer);
+        fixture.setAddress(secondServer);
         FakeAgent agent = fixture.accept(secondServer, 1);
-        oldAgent.sendOutcome(2, names.get(1), "OK", "1");
-        String half = AgentLinkFixture.outcomeLine(3, names.get(2), "OK", "2");
-        oldAgent.write(half.substring(0, 60));
-        fixture.assertAnswered(names.get(1), "succeeded 1");
+        oldAgent.sendOutcome(2, requestIds.get(1), "OK", "1");
+        String thirdEvent = AgentLinkFixture.outcomeLine(3, requestIds.get(2), "OK", "2");
+        oldAgent.write(thirdEvent.substring(0, 60));
+        fixture.assertAnswered(requestIds.get(1), "succeeded 1");
         agent.sendGreeting();
-        agent.sendOutcome(2, names.get(1), "ERROR", "");
-        agent.sendLine(half);
-        fixture.assertAnswered(names.get(2), "succeeded 2");
-        assertNull(readToEnd(oldAgent), "the old link is closed");
-        agent.sendOutcome(4, names.get(3), "OK", "3");
-        fixture.assertAnswered(names.get(3), "succeeded 3");
+        agent.sendOutcome(2, requestIds.get(1), "ERROR", "");
+        agent.sendLine(thirdEvent);
+        fixture.assertAnswered(requestIds.get(2), "succeeded 2");
+        assertNull(readToEnd(oldAgent), "the old connection must be closed");
+        agent.sendOutcome(4, requestIds.get(3), "OK", "3");
+        fixture.assertAnswered(requestIds.get(3), "succeeded 3");
         assertTrue(loop.callOnLoop(
                 () -> fixture.logLines.stream().noneMatch(line -> line.contains("agent-events-missed"))));
     }
 
     private static Map<?, ?> readToEnd(FakeAgent agent) throws IOException {
-        Map<?, ?> next = agent.nextCommand();
-        while (next != null) {
-            next = agent.nextCommand();
+        Map<?, ?> command = agent.nextCommand();
+        while (command != null) {
+            command = agent.nextCommand();
         }
-        return next;
+        return command;
     }
 
     /**
-     * The address changes on, back, and to itself: one connection to the last address remains, the others are closed.
+     * The address changes several times, also back to a previous address and to the current one. Only the connection
+     * to the last address may remain open.
      */
     @Test
-    void onlyTheLastOfManyAddressChangesCounts() throws IOException {
+    void connectsOnlyToTheLastOfSeveralAddresses() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
-        fixture.moveTo(firstServer);
+        fixture.setAddress(firstServer);
         ServerSocket secondServer = fixture.openAgentServer();
-        fixture.moveTo(secondServer);
-        FakeAgent droppedAgent = fixture.accept(secondServer, 0);
+        fixture.setAddress(secondServer);
+        FakeAgent abandonedAgent = fixture.accept(secondServer, 0);
         ServerSocket thirdServer = fixture.openAgentServer();
         loop.runOnLoop(() -> {
             fixture.link.setAddress(AgentLinkFixture.addressOf(thirdServer));
             fixture.link.setAddress(AgentLinkFixture.addressOf(secondServer));
             fixture.link.setAddress(AgentLinkFixture.addressOf(firstServer));
         });
-        assertNull(droppedAgent.nextCommand());
+        assertNull(abandonedAgent.nextCommand());
         String requestId = fixture.admitRequest();
         assertEquals(requestId, oldAgent.awaitCommand("launch").get("req"));
-        FakeAgent again = fixture.accept(firstServer, 0);
-        again.sendGreeting();
+        FakeAgent newAgent = fixture.accept(firstServer, 0);
+        newAgent.sendGreeting();
         assertNull(readToEnd(oldAgent));
-        fixture.completeTakeover(again);
-        assertEquals(requestId, again.awaitCommand("launch").get("req"));
-        // Without a connection a change of address does not wait for the scheduled reconnect.
-        fixture.breakLink(again);
-        fixture.moveTo(secondServer);
-        FakeAgent last = fixture.accept(secondServer, 0);
-        fixture.completeTakeover(last);
-        assertEquals(requestId, last.awaitCommand("launch").get("req"));
+        fixture.greetAndCatchUp(newAgent);
+        assertEquals(requestId, newAgent.awaitCommand("launch").get("req"));
+        // After a disconnect, an address change connects immediately instead of waiting for the scheduled reconnect.
+        fixture.disconnect(newAgent);
+        fixture.setAddress(secondServer);
+        FakeAgent lastAgent = fixture.accept(secondServer, 0);
+        fixture.greetAndCatchUp(lastAgent);
+        assertEquals(requestId, lastAgent.awaitCommand("launch").get("req"));
     }
 
-    /** The old connection closes before the new one is greeted: commands of the time between reach the agent once. */
+    /** Commands issued after the loss of the old connection and before the next greeting are sent exactly once. */
     @Test
-    void commandsIssuedBetweenTwoConnectionsAreSentOnceOnTheNewOne() throws IOException {
+    void sendsCommandsIssuedWhileDisconnectedOnce() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
-        String calling = fixture.admitRequest();
+        String callingRequest = fixture.admitRequest();
         oldAgent.awaitCommand("launch");
-        oldAgent.sendCallRequest(1, calling);
-        loop.awaitCondition(() -> !fixture.calls.isEmpty(), "the call");
+        oldAgent.sendCallRequest(1, callingRequest);
+        loop.awaitCondition(() -> !fixture.calls.isEmpty(), "downstream call");
         ServerSocket secondServer = fixture.openAgentServer();
-        fixture.moveTo(secondServer);
+        fixture.setAddress(secondServer);
         FakeAgent agent = fixture.accept(secondServer, 1);
-        fixture.breakLink(oldAgent);
-        String begun = fixture.admitRequest();
-        fixture.completeCall(calling, "b");
+        fixture.disconnect(oldAgent);
+        String newRequest = fixture.admitRequest();
+        fixture.completeCall(callingRequest, "b");
         loop.advance(200);
-        fixture.completeTakeover(agent);
-        List<String> heard = new ArrayList<>();
+        fixture.greetAndCatchUp(agent);
+        List<String> commands = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Map<?, ?> next = agent.nextCommand();
-            heard.add(next.get("cmd") + " " + next.get("req"));
+            Map<?, ?> command = agent.nextCommand();
+            commands.add(command.get("cmd") + " " + command.get("req"));
         }
-        assertEquals(List.of("deliver " + calling, "launch " + begun), heard);
-        fixture.disconnectCaller(begun);
+        assertEquals(List.of("deliver " + callingRequest, "launch " + newRequest), commands);
+        fixture.disconnectCaller(newRequest);
         assertEquals("freeze", agent.nextCommand().get("cmd"));
     }
 
-    /** A health exercise races a change of connections and its own timeout: each answer counts for its own question. */
+    /** A deep check is sent again on a new connection, and a result is ignored unless its check is still pending. */
     @Test
-    void aHealthExerciseIsRepeatedOnTheNewConnectionAndLateAnswersAreIgnored() throws IOException {
+    void repeatsADeepCheckOnANewConnectionAndIgnoresLateResults() throws IOException {
         FakeAgent oldAgent = fixture.connectAndGreet(firstServer);
-        List<Boolean> heard = Collections.synchronizedList(new ArrayList<>());
-        fixture.checkHealthDeeply(heard::add);
+        List<Boolean> results = Collections.synchronizedList(new ArrayList<>());
+        fixture.runDeepCheck(results::add);
         Object token = oldAgent.awaitCommand("exercise").get("token");
         ServerSocket secondServer = fixture.openAgentServer();
-        fixture.moveTo(secondServer);
+        fixture.setAddress(secondServer);
         FakeAgent agent = fixture.accept(secondServer, 0);
-        fixture.completeTakeover(agent);
+        fixture.greetAndCatchUp(agent);
         assertEquals(token, agent.awaitCommand("exercise").get("token"));
         agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"OK\"}");
         agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + token + "\",\"result\":\"ERROR\"}");
         agent.awaitAllRead();
-        assertEquals(List.of(true), heard);
-        fixture.checkHealthDeeply(heard::add);
-        Object late = agent.awaitCommand("exercise").get("token");
+        assertEquals(List.of(true), results);
+        fixture.runDeepCheck(results::add);
+        Object timedOutToken = agent.awaitCommand("exercise").get("token");
         loop.advance(1000);
-        assertEquals(List.of(true, false), heard);
-        fixture.checkHealthDeeply(heard::add);
-        Object next = agent.awaitCommand("exercise").get("token");
-        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + late + "\",\"result\":\"OK\"}");
+        assertEquals(List.of(true, false), results);
+        fixture.runDeepCheck(results::add);
+        Object nextToken = agent.awaitCommand("exercise").get("token");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + timedOutToken + "\",\"result\":\"OK\"}");
         agent.awaitAllRead();
-        assertEquals(List.of(true, false), heard);
-        // A backend that becomes unhealthy meanwhile outweighs an exercise that succeeds.
+        assertEquals(List.of(true, false), results);
+        // The result is negative if the backend becomes unhealthy during a check that succeeds on the agent.
         loop.runOnLoop(() -> fixture.backend.startDrain(
                 loop.loop.clock().now(), loop.loop.clock().now().plusSeconds(3)));
-        loop.awaitCondition(() -> !fixture.backend.isHealthy(), "bad health");
-        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + next + "\",\"result\":\"OK\"}");
+        loop.awaitCondition(() -> !fixture.backend.isHealthy(), "unhealthy backend");
+        agent.sendLine("{\"cmd\":\"exercised\",\"token\":\"" + nextToken + "\",\"result\":\"OK\"}");
         agent.awaitAllRead();
-        assertEquals(List.of(true, false, false), heard);
+        assertEquals(List.of(true, false, false), results);
     }
 
-    /** Events that are lost for good: the runs of that time fail, and later events count. */
+    /** A gap in the event log fails the runs that were in progress, and does not affect later runs. */
     @Test
-    void aGapInTheOffsetsFailsOnlyTheRunsOfItsTime() throws IOException {
+    void failsOnlyRunsInProgressDuringAGapInTheOffsets() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
-        String lost = fixture.admitRequest();
+        String lostRequest = fixture.admitRequest();
         agent.awaitCommand("launch");
         agent.sendLine("{\"cmd\":\"aside\",\"offset\":7,\"result\":\"\"}");
-        fixture.assertAnswered(lost, "failed");
-        String after = fixture.admitRequest();
+        fixture.assertAnswered(lostRequest, "failed");
+        String laterRequest = fixture.admitRequest();
         agent.awaitCommand("launch");
-        agent.sendOutcome(8, lost, "OK", "late");
-        agent.sendOutcome(9, after, "OK", "r");
-        fixture.assertAnswered(after, "succeeded r");
-        fixture.assertAnswered(lost, "failed");
+        agent.sendOutcome(8, lostRequest, "OK", "late");
+        agent.sendOutcome(9, laterRequest, "OK", "r");
+        fixture.assertAnswered(laterRequest, "succeeded r");
+        fixture.assertAnswered(lostRequest, "failed");
     }
 
     /**
-     * An address that neither accepts nor refuses: the active connection is used meanwhile, the attempt times out, and
-     * a change of address ends it at once.
+     * The new address neither accepts nor refuses connections. The active connection remains in use, the connection
+     * attempt times out, and an address change aborts the attempt immediately.
      */
     @Test
-    void aHangingConnectAttemptDelaysNothing() throws IOException {
+    void usesTheActiveConnectionDuringAHangingConnectAttempt() throws IOException {
         FakeAgent agent = fixture.connectAndGreet(firstServer);
-        try (ServerSocket silent = new ServerSocket(0, 1, AgentLinkFixture.LOOPBACK)) {
-            List<Socket> queued = new ArrayList<>();
+        try (ServerSocket unresponsiveServer = new ServerSocket(0, 1, AgentLinkFixture.LOOPBACK)) {
+            // Fills the backlog, so that the system accepts no more connections.
+            List<Socket> backlog = new ArrayList<>();
             assertThrows(SocketTimeoutException.class, () -> {
-                while (queued.size() < 20) {
-                    queued.add(new Socket());
-                    queued.get(queued.size() - 1).connect(AgentLinkFixture.addressOf(silent), 200);
+                while (backlog.size() < 20) {
+                    backlog.add(new Socket());
+                    backlog.get(backlog.size() - 1).connect(AgentLinkFixture.addressOf(unresponsiveServer), 200);
                 }
             });
-            fixture.moveTo(silent);
+            fixture.setAddress(unresponsiveServer);
             for (int i = 0; i < 3; i++) {
                 String requestId = fixture.admitRequest();
                 assertEquals(requestId, agent.awaitCommand("launch").get("req"));
                 agent.sendOutcome(i + 1, requestId, "OK", "r");
                 fixture.assertAnswered(requestId, "succeeded r");
-                // The attempt times out after 2 s and is repeated; questions on the active connection are answered.
+                // The attempt times out after 2 s and is repeated; polls on the active connection are answered.
                 loop.advance(2100);
                 agent.awaitAllRead();
             }
             ServerSocket secondServer = fixture.openAgentServer();
-            fixture.moveTo(secondServer);
-            fixture.completeTakeover(fixture.accept(secondServer, 3));
-            for (Socket socket : queued) {
+            fixture.setAddress(secondServer);
+            fixture.greetAndCatchUp(fixture.accept(secondServer, 3));
+            for (Socket socket : backlog) {
                 socket.close();
             }
         }
--- a/src/test/java/merlinlever/backend/agent/LineDecoderTest.java
+++ b/src/test/java/merlinlever/backend/agent/LineDecoderTest.java
@@ -12,25 +12,25 @@
 
 class LineDecoderTest {
 
-    /** An overlong line among others, in any pieces: it alone is skipped, and the buffer never fills up. */
+    /** Only overlong lines are skipped, and the buffer never fills up, for any split of the input. */
     @Property(tries = 200, seed = "36")
-    void anOverlongLineAloneIsSkippedWhereverTheBytesAreSplit(@ForAll long seed) {
+    void skipsOnlyOverlongLinesForAnySplitOfTheInput(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] all = ("one\n" + "x".repeat(40 + random.nextInt(60)) + "\ntwo\n" + "y".repeat(70) + "\nthree\n")
                 .getBytes(StandardCharsets.UTF_8);
-        ByteBuffer in = ByteBuffer.allocate(32);
+        ByteBuffer input = ByteBuffer.allocate(32);
         LineDecoder decoder = new LineDecoder(32);
         List<String> lines = new ArrayList<>();
-        int sent = 0;
-        while (sent < all.length) {
-            int part = Math.min(all.length - sent, 1 + random.nextInt(in.remaining()));
-            in.put(all, sent, part);
-            sent += part;
-            in.flip();
-            if (!decoder.decode(in, lines::add)) {
-                decoder.skipLine(in);
+        int bytesSent = 0;
+        while (bytesSent < all.length) {
+            int chunkBytes = Math.min(all.length - bytesSent, 1 + random.nextInt(input.remaining()));
+            input.put(all, bytesSent, chunkBytes);
+            bytesSent += chunkBytes;
+            input.flip();
+            if (!decoder.decode(input, lines::add)) {
+                decoder.skipLine(input);
             }
-            in.compact();
+            input.compact();
         }
         assertEquals(List.of("one", "two", "three"), lines);
     }
