--- a/src/main/java/merlinlever/fleet/election/ElectionMessage.java
+++ b/src/main/java/merlinlever/fleet/election/ElectionMessage.java
@@ -2,10 +2,10 @@
 
 import merlinlever.fleet.membership.TextFields;
 
-/** The messages of leader election, as text of fields separated by slashes; terms are in base ten. */
+/** Messages of leader election, encoded as fields separated by slashes; terms are decimal numbers. */
 sealed interface ElectionMessage {
 
-    /** The text of the message. */
+    /** Returns the message as text. */
     String encode();
 
     /** Requests a promise of the term: {@code V/term}. */
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Rejects a vote request and names the term that was promised instead: {@code N/term}. */
+    /** Rejects a vote request and reports the highest term that the voter has promised: {@code N/term}. */
     record Rejection(long promisedTerm) implements ElectionMessage {
         static final String TYPE = "N";
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Says who leads: {@code H/term/leader}. */
+    /** Announces the current leader: {@code H/term/leader}. */
     record LeaderAnnouncement(long term, String leader) implements ElectionMessage {
         static final String TYPE = "H";
 
@@ -48,7 +48,10 @@
         }
     }
 
-    /** A message as it was received. Each part is read only when it is asked for: of a leader that is no voter no term is read. */
+    /**
+     * A received message. Each accessor parses only its own field, so the receiver can ignore a message without parsing
+     * its remaining fields.
+     */
     final class Received {
 
         private static final int TYPE_INDEX = 0;
@@ -62,27 +65,27 @@
         }
 
         /**
-         * The {@code TYPE} of one of the messages, or something else.
+         * Returns the {@code TYPE} of the message, which may be unknown.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the message has no type field
          */
         String type() {
             return fields.text(TYPE_INDEX);
         }
 
         /**
-         * The term of the message.
+         * Returns the term of the message.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the term field is missing or not a number
          */
         long term() {
             return fields.number(TERM_INDEX);
         }
 
         /**
-         * The leader that is announced.
+         * Returns the name of the announced leader.
          *
-         * @throws IllegalArgumentException if there is none
+         * @throws IllegalArgumentException if the leader field is missing
          */
         String leader() {
             return fields.text(LEADER_INDEX);
--- a/src/main/java/merlinlever/fleet/election/ElectionSettings.java
+++ b/src/main/java/merlinlever/fleet/election/ElectionSettings.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Settings of leader election, the same on every backend.
+ * Settings of leader election; every backend has the same ones.
  *
- * @param voters names of the backends that vote and may lead
- * @param lease how long a promise holds
- * @param clockDrift upper bound of the fraction by which the steady clocks of two machines run apart
+ * @param voters names of the backends that vote and may become leader
+ * @param lease how long a promise is valid
+ * @param clockDrift upper bound of the relative difference between the rates of two machines' monotonic clocks
  */
 public record ElectionSettings(List<String> voters, Duration lease, double clockDrift) {
 
@@ -17,7 +17,7 @@
         voters = List.copyOf(voters);
     }
 
-    /** Voters in the largest group that is no majority. */
+    /** Returns the size of the largest group of voters that is not a majority. */
     int largestMinority() {
         return voters.size() / 2;
     }
--- a/src/main/java/merlinlever/fleet/election/ElectionState.java
+++ b/src/main/java/merlinlever/fleet/election/ElectionState.java
@@ -10,30 +10,32 @@
 import java.util.SplittableRandom;
 
 /**
- * The rules of leader election: one leader at a time, by the promises of a majority of the configured voters. A promise holds for a
- * lease on the voter's own steady clock, so no two leaders can have one at the same time, whatever the wall clocks say; its term
- * is on the voter's disk before it is given, so terms only go up. A voter that has just started may have promised anything
- * before and waits for a whole lease. Times are since the process began. Not thread-safe.
+ * State machine of leader election. A candidate becomes leader with promises from a majority of the configured voters.
+ * A voter promises to one candidate at a time, for one lease on the voter's monotonic clock, so at most one leader
+ * exists at any time, independent of the wall clocks. A voter persists the term before giving the promise, so terms
+ * only increase. After a restart a voter first waits for one lease, because a promise from before the restart may still
+ * be valid. Times are measured from the start of the process. Not thread-safe.
  */
 final class ElectionState {
 
-    /** A request for a promise, or for its renewal; the answer repeats the correlation id. */
+    /** A request for a promise or for the renewal of a promise; the reply carries the same correlation id. */
     record PromiseRequest(String voter, long term, long correlationId) {}
 
-    /** A leader has its promises renewed this often in the time of a lease. */
+    /** Number of times that a leader renews its promises per lease. */
     private static final int RENEWALS_PER_LEASE = 4;
 
     private final String self;
     private final ElectionSettings settings;
     private final SplittableRandom random;
 
-    // As a voter: the highest term that was promised, and to whom until when.
+    // Voter state: the highest promised term, the candidate that holds the promise, and its expiry.
     private long promisedTerm;
     private Optional<String> promisedCandidate = Optional.empty();
     private Duration promisedUntil;
 
-    // As a candidate or leader: its term, its pending requests by correlation id, and by voter when the promise that it
-    // holds was requested.
+    // Candidate and leader state: the own term, the send times of pending requests by correlation id, and the request
+    // times
+    // of received promises by voter.
     private long ownTerm;
     private boolean leading;
     private long lastCorrelationId;
@@ -41,41 +43,42 @@
     private final Map<String, Duration> promiseRequestedAt = new HashMap<>();
     private Duration nextRequestAt;
 
-    // What was heard of others.
-    private long highestTermHeard;
+    // Information received from other voters.
+    private long highestTermSeen;
     private Optional<Leadership.Leader> lastLeader = Optional.empty();
-    private Duration lastLeaderHeardAt = Duration.ZERO;
+    private Duration lastLeaderSeenAt = Duration.ZERO;
 
     /**
-     * The state of a voter that starts now.
+     * Creates the state of a voter that starts now.
      *
-     * @param persistedTerm the highest term that is on this voter's disk
+     * @param persistedTerm the highest term that this voter has persisted
      */
     ElectionState(Duration now, String self, ElectionSettings settings, long persistedTerm, SplittableRandom random) {
         this.self = self;
         this.settings = settings;
         this.random = random;
         promisedTerm = persistedTerm;
-        highestTermHeard = persistedTerm;
+        highestTermSeen = persistedTerm;
         promisedUntil = now.plus(ClockDrift.upperBound(settings.lease(), settings.clockDrift()));
         nextRequestAt = promisedUntil.plus(randomDelay());
     }
 
-    /** Up to half a lease, so that candidates seldom meet. */
+    /** Returns a random delay of up to half a lease, which makes concurrent candidacies rare. */
     private Duration randomDelay() {
         return Duration.ofNanos(random.nextLong(settings.lease().dividedBy(2).toNanos() + 1));
     }
 
-    // ---- as a voter
+    // ---- voter
 
     /**
-     * Whether the candidate may be promised this term now; if so the term has to be on disk before {@link #promise} is called.
+     * Returns whether this voter may promise the term to the candidate now. The caller has to persist the term before
+     * calling {@link #promise}.
      */
     boolean canPromise(Duration now, String candidate, long term) {
         if (!voters().contains(candidate) || !voters().contains(self) || term < promisedTerm) {
             return false;
         }
-        // The same candidate may have its promise renewed, or made for its next attempt.
+        // The candidate that holds the promise may renew the promise or request a promise of a higher term at any time.
         return isPromisedTo(candidate) || (term > promisedTerm && now.compareTo(promisedUntil) >= 0);
     }
 
@@ -83,30 +86,33 @@
         return promisedCandidate.equals(Optional.of(candidate));
     }
 
-    /** Makes the promise, from now on. */
+    /** Records a promise to the candidate that is valid for one lease from now. */
     void promise(Duration now, String candidate, long term) {
         promisedTerm = term;
         promisedCandidate = Optional.of(candidate);
         promisedUntil = now.plus(settings.lease());
-        highestTermHeard = Math.max(highestTermHeard, term);
+        highestTermSeen = Math.max(highestTermSeen, term);
         if (!candidate.equals(self)) {
             nextRequestAt = promisedUntil.plus(randomDelay());
         }
     }
 
-    /** The highest term that was promised here. */
+    /** Returns the highest term that this voter has promised. */
     long promisedTerm() {
         return promisedTerm;
     }
 
-    // ---- as a candidate or leader
+    // ---- candidate and leader
 
-    /** The requests to be sent now: for a new term where nobody leads, or to renew the promises of its own. */
+    /**
+     * Returns the requests that are due now: a leader's renewals of its promises, or a candidate's vote requests for a
+     * new term.
+     */
     List<PromiseRequest> dueRequests(Duration now) {
         if (leading && !isLeader(now)) {
             leading = false;
             nextRequestAt = now.plus(randomDelay());
-            forgetPromises();
+            clearPromises();
         }
         if (!voters().contains(self) || now.compareTo(nextRequestAt) < 0) {
             return List.of();
@@ -117,9 +123,9 @@
                 nextRequestAt = promisedUntil.plus(randomDelay());
                 return List.of();
             }
-            // A new attempt is a new term: answers to an earlier one say nothing of it.
-            ownTerm = Math.max(Math.max(ownTerm, promisedTerm), highestTermHeard) + 1;
-            forgetPromises();
+            // Each candidacy uses a new term, so late replies to an earlier candidacy are not counted.
+            ownTerm = Math.max(Math.max(ownTerm, promisedTerm), highestTermSeen) + 1;
+            clearPromises();
         }
         Duration lease = settings.lease();
         nextRequestAt = now.plus(
@@ -136,12 +142,15 @@
         return requests;
     }
 
-    private void forgetPromises() {
+    private void clearPromises() {
         promiseRequestedAt.clear();
         pendingRequests.clear();
     }
 
-    /** A voter has promised; its lease counts from when it was requested, which was before it was given. */
+    /**
+     * Records a received promise. Its lease counts from the time of the request, which is earlier than the time at
+     * which the voter gave the promise.
+     */
     void receivePromise(Duration now, String voter, long term, long correlationId) {
         Duration requestedAt = pendingRequests.get(correlationId);
         if (term != ownTerm || requestedAt == null || !voters().contains(voter)) {
@@ -154,7 +163,7 @@
         }
     }
 
-    /** Whether it leads, or one more promise would make the valid ones a majority. */
+    /** Returns whether this voter is leader or needs at most one more promise for a majority. */
     boolean isWithinOnePromiseOfMajority(Duration now) {
         long validPromises = promiseRequestedAt.values().stream()
                 .filter(requestedAt -> now.compareTo(validUntil(requestedAt)) < 0)
@@ -162,27 +171,30 @@
         return leading || validPromises >= settings.largestMinority();
     }
 
-    /** Until when a promise that was requested then holds, by any clock. */
+    /**
+     * Returns the time until which a promise requested at the given time is valid on every clock within the drift
+     * bound.
+     */
     private Duration validUntil(Duration requestedAt) {
         return requestedAt.plus(ClockDrift.lowerBound(settings.lease(), settings.clockDrift()));
     }
 
-    /** A voter has promised a higher term to another candidate, or knows of one. */
+    /** Records the higher term that a voter reported when it rejected a vote request. */
     void receiveRejection(long higherTerm) {
-        highestTermHeard = Math.max(highestTermHeard, higherTerm);
+        highestTermSeen = Math.max(highestTermSeen, higherTerm);
     }
 
-    /** Until when a majority of the promises holds at least, by any clock; empty without a majority. */
+    /** Returns the time until which a majority of the promises is valid on every clock; empty without a majority. */
     private Optional<Duration> leadershipExpiry() {
-        // Its own promise is required: so the term is on its own disk, and no later incarnation of it comes to the same
-        // term again.
+        // The own promise is required because it persists the term locally, so a later incarnation of this voter cannot
+        // reuse the term.
         if (promiseRequestedAt.size() <= settings.largestMinority() || !promiseRequestedAt.containsKey(self)) {
             return Optional.empty();
         }
         Duration[] requestedAt = promiseRequestedAt.values().toArray(new Duration[0]);
         Arrays.sort(requestedAt);
-        Duration oldestOfYoungestMajority = requestedAt[requestedAt.length - settings.largestMinority() - 1];
-        return Optional.of(validUntil(oldestOfYoungestMajority));
+        Duration oldestRequestInMajority = requestedAt[requestedAt.length - settings.largestMinority() - 1];
+        return Optional.of(validUntil(oldestRequestInMajority));
     }
 
     private boolean holdsMajority(Duration now) {
@@ -193,35 +205,35 @@
         return leading && holdsMajority(now);
     }
 
-    /** The term of its own leadership or last attempt. */
+    /** Returns the term of this voter's current leadership or latest candidacy. */
     long ownTerm() {
         return ownTerm;
     }
 
-    // ---- what is known of others
+    // ---- other leaders
 
-    /** A leader was heard; the highest term counts, and one of an older term is ignored. */
+    /** Records a message from or about a leader; a leader with a lower term than the last known leader is ignored. */
     void observeLeader(Duration now, String leader, long term) {
         long lastLeaderTerm = lastLeader.map(Leadership.Leader::term).orElse(0L);
         if (term >= lastLeaderTerm) {
-            highestTermHeard = Math.max(highestTermHeard, term);
+            highestTermSeen = Math.max(highestTermSeen, term);
             lastLeader = Optional.of(new Leadership.Leader(leader, term));
-            lastLeaderHeardAt = now;
+            lastLeaderSeenAt = now;
         }
     }
 
-    /** Who leads as far as this voter knows. */
+    /** Returns the current leader as far as this voter knows. */
     Optional<Leadership.Leader> leader(Duration now) {
         if (isLeader(now)) {
             return Optional.of(new Leadership.Leader(self, ownTerm));
         }
-        Optional<Leadership.Leader> promisedTo = promisedCandidate
+        Optional<Leadership.Leader> promisedLeader = promisedCandidate
                 .filter(candidate -> !candidate.equals(self) && now.compareTo(promisedUntil) < 0)
                 .map(candidate -> new Leadership.Leader(candidate, promisedTerm));
-        Optional<Leadership.Leader> heard =
-                lastLeader.filter(leader -> now.minus(lastLeaderHeardAt).compareTo(settings.lease()) < 0
-                        && (promisedTo.isEmpty() || leader.term() >= promisedTerm));
-        return heard.or(() -> promisedTo);
+        Optional<Leadership.Leader> observedLeader =
+                lastLeader.filter(leader -> now.minus(lastLeaderSeenAt).compareTo(settings.lease()) < 0
+                        && (promisedLeader.isEmpty() || leader.term() >= promisedTerm));
+        return observedLeader.or(() -> promisedLeader);
     }
 
     List<String> voters() {
--- a/src/main/java/merlinlever/fleet/election/LeaderElection.java
+++ b/src/main/java/merlinlever/fleet/election/LeaderElection.java
@@ -12,23 +12,24 @@
 import merlinlever.fleet.membership.PeerMessage;
 
 /**
- * One backend's part in leader election: votes and may lead where it is a voter, otherwise learns who leads. One of it serves all
- * parts of the process that need a leader: quotas, views, registers, experiments. Times are since the process began. Not
- * thread-safe.
+ * Participant of leader election on one backend. A voter votes and may become leader; any other backend only learns who
+ * the leader is. The process has one instance, which quotas, views, registers and experiments share. Times are measured
+ * from the start of the process. Not thread-safe.
  *
- * <p>Texts, each with a correlation id: {@code V/term} requests a promise, {@code P/term} gives it, {@code N/term} rejects it and
- * names a higher term, {@code H/term/leader} says who leads. The request of a candidate to itself does not leave the process.
+ * <p>Messages, each with a correlation id: {@code V/term} requests a promise, {@code P/term} gives the promise,
+ * {@code N/term} rejects the request and reports a higher term, {@code H/term/leader} announces the leader. A
+ * candidate's request to itself does not leave the process.
  */
 public final class LeaderElection implements Leadership {
 
-    /** First parts of the texts that {@link #receive} takes. */
+    /** Types of the messages that {@link #receive} accepts. */
     public static final Set<String> MESSAGE_TYPES = Set.of(
             ElectionMessage.VoteRequest.TYPE,
             ElectionMessage.Promise.TYPE,
             ElectionMessage.Rejection.TYPE,
             ElectionMessage.LeaderAnnouncement.TYPE);
 
-    /** A vote that waits for its term to be on disk. */
+    /** A vote that is delayed until its term is persisted. */
     private record PendingVote(String candidate, long term, long correlationId) {}
 
     private final String self;
@@ -36,19 +37,19 @@
     private final LongPredicate persistTerm;
     private final EventLog log;
     private final List<PeerMessage.Text> outbox = new ArrayList<>();
-    /** At most one; a candidate that is not answered asks again. */
+    /** Only the latest vote is kept; a candidate without a reply repeats its request. */
     private Optional<PendingVote> pendingVote = Optional.empty();
-    /** This backend's last request to itself, while it is not yet decided. */
-    private Optional<ElectionState.PromiseRequest> ownRequest = Optional.empty();
+    /** This backend's latest vote request to itself, until it is decided. */
+    private Optional<ElectionState.PromiseRequest> ownVoteRequest = Optional.empty();
 
     private Optional<Leader> lastLoggedLeader = Optional.empty();
 
     /**
-     * An election in which nobody is known to lead yet.
+     * Creates the participant, without a known leader.
      *
-     * @param persistedTerm the highest term that is on this backend's disk
-     * @param persistTerm requests that a term be written to disk; true once it is there
-     * @param log takes one line whenever another leader becomes known
+     * @param persistedTerm the highest term that this backend has persisted
+     * @param persistTerm starts to persist a term; returns whether the term is persisted already
+     * @param log receives one event for each change of the known leader
      */
     public LeaderElection(
             Duration now,
@@ -64,7 +65,7 @@
         state = new ElectionState(now, self, settings, persistedTerm, random);
     }
 
-    /** Does what is due, and returns what is to be sent; to be called every few milliseconds. */
+    /** Performs the due work and returns the messages to send. Has to be called every few milliseconds. */
     public List<PeerMessage.Text> tick(Duration now) {
         if (pendingVote.isPresent() && persistTerm.test(pendingVote.get().term)) {
             PendingVote vote = pendingVote.get();
@@ -73,7 +74,7 @@
         }
         for (ElectionState.PromiseRequest request : state.dueRequests(now)) {
             if (request.voter().equals(self)) {
-                ownRequest = Optional.of(request);
+                ownVoteRequest = Optional.of(request);
             } else {
                 ElectionMessage voteRequest = new ElectionMessage.VoteRequest(request.term());
                 send(request.voter(), request.correlationId(), voteRequest);
@@ -101,30 +102,31 @@
     }
 
     private List<PeerMessage.Text> drainOutbox() {
-        List<PeerMessage.Text> drained = List.copyOf(outbox);
+        List<PeerMessage.Text> messages = List.copyOf(outbox);
         outbox.clear();
-        return drained;
+        return messages;
     }
 
     /**
-     * A candidate promises itself last, when its own promise completes the majority. One that is cut off would else go on to new
-     * terms of its own, and could promise nothing to the leader when it is connected again (the purpose of Raft's pre-vote,
-     * Ongaro 2014).
+     * Decides this backend's own vote once the own promise would complete the majority. Otherwise a partitioned voter
+     * would persist ever higher terms and could not vote for the leader after the partition heals. Raft's pre-vote has
+     * the same purpose (Ongaro 2014).
      */
     private void decideOwnVote(Duration now) {
-        boolean isCurrent =
-                ownRequest.filter(request -> request.term() == state.ownTerm()).isPresent();
+        boolean isCurrent = ownVoteRequest
+                .filter(request -> request.term() == state.ownTerm())
+                .isPresent();
         if (isCurrent && state.isWithinOnePromiseOfMajority(now)) {
-            ElectionState.PromiseRequest request = ownRequest.get();
-            ownRequest = Optional.empty();
+            ElectionState.PromiseRequest request = ownVoteRequest.get();
+            ownVoteRequest = Optional.empty();
             decideVote(now, self, request.term(), request.correlationId());
         }
     }
 
     private void decideVote(Duration now, String candidate, long term, long correlationId) {
-        boolean isOwn = candidate.equals(self);
+        boolean isSelf = candidate.equals(self);
         if (!state.canPromise(now, candidate, term)) {
-            if (!isOwn) {
+            if (!isSelf) {
                 send(candidate, correlationId, new ElectionMessage.Rejection(state.promisedTerm()));
             }
             return;
@@ -134,14 +136,14 @@
             return;
         }
         state.promise(now, candidate, term);
-        if (isOwn) {
+        if (isSelf) {
             state.receivePromise(now, self, term, correlationId);
         } else {
             send(candidate, correlationId, new ElectionMessage.Promise(term));
         }
     }
 
-    /** Takes in a text of a peer, of one of the {@link #MESSAGE_TYPES}, and returns what is to be sent in answer. */
+    /** Processes a peer's message, whose type is one of {@link #MESSAGE_TYPES}, and returns the messages to send. */
     public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
         try {
             ElectionMessage.Received message = new ElectionMessage.Received(text);
@@ -165,19 +167,21 @@
 
     private void receiveAnnouncement(Duration now, ElectionMessage.Received message) {
         String leader = message.leader();
-        // Of itself this backend knows better.
+        // A peer's announcement of this backend as the leader may be outdated.
         if (state.voters().contains(leader) && !leader.equals(self)) {
             state.observeLeader(now, leader, message.term());
         }
     }
 
-    /** The text that says who leads, for a peer that took another for the leader; empty where that is not known. */
+    /**
+     * Returns an announcement of the current leader as text, for a peer with outdated information; empty if unknown.
+     */
     public Optional<String> leaderAnnouncement(Duration now) {
         return state.leader(now)
                 .map(leader -> new ElectionMessage.LeaderAnnouncement(leader.term(), leader.name()).encode());
     }
 
-    /** A peer acted as the leader of that term. */
+    /** Records that a peer acted as the leader of the term. */
     public void observeLeader(Duration now, String leader, long term) {
         state.observeLeader(now, leader, term);
     }
--- a/src/main/java/merlinlever/fleet/election/Leadership.java
+++ b/src/main/java/merlinlever/fleet/election/Leadership.java
@@ -5,24 +5,24 @@
 import java.util.Optional;
 
 /**
- * Who leads among the configured voters, by promises that are leases (docs/fleet/budgets.md). At no time do two backends consider
- * themselves leader, and of each term there is at most one leader; a term is on the disks of a majority of the voters before anybody
- * leads under it, so terms are fencing tokens: they only go up, over restarts and losses of power too.
+ * Result of lease-based leader election among the configured voters (docs/fleet/budgets.md). At most one backend
+ * considers itself the leader at any time, and each term has at most one leader. A majority of the voters persists a
+ * term before its leader starts, so terms increase across restarts and power losses and can serve as fencing tokens.
  */
 public interface Leadership {
 
     /** A leader and its term. */
     record Leader(String name, long term) {}
 
-    /** Whether this backend leads for certain, by its own steady clock. */
+    /** Returns whether this backend's leadership is certain, by its own monotonic clock. */
     boolean isLeader(Duration now);
 
-    /** The term of this backend's own leadership; meaningful only while it leads. */
+    /** Returns the term of this backend's leadership; meaningful only while this backend is the leader. */
     long term();
 
-    /** Who leads as far as this backend knows; empty where it does not know. */
+    /** Returns the current leader as far as this backend knows; empty if unknown. */
     Optional<Leader> leader(Duration now);
 
-    /** Names of the voters, in the configured order. */
+    /** Returns the names of the voters, in the configured order. */
     List<String> voters();
 }
--- a/src/main/java/merlinlever/fleet/election/net/ElectionTransport.java
+++ b/src/main/java/merlinlever/fleet/election/net/ElectionTransport.java
@@ -10,8 +10,8 @@
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
 
 /**
- * Runs one backend's {@link LeaderElection} on the event loop and membership's datagrams; one for all parts that need a leader. On
- * the loop's thread only.
+ * Runs a backend's {@link LeaderElection} on the event loop and sends its messages in membership datagrams. All
+ * components that need a leader share one instance. Confined to the event loop thread.
  */
 public final class ElectionTransport implements TextMessageHandler {
 
@@ -22,9 +22,9 @@
     private final LeaderElection election;
 
     /**
-     * Starts to take part in the election.
+     * Creates the transport and starts to participate in the election.
      *
-     * @param recovery where terms are persisted, and whose membership carries the messages
+     * @param recovery persists the terms; its membership transport carries the messages
      */
     public ElectionTransport(
             EventLoop loop, RecoveryCoordinator recovery, ElectionSettings settings, long seed, EventLog log) {
@@ -43,7 +43,7 @@
                 TICK_INTERVAL, () -> recovery.send(election.tick(loop.clock().uptime())));
     }
 
-    /** The election, for the parts that need a leader. */
+    /** Returns the election, for components that need a leader. */
     public LeaderElection election() {
         return election;
     }
--- a/src/main/java/merlinlever/fleet/election/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/election/net/package-info.java
@@ -1,2 +1,2 @@
-/** Leader election on the event loop and membership's datagrams. */
+/** Runs leader election on the event loop and exchanges its messages in membership datagrams. */
 package merlinlever.fleet.election.net;
--- a/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
@@ -17,7 +17,7 @@
     private static final List<String> VOTERS = List.of("b0", "b1", "b2");
     private static final ElectionSettings SETTINGS = new ElectionSettings(VOTERS, Duration.ofSeconds(2), 0.01);
     private static final int TICK_MS = 20;
-    private static final int NOBODY = -1;
+    private static final int NO_NODE = -1;
 
     private record Delivery(int sender, int recipient, PeerMessage.Text message) {}
 
@@ -25,8 +25,8 @@
     private final Set<String> voteRequests = new TreeSet<>();
     private List<Delivery> network = new ArrayList<>();
     private long nowMs;
-    /** The node that nothing reaches and that reaches nobody. */
-    private int isolated = NOBODY;
+    /** Index of the node whose incoming and outgoing messages are lost. */
+    private int isolated = NO_NODE;
 
     private Duration now() {
         return Duration.ofMillis(nowMs);
@@ -60,7 +60,7 @@
                 send(i, nodes.get(i).tick(now()));
             }
             long leaders = nodes.stream().filter(node -> node.isLeader(now())).count();
-            assertTrue(leaders < 2, "two lead at " + nowMs);
+            assertTrue(leaders < 2, leaders + " leaders at " + nowMs + " ms");
         }
     }
 
@@ -73,43 +73,46 @@
         nodes.clear();
         network.clear();
         nowMs = 0;
-        isolated = NOBODY;
+        isolated = NO_NODE;
         for (String name : VOTERS) {
             nodes.add(new LeaderElection(now(), name, SETTINGS, 0, term -> true, random.split(), line -> {}));
         }
     }
 
-    /** It does not go on to terms of its own either. */
+    /**
+     * An isolated voter must not advance its term, which would make it reject the current leader after the partition
+     * heals.
+     */
     @Test
-    void aVoterThatWasIsolatedPromisesTheLeaderWhenItIsConnectedAgain() {
+    void anIsolatedVoterPromisesToTheCurrentLeaderAfterReconnecting() {
         for (int seed = 0; seed < 100; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             start(random);
             run(6000);
-            int wasIsolated = random.nextInt(3);
-            isolated = wasIsolated;
+            int isolatedVoter = random.nextInt(3);
+            isolated = isolatedVoter;
             run(10_000);
             int leader = leader();
-            assertTrue(leader != wasIsolated);
+            assertTrue(leader != isolatedVoter);
             long term = nodes.get(leader).term();
-            isolated = NOBODY;
+            isolated = NO_NODE;
             run(3000);
             voteRequests.clear();
             run(6000);
             assertEquals(
                     Set.of(VOTERS.get(leader) + " V/" + term),
                     voteRequests,
-                    "seed " + seed + ": only the leader asks, for its own term");
-            // Its promise counts: the leader goes on without the third.
-            isolated = 3 - wasIsolated - leader;
+                    "seed " + seed + ": vote requests from a node other than the leader or for another term");
+            // The reconnected voter's promise keeps the leader in office while the third voter is isolated.
+            isolated = 3 - isolatedVoter - leader;
             run(6000);
             assertEquals(term, nodes.get(leader()).term(), "seed " + seed);
         }
     }
 
-    /** Of a leader that is no voter, or that is this backend itself, not even the term is read. */
+    /** The term of an announcement is not parsed if the announced leader is not a voter or is the receiver. */
     @Test
-    void malformedTextsAreLoggedOnceTheyAreReadAndChangeNothing() {
+    void malformedMessagesAreLoggedUnlessIgnoredAndHaveNoEffect() {
         List<String> log = new ArrayList<>();
         LeaderElection election = new LeaderElection(
                 now(), "b0", SETTINGS, 0, term -> true, new SplittableRandom(1), event -> log.add(event.text()));
