--- a/src/main/java/merlinlever/fleet/election/ElectionState.java
+++ b/src/main/java/merlinlever/fleet/election/ElectionState.java
@@ -33,8 +33,7 @@
     private Optional<String> promisedCandidate = Optional.empty();
     private Duration promisedUntil;
 
-    // Candidate and leader state: the own term, the send times of pending requests by correlation id, and the request
-    // times
+    // Candidate and leader state: the term, the send times of pending requests by correlation id, and the request times
     // of received promises by voter.
     private long ownTerm;
     private boolean leading;
@@ -186,8 +185,8 @@
 
     /** Returns the time until which a majority of the promises is valid on every clock; empty without a majority. */
     private Optional<Duration> leadershipExpiry() {
-        // The own promise is required because it persists the term locally, so a later incarnation of this voter cannot
-        // reuse the term.
+        // This voter's own promise is required because it persists the term locally, so a later incarnation of this
+        // voter cannot reuse the term.
         if (promiseRequestedAt.size() <= settings.largestMinority() || !promiseRequestedAt.containsKey(self)) {
             return Optional.empty();
         }
--- a/src/main/java/merlinlever/fleet/membership/GossipQueue.java
+++ b/src/main/java/merlinlever/fleet/membership/GossipQueue.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Which records travel with the next messages: those sent least often first, each some multiple of log n times (SWIM section
- * 4.1). Not thread-safe.
+ * Selects the member records that are piggybacked on the next messages. The records sent least often come first, and
+ * each record is sent a multiple of log n times (SWIM section 4.1). Not thread-safe.
  */
 final class GossipQueue {
 
@@ -18,7 +18,7 @@
     private static final int RETRANSMIT_MULTIPLIER = 3;
 
     private final MemberTable memberTable;
-    /** How often each queued member's record was sent, the members queued first in front. */
+    /** Number of transmissions of each queued record by member name, in the order in which the members were queued. */
     private final Map<String, Integer> transmissions = new LinkedHashMap<>();
 
     private final Map<String, Duration> changedAt = new HashMap<>();
@@ -27,23 +27,23 @@
         this.memberTable = memberTable;
     }
 
-    /** The record of that member has changed and is to be sent. */
+    /** Queues the changed record of a member for transmission. */
     void enqueue(Duration now, String name) {
         transmissions.remove(name);
         transmissions.put(name, 0);
         changedAt.put(name, now);
     }
 
-    /** The member was removed from the table. */
+    /** Removes a member that was removed from the member table. */
     void remove(String name) {
         transmissions.remove(name);
         changedAt.remove(name);
     }
 
-    /** How long ago the record of the member last changed; zero where it never did. */
+    /** Returns the time since the last change of the member's record; zero if the record has never changed. */
     Duration timeSinceChange(Duration now, String name) {
-        Duration at = changedAt.get(name);
-        return at == null ? Duration.ZERO : now.minus(at);
+        Duration lastChange = changedAt.get(name);
+        return lastChange == null ? Duration.ZERO : now.minus(lastChange);
     }
 
     private int maxTransmissions() {
@@ -51,7 +51,7 @@
         return RETRANSMIT_MULTIPLIER * logOfMembers;
     }
 
-    /** The records for one message; counts them as sent. */
+    /** Returns the records for one message and counts them as sent. */
     List<MemberRecord> nextBatch() {
         List<String> names = new ArrayList<>(transmissions.keySet());
         names.sort(Comparator.comparingInt(transmissions::get));
--- a/src/main/java/merlinlever/fleet/membership/MemberRecord.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberRecord.java
@@ -1,16 +1,16 @@
 package merlinlever.fleet.membership;
 
 /**
- * What is believed, and told to peers, of a member.
+ * State of a member as known to this member and gossiped to peers.
  *
- * @param gossipAddress where it receives membership's datagrams
- * @param apiAddress where it takes commands
- * @param incarnation raised by the member itself alone
+ * @param gossipAddress address for membership datagrams
+ * @param apiAddress address for commands
+ * @param incarnation counter that only the member itself raises
  */
 public record MemberRecord(
         String name, String gossipAddress, String apiAddress, MemberStatus status, long incarnation) {
 
-    /** Whether the member takes part, as far as is known: alive or only suspected. */
+    /** Returns whether the member is alive or suspect, but neither dead nor left. */
     public boolean isLive() {
         return status == MemberStatus.ALIVE || status == MemberStatus.SUSPECT;
     }
--- a/src/main/java/merlinlever/fleet/membership/MemberStatus.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberStatus.java
@@ -3,16 +3,16 @@
 import merlinlever.common.WireNamed;
 
 /**
- * What is believed of a member; of one incarnation a later constant overrides an earlier one. On the wire they go by their position,
- * so their order is fixed.
+ * Status of a member. Within an incarnation a later constant overrides an earlier one. The constants are encoded by
+ * their ordinal, so their order must not change.
  */
 public enum MemberStatus implements WireNamed {
     ALIVE("alive"),
-    /** It did not answer, and has some time to refute that. */
+    /** The member did not reply to a ping and can still refute the suspicion. */
     SUSPECT("suspect"),
-    /** It did not refute the suspicion in time. */
+    /** The member did not refute the suspicion in time. */
     DEAD("dead"),
-    /** It left in good order. */
+    /** The member left the fleet gracefully. */
     LEFT("left");
 
     private final String wireName;
@@ -21,7 +21,7 @@
         this.wireName = wireName;
     }
 
-    /** The name in logs and JSON; it stays when the constant is renamed. */
+    /** Returns the name in logs and JSON, which is independent of the name of the constant. */
     @Override
     public String wireName() {
         return wireName;
--- a/src/main/java/merlinlever/fleet/membership/MemberTable.java
+++ b/src/main/java/merlinlever/fleet/membership/MemberTable.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * What one member believes of all. Beliefs only move forward: by incarnation, which only the member itself raises, and within
- * one by how much is said against it. So it does not matter in which order, how late or how often updates come. Not
- * thread-safe.
+ * The records of all members as known to one member. A record is replaced only by one with a higher incarnation, which
+ * only the member itself raises, or by one with a later {@link MemberStatus} of the same incarnation. The result of
+ * merging updates therefore does not depend on their order, delay or duplication. Not thread-safe.
  */
 public final class MemberTable {
 
@@ -18,7 +18,7 @@
     private boolean hasLeft;
     private long addressConflicts;
 
-    /** A table that knows this member alone, which is alive. */
+    /** Creates a table with this member as the only member, which is alive. */
     public MemberTable(String self, String gossipAddress, String apiAddress, long incarnation) {
         this.self = self;
         records.put(self, new MemberRecord(self, gossipAddress, apiAddress, MemberStatus.ALIVE, incarnation));
@@ -31,44 +31,44 @@
         addressConflicts = other.addressConflicts;
     }
 
-    /** An independent table with the same beliefs. */
+    /** Returns an independent copy of this table. */
     MemberTable copy() {
         return new MemberTable(this);
     }
 
-    /** Name of this member. */
+    /** Returns the name of this member. */
     public String self() {
         return self;
     }
 
-    /** The record of this member itself. */
+    /** Returns the record of this member. */
     public MemberRecord ownRecord() {
         return records.get(self);
     }
 
-    /** What is believed of a member; empty where it is not known. */
+    /** Returns the record of a member; empty if the member is unknown. */
     public Optional<MemberRecord> find(String name) {
         return Optional.ofNullable(records.get(name));
     }
 
-    /** A copy of all records, in the order of the names. */
+    /** Returns a copy of all records, sorted by name. */
     public List<MemberRecord> records() {
         return new ArrayList<>(records.values());
     }
 
-    /** How many members are known, this one and the dead among them. */
+    /** Returns the number of known members, including this member and members that are dead or have left. */
     public int size() {
         return records.size();
     }
 
-    /** Whether an update says more than the current record of the same member. */
+    /** Returns whether an update overrides the current record of the same member. */
     public static boolean supersedes(MemberRecord update, MemberRecord current) {
         return update.incarnation() != current.incarnation()
                 ? update.incarnation() > current.incarnation()
                 : update.status().compareTo(current.status()) > 0;
     }
 
-    /** Takes in an update; returns the record to be gossiped on, none where it says nothing new. */
+    /** Merges an update and returns the record to gossip; empty if the table did not change. */
     public Optional<MemberRecord> merge(MemberRecord update) {
         if (update.name().equals(self)) {
             return refute(update);
@@ -82,18 +82,18 @@
     }
 
     /**
-     * Answers an update about this member itself that is wrong, or was true of an earlier incarnation, with a higher incarnation.
-     * Two processes that happen to have the same incarnation must not pass for one, so another address is refuted too.
+     * Refutes a wrong or outdated update about this member by raising its incarnation. An update with a different
+     * address is refuted too, so that peers can distinguish two processes with the same name and incarnation.
      */
     private Optional<MemberRecord> refute(MemberRecord update) {
         MemberRecord own = ownRecord();
-        boolean isElsewhere = update.status() == MemberStatus.ALIVE
+        boolean hasOtherAddress = update.status() == MemberStatus.ALIVE
                 && !update.gossipAddress().equals(own.gossipAddress())
                 && update.incarnation() >= own.incarnation();
-        if (hasLeft || (!isElsewhere && !supersedes(update, own))) {
+        if (hasLeft || (!hasOtherAddress && !supersedes(update, own))) {
             return Optional.empty();
         }
-        if (isElsewhere) {
+        if (hasOtherAddress) {
             addressConflicts++;
         }
         MemberRecord refutation = new MemberRecord(
@@ -103,19 +103,28 @@
     }
 
     /**
-     * How often this member was reported alive at another address, with the same or a higher incarnation. One report may be of its
-     * own earlier process; more mean that another process uses its name.
+     * Returns how often this member was reported alive at another address with the same or a higher incarnation. A
+     * single report can stem from an earlier process of this member; several reports mean that another process uses its
+     * name.
      */
     public long addressConflicts() {
         return addressConflicts;
     }
 
-    /** This member got no answer from a peer: it is suspected, unless more is known already; returns as {@link #merge}. */
+    /**
+     * Marks a peer that did not reply as suspect, unless its record already has a later status.
+     *
+     * @return the record to gossip, as for {@link #merge}
+     */
     public Optional<MemberRecord> markSuspect(String name) {
         return downgrade(name, MemberStatus.SUSPECT);
     }
 
-    /** The suspicion of a peer was not refuted in time; returns as {@link #merge}. */
+    /**
+     * Marks a suspect peer as dead because it did not refute the suspicion in time.
+     *
+     * @return the record to gossip, as for {@link #merge}
+     */
     public Optional<MemberRecord> markDead(String name) {
         MemberRecord current = records.get(name);
         return current != null && current.status() == MemberStatus.SUSPECT
@@ -131,17 +140,17 @@
                         name, current.gossipAddress(), current.apiAddress(), status, current.incarnation()));
     }
 
-    /** This member leaves in good order; returns the record to be gossiped. */
+    /** Marks this member as having left gracefully and returns the record to gossip. */
     public MemberRecord markSelfLeft() {
         hasLeft = true;
         MemberRecord own = ownRecord();
-        MemberRecord departed =
+        MemberRecord left =
                 new MemberRecord(self, own.gossipAddress(), own.apiAddress(), MemberStatus.LEFT, own.incarnation());
-        records.put(self, departed);
-        return departed;
+        records.put(self, left);
+        return left;
     }
 
-    /** Removes a member that has been gone for long enough. */
+    /** Removes a member whose record has passed its retention time. */
     void remove(String name) {
         records.remove(name);
     }
--- a/src/main/java/merlinlever/fleet/membership/MembershipCodec.java
+++ b/src/main/java/merlinlever/fleet/membership/MembershipCodec.java
@@ -13,13 +13,14 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Messages as bytes: two bytes of magic number, the version, the kind, sender, correlation id, text, records, for a {@code PAYLOAD}
- * its length and bytes, and 16 bytes of HMAC-SHA-256 over all before them. One of another version, forged or malformed decodes to
- * nothing; a replayed one says only what is known already, as beliefs only move forward.
+ * Encodes messages as datagrams: a magic number of two bytes, version, kind, sender, correlation id, text, records, the
+ * length and bytes of a {@code PAYLOAD}, and the first 16 bytes of an HMAC-SHA-256 over all preceding bytes. The codec
+ * does not decode messages that are forged, malformed or of another version. Replayed records are harmless because a
+ * record never overrides a newer one.
  */
 public final class MembershipCodec {
 
-    /** Upper bound of a datagram. */
+    /** Maximum size of a datagram. */
     public static final int MAX_DATAGRAM_BYTES = 60_000;
 
     private static final short MAGIC = 0x4d4c;
@@ -28,7 +29,7 @@
     private static final String MAC_ALGORITHM = "HmacSHA256";
     private static final int MAX_TEXT_BYTES = 120;
     private static final int MIN_HEADER_BYTES = 4;
-    /** Name, two addresses, and room for the fixed fields. */
+    /** Upper bound of an encoded record: the name, two addresses and the fixed-size fields. */
     private static final int MAX_RECORD_BYTES = 4 * MAX_TEXT_BYTES;
 
     private static final MessageKind[] KINDS = MessageKind.values();
@@ -37,9 +38,9 @@
     private final SecretKeySpec secret;
 
     /**
-     * A codec of one fleet.
+     * Creates the codec of a fleet.
      *
-     * @param secret shared by all members
+     * @param secret key that all members share
      */
     public MembershipCodec(byte[] secret) {
         this.secret = new SecretKeySpec(secret, MAC_ALGORITHM);
@@ -52,11 +53,11 @@
             mac.update(bytes, 0, length);
             return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
         } catch (NoSuchAlgorithmException | InvalidKeyException e) {
-            throw new IllegalStateException("every Java platform has " + MAC_ALGORITHM, e);
+            throw new IllegalStateException("the Java platform does not support " + MAC_ALGORITHM, e);
         }
     }
 
-    /** The message as a datagram. Records that do not fit are left out; other messages bring them. */
+    /** Encodes a message as a datagram. Records that do not fit are omitted; later messages carry them. */
     public byte[] encode(MembershipMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         out.putShort(MAGIC).put(VERSION).put((byte) message.kind().ordinal());
@@ -94,7 +95,7 @@
         out.putShort(countPosition, (short) count);
     }
 
-    /** The message of a datagram, or null where it is none of this fleet's. */
+    /** Decodes a datagram; returns null if the datagram is not a valid message of this fleet. */
     public MembershipMessage decode(byte[] datagram) {
         int end = datagram.length - MAC_BYTES;
         if (end < MIN_HEADER_BYTES
@@ -127,13 +128,13 @@
     private static String readText(ByteBuffer in) {
         int length = in.get();
         if (length < 0 || length > MAX_TEXT_BYTES) {
-            throw new IllegalArgumentException("a text of " + length + " bytes");
+            throw new IllegalArgumentException("invalid text length: " + length + " bytes");
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
         for (byte character : bytes) {
             if (character <= ' ' || character > '~') {
-                throw new IllegalArgumentException("not printable");
+                throw new IllegalArgumentException("text contains a character that is not printable ASCII");
             }
         }
         return new String(bytes, StandardCharsets.US_ASCII);
@@ -155,7 +156,7 @@
     private static byte[] readPayload(ByteBuffer in) {
         int length = in.getInt();
         if (length < 0 || length > in.remaining()) {
-            throw new IllegalArgumentException("a payload of " + length + " bytes");
+            throw new IllegalArgumentException("invalid payload length: " + length + " bytes");
         }
         byte[] payload = new byte[length];
         in.get(payload);
--- a/src/main/java/merlinlever/fleet/membership/MessageDispatcher.java
+++ b/src/main/java/merlinlever/fleet/membership/MessageDispatcher.java
@@ -6,21 +6,23 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Hands messages of other protocols, which travel on membership's datagrams, to their handlers. Not thread-safe. */
+/**
+ * Passes messages of other protocols, which are received in membership datagrams, to their handlers. Not thread-safe.
+ */
 final class MessageDispatcher {
 
     private final Map<String, TextMessageHandler> textHandlers = new TreeMap<>();
     private final List<PayloadHandler> payloadHandlers = new ArrayList<>();
 
     /**
-     * From here on texts of these types go to the handler.
+     * Registers the handler for text messages of the given types.
      *
-     * @throws IllegalStateException if one of the types has a handler already
+     * @throws IllegalStateException if one of the types already has a handler
      */
     void addTextHandler(Set<String> messageTypes, TextMessageHandler handler) {
         for (String type : messageTypes) {
             if (textHandlers.put(type, handler) != null) {
-                throw new IllegalStateException("two handlers for texts of type " + type);
+                throw new IllegalStateException("text message type already has a handler: " + type);
             }
         }
     }
@@ -29,7 +31,7 @@
         payloadHandlers.add(handler);
     }
 
-    /** A text goes to the handler of its type, the part before the first slash; one without a handler is dropped. */
+    /** Passes a text to the handler of its type, which precedes the first slash; a text of another type is dropped. */
     void dispatchText(String sender, long correlationId, String text) {
         int slash = text.indexOf('/');
         String type = slash < 0 ? text : text.substring(0, slash);
@@ -39,7 +41,7 @@
         }
     }
 
-    /** A payload goes to every handler. */
+    /** Passes a payload to every payload handler. */
     void dispatchPayload(String sender, byte[] payload) {
         payloadHandlers.forEach(handler -> handler.onPayload(sender, payload));
     }
--- a/src/main/java/merlinlever/fleet/membership/MessageKind.java
+++ b/src/main/java/merlinlever/fleet/membership/MessageKind.java
@@ -2,27 +2,27 @@
 
 import merlinlever.common.WireNamed;
 
-/** Kinds of {@link MembershipMessage}. On the wire they go by their position, so their order is fixed. */
+/** Kinds of {@link MembershipMessage}. The constants are encoded by their ordinal, so their order must not change. */
 public enum MessageKind implements WireNamed {
-    /** Asks the receiver for an {@link #ACK}. */
+    /** Requests an {@link #ACK} from the receiver. */
     PING("ping"),
     /** Answers a {@link #PING}. */
     ACK("ack"),
-    /** Asks the receiver to ping another member on the sender's behalf. */
+    /** Requests that the receiver ping another member on the sender's behalf. */
     PING_REQUEST("ask_for"),
-    /** Answers a {@link #PING_REQUEST}: the other member has not answered yet. */
+    /** Answers a {@link #PING_REQUEST} whose target has not replied yet. */
     NACK("nack"),
-    /** Brings all records of the sender, and asks for all of the receiver. */
+    /** Carries all records of the sender and requests all records of the receiver. */
     SYNC("sync"),
     /** Answers a {@link #SYNC}. */
     SYNC_REPLY("sync_back"),
-    /** A restarted member asks for a recovery report. */
+    /** Requests a recovery report, after a restart of the sender. */
     RECOVERY_QUERY("recall"),
-    /** Answers a {@link #RECOVERY_QUERY}, with all records. */
+    /** Answers a {@link #RECOVERY_QUERY} with the report and all records. */
     RECOVERY_REPLY("recalled"),
-    /** A text of another protocol. */
+    /** Carries a text of another protocol. */
     TEXT("say"),
-    /** Bytes of another protocol. */
+    /** Carries bytes of another protocol. */
     PAYLOAD("carry");
 
     private final String wireName;
@@ -31,7 +31,7 @@
         this.wireName = wireName;
     }
 
-    /** The name in drawings of message sequences; it stays when the constant is renamed. */
+    /** Returns the name in message sequence diagrams, which is independent of the name of the constant. */
     @Override
     public String wireName() {
         return wireName;
--- a/src/main/java/merlinlever/fleet/membership/OutboundDatagram.java
+++ b/src/main/java/merlinlever/fleet/membership/OutboundDatagram.java
@@ -1,8 +1,8 @@
 package merlinlever.fleet.membership;
 
 /**
- * A message to be sent.
+ * A message to send in a datagram.
  *
- * @param address the gossip address that it goes to
+ * @param address gossip address of the recipient
  */
 public record OutboundDatagram(String address, MembershipMessage message) {}
--- a/src/main/java/merlinlever/fleet/membership/PayloadHandler.java
+++ b/src/main/java/merlinlever/fleet/membership/PayloadHandler.java
@@ -1,8 +1,11 @@
 package merlinlever.fleet.membership;
 
-/** Takes the payloads that peers send on membership's datagrams; every handler sees each, and takes what it understands. */
+/**
+ * Handles payloads that peers send in membership datagrams. Every handler receives every payload and ignores payloads
+ * of other protocols.
+ */
 public interface PayloadHandler {
 
-    /** A peer sent those bytes. On the thread that received them. */
+    /** Handles a payload from a peer, on the receiving thread. */
     void onPayload(String sender, byte[] payload);
 }
--- a/src/main/java/merlinlever/fleet/membership/PeerMessage.java
+++ b/src/main/java/merlinlever/fleet/membership/PeerMessage.java
@@ -1,28 +1,30 @@
 package merlinlever.fleet.membership;
 
-/** A message of another protocol, such as leader election, that travels on membership's datagrams and may be lost. */
+/**
+ * A message of another protocol, for example leader election, that is sent in a membership datagram and may be lost.
+ */
 public sealed interface PeerMessage {
 
-    /** Name of the member that it goes to. */
+    /** Returns the name of the receiving member. */
     String recipient();
 
     /**
-     * A short text.
+     * A short text message.
      *
-     * @param correlationId of the request; a reply repeats that of its request
-     * @param text printable ASCII without spaces, at most 120 bytes; its type and a slash first
+     * @param correlationId identifies the request; a reply carries the correlation id of its request
+     * @param text printable ASCII without spaces, at most 120 bytes; starts with the message type and a slash
      */
     record Text(String recipient, long correlationId, String text) implements PeerMessage {}
 
-    /** Some bytes, {@link SwimProtocol#MAX_PAYLOAD_BYTES} at most. */
+    /** A binary message of at most {@link SwimProtocol#MAX_PAYLOAD_BYTES} bytes. */
     final class Payload implements PeerMessage {
         private final String recipient;
         private final byte[] content;
 
         /**
-         * A payload of these bytes.
+         * Creates a binary message.
          *
-         * @param content not copied, and not to be changed any more
+         * @param content bytes of the message; not copied, so the caller must not modify the array
          */
         public Payload(String recipient, byte[] content) {
             this.recipient = recipient;
--- a/src/main/java/merlinlever/fleet/membership/ProbeSchedule.java
+++ b/src/main/java/merlinlever/fleet/membership/ProbeSchedule.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** Which peer is pinged next, and random choices among live peers. Not thread-safe. */
+/** Selects the next peer to ping and shuffles live peers. Not thread-safe. */
 final class ProbeSchedule {
 
     private final MemberTable memberTable;
     private final SplittableRandom random;
-    /** The rest of the present round. */
+    /** Names of the peers that are still to be pinged in the current round. */
     private final ArrayDeque<String> round = new ArrayDeque<>();
 
     ProbeSchedule(MemberTable memberTable, SplittableRandom random) {
@@ -20,7 +20,7 @@
         this.random = random;
     }
 
-    /** All live peers in turn, in an order that is drawn anew each round (SWIM section 4.3). */
+    /** Returns the next live peer in round-robin order; each round has a new random order (SWIM section 4.3). */
     Optional<String> nextTarget() {
         for (int attempt = 0; attempt < 2; attempt++) {
             while (!round.isEmpty()) {
@@ -34,7 +34,7 @@
         return Optional.empty();
     }
 
-    /** The peers that are alive or only suspected, in a random order. */
+    /** Returns the peers that are alive or suspect, in random order. */
     List<MemberRecord> shuffledLivePeers() {
         List<MemberRecord> peers = new ArrayList<>();
         for (MemberRecord member : memberTable.records()) {
@@ -46,7 +46,7 @@
         return peers;
     }
 
-    /** Not {@code Collections.shuffle}, which takes no {@code SplittableRandom} in Java 17. */
+    /** Replaces {@code Collections.shuffle}, which does not accept a {@code SplittableRandom} in Java 17. */
     private void shuffle(List<MemberRecord> list) {
         for (int i = list.size() - 1; i > 0; i--) {
             Collections.swap(list, i, random.nextInt(i + 1));
--- a/src/main/java/merlinlever/fleet/membership/RecoveryExchange.java
+++ b/src/main/java/merlinlever/fleet/membership/RecoveryExchange.java
@@ -1,11 +1,11 @@
 package merlinlever.fleet.membership;
 
-/** What a restarted member asks its peers, and what they answer, beside all that they believe of the members. */
+/** Exchange of recovery reports between a restarted member and its peers, in addition to the member records. */
 public interface RecoveryExchange {
 
-    /** This member's answer to a peer's query: printable ASCII without spaces, at most 64 bytes. */
+    /** Returns this member's reply to a peer's recovery query: printable ASCII without spaces, at most 64 bytes. */
     String recoveryReport();
 
-    /** A peer has answered this member's query of that correlation id. */
+    /** Handles a peer's reply to this member's recovery query with the given correlation id. */
     void onRecoveryReply(String sender, long correlationId, String report);
 }
--- a/src/main/java/merlinlever/fleet/membership/RelayedPings.java
+++ b/src/main/java/merlinlever/fleet/membership/RelayedPings.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Pings that this member sent on behalf of peers. Not thread-safe. */
+/** Tracks the pings that this member sent on behalf of peers. Not thread-safe. */
 final class RelayedPings {
 
     /**
-     * One ping.
+     * A ping on behalf of a peer.
      *
-     * @param requester gossip address of the peer that asked for it
-     * @param requestId correlation id of its request
-     * @param nackAt when it is told that no answer came yet; null once it was
+     * @param requester gossip address of the peer that requested the ping
+     * @param requestId correlation id of the request
+     * @param nackAt time at which the requester receives a nack if the target has not replied; null after the nack
      */
     record RelayedPing(String requester, long requestId, Duration nackAt, Duration expiresAt) {
-        private RelayedPing nacked() {
+        private RelayedPing withNackSent() {
             return new RelayedPing(requester, requestId, null, expiresAt);
         }
     }
 
-    /** The requester of a ping is told after its timeout less this part of it that no answer came. */
+    /** The nack precedes the end of the ping timeout by the timeout divided by this number. */
     private static final int NACK_LEAD_DIVISOR = 5;
 
     private final SwimSettings settings;
@@ -33,7 +33,7 @@
         this.settings = settings;
     }
 
-    /** A ping is sent now under that correlation id; its requester is told after four fifths of the timeout that none came. */
+    /** Adds a ping that is sent now with the given correlation id. */
     void add(Duration now, long correlationId, String requester, long requestId) {
         Duration timeout = settings.pingTimeout();
         Duration nackAt = now.plus(timeout.minus(timeout.dividedBy(NACK_LEAD_DIVISOR)));
@@ -41,12 +41,12 @@
         byCorrelationId.put(correlationId, new RelayedPing(requester, requestId, nackAt, expiresAt));
     }
 
-    /** The ping of that correlation id was answered. */
+    /** Removes and returns the answered ping with the given correlation id; empty if there is none. */
     Optional<RelayedPing> remove(long correlationId) {
         return Optional.ofNullable(byCorrelationId.remove(correlationId));
     }
 
-    /** The pings whose requesters are to be told now that no answer came yet; forgets those that expired. */
+    /** Returns the unanswered pings whose requesters have to receive a nack now, and removes expired pings. */
     List<RelayedPing> dueNacks(Duration now) {
         List<RelayedPing> due = new ArrayList<>();
         byCorrelationId.replaceAll((correlationId, ping) -> {
@@ -54,7 +54,7 @@
                 return ping;
             }
             due.add(ping);
-            return ping.nacked();
+            return ping.withNackSent();
         });
         byCorrelationId.values().removeIf(ping -> now.compareTo(ping.expiresAt) >= 0);
         return due;
--- a/src/main/java/merlinlever/fleet/membership/SuspicionTimers.java
+++ b/src/main/java/merlinlever/fleet/membership/SuspicionTimers.java
@@ -9,21 +9,21 @@
 import java.util.Set;
 
 /**
- * Who is suspected since when and by how many, and when a suspicion that nothing refuted is taken as true (Lifeguard section
+ * Timers of the suspect members. A timeout becomes shorter as more members confirm the suspicion (Lifeguard section
  * IV-B). Not thread-safe.
  */
 final class SuspicionTimers {
 
-    /** The shortest timeout, in periods for each power of ten of the members. */
+    /** Minimum timeout in probe periods for up to ten peers; it grows with the logarithm of the number of peers. */
     private static final int MIN_TIMEOUT_PERIODS = 4;
-    /** The longest timeout as a multiple of the shortest. */
+    /** Ratio of the maximum timeout to the minimum timeout. */
     private static final int MAX_TIMEOUT_MULTIPLIER = 6;
 
     private static final int MAX_EXPECTED_CONFIRMATIONS = 3;
 
     private static final class Suspicion {
         private final Duration startedAt;
-        private final Set<String> accusers = new HashSet<>();
+        private final Set<String> confirmingMembers = new HashSet<>();
 
         Suspicion(Duration startedAt) {
             this.startedAt = startedAt;
@@ -40,19 +40,19 @@
         suspicions.remove(name);
     }
 
-    /** Another member suspects the same, which makes the timeout shorter. */
-    void confirm(String name, String accuser) {
+    /** Records that another member confirms the suspicion, which shortens the timeout. */
+    void confirm(String name, String confirmingMember) {
         Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
-            suspicion.accusers.add(accuser);
+            suspicion.confirmingMembers.add(confirmingMember);
         }
     }
 
     /**
-     * The members whose time to refute the suspicion is over.
+     * Returns the members that did not refute the suspicion in time.
      *
-     * @param peerCount how many peers this member has
-     * @param period of probing
+     * @param peerCount number of peers of this member
+     * @param period probe period
      */
     List<String> expired(Duration now, int peerCount, Duration period) {
         List<String> expired = new ArrayList<>();
@@ -64,13 +64,13 @@
         return expired;
     }
 
-    /** From the longest towards the shortest timeout, by the logarithm of the confirmations. */
+    /** Returns a timeout that decreases from the maximum to the minimum with the logarithm of the confirmations. */
     private static Duration timeout(Suspicion suspicion, int peerCount, Duration period) {
-        double shortestNanos = MIN_TIMEOUT_PERIODS * Math.max(1, Math.log10(Math.max(1, peerCount))) * period.toNanos();
-        double longestNanos = MAX_TIMEOUT_MULTIPLIER * shortestNanos;
+        double minNanos = MIN_TIMEOUT_PERIODS * Math.max(1, Math.log10(Math.max(1, peerCount))) * period.toNanos();
+        double maxNanos = MAX_TIMEOUT_MULTIPLIER * minNanos;
         int expectedConfirmations = Math.max(1, Math.min(MAX_EXPECTED_CONFIRMATIONS, peerCount - 2));
-        double confirmation = Math.log(suspicion.accusers.size() + 1) / Math.log(expectedConfirmations + 1);
-        return Duration.ofNanos((long)
-                Math.max(shortestNanos, longestNanos - (longestNanos - shortestNanos) * Math.min(1, confirmation)));
+        double confirmation = Math.log(suspicion.confirmingMembers.size() + 1) / Math.log(expectedConfirmations + 1);
+        return Duration.ofNanos(
+                (long) Math.max(minNanos, maxNanos - (maxNanos - minNanos) * Math.min(1, confirmation)));
     }
 }
--- a/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimProtocol.java
@@ -12,30 +12,31 @@
 import merlinlever.common.log.LogEvent;
 
 /**
- * Decides whom to ping when, whom to suspect, and which records travel along (SWIM with Lifeguard's local health). It does no
- * input or output and has no clock; times are since the process began. Not thread-safe.
+ * Membership protocol (SWIM with the local health of Lifeguard): schedules pings, suspects unresponsive members and
+ * gossips member records. The protocol does no I/O and has no clock; times are measured from the start of the process.
+ * Not thread-safe.
  */
 public final class SwimProtocol {
 
-    /** Upper bound of the members known; further ones are ignored. */
+    /** Maximum number of known members; records of further members are ignored. */
     public static final int MAX_MEMBERS = 2000;
 
-    /** Upper bound of the payload of one message. */
+    /** Maximum payload size of a message. */
     public static final int MAX_PAYLOAD_BYTES = 48 << 10;
 
     private static final int MAX_HEALTH_SCORE = 8;
-    /** All records are exchanged with one peer each so many periods, a dead one too: so two halves of a network meet again. */
+    /** Number of probe periods between full synchronizations with a random peer. */
     private static final int PERIODS_PER_SYNC = 10;
 
     private static final Duration DEAD_MEMBER_RETENTION = Duration.ofHours(24);
-    /** Peers that are pinged on leaving, beside those of an indirect ping, so that one of them passes the news on. */
-    private static final int EXTRA_FAREWELLS = 2;
+    /** Number of peers that a leaving member pings in addition to {@link SwimSettings#indirectPings}. */
+    private static final int EXTRA_LEAVE_PINGS = 2;
 
-    /** A ping that waits for its answer. */
+    /** A ping without a reply so far. */
     private static final class PendingPing {
         private final String target;
         private final Duration expiresAt;
-        /** When peers are asked to ping the target too; null once they were. */
+        /** Time at which peers are requested to ping the target too; null after the requests were sent. */
         private Duration indirectPingAt;
 
         private int outstandingNacks;
@@ -59,7 +60,7 @@
     private final MessageDispatcher dispatcher = new MessageDispatcher();
     private List<OutboundDatagram> outbox = new ArrayList<>();
     private Duration nextPeriodAt;
-    /** Empty where this member neither asks nor answers recovery queries. */
+    /** Empty if this member neither sends nor answers recovery queries. */
     private Optional<RecoveryExchange> recoveryExchange = Optional.empty();
 
     private long lastCorrelationId;
@@ -67,9 +68,9 @@
     private int healthScore;
 
     /**
-     * A member that knows nothing but its own table yet.
+     * Creates the protocol of one member.
      *
-     * @param log takes one line whenever the status of a peer changes
+     * @param log receives one event for each change of a peer's record
      */
     public SwimProtocol(
             Duration now, MemberTable memberTable, SwimSettings settings, SplittableRandom random, EventLog log) {
@@ -82,36 +83,36 @@
         probeSchedule = new ProbeSchedule(memberTable, random);
         nextPeriodAt = now;
         lastCorrelationId = random.nextLong() >>> 16;
-        announce(now, memberTable.ownRecord());
+        recordChanged(now, memberTable.ownRecord());
     }
 
-    /** What this member believes of all. */
+    /** Returns the records of all members as known to this member. */
     public MemberTable memberTable() {
         return memberTable;
     }
 
-    /** From here on recovery queries of peers are answered, and answers to this member's own are handed on. */
+    /** Sets the exchange that answers peers' recovery queries and handles the replies to this member's queries. */
     public void setRecoveryExchange(RecoveryExchange exchange) {
         recoveryExchange = Optional.of(exchange);
     }
 
     /**
-     * From here on texts of these types go to the handler.
+     * Registers the handler for text messages of the given types.
      *
-     * @throws IllegalStateException if one of the types has a handler already
+     * @throws IllegalStateException if one of the types already has a handler
      */
     public void addTextHandler(Set<String> messageTypes, TextMessageHandler handler) {
         dispatcher.addTextHandler(messageTypes, handler);
     }
 
-    /** From here on payloads go to this handler too. */
+    /** Registers a handler that receives all payloads. */
     public void addPayloadHandler(PayloadHandler handler) {
         dispatcher.addPayloadHandler(handler);
     }
 
     // ---- messages of other protocols
 
-    /** Sends a message with the next datagrams; it is lost where the recipient is not known. */
+    /** Queues a message for the next {@link #tick}; a message to an unknown recipient is dropped. */
     public void send(PeerMessage message) {
         if (message instanceof PeerMessage.Text text) {
             sendText(text.recipient(), text.correlationId(), text.text());
@@ -121,13 +122,13 @@
     }
 
     /**
-     * Sends bytes to a peer; they are lost where it is not known.
+     * Queues a payload for a peer; a payload to an unknown recipient is dropped.
      *
-     * @throws IllegalArgumentException if they are over {@link #MAX_PAYLOAD_BYTES}
+     * @throws IllegalArgumentException if the payload exceeds {@link #MAX_PAYLOAD_BYTES}
      */
     public void sendPayload(String recipient, byte[] payload) {
         if (payload.length > MAX_PAYLOAD_BYTES) {
-            throw new IllegalArgumentException("a payload of " + payload.length + " bytes");
+            throw new IllegalArgumentException("payload is too large: " + payload.length + " bytes");
         }
         memberTable.find(recipient).ifPresent(known -> {
             MembershipMessage message =
@@ -136,14 +137,17 @@
         });
     }
 
-    /** Sends a text, of printable ASCII without spaces and at most 120 bytes, to a peer; it is lost where that is not known. */
+    /**
+     * Queues a text of printable ASCII without spaces and at most 120 bytes for a peer; a text to an unknown recipient
+     * is dropped.
+     */
     public void sendText(String recipient, long correlationId, String text) {
         memberTable
                 .find(recipient)
                 .ifPresent(known -> enqueue(known.gossipAddress(), MessageKind.TEXT, correlationId, text));
     }
 
-    /** Asks a known peer for its recovery report; the answer goes to the {@link RecoveryExchange}. */
+    /** Requests the recovery report of a known peer; the {@link RecoveryExchange} handles the reply. */
     public void sendRecoveryQuery(String recipient, long correlationId) {
         MemberRecord known = memberTable.find(recipient).orElseThrow();
         enqueue(known.gossipAddress(), MessageKind.RECOVERY_QUERY, correlationId, "");
@@ -151,12 +155,15 @@
 
     // ---- gossip
 
-    /** 0 where this member is well; more where its own slowness made it late to hear (Lifeguard section IV-A). */
+    /**
+     * Returns 0 for a healthy member and higher values for a member that processes messages late (Lifeguard section
+     * IV-A).
+     */
     public int healthScore() {
         return healthScore;
     }
 
-    /** How long ago what is believed of the member last changed; zero where it never did. */
+    /** Returns the time since the last change of the member's record; zero if the record has never changed. */
     public Duration timeSinceChange(Duration now, String name) {
         return gossipQueue.timeSinceChange(now, name);
     }
@@ -165,8 +172,8 @@
         return memberTable.size() - 1;
     }
 
-    /** Gossips a record that is new here. */
-    private void announce(Duration now, MemberRecord changed) {
+    /** Queues a changed record for gossip, updates its suspicion timer and logs a change of a peer's record. */
+    private void recordChanged(Duration now, MemberRecord changed) {
         gossipQueue.enqueue(now, changed.name());
         if (changed.status() == MemberStatus.SUSPECT) {
             suspicionTimers.start(now, changed.name());
@@ -179,7 +186,7 @@
                     .with("status", changed.status().wireName())
                     .with("incarnation", changed.incarnation()));
         } else if (changed.status() == MemberStatus.ALIVE && changed.incarnation() > 0) {
-            // It had to refute something: it may have been too slow to answer.
+            // This member refuted an update about itself, possibly because its replies were late.
             adjustHealth(1);
         }
     }
@@ -200,7 +207,7 @@
 
     // ---- messages of peers
 
-    /** Takes in a message that came from that address. */
+    /** Processes a message received from the given address. */
     public void receive(Duration now, String senderAddress, MembershipMessage message) {
         mergeRecords(now, message);
         long correlationId = message.correlationId();
@@ -211,7 +218,7 @@
             case NACK -> receiveNack(correlationId);
             case SYNC -> enqueue(senderAddress, MessageKind.SYNC_REPLY, correlationId, "");
             case SYNC_REPLY -> {
-                // Its records are all that it brings.
+                // A reply carries only records, which are merged above.
             }
             case RECOVERY_QUERY -> recoveryExchange.ifPresent(exchange ->
                     enqueue(senderAddress, MessageKind.RECOVERY_REPLY, correlationId, exchange.recoveryReport()));
@@ -231,7 +238,7 @@
             if (update.status() == MemberStatus.SUSPECT) {
                 suspicionTimers.confirm(update.name(), message.sender());
             }
-            memberTable.merge(update).ifPresent(changed -> announce(now, changed));
+            memberTable.merge(update).ifPresent(changed -> recordChanged(now, changed));
         }
     }
 
@@ -257,12 +264,12 @@
         }
     }
 
-    /** This member leaves in good order; what {@link #tick} returns next has to be sent still. */
+    /** Leaves the fleet gracefully. The caller still has to send the datagrams from the next {@link #tick}. */
     public void leave(Duration now) {
-        announce(now, memberTable.markSelfLeft());
+        recordChanged(now, memberTable.markSelfLeft());
         List<MemberRecord> peers = probeSchedule.shuffledLivePeers();
-        int farewells = Math.min(settings.indirectPings() + EXTRA_FAREWELLS, peers.size());
-        for (MemberRecord peer : peers.subList(0, farewells)) {
+        int leavePings = Math.min(settings.indirectPings() + EXTRA_LEAVE_PINGS, peers.size());
+        for (MemberRecord peer : peers.subList(0, leavePings)) {
             sendNewRequest(peer.gossipAddress(), MessageKind.PING);
         }
     }
@@ -278,11 +285,14 @@
 
     // ---- periodic work
 
-    /** Does what is due, and returns all that is to be sent; to be called every 50 ms or so, and after each message. */
+    /**
+     * Performs the due work and returns the datagrams to send. Has to be called about every 50 ms and after each
+     * message.
+     */
     public List<OutboundDatagram> tick(Duration now) {
         if (now.compareTo(nextPeriodAt) >= 0) {
-            // Periods that were slept through are not made up for.
-            nextPeriodAt = now.plus(stretched(settings.probePeriod()));
+            // Missed periods are skipped.
+            nextPeriodAt = now.plus(extendedByHealthScore(settings.probePeriod()));
             startPeriod(now);
         }
         checkPendingPings(now);
@@ -290,7 +300,7 @@
             enqueue(relayed.requester(), MessageKind.NACK, relayed.requestId(), "");
         }
         for (String name : suspicionTimers.expired(now, peerCount(), settings.probePeriod())) {
-            memberTable.markDead(name).ifPresent(changed -> announce(now, changed));
+            memberTable.markDead(name).ifPresent(changed -> recordChanged(now, changed));
             suspicionTimers.cancel(name);
         }
         List<OutboundDatagram> datagrams = outbox;
@@ -298,9 +308,9 @@
         return datagrams;
     }
 
-    /** A span made longer while this member itself is slow. */
-    private Duration stretched(Duration span) {
-        return span.multipliedBy(1L + healthScore);
+    /** Extends a timeout in proportion to this member's health score. */
+    private Duration extendedByHealthScore(Duration timeout) {
+        return timeout.multipliedBy(1L + healthScore);
     }
 
     private void checkPendingPings(Duration now) {
@@ -312,27 +322,27 @@
             }
             if (now.compareTo(ping.expiresAt) >= 0) {
                 pendingPings.remove(entry.getKey());
-                // Peers that did not even send a nack point at this member's own connection.
+                // A missing nack suggests that this member's own connection is faulty.
                 adjustHealth(ping.outstandingNacks > 0 ? 2 : 1);
-                memberTable.markSuspect(ping.target).ifPresent(changed -> announce(now, changed));
+                memberTable.markSuspect(ping.target).ifPresent(changed -> recordChanged(now, changed));
             }
         }
     }
 
     private void sendIndirectPings(long correlationId, PendingPing ping) {
         Optional<MemberRecord> target = memberTable.find(ping.target);
-        int asked = 0;
-        for (MemberRecord helper : probeSchedule.shuffledLivePeers()) {
-            if (asked < settings.indirectPings() && !helper.name().equals(ping.target) && target.isPresent()) {
-                asked++;
+        int requests = 0;
+        for (MemberRecord relay : probeSchedule.shuffledLivePeers()) {
+            if (requests < settings.indirectPings() && !relay.name().equals(ping.target) && target.isPresent()) {
+                requests++;
                 enqueue(
-                        helper.gossipAddress(),
+                        relay.gossipAddress(),
                         MessageKind.PING_REQUEST,
                         correlationId,
                         target.get().gossipAddress());
             }
         }
-        ping.outstandingNacks = asked;
+        ping.outstandingNacks = requests;
     }
 
     private void startPeriod(Duration now) {
@@ -340,20 +350,20 @@
         if (peerCount() == 0 || periodCount % PERIODS_PER_SYNC == 0) {
             sendSync();
         }
-        removeLongGoneMembers(now);
+        removeExpiredMembers(now);
         probeSchedule.nextTarget().ifPresent(target -> ping(now, target));
     }
 
     private void ping(Duration now, String target) {
         lastCorrelationId++;
-        Duration indirectPingAt = now.plus(stretched(settings.pingTimeout()));
-        Duration expiresAt = now.plus(stretched(settings.probePeriod()));
+        Duration indirectPingAt = now.plus(extendedByHealthScore(settings.pingTimeout()));
+        Duration expiresAt = now.plus(extendedByHealthScore(settings.probePeriod()));
         pendingPings.put(lastCorrelationId, new PendingPing(target, indirectPingAt, expiresAt));
         MemberRecord known = memberTable.find(target).orElseThrow();
         enqueue(known.gossipAddress(), MessageKind.PING, lastCorrelationId, "");
     }
 
-    private void removeLongGoneMembers(Duration now) {
+    private void removeExpiredMembers(Duration now) {
         for (MemberRecord member : memberTable.records()) {
             if (!member.isLive()
                     && !isSelf(member)
@@ -364,11 +374,11 @@
         }
     }
 
-    /** Exchanges all records with one peer, or with all seeds where no peer is known. */
+    /** Exchanges all records with a random peer, or with all seeds if no peer is known. */
     private void sendSync() {
         List<String> addresses = new ArrayList<>();
         for (MemberRecord member : memberTable.records()) {
-            // The dead too: it may be this side that was cut off.
+            // A peer that looks dead may be on the other side of a network partition that has healed.
             if (!isSelf(member) && member.status() != MemberStatus.LEFT) {
                 addresses.add(member.gossipAddress());
             }
--- a/src/main/java/merlinlever/fleet/membership/SwimSettings.java
+++ b/src/main/java/merlinlever/fleet/membership/SwimSettings.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * Settings of the protocol.
+ * Settings of {@link SwimProtocol}.
  *
- * @param probePeriod in which one peer is pinged
- * @param pingTimeout after which peers are asked to ping it
- * @param indirectPings how many peers are asked
- * @param seeds gossip addresses that are tried until a peer is known
+ * @param probePeriod interval between pings to successive peers
+ * @param pingTimeout time without a reply after which other peers are requested to ping the target
+ * @param indirectPings maximum number of peers that are requested to ping the target
+ * @param seeds gossip addresses that are contacted until a peer is known
  */
 public record SwimSettings(Duration probePeriod, Duration pingTimeout, int indirectPings, List<String> seeds) {
 
@@ -22,7 +22,7 @@
         seeds = List.copyOf(seeds);
     }
 
-    /** The settings of every released program. */
+    /** Returns the default settings with the given seeds. */
     public static SwimSettings defaults(List<String> seeds) {
         return new SwimSettings(DEFAULT_PROBE_PERIOD, DEFAULT_PING_TIMEOUT, DEFAULT_INDIRECT_PINGS, seeds);
     }
--- a/src/main/java/merlinlever/fleet/membership/TextFields.java
+++ b/src/main/java/merlinlever/fleet/membership/TextFields.java
@@ -1,8 +1,9 @@
 package merlinlever.fleet.membership;
 
 /**
- * The fields of a text that a peer sent ({@link PeerMessage.Text}), separated by slashes; the first one is its type. A field is read
- * only when it is asked for, as a receiver may ignore or answer a message without looking at all of it. Immutable.
+ * The fields of a peer's text message ({@link PeerMessage.Text}), separated by slashes; the first field is the message
+ * type. Each accessor parses only its own field, so a receiver can ignore or answer a message without parsing all
+ * fields. Immutable.
  */
 public final class TextFields {
 
@@ -10,46 +11,46 @@
 
     private final String[] fields;
 
-    /** The fields of that text; empty ones at its end do not count. */
+    /** Splits a text into its fields; trailing empty fields are dropped. */
     public TextFields(String text) {
         fields = text.split(SEPARATOR);
     }
 
-    /** A text of these fields. */
+    /** Joins the fields to a text. */
     public static String join(String... fields) {
         return String.join(SEPARATOR, fields);
     }
 
-    /** Whether there is a field at that index. */
+    /** Returns whether the text has a field at the index. */
     public boolean has(int index) {
         return index < fields.length;
     }
 
     /**
-     * The field at that index.
+     * Returns the field at the index.
      *
-     * @throws IllegalArgumentException if there are fewer
+     * @throws IllegalArgumentException if the field is missing
      */
     public String text(int index) {
         if (!has(index)) {
-            throw new IllegalArgumentException("too few fields");
+            throw new IllegalArgumentException("message field is missing");
         }
         return fields[index];
     }
 
     /**
-     * The field at that index as a number in base ten.
+     * Returns the field at the index as a decimal number.
      *
-     * @throws IllegalArgumentException if it is missing or no number
+     * @throws IllegalArgumentException if the field is missing or not a number
      */
     public long number(int index) {
         return Long.parseLong(text(index));
     }
 
     /**
-     * The field at that index as a number in that base.
+     * Returns the field at the index as a number in the given radix.
      *
-     * @throws IllegalArgumentException if it is missing or no number
+     * @throws IllegalArgumentException if the field is missing or not a number
      */
     public long number(int index, int radix) {
         return Long.parseLong(text(index), radix);
--- a/src/main/java/merlinlever/fleet/membership/TextMessageHandler.java
+++ b/src/main/java/merlinlever/fleet/membership/TextMessageHandler.java
@@ -1,8 +1,8 @@
 package merlinlever.fleet.membership;
 
-/** Takes the texts of another protocol that peers send on membership's datagrams. */
+/** Handles text messages of another protocol that peers send in membership datagrams. */
 public interface TextMessageHandler {
 
-    /** A peer sent that text; what the handler doesn't understand it ignores. On the thread that received it. */
+    /** Handles a text from a peer, on the receiving thread. Malformed texts are ignored. */
     void onText(String sender, long correlationId, String text);
 }
--- a/src/main/java/merlinlever/fleet/membership/net/MembershipTransport.java
+++ b/src/main/java/merlinlever/fleet/membership/net/MembershipTransport.java
@@ -14,7 +14,7 @@
 import merlinlever.fleet.membership.OutboundDatagram;
 import merlinlever.fleet.membership.SwimProtocol;
 
-/** Runs one member's {@link SwimProtocol} on the event loop and UDP datagrams. On the loop's thread only. */
+/** Runs a member's {@link SwimProtocol} on the event loop and over UDP. Confined to the event loop thread. */
 public final class MembershipTransport {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
@@ -28,10 +28,10 @@
     private long rejectedDatagrams;
 
     /**
-     * Starts to run the protocol.
+     * Creates the transport and starts to run the protocol.
      *
-     * @param mayAnnounce whether this incarnation of its own may be sent to peers: not before it is on disk, where one is
-     *     persisted
+     * @param mayAnnounce returns whether this member may send the given incarnation of itself to peers; false while the
+     *     incarnation still has to be persisted
      */
     public MembershipTransport(
             EventLoop loop,
@@ -47,29 +47,29 @@
         loop.runNowAndEvery(TICK_INTERVAL, this::flush);
     }
 
-    /** Takes in a datagram; one that is not of this fleet is counted and dropped. */
+    /** Processes a received datagram; a datagram that is not a valid message of this fleet is counted and dropped. */
     public void receive(byte[] datagram, InetSocketAddress sender) {
         MembershipMessage message = codec.decode(datagram);
         if (message == null) {
             rejectedDatagrams++;
             return;
         }
-        // Since the process began: the wall clock may be set.
+        // The uptime is monotonic, unlike the wall clock.
         protocol.receive(loop.clock().uptime(), formatAddress(sender), message);
         flush();
     }
 
-    /** How many datagrams were not of this fleet. */
+    /** Returns the number of received datagrams that were not valid messages of this fleet. */
     public long rejectedDatagrams() {
         return rejectedDatagrams;
     }
 
-    /** Sends what is due now. */
+    /** Sends the datagrams that are due now. */
     public void flush() {
         List<OutboundDatagram> outbound = protocol.tick(loop.clock().uptime());
         MemberTable memberTable = protocol.memberTable();
         if (!mayAnnounce.test(memberTable.ownRecord().incarnation())) {
-            // Lost, as any datagram may be.
+            // Drops the datagrams; the protocol tolerates datagram loss.
             return;
         }
         for (OutboundDatagram datagram : outbound) {
@@ -80,18 +80,18 @@
         }
     }
 
-    /** Leaves in good order: tells some peers. */
+    /** Leaves the fleet gracefully and notifies some peers. */
     public void leave() {
         protocol.leave(loop.clock().uptime());
         flush();
     }
 
-    /** An address as {@code ADDRESS:PORT}. */
+    /** Formats an address as {@code ADDRESS:PORT}. */
     public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** The address of {@code ADDRESS:PORT}; null where it is none. Names are not looked up. */
+    /** Parses a numeric {@code ADDRESS:PORT}; returns null for any other text. Does no DNS lookup. */
     public static InetSocketAddress parseAddress(String text) {
         try {
             int colon = text.lastIndexOf(':');
--- a/src/main/java/merlinlever/fleet/membership/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/membership/net/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Carries the messages of membership, and those of the protocols that travel with them, in UDP datagrams. All methods run
- * on the event loop's thread.
+ * UDP transport of membership and of the protocols that use its datagrams. All methods run on the event loop thread.
  */
 package merlinlever.fleet.membership.net;
--- a/src/main/java/merlinlever/fleet/membership/package-info.java
+++ b/src/main/java/merlinlever/fleet/membership/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Membership: which agents or backends there are, by what they tell each other (SWIM: A. Das, I. Gupta, A. Motivala, 2002, with its
- * suspicion and incarnations; local health of A. Dadgar, J. Phillips, J. Currey, Lifeguard, 2017). {@link
- * merlinlever.fleet.membership.MemberTable} is what each believes, {@link merlinlever.fleet.membership.SwimProtocol} whom it pings when; neither
- * does input or output. {@link merlinlever.fleet.membership.net.MembershipTransport} carries them, and messages of other protocols, in UDP
- * datagrams.
+ * Gossip-based membership of agents and backends (SWIM: A. Das, I. Gupta, A. Motivala, 2002, with suspicion and
+ * incarnations; Lifeguard: A. Dadgar, J. Phillips, J. Currey, 2017, with local health).
+ * {@link merlinlever.fleet.membership.MemberTable} holds the member records and
+ * {@link merlinlever.fleet.membership.SwimProtocol} probes the members; neither does I/O.
+ * {@link merlinlever.fleet.membership.net.MembershipTransport} sends and receives the messages, including messages of
+ * other protocols, in UDP datagrams.
  */
 package merlinlever.fleet.membership;
--- a/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
+++ b/src/test/java/merlinlever/fleet/election/LeaderElectionTest.java
@@ -60,7 +60,7 @@
                 send(i, nodes.get(i).tick(now()));
             }
             long leaders = nodes.stream().filter(node -> node.isLeader(now())).count();
-            assertTrue(leaders < 2, leaders + " leaders at " + nowMs + " ms");
+            assertTrue(leaders < 2, "two leaders at " + nowMs);
         }
     }
 
--- a/src/test/java/merlinlever/fleet/membership/MemberTableModelTest.java
+++ b/src/test/java/merlinlever/fleet/membership/MemberTableModelTest.java
@@ -12,14 +12,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Walks every state that three members can reach: any suspicion of anyone at any time, right or wrong, one restart without
- * persisted state, one that leaves, and any record that was ever sent reaching anyone at any later time, any number of times or
- * never.
+ * Explores all reachable states of three members. Members suspect each other at any time, one member restarts without
+ * persisted state, one leaves, and every sent record is delivered to any member at any later time, any number of times
+ * or never.
  */
 class MemberTableModelTest {
 
     private static final String[] NAMES = {"a", "b", "c"};
-    /** Suspicions are raised up to this incarnation; each raises it by one, so this bounds the walk. */
+    /**
+     * Members below this incarnation can become suspect. Bounds the state space, because each refutation raises the
+     * incarnation.
+     */
     private static final int MAX_SUSPECTED_INCARNATION = 1;
 
     private static final int STATUSES = MemberStatus.values().length;
@@ -39,7 +42,7 @@
     }
 
     private static int indexOf(MemberRecord member) {
-        assertTrue(member.incarnation() < INCARNATIONS, "no room for incarnation " + member.incarnation());
+        assertTrue(member.incarnation() < INCARNATIONS, "unsupported incarnation " + member.incarnation());
         return (member.name().charAt(0) - 'a') * RECORDS_PER_MEMBER
                 + member.status().ordinal()
                 + STATUSES * (int) member.incarnation();
@@ -47,7 +50,7 @@
 
     private static final class FleetState {
         final MemberTable[] tables = new MemberTable[3];
-        /** Which of all possible records were ever sent, by their index. */
+        /** Bit set of the indexes of the sent records. */
         long sentRecords;
 
         boolean bRestarted;
@@ -72,7 +75,7 @@
             }
         }
 
-        /** The whole state in a few characters. */
+        /** Returns a compact key that identifies the state. */
         String key() {
             StringBuilder key = new StringBuilder(12);
             for (MemberTable table : tables) {
@@ -145,7 +148,7 @@
             MemberRecord update = ALL_RECORDS[Long.numberOfTrailingZeros(left)];
             MemberRecord before = state.tables[receiver].find(update.name()).orElse(null);
             if (before != null && !MemberTable.supersedes(update, before)) {
-                // It says nothing new here: the same state.
+                // The update does not change the table, so the successor is the same state.
                 continue;
             }
             FleetState next = state.copy();
@@ -153,16 +156,16 @@
             MemberRecord after = next.tables[receiver].find(update.name()).orElse(null);
             assertTrue(
                     before == null || after.equals(before) || MemberTable.supersedes(after, before),
-                    "a belief went back");
+                    "an older record replaced a newer one");
             successors.add(next);
         }
     }
 
-    /** All that are live send each other all that they believe, until nothing is new. */
+    /** Exchanges all records among the live members until no table changes. */
     private static void converge(FleetState state) {
         boolean changed = true;
         for (int rounds = 0; changed; rounds++) {
-            assertTrue(rounds < 20, "does not converge");
+            assertTrue(rounds < 20, "tables do not converge");
             changed = false;
             for (int sender = 0; sender < 3; sender++) {
                 for (int receiver = 0; receiver < 3; receiver++) {
@@ -190,38 +193,38 @@
         return initial;
     }
 
-    private static void assertConvergesRightly(FleetState state) {
+    private static void assertConvergesCorrectly(FleetState state) {
         FleetState converged = state.copy();
-        MemberRecord leaverBefore = converged.tables[0].find("c").orElse(null);
-        boolean knewThatLeft = leaverBefore != null && leaverBefore.status() == MemberStatus.LEFT;
+        MemberRecord departedBefore = converged.tables[0].find("c").orElse(null);
+        boolean wasKnownToHaveLeft = departedBefore != null && departedBefore.status() == MemberStatus.LEFT;
         converge(converged);
         for (int i = 0; i < 3; i++) {
             for (int k = 0; k < 3; k++) {
                 if (converged.isLive(i) && converged.isLive(k)) {
-                    MemberRecord believed = converged.tables[i].find(NAMES[k]).orElse(null);
-                    assertEquals(MemberStatus.ALIVE, believed.status(), state::key);
-                    assertEquals(converged.tables[k].find(NAMES[k]).orElse(null), believed, state::key);
+                    MemberRecord known = converged.tables[i].find(NAMES[k]).orElse(null);
+                    assertEquals(MemberStatus.ALIVE, known.status(), state::key);
+                    assertEquals(converged.tables[k].find(NAMES[k]).orElse(null), known, state::key);
                 }
             }
         }
         assertEquals(converged.tables[0].find("c"), converged.tables[1].find("c"));
         assertFalse(
-                knewThatLeft
+                wasKnownToHaveLeft
                         && converged.cLeft
                         && converged.tables[0].find("c").orElseThrow().status() != MemberStatus.LEFT,
-                "one that left came back");
+                "a member that left is live again");
     }
 
     @Test
-    void noLiveMemberStaysDeadOneThatLeftStaysAwayAndTablesConverge() {
-        assertTrue(MAX_SUSPECTED_INCARNATION <= 1, "the key has room for incarnations up to 4");
+    void tablesConvergeWithLiveMembersAliveAndDepartedMembersLeft() {
+        assertTrue(MAX_SUSPECTED_INCARNATION <= 1, "records with an incarnation above 4 are not representable");
         FleetState initial = initialState();
         Set<String> seen = new HashSet<>();
         ArrayDeque<FleetState> open = new ArrayDeque<>(List.of(initial));
         seen.add(initial.key());
         while (!open.isEmpty()) {
             FleetState state = open.poll();
-            assertConvergesRightly(state);
+            assertConvergesCorrectly(state);
             for (FleetState successor : successors(state)) {
                 if (seen.add(successor.key())) {
                     open.add(successor);
@@ -229,6 +232,6 @@
             }
             assertTrue(seen.size() < 3_000_000, "more states than expected");
         }
-        assertTrue(seen.size() > 5_000, "walked only " + seen.size());
+        assertTrue(seen.size() > 5_000, "too few explored states: " + seen.size());
     }
 }
--- a/src/test/java/merlinlever/fleet/membership/MembershipCodecTest.java
+++ b/src/test/java/merlinlever/fleet/membership/MembershipCodecTest.java
@@ -38,23 +38,23 @@
     }
 
     @Test
-    void aMessageOfAnotherSecretOrWithAChangedByteIsRejected() {
+    void aMessageWithAnotherSecretOrAChangedByteIsRejected() {
         MembershipMessage message = sync(300);
         byte[] datagram = codec.encode(message);
         assertEquals(message, codec.decode(datagram));
         assertNull(codec("0123456789abcdeg").decode(datagram));
-        for (int at = 0; at < datagram.length; at += 7) {
+        for (int index = 0; index < datagram.length; index += 7) {
             byte[] changed = datagram.clone();
-            changed[at] ^= 1;
+            changed[index] ^= 1;
             assertNull(codec.decode(changed));
         }
         assertNull(codec.decode(new byte[65_000]));
         assertNull(codec.decode(new byte[0]));
     }
 
-    /** From a later version, say. */
+    /** A valid HMAC does not imply valid content, for example if the sender runs a later version. */
     @Test
-    void rightlySignedNonsenseThrowsNothing() {
+    void malformedContentWithAValidMacThrowsNoException() {
         byte[] datagram = codec.encode(sync(300));
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 5000; i++) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void recordsThatDoNotFitAreLeftOut() {
+    void recordsThatDoNotFitAreOmitted() {
         List<MemberRecord> records = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
             records.add(new MemberRecord(
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void textsAndPayloadsReachTheirHandlersAndNobodyElse() {
+    void textsAndPayloadsReachOnlyTheirHandlers() {
         SwimSettings settings = SwimSettings.defaults(List.of("127.0.0.1:2"));
         SwimProtocol sender = new SwimProtocol(
                 Duration.ZERO,
--- a/src/test/java/merlinlever/fleet/membership/SwimProtocolTest.java
+++ b/src/test/java/merlinlever/fleet/membership/SwimProtocolTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Members on a virtual clock and a network that loses, delays, duplicates and cuts. */
+/** Runs members on a virtual clock and a network that loses, delays, duplicates and partitions messages. */
 class SwimProtocolTest {
 
     private static final int SEEDS = Integer.getInteger("members.seeds", 1000);
@@ -24,7 +24,7 @@
         final boolean[] running;
         final boolean[] paused;
         final TreeMap<Long, List<Runnable>> scheduled = new TreeMap<>();
-        /** Which side of a network partition each member is on. */
+        /** Side of the network partition by member. */
         final int[] side;
 
         long nowMs;
@@ -108,31 +108,31 @@
         void assertAllSee(MemberStatus expected, int subject, String when) {
             for (int i = 0; i < members.length; i++) {
                 if (i != subject && running[i] && !paused[i]) {
-                    assertEquals(expected, status(i, subject), when + ": n" + i + " of n" + subject);
+                    assertEquals(expected, status(i, subject), when + ": n" + i + " about n" + subject);
                 }
             }
         }
     }
 
     @Test
-    void failuresAreFoundLiveMembersStayAndPartitionsHeal() {
+    void failuresAreDetectedAndLiveMembersRecoverFromPausesAndPartitions() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             try {
-                play(seed);
+                runScenario(seed);
             } catch (AssertionError e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
         }
     }
 
-    private static void play(long seed) {
+    private static void runScenario(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         VirtualNetwork network = new VirtualNetwork(seed, 3 + random.nextInt(5));
         int count = network.members.length;
         network.lossPercent = random.nextInt(3) * 10;
         network.run(20_000);
         for (int i = 0; i < count; i++) {
-            assertEquals(count, network.members[i].memberTable().size(), "joined");
+            assertEquals(count, network.members[i].memberTable().size(), "number of known members");
         }
         switch (random.nextInt(4)) {
             case 0 -> killAndRestart(network, 1 + random.nextInt(count - 1));
@@ -143,14 +143,14 @@
         network.lossPercent = 0;
         network.run(90_000);
         for (int i = 0; i < count; i++) {
-            network.assertAllSee(MemberStatus.ALIVE, i, "in the end");
+            network.assertAllSee(MemberStatus.ALIVE, i, "after recovery");
         }
     }
 
     private static void killAndRestart(VirtualNetwork network, int killed) {
         network.running[killed] = false;
         network.run(60_000);
-        network.assertAllSee(MemberStatus.DEAD, killed, "killed");
+        network.assertAllSee(MemberStatus.DEAD, killed, "after the kill");
         network.start(killed);
     }
 
@@ -160,7 +160,7 @@
         Arrays.fill(network.side, 0);
     }
 
-    /** A paused member is not dead in the end, and does not take the others for dead. */
+    /** Pauses a member; afterwards the member and its peers must consider each other alive again. */
     private static void pause(VirtualNetwork network, int paused) {
         network.paused[paused] = true;
         network.run(45_000);
@@ -175,7 +175,8 @@
         for (int i = 0; i < network.members.length; i++) {
             if (i != leaving) {
                 MemberStatus status = network.status(i, leaving);
-                assertTrue(status == MemberStatus.LEFT || status == MemberStatus.DEAD, "left: " + status);
+                assertTrue(
+                        status == MemberStatus.LEFT || status == MemberStatus.DEAD, "status after leaving: " + status);
             }
         }
         network.start(leaving);
