--- a/src/main/java/merlinlever/fleet/view/ActionPermissions.java
+++ b/src/main/java/merlinlever/fleet/view/ActionPermissions.java
@@ -2,13 +2,18 @@
 
 import java.util.Map;
 
-/** What may be done at which quorum status: the one table for the whole program, so that no part makes up a quorum of its own. */
+/**
+ * The permitted actions by quorum status. All components use this table, so that they agree on which actions require a
+ * quorum.
+ */
 public final class ActionPermissions {
 
-    /** The answer to whether an action may be done. */
+    /** The permission for an action. */
     public enum Permission {
         ALLOWED,
-        /** Only while what was adopted holds its lease; after that only what is safe in isolation. */
+        /**
+         * Permitted until the lease of the adopted state expires; afterwards only as far as it is safe in isolation.
+         */
         ALLOWED_WHILE_LEASED,
         DENIED
     }
@@ -44,8 +49,8 @@
                     Permission.ALLOWED_WHILE_LEASED,
                     Permission.ALLOWED_WHILE_LEASED,
                     Permission.DENIED),
-            // The backend's own idempotency marks on disk guard these; the peers know nothing of what it ran
-            // (docs/fleet/recovery.md).
+            // These requests do not need a quorum: the backend prevents duplicates with its own reservations on disk,
+            // as its peers do not know which requests it has run (docs/fleet/recovery.md).
             GuardedAction.START_NON_IDEMPOTENT_REQUEST,
             row(
                     Permission.ALLOWED,
@@ -73,7 +78,7 @@
                 QuorumStatus.RECOVERING, recovering);
     }
 
-    /** Whether a backend of that status may do the action. */
+    /** Returns the permission for the action on a backend with this quorum status. */
     public static Permission permission(GuardedAction action, QuorumStatus status) {
         return TABLE.get(action).get(status);
     }
--- a/src/main/java/merlinlever/fleet/view/CutDetector.java
+++ b/src/main/java/merlinlever/fleet/view/CutDetector.java
@@ -14,22 +14,28 @@
 import merlinlever.fleet.membership.MemberStatus;
 
 /**
- * Which change of the view is due, as the leader counts it from the reports of all backends (Suresh et al., Rapid, 2018). A member
- * is removed when a high threshold of its observers report it unreachable; while another one is between the low and the high
- * threshold the change waits for that one, so that members that fail together leave in one change. An observer that the leader
- * does not hear either is counted against a member that it does not hear and that somebody reports unreachable: so half a network
- * leaves at once, and one silent observer takes nobody along. Times are since the process began. Not thread-safe.
+ * Determines on the leader which change of the view is due, based on the reports of all backends (multi-node cut
+ * detection, Suresh et al., Rapid, 2018).
+ *
+ * <p>A member is removed when the number of its observers that report it unreachable reaches a high threshold. While
+ * another member is unstable, between the low and the high threshold, the removal is delayed, so that members that fail
+ * together are removed in one change. If the leader has no valid report of a member and at least one observer reports
+ * the member unreachable, the observers without a valid report count against the member too. A partition of half the
+ * network is thus removed in one change, while a single silent observer does not cause the removal of its subjects.
+ *
+ * <p>Times are measured from the start of the process. Not thread-safe.
  */
 final class CutDetector {
 
     /**
-     * What a backend reported last.
+     * The report of a backend, which is part of its poll.
      *
-     * @param correlationId of the poll that it came with; later polls have higher ones
-     * @param viewNumber of the view that it has adopted, 0 for none
-     * @param termFloor where it has adopted none: it adopts none of this term or an earlier one
-     * @param heardVoters how many voters answer it
-     * @param unreachable the members that it observes and finds unreachable
+     * @param correlationId id of the poll; increases from poll to poll
+     * @param viewNumber number of the view that the backend has adopted, 0 for none
+     * @param termFloor highest term on the disk of the backend when it started; until the backend has adopted a view,
+     *     it needs a view of a later term
+     * @param heardVoters number of voters that respond to the backend
+     * @param unreachable the members that the backend observes and finds unreachable
      */
     record MemberReport(
             Duration receivedAt,
@@ -51,20 +57,20 @@
     /**
      * The last report of a backend.
      *
-     * @param heardSince its reports have come without a gap from then on
+     * @param heardSince start of the current sequence of reports without a gap
      */
     private record TrackedReport(MemberReport report, Duration heardSince) {}
 
     private record RejoinPenalty(Duration removedAt, Duration duration) {}
 
     private static final int MAX_REPORTS = 2 * MembershipView.MAX_MEMBERS;
-    /** A penalty is forgotten after this many times its duration. */
-    private static final int FORGIVENESS_FACTOR = 10;
+    /** A penalty is no longer doubled when this many times its duration has passed since the removal. */
+    private static final int PENALTY_EXPIRY_FACTOR = 10;
 
     private final ViewSettings settings;
     private final Map<String, TrackedReport> reports = new TreeMap<>();
     private final Map<String, RejoinPenalty> penalties = new LinkedHashMap<>();
-    private final Map<String, Duration> doubtfulSince = new TreeMap<>();
+    private final Map<String, Duration> unstableSince = new TreeMap<>();
     private Set<String> pendingChange = Set.of();
     private Duration changeStartedAt = Duration.ZERO;
     private Duration changeGrewAt = Duration.ZERO;
@@ -74,8 +80,8 @@
     }
 
     /**
-     * Takes in a report. One that belongs to an older poll than the last is late or replayed and is ignored, unless its sender was
-     * silent for longer than the validity.
+     * Records a report. A report whose correlation id is not higher than that of the last report is delayed or
+     * replayed; such a report is ignored unless the last report is no longer valid.
      */
     void recordReport(String member, MemberReport report, Duration validity) {
         Duration now = report.receivedAt();
@@ -98,14 +104,17 @@
         return last != null && last.report.isValid(now, validity) ? Optional.of(last.report) : Optional.empty();
     }
 
-    /** This process was paused: what it counted before says nothing any more. */
+    /** Discards all reports after a pause of this process, as they are out of date. */
     void clear() {
         reports.clear();
-        doubtfulSince.clear();
+        unstableSince.clear();
         pendingChange = Set.of();
     }
 
-    /** Whether a restarted member needs a view of a later term, as it may have held any of this one before. */
+    /**
+     * Returns whether a restarted member needs a view of a later term, because an earlier incarnation of the member may
+     * have adopted any view of the current term.
+     */
     boolean isMemberWaitingForLaterTerm(Duration now, MembershipView view, Duration validity) {
         for (String member : view.members()) {
             Optional<MemberReport> report = validReport(now, member, validity);
@@ -119,12 +128,12 @@
     }
 
     /**
-     * The members of the next view; empty while no change is due.
+     * Returns the members of the next view, or empty while no change is due.
      *
-     * @param voters a report counts only where its sender hears a majority of them
-     * @param rings of the view
-     * @param members what membership knows of a backendhing
-     * @param validity how long a report counts
+     * @param voters the configured voters; a report counts only if its sender hears a majority of them
+     * @param rings the observer rings of the view
+     * @param members looks up the membership record of a backend
+     * @param validity how long a report is valid
      */
     Optional<SortedSet<String>> dueMembers(
             Duration now,
@@ -134,20 +143,20 @@
             Function<String, Optional<MemberRecord>> members,
             Duration validity) {
         Set<String> removed = new TreeSet<>();
-        Set<String> doubtful = new TreeSet<>();
+        Set<String> unstable = new TreeSet<>();
         for (String name : view.members()) {
             int observers = rings.observers(name).size();
-            int accusations =
-                    name.equals(voters.self()) ? 0 : countAccusations(now, name, view, rings, voters, validity);
-            boolean isAccused = observers > 0 && accusations >= ObserverRings.removalThreshold(observers);
-            if (isAccused || hasLeft(members.apply(name))) {
+            int unreachableReports =
+                    name.equals(voters.self()) ? 0 : countUnreachableReports(now, name, view, rings, voters, validity);
+            boolean isUnreachable = observers > 0 && unreachableReports >= ObserverRings.highThreshold(observers);
+            if (isUnreachable || hasLeft(members.apply(name))) {
                 removed.add(name);
-            } else if (accusations >= ObserverRings.doubtThreshold(observers) && observers > 0) {
-                doubtful.add(name);
+            } else if (unreachableReports >= ObserverRings.lowThreshold(observers) && observers > 0) {
+                unstable.add(name);
             }
         }
-        doubtfulSince.keySet().retainAll(doubtful);
-        doubtful.forEach(name -> doubtfulSince.putIfAbsent(name, now));
+        unstableSince.keySet().retainAll(unstable);
+        unstable.forEach(name -> unstableSince.putIfAbsent(name, now));
         Set<String> joining = new TreeSet<>();
         reports.forEach((name, tracked) -> {
             if (!view.members().contains(name)
@@ -167,7 +176,7 @@
         return Optional.of(next);
     }
 
-    /** Whether there is a change, nothing was added to it for a while, and no doubtful member holds it up. */
+    /** Returns whether there is a change that has stopped growing and is not delayed by an unstable member. */
     private boolean isChangeSettled(Duration now, Set<String> removed, Set<String> joining) {
         Set<String> change = new TreeSet<>(removed);
         change.addAll(joining);
@@ -184,21 +193,21 @@
         pendingChange = change;
         boolean isQuiet = now.minus(changeGrewAt).compareTo(settings.quietPeriod()) >= 0
                 || now.minus(changeStartedAt).compareTo(settings.maxBatchingDelay()) >= 0;
-        boolean isHeldUp = !removed.isEmpty()
-                && doubtfulSince.values().stream()
-                        .anyMatch(since -> now.minus(since).compareTo(settings.maxDoubtDelay()) < 0);
-        return isQuiet && !isHeldUp;
+        boolean isDelayed = !removed.isEmpty()
+                && unstableSince.values().stream()
+                        .anyMatch(since -> now.minus(since).compareTo(settings.maxUnstableDelay()) < 0);
+        return isQuiet && !isDelayed;
     }
 
-    /** How many observers of the subject count against it. */
-    private int countAccusations(
+    /** Counts the observers that report the subject unreachable, and the silent observers where these count too. */
+    private int countUnreachableReports(
             Duration now,
             String subject,
             MembershipView view,
             ObserverRings rings,
             VoterSet voters,
             Duration validity) {
-        int accusing = 0;
+        int reporting = 0;
         int silent = 0;
         for (String observer : rings.observers(subject)) {
             Optional<MemberReport> report = validReport(now, observer, validity);
@@ -207,17 +216,17 @@
             } else if (report.get().viewNumber() == view.number()
                     && report.get().heardVoters() >= voters.majority()
                     && report.get().unreachable().contains(subject)) {
-                // Only of an observer that hears enough itself: it may be the one that is cut off.
-                accusing++;
+                // An observer without a majority of the voters may be cut off itself, so its report does not count.
+                reporting++;
             }
         }
         boolean countSilent =
-                accusing > 0 && validReport(now, subject, validity).isEmpty();
-        return countSilent ? accusing + silent : accusing;
+                reporting > 0 && validReport(now, subject, validity).isEmpty();
+        return countSilent ? reporting + silent : reporting;
     }
 
-    private static boolean hasLeft(Optional<MemberRecord> known) {
-        return known.map(MemberRecord::status).equals(Optional.of(MemberStatus.LEFT));
+    private static boolean hasLeft(Optional<MemberRecord> member) {
+        return member.map(MemberRecord::status).equals(Optional.of(MemberStatus.LEFT));
     }
 
     private boolean canJoin(
@@ -225,21 +234,21 @@
             String name,
             TrackedReport last,
             VoterSet voters,
-            Optional<MemberRecord> known,
+            Optional<MemberRecord> member,
             Duration validity) {
         RejoinPenalty penalty = penalties.get(name);
         return last.report.isValid(now, validity)
                 && now.minus(last.heardSince).compareTo(settings.joinStabilityPeriod()) >= 0
                 && last.report.heardVoters() >= voters.majority()
-                && known.isPresent()
-                && !hasLeft(known)
+                && member.isPresent()
+                && !hasLeft(member)
                 && (penalty == null || now.minus(penalty.removedAt).compareTo(penalty.duration) >= 0);
     }
 
     private void penalize(Duration now, String name) {
         RejoinPenalty previous = penalties.remove(name);
         boolean isRepeated = previous != null
-                && now.minus(previous.removedAt).compareTo(previous.duration.multipliedBy(FORGIVENESS_FACTOR)) < 0;
+                && now.minus(previous.removedAt).compareTo(previous.duration.multipliedBy(PENALTY_EXPIRY_FACTOR)) < 0;
         Duration duration = isRepeated ? previous.duration.multipliedBy(2) : settings.initialRejoinPenalty();
         if (duration.compareTo(settings.maxRejoinPenalty()) > 0) {
             duration = settings.maxRejoinPenalty();
--- a/src/main/java/merlinlever/fleet/view/DivergenceMonitor.java
+++ b/src/main/java/merlinlever/fleet/view/DivergenceMonitor.java
@@ -9,32 +9,32 @@
 import merlinlever.common.log.LogEvent;
 
 /**
- * Which voters hold another view than this backend for longer than a view takes to reach all, and since when. Each such voter
- * is logged once. Not thread-safe.
+ * Detects voters whose view differs from the view of this backend for longer than the propagation of a new view takes,
+ * and logs each divergence once. Not thread-safe.
  */
 final class DivergenceMonitor {
 
     private final VoterResponses responses;
-    private final Duration patience;
+    private final Duration tolerance;
     private final EventLog log;
     private final Map<String, VoterResponses.VoterResponse> diverging = new TreeMap<>();
 
     /**
-     * A monitor that has logged nothing yet.
+     * Creates a monitor without any detected divergence.
      *
-     * @param patience how long two views may differ before it is worth a line
+     * @param tolerance how long two views may differ before the monitor logs the difference
      */
-    DivergenceMonitor(VoterResponses responses, Duration patience, EventLog log) {
+    DivergenceMonitor(VoterResponses responses, Duration tolerance, EventLog log) {
         this.responses = responses;
-        this.patience = patience;
+        this.tolerance = tolerance;
         this.log = log;
     }
 
     /**
-     * Compares the views of the voters with the own one.
+     * Compares the views of the voters with the view of this backend.
      *
-     * @param heard the voters that are heard now
-     * @param view adopted by this backend, at {@code adoptedAt}
+     * @param heard the voters that currently respond
+     * @param view the view that this backend adopted at {@code adoptedAt}
      */
     void update(Duration now, List<String> heard, MembershipView view, Duration adoptedAt) {
         for (String voter : heard) {
@@ -45,16 +45,16 @@
 
     private void compare(Duration now, String voter, MembershipView view, Duration adoptedAt) {
         VoterResponses.VoterResponse response = responses.find(voter);
-        VoterResponses.VoterResponse reported = diverging.get(voter);
+        VoterResponses.VoterResponse logged = diverging.get(voter);
         boolean agrees =
                 response.viewNumber() == view.number() && response.digest().equals(view.digest());
-        if (agrees && reported != null) {
+        if (agrees && logged != null) {
             diverging.remove(voter);
             log.write(LogEvent.info("voter-view-agrees-again").with("voter", voter));
         } else if (!agrees
-                && now.minus(response.viewSince()).compareTo(patience) >= 0
-                && now.minus(adoptedAt).compareTo(patience) >= 0
-                && !isSameView(response, reported)) {
+                && now.minus(response.viewSince()).compareTo(tolerance) >= 0
+                && now.minus(adoptedAt).compareTo(tolerance) >= 0
+                && !isSameView(response, logged)) {
             diverging.put(voter, response);
             LogEvent diverges = LogEvent.info("voter-view-diverges")
                     .with("voter", voter)
@@ -65,13 +65,13 @@
         }
     }
 
-    private static boolean isSameView(VoterResponses.VoterResponse response, VoterResponses.VoterResponse reported) {
-        return reported != null
-                && reported.viewNumber() == response.viewNumber()
-                && reported.digest().equals(response.digest());
+    private static boolean isSameView(VoterResponses.VoterResponse response, VoterResponses.VoterResponse logged) {
+        return logged != null
+                && logged.viewNumber() == response.viewNumber()
+                && logged.digest().equals(response.digest());
     }
 
-    /** The diverging voters as the elements of a JSON array. */
+    /** Returns the diverging voters as the elements of a JSON array, without the brackets. */
     String json(Duration now) {
         List<String> elements = new ArrayList<>();
         diverging.forEach((voter, response) -> elements.add("{\"name\":\"" + voter + "\",\"view\":\""
--- a/src/main/java/merlinlever/fleet/view/FailureDetector.java
+++ b/src/main/java/merlinlever/fleet/view/FailureDetector.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * What one observer finds of its subjects: each is probed periodically, and found unreachable when no answer came for some time. An
- * answer counts once, at the moment it comes, however late: a slow link is no failure. Times are since the process began. Not
- * thread-safe.
+ * Probes the subjects of one observer periodically and considers a subject unreachable after some time without an
+ * answer. Each answer counts once, at the time it arrives; a late answer counts too, as a slow link is not a failure.
+ * Times are measured from the start of the process. Not thread-safe.
  */
 final class FailureDetector {
 
@@ -22,19 +22,19 @@
 
     private final ViewSettings settings;
     private final SplittableRandom random;
-    /** When each subject last answered, or began to be observed. */
+    /** When each subject last answered; until the first answer, when its observation began. */
     private final Map<String, Duration> lastHeardAt = new TreeMap<>();
 
     private final Map<String, Duration> nextProbeAt = new TreeMap<>();
-    /** Probes that may still be answered: at most those of twice {@link ViewSettings#unreachableAfter}. */
+    /** Unanswered probes; a probe expires after twice {@link ViewSettings#unreachableAfter}. */
     private final Map<Long, PendingProbe> pendingProbes = new LinkedHashMap<>();
 
     private long lastCorrelationId;
 
     /**
-     * A detector without subjects.
+     * Creates a detector without subjects.
      *
-     * @param firstCorrelationId which no other incarnation of this backend comes near
+     * @param firstCorrelationId an id that is far from the ids of other incarnations of this backend
      */
     FailureDetector(ViewSettings settings, long firstCorrelationId, SplittableRandom random) {
         this.settings = settings;
@@ -42,26 +42,26 @@
         lastCorrelationId = firstCorrelationId;
     }
 
-    /** Observes these from now on; what is known of those that stay is kept. */
+    /** Replaces the subjects; the observations of subjects that were observed before are kept. */
     void setSubjects(Duration now, List<String> subjects) {
         lastHeardAt.keySet().retainAll(subjects);
         nextProbeAt.keySet().retainAll(subjects);
         for (String subject : subjects) {
             lastHeardAt.putIfAbsent(subject, now);
-            // Drawn also for one that is observed already, so that a seed gives the same run as ever.
+            // A delay is drawn even for a subject that was observed before, which keeps seeded runs reproducible.
             Duration firstProbeAt =
                     now.plusNanos(random.nextLong(settings.probeInterval().toNanos()));
             nextProbeAt.putIfAbsent(subject, firstProbeAt);
         }
     }
 
-    /** This process was paused: it knows nothing of how long the subjects were silent. */
+    /** Restarts all observations after a pause of this process, in which answers may have been missed. */
     void restartObservation(Duration now) {
         pendingProbes.clear();
         lastHeardAt.replaceAll((subject, heardAt) -> now);
     }
 
-    /** The probes to be sent now. */
+    /** Returns the probes to be sent now, and records them as pending. */
     List<Probe> dueProbes(Duration now) {
         List<Probe> probes = new ArrayList<>();
         for (Map.Entry<String, Duration> next : nextProbeAt.entrySet()) {
@@ -80,7 +80,7 @@
         return probes;
     }
 
-    /** A peer answered the probe of that correlation id; ignored where none is pending for it. */
+    /** Records the answer to a probe; ignored if the sender has no pending probe with the correlation id. */
     void recordAnswer(Duration now, String sender, long correlationId) {
         PendingProbe probe = pendingProbes.get(correlationId);
         if (probe != null && probe.subject.equals(sender)) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The subjects that have answered nothing for {@link ViewSettings#unreachableAfter}. */
+    /** Returns the subjects without an answer for {@link ViewSettings#unreachableAfter}. */
     List<String> unreachable(Duration now) {
         List<String> unreachable = new ArrayList<>();
         lastHeardAt.forEach((subject, heardAt) -> {
@@ -100,7 +100,7 @@
         return unreachable;
     }
 
-    /** Whether any subject is reachable; false where there is none. */
+    /** Returns whether at least one subject is reachable. */
     boolean isAnyReachable(Duration now) {
         return lastHeardAt.size() > unreachable(now).size();
     }
--- a/src/main/java/merlinlever/fleet/view/FleetView.java
+++ b/src/main/java/merlinlever/fleet/view/FleetView.java
@@ -2,19 +2,19 @@
 
 import java.time.Duration;
 
-/** What this backend knows of its fleet as a whole, for the parts of the program that depend on the peers. */
+/** The quorum status and the membership view of this backend, for components that depend on the peers. */
 public interface FleetView {
 
-    /** How much of the fleet it speaks with. */
+    /** Returns the quorum status of this backend. */
     QuorumStatus status(Duration now);
 
-    /** When the present status began, since the process began. */
+    /** Returns when the current status began, measured from the start of the process. */
     Duration statusSince();
 
-    /** The view that was adopted last; {@link MembershipView#NONE} before the first. */
+    /** Returns the adopted view, or {@link MembershipView#NONE} before the first adoption. */
     MembershipView view();
 
-    /** Whether this backend may do the action now. */
+    /** Returns the current permission of this backend for the action. */
     default ActionPermissions.Permission permission(Duration now, GuardedAction action) {
         return ActionPermissions.permission(action, status(now));
     }
--- a/src/main/java/merlinlever/fleet/view/GuardedAction.java
+++ b/src/main/java/merlinlever/fleet/view/GuardedAction.java
@@ -1,17 +1,19 @@
 package merlinlever.fleet.view;
 
-/** Actions that are permitted or not by a backend's {@link QuorumStatus}; see {@link ActionPermissions}. */
+/** Actions whose permission depends on the {@link QuorumStatus} of a backend; see {@link ActionPermissions}. */
 public enum GuardedAction {
-    /** Decide something once and for all: write a register, end an experiment, number a view. Only the leader does this. */
+    /** Make a final decision: write a register, end an experiment or create a view. Leader only. */
     DECIDE,
-    /** Grant quota leases to peers. Only the leader does this. */
+    /** Grant quota leases to peers. Leader only. */
     GRANT_QUOTA,
-    /** Adopt what widens the permitted actions: a new route, a looser restriction, a new experiment. */
+    /** Adopt a change that permits more than before: a new route, a looser restriction or a new experiment. */
     ADOPT_WIDENING,
-    /** Adopt what narrows them: a withdrawal, a tighter restriction, the end of an experiment. */
+    /**
+     * Adopt a change that permits less than before: a withdrawal, a tighter restriction or the end of an experiment.
+     */
     ADOPT_RESTRICTION,
-    /** Go on with what was adopted: send a call along a route, assign requests to an experiment's arms. */
+    /** Use an adopted route or experiment: send a downstream call, or assign requests to the arms of the experiment. */
     USE_ADOPTED,
-    /** Start a request that is non-idempotent, or idempotent only by its key. */
+    /** Start a request that is not idempotent, or is idempotent only through its idempotency key. */
     START_NON_IDEMPOTENT_REQUEST
 }
--- a/src/main/java/merlinlever/fleet/view/MembershipView.java
+++ b/src/main/java/merlinlever/fleet/view/MembershipView.java
@@ -10,23 +10,23 @@
 import merlinlever.common.log.LogEvent;
 
 /**
- * Who belongs to the fleet at one time. Numbers only go up (a leader's term in the upper bits, a count within the term in the
- * lower ones), and of one number there is one membership.
+ * The members of the fleet at one time. View numbers only increase: the upper bits hold the term of the leader and the
+ * lower bits count the views of that term. Each number belongs to exactly one set of members.
  *
  * @param number 0 before the first view
- * @param digest of the number and the members, to tell apart two memberships under one number
+ * @param digest hash of the number and the members, which reveals two different views with the same number
  * @param members names of the backends
  */
 public record MembershipView(long number, String digest, SortedSet<String> members) {
 
-    /** Before the first view. */
+    /** The view of a backend that has not adopted any view yet. */
     public static final MembershipView NONE = new MembershipView(0, "-", Collections.emptySortedSet());
 
     private static final int COUNT_BITS = 20;
     private static final long COUNT_MASK = (1L << COUNT_BITS) - 1;
     private static final int DIGEST_BYTES = 6;
 
-    /** More names would not fit one payload. */
+    /** Largest number of members whose names fit into one payload. */
     public static final int MAX_MEMBERS = 1000;
 
     /** Copies the members. */
@@ -34,17 +34,17 @@
         members = Collections.unmodifiableSortedSet(new TreeSet<>(members));
     }
 
-    /** The number of a term's view of that count, from 1 on. */
+    /** Returns the number of the {@code count}-th view of a term; counts start at 1. */
     public static long numberOf(long term, int count) {
         return (term << COUNT_BITS) | count;
     }
 
-    /** Whether a term has a number for a view of that count. */
+    /** Returns whether the count fits into the lower bits of a view number. */
     public static boolean isValidCount(int count) {
         return count < 1 << COUNT_BITS;
     }
 
-    /** A view with its digest. */
+    /** Creates a view and computes its digest. */
     public static MembershipView of(long number, SortedSet<String> members) {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The term of the leader that numbered this view. */
+    /** Returns the term of the leader that created this view. */
     public long term() {
         return termOf(number);
     }
@@ -64,22 +64,22 @@
         return number >> COUNT_BITS;
     }
 
-    /** Term and count, such as {@code 3.14}. */
+    /** Returns the term and the count of this view, for example {@code 3.14}. */
     public String displayNumber() {
         return formatNumber(number);
     }
 
-    /** The term and count of a number, such as {@code 3.14}. */
+    /** Formats a view number as term and count, for example {@code 3.14}. */
     public static String formatNumber(long number) {
         return termOf(number) + "." + (number & COUNT_MASK);
     }
 
-    /** The view in a few words, for messages. */
+    /** Returns a short description of the view for messages. */
     public String describe() {
         return "view=" + displayNumber() + " digest=" + digest + " members=" + members.size();
     }
 
-    /** The event with fields that name this view. */
+    /** Returns the event with the number, digest and size of this view added as fields. */
     LogEvent addTo(LogEvent event) {
         return event.with("view", displayNumber()).with("digest", digest).with("members", members.size());
     }
--- a/src/main/java/merlinlever/fleet/view/ObserverRings.java
+++ b/src/main/java/merlinlever/fleet/view/ObserverRings.java
@@ -10,13 +10,14 @@
 import java.util.SortedSet;
 
 /**
- * Who observes whom in a view: the members are placed on several rings, each in an order of its own that depends only on the names,
- * and each member is observed by its predecessor on each ring (Suresh et al., Rapid, 2018). All that hold the view agree on
- * it without a message, and few places change from one view to the next. Immutable.
+ * Assigns observers to the members of a view. The members are placed on several rings, each with a different order that
+ * depends only on the names, and each member is observed by its predecessor on each ring (Suresh et al., Rapid, 2018).
+ * All backends with the same view compute the same assignment without communication, and a change of the view affects
+ * only a few assignments. Immutable.
  */
 final class ObserverRings {
 
-    /** Upper bound of the rings, and so of the observers of each member. */
+    /** Maximum number of rings, which is also the maximum number of observers per member. */
     static final int MAX_RINGS = 8;
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -26,12 +27,12 @@
     private static final int FIRST_MIX_SHIFT = 32;
     private static final int SECOND_MIX_SHIFT = 29;
 
-    /** The high threshold is this fraction of the observers, rounded up. */
-    private static final int REMOVAL_NUMERATOR = 3;
+    /** The high threshold is the number of observers times numerator / denominator, rounded up. */
+    private static final int HIGH_THRESHOLD_NUMERATOR = 3;
 
-    private static final int REMOVAL_DENOMINATOR = 4;
-    /** The low threshold is the observers divided by this, rounded up. */
-    private static final int DOUBT_DIVISOR = 3;
+    private static final int HIGH_THRESHOLD_DENOMINATOR = 4;
+    /** The low threshold is the number of observers divided by this value, rounded up. */
+    private static final int LOW_THRESHOLD_DIVISOR = 3;
 
     private final Map<String, Set<String>> observers = new HashMap<>();
     private final Map<String, List<String>> subjects = new HashMap<>();
@@ -58,20 +59,20 @@
         return order;
     }
 
-    /** Gives each member its nearest predecessor that does not observe it yet. */
+    /** Adds to each member the nearest predecessor that is not yet one of its observers. */
     private void addObserversOfRing(List<String> order) {
-        for (int place = 0; place < order.size(); place++) {
-            Set<String> ownObservers = observers.get(order.get(place));
+        for (int position = 0; position < order.size(); position++) {
+            Set<String> memberObservers = observers.get(order.get(position));
             for (int distance = 1; distance < order.size(); distance++) {
-                String predecessor = order.get((place - distance + order.size()) % order.size());
-                if (ownObservers.add(predecessor)) {
+                String predecessor = order.get((position - distance + order.size()) % order.size());
+                if (memberObservers.add(predecessor)) {
                     break;
                 }
             }
         }
     }
 
-    /** FNV-1a, salted with the ring, and then a step of multiplying and shifting that spreads short names. */
+    /** Hashes a name with FNV-1a, salted with the ring, and applies a final mixing step, which short names need. */
     private static long ringHash(String name, long ring) {
         long hash = FNV_OFFSET_BASIS ^ (ring * RING_SALT);
         for (int i = 0; i < name.length(); i++) {
@@ -81,25 +82,27 @@
         return hash ^ (hash >>> SECOND_MIX_SHIFT);
     }
 
-    /** Those that observe a member; none for one that is no member. */
+    /** Returns the observers of a member; empty if the backend is not a member. */
     Set<String> observers(String subject) {
         return observers.getOrDefault(subject, Set.of());
     }
 
-    /** Those that a member observes. */
+    /** Returns the members that the observer observes; empty if the observer is not a member. */
     List<String> subjects(String observer) {
         return subjects.getOrDefault(observer, List.of());
     }
 
-    /** High threshold: a member is removed when so many of its observers find it unreachable; all of them up to two. */
-    static int removalThreshold(int observers) {
+    /** Returns the number of observers whose reports remove a member; with one or two observers, reports of all. */
+    static int highThreshold(int observers) {
         return observers <= 2
                 ? Math.max(1, observers)
-                : (observers * REMOVAL_NUMERATOR + REMOVAL_DENOMINATOR - 1) / REMOVAL_DENOMINATOR;
+                : (observers * HIGH_THRESHOLD_NUMERATOR + HIGH_THRESHOLD_DENOMINATOR - 1) / HIGH_THRESHOLD_DENOMINATOR;
     }
 
-    /** Low threshold: when so many observers find a member unreachable it is doubtful, and other changes wait for it. */
-    static int doubtThreshold(int observers) {
-        return Math.max(1, (observers + DOUBT_DIVISOR - 1) / DOUBT_DIVISOR);
+    /**
+     * Returns the number of observers whose reports make a member unstable, which delays the removal of other members.
+     */
+    static int lowThreshold(int observers) {
+        return Math.max(1, (observers + LOW_THRESHOLD_DIVISOR - 1) / LOW_THRESHOLD_DIVISOR);
     }
 }
--- a/src/main/java/merlinlever/fleet/view/QuorumEvaluator.java
+++ b/src/main/java/merlinlever/fleet/view/QuorumEvaluator.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import merlinlever.fleet.membership.MemberTable;
 
-/** Determines the present {@link QuorumStatus} from what this backend hears, before any hysteresis. Not thread-safe. */
+/** Computes the current {@link QuorumStatus} from the answers of the peers, before hysteresis. Not thread-safe. */
 final class QuorumEvaluator {
 
     private final VoterSet voters;
@@ -18,7 +18,7 @@
     private long knownAddressConflicts;
     private Duration conflictUntil = Duration.ZERO;
 
-    /** An evaluator that begins with recovery. */
+    /** Creates an evaluator in the recovering state. */
     QuorumEvaluator(
             Duration now,
             VoterSet voters,
@@ -37,45 +37,45 @@
         knownAddressConflicts = memberTable.addressConflicts();
     }
 
-    /** The process was paused: what it missed has to be asked for before its status counts again. */
+    /** Starts recovery after a pause of the process; recovery lasts until a majority of the voters has answered. */
     void startRecovery(Duration now) {
         recovering = true;
         recoveringSince = now;
     }
 
-    /** How long an answer counts, in a fleet of the present size. */
+    /** Returns how long an answer is valid in a fleet of the current size. */
     private Duration reportValidity() {
         return settings.reportValidity(views.fleetSize(memberTable));
     }
 
-    /** How many voters are heard, this backend among them where it is one. */
+    /** Returns the number of voters that are heard, including this backend if it is a voter. */
     int heardVoters(Duration now) {
         return voterResponses.heardVoters(now, reportValidity()).size() + voters.ownVote();
     }
 
     QuorumStatus evaluate(Duration now) {
-        noteAddressConflicts(now);
+        checkAddressConflicts(now);
         int heard = heardVoters(now);
         boolean hasQuorum = heard >= voters.majority();
         MembershipView view = views.adopted();
         boolean isMember = view.members().contains(voters.self());
-        endRecoveryIfInformed(hasQuorum && isMember);
+        endRecoveryIfUpToDate(hasQuorum && isMember);
         int agreeing = voterResponses.countAgreeing(now, reportValidity(), view, views.adoptedAt()) + voters.ownVote();
         if (now.compareTo(conflictUntil) < 0) {
             return QuorumStatus.CONFLICTING;
         }
-        boolean awaitsQuorum = now.minus(recoveringSince).compareTo(settings.minReportValidity()) < 0;
-        if (recovering && (hasQuorum || awaitsQuorum)) {
+        boolean isWaitingForQuorum = now.minus(recoveringSince).compareTo(settings.minReportValidity()) < 0;
+        if (recovering && (hasQuorum || isWaitingForQuorum)) {
             return QuorumStatus.RECOVERING;
         }
         if (!hasQuorum) {
-            boolean hearsNobody = heard == voters.ownVote() && !failureDetector.isAnyReachable(now);
-            return hearsNobody ? QuorumStatus.ISOLATED : QuorumStatus.MINORITY;
+            boolean isIsolated = heard == voters.ownVote() && !failureDetector.isAnyReachable(now);
+            return isIsolated ? QuorumStatus.ISOLATED : QuorumStatus.MINORITY;
         }
         return isMember ? statusOfMember(heard, agreeing) : QuorumStatus.RECOVERING;
     }
 
-    /** The status of a member of the adopted view that hears a majority of the voters. */
+    /** Returns the status of a backend that is a member of the adopted view and hears a majority of the voters. */
     private QuorumStatus statusOfMember(int heard, int agreeing) {
         if (agreeing < voters.majority()) {
             return QuorumStatus.CONFLICTING;
@@ -83,27 +83,30 @@
         return heard == voters.size() && agreeing == heard ? QuorumStatus.FULL : QuorumStatus.MAJORITY;
     }
 
-    /** A first conflict may be this backend's own earlier incarnation, which peers still report; a further one is not. */
-    private void noteAddressConflicts(Duration now) {
+    /** Ignores the first address conflict, as peers may still report an earlier incarnation of this backend. */
+    private void checkAddressConflicts(Duration now) {
         long conflicts = memberTable.addressConflicts();
         if (conflicts != knownAddressConflicts) {
             if (conflicts > 1) {
-                conflictUntil = now.plus(settings.maxDoubtDelay());
+                conflictUntil = now.plus(settings.maxUnstableDelay());
             }
             knownAddressConflicts = conflicts;
         }
     }
 
-    /** Recovery ends once a majority has answered since its start and holds nothing later than what is adopted here. */
-    private void endRecoveryIfInformed(boolean isMemberWithQuorum) {
-        int informedBy =
+    /**
+     * Ends recovery when a majority of the voters has answered since its start with views no later than the adopted
+     * one.
+     */
+    private void endRecoveryIfUpToDate(boolean isMemberWithQuorum) {
+        int votersNotAhead =
                 voterResponses.countNotAhead(recoveringSince, views.adopted().number()) + voters.ownVote();
-        if (recovering && isMemberWithQuorum && informedBy >= voters.majority()) {
+        if (recovering && isMemberWithQuorum && votersNotAhead >= voters.majority()) {
             recovering = false;
         }
     }
 
-    /** Names of the voters that are heard, without this backend. */
+    /** Returns the names of the voters that are heard, without this backend. */
     List<String> heardVoterNames(Duration now) {
         return voterResponses.heardVoters(now, reportValidity());
     }
--- a/src/main/java/merlinlever/fleet/view/QuorumStatus.java
+++ b/src/main/java/merlinlever/fleet/view/QuorumStatus.java
@@ -2,19 +2,29 @@
 
 import merlinlever.common.WireNamed;
 
-/** How much of the fleet a backend speaks with, and so how far it may act; from the best to the worst. */
+/**
+ * The part of the fleet that a backend communicates with, which determines its permitted actions; best status first.
+ */
 public enum QuorumStatus implements WireNamed {
-    /** All configured voters are heard, and agree with this backend on the view. */
+    /** The backend hears all configured voters, and they agree with its view. */
     FULL("whole"),
-    /** A majority of the voters is heard, itself among them where it is one, and agrees. */
+    /**
+     * The backend hears a majority of the voters, counting itself if it is a voter, and a majority agrees with its
+     * view.
+     */
     MAJORITY("most"),
-    /** Peers are heard, but no majority of the voters. */
+    /** The backend hears peers, but no majority of the voters. */
     MINORITY("few"),
-    /** Nobody is heard. */
+    /** The backend hears no peer. */
     ISOLATED("alone"),
-    /** Enough voters are heard, but they hold other views, or another process uses this backend's name. */
+    /**
+     * A majority of the voters is heard but does not agree on the view, or another process uses this backend's name.
+     */
     CONFLICTING("disagreeing"),
-    /** It was paused or has just started, and has not yet heard what it missed. */
+    /**
+     * The backend has started or was paused, and has not yet learned the latest view; or it is not a member of the
+     * view.
+     */
     RECOVERING("returning");
 
     private final String wireName;
@@ -23,7 +33,7 @@
         this.wireName = wireName;
     }
 
-    /** The name in logs, JSON and the operators' pages; it stays when the constant is renamed. */
+    /** Returns the name in logs, JSON and operator documentation, which does not depend on the name of the constant. */
     @Override
     public String wireName() {
         return wireName;
--- a/src/main/java/merlinlever/fleet/view/QuorumStatusHysteresis.java
+++ b/src/main/java/merlinlever/fleet/view/QuorumStatusHysteresis.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * The quorum status that is shown: a worse one at once, a better one only after it lasted for some time, so that it does not
- * flap. Not thread-safe.
+ * Delays improvements of the quorum status to prevent flapping. A worse status is shown at once, a better one only
+ * after the improvement has lasted for the configured delay. Not thread-safe.
  */
 final class QuorumStatusHysteresis {
 
     private final Duration improvementDelay;
     private QuorumStatus shown = QuorumStatus.RECOVERING;
     private Duration shownSince;
-    /** The worst of the better statuses that followed one another without a break, or null. */
+    /** The worst status since the start of an uninterrupted improvement, or null if there is no improvement. */
     private QuorumStatus improvement;
 
     private Duration improvementSince;
@@ -21,7 +21,7 @@
         shownSince = now;
     }
 
-    /** Takes in the present status; returns whether the one that is shown changes. */
+    /** Records the current status and returns whether the shown status has changed. */
     boolean update(Duration now, QuorumStatus current) {
         if (current.compareTo(shown) >= 0) {
             improvement = null;
--- a/src/main/java/merlinlever/fleet/view/RateLimitedOutbox.java
+++ b/src/main/java/merlinlever/fleet/view/RateLimitedOutbox.java
@@ -6,8 +6,8 @@
 import merlinlever.fleet.membership.PeerMessage;
 
 /**
- * Messages to be sent, limited in number and in bytes per second. What exceeds a limit is dropped: its sender asks again, as
- * after any lost datagram. Not thread-safe.
+ * Collects messages to be sent, and limits texts in number and payloads in bytes per second. Messages beyond a limit
+ * are dropped; the protocol recovers from a dropped message as from a lost datagram. Not thread-safe.
  */
 final class RateLimitedOutbox {
 
@@ -24,7 +24,7 @@
         windowStart = now;
     }
 
-    /** Starts a new window of the limits when the present one is over. */
+    /** Starts a new window of the limits when the current one has ended. */
     void tick(Duration now) {
         if (now.minus(windowStart).compareTo(WINDOW) >= 0) {
             windowStart = now;
--- a/src/main/java/merlinlever/fleet/view/ViewAdoption.java
+++ b/src/main/java/merlinlever/fleet/view/ViewAdoption.java
@@ -10,8 +10,8 @@
 import merlinlever.fleet.membership.MemberTable;
 
 /**
- * The view that this backend has adopted, and the latest one that it knows of, which it may not have adopted yet. Only a view
- * with a higher number replaces another one. Not thread-safe.
+ * Stores the view that this backend has adopted and the latest view that it has received, which it may not have adopted
+ * yet. A view is replaced only by one with a higher number. Not thread-safe.
  */
 final class ViewAdoption {
 
@@ -28,15 +28,16 @@
     private List<String> memberOrder = List.of();
     private ObserverRings observerRings = new ObserverRings(MembershipView.NONE.members());
     private Duration adoptedAt;
-    private long vouchedNumber;
+    private long leaderViewNumber;
     private long numberConflicts;
 
     /**
-     * Nothing is adopted yet.
+     * Creates an instance without an adopted view.
      *
-     * @param termFloor the highest term on this backend's disk when it started: an earlier incarnation may have held views of it
-     * @param persistTerm requests that a term be written to disk; true once it is there
-     * @param failureDetector is told whom to observe whenever a view is adopted
+     * @param termFloor highest term on the disk of this backend at its start; earlier incarnations may have adopted
+     *     views of this term
+     * @param persistTerm requests that a term be written to disk, and returns true once the write has completed
+     * @param failureDetector receives the new subjects of this backend when a view is adopted
      */
     ViewAdoption(
             Duration now,
@@ -65,7 +66,7 @@
         return latestKnown;
     }
 
-    /** The rings of the adopted view. */
+    /** Returns the observer rings of the adopted view. */
     ObserverRings observerRings() {
         return observerRings;
     }
@@ -74,53 +75,56 @@
         return termFloor;
     }
 
-    /** How often a second membership came under a number that is known: always 0 unless something is broken. */
+    /** Returns how often a second view with the latest number was received; always 0 in a correct fleet. */
     long numberConflicts() {
         return numberConflicts;
     }
 
-    /** How many backends there are: those of the adopted view, or all that membership knows where these are more. */
+    /** Returns the number of members of the adopted view or of the membership table, whichever is larger. */
     int fleetSize(MemberTable memberTable) {
         return Math.max(adopted.members().size(), memberTable.size());
     }
 
-    /** Index of a member in the adopted view, by which messages name it; -1 where it is no member. */
+    /**
+     * Returns the index that identifies a member of the adopted view in messages; -1 if the backend is not a member.
+     */
     int indexOf(String member) {
         return memberOrder.indexOf(member);
     }
 
     /**
-     * The member at an index of the adopted view.
+     * Returns the member at an index of the adopted view.
      *
-     * @throws IndexOutOfBoundsException if there is none
+     * @throws IndexOutOfBoundsException if the view has no member at the index
      */
     String memberAt(int index) {
         return memberOrder.get(index);
     }
 
-    /** The latest view as bytes, as a difference from the view of that number where that one is remembered. */
+    /** Encodes the latest view; see {@link ViewCodec#encode}. */
     byte[] encodeLatest(long baseNumber) {
         return codec.encode(latestKnown, baseNumber);
     }
 
-    /** Takes in a payload of a peer; one that holds no readable view changes nothing. */
+    /** Processes a payload of a peer; payloads without a valid view are ignored. */
     void receivePayload(Duration now, byte[] payload) {
         MembershipView received = ViewCodec.isViewPayload(payload) ? codec.decode(payload) : null;
         if (received != null) {
-            learn(now, received);
+            recordView(now, received);
         }
     }
 
     /**
-     * The leader said, in answer to this backend, that it holds the view of that number. While it leads nobody can have led
-     * under a higher term, so a view from that number on may be adopted after a restart.
+     * Records the number of the view that the leader has reported in answer to a poll of this backend. No later term
+     * can have had a leader while this leader holds its lease, so a restarted backend may adopt a view with this or a
+     * higher number.
      */
-    void vouchFor(long number) {
-        vouchedNumber = Math.max(vouchedNumber, number);
+    void recordLeaderViewNumber(long number) {
+        leaderViewNumber = Math.max(leaderViewNumber, number);
     }
 
-    /** Takes note of a view; of two with one number, the first counts. */
-    void learn(Duration now, MembershipView received) {
+    /** Records a view and adopts it if possible; of two different views with the same number, the first one is kept. */
+    void recordView(Duration now, MembershipView received) {
         if (received.number() == latestKnown.number() && !received.digest().equals(latestKnown.digest())) {
             numberConflicts++;
             log.write(LogEvent.info("view-number-conflict")
@@ -135,14 +139,14 @@
     }
 
     /**
-     * Adopts the latest known view, once its term is on disk. After a restart only a view that no earlier incarnation can have
-     * been beyond is adopted.
+     * Adopts the latest known view once its term is on disk. After a restart, a view is adopted only if no earlier
+     * incarnation can have adopted a later one.
      */
     void adoptLatest(Duration now) {
-        boolean safe = adopted.number() > 0
+        boolean isSafe = adopted.number() > 0
                 || latestKnown.term() > termFloor
-                || (vouchedNumber > 0 && latestKnown.number() >= vouchedNumber);
-        if (latestKnown.number() <= adopted.number() || !safe || !persistTerm.test(latestKnown.term())) {
+                || (leaderViewNumber > 0 && latestKnown.number() >= leaderViewNumber);
+        if (latestKnown.number() <= adopted.number() || !isSafe || !persistTerm.test(latestKnown.term())) {
             return;
         }
         logAdoption();
--- a/src/main/java/merlinlever/fleet/view/ViewCodec.java
+++ b/src/main/java/merlinlever/fleet/view/ViewCodec.java
@@ -6,35 +6,35 @@
 import java.util.TreeSet;
 
 /**
- * Views as bytes: complete, or as the difference from an earlier view that the receiver holds. Lines of ASCII: a header, the
- * number, the digest, the number of the base view (0: none), then {@code +name} and {@code -name}; numbers in base 36. Not
- * thread-safe.
+ * Encodes views either completely or as the difference from a base view that the receiver has. The payload consists of
+ * lines in ASCII: a header, the view number, the digest, the number of the base view (0 for none), then {@code +name}
+ * for each added member and {@code -name} for each removed one. Numbers are in base 36. Not thread-safe.
  */
 final class ViewCodec {
 
     private static final String HEADER = "view 1";
     private static final int RADIX = 36;
-    private static final int MAX_REMEMBERED_VIEWS = 8;
+    private static final int MAX_RECENT_VIEWS = 8;
     private static final int NUMBER_LINE = 1;
     private static final int DIGEST_LINE = 2;
     private static final int BASE_NUMBER_LINE = 3;
     private static final int FIRST_NAME_LINE = 4;
 
-    /** Views that may be the base of a difference, the oldest first. */
-    private final ArrayDeque<MembershipView> rememberedViews = new ArrayDeque<>();
+    /** Views that can be the base of a difference, oldest first. */
+    private final ArrayDeque<MembershipView> recentViews = new ArrayDeque<>();
 
-    /** Keeps a view for a while as a base of differences. */
+    /** Adds a view to the possible base views, and drops the oldest one if there are too many. */
     void remember(MembershipView view) {
-        rememberedViews.addLast(view);
-        if (rememberedViews.size() > MAX_REMEMBERED_VIEWS) {
-            rememberedViews.removeFirst();
+        recentViews.addLast(view);
+        if (recentViews.size() > MAX_RECENT_VIEWS) {
+            recentViews.removeFirst();
         }
     }
 
-    /** The remembered view of a number; {@link MembershipView#NONE} where there is none. */
-    private MembershipView findRemembered(long number) {
+    /** Returns the recent view with this number, or {@link MembershipView#NONE}. */
+    private MembershipView findRecent(long number) {
         MembershipView found = MembershipView.NONE;
-        for (MembershipView view : rememberedViews) {
+        for (MembershipView view : recentViews) {
             if (view.number() == number) {
                 found = view;
             }
@@ -42,9 +42,11 @@
         return found;
     }
 
-    /** The view as bytes for a receiver that holds the view of the base number: complete where that one is not remembered. */
+    /**
+     * Encodes the view as the difference from the base view; encodes the complete view if the base view is not recent.
+     */
     byte[] encode(MembershipView view, long baseNumber) {
-        MembershipView base = findRemembered(baseNumber);
+        MembershipView base = findRecent(baseNumber);
         StringBuilder text = new StringBuilder();
         text.append(HEADER).append('\n');
         text.append(Long.toString(view.number(), RADIX)).append('\n');
@@ -63,20 +65,20 @@
         return text.toString().getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Whether a payload claims to be a view, and not one of another part of the program. */
+    /** Returns whether the payload starts with the header of a view. */
     static boolean isViewPayload(byte[] payload) {
         int headerLength = Math.min(payload.length, HEADER.length() + 1);
         return new String(payload, 0, headerLength, StandardCharsets.US_ASCII).equals(HEADER + "\n");
     }
 
-    /** The view, or null where the payload is malformed, fails its digest, or is based on a view that is not remembered. */
+    /** Returns the view, or null if the payload is malformed, its digest is wrong or its base view is not recent. */
     MembershipView decode(byte[] payload) {
         String[] lines = new String(payload, StandardCharsets.US_ASCII).split("\n");
         try {
             long number = Long.parseLong(lines[NUMBER_LINE], RADIX);
             String digest = lines[DIGEST_LINE];
             long baseNumber = Long.parseLong(lines[BASE_NUMBER_LINE], RADIX);
-            MembershipView base = findRemembered(baseNumber);
+            MembershipView base = findRecent(baseNumber);
             if (base.number() != baseNumber || number <= baseNumber) {
                 return null;
             }
--- a/src/main/java/merlinlever/fleet/view/ViewManager.java
+++ b/src/main/java/merlinlever/fleet/view/ViewManager.java
@@ -14,15 +14,17 @@
 import merlinlever.fleet.membership.PeerMessage;
 
 /**
- * One backend's part in the fleet's membership view: polls the voters and reports to them what it observes, probes the few members
- * that the view assigns to it, adopts each view with a higher number, and, where it leads, numbers the next one. It does no
- * input or output and has no clock; times are since the process began. Not thread-safe.
+ * Maintains the membership view on one backend. The manager polls the voters and reports unreachable members to them,
+ * probes the members that the view assigns to this backend, adopts views with higher numbers and, on the leader,
+ * creates the next view. It does no input or output and has no clock; times are measured from the start of the process.
+ * Not thread-safe.
  *
- * <p>{@link ViewMessage} has the messages. A correlation id is answered once, by the backend that was asked.
+ * <p>The messages are described in {@link ViewMessage}. Each correlation id is answered at most once, by the recipient
+ * of the message.
  */
 public final class ViewManager implements FleetView {
 
-    /** First parts of the texts that {@link #receive} takes. */
+    /** Type fields of the texts that {@link #receive} accepts. */
     public static final Set<String> MESSAGE_TYPES = Set.of(
             ViewMessage.Probe.TYPE,
             ViewMessage.ProbeAnswer.TYPE,
@@ -30,19 +32,21 @@
             ViewMessage.PollAnswer.TYPE,
             ViewMessage.Fetch.TYPE);
 
-    /** A backend that misses a view fetches it, so a push may be spread over some ticks. */
+    /** Limits the burst of a push; backends that miss a view fetch the view later. */
     private static final int MAX_PUSHES_PER_TICK = 64;
-    /** A later view that was heard of is fetched at most so often in a quiet period. */
+    /** Maximum number of fetches of a later view in one quiet period. */
     private static final int FETCHES_PER_QUIET_PERIOD = 3;
 
     /**
-     * How a view manager is set up.
+     * The configuration and dependencies of a view manager.
      *
-     * @param settings the same on every backend
-     * @param incarnationId first correlation id, which no other incarnation of this backend comes near; later ones are higher
-     * @param termFloor the highest term that is on this backend's disk: earlier incarnations may have held views of it
-     * @param persistTerm requests that a term be written to disk; true once it is there
-     * @param log takes one line an event
+     * @param settings must be the same on every backend
+     * @param incarnationId first correlation id; far from the ids of other incarnations of this backend, and higher
+     *     than those of earlier incarnations
+     * @param termFloor highest term on the disk of this backend; earlier incarnations may have adopted views of this
+     *     term
+     * @param persistTerm requests that a term be written to disk, and returns true once the write has completed
+     * @param log receives the events of the view
      */
     public record Setup(
             ViewSettings settings,
@@ -74,10 +78,10 @@
     private long lastCorrelationId;
 
     /**
-     * A manager that has adopted no view yet.
+     * Creates a manager that has not adopted a view.
      *
-     * @param memberTable what membership believes, for the peers' addresses and orderly departures
-     * @param election the one of this process
+     * @param memberTable the membership records, which show known peers and departures
+     * @param election the leader election of this process
      */
     public ViewManager(Duration now, Setup setup, MemberTable memberTable, LeaderElection election) {
         settings = setup.settings();
@@ -122,7 +126,7 @@
 
     // ---- periodic work
 
-    /** Does what is due, and returns what is to be sent; to be called every 50 to 100 ms. */
+    /** Runs the periodic work and returns the messages to be sent; must be called every 50 to 100 ms. */
     public List<PeerMessage> tick(Duration now) {
         if (wasPaused(now)) {
             recoverFromPause(now);
@@ -196,7 +200,7 @@
         boolean mayDecide = permission(now, GuardedAction.DECIDE) == ActionPermissions.Permission.ALLOWED;
         Optional<ViewProposer.Proposal> proposal = proposer.propose(now, mayDecide);
         if (proposal.isPresent()) {
-            views.learn(now, proposal.get().view());
+            views.recordView(now, proposal.get().view());
             pushBaseNumber = proposal.get().baseNumber();
             pushQueue.clear();
             pushQueue.addAll(proposal.get().recipients());
@@ -229,12 +233,12 @@
 
     // ---- messages of peers
 
-    /** Takes in a payload of a peer; one that is no view is ignored. */
+    /** Processes a payload of a peer; payloads other than views are ignored. */
     public void receivePayload(Duration now, byte[] payload) {
         views.receivePayload(now, payload);
     }
 
-    /** Takes in a text of a peer, of one of the {@link #MESSAGE_TYPES}, and returns what is to be sent in answer. */
+    /** Processes a text of a peer with one of the {@link #MESSAGE_TYPES}, and returns the messages to be sent. */
     public List<PeerMessage> receive(Duration now, String sender, long correlationId, String text) {
         try {
             ViewMessage.Received message = new ViewMessage.Received(text);
@@ -285,7 +289,7 @@
         if (leadingTerm > 0) {
             election.observeLeader(now, sender, leadingTerm);
             if (MembershipView.termOf(viewNumber) == leadingTerm) {
-                views.vouchFor(viewNumber);
+                views.recordLeaderViewNumber(viewNumber);
             }
         }
         long latest = views.latestKnown().number();
@@ -304,7 +308,7 @@
 
     // ---- monitoring
 
-    /** The state as a JSON object, as {@code GET /state} shows it; its fields are described in docs/fleet/operators.md. */
+    /** Returns the state as a JSON object for {@code GET /state}; docs/fleet/operators.md describes the fields. */
     public String json(Duration now) {
         return "{\"standing\":\"" + status(now).wireName()
                 + "\",\"since_ms\":" + now.minus(statusSince()).toMillis()
--- a/src/main/java/merlinlever/fleet/view/ViewMessage.java
+++ b/src/main/java/merlinlever/fleet/view/ViewMessage.java
@@ -6,15 +6,16 @@
 import merlinlever.fleet.membership.TextFields;
 
 /**
- * The messages of the membership view, as text of fields separated by slashes; numbers of views, terms and indexes are in base 36,
- * as a text has 120 bytes at most. A view itself travels as a payload ({@link ViewCodec}).
+ * The messages of the membership view. Each message is a text whose fields are separated by slashes. View numbers,
+ * terms and indexes are in base 36, as the length of a text is limited to 120 bytes. Views are sent as payloads
+ * ({@link ViewCodec}).
  */
 sealed interface ViewMessage {
 
-    /** Base of all numbers but the count of heard voters. */
+    /** Base of all numbers except the number of heard voters, which is decimal. */
     int RADIX = 36;
 
-    /** The text of the message. */
+    /** Returns the text of the message. */
     String encode();
 
     private static String format(long number) {
@@ -42,13 +43,14 @@
     }
 
     /**
-     * Asks a voter for its view, and reports to it: {@code WQ/view/digest/floor/heard/unreachable}.
+     * Asks a voter for its view and contains the report of the sender:
+     * {@code WQ/view/digest/floor/heard/unreachable}.
      *
-     * @param viewNumber of the view that the sender has adopted, 0 for none
-     * @param digest of that view
+     * @param viewNumber number of the view that the sender has adopted, 0 for none
+     * @param digest digest of the sender's view
      * @param termFloor see {@link CutDetector.MemberReport}
-     * @param heardVoters how many voters the sender hears, in base ten
-     * @param unreachable the members that it finds unreachable, as {@link #formatIndexes} names them
+     * @param heardVoters number of voters that the sender hears, in base ten
+     * @param unreachable the members that the sender finds unreachable, in the format of {@link #formatIndexes}
      */
     record Poll(long viewNumber, String digest, long termFloor, int heardVoters, Optional<String> unreachable)
             implements ViewMessage {
@@ -59,7 +61,7 @@
         private static final int UNREACHABLE_INDEX = 5;
         private static final String INDEX_PREFIX = ".";
 
-        /** Members by their indexes in the view of that number, each index after a dot; empty for none. */
+        /** Formats members as their indexes in the sender's view, each with a leading dot; empty for no members. */
         static Optional<String> formatIndexes(List<Integer> indexes) {
             StringBuilder text = new StringBuilder();
             indexes.forEach(index -> text.append(INDEX_PREFIX).append(Integer.toString(index, RADIX)));
@@ -67,15 +69,15 @@
         }
 
         /**
-         * The indexes of the members that are unreachable; they mean nothing to a backend with another view.
+         * Returns the indexes of the unreachable members, which are valid only in the sender's view.
          *
-         * @throws IllegalArgumentException if the field is there and empty, or one of the indexes is no number
+         * @throws IllegalArgumentException if the field is present but empty, or an index is not a number
          */
         List<Integer> unreachableIndexes() {
             List<Integer> indexes = new ArrayList<>();
             if (unreachable.isPresent()) {
                 if (unreachable.get().isEmpty()) {
-                    throw new IllegalArgumentException("no indexes");
+                    throw new IllegalArgumentException("the field with the unreachable indexes is empty");
                 }
                 for (String index : unreachable.get().substring(1).split("\\.")) {
                     indexes.add(Integer.parseInt(index, RADIX));
@@ -99,9 +101,9 @@
     /**
      * Answers a poll: {@code WA/view/digest/term}.
      *
-     * @param viewNumber of the view that the sender has adopted, 0 for none
-     * @param digest of that view
-     * @param leadingTerm the term under which the sender leads, 0 where it does not
+     * @param viewNumber number of the view that the sender has adopted, 0 for none
+     * @param digest digest of the sender's view
+     * @param leadingTerm the term in which the sender is the leader, 0 if the sender is not the leader
      */
     record PollAnswer(long viewNumber, String digest, long leadingTerm) implements ViewMessage {
         static final String TYPE = "WA";
@@ -115,10 +117,10 @@
     }
 
     /**
-     * Asks for a view, which comes as a payload: {@code WG/known/wanted}.
+     * Requests a view, which the recipient sends as a payload: {@code WG/known/wanted}.
      *
-     * @param knownNumber of a view that the sender holds, as the base of a difference
-     * @param wantedNumber of the view that it wants at least
+     * @param knownNumber number of a view that the sender has, used as the base of a difference
+     * @param wantedNumber lowest number of the requested view
      */
     record Fetch(long knownNumber, long wantedNumber) implements ViewMessage {
         static final String TYPE = "WG";
@@ -132,7 +134,7 @@
         }
     }
 
-    /** A message as it was received. Each part is read only when it is asked for. */
+    /** A received message, whose fields are parsed on demand. */
     final class Received {
 
         private static final int TYPE_INDEX = 0;
@@ -146,18 +148,18 @@
         }
 
         /**
-         * The {@code TYPE} of one of the messages, or something else.
+         * Returns the type field, which may be unknown.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the message has no type field
          */
         String type() {
             return fields.text(TYPE_INDEX);
         }
 
         /**
-         * The whole message as a poll, but for the indexes of the unreachable members.
+         * Parses the message as a poll, except for the indexes of the unreachable members.
          *
-         * @throws IllegalArgumentException if it is not one
+         * @throws IllegalArgumentException if the message is not a valid poll
          */
         Poll toPoll() {
             return new Poll(
@@ -171,9 +173,9 @@
         }
 
         /**
-         * The whole message as the answer to a poll.
+         * Parses the message as the answer to a poll.
          *
-         * @throws IllegalArgumentException if it is not one
+         * @throws IllegalArgumentException if the message is not a valid answer
          */
         PollAnswer toPollAnswer() {
             return new PollAnswer(
@@ -183,18 +185,18 @@
         }
 
         /**
-         * The number of the view that a {@link Fetch} wants.
+         * Returns the wanted view number of a {@link Fetch}.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the message has no valid wanted number
          */
         long wantedNumber() {
             return fields.number(Fetch.WANTED_INDEX, RADIX);
         }
 
         /**
-         * The number of the view that the sender of a {@link Fetch} holds.
+         * Returns the known view number of a {@link Fetch}.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the message has no valid known number
          */
         long knownNumber() {
             return fields.number(Fetch.KNOWN_INDEX, RADIX);
--- a/src/main/java/merlinlever/fleet/view/ViewProposer.java
+++ b/src/main/java/merlinlever/fleet/view/ViewProposer.java
@@ -8,14 +8,14 @@
 import merlinlever.fleet.election.LeaderElection;
 import merlinlever.fleet.membership.MemberTable;
 
-/** Numbers the next view, on the backend that leads, when a change of the members is due. Not thread-safe. */
+/** Creates the next view on the leader when a change of the members is due. Not thread-safe. */
 final class ViewProposer {
 
     /**
      * A new view.
      *
-     * @param baseNumber number of the view that it follows
-     * @param recipients those that hold the view before or belong to the new one, without this backend
+     * @param baseNumber number of the previous view
+     * @param recipients the members of the previous and the new view, without this backend
      */
     record Proposal(MembershipView view, long baseNumber, SortedSet<String> recipients) {}
 
@@ -33,9 +33,9 @@
     private int viewsInTerm;
 
     /**
-     * A proposer that does not lead yet.
+     * Creates a proposer for a backend that is not the leader yet.
      *
-     * @param reportValidity how long an answer or a report counts, in a fleet of the present size
+     * @param reportValidity how long an answer or a report is valid in a fleet of the current size
      */
     ViewProposer(
             VoterSet voters,
@@ -55,9 +55,9 @@
     }
 
     /**
-     * The next view; empty where this backend does not lead or no change is due.
+     * Returns the next view; empty if this backend is not the leader or no change is due.
      *
-     * @param mayDecide whether its quorum status permits {@link GuardedAction#DECIDE}
+     * @param mayDecide whether the quorum status of this backend permits {@link GuardedAction#DECIDE}
      */
     Optional<Proposal> propose(Duration now, boolean mayDecide) {
         if (!election.isLeader(now)) {
@@ -73,15 +73,15 @@
             return Optional.empty();
         }
         MembershipView latest = views.latestKnown();
-        // The first view, the one that takes the leader in, and a new number for the same members cannot wait for the
-        // agreement that they bring about.
-        boolean leaderOutside =
+        // Three kinds of view do not require DECIDE, as the required agreement is only possible after them: the first
+        // view, the view in which the leader joins, and a view that renumbers the same members.
+        boolean leaderLacksView =
                 views.adopted().number() < latest.number() || !latest.members().contains(voters.self());
-        boolean renumber = needsNewNumber(now, latest);
-        if (!leaderOutside && !renumber && !mayDecide) {
+        boolean mustRenumber = needsNewNumber(now, latest);
+        if (!leaderLacksView && !mustRenumber && !mayDecide) {
             return Optional.empty();
         }
-        SortedSet<String> members = renumber
+        SortedSet<String> members = mustRenumber
                 ? latest.members()
                 : cutDetector
                         .dueMembers(now, voters, latest, views.observerRings(), memberTable::find, reportValidity.get())
@@ -89,17 +89,23 @@
         if (members == null || !voters.hasMajorityIn(members) || !MembershipView.isValidCount(viewsInTerm + 1)) {
             return Optional.empty();
         }
-        return Optional.of(number(latest, members));
+        return Optional.of(createProposal(latest, members));
     }
 
-    /** Whether a majority of the voters has answered since this backend leads, and none that is heard holds a later view. */
+    /**
+     * Returns whether a majority of the voters has answered since this backend became leader, and none has a later
+     * view.
+     */
     private boolean knowsLatestOfMajority(Duration now) {
         long latest = views.latestKnown().number();
         return !voterResponses.isAnyAhead(now, reportValidity.get(), latest)
                 && voterResponses.countNotAhead(leadershipSince, latest) + 1 >= voters.majority();
     }
 
-    /** Whether the latest view, of an earlier term, has to be numbered anew so that a restarted member can adopt it. */
+    /**
+     * Returns whether the latest view belongs to an earlier term and needs a new number for a restarted member to adopt
+     * it.
+     */
     private boolean needsNewNumber(Duration now, MembershipView latest) {
         return latest.term() < leadershipTerm
                 && latest.number() > 0
@@ -107,7 +113,7 @@
                         || cutDetector.isMemberWaitingForLaterTerm(now, latest, reportValidity.get()));
     }
 
-    private Proposal number(MembershipView latest, SortedSet<String> members) {
+    private Proposal createProposal(MembershipView latest, SortedSet<String> members) {
         SortedSet<String> recipients = new TreeSet<>(latest.members());
         recipients.addAll(members);
         recipients.remove(voters.self());
--- a/src/main/java/merlinlever/fleet/view/ViewSettings.java
+++ b/src/main/java/merlinlever/fleet/view/ViewSettings.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * Settings of the membership view, the same on every backend.
+ * Settings of the membership view, which are the same on every backend.
  *
- * @param probeInterval between two probes of an observer to each of its subjects
- * @param unreachableAfter an observer finds a subject unreachable that answered nothing for so long
- * @param minPollInterval between two polls of each voter; longer in large fleets, see {@link #pollInterval}
- * @param maxPollsPerSecond that one voter has to answer
- * @param minReportValidity how long an answer of a voter, or a report to the leader, counts; longer in large fleets, see {@link
- *     #reportValidity}
- * @param quietPeriod a change of the view is made once nothing was added to it for so long
- * @param maxBatchingDelay a change of the view is made at the latest after so long, whatever is added
- * @param maxDoubtDelay a member between the low and the high threshold delays other changes at most so long
- * @param pauseThreshold a longer time between two ticks means that the process was paused
- * @param joinStabilityPeriod a backend must have been heard for so long before it joins
- * @param initialRejoinPenalty a removed member may join again after so long; the span doubles each time
- * @param maxRejoinPenalty upper bound of that span
+ * @param probeInterval time between two probes from an observer to the same subject
+ * @param unreachableAfter an observer considers a subject unreachable after this time without an answer
+ * @param minPollInterval shortest time between two polls of the same voter; see {@link #pollInterval}
+ * @param maxPollsPerSecond maximum number of polls per second to one voter, from the whole fleet
+ * @param minReportValidity shortest time for which an answer of a voter or a report to the leader is valid; see
+ *     {@link #reportValidity}
+ * @param quietPeriod a change of the view is made when it has not grown for this time
+ * @param maxBatchingDelay a change of the view is made after this time even if it still grows
+ * @param maxUnstableDelay maximum time for which a member between the low and the high threshold delays a removal; a
+ *     name conflict also lasts for this time after it was last observed
+ * @param pauseThreshold the process counts as paused when the time between two ticks is longer
+ * @param joinStabilityPeriod a backend may join after it has reported for this time without a gap
+ * @param initialRejoinPenalty time after which a removed member may join again; doubles with each repeated removal
+ * @param maxRejoinPenalty upper bound of the rejoin penalty
  */
 public record ViewSettings(
         Duration probeInterval,
@@ -27,13 +28,13 @@
         Duration minReportValidity,
         Duration quietPeriod,
         Duration maxBatchingDelay,
-        Duration maxDoubtDelay,
+        Duration maxUnstableDelay,
         Duration pauseThreshold,
         Duration joinStabilityPeriod,
         Duration initialRejoinPenalty,
         Duration maxRejoinPenalty) {
 
-    /** How many polls in a row may be lost in a large fleet before a voter counts as not heard. */
+    /** Lower bound of the report validity, in poll intervals. */
     private static final int POLLS_PER_VALIDITY = 4;
 
     private static final ViewSettings DEFAULTS = new ViewSettings(
@@ -50,18 +51,18 @@
             Duration.ofSeconds(5),
             Duration.ofMinutes(5));
 
-    /** The settings of every released program. */
+    /** Returns the settings that production uses. */
     public static ViewSettings defaults() {
         return DEFAULTS;
     }
 
-    /** The time between two polls of a voter in a fleet of that size. */
+    /** Returns the time between two polls of the same voter in a fleet with this number of members. */
     Duration pollInterval(int members) {
         Duration atMaxRate = Duration.ofMillis(Duration.ofSeconds(members).toMillis() / maxPollsPerSecond);
         return atMaxRate.compareTo(minPollInterval) > 0 ? atMaxRate : minPollInterval;
     }
 
-    /** How long an answer or a report counts in a fleet of that size. */
+    /** Returns how long an answer or a report is valid in a fleet with this number of members. */
     Duration reportValidity(int members) {
         Duration severalPolls = pollInterval(members).multipliedBy(POLLS_PER_VALIDITY);
         return severalPolls.compareTo(minReportValidity) > 0 ? severalPolls : minReportValidity;
--- a/src/main/java/merlinlever/fleet/view/VoterResponses.java
+++ b/src/main/java/merlinlever/fleet/view/VoterResponses.java
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 
 /**
- * What the voters answer this backend: which of them it hears, and which view each of them has adopted. An answer counts only
- * once, and only to a poll that is pending, so a replayed one changes nothing. Times are since the process began. Not
- * thread-safe.
+ * Records the answers of the voters to the polls of this backend: when each voter was last heard and which view it has
+ * adopted. Only the first answer to a pending poll counts, so replayed answers have no effect. Times are measured from
+ * the start of the process. Not thread-safe.
  */
 final class VoterResponses {
 
     /**
      * The last answer of a voter.
      *
-     * @param viewSince when it was first heard to hold that view
-     * @param lastAgreedAt when it last held the same view as this backend, or null
+     * @param viewSince when the voter first reported this view
+     * @param lastAgreedAt when the voter last reported the same view as this backend, or null
      */
     record VoterResponse(Duration heardAt, long viewNumber, String digest, Duration viewSince, Duration lastAgreedAt) {
         private boolean isHeard(Duration now, Duration validity) {
@@ -32,9 +32,9 @@
     private final Map<Long, PendingPoll> pendingPolls = new LinkedHashMap<>();
 
     /**
-     * A poll is sent now.
+     * Records a poll that is being sent.
      *
-     * @param retention how long an answer to a poll is waited for
+     * @param retention how long an answer to the poll is accepted
      */
     void recordPoll(Duration now, String voter, long correlationId, Duration retention) {
         pendingPolls.values().removeIf(poll -> now.minus(poll.sentAt).compareTo(retention) > 0);
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Takes in an answer.
+     * Records an answer.
      *
      * @param own the view that this backend has adopted
-     * @return false where it answers no pending poll of that voter, and so was ignored
+     * @return false if the answer was ignored because it does not match a pending poll of the voter
      */
     boolean recordAnswer(
             Duration now, String voter, long correlationId, long viewNumber, String digest, MembershipView own) {
@@ -65,13 +65,13 @@
         return true;
     }
 
-    /** This process was paused: no voter counts as heard before it has answered a new poll. */
+    /** Discards all answers after a pause of this process; a voter counts as heard when it answers a new poll. */
     void clear() {
         responses.clear();
         pendingPolls.clear();
     }
 
-    /** Names of the voters that were heard within the validity, without this backend. */
+    /** Returns the names of the voters heard within the validity, without this backend. */
     List<String> heardVoters(Duration now, Duration validity) {
         List<String> heard = new ArrayList<>();
         responses.forEach((name, response) -> {
@@ -83,25 +83,25 @@
     }
 
     /**
-     * How many of the heard voters agree with this backend's view. One that agreed lately counts still: it may have changed
-     * first.
+     * Counts the heard voters that agree with the view of this backend. A voter that agreed recently still counts, as
+     * it may have adopted the next view earlier than this backend.
      */
     int countAgreeing(Duration now, Duration validity, MembershipView own, Duration ownSince) {
         int agreeing = 0;
         for (String name : heardVoters(now, validity)) {
             VoterResponse response = responses.get(name);
             boolean conflicts = response.viewNumber == own.number() && !response.digest.equals(own.digest());
-            boolean agreedLately = now.minus(ownSince).compareTo(validity) < 0
+            boolean agreedRecently = now.minus(ownSince).compareTo(validity) < 0
                     || (response.lastAgreedAt != null
                             && now.minus(response.lastAgreedAt).compareTo(validity) < 0);
-            if (!conflicts && agreedLately) {
+            if (!conflicts && agreedRecently) {
                 agreeing++;
             }
         }
         return agreeing;
     }
 
-    /** How many voters have answered since that time and hold no later view than that number. */
+    /** Counts the voters that have answered since a time and whose view number is not higher than the given one. */
     int countNotAhead(Duration since, long viewNumber) {
         int count = 0;
         for (VoterResponse response : responses.values()) {
@@ -112,13 +112,13 @@
         return count;
     }
 
-    /** Whether a voter that is heard holds a later view than that number. */
+    /** Returns whether a voter that is heard has a view with a higher number. */
     boolean isAnyAhead(Duration now, Duration validity, long viewNumber) {
         return responses.values().stream()
                 .anyMatch(response -> response.isHeard(now, validity) && response.viewNumber > viewNumber);
     }
 
-    /** The last answer of a voter, or null where there is none. */
+    /** Returns the last answer of a voter, or null. */
     VoterResponse find(String voter) {
         return responses.get(voter);
     }
--- a/src/main/java/merlinlever/fleet/view/VoterSet.java
+++ b/src/main/java/merlinlever/fleet/view/VoterSet.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * The configured voters, as seen by one backend.
+ * The configured voters from the perspective of one backend.
  *
- * @param names the same list, in the same order, on every backend
- * @param self name of this backend, which need not be a voter
+ * @param names names of the voters; every backend has the same list in the same order
+ * @param self name of this backend, which is not necessarily a voter
  */
 record VoterSet(List<String> names, String self) {
 
@@ -19,7 +19,7 @@
         return names.size();
     }
 
-    /** The smallest number of voters that is more than half of them. */
+    /** Returns the smallest number of voters that is more than half of all voters. */
     int majority() {
         return names.size() / 2 + 1;
     }
@@ -28,12 +28,12 @@
         return names.contains(self);
     }
 
-    /** 1 where this backend is a voter, which counts its own vote, else 0. */
+    /** Returns 1 if this backend is a voter, otherwise 0. */
     int ownVote() {
         return includesSelf() ? 1 : 0;
     }
 
-    /** Whether the members include a majority of the voters. */
+    /** Returns whether a majority of the voters is among the members. */
     boolean hasMajorityIn(Collection<String> members) {
         return members.stream().filter(names::contains).count() >= majority();
     }
--- a/src/main/java/merlinlever/fleet/view/net/ViewTransport.java
+++ b/src/main/java/merlinlever/fleet/view/net/ViewTransport.java
@@ -12,7 +12,10 @@
 import merlinlever.fleet.view.ViewManager;
 import merlinlever.fleet.view.ViewSettings;
 
-/** Runs one backend's {@link ViewManager} on the event loop and membership's datagrams. On the loop's thread only. */
+/**
+ * Runs the {@link ViewManager} of one backend on the event loop and sends its messages as datagrams of the membership
+ * protocol. Must only be called on the thread of the event loop.
+ */
 public final class ViewTransport implements TextMessageHandler, PayloadHandler {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
@@ -22,11 +25,12 @@
     private final ViewManager manager;
 
     /**
-     * Starts to take part in the view.
+     * Starts the view manager and registers it for messages of peers.
      *
-     * @param election the one of this process
-     * @param incarnationId a number that no other incarnation of this backend comes near; later ones are higher
-     * @param log takes one line at each change of the quorum status or the view, and where voters hold another view
+     * @param election the leader election of this process
+     * @param incarnationId first correlation id; far from the ids of other incarnations of this backend, and higher
+     *     than those of earlier incarnations
+     * @param log receives an event for each change of the quorum status or the view, and for each diverging voter
      */
     public ViewTransport(
             EventLoop loop,
@@ -38,7 +42,8 @@
             EventLog log) {
         this.loop = loop;
         this.recovery = recovery;
-        // The term of this moment, before this incarnation votes on any: what earlier ones may have held.
+        // The highest term is read before this incarnation votes: earlier incarnations may have held views of that term
+        // or an earlier one.
         ViewManager.Setup setup = new ViewManager.Setup(
                 settings,
                 incarnationId,
@@ -54,7 +59,7 @@
                 TICK_INTERVAL, () -> recovery.send(manager.tick(loop.clock().uptime())));
     }
 
-    /** What is known of the fleet, for the parts that depend on the peers. */
+    /** Returns the quorum status and the view for components that depend on the peers. */
     public FleetView fleetView() {
         return manager;
     }
@@ -69,7 +74,7 @@
         manager.receivePayload(loop.clock().uptime(), payload);
     }
 
-    /** See {@link ViewManager#json}. */
+    /** Returns the state as JSON; see {@link ViewManager#json}. */
     public String json() {
         return manager.json(loop.clock().uptime());
     }
--- a/src/main/java/merlinlever/fleet/view/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/view/net/package-info.java
@@ -1,2 +1,2 @@
-/** The membership view on the event loop and membership's datagrams. */
+/** Connects the membership view to the event loop and to the datagrams of the membership protocol. */
 package merlinlever.fleet.view.net;
--- a/src/main/java/merlinlever/fleet/view/package-info.java
+++ b/src/main/java/merlinlever/fleet/view/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The membership view of the fleet: which backends belong to it ({@link merlinlever.fleet.view.MembershipView}), how much of it this backend
- * speaks with ({@link merlinlever.fleet.view.QuorumStatus}), and what it may do then ({@link merlinlever.fleet.view.ActionPermissions}). Without
- * input, output, threads or clocks; see docs/fleet/view.md.
+ * The membership view of the fleet: its members ({@link merlinlever.fleet.view.MembershipView}), the part of the fleet
+ * that this backend communicates with ({@link merlinlever.fleet.view.QuorumStatus}), and the actions that this part
+ * permits ({@link merlinlever.fleet.view.ActionPermissions}). The classes of this package do no input or output and use
+ * neither threads nor clocks; see docs/fleet/view.md.
  */
 package merlinlever.fleet.view;
--- a/src/test/java/merlinlever/fleet/view/ActionPermissionsTest.java
+++ b/src/test/java/merlinlever/fleet/view/ActionPermissionsTest.java
@@ -10,7 +10,7 @@
 class ActionPermissionsTest {
 
     @Test
-    void eachActionHasAnAnswerAtEachStatus() {
+    void eachActionHasAPermissionForEachStatus() {
         for (GuardedAction action : GuardedAction.values()) {
             for (QuorumStatus status : QuorumStatus.values()) {
                 assertNotNull(ActionPermissions.permission(action, status), action + " at " + status);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void withoutQuorumNothingIsDecidedAndRestrictionsAreStillAdopted() {
+    void decisionsRequireAQuorumAndTheAdoptionOfRestrictionsDoesNot() {
         for (QuorumStatus status : List.of(
                 QuorumStatus.MINORITY, QuorumStatus.ISOLATED, QuorumStatus.CONFLICTING, QuorumStatus.RECOVERING)) {
             assertEquals(Permission.DENIED, ActionPermissions.permission(GuardedAction.DECIDE, status));
--- a/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
+++ b/src/test/java/merlinlever/fleet/view/CutDetectorTest.java
@@ -19,7 +19,7 @@
     private static final int TICK_MS = 100;
     private static final int REPORT_INTERVAL_MS = 500;
 
-    /** A leader b0 that counts the reports of a fleet. */
+    /** A leader b0 that receives the reports of a fleet. */
     private static final class CutScenario {
         final CutDetector cutDetector = new CutDetector(ViewSettings.defaults());
         final MembershipView view;
@@ -45,12 +45,12 @@
         }
 
         /**
-         * All but the silent report each 500 ms which of their subjects they find unreachable.
+         * Lets all members except the silent ones report their unreachable subjects every 500 ms.
          *
-         * @param isUnreachable by observer and subject
-         * @return the members after the first change, if there is one in that time
+         * @param isUnreachable whether an observer (first argument) finds a subject (second argument) unreachable
+         * @return the members after the first change; empty if no change was due
          */
-        Optional<SortedSet<String>> play(
+        Optional<SortedSet<String>> run(
                 long fromMs, long toMs, Set<String> silent, BiPredicate<String, String> isUnreachable) {
             for (long atMs = fromMs; atMs < toMs; atMs += TICK_MS) {
                 if (atMs % REPORT_INTERVAL_MS == 0) {
@@ -73,42 +73,41 @@
     }
 
     @Test
-    void oneOrTwoObserversRemoveNobodyAndMostOfThemDo() {
+    void reportsOfAFewObserversRemoveNoMemberAndReportsOfAllRemoveIt() {
         for (int size : new int[] {5, 9, 40}) {
-            CutScenario few = new CutScenario(size, 5);
-            List<String> observers = new ArrayList<>(few.rings.observers("b3"));
-            List<String> accusers = observers.subList(0, ObserverRings.doubtThreshold(observers.size()));
+            CutScenario fewReports = new CutScenario(size, 5);
+            List<String> observers = new ArrayList<>(fewReports.rings.observers("b3"));
+            List<String> reportingObservers = observers.subList(0, ObserverRings.lowThreshold(observers.size()));
             assertEquals(
                     Optional.empty(),
-                    few.play(
+                    fewReports.run(
                             0,
                             30_000,
                             Set.of(),
-                            (observer, subject) -> subject.equals("b3") && accusers.contains(observer)));
+                            (observer, subject) -> subject.equals("b3") && reportingObservers.contains(observer)));
             TreeSet<String> remaining = names(size);
             remaining.remove("b3");
             assertEquals(
                     Optional.of(remaining),
-                    new CutScenario(size, 5)
-                            .play(0, 30_000, Set.of("b3"), (observer, subject) -> subject.equals("b3")));
+                    new CutScenario(size, 5).run(0, 30_000, Set.of("b3"), (observer, subject) -> subject.equals("b3")));
         }
     }
 
     @Test
-    void membersThatFailTogetherLeaveInOneChangeThoughTheyAreFoundOneAfterTheOther() {
+    void membersThatFailTogetherAreRemovedInOneChangeEvenIfTheyAreDetectedOneAfterAnother() {
         CutScenario scenario = new CutScenario(40, 5);
         Set<String> dead = Set.of("b10", "b20", "b30");
-        // One is found by all its observers at once; the others are between the thresholds for three seconds.
+        // All observers of b10 report it from the start; the other two stay between the thresholds for three seconds.
         Optional<SortedSet<String>> first = Optional.empty();
         for (long startMs = 0; startMs < 20_000 && first.isEmpty(); startMs += REPORT_INTERVAL_MS) {
-            boolean allFound = startMs >= 3000;
-            first = scenario.play(
+            boolean allDetected = startMs >= 3000;
+            first = scenario.run(
                     startMs,
                     startMs + REPORT_INTERVAL_MS,
                     dead,
                     (observer, subject) -> dead.contains(subject)
                             && (subject.equals("b10")
-                                    || allFound
+                                    || allDetected
                                     || new ArrayList<>(scenario.rings.observers(subject)).indexOf(observer) < 4));
         }
         TreeSet<String> remaining = names(40);
@@ -117,9 +116,9 @@
     }
 
     @Test
-    void aMemberThatHearsNobodyAccusesAllAndRemovesNobody() {
+    void reportsOfAMemberThatHearsNoPeerRemoveNoMember() {
         CutScenario scenario = new CutScenario(3, 3);
-        // b2 finds the two others unreachable, but hears too few voters to be counted; the others hear each other well.
+        // b2 reports both peers as unreachable, but its reports do not count, as it hears no majority of the voters.
         for (long atMs = 0; atMs < 30_000; atMs += TICK_MS) {
             scenario.lastPoll++;
             scenario.report(atMs, "b0", 3, List.of());
@@ -135,8 +134,8 @@
         for (long atMs = 0; atMs < 30_000; atMs += TICK_MS) {
             scenario.lastPoll++;
             for (String member : scenario.view.members()) {
-                boolean isAccused = member.equals("b3");
-                scenario.report(atMs, member, isAccused ? 5 : 2, isAccused ? List.of() : List.of("b3"));
+                boolean isSubject = member.equals("b3");
+                scenario.report(atMs, member, isSubject ? 5 : 2, isSubject ? List.of() : List.of("b3"));
             }
             assertEquals(Optional.empty(), scenario.dueMembers(atMs));
         }
--- a/src/test/java/merlinlever/fleet/view/ObserverRingsTest.java
+++ b/src/test/java/merlinlever/fleet/view/ObserverRingsTest.java
@@ -14,19 +14,20 @@
 class ObserverRingsTest {
 
     @Property(tries = 60, seed = "29")
-    void eachMemberHasDistinctObserversAndFewChangeWithOneMember(@ForAll @IntRange(min = 1, max = 120) int size) {
+    void membersHaveDistinctObserversAndTheRemovalOfOneMemberChangesFewOfThem(
+            @ForAll @IntRange(min = 1, max = 120) int size) {
         TreeSet<String> members = ViewFixture.names(size);
         ObserverRings rings = new ObserverRings(members);
-        int observersOfEach = Math.min(ObserverRings.MAX_RINGS, size - 1);
+        int observersPerMember = Math.min(ObserverRings.MAX_RINGS, size - 1);
         int subjects = 0;
         for (String member : members) {
             Set<String> observers = rings.observers(member);
-            assertEquals(observersOfEach, observers.size());
+            assertEquals(observersPerMember, observers.size());
             assertFalse(observers.contains(member));
             observers.forEach(observer -> assertTrue(rings.subjects(observer).contains(member)));
             subjects += rings.subjects(member).size();
         }
-        assertEquals(size * observersOfEach, subjects);
+        assertEquals(size * observersPerMember, subjects);
         if (size > 40) {
             TreeSet<String> remaining = new TreeSet<>(members);
             remaining.remove("b7");
@@ -37,7 +38,9 @@
                 replaced.removeAll(after.observers(member));
                 changed += replaced.size();
             }
-            assertTrue(changed <= 4 * ObserverRings.MAX_RINGS, changed + " places changed with one member of " + size);
+            assertTrue(
+                    changed <= 4 * ObserverRings.MAX_RINGS,
+                    changed + " observers changed after the removal of one member, number of members " + size);
         }
     }
 }
--- a/src/test/java/merlinlever/fleet/view/QuorumStatusHysteresisTest.java
+++ b/src/test/java/merlinlever/fleet/view/QuorumStatusHysteresisTest.java
@@ -10,14 +10,14 @@
 class QuorumStatusHysteresisTest {
 
     @Test
-    void aWorseStatusIsShownAtOnceAndABetterOneWhenItLasts() {
+    void aWorseStatusIsShownAtOnceAndABetterOneAfterADelay() {
         QuorumStatusHysteresis hysteresis = new QuorumStatusHysteresis(ms(0), ms(1000));
         int changes = 0;
         for (int at = 0; at < 20_000; at += 50) {
             QuorumStatus flapping = at / 500 % 2 == 0 ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY;
             changes += hysteresis.update(ms(at), flapping) ? 1 : 0;
         }
-        assertEquals(1, changes, "it does not follow up and down");
+        assertEquals(1, changes, "the shown status does not flap");
         assertEquals(QuorumStatus.MINORITY, hysteresis.shown());
         assertFalse(hysteresis.update(ms(20_000), QuorumStatus.FULL));
         assertTrue(hysteresis.update(ms(21_050), QuorumStatus.MAJORITY));
--- a/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
@@ -7,24 +7,24 @@
 import merlinlever.compatibility.Fixture;
 import org.junit.jupiter.api.Test;
 
-/** Views as they are sent, whole and as a difference. */
+/** Pins the bytes of a complete view and of a difference from a base view. */
 class ViewBytesTest {
 
     @Test
-    void aViewAndADifference() {
+    void theBytesOfACompleteViewAndOfADifferenceAreUnchanged() {
         Fixture fixture = new Fixture("view.txt");
         MembershipView first =
                 MembershipView.of(MembershipView.numberOf(3, 1), new TreeSet<>(List.of("b0", "b1", "b2")));
         MembershipView second =
                 MembershipView.of(MembershipView.numberOf(3, 2), new TreeSet<>(List.of("b0", "b2", "b3")));
-        ViewCodec here = new ViewCodec();
-        here.remember(first);
-        here.remember(second);
-        ViewCodec there = new ViewCodec();
-        fixture.pins("whole", here.encode(first, 0));
-        assertEquals(first, there.decode(fixture.bytes("whole")));
-        there.remember(first);
-        fixture.pins("difference", here.encode(second, first.number()));
-        assertEquals(second, there.decode(fixture.bytes("difference")));
+        ViewCodec sender = new ViewCodec();
+        sender.remember(first);
+        sender.remember(second);
+        ViewCodec receiver = new ViewCodec();
+        fixture.pins("whole", sender.encode(first, 0));
+        assertEquals(first, receiver.decode(fixture.bytes("whole")));
+        receiver.remember(first);
+        fixture.pins("difference", sender.encode(second, first.number()));
+        assertEquals(second, receiver.decode(fixture.bytes("difference")));
     }
 }
--- a/src/test/java/merlinlever/fleet/view/ViewCodecTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewCodecTest.java
@@ -24,19 +24,19 @@
     }
 
     @Test
-    void aViewIsDecodedFromAllMembersOrFromADifferenceWhoseBaseIsHeld() {
+    void aViewIsDecodedFromItsCompleteFormOrFromADifferenceWithAKnownBase() {
         sender.remember(first);
         sender.remember(second);
         assertEquals(first, receiver.decode(sender.encode(first, 0)));
         byte[] difference = sender.encode(second, first.number());
-        assertNull(receiver.decode(difference), "the receiver does not hold the base");
+        assertNull(receiver.decode(difference), "the receiver does not have the base view");
         receiver.remember(first);
         assertEquals(second, receiver.decode(difference));
         assertTrue(difference.length < sender.encode(second, 0).length);
     }
 
     @Test
-    void aCorruptedPayloadIsNeverDecodedToAnotherView() {
+    void aCorruptedPayloadIsNeverDecodedToADifferentView() {
         sender.remember(first);
         sender.remember(second);
         receiver.remember(first);
--- a/src/test/java/merlinlever/fleet/view/ViewFixture.java
+++ b/src/test/java/merlinlever/fleet/view/ViewFixture.java
@@ -5,7 +5,7 @@
 import merlinlever.fleet.membership.MemberRecord;
 import merlinlever.fleet.membership.MemberStatus;
 
-/** Values that several tests of this package need. */
+/** Shared values of the tests of this package. */
 final class ViewFixture {
 
     static final Duration REPORT_VALIDITY = ms(4000);
@@ -16,7 +16,7 @@
         return Duration.ofMillis(ms);
     }
 
-    /** The names b0, b1 and so on. */
+    /** Returns the names b0, b1 and so on. */
     static TreeSet<String> names(int count) {
         TreeSet<String> names = new TreeSet<>();
         for (int i = 0; i < count; i++) {
--- a/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewManagerTest.java
@@ -72,9 +72,9 @@
         for (int i = 0; i < 3000; i++) {
             String text = texts.get(random.nextInt(texts.size()));
             manager.receive(ms(100), "b" + random.nextInt(4), random.nextLong(), text);
-            byte[] noise = new byte[random.nextInt(60)];
-            random.nextBytes(noise);
-            manager.receivePayload(ms(100), noise);
+            byte[] payload = new byte[random.nextInt(60)];
+            random.nextBytes(payload);
+            manager.receivePayload(ms(100), payload);
         }
         assertEquals(view, manager.view());
         String json = manager.json(ms(100));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void anAnswerToNoPendingPollIsIgnored() {
+    void anAnswerWithoutAPendingPollIsIgnored() {
         MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
         ViewManager manager = managerWithView(view, new SplittableRandom(7));
         String answer = "WA/" + Long.toString(view.number(), 36) + "/" + view.digest() + "/0";
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void anOlderViewAndASecondOneUnderTheSameNumberAreNotAdopted() {
+    void anOlderViewAndADifferentViewWithTheSameNumberAreNotAdopted() {
         MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
         ViewManager manager = managerWithView(view, new SplittableRandom(7));
         manager.receivePayload(ms(200), complete(MembershipView.of(MembershipView.numberOf(1, 9), names(2))));
@@ -105,27 +105,27 @@
     }
 
     @Test
-    void aRestartedBackendAdoptsNoViewThatAnEarlierIncarnationMayHaveBeenBeyond() {
+    void aRestartedBackendAdoptsOnlyViewsLaterThanThoseOfItsEarlierIncarnations() {
         long[] persistedTerm = {4};
         ViewManager manager = manager(1, 4, term -> term <= persistedTerm[0], new SplittableRandom(8));
         manager.receivePayload(ms(50), complete(MembershipView.of(MembershipView.numberOf(4, 2), names(3))));
         manager.tick(ms(100));
         assertEquals(
-                MembershipView.NONE, manager.view(), "of the term on disk, sent by one that does not lead that term");
+                MembershipView.NONE, manager.view(), "the view has the term on disk and no leader has confirmed it");
         manager.receivePayload(ms(150), complete(MembershipView.of(MembershipView.numberOf(5, 1), names(3))));
         manager.tick(ms(200));
-        assertEquals(MembershipView.NONE, manager.view(), "its term is not on disk yet");
+        assertEquals(MembershipView.NONE, manager.view(), "the term of the view is not on disk yet");
         persistedTerm[0] = 5;
         manager.tick(ms(250));
         assertEquals(MembershipView.numberOf(5, 1), manager.view().number());
     }
 
-    /** What a message names beside what its receiver needs of it is not read. */
+    /** Fields that the receiver does not need are not parsed, so malformed values in these fields are accepted. */
     @Test
-    void malformedTextsAreLoggedOnceTheyAreRead() {
+    void malformedTextsAreLoggedWhenTheirFieldsAreParsed() {
         MembershipView view = MembershipView.of(MembershipView.numberOf(2, 1), names(3));
         ViewManager manager = managerWithView(view, new SplittableRandom(7));
-        String held = Long.toString(view.number(), 36) + "/" + view.digest();
+        String currentView = Long.toString(view.number(), 36) + "/" + view.digest();
         log.clear();
         List<String> accepted = List.of(
                 "WP",
@@ -133,8 +133,8 @@
                 "WO",
                 "WQ/1/other/0/3",
                 "WQ/1/other/0/3/x",
-                "WQ/" + held + "/0/3/.0.2",
-                "WQ/" + held + "/0/3//",
+                "WQ/" + currentView + "/0/3/.0.2",
+                "WQ/" + currentView + "/0/3//",
                 "WG/!/zzzzzz",
                 "WA/1/other/0/more");
         for (String text : accepted) {
@@ -146,9 +146,9 @@
                 "WQ/1/other/0",
                 "WQ/1/other/0/x",
                 "WQ/!/other/0/3",
-                "WQ/" + held + "/0/3/.99",
-                "WQ/" + held + "/0/3/.!",
-                "WQ/" + held + "/0/3//more",
+                "WQ/" + currentView + "/0/3/.99",
+                "WQ/" + currentView + "/0/3/.!",
+                "WQ/" + currentView + "/0/3//more",
                 "WA/1/other",
                 "WA/1/other/!",
                 "WG/0",
