--- a/src/main/java/merlinlever/policy/BackpressureSignals.java
+++ b/src/main/java/merlinlever/policy/BackpressureSignals.java
@@ -7,47 +7,50 @@
 import merlinlever.controller.settings.BackpressureSignal;
 import merlinlever.controller.settings.ControllerSettings;
 
-/** Decides what callers are sent unasked: a signal to hold back, and when idle connections are closed. */
+/** Decides the backpressure signal for callers and the timeout after which idle connections are closed. */
 final class BackpressureSignals {
-    // Above this level callers are heard too little to go on learning it, and come back all at once.
+    // At a higher level too few requests arrive for callers to receive updates of the level, and callers
+    // resume at the same time.
     private static final double MAX_LEVEL = 0.6;
+    // Changes of the level per update.
     private static final double LEVEL_RISE = 0.04;
     private static final double LEVEL_FALL = 0.01;
+    // Smallest change of the level that is sent to callers.
     private static final double LEVEL_STEP = 0.02;
     private static final Duration UPDATE_INTERVAL = Duration.ofMillis(100);
-    // Without an arrival for this long the average occupancy says nothing of the present.
+    // Age above which the average occupancy, which only arrivals update, is out of date.
     private static final Duration MAX_AVERAGE_AGE = Duration.ofMillis(300);
-    // Callers a core from which on idle connections are closed early; servers that make a fleet large.
-    static final double MANY = 16;
-    // Factors of the idle timeout at each update, with a core free and with none.
-    private static final double TIMEOUT_DECREASE = 0.94;
-    private static final double TIMEOUT_INCREASE = 1.02;
-    // The first idle timeout and the shortest one, as divisors of the configured one.
+    // Number of callers per core above which idle connections are closed early; also the number of servers
+    // above which a fleet counts as large.
+    static final double MANY_CLIENTS = 16;
+    // Factors of the idle timeout at each update: with a free core, and without one.
+    private static final double IDLE_TIMEOUT_DECREASE = 0.94;
+    private static final double IDLE_TIMEOUT_INCREASE = 1.02;
+    // Divisors of the configured idle timeout that give the initial and the shortest idle timeout.
     private static final double INITIAL_TIMEOUT_DIVISOR = 10;
     private static final double MIN_TIMEOUT_DIVISOR = 30;
-    // Relative change of the idle timeout that is worth a decision.
-    private static final double TIMEOUT_STEP = 0.1;
+    // Smallest relative change of the idle timeout that is announced.
+    private static final double IDLE_TIMEOUT_STEP = 0.1;
 
     private final ServerState server;
     private final BackpressureSignal signal;
-    private final double maxIdleMs;
-    private final double callers;
+    private final double maxTimeoutMs;
+    private final double callerCount;
     private double idleTimeoutMs;
-    private double announcedIdleMs;
+    private double announcedTimeoutMs;
     private double level;
-
     private double announcedLevel;
     private Duration nextUpdateAt = Duration.ZERO;
 
     BackpressureSignals(ServerState server, ControllerSettings settings) {
         this.server = server;
         signal = settings.deployment().signal();
-        maxIdleMs = Durations.toMillis(settings.callers().idleTimeout());
-        idleTimeoutMs = maxIdleMs / INITIAL_TIMEOUT_DIVISOR;
-        callers = settings.callers().callers();
+        maxTimeoutMs = Durations.toMillis(settings.callers().idleTimeout());
+        idleTimeoutMs = maxTimeoutMs / INITIAL_TIMEOUT_DIVISOR;
+        callerCount = settings.callers().callers();
     }
 
-    /** What callers are asked to hold back. */
+    /** Returns the fraction of their requests that callers are asked to hold back. */
     double level() {
         return level;
     }
@@ -64,10 +67,10 @@
     }
 
     private void updateLevel(Duration now) {
-        // The average changes with arrivals only: without any for a while, the queue itself counts.
-        boolean outdated =
+        // Only arrivals update the average occupancy; without recent arrivals the queue length is used.
+        boolean averageOutdated =
                 Durations.isReached(now, server.admissionControl().averagedAt().plus(MAX_AVERAGE_AGE));
-        double occupancy = outdated
+        double occupancy = averageOutdated
                 ? server.queuedCount() / server.capacity().queueCapacity()
                 : server.admissionControl().averageOccupancy();
         double excess = AdmissionControl.thresholdExcess(occupancy);
@@ -75,7 +78,7 @@
         level = Math.max(0, Math.min(MAX_LEVEL, level));
         if (Math.abs(level - announcedLevel) >= LEVEL_STEP || (level == 0 && announcedLevel > 0)) {
             announcedLevel = level;
-            signalValue().ifPresent(value -> server.decided(new Decision.SendBackpressure(value)));
+            signalValue().ifPresent(value -> server.addDecision(new Decision.SendBackpressure(value)));
         }
     }
 
@@ -84,22 +87,22 @@
         return switch (signal) {
             case LEVEL -> OptionalDouble.of(level);
             case WEIGHT -> OptionalDouble.of(1 - level);
-            case CREDIT -> OptionalDouble.of(2 * (1 - level) * concurrency / callers);
+            case CREDIT -> OptionalDouble.of(2 * (1 - level) * concurrency / callerCount);
             case NONE -> OptionalDouble.empty();
         };
     }
 
-    // With many callers, idle connections fill the table, take capacity and leave no room for the next; each
-    // new one costs work, and a full table rejects callers at no cost. So they are closed the sooner the more
-    // often a core is free, and kept while the cores are full.
+    // With many callers, idle connections fill the connection table and leave no room for other callers.
+    // Accepting a new connection costs CPU time, while a full table rejects callers at no cost. Idle
+    // connections are therefore closed earlier while a core is free, and kept longer while all are busy.
     private void updateIdleTimeout() {
-        if (callers > MANY * server.cores()) {
-            boolean freeCore = server.runQueue().lastSample() < server.cores();
-            double wantedMs = idleTimeoutMs * (freeCore ? TIMEOUT_DECREASE : TIMEOUT_INCREASE);
-            idleTimeoutMs = Math.max(maxIdleMs / MIN_TIMEOUT_DIVISOR, Math.min(maxIdleMs, wantedMs));
-            if (Math.abs(idleTimeoutMs / announcedIdleMs - 1) > TIMEOUT_STEP) {
-                announcedIdleMs = idleTimeoutMs;
-                server.decided(new Decision.CloseIdleConnections(Durations.ofMillis(idleTimeoutMs)));
+        if (callerCount > MANY_CLIENTS * server.cores()) {
+            boolean hasFreeCore = server.runQueue().lastSample() < server.cores();
+            double adjustedMs = idleTimeoutMs * (hasFreeCore ? IDLE_TIMEOUT_DECREASE : IDLE_TIMEOUT_INCREASE);
+            idleTimeoutMs = Math.max(maxTimeoutMs / MIN_TIMEOUT_DIVISOR, Math.min(maxTimeoutMs, adjustedMs));
+            if (Math.abs(idleTimeoutMs / announcedTimeoutMs - 1) > IDLE_TIMEOUT_STEP) {
+                announcedTimeoutMs = idleTimeoutMs;
+                server.addDecision(new Decision.CloseIdleConnections(Durations.ofMillis(idleTimeoutMs)));
             }
         }
     }
--- a/src/main/java/merlinlever/policy/CapacityEstimator.java
+++ b/src/main/java/merlinlever/policy/CapacityEstimator.java
@@ -5,13 +5,16 @@
 import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.controller.settings.WarmUpSettings;
 
-/** Estimates what the server can do from what it did, and limits it to what it survives: rule 4. */
+/**
+ * Estimates the server's throughput from its completed requests, and limits the concurrency and the memory to
+ * what the server can sustain (safety rule 4).
+ */
 final class CapacityEstimator {
-    // Completions that the estimate rests on at most, before their weight is halved.
+    // Number of completions above which the accumulated counts are halved, so that old ones lose weight.
     private static final double MAX_COMPLETIONS = 32;
-    // Fractions of the concurrency and of the memory that the server survives which are used.
-    private static final double CONCURRENCY_USED = 0.75;
-    private static final double MEMORY_USED = 0.92;
+    // Fractions of the sustainable concurrency and of the memory limit that are used.
+    private static final double CONCURRENCY_FRACTION = 0.75;
+    private static final double MEMORY_FRACTION = 0.92;
 
     private final ServerState server;
     private final double coldSpeed;
@@ -41,7 +44,7 @@
         }
     }
 
-    /** Begins with an estimate from elsewhere, unless something was learned here. */
+    /** Sets an initial estimate from another source, unless this server has completed requests already. */
     void setWarmStartEstimate(double capacity, double estimateCompletions) {
         if (completions < 1 && capacity > 0) {
             completions = estimateCompletions;
@@ -50,26 +53,26 @@
     }
 
     /**
-     * How many requests all cores complete in the shortest objective, at least one each; by busy time, or a
-     * quiet server would take its few arrivals for all that it can do.
+     * Returns how many requests all cores complete within the shortest latency objective, at least one per
+     * core. The rate is per busy time; a rate per elapsed time would underestimate a lightly loaded server.
      */
     double queueCapacity() {
-        double perBusyTime = completions * server.cores() * server.objectiveMs() / busyMs;
-        return Math.max(server.cores(), completions < 1 ? 0 : perBusyTime);
+        double estimate = completions * server.cores() * server.objectiveMs() / busyMs;
+        return Math.max(server.cores(), completions < 1 ? 0 : estimate);
     }
 
-    /** The fraction of its full speed that the server has at least. */
+    /** Returns the lower bound of the server's current speed, as a fraction of its full speed. */
     double speedFraction() {
         return Math.min(1, coldSpeed + (1 - coldSpeed) * toMillis(server.now()) / warmUpMs);
     }
 
-    /** How many started requests the server survives, with a margin. */
+    /** Returns how many started requests the server can sustain, with a margin. */
     double safeConcurrency() {
-        double perCore = 1 + (overloadFactor - 1) * speedFraction();
-        return Math.max(server.cores(), CONCURRENCY_USED * server.cores() * perCore);
+        double maxStartedPerCore = 1 + (overloadFactor - 1) * speedFraction();
+        return Math.max(server.cores(), CONCURRENCY_FRACTION * server.cores() * maxStartedPerCore);
     }
 
     boolean hasMemoryFor(double additionalKb) {
-        return server.usedMemoryKb() + additionalKb <= MEMORY_USED * memoryKb;
+        return server.usedMemoryKb() + additionalKb <= MEMORY_FRACTION * memoryKb;
     }
 }
--- a/src/main/java/merlinlever/policy/Completions.java
+++ b/src/main/java/merlinlever/policy/Completions.java
@@ -8,7 +8,7 @@
 import merlinlever.controller.settings.RunStopping;
 import merlinlever.policy.Request.Phase;
 
-/** Decides how a request ends: its run is over, it is rejected or failed, or its time has passed. */
+/** Decides how a request ends: by the end of its run, a rejection, a failure or an expired deadline. */
 final class Completions {
     private final ServerState server;
     private final boolean canStopRuns;
@@ -20,7 +20,7 @@
         fleetSize = Math.max(1, settings.downstream().fleetSize());
     }
 
-    /** The run of the request, or the sharing of another's outcome, has ended. */
+    /** Handles the end of the request's run, or of sharing the outcome of another request. */
     void runEnded(Request request, Duration now, Outcome outcome) {
         boolean isQueued = request.phase() == Phase.QUEUED;
         if (!request.isInFlight() || (outcome == Outcome.NOT_STARTED && isQueued)) {
@@ -33,15 +33,15 @@
         }
         server.stallDetector().recordProgress(now);
         request.setOutcome(outcome);
-        learnFromRun(request, now);
+        updateEstimates(request, now);
         if (outcome == Outcome.OK && request.isShareable() && request.retainedUntil() != null) {
-            server.duplicates().retainWhileFresh(request, now);
+            server.duplicates().retainForSharing(request, now);
         }
         finish(request, now);
     }
 
-    /** Only runs that came to their own end say how long runs take. */
-    private void learnFromRun(Request request, Duration now) {
+    /** Updates the estimates of capacity and run time, with runs only that were not stopped. */
+    private void updateEstimates(Request request, Duration now) {
         boolean completed = request.outcome() == Outcome.OK || request.outcome() == Outcome.ERROR;
         if (completed && request.phase() == Phase.RUNNING) {
             server.capacity().recordCompletion();
@@ -72,7 +72,7 @@
         }
         request.markAnswered();
         server.countRejection(reason);
-        server.decided(new Decision.Reject(request, isFinal, retryAfter));
+        server.addDecision(new Decision.Reject(request, isFinal, retryAfter));
         finish(request, now);
     }
 
@@ -82,29 +82,29 @@
         }
         request.markAnswered();
         server.countFailure();
-        server.decided(new Decision.Fail(request));
+        server.addDecision(new Decision.Fail(request));
         if (request.isWaiting()) {
             finish(request, now);
         }
     }
 
     private void stop(Request request) {
-        // Requests that share its outcome are still owed it.
+        // A run is not stopped while duplicates wait for its outcome.
         boolean canStop = canStopRuns && request.phase() == Phase.RUNNING && !request.isStopping();
         if (canStop && server.inFlight().stream().noneMatch(other -> other.sharesOutcomeOf(request))) {
             request.setStopping(true);
-            server.decided(new Decision.Stop(request));
+            server.addDecision(new Decision.Stop(request));
         }
     }
 
-    /** Ends the request if its time has passed: for any answer, for its start, or for an answer of use. */
+    /** Ends the request if its deadline is reached or if its answer would miss the latency objective. */
     void enforceDeadlines(Request request, Duration now) {
         if (!request.isInFlight() || request.isAnswered()) {
             return;
         }
         boolean stopping = server.drain().stopsBy(now.plus(DecisionCycle.INTERVAL));
         boolean waiting = request.isWaitingUnstarted();
-        // Rule 1: the answer comes before the deadline, and before the stop.
+        // Safety rule 1: the request is answered before its deadline and before the process is stopped.
         if (stopping || Durations.isReached(now, request.deadline())) {
             if (waiting) {
                 RejectionReason reason = stopping ? RejectionReason.DRAINING : RejectionReason.EXPIRED;
@@ -115,14 +115,14 @@
             }
         } else if (waiting) {
             rejectIfLate(request, now);
-        } else if (isUselessRun(request, now)) {
+        } else if (blocksQueueWithoutWeight(request, now)) {
             fail(request, now);
             stop(request);
         }
     }
 
-    /** Whether the run of the request only keeps queued ones from the cores: its answer has no weight. */
-    private boolean isUselessRun(Request request, Duration now) {
+    /** Whether the request's run blocks queued requests although its late answer would have no weight. */
+    private boolean blocksQueueWithoutWeight(Request request, Duration now) {
         return canStopRuns
                 && server.queuedCount() > 0
                 && request.phase() != Phase.SHARING_OUTCOME
@@ -130,22 +130,23 @@
                 && request.priorityClass().lateWeight() == 0;
     }
 
-    /** Rejects a waiting request if a start now would miss its objective, or if no run makes progress. */
+    /** Rejects a waiting request if the runs are stalled or if a start now would miss its objective. */
     private void rejectIfLate(Request request, Duration now) {
         Duration maxRetryAfter = server.admissionControl().maxRetryAfter();
         if (server.stallDetector().isStalled()) {
             reject(request, now, RejectionReason.STALLED, false, maxRetryAfter);
         } else if (Durations.isReached(now.plus(request.expectedRunTime()), request.objectiveAt())) {
-            // Too late on a slow server is not too late on each, by the hint, but for a long expensive walk.
+            // Another server may still meet the objective if the cost hint leaves enough time. In a large
+            // fleet where reading a request is expensive, retries elsewhere cost too much.
             double hintMs = request.costHintMs();
-            Duration runTime = hintMs > 0 ? Durations.ofMillis(hintMs) : request.expectedRunTime();
-            boolean largeFleet = fleetSize > BackpressureSignals.MANY;
+            Duration runTimeElsewhere = hintMs > 0 ? Durations.ofMillis(hintMs) : request.expectedRunTime();
+            boolean largeFleet = fleetSize > BackpressureSignals.MANY_CLIENTS;
             boolean lateElsewhere = (largeFleet && server.admissionControl().isReadingExpensive())
-                    || Durations.isReached(now.plus(runTime), request.objectiveAt());
-            double queueMs = server.queuedCount()
+                    || Durations.isReached(now.plus(runTimeElsewhere), request.objectiveAt());
+            double queueDrainMs = server.queuedCount()
                     * server.objectiveMs()
                     / server.capacity().queueCapacity();
-            Duration retryAfter = Durations.earlier(maxRetryAfter, Durations.ofMillis(queueMs));
+            Duration retryAfter = Durations.earlier(maxRetryAfter, Durations.ofMillis(queueDrainMs));
             reject(request, now, RejectionReason.EXPIRED, lateElsewhere, retryAfter);
         }
     }
--- a/src/main/java/merlinlever/policy/ControllerMetrics.java
+++ b/src/main/java/merlinlever/policy/ControllerMetrics.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What the controller sees of its server, for monitoring.
+ * Snapshot of the controller's view of its server, for monitoring.
  *
- * @param requests how many requests there are and were
+ * @param requests the numbers of requests by state and by result
  * @param queueCapacity how many queued requests can be served within the shortest latency objective
- * @param averageOccupancy the moving average of the queue's occupancy, 1 for {@code queueCapacity}
- * @param backpressureLevel from 0; what callers are asked to hold back
- * @param stalled whether no run makes progress
- * @param draining whether the server is about to be stopped
- * @param speedFraction the fraction of its full speed that the server has at least while it warms up
+ * @param averageOccupancy the moving average of the queue's occupancy; 1 means {@code queueCapacity}
+ * @param backpressureLevel the fraction of their requests that callers are asked to hold back
+ * @param stalled whether the runs on the cores are stalled
+ * @param draining whether the server is draining before its process is stopped
+ * @param speedFraction the lower bound of the server's current speed, as a fraction of its full speed
  */
 public record ControllerMetrics(
         RequestCounts requests,
@@ -23,13 +23,13 @@
         double speedFraction) {
 
     /**
-     * How many requests there are in some phases, and how many ended without an answer of use.
+     * Numbers of requests by state and by result.
      *
-     * @param queued in the admission queue now
-     * @param onCores running now
-     * @param inCalls waiting for a downstream call now, made or not
-     * @param rejected since the start, by reason, with every reason in the order of their declaration
-     * @param failed answered with a failure since the start
+     * @param queued requests in the admission queue
+     * @param onCores requests that run on a core
+     * @param inCalls requests whose run waits for a downstream call, whether the call was made already or not
+     * @param rejected rejections since the start, with an entry for every reason in declaration order
+     * @param failed requests answered with a failure since the start
      */
     public record RequestCounts(
             int queued, int onCores, int inCalls, Map<RejectionReason, Long> rejected, long failed) {}
--- a/src/main/java/merlinlever/policy/DecayingHistogram.java
+++ b/src/main/java/merlinlever/policy/DecayingHistogram.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.stream.IntStream;
 
-/** Counts of values from 1 in bins that grow by a ratio; all counts are halved when they exceed a total. */
+/** Histogram with exponentially growing bins; all counts are halved when their total exceeds a maximum. */
 final class DecayingHistogram {
     private final double[] counts;
     private final double binRatio;
@@ -29,12 +29,12 @@
         mean = sum / total;
     }
 
-    /** How many values are counted, the halved ones as halves. */
+    /** Returns the total of the counts, after halving. */
     double total() {
         return total;
     }
 
-    /** The mean of the counted values by the middles of their bins; 0 without values. */
+    /** Returns the mean of the values, approximated by the middles of their bins; 0 without values. */
     double mean() {
         return mean;
     }
--- a/src/main/java/merlinlever/policy/DecisionCycle.java
+++ b/src/main/java/merlinlever/policy/DecisionCycle.java
@@ -5,9 +5,9 @@
 import merlinlever.controller.Decisions;
 import merlinlever.controller.RequestHandle;
 
-/** Decides in which order the other parts decide on all that is open, and how often. */
+/** Runs the parts of the controller in a fixed order, and decides when the next cycle is due. */
 final class DecisionCycle {
-    /** How often decisions are made while requests are in flight. */
+    /** Time between decisions while requests are in flight. */
     static final Duration INTERVAL = Duration.ofMillis(10);
 
     private static final Duration IDLE_INTERVAL = Duration.ofMillis(500);
@@ -18,7 +18,7 @@
         this.server = server;
     }
 
-    void arrive(Request request, Optional<RequestHandle> original, Duration now) {
+    void handleArrival(Request request, Optional<RequestHandle> original, Duration now) {
         if (server.inFlight().isEmpty()) {
             server.stallDetector().recordProgress(now);
         }
--- a/src/main/java/merlinlever/policy/Dispatcher.java
+++ b/src/main/java/merlinlever/policy/Dispatcher.java
@@ -4,7 +4,7 @@
 import merlinlever.controller.Decision;
 import merlinlever.policy.Request.Phase;
 
-/** Decides which queued requests are started: oldest first, as far as the gauge of the run queue permits. */
+/** Decides which queued requests are started: oldest first, while the run queue is shorter than the cores. */
 final class Dispatcher {
     private final ServerState server;
 
@@ -48,7 +48,7 @@
         }
         request.markStarted(now);
         server.moveTo(request, Phase.RUNNING);
-        server.decided(new Decision.Start(request));
-        server.duplicates().resolveWaiting(request, now);
+        server.addDecision(new Decision.Start(request));
+        server.duplicates().resolveWaitingDuplicates(request, now);
     }
 }
--- a/src/main/java/merlinlever/policy/DrainState.java
+++ b/src/main/java/merlinlever/policy/DrainState.java
@@ -4,13 +4,13 @@
 import merlinlever.common.Durations;
 import merlinlever.controller.settings.SafetySettings;
 
-/** Whether the server is draining, and what may still be started before its process is stopped. */
+/** State of the server's drain: decides which requests may still be started before the process is stopped. */
 final class DrainState {
     private final ServerState server;
     private final Duration grace;
-    /** Null unless the server drains, like {@link #stopAt}. */
+    /** Null before the drain. */
     private Duration startedAt;
-
+    /** Null before the drain. */
     private Duration stopAt;
 
     DrainState(ServerState server, SafetySettings settings) {
@@ -28,22 +28,22 @@
         return startedAt != null;
     }
 
-    /** Rule 3: whether the request arrived too late to be started. */
+    /** Whether the request arrived after the grace period and must not be started (safety rule 3). */
     boolean isPastGrace(Request request) {
         return startedAt != null && Durations.isReached(request.arrivedAt(), startedAt.plus(grace));
     }
 
-    /** Whether the process is stopped within one decision interval of that time, or before it. */
+    /** Whether the process is stopped before the time, or at most one decision interval after it. */
     boolean stopsBy(Duration time) {
         return stopAt != null && Durations.isReached(time.plus(DecisionCycle.INTERVAL), stopAt);
     }
 
-    /** When to decide next, if nothing but the stop calls for it before the regular time. */
-    Duration nextDecisionAt(Duration now, Duration regular) {
+    /** Returns the time of the next decision: the regular time, or an earlier one shortly before the stop. */
+    Duration nextDecisionAt(Duration now, Duration regularDecisionAt) {
         if (stopAt == null || Durations.isReached(now, stopAt)) {
-            return regular;
+            return regularDecisionAt;
         }
         Duration beforeStop = stopAt.minus(DecisionCycle.INTERVAL);
-        return Durations.earlier(regular, Durations.later(beforeStop, now.plusMillis(1)));
+        return Durations.earlier(regularDecisionAt, Durations.later(beforeStop, now.plusMillis(1)));
     }
 }
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -7,7 +7,7 @@
 import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.policy.Request.Phase;
 
-/** Decides which requests are retained for duplicates, for how long, and what becomes of a duplicate. */
+/** Decides which requests are retained for duplicates and for how long, and how a duplicate is handled. */
 final class DuplicateRequests {
     private final ServerState server;
     private final Duration maxOutcomeAge;
@@ -19,17 +19,19 @@
         maxReadDelay = settings.safety().maxReadDelay();
     }
 
-    /** Whether a read of this class may be answered with the outcome of another. */
+    /** Whether reads of this class may be answered with the outcome of another read of the same subject. */
     boolean canShare(PriorityClass priorityClass) {
         return priorityClass.isIdempotent() && !maxOutcomeAge.isZero();
     }
 
     /**
-     * Rule 2: a duplicate of a request that may have run shares its outcome or fails, it is never run itself.
-     * Returns whether that settles it; else it is decided on like any other arrival.
+     * Handles a duplicate (safety rule 2): a duplicate of a non-idempotent request that may have run shares
+     * the outcome of the original or fails; it is never run itself.
+     *
+     * @return false if the duplicate is to be admitted like any other arrival
      */
     boolean coalesce(Request request, RequestHandle originalHandle, Duration now) {
-        Request original = originalHandle instanceof Request coalescedWith ? coalescedWith.successor() : null;
+        Request original = originalHandle instanceof Request known ? known.successor() : null;
         if (original == null) {
             if (!request.priorityClass().isIdempotent()) {
                 server.completions().fail(request, now);
@@ -51,18 +53,18 @@
         return true;
     }
 
-    /** Whether the original has an outcome that the request may share, or will have one. */
+    /** Whether the original has, or will have, an outcome that the request may share. */
     private static boolean hasOutcomeFor(Request request, Request original) {
         if (original.isInFlight()) {
             return !original.isStopping();
         }
-        boolean lastingError =
+        boolean sharesError =
                 original.outcome() == Outcome.ERROR && !request.priorityClass().isIdempotent();
-        return original.outcome() == Outcome.OK || lastingError;
+        return original.outcome() == Outcome.OK || sharesError;
     }
 
     private void awaitOriginal(Request request, Request original, Duration now) {
-        // Rule 3: what arrived after the grace may not take the place of an original either.
+        // Safety rule 3: a request that arrived after the grace period must not replace its original either.
         boolean pastGrace = server.drain().isPastGrace(request);
         if (pastGrace || !server.capacity().hasMemoryFor(0)) {
             RejectionReason reason = pastGrace ? RejectionReason.DRAINING : RejectionReason.MEMORY;
@@ -75,10 +77,11 @@
     }
 
     /**
-     * Resolves what waits for a request: it was started, and its duplicates share its outcome; or it ended
-     * unstarted, and the first of them takes its place and is retained in its stead.
+     * Resolves the duplicates that wait for a request. If the request was started, they share its outcome. If
+     * it ended without a start, the first duplicate that fits into memory replaces the request, in the queue
+     * and in the retention table.
      */
-    void resolveWaiting(Request request, Duration now) {
+    void resolveWaitingDuplicates(Request request, Duration now) {
         Request successor = null;
         for (Request duplicate : request.waitingDuplicates()) {
             if (duplicate.phase() != Phase.AWAITING_ORIGINAL) {
@@ -87,7 +90,7 @@
             if (request.wasStarted()) {
                 shareOutcome(duplicate, request);
             } else if (successor == null) {
-                successor = takePlace(duplicate, request, now) ? duplicate : null;
+                successor = replaceOriginal(duplicate, request, now) ? duplicate : null;
             } else {
                 duplicate.setOriginal(successor);
                 successor.waitingDuplicates().add(duplicate);
@@ -96,11 +99,11 @@
         request.waitingDuplicates().clear();
     }
 
-    private boolean takePlace(Request successor, Request request, Duration now) {
+    private boolean replaceOriginal(Request successor, Request original, Duration now) {
         successor.setOriginal(null);
-        request.setOriginal(successor);
+        original.setOriginal(successor);
         server.moveTo(successor, Phase.QUEUED);
-        server.retained().remove(request);
+        server.retained().remove(original);
         boolean hasMemory = hasMemoryFor(successor);
         if (hasMemory) {
             retainFromAdmission(successor, now);
@@ -113,26 +116,29 @@
     private void shareOutcome(Request request, Request original) {
         request.setOriginal(original);
         server.moveTo(request, Phase.SHARING_OUTCOME);
-        server.decided(new Decision.ShareOutcome(request));
+        server.addDecision(new Decision.ShareOutcome(request));
     }
 
-    /** Called when a request has just ended: decides how long it is known from now on. */
+    /** Handles the end of a request: decides for how long the request and its handle are kept. */
     void requestFinished(Request request, Duration now) {
-        // Nothing names again what never ran; kept, a flood of rejections would fill the memory.
+        // The handle of a request that never ran is released at once: it has no outcome to share, and a flood
+        // of rejections would fill the memory with handles.
         if (request.wasStarted()) {
-            Duration knownFor = request.priorityClass().idempotencyWindow().plus(maxReadDelay);
-            server.retained().releaseAt(request, now.plus(knownFor));
+            Duration handleLifetime =
+                    request.priorityClass().idempotencyWindow().plus(maxReadDelay);
+            server.retained().releaseAt(request, now.plus(handleLifetime));
         } else {
-            server.decided(new Decision.Release(request));
+            server.addDecision(new Decision.Release(request));
         }
-        resolveWaiting(request, now);
-        boolean useless = !request.wasStarted() || (request.isShareable() && request.outcome() != Outcome.OK);
-        if (useless && server.retained().remove(request)) {
-            server.decided(new Decision.Evict(request));
+        resolveWaitingDuplicates(request, now);
+        boolean hasNoOutcomeToShare =
+                !request.wasStarted() || (request.isShareable() && request.outcome() != Outcome.OK);
+        if (hasNoOutcomeToShare && server.retained().remove(request)) {
+            server.addDecision(new Decision.Evict(request));
         }
     }
 
-    /** Rule 4: whether there is memory for what has to be retained of the request. */
+    /** Whether there is memory for the request's entry in the retention table, if any (safety rule 4). */
     boolean hasMemoryFor(Request request) {
         boolean isRetained = request.priorityClass().isIdempotentByKey() || request.isShareable();
         return server.capacity().hasMemoryFor(isRetained ? server.retained().entryKb() : 0);
@@ -146,7 +152,7 @@
         }
     }
 
-    void retainWhileFresh(Request request, Duration now) {
+    void retainForSharing(Request request, Duration now) {
         server.retained().retain(request, now, maxOutcomeAge);
     }
 }
--- a/src/main/java/merlinlever/policy/IdempotencyWindow.java
+++ b/src/main/java/merlinlever/policy/IdempotencyWindow.java
@@ -5,21 +5,21 @@
 import java.time.Duration;
 
 /**
- * Rule 2 across restarts: a request that is not idempotent starts only if no earlier incarnation can have run
- * it, and if the next one would know that this one did.
+ * Keeps safety rule 2 across restarts: a non-idempotent request starts only if no earlier incarnation can
+ * have run it, and only while the next incarnation will be able to tell that this one may have run it.
  */
 final class IdempotencyWindow {
     private Duration arrivedFrom = Duration.ZERO;
-    /** Null: not limited. */
-    private Duration until;
+    /** Null without a limit. */
+    private Duration endsAt;
 
     /** See {@link OverloadController#permitNonIdempotentStarts}. */
     void permitStarts(Duration requestsArrivedFrom, Duration permittedUntil) {
         arrivedFrom = requestsArrivedFrom;
-        until = permittedUntil;
+        endsAt = permittedUntil;
     }
 
-    /** No earlier incarnation can have run what arrived from then on. */
+    /** Returns the time of arrival from which no earlier incarnation can have run a request. */
     Duration arrivedFrom() {
         return arrivedFrom;
     }
@@ -30,6 +30,6 @@
     }
 
     boolean forbidsStart(Request request, Duration now) {
-        return !request.priorityClass().isIdempotent() && until != null && isReached(now, until);
+        return !request.priorityClass().isIdempotent() && endsAt != null && isReached(now, endsAt);
     }
 }
--- a/src/main/java/merlinlever/policy/OverloadController.java
+++ b/src/main/java/merlinlever/policy/OverloadController.java
@@ -10,62 +10,67 @@
 import merlinlever.policy.Request.Phase;
 
 /**
- * Decides, inside one server, which requests are queued, started, rejected and failed (docs/design.md). An
- * adapter creates a controller for each incarnation of a server and reports what happens: each request by
- * {@link #submit}, its later events on the handle that this returns. After each batch of events
- * {@link #decide} returns what to do, and when to decide again. All times count from the start of the server.
- * Controllers share nothing; none is thread-safe.
+ * Decides which requests of one server are queued, started, rejected and failed (docs/design.md). An adapter
+ * creates a controller for each incarnation of the server. The adapter passes each request to
+ * {@link #submit}, reports the later events of the request to the returned handle, and calls {@link #decide}
+ * after each batch of events, which returns the decisions and the time of the next call. All times are
+ * relative to the start of the server. Controllers share no state, and none is thread-safe.
  *
- * <p>This is the entry to the package; the decisions are made in the classes behind it.
+ * <p>This class is the only entry to the package; the other classes make the decisions.
  */
 public final class OverloadController {
     private final ServerState server;
     private final DecisionCycle decisionCycle;
 
-    /** A controller with its settings and the seed of its random draws. */
+    /** Creates a controller with the given settings and the seed of its random decisions. */
     public OverloadController(ControllerSettings settings, long seed) {
         server = new ServerState(settings, seed);
         decisionCycle = new DecisionCycle(server);
     }
 
-    /** Submits a request that has been read; from now on it is owed exactly one final answer. */
+    /** Submits a request that has been read; the controller decides on exactly one answer to the request. */
     public RequestHandle submit(Duration now, RequestAttributes attributes) {
         server.advanceClock(now);
         Request request = new Request(server, now, attributes);
-        decisionCycle.arrive(request, attributes.original(), now);
+        decisionCycle.handleArrival(request, attributes.original(), now);
         return request;
     }
 
-    /** The server is draining: its process is stopped at that time. */
+    /** Starts the drain of the server, whose process will be stopped at the given time. */
     public void startDrain(Duration now, Duration stopAt) {
         server.advanceClock(now);
         server.drain().start(now, stopAt);
     }
 
-    /** Requests that are not idempotent start only if they arrived from then on, and until the other time. */
+    /**
+     * Limits the starts of non-idempotent requests.
+     *
+     * @param arrivedFrom the earliest arrival of a request that may start
+     * @param until the time from which no such request may start
+     */
     public void permitNonIdempotentStarts(Duration arrivedFrom, Duration until) {
         server.idempotencyWindow().permitStarts(arrivedFrom, until);
     }
 
     /**
-     * Sets where the estimate of the queue's capacity begins, from an earlier incarnation or from peers.
+     * Sets the initial estimate of the queue's capacity, from an earlier incarnation or from peers.
      *
-     * @param completions how many completions the estimate weighs as much as
+     * @param completions the weight of the estimate, as a number of completions
      */
     public void setWarmStartEstimate(double capacity, double completions) {
         server.capacity().setWarmStartEstimate(capacity, completions);
     }
 
     /**
-     * Sets this server's quota of a limit of the whole fleet.
+     * Sets this server's quota of a fleet-wide limit.
      *
-     * @param classIndex the priority class whose runs are limited, or -1 for downstream calls
+     * @param classIndex the index of the priority class whose runs are limited, or -1 for downstream calls
      */
     public void setQuota(int classIndex, QuotaGrant grant) {
         server.quota(classIndex).setGrant(grant);
     }
 
-    /** How much of such a quota is in use now, and how much would be if it were larger. */
+    /** Returns how much of a quota is in use, and how much would be in use with a larger quota. */
     public QuotaDemand quotaDemand(Duration now, int classIndex) {
         long waiting = classIndex < 0
                 ? server.awaitingCallCount()
@@ -76,18 +81,18 @@
         return server.quota(classIndex).demand(now, waiting);
     }
 
-    /** New readings of the gauges, in the order of the settings. */
+    /** Updates the gauges with new samples, in the order of the gauges in the settings. */
     public void updateGauges(Duration now, double[] gauges) {
         server.advanceClock(now);
         server.runQueue().update(gauges);
     }
 
-    /** What the controller sees of its server; reading it changes nothing. */
+    /** Returns a snapshot of the controller's state for monitoring. */
     public ControllerMetrics metrics() {
         return ControllerMetrics.of(server);
     }
 
-    /** Decides all that is open; returns it with what was decided since the last time. */
+    /** Makes all pending decisions; returns all decisions since the last call. */
     public Decisions decide(Duration now) {
         server.advanceClock(now);
         return decisionCycle.decide(now);
--- a/src/main/java/merlinlever/policy/PhaseTransitions.java
+++ b/src/main/java/merlinlever/policy/PhaseTransitions.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 import merlinlever.policy.Request.Phase;
 
-/** Which phase of a request may follow which. It decides nothing. */
+/** Table of the legal phase transitions of a request. */
 final class PhaseTransitions {
     private final Map<Phase, Set<Phase>> successors = new EnumMap<>(Phase.class);
 
     PhaseTransitions() {
         allow(Phase.QUEUED, Phase.AWAITING_ORIGINAL, Phase.RUNNING, Phase.SHARING_OUTCOME, Phase.FINISHED);
-        // The original ended unstarted, was started, or the request was answered before.
+        // The original ended without a start, the original was started, or the request was answered.
         allow(Phase.AWAITING_ORIGINAL, Phase.QUEUED, Phase.SHARING_OUTCOME, Phase.FINISHED);
-        // A run that was stopped goes back to the queue, from wherever it was when it stopped.
+        // A run that was stopped returns to the queue from any of the next three phases.
         allow(Phase.RUNNING, Phase.AWAITING_CALL, Phase.QUEUED, Phase.FINISHED);
         allow(Phase.AWAITING_CALL, Phase.IN_CALL, Phase.RUNNING, Phase.QUEUED, Phase.FINISHED);
         allow(Phase.IN_CALL, Phase.RUNNING, Phase.AWAITING_CALL, Phase.QUEUED, Phase.FINISHED);
--- a/src/main/java/merlinlever/policy/PriorityClass.java
+++ b/src/main/java/merlinlever/policy/PriorityClass.java
@@ -6,7 +6,7 @@
 import merlinlever.controller.settings.ControllerSettings;
 import merlinlever.controller.settings.PriorityClassSettings;
 
-/** A class of requests: its settings, and what the controller learns of it. It decides nothing. */
+/** A priority class of requests: its settings and the controller's estimates for the class. */
 final class PriorityClass {
     private final int index;
     private final PriorityClassSettings settings;
@@ -18,11 +18,11 @@
         this.settings = settings;
     }
 
-    /** All classes in the settings, in the order of their indexes. */
+    /** Returns all classes of the settings, in the order of their indexes. */
     static List<PriorityClass> fromSettings(ControllerSettings settings) {
         List<PriorityClass> priorityClasses = new ArrayList<>();
-        for (PriorityClassSettings each : settings.priorityClasses()) {
-            priorityClasses.add(new PriorityClass(each, priorityClasses.size()));
+        for (PriorityClassSettings classSettings : settings.priorityClasses()) {
+            priorityClasses.add(new PriorityClass(classSettings, priorityClasses.size()));
         }
         return priorityClasses;
     }
@@ -31,22 +31,22 @@
         return index;
     }
 
-    /** Whether its requests may run any number of times. */
+    /** Whether a request of the class may run any number of times. */
     boolean isIdempotent() {
         return settings.isIdempotent();
     }
 
-    /** Whether a duplicate is recognized by a key within {@link #idempotencyWindow}. */
+    /** Whether duplicates are recognized by their idempotency key, within {@link #idempotencyWindow}. */
     boolean isIdempotentByKey() {
         return settings.isIdempotentByKey();
     }
 
-    /** An answer after this time from arrival has {@link #lateWeight} instead of {@link #weight}. */
+    /** Returns the time from arrival after which an answer has {@link #lateWeight}, not {@link #weight}. */
     Duration latencyObjective() {
         return settings.latencyObjective();
     }
 
-    /** The deadline from arrival of a request that tells none. */
+    /** Returns the time from arrival to the deadline of a request without a deadline of its own. */
     Duration clientTimeout() {
         return settings.clientTimeout();
     }
@@ -55,12 +55,12 @@
         return settings.idempotencyWindow();
     }
 
-    /** By how much of its cost hint the latency objective of a request is extended. */
+    /** Returns the fraction of a request's cost hint by which its latency objective is extended. */
     double objectiveStretch() {
         return settings.objectiveStretch();
     }
 
-    /** What an answer in time is worth, compared with the other classes. */
+    /** Returns the weight of an answer in time, relative to the other classes. */
     double weight() {
         return settings.weight();
     }
@@ -69,12 +69,12 @@
         return settings.lateWeight();
     }
 
-    /** Of an answer without the downstream call; 0: the call cannot be left out. */
+    /** Returns the weight of an answer without the downstream call; 0 if the call cannot be skipped. */
     double weightWithoutCall() {
         return settings.weightWithoutCall();
     }
 
-    /** Whether its runs make downstream calls. */
+    /** Whether runs of the class make downstream calls. */
     boolean makesCalls() {
         return settings.makesCalls();
     }
@@ -83,7 +83,7 @@
         return runTimes;
     }
 
-    /** Factor of the probability of a random rejection, set by {@link AdmissionControl}. */
+    /** Returns the factor of the probability of a random rejection, set by {@link AdmissionControl}. */
     double rejectionCoefficient() {
         return rejectionCoefficient;
     }
--- a/src/main/java/merlinlever/policy/QuotaLimiter.java
+++ b/src/main/java/merlinlever/policy/QuotaLimiter.java
@@ -8,16 +8,16 @@
 import merlinlever.controller.QuotaGrant;
 
 /**
- * Limits what this server starts to its quota of a limit of the whole fleet: nothing beyond it, and nothing
- * once its lease has expired. Without a lease nothing is limited.
+ * Limits the runs or calls of this server to its quota of a fleet-wide limit. Nothing is permitted after the
+ * lease of the quota has expired; everything is permitted before the first grant.
  */
 final class QuotaLimiter {
-    // A quota per second is kept in any span of this; the way from here to the limited service is not even.
+    // Window of a quota per second; longer than a second because of network jitter.
     private static final Duration RATE_WINDOW = Duration.ofMillis(1050);
 
-    /** Null: not limited. */
+    /** Null without a limit. */
     private QuotaGrant grant;
-    /** How many are in progress. */
+    /** Number of runs or calls in progress. */
     private int inUse;
 
     private final ArrayDeque<Duration> recentStarts = new ArrayDeque<>();
--- a/src/main/java/merlinlever/policy/RejectionReason.java
+++ b/src/main/java/merlinlever/policy/RejectionReason.java
@@ -2,21 +2,21 @@
 
 import merlinlever.common.WireNamed;
 
-/** Why a request was rejected. The order of the constants is that of the fields in {@code GET /state}. */
+/** Reason for a rejection. The fields of {@code GET /state} have the order of the constants. */
 public enum RejectionReason implements WireNamed {
-    /** It arrived after the grace of a drain, or the stop is too near. */
+    /** The request arrived after the grace period of a drain, or the stop of the process is too near. */
     DRAINING("leaving"),
-    /** No run makes progress. */
+    /** The runs on the cores are stalled. */
     STALLED("hung"),
-    /** There is no memory for it or for its idempotency key. */
+    /** There is no memory for the request or for its idempotency key. */
     MEMORY("memory"),
-    /** Its latency objective cannot be met. */
+    /** The request's latency objective cannot be met. */
     OBJECTIVE_UNREACHABLE("hopeless"),
-    /** Random early detection. */
+    /** The request was selected by random early detection. */
     RANDOM("chance"),
-    /** It waited too long in the queue. */
+    /** The request waited in the queue until its objective could no longer be met. */
     EXPIRED("late"),
-    /** Whether it ran before a restart is not known, or would not be after the next. */
+    /** An earlier incarnation may have run the request, or a later one could not tell that this one did. */
     IDEMPOTENCY_UNKNOWN("unsettled");
 
     private final String wireName;
@@ -25,7 +25,7 @@
         this.wireName = wireName;
     }
 
-    /** Its field name in {@code GET /state}. */
+    /** Returns the field name in {@code GET /state}. */
     @Override
     public String wireName() {
         return wireName;
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -9,23 +9,23 @@
 import merlinlever.controller.RequestHandle;
 
 /**
- * A request from its submission to its end: what is known of it, its phase, and which part handles its
- * events. It decides nothing. Times count from the start of the server.
+ * State of a request from its submission to its end. Events of the request are passed to the part of the
+ * controller that handles them. Times are relative to the start of the server.
  */
 final class Request implements RequestHandle {
-    /** How far a request has come. */
+    /** Phase in the lifecycle of a request. */
     enum Phase {
-        /** In the admission queue, for its start. */
+        /** Waiting in the admission queue. */
         QUEUED,
-        /** A duplicate of a request that is still queued. */
+        /** Duplicate that waits until its queued original is started. */
         AWAITING_ORIGINAL,
-        /** Its run is on the cores. */
+        /** Running on a core. */
         RUNNING,
-        /** Its run waits for a downstream call that is not made yet. */
+        /** Started, and waiting for permission to make a downstream call. */
         AWAITING_CALL,
-        /** Its run waits for the downstream call that was made. */
+        /** Started, and waiting for the result of a downstream call. */
         IN_CALL,
-        /** A duplicate that is answered with the outcome of its started original. */
+        /** Duplicate that is answered with the outcome of its original. */
         SHARING_OUTCOME,
         FINISHED
     }
@@ -74,12 +74,12 @@
         return arrivedAt;
     }
 
-    /** When its caller gives up. */
+    /** Returns the time at which the caller stops waiting for an answer. */
     Duration deadline() {
         return deadline;
     }
 
-    /** When its latency objective is missed; at most the deadline. */
+    /** Returns the time until which an answer meets the latency objective; never after the deadline. */
     Duration objectiveAt() {
         return objectiveAt;
     }
@@ -88,17 +88,17 @@
         return memoryKb;
     }
 
-    /** The caller's estimate of its run time, or 0. */
+    /** Returns the caller's estimate of the run time, or 0. */
     double costHintMs() {
         return costHintMs;
     }
 
-    /** Whether other requests may be answered with its outcome, a read of the same subject. */
+    /** Whether other reads of the same subject may be answered with the outcome of this request. */
     boolean isShareable() {
         return shareable;
     }
 
-    /** Whether its caller marked it as a retry. */
+    /** Whether the caller marked the request as a retry. */
     boolean isRetry() {
         return retry;
     }
@@ -107,12 +107,12 @@
         return phase;
     }
 
-    /** Called by {@link ServerState#moveTo} alone, which checks the change and counts it. */
+    /** Sets the phase; called only by {@link ServerState#moveTo}, which validates the transition. */
     void setPhase(Phase next) {
         phase = next;
     }
 
-    /** Whether it was answered, or is owed no answer any more. */
+    /** Whether the request was answered or no longer needs an answer. */
     boolean isAnswered() {
         return answered;
     }
@@ -121,16 +121,16 @@
         answered = true;
     }
 
-    /** Whether its run was asked to stop. */
+    /** Whether a stop of the run was requested. */
     boolean isStopping() {
         return stopping;
     }
 
-    void setStopping(boolean asked) {
-        stopping = asked;
+    void setStopping(boolean requested) {
+        stopping = requested;
     }
 
-    /** How its run ended, or null. */
+    /** Returns the outcome of the run, or null before its end. */
     Outcome outcome() {
         return outcome;
     }
@@ -139,12 +139,12 @@
         outcome = runOutcome;
     }
 
-    /** Whether it was ever started. */
+    /** Whether the request was started at least once. */
     boolean wasStarted() {
         return started;
     }
 
-    /** When it was started last, or null. */
+    /** Returns the time of the last start, or null. */
     Duration startedAt() {
         return startedAt;
     }
@@ -154,7 +154,7 @@
         startedAt = now;
     }
 
-    /** Whether its call was made a second time. */
+    /** Whether the downstream call was retried. */
     boolean wasCallRetried() {
         return callRetried;
     }
@@ -163,7 +163,7 @@
         callRetried = true;
     }
 
-    /** Until when duplicates find it, or null. */
+    /** Returns the time until which duplicates can find the request, or null if it is not retained. */
     Duration retainedUntil() {
         return retainedUntil;
     }
@@ -172,7 +172,7 @@
         retainedUntil = time;
     }
 
-    /** What it duplicates, or what took its place, or null. */
+    /** Returns the request that this one duplicates, or the duplicate that replaced this one, or null. */
     Request original() {
         return original;
     }
@@ -181,7 +181,7 @@
         original = request;
     }
 
-    /** Duplicates in phase {@link Phase#AWAITING_ORIGINAL}; {@link DuplicateRequests} changes the list. */
+    /** Returns the duplicates that wait for this request; {@link DuplicateRequests} modifies the list. */
     List<Request> waitingDuplicates() {
         return waitingDuplicates;
     }
@@ -191,17 +191,17 @@
         return priorityClass.runTimes().expected(costHintMs, underPressure, priorityClass.latencyObjective());
     }
 
-    /** Whether it waits for its start or for the outcome of another, and uses no core. */
+    /** Whether the request waits for its start or for the outcome of another request, and has no run. */
     boolean isWaiting() {
         return phase == Phase.QUEUED || phase == Phase.AWAITING_ORIGINAL || phase == Phase.SHARING_OUTCOME;
     }
 
-    /** Whether it waits for its start, or for that of its original, and was never started before. */
+    /** Whether the request waits for its start or its original's start, and was never started before. */
     boolean isWaitingUnstarted() {
         return (phase == Phase.QUEUED || phase == Phase.AWAITING_ORIGINAL) && !started;
     }
 
-    /** Whether its run is on the cores, waits for a call or is in one. */
+    /** Whether the request has a run, which is on a core or waits for a downstream call. */
     boolean isStarted() {
         return phase == Phase.RUNNING || phase == Phase.AWAITING_CALL || phase == Phase.IN_CALL;
     }
@@ -215,11 +215,14 @@
     }
 
     double usedMemoryKb() {
-        boolean holdsRun = started && phase != Phase.QUEUED && phase != Phase.SHARING_OUTCOME;
-        return holdsRun ? memoryKb * server.runMemoryFactor() : memoryKb;
+        boolean hasRunMemory = started && phase != Phase.QUEUED && phase != Phase.SHARING_OUTCOME;
+        return hasRunMemory ? memoryKb * server.runMemoryFactor() : memoryKb;
     }
 
-    /** Itself, or what took its place: a request that ended unstarted in this batch may still be named. */
+    /**
+     * Returns this request or the duplicate that replaced it. Callers may still use the handle of a request
+     * that ended without a start in the current batch.
+     */
     Request successor() {
         Request current = this;
         while (current.original != null && current.isReplaced()) {
--- a/src/main/java/merlinlever/policy/RetentionTable.java
+++ b/src/main/java/merlinlever/policy/RetentionTable.java
@@ -9,17 +9,17 @@
 import merlinlever.controller.settings.ServerSettings;
 
 /**
- * The requests that are retained for duplicates, with the memory that this takes, and until when a handle may
- * still be named. {@link DuplicateRequests} decides what is retained and for how long; this decides nothing.
+ * The requests that are retained for duplicates with their memory, and the times at which handles are
+ * released. {@link DuplicateRequests} decides which requests are retained and for how long.
  */
 final class RetentionTable {
-    /** That something known of a request ends at that time, unless it was renewed or ended since. */
+    /** Expiry of a retention or of a handle. The expiry is void if the retention was renewed or removed. */
     private record Expiry(Request request, Duration time) {}
 
     private final ServerState server;
     private final double entryKb;
 
-    private final PriorityQueue<Expiry> retained = new PriorityQueue<>(Comparator.comparing(Expiry::time));
+    private final PriorityQueue<Expiry> retentions = new PriorityQueue<>(Comparator.comparing(Expiry::time));
     private final PriorityQueue<Expiry> handles = new PriorityQueue<>(Comparator.comparing(Expiry::time));
 
     RetentionTable(ServerState server, ServerSettings settings) {
@@ -27,22 +27,22 @@
         entryKb = settings.memoryPerKeyKb();
     }
 
-    /** The memory that a retained request takes. */
+    /** Returns the memory of one retained request. */
     double entryKb() {
         return entryKb;
     }
 
-    /** Retains the request for that long from now on, also if it is retained already. */
+    /** Retains the request for the given time from now; renews the retention of a retained request. */
     void retain(Request request, Duration now, Duration retention) {
         if (request.retainedUntil() == null) {
             server.reserve(entryKb);
         }
         request.setRetainedUntil(now.plus(retention));
-        retained.add(new Expiry(request, request.retainedUntil()));
-        server.decided(new Decision.Retain(request, retention));
+        retentions.add(new Expiry(request, request.retainedUntil()));
+        server.addDecision(new Decision.Retain(request, retention));
     }
 
-    /** Ends the retention of the request; returns whether it was retained. */
+    /** Ends the retention of the request; returns whether the request was retained. */
     boolean remove(Request request) {
         boolean wasRetained = request.retainedUntil() != null;
         if (wasRetained) {
@@ -52,21 +52,21 @@
         return wasRetained;
     }
 
-    /** Nothing will name the handle of the request from that time on. */
+    /** Schedules the release of the request's handle at the given time. */
     void releaseAt(Request request, Duration time) {
         handles.add(new Expiry(request, time));
     }
 
-    /** Ends what has expired. */
+    /** Removes expired retentions and releases expired handles. */
     void expire(Duration now) {
-        while (!retained.isEmpty() && isReached(now, retained.peek().time)) {
-            Expiry expiry = retained.poll();
+        while (!retentions.isEmpty() && isReached(now, retentions.peek().time)) {
+            Expiry expiry = retentions.poll();
             if (expiry.time.equals(expiry.request.retainedUntil())) {
                 remove(expiry.request);
             }
         }
         while (!handles.isEmpty() && isReached(now, handles.peek().time)) {
-            server.decided(new Decision.Release(handles.poll().request));
+            server.addDecision(new Decision.Release(handles.poll().request));
         }
     }
 }
--- a/src/main/java/merlinlever/policy/RunQueueGauge.java
+++ b/src/main/java/merlinlever/policy/RunQueueGauge.java
@@ -3,7 +3,7 @@
 import merlinlever.controller.settings.ServerSettings;
 import merlinlever.policy.Request.Phase;
 
-/** The gauge of the run queue, and what has changed since it was read. It decides nothing. */
+/** The run queue length: the last sample of the gauge, corrected by the phase changes since the sample. */
 final class RunQueueGauge {
     private final int index;
     private double lastSample;
@@ -13,7 +13,7 @@
         index = settings.runQueueIndex();
     }
 
-    /** New readings of all gauges, in the order of the settings. */
+    /** Updates the sample from new samples of all gauges, in the order of the gauges in the settings. */
     void update(double[] gauges) {
         if (index >= 0 && index < gauges.length) {
             lastSample = gauges[index];
@@ -21,17 +21,17 @@
         }
     }
 
-    /** The gauge counts what has left the cores since it was read, and not what has come back from a call. */
+    /** Corrects the estimate for a run that started, ended, or began or ended a downstream call. */
     void phaseChanged(Phase from, Phase to) {
         changeSinceSample += (to == Phase.RUNNING ? 1 : 0) - (from == Phase.RUNNING ? 1 : 0);
     }
 
-    /** The length of the run queue when it was read last, or 0. */
+    /** Returns the last sample of the run queue length, or 0 without a sample. */
     double lastSample() {
         return lastSample;
     }
 
-    /** The length of the run queue now: as it was read, with what has changed since. */
+    /** Returns the estimated current length of the run queue. */
     double estimate() {
         return lastSample + changeSinceSample;
     }
--- a/src/main/java/merlinlever/policy/RunTimeEstimator.java
+++ b/src/main/java/merlinlever/policy/RunTimeEstimator.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import merlinlever.common.Durations;
 
-/** Estimates from earlier runs of a priority class how long one is likely to take. */
+/** Estimates the run time of a request from earlier runs of its priority class. */
 final class RunTimeEstimator {
-    // Runs with a cost hint, above which the hint is used.
+    // Number of completed runs with a cost hint above which cost hints are used.
     private static final double MIN_HINTED_RUNS = 5;
 
-    // Coarse bins, and how many values are counted before they are halved.
+    // Bins of the histograms, and the total above which their counts are halved.
     private static final int BINS = 32;
     private static final double BIN_RATIO = 1.5;
     private static final double MAX_VALUES = 60;
@@ -29,8 +29,9 @@
     }
 
     /**
-     * By the cost hint only under pressure, or large requests were rejected where there is room; else at most
-     * half the objective, or a machine that was slow would never learn better.
+     * Returns the expected run time. The cost hint is used only under pressure, so that large requests are
+     * not rejected while there is free capacity. Without the hint, the estimate is at most half the
+     * objective, as a server that was slow once would otherwise reject all requests and measure no more runs.
      */
     Duration expected(double costHintMs, boolean underPressure, Duration latencyObjective) {
         boolean usesHint = costHintMs > 0 && percentOfHint.total() > MIN_HINTED_RUNS && underPressure;
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -16,11 +16,9 @@
 import merlinlever.policy.Request.Phase;
 
 /**
- * The state of one server incarnation that the parts of the controller share: the time, the requests in
- * flight, how many of them are in each phase, the memory that they use, the quotas, the counters for
- * monitoring, and the parts themselves. It decides nothing.
- *
- * <p>All counts are written here alone, by the methods below.
+ * State of one server incarnation that the parts of the controller share: the clock, the requests in flight,
+ * their number by phase, their memory, the quotas, the counters for monitoring, and the parts themselves.
+ * Only this class modifies the counts.
  */
 final class ServerState {
     private final List<PriorityClass> priorityClasses;
@@ -43,7 +41,7 @@
 
     private final List<Request> inFlight = new ArrayList<>();
 
-    /** Of downstream calls, then of the runs of each priority class. */
+    /** The quota of downstream calls, followed by the quotas of the runs of each priority class. */
     private final List<QuotaLimiter> quotas = new ArrayList<>();
 
     private int queuedCount;
@@ -97,12 +95,12 @@
         return cores;
     }
 
-    /** The shortest latency objective of all priority classes, in milliseconds. */
+    /** Returns the shortest latency objective of all priority classes, in milliseconds. */
     double objectiveMs() {
         return objectiveMs;
     }
 
-    /** How many times the memory of a queued request a started one uses. */
+    /** Returns the ratio of the memory of a started request to the memory of a queued one. */
     double runMemoryFactor() {
         return runMemoryFactor;
     }
@@ -155,22 +153,22 @@
         return backpressure;
     }
 
-    /** In the order of submission; finished requests leave with the next decision. */
+    /** Returns the requests in order of submission; the next decision cycle removes finished ones. */
     List<Request> inFlight() {
         return inFlight;
     }
 
-    /** The weights of all priority classes. */
+    /** Returns the weights of all priority classes. */
     DoubleStream weights() {
         return priorityClasses.stream().mapToDouble(priorityClass -> priorityClass.weight());
     }
 
-    /** Time since the start of the server, as of the latest event. */
+    /** Returns the time of the latest event, relative to the start of the server. */
     Duration now() {
         return now;
     }
 
-    /** Called with every event; time never goes back. */
+    /** Advances the clock to the time of an event; an earlier time has no effect. */
     void advanceClock(Duration time) {
         double elapsedMs = toMillis(time.minus(now));
         if (elapsedMs > 0) {
@@ -180,44 +178,45 @@
         }
     }
 
-    /** Adds a decision to those since the last {@link #takeDecisions}. */
-    void decided(Decision decision) {
+    /** Adds a decision to the current batch. */
+    void addDecision(Decision decision) {
         decisions.add(decision);
     }
 
-    /** Withdraws the decisions to share an outcome of requests that have ended since. */
+    /** Withdraws decisions to share an outcome if the duplicate has ended in the meantime. */
     void withdrawOutdatedShares() {
         decisions.withdrawShares(handle -> ((Request) handle).phase() != Phase.SHARING_OUTCOME);
     }
 
+    /** Returns the current batch of decisions and begins a new one. */
     Decisions takeDecisions(Duration nextDecisionAt) {
-        Decisions taken = decisions.build(nextDecisionAt);
+        Decisions batch = decisions.build(nextDecisionAt);
         decisions = new Decisions.Builder();
-        return taken;
+        return batch;
     }
 
-    void logDrain(Duration untilStop) {
-        decided(new Decision.Log(new ControllerEvent.DrainStarted(untilStop, queuedCount, startedCount())));
+    void logDrain(Duration stopIn) {
+        addDecision(new Decision.Log(new ControllerEvent.DrainStarted(stopIn, queuedCount, startedCount())));
     }
 
     void logStall(boolean stalled, Duration silence) {
         ControllerEvent event = new ControllerEvent.StallChanged(stalled, onCoreCount, queuedCount, silence);
-        decided(new Decision.Log(event));
+        addDecision(new Decision.Log(event));
     }
 
-    /** Logs the first one only: a fault that repeats would fill the log. */
+    /** Logs the first illegal phase change only, so that a recurring fault does not fill the log. */
     void logIllegalPhaseChange(Phase from, Phase to) {
         if (!loggedIllegalPhaseChange) {
             loggedIllegalPhaseChange = true;
-            decided(new Decision.Log(new ControllerEvent.IllegalPhaseChange(from.name(), to.name())));
+            addDecision(new Decision.Log(new ControllerEvent.IllegalPhaseChange(from.name(), to.name())));
         }
     }
 
-    /** Reports the health if it has changed. */
+    /** Reports the health of the server if the health has changed. */
     void reportHealth(boolean healthy) {
         if (reportedHealth == null || healthy != reportedHealth) {
             reportedHealth = healthy;
-            decided(new Decision.ReportHealth(healthy));
+            addDecision(new Decision.ReportHealth(healthy));
         }
     }
 
@@ -229,27 +228,27 @@
         failures++;
     }
 
-    /** Rejections since the start, with every reason in the order of their declaration. */
+    /** Returns the rejections since the start, with an entry for every reason in declaration order. */
     Map<RejectionReason, Long> rejections() {
         return Collections.unmodifiableMap(new EnumMap<>(rejections));
     }
 
-    /** Failures since the start. */
+    /** Returns the number of failures since the start. */
     long failures() {
         return failures;
     }
 
-    /** The quota of downstream calls. */
+    /** Returns the quota of downstream calls. */
     QuotaLimiter callQuota() {
         return quotas.get(0);
     }
 
-    /** The quota of the runs of a priority class. */
+    /** Returns the quota of the runs of a priority class. */
     QuotaLimiter runQuota(PriorityClass priorityClass) {
         return quota(priorityClass.index());
     }
 
-    /** The quota of the runs of the priority class with this index, or of downstream calls for -1. */
+    /** Returns the quota of the runs of the priority class with the index, or of downstream calls for -1. */
     QuotaLimiter quota(int classIndex) {
         return quotas.get(classIndex + 1);
     }
@@ -270,7 +269,7 @@
         return inCallCount;
     }
 
-    /** On the cores, waiting for a call or in one. */
+    /** Returns the number of requests that run or wait for a downstream call. */
     int startedCount() {
         return onCoreCount + awaitingCallCount + inCallCount;
     }
@@ -279,7 +278,7 @@
         return usedMemoryKb;
     }
 
-    /** Reserves memory beyond that of the requests themselves; a negative amount releases it. */
+    /** Reserves memory in addition to the memory of the requests; a negative amount releases memory. */
     void reserve(double kb) {
         usedMemoryKb += kb;
     }
@@ -289,7 +288,7 @@
         adjustCounts(request, 1);
     }
 
-    /** An illegal change fails where assertions are on; in service it is logged, and carried out. */
+    /** Changes the phase of a request. An illegal change fails if assertions are on; else it is logged. */
     void moveTo(Request request, Phase phase) {
         boolean legal = phaseTransitions.isLegal(request.phase(), phase);
         assert legal : "illegal phase change from " + request.phase() + " to " + phase;
--- a/src/main/java/merlinlever/policy/StallDetector.java
+++ b/src/main/java/merlinlever/policy/StallDetector.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 import merlinlever.common.Durations;
 
-/** Decides whether the runs on the cores are stalled, and which health the server reports. */
+/** Decides whether the runs on the cores are stalled, and reports the health of the server. */
 final class StallDetector {
-    // Stalled: no run made progress for this long, and for as many expected run times, more where few run.
-    private static final double MIN_SILENCE_MS = 1000;
-    private static final double RUN_TIMES = 2;
-    private static final double RUN_TIMES_ALONE = 6;
+    // The runs are stalled after a time without progress of at least the minimum, and of the given number of
+    // run times of the slowest class. The additional run times are divided by the number of runs.
+    private static final double MIN_STALL_TIMEOUT_MS = 1000;
+    private static final double MIN_RUN_TIMES = 2;
+    private static final double ADDITIONAL_RUN_TIMES = 6;
 
     private final ServerState server;
     private Duration lastProgressAt = Duration.ZERO;
@@ -18,7 +19,7 @@
         this.server = server;
     }
 
-    /** Whether no run makes progress. */
+    /** Whether no run has made progress for too long. */
     boolean isStalled() {
         return stalled;
     }
@@ -28,17 +29,17 @@
     }
 
     void check(Duration now) {
-        // One long run is no stall: the fewer run, the longer they may be silent; cold cores are slower.
+        // A single long run is not a stall: the timeout is longer with fewer runs, and on a cold server.
         double longestRunMs = server.priorityClasses().stream()
                 .mapToDouble(priorityClass -> priorityClass.runTimes().meanMs())
                 .max()
                 .orElse(0);
-        double runTimes = RUN_TIMES + RUN_TIMES_ALONE / Math.max(1, server.onCoreCount());
-        Duration minSilence =
-                Durations.ofMillis(MIN_SILENCE_MS / server.capacity().speedFraction());
-        Duration patience = Durations.later(minSilence, Durations.ofMillis(longestRunMs * runTimes));
-        boolean silent = Durations.isReached(now, lastProgressAt.plus(patience));
-        if (stalled != (silent && server.onCoreCount() > 0)) {
+        double runTimes = MIN_RUN_TIMES + ADDITIONAL_RUN_TIMES / Math.max(1, server.onCoreCount());
+        Duration minTimeout =
+                Durations.ofMillis(MIN_STALL_TIMEOUT_MS / server.capacity().speedFraction());
+        Duration stallTimeout = Durations.later(minTimeout, Durations.ofMillis(longestRunMs * runTimes));
+        boolean timedOut = Durations.isReached(now, lastProgressAt.plus(stallTimeout));
+        if (stalled != (timedOut && server.onCoreCount() > 0)) {
             stalled = !stalled;
             server.logStall(stalled, now.minus(lastProgressAt));
         }
--- a/src/test/java/merlinlever/policy/PhaseTransitionsTest.java
+++ b/src/test/java/merlinlever/policy/PhaseTransitionsTest.java
@@ -15,13 +15,13 @@
 import merlinlever.policy.Request.Phase;
 import org.junit.jupiter.api.Test;
 
-/** Phase changes of a request are those of the table; any other one is a fault of the controller. */
+/** Tests which phase transitions of a request are legal, and that an illegal one is reported. */
 class PhaseTransitionsTest {
 
     private final PhaseTransitions transitions = new PhaseTransitions();
 
     @Test
-    void everyPhaseButTheLastCanEndAndNoneFollowsItself() {
+    void everyUnfinishedPhaseCanFinishAndNoPhaseFollowsItself() {
         for (Phase phase : Phase.values()) {
             assertEquals(phase != Phase.FINISHED, transitions.isLegal(phase, Phase.FINISHED), "" + phase);
             assertFalse(transitions.isLegal(phase, phase), "" + phase);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void onlyQueuedRequestsStartAndOnlyStartedOnesCall() {
+    void onlyQueuedRequestsStartAndOnlyStartedRequestsCall() {
         assertTrue(transitions.isLegal(Phase.QUEUED, Phase.RUNNING));
         assertFalse(transitions.isLegal(Phase.QUEUED, Phase.IN_CALL));
         assertFalse(transitions.isLegal(Phase.AWAITING_ORIGINAL, Phase.RUNNING));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void illegalChangeFailsWithAssertions() {
+    void illegalTransitionFailsWithAssertionsEnabled() {
         ControllerSettings settings = ControllerSettings.builder()
                 .addPriorityClass(PriorityClassSettings.named("look"))
                 .build();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void illegalChangeIsLoggedOnceInService() {
+    void illegalTransitionIsLoggedOnce() {
         ControllerSettings settings = ControllerSettings.builder()
                 .addPriorityClass(PriorityClassSettings.named("look"))
                 .build();
--- a/src/test/java/merlinlever/policy/PolicyFilesTest.java
+++ b/src/test/java/merlinlever/policy/PolicyFilesTest.java
@@ -13,16 +13,16 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The operators print the files that the deploy file names: all that decides is found, and within their limits. */
+/** Checks that the deploy file lists every file with decision logic, and that these files fit on printed pages. */
 final class PolicyFilesTest {
 
     private static final Path PACKAGE = Path.of("src/main/java/merlinlever/policy");
-    /** The most lines of a file that the deploy file names, blank ones included. */
+    /** Maximum number of lines of a file that the deploy file lists, including blank lines. */
     private static final int MAX_LINES = 200;
 
     private static final int MAX_COLUMNS = 110;
 
-    private static final Set<String> DECIDE_NOTHING = Set.of(
+    private static final Set<String> WITHOUT_DECISION_LOGIC = Set.of(
             "ControllerMetrics.java",
             "DecayingHistogram.java",
             "OverloadController.java",
@@ -35,31 +35,31 @@
             "ServerState.java",
             "package-info.java");
 
-    private static Set<String> named() throws IOException {
-        String row = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+    private static Set<String> listedFiles() throws IOException {
+        String policyLine = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = "))
                 .findFirst()
                 .orElseThrow();
         return Pattern.compile("\"([^\"]+)\"")
-                .matcher(row)
+                .matcher(policyLine)
                 .results()
                 .map(m -> m.group(1))
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @Test
-    void deployFileNamesAllFilesThatDecide() throws IOException {
+    void deployFileListsEveryFileWithDecisionLogic() throws IOException {
         Set<String> found = new TreeSet<>();
         try (var files = Files.list(PACKAGE)) {
-            files.filter(file -> !DECIDE_NOTHING.contains("" + file.getFileName()))
+            files.filter(file -> !WITHOUT_DECISION_LOGIC.contains("" + file.getFileName()))
                     .forEach(file -> found.add("" + file));
         }
-        assertEquals(found, named());
+        assertEquals(found, listedFiles());
     }
 
     @Test
-    void namedFilesKeepTheirLimits() throws IOException {
-        for (String file : named()) {
+    void listedFilesKeepTheSizeLimits() throws IOException {
+        for (String file : listedFiles()) {
             int lines = Files.readAllLines(Path.of(file)).size();
             assertTrue(lines <= MAX_LINES, file + " has " + lines + " lines");
         }
@@ -67,15 +67,15 @@
             for (Path file : files.toList()) {
                 assertTrue(
                         Files.readAllLines(file).stream().allMatch(line -> line.length() <= MAX_COLUMNS),
-                        "wide: " + file);
+                        "line longer than " + MAX_COLUMNS + " columns in " + file);
             }
         }
     }
 
-    /** Every tuned value is a constant of a file that decides. */
+    /** Constants that tune decisions belong into files with decision logic. */
     @Test
-    void otherFilesTuneNothing() throws IOException {
-        for (String file : DECIDE_NOTHING) {
+    void filesWithoutDecisionLogicHaveNoConstants() throws IOException {
+        for (String file : WITHOUT_DECISION_LOGIC) {
             assertFalse(Files.readString(PACKAGE.resolve(file)).contains("static final"), file);
         }
     }
