--- a/src/main/java/merlinlever/backend/Backend.java
+++ b/src/main/java/merlinlever/backend/Backend.java
@@ -13,10 +13,10 @@
 import merlinlever.policy.OverloadController;
 
 /**
- * A backend without its sockets: follows each request from its receipt to its one response, through the agent that runs
- * it and the downstream calls that the run makes. It decides nothing itself; all events go to an
- * {@link OverloadController}, whose decisions are carried out after each batch ({@link #decide}). All methods are
- * called on the loop's thread; times are those of its clock.
+ * The core of a backend, without its sockets. Tracks each request from its receipt to its single response, including
+ * the run on the agent and the downstream calls of the run. All events are passed to an {@link OverloadController},
+ * whose decisions are carried out after each batch of events ({@link #decide}). All methods are called on the event
+ * loop's thread; all times are readings of the event loop's clock.
  */
 public final class Backend implements DownstreamService.CompletionListener {
 
@@ -29,15 +29,15 @@
     private final HealthChecks healthChecks;
     private final DecisionExecutor decisionExecutor;
     private final PendingFleetState fleetState = new PendingFleetState();
-    /** Null before the agent is up. */
+    /** Null until the agent is up. */
     private ControllerDriver<TrackedRequest> driver;
 
     private boolean draining;
 
     /**
-     * Creates a backend whose agent is not up yet; until then all requests are rejected.
+     * Creates a backend whose agent is not up yet. All requests are rejected until {@link #agentStarted}.
      *
-     * @param settings of the controller
+     * @param settings the controller's settings
      * @param seed the seed of the controller's random draws
      */
     public Backend(ControllerSettings settings, long seed, BackendDependencies dependencies) {
@@ -53,62 +53,65 @@
         lifecycle = new RequestLifecycle(this.settings, components, batch);
         healthChecks = new HealthChecks(dependencies::startDeepCheck);
         decisionExecutor = new DecisionExecutor(dependencies, lifecycle, components, healthChecks, batch);
-        // Settings that the controller cannot use are to be found now, and not when the agent is up.
+        // Validates the settings at construction rather than when the agent comes up.
         new OverloadController(this.settings.forController(), seed);
     }
 
     // ---- state
 
-    /** The index of the priority class of that name, or -1. */
+    /** Returns the index of the priority class with the name, or -1 if there is none. */
     public int priorityClassIndex(String name) {
         return settings.priorityClassIndex(name);
     }
 
-    /** The backpressure level to send with every response, or NaN while there is none. */
+    /** Returns the backpressure level to send with every response, or NaN while there is none. */
     public double backpressureLevel() {
         return decisionExecutor.backpressureLevel();
     }
 
-    /** Whether the agent is up. */
+    /** Returns whether the agent is up. */
     public boolean isStarted() {
         return driver != null;
     }
 
-    /** Whether a graceful shutdown has begun. */
+    /** Returns whether a graceful shutdown has begun. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** Requests that were received and are not yet answered. */
+    /** Returns the number of requests that were received and are not yet answered. */
     public int unansweredRequests() {
         return components.responses().unanswered();
     }
 
-    /** Requests that the controller or a duplicate may still name. */
+    /** Returns the number of requests that the controller or a duplicate may still refer to. */
     int trackedRequests() {
         return lifecycle.requests().size();
     }
 
-    /** The controller's view of this server; empty before the agent is up. */
+    /** Returns the controller's metrics of this server; empty until the agent is up. */
     public Optional<ControllerMetrics> metrics() {
         return driver == null
                 ? Optional.empty()
                 : Optional.of(driver.controller().metrics());
     }
 
-    /** In shadow mode, how often by kind the shadowed settings would have decided otherwise; else empty. */
+    /**
+     * Returns, in shadow mode, how often decisions under the shadow settings differed, by kind of decision; empty
+     * outside shadow mode.
+     */
     public Map<String, Long> shadowDifferences() {
         return driver == null ? Map.of() : driver.shadowDifferences();
     }
 
-    /** Whether the agent is up and the controller calls this server healthy. */
+    /** Returns whether the agent is up and the controller reports this server as healthy. */
     public boolean isHealthy() {
         return healthChecks.isHealthy();
     }
 
     /**
-     * Notifies the listener, at once or later, whether requests get served; listeners that wait together share one
-     * check.
+     * Checks whether the server can serve requests, and notifies the listener of the result, possibly before this
+     * method returns. Concurrent callers share one check.
      */
     public void runDeepCheck(Consumer<Boolean> listener) {
         healthChecks.runDeepCheck(listener);
@@ -117,9 +120,9 @@
     // ---- start, recovery and quotas
 
     /**
-     * The agent is up: requests are accepted from now on.
+     * Notes that the agent is up and begins to accept requests.
      *
-     * @param warmingUp whether the agent has only just started
+     * @param warmingUp whether the agent process has just started
      */
     public void agentStarted(Duration now, boolean warmingUp) {
         if (draining) {
@@ -131,7 +134,7 @@
         batch.eventAt(now);
     }
 
-    /** See {@link OverloadController#permitNonIdempotentStarts}; set again whenever it changes. */
+    /** See {@link OverloadController#permitNonIdempotentStarts}. Called again whenever the permitted period changes. */
     public void permitNonIdempotentStarts(Duration from, Duration until) {
         fleetState.permitNonIdempotentStarts(from, until);
     }
@@ -154,25 +157,26 @@
     // ---- events of requests
 
     /**
-     * A request has been read.
+     * Handles a request that was read from a connection.
      *
-     * @return the request, to be named if its caller disconnects; empty if it was answered on the spot
+     * @return the tracked request, to be passed to {@link #callerDisconnected} if the caller disconnects; empty if the
+     *     request was answered immediately
      */
     public Optional<TrackedRequest> receive(Duration now, RequestMetadata metadata, byte[] body, ResponseSink sink) {
         return lifecycle.receive(now, metadata, body, sink);
     }
 
-    /** Nobody waits for the response any longer. */
+    /** Handles the disconnect of the request's caller: no response is sent any more. */
     public void callerDisconnected(Duration now, TrackedRequest request) {
         lifecycle.callerDisconnected(now, request);
     }
 
-    /** A run has ended; the result counts only with {@link Outcome#OK}. */
+    /** Handles the end of a run. The result is ignored unless the outcome is {@link Outcome#OK}. */
     public void runEnded(Duration now, long id, Outcome outcome, byte[] result) {
         lifecycle.runEnded(now, id, outcome, result);
     }
 
-    /** A run needs the reply to a downstream call to continue. */
+    /** Handles a run's request for a downstream call; the run continues after the reply. */
     public void callNeeded(Duration now, long id, byte[] body) {
         lifecycle.callNeeded(now, id, body);
     }
@@ -184,7 +188,7 @@
 
     // ---- events of the process and of the agent
 
-    /** The wake-up that was scheduled last has fired. */
+    /** Handles the wake-up that was scheduled last. */
     public void wakeUp(Duration now) {
         batch.eventAt(now);
         driver.wakeUpFired();
@@ -194,7 +198,9 @@
     }
 
     /**
-     * The answer to a poll of the agent's metrics, in the order of the setting {@code gauges}; the array is written to.
+     * Handles the response to a poll of the agent's metrics.
+     *
+     * @param metrics values in the order of the setting {@code gauges}; the array is modified
      */
     public void metricsReceived(Duration now, double[] metrics) {
         if (driver == null) {
@@ -205,12 +211,12 @@
         driver.controller().updateGauges(now, metrics);
     }
 
-    /** The deep check in flight has ended. */
+    /** Handles the end of the deep check in flight. */
     public void deepCheckCompleted(boolean passed) {
         healthChecks.deepCheckCompleted(passed);
     }
 
-    /** Begins a graceful shutdown: the process is stopped at the given time. Only the first notice counts. */
+    /** Begins a graceful shutdown of a process that is stopped at the given time. Later calls have no effect. */
     public void startDrain(Duration now, Duration stopAt) {
         if (draining) {
             return;
@@ -223,35 +229,36 @@
     }
 
     /**
-     * The link to the agent is lost, and was last known to work at the given time. Runs continue; commands since then
-     * are in doubt.
+     * Handles the loss of the link to the agent. Runs continue. Commands sent since shortly before the link was last
+     * confirmed to work may not have been delivered.
      */
     public void agentLinkLost(Duration lastConfirmed) {
         components.commands().linkLost(lastConfirmed);
     }
 
-    /** There is a new link to the agent: commands from now on reach it. */
+    /** Handles a new link to the agent, which carries the commands that follow. */
     public void agentLinkRestored(Duration now) {
         batch.eventAt(now);
         components.commands().linkRestored(lifecycle.requests());
     }
 
-    /** All events of the time without a link have been read: commands in doubt are sent again. */
+    /** Resends commands in doubt, once all agent events of the time without a link have been read. */
     public void agentEventsCaughtUp(Duration now) {
         batch.eventAt(now);
         components.commands().resend(lifecycle.requests(), now);
     }
 
     /**
-     * Events of the agent were lost for good: how the present runs ended is not known, and they are not started again.
+     * Handles the permanent loss of agent events. The outcomes of the current runs are unknown, so these runs fail and
+     * are not started again.
      */
     public void agentEventsLost(Duration now) {
         lifecycle.agentEventsLost(now);
     }
 
     /**
-     * To be called after each batch of events: decides and carries out, as long as that makes further decisions
-     * necessary.
+     * Makes and carries out the controller's decisions, repeatedly if carrying them out requires further decisions.
+     * Called after each batch of events.
      */
     public void decide(Duration now) {
         while (batch.isDecisionNeeded() && driver != null) {
--- a/src/main/java/merlinlever/backend/BackendDependencies.java
+++ b/src/main/java/merlinlever/backend/BackendDependencies.java
@@ -3,40 +3,41 @@
 import java.time.Duration;
 
 /**
- * What a backend needs from the components around it: the agent that runs requests, the downstream service, the
- * connections of the edge nodes, a timer and a log. A command to the agent can be lost with the link to it.
+ * The components that a backend uses: the agent that runs requests, the downstream service, the connections from edge
+ * nodes, a timer and a log. Commands to the agent can be lost if the link to the agent breaks.
  */
 public interface BackendDependencies {
 
-    /** Tells the agent to run the request; for one that runs already nothing happens. */
+    /** Tells the agent to run the request. The agent ignores the command if the request is already running. */
     void launch(TrackedRequest request);
 
-    /** Tells the agent to stop the run of the request. */
+    /** Tells the agent to stop the request's run. */
     void stop(TrackedRequest request);
 
-    /** Passes the reply of the downstream call that the run waits for. */
+    /** Sends the agent the reply to the downstream call that the request's run waits for. */
     void deliverReply(TrackedRequest request, byte[] reply);
 
-    /** Tells the agent to let the run continue without its downstream call. */
+    /** Tells the agent to continue the request's run without the downstream call. */
     void continueWithoutCall(TrackedRequest request);
 
     /**
-     * Polls the agent's metrics unless a poll is already in flight; {@link Backend#metricsReceived} brings them.
+     * Polls the agent's metrics unless a poll is already in flight. The response is passed to
+     * {@link Backend#metricsReceived}.
      *
      * @return whether a new poll was sent
      */
     boolean pollMetrics();
 
-    /** Starts the work of a deep health check; {@link Backend#deepCheckCompleted} brings the result. */
+    /** Starts a deep health check, whose result is passed to {@link Backend#deepCheckCompleted}. */
     void startDeepCheck();
 
-    /** The downstream service, which reports the end of each call to {@link Backend#callEnded}. */
+    /** Returns the downstream service, which reports the end of each call to {@link Backend#callEnded}. */
     DownstreamService downstream();
 
-    /** From now on, close connections that are idle for this long. */
+    /** Sets the idle time after which connections are closed. */
     void closeIdleConnections(Duration idleTimeout);
 
-    /** Call {@link Backend#wakeUp} then, in place of any wake-up asked for before. */
+    /** Schedules a call of {@link Backend#wakeUp} at the time, replacing any wake-up scheduled before. */
     void scheduleWakeUp(Duration at);
 
     /** Writes a line to the log. */
--- a/src/main/java/merlinlever/backend/BackendSettings.java
+++ b/src/main/java/merlinlever/backend/BackendSettings.java
@@ -7,14 +7,17 @@
 import merlinlever.controller.settings.PriorityClassSettings;
 import merlinlever.driver.ControllerDriver;
 
-/** The settings that the backend itself reads, and those that it gives to its controller. */
+/** The settings that the backend reads itself, and the settings that the backend passes to the controller. */
 final class BackendSettings {
 
-    /** The retained requests, with body and result, that the memory of this process is planned for. */
+    /** Maximum number of retained requests, each with its body and result, that fit into the process's memory. */
     private static final int MAX_RETAINED_REQUESTS = 4000;
-    /** The memory that retained requests are planned for where there is no limit of it. */
+    /** The memory assumed for retained requests if the settings have no memory limit. */
     private static final double UNLIMITED_MEMORY_KB = 100_000;
-    /** A request that claims to have waited longer, and longer than any caller waits, has a wrong arrival time. */
+    /**
+     * Lower bound of {@link #maxReadDelay}. A request with a longer read delay, also longer than every client timeout,
+     * has a wrong arrival time.
+     */
     private static final Duration MIN_PLAUSIBLE_READ_DELAY = Duration.ofSeconds(30);
 
     private final ControllerSettings settings;
@@ -24,7 +27,7 @@
     BackendSettings(ControllerSettings settings) {
         priorityClassIndexes = ControllerDriver.priorityClassIndexes(settings);
         maxReadDelay = longestClientTimeout(settings);
-        // The limit of this process in terms of the controller, which rejects what there is no memory to remember.
+        // Expresses MAX_RETAINED_REQUESTS as memory per key: the controller rejects requests that exceed the memory.
         double minimumKb = settings.server().memoryKb().orElse(UNLIMITED_MEMORY_KB) / MAX_RETAINED_REQUESTS;
         this.settings = settings.toBuilder()
                 .memoryPerKeyKb(Math.max(minimumKb, settings.server().memoryPerKeyKb()))
@@ -39,34 +42,34 @@
         return longest;
     }
 
-    /** The settings of the controller, before it is known whether the agent has just started. */
+    /** Returns the controller's settings for use before the agent is up. */
     ControllerSettings forController() {
         return settings;
     }
 
-    /** The settings of the controller. */
+    /** Returns the controller's settings, given whether the agent process has just started. */
     ControllerSettings forController(boolean warmingUp) {
         return settings.toBuilder().cold(warmingUp).build();
     }
 
-    /** The index of the priority class of that name, or -1. */
+    /** Returns the index of the priority class with the name, or -1 if there is none. */
     int priorityClassIndex(String name) {
         return priorityClassIndexes.getOrDefault(name, -1);
     }
 
-    /** The longest time that a request can have waited to be read. */
+    /** Returns the longest plausible time between the arrival of a request and its being read. */
     Duration maxReadDelay() {
         return maxReadDelay;
     }
 
-    /** The place of the run queue among the agent's metrics, or -1 if it is not reported. */
+    /** Returns the index of the run queue among the agent's metrics, or -1 if the run queue is not reported. */
     int runQueueIndex() {
         return settings.server().runQueueIndex();
     }
 
-    /** Whether requests of the class that read the same subject may share a result. */
+    /** Returns whether requests of the class with the same subject may share a result. */
     boolean sharesReads(int priorityClass) {
-        // Only what is idempotent is a read; a subject that comes with anything else stands for no result to share.
+        // Only idempotent requests are reads; the subject of a write identifies no result that could be shared.
         boolean freshReadsShared = !settings.callers().freshFor().isZero();
         return freshReadsShared && settings.priorityClasses().get(priorityClass).isIdempotent();
     }
--- a/src/main/java/merlinlever/backend/BatchState.java
+++ b/src/main/java/merlinlever/backend/BatchState.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 
-/** The time of the batch of events being handled, and whether the controller still has to decide on them. */
+/** The time of the current batch of events, and whether the controller still has to decide on the batch. */
 final class BatchState {
 
     private Duration now = Duration.ZERO;
     private boolean decisionNeeded;
 
-    /** The time of the last event or decision. */
+    /** Returns the time of the last event or decision. */
     Duration now() {
         return now;
     }
@@ -17,18 +17,18 @@
         return decisionNeeded;
     }
 
-    /** Something has happened that the controller has to decide on. */
+    /** Records an event, on which the controller has to decide. */
     void eventAt(Duration eventTime) {
         now = eventTime;
         decisionNeeded = true;
     }
 
-    /** Carrying out a decision has changed something that the controller has to decide on again. */
+    /** Requests a further decision because carrying out the last one has changed the controller's input. */
     void requestDecision() {
         decisionNeeded = true;
     }
 
-    /** The controller now decides on all events so far. */
+    /** Marks all events so far as covered by the decision that begins. */
     void beginDecision(Duration decisionTime) {
         now = decisionTime;
         decisionNeeded = false;
--- a/src/main/java/merlinlever/backend/DecisionExecutor.java
+++ b/src/main/java/merlinlever/backend/DecisionExecutor.java
@@ -5,7 +5,7 @@
 import merlinlever.controller.Outcome;
 import merlinlever.driver.DecisionHandler;
 
-/** Carries out the decisions of the controller on the requests of one backend. */
+/** Carries out the controller's decisions on the requests of one backend. */
 final class DecisionExecutor implements DecisionHandler<TrackedRequest> {
 
     private final BackendDependencies dependencies;
@@ -28,7 +28,7 @@
         this.batch = batch;
     }
 
-    /** The level to send with every response, or NaN while there is none. */
+    /** Returns the backpressure level to send with every response, or NaN while there is none. */
     double backpressureLevel() {
         return backpressureLevel;
     }
--- a/src/main/java/merlinlever/backend/DownstreamCallTracker.java
+++ b/src/main/java/merlinlever/backend/DownstreamCallTracker.java
@@ -5,24 +5,24 @@
 import merlinlever.controller.Outcome;
 
 /**
- * Follows the downstream call of each run, from the moment the run needs it until the run has its reply. A run has one
- * at a time.
+ * Tracks the downstream call of each run, from the run's request for the call until the run has the reply. A run makes
+ * one call at a time.
  */
 final class DownstreamCallTracker {
 
     private final Supplier<DownstreamService> downstream;
 
-    /** The service is looked up with each call, as it is assembled after the backend. */
+    /** @param downstream looked up for each call, as the downstream service is created after the backend */
     DownstreamCallTracker(Supplier<DownstreamService> downstream) {
         this.downstream = downstream;
     }
 
-    /** The run has reached a call and waits for it. */
+    /** Records that the run waits for a call with the body. */
     void callNeeded(TrackedRequest request, byte[] callBody) {
-        request.needCall(callBody);
+        request.awaitCall(callBody);
     }
 
-    /** Makes the call, unless the run has meanwhile ended or continued without it. */
+    /** Makes the call, unless the run has ended or has continued without the call. */
     void startCall(TrackedRequest request, Duration now, Duration timeout) {
         if (request.callBody() != null && !request.hasEnded()) {
             request.startCall(now);
@@ -31,9 +31,9 @@
     }
 
     /**
-     * The call has ended; a reply is kept until the run is known to have it.
+     * Records the end of the call. A reply is kept until the run is known to have received it.
      *
-     * @return how long the call took
+     * @return the duration of the call
      */
     Duration callEnded(TrackedRequest request, Duration now, Outcome outcome, byte[] reply) {
         if (outcome == Outcome.OK) {
@@ -44,12 +44,12 @@
         return now.minus(request.calledAt());
     }
 
-    /** The run continues without the call that it waited for. */
+    /** Records that the run continues without the call. */
     void callSkipped(TrackedRequest request) {
         request.skipCall();
     }
 
-    /** Abandons the call in flight, if there is one. */
+    /** Cancels the call in flight, if there is one. */
     void cancel(TrackedRequest request) {
         if (request.isCallInFlight()) {
             request.endCall();
@@ -57,7 +57,7 @@
         }
     }
 
-    /** The run has ended: neither its call nor the reply to it is of use. */
+    /** Cancels the call and releases its body and reply after the end of the run. */
     void runEnded(TrackedRequest request) {
         request.releaseCall();
         cancel(request);
--- a/src/main/java/merlinlever/backend/DownstreamService.java
+++ b/src/main/java/merlinlever/backend/DownstreamService.java
@@ -4,26 +4,26 @@
 import merlinlever.controller.Outcome;
 
 /**
- * The service that runs call while they execute. A service that is unreachable, slow or over its quota is reported by
- * the outcome of the call; which route the call took is hidden behind this interface.
+ * The service that runs call during their execution. An unreachable, slow or over-quota service is reported as the
+ * outcome of the call. The route that a call takes is hidden behind this interface.
  */
 public interface DownstreamService {
 
-    /** Is notified of the end of each call, once, unless the call was cancelled. */
+    /** Receives the end of each call exactly once, unless the call was cancelled. */
     interface CompletionListener {
 
         /**
-         * A call has ended.
+         * Handles the end of a call.
          *
-         * @param requestId the request whose run made the call
-         * @param reply the reply if the outcome is {@link Outcome#OK}, else null
+         * @param requestId id of the request whose run made the call
+         * @param reply the body of the reply if the outcome is {@link Outcome#OK}, else null
          */
         void callEnded(Duration now, long requestId, Outcome outcome, byte[] reply);
     }
 
-    /** Makes the call that the request's run waits for; it ends with {@link Outcome#TIMED_OUT} after the timeout. */
+    /** Makes the call that the request's run waits for. The call ends with {@link Outcome#TIMED_OUT} at the timeout. */
     void call(TrackedRequest request, byte[] body, Duration timeout);
 
-    /** Abandons the call of the request: nobody waits for it any longer, and its end is not reported. */
+    /** Cancels the call of the request, if there is one; the end of a cancelled call is not reported. */
     void cancel(TrackedRequest request);
 }
--- a/src/main/java/merlinlever/backend/DuplicateKey.java
+++ b/src/main/java/merlinlever/backend/DuplicateKey.java
@@ -1,13 +1,13 @@
 package merlinlever.backend;
 
-/** What a request has in common with its duplicates. */
+/** The key that a request shares with its duplicates. */
 final class DuplicateKey {
 
-    /** What the key stands for, and so how strictly duplicates are kept from running. */
+    /** The origin of a key, which determines how strictly duplicates are prevented from running. */
     enum Kind {
-        /** The caller's idempotency key: at most one request with it runs, and all must have the same body. */
+        /** The caller's idempotency key: at most one request with the key runs, and all must have the same body. */
         IDEMPOTENCY_KEY,
-        /** The subject of a read: a fresh result may be shared, and a second run does no harm. */
+        /** The subject of a read: a fresh result may be shared, and a second run is harmless. */
         SHARED_READ
     }
 
@@ -32,8 +32,8 @@
     }
 
     /**
-     * The key as a string, different for every two keys. Routes are selected by its hash, so that every version of the
-     * program has to form it alike.
+     * Returns the key as a string, unique to the key. The hash of the string selects a route, so the format must not
+     * change between versions of the program.
      */
     String text() {
         return text;
--- a/src/main/java/merlinlever/backend/HealthChecks.java
+++ b/src/main/java/merlinlever/backend/HealthChecks.java
@@ -4,33 +4,30 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/**
- * The health that the controller reports, and deep health checks: one check in flight answers everyone who asks
- * meanwhile.
- */
+/** The health reported by the controller, and deep health checks. Concurrent requests for a check share one. */
 final class HealthChecks {
 
-    private final Runnable deepCheck;
+    private final Runnable startDeepCheck;
     private final List<Consumer<Boolean>> waitingListeners = new ArrayList<>();
     private boolean healthy;
     private boolean deepCheckInFlight;
 
-    /** Uses the given action to start a deep check. */
-    HealthChecks(Runnable deepCheck) {
-        this.deepCheck = deepCheck;
+    /** @param startDeepCheck starts a deep check and returns without waiting for its end */
+    HealthChecks(Runnable startDeepCheck) {
+        this.startDeepCheck = startDeepCheck;
     }
 
     boolean isHealthy() {
         return healthy;
     }
 
-    void updateHealth(boolean nowHealthy) {
-        healthy = nowHealthy;
+    void updateHealth(boolean newHealthy) {
+        healthy = newHealthy;
     }
 
     /**
-     * Notifies the listener whether requests get served: at once if the backend is unhealthy, else after the deep
-     * check.
+     * Notifies the listener whether the server can serve requests: immediately if the backend is unhealthy, otherwise
+     * after a deep check.
      */
     void runDeepCheck(Consumer<Boolean> listener) {
         if (!healthy) {
@@ -40,11 +37,11 @@
         waitingListeners.add(listener);
         if (!deepCheckInFlight) {
             deepCheckInFlight = true;
-            deepCheck.run();
+            startDeepCheck.run();
         }
     }
 
-    /** The deep check in flight has ended; it counts only while the backend is healthy. */
+    /** Notifies all waiting listeners of the result, which is a failure if the backend is unhealthy by now. */
     void deepCheckCompleted(boolean passed) {
         deepCheckInFlight = false;
         List<Consumer<Boolean>> listeners = List.copyOf(waitingListeners);
--- a/src/main/java/merlinlever/backend/IdempotencyCache.java
+++ b/src/main/java/merlinlever/backend/IdempotencyCache.java
@@ -9,23 +9,24 @@
 import merlinlever.driver.ControllerDriver;
 
 /**
- * The requests that duplicates can find, by their {@link DuplicateKey}. An entry exists from the arrival of the request
- * on, before it can run, and counts for duplicates that arrived in its time, however late those are read.
+ * Finds the original of a duplicate by {@link DuplicateKey}. A request is registered when it is received, before it can
+ * run. An entry applies to duplicates that arrive until the entry expires, even if they are read later.
  */
 final class IdempotencyCache {
 
-    /** How long after its expiry a result is still found; a duplicate that is read later than that fails. */
+    /** How long a result is kept after its entry expires, for duplicates that arrived in time but are read late. */
     private static final Duration MAX_READ_DELAY = Duration.ofSeconds(2);
 
     /**
-     * A request under its key.
+     * The request registered under a key.
      *
-     * @param expiresAt null as long as the controller has not decided how long the request is retained
-     * @param previous the request that ran before under the same key, as long as this one has not started; else null
+     * @param expiresAt the last arrival time that the entry applies to; null until the controller sets the retention
+     * @param previous the entry of the last request with the key that ran, until this request starts; null if there is
+     *     none
      */
     private record Entry(TrackedRequest request, Duration expiresAt, Entry previous) {
 
-        boolean covers(TrackedRequest duplicate) {
+        boolean appliesTo(TrackedRequest duplicate) {
             return expiresAt == null || duplicate.arrivedAt().compareTo(expiresAt) <= 0;
         }
 
@@ -38,10 +39,11 @@
     private final PriorityQueue<Entry> expirations = new PriorityQueue<>(Comparator.comparing(Entry::expiresAt));
 
     /**
-     * Registers a request that has just been received under its key, if it has one, unless it is a duplicate.
+     * Registers a received request under its key, unless the request has no key or is a duplicate.
      *
-     * @return the handle of the request that it duplicates, as the controller is to be told, or null. An idempotency
-     *     key that comes with another body belongs to an unknown request: the controller lets such a duplicate fail.
+     * @return the handle of the duplicated request, for the controller; null if the request is no duplicate. A request
+     *     that reuses an idempotency key with a different body gets the handle of an unknown request, so that the
+     *     controller fails it.
      */
     RequestHandle register(TrackedRequest request) {
         DuplicateKey key = request.duplicateKey();
@@ -56,24 +58,25 @@
                 : ControllerDriver.UNKNOWN_REQUEST;
     }
 
-    /** The request that this one duplicates, or null; then this one is registered. */
+    /** Returns the request that the given one duplicates, or registers the given one and returns null. */
     private TrackedRequest findOrRegister(TrackedRequest request, DuplicateKey key) {
         Entry entry = entriesByKey.get(key.text());
         Entry lastRun = entry == null || entry.request.isLaunched() ? entry : entry.previous;
-        // A duplicate from the time of the last run belongs to that, also where a later request is registered by now.
-        if (lastRun != null && lastRun.covers(request)) {
+        // A duplicate that arrived before the last run's entry expired shares that run, even if a later request is
+        // registered by now.
+        if (lastRun != null && lastRun.appliesTo(request)) {
             return lastRun.request;
         }
-        // The retention can be shorter than the run: with an effect at stake, the run counts until it ends.
+        // The retention can be shorter than the run. A run with side effects keeps its key until the run ends.
         boolean runsOnce = key.kind() == DuplicateKey.Kind.IDEMPOTENCY_KEY;
-        if (entry != null && (entry.covers(request) || (runsOnce && !entry.request.hasEnded()))) {
+        if (entry != null && (entry.appliesTo(request) || (runsOnce && !entry.request.hasEnded()))) {
             return entry.request;
         }
         entriesByKey.put(key.text(), new Entry(request, null, lastRun == null ? null : lastRun.withoutPrevious()));
         return null;
     }
 
-    /** The request whose outcome this duplicate is to share, or null. */
+    /** Returns the request whose outcome the duplicate shares, or null if there is none. */
     TrackedRequest findOriginal(TrackedRequest duplicate) {
         TrackedRequest original = duplicate.duplicateOf();
         while (original != null && !original.isLaunched() && original.duplicateOf() != null) {
@@ -82,12 +85,12 @@
         if (original != null && original.isLaunched()) {
             return original;
         }
-        // The original ended without running, and another duplicate may have taken its place.
-        Entry entry = entryOf(duplicate);
+        // The original ended without running; another duplicate may be registered in its place.
+        Entry entry = findEntry(duplicate);
         return entry == null ? null : entry.request;
     }
 
-    /** The request was answered: if it never ran, no duplicate is to find it. */
+    /** Evicts an answered request if it never ran, so that no duplicate shares its outcome. */
     void evictIfNeverRun(TrackedRequest request) {
         if (!request.isLaunched()) {
             evict(request);
@@ -95,11 +98,11 @@
     }
 
     /**
-     * The run of the request has ended. If no duplicate can find it, its payloads are released; if its retention is
-     * over already, it is retained up to now, for the duplicates that arrived during the run.
+     * Handles the end of the request's run. Releases the payloads if no duplicate can find the request. Extends an
+     * expired entry to the present time, for duplicates that arrived during the run.
      */
     void runEnded(TrackedRequest request, Duration now) {
-        Entry entry = entryOf(request);
+        Entry entry = findEntry(request);
         if (entry == null || entry.request != request) {
             releasePayloads(request);
         } else if (entry.expiresAt != null && entry.expiresAt.compareTo(now) < 0) {
@@ -107,20 +110,20 @@
         }
     }
 
-    /** Duplicates that arrive until then are to find the request. */
+    /** Lets duplicates that arrive until the given time find the request. */
     void retain(TrackedRequest request, Duration until) {
         if (request.duplicateKey() == null) {
             return;
         }
-        Entry replaced = entryOf(request);
+        Entry replaced = findEntry(request);
         Entry entry = new Entry(request, until, replaced == null ? null : replaced.previous);
         entriesByKey.put(request.duplicateKey().text(), entry);
         expirations.add(entry);
     }
 
-    /** No duplicate is to find the request any more; if it never ran, the run before it is found again. */
+    /** Removes the request's entry. If the request never ran, restores the entry of the previous run. */
     void evict(TrackedRequest request) {
-        Entry entry = entryOf(request);
+        Entry entry = findEntry(request);
         if (entry != null && entry.request == request) {
             if (request.isLaunched() || entry.previous == null || entry.previous.request.isReleased()) {
                 entriesByKey.remove(request.duplicateKey().text());
@@ -133,12 +136,12 @@
         }
     }
 
-    /** Releases the payloads of requests that no duplicate can ask for any more. */
+    /** Releases the payloads of ended requests whose entries expired more than {@link #MAX_READ_DELAY} ago. */
     void releaseExpired(Duration now) {
         while (!expirations.isEmpty()
                 && expirations.peek().expiresAt.plus(MAX_READ_DELAY).compareTo(now) < 0) {
             Entry expired = expirations.poll();
-            Entry current = entryOf(expired.request);
+            Entry current = findEntry(expired.request);
             boolean renewed = current != null
                     && current.request == expired.request
                     && !expired.expiresAt.equals(current.expiresAt);
@@ -148,8 +151,8 @@
         }
     }
 
-    /** The entry under the key of the request, which may be of another request; null if there is none. */
-    private Entry entryOf(TrackedRequest request) {
+    /** Returns the entry under the request's key, which may belong to another request; null if there is none. */
+    private Entry findEntry(TrackedRequest request) {
         return request.duplicateKey() == null
                 ? null
                 : entriesByKey.get(request.duplicateKey().text());
--- a/src/main/java/merlinlever/backend/InDoubtCommands.java
+++ b/src/main/java/merlinlever/backend/InDoubtCommands.java
@@ -4,17 +4,18 @@
 import java.util.Collection;
 
 /**
- * Sends launches and replies to the agent, and sends those again that a broken link may have lost. A command is in
- * doubt if it left shortly before the link broke or while there was none; it is sent again once all events of that time
- * have been read. A command that surely arrived is not sent again: its run may have ended by now, and would run twice.
+ * Sends launch and reply commands to the agent, and resends commands that a broken link may have lost. A command is in
+ * doubt if it was sent shortly before the link broke or while there was no link. Commands in doubt are resent once all
+ * agent events of the time without a link have been read. Commands that are known to have arrived are not resent:
+ * resending a launch whose run has ended would run the request twice.
  */
 final class InDoubtCommands {
 
-    /** A command that left at most this long before the link broke may be lost: 50 ms on the way, and some spare. */
+    /** Longest time for a command to reach the agent: 50 ms of network latency plus a margin. */
     private static final Duration MAX_TRANSIT = Duration.ofMillis(55);
 
     private final BackendDependencies dependencies;
-    /** Commands that left from then on are in doubt; null while none is. */
+    /** Commands sent at or after this time are in doubt; null while no command is. */
     private Duration inDoubtFrom;
 
     InDoubtCommands(BackendDependencies dependencies) {
@@ -22,16 +23,16 @@
     }
 
     void launch(TrackedRequest request, Duration now) {
-        request.launchDelivery().sent(now);
+        request.launchDelivery().markSent(now);
         dependencies.launch(request);
     }
 
     void deliverReply(TrackedRequest request, Duration now) {
-        request.replyDelivery().sent(now);
+        request.replyDelivery().markSent(now);
         dependencies.deliverReply(request, request.callReply());
     }
 
-    /** The link is lost, and was last known to work at that time. */
+    /** Handles the loss of the link, given when the link was last confirmed to work. */
     void linkLost(Duration lastConfirmed) {
         Duration from = lastConfirmed.minus(MAX_TRANSIT);
         if (inDoubtFrom == null || from.compareTo(inDoubtFrom) < 0) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /** There is a new link: what is sent from now on is in doubt only if that one is lost too. */
+    /** Handles a new link: marks the commands sent before it that are in doubt. Later commands use the new link. */
     void linkRestored(Collection<TrackedRequest> requests) {
         for (TrackedRequest request : requests) {
             request.launchDelivery().linkReplaced(inDoubtFrom);
@@ -47,9 +48,9 @@
         }
     }
 
-    /** All events of the time without a link have been read: sends again what is in doubt. */
+    /** Resends commands in doubt, once all agent events of the time without a link have been read. */
     void resend(Collection<TrackedRequest> requests, Duration now) {
-        // What is sent below gets a new time, and with the next lost link is in doubt again.
+        // The commands sent below get a new sending time, so the loss of the next link can put them in doubt again.
         inDoubtFrom = null;
         for (TrackedRequest request : requests) {
             if (!request.isRunning()) {
@@ -58,7 +59,7 @@
             if (request.launchDelivery().isInDoubt() && request.callBody() == null && request.callReply() == null) {
                 launch(request, now);
             }
-            // A second copy could be taken for the reply to the next call of the run: only where it is in doubt.
+            // Replies that arrived are not resent: a second copy could be mistaken for the reply to the next call.
             if (request.replyDelivery().isInDoubt() && request.callReply() != null) {
                 deliverReply(request, now);
             }
--- a/src/main/java/merlinlever/backend/PendingFleetState.java
+++ b/src/main/java/merlinlever/backend/PendingFleetState.java
@@ -9,27 +9,27 @@
 import merlinlever.policy.OverloadController;
 
 /**
- * What recovery and the quota protocol set on the controller. It can be set before the controller exists: it is held
- * until then, but for quotas, which begin at zero.
+ * State that recovery and the quota protocol set on the controller. Values set before the controller exists are applied
+ * when it is attached, except quotas, which begin at zero.
  */
 final class PendingFleetState {
 
     private OverloadController controller;
-    /** Null unless the backend has recovered from a crash or moved. */
+    /** Null unless the backend has recovered from a crash or has moved to another host. */
     private Duration nonIdempotentFrom;
 
     private Duration nonIdempotentUntil;
     private double estimatedCapacity;
     private double estimateCompletions;
-    /** By priority class, -1 for downstream calls, whether the limit of the fleet is one per second. */
-    private final Map<Integer, Boolean> perSecondByLimit = new TreeMap<>();
+    /** Whether a quota is a rate per second, by priority class; -1 for the quota on downstream calls. */
+    private final Map<Integer, Boolean> perSecondByClass = new TreeMap<>();
 
-    /** The controller exists: sets on it what was held. */
+    /** Sets the controller and applies the values received so far to it. */
     void attach(OverloadController newController, Duration now) {
         controller = newController;
         controller.setWarmStartEstimate(estimatedCapacity, estimateCompletions);
-        // Until its quota arrives, this backend uses nothing of what it shares with others.
-        perSecondByLimit.forEach((priorityClass, perSecond) ->
+        // Shared limits permit nothing on this backend until its quota arrives.
+        perSecondByClass.forEach((priorityClass, perSecond) ->
                 controller.setQuota(priorityClass, new QuotaGrant(0, perSecond, now, Optional.empty())));
         if (nonIdempotentFrom != null) {
             controller.permitNonIdempotentStarts(nonIdempotentFrom, nonIdempotentUntil);
@@ -47,13 +47,13 @@
 
     /** See {@link OverloadController#setQuota}. */
     void setQuota(int priorityClass, QuotaGrant grant) {
-        perSecondByLimit.put(priorityClass, grant.perSecond());
+        perSecondByClass.put(priorityClass, grant.perSecond());
         if (controller != null) {
             controller.setQuota(priorityClass, grant);
         }
     }
 
-    /** See {@link OverloadController#quotaDemand}; nothing before the controller exists. */
+    /** See {@link OverloadController#quotaDemand}; there is no demand before the controller exists. */
     QuotaDemand quotaDemand(Duration now, int priorityClass) {
         return controller == null ? QuotaDemand.NONE : controller.quotaDemand(now, priorityClass);
     }
--- a/src/main/java/merlinlever/backend/RequestComponents.java
+++ b/src/main/java/merlinlever/backend/RequestComponents.java
@@ -1,6 +1,6 @@
 package merlinlever.backend;
 
-/** The parts of a backend that each follow one aspect of its requests; events and decisions both go through them. */
+/** The components of a backend that each track one aspect of its requests, shared by event and decision handling. */
 record RequestComponents(
         IdempotencyCache idempotencyCache,
         ResponseTracker responses,
--- a/src/main/java/merlinlever/backend/RequestLifecycle.java
+++ b/src/main/java/merlinlever/backend/RequestLifecycle.java
@@ -13,8 +13,8 @@
 import merlinlever.driver.ControllerDriver;
 
 /**
- * What happens to requests: receipt, end of the run, downstream calls, callers that disconnect. Each event updates the
- * request and is passed to the controller, which decides on it with the batch.
+ * Handles the events of requests: receipt, end of the run, downstream calls and disconnects of callers. Each event
+ * updates the request and is passed to the controller, which decides at the end of the batch.
  */
 final class RequestLifecycle {
 
@@ -22,7 +22,7 @@
     private final RequestComponents components;
     private final BatchState batch;
     private final Map<Long, TrackedRequest> requestsById = new LinkedHashMap<>();
-    /** Null before the agent is up. */
+    /** Null until the agent is up. */
     private ControllerDriver<TrackedRequest> driver;
 
     RequestLifecycle(BackendSettings settings, RequestComponents components, BatchState batch) {
@@ -31,12 +31,12 @@
         this.batch = batch;
     }
 
-    /** The agent is up, and its requests are decided on by this controller. */
+    /** Sets the driver of the controller, which decides on all requests received from now on. */
     void attach(ControllerDriver<TrackedRequest> newDriver) {
         driver = newDriver;
     }
 
-    /** All requests that something may still name, in the order of their receipt. */
+    /** Returns all requests that are still referred to, in the order of their receipt. */
     Collection<TrackedRequest> requests() {
         return requestsById.values();
     }
@@ -47,9 +47,9 @@
             sink.reject(false, Duration.ZERO);
             return Optional.empty();
         }
-        // No request arrives after it is read: an arrival in the future takes no duplicate out of its window.
+        // Limits arrival times in the future to the present, so that a duplicate cannot leave its idempotency window.
         Duration arrivedAt = Durations.earlier(metadata.timing().arrivedAt(), now);
-        // An arrival far in the past would tell the controller that all requests wait that long to be read.
+        // An arrival far in the past would make the controller assume that all requests wait that long to be read.
         boolean implausible = now.minus(arrivedAt).compareTo(settings.maxReadDelay()) > 0;
         if (implausible || requestsById.containsKey(metadata.id().value())) {
             sink.fail();
@@ -107,7 +107,7 @@
         }
         batch.eventAt(now);
         if (outcome == Outcome.STOPPED && request.isStopRequested() && !request.isAnswered()) {
-            // It still waits for its response, and may be started again.
+            // The caller still waits for the response, so the controller may start the request again.
             request.returnToQueue();
             request.handle().runEnded(now, outcome);
             return;
@@ -152,7 +152,7 @@
         }
     }
 
-    /** The controller will not name the request again. */
+    /** Removes a request that the controller does not refer to any more. */
     void release(TrackedRequest request) {
         requestsById.remove(request.id());
         request.markReleased();
--- a/src/main/java/merlinlever/backend/RequestMetadata.java
+++ b/src/main/java/merlinlever/backend/RequestMetadata.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * What an edge node sends with a request, but for its body.
+ * Everything that an edge node sends with a request except the body.
  *
  * @param priorityClass the index of the priority class, from 0
- * @param priorityClassName the name of the priority class, as the agent knows it
+ * @param priorityClassName the name of the priority class, as sent to the agent
  * @param retry whether the caller marked the request as a retry
  * @param idempotencyKey the caller's key; requests with the same key are duplicates and run once
- * @param subject what a read is about; reads of the same subject may share a result
+ * @param subject identifies the data that a read returns; reads of the same subject may share a result
  */
 public record RequestMetadata(
         RequestId id,
@@ -23,7 +23,7 @@
         Optional<String> subject) {
 
     /**
-     * The id of a request, which is new with every attempt.
+     * The id of a request. Every attempt has a new id.
      *
      * @param value the id as a number
      * @param text the id as it was received
@@ -31,18 +31,18 @@
     public record RequestId(long value, String text) {}
 
     /**
-     * The times of a request, on the clock of this process.
+     * The times of a request, on this process's clock.
      *
-     * @param arrivedAt when the request reached this machine; it may have waited since to be read
-     * @param deadline when the caller gives up, if it says so
+     * @param arrivedAt when the request reached this machine, possibly some time before it was read
+     * @param deadline when the caller gives up, if known
      */
     public record Timing(Duration arrivedAt, Optional<Duration> deadline) {}
 
     /**
-     * What the request will need.
+     * The resources that the request needs.
      *
-     * @param memoryKb its memory, in KiB
-     * @param runTimeHint the caller's estimate of its run time, if it gives one
+     * @param memoryKb memory in KiB
+     * @param runTimeHint the caller's estimate of the run time, if there is one
      */
     public record Cost(double memoryKb, Optional<Duration> runTimeHint) {}
 }
--- a/src/main/java/merlinlever/backend/ResponseSink.java
+++ b/src/main/java/merlinlever/backend/ResponseSink.java
@@ -2,20 +2,20 @@
 
 import java.time.Duration;
 
-/** Receives the response to one request: exactly one of these methods is called, once, on the loop's thread. */
+/** Receives the response to one request. Exactly one method is called, once, on the event loop's thread. */
 public interface ResponseSink {
 
-    /** The request was served, by its own run or by the run of the request that it duplicates. */
+    /** Responds with the result of the request's run, or of the run of the request that it duplicates. */
     void succeed(byte[] result);
 
     /**
-     * The request was rejected and never ran.
+     * Responds with a rejection; the request never ran.
      *
      * @param finalRejection whether the caller is asked not to retry elsewhere
-     * @param retryAfter how long the caller is asked to wait before it retries; zero if nothing is said about that
+     * @param retryAfter how long the caller is asked to wait before a retry; zero if unspecified
      */
     void reject(boolean finalRejection, Duration retryAfter);
 
-    /** The request failed, and may have had its effect. */
+    /** Responds with a failure; the request may have had side effects. */
     void fail();
 }
--- a/src/main/java/merlinlever/backend/ResponseTracker.java
+++ b/src/main/java/merlinlever/backend/ResponseTracker.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import merlinlever.controller.Outcome;
 
-/** Sends each request its one response, and counts the requests that are still to be answered. */
+/** Sends the single response to each request, and counts the requests that are not yet answered. */
 final class ResponseTracker {
 
     private int unanswered;
 
-    /** Requests that were received and are not yet answered. */
+    /** Returns the number of requests that were received and are not yet answered. */
     int unanswered() {
         return unanswered;
     }
@@ -17,13 +17,13 @@
         unanswered++;
     }
 
-    /** The request is answered, or need not be any more; returns the sink that waited for the response. */
+    /** Marks the request as answered or as needing no response, and returns the sink that waited for the response. */
     ResponseSink close(TrackedRequest request) {
         unanswered--;
         return request.closeResponse();
     }
 
-    /** Answers with the outcome, unless the request is answered already. */
+    /** Responds with the outcome, unless the request is answered already. */
     void respond(TrackedRequest request, Outcome outcome, byte[] result) {
         if (request.isAnswered()) {
             return;
@@ -36,14 +36,14 @@
         }
     }
 
-    /** Answers with a rejection, unless the request is answered already. */
+    /** Responds with a rejection, unless the request is answered already. */
     void reject(TrackedRequest request, boolean finalRejection, Duration retryAfter) {
         if (!request.isAnswered()) {
             close(request).reject(finalRejection, retryAfter);
         }
     }
 
-    /** The run of the request has ended, and with it the request and all that share its outcome. */
+    /** Responds to the request whose run has ended, and ends all duplicates that share the outcome. */
     void runEnded(TrackedRequest request, Duration now, Outcome outcome, byte[] result) {
         respond(request, outcome, result);
         request.handle().runEnded(now, outcome);
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Ends a duplicate with the outcome of its original.
+     * Ends a duplicate with its original's outcome.
      *
-     * @param original the request whose outcome is shared; null if nothing is known of it, and the duplicate fails
-     * @return whether that changed anything
+     * @param original the request whose outcome is shared; null if it is unknown, so that the duplicate fails
+     * @return false if the duplicate had ended already
      */
     boolean endWithOutcomeOf(TrackedRequest original, TrackedRequest duplicate, Duration now) {
         if (duplicate.hasEnded()) {
--- a/src/main/java/merlinlever/backend/RunQueueCorrection.java
+++ b/src/main/java/merlinlever/backend/RunQueueCorrection.java
@@ -1,12 +1,12 @@
 package merlinlever.backend;
 
 /**
- * Makes up for the delay of the agent's metrics. The agent reads its commands in order, so that runs which were started
- * or resumed after a poll was sent are missing from the run queue in its answer.
+ * Corrects the run queue in the agent's metrics. The agent processes commands in order, so the response to a poll does
+ * not include runs that were started or resumed after the poll was sent.
  */
 final class RunQueueCorrection {
 
-    /** The place of the run queue among the metrics, or -1 if it is not reported. */
+    /** Index of the run queue among the metrics, or -1 if the run queue is not reported. */
     private final int runQueueIndex;
 
     private int startedSincePoll;
@@ -15,17 +15,17 @@
         this.runQueueIndex = runQueueIndex;
     }
 
-    /** A run was started, or resumed with the reply to its call. */
+    /** Counts a run that was started, or resumed by the reply to its downstream call. */
     void runStarted() {
         startedSincePoll++;
     }
 
-    /** A poll was sent, behind all runs that were started so far. */
+    /** Resets the count: the response to the poll just sent includes all runs started so far. */
     void pollSent() {
         startedSincePoll = 0;
     }
 
-    /** Adds to the polled run queue, in place, what has been started since the poll. */
+    /** Adds the runs started since the poll to the run queue in the metrics, in place. */
     void apply(double[] metrics) {
         if (runQueueIndex >= 0 && runQueueIndex < metrics.length) {
             metrics[runQueueIndex] += startedSincePoll;
--- a/src/main/java/merlinlever/backend/TrackedRequest.java
+++ b/src/main/java/merlinlever/backend/TrackedRequest.java
@@ -9,8 +9,8 @@
 import merlinlever.driver.ControllerDriver;
 
 /**
- * One request, from its receipt until neither the controller nor a duplicate can name it any more. Its state is written
- * on the loop's thread only, each field by the class named beside it.
+ * The state of one request, from its receipt until neither the controller nor a duplicate refers to it any more. Fields
+ * are written on the event loop's thread only, each by the class given in its comment.
  */
 public final class TrackedRequest {
 
@@ -19,50 +19,47 @@
     private final int priorityClass;
     private final String priorityClassName;
     private final Duration arrivedAt;
-    /** What duplicates of it are known by, or null if it has none. */
+    /** The key shared with duplicates, or null if the request cannot have duplicates. */
     private final DuplicateKey duplicateKey;
 
     /** The controller's handle; written by {@link RequestLifecycle}. */
     private RequestHandle handle = ControllerDriver.UNKNOWN_REQUEST;
 
-    /** The request that this one duplicated when it arrived, or null; written by {@link IdempotencyCache}. */
+    /** The request that this one duplicated when received, or null; written by {@link IdempotencyCache}. */
     private TrackedRequest duplicateOf;
-    /** The payload of the request; null once it is released by {@link IdempotencyCache} or {@link ResponseTracker}. */
+    /** The request's payload; null once released by {@link IdempotencyCache} or {@link ResponseTracker}. */
     private byte[] body;
     /** The result of a successful run; written by {@link RequestLifecycle}, released by {@link IdempotencyCache}. */
     private byte[] result;
 
-    /** Who waits for the response, or null once it is answered; written by {@link ResponseTracker}. */
+    /** Receives the response; null once the request is answered; written by {@link ResponseTracker}. */
     private ResponseSink responseSink;
-    /** Whether no response is owed any more; written by {@link ResponseTracker}. */
+    /** Whether a response was sent or is not needed any more; written by {@link ResponseTracker}. */
     private boolean answered;
 
-    /** Whether the agent was told to run it; written by {@link RequestLifecycle} and {@link DecisionExecutor}. */
+    /** Whether a launch command was sent; written by {@link RequestLifecycle} and {@link DecisionExecutor}. */
     private boolean launched;
-    /** Whether the agent was told to stop the run; written by {@link RequestLifecycle} and {@link DecisionExecutor}. */
+    /** Whether a stop command was sent; written by {@link RequestLifecycle} and {@link DecisionExecutor}. */
     private boolean stopRequested;
-    /** How the request ended, or null before that; written by {@link RequestLifecycle} and {@link ResponseTracker}. */
+    /** How the request ended; null until then; written by {@link RequestLifecycle} and {@link ResponseTracker}. */
     private Outcome outcome;
-    /**
-     * The duplicates that wait for the outcome of the run; written by {@link DecisionExecutor} and
-     * {@link ResponseTracker}.
-     */
+    /** Duplicates that wait for the run's outcome; written by {@link DecisionExecutor} and {@link ResponseTracker}. */
     private List<TrackedRequest> coalesced = List.of();
-    /** Whether nothing names it any more; written by {@link RequestLifecycle}. */
+    /** Whether the controller has released the request; written by {@link RequestLifecycle}. */
     private boolean released;
 
     /** The body of the call that the run waits for, or null; written by {@link DownstreamCallTracker}. */
     private byte[] callBody;
-    /** The reply to the run's last call until the run continues, or null; written by {@link DownstreamCallTracker}. */
+    /** The reply to the run's last call, or null; written by {@link DownstreamCallTracker}. */
     private byte[] callReply;
-    /** Whether the run's call is with the downstream service; written by {@link DownstreamCallTracker}. */
+    /** Whether a call to the downstream service is in progress; written by {@link DownstreamCallTracker}. */
     private boolean callInFlight;
     /** When the run's last call was made; written by {@link DownstreamCallTracker}. */
     private Duration calledAt = Duration.ZERO;
 
-    /** Written by {@link InDoubtCommands}. */
+    /** Delivery of the launch command; written by {@link InDoubtCommands}. */
     private final CommandDelivery launchDelivery = new CommandDelivery();
-    /** Of the reply to a call; written by {@link InDoubtCommands}. */
+    /** Delivery of the last reply command; written by {@link InDoubtCommands}. */
     private final CommandDelivery replyDelivery = new CommandDelivery();
 
     TrackedRequest(
@@ -81,22 +78,22 @@
         this.responseSink = responseSink;
     }
 
-    /** The id as a number. */
+    /** Returns the id as a number. */
     public long id() {
         return id;
     }
 
-    /** The id as it was received. */
+    /** Returns the id in the form in which it was received. */
     public String idText() {
         return idText;
     }
 
-    /** A text that the request has in common with its duplicates; its id if it can have none. */
+    /** Returns a string shared by the request and its duplicates; the id if the request cannot have duplicates. */
     public String routingKey() {
         return duplicateKey != null ? duplicateKey.text() : idText;
     }
 
-    /** The name of the priority class, as the agent knows it. */
+    /** Returns the name of the priority class, as sent to the agent. */
     public String priorityClassName() {
         return priorityClassName;
     }
@@ -105,12 +102,12 @@
         return priorityClass;
     }
 
-    /** When it reached this machine. */
+    /** Returns when the request reached this machine. */
     Duration arrivedAt() {
         return arrivedAt;
     }
 
-    /** What duplicates of it are known by, or null if it has none. */
+    /** Returns the key shared with duplicates, or null if the request cannot have duplicates. */
     DuplicateKey duplicateKey() {
         return duplicateKey;
     }
@@ -125,7 +122,7 @@
         handle = newHandle;
     }
 
-    /** The controller will not name the request again. */
+    /** Marks the request as released by the controller. */
     void markReleased() {
         released = true;
     }
@@ -136,7 +133,7 @@
 
     // ---- duplicates
 
-    /** The request that this one duplicated when it arrived, or null. */
+    /** Returns the request that this one duplicated when received, or null. */
     TrackedRequest duplicateOf() {
         return duplicateOf;
     }
@@ -149,29 +146,29 @@
         return priorityClass == other.priorityClass && Arrays.equals(body, other.body);
     }
 
-    /** The duplicates that wait for the outcome of this request's run. */
+    /** Returns the duplicates that wait for the outcome of this request's run. */
     List<TrackedRequest> coalesced() {
         return coalesced;
     }
 
-    /** The duplicate waits for the outcome of this request's run. */
+    /** Adds a duplicate that waits for the outcome of this request's run. */
     void coalesce(TrackedRequest duplicate) {
         if (coalesced.isEmpty()) {
             coalesced = new ArrayList<>(2);
         }
-        // A caller that retries many times during one run leaves at most one entry behind.
+        // Removes answered duplicates, so that a caller that retries repeatedly during one run does not grow the list.
         coalesced.removeIf(waiting -> waiting.answered);
         coalesced.add(duplicate);
     }
 
-    /** All duplicates that waited have got the outcome. */
+    /** Clears the list of waiting duplicates once all have received the outcome. */
     void clearCoalesced() {
         coalesced = List.of();
     }
 
     // ---- payloads
 
-    /** The payload, which is not copied; null once it is released. */
+    /** Returns the payload without copying it; null once released. */
     public byte[] body() {
         return body;
     }
@@ -180,7 +177,7 @@
         body = null;
     }
 
-    /** The result of a successful run; null before the end, after a failure and once it is released. */
+    /** Returns the result of a successful run; null before the end of the run, after a failure and once released. */
     byte[] result() {
         return result;
     }
@@ -192,12 +189,12 @@
 
     // ---- the response
 
-    /** Whether no response is owed any more. */
+    /** Returns whether a response was sent or is not needed any more. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** No response is owed from now on; returns the sink that waited for it. */
+    /** Marks the request as answered and returns the sink that waited for the response. */
     ResponseSink closeResponse() {
         ResponseSink sink = responseSink;
         answered = true;
@@ -207,7 +204,7 @@
 
     // ---- the run
 
-    /** Whether the agent was told to run it. */
+    /** Returns whether a launch command was sent. */
     boolean isLaunched() {
         return launched;
     }
@@ -216,12 +213,12 @@
         launched = true;
     }
 
-    /** Whether the agent was told to run it and has not reported the end. */
+    /** Returns whether a launch command was sent and the agent has not reported the end of the run. */
     boolean isRunning() {
         return launched && outcome == null;
     }
 
-    /** Whether the agent was told to stop the run. */
+    /** Returns whether a stop command was sent. */
     boolean isStopRequested() {
         return stopRequested;
     }
@@ -230,13 +227,13 @@
         stopRequested = true;
     }
 
-    /** The run was stopped, and the request may be started again. */
+    /** Resets the run state after a stop, so that the request can be started again. */
     void returnToQueue() {
         launched = false;
         stopRequested = false;
     }
 
-    /** How the request ended, or null before that. */
+    /** Returns how the request ended, or null before its end. */
     Outcome outcome() {
         return outcome;
     }
@@ -245,7 +242,7 @@
         return outcome != null;
     }
 
-    /** The request has ended; the result is kept only with {@link Outcome#OK}. */
+    /** Ends the request. The result is kept only if the outcome is {@link Outcome#OK}. */
     void end(Outcome runOutcome, byte[] runResult) {
         outcome = runOutcome;
         result = runOutcome == Outcome.OK ? runResult : null;
@@ -253,12 +250,12 @@
 
     // ---- the downstream call that the run waits for
 
-    /** The body of the call that the run waits for, or null. */
+    /** Returns the body of the call that the run waits for, or null. */
     byte[] callBody() {
         return callBody;
     }
 
-    /** The reply to the run's last call until the run continues, or null. */
+    /** Returns the reply to the run's last call, or null. */
     byte[] callReply() {
         return callReply;
     }
@@ -267,13 +264,13 @@
         return callInFlight;
     }
 
-    /** When the run's last call was made. */
+    /** Returns when the run's last call was made. */
     Duration calledAt() {
         return calledAt;
     }
 
-    /** The run waits for a call with this body. */
-    void needCall(byte[] newCallBody) {
+    /** Records that the run waits for a call with the body. */
+    void awaitCall(byte[] newCallBody) {
         callBody = newCallBody;
         callReply = null;
     }
@@ -283,24 +280,24 @@
         calledAt = now;
     }
 
-    /** The call has failed or was abandoned; it may be made again. */
+    /** Records that the call failed or was cancelled. The call may be made again. */
     void endCall() {
         callInFlight = false;
     }
 
-    /** The call has succeeded; the reply is kept until the run is known to have it. */
+    /** Records that the call succeeded, and keeps the reply until the run is known to have received it. */
     void endCall(byte[] reply) {
         callInFlight = false;
         callBody = null;
         callReply = reply;
     }
 
-    /** The run continues without the call that it waited for. */
+    /** Records that the run continues without the call. */
     void skipCall() {
         callBody = null;
     }
 
-    /** The run has ended: neither its call nor the reply to it is of use. */
+    /** Releases the body of the call and the reply after the end of the run. */
     void releaseCall() {
         callBody = null;
         callReply = null;
