--- a/src/test/java/merlinlever/backend/BackendFixture.java
+++ b/src/test/java/merlinlever/backend/BackendFixture.java
@@ -24,14 +24,14 @@
 import merlinlever.controller.settings.RunStopping;
 
 /**
- * A backend with a clock and dependencies of the test's own. Each event is a batch: the controller decides on it at
- * once.
+ * A backend with a simulated clock and recording dependencies. Each event is a separate batch, on which the controller
+ * decides immediately.
  */
 final class BackendFixture extends RecordingDependencies {
 
-    /** The priority class of that name, whose requests are idempotent. */
+    /** Index of the priority class "look", whose requests are idempotent. */
     static final int LOOK = 0;
-    /** The priority class of that name, whose requests are idempotent by key. */
+    /** Index of the priority class "buy", whose requests have idempotency keys. */
     static final int BUY = 1;
 
     private static final ControllerSettings SETTINGS = ControllerSettings.builder()
@@ -61,9 +61,9 @@
     private static final long SEED = 5;
     private static final Duration CALLER_TIMEOUT = Duration.ofSeconds(1);
 
-    /** The responses to each request, by its id. */
+    /** The responses to each request, by request id. */
     final Map<String, List<String>> responsesById = new HashMap<>();
-    /** What the backend tracks of each request that it did not answer on the spot, by its id. */
+    /** The tracked requests by id, without requests that were answered as soon as they were received. */
     final Map<String, TrackedRequest> requestsById = new HashMap<>();
 
     final Backend backend;
@@ -72,10 +72,10 @@
     Duration nextWakeUp;
 
     long lastId;
-    /** Where downstream calls go, unless a test plays the downstream service itself. */
+    /** The downstream service; replaced by tests that implement the service themselves. */
     DownstreamService downstream = this;
 
-    /** @param change of the settings */
+    /** @param change changes the default settings */
     BackendFixture(Consumer<ControllerSettings.Builder> change) {
         super(new ArrayList<>());
         ControllerSettings.Builder settings = SETTINGS.toBuilder();
@@ -89,12 +89,12 @@
         this(settings -> {});
     }
 
-    /** A backend of the same settings whose agent is not up. */
+    /** Creates a backend with the default settings whose agent is not up. */
     Backend backendBeforeAgent() {
         return new Backend(SETTINGS, SEED, this);
     }
 
-    /** Receives a request that has just arrived; its id is returned. */
+    /** Receives a request that has just arrived, and returns the request id. */
     String receive(String priorityClass, String idempotencyKey, String body) {
         RequestId id = TestRequests.idOf(++lastId);
         Timing timing = new Timing(now, Optional.of(now.plus(CALLER_TIMEOUT)));
@@ -103,13 +103,13 @@
         return id.text();
     }
 
-    /** Metadata of a request of the named class, with an idempotency key and a subject or null. */
+    /** Creates metadata of a request of the named class; the idempotency key and the subject may be null. */
     RequestMetadata metadata(RequestId id, String priorityClass, Timing timing, String idempotencyKey, String subject) {
         return TestRequests.metadata(
                 id, backend.priorityClassIndex(priorityClass), priorityClass, timing, idempotencyKey, subject);
     }
 
-    /** Receives a request in the present batch, without a decision. */
+    /** Receives a request in the current batch, without a decision. */
     Optional<TrackedRequest> receive(RequestMetadata metadata, String body) {
         String id = metadata.id().text();
         List<String> responses = new ArrayList<>();
@@ -124,17 +124,17 @@
         backend.decide(now);
     }
 
-    /** Lets time pass, with the wake-ups that are due and with idle cores. */
+    /** Advances the clock with idle cores, and fires the wake-ups that are due. */
     void advance(long ms) {
-        Duration until = now.plusMillis(ms);
-        while (nextWakeUp != null && nextWakeUp.compareTo(until) <= 0) {
+        Duration end = now.plusMillis(ms);
+        while (nextWakeUp != null && nextWakeUp.compareTo(end) <= 0) {
             now = nextWakeUp.compareTo(now) > 0 ? nextWakeUp : now;
             nextWakeUp = null;
             backend.wakeUp(now);
             backend.metricsReceived(now, new double[] {0, 0});
             decide();
         }
-        now = until;
+        now = end;
         decide();
     }
 
@@ -161,7 +161,7 @@
         return commands.stream().filter(command::equals).count();
     }
 
-    /** The only response to the request. */
+    /** Returns the response to the request, and asserts that there is only one. */
     String response(String id) {
         assertEquals(1, responsesById.get(id).size(), id + ": " + responsesById.get(id));
         return responsesById.get(id).get(0);
--- a/src/test/java/merlinlever/backend/BackendTest.java
+++ b/src/test/java/merlinlever/backend/BackendTest.java
@@ -12,11 +12,11 @@
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** The life of a request, with a clock and dependencies of the test's own. */
+/** Requests from receipt to response, with a simulated clock and recording dependencies. */
 class BackendTest {
 
     @Test
-    void runWithACallIsAnsweredOnceWithItsResult() {
+    void requestWithDownstreamCallIsAnsweredOnceWithTheRunsResult() {
         BackendFixture fixture = new BackendFixture();
         String id = fixture.receive("look", null, "a");
         fixture.requestCall(id);
@@ -27,15 +27,15 @@
         assertEquals(List.of("launch " + id, "call " + id, "deliver " + id), fixture.commands);
     }
 
-    /** The metrics are a round trip old: they do not count what was started after the poll. */
+    /** The polled metrics do not include runs that were started after the poll was sent. */
     @Test
-    void runsStartedAfterThePollAreAddedToItsAnswer() {
+    void runsStartedAfterThePollAreAddedToThePolledRunQueue() {
         BackendFixture fixture = new BackendFixture();
         fixture.receive("look", null, "a");
         fixture.backend.wakeUp(fixture.now);
         fixture.receive("look", null, "b");
         fixture.receive("look", null, "c");
-        // Polled with one run on the cores; with the two that followed and one more the four cores are full.
+        // One polled run, the two runs started since and one further run fill the four cores.
         fixture.backend.metricsReceived(fixture.now, new double[] {0, 1});
         fixture.receive("look", null, "d");
         fixture.receive("look", null, "e");
@@ -43,33 +43,31 @@
     }
 
     @Test
-    void callIsCancelledWhenItsCallerDisconnectsOrTimesOut() {
+    void callIsCancelledWhenTheCallerDisconnectsOrTheDeadlinePasses() {
         BackendFixture fixture = new BackendFixture();
         String disconnected = fixture.receive("look", null, "a");
-        String late = fixture.receive("look", null, "b");
+        String timedOut = fixture.receive("look", null, "b");
         fixture.requestCall(disconnected);
-        fixture.requestCall(late);
+        fixture.requestCall(timedOut);
         fixture.disconnectCaller(disconnected);
         fixture.advance(1100);
         assertEquals(1, fixture.count("cancel " + disconnected));
-        assertEquals(1, fixture.count("cancel " + late));
-        assertEquals("failed", fixture.response(late));
-        fixture.endCall(late, Outcome.OK);
-        assertEquals(0, fixture.count("deliver " + late));
+        assertEquals(1, fixture.count("cancel " + timedOut));
+        assertEquals("failed", fixture.response(timedOut));
+        fixture.endCall(timedOut, Outcome.OK);
+        assertEquals(0, fixture.count("deliver " + timedOut));
     }
 
-    /**
-     * A downstream service that is unreachable may report so while it is called; its outcome is all that it reports.
-     */
+    /** An unreachable downstream service may report the outcome of a call before the method {@code call} returns. */
     @Test
-    void callMayEndWhileItIsMade() {
+    void callMayEndBeforeTheCallMethodReturns() {
         BackendFixture fixture = new BackendFixture();
         List<String> calls = new ArrayList<>();
         for (Outcome outcome : List.of(Outcome.OK, Outcome.UNREACHABLE, Outcome.REJECTED)) {
             fixture.downstream = new DownstreamService() {
                 @Override
                 public void call(TrackedRequest request, byte[] body, Duration timeout) {
-                    assertTrue(body.length == 1 && timeout.toMillis() == 1000, "the body and the time that is left");
+                    assertTrue(body.length == 1 && timeout.toMillis() == 1000, "body and remaining time of the call");
                     calls.add(outcome + " " + request.idText());
                     fixture.backend.callEnded(fixture.now, request.id(), outcome, BackendFixture.REPLY.clone());
                 }
@@ -83,7 +81,10 @@
             fixture.requestCall(id);
             assertEquals(
                     outcome == Outcome.OK ? 1 : 0, fixture.count("deliver " + id), outcome + ": " + fixture.commands);
-            assertEquals(outcome == Outcome.UNREACHABLE ? 2 : 1, calls.size(), "retried only if it never got through");
+            assertEquals(
+                    outcome == Outcome.UNREACHABLE ? 2 : 1,
+                    calls.size(),
+                    "retried only if the service was unreachable");
             if (outcome != Outcome.OK) {
                 assertEquals("failed", fixture.response(id));
             }
@@ -92,14 +93,14 @@
     }
 
     @Test
-    void everyRequestIsAnsweredBeforeTheStopAndNoneRunsAfterTheGracePeriod() {
+    void drainAnswersEveryRequestBeforeTheStopAndRejectsNewOnesAfterTheGracePeriod() {
         BackendFixture fixture = new BackendFixture();
         String running = fixture.receive("buy", "t", "a");
         fixture.backend.startDrain(fixture.now, fixture.now.plusMillis(900));
         fixture.decide();
         fixture.advance(600);
-        String late = fixture.receive("look", null, "b");
-        assertEquals("rejected", fixture.response(late));
+        String afterGracePeriod = fixture.receive("look", null, "b");
+        assertEquals("rejected", fixture.response(afterGracePeriod));
         fixture.advance(290);
         assertEquals("failed", fixture.response(running));
         assertEquals(0, fixture.backend.unansweredRequests());
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void deepChecksShareOneRunThatSurvivesALostLink() {
+    void concurrentDeepChecksShareOneCheckThatSurvivesALostLink() {
         BackendFixture fixture = new BackendFixture();
         List<Boolean> results = new ArrayList<>();
         fixture.backend.runDeepCheck(results::add);
@@ -125,12 +126,12 @@
     }
 
     @Test
-    void beforeTheAgentIsUpRequestsAreRejectedAndHealthIsBad() {
+    void backendIsUnhealthyAndRejectsRequestsUntilTheAgentIsUp() {
         Backend backend = new BackendFixture().backendBeforeAgent();
-        List<Boolean> checked = new ArrayList<>();
-        backend.runDeepCheck(checked::add);
-        assertFalse(backend.isHealthy() || checked.get(0));
-        assertEquals(1, checked.size());
+        List<Boolean> results = new ArrayList<>();
+        backend.runDeepCheck(results::add);
+        assertFalse(backend.isHealthy() || results.get(0));
+        assertEquals(1, results.size());
         List<String> responses = new ArrayList<>();
         assertEquals(
                 Optional.empty(), backend.receive(Duration.ZERO, null, null, new RecordingResponseSink(responses)));
--- a/src/test/java/merlinlever/backend/BatchedBackendFixture.java
+++ b/src/test/java/merlinlever/backend/BatchedBackendFixture.java
@@ -12,7 +12,7 @@
 import merlinlever.controller.Outcome;
 import merlinlever.controller.settings.ControllerSettings;
 
-/** A backend whose batches the test puts together: nothing is decided, and no time passes, unless the test says so. */
+/** A backend whose batches the test controls: decisions and the clock's advance happen only when the test asks. */
 final class BatchedBackendFixture {
 
     static final List<String> SUCCEEDED = List.of("succeeded done");
@@ -24,10 +24,10 @@
 
     final BackendFixture fixture;
     final Backend backend;
-    /** How long callers wait, from the arrival of their request on. */
+    /** How long callers wait after the arrival of their request. */
     Duration callerTimeout = Duration.ofSeconds(1);
 
-    /** @param change of the settings of {@link BackendFixture} */
+    /** @param change changes the default settings of {@link BackendFixture} */
     BatchedBackendFixture(Consumer<ControllerSettings.Builder> change) {
         fixture = new BackendFixture(change);
         backend = fixture.backend;
@@ -41,7 +41,7 @@
         return fixture.now;
     }
 
-    /** Fills the cores, so that the requests that are received next are queued. */
+    /** Fills the cores, so that the following requests are queued. */
     BatchedBackendFixture fillCores() {
         for (int i = 0; i < CORES; i++) {
             fixture.receive("look", null, "busy" + i);
@@ -49,7 +49,7 @@
         return this;
     }
 
-    /** The cores are idle again, and queued requests are started as far as that goes. */
+    /** Reports idle cores, so that queued requests are started up to the number of cores. */
     void freeCores() {
         backend.wakeUp(now());
         backend.metricsReceived(now(), new double[] {0, 0});
@@ -60,10 +60,10 @@
         fixture.decide();
     }
 
-    /** Lets time pass in steps of at most 10 ms, with the cores as busy as they are. */
+    /** Advances the clock in steps of at most 10 ms with a decision after each, without new metrics of the cores. */
     void advance(long ms) {
-        for (long left = ms; left > 0; left -= 10) {
-            fixture.now = fixture.now.plusMillis(Math.min(10, left));
+        for (long remainingMs = ms; remainingMs > 0; remainingMs -= 10) {
+            fixture.now = fixture.now.plusMillis(Math.min(10, remainingMs));
             backend.wakeUp(now());
             decide();
         }
@@ -78,12 +78,12 @@
         return fixture.nextWakeUp != null;
     }
 
-    /** Receives a request that has just arrived; its id is returned. */
+    /** Receives a request that has just arrived, and returns the request id. */
     String receive(String priorityClass, String idempotencyKey, String body) {
         return receive(priorityClass, idempotencyKey, null, body, now());
     }
 
-    /** Receives a request that arrived at that time, from which on its caller waits; its id is returned. */
+    /** Receives a request that arrived at the given time, when its caller began to wait, and returns the request id. */
     String receive(String priorityClass, String idempotencyKey, String subject, String body, Duration arrivedAt) {
         RequestId id = TestRequests.idOf(++fixture.lastId);
         receiveAs(id, priorityClass, idempotencyKey, subject, body, arrivedAt);
@@ -125,19 +125,19 @@
         return fixture.responsesById.get(id);
     }
 
-    /** Of these requests, the ones that were launched. */
+    /** Returns those of the requests that were launched. */
     List<String> launched(String... ids) {
         return List.of(ids).stream()
                 .filter(id -> fixture.count("launch " + id) > 0)
                 .toList();
     }
 
-    /** How often that command was given to the agent or to the downstream service. */
+    /** Returns how often the command was sent to the agent or to the downstream service. */
     long count(String command) {
         return fixture.count(command);
     }
 
-    /** What was asked of the agent and of the downstream service for this request, in order. */
+    /** Returns the commands that were sent to the agent and to the downstream service for the request, in order. */
     List<String> commands(String id) {
         return fixture.commands.stream()
                 .filter(command -> command.endsWith(" " + id))
@@ -145,12 +145,13 @@
                 .toList();
     }
 
+    /** Creates a backend with the given idempotency window of the priority class "buy", in milliseconds. */
     static BatchedBackendFixture withBuyWindow(long ms) {
         return new BatchedBackendFixture(settings ->
                 settings.changePriorityClass(BackendFixture.BUY, buy -> buy.idempotencyWindow(Duration.ofMillis(ms))));
     }
 
-    /** Receives a request that is run and answered at once; its window of 5 s counts from now. */
+    /** Receives a request that is run and answered immediately; its idempotency window of 5 s begins now. */
     String receiveAndComplete() {
         String first = receive("buy", "t", "a");
         decide();
--- a/src/test/java/merlinlever/backend/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/backend/CompletionRaceTest.java
@@ -10,14 +10,12 @@
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
-/**
- * The end of a run together with its deadline, the disconnect of its caller, its downstream call and its duplicates.
- */
+/** Races of the end of a run with the deadline, the caller's disconnect, the downstream call and duplicates. */
 class CompletionRaceTest {
 
     /**
-     * The outcome and the disconnect, in one batch and in either order: at most one response, and no stop for a run
-     * that has ended.
+     * An outcome and a disconnect in one batch, in either order, result in at most one response and in no stop command
+     * for the ended run.
      */
     @Test
     void outcomeAndDisconnectInOneBatchGiveAtMostOneResponse() {
@@ -41,16 +39,16 @@
         }
     }
 
-    /** An outcome that is read in the batch of the deadline is the response; one that is read after it is not. */
+    /** An outcome read in the batch of the deadline is sent as response; an outcome read later is not. */
     @Test
-    void outcomeCountsIfReadInTheBatchOfTheDeadline() {
-        for (boolean after : new boolean[] {false, true}) {
+    void outcomeIsSentIfReadInTheBatchOfTheDeadline() {
+        for (boolean afterDeadline : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
             String id = fixture.receive("buy", "t", "a");
             fixture.decide();
             fixture.advance(990);
             fixture.moveClock(10);
-            if (after) {
+            if (afterDeadline) {
                 fixture.decide();
                 fixture.backend.wakeUp(fixture.now());
                 fixture.decide();
@@ -58,19 +56,16 @@
             fixture.endRun(id, Outcome.OK, "done");
             fixture.decide();
             fixture.advance(50);
-            assertEquals(after ? FAILED : SUCCEEDED, fixture.responses(id));
-            assertEquals(after ? List.of("launch", "stop") : List.of("launch"), fixture.commands(id));
+            assertEquals(afterDeadline ? FAILED : SUCCEEDED, fixture.responses(id));
+            assertEquals(afterDeadline ? List.of("launch", "stop") : List.of("launch"), fixture.commands(id));
             assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /**
-     * An outcome in the last moment before the process stops: the response is either that outcome or a failure, never
-     * both.
-     */
+    /** An outcome shortly before the process stops results in one response: either the result or a failure. */
     @Test
     void outcomeShortlyBeforeTheStopGivesOneResponse() {
-        for (boolean after : new boolean[] {false, true}) {
+        for (boolean afterLastDecision : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
             String id = fixture.receive("buy", "t", "a");
             fixture.decide();
@@ -79,23 +74,21 @@
             fixture.advance(570);
             assertEquals(UNANSWERED, fixture.responses(id));
             fixture.moveClock(15);
-            if (after) {
+            if (afterLastDecision) {
                 fixture.backend.wakeUp(fixture.now());
                 fixture.decide();
             }
             fixture.endRun(id, Outcome.OK, "done");
             fixture.decide();
-            assertEquals(after ? FAILED : SUCCEEDED, fixture.responses(id));
+            assertEquals(afterLastDecision ? FAILED : SUCCEEDED, fixture.responses(id));
             assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /**
-     * A reply in the batch of the deadline goes to the run before that is stopped; after the deadline it goes nowhere.
-     */
+    /** A reply in the batch of the deadline is delivered before the stop command; a later reply is dropped. */
     @Test
     void replyInTheBatchOfTheDeadlineIsDeliveredBeforeTheStop() {
-        for (boolean after : new boolean[] {false, true}) {
+        for (boolean afterDeadline : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
             String id = fixture.receive("buy", "t", "a");
             fixture.decide();
@@ -103,18 +96,18 @@
             fixture.decide();
             fixture.advance(990);
             fixture.moveClock(10);
-            if (!after) {
+            if (!afterDeadline) {
                 fixture.endCall(id, Outcome.OK);
             }
             fixture.backend.wakeUp(fixture.now());
             fixture.decide();
-            if (after) {
+            if (afterDeadline) {
                 fixture.endCall(id, Outcome.OK);
                 fixture.decide();
             }
             assertEquals(FAILED, fixture.responses(id));
             assertEquals(
-                    after ? List.of("launch", "call", "cancel") : List.of("launch", "call", "deliver", "stop"),
+                    afterDeadline ? List.of("launch", "call", "cancel") : List.of("launch", "call", "deliver", "stop"),
                     fixture.commands(id));
             fixture.endRun(id, Outcome.STOPPED, "");
             fixture.decide();
@@ -123,11 +116,11 @@
     }
 
     /**
-     * A reply in the batch in which the caller disconnects: whichever comes first, the reply is delivered or the call
-     * cancelled, once.
+     * If a reply and the caller's disconnect are in one batch, the first of the two events decides whether the reply is
+     * delivered or the call is cancelled.
      */
     @Test
-    void replyAndDisconnectInOneBatchDeliverOrCancel() {
+    void replyAndDisconnectInOneBatchDeliverTheReplyOrCancelTheCall() {
         for (boolean disconnectFirst : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
             String id = fixture.receive("look", null, "a");
@@ -150,7 +143,7 @@
         }
     }
 
-    /** A run that reaches its call as it is stopped, or after its request was answered, makes no call. */
+    /** A run that requests a call after a stop command was sent makes no call. */
     @Test
     void noCallIsMadeForAStoppedRun() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -169,9 +162,9 @@
         assertEquals(0, fixture.backend.trackedRequests());
     }
 
-    /** A launch was sent twice: the agent's report that the second never began, after the outcome, changes nothing. */
+    /** After a resent launch, the report that the second copy was not started does not change the outcome. */
     @Test
-    void neverBegunAfterTheOutcomeIsIgnored() {
+    void notStartedAfterTheOutcomeIsIgnored() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
         fixture.decide();
@@ -188,12 +181,9 @@
         assertEquals(SUCCEEDED, fixture.responses(retry));
     }
 
-    /**
-     * The agent reports that a run whose caller waits never began: the request fails, is not rejected, and no duplicate
-     * of it runs.
-     */
+    /** A launched request that the agent did not start fails instead of being rejected; its duplicates do not run. */
     @Test
-    void neverBegunFailsTheRequestAndItsDuplicates() {
+    void notStartedFailsTheRequestAndItsDuplicates() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
         fixture.decide();
@@ -203,18 +193,16 @@
         fixture.decide();
         String retry = fixture.receive("buy", "t", "a");
         fixture.decide();
-        for (String each : List.of(id, duplicate, retry)) {
-            assertEquals(FAILED, fixture.responses(each));
+        for (String requestId : List.of(id, duplicate, retry)) {
+            assertEquals(FAILED, fixture.responses(requestId));
         }
         assertEquals(List.of(id), fixture.launched(id, duplicate, retry));
     }
 
-    /**
-     * A duplicate whose deadline falls in the batch in which its original ends: the outcome is read first and counts.
-     */
+    /** A duplicate whose deadline passes in the batch in which its original ends still gets the outcome. */
     @Test
     void duplicateAtItsDeadlineGetsAnOutcomeOfTheSameBatch() {
-        for (boolean after : new boolean[] {false, true}) {
+        for (boolean afterDeadline : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
             String first = fixture.receive("buy", "t", "a");
             fixture.decide();
@@ -224,21 +212,21 @@
             fixture.decide();
             fixture.advance(290);
             fixture.moveClock(10);
-            if (after) {
+            if (afterDeadline) {
                 fixture.backend.wakeUp(fixture.now());
                 fixture.decide();
             }
             fixture.endRun(first, Outcome.OK, "done");
             fixture.decide();
             assertEquals(SUCCEEDED, fixture.responses(first));
-            assertEquals(after ? FAILED : SUCCEEDED, fixture.responses(duplicate));
+            assertEquals(afterDeadline ? FAILED : SUCCEEDED, fixture.responses(duplicate));
             assertEquals(0, fixture.backend.unansweredRequests());
         }
     }
 
-    /** A run is not stopped at the deadline of its own request while a later duplicate waits for its outcome. */
+    /** A run is not stopped at its own request's deadline while a later duplicate waits for the outcome. */
     @Test
-    void runWithALaterDuplicateOutlivesTheFirstDeadline() {
+    void runWithALaterDuplicateContinuesAfterTheFirstDeadline() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receive("buy", "t", "a");
         fixture.decide();
@@ -253,28 +241,28 @@
         assertEquals(SUCCEEDED, fixture.responses(later));
     }
 
-    /** A read that others share continues when its own caller disconnects; without others it is stopped. */
+    /** A read whose caller disconnects continues if duplicates share it, and is stopped otherwise. */
     @Test
     void sharedReadContinuesWithoutItsCaller() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1)));
         String first = fixture.receive("look", null, "s", "", fixture.now());
         fixture.decide();
-        String other = fixture.receive("look", null, "s", "", fixture.now());
+        String duplicate = fixture.receive("look", null, "s", "", fixture.now());
         fixture.decide();
         fixture.disconnectCaller(first);
         fixture.decide();
         assertEquals(List.of("launch"), fixture.commands(first));
         fixture.endRun(first, Outcome.OK, "done");
         fixture.decide();
-        assertEquals(SUCCEEDED, fixture.responses(other));
-        String alone = fixture.receive("look", null, "u", "", fixture.now());
+        assertEquals(SUCCEEDED, fixture.responses(duplicate));
+        String withoutDuplicate = fixture.receive("look", null, "u", "", fixture.now());
         fixture.decide();
-        fixture.disconnectCaller(alone);
+        fixture.disconnectCaller(withoutDuplicate);
         fixture.decide();
-        assertEquals(List.of("launch", "stop"), fixture.commands(alone));
+        assertEquals(List.of("launch", "stop"), fixture.commands(withoutDuplicate));
     }
 
-    /** Duplicates of a run that is stopped for good fail with it, and those that come later are not run either. */
+    /** Duplicates that wait for a stopped run fail, and duplicates that arrive later fail without running. */
     @Test
     void duplicatesOfAStoppedRunFail() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -282,32 +270,32 @@
         fixture.decide();
         fixture.advance(1000);
         assertEquals(List.of("launch", "stop"), fixture.commands(first));
-        String late = fixture.receive("buy", "t", "a");
+        String waiting = fixture.receive("buy", "t", "a");
         fixture.decide();
         fixture.endRun(first, Outcome.STOPPED, "");
         String later = fixture.receive("buy", "t", "a");
         fixture.decide();
-        assertEquals(FAILED, fixture.responses(late));
+        assertEquals(FAILED, fixture.responses(waiting));
         assertEquals(FAILED, fixture.responses(later));
-        assertEquals(List.of(first), fixture.launched(first, late, later));
+        assertEquals(List.of(first), fixture.launched(first, waiting, later));
     }
 
-    /** A clock reading earlier than the one before: no request is answered twice or late because of it. */
+    /** A clock that goes back for one batch causes no late and no second response. */
     @Test
     void clockThatGoesBackForABatchChangesNoResponse() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String id = fixture.receive("buy", "t", "a");
         fixture.decide();
         fixture.advance(500);
-        Duration was = fixture.now();
-        fixture.fixture.now = was.minusMillis(300);
-        String back = fixture.receive("look", null, "b");
+        Duration timeBefore = fixture.now();
+        fixture.fixture.now = timeBefore.minusMillis(300);
+        String receivedAtEarlierTime = fixture.receive("look", null, "b");
         fixture.decide();
-        fixture.fixture.now = was;
+        fixture.fixture.now = timeBefore;
         fixture.advance(500);
         assertEquals(FAILED, fixture.responses(id));
-        fixture.endRun(back, Outcome.OK, "done");
+        fixture.endRun(receivedAtEarlierTime, Outcome.OK, "done");
         fixture.decide();
-        assertEquals(1, fixture.responses(back).size());
+        assertEquals(1, fixture.responses(receivedAtEarlierTime).size());
     }
 }
--- a/src/test/java/merlinlever/backend/DrainRaceTest.java
+++ b/src/test/java/merlinlever/backend/DrainRaceTest.java
@@ -14,10 +14,10 @@
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** The drain notice together with requests that are being read, queued, duplicated and timed. */
+/** Races of a drain notice with requests that are being read, are queued, are duplicates or time out. */
 class DrainRaceTest {
 
-    /** Of two drain notices the grace period counts from the first; a request after it does not run. */
+    /** The grace period counts from the first of two drain notices; a request that arrives after it does not run. */
     @Test
     void secondDrainNoticeDoesNotExtendTheGracePeriod() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -28,15 +28,15 @@
         fixture.backend.startDrain(fixture.now(), stopAt.plusMillis(400));
         fixture.decide();
         fixture.advance(101);
-        String late = fixture.receive("look", null, "a");
+        String afterGracePeriod = fixture.receive("look", null, "a");
         fixture.decide();
-        assertEquals(List.of(), fixture.launched(late));
-        assertEquals(REJECTED, fixture.responses(late));
+        assertEquals(List.of(), fixture.launched(afterGracePeriod));
+        assertEquals(REJECTED, fixture.responses(afterGracePeriod));
     }
 
     /**
-     * A request that arrived in the grace period runs even if it starts later; one that arrived at its end is rejected,
-     * also as a duplicate.
+     * A request that arrived in the grace period runs even if it starts later. A request that arrives at the end of the
+     * period is rejected, even if it is a duplicate.
      */
     @Test
     void gracePeriodCountsFromArrivalNotFromStart() {
@@ -45,50 +45,46 @@
         fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(3000));
         fixture.decide();
         fixture.advance(490);
-        String before = fixture.receive("buy", "t", "a");
+        String inGracePeriod = fixture.receive("buy", "t", "a");
         fixture.decide();
         fixture.moveClock(9);
-        String unread = fixture.receive("look", null, "b");
+        String shortlyBeforeEnd = fixture.receive("look", null, "b");
         fixture.moveClock(1);
-        String after = fixture.receive("buy", "u", "a");
-        String duplicate = fixture.receive("buy", "t", "a");
+        String atEnd = fixture.receive("buy", "u", "a");
+        String duplicateAtEnd = fixture.receive("buy", "t", "a");
         fixture.decide();
         fixture.advance(50);
         fixture.freeCores();
-        assertEquals(List.of(before, unread), fixture.launched(before, unread, after, duplicate));
-        assertEquals(REJECTED, fixture.responses(after));
-        assertEquals(REJECTED, fixture.responses(duplicate));
+        assertEquals(
+                List.of(inGracePeriod, shortlyBeforeEnd),
+                fixture.launched(inGracePeriod, shortlyBeforeEnd, atEnd, duplicateAtEnd));
+        assertEquals(REJECTED, fixture.responses(atEnd));
+        assertEquals(REJECTED, fixture.responses(duplicateAtEnd));
     }
 
-    /**
-     * A retry after the grace period shares the result of a run that has ended and the outcome of one in flight, and
-     * does not run.
-     */
+    /** A retry after the grace period shares the outcome of a run that is in progress or has ended. */
     @Test
     void retryAfterTheGracePeriodSharesTheRun() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.callerTimeout = Duration.ofSeconds(2);
-        String ran = fixture.receive("buy", "t", "a");
+        String ended = fixture.receive("buy", "t", "a");
         String running = fixture.receive("buy", "u", "a");
         fixture.decide();
-        fixture.endRun(ran, Outcome.OK, "done");
+        fixture.endRun(ended, Outcome.OK, "done");
         fixture.backend.startDrain(fixture.now(), fixture.now().plusMillis(3000));
         fixture.decide();
         fixture.advance(600);
-        String after = fixture.receive("buy", "t", "a");
-        String during = fixture.receive("buy", "u", "a");
+        String retryOfEnded = fixture.receive("buy", "t", "a");
+        String retryOfRunning = fixture.receive("buy", "u", "a");
         fixture.decide();
         fixture.endRun(running, Outcome.OK, "done");
         fixture.decide();
-        assertEquals(SUCCEEDED, fixture.responses(after));
-        assertEquals(SUCCEEDED, fixture.responses(during));
-        assertEquals(List.of(ran, running), fixture.launched(ran, running, after, during));
+        assertEquals(SUCCEEDED, fixture.responses(retryOfEnded));
+        assertEquals(SUCCEEDED, fixture.responses(retryOfRunning));
+        assertEquals(List.of(ended, running), fixture.launched(ended, running, retryOfEnded, retryOfRunning));
     }
 
-    /**
-     * A drain notice before the agent is up, and its greeting after: no request is started, all are rejected, none is
-     * left unanswered.
-     */
+    /** If the agent comes up after a drain notice, the backend starts no request and rejects all. */
     @Test
     void agentThatComesUpWhileDrainingStartsNothing() {
         Backend backend = new BackendFixture().backendBeforeAgent();
@@ -105,7 +101,7 @@
         assertEquals(0, backend.unansweredRequests());
     }
 
-    /** Wake-ups are scheduled and handled while draining, up to the stop, and one after it does no harm. */
+    /** Wake-ups are scheduled and handled while draining, and a wake-up after the stop time is harmless. */
     @Test
     void wakeUpsContinueWhileDrainingAndAfterTheStop() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
--- a/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
@@ -13,9 +13,8 @@
 import net.jqwik.api.Property;
 
 /**
- * Many orders of what can happen in one batch, from fixed seeds: duplicates that are read late, out of order or with an
- * arrival in the future, disconnects, outcomes, calls, replies and the drain notice, with windows shorter and longer
- * than a run.
+ * Random interleavings of duplicates with other events, from fixed seeds. Duplicates are read late, out of order or
+ * with an arrival time in the future; idempotency windows are shorter or longer than a run.
  */
 class DuplicateRequestInterleavingTest {
 
@@ -35,11 +34,11 @@
     private Duration gracePeriodEnd;
 
     /**
-     * No duplicate of a window runs beside the one that ran, and each request has one response, from a run with its
-     * idempotency key.
+     * At most one request with an idempotency key runs per window, and each request has one response, from a run with
+     * the same key.
      */
     @Property(tries = 150, seed = "36")
-    void noOrderOfEventsRunsARequestTwiceInItsWindow(@ForAll long seed) {
+    void requestsWithTheSameKeyRunAtMostOncePerWindow(@ForAll long seed) {
         random = new SplittableRandom(seed);
         int windowMs = new int[] {0, 40, 400, 5000}[random.nextInt(4)];
         fixture = BatchedBackendFixture.withBuyWindow(windowMs);
@@ -47,13 +46,13 @@
         gracePeriodEnd = null;
         for (int step = 0; step < 300; step++) {
             for (int events = random.nextInt(5); events > 0; events--) {
-                playEvent(step);
+                applyRandomEvent(step);
             }
             fixture.decide();
             recordLaunches();
             fixture.moveClock(1 + random.nextInt(25));
             fixture.backend.wakeUp(fixture.now());
-            // Sometimes the cores are full, so that requests are queued.
+            // Reports idle cores in a third of the steps and full cores otherwise, so that requests are queued.
             fixture.backend.metricsReceived(fixture.now(), new double[] {0, random.nextInt(3) == 0 ? 0 : 8});
             fixture.decide();
             recordLaunches();
@@ -62,7 +61,7 @@
         checkWindows(windowMs);
     }
 
-    private void playEvent(int step) {
+    private void applyRandomEvent(int step) {
         Attempt attempt =
                 attempts.isEmpty() ? null : attempts.get(Math.max(0, attempts.size() - 1 - random.nextInt(12)));
         int event = random.nextInt(11);
@@ -88,11 +87,11 @@
     private void receiveAttempt() {
         Attempt attempt = new Attempt();
         attempt.idempotencyKey = "t" + random.nextInt(6);
-        long unreadMs = random.nextInt(4) == 0 ? random.nextInt(600) : 0;
+        long readDelayMs = random.nextInt(4) == 0 ? random.nextInt(600) : 0;
         boolean inFuture = random.nextInt(12) == 0;
         Duration claimedArrival = inFuture
                 ? fixture.now().plusMillis(random.nextInt(4000))
-                : fixture.now().minusMillis(unreadMs);
+                : fixture.now().minusMillis(readDelayMs);
         attempt.arrivedAt = inFuture ? fixture.now() : claimedArrival;
         attempt.deadline = claimedArrival.plusMillis(1000);
         attempt.id = fixture.receive(
@@ -106,7 +105,7 @@
             assertTrue(launches <= 1, "launched more than once");
             assertTrue(
                     launches == 0 || gracePeriodEnd == null || attempt.arrivedAt.compareTo(gracePeriodEnd) < 0,
-                    "rule 3: arrived after the grace period");
+                    "rule 3: launched although it arrived after the grace period");
             attempt.launched |= launches == 1;
         }
     }
@@ -115,20 +114,20 @@
         for (Attempt attempt : attempts) {
             List<String> responses = fixture.responses(attempt.id);
             assertTrue(responses.size() <= (attempt.disconnected ? 0 : 1), attempt.id + " " + responses);
-            boolean isInTime = fixture.now().compareTo(attempt.deadline.plusMillis(60)) <= 0;
-            assertTrue(responses.size() == 1 || attempt.disconnected || isInTime, "rule 1: answered in time");
+            boolean isBeforeDeadline = fixture.now().compareTo(attempt.deadline.plusMillis(60)) <= 0;
+            assertTrue(
+                    responses.size() == 1 || attempt.disconnected || isBeforeDeadline, "rule 1: not answered in time");
             if (!responses.isEmpty()) {
                 String response = responses.get(0);
                 assertTrue(
                         !response.startsWith("succeeded") || response.equals("succeeded " + attempt.idempotencyKey),
                         attempt.id);
-                assertTrue(
-                        !response.equals("rejected") || !attempt.launched, "rule 2: no request that ran is rejected");
+                assertTrue(!response.equals("rejected") || !attempt.launched, "rule 2: rejected although it ran");
             }
         }
     }
 
-    /** No request that arrived between the arrival of one that ran and the end of its window ran as well. */
+    /** Asserts that no two requests ran of which one arrived within the window of the other. */
     private void checkWindows(int windowMs) {
         Map<String, List<Attempt>> runsByKey = new HashMap<>();
         attempts.stream().filter(attempt -> attempt.launched).forEach(attempt -> runsByKey
@@ -137,10 +136,11 @@
         runsByKey.forEach((key, runs) -> {
             for (Attempt run : runs) {
                 for (Attempt other : runs) {
-                    long laterMs = other.arrivedAt.minus(run.arrivedAt).toMillis();
+                    long arrivalDistanceMs =
+                            other.arrivedAt.minus(run.arrivedAt).toMillis();
                     assertTrue(
-                            run == other || laterMs < 0 || laterMs > windowMs,
-                            key + ": " + laterMs + " ms after one that ran");
+                            run == other || arrivalDistanceMs < 0 || arrivalDistanceMs > windowMs,
+                            key + ": " + arrivalDistanceMs + " ms after a request that ran");
                 }
             }
         });
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -16,13 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Duplicates of one request together with each other, with the end of their window and with the release of its result.
+ * Races of the duplicates of one request with each other, with the end of the idempotency window and with the release
+ * of the result.
  */
 class DuplicateRequestRaceTest {
 
-    /** The window counts from arrival to arrival, and its last moment belongs to it. */
+    /** The window is measured between the arrival times and includes its end. */
     @Test
-    void duplicateAtTheEndOfTheWindowSharesAndOneAfterItRuns() {
+    void duplicateAtTheEndOfTheWindowSharesTheResultAndDuplicateAfterItRuns() {
         for (int ms : new int[] {4999, 5000, 5001}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture();
             fixture.receiveAndComplete();
@@ -34,69 +35,72 @@
         }
     }
 
-    /** Whether a duplicate belongs to the window is judged by its arrival and not by when it was read. */
+    /** The arrival time of a duplicate, not the time of reading, decides whether the duplicate is in the window. */
     @Test
-    void duplicateOfTheWindowThatIsReadAfterItShares() {
+    void duplicateThatArrivedInTheWindowSharesTheResultWhenReadAfterIt() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.receiveAndComplete();
         fixture.advance(5090);
-        String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(91));
-        String later = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(89));
+        String arrivedInWindow =
+                fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(91));
+        String arrivedAfterWindow =
+                fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(89));
         fixture.decide();
-        assertEquals(SUCCEEDED, fixture.responses(retry));
-        assertEquals(List.of(later), fixture.launched(retry, later));
+        assertEquals(SUCCEEDED, fixture.responses(arrivedInWindow));
+        assertEquals(List.of(arrivedAfterWindow), fixture.launched(arrivedInWindow, arrivedAfterWindow));
     }
 
     /**
-     * A request after the window that ended without running does not evict the run before it, as a duplicate of that
-     * one's window may still be unread.
+     * A request that arrived after the window and ended without running does not evict the earlier run, as a duplicate
+     * that arrived within the window may still be unread.
      */
     @Test
-    void duplicateOfTheWindowDoesNotRunAfterALaterOneEndedUnrun() {
+    void duplicateOfTheWindowDoesNotRunAfterALaterRequestEndedWithoutRunning() {
         for (boolean rejected : new boolean[] {false, true}) {
             BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
             fixture.freeCores();
             String first = fixture.receiveAndComplete();
             fixture.advance(5001);
             fixture.fillCores();
-            String later = fixture.receive("buy", "t", "a");
+            String afterWindow = fixture.receive("buy", "t", "a");
             fixture.decide();
-            assertEquals(List.of(), fixture.launched(later));
+            assertEquals(List.of(), fixture.launched(afterWindow));
             if (rejected) {
                 fixture.advance(510);
-                assertEquals(REJECTED, fixture.responses(later));
+                assertEquals(REJECTED, fixture.responses(afterWindow));
             } else {
-                fixture.disconnectCaller(later);
+                fixture.disconnectCaller(afterWindow);
                 fixture.decide();
             }
-            String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(rejected ? 512 : 2));
+            String duplicate =
+                    fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(rejected ? 512 : 2));
             fixture.decide();
             fixture.freeCores();
-            assertEquals(List.of(first), fixture.launched(first, later, retry));
-            assertEquals(SUCCEEDED, fixture.responses(retry));
+            assertEquals(List.of(first), fixture.launched(first, afterWindow, duplicate));
+            assertEquals(SUCCEEDED, fixture.responses(duplicate));
         }
     }
 
-    /** The same where the later request is still queued: a duplicate of the first window does not succeed it. */
+    /** A duplicate of the first window does not take the place of a later request that is still queued. */
     @Test
-    void duplicateOfTheWindowDoesNotReplaceALaterQueuedOne() {
+    void duplicateOfTheWindowDoesNotReplaceALaterQueuedRequest() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receiveAndComplete();
         fixture.advance(5001);
         fixture.fillCores();
-        String later = fixture.receive("buy", "t", "a");
+        String queued = fixture.receive("buy", "t", "a");
         fixture.decide();
-        String retry = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2));
-        fixture.disconnectCaller(later);
+        String duplicate = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2));
+        fixture.disconnectCaller(queued);
         fixture.decide();
         fixture.freeCores();
-        assertEquals(List.of(first), fixture.launched(first, later, retry));
-        assertEquals(SUCCEEDED, fixture.responses(retry));
+        assertEquals(List.of(first), fixture.launched(first, queued, duplicate));
+        assertEquals(SUCCEEDED, fixture.responses(duplicate));
     }
 
-    /** An arrival time in the future takes no duplicate out of its window. */
+    /** A duplicate with an arrival time in the future is still in its window. */
     @Test
-    void arrivalInTheFutureCountsAsNow() {
+    void arrivalTimeInTheFutureCountsAsNow() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.receiveAndComplete();
         fixture.advance(3000);
@@ -106,29 +110,29 @@
         assertEquals(SUCCEEDED, fixture.responses(retry));
     }
 
-    /** An arrival time years ago does not count as time that requests wait to be read, and rejects nobody else. */
+    /** An arrival time years ago must not enter the controller's estimate of the read delay and reject other requests. */
     @Test
-    void arrivalLongAgoRejectsNobodyElse() {
+    void arrivalTimeLongAgoDoesNotRejectOtherRequests() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
-        String old = fixture.receive("look", null, null, "x", Duration.ofDays(-18_000));
+        String implausible = fixture.receive("look", null, null, "x", Duration.ofDays(-18_000));
         fixture.decide();
-        assertEquals(FAILED, fixture.responses(old));
+        assertEquals(FAILED, fixture.responses(implausible));
         for (int i = 0; i < 12; i++) {
             String id = fixture.receive("look", null, "a" + i);
             fixture.decide();
-            assertEquals(List.of(id), fixture.launched(id), "number " + i);
+            assertEquals(List.of(id), fixture.launched(id), "request " + i);
             fixture.endRun(id, Outcome.OK, "done");
         }
     }
 
     /**
-     * Of three duplicates in one batch the first is rejected at once, the second takes its place, and the third, which
-     * still names the first, shares.
+     * The first of three duplicates in one batch is rejected immediately and the second takes its place. The third,
+     * whose original is still the first, shares the outcome of the second.
      */
     @Test
     void oneOfThreeDuplicatesInOneBatchRuns() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
-        // Next to one that was read at once, one that is read so late is turned away as it is read.
+        // After a request that was read immediately, a request with a long read delay is rejected when it is read.
         fixture.receive("look", null, "x");
         fixture.decide();
         String first = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(600));
@@ -143,7 +147,7 @@
         assertEquals(SUCCEEDED, fixture.responses(third));
     }
 
-    /** Of two duplicates in one batch the second waits for the first. */
+    /** The second of two duplicates in one batch waits for the outcome of the first. */
     @Test
     void oneOfTwoDuplicatesInOneBatchRuns() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -157,8 +161,8 @@
     }
 
     /**
-     * The caller of the first disconnects, a waiting duplicate takes its place, and another one of the same batch still
-     * names the first: one runs.
+     * The first request's caller disconnects and a waiting duplicate takes its place. A duplicate received in the same
+     * batch, whose original is still the first request, does not run as well.
      */
     @Test
     void successorAndDuplicateOfTheSameBatchDoNotBothRun() {
@@ -179,11 +183,11 @@
     }
 
     /**
-     * The callers of the first and of its successor disconnect in one batch: the next in line runs, and nothing of the
-     * others is retained.
+     * The callers of the first request and of its successor disconnect in one batch: the next duplicate runs, and the
+     * other two requests are released.
      */
     @Test
-    void successorWhoseCallerDisconnectsPassesItsPlaceOn() {
+    void successorWhoseCallerDisconnectsIsReplacedByTheNextDuplicate() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String first = fixture.receive("buy", "t", "a");
         String successor = fixture.receive("buy", "t", "a");
@@ -195,34 +199,40 @@
         fixture.freeCores();
         assertEquals(List.of(next), fixture.launched(first, successor, next));
         fixture.disconnectCaller(next);
-        assertEquals(5, fixture.backend.trackedRequests(), "four that run and the one that ran on");
+        assertEquals(
+                5,
+                fixture.backend.trackedRequests(),
+                "four requests that fill the cores, and the run without a caller");
         assertNull(fixture.request(successor).body());
     }
 
-    /** A window that is over before the run ends: the run is found until it has ended. */
+    /** Duplicates that arrive during a run share it even if the window ends before the run. */
     @Test
-    void duplicateAfterAWindowShorterThanTheRunShares() {
+    void duplicateDuringARunLongerThanTheWindowSharesTheRun() {
         for (long windowMs : new long[] {50, 0}) {
             BatchedBackendFixture fixture = BatchedBackendFixture.withBuyWindow(windowMs);
             String first = fixture.receive("buy", "t", "a");
             fixture.decide();
             fixture.advance(300);
-            String during = fixture.receive("buy", "t", "a");
+            String readDuringRun = fixture.receive("buy", "t", "a");
             fixture.decide();
             fixture.endRun(first, Outcome.OK, "done");
             fixture.decide();
             fixture.advance(20);
-            String unread = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(25));
+            String readAfterRun =
+                    fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(25));
             fixture.decide();
-            assertEquals(SUCCEEDED, fixture.responses(during));
-            assertEquals(SUCCEEDED, fixture.responses(unread));
-            String after = fixture.receive("buy", "t", "a");
+            assertEquals(SUCCEEDED, fixture.responses(readDuringRun));
+            assertEquals(SUCCEEDED, fixture.responses(readAfterRun));
+            String arrivedAfterRun = fixture.receive("buy", "t", "a");
             fixture.decide();
-            assertEquals(List.of(first, after), fixture.launched(first, during, unread, after));
+            assertEquals(
+                    List.of(first, arrivedAfterRun),
+                    fixture.launched(first, readDuringRun, readAfterRun, arrivedAfterRun));
         }
     }
 
-    /** The same id on two connections: the second request fails at once, the first is answered by its run. */
+    /** A second request with an id in use fails immediately; the first is answered by its run. */
     @Test
     void secondRequestWithAnIdInUseFails() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -241,11 +251,11 @@
     }
 
     /**
-     * The id of a request whose caller disconnects, on a new connection: it fails in the same batch, as ids are new
-     * with every attempt, and is accepted later.
+     * The id of a request whose caller has disconnected is still in use in the same batch, so a second request with the
+     * id fails. In the next batch the id is accepted.
      */
     @Test
-    void idReusedAsItsCallerDisconnectsIsAnsweredOnceEach() {
+    void idReusedAfterADisconnectFailsInTheSameBatchAndIsAcceptedInTheNext() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String first = fixture.receive("look", null, "a");
         fixture.decide();
@@ -269,9 +279,9 @@
         assertEquals(UNANSWERED, fixture.responses(first));
     }
 
-    /** The id of a released request, which the agent still knows: what the agent reports of it counts. */
+    /** A request that reuses the id of a released request ends as the agent reports, also if it was never started. */
     @Test
-    void idReusedAfterItsReleaseIsAnsweredAsTheAgentReports() {
+    void requestWithAReleasedIdEndsAsTheAgentReports() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receiveAndComplete();
         fixture.advance(36_000);
@@ -286,42 +296,39 @@
         assertEquals(0, fixture.backend.unansweredRequests());
     }
 
-    /** A subject that comes with a write stands for no result to share: each request is run and answered by itself. */
+    /** Writes with the same subject share no result: each is run and answered separately. */
     @Test
-    void writesOfOneSubjectDoNotShareResults() {
+    void writesWithTheSameSubjectDoNotShareResults() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1))
                 .changePriorityClass(BackendFixture.BUY, buy -> buy.semantics(RequestSemantics.NON_IDEMPOTENT)));
-        String one = fixture.receive("buy", null, "s", "a", fixture.now());
-        String two = fixture.receive("buy", null, "s", "b", fixture.now());
+        String first = fixture.receive("buy", null, "s", "a", fixture.now());
+        String second = fixture.receive("buy", null, "s", "b", fixture.now());
         fixture.decide();
-        assertEquals(List.of(one, two), fixture.launched(one, two));
-        fixture.endRun(one, Outcome.OK, "of a");
-        fixture.endRun(two, Outcome.OK, "of b");
+        assertEquals(List.of(first, second), fixture.launched(first, second));
+        fixture.endRun(first, Outcome.OK, "of a");
+        fixture.endRun(second, Outcome.OK, "of b");
         fixture.decide();
-        assertEquals(List.of("succeeded of a"), fixture.responses(one));
-        assertEquals(List.of("succeeded of b"), fixture.responses(two));
+        assertEquals(List.of("succeeded of a"), fixture.responses(first));
+        assertEquals(List.of("succeeded of b"), fixture.responses(second));
     }
 
-    /**
-     * In a class without idempotency keys no two requests are duplicates, and a call that may have had its effect is
-     * not made again.
-     */
+    /** Requests without idempotency keys are no duplicates, and a call with unknown outcome is not retried. */
     @Test
-    void requestsWithoutIdempotencyKeyRunAndCallOnceEach() {
+    void requestsWithoutIdempotencyKeyEachRunAndCallOnce() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.changePriorityClass(
                 BackendFixture.BUY, buy -> buy.semantics(RequestSemantics.NON_IDEMPOTENT)));
-        String one = fixture.receive("buy", null, "a");
-        String two = fixture.receive("buy", null, "a");
+        String first = fixture.receive("buy", null, "a");
+        String second = fixture.receive("buy", null, "a");
         fixture.decide();
-        fixture.requestCall(one);
+        fixture.requestCall(first);
         fixture.decide();
-        fixture.endCall(one, Outcome.CONNECTION_LOST);
+        fixture.endCall(first, Outcome.CONNECTION_LOST);
         fixture.decide();
         assertEquals(
                 List.of("launch", "call"),
-                fixture.commands(one),
-                "a call that may have had its effect is not made retry");
-        assertEquals(FAILED, fixture.responses(one));
-        assertEquals(List.of("launch"), fixture.commands(two));
+                fixture.commands(first),
+                "a call that may have had side effects is not retried");
+        assertEquals(FAILED, fixture.responses(first));
+        assertEquals(List.of("launch"), fixture.commands(second));
     }
 }
--- a/src/test/java/merlinlever/backend/DuplicateRequestTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestTest.java
@@ -12,29 +12,29 @@
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Duplicates of a request: who shares its run, who fails, and what is retained. */
+/** Duplicates of a request: which share its outcome, which fail, and which requests are retained. */
 class DuplicateRequestTest {
 
-    /** Rule 2: every duplicate in the window of a request with an idempotency key gets the outcome of the one run. */
+    /** Rule 2: every duplicate within the idempotency window gets the outcome of the single run. */
     @Test
-    void duplicatesShareTheRunWhileItLastsAndAfterIt() {
+    void duplicatesShareTheRunDuringAndAfterIt() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
-        String during = fixture.receive("buy", "t", "a");
+        String duringRun = fixture.receive("buy", "t", "a");
         fixture.endRun(first, Outcome.OK, "done");
-        String after = fixture.receive("buy", "t", "a");
+        String afterRun = fixture.receive("buy", "t", "a");
         fixture.advance(4900);
-        String late = fixture.receive("buy", "t", "a");
-        for (String id : List.of(first, during, after, late)) {
+        String beforeWindowEnd = fixture.receive("buy", "t", "a");
+        for (String id : List.of(first, duringRun, afterRun, beforeWindowEnd)) {
             assertEquals("succeeded done", fixture.response(id));
         }
         assertEquals(List.of("launch " + first), fixture.commands);
         fixture.advance(200);
-        String next = fixture.receive("buy", "t", "a");
-        assertEquals(1, fixture.count("launch " + next));
+        String afterWindow = fixture.receive("buy", "t", "a");
+        assertEquals(1, fixture.count("launch " + afterWindow));
     }
 
-    /** The caller of the first disconnected; its run continues for the one that retries. */
+    /** A run whose caller disconnected continues for a duplicate. */
     @Test
     void duplicateGetsTheOutcomeOfARunWhoseCallerDisconnected() {
         BackendFixture fixture = new BackendFixture();
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void duplicateOfAFailedRequestFailsAndIsNotRun() {
+    void duplicateOfAFailedRequestFailsWithoutRunning() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
         fixture.endRun(first, Outcome.ERROR, "");
@@ -57,9 +57,9 @@
         assertEquals(1, fixture.commands.size());
     }
 
-    /** An idempotency key that comes with another body stands for no request whose outcome could be shared. */
+    /** A request that reuses an idempotency key with a different body has no original whose outcome it could share. */
     @Test
-    void idempotencyKeyWithAnotherBodyFailsAndLeavesTheFirstAlone() {
+    void idempotencyKeyWithAnotherBodyFailsAndDoesNotAffectTheFirstRequest() {
         BackendFixture fixture = new BackendFixture();
         String first = fixture.receive("buy", "t", "a");
         String other = fixture.receive("buy", "t", "b");
@@ -69,11 +69,9 @@
         assertEquals("succeeded done", fixture.response(fixture.receive("buy", "t", "a")));
     }
 
-    /**
-     * The process's own limit: with more keys than are planned for, new requests are rejected, and no key is dropped.
-     */
+    /** Beyond the maximum number of retained requests, new requests are rejected and no retained request is evicted. */
     @Test
-    void keysBeyondTheLimitOfTheProcessAreRejectedAndNoneIsEvicted() {
+    void requestsBeyondTheRetentionLimitAreRejectedAndNoneIsEvicted() {
         BackendFixture fixture = new BackendFixture(settings -> settings.memoryPerKeyKb(0));
         int succeeded = 0;
         String id = fixture.receive("buy", "t0", "a");
@@ -88,7 +86,7 @@
         assertEquals("succeeded r0", fixture.response(fixture.receive("buy", "t0", "a")));
     }
 
-    /** In a flood of rejections nothing is retained of the rejected requests; only runs are remembered. */
+    /** Rejected requests take no memory, however many there are; only requests that ran are retained. */
     @Test
     void rejectedRequestsAreNotRetained() {
         BackendFixture fixture = new BackendFixture();
@@ -101,7 +99,7 @@
     }
 
     @Test
-    void readsOfASubjectShareAFreshResultWhereThatIsAllowed() {
+    void readsWithTheSameSubjectShareAFreshResultIfEnabled() {
         BackendFixture fixture = new BackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1)));
         for (int round = 0; round < 2; round++) {
             List<String> responses = new ArrayList<>();
--- a/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
+++ b/src/test/java/merlinlever/backend/IdempotencyCacheMemoryTest.java
@@ -11,10 +11,10 @@
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** The release of what is retained of a run, while duplicates of it arrive, disconnect or are read late. */
+/** The release of retained bodies and results while duplicates arrive, disconnect or are read late. */
 class IdempotencyCacheMemoryTest {
 
-    /** No result is retained longer than it can be asked for, however long its run took. */
+    /** The result of a run that took longer than the window is released once no duplicate can request it. */
     @Test
     void resultOfARunLongerThanItsWindowIsReleased() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(settings ->
@@ -32,9 +32,9 @@
         assertNull(fixture.request(first).body());
     }
 
-    /** A result is released also if another run has taken its place under the key. */
+    /** A result is released even if a later run has replaced it under the same key. */
     @Test
-    void resultOfARunThatWasReplacedIsReleased() {
+    void replacedResultIsReleased() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         String first = fixture.receiveAndComplete();
         fixture.advance(5001);
@@ -44,9 +44,9 @@
         assertNull(fixture.request(first).body());
     }
 
-    /** In a flood of callers that disconnect at once, the body is released with the request that never ran. */
+    /** The body of a queued request is released when the caller disconnects, so disconnects cannot fill the memory. */
     @Test
-    void bodyOfARequestThatNeverRanIsReleasedWithItsCaller() {
+    void bodyOfAQueuedRequestIsReleasedWhenItsCallerDisconnects() {
         BatchedBackendFixture fixture = new BatchedBackendFixture().fillCores();
         String queued = fixture.receive("buy", "t", "a");
         fixture.decide();
@@ -56,7 +56,7 @@
         assertEquals(4, fixture.backend.trackedRequests());
     }
 
-    /** A caller that retries and disconnects many times during one run leaves no list behind. */
+    /** A caller that retries and disconnects repeatedly during one run does not grow the list of duplicates. */
     @Test
     void disconnectedDuplicatesOfARunAreNotRetained() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
@@ -74,7 +74,7 @@
         assertEquals(1, fixture.backend.trackedRequests());
     }
 
-    /** A duplicate that arrived in the window but is read more than 2 s after its end fails, and does not run. */
+    /** A duplicate that arrived in the window but is read more than 2 s after the window fails without running. */
     @Test
     void duplicateReadAfterTheResultWasReleasedFails() {
         for (int lateMs : new int[] {1990, 2010, 20_000}) {
@@ -90,28 +90,30 @@
     }
 
     /**
-     * The result is released in the batch in which a duplicate is read: before the release it shares, after it it
-     * fails.
+     * A duplicate that is read in the batch that releases the result shares the result; a duplicate read in the next
+     * batch fails.
      */
     @Test
-    void duplicateReadInTheBatchOfTheReleaseHasOneResponse() {
+    void duplicateReadInTheBatchOfTheReleaseSharesTheResult() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
         fixture.callerTimeout = Duration.ofSeconds(25);
         fixture.receiveAndComplete();
         fixture.advance(7000);
         fixture.moveClock(2);
-        String before = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2100));
+        String readInReleaseBatch =
+                fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2100));
         fixture.decide();
-        String after = fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2100));
+        String readAfterRelease =
+                fixture.receive("buy", "t", null, "a", fixture.now().minusMillis(2100));
         fixture.decide();
-        assertEquals(SUCCEEDED, fixture.responses(before));
-        assertEquals(FAILED, fixture.responses(after));
-        assertEquals(List.of(), fixture.launched(before, after));
+        assertEquals(SUCCEEDED, fixture.responses(readInReleaseBatch));
+        assertEquals(FAILED, fixture.responses(readAfterRelease));
+        assertEquals(List.of(), fixture.launched(readInReleaseBatch, readAfterRelease));
     }
 
-    /** What a class with a long window leaves behind does not retain what a class with a short one has left. */
+    /** Requests of a class with a short window are released while earlier requests with a long window are retained. */
     @Test
-    void shortWindowIsNotRetainedBehindALongOne() {
+    void requestWithAShortWindowIsReleasedBeforeAnEarlierOneWithALongWindow() {
         BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.changePriorityClass(
                         BackendFixture.LOOK, look -> look.idempotencyWindow(Duration.ofSeconds(1)))
                 .changePriorityClass(BackendFixture.BUY, buy -> buy.idempotencyWindow(Duration.ofMinutes(10))));
@@ -122,6 +124,6 @@
             fixture.endRun(lookup, Outcome.OK, "done");
         }
         fixture.advance(31_100);
-        assertEquals(1, fixture.backend.trackedRequests(), "the one with the long window");
+        assertEquals(1, fixture.backend.trackedRequests(), "only the request with the long window is tracked");
     }
 }
--- a/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
+++ b/src/test/java/merlinlever/backend/InDoubtCommandsTest.java
@@ -8,7 +8,7 @@
 import merlinlever.controller.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Commands to the agent together with the loss of the link to it. */
+/** Resending of commands to the agent after the link to the agent was lost. */
 class InDoubtCommandsTest {
 
     private static void loseLink(BackendFixture fixture) {
@@ -31,7 +31,7 @@
         return id;
     }
 
-    /** Commands that were sent again and lost again: the second loss counts from their second sending. */
+    /** Commands that were resent are in doubt again if the next link breaks shortly after they were resent. */
     @Test
     void resentCommandsAreInDoubtAgainWithTheNextLink() {
         BackendFixture fixture = new BackendFixture();
@@ -50,7 +50,7 @@
         catchUp(fixture);
         assertEquals(3, fixture.count("deliver " + replied));
         assertEquals(3, fixture.count("launch " + launched));
-        // By now they have surely arrived.
+        // The commands were resent 60 ms ago and must have arrived.
         fixture.advance(60);
         loseLink(fixture);
         restoreLink(fixture);
@@ -59,9 +59,9 @@
         assertEquals(3, fixture.count("launch " + launched));
     }
 
-    /** A launch that arrived long ago is not sent again: its outcome may be under way, and it would run twice. */
+    /** A launch that must have arrived is not resent, as the request would run twice if its run had ended. */
     @Test
-    void launchThatSurelyArrivedIsNotResent() {
+    void launchThatMustHaveArrivedIsNotResent() {
         BackendFixture fixture = new BackendFixture();
         String arrived = fixture.receive("buy", "t", "a");
         fixture.advance(60);
@@ -81,28 +81,26 @@
                         fixture.count("launch " + onNewLink)));
     }
 
-    /** The clock need not move between two events of one batch: their order counts, not the time. */
+    /** Events with the same time are handled in their order: a reply is in doubt only if sent before the new link. */
     @Test
-    void orderOfReplyAndLinkCountsAtOneInstant() {
+    void replyBeforeTheNewLinkIsResentAndReplyAfterItIsNot() {
         BackendFixture fixture = new BackendFixture();
-        String before = fixture.receive("look", null, "a");
-        String after = fixture.receive("look", null, "b");
-        fixture.requestCall(before);
-        fixture.requestCall(after);
+        String repliedBeforeLink = fixture.receive("look", null, "a");
+        String repliedAfterLink = fixture.receive("look", null, "b");
+        fixture.requestCall(repliedBeforeLink);
+        fixture.requestCall(repliedAfterLink);
         loseLink(fixture);
-        fixture.endCall(before, Outcome.OK);
+        fixture.endCall(repliedBeforeLink, Outcome.OK);
         restoreLink(fixture);
-        fixture.endCall(after, Outcome.OK);
+        fixture.endCall(repliedAfterLink, Outcome.OK);
         catchUp(fixture);
-        assertEquals(2, fixture.count("deliver " + before));
-        assertEquals(1, fixture.count("deliver " + after));
+        assertEquals(2, fixture.count("deliver " + repliedBeforeLink));
+        assertEquals(1, fixture.count("deliver " + repliedAfterLink));
     }
 
-    /**
-     * A link that is lost before all events are read leaves in doubt what the first one left, and what was sent since.
-     */
+    /** A second loss before all events are read keeps the first link's commands in doubt and adds the second link's. */
     @Test
-    void secondBreakBeforeCatchingUpAddsToTheDoubt() {
+    void secondLinkLossBeforeCatchingUpAddsCommandsInDoubt() {
         BackendFixture fixture = new BackendFixture();
         String first = receiveAndReply(fixture);
         loseLink(fixture);
@@ -118,9 +116,9 @@
         assertEquals(2, fixture.count("deliver " + second));
     }
 
-    /** A run that continued while the link was away has its reply; at its next call that reply is not sent again. */
+    /** A run that reached its next call has received the previous reply, which is therefore not resent. */
     @Test
-    void consumedReplyIsNotSentToTheNextCall() {
+    void receivedReplyIsNotResentToTheNextCall() {
         BackendFixture fixture = new BackendFixture();
         String id = receiveAndReply(fixture);
         loseLink(fixture);
@@ -137,9 +135,9 @@
         assertEquals(2, fixture.count("deliver " + id));
     }
 
-    /** An outcome that crosses the command to stop: whichever it is, the run is over and the request is released. */
+    /** Any outcome that the agent sends before receiving a stop command ends the run, and the request is released. */
     @Test
-    void anyOutcomeThatCrossesAStopEndsTheRequest() {
+    void anyOutcomeAfterAStopCommandEndsTheRequest() {
         for (Outcome outcome : List.of(Outcome.OK, Outcome.ERROR, Outcome.STOPPED, Outcome.NOT_STARTED)) {
             BackendFixture fixture = new BackendFixture(settings ->
                     settings.changePriorityClass(BackendFixture.LOOK, look -> look.idempotencyWindow(Duration.ZERO)));
@@ -152,13 +150,13 @@
             assertEquals(UNANSWERED, fixture.responsesById.get(id));
             assertEquals(0, fixture.backend.metrics().orElseThrow().requests().onCores(), "" + outcome);
             assertEquals(List.of("launch " + id, "stop " + id), fixture.commands);
-            // Its id is tracked for as long as a duplicate may still be read.
+            // The request is tracked as long as a duplicate may still be read.
             fixture.advance(31_000);
             assertEquals(0, fixture.backend.trackedRequests(), "" + outcome);
         }
     }
 
-    /** A stop that was lost with the link is sent again, unless the outcome has been read meanwhile. */
+    /** A stop command that may be lost is resent unless the run's outcome has been read. */
     @Test
     void stopIsResentUnlessTheRunHasEnded() {
         BackendFixture fixture = new BackendFixture();
@@ -176,9 +174,9 @@
         assertEquals(1, fixture.count("stop " + ended));
     }
 
-    /** The same request for a call in two events: one call is made, and one reply goes to the run. */
+    /** Two events with the same request for a call result in one call and one reply. */
     @Test
-    void repeatedCallRequestMakesOneCall() {
+    void repeatedCallEventMakesOneCall() {
         BackendFixture fixture = new BackendFixture();
         String id = fixture.receive("look", null, "a");
         fixture.requestCall(id);
@@ -188,18 +186,16 @@
         assertEquals(List.of("launch " + id, "call " + id, "deliver " + id), fixture.commands);
     }
 
-    /**
-     * Commands that were sent on a link that broke are sent again, and only those; a consumed reply is not sent twice.
-     */
+    /** Only commands that may have been lost with the link are resent, and only once. */
     @Test
     void onlyCommandsInDoubtAreResentAfterALostLink() {
         BackendFixture fixture = new BackendFixture();
-        String old = fixture.receive("look", null, "a");
-        fixture.requestCall(old);
-        fixture.endCall(old, Outcome.OK);
+        String arrived = fixture.receive("look", null, "a");
+        fixture.requestCall(arrived);
+        fixture.endCall(arrived, Outcome.OK);
         fixture.advance(100);
         Duration lastConfirmed = fixture.now;
-        String ended = fixture.receive("look", null, "b");
+        String endedRun = fixture.receive("look", null, "b");
         String inDoubt = fixture.receive("look", null, "c");
         fixture.requestCall(inDoubt);
         String calling = fixture.receive("look", null, "d");
@@ -209,7 +205,7 @@
         String withoutLink = fixture.receive("buy", "t", "e");
         fixture.advance(50);
         fixture.backend.agentLinkRestored(fixture.now);
-        fixture.endRun(ended, Outcome.OK, "done");
+        fixture.endRun(endedRun, Outcome.OK, "done");
         fixture.commands.clear();
         fixture.endCall(calling, Outcome.OK);
         fixture.backend.agentEventsCaughtUp(fixture.now);
@@ -219,7 +215,7 @@
         assertEquals(List.of(), fixture.commands);
     }
 
-    /** A command that left up to 50 ms before the break may be lost, even if the link was known to work until then. */
+    /** A command sent up to 50 ms before the link broke may be lost, even if the link was confirmed until then. */
     @Test
     void replySentShortlyBeforeTheBreakIsResent() {
         BackendFixture fixture = new BackendFixture();
@@ -233,7 +229,7 @@
         assertEquals(2, fixture.count("deliver " + id));
     }
 
-    /** The outcome can no longer be known: the request fails, and its idempotency key does not run again. */
+    /** A run whose events are lost has an unknown outcome: the request fails and its key does not run again. */
     @Test
     void runsWhoseEventsWereLostFailAndAreNotRestarted() {
         BackendFixture fixture = new BackendFixture();
--- a/src/test/java/merlinlever/backend/RecordingDependencies.java
+++ b/src/test/java/merlinlever/backend/RecordingDependencies.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * The agent and the downstream service of a backend under test: records as words what they are asked for, as "launch"
- * with the id of the request. Neither does anything by itself.
+ * Agent and downstream service of a backend under test. Records each command as a string, such as "launch" and the id
+ * of the request, and does nothing else.
  */
 public abstract class RecordingDependencies implements BackendDependencies, DownstreamService {
 
-    /** What was asked of the agent and of the downstream service, in order. */
+    /** The commands that were sent to the agent and to the downstream service, in order. */
     public final List<String> commands;
 
     protected RecordingDependencies(List<String> commands) {
--- a/src/test/java/merlinlever/backend/RecordingResponseSink.java
+++ b/src/test/java/merlinlever/backend/RecordingResponseSink.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A sink that records, as words, the responses that it receives. */
+/** Records the responses that it receives as strings. */
 public record RecordingResponseSink(List<String> responses) implements ResponseSink {
 
     @Override
--- a/src/test/java/merlinlever/backend/SafetyRulesPropertyTest.java
+++ b/src/test/java/merlinlever/backend/SafetyRulesPropertyTest.java
@@ -14,10 +14,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The safety rules under random sequences of events, from fixed seeds. */
+/** The safety rules hold for random sequences of events, from fixed seeds. */
 class SafetyRulesPropertyTest {
 
-    /** The time that the controller may take beyond a deadline to answer. */
+    /** Maximum time from a deadline to the response. */
     private static final long RESPONSE_TOLERANCE_MS = 20;
 
     private final Map<String, String> idempotencyKeys = new HashMap<>();
@@ -26,11 +26,9 @@
     private final Set<String> ended = new HashSet<>();
     private BackendFixture fixture;
     private SplittableRandom random;
-    private boolean linked;
+    private boolean linkUp;
 
-    /**
-     * Whatever happens in whatever order: one response in time, no key run twice in a window, no result without a run.
-     */
+    /** Each request gets one response in time, no key runs twice in a window, and no result is sent without a run. */
     @Property(tries = 60, seed = "41")
     void safetyRulesHoldForRandomEventSequences(@ForAll long seed) {
         fixture = new BackendFixture();
@@ -39,17 +37,17 @@
         deadlines.clear();
         disconnected.clear();
         ended.clear();
-        linked = true;
+        linkUp = true;
         for (int step = 0; step < 400; step++) {
-            playEvent();
+            applyRandomEvent();
             fixture.responsesById.forEach(this::checkResponses);
         }
-        checkThatWindowsDoNotOverlap();
+        checkThatNoKeyRanTwiceInAWindow();
     }
 
-    private void playEvent() {
+    private void applyRandomEvent() {
         List<String> running =
-                launched().distinct().filter(id -> !ended.contains(id)).toList();
+                launchedIds().distinct().filter(id -> !ended.contains(id)).toList();
         String run = running.isEmpty() ? null : running.get(random.nextInt(running.size()));
         int event = random.nextInt(10);
         if (event < 3) {
@@ -61,7 +59,7 @@
             fixture.requestCall(run);
         } else if (event == 4 && run != null) {
             fixture.endCall(run, Outcome.values()[random.nextInt(6)]);
-        } else if (event < 7 && run != null && linked) {
+        } else if (event < 7 && run != null && linkUp) {
             ended.add(run);
             fixture.endRun(run, random.nextInt(4) == 0 ? Outcome.ERROR : Outcome.OK, idempotencyKeys.get(run));
         } else if (event == 7 && run != null && random.nextBoolean()) {
@@ -76,26 +74,26 @@
         }
     }
 
-    private Stream<String> launched() {
+    private Stream<String> launchedIds() {
         return fixture.commands.stream()
                 .filter(command -> command.startsWith("launch "))
                 .map(command -> command.substring("launch ".length()));
     }
 
     private void toggleLink() {
-        if (linked) {
+        if (linkUp) {
             fixture.backend.agentLinkLost(fixture.now);
         } else {
             fixture.backend.agentLinkRestored(fixture.now);
             fixture.backend.agentEventsCaughtUp(fixture.now);
         }
-        linked = !linked;
+        linkUp = !linkUp;
     }
 
     private void checkResponses(String id, List<String> responses) {
         assertTrue(responses.size() <= 1, id + " " + responses);
-        boolean isInTime = fixture.now.compareTo(deadlines.get(id).plusMillis(RESPONSE_TOLERANCE_MS)) <= 0;
-        assertTrue(responses.size() == 1 || disconnected.contains(id) || isInTime);
+        boolean isBeforeDeadline = fixture.now.compareTo(deadlines.get(id).plusMillis(RESPONSE_TOLERANCE_MS)) <= 0;
+        assertTrue(responses.size() == 1 || disconnected.contains(id) || isBeforeDeadline);
         assertTrue(
                 responses.isEmpty()
                         || !responses.get(0).startsWith("succeeded")
@@ -103,9 +101,9 @@
                 id);
     }
 
-    private void checkThatWindowsDoNotOverlap() {
+    private void checkThatNoKeyRanTwiceInAWindow() {
         Map<String, Set<String>> runsByKey = new HashMap<>();
-        launched().filter(id -> !idempotencyKeys.get(id).equals("null")).forEach(id -> runsByKey
+        launchedIds().filter(id -> !idempotencyKeys.get(id).equals("null")).forEach(id -> runsByKey
                 .computeIfAbsent(idempotencyKeys.get(id), key -> new HashSet<>())
                 .add(id));
         runsByKey.values().forEach(ids -> {
