--- a/src/main/java/merlinlever/backend/directory/HeartbeatSender.java
+++ b/src/main/java/merlinlever/backend/directory/HeartbeatSender.java
@@ -7,13 +7,12 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** Sends heartbeats to the directory: one datagram each, without an answer. Used on one thread. */
+/** Sends heartbeats to the directory, each as one datagram without a reply. Not thread-safe. */
 public final class HeartbeatSender {
 
     /**
-     * The time between two heartbeats. A quarter of them may be lost, and the directory removes an entry 3 s after the
-     * last one. With one a second, two lost in a row (one case in sixteen) would remove a healthy backend, as the third
-     * comes at the moment of the expiry; with this period five come in time.
+     * Time between two heartbeats. The directory removes an entry 3 s after its last heartbeat. Five further heartbeats
+     * are due within that time, so that the loss of a quarter of all datagrams rarely removes a healthy backend.
      */
     public static final Duration PERIOD = Duration.ofMillis(500);
 
@@ -22,7 +21,7 @@
     private InetSocketAddress directoryAddress;
 
     /**
-     * @param serverName the name that the directory lists
+     * @param serverName the name of the server's directory entry
      * @throws IOException if no socket can be opened
      */
     public HeartbeatSender(InetSocketAddress directoryAddress, String serverName) throws IOException {
@@ -32,18 +31,18 @@
         channel.configureBlocking(false);
     }
 
-    /** Sends heartbeats to this address from now on. */
+    /** Sets the address that further heartbeats are sent to. */
     public void setAddress(InetSocketAddress newAddress) {
         directoryAddress = newAddress;
     }
 
-    /** Sends one heartbeat, or drops it where it cannot be sent now: the next one says the same. */
+    /** Sends one heartbeat, or drops it if it cannot be sent, as the next heartbeat carries the same information. */
     public void send(boolean accepting) {
         String text = "PULSE " + serverName + (accepting ? " open" : " closed");
         try {
             channel.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), directoryAddress);
         } catch (IOException e) {
-            // Nobody listens, or the system has no buffer left.
+            // The directory is unreachable or the socket buffer is full; the next heartbeat follows in any case.
         }
     }
 }
--- a/src/main/java/merlinlever/backend/management/ManagementServer.java
+++ b/src/main/java/merlinlever/backend/management/ManagementServer.java
@@ -16,9 +16,9 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * The management endpoint: {@code GET /state} over HTTP/1.1 returns one JSON object, anything else is 404. It
- * limits concurrent connections and connections per second, serves one request on each, and closes further ones
- * unread, so that the requests of the instance itself are not delayed.
+ * The management endpoint: {@code GET /state} over HTTP/1.1 returns one JSON object, any other request returns 404.
+ * Serves one request per connection. Concurrent connections and connections per second are limited, and excess
+ * connections are closed unread, so that the endpoint does not delay the requests of the instance itself.
  */
 public final class ManagementServer {
 
@@ -37,9 +37,9 @@
     private int acceptedThisSecond;
 
     /**
-     * Listens at the address.
+     * Begins to listen on the address.
      *
-     * @param state the response's body, one JSON object
+     * @param state supplies the body of the response, one JSON object
      * @throws IOException if the address cannot be bound
      */
     public ManagementServer(EventLoop loop, InetSocketAddress address, Supplier<String> state) throws IOException {
@@ -51,12 +51,12 @@
                 TIMEOUT_CHECK_INTERVAL, () -> List.copyOf(connections).forEach(ManagementConnection::closeIfTimedOut));
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() throws IOException {
         return acceptor.address();
     }
 
-    /** Closes it with all connections. */
+    /** Closes the server and all connections. */
     public void close() {
         acceptor.close();
         List.copyOf(connections).forEach(open -> open.connection.close(CloseReason.COMPLETED));
@@ -79,7 +79,7 @@
         }
     }
 
-    /** One connection, with its one request. */
+    /** One connection, which serves one request. */
     private final class ManagementConnection implements Connection.Handler {
         private final Duration openedAt = loop.clock().uptime();
         private Connection connection;
@@ -97,17 +97,18 @@
             }
             input.position(input.limit());
             responded = true;
-            boolean isForState = request.startsWith("GET /state HTTP/1.");
-            connection.write(StandardCharsets.UTF_8.encode(isForState ? found(state.get()) : notFound()));
+            boolean isStateRequest = request.startsWith("GET /state HTTP/1.");
+            connection.write(
+                    StandardCharsets.UTF_8.encode(isStateRequest ? okResponse(state.get()) : notFoundResponse()));
         }
 
-        private static String found(String body) {
+        private static String okResponse(String body) {
             int length = body.getBytes(StandardCharsets.UTF_8).length;
             return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: " + length
                     + "\r\n\r\n" + body;
         }
 
-        private static String notFound() {
+        private static String notFoundResponse() {
             return "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         }
 
--- a/src/main/java/merlinlever/backend/management/StatusReport.java
+++ b/src/main/java/merlinlever/backend/management/StatusReport.java
@@ -3,23 +3,23 @@
 import merlinlever.policy.ControllerMetrics;
 import merlinlever.policy.RejectionReason;
 
-/** Writes the state of an instance as one JSON object; its member names are part of the management interface. */
+/** Formats the state of an instance as a JSON object. The member names are part of the management interface. */
 public final class StatusReport {
 
     private static final int INITIAL_CAPACITY = 512;
 
-    /** JSON has no infinity, which is the capacity while none has been learned. */
+    /** Reported instead of the initial infinite capacity, as JSON cannot represent infinity. */
     private static final double MAX_REPORTED_CAPACITY = 1e9;
 
     private StatusReport() {}
 
     /**
-     * Writes the object.
+     * Returns the JSON object.
      *
-     * @param unansweredRequests requests that have been read and not answered yet
-     * @param uptimeMs milliseconds since the start
-     * @param metrics of the controller; null before there is one
-     * @param recovery a JSON object on the progress of recovery; null where no state is kept for one
+     * @param unansweredRequests number of requests that were read and are not yet answered
+     * @param uptimeMs milliseconds since the start of the process
+     * @param metrics the controller's metrics; null before the controller exists
+     * @param recovery a JSON object with the progress of recovery; null if no recovery state is kept
      */
     public static String toJson(
             boolean draining,
@@ -28,7 +28,7 @@
             long uptimeMs,
             ControllerMetrics metrics,
             String recovery) {
-        StringBuilder text = new StringBuilder(INITIAL_CAPACITY)
+        StringBuilder json = new StringBuilder(INITIAL_CAPACITY)
                 .append("{\"phase\":\"")
                 .append(phase(draining, metrics))
                 .append("\",\"healthy\":")
@@ -38,12 +38,12 @@
                 .append(",\"age_ms\":")
                 .append(uptimeMs);
         if (metrics != null) {
-            appendMetrics(text, metrics);
+            appendMetrics(json, metrics);
         }
         if (recovery != null) {
-            text.append(",\"recovery\":").append(recovery);
+            json.append(",\"recovery\":").append(recovery);
         }
-        return text.append('}').toString();
+        return json.append('}').toString();
     }
 
     private static String phase(boolean draining, ControllerMetrics metrics) {
@@ -56,8 +56,8 @@
         return metrics.speedFraction() < 1 ? "cold" : "warm";
     }
 
-    private static void appendMetrics(StringBuilder text, ControllerMetrics metrics) {
-        text.append(",\"hung\":")
+    private static void appendMetrics(StringBuilder json, ControllerMetrics metrics) {
+        json.append(",\"hung\":")
                 .append(metrics.stalled())
                 .append(",\"held\":")
                 .append(metrics.requests().queued())
@@ -75,11 +75,11 @@
                 .append(metrics.requests().failed())
                 .append(",\"pushed_back\":{");
         for (RejectionReason reason : RejectionReason.values()) {
-            text.append(reason.ordinal() == 0 ? "\"" : ",\"")
+            json.append(reason.ordinal() == 0 ? "\"" : ",\"")
                     .append(reason.wireName())
                     .append("\":")
                     .append(metrics.requests().rejected().get(reason));
         }
-        text.append('}');
+        json.append('}');
     }
 }
--- a/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestInterleavingTest.java
@@ -114,9 +114,9 @@
         for (Attempt attempt : attempts) {
             List<String> responses = fixture.responses(attempt.id);
             assertTrue(responses.size() <= (attempt.disconnected ? 0 : 1), attempt.id + " " + responses);
-            boolean isBeforeDeadline = fixture.now().compareTo(attempt.deadline.plusMillis(60)) <= 0;
+            boolean isWithinDeadline = fixture.now().compareTo(attempt.deadline.plusMillis(60)) <= 0;
             assertTrue(
-                    responses.size() == 1 || attempt.disconnected || isBeforeDeadline, "rule 1: not answered in time");
+                    responses.size() == 1 || attempt.disconnected || isWithinDeadline, "rule 1: not answered in time");
             if (!responses.isEmpty()) {
                 String response = responses.get(0);
                 assertTrue(
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -110,7 +110,7 @@
         assertEquals(SUCCEEDED, fixture.responses(retry));
     }
 
-    /** An arrival time years ago must not enter the controller's estimate of the read delay and reject other requests. */
+    /** An implausible arrival time must not enter the estimated read delay and cause rejections of other requests. */
     @Test
     void arrivalTimeLongAgoDoesNotRejectOtherRequests() {
         BatchedBackendFixture fixture = new BatchedBackendFixture();
--- a/src/test/java/merlinlever/backend/SafetyRulesPropertyTest.java
+++ b/src/test/java/merlinlever/backend/SafetyRulesPropertyTest.java
@@ -92,8 +92,8 @@
 
     private void checkResponses(String id, List<String> responses) {
         assertTrue(responses.size() <= 1, id + " " + responses);
-        boolean isBeforeDeadline = fixture.now.compareTo(deadlines.get(id).plusMillis(RESPONSE_TOLERANCE_MS)) <= 0;
-        assertTrue(responses.size() == 1 || disconnected.contains(id) || isBeforeDeadline);
+        boolean isWithinDeadline = fixture.now.compareTo(deadlines.get(id).plusMillis(RESPONSE_TOLERANCE_MS)) <= 0;
+        assertTrue(responses.size() == 1 || disconnected.contains(id) || isWithinDeadline);
         assertTrue(
                 responses.isEmpty()
                         || !responses.get(0).startsWith("succeeded")
--- a/src/test/java/merlinlever/backend/directory/HeartbeatSenderTest.java
+++ b/src/test/java/merlinlever/backend/directory/HeartbeatSenderTest.java
@@ -11,52 +11,54 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats against the lapse of an entry, and to a directory that is not there. */
+/** Heartbeats with lost datagrams, and to a directory that is down. */
 class HeartbeatSenderTest {
 
     private static final long ENTRY_EXPIRY_MS = 3000;
 
-    /** Lapses in so many seconds, each report a little late and one in four lost. */
+    /** Simulates delayed heartbeats of which one in four is lost, and counts the expiries of the directory entry. */
     private static int countExpiries(long periodMs, int seconds, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        int lapses = 0;
-        double last = 0;
-        for (double at = 0; at < seconds * 1000.0; at += periodMs + random.nextInt(1, 10)) {
+        int expiries = 0;
+        double lastReceivedAt = 0;
+        for (double sentAt = 0; sentAt < seconds * 1000.0; sentAt += periodMs + random.nextInt(1, 10)) {
             if (random.nextInt(4) > 0) {
-                lapses += at - last >= ENTRY_EXPIRY_MS ? 1 : 0;
-                last = at;
+                expiries += sentAt - lastReceivedAt >= ENTRY_EXPIRY_MS ? 1 : 0;
+                lastReceivedAt = sentAt;
             }
         }
-        return lapses;
+        return expiries;
     }
 
-    /** Against a backend that serves and drops off the list: with one a second that came about every twenty seconds. */
+    /** With one heartbeat per second, the entry of a healthy backend would expire about every 20 s. */
     @Test
-    void losingAQuarterOfTheHeartbeatsRarelyExpiresTheEntry() {
-        int lapses = 0;
-        int before = 0;
+    void lossOfAQuarterOfTheHeartbeatsRarelyExpiresTheEntry() {
+        int expiries = 0;
+        int expiriesAtOnePerSecond = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            lapses += countExpiries(HeartbeatSender.PERIOD.toMillis(), 1000, seed);
-            before += countExpiries(1000, 1000, seed);
+            expiries += countExpiries(HeartbeatSender.PERIOD.toMillis(), 1000, seed);
+            expiriesAtOnePerSecond += countExpiries(1000, 1000, seed);
         }
-        assertTrue(lapses < 20 * 4, lapses + " in 20,000 s");
-        assertTrue(before > 20 * 20, before + " in 20,000 s with one a second: the model counts them");
+        assertTrue(expiries < 20 * 4, expiries + " expiries in 20,000 s");
+        assertTrue(
+                expiriesAtOnePerSecond > 20 * 20,
+                expiriesAtOnePerSecond + " expiries in 20,000 s with one heartbeat per second");
     }
 
-    /** A directory that is gone, or moves between two reports, costs nothing but those heartbeats. */
+    /** Heartbeats to a directory that is down are dropped, and those after a change of its address are received. */
     @Test
-    void heartbeatsContinueWhenTheDirectoryIsDownAndMoves() throws Exception {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        DatagramSocket gone = new DatagramSocket(0, here);
-        int port = gone.getLocalPort();
-        gone.close();
-        HeartbeatSender heartbeats = new HeartbeatSender(new InetSocketAddress(here, port), "n3");
-        try (DatagramSocket directory = new DatagramSocket(0, here)) {
+    void heartbeatsContinueWhenTheDirectoryIsDownOrMoves() throws Exception {
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        DatagramSocket closedSocket = new DatagramSocket(0, loopback);
+        int closedPort = closedSocket.getLocalPort();
+        closedSocket.close();
+        HeartbeatSender heartbeats = new HeartbeatSender(new InetSocketAddress(loopback, closedPort), "n3");
+        try (DatagramSocket directory = new DatagramSocket(0, loopback)) {
             directory.setSoTimeout(20_000);
             for (int i = 0; i < 3; i++) {
                 heartbeats.send(true);
             }
-            heartbeats.setAddress(new InetSocketAddress(here, directory.getLocalPort()));
+            heartbeats.setAddress(new InetSocketAddress(loopback, directory.getLocalPort()));
             heartbeats.send(false);
             DatagramPacket packet = new DatagramPacket(new byte[100], 100);
             directory.receive(packet);
--- a/src/test/java/merlinlever/backend/management/ManagementServerTest.java
+++ b/src/test/java/merlinlever/backend/management/ManagementServerTest.java
@@ -13,10 +13,10 @@
 
 class ManagementServerTest {
 
-    private static String exchange(InetSocketAddress address, String line) throws Exception {
+    private static String exchange(InetSocketAddress address, String request) throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(4000);
-            socket.getOutputStream().write(line.getBytes(UTF_8));
+            socket.getOutputStream().write(request.getBytes(UTF_8));
             return new String(socket.getInputStream().readAllBytes(), UTF_8);
         } catch (java.net.SocketException e) {
             return "";
@@ -33,19 +33,22 @@
         });
         new Thread(loop::run).start();
         InetSocketAddress address = server.address();
-        String answer = exchange(address, "GET /state HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n") && answer.endsWith("\r\n\r\n{\"phase\":\"warm\"}"), answer);
+        String response = exchange(address, "GET /state HTTP/1.1\r\nHost: x\r\n\r\n");
+        assertTrue(
+                response.startsWith("HTTP/1.1 200 OK\r\n") && response.endsWith("\r\n\r\n{\"phase\":\"warm\"}"),
+                response);
         assertTrue(exchange(address, "POST /state HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 404"));
         assertEquals("", exchange(address, "x".repeat(5000)));
-        long began = System.nanoTime();
-        assertEquals("", exchange(address, "GET /st"), "half a message is closed");
-        assertTrue(System.nanoTime() - began > 1_500_000_000L);
+        long startedAt = System.nanoTime();
+        assertEquals(
+                "", exchange(address, "GET /st"), "connection with an incomplete request is closed after the timeout");
+        assertTrue(System.nanoTime() - startedAt > 1_500_000_000L);
         stateReads.set(0);
-        began = System.nanoTime();
+        startedAt = System.nanoTime();
         for (int i = 0; i < 2000; i++) {
             exchange(address, "GET /state HTTP/1.1\r\n\r\n");
         }
-        double seconds = (System.nanoTime() - began) / 1e9;
+        double seconds = (System.nanoTime() - startedAt) / 1e9;
         assertTrue(stateReads.get() <= 50 * (seconds + 2), stateReads.get() + " in " + seconds + " s");
         loop.execute(server::close);
         loop.stop();
