--- a/src/main/java/merlinlever/backend/records/PendingCall.java
+++ b/src/main/java/merlinlever/backend/records/PendingCall.java
@@ -4,7 +4,7 @@
 import merlinlever.backend.TrackedRequest;
 import merlinlever.common.net.EventLoop;
 
-/** One downstream call, from its request until its outcome is known or nobody waits for it. */
+/** One downstream call, from its start until the outcome is known or the call is cancelled. */
 final class PendingCall {
 
     private final TrackedRequest request;
@@ -13,7 +13,7 @@
     private EventLoop.Timer timeout;
     private RecordsConnection connection;
 
-    /** @param deadline on the loop's uptime */
+    /** @param deadline in uptime of the event loop */
     PendingCall(TrackedRequest request, byte[] body, Duration deadline) {
         this.request = request;
         this.body = body;
@@ -28,7 +28,7 @@
         return body;
     }
 
-    /** When nobody waits for the reply any longer, on the loop's uptime. */
+    /** Returns the latest time at which the reply is of use, in uptime of the event loop. */
     Duration deadline() {
         return deadline;
     }
@@ -41,7 +41,7 @@
         timeout.cancel();
     }
 
-    /** The connection that it is sent on; null while it waits for one, and once it is over. */
+    /** Returns the connection that carries the call; null while the call waits for a connection and after its end. */
     RecordsConnection connection() {
         return connection;
     }
--- a/src/main/java/merlinlever/backend/records/RecordsClient.java
+++ b/src/main/java/merlinlever/backend/records/RecordsClient.java
@@ -20,44 +20,43 @@
 import merlinlever.controller.Outcome;
 
 /**
- * The pooled client of the downstream service. A call has a connection to itself until its outcome is known, so that a
- * malformed or missing reply or a broken connection costs one call. A connection that delivered one complete reply and
- * nothing else is reused, the most recently used one first. All methods are called on the event loop's thread.
+ * Client of the records service with a connection pool. A call uses a connection exclusively until the outcome is
+ * known, so that a malformed or missing reply or a broken connection affects only one call. A connection can be reused
+ * after one complete reply without surplus bytes; the most recently used connection is reused first. All methods are
+ * called on the event loop's thread.
  */
 public final class RecordsClient implements DownstreamService {
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
-    /**
-     * The service may forget connections that are idle for longer; whether a call on one was run would not be known.
-     */
+    /** The service may drop connections that are idle for longer; a call sent on one would have an unknown outcome. */
     private static final Duration MAX_IDLE = Duration.ofMillis(300);
-    /** A reply whose rest takes longer has a length that does not match its body. */
-    private static final Duration MAX_PARTIAL_REPLY_TIME = Duration.ofMillis(200);
-    /** How much longer than the timeout that was sent to the service a reply may take. */
+    /** Maximum pause within a reply; after a longer pause, the declared length is assumed to be wrong. */
+    private static final Duration MAX_REPLY_PAUSE = Duration.ofMillis(200);
+    /** Time that a reply may take beyond the timeout that was sent to the service. */
     private static final Duration REPLY_GRACE = Duration.ofMillis(20);
 
     private final EventLoop loop;
     private final CompletionListener listener;
     private final Log log;
     private final int maxConnections;
-    /** Null where there is no service. */
+    /** Null while no address of the service is known. */
     private InetSocketAddress address;
 
     private final Map<Long, PendingCall> callsByRequest = new LinkedHashMap<>();
-    /** Calls without a connection, in their order. */
-    private final ArrayDeque<PendingCall> waiting = new ArrayDeque<>();
-    /** Connections without a call, the one used last first. */
-    private final ArrayDeque<RecordsConnection> idle = new ArrayDeque<>();
+    /** Calls that wait for a connection, in the order of arrival. */
+    private final ArrayDeque<PendingCall> waitingCalls = new ArrayDeque<>();
+    /** Connections without a call, the most recently used first. */
+    private final ArrayDeque<RecordsConnection> idleConnections = new ArrayDeque<>();
 
     private final RecordsConnection.Listener connectionListener = new ConnectionListener();
 
     private int openConnections;
-    /** While waiting calls are being sent, a connection that closes must not begin to do the same. */
-    private boolean sendingWaiting;
+    /** Prevents reentry of {@link #sendWaitingCalls} from a connection that closes during the method. */
+    private boolean sendingWaitingCalls;
 
     /**
-     * @param address of the service, or null where there is none
-     * @param maxConnections at the same time; calls beyond that wait for one
+     * @param address address of the service, or null if not known
+     * @param maxConnections maximum number of connections; further calls wait for a free connection
      */
     public RecordsClient(
             EventLoop loop, InetSocketAddress address, CompletionListener listener, Log log, int maxConnections) {
@@ -78,15 +77,15 @@
                     loop.clock().now(), request.id(), callOutcome(CloseReason.CONNECT_TIMEOUT), null));
             return;
         }
-        // The service, too, takes a second call for a request as the end of its first.
+        // A second call for a request replaces the first; the service does the same.
         cancel(request);
         PendingCall call = new PendingCall(request, body, loop.clock().uptime().plus(timeout));
         callsByRequest.put(request.id(), call);
-        // Bytes that have been read already come first: a reply among them is in time, and an idle connection that they
-        // close gets no call.
+        // Both tasks are deferred, so that bytes that were read already are processed first: a reply among them is in
+        // time, and a connection that they close gets no call.
         call.setTimeout(loop.schedule(timeout.plus(REPLY_GRACE), () -> loop.execute(() -> expire(call))));
-        waiting.add(call);
-        loop.execute(this::sendWaiting);
+        waitingCalls.add(call);
+        loop.execute(this::sendWaitingCalls);
     }
 
     private void expire(PendingCall call) {
@@ -103,7 +102,7 @@
         }
     }
 
-    /** Ends the call and its connection, on which the reply may still come. */
+    /** Ends the call and closes its connection, as the reply may still arrive there. */
     private void abandon(PendingCall call, Optional<Outcome> outcome) {
         RecordsConnection connection = call.connection();
         complete(call, outcome, null);
@@ -112,10 +111,10 @@
         }
     }
 
-    /** The call is over; the listener is told unless it gave the call up itself. */
+    /** Ends the call and notifies the listener, unless the outcome is empty, as for a cancelled call. */
     private void complete(PendingCall call, Optional<Outcome> outcome, byte[] reply) {
         callsByRequest.remove(call.request().id());
-        waiting.remove(call);
+        waitingCalls.remove(call);
         call.cancelTimeout();
         if (call.connection() != null) {
             call.connection().detachCall();
@@ -128,28 +127,30 @@
     // ---- connections
 
     /**
-     * Sends calls to this address from now on, or nowhere if null; calls in flight finish on their connections.
+     * Sets the address for calls that are not sent yet. Calls that were sent finish on their connections.
+     *
+     * @param newAddress null if there is none, so that waiting and further calls end as unreachable
      */
     public void setAddress(InetSocketAddress newAddress) {
         if (Objects.equals(newAddress, address)) {
             return;
         }
         address = newAddress;
-        List<RecordsConnection> connecting = connectingWithCall();
+        List<RecordsConnection> connecting = connectingConnectionsWithCall();
         for (int i = connecting.size() - 1; i >= 0; i--) {
-            waiting.addFirst(connecting.get(i).call());
+            waitingCalls.addFirst(connecting.get(i).call());
             connecting.get(i).detachCall();
         }
         connecting.forEach(connection -> connection.close(CloseReason.COMPLETED));
         if (newAddress == null) {
             Optional<Outcome> outcome = Optional.of(callOutcome(CloseReason.CONNECT_TIMEOUT));
-            List.copyOf(waiting).forEach(call -> complete(call, outcome, null));
+            List.copyOf(waitingCalls).forEach(call -> complete(call, outcome, null));
         }
         sweep();
     }
 
-    /** In the order of their calls. */
-    private List<RecordsConnection> connectingWithCall() {
+    /** Returns the connections that are being established for a call, in the order of their calls. */
+    private List<RecordsConnection> connectingConnectionsWithCall() {
         List<RecordsConnection> connecting = new ArrayList<>();
         for (PendingCall call : callsByRequest.values()) {
             if (call.connection() != null && !call.connection().isConnected()) {
@@ -160,18 +161,18 @@
     }
 
     private void sweep() {
-        closeStalled();
-        while (!idle.isEmpty() && isExpired(idle.peekLast())) {
-            idle.pollLast().close(CloseReason.IDLE);
+        closeStalledConnections();
+        while (!idleConnections.isEmpty() && isExpired(idleConnections.peekLast())) {
+            idleConnections.pollLast().close(CloseReason.IDLE);
         }
-        // There may be a file descriptor now where there was none.
-        sendWaiting();
+        // A file descriptor may have become available since the last attempt to connect.
+        sendWaitingCalls();
     }
 
-    private void closeStalled() {
+    private void closeStalledConnections() {
         List<RecordsConnection> stalled = new ArrayList<>(0);
         for (PendingCall call : callsByRequest.values()) {
-            if (call.connection() != null && call.connection().isStalledFor(MAX_PARTIAL_REPLY_TIME)) {
+            if (call.connection() != null && call.connection().isStalledFor(MAX_REPLY_PAUSE)) {
                 stalled.add(call.connection());
             }
         }
@@ -182,47 +183,47 @@
         return !connection.address().equals(address) || connection.isIdleFor(MAX_IDLE);
     }
 
-    private void sendWaiting() {
-        if (sendingWaiting || address == null) {
+    private void sendWaitingCalls() {
+        if (sendingWaitingCalls || address == null) {
             return;
         }
-        sendingWaiting = true;
+        sendingWaitingCalls = true;
         try {
             boolean sent = true;
-            while (sent && !waiting.isEmpty()) {
+            while (sent && !waitingCalls.isEmpty()) {
                 Optional<RecordsConnection> connection =
-                        connectionFor(waiting.peek().request().id());
-                connection.ifPresent(free -> free.send(waiting.poll()));
+                        findOrOpenConnection(waitingCalls.peek().request().id());
+                connection.ifPresent(free -> free.send(waitingCalls.poll()));
                 sent = connection.isPresent();
             }
         } finally {
-            sendingWaiting = false;
+            sendingWaitingCalls = false;
         }
     }
 
     /**
-     * A connection for the request's call, if there is one. It is never the one that the request's last call was on, as
-     * a second reply to that call would be taken for the reply to the new one.
+     * Returns a connection for the request's call; empty if none is free. The connection of the request's last call is
+     * excluded, as a second reply to that call could be mistaken for the reply to the new call.
      */
-    private Optional<RecordsConnection> connectionFor(long requestId) {
-        for (Iterator<RecordsConnection> connections = idle.iterator(); connections.hasNext(); ) {
+    private Optional<RecordsConnection> findOrOpenConnection(long requestId) {
+        for (Iterator<RecordsConnection> connections = idleConnections.iterator(); connections.hasNext(); ) {
             RecordsConnection connection = connections.next();
             if (connection.lastRequestId() != requestId) {
                 connections.remove();
                 return Optional.of(connection);
             }
         }
-        if (openConnections >= maxConnections && !idle.isEmpty()) {
-            // All idle connections carried this request's last call: one of them makes room.
-            idle.peekLast().close(CloseReason.IDLE);
+        if (openConnections >= maxConnections && !idleConnections.isEmpty()) {
+            // The only idle connections carried this request's last call: close one to make room for a new connection.
+            idleConnections.peekLast().close(CloseReason.IDLE);
         }
         if (openConnections >= maxConnections) {
             return Optional.empty();
         }
         try {
-            RecordsConnection made = RecordsConnection.connect(loop, address, connectionListener, log);
+            RecordsConnection newConnection = RecordsConnection.connect(loop, address, connectionListener, log);
             openConnections++;
-            return Optional.of(made);
+            return Optional.of(newConnection);
         } catch (IOException e) {
             log.error("records-connect-failed", e);
             return Optional.empty();
@@ -239,14 +240,14 @@
 
         @Override
         public void onIdle(RecordsConnection connection) {
-            idle.addFirst(connection);
-            sendWaiting();
+            idleConnections.addFirst(connection);
+            sendWaitingCalls();
         }
 
         @Override
         public void onClosed(RecordsConnection connection, CloseReason reason) {
             openConnections--;
-            idle.remove(connection);
+            idleConnections.remove(connection);
             PendingCall call = connection.call();
             if (call != null) {
                 Outcome outcome = callOutcome(reason);
@@ -256,7 +257,7 @@
                         .with("outcome", outcome));
                 complete(call, Optional.of(outcome), null);
             }
-            sendWaiting();
+            sendWaitingCalls();
         }
 
         @Override
@@ -265,7 +266,7 @@
         }
     }
 
-    /** The outcome of a call that was in flight on a connection that was closed. */
+    /** Returns the outcome of a call whose connection was closed for the reason. */
     static Outcome callOutcome(CloseReason reason) {
         return reason.wasEstablished() ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE;
     }
--- a/src/main/java/merlinlever/backend/records/RecordsConnection.java
+++ b/src/main/java/merlinlever/backend/records/RecordsConnection.java
@@ -11,7 +11,7 @@
 import merlinlever.common.net.Connection;
 import merlinlever.common.net.EventLoop;
 
-/** One connection to the downstream service: carries one call at a time, and is reused after one complete reply. */
+/** A connection to the records service. Carries one call at a time, and can be reused after one complete reply. */
 final class RecordsConnection implements Connection.Handler {
 
     private static final int MAX_QUEUED_BYTES = 64 * 1024;
@@ -23,16 +23,16 @@
 
     /** Receives the events of a connection. */
     interface Listener {
-        /** The reply to the connection's call. */
+        /** Handles the reply to the connection's call. */
         void onReply(PendingCall call, RecordsReply reply);
 
-        /** The connection may carry another call. */
+        /** Handles a connection that can carry another call. */
         void onIdle(RecordsConnection connection);
 
-        /** The connection is closed; called once. */
+        /** Handles the close of the connection; called once. */
         void onClosed(RecordsConnection connection, CloseReason reason);
 
-        /** Whether the service is still reached at the address. */
+        /** Returns whether the address is still the address of the service. */
         boolean isCurrent(InetSocketAddress address);
     }
 
@@ -43,14 +43,14 @@
     private Connection connection;
     /** The call in flight; null if there is none. */
     private PendingCall call;
-    /** The request of the last call, also when that is over. */
+    /** The id of the request of the last call, also after the end of the call. */
     private long lastRequestId;
 
     private boolean connected;
-    private boolean receivedSurplus;
+    private boolean receivedUnexpectedReply;
     private boolean hasPartialReply;
-    /** Since when it has been idle, or has held a part of a reply. */
-    private Duration lastReadAt;
+    /** When bytes were last received. */
+    private Duration lastReceivedAt;
 
     private RecordsConnection(EventLoop loop, InetSocketAddress address, Listener listener, Log log) {
         this.loop = loop;
@@ -60,15 +60,16 @@
     }
 
     /**
-     * Begins to connect.
+     * Opens a connection and begins to connect.
      *
      * @throws IOException if no socket can be opened
      */
     static RecordsConnection connect(EventLoop loop, InetSocketAddress address, Listener listener, Log log)
             throws IOException {
-        RecordsConnection made = new RecordsConnection(loop, address, listener, log);
-        made.connection = Connection.connect(loop, address, made, READ_BUFFER_BYTES, MAX_QUEUED_BYTES, CONNECT_TIMEOUT);
-        return made;
+        RecordsConnection newConnection = new RecordsConnection(loop, address, listener, log);
+        newConnection.connection =
+                Connection.connect(loop, address, newConnection, READ_BUFFER_BYTES, MAX_QUEUED_BYTES, CONNECT_TIMEOUT);
+        return newConnection;
     }
 
     InetSocketAddress address() {
@@ -79,47 +80,47 @@
         return connected;
     }
 
-    /** The call in flight; null if there is none. */
+    /** Returns the call in flight; null if there is none. */
     PendingCall call() {
         return call;
     }
 
-    /** The request of the last call, also when that is over. */
+    /** Returns the id of the request of the last call, also after the end of the call. */
     long lastRequestId() {
         return lastRequestId;
     }
 
-    /** Whether it has been idle for at least the time. */
-    boolean isIdleFor(Duration time) {
-        return lastReadAt.plus(time).compareTo(loop.clock().uptime()) <= 0;
+    /** Returns whether no bytes have been received for at least the duration. */
+    boolean isIdleFor(Duration duration) {
+        return lastReceivedAt.plus(duration).compareTo(loop.clock().uptime()) <= 0;
     }
 
-    /** Whether a reply has begun and its rest has not come for at least the time. */
-    boolean isStalledFor(Duration time) {
-        return hasPartialReply && isIdleFor(time);
+    /** Returns whether a partial reply has not been continued for at least the duration. */
+    boolean isStalledFor(Duration duration) {
+        return hasPartialReply && isIdleFor(duration);
     }
 
-    /** Sends the call, with the time that is left for it. */
-    void send(PendingCall next) {
-        call = next;
-        next.setConnection(this);
-        lastRequestId = next.request().id();
+    /** Sends the call with its remaining time as timeout. */
+    void send(PendingCall newCall) {
+        call = newCall;
+        newCall.setConnection(this);
+        lastRequestId = newCall.request().id();
         long timeoutMs =
-                Math.max(1, next.deadline().minus(loop.clock().uptime()).toMillis());
-        String head = "OP " + next.request().idText() + " " + timeoutMs + " " + next.body().length + "\r\n";
+                Math.max(1, newCall.deadline().minus(loop.clock().uptime()).toMillis());
+        String head = "OP " + newCall.request().idText() + " " + timeoutMs + " " + newCall.body().length + "\r\n";
         connection.write(
                 ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII)),
-                ByteBuffer.wrap(next.body()),
+                ByteBuffer.wrap(newCall.body()),
                 ByteBuffer.wrap(LINE_END));
     }
 
-    /** The call is over, or waits for another connection. */
+    /** Detaches the call, which has ended or waits for another connection. */
     void detachCall() {
         call.setConnection(null);
         call = null;
     }
 
-    /** Closes it; {@link Listener#onClosed} is called before this returns. */
+    /** Closes the connection; {@link Listener#onClosed} is called before the method returns. */
     void close(CloseReason reason) {
         connection.close(reason);
     }
@@ -138,12 +139,12 @@
             close(CloseReason.PROTOCOL_ERROR);
             return;
         }
-        lastReadAt = loop.clock().uptime();
+        lastReceivedAt = loop.clock().uptime();
         hasPartialReply = input.hasRemaining();
         if (call != null) {
             return;
         }
-        if (receivedSurplus || hasPartialReply) {
+        if (receivedUnexpectedReply || hasPartialReply) {
             close(CloseReason.PROTOCOL_ERROR);
         } else if (!listener.isCurrent(address)) {
             close(CloseReason.COMPLETED);
@@ -153,16 +154,16 @@
     }
 
     private void readReplies(ByteBuffer input) throws RecordsReply.MalformedReplyException {
-        Optional<RecordsReply> next = RecordsReply.parse(input.array(), input.position(), input.limit());
-        while (next.isPresent()) {
-            RecordsReply reply = next.get();
+        Optional<RecordsReply> parsed = RecordsReply.parse(input.array(), input.position(), input.limit());
+        while (parsed.isPresent()) {
+            RecordsReply reply = parsed.get();
             input.position(reply.end());
             if (call != null && reply.requestId() == lastRequestId) {
                 listener.onReply(call, reply);
             } else {
-                receivedSurplus = true;
+                receivedUnexpectedReply = true;
             }
-            next = RecordsReply.parse(input.array(), input.position(), input.limit());
+            parsed = RecordsReply.parse(input.array(), input.position(), input.limit());
         }
     }
 
--- a/src/main/java/merlinlever/backend/records/RecordsReply.java
+++ b/src/main/java/merlinlever/backend/records/RecordsReply.java
@@ -6,21 +6,21 @@
 import merlinlever.controller.Outcome;
 
 /**
- * One reply of the downstream service: a line with the id of the request, a status and the length of the body, then the
- * body. Immutable.
+ * A reply of the records service: a line with the request id, a status and, optionally, the length of the body that
+ * follows. Immutable.
  */
 final class RecordsReply {
 
-    /** The request id and the outcome. */
-    private static final int MIN_PARTS = 2;
-    /** With the length of a body. */
-    private static final int MAX_PARTS = 3;
+    /** Request id and status. */
+    private static final int MIN_FIELDS = 2;
+    /** Request id, status and length of the body. */
+    private static final int MAX_FIELDS = 3;
 
     static final int MAX_LINE_BYTES = 128;
     static final int MAX_BODY_BYTES = 16 * 1024;
     private static final int REQUEST_ID_DIGITS = 16;
     private static final int LINE_END_BYTES = 2;
-    private static final int DELETE = 127;
+    private static final int ASCII_DELETE = 127;
 
     private final long requestId;
     private final Outcome outcome;
@@ -34,7 +34,7 @@
         this.end = end;
     }
 
-    /** The bytes violate the protocol, whatever follows them. */
+    /** The received bytes violate the protocol, regardless of the bytes that follow. */
     static final class MalformedReplyException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -43,107 +43,109 @@
         }
     }
 
-    /** The request whose call this is the reply to. */
+    /** Returns the id of the request whose call the reply answers. */
     long requestId() {
         return requestId;
     }
 
-    /** How the call ended. */
+    /** Returns the outcome of the call. */
     Outcome outcome() {
         return outcome;
     }
 
-    /** Empty where the reply has none. */
+    /** Returns the body; empty if the reply has none. */
     byte[] body() {
         return body;
     }
 
-    /** The index after the reply in the bytes that it was parsed from. */
+    /** Returns the index after the last byte of the reply in the parsed array. */
     int end() {
         return end;
     }
 
     /**
-     * Parses the reply that begins at {@code start}; empty if it is not complete.
+     * Parses the reply that begins at {@code start}.
      *
-     * @throws MalformedReplyException if no further bytes can make it a reply
+     * @return the reply, or empty if it is incomplete
+     * @throws MalformedReplyException if the bytes cannot be the beginning of a reply
      */
     static Optional<RecordsReply> parse(byte[] bytes, int start, int limit) throws MalformedReplyException {
         int lineEnd = findLineEnd(bytes, start, limit);
         if (lineEnd < 0) {
             return Optional.empty();
         }
-        String[] parts = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1).split(" ");
-        int partCount = parts.length;
-        if (partCount < MIN_PARTS || partCount > MAX_PARTS || parts[0].length() != REQUEST_ID_DIGITS) {
-            throw new MalformedReplyException("no reply: " + String.join(" ", parts));
+        String[] fields = new String(bytes, start, lineEnd - start, StandardCharsets.ISO_8859_1).split(" ");
+        int fieldCount = fields.length;
+        if (fieldCount < MIN_FIELDS || fieldCount > MAX_FIELDS || fields[0].length() != REQUEST_ID_DIGITS) {
+            throw new MalformedReplyException("invalid reply line: " + String.join(" ", fields));
         }
         int bodyStart = lineEnd + LINE_END_BYTES;
         int length = 0;
         int end = bodyStart;
-        boolean hasBody = partCount == MAX_PARTS;
+        boolean hasBody = fieldCount == MAX_FIELDS;
         if (hasBody) {
-            length = parseLength(parts[2]);
+            length = parseLength(fields[2]);
             end = bodyStart + length + LINE_END_BYTES;
             if (end > limit) {
                 return Optional.empty();
             }
             if (bytes[end - 2] != '\r' || bytes[end - 1] != '\n') {
-                throw new MalformedReplyException("a body without its end");
+                throw new MalformedReplyException("reply body is not followed by a line end");
             }
         }
-        Outcome outcome = parseOutcome(parts[1]);
+        Outcome outcome = parseOutcome(fields[1]);
         if (outcome == Outcome.OK && !hasBody) {
-            throw new MalformedReplyException("done, without a length");
+            throw new MalformedReplyException("successful reply has no body length");
         }
-        long requestId = parseNumber(parts[0], 16);
+        long requestId = parseNumber(fields[0], 16);
         byte[] body = Arrays.copyOfRange(bytes, bodyStart, bodyStart + length);
         return Optional.of(new RecordsReply(requestId, outcome, body, end));
     }
 
-    /** The index of the line's end, or -1 if the line is not complete. */
+    /** Returns the index of the line end, or -1 if the line is incomplete. */
     private static int findLineEnd(byte[] bytes, int start, int limit) throws MalformedReplyException {
-        int at = start;
-        while (at + 1 < limit && (bytes[at] != '\r' || bytes[at + 1] != '\n')) {
-            // Noise need not have a line end, so it is not waited for; bytes beyond ASCII are negative.
-            if (bytes[at] < ' ' || bytes[at] == DELETE) {
-                throw new MalformedReplyException("no reply: not text");
+        int index = start;
+        while (index + 1 < limit && (bytes[index] != '\r' || bytes[index + 1] != '\n')) {
+            // Invalid bytes are rejected without waiting for a line end, which may never arrive. Bytes beyond ASCII are
+            // negative.
+            if (bytes[index] < ' ' || bytes[index] == ASCII_DELETE) {
+                throw new MalformedReplyException("reply line contains a byte outside printable ASCII");
             }
-            at++;
+            index++;
         }
-        if (at + 1 < limit) {
-            return at;
+        if (index + 1 < limit) {
+            return index;
         }
         if (limit - start > MAX_LINE_BYTES) {
-            throw new MalformedReplyException("a line of over " + MAX_LINE_BYTES + " bytes");
+            throw new MalformedReplyException("reply line exceeds " + MAX_LINE_BYTES + " bytes");
         }
         return -1;
     }
 
     private static int parseLength(String digits) throws MalformedReplyException {
-        long declared = parseNumber(digits, 10);
-        if (declared < 0 || declared > MAX_BODY_BYTES) {
-            throw new MalformedReplyException("no length: " + digits);
+        long length = parseNumber(digits, 10);
+        if (length < 0 || length > MAX_BODY_BYTES) {
+            throw new MalformedReplyException("invalid body length: " + digits);
         }
-        return (int) declared;
+        return (int) length;
     }
 
     private static long parseNumber(String digits, int radix) throws MalformedReplyException {
         try {
             return Long.parseUnsignedLong(digits, radix);
         } catch (NumberFormatException e) {
-            throw new MalformedReplyException("no number: " + digits);
+            throw new MalformedReplyException("invalid number: " + digits);
         }
     }
 
-    private static Outcome parseOutcome(String word) throws MalformedReplyException {
-        return switch (word) {
+    private static Outcome parseOutcome(String status) throws MalformedReplyException {
+        return switch (status) {
             case "DONE" -> Outcome.OK;
             case "WAIT" -> Outcome.REJECTED;
             case "ERROR" -> Outcome.ERROR;
             case "PAST" -> Outcome.TIMED_OUT;
             case "EMPTY" -> Outcome.NOT_STARTED;
-            default -> throw new MalformedReplyException("unknown word " + word);
+            default -> throw new MalformedReplyException("unknown status: " + status);
         };
     }
 }
--- a/src/test/java/merlinlever/backend/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientFixture.java
@@ -20,13 +20,13 @@
 import merlinlever.common.net.ManualClockLoop;
 import merlinlever.common.net.RecordingPeer;
 
-/** A client of a records service that the test plays; time advances only where the test advances it. */
+/** A client of a records service that is simulated by the test; only the test advances the clock. */
 abstract class RecordsClientFixture {
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     static final Duration CALL_TIMEOUT = Duration.ofMillis(300);
 
-    /** How each call ended, in order, as "id outcome reply". */
+    /** The ends of calls, in order, each as "id outcome reply". */
     final List<String> callOutcomes = new ArrayList<>();
 
     ManualClockLoop loop;
@@ -38,8 +38,8 @@
         return loop.callOnLoop(() -> new RecordsClient(
                 loop.loop,
                 address,
-                (now, id, how, reply) -> callOutcomes.add(
-                        id + " " + how + (reply == null ? "" : " " + new String(reply, StandardCharsets.UTF_8))),
+                (now, id, outcome, reply) -> callOutcomes.add(
+                        id + " " + outcome + (reply == null ? "" : " " + new String(reply, StandardCharsets.UTF_8))),
                 log,
                 maxConnections));
     }
@@ -48,7 +48,7 @@
         loop.runOnLoop(() -> client.call(TestRequests.tracked(id), new byte[] {'b'}, CALL_TIMEOUT));
     }
 
-    /** Waits until so many calls have ended, and asserts that these were they. */
+    /** Waits until as many calls have ended as are given, and asserts that they ended as given. */
     void assertCallOutcomes(String... outcomes) {
         loop.awaitCondition(() -> callOutcomes.size() >= outcomes.length, String.join(", ", outcomes));
         assertEquals(List.of(outcomes), loop.callOnLoop(() -> List.copyOf(callOutcomes)));
@@ -64,7 +64,7 @@
         return server;
     }
 
-    /** Accepts the next connection, and reads the request's call on it. */
+    /** Accepts the next connection, and reads the call of the request with the id from it. */
     static Socket acceptCall(ServerSocket server, long id) throws IOException {
         Socket socket = server.accept();
         socket.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
@@ -73,15 +73,15 @@
     }
 
     static Socket readCall(Socket socket, long id) throws IOException {
-        StringBuilder heard = new StringBuilder();
-        while (!heard.toString().endsWith("\r\nb\r\n")) {
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith("\r\nb\r\n")) {
             int next = socket.getInputStream().read();
             if (next < 0) {
-                throw new IOException("closed after " + heard);
+                throw new IOException("closed after " + received);
             }
-            heard.append((char) next);
+            received.append((char) next);
         }
-        assertEquals(String.format("OP %016x", id), heard.substring(0, 19));
+        assertEquals(String.format("OP %016x", id), received.substring(0, 19));
         return socket;
     }
 
@@ -93,7 +93,7 @@
         return String.format("%016x DONE %d\r\n%s\r\n", id, body.length(), body);
     }
 
-    /** The service, in memory: every connection reads everything and sends what the test says. */
+    /** An in-memory records service, which reads all bytes of a connection and sends the replies given by the test. */
     static final class InMemoryRecordsService extends RecordingPeer {
 
         void send(String text) {
--- a/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
@@ -16,12 +16,10 @@
 import merlinlever.testing.faults.process.PortAllocator;
 import org.junit.jupiter.api.Test;
 
-/** Races on the connections to the records service. */
+/** Races of calls with the opening, closing and reuse of connections to the records service. */
 class RecordsClientRaceTest extends RecordsClientFixture {
 
-    /**
-     * The close of an idle connection has been read but not processed when a call is made: the call gets another one.
-     */
+    /** A call is not sent on an idle connection whose close was read but is not processed yet. */
     @Test
     void aCallIsNotSentOnAConnectionWhoseCloseWasRead() {
         List<InMemoryRecordsService> services = new ArrayList<>();
@@ -46,13 +44,13 @@
         }
     }
 
-    /** Without a file descriptor for its connection a call waits for one, not for its timeout. */
+    /** A call for which no file descriptor is free is sent as soon as one is free, rather than timing out. */
     @Test
     void aCallWithoutAFileDescriptorIsMadeOnceOneIsFree() {
-        boolean[] full = {true};
+        boolean[] descriptorsExhausted = {true};
         InMemoryRecordsService service = new InMemoryRecordsService();
         ManualClockLoop loop = new ManualClockLoop(address -> {
-            if (full[0]) {
+            if (descriptorsExhausted[0]) {
                 RecordsClientRaceTest.<RuntimeException>sneakyThrow(new IOException("Too many open files"));
             }
             return service;
@@ -61,7 +59,7 @@
             client = createClient(loop, new InetSocketAddress(1), 4);
             call(1);
             loop.runBatches(2);
-            loop.runOnLoop(() -> full[0] = false);
+            loop.runOnLoop(() -> descriptorsExhausted[0] = false);
             loop.advance(100);
             loop.runBatches(3);
             assertEquals("OP 0000000000000001 200 1\r\nb\r\n", loop.callOnLoop(service.received::toString));
@@ -73,30 +71,30 @@
         throw (E) throwable;
     }
 
-    /** Fills the backlog, so that the address neither accepts nor refuses. */
+    /** Fills the server's backlog, so that further connect attempts hang, and returns the sockets. */
     private static List<Socket> fillBacklog(ServerSocket server) throws IOException {
-        List<Socket> queued = new ArrayList<>();
+        List<Socket> backlogSockets = new ArrayList<>();
         assertThrows(SocketTimeoutException.class, () -> {
-            while (queued.size() < 20) {
+            while (backlogSockets.size() < 20) {
                 Socket socket = new Socket();
-                queued.add(socket);
+                backlogSockets.add(socket);
                 socket.connect(addressOf(server), 200);
             }
         });
-        return queued;
+        return backlogSockets;
     }
 
     /**
-     * Connect attempts that hang: each call ends at its own timeout and its attempt with it, so that the next one has
-     * room; calls that have not been sent go to the new address at once when the service moves.
+     * A hanging connect attempt ends at the timeout of its call and frees its place in the pool. Calls that are not
+     * sent yet go to the new address when the service moves.
      */
     @Test
-    void aHangingConnectAttemptEndsWithItsCallOrMovesWithTheService() throws IOException {
-        try (ServerSocket silent = new ServerSocket(0, 1, LOOPBACK);
+    void aHangingConnectAttemptEndsWithItsCallOrWhenTheServiceMoves() throws IOException {
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, LOOPBACK);
                 ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
-            List<Socket> queued = fillBacklog(silent);
-            client = createClient(loop, addressOf(silent), 2);
+            List<Socket> backlogSockets = fillBacklog(unresponsive);
+            client = createClient(loop, addressOf(unresponsive), 2);
             call(1);
             call(2);
             call(3);
@@ -107,20 +105,21 @@
             assertCallOutcomes("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT");
             call(5);
             loop.runOnLoop(() -> client.setAddress(addressOf(server)));
-            Socket one = acceptCall(server, 4);
-            Socket other = acceptCall(server, 5);
-            send(other, doneReply(5, "s"));
+            Socket fourth = acceptCall(server, 4);
+            Socket fifth = acceptCall(server, 5);
+            send(fifth, doneReply(5, "s"));
             assertCallOutcomes("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT", "5 OK s");
-            send(one, doneReply(4, "r"));
+            send(fourth, doneReply(4, "r"));
             assertCallOutcomes("1 TIMED_OUT", "2 TIMED_OUT", "3 TIMED_OUT", "5 OK s", "4 OK r");
-            for (Socket socket : queued) {
+            for (Socket socket : backlogSockets) {
                 socket.close();
             }
         }
     }
 
     /**
-     * The service moves: a sent call ends on its connection, which is closed then; the next goes to the new address.
+     * When the service moves, a call that was sent finishes on its connection, which is then closed. The next call goes
+     * to the new address.
      */
     @Test
     void aSentCallCompletesOnItsConnectionWhenTheServiceMoves() throws IOException {
@@ -137,7 +136,7 @@
             assertEquals(-1, socket.getInputStream().read());
             Socket next = acceptCall(server, 2);
             call(3);
-            // Without an address there is nobody to call; a waiting call has not been sent.
+            // Without an address, a waiting call ends as unreachable, as it was never sent.
             loop.runOnLoop(() -> client.setAddress(null));
             send(next, doneReply(2, "s"));
             assertCallOutcomes("1 OK r", "3 UNREACHABLE", "2 OK s");
@@ -145,7 +144,8 @@
     }
 
     /**
-     * All connections carried the request's own last call, whose reply may be repeated: one is closed for a new one.
+     * If all connections carried the last call of the same request, one is closed and replaced, as the reply to that
+     * call may be repeated.
      */
     @Test
     void aRequestIsNotSentOnTheConnectionOfItsOwnLastCall() throws IOException {
@@ -163,7 +163,7 @@
         }
     }
 
-    /** A second call for a request cancels the first, here as at the service: only the second one's end is reported. */
+    /** A second call for a request cancels the first, and only the end of the second call is reported. */
     @Test
     void aSecondCallForARequestCancelsTheFirst() throws IOException {
         try (ServerSocket server = openServer();
@@ -182,9 +182,7 @@
         }
     }
 
-    /**
-     * Calls that wait while every connect attempt is refused: each is reported as never run, however many there are.
-     */
+    /** If every connect attempt is refused, each of many waiting calls is reported as unreachable. */
     @Test
     void manyWaitingCallsEndOneByOneWhenConnectsFail() throws IOException {
         try (ManualClockLoop loop = new ManualClockLoop()) {
@@ -194,11 +192,11 @@
                     client.call(TestRequests.tracked(i), new byte[] {'b'}, CALL_TIMEOUT);
                 }
             });
-            loop.awaitCondition(() -> callOutcomes.size() == 3000, "all endings");
+            loop.awaitCondition(() -> callOutcomes.size() == 3000, "end of all calls");
             assertEquals(
                     3000,
                     callOutcomes.stream()
-                            .filter(each -> each.endsWith(" UNREACHABLE"))
+                            .filter(callOutcome -> callOutcome.endsWith(" UNREACHABLE"))
                             .distinct()
                             .count());
         }
--- a/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
@@ -12,10 +12,10 @@
 import merlinlever.common.net.ManualClockLoop;
 import org.junit.jupiter.api.Test;
 
-/** Replies of the records service that race other events, or come with surplus bytes. */
+/** Replies of the records service that race with other events or are followed by surplus bytes. */
 class RecordsReplyRaceTest extends RecordsClientFixture {
 
-    /** A complete reply right before the close counts; a close without one proves nothing about the call. */
+    /** A complete reply just before the close is accepted; a close without one leaves the outcome unknown. */
     @Test
     void aReplyJustBeforeTheCloseCounts() throws IOException {
         try (ServerSocket server = openServer();
@@ -27,14 +27,14 @@
             socket.close();
             assertCallOutcomes("1 OK r");
             call(2);
-            Socket cut = acceptCall(server, 2);
-            send(cut, doneReply(2, "r").substring(0, 22));
-            cut.close();
+            Socket truncated = acceptCall(server, 2);
+            send(truncated, doneReply(2, "r").substring(0, 22));
+            truncated.close();
             assertCallOutcomes("1 OK r", "2 CONNECTION_LOST");
         }
     }
 
-    /** A reply that was read before the timeout is processed, behind other tasks, is in time. */
+    /** A reply that was read before the timeout is in time, even if other tasks delay its processing. */
     @Test
     void aReplyReadBeforeTheDeadlineIsInTime() {
         InMemoryRecordsService service = new InMemoryRecordsService();
@@ -45,7 +45,7 @@
             loop.runBatches(3);
             loop.runOnLoop(() -> {
                 service.send(doneReply(1, "r"));
-                // More tasks are ready than one batch runs, with the reply behind them; then the timeout is due.
+                // Queues more tasks than one batch runs ahead of the reply, then lets the timeout become due.
                 loop.loop.setAfterBatch(() -> {
                     loop.loop.setAfterBatch(() -> {});
                     for (int i = 0; i < 300; i++) {
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Cancelled as its reply arrives, in either order: the reply is ignored, and its connection carries no other call.
+     * If a call is cancelled while its reply arrives, the reply is ignored and the connection is closed. A cancellation
+     * after the reply has no effect.
      */
     @Test
     void aCancelledCallClosesItsConnectionAndItsReplyIsIgnored() throws IOException {
@@ -87,87 +88,87 @@
         }
     }
 
-    /** Bytes before, behind or long after a reply are ignored, and the connection carries no further call. */
+    /** Surplus bytes before or after a reply are ignored, and the connection is not reused. */
     @Test
     void surplusBytesAroundAReplyAreIgnoredAndCloseTheConnection() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
             client = createClient(loop, addressOf(server), 4);
-            String[] beside = {
+            String[] replies = {
                 doneReply(99, "ahead") + doneReply(1, "r"),
                 doneReply(1, "r") + doneReply(1, "copy"),
                 doneReply(1, "r") + "\u0007noise",
                 doneReply(1, "r") + "half a li"
             };
-            List<String> all = new ArrayList<>();
-            for (String each : beside) {
+            List<String> expected = new ArrayList<>();
+            for (String reply : replies) {
                 call(1);
                 Socket socket = acceptCall(server, 1);
-                send(socket, each);
-                all.add("1 OK r");
-                assertCallOutcomes(all.toArray(String[]::new));
-                assertEquals(-1, socket.getInputStream().read(), each);
+                send(socket, reply);
+                expected.add("1 OK r");
+                assertCallOutcomes(expected.toArray(String[]::new));
+                assertEquals(-1, socket.getInputStream().read(), reply);
             }
-            // Byte by byte it is the same reply; a repeated reply during the next call does not count for that.
+            // A reply may arrive byte by byte. A repeated reply during the next call is not the reply to the next call.
             call(1);
             Socket socket = acceptCall(server, 1);
             for (char c : doneReply(1, "r").toCharArray()) {
                 send(socket, "" + c);
             }
-            all.add("1 OK r");
-            assertCallOutcomes(all.toArray(String[]::new));
+            expected.add("1 OK r");
+            assertCallOutcomes(expected.toArray(String[]::new));
             call(2);
             readCall(socket, 2);
             send(socket, doneReply(1, "copy"));
             send(socket, doneReply(2, "s"));
-            all.add("2 OK s");
-            assertCallOutcomes(all.toArray(String[]::new));
+            expected.add("2 OK s");
+            assertCallOutcomes(expected.toArray(String[]::new));
             assertEquals(-1, socket.getInputStream().read());
         }
     }
 
-    /** Wrong lengths, endless lines and missing rests each end their call in time, with nothing proven about it. */
+    /** Replies with wrong lengths, endless lines or missing bytes each end their call in time with unknown outcome. */
     @Test
     void aMalformedReplyEndsItsCallAtOnceOrWithinItsTimeout() throws IOException {
         try (ServerSocket server = openServer();
                 ManualClockLoop loop = new ManualClockLoop()) {
             client = createClient(loop, addressOf(server), 4);
-            String[] spoilt = {
+            String[] malformedReplies = {
                 "0000000000000001 DONE 3221225472\r\nabc",
                 "0000000000000001 DONE -1\r\n",
                 "x".repeat(200),
                 "\u0000\u0000",
                 "0000000000000001 DONE 2\r\nabcd"
             };
-            List<String> all = new ArrayList<>();
-            // Kept reachable, as the runtime may close sockets that are not.
-            List<Socket> held = new ArrayList<>();
-            for (String each : spoilt) {
+            List<String> expected = new ArrayList<>();
+            // Keeps the sockets reachable, as the runtime may close unreachable sockets.
+            List<Socket> sockets = new ArrayList<>();
+            for (String reply : malformedReplies) {
                 call(1);
-                held.add(acceptCall(server, 1));
-                send(held.get(held.size() - 1), each);
-                all.add("1 CONNECTION_LOST");
-                assertCallOutcomes(all.toArray(String[]::new));
+                sockets.add(acceptCall(server, 1));
+                send(sockets.get(sockets.size() - 1), reply);
+                expected.add("1 CONNECTION_LOST");
+                assertCallOutcomes(expected.toArray(String[]::new));
             }
             call(1);
-            Socket half = acceptCall(server, 1);
+            Socket partial = acceptCall(server, 1);
             call(2);
-            Socket silent = acceptCall(server, 2);
-            send(half, "0000000000000001 DO");
-            // Once this one's reply has been read, the half has been read, too.
+            Socket unanswered = acceptCall(server, 2);
+            send(partial, "0000000000000001 DO");
+            // The reply to the third call is read after the partial reply to the first.
             call(3);
             send(acceptCall(server, 3), doneReply(3, "r"));
-            all.add("3 OK r");
-            assertCallOutcomes(all.toArray(String[]::new));
+            expected.add("3 OK r");
+            assertCallOutcomes(expected.toArray(String[]::new));
             loop.advance(200);
             loop.advance(100);
-            all.add("1 CONNECTION_LOST");
-            assertCallOutcomes(all.toArray(String[]::new));
+            expected.add("1 CONNECTION_LOST");
+            assertCallOutcomes(expected.toArray(String[]::new));
             loop.advance(20);
             loop.runBatches(1);
-            all.add("2 TIMED_OUT");
-            assertCallOutcomes(all.toArray(String[]::new));
-            assertEquals(-1, silent.getInputStream().read());
+            expected.add("2 TIMED_OUT");
+            assertCallOutcomes(expected.toArray(String[]::new));
+            assertEquals(-1, unanswered.getInputStream().read());
         }
     }
 }
