--- a/src/test/java/merlinlever/backend/DrainRaceTest.java
+++ b/src/test/java/merlinlever/backend/DrainRaceTest.java
@@ -84,7 +84,7 @@
         assertEquals(List.of(ended, running), fixture.launched(ended, running, retryOfEnded, retryOfRunning));
     }
 
-    /** If the agent comes up after a drain notice, the backend starts no request and rejects all. */
+    /** If the agent comes up after a drain notice, the backend starts no request and rejects all requests. */
     @Test
     void agentThatComesUpWhileDrainingStartsNothing() {
         Backend backend = new BackendFixture().backendBeforeAgent();
--- a/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsReplyRaceTest.java
@@ -109,7 +109,7 @@
                 assertCallOutcomes(expected.toArray(String[]::new));
                 assertEquals(-1, socket.getInputStream().read(), reply);
             }
-            // A reply may arrive byte by byte. A repeated reply during the next call is not the reply to the next call.
+            // A reply may arrive byte by byte. A repeated reply must not be mistaken for the reply to the next call.
             call(1);
             Socket socket = acceptCall(server, 1);
             for (char c : doneReply(1, "r").toCharArray()) {
