--- a/src/main/java/merlinlever/backend/BackendSettings.java
+++ b/src/main/java/merlinlever/backend/BackendSettings.java
@@ -70,7 +70,7 @@
     /** Returns whether requests of the class with the same subject may share a result. */
     boolean sharesReads(int priorityClass) {
         // Only idempotent requests are reads; the subject of a write identifies no result that could be shared.
-        boolean freshReadsShared = !settings.callers().freshFor().isZero();
+        boolean freshReadsShared = !settings.callers().maxOutcomeAge().isZero();
         return freshReadsShared && settings.priorityClasses().get(priorityClass).isIdempotent();
     }
 }
--- a/src/test/java/merlinlever/backend/CompletionRaceTest.java
+++ b/src/test/java/merlinlever/backend/CompletionRaceTest.java
@@ -244,7 +244,8 @@
     /** A read whose caller disconnects continues if duplicates share it, and is stopped otherwise. */
     @Test
     void sharedReadContinuesWithoutItsCaller() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1)));
+        BatchedBackendFixture fixture =
+                new BatchedBackendFixture(settings -> settings.maxOutcomeAge(Duration.ofSeconds(1)));
         String first = fixture.receive("look", null, "s", "", fixture.now());
         fixture.decide();
         String duplicate = fixture.receive("look", null, "s", "", fixture.now());
--- a/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
+++ b/src/test/java/merlinlever/backend/DuplicateRequestRaceTest.java
@@ -299,7 +299,8 @@
     /** Writes with the same subject share no result: each is run and answered separately. */
     @Test
     void writesWithTheSameSubjectDoNotShareResults() {
-        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.freshFor(Duration.ofSeconds(1))
+        BatchedBackendFixture fixture = new BatchedBackendFixture(settings -> settings.maxOutcomeAge(
+                        Duration.ofSeconds(1))
                 .changePriorityClass(BackendFixture.BUY, buy -> buy.semantics(RequestSemantics.NON_IDEMPOTENT)));
         String first = fixture.receive("buy", null, "s", "a", fixture.now());
         String second = fixture.receive("buy", null, "s", "b", fixture.now());
