--- a/src/main/java/merlinlever/backend/TrackedRequest.java
+++ b/src/main/java/merlinlever/backend/TrackedRequest.java
@@ -41,7 +41,7 @@
     private boolean launched;
     /** Whether a stop command was sent; written by {@link RequestLifecycle} and {@link DecisionExecutor}. */
     private boolean stopRequested;
-    /** The outcome; null before the end of the request; written by {@link RequestLifecycle} and {@link ResponseTracker}. */
+    /** The outcome; null before the end; written by {@link RequestLifecycle} and {@link ResponseTracker}. */
     private Outcome outcome;
     /** Duplicates that wait for the run's outcome; written by {@link DecisionExecutor} and {@link ResponseTracker}. */
     private List<TrackedRequest> coalesced = List.of();
