--- a/src/main/java/merlinlever/backend/http/EdgeConnection.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnection.java
@@ -11,7 +11,7 @@
 import merlinlever.common.net.CloseReason;
 import merlinlever.common.net.Connection;
 
-/** A connection of an edge node: serves one request at a time, and reads the next one after the response. */
+/** A connection from an edge node. Serves one request at a time, and reads the next one after the response. */
 final class EdgeConnection implements Connection.Handler, ResponseSink {
 
     static final int READ_BUFFER_BYTES = RequestHead.MAX_BYTES + RequestHead.MAX_BODY_BYTES;
@@ -20,24 +20,24 @@
     private static final byte[] EMPTY_BODY = {};
     private static final String NO_HEADERS = "";
     private static final byte[] CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    /** The end of a head: two line ends. */
+    /** Length of the two line ends that terminate a head. */
     private static final int HEAD_END_BYTES = 4;
 
-    private static final int USUAL_HEAD_CHARS = 120;
+    private static final int TYPICAL_HEAD_CHARS = 120;
 
     /** The state of a connection. */
     enum State {
-        /** Before its first complete request. */
+        /** No complete request has been received yet. */
         NEW,
         /** Between two requests. */
         IDLE,
-        /** Part of a request was received; the first request is received in state {@link #NEW}. */
+        /** A later request has been received in part; the first request is received in state {@link #NEW}. */
         RECEIVING,
         /** A complete request is being processed. */
         IN_FLIGHT,
         /** A response is being written. */
         RESPONDING,
-        /** Half-closed by this side: further input is dropped until the peer closes, too. */
+        /** The server has shut down its output; further input is dropped until the peer closes the connection. */
         LINGERING
     }
 
@@ -45,9 +45,9 @@
     private final RequestHead head = new RequestHead();
     private Connection connection;
     private State state = State.NEW;
-    /** The request that waits for its outcome in the backend; null while there is none. */
+    /** The request that is waiting for its outcome in the backend, or null. */
     private TrackedRequest inFlight;
-    /** Bytes behind the buffer's position that are known to hold no end of a head. */
+    /** Number of bytes after the buffer's position that have been scanned and do not contain the end of a head. */
     private int scannedBytes;
 
     private boolean closeAfterResponse;
@@ -58,26 +58,26 @@
         this.server = server;
     }
 
-    /** To be called once, before anything else. */
+    /** Sets the underlying connection. Must be called once, before any other method. */
     void attach(Connection newConnection) {
         connection = newConnection;
         changeState(State.NEW);
     }
 
-    /** The reason to close with after lingering. */
+    /** Returns the reason to report when the connection is closed after lingering. */
     CloseReason closeReason() {
         return closeReason;
     }
 
-    /** Closes it at once. */
+    /** Closes the connection immediately. */
     void close(CloseReason reason) {
         connection.close(reason);
     }
 
     /**
-     * Ends this side's direction, unless a request is being processed or answered. What the edge node has sent
-     * meanwhile is read and dropped: closing with unread bytes would reset the connection, and the edge node has to
-     * expect that a request which races the close is not run.
+     * Shuts down the output, unless a request is being processed or answered. Further input is read and dropped,
+     * because closing a socket with unread bytes would reset the connection. Edge nodes must expect that a request
+     * which races the close is not run.
      */
     void shutDown(CloseReason reason) {
         if (acceptsRequests()) {
@@ -92,10 +92,10 @@
         return state == State.NEW || state == State.IDLE || state == State.RECEIVING;
     }
 
-    private void changeState(State next) {
+    private void changeState(State newState) {
         if (connection.isOpen()) {
-            server.stateChanged(this, state, next);
-            state = next;
+            server.stateChanged(this, state, newState);
+            state = newState;
         }
     }
 
@@ -125,9 +125,9 @@
             }
             return;
         }
-        HttpStatus verdict = head.parse(bytes, start, headEnd);
-        if (verdict != HttpStatus.OK) {
-            rejectMalformed(input, verdict);
+        HttpStatus parseStatus = head.parse(bytes, start, headEnd);
+        if (parseStatus != HttpStatus.OK) {
+            rejectMalformed(input, parseStatus);
             return;
         }
         int bodyBytes = Math.max(0, head.contentLength());
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Responds to a malformed request; as the start of the next one is unknown, the connection is closed. */
+    /** Responds to a malformed request, and closes the connection because the start of the next request is unknown. */
     private void rejectMalformed(ByteBuffer input, HttpStatus status) {
         input.position(input.limit());
         closeAfterResponse = true;
@@ -170,7 +170,7 @@
     private void route(byte[] bytes, int bodyStart, int bodyEnd) {
         String path = head.path();
         if (path.equals(EdgeServer.HEALTH_CHECK_PATH)) {
-            answerHealthCheck();
+            handleHealthCheck();
         } else if (path.startsWith(EdgeServer.REQUEST_PATH_PREFIX)) {
             String service = path.substring(EdgeServer.REQUEST_PATH_PREFIX.length());
             acceptRequest(service, Arrays.copyOfRange(bytes, bodyStart, bodyEnd));
@@ -179,18 +179,18 @@
         }
     }
 
-    private void answerHealthCheck() {
+    private void handleHealthCheck() {
         if (!head.method().equals("GET")) {
             respond(HttpStatus.METHOD_NOT_ALLOWED, EMPTY_BODY, "Allow: GET\r\n");
         } else if (head.hasQueryParameter("real=1")) {
-            server.backend().runDeepCheck(this::answerHealth);
+            server.backend().runDeepCheck(this::respondToHealthCheck);
         } else {
-            answerHealth(server.backend().isHealthy());
+            respondToHealthCheck(server.backend().isHealthy());
         }
     }
 
-    private void answerHealth(boolean healthy) {
-        // The verdict of a deep check may come after the connection has closed.
+    private void respondToHealthCheck(boolean healthy) {
+        // The connection may have been closed before the result of a deep check arrives.
         if (state == State.IN_FLIGHT) {
             respond(healthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, NO_HEADERS);
         }
@@ -216,10 +216,10 @@
             respond(HttpStatus.BAD_REQUEST, EMPTY_BODY, NO_HEADERS);
             return;
         }
-        Optional<TrackedRequest> accepted =
+        Optional<TrackedRequest> request =
                 server.backend().receive(server.clock().now(), metadata.get(), body, this);
-        // The connection may have failed meanwhile.
-        inFlight = state == State.IN_FLIGHT ? accepted.orElse(null) : null;
+        // The request may have been answered already, or the connection may have failed.
+        inFlight = state == State.IN_FLIGHT ? request.orElse(null) : null;
     }
 
     // ---- responses
@@ -240,12 +240,12 @@
         respond(HttpStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, NO_HEADERS);
     }
 
-    /** @param headers further header lines, each with its line end */
-    @SuppressWarnings("UnnecessaryStringBuilder") // sized for a whole head, as each response has one
+    /** @param headers additional header lines, each including its line end */
+    @SuppressWarnings("UnnecessaryStringBuilder") // the initial capacity avoids resizing for each response
     private void respond(HttpStatus status, byte[] body, String headers) {
         inFlight = null;
         closeAfterResponse |= server.isClosing();
-        StringBuilder out = new StringBuilder(USUAL_HEAD_CHARS)
+        StringBuilder out = new StringBuilder(TYPICAL_HEAD_CHARS)
                 .append("HTTP/1.1 ")
                 .append(status.code())
                 .append(' ')
@@ -276,11 +276,11 @@
 
     @Override
     public void onClosed(CloseReason reason) {
-        TrackedRequest abandoned = inFlight;
+        TrackedRequest abandonedRequest = inFlight;
         inFlight = null;
         server.connectionClosed(this, state);
-        if (abandoned != null) {
-            server.backend().callerDisconnected(server.clock().now(), abandoned);
+        if (abandonedRequest != null) {
+            server.backend().callerDisconnected(server.clock().now(), abandonedRequest);
         }
     }
 }
--- a/src/main/java/merlinlever/backend/http/EdgeConnectionReaper.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnectionReaper.java
@@ -7,24 +7,24 @@
 import merlinlever.common.net.EventLoop;
 
 /**
- * Closes connections: those that exceed the time limit of their state, and others to make room for new ones. A
- * connection that no answer is owed on is shut down in good order and lingers, so that what the edge node has sent
- * meanwhile is read and not answered by a reset.
+ * Closes connections that exceed the time limit of their state, and evicts connections to make room for new ones. A
+ * connection without a pending response is shut down gracefully and lingers: bytes that the edge node sends during the
+ * shutdown are read, so that they do not cause a reset.
  */
 final class EdgeConnectionReaper {
 
-    /** A request or a response takes no longer. */
+    /** Maximum time to receive a request or to write a response. */
     private static final Duration MAX_TRANSFER_TIME = Duration.ofSeconds(5);
-    /** Edge nodes give a new connection 3 s; one without a complete request after this time is none of theirs. */
+    /** Maximum time until the first complete request; edge nodes give up on a new connection after 3 s. */
     private static final Duration MAX_FIRST_REQUEST_WAIT = Duration.ofMillis(2500);
 
     private static final Duration MAX_LINGER = Duration.ofSeconds(1);
-    /** Where the table is full, a connection that was shut down lingers at least this long. */
+    /** Minimum lingering time of a connection, even when the connection table is full. */
     private static final Duration MIN_LINGER = Duration.ofMillis(50);
-    /** Where the table is full, a connection without a first request may be evicted after this time. */
-    private static final Duration EVICTABLE_NEW_AFTER = Duration.ofMillis(250);
-    /** Where the table is full, a connection in the middle of a transfer may be evicted after this time. */
-    private static final Duration EVICTABLE_SLOW_AFTER = Duration.ofSeconds(1);
+    /** Minimum age of a connection without a complete request before eviction. */
+    private static final Duration MIN_EVICTABLE_NEW_AGE = Duration.ofMillis(250);
+    /** Minimum duration of an incomplete transfer before the connection may be evicted. */
+    private static final Duration MIN_EVICTABLE_TRANSFER_TIME = Duration.ofSeconds(1);
 
     private final EventLoop loop;
     private final EdgeConnectionTable connections;
@@ -32,22 +32,24 @@
     private Duration idleTimeout;
     private boolean acceptScheduled;
 
+    /** Creates a reaper without a limit on the number of connections. */
     EdgeConnectionReaper(EventLoop loop, EdgeConnectionTable connections, Duration idleTimeout) {
         this.loop = loop;
         this.connections = connections;
         this.idleTimeout = idleTimeout;
     }
 
-    /** Lingering connections do not count. */
+    /** Sets the maximum number of open connections, not counting lingering ones. */
     void setMaxOpenConnections(int max) {
         maxOpenConnections = max;
     }
 
+    /** Sets the time after which an idle connection is shut down. */
     void setIdleTimeout(Duration timeout) {
         idleTimeout = timeout;
     }
 
-    /** Closes what exceeds the time limit of its state. */
+    /** Closes or shuts down the connections that exceed the time limit of their state. */
     void closeOverdue() {
         shutDownOverdue(State.NEW, MAX_FIRST_REQUEST_WAIT, CloseReason.TIMED_OUT);
         shutDownOverdue(State.IDLE, idleTimeout, CloseReason.IDLE);
@@ -60,7 +62,7 @@
         if (connections.oldest(state, minAge).isEmpty()) {
             return;
         }
-        // Bytes that have been read already and wait in the loop's queue come first: they may end the state.
+        // Runs after the input already queued in the loop, which may change the state of the connection.
         loop.execute(() -> {
             Optional<EdgeConnection> overdue = connections.oldest(state, minAge);
             while (overdue.isPresent()) {
@@ -79,7 +81,7 @@
         }
     }
 
-    /** Keeps some connections free, so that the next ones need not wait until an evicted one has lingered. */
+    /** Evicts connections ahead of demand, so that new ones need not wait until an evicted one has lingered. */
     void evictExcess() {
         boolean evicted = true;
         while (evicted && connections.count() - connections.count(State.LINGERING) > maxOpenConnections) {
@@ -88,9 +90,9 @@
     }
 
     /**
-     * Makes room in a full table: closes a connection that has lingered long enough, or shuts one down.
+     * Makes room in a full table: closes a connection that has lingered long enough, or shuts another one down.
      *
-     * @param accept run later, once the one that was shut down may be closed
+     * @param accept accepts further connections; run later if a lingering connection cannot be closed yet
      */
     void makeRoom(Runnable accept) {
         evictExcess();
@@ -110,18 +112,18 @@
         }
     }
 
-    /** First those that exceed the time that a message takes, then the one that has been idle for longest. */
+    /** Evicts, in this order: an unused connection, a slow request, an idle connection, or a slow response. */
     private boolean evictOne() {
         Optional<EdgeConnection> evictable = connections
-                .oldest(State.NEW, EVICTABLE_NEW_AFTER)
-                .or(() -> connections.oldest(State.RECEIVING, EVICTABLE_SLOW_AFTER))
+                .oldest(State.NEW, MIN_EVICTABLE_NEW_AGE)
+                .or(() -> connections.oldest(State.RECEIVING, MIN_EVICTABLE_TRANSFER_TIME))
                 .or(() -> connections.oldest(State.IDLE, Duration.ZERO));
         if (evictable.isPresent()) {
             evictable.get().shutDown(CloseReason.IDLE);
             return true;
         }
-        Optional<EdgeConnection> stuck = connections.oldest(State.RESPONDING, EVICTABLE_SLOW_AFTER);
-        stuck.ifPresent(connection -> connection.close(CloseReason.TIMED_OUT));
-        return stuck.isPresent();
+        Optional<EdgeConnection> slowResponse = connections.oldest(State.RESPONDING, MIN_EVICTABLE_TRANSFER_TIME);
+        slowResponse.ifPresent(connection -> connection.close(CloseReason.TIMED_OUT));
+        return slowResponse.isPresent();
     }
 }
--- a/src/main/java/merlinlever/backend/http/EdgeConnectionTable.java
+++ b/src/main/java/merlinlever/backend/http/EdgeConnectionTable.java
@@ -10,15 +10,16 @@
 import merlinlever.common.net.MonotonicClock;
 
 /**
- * All open connections by state, each with the time at which it entered the state. Time is active time: it counts a
- * pause of the process or the machine as {@link #MAX_COUNTED_PAUSE} at most, as nothing was read during it.
+ * The open connections by state, each with the time at which the connection entered the state. All times are active
+ * time, in which a pause of the process or the machine counts as at most {@link #MAX_COUNTED_PAUSE}, because no input
+ * is read during a pause.
  */
 final class EdgeConnectionTable {
 
     private static final Duration MAX_COUNTED_PAUSE = Duration.ofMillis(500);
 
     private final MonotonicClock clock;
-    /** In each state in the order of entry, so that the first has been in it for longest. */
+    /** For each state, the connections in the order in which they entered the state, with the time of entry. */
     private final Map<EdgeConnection.State, LinkedHashMap<EdgeConnection, Duration>> enteredAt =
             new EnumMap<>(EdgeConnection.State.class);
 
@@ -33,7 +34,7 @@
         checkpoint = clock.uptime();
     }
 
-    /** To be called regularly: a longer time between two calls, or since the last one, is a pause. */
+    /** Updates the active time. Must be called more often than {@link #MAX_COUNTED_PAUSE}; a longer gap is a pause. */
     void checkpoint() {
         activeTimeAtCheckpoint = activeTime();
         checkpoint = clock.uptime();
@@ -44,22 +45,23 @@
         return activeTimeAtCheckpoint.plus(elapsed.compareTo(MAX_COUNTED_PAUSE) > 0 ? MAX_COUNTED_PAUSE : elapsed);
     }
 
-    /** Adds the connection, or moves it between states. */
+    /** Adds a connection, or moves a connection from one state to another. */
     void move(EdgeConnection connection, EdgeConnection.State from, EdgeConnection.State to) {
         enteredAt.get(from).remove(connection);
         enteredAt.get(to).put(connection, activeTime());
     }
 
+    /** Removes a connection. */
     void remove(EdgeConnection connection, EdgeConnection.State state) {
         enteredAt.get(state).remove(connection);
     }
 
-    /** How many connections are in the state. */
+    /** Returns the number of connections in the state. */
     int count(EdgeConnection.State state) {
         return enteredAt.get(state).size();
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     int count() {
         int count = 0;
         for (LinkedHashMap<EdgeConnection, Duration> connections : enteredAt.values()) {
@@ -68,20 +70,20 @@
         return count;
     }
 
-    /** A copy of the connections in the state, the longest in it first. */
-    List<EdgeConnection> in(EdgeConnection.State state) {
+    /** Returns a copy of the connections in the state, in the order in which they entered the state. */
+    List<EdgeConnection> connectionsIn(EdgeConnection.State state) {
         return List.copyOf(enteredAt.get(state).keySet());
     }
 
-    /** The connection that has been in the state for longest, if that is at least the duration. */
+    /** Returns the connection that entered the state first, if it has been in the state for at least {@code minAge}. */
     Optional<EdgeConnection> oldest(EdgeConnection.State state, Duration minAge) {
         Iterator<Map.Entry<EdgeConnection, Duration>> entries =
                 enteredAt.get(state).entrySet().iterator();
         if (!entries.hasNext()) {
             return Optional.empty();
         }
-        Map.Entry<EdgeConnection, Duration> first = entries.next();
-        boolean isOldEnough = first.getValue().plus(minAge).compareTo(activeTime()) <= 0;
-        return isOldEnough ? Optional.of(first.getKey()) : Optional.empty();
+        Map.Entry<EdgeConnection, Duration> oldest = entries.next();
+        boolean isOldEnough = oldest.getValue().plus(minAge).compareTo(activeTime()) <= 0;
+        return isOldEnough ? Optional.of(oldest.getKey()) : Optional.empty();
     }
 }
--- a/src/main/java/merlinlever/backend/http/EdgeServer.java
+++ b/src/main/java/merlinlever/backend/http/EdgeServer.java
@@ -16,24 +16,22 @@
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.controller.settings.ControllerSettings;
 
-/** The HTTP server that edge nodes connect to: accepts connections, and limits their number, age and idle time. */
+/** The HTTP server for edge nodes. Accepts connections, and limits their number, age and idle time. */
 public final class EdgeServer {
 
     static final String REQUEST_PATH_PREFIX = "/svc/";
     static final String HEALTH_CHECK_PATH = "/status/live";
 
-    /** Connections in these states may be shut down with no answer owed. */
+    /** The states in which a connection can be shut down because no response is pending. */
     private static final List<EdgeConnection.State> STATES_WITHOUT_REQUEST =
             List.of(EdgeConnection.State.NEW, EdgeConnection.State.IDLE, EdgeConnection.State.RECEIVING);
 
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
-    /** This fraction of the connections is kept free for new ones, at least {@link #MIN_FREE_CONNECTIONS}. */
+    /** The connection limit is divided by this number to get the number of connections kept free for new ones. */
     private static final int FREE_FRACTION_DIVISOR = 8;
 
     private static final int MIN_FREE_CONNECTIONS = 4;
-    /**
-     * Edge nodes close idle connections themselves after the configured time; this server waits for a multiple of it.
-     */
+    /** Factor applied to the configured idle time, after which the edge nodes close idle connections themselves. */
     private static final int IDLE_TIMEOUT_FACTOR = 2;
 
     private final EventLoop loop;
@@ -41,14 +39,14 @@
     private final RequestMetadataParser requestParser;
     private final EdgeConnectionTable connections;
     private final EdgeConnectionReaper reaper;
-    /** Null before {@link #listen}, and where connections are only added. */
+    /** Null before {@link #listen}, and if connections are only added with {@link #addConnection}. */
     private ConnectionAcceptor acceptor;
 
     private boolean closing;
     private double encodedLoadLevel = Double.NaN;
     private String loadHeader = "";
 
-    /** @param settings of the controller of the backend */
+    /** @param settings the settings of the backend's controller */
     public EdgeServer(EventLoop loop, Backend backend, ControllerSettings settings) {
         this.loop = loop;
         this.backend = backend;
@@ -60,9 +58,9 @@
     }
 
     /**
-     * Accepts connections at the address.
+     * Starts to accept connections at the address.
      *
-     * @throws IOException if it cannot be listened at
+     * @throws IOException if the server cannot listen at the address
      */
     public void listen(InetSocketAddress address, int maxConnections) throws IOException {
         int free = Math.min(Math.max(MIN_FREE_CONNECTIONS, maxConnections / FREE_FRACTION_DIVISOR), maxConnections / 2);
@@ -77,16 +75,16 @@
         acceptor.accept();
     }
 
-    /** Serves a connection, which the factory makes for its handler. */
+    /** Serves a connection that the factory creates with the given handler. */
     public void addConnection(Function<Connection.Handler, Connection> factory) {
-        EdgeConnection edge = new EdgeConnection(this);
-        Connection connection = factory.apply(edge);
-        edge.attach(connection);
+        EdgeConnection edgeConnection = new EdgeConnection(this);
+        Connection connection = factory.apply(edgeConnection);
+        edgeConnection.attach(connection);
         connection.resumeReading();
         reaper.evictExcess();
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens at. */
     public InetSocketAddress address() throws IOException {
         return acceptor.address();
     }
@@ -99,12 +97,12 @@
         return loop.clock();
     }
 
-    /** The request in the message; empty if a header field is missing or invalid. */
+    /** Returns the metadata of the request, or empty if a header field is missing or invalid. */
     Optional<RequestMetadata> parseRequest(RequestHead head, String className, int classIndex) {
         return requestParser.parse(head, className, classIndex);
     }
 
-    /** The header field with the load level, which each response carries; empty while there is no level. */
+    /** Returns the header line with the load level, sent in each response, or an empty string if there is no level. */
     String loadHeader() {
         double level = backend.backpressureLevel();
         if (level != encodedLoadLevel) {
@@ -114,35 +112,35 @@
         return loadHeader;
     }
 
-    /** Whether each response ends its connection. */
+    /** Returns whether each connection is closed after its next response. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Accepts the backlog only from now on, and ends connections with their next response. */
+    /** Accepts only the connections in the backlog from now on, and closes each connection after its next response. */
     public void close() {
         closing = true;
         acceptor.closeAfterBacklog();
     }
 
-    /** Shuts down the connections that no answer is owed on; what still comes on them is read and not run. */
+    /** Shuts down the connections without a pending response; requests received on them later are not run. */
     public void closeIdleConnections() {
         for (EdgeConnection.State state : STATES_WITHOUT_REQUEST) {
-            connections.in(state).forEach(connection -> connection.shutDown(CloseReason.IDLE));
+            connections.connectionsIn(state).forEach(connection -> connection.shutDown(CloseReason.IDLE));
         }
     }
 
-    /** Whether every request has been answered and the answers have been written. */
+    /** Returns whether every request has been answered and all responses have been written. */
     public boolean hasFlushedAllResponses() {
         return count(EdgeConnection.State.RESPONDING) == 0 && count(EdgeConnection.State.IN_FLIGHT) == 0;
     }
 
-    /** Whether no connection is open and, after {@link #close}, none can come. */
+    /** Returns whether no connection is open and, after {@link #close}, no further connection can be accepted. */
     public boolean hasNoConnections() {
         return (!closing || acceptor.isClosed()) && count() == 0;
     }
 
-    /** Closes connections that are idle for longer. */
+    /** Sets the time after which idle connections are shut down. */
     public void setIdleTimeout(Duration timeout) {
         reaper.setIdleTimeout(timeout);
     }
@@ -158,12 +156,12 @@
         }
     }
 
-    /** How many connections are open in the state. */
+    /** Returns the number of connections in the state. */
     int count(EdgeConnection.State state) {
         return connections.count(state);
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     int count() {
         return connections.count();
     }
@@ -173,7 +171,7 @@
         reaper.closeOverdue();
         if (acceptor != null) {
             reaper.evictExcess();
-            // Connections that were busy when the table was full may be idle by now.
+            // Connections that were busy when the table was full may have become idle.
             acceptor.accept();
         }
     }
--- a/src/main/java/merlinlever/backend/http/HttpStatus.java
+++ b/src/main/java/merlinlever/backend/http/HttpStatus.java
@@ -1,6 +1,6 @@
 package merlinlever.backend.http;
 
-/** The statuses that edge nodes are answered with. */
+/** The HTTP statuses used in responses to edge nodes. */
 enum HttpStatus {
     OK(200, "OK"),
     BAD_REQUEST(400, "Bad Request"),
@@ -21,12 +21,12 @@
         this.reasonPhrase = reasonPhrase;
     }
 
-    /** The number in the status line. */
+    /** Returns the status code in the status line. */
     int code() {
         return code;
     }
 
-    /** The text in the status line. */
+    /** Returns the reason phrase in the status line. */
     String reasonPhrase() {
         return reasonPhrase;
     }
--- a/src/main/java/merlinlever/backend/http/RequestHead.java
+++ b/src/main/java/merlinlever/backend/http/RequestHead.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 
 /**
- * Parses the head of one request in place: each value is a range of the buffer's bytes until it is asked for, and is
- * valid only as long as those bytes are. An instance is used again for the next head.
+ * Parses the head of a request in place. Field values are stored as ranges of the input buffer, and are valid only
+ * while the bytes of the buffer remain unchanged. An instance can be reused for the next head.
  */
 final class RequestHead {
 
-    /** The longest head, with its end. */
+    /** Maximum length of a head, including the two line ends that terminate the head. */
     static final int MAX_BYTES = 4096;
 
     static final int MAX_BODY_BYTES = 2048;
-    /** The end of a head: two line ends. */
+    /** Length of the two line ends that terminate a head. */
     private static final int END_BYTES = 4;
 
     private static final int MAX_DIGITS = 17;
@@ -23,8 +23,8 @@
     private static final int DELETE = 127;
 
     /**
-     * The header fields that are read; any other is ignored. A field that comes twice with different values makes the
-     * head malformed, also {@link #OWNER}, which nothing else reads.
+     * The supported header fields; all others are ignored. A head with conflicting values of a field is malformed. For
+     * {@link #OWNER}, this check is the only use.
      */
     enum HeaderField {
         CONTENT_LENGTH("content-length"),
@@ -43,7 +43,7 @@
         OWNER("req-owner"),
         RETRY("req-retry");
 
-        @SuppressWarnings("ImmutableEnumChecker") // compared with the bytes as they come, never written
+        @SuppressWarnings("ImmutableEnumChecker") // the array is never modified
         private final byte[] wireName;
 
         HeaderField(String wireName) {
@@ -66,10 +66,10 @@
     private int contentLength;
 
     /**
-     * Finds where the head that begins at {@code start} ends.
+     * Finds the end of the head that begins at {@code start}.
      *
-     * @param scanned the index up to which the bytes are known to contain no end
-     * @return the index after the head, or -1 if it is not complete
+     * @param scanned the index up to which the bytes have already been scanned without finding the end
+     * @return the index after the head, or -1 if the head is incomplete
      */
     static int findEnd(byte[] bytes, int start, int scanned, int limit) {
         for (int i = Math.max(start, scanned - (END_BYTES - 1)); i + END_BYTES <= limit; i++) {
@@ -84,7 +84,7 @@
         return bytes[at] == '\r' && bytes[at + 1] == '\n';
     }
 
-    /** Parses the head between the two indexes; returns {@link HttpStatus#OK}, or the status to reject it with. */
+    /** Parses the head between the two indexes. Returns {@link HttpStatus#OK}, or the status of the rejection. */
     HttpStatus parse(byte[] input, int start, int end) {
         bytes = input;
         Arrays.fill(valueStart, -1);
@@ -170,7 +170,7 @@
         return at;
     }
 
-    /** RFC 9110, 5.6.2. */
+    /** Returns whether the character may occur in a token (RFC 9110, section 5.6.2). */
     private static boolean isTokenCharacter(byte character) {
         return (character >= 'a' && character <= 'z')
                 || (character >= 'A' && character <= 'Z')
@@ -182,7 +182,7 @@
         return character == ' ' || character == '\t';
     }
 
-    /** Bytes beyond ASCII are negative, and no control characters. */
+    /** Returns whether the byte is an ASCII control character; non-ASCII bytes are negative. */
     private static boolean isControl(byte character) {
         return (character >= 0 && character < ' ') || character == DELETE;
     }
@@ -211,7 +211,7 @@
         return true;
     }
 
-    /** RFC 9110, 5.5: no control characters but tabs. */
+    /** Returns whether the value contains no control characters other than tabs (RFC 9110, section 5.5). */
     private boolean isFieldValue(int start, int end) {
         for (int i = start; i < end; i++) {
             if (isControl(bytes[i]) && bytes[i] != '\t') {
@@ -221,7 +221,7 @@
         return true;
     }
 
-    /** False if the field occurred before with another value. */
+    /** Sets the value of a field. Returns false if the field has already occurred with a different value. */
     private boolean setValue(HeaderField field, int start, int end) {
         int i = field.ordinal();
         boolean repeated = valueStart[i] >= 0;
@@ -258,49 +258,49 @@
         return new String(bytes, start, end - start, StandardCharsets.ISO_8859_1);
     }
 
-    /** The method, as received. */
+    /** Returns the method, as received. */
     String method() {
         return text(methodStart, methodEnd);
     }
 
-    /** Without the query. */
+    /** Returns the path, without the query. */
     String path() {
         return text(pathStart, pathEnd);
     }
 
-    /** Whether the query has this {@code name=value}. */
+    /** Returns whether the query contains the {@code name=value} pair. */
     boolean hasQueryParameter(String pair) {
         return queryStart >= 0 && ("&" + text(queryStart, queryEnd) + "&").contains("&" + pair + "&");
     }
 
-    /** The length of the body, or -1 where none is declared. */
+    /** Returns the declared length of the body, or -1 if no length is declared. */
     int contentLength() {
         return contentLength;
     }
 
-    /** Whether the connection ends with the response: on request, and in HTTP/1.0 by default. */
+    /** Returns whether to close the connection after the response: on request, or by default in HTTP/1.0. */
     boolean closesConnection() {
         String option =
                 has(HeaderField.CONNECTION) ? text(HeaderField.CONNECTION).toLowerCase(Locale.ROOT) : "";
         return option.contains("close") || (http10 && !option.contains("keep-alive"));
     }
 
-    /** Whether the client waits for "100 Continue" before it sends the body. */
+    /** Returns whether the client waits for "100 Continue" before sending the body. */
     boolean expectsContinue() {
         return has(HeaderField.EXPECT);
     }
 
-    /** Whether the head has the field. */
+    /** Returns whether the head contains the field. */
     boolean has(HeaderField field) {
         return valueStart[field.ordinal()] >= 0;
     }
 
-    /** The value of a field that the head has, without surrounding blanks. */
+    /** Returns the value of a field, without surrounding blanks. The head must contain the field. */
     String text(HeaderField field) {
         return text(valueStart[field.ordinal()], valueEnd[field.ordinal()]);
     }
 
-    /** The value of a field that consists of 1 to {@value #MAX_DIGITS} digits only, or -1. */
+    /** Returns the value of a field that consists of 1 to {@value #MAX_DIGITS} digits, or -1 for any other value. */
     long digits(HeaderField field) {
         int i = field.ordinal();
         if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > MAX_DIGITS) {
@@ -316,7 +316,7 @@
         return value;
     }
 
-    /** The value of a field that is a decimal number of {@value #MAX_NUMBER_CHARS} characters at most, or NaN. */
+    /** Returns the value of a field as a decimal number, or NaN if invalid or over {@value #MAX_NUMBER_CHARS} characters. */
     double number(HeaderField field) {
         int i = field.ordinal();
         if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > MAX_NUMBER_CHARS) {
@@ -334,7 +334,7 @@
         }
     }
 
-    /** Whether the value consists of exactly this number of hexadecimal digits. */
+    /** Returns whether the value of the field consists of exactly {@code count} hexadecimal digits. */
     boolean isHex(HeaderField field, int count) {
         int i = field.ordinal();
         if (!has(field) || valueEnd[i] - valueStart[i] != count) {
--- a/src/main/java/merlinlever/backend/http/RequestMetadataParser.java
+++ b/src/main/java/merlinlever/backend/http/RequestMetadataParser.java
@@ -12,14 +12,14 @@
 import merlinlever.common.net.MonotonicClock;
 import merlinlever.controller.settings.PriorityClassSettings;
 
-/** Reads what the backend needs to know of a request out of its head, and checks each field's form and range. */
+/** Extracts the metadata of a request from its head, and validates the format and the range of each field. */
 final class RequestMetadataParser {
 
     private static final double MAX_KB = 2000;
     private static final long MAX_WAIT_MS = 3_600_000;
-    /** Unix milliseconds beyond which nanoseconds overflow. */
+    /** Maximum Unix time in milliseconds; a larger value may overflow when converted to nanoseconds. */
     private static final long MAX_UNIX_MS = 9_000_000_000_000L;
-    /** How far in the future a request may have been sent, for clocks that are read one after the other. */
+    /** Maximum time by which the send time of a request may be ahead of this server's clock. */
     private static final Duration MAX_CLOCK_SKEW = Duration.ofSeconds(5);
 
     private static final int REQUEST_ID_DIGITS = 16;
@@ -30,13 +30,13 @@
     private final List<PriorityClassSettings> priorityClasses;
     private final MonotonicClock clock;
 
-    /** @param priorityClasses by their index */
+    /** @param priorityClasses the priority classes, by class index */
     RequestMetadataParser(List<PriorityClassSettings> priorityClasses, MonotonicClock clock) {
         this.priorityClasses = priorityClasses;
         this.clock = clock;
     }
 
-    /** The request's metadata; empty if a field is missing, malformed or out of range. */
+    /** Returns the request's metadata, or empty if a field is missing, malformed or out of range. */
     Optional<RequestMetadata> parse(RequestHead head, String className, int classIndex) {
         boolean needsKey = priorityClasses.get(classIndex).isIdempotentByKey();
         double kb = head.number(HeaderField.MEMORY_KB);
@@ -78,7 +78,7 @@
         return !head.has(HeaderField.MAX_WAIT) || (waitMs >= 0 && waitMs <= MAX_WAIT_MS);
     }
 
-    /** Comparisons are written so that NaN is invalid. */
+    /** Returns whether both values are in range; the comparisons also reject NaN. */
     private static boolean areValidCosts(double kb, double costMs) {
         return kb > 0 && kb < MAX_KB && costMs >= 0 && costMs < MAX_WAIT_MS;
     }
--- a/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
@@ -6,7 +6,7 @@
 import merlinlever.compatibility.Fixture;
 import org.junit.jupiter.api.Test;
 
-/** Responses to edge nodes, byte for byte. */
+/** Compares responses to edge nodes with their recorded bytes. */
 class EdgeBytesTest extends EdgeServerFixture {
 
     private final Fixture fixture = new Fixture("edge.txt");
@@ -14,11 +14,11 @@
     EdgeBytesTest() throws IOException {}
 
     @Test
-    void eachAnswer() throws Exception {
+    void sendsEachResponseAsRecorded() throws Exception {
         listen(10);
         Socket socket = send(HEALTH_CHECK);
         fixture.pins("check", readResponse(socket));
-        for (String[] each : new String[][] {
+        for (String[] nameAndRequest : new String[][] {
             {"no-tariff", request("", "x").replace("/svc/look", "/svc/none")},
             {"no-body", "POST /svc/look HTTP/1.1\r\n\r\n"},
             {"get", "GET /svc/look HTTP/1.1\r\n\r\n"},
@@ -26,7 +26,7 @@
             {"long", "POST /svc/look HTTP/1.1\r\nContent-Length: 3000\r\n\r\n"},
             {"chunked", "POST /svc/look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"}
         }) {
-            fixture.pins(each[0], readResponse(send(each[1])));
+            fixture.pins(nameAndRequest[0], readResponse(send(nameAndRequest[1])));
         }
         write(socket, request("", "body"));
         awaitAgentCommands(1);
--- a/src/test/java/merlinlever/backend/http/EdgeCapacityTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeCapacityTest.java
@@ -10,7 +10,7 @@
 import merlinlever.backend.http.EdgeConnection.State;
 import org.junit.jupiter.api.Test;
 
-/** A table full of connections in each state: the next one is served after a short time, and none is reset. */
+/** Tests that a new connection is served soon, and no connection is reset, when the connection table is full. */
 class EdgeCapacityTest extends EdgeServerFixture {
 
     private static final int MAX_CONNECTIONS = 8;
@@ -18,42 +18,42 @@
 
     EdgeCapacityTest() throws IOException {}
 
-    /** Asserts that a health check on a new connection is answered within the time on the loop's clock. */
-    private void assertHealthCheckAnsweredWithin(long ms) throws Exception {
-        Socket check = send(HEALTH_CHECK);
-        long passed = 0;
-        while (check.getInputStream().available() == 0) {
+    /** Asserts that a health check on a new connection is answered within the time, measured on the loop's clock. */
+    private void assertHealthCheckAnsweredWithin(long maxMs) throws Exception {
+        Socket socket = send(HEALTH_CHECK);
+        long elapsedMs = 0;
+        while (socket.getInputStream().available() == 0) {
             advance(50);
-            passed += 50;
-            assertTrue(passed <= ms, "no answer after " + passed + " ms");
-            // The channel group's own thread accepts: it gets real time, while the loop's clock stands still.
-            for (int i = 0; i < 20 && check.getInputStream().available() == 0; i++) {
+            elapsedMs += 50;
+            assertTrue(elapsedMs <= maxMs, "no response after " + elapsedMs + " ms");
+            // Connections are accepted on a thread of the channel group, which needs real time.
+            for (int i = 0; i < 20 && socket.getInputStream().available() == 0; i++) {
                 Thread.sleep(1);
                 runPendingWork();
             }
         }
-        assertStatus(200, check);
+        assertStatus(200, socket);
     }
 
     @Test
-    void connectionsThatBecomeIdleAfterTheTableFilledAreEvicted() throws Exception {
+    void evictsConnectionsThatBecomeIdleAfterTheTableIsFull() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             openSockets.add(send(request("", "body")));
             awaitAgentCommands(i + 1);
         }
-        // The table was full when the last one came, and all of them had a request in flight.
+        // The table became full while each connection had a request in flight.
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             completeRun(agentCommands.get(i), new byte[] {'7'});
             assertStatus(200, openSockets.get(i));
         }
         assertHealthCheckAnsweredWithin(250);
-        // Those that were evicted for it read an end of stream.
+        // An evicted connection reads an end of stream.
         assertEndOfStream(openSockets.get(0));
     }
 
     @Test
-    void connectionsThatNeverSentARequestAreEvicted() throws Exception {
+    void evictsConnectionsThatNeverSentARequest() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             openSockets.add(connect());
@@ -64,22 +64,22 @@
     }
 
     @Test
-    void connectionsWithAnIncompleteRequestAreEvicted() throws Exception {
+    void evictsConnectionsWithAnIncompleteRequest() throws Exception {
         listen(MAX_CONNECTIONS);
-        // All but the one with half a request are busy, so that no other can be evicted.
+        // All other connections are busy, so that only the one with the incomplete request can be evicted.
         for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
             openSockets.add(send("GET /status/live?real=1 HTTP/1.1\r\n\r\n"));
             await(State.IN_FLIGHT, i + 1);
         }
-        Socket half = send(HEALTH_CHECK + "POST ");
-        assertStatus(200, half);
+        Socket incomplete = send(HEALTH_CHECK + "POST ");
+        assertStatus(200, incomplete);
         await(State.RECEIVING, 1);
         assertHealthCheckAnsweredWithin(1300);
-        assertEndOfStream(half);
+        assertEndOfStream(incomplete);
     }
 
     @Test
-    void lingeringConnectionsAreEvicted() throws Exception {
+    void evictsLingeringConnections() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             openSockets.add(send("nonsense\r\n\r\n"));
@@ -90,25 +90,25 @@
         assertEndOfStream(openSockets.get(0));
     }
 
-    /** A new connection is not evicted for the next one, however busy the others are. */
+    /** A connection that was just accepted is not evicted, even if all other connections are busy. */
     @Test
-    void aNewConnectionIsNotEvictedWhileAllOthersAreBusy() throws Exception {
+    void doesNotEvictANewConnectionWhileAllOthersAreBusy() throws Exception {
         listen(MAX_CONNECTIONS);
         for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
             openSockets.add(send(request("", "body")));
             awaitAgentCommands(i + 1);
         }
-        Socket fresh = connect();
+        Socket newSocket = connect();
         await(State.NEW, 1);
         advance(100);
-        write(fresh, HEALTH_CHECK);
-        assertStatus(200, fresh);
+        write(newSocket, HEALTH_CHECK);
+        assertStatus(200, newSocket);
         assertEquals(MAX_CONNECTIONS - 1, agentCommands.size());
     }
 
-    /** Some connections are evicted ahead of time: the next ones are served without waiting. */
+    /** Idle connections are evicted ahead of demand, so that the next connections are served without delay. */
     @Test
-    void idleConnectionsAreEvictedBeforeTheTableIsFull() throws Exception {
+    void evictsIdleConnectionsBeforeTheTableIsFull() throws Exception {
         listen(16);
         for (int i = 0; i < 16; i++) {
             openSockets.add(send(HEALTH_CHECK));
@@ -124,9 +124,9 @@
         }
     }
 
-    /** Many more connections than the limit, each used once and left idle: all are answered, and none is reset. */
+    /** Connections far above the limit, each used once and left idle, are all answered without a reset. */
     @Test
-    void manyConnectionsUsedOnceAreAllAnswered() throws Exception {
+    void answersMoreConnectionsThanTheLimit() throws Exception {
         listen(16);
         for (int i = 0; i < 60; i++) {
             assertHealthCheckAnsweredWithin(250);
--- a/src/test/java/merlinlever/backend/http/EdgeCloseRaceTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeCloseRaceTest.java
@@ -14,23 +14,23 @@
 import merlinlever.common.net.Connection;
 import org.junit.jupiter.api.Test;
 
-/** Bytes of an edge node that race the close of its connection: idle, unused, half read, evicted, draining. */
+/** Tests input that races the close of a connection, for the various reasons to close. */
 class EdgeCloseRaceTest extends EdgeServerFixture {
 
     EdgeCloseRaceTest() throws IOException {}
 
     /**
-     * The edge node reads an end of stream and may write more than once without a reset, and nothing of that reaches
-     * the agent. Closing at once would reset the connection because of the unread bytes.
+     * Asserts that the edge node reads an end of stream and can continue to write without a reset, and that no request
+     * is run. If the server closed the connection immediately, the unread bytes would cause a reset.
      */
-    private void assertBytesAfterCloseAreDropped(Socket socket, String rest) throws Exception {
+    private void assertBytesAfterCloseAreDropped(Socket socket, String firstBytes) throws Exception {
         assertEndOfStream(socket);
         for (int i = 0; i < 20; i++) {
-            write(socket, i == 0 ? rest : request("", "again"));
+            write(socket, i == 0 ? firstBytes : request("", "again"));
             runPendingWork();
         }
         assertEquals(List.of(), agentCommands);
-        // After the lingering time it is closed, which resets it for a peer that goes on writing.
+        // After the lingering time the server closes the connection, so that further writes fail.
         advance(1200);
         boolean closed = false;
         for (int i = 0; i < 200 && !closed; i++) {
@@ -41,12 +41,12 @@
                 closed = true;
             }
         }
-        assertTrue(closed, "it stays open");
+        assertTrue(closed, "connection is still open");
         runOnLoop(() -> assertTrue(edge.hasNoConnections()));
     }
 
     @Test
-    void aRequestRacingTheCloseOfAnIdleConnectionIsReadAndNotRun() throws Exception {
+    void doesNotRunARequestRacingTheCloseOfAnIdleConnection() throws Exception {
         listen(100);
         Socket socket = send(HEALTH_CHECK);
         assertStatus(200, socket);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aRequestRacingTheCloseOfAnUnusedConnectionIsReadAndNotRun() throws Exception {
+    void doesNotRunARequestRacingTheCloseOfAnUnusedConnection() throws Exception {
         listen(100);
         Socket socket = connect();
         await(State.NEW, 1);
@@ -64,111 +64,110 @@
     }
 
     @Test
-    void theRestOfAnIncompleteRequestRacingTheCloseIsReadAndNotRun() throws Exception {
+    void doesNotRunARequestCompletedDuringTheClose() throws Exception {
         listen(100);
         Socket socket = send(HEALTH_CHECK);
         assertStatus(200, socket);
-        String operation = request("", "body");
-        write(socket, operation.substring(0, 10));
+        String request = request("", "body");
+        write(socket, request.substring(0, 10));
         await(State.RECEIVING, 1);
         advance(5_200);
-        assertBytesAfterCloseAreDropped(socket, operation.substring(10));
+        assertBytesAfterCloseAreDropped(socket, request.substring(10));
     }
 
     /**
-     * A request that was read before the idle timeout, but not processed as the loop has more than a batch to do, is
-     * run.
+     * A request is run if its bytes were queued in the loop before the idle timeout, even if a backlog of tasks delays
+     * the processing until after the timeout.
      */
     @Test
-    void aRequestAlreadyQueuedInTheLoopAtTheIdleTimeoutIsRun() throws Exception {
+    void runsARequestQueuedInTheLoopBeforeTheIdleTimeout() throws Exception {
         listen(100);
-        StringBuilder heard = new StringBuilder();
-        Connection[] mine = new Connection[1];
-        runOnLoop(() -> edge.addConnection(user -> Connection.inMemory(
+        StringBuilder received = new StringBuilder();
+        Connection[] clientEnd = new Connection[1];
+        runOnLoop(() -> edge.addConnection(handler -> Connection.inMemory(
                 loop,
-                user,
+                handler,
                 new Connection.InMemoryPeer() {
                     @Override
                     public void attach(Connection connection) {
-                        mine[0] = connection;
+                        clientEnd[0] = connection;
                     }
 
                     @Override
-                    public void onReceived(ByteBuffer in) {
-                        heard.append(StandardCharsets.ISO_8859_1.decode(in));
+                    public void onReceived(ByteBuffer input) {
+                        received.append(StandardCharsets.ISO_8859_1.decode(input));
                     }
 
                     @Override
-                    public void onClosed(CloseReason how) {
-                        heard.append(how);
+                    public void onClosed(CloseReason reason) {
+                        received.append(reason);
                     }
                 },
                 EdgeConnection.READ_BUFFER_BYTES,
                 EdgeConnection.MAX_QUEUED_BYTES)));
-        runOnLoop(() -> mine[0].write(ByteBuffer.wrap(HEALTH_CHECK.getBytes(StandardCharsets.US_ASCII))));
+        runOnLoop(() -> clientEnd[0].write(ByteBuffer.wrap(HEALTH_CHECK.getBytes(StandardCharsets.US_ASCII))));
         await(State.IDLE, 1);
         advance(7_900);
-        // Batches of 256: the written bytes are queued behind these tasks at the end of the first batch, time advances
-        // in the second, whose timers are due at once, and the third reads the bytes.
+        // A batch has 256 tasks. The written bytes are queued after these tasks at the end of the first batch. The
+        // clock
+        // advances in the second batch, after which the timers run. The third batch reads the bytes.
         runOnLoop(() -> {
-            mine[0].write(ByteBuffer.wrap(request("", "body").getBytes(StandardCharsets.ISO_8859_1)));
+            clientEnd[0].write(ByteBuffer.wrap(request("", "body").getBytes(StandardCharsets.ISO_8859_1)));
             for (int i = 0; i < 600; i++) {
                 loop.execute(i == 400 ? () -> nanos.addAndGet(400_000_000) : () -> {});
             }
         });
         runPendingWork();
         awaitAgentCommands(1);
-        heard.setLength(0);
+        received.setLength(0);
         completeRun(agentCommands.get(0), new byte[] {'7'});
         assertTrue(
-                heard.toString().startsWith("HTTP/1.1 200 OK")
-                        && heard.toString().endsWith("\r\n\r\n7"),
-                heard.toString());
+                received.toString().startsWith("HTTP/1.1 200 OK")
+                        && received.toString().endsWith("\r\n\r\n7"),
+                received.toString());
     }
 
-    /** The machine pauses for longer than any time limit: bytes that were written meanwhile are read first. */
+    /** After a pause longer than any time limit, connections remain open and their input is processed. */
     @Test
-    void aProcessPauseDoesNotCountTowardsTimeouts() throws Exception {
+    void doesNotCountAProcessPauseTowardsTimeouts() throws Exception {
         listen(100);
-        Socket fresh = connect();
-        Socket half = send(HEALTH_CHECK);
-        assertStatus(200, half);
-        write(half, HEALTH_CHECK.substring(0, 10));
+        Socket unused = connect();
+        Socket incomplete = send(HEALTH_CHECK);
+        assertStatus(200, incomplete);
+        write(incomplete, HEALTH_CHECK.substring(0, 10));
         await(State.RECEIVING, 1);
         await(State.NEW, 1);
         advanceAtOnce(30_000);
         advance(200);
-        write(fresh, HEALTH_CHECK);
-        assertStatus(200, fresh);
-        write(half, HEALTH_CHECK.substring(10));
-        assertStatus(200, half);
+        write(unused, HEALTH_CHECK);
+        assertStatus(200, unused);
+        write(incomplete, HEALTH_CHECK.substring(10));
+        assertStatus(200, incomplete);
     }
 
-    /** Draining: idle connections end in good order and drop what comes then; requests in flight are answered. */
+    /** During a drain, idle connections are shut down and drop further input, and requests in flight are answered. */
     @Test
-    void onShutdownIdleConnectionsCloseAndInFlightRequestsAreAnswered() throws Exception {
+    void closesIdleConnectionsAndAnswersRequestsInFlightOnShutdown() throws Exception {
         listen(100);
-        Socket resting = send(HEALTH_CHECK);
-        assertStatus(200, resting);
+        Socket idle = send(HEALTH_CHECK);
+        assertStatus(200, idle);
         Socket busy = send(request("", "body"));
         awaitAgentCommands(1);
         runOnLoop(() -> {
             edge.close();
             edge.closeIdleConnections();
         });
-        assertEndOfStream(resting);
-        write(resting, request("", "late"));
+        assertEndOfStream(idle);
+        write(idle, request("", "late"));
         completeRun(agentCommands.get(0), new byte[] {'7'});
-        String answer = readResponse(busy);
-        assertTrue(answer.contains("Connection: close\r\n") && answer.endsWith("7"), answer);
+        String response = readResponse(busy);
+        assertTrue(response.contains("Connection: close\r\n") && response.endsWith("7"), response);
         assertEquals(1, agentCommands.size());
     }
 
-    /**
-     * A request behind one whose response says "close" is neither answered nor run, and the connection is not reset.
-     */
+    /** A pipelined request after the last request of a connection is not run and does not cause a reset. */
     @Test
-    void aRequestBehindTheLastResponseIsNotRunAndResetsNothing() throws Exception {
+    void doesNotRunARequestAfterTheLastResponse() throws Exception {
         listen(100);
         Socket socket = send(request("Connection: close\r\n", "body") + request("", "second"));
         awaitAgentCommands(1);
@@ -180,48 +179,48 @@
         assertEquals(1, agentCommands.size());
     }
 
-    /** Half a request as the acceptor closes: its rest is read and answered, and the connection ends. */
+    /** A request that is incomplete when the acceptor closes is read and answered before the connection is closed. */
     @Test
-    void aRequestCompletedAfterTheAcceptorClosedIsAnswered() throws Exception {
+    void answersARequestCompletedAfterTheAcceptorClosed() throws Exception {
         listen(100);
-        String operation = request("", "body");
-        Socket half = send(operation.substring(0, operation.length() - 3));
+        String request = request("", "body");
+        Socket incomplete = send(request.substring(0, request.length() - 3));
         await(State.NEW, 1);
         runOnLoop(edge::close);
         advance(100);
         runOnLoop(() -> backend.startDrain(
                 loop.clock().now().minusMillis(200), loop.clock().now().plusSeconds(2)));
-        write(half, operation.substring(operation.length() - 3));
-        String answer = readResponse(half);
-        assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
-        assertEndOfStream(half);
+        write(incomplete, request.substring(request.length() - 3));
+        String response = readResponse(incomplete);
+        assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("Connection: close\r\n"), response);
+        assertEndOfStream(incomplete);
         assertEquals(List.of(), agentCommands);
     }
 
-    /** Connections in the system's backlog as the acceptor closes are accepted and answered. */
+    /** Connections in the system's backlog when the acceptor closes are accepted and answered. */
     @Test
-    void connectionsInTheBacklogWhenTheAcceptorClosesAreAnswered() throws Exception {
+    void answersConnectionsInTheBacklogWhenTheAcceptorCloses() throws Exception {
         listen(4);
         List<Socket> busy = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             busy.add(send(request("", "body")));
             awaitAgentCommands(i + 1);
         }
-        // Beyond the limit: these wait in the system's backlog with a complete request each.
-        List<Socket> waiting = new ArrayList<>();
+        // The connection limit is reached, so these connections wait in the system's backlog, with complete requests.
+        List<Socket> backlog = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            waiting.add(send("GET /none HTTP/1.1\r\n\r\n"));
+            backlog.add(send("GET /none HTTP/1.1\r\n\r\n"));
         }
         runOnLoop(edge::close);
         runOnLoop(() -> assertTrue(!edge.hasNoConnections()));
-        for (Socket each : busy) {
-            completeRun(agentCommands.get(busy.indexOf(each)), new byte[] {'7'});
-            assertTrue(readResponse(each).contains("Connection: close\r\n"));
-            each.close();
+        for (Socket socket : busy) {
+            completeRun(agentCommands.get(busy.indexOf(socket)), new byte[] {'7'});
+            assertTrue(readResponse(socket).contains("Connection: close\r\n"));
+            socket.close();
         }
-        for (Socket each : waiting) {
-            String answer = readResponse(each);
-            assertTrue(answer.startsWith("HTTP/1.1 404 ") && answer.contains("Connection: close\r\n"), answer);
+        for (Socket socket : backlog) {
+            String response = readResponse(socket);
+            assertTrue(response.startsWith("HTTP/1.1 404 ") && response.contains("Connection: close\r\n"), response);
         }
     }
 }
--- a/src/test/java/merlinlever/backend/http/EdgeConnectionStateTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeConnectionStateTest.java
@@ -10,7 +10,7 @@
 import merlinlever.backend.http.EdgeConnection.State;
 import org.junit.jupiter.api.Test;
 
-/** Resets, late health results and floods in each state of a connection. */
+/** Tests resets, late health results and floods of requests in each state of a connection. */
 class EdgeConnectionStateTest extends EdgeServerFixture {
 
     EdgeConnectionStateTest() throws IOException {}
@@ -20,80 +20,81 @@
         socket.close();
     }
 
-    /** A reset in each state leaves nothing in any table, and stops the request's run once. */
+    /** After a reset in any state, the connection is removed and the run of a request in flight is stopped once. */
     @Test
-    void aResetInEachStateLeavesNothingBehind() throws Exception {
+    void removesAConnectionResetInAnyState() throws Exception {
         listen(100);
-        List<Socket> all = new ArrayList<>();
-        all.add(connect());
+        List<Socket> sockets = new ArrayList<>();
+        sockets.add(connect());
         await(State.NEW, 1);
-        all.add(send(HEALTH_CHECK));
+        sockets.add(send(HEALTH_CHECK));
         await(State.IDLE, 1);
-        all.add(send(HEALTH_CHECK + "POST "));
+        sockets.add(send(HEALTH_CHECK + "POST "));
         await(State.RECEIVING, 1);
-        all.add(send(request("", "body")));
+        sockets.add(send(request("", "body")));
         await(State.IN_FLIGHT, 1);
-        all.add(send("nonsense\r\n\r\n"));
+        sockets.add(send("nonsense\r\n\r\n"));
         await(State.LINGERING, 1);
-        // Responses that nobody reads: the system buffers only so many.
-        Socket answering = connect();
-        all.add(answering);
+        // The client reads no responses, so that the system's buffers fill up and the server cannot finish writing.
+        Socket respondingSocket = connect();
+        sockets.add(respondingSocket);
         Thread flood = new Thread(() -> {
             try {
                 while (true) {
-                    write(answering, "GET /none HTTP/1.1\r\n\r\n".repeat(5000));
+                    write(respondingSocket, "GET /none HTTP/1.1\r\n\r\n".repeat(5000));
                 }
             } catch (IOException e) {
-                // Reset, as it should be.
+                // The test resets the connection.
             }
         });
         flood.start();
         await(State.RESPONDING, 1);
         assertEquals(6, edge.count());
-        for (Socket each : all) {
-            reset(each);
+        for (Socket socket : sockets) {
+            reset(socket);
         }
         flood.join();
-        await(() -> edge.count() == 0, "some are left");
+        await(() -> edge.count() == 0, "connections are still open");
         awaitAgentCommands(2);
         assertEquals(
                 List.of("launch", "stop"),
-                agentCommands.stream().map(word -> word.split(" ")[0]).toList());
-        // The run ends after its caller has disconnected: nobody is answered.
+                agentCommands.stream().map(command -> command.split(" ")[0]).toList());
+        // The outcome of the run is ignored because the caller has disconnected.
         completeRun(agentCommands.get(0), new byte[] {'7'});
         runOnLoop(() -> assertTrue(edge.hasFlushedAllResponses() && edge.hasNoConnections()));
     }
 
-    /** A health result that comes after its client has disconnected answers nobody else. */
+    /** A health result that arrives after its client has disconnected is not sent to another client. */
     @Test
-    void aLateHealthResultAnswersOnlyItsOwnCheck() throws Exception {
+    void doesNotSendALateHealthResultToAnotherClient() throws Exception {
         listen(100);
-        Socket gone = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
+        Socket disconnected = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n");
         await(State.IN_FLIGHT, 1);
-        reset(gone);
-        await(() -> edge.count() == 0, "it is still there");
-        Socket other = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n" + request("", "body"));
+        reset(disconnected);
+        await(() -> edge.count() == 0, "connection is still open");
+        Socket connected = send("GET /status/live?real=1 HTTP/1.1\r\n\r\n" + request("", "body"));
         await(State.IN_FLIGHT, 1);
-        // The result answers the check; the request behind it is read then, and a second result does not affect it.
+        // The first result answers the health check. The server then reads the pipelined request, which a second result
+        // must not answer.
         runOnLoop(() -> backend.deepCheckCompleted(true));
-        assertStatus(200, other);
+        assertStatus(200, connected);
         awaitAgentCommands(2);
         runOnLoop(() -> backend.deepCheckCompleted(false));
         completeRun(agentCommands.get(1), new byte[] {'7'});
-        String answer = readResponse(other);
-        assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n7"), answer);
+        String response = readResponse(connected);
+        assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n7"), response);
         assertEquals(List.of("deep-check"), agentCommands.subList(0, 1));
     }
 
     /** Thousands of pipelined requests are answered in order, without delaying another client. */
     @Test
-    void thousandsOfRequestsAtOnceAreAnsweredInOrder() throws Exception {
+    void answersThousandsOfPipelinedRequestsInOrder() throws Exception {
         listen(100);
-        Socket many = connect();
+        Socket pipelining = connect();
         Thread writer = new Thread(() -> {
             try {
                 for (int i = 0; i < 2000; i++) {
-                    write(many, (i % 2 == 0 ? HEALTH_CHECK : "GET /none HTTP/1.1\r\n\r\n").repeat(1));
+                    write(pipelining, (i % 2 == 0 ? HEALTH_CHECK : "GET /none HTTP/1.1\r\n\r\n").repeat(1));
                 }
             } catch (IOException e) {
                 failures.add(e);
@@ -102,29 +103,29 @@
         writer.start();
         assertStatus(200, send(HEALTH_CHECK));
         for (int i = 0; i < 2000; i++) {
-            assertStatus(i % 2 == 0 ? 200 : 404, many);
+            assertStatus(i % 2 == 0 ? 200 : 404, pipelining);
         }
         writer.join();
     }
 
-    /** The bytes of a body that is too long are dropped for a bounded time, and the rejection arrives before. */
+    /** A request with an invalid or too long body is rejected; its further bytes are dropped for a limited time. */
     @Test
-    void anUnboundedBodyIsRejectedAndTheConnectionClosed() throws Exception {
+    void rejectsAnUnboundedBodyAndClosesTheConnection() throws Exception {
         listen(100);
-        for (String head : new String[] {
+        for (String bodyHeaders : new String[] {
             "Content-Length: 60000000\r\n\r\n",
             "Transfer-Encoding: chunked\r\n\r\n",
             "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n",
             "Content-Length: -1\r\n\r\n"
         }) {
-            Socket socket = send("POST /svc/look HTTP/1.1\r\n" + head);
-            String answer = readResponse(socket);
+            Socket socket = send("POST /svc/look HTTP/1.1\r\n" + bodyHeaders);
+            String response = readResponse(socket);
             assertTrue(
-                    answer.startsWith("HTTP/1.1 413 ")
-                            || answer.startsWith("HTTP/1.1 501 ")
-                            || answer.startsWith("HTTP/1.1 400 "),
-                    answer);
-            assertTrue(answer.contains("Connection: close\r\n"));
+                    response.startsWith("HTTP/1.1 413 ")
+                            || response.startsWith("HTTP/1.1 501 ")
+                            || response.startsWith("HTTP/1.1 400 "),
+                    response);
+            assertTrue(response.contains("Connection: close\r\n"));
             for (int i = 0; i < 20; i++) {
                 write(socket, request("", "hidden"));
             }
@@ -135,27 +136,27 @@
         assertEquals(List.of(), agentCommands);
     }
 
-    /** "100 Continue" is sent once, before the response and not within another one. */
+    /** "100 Continue" is sent once, after the previous response and before the response to its own request. */
     @Test
-    void continueIsSentOnceAndBeforeItsOwnResponse() throws Exception {
+    void sendsContinueOnceBeforeItsOwnResponse() throws Exception {
         listen(100);
-        String operation = request("Expect: 100-continue\r\n", "body");
-        int body = operation.length() - 4;
-        Socket socket = send(HEALTH_CHECK + operation.substring(0, body));
+        String request = request("Expect: 100-continue\r\n", "body");
+        int bodyStart = request.length() - 4;
+        Socket socket = send(HEALTH_CHECK + request.substring(0, bodyStart));
         assertStatus(200, socket);
         assertStatus(100, socket);
-        write(socket, operation.substring(body, body + 2));
+        write(socket, request.substring(bodyStart, bodyStart + 2));
         runPendingWork();
-        write(socket, operation.substring(body + 2) + HEALTH_CHECK);
+        write(socket, request.substring(bodyStart + 2) + HEALTH_CHECK);
         awaitAgentCommands(1);
         completeRun(agentCommands.get(0), new byte[] {'7'});
         assertTrue(readResponse(socket).endsWith("\r\n\r\n7"));
         assertStatus(200, socket);
     }
 
-    /** A client that reads no responses is disconnected after 5 s, however long it goes on sending. */
+    /** A client that reads no responses is disconnected after 5 s, even while the client continues to send requests. */
     @Test
-    void aClientThatReadsNoResponsesIsDisconnected() throws Exception {
+    void disconnectsAClientThatReadsNoResponses() throws Exception {
         listen(100);
         Socket socket = connect();
         Thread flood = new Thread(() -> {
@@ -164,16 +165,16 @@
                     write(socket, "GET /none HTTP/1.1\r\n\r\n".repeat(5000));
                 }
             } catch (IOException e) {
-                // Closed, as it should be.
+                // The server has closed the connection.
             }
         });
         flood.start();
-        // Until the system's buffers are full it is in RESPONDING now and then; from then on it stays there.
-        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        // Once the system's buffers are full, the connection remains in state RESPONDING.
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         while (flood.isAlive()) {
-            assertTrue(System.nanoTime() < until, "it is not ended");
+            assertTrue(System.nanoTime() < deadlineNanos, "connection was not closed");
             advance(500);
         }
-        await(() -> edge.count() == 0, "it is still there");
+        await(() -> edge.count() == 0, "connection is still open");
     }
 }
--- a/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * An edge server on loopback sockets, with a real backend whose dependencies are recorded here. The loop runs on a
- * thread of its own; its clock advances only where a test advances it, and tasks on it hold it up while peers write.
+ * An edge server on loopback sockets, with a real backend and recorded backend dependencies. The event loop runs on its
+ * own thread, with a clock that only the test advances.
  */
 abstract class EdgeServerFixture extends RecordingDependencies {
 
@@ -43,7 +43,7 @@
 
     final AtomicLong nanos = new AtomicLong(1_000_000_000L);
     final List<Throwable> failures = new CopyOnWriteArrayList<>();
-    /** The commands to the agent, as "command id". */
+    /** The commands sent to the agent, in the format "command id". */
     final List<String> agentCommands = commands;
 
     private final List<Socket> sockets = new ArrayList<>();
@@ -78,13 +78,13 @@
         });
     }
 
-    /** Begins to listen, with the agent up. */
+    /** Starts the server and the loop, with the agent started, and waits until the backend is healthy. */
     void listen(int maxConnections) throws Exception {
         edge.listen(new InetSocketAddress(LOOPBACK, 0), maxConnections);
         backend.agentStarted(loop.clock().now(), false);
         thread.setDaemon(true);
         thread.start();
-        await(backend::isHealthy, "the backend is not healthy");
+        await(backend::isHealthy, "backend is not healthy");
     }
 
     @AfterEach
@@ -98,28 +98,28 @@
         assertEquals(List.of(), failures);
     }
 
-    /** Runs the task on the loop and waits for it. */
+    /** Runs the task on the loop and waits until the task has finished. */
     void runOnLoop(Runnable task) throws Exception {
         FutureTask<Void> future = new FutureTask<>(task, null);
         loop.execute(future);
         future.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Waits until the ready tasks, those that they make ready, and the due timers have run. */
+    /** Waits until all ready tasks, the tasks that they submit, and the due timers have run. */
     void runPendingWork() throws Exception {
-        // Tasks that come during a batch may join it; its timers and writes follow its tasks.
+        // A task submitted during a batch may run in the same batch; timers and writes run after the tasks of a batch.
         for (int i = 0; i < 4; i++) {
-            long before = batchesRun.get();
+            long previousBatches = batchesRun.get();
             runOnLoop(() -> {});
             long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-            while (batchesRun.get() == before) {
-                assertTrue(System.nanoTime() < deadlineNanos, "the loop stands still");
+            while (batchesRun.get() == previousBatches) {
+                assertTrue(System.nanoTime() < deadlineNanos, "event loop does not run");
                 Thread.onSpinWait();
             }
         }
     }
 
-    /** Advances the clock in steps that are shorter than a sweep. */
+    /** Advances the clock in steps that are shorter than the interval of the server's sweep. */
     void advance(long ms) throws Exception {
         for (long left = ms; left > 0; left -= 50) {
             long step = Math.min(left, 50);
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Advances the clock in one step, as over a pause of the process. */
+    /** Advances the clock in a single step, like a pause of the process. */
     void advanceAtOnce(long ms) throws Exception {
         runOnLoop(() -> nanos.addAndGet(ms * 1_000_000L));
         runPendingWork();
@@ -169,59 +169,59 @@
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
             int next = in.read();
-            assertTrue(next >= 0, "the answer ends within its head: " + head);
+            assertTrue(next >= 0, "response ends within its head: " + head);
             head.write(next);
         }
         String text = head.toString(StandardCharsets.US_ASCII);
-        int at = text.indexOf("Content-Length: ") + 16;
-        int length = at < 16 ? 0 : Integer.parseInt(text.substring(at, text.indexOf('\r', at)));
+        int valueStart = text.indexOf("Content-Length: ") + 16;
+        int length = valueStart < 16 ? 0 : Integer.parseInt(text.substring(valueStart, text.indexOf('\r', valueStart)));
         return text + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
     }
 
     static void assertStatus(int status, Socket socket) throws IOException {
-        String answer = readResponse(socket);
-        assertEquals("" + status, answer.substring(9, 12), answer);
+        String response = readResponse(socket);
+        assertEquals("" + status, response.substring(9, 12), response);
     }
 
     static void assertEndOfStream(Socket socket) throws IOException {
         assertEquals(-1, socket.getInputStream().read());
     }
 
-    /** Waits until so many commands have been sent to the agent. */
+    /** Waits until at least {@code count} commands have been sent to the agent. */
     void awaitAgentCommands(int count) throws Exception {
-        await(() -> agentCommands.size() >= count, "asked only " + agentCommands);
+        await(() -> agentCommands.size() >= count, "too few agent commands: " + agentCommands);
     }
 
-    /** Waits until so many connections are in the state. */
+    /** Waits until exactly {@code count} connections are in the state. */
     void await(EdgeConnection.State state, int count) throws Exception {
-        await(() -> edge.count(state) == count, "not " + count + " are " + state);
+        await(() -> edge.count(state) == count, "number of connections is not " + count + " in state " + state);
     }
 
-    /** Waits for a condition, which is evaluated on the loop. */
+    /** Waits until the condition holds; the condition is evaluated on the loop. */
     void await(BooleanSupplier condition, String message) throws Exception {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-        boolean[] seen = new boolean[1];
-        while (!seen[0]) {
+        boolean[] satisfied = new boolean[1];
+        while (!satisfied[0]) {
             assertTrue(System.nanoTime() < deadlineNanos, message);
-            runOnLoop(() -> seen[0] = condition.getAsBoolean());
+            runOnLoop(() -> satisfied[0] = condition.getAsBoolean());
         }
     }
 
-    /** The run of the launch command ends with the result. */
-    void completeRun(String launch, byte[] result) throws Exception {
+    /** Ends the run started by the launch command with outcome OK and the result. */
+    void completeRun(String launchCommand, byte[] result) throws Exception {
         runOnLoop(() -> backend.runEnded(
-                loop.clock().now(), Long.parseUnsignedLong(launch.substring(7), 16), Outcome.OK, result));
+                loop.clock().now(), Long.parseUnsignedLong(launchCommand.substring(7), 16), Outcome.OK, result));
         runPendingWork();
     }
 
-    private EventLoop.Timer alarm;
+    private EventLoop.Timer wakeUpTimer;
 
     @Override
     public void scheduleWakeUp(Duration at) {
-        if (alarm != null) {
-            alarm.cancel();
+        if (wakeUpTimer != null) {
+            wakeUpTimer.cancel();
         }
-        alarm = loop.schedule(
+        wakeUpTimer = loop.schedule(
                 at.minus(loop.clock().now()), () -> backend.wakeUp(loop.clock().now()));
     }
 }
--- a/src/test/java/merlinlever/backend/http/RequestHeadTest.java
+++ b/src/test/java/merlinlever/backend/http/RequestHeadTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Valid and malformed heads. */
+/** Tests parsing of valid, malformed and random heads. */
 class RequestHeadTest {
 
     private static byte[] ascii(String text) {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void theFieldsOfARequestAreParsed() {
+    void parsesTheFieldsOfARequest() {
         byte[] bytes = ascii("xxPOST /svc/buy?real=1&b=2 HTTP/1.1\r\nHost: a\r\nreq-ID: 9b1f03aa5c7e2d41\r\n"
                 + "Req-Kb:  24.5 \r\nReq-Time: 1764576000123\r\nContent-Length: 12\r\nConnection: Close\r\n\r\nbody");
         RequestHead head = new RequestHead();
@@ -42,10 +42,10 @@
     }
 
     @Test
-    void aMalformedHeadIsRejectedWithTheMatchingStatus() {
+    void rejectsMalformedHeadsWithTheMatchingStatus() {
         String start = "POST /svc/a HTTP/1.1\r\n";
         assertEquals(HttpStatus.OK, parse(start + "\r\n"));
-        for (String bad : new String[] {
+        for (String malformedHead : new String[] {
             "POST /svc/a\r\n\r\n",
             "POST svc HTTP/1.1\r\n\r\n",
             "POST /a b HTTP/1.1\r\n\r\n",
@@ -64,7 +64,7 @@
             start + "Req-Id: a\r\nReq-Id: b\r\n\r\n",
             start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
         }) {
-            assertEquals(HttpStatus.BAD_REQUEST, parse(bad), bad);
+            assertEquals(HttpStatus.BAD_REQUEST, parse(malformedHead), malformedHead);
         }
         assertEquals(HttpStatus.OK, parse(start + "Content-Length: 4\r\nContent-Length: 4\r\n\r\n"));
         assertEquals(HttpStatus.CONTENT_TOO_LARGE, parse(start + "Content-Length: 2049\r\n\r\n"));
@@ -72,21 +72,21 @@
     }
 
     @Property(tries = 500, seed = "42")
-    void theEndIsFoundWhereverTheBytesAreSplit(@ForAll byte[] noise, @ForAll int cut) {
+    void findsTheEndForAnySplitOfTheInput(@ForAll byte[] body, @ForAll int cut) {
         byte[] head = ascii("GET / HTTP/1.1\r\na: b\r\n\r\n");
-        byte[] all = java.util.Arrays.copyOf(head, head.length + noise.length);
-        System.arraycopy(noise, 0, all, head.length, noise.length);
-        int first = Math.floorMod(cut, all.length + 1);
-        int found = RequestHead.findEnd(all, 0, 0, first);
-        assertEquals(head.length, found >= 0 ? found : RequestHead.findEnd(all, 0, first, all.length));
+        byte[] input = java.util.Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, input, head.length, body.length);
+        int firstLength = Math.floorMod(cut, input.length + 1);
+        int end = RequestHead.findEnd(input, 0, 0, firstLength);
+        assertEquals(head.length, end >= 0 ? end : RequestHead.findEnd(input, 0, firstLength, input.length));
     }
 
     @Property(tries = 2000, seed = "43")
-    void hostileBytesNeverThrow(@ForAll byte[] noise, @ForAll int at) {
+    void neverThrowsForCorruptedHeads(@ForAll byte[] noise, @ForAll int position) {
         byte[] bytes =
                 ascii("POST /svc/buy?x HTTP/1.1\r\nReq-Kb: 1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 3\r\n\r\n");
         for (int i = 0; i < noise.length && i < 6; i++) {
-            bytes[Math.floorMod(at + i * 7, bytes.length)] = noise[i];
+            bytes[Math.floorMod(position + i * 7, bytes.length)] = noise[i];
         }
         int end = RequestHead.findEnd(bytes, 0, 0, bytes.length);
         if (end > 0) {
