--- a/src/main/java/merlinlever/backend/http/RequestHead.java
+++ b/src/main/java/merlinlever/backend/http/RequestHead.java
@@ -316,7 +316,7 @@
         return value;
     }
 
-    /** Returns the value of a field as a decimal number, or NaN if invalid or over {@value #MAX_NUMBER_CHARS} characters. */
+    /** Returns the value of a field as a number, or NaN if invalid or over {@value #MAX_NUMBER_CHARS} characters. */
     double number(HeaderField field) {
         int i = field.ordinal();
         if (!has(field) || valueEnd[i] == valueStart[i] || valueEnd[i] - valueStart[i] > MAX_NUMBER_CHARS) {
--- a/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
+++ b/src/test/java/merlinlever/backend/http/EdgeServerFixture.java
@@ -194,7 +194,7 @@
 
     /** Waits until exactly {@code count} connections are in the state. */
     void await(EdgeConnection.State state, int count) throws Exception {
-        await(() -> edge.count(state) == count, "number of connections is not " + count + " in state " + state);
+        await(() -> edge.count(state) == count, "expected " + count + " connections in state " + state);
     }
 
     /** Waits until the condition holds; the condition is evaluated on the loop. */
