--- a/src/main/java/merlinlever/fleet/quota/FleetQuota.java
+++ b/src/main/java/merlinlever/fleet/quota/FleetQuota.java
@@ -5,16 +5,18 @@
 import merlinlever.fleet.election.ClockDrift;
 
 /**
- * A limit that all backends of a fleet keep to together, as configured.
+ * Configuration of a limit on the combined usage of all backends of a fleet.
  *
- * @param name the name of the quota
- * @param limitedResource {@code calls} for calls to the shared dependency, or the priority class whose requests are limited
- * @param limit the most that all may use together, in any second or at any moment
- * @param kind what the limit counts
- * @param leaseDuration how long a backend may spend a lease after it requested it
- * @param maxClockDrift the rates of two machines' clocks differ by this part at most
- * @param maxCallDuration of one call where the limit is on concurrent calls: one that outlives its lease is given up by then
- * @param weightsByBackend by the name of the backend; 1 where none is configured
+ * @param name name of the quota
+ * @param limitedResource {@code calls} for calls to the shared dependency, or the priority class whose requests are
+ *     limited
+ * @param limit maximum combined usage of all backends, in any second or at any time
+ * @param kind quantity that the limit counts
+ * @param leaseDuration time for which a backend may use a lease, from its request for the lease
+ * @param maxClockDrift upper bound of the relative difference between the rates of two machines' clocks
+ * @param maxCallDuration maximum duration of a call under a limit on concurrent calls; a call that outlives its lease
+ *     is aborted within this time
+ * @param weightsByBackend weights by backend name; a backend without an entry has weight 1
  */
 public record FleetQuota(
         String name,
@@ -26,11 +28,11 @@
         Duration maxCallDuration,
         Map<String, Integer> weightsByBackend) {
 
-    /** What the limit of a quota counts. */
+    /** Quantity that the limit of a quota counts. */
     public enum QuotaKind {
-        /** Calls begun in any second. */
+        /** Calls started in any second. */
         PER_SECOND,
-        /** Calls in flight at any moment. */
+        /** Calls in flight at any time. */
         CONCURRENT
     }
 
@@ -39,31 +41,33 @@
         weightsByBackend = Map.copyOf(weightsByBackend);
     }
 
-    /** The weight of the backend in the division of this quota. */
+    /** Returns the weight of the backend in the allocation of this quota. */
     public int weightOf(String backend) {
         return weightsByBackend.getOrDefault(backend, 1);
     }
 
-    /** How long a lease counts as outstanding by the clock of the leader that granted it, the holder's clock being slow. */
+    /**
+     * Returns how long a lease counts as outstanding by the leader's clock, assuming that the holder's clock is slow.
+     */
     public Duration leaseDurationAtLeader() {
         return ClockDrift.upperBound(leaseDuration, maxClockDrift);
     }
 
-    /** How long a lease may be spent by the clock of its holder, that clock being slow. */
+    /** Returns how long the holder may use a lease by the holder's clock, assuming that this clock is slow. */
     public Duration leaseDurationAtHolder() {
         return ClockDrift.lowerBound(leaseDuration, maxClockDrift);
     }
 
     /**
-     * How long an amount counts as used after its lease ended: its last calls are in the same second as the first ones of the
-     * next holder, or are still in flight.
+     * Returns how long an amount counts as used after its lease has ended. The holder's last calls may fall into the
+     * same second as the next holder's first calls, or may still be in flight.
      */
     public Duration releaseDelay() {
-        Duration lastUse =
+        Duration maxRemainingUse =
                 switch (kind) {
                     case PER_SECOND -> Duration.ofSeconds(1);
                     case CONCURRENT -> maxCallDuration;
                 };
-        return ClockDrift.upperBound(lastUse, maxClockDrift);
+        return ClockDrift.upperBound(maxRemainingUse, maxClockDrift);
     }
 }
--- a/src/main/java/merlinlever/fleet/quota/LeaseGrant.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseGrant.java
@@ -1,9 +1,9 @@
 package merlinlever.fleet.quota;
 
 /**
- * What the leader granted.
+ * A leader's grant of a lease.
  *
- * @param number identifies the grant; the holder names it in its next request
- * @param amount the amount that may be spent
+ * @param number identifies the grant; the holder's next request refers to this number
+ * @param amount amount that the holder may use
  */
 public record LeaseGrant(long number, long amount) {}
--- a/src/main/java/merlinlever/fleet/quota/LeaseHolder.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseHolder.java
@@ -1,11 +1,11 @@
 package merlinlever.fleet.quota;
 
 /**
- * One incarnation of one backend, which holds leases. Ordered by its text: the order decides who gets the units that are left over
- * after an even division.
+ * An incarnation of a backend that holds leases. Holders are ordered by their string representation; the order
+ * determines which holders receive the remainder of an even division.
  *
- * @param backend the name of the backend
- * @param incarnation a number that no other incarnation of this backend has
+ * @param backend name of the backend
+ * @param incarnation number that is unique among the incarnations of the backend
  */
 public record LeaseHolder(String backend, long incarnation) implements Comparable<LeaseHolder> {
 
--- a/src/main/java/merlinlever/fleet/quota/LeaseLedger.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseLedger.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * A leader's account of one quota: the most that each incarnation of each backend may hold, and until when. What it grants
- * beyond what the requester may hold already is taken from what is certainly free; so whatever messages are lost, late or
- * duplicated, the sum of all that is held never exceeds the limit.
+ * A leader's record of the leases of one quota: an upper bound of the amount that each holder has, with its expiry. The
+ * ledger grants an increase only from the part of the limit that no other holder can have. The sum of all held amounts
+ * therefore never exceeds the limit, even if messages are lost, delayed or duplicated.
  *
- * <p>Not thread-safe; durations are since the process began.
+ * <p>Not thread-safe; times are measured from the start of the process.
  */
 public final class LeaseLedger {
 
-    /** An amount that its holder may spend until it expires. */
+    /** An amount that its holder may use until the expiry. */
     private static final class IssuedLease {
         private final long grantNumber;
         private final long amount;
@@ -34,26 +34,26 @@
         private long wanted;
         private Duration lastRequestAt = Duration.ZERO;
 
-        /** The most that the holder can spend: it has one of the leases, whichever reached it last. */
+        /** Returns the largest amount of the leases, because the ledger does not know which lease the holder uses. */
         long maxHeld() {
             return leases.stream().mapToLong(lease -> lease.amount).max().orElse(0);
         }
     }
 
-    /** Beyond this number nobody new is granted anything. */
+    /** Maximum number of holders; requests of further holders are not answered. */
     private static final int MAX_ACCOUNTS = 4096;
-    /** The number of a lease that was not granted here, but found to be held. */
-    private static final long NOT_GRANTED_HERE = 0;
+    /** Grant number of leases that this ledger did not grant, but that a holder reported. */
+    private static final long REPORTED_BY_HOLDER = 0;
 
     private FleetQuota quota;
-    /** From then on all leases of earlier leaders have expired. */
+    /** Time at which all leases of earlier leaders have expired. */
     private final Duration earlierLeasesExpiredAt;
 
     private final Map<LeaseHolder, HolderAccount> accounts = new TreeMap<>();
     private long lastGrantNumber;
     private int rotation;
 
-    /** The ledger of a new leadership, which knows nothing of what was granted before it. */
+    /** Creates the ledger of a new leader, without knowledge of the grants of earlier leaders. */
     public LeaseLedger(Duration now, FleetQuota quota) {
         this.quota = quota;
         earlierLeasesExpiredAt = expiryOfLeaseGrantedAt(now);
@@ -63,12 +63,15 @@
         return now.plus(quota.leaseDurationAtLeader()).plus(quota.releaseDelay());
     }
 
-    /** The quota was changed; what is outstanding above a smaller limit comes back as its leases expire. */
+    /**
+     * Updates the configuration of the quota. Outstanding amounts above a lower limit are reclaimed as their leases
+     * expire.
+     */
     public void updateQuota(FleetQuota changed) {
         quota = changed;
     }
 
-    /** The most that all holders together may spend now. */
+    /** Returns an upper bound of the combined amount that all holders may use now. */
     public long outstanding(Duration now) {
         expire(now);
         return accounts.values().stream().mapToLong(HolderAccount::maxHeld).sum();
@@ -78,14 +81,14 @@
         for (HolderAccount account : accounts.values()) {
             account.leases.removeIf(lease -> now.compareTo(lease.expiresAt) >= 0);
         }
-        accounts.values().removeIf(account -> account.leases.isEmpty() && !hasRequestedLately(now, account));
+        accounts.values().removeIf(account -> account.leases.isEmpty() && !hasRecentRequest(now, account));
     }
 
-    private boolean hasRequestedLately(Duration now, HolderAccount account) {
+    private boolean hasRecentRequest(Duration now, HolderAccount account) {
         return now.minus(account.lastRequestAt).compareTo(quota.leaseDuration()) < 0;
     }
 
-    /** Answers a request; empty where there is no room for another account. */
+    /** Answers a request; returns empty if the ledger is full and the holder is new. */
     public Optional<LeaseGrant> grant(Duration now, LeaseRequest request) {
         expire(now);
         LeaseHolder holder = new LeaseHolder(request.holder(), request.incarnation());
@@ -99,32 +102,32 @@
         }
         account.lastRequestAt = now;
         account.wanted = Math.max(0, request.wanted());
-        recordWhatIsHeld(now, account, request);
+        recordReportedLeases(now, account, request);
         long amount = Math.min(fairShare(now, holder), maxGrant(now, account, request));
         LeaseGrant grant = new LeaseGrant(++lastGrantNumber, Math.max(0, amount));
         account.leases.add(new IssuedLease(grant.number(), grant.amount(), expiryOfLeaseGrantedAt(now)));
         return Optional.of(grant);
     }
 
-    /** Takes over from the request which of its leases the holder still has. */
-    private void recordWhatIsHeld(Duration now, HolderAccount account, LeaseRequest request) {
+    /** Updates the holder's leases with the amounts and the grant number that the request reports. */
+    private void recordReportedLeases(Duration now, HolderAccount account, LeaseRequest request) {
         if (request.currentGrant() == 0 && request.held() > 0 && account.leases.isEmpty()) {
-            // Granted by an earlier leader, which cannot have granted it later than now.
-            account.leases.add(new IssuedLease(NOT_GRANTED_HERE, request.held(), expiryOfLeaseGrantedAt(now)));
+            // An earlier leader granted the reported amount, at the latest now.
+            account.leases.add(new IssuedLease(REPORTED_BY_HOLDER, request.held(), expiryOfLeaseGrantedAt(now)));
         }
-        // The holder has a later grant: what it held before counts only as long as its last calls may.
-        Duration released = now.plus(quota.releaseDelay());
+        // The holder has a later grant, so earlier leases count only for the release delay.
+        Duration releasedAt = now.plus(quota.releaseDelay());
         for (IssuedLease lease : account.leases) {
-            if (lease.grantNumber < request.currentGrant() && lease.expiresAt.compareTo(released) > 0) {
-                lease.expiresAt = released;
+            if (lease.grantNumber < request.currentGrant() && lease.expiresAt.compareTo(releasedAt) > 0) {
+                lease.expiresAt = releasedAt;
             }
         }
         if (request.inUse() > account.maxHeld()) {
-            account.leases.add(new IssuedLease(NOT_GRANTED_HERE, request.inUse(), released));
+            account.leases.add(new IssuedLease(REPORTED_BY_HOLDER, request.inUse(), releasedAt));
         }
     }
 
-    /** The most that can be granted without exceeding the limit, whatever the other holders have. */
+    /** Returns the largest grant that cannot exceed the limit, given the most that the other holders may have. */
     private long maxGrant(Duration now, HolderAccount account, LeaseRequest request) {
         long heldByOthers = outstanding(now) - account.maxHeld();
         boolean earlierLeasesMayBeHeld = now.compareTo(earlierLeasesExpiredAt) < 0;
@@ -133,12 +136,12 @@
                 : Math.max(0, quota.limit() - heldByOthers);
     }
 
-    /** What the holder would get if all that requested lately were to be given their shares now. */
+    /** Returns the holder's max-min fair share among all holders with a recent request. */
     private long fairShare(Duration now, LeaseHolder holder) {
         List<LeaseHolder> claimants = new ArrayList<>();
         List<MaxMinFairAllocation.Claim> claims = new ArrayList<>();
         accounts.forEach((id, account) -> {
-            if (hasRequestedLately(now, account)) {
+            if (hasRecentRequest(now, account)) {
                 claimants.add(id);
                 claims.add(new MaxMinFairAllocation.Claim(account.wanted, quota.weightOf(id.backend())));
             }
@@ -146,12 +149,12 @@
         return MaxMinFairAllocation.allocate(quota.limit(), claims, rotation)[claimants.indexOf(holder)];
     }
 
-    /** Units that are left over after an even division go to the next holders from here on. */
+    /** Moves the remainder of an even division to the next holders. */
     public void rotateRemainder() {
         rotation++;
     }
 
-    /** All that future decisions depend on, for a walk of the states in tests. */
+    /** Returns a key of all state that affects future decisions, for state space exploration in tests. */
     String stateKey(Duration now) {
         expire(now);
         StringBuilder key = new StringBuilder()
--- a/src/main/java/merlinlever/fleet/quota/LeaseMessage.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseMessage.java
@@ -2,15 +2,15 @@
 
 import merlinlever.fleet.membership.TextFields;
 
-/** The messages between the holder of a lease and the leader, as text of fields separated by slashes. */
+/** Messages between the holder of a lease and the leader, encoded as fields separated by slashes. */
 sealed interface LeaseMessage {
 
-    /** The text of the message. */
+    /** Returns the message as text. */
     String encode();
 
     /**
-     * A message as it was received. Each part is read only when it is asked for, as a receiver answers some messages without
-     * looking at all of them: whoever asks the wrong backend is told who leads, whatever else the request holds.
+     * A received message. Each accessor parses only its own fields, so a backend that is not the leader can answer a
+     * request with a leader announcement without parsing the remaining fields.
      */
     final class Received {
 
@@ -25,36 +25,36 @@
         }
 
         /**
-         * {@link Request#TYPE}, {@link Grant#TYPE}, or something else.
+         * Returns the type of the message: {@link Request#TYPE}, {@link Grant#TYPE} or an unknown type.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the message has no type field
          */
         String type() {
             return fields.text(TYPE_INDEX);
         }
 
         /**
-         * The term of the message.
+         * Returns the term of the message.
          *
-         * @throws IllegalArgumentException if it has none
+         * @throws IllegalArgumentException if the term field is missing or not a number
          */
         long term() {
             return fields.number(TERM_INDEX);
         }
 
         /**
-         * The name of the quota.
+         * Returns the name of the quota.
          *
-         * @throws IllegalArgumentException if there is none
+         * @throws IllegalArgumentException if the quota field is missing
          */
         String quota() {
             return fields.text(QUOTA_INDEX);
         }
 
         /**
-         * The whole message as a request.
+         * Parses the whole message as a request.
          *
-         * @throws IllegalArgumentException if it is not one
+         * @throws IllegalArgumentException if the message is not a valid request
          */
         Request toRequest() {
             return new Request(
@@ -68,9 +68,9 @@
         }
 
         /**
-         * The whole message as a grant.
+         * Parses the whole message as a grant.
          *
-         * @throws IllegalArgumentException if it is not one
+         * @throws IllegalArgumentException if the message is not a valid grant
          */
         Grant toGrant() {
             LeaseGrant grant = new LeaseGrant(fields.number(Grant.NUMBER_INDEX), fields.number(Grant.AMOUNT_INDEX));
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Asks the leader for a lease: {@code Q/term/quota/incarnation/currentGrant/held/inUse/wanted}.
+     * Requests a lease from the leader: {@code Q/term/quota/incarnation/currentGrant/held/inUse/wanted}.
      *
-     * @param term the leader's term; 0 asks who leads
-     * @param quota the name of the quota
+     * @param term the leader's term, or 0 to query the current leader
+     * @param quota name of the quota
      */
     record Request(long term, String quota, long incarnation, long currentGrant, long held, long inUse, long wanted)
             implements LeaseMessage {
@@ -96,8 +96,8 @@
         private static final int WANTED_INDEX = 7;
         private static final int INCARNATION_RADIX = 16;
 
-        /** Asks any voter who leads; the numbers are not looked at. */
-        static Request forLeader(String quota, long incarnation) {
+        /** Returns a query for the current leader, which any voter can answer; the receiver ignores the amounts. */
+        static Request leaderQuery(String quota, long incarnation) {
             return new Request(0, quota, incarnation, 0, 0, 0, 0);
         }
 
@@ -116,10 +116,10 @@
     }
 
     /**
-     * The leader's answer: {@code G/term/quota/number/amount}.
+     * Grants a lease to the requester: {@code G/term/quota/number/amount}.
      *
      * @param term the leader's term
-     * @param quota the name of the quota
+     * @param quota name of the quota
      */
     record Grant(long term, String quota, LeaseGrant grant) implements LeaseMessage {
 
--- a/src/main/java/merlinlever/fleet/quota/LeaseRequest.java
+++ b/src/main/java/merlinlever/fleet/quota/LeaseRequest.java
@@ -3,11 +3,11 @@
 /**
  * A backend's request to the leader for a lease of a quota.
  *
- * @param holder the name of the backend
- * @param incarnation a number of this incarnation of it, which no other incarnation has
- * @param currentGrant the number of the grant that it holds by; 0 if it has none of the leader asked
- * @param held the amount that it holds now
+ * @param holder name of the backend
+ * @param incarnation number that is unique among the incarnations of the backend
+ * @param currentGrant number of the grant of the current lease; 0 if the recipient did not grant the lease
+ * @param held amount that the backend holds now
  * @param inUse calls in flight now, for a quota of concurrent calls
- * @param wanted the amount that it would use
+ * @param wanted amount that the backend would use without the quota
  */
 public record LeaseRequest(String holder, long incarnation, long currentGrant, long held, long inUse, long wanted) {}
--- a/src/main/java/merlinlever/fleet/quota/MaxMinFairAllocation.java
+++ b/src/main/java/merlinlever/fleet/quota/MaxMinFairAllocation.java
@@ -5,16 +5,17 @@
 import java.util.PriorityQueue;
 
 /**
- * Weighted max-min fair allocation (Bertsekas and Gallager, Data Networks, section 6.5.2) in whole units: nobody gets more
- * than it wants, and nobody could get more without taking from one that has less by weight.
+ * Weighted max-min fair allocation (Bertsekas and Gallager, Data Networks, section 6.5.2) in whole units. No claim
+ * receives more than its demand, and no allocation can grow without reducing another one that is smaller relative to
+ * its weight.
  */
 public final class MaxMinFairAllocation {
 
     /**
-     * What one claims.
+     * A claim to a part of the capacity.
      *
-     * @param wanted the most that it takes
-     * @param weight 1 or more
+     * @param wanted maximum amount that the claim can receive
+     * @param weight relative weight, at least 1
      */
     public record Claim(long wanted, int weight) {}
 
@@ -31,83 +32,90 @@
     }
 
     /**
-     * Divides the capacity.
+     * Divides the capacity among the claims.
      *
-     * @param rotation a remainder that cannot be divided evenly is handed out from the claim of this index on, so that it is
-     *     not always the same that get it
-     * @return the amount of each claim, in the order of the claims; the sum is the capacity or all that is wanted, whichever
-     *     is less
+     * @param rotation index of the first claim to receive a part of the remainder of an even division; callers vary the
+     *     index to distribute remainders evenly over time
+     * @return the amount for each claim, in the order of the claims; the sum is the minimum of the capacity and the
+     *     total demand
      */
     public static long[] allocate(long capacity, List<Claim> claims, int rotation) {
         MaxMinFairAllocation allocation = new MaxMinFairAllocation(capacity, claims, rotation);
-        allocation.fill();
+        allocation.allocateAll();
         return allocation.allocated;
     }
 
-    /** Raises all unsatisfied claims together by weight, until one is satisfied, and so on. */
-    private void fill() {
+    /**
+     * Increases all unsatisfied claims in proportion to their weights, until the next claim is satisfied, and repeats.
+     */
+    private void allocateAll() {
         boolean[] satisfied = new boolean[allocated.length];
         while (remaining > 0) {
-            long openWeight = 0;
+            long unsatisfiedWeight = 0;
             for (int i = 0; i < allocated.length; i++) {
                 satisfied[i] = allocated[i] >= claims.get(i).wanted();
-                openWeight += satisfied[i] ? 0 : claims.get(i).weight();
+                unsatisfiedWeight += satisfied[i] ? 0 : claims.get(i).weight();
             }
-            if (openWeight == 0) {
+            if (unsatisfiedWeight == 0) {
                 return;
             }
-            long unitsPerWeight = remaining / openWeight;
+            long unitsPerWeight = remaining / unsatisfiedWeight;
             if (unitsPerWeight == 0) {
                 distributeRemainder();
                 return;
             }
-            raise(satisfied, commonRise(satisfied, unitsPerWeight));
+            increaseUnsatisfied(satisfied, commonIncrease(satisfied, unitsPerWeight));
         }
     }
 
-    /** The most units for each weight by which all open claims can rise before one of them is satisfied. */
-    private long commonRise(boolean[] satisfied, long unitsPerWeight) {
-        long rise = unitsPerWeight;
+    /** Returns the increase per unit of weight that satisfies the next claim, at least 1 and at most unitsPerWeight. */
+    private long commonIncrease(boolean[] satisfied, long unitsPerWeight) {
+        long increasePerWeight = unitsPerWeight;
         for (int i = 0; i < allocated.length; i++) {
             if (!satisfied[i]) {
-                rise = Math.min(rise, Math.max(1, missing(i) / claims.get(i).weight()));
+                increasePerWeight = Math.min(
+                        increasePerWeight,
+                        Math.max(1, unmetDemand(i) / claims.get(i).weight()));
             }
         }
-        return rise;
+        return increasePerWeight;
     }
 
-    private void raise(boolean[] satisfied, long unitsPerWeight) {
+    private void increaseUnsatisfied(boolean[] satisfied, long unitsPerWeight) {
         for (int i = 0; i < allocated.length && remaining > 0; i++) {
             if (!satisfied[i]) {
-                long part = Math.min(
-                        Math.min(remaining, unitsPerWeight * claims.get(i).weight()), missing(i));
-                allocated[i] += part;
-                remaining -= part;
+                long increase = Math.min(
+                        Math.min(remaining, unitsPerWeight * claims.get(i).weight()), unmetDemand(i));
+                allocated[i] += increase;
+                remaining -= increase;
             }
         }
     }
 
-    private long missing(int i) {
+    private long unmetDemand(int i) {
         return claims.get(i).wanted() - allocated[i];
     }
 
-    /** Less than one unit for each weight is left: each unit goes to whoever has the least by weight with it. */
+    /**
+     * Distributes a remainder of less than one unit per unit of weight. Each unit is allocated to the claim whose
+     * amount including the unit is smallest relative to its weight.
+     */
     private void distributeRemainder() {
         Comparator<Integer> leastByWeight = Comparator.comparingDouble(
                 i -> (allocated[i] + 1.0) / claims.get(i).weight());
-        PriorityQueue<Integer> open =
+        PriorityQueue<Integer> unsatisfied =
                 new PriorityQueue<>(leastByWeight.thenComparingInt(i -> Math.floorMod(i - rotation, allocated.length)));
         for (int i = 0; i < allocated.length; i++) {
-            if (missing(i) > 0) {
-                open.add(i);
+            if (unmetDemand(i) > 0) {
+                unsatisfied.add(i);
             }
         }
-        while (remaining > 0 && !open.isEmpty()) {
-            int next = open.poll();
+        while (remaining > 0 && !unsatisfied.isEmpty()) {
+            int next = unsatisfied.poll();
             allocated[next]++;
             remaining--;
-            if (missing(next) > 0) {
-                open.add(next);
+            if (unmetDemand(next) > 0) {
+                unsatisfied.add(next);
             }
         }
     }
--- a/src/main/java/merlinlever/fleet/quota/QuotaConsumer.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaConsumer.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import merlinlever.controller.QuotaDemand;
 
-/** Spends what a backend is granted of the quotas. Durations are since the process began. */
+/** Uses the quota amounts that are granted to a backend. Times are measured from the start of the process. */
 public interface QuotaConsumer {
 
-    /** What is in use of the quota now, and what would be used. */
+    /** Returns the current usage of the quota and the demand. */
     QuotaDemand demand(Duration now, FleetQuota quota);
 
-    /** It may use that amount until then; called again and again, also when nothing changed. */
+    /** Sets the amount that the consumer may use until the given time. Called repeatedly, even without a change. */
     void setAllowance(FleetQuota quota, long amount, Duration until);
 }
--- a/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -17,32 +17,32 @@
 import merlinlever.fleet.view.GuardedAction;
 
 /**
- * One backend's part in the division of all quotas: it grants leases while it is the leader, requests its own from whoever
- * leads, and tells the consumer what it may use until when. A leader grants its own leases without messages.
+ * Coordinates the quotas on one backend: requests leases from the leader, passes the granted amounts to the consumer,
+ * and grants leases while this backend is the leader. A leader grants its own leases without sending messages.
  *
- * <p>Does no I/O; not thread-safe. Durations are since the process began.
+ * <p>Does no I/O; not thread-safe. Times are measured from the start of the process.
  */
 public final class QuotaCoordinator {
 
-    /** The first fields of the messages that {@link #receive} takes. */
+    /** Types of the messages that {@link #receive} accepts. */
     public static final Set<String> MESSAGE_TYPES = Set.of(LeaseMessage.Request.TYPE, LeaseMessage.Grant.TYPE);
 
     /**
-     * A backend requests this part more than it wants, and one: a backend that holds little could not show otherwise that it
-     * wants more.
+     * A backend requests its demand plus one unit plus the demand divided by this number. Otherwise a backend with a
+     * small lease could not signal growing demand.
      */
     private static final int EXTRA_DEMAND_DIVISOR = 4;
-    /** Requests are sent so often in the time of a lease. */
+    /** Number of requests per lease duration. */
     private static final int REQUESTS_PER_LEASE = 4;
-    /** Each interval between two requests is lengthened by a random part of it, up to this one. */
+    /** Divisor of the request interval; the quotient is the maximum random delay added to each interval. */
     private static final int JITTER_DIVISOR = 4;
-    /** A backend that wants more than it holds requests after this part of the interval. */
+    /** Divisor of the request interval for a backend whose demand exceeds its lease. */
     private static final int URGENT_REQUEST_DIVISOR = 4;
 
     private static final Duration ROTATION_INTERVAL_WITHOUT_QUOTAS = Duration.ofSeconds(1);
     private static final long NO_TERM = -1;
 
-    /** One quota and what this backend holds and knows of it. */
+    /** State of one quota on this backend. */
     private static final class QuotaState {
         private FleetQuota quota;
         private final QuotaLease lease;
@@ -60,7 +60,7 @@
         void update(FleetQuota changed) {
             quota = changed;
             lease.updateQuota(changed);
-            ledger.ifPresent(open -> open.updateQuota(changed));
+            ledger.ifPresent(current -> current.updateQuota(changed));
         }
 
         Duration requestInterval() {
@@ -77,12 +77,14 @@
     private final List<PeerMessage.Text> outbox = new ArrayList<>();
     private long ledgerTerm = NO_TERM;
     private Duration nextRotationAt = Duration.ZERO;
-    /** Without a view of the fleet the election alone decides who may grant. */
+    /** Without a fleet view, the leader may always grant. */
     private Optional<FleetView> fleetView = Optional.empty();
 
     /**
+     * Creates the coordinator of a backend.
+     *
      * @param self this incarnation of this backend
-     * @param election who leads; advanced by its owner, each time before this coordinator is
+     * @param election leader election; the owner has to call its tick before each {@link #tick} of this coordinator
      */
     public QuotaCoordinator(
             Duration now,
@@ -100,12 +102,12 @@
         quotas.forEach(quota -> states.add(new QuotaState(quota, self.incarnation(), now)));
     }
 
-    /** From here on it grants only while the view of the fleet permits it. */
+    /** Sets the fleet view; afterwards this backend grants leases only while the view permits grants. */
     public void setFleetView(FleetView view) {
         fleetView = Optional.of(view);
     }
 
-    /** The configured quotas were changed; what is held above a smaller limit is given back as the leases expire. */
+    /** Updates the configured quotas. Amounts above a lower limit are reclaimed as their leases expire. */
     public void updateQuotas(List<FleetQuota> changed) {
         for (FleetQuota quota : changed) {
             states.stream()
@@ -120,7 +122,7 @@
 
     // ---- requests
 
-    /** Does what is due, and returns the messages to be sent; to be called every few milliseconds. */
+    /** Performs the due work and returns the messages to send. Has to be called every few milliseconds. */
     public List<PeerMessage.Text> tick(Duration now) {
         Optional<Leadership.Leader> leader = election.leader(now);
         updateLedgers(now);
@@ -134,14 +136,14 @@
             }
             consumer.setAllowance(state.quota, state.lease.available(now), state.lease.expiresAt());
         }
-        return takeOutbox();
+        return drainOutbox();
     }
 
     private static boolean isRequestDue(Duration now, QuotaState state, QuotaDemand demand) {
         boolean wantsMore = demand.wanted() > state.lease.available(now);
         Duration interval = state.requestInterval();
-        Duration earlier = interval.minus(interval.dividedBy(URGENT_REQUEST_DIVISOR));
-        Duration dueAt = wantsMore ? state.nextRequestAt.minus(earlier) : state.nextRequestAt;
+        Duration advance = interval.minus(interval.dividedBy(URGENT_REQUEST_DIVISOR));
+        Duration dueAt = wantsMore ? state.nextRequestAt.minus(advance) : state.nextRequestAt;
         return now.compareTo(dueAt) >= 0;
     }
 
@@ -151,7 +153,7 @@
 
     private void request(Duration now, QuotaState state, Optional<Leadership.Leader> leader, QuotaDemand demand) {
         if (leader.isEmpty()) {
-            askWhoLeads(state);
+            queryLeader(state);
             return;
         }
         long wanted = Math.min(amountToRequest(state, demand), state.quota.limit());
@@ -167,12 +169,12 @@
         return wantsNothing ? 0 : demand.wanted() + demand.wanted() / EXTRA_DEMAND_DIVISOR + 1;
     }
 
-    /** Any voter may know. */
-    private void askWhoLeads(QuotaState state) {
+    /** Sends a query for the current leader to a random voter. */
+    private void queryLeader(QuotaState state) {
         List<String> voters = election.voters();
         String voter = voters.get(random.nextInt(voters.size()));
         if (!voter.equals(self.backend())) {
-            send(voter, 0, LeaseMessage.Request.forLeader(state.quota.name(), self.incarnation()));
+            send(voter, 0, LeaseMessage.Request.leaderQuery(state.quota.name(), self.incarnation()));
         }
     }
 
@@ -197,15 +199,15 @@
         outbox.add(new PeerMessage.Text(recipient, correlationId, message.encode()));
     }
 
-    private List<PeerMessage.Text> takeOutbox() {
-        List<PeerMessage.Text> taken = List.copyOf(outbox);
+    private List<PeerMessage.Text> drainOutbox() {
+        List<PeerMessage.Text> messages = List.copyOf(outbox);
         outbox.clear();
-        return taken;
+        return messages;
     }
 
     // ---- grants
 
-    /** A leadership begins with ledgers that know nothing of the one before. */
+    /** Creates the ledgers of a new leadership, discards ledgers after a leadership and rotates remainders. */
     private void updateLedgers(Duration now) {
         if (!election.isLeader(now)) {
             states.forEach(state -> state.ledger = Optional.empty());
@@ -245,7 +247,7 @@
 
     // ---- messages from peers
 
-    /** A peer sent a message of one of the {@link #MESSAGE_TYPES}; returns the messages to be sent to it. */
+    /** Processes a peer's message, whose type is one of {@link #MESSAGE_TYPES}, and returns the messages to send. */
     public List<PeerMessage.Text> receive(Duration now, String sender, long correlationId, String text) {
         try {
             LeaseMessage.Received message = new LeaseMessage.Received(text);
@@ -257,7 +259,7 @@
         } catch (IllegalArgumentException e) {
             log.line("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
         }
-        return takeOutbox();
+        return drainOutbox();
     }
 
     private void requestReceived(Duration now, String sender, long correlationId, LeaseMessage.Received message) {
@@ -289,17 +291,17 @@
 
     // ---- status
 
-    /** What may be spent of the quota of that index now. */
+    /** Returns the amount of the quota at the index that this backend may use now. */
     public long available(Duration now, int index) {
         return states.get(index).lease.available(now);
     }
 
-    /** Whether this backend divides the quotas. */
+    /** Returns whether this backend is the leader, which grants the leases. */
     public boolean isLeader(Duration now) {
         return election.isLeader(now);
     }
 
-    /** Each quota with what this backend holds of it, as a JSON array. */
+    /** Returns the quotas and this backend's leases as a JSON array. */
     public String statusJson(Duration now) {
         List<String> objects = new ArrayList<>();
         Optional<Leadership.Leader> leader = election.leader(now);
--- a/src/main/java/merlinlever/fleet/quota/QuotaLease.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaLease.java
@@ -4,20 +4,21 @@
 import java.util.Optional;
 
 /**
- * What one backend holds of one quota. A lease may be spent for its duration from the moment at which it was requested, less
- * what clocks may drift apart, and is nothing after that: a backend that loses contact keeps what it holds until then and
- * never more. Not thread-safe; durations are since the process began.
+ * A backend's lease of one quota. The lease is valid from its request for the lease duration, reduced by the maximum
+ * clock drift. A backend that cannot reach the leader may use its amount until the lease expires. Not thread-safe;
+ * times are measured from the start of the process.
  */
 public final class QuotaLease {
 
     /**
      * A request to renew the lease.
      *
-     * @param correlationId identifies the request; the grant has to carry the same one
-     * @param currentGrant the number of the grant held by, 0 if there is none of this leader
-     * @param held the amount held now
+     * @param correlationId identifies the request; the grant carries the same id
+     * @param currentGrant number of the grant of the current lease, 0 if the leader of the request's term did not grant
+     *     the lease
+     * @param held amount held now
      * @param inUse calls in flight now
-     * @param wanted the amount that would be used
+     * @param wanted amount that the backend would use without the quota
      */
     public record RenewalRequest(long correlationId, long currentGrant, long held, long inUse, long wanted) {}
 
@@ -31,8 +32,10 @@
     private Duration expiresAt = Duration.ZERO;
 
     /**
-     * @param firstCorrelationId above it the correlation ids of requests begin; no other incarnation of this backend comes
-     *     near it, so that an old grant is none to this one
+     * Creates a lease without an amount.
+     *
+     * @param firstCorrelationId number below the correlation ids of all requests. Incarnations of a backend use
+     *     separate ranges of ids, so grants for an earlier incarnation are not accepted.
      */
     public QuotaLease(FleetQuota quota, long firstCorrelationId) {
         this.quota = quota;
@@ -40,17 +43,17 @@
         answeredCorrelationId = firstCorrelationId;
     }
 
-    /** The quota that this is a lease of. */
+    /** Returns the leased quota. */
     public FleetQuota quota() {
         return quota;
     }
 
-    /** The configuration of the quota was changed. */
+    /** Updates the configuration of the quota. */
     public void updateQuota(FleetQuota changed) {
         quota = changed;
     }
 
-    /** All that future decisions depend on, for a walk of the states in tests. */
+    /** Returns a key of all state that affects future decisions, for state space exploration in tests. */
     String stateKey(Duration now) {
         return lastCorrelationId + "," + answeredCorrelationId + ","
                 + requestedAt.map(at -> now.minus(at).toString()).orElse("") + "," + term + ","
@@ -58,20 +61,20 @@
                 + (available(now) == 0 ? "" : expiresAt.minus(now));
     }
 
-    /** The amount that may be spent now. */
+    /** Returns the amount that the backend may use now. */
     public long available(Duration now) {
         return now.compareTo(expiresAt) < 0 ? amount : 0;
     }
 
-    /** Until when the amount may be spent, unless the lease is renewed. */
+    /** Returns the time at which the lease expires unless it is renewed. */
     public Duration expiresAt() {
         return expiresAt;
     }
 
     /**
-     * Requests a renewal from the leader of that term; from here on no grant of an earlier term is accepted.
+     * Creates a renewal request to the leader of the term. Grants of earlier terms are not accepted afterwards.
      *
-     * @return the request, empty if a leader of a later term was asked before
+     * @return the request; empty if an earlier request was to a leader of a later term
      */
     public Optional<RenewalRequest> requestRenewal(Duration now, long leaderTerm, long inUse, long wanted) {
         if (leaderTerm < term) {
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Accepts the grant that answers the last request. Answers to earlier requests, duplicates, and those of leaders of
-     * earlier terms change nothing.
+     * Applies the grant that answers the latest request. Duplicates, answers to earlier requests and grants of earlier
+     * terms are ignored.
      *
-     * @return whether it was accepted
+     * @return whether the grant was applied
      */
     public boolean applyGrant(long leaderTerm, long correlationId, LeaseGrant grant) {
         boolean isAnswerToLastRequest =
--- a/src/main/java/merlinlever/fleet/quota/net/QuotaTransport.java
+++ b/src/main/java/merlinlever/fleet/quota/net/QuotaTransport.java
@@ -8,7 +8,7 @@
 import merlinlever.fleet.quota.QuotaCoordinator;
 import merlinlever.fleet.recovery.net.RecoveryCoordinator;
 
-/** Carries a {@link QuotaCoordinator}'s messages in membership's datagrams. On the loop's thread. */
+/** Exchanges the messages of a {@link QuotaCoordinator} in membership datagrams. Confined to the event loop thread. */
 public final class QuotaTransport implements TextMessageHandler {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
@@ -17,7 +17,7 @@
     private final RecoveryCoordinator recovery;
     private final QuotaCoordinator coordinator;
 
-    /** Begins at once. */
+    /** Creates the transport and starts the coordinator. */
     public QuotaTransport(EventLoop loop, RecoveryCoordinator recovery, QuotaCoordinator coordinator) {
         this.loop = loop;
         this.recovery = recovery;
--- a/src/main/java/merlinlever/fleet/quota/net/package-info.java
+++ b/src/main/java/merlinlever/fleet/quota/net/package-info.java
@@ -1,2 +1,2 @@
-/** The exchange of lease requests and grants among the backends, over membership's datagrams. */
+/** Exchange of lease requests and grants among the backends in membership datagrams. */
 package merlinlever.fleet.quota.net;
--- a/src/main/java/merlinlever/fleet/quota/package-info.java
+++ b/src/main/java/merlinlever/fleet/quota/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Limits of the whole fleet, divided among its backends as leases. The elected leader
- * ({@link merlinlever.fleet.election.LeaderElection}) divides each quota ({@link merlinlever.fleet.quota.MaxMinFairAllocation}) and keeps
- * account of what is outstanding ({@link merlinlever.fleet.quota.LeaseLedger}); each backend spends what it holds
- * ({@link merlinlever.fleet.quota.QuotaLease}). Decisions only; {@code net} carries them out.
+ * Fleet-wide limits that are divided among the backends as leases. The elected leader
+ * ({@link merlinlever.fleet.election.LeaderElection}) divides each quota
+ * ({@link merlinlever.fleet.quota.MaxMinFairAllocation}) and records the outstanding leases
+ * ({@link merlinlever.fleet.quota.LeaseLedger}); each backend uses its own lease
+ * ({@link merlinlever.fleet.quota.QuotaLease}). The classes do no I/O; {@code net} exchanges the messages.
  */
 package merlinlever.fleet.quota;
--- a/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseMessageReceptionTest.java
@@ -14,7 +14,9 @@
 import merlinlever.fleet.membership.PeerMessage;
 import org.junit.jupiter.api.Test;
 
-/** How much of a received message is looked at before it is answered, ignored or called malformed. */
+/**
+ * Checks which received messages are answered, ignored or logged as malformed, depending on the fields that are parsed.
+ */
 class LeaseMessageReceptionTest {
 
     private static final Duration LEASE = Duration.ofSeconds(2);
@@ -56,7 +58,7 @@
     }
 
     @Test
-    void aBackendThatDoesNotLeadNamesTheLeaderWhateverTheRequestHolds() {
+    void aBackendThatIsNotLeaderAnnouncesTheLeaderEvenForMalformedRequests() {
         LeaderElection election = election("b1", "b2", "b3");
         election.receive(START, "b3", 11, "H/7/b2");
         PeerMessage.Text announcement =
@@ -69,12 +71,12 @@
     }
 
     @Test
-    void messagesOnAnUnknownQuotaAreIgnoredAndOthersOfTooFewFieldsAreMalformed() {
+    void messagesAboutAnUnknownQuotaAreIgnoredAndOtherMessagesWithMissingFieldsAreMalformed() {
         LeaderElection election = election("b1");
         Duration now = START;
         while (!election.isLeader(now)) {
             now = now.plusMillis(20);
-            assertTrue(now.compareTo(START.plusSeconds(60)) < 0, "nobody leads");
+            assertTrue(now.compareTo(START.plusSeconds(60)) < 0, "no leader was elected");
             election.tick(now);
         }
         QuotaCoordinator coordinator = coordinator(election);
--- a/src/test/java/merlinlever/fleet/quota/LeaseModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/quota/LeaseModelCheckTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Walks every reachable state of two backends under one leadership after another, up to a depth: any message arrives at any
- * later time, any number of times or never.
+ * Explores the reachable states of two backends and successive leaders up to a maximum depth. Every message is
+ * delivered at any later time, any number of times or never.
  */
 class LeaseModelCheckTest {
 
@@ -33,10 +33,10 @@
             Duration.ofSeconds(1),
             Map.of());
 
-    /** What both could spend at one moment. */
+    /** Amounts that the two backends could use at one time. */
     private record Sample(Duration at, long first, long second) {}
 
-    /** One state of the system; actions are {@code tick}, {@code lead}, {@code ask/BACKEND} and any message. */
+    /** A state of the system. Actions are {@code tick}, {@code lead}, {@code ask/BACKEND} and every sent message. */
     private static final class SystemState {
         Duration now = Duration.ZERO;
         final List<LeaseLedger> ledgers = new ArrayList<>(List.of(new LeaseLedger(Duration.ofSeconds(-3), QUOTA)));
@@ -47,7 +47,7 @@
             return leases.get(backend).available(now);
         }
 
-        /** Does the action; false where it cannot be done in this state. */
+        /** Performs the action; returns false if the action is not possible in this state. */
         boolean apply(String action) {
             String[] fields = action.split("/");
             return switch (fields[0]) {
@@ -83,7 +83,7 @@
 
         private boolean deliverRequest(String[] fields) {
             int term = Integer.parseInt(fields[2]);
-            // A leader that is one no longer answers nothing: that is the election's part.
+            // Leader election ensures that a former leader does not answer.
             if (term != ledgers.size()) {
                 return false;
             }
@@ -117,7 +117,10 @@
         }
     }
 
-    /** Does the actions from the start, checking the limit after each; empty where one of them cannot be done. */
+    /**
+     * Replays the actions from the initial state and checks the limit after each action; returns empty if an action is
+     * not possible.
+     */
     private static Optional<SystemState> replay(List<String> actions) {
         SystemState state = new SystemState();
         List<Sample> samples = new ArrayList<>();
@@ -126,13 +129,13 @@
                 return Optional.empty();
             }
             samples.add(new Sample(state.now, state.available(0), state.available(1)));
-            assertTrue(maxSpentWithinASecond(samples, state.now) <= QUOTA.limit(), "over the limit after " + actions);
+            assertTrue(maxUsageWithinASecond(samples, state.now) <= QUOTA.limit(), "limit exceeded after " + actions);
         }
         return Optional.of(state);
     }
 
-    /** What each could have spent within less than a second of now; a lease may be spent at its last moment. */
-    private static long maxSpentWithinASecond(List<Sample> samples, Duration now) {
+    /** Returns the combined amount that the backends could have used within the last second. */
+    private static long maxUsageWithinASecond(List<Sample> samples, Duration now) {
         List<Sample> recent = samples.stream()
                 .filter(sample -> now.minus(sample.at).toMillis() < 1000)
                 .toList();
@@ -141,7 +144,7 @@
     }
 
     @Test
-    void inNoReachableStateDoLeasesExceedTheLimit() {
+    void leasesDoNotExceedTheLimitInAnyReachableState() {
         Set<String> seen = new HashSet<>();
         ArrayDeque<List<String>> open = new ArrayDeque<>();
         open.add(List.of());
@@ -167,6 +170,7 @@
                 open.add(next);
             }
         }
-        assertTrue(states > 5000 && bothHold > 20, states + " states, both held a lease in " + bothHold);
+        assertTrue(
+                states > 5000 && bothHold > 20, states + " states, of which both backends hold a lease in " + bothHold);
     }
 }
--- a/src/test/java/merlinlever/fleet/quota/MaxMinFairAllocationTest.java
+++ b/src/test/java/merlinlever/fleet/quota/MaxMinFairAllocationTest.java
@@ -31,16 +31,16 @@
         assertEquals(
                 Math.min(capacity, Arrays.stream(wanted).sum()),
                 Arrays.stream(allocated).sum(),
-                "all of it, and no more than is wanted");
+                "total allocation is not the minimum of capacity and total demand");
         for (int i = 0; i < count; i++) {
             assertTrue(allocated[i] >= 0 && allocated[i] <= wanted[i]);
             for (int k = 0; k < count; k++) {
-                // Whoever wants more has, by weight, no less than any other but for the last unit.
+                // Relative to its weight, an unsatisfied claim receives no less than any other claim, up to one unit.
                 assertTrue(
                         allocated[i] == wanted[i]
                                 || (allocated[i] + 1.0) / weights[i] >= (allocated[k] - 1.0) / weights[k],
-                        i + " has " + allocated[i] + " of " + wanted[i] + " by " + weights[i] + ", " + k + " "
-                                + allocated[k] + " by " + weights[k]);
+                        i + " received " + allocated[i] + " of " + wanted[i] + " with weight " + weights[i] + ", " + k
+                                + " received " + allocated[k] + " with weight " + weights[k]);
             }
         }
     }
--- a/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/quota/QuotaCoordinatorTest.java
@@ -16,7 +16,7 @@
 
 class QuotaCoordinatorTest {
 
-    /** How many seeds; more of them where it is asked for outside CI. */
+    /** Number of seeds; a system property raises the number for long runs. */
     private static final int SEEDS = Integer.getInteger("merlinlever.seeds", 60);
 
     private static FleetQuota callsPerSecond(long limit) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void underAnyFaultsTheLimitIsNeverExceeded() {
+    void theLimitIsNeverExceededUnderFaults() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int backends = 2 + random.nextInt(7);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theQuotaIsUsedUpUnderLoadAndRedividedWithinSomeLeases() {
+    void theQuotaIsUsedUnderLoadAndRedistributedWithinSeveralLeases() {
         QuotaModel fleet = new QuotaModel(5, 6, callsPerSecond(50));
         Arrays.stream(fleet.wanted).forEach(wanted -> wanted[0] = 30);
         for (int step = 0; step < 600; step++) {
@@ -65,7 +65,7 @@
             fleet.step();
         }
         assertTrue(fleet.used >= 0.95 * fleet.usable, "used " + fleet.used + " of " + fleet.usable);
-        // Only one wants any: some leases later it has nearly all of it, and the others hold little.
+        // Only one backend has demand: after several leases that backend holds most of the quota.
         for (int i = 1; i < 6; i++) {
             fleet.wanted[i][0] = 0;
         }
@@ -78,9 +78,9 @@
         assertEquals(0, Math.max(0, fleet.over));
     }
 
-    /** It grants nothing even to itself, and grants again when it is permitted to. */
+    /** A leader without a majority must not grant leases to itself either, and resumes granting with a majority. */
     @Test
-    void aLeaderGrantsOnlyWhileItsQuorumStatusPermits() {
+    void aLeaderGrantsOnlyWhileItsQuorumStatusPermitsGrants() {
         QuotaModel model = new QuotaModel(5, 3, callsPerSecond(100));
         AtomicReference<QuorumStatus> status = new AtomicReference<>(QuorumStatus.MINORITY);
         FleetView view = new FixedFleetView(now -> status.get());
@@ -94,7 +94,7 @@
             hadLeader |= model.leader() >= 0;
             assertEquals(0, model.share(0) + model.share(1) + model.share(2));
         }
-        assertTrue(hadLeader, "there was a leader all the while");
+        assertTrue(hadLeader, "no leader was elected");
         status.set(QuorumStatus.MAJORITY);
         for (int i = 0; i < 500; i++) {
             model.step();
