--- a/src/main/java/merlinlever/fleet/recovery/PersistedStateAssessor.java
+++ b/src/main/java/merlinlever/fleet/recovery/PersistedStateAssessor.java
@@ -132,7 +132,7 @@
             return new Finding(Piece.CAPACITY, Disposition.ABSENT, "no capacity was learned");
         }
         if (downMs < 0) {
-            return new Finding(Piece.CAPACITY, Disposition.DISCARDED, "its age is unknown");
+            return new Finding(Piece.CAPACITY, Disposition.DISCARDED, "the age of the estimate is unknown");
         }
         return new Finding(
                 Piece.CAPACITY,
