--- a/src/main/java/merlinlever/fleet/recovery/RecoverySequence.java
+++ b/src/main/java/merlinlever/fleet/recovery/RecoverySequence.java
@@ -49,7 +49,7 @@
      *
      * @param unixNow the Unix clock at {@code now}, in milliseconds
      * @param trusted the trusted part of the persisted state of the previous incarnation
-     * @param peersConfigured whether the process has peers; without peers it is reconciled immediately
+     * @param peersConfigured whether the process has peers; a process without peers is reconciled immediately
      */
     public RecoverySequence(
             Duration now,
--- a/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
@@ -79,7 +79,8 @@
     }
 
     /**
-     * Requests that the term be written to disk. Returns whether it is on disk; no promise may be made in it before.
+     * Requests that the term be written to disk. Returns whether the term is on disk; before that, no promise may be made
+     * in the term.
      */
     boolean reserveTerm(long term) {
         highestTerm = Math.max(highestTerm, term);
--- a/src/main/java/merlinlever/fleet/view/ViewProposer.java
+++ b/src/main/java/merlinlever/fleet/view/ViewProposer.java
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Returns whether the latest view belongs to an earlier term and needs a new number for a restarted member to adopt
-     * it.
+     * Returns whether the latest view belongs to an earlier term and needs a new number, without
+     * which a restarted member cannot adopt the view.
      */
     private boolean needsNewNumber(Duration now, MembershipView latest) {
         return latest.term() < leadershipTerm
--- a/src/main/java/merlinlever/fleet/view/ViewSettings.java
+++ b/src/main/java/merlinlever/fleet/view/ViewSettings.java
@@ -11,12 +11,12 @@
  * @param maxPollsPerSecond maximum number of polls per second to one voter, from the whole fleet
  * @param minReportValidity shortest time for which an answer of a voter or a report to the leader is valid; see
  *     {@link #reportValidity}
- * @param quietPeriod a change of the view is made when it has not grown for this time
- * @param maxBatchingDelay a change of the view is made after this time even if it still grows
+ * @param quietPeriod a change of the view is made when the change has not grown for this time
+ * @param maxBatchingDelay a change of the view is made after this time even if the change still grows
  * @param maxUnstableDelay maximum time for which a member between the low and the high threshold delays a removal; a
- *     name conflict also lasts for this time after it was last observed
+ *     name conflict also lasts for this time after its last observation
  * @param pauseThreshold the process counts as paused when the time between two ticks is longer
- * @param joinStabilityPeriod a backend may join after it has reported for this time without a gap
+ * @param joinStabilityPeriod a backend may join after reporting for this time without a gap
  * @param initialRejoinPenalty time after which a removed member may join again; doubles with each repeated removal
  * @param maxRejoinPenalty upper bound of the rejoin penalty
  */
