--- a/src/main/java/merlinlever/controller/ControllerEvent.java
+++ b/src/main/java/merlinlever/controller/ControllerEvent.java
@@ -4,17 +4,18 @@
 import java.util.Locale;
 import merlinlever.common.Durations;
 
-/** Something that the log is to tell of; it has no effect. */
+/** Event of an overload controller for the log. */
 public sealed interface ControllerEvent {
 
-    /** The line for the log: the event, then its figures. */
+    /** Returns the log line: the name of the event, followed by its fields. */
     String logLine();
 
     /**
-     * The server is draining.
+     * The drain of the server has started.
      *
-     * @param untilStop how long until its process is stopped
-     * @param started requests that run or wait for a downstream call
+     * @param untilStop the time until the process is stopped
+     * @param queued the number of requests in the admission queue
+     * @param started the number of requests that run or wait for a downstream call
      */
     record DrainStarted(Duration untilStop, int queued, int started) implements ControllerEvent {
 
@@ -30,9 +31,9 @@
     }
 
     /**
-     * The runs on the cores have stalled, or make progress again.
+     * The runs on the cores have stalled or have resumed.
      *
-     * @param silence how long no run had made progress
+     * @param silence the time without progress of any run
      */
     record StallChanged(boolean stalled, int onCores, int queued, Duration silence) implements ControllerEvent {
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /** A request changed its phase in a way that no request should: a fault of the controller. */
+    /** A request made an illegal phase transition, which is a defect of the controller. */
     record IllegalPhaseChange(String from, String to) implements ControllerEvent {
 
         @Override
--- a/src/main/java/merlinlever/controller/Decision.java
+++ b/src/main/java/merlinlever/controller/Decision.java
@@ -3,56 +3,56 @@
 import java.time.Duration;
 
 /**
- * One action that an {@link merlinlever.policy.OverloadController} decided on. Within a batch, decisions are carried out
- * in the order in which the kinds are declared here; that order keeps the safety rules, such as recording an idempotency
- * key before its request starts.
+ * Action that an {@link merlinlever.policy.OverloadController} decided on. The decisions of a batch are carried out in
+ * the order in which their kinds are declared here. The safety rules depend on this order: for example, an idempotency
+ * key is retained before its request starts.
  */
 public sealed interface Decision {
 
-    /** From now on, send this value with every answer: by the settings a level, a weight or a credit. */
+    /** Send the value, which is a level, a weight or a credit depending on the settings, with every later answer. */
     record SendBackpressure(double value) implements Decision {}
 
-    /** From now on, report this health. */
+    /** Change the reported health of the server. */
     record ReportHealth(boolean healthy) implements Decision {}
 
-    /** From now on, close connections that are idle for this long. */
+    /** Change the timeout after which idle connections are closed. */
     record CloseIdleConnections(Duration idleTimeout) implements Decision {}
 
-    /** Let duplicates find the request for this long. */
+    /** Retain the request for its duplicates for the given time. */
     record Retain(RequestHandle request, Duration retention) implements Decision {}
 
-    /** Answer the request: failed. */
+    /** Answer the request with a failure. */
     record Fail(RequestHandle request) implements Decision {}
 
     /** Stop the run of the request. */
     record Stop(RequestHandle request) implements Decision {}
 
     /**
-     * Answer the request: rejected, never run.
+     * Answer the request, which was never run, with a rejection.
      *
      * @param isFinal whether the caller is asked not to retry elsewhere
-     * @param retryAfter how long the caller is asked to wait before it retries; zero: nothing is said about that
+     * @param retryAfter how long the caller is asked to wait before a retry; zero for no Retry-After
      */
     record Reject(RequestHandle request, boolean isFinal, Duration retryAfter) implements Decision {}
 
-    /** Let no duplicate find the request any more. */
+    /** End the retention of the request for its duplicates. */
     record Evict(RequestHandle request) implements Decision {}
 
     /** Start the run of the request. */
     record Start(RequestHandle request) implements Decision {}
 
-    /** Answer the request with the outcome of the one that it duplicates. */
+    /** Answer the request with the outcome of its original. */
     record ShareOutcome(RequestHandle request) implements Decision {}
 
-    /** Make the downstream call that the run waits for, and give it up after the timeout. */
+    /** Make the downstream call that the run waits for, with the given timeout. */
     record CallDownstream(RequestHandle request, Duration timeout) implements Decision {}
 
-    /** Let the run continue without the downstream call that it waits for. */
+    /** Continue the run without the downstream call that it waits for. */
     record SkipCall(RequestHandle request) implements Decision {}
 
     /** Write the event to the log. */
     record Log(ControllerEvent event) implements Decision {}
 
-    /** The handle will not be named again: forget the request. */
+    /** Discard the request and its handle, which no later decision refers to. */
     record Release(RequestHandle request) implements Decision {}
 }
--- a/src/main/java/merlinlever/controller/Decisions.java
+++ b/src/main/java/merlinlever/controller/Decisions.java
@@ -8,19 +8,19 @@
 import java.util.function.Predicate;
 
 /**
- * What one {@link merlinlever.policy.OverloadController#decide} decided.
+ * The decisions returned by one call of {@link merlinlever.policy.OverloadController#decide}.
  *
- * @param inExecutionOrder the decisions in the order in which they are to be carried out
- * @param nextDecisionAt when to decide again, unless something happens before; since the start of the server
+ * @param inExecutionOrder the decisions in the order of their execution
+ * @param nextDecisionAt the time of the next call unless events occur earlier, relative to the start of the server
  */
 public record Decisions(List<Decision> inExecutionOrder, Duration nextDecisionAt) {
 
-    /** Copies the list. */
+    /** Creates the batch with an unmodifiable copy of the list. */
     public Decisions {
         inExecutionOrder = List.copyOf(inExecutionOrder);
     }
 
-    /** The decisions of one kind, in their order. */
+    /** Returns the decisions of one kind, in the order of their execution. */
     public <D extends Decision> List<D> of(Class<D> kind) {
         return inExecutionOrder.stream()
                 .filter(kind::isInstance)
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Collects decisions in the order in which they are made, and puts them into the order in which they are to be
-     * carried out: by kind, as the kinds are declared in {@link Decision}. Not thread-safe.
+     * Collects the decisions of a batch and sorts them by kind, in the order in which the kinds are declared in
+     * {@link Decision}. Not thread-safe.
      */
     public static final class Builder {
-        private static final List<Class<? extends Decision>> KINDS_IN_ORDER = List.of(
+        private static final List<Class<? extends Decision>> EXECUTION_ORDER = List.of(
                 Decision.SendBackpressure.class,
                 Decision.ReportHealth.class,
                 Decision.CloseIdleConnections.class,
@@ -51,22 +51,22 @@
 
         private final Map<Class<? extends Decision>, List<Decision>> byKind = new HashMap<>();
 
-        /** Adds a decision behind those of its kind. */
+        /** Adds a decision after the earlier decisions of its kind. */
         public void add(Decision decision) {
             byKind.computeIfAbsent(decision.getClass(), kind -> new ArrayList<>())
                     .add(decision);
         }
 
-        /** Withdraws the decisions to share an outcome that do not hold any more. */
-        public void withdrawShares(Predicate<RequestHandle> isOutdated) {
+        /** Removes the decisions to share an outcome whose request is outdated. */
+        public void removeOutdatedShares(Predicate<RequestHandle> isOutdated) {
             byKind.getOrDefault(Decision.ShareOutcome.class, new ArrayList<>())
                     .removeIf(share -> isOutdated.test(((Decision.ShareOutcome) share).request()));
         }
 
-        /** All decisions in the order in which they are to be carried out. */
+        /** Returns all decisions in the order of their execution. */
         public Decisions build(Duration nextDecisionAt) {
             List<Decision> inExecutionOrder = new ArrayList<>();
-            KINDS_IN_ORDER.forEach(kind -> inExecutionOrder.addAll(byKind.getOrDefault(kind, List.of())));
+            EXECUTION_ORDER.forEach(kind -> inExecutionOrder.addAll(byKind.getOrDefault(kind, List.of())));
             return new Decisions(inExecutionOrder, nextDecisionAt);
         }
     }
--- a/src/main/java/merlinlever/controller/Outcome.java
+++ b/src/main/java/merlinlever/controller/Outcome.java
@@ -1,22 +1,22 @@
 package merlinlever.controller;
 
-/** How a run or a downstream call ended. */
+/** Outcome of a run or of a downstream call. */
 public enum Outcome {
-    /** It succeeded. */
+    /** The run or call succeeded. */
     OK(false),
-    /** It was carried out and failed; it may have had its effect. */
+    /** The run or call failed, and may have taken effect. */
     ERROR(false),
-    /** The call was rejected without being carried out. */
+    /** The service rejected the call without running it. */
     REJECTED(true),
-    /** The call was given up after its timeout; it may have had its effect. */
+    /** The call timed out, and may have taken effect. */
     TIMED_OUT(false),
     /** The call never reached the service. */
     UNREACHABLE(true),
-    /** The connection was lost during the call; it may have had its effect. */
+    /** The connection was lost during the call, which may have taken effect. */
     CONNECTION_LOST(false),
     /** The run was stopped. */
     STOPPED(false),
-    /** The run was never started, as the request had ended already. */
+    /** The run was not started because the request had already ended. */
     NOT_STARTED(true);
 
     private final boolean provesNoEffect;
@@ -25,7 +25,7 @@
         this.provesNoEffect = provesNoEffect;
     }
 
-    /** Whether this outcome proves that the run or call has had no effect. */
+    /** Whether the outcome proves that the run or call had no effect. */
     public boolean provesNoEffect() {
         return provesNoEffect;
     }
--- a/src/main/java/merlinlever/controller/QuotaDemand.java
+++ b/src/main/java/merlinlever/controller/QuotaDemand.java
@@ -1,14 +1,14 @@
 package merlinlever.controller;
 
 /**
- * How much of a quota a server uses.
+ * A server's use of its quota.
  *
- * @param inUse in progress now
- * @param wanted how much would be used now if the quota were larger: in progress, or started within the last second
- *     for a quota per second, and waiting
+ * @param inUse the number of runs or calls in progress
+ * @param wanted the number of runs or calls that a large enough quota would permit: those waiting, plus those in
+ *     progress or, for a quota per second, those started within the last second
  */
 public record QuotaDemand(long inUse, long wanted) {
 
-    /** Of a server that uses nothing. */
+    /** Demand of a server that neither uses nor needs its quota. */
     public static final QuotaDemand NONE = new QuotaDemand(0, 0);
 }
--- a/src/main/java/merlinlever/controller/QuotaGrant.java
+++ b/src/main/java/merlinlever/controller/QuotaGrant.java
@@ -5,16 +5,16 @@
 import merlinlever.common.Durations;
 
 /**
- * A server's part of a limit of the whole fleet.
+ * A server's quota of a fleet-wide limit.
  *
- * @param quota how much is permitted
- * @param perSecond whether the quota is one per second, else one of what is in progress at once
- * @param leaseUntil nothing is permitted from then on, since the start of the server
- * @param maxCallDuration after this a call is given up, as others have the quota by then; empty: not limited
+ * @param quota the number of permitted runs or calls
+ * @param perSecond whether the quota limits the starts per second, rather than the concurrency
+ * @param leaseUntil the end of the lease, relative to the start of the server; later starts are not permitted
+ * @param maxCallDuration the timeout of a call, after which another server may have the quota; empty without a limit
  */
 public record QuotaGrant(long quota, boolean perSecond, Duration leaseUntil, Optional<Duration> maxCallDuration) {
 
-    /** The duration of a call, but no longer than the quota permits. */
+    /** Returns the duration of a call, limited to the maximum that the quota permits. */
     public Duration limitDuration(Duration callDuration) {
         return maxCallDuration
                 .map(limit -> Durations.earlier(limit, callDuration))
--- a/src/main/java/merlinlever/controller/RequestAttributes.java
+++ b/src/main/java/merlinlever/controller/RequestAttributes.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * What is known of a request when it is submitted.
+ * Attributes of a request at its submission.
  *
  * @param priorityClass the index of its priority class in the settings
- * @param readDelay how long it has waited since it arrived until it was read
- * @param deadline when its caller gives up, since the start of the server; empty where the caller does not tell
- * @param memoryKb the memory that it takes while it is queued, in kB
- * @param costHint the caller's estimate of its run time
- * @param retry whether its caller marked it as a retry
- * @param shareable whether it is a read that names its subject, so that others of that subject may share its outcome
- * @param original the earlier request that it duplicates
+ * @param readDelay the time from the arrival of the request until it was read
+ * @param deadline when the caller stops waiting, relative to the start of the server; empty if the caller sent none
+ * @param memoryKb the memory of the queued request, in kB
+ * @param costHint the caller's estimate of the run time
+ * @param retry whether the caller marked the request as a retry
+ * @param shareable whether the request is a read with a subject, whose outcome other reads of the subject may share
+ * @param original the earlier request that this one duplicates
  */
 public record RequestAttributes(
         int priorityClass,
@@ -25,12 +25,12 @@
         boolean shareable,
         Optional<RequestHandle> original) {
 
-    /** Starts with a request of that class without read delay, memory or anything optional. */
+    /** Returns a builder for a request of the class, with all other attributes zero, false or empty. */
     public static Builder ofClass(int priorityClass) {
         return new Builder(priorityClass);
     }
 
-    /** Collects the attributes of one request; see the components for their meaning. */
+    /** Builder of the attributes of a request; each method sets the record component of its name. */
     public static final class Builder {
         private final int priorityClass;
         private Duration readDelay = Duration.ZERO;
@@ -45,49 +45,49 @@
             this.priorityClass = priorityClass;
         }
 
-        /** Since its arrival; zero unless set. */
+        /** Sets the read delay; the default is zero. */
         public Builder readDelay(Duration value) {
             readDelay = value;
             return this;
         }
 
-        /** Since the start of the server; none unless set. */
+        /** Sets the deadline, relative to the start of the server; the default is none. */
         public Builder deadline(Optional<Duration> value) {
             deadline = value;
             return this;
         }
 
-        /** In kB; zero unless set. */
+        /** Sets the memory in kB; the default is 0. */
         public Builder memoryKb(double value) {
             memoryKb = value;
             return this;
         }
 
-        /** None unless set. */
+        /** Sets the cost hint; the default is none. */
         public Builder costHint(Optional<Duration> value) {
             costHint = value;
             return this;
         }
 
-        /** False unless set. */
+        /** Sets the retry mark; the default is false. */
         public Builder retry(boolean value) {
             retry = value;
             return this;
         }
 
-        /** False unless set. */
+        /** Sets whether the outcome may be shared; the default is false. */
         public Builder shareable(boolean value) {
             shareable = value;
             return this;
         }
 
-        /** None unless set. */
+        /** Sets the original; the default is none. */
         public Builder original(Optional<RequestHandle> value) {
             original = value;
             return this;
         }
 
-        /** The attributes as set. */
+        /** Builds the attributes. */
         public RequestAttributes build() {
             return new RequestAttributes(
                     priorityClass, readDelay, deadline, memoryKb, costHint, retry, shareable, original);
--- a/src/main/java/merlinlever/controller/RequestHandle.java
+++ b/src/main/java/merlinlever/controller/RequestHandle.java
@@ -3,22 +3,22 @@
 import java.time.Duration;
 
 /**
- * The handle of a request that was submitted to an {@link merlinlever.policy.OverloadController}. All later events
- * of the request are reported to it; what is decided about the request comes out of the next
- * {@link merlinlever.policy.OverloadController#decide}, which names the handle. Times count from the start of the
+ * Handle of a request that was submitted to an {@link merlinlever.policy.OverloadController}. The adapter reports all
+ * later events of the request to the handle. Decisions about the request, returned by
+ * {@link merlinlever.policy.OverloadController#decide}, refer to the handle. Times are relative to the start of the
  * server.
  */
 public interface RequestHandle {
 
-    /** The run of the request, or the sharing of another's outcome, has ended. */
+    /** Reports that the run of the request, or sharing the outcome of another request, has ended. */
     void runEnded(Duration now, Outcome outcome);
 
-    /** The run cannot continue without a downstream call. */
+    /** Reports that the run needs a downstream call to continue. */
     void callNeeded(Duration now);
 
-    /** The call that was made for the request has ended; after a failure the run waits for a decision again. */
+    /** Reports the end of the downstream call; after a failed call the run waits for another decision. */
     void callEnded(Duration now, Outcome outcome, Duration elapsed);
 
-    /** The caller does not wait for an answer any more. */
+    /** Reports that the caller no longer waits for an answer. */
     void callerGone(Duration now);
 }
--- a/src/main/java/merlinlever/controller/package-info.java
+++ b/src/main/java/merlinlever/controller/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The types through which the overload controller, {@link merlinlever.policy.OverloadController}, is called: a request
- * is submitted with its {@link merlinlever.controller.RequestAttributes}, its events go to its
- * {@link merlinlever.controller.RequestHandle}, and what is decided comes back as {@link merlinlever.controller.Decisions}.
+ * Interface types of the overload controller, {@link merlinlever.policy.OverloadController}. A request is submitted
+ * with its {@link merlinlever.controller.RequestAttributes}, later events of the request are reported to its
+ * {@link merlinlever.controller.RequestHandle}, and the controller returns {@link merlinlever.controller.Decisions}.
  */
 package merlinlever.controller;
--- a/src/main/java/merlinlever/controller/settings/BackpressureSignal.java
+++ b/src/main/java/merlinlever/controller/settings/BackpressureSignal.java
@@ -2,15 +2,15 @@
 
 import merlinlever.common.WireNamed;
 
-/** What callers are sent with each response for them to hold back. */
+/** Signal to callers, sent with each response, to reduce their load. */
 public enum BackpressureSignal implements WireNamed {
-    /** Nothing. */
+    /** No signal. */
     NONE("silent"),
-    /** The level from 0 (send everything) to 1. */
+    /** The fraction of their requests that callers are to hold back, from 0 to 1. */
     LEVEL("level"),
-    /** One less the level: this server's weight among others. */
+    /** The load balancing weight of the server: 1 minus the level. */
     WEIGHT("weight"),
-    /** How many requests one caller may have in flight. */
+    /** The number of requests that each caller may have in flight. */
     CREDIT("credit");
 
     private final String wireName;
--- a/src/main/java/merlinlever/controller/settings/ClassNumberSetting.java
+++ b/src/main/java/merlinlever/controller/settings/ClassNumberSetting.java
@@ -1,8 +1,8 @@
 package merlinlever.controller.settings;
 
 /**
- * The settings of one priority class that are numbers, with their names, ranges and defaults. Times are in
- * milliseconds. The order is the one in which problems are reported.
+ * Numeric settings of a priority class with their names, ranges and defaults. Times are in milliseconds. Problems are
+ * reported in the order of the constants.
  */
 enum ClassNumberSetting {
     CLIENT_TIMEOUT("hard-limit", NumberRange.POSITIVE, 2000),
@@ -10,7 +10,7 @@
     LATENCY_OBJECTIVE("aim", NumberRange.POSITIVE, 1000),
     OBJECTIVE_STRETCH("aim-stretch", NumberRange.NON_NEGATIVE, 0),
     WEIGHT("gain", NumberRange.NON_NEGATIVE, 1),
-    /** Only classes with idempotency keys use the window, and need one above zero. */
+    /** Used only by classes with idempotency keys, where the window must be positive. */
     IDEMPOTENCY_WINDOW("window", NumberRange.NON_NEGATIVE, 10_000);
 
     private final String shortName;
@@ -23,17 +23,17 @@
         this.defaultValue = defaultValue;
     }
 
-    /** The name within the class. */
+    /** Returns the name without the path of the class. */
     String shortName() {
         return shortName;
     }
 
-    /** The full name, with the index of the class. */
+    /** Returns the full path for the class with the index. */
     String path(int classIndex) {
         return SettingPaths.ofClass(classIndex, shortName);
     }
 
-    /** The allowed range in a class of these semantics. */
+    /** Returns the allowed range, which depends on whether the class is idempotent by key. */
     NumberRange range(boolean idempotentByKey) {
         return this == IDEMPOTENCY_WINDOW && idempotentByKey ? NumberRange.POSITIVE : range;
     }
--- a/src/main/java/merlinlever/controller/settings/ControllerSettings.java
+++ b/src/main/java/merlinlever/controller/settings/ControllerSettings.java
@@ -9,17 +9,17 @@
 import merlinlever.common.Durations;
 
 /**
- * The settings of one controller. {@link SettingsParser} makes them from what operators configure; tests and servers
- * with fixed settings use the {@link #builder}. A builder starts from the defaults.
+ * Settings of one controller. {@link SettingsParser} parses them from the operator's configuration; tests and servers
+ * with fixed settings use the {@link #builder}, which starts from the defaults.
  *
- * @param server the machine
- * @param warmUp how it gets warm after its start
- * @param safety the safety rules
+ * @param server the machine and its limits
+ * @param warmUp the server's warm-up after a start
+ * @param safety the parameters of the safety rules
  * @param callers the callers
- * @param downstream the limit on calls, in force if the {@link #deployment} has a shared downstream service
- * @param deployment what the deployment is capable of
- * @param shadowDeployment the profile that shadow mode compares with the one in force; empty without shadow mode
- * @param priorityClasses by their index
+ * @param downstream the call limit, which applies if the {@link #deployment} has a shared downstream service
+ * @param deployment the capabilities of the deployment
+ * @param shadowDeployment the profile that shadow mode compares with the active profile; empty without shadow mode
+ * @param priorityClasses the priority classes in the order of their indexes
  */
 public record ControllerSettings(
         ServerSettings server,
@@ -31,22 +31,22 @@
         Optional<DeploymentProfile> shadowDeployment,
         List<PriorityClassSettings> priorityClasses) {
 
-    /** An unmodifiable copy of the priority classes is kept. */
+    /** Creates the settings with an unmodifiable copy of the priority classes. */
     public ControllerSettings {
         priorityClasses = List.copyOf(priorityClasses);
     }
 
-    /** A builder with every default and without a priority class. */
+    /** Returns a builder with the defaults and without a priority class. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** A builder with the values of these settings. */
+    /** Returns a builder with the values of these settings. */
     public Builder toBuilder() {
         return new Builder(this);
     }
 
-    /** Sets one value after the other; those that are not set have their defaults. */
+    /** Builder of controller settings; values that are not set have their defaults. */
     public static final class Builder {
         private final List<PriorityClassSettings> priorityClasses = new ArrayList<>();
         private DeploymentProfile deployment = DeploymentProfile.MINIMAL;
@@ -65,7 +65,7 @@
         private double callers = NumberSetting.CALLERS.defaultValue();
         private Duration idleTimeout = millis(NumberSetting.IDLE_TIMEOUT);
         private Duration maxRetryAfter = Duration.ZERO;
-        private Duration maxOutcomeAge = millis(NumberSetting.FRESH_FOR);
+        private Duration maxOutcomeAge = millis(NumberSetting.MAX_OUTCOME_AGE);
         private double shareOfCalls = NumberSetting.SHARE_OF_CALLS.defaultValue();
         private Duration callAveragingTime = millis(NumberSetting.CALL_AVERAGING_TIME);
         private Duration callLingerTime = millis(NumberSetting.CALL_LINGER_TIME);
@@ -102,146 +102,146 @@
             return Durations.ofMillis(setting.defaultValue());
         }
 
-        /** What the deployment is capable of. */
+        /** Sets the capabilities of the deployment. */
         public Builder deployment(DeploymentProfile value) {
             deployment = value;
             return this;
         }
 
-        /** The profile that shadow mode compares with the one in force. */
+        /** Sets the profile that shadow mode compares with the active profile. */
         public Builder shadowDeployment(DeploymentProfile value) {
             shadowDeployment = Optional.of(value);
             return this;
         }
 
-        /** Adds a priority class; its index is the number of classes before it. */
+        /** Adds a priority class with the next index. */
         public Builder addPriorityClass(PriorityClassSettings.Builder value) {
             priorityClasses.add(value.build());
             return this;
         }
 
-        /** Changes the priority class of that index. */
+        /** Changes the priority class with the index. */
         public Builder changePriorityClass(int index, UnaryOperator<PriorityClassSettings.Builder> change) {
             priorityClasses.set(
                     index, change.apply(priorityClasses.get(index).toBuilder()).build());
             return this;
         }
 
-        /** The number of cores. */
+        /** Sets the number of cores. */
         public Builder cores(int value) {
             cores = value;
             return this;
         }
 
-        /** The memory that requests and idempotency keys may use, in KB; without this there is no limit. */
+        /** Sets the memory limit of requests and idempotency keys, in KB; the default is no limit. */
         public Builder memoryKb(double value) {
             memoryKb = OptionalDouble.of(value);
             return this;
         }
 
-        /** How many times the memory of a queued request a started one uses. */
+        /** Sets the ratio of the memory of a started request to the memory of a queued one. */
         public Builder runMemoryFactor(double value) {
             runMemoryFactor = value;
             return this;
         }
 
-        /** The memory of a retained request, in KB. */
+        /** Sets the memory of a retained request, in KB. */
         public Builder memoryPerKeyKb(double value) {
             memoryPerKeyKb = value;
             return this;
         }
 
-        /** The gauges of each sample, in their order. */
+        /** Sets the gauges of each sample, in their order. */
         public Builder gauges(List<Gauge> value) {
             gauges = value;
             return this;
         }
 
-        /** Whether the server has just started. */
+        /** Sets whether the server starts cold. */
         public Builder cold(boolean value) {
             cold = value;
             return this;
         }
 
-        /** The fraction of its full speed that a cold server starts at. */
+        /** Sets the initial speed of a cold server, as a fraction of its full speed. */
         public Builder coldSpeed(double value) {
             coldSpeed = value;
             return this;
         }
 
-        /** How long a cold server takes to its full speed. */
+        /** Sets the time until a cold server reaches its full speed. */
         public Builder warmUpTime(Duration value) {
             warmUpTime = value;
             return this;
         }
 
-        /** How many started requests a core survives. */
+        /** Sets the number of started requests that a core can sustain. */
         public Builder overloadFactor(double value) {
             overloadFactor = value;
             return this;
         }
 
-        /** For how long after the start of a drain arrivals may still be run. */
+        /** Sets the grace period after the start of a drain, in which arrivals may still be run. */
         public Builder drainGrace(Duration value) {
             drainGrace = value;
             return this;
         }
 
-        /** No duplicate is read later than this after its arrival. */
+        /** Sets the maximum time from the arrival of a duplicate until it is read. */
         public Builder maxReadDelay(Duration value) {
             maxReadDelay = value;
             return this;
         }
 
-        /** The number of callers. */
+        /** Sets the number of callers. */
         public Builder callers(double value) {
             callers = value;
             return this;
         }
 
-        /** After which callers close an idle connection. */
+        /** Sets the time after which callers close an idle connection. */
         public Builder idleTimeout(Duration value) {
             idleTimeout = value;
             return this;
         }
 
-        /** The longest Retry-After of a rejection; zero, the default, for none. */
+        /** Sets the longest Retry-After of a rejection; the default is zero, for no Retry-After. */
         public Builder maxRetryAfter(Duration value) {
             maxRetryAfter = value;
             return this;
         }
 
-        /** For how long an outcome of an idempotent request may answer others of the same subject. */
+        /** Sets how long the outcome of an idempotent request may be shared with others of the same subject. */
         public Builder maxOutcomeAge(Duration value) {
             maxOutcomeAge = value;
             return this;
         }
 
-        /** This server's share of the limit of a shared downstream service, in calls. */
+        /** Sets this server's share of the limit of a shared downstream service, in concurrent calls. */
         public Builder shareOfCalls(double value) {
             shareOfCalls = value;
             return this;
         }
 
-        /** The time over which calls in progress are averaged. */
+        /** Sets the time over which concurrent calls are averaged. */
         public Builder callAveragingTime(Duration value) {
             callAveragingTime = value;
             return this;
         }
 
-        /** How long a call that was given up still loads the downstream service at most. */
+        /** Sets the maximum time for which a call loads the downstream service after its timeout. */
         public Builder callLingerTime(Duration value) {
             callLingerTime = value;
             return this;
         }
 
-        /** How many servers share the limit of the downstream service; 0, the default, if that is not known. */
+        /** Sets the number of servers that share the downstream service; the default is 0, for an unknown number. */
         public Builder fleetSize(double value) {
             fleetSize = value;
             return this;
         }
 
-        /** The settings with these values. */
+        /** Builds the settings. */
         public ControllerSettings build() {
             return new ControllerSettings(
                     new ServerSettings(cores, memoryKb, runMemoryFactor, memoryPerKeyKb, gauges),
--- a/src/main/java/merlinlever/controller/settings/DeploymentProfile.java
+++ b/src/main/java/merlinlever/controller/settings/DeploymentProfile.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * What a deployment is capable of.
+ * Capabilities of a deployment.
  *
- * @param downstream what lies downstream
- * @param runStopping how running work can be stopped
- * @param endpointListFollowsHealth whether the endpoint list drops a server that reports to be unhealthy
- * @param signal what callers are sent for them to hold back
+ * @param downstream the kind of downstream service
+ * @param runStopping how runs can be stopped
+ * @param endpointListFollowsHealth whether unhealthy servers are removed from the endpoint list
+ * @param signal the backpressure signal that callers receive
  */
 public record DeploymentProfile(
         DownstreamKind downstream,
@@ -17,11 +17,11 @@
         boolean endpointListFollowsHealth,
         BackpressureSignal signal) {
 
-    /** A deployment without any of these capabilities, and without anything downstream. */
+    /** Deployment without a downstream service and without any of the capabilities. */
     public static final DeploymentProfile MINIMAL =
             new DeploymentProfile(DownstreamKind.NONE, RunStopping.NONE, false, BackpressureSignal.NONE);
 
-    /** The settings whose value in the other profile is not the one in this. */
+    /** Returns the settings in which the profiles differ. */
     public Set<DeploymentSetting> differences(DeploymentProfile other) {
         Set<DeploymentSetting> differing = EnumSet.noneOf(DeploymentSetting.class);
         if (downstream != other.downstream) {
--- a/src/main/java/merlinlever/controller/settings/DeploymentSetting.java
+++ b/src/main/java/merlinlever/controller/settings/DeploymentSetting.java
@@ -2,15 +2,15 @@
 
 import merlinlever.common.WireNamed;
 
-/** One setting of a {@link DeploymentProfile}; in the order in which differences and problems are reported. */
+/** Settings of a {@link DeploymentProfile}. Differences and problems are reported in the order of the constants. */
 public enum DeploymentSetting implements WireNamed {
-    /** What lies downstream. */
+    /** The kind of downstream service. */
     DOWNSTREAM("below"),
     /** How runs can be stopped. */
     RUN_STOPPING("halt"),
-    /** Whether the endpoint list follows the reported health. */
+    /** Whether unhealthy servers are removed from the endpoint list. */
     READINESS("readiness"),
-    /** What callers are sent for them to hold back. */
+    /** The backpressure signal that callers receive. */
     SIGNAL("say");
 
     private final String wireName;
--- a/src/main/java/merlinlever/controller/settings/DownstreamKind.java
+++ b/src/main/java/merlinlever/controller/settings/DownstreamKind.java
@@ -2,13 +2,13 @@
 
 import merlinlever.common.WireNamed;
 
-/** What the runs of this server call. */
+/** Kind of service that the runs of a server call. */
 public enum DownstreamKind implements WireNamed {
-    /** Nothing. */
+    /** No downstream service. */
     NONE("silent"),
-    /** One service that all servers of the fleet share, with a limit on their calls together. */
+    /** A service that all servers of the fleet share, with a limit on the fleet's concurrent calls. */
     SHARED("shared"),
-    /** Another fleet with overload control of its own. */
+    /** Another fleet with its own overload control. */
     TIER("tier");
 
     private final String wireName;
--- a/src/main/java/merlinlever/controller/settings/DownstreamSettings.java
+++ b/src/main/java/merlinlever/controller/settings/DownstreamSettings.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * The limit on the calls to a downstream service that the fleet shares.
+ * Limit on the calls to a downstream service that the fleet shares.
  *
- * @param shareOfCalls this server's share of the limit, as an average number of calls in progress
- * @param averagingTime the time over which calls in progress are averaged
- * @param lingerTime how long a call that was given up still loads the service at most
- * @param fleetSize how many servers share the limit; below 1 if that is not known
+ * @param shareOfCalls this server's share of the limit, as an average number of concurrent calls
+ * @param averagingTime the time over which concurrent calls are averaged
+ * @param lingerTime the maximum time for which a call loads the service after its timeout
+ * @param fleetSize the number of servers that share the limit; below 1 if the number is unknown
  */
 public record DownstreamSettings(double shareOfCalls, Duration averagingTime, Duration lingerTime, double fleetSize) {}
--- a/src/main/java/merlinlever/controller/settings/Gauge.java
+++ b/src/main/java/merlinlever/controller/settings/Gauge.java
@@ -2,14 +2,14 @@
 
 import merlinlever.common.WireNamed;
 
-/** A gauge that is sampled for the controller. */
+/** Gauge that is sampled for the controller. */
 public enum Gauge implements WireNamed {
     CPU_BUSY("cpu_busy"),
-    /** How many threads or runs wait for a core or are on one. */
+    /** The number of threads or runs that use a core or wait for one. */
     RUN_QUEUE("runnable"),
     MEMORY("mem_used"),
     CONNECTIONS("sockets"),
-    /** Any gauge that the controller does not read. */
+    /** A gauge that the controller ignores. */
     OTHER("");
 
     private final String wireName;
--- a/src/main/java/merlinlever/controller/settings/NumberRange.java
+++ b/src/main/java/merlinlever/controller/settings/NumberRange.java
@@ -1,6 +1,6 @@
 package merlinlever.controller.settings;
 
-/** The allowed range of a number. Milliseconds above {@code 1e12} no longer fit a Duration in nanoseconds. */
+/** Allowed range of a number. A time above {@code 1e12} milliseconds would overflow the nanoseconds of a Duration. */
 enum NumberRange {
     POSITIVE("a number above 0, at most 1e12") {
         @Override
@@ -26,7 +26,7 @@
             return Double.isFinite(number);
         }
     },
-    /** Not checked: text that is no number counts as missing. */
+    /** Any text; text that is not a number is treated as missing. */
     ANY("anything") {
         @Override
         boolean contains(double number) {
@@ -42,11 +42,11 @@
         this.description = description;
     }
 
-    /** The range in words, for error messages. */
+    /** Returns a description of the range for error messages. */
     String description() {
         return description;
     }
 
-    /** Whether the number is in the range; NaN is in none but {@link #ANY}. */
+    /** Whether the number is in the range; NaN is only in {@link #ANY}. */
     abstract boolean contains(double number);
 }
--- a/src/main/java/merlinlever/controller/settings/PriorityClassSettings.java
+++ b/src/main/java/merlinlever/controller/settings/PriorityClassSettings.java
@@ -4,18 +4,18 @@
 import merlinlever.common.Durations;
 
 /**
- * One priority class.
+ * Settings of one priority class.
  *
- * @param name as requests name it
- * @param semantics how often its requests may run
- * @param latencyObjective an answer after this time from arrival has the late weight
- * @param clientTimeout the deadline from arrival of a request that tells none
- * @param idempotencyWindow how long a duplicate of one of its requests is recognized
- * @param objectiveStretch by how much of its cost hint the latency objective of a request is extended
- * @param weight what an answer in time is worth, compared with the other classes
- * @param lateWeight what a late answer is worth
- * @param weightWithoutCall what an answer without the downstream call is worth; 0: the call cannot be left out
- * @param makesCalls whether its runs make downstream calls
+ * @param name the name that requests refer to
+ * @param semantics how often a request of the class may run
+ * @param latencyObjective the time from arrival after which an answer has the late weight
+ * @param clientTimeout the time from arrival to the deadline of a request without a deadline of its own
+ * @param idempotencyWindow how long duplicates of a request are recognized
+ * @param objectiveStretch the fraction of a request's cost hint by which its latency objective is extended
+ * @param weight the weight of an answer in time, relative to the other classes
+ * @param lateWeight the weight of a late answer
+ * @param weightWithoutCall the weight of an answer without the downstream call; 0 if the call cannot be skipped
+ * @param makesCalls whether runs of the class make downstream calls
  */
 public record PriorityClassSettings(
         String name,
@@ -29,22 +29,22 @@
         double weightWithoutCall,
         boolean makesCalls) {
 
-    /** Whether its requests may run any number of times. */
+    /** Whether a request of the class may run any number of times. */
     public boolean isIdempotent() {
         return semantics == RequestSemantics.IDEMPOTENT;
     }
 
-    /** Whether its requests carry an idempotency key. */
+    /** Whether requests of the class carry an idempotency key. */
     public boolean isIdempotentByKey() {
         return semantics == RequestSemantics.IDEMPOTENT_BY_KEY;
     }
 
-    /** A class of this name with the defaults of all other settings. */
+    /** Returns a builder of a class with the name and otherwise the defaults. */
     public static Builder named(String name) {
         return new Builder(name);
     }
 
-    /** A builder with the values of this class. */
+    /** Returns a builder with the values of this class. */
     public Builder toBuilder() {
         Builder builder = new Builder(name);
         builder.semantics = semantics;
@@ -59,7 +59,7 @@
         return builder;
     }
 
-    /** Sets one value after the other; each is described at the record's component of its name. */
+    /** Builder of a priority class; each method sets the record component of its name. */
     public static final class Builder {
         private final String name;
         private RequestSemantics semantics = RequestSemantics.NON_IDEMPOTENT;
@@ -80,61 +80,61 @@
             return Durations.ofMillis(setting.defaultValue());
         }
 
-        /** How often requests of the class may run. */
+        /** Sets how often a request of the class may run. */
         public Builder semantics(RequestSemantics value) {
             semantics = value;
             return this;
         }
 
-        /** The time from arrival to an answer of full weight. */
+        /** Sets the time from arrival after which an answer has the late weight. */
         public Builder latencyObjective(Duration value) {
             latencyObjective = value;
             return this;
         }
 
-        /** The deadline of requests that tell none. */
+        /** Sets the time from arrival to the deadline of a request without a deadline of its own. */
         public Builder clientTimeout(Duration value) {
             clientTimeout = value;
             return this;
         }
 
-        /** How long a duplicate is recognized. */
+        /** Sets how long duplicates of a request are recognized. */
         public Builder idempotencyWindow(Duration value) {
             idempotencyWindow = value;
             return this;
         }
 
-        /** The part of the cost hint that extends the latency objective. */
+        /** Sets the fraction of the cost hint by which the latency objective is extended. */
         public Builder objectiveStretch(double value) {
             objectiveStretch = value;
             return this;
         }
 
-        /** The weight of an answer in time. */
+        /** Sets the weight of an answer in time. */
         public Builder weight(double value) {
             weight = value;
             return this;
         }
 
-        /** The weight of a late answer. */
+        /** Sets the weight of a late answer. */
         public Builder lateWeight(double value) {
             lateWeight = value;
             return this;
         }
 
-        /** The weight of an answer without the downstream call. */
+        /** Sets the weight of an answer without the downstream call. */
         public Builder weightWithoutCall(double value) {
             weightWithoutCall = value;
             return this;
         }
 
-        /** Whether runs make downstream calls. */
+        /** Sets whether runs of the class make downstream calls. */
         public Builder makesCalls(boolean value) {
             makesCalls = value;
             return this;
         }
 
-        /** The class with these values. */
+        /** Builds the class. */
         public PriorityClassSettings build() {
             return new PriorityClassSettings(
                     name,
--- a/src/main/java/merlinlever/controller/settings/SettingsParser.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsParser.java
@@ -66,7 +66,7 @@
     private void parseCallers(ControllerSettings.Builder settings) {
         settings.callers(number(NumberSetting.CALLERS))
                 .idleTimeout(roundedDuration(NumberSetting.IDLE_TIMEOUT))
-                .maxOutcomeAge(duration(NumberSetting.FRESH_FOR));
+                .maxOutcomeAge(duration(NumberSetting.MAX_OUTCOME_AGE));
         if (raw.flag(SettingPaths.RETRY_AFTER)) {
             settings.maxRetryAfter(duration(NumberSetting.MAX_RETRY_AFTER));
         }
--- a/src/main/java/merlinlever/driver/ControllerDriver.java
+++ b/src/main/java/merlinlever/driver/ControllerDriver.java
@@ -13,14 +13,14 @@
 import merlinlever.policy.OverloadController;
 
 /**
- * Drives one {@link OverloadController}: hands its decisions to the handler, in terms of the handler's own requests, and
- * keeps its next wake-up. Not thread-safe.
+ * Drives one {@link OverloadController}: passes its decisions to a handler, with the handler's requests in place of the
+ * controller's handles, and schedules its wake-ups. Not thread-safe.
  *
- * @param <T> how the handler names a request
+ * @param <T> the handler's representation of a request
  */
 public final class ControllerDriver<T> {
 
-    /** The handle of a request of which nothing is known any more; events for it have no effect. */
+    /** Handle of an unknown or discarded request; events of the request have no effect. */
     public static final RequestHandle UNKNOWN_REQUEST = new RequestHandle() {
         @Override
         public void runEnded(Duration now, Outcome outcome) {}
@@ -44,9 +44,9 @@
     private Duration nextWakeUp;
 
     /**
-     * Creates the controller.
+     * Creates a driver with a new controller.
      *
-     * @param seed the seed of the controller's random draws
+     * @param seed the seed of the controller's random decisions
      */
     public ControllerDriver(ControllerSettings settings, long seed, DecisionHandler<T> handler) {
         this.handler = handler;
@@ -56,12 +56,12 @@
         shadowMode = ShadowModeCounter.of(settings);
     }
 
-    /** In shadow mode, how often by kind the shadowed settings would have decided otherwise; else empty. */
+    /** Returns the number of decisions by setting that the shadow profile would change; empty without shadow mode. */
     public Map<String, Long> shadowDifferences() {
         return shadowMode.map(ShadowModeCounter::differences).orElse(Map.of());
     }
 
-    /** The index of each priority class by its name. */
+    /** Returns the indexes of the priority classes by name. */
     public static Map<String, Integer> priorityClassIndexes(ControllerSettings settings) {
         Map<String, Integer> indexes = new HashMap<>();
         List<PriorityClassSettings> classes = settings.priorityClasses();
@@ -71,28 +71,28 @@
         return indexes;
     }
 
-    /** The controller, for events that need no handle. */
+    /** Returns the controller, for events that concern no single request. */
     public OverloadController controller() {
         return controller;
     }
 
-    /** The index of the priority class of that name, or -1. */
+    /** Returns the index of the priority class with the name, or -1. */
     public int priorityClassIndex(String name) {
         return priorityClassIndexes.getOrDefault(name, -1);
     }
 
-    /** From now on the handler is given decisions about the handle under this name. */
+    /** Maps the handle to the handler's request in all later decisions; returns the handle. */
     public RequestHandle register(RequestHandle handle, T request) {
         dispatcher.register(handle, request);
         return handle;
     }
 
-    /** The wake-up that was scheduled last has fired. */
+    /** Reports that the wake-up scheduled last has fired. */
     public void wakeUpFired() {
         nextWakeUp = null;
     }
 
-    /** Lets the controller decide on all events so far and hands its decisions to the handler. */
+    /** Lets the controller decide on all reported events and passes the decisions to the handler. */
     public void decide(Duration now) {
         Decisions decisions = controller.decide(now);
         shadowMode.ifPresent(counter -> counter.count(decisions));
--- a/src/main/java/merlinlever/driver/DecisionDispatcher.java
+++ b/src/main/java/merlinlever/driver/DecisionDispatcher.java
@@ -5,10 +5,10 @@
 import merlinlever.controller.RequestHandle;
 
 /**
- * Passes decisions to a handler, with the handler's own request in place of the controller's handle. This is the only
- * place that distinguishes the kinds of decisions to carry them out. Not thread-safe.
+ * Calls the method of a handler for each decision, with the handler's request in place of the controller's handle. Not
+ * thread-safe.
  *
- * @param <T> how the handler names a request
+ * @param <T> the handler's representation of a request
  */
 final class DecisionDispatcher<T> {
 
@@ -19,12 +19,12 @@
         this.handler = handler;
     }
 
-    /** From now on until its release, decisions about the handle concern this request. */
+    /** Maps the handle to the handler's request until the handle is released. */
     void register(RequestHandle handle, T request) {
         requestsByHandle.put(handle, request);
     }
 
-    /** Calls the method of the handler for the decision. */
+    /** Calls the handler's method for the decision. */
     void dispatch(Decision decision) {
         if (decision instanceof Decision.SendBackpressure backpressure) {
             handler.updateBackpressureLevel(backpressure.value());
@@ -61,7 +61,7 @@
         } else if (decision instanceof Decision.Release release) {
             handler.release(requestsByHandle.remove(release.request()));
         } else {
-            throw new IllegalStateException("unhandled kind of decision: " + decision);
+            throw new IllegalStateException("unknown kind of decision: " + decision);
         }
     }
 
--- a/src/main/java/merlinlever/driver/DecisionHandler.java
+++ b/src/main/java/merlinlever/driver/DecisionHandler.java
@@ -4,64 +4,64 @@
 import merlinlever.controller.ControllerEvent;
 
 /**
- * Carries out the decisions of one batch. {@link ControllerDriver} calls the methods in the order of the kinds in
+ * Carries out decisions. For each batch, {@link ControllerDriver} calls the methods in the order of the kinds in
  * {@link merlinlever.controller.Decision}, on the thread that called {@link ControllerDriver#decide}. Methods with an
- * empty default concern abilities that not every server has; a server with that ability overrides them.
+ * empty default are for optional capabilities; a server with the capability overrides them.
  *
- * @param <T> how the handler names a request
+ * @param <T> the handler's representation of a request
  */
 public interface DecisionHandler<T> {
 
-    /** From now on, send this backpressure level with every response. */
+    /** Changes the backpressure level that is sent with every response. */
     default void updateBackpressureLevel(double level) {}
 
-    /** From now on, report this health. */
+    /** Changes the reported health of the server. */
     default void updateHealth(boolean healthy) {}
 
-    /** From now on, close connections that are idle for this long. */
+    /** Changes the timeout after which idle connections are closed. */
     default void closeIdleConnections(Duration idleTimeout) {}
 
-    /** Keep the request findable for its duplicates for this long. */
+    /** Retains the request for its duplicates for the given time. */
     void retain(T request, Duration retention);
 
-    /** Answer the request: failed. */
+    /** Answers the request with a failure. */
     void fail(T request);
 
-    /** Stop the run of the request; runs that cannot be stopped continue to their end. */
+    /** Stops the run of the request; runs that cannot be stopped continue to their end. */
     default void stop(T request) {}
 
     /**
-     * Answer the request: rejected, never run.
+     * Answers the request, which was never run, with a rejection.
      *
      * @param finalRejection whether the caller is asked not to retry elsewhere
-     * @param retryAfter how long the caller is asked to wait before it retries; zero if nothing is said about that
+     * @param retryAfter how long the caller is asked to wait before a retry; zero for no Retry-After
      */
     void reject(T request, boolean finalRejection, Duration retryAfter);
 
-    /** Let no duplicate find the request any more. */
+    /** Ends the retention of the request for its duplicates. */
     void evict(T request);
 
-    /** Start the run of the request. */
+    /** Starts the run of the request. */
     void start(T request);
 
-    /** Answer the request with the outcome of the request that it duplicates. */
+    /** Answers the request with the outcome of its original. */
     void shareOutcome(T request);
 
-    /** Make the downstream call that the run waits for, and give it up after the timeout; only where runs make calls. */
+    /** Makes the downstream call that the run waits for, with a timeout; called only if runs make calls. */
     default void callDownstream(T request, Duration timeout) {}
 
-    /** Let the run continue without the downstream call that it waits for; only where runs make calls. */
+    /** Continues the run without the downstream call that it waits for; called only if runs make calls. */
     default void skipCall(T request) {}
 
-    /** Write the event to the log. */
+    /** Writes the event to the log. */
     void log(ControllerEvent event);
 
     /**
-     * Call {@link ControllerDriver#wakeUpFired} and {@link ControllerDriver#decide} at this time, unless events make a
-     * decision necessary before; always earlier than any wake-up that is scheduled already.
+     * Schedules calls of {@link ControllerDriver#wakeUpFired} and {@link ControllerDriver#decide}. The time is always
+     * earlier than a wake-up that is already scheduled.
      */
     void scheduleWakeUp(Duration at);
 
-    /** The controller will not name the request again: forget it. */
+    /** Discards the request; no later decision refers to the request. */
     void release(T request);
 }
--- a/src/main/java/merlinlever/driver/ShadowModeCounter.java
+++ b/src/main/java/merlinlever/driver/ShadowModeCounter.java
@@ -10,8 +10,8 @@
 import merlinlever.controller.settings.DeploymentSetting;
 
 /**
- * Shadow mode: counts how often another deployment profile would have decided otherwise than the one in force, without
- * changing a decision.
+ * Counts, in shadow mode, the decisions that another deployment profile would change. The decisions themselves are
+ * not affected.
  */
 final class ShadowModeCounter {
 
@@ -22,20 +22,20 @@
         this.differingSettings = differingSettings;
     }
 
-    /** The counter over these settings; empty without a shadow profile. */
+    /** Returns a counter for the settings; empty without a shadow profile. */
     static Optional<ShadowModeCounter> of(ControllerSettings settings) {
         return settings.shadowDeployment()
                 .map(shadow -> new ShadowModeCounter(settings.deployment().differences(shadow)));
     }
 
-    /** Counts what the shadowed settings would have decided otherwise in one batch of decisions. */
+    /** Counts the decisions of one batch that the shadow profile would change. */
     void count(Decisions decisions) {
-        // Dropped work is lost and its call cancelled; paused work keeps its progress and memory.
+        // The shadow profile may stop runs in another way: dropped work is lost, paused work keeps its progress.
         add(DeploymentSetting.RUN_STOPPING, decisions.of(Decision.Stop.class).size());
         add(
                 DeploymentSetting.SIGNAL,
                 decisions.of(Decision.SendBackpressure.class).size());
-        // Where the endpoint list follows health, every caller's list drops or takes back this server.
+        // If the endpoint list follows the health, each report removes or restores the server in the list.
         add(
                 DeploymentSetting.READINESS,
                 decisions.of(Decision.ReportHealth.class).size());
@@ -44,13 +44,13 @@
                 decisions.of(Decision.CallDownstream.class).size());
     }
 
-    private void add(DeploymentSetting setting, long times) {
-        if (times > 0 && differingSettings.contains(setting)) {
-            differences.merge(setting.wireName(), times, Long::sum);
+    private void add(DeploymentSetting setting, long count) {
+        if (count > 0 && differingSettings.contains(setting)) {
+            differences.merge(setting.wireName(), count, Long::sum);
         }
     }
 
-    /** How often, by setting, the shadowed value would have decided otherwise; in alphabetical order. */
+    /** Returns the number of decisions that the shadow profile would change, by setting in alphabetical order. */
     Map<String, Long> differences() {
         return new TreeMap<>(differences);
     }
--- a/src/main/java/merlinlever/policy/DecisionCycle.java
+++ b/src/main/java/merlinlever/policy/DecisionCycle.java
@@ -32,7 +32,7 @@
         server.stallDetector().check(now);
         server.inFlight().forEach(request -> server.completions().enforceDeadlines(request, now));
         server.inFlight().removeIf(request -> !request.isInFlight());
-        server.withdrawOutdatedShares();
+        server.removeOutdatedShares();
         server.retained().expire(now);
         server.downstreamCalls().startCalls(now);
         server.dispatcher().startQueued(now);
--- a/src/main/java/merlinlever/policy/ServerState.java
+++ b/src/main/java/merlinlever/policy/ServerState.java
@@ -183,9 +183,9 @@
         decisions.add(decision);
     }
 
-    /** Withdraws decisions to share an outcome if the duplicate has ended in the meantime. */
-    void withdrawOutdatedShares() {
-        decisions.withdrawShares(handle -> ((Request) handle).phase() != Phase.SHARING_OUTCOME);
+    /** Removes decisions to share an outcome if the duplicate has ended in the meantime. */
+    void removeOutdatedShares() {
+        decisions.removeOutdatedShares(handle -> ((Request) handle).phase() != Phase.SHARING_OUTCOME);
     }
 
     /** Returns the current batch of decisions and begins a new one. */
--- a/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
+++ b/src/test/java/merlinlever/controller/AdmissionMechanismTest.java
@@ -10,12 +10,12 @@
 import merlinlever.controller.settings.BackpressureSignal;
 import org.junit.jupiter.api.Test;
 
-/** Random early detection, dispatching and backpressure as docs/design.md has them, with figures worked by hand. */
+/** Tests random early detection, dispatching and backpressure against values calculated from docs/design.md. */
 class AdmissionMechanismTest {
 
     private final ControllerFixture fixture = new ControllerFixture();
 
-    /** Queues requests behind busy cores; returns the fraction of the arrivals of a class that were rejected. */
+    /** Returns the fraction of rejected arrivals of a class while all cores are busy and requests are queued. */
     private double rejectedFraction(int priorityClass, boolean retry, int queued, int arrivals) {
         return rejectedFraction(priorityClass, retry, queued, arrivals, ControllerFixture::new);
     }
@@ -47,20 +47,20 @@
     }
 
     @Test
-    void rejectsTheClassOfLeastWeightFirst() {
-        // Capacity 40 (8 cores, 200 ms a run, 1 s): 20 queued give occupancy 0.5, average 0.48, base
-        // probability 0.14 and over 7 queued since the last rejection.
+    void rejectsTheClassWithTheLowestWeightFirst() {
+        // Capacity 40 (8 cores, 200 ms per run, objective 1 s): 20 queued requests give occupancy 0.5, average 0.48
+        // and base probability 0.14, with more than 7 requests queued since the last rejection.
         double lookups = rejectedFraction(ControllerFixture.LOOKUP, false, 20, 400);
         double charges = rejectedFraction(ControllerFixture.CHARGE, false, 20, 400);
         assertTrue(lookups > 0.2, "coefficient 5: " + lookups);
         assertTrue(charges < 0.1, "coefficient 0.1: " + charges);
         double retries = rejectedFraction(ControllerFixture.CHARGE, true, 20, 400);
-        assertTrue(retries > 1.5 * charges, "four times as often as a retry: " + retries);
+        assertTrue(retries > 1.5 * charges, "a retry is rejected four times as often: " + retries);
     }
 
-    /** A class without weight must not switch off the rejections of all classes. */
+    /** A class of weight 0 must not disable the rejections of the other classes. */
     @Test
-    void rejectsAClassWithoutWeightFirstAndTheOthersByTheirWeight() {
+    void rejectsAClassOfWeightZeroFirstAndOtherClassesByWeight() {
         Supplier<ControllerFixture> fixtures = () -> new ControllerFixture()
                 .with(settings -> settings.changePriorityClass(ControllerFixture.LOOKUP, lookup -> lookup.weight(0)));
         double lookups = rejectedFraction(ControllerFixture.LOOKUP, false, 20, 400, fixtures);
@@ -70,54 +70,54 @@
     }
 
     @Test
-    void whatIdleCoresStartAtOnceDoesNotCountAsQueued() {
+    void requestsThatIdleCoresStartAtOnceDoNotCountAsQueued() {
         fixture.with(settings -> settings.cores(2));
         for (int i = 0; i < 100; i++) {
             RequestHandle lookup = fixture.submit(ControllerFixture.LOOKUP);
-            assertEquals(List.of(lookup), fixture.decide().started(), "two cores, one at a time: nothing is queued");
+            assertEquals(List.of(lookup), fixture.decide().started(), "one request at a time on two cores");
             lookup.runEnded(fixture.now, Outcome.OK);
         }
     }
 
     @Test
-    void startsTheOldestFirstWhileTheRunQueueIsShorterThanTheCores() {
+    void startsTheOldestRequestFirstWhileTheRunQueueIsShorterThanTheCores() {
         List<RequestHandle> running = fixture.occupyAllCores();
         RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
         RequestHandle second = fixture.submit(ControllerFixture.CHARGE);
-        assertEquals(List.of(), fixture.decide().started(), "the gauge reads 8, and there are 8 cores");
+        assertEquals(List.of(), fixture.decide().started(), "run queue of 8 on 8 cores");
         running.get(0).runEnded(fixture.now, Outcome.OK);
-        assertEquals(List.of(first), fixture.decide().started(), "one has ended since");
+        assertEquals(List.of(first), fixture.decide().started(), "one run has ended since the sample");
         fixture.updateGauges(1, 9);
         running.get(1).runEnded(fixture.now, Outcome.OK);
-        assertEquals(List.of(), fixture.decide().started(), "9 less the one that ended is not below 8");
+        assertEquals(List.of(), fixture.decide().started(), "run queue of 9 less one ended run is not below 8");
         fixture.updateGauges(1, 7);
         assertEquals(List.of(second), fixture.decide().started());
     }
 
     @Test
-    void readDelayCountsAsQueueing() {
+    void readDelayCountsAsQueueingTime() {
         fixture.warmUp(10, 200);
         int rejected = 0;
         for (int i = 0; i < 30; i++) {
             fixture.submit(ControllerFixture.LOOKUP, 850, 10, null);
             rejected += fixture.decide().rejected().size();
         }
-        assertEquals(30, rejected, "850 ms of an objective of 1000 ms is over the upper threshold");
+        assertEquals(30, rejected, "850 ms of the 1000 ms objective exceed the upper threshold");
     }
 
     @Test
-    void randomRejectionIsFinalWhateverReadingCosts() {
+    void randomRejectionIsFinalAtAnyReadDelay() {
         for (int readMs : new int[] {50, 150}) {
             ControllerFixture server = new ControllerFixture();
             server.submit(ControllerFixture.LOOKUP, readMs, 10, null);
             server.decide();
             server.submit(ControllerFixture.LOOKUP, readMs + 900, 10, null);
-            assertTrue(server.decide().rejected().get(0).isFinal(), "read in " + readMs + " ms of 1000 ms");
+            assertTrue(server.decide().rejected().get(0).isFinal(), "read delay of " + readMs + " ms");
         }
     }
 
     @Test
-    void backpressureRisesWithTheOccupancyAndFallsAfterIt() {
+    void backpressureRisesUnderLoadAndFallsAfterwards() {
         fixture.withSignal(BackpressureSignal.LEVEL).warmUp(10, 200);
         double level = 0;
         for (int i = 0; i < 30; i++) {
@@ -134,30 +134,30 @@
     }
 
     @Test
-    void closesIdleConnectionsOfManyCallersSoonerTheMoreOftenACoreIsFree() {
+    void idleTimeoutForManyCallersShrinksWithFreeCoresAndGrowsWithBusyCores() {
         fixture.with(settings -> settings.idleTimeout(Duration.ofSeconds(30)).callers(200));
         for (int i = 0; i < 50; i++) {
             fixture.decideAfter(100);
         }
         assertTrue(
                 fixture.idleConnectionTimeout.compareTo(Duration.ofMillis(1200)) < 0,
-                "idle cores: a thirtieth, " + fixture.idleConnectionTimeout);
+                "idle cores: a thirtieth of the configured timeout: " + fixture.idleConnectionTimeout);
         fixture.updateGauges(1, 8);
         for (int i = 0; i < 250; i++) {
             fixture.decideAfter(100);
         }
         assertTrue(
                 fixture.idleConnectionTimeout.compareTo(Duration.ofSeconds(25)) > 0,
-                "busy cores: all of it, " + fixture.idleConnectionTimeout);
+                "busy cores: nearly the configured timeout: " + fixture.idleConnectionTimeout);
         ControllerFixture fewCallers = new ControllerFixture()
                 .with(settings -> settings.idleTimeout(Duration.ofSeconds(30)).callers(100));
         fewCallers.decideAfter(100);
         fewCallers.decideAfter(5000);
-        assertNull(fewCallers.idleConnectionTimeout, "few callers cannot fill the table");
+        assertNull(fewCallers.idleConnectionTimeout, "few callers cannot fill the connection table");
     }
 
     @Test
-    void oneLongRunDoesNotUndoTheCapacityThatWasLearned() {
+    void oneLongRunDoesNotReduceTheCapacityEstimate() {
         fixture.with(settings -> settings.cores(2)).warmUp(20, 100);
         fixture.submit(ControllerFixture.ORDER);
         fixture.submit(ControllerFixture.ORDER);
@@ -168,11 +168,11 @@
         assertTrue(fixture.lastBatch.started().isEmpty());
         assertTrue(
                 fixture.lastBatch.rejected().isEmpty(),
-                "capacity 20, one queued: occupancy under 0.3 though nothing completed lately");
+                "capacity 20 and one queued request: occupancy below 0.3, without recent completions");
     }
 
     @Test
-    void sameSeedMakesTheSameDecisions() {
+    void sameSeedGivesTheSameDecisions() {
         ControllerFixture first = new ControllerFixture();
         ControllerFixture second = new ControllerFixture();
         for (ControllerFixture server : List.of(first, second)) {
--- a/src/test/java/merlinlever/controller/ControllerFixture.java
+++ b/src/test/java/merlinlever/controller/ControllerFixture.java
@@ -16,16 +16,16 @@
 import merlinlever.controller.settings.RunStopping;
 import merlinlever.policy.OverloadController;
 
-/** A controller with its settings and a clock, and short ways to drive it. */
+/** A controller under test with its settings, a clock and helper methods. */
 final class ControllerFixture {
 
-    /** Idempotent, of little weight. */
+    /** Index of an idempotent class with a low weight. */
     static final int LOOKUP = 0;
-    /** Idempotent by key. */
+    /** Index of a class that is idempotent by key. */
     static final int CHARGE = 1;
-    /** Not idempotent. */
+    /** Index of a non-idempotent class. */
     static final int ORDER = 2;
-    /** Idempotent by key, and the only class that makes downstream calls. */
+    /** Index of a class that is idempotent by key, and the only class that makes downstream calls. */
     static final int CALLING = 3;
 
     private static final int CORES = 8;
@@ -37,7 +37,7 @@
     long seed = 7;
     Duration now = Duration.ZERO;
     DecidedBatch lastBatch;
-    /** As decided last, or null. */
+    /** The last idle timeout that was decided, or null. */
     Duration idleConnectionTimeout;
 
     private OverloadController controller;
@@ -67,27 +67,27 @@
                 .makesCalls(index == CALLING);
     }
 
-    /** Changes settings; only before the controller is first used. */
+    /** Changes settings; allowed only before the first use of the controller. */
     ControllerFixture with(Consumer<ControllerSettings.Builder> change) {
         change.accept(settings);
         return this;
     }
 
-    /** Sets what lies downstream, like {@link #with}. */
-    ControllerFixture withDownstream(DownstreamKind kind) {
-        downstream = kind;
+    /** Sets the kind of downstream service; allowed only before the first use of the controller. */
+    ControllerFixture withDownstream(DownstreamKind downstreamKind) {
+        downstream = downstreamKind;
         return this;
     }
 
-    /** Sets how runs can be stopped, like {@link #with}. */
-    ControllerFixture withRunStopping(RunStopping stopping) {
-        runStopping = stopping;
+    /** Sets how runs can be stopped; allowed only before the first use of the controller. */
+    ControllerFixture withRunStopping(RunStopping stoppingMode) {
+        runStopping = stoppingMode;
         return this;
     }
 
-    /** Sets what callers are sent, like {@link #with}. */
-    ControllerFixture withSignal(BackpressureSignal sent) {
-        signal = sent;
+    /** Sets the backpressure signal; allowed only before the first use of the controller. */
+    ControllerFixture withSignal(BackpressureSignal backpressureSignal) {
+        signal = backpressureSignal;
         return this;
     }
 
@@ -103,7 +103,7 @@
         return submit(priorityClass, 0, 10, null);
     }
 
-    /** A duplicate of the original, marked as a retry, unless that is null. */
+    /** Submits a request; with an original, the request is a duplicate that is marked as a retry. */
     RequestHandle submit(int priorityClass, double readDelayMs, double memoryKb, RequestHandle original) {
         return submit(RequestAttributes.ofClass(priorityClass)
                 .readDelay(Durations.ofMillis(readDelayMs))
@@ -113,7 +113,7 @@
                 .original(Optional.ofNullable(original)));
     }
 
-    /** A request that is marked as a retry, of an original that is not known. */
+    /** Submits a request that is marked as a retry, without a known original. */
     RequestHandle submitRetry(int priorityClass) {
         return submit(RequestAttributes.ofClass(priorityClass)
                 .memoryKb(10)
@@ -140,7 +140,7 @@
         controller().updateGauges(now, new double[] {busy, runQueue});
     }
 
-    /** Runs two lookups to their end, over and over, so that the controller learns what the server can do. */
+    /** Completes two lookups per round, so that the controller learns the capacity and the run time. */
     ControllerFixture warmUp(int rounds, double runMs) {
         for (int i = 0; i < rounds; i++) {
             List<RequestHandle> started = List.of(submit(LOOKUP), submit(LOOKUP));
@@ -153,7 +153,7 @@
         return this;
     }
 
-    /** Runs an order on every core; returns their handles. */
+    /** Starts an order on every core; returns the handles of the orders. */
     List<RequestHandle> occupyAllCores() {
         List<RequestHandle> running = new ArrayList<>();
         for (int i = 0; i < CORES; i++) {
--- a/src/test/java/merlinlever/controller/DecidedBatch.java
+++ b/src/test/java/merlinlever/controller/DecidedBatch.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** One batch of decisions, by kind. */
+/** One batch of decisions, accessible by kind. */
 record DecidedBatch(Decisions decisions) {
 
     OptionalDouble backpressure() {
--- a/src/test/java/merlinlever/controller/DecisionsTest.java
+++ b/src/test/java/merlinlever/controller/DecisionsTest.java
@@ -10,13 +10,13 @@
 
 class DecisionsTest {
 
-    /** A kind that the builder did not know would be dropped without a word. */
+    /** The builder would silently drop decisions of a kind that is missing in its list. */
     @Test
-    void decisionsOfEveryKindComeOutInTheOrderInWhichTheKindsAreDeclared() throws ReflectiveOperationException {
+    void decisionsAreOrderedByTheDeclarationOfTheirKinds() throws ReflectiveOperationException {
         List<Class<?>> declared = List.of(Decision.class.getPermittedSubclasses());
         Decisions.Builder builder = new Decisions.Builder();
         for (int i = declared.size() - 1; i >= 0; i--) {
-            builder.add(anyOf(declared.get(i)));
+            builder.add(decisionOf(declared.get(i)));
         }
         List<? extends Class<?>> decided = builder.build(Duration.ZERO).inExecutionOrder().stream()
                 .map(Decision::getClass)
@@ -24,7 +24,7 @@
         assertEquals(declared, decided);
     }
 
-    private static Decision anyOf(Class<?> kind) throws ReflectiveOperationException {
+    private static Decision decisionOf(Class<?> kind) throws ReflectiveOperationException {
         Class<?>[] types = Arrays.stream(kind.getRecordComponents())
                 .map(RecordComponent::getType)
                 .toArray(Class<?>[]::new);
--- a/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
+++ b/src/test/java/merlinlever/controller/FleetDownstreamCallsTest.java
@@ -15,34 +15,32 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A model of a whole fleet of controllers round one downstream service that they share, whose calls take longer the
- * more of them it holds, and which holds a call for a while that was given up. The fleet's calls in progress, averaged
- * over any period of {@code calls-over}, stay within the sum N of the shares and the random excess 2 x sqrt(N) + 2,
- * however many processes make up the fleet, and also where all start cold at one instant and receive the same.
+ * Simulates a fleet of controllers that share a downstream service. The fleet's concurrent calls, averaged over any
+ * period of {@code calls-over}, must not exceed the sum N of the shares plus the random excess 2 x sqrt(N) + 2.
  */
 class FleetDownstreamCallsTest {
 
     private static final int STEP_MS = 10;
     private static final int PERIOD_MS = 5000;
     private static final int LINGER_MS = 200;
-    private static final int LENGTH_MS = 11_000;
-    /** Of a run that waits for its call. */
-    private static final int NEVER = Integer.MAX_VALUE;
+    private static final int DURATION_MS = 11_000;
+    /** Time of the next event of a run that waits for its call. */
+    private static final int NO_EVENT = Integer.MAX_VALUE;
 
-    /** One run of a process of the fleet: 10 ms to its call, the call, and 10 ms after it. */
+    /** Run of a process of the fleet: 10 ms of work, a downstream call, and another 10 ms of work. */
     private static final class SimulatedRun {
         final SimulatedProcess process;
         final RequestHandle handle;
-        /** When it comes to its call or, with the call behind it, ends. */
+        /** Time at which the run needs its call or, after the call, ends. */
         int nextEventMs;
 
         boolean called;
-        /** What is left of the work of its call. */
+        /** Remaining work of the call. */
         double callWorkMs;
 
         int calledAtMs;
         int timesOutAtMs;
-        /** Until when its call stays after it was given up. */
+        /** Time until which the service holds the call after its timeout. */
         int lingersUntilMs;
 
         boolean inCall;
@@ -66,34 +64,34 @@
     }
 
     /**
-     * One fleet.
+     * Parameters of one simulated fleet.
      *
-     * @param announced the size of the fleet that its processes are told, or 0 for none
-     * @param aligned whether all start at once and receive the same
+     * @param configuredSize the configured size of the fleet, or 0 without one
+     * @param aligned whether all processes start at the same time and receive the same requests
      */
-    private record Fleet(int processes, int announced, double totalShare, double callMs, boolean aligned) {}
+    private record Fleet(int processes, int configuredSize, double totalShare, double callMs, boolean aligned) {}
 
-    private final List<SimulatedRun> callsHeld = new ArrayList<>();
+    private final List<SimulatedRun> heldCalls = new ArrayList<>();
     private int succeeded;
 
-    /** The highest mean of the fleet's calls in progress over any period. */
+    /** Returns the highest mean of the fleet's concurrent calls over any period. */
     private double highestMean(Fleet fleet) {
-        callsHeld.clear();
+        heldCalls.clear();
         succeeded = 0;
         List<SimulatedProcess> processes = start(fleet);
         double slots = Math.max(1, fleet.totalShare / 5);
         Deque<Integer> period = new ArrayDeque<>();
         double sum = 0;
         double highest = 0;
-        for (int nowMs = 0; nowMs < LENGTH_MS; nowMs += STEP_MS) {
+        for (int nowMs = 0; nowMs < DURATION_MS; nowMs += STEP_MS) {
             advanceService(nowMs, slots);
             for (SimulatedProcess process : processes) {
                 if (nowMs >= process.startsAtMs) {
                     advance(process, nowMs, fleet.callMs);
                 }
             }
-            period.add(callsHeld.size());
-            sum += callsHeld.size();
+            period.add(heldCalls.size());
+            sum += heldCalls.size();
             if (period.size() > PERIOD_MS / STEP_MS) {
                 sum -= period.poll();
             }
@@ -115,8 +113,8 @@
                             .cold(true)
                             .coldSpeed(0.25)
                             .warmUpTime(Duration.ofSeconds(10)));
-            if (fleet.announced > 0) {
-                process.server.with(settings -> settings.fleetSize(fleet.announced));
+            if (fleet.configuredSize > 0) {
+                process.server.with(settings -> settings.fleetSize(fleet.configuredSize));
             }
             process.server.seed = random.nextLong();
             process.startsAtMs = fleet.aligned ? 0 : random.nextInt(PERIOD_MS / STEP_MS) * STEP_MS;
@@ -126,10 +124,10 @@
         return processes;
     }
 
-    /** The service works on all calls that it holds at once; one that was given up it drops after a while. */
+    /** Advances all calls of the service by one step, and drops calls some time after their timeout. */
     private void advanceService(int nowMs, double slots) {
-        double workedMs = STEP_MS * Math.min(1, slots / Math.max(1, callsHeld.size()));
-        for (SimulatedRun run : List.copyOf(callsHeld)) {
+        double workedMs = STEP_MS * Math.min(1, slots / Math.max(1, heldCalls.size()));
+        for (SimulatedRun run : List.copyOf(heldCalls)) {
             run.callWorkMs -= workedMs;
             boolean done = run.callWorkMs <= 0;
             if (run.inCall && (done || nowMs >= run.timesOutAtMs)) {
@@ -140,11 +138,11 @@
                         run.process.server.now,
                         done ? Outcome.OK : Outcome.TIMED_OUT,
                         Duration.ofMillis(nowMs - run.calledAtMs));
-                run.nextEventMs = done ? nowMs + STEP_MS : NEVER;
+                run.nextEventMs = done ? nowMs + STEP_MS : NO_EVENT;
                 run.lingersUntilMs = nowMs + LINGER_MS;
             }
             if (done || (!run.inCall && nowMs >= run.lingersUntilMs)) {
-                callsHeld.remove(run);
+                heldCalls.remove(run);
             }
         }
     }
@@ -154,7 +152,7 @@
         server.now = Duration.ofMillis(nowMs - process.startsAtMs);
         for (SimulatedRun run : List.copyOf(process.runs)) {
             if (nowMs >= run.nextEventMs) {
-                run.nextEventMs = NEVER;
+                run.nextEventMs = NO_EVENT;
                 if (run.called) {
                     run.handle.runEnded(server.now, Outcome.OK);
                     process.runs.remove(run);
@@ -169,18 +167,18 @@
         }
         DecidedBatch batch = server.decide();
         long onCores =
-                process.runs.stream().filter(run -> run.nextEventMs != NEVER).count();
+                process.runs.stream().filter(run -> run.nextEventMs != NO_EVENT).count();
         server.updateGauges(0, (double) onCores);
         carryOut(process, batch, nowMs, callMs);
         double speed = Math.min(1, 0.25 + 0.75 * (nowMs - process.startsAtMs) / 10_000);
         int running = server.controller().metrics().requests().onCores();
-        assertTrue(running <= 8 * (1 + 3 * speed), "more on cold cores than they survive");
+        assertTrue(running <= 8 * (1 + 3 * speed), "more runs than the cold cores sustain");
     }
 
     private void carryOut(SimulatedProcess process, DecidedBatch batch, int nowMs, double callMs) {
         for (RequestHandle failed : batch.failed()) {
-            process.runOf(failed).filter(run -> run.nextEventMs == NEVER).ifPresent(run -> {
-                // It waits for its call, and has ended: the call is given up.
+            process.runOf(failed).filter(run -> run.nextEventMs == NO_EVENT).ifPresent(run -> {
+                // The failed request still waits for its call: the call is abandoned.
                 run.lingersUntilMs = nowMs + LINGER_MS;
                 run.inCall = false;
                 run.handle.runEnded(process.server.now, Outcome.STOPPED);
@@ -200,26 +198,31 @@
             run.calledAtMs = nowMs;
             run.timesOutAtMs = nowMs + (int) Math.ceil(Durations.toMillis(call.timeout()));
             run.inCall = true;
-            callsHeld.add(run);
+            heldCalls.add(run);
         }
     }
 
-    /** The fleets of this list that exceed what they may, with their figures. */
-    private List<String> exceeding(List<Fleet> fleets) {
-        List<String> exceeding = new ArrayList<>();
+    /** Simulates the fleets; describes those that exceed their limit. */
+    private List<String> fleetsOverLimit(List<Fleet> fleets) {
+        List<String> fleetsOverLimit = new ArrayList<>();
         for (Fleet fleet : fleets) {
             double highest = highestMean(fleet);
-            double permitted = fleet.totalShare + 2 * Math.sqrt(fleet.totalShare) + 2;
-            if (highest > permitted) {
-                exceeding.add(String.format(
-                        Locale.ROOT, "%s: %.2f of %.2f, %d succeeded", fleet, highest, permitted, succeeded));
+            double limit = fleet.totalShare + 2 * Math.sqrt(fleet.totalShare) + 2;
+            if (highest > limit) {
+                fleetsOverLimit.add(String.format(
+                        Locale.ROOT,
+                        "%s: mean %.2f, limit %.2f, %d calls succeeded",
+                        fleet,
+                        highest,
+                        limit,
+                        succeeded));
             }
         }
-        return exceeding;
+        return fleetsOverLimit;
     }
 
     @Test
-    void fleetStaysWithinItsSharesAndTheRandomExcess() {
+    void fleetStaysWithinItsSharesPlusTheRandomExcess() {
         List<Fleet> fleets = new ArrayList<>();
         for (int processes : new int[] {1, 2, 20, 30}) {
             for (double totalShare : new double[] {0.06 * processes, 6, 24}) {
@@ -230,24 +233,24 @@
                 }
             }
         }
-        List<String> exceeding = exceeding(fleets);
-        assertTrue(exceeding.isEmpty(), String.join("\n", exceeding));
+        List<String> fleetsOverLimit = fleetsOverLimit(fleets);
+        assertTrue(fleetsOverLimit.isEmpty(), String.join("\n", fleetsOverLimit));
     }
 
-    /** Where the fleet is not counted, or fewer are listed at a start than there are in the end. */
+    /** The configured size is missing, or smaller than the actual size of the fleet. */
     @Test
-    void fleetOfUnknownSizeStaysWithinThemToo() {
+    void fleetOfUnknownSizeStaysWithinItsSharesPlusTheRandomExcess() {
         List<Fleet> fleets = new ArrayList<>();
-        for (int announced : new int[] {0, 1}) {
+        for (int configuredSize : new int[] {0, 1}) {
             for (int processes : new int[] {20, 30}) {
                 for (double callMs : new double[] {20, 3000}) {
                     for (boolean aligned : new boolean[] {true, false}) {
-                        fleets.add(new Fleet(processes, announced, 0.06 * processes, callMs, aligned));
+                        fleets.add(new Fleet(processes, configuredSize, 0.06 * processes, callMs, aligned));
                     }
                 }
             }
         }
-        List<String> exceeding = exceeding(fleets);
-        assertTrue(exceeding.isEmpty(), String.join("\n", exceeding));
+        List<String> fleetsOverLimit = fleetsOverLimit(fleets);
+        assertTrue(fleetsOverLimit.isEmpty(), String.join("\n", fleetsOverLimit));
     }
 }
--- a/src/test/java/merlinlever/controller/SafetyRulesModelTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesModelTest.java
@@ -13,15 +13,14 @@
 import net.jqwik.api.Property;
 
 /**
- * A slow, plain model of the four safety rules beside the controller: it plays a server that starts, ends, stops and
- * calls, with duplicates, callers that go, a drain, cold starts, failed calls and little memory, and checks what the
- * controller may do.
+ * Checks the four safety rules of the controller on random workloads with duplicates, disconnecting callers, failed
+ * calls, stalls, a drain, cold starts and little memory. The model tracks the expected state of every request.
  */
 class SafetyRulesModelTest {
 
-    private static final Duration SLACK = Duration.ofMillis(60);
+    private static final Duration ANSWER_TOLERANCE = Duration.ofMillis(60);
 
-    /** What the model knows of one request. */
+    /** The model's state of one request. */
     private static final class ModelRequest {
         int priorityClass;
         Duration arrivedAt;
@@ -35,14 +34,14 @@
         boolean everStarted;
         boolean answered;
         boolean callerGone;
-        boolean callMayHaveRun;
-        boolean over;
-        /** Null: not retained. */
+        boolean callMayHaveTakenEffect;
+        boolean ended;
+        /** Null unless retained. */
         Duration retainedUntil;
     }
 
     private final IdentityHashMap<RequestHandle, ModelRequest> requests = new IdentityHashMap<>();
-    private final List<RequestHandle> inOrder = new ArrayList<>();
+    private final List<RequestHandle> handles = new ArrayList<>();
     private SplittableRandom random;
     private ControllerFixture server;
     /** Null before the drain. */
@@ -51,10 +50,10 @@
     private Duration stopAt;
 
     @Property(tries = 60, seed = "20261201")
-    void theControllerKeepsTheSafetyRules(@ForAll long seed) {
+    void controllerKeepsTheSafetyRules(@ForAll long seed) {
         random = new SplittableRandom(seed);
         requests.clear();
-        inOrder.clear();
+        handles.clear();
         drainStartedAt = null;
         double memoryKb = random.nextBoolean() ? 1500 : 20000;
         boolean cold = random.nextBoolean();
@@ -82,8 +81,10 @@
             checkLoad(memoryKb, cold);
         }
         for (ModelRequest request : requests.values()) {
-            boolean owed = isStopped() || server.now.compareTo(request.deadline) > 0;
-            assertTrue(!owed || request.answered || request.callerGone, "rules 1 and 3: answered in the end");
+            boolean answerDue = isStopped() || server.now.compareTo(request.deadline) > 0;
+            assertTrue(
+                    !answerDue || request.answered || request.callerGone,
+                    "rules 1 and 3: every request is answered before its deadline and the stop");
         }
     }
 
@@ -100,13 +101,14 @@
         request.memoryKb = 5 + random.nextDouble(30);
         RequestHandle original = null;
         if (request.priorityClass == ControllerFixture.CHARGE || request.priorityClass == ControllerFixture.CALLING) {
-            for (RequestHandle handle : inOrder) {
+            for (RequestHandle handle : handles) {
                 ModelRequest earlier = requests.get(handle);
-                boolean found = earlier.retainedUntil != null
+                boolean canBeFound = earlier.retainedUntil != null
                         && earlier.retainedUntil.compareTo(request.arrivedAt) > 0
-                        && (earlier.everStarted || !earlier.over);
-                boolean candidate = found && earlier.priorityClass == request.priorityClass && earlier.original == null;
-                if (candidate && random.nextInt(6) == 0) {
+                        && (earlier.everStarted || !earlier.ended);
+                boolean canBeOriginal =
+                        canBeFound && earlier.priorityClass == request.priorityClass && earlier.original == null;
+                if (canBeOriginal && random.nextInt(6) == 0) {
                     original = handle;
                 }
             }
@@ -114,14 +116,14 @@
         RequestHandle submitted = server.submit(request.priorityClass, readDelayMs, request.memoryKb, original);
         request.original = original == null ? null : requests.get(original);
         requests.put(submitted, request);
-        inOrder.add(submitted);
+        handles.add(submitted);
     }
 
     private void advance() {
-        inOrder.removeIf(handle -> isForgotten(requests.get(handle)));
-        for (RequestHandle handle : new ArrayList<>(inOrder)) {
+        handles.removeIf(handle -> canBeForgotten(requests.get(handle)));
+        for (RequestHandle handle : new ArrayList<>(handles)) {
             ModelRequest request = requests.get(handle);
-            if (request.over) {
+            if (request.ended) {
                 continue;
             }
             if (request.running && !request.awaitingCall && random.nextInt(20) == 0) {
@@ -129,43 +131,43 @@
                     request.awaitingCall = true;
                     handle.callNeeded(server.now);
                 } else {
-                    end(handle, request, random.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK);
+                    endRun(handle, request, random.nextInt(9) == 0 ? Outcome.ERROR : Outcome.OK);
                 }
             } else if (request.inCall && random.nextInt(10) == 0) {
                 endCall(handle, request);
-            } else if (request.sharingOutcome && request.original.over) {
-                end(handle, request, Outcome.OK);
+            } else if (request.sharingOutcome && request.original.ended) {
+                endRun(handle, request, Outcome.OK);
             } else if (!request.answered && random.nextInt(300) == 0) {
-                callerGoes(handle, request);
+                disconnectCaller(handle, request);
             }
         }
     }
 
-    private boolean isForgotten(ModelRequest request) {
-        return request.over && (request.retainedUntil == null || request.retainedUntil.compareTo(server.now) < 0);
+    private boolean canBeForgotten(ModelRequest request) {
+        return request.ended && (request.retainedUntil == null || request.retainedUntil.compareTo(server.now) < 0);
     }
 
     private void endCall(RequestHandle handle, ModelRequest request) {
         Outcome[] outcomes = {Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.UNREACHABLE};
         Outcome outcome = outcomes[random.nextInt(outcomes.length)];
-        request.callMayHaveRun |= outcome != Outcome.OK && !outcome.provesNoEffect();
+        request.callMayHaveTakenEffect |= outcome != Outcome.OK && !outcome.provesNoEffect();
         request.awaitingCall = outcome != Outcome.OK;
         request.inCall = false;
         handle.callEnded(server.now, outcome, Duration.ofMillis(50));
     }
 
-    private void callerGoes(RequestHandle handle, ModelRequest request) {
+    private void disconnectCaller(RequestHandle handle, ModelRequest request) {
         request.callerGone = true;
         handle.callerGone(server.now);
         if (!request.running) {
-            request.over = true;
+            request.ended = true;
         } else if (request.awaitingCall) {
-            end(handle, request, Outcome.STOPPED);
+            endRun(handle, request, Outcome.STOPPED);
         }
     }
 
-    private void end(RequestHandle handle, ModelRequest request, Outcome outcome) {
-        request.over = true;
+    private void endRun(RequestHandle handle, ModelRequest request, Outcome outcome) {
+        request.ended = true;
         request.running = false;
         request.inCall = false;
         request.answered = true;
@@ -177,7 +179,7 @@
         batch.failed().forEach(this::answer);
         batch.stopped().forEach(this::stop);
         for (Decision.Reject rejection : batch.rejected()) {
-            assertTrue(!requests.get(rejection.request()).everStarted, "rule 2: what ran is not rejected");
+            assertTrue(!requests.get(rejection.request()).everStarted, "rule 2: a started request is not rejected");
             answer(rejection.request());
         }
         batch.evicted().forEach(handle -> requests.get(handle).retainedUntil = null);
@@ -189,9 +191,9 @@
         }
         for (Decision.CallDownstream call : batch.calls()) {
             ModelRequest request = requests.get(call.request());
-            boolean waits = request.awaitingCall && !request.inCall && !request.answered;
-            assertTrue(waits, "only what waits for a call makes one");
-            assertTrue(!request.callMayHaveRun, "rule 2: no retry of a call that may have run");
+            boolean isWaiting = request.awaitingCall && !request.inCall && !request.answered;
+            assertTrue(isWaiting, "only a run that waits for a call makes a call");
+            assertTrue(!request.callMayHaveTakenEffect, "rule 2: no retry of a call that may have run");
             request.inCall = true;
         }
     }
@@ -209,40 +211,46 @@
     private void stop(RequestHandle handle) {
         ModelRequest request = requests.get(handle);
         if (request.running) {
-            assertTrue(request.answered || request.callerGone, "nothing unanswered is stopped here");
-            end(handle, request, Outcome.STOPPED);
+            assertTrue(request.answered || request.callerGone, "only answered requests are stopped");
+            endRun(handle, request, Outcome.STOPPED);
         }
     }
 
     private void start(RequestHandle handle) {
         ModelRequest request = requests.get(handle);
-        boolean waits = !request.answered && !request.callerGone && !request.running;
+        boolean isWaiting = !request.answered && !request.callerGone && !request.running;
         boolean idempotent = request.priorityClass == ControllerFixture.LOOKUP;
         boolean retained = request.retainedUntil != null;
         boolean inGrace = drainStartedAt == null || request.arrivedAt.compareTo(drainStartedAt.plusMillis(2000)) <= 0;
-        assertTrue(waits, "only what is queued and owed is started");
-        assertTrue(!request.everStarted || idempotent, "rule 2: nothing with an effect runs twice");
-        assertTrue(request.priorityClass != ControllerFixture.CHARGE || retained, "rule 2: retained before it runs");
-        assertTrue(request.original == null || !request.original.everStarted, "rule 2: no duplicate of what ran runs");
-        assertTrue(inGrace, "rule 3: grace");
+        assertTrue(isWaiting, "only queued and unanswered requests are started");
+        assertTrue(!request.everStarted || idempotent, "rule 2: no non-idempotent request runs twice");
+        assertTrue(
+                request.priorityClass != ControllerFixture.CHARGE || retained,
+                "rule 2: a request with a key is retained before its run");
+        assertTrue(
+                request.original == null || !request.original.everStarted,
+                "rule 2: no duplicate of a started request runs");
+        assertTrue(inGrace, "rule 3: no request runs that arrived after the grace period");
         request.running = true;
         request.everStarted = true;
     }
 
     private void answer(RequestHandle handle) {
         ModelRequest request = requests.get(handle);
-        assertTrue(!request.answered, "rule 1: one answer");
-        assertTrue(server.now.compareTo(request.deadline.plus(SLACK)) <= 0, "rule 1: in time");
+        assertTrue(!request.answered, "rule 1: exactly one answer");
+        assertTrue(
+                server.now.compareTo(request.deadline.plus(ANSWER_TOLERANCE)) <= 0,
+                "rule 1: answered before the deadline");
         request.answered = true;
         if (!request.running) {
-            request.over = true;
+            request.ended = true;
         } else if (request.awaitingCall) {
-            end(handle, request, Outcome.STOPPED);
+            endRun(handle, request, Outcome.STOPPED);
         }
     }
 
     private int onCores() {
-        return (int) inOrder.stream()
+        return (int) handles.stream()
                 .map(requests::get)
                 .filter(request -> request.running && !request.awaitingCall)
                 .count();
@@ -250,14 +258,14 @@
 
     private void checkLoad(double memoryKb, boolean cold) {
         double usedKb = 0;
-        for (RequestHandle handle : inOrder) {
+        for (RequestHandle handle : handles) {
             ModelRequest request = requests.get(handle);
-            usedKb += request.over ? 0 : request.running ? request.memoryKb * 4 : request.memoryKb;
+            usedKb += request.ended ? 0 : request.running ? request.memoryKb * 4 : request.memoryKb;
             boolean retained = request.retainedUntil != null && request.retainedUntil.compareTo(server.now) > 0;
             usedKb += retained ? 100 : 0;
         }
-        assertTrue(usedKb <= memoryKb, "rule 4: memory " + usedKb);
+        assertTrue(usedKb <= memoryKb, "rule 4: memory in KB " + usedKb);
         double speed = cold ? Math.min(1, 0.25 + 0.75 * Durations.toMillis(server.now) / 8000) : 1;
-        assertTrue(onCores() <= 8 * (1 + 3 * speed), "rule 4: on the cores " + onCores());
+        assertTrue(onCores() <= 8 * (1 + 3 * speed), "rule 4: runs on the cores " + onCores());
     }
 }
--- a/src/test/java/merlinlever/controller/SafetyRulesTest.java
+++ b/src/test/java/merlinlever/controller/SafetyRulesTest.java
@@ -13,7 +13,7 @@
 import merlinlever.policy.RejectionReason;
 import org.junit.jupiter.api.Test;
 
-/** The safety rules, and what the controller does about stalls, failing calls, restarts and late requests. */
+/** Tests the safety rules, and the handling of stalls, failed calls, restarts and late requests. */
 class SafetyRulesTest {
 
     private ControllerFixture fixture = new ControllerFixture();
@@ -27,11 +27,12 @@
         assertEquals(List.of(charge), due.failed());
         assertEquals(List.of(charge), due.stopped());
         charge.runEnded(fixture.now, Outcome.STOPPED);
-        assertTrue(fixture.decideAfter(10).started().isEmpty(), "what may have had an effect is not run again");
+        assertTrue(
+                fixture.decideAfter(10).started().isEmpty(), "a request that may have taken effect is not run again");
     }
 
     @Test
-    void rejectsWhatWaitsTooLongInTheQueue() {
+    void rejectsARequestThatWaitsTooLongInTheQueue() {
         fixture.occupyAllCores();
         RequestHandle waiting = fixture.submit(ControllerFixture.LOOKUP);
         assertTrue(fixture.decide().started().isEmpty());
@@ -42,7 +43,7 @@
     }
 
     @Test
-    void duplicateOfARequestThatIsIdempotentByKeySharesItsOutcome() {
+    void duplicateOfARequestWithAKeySharesTheOutcome() {
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(first, fixture.decide().retained().get(0).request());
         RequestHandle second = fixture.submit(ControllerFixture.CHARGE, 0, 10, first);
@@ -74,7 +75,7 @@
         assertEquals(List.of(lookup), fixture.decide().started());
     }
 
-    /** A handle that this controller did not issue. */
+    /** Returns a handle that the controller under test did not issue. */
     private static RequestHandle foreign(RequestHandle handle) {
         return new RequestHandle() {
             @Override
@@ -100,13 +101,16 @@
     }
 
     @Test
-    void duplicateTakesThePlaceOfAQueuedOriginalWhoseCallerIsGone() {
+    void duplicateReplacesAQueuedOriginalWhoseCallerIsGone() {
         fixture.occupyAllCores();
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         RequestHandle second = fixture.submit(ControllerFixture.CHARGE, 0, 10, first);
         assertTrue(fixture.decide().sharingOutcome().isEmpty());
         first.callerGone(fixture.now);
-        assertEquals(second, fixture.decide().retained().get(0).request(), "it is retained in its stead");
+        assertEquals(
+                second,
+                fixture.decide().retained().get(0).request(),
+                "the duplicate is retained in place of the original");
         fixture.updateGauges(0, 0);
         assertEquals(List.of(second), fixture.decide().started());
     }
@@ -119,28 +123,30 @@
             charge.runEnded(fixture.now, Outcome.STOPPED);
         }
         RequestHandle charge = submitAndEndCall(Outcome.UNREACHABLE, ControllerFixture.CALLING);
-        assertEquals(charge, fixture.decideAfter(200).calls().get(0).request(), "it never reached the service");
+        assertEquals(charge, fixture.decideAfter(200).calls().get(0).request(), "the call never reached the service");
         charge.callEnded(fixture.now, Outcome.UNREACHABLE, Duration.ZERO);
-        assertEquals(List.of(charge), fixture.decide().failed(), "retried once, not for ever");
+        assertEquals(List.of(charge), fixture.decide().failed(), "retried only once");
     }
 
-    /** A corrupt reply or a lost connection costs an idempotent request some time, not its outcome. */
+    /** An idempotent request must not fail because of a single corrupt reply or lost connection. */
     @Test
     void retriesACallOfAnIdempotentRequestAfterALostConnectionOnce() {
         RequestHandle lookup = submitAndEndCall(Outcome.CONNECTION_LOST, ControllerFixture.LOOKUP);
-        assertEquals(lookup, fixture.decideAfter(200).calls().get(0).request(), "a second call is harmless");
+        assertEquals(lookup, fixture.decideAfter(200).calls().get(0).request(), "a second call has no side effect");
         lookup.callEnded(fixture.now, Outcome.CONNECTION_LOST, Duration.ZERO);
-        assertEquals(List.of(lookup), fixture.decide().failed(), "retried once, not for ever");
+        assertEquals(List.of(lookup), fixture.decide().failed(), "retried only once");
         lookup.runEnded(fixture.now, Outcome.STOPPED);
         for (Outcome outcome : List.of(Outcome.ERROR, Outcome.TIMED_OUT, Outcome.REJECTED)) {
             RequestHandle other = submitAndEndCall(outcome, ControllerFixture.LOOKUP);
             assertEquals(
-                    List.of(other), fixture.decideAfter(200).failed(), outcome + " may come of an overloaded service");
+                    List.of(other),
+                    fixture.decideAfter(200).failed(),
+                    outcome + " may be caused by an overloaded service");
             other.runEnded(fixture.now, Outcome.STOPPED);
         }
     }
 
-    /** Submits a request, lets it make its call, and ends that. */
+    /** Submits a request whose downstream call ends with the outcome. */
     private RequestHandle submitAndEndCall(Outcome outcome, int priorityClass) {
         RequestHandle handle = fixture.submit(priorityClass);
         fixture.decide();
@@ -151,7 +157,7 @@
     }
 
     @Test
-    void startsNothingNewAfterTheDrainGraceAndAnswersAllBeforeTheStop() {
+    void startsNoArrivalAfterTheDrainGraceAndAnswersAllRequestsBeforeTheStop() {
         RequestHandle running = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(List.of(running), fixture.decide().started());
         fixture.controller().startDrain(fixture.now, Durations.ofMillis(2600));
@@ -167,7 +173,7 @@
     }
 
     @Test
-    void duplicateAfterTheDrainGraceTakesNoOnesPlace() {
+    void duplicateAfterTheDrainGraceDoesNotReplaceItsOriginal() {
         fixture.occupyAllCores();
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         fixture.controller().startDrain(fixture.now, Durations.ofMillis(4000));
@@ -181,17 +187,17 @@
     }
 
     @Test
-    void rejectsWhatItHasNoMemoryToRetain() {
+    void rejectsARequestWithoutMemoryToRetainIt() {
         fixture.with(settings -> settings.memoryKb(1000).memoryPerKeyKb(500));
         RequestHandle first = fixture.submit(ControllerFixture.CHARGE);
         assertEquals(List.of(first), fixture.decide().started());
         RequestHandle second = fixture.submit(ControllerFixture.CHARGE);
         fixture.decide();
-        assertTrue(fixture.wasRejected(second), "no memory to retain a second one");
+        assertTrue(fixture.wasRejected(second), "no memory to retain a second request");
     }
 
     @Test
-    void startsARunOnlyWithMemoryForIt() {
+    void startsARunOnlyIfItsMemoryIsAvailable() {
         fixture.with(settings -> settings.memoryKb(1200));
         RequestHandle first = fixture.submit(ControllerFixture.ORDER, 0, 200, null);
         fixture.submit(ControllerFixture.ORDER, 0, 200, null);
@@ -199,7 +205,7 @@
     }
 
     @Test
-    void startsNoMoreThanTheServerSurvivesWhileAllWaitForCalls() {
+    void limitsStartedRequestsWhileAllRunsWaitForCalls() {
         fixture.with(settings -> settings.cold(true).coldSpeed(0.2).warmUpTime(Duration.ofSeconds(18)));
         int started = 0;
         for (int i = 0; i < 40; i++) {
@@ -209,11 +215,11 @@
             fixture.decide();
             fixture.updateGauges(0, 0);
         }
-        assertEquals(10, started, "8 cores x (1 + 3 x 0.2) x 0.75, rounded up: cold");
+        assertEquals(10, started, "cold server: 8 cores x (1 + 3 x 0.2) x 0.75, rounded up");
     }
 
     @Test
-    void reportsAStallAndRejectsAllThatWaits() {
+    void reportsAStallAndRejectsWaitingRequests() {
         fixture.occupyAllCores();
         fixture.decideAfter(900);
         RequestHandle waiting = fixture.submit(ControllerFixture.CHARGE);
@@ -229,7 +235,7 @@
     }
 
     @Test
-    void readsShareAFreshOutcomeAndAFailedOneIsNotShared() {
+    void readsShareARecentOutcomeButNotAFailedOne() {
         fixture.with(settings -> settings.maxOutcomeAge(Duration.ofSeconds(1)));
         RequestHandle first = fixture.submit(ControllerFixture.LOOKUP);
         fixture.decide();
@@ -242,9 +248,9 @@
         assertTrue(batch.sharingOutcome().contains(third) || batch.started().contains(third));
     }
 
-    /** On slow cores waiting requests are rejected early; elsewhere they may be served, if the cost hint leaves time. */
+    /** A slow server rejects waiting requests early; another server may serve them if the cost hint leaves time. */
     @Test
-    void whatIsTooLateForASlowServerMayBeRetriedElsewhere() {
+    void requestTooLateForASlowServerMayBeRetriedElsewhere() {
         for (int hintMs : new int[] {0, 100, 900}) {
             fixture = new ControllerFixture().warmUp(10, 800);
             fixture.occupyAllCores();
@@ -257,32 +263,35 @@
                 fixture.decideAfter(10);
             }
             assertEquals(hintMs != 100, fixture.lastBatch.rejected().get(0).isFinal(), "hint " + hintMs);
-            // One waits where ten complete within the objective of a second: so long its caller waits, not the maximum.
+            // One request is queued and ten complete within the objective of 1 s: Retry-After is about 100 ms.
             double retryAfterMs =
                     Durations.toMillis(fixture.lastBatch.rejected().get(0).retryAfter());
             assertTrue(retryAfterMs > 50 && retryAfterMs < 500, "retry after " + retryAfterMs + " ms");
         }
     }
 
-    /** A downstream server that dies takes all its calls with it: one sign of an overloaded service, not one each. */
+    /** The crash of a downstream server ends all its calls, which must count as a single sign of overload. */
     @Test
     void callsThatFailTogetherDecreaseTheConcurrencyLimitOnce() {
-        for (boolean together : new boolean[] {true, false}) {
+        for (boolean simultaneous : new boolean[] {true, false}) {
             fixture = new ControllerFixture().with(settings -> settings.overloadFactor(20));
             fixture.decideAfter(1000);
             List<RequestHandle> calling = startCalls(10);
             for (RequestHandle handle : calling) {
-                fixture.decideAfter(together ? 0 : 100);
-                handle.callEnded(fixture.now, Outcome.REJECTED, Durations.ofMillis(together ? 50 : 0));
+                fixture.decideAfter(simultaneous ? 0 : 100);
+                handle.callEnded(fixture.now, Outcome.REJECTED, Durations.ofMillis(simultaneous ? 50 : 0));
             }
             fixture.decide();
             calling.forEach(handle -> handle.runEnded(fixture.now, Outcome.STOPPED));
-            // 32 at first; four fifths of that, or four fifths ten times over.
-            assertEquals(together ? 25 : 3, startCalls(40).size(), together ? "decreased once" : "decreased each time");
+            // The initial limit of 32 is multiplied by 0.8 once, or ten times.
+            assertEquals(
+                    simultaneous ? 25 : 3,
+                    startCalls(40).size(),
+                    simultaneous ? "decreased once" : "decreased each time");
         }
     }
 
-    /** Submits so many requests; returns those that could make their calls. */
+    /** Submits the given number of requests; returns those that could make their calls. */
     private List<RequestHandle> startCalls(int count) {
         List<RequestHandle> calling = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -299,7 +308,7 @@
     }
 
     @Test
-    void afterARestartRejectsWhatIsNotIdempotentUntilItIsPermitted() {
+    void rejectsNonIdempotentRequestsAfterARestartUntilPermitted() {
         fixture.controller().permitNonIdempotentStarts(Duration.ofMillis(700), Duration.ofHours(1));
         RequestHandle charge = fixture.submit(ControllerFixture.CHARGE);
         RequestHandle order = fixture.submit(ControllerFixture.ORDER);
@@ -307,12 +316,13 @@
         DecidedBatch batch = fixture.decide();
         assertTrue(fixture.wasRejected(charge) && fixture.wasRejected(order));
         assertEquals(List.of(lookup), batch.started());
-        assertEquals(Duration.ofMillis(700), batch.rejected().get(0).retryAfter(), "when it is permitted");
+        assertEquals(
+                Duration.ofMillis(700), batch.rejected().get(0).retryAfter(), "the time until starts are permitted");
         Map<RejectionReason, Long> rejected =
                 fixture.controller().metrics().requests().rejected();
         assertEquals(2, rejected.get(RejectionReason.IDEMPOTENCY_UNKNOWN));
         fixture.decideAfter(700);
-        // It arrived before that moment, though it is read only now: the earlier incarnation may have run it.
+        // A request that arrived before the permitted time, but is read later, may have run before the restart.
         RequestHandle late = fixture.submit(ControllerFixture.CHARGE, 50, 10, null);
         assertFalse(fixture.decide().started().contains(late));
         assertTrue(fixture.wasRejected(late));
@@ -321,7 +331,7 @@
     }
 
     @Test
-    void startsNothingThatIsNotIdempotentBeyondWhatTheNextIncarnationWouldKnow() {
+    void startsNoNonIdempotentRequestAfterThePermittedTime() {
         List<RequestHandle> running = fixture.occupyAllCores();
         RequestHandle charge = fixture.submit(ControllerFixture.CHARGE);
         assertTrue(fixture.decide().started().isEmpty());
@@ -332,20 +342,21 @@
         RequestHandle lookup = fixture.submit(ControllerFixture.LOOKUP);
         RequestHandle next = fixture.submit(ControllerFixture.CHARGE);
         List<RequestHandle> started = fixture.decide().started();
-        assertEquals(List.of(lookup), started, "the time has passed: neither the queued one nor a new one");
+        assertEquals(List.of(lookup), started, "no non-idempotent request starts after the permitted time");
         assertTrue(fixture.wasRejected(next));
         fixture.controller().permitNonIdempotentStarts(Duration.ZERO, fixture.now.plusMillis(500));
-        assertEquals(List.of(charge), fixture.decideAfter(10).started(), "the next time is set");
+        assertEquals(List.of(charge), fixture.decideAfter(10).started(), "the permitted time is extended");
     }
 
     @Test
-    void warmStartEstimateIsOutweighedByWhatIsLearned() {
+    void completedRunsOutweighTheWarmStartEstimate() {
         fixture.controller().setWarmStartEstimate(40, 8);
         assertEquals(40, fixture.controller().metrics().queueCapacity(), 1e-9);
         fixture.warmUp(40, 100);
         double learned = fixture.controller().metrics().queueCapacity();
         assertTrue(learned > 60, "8 cores at 100 ms for an objective of 1 s: " + learned);
         fixture.controller().setWarmStartEstimate(5, 8);
-        assertEquals(learned, fixture.controller().metrics().queueCapacity(), 1e-9, "what is learned is not replaced");
+        assertEquals(
+                learned, fixture.controller().metrics().queueCapacity(), 1e-9, "the learned estimate is not replaced");
     }
 }
--- a/src/test/java/merlinlever/policy/PolicyFilesTest.java
+++ b/src/test/java/merlinlever/policy/PolicyFilesTest.java
@@ -67,7 +67,7 @@
             for (Path file : files.toList()) {
                 assertTrue(
                         Files.readAllLines(file).stream().allMatch(line -> line.length() <= MAX_COLUMNS),
-                        "line longer than " + MAX_COLUMNS + " columns in " + file);
+                        "line too long in " + file);
             }
         }
     }
