--- a/src/main/java/merlinlever/controller/settings/RawSettings.java
+++ b/src/main/java/merlinlever/controller/settings/RawSettings.java
@@ -10,14 +10,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Settings as they were given, by path: names whose parts are set apart by dots, as {@code services.0.aim}. Some parts
- * and some values have a synonym; each is kept under one form only, so that two equal settings mean the same. Where one
- * setting is given twice, the later one counts. {@link SettingsParser} reads them.
+ * Untyped settings by path, a name whose parts are separated by dots, such as {@code services.0.aim}. Some parts and
+ * values have synonyms, which are converted to a canonical form. If a setting is given twice, the later value is used.
+ * {@link SettingsParser} converts the settings to typed ones.
  */
 public final class RawSettings {
 
-    /** The name of a part of a path by its synonym. */
-    private static final Map<String, String> NAME_BY_SYNONYM = Map.ofEntries(
+    /** Canonical names of the parts of a path, by synonym. */
+    private static final Map<String, String> CANONICAL_NAMES = Map.ofEntries(
             Map.entry("tariffs", "services"),
             Map.entry("soft-limit", "aim"),
             Map.entry("soft-limit-stretch", "aim-stretch"),
@@ -42,8 +42,8 @@
             Map.entry("value-over-share", "over-share-worth"),
             Map.entry("value-by", "worth-by"));
 
-    /** The synonym by which a value is kept, and quoted in error messages. */
-    private static final Map<String, String> SYNONYM_BY_VALUE = Map.of(
+    /** Canonical forms of values, which error messages show, by the value that operators configure. */
+    private static final Map<String, String> CANONICAL_VALUES = Map.of(
             "repeatable", "retriable",
             "by_key", "fingerprinted",
             "once", "binding",
@@ -53,8 +53,8 @@
             "mem_used", "memory",
             "sockets", "connections");
 
-    /** Further parts of names that operators use. All other ones, but numbers, are reported as unknown. */
-    private static final Set<String> KNOWN_NAMES = Set.of(
+    /** Further known parts of paths. Other parts, except numbers, are reported as unknown. */
+    private static final Set<String> OTHER_KNOWN_NAMES = Set.of(
             "name",
             "window",
             "late-value",
@@ -108,8 +108,9 @@
             "count",
             "watch");
 
-    /** Settings whose values are names that operators choose, which stay as they are whatever words they use. */
-    private static final Set<String> FREELY_NAMED = Set.of("name", "names", "zone", "zones", "tiers", "service-type");
+    /** Settings whose values are names chosen by operators, which are not converted. */
+    private static final Set<String> OPERATOR_CHOSEN_NAMES =
+            Set.of("name", "names", "zone", "zones", "tiers", "service-type");
 
     private final List<String> givenPaths = new ArrayList<>();
     private final Map<String, String> valueByPath = new LinkedHashMap<>();
@@ -117,7 +118,7 @@
 
     private RawSettings() {}
 
-    /** The settings by their paths, in the order in which they were given. */
+    /** Creates settings from values by path; the iteration order of the map is kept. */
     public static RawSettings of(Map<String, String> given) {
         RawSettings settings = new RawSettings();
         given.forEach(settings::put);
@@ -129,22 +130,22 @@
         String path = path(givenPath);
         givenPaths.add(givenPath);
         givenPathByPath.put(path, givenPath);
-        valueByPath.put(path, FREELY_NAMED.contains(lastPart) ? value : canonicalValue(value));
+        valueByPath.put(path, OPERATOR_CHOSEN_NAMES.contains(lastPart) ? value : canonicalValue(value));
     }
 
     private static String path(String given) {
-        return mapParts(given, ".", part -> NAME_BY_SYNONYM.getOrDefault(part, part));
+        return mapParts(given, ".", part -> CANONICAL_NAMES.getOrDefault(part, part));
     }
 
-    /** The form in which a value is kept: a list separated by commas, or one word. */
+    /** Returns the canonical form of a value, which is a word or a list separated by commas. */
     static String canonicalValue(String value) {
-        return mapParts(value, ",", part -> SYNONYM_BY_VALUE.getOrDefault(part, part));
+        return mapParts(value, ",", part -> CANONICAL_VALUES.getOrDefault(part, part));
     }
 
-    private static String mapParts(String text, String separator, UnaryOperator<String> mapping) {
+    private static String mapParts(String text, String separator, UnaryOperator<String> conversion) {
         String[] parts = text.split(separator.equals(".") ? "\\." : separator, -1);
         for (int i = 0; i < parts.length; i++) {
-            parts[i] = mapping.apply(parts[i]);
+            parts[i] = conversion.apply(parts[i]);
         }
         return String.join(separator, parts);
     }
@@ -153,27 +154,27 @@
         return valueByPath.containsKey(path);
     }
 
-    /** The paths of all settings. */
+    /** Returns the canonical paths of all settings. */
     Set<String> paths() {
         return valueByPath.keySet();
     }
 
-    /** The value, or null if there is none. */
+    /** Returns the value, or null without one. */
     String value(String path) {
         return valueByPath.get(path);
     }
 
-    /** The value, or the default if there is none. */
+    /** Returns the value, or the default without one. */
     String value(String path, String defaultValue) {
         return valueByPath.getOrDefault(path, defaultValue);
     }
 
-    /** Whether the value is {@code true}, in any case. */
+    /** Whether the value is {@code true}, ignoring upper and lower case. */
     boolean flag(String path) {
         return Boolean.parseBoolean(valueByPath.get(path));
     }
 
-    /** The value as a number; empty if there is none or it is no number. */
+    /** Returns the value as a number; empty if the value is missing or not a number. */
     OptionalDouble number(String path) {
         String text = valueByPath.get(path);
         if (text == null) {
@@ -186,13 +187,13 @@
         }
     }
 
-    /** The element of a list separated by commas, or the default where it is absent or empty. */
+    /** Returns an element of a list separated by commas, or the default if the element is missing or empty. */
     String listElement(String path, int index, String defaultValue) {
         String[] elements = value(path, "").split(",", -1);
         return index < elements.length && !elements[index].isEmpty() ? elements[index] : defaultValue;
     }
 
-    /** How many priority classes there are: the list ends at the first one without a name. */
+    /** Returns the number of priority classes; the list ends at the first index without a name. */
     int classCount() {
         int count = 0;
         while (has(SettingPaths.ofClass(count, SettingPaths.CLASS_NAME))) {
@@ -201,26 +202,26 @@
         return count;
     }
 
-    /** The path as operators gave it. */
+    /** Returns the path as given by the operator, possibly with synonyms. */
     String givenPath(String path) {
         return givenPathByPath.getOrDefault(path, path);
     }
 
-    /** The given paths with a part that this program does not know, in their order. */
+    /** Returns the given paths with an unknown part, in the order of the settings. */
     public List<String> unknownPaths() {
         return givenPaths.stream().filter(path -> !isKnown(path)).toList();
     }
 
     private static boolean isKnown(String givenPath) {
         for (String part : givenPath.split("\\.")) {
-            if (!NAME_BY_SYNONYM.containsValue(part) && !KNOWN_NAMES.contains(part) && !part.matches("[0-9]+")) {
+            if (!CANONICAL_NAMES.containsValue(part) && !OTHER_KNOWN_NAMES.contains(part) && !part.matches("[0-9]+")) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether all settings have the same values, whatever their order and whichever synonyms were given. */
+    /** Whether all settings have the same values, regardless of their order and of synonyms. */
     @Override
     public boolean equals(Object other) {
         return other instanceof RawSettings settings && settings.valueByPath.equals(valueByPath);
--- a/src/main/java/merlinlever/controller/settings/RequestSemantics.java
+++ b/src/main/java/merlinlever/controller/settings/RequestSemantics.java
@@ -2,11 +2,11 @@
 
 import merlinlever.common.WireNamed;
 
-/** How often the requests of a priority class may run. */
+/** Number of times that a request of a priority class may run. */
 public enum RequestSemantics implements WireNamed {
     /** Any number of times. */
     IDEMPOTENT("repeatable"),
-    /** Once for each idempotency key. */
+    /** Once per idempotency key. */
     IDEMPOTENT_BY_KEY("by_key"),
     /** Once. */
     NON_IDEMPOTENT("once");
--- a/src/main/java/merlinlever/controller/settings/RunStopping.java
+++ b/src/main/java/merlinlever/controller/settings/RunStopping.java
@@ -2,13 +2,13 @@
 
 import merlinlever.common.WireNamed;
 
-/** How a run can be stopped before its end. */
+/** Way in which a run can be stopped before its end. */
 public enum RunStopping implements WireNamed {
-    /** Not at all. */
+    /** Runs cannot be stopped. */
     NONE("silent"),
-    /** Its work is lost. */
+    /** A stopped run is discarded, and its work is lost. */
     DROP("drop"),
-    /** It keeps its progress and its memory. */
+    /** A stopped run keeps its progress and its memory. */
     PAUSE("pause");
 
     private final String wireName;
--- a/src/main/java/merlinlever/controller/settings/SafetySettings.java
+++ b/src/main/java/merlinlever/controller/settings/SafetySettings.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * The safety rules of a server.
+ * Parameters of the safety rules.
  *
- * @param overloadFactor how many started requests a core of a warm server survives
- * @param drainGrace for how long after the start of a drain arrivals may still be run
- * @param maxReadDelay no duplicate is read later than this after its arrival
+ * @param overloadFactor the number of started requests that a core of a warm server can sustain
+ * @param drainGrace the grace period after the start of a drain, in which arrivals may still be run
+ * @param maxReadDelay the maximum time from the arrival of a duplicate until it is read
  */
 public record SafetySettings(double overloadFactor, Duration drainGrace, Duration maxReadDelay) {}
--- a/src/main/java/merlinlever/controller/settings/ServerSettings.java
+++ b/src/main/java/merlinlever/controller/settings/ServerSettings.java
@@ -4,28 +4,28 @@
 import java.util.OptionalDouble;
 
 /**
- * The machine that a controller decides for.
+ * Settings of the machine on which the server runs.
  *
- * @param cores how many requests run at the same speed side by side
- * @param memoryKb the memory that requests and idempotency keys may use; empty if there is no limit
- * @param runMemoryFactor how many times the memory of a queued request a started one uses
- * @param memoryPerKeyKb the memory that a retained request takes
+ * @param cores the number of requests that run concurrently at full speed
+ * @param memoryKb the memory limit of requests and idempotency keys; empty without a limit
+ * @param runMemoryFactor the ratio of the memory of a started request to the memory of a queued one
+ * @param memoryPerKeyKb the memory of a retained request
  * @param gauges the gauges of each sample, in their order
  */
 public record ServerSettings(
         int cores, OptionalDouble memoryKb, double runMemoryFactor, double memoryPerKeyKb, List<Gauge> gauges) {
 
-    /** An unmodifiable copy of the gauges is kept. */
+    /** Creates the settings with an unmodifiable copy of the gauges. */
     public ServerSettings {
         gauges = List.copyOf(gauges);
     }
 
-    /** The limit of the memory, larger than any memory where there is none. */
+    /** Returns the memory limit; without one, a value larger than any memory. */
     public double memoryLimitKb() {
         return memoryKb.orElse(NumberSetting.MEMORY.defaultValue());
     }
 
-    /** The index of the run queue in a sample, or -1 if it is not sampled. */
+    /** Returns the index of the run queue in a sample, or -1 if the run queue is not sampled. */
     public int runQueueIndex() {
         return gauges.indexOf(Gauge.RUN_QUEUE);
     }
--- a/src/main/java/merlinlever/controller/settings/SettingsParser.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsParser.java
@@ -9,9 +9,9 @@
 import merlinlever.common.WireNamed;
 
 /**
- * Makes {@link ControllerSettings} from what operators configured. It accepts everything: a number that cannot be read
- * counts as missing, and a word that is not known as the default, so that a simulated server runs with any settings.
- * {@link SettingsValidator} finds what a backend is not to be started with.
+ * Converts {@link RawSettings} to {@link ControllerSettings}. The parser is lenient, so that a simulated server runs
+ * with any settings: a malformed number is treated as missing, and an unknown word is replaced by a default.
+ * {@link SettingsValidator} finds the settings with which a backend must not be started.
  */
 public final class SettingsParser {
 
@@ -24,9 +24,9 @@
     }
 
     /**
-     * The typed settings.
+     * Returns the typed settings.
      *
-     * @throws NumberFormatException if an element of {@code family-info.class-skip-worth} is no number
+     * @throws NumberFormatException if an element of {@code family-info.class-skip-worth} is not a number
      */
     public static ControllerSettings parse(RawSettings raw) {
         return new SettingsParser(raw).parse();
@@ -38,7 +38,7 @@
         parseRules(settings);
         parseCallers(settings);
         parseDownstream(settings);
-        settings.deployment(profile(SettingPaths.PROFILE_IN_FORCE, DeploymentProfile.MINIMAL));
+        settings.deployment(profile(SettingPaths.ACTIVE_PROFILE, DeploymentProfile.MINIMAL));
         shadowProfile().ifPresent(settings::shadowDeployment);
         for (int i = 0; i < raw.classCount(); i++) {
             settings.addPriorityClass(priorityClass(i));
@@ -83,12 +83,12 @@
         return raw.number(setting.path()).orElse(setting.defaultValue());
     }
 
-    /** Cut to whole nanoseconds. */
+    /** Returns the duration, truncated to whole nanoseconds. */
     private Duration duration(NumberSetting setting) {
         return Durations.ofMillis(number(setting));
     }
 
-    /** Rounded to whole nanoseconds, so that the milliseconds that are calculated with are those that were given. */
+    /** Returns the duration, rounded to whole nanoseconds to avoid an error when converted back to milliseconds. */
     private Duration roundedDuration(NumberSetting setting) {
         return Duration.ofNanos(Math.round(number(setting) * NANOS_PER_MILLI));
     }
@@ -105,32 +105,33 @@
     }
 
     private Optional<DeploymentProfile> shadowProfile() {
-        boolean isGiven = raw.paths().stream().anyMatch(path -> path.startsWith(SettingPaths.SHADOW_PROFILE));
-        DeploymentProfile inForce = profile(SettingPaths.PROFILE_IN_FORCE, DeploymentProfile.MINIMAL);
-        return isGiven ? Optional.of(profile(SettingPaths.SHADOW_PROFILE, inForce)) : Optional.empty();
+        boolean hasShadowProfile = raw.paths().stream().anyMatch(path -> path.startsWith(SettingPaths.SHADOW_PROFILE));
+        DeploymentProfile activeProfile = profile(SettingPaths.ACTIVE_PROFILE, DeploymentProfile.MINIMAL);
+        return hasShadowProfile ? Optional.of(profile(SettingPaths.SHADOW_PROFILE, activeProfile)) : Optional.empty();
     }
 
     private DeploymentProfile profile(String prefix, DeploymentProfile defaults) {
         String readiness = raw.value(prefix + DeploymentSetting.READINESS.wireName());
         return new DeploymentProfile(
-                word(prefix, DeploymentSetting.DOWNSTREAM, DownstreamKind.values(), defaults.downstream()),
+                constantOrFirst(prefix, DeploymentSetting.DOWNSTREAM, DownstreamKind.values(), defaults.downstream()),
                 runStopping(prefix, defaults.runStopping()),
                 readiness == null ? defaults.endpointListFollowsHealth() : Boolean.parseBoolean(readiness),
-                word(prefix, DeploymentSetting.SIGNAL, BackpressureSignal.values(), defaults.signal()));
+                constantOrFirst(prefix, DeploymentSetting.SIGNAL, BackpressureSignal.values(), defaults.signal()));
     }
 
-    /** Whoever says how runs are stopped, in a word that is not known, can stop them. */
+    /** Returns how runs are stopped; an unknown word means that runs can be dropped. */
     private RunStopping runStopping(String prefix, RunStopping defaultValue) {
-        String given = raw.value(prefix + DeploymentSetting.RUN_STOPPING.wireName());
-        return given == null
+        String value = raw.value(prefix + DeploymentSetting.RUN_STOPPING.wireName());
+        return value == null
                 ? defaultValue
-                : constant(RunStopping.values(), given).orElse(RunStopping.DROP);
+                : constant(RunStopping.values(), value).orElse(RunStopping.DROP);
     }
 
-    /** The constant that the setting names: the default without the setting, the first one for an unknown word. */
-    private <E extends WireNamed> E word(String prefix, DeploymentSetting setting, E[] constants, E defaultValue) {
-        String given = raw.value(prefix + setting.wireName());
-        return given == null ? defaultValue : constant(constants, given).orElse(constants[0]);
+    /** Returns the constant of the setting: the default without the setting, the first constant for an unknown word. */
+    private <E extends WireNamed> E constantOrFirst(
+            String prefix, DeploymentSetting setting, E[] constants, E defaultValue) {
+        String value = raw.value(prefix + setting.wireName());
+        return value == null ? defaultValue : constant(constants, value).orElse(constants[0]);
     }
 
     private PriorityClassSettings.Builder priorityClass(int index) {
@@ -151,19 +152,19 @@
     }
 
     private double number(ClassNumberSetting setting, int classIndex) {
-        OptionalDouble given = raw.number(setting.path(classIndex));
-        return given.orElse(setting.defaultValue());
+        OptionalDouble value = raw.number(setting.path(classIndex));
+        return value.orElse(setting.defaultValue());
     }
 
     private Duration duration(ClassNumberSetting setting, int classIndex) {
         return Durations.ofMillis(number(setting, classIndex));
     }
 
-    /** The constant of that name in the form in which values are kept; empty if there is none. */
+    /** Returns the constant whose canonical wire name is the value, if any. */
     static <E extends WireNamed> Optional<E> constant(E[] constants, String value) {
-        for (E each : constants) {
-            if (RawSettings.canonicalValue(each.wireName()).equals(value)) {
-                return Optional.of(each);
+        for (E candidate : constants) {
+            if (RawSettings.canonicalValue(candidate.wireName()).equals(value)) {
+                return Optional.of(candidate);
             }
         }
         return Optional.empty();
--- a/src/main/java/merlinlever/controller/settings/SettingsValidator.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsValidator.java
@@ -11,17 +11,17 @@
 import merlinlever.common.WireNamed;
 
 /**
- * Checks whether a backend can be run with the settings: values that are not numbers or out of range, priority classes
- * that would be ignored, and missing settings that matter. Only what this program reads is checked. Messages name each
- * setting as the operators did.
+ * Checks whether a backend can be started with the settings. Reports malformed and out-of-range values, priority
+ * classes that would be ignored, and defaults of important settings that are missing. Settings that this program does
+ * not use are not checked. Messages show the path of a setting as given by the operator.
  */
 public final class SettingsValidator {
 
-    private record ReportedDefault(String path, String assumed) {}
+    private record ReportedDefault(String path, String defaultDescription) {}
 
-    private static final String ALLOWED_CLASS_NAME = "a name that no other class has";
+    private static final String ALLOWED_CLASS_NAME = "a unique name";
 
-    /** What is assumed for a setting that is missing, as it is reported, in the order of the report. */
+    /** Important settings with the descriptions of their defaults, in the order of the report. */
     private static final List<ReportedDefault> REPORTED_DEFAULTS = List.of(
             new ReportedDefault(NumberSetting.OVERLOAD_FACTOR.path(), "2"),
             new ReportedDefault(NumberSetting.DRAIN_GRACE.path(), "0 ms"),
@@ -34,11 +34,11 @@
     private final List<String> assumedDefaults = new ArrayList<>();
     private final int classCount;
 
-    /** Checks the settings. */
+    /** Checks the settings; the results are available from {@link #problems} and {@link #assumedDefaults}. */
     public SettingsValidator(RawSettings settings) {
         this.settings = settings;
         classCount = settings.classCount();
-        checkProfile(SettingPaths.PROFILE_IN_FORCE);
+        checkProfile(SettingPaths.ACTIVE_PROFILE);
         checkProfile(SettingPaths.SHADOW_PROFILE);
         for (NumberSetting setting : NumberSetting.values()) {
             checkNumber(setting.path(), setting.range());
@@ -50,15 +50,15 @@
                 "true, false",
                 "true",
                 value -> value.equals("true") || value.equals("false"));
-        checkMissing();
+        reportMissing();
     }
 
-    /** Why the backend cannot be run, one line each, naming the setting and what it allows; empty if it can. */
+    /** Returns one line per invalid setting, with the allowed values; empty if the backend can be started. */
     public List<String> problems() {
         return List.copyOf(problems);
     }
 
-    /** The settings that are missing and matter, each with what is assumed in its place. */
+    /** Returns the important settings that are missing, each with its default. */
     public List<String> assumedDefaults() {
         return List.copyOf(assumedDefaults);
     }
@@ -77,32 +77,32 @@
 
     private void addProblem(String path, String allowed) {
         String value = settings.value(path);
-        String finding = value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"";
-        problems.add("settings: " + settings.givenPath(path) + finding + "; allowed: " + allowed);
+        String problem = value == null || value.isEmpty() ? " is missing" : " is \"" + value + "\"";
+        problems.add("settings: " + settings.givenPath(path) + problem + "; allowed: " + allowed);
     }
 
     private void checkProfile(String prefix) {
         for (DeploymentSetting setting : DeploymentSetting.values()) {
             String path = prefix + setting.wireName();
             String value = settings.value(path);
-            List<String> allowed = allowedWords(setting);
+            List<String> allowed = allowedValues(setting);
             if (value != null && !allowed.contains(value)) {
                 problems.add("settings: " + path + " is \"" + value + "\"; allowed: " + String.join(", ", allowed));
             }
         }
     }
 
-    private static List<String> allowedWords(DeploymentSetting setting) {
+    private static List<String> allowedValues(DeploymentSetting setting) {
         return switch (setting) {
-            case DOWNSTREAM -> words(DownstreamKind.values());
-            case RUN_STOPPING -> words(RunStopping.values());
+            case DOWNSTREAM -> canonicalNames(DownstreamKind.values());
+            case RUN_STOPPING -> canonicalNames(RunStopping.values());
             case READINESS -> List.of("false", "true");
-            case SIGNAL -> words(BackpressureSignal.values());
+            case SIGNAL -> canonicalNames(BackpressureSignal.values());
         };
     }
 
-    /** The words for the constants, in the form in which values are kept, in alphabetical order. */
-    private static List<String> words(WireNamed[] constants) {
+    /** Returns the canonical wire names of the constants, in alphabetical order. */
+    private static List<String> canonicalNames(WireNamed[] constants) {
         return Stream.of(constants)
                 .map(constant -> RawSettings.canonicalValue(constant.wireName()))
                 .sorted()
@@ -124,17 +124,17 @@
         for (int i = 0; i < classCount; i++) {
             checkClass(i, names);
         }
-        checkThatNoClassIsIgnored();
-        checkMissingInClasses(ClassNumberSetting.CLIENT_TIMEOUT.shortName(), "2000 ms", false);
-        checkMissingInClasses(SettingPaths.CLASS_SEMANTICS, "once", false);
-        checkMissingInClasses(ClassNumberSetting.LATENCY_OBJECTIVE.shortName(), "1000 ms", false);
-        checkMissingInClasses(ClassNumberSetting.IDEMPOTENCY_WINDOW.shortName(), "10000 ms", true);
+        checkForIgnoredClasses();
+        reportMissingInClasses(ClassNumberSetting.CLIENT_TIMEOUT.shortName(), "2000 ms", false);
+        reportMissingInClasses(SettingPaths.CLASS_SEMANTICS, "once", false);
+        reportMissingInClasses(ClassNumberSetting.LATENCY_OBJECTIVE.shortName(), "1000 ms", false);
+        reportMissingInClasses(ClassNumberSetting.IDEMPOTENCY_WINDOW.shortName(), "10000 ms", true);
     }
 
-    private void checkClass(int index, Set<String> namesSoFar) {
+    private void checkClass(int index, Set<String> earlierNames) {
         String namePath = SettingPaths.ofClass(index, SettingPaths.CLASS_NAME);
         String name = settings.value(namePath);
-        if (name.isEmpty() || !namesSoFar.add(name)) {
+        if (name.isEmpty() || !earlierNames.add(name)) {
             addProblem(namePath, ALLOWED_CLASS_NAME);
         }
         for (ClassNumberSetting setting : ClassNumberSetting.values()) {
@@ -160,8 +160,8 @@
         return semantics(classIndex).equals(Optional.of(RequestSemantics.IDEMPOTENT_BY_KEY));
     }
 
-    /** The list of classes ends at the first one without a name: those after it would be ignored. */
-    private void checkThatNoClassIsIgnored() {
+    /** Reports a class without a name, at which the list ends: the parser would ignore all later classes. */
+    private void checkForIgnoredClasses() {
         if (classCount == 0) {
             return;
         }
@@ -177,35 +177,36 @@
         }
     }
 
-    private void checkMissing() {
+    private void reportMissing() {
         List<String> gauges =
                 List.of(settings.value(SettingPaths.GAUGES, "run-queue").split(","));
         if (!gauges.contains(RawSettings.canonicalValue(Gauge.RUN_QUEUE.wireName()))) {
-            assumedDefaults.add("runnable in " + SettingPaths.GAUGES + " (only own runs counted)");
+            assumedDefaults.add("runnable in " + SettingPaths.GAUGES + " (run queue estimated from own runs only)");
         }
-        for (ReportedDefault each : REPORTED_DEFAULTS) {
-            if (!settings.has(each.path)) {
-                assumedDefaults.add(each.path + " (" + each.assumed + ")");
+        for (ReportedDefault reported : REPORTED_DEFAULTS) {
+            if (!settings.has(reported.path)) {
+                assumedDefaults.add(reported.path + " (" + reported.defaultDescription + ")");
             }
         }
     }
 
-    private void checkMissingInClasses(String shortName, String assumed, boolean onlyIdempotentByKey) {
-        List<String> without = new ArrayList<>();
+    private void reportMissingInClasses(String shortName, String defaultDescription, boolean onlyIdempotentByKey) {
+        List<String> classesWithout = new ArrayList<>();
         for (int i = 0; i < classCount; i++) {
-            boolean needed = !onlyIdempotentByKey || isIdempotentByKey(i);
-            if (needed && !settings.has(SettingPaths.ofClass(i, shortName))) {
-                without.add("" + i);
+            boolean isRequired = !onlyIdempotentByKey || isIdempotentByKey(i);
+            if (isRequired && !settings.has(SettingPaths.ofClass(i, shortName))) {
+                classesWithout.add("" + i);
             }
         }
-        if (!without.isEmpty()) {
-            assumedDefaults.add(
-                    SettingPaths.CLASSES + "." + String.join("+", without) + "." + shortName + " (" + assumed + ")");
+        if (!classesWithout.isEmpty()) {
+            assumedDefaults.add(SettingPaths.CLASSES + "." + String.join("+", classesWithout) + "." + shortName + " ("
+                    + defaultDescription + ")");
         }
     }
 
-    /** Checks a setting with one value for each class, set apart by commas; it may be left empty. */
-    private void checkValuesByClass(String path, String allowed, String assumed, Predicate<String> isAllowed) {
+    /** Checks a list with one value per class, separated by commas; empty values are allowed. */
+    private void checkValuesByClass(
+            String path, String allowed, String defaultDescription, Predicate<String> isAllowed) {
         String setting = settings.value(path, "");
         if (setting.isEmpty()) {
             return;
@@ -218,7 +219,7 @@
             }
         }
         if (values.length != classCount) {
-            assumedDefaults.add(path + " has " + values.length + " of " + classCount + " (" + assumed + ")");
+            assumedDefaults.add(path + " has " + values.length + " of " + classCount + " (" + defaultDescription + ")");
         }
     }
 }
--- a/src/main/java/merlinlever/controller/settings/WarmUpSettings.java
+++ b/src/main/java/merlinlever/controller/settings/WarmUpSettings.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * How a server gets warm.
+ * Warm-up of a server after its start.
  *
- * @param cold whether it has just started
- * @param coldSpeed the fraction of its full speed that a cold server starts at, or more
- * @param duration how long a cold server takes to its full speed
+ * @param cold whether the server starts cold
+ * @param coldSpeed the lower bound of a cold server's initial speed, as a fraction of its full speed
+ * @param duration the time until a cold server reaches its full speed
  */
 public record WarmUpSettings(boolean cold, double coldSpeed, Duration duration) {}
--- a/src/main/java/merlinlever/controller/settings/package-info.java
+++ b/src/main/java/merlinlever/controller/settings/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configure of an overload controller: its settings, their defaults and their allowed ranges. */
+/** Settings of an overload controller: their parser, their defaults and their allowed ranges. */
 package merlinlever.controller.settings;
--- a/src/main/java/merlinlever/simulator/ControllerInstance.java
+++ b/src/main/java/merlinlever/simulator/ControllerInstance.java
@@ -16,12 +16,12 @@
 import merlinlever.driver.DecisionHandler;
 
 /**
- * One simulated server: a controller, and the ids by which the simulator names its requests. Times on the wire are
- * milliseconds of the simulator's clock; the controller's times count from the start of the server.
+ * Controller of one simulated server, with the simulator's ids of its requests. Times in the protocol are milliseconds
+ * of the simulator's clock; times of the controller are relative to the start of the server.
  */
 final class ControllerInstance implements DecisionHandler<Long> {
 
-    /** The outcomes by their code on the wire. */
+    /** The outcomes, indexed by their code in the protocol. */
     private static final Outcome[] OUTCOMES_BY_CODE = {
         Outcome.OK,
         Outcome.ERROR,
@@ -35,25 +35,25 @@
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long MICROS_PER_MILLI = 1000;
-    /** The protocol has no timer that is due at once. */
+    /** The protocol has no timers without a delay. */
     private static final double MIN_WAKE_UP_DELAY_MS = 0.001;
 
     private final String name;
     private final double startMs;
     private final ControllerDriver<Long> driver;
     private final Map<Long, RequestHandle> handlesById = new HashMap<>();
-    /** How many wake-ups were requested; the number is part of their handle on the wire. */
-    private long wakeUps;
-    /** The time of the decision that is being carried out. */
+    /** The number of wake-ups scheduled so far, which is part of the handle of a wake-up in the protocol. */
+    private long wakeUpCount;
+    /** Simulator time of the current batch. */
     private double nowMs;
-    /** Where the decision that is being carried out is written. */
+    /** Output of the current batch. */
     private StringBuilder reply;
 
     ControllerInstance(WireMessage enlistment, double nowMs) {
         name = enlistment.requiredText("who");
         startMs = nowMs;
         driver = new ControllerDriver<>(
-                SettingsParser.parse(settings(enlistment)), enlistment.wholeNumber("entropy", 0), this);
+                SettingsParser.parse(settings(enlistment)), enlistment.integer("entropy", 0), this);
     }
 
     private static RawSettings settings(WireMessage enlistment) {
@@ -76,21 +76,21 @@
     }
 
     /**
-     * Passes an event to the controller.
+     * Reports an event to the controller.
      *
-     * @throws MalformedMessageException if the event is unknown or a field of it is missing or wrong
+     * @throws MalformedMessageException if the event is unknown, or one of its fields is missing or malformed
      */
-    void handleEvent(WireMessage event, double eventMs) {
-        Duration now = sinceStart(eventMs);
+    void handleEvent(WireMessage event, double simulatorMs) {
+        Duration now = sinceStart(simulatorMs);
         switch (event.verb()) {
-            case "req" -> admit(event, now);
+            case "req" -> submit(event, now);
             case "completed" -> handle(event).runEnded(now, outcome(event));
             case "at_call" -> handle(event).callNeeded(now);
             case "downstream" -> handle(event).callEnded(now, outcome(event), duration(event.number("cost-time", 0)));
             case "withdrawn" -> handle(event).callerGone(now);
             case "drain" -> driver.controller().startDrain(now, sinceStart(event.requiredNumber("not-after")));
             case "timeout_fired" -> {
-                if (event.requiredText("handle").equals("look" + wakeUps)) {
+                if (event.requiredText("handle").equals("look" + wakeUpCount)) {
                     driver.wakeUpFired();
                 }
                 driver.controller().updateGauges(now, event.numbers("report"));
@@ -100,22 +100,22 @@
     }
 
     private RequestHandle handle(WireMessage event) {
-        return handleOf(event.requiredWholeNumber("id"));
+        return handleOf(event.requiredInteger("id"));
     }
 
     private RequestHandle handleOf(long id) {
         return handlesById.getOrDefault(id, ControllerDriver.UNKNOWN_REQUEST);
     }
 
-    private void admit(WireMessage event, Duration now) {
-        Long id = event.requiredWholeNumber("id");
+    private void submit(WireMessage event, Duration now) {
+        Long id = event.requiredInteger("id");
         int priorityClass = driver.priorityClassIndex(event.requiredText("kind"));
         if (priorityClass < 0) {
             throw event.malformed("unknown kind " + event.text("kind"));
         }
         double deadlineMs = event.number("not-after", 0);
         double runTimeHintMs = event.number("work", 0);
-        long originalId = event.wholeNumber("same-as", 0);
+        long originalId = event.integer("same-as", 0);
         RequestAttributes attributes = RequestAttributes.ofClass(priorityClass)
                 .readDelay(duration(event.number("unread-for", 0)))
                 .deadline(deadlineMs == 0 ? Optional.empty() : Optional.of(sinceStart(deadlineMs)))
@@ -129,46 +129,46 @@
         handlesById.put(id, driver.register(handle, id));
     }
 
-    /** Lets the controller decide on all events so far and appends its decisions to the reply. */
-    void decide(double decisionMs, StringBuilder decisions) {
-        nowMs = decisionMs;
-        reply = decisions;
-        driver.decide(sinceStart(decisionMs));
+    /** Lets the controller decide on all reported events and appends the decisions to the output. */
+    void decide(double simulatorMs, StringBuilder output) {
+        nowMs = simulatorMs;
+        reply = output;
+        driver.decide(sinceStart(simulatorMs));
     }
 
     @Override
     public void updateBackpressureLevel(double level) {
-        begin("announce").append(" amount=").append(level).append('\n');
+        beginLine("announce").append(" amount=").append(level).append('\n');
     }
 
     @Override
     public void updateHealth(boolean healthy) {
-        begin("report_health").append(healthy ? " on=1" : " on=0").append(" from-state=1\n");
+        beginLine("report_health").append(healthy ? " on=1" : " on=0").append(" from-state=1\n");
     }
 
     @Override
     public void closeIdleConnections(Duration idleTimeout) {
-        appendMillis(begin("reap_after").append(" for-time="), idleTimeout).append('\n');
+        appendMillis(beginLine("reap_after").append(" for-time="), idleTimeout).append('\n');
     }
 
     @Override
     public void retain(Long id, Duration retention) {
-        appendMillis(begin("pin", id).append(" for-time="), retention).append('\n');
+        appendMillis(beginLine("pin", id).append(" for-time="), retention).append('\n');
     }
 
     @Override
     public void fail(Long id) {
-        begin("report_failure", id).append('\n');
+        beginLine("report_failure", id).append('\n');
     }
 
     @Override
     public void stop(Long id) {
-        begin("stop", id).append('\n');
+        beginLine("stop", id).append('\n');
     }
 
     @Override
     public void reject(Long id, boolean finalRejection, Duration retryAfter) {
-        begin("deny", id);
+        beginLine("deny", id);
         if (finalRejection) {
             reply.append(" final=1");
         }
@@ -180,41 +180,41 @@
 
     @Override
     public void evict(Long id) {
-        begin("unpin", id).append('\n');
+        beginLine("unpin", id).append('\n');
     }
 
     @Override
     public void start(Long id) {
-        begin("dispatch", id).append('\n');
+        beginLine("dispatch", id).append('\n');
     }
 
     @Override
     public void shareOutcome(Long id) {
-        begin("echo", id).append('\n');
+        beginLine("echo", id).append('\n');
     }
 
     @Override
     public void callDownstream(Long id, Duration timeout) {
-        appendMillis(begin("call", id).append(" give-up-after="), timeout).append('\n');
+        appendMillis(beginLine("call", id).append(" give-up-after="), timeout).append('\n');
     }
 
     @Override
     public void skipCall(Long id) {
-        begin("omit", id).append('\n');
+        beginLine("omit", id).append('\n');
     }
 
     @Override
     public void log(ControllerEvent event) {
-        begin("log").append(" line=").append(WireEventText.of(event)).append('\n');
+        beginLine("log").append(" line=").append(WireEventText.of(event)).append('\n');
     }
 
     @Override
     public void scheduleWakeUp(Duration at) {
-        wakeUps++;
+        wakeUpCount++;
         Duration delay = duration(Math.max(startMs + Durations.toMillis(at) - nowMs, MIN_WAKE_UP_DELAY_MS));
-        appendMillis(begin("set_alarm").append(" offset="), delay)
+        appendMillis(beginLine("set_alarm").append(" offset="), delay)
                 .append(" handle=look")
-                .append(wakeUps)
+                .append(wakeUpCount)
                 .append('\n');
     }
 
@@ -223,30 +223,30 @@
         handlesById.remove(id);
     }
 
-    /** Begins an action of this instance. */
-    private StringBuilder begin(String verb) {
+    /** Begins a line for an action of this instance. */
+    private StringBuilder beginLine(String verb) {
         return reply.append(verb).append(" who=").append(name);
     }
 
-    /** Begins an action on a request. */
-    private StringBuilder begin(String verb, Long id) {
-        return begin(verb).append(" id=").append(id.longValue());
+    /** Begins a line for an action on a request. */
+    private StringBuilder beginLine(String verb, Long id) {
+        return beginLine(verb).append(" id=").append(id.longValue());
     }
 
     private static Outcome outcome(WireMessage event) {
-        long code = event.requiredWholeNumber("code");
+        long code = event.requiredInteger("code");
         if (code < 0 || code >= OUTCOMES_BY_CODE.length) {
-            throw event.malformed("unknown ending " + code);
+            throw event.malformed("unknown outcome code " + code);
         }
         return OUTCOMES_BY_CODE[(int) code];
     }
 
-    /** Appends milliseconds with three decimal places, truncated. */
+    /** Appends a duration in milliseconds, truncated to three decimal places. */
     private static StringBuilder appendMillis(StringBuilder out, Duration duration) {
         long micros = TimeUnit.NANOSECONDS.toMicros(duration.toNanos());
         out.append(micros / MICROS_PER_MILLI).append('.');
-        // The digit before the three places keeps their leading zeros.
-        String padded = Long.toString(micros % MICROS_PER_MILLI + MICROS_PER_MILLI);
-        return out.append(padded, 1, padded.length());
+        // Adding 1000 preserves leading zeros; the leading 1 is skipped.
+        String paddedMicros = Long.toString(micros % MICROS_PER_MILLI + MICROS_PER_MILLI);
+        return out.append(paddedMicros, 1, paddedMicros.length());
     }
 }
--- a/src/main/java/merlinlever/simulator/WireEventText.java
+++ b/src/main/java/merlinlever/simulator/WireEventText.java
@@ -4,7 +4,7 @@
 import merlinlever.common.Durations;
 import merlinlever.controller.ControllerEvent;
 
-/** The text of each controller event in the simulator's protocol, unchanged since version 0.2. */
+/** Formats controller events as log lines of the simulator's protocol; the simulator depends on the texts. */
 final class WireEventText {
 
     private WireEventText() {}
@@ -30,6 +30,6 @@
         if (event instanceof ControllerEvent.IllegalPhaseChange change) {
             return change.logLine();
         }
-        throw new IllegalArgumentException("an event without a text: " + event);
+        throw new IllegalArgumentException("unsupported event: " + event);
     }
 }
--- a/src/main/java/merlinlever/simulator/WireHost.java
+++ b/src/main/java/merlinlever/simulator/WireHost.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Runs the controllers of any number of simulated servers, on the line protocol of the simulator. The servers share
- * nothing. Not thread-safe.
+ * Runs the controllers of simulated servers, which communicate with the simulator by a line protocol. The controllers
+ * share no state. Not thread-safe.
  */
 public final class WireHost {
 
@@ -25,7 +25,7 @@
     private final Map<String, ControllerInstance> instancesByName = new HashMap<>();
     private long linesRead;
 
-    /** Reads batches from the input, writes decisions to the output, and the reason of a failed end to the errors. */
+    /** Creates a host that reads events from the input, and writes decisions to the output and protocol errors. */
     public WireHost(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), INPUT_BUFFER_CHARS);
         this.out = out;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Processes batches of events until the end of the input.
      *
-     * @return the exit status of the process: 1 if the input broke the protocol
+     * @return the exit status of the process: 0, or 1 after malformed input
      */
     public int serve() throws IOException {
         try {
@@ -63,10 +63,10 @@
 
     private void handleBatch(WireMessage header, StringBuilder reply) throws IOException {
         if (!header.verb().equals("frame")) {
-            throw header.malformed("a batch begins with 'frame', not with '" + header.verb() + "'");
+            throw header.malformed("expected 'frame' at the start of a batch, found '" + header.verb() + "'");
         }
         double nowMs = header.requiredNumber("now");
-        long batchNumber = header.requiredWholeNumber("n");
+        long batchNumber = header.requiredInteger("n");
         Map<String, ControllerInstance> instancesWithEvents = new LinkedHashMap<>();
         for (String line = readLine(); !"eof_batch".equals(line); line = readLine()) {
             if (line == null) {
@@ -90,15 +90,15 @@
         String name = event.requiredText("who");
         if (event.verb().equals("enlist")) {
             reportFailure(name, reply, () -> {
-                ControllerInstance enlisted = new ControllerInstance(event, nowMs);
-                instancesByName.put(name, enlisted);
-                instancesWithEvents.put(name, enlisted);
+                ControllerInstance newInstance = new ControllerInstance(event, nowMs);
+                instancesByName.put(name, newInstance);
+                instancesWithEvents.put(name, newInstance);
             });
             return;
         }
         ControllerInstance instance = instancesByName.get(name);
         if (instance == null) {
-            throw event.malformed("no instance " + name);
+            throw event.malformed("unknown instance " + name);
         }
         if (event.verb().equals("exit")) {
             instancesByName.remove(name);
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Runs an action of one instance. A failure of its controller, whatever it is, ends that instance alone and is
-     * reported to the simulator, which counts it; input that breaks the protocol ends the host.
+     * Runs an action of one instance and reports a failure of its controller to the simulator. Such a failure does not
+     * affect other instances, while malformed input ends the host.
      */
     private static void reportFailure(String name, StringBuilder reply, Runnable action) {
         try {
--- a/src/main/java/merlinlever/simulator/WireMessage.java
+++ b/src/main/java/merlinlever/simulator/WireMessage.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * One line of the simulator's protocol: a verb and fields {@code name=value}, separated by blanks. A field is parsed in
- * place when it is asked for; those beyond the {@value #MAX_FIELDS}th are ignored.
+ * Line of the simulator's protocol: a verb and fields {@code name=value}, separated by blanks. Values are parsed on
+ * access; fields after the first {@value #MAX_FIELDS} are ignored.
  */
 final class WireMessage {
 
     private static final int MAX_FIELDS = 32;
 
-    /** Input that breaks the protocol; the message names the line and what is wrong. */
+    /** Thrown for malformed input; the message has the line number and the problem. */
     static final class MalformedMessageException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -32,9 +32,9 @@
     private int fieldCount;
 
     /**
-     * Reads a line.
+     * Splits a line into its verb and fields.
      *
-     * @throws MalformedMessageException if one of its fields has no {@code =}
+     * @throws MalformedMessageException if a field has no {@code =}
      */
     WireMessage(String line, long lineNumber) {
         this.line = line;
@@ -56,7 +56,7 @@
             ends[fieldCount] = end;
             fieldCount++;
         } else if (end > start) {
-            throw malformed("a part without '=': " + line.substring(start, end));
+            throw malformed("field without '=': " + line.substring(start, end));
         }
     }
 
@@ -64,7 +64,7 @@
         return verb;
     }
 
-    /** The line as it was read. */
+    /** Returns the whole line. */
     String line() {
         return line;
     }
@@ -77,7 +77,7 @@
         return new MalformedMessageException("line " + lineNumber + ": " + problem, cause);
     }
 
-    /** The value of the field, or null. */
+    /** Returns the value of the field, or null without the field. */
     String text(String name) {
         for (int i = 0; i < fieldCount; i++) {
             if (equalsSigns[i] - starts[i] == name.length() && line.startsWith(name, starts[i])) {
@@ -88,27 +88,27 @@
     }
 
     /**
-     * The value of the field.
+     * Returns the value of the field.
      *
-     * @throws MalformedMessageException if it is missing or empty
+     * @throws MalformedMessageException if the field is missing or empty
      */
     String requiredText(String name) {
         String value = text(name);
         if (value == null || value.isEmpty()) {
-            throw malformed("no " + name + " in " + verb);
+            throw malformed("missing field " + name + " in " + verb);
         }
         return value;
     }
 
     /**
-     * The number in the field.
+     * Returns the value of the field as a number, or the default without the field.
      *
-     * @throws MalformedMessageException if it is no finite number
+     * @throws MalformedMessageException if the value is not a finite number
      */
-    double number(String name, double absent) {
+    double number(String name, double defaultValue) {
         String value = text(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         double parsed;
         try {
@@ -123,9 +123,9 @@
     }
 
     /**
-     * The number in the field.
+     * Returns the value of the field as a number.
      *
-     * @throws MalformedMessageException if it is missing or no finite number
+     * @throws MalformedMessageException if the field is missing or not a finite number
      */
     double requiredNumber(String name) {
         requiredText(name);
@@ -133,36 +133,37 @@
     }
 
     /**
-     * The whole number in the field.
+     * Returns the value of the field as an integer, or the default without the field.
      *
-     * @throws MalformedMessageException if it is no whole number
+     * @throws MalformedMessageException if the value is not an integer
      */
-    long wholeNumber(String name, long absent) {
+    long integer(String name, long defaultValue) {
         String value = text(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed("not a whole number: " + name + "=" + value, e);
+            throw malformed("not an integer: " + name + "=" + value, e);
         }
     }
 
     /**
-     * The whole number in the field.
+     * Returns the value of the field as an integer.
      *
-     * @throws MalformedMessageException if it is missing or no whole number
+     * @throws MalformedMessageException if the field is missing or not an integer
      */
-    long requiredWholeNumber(String name) {
+    long requiredInteger(String name) {
         requiredText(name);
-        return wholeNumber(name, 0);
+        return integer(name, 0);
     }
 
     /**
-     * Whether the field is {@code 1} or {@code true}; false without the field.
+     * Returns the value of the field as a boolean, which is {@code 0}, {@code 1}, {@code false} or {@code true}; false
+     * without the field.
      *
-     * @throws MalformedMessageException if it is anything but a truth value
+     * @throws MalformedMessageException if the value is not a boolean
      */
     boolean flag(String name) {
         String value = text(name);
@@ -172,13 +173,13 @@
         if (value.equals("1") || value.equals("true")) {
             return true;
         }
-        throw malformed("neither 0 nor 1: " + name + "=" + value);
+        throw malformed("not a boolean: " + name + "=" + value);
     }
 
     /**
-     * The numbers in the field, which are separated by commas; none without the field.
+     * Returns the value of the field as a list of numbers, separated by commas; empty without the field.
      *
-     * @throws MalformedMessageException if one of them is no number
+     * @throws MalformedMessageException if an element is not a number
      */
     double[] numbers(String name) {
         String value = text(name);
@@ -190,7 +191,7 @@
                     .mapToDouble(Double::parseDouble)
                     .toArray();
         } catch (NumberFormatException e) {
-            throw malformed("not a row of numbers: " + name + "=" + value, e);
+            throw malformed("not a list of numbers: " + name + "=" + value, e);
         }
     }
 }
--- a/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
+++ b/src/test/java/merlinlever/controller/settings/DeploymentProfileTest.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The check of the settings that describe a deployment. */
+/** Tests the validation of the settings of a deployment profile. */
 class DeploymentProfileTest {
 
-    /** What is wrong with the settings, apart from the one priority class that they need. */
+    /** Returns the problems of the settings, to which the required priority class is added. */
     private static List<String> problems(Map<String, String> given) {
         Map<String, String> complete = new HashMap<>(given);
         complete.put("services.0.name", "look");
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void valueThatIsNotAllowedIsReported() {
+    void invalidValueIsReported() {
         List<String> problems = problems(Map.of("family-info.halt", "pasue", "family-info.say", "weight"));
         assertEquals(List.of("settings: family-info.halt is \"pasue\"; allowed: drop, none, pause"), problems);
         assertEquals(1, problems(Map.of("watch.readiness", "yes")).size());
--- a/src/test/java/merlinlever/controller/settings/SettingsParserPropertyTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsParserPropertyTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Typed settings have the values that the controller read from the same text before it had types. */
+/** Checks the parser against a simple reference implementation on random settings. */
 class SettingsParserPropertyTest {
 
     private static final String[] NUMBER_NAMES = {
@@ -33,7 +33,7 @@
         "invariants.drain-grace",
         "invariants.longest-unread",
         "bounds.max-retry-after",
-        // Synonyms, some of them of a name above.
+        // Synonyms, some of names in this list.
         "server.cores",
         "family-info.run-factor",
         "rules.crowd-factor",
@@ -43,7 +43,7 @@
         "aim", "hard-limit", "window", "aim-stretch", "gain", "late-value", "soft-limit", "client-timeout", "value"
     };
 
-    /** The reading of strings with the names and defaults that the controller had for them. */
+    /** Reference implementation with its own names and defaults, which reads the values from strings. */
     private record Reference(Map<String, String> values) {
         static Reference of(Map<String, String> given) {
             Map<String, String> values = new HashMap<>();
@@ -54,12 +54,12 @@
         private static String translate(String text, String separator) {
             String[] parts = text.split(separator, -1);
             for (int i = 0; i < parts.length; i++) {
-                parts[i] = WORDS.getOrDefault(parts[i], parts[i]);
+                parts[i] = SYNONYMS.getOrDefault(parts[i], parts[i]);
             }
             return String.join(separator.equals(",") ? "," : ".", parts);
         }
 
-        private static final Map<String, String> WORDS = Map.ofEntries(
+        private static final Map<String, String> SYNONYMS = Map.ofEntries(
                 Map.entry("services", "tariffs"),
                 Map.entry("family-info", "server"),
                 Map.entry("n-cores", "cores"),
@@ -85,30 +85,30 @@
                 Map.entry("cpu_busy", "busy"),
                 Map.entry("runnable", "run-queue"));
 
-        double number(String name, double absent) {
+        double number(String name, double defaultValue) {
             try {
-                return values.containsKey(name) ? Double.parseDouble(values.get(name)) : absent;
+                return values.containsKey(name) ? Double.parseDouble(values.get(name)) : defaultValue;
             } catch (NumberFormatException e) {
-                return absent;
+                return defaultValue;
             }
         }
 
-        Duration duration(String name, double absentMs) {
-            return Durations.ofMillis(number(name, absentMs));
+        Duration duration(String name, double defaultMs) {
+            return Durations.ofMillis(number(name, defaultMs));
         }
 
-        String text(String name, String absent) {
-            return values.getOrDefault(name, absent);
+        String text(String name, String defaultValue) {
+            return values.getOrDefault(name, defaultValue);
         }
 
-        String element(String name, int index, String absent) {
+        String element(String name, int index, String defaultValue) {
             String[] elements = text(name, "").split(",", -1);
-            return index < elements.length && !elements[index].isEmpty() ? elements[index] : absent;
+            return index < elements.length && !elements[index].isEmpty() ? elements[index] : defaultValue;
         }
     }
 
     @Property(tries = 500, seed = "42")
-    void typedSettingsEqualTheReadingOfTheText(@ForAll long seed) {
+    void parsedSettingsEqualTheReferenceImplementation(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, String> given = randomSettings(random);
         RawSettings raw = RawSettings.of(given);
@@ -153,10 +153,11 @@
     }
 
     private static void assertCallersAndCalls(ControllerSettings settings, Reference reference) {
-        boolean canAsk = Boolean.parseBoolean(reference.text("limits.stay-away", ""));
+        boolean allowsRetryAfter = Boolean.parseBoolean(reference.text("limits.stay-away", ""));
         CallerSettings callers = settings.callers();
         assertEquals(
-                canAsk ? reference.duration("limits.longest-stay-away", 0) : Duration.ZERO, callers.maxRetryAfter());
+                allowsRetryAfter ? reference.duration("limits.longest-stay-away", 0) : Duration.ZERO,
+                callers.maxRetryAfter());
         assertEquals(reference.number("server.idle", 30_000), Durations.toMillis(callers.idleTimeout()));
         assertEquals(
                 (long) reference.number("server.idle", 30_000),
@@ -179,14 +180,14 @@
                 reference.text("server.say", "none"),
                 RawSettings.canonicalValue(profile.signal().wireName()));
         assertEquals(Boolean.parseBoolean(reference.text("server.readiness", "")), profile.endpointListFollowsHealth());
-        boolean isWatched = reference.values.keySet().stream().anyMatch(name -> name.startsWith("watch."));
-        assertEquals(isWatched, settings.shadowDeployment().isPresent());
+        boolean hasShadowProfile = reference.values.keySet().stream().anyMatch(name -> name.startsWith("watch."));
+        assertEquals(hasShadowProfile, settings.shadowDeployment().isPresent());
         Map<String, String> defaults = Map.of("halt", "none", "say", "none", "readiness", "false", "below", "none");
         for (DeploymentSetting setting : DeploymentSetting.values()) {
-            String inForce = reference.text("server." + setting.wireName(), defaults.get(setting.wireName()));
+            String activeValue = reference.text("server." + setting.wireName(), defaults.get(setting.wireName()));
             assertEquals(
-                    !reference.text("watch." + setting.wireName(), inForce).equals(inForce),
-                    isWatched
+                    !reference.text("watch." + setting.wireName(), activeValue).equals(activeValue),
+                    hasShadowProfile
                             && profile.differences(settings.shadowDeployment().orElseThrow())
                                     .contains(setting));
         }
@@ -195,9 +196,9 @@
     private static void assertClass(PriorityClassSettings priorityClass, int index, Reference reference) {
         String prefix = "tariffs." + index + ".";
         assertEquals(reference.text(prefix + "name", null), priorityClass.name());
-        String kind = reference.text(prefix + "kind", "binding");
-        assertEquals(kind.equals("retriable"), priorityClass.isIdempotent());
-        assertEquals(kind.equals("fingerprinted"), priorityClass.isIdempotentByKey());
+        String semantics = reference.text(prefix + "kind", "binding");
+        assertEquals(semantics.equals("retriable"), priorityClass.isIdempotent());
+        assertEquals(semantics.equals("fingerprinted"), priorityClass.isIdempotentByKey());
         assertEquals(reference.duration(prefix + "soft-limit", 1000), priorityClass.latencyObjective());
         assertEquals(reference.duration(prefix + "client-timeout", 2000), priorityClass.clientTimeout());
         assertEquals(reference.duration(prefix + "window", 10_000), priorityClass.idempotencyWindow());
@@ -212,7 +213,7 @@
                 priorityClass.makesCalls());
     }
 
-    /** Settings that pass the check, with any of them missing, in any order, some under two names. */
+    /** Returns valid settings in random order, some of them missing, some given twice by a synonym. */
     private static Map<String, String> randomSettings(SplittableRandom random) {
         Map<String, String> given = new LinkedHashMap<>();
         for (int i = 0; i < 25; i++) {
@@ -252,7 +253,7 @@
         }
     }
 
-    /** Above zero, with at most six decimals, as milliseconds are whole nanoseconds then. */
+    /** Returns a positive number of at most six decimals, so that milliseconds are whole nanoseconds. */
     private static String randomNumber(SplittableRandom random, String name) {
         double decimals = Math.pow(10, random.nextInt(7));
         long units = random.nextLong(1, name.endsWith("cold-share") ? (long) decimals + 1 : 100_000_000);
--- a/src/test/java/merlinlever/controller/settings/SettingsParserTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsParserTest.java
@@ -8,7 +8,7 @@
 import merlinlever.common.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** The reading of settings from the two forms in which they are given at start. */
+/** Tests parsing the settings from both of their formats, a configuration file and an enlistment line. */
 class SettingsParserTest {
 
     private static final String CONFIGURATION_FILE =
@@ -27,14 +27,14 @@
                     + " services.0.aim=350.0 services.0.hard-limit=1140.0 services.0.gain=4.0";
 
     @Test
-    void configurationFileAndEnlistmentAreReadAlike() throws Json.MalformedJsonException {
-        Map<String, String> enlisted = new HashMap<>();
+    void configurationFileAndEnlistmentGiveTheSameSettings() throws Json.MalformedJsonException {
+        Map<String, String> enlistment = new HashMap<>();
         for (String field : ENLISTMENT.split(" ")) {
             int equals = field.indexOf('=');
-            enlisted.put(field.substring(0, equals), field.substring(equals + 1));
+            enlistment.put(field.substring(0, equals), field.substring(equals + 1));
         }
         RawSettings raw = RawSettings.of(Json.flat(Json.object(CONFIGURATION_FILE)));
-        assertEquals(RawSettings.of(enlisted), raw);
+        assertEquals(RawSettings.of(enlistment), raw);
         ControllerSettings settings = SettingsParser.parse(raw);
         assertEquals(
                 RequestSemantics.IDEMPOTENT_BY_KEY,
@@ -42,12 +42,12 @@
         assertEquals(
                 List.of(Gauge.CPU_BUSY, Gauge.RUN_QUEUE, Gauge.MEMORY, Gauge.CONNECTIONS),
                 settings.server().gauges());
-        assertEquals(List.of(), RawSettings.of(enlisted).unknownPaths());
+        assertEquals(List.of(), RawSettings.of(enlistment).unknownPaths());
     }
 
-    /** A setting whose name is not known would fall back to its default without notice. */
+    /** A misspelled setting would silently have its default. */
     @Test
-    void unknownNamesAreFound() {
+    void unknownNamesAreReported() {
         assertEquals(
                 List.of("family-info.cpus"),
                 RawSettings.of(Map.of("family-info.cpus", "3", "services.2.aim", "1"))
--- a/src/test/java/merlinlever/driver/DecisionDispatcherTest.java
+++ b/src/test/java/merlinlever/driver/DecisionDispatcherTest.java
@@ -46,7 +46,7 @@
             });
 
     @Test
-    void eachKindOfDecisionCallsItsMethodWithTheRequestOfTheHandler() {
+    void everyKindOfDecisionCallsItsHandlerMethod() {
         DecisionDispatcher<String> dispatcher = new DecisionDispatcher<>(handler);
         dispatcher.register(HANDLE, "request");
         ONE_OF_EACH_KIND.forEach(dispatcher::dispatch);
@@ -69,14 +69,14 @@
     }
 
     @Test
-    void theExampleAboveHasEveryKind() {
+    void testDataContainsEveryKindOfDecision() {
         assertEquals(
                 List.of(Decision.class.getPermittedSubclasses()),
                 ONE_OF_EACH_KIND.stream().map(Object::getClass).toList());
     }
 
     @Test
-    void aReleasedRequestIsForgotten() {
+    void releasedRequestIsDiscarded() {
         DecisionDispatcher<String> dispatcher = new DecisionDispatcher<>(handler);
         dispatcher.register(HANDLE, "request");
         dispatcher.dispatch(new Decision.Release(HANDLE));
--- a/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
+++ b/src/test/java/merlinlever/driver/ShadowModeCounterTest.java
@@ -12,7 +12,7 @@
 import merlinlever.controller.settings.SettingsParser;
 import org.junit.jupiter.api.Test;
 
-/** Shadow mode: settings that are compared with those in force without changing a decision. */
+/** Tests the count of decisions that a shadow profile would change. */
 class ShadowModeCounterTest {
 
     private static ControllerSettings settingsOf(Map<String, String> given) {
@@ -20,12 +20,12 @@
     }
 
     @Test
-    void withoutShadowSettingsNothingIsCounted() {
+    void noCounterWithoutShadowSettings() {
         assertEquals(Optional.empty(), ShadowModeCounter.of(settingsOf(Map.of("family-info.halt", "drop"))));
     }
 
     @Test
-    void decisionsAreCountedWhereShadowSettingsDiffer() {
+    void countsDecisionsForSettingsThatDiffer() {
         ShadowModeCounter counter = ShadowModeCounter.of(settingsOf(Map.of(
                         "family-info.halt", "drop",
                         "watch.halt", "pause",
@@ -40,6 +40,9 @@
         decisions.add(new Decision.ReportHealth(false));
         counter.count(decisions.build(Duration.ZERO));
         counter.count(new Decisions.Builder().build(Duration.ZERO));
-        assertEquals(Map.of("halt", 2L, "readiness", 1L), counter.differences(), "say is the same in both");
+        assertEquals(
+                Map.of("halt", 2L, "readiness", 1L),
+                counter.differences(),
+                "the setting say is the same in both profiles");
     }
 }
--- a/src/test/java/merlinlever/simulator/WireHostTest.java
+++ b/src/test/java/merlinlever/simulator/WireHostTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on hand-written batches. */
+/** Tests the adapter with hand-written batches. */
 class WireHostTest {
 
     private static final String ENLIST = "enlist who=backend-1 entropy=5 family-info.n-cores=2"
@@ -29,24 +29,24 @@
                 .serve();
     }
 
-    private void assertMalformed(String input, String line) throws IOException {
+    private void assertMalformed(String input, String expectedError) throws IOException {
         assertEquals(1, serve(input));
-        assertEquals(line, errors.toString(StandardCharsets.UTF_8).trim());
+        assertEquals(expectedError, errors.toString(StandardCharsets.UTF_8).trim());
     }
 
     @Test
-    void emptyBatchIsAnsweredAndEndOfInputEndsTheHost() throws IOException {
+    void answersAnEmptyBatchAndReturnsAtTheEndOfInput() throws IOException {
         assertEquals(0, serve("frame now=1.5 n=1\neof_batch\n"));
         assertEquals("ready n=1\n", out.toString(StandardCharsets.UTF_8));
     }
 
     @Test
-    void requestIsRetainedBeforeItRuns() throws IOException {
+    void requestIsRetainedBeforeItsRun() throws IOException {
         assertEquals(
                 0,
-                serve(
-                        "frame now=100.0 n=1\n" + ENLIST + "eof_batch\nframe now=105.0 n=2\n"
-                                + "req who=backend-1 id=77 kind=buy size-kb=2.5 odd=1 unread-for=1.0 origin-peer=3\neof_batch\n"));
+                serve("frame now=100.0 n=1\n" + ENLIST + "eof_batch\nframe now=105.0 n=2\n"
+                        + "req who=backend-1 id=77 kind=buy size-kb=2.5 odd=1 unread-for=1.0"
+                        + " origin-peer=3\neof_batch\n"));
         String reply = out.toString(StandardCharsets.UTF_8);
         int pin = reply.indexOf("pin who=backend-1 id=77 for-time=5000.000\n");
         assertTrue(pin > 0 && reply.indexOf("dispatch who=backend-1 id=77\n") > pin, reply);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void restartedInstanceKnowsNothingOfItsPredecessor() throws IOException {
+    void restartedInstanceHasNoRequestsOfItsPredecessor() throws IOException {
         assertEquals(
                 0,
                 serve("frame now=100.0 n=1\n" + ENLIST
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void malformedInputEndsTheHostWithOneLine() throws IOException {
+    void malformedInputEndsTheHostWithOneErrorLine() throws IOException {
         assertMalformed("frame now=1.x n=1\neof_batch\n", "wirehost: line 1: not a number: now=1.x");
     }
 
@@ -73,7 +73,7 @@
     void eventForAnUnknownInstanceIsMalformed() throws IOException {
         assertMalformed(
                 "frame now=1 n=1\ndrain who=backend-9 not-after=5\neof_batch\n",
-                "wirehost: line 2: no instance backend-9");
+                "wirehost: line 2: unknown instance backend-9");
     }
 
     @Test
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void controllerFailureIsReportedOnTheWire() throws IOException {
+    void controllerFailureIsReportedToTheSimulator() throws IOException {
         assertEquals(0, serve("frame now=1 n=1\n" + ENLIST.trim() + " family-info.class-skip-worth=x\neof_batch\n"));
         assertTrue(out.toString(StandardCharsets.UTF_8).startsWith("die who=backend-1 line="));
     }
