--- a/src/main/java/merlinlever/controller/settings/SettingsValidator.java
+++ b/src/main/java/merlinlever/controller/settings/SettingsValidator.java
@@ -19,7 +19,7 @@
 
     private record ReportedDefault(String path, String defaultDescription) {}
 
-    private static final String ALLOWED_CLASS_NAME = "a unique name";
+    private static final String ALLOWED_CLASS_NAME = "a name that no other class has";
 
     /** Important settings with the descriptions of their defaults, in the order of the report. */
     private static final List<ReportedDefault> REPORTED_DEFAULTS = List.of(
