--- a/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
+++ b/src/test/java/merlinlever/fleet/recovery/net/RecoveryCoordinatorTest.java
@@ -311,10 +311,10 @@
                     RecoveringService.NONE);
             NodeSettings nodeB = new NodeSettings(
                     "b", addresses.get(1), Optional.of(proxyAddressOfB), "-", List.of(proxyAddressOfA), SECRET);
-            runAndHear(nodeB, a, 0, network, audit);
+            runUntilKnown(nodeB, a, 0, network, audit);
             long firstIncarnation = incarnationOf("b", a);
             runWithFailingDisk(nodeB, network, audit);
-            runAndHear(nodeB, a, firstIncarnation, network, audit);
+            runUntilKnown(nodeB, a, firstIncarnation, network, audit);
 
             List<String> starts = List.copyOf(log).stream()
                     .filter(line -> line.startsWith("b recovery-state-found piece=incarnation ")
@@ -344,13 +344,17 @@
         return blockingDirectory("b");
     }
 
-    private void runAndHear(
-            NodeSettings node, RecoveryCoordinator peer, long above, UdpSwitch network, IncarnationAudit audit)
+    private void runUntilKnown(
+            NodeSettings node,
+            RecoveryCoordinator peer,
+            long previousIncarnation,
+            UdpSwitch network,
+            IncarnationAudit audit)
             throws Exception {
         BlockingStateDirectory disk = nextIncarnation(network, audit);
         disk.permits.release(UNLIMITED);
         RecoveryCoordinator coordinator = start(node, disk, service);
-        await("a knows this incarnation", () -> knows(peer, "b") && incarnationOf("b", peer) > above);
+        await("a knows this incarnation", () -> knows(peer, "b") && incarnationOf("b", peer) > previousIncarnation);
         close(coordinator);
         disk.close();
     }
