--- a/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneFollowerProcess.java
@@ -189,7 +189,7 @@
     /** Runs the follower until SIGTERM. */
     void run() {
         // An update in flight may be done or not: the next follower finds out by reading.
-        ServiceRunner runner = ServiceRunner.handlingTermination(loop, loop::stop);
+        ServiceRunner runner = ServiceRunner.withShutdownHook(loop, loop::stop);
         LOG.info("following pulse_address={}", pulseAddress);
         runner.run(() -> {
             LOG.info("follower-stopped unknown_pulses={}", driver.unknownPulses());
--- a/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
+++ b/src/main/java/merlinlever/cli/dns/ZoneServerProcess.java
@@ -262,7 +262,7 @@
     /** Runs the server until SIGTERM. */
     void run() {
         HangupSignal.onHangup(() -> loop.execute(this::reloadAll));
-        ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
+        ServiceRunner runner = ServiceRunner.withShutdownHook(loop, this::startShutdown);
         LOG.info("listening address={}", SocketAddresses.format(serverAddress));
         runner.run(() -> {});
     }
--- a/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
+++ b/src/main/java/merlinlever/cli/fleet/HostAgentProcess.java
@@ -161,7 +161,7 @@
 
     /** Runs the agent until SIGTERM. */
     void run() {
-        ServiceRunner runner = ServiceRunner.handlingTermination(loop, this::startShutdown);
+        ServiceRunner runner = ServiceRunner.withShutdownHook(loop, this::startShutdown);
         LOG.info("listening address={}", SocketAddresses.format(serverAddress));
         runner.run(() -> {});
     }
--- a/src/main/java/merlinlever/cli/service/ServiceRunner.java
+++ b/src/main/java/merlinlever/cli/service/ServiceRunner.java
@@ -21,7 +21,7 @@
      *
      * @param startShutdown runs on the loop, which it has to stop sooner or later
      */
-    public static ServiceRunner handlingTermination(EventLoop loop, Runnable startShutdown) {
+    public static ServiceRunner withShutdownHook(EventLoop loop, Runnable startShutdown) {
         ServiceRunner runner = new ServiceRunner(loop);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             loop.execute(startShutdown);
--- a/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentBytesTest.java
@@ -26,7 +26,7 @@
             agent.setSoTimeout(ManualClockLoop.TIMEOUT_MS);
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(agent.getInputStream(), StandardCharsets.UTF_8));
-            fixture.pins("subscribe", in.readLine());
+            fixture.assertMatches("subscribe", in.readLine());
             agent.getOutputStream()
                     .write("{\"cmd\":\"greeting\",\"result\":\"WARM\",\"elapsed_ms\":60000}\n"
                             .getBytes(StandardCharsets.UTF_8));
@@ -49,7 +49,7 @@
             }
         }
         for (String command : new String[] {"sample", "exercise", "launch", "freeze", "deliver", "forgo"}) {
-            fixture.pins(command, lines.get(command));
+            fixture.assertMatches(command, lines.get(command));
         }
     }
 
--- a/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
+++ b/src/test/java/merlinlever/backend/http/EdgeBytesTest.java
@@ -17,7 +17,7 @@
     void sendsEachResponseAsRecorded() throws Exception {
         listen(10);
         Socket socket = send(HEALTH_CHECK);
-        fixture.pins("check", readResponse(socket));
+        fixture.assertMatches("check", readResponse(socket));
         for (String[] nameAndRequest : new String[][] {
             {"no-tariff", request("", "x").replace("/svc/look", "/svc/none")},
             {"no-body", "POST /svc/look HTTP/1.1\r\n\r\n"},
@@ -26,11 +26,11 @@
             {"long", "POST /svc/look HTTP/1.1\r\nContent-Length: 3000\r\n\r\n"},
             {"chunked", "POST /svc/look HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"}
         }) {
-            fixture.pins(nameAndRequest[0], readResponse(send(nameAndRequest[1])));
+            fixture.assertMatches(nameAndRequest[0], readResponse(send(nameAndRequest[1])));
         }
         write(socket, request("", "body"));
         awaitAgentCommands(1);
         completeRun(agentCommands.get(0), "result".getBytes(StandardCharsets.US_ASCII));
-        fixture.pins("satisfied", readResponse(socket));
+        fixture.assertMatches("satisfied", readResponse(socket));
     }
 }
--- a/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/DatagramBytesTest.java
@@ -88,7 +88,7 @@
                     kind == MessageKind.PING_REQUEST ? "10.0.0.2:7001" : "",
                     rumours,
                     kind == MessageKind.PAYLOAD ? new byte[] {1, 2, 3} : null);
-            fixture.pins("membership." + name, wire.encode(message));
+            fixture.assertMatches("membership." + name, wire.encode(message));
             MembershipMessage read = wire.decode(fixture.bytes("membership." + name));
             assertEquals(
                     List.of(
@@ -123,11 +123,11 @@
     @Test
     void anElectionIsHeldInTheSameWords() {
         LeaderElection terms = terms("b1", "b2", "b3");
-        fixture.pins("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
-        fixture.pins("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
+        fixture.assertMatches("election.granted", said(terms.receive(LATER, "b2", 9, "V/7")));
+        fixture.assertMatches("election.refused", said(terms.receive(LATER, "b3", 10, "V/6")));
         terms.receive(LATER, "b3", 11, "H/7/b2");
-        fixture.pins("election.leader", terms.leaderAnnouncement(LATER).orElseThrow());
-        fixture.pins("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
+        fixture.assertMatches("election.leader", terms.leaderAnnouncement(LATER).orElseThrow());
+        fixture.assertMatches("election.asks", said(terms("b1", "b2", "b3").tick(LATER)));
     }
 
     @Test
@@ -152,7 +152,7 @@
                 Map.of());
         LeaderElection led = terms("b1", "b2", "b3");
         led.receive(LATER, "b3", 11, "H/7/b2");
-        fixture.pins(
+        fixture.assertMatches(
                 "budgets.asks",
                 said(new QuotaCoordinator(
                                 LATER,
@@ -181,8 +181,8 @@
             sharing.tick(LATER.plusMillis(ms));
         }
         all.addAll(sharing.receive(LATER.plusMillis(8000), "b9", 5, "Q/5/calls/7/0/0/0/3"));
-        fixture.pins("budgets.grants", said(all));
-        fixture.pins("budgets.state", sharing.statusJson(LATER.plusMillis(8000)));
+        fixture.assertMatches("budgets.grants", said(all));
+        fixture.assertMatches("budgets.state", sharing.statusJson(LATER.plusMillis(8000)));
     }
 
     @Test
@@ -209,8 +209,8 @@
                     .append(text.text())
                     .append('\n');
         }
-        fixture.pins("view.words", all.toString());
-        fixture.pins("view.state", sight.json(Duration.ofSeconds(1)));
+        fixture.assertMatches("view.words", all.toString());
+        fixture.assertMatches("view.state", sight.json(Duration.ofSeconds(1)));
     }
 
     @Test
@@ -236,8 +236,8 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            fixture.pins("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
-            fixture.pins(
+            fixture.assertMatches("recovery.tells", on.callOnLoop(rejoin::recoveryReport));
+            fixture.assertMatches(
                     "recovery.state",
                     on.callOnLoop(rejoin::statusJson).replaceAll("\"(since_ms)\":[0-9]+", "\"$1\":0"));
             on.callOnLoop(() -> rejoin.close(Duration.ofSeconds(1)));
--- a/src/test/java/merlinlever/compatibility/FileBytesTest.java
+++ b/src/test/java/merlinlever/compatibility/FileBytesTest.java
@@ -43,7 +43,7 @@
                 1_700_000_000_000L,
                 12.5,
                 List.of("10.0.0.2:7001", "10.0.0.3:7001"));
-        fixture.pins("recovery", RecoveryFile.encode(memory));
+        fixture.assertMatches("recovery", RecoveryFile.encode(memory));
         assertEquals(
                 Optional.of(memory),
                 RecoveryFile.decode(fixture.bytes("recovery")).state());
@@ -57,7 +57,7 @@
                 List.of(
                         new VersionedEntry("b1", "trial/t", 3, 17, new byte[] {1, 2, 3}),
                         new VersionedEntry("b1", "gone", 2, 4, null)));
-        fixture.pins("entries", EntryFile.encode("b1", kept));
+        fixture.assertMatches("entries", EntryFile.encode("b1", kept));
         ReplicatedStore.PersistedEntries read =
                 EntryFile.decode("b1", fixture.bytes("entries")).orElseThrow();
         assertArrayEquals(EntryFile.encode("b1", kept), EntryFile.encode("b1", read));
@@ -73,7 +73,7 @@
             ledger.note("web-1", InstanceLedger.InstanceRecord.NOTHING);
             ledger.note("web-1", noted);
         }
-        fixture.pins("instances", Files.readAllBytes(folder.resolve("instances")));
+        fixture.assertMatches("instances", Files.readAllBytes(folder.resolve("instances")));
     }
 
     @Test
@@ -111,8 +111,8 @@
                                     null,
                                     Restrictions.UNREADABLE)));
             String name = "table." + List.of("customer", "peer", "provider").get(relation.ordinal());
-            fixture.pins(name, RouteTableWriter.write(table));
-            fixture.pins(name + ".digest", RouteTableWriter.digest(table));
+            fixture.assertMatches(name, RouteTableWriter.write(table));
+            fixture.assertMatches(name + ".digest", RouteTableWriter.digest(table));
             assertEquals(table, RouteTableReader.read(fixture.text(name)).table());
         }
     }
--- a/src/test/java/merlinlever/compatibility/Fixture.java
+++ b/src/test/java/merlinlever/compatibility/Fixture.java
@@ -51,7 +51,7 @@
     }
 
     /** The program writes the same bytes now. */
-    public void pins(String name, byte[] written) {
+    public void assertMatches(String name, byte[] written) {
         byte[] expected = bytes(name);
         // As text in the message where it is text.
         assertEquals(
@@ -61,7 +61,7 @@
     }
 
     /** The program writes the same text now. */
-    public void pins(String name, String written) {
-        pins(name, written.getBytes(StandardCharsets.UTF_8));
+    public void assertMatches(String name, String written) {
+        assertMatches(name, written.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/merlinlever/compatibility/NamesTest.java
+++ b/src/test/java/merlinlever/compatibility/NamesTest.java
@@ -210,8 +210,8 @@
         }
         ControllerMetrics figures = new ControllerMetrics(
                 new ControllerMetrics.RequestCounts(1, 2, 3, rejected, 8), 4.5, 0.25, 0.125, false, false, 1);
-        fixture.pins("state.warm", StatusReport.toJson(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
-        fixture.pins("state.starting", StatusReport.toJson(false, false, 0, 10, null, null));
+        fixture.assertMatches("state.warm", StatusReport.toJson(false, true, 3, 1000, figures, "{\"stage\":\"warm\"}"));
+        fixture.assertMatches("state.starting", StatusReport.toJson(false, false, 0, 10, null, null));
         InstanceStatus told = new InstanceStatus(
                 "warm",
                 true,
@@ -226,7 +226,7 @@
                 8,
                 List.of(new InstanceStatus.QuotaShare("calls", 100, 11, 1760, 2, "b1", 5)),
                 new InstanceStatus.ViewStatus("whole", 1000, "3.1", "801ad0959cc1"));
-        fixture.pins("told", new ObjectMapper().writeValueAsString(told));
-        fixture.pins("dns.counts", new ZoneServerMetrics(new SimpleMeterRegistry()).summary());
+        fixture.assertMatches("told", new ObjectMapper().writeValueAsString(told));
+        fixture.assertMatches("dns.counts", new ZoneServerMetrics(new SimpleMeterRegistry()).summary());
     }
 }
--- a/src/test/java/merlinlever/dns/journal/ZoneBytesTest.java
+++ b/src/test/java/merlinlever/dns/journal/ZoneBytesTest.java
@@ -69,7 +69,7 @@
         assertEquals(List.of("example.org..journal.0000000000000002", "example.org..snapshot"), folder.fileNames());
         InMemoryStateDirectory before = new InMemoryStateDirectory();
         for (String name : folder.fileNames()) {
-            fixture.pins(name, folder.read(name));
+            fixture.assertMatches(name, folder.read(name));
             before.put(name, fixture.bytes(name));
         }
         ZoneStore.RecoveredZone recovered = store(before, origin).recover(origin);
--- a/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
+++ b/src/test/java/merlinlever/fleet/experiments/ExperimentBytesTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void identityAndCounts() {
-        fixture.pins("key", experiment.key());
+        fixture.assertMatches("key", experiment.key());
         ExperimentCounts counts = new ExperimentCounts(experiment);
         List<ExperimentCounts.RequestResult> results = List.of(
                 ExperimentCounts.RequestResult.SERVED,
@@ -51,7 +51,7 @@
             counts.attemptEnded(
                     counts.requestArrived("caller-" + i, Optional.of("op" + i), false), results.get(i % 4), 1.5);
         }
-        fixture.pins("tally", counts.encode());
+        fixture.assertMatches("tally", counts.encode());
         ExperimentCounts decoded =
                 ExperimentCounts.decode(experiment, fixture.bytes("tally")).orElseThrow();
         assertEquals(counts.totals(0), decoded.totals(0));
@@ -77,7 +77,7 @@
         assertEquals(Kind.values().length, kinds.size());
         kinds.forEach((name, kind) -> {
             ExperimentResult result = new ExperimentResult(kind, 1, "b is better");
-            fixture.pins("end." + name, result.encode());
+            fixture.assertMatches("end." + name, result.encode());
             assertEquals(result, ExperimentResult.decode(experiment, fixture.bytes("end." + name)));
         });
     }
@@ -98,7 +98,7 @@
         lease.request(now);
         lease.grant(now, 9);
         for (String topic : List.of("trial-q/t", "trial-go/t")) {
-            fixture.pins(topic, store.get("b1", topic).orElseThrow().value());
+            fixture.assertMatches(topic, store.get("b1", topic).orElseThrow().value());
         }
         lease.readGrants(new Leadership.Leader("b1", 9));
         assertEquals(now.plus(experiment.leaseDuration()), lease.expiry());
--- a/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
@@ -38,8 +38,8 @@
                 "want",
                 GossipCodec.encodeRequest(List.of(KEY)));
         messages.forEach((name, bytes) -> {
-            fixture.pins("letter." + name, bytes);
-            fixture.pins(
+            fixture.assertMatches("letter." + name, bytes);
+            fixture.assertMatches(
                     "letter." + name + ".read",
                     MessageFormatter.format(fixture.bytes("letter." + name)).text());
         });
@@ -76,7 +76,8 @@
         assertEquals(Kind.values().length, kinds.size());
         RegisterState register = new RegisterState("trial/t@1", 6, "end".getBytes(StandardCharsets.US_ASCII), true);
         kinds.forEach((name, kind) -> {
-            fixture.pins("register." + name, new RegisterMessage(kind, 6, 9, "trial/t@1", List.of(register)).encode());
+            fixture.assertMatches(
+                    "register." + name, new RegisterMessage(kind, 6, 9, "trial/t@1", List.of(register)).encode());
             RegisterMessage decoded =
                     RegisterMessage.decode(fixture.bytes("register." + name)).orElseThrow();
             assertEquals(
@@ -87,9 +88,9 @@
         PaxosAcceptor acceptor = new PaxosAcceptor();
         acceptor.accept(7, "a", new byte[] {1});
         acceptor.markChosen("trial/t@1", register.value());
-        fixture.pins("registers.file", acceptor.encode());
+        fixture.assertMatches("registers.file", acceptor.encode());
         PaxosAcceptor decoded =
                 PaxosAcceptor.decode(fixture.bytes("registers.file")).orElseThrow();
-        fixture.pins("registers.file", decoded.encode());
+        fixture.assertMatches("registers.file", decoded.encode());
     }
 }
--- a/src/test/java/merlinlever/fleet/routes/PartsBytesTest.java
+++ b/src/test/java/merlinlever/fleet/routes/PartsBytesTest.java
@@ -23,7 +23,8 @@
                         "reads", "records", "10.1.0.1:7100", 50, 3, false, List.of("s1"), null, Restrictions.NONE)));
         Fixture fixture = new Fixture("routes.txt");
         VersionedEntry part = TableChunks.split(table).get(0);
-        fixture.pins("routes.0.head", new String(part.value(), 0, 35, java.nio.charset.StandardCharsets.US_ASCII));
+        fixture.assertMatches(
+                "routes.0.head", new String(part.value(), 0, 35, java.nio.charset.StandardCharsets.US_ASCII));
         assertEquals(
                 List.of("s1", "routes.0", 4L, 17L),
                 List.of(part.owner(), part.topic(), part.incarnation(), part.sequence()));
--- a/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
+++ b/src/test/java/merlinlever/fleet/view/ViewBytesTest.java
@@ -21,10 +21,10 @@
         sender.remember(first);
         sender.remember(second);
         ViewCodec receiver = new ViewCodec();
-        fixture.pins("whole", sender.encode(first, 0));
+        fixture.assertMatches("whole", sender.encode(first, 0));
         assertEquals(first, receiver.decode(fixture.bytes("whole")));
         receiver.remember(first);
-        fixture.pins("difference", sender.encode(second, first.number()));
+        fixture.assertMatches("difference", sender.encode(second, first.number()));
         assertEquals(second, receiver.decode(fixture.bytes("difference")));
     }
 }
