--- a/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
+++ b/src/main/java/merlinlever/fleet/routes/PeerTableSync.java
@@ -89,7 +89,7 @@
             RoutingTable.TableLease held = routingTable.lease(now, partner);
             Duration lease = held == null
                     ? RouteTable.MIN_LEASE.multipliedBy(4)
-                    : routingTable.latest(partner).lease();
+                    : routingTable.latestTable(partner).lease();
             Duration eighth = lease.dividedBy(8);
             Duration interval = eighth.compareTo(MIN_QUERY_INTERVAL) < 0 ? MIN_QUERY_INTERVAL : eighth;
             LeaseQuery query = queries.computeIfAbsent(partner, absent -> new LeaseQuery());
--- a/src/main/java/merlinlever/fleet/routes/Restrictions.java
+++ b/src/main/java/merlinlever/fleet/routes/Restrictions.java
@@ -7,29 +7,29 @@
 /**
  * Where a route may be exported and what may go along it, as its origin says; whoever exports the route exports these unchanged.
  *
- * @param onlyTo the only sites that may have it; null for all
- * @param notTo sites that may not have it
+ * @param allowedSites the only sites that may have it; null for all
+ * @param deniedSites sites that may not have it
  * @param noExport whoever has it from its origin exports it to nobody (as NO_EXPORT in RFC 1997)
- * @param maxSites upper bound of the sites on the path, the origin among them
+ * @param maxPathLength upper bound of the sites on the path, the origin among them
  * @param idempotentOnly only idempotent calls may go along it
  * @param customersOnly exported only to customers
  * @param unreadable they were not understood, and so forbid everything
  */
 public record Restrictions(
-        SortedSet<String> onlyTo,
-        SortedSet<String> notTo,
+        SortedSet<String> allowedSites,
+        SortedSet<String> deniedSites,
         boolean noExport,
-        int maxSites,
+        int maxPathLength,
         boolean idempotentOnly,
         boolean customersOnly,
         boolean unreadable) {
 
     /** Upper bound of the sites on a path, whatever is said. */
-    public static final int MAX_SITES = 16;
+    public static final int MAX_PATH_LENGTH = 16;
 
     /** Everything is allowed. */
     public static final Restrictions NONE =
-            new Restrictions(null, new TreeSet<>(), false, MAX_SITES, false, false, false);
+            new Restrictions(null, new TreeSet<>(), false, MAX_PATH_LENGTH, false, false, false);
 
     /** Nothing is allowed. */
     public static final Restrictions UNREADABLE =
@@ -37,28 +37,28 @@
 
     /** Copies the sets. */
     public Restrictions {
-        onlyTo = onlyTo == null ? null : Collections.unmodifiableSortedSet(new TreeSet<>(onlyTo));
-        notTo = Collections.unmodifiableSortedSet(new TreeSet<>(notTo));
+        allowedSites = allowedSites == null ? null : Collections.unmodifiableSortedSet(new TreeSet<>(allowedSites));
+        deniedSites = Collections.unmodifiableSortedSet(new TreeSet<>(deniedSites));
     }
 
     /** Whether the origin lets the site have the route, however it got there. */
     public boolean allows(String site) {
-        return !unreadable && (onlyTo == null || onlyTo.contains(site)) && !notTo.contains(site);
+        return !unreadable && (allowedSites == null || allowedSites.contains(site)) && !deniedSites.contains(site);
     }
 
     /** Forbids all that either of the two forbids; the same in any order. */
     public Restrictions intersect(Restrictions other) {
-        SortedSet<String> onlyToBoth = onlyTo == null ? other.onlyTo : new TreeSet<>(onlyTo);
-        if (onlyTo != null && other.onlyTo != null) {
-            onlyToBoth.retainAll(other.onlyTo);
+        SortedSet<String> onlyToBoth = allowedSites == null ? other.allowedSites : new TreeSet<>(allowedSites);
+        if (allowedSites != null && other.allowedSites != null) {
+            onlyToBoth.retainAll(other.allowedSites);
         }
-        SortedSet<String> notToEither = new TreeSet<>(notTo);
-        notToEither.addAll(other.notTo);
+        SortedSet<String> notToEither = new TreeSet<>(deniedSites);
+        notToEither.addAll(other.deniedSites);
         return new Restrictions(
                 onlyToBoth,
                 notToEither,
                 noExport || other.noExport,
-                Math.min(maxSites, other.maxSites),
+                Math.min(maxPathLength, other.maxPathLength),
                 idempotentOnly || other.idempotentOnly,
                 customersOnly || other.customersOnly,
                 unreadable || other.unreadable);
--- a/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
@@ -139,7 +139,7 @@
         if (!isAddress(address)) {
             throw new InvalidFieldException("'place' is no address and port: " + address);
         }
-        List<String> path = sites(map.get("path"), "path", Restrictions.MAX_SITES);
+        List<String> path = sites(map.get("path"), "path", Restrictions.MAX_PATH_LENGTH);
         if (path.isEmpty()) {
             throw new InvalidFieldException("'path' is empty");
         }
@@ -163,16 +163,16 @@
                 return Restrictions.UNREADABLE;
             }
             requireKnownNames(map, RESTRICTION_FIELDS);
-            SortedSet<String> onlyTo = map.containsKey("only-to") ? siteSet(map, "only-to") : null;
-            SortedSet<String> notTo = map.containsKey("not-to") ? siteSet(map, "not-to") : new TreeSet<>();
-            int maxSites = map.containsKey("most-sites")
-                    ? (int) number(map, "most-sites", 1, Restrictions.MAX_SITES)
-                    : Restrictions.MAX_SITES;
+            SortedSet<String> allowedSites = map.containsKey("only-to") ? siteSet(map, "only-to") : null;
+            SortedSet<String> deniedSites = map.containsKey("not-to") ? siteSet(map, "not-to") : new TreeSet<>();
+            int maxPathLength = map.containsKey("most-sites")
+                    ? (int) number(map, "most-sites", 1, Restrictions.MAX_PATH_LENGTH)
+                    : Restrictions.MAX_PATH_LENGTH;
             return new Restrictions(
-                    onlyTo,
-                    notTo,
+                    allowedSites,
+                    deniedSites,
                     flag(map, "no-further"),
-                    maxSites,
+                    maxPathLength,
                     flag(map, "retriable-only"),
                     flag(map, "customers-only"),
                     false);
--- a/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
@@ -59,13 +59,13 @@
             return;
         }
         text.append(",\"restrictions\":{\"no-further\":").append(restrictions.noExport());
-        if (restrictions.onlyTo() != null) {
-            text.append(",\"only-to\":").append(jsonArray(restrictions.onlyTo()));
+        if (restrictions.allowedSites() != null) {
+            text.append(",\"only-to\":").append(jsonArray(restrictions.allowedSites()));
         }
-        if (!restrictions.notTo().isEmpty()) {
-            text.append(",\"not-to\":").append(jsonArray(restrictions.notTo()));
+        if (!restrictions.deniedSites().isEmpty()) {
+            text.append(",\"not-to\":").append(jsonArray(restrictions.deniedSites()));
         }
-        text.append(",\"most-sites\":").append(restrictions.maxSites());
+        text.append(",\"most-sites\":").append(restrictions.maxPathLength());
         if (restrictions.idempotentOnly()) {
             text.append(",\"retriable-only\":true");
         }
--- a/src/main/java/merlinlever/fleet/routes/RoutingPolicy.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingPolicy.java
@@ -106,7 +106,7 @@
             case LOOP -> path.contains(self) || new HashSet<>(path).size() < path.size();
             case NOT_HERE -> !isAllowedHere(restrictions);
             case NO_EXPORT -> restrictions.noExport() && wasExportedOn;
-            case TOO_LONG -> path.size() > Math.min(restrictions.maxSites(), Restrictions.MAX_SITES);
+            case TOO_LONG -> path.size() > Math.min(restrictions.maxPathLength(), Restrictions.MAX_PATH_LENGTH);
             case LEAK -> isLeak(partner, relation, route)
                     || (relation != Relation.PROVIDER && restrictions.customersOnly() && wasExportedOn);
         };
@@ -114,8 +114,9 @@
 
     /** Whatever else they say: unreadable ones break another rule. */
     private boolean isAllowedHere(Restrictions restrictions) {
-        return (restrictions.onlyTo() == null || restrictions.onlyTo().contains(self))
-                && !restrictions.notTo().contains(self);
+        return (restrictions.allowedSites() == null
+                        || restrictions.allowedSites().contains(self))
+                && !restrictions.deniedSites().contains(self);
     }
 
     private static boolean isLeak(String partner, Relation relation, Route route) {
@@ -156,7 +157,7 @@
             case BACK -> route.path().contains(receiver);
             case NOT_THERE -> !restrictions.allows(receiver);
             case NO_EXPORT -> !isOwn && restrictions.noExport();
-            case TOO_LONG -> exportedPathLength > Math.min(restrictions.maxSites(), Restrictions.MAX_SITES);
+            case TOO_LONG -> exportedPathLength > Math.min(restrictions.maxPathLength(), Restrictions.MAX_PATH_LENGTH);
             case CUSTOMERS_ONLY -> !isOwn && restrictions.customersOnly() && receiverRelation != Relation.CUSTOMER;
             case VALLEY -> !isOwn
                     && receiverRelation != Relation.CUSTOMER
--- a/src/main/java/merlinlever/fleet/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingTable.java
@@ -243,7 +243,7 @@
     }
 
     /** The latest table of a partner, active or not; null where there is none. */
-    public RouteTable latest(String partner) {
+    public RouteTable latestTable(String partner) {
         return partners.get(partner).latest();
     }
 
--- a/src/main/java/merlinlever/testing/faults/RoutesModel.java
+++ b/src/main/java/merlinlever/testing/faults/RoutesModel.java
@@ -95,7 +95,7 @@
                     leaks ? new ArrayList<>(own) : first.routes.export(first.clock(), to, own, place(), calls, 1);
             if (leaks) {
                 for (String from : first.routes.partners()) {
-                    RouteTable its = first.routes.latest(from);
+                    RouteTable its = first.routes.latestTable(from);
                     if (its != null) {
                         its.routes().values().stream()
                                 .filter(each ->
@@ -261,7 +261,7 @@
                 words.put(table.site(), PeerTableSync.toEntries(table));
             }
             RoutingTable.TableLease holds = routes.lease(clock(), table.site());
-            if (holds != null && table.equals(routes.latest(table.site()))) {
+            if (holds != null && table.equals(routes.latestTable(table.site()))) {
                 routes.renew(
                         clock(),
                         new RoutingTable.Renewal(
@@ -276,7 +276,7 @@
 
         private void came(VersionedEntry word) {
             if (fellows.receiveEntry(clock(), word)) {
-                words.put(word.owner(), PeerTableSync.toEntries(routes.latest(word.owner())));
+                words.put(word.owner(), PeerTableSync.toEntries(routes.latestTable(word.owner())));
             }
         }
 
--- a/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
+++ b/src/main/java/merlinlever/testing/faults/audit/RouteExportAudit.java
@@ -121,7 +121,7 @@
 
     private boolean allows(Restrictions restrictions, String to, List<String> path, boolean effect) {
         return !restrictions.unreadable()
-                && path.size() <= restrictions.maxSites()
+                && path.size() <= restrictions.maxPathLength()
                 && !(restrictions.noExport() && path.size() > 1)
                 && !(restrictions.idempotentOnly() && effect)
                 && allowsHops(restrictions, to, path);
@@ -137,8 +137,9 @@
             if (relation == null || (customersOnly && relation != Relation.CUSTOMER)) {
                 return false;
             }
-            if (restrictions.notTo().contains(next)
-                    || (restrictions.onlyTo() != null && !restrictions.onlyTo().contains(next))) {
+            if (restrictions.deniedSites().contains(next)
+                    || (restrictions.allowedSites() != null
+                            && !restrictions.allowedSites().contains(next))) {
                 return false;
             }
             onlyCustomers |= relation != Relation.PROVIDER;
--- a/src/main/java/merlinlever/testing/faults/timeline/RoutesScenarios.java
+++ b/src/main/java/merlinlever/testing/faults/timeline/RoutesScenarios.java
@@ -55,7 +55,8 @@
     }
 
     static Timeline tightened() {
-        Restrictions none = new Restrictions(null, new TreeSet<>(), true, Restrictions.MAX_SITES, false, false, false);
+        Restrictions none =
+                new Restrictions(null, new TreeSet<>(), true, Restrictions.MAX_PATH_LENGTH, false, false, false);
         return chain(2).at(500, p -> sells(p, "s3", Restrictions.NONE, "sells gold/eu"))
                 .at(5000, p -> sells(p, "s3", none, "says: no further"))
                 .until(10_000)
--- a/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
+++ b/src/test/java/merlinlever/fleet/routes/RouteTableReaderTest.java
@@ -170,7 +170,7 @@
                         && route.callsPerSecond() <= RouteTableReader.MAX_CALLS_PER_SECOND
                         && route.cost() >= 0
                         && !route.path().isEmpty()
-                        && route.path().size() <= Restrictions.MAX_SITES
+                        && route.path().size() <= Restrictions.MAX_PATH_LENGTH
                         && route.path().stream().allMatch(RouteTableReader::isSite));
             }
             // What is read is written and read as the same.
--- a/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
+++ b/src/test/java/merlinlever/fleet/routes/RoutingModelCheck.java
@@ -184,13 +184,13 @@
         boolean isOrigin = path.size() == 1;
         if (published.unreadable() && to != 0) {
             return "unreadable";
-        } else if (published.onlyTo() != null && !published.onlyTo().contains(SITES[to])) {
+        } else if (published.allowedSites() != null && !published.allowedSites().contains(SITES[to])) {
             return "not among the only";
-        } else if (published.notTo().contains(SITES[to])) {
+        } else if (published.deniedSites().contains(SITES[to])) {
             return "not to it";
         } else if (published.noExport() && !isOrigin) {
             return "exported";
-        } else if (path.size() > published.maxSites()) {
+        } else if (path.size() > published.maxPathLength()) {
             return "too long";
         } else if (published.customersOnly() && !isOrigin && relations[from][to] != Relation.CUSTOMER) {
             return "not a customer";
