--- a/src/main/java/merlinlever/backend/agent/AgentCommands.java
+++ b/src/main/java/merlinlever/backend/agent/AgentCommands.java
@@ -27,7 +27,7 @@
     /** Encodes the start of a request's run; the agent ignores the command if the run has already been started. */
     static String launch(TrackedRequest request) {
         return forRequest(
-                "launch", request, ",\"method\":" + Json.quoted(request.priorityClassName()) + payload(request.body()));
+                "launch", request, ",\"method\":" + Json.quote(request.priorityClassName()) + payload(request.body()));
     }
 
     /** Encodes the command that stops the request's run. */
--- a/src/main/java/merlinlever/backend/agent/AgentEventParser.java
+++ b/src/main/java/merlinlever/backend/agent/AgentEventParser.java
@@ -18,7 +18,7 @@
 
     /** Parses one line. */
     static AgentEvent parse(String line) throws Json.MalformedJsonException {
-        Map<?, ?> object = Json.object(line);
+        Map<?, ?> object = Json.parseObject(line);
         try {
             return new AgentEventParser(object).event();
         } catch (IllegalArgumentException e) {
--- a/src/main/java/merlinlever/cli/ServeConfiguration.java
+++ b/src/main/java/merlinlever/cli/ServeConfiguration.java
@@ -76,7 +76,7 @@
                     .newDecoder()
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
-            return of(Json.object(text), environment);
+            return of(Json.parseObject(text), environment);
         } catch (CharacterCodingException e) {
             throw new InvalidConfigurationException("is not UTF-8", e);
         } catch (IOException e) {
@@ -89,9 +89,9 @@
 
     private static ServeConfiguration of(Map<?, ?> json, Map<String, String> environment)
             throws InvalidConfigurationException {
-        ConfigurationValues values = new ConfigurationValues(Json.flat(json));
+        ConfigurationValues values = new ConfigurationValues(Json.flatten(json));
         RawSettings rawSettings =
-                RawSettings.of(json.get("settings") instanceof Map<?, ?> map ? Json.flat(map) : Map.of());
+                RawSettings.of(json.get("settings") instanceof Map<?, ?> map ? Json.flatten(map) : Map.of());
         values.address("listen");
         InetSocketAddress recordsAddress = values.has("records") ? values.peerAddress("records") : null;
         InetSocketAddress agentAddress = values.peerAddress("agent");
--- a/src/main/java/merlinlever/cli/WarmUp.java
+++ b/src/main/java/merlinlever/cli/WarmUp.java
@@ -81,7 +81,7 @@
         private void command(String line) {
             Map<?, ?> command;
             try {
-                command = Json.object(line);
+                command = Json.parseObject(line);
             } catch (MalformedJsonException e) {
                 throw new IllegalStateException("the backend sent a malformed command", e);
             }
--- a/src/main/java/merlinlever/common/json/Json.java
+++ b/src/main/java/merlinlever/common/json/Json.java
@@ -36,7 +36,7 @@
      *
      * @throws MalformedJsonException if the text is no JSON object or nested too deeply
      */
-    public static Map<?, ?> object(String text) throws MalformedJsonException {
+    public static Map<?, ?> parseObject(String text) throws MalformedJsonException {
         return asObject(parse(text));
     }
 
@@ -45,7 +45,7 @@
      *
      * @throws MalformedJsonException if the text is no JSON object or nested too deeply, or if a name comes twice
      */
-    public static Map<?, ?> strictObject(String text) throws MalformedJsonException {
+    public static Map<?, ?> parseStrictObject(String text) throws MalformedJsonException {
         return asObject(new JsonParser(text, true).parse());
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** The text as a JSON string, with its quotes. */
-    public static String quoted(String text) {
+    public static String quote(String text) {
         StringBuilder out = new StringBuilder(text.length() + 2).append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -76,19 +76,19 @@
      * The values of an object by their paths, whose parts are set apart by dots. The items of a list of objects are
      * named by their index, from 0; a list of plain values becomes one value with commas. Nulls are left out.
      */
-    public static Map<String, String> flat(Map<?, ?> object) {
+    public static Map<String, String> flatten(Map<?, ?> object) {
         Map<String, String> valuesByPath = new LinkedHashMap<>();
-        flatten("", object, valuesByPath);
+        collectValues("", object, valuesByPath);
         return valuesByPath;
     }
 
-    private static void flatten(String path, Object value, Map<String, String> valuesByPath) {
+    private static void collectValues(String path, Object value, Map<String, String> valuesByPath) {
         String prefix = path.isEmpty() ? "" : path + ".";
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, member) -> flatten(prefix + name, member, valuesByPath));
+            map.forEach((name, member) -> collectValues(prefix + name, member, valuesByPath));
         } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
             for (int i = 0; i < list.size(); i++) {
-                flatten(prefix + i, list.get(i), valuesByPath);
+                collectValues(prefix + i, list.get(i), valuesByPath);
             }
         } else if (value instanceof List<?> list) {
             valuesByPath.put(
--- a/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableReader.java
@@ -78,7 +78,7 @@
             throw new UnusableTableException("the table has over " + MAX_CHARACTERS + " characters", null);
         }
         try {
-            return readTable(Json.strictObject(text));
+            return readTable(Json.parseStrictObject(text));
         } catch (Json.MalformedJsonException | InvalidFieldException e) {
             throw new UnusableTableException("the table: " + e.getMessage(), e);
         }
--- a/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
+++ b/src/main/java/merlinlever/fleet/routes/RouteTableWriter.java
@@ -18,7 +18,7 @@
     /** The table as text, one route a line. */
     public static String write(RouteTable table) {
         StringBuilder text = new StringBuilder();
-        text.append("{\"site\":").append(Json.quoted(table.site()));
+        text.append("{\"site\":").append(Json.quote(table.site()));
         text.append(",\"incarnation\":").append(table.incarnation());
         text.append(",\"sequence\":").append(table.sequence());
         text.append(",\"relation\":\"").append(table.relation().wireName());
@@ -34,8 +34,8 @@
     }
 
     private static void writeRoute(StringBuilder text, Route route) {
-        text.append("{\"tariff\":").append(Json.quoted(route.priorityClass()));
-        text.append(",\"group\":").append(Json.quoted(route.group()));
+        text.append("{\"tariff\":").append(Json.quote(route.priorityClass()));
+        text.append(",\"group\":").append(Json.quote(route.group()));
         text.append(",\"place\":\"").append(route.address());
         text.append("\",\"calls\":").append(route.callsPerSecond());
         text.append(",\"cost\":").append(route.cost());
@@ -44,7 +44,7 @@
         }
         text.append(",\"path\":").append(jsonArray(route.path()));
         if (route.onlyToCustomerSite() != null) {
-            text.append(",\"down-from\":").append(Json.quoted(route.onlyToCustomerSite()));
+            text.append(",\"down-from\":").append(Json.quote(route.onlyToCustomerSite()));
         }
         writeRestrictions(text, route.restrictions());
         text.append('}');
@@ -76,7 +76,7 @@
     }
 
     private static String jsonArray(Collection<String> sites) {
-        return sites.stream().map(Json::quoted).collect(Collectors.joining(",", "[", "]"));
+        return sites.stream().map(Json::quote).collect(Collectors.joining(",", "[", "]"));
     }
 
     /** Tells two tables of one version apart. */
--- a/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
+++ b/src/main/java/merlinlever/testing/faults/standins/SimulatedAgent.java
@@ -142,7 +142,7 @@
         private void handleCommand(String line) {
             Map<?, ?> command;
             try {
-                command = Json.object(line);
+                command = Json.parseObject(line);
             } catch (Json.MalformedJsonException e) {
                 connection.close(CloseReason.PROTOCOL_ERROR);
                 return;
--- a/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkFixture.java
@@ -99,7 +99,7 @@
         Map<?, ?> nextCommand() throws IOException {
             String line = in.readLine();
             try {
-                return line == null ? null : Json.object(line);
+                return line == null ? null : Json.parseObject(line);
             } catch (Json.MalformedJsonException e) {
                 throw new IOException(e);
             }
--- a/src/test/java/merlinlever/cli/ServeProcessFixture.java
+++ b/src/test/java/merlinlever/cli/ServeProcessFixture.java
@@ -124,7 +124,7 @@
         while (true) {
             Map<?, ?> command;
             try {
-                command = Json.object(commandReader.readLine());
+                command = Json.parseObject(commandReader.readLine());
             } catch (Json.MalformedJsonException e) {
                 throw new IOException(e);
             }
--- a/src/test/java/merlinlever/common/json/JsonTest.java
+++ b/src/test/java/merlinlever/common/json/JsonTest.java
@@ -21,7 +21,7 @@
         assertEquals(List.of(), Json.parse("[]"));
         assertEquals(
                 "{a.0.b=1, c=1,2, d.e=true}",
-                Json.flat(Json.object("{\"a\":[{\"b\":1}],\"c\":[1,2],\"d\":{\"e\":true}}"))
+                Json.flatten(Json.parseObject("{\"a\":[{\"b\":1}],\"c\":[1,2],\"d\":{\"e\":true}}"))
                         .toString());
     }
 
@@ -52,6 +52,6 @@
 
     @Property(tries = 500, seed = "45")
     void quotedTextIsParsedBack(@ForAll String text) throws Json.MalformedJsonException {
-        assertEquals(text, Json.parse(Json.quoted(text)));
+        assertEquals(text, Json.parse(Json.quote(text)));
     }
 }
--- a/src/test/java/merlinlever/controller/settings/SettingsParserTest.java
+++ b/src/test/java/merlinlever/controller/settings/SettingsParserTest.java
@@ -33,7 +33,7 @@
             int equals = field.indexOf('=');
             enlisted.put(field.substring(0, equals), field.substring(equals + 1));
         }
-        RawSettings raw = RawSettings.of(Json.flat(Json.object(CONFIGURATION_FILE)));
+        RawSettings raw = RawSettings.of(Json.flatten(Json.parseObject(CONFIGURATION_FILE)));
         assertEquals(RawSettings.of(enlisted), raw);
         ControllerSettings settings = SettingsParser.parse(raw);
         assertEquals(
