--- a/src/main/java/merlinlever/common/log/EventLog.java
+++ b/src/main/java/merlinlever/common/log/EventLog.java
@@ -10,8 +10,8 @@
     /** Reports one event; never throws and never blocks for long. */
     void write(LogEvent event);
 
-    /** Reports an event of level INFO whose text is put together already. Only until its callers have typed events. */
-    default void line(String text) {
+    /** Reports an event of level INFO whose text is already formatted, fields included. */
+    default void info(String text) {
         write(LogEvent.info(text));
     }
 
--- a/src/main/java/merlinlever/common/log/Log.java
+++ b/src/main/java/merlinlever/common/log/Log.java
@@ -29,7 +29,8 @@
         this.time = time;
     }
 
-    /** Something that an operator may want to know. */
+    /** Logs an event that needs no action by an operator. */
+    @Override
     public void info(String event) {
         write(LogEvent.info(event));
     }
--- a/src/main/java/merlinlever/dns/follow/Follower.java
+++ b/src/main/java/merlinlever/dns/follow/Follower.java
@@ -236,7 +236,7 @@
     private void failed(Duration now, String how, boolean nextServer) {
         if (!how.equals(lastFailure)) {
             lastFailure = how;
-            log.line("server " + server + " " + how);
+            log.info("server " + server + " " + how);
         }
         if (nextServer) {
             server = (server + 1) % stated.servers;
@@ -250,7 +250,7 @@
 
     private void well() {
         if (failures > 0) {
-            log.line("server " + server + " answers again");
+            log.info("server " + server + " answers again");
         }
         failures = 0;
         lastFailure = "";
@@ -259,7 +259,7 @@
     private void seen(Duration now, ObservedRecords seen) {
         well();
         if (lastSerial >= 0 && SerialNumbers.after(lastSerial, seen.serial())) {
-            log.line("server " + server + " went back from serial " + lastSerial + " to " + seen.serial()
+            log.info("server " + server + " went back from serial " + lastSerial + " to " + seen.serial()
                     + "; going on from what it says");
         }
         lastSerial = seen.serial();
@@ -312,7 +312,7 @@
     private void mode(String to, Supplier<String> line) {
         if (!to.equals(mode)) {
             mode = to;
-            log.line(line.get());
+            log.info(line.get());
         }
     }
 
@@ -365,7 +365,7 @@
             return null;
         }
         if (taking && claim != null) {
-            log.line(stated.holder + " keeps " + DomainNames.text(stated.name) + " from here on, term " + mine.term());
+            log.info(stated.holder + " keeps " + DomainNames.text(stated.name) + " from here on, term " + mine.term());
         }
         return new WriteStep(server, prerequisites(claim), changes(mine, wanted), mine, wanted);
     }
--- a/src/main/java/merlinlever/dns/journal/ZoneStore.java
+++ b/src/main/java/merlinlever/dns/journal/ZoneStore.java
@@ -280,7 +280,7 @@
         writing = false;
         if (failure != null) {
             if (!failed) {
-                faultLog.line("updates of " + name + " are turned away: the journal cannot be written: "
+                faultLog.info("updates of " + name + " are turned away: the journal cannot be written: "
                         + failure.getMessage());
             }
             failed = true;
@@ -290,7 +290,7 @@
             behind.forEach(each -> each.done.accept(false));
         } else {
             if (failed) {
-                faultLog.line("the journal of " + name + " can be written again");
+                faultLog.info("the journal of " + name + " can be written again");
             }
             failed = false;
             for (PendingUpdate each : batch) {
@@ -374,7 +374,7 @@
     private void snapshotFinished(IOException failure) {
         snapshotting = false;
         if (failure != null) {
-            faultLog.line("no snapshot of " + name + ": " + failure.getMessage() + "; its journals are kept");
+            faultLog.info("no snapshot of " + name + ": " + failure.getMessage() + "; its journals are kept");
         }
     }
 
--- a/src/main/java/merlinlever/dns/server/MessageLifecycle.java
+++ b/src/main/java/merlinlever/dns/server/MessageLifecycle.java
@@ -325,7 +325,7 @@
 
     @Override
     public void log(ControllerEvent event) {
-        log.line(event.logLine());
+        log.info(event.logLine());
     }
 
     @Override
--- a/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
+++ b/src/main/java/merlinlever/fleet/experiments/ExperimentNode.java
@@ -115,7 +115,7 @@
         result = ExperimentResult.decode(experiment, registers.chosen(experiment.key()));
         result.ifPresent(adopted -> {
             splitting = false;
-            log.line("experiment-ended experiment=" + experiment.name() + " kind=" + adopted.kind() + " arm="
+            log.info("experiment-ended experiment=" + experiment.name() + " kind=" + adopted.kind() + " arm="
                     + experiment.arms().get(adopted.arm()).name() + " reason=\"" + adopted.reason() + "\"");
             if (restored) {
                 publishCounts(now, false);
--- a/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
+++ b/src/main/java/merlinlever/fleet/quota/QuotaCoordinator.java
@@ -257,7 +257,7 @@
                 default -> throw new IllegalArgumentException("unknown type " + message.type());
             }
         } catch (IllegalArgumentException e) {
-            log.line("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
+            log.info("quota-message-malformed peer=" + sender + " message=\"" + text + "\"");
         }
         return drainOutbox();
     }
--- a/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/DurableReservations.java
@@ -101,7 +101,7 @@
     void revokeIfClockWasSet(Duration now) {
         long stepMs = clockLeadMs() - clockLeadAtReservationMs;
         if (Math.abs(stepMs) > CLOCK_STEP_THRESHOLD_MS && !nonIdempotentUntil.isZero()) {
-            log.line("unix-clock-set step_ms=" + stepMs
+            log.info("unix-clock-set step_ms=" + stepMs
                     + " effect=\"non-idempotent requests rejected until the next reservation\"");
             nonIdempotentUntil = Duration.ZERO;
             nextReservationAt = now;
@@ -155,7 +155,7 @@
             return;
         }
         writeFailed = failed;
-        log.line(
+        log.info(
                 failed
                         ? "recovery-state-write-failed error=\"" + error
                                 + "\" effect=\"non-idempotent requests rejected until it succeeds\""
--- a/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
+++ b/src/main/java/merlinlever/fleet/recovery/net/RecoveryCoordinator.java
@@ -86,7 +86,7 @@
         RecoveryFile file = new RecoveryFile(environment.directory());
         long unixNow = unixClock.getAsLong();
         TrustedState trusted = PersistedStateAssessor.assess(file.read(), owner, unixNow);
-        trusted.findings().forEach(finding -> log.line(finding.toLogLine()));
+        trusted.findings().forEach(finding -> log.info(finding.toLogLine()));
         List<String> seedAddresses = peerAddresses(node, trusted, gossipAddress);
         SplittableRandom random = new SplittableRandom(seed);
         members = new SwimProtocol(
@@ -192,7 +192,7 @@
                     WireNamed.parse(RecoveryStage.class, fields[1]),
                     Double.parseDouble(fields[2]));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            log.line("recovery-report-malformed peer=" + sender + " report=\"" + text + "\"");
+            log.info("recovery-report-malformed peer=" + sender + " report=\"" + text + "\"");
             return;
         }
         sequence.reportReceived(now(), unixClock.getAsLong(), sender, correlationId, report);
@@ -214,7 +214,7 @@
         }
         for (RecoveryEvent event : sequence.takeEvents()) {
             lastEventAt = event.at();
-            log.line(event.toLogLine());
+            log.info(event.toLogLine());
         }
         warmStartOnce();
         reservations.revokeIfClockWasSet(now);
--- a/src/main/java/merlinlever/fleet/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/fleet/replication/PaxosNode.java
@@ -310,7 +310,7 @@
         }
         if (!acceptor.markChosen(state.name(), state.value())) {
             if (conflicts == 0) {
-                log.line("register-conflict register=" + state.name() + " action=kept-first-value");
+                log.info("register-conflict register=" + state.name() + " action=kept-first-value");
             }
             conflicts++;
             return;
@@ -339,7 +339,7 @@
         acceptor.mergePeerState(page.term(), page.registers());
         gate.stateChanged();
         if (recovery.pageReceived(sender, page, voterCount())) {
-            log.line("register-voting-resumed answers=" + recovery.answers() + " voting=" + recovery.votingAnswers()
+            log.info("register-voting-resumed answers=" + recovery.answers() + " voting=" + recovery.votingAnswers()
                     + " other_voters=" + (voterCount() - 1));
         }
     }
--- a/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
@@ -216,7 +216,7 @@
     }
 
     private void reportConflict(Duration now, VersionConflict conflict) {
-        log.line("replication-version-conflict owner=" + conflict.owner() + " topic=" + conflict.topic() + " version="
+        log.info("replication-version-conflict owner=" + conflict.owner() + " topic=" + conflict.topic() + " version="
                 + conflict.incarnation() + "." + conflict.sequence() + " digests=" + conflict.lowerDigest() + ","
                 + conflict.higherDigest());
         List.copyOf(listeners).forEach(listener -> listener.conflictDetected(now, conflict));
@@ -224,7 +224,7 @@
 
     private void reportRejection(StoredEntry entry) {
         if (rejectedEntries % REJECTIONS_PER_LOG_LINE == 0) {
-            log.line("replication-table-full owner=" + entry.key().owner() + " topic="
+            log.info("replication-table-full owner=" + entry.key().owner() + " topic="
                     + entry.key().topic() + " entries=" + table.size() + " bytes=" + table.sizeBytes());
         }
         rejectedEntries++;
@@ -281,7 +281,7 @@
         table.expire(now, retention).forEach(entry -> notifyExpired(now, entry));
         own.removeExpiredTombstones(now, retention);
         if (own.raiseIncarnationIfOvertaken()) {
-            log.line("entry-incarnation-raised incarnation=" + own.incarnation());
+            log.info("entry-incarnation-raised incarnation=" + own.incarnation());
             own.all().forEach(entry -> republish(now, entry));
         }
         own.all().stream()
@@ -327,7 +327,7 @@
      * its own clock or as others report, that it may hold what they have dropped.
      */
     public void discardForeignEntries(Duration now) {
-        log.line("replication-foreign-entries-discarded held=" + table.size());
+        log.info("replication-foreign-entries-discarded held=" + table.size());
         for (StoredEntry entry : table.entries()) {
             if (!entry.key().owner().equals(self)) {
                 table.remove(entry.key());
--- a/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
@@ -102,7 +102,7 @@
         }
         Optional<ReplicatedStore.PersistedEntries> entries = EntryFile.decode(self, file.get());
         if (entries.isEmpty()) {
-            log.line("replication-file-corrupt file=" + ENTRY_FILE + " action=discarded");
+            log.info("replication-file-corrupt file=" + ENTRY_FILE + " action=discarded");
         }
         return entries.orElse(ReplicatedStore.PersistedEntries.NONE);
     }
@@ -175,7 +175,7 @@
         failure.ifPresent(cause -> nextWrite = loop.clock().uptime().plus(WRITE_RETRY_DELAY));
         if (failure.isPresent() != diskFailing) {
             diskFailing = failure.isPresent();
-            log.line(failure.map(cause -> "replication-write-failed error=\"" + cause.getMessage() + "\"")
+            log.info(failure.map(cause -> "replication-write-failed error=\"" + cause.getMessage() + "\"")
                     .orElse("replication-write-recovered"));
         }
     }
--- a/src/main/java/merlinlever/fleet/routes/PartnerTable.java
+++ b/src/main/java/merlinlever/fleet/routes/PartnerTable.java
@@ -55,7 +55,7 @@
      */
     boolean offer(Duration now, RouteTable table, String tableDigest, boolean mayWiden, EventLog log) {
         if (!table.site().equals(site) || table.relation() != relation) {
-            log.line("route-table-rejected partner=" + site + " reason=wrong-relation site=" + table.site()
+            log.info("route-table-rejected partner=" + site + " reason=wrong-relation site=" + table.site()
                     + " relation=" + table.relation().wireName() + " expected=" + relation.wireName());
             return false;
         }
@@ -96,14 +96,14 @@
 
     private boolean offerOldVersion(RouteTable table, String tableDigest, EventLog log) {
         if (!table.isSameVersion(latest)) {
-            log.line("route-table-rejected partner=" + site + " reason=older-version version=" + formatVersion(table)
+            log.info("route-table-rejected partner=" + site + " reason=older-version version=" + formatVersion(table)
                     + " latest=" + formatVersion(latest));
             return false;
         }
         if (tableDigest.equals(digest)) {
             return false;
         }
-        log.line("route-table-conflict partner=" + site + " version=" + formatVersion(table) + " digest=" + digest
+        log.info("route-table-conflict partner=" + site + " version=" + formatVersion(table) + " digest=" + digest
                 + " other_digest=" + tableDigest);
         if (!conflicting) {
             conflicting = true;
--- a/src/main/java/merlinlever/fleet/routes/RoutingTable.java
+++ b/src/main/java/merlinlever/fleet/routes/RoutingTable.java
@@ -111,7 +111,7 @@
     public boolean offer(Duration now, RouteTable table) {
         PartnerTable partner = partners.get(table.site());
         if (partner == null) {
-            log.line("route-table-rejected partner=" + table.site() + " reason=not-a-partner");
+            log.info("route-table-rejected partner=" + table.site() + " reason=not-a-partner");
             return false;
         }
         RouteTable latest = partner.latest();
@@ -130,7 +130,7 @@
             @Override
             public void onRejected(Route route, String rule) {
                 if (lines < MAX_REJECTED_ROUTES_LOGGED) {
-                    log.line("route-rejected partner=" + partner + " route=" + route.key() + " path="
+                    log.info("route-rejected partner=" + partner + " route=" + route.key() + " path="
                             + String.join(">", route.path()) + " rule=" + rule);
                 }
                 lines++;
@@ -160,7 +160,7 @@
         }
         edition++;
         if (!merger.replaceTable(partner.site(), partner.relation(), active, listener)) {
-            log.line("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
+            log.info("route-table-rejected partner=" + partner.site() + " reason=too-many-routes");
             merger.replaceTable(partner.site(), partner.relation(), null, RouteMerger.NO_LISTENER);
         }
     }
@@ -198,7 +198,7 @@
 
     private void adoptWidening(Duration now, PartnerTable partner) {
         if (mayWiden(now) && partner.adoptWidening()) {
-            log.line("route-table-adopted partner=" + partner.site() + " version="
+            log.info("route-table-adopted partner=" + partner.site() + " version="
                     + PartnerTable.formatVersion(partner.latest()));
         }
     }
--- a/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
+++ b/src/main/java/merlinlever/fleet/routes/net/RouteTableFiles.java
@@ -53,7 +53,7 @@
                     read(now, partner, file, previous != null);
                 }
             } catch (IOException e) {
-                log.line("route-file-unreadable partner=" + partner + " file=" + file.getFileName() + " error="
+                log.info("route-file-unreadable partner=" + partner + " file=" + file.getFileName() + " error="
                         + e.getClass().getSimpleName());
             }
         });
@@ -67,16 +67,16 @@
     private void read(Duration now, String partner, Path file, boolean isRewritten) throws IOException {
         long bytes = Files.size(file);
         if (bytes > MAX_BYTES) {
-            log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName()
+            log.info("route-file-rejected partner=" + partner + " file=" + file.getFileName()
                     + " reason=too-large bytes=" + bytes + " max_bytes=" + MAX_BYTES);
             return;
         }
         try {
             RouteTableReader.ParsedTable parsed = RouteTableReader.read(Files.readString(file));
-            parsed.faults().forEach(fault -> log.line("route-fault partner=" + partner + " fault=" + fault));
+            parsed.faults().forEach(fault -> log.info("route-fault partner=" + partner + " fault=" + fault));
             RouteTable table = parsed.table();
             if (!table.site().equals(partner)) {
-                log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName()
+                log.info("route-file-rejected partner=" + partner + " file=" + file.getFileName()
                         + " reason=wrong-site site=" + table.site());
                 return;
             }
@@ -86,7 +86,7 @@
                 routingTable.renew(now, RoutingTable.Renewal.of(table, lastPollAt.minus(maxFetchTime)));
             }
         } catch (RouteTableReader.UnusableTableException e) {
-            log.line("route-file-rejected partner=" + partner + " file=" + file.getFileName() + " reason="
+            log.info("route-file-rejected partner=" + partner + " file=" + file.getFileName() + " reason="
                     + e.getMessage());
         }
     }
--- a/src/main/java/merlinlever/host/api/OrderAdmission.java
+++ b/src/main/java/merlinlever/host/api/OrderAdmission.java
@@ -205,7 +205,7 @@
 
     @Override
     public void log(ControllerEvent event) {
-        log.line(event.logLine());
+        log.info(event.logLine());
     }
 
     @Override
--- a/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
+++ b/src/test/java/merlinlever/backend/agent/AgentLinkOrderingTest.java
@@ -139,7 +139,7 @@
     private static final class InMemoryAgent extends RecordingPeer {
 
         void sendLine(String line) {
-            end().write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
+            connection().write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
         }
     }
 
--- a/src/test/java/merlinlever/backend/records/RecordsClientFixture.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientFixture.java
@@ -97,7 +97,7 @@
     static final class InMemoryRecordsService extends RecordingPeer {
 
         void send(String text) {
-            end().write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
+            connection().write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
         }
     }
 }
--- a/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
+++ b/src/test/java/merlinlever/backend/records/RecordsClientRaceTest.java
@@ -34,7 +34,7 @@
             loop.runOnLoop(() -> services.get(0).send(doneReply(1, "r")));
             loop.runBatches(3);
             loop.runOnLoop(() -> {
-                services.get(0).end().close(CloseReason.IDLE);
+                services.get(0).connection().close(CloseReason.IDLE);
                 client.call(TestRequests.tracked(2), new byte[] {'b'}, CALL_TIMEOUT);
             });
             loop.runBatches(3);
--- a/src/test/java/merlinlever/common/net/RecordingPeer.java
+++ b/src/test/java/merlinlever/common/net/RecordingPeer.java
@@ -2,31 +2,31 @@
 
 import java.nio.ByteBuffer;
 
-/** The other end of a connection in memory, which reads everything and closes nothing. */
+/** The far end of an in-memory connection: it records all received bytes and never closes the connection. */
 public class RecordingPeer implements Connection.InMemoryPeer {
 
-    /** All bytes received, one character each. */
+    /** All received bytes, one character per byte. */
     public final StringBuilder received = new StringBuilder();
 
-    private Connection end;
+    private Connection connection;
 
     @Override
-    public void attach(Connection connection) {
-        end = connection;
+    public void attach(Connection attached) {
+        connection = attached;
     }
 
     @Override
-    public void onReceived(ByteBuffer in) {
-        while (in.hasRemaining()) {
-            received.append((char) in.get());
+    public void onReceived(ByteBuffer input) {
+        while (input.hasRemaining()) {
+            received.append((char) input.get());
         }
     }
 
     @Override
-    public void onClosed(CloseReason how) {}
+    public void onClosed(CloseReason reason) {}
 
-    /** The connection that this peer writes to. */
-    public Connection end() {
-        return end;
+    /** Returns this peer's end of the connection, for writing to the other end. */
+    public Connection connection() {
+        return connection;
     }
 }
