--- a/src/main/java/merlinlever/controller/RequestAttributes.java
+++ b/src/main/java/merlinlever/controller/RequestAttributes.java
@@ -7,7 +7,7 @@
  * Attributes of a request at its submission.
  *
  * @param priorityClass the index of its priority class in the settings
- * @param readDelay the time from the arrival of the request until it was read
+ * @param readDelay the time from the arrival of the request until its read
  * @param deadline when the caller stops waiting, relative to the start of the server; empty if the caller sent none
  * @param memoryKb the memory of the queued request, in kB
  * @param costHint the caller's estimate of the run time
--- a/src/main/java/merlinlever/controller/settings/ControllerSettings.java
+++ b/src/main/java/merlinlever/controller/settings/ControllerSettings.java
@@ -187,7 +187,7 @@
             return this;
         }
 
-        /** Sets the maximum time from the arrival of a duplicate until it is read. */
+        /** Sets the maximum time from the arrival of a duplicate until its read. */
         public Builder maxReadDelay(Duration value) {
             maxReadDelay = value;
             return this;
--- a/src/main/java/merlinlever/policy/DuplicateRequests.java
+++ b/src/main/java/merlinlever/policy/DuplicateRequests.java
@@ -26,7 +26,7 @@
 
     /**
      * Handles a duplicate (safety rule 2): a duplicate of a non-idempotent request that may have run shares
-     * the outcome of the original or fails; it is never run itself.
+     * the outcome of the original or fails, and is never run.
      *
      * @return false if the duplicate is to be admitted like any other arrival
      */
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Resolves the duplicates that wait for a request. If the request was started, they share its outcome. If
-     * it ended without a start, the first duplicate that fits into memory replaces the request, in the queue
-     * and in the retention table.
+     * Resolves the duplicates that wait for a request. If the request was started, they share its outcome.
+     * Otherwise the first duplicate that fits into memory replaces the request in the queue and in the
+     * retention table.
      */
     void resolveWaitingDuplicates(Request request, Duration now) {
         Request successor = null;
@@ -121,7 +121,7 @@
 
     /** Handles the end of a request: decides for how long the request and its handle are kept. */
     void requestFinished(Request request, Duration now) {
-        // The handle of a request that never ran is released at once: it has no outcome to share, and a flood
+        // The handle of a request that never ran is released at once: no outcome can be shared, and a flood
         // of rejections would fill the memory with handles.
         if (request.wasStarted()) {
             Duration handleLifetime =
--- a/src/main/java/merlinlever/policy/IdempotencyWindow.java
+++ b/src/main/java/merlinlever/policy/IdempotencyWindow.java
@@ -6,7 +6,7 @@
 
 /**
  * Keeps safety rule 2 across restarts: a non-idempotent request starts only if no earlier incarnation can
- * have run it, and only while the next incarnation will be able to tell that this one may have run it.
+ * have run it, and only while the next incarnation can tell that this one may have run it.
  */
 final class IdempotencyWindow {
     private Duration arrivedFrom = Duration.ZERO;
--- a/src/main/java/merlinlever/policy/Request.java
+++ b/src/main/java/merlinlever/policy/Request.java
@@ -163,7 +163,7 @@
         callRetried = true;
     }
 
-    /** Returns the time until which duplicates can find the request, or null if it is not retained. */
+    /** Returns the time until which duplicates can find the request, or null unless retained. */
     Duration retainedUntil() {
         return retainedUntil;
     }
@@ -220,7 +220,7 @@
     }
 
     /**
-     * Returns this request or the duplicate that replaced it. Callers may still use the handle of a request
+     * Returns this request or the duplicate in its place. Callers may still use the handle of a request
      * that ended without a start in the current batch.
      */
     Request successor() {
--- a/src/main/java/merlinlever/policy/package-info.java
+++ b/src/main/java/merlinlever/policy/package-info.java
@@ -8,7 +8,7 @@
  *   <li>{@code Dispatcher}: which queued requests are started;
  *   <li>{@code DownstreamCalls}: how many downstream calls are in progress;
  *   <li>{@code QuotaLimiter}: how much of a fleet-wide limit this server uses;
- *   <li>{@code Completions}: how a request ends, and when it has expired;
+ *   <li>{@code Completions}: how a request ends, and when a request has expired;
  *   <li>{@code CapacityEstimator}, {@code RunTimeEstimator}: estimates of capacity and run time;
  *   <li>{@code StallDetector}, {@code DrainState}, {@code IdempotencyWindow}: when no request may be started;
  *   <li>{@code BackpressureSignals}: which signals callers receive to reduce their load.
