--- a/src/main/java/merlinlever/fleet/replication/DurabilityGate.java
+++ b/src/main/java/merlinlever/fleet/replication/DurabilityGate.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** Holds messages back until the state that they are based on is on the disk; one write at a time. */
+/** Holds messages back until the state that they depend on is on disk. At most one write is in progress at a time. */
 final class DurabilityGate {
 
-    /** Messages over this number are lost, as any message may be. */
+    /** Further messages are dropped; the protocol tolerates lost messages. */
     private static final int MAX_DEFERRED = 1000;
 
     private record DeferredMessage(long version, OutgoingMessage message) {}
@@ -16,20 +16,20 @@
     private final ArrayDeque<DeferredMessage> deferred = new ArrayDeque<>();
     private long version;
     private long durableVersion;
-    /** The version being written, if it is higher than the durable one. */
+    /** Version that is being written; no write is in progress unless it exceeds {@link #durableVersion}. */
     private long writingVersion;
 
-    /** The state has changed. */
+    /** Starts a new version of the state. */
     void stateChanged() {
         version++;
     }
 
-    /** Whether the present state is on the disk. */
+    /** Whether the current state is on disk. */
     boolean isDurable() {
         return version == durableVersion;
     }
 
-    /** The version to be written now; nothing if the present one is on the disk or a write is in progress. */
+    /** Returns the version to write now; empty if the current version is on disk or a write is in progress. */
     OptionalLong beginWrite() {
         if (isDurable() || writingVersion > durableVersion) {
             return OptionalLong.empty();
@@ -46,14 +46,14 @@
         writingVersion = durableVersion;
     }
 
-    /** Sends the message once the present state is on the disk. */
+    /** Holds the message back until the current state is on disk. */
     void defer(String receiver, RegisterMessage message) {
         if (deferred.size() < MAX_DEFERRED) {
             deferred.add(new DeferredMessage(version, new OutgoingMessage(receiver, message.encode())));
         }
     }
 
-    /** The messages whose state is on the disk, in order. */
+    /** Returns the messages whose state is on disk, in the order in which they were deferred. */
     List<OutgoingMessage> release() {
         List<OutgoingMessage> released = new ArrayList<>();
         while (!deferred.isEmpty() && deferred.peek().version <= durableVersion) {
--- a/src/main/java/merlinlever/fleet/replication/EntryTable.java
+++ b/src/main/java/merlinlever/fleet/replication/EntryTable.java
@@ -10,38 +10,38 @@
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
- * All entries of one replica, and how two tables become one: of each key the higher version wins, and of one version all values that were
- * published under it are joined. That is a join of a semilattice (delta-state CRDT: Almeida et al. 2018), so neither order nor
- * repetition of merges matters as long as there is room.
+ * The entries of one replica, and the rules by which entries are merged: the higher version of a key wins, and
+ * different values under the same version are joined into a conflict. The merge is the join of a semilattice
+ * (delta-state CRDT: Almeida et al. 2018), so the order and the repetition of merges don't matter as long as the table
+ * isn't full.
  */
 final class EntryTable {
 
-    /** Limits of the whole table. */
     static final int MAX_ENTRIES = 2000;
 
     static final long MAX_BYTES = 8L << 20;
-    /** Keys are hashed to so many buckets, whose checksums are compared to find differences. */
+    /** Number of hash buckets of the keys; replicas compare the checksums of their buckets to find differences. */
     static final int BUCKET_COUNT = 64;
 
-    /** What a merge did to the table. */
+    /** Effect of a merge on the table. */
     enum MergeResult {
         /** The entry was new, or of a higher version. */
         NEWER,
-        /** The table had this very entry. */
+        /** The table already held the same entry. */
         UNCHANGED,
-        /** The table has a higher version. */
+        /** The table holds a higher version. */
         OLDER,
-        /** The table had, or now has, another value under the same version. */
+        /** Different values were published under the same version. */
         CONFLICT,
-        /** The entry was rejected, as the table is full. */
+        /** The entry was rejected because the table is full. */
         NO_ROOM
     }
 
     private static final class Row {
         private final StoredEntry entry;
         private final long fingerprint;
-        /** Near the end of its lifetime: still served here, but no longer sent. */
-        private boolean unshared;
+        /** Whether the entry is near the end of its lifetime: it is still served here, but no longer sent. */
+        private boolean sharingEnded;
 
         Row(StoredEntry entry) {
             this.entry = entry;
@@ -49,10 +49,10 @@
         }
     }
 
-    /** The version of an entry without its value, for comparisons. */
+    /** Version and fingerprint of an entry, without its value. */
     record EntryVersion(EntryKey key, long incarnation, long sequence, long fingerprint) {
 
-        /** Negative, zero or positive as this version is lower, the same or higher. */
+        /** Returns a negative number, zero or a positive number if this version is lower, equal or higher. */
         int compareVersion(EntryVersion other) {
             return incarnation != other.incarnation
                     ? Long.compare(incarnation, other.incarnation)
@@ -61,31 +61,31 @@
     }
 
     private static final int HASH_MULTIPLIER = 31;
-    /** Each bucket number has so many bits; all bits of a hash code are folded into them. */
+    /** Number of bits of a bucket number; the bits of a hash code are folded into them. */
     private static final int BUCKET_BITS = Integer.numberOfTrailingZeros(BUCKET_COUNT);
 
     private final TreeMap<EntryKey, Row> rows = new TreeMap<>();
     private final long[] bucketChecksums = new long[BUCKET_COUNT];
     private long sizeBytes;
 
-    /** The bucket of a key: the same at every replica, as the Java specification defines String's hash code. */
+    /** Returns the bucket of a key. All replicas agree on it, as the Java specification defines String.hashCode. */
     static int bucket(EntryKey key) {
         int hash = HASH_MULTIPLIER * key.owner().hashCode() + key.topic().hashCode();
         int folded = 0;
-        // The two highest bits alone are left out: so it was in every released program.
+        // The two highest bits are left out for compatibility with the released versions.
         for (int shift = 0; shift + BUCKET_BITS <= Integer.SIZE; shift += BUCKET_BITS) {
             folded ^= hash >>> shift;
         }
         return folded & (BUCKET_COUNT - 1);
     }
 
-    /** The entry, or null if there is none. */
+    /** Returns the entry, or null if the table has no entry of this key. */
     StoredEntry get(EntryKey key) {
         Row row = rows.get(key);
         return row == null ? null : row.entry;
     }
 
-    /** All entries, sorted by owner, then topic. */
+    /** Returns all entries, sorted by owner and then by topic. */
     List<StoredEntry> entries() {
         return rows.values().stream().map(row -> row.entry).toList();
     }
@@ -98,7 +98,7 @@
         return sizeBytes;
     }
 
-    /** Whether the entry fits, in place of its earlier version if there is one. */
+    /** Whether the table has room for the entry, which replaces an earlier version of the same key. */
     boolean hasRoomFor(StoredEntry entry) {
         Row row = rows.get(entry.key());
         return (row != null || rows.size() < MAX_ENTRIES)
@@ -106,17 +106,17 @@
     }
 
     MergeResult merge(StoredEntry entry) {
-        StoredEntry known = get(entry.key());
-        if (known != null && known.isNewerThan(entry)) {
+        StoredEntry existing = get(entry.key());
+        if (existing != null && existing.isNewerThan(entry)) {
             return MergeResult.OLDER;
         }
-        boolean newer = known == null || entry.isNewerThan(known);
-        StoredEntry merged = newer ? entry : known.mergedWith(entry);
-        boolean unchanged = !newer && merged.digests().equals(known.digests());
+        boolean newer = existing == null || entry.isNewerThan(existing);
+        StoredEntry merged = newer ? entry : existing.mergedWith(entry);
+        boolean unchanged = !newer && merged.digests().equals(existing.digests());
         if (!unchanged && !hasRoomFor(merged)) {
             return MergeResult.NO_ROOM;
         }
-        if (!unchanged || merged.publishedAt().compareTo(known.publishedAt()) > 0) {
+        if (!unchanged || merged.publishedAt().compareTo(existing.publishedAt()) > 0) {
             store(merged);
         }
         if (unchanged) {
@@ -137,11 +137,11 @@
         Row row = rows.remove(key);
         if (row != null) {
             sizeBytes -= row.entry.sizeBytes();
-            bucketChecksums[bucket(key)] ^= row.unshared ? 0 : row.fingerprint;
+            bucketChecksums[bucket(key)] ^= row.sharingEnded ? 0 : row.fingerprint;
         }
     }
 
-    /** Drops entries past their lifetime, which are returned, and stops sharing those near it. */
+    /** Removes and returns the entries past their lifetime, and stops sharing the entries near the end of theirs. */
     List<StoredEntry> expire(Duration now, RetentionPolicy policy) {
         List<StoredEntry> expired = new ArrayList<>();
         for (Row row : List.copyOf(rows.values())) {
@@ -149,26 +149,26 @@
             if (age.compareTo(policy.lifetime(row.entry)) >= 0) {
                 remove(row.entry.key());
                 expired.add(row.entry);
-            } else if (!row.unshared && age.compareTo(policy.shareableFor(row.entry)) >= 0) {
-                row.unshared = true;
+            } else if (!row.sharingEnded && age.compareTo(policy.shareableFor(row.entry)) >= 0) {
+                row.sharingEnded = true;
                 bucketChecksums[bucket(row.entry.key())] ^= row.fingerprint;
             }
         }
         return expired;
     }
 
-    /** Whether there is an entry of that key that is young enough to be sent. */
+    /** Whether the table has an entry of this key that is young enough to be sent. */
     boolean isShareable(EntryKey key) {
         Row row = rows.get(key);
-        return row != null && !row.unshared;
+        return row != null && !row.sharingEnded;
     }
 
-    /** Of each bucket the exclusive-or of the fingerprints of its shareable entries. */
+    /** Returns for each bucket the exclusive or of the fingerprints of its shareable entries. */
     long[] bucketChecksums() {
         return bucketChecksums.clone();
     }
 
-    /** The version held of that key, or null if there is none. */
+    /** Returns the version of the key's entry, or null if the table has no entry of this key. */
     EntryVersion version(EntryKey key) {
         Row row = rows.get(key);
         return row == null ? null : version(key, row);
@@ -178,18 +178,18 @@
         return new EntryVersion(key, row.entry.incarnation(), row.entry.sequence(), row.fingerprint);
     }
 
-    /** The versions of all shareable entries in some buckets, given as a bit mask. */
+    /** Returns the versions of all shareable entries in the buckets of the bit mask. */
     List<EntryVersion> versions(long bucketMask) {
         List<EntryVersion> versions = new ArrayList<>();
         rows.forEach((key, row) -> {
-            if (((bucketMask >>> bucket(key)) & 1) == 1 && !row.unshared) {
+            if (((bucketMask >>> bucket(key)) & 1) == 1 && !row.sharingEnded) {
                 versions.add(version(key, row));
             }
         });
         return versions;
     }
 
-    /** SHA-256 over all entries in hexadecimal: equal where two tables are. */
+    /** Returns the SHA-256 of all entries in hexadecimal; equal tables have equal digests. */
     String digest() {
         MessageDigest sha256 = StoredEntry.sha256();
         rows.values()
--- a/src/main/java/merlinlever/fleet/replication/Gossip.java
+++ b/src/main/java/merlinlever/fleet/replication/Gossip.java
@@ -17,33 +17,34 @@
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
- * Decides which messages go to whom. A new entry goes to some random replicas in two rounds, whole if it is small and as its version if
- * not, and each replica that takes it as new does the same (rumour mongering that ends by itself: Demers et al. 1987). What that misses is
- * repaired by comparing with one other replica each round (anti-entropy): first checksums of all buckets, then the versions in buckets
- * that differ, then whole entries (as Scuttlebutt: van Renesse et al. 2008; by buckets instead of one number per owner, as entries
- * arrive out of order here).
+ * Chooses the messages to other replicas. A new entry is pushed to a few random replicas in two rounds, and each
+ * replica that receives it for the first time pushes it as well (rumor mongering: Demers et al. 1987). A large entry is
+ * announced by its version instead of being sent whole. Missed entries are repaired by anti-entropy: each round
+ * compares the checksums of all buckets with one other replica, then the versions in the buckets that differ, and then
+ * sends whole entries. The comparison is similar to Scuttlebutt (van Renesse et al. 2008), but uses buckets instead of
+ * one version number per owner, as the entries of an owner may arrive out of order.
  */
 final class Gossip {
 
-    /** An entry up to that size is pushed whole, a larger one is announced and has to be requested. */
+    /** Larger entries are announced by their version and have to be requested. */
     private static final int MAX_PUSHED_ENTRY_BYTES = 1 << 10;
-    /** Rounds in which a new entry is pushed; the second makes up for most losses of the first. */
+    /** Number of rounds in which a new entry is pushed; the second round makes up for most losses of the first. */
     private static final int PUSH_ROUNDS = 2;
-    /** Reserved for the header of a message. */
+    /** Space reserved for the header of a message. */
     private static final int HEADER_BYTES = 64;
 
     private final EntryTable table;
     private final ReplicatedStore.ReplicationSettings settings;
     private final Supplier<List<String>> peers;
     private final SplittableRandom random;
-    /** Entries to be pushed, with the rounds that are left. */
+    /** Entries to push, with the number of remaining rounds. */
     private final LinkedHashMap<EntryKey, Integer> pushRoundsLeft = new LinkedHashMap<>();
-    /** Until when an answer is waited for, so that nothing is requested from two replicas at once. */
-    private final LinkedHashMap<EntryKey, Duration> requestedUntil = new LinkedHashMap<>();
+    /** Expiry of each request in progress, so that no entry is requested from two replicas at once. */
+    private final LinkedHashMap<EntryKey, Duration> requestExpiry = new LinkedHashMap<>();
 
     private Duration nextRound;
     private Duration budgetFilledAt;
-    /** Bytes that may be sent now (a token bucket that holds one second's worth). */
+    /** Number of bytes that may be sent now: a token bucket with a capacity of one second. */
     private long budgetBytes;
 
     /** @param peers the other replicas that are reachable now */
@@ -62,9 +63,9 @@
         budgetBytes = settings.bytesPerSecond();
     }
 
-    /** Has an entry that is new here pushed in the next rounds. */
+    /** Schedules a new entry to be pushed in the next rounds. */
     void push(EntryKey key) {
-        requestedUntil.remove(key);
+        requestExpiry.remove(key);
         pushRoundsLeft.put(key, PUSH_ROUNDS);
     }
 
@@ -80,11 +81,11 @@
         budgetBytes = Math.min(settings.bytesPerSecond(), budgetBytes + (long) added);
     }
 
-    /** The messages of a round: new entries to some replicas, and checksums to one. */
+    /** Returns the messages of a round: new entries for a few replicas, and checksums for one replica. */
     List<OutgoingMessage> startRound(Duration now) {
         nextRound = now.plus(settings.gossipInterval());
         fillBudget(now);
-        requestedUntil.values().removeIf(until -> now.compareTo(until) >= 0);
+        requestExpiry.values().removeIf(expiresAt -> now.compareTo(expiresAt) >= 0);
         List<OutgoingMessage> messages = new ArrayList<>();
         List<String> receivers = new ArrayList<>(peers.get());
         if (receivers.isEmpty()) {
@@ -98,7 +99,7 @@
         return messages;
     }
 
-    /** Puts a random selection at the beginning of the list (the first steps of a Fisher-Yates shuffle). */
+    /** Moves a random selection to the front of the list by a partial Fisher-Yates shuffle. */
     private void shufflePrefix(List<String> names, int length) {
         for (int i = 0; i < length; i++) {
             int chosen = i + random.nextInt(names.size() - i);
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Pushes or announces new entries, all to the same receivers; what exceeds the budget waits for the next round. */
+    /** Pushes or announces new entries to the receivers; entries that exceed the budget wait for the next round. */
     private void pushNewEntries(Duration now, List<String> receivers, List<OutgoingMessage> messages) {
         List<StoredEntry> pushed = new ArrayList<>();
         List<EntryVersion> announced = new ArrayList<>();
@@ -152,7 +153,7 @@
         return pack(versions, GossipCodec::versionBytes, batch -> GossipCodec.encodeVersions(0, batch));
     }
 
-    /** Encodes the items in as few messages as the limit of their size allows, in order. */
+    /** Encodes the items in order, filling each message up to the size limit. */
     private static <T> List<byte[]> pack(List<T> items, ToIntFunction<T> itemBytes, Function<List<T>, byte[]> encoder) {
         List<byte[]> bodies = new ArrayList<>();
         List<T> batch = new ArrayList<>();
@@ -172,7 +173,7 @@
         return bodies;
     }
 
-    /** The answers to a message other than a batch of entries. */
+    /** Returns the answers to a message other than a batch of entries. */
     List<OutgoingMessage> answer(Duration now, String sender, GossipMessage message) {
         fillBudget(now);
         List<OutgoingMessage> answers = new ArrayList<>();
@@ -186,7 +187,7 @@
         return answers;
     }
 
-    /** Sends the versions in the buckets that differ, as many as fit, from a random bucket on so that each gets its turn. */
+    /** Sends the versions in as many differing buckets as fit, starting at a random bucket so that none is starved. */
     private void answerChecksums(String sender, long[] received, List<OutgoingMessage> answers) {
         long differing = 0;
         long[] own = table.bucketChecksums();
@@ -230,24 +231,24 @@
         return byBucket;
     }
 
-    /** Requests what is newer at the sender, and sends what is newer here; in a conflict both. */
+    /** Requests the entries that are newer at the sender and sends those that are newer here; in a conflict, both. */
     private void reconcile(Duration now, String sender, GossipMessage.VersionList list, List<OutgoingMessage> answers) {
         List<EntryKey> requested = new ArrayList<>();
         List<EntryKey> sent = new ArrayList<>();
         Set<EntryKey> listed = new HashSet<>();
         int bytes = HEADER_BYTES;
-        for (EntryVersion theirs : list.versions()) {
-            EntryKey key = theirs.key();
+        for (EntryVersion remote : list.versions()) {
+            EntryKey key = remote.key();
             listed.add(key);
             EntryVersion own = table.version(key);
-            int comparison = own == null ? 1 : theirs.compareVersion(own);
-            boolean conflict = comparison == 0 && own.fingerprint() != theirs.fingerprint();
+            int comparison = own == null ? 1 : remote.compareVersion(own);
+            boolean conflict = comparison == 0 && own.fingerprint() != remote.fingerprint();
             int keyBytes = GossipCodec.keyBytes(key);
             boolean fits = bytes + keyBytes <= GossipCodec.MAX_MESSAGE_BYTES;
             if ((comparison > 0 || conflict) && fits && mayRequest(key)) {
                 bytes += keyBytes;
                 requested.add(key);
-                requestedUntil.put(key, now.plus(settings.gossipInterval()));
+                requestExpiry.put(key, now.plus(settings.gossipInterval()));
             }
             if (comparison < 0 || conflict) {
                 sent.add(key);
@@ -265,7 +266,7 @@
     }
 
     private boolean mayRequest(EntryKey key) {
-        return requestedUntil.size() < EntryTable.MAX_ENTRIES && !requestedUntil.containsKey(key);
+        return requestExpiry.size() < EntryTable.MAX_ENTRIES && !requestExpiry.containsKey(key);
     }
 
     private void sendEntries(Duration now, String receiver, List<EntryKey> keys, List<OutgoingMessage> messages) {
--- a/src/main/java/merlinlever/fleet/replication/GossipCodec.java
+++ b/src/main/java/merlinlever/fleet/replication/GossipCodec.java
@@ -19,13 +19,14 @@
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
- * The bytes of {@link GossipMessage}s: protocol version, kind, content. There is one encoding of each message; anything else is rejected
- * as a whole (another version, too long, out of bounds, trailing bytes).
+ * Encodes and decodes {@link GossipMessage}s: protocol version, kind, content. Each message has exactly one encoding. A
+ * message with another protocol version, an excessive length, a field out of range or trailing bytes is rejected as a
+ * whole.
  */
 final class GossipCodec {
 
     static final int MAX_MESSAGE_BYTES = 32 << 10;
-    /** Higher ages are encoded as this one. */
+    /** Greater ages are encoded as this age. */
     private static final Duration MAX_AGE = Duration.ofDays(1000);
 
     private static final long MAX_AGE_MS = MAX_AGE.toMillis();
@@ -35,9 +36,9 @@
     private static final int MAX_TOPIC_LENGTH = 40;
     private static final int DIGEST_BYTES = 32;
     private static final int MAX_VARINT_BYTES = 9;
-    /** Incarnation, sequence and age. */
+    /** Number of variable-length integers in an entry: incarnation, sequence and age. */
     private static final int VARINTS_PER_ENTRY = 3;
-    /** Bits of the number in each byte of a variable-length one; the highest bit says that more follow. */
+    /** Payload bits in each byte of a variable-length integer; the highest bit is set if another byte follows. */
     private static final int VARINT_BITS = 7;
 
     private static final int VARINT_MASK = (1 << VARINT_BITS) - 1;
@@ -61,7 +62,7 @@
                 && text.chars().allMatch(character -> character > ' ' && character <= '~');
     }
 
-    /** Whether owner and topic are of valid length and characters. */
+    /** Whether owner and topic have a valid length and only valid characters. */
     static boolean isValidKey(String owner, String topic) {
         return isPrintable(owner, MAX_OWNER_LENGTH) && isPrintable(topic, MAX_TOPIC_LENGTH);
     }
@@ -72,7 +73,7 @@
         return ByteBuffer.allocate(capacity).put(PROTOCOL_VERSION).put(kind);
     }
 
-    private static byte[] written(ByteBuffer out) {
+    private static byte[] writtenBytes(ByteBuffer out) {
         return Arrays.copyOf(out.array(), out.position());
     }
 
@@ -84,7 +85,7 @@
         return out.array();
     }
 
-    /** An upper bound of the bytes of a version within a message. */
+    /** Returns an upper bound of the encoded size of a version. */
     static int versionBytes(EntryVersion version) {
         return keyBytes(version.key()) + 2 * MAX_VARINT_BYTES + Long.BYTES;
     }
@@ -98,15 +99,15 @@
             putVarint(out, version.sequence());
             out.putLong(version.fingerprint());
         }
-        return written(out);
+        return writtenBytes(out);
     }
 
-    /** The bytes of a key within a message. */
+    /** Returns the encoded size of a key. */
     static int keyBytes(EntryKey key) {
         return key.owner().length() + key.topic().length() + 2;
     }
 
-    /** An upper bound of the bytes of an entry within a message. */
+    /** Returns an upper bound of the encoded size of an entry. */
     static int entryBytes(StoredEntry entry) {
         int contentBytes = 0;
         if (entry.isConflicted()) {
@@ -133,13 +134,13 @@
                 out.put(VALUE).putShort((short) entry.value().length).put(entry.value());
             }
         }
-        return written(out);
+        return writtenBytes(out);
     }
 
     static byte[] encodeRequest(List<EntryKey> keys) {
         ByteBuffer out = header(MAX_MESSAGE_BYTES, REQUEST).putShort((short) keys.size());
         keys.forEach(key -> putKey(out, key));
-        return written(out);
+        return writtenBytes(out);
     }
 
     private static void putKey(ByteBuffer out, EntryKey key) {
@@ -152,7 +153,7 @@
         out.put((byte) bytes.length).put(bytes);
     }
 
-    /** Seven bits a byte, the lowest first; the highest bit says that more follow. */
+    /** Writes seven bits per byte, lowest first; the highest bit is set if another byte follows. */
     private static void putVarint(ByteBuffer out, long number) {
         long rest = number;
         while (rest > VARINT_MASK) {
@@ -164,7 +165,7 @@
 
     // ---- decoding
 
-    /** The message, or nothing if the bytes are not exactly what this class encodes. */
+    /** Returns the message, or empty if the bytes are not a valid encoding. */
     static Optional<GossipMessage> decode(byte[] body) {
         if (body.length > MAX_MESSAGE_BYTES) {
             return Optional.empty();
@@ -180,7 +181,7 @@
                         case VERSIONS -> decodeVersions(in);
                         case ENTRIES -> decodeEntries(in);
                         case REQUEST -> decodeRequest(in);
-                        default -> throw new IllegalArgumentException("kind");
+                        default -> throw new IllegalArgumentException("unknown message kind");
                     };
             return in.hasRemaining() ? Optional.empty() : Optional.of(message);
         } catch (BufferUnderflowException | BufferOverflowException | IllegalArgumentException e) {
@@ -222,7 +223,7 @@
         long sequence = getVersionNumber(in);
         long ageMs = getVarint(in);
         if (ageMs > MAX_AGE_MS) {
-            throw new IllegalArgumentException("age");
+            throw new IllegalArgumentException("age of entry out of range");
         }
         byte[] value = null;
         List<String> digests;
@@ -235,10 +236,10 @@
             case CONFLICT -> {
                 digests = List.of(getDigest(in), getDigest(in));
                 if (digests.get(0).compareTo(digests.get(1)) >= 0) {
-                    throw new IllegalArgumentException("order of digests");
+                    throw new IllegalArgumentException("digests of conflict not in ascending order");
                 }
             }
-            default -> throw new IllegalArgumentException("form of entry");
+            default -> throw new IllegalArgumentException("unknown entry type");
         }
         return new AgedEntry(new StoredEntry(key, incarnation, sequence, value, digests, Duration.ZERO), ageMs);
     }
@@ -255,7 +256,7 @@
     private static byte[] getValue(ByteBuffer in) {
         byte[] value = new byte[Short.toUnsignedInt(in.getShort())];
         if (value.length > VersionedEntry.MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("length of value");
+            throw new IllegalArgumentException("value too long");
         }
         in.get(value);
         return value;
@@ -270,7 +271,7 @@
     private static EntryKey getKey(ByteBuffer in) {
         EntryKey key = new EntryKey(getText(in), getText(in));
         if (!isValidKey(key.owner(), key.topic())) {
-            throw new IllegalArgumentException("key");
+            throw new IllegalArgumentException("invalid owner or topic");
         }
         return key;
     }
@@ -281,11 +282,11 @@
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** Versions count up by one at a time, so nobody can have reached a number over the bound. */
+    /** Rejects numbers that no owner can have reached, as versions grow by one at a time. */
     private static long getVersionNumber(ByteBuffer in) {
         long number = getVarint(in);
         if (number > ReplicatedStore.MAX_VERSION) {
-            throw new IllegalArgumentException("version");
+            throw new IllegalArgumentException("version number out of range");
         }
         return number;
     }
@@ -297,12 +298,12 @@
             number |= (long) (next & VARINT_MASK) << shift;
             if (next >= 0) {
                 if (next == 0 && shift > 0) {
-                    // Not the shortest form.
+                    // A trailing zero byte means that the encoding is not the shortest.
                     break;
                 }
                 return number;
             }
         }
-        throw new IllegalArgumentException("number");
+        throw new IllegalArgumentException("invalid variable-length integer");
     }
 }
--- a/src/main/java/merlinlever/fleet/replication/GossipMessage.java
+++ b/src/main/java/merlinlever/fleet/replication/GossipMessage.java
@@ -4,30 +4,32 @@
 import merlinlever.fleet.replication.EntryTable.EntryVersion;
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
-/** What replicas send each other; {@link GossipCodec} has the bytes. */
+/** A message between replicas, encoded by {@link GossipCodec}. */
 sealed interface GossipMessage {
 
-    /** Starts a comparison: the receiver answers with its versions in the buckets that differ. */
+    /** Starts a comparison; the receiver answers with its versions in the buckets that differ. */
     record BucketChecksums(long[] checksums) implements GossipMessage {}
 
     /**
-     * Versions that the sender holds. The receiver requests what is newer there and sends what is newer here.
+     * Versions of the sender's entries. The receiver requests the entries that are newer at the sender, and sends the
+     * entries that are newer at the receiver.
      *
-     * @param completeBuckets bit mask of the buckets of which these are all versions; 0 if new entries are only announced
+     * @param completeBuckets bit mask of the buckets whose versions are all listed; 0 in an announcement of new entries
      */
     record VersionList(long completeBuckets, List<EntryVersion> versions) implements GossipMessage {}
 
-    /** Whole entries. */
+    /** Entries with their values. */
     record EntryBatch(List<AgedEntry> entries) implements GossipMessage {}
 
-    /** Requests whole entries. */
+    /** Requests entries with their values. */
     record EntryRequest(List<EntryKey> keys) implements GossipMessage {}
 
     /**
-     * An entry under way. As clocks of two processes have no common origin, it travels with its age.
+     * An entry in a message. The entry is sent with its age instead of a time, as the steady clocks of two processes
+     * have different origins.
      *
-     * @param entry with a publication time of 0
-     * @param ageMs how long before the receipt it was published, at least
+     * @param entry the entry, with a publication time of 0
+     * @param ageMs minimum time between publication and receipt, in ms
      */
     record AgedEntry(StoredEntry entry, long ageMs) {}
 }
--- a/src/main/java/merlinlever/fleet/replication/MessageFormatter.java
+++ b/src/main/java/merlinlever/fleet/replication/MessageFormatter.java
@@ -5,10 +5,10 @@
 import java.util.stream.Collectors;
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
-/** Describes gossip messages for logs and timelines. */
+/** Formats gossip messages for logs and timelines. */
 public final class MessageFormatter {
 
-    /** The kinds of gossip messages. */
+    /** Kind of a gossip message. */
     public enum MessageKind {
         CHECKSUMS,
         VERSIONS,
@@ -18,9 +18,9 @@
     }
 
     /**
-     * A message as a timeline shows it.
+     * A message in the format of a timeline.
      *
-     * @param text a short description; values are shown as text and cut off
+     * @param text a short description; values are shown as text and truncated
      */
     public record FormattedMessage(MessageKind kind, String text) {}
 
@@ -28,7 +28,7 @@
 
     private MessageFormatter() {}
 
-    /** Describes the message that the bytes encode. */
+    /** Formats an encoded message. */
     public static FormattedMessage format(byte[] body) {
         Optional<GossipMessage> decoded = GossipCodec.decode(body);
         if (decoded.isEmpty()) {
--- a/src/main/java/merlinlever/fleet/replication/OwnEntries.java
+++ b/src/main/java/merlinlever/fleet/replication/OwnEntries.java
@@ -6,22 +6,22 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** What this backend wrote or removed since its process started, and the versions for it. */
+/** The entries that this backend wrote or removed since its process started, and the allocation of their versions. */
 final class OwnEntries {
 
-    /** The topics of one owner; all are written to the disk together. */
+    /** Maximum number of topics of one owner; all of them are written to disk together. */
     static final int MAX_TOPICS = 64;
-    /** The values of one owner in total. */
+    /** Maximum total size of the values of one owner. */
     static final int MAX_TOTAL_BYTES = 256 << 10;
 
     private final String self;
     private final TreeMap<String, StoredEntry> byTopic = new TreeMap<>();
-    /** Of those, what is not published yet. */
+    /** Own entries that are not published yet. */
     private final TreeMap<String, StoredEntry> unpublished = new TreeMap<>();
 
     private long incarnation;
     private long sequence;
-    /** The highest incarnation under which others hold entries that this process did not write, or -1. */
+    /** Highest incarnation of this backend's entries that another process wrote and other backends hold, or -1. */
     private long foreignIncarnation = -1;
 
     OwnEntries(String self, long incarnation) {
@@ -45,7 +45,7 @@
         return byTopic.containsKey(topic);
     }
 
-    /** A copy of all entries, sorted by topic. */
+    /** Returns a copy of all entries, sorted by topic. */
     List<StoredEntry> all() {
         return List.copyOf(byTopic.values());
     }
@@ -60,7 +60,7 @@
         return (byTopic.containsKey(topic) || byTopic.size() < MAX_TOPICS) && bytes <= MAX_TOTAL_BYTES;
     }
 
-    /** An entry of the next version, which is not used up before {@link #add}. */
+    /** Returns an entry under the next version. The version is allocated by {@link #add} only. */
     StoredEntry nextVersion(Duration now, String topic, byte[] value) {
         return StoredEntry.of(new VersionedEntry(self, topic, incarnation, sequence + 1, value), now);
     }
@@ -71,7 +71,7 @@
         unpublished.put(entry.key().topic(), entry);
     }
 
-    /** What waits to be published, for the caller to remove from. */
+    /** Returns the entries that wait to be published; the caller removes them after publishing. */
     Collection<StoredEntry> unpublished() {
         return unpublished.values();
     }
@@ -81,7 +81,10 @@
                 .removeIf(entry -> entry.value() == null && entry.age(now).compareTo(policy.lifetime(entry)) >= 0);
     }
 
-    /** Another backend holds an entry of this one that is newer: of a process before whose disk is lost, or of a duplicate. */
+    /**
+     * Records an entry of this backend that another backend holds. A version newer than this process has written comes
+     * from an earlier process whose disk was lost, or from a second process under the same name.
+     */
     void observeForeign(StoredEntry entry) {
         StoredEntry own = byTopic.get(entry.key().topic());
         if (entry.incarnation() > incarnation
@@ -91,7 +94,9 @@
         }
     }
 
-    /** Goes above the versions observed by {@link #observeForeign}; false if there were none since the last call. */
+    /**
+     * Raises the incarnation above the newer versions seen by {@link #observeForeign}; false if none was seen since.
+     */
     boolean raiseIncarnationIfOvertaken() {
         if (foreignIncarnation < 0) {
             return false;
--- a/src/main/java/merlinlever/fleet/replication/PauseDetector.java
+++ b/src/main/java/merlinlever/fleet/replication/PauseDetector.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * Notices that this process was paused, as it was not called for longer than messages normally take. What is read right after a pause may
- * have waited in this process's own buffers for as long as the pause lasted.
+ * Detects pauses of this process by long gaps between calls. A message that is read right after a pause may have waited
+ * in this process's receive buffers for as long as the pause lasted.
  */
 final class PauseDetector {
 
-    /** Calls further apart than this count as a pause. */
+    /** Gaps between calls that are longer than this time count as a pause. */
     private static final Duration MIN_PAUSE = Duration.ofSeconds(2);
-    /** What is read for so long after a pause may have been buffered during it. */
+    /** Time after a pause in which messages that arrived during the pause may still be read from the buffers. */
     private static final Duration BACKLOG_PERIOD = Duration.ofSeconds(1);
 
     private Duration lastCall;
@@ -21,7 +21,7 @@
         lastCall = now;
     }
 
-    /** Is called on every activity; returns how long this process was paused before it, or zero. */
+    /** Is called on every activity; returns the duration of the pause that ended with this call, or zero. */
     Duration activity(Duration now) {
         Duration gap = now.minus(lastCall);
         lastCall = now;
@@ -33,7 +33,7 @@
         return gap;
     }
 
-    /** How long a message that is read now may have waited in this process's buffers. */
+    /** Returns the maximum time that a message read now may have waited in this process's buffers. */
     Duration possibleBufferingDelay(Duration now) {
         return now.compareTo(backlogUntil) < 0 ? backlogDelay : Duration.ZERO;
     }
--- a/src/test/java/merlinlever/fleet/replication/EntryTableTest.java
+++ b/src/test/java/merlinlever/fleet/replication/EntryTableTest.java
@@ -21,21 +21,20 @@
         return table;
     }
 
-    private static void assertSame(EntryTable expected, EntryTable actual) {
+    private static void assertTablesEqual(EntryTable expected, EntryTable actual) {
         assertEquals(expected.digest(), actual.digest());
         assertArrayEquals(expected.bucketChecksums(), actual.bucketChecksums());
         assertEquals(expected.sizeBytes(), actual.sizeBytes());
         for (StoredEntry entry : expected.entries()) {
-            StoredEntry other = actual.get(entry.key());
-            assertEquals(entry.digests(), other.digests());
-            assertArrayEquals(entry.value(), other.value());
+            StoredEntry actualEntry = actual.get(entry.key());
+            assertEquals(entry.digests(), actualEntry.digests());
+            assertArrayEquals(entry.value(), actualEntry.value());
             assertEquals(entry.isConflicted(), entry.digests().size() == 2);
         }
     }
 
     @Property(tries = 2000, seed = "31")
-    void mergingIsAssociativeCommutativeAndIdempotent(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int count) {
+    void mergeIsAssociativeCommutativeAndIdempotent(@ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int count) {
         SplittableRandom random = new SplittableRandom(seed);
         List<StoredEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -45,31 +44,34 @@
         List<StoredEntry> repeated = new ArrayList<>(entries);
         repeated.addAll(entries.subList(0, random.nextInt(count + 1)));
         Collections.shuffle(repeated, new Random(seed));
-        assertSame(table, tableOf(repeated));
-        // Two parts, each merged on its own, then one into the other.
-        int cut = random.nextInt(count + 1);
-        EntryTable merged = tableOf(entries.subList(0, cut));
-        tableOf(entries.subList(cut, count)).entries().forEach(merged::merge);
-        assertSame(table, merged);
+        assertTablesEqual(table, tableOf(repeated));
+        // Two tables with a part of the entries each; then the second table is merged into the first.
+        int splitIndex = random.nextInt(count + 1);
+        EntryTable merged = tableOf(entries.subList(0, splitIndex));
+        tableOf(entries.subList(splitIndex, count)).entries().forEach(merged::merge);
+        assertTablesEqual(table, merged);
         table.entries().forEach(merged::merge);
-        assertSame(table, merged);
+        assertTablesEqual(table, merged);
         assertHoldsHighestVersions(table, entries);
     }
 
-    /** Of each key the highest version is held, in conflict exactly if it was published with two values. */
+    /**
+     * Checks that the table holds the highest version of each key, in conflict exactly if that version has different
+     * values.
+     */
     private static void assertHoldsHighestVersions(EntryTable table, List<StoredEntry> entries) {
-        for (StoredEntry held : table.entries()) {
+        for (StoredEntry stored : table.entries()) {
             List<StoredEntry> highest = entries.stream()
-                    .filter(entry -> entry.key().equals(held.key()) && !held.isNewerThan(entry))
+                    .filter(entry -> entry.key().equals(stored.key()) && !stored.isNewerThan(entry))
                     .toList();
-            assertTrue(highest.stream().noneMatch(entry -> entry.isNewerThan(held)));
+            assertTrue(highest.stream().noneMatch(entry -> entry.isNewerThan(stored)));
             assertEquals(
                     highest.stream()
                                     .map(entry -> entry.digests().get(0))
                                     .distinct()
                                     .count()
                             > 1,
-                    held.isConflicted());
+                    stored.isConflicted());
         }
     }
 }
--- a/src/test/java/merlinlever/fleet/replication/GossipBudgetTest.java
+++ b/src/test/java/merlinlever/fleet/replication/GossipBudgetTest.java
@@ -13,7 +13,7 @@
     private static final int TICKS_PER_SECOND = 50;
 
     @Test
-    void neitherMessagesNorSecondsExceedTheirByteLimits() {
+    void messageSizeAndBytesPerSecondAreLimited() {
         ReplicatedStore store =
                 ReplicationFixture.replica("b0", ReplicationFixture.notPersistent(BYTES_PER_SECOND), "b1", "b2", "b3");
         for (int i = 0; i < 400; i++) {
@@ -30,12 +30,15 @@
                 }
             }
             long limit = (second == 0 ? 2 : 1) * (long) BYTES_PER_SECOND + 40_000;
-            assertTrue(bytes <= limit, second + ": " + bytes);
-            assertTrue(second > 0 || bytes > 50_000, "and the limit is used: " + bytes);
+            assertTrue(bytes <= limit, "byte limit exceeded in second " + second + ": " + bytes);
+            assertTrue(second > 0 || bytes > 50_000, "too few bytes sent in the first second: " + bytes);
         }
     }
 
-    /** What the store sends in a tick, and to a peer that holds nothing and requests all the time. */
+    /**
+     * Returns the messages of a tick, and the answers to a peer with an empty table that requests entries on every
+     * tick.
+     */
     private static List<OutgoingMessage> messagesWithGreedyPeer(ReplicatedStore store, Duration now) {
         List<OutgoingMessage> messages = new ArrayList<>(store.tick(now));
         byte[] emptyTable = GossipCodec.encodeChecksums(new long[EntryTable.BUCKET_COUNT]);
--- a/src/test/java/merlinlever/fleet/replication/GossipCodecTest.java
+++ b/src/test/java/merlinlever/fleet/replication/GossipCodecTest.java
@@ -14,21 +14,23 @@
 class GossipCodecTest {
 
     @Property(tries = 20_000, seed = "33")
-    void decodingIsTheExactInverseOfEncodingAndRejectsEverythingElse(@ForAll long seed) {
+    void onlyValidEncodingsAreDecoded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] message = randomMessage(random);
         assertArrayEquals(
-                message, encode(GossipCodec.decode(message).orElseThrow()), "a message decodes to what was encoded");
+                message,
+                encode(GossipCodec.decode(message).orElseThrow()),
+                "a decoded message encodes to the same bytes");
         byte[] corrupted = corrupted(random, message);
         ReplicatedStore store = ReplicationFixture.singleReplica("b0", "b1");
-        String before = store.digest();
+        String digestBefore = store.digest();
         Optional<GossipMessage> decoded = GossipCodec.decode(corrupted);
         store.receive(Duration.ofMillis(20), "b1", corrupted);
         if (decoded.isEmpty()) {
-            assertEquals(before, store.digest(), "nothing is taken of what cannot be decoded whole");
+            assertEquals(digestBefore, store.digest(), "a malformed message must not change the store");
             assertTrue(store.statusJson().contains("\"malformed\":1"));
         } else {
-            // There is one encoding of what was decoded, so nothing was skipped.
+            // Each message has one encoding, so the decoder skipped no bytes.
             assertArrayEquals(corrupted, encode(decoded.get()));
         }
     }
@@ -74,7 +76,7 @@
                 now,
                 ((GossipMessage.EntryBatch) message)
                         .entries().stream()
-                                .map(aged -> aged.entry().withPublishedAt(now.minusMillis(aged.ageMs())))
+                                .map(agedEntry -> agedEntry.entry().withPublishedAt(now.minusMillis(agedEntry.ageMs())))
                                 .toList());
     }
 }
