--- a/src/main/java/merlinlever/fleet/replication/OwnEntries.java
+++ b/src/main/java/merlinlever/fleet/replication/OwnEntries.java
@@ -71,7 +71,7 @@
         unpublished.put(entry.key().topic(), entry);
     }
 
-    /** Returns the entries that wait to be published; the caller removes them after publishing. */
+    /** Returns a modifiable view of the entries that wait to be published; an entry is removed once it is published. */
     Collection<StoredEntry> unpublished() {
         return unpublished.values();
     }
@@ -95,7 +95,8 @@
     }
 
     /**
-     * Raises the incarnation above the newer versions seen by {@link #observeForeign}; false if none was seen since.
+     * Raises the incarnation above the newer versions seen by {@link #observeForeign}; false if none was seen since
+     * the last call.
      */
     boolean raiseIncarnationIfOvertaken() {
         if (foreignIncarnation < 0) {
--- a/src/main/java/merlinlever/fleet/replication/PaxosAcceptor.java
+++ b/src/main/java/merlinlever/fleet/replication/PaxosAcceptor.java
@@ -12,18 +12,20 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a voter has promised and accepted, and which registers it knows to be written: the acceptor of single-decree Paxos (Lamport 1998,
- * 2001), one decree for each register and one promise for all of them. An answer based on this state may leave only once
- * {@link #encode} is on the disk.
+ * The acceptor of single-decree Paxos (Lamport 1998, 2001): the promised term, and for each register the accepted or
+ * chosen value. Each register is one decree; one promise covers all registers. An answer based on this state may be
+ * sent only after the encoded state is on disk.
  */
 final class PaxosAcceptor {
 
-    /** Registers are never dropped, as a forgotten one could be written a second time. */
+    /**
+     * Maximum number of registers. Registers are never removed, as a removed register could be written a second time.
+     */
     static final int MAX_REGISTERS = 256;
 
     static final int MAX_VALUE_BYTES = 1 << 10;
 
-    /** "MLD1": the first bytes of the file after its checksum. */
+    /** "MLD1": magic number after the checksum of the file. */
     private static final int FILE_FORMAT = 0x4d4c4431;
 
     private static final int HEADER_BYTES = 24;
@@ -35,12 +37,12 @@
         return promisedTerm;
     }
 
-    /** The register's state, if anything was accepted for it. */
+    /** Returns the register's state, if a value was accepted or chosen. */
     Optional<RegisterState> get(String name) {
         return Optional.ofNullable(registers.get(name));
     }
 
-    /** All registers, sorted by name. */
+    /** Returns all registers, sorted by name. */
     Collection<RegisterState> registers() {
         return registers.values();
     }
@@ -49,7 +51,7 @@
         return registers.containsKey(name) || registers.size() < MAX_REGISTERS;
     }
 
-    /** Promises to accept nothing of lower terms; false if a higher term was promised. */
+    /** Promises to accept no values of lower terms; false if a higher term was promised. */
     boolean promise(long term) {
         if (term < promisedTerm) {
             return false;
@@ -58,47 +60,56 @@
         return true;
     }
 
-    /** Accepts a value; false if a higher term was promised, the table is full, or the register is bound to another value. */
+    /**
+     * Accepts a value; false if a higher term was promised, there are too many registers, or another value is chosen or
+     * accepted under this term.
+     */
     boolean accept(long term, String name, byte[] value) {
-        RegisterState known = registers.get(name);
-        boolean bound = known != null && (known.chosen() || known.acceptedTerm() == term);
-        if (term < promisedTerm || !hasRoomFor(name) || (bound && !Arrays.equals(known.value(), value))) {
+        RegisterState existing = registers.get(name);
+        boolean valueFixed = existing != null && (existing.chosen() || existing.acceptedTerm() == term);
+        if (term < promisedTerm || !hasRoomFor(name) || (valueFixed && !Arrays.equals(existing.value(), value))) {
             return false;
         }
         promisedTerm = term;
-        if (!bound) {
+        if (!valueFixed) {
             registers.put(name, new RegisterState(name, term, value, false));
         }
         return true;
     }
 
-    /** Records the value of a written register; false if another one is known to be written, which stays. */
+    /** Records the chosen value of a register; false if another value is already recorded as chosen, which is kept. */
     boolean markChosen(String name, byte[] value) {
-        RegisterState known = registers.get(name);
-        if (known != null && known.chosen()) {
-            return Arrays.equals(known.value(), value);
+        RegisterState existing = registers.get(name);
+        if (existing != null && existing.chosen()) {
+            return Arrays.equals(existing.value(), value);
         }
         if (hasRoomFor(name)) {
-            registers.put(name, new RegisterState(name, known == null ? 0 : known.acceptedTerm(), value, true));
+            registers.put(name, new RegisterState(name, existing == null ? 0 : existing.acceptedTerm(), value, true));
         }
         return true;
     }
 
-    /** Takes over what another voter holds, after the own state was lost: the latest of each, and the highest promise. */
+    /**
+     * Merges the state of another voter after this voter's state was lost: the higher promise, and for each register
+     * the chosen value or the value accepted under the higher term.
+     */
     void mergePeerState(long peerPromisedTerm, Collection<RegisterState> peerRegisters) {
         promisedTerm = Math.max(promisedTerm, peerPromisedTerm);
         for (RegisterState state : peerRegisters) {
-            RegisterState known = registers.get(state.name());
+            RegisterState existing = registers.get(state.name());
             if (state.chosen()) {
                 markChosen(state.name(), state.value());
             } else if (hasRoomFor(state.name())
-                    && (known == null || (!known.chosen() && state.acceptedTerm() > known.acceptedTerm()))) {
+                    && (existing == null || (!existing.chosen() && state.acceptedTerm() > existing.acceptedTerm()))) {
                 registers.put(state.name(), state);
             }
         }
     }
 
-    /** The value that a leader may propose: of those that voters reported the one of the highest term, or else its own. */
+    /**
+     * Returns the value that a leader may propose: the reported value of the highest term, or its own if none was
+     * reported.
+     */
     static byte[] safeValue(Collection<RegisterState> reported, byte[] ownValue) {
         RegisterState highest = null;
         for (RegisterState state : reported) {
@@ -109,7 +120,7 @@
         return highest == null ? ownValue : highest.value();
     }
 
-    /** A hash over all written registers: equal where two voters know the same of them. */
+    /** Returns a hash of all chosen values; nodes with the same chosen values have equal fingerprints. */
     long chosenFingerprint() {
         long fingerprint = 0;
         for (RegisterState state : registers.values()) {
@@ -123,7 +134,7 @@
         return fingerprint;
     }
 
-    /** The registers whose names follow {@code after}, as many as fit into so many bytes. */
+    /** Returns the registers whose names follow {@code after}, up to a total of {@code maxBytes}. */
     List<RegisterState> page(String after, int maxBytes) {
         List<RegisterState> page = new ArrayList<>();
         int bytes = 0;
@@ -137,9 +148,9 @@
         return page;
     }
 
-    // ---- the file
+    // ---- state file
 
-    /** The content of the state file: CRC-32C of the rest, format, promise, registers. */
+    /** Encodes the content of the state file: CRC-32C of the remaining bytes, format, promised term, registers. */
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES
                 + registers.values().stream()
@@ -158,7 +169,7 @@
         return (int) crc.getValue();
     }
 
-    /** The state in a file, or nothing if it is corrupt. */
+    /** Decodes the content of a state file; empty if the file is corrupt. */
     static Optional<PaxosAcceptor> decode(byte[] bytes) {
         if (bytes.length < Integer.BYTES) {
             return Optional.empty();
--- a/src/main/java/merlinlever/fleet/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/fleet/replication/PaxosNode.java
@@ -16,17 +16,20 @@
 import merlinlever.fleet.view.GuardedAction;
 
 /**
- * One backend's part in the {@link WriteOnceRegisters}: voter, leader and learner of single-decree Paxos, with the leader's term as the
- * ballot. The leader asks a majority of the voters what they have accepted, and proposes the value of the highest term reported, or its
- * own; the register is written once a majority has accepted that under one term. A voter answers only when what it promised or accepted is
- * on its disk ({@link #pendingWrite}). Whatever is written is announced to all, and compared in the background. Event loop only.
+ * One backend's part in the {@link WriteOnceRegisters}: acceptor (if the backend is a voter), proposer (while the
+ * backend is leader) and learner of single-decree Paxos, with the leader's term as the ballot. The leader collects the
+ * accepted values of a majority of the voters and proposes the value of the highest term, or its own value if none was
+ * reported. The value is chosen, and the register written, once a majority has accepted the value under one term. A
+ * voter answers only after its promise or acceptance is on its disk ({@link #pendingWrite}). Chosen values are
+ * announced to all backends, and missed values are repaired by comparing fingerprints in the background. Must be used
+ * on the event loop only.
  */
 public final class PaxosNode implements WriteOnceRegisters {
 
-    /** How often one other backend is compared with. */
+    /** Interval between comparisons of chosen values with one other backend. */
     private static final Duration COMPARISON_INTERVAL = Duration.ofMillis(500);
 
-    /** State to be written to the disk; {@code version} is for {@link #writeCompleted}. */
+    /** State to write to disk; {@code version} has to be passed to {@link #writeCompleted}. */
     public record PendingWrite(long version, byte[] bytes) {}
 
     private final String self;
@@ -38,7 +41,7 @@
     private final PaxosAcceptor acceptor;
     private final VoterRecovery recovery;
     private final DurabilityGate gate = new DurabilityGate();
-    /** By the names of their registers. */
+    /** Proposals in progress, by register name. */
     private final Map<String, Proposal> proposals = new TreeMap<>();
 
     private Duration nextComparison;
@@ -48,7 +51,7 @@
     /**
      * Creates a node.
      *
-     * @param state the bytes that were written last, if there are any; corrupt ones count as lost
+     * @param state the last written state, if there is any; a corrupt state counts as lost
      * @param peers the other backends that are reachable now
      * @param log receives a line for each event that an operator may need
      */
@@ -90,7 +93,8 @@
     @Override
     public void propose(Duration now, String name, byte[] value) {
         if (!RegisterState.isValidName(name) || value.length > PaxosAcceptor.MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("register " + name + " of " + value.length + " bytes");
+            throw new IllegalArgumentException(
+                    "invalid name or value of register " + name + ": " + value.length + " bytes");
         }
         if (mayDecide(now)
                 && chosen(name).isEmpty()
@@ -106,11 +110,11 @@
                 .clone());
     }
 
-    // ---- the disk
+    // ---- disk
 
     /**
-     * What has to be written now. Nothing if all of it is on the disk, a write is in progress, or this voter has lost its state and not yet
-     * been told by the others.
+     * Returns the state to write now. Empty if the current state is on disk, a write is in progress, or this voter lost
+     * its state and has not yet recovered from the other voters.
      */
     public Optional<PendingWrite> pendingWrite() {
         if (isVoter(self) && !recovery.isVoting()) {
@@ -121,34 +125,34 @@
                 .findFirst();
     }
 
-    /** That version is on the disk; returns the messages that waited for it. */
+    /** Records that the version is on disk; returns the messages that were held back until then. */
     public List<OutgoingMessage> writeCompleted(Duration now, long version) {
         gate.writeCompleted(version);
-        return deliverOwn(now, gate.release());
+        return deliverToSelf(now, gate.release());
     }
 
-    /** The write failed; {@link #pendingWrite} returns it again. */
+    /** Records that the write failed; {@link #pendingWrite} returns the state again. */
     public void writeFailed() {
         gate.writeFailed();
     }
 
     // ---- time
 
-    /** Is called every few ten milliseconds; returns the messages that are due. */
+    /** Has to be called every few tens of milliseconds; returns the messages that are due. */
     public List<OutgoingMessage> tick(Duration now) {
         List<OutgoingMessage> messages = new ArrayList<>();
         if (mayDecide(now)) {
             finishAcceptedRegisters();
             proposals.values().forEach(proposal -> messages.addAll(tickProposal(now, proposal)));
         } else {
-            // The next leader finishes what was begun.
+            // The next leader completes the proposals in progress.
             proposals.clear();
         }
         if (now.compareTo(nextComparison) >= 0) {
             nextComparison = now.plus(COMPARISON_INTERVAL);
-            compare(now, messages);
+            addComparisonMessages(now, messages);
         }
-        return deliverOwn(now, messages);
+        return deliverToSelf(now, messages);
     }
 
     private void finishAcceptedRegisters() {
@@ -163,7 +167,7 @@
         return proposal.tick(now, leadership.term(), leadership.voters());
     }
 
-    private void compare(Duration now, List<OutgoingMessage> messages) {
+    private void addComparisonMessages(Duration now, List<OutgoingMessage> messages) {
         List<String> receivers = peers.get();
         if (!receivers.isEmpty()) {
             String receiver = receivers.get(random.nextInt(receivers.size()));
@@ -180,8 +184,8 @@
         return new OutgoingMessage(receiver, message.encode());
     }
 
-    /** Handles messages to this backend itself at once; returns the others. */
-    private List<OutgoingMessage> deliverOwn(Duration now, List<OutgoingMessage> messages) {
+    /** Handles messages to this backend at once; returns the messages to other backends. */
+    private List<OutgoingMessage> deliverToSelf(Duration now, List<OutgoingMessage> messages) {
         List<OutgoingMessage> remaining = new ArrayList<>();
         for (OutgoingMessage message : messages) {
             if (message.receiver().equals(self)) {
@@ -195,7 +199,7 @@
 
     // ---- messages
 
-    /** Handles a message from another backend; returns the answers that may leave now. */
+    /** Handles a message from another backend; returns the messages that may be sent now. */
     public List<OutgoingMessage> receive(Duration now, String sender, byte[] body) {
         Optional<RegisterMessage> decoded = RegisterMessage.decode(body).filter(RegisterMessage::isComplete);
         if (decoded.isEmpty()) {
@@ -218,56 +222,59 @@
                             : List.of(outgoing(sender, RegisterMessage.pageRequest(now.toMillis(), "")));
                     case PAGE_REQUEST -> answerPageRequest(sender, message);
                     case PAGE -> handlePage(sender, message);
-                        // The leader sees in the election that it was deposed.
+                        // The leader learns from the election that it lost its leadership.
                     case REJECTED -> List.of();
                 };
-        return deliverOwn(now, answers);
+        return deliverToSelf(now, answers);
     }
 
-    private List<OutgoingMessage> answerPrepare(String sender, RegisterMessage question) {
+    private List<OutgoingMessage> answerPrepare(String sender, RegisterMessage request) {
         if (!isVoter(self) || !recovery.isVoting()) {
             return List.of();
         }
         long promisedBefore = acceptor.promisedTerm();
-        if (!acceptor.promise(question.term())) {
-            return List.of(outgoing(sender, RegisterMessage.rejected(promisedBefore, question.register())));
+        if (!acceptor.promise(request.term())) {
+            return List.of(outgoing(sender, RegisterMessage.rejected(promisedBefore, request.register())));
         }
         if (acceptor.promisedTerm() != promisedBefore) {
             gate.stateChanged();
         }
-        gate.defer(sender, RegisterMessage.promise(question, acceptor.get(question.register())));
+        gate.defer(sender, RegisterMessage.promise(request, acceptor.get(request.register())));
         return gate.release();
     }
 
-    private List<OutgoingMessage> answerAccept(String sender, RegisterMessage question) {
+    private List<OutgoingMessage> answerAccept(String sender, RegisterMessage request) {
         if (!isVoter(self) || !recovery.isVoting()) {
             return List.of();
         }
-        String register = question.register();
+        String register = request.register();
         long promisedBefore = acceptor.promisedTerm();
         Optional<RegisterState> stateBefore = acceptor.get(register);
         if (!acceptor.accept(
-                question.term(), register, question.registers().get(0).value())) {
+                request.term(), register, request.registers().get(0).value())) {
             return List.of(outgoing(sender, RegisterMessage.rejected(promisedBefore, register)));
         }
         if (acceptor.promisedTerm() != promisedBefore || !acceptor.get(register).equals(stateBefore)) {
             gate.stateChanged();
         }
-        gate.defer(sender, RegisterMessage.accepted(question));
+        gate.defer(sender, RegisterMessage.accepted(request));
         return gate.release();
     }
 
-    private List<OutgoingMessage> answerPageRequest(String sender, RegisterMessage question) {
-        List<RegisterState> page = acceptor.page(question.register(), RegisterMessage.MAX_PAGE_BYTES);
+    private List<OutgoingMessage> answerPageRequest(String sender, RegisterMessage request) {
+        List<RegisterState> page = acceptor.page(request.register(), RegisterMessage.MAX_PAGE_BYTES);
         boolean last = page.isEmpty()
                 || acceptor.page(page.get(page.size() - 1).name(), RegisterMessage.MAX_PAGE_BYTES)
                         .isEmpty();
-        // Only what is on the disk: the asker may base its own votes on it.
-        gate.defer(sender, RegisterMessage.page(question, acceptor.promisedTerm(), recovery.isVoting(), last, page));
+        // Deferred until the page's content is on disk: the requester may base its own votes on the content.
+        gate.defer(sender, RegisterMessage.page(request, acceptor.promisedTerm(), recovery.isVoting(), last, page));
         return gate.release();
     }
 
-    /** The proposal that an answer belongs to, unless it is over or this backend no longer leads under that term. */
+    /**
+     * Returns the proposal that an answer belongs to; empty if it has ended or this backend no longer leads under its
+     * term.
+     */
     private Optional<Proposal> proposalFor(Duration now, String sender, RegisterMessage answer) {
         return Optional.ofNullable(proposals.get(answer.register()))
                 .filter(proposal -> answer.term() == proposal.term() && isVoter(sender) && mayDecide(now));
@@ -279,7 +286,7 @@
             return List.of();
         }
         Proposal proposal = preparing.get();
-        proposal.addPromise(sender, answer.askedAtMs(), answer.registers());
+        proposal.addPromise(sender, answer.requestedAtMs(), answer.registers());
         answer.registers().stream().filter(RegisterState::chosen).forEach(this::learn);
         if (chosen(answer.register()).isPresent()) {
             proposals.remove(answer.register());
@@ -290,7 +297,7 @@
 
     private List<OutgoingMessage> handleAccepted(Duration now, String sender, RegisterMessage answer) {
         Optional<Proposal> proposed = proposalFor(now, sender, answer).filter(proposal -> !proposal.isPreparing());
-        if (proposed.isEmpty() || !proposed.get().addAcceptance(now, sender, answer.askedAtMs(), voterCount())) {
+        if (proposed.isEmpty() || !proposed.get().addAcceptance(now, sender, answer.requestedAtMs(), voterCount())) {
             return List.of();
         }
         proposals.remove(answer.register());
@@ -302,7 +309,7 @@
                 .toList();
     }
 
-    /** Records that a register is written. */
+    /** Records the chosen value of a register. */
     private void learn(RegisterState state) {
         Optional<byte[]> known = chosen(state.name());
         if (known.isPresent() && Arrays.equals(known.get(), state.value())) {
@@ -325,14 +332,14 @@
                 .filter(RegisterState::chosen)
                 .filter(state -> chosen(state.name()).isEmpty())
                 .forEach(this::learn);
-        if (isVoter(self) && isVoter(sender) && recovery.isWaitingFor(page.askedAtMs())) {
+        if (isVoter(self) && isVoter(sender) && recovery.acceptsAnswerTo(page.requestedAtMs())) {
             recover(sender, page);
         }
         if (page.isLastPage() || registers.isEmpty()) {
             return List.of();
         }
         String lastName = registers.get(registers.size() - 1).name();
-        return List.of(outgoing(sender, RegisterMessage.pageRequest(page.askedAtMs(), lastName)));
+        return List.of(outgoing(sender, RegisterMessage.pageRequest(page.requestedAtMs(), lastName)));
     }
 
     private void recover(String sender, RegisterMessage page) {
@@ -344,7 +351,7 @@
         }
     }
 
-    /** The state for operators, as a JSON object. */
+    /** Returns the state for operators, as a JSON object. */
     public String statusJson() {
         long written =
                 acceptor.registers().stream().filter(RegisterState::chosen).count();
--- a/src/main/java/merlinlever/fleet/replication/Proposal.java
+++ b/src/main/java/merlinlever/fleet/replication/Proposal.java
@@ -8,30 +8,34 @@
 import java.util.TreeMap;
 
 /**
- * A register that this leader writes now: first it asks all voters for what they have accepted, then it proposes a value that is safe. All
- * answers count for the present term only.
+ * A register that this leader is writing. The leader first asks all voters for a promise and the values that they have
+ * accepted, then proposes a safe value. Answers count for the current term only.
  */
 final class Proposal {
 
-    /** An unanswered question is sent again after this time. */
+    /** Interval at which an unanswered request is sent again. */
     private static final Duration RESEND_INTERVAL = Duration.ofMillis(300);
     /**
-     * An answer counts for so long after its question, by the leader's clock. A voter that lost its disk waits longer than this before it
-     * recovers ({@link VoterRecovery}), so no answer of its earlier process counts any more by then.
+     * Time for which an answer counts, from the sending of its request by the leader's clock. A voter that lost its
+     * disk waits longer before it recovers ({@link VoterRecovery}), so the answers of its earlier process have expired
+     * by then.
      */
     private static final Duration ANSWER_VALIDITY = Duration.ofSeconds(5);
 
     private final String register;
     private final byte[] ownValue;
     private long term = -1;
-    /** What is proposed, never changed within a term; nothing while the voters are still asked. */
+    /** Proposed value, fixed within a term; empty during the prepare phase. */
     private Optional<byte[]> value = Optional.empty();
 
-    private final Map<String, RegisterState> reported = new TreeMap<>();
-    /** Voters that have answered, with the times of the questions in ms of the leader's clock. */
+    /** Values that voters have accepted before, by voter. */
+    private final Map<String, RegisterState> reportedStates = new TreeMap<>();
+    /** Voters that have promised, with the times of the answered requests in ms of the leader's clock. */
     private final Map<String, Long> promisedAtMs = new TreeMap<>();
 
+    /** Voters that have accepted, with the times of the answered requests in ms of the leader's clock. */
     private final Map<String, Long> acceptedAtMs = new TreeMap<>();
+
     private Duration nextSend = Duration.ZERO;
 
     Proposal(String register, byte[] ownValue) {
@@ -39,7 +43,7 @@
         this.ownValue = ownValue;
     }
 
-    /** Whether the voters are still asked for what they have accepted. */
+    /** Whether the proposal is in the prepare phase, in which no value is proposed yet. */
     boolean isPreparing() {
         return value.isEmpty();
     }
@@ -48,12 +52,12 @@
         return term;
     }
 
-    /** The proposed value; only once {@link #isPreparing} is false. */
+    /** Returns the proposed value; must not be called during the prepare phase. */
     byte[] value() {
         return value.orElseThrow();
     }
 
-    /** The messages that are due to voters that have not answered; starts over if the leader has a new term. */
+    /** Returns the requests that are due to voters that have not answered; starts over if the leader has a new term. */
     List<OutgoingMessage> tick(Duration now, long leaderTerm, List<String> voters) {
         if (term != leaderTerm) {
             restart(now, leaderTerm);
@@ -65,17 +69,17 @@
         discardExpired(now, promisedAtMs);
         discardExpired(now, acceptedAtMs);
         Map<String, Long> answered = isPreparing() ? promisedAtMs : acceptedAtMs;
-        byte[] question = question(now).encode();
+        byte[] request = request(now).encode();
         List<OutgoingMessage> messages = new ArrayList<>();
         for (String voter : voters) {
             if (!answered.containsKey(voter)) {
-                messages.add(new OutgoingMessage(voter, question));
+                messages.add(new OutgoingMessage(voter, request));
             }
         }
         return messages;
     }
 
-    private RegisterMessage question(Duration now) {
+    private RegisterMessage request(Duration now) {
         return value.map(proposed -> RegisterMessage.accept(term, now, register, proposed))
                 .orElseGet(() -> RegisterMessage.prepare(term, now, register));
     }
@@ -83,31 +87,31 @@
     private void restart(Duration now, long leaderTerm) {
         term = leaderTerm;
         value = Optional.empty();
-        reported.clear();
+        reportedStates.clear();
         promisedAtMs.clear();
         acceptedAtMs.clear();
         nextSend = now;
     }
 
-    /** Records a voter's promise, with what it has accepted. */
-    void addPromise(String voter, long askedAtMs, List<RegisterState> accepted) {
-        promisedAtMs.put(voter, askedAtMs);
-        accepted.forEach(state -> reported.put(voter, state));
+    /** Records a voter's promise and the value that the voter has accepted. */
+    void addPromise(String voter, long requestedAtMs, List<RegisterState> accepted) {
+        promisedAtMs.put(voter, requestedAtMs);
+        accepted.forEach(state -> reportedStates.put(voter, state));
     }
 
-    /** Fixes the value if a majority has promised; returns whether it did. */
+    /** Chooses the value to propose if a majority has promised; returns whether a majority has. */
     boolean chooseValueIfPromised(Duration now, int voterCount) {
         if (!hasMajority(now, promisedAtMs, voterCount)) {
             return false;
         }
-        value = Optional.of(PaxosAcceptor.safeValue(reported.values(), ownValue));
+        value = Optional.of(PaxosAcceptor.safeValue(reportedStates.values(), ownValue));
         nextSend = now;
         return true;
     }
 
-    /** Records that a voter accepted the value; returns whether a majority has. */
-    boolean addAcceptance(Duration now, String voter, long askedAtMs, int voterCount) {
-        acceptedAtMs.put(voter, askedAtMs);
+    /** Records that a voter accepted the value; returns whether a majority has accepted the value. */
+    boolean addAcceptance(Duration now, String voter, long requestedAtMs, int voterCount) {
+        acceptedAtMs.put(voter, requestedAtMs);
         return hasMajority(now, acceptedAtMs, voterCount);
     }
 
@@ -117,6 +121,6 @@
     }
 
     private static void discardExpired(Duration now, Map<String, Long> answers) {
-        answers.values().removeIf(askedAtMs -> now.toMillis() - askedAtMs > ANSWER_VALIDITY.toMillis());
+        answers.values().removeIf(requestedAtMs -> now.toMillis() - requestedAtMs > ANSWER_VALIDITY.toMillis());
     }
 }
--- a/src/main/java/merlinlever/fleet/replication/RegisterMessage.java
+++ b/src/main/java/merlinlever/fleet/replication/RegisterMessage.java
@@ -10,42 +10,42 @@
 import java.util.Optional;
 
 /**
- * A message about registers, between the leader and the voters or between any two backends. The factory methods say which fields a kind
- * uses; the others are 0 or empty.
+ * A message about registers, between the leader and the voters or between any two backends. The factory methods show
+ * which fields a kind uses; unused fields are 0 or empty.
  *
- * @param term of the leader, or in an answer the term that the voter has promised
- * @param number depending on the kind: when the question was asked, in ms of the asker's steady clock ({@link #askedAtMs}), together with
- *     the flags of a page; or a fingerprint
- * @param register its name, or of a page the name after which it begins; may be empty
+ * @param term the leader's term; in a rejection or a page the term that the sender has promised
+ * @param number depending on the kind: the time of the request in ms of the requester's steady clock ({@link
+ *     #requestedAtMs}), in a page combined with flags; or a fingerprint
+ * @param register the register's name; in a page or its request the name after which the page begins; may be empty
  */
 record RegisterMessage(Kind kind, long term, long number, String register, List<RegisterState> registers) {
 
-    /** On the wire by its position: new ones come last. */
+    /** Kind of a message, encoded by its ordinal: new kinds must be added at the end. */
     enum Kind {
-        /** The leader asks a voter what it has accepted. */
+        /** The leader asks a voter for a promise and for its accepted value. */
         PREPARE,
-        /** A voter's answer: it accepts nothing of lower terms any more. */
+        /** A voter's answer: the voter accepts no values of lower terms any more. */
         PROMISE,
         /** The leader proposes a value. */
         ACCEPT,
-        /** A voter's answer: it has the value on its disk. */
+        /** A voter's answer: the voter has the value on its disk. */
         ACCEPTED,
-        /** A voter's answer to either: it has promised a higher term. */
+        /** A voter's answer to PREPARE or ACCEPT: the voter has promised a higher term, or cannot accept the value. */
         REJECTED,
-        /** A register is written, with this value. */
+        /** Announces the chosen value of a register. */
         CHOSEN,
-        /** A fingerprint of all chosen registers, for comparison. */
+        /** Fingerprint of all chosen values, for comparison. */
         FINGERPRINT,
-        /** Asks for a page of registers. */
+        /** Requests a page of registers. */
         PAGE_REQUEST,
-        /** A page of registers, in the order of their names. */
+        /** A page of registers, sorted by name. */
         PAGE
     }
 
     private static final Kind[] KINDS = Kind.values();
     private static final byte PROTOCOL_VERSION = 1;
     private static final int HEADER_BYTES = 64;
-    /** Of the registers on one page. */
+    /** Maximum encoded size of the registers of a page. */
     static final int MAX_PAGE_BYTES = 30 << 10;
 
     private static final int VOTING_FLAG = 1;
@@ -56,13 +56,13 @@
         return new RegisterMessage(Kind.PREPARE, term, now.toMillis(), register, List.of());
     }
 
-    /** @param accepted what the voter has accepted, if anything */
-    static RegisterMessage promise(RegisterMessage question, Optional<RegisterState> accepted) {
+    /** @param accepted the state that the voter has accepted, if there is any */
+    static RegisterMessage promise(RegisterMessage request, Optional<RegisterState> accepted) {
         return new RegisterMessage(
                 Kind.PROMISE,
-                question.term,
-                question.number,
-                question.register,
+                request.term,
+                request.number,
+                request.register,
                 accepted.map(List::of).orElse(List.of()));
     }
 
@@ -71,8 +71,8 @@
                 Kind.ACCEPT, term, now.toMillis(), register, List.of(new RegisterState(register, term, value, false)));
     }
 
-    static RegisterMessage accepted(RegisterMessage question) {
-        return new RegisterMessage(Kind.ACCEPTED, question.term, question.number, question.register, List.of());
+    static RegisterMessage accepted(RegisterMessage request) {
+        return new RegisterMessage(Kind.ACCEPTED, request.term, request.number, request.register, List.of());
     }
 
     static RegisterMessage rejected(long promisedTerm, String register) {
@@ -87,39 +87,39 @@
         return new RegisterMessage(Kind.FINGERPRINT, 0, fingerprint, "", List.of());
     }
 
-    /** @param after the page begins with the next name; empty for the first page */
-    static RegisterMessage pageRequest(long askedAtMs, String after) {
-        return new RegisterMessage(Kind.PAGE_REQUEST, 0, askedAtMs, after, List.of());
+    /** @param after the name after which the page begins; empty for the first page */
+    static RegisterMessage pageRequest(long requestedAtMs, String after) {
+        return new RegisterMessage(Kind.PAGE_REQUEST, 0, requestedAtMs, after, List.of());
     }
 
     /**
      * The answer to a {@link Kind#PAGE_REQUEST}.
      *
-     * @param voting whether the sender votes
-     * @param last whether no registers follow
+     * @param voting whether the sender of the page votes
+     * @param last whether no registers follow the page
      */
     static RegisterMessage page(
-            RegisterMessage question, long promisedTerm, boolean voting, boolean last, List<RegisterState> registers) {
-        long number = (question.number << FLAG_BITS) | (voting ? VOTING_FLAG : 0) | (last ? LAST_PAGE_FLAG : 0);
-        return new RegisterMessage(Kind.PAGE, promisedTerm, number, question.register, registers);
+            RegisterMessage request, long promisedTerm, boolean voting, boolean last, List<RegisterState> registers) {
+        long number = (request.number << FLAG_BITS) | (voting ? VOTING_FLAG : 0) | (last ? LAST_PAGE_FLAG : 0);
+        return new RegisterMessage(Kind.PAGE, promisedTerm, number, request.register, registers);
     }
 
-    /** When the question was asked that this message puts or answers, in ms of the asker's steady clock. */
-    long askedAtMs() {
+    /** Returns the time of the request that this message is or answers, in ms of the requester's steady clock. */
+    long requestedAtMs() {
         return kind == Kind.PAGE ? number >> FLAG_BITS : number;
     }
 
-    /** Of a page: whether its sender votes. */
+    /** Whether the sender of this page votes. */
     boolean isSenderVoting() {
         return (number & VOTING_FLAG) != 0;
     }
 
-    /** Of a page: whether no registers follow. */
+    /** Whether no registers follow this page. */
     boolean isLastPage() {
         return (number & LAST_PAGE_FLAG) != 0;
     }
 
-    /** Whether the registers are what the kind needs. */
+    /** Whether the message contains the registers that its kind requires. */
     boolean isComplete() {
         boolean namedRegister = registers.size() == 1 && registers.get(0).name().equals(register);
         return switch (kind) {
@@ -129,7 +129,7 @@
         };
     }
 
-    // ---- bytes
+    // ---- encoding
 
     byte[] encode() {
         byte[] nameBytes = register.getBytes(StandardCharsets.US_ASCII);
@@ -147,7 +147,7 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    /** The message, or nothing if the bytes are not exactly what {@link #encode} writes. */
+    /** Returns the message, or empty if the bytes are not a valid encoding. */
     static Optional<RegisterMessage> decode(byte[] body) {
         if (body.length > GossipCodec.MAX_MESSAGE_BYTES) {
             return Optional.empty();
--- a/src/main/java/merlinlever/fleet/replication/RegisterState.java
+++ b/src/main/java/merlinlever/fleet/replication/RegisterState.java
@@ -4,15 +4,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One register as a voter holds it.
+ * State of one register at a voter.
  *
- * @param acceptedTerm the leader's term under which the value was accepted last; without meaning once the value is chosen
- * @param value {@value PaxosAcceptor#MAX_VALUE_BYTES} bytes at most
- * @param chosen whether a majority of the voters has accepted the value under one term, so that it never changes
+ * @param acceptedTerm the leader's term under which the value was last accepted; not used once the value is chosen
+ * @param value the value, of at most {@value PaxosAcceptor#MAX_VALUE_BYTES} bytes
+ * @param chosen whether a majority of the voters has accepted the value under one term, so that the value is final
  */
 record RegisterState(String name, long acceptedTerm, byte[] value, boolean chosen) {
 
-    /** The bytes of {@link #encodeTo}. */
+    /** Returns the number of bytes that {@link #encodeTo} writes. */
     int encodedBytes() {
         return 1 + name.length() + Long.BYTES + 1 + Short.BYTES + value.length;
     }
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Reads what {@link #encodeTo} writes.
+     * Reads a state written by {@link #encodeTo}.
      *
      * @throws java.nio.BufferUnderflowException if bytes are missing
-     * @throws IllegalArgumentException if a field is out of its bounds
+     * @throws IllegalArgumentException if a field is invalid
      */
     static RegisterState decode(ByteBuffer in) {
         byte[] nameBytes = new byte[Byte.toUnsignedInt(in.get())];
@@ -45,14 +45,14 @@
                 || chosen < 0
                 || chosen > 1
                 || length > PaxosAcceptor.MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("register");
+            throw new IllegalArgumentException("invalid register state");
         }
         byte[] value = new byte[length];
         in.get(value);
         return new RegisterState(name, acceptedTerm, value, chosen == 1);
     }
 
-    /** Names of registers obey the rules of topics. */
+    /** Whether the name follows the rules of topics, which apply to register names too. */
     static boolean isValidName(String name) {
         return GossipCodec.isValidKey("-", name);
     }
--- a/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
@@ -12,19 +12,20 @@
 import merlinlever.fleet.replication.StoredEntry.EntryKey;
 
 /**
- * One replica of the {@link SharedStore}. New entries are pushed to some replicas at once, and each round one other replica is compared
- * with, which repairs whatever was missed ({@link Gossip}). If the store is persistent, own entries are published only once they are on
- * the disk, so that a restarted process never publishes less than others have received. Event loop only.
+ * One replica of the {@link SharedStore}. New entries are pushed to a few other replicas, and missed entries are
+ * repaired by a comparison with one other replica in each round ({@link Gossip}). If the store is persistent, own
+ * entries are published only once they are on disk, so that a restarted process continues from everything that others
+ * have received. Must be used on the event loop only.
  */
 public final class ReplicatedStore implements SharedStore {
 
     /**
      * Settings of a replica.
      *
-     * @param gossipInterval between rounds
-     * @param fanOut replicas that a new entry is pushed to in each round
-     * @param retention entries that their owner doesn't refresh are dropped after this time
-     * @param bytesPerSecond limit for sent messages, checksums excepted
+     * @param gossipInterval time between gossip rounds
+     * @param fanOut number of replicas to which a new entry is pushed in each round
+     * @param retention time after which an entry is dropped if its owner doesn't refresh it
+     * @param bytesPerSecond limit of the sent bytes per second, without checksum messages
      * @param persistent whether own entries are written to the disk before they are published ({@link #pendingWrite})
      */
     public record ReplicationSettings(
@@ -35,7 +36,7 @@
         private static final Duration DEFAULT_RETENTION = Duration.ofHours(24);
         private static final int DEFAULT_BYTES_PER_SECOND = 512 << 10;
 
-        /** The settings of production. */
+        /** Returns the default settings. */
         public static ReplicationSettings defaults(boolean persistent) {
             return new ReplicationSettings(
                     DEFAULT_GOSSIP_INTERVAL, DEFAULT_FAN_OUT, DEFAULT_RETENTION, DEFAULT_BYTES_PER_SECOND, persistent);
@@ -43,20 +44,22 @@
     }
 
     /**
-     * What has to survive this process: its own entries, and the last version it used, above which the next process starts.
+     * State that has to survive this process: its own entries and the last allocated version. The next process
+     * allocates higher versions.
      *
-     * @param incarnation of the last version used
-     * @param sequence of the last version used
+     * @param incarnation incarnation of the last allocated version
+     * @param sequence sequence of the last allocated version
+     * @param entries the own entries, including removed ones
      */
     public record PersistedEntries(long incarnation, long sequence, List<VersionedEntry> entries) {
-        /** Nothing was persisted before. */
+        /** State of a backend without persisted entries. */
         public static final PersistedEntries NONE = new PersistedEntries(0, 0, List.of());
     }
 
-    /** No valid incarnation or sequence is higher. */
+    /** Maximum valid incarnation or sequence. */
     static final long MAX_VERSION = 1L << 48;
 
-    /** Only each so many rejections for want of room are logged. */
+    /** Number of rejected entries per log line. */
     private static final int REJECTIONS_PER_LOG_LINE = 1000;
 
     private final String self;
@@ -75,8 +78,9 @@
     /**
      * Creates a replica.
      *
-     * @param incarnation of this process in the membership; versions start above it and above what was persisted
-     * @param persisted what the process before wrote to the disk, or {@link PersistedEntries#NONE}
+     * @param incarnation incarnation of this process in the membership; lower bound of the incarnation of new entries, which
+     *     also exceeds the persisted incarnation
+     * @param persisted the entries that the previous process wrote to disk, or {@link PersistedEntries#NONE}
      * @param peers the other replicas that are reachable now
      * @param log receives a line for each event that an operator may need
      */
@@ -103,7 +107,7 @@
 
     @Override
     public boolean put(Duration now, String topic, byte[] value) {
-        noteActivity(now);
+        recordActivity(now);
         if (!GossipCodec.isValidKey(self, topic)
                 || value.length > VersionedEntry.MAX_VALUE_BYTES
                 || !own.hasRoomFor(topic, value)) {
@@ -119,7 +123,7 @@
 
     @Override
     public void remove(Duration now, String topic) {
-        noteActivity(now);
+        recordActivity(now);
         if (own.contains(topic) || table.get(new EntryKey(self, topic)) != null) {
             addOwn(own.nextVersion(now, topic, null));
         }
@@ -136,7 +140,7 @@
         publishUpTo(Long.MAX_VALUE, Long.MAX_VALUE);
     }
 
-    /** Publishes own entries up to that version; what the table has no room for is tried again. */
+    /** Publishes own entries up to the version; entries that don't fit into the table are kept for the next attempt. */
     private void publishUpTo(long incarnation, long sequence) {
         own.unpublished().removeIf(entry -> {
             boolean included = entry.incarnation() < incarnation
@@ -153,7 +157,9 @@
         return result != MergeResult.NO_ROOM;
     }
 
-    /** What has to be written before more is published; nothing if all of it is on the disk. */
+    /**
+     * Returns the state to write to disk before further entries are published; empty if all own entries are published.
+     */
     public Optional<PersistedEntries> pendingWrite() {
         if (own.unpublished().isEmpty()) {
             return Optional.empty();
@@ -168,16 +174,16 @@
         return Optional.of(new PersistedEntries(own.incarnation(), own.sequence(), List.copyOf(byTopic.values())));
     }
 
-    /** What {@link #pendingWrite} returned is on the disk, and is published now. */
+    /** Records that a state returned by {@link #pendingWrite} is on disk, and publishes its entries. */
     public void writeCompleted(PersistedEntries written) {
         publishUpTo(written.incarnation, written.sequence);
     }
 
-    // ---- entries of others
+    // ---- entries of other owners
 
     @Override
     public boolean relay(Duration now, VersionedEntry entry) {
-        noteActivity(now);
+        recordActivity(now);
         return isValidForeignEntry(entry) && accept(now, StoredEntry.of(entry, now), false) == MergeResult.NEWER;
     }
 
@@ -189,7 +195,7 @@
                 && Math.max(entry.incarnation(), entry.sequence()) <= MAX_VERSION;
     }
 
-    /** @param received whether it came from another backend, so that listeners are notified */
+    /** @param received whether the entry came from another backend, so that listeners are notified */
     private MergeResult accept(Duration now, StoredEntry entry, boolean received) {
         if (entry.age(now).compareTo(retention.shareableFor(entry)) >= 0) {
             return MergeResult.OLDER;
@@ -230,15 +236,14 @@
         rejectedEntries++;
     }
 
-    // ---- reading
+    // ---- queries
 
     @Override
     public Optional<VersionedEntry> get(String owner, String topic) {
         StoredEntry stored = table.get(new EntryKey(owner, topic));
-        Optional<StoredEntry> unpublishedOrOwn = owner.equals(self) ? own.get(topic) : Optional.empty();
-        // An own entry counts before it is published, but not over a conflict that it is part of.
-        return unpublishedOrOwn
-                .filter(entry -> stored == null || !stored.isConflicted() || entry.isNewerThan(stored))
+        Optional<StoredEntry> ownEntry = owner.equals(self) ? own.get(topic) : Optional.empty();
+        // An own entry is returned even before it is published, but not if it is part of a conflict.
+        return ownEntry.filter(entry -> stored == null || !stored.isConflicted() || entry.isNewerThan(stored))
                 .or(() -> Optional.ofNullable(stored))
                 .filter(entry -> entry.value() != null)
                 .map(StoredEntry::toVersionedEntry);
@@ -272,9 +277,9 @@
 
     // ---- time and messages
 
-    /** Is called every few ten milliseconds; returns the messages that are due. */
+    /** Has to be called every few tens of milliseconds; returns the messages that are due. */
     public List<OutgoingMessage> tick(Duration now) {
-        noteActivity(now);
+        recordActivity(now);
         if (!gossip.isRoundDue(now)) {
             return List.of();
         }
@@ -299,7 +304,7 @@
 
     /** Handles a message from another replica; returns the answers. */
     public List<OutgoingMessage> receive(Duration now, String sender, byte[] body) {
-        noteActivity(now);
+        recordActivity(now);
         Optional<GossipMessage> message = GossipCodec.decode(body);
         if (message.isEmpty()) {
             malformedMessages++;
@@ -307,24 +312,25 @@
         }
         if (message.get() instanceof GossipMessage.EntryBatch batch) {
             Duration bufferingDelay = pauses.possibleBufferingDelay(now);
-            for (GossipMessage.AgedEntry aged : batch.entries()) {
-                Duration publishedAt = now.minusMillis(aged.ageMs()).minus(bufferingDelay);
-                accept(now, aged.entry().withPublishedAt(publishedAt), true);
+            for (GossipMessage.AgedEntry agedEntry : batch.entries()) {
+                Duration publishedAt = now.minusMillis(agedEntry.ageMs()).minus(bufferingDelay);
+                accept(now, agedEntry.entry().withPublishedAt(publishedAt), true);
             }
             return List.of();
         }
         return gossip.answer(now, sender, message.get());
     }
 
-    private void noteActivity(Duration now) {
+    private void recordActivity(Duration now) {
         if (pauses.activity(now).compareTo(retention.maxPause()) >= 0) {
             discardForeignEntries(now);
         }
     }
 
     /**
-     * Drops the entries of all other owners, to be fetched anew from other replicas. For a replica that was paused or cut off for so long, by
-     * its own clock or as others report, that it may hold what they have dropped.
+     * Drops the entries of all other owners; they are fetched again from other replicas. Has to be called if this
+     * replica was paused or cut off so long, by its own clock or as others report, that it may hold entries that others
+     * have dropped.
      */
     public void discardForeignEntries(Duration now) {
         log.line("replication-foreign-entries-discarded held=" + table.size());
@@ -341,12 +347,12 @@
         List.copyOf(listeners).forEach(listener -> listener.entryExpired(now, key.owner(), key.topic()));
     }
 
-    /** SHA-256 over all entries in hexadecimal: equal where two replicas are. */
+    /** Returns the SHA-256 of all entries in hexadecimal; equal replicas have equal digests. */
     public String digest() {
         return table.digest();
     }
 
-    /** The state for operators, as a JSON object. */
+    /** Returns the state for operators, as a JSON object. */
     public String statusJson() {
         return "{\"words\":" + table.size() + ",\"octets\":" + table.sizeBytes() + ",\"clashes\":"
                 + conflicts().size() + ",\"refused\":" + rejectedEntries + ",\"malformed\":" + malformedMessages
--- a/src/main/java/merlinlever/fleet/replication/StoredEntry.java
+++ b/src/main/java/merlinlever/fleet/replication/StoredEntry.java
@@ -13,16 +13,16 @@
  * An entry as a replica stores it.
  *
  * @param value null if the entry was removed (a tombstone) or is in conflict
- * @param digests SHA-256 in hexadecimal of the values published under this version: one, or in a conflict the lowest two
- * @param publishedAt when the owner published it, by this replica's steady clock; too late by the delay of messages at most
+ * @param digests SHA-256 in hexadecimal of the value published under this version; in a conflict the lowest two digests
+ * @param publishedAt time of publication by this replica's steady clock; late by at most the delay of messages
  */
 record StoredEntry(
         EntryKey key, long incarnation, long sequence, byte[] value, List<String> digests, Duration publishedAt) {
 
-    /** Estimated memory of an entry beside its strings and value. */
+    /** Estimated memory of an entry without its strings and value. */
     private static final int OVERHEAD_BYTES = 100;
 
-    /** What identifies an entry; ordered by owner, then topic. */
+    /** Identifies an entry. Keys are ordered by owner and then by topic. */
     record EntryKey(String owner, String topic) implements Comparable<EntryKey> {
         @Override
         public int compareTo(EntryKey other) {
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Joins two entries of one version: the same value twice, or a conflict. As only the lowest two digests are kept, the join stays small
-     * and is still associative, commutative and idempotent.
+     * Joins two entries of the same version; different values become a conflict. Only the lowest two digests are kept,
+     * which bounds the size and keeps the join associative, commutative and idempotent.
      */
     StoredEntry mergedWith(StoredEntry other) {
         TreeSet<String> all = new TreeSet<>(digests);
@@ -84,12 +84,12 @@
         return new StoredEntry(key, incarnation, sequence, lowestTwo.size() > 1 ? null : value, lowestTwo, latest);
     }
 
-    /** Estimated memory, for the limit of the table. */
+    /** Returns the estimated memory, which counts towards the limit of the table. */
     int sizeBytes() {
         return OVERHEAD_BYTES + key.owner.length() + key.topic.length() + (value == null ? 0 : value.length);
     }
 
-    /** A hash of key, version and digests: equal where the entries are. */
+    /** Returns a hash of key, version and digests; equal entries have equal fingerprints. */
     long fingerprint() {
         MessageDigest sha256 = sha256();
         sha256.update((key.owner + " " + key.topic + " " + incarnation + " " + sequence + " " + digests)
@@ -97,7 +97,7 @@
         return ByteBuffer.wrap(sha256.digest()).getLong();
     }
 
-    /** SHA-256 in hexadecimal of a value, or of its absence if it is null. */
+    /** Returns the SHA-256 of a value in hexadecimal; a removed value (null) has a digest too. */
     static String digest(byte[] value) {
         MessageDigest sha256 = sha256();
         sha256.update((byte) (value == null ? 0 : 1));
--- a/src/main/java/merlinlever/fleet/replication/VoterRecovery.java
+++ b/src/main/java/merlinlever/fleet/replication/VoterRecovery.java
@@ -5,20 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * Whether this voter may vote. One that starts without its state file could help to write a second value, so it votes only when so many
- * other voters have told it everything they hold that nothing it may have promised or accepted can be missing.
+ * Decides whether this voter may vote. A voter that starts without its state file could help to choose a second value.
+ * The voter therefore waits until it has received all registers of enough other voters to cover every promise and
+ * acceptance that it may have lost.
  */
 final class VoterRecovery {
 
-    /** Longer than any answer of this voter's earlier process counts, by any clock ({@link Proposal}). */
+    /**
+     * Delay before the other voters are asked, longer than the validity of an answer ({@link Proposal}) by any voter's
+     * clock.
+     */
     private static final Duration QUERY_DELAY = Duration.ofSeconds(10);
 
     private final Duration queryFrom;
     private boolean voting;
-    /** Voters that have told everything, and whether they vote themselves. */
+    /** Voters that have sent all their registers, with whether they vote themselves. */
     private final Map<String, Boolean> completedVoters = new TreeMap<>();
 
-    /** @param voting whether the state file was found, or there are no other voters */
+    /** @param voting whether the state file was found or there are no other voters */
     VoterRecovery(Duration now, boolean voting) {
         this.voting = voting;
         queryFrom = now.plus(QUERY_DELAY);
@@ -33,12 +37,12 @@
         return !voting && now.compareTo(queryFrom) >= 0;
     }
 
-    /** Whether an answer to a question of that time counts. */
-    boolean isWaitingFor(long askedAtMs) {
-        return !voting && askedAtMs >= queryFrom.toMillis();
+    /** Whether an answer to a request of this time counts. */
+    boolean acceptsAnswerTo(long requestedAtMs) {
+        return !voting && requestedAtMs >= queryFrom.toMillis();
     }
 
-    /** A voter has sent a page of its registers; returns whether this voter may vote from now on. */
+    /** Records a page of a voter's registers; returns whether this voter may vote from now on. */
     boolean pageReceived(String voter, RegisterMessage page, int voterCount) {
         if (page.isLastPage()) {
             completedVoters.put(voter, page.isSenderVoting());
@@ -47,8 +51,8 @@
     }
 
     /**
-     * Either one of the voting ones was in each majority that this voter was in; or all others have answered, as at the first start of a
-     * fleet.
+     * Allows voting if every majority contains a voting voter that has answered, or if all other voters have answered,
+     * as at the first start of a fleet.
      */
     private boolean tryRecover(int voterCount) {
         int majority = voterCount / 2 + 1;
--- a/src/main/java/merlinlever/fleet/replication/WriteOnceRegisters.java
+++ b/src/main/java/merlinlever/fleet/replication/WriteOnceRegisters.java
@@ -3,17 +3,21 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Registers that get one value for the whole fleet and keep it for good, such as the result of an experiment. Event loop only. */
+/**
+ * Registers that are written once for the whole fleet, for example with the result of an experiment. Must be used on
+ * the event loop only.
+ */
 public interface WriteOnceRegisters {
 
     /**
-     * Proposes a value. Does nothing unless this backend leads and is permitted to decide. The register is written once a majority of the
-     * voters has the value on disk, and by then it may be the value of another leader: see {@link #chosen}.
+     * Proposes a value. Does nothing unless this backend is the leader and is permitted to decide. The register is
+     * written once a majority of the voters has the same value on disk, possibly the value of another leader: see
+     * {@link #chosen}.
      *
-     * @throws IllegalArgumentException if the name or the value is not valid
+     * @throws IllegalArgumentException if the name or the value is invalid
      */
     void propose(Duration now, String name, byte[] value);
 
-    /** The register's value, once this backend knows that it is written. */
+    /** Returns the register's value, or empty until this backend has learned it. */
     Optional<byte[]> chosen(String name);
 }
--- a/src/main/java/merlinlever/fleet/replication/disk/EntryFile.java
+++ b/src/main/java/merlinlever/fleet/replication/disk/EntryFile.java
@@ -11,19 +11,22 @@
 import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
 import merlinlever.fleet.replication.VersionedEntry;
 
-/** The file of a backend's own entries: CRC-32C of the rest, format, last version, owner, entries. */
+/**
+ * Codec of the file of a backend's own entries: CRC-32C of the remaining bytes, format, last version, owner, entries.
+ */
 public final class EntryFile {
 
-    /** "MLW1": the first bytes after the checksum. */
+    /** "MLW1": magic number after the checksum. */
     private static final int FORMAT = 0x4d4c5731;
 
     private static final int HEADER_BYTES = 64;
     private static final int ENTRY_HEADER_BYTES = 32;
+    /** Value length of a removed entry. */
     private static final int REMOVED = -1;
 
     private EntryFile() {}
 
-    /** The content of the file. */
+    /** Encodes the content of the file. */
     public static byte[] encode(String owner, PersistedEntries persisted) {
         ByteBuffer out = ByteBuffer.allocate(maxBytes(owner, persisted));
         out.putInt(0).putInt(FORMAT).putLong(persisted.incarnation()).putLong(persisted.sequence());
@@ -69,8 +72,8 @@
     }
 
     /**
-     * What a file holds, or nothing if it is corrupt. From the file of another owner (a copied directory) only the last version is taken, so
-     * that versions start above it.
+     * Decodes the content of a file; empty if the file is corrupt. From the file of another owner (a copied directory)
+     * only the last version is used, so that new versions start above it.
      */
     public static Optional<PersistedEntries> decode(String owner, byte[] bytes) {
         if (bytes.length < Integer.BYTES) {
@@ -101,7 +104,7 @@
         long sequence = in.getLong();
         int length = in.getInt();
         if (length > VersionedEntry.MAX_VALUE_BYTES) {
-            throw new IllegalArgumentException("length of value");
+            throw new IllegalArgumentException("value too long");
         }
         byte[] value = null;
         if (length >= 0) {
--- a/src/main/java/merlinlever/fleet/replication/disk/package-info.java
+++ b/src/main/java/merlinlever/fleet/replication/disk/package-info.java
@@ -1,2 +1,2 @@
-/** The files of what is replicated. */
+/** Files of the replicated state. */
 package merlinlever.fleet.replication.disk;
--- a/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
+++ b/src/main/java/merlinlever/fleet/replication/net/ReplicationTransport.java
@@ -23,9 +23,9 @@
 import merlinlever.fleet.view.QuorumStatus;
 
 /**
- * Runs one backend's replicated store and write-once registers on the event loop, over the membership protocol's datagrams, and persists
- * both. The first byte of each payload says which of the two it is for. While the disk fails, nothing new of this backend is published
- * and it doesn't vote; writes are retried.
+ * Runs one backend's replicated store and write-once registers on the event loop, over the membership protocol's
+ * datagrams, and persists both. The first byte of each payload is its type. While the disk fails, writes are retried,
+ * and this backend neither publishes new entries nor votes.
  */
 public final class ReplicationTransport implements PayloadHandler {
 
@@ -34,10 +34,10 @@
     private static final String ENTRY_FILE = "words";
     private static final String REGISTER_FILE = "registers";
 
-    /** First byte of a payload. */
-    private static final byte TO_STORE = 'w';
+    /** Payload types, encoded as the first byte of a payload. */
+    private static final byte STORE_PAYLOAD = 'w';
 
-    private static final byte TO_REGISTERS = 'r';
+    private static final byte REGISTERS_PAYLOAD = 'r';
 
     private final EventLoop loop;
     private final RecoveryCoordinator recovery;
@@ -54,7 +54,7 @@
     /**
      * Reads the state files and starts ticking.
      *
-     * @param directory of the state files, open and used by nothing else
+     * @param directory the directory of the state files, open and not used by other components
      * @param log receives a line for each event that an operator may need
      * @throws IOException if a state file cannot be read; a corrupt one is discarded and logged
      */
@@ -107,12 +107,12 @@
         return entries.orElse(ReplicatedStore.PersistedEntries.NONE);
     }
 
-    /** The store of this backend. */
+    /** Returns the store of this backend. */
     public ReplicatedStore store() {
         return store;
     }
 
-    /** The registers as this backend knows them. */
+    /** Returns this backend's node of the write-once registers. */
     public PaxosNode registers() {
         return registers;
     }
@@ -135,8 +135,8 @@
         if (recovering && !wasRecovering) {
             store.discardForeignEntries(now);
         }
-        send(TO_STORE, store.tick(now));
-        send(TO_REGISTERS, registers.tick(now));
+        send(STORE_PAYLOAD, store.tick(now));
+        send(REGISTERS_PAYLOAD, registers.tick(now));
         if (!writer.isBusy() && now.compareTo(nextWrite) >= 0) {
             write();
         }
@@ -156,22 +156,22 @@
             if (failure.isEmpty()) {
                 store.writeCompleted(entries);
             }
-            noteWriteResult(failure);
+            recordWriteResult(failure);
         });
     }
 
     private void writeRegisters(PaxosNode.PendingWrite write) {
         writer.replace(REGISTER_FILE, write.bytes(), failure -> {
             if (failure.isEmpty()) {
-                send(TO_REGISTERS, registers.writeCompleted(loop.clock().uptime(), write.version()));
+                send(REGISTERS_PAYLOAD, registers.writeCompleted(loop.clock().uptime(), write.version()));
             } else {
                 registers.writeFailed();
             }
-            noteWriteResult(failure);
+            recordWriteResult(failure);
         });
     }
 
-    private void noteWriteResult(Optional<IOException> failure) {
+    private void recordWriteResult(Optional<IOException> failure) {
         failure.ifPresent(cause -> nextWrite = loop.clock().uptime().plus(WRITE_RETRY_DELAY));
         if (failure.isPresent() != diskFailing) {
             diskFailing = failure.isPresent();
@@ -180,10 +180,10 @@
         }
     }
 
-    private void send(byte address, List<OutgoingMessage> messages) {
+    private void send(byte type, List<OutgoingMessage> messages) {
         for (OutgoingMessage message : messages) {
             byte[] payload = new byte[message.body().length + 1];
-            payload[0] = address;
+            payload[0] = type;
             System.arraycopy(message.body(), 0, payload, 1, message.body().length);
             recovery.membership().sendPayload(message.receiver(), payload);
         }
@@ -199,14 +199,14 @@
         }
         Duration now = loop.clock().uptime();
         byte[] body = Arrays.copyOfRange(payload, 1, payload.length);
-        if (payload[0] == TO_STORE) {
-            send(TO_STORE, store.receive(now, sender, body));
-        } else if (payload[0] == TO_REGISTERS) {
-            send(TO_REGISTERS, registers.receive(now, sender, body));
+        if (payload[0] == STORE_PAYLOAD) {
+            send(STORE_PAYLOAD, store.receive(now, sender, body));
+        } else if (payload[0] == REGISTERS_PAYLOAD) {
+            send(REGISTERS_PAYLOAD, registers.receive(now, sender, body));
         }
     }
 
-    /** The state for operators, as a JSON object. */
+    /** Returns the state for operators, as a JSON object. */
     public String statusJson() {
         return "{\"disk\":" + !diskFailing + ",\"words\":" + store.statusJson() + ",\"registers\":"
                 + registers.statusJson() + "}";
--- a/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
@@ -12,7 +12,7 @@
 import merlinlever.fleet.view.QuorumStatus;
 import merlinlever.testing.faults.timeline.FixedFleetView;
 
-/** Paxos nodes on a simulated network with simulated disks, in steps of 20 ms; the test says who leads. */
+/** Paxos nodes on a simulated network with simulated disks, in steps of 20 ms; the test appoints the leaders. */
 final class PaxosFleet {
 
     private static final int STEP_MS = 20;
@@ -20,22 +20,22 @@
     private record Datagram(long dueAtMs, int sender, int receiver, byte[] body) {}
 
     final PaxosNode[] nodes;
-    /** What is on each disk, or null. */
+    /** Content of each node's disk, or null. */
     final byte[][] disks;
-    /** Nodes of different partitions don't reach each other. */
+    /** Partition of each node; nodes of different partitions don't reach each other. */
     final int[] partition;
 
-    final long[] leadsUntilMs;
+    final long[] leaderUntilMs;
     long nowMs;
     double lossRate;
     boolean mayDecide = true;
-    /** While it is set, no write completes. */
+    /** Whether all writes are held up. */
     boolean disksBlocked;
 
     private final SplittableRandom random;
     private final List<String> voters = new ArrayList<>();
     private final List<Optional<PaxosNode.PendingWrite>> writing = new ArrayList<>();
-    private final long[] writeDoneAtMs;
+    private final long[] writeCompletedAtMs;
     private final long[] startedAtMs;
     private final long[] terms;
     private final List<Datagram> network = new ArrayList<>();
@@ -45,9 +45,9 @@
         random = new SplittableRandom(seed);
         nodes = new PaxosNode[size];
         disks = new byte[size][];
-        writeDoneAtMs = new long[size];
+        writeCompletedAtMs = new long[size];
         startedAtMs = new long[size];
-        leadsUntilMs = new long[size];
+        leaderUntilMs = new long[size];
         terms = new long[size];
         partition = new int[size];
         for (int i = 0; i < voterCount; i++) {
@@ -63,11 +63,11 @@
         return Duration.ofMillis(nowMs - startedAtMs[i]);
     }
 
-    /** Starts the node anew with what is on its disk. */
+    /** Restarts the node with the content of its disk. */
     void start(int i) {
         startedAtMs[i] = nowMs;
         writing.set(i, Optional.empty());
-        leadsUntilMs[i] = 0;
+        leaderUntilMs[i] = 0;
         FleetView view = new FixedFleetView(at -> mayDecide ? QuorumStatus.MAJORITY : QuorumStatus.MINORITY);
         nodes[i] = new PaxosNode(
                 clock(i),
@@ -90,14 +90,14 @@
         return peers;
     }
 
-    /** Makes the node leader of a new term; an earlier leader may believe to lead for a while longer. */
-    void lead(int i, long durationMs) {
+    /** Makes the node leader of a new term; an earlier leader leads on until its own duration ends. */
+    void makeLeader(int i, long durationMs) {
         highestTerm++;
         terms[i] = highestTerm;
-        leadsUntilMs[i] = nowMs + durationMs;
+        leaderUntilMs[i] = nowMs + durationMs;
     }
 
-    /** Drops all datagrams that are under way. */
+    /** Drops all datagrams in flight. */
     void dropDatagrams() {
         network.clear();
     }
@@ -130,7 +130,7 @@
     }
 
     private void write(int i) {
-        if (writing.get(i).isPresent() && nowMs >= writeDoneAtMs[i] && !disksBlocked) {
+        if (writing.get(i).isPresent() && nowMs >= writeCompletedAtMs[i] && !disksBlocked) {
             PaxosNode.PendingWrite done = writing.get(i).get();
             disks[i] = done.bytes();
             writing.set(i, Optional.empty());
@@ -139,7 +139,7 @@
         if (writing.get(i).isEmpty()) {
             writing.set(i, nodes[i].pendingWrite());
             if (writing.get(i).isPresent()) {
-                writeDoneAtMs[i] = nowMs + random.nextInt(200);
+                writeCompletedAtMs[i] = nowMs + random.nextInt(200);
             }
         }
     }
@@ -160,7 +160,7 @@
 
         @Override
         public boolean isLeader(Duration at) {
-            return nowMs < leadsUntilMs[node];
+            return nowMs < leaderUntilMs[node];
         }
 
         @Override
--- a/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
@@ -16,17 +16,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Visits every reachable state of three voters and two leaders that want to write two values to one register. */
+/** Visits all reachable states of three voters and of two leaders that propose different values for one register. */
 class PaxosModelCheckTest {
 
     private static final String REGISTER = "end";
     private static final int VOTERS = 3;
     private static final int LEADERS = 2;
-    /** Index 0 stands for no value; leader i wants the value i + 1. */
+    /** Values by index: 0 stands for no value; leader i proposes the value i + 1 if it is free to choose. */
     private static final List<String> VALUES = List.of("", "x", "y");
 
-    /** Faults of an implementation that the check has to find. */
-    private enum PlantedFault {
+    /** Implementation faults that the check has to detect. */
+    private enum InjectedFault {
         NONE,
         ANSWER_BEFORE_WRITE,
         SKIP_PREPARE,
@@ -34,14 +34,14 @@
     }
 
     /**
-     * A state of the model. Memories and disks are indices of distinct acceptor states, answers are bit masks of distinct answers
-     * ({@link ModelCheck}).
+     * A state of the model. Memories and disks are indices of distinct acceptor states; answers are bit masks of
+     * indices of distinct answers ({@link ModelCheck}).
      *
      * @param memory0 the first voter's state in memory
      * @param disk0 the first voter's state on disk
-     * @param waiting0 the first voter's answers that wait for its disk
+     * @param pending0 the first voter's answers that are held back until its disk is written
      * @param sent all answers ever sent; each may arrive at any time, any number of times or never
-     * @param value1 what the leader of the first term proposes
+     * @param value1 index of the value that the leader of the first term proposes
      */
     private record State(
             int memory0,
@@ -50,9 +50,9 @@
             int disk0,
             int disk1,
             int disk2,
-            long waiting0,
-            long waiting1,
-            long waiting2,
+            long pending0,
+            long pending1,
+            long pending2,
             long sent,
             int value1,
             int value2) {
@@ -65,15 +65,15 @@
             return voter == 0 ? disk0 : voter == 1 ? disk1 : disk2;
         }
 
-        long waiting(int voter) {
-            return voter == 0 ? waiting0 : voter == 1 ? waiting1 : waiting2;
+        long pending(int voter) {
+            return voter == 0 ? pending0 : voter == 1 ? pending1 : pending2;
         }
 
         int value(int leader) {
             return leader == 0 ? value1 : value2;
         }
 
-        State withVoter(int voter, int memory, int disk, long waiting, long newlySent) {
+        State withVoter(int voter, int memory, int disk, long pending, long newlySent) {
             return new State(
                     voter == 0 ? memory : memory0,
                     voter == 1 ? memory : memory1,
@@ -81,9 +81,9 @@
                     voter == 0 ? disk : disk0,
                     voter == 1 ? disk : disk1,
                     voter == 2 ? disk : disk2,
-                    voter == 0 ? waiting : waiting0,
-                    voter == 1 ? waiting : waiting1,
-                    voter == 2 ? waiting : waiting2,
+                    voter == 0 ? pending : pending0,
+                    voter == 1 ? pending : pending1,
+                    voter == 2 ? pending : pending2,
                     sent | newlySent,
                     value1,
                     value2);
@@ -97,17 +97,17 @@
                     disk0,
                     disk1,
                     disk2,
-                    waiting0,
-                    waiting1,
-                    waiting2,
+                    pending0,
+                    pending1,
+                    pending2,
                     sent,
                     leader == 0 ? value : value1,
                     leader == 1 ? value : value2);
         }
     }
 
-    /** What a leader asks a voter: to promise its term, or to accept the value under it. */
-    private record Question(int term, String value) {
+    /** A leader's request to a voter: to promise the term, or to accept the value under the term. */
+    private record VoterRequest(int term, String value) {
         boolean isPrepare() {
             return value.isEmpty();
         }
@@ -116,7 +116,7 @@
     /**
      * A voter's answer.
      *
-     * @param promise whether it answers a prepare, with what the voter has accepted
+     * @param promise whether the answer is a promise, which contains the value that the voter has accepted
      */
     private record Answer(int voter, int term, boolean promise, long acceptedTerm, Optional<String> acceptedValue) {
 
@@ -125,26 +125,26 @@
         }
     }
 
-    /** What a voter does with a question: its memory afterwards, and its answer unless it rejects. */
-    private record Reaction(String memory, Optional<Answer> answer) {}
+    /** A voter's handling of a request: its memory afterwards, and its answer unless it rejects the request. */
+    private record Transition(String memory, Optional<Answer> answer) {}
 
-    private record ReactionKey(int voter, String memory, Question question) {}
+    private record TransitionKey(int voter, String memory, VoterRequest request) {}
 
-    /** How many states were visited, and in how many a value was chosen. */
+    /** Number of visited states, and of those in which a value is chosen. */
     private record Result(int states, int chosen) {}
 
-    /** Numbers distinct items in the order of their first appearance. */
+    /** Assigns indices to distinct items in the order of their first appearance. */
     private static final class Numbering<T> {
         private final List<T> items = new ArrayList<>();
         private final Map<T, Integer> indices = new HashMap<>();
 
         int indexOf(T item) {
-            Integer known = indices.putIfAbsent(item, items.size());
-            if (known == null) {
+            Integer existing = indices.putIfAbsent(item, items.size());
+            if (existing == null) {
                 items.add(item);
                 return items.size() - 1;
             }
-            return known;
+            return existing;
         }
 
         T get(int index) {
@@ -158,27 +158,27 @@
 
     /** Breadth-first search over all states. */
     private static final class ModelCheck {
-        private final PlantedFault fault;
+        private final InjectedFault fault;
         private final Numbering<String> memories = new Numbering<>();
         private final Numbering<Answer> answers = new Numbering<>();
-        private final Map<ReactionKey, Reaction> reactions = new HashMap<>();
+        private final Map<TransitionKey, Transition> transitions = new HashMap<>();
 
-        ModelCheck(PlantedFault fault) {
+        ModelCheck(InjectedFault fault) {
             this.fault = fault;
             memories.indexOf(encode(new PaxosAcceptor()));
         }
 
-        /** Throws an AssertionError if there is a state in which two values are chosen. */
+        /** Fails with an AssertionError if two values are chosen in any state. */
         Result run() {
-            boolean skip = fault == PlantedFault.SKIP_PREPARE;
+            boolean skip = fault == InjectedFault.SKIP_PREPARE;
             State first = new State(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, skip ? 1 : 0, skip ? 2 : 0);
             Set<State> visited = new HashSet<>(Set.of(first));
-            ArrayDeque<State> open = new ArrayDeque<>(List.of(first));
+            ArrayDeque<State> queue = new ArrayDeque<>(List.of(first));
             int chosen = 0;
-            while (!open.isEmpty()) {
-                State state = open.poll();
+            while (!queue.isEmpty()) {
+                State state = queue.poll();
                 chosen += isChosen(state) ? 1 : 0;
-                successors(state).stream().filter(visited::add).forEach(open::add);
+                successors(state).stream().filter(visited::add).forEach(queue::add);
             }
             assertTrue(answers.size() < 60);
             return new Result(visited.size(), chosen);
@@ -198,7 +198,7 @@
         private boolean isChosen(State state) {
             boolean first = sentAnswers(state, 0, false).size() > VOTERS / 2;
             boolean second = sentAnswers(state, 1, false).size() > VOTERS / 2;
-            assertFalse(first && second && state.value1 != state.value2, "two values are written");
+            assertFalse(first && second && state.value1 != state.value2, "two values are chosen");
             return first || second;
         }
 
@@ -206,13 +206,13 @@
             List<State> successors = new ArrayList<>();
             for (int voter = 0; voter < VOTERS; voter++) {
                 int memory = state.memory(voter);
-                if (memory != state.disk(voter) || state.waiting(voter) != 0) {
-                    // Its write completes, or it crashes before.
-                    successors.add(state.withVoter(voter, memory, memory, 0, state.waiting(voter)));
+                if (memory != state.disk(voter) || state.pending(voter) != 0) {
+                    // The voter's write completes, or the voter crashes before.
+                    successors.add(state.withVoter(voter, memory, memory, 0, state.pending(voter)));
                     successors.add(state.withVoter(voter, state.disk(voter), state.disk(voter), 0, 0));
                 } else {
-                    // A question that arrives during a write has the same effect as one after it: either may be lost.
-                    addReactions(state, voter, successors);
+                    // A request during a write needs no transition: its effect is that of a request after the write.
+                    addVoterTransitions(state, voter, successors);
                 }
             }
             for (int leader = 0; leader < LEADERS; leader++) {
@@ -223,36 +223,38 @@
             return successors;
         }
 
-        private void addReactions(State state, int voter, List<State> successors) {
+        private void addVoterTransitions(State state, int voter, List<State> successors) {
             for (int leader = 0; leader < LEADERS; leader++) {
                 int value = state.value(leader);
-                List<Question> questions = new ArrayList<>(List.of(new Question(leader + 1, "")));
+                List<VoterRequest> requests = new ArrayList<>(List.of(new VoterRequest(leader + 1, "")));
                 if (value != 0) {
-                    questions.add(new Question(leader + 1, VALUES.get(value)));
+                    requests.add(new VoterRequest(leader + 1, VALUES.get(value)));
                 }
-                for (Question question : questions) {
-                    Reaction reaction = react(voter, memories.get(state.memory(voter)), question);
-                    long answer = reaction.answer
-                            .map(given -> 1L << answers.indexOf(given))
+                for (VoterRequest request : requests) {
+                    Transition transition = transitionOf(voter, memories.get(state.memory(voter)), request);
+                    long answer = transition
+                            .answer
+                            .map(sentAnswer -> 1L << answers.indexOf(sentAnswer))
                             .orElse(0L);
-                    boolean early = fault == PlantedFault.ANSWER_BEFORE_WRITE;
+                    boolean sendsBeforeWrite = fault == InjectedFault.ANSWER_BEFORE_WRITE;
                     successors.add(state.withVoter(
                             voter,
-                            memories.indexOf(reaction.memory),
+                            memories.indexOf(transition.memory),
                             state.disk(voter),
-                            state.waiting(voter) | (early ? 0 : answer),
-                            early ? answer : 0));
+                            state.pending(voter) | (sendsBeforeWrite ? 0 : answer),
+                            sendsBeforeWrite ? answer : 0));
                 }
             }
         }
 
-        /** A leader that has the promises of two voters proposes a value that is safe. */
+        /** Adds the states in which a leader with the promises of two voters proposes a safe value. */
         private void addProposals(State state, int leader, List<State> successors) {
             List<Answer> promises = sentAnswers(state, leader, true);
-            for (Answer one : promises) {
-                for (Answer other : promises) {
-                    if (one.voter < other.voter) {
-                        List<RegisterState> reported = Stream.concat(one.acceptedState(), other.acceptedState())
+            for (Answer firstPromise : promises) {
+                for (Answer secondPromise : promises) {
+                    if (firstPromise.voter < secondPromise.voter) {
+                        List<RegisterState> reported = Stream.concat(
+                                        firstPromise.acceptedState(), secondPromise.acceptedState())
                                 .toList();
                         byte[] safe = PaxosAcceptor.safeValue(reported, bytes(VALUES.get(leader + 1)));
                         successors.add(state.withProposal(leader, VALUES.indexOf(text(safe))));
@@ -261,15 +263,15 @@
             }
         }
 
-        private Reaction react(int voter, String memory, Question question) {
-            return reactions.computeIfAbsent(
-                    new ReactionKey(voter, memory, question),
-                    missing -> question.isPrepare()
-                            ? reactToPrepare(voter, memory, question.term)
-                            : reactToAccept(voter, memory, question));
+        private Transition transitionOf(int voter, String memory, VoterRequest request) {
+            return transitions.computeIfAbsent(
+                    new TransitionKey(voter, memory, request),
+                    missing -> request.isPrepare()
+                            ? handlePrepare(voter, memory, request.term)
+                            : handleAccept(voter, memory, request));
         }
 
-        private static Reaction reactToPrepare(int voter, String memory, int term) {
+        private static Transition handlePrepare(int voter, String memory, int term) {
             PaxosAcceptor acceptor = decode(memory);
             boolean promised = acceptor.promise(term);
             Optional<RegisterState> accepted = acceptor.get(REGISTER);
@@ -279,20 +281,20 @@
                     true,
                     accepted.map(RegisterState::acceptedTerm).orElse(0L),
                     accepted.map(state -> text(state.value())));
-            return new Reaction(encode(acceptor), promised ? Optional.of(promise) : Optional.empty());
+            return new Transition(encode(acceptor), promised ? Optional.of(promise) : Optional.empty());
         }
 
-        private Reaction reactToAccept(int voter, String memory, Question question) {
+        private Transition handleAccept(int voter, String memory, VoterRequest request) {
             PaxosAcceptor acceptor = decode(memory);
-            if (fault == PlantedFault.ACCEPT_LOWER_TERM && question.term < acceptor.promisedTerm()) {
-                PaxosAcceptor careless = new PaxosAcceptor();
-                careless.mergePeerState(0, acceptor.registers());
-                acceptor = careless;
+            if (fault == InjectedFault.ACCEPT_LOWER_TERM && request.term < acceptor.promisedTerm()) {
+                PaxosAcceptor withoutPromise = new PaxosAcceptor();
+                withoutPromise.mergePeerState(0, acceptor.registers());
+                acceptor = withoutPromise;
             }
-            String after = acceptor.accept(question.term, REGISTER, bytes(question.value)) ? encode(acceptor) : memory;
-            boolean rejected = encode(acceptor).equals(memory) && acceptor.promisedTerm() > question.term;
-            Answer accepted = new Answer(voter, question.term, false, 0, Optional.empty());
-            return new Reaction(after, rejected ? Optional.empty() : Optional.of(accepted));
+            String after = acceptor.accept(request.term, REGISTER, bytes(request.value)) ? encode(acceptor) : memory;
+            boolean rejected = encode(acceptor).equals(memory) && acceptor.promisedTerm() > request.term;
+            Answer accepted = new Answer(voter, request.term, false, 0, Optional.empty());
+            return new Transition(after, rejected ? Optional.empty() : Optional.of(accepted));
         }
 
         private static PaxosAcceptor decode(String memory) {
@@ -306,21 +308,21 @@
 
     @Test
     void noReachableStateHasTwoChosenValues() {
-        Result result = new ModelCheck(PlantedFault.NONE).run();
+        Result result = new ModelCheck(InjectedFault.NONE).run();
         assertTrue(result.states > 400_000 && result.chosen > 300_000, result.toString());
     }
 
     @Test
-    void eachPlantedFaultIsFound() {
-        for (PlantedFault fault :
-                List.of(PlantedFault.ANSWER_BEFORE_WRITE, PlantedFault.SKIP_PREPARE, PlantedFault.ACCEPT_LOWER_TERM)) {
-            boolean found = false;
+    void eachInjectedFaultIsDetected() {
+        for (InjectedFault fault : List.of(
+                InjectedFault.ANSWER_BEFORE_WRITE, InjectedFault.SKIP_PREPARE, InjectedFault.ACCEPT_LOWER_TERM)) {
+            boolean detected = false;
             try {
                 new ModelCheck(fault).run();
             } catch (AssertionError e) {
-                found = e.getMessage().startsWith("two values are written");
+                detected = e.getMessage().startsWith("two values are chosen");
             }
-            assertTrue(found, fault + " is not found");
+            assertTrue(detected, fault + " is not detected");
         }
     }
 }
--- a/src/test/java/merlinlever/fleet/replication/PaxosNodeTest.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosNodeTest.java
@@ -17,12 +17,12 @@
 class PaxosNodeTest {
 
     private static final int REGISTERS = 3;
-    /** After this time a fleet without state files votes. */
-    private static final int FIRST_START_MS = 13_000;
+    /** Time after which a fleet without state files votes. */
+    private static final int FIRST_RECOVERY_MS = 13_000;
 
     private static PaxosFleet startedFleet(long seed, int voterCount, int size) {
         PaxosFleet fleet = new PaxosFleet(seed, voterCount, size);
-        fleet.run(FIRST_START_MS);
+        fleet.run(FIRST_RECOVERY_MS);
         return fleet;
     }
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void oneValuePerRegisterIsChosenAndLearnedByAllUnderAnyFaults() {
+    void eachRegisterGetsOneValueDespiteFaults() {
         int chosenUnderFaults = 0;
         for (int seed = 0; seed < Integer.getInteger("merlinlever.seeds", 40); seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -42,10 +42,10 @@
             for (int step = 0; step < 2500; step++) {
                 int i = random.nextInt(voterCount);
                 switch (random.nextInt(120)) {
-                    case 0 -> fleet.lead(i, 200 + random.nextInt(8000));
+                    case 0 -> fleet.makeLeader(i, 200 + random.nextInt(8000));
                     case 1 -> fleet.start(i);
                     case 2 -> {
-                        // With its disk: of one voter at a time, until it was told what it lost.
+                        // Only one voter at a time loses its disk, until it has recovered its state from the others.
                         if (fleet.nowMs > diskLostUntilMs) {
                             diskLostUntilMs = fleet.nowMs + 30_000;
                             fleet.disks[i] = null;
@@ -58,20 +58,20 @@
                     default -> propose(fleet, i, "r" + random.nextInt(REGISTERS), "b" + i + "at" + fleet.nowMs);
                 }
                 fleet.step();
-                assertOneValueEach(fleet, chosen, seed);
+                assertOneValuePerRegister(fleet, chosen, seed);
             }
             chosenUnderFaults += chosen.size();
-            healAndWriteAll(fleet);
-            assertOneValueEach(fleet, chosen, seed);
-            assertAllKnowAll(fleet, seed);
+            healAndWriteAllRegisters(fleet);
+            assertOneValuePerRegister(fleet, chosen, seed);
+            assertAllNodesKnowAllRegisters(fleet, seed);
         }
-        assertTrue(chosenUnderFaults > 40, "registers written under faults: " + chosenUnderFaults);
+        assertTrue(chosenUnderFaults > 40, "too few registers chosen under faults: " + chosenUnderFaults);
     }
 
-    private static void healAndWriteAll(PaxosFleet fleet) {
+    private static void healAndWriteAllRegisters(PaxosFleet fleet) {
         fleet.lossRate = 0;
         Arrays.fill(fleet.partition, 0);
-        fleet.lead(0, 1_000_000);
+        fleet.makeLeader(0, 1_000_000);
         fleet.run(15_000);
         for (int r = 0; r < REGISTERS; r++) {
             propose(fleet, 0, "r" + r, "last");
@@ -79,18 +79,18 @@
         fleet.run(8000);
     }
 
-    private static void assertAllKnowAll(PaxosFleet fleet, int seed) {
+    private static void assertAllNodesKnowAllRegisters(PaxosFleet fleet, int seed) {
         for (PaxosNode node : fleet.nodes) {
             for (int r = 0; r < REGISTERS; r++) {
                 assertTrue(
                         node.chosen("r" + r).isPresent(),
-                        "seed " + seed + ": not all know r" + r + " " + node.statusJson());
+                        "seed " + seed + ": not all nodes have learned r" + r + " " + node.statusJson());
             }
             assertTrue(node.statusJson().contains("\"conflicts\":0"));
         }
     }
 
-    private static void assertOneValueEach(PaxosFleet fleet, Map<String, Set<String>> chosen, int seed) {
+    private static void assertOneValuePerRegister(PaxosFleet fleet, Map<String, Set<String>> chosen, int seed) {
         for (PaxosNode node : fleet.nodes) {
             for (int r = 0; r < REGISTERS; r++) {
                 String register = "r" + r;
@@ -103,23 +103,23 @@
     }
 
     @Test
-    void nodeThatDoesNotLeadOrMayNotDecideWritesNothing() {
+    void onlyALeaderThatMayDecideWrites() {
         PaxosFleet fleet = startedFleet(1, 3, 3);
         propose(fleet, 0, "end", "a");
         fleet.run(2000);
-        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "it does not lead");
-        fleet.lead(0, 100_000);
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "the node is not the leader");
+        fleet.makeLeader(0, 100_000);
         fleet.mayDecide = false;
         propose(fleet, 0, "end", "a");
         fleet.run(2000);
-        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "it leads in a minority");
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "the leader is in a minority");
         fleet.mayDecide = true;
         propose(fleet, 0, "end", "a");
         fleet.step();
-        fleet.leadsUntilMs[0] = 0;
+        fleet.leaderUntilMs[0] = 0;
         fleet.run(2000);
-        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "it was deposed after it began");
-        fleet.lead(1, 100_000);
+        assertTrue(fleet.nodes[0].chosen("end").isEmpty(), "the leader lost its leadership after the proposal");
+        fleet.makeLeader(1, 100_000);
         propose(fleet, 1, "end", "b");
         fleet.run(3000);
         for (PaxosNode node : fleet.nodes) {
@@ -128,38 +128,39 @@
     }
 
     @Test
-    void nothingIsChosenWhileDisksAreBlockedAndALaterLeaderKeepsAPossiblyChosenValue() {
+    void laterLeaderKeepsAValueThatMayHaveBeenChosen() {
         PaxosFleet fleet = startedFleet(4, 3, 3);
         fleet.disksBlocked = true;
         fleet.partition[2] = 1;
-        fleet.lead(0, 1_000_000);
+        fleet.makeLeader(0, 1_000_000);
         propose(fleet, 0, "end", "a");
         fleet.run(4000);
         assertTrue(fleet.nodes[0].chosen("end").isEmpty());
-        assertTrue(fleet.nodes[1].statusJson().contains("\"begun\":0"), "nobody has promised, so nothing is proposed");
+        assertTrue(
+                fleet.nodes[1].statusJson().contains("\"begun\":0"), "no promise is on disk, so no value is proposed");
         fleet.disksBlocked = false;
         while (!fleet.nodes[1].statusJson().contains("\"begun\":1")) {
             fleet.step();
         }
-        // b1 accepts the value and writes it, but its answer is lost: b0 does not know that the value is chosen.
+        // b1 writes the accepted value to disk, but its answer is lost: b0 doesn't learn that the value is chosen.
         fleet.partition[0] = 2;
         fleet.run(300);
         assertTrue(fleet.nodes[0].chosen("end").isEmpty());
         fleet.dropDatagrams();
-        fleet.leadsUntilMs[0] = 0;
+        fleet.leaderUntilMs[0] = 0;
         fleet.partition[2] = 0;
         fleet.start(1);
-        fleet.lead(2, 1_000_000);
+        fleet.makeLeader(2, 1_000_000);
         propose(fleet, 2, "end", "c");
         fleet.run(3000);
         assertArrayEquals(bytes("a"), fleet.nodes[2].chosen("end").orElseThrow());
     }
 
     @Test
-    void voterThatLostItsDiskDoesNotVoteBeforeTheOthersToldIt() {
+    void voterThatLostItsDiskRecoversBeforeItVotes() {
         PaxosFleet fleet = startedFleet(2, 3, 3);
-        fleet.lead(0, 1_000_000);
-        // Chosen by b0 and b1; then b1 loses its disk and b0 is cut off: b1 and b2 must not choose another value.
+        fleet.makeLeader(0, 1_000_000);
+        // b0 and b1 choose a value; then b1 loses its disk and b0 is cut off. b1 and b2 must not choose another value.
         fleet.partition[2] = 1;
         propose(fleet, 0, "end", "a");
         fleet.run(1000);
@@ -168,7 +169,7 @@
         fleet.start(1);
         Arrays.fill(fleet.partition, 0);
         fleet.partition[0] = 1;
-        fleet.lead(2, 1_000_000);
+        fleet.makeLeader(2, 1_000_000);
         propose(fleet, 2, "end", "c");
         fleet.run(30_000);
         assertTrue(fleet.nodes[2].chosen("end").isEmpty()
--- a/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
+++ b/src/test/java/merlinlever/fleet/replication/RegisterCodecTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The file of a voter's registers, and the messages about them. */
+/** Encoding of a voter's state file and of the messages about registers. */
 class RegisterCodecTest {
 
     private static PaxosAcceptor randomAcceptor(SplittableRandom random) {
@@ -50,7 +50,7 @@
         Optional<RegisterMessage> decoded = RegisterMessage.decode(message);
         assertTrue(
                 decoded.isEmpty() || Arrays.equals(message, decoded.get().encode()),
-                "there is one encoding of what was decoded");
+                "a decoded message encodes to the same bytes");
         new PaxosFleet(3, 3, 3).nodes[0].receive(Duration.ofSeconds(1), "b1", message);
     }
 
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void registersAreBoundedAndNeverDropped() {
+    void numberOfRegistersIsLimitedAndChosenValuesAreKept() {
         PaxosAcceptor acceptor = new PaxosAcceptor();
         for (int i = 0; i < PaxosAcceptor.MAX_REGISTERS; i++) {
             assertTrue(acceptor.accept(1, "r" + i, new byte[PaxosAcceptor.MAX_VALUE_BYTES]));
@@ -77,7 +77,7 @@
         assertArrayEquals(
                 new byte[PaxosAcceptor.MAX_VALUE_BYTES],
                 acceptor.get("r0").orElseThrow().value(),
-                "what is chosen stays, whatever is proposed");
+                "a chosen value never changes");
         assertEquals(
                 PaxosAcceptor.MAX_REGISTERS,
                 PaxosAcceptor.decode(acceptor.encode())
--- a/src/test/java/merlinlever/fleet/replication/ReplicatedStoreFleetTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicatedStoreFleetTest.java
@@ -15,7 +15,7 @@
 import merlinlever.testing.faults.ReplicationModel;
 import org.junit.jupiter.api.Test;
 
-/** Fleets of replicas on a simulated network. */
+/** Convergence of fleets of replicas on a simulated network with faults. */
 class ReplicatedStoreFleetTest {
 
     private static final int TOPICS = 3;
@@ -43,11 +43,11 @@
             fleet.heal();
             fleet.run(8000);
             for (int i = 0; i < size; i++) {
-                repeatLastWrites(fleet, i, lastWrites.get(i));
+                rewriteLastValues(fleet, i, lastWrites.get(i));
             }
             fleet.run(8000);
             assertTrue(fleet.areEqual(), "seed " + seed + ": the replicas differ");
-            assertAllHold(fleet, lastWrites, seed);
+            assertAllReplicasHold(fleet, lastWrites, seed);
         }
     }
 
@@ -63,8 +63,8 @@
         }
     }
 
-    /** Whatever earlier processes of the backend left is known by now, and is overridden. */
-    private static void repeatLastWrites(ReplicationModel fleet, int i, TreeMap<String, String> lastWrites) {
+    /** Writes the expected values again, above any newer versions that earlier processes of the backend published. */
+    private static void rewriteLastValues(ReplicationModel fleet, int i, TreeMap<String, String> lastWrites) {
         for (int topic = 0; topic < TOPICS; topic++) {
             String value = lastWrites.get("t" + topic);
             if (value == null) {
@@ -75,7 +75,8 @@
         }
     }
 
-    private static void assertAllHold(ReplicationModel fleet, List<TreeMap<String, String>> lastWrites, int seed) {
+    private static void assertAllReplicasHold(
+            ReplicationModel fleet, List<TreeMap<String, String>> lastWrites, int seed) {
         for (int i = 0; i < lastWrites.size(); i++) {
             for (int k = 0; k < lastWrites.size(); k++) {
                 for (int topic = 0; topic < TOPICS; topic++) {
@@ -84,7 +85,9 @@
                             .map(entry -> text(entry.value()))
                             .orElse(null);
                     assertEquals(
-                            lastWrites.get(i).get("t" + topic), value, "seed " + seed + ": of b" + i + " at b" + k);
+                            lastWrites.get(i).get("t" + topic),
+                            value,
+                            "seed " + seed + ": entry of b" + i + " at b" + k);
                 }
             }
         }
@@ -107,17 +110,18 @@
                     fleet.kill(0, random.nextInt(2000), false);
                 }
                 if (fleet.isUp(0)) {
-                    // As a counter does: it continues from what the process before left.
+                    // Like a counter, the process continues from the value of the previous process.
                     long count = count(fleet.replicas[0]);
                     assertTrue(
                             count >= received,
-                            "seed " + seed + ": it continues from " + count + ", others have received " + received);
+                            "seed " + seed + ": the owner continues from " + count + ", others have received "
+                                    + received);
                     fleet.replicas[0].put(fleet.clock(0), "count", bytes("" + (count + 1)));
                 }
                 fleet.step();
                 received = Math.max(received, count(fleet.replicas[1]));
             }
-            assertTrue(received > 200, "" + received);
+            assertTrue(received > 200, "too few values received: " + received);
         }
     }
 
@@ -131,7 +135,7 @@
             fleet.replicas[0].put(fleet.clock(0), "gone", bytes("old"));
             fleet.run(5000);
             assertTrue(fleet.replicas[4].get("b0", "gone").isPresent());
-            // Two are partitioned, or one is paused, from well under the retention to well over it.
+            // Pauses one replica or partitions two, for less than the retention up to well over it.
             long absenceMs = 10_000 + 15_000L * seed;
             if (seed % 2 == 0) {
                 fleet.pause(4, absenceMs);
@@ -147,22 +151,24 @@
             for (int step = 0; step < 400; step++) {
                 fleet.step();
                 for (int i = 0; i < 3; i++) {
-                    assertTrue(fleet.replicas[i].get("b0", "gone").isEmpty(), "seed " + seed + ": it is back at b" + i);
+                    assertTrue(
+                            fleet.replicas[i].get("b0", "gone").isEmpty(),
+                            "seed " + seed + ": the removed entry is back at b" + i);
                 }
             }
             assertTrue(fleet.areEqual(), "seed " + seed);
             assertTrue(
                     fleet.replicas[4].get("b0", "gone").isEmpty(),
-                    "seed " + seed + ": the one that was absent has dropped it");
+                    "seed " + seed + ": the absent replica still holds the removed entry");
             assertTrue(
                     fleet.replicas[0].get("b4", "keep").isPresent()
                             && fleet.replicas[4].get("b0", "keep").isPresent(),
-                    "what is refreshed stays");
+                    "refreshed entries must be kept");
         }
     }
 
     @Test
-    void entriesOfADeadOwnerExpireEverywhereAndThoseOfLiveOwnersStay() {
+    void onlyEntriesOfDeadOwnersExpire() {
         ReplicationModel fleet = new ReplicationModel(5, 4, SHORT_RETENTION);
         List<String> expired = new ArrayList<>();
         fleet.replicas[1].addListener(new SharedStore.EntryListener() {
@@ -180,7 +186,7 @@
         fleet.run(3000);
         fleet.kill(3, 1_000_000, false);
         fleet.run(50_000);
-        assertTrue(fleet.replicas[1].get("b3", "count").isPresent(), "its entry is still held");
+        assertTrue(fleet.replicas[1].get("b3", "count").isPresent(), "the entry expired too early");
         fleet.run(15_000);
         for (int i = 0; i < 3; i++) {
             assertEquals(
@@ -200,9 +206,9 @@
             fleet.run(300);
         }
         fleet.kill(0, 100, true);
-        // Up to its first step, in which it receives nothing yet.
+        // Runs up to the first step of the restarted replica, which has received no messages yet.
         fleet.run(100);
-        assertTrue(fleet.replicas[0].get("b0", "count").isEmpty(), "it has nothing of its own");
+        assertTrue(fleet.replicas[0].get("b0", "count").isEmpty(), "the restarted replica still has an entry");
         fleet.replicas[0].put(fleet.clock(0), "count", bytes("now"));
         fleet.run(4000);
         assertArrayEquals(
--- a/src/test/java/merlinlever/fleet/replication/ReplicatedStoreTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicatedStoreTest.java
@@ -15,39 +15,40 @@
     @Test
     void pausedReplicaDropsForeignEntriesAndRejectsStaleMessagesFromItsBuffers() {
         ReplicatedStore store = singleReplica("b0", "b1");
-        store.put(Duration.ZERO, "mine", bytes("m"));
-        StoredEntry other = StoredEntry.of(new VersionedEntry("b1", "theirs", 1, 1, bytes("t")), Duration.ZERO);
-        byte[] message = GossipCodec.encodeEntries(Duration.ZERO, List.of(other));
+        store.put(Duration.ZERO, "own", bytes("m"));
+        StoredEntry foreignEntry = StoredEntry.of(new VersionedEntry("b1", "foreign", 1, 1, bytes("t")), Duration.ZERO);
+        byte[] message = GossipCodec.encodeEntries(Duration.ZERO, List.of(foreignEntry));
         store.receive(Duration.ZERO, "b1", message);
-        assertTrue(store.get("b1", "theirs").isPresent());
-        // Paused for half of the retention by its own clock; or for less by it, as it stopped too, and the others say
-        // so.
+        assertTrue(store.get("b1", "foreign").isPresent());
+        // The replica notices a pause of half the retention by its own clock. If the clock stopped as well, others
+        // report
+        // the pause, which leads to discardForeignEntries.
         store.tick(Duration.ofSeconds(31));
         assertTrue(
-                store.get("b1", "theirs").isEmpty() && store.get("b0", "mine").isPresent());
+                store.get("b1", "foreign").isEmpty() && store.get("b0", "own").isPresent());
         store.receive(Duration.ofSeconds(31), "b1", message);
-        assertTrue(store.get("b1", "theirs").isPresent(), "it may have waited for 31 s, which is not too old");
+        assertTrue(store.get("b1", "foreign").isPresent(), "a message that may have waited for 31 s is not too old");
         store.tick(Duration.ofSeconds(32));
         store.discardForeignEntries(Duration.ofSeconds(33));
         assertTrue(
-                store.get("b1", "theirs").isEmpty() && store.get("b0", "mine").isPresent());
+                store.get("b1", "foreign").isEmpty() && store.get("b0", "own").isPresent());
     }
 
     @Test
-    void messageReadRightAfterALongPauseCountsAsOldAsThePause() {
-        StoredEntry entry = StoredEntry.of(new VersionedEntry("b1", "theirs", 1, 1, bytes("t")), Duration.ZERO);
+    void ageOfAMessageReadAfterAPauseIncludesThePause() {
+        StoredEntry entry = StoredEntry.of(new VersionedEntry("b1", "foreign", 1, 1, bytes("t")), Duration.ZERO);
         byte[] message = GossipCodec.encodeEntries(Duration.ZERO, List.of(entry));
         ReplicatedStore store = singleReplica("b2", "b1");
         store.tick(Duration.ofSeconds(55));
         store.receive(Duration.ofMillis(55_100), "b1", message);
-        assertTrue(store.get("b1", "theirs").isEmpty(), "it may have waited for 55 s of a retention of 60");
+        assertTrue(store.get("b1", "foreign").isEmpty(), "a message that may have waited for 55 of 60 s is too old");
         store.tick(Duration.ofMillis(56_100));
         store.receive(Duration.ofMillis(56_200), "b1", message);
-        assertTrue(store.get("b1", "theirs").isPresent(), "what is read a second later has not waited");
+        assertTrue(store.get("b1", "foreign").isPresent(), "a message read a second later has not waited");
     }
 
     @Test
-    void ownTopicsAndBytesAreBounded() {
+    void ownTopicsAndBytesAreLimited() {
         ReplicatedStore store = singleReplica("b0");
         assertFalse(store.put(Duration.ZERO, "t", new byte[VersionedEntry.MAX_VALUE_BYTES + 1]));
         assertFalse(store.put(Duration.ZERO, "with space", bytes("x")));
@@ -73,17 +74,17 @@
     }
 
     @Test
-    void numberOfEntriesIsBoundedAndHeldOnesCanStillBeReplaced() {
+    void fullTableAcceptsOnlyNewVersionsOfStoredEntries() {
         ReplicatedStore store = singleReplica("b1");
         assertEquals(EntryTable.MAX_ENTRIES, relayMany(store, bytes("x")));
         assertTrue(
                 store.relay(Duration.ZERO, new VersionedEntry("s0", "table", 1, 2, bytes("newer"))),
-                "a newer version of what is held is accepted all the same");
+                "a full table must accept a newer version of a stored entry");
     }
 
     @Test
-    void totalBytesAreBounded() {
+    void totalBytesAreLimited() {
         int count = relayMany(singleReplica("b2"), new byte[VersionedEntry.MAX_VALUE_BYTES]);
-        assertTrue(count >= 500 && count <= 512, "8 MiB: " + count);
+        assertTrue(count >= 500 && count <= 512, "number of entries in 8 MiB: " + count);
     }
 }
--- a/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicationBytesTest.java
@@ -10,7 +10,7 @@
 import merlinlever.fleet.replication.RegisterMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of replication messages and of a voter's file are those of the versions before. */
+/** Replication messages and a voter's state file keep the encoding of earlier versions. */
 class ReplicationBytesTest {
 
     private static final StoredEntry.EntryKey KEY = new StoredEntry.EntryKey("b1", "trial/t");
@@ -22,8 +22,8 @@
         Duration now = Duration.ofSeconds(10);
         StoredEntry entry =
                 StoredEntry.of(new VersionedEntry("b1", "trial/t", 3, 300, new byte[] {1, 2}), Duration.ofSeconds(4));
-        StoredEntry removed = StoredEntry.of(new VersionedEntry("b1", "x", 3, 301, null), Duration.ofSeconds(4));
-        StoredEntry conflicted = entry.mergedWith(
+        StoredEntry tombstone = StoredEntry.of(new VersionedEntry("b1", "x", 3, 301, null), Duration.ofSeconds(4));
+        StoredEntry conflict = entry.mergedWith(
                 StoredEntry.of(new VersionedEntry("b1", "trial/t", 3, 300, new byte[] {1, 3}), Duration.ofSeconds(4)));
         long[] checksums = new long[EntryTable.BUCKET_COUNT];
         checksums[5] = entry.fingerprint();
@@ -34,7 +34,7 @@
                 GossipCodec.encodeVersions(
                         1L << 5, List.of(new EntryTable.EntryVersion(KEY, 3, 300, entry.fingerprint()))),
                 "words",
-                GossipCodec.encodeEntries(now, List.of(entry, removed, conflicted)),
+                GossipCodec.encodeEntries(now, List.of(entry, tombstone, conflict)),
                 "want",
                 GossipCodec.encodeRequest(List.of(KEY)));
         messages.forEach((name, bytes) -> {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void registerMessagesAndTheVotersFile() {
+    void registerMessagesAndStateFile() {
         Map<String, Kind> kinds = Map.of(
                 "prepare",
                 Kind.PREPARE,
--- a/src/test/java/merlinlever/fleet/replication/ReplicationFixture.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicationFixture.java
@@ -7,10 +7,10 @@
 import merlinlever.fleet.replication.ReplicatedStore.PersistedEntries;
 import merlinlever.fleet.replication.ReplicatedStore.ReplicationSettings;
 
-/** What the tests of this package share. */
+/** Helpers shared by the tests of this package. */
 final class ReplicationFixture {
 
-    /** Persistent, with a retention of one minute. */
+    /** Settings of a persistent store with a retention of one minute. */
     static final ReplicationSettings SHORT_RETENTION =
             new ReplicationSettings(Duration.ofMillis(200), 3, Duration.ofSeconds(60), 512 << 10, true);
 
@@ -24,7 +24,7 @@
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** A replica without a disk, whose messages the test carries. */
+    /** Returns a replica without a disk; the test delivers its messages. */
     static ReplicatedStore singleReplica(String name, String... peers) {
         return replica(name, notPersistent(512 << 10), peers);
     }
@@ -46,7 +46,7 @@
                 SHORT_RETENTION.gossipInterval(), 3, SHORT_RETENTION.retention(), bytesPerSecond, false);
     }
 
-    /** Few owners, topics, versions and values, so that many entries collide. */
+    /** Returns an entry out of few owners, topics, versions and values, so that many entries collide. */
     static StoredEntry randomEntry(SplittableRandom random) {
         byte[] value = random.nextInt(4) == 0 ? null : bytes("v" + random.nextInt(3));
         return StoredEntry.of(
--- a/src/test/java/merlinlever/fleet/replication/VersionConflictTest.java
+++ b/src/test/java/merlinlever/fleet/replication/VersionConflictTest.java
@@ -16,12 +16,12 @@
 
 class VersionConflictTest {
 
-    private static VersionedEntry table(long sequence, String value) {
+    private static VersionedEntry siteEntry(long sequence, String value) {
         return new VersionedEntry("site", "table", 4, sequence, bytes(value));
     }
 
     @Test
-    void twoValuesOfOneVersionAreWithheldAndReportedUntilAHigherVersion() {
+    void conflictingValuesAreReportedAndNotServedUntilAHigherVersion() {
         ReplicationModel fleet = new ReplicationModel(6, 4, ReplicationFixture.SHORT_RETENTION);
         List<VersionConflict> reported = new ArrayList<>();
         fleet.replicas[3].addListener(new SharedStore.EntryListener() {
@@ -35,9 +35,9 @@
         });
         fleet.partition[2] = 1;
         fleet.partition[3] = 1;
-        assertTrue(fleet.replicas[0].relay(fleet.clock(0), table(7, "one")));
-        assertTrue(fleet.replicas[2].relay(fleet.clock(2), table(7, "two")));
-        assertFalse(fleet.replicas[2].relay(fleet.clock(2), table(6, "older")));
+        assertTrue(fleet.replicas[0].relay(fleet.clock(0), siteEntry(7, "one")));
+        assertTrue(fleet.replicas[2].relay(fleet.clock(2), siteEntry(7, "two")));
+        assertFalse(fleet.replicas[2].relay(fleet.clock(2), siteEntry(6, "older")));
         fleet.run(2000);
         assertTrue(fleet.replicas[1].get("site", "table").isPresent()
                 && fleet.replicas[3].get("site", "table").isPresent());
@@ -52,11 +52,13 @@
             assertEquals(List.of(conflict), fleet.replicas[i].conflicts(), "at b" + i);
             assertTrue(fleet.replicas[i].get("site", "table").isEmpty()
                     && fleet.replicas[i].entries("table").isEmpty());
-            assertFalse(fleet.replicas[i].relay(fleet.clock(i), table(7, "one")), "neither value is accepted any more");
+            assertFalse(
+                    fleet.replicas[i].relay(fleet.clock(i), siteEntry(7, "one")),
+                    "a conflicting value must not be accepted again");
         }
         assertEquals(List.of(conflict), reported);
         assertTrue(fleet.areEqual());
-        assertTrue(fleet.replicas[1].relay(fleet.clock(1), table(8, "three")));
+        assertTrue(fleet.replicas[1].relay(fleet.clock(1), siteEntry(8, "three")));
         fleet.run(4000);
         for (int i = 0; i < 4; i++) {
             assertEquals(List.of(), fleet.replicas[i].conflicts());
--- a/src/test/java/merlinlever/fleet/replication/disk/EntryFileTest.java
+++ b/src/test/java/merlinlever/fleet/replication/disk/EntryFileTest.java
@@ -21,13 +21,13 @@
                     new VersionedEntry("a", "gone", 4, 9, null)));
 
     @Test
-    void corruptOrCopiedFileIsNotTakenAsOwnEntries() {
+    void entriesOfCorruptOrCopiedFilesAreIgnored() {
         byte[] file = EntryFile.encode("a", PERSISTED);
         PersistedEntries decoded = EntryFile.decode("a", file).orElseThrow();
         assertArrayEquals(file, EntryFile.encode("a", decoded));
         PersistedEntries copied = EntryFile.decode("b", file).orElseThrow();
         assertEquals(List.of(), copied.entries());
-        assertEquals(4, copied.incarnation(), "versions start above it");
+        assertEquals(4, copied.incarnation(), "new versions must start above the copied one");
         for (int i = 0; i < file.length; i++) {
             byte[] corrupted = file.clone();
             corrupted[i] ^= 4;
--- a/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
+++ b/src/test/java/merlinlever/fleet/replication/net/ReplicationTransportTest.java
@@ -39,7 +39,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Three replicas in one process, on real datagrams and disks. */
+/** Three replicas in one process, with real datagrams and files. */
 class ReplicationTransportTest {
 
     private static final FleetView FULL_QUORUM = new FixedFleetView(now -> QuorumStatus.FULL);
@@ -61,7 +61,7 @@
     @AfterEach
     void stopLoop() throws InterruptedException {
         loop.stop();
-        // A write in progress is completed; no new one starts.
+        // Lets a write in progress complete.
         Thread.sleep(500);
         TestDirectories.remove(root);
     }
@@ -70,7 +70,7 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Runs on the loop and waits for the result. */
+    /** Runs the action on the event loop and waits for its result. */
     private <T> T onLoop(Supplier<T> action) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         List<T> results = new ArrayList<>();
@@ -88,7 +88,7 @@
     private void await(String description, Supplier<Boolean> condition) throws InterruptedException {
         long deadline = System.nanoTime() + MAX_WAIT_NANOS;
         while (!onLoop(condition)) {
-            assertTrue(System.nanoTime() < deadline, "not within 90 s: " + description + " " + log);
+            assertTrue(System.nanoTime() < deadline, "condition not met within 90 s: " + description + " " + log);
             Thread.sleep(20);
         }
     }
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void entriesReachTheOthersOnceOnDiskAndTheLeaderWritesARegister() throws InterruptedException, IOException {
+    void entriesAndRegistersReachAllReplicas() throws InterruptedException, IOException {
         Replica a = start("a", List.of());
         Replica b = start("b", List.of(onLoop(a::address)));
         Replica c = start("c", List.of(onLoop(a::address)));
@@ -158,7 +158,7 @@
         assertTrue(onLoop(() -> a.transport.store().put(loop.clock().uptime(), "counts", bytes("7"))));
         assertTrue(onLoop(() ->
                 b.transport.store().put(loop.clock().uptime(), "large", new byte[VersionedEntry.MAX_VALUE_BYTES])));
-        await("all hold both", () -> replicas.stream()
+        await("all replicas hold both entries", () -> replicas.stream()
                 .map(replica -> replica.transport.store())
                 .allMatch(store -> store.get("a", "counts").isPresent()
                         && store.get("b", "large").isPresent()));
@@ -166,7 +166,7 @@
                         "a", Files.readAllBytes(root.resolve("a-shared").resolve("words")))
                 .orElseThrow();
         assertArrayEquals(bytes("7"), persisted.entries().get(0).value());
-        await("the register is written everywhere", () -> {
+        await("all replicas have learned the register's value", () -> {
             replicas.forEach(replica -> replica.transport
                     .registers()
                     .propose(loop.clock().uptime(), "end", bytes("won by " + replica.name())));
