--- a/src/test/java/merlinlever/fleet/replication/GossipBudgetTest.java
+++ b/src/test/java/merlinlever/fleet/replication/GossipBudgetTest.java
@@ -30,7 +30,7 @@
                 }
             }
             long limit = (second == 0 ? 2 : 1) * (long) BYTES_PER_SECOND + 40_000;
-            assertTrue(bytes <= limit, "byte limit exceeded in second " + second + ": " + bytes);
+            assertTrue(bytes <= limit, second + " s: byte limit exceeded: " + bytes);
             assertTrue(second > 0 || bytes > 50_000, "too few bytes sent in the first second: " + bytes);
         }
     }
