--- a/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
+++ b/src/main/java/merlinlever/fleet/replication/ReplicatedStore.java
@@ -78,8 +78,8 @@
     /**
      * Creates a replica.
      *
-     * @param incarnation incarnation of this process in the membership; new entries have at least this incarnation, and a
-     *     higher one than the persisted entries
+     * @param incarnation incarnation of this process in the membership; new entries have at least this incarnation, and
+     *     a higher one than the persisted entries
      * @param persisted the entries that the previous process wrote to disk, or {@link PersistedEntries#NONE}
      * @param peers the other replicas that are reachable now
      * @param log receives a line for each event that an operator may need
