--- a/src/main/java/merlinlever/fleet/replication/DurabilityGate.java
+++ b/src/main/java/merlinlever/fleet/replication/DurabilityGate.java
@@ -16,7 +16,7 @@
     private final ArrayDeque<DeferredMessage> deferred = new ArrayDeque<>();
     private long version;
     private long durableVersion;
-    /** Version that is being written; no write is in progress unless it exceeds {@link #durableVersion}. */
+    /** Version that is being written; equal to {@link #durableVersion} or lower if no write is in progress. */
     private long writingVersion;
 
     /** Starts a new version of the state. */
--- a/src/main/java/merlinlever/fleet/replication/EntryTable.java
+++ b/src/main/java/merlinlever/fleet/replication/EntryTable.java
@@ -68,7 +68,9 @@
     private final long[] bucketChecksums = new long[BUCKET_COUNT];
     private long sizeBytes;
 
-    /** Returns the bucket of a key. All replicas agree on it, as the Java specification defines String.hashCode. */
+    /**
+     * Returns the bucket of a key, which is the same at all replicas: the Java specification defines String.hashCode.
+     */
     static int bucket(EntryKey key) {
         int hash = HASH_MULTIPLIER * key.owner().hashCode() + key.topic().hashCode();
         int folded = 0;
--- a/src/main/java/merlinlever/fleet/replication/PaxosNode.java
+++ b/src/main/java/merlinlever/fleet/replication/PaxosNode.java
@@ -272,8 +272,8 @@
     }
 
     /**
-     * Returns the proposal that an answer belongs to; empty if it has ended or this backend no longer leads under its
-     * term.
+     * Returns the proposal that an answer belongs to; empty if the proposal has ended or this backend no longer leads
+     * under its term.
      */
     private Optional<Proposal> proposalFor(Duration now, String sender, RegisterMessage answer) {
         return Optional.ofNullable(proposals.get(answer.register()))
--- a/src/main/java/merlinlever/fleet/replication/StoredEntry.java
+++ b/src/main/java/merlinlever/fleet/replication/StoredEntry.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 /**
- * An entry as a replica stores it.
+ * An entry in the table of a replica.
  *
  * @param value null if the entry was removed (a tombstone) or is in conflict
  * @param digests SHA-256 in hexadecimal of the value published under this version; in a conflict the lowest two digests
--- a/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosFleet.java
@@ -29,7 +29,7 @@
     long nowMs;
     double lossRate;
     boolean mayDecide = true;
-    /** Whether all writes are held up. */
+    /** Whether writes to all disks are blocked. */
     boolean disksBlocked;
 
     private final SplittableRandom random;
@@ -90,7 +90,7 @@
         return peers;
     }
 
-    /** Makes the node leader of a new term; an earlier leader leads on until its own duration ends. */
+    /** Makes the node leader of a new term; an earlier leader remains leader until its own duration ends. */
     void makeLeader(int i, long durationMs) {
         highestTerm++;
         terms[i] = highestTerm;
--- a/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
+++ b/src/test/java/merlinlever/fleet/replication/PaxosModelCheckTest.java
@@ -207,7 +207,7 @@
             for (int voter = 0; voter < VOTERS; voter++) {
                 int memory = state.memory(voter);
                 if (memory != state.disk(voter) || state.pending(voter) != 0) {
-                    // The voter's write completes, or the voter crashes before.
+                    // The voter's write completes, or the voter crashes before the completion.
                     successors.add(state.withVoter(voter, memory, memory, 0, state.pending(voter)));
                     successors.add(state.withVoter(voter, state.disk(voter), state.disk(voter), 0, 0));
                 } else {
--- a/src/test/java/merlinlever/fleet/replication/ReplicatedStoreTest.java
+++ b/src/test/java/merlinlever/fleet/replication/ReplicatedStoreTest.java
@@ -20,9 +20,8 @@
         byte[] message = GossipCodec.encodeEntries(Duration.ZERO, List.of(foreignEntry));
         store.receive(Duration.ZERO, "b1", message);
         assertTrue(store.get("b1", "foreign").isPresent());
-        // The replica notices a pause of half the retention by its own clock. If the clock stopped as well, others
-        // report
-        // the pause, which leads to discardForeignEntries.
+        // The replica detects a pause of half the retention by its own clock. If the clock stopped as well, other
+        // replicas report the pause, and discardForeignEntries is called.
         store.tick(Duration.ofSeconds(31));
         assertTrue(
                 store.get("b1", "foreign").isEmpty() && store.get("b0", "own").isPresent());
