--- a/src/main/java/merlinlever/common/net/CloseReason.java
+++ b/src/main/java/merlinlever/common/net/CloseReason.java
@@ -1,26 +1,26 @@
 package merlinlever.common.net;
 
-/** Why a connection was closed, and whether it had been established before. */
+/** The reason why a connection was closed. */
 public enum CloseReason {
-    /** The peer closed it in good order. */
+    /** The peer closed the connection in order. */
     CLOSED_BY_PEER(true),
-    /** A reset, or another failure of reading or writing. */
+    /** A read or write failed, for example after a reset by the peer. */
     IO_FAILURE(true),
-    /** It could not be established. */
+    /** The connection could not be established. */
     CONNECT_FAILED(false),
-    /** It was not established in time. */
+    /** The connection was not established before the connect timeout. */
     CONNECT_TIMEOUT(false),
-    /** Closed here: nothing was in flight on it. */
+    /** Closed locally while no message was in flight. */
     IDLE(true),
-    /** Closed here after the last message on it. */
+    /** Closed locally after the last message. */
     COMPLETED(true),
-    /** Closed here: a message was not complete, or not read by the peer, in time. */
+    /** Closed locally because the peer did not complete or did not read a message in time. */
     TIMED_OUT(true),
-    /** Closed here: the peer broke the protocol. */
+    /** Closed locally because the peer violated the protocol. */
     PROTOCOL_ERROR(true),
-    /** Closed here: more was queued for writing than is allowed. */
+    /** Closed locally because the write queue exceeded its limit. */
     WRITE_QUEUE_FULL(true),
-    /** Closed here: its handler threw. */
+    /** Closed locally because the handler threw an exception. */
     HANDLER_FAILED(true);
 
     private final boolean established;
@@ -29,7 +29,7 @@
         this.established = established;
     }
 
-    /** Whether the connection had been established, so that the peer may have received what was sent on it. */
+    /** Returns whether the connection had been established, in which case the peer may have received data. */
     public boolean wasEstablished() {
         return established;
     }
--- a/src/main/java/merlinlever/common/net/Connection.java
+++ b/src/main/java/merlinlever/common/net/Connection.java
@@ -8,32 +8,35 @@
 import java.util.ArrayDeque;
 
 /**
- * A stream connection. It reads into one buffer, from which its handler takes complete messages. Queued buffers are
- * written at the end of the event loop's batch, in one gathering write. A connection is closed once, for one reason.
- * All methods are called on the event loop's thread.
+ * A stream connection. It reads into a single buffer, from which the handler consumes complete messages. Queued
+ * buffers are written at the end of the event loop's batch, in one gathering write. A connection is closed once, with
+ * one {@link CloseReason}. All methods must be called on the event loop's thread.
  */
 public abstract class Connection {
 
-    /** Receives what happens on a connection. A handler that throws closes its connection. */
+    /** Receives the events of a connection. If a method of the handler throws, the connection is closed. */
     public interface Handler {
-        /** The connection is established; not called for an accepted one. */
+        /** Called when the connection has been established; never called for an accepted connection. */
         default void onConnected() {}
 
         /**
-         * Bytes lie between position and limit; those behind the position at return are handed over again with more.
+         * Called when bytes have been received.
+         *
+         * @param input holds the bytes between its position and limit; bytes that the handler does not consume are
+         *     delivered again, together with the bytes received next
          */
         void onReceived(ByteBuffer input);
 
-        /** All that was queued has been handed to the system. */
+        /** Called when the operating system has accepted all queued bytes. */
         default void onFlushed() {}
 
-        /** The connection is closed; called once. */
+        /** Called once, when the connection is closed. */
         void onClosed(CloseReason reason);
     }
 
-    /** The handler of the far end of a connection inside this process. */
+    /** The handler of the far end of an in-memory connection. */
     public interface InMemoryPeer extends Handler {
-        /** Called once, before anything else, with the peer's own end. */
+        /** Called once, before all other methods, with the peer's end of the connection. */
         void attach(Connection connection);
     }
 
@@ -46,7 +49,7 @@
     private boolean connected;
     private boolean delivering;
     private boolean flushScheduled;
-    /** Null while it is open. */
+    /** Null while the connection is open. */
     private CloseReason closeReason;
 
     Connection(EventLoop loop, Handler handler, int readBufferBytes, int maxQueuedBytes) {
@@ -56,7 +59,7 @@
         input = ByteBuffer.allocate(readBufferBytes);
     }
 
-    /** An accepted connection; {@link #resumeReading} begins to read. */
+    /** Returns a connection over an accepted channel; the caller starts to read with {@link #resumeReading}. */
     public static Connection accepted(
             EventLoop loop,
             AsynchronousSocketChannel channel,
@@ -68,15 +71,15 @@
         return connection;
     }
 
-    /** A connection inside this process; returns the handler's end. */
+    /** Creates an in-memory connection to the peer and returns the handler's end. */
     public static Connection inMemory(
             EventLoop loop, Handler handler, InMemoryPeer peer, int readBufferBytes, int maxQueuedBytes) {
         return InMemoryConnection.pair(loop, handler, peer, readBufferBytes, maxQueuedBytes);
     }
 
     /**
-     * Begins to connect. What is queued before the connection is established is written then; a failure is reported to
-     * the handler later, also where it is known at once.
+     * Starts to connect. Buffers queued before the connection is established are written once it is. A failure to
+     * connect is always reported to the handler after this method has returned.
      *
      * @throws IOException if no socket can be opened
      */
@@ -100,7 +103,7 @@
         return connection;
     }
 
-    /** Whether it has not been closed. */
+    /** Returns whether the connection has not been closed. */
     public final boolean isOpen() {
         return closeReason == null;
     }
@@ -115,19 +118,19 @@
 
     // ---- reading
 
-    /** Continues to read if the buffer has room, after the handler has consumed bytes. */
+    /** Continues to read if the read buffer has room; called after the handler has consumed bytes. */
     public final void resumeReading() {
         if (canReceive() && connected) {
             startReading();
         }
     }
 
-    /** Whether bytes may be handed over, and there is room for more. */
+    /** Returns whether bytes may be delivered to the handler and the read buffer has room. */
     final boolean canReceive() {
         return isOpen() && !delivering && input.hasRemaining();
     }
 
-    /** Hands the bytes that the handler has left to it again, and continues to read. */
+    /** Delivers the bytes that the handler did not consume to it again, and continues to read. */
     public final void redeliver() {
         if (!isInputInUse() && !delivering && isOpen() && input.position() > 0) {
             deliver();
@@ -162,7 +165,7 @@
 
     // ---- writing
 
-    /** Queues the bytes; they are written at the end of the loop's batch. More than the limit closes the connection. */
+    /** Queues the bytes for writing at the end of the loop's batch. Closes the connection if the queue is full. */
     public final void write(ByteBuffer... buffers) {
         if (!isOpen()) {
             return;
@@ -187,7 +190,7 @@
         }
     }
 
-    /** Called by the loop at the end of a batch. */
+    /** Starts to write the queued buffers; called by the loop at the end of a batch. */
     final void flush() {
         flushScheduled = false;
         if (!isWritePending() && isOpen() && !outgoing.isEmpty()) {
@@ -195,8 +198,8 @@
         }
     }
 
-    /** This number of queued bytes has been written. */
-    final void written(int bytes) {
+    /** Removes the written bytes from the count of queued bytes. */
+    final void releaseQueuedBytes(int bytes) {
         queuedBytes -= bytes;
     }
 
@@ -205,14 +208,14 @@
         queuedBytes = 0;
     }
 
-    /** Ends this side's direction: the other side reads an end of stream. */
+    /** Shuts down the outgoing direction: the peer reads an end of stream. */
     public final void shutdownOutput() {
         if (isOpen()) {
             shutdownTransportOutput();
         }
     }
 
-    /** Closes it, and calls {@link Handler#onClosed} before this returns; once it is closed nothing happens. */
+    /** Closes the connection and calls {@link Handler#onClosed} before returning; no effect once it is closed. */
     public final void close(CloseReason reason) {
         if (!isOpen()) {
             return;
@@ -223,32 +226,32 @@
         handler.onClosed(reason);
     }
 
-    // ---- the transport
+    // ---- transport
 
     final EventLoop loop() {
         return loop;
     }
 
-    /** The read buffer, ready to be written to: bytes that the handler has left lie before its position. */
+    /** Returns the read buffer in write mode: bytes that the handler did not consume lie before its position. */
     final ByteBuffer input() {
         return input;
     }
 
-    /** The buffers queued for writing; the transport removes those that it has written. */
+    /** Returns the buffers queued for writing; the transport removes each buffer that it has written. */
     final ArrayDeque<ByteBuffer> outgoing() {
         return outgoing;
     }
 
-    /** Starts to read into {@link #input()}, unless a read is in progress. */
+    /** Starts a read into {@link #input()}, unless a read is in progress. */
     abstract void startReading();
 
-    /** Whether the transport may be writing into {@link #input()} at this moment. */
+    /** Returns whether the transport may be writing into {@link #input()}. */
     abstract boolean isInputInUse();
 
-    /** Writes from {@link #outgoing()}. */
+    /** Starts to write the buffers of {@link #outgoing()}. */
     abstract void startWriting();
 
-    /** Whether a write is in progress. */
+    /** Returns whether a write is in progress. */
     abstract boolean isWritePending();
 
     abstract void shutdownTransportOutput();
--- a/src/main/java/merlinlever/common/net/ConnectionAcceptor.java
+++ b/src/main/java/merlinlever/common/net/ConnectionAcceptor.java
@@ -10,16 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts connections up to a limit. At the limit, or out of file descriptors, it asks its owner to close some, and
- * tries again later.
+ * Accepts connections up to a limit. At the limit, or when accepting fails, for example for lack of file descriptors,
+ * the acceptor asks its owner to close connections; after a failure it retries with a delay.
  */
 public final class ConnectionAcceptor {
 
-    /** The backlog: connections that the system has established and the program has not accepted. */
+    /** The length of the backlog: connections established by the operating system and not yet accepted. */
     private static final int MAX_PENDING_CONNECTIONS = 512;
 
     private static final Duration RETRY_DELAY = Duration.ofMillis(50);
-    /** On closing, the backlog is taken to be accepted after this time, or later where the limit was reached. */
+    /** On closing, an accept that is pending after this delay shows that the backlog is empty. */
     private static final Duration BACKLOG_GRACE = Duration.ofMillis(50);
 
     private static final Duration MAX_CLOSE_DELAY = Duration.ofSeconds(3);
@@ -37,9 +37,12 @@
     private boolean closed;
 
     /**
-     * @param maxOpen connections open at the same time
-     * @param onAccepted gets each connection; {@link #connectionClosed} is to be called once it is closed
-     * @param onFull closes connections where it can
+     * Binds the listening socket; {@link #accept} starts to accept connections.
+     *
+     * @param maxOpen maximum number of open connections
+     * @param onAccepted receives each connection, and calls {@link #connectionClosed} once the connection is closed
+     * @param onFull closes connections, if possible
+     * @throws IOException if the address cannot be bound
      */
     public ConnectionAcceptor(
             EventLoop loop,
@@ -57,12 +60,12 @@
         channel.bind(address, MAX_PENDING_CONNECTIONS);
     }
 
-    /** Where it listens. */
+    /** Returns the address of the listening socket. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Accepts the next connection below the limit; at the limit it asks for room, and is to be called again. */
+    /** Accepts the next connection. At the limit, runs {@code onFull}, and accepts only if a connection was closed. */
     public void accept() {
         if (accepting || paused || closed) {
             return;
@@ -70,7 +73,7 @@
         if (open >= maxOpen) {
             onFull.run();
         }
-        // The owner may have called this method again meanwhile.
+        // onFull may have called this method.
         if (accepting || paused || closed || open >= maxOpen) {
             return;
         }
@@ -103,15 +106,15 @@
         }
     }
 
-    /** An accepted connection has been closed. */
+    /** Called by the owner when an accepted connection has been closed. */
     public void connectionClosed() {
         open--;
         accept();
     }
 
     /**
-     * Accepts the backlog and closes then: connections that the system has established and the program has not accepted
-     * would be reset, with all that was written to them.
+     * Accepts the connections of the backlog and then closes the listening socket. Closing at once would reset them,
+     * and the requests already written to them would be lost.
      */
     public void closeAfterBacklog() {
         if (closing) {
@@ -127,7 +130,7 @@
         loop.schedule(MAX_CLOSE_DELAY, this::close);
     }
 
-    /** An accept that has not completed once all ready tasks have run found the backlog empty. */
+    /** Closes the socket if the pending accept is still pending after all ready tasks: then the backlog is empty. */
     private void closeIfBacklogEmpty() {
         long attempt = acceptAttempts;
         loop.execute(() -> {
@@ -137,18 +140,18 @@
         });
     }
 
-    /** Whether no further connection can come. */
+    /** Returns whether the listening socket is closed. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Closes it at once; the backlog is reset. */
+    /** Closes the listening socket at once; connections of the backlog are reset. */
     public void close() {
         closed = true;
         try {
             channel.close();
         } catch (IOException e) {
-            // Nothing more can be done about it.
+            // Nothing depends on the closed socket.
         }
     }
 }
--- a/src/main/java/merlinlever/common/net/DatagramEndpoint.java
+++ b/src/main/java/merlinlever/common/net/DatagramEndpoint.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * A UDP socket on an event loop. NIO.2 has no asynchronous channel for datagrams, so a thread waits until some have
- * come and hands over to the loop, which receives and sends; like a channel group's thread it does nothing else.
+ * A UDP socket on an event loop. NIO.2 has no asynchronous channel for datagrams, so a thread waits until the socket is
+ * readable and then submits a task to the loop. The loop alone receives and sends datagrams.
  */
 public final class DatagramEndpoint {
 
@@ -24,17 +24,17 @@
         /**
          * Called for each datagram.
          *
-         * @param maxQueueTime how long the datagram may have waited to be read, at most
+         * @param maxQueueTime upper bound of the time that the datagram waited to be read
          */
         void onDatagram(byte[] payload, InetSocketAddress sender, Duration maxQueueTime);
     }
 
-    /** Received in one batch, so that connections and timers have their turn. */
+    /** Bounds a batch, so that connections and timers are not starved. */
     private static final int MAX_BATCH_DATAGRAMS = 128;
-    /** What the system buffers; it drops datagrams beyond that. */
+    /** Size of the receive buffer of the operating system, which drops datagrams that do not fit. */
     private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
-    /** What the system accounts for any datagram, at least. */
+    /** The least space that a datagram takes in the receive buffer. */
     private static final int MIN_ACCOUNTED_BYTES = 64;
 
     private final EventLoop loop;
@@ -42,12 +42,12 @@
     private final Selector selector;
     private final Receiver receiver;
     private final ByteBuffer input;
-    private final Semaphore drained = new Semaphore(0);
+    private final Semaphore batchDone = new Semaphore(0);
     private volatile boolean closed;
     private long readyNanos;
 
     /**
-     * Receives datagrams at the address.
+     * Binds the socket and starts to receive datagrams.
      *
      * @param maxDatagramBytes longer datagrams are truncated
      * @throws IOException if the address cannot be bound
@@ -73,7 +73,7 @@
         selectorThread.start();
     }
 
-    /** Where it receives. */
+    /** Returns the local address of the socket. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
@@ -86,13 +86,13 @@
                 if (!closed) {
                     readyNanos = loop.clock().nanoTime();
                     loop.execute(this::receiveBatch);
-                    drained.acquire();
+                    batchDone.acquire();
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | ClosedSelectorException e) {
-            // Closed, or the process ends.
+            // The selector was closed by close(), or the socket cannot be polled any more.
         }
     }
 
@@ -111,9 +111,10 @@
     }
 
     /**
-     * Receives all datagrams that have come by now, so that whatever the caller does next comes after them.
+     * Receives all datagrams that are waiting in the receive buffer, so that they are processed before the caller
+     * continues.
      *
-     * @return false if more came than the system's buffer holds, and some may be left
+     * @return false if the number of datagrams exceeded the capacity of the receive buffer, so that some may be left
      */
     public boolean receiveAll() throws IOException {
         for (int i = 0; i < RECEIVE_BUFFER_BYTES / MIN_ACCOUNTED_BYTES; i++) {
@@ -128,13 +129,13 @@
         try {
             for (int i = 0; i < MAX_BATCH_DATAGRAMS && receiveOne(); i++) {}
         } catch (IOException e) {
-            // Such as the ICMP error for a datagram sent to a closed port: the next datagrams are received.
+            // For example, an ICMP error for a datagram that was sent to a closed port; later datagrams are received.
         } finally {
-            drained.release();
+            batchDone.release();
         }
     }
 
-    /** Sends a datagram, or drops it where it cannot be sent now; returns whether it was sent. */
+    /** Sends a datagram, or drops the datagram if sending would block or fails; returns whether it was sent. */
     public boolean send(byte[] payload, InetSocketAddress recipient) {
         try {
             return !closed && channel.send(ByteBuffer.wrap(payload), recipient) == payload.length;
@@ -143,14 +144,14 @@
         }
     }
 
-    /** Closes the socket and ends the thread. */
+    /** Closes the socket and stops the selector thread. */
     public void close() {
         closed = true;
         try {
             selector.close();
             channel.close();
         } catch (IOException e) {
-            // It is gone either way.
+            // Nothing depends on the closed socket.
         }
     }
 }
--- a/src/main/java/merlinlever/common/net/EventLoop.java
+++ b/src/main/java/merlinlever/common/net/EventLoop.java
@@ -17,15 +17,15 @@
 import java.util.function.Function;
 
 /**
- * Runs all completion handlers, timers and tasks on one thread. Tasks that are ready form a batch; after each batch the
- * hook of {@link #setAfterBatch} runs, and then each connection with queued bytes is written to once. Only
- * {@link #execute} and {@link #stop} may be called on other threads.
+ * Runs all completion handlers, timers and tasks on one thread. Ready tasks form a batch. After each batch the loop
+ * runs the hook set by {@link #setAfterBatch} and then flushes each connection with queued bytes once. Only {@link
+ * #execute} and {@link #stop} may be called on other threads.
  */
 public final class EventLoop extends AbstractExecutorService {
 
     private static final int MAX_BATCH_TASKS = 256;
 
-    /** A task scheduled for a time; it can be cancelled. */
+    /** A scheduled task, which can be cancelled. */
     public static final class Timer {
         private final long dueNanos;
         private final long sequence;
@@ -37,7 +37,7 @@
             this.task = task;
         }
 
-        /** Cancels the task; without effect after it has run. */
+        /** Cancels the task; no effect after the task has run. */
         public void cancel() {
             task = null;
         }
@@ -46,11 +46,11 @@
     private final MonotonicClock clock;
     private final Consumer<Throwable> failureHandler;
     /**
-     * Without locks or conditions: wherever a thread that hands a task over is suspended, the loop goes on. A timed
-     * wait on a condition spins while the signalling thread is suspended in the middle of its signal.
+     * A lock-free queue: the loop never waits for a thread that is suspended inside {@link #execute}. With a condition
+     * variable, a timed wait would spin while the signalling thread is suspended in the middle of its signal.
      */
     private final Queue<Runnable> readyTasks = new ConcurrentLinkedQueue<>();
-    /** The thread that runs the loop; null before there is one. */
+    /** The thread that runs the loop; null before {@link #run}. */
     private volatile Thread loopThread;
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>(
@@ -63,9 +63,10 @@
     private volatile boolean stopping;
 
     /**
-     * Opens the channel group; the loop itself runs with {@link #run}.
+     * Creates a loop with a channel group for sockets; {@link #run} runs the loop.
      *
-     * @param failureHandler receives what a task or handler throws; the loop continues
+     * @param failureHandler receives exceptions thrown by tasks and handlers; the loop continues
+     * @throws IOException if the channel group cannot be opened
      */
     public EventLoop(MonotonicClock clock, Consumer<Throwable> failureHandler) throws IOException {
         this.clock = clock;
@@ -74,7 +75,11 @@
         inMemoryPeers = address -> null;
     }
 
-    /** A loop without sockets, for tests and warm-up: connecting reaches the peer that the function gives. */
+    /**
+     * Creates a loop without sockets, for tests and warm-up.
+     *
+     * @param inMemoryPeers returns the peer to connect to at an address
+     */
     public EventLoop(
             MonotonicClock clock,
             Consumer<Throwable> failureHandler,
@@ -85,22 +90,22 @@
         group = null;
     }
 
-    /** The peer at the address inside this process, or null where the address is a real one. */
+    /** Returns the in-memory peer at the address, or null if the address has to be reached over a socket. */
     Connection.InMemoryPeer inMemoryPeer(SocketAddress address) {
         return inMemoryPeers.apply(address);
     }
 
-    /** The group for channels whose handlers run on this loop; null for a loop without sockets. */
+    /** Returns the group for channels whose completion handlers run on this loop; null for a loop without sockets. */
     public AsynchronousChannelGroup group() {
         return group;
     }
 
-    /** The clock that timers run on. */
+    /** Returns the clock of the timers. */
     public MonotonicClock clock() {
         return clock;
     }
 
-    /** Sets the task that runs after each batch, before connections are written to. */
+    /** Sets the task that runs after each batch, before the connections are flushed. */
     public void setAfterBatch(Runnable hook) {
         afterBatch = hook;
     }
@@ -112,7 +117,7 @@
         return timer;
     }
 
-    /** Runs the task now and then periodically, the period counting from the start of each run. */
+    /** Runs the task now and then periodically; each period is measured from the start of the previous run. */
     public void runNowAndEvery(Duration period, Runnable task) {
         schedule(period, () -> runNowAndEvery(period, task));
         task.run();
@@ -131,13 +136,13 @@
         pendingFlushes.add(connection);
     }
 
-    /** Runs on the calling thread until {@link #stop}. */
+    /** Runs the loop on the calling thread until {@link #stop} is called or the thread is interrupted. */
     public void run() {
         loopThread = Thread.currentThread();
         while (!stopping && !loopThread.isInterrupted()) {
             Runnable first = readyTasks.poll();
             if (first == null) {
-                // A task that is added after the poll wakes the thread, or keeps it from parking.
+                // A task added after the poll unparks the thread, or makes the park return at once.
                 LockSupport.parkNanos(this, nanosUntilNextTimer());
                 first = readyTasks.poll();
             }
@@ -145,7 +150,7 @@
         }
     }
 
-    /** Ends {@link #run} after the current batch; may be called on any thread. */
+    /** Makes {@link #run} return after the current batch; may be called on any thread. */
     public void stop() {
         stopping = true;
         execute(() -> {});
@@ -163,7 +168,8 @@
         for (Runnable task = first; task != null; task = ++completed < MAX_BATCH_TASKS ? readyTasks.poll() : null) {
             runGuarded(task);
         }
-        // Only timers that are due now: one that schedules the next in the past does not keep the loop here.
+        // A timer that is scheduled by a due timer runs in a later batch, even with a negative delay, so that it cannot
+        // starve the tasks.
         long now = clock.nanoTime();
         List<Timer> due = new ArrayList<>(0);
         while (!timers.isEmpty() && timers.peek().dueNanos - now <= 0) {
@@ -182,7 +188,7 @@
         } while (!pendingFlushes.isEmpty());
     }
 
-    /** Runs the task and reports what it throws to the failure handler; returns whether it completed normally. */
+    /** Runs the task and passes its exception to the failure handler; returns whether the task completed normally. */
     boolean runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/merlinlever/common/net/HangupSignal.java
+++ b/src/main/java/merlinlever/common/net/HangupSignal.java
@@ -4,14 +4,14 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which ends the runtime unless someone handles it. The JDK's one way to it lies in a supported module without
- * a stable name, which the compiler warns of wherever it is written down: so it is looked up by name.
+ * Installs a handler for SIGHUP, which would otherwise terminate the JVM. The JDK supports signal handlers only through
+ * {@code sun.misc.Signal}; the compiler warns of each direct use of that class, so this class uses reflection.
  */
 public final class HangupSignal {
 
     private HangupSignal() {}
 
-    /** Runs the task at each signal from here on, on a thread of the runtime's. */
+    /** Runs the task at each SIGHUP from now on, on a thread of the JVM. */
     public static void onHangup(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -29,7 +29,7 @@
                             Proxy.newProxyInstance(
                                     HangupSignal.class.getClassLoader(), new Class<?>[] {handler}, runTask));
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this runtime knows no SIGHUP", e);
+            throw new IllegalStateException("this JVM does not support SIGHUP handlers", e);
         }
     }
 }
--- a/src/main/java/merlinlever/common/net/InMemoryConnection.java
+++ b/src/main/java/merlinlever/common/net/InMemoryConnection.java
@@ -3,12 +3,12 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** One end of a connection between two handlers on the same event loop. */
+/** One end of an in-memory connection between two handlers on the same event loop. */
 final class InMemoryConnection extends Connection {
 
     private InMemoryConnection peer;
-    /** What the peer has written and was not read here yet. */
-    private final ArrayDeque<ByteBuffer> arriving = new ArrayDeque<>(0);
+    /** The buffers written by the peer and not yet read at this end. */
+    private final ArrayDeque<ByteBuffer> unread = new ArrayDeque<>(0);
 
     private InMemoryConnection(EventLoop loop, Handler handler, int readBufferBytes, int maxQueuedBytes) {
         super(loop, handler, readBufferBytes, maxQueuedBytes);
@@ -17,23 +17,23 @@
 
     static Connection pair(
             EventLoop loop, Handler handler, InMemoryPeer peerHandler, int readBufferBytes, int maxQueuedBytes) {
-        InMemoryConnection near = new InMemoryConnection(loop, handler, readBufferBytes, maxQueuedBytes);
-        InMemoryConnection far = new InMemoryConnection(loop, peerHandler, readBufferBytes, maxQueuedBytes);
-        near.peer = far;
-        far.peer = near;
-        peerHandler.attach(far);
-        return near;
+        InMemoryConnection nearEnd = new InMemoryConnection(loop, handler, readBufferBytes, maxQueuedBytes);
+        InMemoryConnection farEnd = new InMemoryConnection(loop, peerHandler, readBufferBytes, maxQueuedBytes);
+        nearEnd.peer = farEnd;
+        farEnd.peer = nearEnd;
+        peerHandler.attach(farEnd);
+        return nearEnd;
     }
 
     @Override
     void startReading() {
-        while (canReceive() && !arriving.isEmpty()) {
-            ByteBuffer next = arriving.peek();
+        while (canReceive() && !unread.isEmpty()) {
+            ByteBuffer next = unread.peek();
             int count = Math.min(next.remaining(), input().remaining());
             input().put(next.slice(next.position(), count));
             next.position(next.position() + count);
             if (!next.hasRemaining()) {
-                arriving.poll();
+                unread.poll();
             }
             deliver();
         }
@@ -46,7 +46,7 @@
 
     @Override
     void startWriting() {
-        peer.arriving.addAll(outgoing());
+        peer.unread.addAll(outgoing());
         clearQueue();
         loop().execute(peer::resumeReading);
         notifyFlushed();
@@ -59,7 +59,7 @@
 
     @Override
     void shutdownTransportOutput() {
-        // The peer needs no end of stream: it sees the close.
+        // The peer is notified when the connection is closed.
     }
 
     @Override
--- a/src/main/java/merlinlever/common/net/MonotonicClock.java
+++ b/src/main/java/merlinlever/common/net/MonotonicClock.java
@@ -6,12 +6,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Durations since an origin, on a clock that never steps. The origin can be reset. Unix times are converted by the offset
- * between the two clocks, which is measured repeatedly, as they may drift apart. Used on the event loop's thread.
+ * A monotonic clock that returns the time since an origin, which can be reset. Unix times are converted with the
+ * measured offset between the two clocks; {@link #resyncUnixOffset} measures the offset again, as the clocks may drift
+ * apart. Used on the event loop's thread.
  */
 public final class MonotonicClock {
 
-    /** Pairs of readings of both clocks; the closest pair counts, as the process may be paused between two readings. */
+    /**
+     * Pairs of readings per measurement; the closest pair is used, as the process may be paused between two readings.
+     */
     private static final int CLOCK_READINGS = 5;
 
     private static final long NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
@@ -23,10 +26,10 @@
     private long originNanos;
 
     /**
-     * Creates a clock from two others, which count nanoseconds.
+     * Creates a clock from two sources of nanoseconds.
      *
-     * @param unixNanos since 1970; may step
-     * @param monotonicNanos since any time; never steps back
+     * @param unixNanos returns the Unix time, which may step
+     * @param monotonicNanos returns the time since an arbitrary origin, which never goes back
      */
     public MonotonicClock(LongSupplier unixNanos, LongSupplier monotonicNanos) {
         this.unixNanos = unixNanos;
@@ -36,7 +39,7 @@
         resyncUnixOffset();
     }
 
-    /** Creates a clock from those of the system; the origin is now. */
+    /** Creates a clock from the clocks of the operating system; the origin is the current time. */
     public static MonotonicClock system() {
         return new MonotonicClock(
                 () -> {
@@ -46,7 +49,7 @@
                 System::nanoTime);
     }
 
-    /** Measures again how far the Unix clock is ahead. */
+    /** Measures the offset between the Unix clock and the monotonic clock. */
     public void resyncUnixOffset() {
         long smallestGap = Long.MAX_VALUE;
         for (int i = 0; i < CLOCK_READINGS; i++) {
@@ -60,22 +63,22 @@
         }
     }
 
-    /** Durations count from this long ago from now on. */
+    /** Sets the origin to the current time minus the given duration. */
     public void setOriginAgo(Duration ago) {
         originNanos = monotonicNanos.getAsLong() - ago.toNanos();
     }
 
-    /** Time since this clock was made, whatever the origin. */
+    /** Returns the time since this clock was created, independent of the origin. */
     public Duration uptime() {
         return Duration.ofNanos(monotonicNanos.getAsLong() - createdNanos);
     }
 
-    /** Time since the origin. */
+    /** Returns the time since the origin. */
     public Duration now() {
         return Duration.ofNanos(monotonicNanos.getAsLong() - originNanos);
     }
 
-    /** The time since the origin that corresponds to a Unix time; negative for one before the origin. */
+    /** Converts a Unix time to a time since the origin; the result is negative for a time before the origin. */
     public Duration fromUnixMillis(long unixMillis) {
         return Duration.ofNanos(unixMillis * NANOS_PER_MILLI - unixOffsetNanos - originNanos);
     }
--- a/src/main/java/merlinlever/common/net/ProcessSignals.java
+++ b/src/main/java/merlinlever/common/net/ProcessSignals.java
@@ -1,18 +1,18 @@
 package merlinlever.common.net;
 
 /**
- * SIGHUP, to reload the configuration, and SIGTERM, to drain and exit. Signals that come before there is a subscriber
- * are remembered: a SIGHUP is passed on at the subscription, and after a SIGTERM none is accepted any more. The runtime
- * calls it on a thread for each signal; thread-safe.
+ * Passes SIGHUP (reload the configuration) and SIGTERM (drain and exit) to a subscriber. A SIGHUP received before the
+ * subscription is passed on when the subscriber registers; after a SIGTERM no subscription is accepted. Thread-safe:
+ * the JVM handles each signal on a thread of its own.
  */
 public final class ProcessSignals {
 
-    /** Acts on signals; a method only hands over to the subscriber's own thread. */
+    /** Receives signals. Implementations only submit a task to a thread of their own. */
     public interface Subscriber {
-        /** Reload the configuration. */
+        /** Starts to reload the configuration. */
         void onHangup();
 
-        /** Drain, and call {@link ProcessSignals#completeShutdown} at the end. */
+        /** Starts to drain; the subscriber calls {@link ProcessSignals#completeShutdown} when the drain has ended. */
         void onTerminate();
     }
 
@@ -21,7 +21,7 @@
     private boolean terminating;
     private boolean shutdownComplete;
 
-    /** Handles the signals of this process from now on. */
+    /** Installs the handlers for the signals of this process. */
     public static ProcessSignals ofProcess() {
         ProcessSignals signals = new ProcessSignals();
         HangupSignal.onHangup(signals::hangup);
@@ -29,7 +29,7 @@
         return signals;
     }
 
-    /** A SIGHUP has come. */
+    /** Handles a SIGHUP. */
     public synchronized void hangup() {
         if (subscriber == null) {
             hangupPending = true;
@@ -39,7 +39,8 @@
     }
 
     /**
-     * A SIGTERM has come; the runtime exits when this returns, which is after the shutdown where there is a subscriber.
+     * Handles a SIGTERM. The JVM exits when this method returns; with a subscriber, it returns once the subscriber has
+     * completed its shutdown.
      */
     public synchronized void terminate() {
         terminating = true;
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Passes signals on from now on; returns false if the process is exiting already and must not begin anything. */
+    /** Passes signals to the subscriber from now on; returns false if the process is already exiting. */
     public synchronized boolean subscribe(Subscriber newSubscriber) {
         if (terminating) {
             return false;
@@ -74,7 +75,7 @@
         return true;
     }
 
-    /** The subscriber has shut down or failed: the process may exit. */
+    /** Allows the process to exit, after the subscriber has shut down or failed. */
     public synchronized void completeShutdown() {
         shutdownComplete = true;
         notifyAll();
--- a/src/main/java/merlinlever/common/net/SocketAddresses.java
+++ b/src/main/java/merlinlever/common/net/SocketAddresses.java
@@ -5,7 +5,7 @@
 import java.net.UnknownHostException;
 import java.util.Optional;
 
-/** Socket addresses as text, {@code ADDRESS:PORT} with an IPv6 address in brackets. Host names are not accepted. */
+/** Parses and formats socket addresses as {@code ADDRESS:PORT}, with IPv6 addresses in brackets, without host names. */
 public final class SocketAddresses {
 
     private static final String NUMERIC_HOST = "\\[[0-9a-fA-F:.]+\\]|[0-9.]+";
@@ -13,7 +13,7 @@
 
     private SocketAddresses() {}
 
-    /** The address that the text stands for, port 0 included; empty where it is none. */
+    /** Parses an address, whose port may be 0; returns empty if the text is not a valid address. */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The text that {@link #parse} reads. */
+    /** Formats an address in the form that {@link #parse} accepts. */
     public static String format(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
--- a/src/main/java/merlinlever/common/net/SocketConnection.java
+++ b/src/main/java/merlinlever/common/net/SocketConnection.java
@@ -15,7 +15,7 @@
     private static final int MAX_BUFFERS_PER_WRITE = 16;
 
     private final AsynchronousSocketChannel channel;
-    /** Receives a read while the handler's bytes lie in {@link #input()}; null before the first such read. */
+    /** The target of reads that start while {@link #input()} holds unconsumed bytes; allocated at the first of them. */
     private ByteBuffer overflow;
 
     private boolean readPending;
@@ -33,7 +33,7 @@
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException e) {
-            // It only makes the connection slower; a broken channel fails when it is read.
+            // Without the option the connection is only slower; a broken channel fails at the first read.
         }
     }
 
@@ -80,7 +80,7 @@
             return;
         }
         readPending = true;
-        // The channel's own thread fills the buffer at any moment from here on, so nobody else may use that one.
+        // A thread of the channel group may fill the buffer until the read completes, so the loop must not use it.
         readingIntoOverflow = input().position() > 0;
         channel.read(readingIntoOverflow ? overflowBuffer() : input(), null, readCompletion);
     }
@@ -148,7 +148,7 @@
         @Override
         public void completed(Long count, Void attachment) {
             writePending = false;
-            written(count.intValue());
+            releaseQueuedBytes(count.intValue());
             while (!outgoing().isEmpty() && !outgoing().peek().hasRemaining()) {
                 outgoing().poll();
             }
@@ -183,7 +183,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // It is closed either way.
+            // Nothing depends on the closed channel.
         }
     }
 }
--- a/src/test/java/merlinlever/common/net/ConnectionRaceTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionRaceTest.java
@@ -22,7 +22,7 @@
 import java.util.Queue;
 import org.junit.jupiter.api.Test;
 
-/** Closes, failures and writes of connections that race each other. */
+/** Races between close, failure, read and write of a connection. */
 class ConnectionRaceTest {
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -30,15 +30,15 @@
 
     private EventLoop loop() throws IOException {
         EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add);
-        // Whatever fails, no test runs for ever.
+        // Stops a test that would otherwise run forever.
         loop.schedule(Duration.ofSeconds(20), () -> {
-            failures.add(new IllegalStateException("it took too long"));
+            failures.add(new IllegalStateException("the test timed out"));
             loop.stop();
         });
         return loop;
     }
 
-    /** Records the close and stops the loop; each test adds what else it needs. */
+    /** Records the reasons for closing, and stops the loop when the connection is closed. */
     private static class LoopStoppingHandler implements Connection.Handler {
         final List<CloseReason> closeReasons = new ArrayList<>();
         final EventLoop loop;
@@ -48,13 +48,13 @@
         }
 
         @Override
-        public void onReceived(ByteBuffer in) {
-            in.position(in.limit());
+        public void onReceived(ByteBuffer input) {
+            input.position(input.limit());
         }
 
         @Override
-        public void onClosed(CloseReason how) {
-            closeReasons.add(how);
+        public void onClosed(CloseReason reason) {
+            closeReasons.add(reason);
             loop.stop();
         }
     }
@@ -65,18 +65,18 @@
         return ((AsynchronousSocketChannel) field.get(connection)).getOption(StandardSocketOptions.TCP_NODELAY);
     }
 
-    /** Without TCP_NODELAY small writes would be delayed by the system, and lost with a reset. */
+    /** Without TCP_NODELAY, the operating system would delay small writes, and a reset would lose them. */
     @Test
-    void acceptedAndConnectedStreamsHaveNoDelaySet() throws Exception {
+    void acceptedAndConnectingConnectionsSetTcpNoDelay() throws Exception {
         EventLoop loop = loop();
-        List<Boolean> accepted = new ArrayList<>();
-        ConnectionAcceptor listener = new ConnectionAcceptor(
+        List<Boolean> acceptedNoDelay = new ArrayList<>();
+        ConnectionAcceptor acceptor = new ConnectionAcceptor(
                 loop,
                 new InetSocketAddress(LOOPBACK, 0),
                 4,
                 channel -> {
                     try {
-                        accepted.add(
+                        acceptedNoDelay.add(
                                 noDelay(Connection.accepted(loop, channel, new LoopStoppingHandler(loop), 64, 64)));
                     } catch (ReflectiveOperationException | IOException e) {
                         failures.add(e);
@@ -84,52 +84,52 @@
                     loop.stop();
                 },
                 () -> {});
-        listener.accept();
-        Connection dialled = Connection.connect(
-                loop, listener.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
+        acceptor.accept();
+        Connection connecting = Connection.connect(
+                loop, acceptor.address(), new LoopStoppingHandler(loop), 64, 64, Duration.ofSeconds(5));
         loop.run();
-        assertEquals(List.of(true), accepted);
-        assertTrue(noDelay(dialled));
+        assertEquals(List.of(true), acceptedNoDelay);
+        assertTrue(noDelay(connecting));
         assertEquals(List.of(), failures);
         loop.group().shutdownNow();
     }
 
-    /** A handler that throws outside a read closes its connection, which nothing would touch again. */
+    /** A connection whose handler throws outside a read must be closed, because no later event would close it. */
     @Test
     void aHandlerThatThrowsInOnConnectedOrOnFlushedClosesItsConnection() throws Exception {
-        for (boolean asMade : new boolean[] {true, false}) {
+        for (boolean throwOnConnected : new boolean[] {true, false}) {
             failures.clear();
             try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
                 EventLoop loop = loop();
-                LoopStoppingHandler ends = new LoopStoppingHandler(loop) {
+                LoopStoppingHandler handler = new LoopStoppingHandler(loop) {
                     @Override
                     public void onConnected() {
-                        if (asMade) {
-                            throw new IllegalStateException("on purpose");
+                        if (throwOnConnected) {
+                            throw new IllegalStateException("thrown by the test");
                         }
                     }
 
                     @Override
                     public void onFlushed() {
-                        throw new IllegalStateException("on purpose");
+                        throw new IllegalStateException("thrown by the test");
                     }
                 };
                 Connection connection =
-                        Connection.connect(loop, server.getLocalSocketAddress(), ends, 64, 64, Duration.ofSeconds(5));
+                        Connection.connect(loop, server.getLocalSocketAddress(), handler, 64, 64, Duration.ofSeconds(5));
                 connection.write(ByteBuffer.wrap(new byte[] {1}));
                 loop.run();
-                assertEquals(List.of(CloseReason.HANDLER_FAILED), ends.closeReasons);
+                assertEquals(List.of(CloseReason.HANDLER_FAILED), handler.closeReasons);
                 assertEquals(1, failures.size(), failures.toString());
                 loop.group().shutdownNow();
             }
         }
     }
 
-    /** Writes, and waits until the channel's own thread has read it and handed the completion to the loop. */
-    private void writeAndAwaitReadyTask(Socket peer, Field readyTasks, EventLoop loop) {
+    /** Writes to the socket and waits until the channel has read the bytes and submitted the completion to the loop. */
+    private void writeAndAwaitReadyTask(Socket peer, Field readyTasksField, EventLoop loop) {
         try {
             peer.getOutputStream().write("cdef".getBytes(StandardCharsets.US_ASCII));
-            while (((Queue<?>) readyTasks.get(loop)).isEmpty()) {
+            while (((Queue<?>) readyTasksField.get(loop)).isEmpty()) {
                 Thread.onSpinWait();
             }
         } catch (IOException | ReflectiveOperationException e) {
@@ -138,49 +138,49 @@
     }
 
     /**
-     * Bytes arrive while earlier ones are handed over again: the channel's own thread reads them at that moment, and
+     * Bytes arrive while unconsumed bytes are delivered again: the thread of the channel, which reads the new bytes,
      * must not write into the buffer that the handler is using.
      */
     @Test
-    void bytesArrivingDuringRedeliveryDoNotTouchTheDeliveredBuffer() throws Exception {
+    void bytesArrivingDuringRedeliveryDoNotChangeTheDeliveredBuffer() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
-            Field ready = EventLoop.class.getDeclaredField("readyTasks");
-            ready.setAccessible(true);
+            Field readyTasksField = EventLoop.class.getDeclaredField("readyTasks");
+            readyTasksField.setAccessible(true);
             Socket[] peer = new Socket[1];
-            Connection[] made = new Connection[1];
-            StringBuilder read = new StringBuilder();
-            made[0] = Connection.connect(
+            Connection[] connection = new Connection[1];
+            StringBuilder received = new StringBuilder();
+            connection[0] = Connection.connect(
                     loop,
                     server.getLocalSocketAddress(),
                     new Connection.Handler() {
-                        private int offers;
+                        private int deliveries;
 
                         @Override
-                        public void onReceived(ByteBuffer in) {
-                            if (++offers == 1) {
-                                // The bytes are left; the next read is pending by then.
-                                loop.execute(() -> loop.execute(made[0]::redeliver));
-                            } else if (offers == 2) {
-                                writeAndAwaitReadyTask(peer[0], ready, loop);
-                                assertEquals(0, in.position());
-                                assertEquals(2, in.limit());
+                        public void onReceived(ByteBuffer input) {
+                            if (++deliveries == 1) {
+                                // The bytes are not consumed; the next read is pending when they are delivered again.
+                                loop.execute(() -> loop.execute(connection[0]::redeliver));
+                            } else if (deliveries == 2) {
+                                writeAndAwaitReadyTask(peer[0], readyTasksField, loop);
+                                assertEquals(0, input.position());
+                                assertEquals(2, input.limit());
                             } else {
-                                read.append(StandardCharsets.US_ASCII.decode(in));
+                                received.append(StandardCharsets.US_ASCII.decode(input));
                                 loop.stop();
                             }
                         }
 
                         @Override
-                        public void onClosed(CloseReason how) {
-                            failures.add(new IllegalStateException("" + how));
+                        public void onClosed(CloseReason reason) {
+                            failures.add(new IllegalStateException("" + reason));
                             loop.stop();
                         }
                     },
                     64,
                     64,
                     Duration.ofSeconds(5));
-            Thread accepting = new Thread(() -> {
+            Thread peerThread = new Thread(() -> {
                 try {
                     peer[0] = server.accept();
                     peer[0].getOutputStream().write("ab".getBytes(StandardCharsets.US_ASCII));
@@ -188,43 +188,43 @@
                     failures.add(e);
                 }
             });
-            accepting.start();
+            peerThread.start();
             loop.run();
-            accepting.join();
-            assertEquals("abcdef", read.toString());
+            peerThread.join();
+            assertEquals("abcdef", received.toString());
             assertEquals(List.of(), failures);
             peer[0].close();
             loop.group().shutdownNow();
         }
     }
 
-    /** More buffers than one write takes and more bytes than the system buffers: all arrive in order, reported once. */
+    /** Data that needs many gathering writes and overfills the socket buffers arrives in order, with one onFlushed. */
     @Test
-    void dataNeedingManyWritesArrivesCompleteAndInOrderAndIsReportedOnce() throws Exception {
+    void dataThatNeedsManyWritesArrivesInOrderAndIsReportedFlushedOnce() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
-            int[] written = new int[1];
-            LoopStoppingHandler ends = new LoopStoppingHandler(loop) {
+            int[] flushes = new int[1];
+            LoopStoppingHandler handler = new LoopStoppingHandler(loop) {
                 @Override
                 public void onFlushed() {
-                    written[0]++;
+                    flushes[0]++;
                 }
             };
             Connection connection =
-                    Connection.connect(loop, server.getLocalSocketAddress(), ends, 64, 16 << 20, Duration.ofSeconds(5));
+                    Connection.connect(loop, server.getLocalSocketAddress(), handler, 64, 16 << 20, Duration.ofSeconds(5));
             byte[] sent = new byte[12 << 20];
             for (int i = 0; i < sent.length; i++) {
                 sent[i] = (byte) (i * 31 + i / 251);
             }
             loop.execute(() -> {
-                for (int at = 0; at < sent.length; at += 64 << 10) {
-                    connection.write(ByteBuffer.wrap(sent, at, 64 << 10));
+                for (int offset = 0; offset < sent.length; offset += 64 << 10) {
+                    connection.write(ByteBuffer.wrap(sent, offset, 64 << 10));
                 }
             });
-            byte[][] got = new byte[1][];
+            byte[][] received = new byte[1][];
             Thread peer = new Thread(() -> {
                 try (Socket socket = server.accept()) {
-                    got[0] = socket.getInputStream().readNBytes(sent.length);
+                    received[0] = socket.getInputStream().readNBytes(sent.length);
                 } catch (IOException e) {
                     failures.add(e);
                 }
@@ -232,102 +232,106 @@
             peer.start();
             loop.run();
             peer.join();
-            assertTrue(Arrays.equals(sent, got[0]));
-            assertEquals(1, written[0]);
-            assertEquals(List.of(CloseReason.CLOSED_BY_PEER), ends.closeReasons);
+            assertTrue(Arrays.equals(sent, received[0]));
+            assertEquals(1, flushes[0]);
+            assertEquals(List.of(CloseReason.CLOSED_BY_PEER), handler.closeReasons);
             assertEquals(List.of(), failures);
             loop.group().shutdownNow();
         }
     }
 
-    /** Closed with a read, a write and a timer pending: one close is reported, and later completions have no effect. */
+    /** A connection closed while a read, a write and a timer are pending reports one close and no later event. */
     @Test
-    void completionsAfterCloseChangeNothing() throws Exception {
+    void completionsAfterCloseHaveNoEffect() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, LOOPBACK)) {
             EventLoop loop = loop();
-            List<CloseReason> heard = new ArrayList<>();
-            Connection[] made = new Connection[1];
-            made[0] = Connection.connect(
+            List<CloseReason> closeReasons = new ArrayList<>();
+            Connection[] connection = new Connection[1];
+            connection[0] = Connection.connect(
                     loop,
                     server.getLocalSocketAddress(),
                     new Connection.Handler() {
                         @Override
                         public void onConnected() {
-                            made[0].write(ByteBuffer.allocate(8 << 20));
-                            loop.schedule(Duration.ofMillis(20), () -> made[0].close(CloseReason.COMPLETED));
-                            // Past the connect timeout.
+                            connection[0].write(ByteBuffer.allocate(8 << 20));
+                            loop.schedule(Duration.ofMillis(20), () -> connection[0].close(CloseReason.COMPLETED));
+                            // After the connect timeout.
                             loop.schedule(Duration.ofMillis(150), loop::stop);
                         }
 
                         @Override
-                        public void onReceived(ByteBuffer in) {
-                            failures.add(new IllegalStateException("read after its end"));
+                        public void onReceived(ByteBuffer input) {
+                            failures.add(new IllegalStateException("onReceived after close"));
                         }
 
                         @Override
                         public void onFlushed() {
-                            failures.add(new IllegalStateException("written after its end"));
+                            failures.add(new IllegalStateException("onFlushed after close"));
                         }
 
                         @Override
-                        public void onClosed(CloseReason how) {
-                            heard.add(how);
-                            made[0].write(ByteBuffer.wrap(new byte[] {1}));
-                            made[0].redeliver();
-                            made[0].shutdownOutput();
-                            made[0].close(CloseReason.IO_FAILURE);
+                        public void onClosed(CloseReason reason) {
+                            closeReasons.add(reason);
+                            connection[0].write(ByteBuffer.wrap(new byte[] {1}));
+                            connection[0].redeliver();
+                            connection[0].shutdownOutput();
+                            connection[0].close(CloseReason.IO_FAILURE);
                         }
                     },
                     64,
                     16 << 20,
                     Duration.ofMillis(100));
             loop.run();
-            assertEquals(List.of(CloseReason.COMPLETED), heard);
+            assertEquals(List.of(CloseReason.COMPLETED), closeReasons);
             assertEquals(List.of(), failures);
             loop.group().shutdownNow();
         }
     }
 
-    /** An error other than a stack overflow ends the loop and is thrown to its caller; the loop does not go on. */
+    /**
+     * The loop survives a stack overflow in a task; any other error terminates the loop and propagates to its caller.
+     */
     @Test
-    void anErrorOtherThanStackOverflowIsThrownOutOfTheLoop() throws Exception {
+    void anErrorOtherThanStackOverflowPropagatesOutOfTheLoop() throws Exception {
         EventLoop loop = loop();
         loop.execute(() -> {
-            throw new NoClassDefFoundError("on purpose");
+            throw new NoClassDefFoundError("thrown by the test");
         });
         assertThrows(NoClassDefFoundError.class, loop::run);
-        EventLoop deep = loop();
-        deep.execute(() -> recurseForever(deep));
-        deep.execute(deep::stop);
-        deep.run();
+        EventLoop overflowingLoop = loop();
+        overflowingLoop.execute(() -> recurseForever(overflowingLoop));
+        overflowingLoop.execute(overflowingLoop::stop);
+        overflowingLoop.run();
         assertEquals(1, failures.size());
         assertTrue(failures.get(0) instanceof StackOverflowError);
     }
 
-    // It overflows the stack on purpose.
+    // The test needs a stack overflow.
     @SuppressWarnings("InfiniteRecursion")
     private static int recurseForever(EventLoop loop) {
         return recurseForever(loop) + 1;
     }
 
-    /** Out of file descriptors each accept fails at once: it is retried after a delay, whatever is closed meanwhile. */
+    /**
+     * Without free file descriptors each accept fails at once; the acceptor must pause instead of retrying in a loop.
+     */
     @Test
-    void anAcceptorThatCannotAcceptPauses() throws Exception {
-        // The clock stands still, so the delay does not end.
+    void anAcceptorPausesAfterAFailedAccept() throws Exception {
+        // The clock never advances, so the delay never ends.
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, () -> 0), failures::add);
-        int[] asked = new int[1];
-        ConnectionAcceptor listener =
-                new ConnectionAcceptor(loop, new InetSocketAddress(LOOPBACK, 0), 4, channel -> {}, () -> asked[0]++);
-        // A closed channel fails each accept, as a full descriptor table does.
+        int[] fullCalls = new int[1];
+        ConnectionAcceptor acceptor =
+                new ConnectionAcceptor(loop, new InetSocketAddress(LOOPBACK, 0), 4, channel -> {}, () -> fullCalls[0]++);
+        // On a closed channel each accept fails, as with a full file descriptor table.
         Field field = ConnectionAcceptor.class.getDeclaredField("channel");
         field.setAccessible(true);
-        ((AsynchronousServerSocketChannel) field.get(listener)).close();
-        int[] left = {2000};
+        ((AsynchronousServerSocketChannel) field.get(acceptor)).close();
+        int[] remainingCalls = {2000};
         loop.execute(new Runnable() {
             @Override
             public void run() {
-                listener.accept();
-                if (--left[0] > 0) {
+                acceptor.accept();
+                if (--remainingCalls[0] > 0) {
                     loop.execute(this);
                 } else {
                     loop.stop();
@@ -335,7 +339,7 @@
             }
         });
         loop.run();
-        assertEquals(1, asked[0]);
+        assertEquals(1, fullCalls[0]);
         assertEquals(List.of(), failures);
         loop.group().shutdownNow();
     }
--- a/src/test/java/merlinlever/common/net/ConnectionTest.java
+++ b/src/test/java/merlinlever/common/net/ConnectionTest.java
@@ -19,28 +19,28 @@
 
     private final List<Throwable> failures = new ArrayList<>();
 
-    /** Records the close of a connection and stops the loop. */
+    /** Records the reasons for closing, and stops the loop when the connection is closed. */
     private static final class CloseRecorder implements Connection.Handler {
         final List<CloseReason> closeReasons = new ArrayList<>();
         private final EventLoop loop;
-        private final boolean failsOnRead;
+        private final boolean throwsOnRead;
 
-        CloseRecorder(EventLoop loop, boolean failsOnRead) {
+        CloseRecorder(EventLoop loop, boolean throwsOnRead) {
             this.loop = loop;
-            this.failsOnRead = failsOnRead;
+            this.throwsOnRead = throwsOnRead;
         }
 
         @Override
-        public void onReceived(ByteBuffer in) {
-            if (failsOnRead) {
-                throw new IllegalStateException("on purpose");
+        public void onReceived(ByteBuffer input) {
+            if (throwsOnRead) {
+                throw new IllegalStateException("thrown by the test");
             }
-            in.position(in.limit());
+            input.position(input.limit());
         }
 
         @Override
-        public void onClosed(CloseReason how) {
-            closeReasons.add(how);
+        public void onClosed(CloseReason reason) {
+            closeReasons.add(reason);
             loop.stop();
         }
     }
@@ -49,113 +49,111 @@
         return new EventLoop(MonotonicClock.system(), failures::add);
     }
 
-    private CloseRecorder connectTo(int port, EventLoop loop, boolean fails) throws IOException {
-        CloseRecorder ends = new CloseRecorder(loop, fails);
-        Connection.connect(loop, new InetSocketAddress("127.0.0.1", port), ends, 64, 1024, Duration.ofSeconds(5));
+    private CloseRecorder connectTo(int port, EventLoop loop, boolean throwsOnRead) throws IOException {
+        CloseRecorder recorder = new CloseRecorder(loop, throwsOnRead);
+        Connection.connect(loop, new InetSocketAddress("127.0.0.1", port), recorder, 64, 1024, Duration.ofSeconds(5));
         loop.run();
-        return ends;
+        return recorder;
     }
 
     @Test
-    void aConnectionClosesOnceWithTheMatchingReason() throws IOException {
-        // A port that no other process of these tests listens at.
-        int closed = PortAllocator.free();
-        CloseRecorder refused = connectTo(closed, loop(), false);
+    void aConnectionIsClosedOnceWithTheMatchingReason() throws IOException {
+        // No process listens at this port.
+        int unusedPort = PortAllocator.free();
+        CloseRecorder refused = connectTo(unusedPort, loop(), false);
         assertEquals(List.of(CloseReason.CONNECT_FAILED), refused.closeReasons);
         assertTrue(!CloseReason.CONNECT_FAILED.wasEstablished()
                 && CloseReason.IO_FAILURE.wasEstablished()
                 && CloseReason.CLOSED_BY_PEER.wasEstablished());
-        for (boolean fails : new boolean[] {false, true}) {
+        for (boolean throwsOnRead : new boolean[] {false, true}) {
             try (ServerSocket server = new ServerSocket(0)) {
-                Thread other = new Thread(() -> {
+                Thread peer = new Thread(() -> {
                     try (Socket socket = server.accept()) {
                         socket.getOutputStream().write(1);
                     } catch (IOException e) {
                         failures.add(e);
                     }
                 });
-                other.start();
-                CloseRecorder ends = connectTo(server.getLocalPort(), loop(), fails);
+                peer.start();
+                CloseRecorder recorder = connectTo(server.getLocalPort(), loop(), throwsOnRead);
                 assertEquals(
-                        List.of(fails ? CloseReason.HANDLER_FAILED : CloseReason.CLOSED_BY_PEER), ends.closeReasons);
-                assertEquals(fails ? 1 : 0, failures.size());
+                        List.of(throwsOnRead ? CloseReason.HANDLER_FAILED : CloseReason.CLOSED_BY_PEER), recorder.closeReasons);
+                assertEquals(throwsOnRead ? 1 : 0, failures.size());
             }
         }
     }
 
-    /**
-     * An in-memory connection carries bytes both ways, in pieces where the buffer is small, and closes at both ends.
-     */
+    /** An in-memory connection delivers more bytes than fit its read buffer, and is closed at both ends. */
     @Test
     void anInMemoryConnectionCarriesBytesBothWaysAndClosesAtBothEnds() {
-        StringBuilder there = new StringBuilder();
-        List<CloseReason> ends = new ArrayList<>();
-        Connection.InMemoryPeer party = new Connection.InMemoryPeer() {
-            private Connection mine;
+        StringBuilder receivedByPeer = new StringBuilder();
+        List<CloseReason> closeReasons = new ArrayList<>();
+        Connection.InMemoryPeer peer = new Connection.InMemoryPeer() {
+            private Connection peerEnd;
 
             @Override
             public void attach(Connection connection) {
-                mine = connection;
+                peerEnd = connection;
             }
 
             @Override
-            public void onReceived(ByteBuffer in) {
-                while (in.hasRemaining()) {
-                    there.append((char) in.get());
+            public void onReceived(ByteBuffer input) {
+                while (input.hasRemaining()) {
+                    receivedByPeer.append((char) input.get());
                 }
-                if (there.length() == 26) {
-                    mine.write(ByteBuffer.wrap(new byte[] {1, 2}), ByteBuffer.wrap(new byte[] {3}));
+                if (receivedByPeer.length() == 26) {
+                    peerEnd.write(ByteBuffer.wrap(new byte[] {1, 2}), ByteBuffer.wrap(new byte[] {3}));
                 }
             }
 
             @Override
-            public void onClosed(CloseReason how) {
-                ends.add(how);
+            public void onClosed(CloseReason reason) {
+                closeReasons.add(reason);
             }
         };
-        EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add, address -> party);
-        ByteBuffer heard = ByteBuffer.allocate(3);
-        Connection here = Connection.inMemory(
+        EventLoop loop = new EventLoop(MonotonicClock.system(), failures::add, address -> peer);
+        ByteBuffer receivedLocally = ByteBuffer.allocate(3);
+        Connection connection = Connection.inMemory(
                 loop,
                 new Connection.Handler() {
                     @Override
-                    public void onReceived(ByteBuffer in) {
-                        heard.put(in);
+                    public void onReceived(ByteBuffer input) {
+                        receivedLocally.put(input);
                     }
 
                     @Override
-                    public void onClosed(CloseReason how) {
-                        ends.add(how);
+                    public void onClosed(CloseReason reason) {
+                        closeReasons.add(reason);
                     }
                 },
-                party,
+                peer,
                 4,
                 100);
         byte[] alphabet = "abcdefghijklmnopqrstuvwxyz".getBytes(StandardCharsets.US_ASCII);
-        loop.execute(() -> here.write(ByteBuffer.wrap(alphabet)));
+        loop.execute(() -> connection.write(ByteBuffer.wrap(alphabet)));
         loop.setAfterBatch(() -> {
-            if (!heard.hasRemaining()) {
-                here.close(CloseReason.IDLE);
+            if (!receivedLocally.hasRemaining()) {
+                connection.close(CloseReason.IDLE);
                 loop.execute(loop::stop);
             }
         });
         loop.run();
-        assertEquals("abcdefghijklmnopqrstuvwxyz", there.toString());
-        assertEquals(List.of(CloseReason.IDLE, CloseReason.CLOSED_BY_PEER), ends);
+        assertEquals("abcdefghijklmnopqrstuvwxyz", receivedByPeer.toString());
+        assertEquals(List.of(CloseReason.IDLE, CloseReason.CLOSED_BY_PEER), closeReasons);
         assertEquals(List.of(), failures);
     }
 
-    /** The bytes that the peer does not read are bounded. */
+    /** A peer that does not read must not make the write queue grow without bound. */
     @Test
     void exceedingTheWriteQueueLimitClosesTheConnection() throws IOException {
         try (ServerSocket server = new ServerSocket(0)) {
             EventLoop loop = loop();
-            CloseRecorder ends = new CloseRecorder(loop, false);
+            CloseRecorder recorder = new CloseRecorder(loop, false);
             Connection connection =
-                    Connection.connect(loop, server.getLocalSocketAddress(), ends, 64, 1024, Duration.ofSeconds(5));
+                    Connection.connect(loop, server.getLocalSocketAddress(), recorder, 64, 1024, Duration.ofSeconds(5));
             loop.execute(() -> connection.write(ByteBuffer.allocate(1000), ByteBuffer.allocate(30)));
             loop.run();
-            assertEquals(List.of(CloseReason.WRITE_QUEUE_FULL), ends.closeReasons);
+            assertEquals(List.of(CloseReason.WRITE_QUEUE_FULL), recorder.closeReasons);
         }
     }
 }
--- a/src/test/java/merlinlever/common/net/EventLoopTest.java
+++ b/src/test/java/merlinlever/common/net/EventLoopTest.java
@@ -13,28 +13,28 @@
 
     private final List<Throwable> failures = new ArrayList<>();
 
-    /** After a pause the loop runs due timers in their order, and a periodic one once. */
+    /** After a stall, timers that fell due run in the order of their due times, and a periodic timer runs only once. */
     @Test
-    void afterAStallTimersRunInOrderAndPeriodicOnesOnce() throws IOException {
+    void afterAStallDueTimersRunInOrderAndPeriodicTimersRunOnce() throws IOException {
         AtomicLong nanos = new AtomicLong();
         EventLoop loop = new EventLoop(new MonotonicClock(() -> 0, nanos::get), failures::add);
-        List<String> ran = new ArrayList<>();
-        loop.schedule(Duration.ofMillis(30), () -> ran.add("b"));
-        loop.schedule(Duration.ofMillis(20), () -> ran.add("a"));
-        EventLoop.Timer off = loop.schedule(Duration.ofMillis(25), () -> ran.add("off"));
-        loop.runNowAndEvery(Duration.ofMillis(10), () -> ran.add("tick"));
-        off.cancel();
+        List<String> runs = new ArrayList<>();
+        loop.schedule(Duration.ofMillis(30), () -> runs.add("b"));
+        loop.schedule(Duration.ofMillis(20), () -> runs.add("a"));
+        EventLoop.Timer cancelled = loop.schedule(Duration.ofMillis(25), () -> runs.add("cancelled"));
+        loop.runNowAndEvery(Duration.ofMillis(10), () -> runs.add("tick"));
+        cancelled.cancel();
         loop.execute(() -> {
-            throw new IllegalStateException("on purpose");
+            throw new IllegalStateException("thrown by the test");
         });
         loop.execute(() -> nanos.addAndGet(500_000_000));
         loop.setAfterBatch(() -> {
-            if (ran.contains("b")) {
+            if (runs.contains("b")) {
                 loop.stop();
             }
         });
         loop.run();
-        assertEquals(List.of("tick", "tick", "a", "b"), ran);
+        assertEquals(List.of("tick", "tick", "a", "b"), runs);
         assertEquals(1, failures.size());
     }
 }
--- a/src/test/java/merlinlever/common/net/ManualClockLoop.java
+++ b/src/test/java/merlinlever/common/net/ManualClockLoop.java
@@ -16,10 +16,10 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** A real event loop on a thread of its own, whose clock advances only where the test advances it. */
+/** An event loop that runs on a thread of its own with a clock that only the test advances. */
 public final class ManualClockLoop implements AutoCloseable {
 
-    /** Real time to wait for something that never comes; it decides no assertion otherwise. */
+    /** Real time after which a wait fails, so that a broken test does not hang. */
     public static final int TIMEOUT_MS = 10_000;
 
     private final AtomicLong nanos = new AtomicLong(1_000_000_000_000L);
@@ -27,23 +27,23 @@
     private final Thread thread;
     public final EventLoop loop;
 
-    /** A loop on sockets. */
+    /** Creates a loop with sockets. */
     public ManualClockLoop() throws IOException {
         loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add);
         thread = startThread();
     }
 
-    /** A loop in memory, on which connecting reaches the test's peers. */
+    /** Creates a loop without sockets; connections go to the in-memory peer that the function returns. */
     public ManualClockLoop(Function<SocketAddress, Connection.InMemoryPeer> peers) {
         loop = new EventLoop(new MonotonicClock(nanos::get, nanos::get), failures::add, peers);
         thread = startThread();
     }
 
     private Thread startThread() {
-        Thread started = new Thread(loop::run);
-        started.setDaemon(true);
-        started.start();
-        return started;
+        Thread loopThread = new Thread(loop::run);
+        loopThread.setDaemon(true);
+        loopThread.start();
+        return loopThread;
     }
 
     /** Runs the task on the loop and returns its result. */
@@ -63,7 +63,7 @@
         return done.orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
     }
 
-    /** Runs the task on the loop and waits for it. */
+    /** Runs the task on the loop and waits until it has completed. */
     public void runOnLoop(Runnable task) {
         callOnLoop(() -> {
             task.run();
@@ -71,7 +71,7 @@
         });
     }
 
-    /** Advances the clock; the timers that are due have run when this returns. */
+    /** Advances the clock and waits until all timers that fall due have run. */
     public void advance(long ms) {
         CompletableFuture<Void> last = new CompletableFuture<>();
         loop.execute(() -> {
@@ -81,28 +81,28 @@
         join(last);
     }
 
-    /** Advances the clock from a task on the loop: timers are due with the running batch. */
+    /** Advances the clock; called from a task on the loop. Timers that fall due run at the end of the current batch. */
     public void advanceOnLoop(long ms) {
         nanos.addAndGet(Duration.ofMillis(ms).toNanos());
     }
 
-    /** Runs so many batches; on a loop in memory everything written has arrived after a few. */
+    /** Runs the given number of batches; with in-memory peers, a few batches deliver everything that was written. */
     public void runBatches(int count) {
         for (int i = 0; i < count; i++) {
             advance(0);
         }
     }
 
-    /** Waits until the condition, which is evaluated on the loop, holds. */
+    /** Waits until the condition holds; the condition is evaluated on the loop. */
     public void awaitCondition(BooleanSupplier condition, String description) {
         long startedNanos = System.nanoTime();
         while (!callOnLoop(condition::getAsBoolean)) {
-            assertTrue(System.nanoTime() - startedNanos < TIMEOUT_MS * 1_000_000L, "did not come: " + description);
+            assertTrue(System.nanoTime() - startedNanos < TIMEOUT_MS * 1_000_000L, "timed out waiting for: " + description);
             Thread.onSpinWait();
         }
     }
 
-    /** Stops the loop, and asserts that nothing on it has failed. */
+    /** Stops the loop and asserts that none of its tasks has failed. */
     @Override
     public void close() {
         loop.stop();
--- a/src/test/java/merlinlever/common/net/SocketAddressesTest.java
+++ b/src/test/java/merlinlever/common/net/SocketAddressesTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void namesBareIpv6AddressesAndBadPortsAreRejected() {
+    void hostNamesIpv6AddressesWithoutBracketsAndInvalidPortsAreRejected() {
         for (String text : new String[] {
             "",
             ":",
--- a/src/test/java/merlinlever/common/net/TaskHandOffProgram.java
+++ b/src/test/java/merlinlever/common/net/TaskHandOffProgram.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** The program that {@link TaskHandOffTest} debugs: a loop with a periodic timer, and a thread that hands it tasks. */
+/** The program that {@link TaskHandOffTest} debugs: a loop with a periodic timer, and a thread that submits tasks. */
 final class TaskHandOffProgram {
 
     static volatile int ticks;
@@ -10,9 +10,9 @@
 
     private TaskHandOffProgram() {}
 
-    // The loop alone counts; the test reads the fields as plain numbers through the debugger.
+    // Only the loop's thread increments the counters; the test reads them through the debugger.
     @SuppressWarnings("NonAtomicVolatileUpdate")
-    public static void main(String[] none) throws Exception {
+    public static void main(String[] args) throws Exception {
         EventLoop loop = new EventLoop(MonotonicClock.system(), failure -> {});
         loop.runNowAndEvery(Duration.ofMillis(1), () -> ticks++);
         Thread thread = new Thread(loop::run, "loop");
@@ -24,7 +24,7 @@
         }
     }
 
-    // As above: the loop alone counts.
+    // Only the loop's thread increments the counter.
     @SuppressWarnings("NonAtomicVolatileUpdate")
     private static void handOff(EventLoop loop) {
         loop.execute(() -> tasksRun++);
--- a/src/test/java/merlinlever/common/net/TaskHandOffTest.java
+++ b/src/test/java/merlinlever/common/net/TaskHandOffTest.java
@@ -25,9 +25,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A thread that hands a task to the loop may be suspended at any line, by the system or the runtime. The loop must
- * neither wait for it nor spin until it goes on. This test debugs a second process: it suspends the thread at each line
- * that it passes, and the loop's timers must keep running.
+ * Guards against a loop that waits for a thread suspended inside {@link EventLoop#execute}. The test debugs a second
+ * process, suspends the submitting thread at each line of the method, and expects the loop's timers to keep running.
  */
 class TaskHandOffTest {
 
@@ -35,7 +34,7 @@
     private static final long MAX_WAIT_NANOS = 3_000_000_000L;
 
     @Test
-    void timersKeepRunningWhileTheHandingThreadIsSuspendedAtAnyLine() throws Exception {
+    void timersKeepRunningWhileTheSubmittingThreadIsSuspendedAtAnyLine() throws Exception {
         VirtualMachine machine = launch();
         try {
             ClassPrepareRequest classPrepareRequest =
@@ -49,53 +48,53 @@
             int suspendedLines = 0;
             while (handOffs < HAND_OFFS) {
                 EventSet events = machine.eventQueue().remove(60_000);
-                assertTrue(events != null, "nothing came from the second process");
+                assertTrue(events != null, "no debugger event from the second process");
                 for (Event event : events) {
-                    if (event instanceof ClassPrepareEvent ready) {
-                        program = ready.referenceType();
-                        EventRequest at = machine.eventRequestManager()
+                    if (event instanceof ClassPrepareEvent prepared) {
+                        program = prepared.referenceType();
+                        EventRequest breakpoint = machine.eventRequestManager()
                                 .createBreakpointRequest(
                                         program.methodsByName("handOff").get(0).location());
-                        at.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
-                        at.enable();
-                    } else if (event instanceof BreakpointEvent begun) {
-                        StepRequest step = machine.eventRequestManager()
-                                .createStepRequest(begun.thread(), StepRequest.STEP_LINE, StepRequest.STEP_INTO);
-                        step.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
-                        step.enable();
-                    } else if (event instanceof StepEvent at) {
-                        boolean over = at.location().declaringType().equals(program)
-                                && at.location().method().name().equals("main");
-                        if (over) {
+                        breakpoint.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
+                        breakpoint.enable();
+                    } else if (event instanceof BreakpointEvent breakpointHit) {
+                        StepRequest stepRequest = machine.eventRequestManager()
+                                .createStepRequest(breakpointHit.thread(), StepRequest.STEP_LINE, StepRequest.STEP_INTO);
+                        stepRequest.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
+                        stepRequest.enable();
+                    } else if (event instanceof StepEvent step) {
+                        boolean returned = step.location().declaringType().equals(program)
+                                && step.location().method().name().equals("main");
+                        if (returned) {
                             event.request().disable();
                             machine.eventRequestManager().deleteEventRequest(event.request());
                             handOffs++;
                         } else {
-                            assertTimersKeepRunning(program, at);
+                            assertTimersKeepRunning(program, step);
                             suspendedLines++;
                         }
                     }
                 }
                 events.resume();
             }
-            assertTrue(suspendedLines >= HAND_OFFS * 10, "held at " + suspendedLines + " lines alone");
+            assertTrue(suspendedLines >= HAND_OFFS * 10, "suspended at only " + suspendedLines + " lines");
         } finally {
             machine.exit(0);
         }
     }
 
-    /** Waits for further runs of the timer while the thread is suspended. */
-    private static void assertTimersKeepRunning(ReferenceType program, LocatableEvent at) throws InterruptedException {
+    /** Asserts that the periodic timer keeps running while the submitting thread is suspended. */
+    private static void assertTimersKeepRunning(ReferenceType program, LocatableEvent event) throws InterruptedException {
         Field ticks = program.fieldByName("ticks");
         int before = ((IntegerValue) program.getValue(ticks)).value();
         long deadlineNanos = System.nanoTime() + MAX_WAIT_NANOS;
         while (((IntegerValue) program.getValue(ticks)).value() < before + 3) {
             assertTrue(
                     System.nanoTime() < deadlineNanos,
-                    "the loop stands still while " + at.thread().name() + " is held at "
-                            + at.location().declaringType().name() + "."
-                            + at.location().method().name() + ", line "
-                            + at.location().lineNumber());
+                    "the loop is blocked while " + event.thread().name() + " is suspended at "
+                            + event.location().declaringType().name() + "."
+                            + event.location().method().name() + ", line "
+                            + event.location().lineNumber());
             Thread.sleep(1);
         }
     }
