--- a/src/main/java/merlinlever/common/WireNamed.java
+++ b/src/main/java/merlinlever/common/WireNamed.java
@@ -1,16 +1,20 @@
 package merlinlever.common;
 
-/** A constant that files, messages or commands name; the name there stays whatever the constant is called here. */
+/** An enum constant with a fixed name in files, messages or commands, independent of its name in the code. */
 public interface WireNamed {
 
-    /** The name outside the program. */
+    /** Returns the name used in files, messages and commands. */
     String wireName();
 
-    /** The constant of that name, in any case; an {@link IllegalArgumentException} where there is none. */
+    /**
+     * Returns the constant with the given name, ignoring case.
+     *
+     * @throws IllegalArgumentException if no constant has the name
+     */
     static <E extends Enum<E> & WireNamed> E parse(Class<E> type, String text) {
-        for (E each : type.getEnumConstants()) {
-            if (each.wireName().equalsIgnoreCase(text)) {
-                return each;
+        for (E constant : type.getEnumConstants()) {
+            if (constant.wireName().equalsIgnoreCase(text)) {
+                return constant;
             }
         }
         throw new IllegalArgumentException("not known: " + text);
--- a/src/main/java/merlinlever/common/config/ConfigFile.java
+++ b/src/main/java/merlinlever/common/config/ConfigFile.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * A configuration file that is valid: every value has the type and lies in the range that its schema states, so the accessors here
- * need not check again. Paths are keys and list indexes joined by dots, such as {@code zones.0.origin}. Immutable.
+ * A configuration file that is valid: every value has the type and lies in the range that its schema states, so the
+ * accessors here need not check again. Paths are keys and list indexes joined by dots, such as {@code zones.0.origin}.
+ * Immutable.
  */
 public final class ConfigFile {
 
--- a/src/main/java/merlinlever/common/config/SchemaValidator.java
+++ b/src/main/java/merlinlever/common/config/SchemaValidator.java
@@ -16,7 +16,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Validates a document against its schema and describes each violation as one line for the operator, in the order of the file. */
+/**
+ * Validates a document against its schema and describes each violation as one line for the operator, in the order of
+ * the file.
+ */
 final class SchemaValidator {
 
     private static final int MAX_REPORTED_FAULTS = 50;
@@ -80,7 +83,9 @@
         };
     }
 
-    /** The part of the schema that holds the violated keyword; an empty object where its location cannot be followed. */
+    /**
+     * The part of the schema that holds the violated keyword; an empty object where its location cannot be followed.
+     */
     private JsonNode schemaNode(Error violation) {
         String location = violation.getSchemaLocation().toString();
         String pointer = location.substring(location.indexOf('#') + 1);
--- a/src/main/java/merlinlever/common/config/YamlDocument.java
+++ b/src/main/java/merlinlever/common/config/YamlDocument.java
@@ -28,8 +28,8 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * A YAML file as a JSON tree, with the line on which each value stands, so that a fault found in the tree can be reported at its
- * place in the file. Size, nesting and aliases are bounded, as the file may come from anybody.
+ * A YAML file as a JSON tree, with the line on which each value stands, so that a fault found in the tree can be
+ * reported at its place in the file. Size, nesting and aliases are bounded, as the file may come from anybody.
  */
 final class YamlDocument {
 
@@ -50,7 +50,8 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidConfigFileException if it is no plain UTF-8 file of at most 1 MiB with one YAML document of unique keys
+     * @throws InvalidConfigFileException if it is no plain UTF-8 file of at most 1 MiB with one YAML document of unique
+     *     keys
      */
     static YamlDocument read(Path file) throws InvalidConfigFileException {
         return new YamlDocument(file);
--- a/src/main/java/merlinlever/common/json/Json.java
+++ b/src/main/java/merlinlever/common/json/Json.java
@@ -5,45 +5,46 @@
 import java.util.Map;
 
 /**
- * Reads JSON into maps, lists, strings, booleans, longs, doubles and null, and writes strings. Integers of up to 18
- * digits are longs, all other numbers doubles. Thread-safe.
+ * Parses JSON into maps, lists, strings, booleans, longs, doubles and null, and quotes strings. Integers of up to 18
+ * digits are parsed as longs, all other numbers as doubles. Thread-safe.
  */
 public final class Json {
 
     private Json() {}
 
-    /** Text that is no JSON, nested too deeply or not of the kind that was asked for. */
+    /** Thrown if a text is not valid JSON, is nested too deeply or is not of the requested type. */
     public static final class MalformedJsonException extends Exception {
         private static final long serialVersionUID = 1;
 
-        /** With what is wrong and where. */
+        /** Creates an exception whose message states the fault and its position. */
         public MalformedJsonException(String message) {
             super(message);
         }
     }
 
     /**
-     * Reads any value. Of a name that an object has twice the last value counts.
+     * Parses any JSON value. If an object has a name more than once, the last value is used.
      *
-     * @throws MalformedJsonException if the text is no JSON or nested too deeply
+     * @throws MalformedJsonException if the text is not valid JSON or nested too deeply
      */
     public static Object parse(String text) throws MalformedJsonException {
         return new JsonParser(text, false).parse();
     }
 
     /**
-     * Reads an object. Of a name that it has twice the last value counts.
+     * Parses a JSON object. If an object has a name more than once, the last value is used.
      *
-     * @throws MalformedJsonException if the text is no JSON object or nested too deeply
+     * @throws MalformedJsonException if the text is not a valid JSON object or nested too deeply
      */
     public static Map<?, ?> parseObject(String text) throws MalformedJsonException {
         return asObject(parse(text));
     }
 
     /**
-     * Reads an object whose names are all different, at every depth.
+     * Parses a JSON object and rejects duplicate names at every depth.
      *
-     * @throws MalformedJsonException if the text is no JSON object or nested too deeply, or if a name comes twice
+     * @throws MalformedJsonException if the text is not a valid JSON object, is nested too deeply or has duplicate
+     *     names
      */
     public static Map<?, ?> parseStrictObject(String text) throws MalformedJsonException {
         return asObject(new JsonParser(text, true).parse());
@@ -53,10 +54,10 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new MalformedJsonException("not an object");
+        throw new MalformedJsonException("value is not an object");
     }
 
-    /** The text as a JSON string, with its quotes. */
+    /** Returns the text as a JSON string, with quotes and escapes. */
     public static String quote(String text) {
         StringBuilder out = new StringBuilder(text.length() + 2).append('"');
         for (int i = 0; i < text.length(); i++) {
@@ -73,8 +74,9 @@
     }
 
     /**
-     * The values of an object by their paths, whose parts are set apart by dots. The items of a list of objects are
-     * named by their index, from 0; a list of plain values becomes one value with commas. Nulls are left out.
+     * Flattens an object to a map from paths to values. A path consists of names separated by dots; items of a list of
+     * objects are named by their index, from 0. A list of plain values becomes one value, separated by commas. Nulls
+     * are omitted.
      */
     public static Map<String, String> flatten(Map<?, ?> object) {
         Map<String, String> valuesByPath = new LinkedHashMap<>();
--- a/src/main/java/merlinlever/common/json/JsonParser.java
+++ b/src/main/java/merlinlever/common/json/JsonParser.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import merlinlever.common.json.Json.MalformedJsonException;
 
-/** Reads one JSON text by recursive descent. Its depth is bounded, so that no text overflows the stack. */
+/** A recursive-descent parser for one JSON text. The depth is bounded, so that no text can overflow the stack. */
 final class JsonParser {
 
     private static final int MAX_DEPTH = 32;
-    /** Numbers with fewer digits than this, and neither point nor exponent, fit a long. */
-    private static final int MIN_DIGITS_OF_DOUBLE = 19;
+    /** Integers with fewer digits fit into a long. */
+    private static final int MIN_DIGITS_FOR_DOUBLE = 19;
 
     private static final int UNICODE_ESCAPE_DIGITS = 4;
 
@@ -24,18 +24,18 @@
         this.rejectDuplicateNames = rejectDuplicateNames;
     }
 
-    /** Reads the whole text as one value. */
+    /** Parses the whole text as one value. */
     Object parse() throws MalformedJsonException {
         Object value = parseValue(0);
         skipSpace();
         if (position < text.length()) {
-            throw malformed("something follows the value");
+            throw malformed("unexpected text after the value");
         }
         return value;
     }
 
     private MalformedJsonException malformed(String problem) {
-        return new MalformedJsonException(problem + " at " + position);
+        return new MalformedJsonException(problem + " at position " + position);
     }
 
     private void skipSpace() {
@@ -46,21 +46,21 @@
 
     private char peek() throws MalformedJsonException {
         if (position >= text.length()) {
-            throw malformed("the text ends");
+            throw malformed("unexpected end of the text");
         }
         return text.charAt(position);
     }
 
     private void expect(char expected) throws MalformedJsonException {
         if (peek() != expected) {
-            throw malformed("no '" + expected + "'");
+            throw malformed("missing '" + expected + "'");
         }
         position++;
     }
 
     private Object parseValue(int depth) throws MalformedJsonException {
         if (depth > MAX_DEPTH) {
-            throw malformed("too deep");
+            throw malformed("value is nested too deeply");
         }
         skipSpace();
         return switch (peek()) {
@@ -76,7 +76,7 @@
 
     private Object parseLiteral(String literal, Object value) throws MalformedJsonException {
         if (!text.startsWith(literal, position)) {
-            throw malformed("unknown word");
+            throw malformed("unknown literal");
         }
         position += literal.length();
         return value;
@@ -97,7 +97,7 @@
             expect(':');
             Object value = parseValue(depth + 1);
             if (rejectDuplicateNames && members.containsKey(name)) {
-                throw malformed("'" + name + "' comes twice, the second");
+                throw malformed("duplicate name '" + name + "'");
             }
             members.put(name, value);
             skipSpace();
@@ -131,12 +131,12 @@
     private String parseString() throws MalformedJsonException {
         expect('"');
         int start = position;
-        // Most strings have no escapes, and are cut out of the text as they are.
+        // Remains null for a string without escapes, which is a substring of the text.
         StringBuilder unescaped = null;
         while (peek() != '"') {
             char c = text.charAt(position++);
             if (c < ' ') {
-                throw malformed("a bare control character");
+                throw malformed("unescaped control character");
             }
             if (c == '\\') {
                 if (unescaped == null) {
@@ -162,7 +162,7 @@
             case 'r' -> '\r';
             case 't' -> '\t';
             case 'u' -> parseUnicodeEscape();
-            default -> throw malformed("unknown escape");
+            default -> throw malformed("unknown escape sequence");
         };
     }
 
@@ -171,7 +171,7 @@
         for (int i = 0; i < UNICODE_ESCAPE_DIGITS; i++) {
             int digit = Character.digit(peek(), 16);
             if (digit < 0) {
-                throw malformed("not four hex digits");
+                throw malformed("invalid hex digit in a Unicode escape");
             }
             code = code * 16 + digit;
             position++;
@@ -184,9 +184,9 @@
         skipIf('-');
         int firstDigit = position;
         skipDigits();
-        boolean isLong = position - firstDigit < MIN_DIGITS_OF_DOUBLE;
+        boolean isLong = position - firstDigit < MIN_DIGITS_FOR_DOUBLE;
         if (position - firstDigit > 1 && text.charAt(firstDigit) == '0') {
-            throw malformed("a leading zero");
+            throw malformed("number with a leading zero");
         }
         if (skipIf('.')) {
             isLong = false;
@@ -207,11 +207,11 @@
     }
 
     private boolean skipIf(char expected) {
-        boolean present = position < text.length() && text.charAt(position) == expected;
-        if (present) {
+        boolean matches = position < text.length() && text.charAt(position) == expected;
+        if (matches) {
             position++;
         }
-        return present;
+        return matches;
     }
 
     private void skipDigits() throws MalformedJsonException {
@@ -220,7 +220,7 @@
             position++;
         }
         if (position == start) {
-            throw malformed("no digit");
+            throw malformed("missing digit");
         }
     }
 }
--- a/src/main/java/merlinlever/common/log/EventLog.java
+++ b/src/main/java/merlinlever/common/log/EventLog.java
@@ -1,21 +1,21 @@
 package merlinlever.common.log;
 
-/** Where a component reports what happened to it. Implementations say which threads may call them. */
+/** Receives the log events of a component. Implementations document which threads may call them. */
 @FunctionalInterface
 public interface EventLog {
 
     /** Discards every event. */
     EventLog NONE = event -> {};
 
-    /** Reports one event; never throws and never blocks for long. */
+    /** Logs one event; never throws and never blocks for long. */
     void write(LogEvent event);
 
-    /** Reports an event of level INFO whose text is already formatted, fields included. */
+    /** Logs an event of level INFO whose text is already formatted, including the fields. */
     default void info(String text) {
         write(LogEvent.info(text));
     }
 
-    /** This log, with a prefix before the name of each event. */
+    /** Returns a log that writes to this log and adds a prefix to the name of each event. */
     default EventLog withPrefix(String prefix) {
         return event -> write(event.withPrefix(prefix));
     }
--- a/src/main/java/merlinlever/common/log/Log.java
+++ b/src/main/java/merlinlever/common/log/Log.java
@@ -6,15 +6,15 @@
 import java.util.function.Supplier;
 
 /**
- * Writes log lines to one stream: the time in UTC, the level, and the event as {@code event key=value ...}. At most
- * {@value #MAX_LINES_PER_SECOND} lines are written per second; how many were dropped is logged in the next.
- * Thread-safe.
+ * Writes log lines to a stream: the time in UTC, the level, and the event as {@code event key=value ...}. At most
+ * {@value #MAX_LINES_PER_SECOND} lines are written per second. The number of dropped lines is logged with the first
+ * line of a later second. Thread-safe.
  */
 public final class Log implements EventLog {
 
     private static final int MAX_LINES_PER_SECOND = 20;
     private static final int MAX_EVENT_CHARS = 500;
-    /** Room for the time and the level, so that the line's buffer need not grow. */
+    /** Initial buffer capacity for the time and the level. */
     private static final int PREFIX_CHARS = 40;
 
     private final PrintStream out;
@@ -23,7 +23,7 @@
     private int writtenThisSecond;
     private int dropped;
 
-    /** Writes to the stream, which is flushed after each line, with the given time. */
+    /** Creates a log that writes to the stream and flushes the stream after each line. */
     public Log(PrintStream out, Supplier<Instant> time) {
         this.out = out;
         this.time = time;
@@ -35,12 +35,12 @@
         write(LogEvent.info(event));
     }
 
-    /** Something that an operator should look at, while the program goes on as it is meant to. */
+    /** Logs an event that an operator should look at, while the program continues as designed. */
     public void warn(String event) {
         write(LogEvent.warn(event));
     }
 
-    /** A fault of the program itself; the line ends with the exception and the place where it was thrown. */
+    /** Logs a fault of the program; the line ends with the exception and the location where it was thrown. */
     public void error(String event, Throwable cause) {
         write(LogEvent.error(event, cause));
     }
--- a/src/main/java/merlinlever/common/log/LogEvent.java
+++ b/src/main/java/merlinlever/common/log/LogEvent.java
@@ -4,28 +4,30 @@
 import java.util.List;
 
 /**
- * One event for a log: its level, its name in kebab-case and its fields in order. Immutable; {@link #with} returns a
- * longer copy:
+ * A log event: its level, its name in kebab-case and its fields in order. Immutable; {@link #with} returns a copy with one
+ * more field:
  *
  * <pre>{@code
  * log.write(LogEvent.warn("agent-link-lost").with("reason", reason).with("last_offset", offset));
  * }</pre>
  *
- * @param level whether an operator has to act
- * @param name what happened, without spaces
- * @param fields its details
+ * @param level states whether an operator has to act
+ * @param name name of the event, without spaces
+ * @param fields details of the event
  */
 public record LogEvent(LogLevel level, String name, List<Field> fields) {
 
     /**
-     * A detail of an event.
+     * A field of an event.
      *
-     * @param key its name in snake_case, with the unit where there is one, as {@code silent_ms}
-     * @param value its text, not quoted
+     * @param key key in snake_case, with a unit if the value has one, as in {@code silent_ms}
+     * @param value text of the value, without quotes
      */
     public record Field(String key, String value) {
 
-        /** {@code key=value}; the value in double quotes if it is empty or has a space, a quote or an equals sign. */
+        /**
+         * Returns {@code key=value}, with quotes if the value is empty or contains a space, a quote or an equals sign.
+         */
         String text() {
             return key + "=" + (needsQuotes() ? "\"" + value.replace("\"", "\\\"") + "\"" : value);
         }
@@ -40,36 +42,36 @@
         fields = List.copyOf(fields);
     }
 
-    /** An event that needs nothing to be done. */
+    /** Creates an event that needs no action by an operator. */
     public static LogEvent info(String name) {
         return new LogEvent(LogLevel.INFO, name, List.of());
     }
 
-    /** An event that an operator should look at. */
+    /** Creates an event that an operator should look at. */
     public static LogEvent warn(String name) {
         return new LogEvent(LogLevel.WARN, name, List.of());
     }
 
-    /** A fault of the program or the machine, with the exception and the place where it was thrown. */
+    /** Creates an event for a fault, with the exception and the location where it was thrown. */
     public static LogEvent error(String name, Throwable cause) {
         LogEvent event = new LogEvent(LogLevel.ERROR, name, List.of()).with("error", cause);
         StackTraceElement[] trace = cause.getStackTrace();
         return trace.length > 0 ? event.with("at", trace[0]) : event;
     }
 
-    /** This event with one more field, whose value is the text of that object. */
+    /** Returns this event with one more field, whose value is converted to text. */
     public LogEvent with(String key, Object value) {
-        List<Field> longer = new ArrayList<>(fields);
-        longer.add(new Field(key, String.valueOf(value)));
-        return new LogEvent(level, name, longer);
+        List<Field> extended = new ArrayList<>(fields);
+        extended.add(new Field(key, String.valueOf(value)));
+        return new LogEvent(level, name, extended);
     }
 
-    /** This event with a prefix before its name. */
+    /** Returns this event with a prefix added to its name. */
     public LogEvent withPrefix(String prefix) {
         return new LogEvent(level, prefix + name, fields);
     }
 
-    /** The event as a line without time and level: its name, then {@code key=value} for each field. */
+    /** Formats the event without time and level: the name, followed by {@code key=value} for each field. */
     public String text() {
         StringBuilder text = new StringBuilder(name);
         for (Field field : fields) {
--- a/src/main/java/merlinlever/common/log/LogLevel.java
+++ b/src/main/java/merlinlever/common/log/LogLevel.java
@@ -1,10 +1,10 @@
 package merlinlever.common.log;
 
-/** Whether an operator has to act on an event. */
+/** The severity of a log event. */
 public enum LogLevel {
-    /** Nothing to do. */
+    /** No action by an operator is needed. */
     INFO,
-    /** Something to look at, while the program goes on as it is meant to. */
+    /** An operator should look at the event, while the program continues as designed. */
     WARN,
     /** A fault of the program or the machine. */
     ERROR
--- a/src/main/java/merlinlever/common/log/package-info.java
+++ b/src/main/java/merlinlever/common/log/package-info.java
@@ -1,2 +1,2 @@
-/** A small logger, bounded in volume, which the program loads at its start in place of a library. */
+/** A small rate-limited logger, used in place of a library, which would slow down the start. */
 package merlinlever.common.log;
--- a/src/main/java/merlinlever/common/storage/BackgroundWriter.java
+++ b/src/main/java/merlinlever/common/storage/BackgroundWriter.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * Replaces files of a state directory on a thread of its own, as a disk may take long and the event loop may not wait; one write at a
- * time. All methods are called on the event loop, and completions are reported there.
+ * Replaces files of a state directory on a background thread, one at a time, so that a slow disk does not block the
+ * event loop. All methods are called on the event loop, which also runs the completions.
  */
 public final class BackgroundWriter {
 
@@ -21,9 +21,9 @@
     private boolean busy;
 
     /**
-     * A writer with its own thread.
+     * Creates a writer with its own daemon thread.
      *
-     * @param threadName of the daemon thread that writes
+     * @param threadName name of the thread
      */
     public BackgroundWriter(StateDirectory directory, Executor eventLoop, String threadName) {
         this.directory = directory;
@@ -35,15 +35,16 @@
         });
     }
 
-    /** Whether a write is in progress. */
+    /** Returns whether a write is in progress. */
     public boolean isBusy() {
         return busy;
     }
 
     /**
-     * Starts to replace a file unless a write is in progress or this writer is closed.
+     * Starts to replace a file, unless a write is in progress or this writer is closed.
      *
-     * @param completion receives nothing once the bytes are on the disk, or why they are not; {@link #isBusy} is false by then
+     * @param completion called when the write has ended, with empty if the bytes are on disk and with the exception
+     *     otherwise; {@link #isBusy} is already false
      * @return whether the write was started; if not, {@code completion} is never called
      */
     public boolean replace(String name, byte[] bytes, Consumer<Optional<IOException>> completion) {
@@ -68,16 +69,16 @@
         } catch (IOException e) {
             return Optional.of(e);
         } catch (RuntimeException e) {
-            // Whatever fails, the completion has to be called, or this writer would stay busy for good.
+            // Without a call of the completion, the writer would remain busy forever.
             return Optional.of(new IOException(e));
         }
     }
 
     /**
-     * Starts no further write and waits for the one in progress, so that the directory is not touched afterwards.
+     * Rejects further writes and waits for the write in progress, so that the directory does not change afterwards.
      *
-     * @param timeout for the wait, as a disk may hang
-     * @return whether no write is in progress any more
+     * @param timeout maximum time to wait, as a disk may hang
+     * @return whether the write in progress, if any, has ended
      */
     public boolean close(Duration timeout) {
         writerThread.shutdown();
--- a/src/main/java/merlinlever/common/storage/FileStateDirectory.java
+++ b/src/main/java/merlinlever/common/storage/FileStateDirectory.java
@@ -13,12 +13,12 @@
 import java.util.stream.Stream;
 
 /**
- * A state directory of the file system. A lock file in it keeps other processes out until it is closed. Subdirectories are
+ * A state directory in the file system, locked by a lock file until the directory is closed. Subdirectories are
  * ignored.
  */
 public final class FileStateDirectory implements StateDirectory {
 
-    /** The directory is locked by another process, or by another instance in this one. */
+    /** Thrown if the directory is locked by another process, or by another instance in this process. */
     public static final class DirectoryInUseException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -35,9 +35,9 @@
     private final FileChannel lockFile;
 
     /**
-     * Creates the directory if it is missing, and locks it.
+     * Creates the directory if it does not exist, and locks the directory.
      *
-     * @throws DirectoryInUseException if it is locked already
+     * @throws DirectoryInUseException if the directory is already locked
      */
     public FileStateDirectory(Path directory) throws IOException {
         this.directory = directory;
@@ -54,7 +54,7 @@
             FileLock lock = channel.tryLock();
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // Locked by this very process.
+            // Another instance in this process holds the lock.
             return false;
         }
     }
@@ -154,7 +154,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // Whatever has to last was synced before; a failure to close takes none of it away.
+                // A failure to close does not affect bytes that were synced.
             }
         }
     }
--- a/src/main/java/merlinlever/common/storage/RecordingStateDirectory.java
+++ b/src/main/java/merlinlever/common/storage/RecordingStateDirectory.java
@@ -11,27 +11,27 @@
 import java.util.List;
 
 /**
- * Records every operation on a state directory, one line each, so that the fault harness can reconstruct the states that a power loss
- * may leave. An operation that may reach the disk without a sync (open, write, delete) is recorded before it is made; one that gives
- * a guarantee (sync, truncation, rename) is recorded after it returned. Files that exist at the start are recorded whole and count
- * as synced.
+ * Records every operation on a state directory as one line, so that the fault harness can reconstruct the states that a
+ * power loss may leave. An operation that may reach the disk without a sync (open, write, delete) is recorded before
+ * its execution; an operation that guarantees durability (sync, truncation, rename) is recorded after it has returned.
+ * Files that exist at the start are recorded with their content and count as synced.
  *
- * <p>Lines: {@code folder PATH FILES} at each start, then {@code had NAME BASE64} for each of so many files; {@code open NAME},
- * {@code write NAME OFFSET BASE64}, {@code force NAME}, {@code truncate NAME LENGTH}, {@code rename FROM TO}, {@code delete NAME},
- * {@code sync} (of the directory).
+ * <p>Lines: at each start {@code folder PATH FILES}, followed by {@code had NAME BASE64} for each of the FILES existing
+ * files; then {@code open NAME}, {@code write NAME OFFSET BASE64}, {@code force NAME}, {@code truncate NAME LENGTH},
+ * {@code rename FROM TO}, {@code delete NAME} and {@code sync} (of the directory).
  */
 public final class RecordingStateDirectory implements StateDirectory {
 
     /** Receives the recorded lines. */
     public interface OperationLog extends Closeable {
 
-        /** Adds a line; the terminating newline is not part of {@code line}. */
+        /** Appends a line; {@code line} does not include the terminating newline. */
         void append(String line) throws IOException;
 
         @Override
         void close();
 
-        /** A log that is appended to a file but never synced: it survives the process, and power losses are only simulated. */
+        /** Opens a log file without syncs: the log has to survive only the process, as power losses are simulated. */
         static OperationLog appendingTo(Path file) throws IOException {
             return new FileOperationLog(file);
         }
@@ -58,7 +58,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // All lines were written; nothing depends on the handle any more.
+                // All lines have been written; nothing depends on the handle.
             }
         }
     }
@@ -68,7 +68,11 @@
     private final StateDirectory delegate;
     private final OperationLog operations;
 
-    /** @param path of the directory, as the recording names it; spaces become underscores */
+    /**
+     * Records the start line and the content of all existing files.
+     *
+     * @param path path of the directory in the recording; spaces are replaced by underscores
+     */
     public RecordingStateDirectory(StateDirectory delegate, OperationLog operations, String path) throws IOException {
         this.delegate = delegate;
         this.operations = operations;
--- a/src/main/java/merlinlever/common/storage/StateDirectories.java
+++ b/src/main/java/merlinlever/common/storage/StateDirectories.java
@@ -5,18 +5,19 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Opens state directories on disk, recorded if the environment asks for it (as the fault harness does). */
+/** Opens state directories on disk, with a recording of their operations if an environment variable requests one. */
 public final class StateDirectories {
 
     /**
-     * The environment variable that names a directory for recordings. Each state directory of the process then appends its operations
-     * to a file there, named after its own path.
+     * The environment variable with the directory for recordings, set by the fault harness. Each state directory of the
+     * process appends its operations to a file in that directory; the file is named after the path of the state
+     * directory.
      */
     public static final String RECORDING_DIRECTORY_VARIABLE = "MERLINLEVER_DISK_RECORD";
 
     private StateDirectories() {}
 
-    /** Opens and locks the directory; the caller closes it. */
+    /** Opens and locks a state directory, which the caller must close. */
     public static StateDirectory open(Path path, Map<String, String> environment) throws IOException {
         FileStateDirectory directory = new FileStateDirectory(path);
         String recordingDirectory = environment.get(RECORDING_DIRECTORY_VARIABLE);
--- a/src/main/java/merlinlever/common/storage/StateDirectory.java
+++ b/src/main/java/merlinlever/common/storage/StateDirectory.java
@@ -6,57 +6,58 @@
 import java.util.List;
 
 /**
- * A flat directory of state files. After a power loss only what was synced is certain to be there; the fault harness records the
- * operations on this interface and reconstructs every state that a power loss may leave. Not thread-safe: one thread at a time.
+ * A flat directory of state files. Only synced data is certain to survive a power loss; the fault harness records the
+ * operations on this interface and reconstructs every state that a power loss may leave. Not thread-safe.
  */
 public interface StateDirectory extends Closeable {
 
-    /** A file that is written at its end only. */
+    /** A file that is only written at its end. */
     interface AppendableFile extends Closeable {
 
-        /** Bytes of the file, those that are not synced yet included. */
+        /** Returns the length of the file in bytes, including bytes that are not yet synced. */
         long length();
 
-        /** Appends all remaining bytes; after an exception it is unknown how many of them were written. */
+        /** Appends all remaining bytes; after an exception, any number of them may have been written. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns once everything written so far is on the disk. */
+        /** Returns once all written bytes are on disk. */
         void sync() throws IOException;
 
-        /** Cuts the file down to that many bytes and syncs it; further writes go to the new end. */
+        /** Truncates the file to the given length and syncs the file; further writes append at the new end. */
         void truncate(long length) throws IOException;
 
-        /** Never fails: what matters was synced before. */
+        /** Closes the file without a sync; never fails. */
         @Override
         void close();
     }
 
-    /** The names of all files, sorted. */
+    /** Returns the sorted names of all files. */
     List<String> fileNames() throws IOException;
 
-    /** The whole content of a file. */
+    /** Returns the content of a file. */
     byte[] read(String name) throws IOException;
 
-    /** Opens a file for appending and creates it if there is none. */
+    /** Opens a file for appending, and creates the file if it does not exist. */
     AppendableFile openForAppend(String name) throws IOException;
 
-    /** Renames atomically, replacing a file of the new name, and syncs the directory. */
+    /** Renames a file atomically, replacing any file with the new name, and syncs the directory. */
     void rename(String from, String to) throws IOException;
 
-    /** Removes a file; does nothing if there is none. The removal is durable after {@link #sync}. */
+    /** Deletes a file if it exists. The deletion is durable after {@link #sync}. */
     void delete(String name) throws IOException;
 
-    /** Returns once the list of files (not their content) is on the disk. */
+    /** Returns once the list of files, but not necessarily their content, is on disk. */
     void sync() throws IOException;
 
     /**
-     * Replaces a whole file: the new content is written to a temporary file, synced and renamed over the old one, so that after a power
-     * loss there is either the old or the new content, never a mixture. After an exception the old file is still there.
+     * Replaces the content of a file atomically: writes the new content to a temporary file, syncs the file and renames
+     * it to the given name. After a power loss the file has either the old or the new content. After an exception the
+     * file has its old content, unless only the sync after the rename failed.
      */
     default void replace(String name, byte[] bytes) throws IOException {
         String temporary = name + ".new";
         try (AppendableFile file = openForAppend(temporary)) {
-            // An earlier attempt that failed may have left its bytes here.
+            // A failed attempt may have left bytes in the temporary file.
             file.truncate(0);
             file.write(ByteBuffer.wrap(bytes));
             file.sync();
@@ -64,11 +65,11 @@
         rename(temporary, name);
     }
 
-    /** Releases the directory; one on disk can then be opened by another process. */
+    /** Releases the directory, so that another process can open it. */
     @Override
     default void close() throws IOException {}
 
-    /** Whether there is a file of that name. */
+    /** Returns whether a file with the given name exists. */
     default boolean exists(String name) throws IOException {
         return fileNames().contains(name);
     }
--- a/src/test/java/merlinlever/common/json/JsonTest.java
+++ b/src/test/java/merlinlever/common/json/JsonTest.java
@@ -10,7 +10,6 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The reader of JSON, and the writer of its strings. */
 class JsonTest {
 
     @Test
--- a/src/test/java/merlinlever/common/log/LogTest.java
+++ b/src/test/java/merlinlever/common/log/LogTest.java
@@ -9,11 +9,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-/** The form and the volume of the log. */
 class LogTest {
 
     @Test
-    void linesBeyondTheLimitAreDroppedAndCounted() {
+    void linesOverTheRateLimitAreDroppedAndCounted() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         AtomicReference<Instant> time = new AtomicReference<>(Instant.ofEpochSecond(1_000_000));
         Log log = new Log(new PrintStream(out, true, StandardCharsets.UTF_8), time::get);
@@ -30,7 +29,7 @@
     }
 
     @Test
-    void errorNamesTheExceptionAndItsPlace() {
+    void errorLineContainsTheExceptionAndItsLocation() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Log log = new Log(new PrintStream(out, true, StandardCharsets.UTF_8), () -> Instant.ofEpochSecond(1_000_000));
         IllegalStateException cause = new IllegalStateException("closed");
@@ -42,7 +41,7 @@
     }
 
     @Test
-    void valuesAreQuotedOnlyWhereTheyWouldBeReadAsMoreThanOneField() {
+    void valuesAreQuotedOnlyIfTheyAreEmptyOrAmbiguous() {
         LogEvent event = LogEvent.info("view-adopted")
                 .with("view", "3.1")
                 .with("reason", "two words")
--- a/src/test/java/merlinlever/common/storage/BackgroundWriterTest.java
+++ b/src/test/java/merlinlever/common/storage/BackgroundWriterTest.java
@@ -18,9 +18,9 @@
 
 class BackgroundWriterTest {
 
-    /** A directory whose writes wait until they are allowed, and then do what the test says. */
+    /** A directory whose writes block until the test releases them, and then fail as the test requests. */
     private static final class BlockingDirectory implements StateDirectory {
-        final CountDownLatch allowed = new CountDownLatch(1);
+        final CountDownLatch writesReleased = new CountDownLatch(1);
         volatile Optional<IOException> failure = Optional.empty();
         volatile Optional<RuntimeException> runtimeFailure = Optional.empty();
         volatile byte[] written = new byte[0];
@@ -28,7 +28,7 @@
         @Override
         public void replace(String name, byte[] bytes) throws IOException {
             try {
-                allowed.await();
+                writesReleased.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException(e);
@@ -36,8 +36,8 @@
             if (failure.isPresent()) {
                 throw failure.get();
             }
-            runtimeFailure.ifPresent(thrown -> {
-                throw thrown;
+            runtimeFailure.ifPresent(exception -> {
+                throw exception;
             });
             written = bytes;
         }
@@ -83,13 +83,13 @@
     }
 
     @Test
-    void oneWriteAtATimeIsReportedOnTheLoopAndNotBefore() throws InterruptedException {
+    void onlyOneWriteRunsAtATimeAndItsCompletionRunsOnTheLoop() throws InterruptedException {
         assertTrue(replace("x"));
         assertTrue(writer.isBusy());
-        assertFalse(replace("y"), "while one is in progress");
-        directory.allowed.countDown();
+        assertFalse(replace("y"), "a write is in progress");
+        directory.writesReleased.countDown();
         Runnable completion = loop.take();
-        assertTrue(writer.isBusy() && completions.isEmpty(), "until the loop runs the completion");
+        assertTrue(writer.isBusy() && completions.isEmpty(), "the loop has not run the completion");
         completion.run();
         assertEquals(List.of(Optional.empty()), completions);
         assertFalse(writer.isBusy());
@@ -98,15 +98,15 @@
     }
 
     @Test
-    void failuresAreReportedAndTheNextWriteIsTaken() throws InterruptedException {
-        IOException full = new IOException("disk full");
-        directory.failure = Optional.of(full);
-        directory.allowed.countDown();
+    void failuresAreReportedAndTheNextWriteIsAccepted() throws InterruptedException {
+        IOException diskFull = new IOException("disk full");
+        directory.failure = Optional.of(diskFull);
+        directory.writesReleased.countDown();
         assertTrue(replace("x"));
         loop.take().run();
-        assertSame(full, completions.get(0).orElseThrow());
+        assertSame(diskFull, completions.get(0).orElseThrow());
         directory.failure = Optional.empty();
-        directory.runtimeFailure = Optional.of(new IllegalStateException("a fault"));
+        directory.runtimeFailure = Optional.of(new IllegalStateException("thrown by the test"));
         assertTrue(replace("y"));
         loop.take().run();
         assertSame(
@@ -118,11 +118,11 @@
     }
 
     @Test
-    void closeWaitsForTheWriteInProgressAndTakesNoOther() throws InterruptedException {
+    void closeWaitsForTheWriteInProgressAndRejectsFurtherWrites() throws InterruptedException {
         assertTrue(replace("x"));
-        assertFalse(writer.close(Duration.ofMillis(50)), "the disk hangs");
+        assertFalse(writer.close(Duration.ofMillis(50)), "the write is still blocked");
         assertFalse(replace("y"));
-        directory.allowed.countDown();
+        directory.writesReleased.countDown();
         assertTrue(writer.close(Duration.ofSeconds(30)));
         loop.take().run();
         assertFalse(replace("y"));
